--- a/internal/emulator/record.go
+++ b/internal/emulator/record.go
@@ -63,7 +63,11 @@
 	Breaches [5]int    `json:"breaches"` // by rule, from 1 on
 	Broken   []string  `json:"broken,omitempty"`
 	Judged   struct {
-		Requests, Answers, Sends, Repeats, ColdSends int
+		Requests  int `json:"Requests"`
+		Answers   int `json:"Answers"`
+		Sends     int `json:"Sends"`
+		Repeats   int `json:"Repeats"`
+		ColdSends int `json:"ColdSends"`
 	} `json:"judged"`
 
 	wasted, offered, lateWorth float64
--- a/internal/membership/trial/trial.go
+++ b/internal/membership/trial/trial.go
@@ -11,37 +11,39 @@
 
 // Plan is one trial.
 type Plan struct {
-	Members int
-	Seed    uint64
-	Probe   time.Duration
-	Loss    float64       // part of the datagrams
-	Delay   time.Duration // each is late by so much, and up to twice
-	Quiet   time.Duration // without a fault but the loss
-	Kill    float64       // the part that is then killed at once
-	Parts   int           // into how many parts the network is then cut; below 2: it is not
-	Apart   time.Duration // for so long
+	Members int           `json:"Members"`
+	Seed    uint64        `json:"Seed"`
+	Probe   time.Duration `json:"Probe"`
+	Loss    float64       `json:"Loss"`  // part of the datagrams
+	Delay   time.Duration `json:"Delay"` // each is late by so much, and up to twice
+	Quiet   time.Duration `json:"Quiet"` // without a fault but the loss
+	Kill    float64       `json:"Kill"`  // the part that is then killed at once
+	Parts   int           `json:"Parts"` // into how many parts the network is then cut; below 2: it is not
+	Apart   time.Duration `json:"Apart"` // for so long
 }
 
 // Result is what came of it. Times are zero where the plan has no such part.
 type Result struct {
 	Plan
-	Joined time.Duration // until all see all
+	Joined time.Duration `json:"Joined"` // until all see all
 
-	Suspected, Lost uint64  // among living members in the quiet time: false ones
-	PerHour         float64 // of the lost ones, for each member and hour
-	Bytes, Packets  float64 // sent by each member a second in the quiet time
-	CPU             float64 // of one core, for each member
+	Suspected uint64  `json:"Suspected"` // among living members in the quiet time: false ones
+	Lost      uint64  `json:"Lost"`      // among living members in the quiet time: false ones
+	PerHour   float64 `json:"PerHour"`   // of the lost ones, for each member and hour
+	Bytes     float64 `json:"Bytes"`     // sent by each member a second in the quiet time
+	Packets   float64 `json:"Packets"`   // sent by each member a second in the quiet time
+	CPU       float64 `json:"CPU"`       // of one core, for each member
 
-	Killed    int
-	FirstSeen time.Duration // median over the killed: until the first sees the loss
-	AllSeen   time.Duration // until every one sees every loss
-	AllAgree  time.Duration // until all views are the same
+	Killed    int           `json:"Killed"`
+	FirstSeen time.Duration `json:"FirstSeen"` // median over the killed: until the first sees the loss
+	AllSeen   time.Duration `json:"AllSeen"`   // until every one sees every loss
+	AllAgree  time.Duration `json:"AllAgree"`  // until all views are the same
 
-	Sides  []int         // members that the first of each part sees at the end of the cut
-	Told   int           // members that report that they are apart, then
-	Minor  int           // members that report that more than half is lost
-	Healed time.Duration // until all see all again
-	Rounds uint64        // and the most rounds that a member counted
+	Sides  []int         `json:"Sides"`  // members that the first of each part sees at the end of the cut
+	Told   int           `json:"Told"`   // members that report that they are apart, then
+	Minor  int           `json:"Minor"`  // members that report that more than half is lost
+	Healed time.Duration `json:"Healed"` // until all see all again
+	Rounds uint64        `json:"Rounds"` // and the most rounds that a member counted
 }
 
 // mostWait bounds each wait of a trial.
--- a/internal/rollout/follower.go
+++ b/internal/rollout/follower.go
@@ -11,10 +11,10 @@
 
 // Acts is what a sidecar acts by.
 type Acts struct {
-	Epoch uint64    // of the policy in force as far as it knows; 0: its own configuration
-	Doc   *Document // that policy; nil with epoch 0
-	Joint uint64    // the change with which it acts by the stricter of both; 0: none
-	Next  *Document // what that change would put in force
+	Epoch uint64    `json:"Epoch"` // of the policy in force as far as it knows; 0: its own configuration
+	Doc   *Document `json:"Doc"`   // that policy; nil with epoch 0
+	Joint uint64    `json:"Joint"` // the change with which it acts by the stricter of both; 0: none
+	Next  *Document `json:"Next"`  // what that change would put in force
 }
 
 // Policy is the one document to act by; nil: its own configuration counts alone.
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -139,13 +139,13 @@
 		HalfOpen   *int `json:"half_open"`
 		Idle       *int `json:"idle"`
 		Waiting    *int `json:"waiting"`
-	}
+	} `json:"clients"`
 	Servers struct {
 		Total               *int `json:"total"`
 		PerServer           *int `json:"per_server"`
 		Handshakes          *int `json:"handshakes"`
 		HandshakesPerServer *int `json:"handshakes_per_server"`
-	}
+	} `json:"servers"`
 }
 
 // parseConnections reads that object. A key that is not known is an error: a
--- a/internal/sidecar/listener.go
+++ b/internal/sidecar/listener.go
@@ -31,17 +31,17 @@
 
 // clientCounters count what became of client connections, each decision apart.
 type clientCounters struct {
-	Accepted      uint64 // taken off the kernel's queue
-	Admitted      uint64 // given a place
-	Waited        uint64 // of those, after a wait
-	Refused       uint64 // answered 503 for want of a place
-	GivenUpIdle   uint64 // idle, closed for another's sake
-	GivenUpSilent uint64 // without a whole request in its grace, closed for another's sake
-	OverIdle      uint64 // idle beyond the limit on idle ones
-	Silent        uint64 // never said a thing in its time
-	Vanished      uint64 // ended by the client before its first byte
-	Drained       uint64 // idle, closed by a planned restart
-	Dismissed     uint64 // of those closed, the ones that were refused half a request before
+	Accepted      uint64 `json:"Accepted"`      // taken off the kernel's queue
+	Admitted      uint64 `json:"Admitted"`      // given a place
+	Waited        uint64 `json:"Waited"`        // of those, after a wait
+	Refused       uint64 `json:"Refused"`       // answered 503 for want of a place
+	GivenUpIdle   uint64 `json:"GivenUpIdle"`   // idle, closed for another's sake
+	GivenUpSilent uint64 `json:"GivenUpSilent"` // without a whole request in its grace, closed for another's sake
+	OverIdle      uint64 `json:"OverIdle"`      // idle beyond the limit on idle ones
+	Silent        uint64 `json:"Silent"`        // never said a thing in its time
+	Vanished      uint64 `json:"Vanished"`      // ended by the client before its first byte
+	Drained       uint64 `json:"Drained"`       // idle, closed by a planned restart
+	Dismissed     uint64 `json:"Dismissed"`     // of those closed, the ones that were refused half a request before
 }
 
 // limitedListener hands connections to the HTTP server that have a place and
@@ -568,7 +568,12 @@
 }
 
 // listenerState is what is open at a moment.
-type listenerState struct{ Open, HalfOpen, Idle, Waiting int }
+type listenerState struct {
+	Open     int `json:"Open"`
+	HalfOpen int `json:"HalfOpen"`
+	Idle     int `json:"Idle"`
+	Waiting  int `json:"Waiting"`
+}
 
 // counters returns what was counted so far, and what is open now.
 func (l *limitedListener) counters() (clientCounters, listenerState) {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -60,20 +60,20 @@
 
 // Report is what a run saw.
 type Report struct {
-	Seed     uint64
-	Took     time.Duration
-	Seen     map[string]int // how often each thing was seen
-	Broken   []Case         // the first of them
-	Cases    int            // all of them
-	Timeline []string
+	Seed     uint64         `json:"Seed"`
+	Took     time.Duration  `json:"Took"`
+	Seen     map[string]int `json:"Seen"`   // how often each thing was seen
+	Broken   []Case         `json:"Broken"` // the first of them
+	Cases    int            `json:"Cases"`  // all of them
+	Timeline []string       `json:"Timeline"`
 	// Stall is the longest time for which this process itself was not scheduled.
-	Stall time.Duration
+	Stall time.Duration `json:"Stall"`
 }
 
 // Case is one broken invariant.
 type Case struct {
-	Invariant Invariant
-	Detail    string
+	Invariant Invariant `json:"Invariant"`
+	Detail    string    `json:"Detail"`
 }
 
 func (c Case) String() string { return fmt.Sprintf("%s: %s", c.Invariant, c.Detail) }
--- a/policy/api.go
+++ b/policy/api.go
@@ -185,13 +185,13 @@
 
 // Counters tell what a Balancer did since it was made.
 type Counters struct {
-	Ordinary uint64 // turns given by the ordinary path: a slot, and the server whose turn it was
-	Passed   uint64 // turns moved on past a server that held its portion or was judged unwell
-	Trials   uint64 // turns of a server judged unwell
-	Shed     uint64 // requests refused at once: late already, while servers rest
-	Retries  uint64 // further attempts after one that failed
-	Refused  uint64
-	Failed   uint64
+	Ordinary uint64 `json:"Ordinary"` // turns given by the ordinary path: a slot, and the server whose turn it was
+	Passed   uint64 `json:"Passed"`   // turns moved on past a server that held its portion or was judged unwell
+	Trials   uint64 `json:"Trials"`   // turns of a server judged unwell
+	Shed     uint64 `json:"Shed"`     // requests refused at once: late already, while servers rest
+	Retries  uint64 `json:"Retries"`  // further attempts after one that failed
+	Refused  uint64 `json:"Refused"`
+	Failed   uint64 `json:"Failed"`
 }
 
 // Counters returns what was done so far.
@@ -214,7 +214,10 @@
 }
 
 // Held is what one compartment holds of its slots and queue places.
-type Held struct{ Slots, Places int }
+type Held struct {
+	Slots  int `json:"Slots"`
+	Places int `json:"Places"`
+}
 
 // Rule is the fleet's word on what this sidecar may do, within what it was configured
 // for: each figure only tightens, and what is left out stays as configured.
