--- a/cmd/barleykeeper/main.go
+++ b/cmd/controller/main.go
@@ -13,7 +13,7 @@
 	"github.com/spf13/cobra"
 
 	"barleywick/internal/cli"
-	"barleywick/internal/keeper"
+	"barleywick/internal/controller"
 )
 
 func main() {
@@ -26,11 +26,11 @@
 func newRoot(getenv func(string) string) *cobra.Command {
 	var level string
 	path := getenv("BARLEYKEEPER_CONFIG")
-	load := func() (*keeper.Config, error) {
+	load := func() (*controller.Config, error) {
 		if path == "" {
 			return nil, cli.WrongCall("--config FILE is needed, or BARLEYKEEPER_CONFIG")
 		}
-		return keeper.LoadConfig(path)
+		return controller.LoadConfig(path)
 	}
 	root := &cobra.Command{
 		Use: "barleykeeper", Short: "Holds fleet-wide tasks", Args: cli.NoArgs,
@@ -50,7 +50,7 @@
 				return err
 			}
 			slog.SetDefault(slog.New(slog.NewTextHandler(c.ErrOrStderr(), &slog.HandlerOptions{Level: l})))
-			return keeper.Serve(c.Context(), cfg)
+			return controller.Serve(c.Context(), cfg)
 		},
 	}
 	root.PersistentFlags().StringVar(&path, "config", path, "the configuration `FILE` (default: what BARLEYKEEPER_CONFIG names)")
--- a/cmd/barleyctl/drain.go
+++ b/cmd/fleetctl/drain.go
@@ -8,8 +8,8 @@
 	"github.com/spf13/cobra"
 
 	"barleywick/internal/cli"
+	"barleywick/internal/controller"
 	"barleywick/internal/drain"
-	"barleywick/internal/keeper"
 )
 
 func timeoutFlag(c *cobra.Command, timeout *time.Duration) {
@@ -51,13 +51,13 @@
 				case here:
 					return w.Drain(ctx, args[0])
 				}
-				held, err := a.held(ctx, keeper.DrainsLease)
+				held, err := a.held(ctx, controller.DrainsLease)
 				if err != nil {
 					return err
 				}
 				if held == "" {
 					if detach {
-						return fmt.Errorf("no keeper holds the task %s: start barleykeeper, or leave --detach out", keeper.DrainsLease)
+						return fmt.Errorf("no keeper holds the task %s: start barleykeeper, or leave --detach out", controller.DrainsLease)
 					}
 					return w.Drain(ctx, args[0])
 				}
--- a/cmd/barleyctl/policy.go
+++ b/cmd/fleetctl/policy.go
@@ -15,10 +15,10 @@
 	"github.com/spf13/cobra"
 
 	"barleywick/internal/cli"
+	"barleywick/internal/configfile"
 	"barleywick/internal/registry"
 	"barleywick/internal/registry/client"
 	"barleywick/internal/rollout"
-	"barleywick/internal/strict"
 )
 
 const defaultWithin = 2 * time.Minute // for a change to be confirmed by all
@@ -67,11 +67,11 @@
 		return nil, fmt.Errorf("read policy: %w", err)
 	}
 	d := &rollout.Document{Form: 1, Mode: rollout.Carry}
-	if err := strict.TOML(text, d); err != nil {
+	if err := configfile.TOML(text, d); err != nil {
 		return nil, cli.Status(refused, "policy %s: %w", path, err)
 	}
 	if err := d.Check(); err != nil {
-		return nil, cli.Status(refused, "policy %s: %w", path, strict.AtLine(text, err))
+		return nil, cli.Status(refused, "policy %s: %w", path, configfile.AtLine(text, err))
 	}
 	return d, nil
 }
--- a/cmd/barleywick-metered/main.go
+++ b/cmd/sidecar-metrics/main.go
@@ -3,12 +3,12 @@
 package main
 
 import (
-	"barleywick/internal/command"
-	"barleywick/internal/enlist"
 	"barleywick/internal/metrics"
 	"barleywick/internal/sidecar"
+	"barleywick/internal/sidecarcmd"
+	"barleywick/internal/sidecarmember"
 )
 
 func main() {
-	command.Main(command.Parts{Meter: func() sidecar.Meter { return metrics.New() }, Enlist: enlist.Sidecar})
+	sidecarcmd.Main(sidecarcmd.Parts{Meter: func() sidecar.Meter { return metrics.New() }, Enlist: sidecarmember.Sidecar})
 }
--- a/cmd/barleywick/main.go
+++ b/cmd/sidecar/main.go
@@ -2,6 +2,6 @@
 // its requests to the booking servers.
 package main
 
-import "barleywick/internal/command"
+import "barleywick/internal/sidecarcmd"
 
-func main() { command.Main(command.Parts{}) }
+func main() { sidecarcmd.Main(sidecarcmd.Parts{}) }
--- a/cmd/adapter/main.go
+++ b/cmd/simadapter/main.go
@@ -8,7 +8,7 @@
 	"runtime"
 	"runtime/debug"
 
-	"barleywick/internal/adapter"
+	"barleywick/internal/simulation/simadapter"
 )
 
 func main() {
@@ -16,7 +16,7 @@
 	// heap is small, so collecting it rarely is cheap and keeps batches even.
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(800)
-	if err := adapter.Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simadapter.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
 	}
--- a/cmd/barleylab/explore.go
+++ b/cmd/testbench/explore.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 
 	"barleywick/internal/cli"
-	"barleywick/internal/explore/together"
+	"barleywick/internal/testing/modelcheck/system"
 )
 
 // mostSchedules bounds one exploration.
@@ -43,17 +43,17 @@
 			return cli.WrongCall("--faults goes with --replay")
 		}
 		began := time.Now()
-		var seen together.Seen
-		var found *together.Found
+		var seen system.Seen
+		var found *system.Found
 		if replay {
-			plan, err := together.Parse(faults)
+			plan, err := system.Parse(faults)
 			if err != nil {
 				return cli.WrongCall("%v", err)
 			}
-			if seen, err = together.Play(seed, plan); err != nil {
-				found = &together.Found{Seed: seed, Plan: plan, Err: err, Plays: 1}
+			if seen, err = system.Play(seed, plan); err != nil {
+				found = &system.Found{Seed: seed, Plan: plan, Err: err, Plays: 1}
 			}
-		} else if seen, found = together.Explore(seed, schedules, steer); found != nil {
+		} else if seen, found = system.Explore(seed, schedules, steer); found != nil {
 			found = found.Shrink()
 		}
 		tellSeen(out, seen, time.Since(began), pairs)
@@ -65,7 +65,7 @@
 	return c
 }
 
-func tellSeen(w io.Writer, s together.Seen, took time.Duration, pairs bool) {
+func tellSeen(w io.Writer, s system.Seen, took time.Duration, pairs bool) {
 	fmt.Fprintf(w, "%d schedules, %.0f a second: %d events, %d faults; %d of %d pairs of a fault and a step\n",
 		s.Schedules, float64(s.Schedules)/took.Seconds(), s.Events, s.Faults, len(s.Pairs), s.MostPairs())
 	fmt.Fprintf(w, "judged: %d timed acts, %d fenced writes, %d words, %d lists, %d acknowledged writes, %d policies in force, %d stops of servers, %d requests\n",
--- a/cmd/barleylab/hunt.go
+++ b/cmd/testbench/hunt.go
@@ -16,7 +16,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"barleywick/internal/cli"
-	"barleywick/internal/emulator"
+	"barleywick/internal/simulation/emulator"
 )
 
 // mostHunt bounds the days of one hunt.
--- a/cmd/barleylab/lab.go
+++ b/cmd/testbench/lab.go
@@ -12,9 +12,9 @@
 	"github.com/spf13/cobra"
 
 	"barleywick/internal/cli"
-	"barleywick/internal/emulator"
-	"barleywick/internal/lab"
-	"barleywick/internal/report"
+	"barleywick/internal/simulation/emulator"
+	"barleywick/internal/simulation/report"
+	"barleywick/internal/testing/localfleet"
 )
 
 // What a lab on one machine has where nothing is said.
@@ -26,7 +26,7 @@
 
 func labCommand() *cobra.Command {
 	var out output
-	var o lab.Options
+	var o localfleet.Options
 	var sidecars, servers int
 	var length time.Duration
 	c := &cobra.Command{
@@ -86,7 +86,7 @@
 			}
 		}
 		fmt.Fprintf(c.OutOrStdout(), "%s: %d sidecars, %d servers, about %.0f requests a second for %v\n", sc.Name, sc.Sidecars, sc.Servers, sc.Rate(), time.Duration(sc.Length))
-		r, err := lab.Run(c.Context(), o)
+		r, err := localfleet.Run(c.Context(), o)
 		if terminal(live) {
 			fmt.Fprintln(live)
 		}
--- a/cmd/barleylab/load.go
+++ b/cmd/testbench/load.go
@@ -12,7 +12,7 @@
 	"golang.org/x/term"
 
 	"barleywick/internal/cli"
-	"barleywick/internal/load"
+	"barleywick/internal/testing/loadgen"
 )
 
 // terminal says whether a writer is one, where a line may be written over.
@@ -25,7 +25,7 @@
 const defaultOpen = 10_000
 
 func loadCommand() *cobra.Command {
-	p := &load.Plan{}
+	p := &loadgen.Plan{}
 	var out output
 	var classes []string
 	var recorded string
@@ -65,7 +65,7 @@
 			if err != nil {
 				return err
 			}
-			p.Recorded, err = load.ReadArrivals(file)
+			p.Recorded, err = loadgen.ReadArrivals(file)
 			file.Close()
 			if err != nil {
 				return fmt.Errorf("%s: %w", recorded, err)
@@ -75,7 +75,7 @@
 			return cli.WrongCall("%w", err)
 		}
 		live := c.ErrOrStderr()
-		r, err := load.Run(c.Context(), p, func(r load.Result) {
+		r, err := loadgen.Run(c.Context(), p, func(r loadgen.Result) {
 			if terminal(live) {
 				fmt.Fprintf(live, "\r\x1b[K%.0f s: %d due, %d served, %d refused, %d lost, p99 %.0f ms", r.LengthS, r.Due, r.Outcomes["served"], r.Outcomes["refused"], r.Outcomes["lost"], r.Served.P99)
 			}
@@ -102,12 +102,12 @@
 }
 
 // parseClass reads NAME:EFFECT[:SHARE].
-func parseClass(text string) (load.Class, error) {
+func parseClass(text string) (loadgen.Class, error) {
 	parts := strings.Split(text, ":")
 	if len(parts) < 2 || len(parts) > 3 {
-		return load.Class{}, cli.WrongCall("--class %q: NAME:EFFECT or NAME:EFFECT:SHARE is needed", text)
+		return loadgen.Class{}, cli.WrongCall("--class %q: NAME:EFFECT or NAME:EFFECT:SHARE is needed", text)
 	}
-	c := load.Class{Name: parts[0], Effect: load.Effect(parts[1]), Share: 1}
+	c := loadgen.Class{Name: parts[0], Effect: loadgen.Effect(parts[1]), Share: 1}
 	if len(parts) == 3 {
 		share, err := strconv.ParseFloat(parts[2], 64)
 		if err != nil {
--- a/cmd/barleylab/main.go
+++ b/cmd/testbench/main.go
@@ -22,9 +22,9 @@
 	"github.com/spf13/cobra"
 
 	"barleywick/internal/cli"
-	"barleywick/internal/emulator"
-	"barleywick/internal/experiment"
-	"barleywick/internal/report"
+	"barleywick/internal/simulation/emulator"
+	"barleywick/internal/simulation/experiment"
+	"barleywick/internal/simulation/report"
 )
 
 func main() {
--- a/cmd/barleylab/members.go
+++ b/cmd/testbench/members.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 
 	"barleywick/internal/cli"
-	"barleywick/internal/membership/trial"
+	"barleywick/internal/membership/membershiptest"
 )
 
 // Bounds of one trial: all members are in this process.
@@ -20,7 +20,7 @@
 )
 
 func membersCommand() *cobra.Command {
-	p := trial.Plan{}
+	p := membershiptest.Plan{}
 	var asJSON bool
 	c := &cobra.Command{
 		Use: "members", Short: "Measure how members of a fleet see its losses and parts", Args: cli.NoArgs,
@@ -52,7 +52,7 @@
 		case p.Probe < 50*time.Millisecond || p.Delay < 0 || p.Quiet < 0 || p.Apart < 0:
 			return cli.WrongCall("--probe is 50ms at least, no time is negative")
 		}
-		var r trial.Result
+		var r membershiptest.Result
 		done := make(chan error, 1)
 		go func() { // ends with the program where it is cut short: all members are in it
 			var err error
@@ -76,7 +76,7 @@
 	return c
 }
 
-func tellTrial(w io.Writer, r trial.Result) {
+func tellTrial(w io.Writer, r membershiptest.Result) {
 	ms := func(d time.Duration) time.Duration { return d.Round(10 * time.Millisecond) }
 	fmt.Fprintf(w, "%d members, a look every %v, %.0f %% of the datagrams lost: all see all after %v\n", r.Members, r.Probe, 100*r.Loss, ms(r.Joined))
 	if r.Quiet > 0 {
--- a/cmd/barleylab/soak.go
+++ b/cmd/testbench/soak.go
@@ -16,14 +16,14 @@
 	"github.com/spf13/cobra"
 
 	"barleywick/internal/cli"
-	"barleywick/internal/soak"
+	"barleywick/internal/testing/soaktest"
 )
 
 // soakProgram is the sidecar's program, beside this one.
 const soakProgram = "barleywick"
 
 func soakCommand() *cobra.Command {
-	var o soak.Options
+	var o soaktest.Options
 	var seeds int
 	var out, programs string
 	var quiet bool
@@ -90,11 +90,11 @@
 }
 
 // runSoaks runs one seed after the other and tells what came of each.
-func runSoaks(c *cobra.Command, o soak.Options, seeds int, out string) error {
-	var reports []*soak.Report
+func runSoaks(c *cobra.Command, o soaktest.Options, seeds int, out string) error {
+	var reports []*soaktest.Report
 	broken := 0
 	for range seeds {
-		report, err := soak.Run(c.Context(), o)
+		report, err := soaktest.Run(c.Context(), o)
 		if report != nil {
 			reports = append(reports, report)
 			broken += report.Cases
@@ -116,7 +116,7 @@
 	return err
 }
 
-func tellSoak(w io.Writer, r *soak.Report) {
+func tellSoak(w io.Writer, r *soaktest.Report) {
 	var parts []string
 	for _, what := range slices.Sorted(maps.Keys(r.Seen)) {
 		parts = append(parts, fmt.Sprintf("%d %s", r.Seen[what], what))
--- a/cmd/barleylab/torture.go
+++ b/cmd/testbench/torture.go
@@ -16,12 +16,12 @@
 	"github.com/spf13/cobra"
 
 	"barleywick/internal/cli"
-	"barleywick/internal/faultnet"
-	"barleywick/internal/torture"
+	"barleywick/internal/testing/chaostest"
+	"barleywick/internal/testing/faultinjection"
 )
 
 func tortureCommand() *cobra.Command {
-	var o torture.Options
+	var o chaostest.Options
 	var schedule, out, programs string
 	var shrink int
 	var quiet bool
@@ -54,21 +54,21 @@
 			return cli.WrongCall("%v", err)
 		}
 		var err error
-		if o.Schedule, err = faultnet.ParseSchedule(schedule); err != nil {
+		if o.Schedule, err = faultinjection.ParseSchedule(schedule); err != nil {
 			return cli.WrongCall("--schedule: %v", err)
 		}
-		for _, p := range []torture.Program{torture.Replica, torture.Keeper, torture.Sidecar} {
+		for _, p := range []chaostest.Program{chaostest.Replica, chaostest.Keeper, chaostest.Sidecar} {
 			path, err := findProgram(programs, string(p))
 			if err != nil {
 				return err
 			}
 			programs = filepath.Dir(path)
 		}
-		o.Command = func(p torture.Program, config string) *exec.Cmd { return command(programs, p, config) }
+		o.Command = func(p chaostest.Program, config string) *exec.Cmd { return command(programs, p, config) }
 		if !quiet {
 			o.Tell = func(line string) { fmt.Fprintln(c.OutOrStdout(), line) }
 		}
-		rep, err := torture.Run(c.Context(), o)
+		rep, err := chaostest.Run(c.Context(), o)
 		if rep != nil {
 			tellTorture(c.OutOrStdout(), rep)
 			if out != "" {
@@ -84,10 +84,10 @@
 		}
 		small := o.Plan()
 		if shrink > 0 {
-			small = faultnet.Shrink(small, shrink, func(part faultnet.Schedule) bool {
+			small = faultinjection.Shrink(small, shrink, func(part faultinjection.Schedule) bool {
 				less := o
 				less.Schedule, less.Tell = part, nil
-				again, err := torture.Run(c.Context(), less)
+				again, err := chaostest.Run(c.Context(), less)
 				return len(part) > 0 && err == nil && len(again.Broken) > 0
 			})
 		}
@@ -97,12 +97,12 @@
 }
 
 // command starts one of our programs on its configuration.
-func command(folder string, p torture.Program, config string) *exec.Cmd {
+func command(folder string, p chaostest.Program, config string) *exec.Cmd {
 	path := filepath.Join(folder, string(p))
 	switch p {
-	case torture.Replica:
+	case chaostest.Replica:
 		return exec.Command(path, "-config", config)
-	case torture.Keeper:
+	case chaostest.Keeper:
 		return exec.Command(path, "--config", config)
 	}
 	cmd := exec.Command(path)
@@ -110,7 +110,7 @@
 	return cmd
 }
 
-func tellTorture(w io.Writer, r *torture.Report) {
+func tellTorture(w io.Writer, r *chaostest.Report) {
 	var parts []string
 	for _, what := range slices.Sorted(maps.Keys(r.Saw)) {
 		parts = append(parts, fmt.Sprintf("%d %s", r.Saw[what], what))
--- a/internal/route/route.go
+++ b/internal/addressmap/route.go
@@ -1,6 +1,6 @@
-// Package route sends calls to an address over another one, where the way there leads
+// Package addressmap sends calls to an address over another one, where the way there leads
 // over something: a forwarder of the site's, or the rig of faults between processes.
-package route
+package addressmap
 
 import (
 	"context"
--- a/internal/strict/strict.go
+++ b/internal/configfile/strict.go
@@ -1,6 +1,6 @@
-// Package strict reads files that people write: a key that is not known, or a value
+// Package configfile reads files that people write: a key that is not known, or a value
 // of the wrong type, is an error of one line that names line and field.
-package strict
+package configfile
 
 import (
 	"bytes"
--- a/internal/keeper/config.go
+++ b/internal/controller/config.go
@@ -1,4 +1,4 @@
-package keeper
+package controller
 
 import (
 	"fmt"
@@ -6,21 +6,21 @@
 	"os"
 	"time"
 
+	"barleywick/internal/addressmap"
+	"barleywick/internal/configfile"
 	"barleywick/internal/drain"
 	"barleywick/internal/membership"
 	"barleywick/internal/registry"
-	"barleywick/internal/route"
-	"barleywick/internal/strict"
 )
 
 // Config is what a keeper is told. docs/LEASES.md describes it.
 type Config struct {
-	Name     string      `toml:"name"`
-	Registry []string    `toml:"registry"`
-	Listen   string      `toml:"listen"` // for /metrics and /health/ready; empty: neither
-	LeaseMS  int64       `toml:"lease_ms"`
-	ActsMS   int64       `toml:"-"` // of tasks that are none of Tasks; 0: what those take
-	Routes   route.Table `toml:"routes"`
+	Name     string           `toml:"name"`
+	Registry []string         `toml:"registry"`
+	Listen   string           `toml:"listen"` // for /metrics and /health/ready; empty: neither
+	LeaseMS  int64            `toml:"lease_ms"`
+	ActsMS   int64            `toml:"-"` // of tasks that are none of Tasks; 0: what those take
+	Routes   addressmap.Table `toml:"routes"`
 
 	Drains *struct {
 		Config string `toml:"config"` // barleyctl's file
@@ -97,7 +97,7 @@
 // is an error.
 func ParseConfig(text []byte) (*Config, error) {
 	c := &Config{LeaseMS: defaultLease.Milliseconds()}
-	if err := strict.TOML(text, c); err != nil {
+	if err := configfile.TOML(text, c); err != nil {
 		return nil, err
 	}
 	if h := c.Health; h != nil {
@@ -114,7 +114,7 @@
 		}
 	}
 	if err := c.check(); err != nil {
-		return nil, strict.AtLine(text, err)
+		return nil, configfile.AtLine(text, err)
 	}
 	return c, nil
 }
--- a/internal/keeper/drains.go
+++ b/internal/controller/drains.go
@@ -1,4 +1,4 @@
-package keeper
+package controller
 
 import (
 	"context"
--- a/internal/keeper/fleet.go
+++ b/internal/controller/fleet.go
@@ -1,4 +1,4 @@
-package keeper
+package controller
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"barleywick/internal/membership"
 	"barleywick/internal/membership/gossip"
-	"barleywick/internal/planted"
+	"barleywick/internal/mutation"
 	"barleywick/internal/registry"
 	"barleywick/internal/registry/client"
 )
@@ -114,7 +114,7 @@
 // sureEnd says whether this process itself has seen a member's process end. The word of
 // others is none on which a lease may end.
 func sureEnd(s membership.Standing, own string) bool {
-	return s.Status == membership.Gone && s.By == own || planted.GossipRemoves && s.Status == membership.Lost
+	return s.Status == membership.Gone && s.By == own || mutation.GossipRemoves && s.Status == membership.Lost
 }
 
 // bury ends the claims of a keeper whose process has ended, once what it had sent has
--- a/internal/keeper/keeper.go
+++ b/internal/controller/keeper.go
@@ -1,7 +1,7 @@
-// Package keeper is a process that holds fleet-wide tasks: any number of keepers run,
+// Package controller is a process that holds fleet-wide tasks: any number of keepers run,
 // and each task is one keeper's at a time, by a lease. Which one's is decided by
 // rendezvous hashing over those that are present; a second one stands by.
-package keeper
+package controller
 
 import (
 	"context"
--- a/internal/lease/model/explore.go
+++ b/internal/lease/model/explore.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"barleywick/internal/explore"
 	"barleywick/internal/registry"
+	"barleywick/internal/testing/modelcheck"
 )
 
 // Key tells states apart: two with the same key have the same future. Times stand
@@ -75,8 +75,8 @@
 }
 
 // Search tries every choice from a world on. It returns what was judged on the way, too.
-func Search(s Setup, depth, most int) (states, full int, seen Counts, found *explore.Found) {
-	states, full, found = explore.Search(New(s), depth, most, func(w *World) {
+func Search(s Setup, depth, most int) (states, full int, seen Counts, found *modelcheck.Found) {
+	states, full, found = modelcheck.Search(New(s), depth, most, func(w *World) {
 		seen.add(w.judge.Counts)
 		w.judge.Counts = Counts{}
 	})
@@ -98,14 +98,14 @@
 
 // Walk takes so many steps drawn from a seed. Some walks go on without faults then: by
 // the end of that each lease has to be somebody's.
-func Walk(s Setup, seed uint64, steps int) (Counts, *explore.Found) {
+func Walk(s Setup, seed uint64, steps int) (Counts, *modelcheck.Found) {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	if s.Rates == nil {
 		for range s.Holders + 1 {
 			s.Rates = append(s.Rates, 950+rng.Int64N(101)) // a twentieth off either way
 		}
 	}
-	k := &explore.Walker[*World]{W: New(s)}
+	k := &modelcheck.Walker[*World]{W: New(s)}
 	found := k.Walk(rng, steps, s.Holders)
 	if found == nil && seed%settled == 0 {
 		found = settle(k)
@@ -116,14 +116,14 @@
 // settle lets time pass without faults, each call arriving and each holder renewing:
 // within a bound every lease is held, which is the time to live once for who held it
 // and once for each that waited and is gone.
-func settle(k *explore.Walker[*World]) *explore.Found {
+func settle(k *modelcheck.Walker[*World]) *modelcheck.Found {
 	w := k.W
 	bound := w.TTL * time.Duration(2+w.Holders)
 	w.Ends = w.now + bound
-	do := func(format string, i, j int, f func(w *World)) *explore.Found {
+	do := func(format string, i, j int, f func(w *World)) *modelcheck.Found {
 		return k.Take(Step{Format: format, A: i, B: j, Do: plain(f)})
 	}
-	arrive := func() *explore.Found {
+	arrive := func() *modelcheck.Found {
 		for len(w.network) > 0 || len(w.checks) > 0 {
 			act := func(w *World) { w.deliver(0) }
 			if len(w.network) == 0 {
@@ -138,7 +138,7 @@
 	for w.now < w.Ends {
 		for i, h := range w.holders {
 			for j, t := range h.tenures {
-				var f *explore.Found
+				var f *modelcheck.Found
 				switch {
 				case t == nil || t.Over(w.reads(i)):
 					f = do("k%d asks for %d", i, j, func(w *World) { w.begin(i, j) })
--- a/internal/lease/model/world.go
+++ b/internal/lease/model/world.go
@@ -12,9 +12,9 @@
 	"strings"
 	"time"
 
-	"barleywick/internal/explore"
 	"barleywick/internal/lease"
 	"barleywick/internal/registry"
+	"barleywick/internal/testing/modelcheck"
 )
 
 // Setup is the size of a world.
@@ -189,7 +189,7 @@
 func leaseName(i int) string { return fmt.Sprint("task-", i) }
 
 // Step is one thing that may happen next.
-type Step = explore.Step[*World]
+type Step = modelcheck.Step[*World]
 
 // plain makes a step's act of what changes the world; the judge looks after it.
 func plain(do func(w *World)) func(w *World) error {
--- a/internal/lease/tenure.go
+++ b/internal/lease/tenure.go
@@ -12,7 +12,7 @@
 	"fmt"
 	"time"
 
-	"barleywick/internal/planted"
+	"barleywick/internal/mutation"
 	"barleywick/internal/registry"
 )
 
@@ -78,7 +78,7 @@
 	case a.Leave:
 		t.Ask(a.To)
 	case a.Token != 0:
-		if planted.FromAnswer {
+		if mutation.FromAnswer {
 			sent = now
 		}
 		until := sent + time.Duration(actPart*float64(t.TTL))
@@ -92,7 +92,7 @@
 // look notes that the time is up. A tenure that has lapsed once is over: its task is
 // to stop first, and may then begin another.
 func (t *Tenure) look(now time.Duration) {
-	if t.token != 0 && t.until != 0 && now >= t.until && !planted.UncheckedPause {
+	if t.token != 0 && t.until != 0 && now >= t.until && !mutation.UncheckedPause {
 		t.over = true
 	}
 }
@@ -129,7 +129,7 @@
 	switch {
 	case !t.Held(now):
 		return fmt.Errorf("%w: %s", ErrLapsed, t.Name)
-	case now+takes > t.until && !planted.UncheckedPause:
+	case now+takes > t.until && !mutation.UncheckedPause:
 		return fmt.Errorf("%w: %s has another %v, the act may take %v", ErrShort, t.Name, t.until-now, takes)
 	}
 	return nil
--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -20,7 +20,7 @@
 	"github.com/hashicorp/memberlist"
 
 	"barleywick/internal/membership"
-	"barleywick/internal/planted"
+	"barleywick/internal/mutation"
 )
 
 // Options are what a Node needs.
@@ -124,7 +124,7 @@
 	if n.self.Incarnation <= remembered.Incarnation {
 		n.self.Incarnation = remembered.Incarnation + 1 // the clock was set back
 	}
-	if planted.SameIncarnation {
+	if mutation.SameIncarnation {
 		n.self.Incarnation = 1
 	}
 	if _, err := n.self.Encode(); err != nil {
--- a/internal/membership/gossip/transport.go
+++ b/internal/membership/gossip/transport.go
@@ -12,7 +12,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"barleywick/internal/route"
+	"barleywick/internal/addressmap"
 )
 
 const (
@@ -30,7 +30,7 @@
 // routed is memberlist's transport over a table of routes, with bounds and counts.
 type routed struct {
 	memberlist.NodeAwareTransport
-	routes  route.Table
+	routes  addressmap.Table
 	traffic *traffic
 	in      chan net.Conn
 	places  chan struct{}
@@ -52,7 +52,7 @@
 	return t, nil
 }
 
-func newRouted(inner memberlist.NodeAwareTransport, routes route.Table, t *traffic) *routed {
+func newRouted(inner memberlist.NodeAwareTransport, routes addressmap.Table, t *traffic) *routed {
 	r := &routed{NodeAwareTransport: inner, routes: routes, traffic: t, in: make(chan net.Conn), places: make(chan struct{}, maxStreams), over: make(chan struct{})}
 	r.tasks.Go(r.admit)
 	return r
--- a/internal/membership/trial/network.go
+++ b/internal/membership/membershiptest/network.go
@@ -1,6 +1,6 @@
-// Package trial runs a fleet of members in one process over a network of its own, breaks
+// Package membershiptest runs a fleet of members in one process over a network of its own, breaks
 // that, and measures how long they take to see it and to agree.
-package trial
+package membershiptest
 
 import (
 	"errors"
--- a/internal/membership/trial/trial_test.go
+++ b/internal/membership/membershiptest/trial_test.go
@@ -1,4 +1,4 @@
-package trial
+package membershiptest
 
 import (
 	"fmt"
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -9,7 +9,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"barleywick/internal/planted"
+	"barleywick/internal/mutation"
 )
 
 // Status is how a member stands in somebody's view.
@@ -81,7 +81,7 @@
 }
 
 // Apart says whether somebody is missing.
-func (s Side) Apart() bool { return s.Lost > 0 && !planted.SilentPartition }
+func (s Side) Apart() bool { return s.Lost > 0 && !mutation.SilentPartition }
 
 // Minority says that more than half of the fleet was lost: whatever rests on numbers is
 // not to be relied on here.
--- a/internal/planted/fence_off_off.go
+++ b/internal/mutation/fence_off_off.go
@@ -1,6 +1,6 @@
 //go:build !planted_fence_off
 
-package planted
+package mutation
 
 // FenceOff lets a write with an older token through.
 const FenceOff = false
--- a/internal/planted/forgetful_leader_on.go
+++ b/internal/mutation/forgetful_leader_on.go
@@ -1,6 +1,6 @@
 //go:build planted_forgetful_leader
 
-package planted
+package mutation
 
 // ForgetfulLeader lets a new leader give leases less than their full time.
 const ForgetfulLeader = true
--- a/internal/planted/from_answer_off.go
+++ b/internal/mutation/from_answer_off.go
@@ -1,6 +1,6 @@
 //go:build !planted_from_answer
 
-package planted
+package mutation
 
 // FromAnswer lets a holder count its time from the answer, not from when it asked.
 const FromAnswer = false
--- a/internal/planted/gossip_removes_off.go
+++ b/internal/mutation/gossip_removes_off.go
@@ -1,6 +1,6 @@
 //go:build !planted_gossip_removes
 
-package planted
+package mutation
 
 // GossipRemoves lets the silence of a keeper end its leases.
 const GossipRemoves = false
--- a/internal/planted/kept_promise_off.go
+++ b/internal/mutation/kept_promise_off.go
@@ -1,6 +1,6 @@
 //go:build !planted_kept_promise
 
-package planted
+package mutation
 
 // KeptPromise lets a sidecar that starts again count for what the process before it said.
 const KeptPromise = false
--- a/internal/planted/late_roster_off.go
+++ b/internal/mutation/late_roster_off.go
@@ -1,6 +1,6 @@
 //go:build !planted_late_roster
 
-package planted
+package mutation
 
 // LateRoster lets a sidecar that starts serve by what it held last, before it has its seat.
 const LateRoster = false
--- a/internal/planted/loose_release_on.go
+++ b/internal/mutation/loose_release_on.go
@@ -1,6 +1,6 @@
 //go:build planted_loose_release
 
-package planted
+package mutation
 
 // LooseRelease lets a release end whatever grant there is.
 const LooseRelease = true
--- a/internal/planted/loose_step_on.go
+++ b/internal/mutation/loose_step_on.go
@@ -1,6 +1,6 @@
 //go:build planted_loose_step
 
-package planted
+package mutation
 
 // LooseStep lets the leader of a change commit what a roster of before has confirmed.
 const LooseStep = true
--- a/internal/planted/no_joint_on.go
+++ b/internal/mutation/no_joint_on.go
@@ -1,6 +1,6 @@
 //go:build planted_no_joint
 
-package planted
+package mutation
 
 // NoJoint lets a change of policy be committed without its joint stage.
 const NoJoint = true
--- a/internal/planted/restored_token_on.go
+++ b/internal/mutation/restored_token_on.go
@@ -1,6 +1,6 @@
 //go:build planted_restored_token
 
-package planted
+package mutation
 
 // RestoredToken lets a restore take over the backup's token, which may be lower.
 const RestoredToken = true
--- a/internal/planted/same_incarnation_on.go
+++ b/internal/mutation/same_incarnation_on.go
@@ -1,6 +1,6 @@
 //go:build planted_same_incarnation
 
-package planted
+package mutation
 
 // SameIncarnation lets a process that starts again be the member that it was.
 const SameIncarnation = true
--- a/internal/planted/silent_leave_on.go
+++ b/internal/mutation/silent_leave_on.go
@@ -1,6 +1,6 @@
 //go:build planted_silent_leave
 
-package planted
+package mutation
 
 // SilentLeave takes the silence of a sidecar for its leaving.
 const SilentLeave = true
--- a/internal/planted/silent_partition_off.go
+++ b/internal/mutation/silent_partition_off.go
@@ -1,6 +1,6 @@
 //go:build !planted_silent_partition
 
-package planted
+package mutation
 
 // SilentPartition lets a part of the fleet be lost without a word.
 const SilentPartition = false
--- a/internal/planted/unchecked_pause_off.go
+++ b/internal/mutation/unchecked_pause_off.go
@@ -1,6 +1,6 @@
 //go:build !planted_unchecked_pause
 
-package planted
+package mutation
 
 // UncheckedPause lets a holder act without a look at the clock.
 const UncheckedPause = false
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -16,8 +16,8 @@
 	"sync"
 	"time"
 
+	"barleywick/internal/addressmap"
 	"barleywick/internal/registry"
-	"barleywick/internal/route"
 )
 
 const (
@@ -89,7 +89,7 @@
 	c := &Client{addrs: addrs, rng: rand.New(rand.NewPCG(seed, 3))}
 	c.http = &http.Client{
 		Transport: &http.Transport{
-			DialContext:     route.Table(nil).Dial(time.Second),
+			DialContext:     addressmap.Table(nil).Dial(time.Second),
 			MaxConnsPerHost: 8, IdleConnTimeout: 10 * time.Second, DisableCompression: true,
 		},
 		// Redirects are followed here: the client has to learn who leads.
@@ -102,7 +102,7 @@
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Via sends calls over other addresses. It is to be called before the Client is used.
-func (c *Client) Via(routes route.Table) *Client {
+func (c *Client) Via(routes addressmap.Table) *Client {
 	c.http.Transport.(*http.Transport).DialContext = routes.Dial(time.Second)
 	return c
 }
--- a/internal/registry/leaseclock.go
+++ b/internal/registry/leaseclock.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"barleywick/internal/planted"
+	"barleywick/internal/mutation"
 )
 
 // LeaseClock counts for how long each claim has given no sign of life. As Sessions
@@ -63,7 +63,7 @@
 			return
 		}
 		at := now
-		if planted.ForgetfulLeader && !c.began {
+		if mutation.ForgetfulLeader && !c.began {
 			at = now.Add(-time.Duration(claim.TTLMS) * time.Millisecond * 3 / 4)
 		}
 		c.last[k] = counted{ttl: time.Duration(claim.TTLMS) * time.Millisecond, at: at, granted: granted}
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -7,7 +7,7 @@
 	"maps"
 	"slices"
 
-	"barleywick/internal/planted"
+	"barleywick/internal/mutation"
 )
 
 // The commands on leases.
@@ -307,7 +307,7 @@
 // finds its claim ended and changes nothing.
 func (s *Leases) release(c *LeaseCommand) Result {
 	l := s.all[c.Name]
-	if planted.LooseRelease && l != nil && l.Grant != nil {
+	if mutation.LooseRelease && l != nil && l.Grant != nil {
 		c.Claim = l.Grant.Claim
 	}
 	if l == nil || slices.Contains(s.ended, c.Claim.ID) {
@@ -386,7 +386,7 @@
 
 // fenced says why a command with a fence is not to be carried out.
 func (s *Leases) fenced(f *Fence) error {
-	if f == nil || planted.FenceOff {
+	if f == nil || mutation.FenceOff {
 		return nil
 	}
 	l := s.all[f.Lease]
@@ -405,7 +405,7 @@
 	if l == nil {
 		return Standing{}, fmt.Errorf("%w: claim %.64s on %.64s", ErrGone, c.ID, name)
 	}
-	if g := l.Grant; planted.OldIncarnation && g != nil && g.Name == c.Name {
+	if g := l.Grant; mutation.OldIncarnation && g != nil && g.Name == c.Name {
 		return Standing{Token: g.Token, Claim: g.ID}, nil
 	}
 	r, known := l.standing(c)
@@ -455,7 +455,7 @@
 // group's of this name. That one's leases may not have run out: a group that was
 // founded for it grants none yet (Leases.shut).
 func (s *Leases) restored(backup *Leases) {
-	if planted.RestoredToken {
+	if mutation.RestoredToken {
 		s.token = backup.token
 		return
 	}
--- a/internal/registry/server/config.go
+++ b/internal/registry/server/config.go
@@ -11,9 +11,9 @@
 	"slices"
 	"time"
 
+	"barleywick/internal/addressmap"
 	"barleywick/internal/membership"
 	"barleywick/internal/registry"
-	"barleywick/internal/route"
 )
 
 // Config is what a replica is told.
@@ -31,7 +31,7 @@
 	Timing   Timing   `json:"timing"`
 	// Routes are where to call instead of other replicas' addresses, where the way
 	// there leads over something.
-	Routes route.Table `json:"routes,omitempty"`
+	Routes addressmap.Table `json:"routes,omitempty"`
 	// Membership lets it know the other processes of the fleet without the registry;
 	// docs/MEMBERSHIP.md. nil: it does not.
 	Membership *membership.Config `json:"membership,omitempty"`
--- a/internal/registry/server/layer.go
+++ b/internal/registry/server/layer.go
@@ -13,7 +13,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"barleywick/internal/route"
+	"barleywick/internal/addressmap"
 )
 
 // layer carries Raft's connections. Each begins with a line that names the group
@@ -22,7 +22,7 @@
 type layer struct {
 	net.Listener
 	hello func() (group string, founded uint64)
-	to    route.Table
+	to    addressmap.Table
 
 	ready chan net.Conn
 	over  chan struct{}
@@ -38,7 +38,7 @@
 	helloAtOnce = 32
 )
 
-func newLayer(ln net.Listener, routes route.Table, hello func() (string, uint64)) *layer {
+func newLayer(ln net.Listener, routes addressmap.Table, hello func() (string, uint64)) *layer {
 	l := &layer{Listener: ln, hello: hello, to: routes, ready: make(chan net.Conn), over: make(chan struct{})}
 	l.tasks.Go(l.greet)
 	return l
--- a/internal/rollout/follower.go
+++ b/internal/rollout/follower.go
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"barleywick/internal/planted"
+	"barleywick/internal/mutation"
 )
 
 // Acts is what a sidecar acts by.
@@ -75,7 +75,7 @@
 // change may pass that does not wait for it.
 func (f *Follower) Acting() (Acts, bool) {
 	if !f.have {
-		return Acts{}, planted.LateRoster
+		return Acts{}, mutation.LateRoster
 	}
 	if f.fatal != nil {
 		return Acts{}, false
@@ -171,7 +171,7 @@
 		}
 	case len(s.Waits) == 0 && s.Stage != Committed && s.Stage != Canary:
 		return Command{Verb: Advance, Number: c.Number, Stage: s.Stage}, true
-	case planted.SilentLeave && nowMS >= (c.BeganMS+c.UntilMS)/2 && len(s.Waits) > 0:
+	case mutation.SilentLeave && nowMS >= (c.BeganMS+c.UntilMS)/2 && len(s.Waits) > 0:
 		for _, seat := range s.Roster {
 			if seat.Name == s.Waits[0] {
 				return Command{Verb: Leave, Member: seat.Member}, true
--- a/internal/rollout/model/model_test.go
+++ b/internal/rollout/model/model_test.go
@@ -4,7 +4,7 @@
 	"os"
 	"testing"
 
-	"barleywick/internal/explore"
+	"barleywick/internal/testing/modelcheck"
 )
 
 var long = os.Getenv("BARLEYWICK_LONG") != ""
@@ -27,7 +27,7 @@
 	for name, s := range small {
 		t.Run(name, func(t *testing.T) {
 			var seen Counts
-			states, full, found := explore.Search(New(s), depth, most, func(w *World) {
+			states, full, found := modelcheck.Search(New(s), depth, most, func(w *World) {
 				seen.add(w.judge.Counts)
 				w.judge.Counts = Counts{}
 			})
--- a/internal/rollout/model/world.go
+++ b/internal/rollout/model/world.go
@@ -9,8 +9,8 @@
 	"math/rand/v2"
 	"slices"
 
-	"barleywick/internal/explore"
 	"barleywick/internal/rollout"
+	"barleywick/internal/testing/modelcheck"
 )
 
 // Setup is the size of a world.
@@ -145,7 +145,7 @@
 }
 
 // Step is one thing that may happen next.
-type Step = explore.Step[*World]
+type Step = modelcheck.Step[*World]
 
 // Steps lists what may happen next.
 func (w *World) Steps() []Step {
@@ -352,8 +352,8 @@
 
 // Walk takes steps drawn from a seed; then all faults end, and within a bound all acts
 // are by one policy, and no change is under way.
-func Walk(s Setup, seed uint64, steps int) (Counts, *explore.Found) {
-	k := &explore.Walker[*World]{W: New(s)}
+func Walk(s Setup, seed uint64, steps int) (Counts, *modelcheck.Found) {
+	k := &modelcheck.Walker[*World]{W: New(s)}
 	f := k.Walk(rand.New(rand.NewPCG(seed, 6)), steps, s.Sidecars)
 	if f == nil {
 		f = settle(k)
@@ -364,9 +364,9 @@
 // rounds is in how many rounds of calls all settles.
 const rounds = 30
 
-func settle(k *explore.Walker[*World]) *explore.Found {
+func settle(k *modelcheck.Walker[*World]) *modelcheck.Found {
 	w := k.W
-	take := func(format string, do func(w *World)) *explore.Found {
+	take := func(format string, do func(w *World)) *modelcheck.Found {
 		return k.Take(Step{Format: format, Do: func(w *World) error { do(w); return w.look() }})
 	}
 	for range rounds {
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -11,7 +11,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"barleywick/internal/planted"
+	"barleywick/internal/mutation"
 )
 
 // Stage is how far a change has come.
@@ -215,7 +215,7 @@
 		return fmt.Errorf("%w: %d are in the roster", ErrFull, len(s.roster))
 	}
 	seat := &Seat{Member: c.Member, JoinedMS: c.AtMS, Where: c.Where}
-	if planted.KeptPromise && was != nil {
+	if mutation.KeptPromise && was != nil {
 		seat.Change, seat.Said = was.Change, was.Said
 	}
 	s.roster[c.Member.Name] = seat
@@ -368,7 +368,7 @@
 	if s.change == nil || c.Number != s.change.Number || c.Stage != s.stage {
 		return nil // it has been done
 	}
-	if who := s.waits(); len(who) > 0 && s.stage != Committed && !planted.LooseStep {
+	if who := s.waits(); len(who) > 0 && s.stage != Committed && !mutation.LooseStep {
 		return fmt.Errorf("%w: change %d waits for %d, %s among them", ErrConflict, c.Number, len(who), who[0])
 	}
 	switch s.stage {
@@ -377,7 +377,7 @@
 			s.stage, s.change.SinceMS, s.change.Canaries = Canary, c.AtMS, s.ahead()
 			break
 		}
-		if s.stage = Joint; planted.NoJoint {
+		if s.stage = Joint; mutation.NoJoint {
 			s.commit(c.AtMS)
 		}
 	case Canary:
--- a/internal/sidecar/adviser.go
+++ b/internal/sidecar/adviser.go
@@ -14,17 +14,17 @@
 	"sync"
 	"time"
 
+	"barleywick/internal/addressmap"
 	"barleywick/internal/overload"
 	"barleywick/internal/registry"
 	"barleywick/internal/registry/client"
-	"barleywick/internal/route"
 	"barleywick/policy"
 )
 
 // adviceConfig names where the fleet's word on an overload comes from.
 type adviceConfig struct {
 	FileOverload
-	routes route.Table
+	routes addressmap.Table
 }
 
 func (c *adviceConfig) check() (err error) {
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -12,10 +12,10 @@
 	"strconv"
 	"time"
 
+	"barleywick/internal/configfile"
 	"barleywick/internal/membership"
 	"barleywick/internal/registry/client"
 	"barleywick/internal/settings"
-	"barleywick/internal/strict"
 	"barleywick/policy"
 )
 
@@ -103,7 +103,7 @@
 	c, err := parseConfig(platform, fixed)
 	if err != nil {
 		if isPersons(path) {
-			err = strict.AtLine(text, err)
+			err = configfile.AtLine(text, err)
 		}
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
--- a/internal/sidecar/file.go
+++ b/internal/sidecar/file.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 	"slices"
 
+	"barleywick/internal/configfile"
 	"barleywick/internal/membership"
-	"barleywick/internal/strict"
 )
 
 // File is a configuration file as a person writes it, in TOML. It holds what the
@@ -174,14 +174,14 @@
 // that name none.
 func platformForm(text []byte, seed func() string) ([]byte, error) {
 	f := File{Settings: FileSite{Balancers: 1, Caps: FileCaps{MostTries: 1}}}
-	if err := strict.TOML(text, &f); err != nil {
+	if err := configfile.TOML(text, &f); err != nil {
 		return nil, err
 	}
 	if f.Seed == "" {
 		f.Seed = seed()
 	}
 	if err := f.check(); err != nil {
-		return nil, strict.AtLine(text, err)
+		return nil, configfile.AtLine(text, err)
 	}
 	return json.Marshal(f)
 }
--- a/internal/sidecar/governor.go
+++ b/internal/sidecar/governor.go
@@ -16,18 +16,18 @@
 	"sync/atomic"
 	"time"
 
+	"barleywick/internal/addressmap"
 	"barleywick/internal/lease"
 	"barleywick/internal/registry"
 	"barleywick/internal/registry/client"
 	"barleywick/internal/rollout"
-	"barleywick/internal/route"
 	"barleywick/policy"
 )
 
 // policyConfig names the registry that the fleet's policy comes from.
 type policyConfig struct {
 	FilePolicy
-	routes route.Table
+	routes addressmap.Table
 }
 
 const (
@@ -77,8 +77,8 @@
 }
 
 // routes reads the addresses that a table has called instead of others.
-func routes(table string, pairs []string) (route.Table, error) {
-	t := make(route.Table, len(pairs))
+func routes(table string, pairs []string) (addressmap.Table, error) {
+	t := make(addressmap.Table, len(pairs))
 	for _, r := range pairs {
 		from, to, _ := strings.Cut(r, "=")
 		t[from] = to
--- a/internal/command/command.go
+++ b/internal/sidecarcmd/command.go
@@ -1,7 +1,7 @@
-// Package command is the sidecar's command line. Two programs have it: one with
+// Package sidecarcmd is the sidecar's command line. Two programs have it: one with
 // metrics and one without, as what serves metrics makes a program grow by a quarter
 // whether it serves any or not.
-package command
+package sidecarcmd
 
 import (
 	"cmp"
--- a/internal/command/command_test.go
+++ b/internal/sidecarcmd/command_test.go
@@ -1,4 +1,4 @@
-package command
+package sidecarcmd
 
 import (
 	"bytes"
--- a/internal/enlist/enlist.go
+++ b/internal/sidecarmember/enlist.go
@@ -1,7 +1,7 @@
-// Package enlist makes a sidecar a member of the fleet. It is apart from the sidecar's own
+// Package sidecarmember makes a sidecar a member of the fleet. It is apart from the sidecar's own
 // package, which links nothing of it: the network's part takes memory whether a
 // configuration names it or not.
-package enlist
+package sidecarmember
 
 import (
 	"context"
--- a/internal/emulator/scenario.go
+++ b/internal/simulation/emulator/scenario.go
@@ -17,7 +17,7 @@
 	"slices"
 	"time"
 
-	"barleywick/internal/strict"
+	"barleywick/internal/configfile"
 	"barleywick/policy"
 )
 
@@ -212,7 +212,7 @@
 		return nil, fmt.Errorf("scenario: more than %d bytes", maxFile)
 	}
 	s := Base()
-	if err := strict.TOML(text, s); err != nil {
+	if err := configfile.TOML(text, s); err != nil {
 		return nil, fmt.Errorf("scenario: %w", err)
 	}
 	return s, s.Check()
--- a/internal/experiment/experiment.go
+++ b/internal/simulation/experiment/experiment.go
@@ -21,9 +21,9 @@
 	"golang.org/x/sync/errgroup"
 	"gonum.org/v1/gonum/stat"
 
-	"barleywick/internal/emulator"
-	"barleywick/internal/remote"
-	"barleywick/internal/strict"
+	"barleywick/internal/configfile"
+	"barleywick/internal/simulation/emulator"
+	"barleywick/internal/simulation/remoteadapter"
 )
 
 // Plan is what an experiment file says.
@@ -75,7 +75,7 @@
 // Parse reads an experiment; scenario files are found in folder.
 func Parse(text []byte, folder string) (*Plan, error) {
 	p := &Plan{Sidecars: emulator.Base().Sidecars, Servers: emulator.Base().Servers}
-	if err := strict.TOML(text, p); err != nil {
+	if err := configfile.TOML(text, p); err != nil {
 		return nil, err
 	}
 	switch {
@@ -151,7 +151,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := strict.TOML(changes, changed); err != nil {
+	if err := configfile.TOML(changes, changed); err != nil {
 		return nil, fmt.Errorf("set: %w", err)
 	}
 	return changed, changed.Check()
@@ -268,7 +268,7 @@
 // play plays one day, with an adapter of its own where the variant names one.
 func (v Variant) play(ctx context.Context, sc *emulator.Scenario, seed uint64) (*emulator.Record, error) {
 	if v.Adapter != "" {
-		a, err := remote.Start(ctx, v.Adapter)
+		a, err := remoteadapter.Start(ctx, v.Adapter)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"barleywick/internal/emulator"
+	"barleywick/internal/simulation/emulator"
 )
 
 const small = `name = "walls"
--- a/internal/remote/remote.go
+++ b/internal/simulation/remoteadapter/remote.go
@@ -1,7 +1,7 @@
-// Package remote lets the emulator ask another program what to decide: an adapter,
+// Package remoteadapter lets the emulator ask another program what to decide: an adapter,
 // ours or an earlier build's, that plays decision modules on the simulator's wire.
 // So two built programs can be compared in simulated time on the same days.
-package remote
+package remoteadapter
 
 import (
 	"bufio"
@@ -15,9 +15,9 @@
 	"syscall"
 	"time"
 
-	"barleywick/internal/emulator"
 	"barleywick/internal/settings"
-	"barleywick/internal/wire"
+	"barleywick/internal/simulation/emulator"
+	"barleywick/internal/simulation/simwire"
 	"barleywick/policy"
 )
 
@@ -25,8 +25,8 @@
 // it. It is not safe for concurrent use.
 type Adapter struct {
 	out    io.Writer
-	in     *wire.Reader
-	events wire.Events
+	in     *simwire.Reader
+	events simwire.Events
 	number uint32
 	err    error // the first thing that went wrong; nothing is asked after it
 	alive  map[uint32]bool
@@ -66,7 +66,7 @@
 
 // New speaks with an adapter over a pair of streams.
 func New(out io.Writer, in io.Reader) *Adapter {
-	return &Adapter{out: out, in: wire.NewReader(bufio.NewReaderSize(in, 1<<16)), alive: make(map[uint32]bool)}
+	return &Adapter{out: out, in: simwire.NewReader(bufio.NewReaderSize(in, 1<<16)), alive: make(map[uint32]bool)}
 }
 
 // Close ends the adapter, and returns the first thing that went wrong with it.
@@ -115,14 +115,14 @@
 
 // tries are what the wire says again of a request's attempts.
 type tries struct {
-	to    []wire.Upstream
+	to    []simwire.Upstream
 	at    []time.Duration
 	ended int
 	over  bool
 }
 
 // batch sends one event and carries out the actions that come back.
-func (i *instance) batch(now time.Duration, write func(*wire.Events)) {
+func (i *instance) batch(now time.Duration, write func(*simwire.Events)) {
 	a := i.a
 	if a.err != nil {
 		return
@@ -148,9 +148,9 @@
 	}
 	body := answer.Body
 	for range answer.Records {
-		var record wire.Record
-		if record, body, err = wire.Next(body); err == nil {
-			var act wire.Action
+		var record simwire.Record
+		if record, body, err = simwire.Next(body); err == nil {
+			var act simwire.Action
 			if act, err = record.Action(); err == nil {
 				err = i.act(now, act)
 			}
@@ -163,48 +163,48 @@
 }
 
 // act carries an action out.
-func (i *instance) act(now time.Duration, a wire.Action) error {
+func (i *instance) act(now time.Duration, a simwire.Action) error {
 	if a.Inst != i.number {
 		return fmt.Errorf("an action for instance %d without an event for it", a.Inst)
 	}
 	t := i.tries[a.Job]
 	switch a.Code {
-	case wire.ActCallOut, wire.ActRecall:
+	case simwire.ActCallOut, simwire.ActRecall:
 		if t == nil {
 			return fmt.Errorf("action %d for request %d, which is not known", a.Code, a.Job)
 		}
-	case wire.ActPushBack, wire.ActLose:
+	case simwire.ActPushBack, simwire.ActLose:
 		if t == nil {
 			return nil // ended a moment ago, which the wire forgives
 		}
 	}
 	switch a.Code {
-	case wire.ActCallOut:
+	case simwire.ActCallOut:
 		t.to, t.at = append(t.to, a.To), append(t.at, now)
 		patience := a.Time
 		if patience == 0 {
 			patience = time.Hour // until the client gives up
 		}
 		i.host.Send(policy.RequestID(a.Job), policy.ServerID(a.To), patience, 0)
-	case wire.ActPushBack:
+	case simwire.ActPushBack:
 		t.over = true
 		i.host.Refuse(policy.RequestID(a.Job), a.Time)
 		i.forget(a.Job)
-	case wire.ActLose:
+	case simwire.ActLose:
 		t.over = true
 		i.host.Fail(policy.RequestID(a.Job))
 		i.forget(a.Job)
-	case wire.ActRecall:
+	case simwire.ActRecall:
 		i.host.Cancel(policy.RequestID(a.Job), int(a.Hop))
-	case wire.ActSetAlarm:
+	case simwire.ActSetAlarm:
 		i.host.Wake(a.Time)
-	case wire.ActInspect:
+	case simwire.ActInspect:
 		i.host.Probe(policy.ServerID(a.To))
-	case wire.ActTail:
+	case simwire.ActTail:
 		if a.On {
 			i.host.WatchList()
 		}
-	case wire.ActDie:
+	case simwire.ActDie:
 		return fmt.Errorf("the decision code has failed: %.200s", a.Text)
 	}
 	return nil // a log line, or what a later version says
@@ -219,7 +219,7 @@
 
 // Start opens the instance; one that was open under its number is dead.
 func (i *instance) Start(now time.Duration) {
-	i.batch(now, func(e *wire.Events) {
+	i.batch(now, func(e *simwire.Events) {
 		if i.a.alive[i.number] {
 			e.CrashNow(i.number)
 		}
@@ -232,32 +232,32 @@
 func (i *instance) Request(now time.Duration, q policy.Request) {
 	job := uint32(q.ID)
 	i.tries[job] = &tries{}
-	ask := wire.Ask{Job: job, Key: q.Key, Tenant: uint32(q.Tenant), Left: q.Left, Hint: q.Work, Kind: uint8(q.Class)}
+	ask := simwire.Ask{Job: job, Key: q.Key, Tenant: uint32(q.Tenant), Left: q.Left, Hint: q.Work, Kind: uint8(q.Class)}
 	if q.Work > 0 {
-		ask.Bits |= wire.BitHint
+		ask.Bits |= simwire.BitHint
 	}
 	if q.Repeat {
-		ask.Bits |= wire.BitRepeat
+		ask.Bits |= simwire.BitRepeat
 	}
-	i.batch(now, func(e *wire.Events) { e.Ask(i.number, ask) })
+	i.batch(now, func(e *simwire.Events) { e.Ask(i.number, ask) })
 }
 
 // endings are the module's endings as the wire has them.
 var endings = map[policy.Ending]uint16{
-	policy.Served: wire.EndServed, policy.Errored: wire.EndErrored, policy.TurnedAway: wire.EndTurnedAway, policy.TimedOut: wire.EndTimedOut,
-	policy.NoConnection: wire.EndNoConnection, policy.Broken: wire.EndBroken, policy.Cancelled: wire.EndCancelled, policy.NotSent: wire.EndNotSent,
+	policy.Served: simwire.EndServed, policy.Errored: simwire.EndErrored, policy.TurnedAway: simwire.EndTurnedAway, policy.TimedOut: simwire.EndTimedOut,
+	policy.NoConnection: simwire.EndNoConnection, policy.Broken: simwire.EndBroken, policy.Cancelled: simwire.EndCancelled, policy.NotSent: simwire.EndNotSent,
 }
 
 // Outcome tells of an attempt's end.
 func (i *instance) Outcome(now time.Duration, o policy.Outcome) {
 	job := uint32(o.ID)
-	f := wire.Finished{Job: job, Hop: uint8(o.Attempt), Ending: endings[o.Ending], Settled: o.Settled}
+	f := simwire.Finished{Job: job, Hop: uint8(o.Attempt), Ending: endings[o.Ending], Settled: o.Settled}
 	if t := i.tries[job]; t != nil && o.Attempt < len(t.to) {
 		f.Upstream, f.Took = t.to[o.Attempt], now-t.at[o.Attempt]
 		t.ended++
 		t.over = t.over || o.Settled
 	}
-	i.batch(now, func(e *wire.Events) { e.Finished(i.number, f) })
+	i.batch(now, func(e *simwire.Events) { e.Finished(i.number, f) })
 	i.forget(job)
 }
 
@@ -266,41 +266,41 @@
 	if t := i.tries[uint32(id)]; t != nil {
 		t.over = true
 	}
-	i.batch(now, func(e *wire.Events) { e.ClientLeft(i.number, uint32(id)) })
+	i.batch(now, func(e *simwire.Events) { e.ClientLeft(i.number, uint32(id)) })
 	i.forget(uint32(id))
 }
 
 // Wake tells that a timer is due.
 func (i *instance) Wake(now time.Duration) {
-	i.batch(now, func(e *wire.Events) { e.Wake(i.number, 0) })
+	i.batch(now, func(e *simwire.Events) { e.Wake(i.number, 0) })
 }
 
 // Probed tells of a probe's end.
 func (i *instance) Probed(now time.Duration, id policy.ServerID, ok bool, l policy.Load) {
-	ending, report := uint16(wire.EndNoConnection), wire.Report{}
+	ending, report := uint16(simwire.EndNoConnection), simwire.Report{}
 	if ok {
-		ending = wire.EndServed
-		report = wire.Report{N: 3, Values: [4]float32{float32(l.Waiting), float32(l.Busy), float32(l.Rate)}} // as Settings names the columns
+		ending = simwire.EndServed
+		report = simwire.Report{N: 3, Values: [4]float32{float32(l.Waiting), float32(l.Busy), float32(l.Rate)}} // as Settings names the columns
 	}
-	i.batch(now, func(e *wire.Events) { e.CheckResult(i.number, wire.Upstream(id), ending, 0, report) })
+	i.batch(now, func(e *simwire.Events) { e.CheckResult(i.number, simwire.Upstream(id), ending, 0, report) })
 }
 
 // List tells news of the server list.
 func (i *instance) List(now time.Duration, kind policy.ListKind, servers []policy.Server) {
-	states := map[policy.State]uint8{policy.Gone: wire.StateGone, policy.Draining: wire.StateDraining, policy.Ready: wire.StateReady}
-	entries := make([]wire.Entry, len(servers))
+	states := map[policy.State]uint8{policy.Gone: simwire.StateGone, policy.Draining: simwire.StateDraining, policy.Ready: simwire.StateReady}
+	entries := make([]simwire.Entry, len(servers))
 	for n, s := range servers {
-		entries[n] = wire.Entry{
-			Upstream: wire.Upstream(s.ID), Area: uint8(s.Zone), Cohort: uint16(s.Cell), Status: states[s.State], Rating: s.Weight, Boot: s.Started,
+		entries[n] = simwire.Entry{
+			Upstream: simwire.Upstream(s.ID), Area: uint8(s.Zone), Cohort: uint16(s.Cell), Status: states[s.State], Rating: s.Weight, Boot: s.Started,
 		}
 	}
 	i.list++
-	i.batch(now, func(e *wire.Events) {
+	i.batch(now, func(e *simwire.Events) {
 		if kind != policy.ListFailed {
 			e.Manifest(0, entries)
 		}
 		e.Fleet(i.number, map[policy.ListKind]uint8{
-			policy.ListFull: wire.FleetFull, policy.ListDelta: wire.FleetDelta, policy.ListCached: wire.FleetCached, policy.ListFailed: wire.FleetFailed,
+			policy.ListFull: simwire.FleetFull, policy.ListDelta: simwire.FleetDelta, policy.ListCached: simwire.FleetCached, policy.ListFailed: simwire.FleetFailed,
 		}[kind], i.list, 0)
 	})
 }
--- a/internal/remote/remote_test.go
+++ b/internal/simulation/remoteadapter/remote_test.go
@@ -1,4 +1,4 @@
-package remote
+package remoteadapter
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"barleywick/internal/adapter"
-	"barleywick/internal/emulator"
-	"barleywick/internal/wire"
+	"barleywick/internal/simulation/emulator"
+	"barleywick/internal/simulation/simadapter"
+	"barleywick/internal/simulation/simwire"
 )
 
 func day(t *testing.T, name string) *emulator.Scenario {
@@ -70,7 +70,7 @@
 func TestTheWireChangesNothing(t *testing.T) {
 	for _, name := range []string{"herd", "join", "split", "blind", "overload"} {
 		t.Run(name, func(t *testing.T) {
-			a := beside(t, adapter.Serve)
+			a := beside(t, simadapter.Serve)
 			over := play(t, day(t, name), a.Make)
 			if a.Err() != nil {
 				t.Fatal(a.Err())
@@ -83,10 +83,10 @@
 }
 
 func TestWhatAnAdapterDoesWrongIsSaid(t *testing.T) {
-	reply := func(number uint32, write func(*wire.Reply)) func(io.Reader, io.Writer) error {
+	reply := func(number uint32, write func(*simwire.Reply)) func(io.Reader, io.Writer) error {
 		return func(in io.Reader, out io.Writer) error {
-			r := wire.NewReader(in)
-			var p wire.Reply
+			r := simwire.NewReader(in)
+			var p simwire.Reply
 			for {
 				b, err := r.ReadBatch()
 				if err != nil {
@@ -102,15 +102,15 @@
 	}
 	for want, serve := range map[string]func(io.Reader, io.Writer) error{
 		"it ended": func(in io.Reader, _ io.Writer) error {
-			_, err := wire.NewReader(in).ReadBatch()
+			_, err := simwire.NewReader(in).ReadBatch()
 			return err
 		},
-		"with the number":  reply(1, func(*wire.Reply) {}),
-		"has failed: oops": reply(0, func(p *wire.Reply) { p.Die(0, "oops") }),
-		"instance 77":      reply(0, func(p *wire.Reply) { p.Tail(77, true) }),
-		"not known":        reply(0, func(p *wire.Reply) { p.CallOut(0, 9, 1, 0) }),
+		"with the number":  reply(1, func(*simwire.Reply) {}),
+		"has failed: oops": reply(0, func(p *simwire.Reply) { p.Die(0, "oops") }),
+		"instance 77":      reply(0, func(p *simwire.Reply) { p.Tail(77, true) }),
+		"not known":        reply(0, func(p *simwire.Reply) { p.CallOut(0, 9, 1, 0) }),
 		"cannot be": func(in io.Reader, out io.Writer) error {
-			if _, err := wire.NewReader(in).ReadBatch(); err != nil {
+			if _, err := simwire.NewReader(in).ReadBatch(); err != nil {
 				return err
 			}
 			_, err := out.Write([]byte(strings.Repeat("\xff", 12)))
--- a/internal/report/report.go
+++ b/internal/simulation/report/report.go
@@ -19,8 +19,8 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"barleywick/internal/emulator"
-	"barleywick/internal/experiment"
+	"barleywick/internal/simulation/emulator"
+	"barleywick/internal/simulation/experiment"
 )
 
 //go:embed page.html
--- a/internal/adapter/adapter.go
+++ b/internal/simulation/simadapter/adapter.go
@@ -1,6 +1,6 @@
-// Package adapter plays the decision module on the simulator's wire: it hosts many
+// Package simadapter plays the decision module on the simulator's wire: it hosts many
 // instances, each a policy.Balancer of its own. It decides nothing itself.
-package adapter
+package simadapter
 
 import (
 	"bufio"
@@ -10,14 +10,14 @@
 	"time"
 
 	"barleywick/internal/settings"
-	"barleywick/internal/wire"
+	"barleywick/internal/simulation/simwire"
 	"barleywick/policy"
 )
 
 // Serve answers batches until the input ends.
 func Serve(in io.Reader, out io.Writer) error {
 	h := newHost()
-	r := wire.NewReader(bufio.NewReaderSize(in, 1<<16))
+	r := simwire.NewReader(bufio.NewReaderSize(in, 1<<16))
 	for {
 		b, err := r.ReadBatch()
 		if errors.Is(err, io.EOF) {
@@ -39,7 +39,7 @@
 // host holds the instances of this process and what they share: the numbered
 // lists of the wire and the reply under way.
 type host struct {
-	reply     wire.Reply
+	reply     simwire.Reply
 	pages     map[uint16][]policy.Server
 	instances map[uint32]*instance
 }
@@ -61,7 +61,7 @@
 const logEvery = 10 * time.Second
 
 func (i *instance) Send(id policy.RequestID, to policy.ServerID, timeout, _ time.Duration) {
-	i.host.reply.CallOut(i.number, uint32(id), wire.Upstream(to), timeout)
+	i.host.reply.CallOut(i.number, uint32(id), simwire.Upstream(to), timeout)
 }
 
 func (i *instance) Refuse(id policy.RequestID, pause time.Duration) {
@@ -75,14 +75,14 @@
 }
 
 func (i *instance) Wake(d time.Duration)     { i.host.reply.SetAlarm(i.number, d, 0) }
-func (i *instance) Probe(to policy.ServerID) { i.host.reply.Inspect(i.number, wire.Upstream(to)) }
+func (i *instance) Probe(to policy.ServerID) { i.host.reply.Inspect(i.number, simwire.Upstream(to)) }
 func (i *instance) WatchList()               { i.host.reply.Tail(i.number, true) }
 
 // batch hands the events of one batch to their instances, in order.
-func (h *host) batch(b wire.Batch) error {
+func (h *host) batch(b simwire.Batch) error {
 	body := b.Body
 	for range b.Records {
-		rec, rest, err := wire.Next(body)
+		rec, rest, err := simwire.Next(body)
 		if err != nil {
 			return err
 		}
@@ -97,17 +97,17 @@
 	return nil
 }
 
-func (h *host) record(now time.Duration, rec wire.Record) error {
+func (h *host) record(now time.Duration, rec simwire.Record) error {
 	switch rec.Code {
-	case wire.EvManifest:
+	case simwire.EvManifest:
 		page, entries, err := rec.Manifest()
 		if err != nil {
 			return err
 		}
 		h.pages[page] = servers(entries)
 		return nil
-	case wire.EvOpenInstance, wire.EvCrashNow, wire.EvFleet, wire.EvAsk, wire.EvFinished, wire.EvWake,
-		wire.EvClientLeft, wire.EvHeaders, wire.EvCheckResult:
+	case simwire.EvOpenInstance, simwire.EvCrashNow, simwire.EvFleet, simwire.EvAsk, simwire.EvFinished, simwire.EvWake,
+		simwire.EvClientLeft, simwire.EvHeaders, simwire.EvCheckResult:
 	default:
 		return nil // a code of a later version, or one that the module has no use for
 	}
@@ -116,9 +116,9 @@
 		return err
 	}
 	switch rec.Code {
-	case wire.EvOpenInstance:
+	case simwire.EvOpenInstance:
 		return h.open(now, number, rec)
-	case wire.EvCrashNow:
+	case simwire.EvCrashNow:
 		delete(h.instances, number)
 		return nil
 	}
@@ -130,7 +130,7 @@
 }
 
 // open starts an instance anew.
-func (h *host) open(now time.Duration, number uint32, rec wire.Record) error {
+func (h *host) open(now time.Duration, number uint32, rec simwire.Record) error {
 	seed, info, err := rec.OpenInstance()
 	if err != nil {
 		return err
@@ -168,7 +168,7 @@
 }
 
 // event hands one event to the instance's Balancer.
-func (i *instance) event(now time.Duration, rec wire.Record) error {
+func (i *instance) event(now time.Duration, rec simwire.Record) error {
 	if now >= i.logAt {
 		if i.logAt > 0 { // not at the first event: there is nothing to tell yet
 			i.host.reply.WriteLog(i.number, fmt.Sprintf("counters %+v", i.b.Counters()))
@@ -178,20 +178,20 @@
 	return i.guard(func() error { return i.dispatch(now, rec) })
 }
 
-func (i *instance) dispatch(now time.Duration, rec wire.Record) error {
+func (i *instance) dispatch(now time.Duration, rec simwire.Record) error {
 	switch rec.Code {
-	case wire.EvAsk:
+	case simwire.EvAsk:
 		a, err := rec.Ask()
 		if err != nil {
 			return err
 		}
 		r := policy.Request{ID: policy.RequestID(a.Job), Class: int(a.Kind), Tenant: int(a.Tenant), Left: a.Left, Key: a.Key}
-		r.Repeat = a.Bits&wire.BitRepeat != 0
-		if a.Bits&wire.BitHint != 0 {
+		r.Repeat = a.Bits&simwire.BitRepeat != 0
+		if a.Bits&simwire.BitHint != 0 {
 			r.Work = a.Hint
 		}
 		i.b.Request(now, r)
-	case wire.EvFinished:
+	case simwire.EvFinished:
 		f, err := rec.Finished()
 		if err != nil {
 			return err
@@ -199,27 +199,27 @@
 		i.b.Outcome(now, policy.Outcome{
 			ID: policy.RequestID(f.Job), Attempt: int(f.Hop), Ending: ending(f.Ending), Settled: f.Settled,
 		})
-	case wire.EvWake:
+	case simwire.EvWake:
 		i.b.Wake(now)
-	case wire.EvClientLeft:
+	case simwire.EvClientLeft:
 		job, err := rec.Job()
 		if err != nil {
 			return err
 		}
 		i.b.ClientGone(now, policy.RequestID(job))
-	case wire.EvHeaders:
+	case simwire.EvHeaders:
 		job, err := rec.Job()
 		if err != nil {
 			return err
 		}
 		i.b.StreamBegun(policy.RequestID(job))
-	case wire.EvCheckResult:
+	case simwire.EvCheckResult:
 		up, end, report, err := rec.CheckResult()
 		if err != nil {
 			return err
 		}
-		i.b.Probed(now, policy.ServerID(up), end == wire.EndServed, i.columns.Load(report.Value))
-	case wire.EvFleet:
+		i.b.Probed(now, policy.ServerID(up), end == simwire.EndServed, i.columns.Load(report.Value))
+	case simwire.EvFleet:
 		kind, _, page, err := rec.Fleet()
 		if err != nil {
 			return err
@@ -232,13 +232,13 @@
 func (i *instance) fleet(now time.Duration, kind uint8, page uint16) error {
 	var k policy.ListKind
 	switch kind {
-	case wire.FleetFull:
+	case simwire.FleetFull:
 		k = policy.ListFull
-	case wire.FleetDelta:
+	case simwire.FleetDelta:
 		k = policy.ListDelta
-	case wire.FleetCached:
+	case simwire.FleetCached:
 		k = policy.ListCached
-	case wire.FleetFailed:
+	case simwire.FleetFailed:
 		i.b.List(now, policy.ListFailed, nil)
 		return nil
 	default:
@@ -254,34 +254,34 @@
 
 func ending(code uint16) policy.Ending {
 	switch code {
-	case wire.EndServed:
+	case simwire.EndServed:
 		return policy.Served
-	case wire.EndTurnedAway:
+	case simwire.EndTurnedAway:
 		return policy.TurnedAway
-	case wire.EndTimedOut:
+	case simwire.EndTimedOut:
 		return policy.TimedOut
-	case wire.EndNoConnection:
+	case simwire.EndNoConnection:
 		return policy.NoConnection
-	case wire.EndBroken:
+	case simwire.EndBroken:
 		return policy.Broken
-	case wire.EndCancelled:
+	case simwire.EndCancelled:
 		return policy.Cancelled
-	case wire.EndNotSent:
+	case simwire.EndNotSent:
 		return policy.NotSent
 	}
 	return policy.Errored // it may have run, as may whatever is not known
 }
 
-func servers(entries []wire.Entry) []policy.Server {
+func servers(entries []simwire.Entry) []policy.Server {
 	list := make([]policy.Server, len(entries))
 	for i, e := range entries {
 		list[i] = policy.Server{
 			ID: policy.ServerID(e.Upstream), Zone: int(e.Area), Cell: int(e.Cohort), Weight: e.Rating, Started: e.Boot,
 		}
 		switch e.Status {
-		case wire.StateReady:
+		case simwire.StateReady:
 			list[i].State = policy.Ready
-		case wire.StateGone:
+		case simwire.StateGone:
 			list[i].State = policy.Gone
 		default:
 			list[i].State = policy.Draining // nothing new, whatever it is
--- a/internal/wire/wire.go
+++ b/internal/simulation/simwire/wire.go
@@ -1,6 +1,6 @@
-// Package wire speaks the simulator's binary protocol: frames, records,
+// Package simwire speaks the simulator's binary protocol: frames, records,
 // server lists and the settings that come with each instance.
-package wire
+package simwire
 
 import (
 	"encoding/binary"
--- a/internal/wire/world.go
+++ b/internal/simulation/simwire/world.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"encoding/binary"
--- a/internal/torture/fleet.go
+++ b/internal/testing/chaostest/fleet.go
@@ -1,9 +1,9 @@
-// Package torture runs a whole fleet of real processes under load (replicas of the
+// Package chaostest runs a whole fleet of real processes under load (replicas of the
 // registry, keepers with all their tasks, sidecars) and breaks it for as long as is
 // wanted: faults of processes and between them, up to three at once, while operators
 // change policies, drain machines and hand tasks over. What was promised is checked on the
 // way and at the end, by what shares no code with what it checks.
-package torture
+package chaostest
 
 import (
 	"encoding/json"
@@ -20,11 +20,11 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"barleywick/internal/faultnet"
-	"barleywick/internal/load"
+	"barleywick/internal/addressmap"
 	"barleywick/internal/membership"
 	"barleywick/internal/registry"
-	"barleywick/internal/route"
+	"barleywick/internal/testing/faultinjection"
+	"barleywick/internal/testing/loadgen"
 )
 
 // Program is one of ours.
@@ -42,7 +42,7 @@
 	Command  func(p Program, config string) *exec.Cmd // starts a program on its configuration
 	For      time.Duration                            // of faults; what comes before and after is beside
 	Seed     uint64
-	Schedule faultnet.Schedule // the faults; none: drawn from the seed
+	Schedule faultinjection.Schedule // the faults; none: drawn from the seed
 	Keepers  int
 	Sidecars int
 	Servers  int
@@ -63,7 +63,7 @@
 
 // fleet is the processes, and the links between them.
 type fleet struct {
-	*faultnet.Rig
+	*faultinjection.Rig
 	o        Options
 	folder   string
 	replicas []registry.Member
@@ -71,8 +71,8 @@
 	sidecars []string
 	gossip   map[string]string
 	listens  map[string]string // where each is asked
-	routes   map[string]route.Table
-	clients  map[string]*load.Client // of sidecars
+	routes   map[string]addressmap.Table
+	clients  map[string]*loadgen.Client // of sidecars
 }
 
 // given counts hosts of the loopback that were given out: each process has its own, so
@@ -100,9 +100,9 @@
 // newFleet makes the fleet in a folder; none of it runs yet.
 func newFleet(o Options, folder string) (f *fleet, err error) {
 	f = &fleet{
-		Rig: &faultnet.Rig{Net: faultnet.New(o.Seed), Processes: make(map[string]*faultnet.Process)}, o: o, folder: folder,
+		Rig: &faultinjection.Rig{Net: faultinjection.New(o.Seed), Processes: make(map[string]*faultinjection.Process)}, o: o, folder: folder,
 		keepers: names("k", o.Keepers), sidecars: names("n", o.Sidecars),
-		gossip: make(map[string]string), listens: make(map[string]string), routes: make(map[string]route.Table), clients: make(map[string]*load.Client),
+		gossip: make(map[string]string), listens: make(map[string]string), routes: make(map[string]addressmap.Table), clients: make(map[string]*loadgen.Client),
 	}
 	defer func() {
 		if err != nil {
@@ -138,7 +138,7 @@
 		return nil, err
 	}
 	for _, from := range members {
-		f.routes[from] = make(route.Table)
+		f.routes[from] = make(addressmap.Table)
 		for _, to := range members {
 			if from == to {
 				continue
@@ -197,7 +197,7 @@
 
 // membership is a process's table of that name.
 func (f *fleet) membership(name string) map[string]any {
-	routes := make(route.Table)
+	routes := make(addressmap.Table)
 	var seeds []string
 	for other, at := range f.gossip {
 		if other == name {
@@ -218,7 +218,7 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return err
 	}
-	f.Processes[name] = &faultnet.Process{Name: name, Make: func() *exec.Cmd { return f.o.Command(p, path) }}
+	f.Processes[name] = &faultinjection.Process{Name: name, Make: func() *exec.Cmd { return f.o.Command(p, path) }}
 	return nil
 }
 
@@ -253,7 +253,7 @@
 	if err != nil {
 		return err
 	}
-	routes := make(route.Table)
+	routes := make(addressmap.Table)
 	for _, at := range f.addrs() {
 		routes[at] = f.routes[name][at]
 	}
@@ -302,7 +302,7 @@
 	if err != nil {
 		return err
 	}
-	f.clients[name] = load.NewClient(f.listens[name], sockets/4)
+	f.clients[name] = loadgen.NewClient(f.listens[name], sockets/4)
 	return f.process(name, Sidecar, ".json", text)
 }
 
--- a/internal/torture/promises.go
+++ b/internal/testing/chaostest/promises.go
@@ -1,4 +1,4 @@
-package torture
+package chaostest
 
 import (
 	"context"
@@ -16,11 +16,11 @@
 
 	"github.com/anishathalye/porcupine"
 
+	"barleywick/internal/controller"
 	"barleywick/internal/drain"
-	"barleywick/internal/history"
-	"barleywick/internal/keeper"
 	"barleywick/internal/membership"
 	"barleywick/internal/rollout"
+	"barleywick/internal/testing/linearizability"
 )
 
 const (
@@ -164,7 +164,7 @@
 		}); why != "" {
 			return why
 		}
-		for _, task := range []string{keeper.DrainsLease, keeper.PolicyLease, "copies", "overload", "health-0", "health-7"} {
+		for _, task := range []string{controller.DrainsLease, controller.PolicyLease, "copies", "overload", "health-0", "health-7"} {
 			if !held[task] {
 				return task + " is nobody's"
 			}
@@ -194,12 +194,12 @@
 		return ""
 	})
 	r.promised(ctx, "copies of the registry are whole", func() string {
-		c := &keeper.Copies{Folder: filepath.Join(r.folder, "copies"), Keep: 1}
+		c := &controller.Copies{Folder: filepath.Join(r.folder, "copies"), Keep: 1}
 		all, err := c.List()
 		if err != nil || len(all) == 0 {
 			return fmt.Sprint("there are ", len(all), ": ", err)
 		}
-		if _, err := keeper.ReadCopy(all[len(all)-1]); err != nil {
+		if _, err := controller.ReadCopy(all[len(all)-1]); err != nil {
 			return err.Error()
 		}
 		return ""
@@ -287,13 +287,13 @@
 
 // linearizable holds the history of each record against a register.
 func (r *run) linearizable(ops []*operation) {
-	calls := make([]history.Call, len(ops))
+	calls := make([]linearizability.Call, len(ops))
 	for i, o := range ops {
-		calls[i] = history.Call{Key: o.key, Value: o.value, Got: o.got, Begin: o.call, End: o.ret, Done: o.done}
+		calls[i] = linearizability.Call{Key: o.key, Value: o.value, Got: o.got, Begin: o.call, End: o.ret, Done: o.done}
 	}
-	for key, of := range history.ByKey(calls) {
+	for key, of := range linearizability.ByKey(calls) {
 		r.saw("calls on records", uint64(len(of)))
-		switch history.Check(of, 30*time.Second) {
+		switch linearizability.Check(of, 30*time.Second) {
 		case porcupine.Illegal:
 			r.broken("%s: the history of %d calls is not linearizable", key, len(of))
 		case porcupine.Unknown:
--- a/internal/torture/servers.go
+++ b/internal/testing/chaostest/servers.go
@@ -1,4 +1,4 @@
-package torture
+package chaostest
 
 import (
 	"context"
--- a/internal/torture/torture.go
+++ b/internal/testing/chaostest/torture.go
@@ -1,4 +1,4 @@
-package torture
+package chaostest
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"sync/atomic"
 	"time"
 
-	"barleywick/internal/faultnet"
-	"barleywick/internal/load"
 	"barleywick/internal/registry/client"
+	"barleywick/internal/testing/faultinjection"
+	"barleywick/internal/testing/loadgen"
 )
 
 // Line is one of the time line: a fault, an operator's action, or what became of a promise.
@@ -65,15 +65,15 @@
 )
 
 // Plan draws the faults of a run.
-func (o Options) Plan() faultnet.Schedule {
+func (o Options) Plan() faultinjection.Schedule {
 	if len(o.Schedule) > 0 {
 		return o.Schedule
 	}
 	const every = 1500 * time.Millisecond
 	quorum := names("r", 3)
 	all := append(append(quorum, names("k", o.Keepers)...), names("n", o.Sidecars)...)
-	p := faultnet.Plan{
-		Of: all, Kinds: []faultnet.Kind{faultnet.Cut, faultnet.Deaf, faultnet.Mute, faultnet.Late, faultnet.Reset, faultnet.Half, faultnet.Refused, faultnet.Answers, faultnet.Pause, faultnet.Dead},
+	p := faultinjection.Plan{
+		Of: all, Kinds: []faultinjection.Kind{faultinjection.Cut, faultinjection.Deaf, faultinjection.Mute, faultinjection.Late, faultinjection.Reset, faultinjection.Half, faultinjection.Refused, faultinjection.Answers, faultinjection.Pause, faultinjection.Dead},
 		Faults: max(1, int(o.For/every)), Every: every, Least: 300 * time.Millisecond, Most: 6 * time.Second, AtOnce: 3, Quorum: quorum, QuorumN: 2,
 	}
 	return p.Draw(o.Seed)
@@ -231,7 +231,7 @@
 }
 
 // play plays the faults, and notes when each process was away.
-func (r *run) play(ctx context.Context, plan faultnet.Schedule) error {
+func (r *run) play(ctx context.Context, plan faultinjection.Schedule) error {
 	began := time.Now()
 	var all sync.WaitGroup
 	errs := make([]error, len(plan))
@@ -262,8 +262,8 @@
 
 // gone notes that a sidecar's clients cannot be answered, or can again: who is stopped
 // or killed keeps no promise towards them. A client goes and comes with its sidecar.
-func (r *run) gone(f faultnet.Fault, now bool) {
-	if f.Kind != faultnet.Pause && f.Kind != faultnet.Dead {
+func (r *run) gone(f faultinjection.Fault, now bool) {
+	if f.Kind != faultinjection.Pause && f.Kind != faultinjection.Dead {
 		return
 	}
 	r.mu.Lock()
@@ -291,29 +291,29 @@
 func (r *run) load(ctx context.Context, name string, index int) {
 	c := r.clients[name]
 	for n := 0; ctx.Err() == nil; n++ {
-		class, effect := "read", load.Safe
+		class, effect := "read", loadgen.Safe
 		if n%2 == 1 {
-			class, effect = "once", load.Unsafe
+			class, effect = "once", loadgen.Unsafe
 		}
 		id := fmt.Sprintf("%s-%d-%d", name, index, n)
 		r.mu.Lock()
-		if effect == load.Unsafe {
+		if effect == loadgen.Unsafe {
 			r.once[id] = true
 		}
 		r.mu.Unlock()
 		began := time.Now()
 		in, cancel := context.WithTimeout(context.Background(), waits+time.Second) // it is beside the sidecar: what is late is the sidecar's
-		a := c.Do(in, load.Ask{ID: id, Class: class, Effect: effect, Tenant: "t", Timeout: waits}, nil)
+		a := c.Do(in, loadgen.Ask{ID: id, Class: class, Effect: effect, Tenant: "t", Timeout: waits}, nil)
 		cancel()
 		r.asked.Add(1)
 		switch {
-		case a.Outcome == load.Served && string(a.Body) != "done "+id:
+		case a.Outcome == loadgen.Served && string(a.Body) != "done "+id:
 			r.broken("%s was answered with %.60q", id, a.Body)
-		case a.Outcome == load.Served:
+		case a.Outcome == loadgen.Served:
 			r.served.Add(1)
-		case a.Outcome == load.Refused:
+		case a.Outcome == loadgen.Refused:
 			r.refused.Add(1)
-		case a.Outcome == load.Failed:
+		case a.Outcome == loadgen.Failed:
 			r.failed.Add(1)
 		case r.excused(name, began):
 			r.saw("tries at a sidecar that was killed or stopped", 1)
@@ -322,7 +322,7 @@
 			r.broken("%s has no answer after %v, and %s was neither killed nor stopped: %v", id, time.Since(began).Round(time.Millisecond), name, a.Err)
 		}
 		wait := 40 * time.Millisecond
-		if a.Outcome != load.Served {
+		if a.Outcome != loadgen.Served {
 			wait = max(200*time.Millisecond, a.Pause)
 		}
 		pause(ctx, wait)
--- a/internal/faultnet/faultnet_test.go
+++ b/internal/testing/faultinjection/faultnet_test.go
@@ -1,4 +1,4 @@
-package faultnet
+package faultinjection
 
 import (
 	"bufio"
--- a/internal/faultnet/link.go
+++ b/internal/testing/faultinjection/link.go
@@ -1,10 +1,10 @@
-// Package faultnet puts faults between real processes: each directed link from one
+// Package faultinjection puts faults between real processes: each directed link from one
 // process to another is a relay on loopback that the first is told to call instead of
 // the second, and that can be late, slow, cut (in one direction or both, saying
 // nothing), reset, half open, or lose an answer whose request was delivered. Faults of
 // processes are signals to them, by id. Schedules of faults are drawn from a seed,
 // written as text, shrunk and played again.
-package faultnet
+package faultinjection
 
 import (
 	"context"
--- a/internal/systemtest/drain_test.go
+++ b/internal/testing/integration/drain_test.go
@@ -1,4 +1,4 @@
-package systemtest
+package integration
 
 import (
 	"context"
--- a/internal/systemtest/handover_test.go
+++ b/internal/testing/integration/handover_test.go
@@ -1,4 +1,4 @@
-package systemtest
+package integration
 
 import (
 	"context"
@@ -15,10 +15,10 @@
 	"testing"
 	"time"
 
-	"barleywick/internal/faultnet"
 	"barleywick/internal/lease"
 	"barleywick/internal/registry"
 	"barleywick/internal/registry/client"
+	"barleywick/internal/testing/faultinjection"
 )
 
 // How long a task is nobody's when its holder leaves in order, is killed, cut off or
@@ -53,7 +53,7 @@
 			r.acted(w, tasks, 0)
 			c := r.client()
 			how, _, _ := strings.Cut(x.name, ",")
-			kind := map[string]faultnet.Kind{"killed": faultnet.Dead, "cut off": faultnet.Cut, "stopped": faultnet.Pause}[how]
+			kind := map[string]faultinjection.Kind{"killed": faultinjection.Dead, "cut off": faultinjection.Cut, "stopped": faultinjection.Pause}[how]
 			var took []time.Duration
 			for turn := 0; len(took) < samples; turn++ {
 				holder := r.keepers[turn%len(r.keepers)]
@@ -69,7 +69,7 @@
 					end = x.do(r, holder)
 				} else {
 					var err error
-					if end, err = r.Begin(faultnet.Fault{Kind: kind, Of: holder}); err != nil {
+					if end, err = r.Begin(faultinjection.Fault{Kind: kind, Of: holder}); err != nil {
 						t.Fatal(err)
 					}
 				}
--- a/internal/systemtest/harness_test.go
+++ b/internal/testing/integration/harness_test.go
@@ -1,6 +1,6 @@
-// Package systemtest runs real processes of ours on loopback, breaks some of them
+// Package integration runs real processes of ours on loopback, breaks some of them
 // and counts what became of every request. It holds tests alone.
-package systemtest
+package integration
 
 import (
 	"bytes"
@@ -24,11 +24,11 @@
 	"testing"
 	"time"
 
-	"barleywick/internal/enlist"
 	"barleywick/internal/registry"
 	"barleywick/internal/registry/client"
 	"barleywick/internal/registry/server"
 	"barleywick/internal/sidecar"
+	"barleywick/internal/sidecarmember"
 )
 
 const patience = 60 * time.Second // how long a test waits for an event; it never has to in a good run
@@ -71,7 +71,7 @@
 	if err != nil {
 		return err
 	}
-	c.Enlist = enlist.Sidecar
+	c.Enlist = sidecarmember.Sidecar
 	return sidecar.Run(stop, reload, c)
 }
 
--- a/internal/systemtest/lease_test.go
+++ b/internal/testing/integration/lease_test.go
@@ -1,4 +1,4 @@
-package systemtest
+package integration
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"barleywick/internal/faultnet"
 	"barleywick/internal/registry"
+	"barleywick/internal/testing/faultinjection"
 )
 
 // Level (c) of the proof of leases: real processes, with random faults of processes
@@ -45,14 +45,14 @@
 		w := startWitness(t)
 		r := startRig(t, seed, 5, tasks, w.addr, members...)
 		r.acted(w, tasks, 0)
-		plan := faultnet.Plan{
+		plan := faultinjection.Plan{
 			Of: append([]string{"r0", "r1", "r2"}, r.keepers...), Faults: faults, Every: 700 * time.Millisecond,
 			Least: 400 * time.Millisecond, Most: 3 * time.Second, AtOnce: 3, Quorum: []string{"r0", "r1", "r2"}, QuorumN: 1,
 		}
 		s := plan.Draw(seed + 1)
 		if text := os.Getenv(scheduleVariable); text != "" {
 			var err error
-			if s, err = faultnet.ParseSchedule(text); err != nil {
+			if s, err = faultinjection.ParseSchedule(text); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -94,12 +94,12 @@
 
 // shrunk leaves out of a schedule what its failure does not need, in as many plays as
 // SYSTEMTEST_SHRINK allows. A failure that is rare may need all: each part is played once.
-func shrunk(t *testing.T, s faultnet.Schedule) faultnet.Schedule {
+func shrunk(t *testing.T, s faultinjection.Schedule) faultinjection.Schedule {
 	most, err := strconv.Atoi(os.Getenv(shrinkVariable))
 	if err != nil {
 		return s
 	}
-	return faultnet.Shrink(s, most, func(part faultnet.Schedule) bool {
+	return faultinjection.Shrink(s, most, func(part faultinjection.Schedule) bool {
 		if len(part) == 0 {
 			return false
 		}
@@ -173,7 +173,7 @@
 	full := func(of ...string) (room func()) {
 		var ends []func() error
 		for _, id := range of {
-			end, err := r.Begin(faultnet.Fault{Kind: faultnet.Full, Of: id})
+			end, err := r.Begin(faultinjection.Fault{Kind: faultinjection.Full, Of: id})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -226,7 +226,7 @@
 	}
 	room()
 	handOver("with room again")
-	if j := w.judge(t, nil, false); j.Acts < 40 || j.Grants < 2*tasks || r.Done[faultnet.Full] != 4 {
+	if j := w.judge(t, nil, false); j.Acts < 40 || j.Grants < 2*tasks || r.Done[faultinjection.Full] != 4 {
 		t.Errorf("too little was judged: %+v", j)
 	}
 }
@@ -315,7 +315,7 @@
 	for range rounds {
 		r.acted(w, tasks, w.now())
 		holder := r.holder(c, "task-0")
-		heal, err := r.Begin(faultnet.Fault{Kind: faultnet.Cut, Of: holder})
+		heal, err := r.Begin(faultinjection.Fault{Kind: faultinjection.Cut, Of: holder})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -356,7 +356,7 @@
 		r.acted(w, tasks, w.now())
 		holder := r.holder(c, "task-0")
 		// The cut comes at another moment between two renewals each time.
-		f := faultnet.Fault{Kind: faultnet.Fade, Of: holder, For: 3*time.Second + time.Duration(round%7)*170*time.Millisecond}
+		f := faultinjection.Fault{Kind: faultinjection.Fade, Of: holder, For: 3*time.Second + time.Duration(round%7)*170*time.Millisecond}
 		heal, err := r.Begin(f)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/systemtest/members_test.go
+++ b/internal/testing/integration/members_test.go
@@ -1,4 +1,4 @@
-package systemtest
+package integration
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"barleywick/internal/faultnet"
 	"barleywick/internal/membership"
 	"barleywick/internal/registry"
+	"barleywick/internal/testing/faultinjection"
 )
 
 // memberRig is processes that are all members of one fleet.
@@ -149,13 +149,13 @@
 
 	// Cut off, in both directions and in one: lost for the others, and for itself all of
 	// them, which is more than half.
-	for _, kind := range []faultnet.Kind{faultnet.Cut, faultnet.Mute} {
-		end, err := m.Begin(faultnet.Fault{Kind: kind, Of: "k1"})
+	for _, kind := range []faultinjection.Kind{faultinjection.Cut, faultinjection.Mute} {
+		end, err := m.Begin(faultinjection.Fault{Kind: kind, Of: "k1"})
 		if err != nil {
 			t.Fatal(err)
 		}
 		eventually(t, "the others have lost it", func() bool { return m.statusOf("k0", "k1").Status == membership.Lost })
-		if kind == faultnet.Cut {
+		if kind == faultinjection.Cut {
 			eventually(t, "it says that it has lost more than half", func() bool {
 				v, err := m.view("k1")
 				return err == nil && v.Minority && v.ApartMS > 0
@@ -195,7 +195,7 @@
 	}
 	const faults, bound = 100, 15 * time.Second
 	m := startMembers(t, 1, 4, 9, "")
-	s := faultnet.Plan{Of: m.names, Faults: faults, Every: time.Second, Least: 200 * time.Millisecond, Most: 5 * time.Second, AtOnce: 1}.Draw(7)
+	s := faultinjection.Plan{Of: m.names, Faults: faults, Every: time.Second, Least: 200 * time.Millisecond, Most: 5 * time.Second, AtOnce: 1}.Draw(7)
 	var took []time.Duration
 	var rounds uint64
 	for _, f := range s {
@@ -308,7 +308,7 @@
 	for _, l := range r.Net.Match(func(name string) bool {
 		return strings.Contains(name, ":gossip") && (strings.HasPrefix(name, holder+">") || strings.Contains(name, ">"+holder+":"))
 	}) {
-		l.Set(faultnet.Rule{Out: faultnet.Way{Cut: true}, Back: faultnet.Way{Cut: true}})
+		l.Set(faultinjection.Rule{Out: faultinjection.Way{Cut: true}, Back: faultinjection.Way{Cut: true}})
 	}
 	other := "k0"
 	if holder == other {
--- a/internal/systemtest/policy_test.go
+++ b/internal/testing/integration/policy_test.go
@@ -1,4 +1,4 @@
-package systemtest
+package integration
 
 import (
 	"context"
@@ -18,20 +18,20 @@
 	"testing"
 	"time"
 
-	"barleywick/internal/faultnet"
-	"barleywick/internal/keeper"
+	"barleywick/internal/controller"
 	"barleywick/internal/registry"
 	"barleywick/internal/registry/client"
 	"barleywick/internal/rollout"
+	"barleywick/internal/testing/faultinjection"
 )
 
 func runKeeper() error {
 	stop, _ := signals()
-	c, err := keeper.LoadConfig(os.Getenv(configVariable))
+	c, err := controller.LoadConfig(os.Getenv(configVariable))
 	if err != nil {
 		return err
 	}
-	return keeper.Serve(stop, c)
+	return controller.Serve(stop, c)
 }
 
 // observer stands for all booking servers, and asks nobody: it counts each sidecar's
@@ -327,10 +327,10 @@
 	for i := range changes {
 		// At most a quorum less one of the replicas, a keeper and a few sidecars.
 		of := []string{"k0", "r" + fmt.Sprint(i%3), g.names[rng.IntN(sidecars)], g.names[rng.IntN(sidecars)]}
-		kinds := []faultnet.Kind{faultnet.Cut, faultnet.Mute, faultnet.Deaf, faultnet.Reset, faultnet.Answers, faultnet.Pause, faultnet.Dead}
-		var s faultnet.Schedule
+		kinds := []faultinjection.Kind{faultinjection.Cut, faultinjection.Mute, faultinjection.Deaf, faultinjection.Reset, faultinjection.Answers, faultinjection.Pause, faultinjection.Dead}
+		var s faultinjection.Schedule
 		for j, who := range slices.Compact(of) {
-			s = append(s, faultnet.Fault{At: time.Duration(j) * 50 * time.Millisecond, For: time.Duration(200+rng.IntN(900)) * time.Millisecond, Kind: kinds[rng.IntN(len(kinds))], Of: who})
+			s = append(s, faultinjection.Fault{At: time.Duration(j) * 50 * time.Millisecond, For: time.Duration(200+rng.IntN(900)) * time.Millisecond, Kind: kinds[rng.IntN(len(kinds))], Of: who})
 		}
 		next := 2 + (inForce+1+rng.IntN(5))%7
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
@@ -399,7 +399,7 @@
 	c := g.rig.client()
 	cut := func() (heal func() error) {
 		t.Helper()
-		end, err := g.Begin(faultnet.Fault{Kind: faultnet.Cut, Of: "n0"})
+		end, err := g.Begin(faultinjection.Fault{Kind: faultinjection.Cut, Of: "n0"})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/systemtest/policytimes_test.go
+++ b/internal/testing/integration/policytimes_test.go
@@ -1,4 +1,4 @@
-package systemtest
+package integration
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"barleywick/internal/faultnet"
 	"barleywick/internal/registry"
 	"barleywick/internal/registry/client"
 	"barleywick/internal/rollout"
+	"barleywick/internal/testing/faultinjection"
 )
 
 // light is a member of the roster without a sidecar around it.
@@ -103,7 +103,7 @@
 					if holder == nil {
 						eventually(t, "somebody leads", func() bool { holder = r.leases(c)["policy"].Grant; return holder != nil })
 					}
-					finish, err := r.Begin(faultnet.Fault{Kind: faultnet.Dead, Of: holder.Name})
+					finish, err := r.Begin(faultinjection.Fault{Kind: faultinjection.Dead, Of: holder.Name})
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -164,7 +164,7 @@
 	for i := range changes {
 		g.everywhere(epoch)
 		g.allServe()
-		heal, err := g.Begin(faultnet.Fault{Kind: faultnet.Cut, Of: g.names[i%sidecars]})
+		heal, err := g.Begin(faultinjection.Fault{Kind: faultinjection.Cut, Of: g.names[i%sidecars]})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/systemtest/rig_test.go
+++ b/internal/testing/integration/rig_test.go
@@ -1,4 +1,4 @@
-package systemtest
+package integration
 
 import (
 	"cmp"
@@ -23,14 +23,14 @@
 	"github.com/anishathalye/porcupine"
 	"github.com/pelletier/go-toml/v2"
 
-	"barleywick/internal/faultnet"
-	"barleywick/internal/history"
-	"barleywick/internal/keeper"
+	"barleywick/internal/addressmap"
+	"barleywick/internal/controller"
 	"barleywick/internal/lease"
 	"barleywick/internal/membership"
 	"barleywick/internal/registry"
 	"barleywick/internal/registry/client"
-	"barleywick/internal/route"
+	"barleywick/internal/testing/faultinjection"
+	"barleywick/internal/testing/linearizability"
 )
 
 // long is set for the modes that take minutes; the README names the command.
@@ -48,14 +48,14 @@
 // rig is three replicas and some keepers, every link between two of which is a relay.
 type rig struct {
 	t testing.TB
-	*faultnet.Rig
+	*faultinjection.Rig
 	members []registry.Member
 	keepers []string
-	routes  map[string]route.Table // by process
-	env     map[string][]string    // of keepers
-	gossip  map[string]string      // where members listen, by process; empty: there is no membership
-	listens map[string]string      // where keepers that are members serve
-	files   map[string]string      // the replicas' configurations
+	routes  map[string]addressmap.Table // by process
+	env     map[string][]string         // of keepers
+	gossip  map[string]string           // where members listen, by process; empty: there is no membership
+	listens map[string]string           // where keepers that are members serve
+	files   map[string]string           // the replicas' configurations
 }
 
 // fleet makes every process of these names a member, with a link to each other.
@@ -84,7 +84,7 @@
 	if r.gossip[name] == "" {
 		return nil
 	}
-	c := &membership.Config{Fleet: "test", Listen: r.gossip[name], ProbeMS: gossipMS, Routes: make(route.Table), Folder: r.t.TempDir()}
+	c := &membership.Config{Fleet: "test", Listen: r.gossip[name], ProbeMS: gossipMS, Routes: make(addressmap.Table), Folder: r.t.TempDir()}
 	for other, at := range r.gossip {
 		if other != name {
 			c.Routes[at] = r.routes[name][at]
@@ -108,15 +108,15 @@
 	r.route(from, address, l)
 }
 
-func (r *rig) route(from, address string, l *faultnet.Link) {
+func (r *rig) route(from, address string, l *faultinjection.Link) {
 	if r.routes[from] == nil {
-		r.routes[from] = make(route.Table)
+		r.routes[from] = make(addressmap.Table)
 	}
 	r.routes[from][address] = l.Addr()
 }
 
 func (r *rig) process(name, role string, env ...string) {
-	r.Processes[name] = &faultnet.Process{Name: name, Make: func() *exec.Cmd {
+	r.Processes[name] = &faultinjection.Process{Name: name, Make: func() *exec.Cmd {
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(append(os.Environ(), env...), roleVariable+"="+role)
 		return cmd
@@ -143,8 +143,8 @@
 func (r *rig) begin(seed uint64, members ...string) {
 	t := r.t
 	t.Helper()
-	r.Rig = &faultnet.Rig{Net: faultnet.New(seed), Processes: make(map[string]*faultnet.Process)}
-	r.routes, r.env = make(map[string]route.Table), make(map[string][]string)
+	r.Rig = &faultinjection.Rig{Net: faultinjection.New(seed), Processes: make(map[string]*faultinjection.Process)}
+	r.routes, r.env = make(map[string]addressmap.Table), make(map[string][]string)
 	t.Cleanup(func() {
 		for _, p := range r.Processes {
 			p.Kill()
@@ -213,7 +213,7 @@
 // tokens, and by fenced writes to the registry.
 func runActor() error {
 	stop, _ := signals()
-	c, err := keeper.LoadConfig(os.Getenv(configVariable))
+	c, err := controller.LoadConfig(os.Getenv(configVariable))
 	if err != nil {
 		return err
 	}
@@ -228,9 +228,9 @@
 	c.ActsMS = actIn.Milliseconds()
 	every, _ := time.ParseDuration(os.Getenv(everyVariable))
 	a := &actor{name: c.Name, every: every, registry: r.Via(c.Routes), witness: os.Getenv(witnessVariable), http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
-	k, err := keeper.New(c, func(*keeper.Keeper) (all []keeper.Task) {
+	k, err := controller.New(c, func(*controller.Keeper) (all []controller.Task) {
 		for i := range n {
-			all = append(all, keeper.Task{Lease: fmt.Sprint("task-", i), Run: a.run})
+			all = append(all, controller.Task{Lease: fmt.Sprint("task-", i), Run: a.run})
 		}
 		return all
 	})
@@ -542,9 +542,9 @@
 // off may have been done by an earlier try of the same call.
 func (j *judged) linearizable(t testing.TB, task string, ops []*op) {
 	t.Helper()
-	var calls []history.Call
+	var calls []linearizability.Call
 	for _, o := range ops {
-		c := history.Call{Key: task, Value: o.value, Begin: o.call, End: o.ret, Done: o.returned && o.failed == ""}
+		c := linearizability.Call{Key: task, Value: o.value, Begin: o.call, End: o.ret, Done: o.returned && o.failed == ""}
 		switch o.kind {
 		case "blind":
 			continue
@@ -555,8 +555,8 @@
 		}
 		calls = append(calls, c)
 	}
-	of := history.ByKey(calls)[task]
-	if got := history.Check(of, patience); got != porcupine.Ok {
+	of := linearizability.ByKey(calls)[task]
+	if got := linearizability.Check(of, patience); got != porcupine.Ok {
 		t.Errorf("%s: the history of %d calls is not linearizable: %v; %s", task, len(of), got, backwards(ops))
 	}
 }
--- a/internal/systemtest/shutdown_test.go
+++ b/internal/testing/integration/shutdown_test.go
@@ -1,4 +1,4 @@
-package systemtest
+package integration
 
 import (
 	"bufio"
@@ -17,8 +17,8 @@
 	"testing"
 	"time"
 
-	raw "barleywick/internal/load"
 	"barleywick/internal/registry/registrytest"
+	raw "barleywick/internal/testing/loadgen"
 )
 
 // hangingServer is a booking server that takes requests and never answers them.
--- a/internal/systemtest/torture_test.go
+++ b/internal/testing/integration/torture_test.go
@@ -1,4 +1,4 @@
-package systemtest
+package integration
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"barleywick/internal/torture"
+	"barleywick/internal/testing/chaostest"
 )
 
 // A small fleet of all our processes is broken for some seconds, with operators at work:
@@ -17,8 +17,8 @@
 		t.Skip("it starts real processes")
 	}
 	t.Parallel()
-	o := torture.Options{Seed: 1, For: 5 * time.Second, Keepers: 2, Sidecars: 4, Servers: 8, Command: func(p torture.Program, config string) *exec.Cmd {
-		role := map[torture.Program]string{torture.Replica: "registry", torture.Keeper: "keeper", torture.Sidecar: "sidecar"}[p]
+	o := chaostest.Options{Seed: 1, For: 5 * time.Second, Keepers: 2, Sidecars: 4, Servers: 8, Command: func(p chaostest.Program, config string) *exec.Cmd {
+		role := map[chaostest.Program]string{chaostest.Replica: "registry", chaostest.Keeper: "keeper", chaostest.Sidecar: "sidecar"}[p]
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), roleVariable+"="+role, configVariable+"="+config, "ROUTER_CONFIG="+config)
 		return cmd
@@ -26,7 +26,7 @@
 	if long {
 		o.For, o.Keepers, o.Sidecars, o.Servers = 5*time.Minute, 3, 24, 16
 	}
-	rep, err := torture.Run(context.Background(), o)
+	rep, err := chaostest.Run(context.Background(), o)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/history/history.go
+++ b/internal/testing/linearizability/history.go
@@ -1,6 +1,6 @@
-// Package history holds what callers saw of records against a register that does one call
+// Package linearizability holds what callers saw of records against a register that does one call
 // after the other (linearizability), for the proofs of explorers and of real processes.
-package history
+package linearizability
 
 import (
 	"time"
--- a/internal/load/client.go
+++ b/internal/testing/loadgen/client.go
@@ -1,7 +1,7 @@
-// Package load is the client's side: it sends requests to sidecars as the protocol
+// Package loadgen is the client's side: it sends requests to sidecars as the protocol
 // has it, one at a time or as an open-loop load whose latencies count from when each
 // request was due, not from when there was time to send it.
-package load
+package loadgen
 
 import (
 	"bytes"
--- a/internal/load/closed.go
+++ b/internal/testing/loadgen/closed.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"net"
--- a/internal/lab/bad.go
+++ b/internal/testing/localfleet/bad.go
@@ -1,4 +1,4 @@
-package lab
+package localfleet
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"barleywick/internal/emulator"
+	"barleywick/internal/simulation/emulator"
 )
 
 // badIn is how soon a client that says what cannot be read is owed an error or a close.
--- a/internal/lab/booking.go
+++ b/internal/testing/localfleet/booking.go
@@ -1,4 +1,4 @@
-package lab
+package localfleet
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"barleywick/internal/emulator"
 	"barleywick/internal/registry"
+	"barleywick/internal/simulation/emulator"
 )
 
 // booking is a booking server: the emulator's model of one behind a listener of its own.
--- a/internal/lab/lab.go
+++ b/internal/testing/localfleet/lab.go
@@ -1,7 +1,7 @@
-// Package lab plays a scenario on real sockets: the registry of this project as
+// Package localfleet plays a scenario on real sockets: the registry of this project as
 // discovery, the emulator's servers behind listeners, real sidecar processes, and
 // clients that ask by the protocol. All of it is on loopback and ends with the lab.
-package lab
+package localfleet
 
 import (
 	"cmp"
@@ -16,12 +16,12 @@
 	"sync"
 	"time"
 
-	"barleywick/internal/emulator"
-	"barleywick/internal/load"
+	"barleywick/internal/addressmap"
 	"barleywick/internal/registry"
 	"barleywick/internal/registry/client"
 	"barleywick/internal/registry/server"
-	"barleywick/internal/route"
+	"barleywick/internal/simulation/emulator"
+	"barleywick/internal/testing/loadgen"
 	"barleywick/policy"
 )
 
@@ -228,7 +228,7 @@
 	}
 	ended := make(chan error, len(members))
 	for _, m := range members {
-		routes := make(route.Table)
+		routes := make(addressmap.Table)
 		for _, to := range members {
 			if to == m {
 				continue
@@ -466,10 +466,10 @@
 		}
 		a := emulator.AnswerFailed
 		switch out.Outcome {
-		case load.Served:
+		case loadgen.Served:
 			l.count(func(r *emulator.Record) { r.Served(c, took, "late") })
 			return
-		case load.Refused:
+		case loadgen.Refused:
 			a = emulator.AnswerRefused
 		}
 		if cause = out.Outcome.String(); a != emulator.AnswerRefused {
@@ -484,7 +484,7 @@
 }
 
 // once makes one try, and says whether the client has gone with its sidecar.
-func (l *lab) once(s *member, c emulator.Call, left time.Duration) (out load.Answer, gone bool) {
+func (l *lab) once(s *member, c emulator.Call, left time.Duration) (out loadgen.Answer, gone bool) {
 	class := l.sc.Classes[c.Class]
 	l.mu.Lock()
 	if !s.up {
@@ -500,23 +500,23 @@
 	l.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), left+emulator.SocketSlack)
 	defer cancel()
-	out = s.client.Do(ctx, load.Ask{
-		ID: name, Class: class.Name, Effect: load.Effect(class.Effect), Tenant: l.sc.Tenants[c.Tenant].Name, Key: fmt.Sprint(c.Key), Timeout: left, Hint: c.Hint,
+	out = s.client.Do(ctx, loadgen.Ask{
+		ID: name, Class: class.Name, Effect: loadgen.Effect(class.Effect), Tenant: l.sc.Tenants[c.Tenant].Name, Key: fmt.Sprint(c.Key), Timeout: left, Hint: c.Hint,
 	}, nil)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.tries, name)
 	now := l.now()
 	switch {
-	case out.Outcome == load.Lost && !s.up:
+	case out.Outcome == loadgen.Lost && !s.up:
 		l.check.Left(t.id)
 		return out, true
-	case out.Outcome == load.Lost:
+	case out.Outcome == loadgen.Lost:
 		l.check.Overdue(now, t.id)
-	case out.Outcome == load.Served && string(out.Body) != answerTo(name):
+	case out.Outcome == loadgen.Served && string(out.Body) != answerTo(name):
 		l.check.Wrong(now, t.id)
 	default:
-		l.check.Answered(now, t.id, map[load.Outcome]emulator.Answer{load.Served: emulator.AnswerServed, load.Refused: emulator.AnswerRefused, load.Failed: emulator.AnswerFailed}[out.Outcome])
+		l.check.Answered(now, t.id, map[loadgen.Outcome]emulator.Answer{loadgen.Served: emulator.AnswerServed, loadgen.Refused: emulator.AnswerRefused, loadgen.Failed: emulator.AnswerFailed}[out.Outcome])
 	}
 	return out, false
 }
--- a/internal/lab/lab_test.go
+++ b/internal/testing/localfleet/lab_test.go
@@ -1,4 +1,4 @@
-package lab
+package localfleet
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"barleywick/internal/emulator"
 	"barleywick/internal/sidecar"
+	"barleywick/internal/simulation/emulator"
 )
 
 // TestMain lets the test binary stand in for the sidecar's program.
--- a/internal/lab/links.go
+++ b/internal/testing/localfleet/links.go
@@ -1,4 +1,4 @@
-package lab
+package localfleet
 
 import (
 	"bufio"
@@ -12,14 +12,14 @@
 	"sync"
 	"time"
 
-	"barleywick/internal/faultnet"
 	"barleywick/internal/registry"
+	"barleywick/internal/testing/faultinjection"
 )
 
 // links are the relays between the lab's processes: each sidecar calls the list over
 // one, and, in a scenario with a partition, each zone calls each server over another.
 type links struct {
-	net  *faultnet.Net
+	net  *faultinjection.Net
 	lab  *lab
 	over []func() // ends the views
 
@@ -34,7 +34,7 @@
 
 func newLinks(l *lab) *links {
 	return &links{
-		net: faultnet.New(l.seed), lab: l, cut: make(map[int]int), views: make(map[int]*view),
+		net: faultinjection.New(l.seed), lab: l, cut: make(map[int]int), views: make(map[int]*view),
 		ways: make(map[string][2]int), dials: make(map[string]struct{}),
 	}
 }
@@ -77,7 +77,7 @@
 	defer k.mu.Unlock()
 	for name := range k.dials {
 		if l, ok := k.net.Link(name); ok {
-			l.Set(faultnet.Rule{Refuse: k.down > 0, Back: faultnet.Way{Delay: k.slow}})
+			l.Set(faultinjection.Rule{Refuse: k.down > 0, Back: faultinjection.Way{Delay: k.slow}})
 		}
 	}
 	for name, ends := range k.ways {
@@ -88,9 +88,9 @@
 }
 
 // between is the rule from one zone to another. The lock is held.
-func (k *links) between(ends [2]int) faultnet.Rule {
-	way := faultnet.Way{Cut: ends[0] != ends[1] && (k.cut[ends[0]] > 0 || k.cut[ends[1]] > 0)}
-	return faultnet.Rule{Out: way, Back: way}
+func (k *links) between(ends [2]int) faultinjection.Rule {
+	way := faultinjection.Way{Cut: ends[0] != ends[1] && (k.cut[ends[0]] > 0 || k.cut[ends[1]] > 0)}
+	return faultinjection.Rule{Out: way, Back: way}
 }
 
 // change alters what is wrong, and returns what takes that back.
--- a/internal/lab/sidecar.go
+++ b/internal/testing/localfleet/sidecar.go
@@ -1,4 +1,4 @@
-package lab
+package localfleet
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"barleywick/internal/load"
+	"barleywick/internal/testing/loadgen"
 )
 
 // member is one real sidecar process, and its client.
@@ -23,7 +23,7 @@
 	index  int
 	addr   string
 	config string
-	client *load.Client
+	client *loadgen.Client
 	log    *os.File
 
 	cmd   *exec.Cmd
@@ -61,7 +61,7 @@
 	if err := os.WriteFile(s.config, text, 0o600); err != nil {
 		return fmt.Errorf("configuration of sidecar %d: %w", s.index, err)
 	}
-	s.client = load.NewClient(addr, sockets/4)
+	s.client = loadgen.NewClient(addr, sockets/4)
 	return nil
 }
 
--- a/internal/lab/trouble.go
+++ b/internal/testing/localfleet/trouble.go
@@ -1,4 +1,4 @@
-package lab
+package localfleet
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"barleywick/internal/emulator"
 	"barleywick/internal/registry"
+	"barleywick/internal/simulation/emulator"
 )
 
 // trouble plays the scenario's troubles, each in a goroutine of its own, until ctx
--- a/internal/explore/explore.go
+++ b/internal/testing/modelcheck/explore.go
@@ -1,7 +1,7 @@
-// Package explore searches what a small world may come to. A world says what may
+// Package modelcheck searches what a small world may come to. A world says what may
 // happen next; Search tries all of it to a depth, Walk draws it from a seed. There is
 // one goroutine, no clock and no I/O: what happens is chosen here.
-package explore
+package modelcheck
 
 import (
 	"fmt"
--- a/internal/explore/together/group.go
+++ b/internal/testing/modelcheck/system/group.go
@@ -1,4 +1,4 @@
-package together
+package system
 
 import (
 	"encoding/json"
--- a/internal/explore/together/judge.go
+++ b/internal/testing/modelcheck/system/judge.go
@@ -1,4 +1,4 @@
-package together
+package system
 
 import (
 	"bytes"
@@ -11,9 +11,9 @@
 	"github.com/anishathalye/porcupine"
 
 	"barleywick/internal/drain"
-	"barleywick/internal/history"
 	"barleywick/internal/registry"
 	"barleywick/internal/rollout"
+	"barleywick/internal/testing/linearizability"
 )
 
 // judge knows what was promised and not how it is kept: it is told what is done, asks
@@ -295,13 +295,13 @@
 
 // linearizable holds the history of each record against a register.
 func (j *judge) linearizable(w *world) {
-	calls := make([]history.Call, len(j.ops))
+	calls := make([]linearizability.Call, len(j.ops))
 	for i, o := range j.ops {
-		calls[i] = history.Call{Key: o.key, Value: o.value, Got: o.got, Begin: o.call, End: o.ret, Done: o.done && o.ok}
+		calls[i] = linearizability.Call{Key: o.key, Value: o.value, Got: o.got, Begin: o.call, End: o.ret, Done: o.done && o.ok}
 	}
-	byKey := history.ByKey(calls)
+	byKey := linearizability.ByKey(calls)
 	for _, key := range sortedKeys(byKey) {
-		if got := history.Check(byKey[key], time.Minute); got != porcupine.Ok {
+		if got := linearizability.Check(byKey[key], time.Minute); got != porcupine.Ok {
 			w.broken("%s: the history of %d calls is not linearizable: %v", key, len(byKey[key]), got)
 		}
 	}
--- a/internal/explore/together/sched.go
+++ b/internal/testing/modelcheck/system/sched.go
@@ -1,10 +1,10 @@
-// Package together runs the fleet's state machines as one: replicas of the registry,
+// Package system runs the fleet's state machines as one: replicas of the registry,
 // keepers that hold leases and run the real drains and the real decisions of a change of
 // policy and of the fleet's word, sidecars that follow the list, the policy and the word,
 // and operators. There is one goroutine at a time, a clock, a network and disks of its
 // own, and faults that fall on chosen steps. What happens follows from the seed and the
 // faults alone, so each schedule can be played again, and cut to the faults it needs.
-package together
+package system
 
 import (
 	"container/heap"
--- a/internal/soak/client.go
+++ b/internal/testing/soaktest/client.go
@@ -1,4 +1,4 @@
-package soak
+package soaktest
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"barleywick/internal/load"
+	"barleywick/internal/testing/loadgen"
 )
 
 // manner is how a client hands one request in.
@@ -130,7 +130,7 @@
 }
 
 // ended says whether the sidecar has closed the connection by now.
-func (c *client) ended() bool { return load.Closed(c.conn) }
+func (c *client) ended() bool { return loadgen.Closed(c.conn) }
 
 // once hands one request in and follows it to its end.
 func (c *client) once() {
--- a/internal/soak/server.go
+++ b/internal/testing/soaktest/server.go
@@ -1,4 +1,4 @@
-package soak
+package soaktest
 
 import (
 	"bufio"
--- a/internal/soak/sidecar.go
+++ b/internal/testing/soaktest/sidecar.go
@@ -1,4 +1,4 @@
-package soak
+package soaktest
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"barleywick/internal/faultnet"
+	"barleywick/internal/testing/faultinjection"
 )
 
 // The settings' figures that the oracle holds the fleet to.
@@ -24,7 +24,7 @@
 // sidecar is one process under test with what its clients know of it.
 type sidecar struct {
 	name, addr, config string
-	process            *faultnet.Process
+	process            *faultinjection.Process
 
 	mu       sync.Mutex
 	killedAt time.Time // the last kill outright, planned ends not counted; zero: none
--- a/internal/soak/soak.go
+++ b/internal/testing/soaktest/soak.go
@@ -1,8 +1,8 @@
-// Package soak runs a fleet of real sidecar processes on loopback under random faults that
+// Package soaktest runs a fleet of real sidecar processes on loopback under random faults that
 // overlap in time, and checks the rules of the protocol on every request. Everything that is
 // random follows from one seed: what clients do, what booking servers do, and the schedule of
 // faults. Threads of the operating system are not, so two runs of a seed are alike and not equal.
-package soak
+package soaktest
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"barleywick/internal/faultnet"
+	"barleywick/internal/testing/faultinjection"
 )
 
 // Options say what is run.
@@ -259,6 +259,6 @@
 	if err := s.writeConfig(f.Seed+uint64(index), f.Sidecars, f.discovery.addresses[0]); err != nil {
 		return nil, err
 	}
-	s.process = &faultnet.Process{Name: s.name, Make: func() *exec.Cmd { return f.Command(s.config) }}
+	s.process = &faultinjection.Process{Name: s.name, Make: func() *exec.Cmd { return f.Command(s.config) }}
 	return s, nil
 }
