--- a/cmd/fleetctl/main.go
+++ b/cmd/fleetctl/main.go
@@ -100,7 +100,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return r.Within(askWithin), nil
+	return r.WithTimeout(askWithin), nil
 }
 
 // workflow makes the workflow for this operator.
--- a/cmd/fleetctl/main_test.go
+++ b/cmd/fleetctl/main_test.go
@@ -31,7 +31,7 @@
 	http_, raft := listen(), listen()
 	text, err := json.Marshal(map[string]any{
 		"group": "test", "id": "r", "data": t.TempDir(), "timing": map[string]any{"election_ms": 100},
-		"replicas": []registry.Member{{ID: "r", HTTP: http_.Addr().String(), Raft: raft.Addr().String()}},
+		"replicas": []registry.ReplicaInfo{{ID: "r", HTTP: http_.Addr().String(), Raft: raft.Addr().String()}},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -72,10 +72,10 @@
 	}
 	defer end()
 	writer := w.Registry.(interface {
-		Register(context.Context, registry.RegisterRequest) (registry.WriteAnswer, error)
+		Register(context.Context, registry.RegisterRequest) (registry.WriteResponse, error)
 	})
 	for _, s := range [][2]string{{"s-1", "m-1"}, {"s-2", "m-2"}} {
-		i := registry.Instance{Host: s[0], Dial: "127.0.0.1:1", Site: "a", Health: registry.Up, Share: 1} // nobody listens: no work
+		i := registry.Instance{Host: s[0], Dial: "127.0.0.1:1", Site: "a", Health: registry.HealthUp, Share: 1} // nobody listens: no work
 		if _, err := writer.Register(t.Context(), registry.RegisterRequest{Instance: i, Machine: s[1]}); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/fleetctl/members.go
+++ b/cmd/fleetctl/members.go
@@ -68,7 +68,7 @@
 func fleetURL(role membership.Role, at string) string {
 	switch role {
 	case membership.Registry:
-		return "http://" + at + registry.WritePath + membership.Path
+		return "http://" + at + registry.APIPath + membership.Path
 	case membership.Sidecar:
 		return "http://" + at + "/health/" + membership.Path
 	}
--- a/cmd/fleetctl/overload.go
+++ b/cmd/fleetctl/overload.go
@@ -65,7 +65,7 @@
 // wordOf asks the task for its word.
 func wordOf(ctx context.Context, r *client.Client) (word overload.Advice, err error) {
 	rec, err := r.Record(ctx, overload.Record)
-	if errors.Is(err, registry.ErrUnknown) {
+	if errors.Is(err, registry.ErrNotFound) {
 		return word, errors.New("no keeper has held the task overload yet: is [overload] in a keeper's file?")
 	} else if err != nil {
 		return word, err
--- a/cmd/fleetctl/policy.go
+++ b/cmd/fleetctl/policy.go
@@ -53,7 +53,7 @@
 
 // refusals gives a registry's refusal its exit status.
 func refusals(err error) error {
-	for _, plain := range []error{registry.ErrConflict, registry.ErrUnknown, registry.ErrBad, registry.ErrFull} {
+	for _, plain := range []error{registry.ErrConflict, registry.ErrNotFound, registry.ErrInvalid, registry.ErrLimitReached} {
 		if errors.Is(err, plain) {
 			return cli.Status(refused, "%w", err)
 		}
@@ -161,7 +161,7 @@
 		by = "operator"
 	}
 	a.diff(st, d)
-	if _, err := r.Policy(ctx, rollout.Command{Verb: rollout.Propose, Doc: d, Base: st.Epoch, By: by, Reason: p.reason, Within: p.within.Milliseconds(), First: first, Watch: watch.Milliseconds()}, nil); err != nil {
+	if _, err := r.ApplyPolicyStep(ctx, rollout.Command{Verb: rollout.Propose, Doc: d, Base: st.Epoch, By: by, Reason: p.reason, Within: p.within.Milliseconds(), First: first, Watch: watch.Milliseconds()}, nil); err != nil {
 		return err
 	}
 	now, err := r.PolicyStatus(ctx, 0, 0)
@@ -295,7 +295,7 @@
 				if st.Change == nil {
 					return cli.Status(refused, "no change is under way")
 				}
-				_, err := r.Policy(c.Context(), rollout.Command{Verb: rollout.Abort, Number: st.Change.Number, By: "an operator"}, nil)
+				_, err := r.ApplyPolicyStep(c.Context(), rollout.Command{Verb: rollout.Abort, Number: st.Change.Number, By: "an operator"}, nil)
 				if err == nil {
 					fmt.Fprintf(a.out, "change %d is aborted, epoch %d stays in force\n", st.Change.Number, st.Epoch)
 				}
@@ -330,7 +330,7 @@
 		Example: "  barleyctl policy evict n17",
 		RunE: func(c *cobra.Command, args []string) error {
 			return a.withStatus(c.Context(), func(r *client.Client, _ rollout.Status) error {
-				_, err := r.Policy(c.Context(), rollout.Command{Verb: rollout.Evict, Member: rollout.Member{Name: args[0]}}, nil)
+				_, err := r.ApplyPolicyStep(c.Context(), rollout.Command{Verb: rollout.Evict, Member: rollout.Member{Name: args[0]}}, nil)
 				if err == nil {
 					fmt.Fprintf(a.out, "%s has no seat any more\n", args[0])
 				}
--- a/cmd/fleetctl/tasks.go
+++ b/cmd/fleetctl/tasks.go
@@ -79,11 +79,11 @@
 	return c
 }
 
-func (a *app) showTasks(all registry.LeasesAnswer, asJSON bool) error {
+func (a *app) showTasks(all registry.LeasesResponse, asJSON bool) error {
 	if asJSON {
 		return json.NewEncoder(a.out).Encode(all)
 	}
-	if all.Shut {
+	if all.GrantsClosed {
 		fmt.Fprintln(a.out, "nothing is granted yet: the group was founded a moment ago")
 	}
 	if len(all.Leases) == 0 {
@@ -98,14 +98,14 @@
 			holder, token = l.Grant.Name, fmt.Sprint(l.Grant.Token)
 		}
 		var waiting, wishes []string
-		for _, c := range l.Line {
+		for _, c := range l.Queue {
 			waiting = append(waiting, c.Name)
 		}
 		if l.Paused {
 			wishes = append(wishes, "paused")
 		}
-		if l.Leave {
-			wishes = append(wishes, strings.TrimSpace("to be given up "+l.To))
+		if l.YieldRequested {
+			wishes = append(wishes, strings.TrimSpace("to be given up "+l.NextHolder))
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", l.Name, holder, token, orDash(waiting), orDash(wishes))
 	}
@@ -130,31 +130,31 @@
 		},
 	}
 	yes, no := true, false
-	add := func(use, short string, n int, wish func(args []string) registry.AskRequest) {
+	add := func(use, short string, n int, wish func(args []string) registry.YieldRequest) {
 		c.AddCommand(&cobra.Command{
 			Use: use, Short: short, Args: cobra.ExactArgs(n), Example: "  barleyctl task " + strings.NewReplacer("TASK", "drains", "KEEPER", "k2").Replace(use),
 			RunE: func(c *cobra.Command, args []string) error { return a.wish(c.Context(), args[0], wish(args)) },
 		})
 	}
-	add("release TASK", "Have its holder give it up: whoever waits has it next", 1, func([]string) registry.AskRequest {
-		return registry.AskRequest{Leave: true}
+	add("release TASK", "Have its holder give it up: whoever waits has it next", 1, func([]string) registry.YieldRequest {
+		return registry.YieldRequest{Yield: true}
 	})
-	add("hand-over TASK KEEPER", "Have its holder hand it over to a keeper that waits for it", 2, func(args []string) registry.AskRequest {
-		return registry.AskRequest{Leave: true, To: args[1]}
+	add("hand-over TASK KEEPER", "Have its holder hand it over to a keeper that waits for it", 2, func(args []string) registry.YieldRequest {
+		return registry.YieldRequest{Yield: true, NextHolder: args[1]}
 	})
-	add("pause TASK", "Let nobody hold it", 1, func([]string) registry.AskRequest { return registry.AskRequest{Pause: &yes} })
-	add("resume TASK", "Let it be held again", 1, func([]string) registry.AskRequest { return registry.AskRequest{Pause: &no} })
+	add("pause TASK", "Let nobody hold it", 1, func([]string) registry.YieldRequest { return registry.YieldRequest{Pause: &yes} })
+	add("resume TASK", "Let it be held again", 1, func([]string) registry.YieldRequest { return registry.YieldRequest{Pause: &no} })
 	return c
 }
 
-func (a *app) wish(ctx context.Context, name string, w registry.AskRequest) error {
+func (a *app) wish(ctx context.Context, name string, w registry.YieldRequest) error {
 	r, err := a.client()
 	if err != nil {
 		return err
 	}
 	defer r.Close()
-	err = r.Ask(ctx, name, w)
-	if errors.Is(err, registry.ErrUnknown) || errors.Is(err, registry.ErrConflict) {
+	err = r.RequestYield(ctx, name, w)
+	if errors.Is(err, registry.ErrNotFound) || errors.Is(err, registry.ErrConflict) {
 		return cli.Status(refused, "%w", err)
 	}
 	return err
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -54,7 +54,7 @@
 	f := &fleet{client: k.client, look: make(chan struct{}, 1)}
 	var urls []string
 	for _, at := range c.Registry {
-		urls = append(urls, "http://"+at+registry.WritePath+membership.Path)
+		urls = append(urls, "http://"+at+registry.APIPath+membership.Path)
 	}
 	asks := &http.Client{Transport: &http.Transport{DialContext: c.Routes.Dial(time.Second), DisableKeepAlives: true}}
 	var err error
@@ -133,7 +133,7 @@
 	dead := registry.Holder{Name: s.Name, Incarnation: s.Incarnation}
 	ended := 0
 	for _, l := range all.Leases {
-		claims := l.Line
+		claims := l.Queue
 		if l.Grant != nil {
 			claims = append(claims, l.Grant.Claim)
 		}
@@ -141,8 +141,8 @@
 			if c.Holder != dead {
 				continue
 			}
-			err := f.client.Release(in, l.Name, registry.ReleaseRequest{ID: c.ID, Holder: dead})
-			if err != nil && !errors.Is(err, registry.ErrUnknown) {
+			err := f.client.Release(in, l.Name, registry.ReleaseRequest{ClaimID: c.ID, Holder: dead})
+			if err != nil && !errors.Is(err, registry.ErrNotFound) {
 				slog.Warn("members: a claim of a keeper that has ended goes on", "lease", l.Name, "keeper", s.Name, "err", err)
 				continue
 			}
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -62,10 +62,10 @@
 	var version uint64
 	if was, err := r.Record(ctx, HealthKey(h.shard)); err == nil {
 		version = was.Version
-	} else if !errors.Is(err, registry.ErrUnknown) {
+	} else if !errors.Is(err, registry.ErrNotFound) {
 		return fmt.Errorf("advice: %w", err)
 	}
-	look := func(e registry.Entry) error {
+	look := func(e registry.Registration) error {
 		var met error
 		if err := term.Do(ctx, timeout, func(ctx context.Context) error { met = probe(ctx, c, e.Dial); return nil }); err != nil {
 			return err
@@ -84,20 +84,20 @@
 	}
 	for {
 		began := time.Now()
-		list, err := r.Entries(ctx)
+		list, err := r.Registrations(ctx)
 		if err != nil {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
 			slog.Warn("health: the list cannot be read", "lease", term.Name(), "err", err)
 		}
-		list.Entries = slices.DeleteFunc(list.Entries, func(e registry.Entry) bool { return !h.mine(e.Host) })
+		list.Registrations = slices.DeleteFunc(list.Registrations, func(e registry.Registration) bool { return !h.mine(e.Host) })
 		maps.DeleteFunc(failing, func(host string, _ Advice) bool {
-			return err == nil && !slices.ContainsFunc(list.Entries, func(e registry.Entry) bool { return e.Host == host })
+			return err == nil && !slices.ContainsFunc(list.Registrations, func(e registry.Registration) bool { return e.Host == host })
 		})
-		for i, e := range list.Entries {
+		for i, e := range list.Registrations {
 			// Spread over the whole time, so that no two servers are asked at once.
-			if err := h.wait(ctx, began.Add(every*time.Duration(i)/time.Duration(len(list.Entries))), list.Entries, look); err != nil {
+			if err := h.wait(ctx, began.Add(every*time.Duration(i)/time.Duration(len(list.Registrations))), list.Registrations, look); err != nil {
 				return err
 			}
 			if err := look(e); err != nil {
@@ -113,7 +113,7 @@
 			written = key
 			slog.Info("health: advice", "lease", term.Name(), "token", term.Token(), "failing", slices.Sorted(maps.Keys(advice)))
 		}
-		if err := h.wait(ctx, began.Add(every), list.Entries, look); err != nil {
+		if err := h.wait(ctx, began.Add(every), list.Registrations, look); err != nil {
 			return err
 		}
 	}
@@ -124,11 +124,11 @@
 
 // wait waits for a server's turn. Meanwhile servers that some member of the fleet has not
 // heard from are looked at out of turn, each once as long as that word lasts.
-func (h *health) wait(ctx context.Context, until time.Time, all []registry.Entry, look func(registry.Entry) error) error {
-	found := func(host string) (registry.Entry, bool) {
-		i := slices.IndexFunc(all, func(e registry.Entry) bool { return e.Host == host })
+func (h *health) wait(ctx context.Context, until time.Time, all []registry.Registration, look func(registry.Registration) error) error {
+	found := func(host string) (registry.Registration, bool) {
+		i := slices.IndexFunc(all, func(e registry.Registration) bool { return e.Host == host })
 		if i < 0 {
-			return registry.Entry{}, false
+			return registry.Registration{}, false
 		}
 		return all[i], true
 	}
@@ -145,8 +145,8 @@
 			h.asked[host] = true
 			e, ok := found(host)
 			if !ok { // it may have come since the list was read
-				if list, err := h.client.Entries(ctx); err == nil {
-					all = list.Entries
+				if list, err := h.client.Registrations(ctx); err == nil {
+					all = list.Registrations
 				}
 				if e, ok = found(host); !ok {
 					continue
--- a/internal/controller/keeper.go
+++ b/internal/controller/keeper.go
@@ -43,9 +43,9 @@
 	client *client.Client
 	member *lease.Member
 	tasks  []Task
-	news   chan registry.LeasesAnswer // the latest alone
-	fleet  *fleet                     // what its membership tells; nil: it has none
-	looked chan struct{}              // the members have changed
+	news   chan registry.LeasesResponse // the latest alone
+	fleet  *fleet                       // what its membership tells; nil: it has none
+	looked chan struct{}                // the members have changed
 
 	mu   sync.Mutex
 	held map[string]*lease.Term
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &Keeper{name: c.Name, ttl: c.lease(), client: r.Via(c.Routes), held: make(map[string]*lease.Term), news: make(chan registry.LeasesAnswer, 1), looked: make(chan struct{}, 1)}
+	k := &Keeper{name: c.Name, ttl: c.lease(), client: r.WithAddressMap(c.Routes), held: make(map[string]*lease.Term), news: make(chan registry.LeasesResponse, 1), looked: make(chan struct{}, 1)}
 	k.member = lease.NewMember(lease.Options{
 		Registry: r, TTL: k.ttl, News: k.hear,
 		// The start's time tells the later of two processes. It decides nothing between
@@ -74,7 +74,7 @@
 }
 
 // hear keeps the latest news for the loop.
-func (k *Keeper) hear(news registry.LeasesAnswer) {
+func (k *Keeper) hear(news registry.LeasesResponse) {
 	select {
 	case <-k.news:
 	default:
@@ -114,7 +114,7 @@
 	running := make(map[string]context.CancelFunc)
 	var all sync.WaitGroup
 	defer all.Wait()
-	var news registry.LeasesAnswer
+	var news registry.LeasesResponse
 	tick := time.NewTicker(k.ttl / 2) // what has settled is nobody's news
 	defer tick.Stop()
 	for {
@@ -154,7 +154,7 @@
 				delete(running, t.Lease)
 			case holds:
 				var waiting []string
-				for _, c := range leases[t.Lease].Line {
+				for _, c := range leases[t.Lease].Queue {
 					if k.fleet.answers(c.Holder) {
 						waiting = append(waiting, c.Name)
 					}
@@ -238,7 +238,7 @@
 	return f.PutFenced(ctx, key, value, ifVersion, f.term.Fence())
 }
 
-func (f fenced) Mark(ctx context.Context, m registry.MarkRequest) (registry.WriteAnswer, error) {
+func (f fenced) Mark(ctx context.Context, m registry.MarkRequest) (registry.WriteResponse, error) {
 	m.Fence = f.term.Fence()
 	return f.Client.Mark(ctx, m)
 }
--- a/internal/controller/keeper_test.go
+++ b/internal/controller/keeper_test.go
@@ -52,7 +52,7 @@
 	ln, raft := listen(), listen()
 	text, err := json.Marshal(map[string]any{
 		"group": name, "id": "r", "data": t.TempDir(), "timing": map[string]any{"election_ms": 100}, "leases": map[string]any{"most_ttl_ms": 1000},
-		"replicas": []registry.Member{{ID: "r", HTTP: ln.Addr().String(), Raft: raft.Addr().String()}},
+		"replicas": []registry.ReplicaInfo{{ID: "r", HTTP: ln.Addr().String(), Raft: raft.Addr().String()}},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -269,7 +269,7 @@
 // A copy that a keeper made is restored into a new group.
 func TestCopyIsRestored(t *testing.T) {
 	addr, c := startGroup(t, "g")
-	i := registry.Instance{Host: "s-1", Dial: "127.0.0.1:1", Site: "a", Health: registry.Up, Share: 1}
+	i := registry.Instance{Host: "s-1", Dial: "127.0.0.1:1", Site: "a", Health: registry.HealthUp, Share: 1}
 	if _, err := c.Register(t.Context(), registry.RegisterRequest{Instance: i}); err != nil {
 		t.Fatal(err)
 	}
@@ -286,9 +286,9 @@
 	if err := other.Restore(t.Context(), text); err != nil {
 		t.Fatal(err)
 	}
-	got, err := other.Entries(t.Context())
-	if err != nil || len(got.Entries) != 1 || got.Entries[0].Host != "s-1" {
-		t.Errorf("restored: %+v, %v", got.Entries, err)
+	got, err := other.Registrations(t.Context())
+	if err != nil || len(got.Registrations) != 1 || got.Registrations[0].Host != "s-1" {
+		t.Errorf("restored: %+v, %v", got.Registrations, err)
 	}
 }
 
@@ -301,7 +301,7 @@
 		t.Fatal(err)
 	}
 	for _, s := range [][2]string{{"s-1", "m-1"}, {"s-2", "m-2"}} {
-		i := registry.Instance{Host: s[0], Dial: "127.0.0.1:1", Site: "a", Health: registry.Up, Share: 1}
+		i := registry.Instance{Host: s[0], Dial: "127.0.0.1:1", Site: "a", Health: registry.HealthUp, Share: 1}
 		if _, err := c.Register(t.Context(), registry.RegisterRequest{Instance: i, Machine: s[1]}); err != nil {
 			t.Fatal(err)
 		}
@@ -336,7 +336,7 @@
 		t.Errorf("an operator beside the keepers: %v", err)
 	}
 	eventually(t, "its servers are marked", func() bool {
-		got, err := c.Entries(t.Context())
+		got, err := c.Registrations(t.Context())
 		return err == nil && got.Marks["s-1"] != ""
 	})
 	leave[first]() // the sidecars count as told after 6 s: it is far from done
@@ -365,7 +365,7 @@
 	if err := w.Undrain(t.Context(), "m-1"); err != nil {
 		t.Errorf("taken back from the keepers: %v", err)
 	}
-	if got, err := c.Entries(t.Context()); err != nil || len(got.Marks) != 0 {
+	if got, err := c.Registrations(t.Context()); err != nil || len(got.Marks) != 0 {
 		t.Errorf("marks are left: %v, %v", got.Marks, err)
 	}
 }
@@ -386,7 +386,7 @@
 			}
 		}))
 		t.Cleanup(s.Close)
-		in := registry.Instance{Host: name, Dial: s.Listener.Addr().String(), Site: "a", Health: registry.Up, Share: 1}
+		in := registry.Instance{Host: name, Dial: s.Listener.Addr().String(), Site: "a", Health: registry.HealthUp, Share: 1}
 		if _, err := c.Register(t.Context(), registry.RegisterRequest{Instance: in}); err != nil {
 			t.Fatal(err)
 		}
@@ -410,8 +410,8 @@
 	if a := bad["s-3"]; len(bad) != 1 || a.Failures < 2 || a.SinceMS == 0 || !strings.Contains(a.Said, "503") {
 		t.Errorf("advice: %+v", bad)
 	}
-	if list, err := c.Entries(t.Context()); err != nil || len(list.Entries) != 6 {
-		t.Errorf("%d servers are left, %v", len(list.Entries), err)
+	if list, err := c.Registrations(t.Context()); err != nil || len(list.Registrations) != 6 {
+		t.Errorf("%d servers are left, %v", len(list.Registrations), err)
 	}
 	eventually(t, "all are probed", func() bool {
 		mu.Lock()
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -71,7 +71,7 @@
 		return err
 	}
 	was, err := t.client.Record(ctx, overload.Record)
-	if err != nil && !errors.Is(err, registry.ErrUnknown) {
+	if err != nil && !errors.Is(err, registry.ErrNotFound) {
 		return fmt.Errorf("overload: where it listens is not written: %w", err)
 	}
 	if _, err := t.client.PutFenced(ctx, overload.Record, text, &was.Version, term.Fence()); err != nil {
--- a/internal/controller/policy.go
+++ b/internal/controller/policy.go
@@ -42,12 +42,12 @@
 		if !any {
 			continue
 		}
-		switch _, err := t.client.Policy(ctx, step, term.Fence()); {
+		switch _, err := t.client.ApplyPolicyStep(ctx, step, term.Fence()); {
 		case ctx.Err() != nil:
 			return ctx.Err()
 		case errors.Is(err, registry.ErrFenced):
 			return err
-		case errors.Is(err, registry.ErrConflict), errors.Is(err, registry.ErrUnknown):
+		case errors.Is(err, registry.ErrConflict), errors.Is(err, registry.ErrNotFound):
 			slog.Debug("policy: what was read is out of date", "step", step.Verb, "err", err)
 		case err != nil:
 			slog.Warn("policy: a step was not taken", "step", step.Verb, "change", step.Number, "token", term.Token(), "err", err)
@@ -69,7 +69,7 @@
 					continue
 				}
 				slog.Warn("policy: a sidecar's process has gone", "sidecar", seat.Name, "pid", seat.Where.PID)
-				if _, err := c.Policy(ctx, rollout.Command{Verb: rollout.Leave, Member: seat.Member}, nil); err != nil {
+				if _, err := c.ApplyPolicyStep(ctx, rollout.Command{Verb: rollout.Leave, Member: seat.Member}, nil); err != nil {
 					slog.Warn("policy: its seat is not given up", "sidecar", seat.Name, "err", err)
 				}
 			}
--- a/internal/drain/config.go
+++ b/internal/drain/config.go
@@ -84,14 +84,14 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	r.Within(answerIn)
+	r.WithTimeout(answerIn)
 	return c.With(r, owner, poll, say), r.Close, nil
 }
 
 // Client is what the workflow needs of a registry's client.
 type Client interface {
 	Registry
-	Statuses(ctx context.Context) (got []registry.StatusAnswer, all bool)
+	Statuses(ctx context.Context) (got []registry.StatusResponse, all bool)
 }
 
 // With makes the workflow for the real site over a client of the caller's.
@@ -99,7 +99,7 @@
 	var views []string
 	for _, replica := range c.Registry {
 		if c.Members {
-			views = append(views, "http://"+replica+registry.WritePath+membership.Path)
+			views = append(views, "http://"+replica+registry.APIPath+membership.Path)
 		}
 	}
 	return &Workflow{
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -69,10 +69,10 @@
 
 // Registry is what the workflow needs of the list.
 type Registry interface {
-	Entries(ctx context.Context) (registry.EntriesAnswer, error)
+	Registrations(ctx context.Context) (registry.RegistrationsResponse, error)
 	Record(ctx context.Context, key string) (registry.Record, error)
 	Put(ctx context.Context, key string, value []byte, ifVersion *uint64) (uint64, error)
-	Mark(ctx context.Context, m registry.MarkRequest) (registry.WriteAnswer, error)
+	Mark(ctx context.Context, m registry.MarkRequest) (registry.WriteResponse, error)
 }
 
 // Fleet is what the workflow needs to know of the world, and to do in it.
@@ -80,7 +80,7 @@
 	// Told says whether all sidecars hold a version of the list; since is when it came.
 	Told(ctx context.Context, seq uint64, since time.Time) (bool, error)
 	// Idle says whether a server, marked at that time, has no work any more.
-	Idle(ctx context.Context, server registry.Entry, since time.Time) (bool, error)
+	Idle(ctx context.Context, server registry.Registration, since time.Time) (bool, error)
 	// Stop stops a server's processes. It may be called again for one that is stopped.
 	Stop(ctx context.Context, machine, host string) error
 	// Members names the machine's processes that have not ended for sure. waits says whether
@@ -141,7 +141,7 @@
 func (w *Workflow) load(ctx context.Context) (drains, error) {
 	d := drains{all: make(map[string]Drain)}
 	r, err := w.Registry.Record(ctx, RecordKey)
-	if errors.Is(err, registry.ErrUnknown) {
+	if errors.Is(err, registry.ErrNotFound) {
 		return d, nil
 	} else if err != nil {
 		return d, err
@@ -230,14 +230,14 @@
 
 // plan checks a drain against the list and the other drains.
 func (w *Workflow) plan(ctx context.Context, machine string, d drains) (Plan, error) {
-	list, err := w.Registry.Entries(ctx)
+	list, err := w.Registry.Registrations(ctx)
 	if err != nil {
 		return Plan{}, err
 	}
 	p := Plan{Machine: machine}
 	zones, ready := make(map[string]int), make(map[string]int)
 	known := make(map[string]bool)
-	for _, e := range list.Entries {
+	for _, e := range list.Registrations {
 		known[e.Machine] = true
 		if e.Machine == machine {
 			p.Hosts = append(p.Hosts, e.Host)
@@ -247,7 +247,7 @@
 			}
 		}
 		other := d.all[e.Machine]
-		if e.Health == registry.Up && (other.Step == "" || e.Machine == machine) {
+		if e.Health == registry.HealthUp && (other.Step == "" || e.Machine == machine) {
 			ready[e.Site]++
 			if e.Machine == machine {
 				zones[e.Site]++
@@ -423,18 +423,18 @@
 // mark marks the machine's servers, those that have come since among them, while
 // the claim is ours: the registry checks that in the same command.
 func (w *Workflow) mark(ctx context.Context, own Drain) (Drain, error) {
-	list, err := w.Registry.Entries(ctx)
+	list, err := w.Registry.Registrations(ctx)
 	if err != nil {
 		return own, err
 	}
 	hosts := slices.Clone(own.Hosts)
-	for _, e := range list.Entries {
+	for _, e := range list.Registrations {
 		if e.Machine == own.Machine && !slices.Contains(hosts, e.Host) {
 			hosts = append(hosts, e.Host)
 		}
 	}
 	hosts = slices.DeleteFunc(hosts, func(h string) bool { // one that has left needs no mark
-		return !slices.ContainsFunc(list.Entries, func(e registry.Entry) bool { return e.Host == h }) && list.Marks[h] == ""
+		return !slices.ContainsFunc(list.Registrations, func(e registry.Registration) bool { return e.Host == h }) && list.Marks[h] == ""
 	})
 	slices.Sort(hosts)
 	for {
@@ -443,10 +443,10 @@
 			return own, err
 		}
 		own = next
-		var a registry.WriteAnswer
+		var a registry.WriteResponse
 		if len(hosts) > 0 {
 			a, err = w.Registry.Mark(ctx, registry.MarkRequest{
-				Hosts: hosts, By: by(own.Machine), Draining: true, Record: RecordKey, RecordAt: d.version,
+				Hosts: hosts, MarkedBy: by(own.Machine), Draining: true, IfRecord: RecordKey, IfRecordVersion: d.version,
 			})
 			if errors.Is(err, registry.ErrConflict) && !w.marked(ctx, own) {
 				// Either another drain has moved on in the same record, or somebody else
@@ -460,7 +460,7 @@
 			}
 		}
 		if a.Seq == 0 { // nobody is left to mark, or it had been done: the list of now has it
-			if list, err = w.Registry.Entries(ctx); err != nil {
+			if list, err = w.Registry.Registrations(ctx); err != nil {
 				return own, err
 			}
 			a.Seq = list.Seq
@@ -474,13 +474,13 @@
 
 // marked says whether all its servers are marked by this drain already.
 func (w *Workflow) marked(ctx context.Context, own Drain) bool {
-	list, err := w.Registry.Entries(ctx)
+	list, err := w.Registry.Registrations(ctx)
 	return err == nil && !slices.ContainsFunc(own.Hosts, func(h string) bool { return list.Marks[h] != by(own.Machine) })
 }
 
 // foreign returns an error if somebody else has marked one of the servers.
 func (w *Workflow) foreign(ctx context.Context, hosts []string, machine string) error {
-	list, err := w.Registry.Entries(ctx)
+	list, err := w.Registry.Registrations(ctx)
 	if err != nil {
 		return err
 	}
@@ -522,11 +522,11 @@
 	if err != nil || !told {
 		return false, err
 	}
-	list, err := w.Registry.Entries(ctx)
+	list, err := w.Registry.Registrations(ctx)
 	if err != nil {
 		return false, err
 	}
-	for _, e := range list.Entries {
+	for _, e := range list.Registrations {
 		if e.Machine != own.Machine {
 			continue
 		}
@@ -571,7 +571,7 @@
 	}); err != nil {
 		return err
 	}
-	list, err := w.Registry.Entries(ctx)
+	list, err := w.Registry.Registrations(ctx)
 	if err != nil {
 		return err
 	}
@@ -582,7 +582,7 @@
 		}
 	}
 	if slices.Sort(hosts); len(hosts) > 0 {
-		if _, err := w.Registry.Mark(ctx, registry.MarkRequest{Hosts: hosts, By: by(machine)}); err != nil {
+		if _, err := w.Registry.Mark(ctx, registry.MarkRequest{Hosts: hosts, MarkedBy: by(machine)}); err != nil {
 			return err
 		}
 	}
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -33,9 +33,9 @@
 }
 
 func newWorld(t *testing.T) *world {
-	w := &world{t: t, state: registry.New(), now: time.UnixMilli(1_800_000_000_000), work: make(map[string]int), stops: make(map[string]int)}
+	w := &world{t: t, state: registry.NewState(), now: time.UnixMilli(1_800_000_000_000), work: make(map[string]int), stops: make(map[string]int)}
 	w.floor = Floor{Zones: map[string]int{"a": 2}, Others: 1}
-	w.apply(registry.Command{Op: registry.Found, Group: "test"})
+	w.apply(registry.Command{Op: registry.OpFoundGroup, Group: "test"})
 	for _, s := range [][3]string{{"s-1", "m-1", "a"}, {"s-2", "m-1", "a"}, {"s-3", "m-2", "a"}, {"s-4", "m-2", "a"}, {"s-5", "m-3", "a"}, {"s-6", "m-4", "b"}} {
 		w.register(s[0], s[1], s[2])
 	}
@@ -45,23 +45,23 @@
 
 func (w *world) register(host, machine, zone string) {
 	w.work[host] = 2
-	w.apply(registry.Command{Op: registry.Register, Machine: machine, Instance: &registry.Instance{
-		Host: host, Dial: "127.0.0.1:7070", Site: zone, Health: registry.Up, Share: 1,
+	w.apply(registry.Command{Op: registry.OpRegister, Machine: machine, Instance: &registry.Instance{
+		Host: host, Dial: "127.0.0.1:7070", Site: zone, Health: registry.HealthUp, Share: 1,
 	}})
 }
 
 func (w *world) apply(c registry.Command) registry.Result {
 	c.AtMS = w.now.UnixMilli()
 	r := w.state.Apply(c)
-	if ready := w.ready("a"); w.state.Len() > 1 && ready < w.floor.of("a") && c.Op == registry.Mark {
+	if ready := w.ready("a"); w.state.Len() > 1 && ready < w.floor.of("a") && c.Op == registry.OpMark {
 		w.t.Errorf("zone a has %d ready servers, its floor is %d", ready, w.floor.of("a"))
 	}
 	return r
 }
 
 func (w *world) ready(zone string) (n int) {
-	for _, e := range w.state.Entries() {
-		if e.Site == zone && e.Health == registry.Up {
+	for _, e := range w.state.Registrations() {
+		if e.Site == zone && e.Health == registry.HealthUp {
 			n++
 		}
 	}
@@ -88,8 +88,8 @@
 			o.now = o.now.Add(d)
 			if !o.slow {
 				o.held = o.state.Seq()
-				for _, e := range o.state.Entries() {
-					if e.Health == registry.Draining && o.work[e.Host] > 0 {
+				for _, e := range o.state.Registrations() {
+					if e.Health == registry.HealthDraining && o.work[e.Host] > 0 {
 						o.work[e.Host]--
 					}
 				}
@@ -119,9 +119,9 @@
 	return nil
 }
 
-func (o *operator) Entries(context.Context) (a registry.EntriesAnswer, err error) {
+func (o *operator) Registrations(context.Context) (a registry.RegistrationsResponse, err error) {
 	err = o.call(func() {
-		a = registry.EntriesAnswer{Seq: o.state.Seq(), Entries: o.state.Entries(), Marks: o.state.Marks()}
+		a = registry.RegistrationsResponse{Seq: o.state.Seq(), Registrations: o.state.Registrations(), Marks: o.state.Marks()}
 	})
 	return a, err
 }
@@ -129,7 +129,7 @@
 func (o *operator) Record(_ context.Context, key string) (r registry.Record, err error) {
 	ok := false
 	if err = o.call(func() { r, ok = o.state.Record(key) }); err == nil && !ok {
-		err = registry.ErrUnknown
+		err = registry.ErrNotFound
 	}
 	return r, err
 }
@@ -137,21 +137,21 @@
 func (o *operator) Put(_ context.Context, key string, value []byte, ifVersion *uint64) (uint64, error) {
 	var r registry.Result
 	if err := o.call(func() {
-		r = o.apply(registry.Command{Op: registry.Put, Key: key, Value: value, IfVersion: ifVersion})
+		r = o.apply(registry.Command{Op: registry.OpPutRecord, Key: key, Value: value, IfVersion: ifVersion})
 	}); err != nil {
 		return 0, err
 	}
 	return r.Version, r.Err
 }
 
-func (o *operator) Mark(_ context.Context, m registry.MarkRequest) (registry.WriteAnswer, error) {
+func (o *operator) Mark(_ context.Context, m registry.MarkRequest) (registry.WriteResponse, error) {
 	var r registry.Result
 	if err := o.call(func() {
-		r = o.apply(registry.Command{Op: registry.Mark, MustMark: m.Hosts, By: m.By, Draining: m.Draining, Record: m.Record, RecordAt: m.RecordAt})
+		r = o.apply(registry.Command{Op: registry.OpMark, Hosts: m.Hosts, MarkedBy: m.MarkedBy, Draining: m.Draining, IfRecord: m.IfRecord, IfRecordVersion: m.IfRecordVersion})
 	}); err != nil {
-		return registry.WriteAnswer{}, err
+		return registry.WriteResponse{}, err
 	}
-	return registry.WriteAnswer{Version: r.Version, Seq: r.Seq}, r.Err
+	return registry.WriteResponse{Version: r.Version, Seq: r.Seq}, r.Err
 }
 
 func (o *operator) Told(_ context.Context, seq uint64, _ time.Time) (told bool, err error) {
@@ -159,7 +159,7 @@
 	return told, err
 }
 
-func (o *operator) Idle(_ context.Context, server registry.Entry, _ time.Time) (idle bool, err error) {
+func (o *operator) Idle(_ context.Context, server registry.Registration, _ time.Time) (idle bool, err error) {
 	err = o.call(func() { idle = o.work[server.Host] == 0 })
 	return idle, err
 }
@@ -174,8 +174,8 @@
 
 func (o *operator) Stop(_ context.Context, _, host string) error {
 	return o.call(func() {
-		e, _ := o.state.Entry(host)
-		if e.Health != registry.Draining || o.work[host] > 0 || o.held < e.Version {
+		e, _ := o.state.Registration(host)
+		if e.Health != registry.HealthDraining || o.work[host] > 0 || o.held < e.Version {
 			o.t.Errorf("%s is stopped: %s, with %d to do, and sidecars hold %d of %d", host, e.Health, o.work[host], o.held, e.Version)
 		}
 		o.stops[host]++
@@ -187,12 +187,12 @@
 // drained checks that a machine is wholly out, or (in) wholly in service.
 func (w *world) check(what string, machine string, out bool) {
 	w.t.Helper()
-	for _, e := range w.state.Entries() {
+	for _, e := range w.state.Registrations() {
 		if e.Machine != machine {
 			continue
 		}
 		marked := w.state.Marks()[e.Host] != ""
-		if marked != out || (e.Health == registry.Draining) != out || (out && w.stops[e.Host] == 0) {
+		if marked != out || (e.Health == registry.HealthDraining) != out || (out && w.stops[e.Host] == 0) {
 			w.t.Errorf("%s: %s is %s, marked %v, stopped %d times; want out of service: %v", what, e.Host, e.Health, marked, w.stops[e.Host], out)
 		}
 	}
@@ -484,42 +484,42 @@
 		"an unknown machine": {"m-9", "has no servers in the list; it has those of m-1, m-2", nil},
 		"the floor":          {"m-4", "zone b would have 0 ready servers, its floor is 1", nil},
 		"marked by hand": {"m-1", "is marked by ops-a", func(w *world) {
-			w.apply(registry.Command{Op: registry.Mark, Host: "s-1", By: "ops-a", Draining: true})
+			w.apply(registry.Command{Op: registry.OpMark, Host: "s-1", MarkedBy: "ops-a", Draining: true})
 		}},
 		"an unreadable record": {"m-1", "cannot be read", func(w *world) {
-			w.apply(registry.Command{Op: registry.Put, Key: RecordKey, Value: []byte("{")})
+			w.apply(registry.Command{Op: registry.OpPutRecord, Key: RecordKey, Value: []byte("{")})
 		}},
 	} {
 		w := newWorld(t)
 		if x.prepare != nil {
 			x.prepare(w)
 		}
-		marks, seq := fmt.Sprint(w.state.Marks(), len(w.state.Records())), w.state.Seq()
+		marks, seq := fmt.Sprint(w.state.Marks(), len(w.state.RecordKeys())), w.state.Seq()
 		err := w.operator("ops-b").workflow().Drain(t.Context(), x.machine)
 		if err == nil || !strings.Contains(err.Error(), x.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, want one line with %q", name, err, x.want)
 		}
-		if fmt.Sprint(w.state.Marks(), len(w.state.Records())) != marks || w.state.Seq() != seq {
+		if fmt.Sprint(w.state.Marks(), len(w.state.RecordKeys())) != marks || w.state.Seq() != seq {
 			t.Errorf("%s: something was changed", name)
 		}
 	}
 	w := newWorld(t)
 	p, err := w.operator("ops-a").workflow().Plan(t.Context(), "m-1")
-	if err != nil || len(p.Hosts) != 2 || len(p.Zones) != 1 || p.Zones[0] != (Remains{"a", 5, 3, 2}) || len(w.state.Records()) > 0 {
+	if err != nil || len(p.Hosts) != 2 || len(p.Zones) != 1 || p.Zones[0] != (Remains{"a", 5, 3, 2}) || len(w.state.RecordKeys()) > 0 {
 		t.Errorf("a plan: %+v, %v", p, err)
 	}
 }
 
 func TestSite(t *testing.T) {
 	begin := time.Unix(1_800_000_000, 0)
-	var got []registry.StatusAnswer
+	var got []registry.StatusResponse
 	all, now := true, begin
 	s := &Site{
-		Statuses: func(context.Context) ([]registry.StatusAnswer, bool) { return got, all },
+		Statuses: func(context.Context) ([]registry.StatusResponse, bool) { return got, all },
 		Sidecars: 3, Longest: 6 * time.Second, Now: func() time.Time { return now },
 	}
 	told := func() bool { ok, err := s.Told(t.Context(), 10, begin); return ok && err == nil }
-	got = []registry.StatusAnswer{{Watches: 2, WatchSeq: 10}, {Watches: 1, WatchSeq: 12}}
+	got = []registry.StatusResponse{{Watches: 2, WatchSeq: 10}, {Watches: 1, WatchSeq: 12}}
 	if !told() {
 		t.Error("all hold it")
 	}
@@ -543,7 +543,7 @@
 		fmt.Fprint(w, report)
 	})}
 	go server.Serve(ln)
-	e := registry.Entry{Instance: registry.Instance{Dial: ln.Addr().String()}}
+	e := registry.Registration{Instance: registry.Instance{Dial: ln.Addr().String()}}
 	idle := func() bool { ok, err := s.Idle(t.Context(), e, begin); return ok && err == nil }
 	for text, want := range map[string]bool{
 		"TEXT inflight=0, queue=0, util=0": true, "inflight=1, queue=0": false, "queue=0, util=0.5, qps=3": false,
--- a/internal/drain/fleet.go
+++ b/internal/drain/fleet.go
@@ -28,7 +28,7 @@
 
 // Statuses asks every replica of the registry how it stands; one that cannot be
 // reached is left out, and all says whether none was.
-type Statuses func(ctx context.Context) (got []registry.StatusAnswer, all bool)
+type Statuses func(ctx context.Context) (got []registry.StatusResponse, all bool)
 
 // Site is the real fleet: the registry's watches, the booking servers' load
 // reports, and a command that stops a server's processes.
@@ -94,7 +94,7 @@
 
 // Idle asks a server for its load. One that cannot be reached any more has none; one
 // that does not report has none when nobody can wait for an answer any longer.
-func (s *Site) Idle(ctx context.Context, server registry.Entry, since time.Time) (bool, error) {
+func (s *Site) Idle(ctx context.Context, server registry.Registration, since time.Time) (bool, error) {
 	within, cancel := context.WithTimeout(ctx, askIn)
 	defer cancel()
 	req, err := http.NewRequestWithContext(within, http.MethodGet, "http://"+server.Dial+"/stats", nil)
--- a/internal/lease/member.go
+++ b/internal/lease/member.go
@@ -20,10 +20,10 @@
 
 // Registry is what a member needs of it; client.Client is one.
 type Registry interface {
-	Acquire(ctx context.Context, name string, r registry.AcquireRequest) (registry.ClaimAnswer, error)
-	RenewClaims(ctx context.Context, r registry.RenewalsRequest) (registry.RenewalsAnswer, error)
+	Acquire(ctx context.Context, name string, r registry.AcquireRequest) (registry.ClaimStatus, error)
+	RenewClaims(ctx context.Context, r registry.RenewClaimsRequest) (registry.RenewClaimsResponse, error)
 	Release(ctx context.Context, name string, r registry.ReleaseRequest) error
-	Leases(ctx context.Context, after uint64, wait time.Duration) (registry.LeasesAnswer, error)
+	Leases(ctx context.Context, after uint64, wait time.Duration) (registry.LeasesResponse, error)
 }
 
 const (
@@ -39,7 +39,7 @@
 	Holder   registry.Holder
 	TTL      time.Duration
 	Clock    func() time.Duration // nil: Boottime
-	News     func(registry.LeasesAnswer)
+	News     func(registry.LeasesResponse)
 }
 
 // Boottime reads a clock that neither steps nor stops while the machine sleeps: a
@@ -166,12 +166,12 @@
 }
 
 // learn says whether the news make a renewal worth while.
-func (m *Member) learn(news registry.LeasesAnswer) bool {
+func (m *Member) learn(news registry.LeasesResponse) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, l := range news.Leases {
 		if g := l.Grant; g != nil {
-			if t := m.all[g.ID]; t != nil && (t.tenure.Token() == 0 || l.Leave) {
+			if t := m.all[g.ID]; t != nil && (t.tenure.Token() == 0 || l.YieldRequested) {
 				return true
 			}
 		}
@@ -189,16 +189,16 @@
 // renew gives a sign of life for all claims.
 func (m *Member) renew(ctx context.Context) {
 	m.mu.Lock()
-	claims := make([]registry.ClaimEnd, 0, len(m.all))
+	claims := make([]registry.ClaimRef, 0, len(m.all))
 	for id, t := range m.all {
-		claims = append(claims, registry.ClaimEnd{Name: t.tenure.Name, Claim: id})
+		claims = append(claims, registry.ClaimRef{Lease: t.tenure.Name, ClaimID: id})
 	}
 	m.mu.Unlock()
-	slices.SortFunc(claims, func(a, b registry.ClaimEnd) int { return cmp.Compare(a.Claim, b.Claim) })
-	for part := range slices.Chunk(claims, registry.MostRenewals) {
+	slices.SortFunc(claims, func(a, b registry.ClaimRef) int { return cmp.Compare(a.ClaimID, b.ClaimID) })
+	for part := range slices.Chunk(claims, registry.MaxRenewals) {
 		in, cancel := context.WithTimeout(ctx, m.TTL/2)
 		sent := m.Clock() // before the call: however late it comes, the leader counts from later
-		a, err := m.Registry.RenewClaims(in, registry.RenewalsRequest{Holder: m.Holder, Claims: part})
+		a, err := m.Registry.RenewClaims(in, registry.RenewClaimsRequest{Holder: m.Holder, Claims: part})
 		cancel()
 		if err != nil {
 			if ctx.Err() == nil {
@@ -209,7 +209,7 @@
 		m.mu.Lock()
 		now := m.Clock()
 		for _, c := range a.Claims {
-			if t := m.all[c.Claim]; t != nil && t.tenure.Name == c.Name {
+			if t := m.all[c.ClaimID]; t != nil && t.tenure.Name == c.Lease {
 				t.tenure.Renewed(c, sent, now)
 				t.note()
 			}
@@ -236,7 +236,7 @@
 			return ctx.Err()
 		case held && err == nil:
 			return nil
-		case errors.Is(err, registry.ErrBad), errors.Is(err, registry.ErrFull):
+		case errors.Is(err, registry.ErrInvalid), errors.Is(err, registry.ErrLimitReached):
 			return fmt.Errorf("lease %s: %w", name, err)
 		case err != nil:
 			slog.Warn("lease: once more", "lease", name, "holder", m.Holder.Name, "err", err)
@@ -349,13 +349,13 @@
 	m.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseIn)
 	defer cancel()
-	r := registry.ReleaseRequest{ID: t.tenure.ID, Holder: m.Holder, To: to}
+	r := registry.ReleaseRequest{ClaimID: t.tenure.ID, Holder: m.Holder, NextHolder: to}
 	err := m.Registry.Release(ctx, t.tenure.Name, r)
-	if to != "" && errors.Is(err, registry.ErrUnknown) { // it has gone meanwhile: whoever waits longest has it next
-		r.To = ""
+	if to != "" && errors.Is(err, registry.ErrNotFound) { // it has gone meanwhile: whoever waits longest has it next
+		r.NextHolder = ""
 		err = m.Registry.Release(ctx, t.tenure.Name, r)
 	}
-	if err != nil && !errors.Is(err, registry.ErrUnknown) {
+	if err != nil && !errors.Is(err, registry.ErrNotFound) {
 		slog.Debug("lease: not released, its time will be up", "lease", t.tenure.Name, "err", err)
 	}
 }
--- a/internal/lease/member_test.go
+++ b/internal/lease/member_test.go
@@ -18,7 +18,7 @@
 type group struct {
 	mu    sync.Mutex
 	state *registry.State
-	clock *registry.LeaseClock
+	clock *registry.ClaimTracker
 	cut   map[string]string // by holder: "out" loses calls, "back" loses answers
 }
 
@@ -28,15 +28,15 @@
 
 func newGroup(t *testing.T) *group {
 	t.Helper()
-	g := &group{state: registry.New(), clock: registry.NewLeaseClock(ttl), cut: make(map[string]string)}
-	g.apply(registry.Command{Op: registry.Found, Group: "g", AtMS: 1_700_000_000_000})
-	g.apply(registry.Command{Op: registry.LeaseOpen, Lease: new(registry.LeaseCommand)})
+	g := &group{state: registry.NewState(), clock: registry.NewClaimTracker(ttl), cut: make(map[string]string)}
+	g.apply(registry.Command{Op: registry.OpFoundGroup, Group: "g", AtMS: 1_700_000_000_000})
+	g.apply(registry.Command{Op: registry.OpOpenGrants, Lease: new(registry.LeaseCommand)})
 	return g
 }
 
 func (g *group) apply(c registry.Command) registry.Result {
 	r := g.state.Apply(c)
-	g.clock.Follow(g.state.Leases(), time.Now())
+	g.clock.Sync(g.state.Leases(), time.Now())
 	return r
 }
 
@@ -49,8 +49,8 @@
 		case <-time.After(100 * time.Millisecond):
 		}
 		g.mu.Lock()
-		ended, _ := g.clock.Due(time.Now())
-		g.apply(registry.Command{Op: registry.LeaseEnd, Lease: &registry.LeaseCommand{Ends: ended}})
+		ended, _ := g.clock.TakeExpired(time.Now())
+		g.apply(registry.Command{Op: registry.OpExpireClaims, Lease: &registry.LeaseCommand{Expired: ended}})
 		g.mu.Unlock()
 	}
 }
@@ -77,18 +77,18 @@
 	g.cut[holder] = how
 }
 
-func (g *group) Acquire(ctx context.Context, name string, r registry.AcquireRequest) (a registry.ClaimAnswer, err error) {
+func (g *group) Acquire(ctx context.Context, name string, r registry.AcquireRequest) (a registry.ClaimStatus, err error) {
 	err = g.call(ctx, r.Name, func() error {
-		got := g.apply(registry.Command{Op: registry.LeaseAcquire, Lease: &registry.LeaseCommand{Name: name, Claim: r.Claim, Wait: r.Wait}})
-		a = registry.ClaimAnswer{Name: name, Claim: r.ID, Token: got.Token, Place: got.Place}
+		got := g.apply(registry.Command{Op: registry.OpAcquireLease, Lease: &registry.LeaseCommand{Name: name, Claim: r.Claim, Wait: r.Wait}})
+		a = registry.ClaimStatus{Lease: name, ClaimID: r.ID, Token: got.Token, QueuePosition: got.QueuePosition}
 		return got.Err
 	})
 	return a, err
 }
 
-func (g *group) RenewClaims(ctx context.Context, r registry.RenewalsRequest) (a registry.RenewalsAnswer, err error) {
+func (g *group) RenewClaims(ctx context.Context, r registry.RenewClaimsRequest) (a registry.RenewClaimsResponse, err error) {
 	err = g.call(ctx, r.Name, func() error {
-		a.Claims = g.clock.Answer(g.state.Leases(), r.Holder, r.Claims, time.Now())
+		a.Claims = g.clock.RenewClaims(g.state.Leases(), r.Holder, r.Claims, time.Now())
 		return nil
 	})
 	return a, err
@@ -96,22 +96,22 @@
 
 func (g *group) Release(ctx context.Context, name string, r registry.ReleaseRequest) error {
 	return g.call(ctx, r.Name, func() error {
-		return g.apply(registry.Command{Op: registry.LeaseRelease, Lease: &registry.LeaseCommand{Name: name, Claim: registry.Claim{ID: r.ID, Holder: r.Holder}, To: r.To}}).Err
+		return g.apply(registry.Command{Op: registry.OpReleaseLease, Lease: &registry.LeaseCommand{Name: name, Claim: registry.Claim{ID: r.ClaimID, Holder: r.Holder}, NextHolder: r.NextHolder}}).Err
 	})
 }
 
-func (g *group) Leases(ctx context.Context, after uint64, wait time.Duration) (registry.LeasesAnswer, error) {
+func (g *group) Leases(ctx context.Context, after uint64, wait time.Duration) (registry.LeasesResponse, error) {
 	until := time.Now().Add(wait)
 	for {
 		g.mu.Lock()
 		all, v := g.state.Leases().List()
 		g.mu.Unlock()
 		if v > after || !time.Now().Before(until) {
-			return registry.LeasesAnswer{Version: v, Leases: all}, nil
+			return registry.LeasesResponse{Version: v, Leases: all}, nil
 		}
 		select {
 		case <-ctx.Done():
-			return registry.LeasesAnswer{}, ctx.Err()
+			return registry.LeasesResponse{}, ctx.Err()
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
@@ -207,7 +207,7 @@
 		}
 		time.Sleep(time.Second)
 		b.g.mu.Lock()
-		b.g.apply(registry.Command{Op: registry.LeaseAsk, Lease: &registry.LeaseCommand{Name: "l", Leave: true, To: "k3"}})
+		b.g.apply(registry.Command{Op: registry.OpRequestYield, Lease: &registry.LeaseCommand{Name: "l", Yield: true, NextHolder: "k3"}})
 		b.g.mu.Unlock()
 		time.Sleep(time.Second)
 		if got := b.holder(); got != "k3" {
--- a/internal/lease/model/explore.go
+++ b/internal/lease/model/explore.go
@@ -14,7 +14,7 @@
 // Key tells states apart: two with the same key have the same future. Times stand
 // relative to now and tokens relative to the last one, so that states meet again.
 func (w *World) Key(text []byte) []byte {
-	last := w.state.Leases().Token()
+	last := w.state.Leases().LastToken()
 	ids := make(map[string]int) // claims by the order in which they are met
 	id := func(claim string) int {
 		if _, ok := ids[claim]; !ok {
@@ -46,7 +46,7 @@
 		if g := l.Grant; g != nil {
 			text = fmt.Appendln(text, "held", id(g.ID), token(g.Token), g.Holder)
 		}
-		for _, c := range l.Line {
+		for _, c := range l.Queue {
 			text = fmt.Appendln(text, "waits", id(c.ID), c.Holder)
 		}
 	}
@@ -56,7 +56,7 @@
 		if m.kind != renewal && m.kind != answer || m.first {
 			ago = 0 // only what a renewal's answer carries is counted from
 		}
-		lines = append(lines, fmt.Sprintln("m", m.kind, m.holder, m.lease, id(m.claim.ID), m.claim.Incarnation, ago, token(m.token), token(m.answer.Token), m.answer.Gone, m.answer.Place > 0, m.first, m.copied))
+		lines = append(lines, fmt.Sprintln("m", m.kind, m.holder, m.lease, id(m.claim.ID), m.claim.Incarnation, ago, token(m.token), token(m.answer.Token), m.answer.Ended, m.answer.QueuePosition > 0, m.first, m.copied))
 	}
 	for _, c := range w.checks {
 		lines = append(lines, fmt.Sprintln("v", c.holder, c.lease, id(c.claim.ID), c.claim.Incarnation, w.reads(c.holder)-c.sent, w.leaderNow().Sub(c.at), w.leader-c.leader))
@@ -65,8 +65,8 @@
 	for _, l := range lines {
 		text = append(text, l...)
 	}
-	w.clock.Each(w.leaderNow(), func(k registry.ClaimEnd, line string) {
-		text = fmt.Appendln(text, k.Name, id(k.Claim), line)
+	w.clock.Visit(w.leaderNow(), func(k registry.ClaimRef, line string) {
+		text = fmt.Appendln(text, k.Lease, id(k.ClaimID), line)
 	})
 	for _, t := range w.judge.newest {
 		text = fmt.Appendln(text, token(t))
--- a/internal/lease/model/world.go
+++ b/internal/lease/model/world.go
@@ -63,7 +63,7 @@
 	claim  registry.Claim
 	sent   time.Duration // by the holder's clock
 	token  uint64        // of a write
-	answer registry.ClaimAnswer
+	answer registry.ClaimStatus
 	first  bool // the answer is to an acquire
 	copied bool
 }
@@ -81,7 +81,7 @@
 	now     time.Duration // true time
 	state   *registry.State
 	backup  []byte
-	clock   *registry.LeaseClock
+	clock   *registry.ClaimTracker
 	leader  int // counts leaders
 	holders []*holder
 	network []message
@@ -113,10 +113,10 @@
 
 // New makes a world in which grants have begun.
 func New(s Setup) *World {
-	w := &World{Setup: s, state: registry.New(), judge: judge{owners: make(map[uint64]string), newest: make([]uint64, s.Leases)}}
-	w.must(registry.Command{Op: registry.Found, Group: "g", AtMS: start.UnixMilli()})
-	w.must(registry.Command{Op: registry.LeaseOpen, Lease: new(registry.LeaseCommand)})
-	w.judge.highest = w.state.Leases().Token()
+	w := &World{Setup: s, state: registry.NewState(), judge: judge{owners: make(map[uint64]string), newest: make([]uint64, s.Leases)}}
+	w.must(registry.Command{Op: registry.OpFoundGroup, Group: "g", AtMS: start.UnixMilli()})
+	w.must(registry.Command{Op: registry.OpOpenGrants, Lease: new(registry.LeaseCommand)})
+	w.judge.highest = w.state.Leases().LastToken()
 	var err error
 	if w.backup, err = w.state.MarshalJSON(); err != nil {
 		panic(err)
@@ -182,8 +182,8 @@
 // elect puts a new leader in place, which gives every claim its full time.
 func (w *World) elect() {
 	w.leader++
-	w.clock = registry.NewLeaseClock(w.TTL)
-	w.clock.Follow(w.state.Leases(), w.leaderNow())
+	w.clock = registry.NewClaimTracker(w.TTL)
+	w.clock.Sync(w.state.Leases(), w.leaderNow())
 }
 
 func leaseName(i int) string { return fmt.Sprint("task-", i) }
@@ -283,7 +283,7 @@
 	if w.loads < w.Restores {
 		fault(1, func(w *World) {
 			w.loads++
-			w.must(registry.Command{Op: registry.Restore, Backup: w.backup})
+			w.must(registry.Command{Op: registry.OpRestore, Backup: w.backup})
 			w.expire()
 		}, "an old backup is restored")
 	}
@@ -326,18 +326,18 @@
 	name := leaseName(m.lease)
 	switch m.kind {
 	case acquire:
-		r := w.state.Apply(registry.Command{Op: registry.LeaseAcquire, Lease: &registry.LeaseCommand{Name: name, Claim: m.claim, Wait: true}})
+		r := w.state.Apply(registry.Command{Op: registry.OpAcquireLease, Lease: &registry.LeaseCommand{Name: name, Claim: m.claim, Wait: true}})
 		w.follow()
-		a := registry.ClaimAnswer{Name: name, Claim: m.claim.ID, Token: r.Token, Place: r.Place, Gone: errors.Is(r.Err, registry.ErrGone)}
+		a := registry.ClaimStatus{Lease: name, ClaimID: m.claim.ID, Token: r.Token, QueuePosition: r.QueuePosition, Ended: errors.Is(r.Err, registry.ErrClaimEnded)}
 		w.network = append(w.network, message{kind: answer, holder: m.holder, lease: m.lease, claim: m.claim, answer: a, first: true})
 	case renewal:
 		w.checks = append(w.checks, verifying{m, w.leaderNow(), w.leader})
 	case release:
-		w.state.Apply(registry.Command{Op: registry.LeaseRelease, Lease: &registry.LeaseCommand{Name: name, Claim: m.claim}})
+		w.state.Apply(registry.Command{Op: registry.OpReleaseLease, Lease: &registry.LeaseCommand{Name: name, Claim: m.claim}})
 		w.follow()
 	case write:
 		r := w.state.Apply(registry.Command{
-			Op: registry.Put, Key: name, Value: fmt.Append(nil, m.token, m.sent), Fence: &registry.Fence{Lease: name, Token: m.token},
+			Op: registry.OpPutRecord, Key: name, Value: fmt.Append(nil, m.token, m.sent), Fence: &registry.Fence{Lease: name, Token: m.token},
 		})
 		w.judge.wrote(m, r.Err)
 	case answer:
@@ -358,24 +358,24 @@
 	if c.leader != w.leader {
 		return
 	}
-	a := w.clock.Answer(w.state.Leases(), c.claim.Holder, []registry.ClaimEnd{{Name: leaseName(c.lease), Claim: c.claim.ID}}, c.at)
+	a := w.clock.RenewClaims(w.state.Leases(), c.claim.Holder, []registry.ClaimRef{{Lease: leaseName(c.lease), ClaimID: c.claim.ID}}, c.at)
 	w.network = append(w.network, message{kind: answer, holder: c.holder, lease: c.lease, claim: c.claim, sent: c.sent, answer: a[0]})
 }
 
 // expire lets the leader end what is due, as soon as it is.
 func (w *World) expire() {
-	w.clock.Follow(w.state.Leases(), w.leaderNow())
-	ended, open := w.clock.Due(w.leaderNow())
+	w.clock.Sync(w.state.Leases(), w.leaderNow())
+	ended, open := w.clock.TakeExpired(w.leaderNow())
 	if open {
-		w.must(registry.Command{Op: registry.LeaseOpen, Lease: new(registry.LeaseCommand)})
+		w.must(registry.Command{Op: registry.OpOpenGrants, Lease: new(registry.LeaseCommand)})
 	}
 	if len(ended) > 0 {
-		w.must(registry.Command{Op: registry.LeaseEnd, Lease: &registry.LeaseCommand{Ends: ended}})
+		w.must(registry.Command{Op: registry.OpExpireClaims, Lease: &registry.LeaseCommand{Expired: ended}})
 	}
 	w.follow()
 }
 
-func (w *World) follow() { w.clock.Follow(w.state.Leases(), w.leaderNow()) }
+func (w *World) follow() { w.clock.Sync(w.state.Leases(), w.leaderNow()) }
 
 // look is what the judge sees after each step.
 func (w *World) look() error {
--- a/internal/lease/tenure.go
+++ b/internal/lease/tenure.go
@@ -62,21 +62,21 @@
 
 // Acquired takes the answer to that call in. However often it was sent, the grant may
 // have come with the first.
-func (t *Tenure) Acquired(a registry.ClaimAnswer, now time.Duration) {
+func (t *Tenure) Acquired(a registry.ClaimStatus, now time.Duration) {
 	t.take(a, t.first, now)
 }
 
 // Renewed takes the answer in to a renewal that was sent at a time.
-func (t *Tenure) Renewed(a registry.ClaimAnswer, sent, now time.Duration) { t.take(a, sent, now) }
+func (t *Tenure) Renewed(a registry.ClaimStatus, sent, now time.Duration) { t.take(a, sent, now) }
 
-func (t *Tenure) take(a registry.ClaimAnswer, sent, now time.Duration) {
+func (t *Tenure) take(a registry.ClaimStatus, sent, now time.Duration) {
 	t.look(now)
 	switch {
 	case t.over:
-	case a.Gone || t.token != 0 && a.Token != 0 && a.Token != t.token:
+	case a.Ended || t.token != 0 && a.Token != 0 && a.Token != t.token:
 		t.over = true
-	case a.Leave:
-		t.Ask(a.To)
+	case a.YieldRequested:
+		t.Ask(a.NextHolder)
 	case a.Token != 0:
 		if mutation.FromAnswer {
 			sent = now
--- a/internal/registry/api.go
+++ b/internal/registry/api.go
@@ -25,13 +25,13 @@
 
 // MarkRequest is the body of POST marks.
 type MarkRequest struct {
-	Fence     *Fence   `json:"fence,omitempty"` // only while this token is the lease's
-	Hosts     []string `json:"hosts"`
-	By        string   `json:"by"`
-	Draining  bool     `json:"draining"`
-	IfVersion *uint64  `json:"if_version,omitempty"` // with one host
-	Record    string   `json:"record,omitempty"`     // only while this record
-	RecordAt  uint64   `json:"record_at,omitempty"`  // has this version
+	Fence           *Fence   `json:"fence,omitempty"` // only while this token is the lease's
+	Hosts           []string `json:"hosts"`
+	MarkedBy        string   `json:"by"`
+	Draining        bool     `json:"draining"`
+	IfVersion       *uint64  `json:"if_version,omitempty"` // with one host
+	IfRecord        string   `json:"record,omitempty"`     // only while this record
+	IfRecordVersion uint64   `json:"record_at,omitempty"`  // has this version
 }
 
 // PutRequest is the body of PUT records/KEY.
@@ -62,42 +62,42 @@
 
 // ReleaseRequest is the body of POST leases/NAME/release.
 type ReleaseRequest struct {
-	ID string `json:"claim"`
+	ClaimID string `json:"claim"`
 	Holder
-	To string `json:"to,omitempty"` // who waits and is to have it next
+	NextHolder string `json:"to,omitempty"` // who waits and is to have it next
 }
 
-// AskRequest is the body of POST leases/NAME/ask, an operator's.
-type AskRequest struct {
-	Leave bool   `json:"leave,omitempty"` // the holder is to give it up
-	To    string `json:"to,omitempty"`    // to this one, who waits
-	Pause *bool  `json:"pause,omitempty"` // nobody is to hold it, or that is over
+// YieldRequest is the body of POST leases/NAME/ask, an operator's.
+type YieldRequest struct {
+	Yield      bool   `json:"leave,omitempty"` // the holder is to give it up
+	NextHolder string `json:"to,omitempty"`    // to this one, who waits
+	Pause      *bool  `json:"pause,omitempty"` // nobody is to hold it, or that is over
 }
 
-// RenewalsRequest is the body of POST renewals: a sign of life for claims of one
+// RenewClaimsRequest is the body of POST renewals: a sign of life for claims of one
 // process, held or waiting.
-type RenewalsRequest struct {
+type RenewClaimsRequest struct {
 	Holder
-	Claims []ClaimEnd `json:"claims"`
+	Claims []ClaimRef `json:"claims"`
 }
 
-// MostRenewals is how many claims one call may renew.
-const MostRenewals = 256
+// MaxRenewals is how many claims one call may renew.
+const MaxRenewals = 256
 
-// ClaimAnswer is how a claim stands. A token means that it holds its lease.
-type ClaimAnswer struct {
-	Name  string `json:"name"`
-	Claim string `json:"claim"`
-	Token uint64 `json:"token,omitempty"`
-	Place int    `json:"place,omitempty"` // in the line, from 1 on
-	Leave bool   `json:"leave,omitempty"` // give it up; it has not been renewed
-	To    string `json:"to,omitempty"`    // to this one
-	Gone  bool   `json:"gone,omitempty"`  // the claim has ended
+// ClaimStatus is how a claim stands. A token means that it holds its lease.
+type ClaimStatus struct {
+	Lease          string `json:"name"`
+	ClaimID        string `json:"claim"`
+	Token          uint64 `json:"token,omitempty"`
+	QueuePosition  int    `json:"place,omitempty"` // in the line, from 1 on
+	YieldRequested bool   `json:"leave,omitempty"` // give it up; it has not been renewed
+	NextHolder     string `json:"to,omitempty"`    // to this one
+	Ended          bool   `json:"gone,omitempty"`  // the claim has ended
 }
 
-// RenewalsAnswer is the answer to POST renewals, in the order of the call.
-type RenewalsAnswer struct {
-	Claims []ClaimAnswer `json:"claims"`
+// RenewClaimsResponse is the answer to POST renewals, in the order of the call.
+type RenewClaimsResponse struct {
+	Claims []ClaimStatus `json:"claims"`
 }
 
 // PolicyRequest is the body of POST policy; the answer is the named member's view.
@@ -106,50 +106,50 @@
 	Fence *Fence `json:"fence,omitempty"` // only while this token is the lease's
 }
 
-// LeasesAnswer is the answer to GET leases.
-type LeasesAnswer struct {
-	Version uint64  `json:"version"`
-	Shut    bool    `json:"shut,omitempty"` // none is granted yet
-	Leases  []Lease `json:"leases"`
+// LeasesResponse is the answer to GET leases.
+type LeasesResponse struct {
+	Version      uint64  `json:"version"`
+	GrantsClosed bool    `json:"shut,omitempty"` // none is granted yet
+	Leases       []Lease `json:"leases"`
 }
 
-// WriteAnswer is the answer to a write.
-type WriteAnswer struct {
+// WriteResponse is the answer to a write.
+type WriteResponse struct {
 	Version uint64 `json:"version"`         // of the entry or record
 	Seq     uint64 `json:"seq"`             // of the list
 	Error   string `json:"error,omitempty"` // one line, where it was not done
 }
 
-// EntriesAnswer is the answer to GET instances.
-type EntriesAnswer struct {
-	Group   string            `json:"group"`
-	Seq     uint64            `json:"seq"`
-	Entries []Entry           `json:"entries"`
-	Marks   map[string]string `json:"marks"`
+// RegistrationsResponse is the answer to GET instances.
+type RegistrationsResponse struct {
+	Group         string            `json:"group"`
+	Seq           uint64            `json:"seq"`
+	Registrations []Registration    `json:"entries"`
+	Marks         map[string]string `json:"marks"`
 }
 
-// Member is one replica of a group.
-type Member struct {
+// ReplicaInfo is one replica of a group.
+type ReplicaInfo struct {
 	ID   string `json:"id"`
 	HTTP string `json:"http"` // where it serves
 	Raft string `json:"raft"` // where replicas reach it
 }
 
-// StatusAnswer is the answer to GET status.
-type StatusAnswer struct {
-	ID       string   `json:"id"`
-	Group    string   `json:"group"`
-	State    string   `json:"state"` // leader, follower, candidate
-	Leader   string   `json:"leader"`
-	Read     string   `json:"read"` // as the header says
-	Ready    bool     `json:"ready"`
-	Seq      uint64   `json:"seq"`
-	Term     uint64   `json:"term"`
-	Applied  uint64   `json:"applied"`
-	Members  []Member `json:"members"`
-	Watches  int      `json:"watches"`
-	WatchSeq uint64   `json:"watch_seq"` // the oldest version that a watch here has been sent
-	Sessions int      `json:"sessions"`
-	Held     bool     `json:"expiry_held"`
-	Claims   int      `json:"claims"` // on leases, held and waiting, that the leader follows
+// StatusResponse is the answer to GET status.
+type StatusResponse struct {
+	ID         string        `json:"id"`
+	Group      string        `json:"group"`
+	State      string        `json:"state"` // leader, follower, candidate
+	Leader     string        `json:"leader"`
+	Read       string        `json:"read"` // as the header says
+	Ready      bool          `json:"ready"`
+	Seq        uint64        `json:"seq"`
+	Term       uint64        `json:"term"`
+	Applied    uint64        `json:"applied"`
+	Replicas   []ReplicaInfo `json:"members"`
+	Watches    int           `json:"watches"`
+	WatchSeq   uint64        `json:"watch_seq"` // the oldest version that a watch here has been sent
+	Sessions   int           `json:"sessions"`
+	ExpiryHeld bool          `json:"expiry_held"`
+	Claims     int           `json:"claims"` // on leases, held and waiting, that the leader follows
 }
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -33,28 +33,28 @@
 // Error is a registry's plain refusal. It is final: the same call gets it again.
 type Error struct {
 	Status  int
-	Text    string
+	Message string
 	Version uint64 // what the entry or record is at, where the registry says so
 }
 
-func (e *Error) Error() string { return e.Text }
+func (e *Error) Error() string { return e.Message }
 
 // Is lets callers ask with errors.Is for the registry's own errors.
 func (e *Error) Is(target error) bool {
 	switch target {
-	case registry.ErrConflict, registry.ErrTaken:
+	case registry.ErrConflict, registry.ErrHostTaken:
 		return e.Status == http.StatusConflict
-	case registry.ErrHeld:
+	case registry.ErrLeaseHeld:
 		return e.Status == http.StatusLocked
-	case registry.ErrGone:
+	case registry.ErrClaimEnded:
 		return e.Status == http.StatusGone
 	case registry.ErrFenced:
 		return e.Status == http.StatusPreconditionFailed
-	case registry.ErrUnknown:
+	case registry.ErrNotFound:
 		return e.Status == http.StatusNotFound
-	case registry.ErrFull:
+	case registry.ErrLimitReached:
 		return e.Status == http.StatusInsufficientStorage
-	case registry.ErrBad:
+	case registry.ErrInvalid:
 		return e.Status == http.StatusBadRequest || e.Status == http.StatusRequestEntityTooLarge
 	}
 	return false
@@ -101,15 +101,15 @@
 // Close lets go of idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Via sends calls over other addresses. It is to be called before the Client is used.
-func (c *Client) Via(routes addressmap.Table) *Client {
+// WithAddressMap sends calls over other addresses. It is to be called before the Client is used.
+func (c *Client) WithAddressMap(routes addressmap.Table) *Client {
 	c.http.Transport.(*http.Transport).DialContext = routes.Dial(time.Second)
 	return c
 }
 
-// Within bounds every call by a time, its tries at all replicas included. It is to
+// WithTimeout bounds every call by a time, its tries at all replicas included. It is to
 // be called before the Client is used.
-func (c *Client) Within(most time.Duration) *Client {
+func (c *Client) WithTimeout(most time.Duration) *Client {
 	c.most = most
 	return c
 }
@@ -183,9 +183,9 @@
 	ctx, cancel := context.WithTimeout(ctx, callIn)
 	defer cancel()
 	for range maxHops {
-		req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+registry.WritePath+path, bytes.NewReader(text))
+		req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+registry.APIPath+path, bytes.NewReader(text))
 		if err != nil {
-			return addr, &Error{Status: http.StatusBadRequest, Text: err.Error()}
+			return addr, &Error{Status: http.StatusBadRequest, Message: err.Error()}
 		}
 		resp, err := c.http.Do(req)
 		if err != nil {
@@ -213,27 +213,27 @@
 			addr = to.Host
 			continue
 		}
-		var a registry.WriteAnswer
+		var a registry.WriteResponse
 		if json.Unmarshal(answer, &a) != nil || a.Error == "" {
 			a.Error = strings.TrimSpace(string(answer[:min(len(answer), 200)]))
 		}
 		if resp.StatusCode >= 500 && resp.StatusCode != http.StatusInsufficientStorage {
 			return addr, fmt.Errorf("%s: %d: %s", addr, resp.StatusCode, a.Error)
 		}
-		return addr, &Error{Status: resp.StatusCode, Text: a.Error, Version: a.Version}
+		return addr, &Error{Status: resp.StatusCode, Message: a.Error, Version: a.Version}
 	}
 	return addr, fmt.Errorf("%s: sent from one replica to the other", addr)
 }
 
 // Register takes an instance in, or changes it.
-func (c *Client) Register(ctx context.Context, r registry.RegisterRequest) (registry.WriteAnswer, error) {
-	var a registry.WriteAnswer
+func (c *Client) Register(ctx context.Context, r registry.RegisterRequest) (registry.WriteResponse, error) {
+	var a registry.WriteResponse
 	err := c.call(ctx, http.MethodPut, "instances/"+url.PathEscape(r.Instance.Host), r, &a)
 	return a, err
 }
 
-// Renew keeps a session alive.
-func (c *Client) Renew(ctx context.Context, host, session string) error {
+// RenewSession keeps a session alive.
+func (c *Client) RenewSession(ctx context.Context, host, session string) error {
 	return c.call(ctx, http.MethodPost, "instances/"+url.PathEscape(host)+"/renew", registry.RenewRequest{Session: session}, nil)
 }
 
@@ -243,15 +243,15 @@
 }
 
 // Mark marks hosts draining, or takes the marks back: all or none.
-func (c *Client) Mark(ctx context.Context, m registry.MarkRequest) (registry.WriteAnswer, error) {
-	var a registry.WriteAnswer
+func (c *Client) Mark(ctx context.Context, m registry.MarkRequest) (registry.WriteResponse, error) {
+	var a registry.WriteResponse
 	err := c.call(ctx, http.MethodPost, "marks", m, &a)
 	return a, err
 }
 
 // Entries returns all entries as of now, whoever led before.
-func (c *Client) Entries(ctx context.Context) (registry.EntriesAnswer, error) {
-	var a registry.EntriesAnswer
+func (c *Client) Registrations(ctx context.Context) (registry.RegistrationsResponse, error) {
+	var a registry.RegistrationsResponse
 	err := c.call(ctx, http.MethodGet, "instances?linearizable=1", nil, &a)
 	return a, err
 }
@@ -263,8 +263,8 @@
 	return r, err
 }
 
-// Records returns the keys of all records as of now.
-func (c *Client) Records(ctx context.Context) ([]string, error) {
+// RecordKeys returns the keys of all records as of now.
+func (c *Client) RecordKeys(ctx context.Context) ([]string, error) {
 	var keys []string
 	err := c.call(ctx, http.MethodGet, "records?linearizable=1", nil, &keys)
 	return keys, err
@@ -278,33 +278,33 @@
 
 // PutFenced is Put while a token is its lease's; registry.ErrFenced says that it is not.
 func (c *Client) PutFenced(ctx context.Context, key string, value []byte, ifVersion *uint64, fence *registry.Fence) (uint64, error) {
-	var a registry.WriteAnswer
+	var a registry.WriteResponse
 	err := c.call(ctx, http.MethodPut, "records/"+url.PathEscape(key), registry.PutRequest{Value: value, IfVersion: ifVersion, Fence: fence}, &a)
 	return a.Version, err
 }
 
-// Drop deletes a record if it is at the version named.
-func (c *Client) Drop(ctx context.Context, key string, ifVersion uint64) error {
+// Delete deletes a record if it is at the version named.
+func (c *Client) Delete(ctx context.Context, key string, ifVersion uint64) error {
 	return c.call(ctx, http.MethodDelete, "records/"+url.PathEscape(key)+"?if_version="+strconv.FormatUint(ifVersion, 10), nil, nil)
 }
 
 // Status returns what one replica says of itself, the one that answers first.
-func (c *Client) Status(ctx context.Context) (registry.StatusAnswer, error) {
-	var s registry.StatusAnswer
+func (c *Client) Status(ctx context.Context) (registry.StatusResponse, error) {
+	var s registry.StatusResponse
 	err := c.call(ctx, http.MethodGet, "status", nil, &s)
 	return s, err
 }
 
 // Statuses asks every replica that the group has now how it stands. Those that do
 // not answer are left out, and all says whether none was.
-func (c *Client) Statuses(ctx context.Context) (got []registry.StatusAnswer, all bool) {
+func (c *Client) Statuses(ctx context.Context) (got []registry.StatusResponse, all bool) {
 	s, err := c.Status(ctx)
 	if err != nil {
 		return nil, false
 	}
-	all = len(s.Members) > 0
-	for _, m := range s.Members {
-		var one registry.StatusAnswer
+	all = len(s.Replicas) > 0
+	for _, m := range s.Replicas {
+		var one registry.StatusResponse
 		if _, err := c.once(ctx, m.HTTP, http.MethodGet, "status", nil, &one); err != nil || !one.Ready {
 			all = false
 			continue
--- a/internal/registry/client/fuzz_test.go
+++ b/internal/registry/client/fuzz_test.go
@@ -10,13 +10,13 @@
 	f.Add([]byte(`{"seq":-1}`))
 	f.Add([]byte(`{"seq":18446744073709551616}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var got []Listing
-		w := NewWatcher(Options{Addrs: []string{"127.0.0.1:1"}, Known: &Listing{Seq: 41}, Deliver: func(l Listing) { got = append(got, l) }})
+		var got []ListUpdate
+		w := NewWatcher(WatcherOptions{Addrs: []string{"127.0.0.1:1"}, LastKnown: &ListUpdate{Seq: 41}, Deliver: func(l ListUpdate) { got = append(got, l) }})
 		err := w.take(text)
 		if (err == nil) != (len(got) == 1) {
 			t.Fatalf("error %v and %d deliveries", err, len(got))
 		}
-		if err == nil && !got[0].Whole && got[0].Seq < 41 {
+		if err == nil && !got[0].Full && got[0].Seq < 41 {
 			t.Errorf("a change to version %d was taken on top of 41", got[0].Seq)
 		}
 	})
--- a/internal/registry/client/policy.go
+++ b/internal/registry/client/policy.go
@@ -11,9 +11,9 @@
 	"barleywick/internal/rollout"
 )
 
-// Policy takes a step of a change of policy, and returns what the member that it names
+// ApplyPolicyStep takes a step of a change of policy, and returns what the member that it names
 // is to act by. It may be called again: a step is carried out once.
-func (c *Client) Policy(ctx context.Context, step rollout.Command, fence *registry.Fence) (rollout.View, error) {
+func (c *Client) ApplyPolicyStep(ctx context.Context, step rollout.Command, fence *registry.Fence) (rollout.View, error) {
 	var v rollout.View
 	err := c.call(ctx, http.MethodPost, "policy", registry.PolicyRequest{Command: step, Fence: fence}, &v)
 	return v, err
--- a/internal/registry/client/register.go
+++ b/internal/registry/client/register.go
@@ -17,12 +17,12 @@
 	leaveIn = 2 * time.Second
 )
 
-// Keep registers an instance and keeps it registered until ctx ends; then it takes
+// KeepRegistered registers an instance and keeps it registered until ctx ends; then it takes
 // it out. It survives the loss of any replica, of the leader, and of all of them
 // for a while: the registry gives every session its full time after each. registered
 // is called after each time that the registry took the instance in. The error is a
 // plain refusal; everything else is tried again.
-func (c *Client) Keep(ctx context.Context, r registry.RegisterRequest, registered func(registry.WriteAnswer)) error {
+func (c *Client) KeepRegistered(ctx context.Context, r registry.RegisterRequest, registered func(registry.WriteResponse)) error {
 	ttl := time.Duration(r.TTLMS) * time.Millisecond
 	for {
 		a, err := c.Register(ctx, r)
@@ -35,7 +35,7 @@
 		if registered != nil {
 			registered(a)
 		}
-		if err := c.renew(ctx, r, ttl/renewals); errors.Is(err, registry.ErrUnknown) {
+		if err := c.renew(ctx, r, ttl/renewals); errors.Is(err, registry.ErrNotFound) {
 			slog.Warn("registry: the session is gone, registering again", "host", r.Instance.Host)
 			continue
 		} else if ctx.Err() == nil {
@@ -53,7 +53,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if err := c.Renew(ctx, r.Instance.Host, r.Session); err != nil {
+		if err := c.RenewSession(ctx, r.Instance.Host, r.Session); err != nil {
 			return err
 		}
 	}
@@ -65,7 +65,7 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaveIn)
 	defer cancel()
 	err := c.Remove(ctx, r.Instance.Host, r.Session)
-	if errors.Is(err, registry.ErrTaken) {
+	if errors.Is(err, registry.ErrHostTaken) {
 		return nil // somebody else has it by now
 	}
 	return err
--- a/internal/registry/client/watch.go
+++ b/internal/registry/client/watch.go
@@ -23,31 +23,31 @@
 	"barleywick/internal/registry"
 )
 
-// Listing is discovery's news of the upstreams: the whole list or what changed.
-type Listing struct {
-	Seq   uint64  `json:"seq"`
-	Whole bool    `json:"whole"`
-	Hosts []Entry `json:"hosts"`
+// ListUpdate is discovery's news of the upstreams: the whole list or what changed.
+type ListUpdate struct {
+	Seq       uint64     `json:"seq"`
+	Full      bool       `json:"whole"`
+	Endpoints []Endpoint `json:"hosts"`
 }
 
-// Entry is one upstream as a reader takes it: a field of the wrong kind makes this
+// Endpoint is one upstream as a reader takes it: a field of the wrong kind makes this
 // entry unusable and no other.
-type Entry struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Block  *int    `json:"block"`
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	BornMS float64 `json:"born_ms"`
-	Spoilt bool    `json:"-"` // it names a host, and the rest cannot be read
+type Endpoint struct {
+	Host      string  `json:"host"`
+	Dial      string  `json:"dial"`
+	Site      string  `json:"site"`
+	Block     *int    `json:"block"`
+	Health    string  `json:"health"`
+	Share     float64 `json:"share"`
+	BornMS    float64 `json:"born_ms"`
+	Malformed bool    `json:"-"` // it names a host, and the rest cannot be read
 }
 
 // UnmarshalJSON keeps a wrong entry from spoiling the list it stands in: it keeps its
 // name alone, for a host that a whole list names has not gone, or none, and such entries
 // are passed over.
-func (e *Entry) UnmarshalJSON(text []byte) error {
-	type plain Entry
+func (e *Endpoint) UnmarshalJSON(text []byte) error {
+	type plain Endpoint
 	var p plain
 	if err := json.Unmarshal(text, &p); err != nil {
 		var named struct {
@@ -56,10 +56,10 @@
 		if json.Unmarshal(text, &named) != nil {
 			named.Host = ""
 		}
-		*e = Entry{Host: named.Host, Spoilt: true}
+		*e = Endpoint{Host: named.Host, Malformed: true}
 		return nil
 	}
-	*e = Entry(p)
+	*e = Endpoint(p)
 	return nil
 }
 
@@ -88,46 +88,46 @@
 // errMoved ends a watch at addresses that are not discovery's any more.
 var errMoved = errors.New("discovery has moved")
 
-// Options are what a Watcher needs.
-type Options struct {
-	Addrs   []string      // of one service: replicas that share their versions
-	Known   *Listing      // the list as last held; nil where there is none
-	Deliver func(Listing) // takes the news, in order
-	Seed    uint64        // spreads watchers over replicas and in time
-	Grace   time.Duration // in which the owner has to act on a change; 0: not known
-	// Stagger is how long after a call for the whole list the watch is opened at the latest: where many
+// WatcherOptions are what a Watcher needs.
+type WatcherOptions struct {
+	Addrs     []string         // of one service: replicas that share their versions
+	LastKnown *ListUpdate      // the list as last held; nil where there is none
+	Deliver   func(ListUpdate) // takes the news, in order
+	Seed      uint64           // spreads watchers over replicas and in time
+	Grace     time.Duration    // in which the owner has to act on a change; 0: not known
+	// MaxStagger is how long after a call for the whole list the watch is opened at the latest: where many
 	// watchers call at once, those that have no list yet go first.
-	Stagger time.Duration
+	MaxStagger time.Duration
 
-	// Asks are the owner's calls, where it decides when to ask for the list; nil
+	// Polls are the owner's calls, where it decides when to ask for the list; nil
 	// where the watch is to be opened again whenever it ends.
-	Asks   <-chan struct{}
-	Failed func(Loss) // then tells it that its call failed or the watch has ended
+	Polls  <-chan struct{}
+	OnLoss func(ListLoss) // then tells it that its call failed or the watch has ended
 }
 
-// Loss is how a call failed or a watch ended.
-type Loss struct {
-	Silent  bool // nothing was heard for a while
-	Reached bool // discovery was there, and turned the call away or broke it off
-	Moved   bool // discovery has moved, and was not heard since
-	// Quiet is how long ago the last word came, a list or a sign of life.
-	Quiet time.Duration
+// ListLoss is how a call failed or a watch ended.
+type ListLoss struct {
+	Unresponsive bool // nothing was heard for a while
+	Reached      bool // discovery was there, and turned the call away or broke it off
+	Moved        bool // discovery has moved, and was not heard since
+	// SinceLastMessage is how long ago the last word came, a list or a sign of life.
+	SinceLastMessage time.Duration
 }
 
 // errSilent ends a watch or a call on which nothing comes any more.
 var errSilent = errors.New("silent")
 
 // lossOf tells from its error how a call failed.
-func lossOf(err error, moved bool) Loss {
+func lossOf(err error, moved bool) ListLoss {
 	var network *net.OpError
 	refused := errors.As(err, &network) && network.Op == "dial"
 	silent := errors.Is(err, errSilent) || errors.Is(err, os.ErrDeadlineExceeded)
-	return Loss{Silent: silent, Reached: !refused && !silent, Moved: moved}
+	return ListLoss{Unresponsive: silent, Reached: !refused && !silent, Moved: moved}
 }
 
 // Watcher follows the list.
 type Watcher struct {
-	Options
+	WatcherOptions
 	client *http.Client
 	rng    *rand.Rand
 	at     int       // the address in use
@@ -139,12 +139,12 @@
 }
 
 // NewWatcher makes a Watcher; Follow sets it to work.
-func NewWatcher(o Options) *Watcher {
+func NewWatcher(o WatcherOptions) *Watcher {
 	w := &Watcher{
-		Options: o,
-		rng:     rand.New(rand.NewPCG(o.Seed, 2)),
-		moves:   make(chan []string, 1),
-		heard:   time.Now(),
+		WatcherOptions: o,
+		rng:            rand.New(rand.NewPCG(o.Seed, 2)),
+		moves:          make(chan []string, 1),
+		heard:          time.Now(),
 		client: &http.Client{Transport: &http.Transport{
 			DialContext:           (&net.Dialer{Timeout: silence, KeepAlive: -1}).DialContext,
 			ResponseHeaderTimeout: silence,
@@ -153,16 +153,16 @@
 		}},
 	}
 	w.at = w.rng.IntN(len(o.Addrs))
-	if o.Known != nil {
-		w.held, w.seq = true, o.Known.Seq
+	if o.LastKnown != nil {
+		w.held, w.seq = true, o.LastKnown.Seq
 	}
 	return w
 }
 
 func (w *Watcher) url() string { return "http://" + w.Addrs[w.at] + registry.ListPath }
 
-// Move makes Follow go on at other addresses, at once. It must not be called concurrently.
-func (w *Watcher) Move(addrs []string) {
+// SetAddrs makes Follow go on at other addresses, at once. It must not be called concurrently.
+func (w *Watcher) SetAddrs(addrs []string) {
 	select {
 	case <-w.moves: // not taken yet, and out of date
 	default:
@@ -189,9 +189,9 @@
 	pause, down, atOnce, filled := firstReopen, false, false, false
 	moved := false // discovery has moved, and was not heard since
 	for ctx.Err() == nil {
-		if w.Asks != nil && !atOnce {
+		if w.Polls != nil && !atOnce {
 			select {
-			case <-w.Asks:
+			case <-w.Polls:
 			case addrs := <-w.moves:
 				w.moved(addrs)
 				moved = true
@@ -226,14 +226,14 @@
 			continue
 		}
 		w.next()
-		if w.Asks != nil {
+		if w.Polls != nil {
 			select {
-			case <-w.Asks: // a call meant for the watch that has ended
+			case <-w.Polls: // a call meant for the watch that has ended
 			default:
 			}
 			loss := lossOf(err, moved)
-			loss.Quiet = time.Since(w.heard)
-			w.Failed(loss)
+			loss.SinceLastMessage = time.Since(w.heard)
+			w.OnLoss(loss)
 			continue
 		}
 		select {
@@ -339,7 +339,7 @@
 		w.heard = time.Now()
 		if idle && !heard {
 			heard = true
-			w.Deliver(Listing{Seq: w.seq}) // the watch is up and nothing has changed: the owner's call went well
+			w.Deliver(ListUpdate{Seq: w.seq}) // the watch is up and nothing has changed: the owner's call went well
 		}
 	}}
 	for listings := json.NewDecoder(in); ; {
@@ -363,11 +363,11 @@
 
 // stagger waits for half to all of the time that the watch may come later than the list.
 func (w *Watcher) stagger(ctx context.Context) error {
-	if w.Stagger <= 0 {
+	if w.MaxStagger <= 0 {
 		return nil
 	}
 	select {
-	case <-time.After(time.Duration((1 + w.rng.Float64()) / 2 * float64(w.Stagger))):
+	case <-time.After(time.Duration((1 + w.rng.Float64()) / 2 * float64(w.MaxStagger))):
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -458,19 +458,19 @@
 	if said.Seq == nil || said.Hosts == nil {
 		return fmt.Errorf("%w: without seq or hosts", errGap)
 	}
-	l := Listing{Seq: *said.Seq, Whole: said.Whole}
-	if err := json.Unmarshal(said.Hosts, &l.Hosts); err != nil {
+	l := ListUpdate{Seq: *said.Seq, Full: said.Whole}
+	if err := json.Unmarshal(said.Hosts, &l.Endpoints); err != nil {
 		return fmt.Errorf("%w: hosts: %w", errGap, err)
 	}
 	switch {
-	case l.Whole:
+	case l.Full:
 	case !w.held || l.Seq < w.seq:
 		return fmt.Errorf("%w: change to version %d, held is %d", errGap, l.Seq, w.seq)
 	case l.Seq == w.seq:
-		l.Hosts = nil
+		l.Endpoints = nil
 	}
 	w.held, w.seq, w.heard = true, l.Seq, time.Now()
-	slog.Info("discovery: list", "seq", l.Seq, "whole", l.Whole, "hosts", len(l.Hosts))
+	slog.Info("discovery: list", "seq", l.Seq, "whole", l.Full, "hosts", len(l.Endpoints))
 	w.Deliver(l)
 	return nil
 }
--- a/internal/registry/client/watch_test.go
+++ b/internal/registry/client/watch_test.go
@@ -31,33 +31,33 @@
 }
 
 // startDiscovery follows a fake registry and hands out what is delivered.
-func startDiscovery(t *testing.T, g *registrytest.Registry, known *Listing) <-chan Listing {
+func startDiscovery(t *testing.T, g *registrytest.Server, known *ListUpdate) <-chan ListUpdate {
 	t.Helper()
-	news := make(chan Listing, 10)
-	d := NewWatcher(Options{Addrs: []string{g.Addr}, Known: known, Deliver: func(l Listing) { news <- l }})
+	news := make(chan ListUpdate, 10)
+	d := NewWatcher(WatcherOptions{Addrs: []string{g.Addr}, LastKnown: known, Deliver: func(l ListUpdate) { news <- l }})
 	go d.Follow(t.Context())
 	return news
 }
 
 func TestWatchBringsChangesInOrder(t *testing.T) {
-	g := registrytest.NewRegistry(t)
-	news := startDiscovery(t, g, &Listing{Seq: 41, Whole: true})
+	g := registrytest.NewServer(t)
+	news := startDiscovery(t, g, &ListUpdate{Seq: 41, Full: true})
 	w := await(t, "the watch", g.Watches)
 	if w.From != "41" {
 		t.Errorf("from %s, want 41", w.From)
 	}
-	up, drain := registrytest.HostText("s-1", "127.0.0.1:7", "up", 0), registrytest.HostText("s-1", "127.0.0.1:7", "draining", 0)
-	w.Lines <- registrytest.ListText(43, false, up)
+	up, drain := registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0), registrytest.EndpointJSON("s-1", "127.0.0.1:7", "draining", 0)
+	w.Lines <- registrytest.ListJSON(43, false, up)
 	w.Lines <- ""
-	w.Lines <- registrytest.ListText(43, false, up) // had already
-	w.Lines <- registrytest.ListText(47, false, drain)
+	w.Lines <- registrytest.ListJSON(43, false, up) // had already
+	w.Lines <- registrytest.ListJSON(47, false, drain)
 	for i, want := range []struct {
 		seq    uint64
 		hosts  int
 		health string
 	}{{43, 1, "up"}, {43, 0, ""}, {47, 1, "draining"}} {
 		l := await(t, "a change", news)
-		if l.Seq != want.seq || len(l.Hosts) != want.hosts || (want.hosts > 0 && l.Hosts[0].Health != want.health) {
+		if l.Seq != want.seq || len(l.Endpoints) != want.hosts || (want.hosts > 0 && l.Endpoints[0].Health != want.health) {
 			t.Errorf("change %d is %+v, want %+v", i, l, want)
 		}
 	}
@@ -69,17 +69,17 @@
 
 func TestGapBringsTheWholeList(t *testing.T) {
 	for name, line := range map[string]string{
-		"unreadable": `{"seq":42,"whole":false,"hosts":[{"ho`, "backwards": registrytest.ListText(30, false), "no list": `{"seq":42,"hosts":7}`,
+		"unreadable": `{"seq":42,"whole":false,"hosts":[{"ho`, "backwards": registrytest.ListJSON(30, false), "no list": `{"seq":42,"hosts":7}`,
 		"whole and without hosts": `{"seq":42,"whole":true}`, "whole and without a version": `{"whole":true,"hosts":[]}`, "no object": `42`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := registrytest.NewRegistry(t)
-			news := startDiscovery(t, g, &Listing{Seq: 41, Whole: true})
+			g := registrytest.NewServer(t)
+			news := startDiscovery(t, g, &ListUpdate{Seq: 41, Full: true})
 			w := await(t, "the watch", g.Watches)
 			w.Lines <- line
-			await(t, "the call for the whole list", g.Asked)
-			g.Whole <- registrytest.ListText(45, true, registrytest.HostText("s-1", "127.0.0.1:7", "up", 0))
-			if l := await(t, "the list", news); l.Seq != 45 || !l.Whole || len(l.Hosts) != 1 {
+			await(t, "the call for the whole list", g.ListCalls)
+			g.FullLists <- registrytest.ListJSON(45, true, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0))
+			if l := await(t, "the list", news); l.Seq != 45 || !l.Full || len(l.Endpoints) != 1 {
 				t.Errorf("delivered %+v", l)
 			}
 			if w := await(t, "the next watch", g.Watches); w.From != "45" {
@@ -90,8 +90,8 @@
 }
 
 func TestSilentWatchIsReopened(t *testing.T) {
-	g := registrytest.NewRegistry(t)
-	startDiscovery(t, g, &Listing{Seq: 1, Whole: true})
+	g := registrytest.NewServer(t)
+	startDiscovery(t, g, &ListUpdate{Seq: 1, Full: true})
 	w := await(t, "the watch", g.Watches)
 	start := time.Now()
 	w2 := await(t, "the next watch", g.Watches)
@@ -104,23 +104,23 @@
 // A new address counts at once, its whole list first: its versions may have
 // nothing to do with the old one's, whose news must not come after it.
 func TestMovedDiscovery(t *testing.T) {
-	for name, held := range map[string]*Listing{"watching": {Seq: 41, Whole: true}, "waiting for a list": nil} {
+	for name, held := range map[string]*ListUpdate{"watching": {Seq: 41, Full: true}, "waiting for a list": nil} {
 		t.Run(name, func(t *testing.T) {
-			old, fresh := registrytest.NewRegistry(t), registrytest.NewRegistry(t)
-			news := make(chan Listing, 10)
-			d := NewWatcher(Options{Addrs: []string{old.Addr}, Known: held, Deliver: func(l Listing) { news <- l }})
+			old, fresh := registrytest.NewServer(t), registrytest.NewServer(t)
+			news := make(chan ListUpdate, 10)
+			d := NewWatcher(WatcherOptions{Addrs: []string{old.Addr}, LastKnown: held, Deliver: func(l ListUpdate) { news <- l }})
 			go d.Follow(t.Context())
 			if held == nil {
-				await(t, "the call to the old one", old.Asked)
+				await(t, "the call to the old one", old.ListCalls)
 			} else {
 				w := await(t, "the old watch", old.Watches)
 				defer await(t, "the old watch's end", w.Ended)
 			}
-			d.Move([]string{"127.0.0.1:1"}) // and at once on: the last one counts
-			d.Move([]string{fresh.Addr})
-			await(t, "the call for the new list", fresh.Asked)
-			fresh.Whole <- registrytest.ListText(7, true, registrytest.HostText("s-1", "127.0.0.1:7", "up", 0))
-			if l := await(t, "the list", news); l.Seq != 7 || !l.Whole || len(l.Hosts) != 1 {
+			d.SetAddrs([]string{"127.0.0.1:1"}) // and at once on: the last one counts
+			d.SetAddrs([]string{fresh.Addr})
+			await(t, "the call for the new list", fresh.ListCalls)
+			fresh.FullLists <- registrytest.ListJSON(7, true, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0))
+			if l := await(t, "the list", news); l.Seq != 7 || !l.Full || len(l.Endpoints) != 1 {
 				t.Errorf("delivered %+v", l)
 			}
 			if w := await(t, "the new watch", fresh.Watches); w.From != "7" {
@@ -136,17 +136,17 @@
 // Where the module asks for the list, a move needs no asking, and what goes
 // wrong at the new address is told as ever.
 func TestMovedDiscoveryThatIsAsked(t *testing.T) {
-	old, fresh := registrytest.NewRegistry(t), registrytest.NewRegistry(t)
-	asks, failed, news := make(chan struct{}, 1), make(chan struct{}, 1), make(chan Listing, 10)
-	d := NewWatcher(Options{Addrs: []string{old.Addr}, Known: &Listing{Seq: 3, Whole: true}, Deliver: func(l Listing) { news <- l }})
-	d.Asks, d.Failed = asks, func(Loss) { failed <- struct{}{} }
+	old, fresh := registrytest.NewServer(t), registrytest.NewServer(t)
+	asks, failed, news := make(chan struct{}, 1), make(chan struct{}, 1), make(chan ListUpdate, 10)
+	d := NewWatcher(WatcherOptions{Addrs: []string{old.Addr}, LastKnown: &ListUpdate{Seq: 3, Full: true}, Deliver: func(l ListUpdate) { news <- l }})
+	d.Polls, d.OnLoss = asks, func(ListLoss) { failed <- struct{}{} }
 	go d.Follow(t.Context())
 	asks <- struct{}{}
 	await(t, "the old watch", old.Watches)
-	d.Move([]string{fresh.Addr})
-	await(t, "the call for the new list", fresh.Asked)
-	fresh.Whole <- registrytest.ListText(1, true)
-	if l := await(t, "the list", news); l.Seq != 1 || !l.Whole {
+	d.SetAddrs([]string{fresh.Addr})
+	await(t, "the call for the new list", fresh.ListCalls)
+	fresh.FullLists <- registrytest.ListJSON(1, true)
+	if l := await(t, "the list", news); l.Seq != 1 || !l.Full {
 		t.Errorf("delivered %+v", l)
 	}
 	close(await(t, "the new watch", fresh.Watches).Lines)
@@ -155,15 +155,15 @@
 
 // Where the list is asked for, the module asks, and hears of success and failure.
 func TestAskedListIsTheModulesToAsk(t *testing.T) {
-	g := registrytest.NewRegistry(t)
-	asks, failed, news := make(chan struct{}, 1), make(chan struct{}, 1), make(chan Listing, 10)
-	d := NewWatcher(Options{Addrs: []string{g.Addr}, Known: &Listing{Seq: 3, Whole: true}, Deliver: func(l Listing) { news <- l }})
-	d.Asks, d.Failed = asks, func(Loss) { failed <- struct{}{} }
+	g := registrytest.NewServer(t)
+	asks, failed, news := make(chan struct{}, 1), make(chan struct{}, 1), make(chan ListUpdate, 10)
+	d := NewWatcher(WatcherOptions{Addrs: []string{g.Addr}, LastKnown: &ListUpdate{Seq: 3, Full: true}, Deliver: func(l ListUpdate) { news <- l }})
+	d.Polls, d.OnLoss = asks, func(ListLoss) { failed <- struct{}{} }
 	go d.Follow(t.Context())
 	asks <- struct{}{}
 	w := await(t, "the watch", g.Watches)
 	w.Lines <- "" // nothing has changed: the call went well all the same
-	if l := await(t, "word of it", news); l.Seq != 3 || l.Whole || len(l.Hosts) != 0 {
+	if l := await(t, "word of it", news); l.Seq != 3 || l.Full || len(l.Endpoints) != 0 {
 		t.Errorf("delivered %+v", l)
 	}
 	close(w.Lines)
@@ -189,7 +189,7 @@
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		c <- struct{}{}
 		w.Header().Set(registry.ReadHeader, read)
-		fmt.Fprintln(w, registrytest.ListText(seq, true))
+		fmt.Fprintln(w, registrytest.ListJSON(seq, true))
 		if q.URL.Query().Get("watch") != "" {
 			w.(http.Flusher).Flush()
 			<-q.Context().Done()
@@ -217,8 +217,8 @@
 		"stale or out of reach": {[]string{"127.0.0.1:1", stale}, 7},
 	} {
 		for seed := range uint64(4) { // each begins at another address
-			news := make(chan Listing, 100)
-			w := NewWatcher(Options{Addrs: x.addrs, Seed: seed, Deliver: func(l Listing) { news <- l }})
+			news := make(chan ListUpdate, 100)
+			w := NewWatcher(WatcherOptions{Addrs: x.addrs, Seed: seed, Deliver: func(l ListUpdate) { news <- l }})
 			ctx, cancel := context.WithCancel(t.Context())
 			var done sync.WaitGroup
 			done.Go(func() { w.Follow(ctx) })
@@ -233,35 +233,35 @@
 
 // A listing may stand on several lines, and come in pieces with time between them.
 func TestListingOverSeveralLines(t *testing.T) {
-	g := registrytest.NewRegistry(t)
-	news := startDiscovery(t, g, &Listing{Seq: 41, Whole: true})
+	g := registrytest.NewServer(t)
+	news := startDiscovery(t, g, &ListUpdate{Seq: 41, Full: true})
 	w := await(t, "the watch", g.Watches)
 	w.Lines <- ""
-	if l := await(t, "word that the watch is up", news); l.Seq != 41 || l.Hosts != nil {
+	if l := await(t, "word that the watch is up", news); l.Seq != 41 || l.Endpoints != nil {
 		t.Errorf("delivered %+v", l)
 	}
 	var indented bytes.Buffer
-	if err := json.Indent(&indented, []byte(registrytest.ListText(43, false, registrytest.HostText("s-1", "127.0.0.1:7", "draining", 0))), "", "  "); err != nil {
+	if err := json.Indent(&indented, []byte(registrytest.ListJSON(43, false, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "draining", 0))), "", "  "); err != nil {
 		t.Fatal(err)
 	}
 	for line := range strings.Lines(indented.String()) {
 		w.Lines <- strings.TrimSuffix(line, "\n")
 	}
-	w.Lines <- registrytest.ListText(44, false, registrytest.HostText("s-2", "127.0.0.1:7", "up", 0))
+	w.Lines <- registrytest.ListJSON(44, false, registrytest.EndpointJSON("s-2", "127.0.0.1:7", "up", 0))
 	for _, want := range []uint64{43, 44} {
-		if l := await(t, "a change", news); l.Seq != want || len(l.Hosts) != 1 {
+		if l := await(t, "a change", news); l.Seq != want || len(l.Endpoints) != 1 {
 			t.Errorf("delivered %+v, want version %d", l, want)
 		}
 	}
-	if len(g.Asked) > 0 {
+	if len(g.ListCalls) > 0 {
 		t.Error("the whole list was called for")
 	}
 }
 
 // Empty lines in a listing that does not go on are no signs of life.
 func TestListingThatDoesNotGoOnIsSilence(t *testing.T) {
-	g := registrytest.NewRegistry(t)
-	startDiscovery(t, g, &Listing{Seq: 41, Whole: true})
+	g := registrytest.NewServer(t)
+	startDiscovery(t, g, &ListUpdate{Seq: 41, Full: true})
 	w := await(t, "the watch", g.Watches)
 	w.Lines <- `{"seq":42,"whole":false,"hosts":[`
 	beats := time.NewTicker(silence / 10)
@@ -288,18 +288,18 @@
 // A change that could not be read counts as told: where asking is the owner's, the whole
 // list is called for without it. If that does not help the owner has the word.
 func TestGapIsFilledWithoutTheOwner(t *testing.T) {
-	g := registrytest.NewRegistry(t)
-	asks, failed, news := make(chan struct{}, 1), make(chan struct{}, 10), make(chan Listing, 10)
-	d := NewWatcher(Options{
-		Addrs: []string{g.Addr}, Known: &Listing{Seq: 41, Whole: true}, Deliver: func(l Listing) { news <- l },
-		Asks: asks, Failed: func(Loss) { failed <- struct{}{} },
+	g := registrytest.NewServer(t)
+	asks, failed, news := make(chan struct{}, 1), make(chan struct{}, 10), make(chan ListUpdate, 10)
+	d := NewWatcher(WatcherOptions{
+		Addrs: []string{g.Addr}, LastKnown: &ListUpdate{Seq: 41, Full: true}, Deliver: func(l ListUpdate) { news <- l },
+		Polls: asks, OnLoss: func(ListLoss) { failed <- struct{}{} },
 	})
 	go d.Follow(t.Context())
 	asks <- struct{}{}
 	await(t, "the watch", g.Watches).Lines <- `{"seq":42,"hosts":7}`
-	await(t, "the call for the whole list", g.Asked)
-	g.Whole <- registrytest.ListText(45, true)
-	if l := await(t, "the list", news); l.Seq != 45 || !l.Whole {
+	await(t, "the call for the whole list", g.ListCalls)
+	g.FullLists <- registrytest.ListJSON(45, true)
+	if l := await(t, "the list", news); l.Seq != 45 || !l.Full {
 		t.Errorf("delivered %+v", l)
 	}
 	w := await(t, "the next watch", g.Watches)
@@ -308,7 +308,7 @@
 	}
 	w.Lines <- `{"seq":46,"hosts":7}`
 	await(t, "word that the call failed", failed)
-	if len(g.Asked) > 0 {
+	if len(g.ListCalls) > 0 {
 		t.Error("the whole list was called for over and over")
 	}
 }
@@ -318,7 +318,7 @@
 	for grace, want := range map[time.Duration]time.Duration{
 		0: lastReopen, 10 * time.Second: lastReopen, 900 * time.Millisecond: 300 * time.Millisecond, time.Millisecond: firstReopen,
 	} {
-		if got := NewWatcher(Options{Addrs: []string{"127.0.0.1:1"}, Grace: grace}).reopenIn(); got != want {
+		if got := NewWatcher(WatcherOptions{Addrs: []string{"127.0.0.1:1"}, Grace: grace}).reopenIn(); got != want {
 			t.Errorf("grace %v: opened again within %v, want %v", grace, got, want)
 		}
 	}
@@ -326,15 +326,15 @@
 
 // Where many ask at once the watch comes some time after the whole list, and a move ends the wait.
 func TestWatchIsStaggeredBehindTheWholeList(t *testing.T) {
-	old, fresh := registrytest.NewRegistry(t), registrytest.NewRegistry(t)
-	news := make(chan Listing, 10)
-	d := NewWatcher(Options{Addrs: []string{old.Addr}, Stagger: time.Hour, Deliver: func(l Listing) { news <- l }})
+	old, fresh := registrytest.NewServer(t), registrytest.NewServer(t)
+	news := make(chan ListUpdate, 10)
+	d := NewWatcher(WatcherOptions{Addrs: []string{old.Addr}, MaxStagger: time.Hour, Deliver: func(l ListUpdate) { news <- l }})
 	go d.Follow(t.Context())
-	await(t, "the call", old.Asked)
-	old.Whole <- registrytest.ListText(7, true)
+	await(t, "the call", old.ListCalls)
+	old.FullLists <- registrytest.ListJSON(7, true)
 	await(t, "the list", news)
-	d.Move([]string{fresh.Addr})
-	await(t, "the call at the new address", fresh.Asked)
+	d.SetAddrs([]string{fresh.Addr})
+	await(t, "the call at the new address", fresh.ListCalls)
 	if len(old.Watches) > 0 {
 		t.Error("the watch was opened at once")
 	}
--- a/internal/registry/instance.go
+++ b/internal/registry/instance.go
@@ -19,9 +19,9 @@
 
 // The words that the protocol has for it.
 const (
-	Up       Health = "up"
-	Draining Health = "draining"
-	Removed  Health = "removed" // among changes only
+	HealthUp       Health = "up"
+	HealthDraining Health = "draining"
+	HealthRemoved  Health = "removed" // among changes only
 )
 
 // Instance is one entry of the list, in the protocol's form.
@@ -36,19 +36,19 @@
 	BornMS int64   `json:"born_ms"` // the last start; 0: long ago
 }
 
-// Listing is what discovery answers: the whole list, or what has changed since
+// ListUpdate is what discovery answers: the whole list, or what has changed since
 // the version that was asked for.
-type Listing struct {
-	Seq   uint64     `json:"seq"`
-	Whole bool       `json:"whole"`
-	Hosts []Instance `json:"hosts"`
+type ListUpdate struct {
+	Seq       uint64     `json:"seq"`
+	Full      bool       `json:"whole"`
+	Instances []Instance `json:"hosts"`
 }
 
 const (
 	// ListPath is where the list is, by the protocol.
 	ListPath = "/registry/instances"
-	// WritePath begins the paths of the write interface.
-	WritePath = "/registry/v1/"
+	// APIPath begins the paths of the write interface.
+	APIPath = "/registry/v1/"
 	// ReadHeader says in each answer how fresh what it tells is.
 	ReadHeader = "Registry-Read"
 	// ReadStale means that the replica has no contact with a leader.
@@ -109,7 +109,7 @@
 	switch {
 	case i.Block != nil && (*i.Block < 0 || *i.Block > maxBlock):
 		return fmt.Errorf("block is %d, it must lie between 0 and %d", *i.Block, maxBlock)
-	case i.Health != Up && i.Health != Draining:
+	case i.Health != HealthUp && i.Health != HealthDraining:
 		return fmt.Errorf("health is %.32q, it must be up or draining", i.Health)
 	case !(i.Share > 0) || i.Share > maxShare || math.IsNaN(i.Share):
 		return fmt.Errorf("share is %v, it must be above 0 and at most %v", i.Share, float64(maxShare))
--- a/internal/registry/leaseclock.go
+++ b/internal/registry/leaseclock.go
@@ -10,13 +10,13 @@
 	"barleywick/internal/mutation"
 )
 
-// LeaseClock counts for how long each claim has given no sign of life. As Sessions
+// ClaimTracker counts for how long each claim has given no sign of life. As Sessions
 // it is the leader's alone: a new leader begins one of its own, in which every claim
 // has its full time before it. Time is told to it; it reads no clock.
-type LeaseClock struct {
+type ClaimTracker struct {
 	followed uint64        // the leases' version that it follows
 	longest  time.Duration // the longest time that a claim may have
-	last     map[ClaimEnd]counted
+	last     map[ClaimRef]counted
 	shutAt   time.Time // when it first saw that no lease is granted yet
 	began    bool
 }
@@ -28,24 +28,24 @@
 	ending  bool // its end is on its way through the log: no renewal is taken any more
 }
 
-// NewLeaseClock makes one for a group in which no claim has more than this time.
-func NewLeaseClock(longest time.Duration) *LeaseClock {
-	return &LeaseClock{longest: longest, last: make(map[ClaimEnd]counted)}
+// NewClaimTracker makes one for a group in which no claim has more than this time.
+func NewClaimTracker(longest time.Duration) *ClaimTracker {
+	return &ClaimTracker{longest: longest, last: make(map[ClaimRef]counted)}
 }
 
 // Clone returns a copy.
-func (c *LeaseClock) Clone() *LeaseClock {
+func (c *ClaimTracker) Clone() *ClaimTracker {
 	d := *c
-	d.last = make(map[ClaimEnd]counted, len(c.last))
+	d.last = make(map[ClaimRef]counted, len(c.last))
 	for k, v := range c.last {
 		d.last[k] = v
 	}
 	return &d
 }
 
-// Follow takes the claims of the state over. One that is new, or has been granted
+// Sync takes the claims of the state over. One that is new, or has been granted
 // its lease since, has its full time from now on.
-func (c *LeaseClock) Follow(s *Leases, now time.Time) {
+func (c *ClaimTracker) Sync(s *Leases, now time.Time) {
 	if c.began && c.followed == s.version {
 		return
 	}
@@ -55,9 +55,9 @@
 	} else if c.shutAt.IsZero() {
 		c.shutAt = now
 	}
-	there := make(map[ClaimEnd]bool, len(c.last))
+	there := make(map[ClaimRef]bool, len(c.last))
 	note := func(name string, claim Claim, granted bool) {
-		k := ClaimEnd{name, claim.ID}
+		k := ClaimRef{name, claim.ID}
 		there[k] = true
 		if was, ok := c.last[k]; ok && was.granted == granted {
 			return
@@ -72,7 +72,7 @@
 		if l.Grant != nil {
 			note(name, l.Grant.Claim, true)
 		}
-		for _, w := range l.Line {
+		for _, w := range l.Queue {
 			note(name, w, false)
 		}
 	}
@@ -84,10 +84,10 @@
 	c.began = true
 }
 
-// Renew notes a sign of life that came at a time. It is false where the claim is not
+// renew notes a sign of life that came at a time. It is false where the claim is not
 // followed, or its end has been decided.
-func (c *LeaseClock) Renew(name, claim string, at time.Time) bool {
-	k := ClaimEnd{name, claim}
+func (c *ClaimTracker) renew(name, claim string, at time.Time) bool {
+	k := ClaimRef{name, claim}
 	was, ok := c.last[k]
 	if !ok || was.ending {
 		return false
@@ -99,33 +99,33 @@
 	return true
 }
 
-// Answer tells claims of one process how they stand, and notes the sign of life that
+// RenewClaims tells claims of one process how they stand, and notes the sign of life that
 // came with them at a time. Only a leader may that has made sure, after that time,
 // that it is one: whoever leads next begins later and gives every claim its full time.
-func (c *LeaseClock) Answer(s *Leases, of Holder, claims []ClaimEnd, at time.Time) []ClaimAnswer {
-	c.Follow(s, at)
-	answers := make([]ClaimAnswer, len(claims))
+func (c *ClaimTracker) RenewClaims(s *Leases, of Holder, claims []ClaimRef, at time.Time) []ClaimStatus {
+	c.Sync(s, at)
+	answers := make([]ClaimStatus, len(claims))
 	for i, k := range claims {
-		a := ClaimAnswer{Name: k.Name, Claim: k.Claim}
-		stand, err := s.Stand(k.Name, Claim{ID: k.Claim, Holder: of})
+		a := ClaimStatus{Lease: k.Lease, ClaimID: k.ClaimID}
+		stand, err := s.Stand(k.Lease, Claim{ID: k.ClaimID, Holder: of})
 		switch {
 		case err != nil:
-			a.Gone = true
+			a.Ended = true
 		case stand.Leave:
-			a.Leave, a.To = true, stand.To
-		case !c.Renew(k.Name, stand.Claim, at):
-			a.Gone = true // its end is on its way
+			a.YieldRequested, a.NextHolder = true, stand.To
+		case !c.renew(k.Lease, stand.Claim, at):
+			a.Ended = true // its end is on its way
 		default:
-			a.Token, a.Place = stand.Token, stand.Place
+			a.Token, a.QueuePosition = stand.Token, stand.Place
 		}
 		answers[i] = a
 	}
 	return answers
 }
 
-// Due returns the claims whose time is up, and whether grants may begin. Whoever
+// TakeExpired returns the claims whose time is up, and whether grants may begin. Whoever
 // takes them has them ended: a renewal that comes meanwhile comes too late.
-func (c *LeaseClock) Due(now time.Time) (ended []ClaimEnd, open bool) {
+func (c *ClaimTracker) TakeExpired(now time.Time) (ended []ClaimRef, open bool) {
 	for k, v := range c.last {
 		if now.Sub(v.at) >= v.ttl {
 			v.ending = true
@@ -133,17 +133,17 @@
 			ended = append(ended, k)
 		}
 	}
-	slices.SortFunc(ended, func(a, b ClaimEnd) int {
-		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Claim, b.Claim))
+	slices.SortFunc(ended, func(a, b ClaimRef) int {
+		return cmp.Or(cmp.Compare(a.Lease, b.Lease), cmp.Compare(a.ClaimID, b.ClaimID))
 	})
 	return ended, !c.shutAt.IsZero() && now.Sub(c.shutAt) >= c.longest
 }
 
-// Each tells how every claim stands, in a text that says what will become of it and
+// Visit tells how every claim stands, in a text that says what will become of it and
 // nothing else.
-func (c *LeaseClock) Each(now time.Time, tell func(k ClaimEnd, how string)) {
-	keys := slices.SortedFunc(maps.Keys(c.last), func(a, b ClaimEnd) int {
-		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Claim, b.Claim))
+func (c *ClaimTracker) Visit(now time.Time, tell func(k ClaimRef, how string)) {
+	keys := slices.SortedFunc(maps.Keys(c.last), func(a, b ClaimRef) int {
+		return cmp.Or(cmp.Compare(a.Lease, b.Lease), cmp.Compare(a.ClaimID, b.ClaimID))
 	})
 	for _, k := range keys {
 		v := c.last[k]
@@ -151,5 +151,5 @@
 	}
 }
 
-// Live returns how many claims are followed.
-func (c *LeaseClock) Live() int { return len(c.last) }
+// Len returns how many claims are followed.
+func (c *ClaimTracker) Len() int { return len(c.last) }
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -12,11 +12,11 @@
 
 // The commands on leases.
 const (
-	LeaseAcquire Op = "lease_acquire" // asks for a lease, or for a place in its line
-	LeaseRelease Op = "lease_release" // gives a claim up, held or waiting
-	LeaseEnd     Op = "lease_end"     // ends claims whose time is up: the leader's
-	LeaseAsk     Op = "lease_ask"     // an operator asks a holder to leave, or pauses a lease
-	LeaseOpen    Op = "lease_open"    // lets grants begin: the leader's
+	OpAcquireLease Op = "lease_acquire" // asks for a lease, or for a place in its line
+	OpReleaseLease Op = "lease_release" // gives a claim up, held or waiting
+	OpExpireClaims Op = "lease_end"     // ends claims whose time is up: the leader's
+	OpRequestYield Op = "lease_ask"     // an operator asks a holder to leave, or pauses a lease
+	OpOpenGrants   Op = "lease_open"    // lets grants begin: the leader's
 )
 
 // Holder is a process that claims leases. Of two with one name the one with the
@@ -44,30 +44,30 @@
 
 // Lease is the state of one lease.
 type Lease struct {
-	Name    string  `json:"name"`
-	Grant   *Grant  `json:"grant,omitempty"`
-	Line    []Claim `json:"line,omitempty"`    // who waits, in the order of arrival
-	Leave   bool    `json:"leave,omitempty"`   // the holder is asked to give it up
-	To      string  `json:"to,omitempty"`      // and the next one is to be this one
-	Paused  bool    `json:"paused,omitempty"`  // nobody is to hold it
-	Version uint64  `json:"version,omitempty"` // of the leases when it last changed
+	Name           string  `json:"name"`
+	Grant          *Grant  `json:"grant,omitempty"`
+	Queue          []Claim `json:"line,omitempty"`    // who waits, in the order of arrival
+	YieldRequested bool    `json:"leave,omitempty"`   // the holder is asked to give it up
+	NextHolder     string  `json:"to,omitempty"`      // and the next one is to be this one
+	Paused         bool    `json:"paused,omitempty"`  // nobody is to hold it
+	Version        uint64  `json:"version,omitempty"` // of the leases when it last changed
 }
 
-// ClaimEnd is a claim that is over.
-type ClaimEnd struct {
-	Name  string `json:"name"`
-	Claim string `json:"claim"`
+// ClaimRef is a claim that is over.
+type ClaimRef struct {
+	Lease   string `json:"name"`
+	ClaimID string `json:"claim"`
 }
 
 // LeaseCommand is a command's part that is about leases.
 type LeaseCommand struct {
-	Name  string     `json:"name,omitempty"`
-	Claim Claim      `json:"claim,omitzero"`
-	Wait  bool       `json:"wait,omitempty"`  // of LeaseAcquire: take a place in the line
-	To    string     `json:"to,omitempty"`    // of LeaseRelease and LeaseAsk: the next holder
-	Leave bool       `json:"leave,omitempty"` // of LeaseAsk
-	Pause *bool      `json:"pause,omitempty"` // of LeaseAsk
-	Ends  []ClaimEnd `json:"ends,omitempty"`  // of LeaseEnd
+	Name       string     `json:"name,omitempty"`
+	Claim      Claim      `json:"claim,omitzero"`
+	Wait       bool       `json:"wait,omitempty"`  // of LeaseAcquire: take a place in the line
+	NextHolder string     `json:"to,omitempty"`    // of LeaseRelease and LeaseAsk: the next holder
+	Yield      bool       `json:"leave,omitempty"` // of LeaseAsk
+	Pause      *bool      `json:"pause,omitempty"` // of LeaseAsk
+	Expired    []ClaimRef `json:"ends,omitempty"`  // of LeaseEnd
 }
 
 // Fence makes a command conditional on a grant: it is refused unless the token is
@@ -86,10 +86,10 @@
 
 // Why a command on leases was not carried out, beside the others.
 var (
-	// ErrHeld says that somebody else holds the lease.
-	ErrHeld = fmt.Errorf("held by another: %w", ErrConflict)
-	// ErrGone says that the claim has ended. Another one may begin.
-	ErrGone = errors.New("the claim has ended")
+	// ErrLeaseHeld says that somebody else holds the lease.
+	ErrLeaseHeld = fmt.Errorf("held by another: %w", ErrConflict)
+	// ErrClaimEnded says that the claim has ended. Another one may begin.
+	ErrClaimEnded = errors.New("the claim has ended")
 	// ErrFenced says that the token is not that of the lease's grant.
 	ErrFenced = fmt.Errorf("fenced off: %w", ErrConflict)
 )
@@ -126,39 +126,39 @@
 		g := *l.Grant
 		c.Grant = &g
 	}
-	c.Line = slices.Clone(l.Line)
+	c.Queue = slices.Clone(l.Queue)
 	return &c
 }
 
 // apply carries one command out.
 func (s *Leases) apply(op Op, c *LeaseCommand) Result {
 	if c == nil {
-		return failed(fmt.Errorf("%w: no lease is named", ErrBad))
+		return failed(fmt.Errorf("%w: no lease is named", ErrInvalid))
 	}
 	switch op {
-	case LeaseOpen:
+	case OpOpenGrants:
 		s.open()
 		return Result{Version: s.version}
-	case LeaseEnd:
-		for _, e := range c.Ends {
-			if l := s.all[e.Name]; l != nil {
-				s.end(l, e.Claim)
+	case OpExpireClaims:
+		for _, e := range c.Expired {
+			if l := s.all[e.Lease]; l != nil {
+				s.end(l, e.ClaimID)
 			}
 		}
 		return Result{Version: s.version}
 	}
 	if err := CheckName("lease", c.Name); err != nil {
-		return failed(fmt.Errorf("%w: %w", ErrBad, err))
+		return failed(fmt.Errorf("%w: %w", ErrInvalid, err))
 	}
 	switch op {
-	case LeaseAcquire:
+	case OpAcquireLease:
 		return s.acquire(c)
-	case LeaseRelease:
+	case OpReleaseLease:
 		return s.release(c)
-	case LeaseAsk:
+	case OpRequestYield:
 		return s.ask(c)
 	}
-	return failed(fmt.Errorf("%w: operation %.32q", ErrBad, op))
+	return failed(fmt.Errorf("%w: operation %.32q", ErrInvalid, op))
 }
 
 func checkClaim(c Claim) error {
@@ -182,15 +182,15 @@
 // acquire takes a claim in. The same claim again is told how it stands.
 func (s *Leases) acquire(c *LeaseCommand) Result {
 	if err := checkClaim(c.Claim); err != nil {
-		return failed(fmt.Errorf("%w: %w", ErrBad, err))
+		return failed(fmt.Errorf("%w: %w", ErrInvalid, err))
 	}
 	if slices.Contains(s.ended, c.Claim.ID) {
-		return failed(fmt.Errorf("%w: claim %s", ErrGone, c.Claim.ID))
+		return failed(fmt.Errorf("%w: claim %s", ErrClaimEnded, c.Claim.ID))
 	}
 	l := s.all[c.Name]
 	if l == nil {
 		if len(s.all) >= maxLeases {
-			return failed(fmt.Errorf("%w: there are %d leases", ErrFull, len(s.all)))
+			return failed(fmt.Errorf("%w: there are %d leases", ErrLimitReached, len(s.all)))
 		}
 		l = &Lease{Name: c.Name}
 	}
@@ -205,24 +205,24 @@
 		}
 	}
 	if l.Grant != nil && !c.Wait {
-		return failed(fmt.Errorf("%w: %s holds %s", ErrHeld, l.Grant.Name, l.Name))
+		return failed(fmt.Errorf("%w: %s holds %s", ErrLeaseHeld, l.Grant.Name, l.Name))
 	}
 	if (l.Paused || s.shut) && !c.Wait {
-		return failed(fmt.Errorf("%w: %s cannot be granted now (paused, or the group began or was restored lately)", ErrHeld, l.Name))
+		return failed(fmt.Errorf("%w: %s cannot be granted now (paused, or the group began or was restored lately)", ErrLeaseHeld, l.Name))
 	}
-	for _, other := range slices.Clone(l.Line) {
+	for _, other := range slices.Clone(l.Queue) {
 		if other.Name == c.Claim.Name {
 			s.drop(l, other.ID)
 		}
 	}
-	if len(l.Line) >= maxLine {
-		return failed(fmt.Errorf("%w: %d wait for %s", ErrFull, len(l.Line), l.Name))
+	if len(l.Queue) >= maxLine {
+		return failed(fmt.Errorf("%w: %d wait for %s", ErrLimitReached, len(l.Queue), l.Name))
 	}
 	if l.free(s.shut) && s.token >= MaxVersion {
-		return failed(fmt.Errorf("%w: the tokens are used up", ErrFull))
+		return failed(fmt.Errorf("%w: the tokens are used up", ErrLimitReached))
 	}
 	s.all[c.Name] = l
-	l.Line = append(l.Line, c.Claim)
+	l.Queue = append(l.Queue, c.Claim)
 	s.touch(l)
 	s.grant(l)
 	r, _ := l.standing(c.Claim)
@@ -231,7 +231,7 @@
 
 // claims are all claims on a lease.
 func (l *Lease) claims() []Claim {
-	all := slices.Clone(l.Line)
+	all := slices.Clone(l.Queue)
 	if l.Grant != nil {
 		all = append(all, l.Grant.Claim)
 	}
@@ -246,12 +246,12 @@
 		}
 		return Result{Version: l.Version, Token: g.Token}, true
 	}
-	for i, w := range l.Line {
+	for i, w := range l.Queue {
 		if w.ID == c.ID {
 			if w.Holder != c.Holder {
 				return failed(fmt.Errorf("%w: the claim is another process's", ErrConflict)), true
 			}
-			return Result{Version: l.Version, Place: i + 1}, true
+			return Result{Version: l.Version, QueuePosition: i + 1}, true
 		}
 	}
 	return Result{}, false
@@ -261,15 +261,15 @@
 
 // grant gives a free lease to the one that was named, or else to who waits longest.
 func (s *Leases) grant(l *Lease) {
-	if l.free(s.shut) && len(l.Line) > 0 && s.token < MaxVersion {
-		i := max(0, slices.IndexFunc(l.Line, func(c Claim) bool { return c.Name == l.To }))
+	if l.free(s.shut) && len(l.Queue) > 0 && s.token < MaxVersion {
+		i := max(0, slices.IndexFunc(l.Queue, func(c Claim) bool { return c.Name == l.NextHolder }))
 		s.token++
-		l.Grant = &Grant{Claim: l.Line[i], Token: s.token}
-		l.Line = slices.Delete(l.Line, i, i+1)
-		l.Leave, l.To = false, ""
+		l.Grant = &Grant{Claim: l.Queue[i], Token: s.token}
+		l.Queue = slices.Delete(l.Queue, i, i+1)
+		l.YieldRequested, l.NextHolder = false, ""
 		s.touch(l)
 	}
-	if l.Grant == nil && len(l.Line) == 0 && !l.Paused {
+	if l.Grant == nil && len(l.Queue) == 0 && !l.Paused {
 		delete(s.all, l.Name)
 	}
 }
@@ -282,9 +282,9 @@
 // drop takes a claim out and remembers that it has ended.
 func (s *Leases) drop(l *Lease, id string) bool {
 	if l.Grant != nil && l.Grant.ID == id {
-		l.Grant, l.Leave = nil, false
-	} else if i := slices.IndexFunc(l.Line, func(c Claim) bool { return c.ID == id }); i >= 0 {
-		l.Line = slices.Delete(l.Line, i, i+1)
+		l.Grant, l.YieldRequested = nil, false
+	} else if i := slices.IndexFunc(l.Queue, func(c Claim) bool { return c.ID == id }); i >= 0 {
+		l.Queue = slices.Delete(l.Queue, i, i+1)
 	} else {
 		return false
 	}
@@ -316,21 +316,21 @@
 	r, known := l.standing(c.Claim)
 	switch {
 	case !known:
-		return failed(fmt.Errorf("%w: no claim %.64s on %s", ErrUnknown, c.Claim.ID, c.Name))
+		return failed(fmt.Errorf("%w: no claim %.64s on %s", ErrNotFound, c.Claim.ID, c.Name))
 	case r.Err != nil:
 		return r
-	case c.To != "" && !l.waits(c.To):
-		return Result{Version: l.Version, Err: fmt.Errorf("%w: %.64s does not wait for %s", ErrUnknown, c.To, c.Name)}
+	case c.NextHolder != "" && !l.waits(c.NextHolder):
+		return Result{Version: l.Version, Err: fmt.Errorf("%w: %.64s does not wait for %s", ErrNotFound, c.NextHolder, c.Name)}
 	}
-	if c.To != "" {
-		l.To = c.To
+	if c.NextHolder != "" {
+		l.NextHolder = c.NextHolder
 	}
 	s.end(l, c.Claim.ID)
 	return Result{Version: s.version}
 }
 
 func (l *Lease) waits(name string) bool {
-	return slices.ContainsFunc(l.Line, func(c Claim) bool { return c.Name == name })
+	return slices.ContainsFunc(l.Queue, func(c Claim) bool { return c.Name == name })
 }
 
 // ask notes what an operator wants of a lease. Nothing is taken from its holder: it
@@ -340,28 +340,28 @@
 	switch {
 	case l != nil:
 	case c.Pause == nil || !*c.Pause:
-		return failed(fmt.Errorf("%w: lease %s", ErrUnknown, c.Name))
+		return failed(fmt.Errorf("%w: lease %s", ErrNotFound, c.Name))
 	case len(s.all) >= maxLeases:
-		return failed(fmt.Errorf("%w: there are %d leases", ErrFull, len(s.all)))
+		return failed(fmt.Errorf("%w: there are %d leases", ErrLimitReached, len(s.all)))
 	default:
 		l = &Lease{Name: c.Name}
 	}
 	switch {
-	case c.To != "" && !l.waits(c.To):
-		return Result{Version: l.Version, Err: fmt.Errorf("%w: %.64s does not wait for %s", ErrUnknown, c.To, c.Name)}
-	case c.Leave && l.Grant == nil:
-		return Result{Version: l.Version, Err: fmt.Errorf("%w: nobody holds %s", ErrUnknown, c.Name)}
+	case c.NextHolder != "" && !l.waits(c.NextHolder):
+		return Result{Version: l.Version, Err: fmt.Errorf("%w: %.64s does not wait for %s", ErrNotFound, c.NextHolder, c.Name)}
+	case c.Yield && l.Grant == nil:
+		return Result{Version: l.Version, Err: fmt.Errorf("%w: nobody holds %s", ErrNotFound, c.Name)}
 	}
 	s.all[c.Name] = l
 	was := *l
 	if c.Pause != nil {
 		l.Paused = *c.Pause
-		l.Leave = l.Paused && l.Grant != nil
+		l.YieldRequested = l.Paused && l.Grant != nil
 	}
-	if c.Leave {
-		l.Leave, l.To = true, c.To
+	if c.Yield {
+		l.YieldRequested, l.NextHolder = true, c.NextHolder
 	}
-	if was.Paused != l.Paused || was.Leave != l.Leave || was.To != l.To {
+	if was.Paused != l.Paused || was.YieldRequested != l.YieldRequested || was.NextHolder != l.NextHolder {
 		s.touch(l)
 	}
 	version := l.Version
@@ -381,8 +381,8 @@
 	}
 }
 
-// Shut says that no lease is granted yet.
-func (s *Leases) Shut() bool { return s.shut }
+// GrantsClosed says that no lease is granted yet.
+func (s *Leases) GrantsClosed() bool { return s.shut }
 
 // fenced says why a command with a fence is not to be carried out.
 func (s *Leases) fenced(f *Fence) error {
@@ -403,7 +403,7 @@
 func (s *Leases) Stand(name string, c Claim) (Standing, error) {
 	l := s.all[name]
 	if l == nil {
-		return Standing{}, fmt.Errorf("%w: claim %.64s on %.64s", ErrGone, c.ID, name)
+		return Standing{}, fmt.Errorf("%w: claim %.64s on %.64s", ErrClaimEnded, c.ID, name)
 	}
 	if g := l.Grant; mutation.OldIncarnation && g != nil && g.Name == c.Name {
 		return Standing{Token: g.Token, Claim: g.ID}, nil
@@ -411,11 +411,11 @@
 	r, known := l.standing(c)
 	switch {
 	case !known:
-		return Standing{}, fmt.Errorf("%w: claim %.64s on %.64s", ErrGone, c.ID, name)
+		return Standing{}, fmt.Errorf("%w: claim %.64s on %.64s", ErrClaimEnded, c.ID, name)
 	case r.Err != nil:
 		return Standing{}, r.Err
 	}
-	return Standing{Token: r.Token, Place: r.Place, Leave: r.Token != 0 && l.Leave, To: l.To, Claim: c.ID}, nil
+	return Standing{Token: r.Token, Place: r.QueuePosition, Leave: r.Token != 0 && l.YieldRequested, To: l.NextHolder, Claim: c.ID}, nil
 }
 
 // Standing is how a claim stands: it holds its lease with a token, or waits at a place.
@@ -447,8 +447,8 @@
 // Version returns the version of the last change.
 func (s *Leases) Version() uint64 { return s.version }
 
-// Token returns the last token that was given.
-func (s *Leases) Token() uint64 { return s.token }
+// LastToken returns the last token that was given.
+func (s *Leases) LastToken() uint64 { return s.token }
 
 // restored brings the leases over a restore of the list: they are about processes
 // that live now, and stay. Tokens go on above the backup's, which may be another
@@ -486,7 +486,7 @@
 		return fmt.Errorf("leases: token %d, %d leases, %d that ended", i.Token, len(i.All), len(i.Ended))
 	}
 	for name, l := range i.All {
-		if l == nil || l.Name != name || l.Version > i.Version || len(l.Line) > maxLine || l.Grant != nil && l.Grant.Token > i.Token {
+		if l == nil || l.Name != name || l.Version > i.Version || len(l.Queue) > maxLine || l.Grant != nil && l.Grant.Token > i.Token {
 			return fmt.Errorf("leases: %.64q is broken", name)
 		}
 	}
--- a/internal/registry/leases_test.go
+++ b/internal/registry/leases_test.go
@@ -12,8 +12,8 @@
 // leased is a state in which grants have begun.
 func leased(t *testing.T) *State {
 	t.Helper()
-	s := New()
-	for _, c := range []Command{{Op: Found, Group: "g", AtMS: 1_700_000_000_000}, {Op: LeaseOpen, Lease: new(LeaseCommand)}} {
+	s := NewState()
+	for _, c := range []Command{{Op: OpFoundGroup, Group: "g", AtMS: 1_700_000_000_000}, {Op: OpOpenGrants, Lease: new(LeaseCommand)}} {
 		if r := s.Apply(c); r.Err != nil {
 			t.Fatal(r.Err)
 		}
@@ -26,32 +26,32 @@
 }
 
 func ask(s *State, name string, c Claim, wait bool) Result {
-	return s.Apply(Command{Op: LeaseAcquire, Lease: &LeaseCommand{Name: name, Claim: c, Wait: wait}})
+	return s.Apply(Command{Op: OpAcquireLease, Lease: &LeaseCommand{Name: name, Claim: c, Wait: wait}})
 }
 
 func TestLeaseLine(t *testing.T) {
 	s := leased(t)
 	a, b, c := claim("a", "k1", 1), claim("b", "k2", 1), claim("c", "k3", 1)
 	first := ask(s, "l", a, true)
-	if first.Err != nil || first.Token <= s.Founded() {
+	if first.Err != nil || first.Token <= s.FirstVersion() {
 		t.Fatalf("the first claim got %+v", first)
 	}
 	if again := ask(s, "l", a, true); again.Token != first.Token {
 		t.Errorf("the same claim got token %d, then %d", first.Token, again.Token)
 	}
-	if r := ask(s, "l", b, false); !errors.Is(r.Err, ErrHeld) {
+	if r := ask(s, "l", b, false); !errors.Is(r.Err, ErrLeaseHeld) {
 		t.Errorf("a held lease: %v", r.Err)
 	}
-	if r := ask(s, "l", b, true); r.Place != 1 {
-		t.Errorf("place %d, %v", r.Place, r.Err)
+	if r := ask(s, "l", b, true); r.QueuePosition != 1 {
+		t.Errorf("place %d, %v", r.QueuePosition, r.Err)
 	}
-	if r := ask(s, "l", c, true); r.Place != 2 {
-		t.Errorf("place %d, %v", r.Place, r.Err)
+	if r := ask(s, "l", c, true); r.QueuePosition != 2 {
+		t.Errorf("place %d, %v", r.QueuePosition, r.Err)
 	}
 	hand := func(from Claim, to string) Result {
-		return s.Apply(Command{Op: LeaseRelease, Lease: &LeaseCommand{Name: "l", Claim: from, To: to}})
+		return s.Apply(Command{Op: OpReleaseLease, Lease: &LeaseCommand{Name: "l", Claim: from, NextHolder: to}})
 	}
-	if r := hand(a, "k9"); !errors.Is(r.Err, ErrUnknown) {
+	if r := hand(a, "k9"); !errors.Is(r.Err, ErrNotFound) {
 		t.Errorf("handed over to one who does not wait: %v", r.Err)
 	}
 	if r := hand(a, "k3"); r.Err != nil {
@@ -67,7 +67,7 @@
 	if l, _ := s.Leases().Lease("l"); l.Grant.ID != c.ID {
 		t.Errorf("a late release ended the next grant: %+v", l.Grant)
 	}
-	if r := ask(s, "l", a, true); !errors.Is(r.Err, ErrGone) {
+	if r := ask(s, "l", a, true); !errors.Is(r.Err, ErrClaimEnded) {
 		t.Errorf("a call of a claim that has ended: %v", r.Err)
 	}
 	if r := ask(s, "l", claim("older", "k3", 0), true); !errors.Is(r.Err, ErrConflict) {
@@ -76,8 +76,8 @@
 	if r := hand(Claim{ID: c.ID, Holder: Holder{"k3", 7}}, ""); !errors.Is(r.Err, ErrConflict) {
 		t.Errorf("another process's release: %v", r.Err)
 	}
-	s.Apply(Command{Op: LeaseEnd, Lease: &LeaseCommand{Ends: []ClaimEnd{{"l", c.ID}, {"l", a.ID}, {"no", "such"}}}})
-	if l, _ := s.Leases().Lease("l"); l.Grant == nil || l.Grant.ID != b.ID || len(l.Line) != 0 {
+	s.Apply(Command{Op: OpExpireClaims, Lease: &LeaseCommand{Expired: []ClaimRef{{"l", c.ID}, {"l", a.ID}, {"no", "such"}}}})
+	if l, _ := s.Leases().Lease("l"); l.Grant == nil || l.Grant.ID != b.ID || len(l.Queue) != 0 {
 		t.Errorf("after its end: %+v", l)
 	}
 	hand(b, "")
@@ -91,40 +91,40 @@
 	a, b := claim("a", "k1", 1), claim("b", "k2", 1)
 	wish := func(c LeaseCommand) error {
 		c.Name = "l"
-		return s.Apply(Command{Op: LeaseAsk, Lease: &c}).Err
+		return s.Apply(Command{Op: OpRequestYield, Lease: &c}).Err
 	}
 	yes, no := true, false
-	if err := wish(LeaseCommand{Leave: true}); !errors.Is(err, ErrUnknown) {
+	if err := wish(LeaseCommand{Yield: true}); !errors.Is(err, ErrNotFound) {
 		t.Errorf("a lease that is not there: %v", err)
 	}
-	if err := wish(LeaseCommand{Pause: &yes, To: "k1"}); !errors.Is(err, ErrUnknown) {
+	if err := wish(LeaseCommand{Pause: &yes, NextHolder: "k1"}); !errors.Is(err, ErrNotFound) {
 		t.Errorf("a pause for one who does not wait: %v", err)
 	}
 	ask(s, "l", a, true)
 	ask(s, "l", b, true)
-	if err := wish(LeaseCommand{Leave: true, To: "k3"}); !errors.Is(err, ErrUnknown) {
+	if err := wish(LeaseCommand{Yield: true, NextHolder: "k3"}); !errors.Is(err, ErrNotFound) {
 		t.Errorf("for one who does not wait: %v", err)
 	}
-	if err := wish(LeaseCommand{Leave: true, To: "k2"}); err != nil {
+	if err := wish(LeaseCommand{Yield: true, NextHolder: "k2"}); err != nil {
 		t.Fatal(err)
 	}
-	clock := NewLeaseClock(time.Second)
+	clock := NewClaimTracker(time.Second)
 	now := time.Unix(0, 0)
-	answer := clock.Answer(s.Leases(), a.Holder, []ClaimEnd{{"l", a.ID}}, now)[0]
-	if !answer.Leave || answer.To != "k2" || answer.Token != 0 {
+	answer := clock.RenewClaims(s.Leases(), a.Holder, []ClaimRef{{"l", a.ID}}, now)[0]
+	if !answer.YieldRequested || answer.NextHolder != "k2" || answer.Token != 0 {
 		t.Errorf("the holder is told %+v", answer)
 	}
-	if ended, _ := clock.Due(now.Add(999 * time.Millisecond)); len(ended) != 0 {
+	if ended, _ := clock.TakeExpired(now.Add(999 * time.Millisecond)); len(ended) != 0 {
 		t.Errorf("it is ended at once: %v", ended)
 	}
-	if ended, _ := clock.Due(now.Add(time.Second)); len(ended) != 2 {
+	if ended, _ := clock.TakeExpired(now.Add(time.Second)); len(ended) != 2 {
 		t.Errorf("it is never ended: %v", ended)
 	}
 	if err := wish(LeaseCommand{Pause: &yes}); err != nil {
 		t.Fatal(err)
 	}
-	s.Apply(Command{Op: LeaseRelease, Lease: &LeaseCommand{Name: "l", Claim: a}})
-	if l, _ := s.Leases().Lease("l"); l.Grant != nil || len(l.Line) != 1 {
+	s.Apply(Command{Op: OpReleaseLease, Lease: &LeaseCommand{Name: "l", Claim: a}})
+	if l, _ := s.Leases().Lease("l"); l.Grant != nil || len(l.Queue) != 1 {
 		t.Errorf("granted while paused: %+v", l)
 	}
 	if err := wish(LeaseCommand{Pause: &no}); err != nil {
@@ -141,19 +141,19 @@
 	old := ask(s, "l", a, true).Token
 	ask(s, "l", b, true)
 	put := func(token uint64, v string) error {
-		return s.Apply(Command{Op: Put, Key: "r", Value: []byte(v), Fence: &Fence{"l", token}}).Err
+		return s.Apply(Command{Op: OpPutRecord, Key: "r", Value: []byte(v), Fence: &Fence{"l", token}}).Err
 	}
 	if err := put(old, "1"); err != nil {
 		t.Fatal(err)
 	}
-	s.Apply(Command{Op: LeaseEnd, Lease: &LeaseCommand{Ends: []ClaimEnd{{"l", a.ID}}}})
+	s.Apply(Command{Op: OpExpireClaims, Lease: &LeaseCommand{Expired: []ClaimRef{{"l", a.ID}}}})
 	if err := put(old, "2"); !errors.Is(err, ErrFenced) {
 		t.Errorf("an older token: %v", err)
 	}
 	if err := put(old+1, "3"); err != nil {
 		t.Error(err)
 	}
-	s.Apply(Command{Op: LeaseRelease, Lease: &LeaseCommand{Name: "l", Claim: b}})
+	s.Apply(Command{Op: OpReleaseLease, Lease: &LeaseCommand{Name: "l", Claim: b}})
 	if err := put(old+1, "4"); !errors.Is(err, ErrFenced) {
 		t.Errorf("a token of a lease that nobody holds: %v", err)
 	}
@@ -165,11 +165,11 @@
 func TestLeaseLimits(t *testing.T) {
 	s := leased(t)
 	for _, c := range []Claim{claim("", "", 1), {ID: "short", Holder: Holder{"k", 1}, TTLMS: 1}, {ID: "claim-x-00", Holder: Holder{"k", 1}}, claim("x", "k", MaxVersion+1)} {
-		if r := ask(s, "l", c, true); !errors.Is(r.Err, ErrBad) {
+		if r := ask(s, "l", c, true); !errors.Is(r.Err, ErrInvalid) {
 			t.Errorf("%+v: %v", c, r.Err)
 		}
 	}
-	if r := ask(s, "a/b", claim("x", "k", 1), true); !errors.Is(r.Err, ErrBad) {
+	if r := ask(s, "a/b", claim("x", "k", 1), true); !errors.Is(r.Err, ErrInvalid) {
 		t.Errorf("a name with a slash: %v", r.Err)
 	}
 	for i := range maxLine + 1 {
@@ -177,16 +177,16 @@
 			t.Fatal(r.Err)
 		}
 	}
-	if r := ask(s, "l", claim("more", "more", 1), true); !errors.Is(r.Err, ErrFull) {
+	if r := ask(s, "l", claim("more", "more", 1), true); !errors.Is(r.Err, ErrLimitReached) {
 		t.Errorf("a full line: %v", r.Err)
 	}
-	if r := ask(s, "l", claim("newer", "k5", 2), true); r.Err != nil || r.Place != maxLine {
+	if r := ask(s, "l", claim("newer", "k5", 2), true); r.Err != nil || r.QueuePosition != maxLine {
 		t.Errorf("a process that started again does not take its own place: %+v", r)
 	}
 	for i := range maxLeases {
 		ask(s, fmt.Sprint("l", i), claim(fmt.Sprint("l", i), "k", 1), true)
 	}
-	if r := ask(s, "one-more", claim("full", "k", 1), true); !errors.Is(r.Err, ErrFull) {
+	if r := ask(s, "one-more", claim("full", "k", 1), true); !errors.Is(r.Err, ErrLimitReached) {
 		t.Errorf("too many leases: %v", r.Err)
 	}
 	// A token at its largest value: no grant, and no lower one.
@@ -195,7 +195,7 @@
 	if r := ask(s, "l", claim("last", "k", 1), true); r.Token != MaxVersion {
 		t.Errorf("the last token is %d, %v", r.Token, r.Err)
 	}
-	if r := ask(s, "m", claim("next", "k", 1), true); !errors.Is(r.Err, ErrFull) {
+	if r := ask(s, "m", claim("next", "k", 1), true); !errors.Is(r.Err, ErrLimitReached) {
 		t.Errorf("beyond the last token: %+v", r)
 	}
 }
@@ -206,7 +206,7 @@
 	a := claim("a", "k1", 1)
 	token := ask(s, "l", a, true).Token
 	ask(s, "l", claim("b", "k2", 1), true)
-	if r := s.Apply(Command{Op: Restore, Backup: backup}); r.Err != nil {
+	if r := s.Apply(Command{Op: OpRestore, Backup: backup}); r.Err != nil {
 		t.Fatal(r.Err)
 	}
 	if l, _ := s.Leases().Lease("l"); l.Grant == nil || l.Grant.Token != token {
@@ -219,7 +219,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := New()
+	again := NewState()
 	if err := json.Unmarshal(text, again); err != nil {
 		t.Fatal(err)
 	}
@@ -235,29 +235,29 @@
 	}
 	// Another group of the name, founded later: its tokens are higher still, and it
 	// grants none before those of the first have run out.
-	other := New()
-	other.Apply(Command{Op: Found, Group: "g", AtMS: 1_700_000_001_000})
-	if other.leases.token <= s.leases.token || !other.Leases().Shut() {
-		t.Errorf("a later group begins at %d, the first one is at %d; shut %v", other.leases.token, s.leases.token, other.Leases().Shut())
+	other := NewState()
+	other.Apply(Command{Op: OpFoundGroup, Group: "g", AtMS: 1_700_000_001_000})
+	if other.leases.token <= s.leases.token || !other.Leases().GrantsClosed() {
+		t.Errorf("a later group begins at %d, the first one is at %d; shut %v", other.leases.token, s.leases.token, other.Leases().GrantsClosed())
 	}
-	if r := ask(other, "l", a, true); r.Err != nil || r.Token != 0 || r.Place != 1 {
+	if r := ask(other, "l", a, true); r.Err != nil || r.Token != 0 || r.QueuePosition != 1 {
 		t.Errorf("granted at once by a new group: %+v", r)
 	}
-	clock := NewLeaseClock(time.Minute)
+	clock := NewClaimTracker(time.Minute)
 	now := time.Unix(0, 0)
-	clock.Follow(other.Leases(), now)
-	if _, open := clock.Due(now.Add(time.Minute - 1)); open {
+	clock.Sync(other.Leases(), now)
+	if _, open := clock.TakeExpired(now.Add(time.Minute - 1)); open {
 		t.Error("grants begin too early")
 	}
-	if _, open := clock.Due(now.Add(time.Minute)); !open {
+	if _, open := clock.TakeExpired(now.Add(time.Minute)); !open {
 		t.Error("grants never begin")
 	}
-	other.Apply(Command{Op: LeaseOpen, Lease: new(LeaseCommand)})
+	other.Apply(Command{Op: OpOpenGrants, Lease: new(LeaseCommand)})
 	if l, _ := other.Leases().Lease("l"); l.Grant == nil {
 		t.Error("who waited is not granted the lease")
 	}
-	clock.Follow(other.Leases(), now.Add(2*time.Minute))
-	if _, open := clock.Due(now.Add(4 * time.Minute)); open {
+	clock.Sync(other.Leases(), now.Add(2*time.Minute))
+	if _, open := clock.TakeExpired(now.Add(4 * time.Minute)); open {
 		t.Error("grants begin twice")
 	}
 }
--- a/internal/registry/policy.go
+++ b/internal/registry/policy.go
@@ -8,26 +8,26 @@
 	"barleywick/internal/rollout"
 )
 
-// SeatLease begins the names of the leases under which sidecars serve whose policy says
+// RosterLeasePrefix begins the names of the leases under which sidecars serve whose policy says
 // that they refuse when they are cut off. Its end is evidence that the sidecar acts no
 // more: its seat in the roster goes in the same command.
-const SeatLease = "seat:"
+const RosterLeasePrefix = "seat:"
 
-// Policy returns the change of policy, to be read.
-func (s *State) Policy() *rollout.State { return s.policy }
+// Rollout returns the change of policy, to be read.
+func (s *State) Rollout() *rollout.State { return s.policy }
 
 // decide carries a step of a change of policy out.
 func (s *State) decide(c Command) Result {
-	if c.Policy == nil {
-		return failed(fmt.Errorf("%w: no step of a change of policy", ErrBad))
+	if c.PolicyStep == nil {
+		return failed(fmt.Errorf("%w: no step of a change of policy", ErrInvalid))
 	}
-	step := *c.Policy
+	step := *c.PolicyStep
 	step.AtMS = c.AtMS
 	if step.Verb == rollout.Advance && c.Fence == nil {
-		return failed(fmt.Errorf("%w: to advance a change is for the holder of its lease", ErrBad))
+		return failed(fmt.Errorf("%w: to advance a change is for the holder of its lease", ErrInvalid))
 	}
 	err := s.policy.Apply(step)
-	for ours, theirs := range map[error]error{ErrBad: rollout.ErrBad, ErrConflict: rollout.ErrConflict, ErrUnknown: rollout.ErrUnknown, ErrFull: rollout.ErrFull} {
+	for ours, theirs := range map[error]error{ErrInvalid: rollout.ErrBad, ErrConflict: rollout.ErrConflict, ErrNotFound: rollout.ErrUnknown, ErrLimitReached: rollout.ErrFull} {
 		if errors.Is(err, theirs) {
 			err = fmt.Errorf("%w: %w", ours, err)
 			break
@@ -38,15 +38,15 @@
 
 // seatedBefore are the sidecars that hold leases which a command may end.
 func (s *State) seatedBefore(c Command) (seated []Claim) {
-	if c.Lease == nil || c.Op != LeaseEnd && c.Op != LeaseRelease {
+	if c.Lease == nil || c.Op != OpExpireClaims && c.Op != OpReleaseLease {
 		return nil
 	}
 	names := []string{c.Lease.Name}
-	for _, e := range c.Lease.Ends {
-		names = append(names, e.Name)
+	for _, e := range c.Lease.Expired {
+		names = append(names, e.Lease)
 	}
 	for _, n := range names {
-		if l := s.leases.all[n]; strings.HasPrefix(n, SeatLease) && l != nil && l.Grant != nil {
+		if l := s.leases.all[n]; strings.HasPrefix(n, RosterLeasePrefix) && l != nil && l.Grant != nil {
 			seated = append(seated, l.Grant.Claim)
 		}
 	}
@@ -56,7 +56,7 @@
 // unseat takes the seats of those away whose leases have ended.
 func (s *State) unseat(seated []Claim) {
 	for _, c := range seated {
-		if l := s.leases.all[SeatLease+c.Name]; l == nil || l.Grant == nil || l.Grant.ID != c.ID {
+		if l := s.leases.all[RosterLeasePrefix+c.Name]; l == nil || l.Grant == nil || l.Grant.ID != c.ID {
 			s.policy.Apply(rollout.Command{Verb: rollout.Leave, Member: rollout.Member{Name: c.Name, Incarnation: c.Incarnation}})
 		}
 	}
--- a/internal/registry/registrytest/fake.go
+++ b/internal/registry/registrytest/fake.go
@@ -13,12 +13,12 @@
 	"barleywick/internal/registry"
 )
 
-// Registry is a fake discovery: the test writes the lines of each watch.
-type Registry struct {
-	Addr    string
-	Watches chan *Watch
-	Whole   chan string // what the next call for the whole list gets
-	Asked   chan string // the query of each call for the whole list
+// Server is a fake discovery: the test writes the lines of each watch.
+type Server struct {
+	Addr      string
+	Watches   chan *Watch
+	FullLists chan string // what the next call for the whole list gets
+	ListCalls chan string // the query of each call for the whole list
 }
 
 // Watch is one that a client holds open. The test writes its lines, and closes
@@ -29,10 +29,10 @@
 	Ended chan struct{}
 }
 
-// NewRegistry starts one that ends with the test.
-func NewRegistry(t testing.TB) *Registry {
+// NewServer starts one that ends with the test.
+func NewServer(t testing.TB) *Server {
 	t.Helper()
-	g := &Registry{Watches: make(chan *Watch, 10), Whole: make(chan string, 10), Asked: make(chan string, 10)}
+	g := &Server{Watches: make(chan *Watch, 10), FullLists: make(chan string, 10), ListCalls: make(chan string, 10)}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -44,9 +44,9 @@
 			return
 		}
 		if r.URL.Query().Get("watch") == "" {
-			g.Asked <- r.URL.RawQuery
+			g.ListCalls <- r.URL.RawQuery
 			select {
-			case text := <-g.Whole:
+			case text := <-g.FullLists:
 				io.WriteString(w, text)
 			case <-r.Context().Done():
 			}
@@ -75,12 +75,12 @@
 	return g
 }
 
-// HostText is an entry of a list.
-func HostText(name, dial, health string, born int64) string {
+// EndpointJSON is an entry of a list.
+func EndpointJSON(name, dial, health string, born int64) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","block":3,"health":%q,"share":1.0,"born_ms":%d}`, name, dial, health, born)
 }
 
-// ListText is an answer of discovery.
-func ListText(seq int, whole bool, hosts ...string) string {
+// ListJSON is an answer of discovery.
+func ListJSON(seq int, whole bool, hosts ...string) string {
 	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, whole, strings.Join(hosts, ","))
 }
--- a/internal/registry/server/certain.go
+++ b/internal/registry/server/certain.go
@@ -118,7 +118,7 @@
 	if !ok {
 		return fmt.Errorf("replica %s: its address is not known", id)
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.HTTP+registry.WritePath+"term", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.HTTP+registry.APIPath+"term", nil)
 	if err != nil {
 		return err
 	}
--- a/internal/registry/server/config.go
+++ b/internal/registry/server/config.go
@@ -18,10 +18,10 @@
 
 // Config is what a replica is told.
 type Config struct {
-	Group    string            `json:"group"`
-	ID       string            `json:"id"`
-	Data     string            `json:"data"`     // the folder that holds its log
-	Replicas []registry.Member `json:"replicas"` // the group at its founding, this one among them
+	Group    string                 `json:"group"`
+	ID       string                 `json:"id"`
+	Data     string                 `json:"data"`     // the folder that holds its log
+	Replicas []registry.ReplicaInfo `json:"replicas"` // the group at its founding, this one among them
 	// Join says that this replica is added to a group that runs already: it founds
 	// none, and waits until an operator adds it.
 	Join     bool     `json:"join"`
@@ -182,7 +182,7 @@
 	return nil
 }
 
-func checkMember(m registry.Member) error {
+func checkMember(m registry.ReplicaInfo) error {
 	if err := registry.CheckName("id", m.ID); err != nil {
 		return err
 	}
@@ -199,16 +199,16 @@
 }
 
 // Self is this replica, with its addresses.
-func (c *Config) Self() registry.Member {
+func (c *Config) Self() registry.ReplicaInfo {
 	m, _ := c.self()
 	return m
 }
 
 // self is this replica among those named.
-func (c *Config) self() (registry.Member, bool) {
-	i := slices.IndexFunc(c.Replicas, func(m registry.Member) bool { return m.ID == c.ID })
+func (c *Config) self() (registry.ReplicaInfo, bool) {
+	i := slices.IndexFunc(c.Replicas, func(m registry.ReplicaInfo) bool { return m.ID == c.ID })
 	if i < 0 {
-		return registry.Member{}, false
+		return registry.ReplicaInfo{}, false
 	}
 	return c.Replicas[i], true
 }
--- a/internal/registry/server/fleet.go
+++ b/internal/registry/server/fleet.go
@@ -26,7 +26,7 @@
 	var urls []string
 	for _, m := range c.Replicas {
 		if m.ID != c.ID {
-			urls = append(urls, "http://"+m.HTTP+registry.WritePath+membership.Path)
+			urls = append(urls, "http://"+m.HTTP+registry.APIPath+membership.Path)
 		}
 	}
 	node, err := gossip.Start(gossip.Options{
@@ -53,16 +53,16 @@
 // seen is where members of the fleet see a replica of this group, if any does. Whoever is
 // there has to say first of which group it is (layer.compare), so a wrong word of an
 // address costs a connection and no more.
-func (r *Replica) seen(id string) (registry.Member, bool) {
+func (r *Replica) seen(id string) (registry.ReplicaInfo, bool) {
 	node := r.fleet.Load()
 	if node == nil || id == r.self.ID {
-		return registry.Member{}, false
+		return registry.ReplicaInfo{}, false
 	}
 	s, ok := node.Named(r.config.Load().Group + "-" + id)
 	if !ok || s.Role != membership.Registry || s.ID != id || s.Raft == "" || s.HTTP == "" || s.Status != membership.Present && s.Status != membership.Suspected {
-		return registry.Member{}, false
+		return registry.ReplicaInfo{}, false
 	}
-	return registry.Member{ID: id, HTTP: s.HTTP, Raft: s.Raft}, true
+	return registry.ReplicaInfo{ID: id, HTTP: s.HTTP, Raft: s.Raft}, true
 }
 
 // whereabouts tells Raft where a replica is reached now; where members do not see it,
--- a/internal/registry/server/http.go
+++ b/internal/registry/server/http.go
@@ -42,7 +42,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+registry.ListPath, r.serveList)
 	at := func(method, path string, h func(w http.ResponseWriter, q *http.Request) error) {
-		mux.HandleFunc(method+" "+registry.WritePath+path, func(w http.ResponseWriter, q *http.Request) {
+		mux.HandleFunc(method+" "+registry.APIPath+path, func(w http.ResponseWriter, q *http.Request) {
 			if err := r.inTurn(q, func() error { return h(w, q) }); err != nil {
 				r.fail(w, q, err)
 			}
@@ -61,17 +61,17 @@
 	at("POST", "leases/{name}/release", r.serveRelease)
 	at("POST", "leases/{name}/ask", r.serveAsk)
 	at("POST", "renewals", r.serveRenewals)
-	mux.HandleFunc("GET "+registry.WritePath+"leases", r.waiting(r.listLeases))
+	mux.HandleFunc("GET "+registry.APIPath+"leases", r.waiting(r.listLeases))
 	at("POST", "policy", r.servePolicy)
-	mux.HandleFunc("GET "+registry.WritePath+"policy", r.waiting(r.listPolicy))
-	mux.HandleFunc("GET "+registry.WritePath+"policy/view", r.waiting(r.viewPolicy))
-	mux.HandleFunc("GET "+registry.WritePath+"term", r.serveTerm)
+	mux.HandleFunc("GET "+registry.APIPath+"policy", r.waiting(r.listPolicy))
+	mux.HandleFunc("GET "+registry.APIPath+"policy/view", r.waiting(r.viewPolicy))
+	mux.HandleFunc("GET "+registry.APIPath+"term", r.serveTerm)
 	at("PUT", "members/{id}", r.serveAdd)
 	at("DELETE", "members/{id}", r.serveDropMember)
 	at("GET", "backup", r.serveBackup)
 	at("POST", "restore", r.serveRestore)
 	at("GET", "status", r.serveStatus)
-	mux.HandleFunc(registry.WritePath+membership.Path, r.serveFleet)
+	mux.HandleFunc(registry.APIPath+membership.Path, r.serveFleet)
 	mux.HandleFunc("GET /health/ready", func(w http.ResponseWriter, q *http.Request) {
 		if !r.ready.Load() {
 			r.fail(w, q, errNotReady)
@@ -125,19 +125,19 @@
 	switch {
 	case errors.As(err, &named):
 		status = named.status
-	case errors.Is(err, registry.ErrBad):
+	case errors.Is(err, registry.ErrInvalid):
 		status = http.StatusBadRequest
-	case errors.Is(err, registry.ErrUnknown):
+	case errors.Is(err, registry.ErrNotFound):
 		status = http.StatusNotFound
 	case errors.Is(err, registry.ErrFenced):
 		status = http.StatusPreconditionFailed
-	case errors.Is(err, registry.ErrHeld):
+	case errors.Is(err, registry.ErrLeaseHeld):
 		status = http.StatusLocked
-	case errors.Is(err, registry.ErrGone):
+	case errors.Is(err, registry.ErrClaimEnded):
 		status = http.StatusGone
-	case errors.Is(err, registry.ErrConflict), errors.Is(err, registry.ErrTaken):
+	case errors.Is(err, registry.ErrConflict), errors.Is(err, registry.ErrHostTaken):
 		status = http.StatusConflict
-	case errors.Is(err, registry.ErrFull):
+	case errors.Is(err, registry.ErrLimitReached):
 		status = http.StatusInsufficientStorage
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress):
 		if leader, ok := r.leader(); ok && leader.ID != r.self.ID {
@@ -158,7 +158,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	line := strings.Join(strings.Fields(err.Error()), " ")
-	writeJSON(w, registry.WriteAnswer{Seq: r.machine.seq(), Error: line})
+	writeJSON(w, registry.WriteResponse{Seq: r.machine.seq(), Error: line})
 }
 
 // retryAfter is about comeBack, in seconds; it differs from call to call.
@@ -356,9 +356,9 @@
 	if err != nil {
 		return err
 	}
-	var a registry.EntriesAnswer
+	var a registry.RegistrationsResponse
 	r.machine.read(func(s *registry.State) {
-		a = registry.EntriesAnswer{Group: s.Group(), Seq: s.Seq(), Entries: s.Entries(), Marks: s.Marks()}
+		a = registry.RegistrationsResponse{Group: s.Group(), Seq: s.Seq(), Registrations: s.Registrations(), Marks: s.Marks()}
 	})
 	r.answer(w, read, a)
 	return nil
@@ -425,7 +425,7 @@
 		return bad("%v", err)
 	}
 	return r.write(w, registry.Command{
-		Op: registry.Register, Instance: &b.Instance, Session: b.Session, TTLMS: b.TTLMS, Machine: b.Machine, IfVersion: b.IfVersion,
+		Op: registry.OpRegister, Instance: &b.Instance, Session: b.Session, TTLMS: b.TTLMS, Machine: b.Machine, IfVersion: b.IfVersion,
 	})
 }
 
@@ -437,7 +437,7 @@
 	if err := r.renew(q.PathValue("host"), b.Session, time.Now()); err != nil {
 		return err
 	}
-	r.answer(w, registry.ReadCurrent, registry.WriteAnswer{Seq: r.machine.seq()})
+	r.answer(w, registry.ReadCurrent, registry.WriteResponse{Seq: r.machine.seq()})
 	return nil
 }
 
@@ -459,7 +459,7 @@
 	if err != nil {
 		return err
 	}
-	return r.write(w, registry.Command{Op: registry.Remove, Host: q.PathValue("host"), Session: q.URL.Query().Get("session"), IfVersion: v})
+	return r.write(w, registry.Command{Op: registry.OpRemove, Host: q.PathValue("host"), Session: q.URL.Query().Get("session"), IfVersion: v})
 }
 
 func (r *Replica) serveMark(w http.ResponseWriter, q *http.Request) error {
@@ -468,7 +468,7 @@
 		return err
 	}
 	return r.write(w, registry.Command{
-		Op: registry.Mark, MustMark: b.Hosts, By: b.By, Draining: b.Draining, Fence: b.Fence, IfVersion: b.IfVersion, Record: b.Record, RecordAt: b.RecordAt,
+		Op: registry.OpMark, Hosts: b.Hosts, MarkedBy: b.MarkedBy, Draining: b.Draining, Fence: b.Fence, IfVersion: b.IfVersion, IfRecord: b.IfRecord, IfRecordVersion: b.IfRecordVersion,
 	})
 }
 
@@ -478,7 +478,7 @@
 		return err
 	}
 	var keys []string
-	r.machine.read(func(s *registry.State) { keys = s.Records() })
+	r.machine.read(func(s *registry.State) { keys = s.RecordKeys() })
 	r.answer(w, read, keys)
 	return nil
 }
@@ -493,7 +493,7 @@
 	key := q.PathValue("key")
 	r.machine.read(func(s *registry.State) { rec, ok = s.Record(key) })
 	if !ok {
-		return fmt.Errorf("%w: record %.64s", registry.ErrUnknown, key)
+		return fmt.Errorf("%w: record %.64s", registry.ErrNotFound, key)
 	}
 	r.answer(w, read, rec)
 	return nil
@@ -508,7 +508,7 @@
 	if strings.HasPrefix(key, memberKey) {
 		return bad("records that begin with %s are the group's own: use members", memberKey)
 	}
-	return r.write(w, registry.Command{Op: registry.Put, Key: key, Value: b.Value, IfVersion: b.IfVersion, Fence: b.Fence})
+	return r.write(w, registry.Command{Op: registry.OpPutRecord, Key: key, Value: b.Value, IfVersion: b.IfVersion, Fence: b.Fence})
 }
 
 func (r *Replica) serveDrop(w http.ResponseWriter, q *http.Request) error {
@@ -520,11 +520,11 @@
 	if strings.HasPrefix(key, memberKey) {
 		return bad("records that begin with %s are the group's own: use members", memberKey)
 	}
-	return r.write(w, registry.Command{Op: registry.Drop, Key: key, IfVersion: v})
+	return r.write(w, registry.Command{Op: registry.OpDeleteRecord, Key: key, IfVersion: v})
 }
 
 func (r *Replica) serveAdd(w http.ResponseWriter, q *http.Request) error {
-	var m registry.Member
+	var m registry.ReplicaInfo
 	if err := decode(w, q, maxBody, &m); err != nil {
 		return err
 	}
@@ -573,10 +573,10 @@
 	if err != nil {
 		return refusal{http.StatusRequestEntityTooLarge, fmt.Errorf("a backup of more than %d bytes", maxBackup)}
 	}
-	if err := json.Unmarshal(text, registry.New()); err != nil {
+	if err := json.Unmarshal(text, registry.NewState()); err != nil {
 		return bad("%v", err)
 	}
-	return r.write(w, registry.Command{Op: registry.Restore, Backup: text})
+	return r.write(w, registry.Command{Op: registry.OpRestore, Backup: text})
 }
 
 func (r *Replica) serveStatus(w http.ResponseWriter, q *http.Request) error {
@@ -615,7 +615,7 @@
 		{"term", "gauge", "term of the group", s.Term},
 		{"instances", "gauge", "instances in the list", entries},
 		{"sessions", "gauge", "sessions that the leader follows", uint64(s.Sessions)},
-		{"expiry_held", "gauge", "1 while too many sessions have ended at once", flag(s.Held)},
+		{"expiry_held", "gauge", "1 while too many sessions have ended at once", flag(s.ExpiryHeld)},
 		{"expired_total", "counter", "instances removed for their silence", r.expired.Load()},
 		{"writes_total", "counter", "commands that this replica had carried out", r.writes.Load()},
 		{"refused_total", "counter", "calls told to come back", r.refused.Load()},
--- a/internal/registry/server/leases.go
+++ b/internal/registry/server/leases.go
@@ -18,17 +18,17 @@
 
 // followLeases lets the clock follow the claims of the state. The lock is held.
 func (r *Replica) followLeases(now time.Time) {
-	r.machine.read(func(s *registry.State) { r.leases.Follow(s.Leases(), now) })
+	r.machine.read(func(s *registry.State) { r.leases.Sync(s.Leases(), now) })
 }
 
 // endLeases ends the claims whose time is up.
 func (r *Replica) endLeases(now time.Time, term uint64) {
 	r.mu.Lock()
 	r.followLeases(now)
-	ended, open := r.leases.Due(now)
+	ended, open := r.leases.TakeExpired(now)
 	r.mu.Unlock()
 	if open {
-		if _, err := r.apply(registry.Command{Op: registry.LeaseOpen, Lease: new(registry.LeaseCommand), Term: term}); err != nil {
+		if _, err := r.apply(registry.Command{Op: registry.OpOpenGrants, Lease: new(registry.LeaseCommand), Term: term}); err != nil {
 			slog.Warn("leases: grants cannot begin", "err", err)
 			return
 		}
@@ -37,20 +37,20 @@
 	if len(ended) == 0 {
 		return
 	}
-	if _, err := r.apply(registry.Command{Op: registry.LeaseEnd, Lease: &registry.LeaseCommand{Ends: ended}, Term: term}); err != nil {
+	if _, err := r.apply(registry.Command{Op: registry.OpExpireClaims, Lease: &registry.LeaseCommand{Expired: ended}, Term: term}); err != nil {
 		slog.Warn("leases: claims whose time is up are not ended", "err", err) // the next look tries again
 		return
 	}
 	r.ended.Add(uint64(len(ended)))
 	for _, e := range ended {
-		slog.Info("leases: a claim's time is up", "lease", e.Name, "claim", e.Claim)
+		slog.Info("leases: a claim's time is up", "lease", e.Lease, "claim", e.ClaimID)
 	}
 }
 
 // renewLeases notes signs of life that came at a time. A leader has to make sure that
 // it was one after that time: whoever leads next begins later than that and gives
 // every claim its full time, so none can end before its holder's count does.
-func (r *Replica) renewLeases(of registry.Holder, claims []registry.ClaimEnd, at time.Time) ([]registry.ClaimAnswer, error) {
+func (r *Replica) renewLeases(of registry.Holder, claims []registry.ClaimRef, at time.Time) ([]registry.ClaimStatus, error) {
 	r.mu.Lock()
 	err, clock := r.leadsLocked(), r.leases
 	r.mu.Unlock()
@@ -68,10 +68,10 @@
 	if r.leases != clock { // it led, lost that and leads again: what was made sure of is of the past
 		return nil, errNewLeader
 	}
-	var answers []registry.ClaimAnswer
-	r.machine.read(func(s *registry.State) { answers = r.leases.Answer(s.Leases(), of, claims, at) })
+	var answers []registry.ClaimStatus
+	r.machine.read(func(s *registry.State) { answers = r.leases.RenewClaims(s.Leases(), of, claims, at) })
 	for _, a := range answers {
-		if a.Token != 0 || a.Place != 0 {
+		if a.Token != 0 || a.QueuePosition != 0 {
 			r.renewals.Add(1)
 		}
 	}
@@ -80,18 +80,18 @@
 
 func (r *Replica) serveRenewals(w http.ResponseWriter, q *http.Request) error {
 	at := time.Now()
-	var b registry.RenewalsRequest
+	var b registry.RenewClaimsRequest
 	if err := decode(w, q, maxBody, &b); err != nil {
 		return err
 	}
-	if len(b.Claims) > registry.MostRenewals {
-		return bad("claims: %d are named, %d at most", len(b.Claims), registry.MostRenewals)
+	if len(b.Claims) > registry.MaxRenewals {
+		return bad("claims: %d are named, %d at most", len(b.Claims), registry.MaxRenewals)
 	}
 	answers, err := r.renewLeases(b.Holder, b.Claims, at)
 	if err != nil {
 		return err
 	}
-	r.answer(w, registry.ReadLinearizable, registry.RenewalsAnswer{Claims: answers})
+	r.answer(w, registry.ReadLinearizable, registry.RenewClaimsResponse{Claims: answers})
 	return nil
 }
 
@@ -120,7 +120,7 @@
 		return bad("ttl_ms is %d, it must lie between %d and %d", b.TTLMS, rules.LeastTTLMS, rules.MostTTLMS)
 	}
 	name := q.PathValue("name")
-	result, err := r.leaseWrite(registry.LeaseAcquire, &registry.LeaseCommand{Name: name, Claim: b.Claim, Wait: b.Wait})
+	result, err := r.leaseWrite(registry.OpAcquireLease, &registry.LeaseCommand{Name: name, Claim: b.Claim, Wait: b.Wait})
 	if err != nil {
 		return err
 	}
@@ -128,7 +128,7 @@
 		r.granted.Add(1)
 		slog.Info("leases: granted", "lease", name, "holder", b.Claim.Name, "token", result.Token)
 	}
-	r.answer(w, registry.ReadLinearizable, registry.ClaimAnswer{Name: name, Claim: b.ID, Token: result.Token, Place: result.Place})
+	r.answer(w, registry.ReadLinearizable, registry.ClaimStatus{Lease: name, ClaimID: b.ID, Token: result.Token, QueuePosition: result.QueuePosition})
 	return nil
 }
 
@@ -137,27 +137,27 @@
 	if err := decode(w, q, maxBody, &b); err != nil {
 		return err
 	}
-	claim := registry.Claim{ID: b.ID, Holder: b.Holder}
-	result, err := r.leaseWrite(registry.LeaseRelease, &registry.LeaseCommand{Name: q.PathValue("name"), Claim: claim, To: b.To})
+	claim := registry.Claim{ID: b.ClaimID, Holder: b.Holder}
+	result, err := r.leaseWrite(registry.OpReleaseLease, &registry.LeaseCommand{Name: q.PathValue("name"), Claim: claim, NextHolder: b.NextHolder})
 	return r.wrote(w, result, err)
 }
 
 func (r *Replica) serveAsk(w http.ResponseWriter, q *http.Request) error {
-	var b registry.AskRequest
+	var b registry.YieldRequest
 	if err := decode(w, q, maxBody, &b); err != nil {
 		return err
 	}
-	if !b.Leave && b.Pause == nil {
+	if !b.Yield && b.Pause == nil {
 		return bad("leave or pause is needed")
 	}
-	result, err := r.leaseWrite(registry.LeaseAsk, &registry.LeaseCommand{Name: q.PathValue("name"), Leave: b.Leave, To: b.To, Pause: b.Pause})
+	result, err := r.leaseWrite(registry.OpRequestYield, &registry.LeaseCommand{Name: q.PathValue("name"), Yield: b.Yield, NextHolder: b.NextHolder, Pause: b.Pause})
 	return r.wrote(w, result, err)
 }
 
 // wrote answers with what became of a write.
 func (r *Replica) wrote(w http.ResponseWriter, result registry.Result, err error) error {
 	if err == nil {
-		r.answer(w, registry.ReadLinearizable, registry.WriteAnswer{Version: result.Version, Seq: result.Seq})
+		r.answer(w, registry.ReadLinearizable, registry.WriteResponse{Version: result.Version, Seq: result.Seq})
 	}
 	return err
 }
@@ -224,10 +224,10 @@
 	if err != nil {
 		return err
 	}
-	var a registry.LeasesAnswer
+	var a registry.LeasesResponse
 	r.machine.read(func(s *registry.State) {
 		a.Leases, a.Version = s.Leases().List()
-		a.Shut = s.Leases().Shut()
+		a.GrantsClosed = s.Leases().GrantsClosed()
 	})
 	r.answer(w, read, a)
 	return nil
@@ -244,23 +244,23 @@
 		return err
 	}
 	b.AtMS = 0 // the leader's to say
-	if _, err := r.apply(registry.Command{Op: registry.Policy, Policy: &b.Command, Fence: b.Fence}); err != nil {
+	if _, err := r.apply(registry.Command{Op: registry.OpPolicyStep, PolicyStep: &b.Command, Fence: b.Fence}); err != nil {
 		return err
 	}
 	var v rollout.View
-	r.machine.read(func(s *registry.State) { v = s.Policy().View(b.Member) })
+	r.machine.read(func(s *registry.State) { v = s.Rollout().View(b.Member) })
 	r.answer(w, registry.ReadLinearizable, v)
 	return nil
 }
 
 // listPolicy tells how the policy and its change stand.
 func (r *Replica) listPolicy(w http.ResponseWriter, q *http.Request) error {
-	read, err := r.await(q, func(s *registry.State) uint64 { return s.Policy().Version() })
+	read, err := r.await(q, func(s *registry.State) uint64 { return s.Rollout().Version() })
 	if err != nil {
 		return err
 	}
 	var st rollout.Status
-	r.machine.read(func(s *registry.State) { st = s.Policy().Status() })
+	r.machine.read(func(s *registry.State) { st = s.Rollout().Status() })
 	r.answer(w, read, st)
 	return nil
 }
@@ -275,12 +275,12 @@
 	if err := registry.CheckName("member", m.Name); err != nil {
 		return bad("%v", err)
 	}
-	read, err := r.await(q, func(s *registry.State) uint64 { return s.Policy().Version() })
+	read, err := r.await(q, func(s *registry.State) uint64 { return s.Rollout().Version() })
 	if err != nil {
 		return err
 	}
 	var v rollout.View
-	r.machine.read(func(s *registry.State) { v = s.Policy().View(m) })
+	r.machine.read(func(s *registry.State) { v = s.Rollout().View(m) })
 	r.answer(w, read, v)
 	return nil
 }
--- a/internal/registry/server/machine.go
+++ b/internal/registry/server/machine.go
@@ -26,7 +26,7 @@
 }
 
 func newMachine(h *hub) *machine {
-	return &machine{hub: h, state: registry.New(), moved: make(chan struct{}), news: make(chan struct{})}
+	return &machine{hub: h, state: registry.NewState(), moved: make(chan struct{}), news: make(chan struct{})}
 }
 
 // Apply carries out one command of the log.
@@ -37,22 +37,22 @@
 	var c registry.Command
 	if err := json.Unmarshal(entry.Data, &c); err != nil {
 		// The same on all replicas, as they read the same bytes.
-		return registry.Result{Err: fmt.Errorf("%w: log entry %d: %w", registry.ErrBad, entry.Index, err)}
+		return registry.Result{Err: fmt.Errorf("%w: log entry %d: %w", registry.ErrInvalid, entry.Index, err)}
 	}
 	if c.Term != 0 && c.Term != entry.Term {
 		return registry.Result{Err: fmt.Errorf("%w: decided in term %d, written in %d", registry.ErrConflict, c.Term, entry.Term)}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	before, leases, policy := m.state.Seq(), m.state.Leases().Version(), m.state.Policy().Version()
+	before, leases, policy := m.state.Seq(), m.state.Leases().Version(), m.state.Rollout().Version()
 	r := m.state.Apply(c)
-	if m.state.Leases().Version() != leases || m.state.Policy().Version() != policy {
+	if m.state.Leases().Version() != leases || m.state.Rollout().Version() != policy {
 		m.tell()
 	}
 	if m.state.Seq() != before {
-		f := frame{seq: m.state.Seq(), jump: len(r.Changed) == 0}
+		f := frame{seq: m.state.Seq(), jump: len(r.ChangedHosts) == 0}
 		if !f.jump {
-			f.line = encode(m.state.Since(before))
+			f.line = encode(m.state.ChangesSince(before))
 		}
 		m.publish(f)
 	}
@@ -73,7 +73,7 @@
 }
 
 // encode writes a listing as a line. It cannot fail: its numbers were checked.
-func encode(l registry.Listing) []byte {
+func encode(l registry.ListUpdate) []byte {
 	text, err := json.Marshal(l)
 	if err != nil {
 		panic(fmt.Sprintf("registry: a listing that cannot be written: %v", err))
@@ -99,7 +99,7 @@
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
-	state := registry.New()
+	state := registry.NewState()
 	if err := json.Unmarshal(text, state); err != nil {
 		return err
 	}
@@ -147,7 +147,7 @@
 
 func (m *machine) wholeLocked() []byte {
 	if m.whole == nil || m.at != m.state.Seq() {
-		m.whole, m.at = encode(m.state.Whole()), m.state.Seq()
+		m.whole, m.at = encode(m.state.FullList()), m.state.Seq()
 	}
 	return m.whole
 }
@@ -157,7 +157,7 @@
 func (m *machine) follow(from uint64) (line []byte, seq uint64, next *frame) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if l := m.state.Since(from); l.Whole {
+	if l := m.state.ChangesSince(from); l.Full {
 		line = m.wholeLocked()
 	} else {
 		line = encode(l)
--- a/internal/registry/server/replica.go
+++ b/internal/registry/server/replica.go
@@ -42,7 +42,7 @@
 
 // Replica is one replica of the registry.
 type Replica struct {
-	self    registry.Member
+	self    registry.ReplicaInfo
 	config  atomic.Pointer[Config]
 	machine *machine
 	hub     *hub
@@ -72,10 +72,10 @@
 	expired     atomic.Uint64 // instances removed for their silence
 
 	mu       sync.Mutex
-	sessions *registry.Sessions // while it leads
-	followed uint64             // the list's version that they are those of
-	held     bool               // expiry is held back
-	leases   *registry.LeaseClock
+	sessions *registry.SessionTracker // while it leads
+	followed uint64                   // the list's version that they are those of
+	held     bool                     // expiry is held back
+	leases   *registry.ClaimTracker
 	term     uint64 // in which it leads
 }
 
@@ -120,7 +120,7 @@
 		return fmt.Errorf("timing: %w", err)
 	}
 	layer := newLayer(peers, c.Routes, func() (group string, founded uint64) {
-		r.machine.read(func(s *registry.State) { founded = s.Founded() })
+		r.machine.read(func(s *registry.State) { founded = s.FirstVersion() })
 		return c.Group, founded
 	})
 	r.trans = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
@@ -199,18 +199,18 @@
 	if err := r.raft.Barrier(writeIn).Error(); err != nil {
 		return // no leader any more
 	}
-	if _, err := r.apply(registry.Command{Op: registry.Found, Group: r.config.Load().Group}); err != nil {
+	if _, err := r.apply(registry.Command{Op: registry.OpFoundGroup, Group: r.config.Load().Group}); err != nil {
 		slog.Error("the group cannot be founded", "err", err)
 		return
 	}
 	rules := r.config.Load().Sessions
-	sessions := registry.NewSessions(rules.Floor, time.Duration(rules.WithinMS)*time.Millisecond)
+	sessions := registry.NewSessionTracker(rules.Floor, time.Duration(rules.WithinMS)*time.Millisecond)
 	r.mu.Lock()
 	r.sessions, r.followed, r.term = sessions, 0, term
-	r.leases = registry.NewLeaseClock(time.Duration(r.config.Load().Leases.MostTTLMS) * time.Millisecond)
+	r.leases = registry.NewClaimTracker(time.Duration(r.config.Load().Leases.MostTTLMS) * time.Millisecond)
 	r.followSessions(time.Now())
 	r.followLeases(time.Now())
-	live := sessions.Live()
+	live := sessions.Len()
 	r.mu.Unlock()
 	slog.Info("leading", "term", r.raft.CurrentTerm(), "sessions", live, "seq", r.machine.seq())
 	defer func() {
@@ -237,16 +237,16 @@
 
 // followSessions lets the sessions be those of the state. The lock is held.
 func (r *Replica) followSessions(now time.Time) {
-	var entries []registry.Entry
+	var entries []registry.Registration
 	var seq uint64
 	r.machine.read(func(s *registry.State) {
 		if seq = s.Seq(); seq != r.followed { // every change of a session is one of the list's version
-			entries = s.Entries()
+			entries = s.Registrations()
 		}
 	})
 	if seq != r.followed {
 		r.followed = seq
-		r.sessions.Follow(entries, now)
+		r.sessions.Sync(entries, now)
 	}
 }
 
@@ -257,9 +257,9 @@
 		slog.Info("sessions: another floor", "floor", rules.Floor)
 	}
 	r.followSessions(now)
-	ended, held, changed := r.sessions.Due(now)
+	ended, held, changed := r.sessions.Expired(now)
 	r.held = held
-	live := r.sessions.Live()
+	live := r.sessions.Len()
 	r.mu.Unlock()
 	if changed && held {
 		slog.Warn("sessions: too many have ended at once: none is removed until they renew or are removed by hand", "of", live)
@@ -269,7 +269,7 @@
 	if len(ended) == 0 {
 		return
 	}
-	if _, err := r.apply(registry.Command{Op: registry.Expire, Ended: ended, Term: term}); err != nil {
+	if _, err := r.apply(registry.Command{Op: registry.OpExpireSessions, ExpiredSessions: ended, Term: term}); err != nil {
 		slog.Warn("sessions: not removed", "err", err)
 		return
 	}
@@ -289,10 +289,10 @@
 	if err := r.leadsLocked(); err != nil {
 		return err
 	}
-	var entry registry.Entry
-	r.machine.read(func(s *registry.State) { entry, _ = s.Entry(host) })
+	var entry registry.Registration
+	r.machine.read(func(s *registry.State) { entry, _ = s.Registration(host) })
 	if session == "" || entry.Session != session { // the state may be ahead of what is followed
-		return fmt.Errorf("%w: host %.64s has no such session: register again", registry.ErrUnknown, host)
+		return fmt.Errorf("%w: host %.64s has no such session: register again", registry.ErrNotFound, host)
 	}
 	if !r.sessions.Renew(host, session, now) {
 		r.followSessions(now) // it was registered a moment ago, and has its full time
@@ -419,7 +419,7 @@
 	if !ok {
 		return 0, errNoLeader
 	}
-	req, err := http.NewRequestWithContext(r.life, http.MethodGet, "http://"+leader.HTTP+registry.WritePath+"status?linearizable=1", nil)
+	req, err := http.NewRequestWithContext(r.life, http.MethodGet, "http://"+leader.HTTP+registry.APIPath+"status?linearizable=1", nil)
 	if err != nil {
 		return 0, err
 	}
@@ -428,7 +428,7 @@
 		return 0, err
 	}
 	defer resp.Body.Close()
-	var status registry.StatusAnswer
+	var status registry.StatusResponse
 	if resp.StatusCode != http.StatusOK {
 		return 0, fmt.Errorf("the leader answers %d", resp.StatusCode)
 	}
@@ -474,11 +474,11 @@
 
 // member finds a replica by its id: where the fleet's members see it, or else one of the
 // founding ones, or one added since.
-func (r *Replica) member(id string) (registry.Member, bool) {
+func (r *Replica) member(id string) (registry.ReplicaInfo, bool) {
 	if m, ok := r.seen(id); ok {
 		return m, true
 	}
-	var m registry.Member
+	var m registry.ReplicaInfo
 	added := false
 	r.machine.read(func(s *registry.State) {
 		if rec, ok := s.Record(memberKey + id); ok {
@@ -489,23 +489,23 @@
 		return m, true
 	}
 	all := r.config.Load().Replicas
-	if i := slices.IndexFunc(all, func(m registry.Member) bool { return m.ID == id }); i >= 0 {
+	if i := slices.IndexFunc(all, func(m registry.ReplicaInfo) bool { return m.ID == id }); i >= 0 {
 		return all[i], true
 	}
-	return registry.Member{}, false
+	return registry.ReplicaInfo{}, false
 }
 
 // leader is the replica that leads, if one is known.
-func (r *Replica) leader() (registry.Member, bool) {
+func (r *Replica) leader() (registry.ReplicaInfo, bool) {
 	_, id := r.raft.LeaderWithID()
 	if id == "" {
-		return registry.Member{}, false
+		return registry.ReplicaInfo{}, false
 	}
 	return r.member(string(id))
 }
 
 // add takes a replica into the group.
-func (r *Replica) add(m registry.Member) error {
+func (r *Replica) add(m registry.ReplicaInfo) error {
 	if err := r.leads(); err != nil {
 		return err
 	}
@@ -513,7 +513,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := r.apply(registry.Command{Op: registry.Put, Key: memberKey + m.ID, Value: text}); err != nil {
+	if _, err := r.apply(registry.Command{Op: registry.OpPutRecord, Key: memberKey + m.ID, Value: text}); err != nil {
 		return err
 	}
 	return r.raft.AddVoter(raft.ServerID(m.ID), raft.ServerAddress(m.Raft), 0, writeIn).Error()
@@ -525,12 +525,12 @@
 		return err
 	}
 	if !slices.ContainsFunc(r.voters(), func(s raft.Server) bool { return string(s.ID) == id }) {
-		return fmt.Errorf("%w: no replica %.64s in the group", registry.ErrUnknown, id)
+		return fmt.Errorf("%w: no replica %.64s in the group", registry.ErrNotFound, id)
 	}
 	if err := r.raft.RemoveServer(raft.ServerID(id), 0, writeIn).Error(); err != nil {
 		return err
 	}
-	_, err := r.apply(registry.Command{Op: registry.Drop, Key: memberKey + id})
+	_, err := r.apply(registry.Command{Op: registry.OpDeleteRecord, Key: memberKey + id})
 	return err
 }
 
@@ -583,9 +583,9 @@
 }
 
 // Status tells how the replica stands.
-func (r *Replica) Status() registry.StatusAnswer {
+func (r *Replica) Status() registry.StatusResponse {
 	word, _ := r.freshness(time.Now())
-	s := registry.StatusAnswer{
+	s := registry.StatusResponse{
 		ID: r.self.ID, State: strings.ToLower(r.raft.State().String()), Read: word, Ready: r.ready.Load(),
 		Term: r.raft.CurrentTerm(), Applied: r.raft.AppliedIndex(), Watches: int(r.watches.Load()),
 	}
@@ -597,14 +597,14 @@
 	for _, v := range r.voters() {
 		m, ok := r.member(string(v.ID))
 		if !ok {
-			m = registry.Member{ID: string(v.ID), Raft: string(v.Address)}
+			m = registry.ReplicaInfo{ID: string(v.ID), Raft: string(v.Address)}
 		}
-		s.Members = append(s.Members, m)
+		s.Replicas = append(s.Replicas, m)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if s.Held = r.held; r.sessions != nil {
-		s.Sessions, s.Claims = r.sessions.Live(), r.leases.Live()
+	if s.ExpiryHeld = r.held; r.sessions != nil {
+		s.Sessions, s.Claims = r.sessions.Len(), r.leases.Len()
 	}
 	return s
 }
--- a/internal/registry/server/server_test.go
+++ b/internal/registry/server/server_test.go
@@ -57,7 +57,7 @@
 type node struct {
 	t      testing.TB
 	config *Config
-	member registry.Member
+	member registry.ReplicaInfo
 	*Replica
 	server *http.Server
 	up     bool
@@ -101,11 +101,11 @@
 func startGroup(t testing.TB, n int) *group {
 	t.Helper()
 	g := &group{t: t}
-	var members []registry.Member
+	var members []registry.ReplicaInfo
 	var https, rafts []net.Listener
 	for i := range n {
 		https, rafts = append(https, listen(t, "127.0.0.1:0")), append(rafts, listen(t, "127.0.0.1:0"))
-		members = append(members, registry.Member{ID: fmt.Sprint("r", i), HTTP: https[i].Addr().String(), Raft: rafts[i].Addr().String()})
+		members = append(members, registry.ReplicaInfo{ID: fmt.Sprint("r", i), HTTP: https[i].Addr().String(), Raft: rafts[i].Addr().String()})
 	}
 	for _, m := range members {
 		text, err := json.Marshal(map[string]any{
@@ -169,7 +169,7 @@
 
 func instance(host string, born int64) registry.Instance {
 	block := 1
-	return registry.Instance{Host: host, Dial: "127.0.0.1:7070", Site: "a", Class: "m2", Block: &block, Health: registry.Up, Share: 1, BornMS: born}
+	return registry.Instance{Host: host, Dial: "127.0.0.1:7070", Site: "a", Class: "m2", Block: &block, Health: registry.HealthUp, Share: 1, BornMS: born}
 }
 
 func within(t testing.TB) context.Context {
@@ -191,7 +191,7 @@
 	f := &follower{held: make(map[string]string)}
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
-	w := client.NewWatcher(client.Options{Addrs: addrs, Seed: seed, Deliver: f.take})
+	w := client.NewWatcher(client.WatcherOptions{Addrs: addrs, Seed: seed, Deliver: f.take})
 	done.Go(func() { w.Follow(ctx) })
 	t.Cleanup(func() {
 		cancel()
@@ -200,17 +200,17 @@
 	return f
 }
 
-func (f *follower) take(l client.Listing) {
+func (f *follower) take(l client.ListUpdate) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if l.Seq < f.seq {
 		f.back++
 	}
 	f.seq = l.Seq
-	if l.Whole {
+	if l.Full {
 		clear(f.held)
 	}
-	for _, e := range l.Hosts {
+	for _, e := range l.Endpoints {
 		if e.Health == "removed" {
 			delete(f.held, e.Host)
 		} else {
@@ -229,7 +229,7 @@
 func (n *node) list() map[string]string {
 	want := make(map[string]string)
 	n.machine.read(func(s *registry.State) {
-		for _, i := range s.Whole().Hosts {
+		for _, i := range s.FullList().Instances {
 			want[i.Host] = fmt.Sprint(i.Health, " ", i.BornMS)
 		}
 	})
@@ -250,7 +250,7 @@
 	return resp.StatusCode, resp.Header, string(text)
 }
 
-func do(t testing.TB, method, url, body string) (status int, answer registry.WriteAnswer, text string) {
+func do(t testing.TB, method, url, body string) (status int, answer registry.WriteResponse, text string) {
 	t.Helper()
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
@@ -306,7 +306,7 @@
 	if got := next(); got != "" {
 		t.Errorf("while nothing changes: %q, want an empty line", got)
 	}
-	mark, err := c.Mark(within(t), registry.MarkRequest{Hosts: []string{"s-1"}, By: "ops-a", Draining: true})
+	mark, err := c.Mark(within(t), registry.MarkRequest{Hosts: []string{"s-1"}, MarkedBy: "ops-a", Draining: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -317,8 +317,8 @@
 	if err := c.Remove(within(t), "s-1", ""); err != nil {
 		t.Fatal(err)
 	}
-	var l registry.Listing
-	if err := json.Unmarshal([]byte(next()), &l); err != nil || l.Seq <= mark.Seq || len(l.Hosts) != 1 || l.Hosts[0].Health != registry.Removed {
+	var l registry.ListUpdate
+	if err := json.Unmarshal([]byte(next()), &l); err != nil || l.Seq <= mark.Seq || len(l.Instances) != 1 || l.Instances[0].Health != registry.HealthRemoved {
 		t.Errorf("the removal: %+v, error %v", l, err)
 	}
 	for _, from := range []string{"0", "41", fmt.Sprint(uint64(1) << 60), "18446744073709551615"} {
@@ -382,7 +382,7 @@
 		"an unknown method":   {"PATCH", "instances/s-1", ``, 405},
 		"a bad read":          {"GET", "instances?linearizable=maybe", ``, 400},
 	} {
-		status, a, text := do(t, x.method, "http://"+n.member.HTTP+registry.WritePath+x.path, x.body)
+		status, a, text := do(t, x.method, "http://"+n.member.HTTP+registry.APIPath+x.path, x.body)
 		if status != x.status || strings.Count(strings.TrimSpace(text), "\n") > 0 || (x.status < 404 && a.Error == "") {
 			t.Errorf("%s: %d %q, want %d and one line", name, status, text, x.status)
 		}
@@ -413,7 +413,7 @@
 		registered := make(chan struct{}, 10)
 		kept.Go(func() {
 			r := registry.RegisterRequest{Instance: instance(fmt.Sprint("kept-", i), 1), Session: fmt.Sprint("x", i), TTLMS: ttl}
-			if err := g.client().Keep(ctx, r, func(registry.WriteAnswer) { registered <- struct{}{} }); err != nil {
+			if err := g.client().KeepRegistered(ctx, r, func(registry.WriteResponse) { registered <- struct{}{} }); err != nil {
 				t.Error(err)
 			}
 		})
@@ -473,10 +473,10 @@
 		t.Errorf("the list: %d %s, read %q", status, text, header.Get(registry.ReadHeader))
 	}
 	good, _ := json.Marshal(registry.RegisterRequest{Instance: instance("s-2", 5)})
-	if status, a, _ := do(t, "PUT", "http://"+last.member.HTTP+registry.WritePath+"instances/s-2", string(good)); status != 503 || !strings.Contains(a.Error, "quorum") {
+	if status, a, _ := do(t, "PUT", "http://"+last.member.HTTP+registry.APIPath+"instances/s-2", string(good)); status != 503 || !strings.Contains(a.Error, "quorum") {
 		t.Errorf("a write: %d %q, want 503 and why", status, a.Error)
 	}
-	if status, _, _ := do(t, "GET", "http://"+last.member.HTTP+registry.WritePath+"instances?linearizable=1", ""); status != 503 {
+	if status, _, _ := do(t, "GET", "http://"+last.member.HTTP+registry.APIPath+"instances?linearizable=1", ""); status != 503 {
 		t.Errorf("a linearizable read: %d, want 503", status)
 	}
 	// Nobody can say whether a version it does not know is of this history.
@@ -526,7 +526,7 @@
 		if got := leader.list(); !maps.Equal(got, want) || leader.machine.seq() < seq {
 			t.Errorf("after the restart: %v at %d, want %v at %d or later", got, leader.machine.seq(), want, seq)
 		}
-		eventually(t, "removals are held back", func() bool { return leader.Status().Held })
+		eventually(t, "removals are held back", func() bool { return leader.Status().ExpiryHeld })
 		if got := leader.list(); len(got) != 10 {
 			t.Errorf("%d of 10 are left of sessions that all fell silent at once", len(got))
 		}
@@ -555,7 +555,7 @@
 	for i := range 2 {
 		go func() {
 			for ctx.Err() == nil {
-				c.Renew(ctx, fmt.Sprint("s-", i), "x")
+				c.RenewSession(ctx, fmt.Sprint("s-", i), "x")
 				time.Sleep(20 * time.Millisecond)
 			}
 		}()
@@ -566,7 +566,7 @@
 	if got := g.nodes[0].list(); len(got) != 2 || got["s-2"] != "" {
 		t.Errorf("left are %v, want those that renew", got)
 	}
-	if err := c.Renew(within(t), "s-2", "x"); !errors.Is(err, registry.ErrUnknown) {
+	if err := c.RenewSession(within(t), "s-2", "x"); !errors.Is(err, registry.ErrNotFound) {
 		t.Errorf("a late renewal: %v", err)
 	}
 }
@@ -587,11 +587,11 @@
 		case 0:
 			err = c.Remove(within(t), host, "")
 		case 1:
-			_, err = c.Mark(within(t), registry.MarkRequest{Hosts: []string{host}, By: "ops-a", Draining: rng.IntN(2) == 0})
+			_, err = c.Mark(within(t), registry.MarkRequest{Hosts: []string{host}, MarkedBy: "ops-a", Draining: rng.IntN(2) == 0})
 		default:
 			_, err = c.Register(within(t), registry.RegisterRequest{Instance: instance(host, int64(i))})
 		}
-		if err != nil && !errors.Is(err, registry.ErrUnknown) {
+		if err != nil && !errors.Is(err, registry.ErrNotFound) {
 			t.Fatal(err)
 		}
 		if i%10 == 0 {
@@ -715,7 +715,7 @@
 	}
 	lost.stop()
 	http_, raft_ := listen(t, "127.0.0.1:0"), listen(t, "127.0.0.1:0")
-	m := registry.Member{ID: "r9", HTTP: http_.Addr().String(), Raft: raft_.Addr().String()}
+	m := registry.ReplicaInfo{ID: "r9", HTTP: http_.Addr().String(), Raft: raft_.Addr().String()}
 	config := *g.nodes[0].config
 	config.ID, config.Data, config.Join = "r9", t.TempDir(), true
 	config.Replicas = append(slices.Clone(config.Replicas), m)
@@ -726,7 +726,7 @@
 	fresh.serve(http_, raft_)
 	defer fresh.stop()
 	text, _ := json.Marshal(m)
-	base := "http://" + leader.member.HTTP + registry.WritePath + "members/"
+	base := "http://" + leader.member.HTTP + registry.APIPath + "members/"
 	if status, a, _ := do(t, "PUT", base+"r9", string(text)); status != 200 {
 		t.Fatalf("add: %d %s", status, a.Error)
 	}
@@ -738,8 +738,8 @@
 		t.Errorf("the new one lists %v", got)
 	}
 	s := leader.Status()
-	ids := make([]string, len(s.Members))
-	for i, m := range s.Members {
+	ids := make([]string, len(s.Replicas))
+	for i, m := range s.Replicas {
 		if ids[i] = m.ID; m.HTTP == "" {
 			t.Errorf("replica %s has no address", m.ID)
 		}
@@ -757,7 +757,7 @@
 	if _, err := c.Register(within(t), registry.RegisterRequest{Instance: instance("s-1", 1)}); err != nil {
 		t.Fatal(err)
 	}
-	_, _, backup := get(t, "http://"+n.member.HTTP+registry.WritePath+"backup")
+	_, _, backup := get(t, "http://"+n.member.HTTP+registry.APIPath+"backup")
 	if err := c.Remove(within(t), "s-1", ""); err != nil {
 		t.Fatal(err)
 	}
@@ -765,7 +765,7 @@
 		t.Fatal(err)
 	}
 	seq := n.machine.seq()
-	if status, a, _ := do(t, "POST", "http://"+n.member.HTTP+registry.WritePath+"restore", backup); status != 200 || a.Seq <= seq {
+	if status, a, _ := do(t, "POST", "http://"+n.member.HTTP+registry.APIPath+"restore", backup); status != 200 || a.Seq <= seq {
 		t.Fatalf("restore: %d %s at %d after %d", status, a.Error, a.Seq, seq)
 	}
 	want := map[string]string{"s-1": "up 1"}
@@ -784,8 +784,8 @@
 	if status, _, _ := get(t, base+"/health/ready"); status != 200 {
 		t.Errorf("ready: %d", status)
 	}
-	var s registry.StatusAnswer
-	if _, _, text := get(t, base+registry.WritePath+"status"); json.Unmarshal([]byte(text), &s) != nil || s.State != "leader" || s.Leader != "r0" || s.Group != "test" {
+	var s registry.StatusResponse
+	if _, _, text := get(t, base+registry.APIPath+"status"); json.Unmarshal([]byte(text), &s) != nil || s.State != "leader" || s.Leader != "r0" || s.Group != "test" {
 		t.Errorf("status: %s", text)
 	}
 }
@@ -1048,7 +1048,7 @@
 	f.Add("POST", "restore", `{"form":1}`)
 	f.Add("DELETE", "instances/x?if_version=7", ``)
 	f.Fuzz(func(t *testing.T, method, path, body string) {
-		req, err := http.NewRequest(method, "http://x"+registry.WritePath+path, strings.NewReader(body))
+		req, err := http.NewRequest(method, "http://x"+registry.APIPath+path, strings.NewReader(body))
 		if err != nil {
 			return
 		}
--- a/internal/registry/sessions.go
+++ b/internal/registry/sessions.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Sessions counts how long ago each session was renewed. It is the leader's alone
+// SessionTracker counts how long ago each session was renewed. It is the leader's alone
 // and not replicated: a new leader begins one of its own, in which every session
 // has its full time to live before it. Time is told to it; it reads no clock.
-type Sessions struct {
+type SessionTracker struct {
 	floor  float64
 	within time.Duration
 	last   map[string]heard // by host
@@ -28,23 +28,23 @@
 	n  int
 }
 
-// NewSessions makes one. Of the sessions that there were within a time, a part of
+// NewSessionTracker makes one. Of the sessions that there were within a time, a part of
 // at least floor is never removed for its silence: where that many fall silent at
 // once, the fault is more likely here than with them.
-func NewSessions(floor float64, within time.Duration) *Sessions {
-	return &Sessions{floor: floor, within: within, last: make(map[string]heard)}
+func NewSessionTracker(floor float64, within time.Duration) *SessionTracker {
+	return &SessionTracker{floor: floor, within: within, last: make(map[string]heard)}
 }
 
 // SetFloor puts another floor in force, and says whether it is another.
-func (s *Sessions) SetFloor(floor float64) bool {
+func (s *SessionTracker) SetFloor(floor float64) bool {
 	changed := floor != s.floor
 	s.floor = floor
 	return changed
 }
 
-// Follow takes the entries of the state over. What is new, or has another session
+// Sync takes the entries of the state over. What is new, or has another session
 // or time to live, has its full time from now on; what has left is forgotten.
-func (s *Sessions) Follow(entries []Entry, now time.Time) {
+func (s *SessionTracker) Sync(entries []Registration, now time.Time) {
 	there := make(map[string]bool, len(entries))
 	for _, e := range entries {
 		if e.Session == "" || e.TTLMS <= 0 {
@@ -65,7 +65,7 @@
 }
 
 // Renew notes a sign of life. It is false where the host has no such session.
-func (s *Sessions) Renew(host, session string, now time.Time) bool {
+func (s *SessionTracker) Renew(host, session string, now time.Time) bool {
 	h, ok := s.last[host]
 	if !ok || h.session != session {
 		return false
@@ -77,7 +77,7 @@
 
 // count keeps the most sessions there were within the time, as a queue whose
 // numbers fall from front to back.
-func (s *Sessions) count(now time.Time) {
+func (s *SessionTracker) count(now time.Time) {
 	n := len(s.last)
 	for len(s.most) > 0 && s.most[len(s.most)-1].n <= n {
 		s.most = s.most[:len(s.most)-1]
@@ -88,17 +88,17 @@
 	}
 }
 
-// Due returns the sessions that have ended and may be removed. held tells that
+// Expired returns the sessions that have ended and may be removed. held tells that
 // there are more, or all, that are held back as too many ended at once; changed,
 // that this has just begun or ended.
-func (s *Sessions) Due(now time.Time) (ended []Ended, held, changed bool) {
+func (s *SessionTracker) Expired(now time.Time) (ended []SessionRef, held, changed bool) {
 	s.count(now)
 	for host, h := range s.last {
 		if now.Sub(h.at) >= h.ttl {
-			ended = append(ended, Ended{host, h.session})
+			ended = append(ended, SessionRef{host, h.session})
 		}
 	}
-	slices.SortFunc(ended, func(a, b Ended) int { return cmp.Compare(a.Host, b.Host) })
+	slices.SortFunc(ended, func(a, b SessionRef) int { return cmp.Compare(a.Host, b.Host) })
 	if held = float64(len(s.last)-len(ended)) < s.floor*float64(s.most[0].n); held {
 		ended = nil
 	}
@@ -106,5 +106,5 @@
 	return ended, held, changed
 }
 
-// Live returns how many sessions are followed.
-func (s *Sessions) Live() int { return len(s.last) }
+// Len returns how many sessions are followed.
+func (s *SessionTracker) Len() int { return len(s.last) }
