--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -16,15 +16,15 @@
 
 // The commands.
 const (
-	Found    Op = "found"    // begins a history; the first of every log
-	Register Op = "register" // takes an instance in, or changes it
-	Mark     Op = "mark"     // marks a host draining, or takes the mark back
-	Remove   Op = "remove"   // takes an instance out
-	Expire   Op = "expire"   // takes instances out whose sessions have ended
-	Put      Op = "put"      // writes a record
-	Drop     Op = "drop"     // deletes a record
-	Restore  Op = "restore"  // puts a backup's contents in place of all there is
-	Policy   Op = "policy"   // a step of a change of policy, or of its roster
+	OpFoundGroup     Op = "found"    // begins a history; the first of every log
+	OpRegister       Op = "register" // takes an instance in, or changes it
+	OpMark           Op = "mark"     // marks a host draining, or takes the mark back
+	OpRemove         Op = "remove"   // takes an instance out
+	OpExpireSessions Op = "expire"   // takes instances out whose sessions have ended
+	OpPutRecord      Op = "put"      // writes a record
+	OpDeleteRecord   Op = "drop"     // deletes a record
+	OpRestore        Op = "restore"  // puts a backup's contents in place of all there is
+	OpPolicyStep     Op = "policy"   // a step of a change of policy, or of its roster
 )
 
 // Command is one change that all replicas apply in the same order.
@@ -39,61 +39,61 @@
 	// record that it changes; 0 means that there must be none.
 	IfVersion *uint64 `json:"if_version,omitempty"`
 
-	Group    string    `json:"group,omitempty"`
-	Instance *Instance `json:"instance,omitempty"`
-	Host     string    `json:"host,omitempty"`
-	Session  string    `json:"session,omitempty"`
-	TTLMS    int64     `json:"ttl_ms,omitempty"`
-	Machine  string    `json:"machine,omitempty"`
-	Draining bool      `json:"draining,omitempty"`
-	By       string    `json:"by,omitempty"`        // who marks: only the same takes the mark back
-	Ended    []Ended   `json:"ended,omitempty"`     // of Expire
-	Key      string    `json:"key,omitempty"`       // of a record
-	Value    []byte    `json:"value,omitempty"`     // of a record
-	MustMark []string  `json:"hosts,omitempty"`     // of Mark: all of them or none
-	Record   string    `json:"record,omitempty"`    // of Mark: only while this record
-	RecordAt uint64    `json:"record_at,omitempty"` // has this version
-	Backup   []byte    `json:"backup,omitempty"`    // of Restore: what MarshalJSON wrote
+	Group           string       `json:"group,omitempty"`
+	Instance        *Instance    `json:"instance,omitempty"`
+	Host            string       `json:"host,omitempty"`
+	Session         string       `json:"session,omitempty"`
+	TTLMS           int64        `json:"ttl_ms,omitempty"`
+	Machine         string       `json:"machine,omitempty"`
+	Draining        bool         `json:"draining,omitempty"`
+	MarkedBy        string       `json:"by,omitempty"`        // who marks: only the same takes the mark back
+	ExpiredSessions []SessionRef `json:"ended,omitempty"`     // of Expire
+	Key             string       `json:"key,omitempty"`       // of a record
+	Value           []byte       `json:"value,omitempty"`     // of a record
+	Hosts           []string     `json:"hosts,omitempty"`     // of Mark: all of them or none
+	IfRecord        string       `json:"record,omitempty"`    // of Mark: only while this record
+	IfRecordVersion uint64       `json:"record_at,omitempty"` // has this version
+	Backup          []byte       `json:"backup,omitempty"`    // of Restore: what MarshalJSON wrote
 
 	Lease *LeaseCommand `json:"lease,omitempty"` // of the commands on leases
 	Fence *Fence        `json:"fence,omitempty"` // only while this token is the lease's
 
-	Policy *rollout.Command `json:"policy,omitempty"`
+	PolicyStep *rollout.Command `json:"policy,omitempty"`
 }
 
-// Ended is a session that is over: it counts only while the host still has it.
-type Ended struct {
+// SessionRef is a session that is over: it counts only while the host still has it.
+type SessionRef struct {
 	Host    string `json:"host"`
 	Session string `json:"session"`
 }
 
 // Why a command was not carried out. The state is as it was.
 var (
-	ErrConflict = errors.New("version conflict")
-	ErrTaken    = errors.New("registered by another session that is alive")
-	ErrUnknown  = errors.New("no such entry")
-	ErrFull     = errors.New("full")
-	ErrBad      = errors.New("bad command")
+	ErrConflict     = errors.New("version conflict")
+	ErrHostTaken    = errors.New("registered by another session that is alive")
+	ErrNotFound     = errors.New("no such entry")
+	ErrLimitReached = errors.New("full")
+	ErrInvalid      = errors.New("bad command")
 )
 
 // Result is what became of a command.
 type Result struct {
-	Version uint64   // of the entry or record afterwards; 0 where there is none
-	Seq     uint64   // of the list afterwards
-	Changed []string // hosts whose entry in the list changed
-	Token   uint64   // of the claim's grant, where it has one
-	Place   int      // of the claim in the line, from 1 on, where it waits
-	Err     error
+	Version       uint64   // of the entry or record afterwards; 0 where there is none
+	Seq           uint64   // of the list afterwards
+	ChangedHosts  []string // hosts whose entry in the list changed
+	Token         uint64   // of the claim's grant, where it has one
+	QueuePosition int      // of the claim in the line, from 1 on, where it waits
+	Err           error
 }
 
-// Entry is an instance with what the list does not show of it.
-type Entry struct {
+// Registration is an instance with what the list does not show of it.
+type Registration struct {
 	Instance
-	Session string `json:"session,omitempty"`
-	TTLMS   int64  `json:"ttl_ms,omitempty"` // 0: without a session, for ever
-	Machine string `json:"machine"`          // the machine it runs on
-	Version uint64 `json:"version"`          // of the list when it last changed
-	Asked   Health `json:"asked"`            // what the instance says of itself, without a mark
+	Session        string `json:"session,omitempty"`
+	TTLMS          int64  `json:"ttl_ms,omitempty"` // 0: without a session, for ever
+	Machine        string `json:"machine"`          // the machine it runs on
+	Version        uint64 `json:"version"`          // of the list when it last changed
+	ReportedHealth Health `json:"asked"`            // what the instance says of itself, without a mark
 }
 
 // Record is a value that others keep here under compare-and-set.
@@ -116,7 +116,7 @@
 	group   string
 	founded uint64 // the first version of this history
 	seq     uint64 // the list's version
-	entries map[string]*Entry
+	entries map[string]*Registration
 	marks   map[string]string // host -> who marked it
 	records map[string]*Record
 	edits   uint64 // the last version given to a record
@@ -132,9 +132,9 @@
 	Host string `json:"host"`
 }
 
-// New makes an empty State that belongs to no group yet.
-func New() *State {
-	return &State{entries: make(map[string]*Entry), marks: make(map[string]string), records: make(map[string]*Record), leases: NewLeases(0), policy: rollout.New(0)}
+// NewState makes an empty State that belongs to no group yet.
+func NewState() *State {
+	return &State{entries: make(map[string]*Registration), marks: make(map[string]string), records: make(map[string]*Record), leases: NewLeases(0), policy: rollout.New(0)}
 }
 
 // Group returns the name of the group whose history this is; empty before it was founded.
@@ -143,8 +143,8 @@
 // Seq returns the list's version.
 func (s *State) Seq() uint64 { return s.seq }
 
-// Founded returns the first version of this history.
-func (s *State) Founded() uint64 { return s.founded }
+// FirstVersion returns the first version of this history.
+func (s *State) FirstVersion() uint64 { return s.founded }
 
 // Apply carries one command out.
 func (s *State) Apply(c Command) Result {
@@ -154,36 +154,36 @@
 }
 
 func (s *State) apply(c Command) Result {
-	if s.group == "" && c.Op != Found {
-		return failed(fmt.Errorf("%w: the group has not been founded", ErrBad))
+	if s.group == "" && c.Op != OpFoundGroup {
+		return failed(fmt.Errorf("%w: the group has not been founded", ErrInvalid))
 	}
 	if err := s.leases.fenced(c.Fence); err != nil {
 		return failed(err)
 	}
 	switch c.Op {
-	case LeaseAcquire, LeaseRelease, LeaseEnd, LeaseAsk, LeaseOpen:
+	case OpAcquireLease, OpReleaseLease, OpExpireClaims, OpRequestYield, OpOpenGrants:
 		seated := s.seatedBefore(c)
 		r := s.leases.apply(c.Op, c.Lease)
 		s.unseat(seated)
 		return r
-	case Policy:
+	case OpPolicyStep:
 		return s.decide(c)
-	case Found:
+	case OpFoundGroup:
 		return s.found(c)
-	case Register:
+	case OpRegister:
 		return s.register(c)
-	case Mark:
+	case OpMark:
 		return s.mark(c)
-	case Remove:
+	case OpRemove:
 		return s.remove(c)
-	case Expire:
+	case OpExpireSessions:
 		return s.expire(c)
-	case Put, Drop:
+	case OpPutRecord, OpDeleteRecord:
 		return s.edit(c)
-	case Restore:
+	case OpRestore:
 		return s.restore(c)
 	}
-	return failed(fmt.Errorf("%w: operation %.32q", ErrBad, c.Op))
+	return failed(fmt.Errorf("%w: operation %.32q", ErrInvalid, c.Op))
 }
 
 func failed(err error) Result { return Result{Err: err} }
@@ -199,10 +199,10 @@
 		return Result{Version: s.founded}
 	}
 	if err := CheckName("group", c.Group); err != nil {
-		return failed(fmt.Errorf("%w: %w", ErrBad, err))
+		return failed(fmt.Errorf("%w: %w", ErrInvalid, err))
 	}
 	if c.AtMS <= 0 || c.AtMS > MaxVersion/versionRoom/2 {
-		return failed(fmt.Errorf("%w: founded at %d", ErrBad, c.AtMS))
+		return failed(fmt.Errorf("%w: founded at %d", ErrInvalid, c.AtMS))
 	}
 	s.group, s.founded = c.Group, uint64(c.AtMS)*versionRoom
 	s.seq, s.oldest, s.edits = s.founded, s.founded, s.founded
@@ -219,43 +219,43 @@
 // which version it replaces.
 func (s *State) register(c Command) Result {
 	if c.Instance == nil {
-		return failed(fmt.Errorf("%w: no instance", ErrBad))
+		return failed(fmt.Errorf("%w: no instance", ErrInvalid))
 	}
 	if err := c.Instance.Check(); err != nil {
-		return failed(fmt.Errorf("%w: %w", ErrBad, err))
+		return failed(fmt.Errorf("%w: %w", ErrInvalid, err))
 	}
-	e := &Entry{Instance: *c.Instance, Session: c.Session, TTLMS: c.TTLMS, Machine: c.Machine, Asked: c.Instance.Health}
+	e := &Registration{Instance: *c.Instance, Session: c.Session, TTLMS: c.TTLMS, Machine: c.Machine, ReportedHealth: c.Instance.Health}
 	if _, marked := s.marks[e.Host]; marked {
-		e.Health = Draining
+		e.Health = HealthDraining
 	}
 	was := s.entries[e.Host]
 	if was != nil {
-		if was.Instance.equal(e.Instance) && was.Session == e.Session && was.TTLMS == e.TTLMS && was.Machine == e.Machine && was.Asked == e.Asked {
+		if was.Instance.equal(e.Instance) && was.Session == e.Session && was.TTLMS == e.TTLMS && was.Machine == e.Machine && was.ReportedHealth == e.ReportedHealth {
 			return Result{Version: was.Version}
 		}
 		if was.Session != e.Session && c.IfVersion == nil && was.Session != "" && e.BornMS <= was.BornMS {
-			return Result{Version: was.Version, Err: fmt.Errorf("%w: host %s", ErrTaken, e.Host)}
+			return Result{Version: was.Version, Err: fmt.Errorf("%w: host %s", ErrHostTaken, e.Host)}
 		}
 	}
 	if err := condition(c.IfVersion, was); err != nil {
 		return Result{Version: was.version(), Err: err}
 	}
 	if was == nil && len(s.entries) >= maxInstances {
-		return failed(fmt.Errorf("%w: %d instances are registered", ErrFull, len(s.entries)))
+		return failed(fmt.Errorf("%w: %d instances are registered", ErrLimitReached, len(s.entries)))
 	}
 	s.entries[e.Host] = e
 	s.changed(e.Host) // even where the list does not show it: the entry's version has to move
-	return Result{Version: e.Version, Changed: []string{e.Host}}
+	return Result{Version: e.Version, ChangedHosts: []string{e.Host}}
 }
 
-func (e *Entry) version() uint64 {
+func (e *Registration) version() uint64 {
 	if e == nil {
 		return 0
 	}
 	return e.Version
 }
 
-func condition(want *uint64, e *Entry) error {
+func condition(want *uint64, e *Registration) error {
 	if want != nil && *want != e.version() {
 		return fmt.Errorf("%w: the entry has version %d, not %d", ErrConflict, e.version(), *want)
 	}
@@ -266,16 +266,16 @@
 // stays while its host is away: a server that starts again on a machine that is
 // being drained gets nothing.
 func (s *State) mark(c Command) Result {
-	hosts := c.MustMark
+	hosts := c.Hosts
 	if c.Host != "" {
 		hosts = append(slices.Clone(hosts), c.Host)
 	}
-	if len(hosts) == 0 || c.By == "" || len(c.By) > maxName {
-		return failed(fmt.Errorf("%w: a mark needs hosts and who sets it", ErrBad))
+	if len(hosts) == 0 || c.MarkedBy == "" || len(c.MarkedBy) > maxName {
+		return failed(fmt.Errorf("%w: a mark needs hosts and who sets it", ErrInvalid))
 	}
-	if c.Record != "" {
-		if rec := s.records[c.Record]; rec == nil || rec.Version != c.RecordAt {
-			return failed(fmt.Errorf("%w: record %s is not at version %d any more", ErrConflict, c.Record, c.RecordAt))
+	if c.IfRecord != "" {
+		if rec := s.records[c.IfRecord]; rec == nil || rec.Version != c.IfRecordVersion {
+			return failed(fmt.Errorf("%w: record %s is not at version %d any more", ErrConflict, c.IfRecord, c.IfRecordVersion))
 		}
 	}
 	for _, h := range hosts {
@@ -283,11 +283,11 @@
 		by, marked := s.marks[h]
 		switch {
 		case c.Draining && e == nil && !marked:
-			return failed(fmt.Errorf("%w: host %.64s", ErrUnknown, h))
-		case marked && by != c.By:
+			return failed(fmt.Errorf("%w: host %.64s", ErrNotFound, h))
+		case marked && by != c.MarkedBy:
 			return Result{Version: e.version(), Err: fmt.Errorf("%w: host %s is marked by %s", ErrConflict, h, by)}
 		case c.Draining && !marked && len(s.marks) >= maxMarks:
-			return failed(fmt.Errorf("%w: %d hosts are marked", ErrFull, len(s.marks)))
+			return failed(fmt.Errorf("%w: %d hosts are marked", ErrLimitReached, len(s.marks)))
 		}
 		if len(hosts) == 1 {
 			if err := condition(c.IfVersion, e); err != nil && (c.Draining != marked) {
@@ -298,11 +298,11 @@
 	var changed []string
 	for _, h := range hosts {
 		e := s.entries[h]
-		health := Draining
+		health := HealthDraining
 		if c.Draining {
-			s.marks[h] = c.By
+			s.marks[h] = c.MarkedBy
 		} else if delete(s.marks, h); e != nil {
-			health = e.Asked
+			health = e.ReportedHealth
 		}
 		if e != nil && e.Health != health {
 			e.Health = health
@@ -310,14 +310,14 @@
 		}
 	}
 	s.changed(changed...)
-	return Result{Version: s.entries[hosts[len(hosts)-1]].version(), Changed: changed}
+	return Result{Version: s.entries[hosts[len(hosts)-1]].version(), ChangedHosts: changed}
 }
 
 // remove takes an instance out, and its mark with it. One that is not there is
 // out already.
 func (s *State) remove(c Command) Result {
 	if err := CheckName("host", c.Host); err != nil {
-		return failed(fmt.Errorf("%w: %w", ErrBad, err))
+		return failed(fmt.Errorf("%w: %w", ErrInvalid, err))
 	}
 	e := s.entries[c.Host]
 	if e == nil {
@@ -327,42 +327,42 @@
 		return Result{Version: e.Version, Err: err}
 	}
 	if c.Session != "" && c.Session != e.Session {
-		return Result{Version: e.Version, Err: fmt.Errorf("%w: host %s", ErrTaken, c.Host)}
+		return Result{Version: e.Version, Err: fmt.Errorf("%w: host %s", ErrHostTaken, c.Host)}
 	}
 	delete(s.entries, c.Host)
 	if c.Session == "" { // the operator's word, not the instance's own
 		delete(s.marks, c.Host)
 	}
 	s.changed(c.Host)
-	return Result{Changed: []string{c.Host}}
+	return Result{ChangedHosts: []string{c.Host}}
 }
 
 // expire takes out those whose session is still the one that ended.
 func (s *State) expire(c Command) Result {
 	var changed []string
-	for _, x := range c.Ended {
+	for _, x := range c.ExpiredSessions {
 		if e := s.entries[x.Host]; e != nil && e.Session == x.Session && e.Session != "" {
 			delete(s.entries, x.Host)
 			changed = append(changed, x.Host)
 		}
 	}
 	s.changed(changed...)
-	return Result{Changed: changed}
+	return Result{ChangedHosts: changed}
 }
 
 // restore takes over the contents of a backup, but not its versions: the list's
 // go on, to where no version was before, and every watcher gets the whole list.
 func (s *State) restore(c Command) Result {
-	from := New()
+	from := NewState()
 	if err := json.Unmarshal(c.Backup, from); err != nil {
-		return failed(fmt.Errorf("%w: %w", ErrBad, err))
+		return failed(fmt.Errorf("%w: %w", ErrInvalid, err))
 	}
 	if from.group != s.group {
 		return failed(fmt.Errorf("%w: the backup is of group %.64q, this is %q", ErrConflict, from.group, s.group))
 	}
 	for _, e := range from.entries {
 		if err := e.Instance.Check(); err != nil {
-			return failed(fmt.Errorf("%w: backup: %w", ErrBad, err))
+			return failed(fmt.Errorf("%w: backup: %w", ErrInvalid, err))
 		}
 	}
 	next := max(s.seq, s.edits, from.seq, from.edits) + 1
@@ -384,27 +384,27 @@
 // edit writes or deletes a record. The same value again changes nothing.
 func (s *State) edit(c Command) Result {
 	if err := CheckName("key", c.Key); err != nil {
-		return failed(fmt.Errorf("%w: %w", ErrBad, err))
+		return failed(fmt.Errorf("%w: %w", ErrInvalid, err))
 	}
 	was, version := s.records[c.Key], uint64(0)
 	if was != nil {
 		version = was.Version
 	}
-	if c.Op == Drop && was == nil {
+	if c.Op == OpDeleteRecord && was == nil {
 		return Result{}
 	}
-	if c.Op == Put && was != nil && slices.Equal(was.Value, c.Value) && (c.IfVersion == nil || *c.IfVersion <= version) {
+	if c.Op == OpPutRecord && was != nil && slices.Equal(was.Value, c.Value) && (c.IfVersion == nil || *c.IfVersion <= version) {
 		return Result{Version: version} // a repeat, or the same by somebody else
 	}
 	switch {
 	case c.IfVersion != nil && *c.IfVersion != version:
 		return Result{Version: version, Err: fmt.Errorf("%w: the record has version %d, not %d", ErrConflict, version, *c.IfVersion)}
 	case len(c.Value) > maxValue:
-		return Result{Version: version, Err: fmt.Errorf("%w: a value of %d bytes, %d at most", ErrBad, len(c.Value), maxValue)}
+		return Result{Version: version, Err: fmt.Errorf("%w: a value of %d bytes, %d at most", ErrInvalid, len(c.Value), maxValue)}
 	case was == nil && len(s.records) >= maxRecords:
-		return failed(fmt.Errorf("%w: %d records are kept", ErrFull, len(s.records)))
+		return failed(fmt.Errorf("%w: %d records are kept", ErrLimitReached, len(s.records)))
 	}
-	if c.Op == Drop {
+	if c.Op == OpDeleteRecord {
 		delete(s.records, c.Key)
 		return Result{}
 	}
@@ -434,33 +434,33 @@
 	}
 }
 
-// Whole returns the list.
-func (s *State) Whole() Listing {
-	l := Listing{Seq: s.seq, Whole: true, Hosts: make([]Instance, 0, len(s.entries))}
+// FullList returns the list.
+func (s *State) FullList() ListUpdate {
+	l := ListUpdate{Seq: s.seq, Full: true, Instances: make([]Instance, 0, len(s.entries))}
 	for _, h := range slices.Sorted(maps.Keys(s.entries)) {
-		l.Hosts = append(l.Hosts, s.entries[h].Instance)
+		l.Instances = append(l.Instances, s.entries[h].Instance)
 	}
 	return l
 }
 
-// Since returns what changed after a version: each host that did, as it is now.
+// ChangesSince returns what changed after a version: each host that did, as it is now.
 // Where the log does not tell, for a version before it, after the newest or of
 // another history, it is the whole list.
-func (s *State) Since(from uint64) Listing {
+func (s *State) ChangesSince(from uint64) ListUpdate {
 	if from < s.oldest || from > s.seq {
-		return s.Whole()
+		return s.FullList()
 	}
 	at, _ := slices.BinarySearchFunc(s.log, from+1, func(c change, v uint64) int { return cmp.Compare(c.Seq, v) })
 	hosts := make(map[string]bool)
 	for _, c := range s.log[at:] {
 		hosts[c.Host] = true
 	}
-	l := Listing{Seq: s.seq, Hosts: make([]Instance, 0, len(hosts))}
+	l := ListUpdate{Seq: s.seq, Instances: make([]Instance, 0, len(hosts))}
 	for _, h := range slices.Sorted(maps.Keys(hosts)) {
 		if e := s.entries[h]; e != nil {
-			l.Hosts = append(l.Hosts, e.Instance)
+			l.Instances = append(l.Instances, e.Instance)
 		} else {
-			l.Hosts = append(l.Hosts, Instance{Host: h, Health: Removed})
+			l.Instances = append(l.Instances, Instance{Host: h, Health: HealthRemoved})
 		}
 	}
 	return l
@@ -469,21 +469,21 @@
 // Len returns how many instances there are.
 func (s *State) Len() int { return len(s.entries) }
 
-// Entries returns all entries, by host.
-func (s *State) Entries() []Entry {
-	all := make([]Entry, 0, len(s.entries))
+// Registrations returns all entries, by host.
+func (s *State) Registrations() []Registration {
+	all := make([]Registration, 0, len(s.entries))
 	for _, h := range slices.Sorted(maps.Keys(s.entries)) {
 		all = append(all, *s.entries[h])
 	}
 	return all
 }
 
-// Entry returns one entry.
-func (s *State) Entry(host string) (Entry, bool) {
+// Registration returns one entry.
+func (s *State) Registration(host string) (Registration, bool) {
 	if e := s.entries[host]; e != nil {
 		return *e, true
 	}
-	return Entry{}, false
+	return Registration{}, false
 }
 
 // Marks returns who marked which hosts draining.
@@ -497,13 +497,13 @@
 	return Record{}, false
 }
 
-// Records returns the keys of all records.
-func (s *State) Records() []string { return slices.Sorted(maps.Keys(s.records)) }
+// RecordKeys returns the keys of all records.
+func (s *State) RecordKeys() []string { return slices.Sorted(maps.Keys(s.records)) }
 
 // Clone returns a copy that shares nothing that changes.
 func (s *State) Clone() *State {
 	c := *s
-	c.entries = make(map[string]*Entry, len(s.entries))
+	c.entries = make(map[string]*Registration, len(s.entries))
 	for h, e := range s.entries {
 		one := *e
 		c.entries[h] = &one
@@ -518,18 +518,18 @@
 
 // image is the state as it stands in a snapshot.
 type image struct {
-	Form    int                `json:"form"`
-	Group   string             `json:"group"`
-	Founded uint64             `json:"founded"`
-	Seq     uint64             `json:"seq"`
-	Oldest  uint64             `json:"oldest"`
-	Edits   uint64             `json:"edits"`
-	Entries map[string]*Entry  `json:"entries"`
-	Marks   map[string]string  `json:"marks"`
-	Records map[string]*Record `json:"records"`
-	Log     []change           `json:"log"`
-	Leases  *Leases            `json:"leases,omitempty"`
-	Policy  *rollout.State     `json:"policy,omitempty"`
+	Form    int                      `json:"form"`
+	Group   string                   `json:"group"`
+	Founded uint64                   `json:"founded"`
+	Seq     uint64                   `json:"seq"`
+	Oldest  uint64                   `json:"oldest"`
+	Edits   uint64                   `json:"edits"`
+	Entries map[string]*Registration `json:"entries"`
+	Marks   map[string]string        `json:"marks"`
+	Records map[string]*Record       `json:"records"`
+	Log     []change                 `json:"log"`
+	Leases  *Leases                  `json:"leases,omitempty"`
+	Policy  *rollout.State           `json:"policy,omitempty"`
 }
 
 const imageForm = 1
@@ -565,7 +565,7 @@
 			return fmt.Errorf("snapshot: record %.64q is broken", key)
 		}
 	}
-	fresh := New()
+	fresh := NewState()
 	fresh.group, fresh.founded, fresh.seq, fresh.oldest, fresh.edits = i.Group, i.Founded, i.Seq, i.Oldest, i.Edits
 	maps.Copy(fresh.entries, i.Entries)
 	maps.Copy(fresh.marks, i.Marks)
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -16,13 +16,13 @@
 
 func instance(host string) *Instance {
 	block := 3
-	return &Instance{Host: host, Dial: "127.0.0.1:7070", Site: "milano-a", Class: "m2", Block: &block, Health: Up, Share: 1, BornMS: 5}
+	return &Instance{Host: host, Dial: "127.0.0.1:7070", Site: "milano-a", Class: "m2", Block: &block, Health: HealthUp, Share: 1, BornMS: 5}
 }
 
 func founded(t testing.TB) *State {
 	t.Helper()
-	s := New()
-	if r := s.Apply(Command{Op: Found, Group: "prenota", AtMS: 1_800_000_000_000}); r.Err != nil {
+	s := NewState()
+	if r := s.Apply(Command{Op: OpFoundGroup, Group: "prenota", AtMS: 1_800_000_000_000}); r.Err != nil {
 		t.Fatal(r.Err)
 	}
 	return s
@@ -31,12 +31,12 @@
 func version(v uint64) *uint64 { return &v }
 
 // follow is what an unchanged sidecar makes of one answer.
-func follow(held map[string]Instance, l Listing) {
-	if l.Whole {
+func follow(held map[string]Instance, l ListUpdate) {
+	if l.Full {
 		clear(held)
 	}
-	for _, i := range l.Hosts {
-		if i.Health == Removed {
+	for _, i := range l.Instances {
+		if i.Health == HealthRemoved {
 			delete(held, i.Host)
 		} else {
 			held[i.Host] = i
@@ -46,15 +46,15 @@
 
 // model is what the state has to agree with: the plain rules, kept as maps.
 type model struct {
-	entries map[string]Entry
+	entries map[string]Registration
 	marks   map[string]string
 }
 
 func (m *model) list() map[string]Instance {
 	l := make(map[string]Instance)
 	for h, e := range m.entries {
-		if e.Health = e.Asked; m.marks[h] != "" {
-			e.Health = Draining
+		if e.Health = e.ReportedHealth; m.marks[h] != "" {
+			e.Health = HealthDraining
 		}
 		l[h] = e.Instance
 	}
@@ -68,7 +68,7 @@
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 0))
-			s, m := founded(t), &model{make(map[string]Entry), make(map[string]string)}
+			s, m := founded(t), &model{make(map[string]Registration), make(map[string]string)}
 			replica := founded(t)
 			watchers := make([]map[string]Instance, 5)
 			at := make([]uint64, len(watchers))
@@ -84,21 +84,21 @@
 				before, seq := m.list(), s.Seq()
 				switch rng.IntN(6) {
 				case 0, 1:
-					c = Command{Op: Register, Instance: instance(h), Session: fmt.Sprint("x", rng.IntN(2)), TTLMS: 1000}
+					c = Command{Op: OpRegister, Instance: instance(h), Session: fmt.Sprint("x", rng.IntN(2)), TTLMS: 1000}
 					c.Instance.BornMS = int64(rng.IntN(4))
 					if rng.IntN(4) == 0 {
-						c.Instance.Health = Draining
+						c.Instance.Health = HealthDraining
 					}
 				case 2:
-					c = Command{Op: Mark, Host: h, By: by(), Draining: rng.IntN(2) == 0}
+					c = Command{Op: OpMark, Host: h, MarkedBy: by(), Draining: rng.IntN(2) == 0}
 				case 3:
-					c = Command{Op: Remove, Host: h}
+					c = Command{Op: OpRemove, Host: h}
 				case 4:
-					c = Command{Op: Expire, Ended: []Ended{{h, fmt.Sprint("x", rng.IntN(2))}, {host(), "x0"}}}
+					c = Command{Op: OpExpireSessions, ExpiredSessions: []SessionRef{{h, fmt.Sprint("x", rng.IntN(2))}, {host(), "x0"}}}
 				case 5:
 					c = Command{Op: Op(fmt.Sprint("op", rng.IntN(9)))}
 				}
-				if (c.Op == Register || c.Op == Remove) && rng.IntN(4) == 0 {
+				if (c.Op == OpRegister || c.Op == OpRemove) && rng.IntN(4) == 0 {
 					c.IfVersion = version([]uint64{0, old.Version, old.Version + 1}[rng.IntN(3)])
 				}
 				r := s.Apply(c)
@@ -106,51 +106,51 @@
 					t.Fatalf("step %d: replicas disagree: %v and %v", step, r, again)
 				}
 				switch c.Op {
-				case Register:
-					same := old.Host != "" && old.Session == c.Session && old.Asked == c.Instance.Health && old.BornMS == c.Instance.BornMS
+				case OpRegister:
+					same := old.Host != "" && old.Session == c.Session && old.ReportedHealth == c.Instance.Health && old.BornMS == c.Instance.BornMS
 					taken := old.Host != "" && old.Session != c.Session && c.IfVersion == nil && c.Instance.BornMS <= old.BornMS
 					conflict := c.IfVersion != nil && *c.IfVersion != old.Version
 					if want := !same && (taken || conflict); (r.Err != nil) != want {
 						t.Fatalf("step %d: register: error %v, want one: %v", step, r.Err, want)
 					} else if !want {
-						m.entries[h] = Entry{Instance: *c.Instance, Session: c.Session, Asked: c.Instance.Health, Version: r.Version}
+						m.entries[h] = Registration{Instance: *c.Instance, Session: c.Session, ReportedHealth: c.Instance.Health, Version: r.Version}
 					}
-				case Mark:
-					wrong := (c.Draining && old.Host == "" && m.marks[h] == "") || (m.marks[h] != "" && m.marks[h] != c.By)
+				case OpMark:
+					wrong := (c.Draining && old.Host == "" && m.marks[h] == "") || (m.marks[h] != "" && m.marks[h] != c.MarkedBy)
 					if (r.Err != nil) != wrong {
 						t.Fatalf("step %d: mark: error %v, want one: %v", step, r.Err, wrong)
 					}
 					if !wrong && c.Draining {
-						m.marks[h] = c.By
+						m.marks[h] = c.MarkedBy
 					} else if !wrong {
 						delete(m.marks, h)
 					}
-				case Remove:
+				case OpRemove:
 					if wrong := old.Host != "" && c.IfVersion != nil && *c.IfVersion != old.Version; (r.Err != nil) != wrong {
 						t.Fatalf("step %d: remove: error %v, want one: %v", step, r.Err, wrong)
 					} else if !wrong && old.Host != "" {
 						delete(m.entries, h)
 						delete(m.marks, h)
 					}
-				case Expire:
-					for _, x := range c.Ended {
+				case OpExpireSessions:
+					for _, x := range c.ExpiredSessions {
 						if e := m.entries[x.Host]; e.Host != "" && e.Session == x.Session {
 							delete(m.entries, x.Host)
 						}
 					}
 				default:
-					if !errors.Is(r.Err, ErrBad) {
+					if !errors.Is(r.Err, ErrInvalid) {
 						t.Fatalf("step %d: %s: error %v", step, c.Op, r.Err)
 					}
 				}
 				for h, e := range m.entries { // their versions move with what the list shows
-					if got, ok := s.Entry(h); ok {
+					if got, ok := s.Registration(h); ok {
 						e.Version = got.Version
 						m.entries[h] = e
 					}
 				}
 				want, got := m.list(), make(map[string]Instance)
-				follow(got, s.Whole())
+				follow(got, s.FullList())
 				if !same(got, want) {
 					t.Fatalf("step %d, %s: the list is %v, want %v", step, c.Op, got, want)
 				}
@@ -160,7 +160,7 @@
 				source := s
 				if rng.IntN(50) == 0 {
 					text, err := json.Marshal(s)
-					source = New()
+					source = NewState()
 					if err == nil {
 						err = json.Unmarshal(text, source)
 					}
@@ -170,7 +170,7 @@
 					replica = source
 				}
 				i := rng.IntN(len(watchers))
-				l := source.Since(at[i])
+				l := source.ChangesSince(at[i])
 				follow(watchers[i], l)
 				if at[i] = l.Seq; !same(watchers[i], want) || l.Seq != s.Seq() {
 					t.Fatalf("step %d: a watcher holds %v, want %v", step, watchers[i], want)
@@ -191,27 +191,27 @@
 	for i := range maxChanges + 10 {
 		c := instance("s-1")
 		c.BornMS = int64(i)
-		s.Apply(Command{Op: Register, Instance: c, Session: "x"})
+		s.Apply(Command{Op: OpRegister, Instance: c, Session: "x"})
 	}
-	other := New()
-	other.Apply(Command{Op: Found, Group: "other", AtMS: 1_800_000_000_000 + 60_000})
+	other := NewState()
+	other.Apply(Command{Op: OpFoundGroup, Group: "other", AtMS: 1_800_000_000_000 + 60_000})
 	for name, from := range map[string]uint64{
-		"none": 0, "first": s.Founded(), "just before the log": s.Seq() - maxChanges - 1, "next": s.Seq() + 1,
+		"none": 0, "first": s.FirstVersion(), "just before the log": s.Seq() - maxChanges - 1, "next": s.Seq() + 1,
 		"highest": math.MaxUint64, "another group's": other.Seq(),
 	} {
-		if l := s.Since(from); !l.Whole || len(l.Hosts) != 1 || l.Seq != s.Seq() {
+		if l := s.ChangesSince(from); !l.Full || len(l.Instances) != 1 || l.Seq != s.Seq() {
 			t.Errorf("%s: %+v, want the whole list", name, l)
 		}
 	}
-	if l := other.Since(s.Seq()); !l.Whole {
+	if l := other.ChangesSince(s.Seq()); !l.Full {
 		t.Error("an older group's version was taken for one of this history")
 	}
 	for _, from := range []uint64{s.Seq() - maxChanges, s.Seq() - 1} {
-		if l := s.Since(from); l.Whole || len(l.Hosts) != 1 {
+		if l := s.ChangesSince(from); l.Full || len(l.Instances) != 1 {
 			t.Errorf("from %d: %+v, want the change", s.Seq()-from, l)
 		}
 	}
-	if l := s.Since(s.Seq()); l.Whole || len(l.Hosts) != 0 {
+	if l := s.ChangesSince(s.Seq()); l.Full || len(l.Instances) != 0 {
 		t.Errorf("from the newest: %+v, want nothing", l)
 	}
 	if len(s.log) > maxChanges {
@@ -226,32 +226,32 @@
 	register := func(host string, born int64) Result {
 		i := instance(host)
 		i.BornMS = born
-		return s.Apply(Command{Op: Register, Instance: i, Session: fmt.Sprint(born)})
+		return s.Apply(Command{Op: OpRegister, Instance: i, Session: fmt.Sprint(born)})
 	}
-	health := func(host string) Health { e, _ := s.Entry(host); return e.Health }
+	health := func(host string) Health { e, _ := s.Registration(host); return e.Health }
 	register("a", 1)
-	if r := s.Apply(Command{Op: Mark, MustMark: []string{"a", "b"}, By: "ops-a", Draining: true}); !errors.Is(r.Err, ErrUnknown) || health("a") != Up {
+	if r := s.Apply(Command{Op: OpMark, Hosts: []string{"a", "b"}, MarkedBy: "ops-a", Draining: true}); !errors.Is(r.Err, ErrNotFound) || health("a") != HealthUp {
 		t.Errorf("one of two is unknown: %v, and the other is %s", r.Err, health("a"))
 	}
 	register("b", 1)
-	if r := s.Apply(Command{Op: Mark, MustMark: []string{"a", "b"}, By: "ops-a", Draining: true}); r.Err != nil || len(r.Changed) != 2 || s.Seq() != r.Version {
+	if r := s.Apply(Command{Op: OpMark, Hosts: []string{"a", "b"}, MarkedBy: "ops-a", Draining: true}); r.Err != nil || len(r.ChangedHosts) != 2 || s.Seq() != r.Version {
 		t.Errorf("both: %+v", r)
 	}
-	if r := s.Apply(Command{Op: Mark, Host: "a", By: "ops-b"}); !errors.Is(r.Err, ErrConflict) {
+	if r := s.Apply(Command{Op: OpMark, Host: "a", MarkedBy: "ops-b"}); !errors.Is(r.Err, ErrConflict) {
 		t.Errorf("somebody else took the mark back: %v", r.Err)
 	}
-	s.Apply(Command{Op: Expire, Ended: []Ended{{"a", "1"}}})
+	s.Apply(Command{Op: OpExpireSessions, ExpiredSessions: []SessionRef{{"a", "1"}}})
 	register("a", 2)
-	if health("a") != Draining {
+	if health("a") != HealthDraining {
 		t.Error("the mark was lost as the server started again")
 	}
-	if r := s.Apply(Command{Op: Mark, Host: "a", By: "ops-a"}); r.Err != nil || health("a") != Up {
+	if r := s.Apply(Command{Op: OpMark, Host: "a", MarkedBy: "ops-a"}); r.Err != nil || health("a") != HealthUp {
 		t.Errorf("taken back: %v, %s", r.Err, health("a"))
 	}
-	put := s.Apply(Command{Op: Put, Key: "drain/x", Value: []byte("1")})
-	late := Command{Op: Mark, Host: "a", By: "ops-a", Draining: true, Record: "drain/x", RecordAt: put.Version}
-	s.Apply(Command{Op: Put, Key: "drain/x", Value: []byte("2")})
-	if r := s.Apply(late); !errors.Is(r.Err, ErrConflict) || health("a") != Up {
+	put := s.Apply(Command{Op: OpPutRecord, Key: "drain/x", Value: []byte("1")})
+	late := Command{Op: OpMark, Host: "a", MarkedBy: "ops-a", Draining: true, IfRecord: "drain/x", IfRecordVersion: put.Version}
+	s.Apply(Command{Op: OpPutRecord, Key: "drain/x", Value: []byte("2")})
+	if r := s.Apply(late); !errors.Is(r.Err, ErrConflict) || health("a") != HealthUp {
 		t.Errorf("a mark by who has lost the claim: %v", r.Err)
 	}
 }
@@ -259,7 +259,7 @@
 func TestRecords(t *testing.T) {
 	s := founded(t)
 	put := func(value string, if_ *uint64) Result {
-		return s.Apply(Command{Op: Put, Key: "k", Value: []byte(value), IfVersion: if_})
+		return s.Apply(Command{Op: OpPutRecord, Key: "k", Value: []byte(value), IfVersion: if_})
 	}
 	first := put("a", version(0))
 	if first.Err != nil || first.Version == 0 {
@@ -275,14 +275,14 @@
 	if second.Err != nil || second.Version <= first.Version {
 		t.Errorf("%+v", second)
 	}
-	if r := s.Apply(Command{Op: Drop, Key: "k", IfVersion: version(first.Version)}); !errors.Is(r.Err, ErrConflict) {
+	if r := s.Apply(Command{Op: OpDeleteRecord, Key: "k", IfVersion: version(first.Version)}); !errors.Is(r.Err, ErrConflict) {
 		t.Errorf("dropped by an old version: %v", r.Err)
 	}
-	s.Apply(Command{Op: Drop, Key: "k"})
+	s.Apply(Command{Op: OpDeleteRecord, Key: "k"})
 	if third := put("c", version(0)); third.Version <= second.Version {
 		t.Errorf("a record's version %d came again after %d", third.Version, second.Version)
 	}
-	if r := put(strings.Repeat("x", maxValue+1), nil); !errors.Is(r.Err, ErrBad) {
+	if r := put(strings.Repeat("x", maxValue+1), nil); !errors.Is(r.Err, ErrInvalid) {
 		t.Errorf("too large: %v", r.Err)
 	}
 }
@@ -290,18 +290,18 @@
 func TestBounds(t *testing.T) {
 	s := founded(t)
 	for i := range maxInstances {
-		if r := s.Apply(Command{Op: Register, Instance: instance(fmt.Sprint("s-", i))}); r.Err != nil {
+		if r := s.Apply(Command{Op: OpRegister, Instance: instance(fmt.Sprint("s-", i))}); r.Err != nil {
 			t.Fatal(r.Err)
 		}
 	}
 	seq := s.Seq()
-	if r := s.Apply(Command{Op: Register, Instance: instance("one-more")}); !errors.Is(r.Err, ErrFull) || s.Seq() != seq {
+	if r := s.Apply(Command{Op: OpRegister, Instance: instance("one-more")}); !errors.Is(r.Err, ErrLimitReached) || s.Seq() != seq {
 		t.Errorf("one instance more: %v", r.Err)
 	}
 	for i := range maxRecords {
-		s.Apply(Command{Op: Put, Key: fmt.Sprint("k", i), Value: []byte("v")})
+		s.Apply(Command{Op: OpPutRecord, Key: fmt.Sprint("k", i), Value: []byte("v")})
 	}
-	if r := s.Apply(Command{Op: Put, Key: "one-more"}); !errors.Is(r.Err, ErrFull) {
+	if r := s.Apply(Command{Op: OpPutRecord, Key: "one-more"}); !errors.Is(r.Err, ErrLimitReached) {
 		t.Errorf("one record more: %v", r.Err)
 	}
 }
@@ -317,7 +317,7 @@
 		"another network": func(i *Instance) { i.Dial = "10.0.0.1:80" },
 		"a name":          func(i *Instance) { i.Dial = "localhost:80" },
 		"no site":         func(i *Instance) { i.Site = "" },
-		"removed":         func(i *Instance) { i.Health = Removed },
+		"removed":         func(i *Instance) { i.Health = HealthRemoved },
 		"no health":       func(i *Instance) { i.Health = "" },
 		"no share":        func(i *Instance) { i.Share = 0 },
 		"no number":       func(i *Instance) { i.Share = math.NaN() },
@@ -329,7 +329,7 @@
 		spoil(i)
 		s := founded(t)
 		seq := s.Seq()
-		if r := s.Apply(Command{Op: Register, Instance: i}); !errors.Is(r.Err, ErrBad) || strings.Contains(r.Err.Error(), "\n") || s.Seq() != seq {
+		if r := s.Apply(Command{Op: OpRegister, Instance: i}); !errors.Is(r.Err, ErrInvalid) || strings.Contains(r.Err.Error(), "\n") || s.Seq() != seq {
 			t.Errorf("%s: error %v, want one plain line", name, r.Err)
 		}
 	}
@@ -339,18 +339,18 @@
 }
 
 func TestGroupIsFoundedOnce(t *testing.T) {
-	s := New()
-	if r := s.Apply(Command{Op: Register, Instance: instance("a")}); !errors.Is(r.Err, ErrBad) {
+	s := NewState()
+	if r := s.Apply(Command{Op: OpRegister, Instance: instance("a")}); !errors.Is(r.Err, ErrInvalid) {
 		t.Errorf("before the group was founded: %v", r.Err)
 	}
-	if r := s.Apply(Command{Op: Found, Group: "a", AtMS: 0}); r.Err == nil {
+	if r := s.Apply(Command{Op: OpFoundGroup, Group: "a", AtMS: 0}); r.Err == nil {
 		t.Error("founded without a time")
 	}
-	one := s.Apply(Command{Op: Found, Group: "a", AtMS: 1000})
-	if again := s.Apply(Command{Op: Found, Group: "a", AtMS: 2000}); again.Err != nil || again.Version != one.Version {
+	one := s.Apply(Command{Op: OpFoundGroup, Group: "a", AtMS: 1000})
+	if again := s.Apply(Command{Op: OpFoundGroup, Group: "a", AtMS: 2000}); again.Err != nil || again.Version != one.Version {
 		t.Errorf("founded again: %+v", again)
 	}
-	if r := s.Apply(Command{Op: Found, Group: "b", AtMS: 2000}); !errors.Is(r.Err, ErrConflict) {
+	if r := s.Apply(Command{Op: OpFoundGroup, Group: "b", AtMS: 2000}); !errors.Is(r.Err, ErrConflict) {
 		t.Errorf("as another group: %v", r.Err)
 	}
 }
@@ -359,29 +359,29 @@
 // is taken can be written and read again.
 func FuzzSnapshot(f *testing.F) {
 	s := founded(f)
-	s.Apply(Command{Op: Register, Instance: instance("a"), Session: "x", TTLMS: 5})
-	s.Apply(Command{Op: Mark, Host: "a", By: "ops-a", Draining: true})
-	s.Apply(Command{Op: Put, Key: "k", Value: []byte("v")})
+	s.Apply(Command{Op: OpRegister, Instance: instance("a"), Session: "x", TTLMS: 5})
+	s.Apply(Command{Op: OpMark, Host: "a", MarkedBy: "ops-a", Draining: true})
+	s.Apply(Command{Op: OpPutRecord, Key: "k", Value: []byte("v")})
 	text, _ := json.Marshal(s)
 	f.Add(text)
 	f.Add([]byte(`{"form":1}`))
 	f.Add([]byte(`{"form":1,"group":"a","seq":9,"entries":{"a":null}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		s := New()
+		s := NewState()
 		if err := json.Unmarshal(text, s); err != nil {
 			if s.Group() != "" || s.Seq() != 0 {
 				t.Error("a refused snapshot has left something behind")
 			}
 			return
 		}
-		s.Whole()
-		s.Since(s.Seq())
-		s.Apply(Command{Op: Register, Instance: instance("b")})
+		s.FullList()
+		s.ChangesSince(s.Seq())
+		s.Apply(Command{Op: OpRegister, Instance: instance("b")})
 		out, err := json.Marshal(s)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := json.Unmarshal(out, New()); err != nil {
+		if err := json.Unmarshal(out, NewState()); err != nil {
 			t.Errorf("cannot read what it wrote: %v", err)
 		}
 	})
@@ -398,16 +398,16 @@
 			return
 		}
 		s := founded(t)
-		s.Apply(Command{Op: Register, Instance: instance("a"), Session: "x"})
+		s.Apply(Command{Op: OpRegister, Instance: instance("a"), Session: "x"})
 		seq, held := s.Seq(), make(map[string]Instance)
-		follow(held, s.Whole())
+		follow(held, s.FullList())
 		r := s.Apply(c)
 		if s.Seq() < seq || r.Seq != s.Seq() {
 			t.Errorf("version %d after %d, told %d", s.Seq(), seq, r.Seq)
 		}
-		follow(held, s.Since(seq))
+		follow(held, s.ChangesSince(seq))
 		want := make(map[string]Instance)
-		if follow(want, s.Whole()); !same(held, want) {
+		if follow(want, s.FullList()); !same(held, want) {
 			t.Errorf("a watcher holds %v, want %v", held, want)
 		}
 	})
@@ -415,16 +415,16 @@
 
 func TestSessions(t *testing.T) {
 	begin := time.Unix(1_800_000_000, 0)
-	entries := func(n int) []Entry {
-		var all []Entry
+	entries := func(n int) []Registration {
+		var all []Registration
 		for i := range n {
-			all = append(all, Entry{Instance: *instance(fmt.Sprint(i)), Session: "x", TTLMS: 1000})
+			all = append(all, Registration{Instance: *instance(fmt.Sprint(i)), Session: "x", TTLMS: 1000})
 		}
-		return append(all, Entry{Instance: *instance("for ever")})
+		return append(all, Registration{Instance: *instance("for ever")})
 	}
 	const floor = 0.6
-	s := NewSessions(floor, time.Minute)
-	s.Follow(entries(10), begin)
+	s := NewSessionTracker(floor, time.Minute)
+	s.Sync(entries(10), begin)
 	renew := func(from, to int, at time.Time) {
 		for i := from; i < to; i++ {
 			if !s.Renew(fmt.Sprint(i), "x", at) {
@@ -437,41 +437,41 @@
 	}
 	at := begin.Add(900 * time.Millisecond)
 	renew(3, 10, at)
-	if ended, held, _ := s.Due(at); len(ended) != 0 || held {
+	if ended, held, _ := s.Expired(at); len(ended) != 0 || held {
 		t.Errorf("too early: %v, %v", ended, held)
 	}
 	at = begin.Add(time.Second)
-	ended, held, _ := s.Due(at)
-	if !slices.Equal(ended, []Ended{{"0", "x"}, {"1", "x"}, {"2", "x"}}) || held {
+	ended, held, _ := s.Expired(at)
+	if !slices.Equal(ended, []SessionRef{{"0", "x"}, {"1", "x"}, {"2", "x"}}) || held {
 		t.Errorf("ended %v, held %v, want the three that were not renewed", ended, held)
 	}
-	s.Follow(entries(10)[3:], at) // and removed
+	s.Sync(entries(10)[3:], at) // and removed
 	// Another two at once would leave 5 of the 10 there were: the part that is kept.
 	renew(3, 8, at.Add(500*time.Millisecond))
 	at = begin.Add(1900 * time.Millisecond)
-	if ended, held, changed := s.Due(at); len(ended) != 0 || !held || !changed {
+	if ended, held, changed := s.Expired(at); len(ended) != 0 || !held || !changed {
 		t.Errorf("mass expiry: %v, held %v, changed %v", ended, held, changed)
 	}
-	if _, held, changed := s.Due(at); !held || changed {
+	if _, held, changed := s.Expired(at); !held || changed {
 		t.Errorf("still: held %v, changed %v", held, changed)
 	}
 	renew(8, 9, at)
-	if ended, held, changed := s.Due(at); len(ended) != 1 || held || !changed {
+	if ended, held, changed := s.Expired(at); len(ended) != 1 || held || !changed {
 		t.Errorf("one is back: %v, held %v, changed %v", ended, held, changed)
 	}
 	// What there was long ago does not count for ever, but silence for long is no proof.
 	later := at.Add(2 * time.Minute)
-	if ended, held, _ := s.Due(later); len(ended) != 0 || !held {
+	if ended, held, _ := s.Expired(later); len(ended) != 0 || !held {
 		t.Errorf("all silent: %v, held %v", ended, held)
 	}
 	renew(3, 9, later)
-	if ended, held, _ := s.Due(later); len(ended) != 1 || held {
+	if ended, held, _ := s.Expired(later); len(ended) != 1 || held {
 		t.Errorf("after a while: %v, held %v, want the one that stayed away", ended, held)
 	}
 	// A new leader begins anew: each has its full time.
-	fresh := NewSessions(floor, time.Minute)
-	fresh.Follow(entries(10), later)
-	if ended, _, _ := fresh.Due(later.Add(999 * time.Millisecond)); len(ended) != 0 {
+	fresh := NewSessionTracker(floor, time.Minute)
+	fresh.Sync(entries(10), later)
+	if ended, _, _ := fresh.Expired(later.Add(999 * time.Millisecond)); len(ended) != 0 {
 		t.Errorf("a new leader removed %v before their time", ended)
 	}
 }
--- a/internal/sidecar/adviser.go
+++ b/internal/sidecar/adviser.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &adviser{config: c.Advice, name: c.Name, began: time.Now(), names: l.tenantNames(), loop: l, client: r.Via(c.Advice.routes).Within(adviceCallIn), taker: overload.Taker{Fleet: c.Advice.Fleet}}
+	a := &adviser{config: c.Advice, name: c.Name, began: time.Now(), names: l.tenantNames(), loop: l, client: r.WithAddressMap(c.Advice.routes).WithTimeout(adviceCallIn), taker: overload.Taker{Fleet: c.Advice.Fleet}}
 	a.http = &http.Client{Timeout: adviceCallIn, Transport: &http.Transport{DialContext: c.Advice.routes.Dial(adviceCallIn), MaxConnsPerHost: 1, DisableCompression: true}}
 	l.tally = make([]overload.Count, len(a.names))
 	for i := range l.tally {
--- a/internal/sidecar/client_test.go
+++ b/internal/sidecar/client_test.go
@@ -18,7 +18,7 @@
 func TestServesTheWholeBodyUnchanged(t *testing.T) {
 	body := strings.Repeat("\x00honey\r\n", 60000) // upstreams do send that much
 	u := newUpstream(t, always(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\nServer-Load: TEXT busy_reqs=1\r\nX-Ledger: 4\r\n\r\n%s", len(body), body)))
-	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0)))
+	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
 	got := call{class: "once", body: "{}"}.do(t, addr)
 	if got.status != 200 || got.body != body || got.header.Get("X-Ledger") != "4" || got.header.Get("Server-Load") != "" {
 		t.Errorf("status %d, %d bytes, header %v, error %v", got.status, len(got.body), got.header, got.err)
@@ -29,7 +29,7 @@
 func TestFailureIsNoRefusal(t *testing.T) {
 	for _, status := range []int{500, 503, 504, 429, 400, 302} {
 		u := newUpstream(t, always(fmt.Sprintf("HTTP/1.1 %d x\r\nContent-Length: 4\r\n\r\nlate", status)))
-		addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0)))
+		addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
 		if got := (call{class: "once"}).do(t, addr); got.status != http.StatusBadGateway || got.body != "" || got.header.Get("Retry-After") != "" {
 			t.Errorf("upstream's %d: got %+v, want a plain 502", status, got)
 		}
@@ -42,7 +42,7 @@
 func TestRefusalSaysWhenToComeBack(t *testing.T) {
 	u := newUpstream(t, always("HTTP/1.1 503 x\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"))
 	// The module refuses once an answer would be late for the aim of 0.2 s.
-	c := testConfig(t, options{aim: 200 * time.Millisecond}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0))
+	c := testConfig(t, options{aim: 200 * time.Millisecond}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
 	start := time.Now()
 	got := call{class: "once"}.do(t, addr)
@@ -57,7 +57,7 @@
 
 func TestSilenceIsAnsweredBeforeTheDeadline(t *testing.T) {
 	u := newUpstream(t, always(""))
-	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0)))
+	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
 	start := time.Now()
 	got := call{class: "once", timeout: "0.4"}.do(t, addr)
 	if took := time.Since(start); got.status != http.StatusGatewayTimeout || took > 450*time.Millisecond {
@@ -68,7 +68,7 @@
 
 func TestClientThatLeavesEndsItsAttempt(t *testing.T) {
 	u := newUpstream(t, always(""))
-	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0)))
+	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -86,7 +86,7 @@
 
 func TestBadInput(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0)))
+	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
 	bad := map[string]call{
 		"no id":           {class: "once", header: http.Header{"Request-Id": nil}},
 		"two ids":         {class: "once", header: http.Header{"Request-Id": {"a", "b"}}},
@@ -154,7 +154,7 @@
 func TestIdThatIsHeldIsNotTakenAgain(t *testing.T) {
 	go1 := make(chan struct{})
 	u := newUpstream(t, func(received) (string, bool) { <-go1; return answer200("ok"), false })
-	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0)))
+	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
 	first := call{class: "once"}.start(t, addr)
 	await(t, "the first", u.requests)
 	if got := (call{class: "once"}).do(t, addr); got.status != http.StatusConflict {
@@ -167,7 +167,7 @@
 }
 
 func TestReadyOnceAListIsHeld(t *testing.T) {
-	g := registrytest.NewRegistry(t)
+	g := registrytest.NewServer(t)
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, g.Addr))
 	ready := func() int {
 		resp, err := http.Get("http://" + addr + "/health/ready")
@@ -177,12 +177,12 @@
 		resp.Body.Close()
 		return resp.StatusCode
 	}
-	await(t, "the call for the list", g.Asked)
+	await(t, "the call for the list", g.ListCalls)
 	if got := ready(); got != http.StatusServiceUnavailable {
 		t.Errorf("ready is %d without a list", got)
 	}
 	u := newUpstream(t, always(answer200("ok")))
-	g.Whole <- registrytest.ListText(5, true, registrytest.HostText("s-1", u.addr, "up", 0))
+	g.FullLists <- registrytest.ListJSON(5, true, registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	if w := await(t, "the watch", g.Watches); w.From != "5" {
 		t.Errorf("the watch begins from %s, want 5", w.From)
 	}
@@ -196,7 +196,7 @@
 // The bound on client connections: idle ones make way, and a waiting one is served in the end.
 func TestClientConnectionsAreBounded(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
-	c := testConfig(t, options{sockets: leastSockets}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0))
+	c := testConfig(t, options{sockets: leastSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
 	var closed int
 	var conns []net.Conn
@@ -259,7 +259,7 @@
 // request, wherever its connection leads.
 func TestHiddenRequestIsNotServed(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
-	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0)))
+	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
 	hidden := rawHead("hidden") + "Content-Length: 0\r\n\r\n"
 	chunk := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(hidden), hidden)
 	health := "GET /health/ready HTTP/1.1\r\nHost: x\r\n"
@@ -295,7 +295,7 @@
 // not hold a connection for longer.
 func TestUnfinishedRequestsEndSoon(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
-	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0)))
+	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
 	texts := map[string]string{
 		"nothing":           "",
 		"half a header":     rawHead("a"),
@@ -339,7 +339,7 @@
 func TestRefusedHeaderNeedsNoBody(t *testing.T) {
 	release := make(chan struct{})
 	u := newUpstream(t, func(received) (string, bool) { <-release; return answer200("ok"), false })
-	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0)))
+	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
 	first := call{class: "once", id: "held"}.start(t, addr)
 	await(t, "the first", u.requests)
 	for status, text := range map[int]string{
@@ -369,7 +369,7 @@
 
 func testGivesWay(t *testing.T, useless string) {
 	u := newUpstream(t, always(answer200("ok")))
-	c := testConfig(t, options{sockets: leastSockets}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0))
+	c := testConfig(t, options{sockets: leastSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
 	kept, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -410,7 +410,7 @@
 // some are closed, long before the sidecar's own bound, they can open no more.
 func TestIdleConnectionsAreFew(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
-	c := testConfig(t, options{sockets: leastSockets}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0))
+	c := testConfig(t, options{sockets: leastSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
 	most, _ := c.Limits.connections()
 	start := time.Now()
@@ -441,7 +441,7 @@
 // A client that takes no more of its answer than fits into buffers must not hold it for ever.
 func TestAnswerIsNotHeldForAClientThatDoesNotRead(t *testing.T) {
 	u := newUpstream(t, always(answer200(strings.Repeat("x", maxAnswerBody))))
-	l := newTestLoop(t, registrytest.HostText("s-1", u.addr, "up", 0))
+	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	go l.run(t.Context())
 	ln, served := listenLoopback(t), make(chan struct{})
 	limited := limitListener(ln, testLimits(4))
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -26,7 +26,7 @@
 	Discovery string
 	Replicas  []string // further addresses of the same discovery service
 	Seed      uint64
-	Known     *client.Listing // the list of upstreams as last held; nil where there is none
+	Known     *client.ListUpdate // the list of upstreams as last held; nil where there is none
 	Limits    Limits
 	path      string // the file it came from
 
@@ -268,11 +268,11 @@
 
 // parseKnown reads the list as last held. One that cannot be read is done
 // without: discovery brings another.
-func parseKnown(text json.RawMessage) *client.Listing {
+func parseKnown(text json.RawMessage) *client.ListUpdate {
 	if len(text) == 0 || string(text) == "null" {
 		return nil
 	}
-	known := new(client.Listing)
+	known := new(client.ListUpdate)
 	if err := json.Unmarshal(text, known); err != nil {
 		slog.Warn("configuration: the known list is passed over", "err", err)
 		return nil
--- a/internal/sidecar/connections_test.go
+++ b/internal/sidecar/connections_test.go
@@ -55,7 +55,7 @@
 // startLimited runs a sidecar with the limits given.
 func startLimited(t *testing.T, u *upstream, limits clientLimits) (addr string, stop func(), ended <-chan error) {
 	t.Helper()
-	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0))
+	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	c.Connections.Clients = limits
 	return startSidecar(t, c)
 }
@@ -193,7 +193,7 @@
 	u := newUpstream(t, always(answer200("ok")))
 	ln := listenLoopback(t)
 	goroutines, fds := runtime.NumGoroutine(), descriptors(t)
-	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0))
+	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	c.Connections.Clients = testLimits(8)
 	stop, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -285,7 +285,7 @@
 	t.Parallel() // it takes longer than the protocol's 3 s
 	release := make(chan struct{})
 	u := newUpstream(t, func(received) (string, bool) { <-release; return answer200("ok"), false })
-	addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0)))
+	addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
 	held := call{class: "once", id: "held"}.start(t, addr)
 	await(t, "the held one", u.requests)
 	stop()
@@ -596,7 +596,7 @@
 // what else the file says too.
 func TestReloadChangesLimits(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
-	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0))
+	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	c.path = filepath.Join(t.TempDir(), "config.json")
 	write := func(connections string) {
 		t.Helper()
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -14,12 +14,12 @@
 
 // A module that asks gets its watch again after a failure, through the whole program.
 func TestAskingSidecarWatches(t *testing.T) {
-	g := registrytest.NewRegistry(t)
+	g := registrytest.NewServer(t)
 	u := newUpstream(t, always(answer200("ok")))
-	addr, _, _ := startSidecar(t, testConfig(t, options{ask: true}, g.Addr, registrytest.HostText("s-0", "127.0.0.1:1", "draining", 0)))
+	addr, _, _ := startSidecar(t, testConfig(t, options{ask: true}, g.Addr, registrytest.EndpointJSON("s-0", "127.0.0.1:1", "draining", 0)))
 	close(await(t, "the watch", g.Watches).Lines)
 	w := await(t, "the next watch", g.Watches)
-	w.Lines <- registrytest.ListText(2, false, registrytest.HostText("s-1", u.addr, "up", 0))
+	w.Lines <- registrytest.ListJSON(2, false, registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	serveSoon(t, addr)
 }
 
@@ -47,9 +47,9 @@
 }
 
 func TestWrongEntriesArePassedOver(t *testing.T) {
-	good := registrytest.HostText("s-1", "127.0.0.1:7", "up", 0)
-	text := valid(t, registrytest.ListText(1, true, `{"host":7,"dial":"127.0.0.1:7","health":"up"}`, `"nonsense"`, `{"dial":"127.0.0.1:7","health":"up"}`,
-		registrytest.HostText("s-2", "nowhere", "up", 0), good, `{"host":"s-3","dial":"127.0.0.1:8","health":"up","later":{"x":1}}`))
+	good := registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0)
+	text := valid(t, registrytest.ListJSON(1, true, `{"host":7,"dial":"127.0.0.1:7","health":"up"}`, `"nonsense"`, `{"dial":"127.0.0.1:7","health":"up"}`,
+		registrytest.EndpointJSON("s-2", "nowhere", "up", 0), good, `{"host":"s-3","dial":"127.0.0.1:8","health":"up","later":{"x":1}}`))
 	known := parseKnown([]byte(text))
 	if known == nil {
 		t.Fatal("the list was thrown away")
@@ -67,11 +67,11 @@
 // A host whose entry cannot be read is still named: it stays as it was known, also in a
 // whole list, where what is not named has gone.
 func TestSpoiltEntryLeavesItsHostAsItWas(t *testing.T) {
-	drains := registrytest.HostText("s-2", "127.0.0.1:8", "draining", 0)
-	l := newTestLoop(t, registrytest.HostText("s-1", "127.0.0.1:7", "up", 0), drains, registrytest.HostText("s-3", "127.0.0.1:9", "up", 0))
-	var news client.Listing
-	text := valid(t, registrytest.ListText(2, true, `{"host":"s-1","dial":7,"health":"up"}`, `{"host":"s-2","dial":"127.0.0.1:8","health":"up","share":"x"}`,
-		`{"host":"s-9","dial":7,"health":"up"}`, registrytest.HostText("s-4", "nowhere", "up", 0)))
+	drains := registrytest.EndpointJSON("s-2", "127.0.0.1:8", "draining", 0)
+	l := newTestLoop(t, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0), drains, registrytest.EndpointJSON("s-3", "127.0.0.1:9", "up", 0))
+	var news client.ListUpdate
+	text := valid(t, registrytest.ListJSON(2, true, `{"host":"s-1","dial":7,"health":"up"}`, `{"host":"s-2","dial":"127.0.0.1:8","health":"up","share":"x"}`,
+		`{"host":"s-9","dial":7,"health":"up"}`, registrytest.EndpointJSON("s-4", "nowhere", "up", 0)))
 	if err := json.Unmarshal([]byte(text), &news); err != nil {
 		t.Fatal(err)
 	}
@@ -89,7 +89,7 @@
 
 func TestEntriesBecomeServers(t *testing.T) {
 	l := newTestLoop(t)
-	enter := func(e client.Entry) policy.Server {
+	enter := func(e client.Endpoint) policy.Server {
 		s, ok := l.enter(e)
 		if !ok {
 			t.Fatalf("%+v was passed over", e)
@@ -97,7 +97,7 @@
 		return s
 	}
 	cell := 3
-	e := client.Entry{Host: "s-1", Dial: "127.0.0.1:7", Site: "a", Block: &cell, Health: "up", Share: 1.5}
+	e := client.Endpoint{Host: "s-1", Dial: "127.0.0.1:7", Site: "a", Block: &cell, Health: "up", Share: 1.5}
 	s := enter(e)
 	if s.State != policy.Ready || s.Weight != 1.5 || s.Cell != 3 || s.Zone != 0 || s.Started != 0 {
 		t.Errorf("server %+v", s)
@@ -114,8 +114,8 @@
 	if d := enter(e); d.ID != s.ID || d.State != policy.Gone {
 		t.Errorf("removed without an address gives %+v", d)
 	}
-	other := enter(client.Entry{Host: "s-2", Dial: "127.0.0.1:9", Site: "elsewhere", Health: "up"})
-	third := enter(client.Entry{Host: "s-3", Dial: "127.0.0.1:9", Site: "elsewhere", Health: "up"})
+	other := enter(client.Endpoint{Host: "s-2", Dial: "127.0.0.1:9", Site: "elsewhere", Health: "up"})
+	third := enter(client.Endpoint{Host: "s-3", Dial: "127.0.0.1:9", Site: "elsewhere", Health: "up"})
 	if other.ID == s.ID || other.Zone == 0 || other.Zone != third.Zone || other.Cell == third.Cell {
 		t.Errorf("servers %+v and %+v", other, third)
 	}
@@ -126,11 +126,11 @@
 func TestEarlierStartIsNotLongAgo(t *testing.T) {
 	l := newTestLoop(t)
 	born := time.Now().Add(-2 * time.Second).UnixMilli()
-	s, ok := l.enter(client.Entry{Host: "s-1", Dial: "127.0.0.1:7", Health: "up", BornMS: float64(born)})
+	s, ok := l.enter(client.Endpoint{Host: "s-1", Dial: "127.0.0.1:7", Health: "up", BornMS: float64(born)})
 	if age := l.clock() - s.Started; !ok || s.Started <= 0 || age < time.Second || age > patience {
 		t.Errorf("started at %v, %v ago by the module's clock", s.Started, age)
 	}
-	ahead := client.Entry{Host: "s-2", Dial: "127.0.0.1:7", Health: "up", BornMS: float64(time.Now().Add(time.Hour).UnixMilli())}
+	ahead := client.Endpoint{Host: "s-2", Dial: "127.0.0.1:7", Health: "up", BornMS: float64(time.Now().Add(time.Hour).UnixMilli())}
 	first, _ := l.enter(ahead)
 	l.now = l.clock() + time.Second
 	if again, _ := l.enter(ahead); first.Started > l.now || again.Started != first.Started {
@@ -139,13 +139,13 @@
 }
 
 func TestDrainActsAtOnce(t *testing.T) {
-	g := registrytest.NewRegistry(t)
+	g := registrytest.NewServer(t)
 	a, b := newUpstream(t, always(answer200("a"))), newUpstream(t, always(answer200("b")))
-	addr, _, _ := startSidecar(t, testConfig(t, options{}, g.Addr, registrytest.HostText("s-1", a.addr, "up", 0)))
+	addr, _, _ := startSidecar(t, testConfig(t, options{}, g.Addr, registrytest.EndpointJSON("s-1", a.addr, "up", 0)))
 	w := await(t, "the watch", g.Watches)
 	serveSoon(t, addr)
 	await(t, "a request", a.requests)
-	w.Lines <- registrytest.ListText(2, false, registrytest.HostText("s-1", a.addr, "draining", 0), registrytest.HostText("s-2", b.addr, "up", 0))
+	w.Lines <- registrytest.ListJSON(2, false, registrytest.EndpointJSON("s-1", a.addr, "draining", 0), registrytest.EndpointJSON("s-2", b.addr, "up", 0))
 	for i := range 1000 { // until the news has arrived; from then on everything goes to the other
 		if got := (call{class: "once", id: fmt.Sprint(i)}).do(t, addr); got.body == "b" {
 			break
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -63,7 +63,7 @@
 // and one of a server replaced at its address leave nothing behind, and where all
 // servers drain a client is told to come back.
 func TestDrainsThroughTheList(t *testing.T) {
-	g := registrytest.NewRegistry(t)
+	g := registrytest.NewServer(t)
 	release := make(chan struct{})
 	u := newUpstream(t, func(r received) (string, bool) {
 		if r.Header.Get("Request-Id") == "held" {
@@ -71,13 +71,13 @@
 		}
 		return answer200("ok"), false
 	})
-	addr, _, _ := startSidecar(t, testConfig(t, options{aim: time.Second}, g.Addr, registrytest.HostText("s-1", u.addr, "up", 0)))
+	addr, _, _ := startSidecar(t, testConfig(t, options{aim: time.Second}, g.Addr, registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
 	w := await(t, "the watch", g.Watches)
 	held := call{class: "once", id: "held"}.start(t, addr)
 	await(t, "the held one", u.requests)
 	tell := func(seq int, host, health string) {
 		t.Helper()
-		w.Lines <- registrytest.ListText(seq, false, registrytest.HostText(host, u.addr, health, 0))
+		w.Lines <- registrytest.ListJSON(seq, false, registrytest.EndpointJSON(host, u.addr, health, 0))
 		w.Lines <- "" // taken once the one before has been read
 	}
 	tell(2, "s-1", "draining")
@@ -110,11 +110,11 @@
 
 // The loop counts what runs at a server that drains.
 func TestDrainIsCountedToItsEnd(t *testing.T) {
-	l := newTestLoop(t, registrytest.HostText("s-1", "127.0.0.1:7", "up", 0))
+	l := newTestLoop(t, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0))
 	h := l.hosts["s-1"]
 	h.out = 1
 	change := func(health string) {
-		l.list(policy.ListDelta, client.Listing{Hosts: []client.Entry{{Host: "s-1", Dial: "127.0.0.1:7", Site: "a", Health: health, Share: 1}}})
+		l.list(policy.ListDelta, client.ListUpdate{Endpoints: []client.Endpoint{{Host: "s-1", Dial: "127.0.0.1:7", Site: "a", Health: health, Share: 1}}})
 	}
 	l.now = time.Second
 	change("draining")
@@ -135,8 +135,8 @@
 func TestPhasesOfThePlannedEnd(t *testing.T) {
 	release := make(chan struct{})
 	u := newUpstream(t, func(received) (string, bool) { <-release; return answer200("ok"), false })
-	old, fresh := registrytest.NewRegistry(t), registrytest.NewRegistry(t)
-	c := testConfig(t, options{}, old.Addr, registrytest.HostText("s-1", u.addr, "up", 0))
+	old, fresh := registrytest.NewServer(t), registrytest.NewServer(t)
+	c := testConfig(t, options{}, old.Addr, registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	c.path = filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"discovery":%q,"seed":"1","settings":%s}`, fresh.Addr, fmt.Sprintf(testSettings, false, 500, "push"))
 	if err := os.WriteFile(c.path, []byte(valid(t, text)), 0o600); err != nil {
@@ -163,7 +163,7 @@
 	eventually(t, "it drains", func() bool { return phase() == "503 draining\n" })
 	stop()
 	reload <- syscall.SIGHUP
-	await(t, "the call at the new address", fresh.Asked)
+	await(t, "the call at the new address", fresh.ListCalls)
 	eventually(t, "the listener is closed", func() bool { c, err := net.Dial("tcp", addr); closeIf(c, err); return err != nil })
 	select {
 	case err := <-ended:
@@ -198,7 +198,7 @@
 	t.Run("an attempt that never ends", func(t *testing.T) {
 		t.Parallel() // it takes the request's whole time
 		u := newUpstream(t, always(""))
-		addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0)))
+		addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
 		held := call{class: "once", id: "held", timeout: "1.5"}.start(t, addr)
 		await(t, "the held one", u.requests)
 		stop()
@@ -213,7 +213,7 @@
 		t.Parallel()
 		big := make([]byte, maxAnswerBody)
 		u := newUpstream(t, always(answer200(string(big))))
-		addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0)))
+		addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
 		c := dialFrom(t, "127.0.0.1", addr)
 		c.(*net.TCPConn).SetReadBuffer(4 << 10)
 		call{class: "once", id: "unread", timeout: "0.5"}.request(t, addr).Write(c)
--- a/internal/sidecar/explain.go
+++ b/internal/sidecar/explain.go
@@ -29,7 +29,7 @@
 	line("discovery", "discovery, ROUTER_DISCOVERY, discovery_replicas", "%v", c.discoveryAddrs())
 	known := 0
 	if c.Known != nil {
-		known = len(c.Known.Hosts)
+		known = len(c.Known.Endpoints)
 	}
 	line("booking servers known at the start", "known", "%d", known)
 	line("cores, memory, sockets", "limits", "%g, %d MB, %d", c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets)
--- a/internal/sidecar/gate_test.go
+++ b/internal/sidecar/gate_test.go
@@ -335,7 +335,7 @@
 	l.wallNow = func() time.Time { return time.Now().Add(step) }
 	l.now = l.clock()
 	born := float64(time.Now().Add(step - time.Second).UnixMilli())
-	s, ok := l.enter(client.Entry{Host: "s-1", Dial: "127.0.0.1:7", Site: "a", Health: "up", Share: 1, BornMS: born})
+	s, ok := l.enter(client.Endpoint{Host: "s-1", Dial: "127.0.0.1:7", Site: "a", Health: "up", Share: 1, BornMS: born})
 	if age := l.now - s.Started; !ok || age < 500*time.Millisecond || age > 1500*time.Millisecond {
 		t.Errorf("a server that started 1 s ago is %v old", age)
 	}
--- a/internal/sidecar/governor.go
+++ b/internal/sidecar/governor.go
@@ -119,7 +119,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &governor{config: c.Govern, tenants: c.Tenants, client: r.Via(c.Govern.routes), enforce: enforce, begun: time.Now()}
+	g := &governor{config: c.Govern, tenants: c.Tenants, client: r.WithAddressMap(c.Govern.routes), enforce: enforce, begun: time.Now()}
 	me := rollout.Member{Name: c.Name, Incarnation: uint64(g.begun.UnixMicro())}
 	g.follow = &rollout.Follower{Me: me, Can: g.can}
 	if c.Govern.Machine != "" {
@@ -272,7 +272,7 @@
 	if any {
 		in, cancel := context.WithTimeout(ctx, policyCallIn)
 		defer cancel()
-		v, err = g.client.Policy(in, step, nil)
+		v, err = g.client.ApplyPolicyStep(in, step, nil)
 	} else {
 		in, cancel := context.WithTimeout(ctx, policyWatch+policyCallIn)
 		defer cancel()
@@ -287,7 +287,7 @@
 			slog.Warn("policy: refused here", "change", step.Number, "why", step.No)
 		}
 		g.follow.Take(v)
-	case errors.Is(err, registry.ErrUnknown):
+	case errors.Is(err, registry.ErrNotFound):
 		g.follow.Said(step, rollout.ErrUnknown)
 		return nil
 	case errors.Is(err, registry.ErrConflict) && step.Verb == rollout.Join: // evicted, or a later process has the name
@@ -305,7 +305,7 @@
 
 // sit holds the lease under which this sidecar serves, where the policy says so.
 func (g *governor) sit(ctx context.Context) {
-	name := registry.SeatLease + g.follow.Me.Name
+	name := registry.RosterLeasePrefix + g.follow.Me.Name
 	err := g.member.Hold(ctx, name, func(ctx context.Context, t *lease.Term) error {
 		g.term.Store(t)
 		defer g.term.Store(nil)
@@ -322,7 +322,7 @@
 func (g *governor) goodbye(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), policyCallIn/2)
 	defer cancel()
-	if _, err := g.client.Policy(ctx, rollout.Command{Verb: rollout.Leave, Member: g.follow.Me}, nil); err != nil {
+	if _, err := g.client.ApplyPolicyStep(ctx, rollout.Command{Verb: rollout.Leave, Member: g.follow.Me}, nil); err != nil {
 		slog.Warn("policy: the seat is not given up: a change waits for this name until it starts again or is evicted", "err", err)
 		return
 	}
--- a/internal/sidecar/load_test.go
+++ b/internal/sidecar/load_test.go
@@ -50,7 +50,7 @@
 			}()
 		}
 	}()
-	c := testConfig(b, options{sockets: loadSockets}, "127.0.0.1:1", registrytest.HostText("s-1", ln.Addr().String(), "up", 0))
+	c := testConfig(b, options{sockets: loadSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", ln.Addr().String(), "up", 0))
 	c.Policy.Slots = loadSockets // walls are not what is measured
 	addr, _, _ = startSidecar(b, c)
 	return addr
@@ -216,7 +216,7 @@
 			var ratio, rounds float64
 			for b.Loop() {
 				u := newUpstream(b, func(received) (string, bool) { time.Sleep(rest); return answer200("ok"), false })
-				addr, stop, ended := startSidecar(b, testConfig(b, options{}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0)))
+				addr, stop, ended := startSidecar(b, testConfig(b, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
 				c := newLoadClient(b, addr)
 				if err := c.send(loadIDs.Add(1)); err != nil {
 					b.Fatal(err)
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -78,8 +78,8 @@
 		ok    bool
 		load  policy.Load
 	}
-	listed     struct{ news client.Listing }
-	listFailed struct{ loss client.Loss }
+	listed     struct{ news client.ListUpdate }
+	listFailed struct{ loss client.ListLoss }
 	leaving    struct{ held chan<- []policy.Held } // a new process takes this one's place
 	beside     struct{ held []policy.Held }        // what the old one still holds
 )
@@ -95,7 +95,7 @@
 // host is an upstream of the list.
 type host struct {
 	id      policy.ServerID
-	entry   client.Entry
+	entry   client.Endpoint
 	peer    *peer
 	started time.Duration
 	probes  []*probe      // in the order the module asked for them
@@ -334,7 +334,7 @@
 	case listed:
 		l.heardAt = l.now
 		kind := policy.ListDelta
-		if e.news.Whole {
+		if e.news.Full {
 			kind = policy.ListFull
 		}
 		l.list(kind, e.news)
@@ -444,16 +444,16 @@
 }
 
 // list takes news of the list over and passes them to the module.
-func (l *loop) list(kind policy.ListKind, news client.Listing) {
-	servers := make([]policy.Server, 0, len(news.Hosts))
-	named := make(map[string]bool, len(news.Hosts))
-	for _, e := range news.Hosts {
+func (l *loop) list(kind policy.ListKind, news client.ListUpdate) {
+	servers := make([]policy.Server, 0, len(news.Endpoints))
+	named := make(map[string]bool, len(news.Endpoints))
+	for _, e := range news.Endpoints {
 		if named[e.Host] && kind != policy.ListDelta {
 			slog.Warn("discovery: host listed twice", "host", e.Host)
 		}
 		s, ok := l.enter(e)
 		if !ok && e.Health != "removed" {
-			slog.Warn("discovery: entry passed over", "host", e.Host, "dial", e.Dial, "health", e.Health, "spoilt", e.Spoilt)
+			slog.Warn("discovery: entry passed over", "host", e.Host, "dial", e.Dial, "health", e.Health, "spoilt", e.Malformed)
 			if h := l.hosts[e.Host]; h != nil {
 				s, ok = l.enter(h.entry) // it stays as it was known
 			}
@@ -520,8 +520,8 @@
 
 // enter takes one entry of the list over. A word for its health that is not
 // known means nothing new, as draining does.
-func (l *loop) enter(e client.Entry) (policy.Server, bool) {
-	if e.Host == "" || e.Spoilt {
+func (l *loop) enter(e client.Endpoint) (policy.Server, bool) {
+	if e.Host == "" || e.Malformed {
 		return policy.Server{}, false
 	}
 	h := l.hosts[e.Host]
--- a/internal/sidecar/meter_test.go
+++ b/internal/sidecar/meter_test.go
@@ -43,7 +43,7 @@
 		return answer200("ok"), false
 	})
 	m := &fakeMeter{state: make(chan func(context.Context) (State, error), 1)}
-	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0))
+	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	c.Meter, c.Metrics.Listen = m, "127.0.0.1:0"
 	addr, stop, ended := startSidecar(t, c)
 	state := await(t, "the meter", m.state)
@@ -103,7 +103,7 @@
 	log := new(syncBuffer)
 	slog.SetDefault(slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug})))
 	u := newUpstream(t, always(answer200("ok")))
-	addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0)))
+	addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
 	call{class: "once", id: "follow-me"}.do(t, addr)
 	stop()
 	if err := await(t, "the end", ended); err != nil {
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/peers_test.go
@@ -141,7 +141,7 @@
 	}
 	known := ""
 	if len(hosts) > 0 {
-		known = `"known":` + registrytest.ListText(1, true, hosts...) + ","
+		known = `"known":` + registrytest.ListJSON(1, true, hosts...) + ","
 	}
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",%s
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":%d},"settings":%s}`,
@@ -254,7 +254,7 @@
 // connection, and says whether it was left alone.
 func handled(t *testing.T, u *upstream) func(c *clientConn) (aborted bool) {
 	t.Helper()
-	l := newTestLoop(t, registrytest.HostText("s-1", u.addr, "up", 0))
+	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	go l.run(t.Context())
 	limited := limitListener(listenLoopback(t), testLimits(4))
 	limited.begin()
--- a/internal/sidecar/races_test.go
+++ b/internal/sidecar/races_test.go
@@ -149,7 +149,7 @@
 // off, one that has not begun is still not to begin.
 func TestAttemptDoesNotBeginOnceItsClientHasGone(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
-	l := newTestLoop(t, registrytest.HostText("s-1", u.addr, "up", 0))
+	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	config := l.config.Policy
 	config.MayCancel = false
 	b, err := policy.New(config, 1, l)
@@ -188,7 +188,7 @@
 // connection as on a kept one, and whatever comes in one piece or byte by byte.
 func TestRequestInChunksIsServed(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
-	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0)))
+	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -264,7 +264,7 @@
 // called in the middle of each read from a client.
 func parts(t *testing.T, u *upstream, onRead func()) (*loop, *limitedListener, *drain) {
 	t.Helper()
-	l := newTestLoop(t, registrytest.HostText("s-1", u.addr, "up", 0))
+	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	limited := limitListener(listenLoopback(t), testLimits(4))
 	l.speaking = limited.speaking
 	ending := testDrain(limited)
@@ -443,7 +443,7 @@
 		r.conn.(*net.TCPConn).SetLinger(0) // its close is a reset
 		return "", int(most.Load()) < len(whole)
 	})
-	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0)))
+	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
 	tried := 0
 	for n := range len(whole) + 1 {
 		most.Store(int32(n))
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -63,13 +63,13 @@
 		end()
 		loops.Wait()
 	}()
-	discovery := client.Options{
-		Addrs: c.discoveryAddrs(), Known: c.Known, Seed: c.Seed, Grace: c.Policy.DrainGrace,
-		Deliver: func(news client.Listing) { l.post(listed{news}) },
+	discovery := client.WatcherOptions{
+		Addrs: c.discoveryAddrs(), LastKnown: c.Known, Seed: c.Seed, Grace: c.Policy.DrainGrace,
+		Deliver: func(news client.ListUpdate) { l.post(listed{news}) },
 	}
 	if c.Policy.AskList {
-		discovery.Stagger = policy.Stagger(c.Policy.Balancers)
-		discovery.Asks, discovery.Failed = l.asks, func(loss client.Loss) { l.post(listFailed{loss}) }
+		discovery.MaxStagger = policy.Stagger(c.Policy.Balancers)
+		discovery.Polls, discovery.OnLoss = l.asks, func(loss client.ListLoss) { l.post(listFailed{loss}) }
 	}
 	d := client.NewWatcher(discovery)
 	limited := limitListener(ln, c.Connections.Clients)
@@ -234,7 +234,7 @@
 			pool.setLimits(limits.Servers)
 			ruling.Unlock()
 			if now := c.discoveryAddrs(); !slices.Equal(now, was) {
-				d.Move(now)
+				d.SetAddrs(now)
 			}
 		}
 	}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -26,7 +26,7 @@
 		}
 		return answer200("ok"), false
 	})
-	addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0)))
+	addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
 	idle, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -122,7 +122,7 @@
 
 func TestConnectionsAreReused(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
-	addr, _, _ := startSidecar(t, testConfig(t, options{probes: true}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0)))
+	addr, _, _ := startSidecar(t, testConfig(t, options{probes: true}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
 	const requests, apart = 12, longRest + 20*time.Millisecond // each connection has rested by the next request
 	for i := range requests {
 		if got := (call{class: "keyed", id: fmt.Sprint(i)}).do(t, addr); got.status != 200 {
@@ -137,7 +137,7 @@
 
 // The module matches a server's probe results to its calls by their order.
 func TestProbeResultsKeepTheirOrder(t *testing.T) {
-	l := newTestLoop(t, registrytest.HostText("s-1", "127.0.0.1:7", "up", 0))
+	l := newTestLoop(t, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0))
 	h := l.hosts["s-1"]
 	first, second := &probe{host: h}, &probe{host: h}
 	h.probes = []*probe{first, second}
@@ -192,7 +192,7 @@
 // leave the request behind.
 func TestLateAnswerLeavesNothingBehind(t *testing.T) {
 	u := newUpstream(t, always(""))
-	l := newTestLoop(t, registrytest.HostText("s-1", u.addr, "up", 0))
+	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	r := call{class: "once"}.request(t, u.addr)
 	held := &request{
 		name: "x", class: 2, until: time.Now().Add(patience), method: r.Method, url: r.URL, host: r.Host, header: r.Header,
@@ -228,7 +228,7 @@
 // list stays in force until the new address has brought another, and a file
 // that cannot be used changes nothing.
 func TestReloadMovesDiscovery(t *testing.T) {
-	old, fresh := registrytest.NewRegistry(t), registrytest.NewRegistry(t)
+	old, fresh := registrytest.NewServer(t), registrytest.NewServer(t)
 	release := make(chan struct{})
 	a := newUpstream(t, func(r received) (string, bool) {
 		if r.Header.Get("Request-Id") == "held" {
@@ -237,7 +237,7 @@
 		return answer200("a"), false
 	})
 	b := newUpstream(t, always(answer200("b")))
-	c := testConfig(t, options{}, old.Addr, registrytest.HostText("s-1", a.addr, "up", 0))
+	c := testConfig(t, options{}, old.Addr, registrytest.EndpointJSON("s-1", a.addr, "up", 0))
 	c.path = filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
 		t.Helper()
@@ -258,17 +258,17 @@
 		reload <- syscall.SIGHUP
 	}
 	select {
-	case w.Lines <- registrytest.ListText(2, false): // the old watch is still read
+	case w.Lines <- registrytest.ListJSON(2, false): // the old watch is still read
 	case <-w.Ended:
 		t.Fatal("a wrong file ended the watch")
 	}
 	write(good(fresh.Addr))
 	reload <- syscall.SIGHUP
-	await(t, "the call for the new list", fresh.Asked)
+	await(t, "the call for the new list", fresh.ListCalls)
 	if got := (call{class: "once", id: "meanwhile"}).do(t, addr); got.body != "a" {
 		t.Errorf("without a new list: %+v", got)
 	}
-	fresh.Whole <- registrytest.ListText(1, true, registrytest.HostText("s-2", b.addr, "up", 0))
+	fresh.FullLists <- registrytest.ListJSON(1, true, registrytest.EndpointJSON("s-2", b.addr, "up", 0))
 	await(t, "the new watch", fresh.Watches)
 	for i, deadline := 0, time.Now().Add(patience); ; i++ {
 		if got := (call{class: "once", id: fmt.Sprint(i)}).do(t, addr); got.body == "b" {
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -211,7 +211,7 @@
 
 func TestRequestGoesOnUnchanged(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
-	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.HostText("s-1", u.addr, "up", 0)))
+	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
 	body := strings.Repeat("h", maxBody)
 	got := call{class: "keyed", body: body, timeout: "3.25", header: http.Header{
 		"Connection": {"X-Hop"}, "X-Hop": {"1"}, "X-Trace": {"a", "b"},
--- a/internal/sidecarmember/enlist.go
+++ b/internal/sidecarmember/enlist.go
@@ -24,7 +24,7 @@
 func Sidecar(c *sidecar.Config) sidecar.Member {
 	var urls []string
 	for _, at := range append([]string{c.Discovery}, c.Replicas...) { // which may be a registry of ours
-		urls = append(urls, "http://"+at+registry.WritePath+membership.Path)
+		urls = append(urls, "http://"+at+registry.APIPath+membership.Path)
 	}
 	asks := &http.Client{Transport: &http.Transport{DialContext: c.Membership.Routes.Dial(time.Second), DisableKeepAlives: true}}
 	return &member{options: gossip.Options{
--- a/internal/testing/chaostest/fleet.go
+++ b/internal/testing/chaostest/fleet.go
@@ -66,7 +66,7 @@
 	*faultinjection.Rig
 	o        Options
 	folder   string
-	replicas []registry.Member
+	replicas []registry.ReplicaInfo
 	keepers  []string
 	sidecars []string
 	gossip   map[string]string
@@ -116,7 +116,7 @@
 		return a
 	}
 	for _, id := range names("r", 3) {
-		f.replicas = append(f.replicas, registry.Member{ID: id, HTTP: addr(), Raft: addr()})
+		f.replicas = append(f.replicas, registry.ReplicaInfo{ID: id, HTTP: addr(), Raft: addr()})
 	}
 	var members []string
 	for _, m := range f.replicas {
@@ -222,7 +222,7 @@
 	return nil
 }
 
-func (f *fleet) replica(m registry.Member) error {
+func (f *fleet) replica(m registry.ReplicaInfo) error {
 	data := filepath.Join(f.folder, m.ID)
 	if err := os.MkdirAll(data, 0o700); err != nil {
 		return err
@@ -310,7 +310,7 @@
 func (f *fleet) viewURL(name string) string {
 	switch name[0] {
 	case 'r':
-		return "http://" + f.listens[name] + registry.WritePath + membership.Path
+		return "http://" + f.listens[name] + registry.APIPath + membership.Path
 	case 'k':
 		return "http://" + f.listens[name] + "/" + membership.Path
 	}
--- a/internal/testing/chaostest/operators.go
+++ b/internal/testing/chaostest/operators.go
@@ -42,7 +42,7 @@
 			if st.Change != nil && r.draw(3) == 0 {
 				step = rollout.Command{Verb: rollout.Abort, Number: st.Change.Number, By: "operator", Reason: "an operator's word"}
 			}
-			if _, err = r.client.Policy(in, step, nil); err == nil {
+			if _, err = r.client.ApplyPolicyStep(in, step, nil); err == nil {
 				r.line("operator", "%s a policy", step.Verb)
 				r.saw("policies "+string(step.Verb), 1)
 			}
@@ -83,7 +83,7 @@
 		all, err := r.client.Leases(in, 0, 0)
 		if err == nil && len(all.Leases) > 0 {
 			l := all.Leases[r.draw(len(all.Leases))]
-			if l.Grant != nil && len(l.Line) > 0 && r.client.Ask(in, l.Name, registry.AskRequest{Leave: true}) == nil {
+			if l.Grant != nil && len(l.Queue) > 0 && r.client.RequestYield(in, l.Name, registry.YieldRequest{Yield: true}) == nil {
 				r.line("operator", "%s is to leave %s", l.Grant.Name, l.Name)
 				r.saw("hand-overs", 1)
 			}
@@ -112,7 +112,7 @@
 		in, cancel := context.WithTimeout(ctx, actIn)
 		read := r.op(key, "")
 		was, err := r.client.Record(in, key)
-		if errors.Is(err, registry.ErrUnknown) {
+		if errors.Is(err, registry.ErrNotFound) {
 			was, err = registry.Record{}, nil
 		}
 		if err == nil {
--- a/internal/testing/chaostest/promises.go
+++ b/internal/testing/chaostest/promises.go
@@ -56,7 +56,7 @@
 	for pause(ctx, lookEach) {
 		in, cancel := context.WithTimeout(ctx, askIn)
 		asked := time.Now()
-		if list, err := r.client.Entries(in); err == nil {
+		if list, err := r.client.Registrations(in); err == nil {
 			for _, s := range r.servers {
 				_, marked := list.Marks[s.host]
 				s.mark(marked, asked)
--- a/internal/testing/chaostest/servers.go
+++ b/internal/testing/chaostest/servers.go
@@ -53,10 +53,10 @@
 	s.leave = leave
 	block := i
 	r := registry.RegisterRequest{
-		Instance: registry.Instance{Host: s.host, Dial: ln.Addr().String(), Site: s.zone, Class: "m", Block: &block, Health: registry.Up, Share: 1},
+		Instance: registry.Instance{Host: s.host, Dial: ln.Addr().String(), Site: s.zone, Class: "m", Block: &block, Health: registry.HealthUp, Share: 1},
 		Session:  s.host + "-1", TTLMS: sessionTTL.Milliseconds(), Machine: s.machine,
 	}
-	s.tasks.Go(func() { _ = c.Keep(life, r, nil) })
+	s.tasks.Go(func() { _ = c.KeepRegistered(life, r, nil) })
 	return s, nil
 }
 
--- a/internal/testing/integration/drain_test.go
+++ b/internal/testing/integration/drain_test.go
@@ -81,7 +81,7 @@
 	lateMost := time.Duration(0) // the latest begin of a request at a server, after its drain was told
 	drainServer := func(b *booking) {
 		t.Helper()
-		a, err := c.Mark(within, registry.MarkRequest{Hosts: []string{b.host}, By: "ops-a", Draining: true})
+		a, err := c.Mark(within, registry.MarkRequest{Hosts: []string{b.host}, MarkedBy: "ops-a", Draining: true})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -96,7 +96,7 @@
 		if n := b.requests() - before; n > 0 {
 			t.Errorf("%s drains and began %d requests", b.host, n)
 		}
-		if _, err := c.Mark(within, registry.MarkRequest{Hosts: []string{b.host}, By: "ops-a"}); err != nil {
+		if _, err := c.Mark(within, registry.MarkRequest{Hosts: []string{b.host}, MarkedBy: "ops-a"}); err != nil {
 			t.Fatal(err)
 		}
 		eventually(t, b.host+" is used again", func() bool { return b.requests() > before })
--- a/internal/testing/integration/handover_test.go
+++ b/internal/testing/integration/handover_test.go
@@ -194,7 +194,7 @@
 				ctx, cancel := context.WithTimeout(context.Background(), patience)
 				defer cancel()
 				all, err := c.Leases(ctx, 0, 0)
-				return err == nil && !all.Shut
+				return err == nil && !all.GrantsClosed
 			})
 			holders := startHolders(t, r, n)
 			eventually(t, "all are held", func() bool { return holders() == n })
@@ -249,7 +249,7 @@
 }
 
 // counter reads one of a replica's metrics.
-func (r *rig) counter(m registry.Member, name string) int64 {
+func (r *rig) counter(m registry.ReplicaInfo, name string) int64 {
 	resp, err := http.Get("http://" + m.HTTP + "/metrics")
 	if err != nil {
 		return -1
@@ -266,7 +266,7 @@
 }
 
 // disk is how many bytes a replica's process has had written.
-func (r *rig) disk(m registry.Member) (bytes int64) {
+func (r *rig) disk(m registry.ReplicaInfo) (bytes int64) {
 	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(r.Processes[m.ID].Pid()), "io"))
 	if err != nil {
 		return 0
--- a/internal/testing/integration/harness_test.go
+++ b/internal/testing/integration/harness_test.go
@@ -213,7 +213,7 @@
 // registries runs a registry of n replicas.
 type registries struct {
 	t        testing.TB
-	members  []registry.Member
+	members  []registry.ReplicaInfo
 	replicas []*process
 }
 
@@ -221,7 +221,7 @@
 	t.Helper()
 	g := &registries{t: t}
 	for i := range n {
-		g.members = append(g.members, registry.Member{ID: fmt.Sprint("r", i), HTTP: freeAddr(t), Raft: freeAddr(t)})
+		g.members = append(g.members, registry.ReplicaInfo{ID: fmt.Sprint("r", i), HTTP: freeAddr(t), Raft: freeAddr(t)})
 	}
 	for i, m := range g.members {
 		path := writeFile(t, "registry.json", map[string]any{
@@ -252,8 +252,8 @@
 	return c
 }
 
-func (g *registries) status(i int) (s registry.StatusAnswer, ok bool) {
-	resp, err := http.Get("http://" + g.members[i].HTTP + registry.WritePath + "status")
+func (g *registries) status(i int) (s registry.StatusResponse, ok bool) {
+	resp, err := http.Get("http://" + g.members[i].HTTP + registry.APIPath + "status")
 	if err != nil {
 		return s, false
 	}
@@ -378,12 +378,12 @@
 	b.leave, b.left = cancel, make(chan error, 1)
 	block := 1
 	r := registry.RegisterRequest{
-		Instance: registry.Instance{Host: b.host, Dial: b.addr, Site: "a", Class: "m2", Block: &block, Health: registry.Up, Share: 1},
+		Instance: registry.Instance{Host: b.host, Dial: b.addr, Site: "a", Class: "m2", Block: &block, Health: registry.HealthUp, Share: 1},
 		Session:  b.host + "-1", TTLMS: ttl.Milliseconds(), Machine: b.machine,
 	}
 	registered := make(chan struct{}, 100)
 	go func() {
-		b.left <- c.Keep(ctx, r, func(registry.WriteAnswer) {
+		b.left <- c.KeepRegistered(ctx, r, func(registry.WriteResponse) {
 			select {
 			case registered <- struct{}{}:
 			default:
--- a/internal/testing/integration/lease_test.go
+++ b/internal/testing/integration/lease_test.go
@@ -188,7 +188,7 @@
 		}
 	}
 	other := func(than string) string {
-		return r.members[slices.IndexFunc(r.members, func(m registry.Member) bool { return m.ID != than })].ID
+		return r.members[slices.IndexFunc(r.members, func(m registry.ReplicaInfo) bool { return m.ID != than })].ID
 	}
 	const bound = leaseMS * time.Millisecond
 	handOver := func(what string) { // the next one needs writes, while the disk is full
@@ -246,13 +246,13 @@
 		t.Fatal(err)
 	}
 	c := r.client()
-	eventually(t, "the second waits for the first", func() bool { return len(r.leases(c)["keeper:k0"].Line) > 0 })
+	eventually(t, "the second waits for the first", func() bool { return len(r.leases(c)["keeper:k0"].Queue) > 0 })
 	before, since := w.count(), w.now()
 	eventually(t, "they go on for a while", func() bool { return w.count() > before+400 && w.now() > since+5*leaseMS*time.Millisecond })
 	r.Processes["k0"].Kill()
 	eventually(t, "the second has the place of the first", func() bool {
 		g := r.leases(c)["keeper:k0"].Grant
-		return g != nil && len(r.leases(c)["keeper:k0"].Line) == 0
+		return g != nil && len(r.leases(c)["keeper:k0"].Queue) == 0
 	})
 	before = w.count()
 	eventually(t, "they go on for a while", func() bool { return w.count() > before+100 })
--- a/internal/testing/integration/members_test.go
+++ b/internal/testing/integration/members_test.go
@@ -36,7 +36,7 @@
 	}
 	m.begin(seed, m.names...)
 	for _, r := range m.members {
-		m.asked[r.ID] = "http://" + r.HTTP + registry.WritePath + membership.Path
+		m.asked[r.ID] = "http://" + r.HTTP + registry.APIPath + membership.Path
 	}
 	for i := range keepers {
 		name := fmt.Sprint("k", i)
@@ -241,7 +241,7 @@
 		m.Processes[r.ID].Kill()
 	}
 	for i, r := range m.members {
-		m.move(i, registry.Member{ID: r.ID, HTTP: freeAddr(t), Raft: freeAddr(t)})
+		m.move(i, registry.ReplicaInfo{ID: r.ID, HTTP: freeAddr(t), Raft: freeAddr(t)})
 	}
 	for _, r := range m.members {
 		if err := m.Processes[r.ID].Start(); err != nil {
@@ -274,7 +274,7 @@
 	t.Cleanup(silent.Close)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	if _, err := m.client().Register(ctx, registry.RegisterRequest{Instance: registry.Instance{Host: "s", Dial: silent.Listener.Addr().String(), Site: "a", Health: registry.Up, Share: 1}}); err != nil {
+	if _, err := m.client().Register(ctx, registry.RegisterRequest{Instance: registry.Instance{Host: "s", Dial: silent.Listener.Addr().String(), Site: "a", Health: registry.HealthUp, Share: 1}}); err != nil {
 		t.Fatal(err)
 	}
 	// In their turn the shards look at the list once an hour; so those that do it now have
--- a/internal/testing/integration/overload_test.go
+++ b/internal/testing/integration/overload_test.go
@@ -98,7 +98,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	if _, err := f.client().Register(ctx, registry.RegisterRequest{Instance: registry.Instance{Host: "s", Dial: f.o.addr, Site: "a", Health: registry.Up, Share: 1}}); err != nil {
+	if _, err := f.client().Register(ctx, registry.RegisterRequest{Instance: registry.Instance{Host: "s", Dial: f.o.addr, Site: "a", Health: registry.HealthUp, Share: 1}}); err != nil {
 		t.Fatal(err)
 	}
 	for _, n := range f.names {
--- a/internal/testing/integration/policy_test.go
+++ b/internal/testing/integration/policy_test.go
@@ -163,7 +163,7 @@
 		}
 	}
 	c := r.client()
-	in := registry.Instance{Host: "s", Dial: o.addr, Site: "a", Health: registry.Up, Share: 1}
+	in := registry.Instance{Host: "s", Dial: o.addr, Site: "a", Health: registry.HealthUp, Share: 1}
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	if _, err := c.Register(ctx, registry.RegisterRequest{Instance: in}); err != nil {
@@ -266,7 +266,7 @@
 		if st, err = c.PolicyStatus(ctx, 0, 0); err != nil {
 			g.t.Fatal(err)
 		}
-		_, err = c.Policy(ctx, rollout.Command{Verb: rollout.Propose, Doc: d, Base: st.Epoch, By: "test", Reason: fmt.Sprint(time.Now().UnixNano()), Within: within.Milliseconds(), First: first, Watch: watch.Milliseconds()}, nil)
+		_, err = c.ApplyPolicyStep(ctx, rollout.Command{Verb: rollout.Propose, Doc: d, Base: st.Epoch, By: "test", Reason: fmt.Sprint(time.Now().UnixNano()), Within: within.Milliseconds(), First: first, Watch: watch.Milliseconds()}, nil)
 		if err == nil {
 			break
 		}
--- a/internal/testing/integration/policytimes_test.go
+++ b/internal/testing/integration/policytimes_test.go
@@ -36,7 +36,7 @@
 		var err error
 		l.calls.Add(1)
 		if any {
-			v, err = l.client.Policy(in, step, nil)
+			v, err = l.client.ApplyPolicyStep(in, step, nil)
 		} else {
 			v, err = l.client.PolicyView(in, l.follow.Me, l.follow.Version(), 4*time.Second)
 		}
@@ -45,7 +45,7 @@
 		case err == nil:
 			l.follow.Said(step, nil)
 			l.follow.Take(v)
-		case errors.Is(err, registry.ErrUnknown):
+		case errors.Is(err, registry.ErrNotFound):
 			l.follow.Said(step, rollout.ErrUnknown)
 		case ctx.Err() == nil:
 			time.Sleep(50 * time.Millisecond)
--- a/internal/testing/integration/registry_test.go
+++ b/internal/testing/integration/registry_test.go
@@ -41,7 +41,7 @@
 		var last uint64
 		for n := 0; ctx.Err() == nil; n++ {
 			host := fmt.Sprint("written-", n%20)
-			i := registry.Instance{Host: host, Dial: "127.0.0.1:1", Site: "a", Health: registry.Draining, Share: 1, BornMS: int64(n + 1)}
+			i := registry.Instance{Host: host, Dial: "127.0.0.1:1", Site: "a", Health: registry.HealthDraining, Share: 1, BornMS: int64(n + 1)}
 			within, done := context.WithTimeout(context.WithoutCancel(ctx), patience)
 			a, err := c.Register(within, registry.RegisterRequest{Instance: i})
 			done()
@@ -121,20 +121,20 @@
 
 	within, done := context.WithTimeout(context.Background(), patience)
 	defer done()
-	all, err := c.Entries(within)
+	all, err := c.Registrations(within)
 	if err != nil {
 		t.Fatal(err)
 	}
 	missing := len(want)
-	for _, e := range all.Entries {
+	for _, e := range all.Registrations {
 		if v, ok := want[e.Host]; ok && uint64(e.BornMS) >= v {
 			missing--
 		}
 	}
 	served, refused, lost := l.account(t, servers)
 	t.Logf("%d requests: %d served, %d refused, %d lost; %d writes acknowledged, %d missing", l.sent.Load(), served, refused, lost, written.Load(), missing)
-	if lost > 0 || refused > 0 || missing > 0 || len(all.Entries) != len(servers)+len(want) {
-		t.Errorf("%d requests lost, %d refused, %d writes missing, %d entries; want none, none, none, %d", lost, refused, missing, len(all.Entries), len(servers)+len(want))
+	if lost > 0 || refused > 0 || missing > 0 || len(all.Registrations) != len(servers)+len(want) {
+		t.Errorf("%d requests lost, %d refused, %d writes missing, %d entries; want none, none, none, %d", lost, refused, missing, len(all.Registrations), len(servers)+len(want))
 	}
 }
 
--- a/internal/testing/integration/rig_test.go
+++ b/internal/testing/integration/rig_test.go
@@ -49,7 +49,7 @@
 type rig struct {
 	t testing.TB
 	*faultinjection.Rig
-	members []registry.Member
+	members []registry.ReplicaInfo
 	keepers []string
 	routes  map[string]addressmap.Table // by process
 	env     map[string][]string         // of keepers
@@ -159,7 +159,7 @@
 	})
 	r.fleet(members...)
 	for i := range 3 {
-		r.members = append(r.members, registry.Member{ID: fmt.Sprint("r", i), HTTP: freeAddr(t), Raft: freeAddr(t)})
+		r.members = append(r.members, registry.ReplicaInfo{ID: fmt.Sprint("r", i), HTTP: freeAddr(t), Raft: freeAddr(t)})
 	}
 	for _, from := range r.members {
 		for _, to := range r.members {
@@ -227,7 +227,7 @@
 	}
 	c.ActsMS = actIn.Milliseconds()
 	every, _ := time.ParseDuration(os.Getenv(everyVariable))
-	a := &actor{name: c.Name, every: every, registry: r.Via(c.Routes), witness: os.Getenv(witnessVariable), http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
+	a := &actor{name: c.Name, every: every, registry: r.WithAddressMap(c.Routes), witness: os.Getenv(witnessVariable), http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
 	k, err := controller.New(c, func(*controller.Keeper) (all []controller.Task) {
 		for i := range n {
 			all = append(all, controller.Task{Lease: fmt.Sprint("task-", i), Run: a.run})
@@ -341,7 +341,7 @@
 		within, cancel := context.WithTimeout(within, time.Second)
 		defer cancel()
 		r, err := a.registry.Record(within, task)
-		if errors.Is(err, registry.ErrUnknown) {
+		if errors.Is(err, registry.ErrNotFound) {
 			r, err = registry.Record{}, nil
 		}
 		version, ok = r.Version, err == nil
@@ -604,7 +604,7 @@
 }
 
 // move gives a replica other addresses, which its own file alone knows.
-func (r *rig) move(i int, to registry.Member) {
+func (r *rig) move(i int, to registry.ReplicaInfo) {
 	r.t.Helper()
 	var file map[string]any
 	if err := readFile(r.files[to.ID], &file); err != nil {
@@ -668,10 +668,10 @@
 }
 
 // leader waits until a replica leads, and says which.
-func (r *rig) leader() (leader registry.Member) {
+func (r *rig) leader() (leader registry.ReplicaInfo) {
 	r.t.Helper()
 	eventually(r.t, "there is a leader", func() bool {
-		i := slices.IndexFunc(r.members, func(m registry.Member) bool { return r.counter(m, "registry_leader") == 1 })
+		i := slices.IndexFunc(r.members, func(m registry.ReplicaInfo) bool { return r.counter(m, "registry_leader") == 1 })
 		if i >= 0 {
 			leader = r.members[i]
 		}
--- a/internal/testing/integration/shutdown_test.go
+++ b/internal/testing/integration/shutdown_test.go
@@ -62,15 +62,15 @@
 // startShutdownSidecar starts a sidecar whose list is in its configuration.
 func startShutdownSidecar(t testing.TB, longest time.Duration, servers ...*hangingServer) *sidecarProcess {
 	t.Helper()
-	discovery := registrytest.NewRegistry(t)
+	discovery := registrytest.NewServer(t)
 	var hosts []string
 	for i, h := range servers {
-		hosts = append(hosts, registrytest.HostText(fmt.Sprint("s-", i), h.addr, "up", 0))
+		hosts = append(hosts, registrytest.EndpointJSON(fmt.Sprint("s-", i), h.addr, "up", 0))
 	}
 	s := &sidecarProcess{addr: freeAddr(t)}
 	path := writeFile(t, "sidecar.json", map[string]any{
 		"name": "n0", "listen": s.addr, "discovery": discovery.Addr, "seed": "8c1f30d27a5be964",
-		"known":  json.RawMessage(registrytest.ListText(1, true, hosts...)),
+		"known":  json.RawMessage(registrytest.ListJSON(1, true, hosts...)),
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 512}, "settings": shutdownSettings(longest),
 	})
 	s.process = newProcess(t, "n0", "sidecar", "ROUTER_CONFIG="+path)
--- a/internal/testing/localfleet/booking.go
+++ b/internal/testing/localfleet/booking.go
@@ -72,13 +72,13 @@
 	r := registry.RegisterRequest{
 		Instance: registry.Instance{
 			Host: b.name, Dial: ln.Addr().String(), Site: b.lab.sc.Zones[b.sv.Zone], Class: b.sv.Kind.Name, Block: &block,
-			Health: registry.Up, Share: b.sv.Kind.Speed * float64(b.sv.Kind.Cores), BornMS: born,
+			Health: registry.HealthUp, Share: b.sv.Kind.Speed * float64(b.sv.Kind.Cores), BornMS: born,
 		},
 		Session: fmt.Sprintf("%s-%d", b.name, time.Now().UnixNano()), TTLMS: sessionTTL.Milliseconds(), Machine: b.name,
 	}
 	b.lab.tasks.Go(func() {
 		defer close(left)
-		if err := b.lab.registry.Keep(session, r, nil); err != nil && session.Err() == nil {
+		if err := b.lab.registry.KeepRegistered(session, r, nil); err != nil && session.Err() == nil {
 			b.lab.fail(fmt.Errorf("%s: register: %w", b.name, err))
 		}
 	})
--- a/internal/testing/localfleet/lab.go
+++ b/internal/testing/localfleet/lab.go
@@ -214,7 +214,7 @@
 // startRegistry runs the replicas of our registry in this process, and returns where
 // they serve. What they say to each other goes over links.
 func (l *lab) startRegistry(ctx, life context.Context) (discovery []string, err error) {
-	members := make([]registry.Member, l.replicas)
+	members := make([]registry.ReplicaInfo, l.replicas)
 	for i := range members {
 		m := &members[i]
 		m.ID = fmt.Sprint("r", i)
@@ -304,8 +304,8 @@
 	ctx, cancel := context.WithTimeout(ctx, readyIn)
 	defer cancel()
 	for {
-		e, err := l.registry.Entries(ctx)
-		if err == nil && len(e.Entries) == len(l.fleet.Servers) {
+		e, err := l.registry.Registrations(ctx)
+		if err == nil && len(e.Registrations) == len(l.fleet.Servers) {
 			return nil
 		}
 		select {
--- a/internal/testing/localfleet/trouble.go
+++ b/internal/testing/localfleet/trouble.go
@@ -168,7 +168,7 @@
 		if !sleep(ctx, t.Step(n, len(some))-time.Since(began)) {
 			return nil
 		}
-		if _, err := l.registry.Mark(ctx, registry.MarkRequest{Hosts: []string{b.name}, By: "lab", Draining: true}); err != nil {
+		if _, err := l.registry.Mark(ctx, registry.MarkRequest{Hosts: []string{b.name}, MarkedBy: "lab", Draining: true}); err != nil {
 			if ctx.Err() != nil {
 				return nil
 			}
--- a/internal/testing/modelcheck/system/client.go
+++ b/internal/testing/modelcheck/system/client.go
@@ -85,10 +85,10 @@
 
 // The registry as a drain's workflow needs it.
 
-// Entries is the list with what it does not show.
-func (c *client) Entries(context.Context) (a registry.EntriesAnswer, err error) {
+// Registrations is the list with what it does not show.
+func (c *client) Registrations(context.Context) (a registry.RegistrationsResponse, err error) {
 	err = c.read(func(s *registry.State) {
-		a = registry.EntriesAnswer{Group: s.Group(), Seq: s.Seq(), Entries: s.Entries(), Marks: s.Marks()}
+		a = registry.RegistrationsResponse{Group: s.Group(), Seq: s.Seq(), Registrations: s.Registrations(), Marks: s.Marks()}
 	})
 	return a, err
 }
@@ -97,19 +97,19 @@
 func (c *client) Record(_ context.Context, key string) (rec registry.Record, err error) {
 	found := false
 	if err = c.read(func(s *registry.State) { rec, found = s.Record(key) }); err == nil && !found {
-		err = registry.ErrUnknown
+		err = registry.ErrNotFound
 	}
 	return rec, err
 }
 
 // Put writes a record.
 func (c *client) Put(_ context.Context, key string, value []byte, ifVersion *uint64) (uint64, error) {
-	res, err := c.apply(registry.Command{Op: registry.Put, Key: key, Value: slices.Clone(value), IfVersion: ifVersion})
+	res, err := c.apply(registry.Command{Op: registry.OpPutRecord, Key: key, Value: slices.Clone(value), IfVersion: ifVersion})
 	return res.Version, err
 }
 
 // Mark marks hosts.
-func (c *client) Mark(_ context.Context, m registry.MarkRequest) (registry.WriteAnswer, error) {
-	res, err := c.apply(registry.Command{Op: registry.Mark, MustMark: m.Hosts, By: m.By, Draining: m.Draining, IfVersion: m.IfVersion, Record: m.Record, RecordAt: m.RecordAt})
-	return registry.WriteAnswer{Version: res.Version, Seq: res.Seq}, err
+func (c *client) Mark(_ context.Context, m registry.MarkRequest) (registry.WriteResponse, error) {
+	res, err := c.apply(registry.Command{Op: registry.OpMark, Hosts: m.Hosts, MarkedBy: m.MarkedBy, Draining: m.Draining, IfVersion: m.IfVersion, IfRecord: m.IfRecord, IfRecordVersion: m.IfRecordVersion})
+	return registry.WriteResponse{Version: res.Version, Seq: res.Seq}, err
 }
--- a/internal/testing/modelcheck/system/group.go
+++ b/internal/testing/modelcheck/system/group.go
@@ -46,7 +46,7 @@
 	leader   int // -1: none
 	ready    bool
 	lostAt   time.Duration // when the leader lost its majority; 0: it has one
-	clock    *registry.LeaseClock
+	clock    *registry.ClaimTracker
 	believes map[int]time.Duration // until when a replica believes that it leads still
 }
 
@@ -67,7 +67,7 @@
 func newGroup(w *world) *group {
 	g := &group{w: w, leader: -1, believes: make(map[int]time.Duration)}
 	for i := range 3 {
-		r := &replica{process: w.process(fmt.Sprint("r", i)), id: i, state: registry.New()}
+		r := &replica{process: w.process(fmt.Sprint("r", i)), id: i, state: registry.NewState()}
 		r.boot = func() { g.recover(r) }
 		g.replicas = append(g.replicas, r)
 	}
@@ -76,7 +76,7 @@
 
 // recover is a start on the replica's own folder.
 func (g *group) recover(r *replica) {
-	r.state, r.at = registry.New(), 0
+	r.state, r.at = registry.NewState(), 0
 	if r.snap != nil {
 		if err := json.Unmarshal(r.snap, r.state); err != nil {
 			g.w.broken("r%d: its own snapshot cannot be read: %v", r.id, err)
@@ -211,8 +211,8 @@
 	g.limbo = nil
 	r.have = len(g.log)
 	g.catchUp(r)
-	g.clock = registry.NewLeaseClock(leaseTTL)
-	g.clock.Follow(r.state.Leases(), g.leaderTime())
+	g.clock = registry.NewClaimTracker(leaseTTL)
+	g.clock.Sync(r.state.Leases(), g.leaderTime())
 	g.ready = true
 	g.w.step("leader elected")
 }
@@ -224,14 +224,14 @@
 func (g *group) lead() {
 	r := g.replicas[g.leader]
 	g.catchUp(r)
-	g.clock.Follow(r.state.Leases(), g.leaderTime())
-	ended, open := g.clock.Due(g.leaderTime())
+	g.clock.Sync(r.state.Leases(), g.leaderTime())
+	ended, open := g.clock.TakeExpired(g.leaderTime())
 	if open {
-		g.commit(r, registry.Command{Op: registry.LeaseOpen, Lease: new(registry.LeaseCommand), Term: g.term})
+		g.commit(r, registry.Command{Op: registry.OpOpenGrants, Lease: new(registry.LeaseCommand), Term: g.term})
 	}
 	if len(ended) > 0 {
 		g.w.step("lease ended")
-		g.commit(r, registry.Command{Op: registry.LeaseEnd, Lease: &registry.LeaseCommand{Ends: ended}, Term: g.term})
+		g.commit(r, registry.Command{Op: registry.OpExpireClaims, Lease: &registry.LeaseCommand{Expired: ended}, Term: g.term})
 	}
 }
 
@@ -321,11 +321,11 @@
 }
 
 // renew is a sign of life that came to a replica.
-func (g *group) renew(r *replica, of registry.Holder, claims []registry.ClaimEnd, reply func([]registry.ClaimAnswer, error)) {
+func (g *group) renew(r *replica, of registry.Holder, claims []registry.ClaimRef, reply func([]registry.ClaimStatus, error)) {
 	if !g.leads(r) {
 		g.sure(r, nil, func(err error) { reply(nil, err) })
 		return
 	}
 	at := g.leaderTime()
-	g.sure(r, func() { reply(g.clock.Answer(r.state.Leases(), of, claims, at), nil) }, func(err error) { reply(nil, err) })
+	g.sure(r, func() { reply(g.clock.RenewClaims(r.state.Leases(), of, claims, at), nil) }, func(err error) { reply(nil, err) })
 }
--- a/internal/testing/modelcheck/system/judge.go
+++ b/internal/testing/modelcheck/system/judge.go
@@ -148,14 +148,14 @@
 	}
 	state := w.group.replicas[w.group.leader].state
 	if seq := state.Seq(); j.lists[seq] == "" {
-		j.lists[seq] = listText(state.Whole().Hosts)
+		j.lists[seq] = listText(state.FullList().Instances)
 	}
-	if v := state.Policy().Version(); v != j.policy {
+	if v := state.Rollout().Version(); v != j.policy {
 		j.policy = v
 	} else {
 		return
 	}
-	status := state.Policy().Status()
+	status := state.Rollout().Status()
 	if status.Epoch == j.epoch {
 		return
 	}
@@ -203,7 +203,7 @@
 func (j *judge) stopped(w *world, s *server) {
 	j.stops++
 	for _, x := range w.sidecars {
-		if i, listed := x.list[s.host]; x.up && x.seen[s.host] > 0 && listed && i.Health != registry.Up {
+		if i, listed := x.list[s.host]; x.up && x.seen[s.host] > 0 && listed && i.Health != registry.HealthUp {
 			w.broken("%s is stopped with %d requests of %s, which knew of its drain", s.host, x.seen[s.host], x.name)
 		}
 	}
@@ -256,7 +256,7 @@
 			}
 		}
 	}
-	st := leader.state.Policy().Status()
+	st := leader.state.Rollout().Status()
 	if st.Stage != rollout.Settled {
 		w.broken("change %d is still %s, it waits for %v", st.Change.Number, st.Stage, st.Waits)
 	}
--- a/internal/testing/modelcheck/system/keeper.go
+++ b/internal/testing/modelcheck/system/keeper.go
@@ -74,7 +74,7 @@
 	k.tenures[name] = n
 	claim := registry.Claim{ID: n.ID, Holder: k.of, TTLMS: leaseTTL.Milliseconds()}
 	n.Asked(k.reads())
-	res, err := c.apply(registry.Command{Op: registry.LeaseAcquire, Lease: &registry.LeaseCommand{Name: name, Claim: claim, Wait: true}})
+	res, err := c.apply(registry.Command{Op: registry.OpAcquireLease, Lease: &registry.LeaseCommand{Name: name, Claim: claim, Wait: true}})
 	var running *task
 	defer func() {
 		if running != nil {
@@ -82,7 +82,7 @@
 		}
 	}()
 	if err == nil {
-		n.Acquired(registry.ClaimAnswer{Name: name, Claim: n.ID, Token: res.Token, Place: res.Place}, k.reads())
+		n.Acquired(registry.ClaimStatus{Lease: name, ClaimID: n.ID, Token: res.Token, QueuePosition: res.QueuePosition}, k.reads())
 		for !n.Over(k.reads()) {
 			if n.Held(k.reads()) && running == nil {
 				k.w.step("lease granted: " + name)
@@ -107,7 +107,7 @@
 		}
 	}
 	n.Resign()
-	_, _ = c.apply(registry.Command{Op: registry.LeaseRelease, Lease: &registry.LeaseCommand{Name: name, Claim: claim}})
+	_, _ = c.apply(registry.Command{Op: registry.OpReleaseLease, Lease: &registry.LeaseCommand{Name: name, Claim: claim}})
 }
 
 // renews gives a sign of life for all claims, in one call.
@@ -115,16 +115,16 @@
 	c := k.w.client(t)
 	for {
 		t.sleep(t.spread(renewEvery))
-		var claims []registry.ClaimEnd
+		var claims []registry.ClaimRef
 		for _, name := range sortedKeys(k.tenures) {
 			if n := k.tenures[name]; !n.Over(k.reads()) {
-				claims = append(claims, registry.ClaimEnd{Name: name, Claim: n.ID})
+				claims = append(claims, registry.ClaimRef{Lease: name, ClaimID: n.ID})
 			}
 		}
 		sent := k.reads()
-		var answers []registry.ClaimAnswer
+		var answers []registry.ClaimStatus
 		if c.each(func(r *replica, reply func(error)) {
-			k.w.group.renew(r, k.of, claims, func(a []registry.ClaimAnswer, err error) {
+			k.w.group.renew(r, k.of, claims, func(a []registry.ClaimStatus, err error) {
 				answers = a
 				reply(err)
 			})
@@ -132,9 +132,9 @@
 			continue
 		}
 		for _, a := range answers {
-			if n := k.tenures[a.Name]; n != nil && n.ID == a.Claim {
+			if n := k.tenures[a.Lease]; n != nil && n.ID == a.ClaimID {
 				n.Renewed(a, sent, k.reads())
-				if wake := k.woken[a.Name]; wake != nil {
+				if wake := k.woken[a.Lease]; wake != nil {
 					k.after(0, wake)
 				}
 			}
@@ -165,10 +165,10 @@
 func (k *keeper) policy(t *task, c *client, n *lease.Tenure) {
 	for {
 		var st rollout.Status
-		if c.peek(func(s *registry.State) { st = s.Policy().Status() }) == nil {
+		if c.peek(func(s *registry.State) { st = s.Rollout().Status() }) == nil {
 			if step, any := rollout.Decide(st, k.time().UnixMilli()); any {
 				k.w.step("policy " + string(step.Verb) + " from " + string(st.Stage))
-				if _, err := c.apply(registry.Command{Op: registry.Policy, Policy: &step}); errors.Is(err, registry.ErrFenced) {
+				if _, err := c.apply(registry.Command{Op: registry.OpPolicyStep, PolicyStep: &step}); errors.Is(err, registry.ErrFenced) {
 					return
 				}
 				continue
@@ -200,7 +200,7 @@
 }
 
 // Idle asks a server for its load.
-func (s site) Idle(_ context.Context, e registry.Entry, _ time.Time) (bool, error) {
+func (s site) Idle(_ context.Context, e registry.Registration, _ time.Time) (bool, error) {
 	s.t.sleep(s.t.spread(hop))
 	return s.w.server(e.Host).work() == 0, nil
 }
--- a/internal/testing/modelcheck/system/sidecar.go
+++ b/internal/testing/modelcheck/system/sidecar.go
@@ -85,18 +85,18 @@
 	for {
 		x.put()
 		if x.follow.Fatal() != nil { // it cannot act by what is in force: it ends
-			_, _ = c.apply(registry.Command{Op: registry.Policy, Policy: &rollout.Command{Verb: rollout.Leave, Member: x.me}})
+			_, _ = c.apply(registry.Command{Op: registry.OpPolicyStep, PolicyStep: &rollout.Command{Verb: rollout.Leave, Member: x.me}})
 			x.w.after(time.Second, x.alive(func() { x.kill(); x.w.after(3*time.Second, x.start) }))
 			t.sleep(time.Hour)
 		}
 		step, any := x.follow.Next()
 		var view rollout.View
-		look := func(s *registry.State) { view = s.Policy().View(x.me) }
+		look := func(s *registry.State) { view = s.Rollout().View(x.me) }
 		var err error
 		if any {
 			x.w.step("sidecar says " + string(step.Verb))
 			err = c.each(func(r *replica, reply func(error)) {
-				x.w.group.take(r, registry.Command{Op: registry.Policy, Policy: &step}, func(_ registry.Result, err error) {
+				x.w.group.take(r, registry.Command{Op: registry.OpPolicyStep, PolicyStep: &step}, func(_ registry.Result, err error) {
 					look(r.state)
 					reply(err)
 				})
@@ -109,7 +109,7 @@
 		case err == nil:
 			x.follow.Said(step, nil)
 			x.follow.Take(view)
-		case errors.Is(err, registry.ErrUnknown):
+		case errors.Is(err, registry.ErrNotFound):
 			x.follow.Said(step, rollout.ErrUnknown)
 		case errors.Is(err, registry.ErrConflict) && step.Verb == rollout.Join:
 			x.follow.Lose()
@@ -128,18 +128,18 @@
 func (x *sidecar) watch(t *task) {
 	c := x.w.client(t)
 	for {
-		var news registry.Listing
+		var news registry.ListUpdate
 		from := x.seq
 		if c.peek(func(s *registry.State) {
-			if news = s.Whole(); from != 0 {
-				news = s.Since(from)
+			if news = s.FullList(); from != 0 {
+				news = s.ChangesSince(from)
 			}
-		}) == nil && (news.Seq > x.seq || news.Whole && news.Seq >= x.seq) {
-			if news.Whole {
+		}) == nil && (news.Seq > x.seq || news.Full && news.Seq >= x.seq) {
+			if news.Full {
 				clear(x.list)
 			}
-			for _, i := range news.Hosts {
-				if x.list[i.Host] = i; i.Health == registry.Removed {
+			for _, i := range news.Instances {
+				if x.list[i.Host] = i; i.Health == registry.HealthRemoved {
 					delete(x.list, i.Host)
 				}
 			}
@@ -155,7 +155,7 @@
 	for {
 		t.sleep(t.spread(300 * time.Millisecond))
 		for _, s := range x.w.servers {
-			if i, ok := x.list[s.host]; ok && i.Health == registry.Up && x.w.rng.IntN(3) == 0 {
+			if i, ok := x.list[s.host]; ok && i.Health == registry.HealthUp && x.w.rng.IntN(3) == 0 {
 				x.w.request(x, s)
 			}
 		}
--- a/internal/testing/modelcheck/system/together_test.go
+++ b/internal/testing/modelcheck/system/together_test.go
@@ -107,5 +107,5 @@
 
 // first is a command that changes a state.
 func (w *world) first() registry.Command {
-	return registry.Command{Op: registry.Put, Key: "beside", Value: []byte("x")}
+	return registry.Command{Op: registry.OpPutRecord, Key: "beside", Value: []byte("x")}
 }
--- a/internal/testing/modelcheck/system/world.go
+++ b/internal/testing/modelcheck/system/world.go
@@ -76,11 +76,11 @@
 	}
 	// The group is founded, its servers are listed, and grants have begun.
 	first := []registry.Command{
-		{Op: registry.Found, Group: "g", AtMS: begin.UnixMilli()},
-		{Op: registry.LeaseOpen, Lease: new(registry.LeaseCommand)},
+		{Op: registry.OpFoundGroup, Group: "g", AtMS: begin.UnixMilli()},
+		{Op: registry.OpOpenGrants, Lease: new(registry.LeaseCommand)},
 	}
 	for _, s := range w.servers {
-		first = append(first, registry.Command{Op: registry.Register, Instance: &registry.Instance{Host: s.host, Dial: "127.0.0.1:1", Site: s.zone, Health: registry.Up, Share: 1}, Machine: s.machine})
+		first = append(first, registry.Command{Op: registry.OpRegister, Instance: &registry.Instance{Host: s.host, Dial: "127.0.0.1:1", Site: s.zone, Health: registry.HealthUp, Share: 1}, Machine: s.machine})
 	}
 	for _, r := range w.group.replicas {
 		r.start()
@@ -154,7 +154,7 @@
 			continue
 		}
 		var st rollout.Status
-		if c.peek(func(s *registry.State) { st = s.Policy().Status() }) != nil {
+		if c.peek(func(s *registry.State) { st = s.Rollout().Status() }) != nil {
 			continue
 		}
 		w.records++
@@ -170,7 +170,7 @@
 			step = rollout.Command{Verb: rollout.Abort, Number: st.Change.Number, By: "operator", Reason: "an operator's word"}
 		}
 		w.step("operator: " + string(step.Verb))
-		_, _ = c.apply(registry.Command{Op: registry.Policy, Policy: &step})
+		_, _ = c.apply(registry.Command{Op: registry.OpPolicyStep, PolicyStep: &step})
 	}
 }
 
--- a/policy/ask.go
+++ b/policy/ask.go
@@ -33,25 +33,25 @@
 
 // ListLoss is how the list was lost.
 type ListLoss struct {
-	Silent  bool          // nothing was heard any more: changes may have been missed since silentFor
-	Reached bool          // the service was there: what it had to tell counts as told in time
-	Moved   bool          // the service has a new address, and was not heard there yet
-	Quiet   time.Duration // since the last word, a list or a sign of life
+	Unresponsive     bool          // nothing was heard any more: changes may have been missed since silentFor
+	Reached          bool          // the service was there: what it had to tell counts as told in time
+	Moved            bool          // the service has a new address, and was not heard there yet
+	SinceLastMessage time.Duration // since the last word, a list or a sign of life
 }
 
 // Lost takes that a call for the list has failed, or that the subscription has ended.
 func (b *Balancer) Lost(now time.Duration, loss ListLoss) {
 	since := now
 	switch {
-	case loss.Silent:
+	case loss.Unresponsive:
 		since -= silentFor
 	case loss.Moved:
 		since -= toldWithin - toldMoved
 	case loss.Reached:
-		since -= min(loss.Quiet, staggerMost+callTakes)
+		since -= min(loss.SinceLastMessage, staggerMost+callTakes)
 	}
 	latest := NoLimit
-	if b.askFails == 0 && !loss.Silent {
+	if b.askFails == 0 && !loss.Unresponsive {
 		latest = askSoon
 	}
 	if b.askFails == 0 || !loss.Reached {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -330,7 +330,7 @@
 // List takes news of the server list.
 func (b *Balancer) List(now time.Duration, kind ListKind, entries []Server) {
 	if kind == ListFailed {
-		b.Lost(now, ListLoss{Silent: true})
+		b.Lost(now, ListLoss{Unresponsive: true})
 		return
 	}
 	if kind != ListCached && b.cfg.AskList {
