--- a/cmd/fleetctl/main_test.go
+++ b/cmd/fleetctl/main_test.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := r.Server()
+	s := r.HTTPServer()
 	go s.Serve(http_)
 	t.Cleanup(func() {
 		s.Close()
--- a/internal/controller/keeper_test.go
+++ b/internal/controller/keeper_test.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := r.Server()
+	s := r.HTTPServer()
 	go s.Serve(ln)
 	addr = ln.Addr().String()
 	if c, err = client.New([]string{addr}, 1); err != nil {
--- a/internal/registry/server/config.go
+++ b/internal/registry/server/config.go
@@ -20,15 +20,15 @@
 type Config struct {
 	Group    string                 `json:"group"`
 	ID       string                 `json:"id"`
-	Data     string                 `json:"data"`     // the folder that holds its log
+	DataDir  string                 `json:"data"`     // the folder that holds its log
 	Replicas []registry.ReplicaInfo `json:"replicas"` // the group at its founding, this one among them
 	// Join says that this replica is added to a group that runs already: it founds
 	// none, and waits until an operator adds it.
-	Join     bool     `json:"join"`
-	Limits   Limits   `json:"limits"`
-	Sessions Sessions `json:"sessions"`
-	Leases   Leases   `json:"leases"`
-	Timing   Timing   `json:"timing"`
+	Join     bool          `json:"join"`
+	Limits   Limits        `json:"limits"`
+	Sessions SessionConfig `json:"sessions"`
+	Leases   LeaseConfig   `json:"leases"`
+	Timing   TimingConfig  `json:"timing"`
 	// Routes are where to call instead of other replicas' addresses, where the way
 	// there leads over something.
 	Routes addressmap.Table `json:"routes,omitempty"`
@@ -47,23 +47,23 @@
 // connections is how many callers there may be at once.
 func (l Limits) connections() int { return l.Watches + l.Calls + l.Waiting }
 
-// Sessions are the rules on instances that stop renewing.
-type Sessions struct {
-	Floor      float64 `json:"floor"`        // the part of the sessions that no silence removes
-	WithinMS   int64   `json:"within_ms"`    // of those there were in this time
-	LeastTTLMS int64   `json:"least_ttl_ms"` // what an instance may ask for
-	MostTTLMS  int64   `json:"most_ttl_ms"`
+// SessionConfig are the rules on instances that stop renewing.
+type SessionConfig struct {
+	Floor    float64 `json:"floor"`        // the part of the sessions that no silence removes
+	WindowMS int64   `json:"within_ms"`    // of those there were in this time
+	MinTTLMS int64   `json:"least_ttl_ms"` // what an instance may ask for
+	MaxTTLMS int64   `json:"most_ttl_ms"`
 }
 
-// Leases are the rules on leases.
-type Leases struct {
-	LeastTTLMS int64 `json:"least_ttl_ms"` // what a claim may ask for
-	MostTTLMS  int64 `json:"most_ttl_ms"`
-	WritesPerS int64 `json:"writes_per_s"` // commands on leases that a leader takes; renewals are none
+// LeaseConfig are the rules on leases.
+type LeaseConfig struct {
+	MinTTLMS        int64 `json:"least_ttl_ms"` // what a claim may ask for
+	MaxTTLMS        int64 `json:"most_ttl_ms"`
+	WritesPerSecond int64 `json:"writes_per_s"` // commands on leases that a leader takes; renewals are none
 }
 
-// Timing is how long replicas wait for each other.
-type Timing struct {
+// TimingConfig is how long replicas wait for each other.
+type TimingConfig struct {
 	ElectionMS int64 `json:"election_ms"` // without a leader's word before a replica stands for election
 }
 
@@ -101,12 +101,12 @@
 func ParseConfig(text []byte) (*Config, error) {
 	c := &Config{
 		Limits: Limits{Watches: defaultWatches, Calls: defaultCalls, Waiting: defaultWaiting},
-		Sessions: Sessions{
-			Floor: defaultFloor, WithinMS: defaultWithin.Milliseconds(),
-			LeastTTLMS: defaultLeastTTL.Milliseconds(), MostTTLMS: defaultMostTTL.Milliseconds(),
+		Sessions: SessionConfig{
+			Floor: defaultFloor, WindowMS: defaultWithin.Milliseconds(),
+			MinTTLMS: defaultLeastTTL.Milliseconds(), MaxTTLMS: defaultMostTTL.Milliseconds(),
 		},
-		Leases: Leases{LeastTTLMS: defaultLeastLease.Milliseconds(), MostTTLMS: defaultMostLease.Milliseconds(), WritesPerS: defaultLeaseWrites},
-		Timing: Timing{ElectionMS: defaultElection.Milliseconds()},
+		Leases: LeaseConfig{MinTTLMS: defaultLeastLease.Milliseconds(), MaxTTLMS: defaultMostLease.Milliseconds(), WritesPerSecond: defaultLeaseWrites},
+		Timing: TimingConfig{ElectionMS: defaultElection.Milliseconds()},
 	}
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
@@ -126,7 +126,7 @@
 	if err := registry.CheckName("id", c.ID); err != nil {
 		return err
 	}
-	if c.Data == "" {
+	if c.DataDir == "" {
 		return fmt.Errorf("data is missing: the folder for this replica's log")
 	}
 	if len(c.Replicas) == 0 || len(c.Replicas) > mostReplicas {
@@ -158,12 +158,12 @@
 		{"limits.watches", int64(c.Limits.Watches), 1, 1 << 20},
 		{"limits.calls", int64(c.Limits.Calls), 1, 1 << 12},
 		{"limits.waiting", int64(c.Limits.Waiting), 0, 1 << 16},
-		{"sessions.within_ms", c.Sessions.WithinMS, 1, time.Hour.Milliseconds()},
-		{"sessions.most_ttl_ms", c.Sessions.MostTTLMS, 1, (24 * time.Hour).Milliseconds()},
-		{"sessions.least_ttl_ms", c.Sessions.LeastTTLMS, 1, c.Sessions.MostTTLMS},
-		{"leases.most_ttl_ms", c.Leases.MostTTLMS, 1, (10 * time.Minute).Milliseconds()},
-		{"leases.least_ttl_ms", c.Leases.LeastTTLMS, 1, c.Leases.MostTTLMS},
-		{"leases.writes_per_s", c.Leases.WritesPerS, 1, 1 << 20},
+		{"sessions.within_ms", c.Sessions.WindowMS, 1, time.Hour.Milliseconds()},
+		{"sessions.most_ttl_ms", c.Sessions.MaxTTLMS, 1, (24 * time.Hour).Milliseconds()},
+		{"sessions.least_ttl_ms", c.Sessions.MinTTLMS, 1, c.Sessions.MaxTTLMS},
+		{"leases.most_ttl_ms", c.Leases.MaxTTLMS, 1, (10 * time.Minute).Milliseconds()},
+		{"leases.least_ttl_ms", c.Leases.MinTTLMS, 1, c.Leases.MaxTTLMS},
+		{"leases.writes_per_s", c.Leases.WritesPerSecond, 1, 1 << 20},
 		{"timing.election_ms", c.Timing.ElectionMS, leastElection.Milliseconds(), time.Minute.Milliseconds()},
 	} {
 		if f.value < f.least || f.value > f.most {
--- a/internal/registry/server/disk.go
+++ b/internal/registry/server/disk.go
@@ -47,14 +47,14 @@
 // openDisk opens the folder, and refuses one that is not this replica's or that
 // cannot be read whole: what was acknowledged must not be lost in silence.
 func openDisk(c *Config, log *raftLog) (*disk, error) {
-	if err := os.MkdirAll(c.Data, 0o700); err != nil {
+	if err := os.MkdirAll(c.DataDir, 0o700); err != nil {
 		return nil, fmt.Errorf("data folder: %w", err)
 	}
 	fresh, err := identify(c)
 	if err != nil {
 		return nil, err
 	}
-	path := filepath.Join(c.Data, logFile)
+	path := filepath.Join(c.DataDir, logFile)
 	if !fresh {
 		if err := examine(path); err != nil {
 			return nil, err
@@ -71,26 +71,26 @@
 		store.Close()
 		return nil, fmt.Errorf("log %s: %w", path, err)
 	}
-	if d.snaps, err = raft.NewFileSnapshotStoreWithLogger(c.Data, snapshots, log); err != nil {
+	if d.snaps, err = raft.NewFileSnapshotStoreWithLogger(c.DataDir, snapshots, log); err != nil {
 		store.Close()
-		return nil, fmt.Errorf("snapshots in %s: %w", c.Data, err)
+		return nil, fmt.Errorf("snapshots in %s: %w", c.DataDir, err)
 	}
 	return d, nil
 }
 
 // identify checks whose folder it is, and makes an empty one this replica's.
 func identify(c *Config) (fresh bool, err error) {
-	path := filepath.Join(c.Data, identityFile)
+	path := filepath.Join(c.DataDir, identityFile)
 	want := identity{1, c.Group, c.ID}
 	text, err := os.ReadFile(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		names, err := os.ReadDir(c.Data)
+		names, err := os.ReadDir(c.DataDir)
 		if err != nil {
 			return false, fmt.Errorf("data folder: %w", err)
 		}
 		if len(names) > 0 {
-			return false, fmt.Errorf("data folder %s: it holds %s but no %s: it is not a replica's", c.Data, names[0].Name(), identityFile)
+			return false, fmt.Errorf("data folder %s: it holds %s but no %s: it is not a replica's", c.DataDir, names[0].Name(), identityFile)
 		}
 		return true, writeIdentity(path, want)
 	case err != nil:
@@ -101,9 +101,9 @@
 		return false, fmt.Errorf("%s: %w", path, err)
 	}
 	if got != want {
-		return false, fmt.Errorf("data folder %s: it belongs to replica %q of group %q, this is %q of %q", c.Data, got.ID, got.Group, want.ID, want.Group)
+		return false, fmt.Errorf("data folder %s: it belongs to replica %q of group %q, this is %q of %q", c.DataDir, got.ID, got.Group, want.ID, want.Group)
 	}
-	_, err = os.Stat(filepath.Join(c.Data, logFile))
+	_, err = os.Stat(filepath.Join(c.DataDir, logFile))
 	return errors.Is(err, fs.ErrNotExist), nil
 }
 
--- a/internal/registry/server/http.go
+++ b/internal/registry/server/http.go
@@ -81,8 +81,8 @@
 	return mux
 }
 
-// Server serves a replica with limits on everything that a caller may hold.
-func (r *Replica) Server() *http.Server {
+// HTTPServer serves a replica with limits on everything that a caller may hold.
+func (r *Replica) HTTPServer() *http.Server {
 	return &http.Server{
 		Handler: r.Handler(), ReadHeaderTimeout: headerIn, ReadTimeout: callIn, WriteTimeout: callIn, IdleTimeout: idleIn,
 		MaxHeaderBytes: maxHeader, ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
@@ -408,8 +408,8 @@
 		return bad("the path names host %.64q and the body %.64q", host, b.Instance.Host)
 	case (b.Session == "") != (b.TTLMS == 0):
 		return bad("session and ttl_ms come together or not at all")
-	case b.Session != "" && (b.TTLMS < rules.LeastTTLMS || b.TTLMS > rules.MostTTLMS):
-		return bad("ttl_ms is %d, it must lie between %d and %d", b.TTLMS, rules.LeastTTLMS, rules.MostTTLMS)
+	case b.Session != "" && (b.TTLMS < rules.MinTTLMS || b.TTLMS > rules.MaxTTLMS):
+		return bad("ttl_ms is %d, it must lie between %d and %d", b.TTLMS, rules.MinTTLMS, rules.MaxTTLMS)
 	}
 	if b.Machine == "" {
 		b.Machine, _, _ = net.SplitHostPort(b.Instance.Dial)
--- a/internal/registry/server/leases.go
+++ b/internal/registry/server/leases.go
@@ -116,8 +116,8 @@
 	if err := decode(w, q, maxBody, &b); err != nil {
 		return err
 	}
-	if rules := r.config.Load().Leases; b.TTLMS < rules.LeastTTLMS || b.TTLMS > rules.MostTTLMS {
-		return bad("ttl_ms is %d, it must lie between %d and %d", b.TTLMS, rules.LeastTTLMS, rules.MostTTLMS)
+	if rules := r.config.Load().Leases; b.TTLMS < rules.MinTTLMS || b.TTLMS > rules.MaxTTLMS {
+		return bad("ttl_ms is %d, it must lie between %d and %d", b.TTLMS, rules.MinTTLMS, rules.MaxTTLMS)
 	}
 	name := q.PathValue("name")
 	result, err := r.leaseWrite(registry.OpAcquireLease, &registry.LeaseCommand{Name: name, Claim: b.Claim, Wait: b.Wait})
--- a/internal/registry/server/replica.go
+++ b/internal/registry/server/replica.go
@@ -90,7 +90,7 @@
 	}
 	h := newHub()
 	r := &Replica{self: self, hub: h, machine: newMachine(h), turn: &turn{limits: c.Limits}, disk: d, connections: c.Limits.connections()}
-	r.leaseRate = rate.NewLimiter(rate.Limit(c.Leases.WritesPerS), int(c.Leases.WritesPerS))
+	r.leaseRate = rate.NewLimiter(rate.Limit(c.Leases.WritesPerSecond), int(c.Leases.WritesPerSecond))
 	r.http = &http.Client{Timeout: leaderCallIn, Transport: &http.Transport{MaxConnsPerHost: 4, DisableCompression: true, DialContext: c.Routes.Dial(leaderCallIn)}}
 	r.sure = newCertainty()
 	r.config.Store(c)
@@ -139,13 +139,13 @@
 	var err error
 	if r.raft, err = raft.NewRaft(rc, r.machine, r.disk.logs, r.disk.terms, r.disk.snaps, r.trans); err != nil {
 		r.trans.Close()
-		return fmt.Errorf("start on %s: %w", c.Data, err)
+		return fmt.Errorf("start on %s: %w", c.DataDir, err)
 	}
 	return nil
 }
 
-// Leave hands leadership over and ends the watches; calls are answered still.
-func (r *Replica) Leave() {
+// PrepareShutdown hands leadership over and ends the watches; calls are answered still.
+func (r *Replica) PrepareShutdown() {
 	if r.raft.State() == raft.Leader && len(r.voters()) > 1 {
 		if err := r.raft.LeadershipTransfer().Error(); err != nil {
 			slog.Warn("leadership was not handed over", "err", err)
@@ -204,10 +204,10 @@
 		return
 	}
 	rules := r.config.Load().Sessions
-	sessions := registry.NewSessionTracker(rules.Floor, time.Duration(rules.WithinMS)*time.Millisecond)
+	sessions := registry.NewSessionTracker(rules.Floor, time.Duration(rules.WindowMS)*time.Millisecond)
 	r.mu.Lock()
 	r.sessions, r.followed, r.term = sessions, 0, term
-	r.leases = registry.NewClaimTracker(time.Duration(r.config.Load().Leases.MostTTLMS) * time.Millisecond)
+	r.leases = registry.NewClaimTracker(time.Duration(r.config.Load().Leases.MaxTTLMS) * time.Millisecond)
 	r.followSessions(time.Now())
 	r.followLeases(time.Now())
 	live := sessions.Len()
--- a/internal/registry/server/run.go
+++ b/internal/registry/server/run.go
@@ -43,7 +43,7 @@
 		return err
 	}
 	defer end()
-	s := r.Server()
+	s := r.HTTPServer()
 	served := make(chan error, 1)
 	go func() { served <- s.Serve(netutil.LimitListener(ln, r.connections)) }()
 	slog.Info("serving", "group", c.Group, "id", c.ID, "http", self.HTTP, "raft", self.Raft)
@@ -53,7 +53,7 @@
 			return fmt.Errorf("serve: %w", err)
 		case <-stop.Done():
 			slog.Info("ending")
-			r.Leave()
+			r.PrepareShutdown()
 			ctx, cancel := context.WithTimeout(context.Background(), endIn)
 			defer cancel()
 			if err := s.Shutdown(ctx); err != nil && !errors.Is(err, http.ErrServerClosed) {
--- a/internal/registry/server/server_test.go
+++ b/internal/registry/server/server_test.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		n.t.Fatal(err)
 	}
-	n.Replica, n.server, n.up = r, r.Server(), true
+	n.Replica, n.server, n.up = r, r.HTTPServer(), true
 	go n.server.Serve(ln)
 }
 
@@ -717,7 +717,7 @@
 	http_, raft_ := listen(t, "127.0.0.1:0"), listen(t, "127.0.0.1:0")
 	m := registry.ReplicaInfo{ID: "r9", HTTP: http_.Addr().String(), Raft: raft_.Addr().String()}
 	config := *g.nodes[0].config
-	config.ID, config.Data, config.Join = "r9", t.TempDir(), true
+	config.ID, config.DataDir, config.Join = "r9", t.TempDir(), true
 	config.Replicas = append(slices.Clone(config.Replicas), m)
 	if err := config.check(); err != nil {
 		t.Fatal(err)
@@ -814,16 +814,16 @@
 	if err := open(n.config); err != nil {
 		t.Fatalf("as it was left: %v", err)
 	}
-	whole, err := os.ReadFile(filepath.Join(n.config.Data, logFile))
+	whole, err := os.ReadFile(filepath.Join(n.config.DataDir, logFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	copied := func(log []byte) *Config {
 		t.Helper()
 		c := *n.config
-		c.Data = t.TempDir()
+		c.DataDir = t.TempDir()
 		text, _ := json.Marshal(identity{1, c.Group, c.ID})
-		if err := errors.Join(os.WriteFile(filepath.Join(c.Data, identityFile), text, 0o600), os.WriteFile(filepath.Join(c.Data, logFile), log, 0o600)); err != nil {
+		if err := errors.Join(os.WriteFile(filepath.Join(c.DataDir, identityFile), text, 0o600), os.WriteFile(filepath.Join(c.DataDir, logFile), log, 0o600)); err != nil {
 			t.Fatal(err)
 		}
 		return &c
@@ -834,8 +834,8 @@
 	other, stranger, empty := *n.config, *n.config, *n.config
 	other.Group = "another"
 	stranger.ID = "r7"
-	empty.Data = t.TempDir()
-	if err := os.WriteFile(filepath.Join(empty.Data, "notes.txt"), nil, 0o600); err != nil {
+	empty.DataDir = t.TempDir()
+	if err := os.WriteFile(filepath.Join(empty.DataDir, "notes.txt"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for name, x := range map[string]struct {
@@ -855,7 +855,7 @@
 		}
 	}
 	file := *n.config
-	file.Data = filepath.Join(n.config.Data, logFile)
+	file.DataDir = filepath.Join(n.config.DataDir, logFile)
 	if err := open(&file); err == nil {
 		t.Error("a file was taken for a folder")
 	}
@@ -863,7 +863,7 @@
 
 // A log's entry that was changed on disk is found when it is read, not acted upon.
 func TestSpoiltEntryIsFound(t *testing.T) {
-	d, err := openDisk(&Config{Group: "a", ID: "r", Data: t.TempDir()}, newRaftLog())
+	d, err := openDisk(&Config{Group: "a", ID: "r", DataDir: t.TempDir()}, newRaftLog())
 	if err != nil {
 		t.Fatal(err)
 	}
