--- a/cmd/fleetctl/policy.go
+++ b/cmd/fleetctl/policy.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("read policy: %w", err)
 	}
-	d := &rollout.Document{Form: 1, Mode: rollout.Carry}
+	d := &rollout.Document{FormatVersion: 1, Mode: rollout.ModeCarry}
 	if err := configfile.TOML(text, d); err != nil {
 		return nil, cli.Status(refused, "policy %s: %w", path, err)
 	}
@@ -81,11 +81,11 @@
 		Use: "get", Short: "Print the policy in force, as a file to be changed and proposed", Args: cli.NoArgs, Example: "  barleyctl policy get > policy.toml",
 		RunE: func(c *cobra.Command, _ []string) error {
 			return a.withStatus(c.Context(), func(_ *client.Client, st rollout.Status) error {
-				if st.Doc == nil {
+				if st.Document == nil {
 					return cli.Status(refused, "no policy is in force: each sidecar acts by its own file")
 				}
-				fmt.Fprintf(a.out, "# epoch %d, checksum %s\n", st.Epoch, st.Sum)
-				return toml.NewEncoder(a.out).Encode(st.Doc)
+				fmt.Fprintf(a.out, "# epoch %d, checksum %s\n", st.Epoch, st.Checksum)
+				return toml.NewEncoder(a.out).Encode(st.Document)
 			})
 		},
 	}
@@ -93,7 +93,7 @@
 
 // diff prints what a document would change.
 func (a *app) diff(st rollout.Status, d *rollout.Document) {
-	from := st.Doc
+	from := st.Document
 	if from == nil {
 		fmt.Fprintln(a.out, "the first policy: each sidecar acts by its own file until now, and no more than that after")
 		from = &rollout.Document{Mode: d.Mode}
@@ -161,7 +161,7 @@
 		by = "operator"
 	}
 	a.diff(st, d)
-	if _, err := r.ApplyPolicyStep(ctx, rollout.Command{Verb: rollout.Propose, Doc: d, Base: st.Epoch, By: by, Reason: p.reason, Within: p.within.Milliseconds(), First: first, Watch: watch.Milliseconds()}, nil); err != nil {
+	if _, err := r.ApplyPolicyStep(ctx, rollout.Command{Op: rollout.OpPropose, Document: d, BaseEpoch: st.Epoch, By: by, Reason: p.reason, WithinMS: p.within.Milliseconds(), CanaryFraction: first, CanaryWatchMS: watch.Milliseconds()}, nil); err != nil {
 		return err
 	}
 	now, err := r.PolicyStatus(ctx, 0, 0)
@@ -169,7 +169,7 @@
 		return err
 	}
 	if now.Change == nil { // it is over already, for good or bad
-		return a.outcome(now, d.Sum(), st.Epoch)
+		return a.outcome(now, d.Checksum(), st.Epoch)
 	}
 	number := now.Change.Number
 	fmt.Fprintf(a.out, "change %d proposed\n", number)
@@ -179,7 +179,7 @@
 	said := ""
 	for {
 		if now.Change == nil || now.Change.Number != number {
-			return a.outcome(now, d.Sum(), st.Epoch)
+			return a.outcome(now, d.Checksum(), st.Epoch)
 		}
 		if line := progress(now); line != said {
 			fmt.Fprintln(a.out, line)
@@ -196,12 +196,12 @@
 
 func progress(st rollout.Status) string {
 	const few = 6
-	line := fmt.Sprintf("change %d: %s, %d of %d have confirmed", st.Change.Number, st.Stage, len(st.Roster)-len(st.Waits), len(st.Roster))
-	if st.Stage == rollout.Canary {
+	line := fmt.Sprintf("change %d: %s, %d of %d have confirmed", st.Change.Number, st.Stage, len(st.Roster)-len(st.WaitingFor), len(st.Roster))
+	if st.Stage == rollout.StageCanary {
 		line += fmt.Sprintf("; %d go ahead", len(st.Change.Canaries))
 	}
-	if n := len(st.Waits); n > 0 {
-		line += "; waits for " + strings.Join(st.Waits[:min(n, few)], " ")
+	if n := len(st.WaitingFor); n > 0 {
+		line += "; waits for " + strings.Join(st.WaitingFor[:min(n, few)], " ")
 		if n > few {
 			line += fmt.Sprintf(" and %d others", n-few)
 		}
@@ -212,7 +212,7 @@
 // outcome tells what became of the change of a document that was proposed last.
 func (a *app) outcome(st rollout.Status, sum string, before uint64) error {
 	for i := len(st.History) - 1; i >= 0; i-- {
-		if h := st.History[i]; h.Sum == sum && h.Number > before {
+		if h := st.History[i]; h.Checksum == sum && h.Number > before {
 			if h.Outcome == "committed" {
 				fmt.Fprintf(a.out, "epoch %d is in force everywhere\n", h.Number)
 				return nil
@@ -256,7 +256,7 @@
 					if p.reason == "" {
 						p.reason = fmt.Sprintf("revert to epoch %d", h.Number)
 					}
-					return a.propose(c.Context(), r, st, &h.Doc, p)
+					return a.propose(c.Context(), r, st, &h.Document, p)
 				}
 				return cli.Status(refused, "the history has no such policy that was in force")
 			})
@@ -277,7 +277,7 @@
 				}
 				fmt.Fprintf(a.out, "epoch %d, %s, %d sidecars in the roster\n", st.Epoch, st.Stage, len(st.Roster))
 				if st.Change != nil {
-					fmt.Fprintf(a.out, "%s\nproposed by %s: %s; until %s\n", progress(st), st.Change.By, st.Change.Reason, time.UnixMilli(st.Change.UntilMS).UTC().Format(time.RFC3339))
+					fmt.Fprintf(a.out, "%s\nproposed by %s: %s; until %s\n", progress(st), st.Change.By, st.Change.Reason, time.UnixMilli(st.Change.DeadlineMS).UTC().Format(time.RFC3339))
 				}
 				return nil
 			})
@@ -295,7 +295,7 @@
 				if st.Change == nil {
 					return cli.Status(refused, "no change is under way")
 				}
-				_, err := r.ApplyPolicyStep(c.Context(), rollout.Command{Verb: rollout.Abort, Number: st.Change.Number, By: "an operator"}, nil)
+				_, err := r.ApplyPolicyStep(c.Context(), rollout.Command{Op: rollout.OpAbort, ChangeNumber: st.Change.Number, By: "an operator"}, nil)
 				if err == nil {
 					fmt.Fprintf(a.out, "change %d is aborted, epoch %d stays in force\n", st.Change.Number, st.Epoch)
 				}
@@ -313,7 +313,7 @@
 				w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
 				fmt.Fprintln(w, "CHANGE\tENDED\tBY\tCHECKSUM\tOUTCOME\tREASON")
 				for _, h := range st.History {
-					fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\n", h.Number, time.UnixMilli(h.EndedMS).UTC().Format(time.RFC3339), h.By, h.Sum, h.Outcome, h.Reason)
+					fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\n", h.Number, time.UnixMilli(h.EndedMS).UTC().Format(time.RFC3339), h.By, h.Checksum, h.Outcome, h.Reason)
 				}
 				return w.Flush()
 			})
@@ -330,7 +330,7 @@
 		Example: "  barleyctl policy evict n17",
 		RunE: func(c *cobra.Command, args []string) error {
 			return a.withStatus(c.Context(), func(r *client.Client, _ rollout.Status) error {
-				_, err := r.ApplyPolicyStep(c.Context(), rollout.Command{Verb: rollout.Evict, Member: rollout.Member{Name: args[0]}}, nil)
+				_, err := r.ApplyPolicyStep(c.Context(), rollout.Command{Op: rollout.OpEvict, Member: rollout.Member{Name: args[0]}}, nil)
 				if err == nil {
 					fmt.Fprintf(a.out, "%s has no seat any more\n", args[0])
 				}
--- a/internal/controller/copies.go
+++ b/internal/controller/copies.go
@@ -155,14 +155,14 @@
 	client *client.Client
 }
 
-func (t *copier) run(ctx context.Context, term *lease.Term) error {
+func (t *copier) run(ctx context.Context, term *lease.Handle) error {
 	c := &Copies{Folder: t.config.Folder, Keep: t.config.Keep}
 	for {
 		text, err := t.client.Backup(ctx)
 		if err == nil {
 			var path string
 			if path, err = c.Save(ctx, term.Token(), time.Now(), text); err == nil {
-				slog.Info("copies: saved", "lease", term.Name(), "token", term.Token(), "path", path, "bytes", len(text))
+				slog.Info("copies: saved", "lease", term.LeaseName(), "token", term.Token(), "path", path, "bytes", len(text))
 			}
 		}
 		switch {
@@ -171,7 +171,7 @@
 		case errors.Is(err, registry.ErrFenced):
 			return err
 		case err != nil:
-			slog.Error("copies: not saved", "lease", term.Name(), "token", term.Token(), "err", err)
+			slog.Error("copies: not saved", "lease", term.LeaseName(), "token", term.Token(), "err", err)
 		}
 		if err := pause(ctx, time.Duration(t.config.EveryMS)*time.Millisecond); err != nil {
 			return err
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -36,7 +36,7 @@
 // fleetUnder stops servers only while the lease is held.
 type fleetUnder struct {
 	drain.Fleet
-	term *lease.Term
+	term *lease.Handle
 	ttl  time.Duration
 }
 
@@ -44,9 +44,9 @@
 	return f.term.Do(ctx, f.ttl/4, func(ctx context.Context) error { return f.Fleet.Stop(ctx, machine, host) })
 }
 
-func (t *drains) run(ctx context.Context, term *lease.Term) error {
+func (t *drains) run(ctx context.Context, term *lease.Handle) error {
 	under := t.config.With(fenced{t.client, term}, drain.Keepers, drainsEvery, func(format string, args ...any) {
-		slog.Info("drain: "+fmt.Sprintf(format, args...), "lease", term.Name(), "token", term.Token())
+		slog.Info("drain: "+fmt.Sprintf(format, args...), "lease", term.LeaseName(), "token", term.Token())
 	})
 	under.Fleet = fleetUnder{under.Fleet, term, term.TTL()}
 	var all sync.WaitGroup
@@ -59,7 +59,7 @@
 			return ctx.Err()
 		}
 		if err != nil {
-			slog.Warn("drains: not read", "lease", term.Name(), "token", term.Token(), "err", err)
+			slog.Warn("drains: not read", "lease", term.LeaseName(), "token", term.Token(), "err", err)
 		}
 		mu.Lock()
 		for _, d := range handed {
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -49,7 +49,7 @@
 	return xxhash.Sum64String(host)%healthShards == uint64(h.shard)
 }
 
-func (h *health) run(ctx context.Context, term *lease.Term) error {
+func (h *health) run(ctx context.Context, term *lease.Handle) error {
 	timeout := time.Duration(h.config.TimeoutMS) * time.Millisecond
 	every := time.Duration(h.config.EveryMS) * time.Millisecond
 	c := &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -89,7 +89,7 @@
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			slog.Warn("health: the list cannot be read", "lease", term.Name(), "err", err)
+			slog.Warn("health: the list cannot be read", "lease", term.LeaseName(), "err", err)
 		}
 		list.Registrations = slices.DeleteFunc(list.Registrations, func(e registry.Registration) bool { return !h.mine(e.Host) })
 		maps.DeleteFunc(failing, func(host string, _ Advice) bool {
@@ -111,7 +111,7 @@
 				return fmt.Errorf("advice: %w", err)
 			}
 			written = key
-			slog.Info("health: advice", "lease", term.Name(), "token", term.Token(), "failing", slices.Sorted(maps.Keys(advice)))
+			slog.Info("health: advice", "lease", term.LeaseName(), "token", term.Token(), "failing", slices.Sorted(maps.Keys(advice)))
 		}
 		if err := h.wait(ctx, began.Add(every), list.Registrations, look); err != nil {
 			return err
--- a/internal/controller/keeper.go
+++ b/internal/controller/keeper.go
@@ -22,7 +22,7 @@
 // Task is work of which one process does its part at a time.
 type Task struct {
 	Lease string
-	Run   func(ctx context.Context, term *lease.Term) error
+	Run   func(ctx context.Context, term *lease.Handle) error
 	// Timed says that its acts reach what knows no token. A keeper that has lost more than
 	// half of the fleet's members gives such a task up.
 	Timed bool
@@ -41,14 +41,14 @@
 	name   string
 	ttl    time.Duration
 	client *client.Client
-	member *lease.Member
+	member *lease.Manager
 	tasks  []Task
 	news   chan registry.LeasesResponse // the latest alone
 	fleet  *fleet                       // what its membership tells; nil: it has none
 	looked chan struct{}                // the members have changed
 
 	mu   sync.Mutex
-	held map[string]*lease.Term
+	held map[string]*lease.Handle
 }
 
 // New makes a keeper of these tasks.
@@ -57,9 +57,9 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &Keeper{name: c.Name, ttl: c.lease(), client: r.WithAddressMap(c.Routes), held: make(map[string]*lease.Term), news: make(chan registry.LeasesResponse, 1), looked: make(chan struct{}, 1)}
-	k.member = lease.NewMember(lease.Options{
-		Registry: r, TTL: k.ttl, News: k.hear,
+	k := &Keeper{name: c.Name, ttl: c.lease(), client: r.WithAddressMap(c.Routes), held: make(map[string]*lease.Handle), news: make(chan registry.LeasesResponse, 1), looked: make(chan struct{}, 1)}
+	k.member = lease.NewManager(lease.Options{
+		Registry: r, TTL: k.ttl, OnChange: k.hear,
 		// The start's time tells the later of two processes. It decides nothing between
 		// holders: a clock that was set back costs a place in a line.
 		Holder: registry.Holder{Name: c.Name, Incarnation: uint64(time.Now().UnixMicro())},
@@ -95,7 +95,7 @@
 	defer running.Wait()
 	defer end()
 	for {
-		err := k.member.Hold(ctx, presence+k.name, func(ctx context.Context, _ *lease.Term) error {
+		err := k.member.Hold(ctx, presence+k.name, func(ctx context.Context, _ *lease.Handle) error {
 			k.present(ctx)
 			return ctx.Err()
 		})
@@ -128,7 +128,7 @@
 		if news.Version == 0 {
 			continue
 		}
-		now := lease.Boottime()
+		now := lease.BootTime()
 		var present []string
 		leases := make(map[string]registry.Lease, len(news.Leases))
 		for _, l := range news.Leases {
@@ -170,7 +170,7 @@
 // hold runs a task whenever its lease is this keeper's, until ctx ends.
 func (k *Keeper) hold(ctx context.Context, t Task) {
 	for ctx.Err() == nil {
-		err := k.member.Hold(ctx, t.Lease, func(ctx context.Context, term *lease.Term) error {
+		err := k.member.Hold(ctx, t.Lease, func(ctx context.Context, term *lease.Handle) error {
 			k.note(t.Lease, term)
 			defer k.note(t.Lease, nil)
 			if err := t.Run(ctx, term); err != nil {
@@ -188,7 +188,7 @@
 	}
 }
 
-func (k *Keeper) note(name string, t *lease.Term) {
+func (k *Keeper) note(name string, t *lease.Handle) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if t == nil {
@@ -198,7 +198,7 @@
 	k.held[name] = t
 }
 
-func (k *Keeper) term(name string) *lease.Term {
+func (k *Keeper) term(name string) *lease.Handle {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.held[name]
@@ -207,14 +207,14 @@
 // Held are the tasks that it holds, with their tokens.
 func (k *Keeper) Held() map[string]uint64 {
 	k.mu.Lock()
-	terms := make([]*lease.Term, 0, len(k.held))
+	terms := make([]*lease.Handle, 0, len(k.held))
 	for _, t := range k.held {
 		terms = append(terms, t)
 	}
 	k.mu.Unlock()
 	held := make(map[string]uint64, len(terms))
 	for _, t := range terms {
-		held[t.Name()] = t.Token()
+		held[t.LeaseName()] = t.Token()
 	}
 	return held
 }
@@ -231,7 +231,7 @@
 // the grant is the lease's.
 type fenced struct {
 	*client.Client
-	term *lease.Term
+	term *lease.Handle
 }
 
 func (f fenced) Put(ctx context.Context, key string, value []byte, ifVersion *uint64) (uint64, error) {
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -30,7 +30,7 @@
 // overloadCalls is how many digests are worked on at once: each takes some microseconds.
 const overloadCalls = 64
 
-func (t *overloadTask) run(ctx context.Context, term *lease.Term) error {
+func (t *overloadTask) run(ctx context.Context, term *lease.Handle) error {
 	ln, err := net.Listen("tcp", t.config.Listen)
 	if err != nil {
 		return fmt.Errorf("overload.listen: %w", err)
@@ -47,7 +47,7 @@
 	if err := t.announce(ctx, term, ln.Addr().String()); err != nil {
 		return err
 	}
-	slog.Info("overload: listening", "at", ln.Addr(), "fleet", t.config.Fleet, "lease", term.Name(), "token", term.Token())
+	slog.Info("overload: listening", "at", ln.Addr(), "fleet", t.config.Fleet, "lease", term.LeaseName(), "token", term.Token())
 	tick := time.NewTicker(overload.Every)
 	defer tick.Stop()
 	for {
@@ -65,7 +65,7 @@
 }
 
 // announce writes where the task listens, over what an earlier holder wrote.
-func (t *overloadTask) announce(ctx context.Context, term *lease.Term, at string) error {
+func (t *overloadTask) announce(ctx context.Context, term *lease.Handle, at string) error {
 	text, err := json.Marshal(overload.Place{At: at, Token: term.Token()})
 	if err != nil {
 		return err
@@ -82,7 +82,7 @@
 
 // overloadDesk answers digests with the word of the moment.
 type overloadDesk struct {
-	term  *lease.Term
+	term  *lease.Handle
 	began time.Time
 	busy  chan struct{}
 
@@ -145,7 +145,7 @@
 	switch {
 	case err != nil:
 		refuse(http.StatusBadRequest, err)
-	case !d.term.Holds(): // looked at last: this process may have been stopped
+	case !d.term.Held(): // looked at last: this process may have been stopped
 		refuse(http.StatusConflict, lease.ErrLapsed)
 	default:
 		w.Header().Set("Content-Type", "application/json")
--- a/internal/controller/policy.go
+++ b/internal/controller/policy.go
@@ -23,7 +23,7 @@
 // whether everybody is there: a leader that is behind changes nothing.
 type policy struct{ client *client.Client }
 
-func (t *policy) run(ctx context.Context, term *lease.Term) error {
+func (t *policy) run(ctx context.Context, term *lease.Handle) error {
 	var after uint64
 	for {
 		st, err := t.client.PolicyStatus(ctx, after, policyEvery)
@@ -31,7 +31,7 @@
 			return ctx.Err()
 		}
 		if err != nil {
-			slog.Warn("policy: not read", "lease", term.Name(), "token", term.Token(), "err", err)
+			slog.Warn("policy: not read", "lease", term.LeaseName(), "token", term.Token(), "err", err)
 			if err := pause(ctx, policyEvery); err != nil {
 				return err
 			}
@@ -48,11 +48,11 @@
 		case errors.Is(err, registry.ErrFenced):
 			return err
 		case errors.Is(err, registry.ErrConflict), errors.Is(err, registry.ErrNotFound):
-			slog.Debug("policy: what was read is out of date", "step", step.Verb, "err", err)
+			slog.Debug("policy: what was read is out of date", "step", step.Op, "err", err)
 		case err != nil:
-			slog.Warn("policy: a step was not taken", "step", step.Verb, "change", step.Number, "token", term.Token(), "err", err)
+			slog.Warn("policy: a step was not taken", "step", step.Op, "change", step.ChangeNumber, "token", term.Token(), "err", err)
 		default:
-			slog.Info("policy: a step", "step", step.Verb, "change", step.Number, "from", step.Stage, "reason", step.Reason, "token", term.Token())
+			slog.Info("policy: a step", "step", step.Op, "change", step.ChangeNumber, "from", step.Stage, "reason", step.Reason, "token", term.Token())
 		}
 		after = 0 // look again at once
 	}
@@ -65,11 +65,11 @@
 		st, err := c.PolicyStatus(ctx, 0, 0)
 		if err == nil {
 			for _, seat := range st.Roster {
-				if !seat.Gone(machine) {
+				if !seat.ProcessGone(machine) {
 					continue
 				}
-				slog.Warn("policy: a sidecar's process has gone", "sidecar", seat.Name, "pid", seat.Where.PID)
-				if _, err := c.ApplyPolicyStep(ctx, rollout.Command{Verb: rollout.Leave, Member: seat.Member}, nil); err != nil {
+				slog.Warn("policy: a sidecar's process has gone", "sidecar", seat.Name, "pid", seat.Process.PID)
+				if _, err := c.ApplyPolicyStep(ctx, rollout.Command{Op: rollout.OpLeave, Member: seat.Member}, nil); err != nil {
 					slog.Warn("policy: its seat is not given up", "sidecar", seat.Name, "err", err)
 				}
 			}
--- a/internal/lease/member.go
+++ b/internal/lease/member.go
@@ -39,12 +39,12 @@
 	Holder   registry.Holder
 	TTL      time.Duration
 	Clock    func() time.Duration // nil: Boottime
-	News     func(registry.LeasesResponse)
+	OnChange func(registry.LeasesResponse)
 }
 
-// Boottime reads a clock that neither steps nor stops while the machine sleeps: a
+// BootTime reads a clock that neither steps nor stops while the machine sleeps: a
 // holder that was suspended must not find that no time has passed.
-func Boottime() time.Duration {
+func BootTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		panic(fmt.Sprintf("lease: no clock: %v", err)) // without one nothing may be held
@@ -52,71 +52,71 @@
 	return time.Duration(t.Nano())
 }
 
-// Member is one process that claims leases. Run has to be at work for as long as any
+// Manager is one process that claims leases. Run has to be at work for as long as any
 // is claimed. It is safe for concurrent use.
-type Member struct {
+type Manager struct {
 	Options
 	kick chan struct{}
 
 	mu  sync.Mutex
-	all map[string]*Term // by the claim's id
+	all map[string]*Handle // by the claim's id
 
 	grants, lapses atomic.Uint64
 }
 
-// NewMember makes a Member.
-func NewMember(o Options) *Member {
+// NewManager makes a Member.
+func NewManager(o Options) *Manager {
 	if o.Clock == nil {
-		o.Clock = Boottime
+		o.Clock = BootTime
 	}
-	return &Member{Options: o, kick: make(chan struct{}, 1), all: make(map[string]*Term)}
+	return &Manager{Options: o, kick: make(chan struct{}, 1), all: make(map[string]*Handle)}
 }
 
 // Counts returns how often a lease was granted to it and has lapsed.
-func (m *Member) Counts() (grants, lapses uint64) { return m.grants.Load(), m.lapses.Load() }
+func (m *Manager) Counts() (grants, lapses uint64) { return m.grants.Load(), m.lapses.Load() }
 
-// Term is a task's view of the lease that it runs under.
-type Term struct {
-	m       *Member
-	tenure  Tenure // under the member's lock
+// Handle is a task's view of the lease that it runs under.
+type Handle struct {
+	m       *Manager
+	tenure  Session // under the member's lock
 	changed chan struct{}
 }
 
-// Name is the lease's.
-func (t *Term) Name() string { return t.tenure.Name }
+// LeaseName is the lease's.
+func (t *Handle) LeaseName() string { return t.tenure.LeaseName }
 
 // TTL is the lease's time to live.
-func (t *Term) TTL() time.Duration { return t.tenure.TTL }
+func (t *Handle) TTL() time.Duration { return t.tenure.TTL }
 
 // Token is the fencing token of the grant.
-func (t *Term) Token() uint64 {
+func (t *Handle) Token() uint64 {
 	t.m.mu.Lock()
 	defer t.m.mu.Unlock()
 	return t.tenure.Token()
 }
 
 // Fence makes a write conditional on the grant.
-func (t *Term) Fence() *registry.Fence {
-	return &registry.Fence{Lease: t.tenure.Name, Token: t.Token()}
+func (t *Handle) Fence() *registry.Fence {
+	return &registry.Fence{Lease: t.tenure.LeaseName, Token: t.Token()}
 }
 
-// Act begins one act: it is refused unless the lease is held and lasts for as long as
+// BeginAct begins one act: it is refused unless the lease is held and lasts for as long as
 // the act may take, and gets a context that ends before the lease does. To be called
 // right before each act: a process may have been stopped since the last one.
-func (t *Term) Act(ctx context.Context, takes time.Duration) (context.Context, context.CancelFunc, error) {
+func (t *Handle) BeginAct(ctx context.Context, takes time.Duration) (context.Context, context.CancelFunc, error) {
 	t.m.mu.Lock()
 	defer t.m.mu.Unlock()
 	now := t.m.Clock()
-	if err := t.tenure.Act(now, takes); err != nil {
+	if err := t.tenure.CheckAct(now, takes); err != nil {
 		return nil, nil, err
 	}
-	in, cancel := context.WithTimeoutCause(ctx, t.tenure.Until()-now, ErrLapsed)
+	in, cancel := context.WithTimeoutCause(ctx, t.tenure.Deadline()-now, ErrLapsed)
 	return in, cancel, nil
 }
 
 // Do carries one act out.
-func (t *Term) Do(ctx context.Context, takes time.Duration, act func(ctx context.Context) error) error {
-	in, cancel, err := t.Act(ctx, takes)
+func (t *Handle) Do(ctx context.Context, takes time.Duration, act func(ctx context.Context) error) error {
+	in, cancel, err := t.BeginAct(ctx, takes)
 	if err != nil {
 		return err
 	}
@@ -125,7 +125,7 @@
 }
 
 // Run renews claims and follows the leases until ctx ends.
-func (m *Member) Run(ctx context.Context) {
+func (m *Manager) Run(ctx context.Context) {
 	var watch sync.WaitGroup
 	watch.Go(func() { m.watch(ctx) })
 	defer watch.Wait()
@@ -142,7 +142,7 @@
 
 // watch follows the leases, so that a grant from the line or a wish is known at once
 // and not with the next renewal. It may be behind or fail: nothing rests on it.
-func (m *Member) watch(ctx context.Context) {
+func (m *Manager) watch(ctx context.Context) {
 	var after uint64
 	for ctx.Err() == nil {
 		in, cancel := context.WithTimeout(ctx, 2*watchWait)
@@ -159,14 +159,14 @@
 		if after = news.Version; m.learn(news) {
 			m.wake()
 		}
-		if m.News != nil {
-			m.News(news)
+		if m.OnChange != nil {
+			m.OnChange(news)
 		}
 	}
 }
 
 // learn says whether the news make a renewal worth while.
-func (m *Member) learn(news registry.LeasesResponse) bool {
+func (m *Manager) learn(news registry.LeasesResponse) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, l := range news.Leases {
@@ -179,7 +179,7 @@
 	return false
 }
 
-func (m *Member) wake() {
+func (m *Manager) wake() {
 	select {
 	case m.kick <- struct{}{}:
 	default:
@@ -187,11 +187,11 @@
 }
 
 // renew gives a sign of life for all claims.
-func (m *Member) renew(ctx context.Context) {
+func (m *Manager) renew(ctx context.Context) {
 	m.mu.Lock()
 	claims := make([]registry.ClaimRef, 0, len(m.all))
 	for id, t := range m.all {
-		claims = append(claims, registry.ClaimRef{Lease: t.tenure.Name, ClaimID: id})
+		claims = append(claims, registry.ClaimRef{Lease: t.tenure.LeaseName, ClaimID: id})
 	}
 	m.mu.Unlock()
 	slices.SortFunc(claims, func(a, b registry.ClaimRef) int { return cmp.Compare(a.ClaimID, b.ClaimID) })
@@ -209,7 +209,7 @@
 		m.mu.Lock()
 		now := m.Clock()
 		for _, c := range a.Claims {
-			if t := m.all[c.ClaimID]; t != nil && t.tenure.Name == c.Lease {
+			if t := m.all[c.ClaimID]; t != nil && t.tenure.LeaseName == c.Lease {
 				t.tenure.Renewed(c, sent, now)
 				t.note()
 			}
@@ -219,7 +219,7 @@
 }
 
 // note tells whoever waits on the term. The lock is held.
-func (t *Term) note() {
+func (t *Handle) note() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
@@ -227,7 +227,7 @@
 // Hold runs a task whenever this process holds a lease, until ctx ends or the task
 // returns nil. The task's context ends with the lease; a new claim begins only when
 // the task has returned.
-func (m *Member) Hold(ctx context.Context, name string, task func(ctx context.Context, t *Term) error) error {
+func (m *Manager) Hold(ctx context.Context, name string, task func(ctx context.Context, t *Handle) error) error {
 	pause := m.TTL / renewals
 	for {
 		held, err := m.once(ctx, name, task)
@@ -250,23 +250,23 @@
 }
 
 // once is one claim, from its asking to its end.
-func (m *Member) once(ctx context.Context, name string, task func(ctx context.Context, t *Term) error) (held bool, err error) {
-	t := &Term{m: m, changed: make(chan struct{})}
-	t.tenure = Tenure{Name: name, ID: rand.Text(), Of: m.Holder, TTL: m.TTL}
+func (m *Manager) once(ctx context.Context, name string, task func(ctx context.Context, t *Handle) error) (held bool, err error) {
+	t := &Handle{m: m, changed: make(chan struct{})}
+	t.tenure = Session{LeaseName: name, ClaimID: rand.Text(), Holder: m.Holder, TTL: m.TTL}
 	m.mu.Lock()
-	t.tenure.Asked(m.Clock())
+	t.tenure.AcquireSent(m.Clock())
 	m.mu.Unlock()
 	defer m.release(ctx, t)
 	in, cancel := context.WithTimeout(ctx, m.TTL)
 	a, err := m.Registry.Acquire(in, name, registry.AcquireRequest{
-		Claim: registry.Claim{ID: t.tenure.ID, Holder: m.Holder, TTLMS: m.TTL.Milliseconds()}, Wait: true,
+		Claim: registry.Claim{ID: t.tenure.ClaimID, Holder: m.Holder, TTLMS: m.TTL.Milliseconds()}, Wait: true,
 	})
 	cancel()
 	if err != nil {
 		return false, err
 	}
 	m.mu.Lock()
-	m.all[t.tenure.ID] = t
+	m.all[t.tenure.ClaimID] = t
 	t.tenure.Acquired(a, m.Clock())
 	m.mu.Unlock()
 	if err := t.await(ctx); err != nil {
@@ -276,17 +276,17 @@
 }
 
 // look tells how the term stands, and what to wait for.
-func (t *Term) look() (held, over, leave bool, left time.Duration, changed <-chan struct{}) {
+func (t *Handle) look() (held, over, leave bool, left time.Duration, changed <-chan struct{}) {
 	t.m.mu.Lock()
 	defer t.m.mu.Unlock()
 	now := t.m.Clock()
-	held, over = t.tenure.Held(now), t.tenure.Over(now)
-	_, leave = t.tenure.Left()
-	return held, over, leave, t.tenure.Until() - now, t.changed
+	held, over = t.tenure.Held(now), t.tenure.Ended(now)
+	_, leave = t.tenure.YieldRequested()
+	return held, over, leave, t.tenure.Deadline() - now, t.changed
 }
 
 // await waits in the line.
-func (t *Term) await(ctx context.Context) error {
+func (t *Handle) await(ctx context.Context) error {
 	for {
 		held, over, _, _, changed := t.look()
 		switch {
@@ -304,10 +304,10 @@
 }
 
 // run runs the task until it returns; its context ends when the lease does.
-func (t *Term) run(ctx context.Context, task func(ctx context.Context, t *Term) error) error {
+func (t *Handle) run(ctx context.Context, task func(ctx context.Context, t *Handle) error) error {
 	m := t.m
 	m.grants.Add(1)
-	log := slog.With("lease", t.Name(), "holder", m.Holder.Name, "token", t.Token())
+	log := slog.With("lease", t.LeaseName(), "holder", m.Holder.Name, "token", t.Token())
 	log.Info("lease: held")
 	in, end := context.WithCancelCause(ctx)
 	defer end(nil)
@@ -341,27 +341,27 @@
 var errAsked = errors.New("the lease was asked for")
 
 // release ends the claim when its task has returned.
-func (m *Member) release(ctx context.Context, t *Term) {
+func (m *Manager) release(ctx context.Context, t *Handle) {
 	m.mu.Lock()
-	delete(m.all, t.tenure.ID)
+	delete(m.all, t.tenure.ClaimID)
 	t.tenure.Resign()
-	to, _ := t.tenure.Left()
+	to, _ := t.tenure.YieldRequested()
 	m.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseIn)
 	defer cancel()
-	r := registry.ReleaseRequest{ClaimID: t.tenure.ID, Holder: m.Holder, NextHolder: to}
-	err := m.Registry.Release(ctx, t.tenure.Name, r)
+	r := registry.ReleaseRequest{ClaimID: t.tenure.ClaimID, Holder: m.Holder, NextHolder: to}
+	err := m.Registry.Release(ctx, t.tenure.LeaseName, r)
 	if to != "" && errors.Is(err, registry.ErrNotFound) { // it has gone meanwhile: whoever waits longest has it next
 		r.NextHolder = ""
-		err = m.Registry.Release(ctx, t.tenure.Name, r)
+		err = m.Registry.Release(ctx, t.tenure.LeaseName, r)
 	}
 	if err != nil && !errors.Is(err, registry.ErrNotFound) {
-		slog.Debug("lease: not released, its time will be up", "lease", t.tenure.Name, "err", err)
+		slog.Debug("lease: not released, its time will be up", "lease", t.tenure.LeaseName, "err", err)
 	}
 }
 
-// Holds says whether the lease is held at this moment.
-func (t *Term) Holds() bool {
+// Held says whether the lease is held at this moment.
+func (t *Handle) Held() bool {
 	t.m.mu.Lock()
 	defer t.m.mu.Unlock()
 	return t.tenure.Held(t.m.Clock())
@@ -369,9 +369,9 @@
 
 // HandOver asks the term's own task to end, and for the lease to go to another who
 // waits for it.
-func (t *Term) HandOver(to string) {
+func (t *Handle) HandOver(to string) {
 	t.m.mu.Lock()
 	defer t.m.mu.Unlock()
-	t.tenure.Ask(to)
+	t.tenure.RequestYield(to)
 	t.note()
 }
--- a/internal/lease/member_test.go
+++ b/internal/lease/member_test.go
@@ -156,14 +156,14 @@
 func (b *bench) join(holder string) (leave context.CancelFunc) {
 	ctx, cancel := context.WithCancel(b.ctx)
 	began := time.Now()
-	m := NewMember(Options{
+	m := NewManager(Options{
 		Registry: b.g, TTL: ttl, Holder: registry.Holder{Name: holder, Incarnation: 1}, Clock: func() time.Duration { return time.Since(began) },
 	})
 	over := make(chan struct{})
 	b.tasks.Go(func() { m.Run(b.ctx) })
 	b.tasks.Go(func() {
 		defer close(over)
-		m.Hold(ctx, "l", func(ctx context.Context, term *Term) error {
+		m.Hold(ctx, "l", func(ctx context.Context, term *Handle) error {
 			s := span{holder: holder, token: term.Token(), begin: time.Now()}
 			<-ctx.Done()
 			s.end = time.Now()
@@ -251,16 +251,16 @@
 	run(t, func(b *bench) {
 		began := time.Now()
 		var stopped atomic.Int64
-		m := NewMember(Options{Registry: b.g, TTL: ttl, Holder: registry.Holder{Name: "k1"}, Clock: func() time.Duration { return time.Since(began) + time.Duration(stopped.Load()) }})
+		m := NewManager(Options{Registry: b.g, TTL: ttl, Holder: registry.Holder{Name: "k1"}, Clock: func() time.Duration { return time.Since(began) + time.Duration(stopped.Load()) }})
 		b.tasks.Go(func() { m.Run(b.ctx) })
-		err := m.Hold(b.ctx, "l", func(ctx context.Context, term *Term) error {
+		err := m.Hold(b.ctx, "l", func(ctx context.Context, term *Handle) error {
 			if stopped.Load() > 0 {
 				return nil // the member saw that the lease had lapsed before the task's end
 			}
-			if err := term.Do(ctx, ttl, func(context.Context) error { return nil }); !errors.Is(err, ErrShort) {
+			if err := term.Do(ctx, ttl, func(context.Context) error { return nil }); !errors.Is(err, ErrInsufficientTime) {
 				t.Errorf("an act longer than the lease: %v", err)
 			}
-			in, cancel, err := term.Act(ctx, time.Second)
+			in, cancel, err := term.BeginAct(ctx, time.Second)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -269,7 +269,7 @@
 				t.Errorf("an act may last until %v", until)
 			}
 			stopped.Store(int64(ttl)) // as a process that was stopped for that long finds when it goes on
-			if _, _, err := term.Act(ctx, 0); !errors.Is(err, ErrLapsed) {
+			if _, _, err := term.BeginAct(ctx, 0); !errors.Is(err, ErrLapsed) {
 				t.Errorf("an act after the lease: %v", err)
 			}
 			return nil
--- a/internal/lease/model/explore.go
+++ b/internal/lease/model/explore.go
@@ -33,11 +33,11 @@
 		now := w.reads(i)
 		text = fmt.Appendln(text, h.of)
 		for _, t := range h.tenures {
-			if t == nil || t.Over(now) {
+			if t == nil || t.Ended(now) {
 				text = append(text, '-')
 				continue
 			}
-			text = fmt.Appendln(text, id(t.ID), token(t.Token()), max(-1, t.Until()-now), t.Age(now))
+			text = fmt.Appendln(text, id(t.ClaimID), token(t.Token()), max(-1, t.Deadline()-now), t.Age(now))
 		}
 	}
 	all, _ := w.state.Leases().List()
@@ -140,7 +140,7 @@
 			for j, t := range h.tenures {
 				var f *modelcheck.Found
 				switch {
-				case t == nil || t.Over(w.reads(i)):
+				case t == nil || t.Ended(w.reads(i)):
 					f = do("k%d asks for %d", i, j, func(w *World) { w.begin(i, j) })
 				case t.Token() == 0: // the first call may have been lost
 					f = do("k%d asks again for %d", i, j, func(w *World) { w.send(acquire, i, j) })
--- a/internal/lease/model/world.go
+++ b/internal/lease/model/world.go
@@ -40,7 +40,7 @@
 // holder is one process with at most one claim on each lease.
 type holder struct {
 	of      registry.Holder
-	tenures []*lease.Tenure
+	tenures []*lease.Session
 }
 
 type kind int
@@ -122,7 +122,7 @@
 		panic(err)
 	}
 	for i := range s.Holders {
-		h := &holder{of: registry.Holder{Name: fmt.Sprint("k", i), Incarnation: 1}, tenures: make([]*lease.Tenure, s.Leases)}
+		h := &holder{of: registry.Holder{Name: fmt.Sprint("k", i), Incarnation: 1}, tenures: make([]*lease.Session, s.Leases)}
 		if s.Namesakes && i < 2 {
 			h.of = registry.Holder{Name: "k", Incarnation: uint64(i + 1)}
 		}
@@ -144,7 +144,7 @@
 	c.state, c.clock = w.state.Clone(), w.clock.Clone()
 	c.holders = make([]*holder, len(w.holders))
 	for i, h := range w.holders {
-		n := &holder{of: h.of, tenures: make([]*lease.Tenure, len(h.tenures))}
+		n := &holder{of: h.of, tenures: make([]*lease.Session, len(h.tenures))}
 		for j, t := range h.tenures {
 			if t != nil {
 				one := *t
@@ -230,7 +230,7 @@
 		from := len(all)
 		for j, t := range h.tenures {
 			switch {
-			case t == nil || t.Over(w.reads(i)):
+			case t == nil || t.Ended(w.reads(i)):
 				if room {
 					add(6, func(w *World) { w.begin(i, j) }, "k%d asks for %d", i, j)
 				}
@@ -240,7 +240,7 @@
 					w.send(acquire, i, j)
 				}, "k%d asks again for %d", i, j)
 			}
-			if t != nil && !t.Over(w.reads(i)) && room {
+			if t != nil && !t.Ended(w.reads(i)) && room {
 				add(10, func(w *World) { w.send(renewal, i, j) }, "k%d renews %d", i, j)
 			}
 			if t != nil && t.Held(w.reads(i)) && room {
@@ -294,7 +294,7 @@
 func (w *World) begin(i, j int) {
 	h := w.holders[i]
 	w.claims++
-	h.tenures[j] = &lease.Tenure{Name: leaseName(j), ID: fmt.Sprintf("claim-%05d", w.claims), Of: h.of, TTL: w.TTL}
+	h.tenures[j] = &lease.Session{LeaseName: leaseName(j), ClaimID: fmt.Sprintf("claim-%05d", w.claims), Holder: h.of, TTL: w.TTL}
 	w.send(acquire, i, j)
 }
 
@@ -303,7 +303,7 @@
 	w.starts++
 	h := w.holders[i]
 	h.of.Incarnation = uint64(2 + w.starts) // later than any before
-	h.tenures = make([]*lease.Tenure, w.Leases)
+	h.tenures = make([]*lease.Session, w.Leases)
 }
 
 func (w *World) send(k kind, i, j int) {
@@ -311,10 +311,10 @@
 	t := h.tenures[j]
 	now := w.reads(i)
 	if k == acquire {
-		t.Asked(now)
+		t.AcquireSent(now)
 	}
 	m := message{kind: k, holder: i, lease: j, sent: now}
-	m.claim = registry.Claim{ID: t.ID, Holder: h.of, TTLMS: w.TTL.Milliseconds()}
+	m.claim = registry.Claim{ID: t.ClaimID, Holder: h.of, TTLMS: w.TTL.Milliseconds()}
 	m.token = t.Token()
 	w.network = append(w.network, m)
 }
@@ -341,7 +341,7 @@
 		})
 		w.judge.wrote(m, r.Err)
 	case answer:
-		if t := w.holders[m.holder].tenures[m.lease]; t != nil && t.ID == m.claim.ID && t.Of == m.claim.Holder {
+		if t := w.holders[m.holder].tenures[m.lease]; t != nil && t.ClaimID == m.claim.ID && t.Holder == m.claim.Holder {
 			if m.first {
 				t.Acquired(m.answer, w.reads(m.holder))
 			} else {
@@ -394,7 +394,7 @@
 		for i, h := range w.holders {
 			if t := h.tenures[j]; t != nil {
 				one := *t // asking must not change it
-				if one.Act(w.reads(i), time.Millisecond) == nil {
+				if one.CheckAct(w.reads(i), time.Millisecond) == nil {
 					may = append(may, fmt.Sprintf("k%d with token %d", i, t.Token()))
 				}
 			}
--- a/internal/lease/tenure.go
+++ b/internal/lease/tenure.go
@@ -31,18 +31,18 @@
 var (
 	// ErrLapsed says that the time is up, as far as this process knows.
 	ErrLapsed = errors.New("the lease has lapsed")
-	// ErrShort says that too little time is left for the act.
-	ErrShort = errors.New("too little of the lease is left")
+	// ErrInsufficientTime says that too little time is left for the act.
+	ErrInsufficientTime = errors.New("too little of the lease is left")
 )
 
-// Tenure is one claim on one lease from its asking to its end: a state machine
+// Session is one claim on one lease from its asking to its end: a state machine
 // without a clock, which is told the time, as a reading of a clock that never goes
 // back. It is not safe for concurrent use.
-type Tenure struct {
-	Name string
-	ID   string
-	Of   registry.Holder
-	TTL  time.Duration
+type Session struct {
+	LeaseName string
+	ClaimID   string
+	Holder    registry.Holder
+	TTL       time.Duration
 
 	asked bool
 	first time.Duration // before the first call for it was sent
@@ -53,8 +53,8 @@
 	to    string
 }
 
-// Asked notes that a call for the lease is about to be sent.
-func (t *Tenure) Asked(now time.Duration) {
+// AcquireSent notes that a call for the lease is about to be sent.
+func (t *Session) AcquireSent(now time.Duration) {
 	if !t.asked {
 		t.asked, t.first = true, now
 	}
@@ -62,21 +62,21 @@
 
 // Acquired takes the answer to that call in. However often it was sent, the grant may
 // have come with the first.
-func (t *Tenure) Acquired(a registry.ClaimStatus, now time.Duration) {
+func (t *Session) Acquired(a registry.ClaimStatus, now time.Duration) {
 	t.take(a, t.first, now)
 }
 
 // Renewed takes the answer in to a renewal that was sent at a time.
-func (t *Tenure) Renewed(a registry.ClaimStatus, sent, now time.Duration) { t.take(a, sent, now) }
+func (t *Session) Renewed(a registry.ClaimStatus, sent, now time.Duration) { t.take(a, sent, now) }
 
-func (t *Tenure) take(a registry.ClaimStatus, sent, now time.Duration) {
+func (t *Session) take(a registry.ClaimStatus, sent, now time.Duration) {
 	t.look(now)
 	switch {
 	case t.over:
 	case a.Ended || t.token != 0 && a.Token != 0 && a.Token != t.token:
 		t.over = true
 	case a.YieldRequested:
-		t.Ask(a.NextHolder)
+		t.RequestYield(a.NextHolder)
 	case a.Token != 0:
 		if mutation.FromAnswer {
 			sent = now
@@ -91,49 +91,49 @@
 
 // look notes that the time is up. A tenure that has lapsed once is over: its task is
 // to stop first, and may then begin another.
-func (t *Tenure) look(now time.Duration) {
+func (t *Session) look(now time.Duration) {
 	if t.token != 0 && t.until != 0 && now >= t.until && !mutation.UncheckedPause {
 		t.over = true
 	}
 }
 
 // Held says whether the lease is held, as far as this process knows.
-func (t *Tenure) Held(now time.Duration) bool {
+func (t *Session) Held(now time.Duration) bool {
 	t.look(now)
 	return t.token != 0 && !t.over
 }
 
-// Over says whether the tenure has ended for good.
-func (t *Tenure) Over(now time.Duration) bool {
+// Ended says whether the tenure has ended for good.
+func (t *Session) Ended(now time.Duration) bool {
 	t.look(now)
 	return t.over
 }
 
-// Ask notes that the lease is to be given up, to somebody or to whoever waits longest.
-func (t *Tenure) Ask(to string) { t.leave, t.to = true, to }
+// RequestYield notes that the lease is to be given up, to somebody or to whoever waits longest.
+func (t *Session) RequestYield(to string) { t.leave, t.to = true, to }
 
-// Left says whether the holder was asked to give the lease up, and to whom.
-func (t *Tenure) Left() (to string, leave bool) { return t.to, t.leave }
+// YieldRequested says whether the holder was asked to give the lease up, and to whom.
+func (t *Session) YieldRequested() (to string, leave bool) { return t.to, t.leave }
 
 // Token is the fencing token, 0 before the grant.
-func (t *Tenure) Token() uint64 { return t.token }
+func (t *Session) Token() uint64 { return t.token }
 
 // Age is how long ago the lease was first asked for.
-func (t *Tenure) Age(now time.Duration) time.Duration { return now - t.first }
+func (t *Session) Age(now time.Duration) time.Duration { return now - t.first }
 
-// Until is when acts have to have ended, on the clock that the tenure is told.
-func (t *Tenure) Until() time.Duration { return t.until }
+// Deadline is when acts have to have ended, on the clock that the tenure is told.
+func (t *Session) Deadline() time.Duration { return t.until }
 
-// Act says whether an act that takes a time may begin now.
-func (t *Tenure) Act(now, takes time.Duration) error {
+// CheckAct says whether an act that takes a time may begin now.
+func (t *Session) CheckAct(now, takes time.Duration) error {
 	switch {
 	case !t.Held(now):
-		return fmt.Errorf("%w: %s", ErrLapsed, t.Name)
+		return fmt.Errorf("%w: %s", ErrLapsed, t.LeaseName)
 	case now+takes > t.until && !mutation.UncheckedPause:
-		return fmt.Errorf("%w: %s has another %v, the act may take %v", ErrShort, t.Name, t.until-now, takes)
+		return fmt.Errorf("%w: %s has another %v, the act may take %v", ErrInsufficientTime, t.LeaseName, t.until-now, takes)
 	}
 	return nil
 }
 
 // Resign ends the tenure from this side.
-func (t *Tenure) Resign() { t.over = true }
+func (t *Session) Resign() { t.over = true }
--- a/internal/membership/info.go
+++ b/internal/membership/info.go
@@ -131,5 +131,5 @@
 	h.Write(boot)
 	h.Write([]byte(space))
 	pid = os.Getpid()
-	return strconv.FormatUint(h.Sum64(), 36), pid, rollout.ProcessStart(pid)
+	return strconv.FormatUint(h.Sum64(), 36), pid, rollout.ProcessStartTicks(pid)
 }
--- a/internal/registry/policy.go
+++ b/internal/registry/policy.go
@@ -23,11 +23,11 @@
 	}
 	step := *c.PolicyStep
 	step.AtMS = c.AtMS
-	if step.Verb == rollout.Advance && c.Fence == nil {
+	if step.Op == rollout.OpAdvance && c.Fence == nil {
 		return failed(fmt.Errorf("%w: to advance a change is for the holder of its lease", ErrInvalid))
 	}
 	err := s.policy.Apply(step)
-	for ours, theirs := range map[error]error{ErrInvalid: rollout.ErrBad, ErrConflict: rollout.ErrConflict, ErrNotFound: rollout.ErrUnknown, ErrLimitReached: rollout.ErrFull} {
+	for ours, theirs := range map[error]error{ErrInvalid: rollout.ErrInvalid, ErrConflict: rollout.ErrConflict, ErrNotFound: rollout.ErrNotFound, ErrLimitReached: rollout.ErrLimitReached} {
 		if errors.Is(err, theirs) {
 			err = fmt.Errorf("%w: %w", ours, err)
 			break
@@ -57,7 +57,7 @@
 func (s *State) unseat(seated []Claim) {
 	for _, c := range seated {
 		if l := s.leases.all[RosterLeasePrefix+c.Name]; l == nil || l.Grant == nil || l.Grant.ID != c.ID {
-			s.policy.Apply(rollout.Command{Verb: rollout.Leave, Member: rollout.Member{Name: c.Name, Incarnation: c.Incarnation}})
+			s.policy.Apply(rollout.Command{Op: rollout.OpLeave, Member: rollout.Member{Name: c.Name, Incarnation: c.Incarnation}})
 		}
 	}
 }
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -375,7 +375,7 @@
 	from.founded, from.seq, from.oldest, from.edits, from.log = s.founded, next, next, next, nil
 	s.leases.restored(from.leases)
 	from.leases = s.leases
-	s.policy.Restored(from.policy)
+	s.policy.Restore(from.policy)
 	from.policy = s.policy
 	*s = *from
 	return Result{Version: next}
--- a/internal/rollout/document.go
+++ b/internal/rollout/document.go
@@ -19,31 +19,31 @@
 
 // The modes.
 const (
-	Carry  Mode = "carry"  // it serves on by what it holds, and a change waits for it
-	Refuse Mode = "refuse" // it refuses new requests, and a change waits for its lease at most
+	ModeCarry  Mode = "carry"  // it serves on by what it holds, and a change waits for it
+	ModeRefuse Mode = "refuse" // it refuses new requests, and a change waits for its lease at most
 )
 
 // Document is a policy: what each sidecar acts by.
 type Document struct {
-	Form    int      `json:"form" toml:"form"` // of the document itself
-	Mode    Mode     `json:"mode" toml:"mode"`
-	Tenants []Tenant `json:"tenants" toml:"tenants"`
-	// MostTries bounds the attempts for a request, the first among them; 0: as configured.
-	MostTries int `json:"most_tries,omitempty" toml:"most_tries"`
+	FormatVersion int      `json:"form" toml:"form"` // of the document itself
+	Mode          Mode     `json:"mode" toml:"mode"`
+	Tenants       []Tenant `json:"tenants" toml:"tenants"`
+	// MaxAttempts bounds the attempts for a request, the first among them; 0: as configured.
+	MaxAttempts int `json:"most_tries,omitempty" toml:"most_tries"`
 	// NoProbes keeps sidecars from probing servers.
 	NoProbes bool `json:"no_probes,omitempty" toml:"no_probes"`
-	// Clients and Servers bound a sidecar's connections on both sides; 0: as configured.
-	Clients int `json:"client_connections,omitempty" toml:"client_connections"`
-	Servers int `json:"server_connections,omitempty" toml:"server_connections"`
+	// MaxClientConnections and Servers bound a sidecar's connections on both sides; 0: as configured.
+	MaxClientConnections int `json:"client_connections,omitempty" toml:"client_connections"`
+	MaxServerConnections int `json:"server_connections,omitempty" toml:"server_connections"`
 
 	unknown string // what this build does not know of it
 }
 
 // Tenant is one tenant's walls at each sidecar.
 type Tenant struct {
-	Name   string `json:"name" toml:"name"`
-	Slots  int    `json:"slots" toml:"slots"`   // requests at servers at once; 0: it is served no more
-	Places int    `json:"places" toml:"places"` // and that wait
+	Name        string `json:"name" toml:"name"`
+	Slots       int    `json:"slots" toml:"slots"`   // requests at servers at once; 0: it is served no more
+	QueuePlaces int    `json:"places" toml:"places"` // and that wait
 }
 
 const (
@@ -60,18 +60,18 @@
 	switch {
 	case d.unknown != "":
 		return fmt.Errorf("%s: this build does not know it", d.unknown)
-	case d.Form != form:
-		return fmt.Errorf("form is %d, this build knows %d", d.Form, form)
-	case d.Mode != Carry && d.Mode != Refuse:
+	case d.FormatVersion != form:
+		return fmt.Errorf("form is %d, this build knows %d", d.FormatVersion, form)
+	case d.Mode != ModeCarry && d.Mode != ModeRefuse:
 		return fmt.Errorf("mode is %.32q; there are carry and refuse", d.Mode)
 	case len(d.Tenants) == 0 || len(d.Tenants) > maxTenants:
 		return fmt.Errorf("tenants: %d are named, 1 to %d are needed", len(d.Tenants), maxTenants)
-	case d.MostTries < 0 || d.MostTries > maxTries:
-		return fmt.Errorf("most_tries is %d, it must lie between 0 and %d", d.MostTries, maxTries)
-	case d.Clients < 0 || d.Clients > maxSlots:
-		return fmt.Errorf("client_connections is %d, it must lie between 0 and %d", d.Clients, maxSlots)
-	case d.Servers < 0 || d.Servers > maxSlots:
-		return fmt.Errorf("server_connections is %d, it must lie between 0 and %d", d.Servers, maxSlots)
+	case d.MaxAttempts < 0 || d.MaxAttempts > maxTries:
+		return fmt.Errorf("most_tries is %d, it must lie between 0 and %d", d.MaxAttempts, maxTries)
+	case d.MaxClientConnections < 0 || d.MaxClientConnections > maxSlots:
+		return fmt.Errorf("client_connections is %d, it must lie between 0 and %d", d.MaxClientConnections, maxSlots)
+	case d.MaxServerConnections < 0 || d.MaxServerConnections > maxSlots:
+		return fmt.Errorf("server_connections is %d, it must lie between 0 and %d", d.MaxServerConnections, maxSlots)
 	}
 	seen := make(map[string]bool)
 	any := false
@@ -83,9 +83,9 @@
 			return fmt.Errorf("tenants[%d].name %q is there twice", i, t.Name)
 		case t.Slots < 0 || t.Slots > maxSlots:
 			return fmt.Errorf("tenants[%d].slots is %d, it must lie between 0 and %d", i, t.Slots, maxSlots)
-		case t.Places < 0 || t.Places > maxSlots:
-			return fmt.Errorf("tenants[%d].places is %d, it must lie between 0 and %d", i, t.Places, maxSlots)
-		case t.Slots > 0 && t.Places == 0:
+		case t.QueuePlaces < 0 || t.QueuePlaces > maxSlots:
+			return fmt.Errorf("tenants[%d].places is %d, it must lie between 0 and %d", i, t.QueuePlaces, maxSlots)
+		case t.Slots > 0 && t.QueuePlaces == 0:
 			return fmt.Errorf("tenants[%d].places is 0, a tenant with slots needs at least one", i)
 		}
 		seen[t.Name] = true
@@ -108,14 +108,14 @@
 // Stricter is the policy that allows what both allow, field by field. Whoever acts by
 // it takes no more than either alone would.
 func Stricter(a, b *Document) *Document {
-	j := &Document{Form: form, Mode: a.Mode, MostTries: least(a.MostTries, b.MostTries), NoProbes: a.NoProbes || b.NoProbes,
-		Clients: least(a.Clients, b.Clients), Servers: least(a.Servers, b.Servers)}
-	if b.Mode == Refuse {
-		j.Mode = Refuse
+	j := &Document{FormatVersion: form, Mode: a.Mode, MaxAttempts: least(a.MaxAttempts, b.MaxAttempts), NoProbes: a.NoProbes || b.NoProbes,
+		MaxClientConnections: least(a.MaxClientConnections, b.MaxClientConnections), MaxServerConnections: least(a.MaxServerConnections, b.MaxServerConnections)}
+	if b.Mode == ModeRefuse {
+		j.Mode = ModeRefuse
 	}
 	for _, t := range a.Tenants {
 		o := b.Tenant(t.Name)
-		j.Tenants = append(j.Tenants, Tenant{t.Name, min(t.Slots, o.Slots), min(t.Places, o.Places)})
+		j.Tenants = append(j.Tenants, Tenant{t.Name, min(t.Slots, o.Slots), min(t.QueuePlaces, o.QueuePlaces)})
 	}
 	for _, t := range b.Tenants { // those that the other does not name have nothing yet
 		if !slices.ContainsFunc(a.Tenants, func(o Tenant) bool { return o.Name == t.Name }) {
@@ -133,8 +133,8 @@
 	return a
 }
 
-// Sum is the document's checksum.
-func (d *Document) Sum() string {
+// Checksum is the document's checksum.
+func (d *Document) Checksum() string {
 	text, err := json.Marshal(d)
 	if err != nil {
 		panic(fmt.Sprintf("rollout: a document that cannot be written: %v", err)) // texts and numbers can
@@ -182,9 +182,9 @@
 			say("%s: %s, was %s", name, word(is), word(was))
 		}
 	}
-	number("most_tries", from.MostTries, to.MostTries)
-	number("client_connections", from.Clients, to.Clients)
-	number("server_connections", from.Servers, to.Servers)
+	number("most_tries", from.MaxAttempts, to.MaxAttempts)
+	number("client_connections", from.MaxClientConnections, to.MaxClientConnections)
+	number("server_connections", from.MaxServerConnections, to.MaxServerConnections)
 	if from.NoProbes != to.NoProbes {
 		say("no_probes: %v, was %v", to.NoProbes, from.NoProbes)
 	}
@@ -192,14 +192,14 @@
 		o := to.Tenant(t.Name)
 		switch gone := !slices.ContainsFunc(to.Tenants, func(o Tenant) bool { return o.Name == t.Name }); {
 		case gone:
-			say("tenant %s: removed, had %d slots and %d places at each sidecar", t.Name, t.Slots, t.Places)
+			say("tenant %s: removed, had %d slots and %d places at each sidecar", t.Name, t.Slots, t.QueuePlaces)
 		case o != t:
-			say("tenant %s: %d slots and %d places at each sidecar, was %d and %d", t.Name, o.Slots, o.Places, t.Slots, t.Places)
+			say("tenant %s: %d slots and %d places at each sidecar, was %d and %d", t.Name, o.Slots, o.QueuePlaces, t.Slots, t.QueuePlaces)
 		}
 	}
 	for _, t := range to.Tenants {
 		if !slices.ContainsFunc(from.Tenants, func(o Tenant) bool { return o.Name == t.Name }) {
-			say("tenant %s: new, %d slots and %d places at each sidecar", t.Name, t.Slots, t.Places)
+			say("tenant %s: new, %d slots and %d places at each sidecar", t.Name, t.Slots, t.QueuePlaces)
 		}
 	}
 	return lines
--- a/internal/rollout/model/world.go
+++ b/internal/rollout/model/world.go
@@ -36,7 +36,7 @@
 	up     bool
 	follow *rollout.Follower
 	saying bool // a call of its is under way
-	acts   rollout.Acts
+	acts   rollout.ActivePolicy
 	acting bool
 	cannot bool // it cannot act by documents that name too much
 }
@@ -87,7 +87,7 @@
 
 // document is the n-th to be proposed; those beyond hard are too much for some.
 func document(n int, hard bool) *rollout.Document {
-	d := &rollout.Document{Form: 1, Mode: rollout.Carry, Tenants: []rollout.Tenant{{Name: "t", Slots: n + 1, Places: 1}}}
+	d := &rollout.Document{FormatVersion: 1, Mode: rollout.ModeCarry, Tenants: []rollout.Tenant{{Name: "t", Slots: n + 1, QueuePlaces: 1}}}
 	if hard {
 		d.Tenants[0].Slots += 100
 	}
@@ -136,7 +136,7 @@
 	s.up, s.saying, s.acting = true, false, false
 	s.cannot = w.used["cannot"] > 0 && i == 0
 	cannot := s.cannot
-	s.follow = &rollout.Follower{Me: s.me, Can: func(d *rollout.Document) error {
+	s.follow = &rollout.Follower{Self: s.me, Supports: func(d *rollout.Document) error {
 		if cannot && d.Tenants[0].Slots > 100 {
 			return errCannot
 		}
@@ -172,8 +172,8 @@
 	for i, s := range w.sidecars {
 		if !s.up {
 			add(4, i, "n%d starts", i, func(w *World) { w.start(i) })
-			limited("evict", w.Evicts, slices.ContainsFunc(st.Roster, func(m rollout.Seat) bool { return m.Name == s.me.Name }), 1, -1, "n%d is evicted", i, func(w *World) {
-				w.state.Apply(rollout.Command{Verb: rollout.Evict, Member: w.sidecars[i].me})
+			limited("evict", w.Evicts, slices.ContainsFunc(st.Roster, func(m rollout.RosterMember) bool { return m.Name == s.me.Name }), 1, -1, "n%d is evicted", i, func(w *World) {
+				w.state.Apply(rollout.Command{Op: rollout.OpEvict, Member: w.sidecars[i].me})
 			})
 			continue
 		}
@@ -184,7 +184,7 @@
 		limited("goodbye", w.Goodbyes, room, 1, i, "n%d says goodbye and ends", i, func(w *World) {
 			s := w.sidecars[i]
 			s.up, s.acting = false, false
-			w.network = append(w.network, message{kind: say, of: i, me: s.me, command: rollout.Command{Verb: rollout.Leave, Member: s.me}})
+			w.network = append(w.network, message{kind: say, of: i, me: s.me, command: rollout.Command{Op: rollout.OpLeave, Member: s.me}})
 		})
 	}
 	for i, m := range w.network {
@@ -210,11 +210,11 @@
 	limited("cannot", w.Cannot, true, 2, -1, "a change that not all bear is proposed", nil, func(w *World) { w.propose(true) })
 	limited("abort", w.Aborts, st.Change != nil, 1, -1, "the change is aborted", nil, func(w *World) {
 		if c := w.state.Status().Change; c != nil {
-			w.state.Apply(rollout.Command{Verb: rollout.Abort, Number: c.Number, By: "operator"})
+			w.state.Apply(rollout.Command{Op: rollout.OpAbort, ChangeNumber: c.Number, By: "operator"})
 		}
 	})
 	limited("restore", w.Restores, true, 1, -1, "an old backup is restored", nil, func(w *World) {
-		w.state.Restored(w.backup)
+		w.state.Restore(w.backup)
 		w.judge.epoch = w.state.Status().Epoch
 	})
 	limited("tick", w.Ticks, true, 3, -1, "time passes", nil, func(w *World) { w.now += tick })
@@ -224,9 +224,9 @@
 func (w *World) propose(hard bool) {
 	st := w.state.Status()
 	n := w.used["change"] + w.used["cannot"]
-	c := rollout.Command{Verb: rollout.Propose, Doc: document(n, hard), Base: st.Epoch, By: "operator", Reason: fmt.Sprint(n), Within: within, AtMS: w.now}
+	c := rollout.Command{Op: rollout.OpPropose, Document: document(n, hard), BaseEpoch: st.Epoch, By: "operator", Reason: fmt.Sprint(n), WithinMS: within, AtMS: w.now}
 	if n%2 < w.Canaries {
-		c.First, c.Watch = 0.3, tick/2
+		c.CanaryFraction, c.CanaryWatchMS = 0.3, tick/2
 	}
 	w.state.Apply(c)
 }
@@ -235,12 +235,12 @@
 // for news.
 func (w *World) speak(i int) {
 	s := w.sidecars[i]
-	s.acts, s.acting = s.follow.Acting()
-	c, any := s.follow.Next()
+	s.acts, s.acting = s.follow.Active()
+	c, any := s.follow.NextCommand()
 	if !any {
 		c = rollout.Command{}
-		if n, wanted := s.follow.Reports(); wanted {
-			c = rollout.Command{Verb: rollout.Report, Member: s.me, Number: n, Counts: rollout.Counts{Asked: uint64(w.judge.Steps) * 100}}
+		if n, wanted := s.follow.ReportsWanted(); wanted {
+			c = rollout.Command{Op: rollout.OpReport, Member: s.me, ChangeNumber: n, Counts: rollout.RequestCounts{Requests: uint64(w.judge.Steps) * 100}}
 		}
 	}
 	s.saying = true
@@ -255,11 +255,11 @@
 		w.state.Apply(m.command)
 	case say:
 		var err error
-		if m.command.Verb != "" {
+		if m.command.Op != "" {
 			m.command.AtMS = w.now
 			err = w.state.Apply(m.command)
 		}
-		if m.command.Verb != rollout.Leave {
+		if m.command.Op != rollout.OpLeave {
 			w.network = append(w.network, message{kind: answer, of: m.of, me: m.me, command: m.command, view: w.state.View(m.me), err: err})
 		}
 	case answer:
@@ -268,11 +268,11 @@
 			return
 		}
 		s.saying = false
-		s.follow.Said(m.command, m.err)
-		s.follow.Take(m.view)
-		if s.acts, s.acting = s.follow.Acting(); s.follow.Fatal() != nil { // it ends as a start that fails does
+		s.follow.HandleResult(m.command, m.err)
+		s.follow.HandleView(m.view)
+		if s.acts, s.acting = s.follow.Active(); s.follow.Fatal() != nil { // it ends as a start that fails does
 			s.up = false
-			w.network = append(w.network, message{kind: say, of: m.of, me: s.me, command: rollout.Command{Verb: rollout.Leave, Member: s.me}})
+			w.network = append(w.network, message{kind: say, of: m.of, me: s.me, command: rollout.Command{Op: rollout.OpLeave, Member: s.me}})
 		}
 	}
 }
@@ -286,7 +286,7 @@
 		w.judge.Commits++
 		for _, seat := range st.Roster {
 			i := slices.IndexFunc(w.sidecars, func(s *sidecar) bool { return s.up && s.me == seat.Member })
-			if i >= 0 && (!w.sidecars[i].acting || w.sidecars[i].acts.Joint != st.Epoch) {
+			if i >= 0 && (!w.sidecars[i].acting || w.sidecars[i].acts.JointChange != st.Epoch) {
 				return fmt.Errorf("epoch %d is in force, and n%d, which has a seat, never acted by it and the old one", st.Epoch, i)
 			}
 		}
@@ -300,11 +300,11 @@
 		acting++
 		w.judge.Acting++
 		common[s.acts.Epoch]++
-		if s.acts.Joint != 0 {
-			common[s.acts.Joint]++
+		if s.acts.JointChange != 0 {
+			common[s.acts.JointChange]++
 			w.judge.Joint++
 		}
-		if s.cannot && s.acts.Doc != nil && s.acts.Doc.Tenants[0].Slots > 100 {
+		if s.cannot && s.acts.Document != nil && s.acts.Document.Tenants[0].Slots > 100 {
 			return fmt.Errorf("n%d is to act by epoch %d, which it cannot", i, s.acts.Epoch)
 		}
 	}
@@ -319,7 +319,7 @@
 	text := ""
 	for i, s := range w.sidecars {
 		if s.up && s.acting {
-			text += fmt.Sprintf(" n%d by epoch %d (joint with %d)", i, s.acts.Epoch, s.acts.Joint)
+			text += fmt.Sprintf(" n%d by epoch %d (joint with %d)", i, s.acts.Epoch, s.acts.JointChange)
 		}
 	}
 	return fmt.Errorf("old and new at once:%s", text)
@@ -331,20 +331,20 @@
 	st.History = nil
 	text = fmt.Append(text, w.now, w.used, st.Epoch, st.Stage, st.Roster)
 	if st.Change != nil {
-		text = fmt.Append(text, st.Change.Number, st.Change.UntilMS)
+		text = fmt.Append(text, st.Change.Number, st.Change.DeadlineMS)
 	}
 	for _, s := range w.sidecars {
-		text = fmt.Append(text, "|", s.up, s.acting, s.cannot, s.saying, s.me.Incarnation, s.acts.Epoch, s.acts.Joint)
+		text = fmt.Append(text, "|", s.up, s.acting, s.cannot, s.saying, s.me.Incarnation, s.acts.Epoch, s.acts.JointChange)
 		if s.up {
 			text = s.follow.Key(text)
 		}
 	}
 	for _, l := range w.leaders {
-		text = fmt.Append(text, "|", l.Epoch, l.Stage, l.Waits, l.Version)
+		text = fmt.Append(text, "|", l.Epoch, l.Stage, l.WaitingFor, l.Version)
 	}
 	lines := make([]string, 0, len(w.network))
 	for _, m := range w.network {
-		lines = append(lines, fmt.Sprint(m.kind, m.of, m.me, m.command.Verb, m.command.Number, m.command.Stage, m.command.No != "", m.view.Epoch, m.view.Stage, m.view.Number, m.view.Seated, st.Version-m.view.Version, m.err != nil))
+		lines = append(lines, fmt.Sprint(m.kind, m.of, m.me, m.command.Op, m.command.ChangeNumber, m.command.Stage, m.command.Refusal != "", m.view.Epoch, m.view.Stage, m.view.ChangeNumber, m.view.InRoster, st.Version-m.view.Version, m.err != nil))
 	}
 	slices.Sort(lines)
 	return fmt.Append(text, lines)
@@ -400,15 +400,15 @@
 		w.now += tick / 5
 	}
 	st := w.state.Status()
-	if st.Stage != rollout.Settled {
-		return k.Found(fmt.Errorf("change %d is still %s, it waits for %v", st.Change.Number, st.Stage, st.Waits))
+	if st.Stage != rollout.StageSettled {
+		return k.Found(fmt.Errorf("change %d is still %s, it waits for %v", st.Change.Number, st.Stage, st.WaitingFor))
 	}
 	for i, s := range w.sidecars {
-		if s.cannot && st.Doc != nil && st.Doc.Tenants[0].Slots > 100 {
+		if s.cannot && st.Document != nil && st.Document.Tenants[0].Slots > 100 {
 			continue // it starts in vain
 		}
-		if !s.acting || s.acts.Epoch != st.Epoch || s.acts.Joint != 0 {
-			return k.Found(fmt.Errorf("n%d acts by epoch %d (joint with %d, acting %v) when epoch %d has settled", i, s.acts.Epoch, s.acts.Joint, s.acting, st.Epoch))
+		if !s.acting || s.acts.Epoch != st.Epoch || s.acts.JointChange != 0 {
+			return k.Found(fmt.Errorf("n%d acts by epoch %d (joint with %d, acting %v) when epoch %d has settled", i, s.acts.Epoch, s.acts.JointChange, s.acting, st.Epoch))
 		}
 	}
 	return nil
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -20,11 +20,11 @@
 // The stages. A change that is aborted goes back to the first at once: who acts by the
 // stricter of both takes no more than the old policy allows, however late it hears.
 const (
-	Settled   Stage = "settled"   // one policy, at everybody who is in the roster
-	Preparing Stage = "preparing" // everybody is to say whether it can
-	Canary    Stage = "canary"    // a few act by the stricter of both, and are compared with the rest
-	Joint     Stage = "joint"     // everybody is to act by the stricter of both
-	Committed Stage = "committed" // the new one is in force: everybody is to act by it
+	StageSettled   Stage = "settled"   // one policy, at everybody who is in the roster
+	StagePreparing Stage = "preparing" // everybody is to say whether it can
+	StageCanary    Stage = "canary"    // a few act by the stricter of both, and are compared with the rest
+	StageJoint     Stage = "joint"     // everybody is to act by the stricter of both
+	StageCommitted Stage = "committed" // the new one is in force: everybody is to act by it
 )
 
 // Member is one sidecar in the roster. Of two with one name the one with the higher
@@ -34,98 +34,98 @@
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// Seat is a member's place in the roster, and what it has said.
-type Seat struct {
+// RosterMember is a member's place in the roster, and what it has said.
+type RosterMember struct {
 	Member
-	JoinedMS int64  `json:"joined_ms"`
-	Change   uint64 `json:"change,omitempty"` // the change that it spoke of last
-	Said     Stage  `json:"said,omitempty"`   // the stage that it confirmed of that
-	Where    Where  `json:"where,omitzero"`
+	JoinedMS    int64   `json:"joined_ms"`
+	AckedChange uint64  `json:"change,omitempty"` // the change that it spoke of last
+	AckedStage  Stage   `json:"said,omitempty"`   // the stage that it confirmed of that
+	Process     Process `json:"where,omitzero"`
 	// What it reported first and last while a few went ahead with a change.
-	Reported uint64 `json:"reported,omitempty"` // the change
-	From     Counts `json:"from,omitzero"`
-	To       Counts `json:"to,omitzero"`
+	ReportedChange uint64        `json:"reported,omitempty"` // the change
+	FirstReport    RequestCounts `json:"from,omitzero"`
+	LastReport     RequestCounts `json:"to,omitzero"`
 }
 
-// Where is where a sidecar's process is, for a keeper on the same machine: it can see
+// Process is where a sidecar's process is, for a keeper on the same machine: it can see
 // when the process has gone.
-type Where struct {
-	Machine string `json:"machine"`
-	PID     int    `json:"pid"`
-	Started uint64 `json:"started"` // by the kernel's count: no two processes of one id have the same
+type Process struct {
+	Machine    string `json:"machine"`
+	PID        int    `json:"pid"`
+	StartTicks uint64 `json:"started"` // by the kernel's count: no two processes of one id have the same
 }
 
-// Counts are requests since a sidecar's start.
-type Counts struct {
-	Asked   uint64 `json:"asked"`
-	Refused uint64 `json:"refused"`
-	Failed  uint64 `json:"failed"`
-	Late    uint64 `json:"late"` // answers after their class's aim
+// RequestCounts are requests since a sidecar's start.
+type RequestCounts struct {
+	Requests uint64 `json:"asked"`
+	Refused  uint64 `json:"refused"`
+	Failed   uint64 `json:"failed"`
+	Late     uint64 `json:"late"` // answers after their class's aim
 }
 
 // Change is a proposed policy on its way.
 type Change struct {
-	Number  uint64   `json:"number"` // the epoch that it becomes
-	Doc     Document `json:"document"`
-	By      string   `json:"by"`
-	Reason  string   `json:"reason"`
-	BeganMS int64    `json:"began_ms"`
-	UntilMS int64    `json:"until_ms"` // aborted if it is not committed by then
+	Number     uint64   `json:"number"` // the epoch that it becomes
+	Document   Document `json:"document"`
+	By         string   `json:"by"`
+	Reason     string   `json:"reason"`
+	StartedMS  int64    `json:"began_ms"`
+	DeadlineMS int64    `json:"until_ms"` // aborted if it is not committed by then
 
-	First    float64  `json:"first,omitempty"`    // the part of the roster that goes ahead
-	WatchMS  int64    `json:"watch_ms,omitempty"` // for how long it is compared with the rest
-	SinceMS  int64    `json:"since_ms,omitempty"` // when it began to
-	Canaries []string `json:"canaries,omitempty"` // who goes ahead
+	CanaryFraction float64  `json:"first,omitempty"`    // the part of the roster that goes ahead
+	CanaryWatchMS  int64    `json:"watch_ms,omitempty"` // for how long it is compared with the rest
+	CanarySinceMS  int64    `json:"since_ms,omitempty"` // when it began to
+	Canaries       []string `json:"canaries,omitempty"` // who goes ahead
 }
 
-// Past is a policy that was proposed: in force, or refused.
-type Past struct {
+// HistoryEntry is a policy that was proposed: in force, or refused.
+type HistoryEntry struct {
 	Change
-	Sum     string `json:"sum"`
-	Outcome string `json:"outcome"` // committed, or why not
-	EndedMS int64  `json:"ended_ms"`
+	Checksum string `json:"sum"`
+	Outcome  string `json:"outcome"` // committed, or why not
+	EndedMS  int64  `json:"ended_ms"`
 }
 
-// Verb says what a command does.
-type Verb string
+// Op says what a command does.
+type Op string
 
 // The commands.
 const (
-	Join    Verb = "join"    // a sidecar takes a seat, before it is ready
-	Leave   Verb = "leave"   // it gives it up, or its lease has ended
-	Say     Verb = "say"     // it confirms a stage, or refuses a change
-	Evict   Verb = "evict"   // an operator's word that it has gone
-	Propose Verb = "propose" // an operator's
-	Abort   Verb = "abort"   // an operator's, or the leader's whose time is up
-	Advance Verb = "advance" // the leader's: the next stage, if everybody is there
-	Report  Verb = "report"  // a sidecar's counts, while a few go ahead
+	OpJoin    Op = "join"    // a sidecar takes a seat, before it is ready
+	OpLeave   Op = "leave"   // it gives it up, or its lease has ended
+	OpAck     Op = "say"     // it confirms a stage, or refuses a change
+	OpEvict   Op = "evict"   // an operator's word that it has gone
+	OpPropose Op = "propose" // an operator's
+	OpAbort   Op = "abort"   // an operator's, or the leader's whose time is up
+	OpAdvance Op = "advance" // the leader's: the next stage, if everybody is there
+	OpReport  Op = "report"  // a sidecar's counts, while a few go ahead
 )
 
 // Command is one change of the state.
 type Command struct {
-	Verb   Verb      `json:"verb"`
-	AtMS   int64     `json:"at_ms,omitempty"`
-	Member Member    `json:"member,omitzero"`
-	Number uint64    `json:"number,omitempty"` // of the change that is meant
-	Stage  Stage     `json:"stage,omitempty"`
-	No     string    `json:"no,omitempty"` // of Say: why it cannot
-	Doc    *Document `json:"document,omitempty"`
-	Base   uint64    `json:"base,omitempty"` // of Propose: the epoch that it was compared with
-	By     string    `json:"by,omitempty"`
-	Reason string    `json:"reason,omitempty"`
-	Within int64     `json:"within_ms,omitempty"`
-	First  float64   `json:"first,omitempty"`    // of Propose
-	Watch  int64     `json:"watch_ms,omitempty"` // of Propose
-	Where  Where     `json:"where,omitzero"`     // of Join
-	Counts Counts    `json:"counts,omitzero"`    // of Report
+	Op             Op            `json:"verb"`
+	AtMS           int64         `json:"at_ms,omitempty"`
+	Member         Member        `json:"member,omitzero"`
+	ChangeNumber   uint64        `json:"number,omitempty"` // of the change that is meant
+	Stage          Stage         `json:"stage,omitempty"`
+	Refusal        string        `json:"no,omitempty"` // of Say: why it cannot
+	Document       *Document     `json:"document,omitempty"`
+	BaseEpoch      uint64        `json:"base,omitempty"` // of Propose: the epoch that it was compared with
+	By             string        `json:"by,omitempty"`
+	Reason         string        `json:"reason,omitempty"`
+	WithinMS       int64         `json:"within_ms,omitempty"`
+	CanaryFraction float64       `json:"first,omitempty"`    // of Propose
+	CanaryWatchMS  int64         `json:"watch_ms,omitempty"` // of Propose
+	Process        Process       `json:"where,omitzero"`     // of Join
+	Counts         RequestCounts `json:"counts,omitzero"`    // of Report
 }
 
 // Why a command was not carried out.
 var (
-	ErrBad      = errors.New("bad command")
-	ErrConflict = errors.New("conflict")
-	ErrUnknown  = errors.New("unknown")
-	ErrFull     = errors.New("full")
+	ErrInvalid      = errors.New("bad command")
+	ErrConflict     = errors.New("conflict")
+	ErrNotFound     = errors.New("unknown")
+	ErrLimitReached = errors.New("full")
 )
 
 const (
@@ -133,8 +133,8 @@
 	maxHistory = 64
 	maxEvicted = 1024
 	maxReason  = 512
-	// MostWithin is the longest time that a change may take, in ms.
-	MostWithin = 7 * 24 * 3600 * 1000
+	// MaxWithinMS is the longest time that a change may take, in ms.
+	MaxWithinMS = 7 * 24 * 3600 * 1000
 )
 
 // State is the workflow's state.
@@ -144,15 +144,15 @@
 	doc     Document
 	stage   Stage
 	change  *Change // unless settled; after commit it is what is in force
-	roster  map[string]*Seat
+	roster  map[string]*RosterMember
 	evicted map[string]uint64 // the highest incarnation that may not come back
-	history []Past
+	history []HistoryEntry
 	version uint64 // of the last change of anything
 }
 
 // New makes an empty state whose numbers begin after one.
 func New(after uint64) *State {
-	return &State{stage: Settled, roster: make(map[string]*Seat), evicted: make(map[string]uint64), last: after, version: after}
+	return &State{stage: StageSettled, roster: make(map[string]*RosterMember), evicted: make(map[string]uint64), last: after, version: after}
 }
 
 // Clone returns a copy that shares nothing that changes.
@@ -162,7 +162,7 @@
 		one := *s.change
 		c.change = &one
 	}
-	c.roster = make(map[string]*Seat, len(s.roster))
+	c.roster = make(map[string]*RosterMember, len(s.roster))
 	for name, m := range s.roster {
 		one := *m
 		c.roster[name] = &one
@@ -173,31 +173,31 @@
 
 // Apply carries one command out.
 func (s *State) Apply(c Command) error {
-	switch c.Verb {
-	case Join, Leave, Say, Evict, Report:
+	switch c.Op {
+	case OpJoin, OpLeave, OpAck, OpEvict, OpReport:
 		if c.Member.Name == "" || len(c.Member.Name) > maxName {
-			return fmt.Errorf("%w: no member is named", ErrBad)
+			return fmt.Errorf("%w: no member is named", ErrInvalid)
 		}
 	}
-	switch c.Verb {
-	case Join:
+	switch c.Op {
+	case OpJoin:
 		return s.join(c)
-	case Leave:
+	case OpLeave:
 		return s.leave(c.Member)
-	case Say:
+	case OpAck:
 		return s.say(c)
-	case Evict:
+	case OpEvict:
 		return s.evict(c)
-	case Propose:
+	case OpPropose:
 		return s.propose(c)
-	case Abort:
+	case OpAbort:
 		return s.abort(c)
-	case Advance:
+	case OpAdvance:
 		return s.advance(c)
-	case Report:
+	case OpReport:
 		return s.report(c)
 	}
-	return fmt.Errorf("%w: verb %.32q", ErrBad, c.Verb)
+	return fmt.Errorf("%w: verb %.32q", ErrInvalid, c.Op)
 }
 
 // join gives a sidecar a seat. One that starts again has said nothing yet, whatever
@@ -212,11 +212,11 @@
 	case was != nil && was.Incarnation == c.Member.Incarnation:
 		return nil // it asks again
 	case was == nil && len(s.roster) >= maxRoster:
-		return fmt.Errorf("%w: %d are in the roster", ErrFull, len(s.roster))
+		return fmt.Errorf("%w: %d are in the roster", ErrLimitReached, len(s.roster))
 	}
-	seat := &Seat{Member: c.Member, JoinedMS: c.AtMS, Where: c.Where}
+	seat := &RosterMember{Member: c.Member, JoinedMS: c.AtMS, Process: c.Process}
 	if mutation.KeptPromise && was != nil {
-		seat.Change, seat.Said = was.Change, was.Said
+		seat.AckedChange, seat.AckedStage = was.AckedChange, was.AckedStage
 	}
 	s.roster[c.Member.Name] = seat
 	s.version++
@@ -239,10 +239,10 @@
 func (s *State) evict(c Command) error {
 	was := s.roster[c.Member.Name]
 	if was == nil {
-		return fmt.Errorf("%w: %s is not in the roster", ErrUnknown, c.Member.Name)
+		return fmt.Errorf("%w: %s is not in the roster", ErrNotFound, c.Member.Name)
 	}
 	if len(s.evicted) >= maxEvicted {
-		return fmt.Errorf("%w: %d were evicted", ErrFull, len(s.evicted))
+		return fmt.Errorf("%w: %d were evicted", ErrLimitReached, len(s.evicted))
 	}
 	s.evicted[c.Member.Name] = max(1, was.Incarnation)
 	return s.leave(was.Member)
@@ -252,39 +252,41 @@
 func (s *State) say(c Command) error {
 	seat := s.roster[c.Member.Name]
 	if seat == nil || seat.Incarnation != c.Member.Incarnation {
-		return fmt.Errorf("%w: %s has no seat: join first", ErrUnknown, c.Member.Name)
+		return fmt.Errorf("%w: %s has no seat: join first", ErrNotFound, c.Member.Name)
 	}
 	switch {
-	case s.change == nil || s.change.Number != c.Number:
+	case s.change == nil || s.change.Number != c.ChangeNumber:
 		return nil // of a change that is over
-	case c.No != "" && s.stage != Committed: // also one that joined since and never said that it could
-		s.end(fmt.Sprintf("refused by %s: %.*s", c.Member.Name, maxReason, c.No), c.AtMS)
+	case c.Refusal != "" && s.stage != StageCommitted: // also one that joined since and never said that it could
+		s.end(fmt.Sprintf("refused by %s: %.*s", c.Member.Name, maxReason, c.Refusal), c.AtMS)
 		return nil
-	case c.No != "":
-		return fmt.Errorf("%w: change %d is in force", ErrConflict, c.Number)
+	case c.Refusal != "":
+		return fmt.Errorf("%w: change %d is in force", ErrConflict, c.ChangeNumber)
 	case order(c.Stage) > order(s.stageOf(seat.Name)):
-		return fmt.Errorf("%w: change %d is %s, not %s yet", ErrConflict, c.Number, s.stage, c.Stage)
-	case seat.Change == c.Number && order(seat.Said) >= order(c.Stage):
+		return fmt.Errorf("%w: change %d is %s, not %s yet", ErrConflict, c.ChangeNumber, s.stage, c.Stage)
+	case seat.AckedChange == c.ChangeNumber && order(seat.AckedStage) >= order(c.Stage):
 		return nil // it says so again
 	}
-	seat.Change, seat.Said = c.Number, c.Stage
+	seat.AckedChange, seat.AckedStage = c.ChangeNumber, c.Stage
 	s.version++
 	s.settle()
 	return nil
 }
 
-func order(s Stage) int { return slices.Index([]Stage{"", Preparing, Canary, Joint, Committed}, s) }
+func order(s Stage) int {
+	return slices.Index([]Stage{"", StagePreparing, StageCanary, StageJoint, StageCommitted}, s)
+}
 
 // stageOf is the stage of the change for one member: those that go ahead are at joint,
 // while for the others it is as if it were being prepared still.
 func (s *State) stageOf(name string) Stage {
 	switch {
-	case s.stage != Canary:
+	case s.stage != StageCanary:
 		return s.stage
 	case slices.Contains(s.change.Canaries, name):
-		return Joint
+		return StageJoint
 	}
-	return Preparing
+	return StagePreparing
 }
 
 // report takes a sidecar's counts while a few go ahead.
@@ -292,13 +294,13 @@
 	seat := s.roster[c.Member.Name]
 	switch {
 	case seat == nil || seat.Incarnation != c.Member.Incarnation:
-		return fmt.Errorf("%w: %s has no seat: join first", ErrUnknown, c.Member.Name)
-	case s.change == nil || s.change.Number != c.Number || s.stage != Canary:
+		return fmt.Errorf("%w: %s has no seat: join first", ErrNotFound, c.Member.Name)
+	case s.change == nil || s.change.Number != c.ChangeNumber || s.stage != StageCanary:
 		return nil
-	case seat.Reported != c.Number:
-		seat.Reported, seat.From = c.Number, c.Counts
+	case seat.ReportedChange != c.ChangeNumber:
+		seat.ReportedChange, seat.FirstReport = c.ChangeNumber, c.Counts
 	}
-	seat.To = c.Counts
+	seat.LastReport = c.Counts
 	s.version++
 	return nil
 }
@@ -307,31 +309,31 @@
 // configuration until then, as the old one.
 func (s *State) propose(c Command) error {
 	switch {
-	case c.Doc == nil:
-		return fmt.Errorf("%w: no document", ErrBad)
+	case c.Document == nil:
+		return fmt.Errorf("%w: no document", ErrInvalid)
 	case c.By == "" || len(c.By) > maxName || len(c.Reason) > maxReason:
-		return fmt.Errorf("%w: a change needs who proposes it, and a reason of %d bytes at most", ErrBad, maxReason)
-	case c.Within <= 0 || c.Within > MostWithin:
-		return fmt.Errorf("%w: within_ms is %d, it must lie between 1 and %d", ErrBad, c.Within, MostWithin)
+		return fmt.Errorf("%w: a change needs who proposes it, and a reason of %d bytes at most", ErrInvalid, maxReason)
+	case c.WithinMS <= 0 || c.WithinMS > MaxWithinMS:
+		return fmt.Errorf("%w: within_ms is %d, it must lie between 1 and %d", ErrInvalid, c.WithinMS, MaxWithinMS)
 	}
-	if err := c.Doc.Check(); err != nil {
-		return fmt.Errorf("%w: %w", ErrBad, err)
+	if err := c.Document.Check(); err != nil {
+		return fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
-	if !(c.First >= 0 && c.First < 1) || c.First > 0 && (c.Watch <= 0 || c.Watch >= c.Within) || c.First == 0 && c.Watch != 0 {
-		return fmt.Errorf("%w: first is %g and watch_ms %d: a part under 1, watched for less than within_ms", ErrBad, c.First, c.Watch)
+	if !(c.CanaryFraction >= 0 && c.CanaryFraction < 1) || c.CanaryFraction > 0 && (c.CanaryWatchMS <= 0 || c.CanaryWatchMS >= c.WithinMS) || c.CanaryFraction == 0 && c.CanaryWatchMS != 0 {
+		return fmt.Errorf("%w: first is %g and watch_ms %d: a part under 1, watched for less than within_ms", ErrInvalid, c.CanaryFraction, c.CanaryWatchMS)
 	}
-	if s.change != nil && s.change.By == c.By && s.change.Doc.Sum() == c.Doc.Sum() && s.change.Reason == c.Reason {
+	if s.change != nil && s.change.By == c.By && s.change.Document.Checksum() == c.Document.Checksum() && s.change.Reason == c.Reason {
 		return nil // the same again: its answer was lost
 	}
 	if s.change != nil {
 		return fmt.Errorf("%w: change %d of %s is %s", ErrConflict, s.change.Number, s.change.By, s.stage)
 	}
-	if c.Base != s.epoch {
-		return fmt.Errorf("%w: it was compared with epoch %d, %d is in force", ErrConflict, c.Base, s.epoch)
+	if c.BaseEpoch != s.epoch {
+		return fmt.Errorf("%w: it was compared with epoch %d, %d is in force", ErrConflict, c.BaseEpoch, s.epoch)
 	}
 	s.last++
-	s.change = &Change{Number: s.last, Doc: *c.Doc, By: c.By, Reason: c.Reason, BeganMS: c.AtMS, UntilMS: c.AtMS + c.Within, First: c.First, WatchMS: c.Watch}
-	s.stage = Preparing
+	s.change = &Change{Number: s.last, Document: *c.Document, By: c.By, Reason: c.Reason, StartedMS: c.AtMS, DeadlineMS: c.AtMS + c.WithinMS, CanaryFraction: c.CanaryFraction, CanaryWatchMS: c.CanaryWatchMS}
+	s.stage = StagePreparing
 	s.version++
 	return nil
 }
@@ -339,10 +341,10 @@
 // abort leads back to the old policy; once the new one is in force there is no way back.
 func (s *State) abort(c Command) error {
 	switch {
-	case s.change == nil || c.Number != s.change.Number:
-		return fmt.Errorf("%w: change %d is not under way", ErrUnknown, c.Number)
-	case s.stage == Committed:
-		return fmt.Errorf("%w: change %d is in force, the way back is another change", ErrConflict, c.Number)
+	case s.change == nil || c.ChangeNumber != s.change.Number:
+		return fmt.Errorf("%w: change %d is not under way", ErrNotFound, c.ChangeNumber)
+	case s.stage == StageCommitted:
+		return fmt.Errorf("%w: change %d is in force, the way back is another change", ErrConflict, c.ChangeNumber)
 	}
 	s.end(fmt.Sprintf("aborted by %s: %.*s", c.By, maxReason, c.Reason), c.AtMS)
 	return nil
@@ -351,12 +353,12 @@
 // end notes what became of a change that is not to be.
 func (s *State) end(why string, at int64) {
 	s.note(why, at)
-	s.change, s.stage = nil, Settled
+	s.change, s.stage = nil, StageSettled
 	s.version++
 }
 
 func (s *State) note(outcome string, at int64) {
-	s.history = append(s.history, Past{*s.change, s.change.Doc.Sum(), outcome, at})
+	s.history = append(s.history, HistoryEntry{*s.change, s.change.Document.Checksum(), outcome, at})
 	if over := len(s.history) - maxHistory; over > 0 {
 		s.history = slices.Delete(s.history, 0, over)
 	}
@@ -365,24 +367,24 @@
 // advance takes a change to its next stage if everybody in the roster, those that have
 // joined since among them, has confirmed the one it is at.
 func (s *State) advance(c Command) error {
-	if s.change == nil || c.Number != s.change.Number || c.Stage != s.stage {
+	if s.change == nil || c.ChangeNumber != s.change.Number || c.Stage != s.stage {
 		return nil // it has been done
 	}
-	if who := s.waits(); len(who) > 0 && s.stage != Committed && !mutation.LooseStep {
-		return fmt.Errorf("%w: change %d waits for %d, %s among them", ErrConflict, c.Number, len(who), who[0])
+	if who := s.waits(); len(who) > 0 && s.stage != StageCommitted && !mutation.LooseStep {
+		return fmt.Errorf("%w: change %d waits for %d, %s among them", ErrConflict, c.ChangeNumber, len(who), who[0])
 	}
 	switch s.stage {
-	case Preparing:
-		if s.change.First > 0 {
-			s.stage, s.change.SinceMS, s.change.Canaries = Canary, c.AtMS, s.ahead()
+	case StagePreparing:
+		if s.change.CanaryFraction > 0 {
+			s.stage, s.change.CanarySinceMS, s.change.Canaries = StageCanary, c.AtMS, s.ahead()
 			break
 		}
-		if s.stage = Joint; mutation.NoJoint {
+		if s.stage = StageJoint; mutation.NoJoint {
 			s.commit(c.AtMS)
 		}
-	case Canary:
-		s.stage = Joint
-	case Joint:
+	case StageCanary:
+		s.stage = StageJoint
+	case StageJoint:
 		s.commit(c.AtMS)
 	}
 	s.version++
@@ -395,20 +397,20 @@
 	all := slices.Collect(maps.Keys(s.roster))
 	by := func(name string) uint64 { return xxhash.Sum64String(fmt.Sprint(s.change.Number, "/", name)) }
 	slices.SortFunc(all, func(a, b string) int { return cmp.Or(cmp.Compare(by(a), by(b)), cmp.Compare(a, b)) })
-	n := min(len(all), int(math.Ceil(s.change.First*float64(len(all)))))
+	n := min(len(all), int(math.Ceil(s.change.CanaryFraction*float64(len(all)))))
 	return slices.Sorted(slices.Values(all[:n]))
 }
 
 // commit puts the new policy in force: one write.
 func (s *State) commit(at int64) {
-	s.epoch, s.doc, s.stage = s.change.Number, s.change.Doc, Committed
+	s.epoch, s.doc, s.stage = s.change.Number, s.change.Document, StageCommitted
 	s.note("committed", at)
 }
 
 // settle ends a change that is in force once everybody has confirmed it.
 func (s *State) settle() {
-	if s.stage == Committed && s.waits() == nil {
-		s.change, s.stage = nil, Settled
+	if s.stage == StageCommitted && s.waits() == nil {
+		s.change, s.stage = nil, StageSettled
 		s.version++
 	}
 }
@@ -419,7 +421,7 @@
 		return nil
 	}
 	for name, seat := range s.roster {
-		if seat.Change != s.change.Number || order(seat.Said) < order(s.stageOf(name)) {
+		if seat.AckedChange != s.change.Number || order(seat.AckedStage) < order(s.stageOf(name)) {
 			who = append(who, name)
 		}
 	}
@@ -429,14 +431,14 @@
 
 // View is what a member is to act by.
 type View struct {
-	Version uint64    `json:"version"`
-	Epoch   uint64    `json:"epoch"` // of the policy in force; 0: none, its own configuration counts
-	Stage   Stage     `json:"stage"`
-	Doc     *Document `json:"document,omitempty"` // in force
-	Number  uint64    `json:"number,omitempty"`   // of the change under way
-	Next    *Document `json:"next,omitempty"`     // what it would put in force
-	Seated  bool      `json:"seated"`             // the member has a seat
-	Report  bool      `json:"report,omitempty"`   // it is to report its counts from time to time
+	Version      uint64    `json:"version"`
+	Epoch        uint64    `json:"epoch"` // of the policy in force; 0: none, its own configuration counts
+	Stage        Stage     `json:"stage"`
+	Document     *Document `json:"document,omitempty"` // in force
+	ChangeNumber uint64    `json:"number,omitempty"`   // of the change under way
+	NextDocument *Document `json:"next,omitempty"`     // what it would put in force
+	InRoster     bool      `json:"seated"`             // the member has a seat
+	ReportCounts bool      `json:"report,omitempty"`   // it is to report its counts from time to time
 }
 
 // View returns what a member is to act by.
@@ -444,40 +446,40 @@
 	v := View{Version: s.version, Epoch: s.epoch, Stage: s.stage}
 	if s.epoch != 0 {
 		doc := s.doc
-		v.Doc = &doc
+		v.Document = &doc
 	}
 	if s.change != nil {
-		v.Number = s.change.Number
-		if s.stage != Committed {
-			doc := s.change.Doc
-			v.Next = &doc
+		v.ChangeNumber = s.change.Number
+		if s.stage != StageCommitted {
+			doc := s.change.Document
+			v.NextDocument = &doc
 		}
 	}
 	seat := s.roster[m.Name]
-	v.Seated = seat != nil && seat.Incarnation == m.Incarnation
-	v.Stage, v.Report = s.stageOf(m.Name), s.stage == Canary
+	v.InRoster = seat != nil && seat.Incarnation == m.Incarnation
+	v.Stage, v.ReportCounts = s.stageOf(m.Name), s.stage == StageCanary
 	return v
 }
 
 // Status is how everything stands, for operators and the leader.
 type Status struct {
-	Version uint64    `json:"version"`
-	Epoch   uint64    `json:"epoch"`
-	Stage   Stage     `json:"stage"`
-	Doc     *Document `json:"document,omitempty"`
-	Sum     string    `json:"sum,omitempty"`
-	Change  *Change   `json:"change,omitempty"`
-	Waits   []string  `json:"waits,omitempty"` // who has not confirmed the stage
-	Roster  []Seat    `json:"roster"`
-	History []Past    `json:"history"`
+	Version    uint64         `json:"version"`
+	Epoch      uint64         `json:"epoch"`
+	Stage      Stage          `json:"stage"`
+	Document   *Document      `json:"document,omitempty"`
+	Checksum   string         `json:"sum,omitempty"`
+	Change     *Change        `json:"change,omitempty"`
+	WaitingFor []string       `json:"waits,omitempty"` // who has not confirmed the stage
+	Roster     []RosterMember `json:"roster"`
+	History    []HistoryEntry `json:"history"`
 }
 
 // Status returns how everything stands.
 func (s *State) Status() Status {
 	c := s.Clone()
-	st := Status{Version: c.version, Epoch: c.epoch, Stage: c.stage, Change: c.change, Waits: c.waits(), History: c.history, Roster: []Seat{}}
+	st := Status{Version: c.version, Epoch: c.epoch, Stage: c.stage, Change: c.change, WaitingFor: c.waits(), History: c.history, Roster: []RosterMember{}}
 	if c.epoch != 0 {
-		st.Doc, st.Sum = &c.doc, c.doc.Sum()
+		st.Document, st.Checksum = &c.doc, c.doc.Checksum()
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.roster)) {
 		st.Roster = append(st.Roster, *c.roster[name])
@@ -488,10 +490,10 @@
 // Version returns the version of the last change.
 func (s *State) Version() uint64 { return s.version }
 
-// Restored brings the state over a restore of the registry: policy, roster and a change
+// Restore brings the state over a restore of the registry: policy, roster and a change
 // under way are about processes that act now, and stay. Numbers go on above the
 // backup's. A group that has no policy takes the backup's over, as a proposal would.
-func (s *State) Restored(backup *State) {
+func (s *State) Restore(backup *State) {
 	s.last = max(s.last, backup.last) + 1
 	s.version = max(s.version, backup.version) + 1
 	if s.epoch == 0 && s.change == nil && backup.epoch != 0 && len(s.roster) == 0 {
@@ -501,15 +503,15 @@
 }
 
 type image struct {
-	Epoch   uint64            `json:"epoch"`
-	Last    uint64            `json:"last"`
-	Doc     *Document         `json:"document,omitempty"`
-	Stage   Stage             `json:"stage"`
-	Change  *Change           `json:"change,omitempty"`
-	Roster  map[string]*Seat  `json:"roster,omitempty"`
-	Evicted map[string]uint64 `json:"evicted,omitempty"`
-	History []Past            `json:"history,omitempty"`
-	Version uint64            `json:"version"`
+	Epoch   uint64                   `json:"epoch"`
+	Last    uint64                   `json:"last"`
+	Doc     *Document                `json:"document,omitempty"`
+	Stage   Stage                    `json:"stage"`
+	Change  *Change                  `json:"change,omitempty"`
+	Roster  map[string]*RosterMember `json:"roster,omitempty"`
+	Evicted map[string]uint64        `json:"evicted,omitempty"`
+	History []HistoryEntry           `json:"history,omitempty"`
+	Version uint64                   `json:"version"`
 }
 
 // MarshalJSON writes the state for a snapshot.
@@ -528,8 +530,8 @@
 		return fmt.Errorf("policy: %w", err)
 	}
 	switch {
-	case (i.Epoch == 0) != (i.Doc == nil), i.Epoch > i.Last, (i.Change == nil) != (i.Stage == Settled),
-		i.Change != nil && i.Change.Number > i.Last, !slices.Contains([]Stage{Settled, Preparing, Canary, Joint, Committed}, i.Stage):
+	case (i.Epoch == 0) != (i.Doc == nil), i.Epoch > i.Last, (i.Change == nil) != (i.Stage == StageSettled),
+		i.Change != nil && i.Change.Number > i.Last, !slices.Contains([]Stage{StageSettled, StagePreparing, StageCanary, StageJoint, StageCommitted}, i.Stage):
 		return fmt.Errorf("policy: epoch %d at stage %.32q, last number %d", i.Epoch, i.Stage, i.Last)
 	}
 	fresh := New(i.Last)
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -13,7 +13,7 @@
 )
 
 func document(slots int) *Document {
-	return &Document{Form: 1, Mode: Carry, Tenants: []Tenant{{"a", slots, 1}, {"b", 2, 1}}}
+	return &Document{FormatVersion: 1, Mode: ModeCarry, Tenants: []Tenant{{"a", slots, 1}, {"b", 2, 1}}}
 }
 
 // world is a state with members, told things in order.
@@ -32,7 +32,7 @@
 func (w *world) must(c Command) {
 	w.t.Helper()
 	if err := w.do(c); err != nil {
-		w.t.Fatalf("%s: %v", c.Verb, err)
+		w.t.Fatalf("%s: %v", c.Op, err)
 	}
 }
 
@@ -40,9 +40,9 @@
 
 func (w *world) propose(d *Document, first float64) {
 	w.t.Helper()
-	c := Command{Verb: Propose, Doc: d, Base: w.s.epoch, By: "op", Reason: fmt.Sprint(w.at), Within: 1000}
+	c := Command{Op: OpPropose, Document: d, BaseEpoch: w.s.epoch, By: "op", Reason: fmt.Sprint(w.at), WithinMS: 1000}
 	if first > 0 {
-		c.First, c.Watch = first, 10
+		c.CanaryFraction, c.CanaryWatchMS = first, 10
 	}
 	w.must(c)
 }
@@ -52,19 +52,19 @@
 	w.t.Helper()
 	for i := range n {
 		v := w.s.View(w.member(i))
-		w.must(Command{Verb: Say, Member: w.member(i), Number: v.Number, Stage: v.Stage})
+		w.must(Command{Op: OpAck, Member: w.member(i), ChangeNumber: v.ChangeNumber, Stage: v.Stage})
 	}
 }
 
 func (w *world) advance() {
 	w.t.Helper()
-	w.must(Command{Verb: Advance, Number: w.s.change.Number, Stage: w.s.stage})
+	w.must(Command{Op: OpAdvance, ChangeNumber: w.s.change.Number, Stage: w.s.stage})
 }
 
 func newWorld(t *testing.T, members int) *world {
 	w := &world{t: t, s: New(100)}
 	for i := range members {
-		w.must(Command{Verb: Join, Member: w.member(i)})
+		w.must(Command{Op: OpJoin, Member: w.member(i)})
 	}
 	return w
 }
@@ -72,58 +72,58 @@
 func TestChange(t *testing.T) {
 	w := newWorld(t, 3)
 	w.propose(document(4), 0)
-	if err := w.do(Command{Verb: Advance, Number: w.s.change.Number, Stage: Preparing}); !errors.Is(err, ErrConflict) {
+	if err := w.do(Command{Op: OpAdvance, ChangeNumber: w.s.change.Number, Stage: StagePreparing}); !errors.Is(err, ErrConflict) {
 		t.Errorf("advanced before anybody has spoken: %v", err)
 	}
-	if err := w.do(Command{Verb: Propose, Doc: document(9), By: "other", Within: 1}); !errors.Is(err, ErrConflict) {
+	if err := w.do(Command{Op: OpPropose, Document: document(9), By: "other", WithinMS: 1}); !errors.Is(err, ErrConflict) {
 		t.Errorf("two at once: %v", err)
 	}
-	if err := w.do(Command{Verb: Say, Member: w.member(0), Number: w.s.change.Number, Stage: Joint}); !errors.Is(err, ErrConflict) {
+	if err := w.do(Command{Op: OpAck, Member: w.member(0), ChangeNumber: w.s.change.Number, Stage: StageJoint}); !errors.Is(err, ErrConflict) {
 		t.Errorf("joint was said before it is: %v", err)
 	}
 	w.sayAll(3)
 	w.advance()
 	w.sayAll(2)
-	w.must(Command{Verb: Join, Member: Member{"n0", 2}}) // it has started again: its promise is another's
+	w.must(Command{Op: OpJoin, Member: Member{"n0", 2}}) // it has started again: its promise is another's
 	if who := w.s.waits(); !slices.Equal(who, []string{"n0", "n2"}) {
 		t.Errorf("waits for %v", who)
 	}
-	if err := w.do(Command{Verb: Say, Member: w.member(0), Number: w.s.change.Number, Stage: Joint}); !errors.Is(err, ErrUnknown) {
+	if err := w.do(Command{Op: OpAck, Member: w.member(0), ChangeNumber: w.s.change.Number, Stage: StageJoint}); !errors.Is(err, ErrNotFound) {
 		t.Errorf("the process before it speaks: %v", err)
 	}
-	if err := w.do(Command{Verb: Join, Member: Member{"n0", 1}}); !errors.Is(err, ErrConflict) {
+	if err := w.do(Command{Op: OpJoin, Member: Member{"n0", 1}}); !errors.Is(err, ErrConflict) {
 		t.Errorf("an older process takes the seat: %v", err)
 	}
-	w.must(Command{Verb: Say, Member: Member{"n0", 2}, Number: w.s.change.Number, Stage: Joint})
-	w.must(Command{Verb: Evict, Member: Member{Name: "n2"}})
-	if err := w.do(Command{Verb: Join, Member: w.member(2)}); !errors.Is(err, ErrConflict) {
+	w.must(Command{Op: OpAck, Member: Member{"n0", 2}, ChangeNumber: w.s.change.Number, Stage: StageJoint})
+	w.must(Command{Op: OpEvict, Member: Member{Name: "n2"}})
+	if err := w.do(Command{Op: OpJoin, Member: w.member(2)}); !errors.Is(err, ErrConflict) {
 		t.Errorf("an evicted process comes back: %v", err)
 	}
 	number := w.s.change.Number
 	w.advance()
-	if w.s.epoch != number || w.s.stage != Committed {
+	if w.s.epoch != number || w.s.stage != StageCommitted {
 		t.Fatalf("epoch %d, %s", w.s.epoch, w.s.stage)
 	}
-	if err := w.do(Command{Verb: Abort, Number: number, By: "op"}); !errors.Is(err, ErrConflict) {
+	if err := w.do(Command{Op: OpAbort, ChangeNumber: number, By: "op"}); !errors.Is(err, ErrConflict) {
 		t.Errorf("aborted in force: %v", err)
 	}
-	w.must(Command{Verb: Say, Member: Member{"n0", 2}, Number: number, Stage: Committed})
-	w.must(Command{Verb: Leave, Member: w.member(1)}) // the last that was waited for says goodbye
-	if w.s.stage != Settled {
+	w.must(Command{Op: OpAck, Member: Member{"n0", 2}, ChangeNumber: number, Stage: StageCommitted})
+	w.must(Command{Op: OpLeave, Member: w.member(1)}) // the last that was waited for says goodbye
+	if w.s.stage != StageSettled {
 		t.Errorf("it is %s", w.s.stage)
 	}
 	// One no ends the next one everywhere, also by one that has joined late.
 	w.propose(document(5), 0)
-	w.must(Command{Verb: Say, Member: Member{"n0", 2}, Number: w.s.change.Number, Stage: Preparing})
+	w.must(Command{Op: OpAck, Member: Member{"n0", 2}, ChangeNumber: w.s.change.Number, Stage: StagePreparing})
 	w.advance()
-	w.must(Command{Verb: Join, Member: Member{"n2", 9}})
-	w.must(Command{Verb: Say, Member: Member{"n2", 9}, Number: w.s.change.Number, Stage: Joint, No: "tenants[0].slots is too much"})
-	if last := w.s.history[len(w.s.history)-1]; w.s.stage != Settled || w.s.epoch != number || !strings.Contains(last.Outcome, "n2") {
+	w.must(Command{Op: OpJoin, Member: Member{"n2", 9}})
+	w.must(Command{Op: OpAck, Member: Member{"n2", 9}, ChangeNumber: w.s.change.Number, Stage: StageJoint, Refusal: "tenants[0].slots is too much"})
+	if last := w.s.history[len(w.s.history)-1]; w.s.stage != StageSettled || w.s.epoch != number || !strings.Contains(last.Outcome, "n2") {
 		t.Errorf("%s, epoch %d, %q", w.s.stage, w.s.epoch, last.Outcome)
 	}
 	for range 2 * maxHistory {
 		w.propose(document(5), 0)
-		w.must(Command{Verb: Abort, Number: w.s.change.Number, By: "op"})
+		w.must(Command{Op: OpAbort, ChangeNumber: w.s.change.Number, By: "op"})
 	}
 	if len(w.s.history) != maxHistory {
 		t.Errorf("%d are kept", len(w.s.history))
@@ -151,46 +151,48 @@
 		name    string
 		refused uint64
 		ends    Stage
-	}{{"as good", 20, Joint}, {"worse", 200, Settled}} {
+	}{{"as good", 20, StageJoint}, {"worse", 200, StageSettled}} {
 		t.Run(x.name, func(t *testing.T) {
 			w := newWorld(t, 10)
 			w.propose(document(4), 0.25)
 			w.sayAll(10)
 			w.advance()
 			ahead := w.s.change.Canaries
-			if len(ahead) != 3 || w.s.stage != Canary {
+			if len(ahead) != 3 || w.s.stage != StageCanary {
 				t.Fatalf("%v go ahead, %s", ahead, w.s.stage)
 			}
 			for i := range 10 {
 				m := w.member(i)
-				want := Preparing
+				want := StagePreparing
 				if slices.Contains(ahead, m.Name) {
-					want = Joint
+					want = StageJoint
 				}
-				if v := w.s.View(m); v.Stage != want || !v.Report {
+				if v := w.s.View(m); v.Stage != want || !v.ReportCounts {
 					t.Errorf("%s sees %s", m.Name, v.Stage)
 				}
 			}
 			w.sayAll(10)
 			number := w.s.change.Number
-			report := func(i int, c Counts) { w.must(Command{Verb: Report, Member: w.member(i), Number: number, Counts: c}) }
+			report := func(i int, c RequestCounts) {
+				w.must(Command{Op: OpReport, Member: w.member(i), ChangeNumber: number, Counts: c})
+			}
 			for i := range 10 {
-				report(i, Counts{Asked: 5000, Refused: 4000}) // before it began
+				report(i, RequestCounts{Requests: 5000, Refused: 4000}) // before it began
 			}
 			if _, any := Decide(w.s.Status(), w.at+20); any {
 				t.Error("decided on nothing")
 			}
 			for i := range 10 {
-				c := Counts{Asked: 6000, Refused: 4020}
+				c := RequestCounts{Requests: 6000, Refused: 4020}
 				if slices.Contains(ahead, w.member(i).Name) {
 					c.Refused = 4000 + x.refused
 				}
 				report(i, c)
 			}
-			if _, any := Decide(w.s.Status(), w.s.change.SinceMS+5); any {
+			if _, any := Decide(w.s.Status(), w.s.change.CanarySinceMS+5); any {
 				t.Error("decided before the time is over")
 			}
-			c, any := Decide(w.s.Status(), w.s.change.SinceMS+10)
+			c, any := Decide(w.s.Status(), w.s.change.CanarySinceMS+10)
 			if !any {
 				t.Fatal("not decided")
 			}
@@ -205,39 +207,39 @@
 // A sidecar that finds at joint that it cannot after all says so once it is asked, and
 // says nothing of it when the change is in force.
 func TestFollowerRefuses(t *testing.T) {
-	f := &Follower{Me: Member{"n0", 1}, Can: (*Document).Check}
-	v := View{Version: 5, Stage: Joint, Number: 9, Next: document(4), Seated: true}
-	f.Take(v)
-	c, any := f.Next()
-	if !any || c.Verb != Say || c.Stage != Joint || c.No != "" {
+	f := &Follower{Self: Member{"n0", 1}, Supports: (*Document).Check}
+	v := View{Version: 5, Stage: StageJoint, ChangeNumber: 9, NextDocument: document(4), InRoster: true}
+	f.HandleView(v)
+	c, any := f.NextCommand()
+	if !any || c.Op != OpAck || c.Stage != StageJoint || c.Refusal != "" {
 		t.Fatalf("it says %+v", c)
 	}
-	f.Said(c, nil)
+	f.HandleResult(c, nil)
 	f.Refuse(errors.New("no room"))
-	if c, any = f.Next(); !any || c.No != "no room" {
+	if c, any = f.NextCommand(); !any || c.Refusal != "no room" {
 		t.Errorf("it says %+v", c)
 	}
-	if _, _, why := f.Standing(); why != "no room" {
+	if _, _, why := f.Summary(); why != "no room" {
 		t.Errorf("it stands at %q", why)
 	}
-	f.Take(View{Version: 4, Stage: Settled, Seated: true}) // late news
-	if acts, may := f.Acting(); !may || acts.Joint != 9 {
+	f.HandleView(View{Version: 4, Stage: StageSettled, InRoster: true}) // late news
+	if acts, may := f.Active(); !may || acts.JointChange != 9 {
 		t.Errorf("it acts by %+v", acts)
 	}
-	f.Take(View{Version: 6, Stage: Committed, Number: 9, Epoch: 9, Doc: document(4), Seated: true})
-	c, any = f.Next()
-	if !any || c.No != "" || c.Stage != Committed {
+	f.HandleView(View{Version: 6, Stage: StageCommitted, ChangeNumber: 9, Epoch: 9, Document: document(4), InRoster: true})
+	c, any = f.NextCommand()
+	if !any || c.Refusal != "" || c.Stage != StageCommitted {
 		t.Errorf("it says %+v", c)
 	}
-	f.Said(c, nil)
-	if c, any = f.Next(); any {
+	f.HandleResult(c, nil)
+	if c, any = f.NextCommand(); any {
 		t.Errorf("it goes on saying %+v", c)
 	}
-	f.Take(View{Version: 7, Stage: Settled, Epoch: 9, Doc: document(4)})
-	if _, may := f.Acting(); may {
+	f.HandleView(View{Version: 7, Stage: StageSettled, Epoch: 9, Document: document(4)})
+	if _, may := f.Active(); may {
 		t.Error("it acts without a seat")
 	}
-	if c, _ = f.Next(); c.Verb != Join {
+	if c, _ = f.NextCommand(); c.Op != OpJoin {
 		t.Errorf("without a seat it says %+v", c)
 	}
 }
@@ -247,13 +249,13 @@
 		says   string
 		change func(d *Document)
 	}{
-		{"form is 2", func(d *Document) { d.Form = 2 }},
+		{"form is 2", func(d *Document) { d.FormatVersion = 2 }},
 		{"mode is", func(d *Document) { d.Mode = "x" }},
 		{"tenants[1].name \"a\" is there twice", func(d *Document) { d.Tenants[1].Name = "a" }},
 		{"tenants[0].slots is -1", func(d *Document) { d.Tenants[0].Slots = -1 }},
-		{"tenants[1].places is 0", func(d *Document) { d.Tenants[1].Places = 0 }},
+		{"tenants[1].places is 0", func(d *Document) { d.Tenants[1].QueuePlaces = 0 }},
 		{"none has slots", func(d *Document) { d.Tenants[0].Slots, d.Tenants[1].Slots = 0, 0 }},
-		{"most_tries is 99", func(d *Document) { d.MostTries = 99 }},
+		{"most_tries is 99", func(d *Document) { d.MaxAttempts = 99 }},
 	} {
 		d := document(4)
 		if x.change(d); d.Check() == nil || !strings.Contains(d.Check().Error(), x.says) {
@@ -268,17 +270,17 @@
 		t.Errorf("a field of a later build: %v", err)
 	}
 	a, b := document(4), document(6)
-	a.MostTries, b.NoProbes, b.Clients = 3, true, 50
+	a.MaxAttempts, b.NoProbes, b.MaxClientConnections = 3, true, 50
 	b.Tenants = []Tenant{{"a", 3, 9}, {"c", 7, 1}}
 	j := Stricter(a, b)
 	want := []Tenant{{"a", 3, 1}, {"b", 0, 0}, {"c", 0, 0}}
-	if !slices.Equal(j.Tenants, want) || j.MostTries != 3 || !j.NoProbes || j.Clients != 50 || j.Mode != Carry {
+	if !slices.Equal(j.Tenants, want) || j.MaxAttempts != 3 || !j.NoProbes || j.MaxClientConnections != 50 || j.Mode != ModeCarry {
 		t.Errorf("the stricter of both is %+v", j)
 	}
 	if lines := Diff(a, b); len(lines) != 6 {
 		t.Errorf("%d lines: %q", len(lines), lines)
 	}
-	if Diff(a, a) != nil || a.Sum() == b.Sum() {
+	if Diff(a, a) != nil || a.Checksum() == b.Checksum() {
 		t.Error("two that are alike differ, or two that differ are alike")
 	}
 }
@@ -288,17 +290,17 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	seat := Seat{Where: Where{"m", cmd.Process.Pid, ProcessStart(cmd.Process.Pid)}}
-	if seat.Gone("m") || seat.Where.Started == 0 {
-		t.Errorf("a process that lives has gone: %+v", seat.Where)
+	seat := RosterMember{Process: Process{"m", cmd.Process.Pid, ProcessStartTicks(cmd.Process.Pid)}}
+	if seat.ProcessGone("m") || seat.Process.StartTicks == 0 {
+		t.Errorf("a process that lives has gone: %+v", seat.Process)
 	}
 	cmd.Process.Kill()
 	cmd.Wait()
-	if !seat.Gone("m") || seat.Gone("other") {
-		t.Errorf("gone here: %v, on another machine: %v", seat.Gone("m"), seat.Gone("other"))
+	if !seat.ProcessGone("m") || seat.ProcessGone("other") {
+		t.Errorf("gone here: %v, on another machine: %v", seat.ProcessGone("m"), seat.ProcessGone("other"))
 	}
-	other := Seat{Where: Where{"m", os.Getpid(), 1}} // its id is another process's by now
-	if !other.Gone("m") || (Seat{}).Gone("") {
+	other := RosterMember{Process: Process{"m", os.Getpid(), 1}} // its id is another process's by now
+	if !other.ProcessGone("m") || (RosterMember{}).ProcessGone("") {
 		t.Error("a process whose id another has lives on, or one that is nowhere has gone")
 	}
 }
--- a/internal/rollout/where.go
+++ b/internal/rollout/where.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// ProcessStart is when a process of this machine was started, by the kernel's count; 0
+// ProcessStartTicks is when a process of this machine was started, by the kernel's count; 0
 // where there is none of that id. A later process of the id has another.
-func ProcessStart(pid int) uint64 {
+func ProcessStartTicks(pid int) uint64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
@@ -24,9 +24,9 @@
 	return n
 }
 
-// Gone says whether the process of a seat on this machine has ended for sure. Where the
+// ProcessGone says whether the process of a seat on this machine has ended for sure. Where the
 // processes of the machine cannot be seen at all, none has.
-func (s Seat) Gone(machine string) bool {
-	return s.Where.Machine == machine && machine != "" && s.Where.PID > 0 && s.Where.Started > 0 &&
-		ProcessStart(os.Getpid()) != 0 && ProcessStart(s.Where.PID) != s.Where.Started
+func (s RosterMember) ProcessGone(machine string) bool {
+	return s.Process.Machine == machine && machine != "" && s.Process.PID > 0 && s.Process.StartTicks > 0 &&
+		ProcessStartTicks(os.Getpid()) != 0 && ProcessStartTicks(s.Process.PID) != s.Process.StartTicks
 }
--- a/internal/sidecar/governor.go
+++ b/internal/sidecar/governor.go
@@ -96,7 +96,7 @@
 	config  *policyConfig
 	tenants []string
 	client  *client.Client
-	member  *lease.Member
+	member  *lease.Manager
 	enforce func(ctx context.Context, d *rollout.Document) error
 	begun   time.Time
 
@@ -105,11 +105,11 @@
 
 	open   atomic.Bool // it has what to act by
 	strict atomic.Bool // and only while it holds its lease
-	term   atomic.Pointer[lease.Term]
+	term   atomic.Pointer[lease.Handle]
 
 	mu     sync.Mutex
 	follow *rollout.Follower
-	acts   rollout.Acts
+	acts   rollout.ActivePolicy
 	since  time.Time
 	saved  bool // it acts by its folder
 }
@@ -121,11 +121,11 @@
 	}
 	g := &governor{config: c.Govern, tenants: c.Tenants, client: r.WithAddressMap(c.Govern.routes), enforce: enforce, begun: time.Now()}
 	me := rollout.Member{Name: c.Name, Incarnation: uint64(g.begun.UnixMicro())}
-	g.follow = &rollout.Follower{Me: me, Can: g.can}
+	g.follow = &rollout.Follower{Self: me, Supports: g.can}
 	if c.Govern.Machine != "" {
-		g.follow.Where = rollout.Where{Machine: c.Govern.Machine, PID: os.Getpid(), Started: rollout.ProcessStart(os.Getpid())}
+		g.follow.Process = rollout.Process{Machine: c.Govern.Machine, PID: os.Getpid(), StartTicks: rollout.ProcessStartTicks(os.Getpid())}
 	}
-	g.member = lease.NewMember(lease.Options{
+	g.member = lease.NewManager(lease.Options{
 		Registry: r, TTL: time.Duration(c.Govern.LeaseMS) * time.Millisecond, Holder: registry.Holder{Name: me.Name, Incarnation: me.Incarnation},
 	})
 	return g, nil
@@ -157,8 +157,8 @@
 	}
 }
 
-func (g *governor) counts() rollout.Counts {
-	return rollout.Counts{Asked: g.asked.Load(), Refused: g.refused.Load(), Failed: g.failed.Load(), Late: g.late.Load()}
+func (g *governor) counts() rollout.RequestCounts {
+	return rollout.RequestCounts{Requests: g.asked.Load(), Refused: g.refused.Load(), Failed: g.failed.Load(), Late: g.late.Load()}
 }
 
 // may says whether a new request may be taken now.
@@ -170,7 +170,7 @@
 		return true
 	}
 	t := g.term.Load()
-	return t != nil && t.Holds()
+	return t != nil && t.Held()
 }
 
 // run keeps to the policy until ctx ends, and gives the seat up then. It returns an
@@ -188,7 +188,7 @@
 	for ctx.Err() == nil {
 		g.mu.Lock()
 		fatal := g.follow.Fatal()
-		acts, may := g.follow.Acting()
+		acts, may := g.follow.Active()
 		g.mu.Unlock()
 		if fatal != nil {
 			g.goodbye(ctx)
@@ -219,9 +219,9 @@
 }
 
 // act puts in force what is to be acted by, keeps it in the folder, and only then counts.
-func (g *governor) act(ctx context.Context, acts rollout.Acts, may bool) error {
+func (g *governor) act(ctx context.Context, acts rollout.ActivePolicy, may bool) error {
 	g.mu.Lock()
-	same := g.open.Load() && may && acts.Epoch == g.acts.Epoch && acts.Joint == g.acts.Joint && !g.saved
+	same := g.open.Load() && may && acts.Epoch == g.acts.Epoch && acts.JointChange == g.acts.JointChange && !g.saved
 	by := g.saved
 	g.mu.Unlock()
 	if same {
@@ -233,10 +233,10 @@
 		}
 		return nil
 	}
-	d := acts.Policy()
+	d := acts.Effective()
 	if err := g.save(acts); err != nil {
 		slog.Error("policy: the folder cannot be written", "err", err)
-		if acts.Joint != 0 { // there is a way back still
+		if acts.JointChange != 0 { // there is a way back still
 			g.mu.Lock()
 			g.follow.Refuse(err)
 			g.mu.Unlock()
@@ -249,21 +249,21 @@
 	g.mu.Lock()
 	g.acts, g.since, g.saved = acts, time.Now(), false
 	g.mu.Unlock()
-	g.strict.Store(d != nil && d.Mode == rollout.Refuse)
+	g.strict.Store(d != nil && d.Mode == rollout.ModeRefuse)
 	g.open.Store(true)
-	slog.Info("policy: in force", "epoch", acts.Epoch, "joint_with", acts.Joint)
+	slog.Info("policy: in force", "epoch", acts.Epoch, "joint_with", acts.JointChange)
 	return nil
 }
 
 // talk says what is to be said, or waits for news.
 func (g *governor) talk(ctx context.Context) error {
 	g.mu.Lock()
-	step, any := g.follow.Next()
-	me, version := g.follow.Me, g.follow.Version()
+	step, any := g.follow.NextCommand()
+	me, version := g.follow.Self, g.follow.Version()
 	wait := policyWatch
-	if number, wanted := g.follow.Reports(); wanted && !any {
+	if number, wanted := g.follow.ReportsWanted(); wanted && !any {
 		if wait = reportEvery - time.Since(g.reportedAt); wait <= 0 {
-			step, any, g.reportedAt = rollout.Command{Verb: rollout.Report, Member: me, Number: number, Counts: g.counts()}, true, time.Now()
+			step, any, g.reportedAt = rollout.Command{Op: rollout.OpReport, Member: me, ChangeNumber: number, Counts: g.counts()}, true, time.Now()
 		}
 	}
 	g.mu.Unlock()
@@ -282,22 +282,22 @@
 	defer g.mu.Unlock()
 	switch {
 	case err == nil:
-		g.follow.Said(step, nil)
-		if step.No != "" {
-			slog.Warn("policy: refused here", "change", step.Number, "why", step.No)
+		g.follow.HandleResult(step, nil)
+		if step.Refusal != "" {
+			slog.Warn("policy: refused here", "change", step.ChangeNumber, "why", step.Refusal)
 		}
-		g.follow.Take(v)
+		g.follow.HandleView(v)
 	case errors.Is(err, registry.ErrNotFound):
-		g.follow.Said(step, rollout.ErrUnknown)
+		g.follow.HandleResult(step, rollout.ErrNotFound)
 		return nil
-	case errors.Is(err, registry.ErrConflict) && step.Verb == rollout.Join: // evicted, or a later process has the name
-		g.follow.Lose()
+	case errors.Is(err, registry.ErrConflict) && step.Op == rollout.OpJoin: // evicted, or a later process has the name
+		g.follow.LostMembership()
 	case errors.Is(err, registry.ErrConflict): // what it has is out of date
 		g.mu.Unlock()
 		v, err = g.client.PolicyView(ctx, me, 0, 0)
 		g.mu.Lock()
 		if err == nil {
-			g.follow.Take(v)
+			g.follow.HandleView(v)
 		}
 	}
 	return err
@@ -305,8 +305,8 @@
 
 // sit holds the lease under which this sidecar serves, where the policy says so.
 func (g *governor) sit(ctx context.Context) {
-	name := registry.RosterLeasePrefix + g.follow.Me.Name
-	err := g.member.Hold(ctx, name, func(ctx context.Context, t *lease.Term) error {
+	name := registry.RosterLeasePrefix + g.follow.Self.Name
+	err := g.member.Hold(ctx, name, func(ctx context.Context, t *lease.Handle) error {
 		g.term.Store(t)
 		defer g.term.Store(nil)
 		<-ctx.Done()
@@ -322,7 +322,7 @@
 func (g *governor) goodbye(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), policyCallIn/2)
 	defer cancel()
-	if _, err := g.client.ApplyPolicyStep(ctx, rollout.Command{Verb: rollout.Leave, Member: g.follow.Me}, nil); err != nil {
+	if _, err := g.client.ApplyPolicyStep(ctx, rollout.Command{Op: rollout.OpLeave, Member: g.follow.Self}, nil); err != nil {
 		slog.Warn("policy: the seat is not given up: a change waits for this name until it starts again or is evicted", "err", err)
 		return
 	}
@@ -343,7 +343,7 @@
 
 // save keeps what is about to be acted by. It is written before the registry is told:
 // a process that starts again holds no less than this one has confirmed.
-func (g *governor) save(acts rollout.Acts) error {
+func (g *governor) save(acts rollout.ActivePolicy) error {
 	if g.config.Folder == "" {
 		return nil
 	}
@@ -383,7 +383,7 @@
 		return
 	}
 	var k kept
-	var acts rollout.Acts
+	var acts rollout.ActivePolicy
 	text, err := os.ReadFile(g.file())
 	if errors.Is(err, os.ErrNotExist) {
 		return
@@ -401,8 +401,8 @@
 		slog.Error("policy: what the folder holds is of no use", "file", g.file(), "err", err)
 		return
 	}
-	d := acts.Policy()
-	if d != nil && (d.Mode == rollout.Refuse || g.can(d) != nil) {
+	d := acts.Effective()
+	if d != nil && (d.Mode == rollout.ModeRefuse || g.can(d) != nil) {
 		return // not enough to serve by
 	}
 	if err := g.enforce(ctx, d); err != nil {
@@ -412,7 +412,7 @@
 	g.acts, g.since, g.saved = acts, time.Now(), true
 	g.mu.Unlock()
 	g.open.Store(true)
-	slog.Error("policy: nobody can be asked: serving by what the folder holds", "epoch", acts.Epoch, "joint_with", acts.Joint)
+	slog.Error("policy: nobody can be asked: serving by what the folder holds", "epoch", acts.Epoch, "joint_with", acts.JointChange)
 }
 
 // PolicyState tells how a sidecar stands towards the fleet's policy.
@@ -428,8 +428,8 @@
 func (g *governor) state() PolicyState {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	_, stage, refused := g.follow.Standing()
-	return PolicyState{Epoch: g.acts.Epoch, Joint: g.acts.Joint, Stage: stage, Since: g.since, Open: g.may(), Folder: g.saved, Refused: refused}
+	_, stage, refused := g.follow.Summary()
+	return PolicyState{Epoch: g.acts.Epoch, Joint: g.acts.JointChange, Stage: stage, Since: g.since, Open: g.may(), Folder: g.saved, Refused: refused}
 }
 
 func (s PolicyState) String() string {
@@ -465,9 +465,9 @@
 	}
 	for _, name := range l.tenantNames() {
 		t := d.Tenant(name)
-		r.Walls = append(r.Walls, policy.Held{Slots: t.Slots, Places: t.Places})
+		r.Walls = append(r.Walls, policy.Held{Slots: t.Slots, Places: t.QueuePlaces})
 	}
-	r.MaxAttempts, r.NoProbes = d.MostTries, d.NoProbes
+	r.MaxAttempts, r.NoProbes = d.MaxAttempts, d.NoProbes
 	return r
 }
 
@@ -489,14 +489,14 @@
 
 // under are the limits that a policy leaves of those that are configured.
 func (c connectionLimits) under(d *rollout.Document) connectionLimits {
-	if d != nil && d.Clients > 0 {
+	if d != nil && d.MaxClientConnections > 0 {
 		k := &c.Clients
-		k.Total = min(k.Total, d.Clients)
+		k.Total = min(k.Total, d.MaxClientConnections)
 		k.PerAddress, k.HalfOpen, k.Idle = min(k.PerAddress, k.Total), min(k.HalfOpen, k.Total), min(k.Idle, k.Total)
 	}
-	if d != nil && d.Servers > 0 {
+	if d != nil && d.MaxServerConnections > 0 {
 		s := &c.Servers
-		s.Total = min(s.Total, d.Servers)
+		s.Total = min(s.Total, d.MaxServerConnections)
 		s.PerServer, s.Handshakes = min(s.PerServer, s.Total), min(s.Handshakes, s.Total)
 		s.HandshakesPerServer = min(s.HandshakesPerServer, s.PerServer, s.Handshakes)
 	}
--- a/internal/testing/chaostest/operators.go
+++ b/internal/testing/chaostest/operators.go
@@ -36,15 +36,15 @@
 		st, err := r.client.PolicyStatus(in, 0, 0)
 		if err == nil {
 			step := rollout.Command{
-				Verb: rollout.Propose, Base: st.Epoch, By: "operator", Reason: fmt.Sprint("change ", n), Within: changeIn.Milliseconds(),
-				Doc: &rollout.Document{Form: 1, Mode: rollout.Carry, Tenants: []rollout.Tenant{{Name: "t", Slots: 8 + n%8, Places: 2}}},
+				Op: rollout.OpPropose, BaseEpoch: st.Epoch, By: "operator", Reason: fmt.Sprint("change ", n), WithinMS: changeIn.Milliseconds(),
+				Document: &rollout.Document{FormatVersion: 1, Mode: rollout.ModeCarry, Tenants: []rollout.Tenant{{Name: "t", Slots: 8 + n%8, QueuePlaces: 2}}},
 			}
 			if st.Change != nil && r.draw(3) == 0 {
-				step = rollout.Command{Verb: rollout.Abort, Number: st.Change.Number, By: "operator", Reason: "an operator's word"}
+				step = rollout.Command{Op: rollout.OpAbort, ChangeNumber: st.Change.Number, By: "operator", Reason: "an operator's word"}
 			}
 			if _, err = r.client.ApplyPolicyStep(in, step, nil); err == nil {
-				r.line("operator", "%s a policy", step.Verb)
-				r.saw("policies "+string(step.Verb), 1)
+				r.line("operator", "%s a policy", step.Op)
+				r.saw("policies "+string(step.Op), 1)
 			}
 		}
 		cancel()
--- a/internal/testing/chaostest/promises.go
+++ b/internal/testing/chaostest/promises.go
@@ -125,8 +125,8 @@
 		if why := asks(func(in context.Context) (err error) { st, err = r.client.PolicyStatus(in, 0, 0); return err }); why != "" {
 			return why
 		}
-		if st.Stage != rollout.Settled {
-			return fmt.Sprintf("change %d is %s, it waits for %v", st.Change.Number, st.Stage, st.Waits)
+		if st.Stage != rollout.StageSettled {
+			return fmt.Sprintf("change %d is %s, it waits for %v", st.Change.Number, st.Stage, st.WaitingFor)
 		}
 		return ""
 	})
@@ -217,7 +217,7 @@
 	all := make(map[string]size)
 	for name, p := range r.Processes {
 		pid := strconv.Itoa(p.Pid())
-		s := size{start: rollout.ProcessStart(p.Pid())}
+		s := size{start: rollout.ProcessStartTicks(p.Pid())}
 		text, err := os.ReadFile(filepath.Join("/proc", pid, "statm"))
 		fields := strings.Fields(string(text))
 		if err != nil || len(fields) < 2 {
--- a/internal/testing/integration/handover_test.go
+++ b/internal/testing/integration/handover_test.go
@@ -232,11 +232,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := lease.NewMember(lease.Options{Registry: c, TTL: leaseMS * time.Millisecond, Holder: registry.Holder{Name: fmt.Sprint("h", first), Incarnation: 1}})
+		m := lease.NewManager(lease.Options{Registry: c, TTL: leaseMS * time.Millisecond, Holder: registry.Holder{Name: fmt.Sprint("h", first), Incarnation: 1}})
 		tasks.Go(func() { m.Run(ctx) })
 		for i := first; i < min(n, first+each); i++ {
 			tasks.Go(func() {
-				m.Hold(ctx, fmt.Sprint("l", i), func(ctx context.Context, _ *lease.Term) error {
+				m.Hold(ctx, fmt.Sprint("l", i), func(ctx context.Context, _ *lease.Handle) error {
 					now.Add(1)
 					defer now.Add(-1)
 					<-ctx.Done()
--- a/internal/testing/integration/policy_test.go
+++ b/internal/testing/integration/policy_test.go
@@ -246,7 +246,7 @@
 
 // doc is a policy of so many slots.
 func doc(slots int, mode rollout.Mode) *rollout.Document {
-	return &rollout.Document{Form: 1, Mode: mode, Tenants: []rollout.Tenant{{Name: "t", Slots: slots, Places: 2}}}
+	return &rollout.Document{FormatVersion: 1, Mode: mode, Tenants: []rollout.Tenant{{Name: "t", Slots: slots, QueuePlaces: 2}}}
 }
 
 // change proposes a policy and returns when it is over, with what became of it.
@@ -266,7 +266,7 @@
 		if st, err = c.PolicyStatus(ctx, 0, 0); err != nil {
 			g.t.Fatal(err)
 		}
-		_, err = c.ApplyPolicyStep(ctx, rollout.Command{Verb: rollout.Propose, Doc: d, Base: st.Epoch, By: "test", Reason: fmt.Sprint(time.Now().UnixNano()), Within: within.Milliseconds(), First: first, Watch: watch.Milliseconds()}, nil)
+		_, err = c.ApplyPolicyStep(ctx, rollout.Command{Op: rollout.OpPropose, Document: d, BaseEpoch: st.Epoch, By: "test", Reason: fmt.Sprint(time.Now().UnixNano()), WithinMS: within.Milliseconds(), CanaryFraction: first, CanaryWatchMS: watch.Milliseconds()}, nil)
 		if err == nil {
 			break
 		}
@@ -280,7 +280,7 @@
 		if st, err = c.PolicyStatus(ctx, st.Version, time.Second); err != nil {
 			g.t.Fatal(err)
 		}
-		if n := len(st.History); n > 0 && st.History[n-1].Sum == d.Sum() && (st.Change == nil || st.Change.Number == st.History[n-1].Number) && st.History[n-1].Number > number {
+		if n := len(st.History); n > 0 && st.History[n-1].Checksum == d.Checksum() && (st.Change == nil || st.Change.Number == st.History[n-1].Number) && st.History[n-1].Number > number {
 			return st.History[n-1].Outcome, st.History[n-1].Number
 		}
 	}
@@ -315,7 +315,7 @@
 	}
 	g := startGoverned(t, 1, sidecars, true, "")
 	c := g.rig.client()
-	outcome, epoch := g.change(c, doc(6, rollout.Carry), patience)
+	outcome, epoch := g.change(c, doc(6, rollout.ModeCarry), patience)
 	if outcome != "committed" {
 		t.Fatalf("the first policy: %s", outcome)
 	}
@@ -340,7 +340,7 @@
 		if i%4 == 3 {
 			within = 400 * time.Millisecond // too short for some faults: it takes hold nowhere
 		}
-		outcome, number := g.change(c, doc(next, rollout.Carry), within)
+		outcome, number := g.change(c, doc(next, rollout.ModeCarry), within)
 		if err := <-played; err != nil {
 			t.Error(err)
 		}
@@ -405,13 +405,13 @@
 		}
 		return end
 	}
-	outcome, first := g.change(c, doc(6, rollout.Carry), patience)
+	outcome, first := g.change(c, doc(6, rollout.ModeCarry), patience)
 	if outcome != "committed" {
 		t.Fatal(outcome)
 	}
 	g.everywhere(first)
 	heal := cut()
-	if outcome, _ := g.change(c, doc(3, rollout.Carry), 2*time.Second); !strings.Contains(outcome, "n0") {
+	if outcome, _ := g.change(c, doc(3, rollout.ModeCarry), 2*time.Second); !strings.Contains(outcome, "n0") {
 		t.Errorf("with n0 cut off: %s", outcome)
 	}
 	if !g.serves("n0") {
@@ -421,14 +421,14 @@
 		t.Fatal(err)
 	}
 	g.everywhere(first)
-	outcome, second := g.change(c, doc(5, rollout.Refuse), patience)
+	outcome, second := g.change(c, doc(5, rollout.ModeRefuse), patience)
 	if outcome != "committed" {
 		t.Fatal(outcome)
 	}
 	g.everywhere(second)
 	heal = cut()
 	eventually(t, "n0 refuses", func() bool { return !g.serves("n0") })
-	outcome, third := g.change(c, doc(4, rollout.Refuse), patience)
+	outcome, third := g.change(c, doc(4, rollout.ModeRefuse), patience)
 	if outcome != "committed" {
 		t.Errorf("with n0 cut off under refuse: %s", outcome)
 	}
@@ -447,7 +447,7 @@
 	if err := g.Processes["n2"].Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	outcome, fourth := g.change(c, doc(6, rollout.Carry), patience)
+	outcome, fourth := g.change(c, doc(6, rollout.ModeCarry), patience)
 	if outcome != "committed" {
 		t.Errorf("with n1 gone and n2 stopped past its lease: %s", outcome)
 	}
@@ -470,23 +470,23 @@
 	t.Parallel()
 	g := startGoverned(t, 4, 4, false, "m")
 	c := g.rig.client()
-	outcome, first := g.change(c, doc(8, rollout.Carry), patience)
+	outcome, first := g.change(c, doc(8, rollout.ModeCarry), patience)
 	if outcome != "committed" {
 		t.Fatal(outcome)
 	}
 	g.everywhere(first)
 	g.load(6)
-	if outcome, _ := g.changeFirst(c, doc(1, rollout.Carry), patience, 0.25, 3*time.Second); !strings.Contains(outcome, "went ahead") || !strings.Contains(outcome, "refused") {
+	if outcome, _ := g.changeFirst(c, doc(1, rollout.ModeCarry), patience, 0.25, 3*time.Second); !strings.Contains(outcome, "went ahead") || !strings.Contains(outcome, "refused") {
 		t.Errorf("a policy that refuses much more: %s", outcome)
 	}
 	g.everywhere(first)
-	outcome, second := g.changeFirst(c, doc(7, rollout.Carry), patience, 0.25, 2*time.Second)
+	outcome, second := g.changeFirst(c, doc(7, rollout.ModeCarry), patience, 0.25, 2*time.Second)
 	if outcome != "committed" {
 		t.Errorf("a policy that changes little: %s", outcome)
 	}
 	g.everywhere(second)
 	g.Processes["n0"].Kill()
-	if outcome, _ = g.change(c, doc(6, rollout.Carry), patience); outcome != "committed" {
+	if outcome, _ = g.change(c, doc(6, rollout.ModeCarry), patience); outcome != "committed" {
 		t.Errorf("with the process of n0 gone: %s", outcome)
 	}
 	if !strings.Contains(g.Processes["k0"].Log()+g.Processes["k1"].Log(), "process has gone") {
@@ -506,7 +506,7 @@
 	t.Parallel()
 	g := startGoverned(t, 3, 2, true, "")
 	c := g.rig.client()
-	outcome, epoch := g.change(c, doc(4, rollout.Carry), patience)
+	outcome, epoch := g.change(c, doc(4, rollout.ModeCarry), patience)
 	if outcome != "committed" {
 		t.Fatal(outcome)
 	}
@@ -528,7 +528,7 @@
 		}
 	}
 	g.everywhere(epoch)
-	outcome, epoch = g.change(c, doc(3, rollout.Carry), patience)
+	outcome, epoch = g.change(c, doc(3, rollout.ModeCarry), patience)
 	if outcome != "committed" {
 		t.Error(outcome)
 	}
@@ -537,7 +537,7 @@
 	if err := os.RemoveAll(g.folders["n0"]); err != nil {
 		t.Fatal(err)
 	}
-	if outcome, _ = g.change(c, doc(5, rollout.Carry), patience); !strings.Contains(outcome, "refused by n0: policy: keep what is held") {
+	if outcome, _ = g.change(c, doc(5, rollout.ModeCarry), patience); !strings.Contains(outcome, "refused by n0: policy: keep what is held") {
 		t.Error(outcome)
 	}
 	g.everywhere(epoch)
--- a/internal/testing/integration/policytimes_test.go
+++ b/internal/testing/integration/policytimes_test.go
@@ -30,7 +30,7 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		step, any := l.follow.Next()
+		step, any := l.follow.NextCommand()
 		in, cancel := context.WithTimeout(ctx, 10*time.Second)
 		var v rollout.View
 		var err error
@@ -38,15 +38,15 @@
 		if any {
 			v, err = l.client.ApplyPolicyStep(in, step, nil)
 		} else {
-			v, err = l.client.PolicyView(in, l.follow.Me, l.follow.Version(), 4*time.Second)
+			v, err = l.client.PolicyView(in, l.follow.Self, l.follow.Version(), 4*time.Second)
 		}
 		cancel()
 		switch {
 		case err == nil:
-			l.follow.Said(step, nil)
-			l.follow.Take(v)
+			l.follow.HandleResult(step, nil)
+			l.follow.HandleView(v)
 		case errors.Is(err, registry.ErrNotFound):
-			l.follow.Said(step, rollout.ErrUnknown)
+			l.follow.HandleResult(step, rollout.ErrNotFound)
 		case ctx.Err() == nil:
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -85,7 +85,7 @@
 			var all []*light
 			for i := range x.members {
 				l := &light{client: r.client(), calls: &calls}
-				l.follow = rollout.Follower{Me: rollout.Member{Name: fmt.Sprint("m", i), Incarnation: 1}, Can: (*rollout.Document).Check}
+				l.follow = rollout.Follower{Self: rollout.Member{Name: fmt.Sprint("m", i), Incarnation: 1}, Supports: (*rollout.Document).Check}
 				all = append(all, l)
 				running.Go(func() { l.run(ctx) })
 			}
@@ -119,13 +119,13 @@
 					})
 				}
 				start := time.Now()
-				outcome, number := g.change(c, doc(2+i%5, rollout.Carry), patience)
+				outcome, number := g.change(c, doc(2+i%5, rollout.ModeCarry), patience)
 				if outcome != "committed" {
 					t.Fatalf("change %d: %s", number, outcome)
 				}
 				for {
 					st, err := c.PolicyStatus(ctx, 0, 0)
-					if err == nil && st.Stage == rollout.Settled {
+					if err == nil && st.Stage == rollout.StageSettled {
 						break
 					}
 					time.Sleep(5 * time.Millisecond)
@@ -156,7 +156,7 @@
 	}
 	g := startGoverned(t, 4, sidecars, false, "")
 	c := g.rig.client()
-	outcome, epoch := g.change(c, doc(6, rollout.Refuse), patience)
+	outcome, epoch := g.change(c, doc(6, rollout.ModeRefuse), patience)
 	if outcome != "committed" {
 		t.Fatal(outcome)
 	}
@@ -169,12 +169,12 @@
 			t.Fatal(err)
 		}
 		start := time.Now()
-		if outcome, epoch = g.change(c, doc(2+i%5, rollout.Refuse), patience); outcome != "committed" {
+		if outcome, epoch = g.change(c, doc(2+i%5, rollout.ModeRefuse), patience); outcome != "committed" {
 			t.Fatalf("change %d: %s", i, outcome)
 		}
 		eventually(t, "it has settled", func() bool {
 			st, err := c.PolicyStatus(context.Background(), 0, 0)
-			return err == nil && st.Stage == rollout.Settled
+			return err == nil && st.Stage == rollout.StageSettled
 		})
 		took = append(took, time.Since(start))
 		if g.serves(g.names[i%sidecars]) {
@@ -197,7 +197,7 @@
 	}
 	g := startGoverned(t, 5, 6, false, "")
 	c := g.rig.client()
-	if outcome, _ := g.change(c, doc(8, rollout.Carry), patience); outcome != "committed" {
+	if outcome, _ := g.change(c, doc(8, rollout.ModeCarry), patience); outcome != "committed" {
 		t.Fatal(outcome)
 	}
 	g.load(6) // under the walls: a change that matters to them would refuse some
@@ -211,7 +211,7 @@
 				time.Sleep(50 * time.Millisecond)
 				continue
 			}
-			if outcome, _ := g.change(c, doc(8+made%2, rollout.Carry), patience); outcome != "committed" {
+			if outcome, _ := g.change(c, doc(8+made%2, rollout.ModeCarry), patience); outcome != "committed" {
 				t.Fatal(outcome)
 			}
 			made++
--- a/internal/testing/integration/rig_test.go
+++ b/internal/testing/integration/rig_test.go
@@ -263,15 +263,15 @@
 
 const actIn = 100 * time.Millisecond // for one timed act; the witness takes a part of it
 
-func (a *actor) run(ctx context.Context, term *lease.Term) error {
+func (a *actor) run(ctx context.Context, term *lease.Handle) error {
 	// Its writes go on beyond the task's end, each with its own time: one that comes late
 	// is what the fence is for.
 	if a.every == 0 {
-		go a.write(ctx, term.Name(), term.Fence())
+		go a.write(ctx, term.LeaseName(), term.Fence())
 	}
 	for n := 0; ; n++ {
 		err := term.Do(ctx, actIn, func(ctx context.Context) error {
-			return a.tell(ctx, "act", url.Values{"task": {term.Name()}, "by": {fmt.Sprintf("%s/%d", a.name, os.Getpid())}, "token": {fmt.Sprint(term.Token())}})
+			return a.tell(ctx, "act", url.Values{"task": {term.LeaseName()}, "by": {fmt.Sprintf("%s/%d", a.name, os.Getpid())}, "token": {fmt.Sprint(term.Token())}})
 		})
 		if errors.Is(err, lease.ErrLapsed) || ctx.Err() != nil {
 			return cmp.Or(ctx.Err(), err)
@@ -281,7 +281,7 @@
 		case <-ctx.Done():
 		}
 		if n%3 == 0 && a.every == 0 {
-			a.read(ctx, term.Name())
+			a.read(ctx, term.LeaseName())
 		}
 	}
 }
--- a/internal/testing/modelcheck/system/judge.go
+++ b/internal/testing/modelcheck/system/judge.go
@@ -164,7 +164,7 @@
 	w.step("policy in force")
 	for _, seat := range status.Roster {
 		for _, x := range w.sidecars {
-			if x.up && x.me == seat.Member && (!x.acting || x.acts.Joint != j.epoch) {
+			if x.up && x.me == seat.Member && (!x.acting || x.acts.JointChange != j.epoch) {
 				w.broken("epoch %d is in force, and %s, which has a seat, never acted by it and the old one", j.epoch, x.name)
 			}
 		}
@@ -183,8 +183,8 @@
 			continue
 		}
 		by := []uint64{x.acts.Epoch}
-		if x.acts.Joint != 0 {
-			by = append(by, x.acts.Joint)
+		if x.acts.JointChange != 0 {
+			by = append(by, x.acts.JointChange)
 			j.jointly++
 		}
 		text += fmt.Sprintf(" %s by %v", x.name, by)
@@ -257,13 +257,13 @@
 		}
 	}
 	st := leader.state.Rollout().Status()
-	if st.Stage != rollout.Settled {
-		w.broken("change %d is still %s, it waits for %v", st.Change.Number, st.Stage, st.Waits)
+	if st.Stage != rollout.StageSettled {
+		w.broken("change %d is still %s, it waits for %v", st.Change.Number, st.Stage, st.WaitingFor)
 	}
 	for _, x := range w.sidecars {
-		cannot := st.Doc != nil && st.Doc.Tenants[0].Slots > tooMuch && x == w.sidecars[0]
-		if !cannot && (!x.acting || x.acts.Epoch != st.Epoch || x.acts.Joint != 0) {
-			w.broken("%s acts by epoch %d (joint with %d, acting %v) when epoch %d has settled", x.name, x.acts.Epoch, x.acts.Joint, x.acting, st.Epoch)
+		cannot := st.Document != nil && st.Document.Tenants[0].Slots > tooMuch && x == w.sidecars[0]
+		if !cannot && (!x.acting || x.acts.Epoch != st.Epoch || x.acts.JointChange != 0) {
+			w.broken("%s acts by epoch %d (joint with %d, acting %v) when epoch %d has settled", x.name, x.acts.Epoch, x.acts.JointChange, x.acting, st.Epoch)
 		}
 		if x.seq != leader.state.Seq() {
 			w.broken("%s holds version %d of the list, which is at %d", x.name, x.seq, leader.state.Seq())
--- a/internal/testing/modelcheck/system/keeper.go
+++ b/internal/testing/modelcheck/system/keeper.go
@@ -21,10 +21,10 @@
 	process
 	w       *world
 	of      registry.Holder
-	tenures map[string]*lease.Tenure
+	tenures map[string]*lease.Session
 	woken   map[string]func() // who waits for news of a tenure
 	desk    *overload.Planner // while it holds the task
-	desked  *lease.Tenure
+	desked  *lease.Session
 }
 
 // The leases, and the task of each.
@@ -44,7 +44,7 @@
 	k := &keeper{w: w, process: w.process(fmt.Sprint("k", i))}
 	k.boot = func() {
 		k.of = registry.Holder{Name: k.name, Incarnation: k.starts}
-		k.tenures = make(map[string]*lease.Tenure)
+		k.tenures = make(map[string]*lease.Session)
 		k.woken = make(map[string]func())
 		k.desk, k.desked = nil, nil
 		k.spawn(k.renews)
@@ -57,7 +57,7 @@
 }
 
 // claim asks for a lease again and again, and runs its task while it is held.
-func (k *keeper) claim(name string, do func(*task, *client, *lease.Tenure)) {
+func (k *keeper) claim(name string, do func(*task, *client, *lease.Session)) {
 	k.spawn(func(t *task) {
 		c := k.w.client(t)
 		for {
@@ -68,12 +68,12 @@
 }
 
 // once is one claim, from its asking to its end, as lease.Member has it.
-func (k *keeper) once(t *task, c *client, name string, do func(*task, *client, *lease.Tenure)) {
+func (k *keeper) once(t *task, c *client, name string, do func(*task, *client, *lease.Session)) {
 	k.w.claims++
-	n := &lease.Tenure{Name: name, ID: fmt.Sprintf("claim-%06d", k.w.claims), Of: k.of, TTL: leaseTTL}
+	n := &lease.Session{LeaseName: name, ClaimID: fmt.Sprintf("claim-%06d", k.w.claims), Holder: k.of, TTL: leaseTTL}
 	k.tenures[name] = n
-	claim := registry.Claim{ID: n.ID, Holder: k.of, TTLMS: leaseTTL.Milliseconds()}
-	n.Asked(k.reads())
+	claim := registry.Claim{ID: n.ClaimID, Holder: k.of, TTLMS: leaseTTL.Milliseconds()}
+	n.AcquireSent(k.reads())
 	res, err := c.apply(registry.Command{Op: registry.OpAcquireLease, Lease: &registry.LeaseCommand{Name: name, Claim: claim, Wait: true}})
 	var running *task
 	defer func() {
@@ -82,8 +82,8 @@
 		}
 	}()
 	if err == nil {
-		n.Acquired(registry.ClaimStatus{Lease: name, ClaimID: n.ID, Token: res.Token, QueuePosition: res.QueuePosition}, k.reads())
-		for !n.Over(k.reads()) {
+		n.Acquired(registry.ClaimStatus{Lease: name, ClaimID: n.ClaimID, Token: res.Token, QueuePosition: res.QueuePosition}, k.reads())
+		for !n.Ended(k.reads()) {
 			if n.Held(k.reads()) && running == nil {
 				k.w.step("lease granted: " + name)
 				running = k.run(n, do)
@@ -95,7 +95,7 @@
 				k.woken[name] = wake
 				t.after(min(renewEvery, max(time.Millisecond, k.left(n))), wake)
 			})
-			if _, leave := n.Left(); leave {
+			if _, leave := n.YieldRequested(); leave {
 				break
 			}
 		}
@@ -117,8 +117,8 @@
 		t.sleep(t.spread(renewEvery))
 		var claims []registry.ClaimRef
 		for _, name := range sortedKeys(k.tenures) {
-			if n := k.tenures[name]; !n.Over(k.reads()) {
-				claims = append(claims, registry.ClaimRef{Lease: name, ClaimID: n.ID})
+			if n := k.tenures[name]; !n.Ended(k.reads()) {
+				claims = append(claims, registry.ClaimRef{Lease: name, ClaimID: n.ClaimID})
 			}
 		}
 		sent := k.reads()
@@ -132,7 +132,7 @@
 			continue
 		}
 		for _, a := range answers {
-			if n := k.tenures[a.Lease]; n != nil && n.ID == a.ClaimID {
+			if n := k.tenures[a.Lease]; n != nil && n.ClaimID == a.ClaimID {
 				n.Renewed(a, sent, k.reads())
 				if wake := k.woken[a.Lease]; wake != nil {
 					k.after(0, wake)
@@ -143,18 +143,18 @@
 }
 
 // left is how long a lease is held still by this process's clock, in the world's time.
-func (k *keeper) left(n *lease.Tenure) time.Duration {
+func (k *keeper) left(n *lease.Session) time.Duration {
 	if n.Token() == 0 {
 		return time.Hour
 	}
-	return time.Duration(int64(n.Until()-k.reads()) * 1000 / k.rate)
+	return time.Duration(int64(n.Deadline()-k.reads()) * 1000 / k.rate)
 }
 
 // run runs a task under a lease: it ends where the lease does.
-func (k *keeper) run(n *lease.Tenure, do func(*task, *client, *lease.Tenure)) *task {
+func (k *keeper) run(n *lease.Session, do func(*task, *client, *lease.Session)) *task {
 	t := k.spawn(func(t *task) {
 		c := k.w.client(t)
-		c.fence = func() *registry.Fence { return &registry.Fence{Lease: n.Name, Token: n.Token()} }
+		c.fence = func() *registry.Fence { return &registry.Fence{Lease: n.LeaseName, Token: n.Token()} }
 		do(t, c, n)
 	})
 	t.lapsed = func() bool { return !n.Held(k.reads()) }
@@ -162,12 +162,12 @@
 }
 
 // policy leads changes of policy.
-func (k *keeper) policy(t *task, c *client, n *lease.Tenure) {
+func (k *keeper) policy(t *task, c *client, n *lease.Session) {
 	for {
 		var st rollout.Status
 		if c.peek(func(s *registry.State) { st = s.Rollout().Status() }) == nil {
 			if step, any := rollout.Decide(st, k.time().UnixMilli()); any {
-				k.w.step("policy " + string(step.Verb) + " from " + string(st.Stage))
+				k.w.step("policy " + string(step.Op) + " from " + string(st.Stage))
 				if _, err := c.apply(registry.Command{Op: registry.OpPolicyStep, PolicyStep: &step}); errors.Is(err, registry.ErrFenced) {
 					return
 				}
@@ -182,7 +182,7 @@
 type site struct {
 	t *task
 	w *world
-	n *lease.Tenure
+	n *lease.Session
 }
 
 // Told says whether all sidecars hold a version of the list.
@@ -211,7 +211,7 @@
 // Stop stops a server, only while the lease is held.
 func (s site) Stop(_ context.Context, _, host string) error {
 	if s.n != nil {
-		if err := s.n.Act(s.t.reads(), actTakes); err != nil {
+		if err := s.n.CheckAct(s.t.reads(), actTakes); err != nil {
 			return err
 		}
 	}
@@ -221,7 +221,7 @@
 }
 
 // workflow is the real one, over the world.
-func (w *world) workflow(t *task, c *client, owner string, n *lease.Tenure) *drain.Workflow {
+func (w *world) workflow(t *task, c *client, owner string, n *lease.Session) *drain.Workflow {
 	return &drain.Workflow{
 		Registry: c, Fleet: site{t, w, n}, Floor: drain.Floor{Others: 1}, Owner: owner, Lease: 5 * time.Second, Poll: 100 * time.Millisecond,
 		Now:   t.time,
@@ -238,7 +238,7 @@
 }
 
 // drains runs those that operators handed over.
-func (k *keeper) drains(t *task, c *client, n *lease.Tenure) {
+func (k *keeper) drains(t *task, c *client, n *lease.Session) {
 	for {
 		w := k.w.workflow(t, c, drain.Keepers, n)
 		handed, err := w.Handed(context.Background())
@@ -254,7 +254,7 @@
 }
 
 // word gives the fleet's word on an overload to who asks.
-func (k *keeper) word(t *task, c *client, n *lease.Tenure) {
+func (k *keeper) word(t *task, c *client, n *lease.Session) {
 	k.desk, k.desked = overload.NewPlanner(fleetName, n.Token()), n
 	defer func() { k.desk, k.desked = nil, nil }()
 	var was registry.Record
@@ -285,14 +285,14 @@
 }
 
 // timed acts on what knows no token.
-func (k *keeper) timed(t *task, _ *client, n *lease.Tenure) {
+func (k *keeper) timed(t *task, _ *client, n *lease.Session) {
 	for {
-		if n.Act(k.reads(), actTakes) != nil {
+		if n.CheckAct(k.reads(), actTakes) != nil {
 			return
 		}
 		// Its context ends with the lease, whatever becomes of the process.
-		until := k.now + time.Duration(int64(n.Until()-k.reads())*1000/k.rate)
-		act := k.w.judge.begin(k.w, k, n.ID, until)
+		until := k.now + time.Duration(int64(n.Deadline()-k.reads())*1000/k.rate)
+		act := k.w.judge.begin(k.w, k, n.ClaimID, until)
 		t.sleep(t.spread(actTakes))
 		act.end = min(k.now, act.end)
 		t.sleep(t.spread(2 * actTakes))
--- a/internal/testing/modelcheck/system/sidecar.go
+++ b/internal/testing/modelcheck/system/sidecar.go
@@ -24,7 +24,7 @@
 	w      *world
 	me     rollout.Member
 	follow *rollout.Follower
-	acts   rollout.Acts
+	acts   rollout.ActivePolicy
 	acting bool
 
 	seq  uint64 // of the list that it holds; 0: none
@@ -39,13 +39,13 @@
 	x := &sidecar{w: w, process: w.process(fmt.Sprint("s", i))}
 	x.boot = func() {
 		x.me = rollout.Member{Name: x.name, Incarnation: x.starts}
-		x.follow = &rollout.Follower{Me: x.me, Can: func(d *rollout.Document) error {
+		x.follow = &rollout.Follower{Self: x.me, Supports: func(d *rollout.Document) error {
 			if d.Tenants[0].Slots > tooMuch && x.name == "s0" {
 				return errTooMuch
 			}
 			return nil
 		}}
-		x.acting, x.acts, x.seq, x.list = false, rollout.Acts{}, 0, make(map[string]registry.Instance)
+		x.acting, x.acts, x.seq, x.list = false, rollout.ActivePolicy{}, 0, make(map[string]registry.Instance)
 		x.taker, x.token, x.seen = overload.Taker{Fleet: fleetName}, 0, make(map[string]int)
 		x.spawn(x.policy)
 		x.spawn(x.watch)
@@ -69,11 +69,11 @@
 
 // put puts in force what is to be acted by.
 func (x *sidecar) put() {
-	acts, acting := x.follow.Acting()
+	acts, acting := x.follow.Active()
 	if !acting && x.acting || acting && !x.acting {
 		x.w.step("sidecar acts or stops")
 	}
-	same := acts.Epoch == x.acts.Epoch && acts.Joint == x.acts.Joint && acting == x.acting
+	same := acts.Epoch == x.acts.Epoch && acts.JointChange == x.acts.JointChange && acting == x.acting
 	if x.acts, x.acting = acts, acting; !same {
 		x.w.judge.acting(x.w)
 	}
@@ -85,16 +85,16 @@
 	for {
 		x.put()
 		if x.follow.Fatal() != nil { // it cannot act by what is in force: it ends
-			_, _ = c.apply(registry.Command{Op: registry.OpPolicyStep, PolicyStep: &rollout.Command{Verb: rollout.Leave, Member: x.me}})
+			_, _ = c.apply(registry.Command{Op: registry.OpPolicyStep, PolicyStep: &rollout.Command{Op: rollout.OpLeave, Member: x.me}})
 			x.w.after(time.Second, x.alive(func() { x.kill(); x.w.after(3*time.Second, x.start) }))
 			t.sleep(time.Hour)
 		}
-		step, any := x.follow.Next()
+		step, any := x.follow.NextCommand()
 		var view rollout.View
 		look := func(s *registry.State) { view = s.Rollout().View(x.me) }
 		var err error
 		if any {
-			x.w.step("sidecar says " + string(step.Verb))
+			x.w.step("sidecar says " + string(step.Op))
 			err = c.each(func(r *replica, reply func(error)) {
 				x.w.group.take(r, registry.Command{Op: registry.OpPolicyStep, PolicyStep: &step}, func(_ registry.Result, err error) {
 					look(r.state)
@@ -107,16 +107,16 @@
 		}
 		switch {
 		case err == nil:
-			x.follow.Said(step, nil)
-			x.follow.Take(view)
+			x.follow.HandleResult(step, nil)
+			x.follow.HandleView(view)
 		case errors.Is(err, registry.ErrNotFound):
-			x.follow.Said(step, rollout.ErrUnknown)
-		case errors.Is(err, registry.ErrConflict) && step.Verb == rollout.Join:
-			x.follow.Lose()
+			x.follow.HandleResult(step, rollout.ErrNotFound)
+		case errors.Is(err, registry.ErrConflict) && step.Op == rollout.OpJoin:
+			x.follow.LostMembership()
 			t.sleep(t.spread(time.Second))
 		case errors.Is(err, registry.ErrConflict): // what it has is out of date
 			if c.peek(look) == nil {
-				x.follow.Take(view)
+				x.follow.HandleView(view)
 			}
 		default:
 			t.sleep(t.spread(200 * time.Millisecond))
--- a/internal/testing/modelcheck/system/together_test.go
+++ b/internal/testing/modelcheck/system/together_test.go
@@ -59,7 +59,7 @@
 		},
 		"old and new at once": func(w *world) {
 			for i, x := range w.sidecars {
-				x.acting, x.acts.Epoch, x.acts.Joint = true, uint64(1+i%2), 0
+				x.acting, x.acts.Epoch, x.acts.JointChange = true, uint64(1+i%2), 0
 			}
 			w.judge.acting(w)
 		},
--- a/internal/testing/modelcheck/system/world.go
+++ b/internal/testing/modelcheck/system/world.go
@@ -163,13 +163,13 @@
 			slots += tooMuch
 		}
 		step := rollout.Command{
-			Verb: rollout.Propose, Base: st.Epoch, By: "operator", Reason: fmt.Sprint(w.records), Within: 3000,
-			Doc: &rollout.Document{Form: 1, Mode: rollout.Carry, Tenants: []rollout.Tenant{{Name: "t", Slots: slots, Places: 1}}},
+			Op: rollout.OpPropose, BaseEpoch: st.Epoch, By: "operator", Reason: fmt.Sprint(w.records), WithinMS: 3000,
+			Document: &rollout.Document{FormatVersion: 1, Mode: rollout.ModeCarry, Tenants: []rollout.Tenant{{Name: "t", Slots: slots, QueuePlaces: 1}}},
 		}
 		if st.Change != nil && w.rng.IntN(3) == 0 {
-			step = rollout.Command{Verb: rollout.Abort, Number: st.Change.Number, By: "operator", Reason: "an operator's word"}
+			step = rollout.Command{Op: rollout.OpAbort, ChangeNumber: st.Change.Number, By: "operator", Reason: "an operator's word"}
 		}
-		w.step("operator: " + string(step.Verb))
+		w.step("operator: " + string(step.Op))
 		_, _ = c.apply(registry.Command{Op: registry.OpPolicyStep, PolicyStep: &step})
 	}
 }
