--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -64,7 +64,7 @@
 			}
 			var tasks []string
 			for _, t := range cfg.Tasks(nil) {
-				tasks = append(tasks, t.Lease)
+				tasks = append(tasks, t.LeaseName)
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%s: tasks %s; leases of %d ms\n", cfg.Name, strings.Join(tasks, ", "), cfg.LeaseMS)
 			return nil
--- a/cmd/fleetctl/drain.go
+++ b/cmd/fleetctl/drain.go
@@ -121,13 +121,13 @@
 	if err != nil {
 		return err
 	}
-	if p.Resumes != "" {
-		fmt.Fprintf(a.out, "%s: would resume at step %s, servers %v\n", machine, p.Resumes, p.Hosts)
+	if p.ResumesAt != "" {
+		fmt.Fprintf(a.out, "%s: would resume at step %s, servers %v\n", machine, p.ResumesAt, p.Hosts)
 		return nil
 	}
 	fmt.Fprintf(a.out, "%s: would drain servers %v\n", machine, p.Hosts)
 	for _, z := range p.Zones {
-		fmt.Fprintf(a.out, "zone %s: %d of %d ready servers would remain, the floor is %d\n", z.Zone, z.Left, z.Ready, z.Floor)
+		fmt.Fprintf(a.out, "zone %s: %d of %d ready servers would remain, the floor is %d\n", z.Zone, z.Remaining, z.Ready, z.Floor)
 	}
 	return nil
 }
@@ -145,10 +145,10 @@
 		}
 		shown++
 		claim := "claimed by " + d.Owner
-		switch left := time.UnixMilli(d.Expires).Sub(w.Now()).Round(time.Second); {
+		switch left := time.UnixMilli(d.ExpiresMS).Sub(w.Now()).Round(time.Second); {
 		case d.Step == drain.Done:
 			claim = "out of service"
-		case d.Owner == drain.Keepers:
+		case d.Owner == drain.OwnerControllers:
 			claim = "run by the keepers"
 		case left <= 0:
 			claim = "nobody's: resume it with drain, or undo it with undrain"
@@ -158,7 +158,7 @@
 		if d.Note != "" && d.Step != drain.Done {
 			claim += ": " + d.Note
 		}
-		fmt.Fprintf(a.out, "%s\t%s\t%s\tservers %v\tbegan %s\n", d.Machine, d.Step, claim, d.Hosts, time.UnixMilli(d.Began).UTC().Format(time.RFC3339))
+		fmt.Fprintf(a.out, "%s\t%s\t%s\tservers %v\tbegan %s\n", d.Machine, d.Step, claim, d.Hosts, time.UnixMilli(d.BeganMS).UTC().Format(time.RFC3339))
 	}
 	if shown == 0 {
 		fmt.Fprintln(a.out, "no machine is drained or being drained")
--- a/cmd/fleetctl/main_test.go
+++ b/cmd/fleetctl/main_test.go
@@ -54,7 +54,7 @@
 	})
 	config = filepath.Join(t.TempDir(), "ctl.json")
 	text, err = json.Marshal(drain.Config{
-		Registry: []string{http_.Addr().String()}, Floor: drain.Floor{Others: 1}, LongestMS: 1000, LeaseMS: 15000,
+		Registry: []string{http_.Addr().String()}, Floor: drain.Floor{Default: 1}, MaxRequestMS: 1000, LeaseMS: 15000,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -143,12 +143,12 @@
 func TestOverloadIsTold(t *testing.T) {
 	var out bytes.Buffer
 	a := &app{out: &out}
-	word := overload.Advice{Fleet: "f", Token: 7, Number: 3, Members: 12, Jam: 0.31, Fate: overload.Fate{Asked: 100, InTime: 61.5, Refused: 38.5}}
+	word := overload.Advice{Fleet: "f", Token: 7, Number: 3, Sidecars: 12, Congestion: 0.31, Rates: overload.Rates{Requests: 100, InTime: 61.5, Refused: 38.5}}
 	if err := a.showWord(word, false); err != nil || !strings.Contains(out.String(), "f: 12 sidecars, answers take 0.31 of their aims (token 7, word 3)") || !strings.Contains(out.String(), "100.0 asked, 61.5 served in time, 0.0 late, 38.5 refused") || !strings.Contains(out.String(), "no tenant is cut") {
 		t.Errorf("%v: %s", err, out.String())
 	}
 	out.Reset()
-	word.Parts = []overload.Part{{Tenant: "acme", Part: 0.075, Asked: 8210.4, Allowed: 611.9}}
+	word.Tenants = []overload.TenantAdvice{{Tenant: "acme", AdmitFraction: 0.075, RequestRate: 8210.4, AllowedRate: 611.9}}
 	if err := a.showWord(word, false); err != nil || !strings.Contains(out.String(), "acme    8210.4   611.9      7.5 %") {
 		t.Errorf("%v: %s", err, out.String())
 	}
--- a/cmd/fleetctl/overload.go
+++ b/cmd/fleetctl/overload.go
@@ -50,7 +50,7 @@
 					return nil
 				}
 				select {
-				case <-time.After(overload.Every):
+				case <-time.After(overload.ReportInterval):
 				case <-c.Context().Done():
 					return nil
 				}
@@ -64,19 +64,19 @@
 
 // wordOf asks the task for its word.
 func wordOf(ctx context.Context, r *client.Client) (word overload.Advice, err error) {
-	rec, err := r.Record(ctx, overload.Record)
+	rec, err := r.Record(ctx, overload.RecordKey)
 	if errors.Is(err, registry.ErrNotFound) {
 		return word, errors.New("no keeper has held the task overload yet: is [overload] in a keeper's file?")
 	} else if err != nil {
 		return word, err
 	}
-	var place overload.Place
+	var place overload.Location
 	if err := json.Unmarshal(rec.Value, &place); err != nil {
-		return word, fmt.Errorf("record %s: %w", overload.Record, err)
+		return word, fmt.Errorf("record %s: %w", overload.RecordKey, err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, askWithin)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+place.At+overload.Path, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+place.Address+overload.Path, nil)
 	if err != nil {
 		return word, err
 	}
@@ -85,12 +85,12 @@
 		return word, fmt.Errorf("the task's holder does not answer: %w", err)
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, overload.MostBytes))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, overload.MaxMessageBytes))
 	switch {
 	case err != nil:
 		return word, fmt.Errorf("the task's holder: %w", err)
 	case resp.StatusCode != http.StatusOK:
-		return word, fmt.Errorf("%s answers %d: %.200s", place.At, resp.StatusCode, text)
+		return word, fmt.Errorf("%s answers %d: %.200s", place.Address, resp.StatusCode, text)
 	}
 	return word, json.Unmarshal(text, &word)
 }
@@ -103,17 +103,17 @@
 	if word.Expected > 0 {
 		of = fmt.Sprintf(" of %d", word.Expected)
 	}
-	fmt.Fprintf(a.out, "%s: %d%s sidecars, answers take %.2f of their aims (token %d, word %d)\n", word.Fleet, word.Members, of, word.Jam, word.Token, word.Number)
-	f := word.Fate
-	fmt.Fprintf(a.out, "a second: %.1f asked, %.1f served in time, %.1f late, %.1f refused, %.1f failed\n", f.Asked, f.InTime, f.Late, f.Refused, f.Failed)
-	if len(word.Parts) == 0 {
+	fmt.Fprintf(a.out, "%s: %d%s sidecars, answers take %.2f of their aims (token %d, word %d)\n", word.Fleet, word.Sidecars, of, word.Congestion, word.Token, word.Number)
+	f := word.Rates
+	fmt.Fprintf(a.out, "a second: %.1f asked, %.1f served in time, %.1f late, %.1f refused, %.1f failed\n", f.Requests, f.InTime, f.Late, f.Refused, f.Failed)
+	if len(word.Tenants) == 0 {
 		fmt.Fprintln(a.out, "no tenant is cut")
 		return nil
 	}
 	w := tabwriter.NewWriter(a.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "TENANT\tASKED/S\tALLOWED/S\tTRIED")
-	for _, p := range word.Parts {
-		fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.1f %%\n", p.Tenant, p.Asked, p.Allowed, 100*p.Part)
+	for _, p := range word.Tenants {
+		fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.1f %%\n", p.Tenant, p.RequestRate, p.AllowedRate, 100*p.AdmitFraction)
 	}
 	return w.Flush()
 }
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -19,15 +19,15 @@
 	Registry []string         `toml:"registry"`
 	Listen   string           `toml:"listen"` // for /metrics and /health/ready; empty: neither
 	LeaseMS  int64            `toml:"lease_ms"`
-	ActsMS   int64            `toml:"-"` // of tasks that are none of Tasks; 0: what those take
+	MaxActMS int64            `toml:"-"` // of tasks that are none of Tasks; 0: what those take
 	Routes   addressmap.Table `toml:"routes"`
 
 	Drains *struct {
 		Config string `toml:"config"` // barleyctl's file
 	} `toml:"drains"`
-	Health *HealthConfig `toml:"health"`
-	Copies *CopiesConfig `toml:"copies"`
-	Policy *PolicyConfig `toml:"policy"`
+	Health    *HealthConfig    `toml:"health"`
+	ListCache *ListCacheConfig `toml:"copies"`
+	Policy    *PolicyConfig    `toml:"policy"`
 
 	Overload *OverloadConfig `toml:"overload"`
 
@@ -49,16 +49,16 @@
 
 // HealthConfig is what the checker of booking servers is told.
 type HealthConfig struct {
-	EveryMS   int64 `toml:"every_ms"`
-	TimeoutMS int64 `toml:"timeout_ms"`
-	Failures  int   `toml:"failures"` // in a row, before the advice says so
+	IntervalMS int64 `toml:"every_ms"`
+	TimeoutMS  int64 `toml:"timeout_ms"`
+	Failures   int   `toml:"failures"` // in a row, before the advice says so
 }
 
-// CopiesConfig is what the keeper of copies is told.
-type CopiesConfig struct {
-	Folder  string `toml:"folder"` // one that all keepers share
-	EveryMS int64  `toml:"every_ms"`
-	Keep    int    `toml:"keep"`
+// ListCacheConfig is what the keeper of copies is told.
+type ListCacheConfig struct {
+	Dir        string `toml:"folder"` // one that all keepers share
+	IntervalMS int64  `toml:"every_ms"`
+	Keep       int    `toml:"keep"`
 }
 
 const (
@@ -101,14 +101,14 @@
 		return nil, err
 	}
 	if h := c.Health; h != nil {
-		orElse(&h.EveryMS, defaultProbe.Milliseconds())
-		orElse(&h.TimeoutMS, min(defaultAnswer.Milliseconds(), h.EveryMS))
+		orElse(&h.IntervalMS, defaultProbe.Milliseconds())
+		orElse(&h.TimeoutMS, min(defaultAnswer.Milliseconds(), h.IntervalMS))
 		if h.Failures == 0 {
 			h.Failures = defaultFailures
 		}
 	}
-	if k := c.Copies; k != nil {
-		orElse(&k.EveryMS, defaultCopies.Milliseconds())
+	if k := c.ListCache; k != nil {
+		orElse(&k.IntervalMS, defaultCopies.Milliseconds())
 		if k.Keep == 0 {
 			k.Keep = defaultKeep
 		}
@@ -164,16 +164,16 @@
 	}
 	if h := c.Health; h != nil {
 		errs = append(errs,
-			within("health.every_ms", h.EveryMS, leastProbe.Milliseconds(), time.Hour.Milliseconds()),
-			within("health.timeout_ms", h.TimeoutMS, 1, min(h.EveryMS, c.LeaseMS/2)),
+			within("health.every_ms", h.IntervalMS, leastProbe.Milliseconds(), time.Hour.Milliseconds()),
+			within("health.timeout_ms", h.TimeoutMS, 1, min(h.IntervalMS, c.LeaseMS/2)),
 			within("health.failures", int64(h.Failures), 1, 1000))
 	}
-	if k := c.Copies; k != nil {
-		if k.Folder == "" {
+	if k := c.ListCache; k != nil {
+		if k.Dir == "" {
 			errs = append(errs, fmt.Errorf("copies.folder is missing: one that all keepers share"))
 		}
 		errs = append(errs,
-			within("copies.every_ms", k.EveryMS, leastCopies.Milliseconds(), (7*24*time.Hour).Milliseconds()),
+			within("copies.every_ms", k.IntervalMS, leastCopies.Milliseconds(), (7*24*time.Hour).Milliseconds()),
 			within("copies.keep", int64(k.Keep), 1, mostKeep))
 	}
 	for _, err := range errs {
--- a/internal/controller/copies.go
+++ b/internal/controller/copies.go
@@ -23,13 +23,13 @@
 	"barleywick/internal/registry/client"
 )
 
-// Copies is a folder of copies of the registry's contents, which several processes may
+// ListCache is a folder of copies of the registry's contents, which several processes may
 // write to: a file holds the highest token seen, and a lower one is refused under its
 // lock. A copy is restored as it is; beside each stands its checksum, as sha256sum
 // writes it, and one without is not whole.
-type Copies struct {
-	Folder string
-	Keep   int
+type ListCache struct {
+	Dir  string
+	Keep int
 }
 
 const (
@@ -41,8 +41,8 @@
 )
 
 // Save writes a copy under a token, and removes the oldest beyond those that are kept.
-func (c *Copies) Save(ctx context.Context, token uint64, at time.Time, text []byte) (path string, err error) {
-	if err := os.MkdirAll(c.Folder, 0o700); err != nil {
+func (c *ListCache) Save(ctx context.Context, token uint64, at time.Time, text []byte) (path string, err error) {
+	if err := os.MkdirAll(c.Dir, 0o700); err != nil {
 		return "", fmt.Errorf("copies: %w", err)
 	}
 	unlock, err := c.lock(ctx, token)
@@ -50,7 +50,7 @@
 		return "", err
 	}
 	defer unlock()
-	path = filepath.Join(c.Folder, copyPrefix+at.UTC().Format("20060102T150405.000000Z")+copySuffix)
+	path = filepath.Join(c.Dir, copyPrefix+at.UTC().Format("20060102T150405.000000Z")+copySuffix)
 	sum := sha256.Sum256(text)
 	if err := renameio.WriteFile(path, text, 0o600); err != nil {
 		return "", fmt.Errorf("copies: %w", err)
@@ -59,7 +59,7 @@
 	if err := renameio.WriteFile(path+sumSuffix, []byte(line), 0o600); err != nil {
 		return "", fmt.Errorf("copies: %w", err)
 	}
-	all, err := c.List()
+	all, err := c.Paths()
 	if err != nil {
 		return path, err
 	}
@@ -72,8 +72,8 @@
 }
 
 // lock takes the folder for a token, unless a higher one has been here.
-func (c *Copies) lock(ctx context.Context, token uint64) (unlock func(), err error) {
-	f, err := os.OpenFile(filepath.Join(c.Folder, fenceFile), os.O_RDWR|os.O_CREATE, 0o600)
+func (c *ListCache) lock(ctx context.Context, token uint64) (unlock func(), err error) {
+	f, err := os.OpenFile(filepath.Join(c.Dir, fenceFile), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("copies: %w", err)
 	}
@@ -118,9 +118,9 @@
 	return func() { f.Close() }, nil
 }
 
-// List returns the paths of all whole copies, the oldest first.
-func (c *Copies) List() ([]string, error) {
-	all, err := filepath.Glob(filepath.Join(c.Folder, copyPrefix+"*"+copySuffix))
+// Paths returns the paths of all whole copies, the oldest first.
+func (c *ListCache) Paths() ([]string, error) {
+	all, err := filepath.Glob(filepath.Join(c.Dir, copyPrefix+"*"+copySuffix))
 	if err != nil {
 		return nil, fmt.Errorf("copies: %w", err)
 	}
@@ -132,8 +132,8 @@
 	return all, nil
 }
 
-// ReadCopy reads a copy and holds it against its checksum.
-func ReadCopy(path string) ([]byte, error) {
+// ReadCachedList reads a copy and holds it against its checksum.
+func ReadCachedList(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("copy: %w", err)
@@ -151,12 +151,12 @@
 
 // copier keeps copies of the registry's contents.
 type copier struct {
-	config CopiesConfig
+	config ListCacheConfig
 	client *client.Client
 }
 
 func (t *copier) run(ctx context.Context, term *lease.Handle) error {
-	c := &Copies{Folder: t.config.Folder, Keep: t.config.Keep}
+	c := &ListCache{Dir: t.config.Dir, Keep: t.config.Keep}
 	for {
 		text, err := t.client.Backup(ctx)
 		if err == nil {
@@ -173,7 +173,7 @@
 		case err != nil:
 			slog.Error("copies: not saved", "lease", term.LeaseName(), "token", term.Token(), "err", err)
 		}
-		if err := pause(ctx, time.Duration(t.config.EveryMS)*time.Millisecond); err != nil {
+		if err := pause(ctx, time.Duration(t.config.IntervalMS)*time.Millisecond); err != nil {
 			return err
 		}
 	}
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -45,7 +45,7 @@
 }
 
 func (t *drains) run(ctx context.Context, term *lease.Handle) error {
-	under := t.config.With(fenced{t.client, term}, drain.Keepers, drainsEvery, func(format string, args ...any) {
+	under := t.config.WorkflowWith(fenced{t.client, term}, drain.OwnerControllers, drainsEvery, func(format string, args ...any) {
 		slog.Info("drain: "+fmt.Sprintf(format, args...), "lease", term.LeaseName(), "token", term.Token())
 	})
 	under.Fleet = fleetUnder{under.Fleet, term, term.TTL()}
@@ -54,7 +54,7 @@
 	var mu sync.Mutex
 	running := make(map[string]bool)
 	for {
-		handed, err := under.Handed(ctx)
+		handed, err := under.HandedOver(ctx)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
@@ -71,7 +71,7 @@
 				err := under.Resume(ctx, d)
 				switch {
 				case ctx.Err() != nil:
-				case errors.Is(err, drain.ErrLost), errors.Is(err, drain.ErrTimeout), errors.Is(err, registry.ErrFenced):
+				case errors.Is(err, drain.ErrClaimLost), errors.Is(err, drain.ErrTimeout), errors.Is(err, registry.ErrFenced):
 					slog.Info("drain: given up", "machine", d.Machine, "token", term.Token(), "err", err)
 				case err != nil:
 					slog.Warn("drain: hindered", "machine", d.Machine, "token", term.Token(), "err", err)
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -37,8 +37,8 @@
 
 // longestAct is how long a timed act of this keeper may take.
 func (c *Config) longestAct() time.Duration {
-	if c.ActsMS > 0 {
-		return time.Duration(c.ActsMS) * time.Millisecond
+	if c.MaxActMS > 0 {
+		return time.Duration(c.MaxActMS) * time.Millisecond
 	}
 	longest := 100 * time.Millisecond // an answer to a digest, a look at a lock
 	if c.Health != nil {
@@ -50,7 +50,7 @@
 	return longest
 }
 
-func joinFleet(c *Config, k *Keeper) (*fleet, error) {
+func joinFleet(c *Config, k *Controller) (*fleet, error) {
 	f := &fleet{client: k.client, look: make(chan struct{}, 1)}
 	var urls []string
 	for _, at := range c.Registry {
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -22,16 +22,16 @@
 // that a handful of keepers have even parts.
 const healthShards = 8
 
-// Advice is what the checker says of one booking server. It removes nothing: who reads
+// HealthAdvice is what the checker says of one booking server. It removes nothing: who reads
 // it decides.
-type Advice struct {
-	Failures int    `json:"failures"` // probes in a row
-	SinceMS  int64  `json:"since_ms"` // the first of them
-	Said     string `json:"said"`     // what the last one met
+type HealthAdvice struct {
+	ConsecutiveFailures int    `json:"failures"` // probes in a row
+	SinceMS             int64  `json:"since_ms"` // the first of them
+	LastError           string `json:"said"`     // what the last one met
 }
 
-// HealthKey is the record that holds a shard's advice, by host. One without advice is well.
-func HealthKey(shard int) string { return fmt.Sprint("health:", shard) }
+// HealthRecordKey is the record that holds a shard's advice, by host. One without advice is well.
+func HealthRecordKey(shard int) string { return fmt.Sprint("health:", shard) }
 
 // health probes the booking servers of one shard. A probe is a timed act: one too many
 // costs a server a fifth of a millisecond.
@@ -51,16 +51,16 @@
 
 func (h *health) run(ctx context.Context, term *lease.Handle) error {
 	timeout := time.Duration(h.config.TimeoutMS) * time.Millisecond
-	every := time.Duration(h.config.EveryMS) * time.Millisecond
+	every := time.Duration(h.config.IntervalMS) * time.Millisecond
 	c := &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	r := fenced{h.client, term}
-	failing := make(map[string]Advice)
+	failing := make(map[string]HealthAdvice)
 	h.asked = make(map[string]bool)
 	written := ""
 	// Each write names the version that it replaces: one that is repeated late would
 	// take back what came after it.
 	var version uint64
-	if was, err := r.Record(ctx, HealthKey(h.shard)); err == nil {
+	if was, err := r.Record(ctx, HealthRecordKey(h.shard)); err == nil {
 		version = was.Version
 	} else if !errors.Is(err, registry.ErrNotFound) {
 		return fmt.Errorf("advice: %w", err)
@@ -75,10 +75,10 @@
 			return nil
 		}
 		a := failing[e.Host]
-		if a.Failures++; a.Failures == 1 {
+		if a.ConsecutiveFailures++; a.ConsecutiveFailures == 1 {
 			a.SinceMS = time.Now().UnixMilli()
 		}
-		a.Said = met.Error()
+		a.LastError = met.Error()
 		failing[e.Host] = a
 		return nil
 	}
@@ -92,7 +92,7 @@
 			slog.Warn("health: the list cannot be read", "lease", term.LeaseName(), "err", err)
 		}
 		list.Registrations = slices.DeleteFunc(list.Registrations, func(e registry.Registration) bool { return !h.mine(e.Host) })
-		maps.DeleteFunc(failing, func(host string, _ Advice) bool {
+		maps.DeleteFunc(failing, func(host string, _ HealthAdvice) bool {
 			return err == nil && !slices.ContainsFunc(list.Registrations, func(e registry.Registration) bool { return e.Host == host })
 		})
 		for i, e := range list.Registrations {
@@ -105,9 +105,9 @@
 			}
 		}
 		advice := maps.Clone(failing)
-		maps.DeleteFunc(advice, func(_ string, a Advice) bool { return a.Failures < h.config.Failures })
+		maps.DeleteFunc(advice, func(_ string, a HealthAdvice) bool { return a.ConsecutiveFailures < h.config.Failures })
 		if text, key := h.text(advice); key != written {
-			if version, err = r.Put(ctx, HealthKey(h.shard), text, &version); err != nil {
+			if version, err = r.Put(ctx, HealthRecordKey(h.shard), text, &version); err != nil {
 				return fmt.Errorf("advice: %w", err)
 			}
 			written = key
@@ -163,7 +163,7 @@
 
 // text is the advice to be written, and what of it tells it from other advice: not how
 // often a server has failed since, which would be a write each time.
-func (h *health) text(advice map[string]Advice) (text []byte, key string) {
+func (h *health) text(advice map[string]HealthAdvice) (text []byte, key string) {
 	text, err := json.Marshal(advice)
 	if err != nil {
 		panic(fmt.Sprintf("keeper: advice that cannot be written: %v", err)) // numbers and texts can
--- a/internal/controller/keeper.go
+++ b/internal/controller/keeper.go
@@ -21,8 +21,8 @@
 
 // Task is work of which one process does its part at a time.
 type Task struct {
-	Lease string
-	Run   func(ctx context.Context, term *lease.Handle) error
+	LeaseName string
+	Run       func(ctx context.Context, term *lease.Handle) error
 	// Timed says that its acts reach what knows no token. A keeper that has lost more than
 	// half of the fleet's members gives such a task up.
 	Timed bool
@@ -36,8 +36,8 @@
 // are handed over to it: as long as it takes to notice that one has gone, twice.
 const settleLeases = 2
 
-// Keeper is one process.
-type Keeper struct {
+// Controller is one process.
+type Controller struct {
 	name   string
 	ttl    time.Duration
 	client *client.Client
@@ -52,12 +52,12 @@
 }
 
 // New makes a keeper of these tasks.
-func New(c *Config, tasks func(k *Keeper) []Task) (*Keeper, error) {
+func New(c *Config, tasks func(k *Controller) []Task) (*Controller, error) {
 	r, err := client.New(c.Registry, rand.Uint64())
 	if err != nil {
 		return nil, err
 	}
-	k := &Keeper{name: c.Name, ttl: c.lease(), client: r.WithAddressMap(c.Routes), held: make(map[string]*lease.Handle), news: make(chan registry.LeasesResponse, 1), looked: make(chan struct{}, 1)}
+	k := &Controller{name: c.Name, ttl: c.lease(), client: r.WithAddressMap(c.Routes), held: make(map[string]*lease.Handle), news: make(chan registry.LeasesResponse, 1), looked: make(chan struct{}, 1)}
 	k.member = lease.NewManager(lease.Options{
 		Registry: r, TTL: k.ttl, OnChange: k.hear,
 		// The start's time tells the later of two processes. It decides nothing between
@@ -74,7 +74,7 @@
 }
 
 // hear keeps the latest news for the loop.
-func (k *Keeper) hear(news registry.LeasesResponse) {
+func (k *Controller) hear(news registry.LeasesResponse) {
 	select {
 	case <-k.news:
 	default:
@@ -83,7 +83,7 @@
 }
 
 // Run holds tasks until ctx ends, and gives them up then.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Controller) Run(ctx context.Context) error {
 	defer k.client.Close()
 	// Claims are given up after ctx has ended: what renews them goes on until then.
 	life, end := context.WithCancel(context.WithoutCancel(ctx))
@@ -109,7 +109,7 @@
 }
 
 // present claims tasks and hands them over for as long as this keeper is present.
-func (k *Keeper) present(ctx context.Context) {
+func (k *Controller) present(ctx context.Context) {
 	s := &spread{settle: settleLeases * k.ttl}
 	running := make(map[string]context.CancelFunc)
 	var all sync.WaitGroup
@@ -139,28 +139,28 @@
 		}
 		s.update(present, now)
 		for _, t := range k.tasks {
-			claims, stop := s.claims(t.Lease, k.name), running[t.Lease]
-			holds := k.term(t.Lease) != nil
+			claims, stop := s.claims(t.LeaseName, k.name), running[t.LeaseName]
+			holds := k.term(t.LeaseName) != nil
 			if t.Timed && k.fleet.minority() {
 				claims, holds = false, false // it stops also what it holds
 			}
 			switch {
 			case claims && stop == nil:
 				in, cancel := context.WithCancel(ctx)
-				running[t.Lease] = cancel
+				running[t.LeaseName] = cancel
 				all.Go(func() { k.hold(in, t) })
 			case !claims && stop != nil && !holds: // it stands by no longer
 				stop()
-				delete(running, t.Lease)
+				delete(running, t.LeaseName)
 			case holds:
 				var waiting []string
-				for _, c := range leases[t.Lease].Queue {
+				for _, c := range leases[t.LeaseName].Queue {
 					if k.fleet.answers(c.Holder) {
 						waiting = append(waiting, c.Name)
 					}
 				}
-				if to, hand := s.next(t.Lease, k.name, waiting, now); hand {
-					k.HandOver(t.Lease, to)
+				if to, hand := s.next(t.LeaseName, k.name, waiting, now); hand {
+					k.HandOver(t.LeaseName, to)
 				}
 			}
 		}
@@ -168,18 +168,18 @@
 }
 
 // hold runs a task whenever its lease is this keeper's, until ctx ends.
-func (k *Keeper) hold(ctx context.Context, t Task) {
+func (k *Controller) hold(ctx context.Context, t Task) {
 	for ctx.Err() == nil {
-		err := k.member.Hold(ctx, t.Lease, func(ctx context.Context, term *lease.Handle) error {
-			k.note(t.Lease, term)
-			defer k.note(t.Lease, nil)
+		err := k.member.Hold(ctx, t.LeaseName, func(ctx context.Context, term *lease.Handle) error {
+			k.note(t.LeaseName, term)
+			defer k.note(t.LeaseName, nil)
 			if err := t.Run(ctx, term); err != nil {
 				return err
 			}
 			return ctx.Err()
 		})
 		if ctx.Err() == nil {
-			slog.Error("keeper: a task cannot be held", "lease", t.Lease, "err", err)
+			slog.Error("keeper: a task cannot be held", "lease", t.LeaseName, "err", err)
 			select {
 			case <-time.After(k.ttl):
 			case <-ctx.Done():
@@ -188,7 +188,7 @@
 	}
 }
 
-func (k *Keeper) note(name string, t *lease.Handle) {
+func (k *Controller) note(name string, t *lease.Handle) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if t == nil {
@@ -198,14 +198,14 @@
 	k.held[name] = t
 }
 
-func (k *Keeper) term(name string) *lease.Handle {
+func (k *Controller) term(name string) *lease.Handle {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.held[name]
 }
 
-// Held are the tasks that it holds, with their tokens.
-func (k *Keeper) Held() map[string]uint64 {
+// HeldTokens are the tasks that it holds, with their tokens.
+func (k *Controller) HeldTokens() map[string]uint64 {
 	k.mu.Lock()
 	terms := make([]*lease.Handle, 0, len(k.held))
 	for _, t := range k.held {
@@ -220,7 +220,7 @@
 }
 
 // HandOver stops a task and gives its lease to another keeper that waits for it.
-func (k *Keeper) HandOver(name, to string) {
+func (k *Controller) HandOver(name, to string) {
 	if t := k.term(name); t != nil {
 		slog.Info("keeper: handing over", "lease", name, "to", to)
 		t.HandOver(to)
@@ -244,28 +244,28 @@
 }
 
 // Tasks are the real tasks that a configuration names.
-func (c *Config) Tasks(k *Keeper) []Task {
+func (c *Config) Tasks(k *Controller) []Task {
 	if k == nil {
-		k = new(Keeper) // only their names are wanted
+		k = new(Controller) // only their names are wanted
 	}
 	var all []Task
 	if c.Drains != nil {
-		all = append(all, Task{Lease: DrainsLease, Run: (&drains{config: c.drains, client: k.client}).run})
+		all = append(all, Task{LeaseName: DrainsLease, Run: (&drains{config: c.drains, client: k.client}).run})
 	}
 	if c.Health != nil {
 		for shard := range healthShards {
 			h := &health{config: *c.Health, client: k.client, fleet: k.fleet, shard: shard}
-			all = append(all, Task{Lease: h.name(), Run: h.run, Timed: true})
+			all = append(all, Task{LeaseName: h.name(), Run: h.run, Timed: true})
 		}
 	}
 	if c.Policy != nil {
-		all = append(all, Task{Lease: PolicyLease, Run: (&policy{client: k.client}).run})
+		all = append(all, Task{LeaseName: PolicyLease, Run: (&policy{client: k.client}).run})
 	}
 	if c.Overload != nil {
-		all = append(all, Task{Lease: overload.Lease, Run: (&overloadTask{config: *c.Overload, client: k.client, fleet: k.fleet}).run, Timed: true})
+		all = append(all, Task{LeaseName: overload.LeaseName, Run: (&overloadTask{config: *c.Overload, client: k.client, fleet: k.fleet}).run, Timed: true})
 	}
-	if c.Copies != nil {
-		all = append(all, Task{Lease: "copies", Run: (&copier{config: *c.Copies, client: k.client}).run})
+	if c.ListCache != nil {
+		all = append(all, Task{LeaseName: "copies", Run: (&copier{config: *c.ListCache, client: k.client}).run})
 	}
 	return slices.Clip(all)
 }
--- a/internal/controller/keeper_test.go
+++ b/internal/controller/keeper_test.go
@@ -202,13 +202,13 @@
 		}
 	}
 	c, err := ParseConfig([]byte(good + "[health]\n[copies]\nfolder = \"x\"\n"))
-	if err != nil || c.Health.Failures != defaultFailures || c.Copies.Keep != defaultKeep || len(c.Tasks(nil)) != healthShards+1 {
+	if err != nil || c.Health.Failures != defaultFailures || c.ListCache.Keep != defaultKeep || len(c.Tasks(nil)) != healthShards+1 {
 		t.Errorf("%+v, %v", c, err)
 	}
 }
 
 func TestCopies(t *testing.T) {
-	c := &Copies{Folder: filepath.Join(t.TempDir(), "copies"), Keep: 3}
+	c := &ListCache{Dir: filepath.Join(t.TempDir(), "copies"), Keep: 3}
 	at := time.UnixMilli(1_700_000_000_000)
 	save := func(token uint64, text string) (string, error) {
 		at = at.Add(time.Second)
@@ -225,26 +225,26 @@
 	if _, err := save(8, "older"); !errors.Is(err, registry.ErrFenced) {
 		t.Errorf("an older token: %v", err)
 	}
-	all, err := c.List()
+	all, err := c.Paths()
 	if err != nil || len(all) != 3 {
 		t.Fatalf("%d copies are kept, %v", len(all), err)
 	}
-	if text, err := ReadCopy(all[2]); err != nil || string(text) != "newer" {
+	if text, err := ReadCachedList(all[2]); err != nil || string(text) != "newer" {
 		t.Errorf("the last is %q, %v", text, err)
 	}
 	if err := os.WriteFile(all[1], []byte("spoilt"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ReadCopy(all[1]); err == nil || !strings.Contains(err.Error(), "spoilt") {
+	if _, err := ReadCachedList(all[1]); err == nil || !strings.Contains(err.Error(), "spoilt") {
 		t.Errorf("a spoilt copy: %v", err)
 	}
 	if err := os.Remove(all[0] + sumSuffix); err != nil { // as when the process ended between the two
 		t.Fatal(err)
 	}
-	if _, err := ReadCopy(all[0]); err == nil || !strings.Contains(err.Error(), "not whole") {
+	if _, err := ReadCachedList(all[0]); err == nil || !strings.Contains(err.Error(), "not whole") {
 		t.Errorf("half a copy: %v", err)
 	}
-	if left, _ := c.List(); len(left) != 2 {
+	if left, _ := c.Paths(); len(left) != 2 {
 		t.Errorf("%d copies count as whole", len(left))
 	}
 	// Somebody who was stopped has the folder: one waits as long as it may, and no longer.
@@ -258,7 +258,7 @@
 		t.Errorf("the folder is another's: %v", err)
 	}
 	unlock()
-	if err := os.WriteFile(filepath.Join(c.Folder, fenceFile), []byte("what"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(c.Dir, fenceFile), []byte("what"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := save(10, "x"); err == nil || !strings.Contains(err.Error(), "spoilt") {
@@ -275,10 +275,10 @@
 	}
 	folder := t.TempDir()
 	startKeeper(t, "k1", addr, fmt.Sprintf("[copies]\nfolder = %q\nevery_ms = 1000\n", folder))
-	copies := &Copies{Folder: folder}
+	copies := &ListCache{Dir: folder}
 	var all []string
-	eventually(t, "there is a copy", func() bool { all, _ = copies.List(); return len(all) > 0 })
-	text, err := ReadCopy(all[0])
+	eventually(t, "there is a copy", func() bool { all, _ = copies.Paths(); return len(all) > 0 })
+	text, err := ReadCachedList(all[0])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -296,7 +296,7 @@
 func TestDrainGoesOn(t *testing.T) {
 	addr, c := startGroup(t, "g")
 	config := filepath.Join(t.TempDir(), "ctl.json")
-	text, _ := json.Marshal(drain.Config{Registry: []string{addr}, Floor: drain.Floor{Others: 1}, LongestMS: 100, LeaseMS: 15000})
+	text, _ := json.Marshal(drain.Config{Registry: []string{addr}, Floor: drain.Floor{Default: 1}, MaxRequestMS: 100, LeaseMS: 15000})
 	if err := os.WriteFile(config, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -318,7 +318,7 @@
 	}
 	var mu sync.Mutex
 	var said []string
-	w := cfg.With(c, "operator", 20*time.Millisecond, func(format string, args ...any) {
+	w := cfg.WorkflowWith(c, "operator", 20*time.Millisecond, func(format string, args ...any) {
 		mu.Lock()
 		defer mu.Unlock()
 		said = append(said, fmt.Sprintf(format, args...))
@@ -394,10 +394,10 @@
 	for _, k := range []string{"k1", "k2"} {
 		startKeeper(t, k, addr, "[health]\nevery_ms = 200\ntimeout_ms = 100\nfailures = 2\n")
 	}
-	bad := make(map[string]Advice)
+	bad := make(map[string]HealthAdvice)
 	eventually(t, "advice tells of s-3", func() bool {
 		for shard := range healthShards {
-			r, err := c.Record(t.Context(), HealthKey(shard))
+			r, err := c.Record(t.Context(), HealthRecordKey(shard))
 			if err != nil {
 				continue
 			}
@@ -407,7 +407,7 @@
 		}
 		return len(bad) > 0
 	})
-	if a := bad["s-3"]; len(bad) != 1 || a.Failures < 2 || a.SinceMS == 0 || !strings.Contains(a.Said, "503") {
+	if a := bad["s-3"]; len(bad) != 1 || a.ConsecutiveFailures < 2 || a.SinceMS == 0 || !strings.Contains(a.LastError, "503") {
 		t.Errorf("advice: %+v", bad)
 	}
 	if list, err := c.Registrations(t.Context()); err != nil || len(list.Registrations) != 6 {
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -48,7 +48,7 @@
 		return err
 	}
 	slog.Info("overload: listening", "at", ln.Addr(), "fleet", t.config.Fleet, "lease", term.LeaseName(), "token", term.Token())
-	tick := time.NewTicker(overload.Every)
+	tick := time.NewTicker(overload.ReportInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -66,15 +66,15 @@
 
 // announce writes where the task listens, over what an earlier holder wrote.
 func (t *overloadTask) announce(ctx context.Context, term *lease.Handle, at string) error {
-	text, err := json.Marshal(overload.Place{At: at, Token: term.Token()})
+	text, err := json.Marshal(overload.Location{Address: at, Token: term.Token()})
 	if err != nil {
 		return err
 	}
-	was, err := t.client.Record(ctx, overload.Record)
+	was, err := t.client.Record(ctx, overload.RecordKey)
 	if err != nil && !errors.Is(err, registry.ErrNotFound) {
 		return fmt.Errorf("overload: where it listens is not written: %w", err)
 	}
-	if _, err := t.client.PutFenced(ctx, overload.Record, text, &was.Version, term.Fence()); err != nil {
+	if _, err := t.client.PutFenced(ctx, overload.RecordKey, text, &was.Version, term.Fence()); err != nil {
 		return fmt.Errorf("overload: where it listens is not written: %w", err)
 	}
 	return nil
@@ -94,16 +94,16 @@
 func (d *overloadDesk) expect(sidecars int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.planner.Expect(sidecars)
+	d.planner.SetExpected(sidecars)
 }
 
 func (d *overloadDesk) plan() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	cut := len(d.word.Parts) > 0
+	cut := len(d.word.Tenants) > 0
 	d.word = d.planner.Plan(time.Since(d.began))
-	if now := len(d.word.Parts) > 0; now != cut {
-		slog.Info("overload: another word", "limit", d.word.Limit, "jam", d.word.Jam, "sidecars", d.word.Members, "parts", d.word.Parts, "token", d.word.Token)
+	if now := len(d.word.Tenants) > 0; now != cut {
+		slog.Info("overload: another word", "limit", d.word.Limit, "jam", d.word.Congestion, "sidecars", d.word.Sidecars, "parts", d.word.Tenants, "token", d.word.Token)
 	}
 }
 
@@ -126,7 +126,7 @@
 	}
 	var digest overload.Digest
 	if q.Method == http.MethodPost {
-		text, err := io.ReadAll(http.MaxBytesReader(w, q.Body, overload.MostBytes))
+		text, err := io.ReadAll(http.MaxBytesReader(w, q.Body, overload.MaxMessageBytes))
 		if err == nil {
 			err = json.Unmarshal(text, &digest)
 		}
@@ -138,7 +138,7 @@
 	d.mu.Lock()
 	var err error
 	if q.Method == http.MethodPost {
-		err = d.planner.Take(time.Since(d.began), digest)
+		err = d.planner.AddDigest(time.Since(d.began), digest)
 	}
 	word := d.word
 	d.mu.Unlock()
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -48,7 +48,7 @@
 }
 
 // serve answers for metrics and readiness until ctx ends.
-func (k *Keeper) serve(ctx context.Context, ln net.Listener) error {
+func (k *Controller) serve(ctx context.Context, ln net.Listener) error {
 	r := prometheus.NewRegistry()
 	r.MustRegister(standing{k}, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	mux := http.NewServeMux()
@@ -74,7 +74,7 @@
 )
 
 // standing tells how a keeper stands at the moment of a scrape.
-type standing struct{ k *Keeper }
+type standing struct{ k *Controller }
 
 // Describe names the figures.
 func (standing) Describe(c chan<- *prometheus.Desc) {
@@ -85,7 +85,7 @@
 
 // Collect reads them.
 func (s standing) Collect(c chan<- prometheus.Metric) {
-	for name, token := range s.k.Held() {
+	for name, token := range s.k.HeldTokens() {
 		c <- prometheus.MustNewConstMetric(descToken, prometheus.GaugeValue, float64(token), name)
 	}
 	grants, lapses := s.k.member.Counts()
--- a/internal/drain/config.go
+++ b/internal/drain/config.go
@@ -16,15 +16,15 @@
 
 // Config is what the operator's command is told.
 type Config struct {
-	Registry  []string `json:"registry"` // addresses of its replicas
-	Floor     Floor    `json:"floor"`
-	Sidecars  int      `json:"sidecars"`   // how many there are; 0: not known
-	LongestMS int64    `json:"longest_ms"` // the longest time that a client gives a request
-	LeaseMS   int64    `json:"lease_ms"`   // how long a claim lasts without a renewal
-	Stop      []string `json:"stop"`       // the command that stops a server
-	// Members says that a drain is over only when the machine's other processes that are
+	Registry     []string `json:"registry"` // addresses of its replicas
+	Floor        Floor    `json:"floor"`
+	Sidecars     int      `json:"sidecars"`   // how many there are; 0: not known
+	MaxRequestMS int64    `json:"longest_ms"` // the longest time that a client gives a request
+	LeaseMS      int64    `json:"lease_ms"`   // how long a claim lasts without a renewal
+	StopCommand  []string `json:"stop"`       // the command that stops a server
+	// WaitForMembers says that a drain is over only when the machine's other processes that are
 	// members of the fleet have ended too. The registry's replicas are asked.
-	Members bool `json:"members"`
+	WaitForMembers bool `json:"members"`
 }
 
 const (
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("read configuration: %w", err)
 	}
-	c := &Config{LeaseMS: defaultLease.Milliseconds(), LongestMS: -1, Floor: Floor{Others: -1}}
+	c := &Config{LeaseMS: defaultLease.Milliseconds(), MaxRequestMS: -1, Floor: Floor{Default: -1}}
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(c); err != nil {
@@ -59,15 +59,15 @@
 	switch {
 	case len(c.Registry) == 0:
 		return fmt.Errorf("registry: no address of a replica is named")
-	case c.Floor.Others < 0:
+	case c.Floor.Default < 0:
 		return fmt.Errorf("floor.others is missing or negative: how many ready servers must remain in a zone that floor.zones does not name")
-	case c.LongestMS < 0:
+	case c.MaxRequestMS < 0:
 		return fmt.Errorf("longest_ms is missing or negative: the longest time that a client gives a request")
 	case c.Sidecars < 0:
 		return fmt.Errorf("sidecars is %d, it must not be negative", c.Sidecars)
 	case c.LeaseMS < leastLease.Milliseconds():
 		return fmt.Errorf("lease_ms is %d, at least %d is needed", c.LeaseMS, leastLease.Milliseconds())
-	case len(c.Stop) > 0 && c.Stop[0] == "":
+	case len(c.StopCommand) > 0 && c.StopCommand[0] == "":
 		return fmt.Errorf("stop: the command has no name")
 	}
 	for zone, n := range c.Floor.Zones {
@@ -85,30 +85,30 @@
 		return nil, nil, err
 	}
 	r.WithTimeout(answerIn)
-	return c.With(r, owner, poll, say), r.Close, nil
+	return c.WorkflowWith(r, owner, poll, say), r.Close, nil
 }
 
-// Client is what the workflow needs of a registry's client.
-type Client interface {
+// RegistryClient is what the workflow needs of a registry's client.
+type RegistryClient interface {
 	Registry
 	Statuses(ctx context.Context) (got []registry.StatusResponse, all bool)
 }
 
-// With makes the workflow for the real site over a client of the caller's.
-func (c *Config) With(r Client, owner string, poll time.Duration, say func(string, ...any)) *Workflow {
+// WorkflowWith makes the workflow for the real site over a client of the caller's.
+func (c *Config) WorkflowWith(r RegistryClient, owner string, poll time.Duration, say func(string, ...any)) *Workflow {
 	var views []string
 	for _, replica := range c.Registry {
-		if c.Members {
+		if c.WaitForMembers {
 			views = append(views, "http://"+replica+registry.APIPath+membership.Path)
 		}
 	}
 	return &Workflow{
 		Registry: r,
-		Fleet: &Site{
-			Views:    views,
-			Statuses: r.Statuses, Sidecars: c.Sidecars, Longest: time.Duration(c.LongestMS) * time.Millisecond, Command: c.Stop, Now: time.Now,
+		Fleet: &LiveFleet{
+			MembershipURLs: views,
+			Statuses:       r.Statuses, Sidecars: c.Sidecars, MaxRequestTime: time.Duration(c.MaxRequestMS) * time.Millisecond, StopCommand: c.StopCommand, Now: time.Now,
 		},
-		Floor: c.Floor, Owner: owner, Lease: time.Duration(c.LeaseMS) * time.Millisecond, Poll: poll, Now: time.Now, Sleep: sleep, Say: say,
+		Floor: c.Floor, Owner: owner, ClaimTTL: time.Duration(c.LeaseMS) * time.Millisecond, PollInterval: poll, Now: time.Now, Sleep: sleep, Say: say,
 	}
 }
 
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -44,21 +44,21 @@
 	Step    Step     `json:"step"`
 	Hosts   []string `json:"hosts"`
 	// Owner holds the claim until Expires, in Unix milliseconds.
-	Owner   string `json:"owner"`
-	Expires int64  `json:"expires_ms"`
-	Began   int64  `json:"began_ms"`
+	Owner     string `json:"owner"`
+	ExpiresMS int64  `json:"expires_ms"`
+	BeganMS   int64  `json:"began_ms"`
 	// Seq is the list's version that has the marks, and MarkedAt when it came.
 	Seq      uint64 `json:"seq,omitempty"`
-	MarkedAt int64  `json:"marked_ms,omitempty"`
-	// Until is when a drain that keepers run is undone if it has not come to stopping;
+	MarkedMS int64  `json:"marked_ms,omitempty"`
+	// DeadlineMS is when a drain that keepers run is undone if it has not come to stopping;
 	// Note is what hinders it.
-	Until int64  `json:"until_ms,omitempty"`
-	Note  string `json:"note,omitempty"`
+	DeadlineMS int64  `json:"until_ms,omitempty"`
+	Note       string `json:"note,omitempty"`
 }
 
-// Keepers owns the drains that were handed over: whichever keeper holds the task of
+// OwnerControllers owns the drains that were handed over: whichever keeper holds the task of
 // running them, its lease and not the claim's time says that it may.
-const Keepers = "keepers"
+const OwnerControllers = "keepers"
 
 // RecordKey is where the registry keeps all drains.
 const RecordKey = "drains"
@@ -77,42 +77,42 @@
 
 // Fleet is what the workflow needs to know of the world, and to do in it.
 type Fleet interface {
-	// Told says whether all sidecars hold a version of the list; since is when it came.
-	Told(ctx context.Context, seq uint64, since time.Time) (bool, error)
+	// Notified says whether all sidecars hold a version of the list; since is when it came.
+	Notified(ctx context.Context, seq uint64, since time.Time) (bool, error)
 	// Idle says whether a server, marked at that time, has no work any more.
 	Idle(ctx context.Context, server registry.Registration, since time.Time) (bool, error)
 	// Stop stops a server's processes. It may be called again for one that is stopped.
 	Stop(ctx context.Context, machine, host string) error
-	// Members names the machine's processes that have not ended for sure. waits says whether
+	// RemainingMembers names the machine's processes that have not ended for sure. waits says whether
 	// they are to be waited for.
-	Members(ctx context.Context, machine string) (there []string, waits bool, err error)
+	RemainingMembers(ctx context.Context, machine string) (there []string, waits bool, err error)
 }
 
 // Floor is how many ready servers have to remain in each zone; Others counts where
 // a zone is not named.
 type Floor struct {
-	Zones  map[string]int `json:"zones"`
-	Others int            `json:"others"`
+	Zones   map[string]int `json:"zones"`
+	Default int            `json:"others"`
 }
 
 func (f Floor) of(zone string) int {
 	if n, ok := f.Zones[zone]; ok {
 		return n
 	}
-	return f.Others
+	return f.Default
 }
 
 // Workflow runs drains for one operator.
 type Workflow struct {
-	Registry Registry
-	Fleet    Fleet
-	Floor    Floor
-	Owner    string
-	Lease    time.Duration                                    // how long a claim lasts without a renewal
-	Poll     time.Duration                                    // between two looks at what is waited for
-	Now      func() time.Time                                 // the clock that all machines read
-	Sleep    func(ctx context.Context, d time.Duration) error // waits, or returns ctx's error
-	Say      func(format string, args ...any)                 // tells the operator
+	Registry     Registry
+	Fleet        Fleet
+	Floor        Floor
+	Owner        string
+	ClaimTTL     time.Duration                                    // how long a claim lasts without a renewal
+	PollInterval time.Duration                                    // between two looks at what is waited for
+	Now          func() time.Time                                 // the clock that all machines read
+	Sleep        func(ctx context.Context, d time.Duration) error // waits, or returns ctx's error
+	Say          func(format string, args ...any)                 // tells the operator
 
 	mu    sync.Mutex
 	marks map[string]seenMark // by machine: the marks that this process has seen
@@ -121,8 +121,8 @@
 // Why a drain is refused. The error's text says what and what to do; nothing was changed.
 var (
 	ErrRefused = errors.New("refused")
-	// ErrLost says that the claim has passed to another.
-	ErrLost = errors.New("the claim is lost")
+	// ErrClaimLost says that the claim has passed to another.
+	ErrClaimLost = errors.New("the claim is lost")
 	// ErrTimeout says that the time given was up.
 	ErrTimeout = errors.New("out of time")
 )
@@ -195,12 +195,12 @@
 	var got Drain
 	d, err := w.update(ctx, machine, func(_ drains, own Drain, is bool) (Drain, bool, error) {
 		if !is || own.Owner != w.Owner {
-			return own, is, fmt.Errorf("%w: the drain of %s is %s by now; nothing more was changed here", ErrLost, machine, describe(own, is))
+			return own, is, fmt.Errorf("%w: the drain of %s is %s by now; nothing more was changed here", ErrClaimLost, machine, describe(own, is))
 		}
 		if change != nil {
 			change(&own)
 		}
-		own.Expires = w.Now().Add(w.Lease).UnixMilli()
+		own.ExpiresMS = w.Now().Add(w.ClaimTTL).UnixMilli()
 		got = own
 		return own, true, nil
 	})
@@ -216,16 +216,16 @@
 
 // Plan is what a drain would do.
 type Plan struct {
-	Machine string
-	Hosts   []string
-	Zones   []Remains
-	Resumes Step // the step that a drain under way would be resumed at; empty: a new one
+	Machine   string
+	Hosts     []string
+	Zones     []ZoneReadiness
+	ResumesAt Step // the step that a drain under way would be resumed at; empty: a new one
 }
 
-// Remains is what a zone has before and after.
-type Remains struct {
-	Zone               string
-	Ready, Left, Floor int
+// ZoneReadiness is what a zone has before and after.
+type ZoneReadiness struct {
+	Zone                    string
+	Ready, Remaining, Floor int
 }
 
 // plan checks a drain against the list and the other drains.
@@ -266,10 +266,10 @@
 	}
 	slices.Sort(p.Hosts)
 	for _, z := range slices.Sorted(maps.Keys(zones)) {
-		r := Remains{Zone: z, Ready: ready[z], Left: ready[z] - zones[z], Floor: w.Floor.of(z)}
+		r := ZoneReadiness{Zone: z, Ready: ready[z], Remaining: ready[z] - zones[z], Floor: w.Floor.of(z)}
 		p.Zones = append(p.Zones, r)
-		if zones[z] > 0 && r.Left < r.Floor {
-			return p, refuse("without %s zone %s would have %d ready servers, its floor is %d; start others first, or end another drain", machine, z, r.Left, r.Floor)
+		if zones[z] > 0 && r.Remaining < r.Floor {
+			return p, refuse("without %s zone %s would have %d ready servers, its floor is %d; start others first, or end another drain", machine, z, r.Remaining, r.Floor)
 		}
 	}
 	return p, nil
@@ -285,7 +285,7 @@
 		if err := w.mayClaim(own); err != nil {
 			return Plan{}, err
 		}
-		return Plan{Machine: machine, Hosts: own.Hosts, Resumes: own.Step}, nil
+		return Plan{Machine: machine, Hosts: own.Hosts, ResumesAt: own.Step}, nil
 	}
 	return w.plan(ctx, machine, d)
 }
@@ -303,10 +303,10 @@
 
 // free says whose claim is in the way.
 func (w *Workflow) free(own Drain) error {
-	if own.Owner == Keepers && w.Owner != Keepers {
+	if own.Owner == OwnerControllers && w.Owner != OwnerControllers {
 		return refuse("machine %s is being drained by the keepers, at step %s; status follows it, undrain takes it back", own.Machine, own.Step)
 	}
-	if left := own.Expires - w.Now().UnixMilli(); own.Owner != w.Owner && left > 0 {
+	if left := own.ExpiresMS - w.Now().UnixMilli(); own.Owner != w.Owner && left > 0 {
 		return refuse("machine %s is claimed by %s, at step %s; its claim lasts another %v unless it is renewed",
 			own.Machine, own.Owner, own.Step, (time.Duration(left) * time.Millisecond).Round(time.Second))
 	}
@@ -324,8 +324,8 @@
 		step := own.Step
 		if own, err = w.step(ctx, own); err != nil {
 			// A keeper that is to stop leaves the drain to the next one.
-			passed := w.Owner == Keepers && errors.Is(ctx.Err(), context.Canceled)
-			if ctx.Err() != nil && step != Stopping && step != Stopped && !errors.Is(err, ErrLost) && !passed {
+			passed := w.Owner == OwnerControllers && errors.Is(ctx.Err(), context.Canceled)
+			if ctx.Err() != nil && step != Stopping && step != Stopped && !errors.Is(err, ErrClaimLost) && !passed {
 				return w.giveUp(ctx, machine, step)
 			}
 			return err
@@ -352,9 +352,9 @@
 			if err != nil {
 				return was, false, err
 			}
-			own = Drain{Machine: machine, Step: Claimed, Hosts: p.Hosts, Began: now.UnixMilli()}
+			own = Drain{Machine: machine, Step: Claimed, Hosts: p.Hosts, BeganMS: now.UnixMilli()}
 		}
-		own.Owner, own.Expires = w.Owner, now.Add(w.Lease).UnixMilli()
+		own.Owner, own.ExpiresMS = w.Owner, now.Add(w.ClaimTTL).UnixMilli()
 		return own, true, nil
 	})
 	if err == nil {
@@ -375,7 +375,7 @@
 			return own, err
 		}
 		if !quiet {
-			if err := w.Sleep(ctx, w.Poll); err != nil {
+			if err := w.Sleep(ctx, w.PollInterval); err != nil {
 				return own, err
 			}
 			own, _, err = w.held(ctx, own.Machine, nil)
@@ -395,7 +395,7 @@
 		}
 		return w.advance(ctx, own, Stopped)
 	case Stopped:
-		there, waits, err := w.Fleet.Members(ctx, own.Machine)
+		there, waits, err := w.Fleet.RemainingMembers(ctx, own.Machine)
 		if !waits || err == nil && len(there) == 0 {
 			return w.advance(ctx, own, Done)
 		}
@@ -406,7 +406,7 @@
 		if note != own.Note {
 			w.Say("%s: %s", own.Machine, note)
 		}
-		if err := w.Sleep(ctx, w.Poll); err != nil {
+		if err := w.Sleep(ctx, w.PollInterval); err != nil {
 			return own, err
 		}
 		own, _, err = w.held(ctx, own.Machine, func(d *Drain) { d.Note = note })
@@ -466,7 +466,7 @@
 			a.Seq = list.Seq
 		}
 		next, _, err = w.held(ctx, own.Machine, func(x *Drain) {
-			x.Step, x.Seq, x.MarkedAt = Marked, a.Seq, w.Now().UnixMilli()
+			x.Step, x.Seq, x.MarkedMS = Marked, a.Seq, w.Now().UnixMilli()
 		})
 		return next, err
 	}
@@ -498,14 +498,14 @@
 func (w *Workflow) markedSince(own Drain) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if seen, ok := w.marks[own.Machine]; ok && seen.at == own.MarkedAt {
+	if seen, ok := w.marks[own.Machine]; ok && seen.at == own.MarkedMS {
 		return seen.since
 	}
 	if w.marks == nil {
 		w.marks = make(map[string]seenMark)
 	}
 	now := w.Now()
-	w.marks[own.Machine] = seenMark{at: own.MarkedAt, since: now}
+	w.marks[own.Machine] = seenMark{at: own.MarkedMS, since: now}
 	return now
 }
 
@@ -518,7 +518,7 @@
 // quiet says whether the sidecars know of the marks and the servers have no work.
 func (w *Workflow) quiet(ctx context.Context, own Drain) (bool, error) {
 	since := w.markedSince(own)
-	told, err := w.Fleet.Told(ctx, own.Seq, since)
+	told, err := w.Fleet.Notified(ctx, own.Seq, since)
 	if err != nil || !told {
 		return false, err
 	}
@@ -544,7 +544,7 @@
 
 // giveUp undoes a drain whose time is up.
 func (w *Workflow) giveUp(ctx context.Context, machine string, step Step) error {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), w.Lease)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), w.ClaimTTL)
 	defer cancel()
 	if err := w.Undrain(ctx, machine); err != nil {
 		return fmt.Errorf("%s: %w at step %s, and it could not be undone: %w; drain it again to resume, or undrain it", machine, ErrTimeout, step, err)
@@ -560,13 +560,13 @@
 		if !is {
 			return was, false, refuse("machine %q is not drained, and not being drained", machine)
 		}
-		if was.Step != Done && was.Owner != Keepers {
+		if was.Step != Done && was.Owner != OwnerControllers {
 			if err := w.free(was); err != nil {
 				return was, true, err
 			}
 		}
 		own = was
-		own.Step, own.Owner, own.Expires = Undoing, w.Owner, w.Now().Add(w.Lease).UnixMilli()
+		own.Step, own.Owner, own.ExpiresMS = Undoing, w.Owner, w.Now().Add(w.ClaimTTL).UnixMilli()
 		return own, true, nil
 	}); err != nil {
 		return err
@@ -588,7 +588,7 @@
 	}
 	_, err = w.update(ctx, machine, func(_ drains, was Drain, is bool) (Drain, bool, error) {
 		if is && (was.Owner != w.Owner || was.Step != Undoing) {
-			return was, true, fmt.Errorf("%w: the drain of %s is %s by now", ErrLost, machine, describe(was, is))
+			return was, true, fmt.Errorf("%w: the drain of %s is %s by now", ErrClaimLost, machine, describe(was, is))
 		}
 		return was, false, nil
 	})
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -34,7 +34,7 @@
 
 func newWorld(t *testing.T) *world {
 	w := &world{t: t, state: registry.NewState(), now: time.UnixMilli(1_800_000_000_000), work: make(map[string]int), stops: make(map[string]int)}
-	w.floor = Floor{Zones: map[string]int{"a": 2}, Others: 1}
+	w.floor = Floor{Zones: map[string]int{"a": 2}, Default: 1}
 	w.apply(registry.Command{Op: registry.OpFoundGroup, Group: "test"})
 	for _, s := range [][3]string{{"s-1", "m-1", "a"}, {"s-2", "m-1", "a"}, {"s-3", "m-2", "a"}, {"s-4", "m-2", "a"}, {"s-5", "m-3", "a"}, {"s-6", "m-4", "b"}} {
 		w.register(s[0], s[1], s[2])
@@ -82,7 +82,7 @@
 
 func (o *operator) workflow() *Workflow {
 	return &Workflow{
-		Registry: o, Fleet: o, Floor: o.floor, Owner: o.name, Lease: 10 * time.Second, Poll: time.Second,
+		Registry: o, Fleet: o, Floor: o.floor, Owner: o.name, ClaimTTL: 10 * time.Second, PollInterval: time.Second,
 		Now: func() time.Time { return o.now }, Say: func(string, ...any) {},
 		Sleep: func(ctx context.Context, d time.Duration) error {
 			o.now = o.now.Add(d)
@@ -154,7 +154,7 @@
 	return registry.WriteResponse{Version: r.Version, Seq: r.Seq}, r.Err
 }
 
-func (o *operator) Told(_ context.Context, seq uint64, _ time.Time) (told bool, err error) {
+func (o *operator) Notified(_ context.Context, seq uint64, _ time.Time) (told bool, err error) {
 	err = o.call(func() { told = o.held >= seq })
 	return told, err
 }
@@ -164,7 +164,7 @@
 	return idle, err
 }
 
-func (o *operator) Members(context.Context, string) (there []string, waits bool, err error) {
+func (o *operator) RemainingMembers(context.Context, string) (there []string, waits bool, err error) {
 	if len(o.there) == 0 {
 		return nil, false, nil
 	}
@@ -428,7 +428,7 @@
 			}
 		}
 	}
-	if err := first.workflow().Drain(t.Context(), "m-1"); !errors.Is(err, ErrLost) {
+	if err := first.workflow().Drain(t.Context(), "m-1"); !errors.Is(err, ErrClaimLost) {
 		t.Errorf("ops-a: %v, want the claim lost", err)
 	}
 	w.check("taken over", "m-1", true)
@@ -505,7 +505,7 @@
 	}
 	w := newWorld(t)
 	p, err := w.operator("ops-a").workflow().Plan(t.Context(), "m-1")
-	if err != nil || len(p.Hosts) != 2 || len(p.Zones) != 1 || p.Zones[0] != (Remains{"a", 5, 3, 2}) || len(w.state.RecordKeys()) > 0 {
+	if err != nil || len(p.Hosts) != 2 || len(p.Zones) != 1 || p.Zones[0] != (ZoneReadiness{"a", 5, 3, 2}) || len(w.state.RecordKeys()) > 0 {
 		t.Errorf("a plan: %+v, %v", p, err)
 	}
 }
@@ -514,11 +514,11 @@
 	begin := time.Unix(1_800_000_000, 0)
 	var got []registry.StatusResponse
 	all, now := true, begin
-	s := &Site{
+	s := &LiveFleet{
 		Statuses: func(context.Context) ([]registry.StatusResponse, bool) { return got, all },
-		Sidecars: 3, Longest: 6 * time.Second, Now: func() time.Time { return now },
+		Sidecars: 3, MaxRequestTime: 6 * time.Second, Now: func() time.Time { return now },
 	}
-	told := func() bool { ok, err := s.Told(t.Context(), 10, begin); return ok && err == nil }
+	told := func() bool { ok, err := s.Notified(t.Context(), 10, begin); return ok && err == nil }
 	got = []registry.StatusResponse{{Watches: 2, WatchSeq: 10}, {Watches: 1, WatchSeq: 12}}
 	if !told() {
 		t.Error("all hold it")
@@ -554,7 +554,7 @@
 		}
 	}
 	report = "no report"
-	if now = begin.Add(toldWithin + s.Longest); !idle() {
+	if now = begin.Add(toldWithin + s.MaxRequestTime); !idle() {
 		t.Error("nobody can wait for an answer any longer")
 	}
 	now, status, report = begin, http.StatusNotFound, "inflight=0"
@@ -569,14 +569,14 @@
 		t.Errorf("no command: %v", err)
 	}
 	out := filepath.Join(t.TempDir(), "stopped")
-	s.Command = []string{"sh", "-c", "echo {machine} {host} > " + out}
+	s.StopCommand = []string{"sh", "-c", "echo {machine} {host} > " + out}
 	if err := s.Stop(t.Context(), "m-1", "s-1"); err != nil {
 		t.Error(err)
 	}
 	if text, _ := os.ReadFile(out); string(text) != "m-1 s-1\n" {
 		t.Errorf("the command got %q", text)
 	}
-	s.Command = []string{"sh", "-c", "echo no such unit >&2; exit 5"}
+	s.StopCommand = []string{"sh", "-c", "echo no such unit >&2; exit 5"}
 	if err := s.Stop(t.Context(), "m-1", "s-1"); err == nil || !strings.Contains(err.Error(), "no such unit") {
 		t.Errorf("a command that fails: %v", err)
 	}
--- a/internal/drain/fleet.go
+++ b/internal/drain/fleet.go
@@ -26,38 +26,38 @@
 	maxOutput  = 300 // characters of a failed command's output that are shown
 )
 
-// Statuses asks every replica of the registry how it stands; one that cannot be
+// ReplicaStatuses asks every replica of the registry how it stands; one that cannot be
 // reached is left out, and all says whether none was.
-type Statuses func(ctx context.Context) (got []registry.StatusResponse, all bool)
+type ReplicaStatuses func(ctx context.Context) (got []registry.StatusResponse, all bool)
 
-// Site is the real fleet: the registry's watches, the booking servers' load
+// LiveFleet is the real fleet: the registry's watches, the booking servers' load
 // reports, and a command that stops a server's processes.
-type Site struct {
-	Statuses Statuses
+type LiveFleet struct {
+	Statuses ReplicaStatuses
 	// Sidecars is how many there are, where that is known: if so many watches hold a
 	// version, nobody else has to be waited for.
 	Sidecars int
-	// Longest is the longest time that a client gives a request. A server that
+	// MaxRequestTime is the longest time that a client gives a request. A server that
 	// reports no load has no work after that.
-	Longest time.Duration
-	// Command stops a server; {machine} and {host} stand for their names. None: the
+	MaxRequestTime time.Duration
+	// StopCommand stops a server; {machine} and {host} stand for their names. None: the
 	// operator stops it.
-	Command []string
-	Now     func() time.Time
-	// Views are where members of the fleet are asked for their views, any of them; none:
+	StopCommand []string
+	Now         func() time.Time
+	// MembershipURLs are where members of the fleet are asked for their views, any of them; none:
 	// the machine's other processes are not waited for.
-	Views []string
+	MembershipURLs []string
 }
 
-// Members asks for a view of the fleet. One that fell silent may be cut off and carry
+// RemainingMembers asks for a view of the fleet. One that fell silent may be cut off and carry
 // traffic still: only a goodbye, an end that was seen, or an operator's word ends a wait.
-func (s *Site) Members(ctx context.Context, machine string) (there []string, waits bool, err error) {
-	if len(s.Views) == 0 {
+func (s *LiveFleet) RemainingMembers(ctx context.Context, machine string) (there []string, waits bool, err error) {
+	if len(s.MembershipURLs) == 0 {
 		return nil, false, nil
 	}
 	within, cancel := context.WithTimeout(ctx, askIn)
 	defer cancel()
-	for _, url := range s.Views {
+	for _, url := range s.MembershipURLs {
 		var v membership.Answer
 		if v, err = membership.Ask(within, http.DefaultClient, url, ""); err != nil {
 			continue
@@ -72,9 +72,9 @@
 	return nil, true, err
 }
 
-// Told says whether all sidecars hold a version. Those that watch say so by it; one
+// Notified says whether all sidecars hold a version. Those that watch say so by it; one
 // that does not watch at the moment counts as told when the protocol says.
-func (s *Site) Told(ctx context.Context, seq uint64, since time.Time) (bool, error) {
+func (s *LiveFleet) Notified(ctx context.Context, seq uint64, since time.Time) (bool, error) {
 	if s.Now().Sub(since) >= toldWithin {
 		return true, nil
 	}
@@ -94,7 +94,7 @@
 
 // Idle asks a server for its load. One that cannot be reached any more has none; one
 // that does not report has none when nobody can wait for an answer any longer.
-func (s *Site) Idle(ctx context.Context, server registry.Registration, since time.Time) (bool, error) {
+func (s *LiveFleet) Idle(ctx context.Context, server registry.Registration, since time.Time) (bool, error) {
 	within, cancel := context.WithTimeout(ctx, askIn)
 	defer cancel()
 	req, err := http.NewRequestWithContext(within, http.MethodGet, "http://"+server.Dial+"/stats", nil)
@@ -119,7 +119,7 @@
 			return work == 0, nil
 		}
 	}
-	return s.Now().Sub(since) >= toldWithin+s.Longest, nil
+	return s.Now().Sub(since) >= toldWithin+s.MaxRequestTime, nil
 }
 
 // load reads how much a server holds out of its report: what is in flight and what
@@ -137,13 +137,13 @@
 
 // Stop runs the command for one server. It must do no harm where the server is
 // stopped already: a drain that is resumed runs it again.
-func (s *Site) Stop(ctx context.Context, machine, host string) error {
-	if len(s.Command) == 0 {
+func (s *LiveFleet) Stop(ctx context.Context, machine, host string) error {
+	if len(s.StopCommand) == 0 {
 		return nil
 	}
 	names := strings.NewReplacer("{machine}", machine, "{host}", host)
-	args := make([]string, len(s.Command))
-	for i, a := range s.Command {
+	args := make([]string, len(s.StopCommand))
+	for i, a := range s.StopCommand {
 		args[i] = names.Replace(a)
 	}
 	out, err := exec.CommandContext(ctx, args[0], args[1:]...).CombinedOutput()
--- a/internal/drain/handover.go
+++ b/internal/drain/handover.go
@@ -13,7 +13,7 @@
 func (w *Workflow) as(owner string) *Workflow {
 	return &Workflow{
 		Registry: w.Registry, Fleet: w.Fleet, Floor: w.Floor, Owner: owner,
-		Lease: w.Lease, Poll: w.Poll, Now: w.Now, Sleep: w.Sleep, Say: w.Say,
+		ClaimTTL: w.ClaimTTL, PollInterval: w.PollInterval, Now: w.Now, Sleep: w.Sleep, Say: w.Say,
 	}
 }
 
@@ -21,9 +21,9 @@
 // this process lives or not. The floor is checked here and now; until is when they are
 // to undo it if it has not come to stopping by then.
 func (w *Workflow) HandOver(ctx context.Context, machine string, until time.Time) error {
-	theirs := w.as(Keepers)
+	theirs := w.as(OwnerControllers)
 	_, err := theirs.update(ctx, machine, func(d drains, was Drain, is bool) (Drain, bool, error) {
-		if is && was.Owner == Keepers && was.Step != Done && was.Step != Undoing {
+		if is && was.Owner == OwnerControllers && was.Step != Done && was.Step != Undoing {
 			return was, true, nil // they have it already
 		}
 		own := was
@@ -36,10 +36,10 @@
 			if err != nil {
 				return was, false, err
 			}
-			own = Drain{Machine: machine, Step: Claimed, Hosts: p.Hosts, Began: w.Now().UnixMilli()}
+			own = Drain{Machine: machine, Step: Claimed, Hosts: p.Hosts, BeganMS: w.Now().UnixMilli()}
 		}
-		own.Owner, own.Until, own.Note = Keepers, until.UnixMilli(), ""
-		own.Expires = w.Now().Add(w.Lease).UnixMilli()
+		own.Owner, own.DeadlineMS, own.Note = OwnerControllers, until.UnixMilli(), ""
+		own.ExpiresMS = w.Now().Add(w.ClaimTTL).UnixMilli()
 		return own, true, nil
 	})
 	return err
@@ -65,17 +65,17 @@
 		if said = own; own.Step == Done {
 			return nil
 		}
-		if err := w.Sleep(ctx, w.Poll); err != nil {
+		if err := w.Sleep(ctx, w.PollInterval); err != nil {
 			return err
 		}
 	}
 }
 
-// Handed returns the drains that keepers are to run, or to go on undoing.
-func (w *Workflow) Handed(ctx context.Context) (machines []Drain, err error) {
+// HandedOver returns the drains that keepers are to run, or to go on undoing.
+func (w *Workflow) HandedOver(ctx context.Context) (machines []Drain, err error) {
 	all, err := w.Status(ctx)
 	for _, d := range all {
-		if d.Owner == Keepers && d.Step != Done {
+		if d.Owner == OwnerControllers && d.Step != Done {
 			machines = append(machines, d)
 		}
 	}
@@ -88,14 +88,14 @@
 	if d.Step == Undoing {
 		return w.Undrain(ctx, d.Machine)
 	}
-	in, cancel := context.WithDeadline(ctx, time.UnixMilli(d.Until))
+	in, cancel := context.WithDeadline(ctx, time.UnixMilli(d.DeadlineMS))
 	defer cancel()
-	if d.Step == Stopping || d.Step == Stopped || d.Until == 0 {
+	if d.Step == Stopping || d.Step == Stopped || d.DeadlineMS == 0 {
 		in = ctx // there is no way back
 	}
 	err := w.Drain(in, d.Machine)
 	switch {
-	case err == nil, ctx.Err() != nil, errors.Is(err, ErrLost), errors.Is(err, ErrTimeout), errors.Is(err, registry.ErrFenced):
+	case err == nil, ctx.Err() != nil, errors.Is(err, ErrClaimLost), errors.Is(err, ErrTimeout), errors.Is(err, registry.ErrFenced):
 		return err
 	}
 	if _, _, noted := w.held(ctx, d.Machine, func(own *Drain) { own.Note = err.Error() }); noted != nil {
--- a/internal/drain/wallclock_test.go
+++ b/internal/drain/wallclock_test.go
@@ -10,7 +10,7 @@
 func TestMarkIsAsOldAsThisProcessKnows(t *testing.T) {
 	w := newWorld(t)
 	flow := w.operator("ops-a").workflow()
-	own := Drain{Machine: "m-1", MarkedAt: w.now.Add(-time.Hour).UnixMilli()}
+	own := Drain{Machine: "m-1", MarkedMS: w.now.Add(-time.Hour).UnixMilli()}
 	first := flow.markedSince(own)
 	if !first.Equal(w.now) {
 		t.Errorf("marked since %v, this process has known it since %v", first, w.now)
@@ -19,7 +19,7 @@
 	if again := flow.markedSince(own); !again.Equal(first) {
 		t.Errorf("the same mark counts from %v and from %v", first, again)
 	}
-	own.MarkedAt = w.now.UnixMilli()
+	own.MarkedMS = w.now.UnixMilli()
 	if other := flow.markedSince(own); !other.Equal(w.now) {
 		t.Errorf("a new mark counts from %v, want %v", other, w.now)
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -145,7 +145,7 @@
 		for _, k := range state.Compartments {
 			part := 1.0
 			if w.Counts() {
-				part = w.Advice.Of(k.Tenant)
+				part = w.Advice.FractionFor(k.Tenant)
 			}
 			gauge(descPart, part, k.Tenant)
 		}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -44,7 +44,7 @@
 			Open: 3, ListAge: 2 * time.Second, Compartments: []sidecar.Compartment{{Tenant: "acme", SlotsFree: 4, QueueFree: 1}},
 			Servers: map[string]map[string]int{"a": {"up": 5, "draining": 1}}, Decided: policy.Counters{Shed: 9},
 			Clients: map[string]float64{"Open": 8}, PoolEvents: map[string]float64{"Reused": 7},
-			Jam: 0.25, Word: &sidecar.WordState{Advice: overload.Advice{Token: 7, Parts: []overload.Part{{Tenant: "acme", Part: 0.5}}}, Age: time.Second},
+			Jam: 0.25, Word: &sidecar.WordState{Advice: overload.Advice{Token: 7, Tenants: []overload.TenantAdvice{{Tenant: "acme", AdmitFraction: 0.5}}}, Age: time.Second},
 		}, wrong
 	}
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -15,23 +15,23 @@
 	"time"
 )
 
-// Lease is the lease of the task, and Record the record that says where it listens.
+// LeaseName is the lease of the task, and RecordKey the record that says where it listens.
 const (
-	Lease  = "overload"
-	Record = "overload"
+	LeaseName = "overload"
+	RecordKey = "overload"
 )
 
 const (
-	// Every is how often a sidecar tells, and the task answers: a queue of servers takes
+	// ReportInterval is how often a sidecar tells, and the task answers: a queue of servers takes
 	// about as long to come and go.
-	Every = time.Second
-	// Lasts is how long advice counts: two answers may be lost.
-	Lasts = 3 * time.Second
+	ReportInterval = time.Second
+	// AdviceTTL is how long advice counts: two answers may be lost.
+	AdviceTTL = 3 * time.Second
 	// Most bounds: a digest and an answer are read whole.
-	MostTenants = 64
-	MostMembers = 4096
-	MostBytes   = 16 << 10
-	maxName     = 128
+	MaxTenants      = 64
+	MaxSidecars     = 4096
+	MaxMessageBytes = 16 << 10
+	maxName         = 128
 
 	// jamAim is the jam that the task keeps the fleet at: servers have work for every
 	// moment, and what they answer is in time still. Sidecars shed by themselves above it.
@@ -55,63 +55,63 @@
 	thinAnswers = 5
 )
 
-// Count is what came of one tenant's requests at a sidecar since its last digest.
-type Count struct {
-	Tenant  string  `json:"tenant"`
-	Share   float64 `json:"share"` // of the service, set against the others'
-	Asked   uint64  `json:"asked"`
-	Served  uint64  `json:"served"` // in time
-	Late    uint64  `json:"late"`
-	Refused uint64  `json:"refused"`
-	Failed  uint64  `json:"failed"`
+// TenantCounts is what came of one tenant's requests at a sidecar since its last digest.
+type TenantCounts struct {
+	Tenant   string  `json:"tenant"`
+	Quota    float64 `json:"share"` // of the service, set against the others'
+	Requests uint64  `json:"asked"`
+	InTime   uint64  `json:"served"` // in time
+	Late     uint64  `json:"late"`
+	Refused  uint64  `json:"refused"`
+	Failed   uint64  `json:"failed"`
 }
 
 // Digest is what a sidecar tells.
 type Digest struct {
-	Fleet       string  `json:"fleet"`
-	Name        string  `json:"name"`
-	Incarnation uint64  `json:"incarnation"` // of its process: a later one has a higher one
-	Seq         uint64  `json:"seq"`
-	OverMS      int64   `json:"over_ms"` // the time that the counts are over
-	Jam         float64 `json:"jam"`     // what answers took of their aims lately
-	Tenants     []Count `json:"tenants"`
+	Fleet       string         `json:"fleet"`
+	Name        string         `json:"name"`
+	Incarnation uint64         `json:"incarnation"` // of its process: a later one has a higher one
+	Seq         uint64         `json:"seq"`
+	PeriodMS    int64          `json:"over_ms"` // the time that the counts are over
+	Congestion  float64        `json:"jam"`     // what answers took of their aims lately
+	Tenants     []TenantCounts `json:"tenants"`
 }
 
-// Part is the part of a tenant's requests that may be tried.
-type Part struct {
-	Tenant string  `json:"tenant"`
-	Part   float64 `json:"part"`
+// TenantAdvice is the part of a tenant's requests that may be tried.
+type TenantAdvice struct {
+	Tenant        string  `json:"tenant"`
+	AdmitFraction float64 `json:"part"`
 	// For people: requests a second.
-	Asked   float64 `json:"asked"`
-	Allowed float64 `json:"allowed"`
+	RequestRate float64 `json:"asked"`
+	AllowedRate float64 `json:"allowed"`
 }
 
 // Advice is the task's word. One without parts says that all may be tried.
 type Advice struct {
-	Fleet   string  `json:"fleet"`
-	Token   uint64  `json:"token"`  // of the grant under which it was worked out
-	Number  uint64  `json:"number"` // grows under one grant
-	ForMS   int64   `json:"for_ms"`
-	Parts   []Part  `json:"parts"`
-	Limit   float64 `json:"limit"` // requests a second over the fleet; 0: none
-	Jam     float64 `json:"jam"`
-	Members int     `json:"members"` // whose digests it rests on
+	Fleet      string         `json:"fleet"`
+	Token      uint64         `json:"token"`  // of the grant under which it was worked out
+	Number     uint64         `json:"number"` // grows under one grant
+	ValidMS    int64          `json:"for_ms"`
+	Tenants    []TenantAdvice `json:"parts"`
+	Limit      float64        `json:"limit"` // requests a second over the fleet; 0: none
+	Congestion float64        `json:"jam"`
+	Sidecars   int            `json:"members"` // whose digests it rests on
 	// Expected is how many the fleet's membership sees; 0: nobody told.
-	Expected int  `json:"expected,omitempty"`
-	Fate     Fate `json:"fate"` // for people
+	Expected int   `json:"expected,omitempty"`
+	Rates    Rates `json:"fate"` // for people
 }
 
-// Fate is what came of the fleet's requests, a second.
-type Fate struct {
-	Asked   float64 `json:"asked"`
-	InTime  float64 `json:"in_time"`
-	Late    float64 `json:"late"`
-	Refused float64 `json:"refused"`
-	Failed  float64 `json:"failed"`
+// Rates is what came of the fleet's requests, a second.
+type Rates struct {
+	Requests float64 `json:"asked"`
+	InTime   float64 `json:"in_time"`
+	Late     float64 `json:"late"`
+	Refused  float64 `json:"refused"`
+	Failed   float64 `json:"failed"`
 }
 
-// ErrBad is for what cannot be a digest or advice.
-var ErrBad = errors.New("bad message")
+// ErrBadMessage is for what cannot be a digest or advice.
+var ErrBadMessage = errors.New("bad message")
 
 func part(f float64) bool { return f >= 0 && f <= 1 } // no number fails too
 
@@ -119,17 +119,17 @@
 func (d *Digest) Check() error {
 	switch {
 	case d.Name == "" || len(d.Name) > maxName || len(d.Fleet) > maxName:
-		return fmt.Errorf("%w: name or fleet is missing or too long", ErrBad)
-	case d.OverMS <= 0 || d.OverMS > time.Hour.Milliseconds():
-		return fmt.Errorf("%w: over_ms is %d, it must lie between 1 and %d", ErrBad, d.OverMS, time.Hour.Milliseconds())
-	case !part(d.Jam):
-		return fmt.Errorf("%w: jam is %v, it must lie between 0 and 1", ErrBad, d.Jam)
-	case len(d.Tenants) > MostTenants:
-		return fmt.Errorf("%w: tenants: %d are named, %d at most", ErrBad, len(d.Tenants), MostTenants)
+		return fmt.Errorf("%w: name or fleet is missing or too long", ErrBadMessage)
+	case d.PeriodMS <= 0 || d.PeriodMS > time.Hour.Milliseconds():
+		return fmt.Errorf("%w: over_ms is %d, it must lie between 1 and %d", ErrBadMessage, d.PeriodMS, time.Hour.Milliseconds())
+	case !part(d.Congestion):
+		return fmt.Errorf("%w: jam is %v, it must lie between 0 and 1", ErrBadMessage, d.Congestion)
+	case len(d.Tenants) > MaxTenants:
+		return fmt.Errorf("%w: tenants: %d are named, %d at most", ErrBadMessage, len(d.Tenants), MaxTenants)
 	}
 	for i, t := range d.Tenants {
-		if len(t.Tenant) > maxName || !(t.Share >= 0) || math.IsInf(t.Share, 0) {
-			return fmt.Errorf("%w: tenants[%d]: its name is too long or its share is no number of 0 or more", ErrBad, i)
+		if len(t.Tenant) > maxName || !(t.Quota >= 0) || math.IsInf(t.Quota, 0) {
+			return fmt.Errorf("%w: tenants[%d]: its name is too long or its share is no number of 0 or more", ErrBadMessage, i)
 		}
 	}
 	return nil
@@ -138,14 +138,14 @@
 // Check returns an error that names the first field that cannot be.
 func (a *Advice) Check() error {
 	switch {
-	case a.ForMS <= 0 || a.ForMS > Lasts.Milliseconds():
-		return fmt.Errorf("%w: for_ms is %d, it must lie between 1 and %d", ErrBad, a.ForMS, Lasts.Milliseconds())
-	case len(a.Parts) > MostTenants:
-		return fmt.Errorf("%w: parts: %d tenants are named, %d at most", ErrBad, len(a.Parts), MostTenants)
+	case a.ValidMS <= 0 || a.ValidMS > AdviceTTL.Milliseconds():
+		return fmt.Errorf("%w: for_ms is %d, it must lie between 1 and %d", ErrBadMessage, a.ValidMS, AdviceTTL.Milliseconds())
+	case len(a.Tenants) > MaxTenants:
+		return fmt.Errorf("%w: parts: %d tenants are named, %d at most", ErrBadMessage, len(a.Tenants), MaxTenants)
 	}
-	for i, p := range a.Parts {
-		if !part(p.Part) || len(p.Tenant) > maxName {
-			return fmt.Errorf("%w: parts[%d].part is %v, it must lie between 0 and 1", ErrBad, i, p.Part)
+	for i, p := range a.Tenants {
+		if !part(p.AdmitFraction) || len(p.Tenant) > maxName {
+			return fmt.Errorf("%w: parts[%d].part is %v, it must lie between 0 and 1", ErrBadMessage, i, p.AdmitFraction)
 		}
 	}
 	return nil
@@ -173,28 +173,28 @@
 	return &Planner{fleet: fleet, token: token, members: make(map[string]*member)}
 }
 
-// Expect notes how many sidecars there are, by somebody else's word; 0: nobody knows. Where
+// SetExpected notes how many sidecars there are, by somebody else's word; 0: nobody knows. Where
 // fewer than half of them are heard, nobody is cut: their part of a tenant is not the
 // tenant. A lower number than that of those heard changes nothing.
-func (p *Planner) Expect(sidecars int) { p.expects = min(max(0, sidecars), MostMembers) }
+func (p *Planner) SetExpected(sidecars int) { p.expects = min(max(0, sidecars), MaxSidecars) }
 
-// Take takes a digest in. One that is older than what is known of its sidecar is an error.
-func (p *Planner) Take(now time.Duration, d Digest) error {
+// AddDigest takes a digest in. One that is older than what is known of its sidecar is an error.
+func (p *Planner) AddDigest(now time.Duration, d Digest) error {
 	if err := d.Check(); err != nil {
 		return err
 	}
 	if d.Fleet != p.fleet {
-		return fmt.Errorf("%w: it is of fleet %.64q, this is %q", ErrBad, d.Fleet, p.fleet)
+		return fmt.Errorf("%w: it is of fleet %.64q, this is %q", ErrBadMessage, d.Fleet, p.fleet)
 	}
 	m := p.members[d.Name]
 	switch {
-	case m == nil && len(p.members) >= MostMembers:
-		return fmt.Errorf("%w: %d sidecars are known", ErrBad, len(p.members))
+	case m == nil && len(p.members) >= MaxSidecars:
+		return fmt.Errorf("%w: %d sidecars are known", ErrBadMessage, len(p.members))
 	case m == nil:
 		m = new(member)
 		p.members[d.Name] = m
 	case d.Incarnation < m.last.Incarnation || d.Incarnation == m.last.Incarnation && d.Seq <= m.last.Seq:
-		return fmt.Errorf("%w: %.64s has told later ones", ErrBad, d.Name)
+		return fmt.Errorf("%w: %.64s has told later ones", ErrBadMessage, d.Name)
 	}
 	m.last, m.at = d, now
 	return nil
@@ -203,7 +203,7 @@
 // sums are what the fleet's latest digests add up to, a second.
 type sums struct {
 	members int
-	fate    Fate
+	fate    Rates
 	answers float64
 	jam     float64
 	tenants []tenant
@@ -218,17 +218,17 @@
 func (p *Planner) sum(now time.Duration) (s sums) {
 	index := make(map[string]int)
 	for name, m := range p.members {
-		if now-m.at > Lasts {
+		if now-m.at > AdviceTTL {
 			delete(p.members, name) // its part is the others' from now on
 			continue
 		}
 		s.members++
-		second := 1000 / float64(m.last.OverMS)
+		second := 1000 / float64(m.last.PeriodMS)
 		var answers float64
 		for _, c := range m.last.Tenants {
 			i, known := index[c.Tenant]
 			if !known {
-				if len(s.tenants) == MostTenants {
+				if len(s.tenants) == MaxTenants {
 					continue
 				}
 				i = len(s.tenants)
@@ -236,16 +236,16 @@
 				s.tenants = append(s.tenants, tenant{name: c.Tenant})
 			}
 			t := &s.tenants[i]
-			t.share = max(t.share, c.Share)
-			t.asked += float64(c.Asked) * second
-			s.fate.Asked += float64(c.Asked) * second
-			s.fate.InTime += float64(c.Served) * second
+			t.share = max(t.share, c.Quota)
+			t.asked += float64(c.Requests) * second
+			s.fate.Requests += float64(c.Requests) * second
+			s.fate.InTime += float64(c.InTime) * second
 			s.fate.Late += float64(c.Late) * second
 			s.fate.Refused += float64(c.Refused) * second
 			s.fate.Failed += float64(c.Failed) * second
-			answers += float64(c.Served+c.Late) * second
+			answers += float64(c.InTime+c.Late) * second
 		}
-		s.jam += m.last.Jam * answers
+		s.jam += m.last.Congestion * answers
 		s.answers += answers
 	}
 	if s.answers > 0 {
@@ -271,21 +271,21 @@
 	case p.bears > 0:
 		p.bears *= rise
 	}
-	if p.bears >= spare*s.fate.Asked {
+	if p.bears >= spare*s.fate.Requests {
 		p.bears = 0
 	}
 	p.limit = p.bears * max(leastStep, min(1, 1+gain*(jamAim-s.jam)/jamAim))
 	p.number++
-	a := Advice{Fleet: p.fleet, Token: p.token, Number: p.number, ForMS: Lasts.Milliseconds(), Limit: p.limit, Jam: s.jam, Members: s.members, Expected: p.expects, Fate: s.fate}
+	a := Advice{Fleet: p.fleet, Token: p.token, Number: p.number, ValidMS: AdviceTTL.Milliseconds(), Limit: p.limit, Congestion: s.jam, Sidecars: s.members, Expected: p.expects, Rates: s.fate}
 	if p.limit > 0 && 2*s.members >= p.expects {
-		a.Parts = divide(p.limit, s.tenants)
+		a.Tenants = divide(p.limit, s.tenants)
 		shares := 0.0
 		for _, t := range s.tenants {
 			shares += t.share
 		}
 		for i, t := range s.tenants {
-			if t.asked*shares <= greedy*t.share*s.fate.Asked { // an overload of all is each sidecar's own to shed
-				a.Parts[i].Part, a.Parts[i].Allowed = 1, t.asked
+			if t.asked*shares <= greedy*t.share*s.fate.Requests { // an overload of all is each sidecar's own to shed
+				a.Tenants[i].AdmitFraction, a.Tenants[i].AllowedRate = 1, t.asked
 			}
 		}
 	}
@@ -294,11 +294,11 @@
 
 // divide gives tenants what they ask for as far as it goes round, by their shares: who
 // asks for less than its part leaves the rest to the others (weighted max-min fairness).
-func divide(limit float64, tenants []tenant) []Part {
-	parts := make([]Part, len(tenants))
+func divide(limit float64, tenants []tenant) []TenantAdvice {
+	parts := make([]TenantAdvice, len(tenants))
 	open := make([]int, 0, len(tenants)) // who has not got all that it asked for
 	for i, t := range tenants {
-		parts[i] = Part{Tenant: t.name, Part: 1, Asked: t.asked}
+		parts[i] = TenantAdvice{Tenant: t.name, AdmitFraction: 1, RequestRate: t.asked}
 		open = append(open, i)
 	}
 	for left := limit; len(open) > 0; {
@@ -310,7 +310,7 @@
 		given := 0.0
 		for _, i := range open {
 			if own := left * max(tenants[i].share, 1e-9) / shares; tenants[i].asked <= own {
-				parts[i].Allowed = tenants[i].asked
+				parts[i].AllowedRate = tenants[i].asked
 				given += tenants[i].asked
 			} else {
 				still = append(still, i)
@@ -318,8 +318,8 @@
 		}
 		if len(still) == len(open) {
 			for _, i := range open {
-				parts[i].Allowed = left * max(tenants[i].share, 1e-9) / shares
-				parts[i].Part = max(leastPart, min(1, parts[i].Allowed/tenants[i].asked))
+				parts[i].AllowedRate = left * max(tenants[i].share, 1e-9) / shares
+				parts[i].AdmitFraction = max(leastPart, min(1, parts[i].AllowedRate/tenants[i].asked))
 			}
 			break
 		}
@@ -328,24 +328,24 @@
 	return parts
 }
 
-// Taker decides which advice a sidecar takes: that of the latest holder, in order.
-type Taker struct {
+// AdviceFilter decides which advice a sidecar takes: that of the latest holder, in order.
+type AdviceFilter struct {
 	Fleet         string
 	token, number uint64
 }
 
-// Take says whether advice is to be put in force.
-func (t *Taker) Take(a Advice) error {
+// Accept says whether advice is to be put in force.
+func (t *AdviceFilter) Accept(a Advice) error {
 	if err := a.Check(); err != nil {
 		return err
 	}
 	switch {
 	case a.Fleet != t.Fleet:
-		return fmt.Errorf("%w: it is for fleet %.64q, this is %q", ErrBad, a.Fleet, t.Fleet)
+		return fmt.Errorf("%w: it is for fleet %.64q, this is %q", ErrBadMessage, a.Fleet, t.Fleet)
 	case a.Token < t.token:
-		return fmt.Errorf("%w: it is under token %d, an earlier holder's: %d is known", ErrBad, a.Token, t.token)
+		return fmt.Errorf("%w: it is under token %d, an earlier holder's: %d is known", ErrBadMessage, a.Token, t.token)
 	case a.Token == t.token && a.Number <= t.number:
-		return fmt.Errorf("%w: number %d came already", ErrBad, t.number)
+		return fmt.Errorf("%w: number %d came already", ErrBadMessage, t.number)
 	}
 	t.token, t.number = a.Token, a.Number
 	return nil
@@ -354,17 +354,17 @@
 // Path is where the task takes digests (POST) and tells its word (GET).
 const Path = "/overload"
 
-// Place is what the record holds.
-type Place struct {
-	At    string `json:"at"` // a loopback address with a port
-	Token uint64 `json:"token"`
+// Location is what the record holds.
+type Location struct {
+	Address string `json:"at"` // a loopback address with a port
+	Token   uint64 `json:"token"`
 }
 
-// Of is the part of a tenant's requests that may be tried.
-func (a *Advice) Of(tenant string) float64 {
-	for _, p := range a.Parts {
+// FractionFor is the part of a tenant's requests that may be tried.
+func (a *Advice) FractionFor(tenant string) float64 {
+	for _, p := range a.Tenants {
 		if p.Tenant == tenant {
-			return p.Part
+			return p.AdmitFraction
 		}
 	}
 	return 1
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -11,10 +11,10 @@
 
 // digest is one of a sidecar's whose tenants asked so much in a second.
 func digest(name string, seq uint64, jam float64, asked map[string]uint64) Digest {
-	d := Digest{Fleet: "f", Name: name, Incarnation: 1, Seq: seq, OverMS: 1000, Jam: jam}
+	d := Digest{Fleet: "f", Name: name, Incarnation: 1, Seq: seq, PeriodMS: 1000, Congestion: jam}
 	for _, t := range []string{"a", "b", "c"} {
 		n := asked[t]
-		d.Tenants = append(d.Tenants, Count{Tenant: t, Share: map[string]float64{"a": 2, "b": 1, "c": 1}[t], Asked: n, Served: n / 2, Refused: n - n/2})
+		d.Tenants = append(d.Tenants, TenantCounts{Tenant: t, Quota: map[string]float64{"a": 2, "b": 1, "c": 1}[t], Requests: n, InTime: n / 2, Refused: n - n/2})
 	}
 	return d
 }
@@ -25,7 +25,7 @@
 	for s := range seconds {
 		now := time.Duration(p.number+1) * time.Second
 		for i := range 10 {
-			if err := p.Take(now, digest(fmt.Sprint("n", i), p.number+1, jam, asked)); err != nil {
+			if err := p.AddDigest(now, digest(fmt.Sprint("n", i), p.number+1, jam, asked)); err != nil {
 				t.Fatalf("second %d: %v", s, err)
 			}
 		}
@@ -39,25 +39,25 @@
 
 func TestTheGreedyOneIsCut(t *testing.T) {
 	p := NewPlanner("f", 7)
-	if a := plan(t, p, 3, 0.05, map[string]uint64{"a": 10, "b": 10, "c": 200}); len(a.Parts) != 0 || a.Members != 10 || a.Token != 7 || a.Fate != (Fate{Asked: 2200, InTime: 1100, Refused: 1100}) {
+	if a := plan(t, p, 3, 0.05, map[string]uint64{"a": 10, "b": 10, "c": 200}); len(a.Tenants) != 0 || a.Sidecars != 10 || a.Token != 7 || a.Rates != (Rates{Requests: 2200, InTime: 1100, Refused: 1100}) {
 		t.Errorf("nothing jams: %+v", a)
 	}
 	a := plan(t, p, 10, 0.5, map[string]uint64{"a": 10, "b": 10, "c": 200})
-	if a.Of("a") != 1 || a.Of("b") != 1 || a.Of("c") > 0.6 || a.Of("c") < leastPart {
-		t.Errorf("c asks for twenty times b's: %+v", a.Parts)
+	if a.FractionFor("a") != 1 || a.FractionFor("b") != 1 || a.FractionFor("c") > 0.6 || a.FractionFor("c") < leastPart {
+		t.Errorf("c asks for twenty times b's: %+v", a.Tenants)
 	}
-	if a = plan(t, p, 30, 0.02, map[string]uint64{"a": 10, "b": 10, "c": 10}); len(a.Parts) != 0 {
+	if a = plan(t, p, 30, 0.02, map[string]uint64{"a": 10, "b": 10, "c": 10}); len(a.Tenants) != 0 {
 		t.Errorf("long after the jam: %+v", a)
 	}
 	// All ask for more in step: that is each sidecar's own to shed.
-	for _, part := range plan(t, p, 10, 0.5, map[string]uint64{"a": 200, "b": 100, "c": 100}).Parts {
-		if part.Part != 1 {
+	for _, part := range plan(t, p, 10, 0.5, map[string]uint64{"a": 200, "b": 100, "c": 100}).Tenants {
+		if part.AdmitFraction != 1 {
 			t.Errorf("all ask for more: %+v", part)
 		}
 	}
 	// Who has gone quiet counts no more, and nothing is said where nothing is known.
 	now := time.Duration(p.number) * time.Second
-	if a := p.Plan(now + Lasts + time.Second); a.Members != 0 || len(a.Parts) != 0 || len(p.members) != 0 {
+	if a := p.Plan(now + AdviceTTL + time.Second); a.Sidecars != 0 || len(a.Tenants) != 0 || len(p.members) != 0 {
 		t.Errorf("nobody tells anything: %+v", a)
 	}
 }
@@ -79,7 +79,7 @@
 			all = append(all, tenant{name: string(rune('a' + i)), share: []float64{2, 1, 1}[i], asked: a})
 		}
 		for i, p := range divide(tt.limit, all) {
-			if math.Abs(p.Allowed-tt.allowed[i]) > 1e-9 || p.Part > 1 || p.Part < leastPart {
+			if math.Abs(p.AllowedRate-tt.allowed[i]) > 1e-9 || p.AdmitFraction > 1 || p.AdmitFraction < leastPart {
 				t.Errorf("%s: %+v, want %v allowed", name, p, tt.allowed[i])
 			}
 		}
@@ -89,58 +89,58 @@
 func TestOnlyGoodDigestsAreTaken(t *testing.T) {
 	p := NewPlanner("f", 1)
 	good := digest("n", 5, 0.1, map[string]uint64{"a": 1})
-	if err := p.Take(0, good); err != nil {
+	if err := p.AddDigest(0, good); err != nil {
 		t.Fatal(err)
 	}
 	for want, change := range map[string]func(d *Digest){
 		"later ones":    func(d *Digest) { d.Seq = 5 },
 		"of fleet":      func(d *Digest) { d.Fleet = "g" },
-		"jam is":        func(d *Digest) { d.Jam = math.NaN() },
-		"over_ms is":    func(d *Digest) { d.OverMS = 0 },
+		"jam is":        func(d *Digest) { d.Congestion = math.NaN() },
+		"over_ms is":    func(d *Digest) { d.PeriodMS = 0 },
 		"name or fleet": func(d *Digest) { d.Name = "" },
-		"64 at most":    func(d *Digest) { d.Tenants = make([]Count, MostTenants+1) },
-		"share":         func(d *Digest) { d.Tenants = []Count{{Share: math.Inf(1)}} },
+		"64 at most":    func(d *Digest) { d.Tenants = make([]TenantCounts, MaxTenants+1) },
+		"share":         func(d *Digest) { d.Tenants = []TenantCounts{{Quota: math.Inf(1)}} },
 	} {
 		d := good
 		d.Seq++
 		change(&d)
-		if err := p.Take(0, d); !errors.Is(err, ErrBad) || !strings.Contains(err.Error(), want) {
+		if err := p.AddDigest(0, d); !errors.Is(err, ErrBadMessage) || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
 	later := good
 	later.Incarnation, later.Seq = 2, 1
-	if err := p.Take(0, later); err != nil {
+	if err := p.AddDigest(0, later); err != nil {
 		t.Errorf("a later process of that name: %v", err)
 	}
-	for i := range MostMembers {
-		err := p.Take(0, digest(fmt.Sprint("x", i), 1, 0, nil))
-		if (err != nil) != (i == MostMembers-1) {
+	for i := range MaxSidecars {
+		err := p.AddDigest(0, digest(fmt.Sprint("x", i), 1, 0, nil))
+		if (err != nil) != (i == MaxSidecars-1) {
 			t.Fatalf("%d sidecars: %v", i+2, err)
 		}
 	}
 }
 
 func TestOnlyTheLatestWordIsTaken(t *testing.T) {
-	taker := Taker{Fleet: "f"}
+	taker := AdviceFilter{Fleet: "f"}
 	word := func(token, number uint64) Advice {
-		return Advice{Fleet: "f", Token: token, Number: number, ForMS: 3000, Parts: []Part{{Tenant: "a", Part: 0.5}}}
+		return Advice{Fleet: "f", Token: token, Number: number, ValidMS: 3000, Tenants: []TenantAdvice{{Tenant: "a", AdmitFraction: 0.5}}}
 	}
 	for i, tt := range []struct {
 		a  Advice
 		ok bool
 	}{{word(3, 9), true}, {word(3, 9), false}, {word(3, 8), false}, {word(2, 100), false}, {word(4, 1), true}, {word(3, 10), false}, {word(4, 2), true}} {
-		if err := taker.Take(tt.a); (err == nil) != tt.ok {
+		if err := taker.Accept(tt.a); (err == nil) != tt.ok {
 			t.Errorf("%d: %v", i, err)
 		}
 	}
 	for _, change := range []func(a *Advice){
-		func(a *Advice) { a.Fleet = "g" }, func(a *Advice) { a.ForMS = time.Hour.Milliseconds() }, func(a *Advice) { a.ForMS = 0 },
-		func(a *Advice) { a.Parts[0].Part = 1.5 }, func(a *Advice) { a.Parts[0].Part = math.NaN() }, func(a *Advice) { a.Parts = make([]Part, MostTenants+1) },
+		func(a *Advice) { a.Fleet = "g" }, func(a *Advice) { a.ValidMS = time.Hour.Milliseconds() }, func(a *Advice) { a.ValidMS = 0 },
+		func(a *Advice) { a.Tenants[0].AdmitFraction = 1.5 }, func(a *Advice) { a.Tenants[0].AdmitFraction = math.NaN() }, func(a *Advice) { a.Tenants = make([]TenantAdvice, MaxTenants+1) },
 	} {
 		a := word(5, 1)
 		change(&a)
-		if err := taker.Take(a); !errors.Is(err, ErrBad) {
+		if err := taker.Accept(a); !errors.Is(err, ErrBadMessage) {
 			t.Errorf("%+v: %v", a, err)
 		}
 	}
@@ -152,7 +152,7 @@
 	for seq := uint64(1); b.Loop(); seq++ {
 		now := time.Duration(seq) * time.Second
 		for i := range 1000 {
-			if err := p.Take(now, digest(fmt.Sprint("n", i), seq, 0.5, map[string]uint64{"a": 1, "b": 1, "c": 20})); err != nil {
+			if err := p.AddDigest(now, digest(fmt.Sprint("n", i), seq, 0.5, map[string]uint64{"a": 1, "b": 1, "c": 20})); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/sidecar/adviser.go
+++ b/internal/sidecar/adviser.go
@@ -57,7 +57,7 @@
 	http   *http.Client
 	at     string // where the task listens; empty: not known
 	seq    uint64
-	taker  overload.Taker
+	taker  overload.AdviceFilter
 
 	mu     sync.Mutex
 	word   overload.Advice
@@ -76,13 +76,13 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &adviser{config: c.Advice, name: c.Name, began: time.Now(), names: l.tenantNames(), loop: l, client: r.WithAddressMap(c.Advice.routes).WithTimeout(adviceCallIn), taker: overload.Taker{Fleet: c.Advice.Fleet}}
+	a := &adviser{config: c.Advice, name: c.Name, began: time.Now(), names: l.tenantNames(), loop: l, client: r.WithAddressMap(c.Advice.routes).WithTimeout(adviceCallIn), taker: overload.AdviceFilter{Fleet: c.Advice.Fleet}}
 	a.http = &http.Client{Timeout: adviceCallIn, Transport: &http.Transport{DialContext: c.Advice.routes.Dial(adviceCallIn), MaxConnsPerHost: 1, DisableCompression: true}}
-	l.tally = make([]overload.Count, len(a.names))
+	l.tally = make([]overload.TenantCounts, len(a.names))
 	for i := range l.tally {
-		l.tally[i] = overload.Count{Tenant: a.names[i], Share: 1}
+		l.tally[i] = overload.TenantCounts{Tenant: a.names[i], Quota: 1}
 		if i < len(c.Policy.Tenants) {
-			l.tally[i].Share = c.Policy.Tenants[i].Share
+			l.tally[i].Quota = c.Policy.Tenants[i].Share
 		}
 	}
 	return a, nil
@@ -98,15 +98,15 @@
 	case time.Since(r.began) > l.config.Policy.Classes[r.class].Aim:
 		c.Late++
 	default:
-		c.Served++
+		c.InTime++
 	}
 }
 
 // digest tells what was counted, and counts anew.
 func (l *loop) digest() overload.Digest {
-	d := overload.Digest{Jam: min(1, l.b.Jam(l.now)), Tenants: append([]overload.Count(nil), l.tally...)}
+	d := overload.Digest{Congestion: min(1, l.b.Jam(l.now)), Tenants: append([]overload.TenantCounts(nil), l.tally...)}
 	for i, c := range l.tally {
-		l.tally[i] = overload.Count{Tenant: c.Tenant, Share: c.Share}
+		l.tally[i] = overload.TenantCounts{Tenant: c.Tenant, Quota: c.Quota}
 	}
 	return d
 }
@@ -118,7 +118,7 @@
 	last := a.began
 	for {
 		select { // spread: the task must not hear of all at once
-		case <-time.After(time.Duration(float64(overload.Every) * (0.9 + 0.2*rand.Float64()))):
+		case <-time.After(time.Duration(float64(overload.ReportInterval) * (0.9 + 0.2*rand.Float64()))):
 		case <-ctx.Done():
 			return
 		}
@@ -134,7 +134,7 @@
 		}
 		now := time.Now()
 		a.seq++
-		d.Fleet, d.Name, d.Incarnation, d.Seq, d.OverMS = a.config.Fleet, a.name, uint64(a.began.UnixMicro()), a.seq, max(1, now.Sub(last).Milliseconds())
+		d.Fleet, d.Name, d.Incarnation, d.Seq, d.PeriodMS = a.config.Fleet, a.name, uint64(a.began.UnixMicro()), a.seq, max(1, now.Sub(last).Milliseconds())
 		last = now
 		err := a.exchange(ctx, d)
 		a.mu.Lock()
@@ -155,35 +155,35 @@
 // exchange tells a digest, and takes the word that it is answered with.
 func (a *adviser) exchange(ctx context.Context, d overload.Digest) error {
 	if a.at == "" {
-		r, err := a.client.Record(ctx, overload.Record)
+		r, err := a.client.Record(ctx, overload.RecordKey)
 		if err != nil {
 			return fmt.Errorf("where the task listens: %w", err)
 		}
-		var place overload.Place
+		var place overload.Location
 		if err := json.Unmarshal(r.Value, &place); err != nil {
 			return fmt.Errorf("where the task listens: %w", err)
 		}
-		if host, _, err := net.SplitHostPort(place.At); err != nil || !net.ParseIP(host).IsLoopback() {
-			return fmt.Errorf("where the task listens: %.64q is no loopback address with a port", place.At)
+		if host, _, err := net.SplitHostPort(place.Address); err != nil || !net.ParseIP(host).IsLoopback() {
+			return fmt.Errorf("where the task listens: %.64q is no loopback address with a port", place.Address)
 		}
-		a.at = place.At
+		a.at = place.Address
 	}
 	word, err := a.ask(ctx, d)
 	if err != nil {
 		a.at = "" // another may hold it by now
 		return err
 	}
-	if err := a.taker.Take(word); err != nil {
+	if err := a.taker.Accept(word); err != nil {
 		return err
 	}
 	parts := make([]float64, len(a.names))
 	for i, name := range a.names {
-		parts[i] = word.Of(name)
+		parts[i] = word.FractionFor(name)
 	}
 	a.mu.Lock()
 	a.word, a.since = word, time.Now()
 	a.mu.Unlock()
-	a.loop.post(advised{policy.Advice{Parts: parts, For: time.Duration(word.ForMS) * time.Millisecond}})
+	a.loop.post(advised{policy.Advice{Parts: parts, For: time.Duration(word.ValidMS) * time.Millisecond}})
 	return nil
 }
 
@@ -201,7 +201,7 @@
 		return word, err
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, overload.MostBytes))
+	answer, err := io.ReadAll(io.LimitReader(resp.Body, overload.MaxMessageBytes))
 	switch {
 	case err != nil:
 		return word, err
@@ -222,7 +222,7 @@
 }
 
 // Counts says whether the word is in force.
-func (w WordState) Counts() bool { return w.Age > 0 && w.Age < overload.Lasts }
+func (w WordState) Counts() bool { return w.Age > 0 && w.Age < overload.AdviceTTL }
 
 func (a *adviser) state() WordState {
 	a.mu.Lock()
@@ -242,9 +242,9 @@
 		if !w.Counts() {
 			text += ", it counts no more"
 		}
-		for _, p := range w.Advice.Parts {
-			if p.Part < 1 {
-				text += fmt.Sprintf(", %s %.3f", p.Tenant, p.Part)
+		for _, p := range w.Advice.Tenants {
+			if p.AdmitFraction < 1 {
+				text += fmt.Sprintf(", %s %.3f", p.Tenant, p.AdmitFraction)
 			}
 		}
 	}
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -160,7 +160,7 @@
 
 	word   func() WordState                          // the fleet's on an overload; nil: it has none
 	policy func() PolicyState                        // how it stands towards the fleet's policy; nil: there is none
-	tally  []overload.Count                          // what came of requests since the last digest, by tenant; nil: nobody is told
+	tally  []overload.TenantCounts                   // what came of requests since the last digest, by tenant; nil: nobody is told
 	note   func(status int, took, aim time.Duration) // counts the end of a request; may be nil
 	// speaking is how many client connections are open that may have something to say; nil: none.
 	speaking func() int
@@ -369,7 +369,7 @@
 	r.id = l.lastID
 	l.requests[r.id] = r
 	if l.tally != nil {
-		l.tally[r.tenant].Asked++
+		l.tally[r.tenant].Requests++
 	}
 	if !l.may() {
 		l.Refuse(r.id, time.Duration(float64(ungovernedPause)*(0.5+rand.Float64())))
--- a/internal/simulation/emulator/advice.go
+++ b/internal/simulation/emulator/advice.go
@@ -43,21 +43,21 @@
 // plan works out the word once a second.
 func (a *advice) plan() {
 	a.word = a.planner.Plan(a.sim.now)
-	a.sim.after(overload.Every, a.plan)
+	a.sim.after(overload.ReportInterval, a.plan)
 }
 
 // tell has a sidecar tell once a second from its start on.
 func (a *advice) tell(n *node) {
-	n.counts = make([]overload.Count, len(a.sim.sc.Tenants))
-	n.taker = overload.Taker{Fleet: adviseFleet}
+	n.counts = make([]overload.TenantCounts, len(a.sim.sc.Tenants))
+	n.taker = overload.AdviceFilter{Fleet: adviseFleet}
 	n.digests = 0
 	var again func()
 	again = func() {
 		a.exchange(n)
-		n.mine(overload.Every, again)
+		n.mine(overload.ReportInterval, again)
 	}
 	// Spread: the task must not hear of all at once.
-	n.mine(overload.Every*time.Duration(n.index%97+1)/97, again)
+	n.mine(overload.ReportInterval*time.Duration(n.index%97+1)/97, again)
 }
 
 // exchange brings a digest to the task, and its word back.
@@ -69,10 +69,10 @@
 	}
 	n.digests++
 	digest := overload.Digest{
-		Fleet: adviseFleet, Name: fmt.Sprint("n", n.index), Incarnation: uint64(n.epoch) + 1, Seq: n.digests, OverMS: overload.Every.Milliseconds(), Jam: min(1, d.Jam(s.now)),
+		Fleet: adviseFleet, Name: fmt.Sprint("n", n.index), Incarnation: uint64(n.epoch) + 1, Seq: n.digests, PeriodMS: overload.ReportInterval.Milliseconds(), Congestion: min(1, d.Jam(s.now)),
 	}
 	for i, c := range n.counts {
-		c.Tenant, c.Share = s.sc.Tenants[i].Name, s.sc.Tenants[i].Share
+		c.Tenant, c.Quota = s.sc.Tenants[i].Name, s.sc.Tenants[i].Share
 		digest.Tenants = append(digest.Tenants, c)
 	}
 	clear(n.counts)
@@ -81,24 +81,24 @@
 	}
 	way := s.way(n.zone, 0)
 	n.mine(way, func() {
-		if a.planner.Take(s.now, digest) != nil {
+		if a.planner.AddDigest(s.now, digest) != nil {
 			return
 		}
 		word := a.word
 		n.mine(way, func() {
-			if n.taker.Take(word) != nil {
+			if n.taker.Accept(word) != nil {
 				return
 			}
 			parts := make([]float64, len(s.sc.Tenants))
 			for i := range parts {
 				parts[i] = 1
-				for _, p := range word.Parts {
+				for _, p := range word.Tenants {
 					if p.Tenant == s.sc.Tenants[i].Name {
-						parts[i] = p.Part
+						parts[i] = p.AdmitFraction
 					}
 				}
 			}
-			d.Advise(s.now, policy.Advice{Parts: parts, For: time.Duration(word.ForMS) * time.Millisecond})
+			d.Advise(s.now, policy.Advice{Parts: parts, For: time.Duration(word.ValidMS) * time.Millisecond})
 		})
 	})
 }
@@ -116,7 +116,7 @@
 	case n.sim.now > r.call.aimAt:
 		c.Late++
 	default:
-		c.Served++
+		c.InTime++
 	}
 }
 
--- a/internal/simulation/emulator/sim.go
+++ b/internal/simulation/emulator/sim.go
@@ -336,9 +336,9 @@
 	askedAt  time.Duration // it called for the list last
 	refused  bool          // and that call failed
 
-	counts  []overload.Count // since the last digest, by tenant; nil: nobody is told
+	counts  []overload.TenantCounts // since the last digest, by tenant; nil: nobody is told
 	digests uint64
-	taker   overload.Taker
+	taker   overload.AdviceFilter
 
 	deciding *request // being handed to the module
 	shed     uint64   // what it had shed before
@@ -471,7 +471,7 @@
 	r.node, r.epoch, r.began = n, n.epoch, s.now
 	n.open[r.id] = r
 	if n.counts != nil {
-		n.counts[r.call.Tenant].Asked++
+		n.counts[r.call.Tenant].Requests++
 	}
 	s.check.Asked(r.id, n.index, r.call.Class, r.deadline)
 	late := r.deadline + time.Duration(s.sc.Rules.AnswerSlack) - s.now
--- a/internal/testing/chaostest/promises.go
+++ b/internal/testing/chaostest/promises.go
@@ -147,7 +147,7 @@
 			return why
 		}
 		for _, d := range all {
-			if d.Step != drain.Done && d.Owner == drain.Keepers {
+			if d.Step != drain.Done && d.Owner == drain.OwnerControllers {
 				return fmt.Sprintf("%s is %s: %s", d.Machine, d.Step, d.Note)
 			}
 		}
@@ -194,12 +194,12 @@
 		return ""
 	})
 	r.promised(ctx, "copies of the registry are whole", func() string {
-		c := &controller.Copies{Folder: filepath.Join(r.folder, "copies"), Keep: 1}
-		all, err := c.List()
+		c := &controller.ListCache{Dir: filepath.Join(r.folder, "copies"), Keep: 1}
+		all, err := c.Paths()
 		if err != nil || len(all) == 0 {
 			return fmt.Sprint("there are ", len(all), ": ", err)
 		}
-		if _, err := controller.ReadCopy(all[len(all)-1]); err != nil {
+		if _, err := controller.ReadCachedList(all[len(all)-1]); err != nil {
 			return err.Error()
 		}
 		return ""
--- a/internal/testing/integration/drain_test.go
+++ b/internal/testing/integration/drain_test.go
@@ -20,10 +20,10 @@
 	c := g.client()
 	return &drain.Workflow{
 		Registry: c,
-		Fleet: &fleet{stop: stop, Site: &drain.Site{
-			Statuses: c.Statuses, Sidecars: sidecars, Longest: 5 * time.Second, Now: time.Now,
+		Fleet: &fleet{stop: stop, LiveFleet: &drain.LiveFleet{
+			Statuses: c.Statuses, Sidecars: sidecars, MaxRequestTime: 5 * time.Second, Now: time.Now,
 		}},
-		Floor: drain.Floor{Others: 1}, Owner: "systemtest", Lease: 15 * time.Second, Poll: 20 * time.Millisecond, Now: time.Now,
+		Floor: drain.Floor{Default: 1}, Owner: "systemtest", ClaimTTL: 15 * time.Second, PollInterval: 20 * time.Millisecond, Now: time.Now,
 		Sleep: func(ctx context.Context, d time.Duration) error { time.Sleep(d); return ctx.Err() },
 		Say:   g.t.Logf,
 	}
@@ -31,11 +31,13 @@
 
 // fleet is the real one, but for what stops a server.
 type fleet struct {
-	*drain.Site
+	*drain.LiveFleet
 	stop func(host string)
 }
 
-func (f *fleet) Members(context.Context, string) ([]string, bool, error) { return nil, false, nil }
+func (f *fleet) RemainingMembers(context.Context, string) ([]string, bool, error) {
+	return nil, false, nil
+}
 
 func (f *fleet) Stop(_ context.Context, _, host string) error {
 	f.stop(host)
@@ -73,9 +75,9 @@
 	// told waits until every sidecar watches and holds a version, and says when that was.
 	told := func(seq uint64) time.Time {
 		t.Helper()
-		site := &drain.Site{Statuses: c.Statuses, Sidecars: len(sidecars), Now: time.Now}
+		site := &drain.LiveFleet{Statuses: c.Statuses, Sidecars: len(sidecars), Now: time.Now}
 		since := time.Now()
-		eventually(t, "the sidecars are told", func() bool { ok, err := site.Told(within, seq, since); return ok && err == nil })
+		eventually(t, "the sidecars are told", func() bool { ok, err := site.Notified(within, seq, since); return ok && err == nil })
 		return time.Now()
 	}
 	lateMost := time.Duration(0) // the latest begin of a request at a server, after its drain was told
--- a/internal/testing/integration/rig_test.go
+++ b/internal/testing/integration/rig_test.go
@@ -225,12 +225,12 @@
 	if err != nil {
 		return err
 	}
-	c.ActsMS = actIn.Milliseconds()
+	c.MaxActMS = actIn.Milliseconds()
 	every, _ := time.ParseDuration(os.Getenv(everyVariable))
 	a := &actor{name: c.Name, every: every, registry: r.WithAddressMap(c.Routes), witness: os.Getenv(witnessVariable), http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
-	k, err := controller.New(c, func(*controller.Keeper) (all []controller.Task) {
+	k, err := controller.New(c, func(*controller.Controller) (all []controller.Task) {
 		for i := range n {
-			all = append(all, controller.Task{Lease: fmt.Sprint("task-", i), Run: a.run})
+			all = append(all, controller.Task{LeaseName: fmt.Sprint("task-", i), Run: a.run})
 		}
 		return all
 	})
--- a/internal/testing/modelcheck/system/judge.go
+++ b/internal/testing/modelcheck/system/judge.go
@@ -272,7 +272,7 @@
 	var drains map[string]drain.Drain
 	if rec, ok := leader.state.Record(drain.RecordKey); ok && json.Unmarshal(rec.Value, &drains) == nil {
 		for m, d := range drains {
-			if d.Step != drain.Done && d.Owner == drain.Keepers {
+			if d.Step != drain.Done && d.Owner == drain.OwnerControllers {
 				w.broken("the drain of %s is still %s: %s", m, d.Step, d.Note)
 			}
 		}
--- a/internal/testing/modelcheck/system/keeper.go
+++ b/internal/testing/modelcheck/system/keeper.go
@@ -31,7 +31,7 @@
 const (
 	policyLease = "policy"
 	drainsLease = "drains"
-	wordLease   = overload.Lease
+	wordLease   = overload.LeaseName
 	timedLease  = "timed"
 )
 
@@ -185,8 +185,8 @@
 	n *lease.Session
 }
 
-// Told says whether all sidecars hold a version of the list.
-func (s site) Told(_ context.Context, seq uint64, since time.Time) (bool, error) {
+// Notified says whether all sidecars hold a version of the list.
+func (s site) Notified(_ context.Context, seq uint64, since time.Time) (bool, error) {
 	s.t.sleep(s.t.spread(hop))
 	if s.t.time().Sub(since) >= toldWithin {
 		return true, nil
@@ -205,8 +205,10 @@
 	return s.w.server(e.Host).work() == 0, nil
 }
 
-// Members are none here.
-func (s site) Members(context.Context, string) ([]string, bool, error) { return nil, false, nil }
+// RemainingMembers are none here.
+func (s site) RemainingMembers(context.Context, string) ([]string, bool, error) {
+	return nil, false, nil
+}
 
 // Stop stops a server, only while the lease is held.
 func (s site) Stop(_ context.Context, _, host string) error {
@@ -223,7 +225,7 @@
 // workflow is the real one, over the world.
 func (w *world) workflow(t *task, c *client, owner string, n *lease.Session) *drain.Workflow {
 	return &drain.Workflow{
-		Registry: c, Fleet: site{t, w, n}, Floor: drain.Floor{Others: 1}, Owner: owner, Lease: 5 * time.Second, Poll: 100 * time.Millisecond,
+		Registry: c, Fleet: site{t, w, n}, Floor: drain.Floor{Default: 1}, Owner: owner, ClaimTTL: 5 * time.Second, PollInterval: 100 * time.Millisecond,
 		Now:   t.time,
 		Sleep: func(_ context.Context, d time.Duration) error { t.sleep(t.spread(d)); return nil },
 		Say: func(format string, args ...any) {
@@ -240,8 +242,8 @@
 // drains runs those that operators handed over.
 func (k *keeper) drains(t *task, c *client, n *lease.Session) {
 	for {
-		w := k.w.workflow(t, c, drain.Keepers, n)
-		handed, err := w.Handed(context.Background())
+		w := k.w.workflow(t, c, drain.OwnerControllers, n)
+		handed, err := w.HandedOver(context.Background())
 		if err == nil {
 			for _, d := range handed {
 				if err := w.Resume(context.Background(), d); errors.Is(err, registry.ErrFenced) {
@@ -258,22 +260,22 @@
 	k.desk, k.desked = overload.NewPlanner(fleetName, n.Token()), n
 	defer func() { k.desk, k.desked = nil, nil }()
 	var was registry.Record
-	err := c.read(func(s *registry.State) { was, _ = s.Record(overload.Record) })
+	err := c.read(func(s *registry.State) { was, _ = s.Record(overload.RecordKey) })
 	if err == nil {
-		text, _ := json.Marshal(overload.Place{At: k.name, Token: n.Token()})
-		_, err = c.Put(context.Background(), overload.Record, text, &was.Version)
+		text, _ := json.Marshal(overload.Location{Address: k.name, Token: n.Token()})
+		_, err = c.Put(context.Background(), overload.RecordKey, text, &was.Version)
 	}
 	if err != nil {
 		return
 	}
 	for {
-		t.sleep(overload.Every)
+		t.sleep(overload.ReportInterval)
 	}
 }
 
 // exchange is a digest that came to this keeper, answered only while it holds the task.
 func (k *keeper) exchange(d overload.Digest, reply func(overload.Advice)) {
-	if k.desk == nil || k.desk.Take(k.reads(), d) != nil {
+	if k.desk == nil || k.desk.AddDigest(k.reads(), d) != nil {
 		return
 	}
 	word := k.desk.Plan(k.reads())
--- a/internal/testing/modelcheck/system/sidecar.go
+++ b/internal/testing/modelcheck/system/sidecar.go
@@ -30,7 +30,7 @@
 	seq  uint64 // of the list that it holds; 0: none
 	list map[string]registry.Instance
 
-	taker overload.Taker
+	taker overload.AdviceFilter
 	token uint64         // of the word that it took last
 	seen  map[string]int // requests of its own at each server
 }
@@ -46,7 +46,7 @@
 			return nil
 		}}
 		x.acting, x.acts, x.seq, x.list = false, rollout.ActivePolicy{}, 0, make(map[string]registry.Instance)
-		x.taker, x.token, x.seen = overload.Taker{Fleet: fleetName}, 0, make(map[string]int)
+		x.taker, x.token, x.seen = overload.AdviceFilter{Fleet: fleetName}, 0, make(map[string]int)
 		x.spawn(x.policy)
 		x.spawn(x.watch)
 		x.spawn(x.load)
@@ -167,24 +167,24 @@
 	c := x.w.client(t)
 	var d overload.Digest
 	for seq := uint64(1); ; seq++ {
-		t.sleep(t.spread(overload.Every))
-		var at overload.Place
+		t.sleep(t.spread(overload.ReportInterval))
+		var at overload.Location
 		found := false
 		if c.peek(func(s *registry.State) {
-			rec, ok := s.Record(overload.Record)
+			rec, ok := s.Record(overload.RecordKey)
 			found = ok && json.Unmarshal(rec.Value, &at) == nil
 		}) != nil || !found {
 			continue
 		}
-		d = overload.Digest{Fleet: fleetName, Name: x.name, Incarnation: x.starts, Seq: seq, OverMS: 1000, Jam: 0.5, Tenants: []overload.Count{{Tenant: "t", Share: 1, Asked: 100, Served: 50}, {Tenant: "u", Share: 1, Asked: 10, Served: 10}}}
+		d = overload.Digest{Fleet: fleetName, Name: x.name, Incarnation: x.starts, Seq: seq, PeriodMS: 1000, Congestion: 0.5, Tenants: []overload.TenantCounts{{Tenant: "t", Quota: 1, Requests: 100, InTime: 50}, {Tenant: "u", Quota: 1, Requests: 10, InTime: 10}}}
 		for _, k := range x.w.keepers {
-			if k.name != at.At {
+			if k.name != at.Address {
 				continue
 			}
 			var word overload.Advice
 			if t.call(&k.process, callIn, func(reply func(take func())) {
 				k.exchange(d, func(a overload.Advice) { reply(func() { word = a }) })
-			}) && x.taker.Take(word) == nil {
+			}) && x.taker.Accept(word) == nil {
 				x.w.step("sidecar takes a word")
 				x.w.judge.takes(x.w, x, word.Token)
 			}
