--- a/cmd/fleetctl/members.go
+++ b/cmd/fleetctl/members.go
@@ -67,21 +67,21 @@
 // fleetURL is where a member of a role is asked, at its address.
 func fleetURL(role membership.Role, at string) string {
 	switch role {
-	case membership.Registry:
-		return "http://" + at + registry.APIPath + membership.Path
-	case membership.Sidecar:
-		return "http://" + at + "/health/" + membership.Path
+	case membership.RoleRegistry:
+		return "http://" + at + registry.APIPath + membership.ViewPath
+	case membership.RoleSidecar:
+		return "http://" + at + "/health/" + membership.ViewPath
 	}
-	return "http://" + at + "/" + membership.Path
+	return "http://" + at + "/" + membership.ViewPath
 }
 
 // view asks one member: the one that is named, or the first replica that answers.
-func (a *app) view(ctx context.Context, at string) (v membership.Answer, err error) {
+func (a *app) view(ctx context.Context, at string) (v membership.ViewResponse, err error) {
 	ctx, cancel := context.WithTimeout(ctx, askWithin)
 	defer cancel()
 	if at != "" {
-		for _, role := range []membership.Role{membership.Keeper, membership.Registry, membership.Sidecar} {
-			if v, err = membership.Ask(ctx, http.DefaultClient, fleetURL(role, at), ""); err == nil {
+		for _, role := range []membership.Role{membership.RoleController, membership.RoleRegistry, membership.RoleSidecar} {
+			if v, err = membership.FetchView(ctx, http.DefaultClient, fleetURL(role, at), ""); err == nil {
 				return v, nil
 			}
 		}
@@ -92,7 +92,7 @@
 		return v, err
 	}
 	for _, replica := range c.Registry {
-		if v, err = membership.Ask(ctx, http.DefaultClient, fleetURL(membership.Registry, replica), ""); err == nil {
+		if v, err = membership.FetchView(ctx, http.DefaultClient, fleetURL(membership.RoleRegistry, replica), ""); err == nil {
 			return v, nil
 		}
 	}
@@ -100,11 +100,11 @@
 }
 
 // views asks all members that a view holds and that can be asked, besides itself.
-func views(ctx context.Context, from membership.Answer) (all []membership.Answer, failed []string) {
+func views(ctx context.Context, from membership.ViewResponse) (all []membership.ViewResponse, failed []string) {
 	ctx, cancel := context.WithTimeout(ctx, askWithin)
 	defer cancel()
 	type said struct {
-		view membership.Answer
+		view membership.ViewResponse
 		err  error
 		name string
 	}
@@ -112,14 +112,14 @@
 	answers := make(chan said, len(from.Members))
 	turns := make(chan struct{}, 16)
 	for _, m := range from.Members {
-		if m.HTTP == "" || m.Status == membership.Left || m.Status == membership.Gone || m.Status == membership.Replaced {
+		if m.HTTPAddr == "" || m.Status == membership.StatusLeft || m.Status == membership.StatusEnded || m.Status == membership.StatusReplaced {
 			continue
 		}
 		asked++
 		go func() { // ends with the context at the latest; its answer has a place
 			turns <- struct{}{}
 			defer func() { <-turns }()
-			v, err := membership.Ask(ctx, http.DefaultClient, fleetURL(m.Role, m.HTTP), "")
+			v, err := membership.FetchView(ctx, http.DefaultClient, fleetURL(m.Role, m.HTTPAddr), "")
 			answers <- said{v, err, m.Name}
 		}()
 	}
@@ -144,26 +144,26 @@
 	if asJSON {
 		return json.NewEncoder(a.out).Encode(v)
 	}
-	fmt.Fprintf(a.out, "%s, as %s sees it: %d there, %d lost; %d of %d others see the same\n", v.Fleet, v.Name, v.Present, v.Lost, v.Agree, v.Compared)
-	if v.ApartMS > 0 {
+	fmt.Fprintf(a.out, "%s, as %s sees it: %d there, %d lost; %d of %d others see the same\n", v.Fleet, v.Name, v.Present, v.Unreachable, v.AgreeingPeers, v.ComparedPeers)
+	if v.PartitionedMS > 0 {
 		word := "some members fell silent"
 		if v.Minority {
 			word = "more than half of the fleet fell silent: what rests on numbers is given up here"
 		}
-		fmt.Fprintf(a.out, "%s, the first %v ago\n", word, (time.Duration(v.ApartMS) * time.Millisecond).Round(100*time.Millisecond))
+		fmt.Fprintf(a.out, "%s, the first %v ago\n", word, (time.Duration(v.PartitionedMS) * time.Millisecond).Round(100*time.Millisecond))
 	}
-	if len(v.Differ) > 0 {
-		fmt.Fprintf(a.out, "another view have: %s\n", strings.Join(v.Differ, ", "))
+	if len(v.DifferingPeers) > 0 {
+		fmt.Fprintf(a.out, "another view have: %s\n", strings.Join(v.DifferingPeers, ", "))
 	}
 	w := tabwriter.NewWriter(a.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tROLE\tSTATUS\tFOR\tZONE\tPHASE\tPOLICY\tAT\tBY")
 	for _, m := range v.Members {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%s\t%s\t%d\t%s\t%s\n", m.Name, m.Role, m.Status, (time.Duration(m.ForMS) * time.Millisecond).Round(100*time.Millisecond), m.Zone, m.Phase, m.Policy, m.At, m.By)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%s\t%s\t%d\t%s\t%s\n", m.Name, m.Role, m.Status, (time.Duration(m.StatusAgeMS) * time.Millisecond).Round(100*time.Millisecond), m.Zone, m.Phase, m.PolicyEpoch, m.GossipAddr, m.By)
 	}
 	return w.Flush()
 }
 
-func (a *app) showDiff(ctx context.Context, from membership.Answer, asJSON bool) error {
+func (a *app) showDiff(ctx context.Context, from membership.ViewResponse, asJSON bool) error {
 	all, failed := views(ctx, from)
 	if len(all) < 2 {
 		return errors.New("fewer than two members can be asked: their files name no address to listen on for people")
@@ -187,10 +187,10 @@
 	for _, d := range different {
 		by := make(map[membership.Status][]string)
 		for _, v := range all {
-			by[d.Status[v.Name]] = append(by[d.Status[v.Name]], v.Name)
+			by[d.StatusByView[v.Name]] = append(by[d.StatusByView[v.Name]], v.Name)
 		}
 		fmt.Fprintf(a.out, "%s (%d):\n", d.Name, d.Incarnation)
-		for _, s := range []membership.Status{membership.Present, membership.Suspected, membership.Lost, membership.Left, membership.Gone, membership.Replaced, membership.Unknown} {
+		for _, s := range []membership.Status{membership.StatusPresent, membership.StatusSuspected, membership.StatusUnreachable, membership.StatusLeft, membership.StatusEnded, membership.StatusReplaced, membership.StatusUnknown} {
 			if len(by[s]) > 0 {
 				fmt.Fprintf(a.out, "  %s: %s\n", s, strings.Join(by[s], ", "))
 			}
@@ -209,10 +209,10 @@
 	defer cancel()
 	told := 0
 	for _, m := range v.Members {
-		if m.HTTP == "" || m.Status != membership.Present && m.Status != membership.Suspected {
+		if m.HTTPAddr == "" || m.Status != membership.StatusPresent && m.Status != membership.StatusSuspected {
 			continue
 		}
-		if _, err := membership.Ask(ctx, http.DefaultClient, fleetURL(m.Role, m.HTTP), name); err == nil {
+		if _, err := membership.FetchView(ctx, http.DefaultClient, fleetURL(m.Role, m.HTTPAddr), name); err == nil {
 			told++
 		}
 	}
--- a/cmd/sidecar-metrics/main.go
+++ b/cmd/sidecar-metrics/main.go
@@ -10,5 +10,5 @@
 )
 
 func main() {
-	sidecarcmd.Main(sidecarcmd.Parts{Meter: func() sidecar.Meter { return metrics.New() }, Enlist: sidecarmember.Sidecar})
+	sidecarcmd.Main(sidecarcmd.Parts{Meter: func() sidecar.Meter { return metrics.New() }, Enlist: sidecarmember.New})
 }
--- a/cmd/testbench/members.go
+++ b/cmd/testbench/members.go
@@ -20,7 +20,7 @@
 )
 
 func membersCommand() *cobra.Command {
-	p := membershiptest.Plan{}
+	p := membershiptest.Scenario{}
 	var asJSON bool
 	c := &cobra.Command{
 		Use: "members", Short: "Measure how members of a fleet see its losses and parts", Args: cli.NoArgs,
@@ -33,23 +33,23 @@
 	}
 	c.Flags().IntVar(&p.Members, "members", 30, "in the fleet")
 	c.Flags().Uint64Var(&p.Seed, "seed", 1, "of what is lost")
-	c.Flags().DurationVar(&p.Probe, "probe", 500*time.Millisecond, "between two looks of a member at some other")
-	c.Flags().Float64Var(&p.Loss, "loss", 0, "part of the datagrams")
+	c.Flags().DurationVar(&p.ProbeInterval, "probe", 500*time.Millisecond, "between two looks of a member at some other")
+	c.Flags().Float64Var(&p.PacketLoss, "loss", 0, "part of the datagrams")
 	c.Flags().DurationVar(&p.Delay, "delay", time.Millisecond, "each comes so much later, and up to twice")
-	c.Flags().DurationVar(&p.Quiet, "quiet", 20*time.Second, "a time without another fault")
-	c.Flags().Float64Var(&p.Kill, "kill", 0.1, "part of the members that is then killed at once")
-	c.Flags().IntVar(&p.Parts, "parts", 1, "into how many parts the network is then cut; 1: it is not")
-	c.Flags().DurationVar(&p.Apart, "apart", 30*time.Second, "for how long")
+	c.Flags().DurationVar(&p.Baseline, "quiet", 20*time.Second, "a time without another fault")
+	c.Flags().Float64Var(&p.KillFraction, "kill", 0.1, "part of the members that is then killed at once")
+	c.Flags().IntVar(&p.Partitions, "parts", 1, "into how many parts the network is then cut; 1: it is not")
+	c.Flags().DurationVar(&p.PartitionDuration, "apart", 30*time.Second, "for how long")
 	c.Flags().BoolVar(&asJSON, "json", false, "one JSON object")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		switch {
 		case p.Members < 2 || p.Members > mostMembers:
 			return cli.WrongCall("--members is %d, it must lie between 2 and %d", p.Members, mostMembers)
-		case !(p.Loss >= 0 && p.Loss < 1) || !(p.Kill >= 0 && p.Kill < 1):
+		case !(p.PacketLoss >= 0 && p.PacketLoss < 1) || !(p.KillFraction >= 0 && p.KillFraction < 1):
 			return cli.WrongCall("--loss and --kill are parts of at least 0, below 1")
-		case p.Parts < 1 || p.Parts > mostParts || p.Parts > p.Members/2:
-			return cli.WrongCall("--parts is %d, it must lie between 1 and %d, and each part needs two members", p.Parts, mostParts)
-		case p.Probe < 50*time.Millisecond || p.Delay < 0 || p.Quiet < 0 || p.Apart < 0:
+		case p.Partitions < 1 || p.Partitions > mostParts || p.Partitions > p.Members/2:
+			return cli.WrongCall("--parts is %d, it must lie between 1 and %d, and each part needs two members", p.Partitions, mostParts)
+		case p.ProbeInterval < 50*time.Millisecond || p.Delay < 0 || p.Baseline < 0 || p.PartitionDuration < 0:
 			return cli.WrongCall("--probe is 50ms at least, no time is negative")
 		}
 		var r membershiptest.Result
@@ -78,17 +78,17 @@
 
 func tellTrial(w io.Writer, r membershiptest.Result) {
 	ms := func(d time.Duration) time.Duration { return d.Round(10 * time.Millisecond) }
-	fmt.Fprintf(w, "%d members, a look every %v, %.0f %% of the datagrams lost: all see all after %v\n", r.Members, r.Probe, 100*r.Loss, ms(r.Joined))
-	if r.Quiet > 0 {
+	fmt.Fprintf(w, "%d members, a look every %v, %.0f %% of the datagrams lost: all see all after %v\n", r.Members, r.ProbeInterval, 100*r.PacketLoss, ms(r.JoinTime))
+	if r.Baseline > 0 {
 		fmt.Fprintf(w, "%v quiet: %d suspicions, %d lost that live (%.2f a member and hour); each sends %.0f bytes in %.1f datagrams a second, for %.2f %% of a core\n",
-			r.Quiet, r.Suspected, r.Lost, r.PerHour, r.Bytes, r.Packets, 100*r.CPU)
+			r.Baseline, r.FalseSuspicions, r.FalselyUnreachable, r.FalselyUnreachablePerHour, r.BytesPerSecond, r.PacketsPerSecond, 100*r.CoresPerMember)
 	}
 	if r.Killed > 0 {
 		fmt.Fprintf(w, "%d killed at once: the first sees one after %v (median), all see all losses after %v, all views are the same after %v\n",
-			r.Killed, ms(r.FirstSeen), ms(r.AllSeen), ms(r.AllAgree))
+			r.Killed, ms(r.FirstDetection), ms(r.FullDetection), ms(r.FullAgreement))
 	}
-	if r.Parts > 1 {
+	if r.Partitions > 1 {
 		fmt.Fprintf(w, "cut in %d for %v: the sides see %v, %d members say so, %d that more than half is lost; whole again after %v, in %d rounds at most\n",
-			r.Parts, r.Apart, r.Sides, r.Told, r.Minor, ms(r.Healed), r.Rounds)
+			r.Partitions, r.PartitionDuration, r.PresentByPartition, r.ReportedPartition, r.ReportedMinority, ms(r.HealTime), r.HealRounds)
 	}
 }
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -54,17 +54,17 @@
 	f := &fleet{client: k.client, look: make(chan struct{}, 1)}
 	var urls []string
 	for _, at := range c.Registry {
-		urls = append(urls, "http://"+at+registry.APIPath+membership.Path)
+		urls = append(urls, "http://"+at+registry.APIPath+membership.ViewPath)
 	}
 	asks := &http.Client{Transport: &http.Transport{DialContext: c.Routes.Dial(time.Second), DisableKeepAlives: true}}
 	var err error
 	f.node, err = gossip.Start(gossip.Options{
-		Config: *c.Membership, Watch: true, Seeds: membership.SeedsFrom(asks, urls),
+		Config: *c.Membership, WatchProcesses: true, FindSeeds: membership.SeedsFromViews(asks, urls),
 		Self: membership.Info{
-			Name: c.Name, Incarnation: k.member.Holder.Incarnation, Role: membership.Keeper,
-			HTTP: c.Listen, ActsMS: c.longestAct().Milliseconds(),
+			Name: c.Name, Incarnation: k.member.Holder.Incarnation, Role: membership.RoleController,
+			HTTPAddr: c.Listen, LongestActMS: c.longestAct().Milliseconds(),
 		},
-		Changed: func() {
+		OnChange: func() {
 			for _, kick := range []chan struct{}{f.look, k.looked} {
 				select {
 				case kick <- struct{}{}:
@@ -97,7 +97,7 @@
 		for _, s := range f.node.Members() {
 			key := s.Key()
 			known[key] = true
-			if s.Role != membership.Keeper || buried[key] || !sureEnd(s, own) {
+			if s.Role != membership.RoleController || buried[key] || !sureEnd(s, own) {
 				continue
 			}
 			buried[key] = true
@@ -113,14 +113,14 @@
 
 // sureEnd says whether this process itself has seen a member's process end. The word of
 // others is none on which a lease may end.
-func sureEnd(s membership.Standing, own string) bool {
-	return s.Status == membership.Gone && s.By == own || mutation.GossipRemoves && s.Status == membership.Lost
+func sureEnd(s membership.Member, own string) bool {
+	return s.Status == membership.StatusEnded && s.By == own || mutation.GossipRemoves && s.Status == membership.StatusUnreachable
 }
 
 // bury ends the claims of a keeper whose process has ended, once what it had sent has
 // come to an end too: the next in line need not wait for the rest of the lease.
-func (f *fleet) bury(ctx context.Context, s membership.Standing) {
-	if pause(ctx, time.Duration(s.ActsMS)*time.Millisecond+actMargin) != nil {
+func (f *fleet) bury(ctx context.Context, s membership.Member) {
+	if pause(ctx, time.Duration(s.LongestActMS)*time.Millisecond+actMargin) != nil {
 		return
 	}
 	in, cancel := context.WithTimeout(ctx, buryIn)
@@ -156,16 +156,16 @@
 // handed to it, or expected of it.
 func (f *fleet) ended(h registry.Holder) bool {
 	s, ok := f.standing(h)
-	return ok && (s.Status == membership.Gone || s.Status == membership.Left)
+	return ok && (s.Status == membership.StatusEnded || s.Status == membership.StatusLeft)
 }
 
 // answers says whether a holder may be handed something: whoever is not known may.
 func (f *fleet) answers(h registry.Holder) bool {
 	s, ok := f.standing(h)
-	return !ok || s.Status == membership.Present
+	return !ok || s.Status == membership.StatusPresent
 }
 
-func (f *fleet) standing(h registry.Holder) (s membership.Standing, ok bool) {
+func (f *fleet) standing(h registry.Holder) (s membership.Member, ok bool) {
 	if f == nil {
 		return s, false
 	}
@@ -173,14 +173,14 @@
 }
 
 // minority says that more than half of the fleet's members are lost from here.
-func (f *fleet) minority() bool { return f != nil && f.node.Side().Minority() }
+func (f *fleet) minority() bool { return f != nil && f.node.Partition().Minority() }
 
 // sidecars is how many sidecars are there, as far as is seen here; 0: nothing is.
 func (f *fleet) sidecars() int {
 	if f == nil {
 		return 0
 	}
-	return f.node.Count(membership.Sidecar)
+	return f.node.CountRole(membership.RoleSidecar)
 }
 
 // reasons are booking servers that a member has not heard from lately.
@@ -188,7 +188,7 @@
 	if f == nil {
 		return nil
 	}
-	return f.node.Hosts()
+	return f.node.UnresponsiveEndpoints()
 }
 
 var (
@@ -210,12 +210,12 @@
 
 // Collect reads them.
 func (f *fleet) Collect(c chan<- prometheus.Metric) {
-	a, n := f.node.Answer(), f.node.Counts()
+	a, n := f.node.View(), f.node.Stats()
 	by := make(map[membership.Status]int)
 	for _, m := range a.Members {
 		by[m.Status]++
 	}
-	for _, s := range []membership.Status{membership.Present, membership.Suspected, membership.Lost, membership.Left, membership.Gone, membership.Replaced} {
+	for _, s := range []membership.Status{membership.StatusPresent, membership.StatusSuspected, membership.StatusUnreachable, membership.StatusLeft, membership.StatusEnded, membership.StatusReplaced} {
 		c <- prometheus.MustNewConstMetric(descMembers, prometheus.GaugeValue, float64(by[s]), string(s))
 	}
 	minority := 0.0
@@ -223,11 +223,11 @@
 		minority = 1
 	}
 	c <- prometheus.MustNewConstMetric(descMinority, prometheus.GaugeValue, minority)
-	c <- prometheus.MustNewConstMetric(descDiffer, prometheus.GaugeValue, float64(len(a.Differ)))
+	c <- prometheus.MustNewConstMetric(descDiffer, prometheus.GaugeValue, float64(len(a.DifferingPeers)))
 	for _, m := range []struct {
 		desc  *prometheus.Desc
 		value uint64
-	}{{descSent, n.Bytes}, {descSuspected, n.Suspected}, {descLost, n.Lost}, {descBad, n.Bad + n.Refused}} {
+	}{{descSent, n.BytesSent}, {descSuspected, n.Suspicions}, {descLost, n.Unreachable}, {descBad, n.MalformedMessages + n.RefusedStreams}} {
 		c <- prometheus.MustNewConstMetric(m.desc, prometheus.CounterValue, float64(m.value))
 	}
 }
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -54,7 +54,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(r, promhttp.HandlerOpts{MaxRequestsInFlight: scrapes}))
 	if k.fleet != nil {
-		mux.Handle("/"+membership.Path, k.fleet.node)
+		mux.Handle("/"+membership.ViewPath, k.fleet.node)
 		r.MustRegister(k.fleet)
 	}
 	mux.HandleFunc("GET /health/ready", func(http.ResponseWriter, *http.Request) {})
--- a/internal/drain/config.go
+++ b/internal/drain/config.go
@@ -99,7 +99,7 @@
 	var views []string
 	for _, replica := range c.Registry {
 		if c.WaitForMembers {
-			views = append(views, "http://"+replica+registry.APIPath+membership.Path)
+			views = append(views, "http://"+replica+registry.APIPath+membership.ViewPath)
 		}
 	}
 	return &Workflow{
--- a/internal/drain/fleet.go
+++ b/internal/drain/fleet.go
@@ -58,12 +58,12 @@
 	within, cancel := context.WithTimeout(ctx, askIn)
 	defer cancel()
 	for _, url := range s.MembershipURLs {
-		var v membership.Answer
-		if v, err = membership.Ask(within, http.DefaultClient, url, ""); err != nil {
+		var v membership.ViewResponse
+		if v, err = membership.FetchView(within, http.DefaultClient, url, ""); err != nil {
 			continue
 		}
 		for _, m := range v.Members {
-			if m.Host == machine && (m.Status.Here() || m.Status == membership.Lost) {
+			if m.MachineName == machine && (m.Status.CountsAsPresent() || m.Status == membership.StatusUnreachable) {
 				there = append(there, m.Name)
 			}
 		}
--- a/internal/membership/answer.go
+++ b/internal/membership/answer.go
@@ -10,51 +10,51 @@
 	"slices"
 )
 
-// Path is where a member that is asked over HTTP tells its view, below whatever it
+// ViewPath is where a member that is asked over HTTP tells its view, below whatever it
 // serves else.
-const Path = "fleet"
+const ViewPath = "fleet"
 
 // MostAnswer bounds an answer: maxMembers of them, at their longest.
 const MostAnswer = 4 << 20
 
-// MemberAnswer is one member in an answer.
-type MemberAnswer struct {
+// MemberView is one member in an answer.
+type MemberView struct {
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"incarnation"`
 	Role        Role   `json:"role"`
 	Status      Status `json:"status"`
-	ForMS       int64  `json:"for_ms"`       // since when it has this status
+	StatusAgeMS int64  `json:"for_ms"`       // since when it has this status
 	By          string `json:"by,omitempty"` // who saw it end, or by whom it is replaced
 	Zone        string `json:"zone,omitempty"`
 	Version     string `json:"version,omitempty"`
-	Policy      uint64 `json:"policy_epoch,omitempty"`
+	PolicyEpoch uint64 `json:"policy_epoch,omitempty"`
 	Phase       string `json:"phase,omitempty"`
-	At          string `json:"at,omitempty"`   // where it listens to other members
-	HTTP        string `json:"http,omitempty"` // where it can be asked
-	Host        string `json:"host,omitempty"` // its machine's name
-	Machine     string `json:"machine,omitempty"`
+	GossipAddr  string `json:"at,omitempty"`   // where it listens to other members
+	HTTPAddr    string `json:"http,omitempty"` // where it can be asked
+	MachineName string `json:"host,omitempty"` // its machine's name
+	MachineID   string `json:"machine,omitempty"`
 	PID         int    `json:"pid,omitempty"`
 }
 
-// Answer is one process's view of the fleet.
-type Answer struct {
-	Fleet       string         `json:"fleet"`
-	Name        string         `json:"name"`
-	Incarnation uint64         `json:"incarnation"`
-	Digest      string         `json:"digest"`
-	Present     int            `json:"present"`
-	Lost        int            `json:"lost"`
-	ApartMS     int64          `json:"apart_ms,omitempty"` // since the first of those lost was
-	Minority    bool           `json:"minority,omitempty"` // more than half is lost
-	HealedIn    uint64         `json:"healed_in,omitempty"`
-	Agree       int            `json:"agree"`            // of the members heard lately, how many see the same
-	Compared    int            `json:"compared"`         // and how many were heard
-	Differ      []string       `json:"differ,omitempty"` // and who sees another
-	Members     []MemberAnswer `json:"members"`
+// ViewResponse is one process's view of the fleet.
+type ViewResponse struct {
+	Fleet          string       `json:"fleet"`
+	Name           string       `json:"name"`
+	Incarnation    uint64       `json:"incarnation"`
+	Digest         string       `json:"digest"`
+	Present        int          `json:"present"`
+	Unreachable    int          `json:"lost"`
+	PartitionedMS  int64        `json:"apart_ms,omitempty"` // since the first of those lost was
+	Minority       bool         `json:"minority,omitempty"` // more than half is lost
+	HealRounds     uint64       `json:"healed_in,omitempty"`
+	AgreeingPeers  int          `json:"agree"`            // of the members heard lately, how many see the same
+	ComparedPeers  int          `json:"compared"`         // and how many were heard
+	DifferingPeers []string     `json:"differ,omitempty"` // and who sees another
+	Members        []MemberView `json:"members"`
 }
 
-// Ask asks a member for its view, at a URL; what is to be forgotten may be empty.
-func Ask(ctx context.Context, c *http.Client, url, forget string) (a Answer, err error) {
+// FetchView asks a member for its view, at a URL; what is to be forgotten may be empty.
+func FetchView(ctx context.Context, c *http.Client, url, forget string) (a ViewResponse, err error) {
 	method := http.MethodGet
 	if forget != "" {
 		method, url = http.MethodPost, url+"?forget="+forget
@@ -81,17 +81,17 @@
 	return a, nil
 }
 
-// SeedsFrom finds where members listen by asking some for their views, the first that answers.
-func SeedsFrom(c *http.Client, urls []string) func(ctx context.Context) ([]string, error) {
+// SeedsFromViews finds where members listen by asking some for their views, the first that answers.
+func SeedsFromViews(c *http.Client, urls []string) func(ctx context.Context) ([]string, error) {
 	return func(ctx context.Context) (addrs []string, err error) {
 		for _, url := range urls {
-			var a Answer
-			if a, err = Ask(ctx, c, url, ""); err != nil {
+			var a ViewResponse
+			if a, err = FetchView(ctx, c, url, ""); err != nil {
 				continue
 			}
 			for _, m := range a.Members {
-				if m.At != "" && m.Status.Here() {
-					addrs = append(addrs, m.At)
+				if m.GossipAddr != "" && m.Status.CountsAsPresent() {
+					addrs = append(addrs, m.GossipAddr)
 				}
 			}
 			return addrs[:min(len(addrs), MaxSeeds)], nil
@@ -102,16 +102,16 @@
 
 // Difference is a member of which views differ.
 type Difference struct {
-	Name        string            `json:"name"`
-	Incarnation uint64            `json:"incarnation"`
-	Status      map[string]Status `json:"status"` // by whose view it is
+	Name         string            `json:"name"`
+	Incarnation  uint64            `json:"incarnation"`
+	StatusByView map[string]Status `json:"status"` // by whose view it is
 }
 
-// Unknown is a member that a view does not hold.
-const Unknown Status = "unknown"
+// StatusUnknown is a member that a view does not hold.
+const StatusUnknown Status = "unknown"
 
 // Diff compares views: who is there for one and not for another.
-func Diff(views []Answer) (all []Difference) {
+func Diff(views []ViewResponse) (all []Difference) {
 	type id struct {
 		name        string
 		incarnation uint64
@@ -130,9 +130,9 @@
 		here := 0
 		for _, v := range views {
 			if _, ok := by[v.Name]; !ok {
-				by[v.Name] = Unknown
+				by[v.Name] = StatusUnknown
 			}
-			if by[v.Name].Here() {
+			if by[v.Name].CountsAsPresent() {
 				here++
 			}
 		}
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -12,13 +12,13 @@
 // Config is what a process is told of the membership; a table 'membership' in each
 // program's own file. docs/MEMBERSHIP.md describes it.
 type Config struct {
-	Fleet  string   `toml:"fleet" json:"fleet" default:"-" doc:"the fleet's name: who has another is not heard"`
-	Listen string   `toml:"listen" json:"listen" unit:"address:port" default:"-" doc:"a loopback address with a port, for UDP and TCP"`
-	Seeds  []string `toml:"seeds" json:"seeds,omitempty" unit:"address:port" default:"none" doc:"addresses where other members listen; one that answers is enough, and the registry names more"`
-	Folder string   `toml:"folder" json:"folder,omitempty" unit:"path" default:"none" doc:"where the addresses of the members are kept for the next start"`
-	Zone   string   `toml:"zone" json:"zone,omitempty" default:"none" doc:"this process's zone, to be shown"`
+	Fleet    string   `toml:"fleet" json:"fleet" default:"-" doc:"the fleet's name: who has another is not heard"`
+	Listen   string   `toml:"listen" json:"listen" unit:"address:port" default:"-" doc:"a loopback address with a port, for UDP and TCP"`
+	Seeds    []string `toml:"seeds" json:"seeds,omitempty" unit:"address:port" default:"none" doc:"addresses where other members listen; one that answers is enough, and the registry names more"`
+	StateDir string   `toml:"folder" json:"folder,omitempty" unit:"path" default:"none" doc:"where the addresses of the members are kept for the next start"`
+	Zone     string   `toml:"zone" json:"zone,omitempty" default:"none" doc:"this process's zone, to be shown"`
 
-	Machine string `toml:"machine" json:"machine,omitempty" default:"none" doc:"this machine's name, as the registry has it: a drain of the machine waits for its members, where barleyctl's file says so"`
+	MachineName string `toml:"machine" json:"machine,omitempty" default:"none" doc:"this machine's name, as the registry has it: a drain of the machine waits for its members, where barleyctl's file says so"`
 
 	ProbeMS int64 `toml:"probe_ms" json:"probe_ms,omitempty" unit:"ms" default:"500" doc:"between two looks at some other member, 50 to 60000; half of it is for an answer"`
 	ForgetS int64 `toml:"forget_s" json:"forget_s,omitempty" unit:"s" default:"600" doc:"after which one that fell silent counts as never to come back, 10 to 604800"`
@@ -54,7 +54,7 @@
 			return fmt.Errorf("membership.seeds[%d] is %.64q, it must be a loopback address with a port", i, seed)
 		}
 	}
-	for name, text := range map[string]string{"zone": c.Zone, "machine": c.Machine} {
+	for name, text := range map[string]string{"zone": c.Zone, "machine": c.MachineName} {
 		if len(text) > maxZone {
 			return fmt.Errorf("membership.%s has %d bytes, %d at most", name, len(text), maxZone)
 		}
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// Probe is between two looks at some other member.
-func (c *Config) Probe() time.Duration { return time.Duration(c.ProbeMS) * time.Millisecond }
+// ProbeInterval is between two looks at some other member.
+func (c *Config) ProbeInterval() time.Duration { return time.Duration(c.ProbeMS) * time.Millisecond }
 
-// Forget is after which a lost member counts as never to come back.
-func (c *Config) Forget() time.Duration { return time.Duration(c.ForgetS) * time.Second }
+// ForgetAfter is after which a lost member counts as never to come back.
+func (c *Config) ForgetAfter() time.Duration { return time.Duration(c.ForgetS) * time.Second }
--- a/internal/membership/gossip/answer.go
+++ b/internal/membership/gossip/answer.go
@@ -10,29 +10,29 @@
 	"barleywick/internal/membership"
 )
 
-// Answer tells this process's view.
-func (n *Node) Answer() membership.Answer {
+// View tells this process's view.
+func (n *Node) View() membership.ViewResponse {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
-	side := n.view.Side()
-	a := membership.Answer{
-		Fleet: n.options.Config.Fleet, Name: n.self.Name, Incarnation: n.self.Incarnation, HealedIn: n.healedIn.Load(),
-		Digest: strconv.FormatUint(n.view.Digest(), 16), Present: side.Present, Lost: side.Lost, Minority: side.Minority(),
-		Members: []membership.MemberAnswer{},
+	side := n.view.Partition()
+	a := membership.ViewResponse{
+		Fleet: n.options.Config.Fleet, Name: n.self.Name, Incarnation: n.self.Incarnation, HealRounds: n.healedIn.Load(),
+		Digest: strconv.FormatUint(n.view.Digest(), 16), Present: side.Present, Unreachable: side.Unreachable, Minority: side.Minority(),
+		Members: []membership.MemberView{},
 	}
-	if side.Apart() {
-		a.ApartMS = (now - side.Since).Milliseconds()
+	if side.Partitioned() {
+		a.PartitionedMS = (now - side.Since).Milliseconds()
 	}
-	a.Agree, a.Compared = n.view.Agreement(now - comparedFor)
-	a.Differ = n.view.Differ(now - comparedFor)
+	a.AgreeingPeers, a.ComparedPeers = n.view.Agreement(now - comparedFor)
+	a.DifferingPeers = n.view.Differ(now - comparedFor)
 	for _, s := range n.view.List() {
-		m := membership.MemberAnswer{
-			Name: s.Name, Incarnation: s.Incarnation, Role: s.Role, Status: s.Status, ForMS: (now - s.Since).Milliseconds(), By: s.By,
-			Zone: s.Zone, Version: s.Version, Policy: s.Policy, Phase: s.Phase, At: n.addrs[s.Key()], HTTP: s.HTTP, Host: s.Host, Machine: s.Machine, PID: s.PID,
+		m := membership.MemberView{
+			Name: s.Name, Incarnation: s.Incarnation, Role: s.Role, Status: s.Status, StatusAgeMS: (now - s.StatusSince).Milliseconds(), By: s.By,
+			Zone: s.Zone, Version: s.Version, PolicyEpoch: s.PolicyEpoch, Phase: s.Phase, GossipAddr: n.addrs[s.Key()], HTTPAddr: s.HTTPAddr, MachineName: s.MachineName, MachineID: s.MachineID, PID: s.PID,
 		}
 		if s.Key() == n.self.Key() {
-			m.At = n.options.Config.Listen
+			m.GossipAddr = n.options.Config.Listen
 		}
 		a.Members = append(a.Members, m)
 	}
@@ -52,23 +52,23 @@
 		}
 	}
 	w.Header().Set("Content-Type", "application/json")
-	if err := json.NewEncoder(w).Encode(n.Answer()); err != nil {
+	if err := json.NewEncoder(w).Encode(n.View()); err != nil {
 		n.log.Debug("members: answer not written", "err", err)
 	}
 }
 
-// Counts are what a member has done and seen since its start.
-type Counts struct {
-	Packets, Bytes, Streams, Refused    uint64 // sent; connections that found no place
-	Suspected, Lost, Notes, Bad, Healed uint64
-	Watched                             int
+// Stats are what a member has done and seen since its start.
+type Stats struct {
+	PacketsSent, BytesSent, Streams, RefusedStreams               uint64 // sent; connections that found no place
+	Suspicions, Unreachable, Notes, MalformedMessages, HealRounds uint64
+	Watched                                                       int
 }
 
-// Counts tells them.
-func (n *Node) Counts() Counts {
-	c := Counts{
-		Packets: n.traffic.packets.Load(), Bytes: n.traffic.bytes.Load(), Streams: n.traffic.streams.Load(), Refused: n.traffic.refused.Load(),
-		Suspected: n.suspected.Load(), Lost: n.lost.Load(), Notes: n.notes.Load(), Bad: n.bad.Load(), Healed: n.healedIn.Load(),
+// Stats tells them.
+func (n *Node) Stats() Stats {
+	c := Stats{
+		PacketsSent: n.traffic.packets.Load(), BytesSent: n.traffic.bytes.Load(), Streams: n.traffic.streams.Load(), RefusedStreams: n.traffic.refused.Load(),
+		Suspicions: n.suspected.Load(), Unreachable: n.lost.Load(), Notes: n.notes.Load(), MalformedMessages: n.bad.Load(), HealRounds: n.healedIn.Load(),
 	}
 	if n.watch != nil {
 		c.Watched = n.watch.watched()
@@ -77,4 +77,4 @@
 }
 
 // Age is how long a member has had its status, by this process's clock.
-func (n *Node) Age(s membership.Standing) time.Duration { return n.now() - s.Since }
+func (n *Node) Age(s membership.Member) time.Duration { return n.now() - s.StatusSince }
--- a/internal/membership/gossip/ends.go
+++ b/internal/membership/gossip/ends.go
@@ -39,7 +39,7 @@
 
 // add begins to watch the process of a member on this machine.
 func (e *ends) add(i membership.Info) {
-	if i.PID == 0 || i.Started == 0 || i.PID == os.Getpid() || rollout.ProcessStartTicks(os.Getpid()) == 0 {
+	if i.PID == 0 || i.ProcessStart == 0 || i.PID == os.Getpid() || rollout.ProcessStartTicks(os.Getpid()) == 0 {
 		return // where processes cannot be seen at all, none is seen to end
 	}
 	e.mu.Lock()
@@ -53,7 +53,7 @@
 	if err != nil {
 		fd = -1 // it has ended, or descriptors are used up: the look tells
 	}
-	if rollout.ProcessStartTicks(i.PID) != i.Started {
+	if rollout.ProcessStartTicks(i.PID) != i.ProcessStart {
 		if fd >= 0 {
 			unix.Close(fd)
 		}
--- a/internal/membership/gossip/join.go
+++ b/internal/membership/gossip/join.go
@@ -36,12 +36,12 @@
 }
 
 func (n *Node) keptPath() string {
-	return filepath.Join(n.options.Config.Folder, "members-"+n.options.Self.Name+".json")
+	return filepath.Join(n.options.Config.StateDir, "members-"+n.options.Self.Name+".json")
 }
 
 // remembered reads what the last start has kept.
 func (n *Node) remembered() (k kept, err error) {
-	if n.options.Config.Folder == "" {
+	if n.options.Config.StateDir == "" {
 		return k, nil
 	}
 	text, err := os.ReadFile(n.keptPath())
@@ -61,15 +61,15 @@
 
 // remember keeps where members listen.
 func (n *Node) remember() {
-	if n.options.Config.Folder == "" {
+	if n.options.Config.StateDir == "" {
 		return
 	}
-	k := kept{Fleet: n.options.Config.Fleet, Incarnation: n.Self().Incarnation, Members: n.addresses(func(s membership.Standing) bool { return s.Status.Here() })}
+	k := kept{Fleet: n.options.Config.Fleet, Incarnation: n.Self().Incarnation, Members: n.addresses(func(s membership.Member) bool { return s.Status.CountsAsPresent() })}
 	rand.Shuffle(len(k.Members), func(i, j int) { k.Members[i], k.Members[j] = k.Members[j], k.Members[i] })
 	k.Members = k.Members[:min(len(k.Members), maxKept)]
 	text, err := json.Marshal(k)
 	if err == nil {
-		err = os.MkdirAll(n.options.Config.Folder, 0o700)
+		err = os.MkdirAll(n.options.Config.StateDir, 0o700)
 	}
 	if err == nil {
 		err = renameio.WriteFile(n.keptPath(), text, 0o600)
@@ -80,7 +80,7 @@
 }
 
 // addresses are where some of the others listen.
-func (n *Node) addresses(of func(s membership.Standing) bool) (addrs []string) {
+func (n *Node) addresses(of func(s membership.Member) bool) (addrs []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, s := range n.view.List() {
@@ -97,9 +97,9 @@
 	if k, err := n.remembered(); err == nil {
 		all = append(all, k.Members...)
 	}
-	if n.options.Seeds != nil {
+	if n.options.FindSeeds != nil {
 		in, cancel := context.WithTimeout(ctx, callIn)
-		more, err := n.options.Seeds(in)
+		more, err := n.options.FindSeeds(in)
 		cancel()
 		if err != nil {
 			n.log.Debug("members: the registry names none", "err", err)
@@ -160,7 +160,7 @@
 		if size := n.Size(); size > callers && rand.IntN(size) >= callers {
 			continue
 		}
-		addrs := n.addresses(func(s membership.Standing) bool { return s.Status == membership.Lost })
+		addrs := n.addresses(func(s membership.Member) bool { return s.Status == membership.StatusUnreachable })
 		if len(addrs) > 0 {
 			addrs = []string{addrs[rand.IntN(len(addrs))]}
 		} else if n.Size() == 1 {
--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -27,16 +27,16 @@
 type Options struct {
 	Config membership.Config
 	Self   membership.Info
-	// Seeds finds further addresses where members listen, as the registry knows them; nil:
+	// FindSeeds finds further addresses where members listen, as the registry knows them; nil:
 	// there are none.
-	Seeds func(ctx context.Context) ([]string, error)
-	// Watch has it see when processes of its own machine end, for a descriptor each.
-	Watch bool
+	FindSeeds func(ctx context.Context) ([]string, error)
+	// WatchProcesses has it see when processes of its own machine end, for a descriptor each.
+	WatchProcesses bool
 	// Transport carries it instead of sockets.
 	Transport memberlist.NodeAwareTransport
-	// Changed is called after the view has changed, not twice at once, and must not wait.
-	Changed func()
-	Log     *slog.Logger // nil: the default one
+	// OnChange is called after the view has changed, not twice at once, and must not wait.
+	OnChange func()
+	Logger   *slog.Logger // nil: the default one
 }
 
 const (
@@ -108,7 +108,7 @@
 	if err := o.Config.Check(); err != nil {
 		return nil, err
 	}
-	n := &Node{options: o, log: o.Log, began: time.Now(), wake: make(chan struct{}, 1), changed: make(chan struct{}, 1), self: o.Self, addrs: make(map[string]string), hosts: make(map[string]time.Duration)}
+	n := &Node{options: o, log: o.Logger, began: time.Now(), wake: make(chan struct{}, 1), changed: make(chan struct{}, 1), self: o.Self, addrs: make(map[string]string), hosts: make(map[string]time.Duration)}
 	if n.log == nil {
 		n.log = slog.Default()
 	}
@@ -116,8 +116,8 @@
 	if err != nil {
 		n.log.Warn("members: what was kept is not used", "err", err)
 	}
-	n.self.Machine, n.self.PID, n.self.Started = membership.Here()
-	n.self.Host, n.self.Zone = o.Config.Machine, o.Config.Zone
+	n.self.MachineID, n.self.PID, n.self.ProcessStart = membership.CurrentProcess()
+	n.self.MachineName, n.self.Zone = o.Config.MachineName, o.Config.Zone
 	if n.self.Incarnation == 0 {
 		n.self.Incarnation = uint64(n.began.UnixMicro())
 	}
@@ -130,7 +130,7 @@
 	if _, err := n.self.Encode(); err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
 	}
-	if o.Watch {
+	if o.WatchProcesses {
 		n.watch = watchEnds(n.ended)
 	}
 	n.queue = &memberlist.TransmitLimitedQueue{NumNodes: n.Size, RetransmitMult: memberlist.DefaultLANConfig().RetransmitMult}
@@ -143,7 +143,7 @@
 // create begins as the process of this incarnation.
 func (n *Node) create() error {
 	n.mu.Lock()
-	n.view = membership.NewView(n.self, n.options.Config.Forget(), n.now())
+	n.view = membership.NewView(n.self, n.options.Config.ForgetAfter(), n.now())
 	n.mu.Unlock()
 	logger := log.New(&lines{n}, "", 0)
 	inner := n.options.Transport
@@ -157,7 +157,7 @@
 	c.Name, c.Label = n.self.Key(), "barleywick/"+n.options.Config.Fleet
 	c.Transport, c.Logger = newRouted(inner, n.options.Config.Routes, &n.traffic), logger
 	c.TCPTimeout, c.GossipInterval, c.PushPullInterval = callIn, gossipEvery, exchangeEvery
-	c.ProbeInterval, c.ProbeTimeout = n.options.Config.Probe(), n.options.Config.Probe()/2
+	c.ProbeInterval, c.ProbeTimeout = n.options.Config.ProbeInterval(), n.options.Config.ProbeInterval()/2
 	c.SuspicionMult, c.SuspicionMaxTimeoutMult = suspicionMult, suspicionMost
 	c.GossipToTheDeadTime = 3 * exchangeEvery
 	c.EnableCompression = false // a few hundred bytes: it costs more than it spares
@@ -200,7 +200,7 @@
 			n.mu.Lock()
 			s, _ := n.view.Get(n.self.Key())
 			n.mu.Unlock()
-			if s.Status == membership.Replaced {
+			if s.Status == membership.StatusReplaced {
 				n.log.Error("members: a later process has this one's name: it is a member no more; give one of them another name", "name", n.self.Name, "later", s.By)
 				end()
 				tasks.Wait()
@@ -265,17 +265,17 @@
 			delete(n.hosts, host)
 		}
 	}
-	side, digest := n.view.Side(), n.view.Digest()
+	side, digest := n.view.Partition(), n.view.Digest()
 	var others []string
 	for _, s := range n.view.List() {
-		if s.Status.Here() && s.Key() != n.self.Key() {
+		if s.Status.CountsAsPresent() && s.Key() != n.self.Key() {
 			others = append(others, s.Key())
 		}
 	}
 	was := n.apart
-	n.apart = side.Apart()
+	n.apart = side.Partitioned()
 	var to []string
-	for range min(membership.TellDigests, len(others)) {
+	for range min(membership.DigestFanout, len(others)) {
 		i := rand.IntN(len(others))
 		to = append(to, others[i])
 		others[i] = others[len(others)-1]
@@ -284,7 +284,7 @@
 	n.mu.Unlock()
 	switch {
 	case n.apart && !was:
-		n.log.Warn("members: some fell silent", "here", side.Present, "lost", side.Lost, "minority", side.Minority())
+		n.log.Warn("members: some fell silent", "here", side.Present, "lost", side.Unreachable, "minority", side.Minority())
 	case was && !n.apart:
 		n.log.Info("members: nobody is missing", "here", side.Present)
 	}
@@ -356,9 +356,9 @@
 	}
 }
 
-// HostSilent tells the others that a booking server does not answer this process: a
+// ReportUnresponsive tells the others that a booking server does not answer this process: a
 // reason to look at it, and nothing more.
-func (n *Node) HostSilent(host string) {
+func (n *Node) ReportUnresponsive(host string) {
 	n.mu.Lock()
 	news := n.hosts[host] == 0 && len(n.hosts) < maxHosts
 	if news {
@@ -376,8 +376,8 @@
 	hostFor  = 5 * time.Second // for how long one word on a server is a reason to look at it
 )
 
-// Hosts are the booking servers that some member has not heard from in the last seconds.
-func (n *Node) Hosts() (hosts []string) {
+// UnresponsiveEndpoints are the booking servers that some member has not heard from in the last seconds.
+func (n *Node) UnresponsiveEndpoints() (hosts []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for host := range n.hosts {
@@ -421,42 +421,42 @@
 func (n *Node) Size() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.view.Side().Present
+	return n.view.Partition().Present
 }
 
-// Count is how many members of a role are there.
-func (n *Node) Count(role membership.Role) (some int) {
+// CountRole is how many members of a role are there.
+func (n *Node) CountRole(role membership.Role) (some int) {
 	for _, s := range n.Members() {
-		if s.Role == role && s.Status.Here() {
+		if s.Role == role && s.Status.CountsAsPresent() {
 			some++
 		}
 	}
 	return some
 }
 
-// Side is what this process sees of the fleet.
-func (n *Node) Side() membership.Side {
+// Partition is what this process sees of the fleet.
+func (n *Node) Partition() membership.PartitionState {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.view.Side()
+	return n.view.Partition()
 }
 
 // Members are all members that are known.
-func (n *Node) Members() []membership.Standing {
+func (n *Node) Members() []membership.Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.view.List()
 }
 
 // Get returns a member by its key.
-func (n *Node) Get(key string) (membership.Standing, bool) {
+func (n *Node) Get(key string) (membership.Member, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.view.Get(key)
 }
 
-// Named is the latest process of a name.
-func (n *Node) Named(name string) (membership.Standing, bool) {
+// Latest is the latest process of a name.
+func (n *Node) Latest(name string) (membership.Member, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.view.Named(name)
@@ -485,8 +485,8 @@
 	for {
 		select {
 		case <-n.changed:
-			if n.options.Changed != nil {
-				n.options.Changed()
+			if n.options.OnChange != nil {
+				n.options.OnChange()
 			}
 		case <-ctx.Done():
 			return
@@ -508,7 +508,7 @@
 
 // NotifyAlive refuses what is no member of ours.
 func (d *delegate) NotifyAlive(peer *memberlist.Node) error {
-	i, err := membership.Decode(peer.Meta)
+	i, err := membership.DecodeInfo(peer.Meta)
 	if err == nil && i.Key() != peer.Name {
 		err = fmt.Errorf("it is named %.80q and says %.80q", peer.Name, i.Key())
 	}
@@ -520,7 +520,7 @@
 
 func (d *delegate) NotifyJoin(peer *memberlist.Node) {
 	n := d.n
-	i, err := membership.Decode(peer.Meta)
+	i, err := membership.DecodeInfo(peer.Meta)
 	if err != nil {
 		return // NotifyAlive has refused it
 	}
@@ -537,13 +537,13 @@
 		}
 	}
 	n.mu.Unlock()
-	if s.Status == membership.Replaced {
+	if s.Status == membership.StatusReplaced {
 		select {
 		case n.wake <- struct{}{}:
 		default:
 		}
 	}
-	if n.watch != nil && i.Machine == own.Machine && i.Machine != "" && i.Key() != own.Key() {
+	if n.watch != nil && i.MachineID == own.MachineID && i.MachineID != "" && i.Key() != own.Key() {
 		n.watch.add(i)
 	}
 	if news {
@@ -595,7 +595,7 @@
 	case noteSuspect:
 		news = n.view.Suspect(what.Key, now, now+n.suspicion())
 	case noteHost:
-		if s, ok := n.view.Get(what.Key); ok && s.Status.Here() && n.hosts[what.Host] == 0 && len(n.hosts) < maxHosts {
+		if s, ok := n.view.Get(what.Key); ok && s.Status.CountsAsPresent() && n.hosts[what.Host] == 0 && len(n.hosts) < maxHosts {
 			n.hosts[what.Host], news = now+hostFor, true
 		}
 	}
@@ -621,8 +621,8 @@
 func (d *delegate) LocalState(bool) []byte {
 	var ends []ending
 	for _, s := range d.n.Members() {
-		if (s.Status == membership.Left || s.Status == membership.Gone) && len(ends) < maxEnded {
-			ends = append(ends, ending{s.Key(), s.By, s.Status == membership.Left})
+		if (s.Status == membership.StatusLeft || s.Status == membership.StatusEnded) && len(ends) < maxEnded {
+			ends = append(ends, ending{s.Key(), s.By, s.Status == membership.StatusLeft})
 		}
 	}
 	text, err := json.Marshal(ends)
@@ -657,10 +657,10 @@
 // suspicion is how long a suspicion lasts at most. The lock is held.
 func (n *Node) suspicion() time.Duration {
 	scale := 1.0
-	for size := n.view.Side().Present; size >= 10; size /= 10 {
+	for size := n.view.Partition().Present; size >= 10; size /= 10 {
 		scale++
 	}
-	return time.Duration(suspicionMult * suspicionMost * scale * float64(n.options.Config.Probe()))
+	return time.Duration(suspicionMult * suspicionMost * scale * float64(n.options.Config.ProbeInterval()))
 }
 
 // lines takes memberlist's own log: at debug, but for what this process itself found
@@ -685,7 +685,7 @@
 	now := n.now()
 	n.mu.Lock()
 	// One that was stopped suspects whoever answered it meanwhile.
-	own := n.stopped != 0 && now-n.stopped < 2*n.options.Config.Probe()
+	own := n.stopped != 0 && now-n.stopped < 2*n.options.Config.ProbeInterval()
 	news := !own && n.view.Suspect(key, now, now+n.suspicion())
 	n.mu.Unlock()
 	if news {
--- a/internal/membership/info.go
+++ b/internal/membership/info.go
@@ -24,9 +24,9 @@
 
 // The roles.
 const (
-	Registry Role = "registry"
-	Keeper   Role = "keeper"
-	Sidecar  Role = "sidecar"
+	RoleRegistry   Role = "registry"
+	RoleController Role = "keeper"
+	RoleSidecar    Role = "sidecar"
 )
 
 // Info is what a member says of itself. All of it travels in one datagram, so it is
@@ -39,17 +39,17 @@
 	Role        Role   `json:"r"`
 	Zone        string `json:"z,omitempty"`
 	Version     string `json:"v,omitempty"`
-	Policy      uint64 `json:"p,omitempty"` // epoch of the fleet's policy that it acts by
+	PolicyEpoch uint64 `json:"p,omitempty"` // epoch of the fleet's policy that it acts by
 	Phase       string `json:"d,omitempty"` // how far it is in its life; empty: it serves
-	HTTP        string `json:"h,omitempty"` // where it can be asked; of a registry's replica: where it serves
-	Raft        string `json:"f,omitempty"` // where a registry's replica is reached by the others
-	ID          string `json:"c,omitempty"` // of a registry's replica
-	Host        string `json:"w,omitempty"` // its machine's name, as the registry has it
+	HTTPAddr    string `json:"h,omitempty"` // where it can be asked; of a registry's replica: where it serves
+	RaftAddr    string `json:"f,omitempty"` // where a registry's replica is reached by the others
+	ReplicaID   string `json:"c,omitempty"` // of a registry's replica
+	MachineName string `json:"w,omitempty"` // its machine's name, as the registry has it
 	// Where its process is, for members that can see it end.
-	Machine string `json:"m,omitempty"`
-	PID     int    `json:"o,omitempty"`
-	Started uint64 `json:"s,omitempty"`
-	ActsMS  int64  `json:"a,omitempty"` // how long its longest timed act may go on
+	MachineID    string `json:"m,omitempty"`
+	PID          int    `json:"o,omitempty"`
+	ProcessStart uint64 `json:"s,omitempty"`
+	LongestActMS int64  `json:"a,omitempty"` // how long its longest timed act may go on
 }
 
 const (
@@ -70,24 +70,24 @@
 	if err := registry.CheckName("name", i.Name); err != nil {
 		return err
 	}
-	if i.Role != Registry && i.Role != Keeper && i.Role != Sidecar {
-		return fmt.Errorf("role is %.32q; there are %s, %s and %s", i.Role, Registry, Keeper, Sidecar)
+	if i.Role != RoleRegistry && i.Role != RoleController && i.Role != RoleSidecar {
+		return fmt.Errorf("role is %.32q; there are %s, %s and %s", i.Role, RoleRegistry, RoleController, RoleSidecar)
 	}
 	for _, f := range []struct {
 		name, text string
 		most       int
-	}{{"zone", i.Zone, maxZone}, {"version", i.Version, maxVersionText}, {"phase", i.Phase, maxPhase}, {"machine", i.Machine, maxZone}, {"host", i.Host, maxZone}, {"id", i.ID, maxZone}} {
+	}{{"zone", i.Zone, maxZone}, {"version", i.Version, maxVersionText}, {"phase", i.Phase, maxPhase}, {"machine", i.MachineID, maxZone}, {"host", i.MachineName, maxZone}, {"id", i.ReplicaID, maxZone}} {
 		if len(f.text) > f.most || strings.ContainsFunc(f.text, unicode.IsControl) {
 			return fmt.Errorf("%s %.64q has more than %d bytes, or signs that cannot be shown", f.name, f.text, f.most)
 		}
 	}
-	for _, f := range [][2]string{{"http", i.HTTP}, {"raft", i.Raft}} {
+	for _, f := range [][2]string{{"http", i.HTTPAddr}, {"raft", i.RaftAddr}} {
 		if a, err := netip.ParseAddrPort(f[1]); f[1] != "" && (err != nil || !a.Addr().Unmap().IsLoopback()) {
 			return fmt.Errorf("%s %.64q is not a loopback address with a port", f[0], f[1])
 		}
 	}
-	if i.ActsMS < 0 || i.PID < 0 {
-		return fmt.Errorf("acts_ms is %d, pid is %d: neither may be negative", i.ActsMS, i.PID)
+	if i.LongestActMS < 0 || i.PID < 0 {
+		return fmt.Errorf("acts_ms is %d, pid is %d: neither may be negative", i.LongestActMS, i.PID)
 	}
 	return nil
 }
@@ -104,9 +104,9 @@
 	return text, err
 }
 
-// Decode reads what another member says of itself. Fields that a newer build has are
+// DecodeInfo reads what another member says of itself. Fields that a newer build has are
 // passed over.
-func Decode(text []byte) (i Info, err error) {
+func DecodeInfo(text []byte) (i Info, err error) {
 	if len(text) > metaMost {
 		return i, fmt.Errorf("%d bytes, %d at most", len(text), metaMost)
 	}
@@ -116,9 +116,9 @@
 	return i, i.Check()
 }
 
-// Here is the machine and process that this is, for members that share its processes:
+// CurrentProcess is the machine and process that this is, for members that share its processes:
 // its kernel's boot and its space of process ids. Empty where that cannot be read.
-func Here() (machine string, pid int, started uint64) {
+func CurrentProcess() (machine string, pid int, started uint64) {
 	boot, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
 		return "", 0, 0
--- a/internal/membership/membershiptest/fleet.go
+++ b/internal/membership/membershiptest/fleet.go
@@ -49,8 +49,8 @@
 		c.Seeds = append(c.Seeds, Addr(i))
 	}
 	node, err := gossip.Start(gossip.Options{
-		Config: c, Transport: f.Net.Transport(at), Log: log,
-		Self: membership.Info{Name: name, Role: membership.Sidecar, Incarnation: incarnation},
+		Config: c, Transport: f.Net.Transport(at), Logger: log,
+		Self: membership.Info{Name: name, Role: membership.RoleSidecar, Incarnation: incarnation},
 	})
 	if err != nil {
 		return fmt.Errorf("trial: member %d: %w", at, err)
@@ -103,7 +103,7 @@
 func Agree(some []*Member, size int) bool {
 	var digest string
 	for _, m := range some {
-		a := m.Answer()
+		a := m.View()
 		if digest == "" {
 			digest = a.Digest
 		}
@@ -131,9 +131,9 @@
 // Suspicions are how often living members took each other for silent, and lost each other.
 func (f *Fleet) Suspicions() (suspected, lost uint64) {
 	for _, m := range f.Living() {
-		c := m.Counts()
-		suspected += c.Suspected
-		lost += c.Lost
+		c := m.Stats()
+		suspected += c.Suspicions
+		lost += c.Unreachable
 	}
 	return suspected, lost
 }
--- a/internal/membership/membershiptest/trial_test.go
+++ b/internal/membership/membershiptest/trial_test.go
@@ -19,7 +19,7 @@
 	for _, loss := range []float64{0, 0.1, 0.3} {
 		t.Run(fmt.Sprint("loss ", loss), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := Plan{Members: 12, Seed: 1, Probe: 500 * time.Millisecond, Loss: loss, Delay: time.Millisecond, Quiet: 20 * time.Second, Kill: 0.25, Parts: 3, Apart: 40 * time.Second}
+				p := Scenario{Members: 12, Seed: 1, ProbeInterval: 500 * time.Millisecond, PacketLoss: loss, Delay: time.Millisecond, Baseline: 20 * time.Second, KillFraction: 0.25, Partitions: 3, PartitionDuration: 40 * time.Second}
 				r, err := p.Run(quiet)
 				time.Sleep(time.Minute) // what it began ends by its time-outs
 				t.Logf("%+v", r)
@@ -27,16 +27,16 @@
 					t.Fatal(err)
 				}
 				left := p.Members - r.Killed
-				if r.Killed != 3 || r.Told != left || r.Minor != left || r.Rounds == 0 || r.Bytes == 0 {
+				if r.Killed != 3 || r.ReportedPartition != left || r.ReportedMinority != left || r.HealRounds == 0 || r.BytesPerSecond == 0 {
 					t.Errorf("too little was seen, or told: %+v", r)
 				}
-				for _, side := range r.Sides {
-					if side != left/p.Parts {
-						t.Errorf("the sides of a cut in %d see %v of %d", p.Parts, r.Sides, left)
+				for _, side := range r.PresentByPartition {
+					if side != left/p.Partitions {
+						t.Errorf("the sides of a cut in %d see %v of %d", p.Partitions, r.PresentByPartition, left)
 					}
 				}
-				if r.Lost > 0 {
-					t.Errorf("%d members were lost that lived", r.Lost)
+				if r.FalselyUnreachable > 0 {
+					t.Errorf("%d members were lost that lived", r.FalselyUnreachable)
 				}
 			})
 		})
@@ -91,7 +91,7 @@
 			if took > 5*time.Second { // most by gossip in a fifth of one, some by a comparison of views
 				t.Errorf("all see the later one after %v only (the other killed: %v)", took, kill)
 			}
-			if s, _ := f.Members[0].Get(old.Self().Key()); s.Status != membership.Replaced || s.By != later.Self().Key() {
+			if s, _ := f.Members[0].Get(old.Self().Key()); s.Status != membership.StatusReplaced || s.By != later.Self().Key() {
 				t.Errorf("the earlier one is %s by %s, want it replaced by %s", s.Status, s.By, later.Self().Key())
 			}
 			old = later
@@ -130,7 +130,7 @@
 			until(t, "all have its goodbye", func() bool {
 				return !slices.ContainsFunc(f.Living(), func(other *Member) bool {
 					s, _ := other.Get(m.Self().Key())
-					return s.Status != membership.Left || other.Side().Apart()
+					return s.Status != membership.StatusLeft || other.Partition().Partitioned()
 				})
 			})
 		}
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -17,19 +17,19 @@
 
 // The statuses.
 const (
-	Present   Status = "present"
-	Suspected Status = "suspected" // it has not answered lately; it may yet
-	Lost      Status = "lost"      // silence: it ended, or is stopped, or cut off
-	Left      Status = "left"      // it said goodbye
-	Gone      Status = "gone"      // its process was seen to have ended, on its own machine
-	Replaced  Status = "replaced"  // a later process has its name
+	StatusPresent     Status = "present"
+	StatusSuspected   Status = "suspected" // it has not answered lately; it may yet
+	StatusUnreachable Status = "lost"      // silence: it ended, or is stopped, or cut off
+	StatusLeft        Status = "left"      // it said goodbye
+	StatusEnded       Status = "gone"      // its process was seen to have ended, on its own machine
+	StatusReplaced    Status = "replaced"  // a later process has its name
 )
 
-// Here says whether a member with this status counts as there.
-func (s Status) Here() bool { return s == Present || s == Suspected }
+// CountsAsPresent says whether a member with this status counts as there.
+func (s Status) CountsAsPresent() bool { return s == StatusPresent || s == StatusSuspected }
 
 // over says whether the status is for good: that process does not come back.
-func (s Status) over() bool { return s == Left || s == Gone || s == Replaced }
+func (s Status) over() bool { return s == StatusLeft || s == StatusEnded || s == StatusReplaced }
 
 const (
 	// maxMembers bounds a view, with those that are there no more.
@@ -39,17 +39,17 @@
 	keepEnded = 2 * time.Minute
 	// settled is for how many rounds nobody may have come or gone where all is whole again.
 	settled = 2
-	// TellDigests is to how many others a round tells what is seen.
-	TellDigests = 3
+	// DigestFanout is to how many others a round tells what is seen.
+	DigestFanout = 3
 )
 
-// Standing is one member in a view.
-type Standing struct {
+// Member is one member in a view.
+type Member struct {
 	Info
-	Status Status
-	Since  time.Duration // on the view's clock
-	By     string        // of Gone: who saw it; of Replaced: by which key
-	until  time.Duration // of Suspected: when that passes
+	Status      Status
+	StatusSince time.Duration // on the view's clock
+	By          string        // of Gone: who saw it; of Replaced: by which key
+	until       time.Duration // of Suspected: when that passes
 }
 
 // View is what one process knows of the others, and of how much of the fleet it sees: a
@@ -59,8 +59,8 @@
 	self   string        // its own key
 	forget time.Duration // after which one that is lost counts as never to come back
 
-	all  map[string]*Standing
-	side Side
+	all  map[string]*Member
+	side PartitionState
 	calm int              // rounds since somebody came or went
 	said map[string]heard // what others said last of their views, by key
 }
@@ -71,25 +71,27 @@
 	at     time.Duration
 }
 
-// Side is the part of the fleet that this process sees, where it does not see all.
-type Side struct {
-	Present int           // members here, this one among them
-	Lost    int           // members that fell silent and said no goodbye
-	Since   time.Duration // when the first of these was lost
-	Healing time.Duration // when the first of them came back; 0: none has
-	Ticks   int           // looks since then
+// PartitionState is the part of the fleet that this process sees, where it does not see all.
+type PartitionState struct {
+	Present       int           // members here, this one among them
+	Unreachable   int           // members that fell silent and said no goodbye
+	Since         time.Duration // when the first of these was lost
+	HealingSince  time.Duration // when the first of them came back; 0: none has
+	HealingRounds int           // looks since then
 }
 
-// Apart says whether somebody is missing.
-func (s Side) Apart() bool { return s.Lost > 0 && !mutation.SilentPartition }
+// Partitioned says whether somebody is missing.
+func (s PartitionState) Partitioned() bool { return s.Unreachable > 0 && !mutation.SilentPartition }
 
 // Minority says that more than half of the fleet was lost: whatever rests on numbers is
 // not to be relied on here.
-func (s Side) Minority() bool { return s.Apart() && 2*s.Lost > s.Lost+s.Present }
+func (s PartitionState) Minority() bool {
+	return s.Partitioned() && 2*s.Unreachable > s.Unreachable+s.Present
+}
 
 // NewView makes a view that holds this process alone.
 func NewView(self Info, forget, now time.Duration) *View {
-	v := &View{self: self.Key(), forget: forget, all: make(map[string]*Standing), said: make(map[string]heard)}
+	v := &View{self: self.Key(), forget: forget, all: make(map[string]*Member), said: make(map[string]heard)}
 	v.Seen(self, now)
 	return v
 }
@@ -102,15 +104,15 @@
 		if len(v.all) >= maxMembers && !v.drop() {
 			return false
 		}
-		v.all[i.Key()] = &Standing{Info: i, Status: Present, Since: now}
+		v.all[i.Key()] = &Member{Info: i, Status: StatusPresent, StatusSince: now}
 		v.replace(i.Name, now)
 	case s.Status.over():
 		return false // late news of a process that has ended
-	case s.Status == Lost:
-		if v.side.Healing == 0 { // it had not ended
-			v.side.Healing, v.side.Ticks = now, 0
+	case s.Status == StatusUnreachable:
+		if v.side.HealingSince == 0 { // it had not ended
+			v.side.HealingSince, v.side.HealingRounds = now, 0
 		}
-		s.Info, s.Status, s.Since = i, Present, now
+		s.Info, s.Status, s.StatusSince = i, StatusPresent, now
 		v.replace(i.Name, now)
 	case s.Info == i:
 		return false
@@ -126,11 +128,11 @@
 // then it has answered or is lost.
 func (v *View) Suspect(key string, now, until time.Duration) (news bool) {
 	s := v.all[key]
-	if s == nil || key == v.self || !s.Status.Here() {
+	if s == nil || key == v.self || !s.Status.CountsAsPresent() {
 		return false
 	}
-	if news = s.Status == Present; news {
-		s.Status, s.Since = Suspected, now
+	if news = s.Status == StatusPresent; news {
+		s.Status, s.StatusSince = StatusSuspected, now
 	}
 	s.until = until
 	return news
@@ -138,8 +140,8 @@
 
 // Answers notes that a member has answered this process.
 func (v *View) Answers(key string, now time.Duration) {
-	if s := v.all[key]; s != nil && s.Status == Suspected {
-		s.Status, s.Since = Present, now
+	if s := v.all[key]; s != nil && s.Status == StatusSuspected {
+		s.Status, s.StatusSince = StatusPresent, now
 	}
 }
 
@@ -148,7 +150,7 @@
 	latest, _ := v.Named(name)
 	for _, s := range v.all {
 		if s.Name == name && s.Incarnation < latest.Incarnation && !s.Status.over() {
-			s.Status, s.Since, s.By = Replaced, now, latest.Key()
+			s.Status, s.StatusSince, s.By = StatusReplaced, now, latest.Key()
 		}
 	}
 }
@@ -156,17 +158,17 @@
 // Silent notes that a member was given up for its silence, or said goodbye.
 func (v *View) Silent(key string, goodbye bool, now time.Duration) (news bool) {
 	s := v.all[key]
-	if s == nil || key == v.self || s.Status.over() || s.Status == Lost && !goodbye {
+	if s == nil || key == v.self || s.Status.over() || s.Status == StatusUnreachable && !goodbye {
 		return false
 	}
-	if s.Status, s.Since = Lost, now; goodbye {
-		s.Status = Left
+	if s.Status, s.StatusSince = StatusUnreachable, now; goodbye {
+		s.Status = StatusLeft
 	}
 	v.count()
-	if v.side.Since == 0 && v.side.Lost > 0 {
+	if v.side.Since == 0 && v.side.Unreachable > 0 {
 		v.side.Since = now
 	}
-	v.side.Healing = 0
+	v.side.HealingSince = 0
 	return true
 }
 
@@ -174,42 +176,42 @@
 // of one elsewhere is no evidence.
 func (v *View) SeenGone(key, by string, now time.Duration) (news bool) {
 	s, witness := v.all[key], v.all[by]
-	if s == nil || witness == nil || key == v.self || s.Status.over() || s.Machine == "" || s.Machine != witness.Machine {
+	if s == nil || witness == nil || key == v.self || s.Status.over() || s.MachineID == "" || s.MachineID != witness.MachineID {
 		return false
 	}
-	s.Status, s.Since, s.By = Gone, now, by
+	s.Status, s.StatusSince, s.By = StatusEnded, now, by
 	v.count()
 	return true
 }
 
 // returned notes that one that was lost is back: it had not ended.
 func (v *View) returned(now time.Duration) {
-	if v.side.Healing == 0 {
-		v.side.Healing, v.side.Ticks = now, 0
+	if v.side.HealingSince == 0 {
+		v.side.HealingSince, v.side.HealingRounds = now, 0
 	}
 }
 
 // count brings the sides' sizes up to date after somebody came or went.
 func (v *View) count() {
-	v.calm, v.side.Present, v.side.Lost = 0, 0, 0
+	v.calm, v.side.Present, v.side.Unreachable = 0, 0, 0
 	for _, s := range v.all {
 		switch {
-		case s.Status.Here():
+		case s.Status.CountsAsPresent():
 			v.side.Present++
-		case s.Status == Lost:
-			v.side.Lost++
+		case s.Status == StatusUnreachable:
+			v.side.Unreachable++
 		}
 	}
-	if v.side.Lost == 0 {
+	if v.side.Unreachable == 0 {
 		v.side.Since = 0
 	}
 }
 
 // drop makes room by forgetting who has ended longest ago.
 func (v *View) drop() bool {
-	var oldest *Standing
+	var oldest *Member
 	for _, s := range v.all {
-		if !s.Status.Here() && (oldest == nil || s.Since < oldest.Since) {
+		if !s.Status.CountsAsPresent() && (oldest == nil || s.StatusSince < oldest.StatusSince) {
 			oldest = s
 		}
 	}
@@ -223,36 +225,36 @@
 // Tick forgets what is long past. It is called once a round, and returns how many rounds
 // a partition took to heal when it just has.
 func (v *View) Tick(now time.Duration) (healed int, done bool) {
-	maps.DeleteFunc(v.all, func(_ string, s *Standing) bool {
-		return s.Status == Lost && now-s.Since > v.forget || s.Status.over() && now-s.Since > keepEnded && s.Key() != v.self
+	maps.DeleteFunc(v.all, func(_ string, s *Member) bool {
+		return s.Status == StatusUnreachable && now-s.StatusSince > v.forget || s.Status.over() && now-s.StatusSince > keepEnded && s.Key() != v.self
 	})
 	for _, s := range v.all {
-		if s.Status == Suspected && now >= s.until {
-			s.Status, s.Since = Present, now
+		if s.Status == StatusSuspected && now >= s.until {
+			s.Status, s.StatusSince = StatusPresent, now
 		}
 	}
-	maps.DeleteFunc(v.said, func(key string, _ heard) bool { return v.all[key] == nil || !v.all[key].Status.Here() })
+	maps.DeleteFunc(v.said, func(key string, _ heard) bool { return v.all[key] == nil || !v.all[key].Status.CountsAsPresent() })
 	calm := v.calm
 	v.count()
 	v.calm = calm
 	v.calm++
-	if v.side.Healing == 0 {
+	if v.side.HealingSince == 0 {
 		return 0, false
 	}
-	v.side.Ticks++
+	v.side.HealingRounds++
 	// Whoever came back may be the first of many, and who spoke last may have spoken before.
-	if agree, known := v.Agreement(v.side.Healing); agree < known || known < min(TellDigests, v.side.Present-1) || !v.Settled() {
+	if agree, known := v.Agreement(v.side.HealingSince); agree < known || known < min(DigestFanout, v.side.Present-1) || !v.Settled() {
 		return 0, false
 	}
-	v.side.Healing = 0
-	return v.side.Ticks, true
+	v.side.HealingSince = 0
+	return v.side.HealingRounds, true
 }
 
 // Forget takes a member that was lost for one that never comes back, at an operator's word.
 func (v *View) Forget(name string, now time.Duration) (some int) {
 	for _, s := range v.all {
-		if s.Name == name && s.Status == Lost {
-			s.Status, s.Since, s.By = Gone, now, "an operator"
+		if s.Name == name && s.Status == StatusUnreachable {
+			s.Status, s.StatusSince, s.By = StatusEnded, now, "an operator"
 			some++
 		}
 	}
@@ -262,7 +264,7 @@
 
 // Said notes what another member said of its view.
 func (v *View) Said(key string, digest uint64, now time.Duration) {
-	if s := v.all[key]; s != nil && s.Status.Here() && key != v.self {
+	if s := v.all[key]; s != nil && s.Status.CountsAsPresent() && key != v.self {
 		v.said[key] = heard{digest, now}
 	}
 }
@@ -303,7 +305,7 @@
 func (v *View) Digest() uint64 {
 	keys := make([]string, 0, len(v.all))
 	for key, s := range v.all {
-		if s.Status.Here() {
+		if s.Status.CountsAsPresent() {
 			keys = append(keys, key)
 		}
 	}
@@ -311,19 +313,19 @@
 	return xxhash.Sum64String(strings.Join(keys, " "))
 }
 
-// Side is what this process sees of the fleet.
-func (v *View) Side() Side { return v.side }
+// Partition is what this process sees of the fleet.
+func (v *View) Partition() PartitionState { return v.side }
 
 // Get returns a member by its key.
-func (v *View) Get(key string) (Standing, bool) {
+func (v *View) Get(key string) (Member, bool) {
 	if s := v.all[key]; s != nil {
 		return *s, true
 	}
-	return Standing{}, false
+	return Member{}, false
 }
 
 // Named is the latest process of a name.
-func (v *View) Named(name string) (s Standing, ok bool) {
+func (v *View) Named(name string) (s Member, ok bool) {
 	for _, other := range v.all {
 		if other.Name == name && (!ok || other.Incarnation > s.Incarnation) {
 			s, ok = *other, true
@@ -333,12 +335,12 @@
 }
 
 // List returns all members by name, of one name the latest first.
-func (v *View) List() []Standing {
-	all := make([]Standing, 0, len(v.all))
+func (v *View) List() []Member {
+	all := make([]Member, 0, len(v.all))
 	for _, s := range v.all {
 		all = append(all, *s)
 	}
-	slices.SortFunc(all, func(a, b Standing) int {
+	slices.SortFunc(all, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(b.Incarnation, a.Incarnation))
 	})
 	return all
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -7,7 +7,7 @@
 )
 
 func member(name string, incarnation uint64, machine string) Info {
-	return Info{Name: name, Incarnation: incarnation, Role: Keeper, Machine: machine}
+	return Info{Name: name, Incarnation: incarnation, Role: RoleController, MachineID: machine}
 }
 
 // What a view makes of news, whatever their order: silence is undone by a sign of life,
@@ -20,22 +20,22 @@
 		news func(v *View)
 		want Status
 	}{
-		{"it came", func(*View) {}, Present},
-		{"suspected", func(v *View) { v.Suspect("a/1", 2, 10) }, Suspected},
-		{"suspected, and the time has passed", func(v *View) { v.Suspect("a/1", 2, 3); v.Tick(4) }, Present},
-		{"suspected, and it answered", func(v *View) { v.Suspect("a/1", 2, 10); v.Answers("a/1", 3) }, Present},
-		{"lost", func(v *View) { v.Silent("a/1", false, 2) }, Lost},
-		{"lost, and back", func(v *View) { v.Silent("a/1", false, 2); v.Seen(a, 3) }, Present},
-		{"a goodbye after its loss", func(v *View) { v.Silent("a/1", false, 2); v.Silent("a/1", true, 3) }, Left},
-		{"late news after its goodbye", func(v *View) { v.Silent("a/1", true, 2); v.Seen(a, 3); v.Silent("a/1", false, 4) }, Left},
-		{"seen to have ended by one on its machine", func(v *View) { v.SeenGone("a/1", "c/1", 2) }, Gone},
-		{"by one elsewhere", func(v *View) { v.SeenGone("a/1", "b/1", 2) }, Present},
-		{"by one that nobody knows", func(v *View) { v.SeenGone("a/1", "d/1", 2) }, Present},
-		{"late news after its end", func(v *View) { v.SeenGone("a/1", "c/1", 2); v.Seen(a, 3) }, Gone},
-		{"a later process has its name", func(v *View) { v.Seen(member("a", 2, "n"), 2) }, Replaced},
-		{"an earlier one has, and is there", func(v *View) { v.Seen(member("a", 0, "n"), 2) }, Present},
-		{"an operator gave it up", func(v *View) { v.Silent("a/1", false, 2); v.Forget("a", 3) }, Gone},
-		{"an operator's word on one that is there", func(v *View) { v.Forget("a", 3) }, Present},
+		{"it came", func(*View) {}, StatusPresent},
+		{"suspected", func(v *View) { v.Suspect("a/1", 2, 10) }, StatusSuspected},
+		{"suspected, and the time has passed", func(v *View) { v.Suspect("a/1", 2, 3); v.Tick(4) }, StatusPresent},
+		{"suspected, and it answered", func(v *View) { v.Suspect("a/1", 2, 10); v.Answers("a/1", 3) }, StatusPresent},
+		{"lost", func(v *View) { v.Silent("a/1", false, 2) }, StatusUnreachable},
+		{"lost, and back", func(v *View) { v.Silent("a/1", false, 2); v.Seen(a, 3) }, StatusPresent},
+		{"a goodbye after its loss", func(v *View) { v.Silent("a/1", false, 2); v.Silent("a/1", true, 3) }, StatusLeft},
+		{"late news after its goodbye", func(v *View) { v.Silent("a/1", true, 2); v.Seen(a, 3); v.Silent("a/1", false, 4) }, StatusLeft},
+		{"seen to have ended by one on its machine", func(v *View) { v.SeenGone("a/1", "c/1", 2) }, StatusEnded},
+		{"by one elsewhere", func(v *View) { v.SeenGone("a/1", "b/1", 2) }, StatusPresent},
+		{"by one that nobody knows", func(v *View) { v.SeenGone("a/1", "d/1", 2) }, StatusPresent},
+		{"late news after its end", func(v *View) { v.SeenGone("a/1", "c/1", 2); v.Seen(a, 3) }, StatusEnded},
+		{"a later process has its name", func(v *View) { v.Seen(member("a", 2, "n"), 2) }, StatusReplaced},
+		{"an earlier one has, and is there", func(v *View) { v.Seen(member("a", 0, "n"), 2) }, StatusPresent},
+		{"an operator gave it up", func(v *View) { v.Silent("a/1", false, 2); v.Forget("a", 3) }, StatusEnded},
+		{"an operator's word on one that is there", func(v *View) { v.Forget("a", 3) }, StatusPresent},
 	} {
 		v := NewView(here, time.Hour, 1)
 		for _, i := range []Info{a, other, near} {
@@ -58,7 +58,7 @@
 	whole := v.Digest()
 	for i := 4; i < 9; i++ {
 		v.Silent(fmt.Sprintf("m%d/1", i), false, time.Duration(10+i))
-		if side := v.Side(); !side.Apart() || side.Since != 14 || side.Minority() != (i == 8) {
+		if side := v.Partition(); !side.Partitioned() || side.Since != 14 || side.Minority() != (i == 8) {
 			t.Fatalf("without %d of 9 the side is %+v, minority %v", i-3, side, side.Minority())
 		}
 	}
@@ -75,8 +75,8 @@
 		}
 		v.Said(fmt.Sprintf("m%d/1", i), whole, 102)
 	}
-	if rounds, done := v.Tick(103); !done || rounds != 9 || v.Side().Apart() || v.Digest() != whole {
-		t.Errorf("afterwards: done %v in %d rounds, side %+v", done, rounds, v.Side())
+	if rounds, done := v.Tick(103); !done || rounds != 9 || v.Partition().Partitioned() || v.Digest() != whole {
+		t.Errorf("afterwards: done %v in %d rounds, side %+v", done, rounds, v.Partition())
 	}
 }
 
@@ -90,8 +90,8 @@
 			v.Silent(m.Key(), false, time.Duration(i+2))
 		}
 	}
-	if len(v.all) != maxMembers || v.Side().Present != 101 {
-		t.Errorf("%d members are held, %d of them there; want %d and 101", len(v.all), v.Side().Present, maxMembers)
+	if len(v.all) != maxMembers || v.Partition().Present != 101 {
+		t.Errorf("%d members are held, %d of them there; want %d and 101", len(v.all), v.Partition().Present, maxMembers)
 	}
 	v.Tick(3 * time.Hour)
 	if len(v.all) != 101 {
@@ -101,14 +101,14 @@
 
 // What a stranger sends as a member is refused: too long, not ours, not what it is named.
 func TestInfoThatIsRefused(t *testing.T) {
-	good := Info{Name: "k1", Incarnation: 7, Role: Keeper, Zone: "z1", HTTP: "127.0.0.1:80", Machine: "m", PID: 3, Started: 4, ActsMS: 100}
+	good := Info{Name: "k1", Incarnation: 7, Role: RoleController, Zone: "z1", HTTPAddr: "127.0.0.1:80", MachineID: "m", PID: 3, ProcessStart: 4, LongestActMS: 100}
 	text, err := good.Encode()
-	if back, derr := Decode(text); err != nil || derr != nil || back != good {
+	if back, derr := DecodeInfo(text); err != nil || derr != nil || back != good {
 		t.Fatalf("%s is read as %+v: %v, %v", text, back, err, derr)
 	}
 	for _, bad := range []string{``, `{}`, `{"n":"a b","r":"keeper"}`, `{"n":"a","r":"king"}`, `{"n":"a","r":"keeper","h":"10.0.0.1:80"}`,
 		`{"n":"a","r":"keeper","z":"` + string(make([]byte, 40)) + `"}`, `{"n":"a","r":"keeper","a":-1}`, string(make([]byte, 513))} {
-		if i, err := Decode([]byte(bad)); err == nil {
+		if i, err := DecodeInfo([]byte(bad)); err == nil {
 			t.Errorf("%.40q is read as %+v", bad, i)
 		}
 	}
--- a/internal/registry/server/fleet.go
+++ b/internal/registry/server/fleet.go
@@ -26,12 +26,12 @@
 	var urls []string
 	for _, m := range c.Replicas {
 		if m.ID != c.ID {
-			urls = append(urls, "http://"+m.HTTP+registry.APIPath+membership.Path)
+			urls = append(urls, "http://"+m.HTTP+registry.APIPath+membership.ViewPath)
 		}
 	}
 	node, err := gossip.Start(gossip.Options{
-		Config: *c.Membership, Watch: true, Seeds: membership.SeedsFrom(r.http, urls),
-		Self: membership.Info{Name: c.Group + "-" + c.ID, Role: membership.Registry, HTTP: r.self.HTTP, Raft: r.self.Raft, ID: c.ID},
+		Config: *c.Membership, WatchProcesses: true, FindSeeds: membership.SeedsFromViews(r.http, urls),
+		Self: membership.Info{Name: c.Group + "-" + c.ID, Role: membership.RoleRegistry, HTTPAddr: r.self.HTTP, RaftAddr: r.self.Raft, ReplicaID: c.ID},
 	})
 	if err != nil {
 		return nil, err
@@ -58,11 +58,11 @@
 	if node == nil || id == r.self.ID {
 		return registry.ReplicaInfo{}, false
 	}
-	s, ok := node.Named(r.config.Load().Group + "-" + id)
-	if !ok || s.Role != membership.Registry || s.ID != id || s.Raft == "" || s.HTTP == "" || s.Status != membership.Present && s.Status != membership.Suspected {
+	s, ok := node.Latest(r.config.Load().Group + "-" + id)
+	if !ok || s.Role != membership.RoleRegistry || s.ReplicaID != id || s.RaftAddr == "" || s.HTTPAddr == "" || s.Status != membership.StatusPresent && s.Status != membership.StatusSuspected {
 		return registry.ReplicaInfo{}, false
 	}
-	return registry.ReplicaInfo{ID: id, HTTP: s.HTTP, Raft: s.Raft}, true
+	return registry.ReplicaInfo{ID: id, HTTP: s.HTTPAddr, Raft: s.RaftAddr}, true
 }
 
 // whereabouts tells Raft where a replica is reached now; where members do not see it,
--- a/internal/registry/server/http.go
+++ b/internal/registry/server/http.go
@@ -71,7 +71,7 @@
 	at("GET", "backup", r.serveBackup)
 	at("POST", "restore", r.serveRestore)
 	at("GET", "status", r.serveStatus)
-	mux.HandleFunc(registry.APIPath+membership.Path, r.serveFleet)
+	mux.HandleFunc(registry.APIPath+membership.ViewPath, r.serveFleet)
 	mux.HandleFunc("GET /health/ready", func(w http.ResponseWriter, q *http.Request) {
 		if !r.ready.Load() {
 			r.fail(w, q, errNotReady)
--- a/internal/sidecar/client.go
+++ b/internal/sidecar/client.go
@@ -85,7 +85,7 @@
 		io.WriteString(w, s.adviser.state().String()+"\n")
 		return
 	}
-	if hr.URL.Path == "/health/"+membership.Path && s.member != nil {
+	if hr.URL.Path == "/health/"+membership.ViewPath && s.member != nil {
 		s.member.ServeHTTP(w, hr)
 		return
 	}
--- a/internal/sidecarmember/enlist.go
+++ b/internal/sidecarmember/enlist.go
@@ -20,16 +20,16 @@
 // takes, may have the address still.
 const againIn = time.Second
 
-// Sidecar makes the member that a configuration describes. It begins with Run.
-func Sidecar(c *sidecar.Config) sidecar.Member {
+// New makes the member that a configuration describes. It begins with Run.
+func New(c *sidecar.Config) sidecar.Member {
 	var urls []string
 	for _, at := range append([]string{c.Discovery}, c.Replicas...) { // which may be a registry of ours
-		urls = append(urls, "http://"+at+registry.APIPath+membership.Path)
+		urls = append(urls, "http://"+at+registry.APIPath+membership.ViewPath)
 	}
 	asks := &http.Client{Transport: &http.Transport{DialContext: c.Membership.Routes.Dial(time.Second), DisableKeepAlives: true}}
 	return &member{options: gossip.Options{
-		Config: *c.Membership, Seeds: membership.SeedsFrom(asks, urls),
-		Self: membership.Info{Name: c.Name, Role: membership.Sidecar, HTTP: c.Listen},
+		Config: *c.Membership, FindSeeds: membership.SeedsFromViews(asks, urls),
+		Self: membership.Info{Name: c.Name, Role: membership.RoleSidecar, HTTPAddr: c.Listen},
 	}}
 }
 
@@ -60,21 +60,21 @@
 // Tell is what this sidecar says of itself from now on.
 func (m *member) Tell(phase string, epoch uint64) {
 	if node := m.node.Load(); node != nil {
-		node.Update(func(i *membership.Info) { i.Phase, i.Policy = phase, epoch })
+		node.Update(func(i *membership.Info) { i.Phase, i.PolicyEpoch = phase, epoch })
 	}
 }
 
 // HostSilent tells the fleet that a booking server does not answer.
 func (m *member) HostSilent(host string) {
 	if node := m.node.Load(); node != nil {
-		node.HostSilent(host)
+		node.ReportUnresponsive(host)
 	}
 }
 
 // Sidecars is how many sidecars are there, as this one sees it.
 func (m *member) Sidecars() (n int) {
 	if node := m.node.Load(); node != nil {
-		n = node.Count(membership.Sidecar)
+		n = node.CountRole(membership.RoleSidecar)
 	}
 	return n
 }
--- a/internal/testing/chaostest/fleet.go
+++ b/internal/testing/chaostest/fleet.go
@@ -63,7 +63,7 @@
 
 // fleet is the processes, and the links between them.
 type fleet struct {
-	*faultinjection.Rig
+	*faultinjection.Injector
 	o        Options
 	folder   string
 	replicas []registry.ReplicaInfo
@@ -100,13 +100,13 @@
 // newFleet makes the fleet in a folder; none of it runs yet.
 func newFleet(o Options, folder string) (f *fleet, err error) {
 	f = &fleet{
-		Rig: &faultinjection.Rig{Net: faultinjection.New(o.Seed), Processes: make(map[string]*faultinjection.Process)}, o: o, folder: folder,
+		Injector: &faultinjection.Injector{Network: faultinjection.NewNetwork(o.Seed), Processes: make(map[string]*faultinjection.Process)}, o: o, folder: folder,
 		keepers: names("k", o.Keepers), sidecars: names("n", o.Sidecars),
 		gossip: make(map[string]string), listens: make(map[string]string), routes: make(map[string]addressmap.Table), clients: make(map[string]*loadgen.Client),
 	}
 	defer func() {
 		if err != nil {
-			f.Net.Close()
+			f.Network.Close()
 		}
 	}()
 	addr := func() (a string) {
@@ -143,7 +143,7 @@
 			if from == to {
 				continue
 			}
-			l, _, err := f.Net.Both(from+">"+to+":gossip", f.gossip[to])
+			l, _, err := f.Network.AddTCPAndUDP(from+">"+to+":gossip", f.gossip[to])
 			if err != nil {
 				return nil, err
 			}
@@ -188,7 +188,7 @@
 	if strings.HasPrefix(to, from+":") {
 		return nil
 	}
-	l, err := f.Net.TCP(from+">"+to, address)
+	l, err := f.Network.AddTCP(from+">"+to, address)
 	if err == nil {
 		f.routes[from][address] = l.Addr()
 	}
@@ -218,7 +218,7 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return err
 	}
-	f.Processes[name] = &faultinjection.Process{Name: name, Make: func() *exec.Cmd { return f.o.Command(p, path) }}
+	f.Processes[name] = &faultinjection.Process{Name: name, NewCommand: func() *exec.Cmd { return f.o.Command(p, path) }}
 	return nil
 }
 
@@ -310,11 +310,11 @@
 func (f *fleet) viewURL(name string) string {
 	switch name[0] {
 	case 'r':
-		return "http://" + f.listens[name] + registry.APIPath + membership.Path
+		return "http://" + f.listens[name] + registry.APIPath + membership.ViewPath
 	case 'k':
-		return "http://" + f.listens[name] + "/" + membership.Path
+		return "http://" + f.listens[name] + "/" + membership.ViewPath
 	}
-	return "http://" + f.listens[name] + "/health/" + membership.Path
+	return "http://" + f.listens[name] + "/health/" + membership.ViewPath
 }
 
 // all are the names of all processes.
@@ -333,5 +333,5 @@
 	for _, c := range f.clients {
 		c.Close()
 	}
-	f.Net.Close()
+	f.Network.Close()
 }
--- a/internal/testing/chaostest/promises.go
+++ b/internal/testing/chaostest/promises.go
@@ -107,9 +107,9 @@
 	r.promised(ctx, "all see all", func() string {
 		digest := ""
 		for _, name := range r.all() {
-			var v membership.Answer
+			var v membership.ViewResponse
 			if why := asks(func(in context.Context) (err error) {
-				v, err = membership.Ask(in, http.DefaultClient, r.viewURL(name), "")
+				v, err = membership.FetchView(in, http.DefaultClient, r.viewURL(name), "")
 				return err
 			}); why != "" {
 				return name + ": " + why
@@ -216,8 +216,8 @@
 func (r *run) sizes() map[string]size {
 	all := make(map[string]size)
 	for name, p := range r.Processes {
-		pid := strconv.Itoa(p.Pid())
-		s := size{start: rollout.ProcessStartTicks(p.Pid())}
+		pid := strconv.Itoa(p.PID())
+		s := size{start: rollout.ProcessStartTicks(p.PID())}
 		text, err := os.ReadFile(filepath.Join("/proc", pid, "statm"))
 		fields := strings.Fields(string(text))
 		if err != nil || len(fields) < 2 {
@@ -287,11 +287,11 @@
 
 // linearizable holds the history of each record against a register.
 func (r *run) linearizable(ops []*operation) {
-	calls := make([]linearizability.Call, len(ops))
+	calls := make([]linearizability.Operation, len(ops))
 	for i, o := range ops {
-		calls[i] = linearizability.Call{Key: o.key, Value: o.value, Got: o.got, Begin: o.call, End: o.ret, Done: o.done}
+		calls[i] = linearizability.Operation{Key: o.key, Written: o.value, Read: o.got, Start: o.call, End: o.ret, Completed: o.done}
 	}
-	for key, of := range linearizability.ByKey(calls) {
+	for key, of := range linearizability.GroupByKey(calls) {
 		r.saw("calls on records", uint64(len(of)))
 		switch linearizability.Check(of, 30*time.Second) {
 		case porcupine.Illegal:
@@ -310,7 +310,7 @@
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		return fmt.Errorf("%s has ended before: %w", name, err)
 	}
-	for deadline := time.Now().Add(endIn); p.Alive(); time.Sleep(lookEach / 10) {
+	for deadline := time.Now().Add(endIn); p.Running(); time.Sleep(lookEach / 10) {
 		if time.Now().After(deadline) {
 			_ = p.Signal(syscall.SIGQUIT)
 			time.Sleep(4 * lookEach)
@@ -331,7 +331,7 @@
 	if p == nil {
 		return
 	}
-	text := p.Log()
+	text := p.Output()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.report.Logs == nil {
@@ -355,7 +355,7 @@
 	}
 	r.saw("processes that ended in order", uint64(len(r.Processes)))
 	for name, p := range r.Processes {
-		if p.Alive() {
+		if p.Running() {
 			r.broken("%s is left", name)
 		}
 	}
--- a/internal/testing/chaostest/torture.go
+++ b/internal/testing/chaostest/torture.go
@@ -73,8 +73,8 @@
 	quorum := names("r", 3)
 	all := append(append(quorum, names("k", o.Keepers)...), names("n", o.Sidecars)...)
 	p := faultinjection.Plan{
-		Of: all, Kinds: []faultinjection.Kind{faultinjection.Cut, faultinjection.Deaf, faultinjection.Mute, faultinjection.Late, faultinjection.Reset, faultinjection.Half, faultinjection.Refused, faultinjection.Answers, faultinjection.Pause, faultinjection.Dead},
-		Faults: max(1, int(o.For/every)), Every: every, Least: 300 * time.Millisecond, Most: 6 * time.Second, AtOnce: 3, Quorum: quorum, QuorumN: 2,
+		Targets: all, Kinds: []faultinjection.FaultKind{faultinjection.Partition, faultinjection.BlockInbound, faultinjection.BlockOutbound, faultinjection.Delay, faultinjection.ResetConnections, faultinjection.HalfOpen, faultinjection.RefuseConnections, faultinjection.DropResponses, faultinjection.Pause, faultinjection.Crash},
+		Count: max(1, int(o.For/every)), MeanInterval: every, MinDuration: 300 * time.Millisecond, MaxDuration: 6 * time.Second, MaxConcurrent: 3, QuorumGroup: quorum, MaxQuorumFaults: 2,
 	}
 	return p.Draw(o.Seed)
 }
@@ -209,7 +209,7 @@
 	}
 	for _, name := range r.sidecars {
 		if err := until(ctx, startIn, func() bool { return strings.HasPrefix(r.says(name, "ready"), "serving") }); err != nil {
-			text := r.Processes[name].Log()
+			text := r.Processes[name].Output()
 			return fmt.Errorf("%s is not ready: %w; its log ends with: %s", name, err, text[max(0, len(text)-500):])
 		}
 	}
@@ -237,22 +237,22 @@
 	errs := make([]error, len(plan))
 	for i, f := range plan {
 		all.Go(func() {
-			if !pause(ctx, f.At-time.Since(began)) {
+			if !pause(ctx, f.Start-time.Since(began)) {
 				return
 			}
-			end, err := r.Begin(f)
+			end, err := r.Inject(f)
 			if err != nil {
 				errs[i] = err
 				return
 			}
-			r.line("fault", "%s %s for %v", f.Kind, f.Of, f.For)
+			r.line("fault", "%s %s for %v", f.Kind, f.Target, f.Duration)
 			r.gone(f, true)
-			pause(ctx, f.For)
+			pause(ctx, f.Duration)
 			if err := end(); err != nil {
 				errs[i] = fmt.Errorf("end of %v: %w", f, err)
 			}
 			r.gone(f, false)
-			r.line("fault", "%s %s is over", f.Kind, f.Of)
+			r.line("fault", "%s %s is over", f.Kind, f.Target)
 			r.saw("faults", 1)
 		})
 	}
@@ -263,15 +263,15 @@
 // gone notes that a sidecar's clients cannot be answered, or can again: who is stopped
 // or killed keeps no promise towards them. A client goes and comes with its sidecar.
 func (r *run) gone(f faultinjection.Fault, now bool) {
-	if f.Kind != faultinjection.Pause && f.Kind != faultinjection.Dead {
+	if f.Kind != faultinjection.Pause && f.Kind != faultinjection.Crash {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if now {
-		r.away[f.Of] = time.Time{}
+		r.away[f.Target] = time.Time{}
 	} else {
-		r.away[f.Of] = time.Now()
+		r.away[f.Target] = time.Now()
 	}
 }
 
--- a/internal/testing/faultinjection/faultnet_test.go
+++ b/internal/testing/faultinjection/faultnet_test.go
@@ -80,9 +80,9 @@
 
 func TestLink(t *testing.T) {
 	target, got := echo(t)
-	n := New(1)
+	n := NewNetwork(1)
 	defer n.Close()
-	l, err := n.TCP("a>b", target)
+	l, err := n.AddTCP("a>b", target)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,24 +103,24 @@
 	}
 	heard("plain")
 
-	l.Set(Rule{Back: Way{Cut: true}}) // deaf: it is delivered, and no answer comes
+	l.SetRule(LinkRule{FromTarget: Impairment{Blocked: true}}) // deaf: it is delivered, and no answer comes
 	if err := c.ask("deaf", moment); !silent(err) {
 		t.Errorf("an answer over a cut: %v", err)
 	}
 	heard("deaf")
-	l.Set(Rule{})
+	l.SetRule(LinkRule{})
 	if err := c.ask("", patience); err != nil { // it comes late
 		t.Errorf("no answer after the cut: %v", err)
 	}
 
-	l.Set(Rule{Out: Way{Cut: true}})
+	l.SetRule(LinkRule{ToTarget: Impairment{Blocked: true}})
 	if err := c.ask("mute", moment); !silent(err) {
 		t.Errorf("an answer over a cut: %v", err)
 	}
 	if late := dial(t, l); len(got) > 0 || late.ask("new", moment) == nil {
 		t.Error("a cut lets something through")
 	}
-	l.Set(Rule{}) // now both come, on their two connections
+	l.SetRule(LinkRule{}) // now both come, on their two connections
 	if a, b := <-got, <-got; a+b != "mutenew" && a+b != "newmute" {
 		t.Errorf("after the cut came %q and %q", a, b)
 	}
@@ -129,21 +129,21 @@
 	}
 
 	began := time.Now()
-	l.Set(Rule{Out: Way{Delay: 60 * time.Millisecond}, Back: Way{Rate: 200}})
+	l.SetRule(LinkRule{ToTarget: Impairment{Delay: 60 * time.Millisecond}, FromTarget: Impairment{BytesPerSecond: 200}})
 	if err := c.ask("0123456789", patience); err != nil || time.Since(began) < 110*time.Millisecond {
 		t.Errorf("late by 60 ms, and 11 bytes at 200 a second: %v, %v", time.Since(began), err)
 	}
-	l.Set(Rule{})
+	l.SetRule(LinkRule{})
 
-	l.LoseAnswers(1)
+	l.DropResponses(1)
 	if err := c.ask("answer lost", patience); err == nil || silent(err) {
 		t.Errorf("a lost answer: %v", err)
 	}
 	for len(got) > 1 {
 		<-got
 	}
-	if l.Lost.Load() != 1 {
-		t.Errorf("%d answers lost", l.Lost.Load())
+	if l.Dropped.Load() != 1 {
+		t.Errorf("%d answers lost", l.Dropped.Load())
 	}
 
 	c = dial(t, l)
@@ -154,7 +154,7 @@
 	if err := c.ask("reset", patience); err == nil || silent(err) {
 		t.Errorf("a reset connection: %v", err)
 	}
-	l.Set(Rule{Refuse: true})
+	l.SetRule(LinkRule{RefuseConnections: true})
 	if refused, err := net.Dial("tcp", l.Addr()); err == nil { // it may be closed before the call has returned
 		defer refused.Close()
 		if err := (&line{refused, bufio.NewReader(refused)}).ask("refused", patience); err == nil || silent(err) {
@@ -169,9 +169,9 @@
 		t.Fatal(err)
 	}
 	defer far.Close()
-	n := New(3)
+	n := NewNetwork(3)
 	defer n.Close()
-	l, err := n.UDP("a>b", far.LocalAddr().String())
+	l, err := n.AddUDP("a>b", far.LocalAddr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -180,8 +180,8 @@
 		t.Fatal(err)
 	}
 	defer near.Close()
-	send := func(r Rule, count int) (got []string) {
-		l.Set(r)
+	send := func(r LinkRule, count int) (got []string) {
+		l.SetRule(r)
 		for i := range count {
 			fmt.Fprint(near, i)
 			time.Sleep(time.Millisecond) // as the socket's queue is short
@@ -197,29 +197,29 @@
 			far.WriteTo(text[:k], from)
 		}
 	}
-	if got := send(Rule{}, 50); len(got) != 50 || !slices.IsSortedFunc(got, func(a, b string) int { return len(a) - len(b) }) {
+	if got := send(LinkRule{}, 50); len(got) != 50 || !slices.IsSortedFunc(got, func(a, b string) int { return len(a) - len(b) }) {
 		t.Errorf("%d of 50 came: %v", len(got), got)
 	}
 	near.SetReadDeadline(time.Now().Add(patience))
 	if _, err := near.Read(make([]byte, 10)); err != nil {
 		t.Errorf("no answer: %v", err)
 	}
-	if got := send(Rule{Out: Way{Loss: 0.3}}, 200); len(got) < 100 || len(got) > 180 {
+	if got := send(LinkRule{ToTarget: Impairment{LossRate: 0.3}}, 200); len(got) < 100 || len(got) > 180 {
 		t.Errorf("%d of 200 came at a loss of 0.3", len(got))
 	}
-	if got := send(Rule{Out: Way{Twice: 1}}, 20); len(got) != 40 {
+	if got := send(LinkRule{ToTarget: Impairment{DuplicateRate: 1}}, 20); len(got) != 40 {
 		t.Errorf("%d came of 20 that all come twice", len(got))
 	}
-	if got := send(Rule{Out: Way{Late: 0.3}}, 50); len(got) != 50 || slices.IsSortedFunc(got, func(a, b string) int { return len(a)*100 - len(b)*100 + strings.Compare(a, b) }) {
+	if got := send(LinkRule{ToTarget: Impairment{ReorderRate: 0.3}}, 50); len(got) != 50 || slices.IsSortedFunc(got, func(a, b string) int { return len(a)*100 - len(b)*100 + strings.Compare(a, b) }) {
 		t.Errorf("none is overtaken: %v", got)
 	}
-	if got := send(Rule{Out: Way{Cut: true}}, 20); len(got) != 0 {
+	if got := send(LinkRule{ToTarget: Impairment{Blocked: true}}, 20); len(got) != 0 {
 		t.Errorf("%d came over a cut", len(got))
 	}
 }
 
 func TestProcess(t *testing.T) {
-	p := &Process{Name: "p", Make: func() *exec.Cmd { return exec.Command("sh", "-c", "echo up; exec sleep 1000") }}
+	p := &Process{Name: "p", NewCommand: func() *exec.Cmd { return exec.Command("sh", "-c", "echo up; exec sleep 1000") }}
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -232,28 +232,28 @@
 			t.Error(err)
 		}
 	}
-	for !strings.Contains(p.Log(), "up") {
+	for !strings.Contains(p.Output(), "up") {
 		time.Sleep(time.Millisecond)
 	}
 	p.Kill()
-	if p.Alive() || p.Signal(syscall.SIGCONT) == nil {
+	if p.Running() || p.Signal(syscall.SIGCONT) == nil {
 		t.Error("a killed process is alive")
 	}
 	if err := p.Start(); err != nil || p.Starts != 2 {
 		t.Errorf("start again: %v", err)
 	}
-	if err := p.End(patience); err == nil { // sleep ends by the signal
+	if err := p.Terminate(patience); err == nil { // sleep ends by the signal
 		t.Error("it ended well")
 	}
-	if err := p.End(patience); err != nil {
+	if err := p.Terminate(patience); err != nil {
 		t.Errorf("one that has ended: %v", err)
 	}
 }
 
 func TestSchedule(t *testing.T) {
 	p := Plan{
-		Of: []string{"r0", "r1", "r2", "k0", "k1"}, Faults: 40, Every: time.Second, Least: time.Second, Most: 5 * time.Second, AtOnce: 3,
-		Quorum: []string{"r0", "r1", "r2"}, QuorumN: 1,
+		Targets: []string{"r0", "r1", "r2", "k0", "k1"}, Count: 40, MeanInterval: time.Second, MinDuration: time.Second, MaxDuration: 5 * time.Second, MaxConcurrent: 3,
+		QuorumGroup: []string{"r0", "r1", "r2"}, MaxQuorumFaults: 1,
 	}
 	s := p.Draw(7)
 	if len(s) != 40 || !slices.Equal(s, p.Draw(7)) || slices.Equal(s, p.Draw(8)) {
@@ -262,7 +262,7 @@
 	for i, f := range s {
 		busy := 0
 		for _, g := range s[:i] {
-			if strings.HasPrefix(g.Of, "r") && strings.HasPrefix(f.Of, "r") && g.At+g.For > f.At {
+			if strings.HasPrefix(g.Target, "r") && strings.HasPrefix(f.Target, "r") && g.Start+g.Duration > f.Start {
 				busy++
 			}
 		}
@@ -288,12 +288,12 @@
 	if len(small) != 2 || asked > 500 {
 		t.Errorf("shrunk to %v with %d asked", small, asked)
 	}
-	r := &Rig{Net: New(1)}
-	if _, err := r.Begin(Fault{Kind: Pause, Of: "nobody"}); err == nil {
+	r := &Injector{Network: NewNetwork(1)}
+	if _, err := r.Inject(Fault{Kind: Pause, Target: "nobody"}); err == nil {
 		t.Error("a fault of a process that is not there")
 	}
-	if err := r.Play(t.Context(), Schedule{{Kind: Cut, Of: "k1", For: time.Millisecond}}); err != nil || r.Done[Cut] != 1 {
-		t.Errorf("%v, %v", err, r.Done)
+	if err := r.Run(t.Context(), Schedule{{Kind: Partition, Target: "k1", Duration: time.Millisecond}}); err != nil || r.Injected[Partition] != 1 {
+		t.Errorf("%v, %v", err, r.Injected)
 	}
 }
 
--- a/internal/testing/faultinjection/link.go
+++ b/internal/testing/faultinjection/link.go
@@ -18,20 +18,20 @@
 	"time"
 )
 
-// Way is what happens to what goes over a link in one direction.
-type Way struct {
-	Cut    bool          // nothing comes through, and nothing is said; it comes later if the cut ends
-	Delay  time.Duration // each piece comes so much later
-	Jitter time.Duration // and up to as much again
-	Rate   int           // bytes a second; 0: as fast as it goes
+// Impairment is what happens to what goes over a link in one direction.
+type Impairment struct {
+	Blocked        bool          // nothing comes through, and nothing is said; it comes later if the cut ends
+	Delay          time.Duration // each piece comes so much later
+	Jitter         time.Duration // and up to as much again
+	BytesPerSecond int           // bytes a second; 0: as fast as it goes
 	// Of datagrams alone: the parts that are lost, come twice, and are overtaken.
-	Loss, Twice, Late float64
+	LossRate, DuplicateRate, ReorderRate float64
 }
 
-// Rule is what happens on a link.
-type Rule struct {
-	Out, Back Way
-	Refuse    bool // connections are closed as they come
+// LinkRule is what happens on a link.
+type LinkRule struct {
+	ToTarget, FromTarget Impairment
+	RefuseConnections    bool // connections are closed as they come
 }
 
 const (
@@ -55,13 +55,13 @@
 	tasks sync.WaitGroup
 
 	mu      sync.Mutex
-	rule    Rule
+	rule    LinkRule
 	changed chan struct{}
 	conns   map[*relayed]bool
 	lose    int // answers to lose
 	rng     *rand.Rand
 
-	Connections, Lost, Bytes atomic.Int64
+	Connections, Dropped, Bytes atomic.Int64
 }
 
 // relayed is one connection over a link.
@@ -76,17 +76,17 @@
 	}
 }
 
-// Net is all links of a rig.
-type Net struct {
+// Network is all links of a rig.
+type Network struct {
 	mu    sync.Mutex
 	links map[string]*Link
 	seed  uint64
 }
 
-// New makes a rig without links; the seed draws jitter and losses.
-func New(seed uint64) *Net { return &Net{links: make(map[string]*Link), seed: seed} }
+// NewNetwork makes a rig without links; the seed draws jitter and losses.
+func NewNetwork(seed uint64) *Network { return &Network{links: make(map[string]*Link), seed: seed} }
 
-func (n *Net) add(name, target string) *Link {
+func (n *Network) add(name, target string) *Link {
 	l := &Link{Name: name, target: target, changed: make(chan struct{}), conns: make(map[*relayed]bool)}
 	l.ctx, l.end = context.WithCancel(context.Background())
 	n.mu.Lock()
@@ -96,8 +96,8 @@
 	return l
 }
 
-// TCP makes a link to an address, and begins to relay.
-func (n *Net) TCP(name, target string) (*Link, error) {
+// AddTCP makes a link to an address, and begins to relay.
+func (n *Network) AddTCP(name, target string) (*Link, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("link %s: %w", name, err)
@@ -108,8 +108,8 @@
 	return l, nil
 }
 
-// UDP makes a link for datagrams to an address.
-func (n *Net) UDP(name, target string) (*Link, error) {
+// AddUDP makes a link for datagrams to an address.
+func (n *Network) AddUDP(name, target string) (*Link, error) {
 	pc, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("link %s: %w", name, err)
@@ -120,9 +120,9 @@
 	return l, nil
 }
 
-// Both makes a link for connections and one for datagrams to an address, which the first
+// AddTCPAndUDP makes a link for connections and one for datagrams to an address, which the first
 // process calls by one address too. The second's name ends in "-udp".
-func (n *Net) Both(name, target string) (tcp, udp *Link, err error) {
+func (n *Network) AddTCPAndUDP(name, target string) (tcp, udp *Link, err error) {
 	const tries = 20 // the port that is free for one may be taken for the other
 	for range tries {
 		var ln net.Listener
@@ -144,15 +144,15 @@
 }
 
 // Link returns a link by its name.
-func (n *Net) Link(name string) (*Link, bool) {
+func (n *Network) Link(name string) (*Link, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l, ok := n.links[name]
 	return l, ok
 }
 
-// Match returns the links whose names a function likes.
-func (n *Net) Match(like func(name string) bool) (some []*Link) {
+// FindLinks returns the links whose names a function likes.
+func (n *Network) FindLinks(like func(name string) bool) (some []*Link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for name, l := range n.links {
@@ -164,8 +164,8 @@
 }
 
 // Close ends all links.
-func (n *Net) Close() {
-	for _, l := range n.Match(func(string) bool { return true }) {
+func (n *Network) Close() {
+	for _, l := range n.FindLinks(func(string) bool { return true }) {
 		l.Close()
 	}
 }
@@ -178,14 +178,14 @@
 	return l.ln.Addr().String()
 }
 
-// Set puts a rule in force, for what is under way too.
-func (l *Link) Set(r Rule) {
+// SetRule puts a rule in force, for what is under way too.
+func (l *Link) SetRule(r LinkRule) {
 	l.mu.Lock()
 	l.rule = r
 	close(l.changed)
 	l.changed = make(chan struct{})
 	var over []*relayed
-	if r.Refuse {
+	if r.RefuseConnections {
 		over = l.open()
 	}
 	l.mu.Unlock()
@@ -225,9 +225,9 @@
 	}
 }
 
-// LoseAnswers loses the next answers: what was asked has been delivered, and the
+// DropResponses loses the next answers: what was asked has been delivered, and the
 // connection is reset instead of the answer's first piece.
-func (l *Link) LoseAnswers(n int) {
+func (l *Link) DropResponses(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lose = n
@@ -245,7 +245,7 @@
 	l.tasks.Wait()
 }
 
-func (l *Link) now() (Rule, <-chan struct{}) {
+func (l *Link) now() (LinkRule, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rule, l.changed
@@ -261,7 +261,7 @@
 			continue
 		}
 		l.Connections.Add(1)
-		if r, _ := l.now(); r.Refuse {
+		if r, _ := l.now(); r.RefuseConnections {
 			(&relayed{c, c}).reset()
 			continue
 		}
@@ -303,11 +303,11 @@
 func (l *Link) pass(back bool) bool {
 	for {
 		r, changed := l.now()
-		way := r.Out
+		way := r.ToTarget
 		if back {
-			way = r.Back
+			way = r.FromTarget
 		}
-		if !way.Cut {
+		if !way.Blocked {
 			return l.ctx.Err() == nil
 		}
 		select {
@@ -319,19 +319,19 @@
 }
 
 // draw is how long a piece of so many bytes takes now.
-func (l *Link) draw(back bool, bytes int) (late, takes time.Duration, way Way) {
+func (l *Link) draw(back bool, bytes int) (late, takes time.Duration, way Impairment) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	way = l.rule.Out
+	way = l.rule.ToTarget
 	if back {
-		way = l.rule.Back
+		way = l.rule.FromTarget
 	}
 	late = way.Delay
 	if way.Jitter > 0 {
 		late += time.Duration(l.rng.Int64N(int64(way.Jitter)))
 	}
-	if way.Rate > 0 {
-		takes = time.Duration(float64(bytes) / float64(way.Rate) * float64(time.Second))
+	if way.BytesPerSecond > 0 {
+		takes = time.Duration(float64(bytes) / float64(way.BytesPerSecond) * float64(time.Second))
 	}
 	return late, takes, way
 }
@@ -406,7 +406,7 @@
 		return false
 	}
 	l.lose--
-	l.Lost.Add(1)
+	l.Dropped.Add(1)
 	return true
 }
 
@@ -461,14 +461,14 @@
 func (l *Link) throw(pending chan struct{}, wait *sync.WaitGroup, back bool, text []byte, write func([]byte)) {
 	late, takes, way := l.draw(back, len(text))
 	l.mu.Lock()
-	lost, twice, over := l.rng.Float64() < way.Loss, l.rng.Float64() < way.Twice, l.rng.Float64() < way.Late
+	lost, twice, over := l.rng.Float64() < way.LossRate, l.rng.Float64() < way.DuplicateRate, l.rng.Float64() < way.ReorderRate
 	if back && l.lose > 0 {
 		l.lose--
 		lost = true
 	}
 	l.mu.Unlock()
-	if way.Cut || lost {
-		l.Lost.Add(1)
+	if way.Blocked || lost {
+		l.Dropped.Add(1)
 		return
 	}
 	if over { // what comes after it, comes before it
@@ -488,7 +488,7 @@
 		select {
 		case pending <- struct{}{}:
 		default:
-			l.Lost.Add(1)
+			l.Dropped.Add(1)
 			continue
 		}
 		wait.Go(func() {
--- a/internal/testing/faultinjection/process.go
+++ b/internal/testing/faultinjection/process.go
@@ -14,8 +14,8 @@
 // Process is a real process of ours that can be killed, stopped and continued by its
 // id, and started again on its own folder.
 type Process struct {
-	Name string
-	Make func() *exec.Cmd // a command that was not started yet
+	Name       string
+	NewCommand func() *exec.Cmd // a command that was not started yet
 
 	mu      sync.Mutex
 	cmd     *exec.Cmd
@@ -39,8 +39,8 @@
 	return p.log.Write(b)
 }
 
-// Log is what it wrote.
-func (p *Process) Log() string {
+// Output is what it wrote.
+func (p *Process) Output() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
@@ -53,7 +53,7 @@
 	if p.cmd != nil {
 		return fmt.Errorf("%s runs already", p.Name)
 	}
-	cmd := p.Make()
+	cmd := p.NewCommand()
 	cmd.Stdout, cmd.Stderr = p, p
 	if cmd.SysProcAttr == nil {
 		cmd.SysProcAttr = new(syscall.SysProcAttr)
@@ -78,15 +78,15 @@
 	return nil
 }
 
-// Alive says whether it runs, stopped or not.
-func (p *Process) Alive() bool {
+// Running says whether it runs, stopped or not.
+func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd != nil
 }
 
-// Pid is its id; 0 where it does not run.
-func (p *Process) Pid() int {
+// PID is its id; 0 where it does not run.
+func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
@@ -148,8 +148,8 @@
 	}
 }
 
-// End asks it to end, and kills it when it has not after a time.
-func (p *Process) End(within time.Duration) error {
+// Terminate asks it to end, and kills it when it has not after a time.
+func (p *Process) Terminate(within time.Duration) error {
 	p.Signal(syscall.SIGCONT)
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		return nil // it has ended
--- a/internal/testing/faultinjection/schedule.go
+++ b/internal/testing/faultinjection/schedule.go
@@ -12,36 +12,38 @@
 	"time"
 )
 
-// Kind is a fault's kind.
-type Kind string
+// FaultKind is a fault's kind.
+type FaultKind string
 
 // The faults. Those of links are of all links between a process and others.
 const (
-	Cut     Kind = "cut"     // a process hears nothing and is not heard
-	Deaf    Kind = "deaf"    // what it asks arrives, no answer comes back
-	Mute    Kind = "mute"    // what it asks does not arrive; what others ask does
-	Late    Kind = "late"    // everything from and to it is late
-	Fade    Kind = "fade"    // answers to it are late, and then it is cut off
-	Reset   Kind = "reset"   // its connections are reset, once
-	Half    Kind = "half"    // the far side of its connections is gone, once
-	Refused Kind = "refused" // its connections are closed as they come
-	Answers Kind = "answers" // some answers to it are lost
-	Pause   Kind = "pause"   // it is stopped, and goes on
-	Dead    Kind = "kill"    // it is killed, and starts again
-	Full    Kind = "full"    // what it writes to files fails
+	Partition          FaultKind = "cut"     // a process hears nothing and is not heard
+	BlockInbound       FaultKind = "deaf"    // what it asks arrives, no answer comes back
+	BlockOutbound      FaultKind = "mute"    // what it asks does not arrive; what others ask does
+	Delay              FaultKind = "late"    // everything from and to it is late
+	DelayThenPartition FaultKind = "fade"    // answers to it are late, and then it is cut off
+	ResetConnections   FaultKind = "reset"   // its connections are reset, once
+	HalfOpen           FaultKind = "half"    // the far side of its connections is gone, once
+	RefuseConnections  FaultKind = "refused" // its connections are closed as they come
+	DropResponses      FaultKind = "answers" // some answers to it are lost
+	Pause              FaultKind = "pause"   // it is stopped, and goes on
+	Crash              FaultKind = "kill"    // it is killed, and starts again
+	DiskFull           FaultKind = "full"    // what it writes to files fails
 )
 
 // Full is drawn only where a plan names it: it is for processes that have a disk.
-var kinds = []Kind{Cut, Deaf, Mute, Late, Fade, Reset, Half, Refused, Answers, Pause, Dead}
+var kinds = []FaultKind{Partition, BlockInbound, BlockOutbound, Delay, DelayThenPartition, ResetConnections, HalfOpen, RefuseConnections, DropResponses, Pause, Crash}
 
 // Fault is one fault of one process, from a time on for a time.
 type Fault struct {
-	At, For time.Duration
-	Kind    Kind
-	Of      string
+	Start, Duration time.Duration
+	Kind            FaultKind
+	Target          string
 }
 
-func (f Fault) String() string { return fmt.Sprintf("%v %s %s for %v", f.At, f.Kind, f.Of, f.For) }
+func (f Fault) String() string {
+	return fmt.Sprintf("%v %s %s for %v", f.Start, f.Kind, f.Target, f.Duration)
+}
 
 // Schedule is faults in the order of their beginning.
 type Schedule []Fault
@@ -61,14 +63,14 @@
 		if len(words) == 0 {
 			continue
 		}
-		if len(words) != 5 || words[3] != "for" || Kind(words[1]) != Full && !slices.Contains(kinds, Kind(words[1])) {
+		if len(words) != 5 || words[3] != "for" || FaultKind(words[1]) != DiskFull && !slices.Contains(kinds, FaultKind(words[1])) {
 			return nil, fmt.Errorf("fault %q: it has to be like '1.5s cut k1 for 3s', with one of %v", strings.TrimSpace(part), kinds)
 		}
-		f := Fault{Kind: Kind(words[1]), Of: words[2]}
-		if f.At, err = time.ParseDuration(words[0]); err != nil {
+		f := Fault{Kind: FaultKind(words[1]), Target: words[2]}
+		if f.Start, err = time.ParseDuration(words[0]); err != nil {
 			return nil, fmt.Errorf("fault %q: %w", strings.TrimSpace(part), err)
 		}
-		if f.For, err = time.ParseDuration(words[4]); err != nil {
+		if f.Duration, err = time.ParseDuration(words[4]); err != nil {
 			return nil, fmt.Errorf("fault %q: %w", strings.TrimSpace(part), err)
 		}
 		s = append(s, f)
@@ -78,15 +80,15 @@
 
 // Plan is what schedules are drawn from.
 type Plan struct {
-	Of      []string      // processes
-	Kinds   []Kind        // none: all but Full
-	Faults  int           // how many
-	Every   time.Duration // between the beginnings of two, in the mean
-	Least   time.Duration // how long one lasts
-	Most    time.Duration
-	AtOnce  int // processes that are in trouble at one time, at most
-	Quorum  []string
-	QuorumN int // of Quorum, at most so many in trouble at a time; 0: no bound
+	Targets         []string      // processes
+	Kinds           []FaultKind   // none: all but Full
+	Count           int           // how many
+	MeanInterval    time.Duration // between the beginnings of two, in the mean
+	MinDuration     time.Duration // how long one lasts
+	MaxDuration     time.Duration
+	MaxConcurrent   int // processes that are in trouble at one time, at most
+	QuorumGroup     []string
+	MaxQuorumFaults int // of Quorum, at most so many in trouble at a time; 0: no bound
 }
 
 // Draw draws a schedule from a seed.
@@ -98,39 +100,39 @@
 	}
 	busy := make(map[string]time.Duration) // until when a process is in trouble
 	var s Schedule
-	for at := time.Duration(0); len(s) < p.Faults; {
-		at += p.Every/2 + time.Duration(rng.Int64N(int64(p.Every)))
-		f := Fault{At: at.Round(time.Millisecond), Kind: from[rng.IntN(len(from))], Of: p.Of[rng.IntN(len(p.Of))]}
-		f.For = (p.Least + time.Duration(rng.Int64N(int64(p.Most-p.Least)+1))).Round(time.Millisecond)
+	for at := time.Duration(0); len(s) < p.Count; {
+		at += p.MeanInterval/2 + time.Duration(rng.Int64N(int64(p.MeanInterval)))
+		f := Fault{Start: at.Round(time.Millisecond), Kind: from[rng.IntN(len(from))], Target: p.Targets[rng.IntN(len(p.Targets))]}
+		f.Duration = (p.MinDuration + time.Duration(rng.Int64N(int64(p.MaxDuration-p.MinDuration)+1))).Round(time.Millisecond)
 		now, quorum := 0, 0
 		for of, until := range busy {
-			if until > f.At {
+			if until > f.Start {
 				now++
-				if slices.Contains(p.Quorum, of) {
+				if slices.Contains(p.QuorumGroup, of) {
 					quorum++
 				}
 			}
 		}
-		if busy[f.Of] > f.At || now >= p.AtOnce || p.QuorumN > 0 && slices.Contains(p.Quorum, f.Of) && quorum >= p.QuorumN {
+		if busy[f.Target] > f.Start || now >= p.MaxConcurrent || p.MaxQuorumFaults > 0 && slices.Contains(p.QuorumGroup, f.Target) && quorum >= p.MaxQuorumFaults {
 			continue
 		}
-		busy[f.Of] = f.At + f.For
+		busy[f.Target] = f.Start + f.Duration
 		s = append(s, f)
 	}
 	return s
 }
 
-// Rig is the processes and the links that faults fall on. A link's name is
+// Injector is the processes and the links that faults fall on. A link's name is
 // "from>to"; several between the same two are told apart by what follows a colon.
-type Rig struct {
-	Net       *Net
+type Injector struct {
+	Network   *Network
 	Processes map[string]*Process
 
 	// OnPause is told of each process that was stopped and went on; it may be nil.
 	OnPause func(of string, begin, end time.Time)
 
-	mu   sync.Mutex
-	Done map[Kind]int // faults that came to be
+	mu       sync.Mutex
+	Injected map[FaultKind]int // faults that came to be
 }
 
 func ends(link string) (from, to string) {
@@ -140,8 +142,8 @@
 }
 
 // set puts rules in force on the links from and to a process.
-func (r *Rig) set(of string, from, to func(l *Link)) {
-	for _, l := range r.Net.Match(func(string) bool { return true }) {
+func (r *Injector) set(of string, from, to func(l *Link)) {
+	for _, l := range r.Network.FindLinks(func(string) bool { return true }) {
 		switch a, b := ends(l.Name); of {
 		case a:
 			from(l)
@@ -151,7 +153,7 @@
 	}
 }
 
-func rule(x Rule) func(l *Link) { return func(l *Link) { l.Set(x) } }
+func rule(x LinkRule) func(l *Link) { return func(l *Link) { l.SetRule(x) } }
 
 const (
 	// lateBy is how late a late process's words come: longer than an election, and under
@@ -165,66 +167,68 @@
 // lostAnswers is how many answers on each link are lost by one fault.
 const lostAnswers = 3
 
-// Begin begins a fault, and returns what ends it.
-func (r *Rig) Begin(f Fault) (end func() error, err error) {
+// Inject begins a fault, and returns what ends it.
+func (r *Injector) Inject(f Fault) (end func() error, err error) {
 	nothing := func() error { return nil }
-	cut, late := Way{Cut: true}, Way{Delay: lateBy / 2, Jitter: lateBy / 2}
+	cut, late := Impairment{Blocked: true}, Impairment{Delay: lateBy / 2, Jitter: lateBy / 2}
 	heal := func() error {
-		r.set(f.Of, rule(Rule{}), rule(Rule{}))
+		r.set(f.Target, rule(LinkRule{}), rule(LinkRule{}))
 		return nil
 	}
-	p := r.Processes[f.Of]
+	p := r.Processes[f.Target]
 	end = heal
 	switch f.Kind {
-	case Cut:
-		r.set(f.Of, rule(Rule{Out: cut, Back: cut}), rule(Rule{Out: cut, Back: cut}))
-	case Deaf:
-		r.set(f.Of, rule(Rule{Back: cut}), rule(Rule{Out: cut}))
-	case Mute:
-		r.set(f.Of, rule(Rule{Out: cut}), rule(Rule{Back: cut}))
-	case Late:
-		r.set(f.Of, rule(Rule{Out: late, Back: late}), rule(Rule{Out: late, Back: late}))
-	case Fade:
-		slow := Way{Delay: fadeBy}
-		r.set(f.Of, rule(Rule{Back: slow}), rule(Rule{}))
-		timer := time.AfterFunc(f.For/2, func() { r.set(f.Of, rule(Rule{Out: cut, Back: cut}), rule(Rule{Out: cut, Back: cut})) })
+	case Partition:
+		r.set(f.Target, rule(LinkRule{ToTarget: cut, FromTarget: cut}), rule(LinkRule{ToTarget: cut, FromTarget: cut}))
+	case BlockInbound:
+		r.set(f.Target, rule(LinkRule{FromTarget: cut}), rule(LinkRule{ToTarget: cut}))
+	case BlockOutbound:
+		r.set(f.Target, rule(LinkRule{ToTarget: cut}), rule(LinkRule{FromTarget: cut}))
+	case Delay:
+		r.set(f.Target, rule(LinkRule{ToTarget: late, FromTarget: late}), rule(LinkRule{ToTarget: late, FromTarget: late}))
+	case DelayThenPartition:
+		slow := Impairment{Delay: fadeBy}
+		r.set(f.Target, rule(LinkRule{FromTarget: slow}), rule(LinkRule{}))
+		timer := time.AfterFunc(f.Duration/2, func() {
+			r.set(f.Target, rule(LinkRule{ToTarget: cut, FromTarget: cut}), rule(LinkRule{ToTarget: cut, FromTarget: cut}))
+		})
 		end = func() error {
 			timer.Stop()
 			return heal()
 		}
-	case Refused:
-		r.set(f.Of, rule(Rule{Refuse: true}), rule(Rule{Refuse: true}))
-	case Reset:
-		r.set(f.Of, (*Link).Reset, (*Link).Reset)
+	case RefuseConnections:
+		r.set(f.Target, rule(LinkRule{RefuseConnections: true}), rule(LinkRule{RefuseConnections: true}))
+	case ResetConnections:
+		r.set(f.Target, (*Link).Reset, (*Link).Reset)
 		end = nothing
-	case Half:
-		r.set(f.Of, (*Link).HalfOpen, (*Link).HalfOpen)
+	case HalfOpen:
+		r.set(f.Target, (*Link).HalfOpen, (*Link).HalfOpen)
 		end = nothing
-	case Answers:
-		r.set(f.Of, func(l *Link) { l.LoseAnswers(lostAnswers) }, func(*Link) {})
+	case DropResponses:
+		r.set(f.Target, func(l *Link) { l.DropResponses(lostAnswers) }, func(*Link) {})
 		end = nothing
 	case Pause:
 		if p == nil {
-			return nil, fmt.Errorf("no process %s", f.Of)
+			return nil, fmt.Errorf("no process %s", f.Target)
 		}
 		began := time.Now()
 		err = p.Signal(syscall.SIGSTOP)
 		end = func() error {
 			err := p.Signal(syscall.SIGCONT)
 			if r.OnPause != nil {
-				r.OnPause(f.Of, began, time.Now())
+				r.OnPause(f.Target, began, time.Now())
 			}
 			return err
 		}
-	case Full:
+	case DiskFull:
 		if p == nil {
-			return nil, fmt.Errorf("no process %s", f.Of)
+			return nil, fmt.Errorf("no process %s", f.Target)
 		}
 		err = p.fill(true)
 		end = func() error { return p.fill(false) }
-	case Dead:
+	case Crash:
 		if p == nil {
-			return nil, fmt.Errorf("no process %s", f.Of)
+			return nil, fmt.Errorf("no process %s", f.Target)
 		}
 		p.Kill()
 		end = p.Start
@@ -236,30 +240,30 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.Done == nil {
-		r.Done = make(map[Kind]int)
+	if r.Injected == nil {
+		r.Injected = make(map[FaultKind]int)
 	}
-	r.Done[f.Kind]++
+	r.Injected[f.Kind]++
 	return end, nil
 }
 
-// Play plays a schedule, and returns when all its faults have ended. What ctx cuts
+// Run plays a schedule, and returns when all its faults have ended. What ctx cuts
 // short is ended too.
-func (r *Rig) Play(ctx context.Context, s Schedule) error {
+func (r *Injector) Run(ctx context.Context, s Schedule) error {
 	began := time.Now()
 	var all sync.WaitGroup
 	errs := make([]error, len(s))
 	for i, f := range s {
 		all.Go(func() {
-			if !sleep(ctx, f.At-time.Since(began)) {
+			if !sleep(ctx, f.Start-time.Since(began)) {
 				return
 			}
-			end, err := r.Begin(f)
+			end, err := r.Inject(f)
 			if err != nil {
 				errs[i] = err
 				return
 			}
-			sleep(ctx, f.For)
+			sleep(ctx, f.Duration)
 			if err := end(); err != nil {
 				errs[i] = fmt.Errorf("end of %v: %w", f, err)
 			}
--- a/internal/testing/integration/handover_test.go
+++ b/internal/testing/integration/handover_test.go
@@ -37,7 +37,7 @@
 		members []string
 	}{
 		{"planned", ttl, func(r *rig, holder string) func() error {
-			r.Processes[holder].End(patience)
+			r.Processes[holder].Terminate(patience)
 			return r.Processes[holder].Start
 		}, nil},
 		{"killed", 2 * ttl, nil, nil},
@@ -53,7 +53,7 @@
 			r.acted(w, tasks, 0)
 			c := r.client()
 			how, _, _ := strings.Cut(x.name, ",")
-			kind := map[string]faultinjection.Kind{"killed": faultinjection.Dead, "cut off": faultinjection.Cut, "stopped": faultinjection.Pause}[how]
+			kind := map[string]faultinjection.FaultKind{"killed": faultinjection.Crash, "cut off": faultinjection.Partition, "stopped": faultinjection.Pause}[how]
 			var took []time.Duration
 			for turn := 0; len(took) < samples; turn++ {
 				holder := r.keepers[turn%len(r.keepers)]
@@ -69,7 +69,7 @@
 					end = x.do(r, holder)
 				} else {
 					var err error
-					if end, err = r.Begin(faultinjection.Fault{Kind: kind, Of: holder}); err != nil {
+					if end, err = r.Inject(faultinjection.Fault{Kind: kind, Target: holder}); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -162,7 +162,7 @@
 
 // settled says whether a keeper that is back holds or waits for what falls to it.
 func (r *rig) settled(w *witness, keeper string) bool {
-	if !r.Processes[keeper].Alive() {
+	if !r.Processes[keeper].Running() {
 		return false
 	}
 	return w.lastActBy(keeper) > w.now()-time.Second
@@ -199,7 +199,7 @@
 			holders := startHolders(t, r, n)
 			eventually(t, "all are held", func() bool { return holders() == n })
 			m := r.leader()
-			pid := r.Processes[m.ID].Pid()
+			pid := r.Processes[m.ID].PID()
 			cpu, writes, disk := cpuOf(t, pid), r.counter(m, "registry_writes_total"), r.disk(m)
 			const during = 10 * time.Second
 			time.Sleep(during)
@@ -267,7 +267,7 @@
 
 // disk is how many bytes a replica's process has had written.
 func (r *rig) disk(m registry.ReplicaInfo) (bytes int64) {
-	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(r.Processes[m.ID].Pid()), "io"))
+	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(r.Processes[m.ID].PID()), "io"))
 	if err != nil {
 		return 0
 	}
--- a/internal/testing/integration/harness_test.go
+++ b/internal/testing/integration/harness_test.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return err
 	}
-	c.Enlist = sidecarmember.Sidecar
+	c.Enlist = sidecarmember.New
 	return sidecar.Run(stop, reload, c)
 }
 
--- a/internal/testing/integration/lease_test.go
+++ b/internal/testing/integration/lease_test.go
@@ -46,8 +46,8 @@
 		r := startRig(t, seed, 5, tasks, w.addr, members...)
 		r.acted(w, tasks, 0)
 		plan := faultinjection.Plan{
-			Of: append([]string{"r0", "r1", "r2"}, r.keepers...), Faults: faults, Every: 700 * time.Millisecond,
-			Least: 400 * time.Millisecond, Most: 3 * time.Second, AtOnce: 3, Quorum: []string{"r0", "r1", "r2"}, QuorumN: 1,
+			Targets: append([]string{"r0", "r1", "r2"}, r.keepers...), Count: faults, MeanInterval: 700 * time.Millisecond,
+			MinDuration: 400 * time.Millisecond, MaxDuration: 3 * time.Second, MaxConcurrent: 3, QuorumGroup: []string{"r0", "r1", "r2"}, MaxQuorumFaults: 1,
 		}
 		s := plan.Draw(seed + 1)
 		if text := os.Getenv(scheduleVariable); text != "" {
@@ -61,7 +61,7 @@
 			pauses <- paused{of, begin.Sub(w.began), end.Sub(w.began)}
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 10*patience)
-		if err := r.Play(ctx, s); err != nil {
+		if err := r.Run(ctx, s); err != nil {
 			t.Error(err)
 		}
 		cancel()
@@ -72,10 +72,10 @@
 			stopped = append(stopped, p)
 		}
 		j := w.judge(t, stopped, false)
-		for _, n := range r.Done {
+		for _, n := range r.Injected {
 			done += n
 		}
-		t.Logf("seed %d: %d faults %v; judged: %+v", seed, len(s), r.Done, j)
+		t.Logf("seed %d: %d faults %v; judged: %+v", seed, len(s), r.Injected, j)
 		if t.Failed() {
 			t.Fatalf("to play it again: %s='%v' go test -run '^%s$' ./internal/systemtest", scheduleVariable, shrunk(t, s), t.Name())
 		}
@@ -173,7 +173,7 @@
 	full := func(of ...string) (room func()) {
 		var ends []func() error
 		for _, id := range of {
-			end, err := r.Begin(faultinjection.Fault{Kind: faultinjection.Full, Of: id})
+			end, err := r.Inject(faultinjection.Fault{Kind: faultinjection.DiskFull, Target: id})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -226,7 +226,7 @@
 	}
 	room()
 	handOver("with room again")
-	if j := w.judge(t, nil, false); j.Acts < 40 || j.Grants < 2*tasks || r.Done[faultinjection.Full] != 4 {
+	if j := w.judge(t, nil, false); j.Acts < 40 || j.Grants < 2*tasks || r.Injected[faultinjection.DiskFull] != 4 {
 		t.Errorf("too little was judged: %+v", j)
 	}
 }
@@ -315,12 +315,12 @@
 	for range rounds {
 		r.acted(w, tasks, w.now())
 		holder := r.holder(c, "task-0")
-		heal, err := r.Begin(faultinjection.Fault{Kind: faultinjection.Cut, Of: holder})
+		heal, err := r.Inject(faultinjection.Fault{Kind: faultinjection.Partition, Target: holder})
 		if err != nil {
 			t.Fatal(err)
 		}
 		p := r.Processes[r.leader().ID]
-		if err := p.End(patience); err != nil { // it hands leadership over at once
+		if err := p.Terminate(patience); err != nil { // it hands leadership over at once
 			t.Error(err)
 		}
 		r.anotherActs(w, "task-0", holder)
@@ -356,8 +356,8 @@
 		r.acted(w, tasks, w.now())
 		holder := r.holder(c, "task-0")
 		// The cut comes at another moment between two renewals each time.
-		f := faultinjection.Fault{Kind: faultinjection.Fade, Of: holder, For: 3*time.Second + time.Duration(round%7)*170*time.Millisecond}
-		heal, err := r.Begin(f)
+		f := faultinjection.Fault{Kind: faultinjection.DelayThenPartition, Target: holder, Duration: 3*time.Second + time.Duration(round%7)*170*time.Millisecond}
+		heal, err := r.Inject(f)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testing/integration/members_test.go
+++ b/internal/testing/integration/members_test.go
@@ -36,17 +36,17 @@
 	}
 	m.begin(seed, m.names...)
 	for _, r := range m.members {
-		m.asked[r.ID] = "http://" + r.HTTP + registry.APIPath + membership.Path
+		m.asked[r.ID] = "http://" + r.HTTP + registry.APIPath + membership.ViewPath
 	}
 	for i := range keepers {
 		name := fmt.Sprint("k", i)
 		m.keeper(name, "keeper", rest)
-		m.asked[name] = "http://" + m.listens[name] + "/" + membership.Path
+		m.asked[name] = "http://" + m.listens[name] + "/" + membership.ViewPath
 	}
 	for i := range sidecars {
 		name := fmt.Sprint("s", i)
 		m.addrs[name] = freeAddr(t)
-		m.asked[name] = "http://" + m.addrs[name] + "/health/" + membership.Path
+		m.asked[name] = "http://" + m.addrs[name] + "/health/" + membership.ViewPath
 		m.process(name, "sidecar", "ROUTER_CONFIG="+writeFile(t, name+".json", map[string]any{
 			"name": name, "listen": m.addrs[name], "discovery": m.members[i%3].HTTP, "seed": fmt.Sprintf("%x", i+1),
 			"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 256}, "membership": m.membership(name),
@@ -67,10 +67,10 @@
 }
 
 // view is what a process sees.
-func (m *memberRig) view(name string) (membership.Answer, error) {
+func (m *memberRig) view(name string) (membership.ViewResponse, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	return membership.Ask(ctx, http.DefaultClient, m.asked[name], "")
+	return membership.FetchView(ctx, http.DefaultClient, m.asked[name], "")
 }
 
 // agree waits until some see each other, and nobody else, and returns how long that took.
@@ -101,17 +101,17 @@
 }
 
 // statusOf is how one process sees another.
-func (m *memberRig) statusOf(by, of string) membership.MemberAnswer {
+func (m *memberRig) statusOf(by, of string) membership.MemberView {
 	v, err := m.view(by)
 	if err != nil {
-		return membership.MemberAnswer{}
+		return membership.MemberView{}
 	}
 	for _, a := range v.Members {
 		if a.Name == of || a.Name == "test-"+of {
 			return a
 		}
 	}
-	return membership.MemberAnswer{}
+	return membership.MemberView{}
 }
 
 // Sixteen real processes, broken one after the other: each end is told from silence, each
@@ -128,7 +128,7 @@
 	if err := m.Processes["s8"].Signal(syscall.SIGKILL); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the end is seen", func() bool { return m.statusOf("r0", "s8").Status == membership.Gone })
+	eventually(t, "the end is seen", func() bool { return m.statusOf("r0", "s8").Status == membership.StatusEnded })
 	t.Logf("a killed one is gone after %v", time.Since(began).Round(time.Millisecond))
 	m.agree(m.without("s8")...)
 	m.Processes["s8"].Kill()
@@ -138,10 +138,10 @@
 	m.agree(m.names...)
 
 	// A goodbye.
-	if err := m.Processes["s7"].End(patience); err != nil {
+	if err := m.Processes["s7"].Terminate(patience); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the goodbye is known", func() bool { return m.statusOf("k0", "s7").Status == membership.Left })
+	eventually(t, "the goodbye is known", func() bool { return m.statusOf("k0", "s7").Status == membership.StatusLeft })
 	if err := m.Processes["s7"].Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -149,19 +149,19 @@
 
 	// Cut off, in both directions and in one: lost for the others, and for itself all of
 	// them, which is more than half.
-	for _, kind := range []faultinjection.Kind{faultinjection.Cut, faultinjection.Mute} {
-		end, err := m.Begin(faultinjection.Fault{Kind: kind, Of: "k1"})
+	for _, kind := range []faultinjection.FaultKind{faultinjection.Partition, faultinjection.BlockOutbound} {
+		end, err := m.Inject(faultinjection.Fault{Kind: kind, Target: "k1"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		eventually(t, "the others have lost it", func() bool { return m.statusOf("k0", "k1").Status == membership.Lost })
-		if kind == faultinjection.Cut {
+		eventually(t, "the others have lost it", func() bool { return m.statusOf("k0", "k1").Status == membership.StatusUnreachable })
+		if kind == faultinjection.Partition {
 			eventually(t, "it says that it has lost more than half", func() bool {
 				v, err := m.view("k1")
-				return err == nil && v.Minority && v.ApartMS > 0
+				return err == nil && v.Minority && v.PartitionedMS > 0
 			})
-			if v, err := m.view("k0"); err != nil || v.Minority || v.Lost != 1 || v.ApartMS == 0 {
-				t.Errorf("the larger part says: %d lost, minority %v (%v)", v.Lost, v.Minority, err)
+			if v, err := m.view("k0"); err != nil || v.Minority || v.Unreachable != 1 || v.PartitionedMS == 0 {
+				t.Errorf("the larger part says: %d lost, minority %v (%v)", v.Unreachable, v.Minority, err)
 			}
 		}
 		if err := end(); err != nil {
@@ -170,7 +170,7 @@
 		t.Logf("after %s all is whole again in %v", kind, m.agree(m.names...).Round(time.Millisecond))
 		eventually(t, "the rounds are counted", func() bool {
 			v, err := m.view("k0")
-			return err == nil && v.HealedIn > 0 && v.Lost == 0
+			return err == nil && v.HealRounds > 0 && v.Unreachable == 0
 		})
 	}
 
@@ -178,13 +178,13 @@
 	if err := m.Processes["k2"].Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the stopped one is lost", func() bool { return m.statusOf("k0", "k2").Status == membership.Lost })
+	eventually(t, "the stopped one is lost", func() bool { return m.statusOf("k0", "k2").Status == membership.StatusUnreachable })
 	if err := m.Processes["k2"].Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
 	m.agree(m.names...)
 	// A machine that is short of time may have anybody suspected for a moment, and nobody lost.
-	eventually(t, "one that was touched by no fault is there", func() bool { return m.statusOf("r0", "k3").Status == membership.Present })
+	eventually(t, "one that was touched by no fault is there", func() bool { return m.statusOf("r0", "k3").Status == membership.StatusPresent })
 }
 
 // After each of many random faults the views of all are equal again, within a bound, and
@@ -195,15 +195,15 @@
 	}
 	const faults, bound = 100, 15 * time.Second
 	m := startMembers(t, 1, 4, 9, "")
-	s := faultinjection.Plan{Of: m.names, Faults: faults, Every: time.Second, Least: 200 * time.Millisecond, Most: 5 * time.Second, AtOnce: 1}.Draw(7)
+	s := faultinjection.Plan{Targets: m.names, Count: faults, MeanInterval: time.Second, MinDuration: 200 * time.Millisecond, MaxDuration: 5 * time.Second, MaxConcurrent: 1}.Draw(7)
 	var took []time.Duration
 	var rounds uint64
 	for _, f := range s {
-		end, err := m.Begin(f)
+		end, err := m.Inject(f)
 		if err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(f.For)
+		time.Sleep(f.Duration)
 		if err := end(); err != nil {
 			t.Fatal(err)
 		}
@@ -212,12 +212,12 @@
 			t.Errorf("%v: all see all again after %v only, the bound is %v", f, d, bound)
 		}
 		if v, err := m.view("r0"); err == nil {
-			rounds = max(rounds, v.HealedIn)
+			rounds = max(rounds, v.HealRounds)
 		}
 	}
 	slices.Sort(took)
 	t.Logf("%d faults %v: all see all again after %v (median), %v (90 of 100), %v at most; a cut was healed in %d rounds at most",
-		len(took), m.Done, took[len(took)/2], took[len(took)*9/10], took[len(took)-1], rounds)
+		len(took), m.Injected, took[len(took)/2], took[len(took)*9/10], took[len(took)-1], rounds)
 	if len(took) < faults {
 		t.Errorf("%d of %d faults were played", len(took), faults)
 	}
@@ -283,7 +283,7 @@
 	eventually(t, "a keeper looks at the server for a reason", func() bool {
 		asked++
 		askOnce(http.DefaultClient, m.addrs["s0"], fmt.Sprint("q", asked), "once", func() {})
-		return strings.Contains(m.Processes["k0"].Log()+m.Processes["k1"].Log(), "a member does not hear from a server")
+		return strings.Contains(m.Processes["k0"].Output()+m.Processes["k1"].Output(), "a member does not hear from a server")
 	})
 	select {
 	case <-probed:
@@ -305,17 +305,17 @@
 	r := startRig(t, 1, 3, tasks, w.addr, "r0", "r1", "r2", "k0", "k1", "k2")
 	r.acted(w, tasks, 0)
 	holder := r.holder(r.client(), "task-0")
-	for _, l := range r.Net.Match(func(name string) bool {
+	for _, l := range r.Network.FindLinks(func(name string) bool {
 		return strings.Contains(name, ":gossip") && (strings.HasPrefix(name, holder+">") || strings.Contains(name, ">"+holder+":"))
 	}) {
-		l.Set(faultinjection.Rule{Out: faultinjection.Way{Cut: true}, Back: faultinjection.Way{Cut: true}})
+		l.SetRule(faultinjection.LinkRule{ToTarget: faultinjection.Impairment{Blocked: true}, FromTarget: faultinjection.Impairment{Blocked: true}})
 	}
 	other := "k0"
 	if holder == other {
 		other = "k1"
 	}
 	eventually(t, "the others have lost the holder", func() bool {
-		return strings.Contains(r.Processes[other].Log(), `msg="members: lost" member=`+holder+"/")
+		return strings.Contains(r.Processes[other].Output(), `msg="members: lost" member=`+holder+"/")
 	})
 	seen := w.count()
 	eventually(t, "they have acted for a while since", func() bool { return w.count() > seen+100 })
--- a/internal/testing/integration/overload_test.go
+++ b/internal/testing/integration/overload_test.go
@@ -263,11 +263,11 @@
 			}
 		}
 	}()
-	for _, kind := range []faultinjection.Kind{faultinjection.Dead, faultinjection.Cut, faultinjection.Pause} {
+	for _, kind := range []faultinjection.FaultKind{faultinjection.Crash, faultinjection.Partition, faultinjection.Pause} {
 		holder := f.holder(c, "overload")
 		before := f.leases(c)["overload"].Grant.Token
 		began := time.Now()
-		heal, err := f.Begin(faultinjection.Fault{Kind: kind, Of: holder})
+		heal, err := f.Inject(faultinjection.Fault{Kind: kind, Target: holder})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -282,7 +282,7 @@
 	half := f.names[:len(f.names)/2]
 	var heals []func() error
 	for _, n := range half {
-		heal, err := f.Begin(faultinjection.Fault{Kind: faultinjection.Cut, Of: n})
+		heal, err := f.Inject(faultinjection.Fault{Kind: faultinjection.Partition, Target: n})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -311,8 +311,8 @@
 			twice++
 		}
 	}
-	if f.lost.Load() != 0 || twice != 0 || len(f.o.ran) < 500 || looks < 100 || f.Done[faultinjection.Cut] != 1+len(half) {
-		t.Errorf("%d lost, %d twice, of %d; %d looks; faults %v", f.lost.Load(), twice, len(f.o.ran), looks, f.Done)
+	if f.lost.Load() != 0 || twice != 0 || len(f.o.ran) < 500 || looks < 100 || f.Injected[faultinjection.Partition] != 1+len(half) {
+		t.Errorf("%d lost, %d twice, of %d; %d looks; faults %v", f.lost.Load(), twice, len(f.o.ran), looks, f.Injected)
 	}
 }
 
--- a/internal/testing/integration/policy_test.go
+++ b/internal/testing/integration/policy_test.go
@@ -327,15 +327,15 @@
 	for i := range changes {
 		// At most a quorum less one of the replicas, a keeper and a few sidecars.
 		of := []string{"k0", "r" + fmt.Sprint(i%3), g.names[rng.IntN(sidecars)], g.names[rng.IntN(sidecars)]}
-		kinds := []faultinjection.Kind{faultinjection.Cut, faultinjection.Mute, faultinjection.Deaf, faultinjection.Reset, faultinjection.Answers, faultinjection.Pause, faultinjection.Dead}
+		kinds := []faultinjection.FaultKind{faultinjection.Partition, faultinjection.BlockOutbound, faultinjection.BlockInbound, faultinjection.ResetConnections, faultinjection.DropResponses, faultinjection.Pause, faultinjection.Crash}
 		var s faultinjection.Schedule
 		for j, who := range slices.Compact(of) {
-			s = append(s, faultinjection.Fault{At: time.Duration(j) * 50 * time.Millisecond, For: time.Duration(200+rng.IntN(900)) * time.Millisecond, Kind: kinds[rng.IntN(len(kinds))], Of: who})
+			s = append(s, faultinjection.Fault{Start: time.Duration(j) * 50 * time.Millisecond, Duration: time.Duration(200+rng.IntN(900)) * time.Millisecond, Kind: kinds[rng.IntN(len(kinds))], Target: who})
 		}
 		next := 2 + (inForce+1+rng.IntN(5))%7
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		played := make(chan error, 1)
-		go func() { played <- g.Play(ctx, s) }()
+		go func() { played <- g.Run(ctx, s) }()
 		within := 10 * time.Second
 		if i%4 == 3 {
 			within = 400 * time.Millisecond // too short for some faults: it takes hold nowhere
@@ -379,10 +379,10 @@
 	}
 	g.o.mu.Unlock()
 	done := 0
-	for _, n := range g.Done {
+	for _, n := range g.Injected {
 		done += n
 	}
-	t.Logf("%d changes, %d committed, %d nowhere; %d faults %v; %d requests asked, %d served, %d lost, %d doubled", changes, committed, nowhere, done, g.Done, g.sent.Load(), g.served.Load(), g.lost.Load(), g.twice.Load())
+	t.Logf("%d changes, %d committed, %d nowhere; %d faults %v; %d requests asked, %d served, %d lost, %d doubled", changes, committed, nowhere, done, g.Injected, g.sent.Load(), g.served.Load(), g.lost.Load(), g.twice.Load())
 	if committed < changes/3 || done < 2*changes || g.served.Load() < int64(20*changes) || g.lost.Load() > 0 || g.twice.Load() > 0 {
 		t.Error("too little was judged, or something was lost or doubled")
 	}
@@ -399,7 +399,7 @@
 	c := g.rig.client()
 	cut := func() (heal func() error) {
 		t.Helper()
-		end, err := g.Begin(faultinjection.Fault{Kind: faultinjection.Cut, Of: "n0"})
+		end, err := g.Inject(faultinjection.Fault{Kind: faultinjection.Partition, Target: "n0"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -441,7 +441,7 @@
 	g.everywhere(third)
 	g.allServe()
 	// One that ends in order is waited for by nobody; one whose process is paused is.
-	if err := g.Processes["n1"].End(patience); err != nil {
+	if err := g.Processes["n1"].Terminate(patience); err != nil {
 		t.Errorf("n1 ended with %v", err)
 	}
 	if err := g.Processes["n2"].Signal(syscall.SIGSTOP); err != nil {
@@ -489,7 +489,7 @@
 	if outcome, _ = g.change(c, doc(6, rollout.ModeCarry), patience); outcome != "committed" {
 		t.Errorf("with the process of n0 gone: %s", outcome)
 	}
-	if !strings.Contains(g.Processes["k0"].Log()+g.Processes["k1"].Log(), "process has gone") {
+	if !strings.Contains(g.Processes["k0"].Output()+g.Processes["k1"].Output(), "process has gone") {
 		t.Error("no keeper has seen it")
 	}
 	if g.end(); g.served.Load() < 200 {
@@ -518,7 +518,7 @@
 	if err := g.Processes["n1"].Start(); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "n1 says that it acts by its folder", func() bool { return strings.Contains(g.Processes["n1"].Log(), "serving by what the folder holds") })
+	eventually(t, "n1 says that it acts by its folder", func() bool { return strings.Contains(g.Processes["n1"].Output(), "serving by what the folder holds") })
 	if !g.serves("n0") {
 		t.Error("n0 does not carry on")
 	}
--- a/internal/testing/integration/policytimes_test.go
+++ b/internal/testing/integration/policytimes_test.go
@@ -103,7 +103,7 @@
 					if holder == nil {
 						eventually(t, "somebody leads", func() bool { holder = r.leases(c)["policy"].Grant; return holder != nil })
 					}
-					finish, err := r.Begin(faultinjection.Fault{Kind: faultinjection.Dead, Of: holder.Name})
+					finish, err := r.Inject(faultinjection.Fault{Kind: faultinjection.Crash, Target: holder.Name})
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -164,7 +164,7 @@
 	for i := range changes {
 		g.everywhere(epoch)
 		g.allServe()
-		heal, err := g.Begin(faultinjection.Fault{Kind: faultinjection.Cut, Of: g.names[i%sidecars]})
+		heal, err := g.Inject(faultinjection.Fault{Kind: faultinjection.Partition, Target: g.names[i%sidecars]})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testing/integration/rig_test.go
+++ b/internal/testing/integration/rig_test.go
@@ -48,7 +48,7 @@
 // rig is three replicas and some keepers, every link between two of which is a relay.
 type rig struct {
 	t testing.TB
-	*faultinjection.Rig
+	*faultinjection.Injector
 	members []registry.ReplicaInfo
 	keepers []string
 	routes  map[string]addressmap.Table // by process
@@ -70,7 +70,7 @@
 			if from == to {
 				continue
 			}
-			l, _, err := r.Net.Both(from+">"+to+":gossip", r.gossip[to])
+			l, _, err := r.Network.AddTCPAndUDP(from+">"+to+":gossip", r.gossip[to])
 			if err != nil {
 				r.t.Fatal(err)
 			}
@@ -84,7 +84,7 @@
 	if r.gossip[name] == "" {
 		return nil
 	}
-	c := &membership.Config{Fleet: "test", Listen: r.gossip[name], ProbeMS: gossipMS, Routes: make(addressmap.Table), Folder: r.t.TempDir()}
+	c := &membership.Config{Fleet: "test", Listen: r.gossip[name], ProbeMS: gossipMS, Routes: make(addressmap.Table), StateDir: r.t.TempDir()}
 	for other, at := range r.gossip {
 		if other != name {
 			c.Routes[at] = r.routes[name][at]
@@ -101,7 +101,7 @@
 
 // reach makes the link from one process to an address of another.
 func (r *rig) reach(name, from, address string) {
-	l, err := r.Net.TCP(name, address)
+	l, err := r.Network.AddTCP(name, address)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -116,7 +116,7 @@
 }
 
 func (r *rig) process(name, role string, env ...string) {
-	r.Processes[name] = &faultinjection.Process{Name: name, Make: func() *exec.Cmd {
+	r.Processes[name] = &faultinjection.Process{Name: name, NewCommand: func() *exec.Cmd {
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(append(os.Environ(), env...), roleVariable+"="+role)
 		return cmd
@@ -143,16 +143,16 @@
 func (r *rig) begin(seed uint64, members ...string) {
 	t := r.t
 	t.Helper()
-	r.Rig = &faultinjection.Rig{Net: faultinjection.New(seed), Processes: make(map[string]*faultinjection.Process)}
+	r.Injector = &faultinjection.Injector{Network: faultinjection.NewNetwork(seed), Processes: make(map[string]*faultinjection.Process)}
 	r.routes, r.env = make(map[string]addressmap.Table), make(map[string][]string)
 	t.Cleanup(func() {
 		for _, p := range r.Processes {
 			p.Kill()
 		}
-		r.Net.Close()
+		r.Network.Close()
 		if t.Failed() {
 			for name, p := range r.Processes {
-				text := p.Log()
+				text := p.Output()
 				t.Logf("%s:\n%s", name, text[max(0, len(text)-8000):])
 			}
 		}
@@ -542,20 +542,20 @@
 // off may have been done by an earlier try of the same call.
 func (j *judged) linearizable(t testing.TB, task string, ops []*op) {
 	t.Helper()
-	var calls []linearizability.Call
+	var calls []linearizability.Operation
 	for _, o := range ops {
-		c := linearizability.Call{Key: task, Value: o.value, Begin: o.call, End: o.ret, Done: o.returned && o.failed == ""}
+		c := linearizability.Operation{Key: task, Written: o.value, Start: o.call, End: o.ret, Completed: o.returned && o.failed == ""}
 		switch o.kind {
 		case "blind":
 			continue
 		case "read":
-			if c.Value, c.Got = "", o.got; c.Done {
+			if c.Written, c.Read = "", o.got; c.Completed {
 				j.Reads++
 			}
 		}
 		calls = append(calls, c)
 	}
-	of := linearizability.ByKey(calls)[task]
+	of := linearizability.GroupByKey(calls)[task]
 	if got := linearizability.Check(of, patience); got != porcupine.Ok {
 		t.Errorf("%s: the history of %d calls is not linearizable: %v; %s", task, len(of), got, backwards(ops))
 	}
--- a/internal/testing/linearizability/history.go
+++ b/internal/testing/linearizability/history.go
@@ -8,31 +8,31 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Call is one that writes a record, or reads it.
-type Call struct {
-	Key, Value, Got string // Value: what is written; empty: it reads Got
-	Begin, End      time.Duration
-	Done            bool // it was answered, and well
+// Operation is one that writes a record, or reads it.
+type Operation struct {
+	Key, Written, Read string // Value: what is written; empty: it reads Got
+	Start, End         time.Duration
+	Completed          bool // it was answered, and well
 }
 
 // never is later than any call of a history.
 const never = 24 * time.Hour
 
-// ByKey are the histories of the records. A read that was not answered says nothing; a
+// GroupByKey are the histories of the records. A read that was not answered says nothing; a
 // write that nobody knows the end of counts if somebody has read it, and may have come at
 // any time since.
-func ByKey(calls []Call) map[string][]porcupine.Operation {
+func GroupByKey(calls []Operation) map[string][]porcupine.Operation {
 	read := make(map[[2]string]bool)
 	for _, c := range calls {
-		if c.Value == "" && c.Done {
-			read[[2]string{c.Key, c.Got}] = true
+		if c.Written == "" && c.Completed {
+			read[[2]string{c.Key, c.Read}] = true
 		}
 	}
 	all := make(map[string][]porcupine.Operation)
 	for i, c := range calls {
-		o := porcupine.Operation{ClientId: i, Input: c.Value, Call: int64(c.Begin), Output: c.Got, Return: int64(c.End)}
-		if !c.Done {
-			if c.Value == "" || !read[[2]string{c.Key, c.Value}] {
+		o := porcupine.Operation{ClientId: i, Input: c.Written, Call: int64(c.Start), Output: c.Read, Return: int64(c.End)}
+		if !c.Completed {
+			if c.Written == "" || !read[[2]string{c.Key, c.Written}] {
 				continue
 			}
 			o.Return = int64(never)
--- a/internal/testing/localfleet/lab.go
+++ b/internal/testing/localfleet/lab.go
@@ -234,7 +234,7 @@
 				continue
 			}
 			for what, addr := range map[string]string{"raft": to.Raft, "http": to.HTTP} {
-				link, err := l.links.net.TCP(m.ID+">"+to.ID+":"+what, addr)
+				link, err := l.links.net.AddTCP(m.ID+">"+to.ID+":"+what, addr)
 				if err != nil {
 					return nil, err
 				}
--- a/internal/testing/localfleet/links.go
+++ b/internal/testing/localfleet/links.go
@@ -19,7 +19,7 @@
 // links are the relays between the lab's processes: each sidecar calls the list over
 // one, and, in a scenario with a partition, each zone calls each server over another.
 type links struct {
-	net  *faultinjection.Net
+	net  *faultinjection.Network
 	lab  *lab
 	over []func() // ends the views
 
@@ -34,7 +34,7 @@
 
 func newLinks(l *lab) *links {
 	return &links{
-		net: faultinjection.New(l.seed), lab: l, cut: make(map[int]int), views: make(map[int]*view),
+		net: faultinjection.NewNetwork(l.seed), lab: l, cut: make(map[int]int), views: make(map[int]*view),
 		ways: make(map[string][2]int), dials: make(map[string]struct{}),
 	}
 }
@@ -59,7 +59,7 @@
 			}
 		}
 		name := fmt.Sprintf("n%d>list:%d", sidecar, i)
-		l, err := k.net.TCP(name, r)
+		l, err := k.net.AddTCP(name, r)
 		if err != nil {
 			return nil, err
 		}
@@ -77,20 +77,20 @@
 	defer k.mu.Unlock()
 	for name := range k.dials {
 		if l, ok := k.net.Link(name); ok {
-			l.Set(faultinjection.Rule{Refuse: k.down > 0, Back: faultinjection.Way{Delay: k.slow}})
+			l.SetRule(faultinjection.LinkRule{RefuseConnections: k.down > 0, FromTarget: faultinjection.Impairment{Delay: k.slow}})
 		}
 	}
 	for name, ends := range k.ways {
 		if l, ok := k.net.Link(name); ok {
-			l.Set(k.between(ends))
+			l.SetRule(k.between(ends))
 		}
 	}
 }
 
 // between is the rule from one zone to another. The lock is held.
-func (k *links) between(ends [2]int) faultinjection.Rule {
-	way := faultinjection.Way{Cut: ends[0] != ends[1] && (k.cut[ends[0]] > 0 || k.cut[ends[1]] > 0)}
-	return faultinjection.Rule{Out: way, Back: way}
+func (k *links) between(ends [2]int) faultinjection.LinkRule {
+	way := faultinjection.Impairment{Blocked: ends[0] != ends[1] && (k.cut[ends[0]] > 0 || k.cut[ends[1]] > 0)}
+	return faultinjection.LinkRule{ToTarget: way, FromTarget: way}
 }
 
 // change alters what is wrong, and returns what takes that back.
@@ -219,12 +219,12 @@
 	if l, ok := k.net.Link(name); ok { // another watch came first
 		return l.Addr()
 	}
-	l, err := k.net.TCP(name, addr)
+	l, err := k.net.AddTCP(name, addr)
 	if err != nil {
 		k.lab.fail(err)
 		return addr
 	}
 	k.ways[name] = [2]int{zone, to}
-	l.Set(k.between(k.ways[name]))
+	l.SetRule(k.between(k.ways[name]))
 	return l.Addr()
 }
--- a/internal/testing/modelcheck/system/judge.go
+++ b/internal/testing/modelcheck/system/judge.go
@@ -295,11 +295,11 @@
 
 // linearizable holds the history of each record against a register.
 func (j *judge) linearizable(w *world) {
-	calls := make([]linearizability.Call, len(j.ops))
+	calls := make([]linearizability.Operation, len(j.ops))
 	for i, o := range j.ops {
-		calls[i] = linearizability.Call{Key: o.key, Value: o.value, Got: o.got, Begin: o.call, End: o.ret, Done: o.done && o.ok}
+		calls[i] = linearizability.Operation{Key: o.key, Written: o.value, Read: o.got, Start: o.call, End: o.ret, Completed: o.done && o.ok}
 	}
-	byKey := linearizability.ByKey(calls)
+	byKey := linearizability.GroupByKey(calls)
 	for _, key := range sortedKeys(byKey) {
 		if got := linearizability.Check(byKey[key], time.Minute); got != porcupine.Ok {
 			w.broken("%s: the history of %d calls is not linearizable: %v", key, len(byKey[key]), got)
--- a/internal/testing/soaktest/faults.go
+++ b/internal/testing/soaktest/faults.go
@@ -120,12 +120,12 @@
 	if err := s.process.Signal(syscall.SIGTERM); err != nil {
 		f.ledger.broken(InvariantProcess, "%s has ended by itself: %v", s.name, err)
 	}
-	for s.process.Alive() && time.Since(began) < killAfter {
+	for s.process.Running() && time.Since(began) < killAfter {
 		if !sleep(ctx, 5*time.Millisecond) {
 			break
 		}
 	}
-	if s.process.Alive() {
+	if s.process.Running() {
 		f.tell("SIGKILL %s, which has not ended", s.name)
 		f.ledger.saw("planned ends cut off")
 		s.process.Kill()
--- a/internal/testing/soaktest/soak.go
+++ b/internal/testing/soaktest/soak.go
@@ -142,7 +142,7 @@
 	defer cancel()
 	for _, s := range f.sidecars {
 		if err := s.awaitReady(ready); err != nil {
-			return errors.Join(err, fmt.Errorf("log of %s: %s", s.name, s.process.Log()))
+			return errors.Join(err, fmt.Errorf("log of %s: %s", s.name, s.process.Output()))
 		}
 	}
 	return nil
@@ -170,11 +170,11 @@
 	var ending sync.WaitGroup
 	for _, s := range f.sidecars {
 		ending.Go(func() {
-			if !s.process.Alive() {
+			if !s.process.Running() {
 				f.ledger.broken(InvariantProcess, "%s has ended by itself before the end", s.name)
 				return
 			}
-			if err := s.process.End(killAfter); err != nil {
+			if err := s.process.Terminate(killAfter); err != nil {
 				f.ledger.broken(InvariantProcess, "%s: %v", s.name, err)
 				return
 			}
@@ -209,7 +209,7 @@
 func (f *fleet) sidecarLogs() map[string]string {
 	logs := make(map[string]string, len(f.sidecars))
 	for _, s := range f.sidecars {
-		logs[s.name] = s.process.Log()
+		logs[s.name] = s.process.Output()
 	}
 	return logs
 }
@@ -259,6 +259,6 @@
 	if err := s.writeConfig(f.Seed+uint64(index), f.Sidecars, f.discovery.addresses[0]); err != nil {
 		return nil, err
 	}
-	s.process = &faultinjection.Process{Name: s.name, Make: func() *exec.Cmd { return f.Command(s.config) }}
+	s.process = &faultinjection.Process{Name: s.name, NewCommand: func() *exec.Cmd { return f.Command(s.config) }}
 	return s, nil
 }
