--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -27,8 +27,8 @@
 
 // Grace is how long a connection is left alone while others wait for its place.
 type Grace struct {
-	Speak  time.Duration // after connecting, until its first byte
-	Finish time.Duration // after a request's first byte, until it is whole
+	FirstByte    time.Duration // after connecting, until its first byte
+	WholeRequest time.Duration // after a request's first byte, until it is whole
 }
 
 type state uint8
@@ -101,8 +101,8 @@
 // Idle returns how many of them are between requests.
 func (t *Table[T]) Idle() int { return t.idle.Len() }
 
-// Held returns how many connections an address holds.
-func (t *Table[T]) Held(addr netip.Addr) int {
+// OpenFrom returns how many connections an address holds.
+func (t *Table[T]) OpenFrom(addr netip.Addr) int {
 	if c := t.clients[addr]; c != nil {
 		return c.held
 	}
@@ -115,23 +115,23 @@
 const (
 	// Admit: there is room.
 	Admit Verdict = iota
-	// Replace: there is room once the connection named is closed.
-	Replace
+	// Evict: there is room once the connection named is closed.
+	Evict
 	// Wait: none can be given up now.
 	Wait
 )
 
-// Ask says whether a connection from addr may be opened. With Replace comes the
+// Decide says whether a connection from addr may be opened. With Replace comes the
 // connection to close: if that proves to have been taken, or to have spoken, its
 // owner says so here and asks again.
-func (t *Table[T]) Ask(addr netip.Addr, now time.Time) (Verdict, *Conn[T]) {
+func (t *Table[T]) Decide(addr netip.Addr, now time.Time) (Verdict, *Conn[T]) {
 	own := t.clients[addr]
-	held := t.Held(addr)
+	held := t.OpenFrom(addr)
 	if held < t.limits.PerAddress && t.open < t.limits.Total && t.halfOpen < t.limits.HalfOpen {
 		return Admit, nil
 	}
 	if c := t.overdue(now); c != nil && (held < t.limits.PerAddress || c.client == own) {
-		return Replace, c // past its time: it has no claim to its place, whosever it is
+		return Evict, c // past its time: it has no claim to its place, whosever it is
 	}
 	if held < t.limits.PerAddress {
 		if t.open < t.limits.Total {
@@ -139,23 +139,23 @@
 		}
 		// Taking one from an address with only one more would but swap the two.
 		if rich := t.ranks.most(); rich != nil && rich.held >= held+2 {
-			return Replace, rich.idle.Front().Value
+			return Evict, rich.idle.Front().Value
 		}
 	}
 	// Its own idle one, unless one of its own that have just come may turn out to
 	// say nothing: a client's silent connections must not push out those it uses.
 	if own != nil && own.unfinished == 0 && own.idle.Len() > 0 {
-		return Replace, own.idle.Front().Value
+		return Evict, own.idle.Front().Value
 	}
 	return Wait, nil
 }
 
 // overdue returns a connection that has used up its grace, or nil.
 func (t *Table[T]) overdue(now time.Time) *Conn[T] {
-	if n := t.silent.Front(); n != nil && now.Sub(n.Value.since) >= t.grace.Speak {
+	if n := t.silent.Front(); n != nil && now.Sub(n.Value.since) >= t.grace.FirstByte {
 		return n.Value
 	}
-	if n := t.begun.Front(); n != nil && now.Sub(n.Value.since) >= t.grace.Finish {
+	if n := t.begun.Front(); n != nil && now.Sub(n.Value.since) >= t.grace.WholeRequest {
 		return n.Value
 	}
 	return nil
@@ -166,28 +166,28 @@
 func (t *Table[T]) NextOverdue() time.Time {
 	var at time.Time
 	if n := t.silent.Front(); n != nil {
-		at = n.Value.since.Add(t.grace.Speak)
+		at = n.Value.since.Add(t.grace.FirstByte)
 	}
 	if n := t.begun.Front(); n != nil {
-		if by := n.Value.since.Add(t.grace.Finish); at.IsZero() || by.Before(at) {
+		if by := n.Value.since.Add(t.grace.WholeRequest); at.IsZero() || by.Before(at) {
 			at = by
 		}
 	}
 	return at
 }
 
-// Mute returns how many connections have said nothing although their grace to speak is over.
+// SilentOverdue returns how many connections have said nothing although their grace to speak is over.
 // Unlike all else here it takes time in their number.
-func (t *Table[T]) Mute(now time.Time) (mute int) {
-	for n := t.silent.Front(); n != nil && now.Sub(n.Value.since) >= t.grace.Speak; n = n.Next() {
+func (t *Table[T]) SilentOverdue(now time.Time) (mute int) {
+	for n := t.silent.Front(); n != nil && now.Sub(n.Value.since) >= t.grace.FirstByte; n = n.Next() {
 		mute++
 	}
 	return mute
 }
 
-// Excess returns an idle connection to close because there are too many, or nil:
+// ExcessIdle returns an idle connection to close because there are too many, or nil:
 // the longest idle of the address that holds the most.
-func (t *Table[T]) Excess() *Conn[T] {
+func (t *Table[T]) ExcessIdle() *Conn[T] {
 	if t.idle.Len() <= t.limits.Idle && (t.open <= t.limits.Total || t.idle.Len() == 0) {
 		return nil
 	}
@@ -218,25 +218,25 @@
 	t.move(c, silent, true, now)
 }
 
-// Spoke takes that the first byte of a request has come.
-func (t *Table[T]) Spoke(c *Conn[T], now time.Time) {
+// FirstByteRead takes that the first byte of a request has come.
+func (t *Table[T]) FirstByteRead(c *Conn[T], now time.Time) {
 	if c.state == silent || c.state == idle {
 		t.move(c, begun, true, now)
 	}
 }
 
-// Head takes that a request's header is whole. Its body may be to come.
-func (t *Table[T]) Head(c *Conn[T]) { t.setHalfOpen(c, false) }
+// HeaderRead takes that a request's header is whole. Its body may be to come.
+func (t *Table[T]) HeaderRead(c *Conn[T]) { t.setHalfOpen(c, false) }
 
-// Taken takes that a request of it was taken: from now on it is not given up.
-func (t *Table[T]) Taken(c *Conn[T], now time.Time) {
+// RequestStarted takes that a request of it was taken: from now on it is not given up.
+func (t *Table[T]) RequestStarted(c *Conn[T], now time.Time) {
 	if c.state != gone {
 		t.move(c, busy, false, now)
 	}
 }
 
-// Rest takes that it waits for the next request.
-func (t *Table[T]) Rest(c *Conn[T], now time.Time) {
+// BecameIdle takes that it waits for the next request.
+func (t *Table[T]) BecameIdle(c *Conn[T], now time.Time) {
 	if c.state != gone {
 		t.move(c, idle, false, now)
 	}
@@ -264,15 +264,15 @@
 	c.inAll.Remove()
 	switch to {
 	case silent:
-		t.silent.Push(&c.inAll)
+		t.silent.PushBack(&c.inAll)
 	case begun:
-		t.begun.Push(&c.inAll)
+		t.begun.PushBack(&c.inAll)
 	case idle:
-		t.idle.Push(&c.inAll)
+		t.idle.PushBack(&c.inAll)
 	}
 	c.inClient.Remove()
 	if to == idle {
-		c.client.idle.Push(&c.inClient)
+		c.client.idle.PushBack(&c.inClient)
 	}
 	t.rank(c.client)
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -15,7 +15,7 @@
 
 var (
 	start = time.Unix(1_700_000_000, 0)
-	grace = Grace{Speak: 50 * time.Millisecond, Finish: 200 * time.Millisecond}
+	grace = Grace{FirstByte: 50 * time.Millisecond, WholeRequest: 200 * time.Millisecond}
 )
 
 func addr(n int) netip.Addr { return netip.AddrFrom4([4]byte{127, 0, byte(n >> 8), byte(n)}) }
@@ -24,12 +24,12 @@
 // whether there was one.
 func open(t *table, from int, now time.Time) *conn {
 	for {
-		switch verdict, victim := t.Ask(addr(from), now); verdict {
+		switch verdict, victim := t.Decide(addr(from), now); verdict {
 		case Admit:
 			c := &conn{Owner: from}
 			t.Add(c, addr(from), now)
 			return c
-		case Replace:
+		case Evict:
 			t.Remove(victim)
 		case Wait:
 			return nil
@@ -39,10 +39,10 @@
 
 // rest takes a connection through one request.
 func rest(t *table, c *conn, now time.Time) {
-	t.Spoke(c, now)
-	t.Head(c)
-	t.Taken(c, now)
-	t.Rest(c, now)
+	t.FirstByteRead(c, now)
+	t.HeaderRead(c)
+	t.RequestStarted(c, now)
+	t.BecameIdle(c, now)
 }
 
 func limits(total int) Limits {
@@ -59,15 +59,15 @@
 			rest(tb, c, start)
 		}
 	}
-	if got := tb.Held(addr(0)); got != total {
+	if got := tb.OpenFrom(addr(0)); got != total {
 		t.Fatalf("alone, the greedy one holds %d, want all %d", got, total)
 	}
 	for round := range 20 {
 		for m := 1; m <= modest; m++ {
 			if c := open(tb, m, start); c != nil {
 				rest(tb, c, start)
-			} else if tb.Held(addr(m)) < total/(modest+1) {
-				t.Fatalf("round %d: client %d is turned away with %d", round, m, tb.Held(addr(m)))
+			} else if tb.OpenFrom(addr(m)) < total/(modest+1) {
+				t.Fatalf("round %d: client %d is turned away with %d", round, m, tb.OpenFrom(addr(m)))
 			}
 		}
 		if c := open(tb, 0, start); c != nil {
@@ -75,7 +75,7 @@
 		}
 	}
 	for m := range modest + 1 {
-		if got := tb.Held(addr(m)); got != total/(modest+1) {
+		if got := tb.OpenFrom(addr(m)); got != total/(modest+1) {
 			t.Errorf("client %d holds %d, want %d", m, got, total/(modest+1))
 		}
 	}
@@ -91,7 +91,7 @@
 			}
 		}
 	}
-	if a, b, c := tb.Held(addr(1)), tb.Held(addr(2)), tb.Held(addr(3)); a != 2 || b != 5 || c != 23 {
+	if a, b, c := tb.OpenFrom(addr(1)), tb.OpenFrom(addr(2)), tb.OpenFrom(addr(3)); a != 2 || b != 5 || c != 23 {
 		t.Errorf("held %d, %d and %d, want 2, 5 and 23", a, b, c)
 	}
 }
@@ -101,14 +101,14 @@
 	var held []*conn
 	for range 4 {
 		c := open(tb, 0, start)
-		tb.Spoke(c, start)
-		tb.Taken(c, start)
+		tb.FirstByteRead(c, start)
+		tb.RequestStarted(c, start)
 		held = append(held, c)
 	}
 	if c := open(tb, 1, start.Add(time.Hour)); c != nil {
 		t.Fatal("a place was found where all requests are taken")
 	}
-	tb.Rest(held[2], start)
+	tb.BecameIdle(held[2], start)
 	if c := open(tb, 1, start); c == nil || held[2].state != gone {
 		t.Error("the idle connection of the client with the most was not given up")
 	}
@@ -120,15 +120,15 @@
 	for name, c := range map[string]struct {
 		speaks bool
 		after  time.Duration
-	}{"silent": {false, grace.Speak}, "half a request": {true, grace.Finish}} {
+	}{"silent": {false, grace.FirstByte}, "half a request": {true, grace.WholeRequest}} {
 		t.Run(name, func(t *testing.T) {
 			tb := New[int](limits(2), grace)
 			kept := open(tb, 0, start)
 			rest(tb, kept, start)
 			late := open(tb, 0, start)
 			if c.speaks {
-				tb.Spoke(late, start)
-				tb.Head(late)
+				tb.FirstByteRead(late, start)
+				tb.HeaderRead(late)
 			}
 			if got := tb.NextOverdue(); !got.Equal(start.Add(c.after)) {
 				t.Errorf("overdue at %v, want after %v", got, c.after)
@@ -156,18 +156,18 @@
 	if open(tb, 1, start) == nil || open(tb, 1, start) != nil || tb.HalfOpen() != 4 {
 		t.Errorf("%d are half open, want 4", tb.HalfOpen())
 	}
-	tb.Spoke(first, start)
-	tb.Head(first) // its body may be to come, but it is not half open
+	tb.FirstByteRead(first, start)
+	tb.HeaderRead(first) // its body may be to come, but it is not half open
 	if open(tb, 1, start) == nil {
 		t.Error("a whole header left no room")
 	}
 	rest(tb, first, start)
-	if v, _ := tb.Ask(addr(0), start); v != Wait {
+	if v, _ := tb.Decide(addr(0), start); v != Wait {
 		t.Errorf("verdict %v, want it to wait while its own have just come", v)
 	}
 	rest(tb, own[1], start)
 	rest(tb, own[2], start)
-	if v, victim := tb.Ask(addr(0), start); v != Replace || victim != first {
+	if v, victim := tb.Decide(addr(0), start); v != Evict || victim != first {
 		t.Errorf("verdict %v, want its own idle connection to make way at its limit", v)
 	}
 }
@@ -180,16 +180,16 @@
 		rest(tb, c, start)
 		conns = append(conns, c)
 	}
-	if got := tb.Excess(); got != conns[1] {
+	if got := tb.ExcessIdle(); got != conns[1] {
 		t.Error("not the longest idle of the client with the most")
 	}
 	tb.Remove(conns[1])
-	if tb.Excess() != nil {
+	if tb.ExcessIdle() != nil {
 		t.Error("an excess at the limit")
 	}
 	tb.SetLimits(Limits{Total: 1, PerAddress: 1, HalfOpen: 1, Idle: 1})
-	for tb.Excess() != nil {
-		tb.Remove(tb.Excess())
+	for tb.ExcessIdle() != nil {
+		tb.Remove(tb.ExcessIdle())
 	}
 	if tb.Open() != 1 {
 		t.Errorf("%d are open at a new limit of 1", tb.Open())
@@ -222,9 +222,9 @@
 				case 0, 1, 2:
 					from := rng.IntN(clients)
 					for done := false; !done; {
-						v, victim := tb.Ask(addr(from), now)
+						v, victim := tb.Decide(addr(from), now)
 						switch v {
-						case Replace:
+						case Evict:
 							if model[victim] == busy || model[victim] == gone {
 								t.Fatal("a taken or unknown connection is to be given up")
 							}
@@ -255,27 +255,27 @@
 					}
 				case 3:
 					if c := pick(silent); c != nil {
-						tb.Spoke(c, now)
+						tb.FirstByteRead(c, now)
 						model[c] = begun
 					}
 				case 4:
 					if c := pick(begun); c != nil {
-						tb.Head(c)
-						tb.Taken(c, now)
+						tb.HeaderRead(c)
+						tb.RequestStarted(c, now)
 						model[c] = busy
 					}
 				case 5:
 					if c := pick(busy); c != nil {
-						tb.Rest(c, now)
+						tb.BecameIdle(c, now)
 						model[c] = idle
 					}
-					for c := tb.Excess(); c != nil; c = tb.Excess() {
+					for c := tb.ExcessIdle(); c != nil; c = tb.ExcessIdle() {
 						delete(model, c)
 						tb.Remove(c)
 					}
 				case 6:
 					if c := pick(idle); c != nil {
-						tb.Spoke(c, now)
+						tb.FirstByteRead(c, now)
 						model[c] = begun
 					}
 				case 7:
--- a/internal/admission/ranks.go
+++ b/internal/admission/ranks.go
@@ -29,13 +29,13 @@
 		r.lists = append(r.lists, new(queue.List[*client[T]]))
 	}
 	c.ranked = count
-	r.lists[count].Push(&c.rank)
+	r.lists[count].PushBack(&c.rank)
 	r.mark(count)
 }
 
 // take lets a client stand in no rank.
 func (r *ranks[T]) take(c *client[T]) {
-	if c.rank.In() {
+	if c.rank.Linked() {
 		c.rank.Remove()
 		r.mark(c.ranked)
 	}
--- a/internal/drain/fleet.go
+++ b/internal/drain/fleet.go
@@ -125,7 +125,7 @@
 // load reads how much a server holds out of its report: what is in flight and what
 // waits, or else how busy its cores are.
 func load(report string) (work float64, ok bool) {
-	values := settings.Report(report, "inflight", "queue", "util")
+	values := settings.ParseLoadReport(report, "inflight", "queue", "util")
 	maps.DeleteFunc(values, func(_ string, v float64) bool { return !(v >= 0) })
 	inflight, a := values["inflight"]
 	util, b := values["util"]
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -12,8 +12,8 @@
 	list       *List[T]
 }
 
-// In says whether the node stands in a list.
-func (n *Node[T]) In() bool { return n.list != nil }
+// Linked says whether the node stands in a list.
+func (n *Node[T]) Linked() bool { return n.list != nil }
 
 // Remove takes the node out of the list it stands in, if any.
 func (n *Node[T]) Remove() {
@@ -54,8 +54,8 @@
 // Back returns the last node, or nil.
 func (l *List[T]) Back() *Node[T] { return l.back }
 
-// Push puts the node at the back, taking it out of the list it stood in before.
-func (l *List[T]) Push(n *Node[T]) {
+// PushBack puts the node at the back, taking it out of the list it stood in before.
+func (l *List[T]) PushBack(n *Node[T]) {
 	n.Remove()
 	n.list, n.prev = l, l.back
 	if l.back != nil {
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -23,13 +23,13 @@
 		if rng.IntN(3) == 0 {
 			nodes[i].Remove()
 		} else {
-			lists[to].Push(&nodes[i])
+			lists[to].PushBack(&nodes[i])
 			want[to] = append(want[to], i)
 		}
 		for w := range want {
 			var got []int
 			for n := lists[w].Front(); n != nil; n = n.Next() {
-				if !n.In() {
+				if !n.Linked() {
 					t.Fatal("a listed node says that it is in no list")
 				}
 				got = append(got, n.Value)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -17,9 +17,9 @@
 	"barleywick/policy"
 )
 
-// Millis turns milliseconds on the wire into a duration. What no duration can
+// DurationFromMillis turns milliseconds on the wire into a duration. What no duration can
 // hold is cut to the ends, and a NaN is 0.
-func Millis(ms float64) time.Duration {
+func DurationFromMillis(ms float64) time.Duration {
 	const most = 1 << 62
 	ns := math.Round(ms * 1e6)
 	switch {
@@ -39,8 +39,8 @@
 	err    error // the first value that could not be read
 }
 
-// Parse reads path=value lines. Unknown keys are kept and passed over.
-func Parse(info []byte) (*Settings, error) {
+// ParseLines reads path=value lines. Unknown keys are kept and passed over.
+func ParseLines(info []byte) (*Settings, error) {
 	s := &Settings{values: make(map[string]string, 128)}
 	for n, line := range bytes.Split(info, []byte{'\n'}) {
 		if line = bytes.TrimSpace(line); len(line) == 0 {
@@ -118,8 +118,8 @@
 	return names
 }
 
-// Words lists the plain values of a list.
-func (s *Settings) Words(list string) []string {
+// Values lists the plain values of a list.
+func (s *Settings) Values(list string) []string {
 	if s.text(list) == "" {
 		return nil
 	}
@@ -128,7 +128,7 @@
 
 // Duration reads a value in milliseconds; a missing one, and one that is not above 0, is absent.
 func (s *Settings) Duration(key string, absent time.Duration) time.Duration {
-	if d := Millis(s.number(key, 0)); d > 0 {
+	if d := DurationFromMillis(s.number(key, 0)); d > 0 {
 		return d
 	}
 	return absent
@@ -182,16 +182,16 @@
 	return int(n)
 }
 
-// Columns are the names of the values in a load report, in their order.
-type Columns []string
+// LoadColumns are the names of the values in a load report, in their order.
+type LoadColumns []string
 
-// Columns returns the names of what load reports hold.
-func (s *Settings) Columns() Columns { return s.Words("telemetry.columns") }
+// LoadColumns returns the names of what load reports hold.
+func (s *Settings) LoadColumns() LoadColumns { return s.Values("telemetry.columns") }
 
-// Report reads a load report of the form 'TEXT name=value, name=value': the values
+// ParseLoadReport reads a load report of the form 'TEXT name=value, name=value': the values
 // of the names given. What it lacks, and what is no number, has none; it may hold any
 // number of others.
-func Report(text string, names ...string) map[string]float64 {
+func ParseLoadReport(text string, names ...string) map[string]float64 {
 	values := make(map[string]float64, len(names))
 	text, _ = strings.CutPrefix(strings.TrimSpace(text), "TEXT ")
 	for field := range strings.SplitSeq(text, ",") {
@@ -206,10 +206,10 @@
 	return values
 }
 
-// Load turns a report into the module's own. value gives the number in a column
+// LoadReport turns a report into the module's own. value gives the number in a column
 // and whether there is one; what is no number or negative is unknown.
-func (c Columns) Load(value func(column int) (float64, bool)) policy.Load {
-	load := policy.NoLoad
+func (c LoadColumns) LoadReport(value func(column int) (float64, bool)) policy.LoadReport {
+	load := policy.UnknownLoad
 	for i, name := range c {
 		v, ok := value(i)
 		if !ok || !(v >= 0) || math.IsInf(v, 0) {
@@ -219,60 +219,60 @@
 		case "busy_reqs":
 			load.InFlight = v
 		case "pending":
-			load.Waiting = v
+			load.Queued = v
 		case "cpu_share":
-			load.Busy = v
+			load.Utilization = v
 		case "served_ps":
-			load.Rate = v
+			load.ServedPerSecond = v
 		}
 	}
 	return load
 }
 
-// Config turns the settings into the module's own.
-func (s *Settings) Config() (policy.Config, error) {
+// PolicyConfig turns the settings into the module's own.
+func (s *Settings) PolicyConfig() (policy.Config, error) {
 	c := policy.Config{
-		Balancers:      s.count("balancers"),
-		Zone:           s.count("zone"),
-		MaxAttempts:    s.count("caps.most_tries"),
-		MayCancel:      s.flag("caps.may_cancel"),
-		MayProbe:       s.flag("caps.probes"),
-		Reports:        s.flag("caps.probes") && s.text("telemetry.how") != "silent",
-		MaxRetryAfter:  Millis(s.amount("caps.max_retry_after_ms")),
-		WarmKeys:       s.flag("family_info.warm_keys"),
-		MarksRepeat:    s.flag("client_habits.marks_retry"),
-		Tick:           Millis(s.amount("period_ms")),
-		AskList:        s.text("discovery") == "ask",
-		AskWithin:      Millis(s.amount("rules.ask_within_ms")),
-		DrainGrace:     Millis(s.amount("rules.stop_sending_within_ms")),
-		ColdFrom:       s.amount("rules.cold_from"),
-		ColdTime:       Millis(s.amount("rules.cold_ms")),
-		ColdMultiple:   s.amount("rules.fall_multiple"),
-		CrossZonePrice: s.amount("charges.cross_zone"),
+		Balancers:          s.count("balancers"),
+		Zone:               s.count("zone"),
+		MaxAttempts:        s.count("caps.most_tries"),
+		MayCancel:          s.flag("caps.may_cancel"),
+		MayProbe:           s.flag("caps.probes"),
+		LoadReports:        s.flag("caps.probes") && s.text("telemetry.how") != "silent",
+		MaxRetryAfter:      DurationFromMillis(s.amount("caps.max_retry_after_ms")),
+		KeyAffinity:        s.flag("family_info.warm_keys"),
+		ClientsMarkRetries: s.flag("client_habits.marks_retry"),
+		EventPeriod:        DurationFromMillis(s.amount("period_ms")),
+		PollList:           s.text("discovery") == "ask",
+		PollDeadline:       DurationFromMillis(s.amount("rules.ask_within_ms")),
+		DrainGrace:         DurationFromMillis(s.amount("rules.stop_sending_within_ms")),
+		SlowStartFloor:     s.amount("rules.cold_from"),
+		SlowStartWindow:    DurationFromMillis(s.amount("rules.cold_ms")),
+		OverloadFactor:     s.amount("rules.fall_multiple"),
+		CrossZoneCost:      s.amount("charges.cross_zone"),
 	}
 	for i := range s.count("classes.count") {
 		p := fmt.Sprintf("classes.%d.", i)
 		k := policy.Class{
-			Aim:        Millis(s.amount(p + "aim_ms")),
-			AimStretch: s.amount(p + "aim_stretch"),
-			Deadline:   Millis(s.amount(p + "hard_limit_ms")),
-			LateShare:  s.amount(p + "late_share"),
-			Worth:      s.amount(p + "worth"),
-			Window:     Millis(s.amount(p + "window_ms")),
-			Effect:     policy.Unsafe, // an unknown word is taken for the strictest
-			Scope:      policy.ScopeCell,
+			LatencyObjective:    DurationFromMillis(s.amount(p + "aim_ms")),
+			ObjectiveWorkFactor: s.amount(p + "aim_stretch"),
+			Deadline:            DurationFromMillis(s.amount(p + "hard_limit_ms")),
+			LateShare:           s.amount(p + "late_share"),
+			PriorityWeight:      s.amount(p + "worth"),
+			DedupWindow:         DurationFromMillis(s.amount(p + "window_ms")),
+			Idempotency:         policy.NonIdempotent, // an unknown word is taken for the strictest
+			DedupScope:          policy.ScopeCell,
 		}
 		switch s.text(p + "semantics") {
 		case "free":
-			k.Effect = policy.Safe
+			k.Idempotency = policy.Idempotent
 		case "guarded":
-			k.Effect = policy.Keyed
+			k.Idempotency = policy.IdempotentByKey
 		}
 		switch s.text(p + "dedup_scope") {
 		case "all":
-			k.Scope = policy.ScopeAll
+			k.DedupScope = policy.ScopeAll
 		case "zone":
-			k.Scope = policy.ScopeZone
+			k.DedupScope = policy.ScopeZone
 		}
 		c.Classes = append(c.Classes, k)
 	}
@@ -302,15 +302,15 @@
 		s.wrong("classes is missing or empty, at least one class is needed")
 	}
 	for i, k := range c.Classes {
-		if k.Aim <= 0 {
-			s.wrong("classes.%d.aim_ms is %g, it must be above 0", i, k.Aim.Seconds()*1e3)
+		if k.LatencyObjective <= 0 {
+			s.wrong("classes.%d.aim_ms is %g, it must be above 0", i, k.LatencyObjective.Seconds()*1e3)
 		}
 		if k.Deadline <= 0 {
 			s.wrong("classes.%d.hard_limit_ms is %g, it must be above 0", i, k.Deadline.Seconds()*1e3)
 		}
 	}
-	if c.ColdFrom > 1 {
-		s.wrong("rules.cold_from is %g, a share is needed", c.ColdFrom)
+	if c.SlowStartFloor > 1 {
+		s.wrong("rules.cold_from is %g, a share is needed", c.SlowStartFloor)
 	}
 	shares := 0.0
 	for _, t := range c.Tenants {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -13,11 +13,11 @@
 
 func TestMillis(t *testing.T) {
 	for _, d := range []time.Duration{0, time.Microsecond, 123456 * time.Microsecond, -time.Second, time.Hour} {
-		if got := Millis(float64(d) / 1e6); got != d {
+		if got := DurationFromMillis(float64(d) / 1e6); got != d {
 			t.Errorf("%v comes back as %v", d, got)
 		}
 	}
-	if Millis(math.NaN()) != 0 || Millis(math.Inf(1)) <= 0 || Millis(math.Inf(-1)) >= 0 {
+	if DurationFromMillis(math.NaN()) != 0 || DurationFromMillis(math.Inf(1)) <= 0 || DurationFromMillis(math.Inf(-1)) >= 0 {
 		t.Error("what is no number, or infinite, is not cut to a safe duration")
 	}
 }
@@ -51,43 +51,43 @@
 `
 
 func TestSettings(t *testing.T) {
-	s, err := Parse([]byte(someSettings))
+	s, err := ParseLines([]byte(someSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := s.Config()
+	c, err := s.PolicyConfig()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.Balancers != 3 || c.Zone != 2 || c.MaxAttempts != 3 || !c.MayCancel || !c.MayProbe ||
-		!c.AskList || c.ColdFrom != 0.32 || c.CrossZonePrice != 0.03 {
+		!c.PollList || c.SlowStartFloor != 0.32 || c.CrossZoneCost != 0.03 {
 		t.Errorf("config %+v", c)
 	}
-	if k := c.Classes[0]; k.Effect != policy.Keyed || k.Scope != policy.ScopeCell || k.Window != 600*time.Millisecond {
+	if k := c.Classes[0]; k.Idempotency != policy.IdempotentByKey || k.DedupScope != policy.ScopeCell || k.DedupWindow != 600*time.Millisecond {
 		t.Errorf("class 0 %+v", k)
 	}
-	if c.Classes[1].Effect != policy.Unsafe {
+	if c.Classes[1].Idempotency != policy.NonIdempotent {
 		t.Error("an unknown effect is not taken for the strictest")
 	}
 	if c.Tenants[0].Quota != 342 || c.Tenants[0].Share != 0.79 {
 		t.Errorf("tenant %+v", c.Tenants[0])
 	}
-	if !c.WarmKeys {
+	if !c.KeyAffinity {
 		t.Error("that servers remember keys is not read")
 	}
-	if got := s.Columns(); len(got) != 4 || got[3] != "busy_reqs" {
+	if got := s.LoadColumns(); len(got) != 4 || got[3] != "busy_reqs" {
 		t.Errorf("columns %+v", got)
 	}
 	for _, bad := range []string{"balancers=three", "classes.count=-1", "classes.count=1e9", "orgs.count=1.5"} {
-		s, err := Parse([]byte(bad))
+		s, err := ParseLines([]byte(bad))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := s.Config(); err == nil {
+		if _, err := s.PolicyConfig(); err == nil {
 			t.Errorf("%s: no error", bad)
 		}
 	}
-	if _, err := Parse([]byte("no equals sign")); err == nil {
+	if _, err := ParseLines([]byte("no equals sign")); err == nil {
 		t.Error("a line without '=': no error")
 	}
 }
@@ -103,15 +103,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := s.Config()
+	got, err := s.PolicyConfig()
 	if err != nil {
 		t.Fatal(err)
 	}
-	lines, err := Parse([]byte(someSettings))
+	lines, err := ParseLines([]byte(someSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	want, err := lines.Config()
+	want, err := lines.PolicyConfig()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -121,8 +121,8 @@
 	if names := s.Names("classes"); !slices.Equal(names, []string{"a b", "c"}) {
 		t.Errorf("classes %q", names)
 	}
-	if c := s.Columns(); !slices.Equal(c, lines.Columns()) || s.Words("none") != nil {
-		t.Errorf("columns %q in JSON, %q in lines", c, lines.Columns())
+	if c := s.LoadColumns(); !slices.Equal(c, lines.LoadColumns()) || s.Values("none") != nil {
+		t.Errorf("columns %q in JSON, %q in lines", c, lines.LoadColumns())
 	}
 	for _, bad := range []string{"", "[]", `{"balancers":`, "7"} {
 		if _, err := ParseJSON([]byte(bad)); err == nil {
@@ -133,17 +133,17 @@
 
 // Guards against this: the servers report what waits and not what they hold, and all their reports say nothing.
 func TestLoadTakesEveryKnownColumn(t *testing.T) {
-	columns := Columns{"pending", "cpu_share", "served_ps", "svc_ms"}
+	columns := LoadColumns{"pending", "cpu_share", "served_ps", "svc_ms"}
 	for _, tt := range []struct {
 		name   string
 		values []float64
-		want   policy.Load
+		want   policy.LoadReport
 	}{
-		{"all", []float64{3, 0.5, 20, 7}, policy.Load{InFlight: -1, Waiting: 3, Busy: 0.5, Rate: 20}},
-		{"cut short", []float64{3}, policy.Load{InFlight: -1, Waiting: 3, Busy: -1, Rate: -1}},
-		{"unusable", []float64{math.NaN(), -1, math.Inf(1)}, policy.NoLoad},
+		{"all", []float64{3, 0.5, 20, 7}, policy.LoadReport{InFlight: -1, Queued: 3, Utilization: 0.5, ServedPerSecond: 20}},
+		{"cut short", []float64{3}, policy.LoadReport{InFlight: -1, Queued: 3, Utilization: -1, ServedPerSecond: -1}},
+		{"unusable", []float64{math.NaN(), -1, math.Inf(1)}, policy.UnknownLoad},
 	} {
-		got := columns.Load(func(i int) (float64, bool) {
+		got := columns.LoadReport(func(i int) (float64, bool) {
 			if i >= len(tt.values) {
 				return 0, false
 			}
@@ -166,7 +166,7 @@
 		if err != nil {
 			return err
 		}
-		_, err = s.Config()
+		_, err = s.PolicyConfig()
 		return err
 	}
 	if err := read(good); err != nil {
--- a/internal/sidecar/adviser.go
+++ b/internal/sidecar/adviser.go
@@ -69,7 +69,7 @@
 type digested struct{ digest chan<- overload.Digest }
 
 // advised is the event of a word that is to be in force.
-type advised struct{ advice policy.Advice }
+type advised struct{ advice policy.OverloadAdvice }
 
 func newAdviser(c *Config, l *loop) (*adviser, error) {
 	r, err := client.New(c.Advice.Registry, c.Seed)
@@ -95,7 +95,7 @@
 		c.Refused++
 	case outcome == outcomeFailed:
 		c.Failed++
-	case time.Since(r.began) > l.config.Policy.Classes[r.class].Aim:
+	case time.Since(r.began) > l.config.Policy.Classes[r.class].LatencyObjective:
 		c.Late++
 	default:
 		c.InTime++
@@ -104,7 +104,7 @@
 
 // digest tells what was counted, and counts anew.
 func (l *loop) digest() overload.Digest {
-	d := overload.Digest{Congestion: min(1, l.b.Jam(l.now)), Tenants: append([]overload.TenantCounts(nil), l.tally...)}
+	d := overload.Digest{Congestion: min(1, l.b.Congestion(l.now)), Tenants: append([]overload.TenantCounts(nil), l.tally...)}
 	for i, c := range l.tally {
 		l.tally[i] = overload.TenantCounts{Tenant: c.Tenant, Quota: c.Quota}
 	}
@@ -183,7 +183,7 @@
 	a.mu.Lock()
 	a.word, a.since = word, time.Now()
 	a.mu.Unlock()
-	a.loop.post(advised{policy.Advice{Parts: parts, For: time.Duration(word.ValidMS) * time.Millisecond}})
+	a.loop.post(advised{policy.OverloadAdvice{AdmittedShares: parts, ValidFor: time.Duration(word.ValidMS) * time.Millisecond}})
 	return nil
 }
 
--- a/internal/sidecar/client.go
+++ b/internal/sidecar/client.go
@@ -206,17 +206,17 @@
 	// The method and the key follow from the class. A keyed request without its
 	// key could not be recognised as a repeat.
 	method := http.MethodPost
-	effect := s.loop.config.Policy.Classes[class].Effect
-	if effect == policy.Safe {
+	effect := s.loop.config.Policy.Classes[class].Idempotency
+	if effect == policy.Idempotent {
 		method = http.MethodGet
 	}
 	if hr.Method != method {
 		return nil, http.StatusMethodNotAllowed
 	}
-	if _, keyed := single(h, "Idempotency-Key"); keyed != (effect == policy.Keyed) || len(h["Idempotency-Key"]) > 1 {
+	if _, keyed := single(h, "Idempotency-Key"); keyed != (effect == policy.IdempotentByKey) || len(h["Idempotency-Key"]) > 1 {
 		return nil, bad
 	}
-	if effect == policy.Safe && hr.ContentLength > 0 {
+	if effect == policy.Idempotent && hr.ContentLength > 0 {
 		return nil, bad
 	}
 	if s.loop.names.has(name) {
@@ -228,7 +228,7 @@
 		return nil, http.StatusRequestTimeout
 	case errors.Is(err, errTooLarge):
 		return nil, http.StatusRequestEntityTooLarge
-	case err != nil || effect == policy.Safe && len(body) > 0:
+	case err != nil || effect == policy.Idempotent && len(body) > 0:
 		return nil, bad
 	}
 	came := c.cameAt()
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -34,7 +34,7 @@
 	Classes     []string
 	Tenants     []string // empty: there is one, and requests need not name it
 	Zones       []string
-	LoadFields  settings.Columns     // the names in a load report
+	LoadFields  settings.LoadColumns // the names in a load report
 	DialTimeout time.Duration        // a connection not made by then never comes
 	ConnIdle    time.Duration        // upstreams close a connection that was idle this long
 	Connections connectionLimits     // how many connections, on both sides
@@ -184,7 +184,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p, err := s.Config()
+	p, err := s.PolicyConfig()
 	if err != nil {
 		return nil, err
 	}
@@ -194,8 +194,8 @@
 		Policy:      p,
 		Classes:     s.Names("classes"),
 		Tenants:     s.Names("orgs"),
-		Zones:       s.Words("zones"),
-		LoadFields:  s.Columns(),
+		Zones:       s.Values("zones"),
+		LoadFields:  s.LoadColumns(),
 		DialTimeout: s.Duration("caps.dial_timeout_ms", defaultDialTimeout),
 		ConnIdle:    s.Duration("caps.conn_idle_ms", defaultConnIdle),
 	}
--- a/internal/sidecar/conn.go
+++ b/internal/sidecar/conn.go
@@ -221,7 +221,7 @@
 }
 
 // mayClose asks whether the connection may be closed.
-func (c *clientConn) mayClose(closing policy.Closing) bool {
+func (c *clientConn) mayClose(closing policy.CloseFacts) bool {
 	if c.gate == nil {
 		return closing.Decide() == policy.Allowed
 	}
@@ -256,7 +256,7 @@
 func (c *clientConn) Close() error {
 	c.mu.Lock()
 	told, taken := c.told, c.state == connBusy
-	closing := policy.Closing{Read: c.owed && c.state != connClosed, Answered: c.answered.Load()}
+	closing := policy.CloseFacts{RequestRead: c.owed && c.state != connClosed, Answered: c.answered.Load()}
 	c.mu.Unlock()
 	if told != nil {
 		<-told // whoever dismissed it has answered, and closes it
@@ -306,7 +306,7 @@
 // is not closed yet: the caller has to call dismiss, which answers first.
 func (c *clientConn) closeIdle(half bool) (state connState, owed bool) {
 	c.mu.Lock()
-	closing := c.state != connClosed && c.mayClose(policy.Closing{Taken: c.state == connBusy, Read: c.heard, Answered: half})
+	closing := c.state != connClosed && c.mayClose(policy.CloseFacts{InProgress: c.state == connBusy, RequestRead: c.heard, Answered: half})
 	if closing {
 		c.state = connClosed
 		if owed = c.owed; owed {
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -89,7 +89,7 @@
 
 func TestEntriesBecomeServers(t *testing.T) {
 	l := newTestLoop(t)
-	enter := func(e client.Endpoint) policy.Server {
+	enter := func(e client.Endpoint) policy.Endpoint {
 		s, ok := l.enter(e)
 		if !ok {
 			t.Fatalf("%+v was passed over", e)
@@ -111,7 +111,7 @@
 		t.Errorf("unknown health gives %v", d.State)
 	}
 	e.Health, e.Dial = "removed", ""
-	if d := enter(e); d.ID != s.ID || d.State != policy.Gone {
+	if d := enter(e); d.ID != s.ID || d.State != policy.Removed {
 		t.Errorf("removed without an address gives %+v", d)
 	}
 	other := enter(client.Endpoint{Host: "s-2", Dial: "127.0.0.1:9", Site: "elsewhere", Health: "up"})
--- a/internal/sidecar/explain.go
+++ b/internal/sidecar/explain.go
@@ -37,7 +37,7 @@
 	line("attempts for a request", "settings.caps.most_tries", "%d", p.MaxAttempts)
 	line("longest Retry-After", "settings.caps.max_retry_after_ms", "%v", p.MaxRetryAfter)
 	for i, k := range p.Classes {
-		line("class "+c.Classes[i], "settings.classes", "aim %v, deadline %v, worth %g, %s", k.Aim, k.Deadline, k.Worth, repeats(k))
+		line("class "+c.Classes[i], "settings.classes", "aim %v, deadline %v, worth %g, %s", k.LatencyObjective, k.Deadline, k.PriorityWeight, repeats(k))
 	}
 	tenants := c.Tenants
 	if len(tenants) == 0 {
@@ -50,10 +50,10 @@
 			line("compartment "+name, "settings.orgs names no quota", "sized by the first list of servers")
 		}
 	}
-	line("a change of the list counts as told after", "settings.rules.ask_within_ms", "%s", orNone(p.AskWithin))
+	line("a change of the list counts as told after", "settings.rules.ask_within_ms", "%s", orNone(p.PollDeadline))
 	line("sends to a server that drains stop within", "settings.rules.stop_sending_within_ms", "%s", orNone(p.DrainGrace))
 	line("a cold server", "settings.rules.cold_*, fall_multiple", "begins at %g of its capacity, is warm after %v, falls over at %g times what it can do",
-		p.ColdFrom, p.ColdTime, p.ColdMultiple)
+		p.SlowStartFloor, p.SlowStartWindow, p.OverloadFactor)
 	line("connecting is given up after", "settings.caps.dial_timeout_ms", "%v", c.DialTimeout)
 	line("servers close idle connections after", "settings.caps.conn_idle_ms", "%v", c.ConnIdle)
 	k, s := c.Connections.Clients, c.Connections.Servers
@@ -72,12 +72,12 @@
 
 // repeats says in words what repeating a request of a class may do.
 func repeats(c policy.Class) string {
-	switch c.Effect {
-	case policy.Safe:
+	switch c.Idempotency {
+	case policy.Idempotent:
 		return "may be repeated"
-	case policy.Keyed:
-		scope := map[policy.Scope]string{policy.ScopeAll: "all servers", policy.ScopeZone: "the servers of a zone", policy.ScopeCell: "the servers of a cell"}
-		return fmt.Sprintf("repeats dropped by %s for %v", scope[c.Scope], c.Window)
+	case policy.IdempotentByKey:
+		scope := map[policy.DedupScope]string{policy.ScopeAll: "all servers", policy.ScopeZone: "the servers of a zone", policy.ScopeCell: "the servers of a cell"}
+		return fmt.Sprintf("repeats dropped by %s for %v", scope[c.DedupScope], c.DedupWindow)
 	}
 	return "must never run twice"
 }
--- a/internal/sidecar/file_test.go
+++ b/internal/sidecar/file_test.go
@@ -161,16 +161,16 @@
 		"classes.0.aim_ms=9", "classes.0.aim_stretch=9", "classes.0.hard_limit_ms=9", "classes.0.late_share=0.9", "classes.0.worth=9", "classes.0.semantics=free", "classes.0.dedup_scope=all", "classes.0.window_ms=9",
 		"orgs.0.share=9", "orgs.0.quota_per_s=9",
 	} {
-		base, err := settings.Parse([]byte("classes.count=1\norgs.count=1\n"))
+		base, err := settings.ParseLines([]byte("classes.count=1\norgs.count=1\n"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		with, err := settings.Parse([]byte("classes.count=1\norgs.count=1\n" + path))
+		with, err := settings.ParseLines([]byte("classes.count=1\norgs.count=1\n" + path))
 		if err != nil {
 			t.Fatal(err)
 		}
-		a, _ := base.Config()
-		b, _ := with.Config()
+		a, _ := base.PolicyConfig()
+		b, _ := with.PolicyConfig()
 		if reflect.DeepEqual(a, b) {
 			t.Errorf("%s has no effect", path)
 		}
--- a/internal/sidecar/gate.go
+++ b/internal/sidecar/gate.go
@@ -48,7 +48,7 @@
 	begin      time.Time
 	stopBy     atomic.Int64 // since begin; policy.NoLimit while the process serves on
 	lateFrom   atomic.Int64 // since begin: what comes from then on is bound to stopBy
-	decided    [acts][policy.Denials]atomic.Uint64
+	decided    [acts][policy.NumDenials]atomic.Uint64
 	violations [violations]atomic.Uint64
 }
 
@@ -90,18 +90,18 @@
 // answered checks the answer to a request that has a bound.
 func (g *gate) answered(stopBy, now time.Time, name string) {
 	if !stopBy.IsZero() && now.Sub(stopBy) > holdUp {
-		g.violated(violationLateStop, name, policy.DeniedStopping)
+		g.violated(violationLateStop, name, policy.DeniedShutdown)
 	}
 }
 
 // maySend decides on an attempt by the facts given and the time of now.
-func (g *gate) maySend(s policy.Sending, now time.Time) policy.Denial {
+func (g *gate) maySend(s policy.SendFacts, now time.Time) policy.Denial {
 	s.Now = g.at(now)
 	return g.count(actSend, s.Decide())
 }
 
 // sent checks an attempt after its last byte was handed to the kernel.
-func (g *gate) sent(s policy.Sending, now time.Time, name string) {
+func (g *gate) sent(s policy.SendFacts, now time.Time, name string) {
 	s.Now = g.at(now) - holdUp
 	if d := s.Decide(); d != policy.Allowed {
 		g.violated(violationLateSend, name, d)
@@ -109,10 +109,10 @@
 }
 
 // mayClose decides on the end of a client's connection.
-func (g *gate) mayClose(c policy.Closing) policy.Denial { return g.count(actClose, c.Decide()) }
+func (g *gate) mayClose(c policy.CloseFacts) policy.Denial { return g.count(actClose, c.Decide()) }
 
 // closed checks the end of a client's connection after it.
-func (g *gate) closed(c policy.Closing, name string) {
+func (g *gate) closed(c policy.CloseFacts, name string) {
 	if d := c.Decide(); d != policy.Allowed {
 		g.violated(violationUnanswered, name, d)
 	}
@@ -120,7 +120,7 @@
 
 // mayStart decides on something that takes so long.
 func (g *gate) mayStart(takes time.Duration) policy.Denial {
-	s := policy.Starting{Now: g.at(time.Now()), StopBy: time.Duration(g.stopBy.Load()), Takes: takes}
+	s := policy.StartFacts{Now: g.at(time.Now()), ShutdownDeadline: time.Duration(g.stopBy.Load()), MaxDuration: takes}
 	return g.count(actStart, s.Decide())
 }
 
@@ -144,7 +144,7 @@
 func (g *gate) counters() GateCounters {
 	c := GateCounters{Decided: make(map[string]uint64), Violated: make(map[string]uint64)}
 	for a := range acts {
-		for d := range policy.Denials {
+		for d := range policy.NumDenials {
 			if n := g.decided[a][d].Load(); n > 0 {
 				c.Decided[fmt.Sprintf("%v: %v", a, d)] = n
 			}
--- a/internal/sidecar/gate_test.go
+++ b/internal/sidecar/gate_test.go
@@ -175,7 +175,7 @@
 	if got := try(); got != policy.NotSent || len(u.requests) != 1 {
 		t.Errorf("ending %v with %d requests written, want not sent", got, len(u.requests))
 	}
-	if n := ups.gate.decided[actSend][policy.DeniedLeft].Load(); n != 1 {
+	if n := ups.gate.decided[actSend][policy.DeniedClientGone].Load(); n != 1 {
 		t.Errorf("%d denials for a client that left, want 1", n)
 	}
 }
@@ -183,9 +183,9 @@
 // What was sent past its end, a late answer at the process's end and a close over a request are counted.
 func TestGateCountsViolations(t *testing.T) {
 	g, now := newGate(), time.Now()
-	fine := policy.Sending{Until: g.at(now.Add(time.Second)), StopBy: policy.NoLimit, RepeatBy: policy.NoLimit, Server: policy.Ready}
+	fine := policy.SendFacts{ClientDeadline: g.at(now.Add(time.Second)), ShutdownDeadline: policy.NoLimit, RepeatDeadline: policy.NoLimit, ServerState: policy.Ready}
 	late := fine
-	late.Until = g.at(now)
+	late.ClientDeadline = g.at(now)
 	g.sent(fine, now, "fine")
 	g.sent(late, now.Add(holdUp/2), "held up")
 	if c := g.counters(); len(c.Violated) != 0 {
@@ -193,7 +193,7 @@
 	}
 	g.sent(late, now.Add(2*holdUp), "late")
 	g.answered(now, now.Add(2*holdUp), "late")
-	g.closed(policy.Closing{Read: true}, "unanswered")
+	g.closed(policy.CloseFacts{RequestRead: true}, "unanswered")
 	if c := g.counters(); len(c.Violated) != int(violations) {
 		t.Errorf("counted %v, want each rule once", c.Violated)
 	}
@@ -214,7 +214,7 @@
 	if left := by.Sub(now); left <= 0 || left > 2*time.Second {
 		t.Errorf("a late one is bound to %v after the signal", left)
 	}
-	if g.mayStart(time.Second) != policy.Allowed || g.mayStart(3*time.Second) != policy.DeniedStopping {
+	if g.mayStart(time.Second) != policy.Allowed || g.mayStart(3*time.Second) != policy.DeniedShutdown {
 		t.Error("what takes longer than the process has may be started, or what does not may not")
 	}
 	r := &request{until: now.Add(time.Hour), stopBy: by}
--- a/internal/sidecar/governor.go
+++ b/internal/sidecar/governor.go
@@ -454,18 +454,18 @@
 
 // ruled is the event of a policy that is to be in force.
 type ruled struct {
-	rule policy.Rule
+	rule policy.FleetLimits
 	done chan<- struct{}
 }
 
 // rule is what a document says to the decision module.
-func (l *loop) rule(d *rollout.Document) (r policy.Rule) {
+func (l *loop) rule(d *rollout.Document) (r policy.FleetLimits) {
 	if d == nil {
 		return r
 	}
 	for _, name := range l.tenantNames() {
 		t := d.Tenant(name)
-		r.Walls = append(r.Walls, policy.Held{Slots: t.Slots, Places: t.QueuePlaces})
+		r.Bulkheads = append(r.Bulkheads, policy.BulkheadCapacity{Slots: t.Slots, Places: t.QueuePlaces})
 	}
 	r.MaxAttempts, r.NoProbes = d.MaxAttempts, d.NoProbes
 	return r
--- a/internal/sidecar/listener.go
+++ b/internal/sidecar/listener.go
@@ -85,7 +85,7 @@
 	l := &limitedListener{
 		inner: inner, limits: limits, accepts: true, placed: make(map[*clientConn]struct{}), accepted: make(chan struct{}),
 		ready: make(chan *clientConn), over: make(chan struct{}), gone: make(chan struct{}),
-		table: admission.New[*clientConn](limits.Limits, admission.Grace{Speak: speakIn, Finish: finishIn}),
+		table: admission.New[*clientConn](limits.Limits, admission.Grace{FirstByte: speakIn, WholeRequest: finishIn}),
 	}
 	l.room = sync.NewCond(&l.mu)
 	l.again = time.AfterFunc(time.Hour, func() {
@@ -217,7 +217,7 @@
 	l.serveWaiting(c.accepted)
 	for len(l.waiting) > l.limits.Waiting && !l.closed {
 		worst := l.greediest()
-		atItsLimit := l.limits.PerAddress < l.limits.Total && l.table.Held(l.waiting[worst].addr) >= l.limits.PerAddress
+		atItsLimit := l.limits.PerAddress < l.limits.Total && l.table.OpenFrom(l.waiting[worst].addr) >= l.limits.PerAddress
 		if atItsLimit || l.stopping || l.table.NextOverdue().IsZero() {
 			l.refuse(worst)
 			continue
@@ -258,7 +258,7 @@
 	for range l.waiting {
 		best, least := -1, 0
 		for i, w := range l.waiting {
-			if held := l.table.Held(w.addr); !tried[w.addr] && (best < 0 || held < least) {
+			if held := l.table.OpenFrom(w.addr); !tried[w.addr] && (best < 0 || held < least) {
 				best, least = i, held
 			}
 		}
@@ -277,7 +277,7 @@
 // the one that has to give its own up for it.
 func (l *limitedListener) makeRoom(addr netip.Addr, now time.Time) bool {
 	for {
-		verdict, victim := l.table.Ask(addr, now)
+		verdict, victim := l.table.Decide(addr, now)
 		switch {
 		case verdict == admission.Admit:
 			return true
@@ -295,7 +295,7 @@
 func (l *limitedListener) giveUp(p *admission.Conn[*clientConn], now time.Time) (counter *uint64, closed bool) {
 	c := p.Owner
 	if p.Silent() && !quiet(c.TCPConn) {
-		l.table.Spoke(p, now) // whoever waits for its first byte has not run yet
+		l.table.FirstByteRead(p, now) // whoever waits for its first byte has not run yet
 		return nil, false
 	}
 	if counter = &l.count.GivenUpSilent; p.Idle() {
@@ -304,10 +304,10 @@
 	state, owed := c.closeIdle(!p.Idle())
 	switch state {
 	case connBusy:
-		l.table.Taken(p, now) // a moment ago
+		l.table.RequestStarted(p, now) // a moment ago
 		return nil, false
 	case connIdle:
-		l.table.Spoke(p, now) // its next request has begun to come
+		l.table.FirstByteRead(p, now) // its next request has begun to come
 		return nil, false
 	}
 	l.table.Remove(p)
@@ -359,7 +359,7 @@
 			l.mu.Unlock()
 			return
 		}
-		l.table.Spoke(&c.place, time.Now())
+		l.table.FirstByteRead(&c.place, time.Now())
 		l.mu.Unlock()
 		select {
 		case l.ready <- c:
@@ -381,7 +381,7 @@
 	}
 	worst, most := 0, -1
 	for i, w := range l.waiting {
-		if has := l.table.Held(w.addr) + asks[w.addr]; has >= most {
+		if has := l.table.OpenFrom(w.addr) + asks[w.addr]; has >= most {
 			worst, most = i, has
 		}
 	}
@@ -458,7 +458,7 @@
 
 // closeExcess closes idle connections while there are too many.
 func (l *limitedListener) closeExcess(now time.Time) {
-	for p := l.table.Excess(); p != nil; p = l.table.Excess() {
+	for p := l.table.ExcessIdle(); p != nil; p = l.table.ExcessIdle() {
 		if _, ok := l.giveUp(p, now); ok {
 			l.count.OverIdle++
 		}
@@ -512,7 +512,7 @@
 func (l *limitedListener) headRead(c *clientConn) {
 	c.headRead()
 	l.mu.Lock()
-	l.table.Head(&c.place)
+	l.table.HeaderRead(&c.place)
 	l.serveWaiting(time.Now())
 	l.mu.Unlock()
 }
@@ -524,7 +524,7 @@
 		return false
 	}
 	l.mu.Lock()
-	l.table.Taken(&c.place, time.Now())
+	l.table.RequestStarted(&c.place, time.Now())
 	l.mu.Unlock()
 	return true
 }
@@ -537,10 +537,10 @@
 	defer l.mu.Unlock()
 	switch state {
 	case http.StateActive:
-		l.table.Spoke(&c.place, now)
+		l.table.FirstByteRead(&c.place, now)
 	case http.StateIdle:
 		c.rest()
-		l.table.Rest(&c.place, now)
+		l.table.BecameIdle(&c.place, now)
 		if l.draining {
 			l.drainIdle(now)
 		} else {
@@ -564,7 +564,7 @@
 func (l *limitedListener) speaking() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.taken - l.table.Mute(time.Now())
+	return l.taken - l.table.SilentOverdue(time.Now())
 }
 
 // listenerState is what is open at a moment.
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -76,12 +76,14 @@
 	probed struct {
 		probe *probe
 		ok    bool
-		load  policy.Load
+		load  policy.LoadReport
 	}
 	listed     struct{ news client.ListUpdate }
 	listFailed struct{ loss client.ListLoss }
-	leaving    struct{ held chan<- []policy.Held } // a new process takes this one's place
-	beside     struct{ held []policy.Held }        // what the old one still holds
+	leaving    struct {
+		held chan<- []policy.BulkheadCapacity
+	} // a new process takes this one's place
+	beside struct{ held []policy.BulkheadCapacity } // what the old one still holds
 )
 
 // probe is one probe that was asked for; its result waits for those before it.
@@ -89,7 +91,7 @@
 	host *host
 	done bool
 	ok   bool
-	load policy.Load
+	load policy.LoadReport
 }
 
 // host is an upstream of the list.
@@ -245,8 +247,8 @@
 
 // leave gives up what this process does not need any more, and returns what it
 // keeps; nothing once the loop has ended.
-func (l *loop) leave() []policy.Held {
-	held := make(chan []policy.Held, 1)
+func (l *loop) leave() []policy.BulkheadCapacity {
+	held := make(chan []policy.BulkheadCapacity, 1)
 	if !l.post(leaving{held}) {
 		return nil
 	}
@@ -339,11 +341,11 @@
 		}
 		l.list(kind, e.news)
 	case listFailed:
-		l.b.Lost(l.now, policy.ListLoss(e.loss))
+		l.b.ListLost(l.now, policy.ListLoss(e.loss))
 	case leaving:
-		e.held <- l.b.Leave(l.stillComing())
+		e.held <- l.b.HandOver(l.stillComing())
 	case beside:
-		l.b.Beside(l.now, e.held)
+		l.b.ReserveForPredecessor(l.now, e.held)
 	case asked:
 		e.state <- l.stand()
 	case digested:
@@ -351,9 +353,9 @@
 	case advised:
 		l.b.Advise(l.now, e.advice)
 	case numbered:
-		l.b.Fleet(e.sidecars)
+		l.b.SetFleetSize(e.sidecars)
 	case ruled:
-		l.b.Govern(l.now, e.rule)
+		l.b.SetFleetLimits(l.now, e.rule)
 		close(e.done)
 	}
 }
@@ -376,8 +378,8 @@
 		return
 	}
 	l.b.Request(l.now, policy.Request{
-		ID: r.id, Class: r.class, Tenant: r.tenant, Repeat: r.repeat, Work: r.work, Key: r.key,
-		Left: time.Until(r.until), StopIn: r.stopIn(),
+		ID: r.id, Class: r.class, Tenant: r.tenant, ClientRetry: r.repeat, ExpectedWork: r.work, AffinityKey: r.key,
+		TimeLeft: time.Until(r.until), ShutdownIn: r.stopIn(),
 	})
 }
 
@@ -402,7 +404,7 @@
 		l.close(r)
 		r.answer <- a
 		if l.note != nil {
-			l.note(a.status, time.Since(r.began), l.config.Policy.Classes[r.class].Aim)
+			l.note(a.status, time.Since(r.began), l.config.Policy.Classes[r.class].LatencyObjective)
 		}
 		if l.tally != nil {
 			l.count(r, a.status)
@@ -445,7 +447,7 @@
 
 // list takes news of the list over and passes them to the module.
 func (l *loop) list(kind policy.ListKind, news client.ListUpdate) {
-	servers := make([]policy.Server, 0, len(news.Endpoints))
+	servers := make([]policy.Endpoint, 0, len(news.Endpoints))
 	named := make(map[string]bool, len(news.Endpoints))
 	for _, e := range news.Endpoints {
 		if named[e.Host] && kind != policy.ListDelta {
@@ -520,14 +522,14 @@
 
 // enter takes one entry of the list over. A word for its health that is not
 // known means nothing new, as draining does.
-func (l *loop) enter(e client.Endpoint) (policy.Server, bool) {
+func (l *loop) enter(e client.Endpoint) (policy.Endpoint, bool) {
 	if e.Host == "" || e.Malformed {
-		return policy.Server{}, false
+		return policy.Endpoint{}, false
 	}
 	h := l.hosts[e.Host]
 	if _, err := netip.ParseAddrPort(e.Dial); err != nil {
 		if h == nil || e.Health == "up" {
-			return policy.Server{}, false
+			return policy.Endpoint{}, false
 		}
 		e.Dial = h.entry.Dial // it is to get nothing new: its address does not matter
 	}
@@ -542,7 +544,7 @@
 	// A start ahead of this machine's clock would keep an upstream cold for too
 	// long; it is taken for now, and stays so while the entry names the same start.
 	if h.entry.BornMS != e.BornMS || h.started == 0 {
-		h.started = policy.StartedAt(settings.Millis(e.BornMS), l.now, l.wallStep())
+		h.started = policy.StartedAt(settings.DurationFromMillis(e.BornMS), l.now, l.wallStep())
 	}
 	h.entry = e
 	site, ok := l.sites[e.Site]
@@ -551,7 +553,7 @@
 		l.nextSite++
 		l.sites[e.Site] = site
 	}
-	s := policy.Server{ID: h.id, Zone: site, Weight: e.Share, Started: h.started, State: policy.Draining}
+	s := policy.Endpoint{ID: h.id, Zone: site, Weight: e.Share, Started: h.started, State: policy.Draining}
 	if s.Cell = -int(h.id); e.Block != nil { // without a cell it shares its keys with no other
 		s.Cell = *e.Block
 	}
@@ -559,7 +561,7 @@
 	case "up":
 		s.State = policy.Ready
 	case "removed":
-		s.State = policy.Gone
+		s.State = policy.Removed
 	}
 	return s, true
 }
--- a/internal/sidecar/meter.go
+++ b/internal/sidecar/meter.go
@@ -73,7 +73,7 @@
 
 // stand is the loop's part of the state.
 func (l *loop) stand() State {
-	s := State{Open: len(l.requests), Gate: l.up.gate.counters(), Jam: l.b.Jam(l.now), Decided: l.b.Counters(), Servers: make(map[string]map[string]int)}
+	s := State{Open: len(l.requests), Gate: l.up.gate.counters(), Jam: l.b.Congestion(l.now), Decided: l.b.Counters(), Servers: make(map[string]map[string]int)}
 	if l.heardAt > 0 {
 		s.ListAge = l.now - l.heardAt
 	}
@@ -155,7 +155,7 @@
 
 // endingNames are the module's endings in words.
 var endingNames = map[policy.Ending]string{
-	policy.Served: "served", policy.Errored: "error", policy.TurnedAway: "turned away", policy.TimedOut: "timed out",
+	policy.Served: "served", policy.Errored: "error", policy.Rejected: "turned away", policy.TimedOut: "timed out",
 	policy.NoConnection: "no connection", policy.Broken: "broken", policy.Cancelled: "called off", policy.NotSent: "not sent",
 }
 
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -180,7 +180,7 @@
 	}
 	w := &waiter{since: time.Now(), got: make(chan got, 1)}
 	w.place.Value = w
-	to.waiting.Push(&w.place)
+	to.waiting.PushBack(&w.place)
 	p.waiting++
 	p.count.Waited++
 	p.openLocked(to)
@@ -195,7 +195,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !w.place.In() { // served a moment ago
+	if !w.place.Linked() { // served a moment ago
 		g := <-w.got
 		return g.conn, g.err
 	}
@@ -228,8 +228,8 @@
 	for to.closedTo() == nil && p.life.Err() == nil && to.waiting.Len() > to.dialing+soon &&
 		to.open < p.limits.PerServer && to.dialing < min(max(to.window, firstWindow), p.limits.HandshakesPerServer) {
 		if p.dialing >= p.limits.Handshakes || (p.open >= p.limits.Total && !p.evictLocked()) {
-			if to.blocked.Value = to; !to.blocked.In() {
-				p.blocked.Push(&to.blocked)
+			if to.blocked.Value = to; !to.blocked.Linked() {
+				p.blocked.PushBack(&to.blocked)
 			}
 			return
 		}
@@ -245,7 +245,7 @@
 // unblockLocked goes on with the upstreams that a bound on all held up, in turn.
 func (p *pool) unblockLocked() {
 	for n := p.blocked.Front(); n != nil; n = p.blocked.Front() {
-		if p.openLocked(n.Value); n.In() {
+		if p.openLocked(n.Value); n.Linked() {
 			return // it is held up still, and so are those behind it
 		}
 	}
@@ -347,8 +347,8 @@
 	if p.giveLocked(c.peer, got{conn: c}) {
 		return
 	}
-	c.peer.idle.Push(&c.inPeer)
-	p.idle.Push(&c.inAll)
+	c.peer.idle.PushBack(&c.inPeer)
+	p.idle.PushBack(&c.inAll)
 }
 
 // drop closes a connection that came from get.
@@ -414,12 +414,12 @@
 
 // stateOf is what the list says of an upstream by now. Between its choice and the write lies a
 // handshake, and meanwhile the list may have said that it drains.
-func (p *pool) stateOf(to *peer) policy.State {
+func (p *pool) stateOf(to *peer) policy.EndpointState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
 	case to.gone:
-		return policy.Gone
+		return policy.Removed
 	case to.drains:
 		return policy.Draining
 	}
--- a/internal/sidecar/races_test.go
+++ b/internal/sidecar/races_test.go
@@ -370,7 +370,7 @@
 	}
 	io.Copy(io.Discard, resp.Body)
 	await(t, "the end of its connection", limited.gone)
-	if held := l.leave(); len(held) == 0 || held[0] != (policy.Held{}) {
+	if held := l.leave(); len(held) == 0 || held[0] != (policy.BulkheadCapacity{}) {
 		t.Errorf("it keeps %v at the end", held)
 	}
 }
--- a/internal/sidecar/resting.go
+++ b/internal/sidecar/resting.go
@@ -66,7 +66,7 @@
 func (p *pool) restLocked(c *conn) {
 	c.rested = c.idle.Add(p.restOf(c))
 	heap.Push(&p.resting, c)
-	c.peer.resting.Push(&c.inPeer)
+	c.peer.resting.PushBack(&c.inPeer)
 	if p.resting[0] == c {
 		p.rested.Reset(time.Until(c.rested))
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -50,7 +50,7 @@
 	defer pool.close()
 	up := newUpstreams(pool)
 	up.loadFields = c.LoadFields
-	if c.Policy.Reports {
+	if c.Policy.LoadReports {
 		up.statsPath = "/stats"
 	}
 	l, err := newLoop(c, up)
@@ -67,8 +67,8 @@
 		Addrs: c.discoveryAddrs(), LastKnown: c.Known, Seed: c.Seed, Grace: c.Policy.DrainGrace,
 		Deliver: func(news client.ListUpdate) { l.post(listed{news}) },
 	}
-	if c.Policy.AskList {
-		discovery.MaxStagger = policy.Stagger(c.Policy.Balancers)
+	if c.Policy.PollList {
+		discovery.MaxStagger = policy.SubscribeDelay(c.Policy.Balancers)
 		discovery.Polls, discovery.OnLoss = l.asks, func(loss client.ListLoss) { l.post(listFailed{loss}) }
 	}
 	d := client.NewWatcher(discovery)
@@ -135,7 +135,7 @@
 	loops.Go(func() { l.run(run) })
 	loops.Go(func() { sweep(run, pool) })
 
-	ending := newDrain(limited, up.gate, policy.StopWithin(c.Policy.Classes))
+	ending := newDrain(limited, up.gate, policy.ShutdownTimeout(c.Policy.Classes))
 	clients := newClients(c, l, ending)
 	clients.governor, clients.adviser, clients.member = gov, adv, member
 	if member != nil {
@@ -166,7 +166,7 @@
 			err := old.takePlace(run, c.Takeover.readyIn(), l.ready.Load, func() {
 				limited.begin()
 				took <- nil
-			}, func(held []policy.Held) { l.post(beside{held}) })
+			}, func(held []policy.BulkheadCapacity) { l.post(beside{held}) })
 			if err != nil {
 				took <- err
 			}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -141,11 +141,11 @@
 	h := l.hosts["s-1"]
 	first, second := &probe{host: h}, &probe{host: h}
 	h.probes = []*probe{first, second}
-	l.handle(probed{second, true, policy.Load{InFlight: 1}})
+	l.handle(probed{second, true, policy.LoadReport{InFlight: 1}})
 	if len(h.probes) != 2 {
 		t.Fatal("the second result went before the first")
 	}
-	l.handle(probed{first, false, policy.NoLoad})
+	l.handle(probed{first, false, policy.UnknownLoad})
 	if len(h.probes) != 0 {
 		t.Errorf("%d results are held back", len(h.probes))
 	}
--- a/internal/sidecar/takeover.go
+++ b/internal/sidecar/takeover.go
@@ -78,11 +78,11 @@
 
 // message is one line between the two processes.
 type message struct {
-	Kind   string        `json:"kind"`
-	Name   string        `json:"name,omitempty"`
-	Listen string        `json:"listen,omitempty"`
-	Held   []policy.Held `json:"held,omitempty"`
-	Error  string        `json:"error,omitempty"`
+	Kind   string                    `json:"kind"`
+	Name   string                    `json:"name,omitempty"`
+	Listen string                    `json:"listen,omitempty"`
+	Held   []policy.BulkheadCapacity `json:"held,omitempty"`
+	Error  string                    `json:"error,omitempty"`
 }
 
 // The kinds of messages.
@@ -215,7 +215,7 @@
 
 // ready tells the old process that this one could serve, waits until it may, and
 // returns what the old one still holds: nothing if it has died.
-func (p *predecessor) ready() ([]policy.Held, error) {
+func (p *predecessor) ready() ([]policy.BulkheadCapacity, error) {
 	if err := send(p.conn, message{Kind: msgReady}, nil); err != nil && !died(err) {
 		return nil, fmt.Errorf("take-over: %w", err)
 	}
@@ -239,7 +239,7 @@
 }
 
 // follow hears what the old process still holds, until it ends.
-func (p *predecessor) follow(beside func(held []policy.Held)) {
+func (p *predecessor) follow(beside func(held []policy.BulkheadCapacity)) {
 	defer beside(nil)
 	for {
 		m, err := receive(p.conn, p.in, msgHeld, answerIn)
@@ -256,7 +256,7 @@
 // and passes on what that still holds until it ends. begin is called when this one
 // may accept.
 func (p *predecessor) takePlace(
-	ctx context.Context, within time.Duration, isReady func() bool, begin func(), beside func(held []policy.Held),
+	ctx context.Context, within time.Duration, isReady func() bool, begin func(), beside func(held []policy.BulkheadCapacity),
 ) error {
 	defer context.AfterFunc(ctx, p.close)()
 	waiting, cancel := context.WithTimeout(ctx, within)
@@ -430,7 +430,7 @@
 }
 
 // tell says what this process still holds, until ctx ends.
-func (s *successor) tell(ctx context.Context, held func() []policy.Held) {
+func (s *successor) tell(ctx context.Context, held func() []policy.BulkheadCapacity) {
 	defer close(s.gone)
 	t := time.NewTicker(heldEvery)
 	defer t.Stop()
--- a/internal/sidecar/takeover_test.go
+++ b/internal/sidecar/takeover_test.go
@@ -165,14 +165,14 @@
 func TestNewProcessWaitsForItsPlace(t *testing.T) {
 	for name, tt := range map[string]struct {
 		old  func(old *net.UnixConn)
-		want []policy.Held
+		want []policy.BulkheadCapacity
 		err  string
 	}{
 		"late": {func(old *net.UnixConn) {
 			time.Sleep(answerIn + 100*time.Millisecond) // what is tested: no time of its own ends the wait
 			send(old, message{Kind: msgYours}, nil)
-			send(old, message{Kind: msgHeld, Held: []policy.Held{{Slots: 3, Places: 1}}}, nil)
-		}, []policy.Held{{Slots: 3, Places: 1}}, ""},
+			send(old, message{Kind: msgHeld, Held: []policy.BulkheadCapacity{{Slots: 3, Places: 1}}}, nil)
+		}, []policy.BulkheadCapacity{{Slots: 3, Places: 1}}, ""},
 		"dies before its word": {func(old *net.UnixConn) { old.Close() }, nil, ""},
 		"dies after its word": {func(old *net.UnixConn) {
 			send(old, message{Kind: msgYours}, nil)
@@ -187,7 +187,7 @@
 		t.Run(name, func(t *testing.T) {
 			p, old := oldProcess(t)
 			type result struct {
-				held []policy.Held
+				held []policy.BulkheadCapacity
 				err  error
 			}
 			got := make(chan result, 1)
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -76,25 +76,25 @@
 }
 
 // sending is what is known of a write now.
-func (p permission) sending(g *gate, server policy.State) policy.Sending {
-	s := policy.Sending{
-		Until: g.at(p.until), StopBy: policy.NoLimit, RepeatBy: g.at(p.start), Server: server,
+func (p permission) sending(g *gate, server policy.EndpointState) policy.SendFacts {
+	s := policy.SendFacts{
+		ClientDeadline: g.at(p.until), ShutdownDeadline: policy.NoLimit, RepeatDeadline: g.at(p.start), ServerState: server,
 		MayHaveRun: !p.start.IsZero(), Repeatable: true,
 	}
 	s.Answered = p.begin.Err() != nil
 	if until, ok := p.begin.Deadline(); ok { // the timer that ends the context may be late, the clock is not
-		s.Until = min(s.Until, g.at(until))
+		s.ClientDeadline = min(s.ClientDeadline, g.at(until))
 	}
-	s.ClientLeft = p.left != nil && p.left()
+	s.ClientGone = p.left != nil && p.left()
 	return s
 }
 
 // denied is the error for a write that may not be.
-func denied(why policy.Denial, server policy.State) error {
+func denied(why policy.Denial, server policy.EndpointState) error {
 	switch {
-	case why != policy.DeniedServer:
+	case why != policy.DeniedServerNotReady:
 		return fmt.Errorf("%w: %v", errLate, why)
-	case server == policy.Gone:
+	case server == policy.Removed:
 		return errGone
 	}
 	return errDrains
@@ -112,7 +112,7 @@
 type upstreams struct {
 	pool       *pool
 	gate       *gate
-	loadFields settings.Columns
+	loadFields settings.LoadColumns
 	statsPath  string
 }
 
@@ -148,7 +148,7 @@
 		return policy.Served, &answer{status: http.StatusOK, header: resp.Header, body: body}
 	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("Not-Started") == "1":
-		return policy.TurnedAway, nil
+		return policy.Rejected, nil
 	}
 	return policy.Errored, nil
 }
@@ -332,8 +332,8 @@
 
 // probe asks an upstream for a sign of life and its load. Without any answer in
 // the time that a connection may take to come up, it has failed.
-func (u *upstreams) probe(ctx context.Context, to *peer) (ok bool, load policy.Load) {
-	load = policy.NoLoad
+func (u *upstreams) probe(ctx context.Context, to *peer) (ok bool, load policy.LoadReport) {
+	load = policy.UnknownLoad
 	ctx, cancel := context.WithTimeout(ctx, u.pool.dialTimeout)
 	defer cancel()
 	if u.gate.mayStart(u.pool.dialTimeout) != policy.Allowed {
@@ -363,9 +363,9 @@
 
 // load reads a report of the form 'TEXT name=value, name=value'. What it lacks, and
 // what is no number, is unknown.
-func (u *upstreams) load(report string) policy.Load {
-	values := settings.Report(report, u.loadFields...)
-	return u.loadFields.Load(func(column int) (float64, bool) {
+func (u *upstreams) load(report string) policy.LoadReport {
+	values := settings.ParseLoadReport(report, u.loadFields...)
+	return u.loadFields.LoadReport(func(column int) (float64, bool) {
 		v, ok := values[u.loadFields[column]]
 		return v, ok
 	})
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -88,8 +88,8 @@
 		"said to have 3 GB":       {text: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhoney", want: policy.Broken},
 		"after an interim answer": {text: "HTTP/1.1 100 Continue\r\n\r\n" + answer200("honey"), want: policy.Served},
 		"error":                   {text: "HTTP/1.1 500 x\r\n" + none, want: policy.Errored},
-		"turned away 503":         {text: "HTTP/1.1 503 x\r\nNot-Started: 1\r\n" + none, want: policy.TurnedAway},
-		"turned away 504":         {text: "HTTP/1.1 504 x\r\nNot-Started: 1\r\n" + none, want: policy.TurnedAway},
+		"turned away 503":         {text: "HTTP/1.1 503 x\r\nNot-Started: 1\r\n" + none, want: policy.Rejected},
+		"turned away 504":         {text: "HTTP/1.1 504 x\r\nNot-Started: 1\r\n" + none, want: policy.Rejected},
 		"503 may have run":        {text: "HTTP/1.1 503 x\r\n" + none, want: policy.Errored},
 		"504 not said":            {text: "HTTP/1.1 504 x\r\nNot-Started: 0\r\n" + none, want: policy.Errored},
 		"500 with the mark":       {text: "HTTP/1.1 500 x\r\nNot-Started: 1\r\n" + none, want: policy.Errored},
@@ -250,7 +250,7 @@
 		t.Run(name, func(t *testing.T) {
 			u := newUpstream(t, always(c.text))
 			ups := newUpstreams(testPool(1))
-			ups.loadFields, ups.statsPath = settings.Columns{"busy_reqs", "pending"}, "/stats"
+			ups.loadFields, ups.statsPath = settings.LoadColumns{"busy_reqs", "pending"}, "/stats"
 			ok, load := ups.probe(context.Background(), &peer{addr: u.addr})
 			if ok != c.ok || load.InFlight != c.load {
 				t.Errorf("probe: %v, %v; want %v, %v", ok, load.InFlight, c.ok, c.load)
--- a/internal/simulation/emulator/account.go
+++ b/internal/simulation/emulator/account.go
@@ -82,7 +82,7 @@
 // refusal is why a try was refused.
 func (r *request) refusal(now time.Duration) string {
 	switch n := len(r.attempts); {
-	case n > 0 && r.attempts[n-1].ending == policy.TurnedAway:
+	case n > 0 && r.attempts[n-1].ending == policy.Rejected:
 		return causeAway
 	case n > 0 && r.attempts[n-1].ending == policy.NoConnection:
 		return causeConnect
--- a/internal/simulation/emulator/advice.go
+++ b/internal/simulation/emulator/advice.go
@@ -23,8 +23,8 @@
 
 // advised is a Decider that takes the fleet's word.
 type advised interface {
-	Advise(now time.Duration, a policy.Advice)
-	Jam(now time.Duration) float64
+	Advise(now time.Duration, a policy.OverloadAdvice)
+	Congestion(now time.Duration) float64
 }
 
 func newAdvice(s *Sim) *advice {
@@ -69,7 +69,7 @@
 	}
 	n.digests++
 	digest := overload.Digest{
-		Fleet: adviseFleet, Name: fmt.Sprint("n", n.index), Incarnation: uint64(n.epoch) + 1, Seq: n.digests, PeriodMS: overload.ReportInterval.Milliseconds(), Congestion: min(1, d.Jam(s.now)),
+		Fleet: adviseFleet, Name: fmt.Sprint("n", n.index), Incarnation: uint64(n.epoch) + 1, Seq: n.digests, PeriodMS: overload.ReportInterval.Milliseconds(), Congestion: min(1, d.Congestion(s.now)),
 	}
 	for i, c := range n.counts {
 		c.Tenant, c.Quota = s.sc.Tenants[i].Name, s.sc.Tenants[i].Share
@@ -98,7 +98,7 @@
 					}
 				}
 			}
-			d.Advise(s.now, policy.Advice{Parts: parts, For: time.Duration(word.ValidMS) * time.Millisecond})
+			d.Advise(s.now, policy.OverloadAdvice{AdmittedShares: parts, ValidFor: time.Duration(word.ValidMS) * time.Millisecond})
 		})
 	})
 }
--- a/internal/simulation/emulator/harm.go
+++ b/internal/simulation/emulator/harm.go
@@ -31,7 +31,7 @@
 
 // endings names how an attempt ended, for people.
 var endings = map[policy.Ending]string{
-	policy.Errored: "an error", policy.TurnedAway: "turned away", policy.TimedOut: "no answer in time", policy.NoConnection: "no connection",
+	policy.Errored: "an error", policy.Rejected: "turned away", policy.TimedOut: "no answer in time", policy.NoConnection: "no connection",
 	policy.Broken: "the connection broke", policy.Cancelled: "called off", policy.NotSent: "not sent",
 }
 
--- a/internal/simulation/emulator/list.go
+++ b/internal/simulation/emulator/list.go
@@ -22,7 +22,7 @@
 
 type listed struct {
 	known bool
-	entry policy.Server
+	entry policy.Endpoint
 	n     int // of the news under way; older news are void
 }
 
@@ -42,13 +42,13 @@
 }
 
 // entry is how the list sees a server now.
-func (l *list) entry(sv *Server) policy.Server {
-	e := policy.Server{
+func (l *list) entry(sv *Server) policy.Endpoint {
+	e := policy.Endpoint{
 		ID: policy.ServerID(sv.Index + 1), Zone: sv.Zone, Cell: sv.Cell.Number, State: policy.Ready, Weight: weight(sv), Started: sv.Born,
 	}
 	switch {
 	case !sv.Alive || sv.Silent:
-		e.State = policy.Gone
+		e.State = policy.Removed
 	case sv.Draining:
 		e.State = policy.Draining
 	}
@@ -76,7 +76,7 @@
 		if at.n != n && at.known {
 			return // later news bring it
 		}
-		if at.known && at.entry == now || !at.known && now.State == policy.Gone {
+		if at.known && at.entry == now || !at.known && now.State == policy.Removed {
 			return
 		}
 		*at = listed{known: true, entry: now, n: at.n}
@@ -113,7 +113,7 @@
 }
 
 // since is what changed after a place in the log, each server once.
-func (l *list) since(from int) (changes []policy.Server) {
+func (l *list) since(from int) (changes []policy.Endpoint) {
 	seen := make(map[int]bool)
 	for _, i := range l.log[from:] {
 		if !seen[i] {
@@ -125,9 +125,9 @@
 }
 
 // all is the whole list.
-func (l *list) all() (all []policy.Server) {
+func (l *list) all() (all []policy.Endpoint) {
 	for _, e := range l.entries {
-		if e.known && e.entry.State != policy.Gone {
+		if e.known && e.entry.State != policy.Removed {
 			all = append(all, e.entry)
 		}
 	}
--- a/internal/simulation/emulator/oracle.go
+++ b/internal/simulation/emulator/oracle.go
@@ -33,7 +33,7 @@
 			held := float64(len(sv.running) + len(sv.queue))
 			for _, n := range s.nodes {
 				if n.up && sv.Alive && !sv.Silent && s.reach(n.zone, sv.Zone) {
-					n.b.Probed(s.now, policy.ServerID(sv.Index+1), true, policy.Load{InFlight: held, Waiting: -1, Busy: -1, Rate: -1})
+					n.b.Probed(s.now, policy.ServerID(sv.Index+1), true, policy.LoadReport{InFlight: held, Queued: -1, Utilization: -1, ServedPerSecond: -1})
 				}
 			}
 		}
@@ -50,7 +50,7 @@
 		}
 		for _, n := range s.nodes {
 			if d, takes := n.b.(advised); takes && n.up {
-				d.Advise(s.now, policy.Advice{Parts: parts, For: 2 * time.Second})
+				d.Advise(s.now, policy.OverloadAdvice{AdmittedShares: parts, ValidFor: 2 * time.Second})
 			}
 		}
 	default:
--- a/internal/simulation/emulator/scenario.go
+++ b/internal/simulation/emulator/scenario.go
@@ -359,19 +359,19 @@
 func (s *Scenario) Policy(zone int) policy.Config {
 	c := policy.Config{
 		Balancers: s.Sidecars, Zone: zone, Slots: s.Slots,
-		MaxAttempts: s.Rules.MostTries, MayCancel: true, MayProbe: true, Reports: true,
-		MaxRetryAfter: time.Duration(s.Rules.RetryAfter), WarmKeys: s.Keys.Gain > 0,
-		AskList: true, AskWithin: time.Duration(s.Rules.AskWithin), DrainGrace: time.Duration(s.Rules.StopWithin), ColdMultiple: s.Rules.FallMultiple,
-		ColdFrom: 1, CrossZonePrice: s.Prices.CrossZone,
+		MaxAttempts: s.Rules.MostTries, MayCancel: true, MayProbe: true, LoadReports: true,
+		MaxRetryAfter: time.Duration(s.Rules.RetryAfter), KeyAffinity: s.Keys.Gain > 0,
+		PollList: true, PollDeadline: time.Duration(s.Rules.AskWithin), DrainGrace: time.Duration(s.Rules.StopWithin), OverloadFactor: s.Rules.FallMultiple,
+		SlowStartFloor: 1, CrossZoneCost: s.Prices.CrossZone,
 	}
 	for _, k := range s.Kinds {
-		c.ColdFrom = min(c.ColdFrom, k.ColdFrom)
-		c.ColdTime = max(c.ColdTime, time.Duration(k.ColdFor))
+		c.SlowStartFloor = min(c.SlowStartFloor, k.ColdFrom)
+		c.SlowStartWindow = max(c.SlowStartWindow, time.Duration(k.ColdFor))
 	}
 	for _, k := range s.Classes {
 		c.Classes = append(c.Classes, policy.Class{
-			Aim: time.Duration(k.Aim), Deadline: time.Duration(k.Deadline), LateShare: k.LateWorth, Worth: k.Worth,
-			Effect: k.effect(), Scope: k.scope(), Window: time.Duration(k.Window),
+			LatencyObjective: time.Duration(k.Aim), Deadline: time.Duration(k.Deadline), LateShare: k.LateWorth, PriorityWeight: k.Worth,
+			Idempotency: k.effect(), DedupScope: k.scope(), DedupWindow: time.Duration(k.Window),
 		})
 	}
 	for i := range s.Tenants {
@@ -392,10 +392,10 @@
 	return s.Tenants[tenant].Share / shares * s.Rate() / s.Load * quotaPart
 }
 
-func (c Class) effect() policy.Effect {
-	return map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}[c.Effect]
+func (c Class) effect() policy.Idempotency {
+	return map[string]policy.Idempotency{"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NonIdempotent}[c.Effect]
 }
 
-func (c Class) scope() policy.Scope {
-	return map[string]policy.Scope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}[c.Group]
+func (c Class) scope() policy.DedupScope {
+	return map[string]policy.DedupScope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}[c.Group]
 }
--- a/internal/simulation/emulator/settings.go
+++ b/internal/simulation/emulator/settings.go
@@ -21,7 +21,7 @@
 	return map[string]any{
 		"balancers": s.Sidecars, "me": sidecar, "zone": s.ZoneOf(sidecar), "zones": s.Zones,
 		"classes": classes, "orgs": tenants, "discovery": "ask", "weights": "rough", "worth_by": "work",
-		"family_info": map[string]any{"warm_keys": p.WarmKeys},
+		"family_info": map[string]any{"warm_keys": p.KeyAffinity},
 		"telemetry":   map[string]any{"how": "pull", "columns": []string{"pending", "cpu_share", "served_ps"}},
 		"caps": map[string]any{
 			"most_tries": s.Rules.MostTries, "may_cancel": true, "probes": true, "retry_after": true, "second_copies": true,
@@ -30,7 +30,7 @@
 		"charges": map[string]any{"cross_zone": s.Prices.CrossZone, "probe": s.Prices.Probe, "waste": s.Prices.Waste, "handshake": s.Prices.Handshake, "late_fail": s.Prices.LateFail},
 		"rules": map[string]any{
 			"answer_slack_ms": ms(s.Rules.AnswerSlack), "ask_within_ms": ms(s.Rules.AskWithin), "stop_sending_within_ms": ms(s.Rules.StopWithin),
-			"fall_multiple": s.Rules.FallMultiple, "overload_for_ms": ms(s.Rules.FallTime), "cold_from": p.ColdFrom, "cold_ms": ms(Span(p.ColdTime)),
+			"fall_multiple": s.Rules.FallMultiple, "overload_for_ms": ms(s.Rules.FallTime), "cold_from": p.SlowStartFloor, "cold_ms": ms(Span(p.SlowStartWindow)),
 		},
 	}
 }
--- a/internal/simulation/emulator/settings_test.go
+++ b/internal/simulation/emulator/settings_test.go
@@ -22,14 +22,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			got, err := s.Config()
+			got, err := s.PolicyConfig()
 			if err != nil {
 				t.Fatal(err)
 			}
 			want := sc.Policy(sc.ZoneOf(sidecar))
 			for i, c := range want.Classes {
-				if c.Effect != 1 { // the group of a class whose repeats nobody drops says nothing
-					want.Classes[i].Scope = got.Classes[i].Scope
+				if c.Idempotency != 1 { // the group of a class whose repeats nobody drops says nothing
+					want.Classes[i].DedupScope = got.Classes[i].DedupScope
 				}
 			}
 			if !reflect.DeepEqual(got, want) {
--- a/internal/simulation/emulator/sim.go
+++ b/internal/simulation/emulator/sim.go
@@ -22,8 +22,8 @@
 	Outcome(now time.Duration, o policy.Outcome)
 	ClientGone(now time.Duration, id policy.RequestID)
 	Wake(now time.Duration)
-	Probed(now time.Duration, id policy.ServerID, ok bool, l policy.Load)
-	List(now time.Duration, kind policy.ListKind, entries []policy.Server)
+	Probed(now time.Duration, id policy.ServerID, ok bool, l policy.LoadReport)
+	List(now time.Duration, kind policy.ListKind, entries []policy.Endpoint)
 }
 
 // Begin is what a Decider is made from, at one start of a sidecar.
@@ -240,7 +240,7 @@
 	a := j.Owner.(*attempt)
 	if j.Dropped {
 		s.check.Ended(a.r.id, a.n, false)
-		s.reply(sv, a, policy.TurnedAway)
+		s.reply(sv, a, policy.Rejected)
 		return
 	}
 	a.done = true
@@ -330,8 +330,8 @@
 	open  map[policy.RequestID]*request
 	idle  map[int][]time.Duration // by server: since when each idle connection is
 
-	known    []policy.Server // the list as last had
-	leaving  bool            // a planned end: nothing new comes, what it has is answered
+	known    []policy.Endpoint // the list as last had
+	leaving  bool              // a planned end: nothing new comes, what it has is answered
 	watching bool
 	askedAt  time.Duration // it called for the list last
 	refused  bool          // and that call failed
@@ -485,7 +485,7 @@
 	})
 	n.deciding, n.shed = r, sheds(n.b)
 	n.b.Request(s.now, policy.Request{
-		ID: r.id, Class: r.call.Class, Tenant: r.call.Tenant, Left: r.deadline - s.now, Work: work, Key: r.call.Key,
+		ID: r.id, Class: r.call.Class, Tenant: r.call.Tenant, TimeLeft: r.deadline - s.now, ExpectedWork: work, AffinityKey: r.call.Key,
 	})
 	n.deciding = nil
 }
@@ -601,7 +601,7 @@
 		s.check.Ended(a.r.id, a.n, false)
 		s.rec.TurnedAway++
 		s.rec.harm(s.now).TurnedAway++
-		s.reply(sv, a, policy.TurnedAway)
+		s.reply(sv, a, policy.Rejected)
 	case Nobody:
 		if sv.Fell && !fell {
 			s.rec.Fell++
@@ -620,13 +620,13 @@
 	a.ended, a.ending = true, end
 	s, r := n.sim, a.r
 	if a.conn {
-		if end == policy.Served || end == policy.Errored || end == policy.TurnedAway {
+		if end == policy.Served || end == policy.Errored || end == policy.Rejected {
 			n.idle[a.to.Index] = append(n.idle[a.to.Index], s.now)
 		} else {
 			a.to.Open = max(0, a.to.Open-1)
 		}
 	}
-	if end != policy.TurnedAway && end != policy.NoConnection && end != policy.NotSent {
+	if end != policy.Rejected && end != policy.NoConnection && end != policy.NotSent {
 		s.check.Ended(r.id, a.n, true)
 	}
 	settled := r.over
@@ -711,20 +711,20 @@
 		h.ProbesCrowded++
 	}
 	if sv.Silent || !s.reach(n.zone, sv.Zone) {
-		n.mine(probeFor, func() { n.b.Probed(s.now, to, false, policy.NoLoad) })
+		n.mine(probeFor, func() { n.b.Probed(s.now, to, false, policy.UnknownLoad) })
 		return
 	}
 	way := s.way(n.zone, sv.Zone)
 	n.mine(way, func() {
 		if !sv.Alive || sv.Fell {
-			n.mine(way, func() { n.b.Probed(s.now, to, false, policy.NoLoad) })
+			n.mine(way, func() { n.b.Probed(s.now, to, false, policy.UnknownLoad) })
 			return
 		}
 		s.touch(sv)
 		r := sv.Probe(s.now)
 		s.touch(sv)
 		n.mine(way, func() {
-			n.b.Probed(s.now, to, true, policy.Load{InFlight: -1, Waiting: r.Queue, Busy: float64(float32(r.Busy)), Rate: float64(float32(r.Rate))})
+			n.b.Probed(s.now, to, true, policy.LoadReport{InFlight: -1, Queued: r.Queue, Utilization: float64(float32(r.Busy)), ServedPerSecond: float64(float32(r.Rate))})
 		})
 	})
 }
@@ -755,7 +755,7 @@
 const askedInVain = 4
 
 // told gives the sidecar news of the list.
-func (n *node) told(kind policy.ListKind, entries []policy.Server) {
+func (n *node) told(kind policy.ListKind, entries []policy.Endpoint) {
 	s := n.sim
 	n.refused = false
 	if kind == policy.ListFull {
@@ -779,8 +779,8 @@
 }
 
 // merge applies changes to a list.
-func merge(list, changes []policy.Server) []policy.Server {
-	merged := append([]policy.Server(nil), list...)
+func merge(list, changes []policy.Endpoint) []policy.Endpoint {
+	merged := append([]policy.Endpoint(nil), list...)
 	for _, c := range changes {
 		found := false
 		for i := range merged {
@@ -794,7 +794,7 @@
 	}
 	kept := merged[:0]
 	for _, e := range merged {
-		if e.State != policy.Gone {
+		if e.State != policy.Removed {
 			kept = append(kept, e)
 		}
 	}
--- a/internal/simulation/emulator/sim_test.go
+++ b/internal/simulation/emulator/sim_test.go
@@ -117,7 +117,7 @@
 	send    func(m *meddler, id policy.RequestID, to policy.ServerID, timeout time.Duration)
 	deaf    bool // it never asks for the list
 	refuse  func(m *meddler, id policy.RequestID, pause time.Duration)
-	list    func(kind policy.ListKind, entries []policy.Server) []policy.Server
+	list    func(kind policy.ListKind, entries []policy.Endpoint) []policy.Endpoint
 }
 
 func (m *meddler) Wake(d time.Duration) { m.Host.Wake(d) }
@@ -156,7 +156,7 @@
 	d.Balancer.Request(now, q)
 }
 
-func (d decider) List(now time.Duration, kind policy.ListKind, entries []policy.Server) {
+func (d decider) List(now time.Duration, kind policy.ListKind, entries []policy.Endpoint) {
 	if d.list != nil {
 		entries = d.list(kind, slices.Clone(entries))
 	}
@@ -209,7 +209,7 @@
 			}
 		}},
 		"sends to servers that drain": {3, day(t, "roll", 10, 20), func(m *meddler) {
-			m.list = func(kind policy.ListKind, entries []policy.Server) []policy.Server {
+			m.list = func(kind policy.ListKind, entries []policy.Endpoint) []policy.Endpoint {
 				for i := range entries {
 					entries[i].State = policy.Ready
 				}
@@ -218,7 +218,7 @@
 		}},
 		"sends on, and never asks for the list": {3, drained, func(m *meddler) { m.deaf = true }},
 		"a flood at a cold server": {4, join, func(m *meddler) {
-			m.list = func(_ policy.ListKind, entries []policy.Server) []policy.Server {
+			m.list = func(_ policy.ListKind, entries []policy.Endpoint) []policy.Endpoint {
 				for _, e := range entries {
 					switch {
 					case e.State != policy.Ready && e.ID == m.newest:
--- a/internal/simulation/experiment/experiment.go
+++ b/internal/simulation/experiment/experiment.go
@@ -272,7 +272,7 @@
 		if err != nil {
 			return nil, err
 		}
-		r, err := run(ctx, sc, seed, a.Make)
+		r, err := run(ctx, sc, seed, a.NewDecider)
 		if wrong := a.Close(); wrong != nil {
 			return nil, wrong // a day that an adapter failed on is none, whatever came of it
 		}
--- a/internal/simulation/remoteadapter/remote.go
+++ b/internal/simulation/remoteadapter/remote.go
@@ -26,7 +26,7 @@
 type Adapter struct {
 	out    io.Writer
 	in     *simwire.Reader
-	events simwire.Events
+	events simwire.BatchWriter
 	number uint32
 	err    error // the first thing that went wrong; nothing is asked after it
 	alive  map[uint32]bool
@@ -86,8 +86,8 @@
 // Err is the first thing that went wrong.
 func (a *Adapter) Err() error { return a.err }
 
-// Make makes a Decider that asks the adapter.
-func (a *Adapter) Make(b emulator.Begin) (emulator.Decider, error) {
+// NewDecider makes a Decider that asks the adapter.
+func (a *Adapter) NewDecider(b emulator.Begin) (emulator.Decider, error) {
 	if b.Config.Slots > 0 {
 		return nil, errors.New("slots cannot be said on the simulator's wire: only a module of this program can be given them")
 	}
@@ -122,7 +122,7 @@
 }
 
 // batch sends one event and carries out the actions that come back.
-func (i *instance) batch(now time.Duration, write func(*simwire.Events)) {
+func (i *instance) batch(now time.Duration, write func(*simwire.BatchWriter)) {
 	a := i.a
 	if a.err != nil {
 		return
@@ -134,7 +134,7 @@
 		a.err = fmt.Errorf("adapter: %w", err)
 		return
 	}
-	answer, err := a.in.ReadAnswer()
+	answer, err := a.in.ReadReply()
 	switch {
 	case errors.Is(err, io.EOF):
 		a.err = errors.New("adapter: it ended")
@@ -149,7 +149,7 @@
 	body := answer.Body
 	for range answer.Records {
 		var record simwire.Record
-		if record, body, err = simwire.Next(body); err == nil {
+		if record, body, err = simwire.NextRecord(body); err == nil {
 			var act simwire.Action
 			if act, err = record.Action(); err == nil {
 				err = i.act(now, act)
@@ -169,42 +169,42 @@
 	}
 	t := i.tries[a.Job]
 	switch a.Code {
-	case simwire.ActCallOut, simwire.ActRecall:
+	case simwire.ActionCallOut, simwire.ActionRecall:
 		if t == nil {
 			return fmt.Errorf("action %d for request %d, which is not known", a.Code, a.Job)
 		}
-	case simwire.ActPushBack, simwire.ActLose:
+	case simwire.ActionPushBack, simwire.ActionLose:
 		if t == nil {
 			return nil // ended a moment ago, which the wire forgives
 		}
 	}
 	switch a.Code {
-	case simwire.ActCallOut:
+	case simwire.ActionCallOut:
 		t.to, t.at = append(t.to, a.To), append(t.at, now)
 		patience := a.Time
 		if patience == 0 {
 			patience = time.Hour // until the client gives up
 		}
 		i.host.Send(policy.RequestID(a.Job), policy.ServerID(a.To), patience, 0)
-	case simwire.ActPushBack:
+	case simwire.ActionPushBack:
 		t.over = true
 		i.host.Refuse(policy.RequestID(a.Job), a.Time)
 		i.forget(a.Job)
-	case simwire.ActLose:
+	case simwire.ActionLose:
 		t.over = true
 		i.host.Fail(policy.RequestID(a.Job))
 		i.forget(a.Job)
-	case simwire.ActRecall:
+	case simwire.ActionRecall:
 		i.host.Cancel(policy.RequestID(a.Job), int(a.Hop))
-	case simwire.ActSetAlarm:
+	case simwire.ActionSetAlarm:
 		i.host.Wake(a.Time)
-	case simwire.ActInspect:
+	case simwire.ActionInspect:
 		i.host.Probe(policy.ServerID(a.To))
-	case simwire.ActTail:
+	case simwire.ActionTail:
 		if a.On {
 			i.host.WatchList()
 		}
-	case simwire.ActDie:
+	case simwire.ActionDie:
 		return fmt.Errorf("the decision code has failed: %.200s", a.Text)
 	}
 	return nil // a log line, or what a later version says
@@ -219,7 +219,7 @@
 
 // Start opens the instance; one that was open under its number is dead.
 func (i *instance) Start(now time.Duration) {
-	i.batch(now, func(e *simwire.Events) {
+	i.batch(now, func(e *simwire.BatchWriter) {
 		if i.a.alive[i.number] {
 			e.CrashNow(i.number)
 		}
@@ -232,20 +232,20 @@
 func (i *instance) Request(now time.Duration, q policy.Request) {
 	job := uint32(q.ID)
 	i.tries[job] = &tries{}
-	ask := simwire.Ask{Job: job, Key: q.Key, Tenant: uint32(q.Tenant), Left: q.Left, Hint: q.Work, Kind: uint8(q.Class)}
-	if q.Work > 0 {
-		ask.Bits |= simwire.BitHint
+	ask := simwire.Ask{Job: job, Key: q.AffinityKey, Tenant: uint32(q.Tenant), Left: q.TimeLeft, Hint: q.ExpectedWork, Kind: uint8(q.Class)}
+	if q.ExpectedWork > 0 {
+		ask.Bits |= simwire.AskBitHint
 	}
-	if q.Repeat {
-		ask.Bits |= simwire.BitRepeat
+	if q.ClientRetry {
+		ask.Bits |= simwire.AskBitRepeat
 	}
-	i.batch(now, func(e *simwire.Events) { e.Ask(i.number, ask) })
+	i.batch(now, func(e *simwire.BatchWriter) { e.Ask(i.number, ask) })
 }
 
 // endings are the module's endings as the wire has them.
 var endings = map[policy.Ending]uint16{
-	policy.Served: simwire.EndServed, policy.Errored: simwire.EndErrored, policy.TurnedAway: simwire.EndTurnedAway, policy.TimedOut: simwire.EndTimedOut,
-	policy.NoConnection: simwire.EndNoConnection, policy.Broken: simwire.EndBroken, policy.Cancelled: simwire.EndCancelled, policy.NotSent: simwire.EndNotSent,
+	policy.Served: simwire.OutcomeServed, policy.Errored: simwire.OutcomeErrored, policy.Rejected: simwire.OutcomeRejected, policy.TimedOut: simwire.OutcomeTimedOut,
+	policy.NoConnection: simwire.OutcomeNoConnection, policy.Broken: simwire.OutcomeBroken, policy.Cancelled: simwire.OutcomeCancelled, policy.NotSent: simwire.OutcomeNotSent,
 }
 
 // Outcome tells of an attempt's end.
@@ -257,7 +257,7 @@
 		t.ended++
 		t.over = t.over || o.Settled
 	}
-	i.batch(now, func(e *simwire.Events) { e.Finished(i.number, f) })
+	i.batch(now, func(e *simwire.BatchWriter) { e.Finished(i.number, f) })
 	i.forget(job)
 }
 
@@ -266,28 +266,28 @@
 	if t := i.tries[uint32(id)]; t != nil {
 		t.over = true
 	}
-	i.batch(now, func(e *simwire.Events) { e.ClientLeft(i.number, uint32(id)) })
+	i.batch(now, func(e *simwire.BatchWriter) { e.ClientLeft(i.number, uint32(id)) })
 	i.forget(uint32(id))
 }
 
 // Wake tells that a timer is due.
 func (i *instance) Wake(now time.Duration) {
-	i.batch(now, func(e *simwire.Events) { e.Wake(i.number, 0) })
+	i.batch(now, func(e *simwire.BatchWriter) { e.Wake(i.number, 0) })
 }
 
 // Probed tells of a probe's end.
-func (i *instance) Probed(now time.Duration, id policy.ServerID, ok bool, l policy.Load) {
-	ending, report := uint16(simwire.EndNoConnection), simwire.Report{}
+func (i *instance) Probed(now time.Duration, id policy.ServerID, ok bool, l policy.LoadReport) {
+	ending, report := uint16(simwire.OutcomeNoConnection), simwire.LoadReport{}
 	if ok {
-		ending = simwire.EndServed
-		report = simwire.Report{N: 3, Values: [4]float32{float32(l.Waiting), float32(l.Busy), float32(l.Rate)}} // as Settings names the columns
+		ending = simwire.OutcomeServed
+		report = simwire.LoadReport{Count: 3, Values: [4]float32{float32(l.Queued), float32(l.Utilization), float32(l.ServedPerSecond)}} // as Settings names the columns
 	}
-	i.batch(now, func(e *simwire.Events) { e.CheckResult(i.number, simwire.Upstream(id), ending, 0, report) })
+	i.batch(now, func(e *simwire.BatchWriter) { e.CheckResult(i.number, simwire.Upstream(id), ending, 0, report) })
 }
 
 // List tells news of the server list.
-func (i *instance) List(now time.Duration, kind policy.ListKind, servers []policy.Server) {
-	states := map[policy.State]uint8{policy.Gone: simwire.StateGone, policy.Draining: simwire.StateDraining, policy.Ready: simwire.StateReady}
+func (i *instance) List(now time.Duration, kind policy.ListKind, servers []policy.Endpoint) {
+	states := map[policy.EndpointState]uint8{policy.Removed: simwire.StatusGone, policy.Draining: simwire.StatusDraining, policy.Ready: simwire.StatusReady}
 	entries := make([]simwire.Entry, len(servers))
 	for n, s := range servers {
 		entries[n] = simwire.Entry{
@@ -295,7 +295,7 @@
 		}
 	}
 	i.list++
-	i.batch(now, func(e *simwire.Events) {
+	i.batch(now, func(e *simwire.BatchWriter) {
 		if kind != policy.ListFailed {
 			e.Manifest(0, entries)
 		}
--- a/internal/simulation/remoteadapter/remote_test.go
+++ b/internal/simulation/remoteadapter/remote_test.go
@@ -71,7 +71,7 @@
 	for _, name := range []string{"herd", "join", "split", "blind", "overload"} {
 		t.Run(name, func(t *testing.T) {
 			a := beside(t, simadapter.Serve)
-			over := play(t, day(t, name), a.Make)
+			over := play(t, day(t, name), a.NewDecider)
 			if a.Err() != nil {
 				t.Fatal(a.Err())
 			}
@@ -83,10 +83,10 @@
 }
 
 func TestWhatAnAdapterDoesWrongIsSaid(t *testing.T) {
-	reply := func(number uint32, write func(*simwire.Reply)) func(io.Reader, io.Writer) error {
+	reply := func(number uint32, write func(*simwire.ReplyWriter)) func(io.Reader, io.Writer) error {
 		return func(in io.Reader, out io.Writer) error {
 			r := simwire.NewReader(in)
-			var p simwire.Reply
+			var p simwire.ReplyWriter
 			for {
 				b, err := r.ReadBatch()
 				if err != nil {
@@ -105,10 +105,10 @@
 			_, err := simwire.NewReader(in).ReadBatch()
 			return err
 		},
-		"with the number":  reply(1, func(*simwire.Reply) {}),
-		"has failed: oops": reply(0, func(p *simwire.Reply) { p.Die(0, "oops") }),
-		"instance 77":      reply(0, func(p *simwire.Reply) { p.Tail(77, true) }),
-		"not known":        reply(0, func(p *simwire.Reply) { p.CallOut(0, 9, 1, 0) }),
+		"with the number":  reply(1, func(*simwire.ReplyWriter) {}),
+		"has failed: oops": reply(0, func(p *simwire.ReplyWriter) { p.Die(0, "oops") }),
+		"instance 77":      reply(0, func(p *simwire.ReplyWriter) { p.Tail(77, true) }),
+		"not known":        reply(0, func(p *simwire.ReplyWriter) { p.CallOut(0, 9, 1, 0) }),
 		"cannot be": func(in io.Reader, out io.Writer) error {
 			if _, err := simwire.NewReader(in).ReadBatch(); err != nil {
 				return err
@@ -118,7 +118,7 @@
 		},
 	} {
 		a := beside(t, serve)
-		s, err := emulator.NewSim(day(t, "calm"), 1, a.Make)
+		s, err := emulator.NewSim(day(t, "calm"), 1, a.NewDecider)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -134,7 +134,7 @@
 func TestSlotsCannotBeSaid(t *testing.T) {
 	sc := day(t, "calm")
 	sc.Slots = 5
-	s, err := emulator.NewSim(sc, 1, New(io.Discard, strings.NewReader("")).Make)
+	s, err := emulator.NewSim(sc, 1, New(io.Discard, strings.NewReader("")).NewDecider)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,7 +151,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := emulator.NewSim(day(t, "calm"), 1, a.Make)
+	s, err := emulator.NewSim(day(t, "calm"), 1, a.NewDecider)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/simadapter/adapter.go
+++ b/internal/simulation/simadapter/adapter.go
@@ -39,20 +39,20 @@
 // host holds the instances of this process and what they share: the numbered
 // lists of the wire and the reply under way.
 type host struct {
-	reply     simwire.Reply
-	pages     map[uint16][]policy.Server
+	reply     simwire.ReplyWriter
+	pages     map[uint16][]policy.Endpoint
 	instances map[uint32]*instance
 }
 
 func newHost() *host {
-	return &host{pages: make(map[uint16][]policy.Server), instances: make(map[uint32]*instance)}
+	return &host{pages: make(map[uint16][]policy.Endpoint), instances: make(map[uint32]*instance)}
 }
 
 // instance is one sidecar; it carries out its Balancer's decisions.
 type instance struct {
 	host    *host
 	number  uint32
-	columns settings.Columns
+	columns settings.LoadColumns
 	b       *policy.Balancer
 	logAt   time.Duration // when the counters are written next
 }
@@ -82,7 +82,7 @@
 func (h *host) batch(b simwire.Batch) error {
 	body := b.Body
 	for range b.Records {
-		rec, rest, err := simwire.Next(body)
+		rec, rest, err := simwire.NextRecord(body)
 		if err != nil {
 			return err
 		}
@@ -99,15 +99,15 @@
 
 func (h *host) record(now time.Duration, rec simwire.Record) error {
 	switch rec.Code {
-	case simwire.EvManifest:
+	case simwire.EventManifest:
 		page, entries, err := rec.Manifest()
 		if err != nil {
 			return err
 		}
 		h.pages[page] = servers(entries)
 		return nil
-	case simwire.EvOpenInstance, simwire.EvCrashNow, simwire.EvFleet, simwire.EvAsk, simwire.EvFinished, simwire.EvWake,
-		simwire.EvClientLeft, simwire.EvHeaders, simwire.EvCheckResult:
+	case simwire.EventOpenInstance, simwire.EventCrashNow, simwire.EventFleet, simwire.EventAsk, simwire.EventFinished, simwire.EventWake,
+		simwire.EventClientLeft, simwire.EventHeaders, simwire.EventCheckResult:
 	default:
 		return nil // a code of a later version, or one that the module has no use for
 	}
@@ -116,9 +116,9 @@
 		return err
 	}
 	switch rec.Code {
-	case simwire.EvOpenInstance:
+	case simwire.EventOpenInstance:
 		return h.open(now, number, rec)
-	case simwire.EvCrashNow:
+	case simwire.EventCrashNow:
 		delete(h.instances, number)
 		return nil
 	}
@@ -135,15 +135,15 @@
 	if err != nil {
 		return err
 	}
-	s, err := settings.Parse(info)
+	s, err := settings.ParseLines(info)
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", number, err)
 	}
-	config, err := s.Config()
+	config, err := s.PolicyConfig()
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", number, err)
 	}
-	i := &instance{host: h, number: number, columns: s.Columns()}
+	i := &instance{host: h, number: number, columns: s.LoadColumns()}
 	h.instances[number] = i
 	return i.guard(func() error {
 		b, err := policy.New(config, seed, i)
@@ -180,18 +180,18 @@
 
 func (i *instance) dispatch(now time.Duration, rec simwire.Record) error {
 	switch rec.Code {
-	case simwire.EvAsk:
+	case simwire.EventAsk:
 		a, err := rec.Ask()
 		if err != nil {
 			return err
 		}
-		r := policy.Request{ID: policy.RequestID(a.Job), Class: int(a.Kind), Tenant: int(a.Tenant), Left: a.Left, Key: a.Key}
-		r.Repeat = a.Bits&simwire.BitRepeat != 0
-		if a.Bits&simwire.BitHint != 0 {
-			r.Work = a.Hint
+		r := policy.Request{ID: policy.RequestID(a.Job), Class: int(a.Kind), Tenant: int(a.Tenant), TimeLeft: a.Left, AffinityKey: a.Key}
+		r.ClientRetry = a.Bits&simwire.AskBitRepeat != 0
+		if a.Bits&simwire.AskBitHint != 0 {
+			r.ExpectedWork = a.Hint
 		}
 		i.b.Request(now, r)
-	case simwire.EvFinished:
+	case simwire.EventFinished:
 		f, err := rec.Finished()
 		if err != nil {
 			return err
@@ -199,27 +199,27 @@
 		i.b.Outcome(now, policy.Outcome{
 			ID: policy.RequestID(f.Job), Attempt: int(f.Hop), Ending: ending(f.Ending), Settled: f.Settled,
 		})
-	case simwire.EvWake:
+	case simwire.EventWake:
 		i.b.Wake(now)
-	case simwire.EvClientLeft:
+	case simwire.EventClientLeft:
 		job, err := rec.Job()
 		if err != nil {
 			return err
 		}
 		i.b.ClientGone(now, policy.RequestID(job))
-	case simwire.EvHeaders:
+	case simwire.EventHeaders:
 		job, err := rec.Job()
 		if err != nil {
 			return err
 		}
 		i.b.StreamBegun(policy.RequestID(job))
-	case simwire.EvCheckResult:
+	case simwire.EventCheckResult:
 		up, end, report, err := rec.CheckResult()
 		if err != nil {
 			return err
 		}
-		i.b.Probed(now, policy.ServerID(up), end == simwire.EndServed, i.columns.Load(report.Value))
-	case simwire.EvFleet:
+		i.b.Probed(now, policy.ServerID(up), end == simwire.OutcomeServed, i.columns.LoadReport(report.Value))
+	case simwire.EventFleet:
 		kind, _, page, err := rec.Fleet()
 		if err != nil {
 			return err
@@ -254,35 +254,35 @@
 
 func ending(code uint16) policy.Ending {
 	switch code {
-	case simwire.EndServed:
+	case simwire.OutcomeServed:
 		return policy.Served
-	case simwire.EndTurnedAway:
-		return policy.TurnedAway
-	case simwire.EndTimedOut:
+	case simwire.OutcomeRejected:
+		return policy.Rejected
+	case simwire.OutcomeTimedOut:
 		return policy.TimedOut
-	case simwire.EndNoConnection:
+	case simwire.OutcomeNoConnection:
 		return policy.NoConnection
-	case simwire.EndBroken:
+	case simwire.OutcomeBroken:
 		return policy.Broken
-	case simwire.EndCancelled:
+	case simwire.OutcomeCancelled:
 		return policy.Cancelled
-	case simwire.EndNotSent:
+	case simwire.OutcomeNotSent:
 		return policy.NotSent
 	}
 	return policy.Errored // it may have run, as may whatever is not known
 }
 
-func servers(entries []simwire.Entry) []policy.Server {
-	list := make([]policy.Server, len(entries))
+func servers(entries []simwire.Entry) []policy.Endpoint {
+	list := make([]policy.Endpoint, len(entries))
 	for i, e := range entries {
-		list[i] = policy.Server{
+		list[i] = policy.Endpoint{
 			ID: policy.ServerID(e.Upstream), Zone: int(e.Area), Cell: int(e.Cohort), Weight: e.Rating, Started: e.Boot,
 		}
 		switch e.Status {
-		case simwire.StateReady:
+		case simwire.StatusReady:
 			list[i].State = policy.Ready
-		case simwire.StateGone:
-			list[i].State = policy.Gone
+		case simwire.StatusGone:
+			list[i].State = policy.Removed
 		default:
 			list[i].State = policy.Draining // nothing new, whatever it is
 		}
--- a/internal/simulation/simadapter/adapter_test.go
+++ b/internal/simulation/simadapter/adapter_test.go
@@ -43,24 +43,24 @@
 }
 
 func open(inst uint32, seed uint64) []byte {
-	return record(simwire.EvOpenInstance, inst, seed, uint32(len(someSettings)), someSettings)
+	return record(simwire.EventOpenInstance, inst, seed, uint32(len(someSettings)), someSettings)
 }
 
 func manifest(page uint16, addrs ...byte) []byte {
 	fields := []any{page, uint32(len(addrs))}
 	for _, a := range addrs {
-		fields = append(fields, []byte{10, 0, 0, a, 80, 0}, uint8(0), uint8(0), uint16(0), uint8(simwire.StateReady),
+		fields = append(fields, []byte{10, 0, 0, a, 80, 0}, uint8(0), uint8(0), uint16(0), uint8(simwire.StatusReady),
 			float32(1), float64(0))
 	}
-	return record(simwire.EvManifest, fields...)
+	return record(simwire.EventManifest, fields...)
 }
 
 func fleet(inst uint32, kind uint8, page uint16) []byte {
-	return record(simwire.EvFleet, inst, kind, uint32(1), page)
+	return record(simwire.EventFleet, inst, kind, uint32(1), page)
 }
 
 func ask(inst, job uint32) []byte {
-	return record(simwire.EvAsk, inst, job, uint16(0), uint64(0), uint32(0), float64(800), float64(0), uint8(0))
+	return record(simwire.EventAsk, inst, job, uint16(0), uint64(0), uint32(0), float64(800), float64(0), uint8(0))
 }
 
 func batch(number uint32, clock float64, records ...[]byte) []byte {
@@ -92,7 +92,7 @@
 		body := b[12 : 12+size]
 		b = b[12+size:]
 		for len(body) > 0 {
-			rec, rest, err := simwire.Next(body)
+			rec, rest, err := simwire.NextRecord(body)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -120,11 +120,11 @@
 		open(1, 5), manifest(3, 77), fleet(1, simwire.FleetCached, 3), ask(1, 100),
 		open(2, 6), manifest(3, 88), fleet(2, simwire.FleetCached, 3), ask(2, 200)))
 	for inst, want := range map[uint32]byte{1: 77, 2: 88} {
-		sends := only(all, simwire.ActCallOut, inst)
+		sends := only(all, simwire.ActionCallOut, inst)
 		if len(sends) != 1 || sends[0].rest[7] != want {
 			t.Errorf("instance %d: sends %v, want one to .%d", inst, sends, want)
 		}
-		if len(only(all, simwire.ActTail, inst)) != 1 {
+		if len(only(all, simwire.ActionTail, inst)) != 1 {
 			t.Errorf("instance %d did not ask for its list", inst)
 		}
 	}
@@ -133,11 +133,11 @@
 func TestRestartInOneBatch(t *testing.T) {
 	all := actions(t, slices.Concat(
 		batch(1, 0, open(1, 5), manifest(0, 7), fleet(1, simwire.FleetCached, 0), ask(1, 100)),
-		batch(2, 5, record(simwire.EvCrashNow, uint32(1)), ask(1, 101), open(1, 6), fleet(1, simwire.FleetCached, 0), ask(1, 102)),
-		batch(3, 10, record(simwire.EvFinished, uint32(1), uint32(100), uint8(0), []byte{10, 0, 0, 7, 80, 0}, uint16(simwire.EndServed),
+		batch(2, 5, record(simwire.EventCrashNow, uint32(1)), ask(1, 101), open(1, 6), fleet(1, simwire.FleetCached, 0), ask(1, 102)),
+		batch(3, 10, record(simwire.EventFinished, uint32(1), uint32(100), uint8(0), []byte{10, 0, 0, 7, 80, 0}, uint16(simwire.OutcomeServed),
 			float64(5), uint8(1), uint8(0))),
-		batch(4, 15, record(simwire.EvCrashNow, uint32(1)), ask(1, 103))))
-	sends := only(all, simwire.ActCallOut, 1)
+		batch(4, 15, record(simwire.EventCrashNow, uint32(1)), ask(1, 103))))
+	sends := only(all, simwire.ActionCallOut, 1)
 	if len(sends) != 2 {
 		t.Fatalf("%d sends, want one before and one after the restart, none while it was down", len(sends))
 	}
@@ -152,9 +152,9 @@
 				if n == 0 {
 					recs = append(recs, open(i, uint64(i)), manifest(uint16(i), 1, 2, 3, 4), fleet(i, simwire.FleetFull, uint16(i)))
 				}
-				recs = append(recs, ask(i, 1000*i+n), record(simwire.EvWake, i, uint64(0)))
+				recs = append(recs, ask(i, 1000*i+n), record(simwire.EventWake, i, uint64(0)))
 				if n > 4 {
-					recs = append(recs, record(simwire.EvClientLeft, i, 1000*i+n-4))
+					recs = append(recs, record(simwire.EventClientLeft, i, 1000*i+n-4))
 				}
 			}
 			in = append(in, batch(n, float64(10*n), recs...)...)
@@ -172,9 +172,9 @@
 }
 
 func TestUnknownRecordsArePassedOver(t *testing.T) {
-	all := actions(t, batch(1, 0, record(4711, uint32(9), "anything"), open(1, 5), record(simwire.EvHeard, uint32(1), uint32(2), uint16(0)),
+	all := actions(t, batch(1, 0, record(4711, uint32(9), "anything"), open(1, 5), record(simwire.EventHeard, uint32(1), uint32(2), uint16(0)),
 		manifest(0, 7), fleet(1, 99, 0), fleet(1, simwire.FleetCached, 0), ask(1, 100), ask(44, 100)))
-	if len(only(all, simwire.ActCallOut, 1)) != 1 || slices.ContainsFunc(all, func(a action) bool { return a.inst == 44 }) {
+	if len(only(all, simwire.ActionCallOut, 1)) != 1 || slices.ContainsFunc(all, func(a action) bool { return a.inst == 44 }) {
 		t.Fatalf("actions %v", all)
 	}
 }
@@ -183,9 +183,9 @@
 	for name, in := range map[string][]byte{
 		"cut off":               batch(1, 0, open(1, 5))[:30],
 		"list never sent":       batch(1, 0, open(1, 5), fleet(1, simwire.FleetFull, 9)),
-		"record shorter":        batch(1, 0, open(1, 5), record(simwire.EvAsk, uint32(1), uint32(3))),
-		"unusable settings":     batch(1, 0, record(simwire.EvOpenInstance, uint32(1), uint64(1), uint32(11), "balancers=0")),
-		"settings without sign": batch(1, 0, record(simwire.EvOpenInstance, uint32(1), uint64(1), uint32(3), "abc")),
+		"record shorter":        batch(1, 0, open(1, 5), record(simwire.EventAsk, uint32(1), uint32(3))),
+		"unusable settings":     batch(1, 0, record(simwire.EventOpenInstance, uint32(1), uint64(1), uint32(11), "balancers=0")),
+		"settings without sign": batch(1, 0, record(simwire.EventOpenInstance, uint32(1), uint64(1), uint32(3), "abc")),
 		"bytes left over":       append(binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, 1), 3), 0, 0, 0, 0, 1, 2, 3),
 	} {
 		err := Serve(bytes.NewReader(in), io.Discard)
@@ -202,17 +202,17 @@
 	if err := i.guard(func() error { panic("index out of range") }); err != nil {
 		t.Fatal(err)
 	}
-	rec, _, err := simwire.Next(h.reply.Bytes()[12:])
-	if err != nil || rec.Code != simwire.ActDie || !strings.Contains(string(rec.Fields), "index out of range") {
+	rec, _, err := simwire.NextRecord(h.reply.Bytes()[12:])
+	if err != nil || rec.Code != simwire.ActionDie || !strings.Contains(string(rec.Fields), "index out of range") {
 		t.Fatalf("record %+v, error %v", rec, err)
 	}
 }
 
 func TestEndings(t *testing.T) {
 	for code, want := range map[uint16]policy.Ending{
-		simwire.EndServed: policy.Served, simwire.EndErrored: policy.Errored, simwire.EndTurnedAway: policy.TurnedAway,
-		simwire.EndTimedOut: policy.TimedOut, simwire.EndNoConnection: policy.NoConnection, simwire.EndBroken: policy.Broken,
-		simwire.EndCancelled: policy.Cancelled, simwire.EndNotSent: policy.NotSent, 999: policy.Errored,
+		simwire.OutcomeServed: policy.Served, simwire.OutcomeErrored: policy.Errored, simwire.OutcomeRejected: policy.Rejected,
+		simwire.OutcomeTimedOut: policy.TimedOut, simwire.OutcomeNoConnection: policy.NoConnection, simwire.OutcomeBroken: policy.Broken,
+		simwire.OutcomeCancelled: policy.Cancelled, simwire.OutcomeNotSent: policy.NotSent, 999: policy.Errored,
 	} {
 		if got := ending(code); got != want {
 			t.Errorf("ending %d becomes %v, want %v", code, got, want)
@@ -222,11 +222,11 @@
 
 func TestServers(t *testing.T) {
 	got := servers([]simwire.Entry{
-		{Upstream: 9, Area: 1, Cohort: 3, Status: simwire.StateReady, Rating: 2.5, Boot: time.Second},
-		{Status: simwire.StateGone}, {Status: simwire.StateDraining}, {Status: 77},
+		{Upstream: 9, Area: 1, Cohort: 3, Status: simwire.StatusReady, Rating: 2.5, Boot: time.Second},
+		{Status: simwire.StatusGone}, {Status: simwire.StatusDraining}, {Status: 77},
 	})
-	if got[0] != (policy.Server{ID: 9, Zone: 1, Cell: 3, State: policy.Ready, Weight: 2.5, Started: time.Second}) ||
-		got[1].State != policy.Gone || got[2].State != policy.Draining || got[3].State != policy.Draining {
+	if got[0] != (policy.Endpoint{ID: 9, Zone: 1, Cell: 3, State: policy.Ready, Weight: 2.5, Started: time.Second}) ||
+		got[1].State != policy.Removed || got[2].State != policy.Draining || got[3].State != policy.Draining {
 		t.Fatalf("servers %+v", got)
 	}
 }
--- a/internal/simulation/simwire/wire.go
+++ b/internal/simulation/simwire/wire.go
@@ -15,42 +15,42 @@
 
 // Event codes.
 const (
-	EvCheckResult  = 1000
-	EvManifest     = 1010
-	EvCrashNow     = 1020
-	EvHeaders      = 1030
-	EvHeard        = 1040
-	EvFleet        = 1050
-	EvFinished     = 1060
-	EvWake         = 1070
-	EvAsk          = 1080
-	EvClientLeft   = 1090
-	EvOpenInstance = 1100
+	EventCheckResult  = 1000
+	EventManifest     = 1010
+	EventCrashNow     = 1020
+	EventHeaders      = 1030
+	EventHeard        = 1040
+	EventFleet        = 1050
+	EventFinished     = 1060
+	EventWake         = 1070
+	EventAsk          = 1080
+	EventClientLeft   = 1090
+	EventOpenInstance = 1100
 )
 
 // Action codes.
 const (
-	ActCallOut  = 1000
-	ActPushBack = 1010
-	ActLose     = 1020
-	ActRecall   = 1030
-	ActSetAlarm = 1040
-	ActInspect  = 1050
-	ActWriteLog = 1080
-	ActDie      = 1090
-	ActTail     = 1100
+	ActionCallOut  = 1000
+	ActionPushBack = 1010
+	ActionLose     = 1020
+	ActionRecall   = 1030
+	ActionSetAlarm = 1040
+	ActionInspect  = 1050
+	ActionWriteLog = 1080
+	ActionDie      = 1090
+	ActionTail     = 1100
 )
 
 // Outcome codes.
 const (
-	EndServed       = 100
-	EndErrored      = 301
-	EndTurnedAway   = 302
-	EndTimedOut     = 303
-	EndNoConnection = 304
-	EndBroken       = 305
-	EndCancelled    = 306
-	EndNotSent      = 307
+	OutcomeServed       = 100
+	OutcomeErrored      = 301
+	OutcomeRejected     = 302
+	OutcomeTimedOut     = 303
+	OutcomeNoConnection = 304
+	OutcomeBroken       = 305
+	OutcomeCancelled    = 306
+	OutcomeNotSent      = 307
 )
 
 // Kinds of a Fleet event.
@@ -63,15 +63,15 @@
 
 // Bits of an Ask event.
 const (
-	BitHint   = 1
-	BitRepeat = 2
+	AskBitHint   = 1
+	AskBitRepeat = 2
 )
 
 // States of a list entry.
 const (
-	StateGone     = 0
-	StateReady    = 1
-	StateDraining = 2
+	StatusGone     = 0
+	StatusReady    = 1
+	StatusDraining = 2
 )
 
 const (
@@ -122,7 +122,7 @@
 	if math.IsNaN(clock) || math.IsInf(clock, 0) {
 		return Batch{}, fmt.Errorf("batch %d: clock is not a number", b.Number)
 	}
-	b.Clock = settings.Millis(clock)
+	b.Clock = settings.DurationFromMillis(clock)
 	if size > maxFrame {
 		return Batch{}, fmt.Errorf("batch %d: %d bytes claimed, at most %d are taken", b.Number, size, maxFrame)
 	}
@@ -166,8 +166,8 @@
 	Fields []byte
 }
 
-// Next cuts the next record off body and returns the rest.
-func Next(body []byte) (Record, []byte, error) {
+// NextRecord cuts the next record off body and returns the rest.
+func NextRecord(body []byte) (Record, []byte, error) {
 	if len(body) < recordHeadLen {
 		return Record{}, nil, fmt.Errorf("record header cut off: %d bytes left", len(body))
 	}
@@ -239,15 +239,15 @@
 	return Upstream(binary.LittleEndian.Uint64(b[:]))
 }
 
-func (c *cursor) report() Report {
-	var r Report
+func (c *cursor) report() LoadReport {
+	var r LoadReport
 	n := int(c.u8())
 	f := c.take(4 * n)
 	if f == nil {
 		return r
 	}
-	r.N = min(n, len(r.Values))
-	for i := range r.N {
+	r.Count = min(n, len(r.Values))
+	for i := range r.Count {
 		r.Values[i] = math.Float32frombits(binary.LittleEndian.Uint32(f[4*i:]))
 	}
 	return r
@@ -263,15 +263,15 @@
 // Upstream is an address and port: the six bytes of the wire, first byte lowest.
 type Upstream uint64
 
-// Report is a load report: up to four values in the order of the settings.
-type Report struct {
-	N      int
+// LoadReport is a load report: up to four values in the order of the settings.
+type LoadReport struct {
+	Count  int
 	Values [4]float32
 }
 
 // Value returns the value in a column, and whether there is one.
-func (r Report) Value(column int) (float64, bool) {
-	if column < 0 || column >= r.N {
+func (r LoadReport) Value(column int) (float64, bool) {
+	if column < 0 || column >= r.Count {
 		return 0, false
 	}
 	return float64(r.Values[column]), true
@@ -307,7 +307,7 @@
 	for i := range entries {
 		e := Entry{Upstream: c.addr(), Area: c.u8(), Family: c.u8(), Cohort: c.u16(), Status: c.u8()}
 		e.Rating = float64(math.Float32frombits(c.u32()))
-		e.Boot = settings.Millis(c.f64())
+		e.Boot = settings.DurationFromMillis(c.f64())
 		entries[i] = e
 	}
 	return page, entries, c.done(r.Code)
@@ -346,7 +346,7 @@
 	c := cursor{b: r.Fields}
 	c.u32()
 	a := Ask{Job: c.u32(), Bits: c.u16(), Key: c.u64(), Tenant: c.u32()}
-	a.Left, a.Hint, a.Kind = settings.Millis(c.f64()), settings.Millis(c.f64()), c.u8()
+	a.Left, a.Hint, a.Kind = settings.DurationFromMillis(c.f64()), settings.DurationFromMillis(c.f64()), c.u8()
 	return a, c.done(r.Code)
 }
 
@@ -358,7 +358,7 @@
 	Ending   uint16
 	Took     time.Duration
 	Settled  bool
-	Pressure Report
+	Pressure LoadReport
 }
 
 // Finished reads the outcome of an attempt.
@@ -366,12 +366,12 @@
 	c := cursor{b: r.Fields}
 	c.u32()
 	f := Finished{Job: c.u32(), Hop: c.u8(), Upstream: c.addr(), Ending: c.u16()}
-	f.Took, f.Settled, f.Pressure = settings.Millis(c.f64()), c.u8() != 0, c.report()
+	f.Took, f.Settled, f.Pressure = settings.DurationFromMillis(c.f64()), c.u8() != 0, c.report()
 	return f, c.done(r.Code)
 }
 
 // CheckResult reads the result of a probe.
-func (r Record) CheckResult() (up Upstream, ending uint16, report Report, err error) {
+func (r Record) CheckResult() (up Upstream, ending uint16, report LoadReport, err error) {
 	c := cursor{b: r.Fields}
 	c.u32()
 	up, ending = c.addr(), c.u16()
@@ -402,18 +402,18 @@
 	count uint32
 }
 
-// Reply gathers the actions that answer one batch.
-type Reply struct{ records }
+// ReplyWriter gathers the actions that answer one batch.
+type ReplyWriter struct{ records }
 
 // Begin empties the reply and starts one for the batch of that number.
-func (p *Reply) Begin(number uint32) {
+func (p *ReplyWriter) Begin(number uint32) {
 	p.buf = append(p.buf[:0], make([]byte, replyHeaderLen)...)
 	binary.LittleEndian.PutUint32(p.buf, number)
 	p.count = 0
 }
 
 // Bytes completes the frame; it stays valid until the next Begin.
-func (p *Reply) Bytes() []byte {
+func (p *ReplyWriter) Bytes() []byte {
 	binary.LittleEndian.PutUint32(p.buf[4:], uint32(len(p.buf)-replyHeaderLen))
 	binary.LittleEndian.PutUint32(p.buf[8:], p.count)
 	return p.buf
@@ -455,54 +455,54 @@
 }
 
 // CallOut starts an attempt.
-func (p *Reply) CallOut(inst, job uint32, to Upstream, patience time.Duration) {
-	p.head(ActCallOut, 22, inst)
+func (p *ReplyWriter) CallOut(inst, job uint32, to Upstream, patience time.Duration) {
+	p.head(ActionCallOut, 22, inst)
 	p.u32(job)
 	p.addr(to)
 	p.f64(ToMillis(patience))
 }
 
 // SetAlarm asks for a Wake.
-func (p *Reply) SetAlarm(inst uint32, after time.Duration, cookie uint64) {
-	p.head(ActSetAlarm, 20, inst)
+func (p *ReplyWriter) SetAlarm(inst uint32, after time.Duration, cookie uint64) {
+	p.head(ActionSetAlarm, 20, inst)
 	p.f64(ToMillis(after))
 	p.u64(cookie)
 }
 
 // Inspect probes an upstream.
-func (p *Reply) Inspect(inst uint32, to Upstream) {
-	p.head(ActInspect, 10, inst)
+func (p *ReplyWriter) Inspect(inst uint32, to Upstream) {
+	p.head(ActionInspect, 10, inst)
 	p.addr(to)
 }
 
 // PushBack refuses a request.
-func (p *Reply) PushBack(inst, job uint32, pause time.Duration) {
-	p.head(ActPushBack, 16, inst)
+func (p *ReplyWriter) PushBack(inst, job uint32, pause time.Duration) {
+	p.head(ActionPushBack, 16, inst)
 	p.u32(job)
 	p.f64(ToMillis(pause))
 }
 
 // Lose fails a request.
-func (p *Reply) Lose(inst, job uint32) {
-	p.head(ActLose, 8, inst)
+func (p *ReplyWriter) Lose(inst, job uint32) {
+	p.head(ActionLose, 8, inst)
 	p.u32(job)
 }
 
 // Recall calls an attempt off.
-func (p *Reply) Recall(inst, job uint32, hop uint8) {
-	p.head(ActRecall, 9, inst)
+func (p *ReplyWriter) Recall(inst, job uint32, hop uint8) {
+	p.head(ActionRecall, 9, inst)
 	p.u32(job)
 	p.u8(hop)
 }
 
 // Tail subscribes to the server list, or ends the subscription.
-func (p *Reply) Tail(inst uint32, on bool) {
-	p.head(ActTail, 5, inst)
+func (p *ReplyWriter) Tail(inst uint32, on bool) {
+	p.head(ActionTail, 5, inst)
 	p.flag(on)
 }
 
 // WriteLog writes a line for the report.
-func (p *Reply) WriteLog(inst uint32, line string) { p.text(ActWriteLog, inst, line) }
+func (p *ReplyWriter) WriteLog(inst uint32, line string) { p.text(ActionWriteLog, inst, line) }
 
 // Die says that the decision code has failed.
-func (p *Reply) Die(inst uint32, note string) { p.text(ActDie, inst, note) }
+func (p *ReplyWriter) Die(inst uint32, note string) { p.text(ActionDie, inst, note) }
--- a/internal/simulation/simwire/wire_test.go
+++ b/internal/simulation/simwire/wire_test.go
@@ -32,7 +32,7 @@
 	if err != nil || b.Number != 12 || b.Records != 3 || b.Clock != 8412250*time.Microsecond {
 		t.Fatalf("batch %+v, error %v", b, err)
 	}
-	rec, rest, err := Next(b.Body)
+	rec, rest, err := NextRecord(b.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,11 +41,11 @@
 	if err != nil || a != want {
 		t.Fatalf("ask %+v, error %v, want %+v", a, err, want)
 	}
-	rec, rest, _ = Next(rest)
+	rec, rest, _ = NextRecord(rest)
 	if c, err := rec.Cookie(); err != nil || c != 77 {
 		t.Fatalf("cookie %d, error %v", c, err)
 	}
-	rec, rest, _ = Next(rest)
+	rec, rest, _ = NextRecord(rest)
 	job, err := rec.Job()
 	if inst, _ := rec.Instance(); err != nil || job != 0x0e6f2b19 || inst != 5 || len(rest) != 0 {
 		t.Fatalf("job %x of instance %d, error %v, %d bytes left", job, inst, err, len(rest))
@@ -56,7 +56,7 @@
 }
 
 func TestReadsListsAndOutcomes(t *testing.T) {
-	rec, _, err := Next(unhex(t, `f203 34000000 0000 02000000
+	rec, _, err := NextRecord(unhex(t, `f203 34000000 0000 02000000
 		0a124a07 931f 00 00 0000 01 0000803f 0000000000000000
 		0a9011f2 bc1f 00 00 0000 01 0000c03f 0000000000d4b740`))
 	if err != nil {
@@ -66,18 +66,18 @@
 	if err != nil || page != 0 || len(entries) != 2 {
 		t.Fatalf("page %d, %d entries, error %v", page, len(entries), err)
 	}
-	if e := entries[1]; e.Status != StateReady || e.Rating != 1.5 || e.Boot != 6100*time.Millisecond {
+	if e := entries[1]; e.Status != StatusReady || e.Rating != 1.5 || e.Boot != 6100*time.Millisecond {
 		t.Fatalf("entry %+v", e)
 	}
-	rec, _, _ = Next(unhex(t, "2404 1b000000 03000000 c4913a5d 00 0a124a07 931f 6400 0000000000803240 01 00"))
+	rec, _, _ = NextRecord(unhex(t, "2404 1b000000 03000000 c4913a5d 00 0a124a07 931f 6400 0000000000803240 01 00"))
 	f, err := rec.Finished()
-	if err != nil || f.Ending != EndServed || !f.Settled || f.Took != 18500*time.Microsecond || f.Upstream != entries[0].Upstream {
+	if err != nil || f.Ending != OutcomeServed || !f.Settled || f.Took != 18500*time.Microsecond || f.Upstream != entries[0].Upstream {
 		t.Fatalf("outcome %+v, error %v", f, err)
 	}
-	rec, _, _ = Next(unhex(t, `e803 25000000 03000000 0a9011f2 bc1f 6400 666666666666f63f
+	rec, _, _ = NextRecord(unhex(t, `e803 25000000 03000000 0a9011f2 bc1f 6400 666666666666f63f
 		04 0000003f0000684100000c430000e040`))
 	up, end, report, err := rec.CheckResult()
-	if err != nil || up != entries[1].Upstream || end != EndServed || report.N != 4 || report.Values[3] != 7 {
+	if err != nil || up != entries[1].Upstream || end != OutcomeServed || report.Count != 4 || report.Values[3] != 7 {
 		t.Fatalf("probe of %x: %d, report %+v, error %v", up, end, report, err)
 	}
 	if v, ok := report.Value(3); v != 7 || !ok {
@@ -86,10 +86,10 @@
 	if _, ok := report.Value(-1); ok {
 		t.Fatal("there is no column -1")
 	}
-	if _, ok := (Report{}).Value(3); ok {
+	if _, ok := (LoadReport{}).Value(3); ok {
 		t.Fatal("an empty report has no column")
 	}
-	rec, _, _ = Next(unhex(t, "1a04 0b000000 03000000 03 29000000 0700"))
+	rec, _, _ = NextRecord(unhex(t, "1a04 0b000000 03000000 03 29000000 0700"))
 	if kind, version, page, err := rec.Fleet(); err != nil || kind != FleetCached || version != 41 || page != 7 {
 		t.Fatalf("fleet: kind %d version %d page %d, error %v", kind, version, page, err)
 	}
@@ -97,10 +97,10 @@
 
 func TestWritesActions(t *testing.T) {
 	var to Upstream
-	rec, _, _ := Next(unhex(t, "1a04 0a000000 03000000 0a124a07 931f"))
+	rec, _, _ := NextRecord(unhex(t, "1a04 0a000000 03000000 0a124a07 931f"))
 	c := cursor{b: rec.Fields[4:]}
 	to = c.addr()
-	var p Reply
+	var p ReplyWriter
 	p.Begin(12)
 	p.CallOut(3, 0x5d3a91c4, to, 80*time.Millisecond)
 	p.SetAlarm(3, 500*time.Millisecond, 77)
@@ -155,19 +155,19 @@
 		"record header cut off": "e803",
 		"record longer than it": "e803 ff000000 03000000",
 	} {
-		if _, _, err := Next(unhex(t, in)); err == nil {
+		if _, _, err := NextRecord(unhex(t, in)); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
-	short := Record{Code: EvAsk, Fields: []byte{1, 0, 0, 0, 9}}
+	short := Record{Code: EventAsk, Fields: []byte{1, 0, 0, 0, 9}}
 	if _, err := short.Ask(); err == nil {
 		t.Error("fields cut off: no error")
 	}
-	huge := Record{Code: EvManifest, Fields: []byte{0, 0, 255, 255, 255, 255}}
+	huge := Record{Code: EventManifest, Fields: []byte{0, 0, 255, 255, 255, 255}}
 	if _, _, err := huge.Manifest(); err == nil {
 		t.Error("list of four thousand million lines: no error")
 	}
-	longer := Record{Code: EvWake, Fields: append(make([]byte, 12), "a field of a later version"...)}
+	longer := Record{Code: EventWake, Fields: append(make([]byte, 12), "a field of a later version"...)}
 	if _, err := longer.Cookie(); err != nil {
 		t.Errorf("added fields: %v", err)
 	}
@@ -182,7 +182,7 @@
 			return
 		}
 		for body := b.Body; len(body) > 0; {
-			rec, rest, err := Next(body)
+			rec, rest, err := NextRecord(body)
 			if err != nil {
 				return
 			}
@@ -202,7 +202,7 @@
 
 func TestCutOffFieldIsNamedByItsPlace(t *testing.T) {
 	for fields, want := range map[int]string{2: "byte 6 ", 6: "byte 10 ", 9: "byte 14 "} {
-		_, err := Record{Code: EvAsk, Fields: make([]byte, fields)}.Ask()
+		_, err := Record{Code: EventAsk, Fields: make([]byte, fields)}.Ask()
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%d bytes of fields: error %v, want it to name %q", fields, err, want)
 		}
--- a/internal/simulation/simwire/world.go
+++ b/internal/simulation/simwire/world.go
@@ -13,11 +13,11 @@
 
 // The simulator's end of the wire: events are written and actions read.
 
-// Events gathers the events of one batch.
-type Events struct{ records }
+// BatchWriter gathers the events of one batch.
+type BatchWriter struct{ records }
 
 // Begin empties the batch and starts one of that number and time.
-func (e *Events) Begin(number uint32, clock time.Duration) {
+func (e *BatchWriter) Begin(number uint32, clock time.Duration) {
 	e.buf = append(e.buf[:0], make([]byte, batchHeaderLen)...)
 	le := binary.LittleEndian
 	le.PutUint32(e.buf, number)
@@ -26,27 +26,27 @@
 }
 
 // Bytes completes the frame; it stays valid until the next Begin.
-func (e *Events) Bytes() []byte {
+func (e *BatchWriter) Bytes() []byte {
 	binary.LittleEndian.PutUint32(e.buf[4:], e.count)
 	binary.LittleEndian.PutUint32(e.buf[8:], uint32(len(e.buf)-batchHeaderLen))
 	return e.buf
 }
 
 // OpenInstance starts an instance.
-func (e *Events) OpenInstance(inst uint32, seed uint64, info []byte) {
-	e.head(EvOpenInstance, 16+len(info), inst)
+func (e *BatchWriter) OpenInstance(inst uint32, seed uint64, info []byte) {
+	e.head(EventOpenInstance, 16+len(info), inst)
 	e.u64(seed)
 	e.u32(uint32(len(info)))
 	e.buf = append(e.buf, info...)
 }
 
 // CrashNow ends one.
-func (e *Events) CrashNow(inst uint32) { e.head(EvCrashNow, 4, inst) }
+func (e *BatchWriter) CrashNow(inst uint32) { e.head(EventCrashNow, 4, inst) }
 
 // Manifest gives a list a number. It belongs to no instance.
-func (e *Events) Manifest(page uint16, entries []Entry) {
+func (e *BatchWriter) Manifest(page uint16, entries []Entry) {
 	e.count++
-	e.u16(EvManifest)
+	e.u16(EventManifest)
 	e.u32(uint32(6 + entryLen*len(entries)))
 	e.u16(page)
 	e.u32(uint32(len(entries)))
@@ -62,16 +62,16 @@
 }
 
 // Fleet tells an instance of a list.
-func (e *Events) Fleet(inst uint32, kind uint8, version uint32, page uint16) {
-	e.head(EvFleet, 11, inst)
+func (e *BatchWriter) Fleet(inst uint32, kind uint8, version uint32, page uint16) {
+	e.head(EventFleet, 11, inst)
 	e.u8(kind)
 	e.u32(version)
 	e.u16(page)
 }
 
 // Ask brings a request.
-func (e *Events) Ask(inst uint32, a Ask) {
-	e.head(EvAsk, 39, inst)
+func (e *BatchWriter) Ask(inst uint32, a Ask) {
+	e.head(EventAsk, 39, inst)
 	e.u32(a.Job)
 	e.u16(a.Bits)
 	e.u64(a.Key)
@@ -82,8 +82,8 @@
 }
 
 // Finished tells of an attempt's end; it carries no load report.
-func (e *Events) Finished(inst uint32, f Finished) {
-	e.head(EvFinished, 27, inst)
+func (e *BatchWriter) Finished(inst uint32, f Finished) {
+	e.head(EventFinished, 27, inst)
 	e.u32(f.Job)
 	e.u8(f.Hop)
 	e.addr(f.Upstream)
@@ -94,54 +94,54 @@
 }
 
 // ClientLeft tells that a client has gone.
-func (e *Events) ClientLeft(inst, job uint32) {
-	e.head(EvClientLeft, 8, inst)
+func (e *BatchWriter) ClientLeft(inst, job uint32) {
+	e.head(EventClientLeft, 8, inst)
 	e.u32(job)
 }
 
 // Wake tells that a timer is due.
-func (e *Events) Wake(inst uint32, cookie uint64) {
-	e.head(EvWake, 12, inst)
+func (e *BatchWriter) Wake(inst uint32, cookie uint64) {
+	e.head(EventWake, 12, inst)
 	e.u64(cookie)
 }
 
 // CheckResult tells of a probe's end.
-func (e *Events) CheckResult(inst uint32, up Upstream, ending uint16, took time.Duration, r Report) {
-	e.head(EvCheckResult, 21+4*r.N, inst)
+func (e *BatchWriter) CheckResult(inst uint32, up Upstream, ending uint16, took time.Duration, r LoadReport) {
+	e.head(EventCheckResult, 21+4*r.Count, inst)
 	e.addr(up)
 	e.u16(ending)
 	e.f64(ToMillis(took))
-	e.u8(uint8(r.N))
-	for _, v := range r.Values[:r.N] {
+	e.u8(uint8(r.Count))
+	for _, v := range r.Values[:r.Count] {
 		e.u32(math.Float32bits(v))
 	}
 }
 
-// Answer is one frame of actions.
-type Answer struct {
+// Reply is one frame of actions.
+type Reply struct {
 	Number  uint32
 	Records uint32
 	Body    []byte // valid until the next ReadAnswer
 }
 
-// ReadAnswer reads the next frame of actions.
-func (r *Reader) ReadAnswer() (Answer, error) {
+// ReadReply reads the next frame of actions.
+func (r *Reader) ReadReply() (Reply, error) {
 	head := r.head[:replyHeaderLen]
 	if _, err := io.ReadFull(r.r, head); err != nil {
 		if errors.Is(err, io.EOF) {
-			return Answer{}, io.EOF
+			return Reply{}, io.EOF
 		}
-		return Answer{}, fmt.Errorf("read reply header: %w", err)
+		return Reply{}, fmt.Errorf("read reply header: %w", err)
 	}
 	le := binary.LittleEndian
-	a := Answer{Number: le.Uint32(head), Records: le.Uint32(head[8:])}
+	a := Reply{Number: le.Uint32(head), Records: le.Uint32(head[8:])}
 	size := le.Uint32(head[4:])
 	if size > maxFrame || uint64(a.Records)*recordHeadLen > uint64(size) {
-		return Answer{}, fmt.Errorf("reply %d: %d records in %d bytes cannot be", a.Number, a.Records, size)
+		return Reply{}, fmt.Errorf("reply %d: %d records in %d bytes cannot be", a.Number, a.Records, size)
 	}
 	body, err := r.body(int(size))
 	if err != nil {
-		return Answer{}, fmt.Errorf("reply %d: %w", a.Number, err)
+		return Reply{}, fmt.Errorf("reply %d: %w", a.Number, err)
 	}
 	a.Body = body
 	return a, nil
@@ -165,21 +165,21 @@
 	c := cursor{b: r.Fields}
 	a := Action{Code: r.Code, Inst: c.u32()}
 	switch r.Code {
-	case ActCallOut:
-		a.Job, a.To, a.Time = c.u32(), c.addr(), settings.Millis(c.f64())
-	case ActPushBack:
-		a.Job, a.Time = c.u32(), settings.Millis(c.f64())
-	case ActLose:
+	case ActionCallOut:
+		a.Job, a.To, a.Time = c.u32(), c.addr(), settings.DurationFromMillis(c.f64())
+	case ActionPushBack:
+		a.Job, a.Time = c.u32(), settings.DurationFromMillis(c.f64())
+	case ActionLose:
 		a.Job = c.u32()
-	case ActRecall:
+	case ActionRecall:
 		a.Job, a.Hop = c.u32(), c.u8()
-	case ActSetAlarm:
-		a.Time, a.Cookie = settings.Millis(c.f64()), c.u64()
-	case ActInspect:
+	case ActionSetAlarm:
+		a.Time, a.Cookie = settings.DurationFromMillis(c.f64()), c.u64()
+	case ActionInspect:
 		a.To = c.addr()
-	case ActTail:
+	case ActionTail:
 		a.On = c.u8() != 0
-	case ActWriteLog, ActDie:
+	case ActionWriteLog, ActionDie:
 		a.Text = string(c.take(int(c.u16())))
 	}
 	return a, c.done(r.Code)
--- a/policy/affinity.go
+++ b/policy/affinity.go
@@ -15,7 +15,7 @@
 
 // cellOf is the cell of a server to a request; without a key all are one.
 func (b *Balancer) cellOf(r *request, s *server) int {
-	if r.key == 0 || !b.cfg.WarmKeys {
+	if r.key == 0 || !b.cfg.KeyAffinity {
 		return 0
 	}
 	return s.Cell
--- a/policy/affinity_test.go
+++ b/policy/affinity_test.go
@@ -9,16 +9,16 @@
 // warmConfig is that of one of many balancers, where servers remember keys.
 func warmConfig() Config {
 	cfg := testConfig()
-	cfg.WarmKeys, cfg.Slots = true, 100
+	cfg.KeyAffinity, cfg.Slots = true, 100
 	return cfg
 }
 
 // cells lists n cells of three servers each; the ids of cell c are 10c, 10c+1 and 10c+2.
-func cells(n int) []Server {
-	var list []Server
+func cells(n int) []Endpoint {
+	var list []Endpoint
 	for c := range n {
 		for i := range 3 {
-			list = append(list, Server{ID: ServerID(10*c + i), Cell: c, State: Ready, Weight: 1})
+			list = append(list, Endpoint{ID: ServerID(10*c + i), Cell: c, State: Ready, Weight: 1})
 		}
 	}
 	return list
@@ -27,7 +27,7 @@
 // cellFor asks for a key and returns the cell that its request went to.
 func cellFor(b *Balancer, h *fakeHost, now time.Duration, key uint64) int {
 	id := RequestID(len(h.sends) + 1000)
-	b.Request(now, Request{ID: id, Class: safeClass, Left: 3 * time.Second, Key: key})
+	b.Request(now, Request{ID: id, Class: safeClass, TimeLeft: 3 * time.Second, AffinityKey: key})
 	to := h.sends[len(h.sends)-1].to
 	end(b, now, id, 0, Served)
 	return int(to / 10)
--- a/policy/api.go
+++ b/policy/api.go
@@ -15,36 +15,36 @@
 // ServerID names a server; it stays the same when the server restarts.
 type ServerID uint64
 
-// Effect says what repeating a request of a class may do.
-type Effect int
+// Idempotency says what repeating a request of a class may do.
+type Idempotency int
 
 // The effects of a class.
 const (
-	Safe   Effect = iota // may be repeated and refused at will
-	Keyed                // repeats are dropped within a group of servers, for a while
-	Unsafe               // must never run twice
+	Idempotent      Idempotency = iota // may be repeated and refused at will
+	IdempotentByKey                    // repeats are dropped within a group of servers, for a while
+	NonIdempotent                      // must never run twice
 )
 
-// Scope is the group of servers that drops repeats of a keyed request.
-type Scope int
+// DedupScope is the group of servers that drops repeats of a keyed request.
+type DedupScope int
 
 // The scopes of a keyed class.
 const (
-	ScopeAll Scope = iota
+	ScopeAll DedupScope = iota
 	ScopeZone
 	ScopeCell
 )
 
 // Class describes one kind of request.
 type Class struct {
-	Aim        time.Duration // answers within this earn full worth
-	AimStretch float64       // the aim grows by this multiple of the request's expected work
-	Deadline   time.Duration // the client's whole wait, over all its tries
-	LateShare  float64       // share of the worth that an answer after the aim still earns
-	Worth      float64
-	Effect     Effect
-	Scope      Scope         // keyed only
-	Window     time.Duration // keyed only: how long repeats are dropped, from the first send on
+	LatencyObjective    time.Duration // answers within this earn full worth
+	ObjectiveWorkFactor float64       // the aim grows by this multiple of the request's expected work
+	Deadline            time.Duration // the client's whole wait, over all its tries
+	LateShare           float64       // share of the worth that an answer after the aim still earns
+	PriorityWeight      float64
+	Idempotency         Idempotency
+	DedupScope          DedupScope    // keyed only
+	DedupWindow         time.Duration // keyed only: how long repeats are dropped, from the first send on
 }
 
 // Tenant is one customer with a share of the service.
@@ -62,44 +62,44 @@
 
 	Slots int // slots of this balancer over all compartments; 0 derives them from the rest
 
-	MaxAttempts   int           // attempts for one request at most
-	MayCancel     bool          // Host.Cancel may be used
-	MayProbe      bool          // Host.Probe may be used
-	Reports       bool          // probes bring load reports
-	MaxRetryAfter time.Duration // the longest pause that clients heed
-	WarmKeys      bool          // a server that met a key lately needs less work for it
-	MarksRepeat   bool          // clients mark their own further tries: Request.Repeat
+	MaxAttempts        int           // attempts for one request at most
+	MayCancel          bool          // Host.Cancel may be used
+	MayProbe           bool          // Host.Probe may be used
+	LoadReports        bool          // probes bring load reports
+	MaxRetryAfter      time.Duration // the longest pause that clients heed
+	KeyAffinity        bool          // a server that met a key lately needs less work for it
+	ClientsMarkRetries bool          // clients mark their own further tries: Request.Repeat
 
-	Tick time.Duration // events come at most this often
+	EventPeriod time.Duration // events come at most this often
 
-	AskList   bool          // the server list must be asked for
-	AskWithin time.Duration // without asking this long, a change counts as told; 0: not known
+	PollList     bool          // the server list must be asked for
+	PollDeadline time.Duration // without asking this long, a change counts as told; 0: not known
 
 	DrainGrace time.Duration // in which sends to a server that drains or is gone have to stop
 
-	ColdFrom     float64       // a server starts with at least this share of its capacity
-	ColdTime     time.Duration // and has all of it after this
-	ColdMultiple float64       // sent more than this multiple of what it can do at that moment, it falls over
+	SlowStartFloor  float64       // a server starts with at least this share of its capacity
+	SlowStartWindow time.Duration // and has all of it after this
+	OverloadFactor  float64       // sent more than this multiple of what it can do at that moment, it falls over
 
-	CrossZonePrice float64 // price of an attempt that leaves the zone, against a worth of 1
+	CrossZoneCost float64 // price of an attempt that leaves the zone, against a worth of 1
 }
 
-// State is what the server list says of a server.
-type State int
+// EndpointState is what the server list says of a server.
+type EndpointState int
 
 // The states of a server.
 const (
-	Gone State = iota
+	Removed EndpointState = iota
 	Draining
 	Ready
 )
 
-// Server is one entry of the server list.
-type Server struct {
+// Endpoint is one entry of the server list.
+type Endpoint struct {
 	ID      ServerID
 	Zone    int
 	Cell    int // servers of one cell share the keys they have seen
-	State   State
+	State   EndpointState
 	Weight  float64       // nominal size, set against the other servers' weights
 	Started time.Duration // time of its last start; 0 means long ago
 }
@@ -117,26 +117,26 @@
 
 // Request is one client request.
 type Request struct {
-	ID     RequestID
-	Class  int
-	Tenant int
-	Left   time.Duration // until the client gives up
-	StopIn time.Duration // until this process has to have answered it; 0: it serves on
-	Work   time.Duration // expected work; 0 where unknown
-	Key    uint64        // what it concerns; requests of one key belong together; 0: none
-	Repeat bool          // known to be a client's own further try
+	ID           RequestID
+	Class        int
+	Tenant       int
+	TimeLeft     time.Duration // until the client gives up
+	ShutdownIn   time.Duration // until this process has to have answered it; 0: it serves on
+	ExpectedWork time.Duration // expected work; 0 where unknown
+	AffinityKey  uint64        // what it concerns; requests of one key belong together; 0: none
+	ClientRetry  bool          // known to be a client's own further try
 }
 
 // Ending says how an attempt ended.
 type Ending int
 
-// The endings of an attempt. TurnedAway, NoConnection and NotSent prove that
+// The endings of an attempt. Rejected, NoConnection and NotSent prove that
 // it never ran; every other one but Served means that it may have run, and so
 // does a value not listed here.
 const (
 	Served Ending = iota
 	Errored
-	TurnedAway
+	Rejected
 	TimedOut
 	NoConnection
 	Broken
@@ -152,16 +152,16 @@
 	Settled bool // the request is over; nothing more is owed for it
 }
 
-// Load is what a server reports of itself. A negative number is unknown.
-type Load struct {
-	InFlight float64 // requests it holds
-	Waiting  float64 // of those, the ones that have not begun
-	Busy     float64 // share of its cores in use
-	Rate     float64 // requests it serves a second
+// LoadReport is what a server reports of itself. A negative number is unknown.
+type LoadReport struct {
+	InFlight        float64 // requests it holds
+	Queued          float64 // of those, the ones that have not begun
+	Utilization     float64 // share of its cores in use
+	ServedPerSecond float64 // requests it serves a second
 }
 
-// NoLoad is the load of a server that reported none.
-var NoLoad = Load{InFlight: -1, Waiting: -1, Busy: -1, Rate: -1}
+// UnknownLoad is the load of a server that reported none.
+var UnknownLoad = LoadReport{InFlight: -1, Queued: -1, Utilization: -1, ServedPerSecond: -1}
 
 // Host carries out what the Balancer decides. Its methods must not call back
 // into the Balancer.
@@ -213,26 +213,26 @@
 	return max(0, b.parts[tenant].places-b.parts[tenant].lent.Places-len(b.parts[tenant].queue))
 }
 
-// Held is what one compartment holds of its slots and queue places.
-type Held struct {
+// BulkheadCapacity is what one compartment holds of its slots and queue places.
+type BulkheadCapacity struct {
 	Slots  int `json:"Slots"`
 	Places int `json:"Places"`
 }
 
-// Rule is the fleet's word on what this sidecar may do, within what it was configured
+// FleetLimits is the fleet's word on what this sidecar may do, within what it was configured
 // for: each figure only tightens, and what is left out stays as configured.
-type Rule struct {
-	Walls       []Held // by tenant
+type FleetLimits struct {
+	Bulkheads   []BulkheadCapacity // by tenant
 	MaxAttempts int
 	NoProbes    bool
 }
 
-// Advice is the fleet's word on an overload: what part of each tenant's new requests may
+// OverloadAdvice is the fleet's word on an overload: what part of each tenant's new requests may
 // be tried, by tenant. It only tightens, and only for a while.
-type Advice struct {
-	Parts []float64
-	For   time.Duration
+type OverloadAdvice struct {
+	AdmittedShares []float64
+	ValidFor       time.Duration
 }
 
-// Jam tells what answers took of their aims lately.
-func (b *Balancer) Jam(now time.Duration) float64 { return b.jam(now) }
+// Congestion tells what answers took of their aims lately.
+func (b *Balancer) Congestion(now time.Duration) float64 { return b.jam(now) }
--- a/policy/ask.go
+++ b/policy/ask.go
@@ -39,8 +39,8 @@
 	SinceLastMessage time.Duration // since the last word, a list or a sign of life
 }
 
-// Lost takes that a call for the list has failed, or that the subscription has ended.
-func (b *Balancer) Lost(now time.Duration, loss ListLoss) {
+// ListLost takes that a call for the list has failed, or that the subscription has ended.
+func (b *Balancer) ListLost(now time.Duration, loss ListLoss) {
 	since := now
 	switch {
 	case loss.Unresponsive:
@@ -62,7 +62,7 @@
 
 // ask subscribes to the list. Without any word it asks again before its silence counts as being told.
 func (b *Balancer) ask(now time.Duration) {
-	b.askAt = now + cmp.Or(b.cfg.AskWithin*3/4, lastPause)
+	b.askAt = now + cmp.Or(b.cfg.PollDeadline*3/4, lastPause)
 	b.host.WatchList()
 }
 
@@ -84,7 +84,7 @@
 // is opened later than staggerMost after the whole list came.
 const staggerFrom, staggerMost = time.Second, 4 * time.Second
 
-// Stagger is how long after the whole list its subscription may be made, where many balancers ask at once.
-func Stagger(balancers int) time.Duration {
+// SubscribeDelay is how long after the whole list its subscription may be made, where many balancers ask at once.
+func SubscribeDelay(balancers int) time.Duration {
 	return max(0, min(askEach*time.Duration(balancers)-staggerFrom, staggerMost))
 }
--- a/policy/ask_test.go
+++ b/policy/ask_test.go
@@ -10,7 +10,7 @@
 func TestCallsOfManyBalancersAreSpread(t *testing.T) {
 	const many = 80
 	cfg := testConfig()
-	cfg.AskList, cfg.Balancers = true, many
+	cfg.PollList, cfg.Balancers = true, many
 	calls := make([]int, 20) // in each half second
 	for seed := range uint64(many) {
 		h := newFakeHost()
@@ -51,7 +51,7 @@
 	for _, grace := range []time.Duration{300 * ms, 500 * ms, 1500 * ms, 3 * time.Second} {
 		for seed := range uint64(200) {
 			cfg := testConfig()
-			cfg.AskList, cfg.AskWithin, cfg.Balancers, cfg.DrainGrace = true, 10*time.Second, 300, grace
+			cfg.PollList, cfg.PollDeadline, cfg.Balancers, cfg.DrainGrace = true, 10*time.Second, 300, grace
 			h := newFakeHost()
 			b, err := New(cfg, seed, h)
 			if err != nil {
@@ -77,7 +77,7 @@
 // one more that fails still leaves time.
 func TestFewBalancersCallAgainSoon(t *testing.T) {
 	cfg := testConfig()
-	cfg.AskList, cfg.AskWithin, cfg.Balancers, cfg.DrainGrace = true, 10*time.Second, 5, 500*ms
+	cfg.PollList, cfg.PollDeadline, cfg.Balancers, cfg.DrainGrace = true, 10*time.Second, 5, 500*ms
 	h := newFakeHost()
 	b, err := New(cfg, 1, h)
 	if err != nil {
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -24,16 +24,16 @@
 }
 
 // measure learns from a load report what servers of one listed weight can do.
-func (b *Balancer) measure(s *server, l Load) {
-	if l.Busy < busyEnough || l.Rate <= 0 {
+func (b *Balancer) measure(s *server, l LoadReport) {
+	if l.Utilization < busyEnough || l.ServedPerSecond <= 0 {
 		return
 	}
 	z := b.sizeOf(s.Weight)
 	if z == nil {
 		return
 	}
-	z.rate += l.Rate
-	if z.busy += l.Busy; z.busy > sizeMemory {
+	z.rate += l.ServedPerSecond
+	if z.busy += l.Utilization; z.busy > sizeMemory {
 		z.rate, z.busy = z.rate/2, z.busy/2
 	}
 	for _, s := range b.servers {
@@ -83,7 +83,7 @@
 // traffic is thin it asks any server at random, so that balancers don't go round in step.
 func (b *Balancer) probe() {
 	n := len(b.servers)
-	if b.probes++; !b.cfg.Reports || n == 0 {
+	if b.probes++; !b.cfg.LoadReports || n == 0 {
 		return
 	}
 	every, next := probeEvery, b.probes/probeEvery%n
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -16,10 +16,10 @@
 		t.Fatalf("sizes %v and %v before any report", b.server(1).size, b.server(2).size)
 	}
 	for range 50 {
-		b.Probed(ms, 1, true, Load{InFlight: -1, Waiting: 0, Busy: 0.5, Rate: 15}) // 30 a second
-		b.Probed(ms, 2, true, Load{InFlight: -1, Waiting: 3, Busy: 1, Rate: 40})   // 40
-		b.Probed(ms, 1, true, Load{InFlight: -1, Waiting: 0, Busy: 0.1, Rate: 40}) // too idle to tell
-		b.Probed(ms, 1, true, NoLoad)
+		b.Probed(ms, 1, true, LoadReport{InFlight: -1, Queued: 0, Utilization: 0.5, ServedPerSecond: 15}) // 30 a second
+		b.Probed(ms, 2, true, LoadReport{InFlight: -1, Queued: 3, Utilization: 1, ServedPerSecond: 40})   // 40
+		b.Probed(ms, 1, true, LoadReport{InFlight: -1, Queued: 0, Utilization: 0.1, ServedPerSecond: 40}) // too idle to tell
+		b.Probed(ms, 1, true, UnknownLoad)
 	}
 	if got := b.server(2).size / b.server(1).size; math.Abs(got-4.0/3) > 0.05 {
 		t.Fatalf("sizes %v and %v, want a third more for the second", b.server(1).size, b.server(2).size)
@@ -32,11 +32,11 @@
 		t.Fatalf("%d of 70 to the larger server, want 40", n)
 	}
 	for i := range 2 * mostSizes {
-		list = append(list, Server{ID: ServerID(10 + i), State: Ready, Weight: 1 + float64(i)/100})
+		list = append(list, Endpoint{ID: ServerID(10 + i), State: Ready, Weight: 1 + float64(i)/100})
 	}
 	b.List(ms, ListFull, list)
 	for _, s := range b.servers {
-		b.Probed(ms, s.ID, true, Load{InFlight: -1, Waiting: 0, Busy: 1, Rate: 20})
+		b.Probed(ms, s.ID, true, LoadReport{InFlight: -1, Queued: 0, Utilization: 1, ServedPerSecond: 20})
 	}
 	if len(b.sizes) > mostSizes {
 		t.Fatalf("%d listed sizes are told apart, at most %d", len(b.sizes), mostSizes)
@@ -46,7 +46,7 @@
 // Guards against this: probes that are cheap for one balancer cost the fleet more than they tell.
 func TestThinTrafficProbesSeldom(t *testing.T) {
 	cfg := thinConfig()
-	cfg.Reports = true
+	cfg.LoadReports = true
 	b, h := start(t, cfg, ready(1, 2, 3, 4))
 	for id := range RequestID(firstRequests + 160) {
 		now := time.Duration(id) * 50 * ms
--- a/policy/coldstart.go
+++ b/policy/coldstart.go
@@ -58,15 +58,15 @@
 	// The quotas are close to what all servers can do; without them one answer's time is the guide, for
 	// one balancer alone and for as many as there are servers.
 	rate := cmp.Or(b.quota/users, min(1, float64(len(b.servers))/users)/b.pace.Seconds())
-	rate *= s.Weight / max(b.weight, s.Weight) * coldPart * max(b.cfg.ColdMultiple, 1)
+	rate *= s.Weight / max(b.weight, s.Weight) * coldPart * max(b.cfg.OverloadFactor, 1)
 	gap := float64(time.Second) / max(rate*b.warmth(now, s), 0.01)
 	return time.Duration(float64(time.Second) / max(rate*b.warmth(now+time.Duration(gap/2), s), 0.01))
 }
 
 // warmth is the share of its capacity that a server has at least.
 func (b *Balancer) warmth(now time.Duration, s *server) float64 {
-	left := float64(max(0, s.warmAt-now)) / float64(max(1, b.cfg.ColdTime))
-	return max(0.05, 1-left*(1-b.cfg.ColdFrom))
+	left := float64(max(0, s.warmAt-now)) / float64(max(1, b.cfg.SlowStartWindow))
+	return max(0.05, 1-left*(1-b.cfg.SlowStartFloor))
 }
 
 // clockStep is from how much on a difference between the wall clock and the monotonic one is a step.
--- a/policy/coldstart_test.go
+++ b/policy/coldstart_test.go
@@ -20,7 +20,7 @@
 	cfg.Tenants = []Tenant{{Share: 1, Quota: quota}}
 	list := ready()
 	for id := range ServerID(servers) {
-		list = append(list, Server{ID: id, State: Ready, Weight: 1})
+		list = append(list, Endpoint{ID: id, State: Ready, Weight: 1})
 	}
 	restart := 10 * time.Second
 	work := make([]float64, 40) // to the server, in half seconds from its restart on
@@ -38,7 +38,7 @@
 		// server if the turns were not.
 		for now := time.Duration(0); now < restart+9*time.Second; now += time.Duration(rng.ExpFloat64() * balancers / quota / 1.5 * float64(time.Second)) {
 			if now >= restart && b.server(1).Started == 0 {
-				b.List(now, ListDelta, []Server{{ID: 1, State: Ready, Weight: 1, Started: restart}})
+				b.List(now, ListDelta, []Endpoint{{ID: 1, State: Ready, Weight: 1, Started: restart}})
 				for _, s := range b.servers {
 					s.spare = s.spare && s.ID == 1
 					if s.ID != 1 {
@@ -51,7 +51,7 @@
 				cost = 20 // the heavy few bring half of the work
 			}
 			id++
-			b.Request(now, Request{ID: id, Class: unsafeClass, Left: 3 * time.Second, Work: time.Duration(cost * float64(50*ms))})
+			b.Request(now, Request{ID: id, Class: unsafeClass, TimeLeft: 3 * time.Second, ExpectedWork: time.Duration(cost * float64(50*ms))})
 			if n := len(h.sends); n > 0 && h.sends[n-1].id == id {
 				if to := h.sends[n-1].to; to == 1 && now >= restart {
 					work[(now-restart)/(500*ms)] += cost
@@ -63,16 +63,16 @@
 	const average = 0.97*0.5 + 0.03*20
 	full := quota / servers * average // what the server can do a second once it is warm
 	total := 0.0
-	for i := 0; time.Duration(i+4)*500*ms <= cfg.ColdTime; i++ {
+	for i := 0; time.Duration(i+4)*500*ms <= cfg.SlowStartWindow; i++ {
 		sum := work[i] + work[i+1] + work[i+2] + work[i+3]
 		total += work[i]
 		from := time.Duration(i) * 500 * ms
-		warm := cfg.ColdFrom + (1-cfg.ColdFrom)*min(1, float64(from)/float64(cfg.ColdTime))
-		if budget := cfg.ColdMultiple * warm * full * window.Seconds(); sum > 0.8*budget {
+		warm := cfg.SlowStartFloor + (1-cfg.SlowStartFloor)*min(1, float64(from)/float64(cfg.SlowStartWindow))
+		if budget := cfg.OverloadFactor * warm * full * window.Seconds(); sum > 0.8*budget {
 			t.Errorf("from %v on: %.0f of work in %v, the budget is %.0f", from, sum, window, budget)
 		}
 	}
-	if total < 0.5*cfg.ColdFrom*full*6.5 {
-		t.Errorf("%.0f of work in 6.5 s, though the cold server could do %.0f", total, cfg.ColdFrom*full*6.5)
+	if total < 0.5*cfg.SlowStartFloor*full*6.5 {
+		t.Errorf("%.0f of work in 6.5 s, though the cold server could do %.0f", total, cfg.SlowStartFloor*full*6.5)
 	}
 }
--- a/policy/config.go
+++ b/policy/config.go
@@ -17,16 +17,16 @@
 		return fmt.Errorf("config: MaxAttempts is %d, at least 1 is needed", cfg.MaxAttempts)
 	case cfg.Slots < 0:
 		return fmt.Errorf("config: Slots is %d, it must not be negative", cfg.Slots)
-	case bad(cfg.ColdFrom) || cfg.ColdFrom > 1:
-		return fmt.Errorf("config: ColdFrom is %v, a share is needed", cfg.ColdFrom)
+	case bad(cfg.SlowStartFloor) || cfg.SlowStartFloor > 1:
+		return fmt.Errorf("config: ColdFrom is %v, a share is needed", cfg.SlowStartFloor)
 	}
 	for _, f := range []struct {
 		name  string
 		value float64
 	}{
-		{"ColdMultiple", cfg.ColdMultiple}, {"CrossZonePrice", cfg.CrossZonePrice},
-		{"MaxRetryAfter", cfg.MaxRetryAfter.Seconds()}, {"Tick", cfg.Tick.Seconds()},
-		{"AskWithin", cfg.AskWithin.Seconds()}, {"ColdTime", cfg.ColdTime.Seconds()},
+		{"ColdMultiple", cfg.OverloadFactor}, {"CrossZonePrice", cfg.CrossZoneCost},
+		{"MaxRetryAfter", cfg.MaxRetryAfter.Seconds()}, {"Tick", cfg.EventPeriod.Seconds()},
+		{"AskWithin", cfg.PollDeadline.Seconds()}, {"ColdTime", cfg.SlowStartWindow.Seconds()},
 		{"DrainGrace", cfg.DrainGrace.Seconds()},
 	} {
 		if bad(f.value) {
@@ -34,11 +34,11 @@
 		}
 	}
 	for i, c := range cfg.Classes {
-		if c.Aim <= 0 || c.Deadline <= 0 || c.Window < 0 {
+		if c.LatencyObjective <= 0 || c.Deadline <= 0 || c.DedupWindow < 0 {
 			return fmt.Errorf("config: Classes[%d]: Aim %v, Deadline %v or Window %v is unusable",
-				i, c.Aim, c.Deadline, c.Window)
+				i, c.LatencyObjective, c.Deadline, c.DedupWindow)
 		}
-		if bad(c.AimStretch) || bad(c.LateShare) || bad(c.Worth) {
+		if bad(c.ObjectiveWorkFactor) || bad(c.LateShare) || bad(c.PriorityWeight) {
 			return fmt.Errorf("config: Classes[%d]: AimStretch, LateShare or Worth is negative or no number", i)
 		}
 	}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -27,7 +27,7 @@
 		Balancers:   1,
 		MaxAttempts: 2,
 		Slots:       1,
-		Classes:     []policy.Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Effect: policy.Unsafe}},
+		Classes:     []policy.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: policy.NonIdempotent}},
 	}, 42, sidecar{})
 	if err != nil {
 		fmt.Println(err)
@@ -35,9 +35,9 @@
 	}
 	now := time.Duration(0) // since any moment the program picks
 	b.Start(now)
-	b.List(now, policy.ListFull, []policy.Server{{ID: 7, State: policy.Ready, Weight: 1}})
+	b.List(now, policy.ListFull, []policy.Endpoint{{ID: 7, State: policy.Ready, Weight: 1}})
 	for id := range policy.RequestID(3) { // one slot, one queue place: the third is refused
-		b.Request(now, policy.Request{ID: id, Left: 2 * time.Second})
+		b.Request(now, policy.Request{ID: id, TimeLeft: 2 * time.Second})
 	}
 	now += 80 * time.Millisecond
 	b.Outcome(now, policy.Outcome{ID: 0, Attempt: 0, Ending: policy.Served, Settled: true})
--- a/policy/govern.go
+++ b/policy/govern.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Govern puts another Rule in force. What is under way ends under the walls that took
+// SetFleetLimits puts another Rule in force. What is under way ends under the walls that took
 // it; a queue keeps all it has, unless its tenant is to be served no more.
-func (b *Balancer) Govern(now time.Duration, r Rule) {
+func (b *Balancer) SetFleetLimits(now time.Duration, r FleetLimits) {
 	b.rule = r
 	b.govern()
 	for i := range b.parts {
@@ -26,16 +26,16 @@
 	}
 	b.slots = 0
 	for i, w := range b.walls {
-		if i < len(b.rule.Walls) {
-			w = Held{min(w.Slots, b.rule.Walls[i].Slots), min(w.Places, b.rule.Walls[i].Places)}
+		if i < len(b.rule.Bulkheads) {
+			w = BulkheadCapacity{min(w.Slots, b.rule.Bulkheads[i].Slots), min(w.Places, b.rule.Bulkheads[i].Places)}
 		}
 		b.parts[i].slots, b.parts[i].places = w.Slots, w.Places
 		b.slots += w.Slots
 	}
 }
 
-// Fleet takes another count of the balancers in. One below what is configured is not believed.
-func (b *Balancer) Fleet(n int) { b.cfg.Balancers = max(b.balancers, n) }
+// SetFleetSize takes another count of the balancers in. One below what is configured is not believed.
+func (b *Balancer) SetFleetSize(n int) { b.cfg.Balancers = max(b.balancers, n) }
 
 const (
 	// adviceMost is how long advice counts at most, and adviceFade the end of that, in
@@ -45,8 +45,8 @@
 )
 
 // Advise takes the fleet's word on an overload.
-func (b *Balancer) Advise(now time.Duration, a Advice) {
-	b.advice, b.advisedTill = a.Parts, now+min(a.For, adviceMost)
+func (b *Balancer) Advise(now time.Duration, a OverloadAdvice) {
+	b.advice, b.advisedTill = a.AdmittedShares, now+min(a.ValidFor, adviceMost)
 }
 
 // advised is the part of a tenant's requests that is not to be tried.
--- a/policy/govern_test.go
+++ b/policy/govern_test.go
@@ -16,7 +16,7 @@
 	if len(h.sends) != 6 || b.QueueFree(0) != 0 {
 		t.Fatalf("%d are sent, %d places are free", len(h.sends), b.QueueFree(0))
 	}
-	b.Govern(now, Rule{Walls: []Held{{2, 1}, {9, 9}}, MaxAttempts: 9})
+	b.SetFleetLimits(now, FleetLimits{Bulkheads: []BulkheadCapacity{{2, 1}, {9, 9}}, MaxAttempts: 9})
 	if b.SlotsFree(0) != 0 || b.SlotsFree(1) != 2 || b.cfg.MaxAttempts != 3 || len(h.refused) != 0 {
 		t.Errorf("after a tighter rule: %d and %d slots free, %d attempts, refused %v", b.SlotsFree(0), b.SlotsFree(1), b.cfg.MaxAttempts, h.refused)
 	}
@@ -36,7 +36,7 @@
 		t.Errorf("beyond slots and queue: %v, %d sends", h.refused, len(h.sends))
 	}
 	// A tenant that is served no more: who waits is told at once, who runs ends.
-	b.Govern(now, Rule{Walls: []Held{{}, {2, 1}}, MaxAttempts: 1, NoProbes: true})
+	b.SetFleetLimits(now, FleetLimits{Bulkheads: []BulkheadCapacity{{}, {2, 1}}, MaxAttempts: 1, NoProbes: true})
 	if _, refused := h.refused[20]; !refused || b.cfg.MaxAttempts != 1 || b.cfg.MayProbe {
 		t.Errorf("who waited was not told: %v", h.refused)
 	}
@@ -49,14 +49,14 @@
 	if _, refused := h.refused[30]; !refused {
 		t.Error("a tenant without slots is served")
 	}
-	b.Govern(now, Rule{})
+	b.SetFleetLimits(now, FleetLimits{})
 	if b.SlotsFree(0) != 6 || b.QueueFree(0) != 1 || b.cfg.MaxAttempts != 3 {
 		t.Errorf("without a rule: %d slots, %d places, %d attempts", b.SlotsFree(0), b.QueueFree(0), b.cfg.MaxAttempts)
 	}
 	// A process that leaves its place to another never grows again.
-	held := b.Leave(0)
-	b.Govern(now, Rule{})
-	if b.SlotsFree(0) != 0 || held[0] != (Held{}) {
+	held := b.HandOver(0)
+	b.SetFleetLimits(now, FleetLimits{})
+	if b.SlotsFree(0) != 0 || held[0] != (BulkheadCapacity{}) {
 		t.Errorf("a process that leaves has %d slots, and said %v", b.SlotsFree(0), held)
 	}
 }
@@ -64,7 +64,7 @@
 // Guards against this: a task that died or lies keeps turning requests away, or a word
 // lets more through than this sidecar would by itself.
 func TestTheFleetsWordOnlyTightensAndFades(t *testing.T) {
-	shed := func(a Advice, jam float64, after time.Duration) (refused int) {
+	shed := func(a OverloadAdvice, jam float64, after time.Duration) (refused int) {
 		b, h := start(t, thinConfig(), ready(1, 2, 3, 4, 5, 6))
 		b.Advise(10*time.Second, a)
 		now := 10*time.Second + after
@@ -76,21 +76,21 @@
 		return len(h.refused)
 	}
 	for name, tt := range map[string]struct {
-		a           Advice
+		a           OverloadAdvice
 		jam         float64
 		after       time.Duration
 		least, most int
 	}{
-		"none":                  {Advice{}, 0.3, 0, 0, 0},
-		"a half":                {Advice{Parts: []float64{0.5}, For: 3 * time.Second}, 0.3, 0, 70, 130},
-		"generous":              {Advice{Parts: []float64{1000}, For: 3 * time.Second}, 0.3, 0, 0, 0},
-		"generous in a jam":     {Advice{Parts: []float64{1000}, For: 3 * time.Second}, 0.9, 0, 190, 200},
-		"over":                  {Advice{Parts: []float64{0}, For: 3 * time.Second}, 0.3, 3 * time.Second, 0, 0},
-		"fades":                 {Advice{Parts: []float64{0}, For: 3 * time.Second}, 0.3, 2500 * time.Millisecond, 70, 130},
-		"for ever":              {Advice{Parts: []float64{0}, For: time.Hour}, 0.3, 3 * time.Second, 0, 0},
-		"of another tenant":     {Advice{Parts: []float64{1, 0}, For: 3 * time.Second}, 0.3, 0, 0, 0},
-		"zero where none jams":  {Advice{Parts: []float64{0}, For: 3 * time.Second}, 0, 0, 0, 0},
-		"zero where little jam": {Advice{Parts: []float64{0}, For: 3 * time.Second}, 0.1, 0, 70, 130},
+		"none":                  {OverloadAdvice{}, 0.3, 0, 0, 0},
+		"a half":                {OverloadAdvice{AdmittedShares: []float64{0.5}, ValidFor: 3 * time.Second}, 0.3, 0, 70, 130},
+		"generous":              {OverloadAdvice{AdmittedShares: []float64{1000}, ValidFor: 3 * time.Second}, 0.3, 0, 0, 0},
+		"generous in a jam":     {OverloadAdvice{AdmittedShares: []float64{1000}, ValidFor: 3 * time.Second}, 0.9, 0, 190, 200},
+		"over":                  {OverloadAdvice{AdmittedShares: []float64{0}, ValidFor: 3 * time.Second}, 0.3, 3 * time.Second, 0, 0},
+		"fades":                 {OverloadAdvice{AdmittedShares: []float64{0}, ValidFor: 3 * time.Second}, 0.3, 2500 * time.Millisecond, 70, 130},
+		"for ever":              {OverloadAdvice{AdmittedShares: []float64{0}, ValidFor: time.Hour}, 0.3, 3 * time.Second, 0, 0},
+		"of another tenant":     {OverloadAdvice{AdmittedShares: []float64{1, 0}, ValidFor: 3 * time.Second}, 0.3, 0, 0, 0},
+		"zero where none jams":  {OverloadAdvice{AdmittedShares: []float64{0}, ValidFor: 3 * time.Second}, 0, 0, 0, 0},
+		"zero where little jam": {OverloadAdvice{AdmittedShares: []float64{0}, ValidFor: 3 * time.Second}, 0.1, 0, 70, 130},
 	} {
 		if n := shed(tt.a, tt.jam, tt.after); n < tt.least || n > tt.most {
 			t.Errorf("%s: %d of 200 refused, want %d to %d", name, n, tt.least, tt.most)
--- a/policy/health.go
+++ b/policy/health.go
@@ -17,11 +17,11 @@
 func (b *Balancer) judge(now time.Duration, r *request, a *attempt, end Ending) {
 	s, took := a.to, now-a.sent
 	if end == Served || end == TimedOut {
-		x := float64(took) / float64(r.class.Aim)
+		x := float64(took) / float64(r.class.LatencyObjective)
 		s.used += (x*x - s.used) / 8
 	}
 	b.queued(now, r, s, took, end)
-	if end == Served || end == Errored || end == TurnedAway {
+	if end == Served || end == Errored || end == Rejected {
 		b.spoke(now, s)
 	}
 	switch end {
@@ -45,7 +45,7 @@
 	case NoConnection:
 		s.silent, b.hush = true, true
 		b.strike(now, s)
-	case TurnedAway:
+	case Rejected:
 		b.strike(now, s)
 	}
 }
@@ -69,9 +69,9 @@
 
 // held is how many requests a server holds by its report, or negative. Where that says only what waits, the
 // busy part of its cores is what it works on: a listed size of 1 stands for about one core.
-func (s *server) held(l Load) float64 {
-	if l.InFlight >= 0 || l.Waiting < 0 {
+func (s *server) held(l LoadReport) float64 {
+	if l.InFlight >= 0 || l.Queued < 0 {
 		return l.InFlight
 	}
-	return l.Waiting + max(0, l.Busy)*s.Weight
+	return l.Queued + max(0, l.Utilization)*s.Weight
 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -91,39 +91,39 @@
 )
 
 func testConfig() Config {
-	class := func(e Effect, s Scope) Class {
-		return Class{Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Effect: e, Scope: s, Window: 700 * ms}
+	class := func(e Idempotency, s DedupScope) Class {
+		return Class{LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, Idempotency: e, DedupScope: s, DedupWindow: 700 * ms}
 	}
 	return Config{
 		Balancers: 2,
 		Classes: []Class{
-			class(Safe, ScopeAll), class(Keyed, ScopeAll), class(Keyed, ScopeZone), class(Keyed, ScopeCell),
-			class(Unsafe, ScopeAll),
+			class(Idempotent, ScopeAll), class(IdempotentByKey, ScopeAll), class(IdempotentByKey, ScopeZone), class(IdempotentByKey, ScopeCell),
+			class(NonIdempotent, ScopeAll),
 		},
-		Tenants:       []Tenant{{Share: 0.75, Quota: 75}, {Share: 0.25, Quota: 25}},
-		Slots:         8,
-		MaxAttempts:   3,
-		MayCancel:     true,
-		MaxRetryAfter: time.Second,
-		Tick:          5 * ms,
-		AskWithin:     10 * time.Second,
-		DrainGrace:    3 * time.Second,
-		ColdFrom:      0.3,
-		ColdTime:      8 * time.Second,
-		ColdMultiple:  3,
+		Tenants:         []Tenant{{Share: 0.75, Quota: 75}, {Share: 0.25, Quota: 25}},
+		Slots:           8,
+		MaxAttempts:     3,
+		MayCancel:       true,
+		MaxRetryAfter:   time.Second,
+		EventPeriod:     5 * ms,
+		PollDeadline:    10 * time.Second,
+		DrainGrace:      3 * time.Second,
+		SlowStartFloor:  0.3,
+		SlowStartWindow: 8 * time.Second,
+		OverloadFactor:  3,
 	}
 }
 
-func ready(ids ...ServerID) []Server {
-	var list []Server
+func ready(ids ...ServerID) []Endpoint {
+	var list []Endpoint
 	for _, id := range ids {
-		list = append(list, Server{ID: id, Cell: -int(id), State: Ready, Weight: 1}) // no two in one cell, as where none are listed
+		list = append(list, Endpoint{ID: id, Cell: -int(id), State: Ready, Weight: 1}) // no two in one cell, as where none are listed
 	}
 	return list
 }
 
 // start makes a Balancer that holds a list of servers.
-func start(t testing.TB, cfg Config, list []Server) (*Balancer, *fakeHost) {
+func start(t testing.TB, cfg Config, list []Endpoint) (*Balancer, *fakeHost) {
 	t.Helper()
 	h := newFakeHost()
 	b, err := New(cfg, 1, h)
@@ -137,7 +137,7 @@
 
 // ask hands in a request of tenant 0.
 func ask(b *Balancer, now time.Duration, id RequestID, class int) {
-	b.Request(now, Request{ID: id, Class: class, Left: 2 * time.Second})
+	b.Request(now, Request{ID: id, Class: class, TimeLeft: 2 * time.Second})
 }
 
 // end ends an attempt of a request.
--- a/policy/permit.go
+++ b/policy/permit.go
@@ -18,103 +18,103 @@
 
 // The denials. Allowed is none.
 const (
-	Allowed        Denial = iota
-	DeniedAnswered        // the request has its answer already
-	DeniedLeft            // its client has left
-	DeniedLate            // its client's time is over
-	DeniedStopping        // the process has to be done
-	DeniedAttempts        // it has had all attempts, or one is still out
-	DeniedEffect          // it may have run, and its class allows no repeat
-	DeniedWindow          // the time in which it may be repeated is over
-	DeniedServer          // the server drains or has left the list
-	DeniedCold            // the server is cold and its budget is used up
-	DeniedOwed            // an answer is owed on the connection
-	Denials               // how many there are
+	Allowed              Denial = iota
+	DeniedAnswered              // the request has its answer already
+	DeniedClientGone            // its client has left
+	DeniedDeadlinePassed        // its client's time is over
+	DeniedShutdown              // the process has to be done
+	DeniedAttemptLimit          // it has had all attempts, or one is still out
+	DeniedNotRepeatable         // it may have run, and its class allows no repeat
+	DeniedRepeatWindow          // the time in which it may be repeated is over
+	DeniedServerNotReady        // the server drains or has left the list
+	DeniedSlowStart             // the server is cold and its budget is used up
+	DeniedResponseOwed          // an answer is owed on the connection
+	NumDenials                  // how many there are
 )
 
 func (d Denial) String() string {
-	names := [Denials]string{
+	names := [NumDenials]string{
 		"allowed", "answered", "client left", "late", "stopping", "attempts used up", "may have run", "window over",
 		"server drains or is gone", "server is cold", "answer owed",
 	}
-	if d < 0 || d >= Denials {
+	if d < 0 || d >= NumDenials {
 		return "unknown"
 	}
 	return names[d]
 }
 
-// Sending is what is known as an attempt is to be sent. Times are on one monotonic clock; NoLimit
+// SendFacts is what is known as an attempt is to be sent. Times are on one monotonic clock; NoLimit
 // stands for a bound that does not exist.
-type Sending struct {
-	Now      time.Duration
-	Until    time.Duration // the client waits until then
-	StopBy   time.Duration // the process has to be done by then
-	RepeatBy time.Duration // what may have run may be repeated until then
-
-	Answered   bool
-	ClientLeft bool
-	Server     State
-	Cold       bool // the server is cold and has nothing left of its budget
-	Attempts   int  // so far
-	Most       int  // allowed; 0: not limited here
-	Out        int  // attempts that have not ended
-	MayHaveRun bool // an earlier attempt may have run
-	Repeatable bool // and the class allows another one at this server
+type SendFacts struct {
+	Now              time.Duration
+	ClientDeadline   time.Duration // the client waits until then
+	ShutdownDeadline time.Duration // the process has to be done by then
+	RepeatDeadline   time.Duration // what may have run may be repeated until then
+
+	Answered           bool
+	ClientGone         bool
+	ServerState        EndpointState
+	SlowStartExhausted bool // the server is cold and has nothing left of its budget
+	Attempts           int  // so far
+	MaxAttempts        int  // allowed; 0: not limited here
+	InFlight           int  // attempts that have not ended
+	MayHaveRun         bool // an earlier attempt may have run
+	Repeatable         bool // and the class allows another one at this server
 }
 
 // Decide says whether the attempt may be sent.
-func (s Sending) Decide() Denial {
+func (s SendFacts) Decide() Denial {
 	switch {
 	case s.Answered:
 		return DeniedAnswered
-	case s.ClientLeft:
-		return DeniedLeft
-	case s.Now >= s.Until:
-		return DeniedLate
-	case s.Now >= s.StopBy:
-		return DeniedStopping
-	case s.Most > 0 && s.Attempts >= s.Most || s.Out > 0:
-		return DeniedAttempts
+	case s.ClientGone:
+		return DeniedClientGone
+	case s.Now >= s.ClientDeadline:
+		return DeniedDeadlinePassed
+	case s.Now >= s.ShutdownDeadline:
+		return DeniedShutdown
+	case s.MaxAttempts > 0 && s.Attempts >= s.MaxAttempts || s.InFlight > 0:
+		return DeniedAttemptLimit
 	case s.MayHaveRun && !s.Repeatable:
-		return DeniedEffect
-	case s.MayHaveRun && s.Now >= s.RepeatBy:
-		return DeniedWindow
-	case s.Server != Ready:
-		return DeniedServer
-	case s.Cold:
-		return DeniedCold
+		return DeniedNotRepeatable
+	case s.MayHaveRun && s.Now >= s.RepeatDeadline:
+		return DeniedRepeatWindow
+	case s.ServerState != Ready:
+		return DeniedServerNotReady
+	case s.SlowStartExhausted:
+		return DeniedSlowStart
 	}
 	return Allowed
 }
 
-// Closing is what is known as a client's connection is to be closed.
-type Closing struct {
-	Taken    bool // a request of it is in work
-	Read     bool // something of a request was read that has no answer
-	Answered bool // an answer of our own, a refusal, goes out before the close
+// CloseFacts is what is known as a client's connection is to be closed.
+type CloseFacts struct {
+	InProgress  bool // a request of it is in work
+	RequestRead bool // something of a request was read that has no answer
+	Answered    bool // an answer of our own, a refusal, goes out before the close
 }
 
 // Decide says whether the connection may be closed. What was read is owed an answer; what was
 // not read its client sends again.
-func (c Closing) Decide() Denial {
-	if c.Taken || c.Read && !c.Answered {
-		return DeniedOwed
+func (c CloseFacts) Decide() Denial {
+	if c.InProgress || c.RequestRead && !c.Answered {
+		return DeniedResponseOwed
 	}
 	return Allowed
 }
 
-// Starting is what is known as something new is to be started that takes time: a handshake, a
+// StartFacts is what is known as something new is to be started that takes time: a handshake, a
 // probe, the wait for a request.
-type Starting struct {
-	Now    time.Duration
-	StopBy time.Duration // the process has to be done by then
-	Takes  time.Duration // it takes at most so long
+type StartFacts struct {
+	Now              time.Duration
+	ShutdownDeadline time.Duration // the process has to be done by then
+	MaxDuration      time.Duration // it takes at most so long
 }
 
 // Decide says whether it may be started.
-func (s Starting) Decide() Denial {
-	if s.StopBy != NoLimit && s.Now+s.Takes > s.StopBy {
-		return DeniedStopping
+func (s StartFacts) Decide() Denial {
+	if s.ShutdownDeadline != NoLimit && s.Now+s.MaxDuration > s.ShutdownDeadline {
+		return DeniedShutdown
 	}
 	return Allowed
 }
@@ -132,8 +132,8 @@
 	repeatMargin = 200 * time.Millisecond
 )
 
-// StopWithin is in which time after it is told to end a process has to have answered everything.
-func StopWithin(classes []Class) time.Duration {
+// ShutdownTimeout is in which time after it is told to end a process has to have answered everything.
+func ShutdownTimeout(classes []Class) time.Duration {
 	longest := time.Duration(0)
 	for _, c := range classes {
 		longest = max(longest, c.Deadline)
--- a/policy/permit_test.go
+++ b/policy/permit_test.go
@@ -7,20 +7,20 @@
 
 // Each fact alone denies, and the first that does is the reason given.
 func TestSendingIsDeniedByEachFact(t *testing.T) {
-	fine := Sending{Now: 10, Until: 20, StopBy: NoLimit, RepeatBy: NoLimit, Server: Ready, Most: 3}
+	fine := SendFacts{Now: 10, ClientDeadline: 20, ShutdownDeadline: NoLimit, RepeatDeadline: NoLimit, ServerState: Ready, MaxAttempts: 3}
 	if got := fine.Decide(); got != Allowed {
 		t.Fatalf("a send that nothing is against: %v", got)
 	}
-	for want, change := range map[Denial]func(*Sending){
-		DeniedAnswered: func(s *Sending) { s.Answered = true },
-		DeniedLeft:     func(s *Sending) { s.ClientLeft = true },
-		DeniedLate:     func(s *Sending) { s.Until = s.Now },
-		DeniedStopping: func(s *Sending) { s.StopBy = s.Now },
-		DeniedAttempts: func(s *Sending) { s.Attempts = s.Most },
-		DeniedEffect:   func(s *Sending) { s.MayHaveRun = true },
-		DeniedWindow:   func(s *Sending) { s.MayHaveRun, s.Repeatable, s.RepeatBy = true, true, s.Now },
-		DeniedServer:   func(s *Sending) { s.Server = Draining },
-		DeniedCold:     func(s *Sending) { s.Cold = true },
+	for want, change := range map[Denial]func(*SendFacts){
+		DeniedAnswered:       func(s *SendFacts) { s.Answered = true },
+		DeniedClientGone:     func(s *SendFacts) { s.ClientGone = true },
+		DeniedDeadlinePassed: func(s *SendFacts) { s.ClientDeadline = s.Now },
+		DeniedShutdown:       func(s *SendFacts) { s.ShutdownDeadline = s.Now },
+		DeniedAttemptLimit:   func(s *SendFacts) { s.Attempts = s.MaxAttempts },
+		DeniedNotRepeatable:  func(s *SendFacts) { s.MayHaveRun = true },
+		DeniedRepeatWindow:   func(s *SendFacts) { s.MayHaveRun, s.Repeatable, s.RepeatDeadline = true, true, s.Now },
+		DeniedServerNotReady: func(s *SendFacts) { s.ServerState = Draining },
+		DeniedSlowStart:      func(s *SendFacts) { s.SlowStartExhausted = true },
 	} {
 		s := fine
 		change(&s)
@@ -33,11 +33,11 @@
 		}
 	}
 	out := fine
-	out.Out = 1
-	if got := out.Decide(); got != DeniedAttempts {
+	out.InFlight = 1
+	if got := out.Decide(); got != DeniedAttemptLimit {
 		t.Errorf("one is out: got %v", got)
 	}
-	for d := range Denials {
+	for d := range NumDenials {
 		if d.String() == "" || d.String() == "unknown" {
 			t.Errorf("denial %d has no name", int(d))
 		}
@@ -45,9 +45,9 @@
 }
 
 func TestClosingOwesWhatWasRead(t *testing.T) {
-	for want, all := range map[Denial][]Closing{
-		Allowed:    {{}, {Answered: true}, {Read: true, Answered: true}},
-		DeniedOwed: {{Read: true}, {Taken: true}, {Taken: true, Read: true, Answered: true}},
+	for want, all := range map[Denial][]CloseFacts{
+		Allowed:            {{}, {Answered: true}, {RequestRead: true, Answered: true}},
+		DeniedResponseOwed: {{RequestRead: true}, {InProgress: true}, {InProgress: true, RequestRead: true, Answered: true}},
 	} {
 		for _, c := range all {
 			if got := c.Decide(); got != want {
@@ -58,12 +58,12 @@
 }
 
 func TestStartingLeavesTimeToEnd(t *testing.T) {
-	for takes, want := range map[time.Duration]Denial{5: Allowed, 6: DeniedStopping} {
-		if got := (Starting{Now: 10, StopBy: 15, Takes: takes}).Decide(); got != want {
+	for takes, want := range map[time.Duration]Denial{5: Allowed, 6: DeniedShutdown} {
+		if got := (StartFacts{Now: 10, ShutdownDeadline: 15, MaxDuration: takes}).Decide(); got != want {
 			t.Errorf("takes %d of 5: %v, want %v", takes, got, want)
 		}
 	}
-	if got := (Starting{Now: 10, StopBy: NoLimit, Takes: time.Hour}).Decide(); got != Allowed {
+	if got := (StartFacts{Now: 10, ShutdownDeadline: NoLimit, MaxDuration: time.Hour}).Decide(); got != Allowed {
 		t.Errorf("without an end: %v", got)
 	}
 }
@@ -73,7 +73,7 @@
 	for longest, kill := range map[time.Duration]time.Duration{
 		500 * ms: 1200 * ms, 1900 * ms: 2600 * ms, 3 * time.Second: 3700 * ms, 6 * time.Second: 3700 * ms, 0: 3700 * ms,
 	} {
-		got := StopWithin([]Class{{Deadline: longest}, {Deadline: longest / 2}})
+		got := ShutdownTimeout([]Class{{Deadline: longest}, {Deadline: longest / 2}})
 		if got <= 0 || got > kill-200*ms {
 			t.Errorf("longest deadline %v: done within %v, the kill comes after %v", longest, got, kill)
 		}
@@ -90,7 +90,7 @@
 	}
 	b.Start(0)
 	b.List(0, ListFull, ready(1, 2, 3))
-	b.Request(0, Request{ID: 1, Left: time.Second, StopIn: 300 * ms})
+	b.Request(0, Request{ID: 1, TimeLeft: time.Second, ShutdownIn: 300 * ms})
 	if len(h.sends) != 1 || h.sends[0].timeout > 300*ms {
 		t.Fatalf("sends %+v, want one that is given up within 300 ms", h.sends)
 	}
@@ -129,20 +129,20 @@
 	second := make([]int, due/time.Second+1) // calls, by the second in which they come
 	for seed := range uint64(fleet) {
 		cfg := testConfig()
-		cfg.AskList, cfg.Balancers, cfg.DrainGrace = true, fleet, 3*time.Second
+		cfg.PollList, cfg.Balancers, cfg.DrainGrace = true, fleet, 3*time.Second
 		h := newFakeHost()
 		b, err := New(cfg, seed, h)
 		if err != nil {
 			t.Fatal(err)
 		}
 		b.Start(0)
-		b.Lost(0, ListLoss{Reached: true})
+		b.ListLost(0, ListLoss{Reached: true})
 		var calls []time.Duration
 		for now := 10 * ms; now < due; now += 10 * ms {
 			before := h.asks
 			if b.Wake(now); h.asks > before {
 				calls = append(calls, now)
-				b.Lost(now, ListLoss{Reached: true})
+				b.ListLost(now, ListLoss{Reached: true})
 			}
 		}
 		if len(calls) < 2 || calls[0] > askSoon+20*ms || calls[len(calls)-1] < due-3*time.Second {
@@ -160,7 +160,7 @@
 // Few balancers subscribe at once, many one after the other and all in time.
 func TestSubscriptionsOfALargeFleetAreStaggered(t *testing.T) {
 	for balancers, want := range map[int]time.Duration{5: 0, 25: 0, 80: 2200 * ms, 300: staggerMost, 900: staggerMost} {
-		if got := Stagger(balancers); got != want {
+		if got := SubscribeDelay(balancers); got != want {
 			t.Errorf("%d balancers: %v, want %v", balancers, got, want)
 		}
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -36,13 +36,13 @@
 	}
 	b := &Balancer{cfg: cfg, host: host}
 	b.requests, b.zones = make(map[RequestID]*request), make(map[int]*zone)
-	b.parts, b.walls = make([]compartment, len(cfg.Tenants)), make([]Held, len(cfg.Tenants))
+	b.parts, b.walls = make([]compartment, len(cfg.Tenants)), make([]BulkheadCapacity, len(cfg.Tenants))
 	b.attempts, b.probing, b.balancers = cfg.MaxAttempts, cfg.MayProbe, cfg.Balancers
 	b.rng = rand.New(rand.NewPCG(seed, 0))
 	b.salt = b.rng.Uint64()
 	for _, c := range cfg.Classes {
-		b.classes = append(b.classes, class{Class: c, pace: c.Aim / 8})
-		b.aim += c.Aim.Seconds() / float64(len(cfg.Classes))
+		b.classes = append(b.classes, class{Class: c, pace: c.LatencyObjective / 8})
+		b.aim += c.LatencyObjective.Seconds() / float64(len(cfg.Classes))
 	}
 	b.pace = time.Duration(b.aim / 8 * float64(time.Second))
 	b.deriveSlots()
@@ -65,14 +65,14 @@
 	for i, t := range b.cfg.Tenants {
 		mean := total * t.Share / shares
 		slots := max(1, int(math.Ceil(mean+room*math.Sqrt(mean))))
-		b.walls[i] = Held{slots, int(math.Ceil(float64(slots) * placesShare))}
+		b.walls[i] = BulkheadCapacity{slots, int(math.Ceil(float64(slots) * placesShare))}
 	}
 	b.govern()
 }
 
 // Start begins the Balancer's life; it must be the first event.
 func (b *Balancer) Start(now time.Duration) {
-	if b.cfg.AskList {
+	if b.cfg.PollList {
 		b.ask(now)
 	}
 	b.wake(now, idleTick)
@@ -85,25 +85,25 @@
 		return
 	}
 	unknown := q.Class < 0 || q.Class >= len(b.classes) || q.Tenant < 0 || q.Tenant >= len(b.parts)
-	if unknown || q.Left <= 0 {
+	if unknown || q.TimeLeft <= 0 {
 		b.count.Refused++
 		b.host.Refuse(q.ID, 0)
 		return
 	}
-	r := &request{id: q.ID, class: &b.classes[q.Class], home: &b.parts[q.Tenant], work: q.Work, key: q.Key}
-	r.deadline = now + min(q.Left, time.Hour)
+	r := &request{id: q.ID, class: &b.classes[q.Class], home: &b.parts[q.Tenant], work: q.ExpectedWork, key: q.AffinityKey}
+	r.deadline = now + min(q.TimeLeft, time.Hour)
 	begun := now // of the client's first try
-	if r.class.unusual(q.Left) && (q.Repeat || !b.cfg.MarksRepeat) {
+	if r.class.unusual(q.TimeLeft) && (q.ClientRetry || !b.cfg.ClientsMarkRetries) {
 		begun = min(now, r.deadline-r.class.Deadline)
 	}
-	r.aimAt = min(r.deadline, begun+r.class.Aim+time.Duration(r.class.AimStretch*float64(q.Work)))
-	if r.useful = r.aimAt; r.class.LateShare > 0 || (r.class.AimStretch > 0 && q.Work == 0) {
+	r.aimAt = min(r.deadline, begun+r.class.LatencyObjective+time.Duration(r.class.ObjectiveWorkFactor*float64(q.ExpectedWork)))
+	if r.useful = r.aimAt; r.class.LateShare > 0 || (r.class.ObjectiveWorkFactor > 0 && q.ExpectedWork == 0) {
 		r.useful = r.deadline
 	}
-	if r.stopBy = NoLimit; q.StopIn > 0 {
-		r.stop(now + q.StopIn)
+	if r.stopBy = NoLimit; q.ShutdownIn > 0 {
+		r.stop(now + q.ShutdownIn)
 	}
-	b.expect(q.Work)
+	b.expect(q.ExpectedWork)
 	b.requests[r.id] = r
 	b.open = append(b.open, r)
 	b.wake(now, busyTick)
@@ -148,7 +148,7 @@
 	}
 	a := &r.attempts[o.Attempt]
 	a.state = mayHaveRun
-	if o.Ending == TurnedAway || o.Ending == NoConnection || o.Ending == NotSent {
+	if o.Ending == Rejected || o.Ending == NoConnection || o.Ending == NotSent {
 		a.state = neverRan
 	}
 	a.to.out--
@@ -186,11 +186,11 @@
 	if now < b.wakeAt {
 		return // an older timer
 	}
-	if b.cfg.AskList && b.askAt > 0 && now >= b.askAt {
+	if b.cfg.PollList && b.askAt > 0 && now >= b.askAt {
 		b.ask(now)
 	}
 	b.feed(now)
-	soon := now + 2*max(busyTick, b.cfg.Tick)
+	soon := now + 2*max(busyTick, b.cfg.EventPeriod)
 	for _, r := range b.open {
 		waited := r.out == 0 && (soon > r.deadline || now >= r.lateIn() || !r.mayRepeat(now, nil))
 		if !r.over && !r.begun && (waited || now >= r.deadline) {
@@ -208,7 +208,9 @@
 }
 
 // lateIn is when a wait stops being worth it: servers would work for answers that come late.
-func (r *request) lateIn() time.Duration { return r.aimAt - min(2*r.class.pace, r.class.Aim/2) }
+func (r *request) lateIn() time.Duration {
+	return r.aimAt - min(2*r.class.pace, r.class.LatencyObjective/2)
+}
 
 // dispatch sends a request if a slot of its compartment and a server are free.
 func (b *Balancer) dispatch(now time.Duration, r *request) bool {
@@ -220,7 +222,7 @@
 }
 
 // Probed takes the result of a probe.
-func (b *Balancer) Probed(now time.Duration, id ServerID, ok bool, l Load) {
+func (b *Balancer) Probed(now time.Duration, id ServerID, ok bool, l LoadReport) {
 	s := b.server(id)
 	if s == nil {
 		return
@@ -277,28 +279,28 @@
 func (r *request) mayRepeat(now time.Duration, s *server) bool {
 	first := r.ran()
 	switch {
-	case first == nil || r.class.Effect == Safe:
+	case first == nil || r.class.Idempotency == Idempotent:
 		return true
-	case r.class.Effect == Unsafe || now >= r.repeatBy(first):
+	case r.class.Idempotency == NonIdempotent || now >= r.repeatBy(first):
 		return false
-	case s == nil || r.class.Scope == ScopeAll:
+	case s == nil || r.class.DedupScope == ScopeAll:
 		return true
 	}
-	return s.Zone == first.to.Zone && (r.class.Scope == ScopeZone || s.Cell == first.to.Cell)
+	return s.Zone == first.to.Zone && (r.class.DedupScope == ScopeZone || s.Cell == first.to.Cell)
 }
 
 // repeatBy is until when a keyed request may be sent again. A margin is kept to the window's end:
 // the sender may be held up between this decision and its write.
 func (r *request) repeatBy(first *attempt) time.Duration {
-	return first.sent + r.class.Window - min(repeatMargin, r.class.Window/4)
+	return first.sent + r.class.DedupWindow - min(repeatMargin, r.class.DedupWindow/4)
 }
 
 // mayGo says whether the rules let a request go to a server now.
 func (b *Balancer) mayGo(now time.Duration, r *request, s *server) bool {
-	sending := Sending{
-		Now: now, Until: r.deadline, StopBy: r.stopBy, RepeatBy: NoLimit,
-		Answered: r.over || r.begun, Server: s.State, MayHaveRun: r.ran() != nil,
-		Attempts: len(r.attempts), Most: b.cfg.MaxAttempts, Out: r.out, Cold: !b.mayWarm(now, r, s),
+	sending := SendFacts{
+		Now: now, ClientDeadline: r.deadline, ShutdownDeadline: r.stopBy, RepeatDeadline: NoLimit,
+		Answered: r.over || r.begun, ServerState: s.State, MayHaveRun: r.ran() != nil,
+		Attempts: len(r.attempts), MaxAttempts: b.cfg.MaxAttempts, InFlight: r.out, SlowStartExhausted: !b.mayWarm(now, r, s),
 	}
 	if sending.MayHaveRun {
 		sending.Repeatable = r.mayRepeat(now, s)
@@ -313,7 +315,7 @@
 	}
 	b.charge(now, r, s)
 	start := time.Duration(0)
-	if first := r.ran(); first != nil && r.class.Effect == Keyed {
+	if first := r.ran(); first != nil && r.class.Idempotency == IdempotentByKey {
 		start = r.repeatBy(first) - now
 	}
 	r.attempts = append(r.attempts, attempt{to: s, sent: now})
@@ -328,23 +330,23 @@
 }
 
 // List takes news of the server list.
-func (b *Balancer) List(now time.Duration, kind ListKind, entries []Server) {
+func (b *Balancer) List(now time.Duration, kind ListKind, entries []Endpoint) {
 	if kind == ListFailed {
-		b.Lost(now, ListLoss{Unresponsive: true})
+		b.ListLost(now, ListLoss{Unresponsive: true})
 		return
 	}
-	if kind != ListCached && b.cfg.AskList {
+	if kind != ListCached && b.cfg.PollList {
 		b.askAt, b.askFails = 0, 0
 	}
 	if kind != ListDelta {
 		for _, s := range b.servers {
-			s.State = Gone // until the list names it
+			s.State = Removed // until the list names it
 		}
 	}
 	for _, e := range entries {
 		b.enter(now, e)
 	}
-	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool { return s.State == Gone })
+	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool { return s.State == Removed })
 	if b.mean == 0 {
 		b.deriveSlots() // no quotas: the first list is all there is to go by
 	}
@@ -357,7 +359,7 @@
 }
 
 // enter takes over one line of the list.
-func (b *Balancer) enter(now time.Duration, e Server) {
+func (b *Balancer) enter(now time.Duration, e Endpoint) {
 	if !(e.Weight > 0) || math.IsInf(e.Weight, 0) {
 		e.Weight = 1 // no weights, even turns
 	}
@@ -370,10 +372,10 @@
 	if b.zones[e.Zone] == nil {
 		b.zones[e.Zone] = new(zone)
 	}
-	s.Server, s.in = e, b.zones[e.Zone]
+	s.Endpoint, s.in = e, b.zones[e.Zone]
 	s.size = b.capacity(e.Weight)
 	if fresh { // cold, and nothing known of it holds any more
-		s.warmAt = max(s.warmAt, e.Started+b.cfg.ColdTime)
+		s.warmAt = max(s.warmAt, e.Started+b.cfg.SlowStartWindow)
 		s.unwell, s.strikes, s.doubted, s.heard = false, 0, false, now
 		s.slow, s.restTill = 0, 0
 		b.spoke(now, s)
@@ -384,7 +386,7 @@
 
 // finish is the one place that answers: refused where that is true, failed where it is not.
 func (b *Balancer) finish(r *request) {
-	if r.ran() == nil || r.class.Effect == Safe || (r.class.Effect == Keyed && r.class.Scope == ScopeAll) {
+	if r.ran() == nil || r.class.Idempotency == Idempotent || (r.class.Idempotency == IdempotentByKey && r.class.DedupScope == ScopeAll) {
 		b.count.Refused++
 		pause := time.Duration((1 + b.rng.Float64()) * float64(b.pace)) // spread: not all at once
 		b.host.Refuse(r.id, min(b.cfg.MaxRetryAfter, pause))
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -26,7 +26,7 @@
 	if b.SlotsFree(1) != 2 {
 		t.Fatalf("tenant 1 lost slots to tenant 0")
 	}
-	b.Request(0, Request{ID: 20, Class: safeClass, Tenant: 1, Left: 2 * time.Second})
+	b.Request(0, Request{ID: 20, Class: safeClass, Tenant: 1, TimeLeft: 2 * time.Second})
 	if len(h.sends) != 7 {
 		t.Fatalf("the other compartment did not send past the full one")
 	}
@@ -39,7 +39,7 @@
 // firstTries lets a Balancer see what time left most requests come with.
 func firstTries(b *Balancer, left time.Duration) {
 	for i := range RequestID(20) {
-		b.Request(0, Request{ID: 1000 + i, Class: safeClass, Left: left})
+		b.Request(0, Request{ID: 1000 + i, Class: safeClass, TimeLeft: left})
 		b.Outcome(0, Outcome{ID: 1000 + i, Ending: Served, Settled: true})
 	}
 }
@@ -56,7 +56,7 @@
 		if last {
 			left = 1800 * ms
 		}
-		b.Request(now, Request{ID: id, Class: safeClass, Left: left})
+		b.Request(now, Request{ID: id, Class: safeClass, TimeLeft: left})
 		end(b, now+5*ms, id, 0, Served)
 		switch timeout := h.sends[len(h.sends)-1].timeout; {
 		case id < 50:
@@ -78,7 +78,7 @@
 	b, h := start(t, testConfig(), ready(1, 2))
 	firstTries(b, 2800*ms) // come with this much of the class's 3 s
 	h.sends = nil
-	left := func(id RequestID, d time.Duration) { b.Request(0, Request{ID: id, Class: safeClass, Left: d}) }
+	left := func(id RequestID, d time.Duration) { b.Request(0, Request{ID: id, Class: safeClass, TimeLeft: d}) }
 	left(1, 2800*ms)
 	left(2, 2500*ms) // begun half a second ago
 	left(3, 1500*ms) // begun 1.5 s ago, late already, but answers are quick
@@ -103,7 +103,7 @@
 		if id >= 20 {
 			left = 2200 * ms
 		}
-		b.Request(now, Request{ID: id, Class: safeClass, Left: left})
+		b.Request(now, Request{ID: id, Class: safeClass, TimeLeft: left})
 		end(b, now+5*ms, id, 0, Served)
 	}
 	if last := h.sends[len(h.sends)-1]; last.timeout != time.Second {
@@ -113,13 +113,13 @@
 
 func TestUnmarkedTriesAreFirstTriesWhereClientsMark(t *testing.T) {
 	cfg := testConfig()
-	cfg.MarksRepeat = true
+	cfg.ClientsMarkRetries = true
 	b, h := start(t, cfg, ready(1, 2))
 	firstTries(b, 2800*ms)
 	h.sends = nil
-	b.Request(0, Request{ID: 1, Class: safeClass, Left: 2800 * ms})
-	b.Request(0, Request{ID: 2, Class: safeClass, Left: 2500 * ms})
-	b.Request(0, Request{ID: 3, Class: safeClass, Left: 2500 * ms, Repeat: true})
+	b.Request(0, Request{ID: 1, Class: safeClass, TimeLeft: 2800 * ms})
+	b.Request(0, Request{ID: 2, Class: safeClass, TimeLeft: 2500 * ms})
+	b.Request(0, Request{ID: 3, Class: safeClass, TimeLeft: 2500 * ms, ClientRetry: true})
 	if h.sends[1].timeout != time.Second || h.sends[2].timeout != 500*ms {
 		t.Fatalf("sends %v: want only the marked one cut", h.sends)
 	}
@@ -172,7 +172,7 @@
 }
 
 func TestZeroWeightsMeanEvenTurns(t *testing.T) {
-	list := []Server{{ID: 1, State: Ready}, {ID: 2, State: Ready, Weight: math.NaN()}}
+	list := []Endpoint{{ID: 1, State: Ready}, {ID: 2, State: Ready, Weight: math.NaN()}}
 	b, h := start(t, testConfig(), list)
 	for id := range RequestID(10) {
 		now := time.Duration(id) * 20 * ms
@@ -190,7 +190,7 @@
 	b, h := start(t, cfg, ready(1, 2))
 	ask(b, 0, 1, safeClass)
 	ask(b, 0, 2, keyedAll)
-	b.Request(0, Request{ID: 3, Class: keyedCell, Left: 300 * ms})
+	b.Request(0, Request{ID: 3, Class: keyedCell, TimeLeft: 300 * ms})
 	if got := h.sends[0].timeout; got != time.Second {
 		t.Errorf("time-out %v, want the aim", got)
 	}
@@ -212,7 +212,7 @@
 	}{
 		{"safe after an error", safeClass, Errored, true, false},
 		{"keyed after a reset", keyedAll, Broken, true, false},
-		{"unsafe turned away", unsafeClass, TurnedAway, true, false},
+		{"unsafe turned away", unsafeClass, Rejected, true, false},
 		{"unsafe without a connection", unsafeClass, NoConnection, true, false},
 		{"unsafe never sent", unsafeClass, NotSent, true, false},
 		{"unsafe after an error", unsafeClass, Errored, false, true},
@@ -249,11 +249,11 @@
 }
 
 func TestKeyedStaysInItsGroup(t *testing.T) {
-	list := []Server{
+	list := []Endpoint{
 		{ID: 1, State: Ready, Weight: 1, Zone: 0, Cell: 10}, {ID: 2, State: Ready, Weight: 1, Zone: 0, Cell: 11},
 		{ID: 3, State: Ready, Weight: 1, Zone: 1, Cell: 12}, {ID: 4, State: Ready, Weight: 1, Zone: 1, Cell: 12},
 	}
-	byID := func(id ServerID) Server { return list[id-1] }
+	byID := func(id ServerID) Endpoint { return list[id-1] }
 	for id := range RequestID(8) { // the turns make the first attempt meet every server
 		for _, class := range []int{keyedZone, keyedCell} {
 			b, h := start(t, testConfig(), list)
@@ -280,7 +280,7 @@
 }
 
 func TestKeyedGroupCountsFromTheAttemptThatMayHaveRun(t *testing.T) {
-	list := []Server{{ID: 1, State: Ready, Weight: 1, Zone: 0}, {ID: 2, State: Ready, Weight: 1, Zone: 1},
+	list := []Endpoint{{ID: 1, State: Ready, Weight: 1, Zone: 0}, {ID: 2, State: Ready, Weight: 1, Zone: 1},
 		{ID: 3, State: Ready, Weight: 1, Zone: 1}}
 	b, h := start(t, testConfig(), list)
 	for h.sentTo(1) == 0 || len(h.sends) == 0 || h.sends[len(h.sends)-1].to != 1 {
@@ -288,13 +288,13 @@
 		ask(b, 0, id, safeClass)
 		end(b, ms, id, 0, Served)
 	}
-	b.List(ms, ListDelta, []Server{{ID: 3, State: Gone}})
+	b.List(ms, ListDelta, []Endpoint{{ID: 3, State: Removed}})
 	h.sends = nil
 	ask(b, 2*ms, 1, keyedZone) // it is the turn of server 2, in zone 1
 	if h.sends[0].to != 2 {
 		t.Fatalf("set-up: first attempt went to %d", h.sends[0].to)
 	}
-	end(b, 3*ms, 1, 0, TurnedAway) // it never ran there, so zone 1 does not bind
+	end(b, 3*ms, 1, 0, Rejected) // it never ran there, so zone 1 does not bind
 	if len(h.sends) != 2 || h.sends[1].to != 1 {
 		t.Fatalf("sends %v, want a second attempt at server 1", h.sends)
 	}
@@ -319,9 +319,9 @@
 }
 
 func TestDrainingServerGetsNothingMore(t *testing.T) {
-	for _, state := range []State{Draining, Gone} {
+	for _, state := range []EndpointState{Draining, Removed} {
 		b, h := start(t, testConfig(), ready(1, 2))
-		b.List(10*ms, ListDelta, []Server{{ID: 1, State: state, Weight: 1}})
+		b.List(10*ms, ListDelta, []Endpoint{{ID: 1, State: state, Weight: 1}})
 		for id := range RequestID(10) {
 			ask(b, 10*ms, id, safeClass)
 			end(b, 20*ms, id, 0, Served)
@@ -462,9 +462,9 @@
 // Guards against this: all walls together let servers pass into their slower state.
 func TestReportedLoadWallsTheFleet(t *testing.T) {
 	cfg := testConfig()
-	cfg.MayProbe, cfg.Reports = true, true
+	cfg.MayProbe, cfg.LoadReports = true, true
 	b, h := start(t, cfg, ready(1, 2))
-	b.Probed(ms, 1, true, Load{InFlight: 50})
+	b.Probed(ms, 1, true, LoadReport{InFlight: 50})
 	for id := range RequestID(2 * probeEvery) {
 		ask(b, ms, id, safeClass)
 		end(b, ms, id, 0, Served)
@@ -475,8 +475,8 @@
 	if len(h.probes) != 2 {
 		t.Fatalf("%d probes for %d requests, want 2", len(h.probes), 2*probeEvery)
 	}
-	b.Probed(2*ms, 9, true, Load{InFlight: 1}) // a server not listed
-	b.Probed(2*ms, 9, false, NoLoad)           // nor probed with success
+	b.Probed(2*ms, 9, true, LoadReport{InFlight: 1}) // a server not listed
+	b.Probed(2*ms, 9, false, UnknownLoad)            // nor probed with success
 	for id := RequestID(10); id < 12; id++ {
 		ask(b, 2*time.Second, id, safeClass) // the report is old by now
 	}
@@ -497,7 +497,7 @@
 	if h.sentTo(1) != 2 {
 		t.Fatalf("%d of 8 slots at the last of four servers, want its portion of 2", h.sentTo(1))
 	}
-	b.Probed(2*ms, 1, true, Load{InFlight: 6}) // 12 at the quotas, a fourth of it at one server
+	b.Probed(2*ms, 1, true, LoadReport{InFlight: 6}) // 12 at the quotas, a fourth of it at one server
 	end(b, 3*ms, h.sends[0].id, 0, Served)
 	ask(b, 3*ms, 10, safeClass)
 	if h.sentTo(1) != 2 {
@@ -508,7 +508,7 @@
 // Guards against crossing zones on every request where it is priced.
 func TestNearServersFirst(t *testing.T) {
 	cfg := testConfig()
-	cfg.CrossZonePrice, cfg.Zone = 0.02, 1
+	cfg.CrossZoneCost, cfg.Zone = 0.02, 1
 	list := ready(1, 2, 3)
 	list[2].Zone = 1
 	b, h := start(t, cfg, list)
@@ -527,7 +527,7 @@
 
 func TestAsksForTheListAndAgain(t *testing.T) {
 	cfg := testConfig()
-	cfg.AskList = true
+	cfg.PollList = true
 	b, h := start(t, cfg, ready(1))
 	if h.asks != 1 {
 		t.Fatalf("asked %d times at the start", h.asks)
@@ -543,8 +543,8 @@
 			b.List(now, ListFailed, nil)
 		}
 	}
-	if len(gaps) < 4 || slices.Max(gaps) >= cfg.AskWithin || gaps[0] >= gaps[len(gaps)-1] {
-		t.Fatalf("gaps between calls %v: want them to grow, and none to reach %v", gaps, cfg.AskWithin)
+	if len(gaps) < 4 || slices.Max(gaps) >= cfg.PollDeadline || gaps[0] >= gaps[len(gaps)-1] {
+		t.Fatalf("gaps between calls %v: want them to grow, and none to reach %v", gaps, cfg.PollDeadline)
 	}
 	if b.server(1) == nil {
 		t.Fatal("a failed call dropped the old list")
@@ -560,11 +560,11 @@
 
 func TestUnansweredCallIsRepeated(t *testing.T) {
 	cfg := testConfig()
-	cfg.AskList = true
+	cfg.PollList = true
 	h := newFakeHost()
 	b, _ := New(cfg, 1, h)
 	b.Start(0)
-	for now := time.Duration(0); now < cfg.AskWithin; now += 50 * ms {
+	for now := time.Duration(0); now < cfg.PollDeadline; now += 50 * ms {
 		b.Wake(now)
 	}
 	if h.asks < 2 {
@@ -575,7 +575,7 @@
 // Guards against asking at every Wake, or never again, where it is not known how soon silence counts.
 func TestUnansweredCallIsRepeatedNowAndThenWithoutALimit(t *testing.T) {
 	cfg := testConfig()
-	cfg.AskList, cfg.AskWithin = true, 0
+	cfg.PollList, cfg.PollDeadline = true, 0
 	h := newFakeHost()
 	b, _ := New(cfg, 1, h)
 	b.Start(0)
@@ -589,11 +589,11 @@
 
 func TestOddEventsArePassedOver(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
-	b.Request(0, Request{ID: 1, Class: 99, Left: time.Second})
-	b.Request(0, Request{ID: 2, Class: -1, Left: time.Second})
-	b.Request(0, Request{ID: 3, Tenant: 7, Left: time.Second})
-	b.Request(0, Request{ID: 4, Left: 0})
-	b.Request(0, Request{ID: 5, Left: -time.Second})
+	b.Request(0, Request{ID: 1, Class: 99, TimeLeft: time.Second})
+	b.Request(0, Request{ID: 2, Class: -1, TimeLeft: time.Second})
+	b.Request(0, Request{ID: 3, Tenant: 7, TimeLeft: time.Second})
+	b.Request(0, Request{ID: 4, TimeLeft: 0})
+	b.Request(0, Request{ID: 5, TimeLeft: -time.Second})
 	if len(h.refused) != 5 || len(h.sends) != 0 {
 		t.Fatalf("refused %d, sent %d; want 5 and 0", len(h.refused), len(h.sends))
 	}
@@ -659,8 +659,8 @@
 			end(b, now+2*ms, id, 1, Served)
 		}
 		if id%100 == 0 {
-			b.List(now, ListDelta, []Server{{ID: ServerID(1000 + id), State: Ready, Weight: 1}})
-			b.List(now, ListDelta, []Server{{ID: ServerID(1000 + id), State: Gone}})
+			b.List(now, ListDelta, []Endpoint{{ID: ServerID(1000 + id), State: Ready, Weight: 1}})
+			b.List(now, ListDelta, []Endpoint{{ID: ServerID(1000 + id), State: Removed}})
 		}
 		b.Wake(now + 3*ms)
 	}
@@ -687,7 +687,7 @@
 	}
 	cfg.Tenants, cfg.Balancers = nil, 4 // no tenants and no quota: one compartment, sized by the first list
 	b, h := start(t, cfg, ready(1, 2))
-	b.Request(0, Request{ID: 1, Left: time.Second})
+	b.Request(0, Request{ID: 1, TimeLeft: time.Second})
 	if len(b.parts) != 1 || b.slots != 11 || len(h.sends) != 1 {
 		t.Fatalf("without tenants: %d compartments, %d slots, %d sends", len(b.parts), b.slots, len(h.sends))
 	}
@@ -699,14 +699,14 @@
 		"Classes":       func(c *Config) { c.Classes = nil },
 		"MaxAttempts":   func(c *Config) { c.MaxAttempts = 0 },
 		"Slots":         func(c *Config) { c.Slots = -1 },
-		"ColdFrom":      func(c *Config) { c.ColdFrom = 1.5 },
-		"ColdMultiple":  func(c *Config) { c.ColdMultiple = math.Inf(1) },
-		"ColdTime":      func(c *Config) { c.ColdTime = -1 },
-		"CrossZone":     func(c *Config) { c.CrossZonePrice = -1 },
-		"AskWithin":     func(c *Config) { c.AskWithin = -1 },
+		"ColdFrom":      func(c *Config) { c.SlowStartFloor = 1.5 },
+		"ColdMultiple":  func(c *Config) { c.OverloadFactor = math.Inf(1) },
+		"ColdTime":      func(c *Config) { c.SlowStartWindow = -1 },
+		"CrossZone":     func(c *Config) { c.CrossZoneCost = -1 },
+		"AskWithin":     func(c *Config) { c.PollDeadline = -1 },
 		"DrainGrace":    func(c *Config) { c.DrainGrace = -1 },
-		"Tick":          func(c *Config) { c.Tick = -1 },
-		"Aim":           func(c *Config) { c.Classes[2].Aim = 0 },
+		"Tick":          func(c *Config) { c.EventPeriod = -1 },
+		"Aim":           func(c *Config) { c.Classes[2].LatencyObjective = 0 },
 		"Deadline":      func(c *Config) { c.Classes[0].Deadline = -1 },
 		"LateShare":     func(c *Config) { c.Classes[0].LateShare = math.NaN() },
 		"Share":         func(c *Config) { c.Tenants[1].Share = -0.1 },
@@ -757,10 +757,10 @@
 // fills the servers' tables, and open most of them anew for each request.
 func TestThinTrafficKeepsToFewOfEachCell(t *testing.T) {
 	reached := func(cfg Config, price float64) int {
-		cfg.CrossZonePrice = price
-		var list []Server
+		cfg.CrossZoneCost = price
+		var list []Endpoint
 		for id := range ServerID(20) {
-			list = append(list, Server{ID: id, Cell: int(id / 5), State: Ready, Weight: 1})
+			list = append(list, Endpoint{ID: id, Cell: int(id / 5), State: Ready, Weight: 1})
 		}
 		b, h := start(t, cfg, list)
 		cells := map[int]bool{}
@@ -870,18 +870,18 @@
 // more than the rest of the balancers usually hold there, it is not full.
 func TestReportedLoadLeavesRoom(t *testing.T) {
 	cfg := testConfig()
-	cfg.MayProbe, cfg.Reports = true, true
+	cfg.MayProbe, cfg.LoadReports = true, true
 	b, h := start(t, cfg, ready(1, 2))
 	room := b.part(b.mean, b.server(1))
 	for _, id := range []ServerID{1, 2} {
-		b.Probed(0, id, true, Load{InFlight: room + 1})
+		b.Probed(0, id, true, LoadReport{InFlight: room + 1})
 	}
 	ask(b, ms, 1, safeClass)
 	if len(h.sends) != 1 {
 		t.Error("nothing is sent with a place free at each server")
 	}
 	for _, id := range []ServerID{1, 2} {
-		b.Probed(2*ms, id, true, Load{InFlight: room + 4})
+		b.Probed(2*ms, id, true, LoadReport{InFlight: room + 4})
 	}
 	ask(b, 3*ms, 2, safeClass)
 	if len(h.sends) != 1 {
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -8,7 +8,7 @@
 // withoutQuotas is a deployment that names no tenants: nobody says how much traffic there is.
 func withoutQuotas(balancers int) Config {
 	cfg := testConfig()
-	cfg.Tenants, cfg.Slots, cfg.MayProbe, cfg.Reports, cfg.Balancers = nil, 0, true, true, balancers
+	cfg.Tenants, cfg.Slots, cfg.MayProbe, cfg.LoadReports, cfg.Balancers = nil, 0, true, true, balancers
 	return cfg
 }
 
@@ -45,9 +45,9 @@
 func TestColdServersBudgetIsTheFleetsWithoutQuotas(t *testing.T) {
 	sum := func(balancers int) float64 {
 		cfg := withoutQuotas(balancers)
-		cfg.ColdTime = time.Hour // it does not warm meanwhile
+		cfg.SlowStartWindow = time.Hour // it does not warm meanwhile
 		b, _ := start(t, cfg, ready(1, 2, 3, 4, 5, 6, 7, 8))
-		b.List(time.Second, ListDelta, []Server{{ID: 1, State: Ready, Weight: 1, Started: time.Second}})
+		b.List(time.Second, ListDelta, []Endpoint{{ID: 1, State: Ready, Weight: 1, Started: time.Second}})
 		b.thin = false // all of them use it
 		return float64(balancers) / b.coldGap(time.Second, b.server(1)).Seconds()
 	}
