--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -19,7 +19,7 @@
 	next    RequestID
 	held    map[RequestID]*asked
 	order   []RequestID // ids of held, in order, so that a run can be repeated
-	listed  map[ServerID]Server
+	listed  map[ServerID]Endpoint
 	trace   []string
 	watches int
 	cold    map[ServerID][]time.Duration // sends to each cold server in the last second
@@ -37,7 +37,7 @@
 }
 
 type tried struct {
-	to   Server
+	to   Endpoint
 	sent time.Duration
 	end  Ending
 	out  bool
@@ -45,7 +45,7 @@
 
 func (a *asked) mayHaveRun() *tried {
 	for i := range a.tries {
-		if e := a.tries[i].end; a.tries[i].out || (e != TurnedAway && e != NoConnection && e != NotSent) {
+		if e := a.tries[i].end; a.tries[i].out || (e != Rejected && e != NoConnection && e != NotSent) {
 			return &a.tries[i]
 		}
 	}
@@ -74,14 +74,14 @@
 	class := w.cfg.Classes[a.q.Class]
 	if first := a.mayHaveRun(); first != nil {
 		switch {
-		case class.Effect == Unsafe:
+		case class.Idempotency == NonIdempotent:
 			w.t.Fatalf("rule 2: unsafe request %d sent again though it may have run", id)
-		case class.Effect == Keyed && w.now-first.sent >= class.Window:
+		case class.Idempotency == IdempotentByKey && w.now-first.sent >= class.DedupWindow:
 			w.t.Fatalf("rule 2: keyed request %d sent again %v after the first send", id, w.now-first.sent)
-		case class.Effect == Keyed && (start == 0 || w.now+start > first.sent+class.Window):
+		case class.Idempotency == IdempotentByKey && (start == 0 || w.now+start > first.sent+class.DedupWindow):
 			w.t.Fatalf("rule 2: keyed request %d may begin again within %v, %v after the first send", id, start, w.now-first.sent)
-		case class.Effect == Keyed && class.Scope == ScopeZone && s.Zone != first.to.Zone,
-			class.Effect == Keyed && class.Scope == ScopeCell && s.Cell != first.to.Cell:
+		case class.Idempotency == IdempotentByKey && class.DedupScope == ScopeZone && s.Zone != first.to.Zone,
+			class.Idempotency == IdempotentByKey && class.DedupScope == ScopeCell && s.Cell != first.to.Cell:
 			w.t.Fatalf("rule 2: keyed request %d sent outside its group", id)
 		}
 	}
@@ -91,11 +91,11 @@
 
 // watchCold checks that this balancer keeps to its even part of a cold server's budget in any
 // second, with one send of slack at each end of it.
-func (w *world) watchCold(s Server) {
-	if s.Started == 0 || w.now >= s.Started+w.cfg.ColdTime {
+func (w *world) watchCold(s Endpoint) {
+	if s.Started == 0 || w.now >= s.Started+w.cfg.SlowStartWindow {
 		return
 	}
-	weight := func(s Server) float64 { return max(s.Weight, 1) } // no weight counts as 1
+	weight := func(s Endpoint) float64 { return max(s.Weight, 1) } // no weight counts as 1
 	quota, total := 0.0, 0.0
 	for _, t := range w.cfg.Tenants {
 		quota += t.Quota
@@ -105,8 +105,8 @@
 			total += weight(o)
 		}
 	}
-	warm := w.cfg.ColdFrom + (1-w.cfg.ColdFrom)*float64(w.now-s.Started)/float64(w.cfg.ColdTime)
-	budget := 2 + w.cfg.ColdMultiple*warm*quota/float64(w.cfg.Balancers)*weight(s)/total
+	warm := w.cfg.SlowStartFloor + (1-w.cfg.SlowStartFloor)*float64(w.now-s.Started)/float64(w.cfg.SlowStartWindow)
+	budget := 2 + w.cfg.OverloadFactor*warm*quota/float64(w.cfg.Balancers)*weight(s)/total
 	recent := slices.DeleteFunc(w.cold[s.ID], func(at time.Duration) bool { return at <= w.now-time.Second })
 	w.cold[s.ID] = append(recent, w.now)
 	if n := float64(len(w.cold[s.ID])); n > budget {
@@ -130,7 +130,7 @@
 	w.note("refuse %d %v", id, pause)
 	a := w.answer(id)
 	class := w.cfg.Classes[a.q.Class]
-	if a.mayHaveRun() != nil && (class.Effect == Unsafe || class.Effect == Keyed && class.Scope != ScopeAll) {
+	if a.mayHaveRun() != nil && (class.Idempotency == NonIdempotent || class.Idempotency == IdempotentByKey && class.DedupScope != ScopeAll) {
 		w.t.Fatalf("rule 2: request %d refused though it may have run", id)
 	}
 	if pause < 0 || pause > w.cfg.MaxRetryAfter {
@@ -147,10 +147,10 @@
 // drive runs a world; pick(n) chooses among n possibilities.
 func drive(t testing.TB, steps int, pick func(n int) int) []string {
 	cfg := testConfig()
-	cfg.AskList, cfg.MayProbe, cfg.Reports = true, true, pick(2) == 0
+	cfg.PollList, cfg.MayProbe, cfg.LoadReports = true, true, pick(2) == 0
 	cfg.Balancers = []int{2, 1000}[pick(2)] // many: traffic too thin to know servers by
-	cfg.CrossZonePrice = float64(pick(2)) * 0.02
-	w := &world{t: t, cfg: cfg, held: map[RequestID]*asked{}, listed: map[ServerID]Server{}, now: time.Hour}
+	cfg.CrossZoneCost = float64(pick(2)) * 0.02
+	w := &world{t: t, cfg: cfg, held: map[RequestID]*asked{}, listed: map[ServerID]Endpoint{}, now: time.Hour}
 	w.cold = map[ServerID][]time.Duration{}
 	b, err := New(cfg, uint64(pick(1000)), w)
 	if err != nil {
@@ -190,11 +190,11 @@
 	case 0, 1, 2:
 		w.next++
 		q := Request{ID: w.next, Class: pick(len(w.cfg.Classes)), Tenant: pick(2)}
-		q.Left = time.Duration(1+pick(2000)) * ms
+		q.TimeLeft = time.Duration(1+pick(2000)) * ms
 		if pick(8) == 0 {
-			q.Left /= 1000 // as good as none left
+			q.TimeLeft /= 1000 // as good as none left
 		}
-		w.held[q.ID] = &asked{q: q, deadline: w.now + q.Left}
+		w.held[q.ID] = &asked{q: q, deadline: w.now + q.TimeLeft}
 		w.order = append(w.order, q.ID)
 		w.b.Request(w.now, q)
 	case 3, 4, 5:
@@ -210,8 +210,8 @@
 			id = w.probed[k]
 			w.probed = slices.Delete(w.probed, k, k+1)
 		}
-		w.b.Probed(w.now, id, pick(3) > 0, Load{
-			InFlight: float64(pick(40) - 20), Waiting: float64(pick(40) - 1), Busy: float64(pick(12)-1) / 10, Rate: float64(pick(60) - 1),
+		w.b.Probed(w.now, id, pick(3) > 0, LoadReport{
+			InFlight: float64(pick(40) - 20), Queued: float64(pick(40) - 1), Utilization: float64(pick(12)-1) / 10, ServedPerSecond: float64(pick(60) - 1),
 		})
 	case 9:
 		if len(w.order) > 0 {
@@ -232,7 +232,7 @@
 		id := w.order[pick(len(w.order))]
 		for i := range w.held[id].tries {
 			if w.held[id].tries[i].out {
-				w.end(id, i, []Ending{Served, Errored, TurnedAway, NoConnection, Broken, Cancelled, NotSent}[pick(7)])
+				w.end(id, i, []Ending{Served, Errored, Rejected, NoConnection, Broken, Cancelled, NotSent}[pick(7)])
 				return
 			}
 		}
@@ -270,9 +270,9 @@
 }
 
 func (w *world) list(pick func(int) int) {
-	entry := func() Server {
+	entry := func() Endpoint {
 		id := ServerID(pick(8))
-		s := Server{ID: id, Zone: int(id) % 2, Cell: int(id) / 2 % 2 * 2, State: State(pick(3)), Weight: float64(pick(4))}
+		s := Endpoint{ID: id, Zone: int(id) % 2, Cell: int(id) / 2 % 2 * 2, State: EndpointState(pick(3)), Weight: float64(pick(4))}
 		s.Cell += s.Zone // no two zones share a cell
 		if pick(4) == 0 {
 			s.Started = w.now - time.Duration(pick(10000))*ms
@@ -284,13 +284,13 @@
 		w.b.List(w.now, kind, nil)
 		return
 	}
-	var entries []Server
+	var entries []Endpoint
 	if kind != ListDelta {
 		clear(w.listed)
 	}
 	for range pick(8) {
 		s := entry()
-		if slices.ContainsFunc(entries, func(o Server) bool { return o.ID == s.ID }) {
+		if slices.ContainsFunc(entries, func(o Endpoint) bool { return o.ID == s.ID }) {
 			continue
 		}
 		entries = append(entries, s)
@@ -383,7 +383,7 @@
 		{"a keyed request again after its window", "rule 2", func(w *world) {
 			w.held[1].q.Class = keyedAll
 			w.Send(1, 1, ms, 0)
-			w.Send(1, 1, ms, w.cfg.Classes[keyedAll].Window+ms)
+			w.Send(1, 1, ms, w.cfg.Classes[keyedAll].DedupWindow+ms)
 		}},
 		{"a refusal of what may have run", "rule 2", func(w *world) { w.Send(1, 1, ms, 0); w.Refuse(1, 0) }},
 		{"a burst to a cold server", "rule 4", func(w *world) {
@@ -397,10 +397,10 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := &caught{TB: t}
-			w := &world{t: c, cfg: testConfig(), held: map[RequestID]*asked{}, listed: map[ServerID]Server{}}
+			w := &world{t: c, cfg: testConfig(), held: map[RequestID]*asked{}, listed: map[ServerID]Endpoint{}}
 			w.now, w.cold = time.Minute, map[ServerID][]time.Duration{}
-			w.listed[3] = Server{ID: 3, State: Ready, Started: w.now}
-			w.listed[1], w.listed[2] = Server{ID: 1, State: Ready}, Server{ID: 2, State: Draining}
+			w.listed[3] = Endpoint{ID: 3, State: Ready, Started: w.now}
+			w.listed[1], w.listed[2] = Endpoint{ID: 1, State: Ready}, Endpoint{ID: 2, State: Draining}
 			w.held[1] = &asked{q: Request{ID: 1, Class: unsafeClass}, deadline: w.now + 2*time.Second}
 			defer func() {
 				if p := recover(); p != nil && p != any(c) {
--- a/policy/rest.go
+++ b/policy/rest.go
@@ -26,9 +26,9 @@
 
 // queued learns from an attempt's end whether its server has a queue.
 func (b *Balancer) queued(now time.Duration, r *request, s *server, took time.Duration, end Ending) {
-	part := (float64(took) - slowWork*float64(r.work)) / float64(r.class.Aim)
+	part := (float64(took) - slowWork*float64(r.work)) / float64(r.class.LatencyObjective)
 	switch end {
-	case TurnedAway:
+	case Rejected:
 		part = 1
 	case Served, TimedOut:
 	default:
--- a/policy/rest_test.go
+++ b/policy/rest_test.go
@@ -65,13 +65,13 @@
 		"slow":        {slowTook, 0, Served, true},
 		"heavy":       {slowTook, 200 * ms, Served, false},
 		"timed out":   {slowTook, 0, TimedOut, true},
-		"turned away": {ms, 0, TurnedAway, true},
+		"turned away": {ms, 0, Rejected, true},
 		"error":       {slowTook, 0, Errored, false},
 		"broken":      {slowTook, 0, Broken, false},
 		"cancelled":   {slowTook, 0, Cancelled, false},
 	} {
 		b, _ := start(t, thinConfig(), ready(1))
-		b.Request(0, Request{ID: 1, Class: unsafeClass, Left: 3 * time.Second, Work: tt.work})
+		b.Request(0, Request{ID: 1, Class: unsafeClass, TimeLeft: 3 * time.Second, ExpectedWork: tt.work})
 		end(b, tt.took, 1, 0, tt.end)
 		if got := b.resting(tt.took, b.server(1)); got != tt.rest {
 			t.Errorf("%s: at rest %v, want %v", name, got, tt.rest)
@@ -110,10 +110,10 @@
 // Guards against this: a zone's own balancers jam it while the other zone's servers idle.
 func TestRestsSpillToTheOtherZone(t *testing.T) {
 	cfg := thinConfig()
-	cfg.CrossZonePrice = 0.02
-	var list []Server
+	cfg.CrossZoneCost = 0.02
+	var list []Endpoint
 	for id := range ServerID(40) {
-		list = append(list, Server{ID: id, Zone: int(id % 2), Cell: int(id / 8), State: Ready, Weight: 1})
+		list = append(list, Endpoint{ID: id, Zone: int(id % 2), Cell: int(id / 8), State: Ready, Weight: 1})
 	}
 	far := func(resting int) int {
 		b, h := start(t, cfg, list)
@@ -157,7 +157,7 @@
 		firstTries(b, 3*time.Second)
 		before := len(h.sends)
 		for id := range RequestID(10) {
-			b.Request(ms, Request{ID: id, Class: safeClass, Left: time.Second})
+			b.Request(ms, Request{ID: id, Class: safeClass, TimeLeft: time.Second})
 			end(b, 2*ms, id, 0, Served)
 		}
 		return len(h.sends) - before
@@ -173,19 +173,19 @@
 // Guards against this: each of a thousand balancers meets a server once in half a minute,
 // finds few of them at rest, and all go on sending into queues in which everything is late.
 func TestJamOfTheWholeIsShed(t *testing.T) {
-	var list []Server
+	var list []Endpoint
 	for id := range ServerID(60) {
-		list = append(list, Server{ID: id, Cell: int(id / 6), State: Ready, Weight: 1})
+		list = append(list, Endpoint{ID: id, Cell: int(id / 6), State: Ready, Weight: 1})
 	}
 	b, h := start(t, thinConfig(), list)
-	aim := b.classes[safeClass].Aim
+	aim := b.classes[safeClass].LatencyObjective
 	id := RequestID(0)
 	sent := func(n int, part float64, every time.Duration, from time.Duration) int {
 		before := len(h.sends)
 		for i := range n {
 			now := from + time.Duration(i)*every
 			b.Wake(now)
-			b.Request(now, Request{ID: id, Class: safeClass, Left: b.classes[safeClass].Deadline})
+			b.Request(now, Request{ID: id, Class: safeClass, TimeLeft: b.classes[safeClass].Deadline})
 			if _, open := b.requests[id]; open {
 				end(b, now+time.Duration(part*float64(aim)), id, 0, Served)
 			}
--- a/policy/silence_test.go
+++ b/policy/silence_test.go
@@ -6,10 +6,10 @@
 )
 
 // twoZones lists n servers in each of two zones: even ids in zone 0, odd ones in zone 1.
-func twoZones(n int) []Server {
-	var list []Server
+func twoZones(n int) []Endpoint {
+	var list []Endpoint
 	for id := range ServerID(2 * n) {
-		list = append(list, Server{ID: id, Zone: int(id % 2), State: Ready, Weight: 1})
+		list = append(list, Endpoint{ID: id, Zone: int(id % 2), State: Ready, Weight: 1})
 	}
 	return list
 }
@@ -17,7 +17,7 @@
 // probing is a configuration with probes and a price for crossing zones.
 func probing() Config {
 	cfg := testConfig()
-	cfg.MayProbe, cfg.CrossZonePrice, cfg.Slots = true, 0.02, 100
+	cfg.MayProbe, cfg.CrossZoneCost, cfg.Slots = true, 0.02, 100
 	return cfg
 }
 
@@ -38,7 +38,7 @@
 		if n := len(h.probes); n > 0 && h.probes[n-1] == silent {
 			h.probes = h.probes[:n-1]
 			h.probes = append(h.probes, 0) // seen
-			b.Probed(now, silent, false, NoLoad)
+			b.Probed(now, silent, false, UnknownLoad)
 		}
 	}
 	if n := h.sentTo(silent); n != before {
@@ -47,7 +47,7 @@
 	if n := len(h.probes); n < 3 || n > 20 {
 		t.Fatalf("%d probes in 10 s, want a few", n)
 	}
-	b.Probed(now, silent, true, NoLoad)
+	b.Probed(now, silent, true, UnknownLoad)
 	for id := RequestID(500); id < 504; id++ {
 		ask(b, now, id, safeClass)
 		end(b, now, id, 0, Served)
@@ -88,7 +88,7 @@
 		t.Fatalf("%d probes in 2 s, want one each %v or so", n, doubtProbe)
 	}
 	now := wait + 2*time.Second
-	b.Probed(now, h.probes[0], true, NoLoad)
+	b.Probed(now, h.probes[0], true, UnknownLoad)
 	ask(b, now, 50, safeClass)
 	if to := h.sends[len(h.sends)-1].to; to%2 != 0 {
 		t.Fatal("the zone spoke again and gets nothing")
@@ -114,7 +114,7 @@
 func TestAllSilentStillServes(t *testing.T) {
 	b, h := start(t, probing(), ready(1, 2))
 	for id := range ServerID(2) {
-		b.Probed(0, id+1, false, NoLoad)
+		b.Probed(0, id+1, false, UnknownLoad)
 	}
 	ask(b, ms, 1, unsafeClass)
 	if len(h.sends) != 1 {
@@ -134,7 +134,7 @@
 func TestZonesAreForgotten(t *testing.T) {
 	b, _ := start(t, probing(), nil)
 	for z := range 100 {
-		b.List(0, ListFull, []Server{{ID: 1, Zone: z, State: Ready, Weight: 1}})
+		b.List(0, ListFull, []Endpoint{{ID: 1, Zone: z, State: Ready, Weight: 1}})
 		ask(b, 0, RequestID(z), safeClass)
 		end(b, 0, RequestID(z), 0, Served)
 	}
@@ -147,10 +147,10 @@
 // without requests for ever when its drain is called off.
 func TestSilentServerIsProbedAgainAfterADrain(t *testing.T) {
 	b, h := start(t, probing(), ready(1, 2))
-	b.Probed(0, 1, false, NoLoad)
+	b.Probed(0, 1, false, UnknownLoad)
 	now := ms
-	for _, state := range []State{Draining, Ready} {
-		b.List(now, ListDelta, []Server{{ID: 1, State: state, Weight: 1}})
+	for _, state := range []EndpointState{Draining, Ready} {
+		b.List(now, ListDelta, []Endpoint{{ID: 1, State: state, Weight: 1}})
 		for until := now + 5*time.Second; now < until; now += 50 * ms {
 			b.Wake(now)
 		}
--- a/policy/state.go
+++ b/policy/state.go
@@ -8,7 +8,7 @@
 )
 
 type server struct {
-	Server
+	Endpoint
 	out      int           // this balancer's attempts there
 	size     float64       // what it can do, on the scale of the weights
 	weighs   float64       // in the pick under way: its weight, 0 where it can't take the request
@@ -66,7 +66,7 @@
 // compartment holds one tenant's slots and queue, walled off from the others'.
 type compartment struct {
 	slots, used, places int
-	lent                Held // of them, to another process of this sidecar
+	lent                BulkheadCapacity // of them, to another process of this sidecar
 	queue               []*request
 }
 
@@ -87,21 +87,21 @@
 	classes     []class
 	parts       []compartment
 	requests    map[RequestID]*request
-	open        []*request    // in order of arrival; ended ones are swept out by Wake
-	servers     []*server     // in the order in which the list named them
-	slots       int           // of all compartments
-	walls       []Held        // as configured, by tenant
-	attempts    int           // at most, as configured
-	balancers   int           // as configured
-	probing     bool          // as configured
-	rule        Rule          // the fleet's word
-	leaving     bool          // another process takes this one's place
-	advice      []float64     // the fleet's word on an overload, by tenant
-	advisedTill time.Duration // until when it counts
-	mean        float64       // what the slots of all balancers hold while traffic is at the quotas
-	quota       float64       // of all tenants together
-	weight      float64       // of all ready servers
-	full        float64       // the most of it that there was, followed down
+	open        []*request         // in order of arrival; ended ones are swept out by Wake
+	servers     []*server          // in the order in which the list named them
+	slots       int                // of all compartments
+	walls       []BulkheadCapacity // as configured, by tenant
+	attempts    int                // at most, as configured
+	balancers   int                // as configured
+	probing     bool               // as configured
+	rule        FleetLimits        // the fleet's word
+	leaving     bool               // another process takes this one's place
+	advice      []float64          // the fleet's word on an overload, by tenant
+	advisedTill time.Duration      // until when it counts
+	mean        float64            // what the slots of all balancers hold while traffic is at the quotas
+	quota       float64            // of all tenants together
+	weight      float64            // of all ready servers
+	full        float64            // the most of it that there was, followed down
 	fullAt      time.Duration
 	well        float64       // of those not judged unwell
 	pace        time.Duration // usual time of an answer, over all classes
--- a/policy/takeover.go
+++ b/policy/takeover.go
@@ -5,25 +5,25 @@
 // Take-over: a new process takes a sidecar's place while the old one still has requests. Both
 // are one balancer to the servers: its slots, queue places and part of a cold server's budget.
 
-// Leave gives up what this Balancer does not need for what it has and for so many requests that may be coming
+// HandOver gives up what this Balancer does not need for what it has and for so many requests that may be coming
 // still. It returns what it keeps, by tenant; that never grows. Cold servers' budget is the other's.
-func (b *Balancer) Leave(coming int) []Held {
+func (b *Balancer) HandOver(coming int) []BulkheadCapacity {
 	b.shared, b.leaving = true, true
-	held := make([]Held, len(b.parts))
+	held := make([]BulkheadCapacity, len(b.parts))
 	for i := range b.parts {
 		c := &b.parts[i]
 		c.slots = min(c.slots, c.used+len(c.queue)+coming)
 		c.places = min(c.places, len(c.queue)+coming)
-		held[i] = Held{c.slots, c.places}
+		held[i] = BulkheadCapacity{c.slots, c.places}
 	}
 	return held
 }
 
-// Beside takes what the other process keeps, by tenant; nothing where it has ended.
+// ReserveForPredecessor takes what the other process keeps, by tenant; nothing where it has ended.
 // Until then cold servers get nothing: it may have spent their budget a moment ago.
-func (b *Balancer) Beside(now time.Duration, held []Held) {
+func (b *Balancer) ReserveForPredecessor(now time.Duration, held []BulkheadCapacity) {
 	for i := range b.parts {
-		b.parts[i].lent = Held{}
+		b.parts[i].lent = BulkheadCapacity{}
 		if i < len(held) {
 			b.parts[i].lent = held[i]
 		}
--- a/policy/takeover_test.go
+++ b/policy/takeover_test.go
@@ -33,14 +33,14 @@
 		now, id := time.Duration(0), RequestID(0)
 		request := func(b *Balancer) {
 			id++
-			b.Request(now, Request{ID: id, Class: safeClass, Tenant: rng.IntN(2), Left: 2 * time.Second})
+			b.Request(now, Request{ID: id, Class: safeClass, Tenant: rng.IntN(2), TimeLeft: 2 * time.Second})
 		}
 		for range 20 {
 			request(old)
 		}
 		collect(old, oldHost)
-		fresh.Beside(now, old.Leave(rng.IntN(3)))
-		var late [][]Held // on their way
+		fresh.ReserveForPredecessor(now, old.HandOver(rng.IntN(3)))
+		var late [][]BulkheadCapacity // on their way
 		for range 300 {
 			now += ms
 			switch rng.IntN(5) {
@@ -55,14 +55,14 @@
 					out = append(out[:i], out[i+1:]...)
 					ending := Served
 					if seed%2 == 1 && rng.IntN(3) == 0 {
-						ending = TurnedAway
+						ending = Rejected
 					}
 					end(f.b, now, f.id, f.attempt, ending)
 				}
 			case 4:
-				late = append(late, old.Leave(rng.IntN(3)))
+				late = append(late, old.HandOver(rng.IntN(3)))
 				if rng.IntN(2) == 0 {
-					fresh.Beside(now, late[0])
+					fresh.ReserveForPredecessor(now, late[0])
 					late = late[1:]
 				}
 			}
@@ -78,7 +78,7 @@
 				}
 			}
 		}
-		fresh.Beside(now, nil)
+		fresh.ReserveForPredecessor(now, nil)
 		for i := range fresh.parts {
 			if fresh.SlotsFree(i) != fresh.parts[i].slots-fresh.parts[i].used {
 				t.Errorf("seed %d: slots are lent to a process that has ended", seed)
@@ -92,7 +92,7 @@
 func TestWhatIsComingKeepsItsSlot(t *testing.T) {
 	old, h := start(t, testConfig(), ready(1, 2, 3))
 	had := old.parts[0].slots
-	if held := old.Leave(2); held[0] != (Held{2, min(2, old.walls[0].Places)}) {
+	if held := old.HandOver(2); held[0] != (BulkheadCapacity{2, min(2, old.walls[0].Places)}) {
 		t.Errorf("it keeps %v for two that are coming", held[0])
 	}
 	ask(old, 0, 1, safeClass)
@@ -100,7 +100,7 @@
 	if len(h.sends) != 2 || len(h.refused) != 0 {
 		t.Errorf("%d sent and %d refused of two that were coming", len(h.sends), len(h.refused))
 	}
-	if held := old.Leave(1000); held[0].Slots != 2 {
+	if held := old.HandOver(1000); held[0].Slots != 2 {
 		t.Errorf("what it keeps has grown to %v of %d", held[0], had)
 	}
 }
@@ -115,7 +115,7 @@
 	fresh, freshHost := start(t, testConfig(), nil)
 	old.List(now, ListFull, cold)
 	fresh.List(now, ListFull, cold)
-	fresh.Beside(now, old.Leave(0))
+	fresh.ReserveForPredecessor(now, old.HandOver(0))
 	for i := range 30 {
 		id := RequestID(i + 1)
 		for b, h := range map[*Balancer]*fakeHost{old: oldHost, fresh: freshHost} {
@@ -129,7 +129,7 @@
 		}
 		now += ms
 	}
-	fresh.Beside(now, nil)
+	fresh.ReserveForPredecessor(now, nil)
 	gap := fresh.coldGap(now, fresh.server(1))
 	if at := fresh.server(1).coldAt; at < now+gap/2 {
 		t.Errorf("the first send may come %v after the old one's end, want about a gap of %v", at-now, gap)
--- a/policy/turn.go
+++ b/policy/turn.go
@@ -36,7 +36,7 @@
 // far is how much of its turns a server of another zone gets. Where crossing has a price that is
 // none; where traffic is thin, until servers of the own zone rest.
 func (b *Balancer) far(now time.Duration) float64 {
-	if b.cfg.CrossZonePrice <= 0 {
+	if b.cfg.CrossZoneCost <= 0 {
 		return 1
 	}
 	if rest := b.atRest(now, true); b.thin && rest > spillFrom {
