--- a/cmd/sidecar-metrics/main.go
+++ b/cmd/sidecar-metrics/main.go
@@ -10,5 +10,5 @@
 )
 
 func main() {
-	sidecarcmd.Main(sidecarcmd.Parts{Meter: func() sidecar.Meter { return metrics.New() }, Enlist: sidecarmember.New})
+	sidecarcmd.Main(sidecarcmd.Parts{Meter: func() sidecar.MetricsExporter { return metrics.New() }, Enlist: sidecarmember.New})
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -26,16 +26,16 @@
 	maxHead = 8 << 10
 )
 
-// Metrics are one sidecar's figures.
-type Metrics struct {
+// Exporter are one sidecar's figures.
+type Exporter struct {
 	registry *prometheus.Registry
 	requests *prometheus.CounterVec
 	latency  *prometheus.HistogramVec
 }
 
 // New makes the figures of a sidecar that starts.
-func New() *Metrics {
-	m := &Metrics{
+func New() *Exporter {
+	m := &Exporter{
 		registry: prometheus.NewRegistry(),
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "barleywick_requests_total", Help: "Requests that have ended, by what their client got.",
@@ -49,14 +49,14 @@
 	return m
 }
 
-// Answered takes a request's end.
-func (m *Metrics) Answered(class, tenant, outcome string, took time.Duration) {
+// RecordRequest takes a request's end.
+func (m *Exporter) RecordRequest(class, tenant, outcome string, took time.Duration) {
 	m.requests.WithLabelValues(class, tenant, outcome).Inc()
 	m.latency.WithLabelValues(class, outcome).Observe(took.Seconds())
 }
 
 // Serve answers for metrics until ctx ends.
-func (m *Metrics) Serve(ctx context.Context, ln net.Listener, state func(context.Context) (sidecar.State, error)) error {
+func (m *Exporter) Serve(ctx context.Context, ln net.Listener, state func(context.Context) (sidecar.Status, error)) error {
 	m.registry.MustRegister(&standing{ctx, state})
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{MaxRequestsInFlight: scrapes, ErrorHandling: promhttp.ContinueOnError}))
@@ -72,7 +72,7 @@
 // standing tells how the sidecar stands at the moment of a scrape.
 type standing struct {
 	ctx   context.Context // of the server
-	state func(context.Context) (sidecar.State, error)
+	state func(context.Context) (sidecar.Status, error)
 }
 
 func desc(name, help string, labels ...string) *prometheus.Desc {
@@ -123,48 +123,48 @@
 		return
 	}
 	gauge(descState, 1)
-	gauge(descOpen, float64(state.Open))
-	gauge(descAge, state.ListAge.Seconds())
-	if p := state.Policy; p != nil {
+	gauge(descOpen, float64(state.OpenRequests))
+	gauge(descAge, state.EndpointListAge.Seconds())
+	if p := state.FleetPolicy; p != nil {
 		gauge(descEpoch, float64(p.Epoch))
-		gauge(descJoint, float64(p.Joint))
+		gauge(descJoint, float64(p.JointChange))
 		open := 0.0
-		if p.Open {
+		if p.Admitting {
 			open = 1
 		}
 		gauge(descTakes, open)
 	}
-	gauge(descJam, state.Jam)
-	if w := state.Word; w != nil {
+	gauge(descJam, state.Congestion)
+	if w := state.OverloadAdvice; w != nil {
 		heard := 0.0
-		if w.Counts() {
+		if w.InForce() {
 			heard = 1
 		}
 		gauge(descHeard, heard)
 		gauge(descToken, float64(w.Advice.Token))
-		for _, k := range state.Compartments {
+		for _, k := range state.Bulkheads {
 			part := 1.0
-			if w.Counts() {
+			if w.InForce() {
 				part = w.Advice.FractionFor(k.Tenant)
 			}
 			gauge(descPart, part, k.Tenant)
 		}
 	}
-	for _, k := range state.Compartments {
+	for _, k := range state.Bulkheads {
 		gauge(descSlots, float64(k.SlotsFree), k.Tenant)
 		gauge(descQueue, float64(k.QueueFree), k.Tenant)
 	}
-	for zone, byHealth := range state.Servers {
+	for zone, byHealth := range state.Endpoints {
 		for health, n := range byHealth {
 			gauge(descServers, float64(n), zone, health)
 		}
 	}
-	for side, states := range map[string]map[string]float64{"clients": state.Clients, "servers": state.Upstreams} {
+	for side, states := range map[string]map[string]float64{"clients": state.ClientConnections, "servers": state.UpstreamConnections} {
 		for name, n := range states {
 			gauge(descConns, n, side, name)
 		}
 	}
-	for side, events := range map[string]map[string]float64{"clients": state.ClientEvents, "servers": state.PoolEvents} {
+	for side, events := range map[string]map[string]float64{"clients": state.ClientConnectionEvents, "servers": state.UpstreamConnectionEvents} {
 		for name, n := range events {
 			count(descEvents, n, side, name)
 		}
@@ -175,7 +175,7 @@
 	for rule, n := range state.Gate.Violated {
 		count(descBroken, float64(n), rule)
 	}
-	for what, n := range state.Decisions() {
+	for what, n := range state.DecisionCounts() {
 		count(descDecided, n, what)
 	}
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -37,22 +37,22 @@
 	}
 	var busy sync.Mutex
 	wrong := error(nil)
-	state := func(context.Context) (sidecar.State, error) {
+	state := func(context.Context) (sidecar.Status, error) {
 		busy.Lock()
 		defer busy.Unlock()
-		return sidecar.State{
-			Open: 3, ListAge: 2 * time.Second, Compartments: []sidecar.Compartment{{Tenant: "acme", SlotsFree: 4, QueueFree: 1}},
-			Servers: map[string]map[string]int{"a": {"up": 5, "draining": 1}}, Decided: policy.Counters{Shed: 9},
-			Clients: map[string]float64{"Open": 8}, PoolEvents: map[string]float64{"Reused": 7},
-			Jam: 0.25, Word: &sidecar.WordState{Advice: overload.Advice{Token: 7, Tenants: []overload.TenantAdvice{{Tenant: "acme", AdmitFraction: 0.5}}}, Age: time.Second},
+		return sidecar.Status{
+			OpenRequests: 3, EndpointListAge: 2 * time.Second, Bulkheads: []sidecar.Bulkhead{{Tenant: "acme", SlotsFree: 4, QueueFree: 1}},
+			Endpoints: map[string]map[string]int{"a": {"up": 5, "draining": 1}}, Decided: policy.Counters{Shed: 9},
+			ClientConnections: map[string]float64{"Open": 8}, UpstreamConnectionEvents: map[string]float64{"Reused": 7},
+			Congestion: 0.25, OverloadAdvice: &sidecar.OverloadAdviceStatus{Advice: overload.Advice{Token: 7, Tenants: []overload.TenantAdvice{{Tenant: "acme", AdmitFraction: 0.5}}}, Age: time.Second},
 		}, wrong
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	m := New()
 	ended := make(chan error, 1)
 	go func() { ended <- m.Serve(ctx, ln, state) }()
-	m.Answered("hold", "acme", "served", 3*time.Millisecond)
-	m.Answered("hold", "acme", "refused", time.Millisecond)
+	m.RecordRequest("hold", "acme", "served", 3*time.Millisecond)
+	m.RecordRequest("hold", "acme", "refused", time.Millisecond)
 	text := scrape(t, ln.Addr().String())
 	for _, want := range []string{
 		`barleywick_requests_total{class="hold",outcome="served",tenant="acme"} 1`,
--- a/internal/sidecar/adviser.go
+++ b/internal/sidecar/adviser.go
@@ -214,20 +214,20 @@
 	return word, nil
 }
 
-// WordState tells how a sidecar stands towards the fleet's word on an overload.
-type WordState struct {
-	Advice overload.Advice
-	Age    time.Duration // of it; 0: none came yet
-	Failed error         // why the last exchange failed
+// OverloadAdviceStatus tells how a sidecar stands towards the fleet's word on an overload.
+type OverloadAdviceStatus struct {
+	Advice    overload.Advice
+	Age       time.Duration // of it; 0: none came yet
+	LastError error         // why the last exchange failed
 }
 
-// Counts says whether the word is in force.
-func (w WordState) Counts() bool { return w.Age > 0 && w.Age < overload.AdviceTTL }
+// InForce says whether the word is in force.
+func (w OverloadAdviceStatus) InForce() bool { return w.Age > 0 && w.Age < overload.AdviceTTL }
 
-func (a *adviser) state() WordState {
+func (a *adviser) state() OverloadAdviceStatus {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	w := WordState{Advice: a.word, Failed: a.failed}
+	w := OverloadAdviceStatus{Advice: a.word, LastError: a.failed}
 	if !a.since.IsZero() {
 		w.Age = max(1, time.Since(a.since))
 	}
@@ -235,11 +235,11 @@
 }
 
 // String is a line for people.
-func (w WordState) String() string {
+func (w OverloadAdviceStatus) String() string {
 	text := "no word yet"
 	if w.Age > 0 {
 		text = fmt.Sprintf("word %d under token %d, %.1f s ago", w.Advice.Number, w.Advice.Token, w.Age.Seconds())
-		if !w.Counts() {
+		if !w.InForce() {
 			text += ", it counts no more"
 		}
 		for _, p := range w.Advice.Tenants {
@@ -248,8 +248,8 @@
 			}
 		}
 	}
-	if w.Failed != nil {
-		text += "; " + w.Failed.Error()
+	if w.LastError != nil {
+		text += "; " + w.LastError.Error()
 	}
 	return text
 }
--- a/internal/sidecar/client.go
+++ b/internal/sidecar/client.go
@@ -43,9 +43,9 @@
 	tenants  map[string]int
 	listener *limitedListener
 	ending   *drain
-	governor *governor // nil: there is no policy of the fleet's
-	adviser  *adviser  // nil: there is no word of the fleet's on an overload
-	member   Member    // nil: this sidecar is no member of the fleet
+	governor *governor   // nil: there is no policy of the fleet's
+	adviser  *adviser    // nil: there is no word of the fleet's on an overload
+	member   FleetMember // nil: this sidecar is no member of the fleet
 }
 
 func newClients(c *Config, l *loop, ending *drain) *clients {
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -21,31 +21,31 @@
 
 // Config is what one sidecar is told at its start.
 type Config struct {
-	Name      string
-	Listen    string // the one address to listen on
-	Discovery string
-	Replicas  []string // further addresses of the same discovery service
-	Seed      uint64
-	Known     *client.ListUpdate // the list of upstreams as last held; nil where there is none
-	Limits    Limits
-	path      string // the file it came from
+	Name              string
+	Listen            string // the one address to listen on
+	Discovery         string
+	DiscoveryReplicas []string // further addresses of the same discovery service
+	Seed              uint64
+	Known             *client.ListUpdate // the list of upstreams as last held; nil where there is none
+	Limits            Limits
+	path              string // the file it came from
 
 	Policy      policy.Config
 	Classes     []string
 	Tenants     []string // empty: there is one, and requests need not name it
 	Zones       []string
-	LoadFields  settings.LoadColumns // the names in a load report
-	DialTimeout time.Duration        // a connection not made by then never comes
-	ConnIdle    time.Duration        // upstreams close a connection that was idle this long
-	Connections connectionLimits     // how many connections, on both sides
-	Takeover    *takeoverConfig      // how a new process takes this one's place; nil: it does not
-	Govern      *policyConfig        // where the fleet's policy comes from; nil: there is none
-	Advice      *adviceConfig        // where its word on an overload comes from; nil: there is none
-	Membership  *membership.Config   // how it is a member of the fleet; nil: it is none
-	Enlist      func(*Config) Member // what makes it one; nil: nothing here does
-	Log         FileLog              // how the program's log is written
-	Metrics     FileMetrics          // where metrics are served; nowhere unless it says so
-	Meter       Meter                // what is told of them; nil: nothing is measured
+	LoadFields  settings.LoadColumns      // the names in a load report
+	DialTimeout time.Duration             // a connection not made by then never comes
+	ConnIdle    time.Duration             // upstreams close a connection that was idle this long
+	Connections connectionLimits          // how many connections, on both sides
+	Takeover    *takeoverConfig           // how a new process takes this one's place; nil: it does not
+	Govern      *policyConfig             // where the fleet's policy comes from; nil: there is none
+	Advice      *adviceConfig             // where its word on an overload comes from; nil: there is none
+	Membership  *membership.Config        // how it is a member of the fleet; nil: it is none
+	NewMember   func(*Config) FleetMember // what makes it one; nil: nothing here does
+	Log         FileLog                   // how the program's log is written
+	Metrics     FileMetrics               // where metrics are served; nowhere unless it says so
+	Exporter    MetricsExporter           // what is told of them; nil: nothing is measured
 }
 
 // Limits are the platform's limits on this process.
@@ -125,7 +125,7 @@
 	if err := fresh.checkDiscovery(); err != nil {
 		return err
 	}
-	c.Discovery, c.Replicas, c.Connections = fresh.Discovery, fresh.Replicas, fresh.Connections
+	c.Discovery, c.DiscoveryReplicas, c.Connections = fresh.Discovery, fresh.DiscoveryReplicas, fresh.Connections
 	return nil
 }
 
@@ -133,8 +133,8 @@
 const maxReplicas = 16
 
 func (c *Config) checkDiscovery() error {
-	if len(c.Replicas) > maxReplicas {
-		return fmt.Errorf("discovery_replicas: %d addresses, %d at most", len(c.Replicas), maxReplicas)
+	if len(c.DiscoveryReplicas) > maxReplicas {
+		return fmt.Errorf("discovery_replicas: %d addresses, %d at most", len(c.DiscoveryReplicas), maxReplicas)
 	}
 	for _, addr := range c.discoveryAddrs() {
 		if _, err := netip.ParseAddrPort(addr); err != nil {
@@ -147,7 +147,7 @@
 // discoveryAddrs are all addresses of discovery, each once.
 func (c *Config) discoveryAddrs() []string {
 	addrs := []string{c.Discovery}
-	for _, addr := range c.Replicas {
+	for _, addr := range c.DiscoveryReplicas {
 		if !slices.Contains(addrs, addr) {
 			addrs = append(addrs, addr)
 		}
@@ -189,7 +189,7 @@
 		return nil, err
 	}
 	c := &Config{
-		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Replicas: f.Replicas, Limits: f.Limits, Known: parseKnown(f.Known),
+		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, DiscoveryReplicas: f.Replicas, Limits: f.Limits, Known: parseKnown(f.Known),
 		Log: f.Log, Metrics: f.Metrics,
 		Policy:      p,
 		Classes:     s.Names("classes"),
--- a/internal/sidecar/governor.go
+++ b/internal/sidecar/governor.go
@@ -415,39 +415,39 @@
 	slog.Error("policy: nobody can be asked: serving by what the folder holds", "epoch", acts.Epoch, "joint_with", acts.JointChange)
 }
 
-// PolicyState tells how a sidecar stands towards the fleet's policy.
-type PolicyState struct {
-	Epoch, Joint uint64
-	Stage        rollout.Stage
-	Since        time.Time
-	Open         bool // new requests are taken
-	Folder       bool // it serves by its folder
-	Refused      string
+// FleetPolicyStatus tells how a sidecar stands towards the fleet's policy.
+type FleetPolicyStatus struct {
+	Epoch, JointChange uint64
+	Stage              rollout.Stage
+	Since              time.Time
+	Admitting          bool // new requests are taken
+	FromStore          bool // it serves by its folder
+	RefusalReason      string
 }
 
-func (g *governor) state() PolicyState {
+func (g *governor) state() FleetPolicyStatus {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	_, stage, refused := g.follow.Summary()
-	return PolicyState{Epoch: g.acts.Epoch, Joint: g.acts.JointChange, Stage: stage, Since: g.since, Open: g.may(), Folder: g.saved, Refused: refused}
+	return FleetPolicyStatus{Epoch: g.acts.Epoch, JointChange: g.acts.JointChange, Stage: stage, Since: g.since, Admitting: g.may(), FromStore: g.saved, RefusalReason: refused}
 }
 
-func (s PolicyState) String() string {
+func (s FleetPolicyStatus) String() string {
 	text := fmt.Sprintf("epoch %d, %s", s.Epoch, s.Stage)
-	if s.Joint != 0 {
-		text += fmt.Sprintf(", joint with %d", s.Joint)
+	if s.JointChange != 0 {
+		text += fmt.Sprintf(", joint with %d", s.JointChange)
 	}
 	if !s.Since.IsZero() {
 		text += ", since " + s.Since.UTC().Format(time.RFC3339)
 	}
-	if s.Folder {
+	if s.FromStore {
 		text += ", by the folder: nobody can be asked"
 	}
-	if !s.Open {
+	if !s.Admitting {
 		text += ", refusing new requests"
 	}
-	if s.Refused != "" {
-		text += ", refused the change: " + s.Refused
+	if s.RefusalReason != "" {
+		text += ", refused the change: " + s.RefusalReason
 	}
 	return text
 }
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -160,8 +160,8 @@
 	trace   bool          // each attempt and answer goes to the log
 	heardAt time.Duration // the last news of the list; 0: none yet
 
-	word   func() WordState                          // the fleet's on an overload; nil: it has none
-	policy func() PolicyState                        // how it stands towards the fleet's policy; nil: there is none
+	word   func() OverloadAdviceStatus               // the fleet's on an overload; nil: it has none
+	policy func() FleetPolicyStatus                  // how it stands towards the fleet's policy; nil: there is none
 	tally  []overload.TenantCounts                   // what came of requests since the last digest, by tenant; nil: nobody is told
 	note   func(status int, took, aim time.Duration) // counts the end of a request; may be nil
 	// speaking is how many client connections are open that may have something to say; nil: none.
--- a/internal/sidecar/member.go
+++ b/internal/sidecar/member.go
@@ -8,14 +8,14 @@
 	"barleywick/policy"
 )
 
-// Member is this sidecar as a member of the fleet (docs/MEMBERSHIP.md). Nothing that it does
+// FleetMember is this sidecar as a member of the fleet (docs/MEMBERSHIP.md). Nothing that it does
 // may wait for it, and nothing of it is needed to serve.
-type Member interface {
+type FleetMember interface {
 	http.Handler
 	Run(ctx context.Context)
-	Tell(phase string, epoch uint64) // what this sidecar says of itself
-	HostSilent(host string)          // a booking server does not answer
-	Sidecars() int                   // how many are seen; 0: none is
+	Announce(phase string, epoch uint64) // what this sidecar says of itself
+	ReportUnresponsive(host string)      // a booking server does not answer
+	SidecarCount() int                   // how many are seen; 0: none is
 }
 
 const (
@@ -30,7 +30,7 @@
 type numbered struct{ sidecars int }
 
 // attend passes on what the fleet and this sidecar tell each other, until ctx ends.
-func attend(ctx context.Context, m Member, l *loop, stand func() (phase string, epoch uint64)) {
+func attend(ctx context.Context, m FleetMember, l *loop, stand func() (phase string, epoch uint64)) {
 	tick := time.NewTicker(memberEvery)
 	defer tick.Stop()
 	known := 0
@@ -40,8 +40,8 @@
 			return
 		case <-tick.C:
 		}
-		m.Tell(stand())
-		if n := m.Sidecars(); n != known {
+		m.Announce(stand())
+		if n := m.SidecarCount(); n != known {
 			known = n
 			l.post(numbered{n})
 		}
--- a/internal/sidecar/meter_test.go
+++ b/internal/sidecar/meter_test.go
@@ -17,10 +17,10 @@
 type fakeMeter struct {
 	mu    sync.Mutex
 	ended []string
-	state chan func(context.Context) (State, error)
+	state chan func(context.Context) (Status, error)
 }
 
-func (m *fakeMeter) Answered(class, tenant, outcome string, took time.Duration) {
+func (m *fakeMeter) RecordRequest(class, tenant, outcome string, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if took <= 0 {
@@ -29,7 +29,7 @@
 	m.ended = append(m.ended, class+" "+tenant+" "+outcome)
 }
 
-func (m *fakeMeter) Serve(ctx context.Context, ln net.Listener, state func(context.Context) (State, error)) error {
+func (m *fakeMeter) Serve(ctx context.Context, ln net.Listener, state func(context.Context) (Status, error)) error {
 	m.state <- state
 	<-ctx.Done()
 	return ln.Close()
@@ -42,9 +42,9 @@
 		}
 		return answer200("ok"), false
 	})
-	m := &fakeMeter{state: make(chan func(context.Context) (State, error), 1)}
+	m := &fakeMeter{state: make(chan func(context.Context) (Status, error), 1)}
 	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
-	c.Meter, c.Metrics.Listen = m, "127.0.0.1:0"
+	c.Exporter, c.Metrics.Listen = m, "127.0.0.1:0"
 	addr, stop, ended := startSidecar(t, c)
 	state := await(t, "the meter", m.state)
 	for _, id := range []string{"one", "two", "breaks"} {
@@ -55,13 +55,13 @@
 		t.Fatal(err)
 	}
 	listed := 0
-	for _, zone := range s.Servers {
+	for _, zone := range s.Endpoints {
 		listed += zone["up"]
 	}
 	if s.Gate.Decided["send: allowed"] != 3 || len(s.Gate.Violated) > 0 {
 		t.Errorf("the gate's counters: %+v", s.Gate)
 	}
-	if s.Open != 0 || len(s.Compartments) == 0 || s.Compartments[0].SlotsFree == 0 || listed != 1 || s.Decisions()["Ordinary"] != 3 || s.ClientEvents["Accepted"] == 0 || s.PoolEvents["Opened"] == 0 {
+	if s.OpenRequests != 0 || len(s.Bulkheads) == 0 || s.Bulkheads[0].SlotsFree == 0 || listed != 1 || s.DecisionCounts()["Ordinary"] != 3 || s.ClientConnectionEvents["Accepted"] == 0 || s.UpstreamConnectionEvents["Opened"] == 0 {
 		t.Errorf("%+v", s)
 	}
 	stop()
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -116,13 +116,13 @@
 		l.word = adv.state
 		loops.Go(func() { adv.run(run) })
 	}
-	var member Member
+	var member FleetMember
 	if c.Membership != nil {
-		if c.Enlist == nil {
+		if c.NewMember == nil {
 			return errors.New("membership is set, and this program has none: start barleywick-metered, which has")
 		}
-		member = c.Enlist(c)
-		l.silent = member.HostSilent
+		member = c.NewMember(c)
+		l.silent = member.ReportUnresponsive
 	}
 	measure, err := meter(run, c, l, limited, pool)
 	if err != nil {
--- a/internal/sidecarcmd/command.go
+++ b/internal/sidecarcmd/command.go
@@ -24,8 +24,8 @@
 // Parts are what one of the programs has and the other has not, as each takes memory
 // whether a configuration names it or not. nil: it has none.
 type Parts struct {
-	Meter  func() sidecar.Meter                 // makes what serves metrics
-	Enlist func(*sidecar.Config) sidecar.Member // makes a sidecar a member of the fleet
+	Meter  func() sidecar.MetricsExporter            // makes what serves metrics
+	Enlist func(*sidecar.Config) sidecar.FleetMember // makes a sidecar a member of the fleet
 }
 
 // Main carries the program's call out and ends it with the call's status.
@@ -124,9 +124,9 @@
 		if parts.Meter == nil {
 			return errors.New("metrics.listen is set, and this program serves none: start barleywick-metered, which does")
 		}
-		c.Meter = parts.Meter()
+		c.Exporter = parts.Meter()
 	}
-	c.Enlist = parts.Enlist
+	c.NewMember = parts.Enlist
 	return sidecar.Run(stop, reload, c)
 }
 
--- a/internal/sidecarmember/enlist.go
+++ b/internal/sidecarmember/enlist.go
@@ -21,9 +21,9 @@
 const againIn = time.Second
 
 // New makes the member that a configuration describes. It begins with Run.
-func New(c *sidecar.Config) sidecar.Member {
+func New(c *sidecar.Config) sidecar.FleetMember {
 	var urls []string
-	for _, at := range append([]string{c.Discovery}, c.Replicas...) { // which may be a registry of ours
+	for _, at := range append([]string{c.Discovery}, c.DiscoveryReplicas...) { // which may be a registry of ours
 		urls = append(urls, "http://"+at+registry.APIPath+membership.ViewPath)
 	}
 	asks := &http.Client{Transport: &http.Transport{DialContext: c.Membership.Routes.Dial(time.Second), DisableKeepAlives: true}}
@@ -57,22 +57,22 @@
 	}
 }
 
-// Tell is what this sidecar says of itself from now on.
-func (m *member) Tell(phase string, epoch uint64) {
+// Announce is what this sidecar says of itself from now on.
+func (m *member) Announce(phase string, epoch uint64) {
 	if node := m.node.Load(); node != nil {
 		node.Update(func(i *membership.Info) { i.Phase, i.PolicyEpoch = phase, epoch })
 	}
 }
 
-// HostSilent tells the fleet that a booking server does not answer.
-func (m *member) HostSilent(host string) {
+// ReportUnresponsive tells the fleet that a booking server does not answer.
+func (m *member) ReportUnresponsive(host string) {
 	if node := m.node.Load(); node != nil {
 		node.ReportUnresponsive(host)
 	}
 }
 
-// Sidecars is how many sidecars are there, as this one sees it.
-func (m *member) Sidecars() (n int) {
+// SidecarCount is how many sidecars are there, as this one sees it.
+func (m *member) SidecarCount() (n int) {
 	if node := m.node.Load(); node != nil {
 		n = node.CountRole(membership.RoleSidecar)
 	}
--- a/internal/testing/integration/harness_test.go
+++ b/internal/testing/integration/harness_test.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return err
 	}
-	c.Enlist = sidecarmember.New
+	c.NewMember = sidecarmember.New
 	return sidecar.Run(stop, reload, c)
 }
 
