--- a/policy/policy.go
+++ b/policy/policy.go
@@ -90,13 +90,17 @@
 		b.host.Refuse(q.ID, 0)
 		return
 	}
-	r := &request{id: q.ID, class: &b.classes[q.Class], home: &b.parts[q.Tenant], work: q.ExpectedWork, key: q.AffinityKey}
+	r := &request{
+		id: q.ID, class: &b.classes[q.Class], home: &b.parts[q.Tenant],
+		work: q.ExpectedWork, key: q.AffinityKey,
+	}
 	r.deadline = now + min(q.TimeLeft, time.Hour)
 	begun := now // of the client's first try
 	if r.class.unusual(q.TimeLeft) && (q.ClientRetry || !b.cfg.ClientsMarkRetries) {
 		begun = min(now, r.deadline-r.class.Deadline)
 	}
-	r.aimAt = min(r.deadline, begun+r.class.LatencyObjective+time.Duration(r.class.ObjectiveWorkFactor*float64(q.ExpectedWork)))
+	stretch := time.Duration(r.class.ObjectiveWorkFactor * float64(q.ExpectedWork))
+	r.aimAt = min(r.deadline, begun+r.class.LatencyObjective+stretch)
 	if r.useful = r.aimAt; r.class.LateShare > 0 || (r.class.ObjectiveWorkFactor > 0 && q.ExpectedWork == 0) {
 		r.useful = r.deadline
 	}
@@ -300,7 +304,8 @@
 	sending := SendFacts{
 		Now: now, ClientDeadline: r.deadline, ShutdownDeadline: r.stopBy, RepeatDeadline: NoLimit,
 		Answered: r.over || r.begun, ServerState: s.State, MayHaveRun: r.ran() != nil,
-		Attempts: len(r.attempts), MaxAttempts: b.cfg.MaxAttempts, InFlight: r.out, SlowStartExhausted: !b.mayWarm(now, r, s),
+		Attempts: len(r.attempts), MaxAttempts: b.cfg.MaxAttempts, InFlight: r.out,
+		SlowStartExhausted: !b.mayWarm(now, r, s),
 	}
 	if sending.MayHaveRun {
 		sending.Repeatable = r.mayRepeat(now, s)
@@ -386,7 +391,8 @@
 
 // finish is the one place that answers: refused where that is true, failed where it is not.
 func (b *Balancer) finish(r *request) {
-	if r.ran() == nil || r.class.Idempotency == Idempotent || (r.class.Idempotency == IdempotentByKey && r.class.DedupScope == ScopeAll) {
+	byKeyAnywhere := r.class.Idempotency == IdempotentByKey && r.class.DedupScope == ScopeAll
+	if r.ran() == nil || r.class.Idempotency == Idempotent || byKeyAnywhere {
 		b.count.Refused++
 		pause := time.Duration((1 + b.rng.Float64()) * float64(b.pace)) // spread: not all at once
 		b.host.Refuse(r.id, min(b.cfg.MaxRetryAfter, pause))
