--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -1,9 +1,10 @@
-// Barleykeeper is a process that holds fleet-wide tasks.
+// Controller runs fleet-wide tasks under leases.
 package main
 
 import (
 	"context"
 	"fmt"
+	"io"
 	"log/slog"
 	"os"
 	"os/signal"
@@ -17,29 +18,30 @@
 )
 
 func main() {
+	cli.WarnFormerProgram(os.Stderr, os.Args[0], "barleykeeper", "controller")
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	status := cli.Run(stop, "barleykeeper", newRoot(os.Getenv), os.Args[1:], os.Stdout, os.Stderr)
+	status := cli.Run(stop, "controller", newRoot(os.Getenv, os.Stderr), os.Args[1:], os.Stdout, os.Stderr)
 	cancel()
 	os.Exit(status)
 }
 
-func newRoot(getenv func(string) string) *cobra.Command {
+func newRoot(getenv func(string) string, errs io.Writer) *cobra.Command {
 	var level string
-	path := getenv("BARLEYKEEPER_CONFIG")
+	path := cli.LookupEnv(getenv, errs, "CONTROLLER_CONFIG", "BARLEYKEEPER_CONFIG")
 	load := func() (*controller.Config, error) {
 		if path == "" {
-			return nil, cli.WrongCall("--config FILE is needed, or BARLEYKEEPER_CONFIG")
+			return nil, cli.WrongCall("--config FILE is needed, or CONTROLLER_CONFIG")
 		}
 		return controller.LoadConfig(path)
 	}
 	root := &cobra.Command{
-		Use: "barleykeeper", Short: "Holds fleet-wide tasks", Args: cli.NoArgs,
-		Long: `barleykeeper holds fleet-wide tasks: it runs drains, checks booking servers, keeps
-copies of the registry. Any number run; each task is one keeper's at a time.
+		Use: "controller", Short: "Runs fleet-wide tasks under leases", Args: cli.NoArgs,
+		Long: `controller runs fleet-wide tasks: drains, health checks of booking servers, copies of the
+registry. Any number may run; each task is held by one controller at a time.
 SIGTERM hands its tasks over and ends it. docs/LEASES.md describes the file.
 
 ` + cli.Statuses,
-		Example: "  barleykeeper --config k1.toml\n  barleykeeper check --config k1.toml",
+		Example: "  controller --config k1.toml\n  controller check --config k1.toml",
 		RunE: func(c *cobra.Command, _ []string) error {
 			var l slog.Level
 			if err := l.UnmarshalText([]byte(level)); err != nil {
@@ -53,10 +55,10 @@
 			return controller.Serve(c.Context(), cfg)
 		},
 	}
-	root.PersistentFlags().StringVar(&path, "config", path, "the configuration `FILE` (default: what BARLEYKEEPER_CONFIG names)")
+	root.PersistentFlags().StringVar(&path, "config", path, "the configuration `FILE` (default: what CONTROLLER_CONFIG names)")
 	root.Flags().StringVar(&level, "log-level", "info", "least level of the log: debug, info, warn or error")
 	root.AddCommand(&cobra.Command{
-		Use: "check", Short: "Read a configuration, start nothing", Args: cli.NoArgs, Example: "  barleykeeper check --config k1.toml",
+		Use: "check", Short: "Read a configuration, start nothing", Args: cli.NoArgs, Example: "  controller check --config k1.toml",
 		RunE: func(c *cobra.Command, _ []string) error {
 			cfg, err := load()
 			if err != nil {
@@ -69,6 +71,6 @@
 			fmt.Fprintf(c.OutOrStdout(), "%s: tasks %s; leases of %d ms\n", cfg.Name, strings.Join(tasks, ", "), cfg.LeaseMS)
 			return nil
 		},
-	}, cli.VersionCommand("barleykeeper"))
+	}, cli.VersionCommand("controller"))
 	return root
 }
--- a/cmd/fleetctl/drain.go
+++ b/cmd/fleetctl/drain.go
@@ -42,7 +42,7 @@
 keepers and followed: it goes on when this command ends. With --here this command
 runs it. A drain that was cut off is resumed by drain, by whomever, and undone by
 undrain.`,
-		Example: "  barleyctl drain m-1 --timeout 10m\n  barleyctl drain m-1 --here\n  barleyctl drain m-1 --dry-run",
+		Example: "  fleetctl drain m-1 --timeout 10m\n  fleetctl drain m-1 --here\n  fleetctl drain m-1 --dry-run",
 		RunE: func(c *cobra.Command, args []string) error {
 			return a.timed(c.Context(), timeout, func(ctx context.Context, w *drain.Workflow) error {
 				switch {
@@ -57,7 +57,7 @@
 				}
 				if held == "" {
 					if detach {
-						return fmt.Errorf("no keeper holds the task %s: start barleykeeper, or leave --detach out", controller.DrainsLease)
+						return fmt.Errorf("no controller holds the task %s: start one, or leave --detach out", controller.DrainsLease)
 					}
 					return w.Drain(ctx, args[0])
 				}
@@ -92,7 +92,7 @@
 	c := &cobra.Command{
 		Use: "undrain MACHINE", Short: "Take a machine's drain back", Args: machine,
 		Long:    "undrain takes a drain back at whatever step it is, and lets the machine's servers be used again.",
-		Example: "  barleyctl undrain m-1",
+		Example: "  fleetctl undrain m-1",
 		RunE: func(c *cobra.Command, args []string) error {
 			return a.timed(c.Context(), timeout, func(ctx context.Context, w *drain.Workflow) error { return w.Undrain(ctx, args[0]) })
 		},
@@ -104,7 +104,7 @@
 func (a *app) status() *cobra.Command {
 	return &cobra.Command{
 		Use: "status [MACHINE]", Short: "Tell how drains stand", Args: cobra.MaximumNArgs(1),
-		Example: "  barleyctl status",
+		Example: "  fleetctl status",
 		RunE: func(c *cobra.Command, args []string) error {
 			only := ""
 			if len(args) > 0 {
--- a/cmd/fleetctl/main.go
+++ b/cmd/fleetctl/main.go
@@ -1,4 +1,4 @@
-// Barleyctl is the operator's command.
+// Fleetctl is the operator's command.
 package main
 
 import (
@@ -37,6 +37,7 @@
 )
 
 func main() {
+	cli.WarnFormerProgram(os.Stderr, os.Args[0], "barleyctl", "fleetctl")
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	status := run(stop, os.Args[1:], os.Getenv, os.Stdout, os.Stderr)
 	cancel()
@@ -51,7 +52,7 @@
 			args[i] = "--config"
 		}
 	}
-	return cli.Run(ctx, "barleyctl", newRoot(&app{path: getenv("BARLEYCTL_CONFIG"), out: out}), args, out, errs)
+	return cli.Run(ctx, "fleetctl", newRoot(&app{path: cli.LookupEnv(getenv, errs, "FLEETCTL_CONFIG", "BARLEYCTL_CONFIG"), out: out}), args, out, errs)
 }
 
 // app is what all commands share.
@@ -62,11 +63,11 @@
 
 func newRoot(a *app) *cobra.Command {
 	root := &cobra.Command{
-		Use:   "barleyctl",
+		Use:   "fleetctl",
 		Short: "The operator's command",
-		Long: `barleyctl takes machines out of service and brings them back, and looks after the
+		Long: `fleetctl takes machines out of service and brings them back, and looks after the
 tasks that keepers hold, the fleet's policy and its word on an overload, and tells who is
-there. Its configuration is named by --config or BARLEYCTL_CONFIG;
+there. Its configuration is named by --config or FLEETCTL_CONFIG;
 docs/DRAINING.md describes it, docs/LEASES.md the tasks.
 
 ` + cli.Statuses + `
@@ -74,18 +75,18 @@
  4  out of time: the message says what that left`,
 		Args: cli.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			return cli.WrongCall("drain, undrain or status is needed, or tasks or task; see barleyctl --help")
+			return cli.WrongCall("drain, undrain or status is needed, or tasks or task; see fleetctl --help")
 		},
 	}
-	root.PersistentFlags().StringVar(&a.path, "config", a.path, "the configuration `FILE` (default: what BARLEYCTL_CONFIG names)")
-	root.AddCommand(a.drain(), a.undrain(), a.status(), a.tasks(), a.task(), a.policy(), a.overload(), a.members(), cli.VersionCommand("barleyctl"))
+	root.PersistentFlags().StringVar(&a.path, "config", a.path, "the configuration `FILE` (default: what FLEETCTL_CONFIG names)")
+	root.AddCommand(a.drain(), a.undrain(), a.status(), a.tasks(), a.task(), a.policy(), a.overload(), a.members(), cli.VersionCommand("fleetctl"))
 	return root
 }
 
 // config reads the configuration.
 func (a *app) config() (*drain.Config, error) {
 	if a.path == "" {
-		return nil, cli.WrongCall("-config FILE is needed, or BARLEYCTL_CONFIG")
+		return nil, cli.WrongCall("-config FILE is needed, or FLEETCTL_CONFIG")
 	}
 	return drain.LoadConfig(a.path)
 }
--- a/cmd/fleetctl/main_test.go
+++ b/cmd/fleetctl/main_test.go
@@ -28,10 +28,10 @@
 		}
 		return ln
 	}
-	http_, raft := listen(), listen()
+	httpListener, raft := listen(), listen()
 	text, err := json.Marshal(map[string]any{
 		"group": "test", "id": "r", "data": t.TempDir(), "timing": map[string]any{"election_ms": 100},
-		"replicas": []registry.ReplicaInfo{{ID: "r", HTTP: http_.Addr().String(), Raft: raft.Addr().String()}},
+		"replicas": []registry.ReplicaInfo{{ID: "r", HTTP: httpListener.Addr().String(), Raft: raft.Addr().String()}},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	s := r.HTTPServer()
-	go s.Serve(http_)
+	go s.Serve(httpListener)
 	t.Cleanup(func() {
 		s.Close()
 		if err := r.Close(); err != nil {
@@ -54,7 +54,7 @@
 	})
 	config = filepath.Join(t.TempDir(), "ctl.json")
 	text, err = json.Marshal(drain.Config{
-		Registry: []string{http_.Addr().String()}, Floor: drain.Floor{Default: 1}, MaxRequestMS: 1000, LeaseMS: 15000,
+		Registry: []string{httpListener.Addr().String()}, Floor: drain.Floor{Default: 1}, MaxRequestMS: 1000, LeaseMS: 15000,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -103,7 +103,7 @@
 		status int
 		says   string
 	}{
-		"help":               {config, []string{"--help"}, done, "barleyctl takes machines"},
+		"help":               {config, []string{"--help"}, done, "fleetctl takes machines"},
 		"nothing":            {config, nil, wrongCall, "drain, undrain or status"},
 		"an unknown command": {config, []string{"fetch", "m-1"}, wrongCall, "no command"},
 		"no machine":         {config, []string{"drain"}, wrongCall, "needs a machine"},
@@ -153,3 +153,23 @@
 		t.Errorf("%v: %s", err, out.String())
 	}
 }
+
+// Files that people wrote set the variable under its former name.
+func TestFormerEnvironmentVariableNamesTheConfiguration(t *testing.T) {
+	for variable, warned := range map[string]bool{"FLEETCTL_CONFIG": false, "BARLEYCTL_CONFIG": true} {
+		getenv := func(name string) string {
+			if name == variable {
+				return "/nonexistent"
+			}
+			return ""
+		}
+		var out, errs bytes.Buffer
+		status := run(t.Context(), []string{"status"}, getenv, &out, &errs)
+		if status != failed || !strings.Contains(errs.String(), "/nonexistent") {
+			t.Errorf("%s: status %d, says %q", variable, status, errs.String())
+		}
+		if got := strings.Contains(errs.String(), "BARLEYCTL_CONFIG is deprecated, use FLEETCTL_CONFIG"); got != warned {
+			t.Errorf("%s: warned %v, want %v", variable, got, warned)
+		}
+	}
+}
--- a/cmd/fleetctl/members.go
+++ b/cmd/fleetctl/members.go
@@ -32,7 +32,7 @@
 
 ` + cli.Statuses + `
  3  with --diff: views differ`,
-		Example: "  barleyctl members\n  barleyctl members --diff\n  barleyctl members --at 127.0.0.1:9400 --watch\n  barleyctl members --forget k2",
+		Example: "  fleetctl members\n  fleetctl members --diff\n  fleetctl members --at 127.0.0.1:9400 --watch\n  fleetctl members --forget k2",
 		RunE: func(c *cobra.Command, _ []string) error {
 			if forget != "" {
 				if err := registry.CheckName("--forget", forget); err != nil {
--- a/cmd/fleetctl/overload.go
+++ b/cmd/fleetctl/overload.go
@@ -25,7 +25,7 @@
 		Long: `overload asks the task that gives the fleet's word on an overload (docs/OVERLOAD.md): how
 many sidecars it hears, what answers take of their aims, and for each tenant what is
 asked and what part of it may be tried.`,
-		Example: "  barleyctl overload\n  barleyctl overload --watch --json",
+		Example: "  fleetctl overload\n  fleetctl overload --watch --json",
 		RunE: func(c *cobra.Command, _ []string) error {
 			r, err := a.client()
 			if err != nil {
--- a/cmd/fleetctl/policy.go
+++ b/cmd/fleetctl/policy.go
@@ -30,7 +30,7 @@
 can, acts by the stricter of old and new, and only when all do is the new one in force.
 docs/POLICY.md describes the document and what each failure looks like.`,
 		RunE: func(*cobra.Command, []string) error {
-			return cli.WrongCall("get, diff, propose, status, abort, history, revert or evict is needed; see barleyctl policy --help")
+			return cli.WrongCall("get, diff, propose, status, abort, history, revert or evict is needed; see fleetctl policy --help")
 		},
 	}
 	c.AddCommand(a.policyGet(), a.policyDiff(), a.policyPropose(), a.policyStatus(), a.policyAbort(), a.policyHistory(), a.policyRevert(), a.policyEvict())
@@ -78,7 +78,7 @@
 
 func (a *app) policyGet() *cobra.Command {
 	return &cobra.Command{
-		Use: "get", Short: "Print the policy in force, as a file to be changed and proposed", Args: cli.NoArgs, Example: "  barleyctl policy get > policy.toml",
+		Use: "get", Short: "Print the policy in force, as a file to be changed and proposed", Args: cli.NoArgs, Example: "  fleetctl policy get > policy.toml",
 		RunE: func(c *cobra.Command, _ []string) error {
 			return a.withStatus(c.Context(), func(_ *client.Client, st rollout.Status) error {
 				if st.Document == nil {
@@ -109,7 +109,7 @@
 
 func (a *app) policyDiff() *cobra.Command {
 	return &cobra.Command{
-		Use: "diff FILE", Short: "Tell what a file would change", Args: cobra.ExactArgs(1), Example: "  barleyctl policy diff policy.toml",
+		Use: "diff FILE", Short: "Tell what a file would change", Args: cobra.ExactArgs(1), Example: "  fleetctl policy diff policy.toml",
 		RunE: func(c *cobra.Command, args []string) error {
 			d, err := readDocument(args[0])
 			if err != nil {
@@ -227,7 +227,7 @@
 	var p proposal
 	c := &cobra.Command{
 		Use: "propose FILE", Short: "Propose a policy for the whole fleet", Args: cobra.ExactArgs(1),
-		Example: "  barleyctl policy propose policy.toml --reason 'acme pays for more' --wait",
+		Example: "  fleetctl policy propose policy.toml --reason 'acme pays for more' --wait",
 		RunE: func(c *cobra.Command, args []string) error {
 			d, err := readDocument(args[0])
 			if err != nil {
@@ -245,7 +245,7 @@
 	c := &cobra.Command{
 		Use: "revert [EPOCH]", Short: "Propose an earlier policy again", Args: cobra.MaximumNArgs(1),
 		Long:    "revert proposes the policy that was in force before this one, or that of EPOCH. It is a change as any.",
-		Example: "  barleyctl policy revert --wait",
+		Example: "  fleetctl policy revert --wait",
 		RunE: func(c *cobra.Command, args []string) error {
 			return a.withStatus(c.Context(), func(r *client.Client, st rollout.Status) error {
 				for i := len(st.History) - 1; i >= 0; i-- {
@@ -269,7 +269,7 @@
 func (a *app) policyStatus() *cobra.Command {
 	var asJSON bool
 	c := &cobra.Command{
-		Use: "status", Short: "Tell how the policy and its change stand", Args: cli.NoArgs, Example: "  barleyctl policy status --json",
+		Use: "status", Short: "Tell how the policy and its change stand", Args: cli.NoArgs, Example: "  fleetctl policy status --json",
 		RunE: func(c *cobra.Command, _ []string) error {
 			return a.withStatus(c.Context(), func(_ *client.Client, st rollout.Status) error {
 				if asJSON {
@@ -289,7 +289,7 @@
 
 func (a *app) policyAbort() *cobra.Command {
 	return &cobra.Command{
-		Use: "abort", Short: "Lead the change under way back to the old policy", Args: cli.NoArgs, Example: "  barleyctl policy abort",
+		Use: "abort", Short: "Lead the change under way back to the old policy", Args: cli.NoArgs, Example: "  fleetctl policy abort",
 		RunE: func(c *cobra.Command, _ []string) error {
 			return a.withStatus(c.Context(), func(r *client.Client, st rollout.Status) error {
 				if st.Change == nil {
@@ -307,7 +307,7 @@
 
 func (a *app) policyHistory() *cobra.Command {
 	return &cobra.Command{
-		Use: "history", Short: "Tell what was proposed, by whom, and what became of it", Args: cli.NoArgs, Example: "  barleyctl policy history",
+		Use: "history", Short: "Tell what was proposed, by whom, and what became of it", Args: cli.NoArgs, Example: "  fleetctl policy history",
 		RunE: func(c *cobra.Command, _ []string) error {
 			return a.withStatus(c.Context(), func(_ *client.Client, st rollout.Status) error {
 				w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
@@ -327,7 +327,7 @@
 		Long: `evict takes a sidecar's seat away: changes wait for it no longer. It is your word that the
 process acts no more. If it does, it is refused by the registry from now on, and refuses
 new requests as soon as it hears of it; until then it may act by an old policy.`,
-		Example: "  barleyctl policy evict n17",
+		Example: "  fleetctl policy evict n17",
 		RunE: func(c *cobra.Command, args []string) error {
 			return a.withStatus(c.Context(), func(r *client.Client, _ rollout.Status) error {
 				_, err := r.ApplyPolicyStep(c.Context(), rollout.Command{Op: rollout.OpEvict, Member: rollout.Member{Name: args[0]}}, nil)
--- a/cmd/fleetctl/tasks.go
+++ b/cmd/fleetctl/tasks.go
@@ -43,7 +43,7 @@
 		Use: "tasks", Short: "Tell who holds which task", Args: cli.NoArgs,
 		Long: `tasks lists the leases: who holds each, with which token, and who waits. Leases that
 begin with keeper: say which keepers there are.`,
-		Example: "  barleyctl tasks\n  barleyctl tasks --watch --json",
+		Example: "  fleetctl tasks\n  fleetctl tasks --watch --json",
 		RunE: func(c *cobra.Command, _ []string) error {
 			r, err := a.client()
 			if err != nil {
@@ -126,13 +126,13 @@
 at once, stops the task, and gives it up. One that does not answer loses it when its
 lease ends.`,
 		RunE: func(*cobra.Command, []string) error {
-			return cli.WrongCall("release, hand-over, pause or resume is needed; see barleyctl task --help")
+			return cli.WrongCall("release, hand-over, pause or resume is needed; see fleetctl task --help")
 		},
 	}
 	yes, no := true, false
 	add := func(use, short string, n int, wish func(args []string) registry.YieldRequest) {
 		c.AddCommand(&cobra.Command{
-			Use: use, Short: short, Args: cobra.ExactArgs(n), Example: "  barleyctl task " + strings.NewReplacer("TASK", "drains", "KEEPER", "k2").Replace(use),
+			Use: use, Short: short, Args: cobra.ExactArgs(n), Example: "  fleetctl task " + strings.NewReplacer("TASK", "drains", "KEEPER", "k2").Replace(use),
 			RunE: func(c *cobra.Command, args []string) error { return a.wish(c.Context(), args[0], wish(args)) },
 		})
 	}
--- a/cmd/sidecar-metrics/main.go
+++ b/cmd/sidecar-metrics/main.go
@@ -1,5 +1,5 @@
-// Barleywick-metered is barleywick with metrics for Prometheus and with membership of the
-// fleet, each of which its configuration turns on. They take some megabytes more of memory.
+// Sidecar-metrics is the sidecar with Prometheus metrics and with membership of the fleet, each of
+// which its configuration turns on. They take some megabytes more of memory.
 package main
 
 import (
@@ -10,5 +10,9 @@
 )
 
 func main() {
-	sidecarcmd.Main(sidecarcmd.Parts{Meter: func() sidecar.MetricsExporter { return metrics.New() }, Enlist: sidecarmember.New})
+	sidecarcmd.Main(sidecarcmd.Parts{
+		Name: "sidecar-metrics", FormerName: "barleywick-metered",
+		Meter:  func() sidecar.MetricsExporter { return metrics.New() },
+		Enlist: sidecarmember.New,
+	})
 }
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,7 +1,7 @@
-// Barleywick is the sidecar: it runs beside one application process and carries
+// Sidecar is the client-side load balancer: it runs beside one client process and forwards
 // its requests to the booking servers.
 package main
 
 import "barleywick/internal/sidecarcmd"
 
-func main() { sidecarcmd.Main(sidecarcmd.Parts{}) }
+func main() { sidecarcmd.Main(sidecarcmd.Parts{Name: "sidecar", FormerName: "barleywick"}) }
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -33,7 +33,7 @@
 		err := cmd.Run()
 		var exit *exec.ExitError
 		line := stderr.String()
-		if !errors.As(err, &exit) || exit.ExitCode() != 1 || strings.Count(line, "\n") != 1 || !strings.HasPrefix(line, "barleywick: ") {
+		if !errors.As(err, &exit) || exit.ExitCode() != 1 || strings.Count(line, "\n") != 1 || !strings.HasPrefix(line, "sidecar: ") {
 			t.Errorf("%s: %v, %q; want exit 1 and one line", name, err, line)
 		}
 	}
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Adapter plays the decision module on the simulator's wire, on standard input and
+// Simadapter runs the decision module on the simulator's wire, on standard input and
 // output: many instances in one process.
 package main
 
@@ -17,7 +17,7 @@
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(800)
 	if err := simadapter.Serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "adapter:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/testbench/torture.go
+++ b/cmd/testbench/chaos.go
@@ -20,23 +20,23 @@
 	"barleywick/internal/testing/faultinjection"
 )
 
-func tortureCommand() *cobra.Command {
+func chaosCommand() *cobra.Command {
 	var o chaostest.Options
 	var schedule, out, programs string
 	var shrink int
 	var quiet bool
 	c := &cobra.Command{
-		Use: "torture", Short: "Break a whole fleet of real processes, and check every promise", Args: cli.NoArgs,
-		Long: `torture starts replicas of the registry, keepers with all their tasks, and sidecars under
+		Use: "chaos", Short: "Break a whole fleet of real processes, and check every promise", Args: cli.NoArgs,
+		Long: `chaos starts replicas of the registry, keepers with all their tasks, and sidecars under
 load, with a relay for every link between two, and breaks them for a time: faults of
 processes and between them, up to three at once, while operators change policies,
 drain machines, hand tasks over and keep records. What was promised is checked on the
 way and when the last fault is over (docs/TESTING.md). Everything it starts ends with
-it. The programs are those beside barleylab.
+it. The programs are those beside testbench.
 
 ` + cli.Statuses + `
  3  a promise was broken`,
-		Example: "  barleylab torture --for 20m --seed 7\n  barleylab torture --schedule '1.5s cut k1 for 3s' --seed 7",
+		Example: "  testbench chaos --for 20m --seed 7\n  testbench chaos --schedule '1.5s cut k1 for 3s' --seed 7",
 	}
 	f := c.Flags()
 	f.DurationVar(&o.For, "for", 2*time.Minute, "how long faults are drawn for")
@@ -91,7 +91,7 @@
 				return len(part) > 0 && err == nil && len(again.Broken) > 0
 			})
 		}
-		return cli.Status(statusBroken, "%d promises were broken, the first: %s; to play it again: barleylab torture --seed %d --schedule '%v'", len(rep.Broken), rep.Broken[0], o.Seed, small)
+		return cli.Status(statusBroken, "%d promises were broken, the first: %s; to play it again: testbench chaos --seed %d --schedule '%v'", len(rep.Broken), rep.Broken[0], o.Seed, small)
 	}
 	return c
 }
--- a/cmd/testbench/load.go
+++ b/cmd/testbench/load.go
@@ -35,8 +35,8 @@
 Latencies count from when a request was due: a target that stands still makes all that is
 due meanwhile wait, and each wait counts. What is due while too many are open is not sent
 and is counted as unsent.`,
-		Example: `  barleylab load 127.0.0.1:7070 --rate 200 --length 30s --class hold-slot:keyed:3 --class confirm-visit:unsafe:2 --tenants a,b
-  barleylab load 127.0.0.1:7070 --class read:safe --arrivals recorded --recorded times.txt --json out.json`,
+		Example: `  testbench load 127.0.0.1:7070 --rate 200 --length 30s --class hold-slot:keyed:3 --class confirm-visit:unsafe:2 --tenants a,b
+  testbench load 127.0.0.1:7070 --class read:safe --arrivals recorded --recorded times.txt --json out.json`,
 	}
 	f := c.Flags()
 	f.Float64Var(&p.Rate, "rate", 100, "requests a `SECOND`, over all addresses")
--- a/cmd/testbench/lab.go
+++ b/cmd/testbench/localfleet.go
@@ -24,19 +24,19 @@
 	labLength   = 20 * time.Second
 )
 
-func labCommand() *cobra.Command {
+func localFleetCommand() *cobra.Command {
 	var out output
 	var o localfleet.Options
 	var sidecars, servers int
 	var length time.Duration
 	c := &cobra.Command{
-		Use: "lab [SCENARIO]", Short: "Play a day on real sockets, with real sidecar processes", Args: cobra.MaximumNArgs(1),
-		Long: `lab starts a registry, booking servers and sidecar processes on loopback, lets clients ask
+		Use: "localfleet [SCENARIO]", Short: "Play a day on real sockets, with real sidecar processes", Args: cobra.MaximumNArgs(1),
+		Long: `localfleet starts a registry, booking servers and sidecar processes on loopback, lets clients ask
 them as the scenario says, and follows each request to its one answer. Everything it
 starts ends with it, also at Ctrl-C; what was played until then is told.
 SCENARIO is a name (simulate --list has them) or a file
 ending in .toml; calm where it is left out.`,
-		Example: "  barleylab lab slow --length 30s --html lab.html",
+		Example: "  testbench localfleet slow --length 30s --html lab.html",
 	}
 	f := c.Flags()
 	f.Uint64Var(&o.Seed, "seed", 1, "of all that is drawn")
@@ -44,7 +44,7 @@
 	f.IntVar(&servers, "servers", labServers, "of a scenario that has a name")
 	f.DurationVar(&length, "length", labLength, "of a scenario that has a name")
 	f.IntVar(&o.Registry, "registry", 1, "replicas of the list, 1 or 3")
-	f.StringVar(&o.Program, "sidecar", "", "the sidecar's `PROGRAM`; barleywick beside barleylab where it is left out")
+	f.StringVar(&o.Program, "sidecar", "", "the sidecar's `PROGRAM`; sidecar beside testbench where it is left out")
 	f.StringVar(&o.Logs, "logs", "", "keep the sidecars' logs in `FOLDER`")
 	out.flags(c)
 	c.RunE = func(c *cobra.Command, args []string) error {
@@ -67,7 +67,7 @@
 			if err != nil {
 				return fmt.Errorf("find the sidecar: %w", err)
 			}
-			o.Program = filepath.Join(filepath.Dir(self), "barleywick")
+			o.Program = filepath.Join(filepath.Dir(self), "sidecar")
 		}
 		if _, err := os.Stat(o.Program); err != nil {
 			return fmt.Errorf("the sidecar's program: %w; --sidecar names it", err)
--- a/cmd/testbench/main.go
+++ b/cmd/testbench/main.go
@@ -1,5 +1,5 @@
-// Barleylab is the workbench: it plays fleets in simulated time and on real sockets,
-// compares variants and writes reports. It is a program of its own, so that the sidecar stays small.
+// Testbench runs fleets in simulated time and on real sockets, injects faults, compares variants
+// and writes reports. It is a program of its own, so that the sidecar stays small.
 package main
 
 import (
@@ -28,28 +28,41 @@
 )
 
 func main() {
+	cli.WarnFormerProgram(os.Stderr, os.Args[0], "barleylab", "testbench")
 	stop, done := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	status := cli.Run(stop, "barleylab", newRoot(), os.Args[1:], os.Stdout, os.Stderr)
+	status := cli.Run(stop, "testbench", newRoot(), os.Args[1:], os.Stdout, os.Stderr)
 	done()
 	os.Exit(status)
 }
 
 func newRoot() *cobra.Command {
 	root := &cobra.Command{
-		Use: "barleylab", Short: "Plays fleets of sidecars and tells what came of it",
-		Long: `barleylab plays fleets of sidecars, in simulated time or on real sockets, and tells what
+		Use: "testbench", Short: "Plays fleets of sidecars and tells what came of it",
+		Long: `testbench plays fleets of sidecars, in simulated time or on real sockets, and tells what
 came of it.
 
 ` + cli.Statuses + `
  3  a rule was broken
  4  cut short; what was written tells of the part that was played`,
-		Example: `  barleylab lab --html lab.html
-  barleylab simulate herd --sidecars 60 --servers 40 --html herd.html
-  barleylab experiment walls.toml --json walls.json --html walls.html
-  barleylab report walls.json --html walls.html`,
+		Example: `  testbench localfleet --html lab.html
+  testbench simulate herd --sidecars 60 --servers 40 --html herd.html
+  testbench experiment walls.toml --json walls.json --html walls.html
+  testbench report walls.json --html walls.html`,
 		Args: cli.NoArgs, RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
-	root.AddCommand(simulateCommand(), labCommand(), experimentCommand(), loadCommand(), huntCommand(), membersCommand(), exploreCommand(), tortureCommand(), soakCommand(), reportCommand(), cli.VersionCommand("barleylab"))
+	root.AddCommand(
+		simulateCommand(),
+		cli.WithFormerName(localFleetCommand(), "lab"),
+		experimentCommand(),
+		loadCommand(),
+		cli.WithFormerName(searchCommand(), "hunt"),
+		membersCommand(),
+		cli.WithFormerName(modelCheckCommand(), "explore"),
+		cli.WithFormerName(chaosCommand(), "torture"),
+		soakCommand(),
+		reportCommand(),
+		cli.VersionCommand("testbench"),
+	)
 	return root
 }
 
@@ -112,7 +125,7 @@
 		Use: "simulate SCENARIO", Short: "Play one day in simulated time", Args: cobra.MaximumNArgs(1),
 		Long: `simulate plays one day with the real decision module of each sidecar. SCENARIO is a
 name (see --list) or a file ending in .toml; docs/EMULATOR.md describes the file.`,
-		Example: "  barleylab simulate zone --seed 3 --html zone.html",
+		Example: "  testbench simulate zone --seed 3 --html zone.html",
 	}
 	c.Flags().Uint64Var(&seed, "seed", 1, "of all that is drawn: the same seed gives the same day")
 	c.Flags().IntVar(&sidecars, "sidecars", emulator.Base().Sidecars, "of a scenario that has a name")
@@ -211,7 +224,7 @@
 over all cores, and says what the variants differ by: the mean over paired days with its
 95 % bootstrap interval, and plainly when no difference is shown.
 docs/EXPERIMENTS.md describes the file.`,
-		Example: "  barleylab experiment walls.toml --json walls.json --html walls.html",
+		Example: "  testbench experiment walls.toml --json walls.json --html walls.html",
 	}
 	out.flags(c)
 	c.RunE = func(c *cobra.Command, args []string) error {
@@ -261,7 +274,7 @@
 	c := &cobra.Command{
 		Use: "report FILE", Short: "Write a page of results that were kept", Args: cobra.ExactArgs(1),
 		Long:    "report reads what simulate or experiment wrote with --json and writes one page that needs nothing else.",
-		Example: "  barleylab report walls.json --html walls.html",
+		Example: "  testbench report walls.json --html walls.html",
 	}
 	c.Flags().StringVar(&html, "html", "", "the page's `FILE`; FILE with .html where it is left out")
 	c.RunE = func(c *cobra.Command, args []string) error {
--- a/cmd/testbench/main_test.go
+++ b/cmd/testbench/main_test.go
@@ -14,7 +14,7 @@
 
 func call(ctx context.Context, args ...string) (status int, out, errs string) {
 	var o, e bytes.Buffer
-	status = cli.Run(ctx, "barleylab", newRoot(), args, &o, &e)
+	status = cli.Run(ctx, "testbench", newRoot(), args, &o, &e)
 	return status, o.String(), e.String()
 }
 
@@ -121,9 +121,9 @@
 	}
 }
 
-func TestHuntTellsAndKeeps(t *testing.T) {
+func TestSearchReportsAndKeeps(t *testing.T) {
 	kept := filepath.Join(t.TempDir(), "found")
-	status, out, errs := call(t.Context(), "hunt", "--sidecars", "20", "--servers", "5", "--days", "6", "--keep", kept)
+	status, out, errs := call(t.Context(), "search", "--sidecars", "20", "--servers", "5", "--days", "6", "--keep", kept)
 	if status != cli.Done || !strings.Contains(out, "6 days: back after") {
 		t.Fatalf("status %d, %s%s", status, out, errs)
 	}
@@ -136,7 +136,20 @@
 			t.Errorf("%s: status %d, %s%s", path, status, out, errs)
 		}
 	}
-	if status, _, errs := call(t.Context(), "hunt", "--days", "0"); status != cli.Wrong || !strings.Contains(errs, "--days is 0") {
+	if status, _, errs := call(t.Context(), "search", "--days", "0"); status != cli.Wrong || !strings.Contains(errs, "--days is 0") {
 		t.Errorf("status %d, %s", status, errs)
 	}
 }
+
+func TestFormerCommandNamesStillWork(t *testing.T) {
+	for former, name := range map[string]string{"lab": "localfleet", "hunt": "search", "explore": "modelcheck", "torture": "chaos"} {
+		status, out, errs := call(t.Context(), former, "--help")
+		if status != cli.Done || !strings.Contains(out, "testbench "+name) {
+			t.Errorf("%s --help: status %d, %q, %s", former, status, out, errs)
+		}
+	}
+	status, _, errs := call(t.Context(), "hunt", "--days", "0")
+	if status != cli.Wrong || !strings.Contains(errs, "the command hunt is deprecated, use search\n") {
+		t.Errorf("hunt: status %d, says %q", status, errs)
+	}
+}
--- a/cmd/testbench/members.go
+++ b/cmd/testbench/members.go
@@ -29,7 +29,7 @@
 quiet time costs and how many are lost there that live, then kills a part at once and
 then cuts the network into parts, and tells how long the members took to see that and
 to agree again.`,
-		Example: "  barleylab members --members 300 --loss 0.1 --kill 0.5\n  barleylab members --members 30 --parts 3 --apart 30s",
+		Example: "  testbench members --members 300 --loss 0.1 --kill 0.5\n  testbench members --members 30 --parts 3 --apart 30s",
 	}
 	c.Flags().IntVar(&p.Members, "members", 30, "in the fleet")
 	c.Flags().Uint64Var(&p.Seed, "seed", 1, "of what is lost")
--- a/cmd/testbench/explore.go
+++ b/cmd/testbench/modelcheck.go
@@ -15,18 +15,18 @@
 // mostSchedules bounds one exploration.
 const mostSchedules = 100_000_000
 
-func exploreCommand() *cobra.Command {
+func modelCheckCommand() *cobra.Command {
 	var seed uint64
 	var schedules int
 	var steer, replay, pairs bool
 	var faults string
 	c := &cobra.Command{
-		Use: "explore", Short: "Run registry, leases, policy, drains and the fleet's word together, with faults", Args: cli.NoArgs,
-		Long: `explore plays schedules in which the real state machines run together over a clock, a
+		Use: "modelcheck", Short: "Run registry, leases, policy, drains and the fleet's word together, with faults", Args: cli.NoArgs,
+		Long: `modelcheck plays schedules in which the real state machines run together over a clock, a
 network and disks of their own, and faults fall on their steps (docs/TESTING.md). Each
 follows from its seed and faults alone. One that breaks a promise is cut to the faults
 that it needs and told with the command that plays it again; the status is 1 then.`,
-		Example: "  barleylab explore --schedules 10000\n  barleylab explore --replay --seed 7 --faults 'kill leader for 2s at policy in force#1'",
+		Example: "  testbench modelcheck --schedules 10000\n  testbench modelcheck --replay --seed 7 --faults 'kill leader for 2s at policy in force#1'",
 	}
 	c.Flags().Uint64Var(&seed, "seed", 1, "of the first schedule; each further one has the next")
 	c.Flags().IntVar(&schedules, "schedules", 1000, "how many to play")
--- a/cmd/testbench/hunt.go
+++ b/cmd/testbench/search.go
@@ -22,17 +22,17 @@
 // mostHunt bounds the days of one hunt.
 const mostHunt = 100_000
 
-func huntCommand() *cobra.Command {
+func searchCommand() *cobra.Command {
 	var out output
 	var seed uint64
 	var days, sidecars, servers int
 	var keep string
 	c := &cobra.Command{
-		Use: "hunt", Short: "Look for days on which a fleet keeps itself down", Args: cli.NoArgs,
-		Long: fmt.Sprintf(`hunt draws days with a surge and a trouble from seeds, plays them over all cores, and tells
+		Use: "search", Short: "Look for days on which a fleet keeps itself down", Args: cli.NoArgs,
+		Long: fmt.Sprintf(`search draws days with a surge and a trouble from seeds, plays them over all cores, and tells
 those that are not back %v after both are over: three seconds in a row at 0.95 of the worth
 asked for. Each can be played again: --keep DIR writes their scenario files.`, emulator.HuntWithin),
-		Example: "  barleylab hunt --sidecars 300 --servers 67 --days 200 --keep found",
+		Example: "  testbench search --sidecars 300 --servers 67 --days 200 --keep found",
 	}
 	c.Flags().Uint64Var(&seed, "seed", 1, "of the first day; each further one has the next")
 	c.Flags().IntVar(&days, "days", 60, "how many days to play")
--- a/cmd/testbench/soak.go
+++ b/cmd/testbench/soak.go
@@ -20,7 +20,7 @@
 )
 
 // soakProgram is the sidecar's program, beside this one.
-const soakProgram = "barleywick"
+const soakProgram = "sidecar"
 
 func soakCommand() *cobra.Command {
 	var o soaktest.Options
@@ -37,7 +37,7 @@
 
 ` + cli.Statuses + `
  3  an invariant was broken`,
-		Example: "  barleylab soak --seed 7 --sidecars 16 --for 30s\n  barleylab soak --seed 1 --seeds 10 --quiet",
+		Example: "  testbench soak --seed 7 --sidecars 16 --for 30s\n  testbench soak --seed 1 --seeds 10 --quiet",
 	}
 	f := c.Flags()
 	f.Uint64Var(&o.Seed, "seed", 1, "of clients, booking servers and faults")
--- a/internal/sidecarcmd/command.go
+++ b/internal/sidecarcmd/command.go
@@ -24,17 +24,21 @@
 // Parts are what one of the programs has and the other has not, as each takes memory
 // whether a configuration names it or not. nil: it has none.
 type Parts struct {
+	Name       string // the program's
+	FormerName string // deprecated; a link of this name still starts the program
+
 	Meter  func() sidecar.MetricsExporter            // makes what serves metrics
 	Enlist func(*sidecar.Config) sidecar.FleetMember // makes a sidecar a member of the fleet
 }
 
-// Main carries the program's call out and ends it with the call's status.
+// Main runs the program with its command line and exits with the status that follows.
 func Main(parts Parts) {
+	cli.WarnFormerProgram(os.Stderr, os.Args[0], parts.FormerName, parts.Name)
 	os.Exit(run(parts, os.Args[1:], os.Getenv, os.Stdout, os.Stderr))
 }
 
 func run(parts Parts, args []string, getenv func(string) string, out, errs io.Writer) int {
-	return cli.Run(context.Background(), "barleywick", newRoot(parts, getenv, out, errs), args, out, errs)
+	return cli.Run(context.Background(), "sidecar", newRoot(parts, getenv, out, errs), args, out, errs)
 }
 
 // newRoot makes the command tree. Without a command it serves, as the platform starts it.
@@ -42,17 +46,17 @@
 	var logs logFlags
 	serve := func(*cobra.Command, []string) error { return serve(parts, getenv, logs, errs) }
 	root := &cobra.Command{
-		Use:   "barleywick",
+		Use:   "sidecar",
 		Short: "A client-side load balancer that runs beside one client",
-		Long: `barleywick carries the requests of the client beside it to booking servers.
+		Long: `sidecar carries the requests of the client beside it to booking servers.
 
 Without a command it does what serve does. ROUTER_CONFIG names the configuration
 file; ROUTER_NAME, ROUTER_LISTEN and ROUTER_DISCOVERY go before what it says.
 
 ` + cli.Statuses,
-		Example: `  ROUTER_CONFIG=sidecar.json barleywick
-  barleywick check sidecar.json
-  barleywick completion bash > /etc/bash_completion.d/barleywick`,
+		Example: `  ROUTER_CONFIG=sidecar.json sidecar
+  sidecar check sidecar.json
+  sidecar completion bash > /etc/bash_completion.d/sidecar`,
 		Args: cli.NoArgs, RunE: serve,
 	}
 	logs.add(root)
@@ -61,16 +65,16 @@
 			Use: "serve", Short: "Serve until SIGTERM", Args: cli.NoArgs, RunE: serve,
 			Long: `serve carries requests until SIGTERM, then finishes what it has taken and ends.
 SIGHUP reads the configuration again: discovery, the limits on connections.`,
-			Example: "  ROUTER_CONFIG=sidecar.json ROUTER_LISTEN=127.0.0.1:7070 barleywick serve --log-format json",
+			Example: "  ROUTER_CONFIG=sidecar.json ROUTER_LISTEN=127.0.0.1:7070 sidecar serve --log-format json",
 		},
 		&cobra.Command{
 			Use: "check [FILE]", Short: "Read a configuration and explain what follows from it", Args: cobra.MaximumNArgs(1),
 			Long: `check reads a configuration as serve does, starts nothing, and prints each figure
 that follows from it. FILE is the one that ROUTER_CONFIG names where it is left out.`,
-			Example: "  barleywick check sidecar.json",
+			Example: "  sidecar check sidecar.json",
 			RunE:    func(_ *cobra.Command, args []string) error { return check(getenv, args, out) },
 		},
-		cli.VersionCommand("barleywick"),
+		cli.VersionCommand("sidecar"),
 	)
 	return root
 }
@@ -122,7 +126,7 @@
 	fit(c.Limits)
 	if c.Metrics.Listen != "" {
 		if parts.Meter == nil {
-			return errors.New("metrics.listen is set, and this program serves none: start barleywick-metered, which does")
+			return errors.New("metrics.listen is set, and this program serves none: start sidecar-metrics, which does")
 		}
 		c.Exporter = parts.Meter()
 	}
--- a/internal/testing/chaostest/fleet.go
+++ b/internal/testing/chaostest/fleet.go
@@ -33,8 +33,8 @@
 // The programs.
 const (
 	Replica Program = "registry"
-	Keeper  Program = "barleykeeper"
-	Sidecar Program = "barleywick-metered"
+	Keeper  Program = "controller"
+	Sidecar Program = "sidecar-metrics"
 )
 
 // Options are what a run needs.
--- a/internal/testing/localfleet/lab.go
+++ b/internal/testing/localfleet/lab.go
@@ -117,7 +117,7 @@
 		return nil, fmt.Errorf("lab: registry is %d, there may be 1 or 3 replicas", o.Registry)
 	}
 	l := &lab{replicas: max(1, o.Registry), began: time.Now(), sc: o.Scenario, seed: o.Seed, program: o.Program, logs: o.Logs, tries: make(map[string]*try)}
-	if l.folder, err = os.MkdirTemp("", "barleylab-"); err != nil {
+	if l.folder, err = os.MkdirTemp("", "localfleet-"); err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
 	defer os.RemoveAll(l.folder)
--- a/internal/testing/modelcheck/system/explore.go
+++ b/internal/testing/modelcheck/system/explore.go
@@ -396,7 +396,7 @@
 
 // Line says what was found, and how to play it again.
 func (f *Found) Line() string {
-	return fmt.Sprintf("after %d schedules: %v; to play it again: barleylab explore --replay --seed %d --faults '%s'", f.Plays, f.Err, f.Seed, Text(f.Plan))
+	return fmt.Sprintf("after %d schedules: %v; to play it again: testbench modelcheck --replay --seed %d --faults '%s'", f.Plays, f.Err, f.Seed, Text(f.Plan))
 }
 
 // MostPairs is how many pairs there could be of the steps that were seen.
