--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -6,6 +6,7 @@
 	"io"
 	"net"
 	"net/http"
+	"os"
 	"strings"
 	"sync"
 	"testing"
@@ -79,3 +80,53 @@
 		t.Errorf("ended with %v", err)
 	}
 }
+
+// The names, types, labels and label values are those that the code of 396a775 served; only the
+// help texts may have other words.
+func TestMetricsAreThoseOf396a775(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	status := func(context.Context) (sidecar.Status, error) {
+		return sidecar.Status{
+			OpenRequests: 3, EndpointListAge: 2 * time.Second, Bulkheads: []sidecar.Bulkhead{{Tenant: "acme", SlotsFree: 4, QueueFree: 1}},
+			Endpoints: map[string]map[string]int{"a": {"up": 5, "draining": 1}},
+			Decided:   policy.Counters{Ordinary: 1, Passed: 2, Trials: 3, Shed: 4, Retries: 5, Refused: 6, Failed: 7},
+
+			ClientConnections: map[string]float64{"Open": 8}, ClientConnectionEvents: map[string]float64{"Accepted": 10},
+			UpstreamConnections: map[string]float64{"Open": 9}, UpstreamConnectionEvents: map[string]float64{"Reused": 11},
+
+			Gate:        sidecar.GateCounters{Decided: map[string]uint64{"send: allowed": 12}, Violated: map[string]uint64{"not done in time": 13}},
+			FleetPolicy: &sidecar.FleetPolicyStatus{Epoch: 14, JointChange: 15, Admitting: true},
+			Congestion:  0.25,
+			OverloadAdvice: &sidecar.OverloadAdviceStatus{
+				Advice: overload.Advice{Token: 16, Tenants: []overload.TenantAdvice{{Tenant: "acme", AdmitFraction: 0.5}}}, Age: time.Second,
+			},
+		}, nil
+	}
+	m := New()
+	ctx, cancel := context.WithCancel(t.Context())
+	ended := make(chan error, 1)
+	go func() { ended <- m.Serve(ctx, ln, status) }()
+	for _, outcome := range []string{"served", "refused", "failed", "left"} {
+		m.RecordRequest("hold", "acme", outcome, 3*time.Millisecond)
+	}
+	var got strings.Builder
+	for line := range strings.Lines(scrape(t, ln.Addr().String())) {
+		if strings.Contains(line, "barleywick_") && !strings.HasPrefix(line, "# HELP") {
+			got.WriteString(line)
+		}
+	}
+	want, err := os.ReadFile("../sidecar/testdata/396a775/metrics/scrape.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got.String() != string(want) {
+		t.Errorf("got\n%s\nwant\n%s", got.String(), want)
+	}
+	cancel()
+	if err := <-ended; err != nil {
+		t.Errorf("ended with %v", err)
+	}
+}
--- /dev/null
+++ b/internal/sidecar/compatibility_test.go
@@ -0,0 +1,268 @@
+package sidecar
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"maps"
+	"net"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"barleywick/internal/overload"
+	"barleywick/internal/rollout"
+	"barleywick/policy"
+)
+
+// The files in testdata/396a775 were written by the code of that commit, the last one before
+// names changed. What it stored and sent has to be read, and what is stored and sent now has to
+// be the same byte for byte.
+
+func fixture(t *testing.T, name string) string {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", "396a775", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+func TestTakeoverMessagesAreThoseOf396a775(t *testing.T) {
+	messages := []message{
+		{Kind: msgHello, Name: "n7", Listen: "127.0.0.1:7070"},
+		{Kind: msgSocket},
+		{Kind: msgReady},
+		{Kind: msgYours},
+		{Kind: msgHeld, Held: []policy.BulkheadCapacity{{Slots: 3, Places: 1}, {Slots: 0, Places: 0}, {Slots: 17, Places: 250}}},
+		{Kind: msgHeld},
+		{Kind: msgHeld, Held: []policy.BulkheadCapacity{{}}},
+		{Kind: msgError, Error: errEnding.Error()},
+		{Kind: msgError, Error: `this is n7 at 127.0.0.1:1, not "<n8>" at "x"`},
+	}
+	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(t.TempDir(), "s"), Net: "unix"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	pair := func() (from, to *net.UnixConn) {
+		c, err := net.Dial("unix", ln.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		if to, err = ln.AcceptUnix(); err != nil {
+			t.Fatal(err)
+		}
+		return c.(*net.UnixConn), to
+	}
+	for i, line := range strings.SplitAfter(strings.TrimSuffix(fixture(t, "takeover/messages.jsonl"), "\n"), "\n") {
+		want := messages[i]
+		from, to := pair()
+		if err := send(from, want, nil); err != nil {
+			t.Fatal(err)
+		}
+		from.Close()
+		if text, err := io.ReadAll(to); err != nil || strings.TrimSpace(string(text)) != strings.TrimSpace(line) {
+			t.Errorf("message %d is sent as %q, error %v; want %q", i, text, err, line)
+		}
+		to.Close()
+		from, to = pair()
+		io.WriteString(from, strings.TrimSuffix(line, "\n")+"\n")
+		got, err := receive(to, bufio.NewReader(to), want.Kind, patience)
+		if want.Kind == msgError {
+			if err == nil || !strings.HasSuffix(err.Error(), want.Error) {
+				t.Errorf("message %d is received as error %v, want one that ends with %q", i, err, want.Error)
+			}
+		} else if err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("message %d is received as %+v, error %v; want %+v", i, got, err, want)
+		}
+		from.Close()
+		to.Close()
+	}
+}
+
+// storedActs are what 396a775 wrote to its policy folder, by the name of the file.
+func storedActs() map[string]rollout.ActivePolicy {
+	document := func(mode rollout.Mode) *rollout.Document {
+		return &rollout.Document{
+			FormatVersion: 1, Mode: mode, MaxAttempts: 2, NoProbes: true, MaxClientConnections: 100, MaxServerConnections: 50,
+			Tenants: []rollout.Tenant{{Name: "acme", Slots: 8, QueuePlaces: 4}, {Name: "zeta", Slots: 2, QueuePlaces: 1}},
+		}
+	}
+	next := &rollout.Document{FormatVersion: 1, Mode: rollout.ModeCarry, Tenants: []rollout.Tenant{{Name: "acme", Slots: 1, QueuePlaces: 1}}}
+	return map[string]rollout.ActivePolicy{
+		"none":   {},
+		"carry":  {Epoch: 4, Document: document(rollout.ModeCarry)},
+		"refuse": {Epoch: 5, Document: document(rollout.ModeRefuse)},
+		"joint":  {Epoch: 4, Document: document(rollout.ModeCarry), JointChange: 5, NextDocument: next},
+		"first":  {JointChange: 1, NextDocument: next},
+	}
+}
+
+func TestPolicyFolderIsWrittenAsBy396a775(t *testing.T) {
+	for name, acts := range storedActs() {
+		g := &governor{config: &policyConfig{FilePolicy: FilePolicy{Folder: t.TempDir()}}}
+		if err := g.save(acts); err != nil {
+			t.Fatal(err)
+		}
+		got, err := os.ReadFile(g.file())
+		if want := fixture(t, "policy/"+name+".json"); err != nil || string(got) != want {
+			t.Errorf("%s is stored as\n%s, error %v; want\n%s", name, got, err, want)
+		}
+	}
+}
+
+func TestPolicyFolderOf396a775IsRead(t *testing.T) {
+	acts := storedActs()
+	for _, name := range []string{"none", "carry", "refuse", "joint", "first", "torn", "changed"} {
+		folder := t.TempDir()
+		if err := os.WriteFile(filepath.Join(folder, "policy.json"), []byte(fixture(t, "policy/"+name+".json")), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		var enforced []*rollout.Document
+		g := &governor{
+			config: &policyConfig{FilePolicy: FilePolicy{Folder: folder}}, tenants: []string{"acme", "zeta"},
+			follow: &rollout.Follower{}, begun: time.Now().Add(-2 * askFirst),
+			enforce: func(_ context.Context, d *rollout.Document) error { enforced = append(enforced, d); return nil },
+		}
+		g.fallBack(t.Context())
+		want, usable := acts[name], name != "refuse" && name != "torn" && name != "changed"
+		if !usable {
+			if len(enforced) != 0 || g.may() {
+				t.Errorf("%s: enforced %v, admitting %v; want neither", name, enforced, g.may())
+			}
+			continue
+		}
+		if len(enforced) != 1 || !reflect.DeepEqual(enforced[0], want.Effective()) || !reflect.DeepEqual(g.acts, want) || !g.may() {
+			t.Errorf("%s: enforced %+v, acts by %+v, admitting %v; want %+v", name, enforced, g.acts, g.may(), want)
+		}
+	}
+}
+
+// rewordedConfigText is what `check` and the reader of configurations say in other words now than
+// 396a775 did.
+var rewordedConfigText = strings.NewReplacer()
+
+// fieldOfStruct is where the TOML library's messages name a Go type.
+var fieldOfStruct = regexp.MustCompile(`struct field \S+ of type`)
+
+func loadFile(path string) (*Config, error) {
+	return LoadConfig(func(name string) string {
+		if name == "ROUTER_CONFIG" {
+			return path
+		}
+		return ""
+	})
+}
+
+func TestConfigurationFilesMeanWhatTheyMeantTo396a775(t *testing.T) {
+	for _, name := range []string{"short.toml", "full.toml", "takeover.toml", "platform.json"} {
+		path := filepath.Join("testdata", "396a775", "config", name)
+		if isPersons(path) {
+			form, err := platformForm([]byte(fixture(t, "config/"+name)), drawSeed)
+			if want := fixture(t, "config/"+name+".platform.json"); err != nil || string(form)+"\n" != want {
+				t.Errorf("the platform's form of %s is\n%s, error %v; want\n%s", name, form, err, want)
+			}
+		}
+		c, err := loadFile(path)
+		if err != nil {
+			t.Errorf("%s: %v", name, err)
+			continue
+		}
+		var got bytes.Buffer
+		if err := c.Explain(&got); err != nil {
+			t.Fatal(err)
+		}
+		columns := regexp.MustCompile(`  +`) // their width follows from the words
+		want := columns.ReplaceAllString(rewordedConfigText.Replace(fixture(t, "config/"+name+".explained.txt")), "  ")
+		if text := columns.ReplaceAllString(got.String(), "  "); text != want {
+			t.Errorf("%s is explained as\n%s\nwant\n%s", name, text, want)
+		}
+	}
+}
+
+// Each line of mutations.txt is a mistake in a configuration file, and the same line of
+// mutations.golden is what 396a775 said of it.
+func TestMistakesInConfigurationFilesAreNamedAsBy396a775(t *testing.T) {
+	golden := strings.Split(strings.TrimSuffix(fixture(t, "config/mutations.golden"), "\n"), "\n")
+	checked := 0
+	for line := range strings.Lines(fixture(t, "config/mutations.txt")) {
+		line = strings.TrimSuffix(line, "\n")
+		if strings.HasPrefix(line, "#") {
+			continue
+		}
+		file, change, _ := strings.Cut(line, ": ")
+		from, to, _ := strings.Cut(change, " => ")
+		text := strings.Replace(fixture(t, "config/"+file), from, strings.ReplaceAll(to, "|", "\n"), 1)
+		dir := t.TempDir()
+		path := filepath.Join(dir, file)
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		_, err := loadFile(path)
+		got := fieldOfStruct.ReplaceAllString(strings.ReplaceAll(fmt.Sprint(err), dir+"/", ""), "struct field of type")
+		want := fieldOfStruct.ReplaceAllString(rewordedConfigText.Replace(golden[checked]), "struct field of type")
+		if got != want {
+			t.Errorf("%s:\ngot  %s\nwant %s", line, got, want)
+		}
+		checked++
+	}
+	if checked != len(golden) {
+		t.Errorf("%d mistakes tried, %d are in the golden file", checked, len(golden))
+	}
+}
+
+// The fields' names of these structs are label values of metrics.
+func TestCounterNamesAreThoseOf396a775(t *testing.T) {
+	var got strings.Builder
+	for _, counts := range []any{clientCounters{}, listenerState{}, poolCounters{}, poolState{}, policy.Counters{}} {
+		text, err := json.Marshal(slices.Sorted(maps.Keys(numbers(counts))))
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&got, "%s\n", text)
+	}
+	if want := fixture(t, "metrics/counters.jsonl"); got.String() != want {
+		t.Errorf("got\n%s\nwant\n%s", got.String(), want)
+	}
+}
+
+// Programs and people read what /health/ serves.
+func TestHealthTextsAreThoseOf396a775(t *testing.T) {
+	since := time.Unix(1764000000, 0)
+	advice := overload.Advice{Number: 12, Token: 7, Tenants: []overload.TenantAdvice{{Tenant: "acme", AdmitFraction: 0.25}, {Tenant: "zeta", AdmitFraction: 1}}}
+	texts := map[string][]fmt.Stringer{
+		"health/policy.txt": {
+			FleetPolicyStatus{},
+			FleetPolicyStatus{Epoch: 4, Stage: rollout.StageSettled, Since: since, Admitting: true},
+			FleetPolicyStatus{Epoch: 4, JointChange: 5, Stage: rollout.StageJoint, Since: since, Admitting: true},
+			FleetPolicyStatus{Epoch: 4, Stage: rollout.StagePreparing, Since: since, Admitting: true, FromStore: true},
+			FleetPolicyStatus{Epoch: 4, Stage: rollout.StageCanary, Since: since, RefusalReason: "policy: keep what is held: no"},
+		},
+		"health/overload.txt": {
+			OverloadAdviceStatus{},
+			OverloadAdviceStatus{LastError: errors.New("where the task listens: no")},
+			OverloadAdviceStatus{Advice: advice, Age: 1500 * time.Millisecond},
+			OverloadAdviceStatus{Advice: advice, Age: 4 * time.Second, LastError: errors.New("127.0.0.1:1 answers 503: x")},
+		},
+		"health/phases.txt": {starting, serving, draining, finishing, over, ungoverned},
+	}
+	for name, values := range texts {
+		var got strings.Builder
+		for _, v := range values {
+			fmt.Fprintln(&got, v)
+		}
+		if want := fixture(t, name); got.String() != want {
+			t.Errorf("%s: got\n%s\nwant\n%s", name, got.String(), want)
+		}
+	}
+}
