--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -34,10 +34,10 @@
 type state uint8
 
 const (
-	gone state = iota // not in the table
+	absent state = iota // not in the table
 	silent
-	begun // a request's first byte has come, not yet all of it
-	busy  // its request was taken
+	readingRequest // a request's first byte has come, not yet all of it
+	serving        // its request was taken
 	idle
 )
 
@@ -63,11 +63,11 @@
 // client is one address; it is kept while it has a connection.
 type client[T any] struct {
 	addr       netip.Addr
-	held       int
+	open       int
 	unfinished int                    // of them silent or begun
 	idle       queue.List[*Conn[T]]   // the longest idle first
 	rank       queue.Node[*client[T]] // while it has idle ones
-	ranked     int
+	rankedAt   int
 }
 
 // Table holds the connections. It is not safe for concurrent use.
@@ -77,10 +77,10 @@
 	open     int
 	halfOpen int
 	silent   queue.List[*Conn[T]] // the oldest first
-	begun    queue.List[*Conn[T]]
+	reading  queue.List[*Conn[T]]
 	idle     queue.List[*Conn[T]]
 	clients  map[netip.Addr]*client[T]
-	ranks    ranks[T] // clients with idle connections, by how many connections they hold
+	holders  holderRanks[T] // clients with idle connections, by how many connections they hold
 }
 
 // New makes an empty Table.
@@ -104,7 +104,7 @@
 // OpenFrom returns how many connections an address holds.
 func (t *Table[T]) OpenFrom(addr netip.Addr) int {
 	if c := t.clients[addr]; c != nil {
-		return c.held
+		return c.open
 	}
 	return 0
 }
@@ -138,7 +138,7 @@
 			return Wait, nil // too many are half open, and idle ones are none of them
 		}
 		// Taking one from an address with only one more would but swap the two.
-		if rich := t.ranks.most(); rich != nil && rich.held >= held+2 {
+		if rich := t.holders.largest(); rich != nil && rich.open >= held+2 {
 			return Evict, rich.idle.Front().Value
 		}
 	}
@@ -155,7 +155,7 @@
 	if n := t.silent.Front(); n != nil && now.Sub(n.Value.since) >= t.grace.FirstByte {
 		return n.Value
 	}
-	if n := t.begun.Front(); n != nil && now.Sub(n.Value.since) >= t.grace.WholeRequest {
+	if n := t.reading.Front(); n != nil && now.Sub(n.Value.since) >= t.grace.WholeRequest {
 		return n.Value
 	}
 	return nil
@@ -168,7 +168,7 @@
 	if n := t.silent.Front(); n != nil {
 		at = n.Value.since.Add(t.grace.FirstByte)
 	}
-	if n := t.begun.Front(); n != nil {
+	if n := t.reading.Front(); n != nil {
 		if by := n.Value.since.Add(t.grace.WholeRequest); at.IsZero() || by.Before(at) {
 			at = by
 		}
@@ -191,7 +191,7 @@
 	if t.idle.Len() <= t.limits.Idle && (t.open <= t.limits.Total || t.idle.Len() == 0) {
 		return nil
 	}
-	return t.ranks.most().idle.Front().Value
+	return t.holders.largest().idle.Front().Value
 }
 
 // LongestIdle returns the connection that has been idle longest, or nil.
@@ -212,7 +212,7 @@
 	}
 	c.client = own
 	c.inAll.Value, c.inClient.Value = c, c
-	own.held++
+	own.open++
 	t.open++
 	t.rank(own)
 	t.move(c, silent, true, now)
@@ -221,7 +221,7 @@
 // FirstByteRead takes that the first byte of a request has come.
 func (t *Table[T]) FirstByteRead(c *Conn[T], now time.Time) {
 	if c.state == silent || c.state == idle {
-		t.move(c, begun, true, now)
+		t.move(c, readingRequest, true, now)
 	}
 }
 
@@ -230,27 +230,27 @@
 
 // RequestStarted takes that a request of it was taken: from now on it is not given up.
 func (t *Table[T]) RequestStarted(c *Conn[T], now time.Time) {
-	if c.state != gone {
-		t.move(c, busy, false, now)
+	if c.state != absent {
+		t.move(c, serving, false, now)
 	}
 }
 
 // BecameIdle takes that it waits for the next request.
 func (t *Table[T]) BecameIdle(c *Conn[T], now time.Time) {
-	if c.state != gone {
+	if c.state != absent {
 		t.move(c, idle, false, now)
 	}
 }
 
 // Remove takes that it is closed. A connection that is not in the table is passed over.
 func (t *Table[T]) Remove(c *Conn[T]) {
-	if c.state == gone {
+	if c.state == absent {
 		return
 	}
 	own := c.client
-	t.move(c, gone, false, time.Time{})
+	t.move(c, absent, false, time.Time{})
 	t.open--
-	if own.held--; own.held == 0 {
+	if own.open--; own.open == 0 {
 		delete(t.clients, own.addr)
 	}
 	t.rank(own)
@@ -265,8 +265,8 @@
 	switch to {
 	case silent:
 		t.silent.PushBack(&c.inAll)
-	case begun:
-		t.begun.PushBack(&c.inAll)
+	case readingRequest:
+		t.reading.PushBack(&c.inAll)
 	case idle:
 		t.idle.PushBack(&c.inAll)
 	}
@@ -279,7 +279,7 @@
 
 // unfinished is 1 for a connection whose request is not whole.
 func unfinished(s state) int {
-	if s == silent || s == begun {
+	if s == silent || s == readingRequest {
 		return 1
 	}
 	return 0
@@ -298,8 +298,8 @@
 // rank puts a client where it belongs after a change.
 func (t *Table[T]) rank(c *client[T]) {
 	if c.idle.Len() > 0 {
-		t.ranks.put(c, c.held)
+		t.holders.set(c, c.open)
 	} else {
-		t.ranks.take(c)
+		t.holders.remove(c)
 	}
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -109,7 +109,7 @@
 		t.Fatal("a place was found where all requests are taken")
 	}
 	tb.BecameIdle(held[2], start)
-	if c := open(tb, 1, start); c == nil || held[2].state != gone {
+	if c := open(tb, 1, start); c == nil || held[2].state != absent {
 		t.Error("the idle connection of the client with the most was not given up")
 	}
 }
@@ -136,7 +136,7 @@
 			if open(tb, 0, start.Add(c.after-1)) != nil {
 				t.Error("a place was found within the grace")
 			}
-			if open(tb, 0, start.Add(c.after)) == nil || late.state != gone || kept.state != idle {
+			if open(tb, 0, start.Add(c.after)) == nil || late.state != absent || kept.state != idle {
 				t.Error("the late one did not make way, or the kept one did")
 			}
 		})
@@ -225,7 +225,7 @@
 						v, victim := tb.Decide(addr(from), now)
 						switch v {
 						case Evict:
-							if model[victim] == busy || model[victim] == gone {
+							if model[victim] == serving || model[victim] == absent {
 								t.Fatal("a taken or unknown connection is to be given up")
 							}
 							delete(model, victim)
@@ -256,16 +256,16 @@
 				case 3:
 					if c := pick(silent); c != nil {
 						tb.FirstByteRead(c, now)
-						model[c] = begun
+						model[c] = readingRequest
 					}
 				case 4:
-					if c := pick(begun); c != nil {
+					if c := pick(readingRequest); c != nil {
 						tb.HeaderRead(c)
 						tb.RequestStarted(c, now)
-						model[c] = busy
+						model[c] = serving
 					}
 				case 5:
-					if c := pick(busy); c != nil {
+					if c := pick(serving); c != nil {
 						tb.BecameIdle(c, now)
 						model[c] = idle
 					}
@@ -276,7 +276,7 @@
 				case 6:
 					if c := pick(idle); c != nil {
 						tb.FirstByteRead(c, now)
-						model[c] = begun
+						model[c] = readingRequest
 					}
 				case 7:
 					if c := pick(state(1 + rng.IntN(4))); c != nil {
@@ -292,9 +292,9 @@
 						t.Fatalf("state %v, want %v", c.state, s)
 					}
 				}
-				if tb.Open() != len(model) || tb.Idle() != counts[idle] || tb.HalfOpen() != counts[silent]+counts[begun] {
+				if tb.Open() != len(model) || tb.Idle() != counts[idle] || tb.HalfOpen() != counts[silent]+counts[readingRequest] {
 					t.Fatalf("open %d, idle %d, half open %d; want %d, %d, %d", tb.Open(), tb.Idle(), tb.HalfOpen(),
-						len(model), counts[idle], counts[silent]+counts[begun])
+						len(model), counts[idle], counts[silent]+counts[readingRequest])
 				}
 				if len(model) > lim.Total || counts[idle] > lim.Idle {
 					t.Fatalf("%d open and %d idle, over the limits %+v", len(model), counts[idle], lim)
@@ -303,7 +303,7 @@
 			for c := range model {
 				tb.Remove(c)
 			}
-			if len(tb.clients) != 0 || tb.Open() != 0 || tb.ranks.most() != nil {
+			if len(tb.clients) != 0 || tb.Open() != 0 || tb.holders.largest() != nil {
 				t.Error("something is left of connections that have ended")
 			}
 		})
--- a/internal/admission/ranks.go
+++ b/internal/admission/ranks.go
@@ -6,12 +6,12 @@
 	"barleywick/internal/queue"
 )
 
-// ranks keeps clients by how many connections they hold and finds one with the
+// holderRanks keeps clients by how many connections they hold and finds one with the
 // most in constant time: a list for each count, and a bit for each list that is
 // not empty. A second level of bits tells which words of the first are not zero,
 // and a third those of the second: 262,144 counts, more than a process has
 // descriptors.
-type ranks[T any] struct {
+type holderRanks[T any] struct {
 	lists  []*queue.List[*client[T]]
 	levels [3][]uint64
 }
@@ -21,28 +21,28 @@
 	maxRank  = 1<<(3*wordBits) - 1
 )
 
-// put ranks a client by a count, wherever it stood before.
-func (r *ranks[T]) put(c *client[T], count int) {
-	r.take(c)
+// set ranks a client by a count, wherever it stood before.
+func (r *holderRanks[T]) set(c *client[T], count int) {
+	r.remove(c)
 	count = min(count, maxRank)
 	for len(r.lists) <= count { // up to the most that one client ever held
 		r.lists = append(r.lists, new(queue.List[*client[T]]))
 	}
-	c.ranked = count
+	c.rankedAt = count
 	r.lists[count].PushBack(&c.rank)
-	r.mark(count)
+	r.updateBits(count)
 }
 
-// take lets a client stand in no rank.
-func (r *ranks[T]) take(c *client[T]) {
+// remove lets a client stand in no rank.
+func (r *holderRanks[T]) remove(c *client[T]) {
 	if c.rank.Linked() {
 		c.rank.Remove()
-		r.mark(c.ranked)
+		r.updateBits(c.rankedAt)
 	}
 }
 
-// mark sets or clears the bits for one list, level by level.
-func (r *ranks[T]) mark(count int) {
+// updateBits sets or clears the bits for one list, level by level.
+func (r *holderRanks[T]) updateBits(count int) {
 	set := r.lists[count].Len() > 0
 	for i := range r.levels {
 		word, bit := count>>wordBits, uint64(1)<<(count&(1<<wordBits-1))
@@ -58,8 +58,8 @@
 	}
 }
 
-// most returns a client of the highest rank, or nil.
-func (r *ranks[T]) most() *client[T] {
+// largest returns a client of the highest rank, or nil.
+func (r *holderRanks[T]) largest() *client[T] {
 	word := 0
 	for i := len(r.levels) - 1; i >= 0; i-- {
 		if word >= len(r.levels[i]) || r.levels[i][word] == 0 {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -139,13 +139,13 @@
 func (s *Settings) flag(key string) bool {
 	v := s.values[key]
 	if v != "" && v != "true" && v != "false" {
-		s.wrong("%s is %.40q, true or false is needed", key, v)
+		s.fail("%s is %.40q, true or false is needed", key, v)
 	}
 	return v == "true"
 }
 
-// wrong notes the first value that cannot be.
-func (s *Settings) wrong(format string, args ...any) {
+// fail notes the first value that cannot be.
+func (s *Settings) fail(format string, args ...any) {
 	if s.err == nil {
 		s.err = fmt.Errorf("settings: "+format, args...)
 	}
@@ -158,16 +158,16 @@
 	}
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil {
-		s.wrong("%s: %w", key, err)
+		s.fail("%s: %w", key, err)
 	}
 	return f
 }
 
-// amount reads a number that is none below 0; a missing one is 0.
-func (s *Settings) amount(key string) float64 {
+// nonNegative reads a number that is none below 0; a missing one is 0.
+func (s *Settings) nonNegative(key string) float64 {
 	f := s.number(key, 0)
 	if !(f >= 0) || math.IsInf(f, 1) {
-		s.wrong("%s is %v, a number that is not negative is needed", key, f)
+		s.fail("%s is %v, a number that is not negative is needed", key, f)
 	}
 	return f
 }
@@ -176,7 +176,7 @@
 	const most = 1 << 16 // far above any real list; a guard against a broken figure
 	n := s.number(key, 0)
 	if n < 0 || n > most || n != float64(int(n)) {
-		s.wrong("%s: %v is not a count", key, n)
+		s.fail("%s: %v is not a count", key, n)
 		return 0
 	}
 	return int(n)
@@ -238,27 +238,27 @@
 		MayCancel:          s.flag("caps.may_cancel"),
 		MayProbe:           s.flag("caps.probes"),
 		LoadReports:        s.flag("caps.probes") && s.text("telemetry.how") != "silent",
-		MaxRetryAfter:      DurationFromMillis(s.amount("caps.max_retry_after_ms")),
+		MaxRetryAfter:      DurationFromMillis(s.nonNegative("caps.max_retry_after_ms")),
 		KeyAffinity:        s.flag("family_info.warm_keys"),
 		ClientsMarkRetries: s.flag("client_habits.marks_retry"),
-		EventPeriod:        DurationFromMillis(s.amount("period_ms")),
+		EventPeriod:        DurationFromMillis(s.nonNegative("period_ms")),
 		PollList:           s.text("discovery") == "ask",
-		PollDeadline:       DurationFromMillis(s.amount("rules.ask_within_ms")),
-		DrainGrace:         DurationFromMillis(s.amount("rules.stop_sending_within_ms")),
-		SlowStartFloor:     s.amount("rules.cold_from"),
-		SlowStartWindow:    DurationFromMillis(s.amount("rules.cold_ms")),
-		OverloadFactor:     s.amount("rules.fall_multiple"),
-		CrossZoneCost:      s.amount("charges.cross_zone"),
+		PollDeadline:       DurationFromMillis(s.nonNegative("rules.ask_within_ms")),
+		DrainGrace:         DurationFromMillis(s.nonNegative("rules.stop_sending_within_ms")),
+		SlowStartFloor:     s.nonNegative("rules.cold_from"),
+		SlowStartWindow:    DurationFromMillis(s.nonNegative("rules.cold_ms")),
+		OverloadFactor:     s.nonNegative("rules.fall_multiple"),
+		CrossZoneCost:      s.nonNegative("charges.cross_zone"),
 	}
 	for i := range s.count("classes.count") {
 		p := fmt.Sprintf("classes.%d.", i)
 		k := policy.Class{
-			LatencyObjective:    DurationFromMillis(s.amount(p + "aim_ms")),
-			ObjectiveWorkFactor: s.amount(p + "aim_stretch"),
-			Deadline:            DurationFromMillis(s.amount(p + "hard_limit_ms")),
-			LateShare:           s.amount(p + "late_share"),
-			PriorityWeight:      s.amount(p + "worth"),
-			DedupWindow:         DurationFromMillis(s.amount(p + "window_ms")),
+			LatencyObjective:    DurationFromMillis(s.nonNegative(p + "aim_ms")),
+			ObjectiveWorkFactor: s.nonNegative(p + "aim_stretch"),
+			Deadline:            DurationFromMillis(s.nonNegative(p + "hard_limit_ms")),
+			LateShare:           s.nonNegative(p + "late_share"),
+			PriorityWeight:      s.nonNegative(p + "worth"),
+			DedupWindow:         DurationFromMillis(s.nonNegative(p + "window_ms")),
 			Idempotency:         policy.NonIdempotent, // an unknown word is taken for the strictest
 			DedupScope:          policy.ScopeCell,
 		}
@@ -279,51 +279,51 @@
 	for i := range s.count("orgs.count") {
 		p := fmt.Sprintf("orgs.%d.", i)
 		c.Tenants = append(c.Tenants, policy.Tenant{
-			Share: s.amount(p + "share"),
-			Quota: s.amount(p + "quota_per_s"),
+			Share: s.nonNegative(p + "share"),
+			Quota: s.nonNegative(p + "quota_per_s"),
 		})
 	}
-	s.check(c)
+	s.validate(c)
 	return c, s.err
 }
 
-// check names what nothing can be built on, in the words of the settings and not in the module's.
-func (s *Settings) check(c policy.Config) {
+// validate names what nothing can be built on, in the words of the settings and not in the module's.
+func (s *Settings) validate(c policy.Config) {
 	if c.Balancers < 1 {
-		s.wrong("balancers is %d, at least 1 is needed", c.Balancers)
+		s.fail("balancers is %d, at least 1 is needed", c.Balancers)
 	}
 	if c.MaxAttempts < 1 {
-		s.wrong("caps.most_tries is %d, at least 1 is needed", c.MaxAttempts)
+		s.fail("caps.most_tries is %d, at least 1 is needed", c.MaxAttempts)
 	}
 	if how := s.text("discovery"); how != "" && how != "ask" && how != "push" {
-		s.wrong("discovery is %.40q; there are push and ask", how)
+		s.fail("discovery is %.40q; there are push and ask", how)
 	}
 	if len(c.Classes) == 0 {
-		s.wrong("classes is missing or empty, at least one class is needed")
+		s.fail("classes is missing or empty, at least one class is needed")
 	}
 	for i, k := range c.Classes {
 		if k.LatencyObjective <= 0 {
-			s.wrong("classes.%d.aim_ms is %g, it must be above 0", i, k.LatencyObjective.Seconds()*1e3)
+			s.fail("classes.%d.aim_ms is %g, it must be above 0", i, k.LatencyObjective.Seconds()*1e3)
 		}
 		if k.Deadline <= 0 {
-			s.wrong("classes.%d.hard_limit_ms is %g, it must be above 0", i, k.Deadline.Seconds()*1e3)
+			s.fail("classes.%d.hard_limit_ms is %g, it must be above 0", i, k.Deadline.Seconds()*1e3)
 		}
 	}
 	if c.SlowStartFloor > 1 {
-		s.wrong("rules.cold_from is %g, a share is needed", c.SlowStartFloor)
+		s.fail("rules.cold_from is %g, a share is needed", c.SlowStartFloor)
 	}
 	shares := 0.0
 	for _, t := range c.Tenants {
 		shares += t.Share
 	}
 	if len(c.Tenants) > 0 && !(shares > 0) || math.IsInf(shares, 1) {
-		s.wrong("orgs: the share of all adds up to %g, it must be above 0", shares)
+		s.fail("orgs: the share of all adds up to %g, it must be above 0", shares)
 	}
 	for _, list := range []string{"classes", "orgs"} {
 		names := s.Names(list)
 		for i, name := range names {
 			if name != "" && slices.Contains(names[:i], name) {
-				s.wrong("%s.%d.name: %.40q is named twice", list, i, name)
+				s.fail("%s.%d.name: %.40q is named twice", list, i, name)
 			}
 		}
 	}
--- a/internal/simulation/remoteadapter/remote.go
+++ b/internal/simulation/remoteadapter/remote.go
@@ -30,17 +30,17 @@
 	number uint32
 	err    error // the first thing that went wrong; nothing is asked after it
 	alive  map[uint32]bool
-	end    func() error
+	stop   func() error
 }
 
-// endIn is how long a program may take to end once its input has.
-const endIn = 5 * time.Second
+// stopTimeout is how long a program may take to end once its input has.
+const stopTimeout = 5 * time.Second
 
 // Start starts an adapter's program. It ends with Close, or when ctx does.
 func Start(ctx context.Context, program string) (*Adapter, error) {
 	cmd := exec.CommandContext(ctx, program)
 	cmd.Stderr = os.Stderr
-	cmd.WaitDelay = endIn
+	cmd.WaitDelay = stopTimeout
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it never outlives its user
 	out, err := cmd.StdinPipe()
 	if err != nil {
@@ -54,7 +54,7 @@
 		return nil, fmt.Errorf("adapter %s: %w", program, err)
 	}
 	a := New(out, in)
-	a.end = func() error {
+	a.stop = func() error {
 		out.Close()
 		if err := cmd.Wait(); err != nil {
 			return fmt.Errorf("adapter %s: %w", program, err)
@@ -71,11 +71,11 @@
 
 // Close ends the adapter, and returns the first thing that went wrong with it.
 func (a *Adapter) Close() error {
-	if a.end == nil {
+	if a.stop == nil {
 		return a.err
 	}
-	end := a.end
-	a.end = nil
+	end := a.stop
+	a.stop = nil
 	err := end()
 	if a.err != nil {
 		return a.err // which may be why it ended as it did
@@ -99,31 +99,31 @@
 	if err != nil {
 		return nil, err
 	}
-	return &instance{a: a, number: uint32(b.Sidecar), host: b.Host, seed: b.Seed, info: s.Text(), tries: make(map[uint32]*tries)}, a.err
+	return &instance{adapter: a, number: uint32(b.Sidecar), host: b.Host, seed: b.Seed, info: s.Text(), tries: make(map[uint32]*attemptRecord)}, a.err
 }
 
 // instance is one start of a sidecar.
 type instance struct {
-	a      *Adapter
-	number uint32
-	host   policy.Host
-	seed   uint64
-	info   []byte
-	list   uint32 // its version
-	tries  map[uint32]*tries
+	adapter *Adapter
+	number  uint32
+	host    policy.Host
+	seed    uint64
+	info    []byte
+	list    uint32 // its version
+	tries   map[uint32]*attemptRecord
 }
 
-// tries are what the wire says again of a request's attempts.
-type tries struct {
-	to    []simwire.Upstream
-	at    []time.Duration
-	ended int
-	over  bool
+// attemptRecord are what the wire says again of a request's attempts.
+type attemptRecord struct {
+	to          []simwire.Upstream
+	at          []time.Duration
+	ended       int
+	requestOver bool
 }
 
 // batch sends one event and carries out the actions that come back.
 func (i *instance) batch(now time.Duration, write func(*simwire.BatchWriter)) {
-	a := i.a
+	a := i.adapter
 	if a.err != nil {
 		return
 	}
@@ -152,7 +152,7 @@
 		if record, body, err = simwire.NextRecord(body); err == nil {
 			var act simwire.Action
 			if act, err = record.Action(); err == nil {
-				err = i.act(now, act)
+				err = i.perform(now, act)
 			}
 		}
 		if err != nil {
@@ -162,8 +162,8 @@
 	}
 }
 
-// act carries an action out.
-func (i *instance) act(now time.Duration, a simwire.Action) error {
+// perform carries an action out.
+func (i *instance) perform(now time.Duration, a simwire.Action) error {
 	if a.Inst != i.number {
 		return fmt.Errorf("an action for instance %d without an event for it", a.Inst)
 	}
@@ -187,11 +187,11 @@
 		}
 		i.host.Send(policy.RequestID(a.Job), policy.ServerID(a.To), patience, 0)
 	case simwire.ActionPushBack:
-		t.over = true
+		t.requestOver = true
 		i.host.Refuse(policy.RequestID(a.Job), a.Time)
 		i.forget(a.Job)
 	case simwire.ActionLose:
-		t.over = true
+		t.requestOver = true
 		i.host.Fail(policy.RequestID(a.Job))
 		i.forget(a.Job)
 	case simwire.ActionRecall:
@@ -212,7 +212,7 @@
 
 // forget lets go of a request that is over and has no attempt out.
 func (i *instance) forget(job uint32) {
-	if t := i.tries[job]; t != nil && t.over && t.ended == len(t.to) {
+	if t := i.tries[job]; t != nil && t.requestOver && t.ended == len(t.to) {
 		delete(i.tries, job)
 	}
 }
@@ -220,10 +220,10 @@
 // Start opens the instance; one that was open under its number is dead.
 func (i *instance) Start(now time.Duration) {
 	i.batch(now, func(e *simwire.BatchWriter) {
-		if i.a.alive[i.number] {
+		if i.adapter.alive[i.number] {
 			e.CrashNow(i.number)
 		}
-		i.a.alive[i.number] = true
+		i.adapter.alive[i.number] = true
 		e.OpenInstance(i.number, i.seed, i.info)
 	})
 }
@@ -231,7 +231,7 @@
 // Request brings a request.
 func (i *instance) Request(now time.Duration, q policy.Request) {
 	job := uint32(q.ID)
-	i.tries[job] = &tries{}
+	i.tries[job] = &attemptRecord{}
 	ask := simwire.Ask{Job: job, Key: q.AffinityKey, Tenant: uint32(q.Tenant), Left: q.TimeLeft, Hint: q.ExpectedWork, Kind: uint8(q.Class)}
 	if q.ExpectedWork > 0 {
 		ask.Bits |= simwire.AskBitHint
@@ -255,7 +255,7 @@
 	if t := i.tries[job]; t != nil && o.Attempt < len(t.to) {
 		f.Upstream, f.Took = t.to[o.Attempt], now-t.at[o.Attempt]
 		t.ended++
-		t.over = t.over || o.Settled
+		t.requestOver = t.requestOver || o.Settled
 	}
 	i.batch(now, func(e *simwire.BatchWriter) { e.Finished(i.number, f) })
 	i.forget(job)
@@ -264,7 +264,7 @@
 // ClientGone tells that a client has left.
 func (i *instance) ClientGone(now time.Duration, id policy.RequestID) {
 	if t := i.tries[uint32(id)]; t != nil {
-		t.over = true
+		t.requestOver = true
 	}
 	i.batch(now, func(e *simwire.BatchWriter) { e.ClientLeft(i.number, uint32(id)) })
 	i.forget(uint32(id))
--- a/internal/simulation/simadapter/adapter.go
+++ b/internal/simulation/simadapter/adapter.go
@@ -36,29 +36,29 @@
 	}
 }
 
-// host holds the instances of this process and what they share: the numbered
+// process holds the instances of this process and what they share: the numbered
 // lists of the wire and the reply under way.
-type host struct {
+type process struct {
 	reply     simwire.ReplyWriter
-	pages     map[uint16][]policy.Endpoint
+	lists     map[uint16][]policy.Endpoint
 	instances map[uint32]*instance
 }
 
-func newHost() *host {
-	return &host{pages: make(map[uint16][]policy.Endpoint), instances: make(map[uint32]*instance)}
+func newHost() *process {
+	return &process{lists: make(map[uint16][]policy.Endpoint), instances: make(map[uint32]*instance)}
 }
 
 // instance is one sidecar; it carries out its Balancer's decisions.
 type instance struct {
-	host    *host
-	number  uint32
-	columns settings.LoadColumns
-	b       *policy.Balancer
-	logAt   time.Duration // when the counters are written next
+	host        *process
+	number      uint32
+	loadColumns settings.LoadColumns
+	balancer    *policy.Balancer
+	logAt       time.Duration // when the counters are written next
 }
 
-// logEvery is how often an instance's counters go to the log.
-const logEvery = 10 * time.Second
+// counterLogInterval is how often an instance's counters go to the log.
+const counterLogInterval = 10 * time.Second
 
 func (i *instance) Send(id policy.RequestID, to policy.ServerID, timeout, _ time.Duration) {
 	i.host.reply.CallOut(i.number, uint32(id), simwire.Upstream(to), timeout)
@@ -79,7 +79,7 @@
 func (i *instance) WatchList()               { i.host.reply.Tail(i.number, true) }
 
 // batch hands the events of one batch to their instances, in order.
-func (h *host) batch(b simwire.Batch) error {
+func (h *process) batch(b simwire.Batch) error {
 	body := b.Body
 	for range b.Records {
 		rec, rest, err := simwire.NextRecord(body)
@@ -97,14 +97,14 @@
 	return nil
 }
 
-func (h *host) record(now time.Duration, rec simwire.Record) error {
+func (h *process) record(now time.Duration, rec simwire.Record) error {
 	switch rec.Code {
 	case simwire.EventManifest:
 		page, entries, err := rec.Manifest()
 		if err != nil {
 			return err
 		}
-		h.pages[page] = servers(entries)
+		h.lists[page] = servers(entries)
 		return nil
 	case simwire.EventOpenInstance, simwire.EventCrashNow, simwire.EventFleet, simwire.EventAsk, simwire.EventFinished, simwire.EventWake,
 		simwire.EventClientLeft, simwire.EventHeaders, simwire.EventCheckResult:
@@ -123,14 +123,14 @@
 		return nil
 	}
 	i := h.instances[number]
-	if i == nil || i.b == nil {
+	if i == nil || i.balancer == nil {
 		return nil // not running: nothing may be done for it
 	}
 	return i.event(now, rec)
 }
 
 // open starts an instance anew.
-func (h *host) open(now time.Duration, number uint32, rec simwire.Record) error {
+func (h *process) open(now time.Duration, number uint32, rec simwire.Record) error {
 	seed, info, err := rec.OpenInstance()
 	if err != nil {
 		return err
@@ -143,25 +143,25 @@
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", number, err)
 	}
-	i := &instance{host: h, number: number, columns: s.LoadColumns()}
+	i := &instance{host: h, number: number, loadColumns: s.LoadColumns()}
 	h.instances[number] = i
-	return i.guard(func() error {
+	return i.reportPanic(func() error {
 		b, err := policy.New(config, seed, i)
 		if err != nil {
 			return fmt.Errorf("instance %d: %w", number, err)
 		}
-		i.b = b
+		i.balancer = b
 		b.Start(now)
 		return nil
 	})
 }
 
-// guard reports a panic in the module with the wire's own fault action.
-func (i *instance) guard(f func() error) (err error) {
+// reportPanic reports a panic in the module with the wire's own fault action.
+func (i *instance) reportPanic(f func() error) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			i.host.reply.Die(i.number, fmt.Sprintf("panic: %v", p))
-			i.b = nil
+			i.balancer = nil
 		}
 	}()
 	return f()
@@ -171,11 +171,11 @@
 func (i *instance) event(now time.Duration, rec simwire.Record) error {
 	if now >= i.logAt {
 		if i.logAt > 0 { // not at the first event: there is nothing to tell yet
-			i.host.reply.WriteLog(i.number, fmt.Sprintf("counters %+v", i.b.Counters()))
+			i.host.reply.WriteLog(i.number, fmt.Sprintf("counters %+v", i.balancer.Counters()))
 		}
-		i.logAt = now + logEvery
+		i.logAt = now + counterLogInterval
 	}
-	return i.guard(func() error { return i.dispatch(now, rec) })
+	return i.reportPanic(func() error { return i.dispatch(now, rec) })
 }
 
 func (i *instance) dispatch(now time.Duration, rec simwire.Record) error {
@@ -190,35 +190,35 @@
 		if a.Bits&simwire.AskBitHint != 0 {
 			r.ExpectedWork = a.Hint
 		}
-		i.b.Request(now, r)
+		i.balancer.Request(now, r)
 	case simwire.EventFinished:
 		f, err := rec.Finished()
 		if err != nil {
 			return err
 		}
-		i.b.Outcome(now, policy.Outcome{
+		i.balancer.Outcome(now, policy.Outcome{
 			ID: policy.RequestID(f.Job), Attempt: int(f.Hop), Ending: ending(f.Ending), Settled: f.Settled,
 		})
 	case simwire.EventWake:
-		i.b.Wake(now)
+		i.balancer.Wake(now)
 	case simwire.EventClientLeft:
 		job, err := rec.Job()
 		if err != nil {
 			return err
 		}
-		i.b.ClientGone(now, policy.RequestID(job))
+		i.balancer.ClientGone(now, policy.RequestID(job))
 	case simwire.EventHeaders:
 		job, err := rec.Job()
 		if err != nil {
 			return err
 		}
-		i.b.StreamBegun(policy.RequestID(job))
+		i.balancer.StreamBegun(policy.RequestID(job))
 	case simwire.EventCheckResult:
 		up, end, report, err := rec.CheckResult()
 		if err != nil {
 			return err
 		}
-		i.b.Probed(now, policy.ServerID(up), end == simwire.OutcomeServed, i.columns.LoadReport(report.Value))
+		i.balancer.Probed(now, policy.ServerID(up), end == simwire.OutcomeServed, i.loadColumns.LoadReport(report.Value))
 	case simwire.EventFleet:
 		kind, _, page, err := rec.Fleet()
 		if err != nil {
@@ -239,16 +239,16 @@
 	case simwire.FleetCached:
 		k = policy.ListCached
 	case simwire.FleetFailed:
-		i.b.List(now, policy.ListFailed, nil)
+		i.balancer.List(now, policy.ListFailed, nil)
 		return nil
 	default:
 		return nil // a kind of a later version
 	}
-	list, ok := i.host.pages[page]
+	list, ok := i.host.lists[page]
 	if !ok {
 		return fmt.Errorf("instance %d: list %d was never sent", i.number, page)
 	}
-	i.b.List(now, k, list)
+	i.balancer.List(now, k, list)
 	return nil
 }
 
--- a/internal/simulation/simadapter/adapter_test.go
+++ b/internal/simulation/simadapter/adapter_test.go
@@ -199,7 +199,7 @@
 	h := newHost()
 	h.reply.Begin(1)
 	i := &instance{host: h, number: 4}
-	if err := i.guard(func() error { panic("index out of range") }); err != nil {
+	if err := i.reportPanic(func() error { panic("index out of range") }); err != nil {
 		t.Fatal(err)
 	}
 	rec, _, err := simwire.NextRecord(h.reply.Bytes()[12:])
--- a/internal/simulation/simwire/wire.go
+++ b/internal/simulation/simwire/wire.go
@@ -75,15 +75,15 @@
 )
 
 const (
-	batchHeaderLen = 20
-	replyHeaderLen = 12
-	recordHeadLen  = 6
-	entryLen       = 23
-	// maxFrame bounds what one frame may claim to hold. Real batches run to
+	batchHeaderSize  = 20
+	replyHeaderSize  = 12
+	recordHeaderSize = 6
+	entrySize        = 23
+	// maxFrameSize bounds what one frame may claim to hold. Real batches run to
 	// megabytes; a claim beyond this is a broken stream, not a batch.
-	maxFrame = 1 << 28
-	// chunk is how much of a claimed length is taken on trust at a time.
-	chunk = 1 << 20
+	maxFrameSize = 1 << 28
+	// readChunk is how much of a claimed length is taken on trust at a time.
+	readChunk = 1 << 20
 )
 
 // ToMillis is the inverse of settings.Millis.
@@ -100,7 +100,7 @@
 // Reader reads batches from a stream.
 type Reader struct {
 	r    io.Reader
-	head [batchHeaderLen]byte
+	head [batchHeaderSize]byte
 	buf  []byte
 }
 
@@ -123,10 +123,10 @@
 		return Batch{}, fmt.Errorf("batch %d: clock is not a number", b.Number)
 	}
 	b.Clock = settings.DurationFromMillis(clock)
-	if size > maxFrame {
-		return Batch{}, fmt.Errorf("batch %d: %d bytes claimed, at most %d are taken", b.Number, size, maxFrame)
+	if size > maxFrameSize {
+		return Batch{}, fmt.Errorf("batch %d: %d bytes claimed, at most %d are taken", b.Number, size, maxFrameSize)
 	}
-	if uint64(b.Records)*recordHeadLen > uint64(size) {
+	if uint64(b.Records)*recordHeaderSize > uint64(size) {
 		return Batch{}, fmt.Errorf("batch %d: %d records cannot fit into %d bytes", b.Number, b.Records, size)
 	}
 	body, err := r.body(int(size))
@@ -142,7 +142,7 @@
 func (r *Reader) body(size int) ([]byte, error) {
 	r.buf = r.buf[:0]
 	for left := size; left > 0; {
-		n := min(left, max(chunk, cap(r.buf)-len(r.buf)))
+		n := min(left, max(readChunk, cap(r.buf)-len(r.buf)))
 		at := len(r.buf)
 		if cap(r.buf)-at < n {
 			r.buf = append(r.buf, make([]byte, n)...)
@@ -168,12 +168,12 @@
 
 // NextRecord cuts the next record off body and returns the rest.
 func NextRecord(body []byte) (Record, []byte, error) {
-	if len(body) < recordHeadLen {
+	if len(body) < recordHeaderSize {
 		return Record{}, nil, fmt.Errorf("record header cut off: %d bytes left", len(body))
 	}
 	n := binary.LittleEndian.Uint32(body[2:])
 	rec := Record{Code: binary.LittleEndian.Uint16(body)}
-	body = body[recordHeadLen:]
+	body = body[recordHeaderSize:]
 	if uint64(n) > uint64(len(body)) {
 		return Record{}, nil, fmt.Errorf("record %d: %d bytes claimed, %d left", rec.Code, n, len(body))
 	}
@@ -181,17 +181,17 @@
 	return rec, body[n:], nil
 }
 
-// cursor takes fields off a record. After a short read bad is set and every
+// fieldReader takes fields off a record. After a short read bad is set and every
 // further field is zero. Bytes left over are allowed: fields may be added.
-type cursor struct {
-	b   []byte
-	at  int // where the next field begins in its record, as the protocol counts, less the record's head
-	bad bool
+type fieldReader struct {
+	b     []byte
+	at    int // where the next field begins in its record, as the protocol counts, less the record's head
+	short bool
 }
 
-func (c *cursor) take(n int) []byte {
-	if c.bad || n < 0 || n > len(c.b) {
-		c.bad = true
+func (c *fieldReader) take(n int) []byte {
+	if c.short || n < 0 || n > len(c.b) {
+		c.short = true
 		return nil
 	}
 	f := c.b[:n]
@@ -199,37 +199,37 @@
 	return f
 }
 
-func (c *cursor) u8() uint8 {
+func (c *fieldReader) u8() uint8 {
 	if f := c.take(1); f != nil {
 		return f[0]
 	}
 	return 0
 }
 
-func (c *cursor) u16() uint16 {
+func (c *fieldReader) u16() uint16 {
 	if f := c.take(2); f != nil {
 		return binary.LittleEndian.Uint16(f)
 	}
 	return 0
 }
 
-func (c *cursor) u32() uint32 {
+func (c *fieldReader) u32() uint32 {
 	if f := c.take(4); f != nil {
 		return binary.LittleEndian.Uint32(f)
 	}
 	return 0
 }
 
-func (c *cursor) u64() uint64 {
+func (c *fieldReader) u64() uint64 {
 	if f := c.take(8); f != nil {
 		return binary.LittleEndian.Uint64(f)
 	}
 	return 0
 }
 
-func (c *cursor) f64() float64 { return math.Float64frombits(c.u64()) }
+func (c *fieldReader) f64() float64 { return math.Float64frombits(c.u64()) }
 
-func (c *cursor) addr() Upstream {
+func (c *fieldReader) addr() Upstream {
 	f := c.take(6)
 	if f == nil {
 		return 0
@@ -239,7 +239,7 @@
 	return Upstream(binary.LittleEndian.Uint64(b[:]))
 }
 
-func (c *cursor) report() LoadReport {
+func (c *fieldReader) report() LoadReport {
 	var r LoadReport
 	n := int(c.u8())
 	f := c.take(4 * n)
@@ -253,9 +253,9 @@
 	return r
 }
 
-func (c *cursor) done(code uint16) error {
-	if c.bad {
-		return fmt.Errorf("record %d: the field at byte %d is cut off", code, recordHeadLen+c.at)
+func (c *fieldReader) done(code uint16) error {
+	if c.short {
+		return fmt.Errorf("record %d: the field at byte %d is cut off", code, recordHeaderSize+c.at)
 	}
 	return nil
 }
@@ -290,17 +290,17 @@
 
 // Instance reads the instance that a record is for; a Manifest has none.
 func (r Record) Instance() (uint32, error) {
-	c := cursor{b: r.Fields}
+	c := fieldReader{b: r.Fields}
 	i := c.u32()
 	return i, c.done(r.Code)
 }
 
 // Manifest reads a numbered server list.
 func (r Record) Manifest() (page uint16, entries []Entry, err error) {
-	c := cursor{b: r.Fields}
+	c := fieldReader{b: r.Fields}
 	page = c.u16()
 	n := c.u32()
-	if c.bad || uint64(n)*entryLen > uint64(len(c.b)) {
+	if c.short || uint64(n)*entrySize > uint64(len(c.b)) {
 		return 0, nil, fmt.Errorf("record %d: %d list lines claimed, %d bytes left", r.Code, n, len(c.b))
 	}
 	entries = make([]Entry, n)
@@ -315,7 +315,7 @@
 
 // OpenInstance reads the start of an instance; info is only valid as long as the batch.
 func (r Record) OpenInstance() (seed uint64, info []byte, err error) {
-	c := cursor{b: r.Fields}
+	c := fieldReader{b: r.Fields}
 	c.u32()
 	seed = c.u64()
 	info = c.take(int(c.u32()))
@@ -324,7 +324,7 @@
 
 // Fleet reads the news about a server list.
 func (r Record) Fleet() (kind uint8, version uint32, page uint16, err error) {
-	c := cursor{b: r.Fields}
+	c := fieldReader{b: r.Fields}
 	c.u32()
 	kind, version, page = c.u8(), c.u32(), c.u16()
 	return kind, version, page, c.done(r.Code)
@@ -343,7 +343,7 @@
 
 // Ask reads a client request.
 func (r Record) Ask() (Ask, error) {
-	c := cursor{b: r.Fields}
+	c := fieldReader{b: r.Fields}
 	c.u32()
 	a := Ask{Job: c.u32(), Bits: c.u16(), Key: c.u64(), Tenant: c.u32()}
 	a.Left, a.Hint, a.Kind = settings.DurationFromMillis(c.f64()), settings.DurationFromMillis(c.f64()), c.u8()
@@ -363,7 +363,7 @@
 
 // Finished reads the outcome of an attempt.
 func (r Record) Finished() (Finished, error) {
-	c := cursor{b: r.Fields}
+	c := fieldReader{b: r.Fields}
 	c.u32()
 	f := Finished{Job: c.u32(), Hop: c.u8(), Upstream: c.addr(), Ending: c.u16()}
 	f.Took, f.Settled, f.Pressure = settings.DurationFromMillis(c.f64()), c.u8() != 0, c.report()
@@ -372,7 +372,7 @@
 
 // CheckResult reads the result of a probe.
 func (r Record) CheckResult() (up Upstream, ending uint16, report LoadReport, err error) {
-	c := cursor{b: r.Fields}
+	c := fieldReader{b: r.Fields}
 	c.u32()
 	up, ending = c.addr(), c.u16()
 	c.f64()
@@ -382,7 +382,7 @@
 
 // Job reads the request that a ClientLeft or Headers record names.
 func (r Record) Job() (uint32, error) {
-	c := cursor{b: r.Fields}
+	c := fieldReader{b: r.Fields}
 	c.u32()
 	job := c.u32()
 	return job, c.done(r.Code)
@@ -390,49 +390,49 @@
 
 // Cookie reads the cookie of a Wake record.
 func (r Record) Cookie() (uint64, error) {
-	c := cursor{b: r.Fields}
+	c := fieldReader{b: r.Fields}
 	c.u32()
 	v := c.u64()
 	return v, c.done(r.Code)
 }
 
-// records gathers the records of a frame.
-type records struct {
+// recordWriter gathers the recordWriter of a frame.
+type recordWriter struct {
 	buf   []byte
 	count uint32
 }
 
 // ReplyWriter gathers the actions that answer one batch.
-type ReplyWriter struct{ records }
+type ReplyWriter struct{ recordWriter }
 
 // Begin empties the reply and starts one for the batch of that number.
 func (p *ReplyWriter) Begin(number uint32) {
-	p.buf = append(p.buf[:0], make([]byte, replyHeaderLen)...)
+	p.buf = append(p.buf[:0], make([]byte, replyHeaderSize)...)
 	binary.LittleEndian.PutUint32(p.buf, number)
 	p.count = 0
 }
 
 // Bytes completes the frame; it stays valid until the next Begin.
 func (p *ReplyWriter) Bytes() []byte {
-	binary.LittleEndian.PutUint32(p.buf[4:], uint32(len(p.buf)-replyHeaderLen))
+	binary.LittleEndian.PutUint32(p.buf[4:], uint32(len(p.buf)-replyHeaderSize))
 	binary.LittleEndian.PutUint32(p.buf[8:], p.count)
 	return p.buf
 }
 
-func (p *records) head(code uint16, size int, inst uint32) {
+func (p *recordWriter) head(code uint16, size int, inst uint32) {
 	p.count++
 	p.u16(code)
 	p.u32(uint32(size))
 	p.u32(inst)
 }
 
-func (p *records) u8(v uint8)    { p.buf = append(p.buf, v) }
-func (p *records) u16(v uint16)  { p.buf = binary.LittleEndian.AppendUint16(p.buf, v) }
-func (p *records) u32(v uint32)  { p.buf = binary.LittleEndian.AppendUint32(p.buf, v) }
-func (p *records) u64(v uint64)  { p.buf = binary.LittleEndian.AppendUint64(p.buf, v) }
-func (p *records) f64(v float64) { p.u64(math.Float64bits(v)) }
+func (p *recordWriter) u8(v uint8)    { p.buf = append(p.buf, v) }
+func (p *recordWriter) u16(v uint16)  { p.buf = binary.LittleEndian.AppendUint16(p.buf, v) }
+func (p *recordWriter) u32(v uint32)  { p.buf = binary.LittleEndian.AppendUint32(p.buf, v) }
+func (p *recordWriter) u64(v uint64)  { p.buf = binary.LittleEndian.AppendUint64(p.buf, v) }
+func (p *recordWriter) f64(v float64) { p.u64(math.Float64bits(v)) }
 
-func (p *records) flag(on bool) {
+func (p *recordWriter) flag(on bool) {
 	if on {
 		p.u8(1)
 	} else {
@@ -440,14 +440,14 @@
 	}
 }
 
-func (p *records) addr(u Upstream) {
+func (p *recordWriter) addr(u Upstream) {
 	for range 6 {
 		p.u8(byte(u))
 		u >>= 8
 	}
 }
 
-func (p *records) text(code uint16, inst uint32, s string) {
+func (p *recordWriter) text(code uint16, inst uint32, s string) {
 	s = s[:min(len(s), math.MaxUint16)]
 	p.head(code, 6+len(s), inst)
 	p.u16(uint16(len(s)))
--- a/internal/simulation/simwire/wire_test.go
+++ b/internal/simulation/simwire/wire_test.go
@@ -98,7 +98,7 @@
 func TestWritesActions(t *testing.T) {
 	var to Upstream
 	rec, _, _ := NextRecord(unhex(t, "1a04 0a000000 03000000 0a124a07 931f"))
-	c := cursor{b: rec.Fields[4:]}
+	c := fieldReader{b: rec.Fields[4:]}
 	to = c.addr()
 	var p ReplyWriter
 	p.Begin(12)
@@ -143,7 +143,7 @@
 		"header cut off":        {1, 2, 3},
 		"body cut off":          frame(1, 100, 0, "short"),
 		"oversized":             frame(1, 1<<31, 0, ""),
-		"large and cut off":     frame(1, maxFrame, 0, "short"),
+		"large and cut off":     frame(1, maxFrameSize, 0, "short"),
 		"more records than fit": frame(100, 6, 0, "abcdef"),
 		"clock not a number":    frame(0, 0, math.NaN(), ""),
 	} {
--- a/internal/simulation/simwire/world.go
+++ b/internal/simulation/simwire/world.go
@@ -14,11 +14,11 @@
 // The simulator's end of the wire: events are written and actions read.
 
 // BatchWriter gathers the events of one batch.
-type BatchWriter struct{ records }
+type BatchWriter struct{ recordWriter }
 
 // Begin empties the batch and starts one of that number and time.
 func (e *BatchWriter) Begin(number uint32, clock time.Duration) {
-	e.buf = append(e.buf[:0], make([]byte, batchHeaderLen)...)
+	e.buf = append(e.buf[:0], make([]byte, batchHeaderSize)...)
 	le := binary.LittleEndian
 	le.PutUint32(e.buf, number)
 	le.PutUint64(e.buf[12:], math.Float64bits(ToMillis(clock)))
@@ -28,7 +28,7 @@
 // Bytes completes the frame; it stays valid until the next Begin.
 func (e *BatchWriter) Bytes() []byte {
 	binary.LittleEndian.PutUint32(e.buf[4:], e.count)
-	binary.LittleEndian.PutUint32(e.buf[8:], uint32(len(e.buf)-batchHeaderLen))
+	binary.LittleEndian.PutUint32(e.buf[8:], uint32(len(e.buf)-batchHeaderSize))
 	return e.buf
 }
 
@@ -47,7 +47,7 @@
 func (e *BatchWriter) Manifest(page uint16, entries []Entry) {
 	e.count++
 	e.u16(EventManifest)
-	e.u32(uint32(6 + entryLen*len(entries)))
+	e.u32(uint32(6 + entrySize*len(entries)))
 	e.u16(page)
 	e.u32(uint32(len(entries)))
 	for _, x := range entries {
@@ -126,7 +126,7 @@
 
 // ReadReply reads the next frame of actions.
 func (r *Reader) ReadReply() (Reply, error) {
-	head := r.head[:replyHeaderLen]
+	head := r.head[:replyHeaderSize]
 	if _, err := io.ReadFull(r.r, head); err != nil {
 		if errors.Is(err, io.EOF) {
 			return Reply{}, io.EOF
@@ -136,7 +136,7 @@
 	le := binary.LittleEndian
 	a := Reply{Number: le.Uint32(head), Records: le.Uint32(head[8:])}
 	size := le.Uint32(head[4:])
-	if size > maxFrame || uint64(a.Records)*recordHeadLen > uint64(size) {
+	if size > maxFrameSize || uint64(a.Records)*recordHeaderSize > uint64(size) {
 		return Reply{}, fmt.Errorf("reply %d: %d records in %d bytes cannot be", a.Number, a.Records, size)
 	}
 	body, err := r.body(int(size))
@@ -162,7 +162,7 @@
 
 // Action reads a record as an action. One of a code that is not known has its code alone.
 func (r Record) Action() (Action, error) {
-	c := cursor{b: r.Fields}
+	c := fieldReader{b: r.Fields}
 	a := Action{Code: r.Code, Inst: c.u32()}
 	switch r.Code {
 	case ActionCallOut:
--- a/policy/affinity.go
+++ b/policy/affinity.go
@@ -8,14 +8,14 @@
 
 // cell is one cell of the servers that a request may go to.
 type cell struct {
-	number int
-	weight float64 // of its servers
-	open   bool    // one of them has a turn to give
+	number   int
+	weight   float64 // of its servers
+	eligible bool    // one of them has a turn to give
 }
 
 // cellOf is the cell of a server to a request; without a key all are one.
 func (b *Balancer) cellOf(r *request, s *server) int {
-	if r.key == 0 || !b.cfg.KeyAffinity {
+	if r.affinityKey == 0 || !b.cfg.KeyAffinity {
 		return 0
 	}
 	return s.Cell
@@ -26,21 +26,21 @@
 	number := b.cellOf(r, s)
 	for i := range b.cells {
 		if c := &b.cells[i]; c.number == number {
-			c.weight += s.weighs
-			c.open = c.open || s.turnable
+			c.weight += s.effectiveWeight
+			c.eligible = c.eligible || s.eligible
 			return
 		}
 	}
-	b.cells = append(b.cells, cell{number, s.weighs, s.turnable})
+	b.cells = append(b.cells, cell{number, s.effectiveWeight, s.eligible})
 }
 
-// warmest is the first cell in the key's order that has a turn to give, or nil.
-func (b *Balancer) warmest(r *request) *cell {
+// preferredCell is the first cell in the key's order that has a turn to give, or nil.
+func (b *Balancer) preferredCell(r *request) *cell {
 	var best *cell
 	rank := math.Inf(1)
 	for i := range b.cells {
-		if c := &b.cells[i]; c.open {
-			if own := rendezvous(r.key, c.number, c.weight); best == nil || own < rank {
+		if c := &b.cells[i]; c.eligible {
+			if own := rendezvous(r.affinityKey, c.number, c.weight); best == nil || own < rank {
 				best, rank = c, own
 			}
 		}
--- a/policy/affinity_test.go
+++ b/policy/affinity_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// warmConfig is that of one of many balancers, where servers remember keys.
-func warmConfig() Config {
+// affinityConfig is that of one of many balancers, where servers remember keys.
+func affinityConfig() Config {
 	cfg := testConfig()
 	cfg.KeyAffinity, cfg.Slots = true, 100
 	return cfg
@@ -27,7 +27,7 @@
 // cellFor asks for a key and returns the cell that its request went to.
 func cellFor(b *Balancer, h *fakeHost, now time.Duration, key uint64) int {
 	id := RequestID(len(h.sends) + 1000)
-	b.Request(now, Request{ID: id, Class: safeClass, TimeLeft: 3 * time.Second, AffinityKey: key})
+	b.Request(now, Request{ID: id, Class: idempotentClass, TimeLeft: 3 * time.Second, AffinityKey: key})
 	to := h.sends[len(h.sends)-1].to
 	end(b, now, id, 0, Served)
 	return int(to / 10)
@@ -36,11 +36,11 @@
 // Guards against this: every balancer shows every key to every cell, and none remembers many.
 func TestBalancersAgreeOnTheCellOfAKey(t *testing.T) {
 	list := cells(5)
-	b1, h1 := start(t, warmConfig(), list)
+	b1, h1 := start(t, affinityConfig(), list)
 	for i, j := 0, len(list)-1; i < j; i, j = i+1, j-1 { // in another order
 		list[i], list[j] = list[j], list[i]
 	}
-	b2, h2 := start(t, warmConfig(), list)
+	b2, h2 := start(t, affinityConfig(), list)
 	count := make([]int, 5)
 	for key := range uint64(1000) {
 		first := cellFor(b1, h1, 0, key+1)
@@ -72,7 +72,7 @@
 
 // Guards against this: a cell that rests or leaves takes the other cells' keys apart.
 func TestKeysOfAnotherCellStay(t *testing.T) {
-	b, h := start(t, warmConfig(), cells(5))
+	b, h := start(t, affinityConfig(), cells(5))
 	before := map[uint64]int{}
 	for key := range uint64(300) {
 		before[key+1] = cellFor(b, h, 0, key+1)
@@ -86,10 +86,10 @@
 		}
 		second[key+1] = c
 	}
-	b, h = start(t, warmConfig(), cells(5))
+	b, h = start(t, affinityConfig(), cells(5))
 	for _, s := range b.servers {
 		if s.Cell == 4 {
-			s.silent = true
+			s.unresponsive = true
 		}
 	}
 	b.cfg.MayProbe = true
@@ -102,9 +102,9 @@
 
 // Guards against this: requests without a key all go to one cell.
 func TestWithoutAKeyAllServersTakeTurns(t *testing.T) {
-	b, h := start(t, warmConfig(), cells(3))
+	b, h := start(t, affinityConfig(), cells(3))
 	for id := range RequestID(90) {
-		ask(b, 0, id, safeClass)
+		ask(b, 0, id, idempotentClass)
 		end(b, 0, id, 0, Served)
 	}
 	for _, s := range b.servers {
--- a/policy/api.go
+++ b/policy/api.go
@@ -195,22 +195,22 @@
 }
 
 // Counters returns what was done so far.
-func (b *Balancer) Counters() Counters { return b.count }
+func (b *Balancer) Counters() Counters { return b.counters }
 
 // SlotsFree returns the free slots in a tenant's compartment; 0 for a tenant that does not exist.
 func (b *Balancer) SlotsFree(tenant int) int {
-	if tenant < 0 || tenant >= len(b.parts) {
+	if tenant < 0 || tenant >= len(b.bulkheads) {
 		return 0
 	}
-	return max(0, b.parts[tenant].slots-b.parts[tenant].lent.Slots-b.parts[tenant].used)
+	return max(0, b.bulkheads[tenant].slots-b.bulkheads[tenant].reserved.Slots-b.bulkheads[tenant].used)
 }
 
 // QueueFree returns the free queue places in a tenant's compartment; 0 for a tenant that does not exist.
 func (b *Balancer) QueueFree(tenant int) int {
-	if tenant < 0 || tenant >= len(b.parts) {
+	if tenant < 0 || tenant >= len(b.bulkheads) {
 		return 0
 	}
-	return max(0, b.parts[tenant].places-b.parts[tenant].lent.Places-len(b.parts[tenant].queue))
+	return max(0, b.bulkheads[tenant].queuePlaces-b.bulkheads[tenant].reserved.Places-len(b.bulkheads[tenant].queue))
 }
 
 // BulkheadCapacity is what one compartment holds of its slots and queue places.
@@ -235,4 +235,4 @@
 }
 
 // Congestion tells what answers took of their aims lately.
-func (b *Balancer) Congestion(now time.Duration) float64 { return b.jam(now) }
+func (b *Balancer) Congestion(now time.Duration) float64 { return b.congestion(now) }
--- a/policy/ask.go
+++ b/policy/ask.go
@@ -11,24 +11,24 @@
 // to what is left until a change that was missed meanwhile has to be acted on.
 
 const (
-	// askEach is what the list service is given for each balancer's call: a list takes it up to 75 ms
+	// pollCost is what the list service is given for each balancer's call: a list takes it up to 75 ms
 	// when it is short of time, and the half of the balancers may have been cut off at once.
-	askEach = 40 * time.Millisecond
-	// toldWithin is when a change counts as told at the latest, whether or not it arrived.
-	toldWithin = 6 * time.Second
-	// toldMoved is the same from a new configuration on that moves the service.
-	toldMoved = 4 * time.Second
-	// callTakes is for a call that is answered, and a tick.
-	callTakes = 1100 * time.Millisecond
-	// silentFor is how long it takes to notice that a watch or a call is silent.
-	silentFor = 3 * time.Second
-	// askSoon is by when the first call comes after a subscription has ended in plain sight: what it
+	pollCost = 40 * time.Millisecond
+	// notificationDeadline is when a change counts as told at the latest, whether or not it arrived.
+	notificationDeadline = 6 * time.Second
+	// movedNotificationDeadline is the same from a new configuration on that moves the service.
+	movedNotificationDeadline = 4 * time.Second
+	// pollDuration is for a call that is answered, and a tick.
+	pollDuration = 1100 * time.Millisecond
+	// silenceNoticeTime is how long it takes to notice that a watch or a call is silent.
+	silenceNoticeTime = 3 * time.Second
+	// firstPollWithin is by when the first call comes after a subscription has ended in plain sight: what it
 	// ended instead of telling counts as told 2 s later, unless a call was turned away by then.
-	askSoon = 1700 * time.Millisecond
-	// lateAsk is the pause, before it is spread, once there is no time left at all.
-	lateAsk = time.Second
-	// askEarliest is the earliest call in parts of the time left, where all of that is used.
-	askEarliest = 0.25
+	firstPollWithin = 1700 * time.Millisecond
+	// overduePollDelay is the pause, before it is spread, once there is no time left at all.
+	overduePollDelay = time.Second
+	// earliestPollShare is the earliest call in parts of the time left, where all of that is used.
+	earliestPollShare = 0.25
 )
 
 // ListLoss is how the list was lost.
@@ -44,47 +44,47 @@
 	since := now
 	switch {
 	case loss.Unresponsive:
-		since -= silentFor
+		since -= silenceNoticeTime
 	case loss.Moved:
-		since -= toldWithin - toldMoved
+		since -= notificationDeadline - movedNotificationDeadline
 	case loss.Reached:
-		since -= min(loss.SinceLastMessage, staggerMost+callTakes)
+		since -= min(loss.SinceLastMessage, maxStagger+pollDuration)
 	}
 	latest := NoLimit
-	if b.askFails == 0 && !loss.Unresponsive {
-		latest = askSoon
+	if b.pollFailures == 0 && !loss.Unresponsive {
+		latest = firstPollWithin
 	}
-	if b.askFails == 0 || !loss.Reached {
-		b.lostAt = since
+	if b.pollFailures == 0 || !loss.Reached {
+		b.staleSince = since
 	}
-	b.askAgain(now, latest)
+	b.scheduleNextPoll(now, latest)
 }
 
-// ask subscribes to the list. Without any word it asks again before its silence counts as being told.
-func (b *Balancer) ask(now time.Duration) {
-	b.askAt = now + cmp.Or(b.cfg.PollDeadline*3/4, lastPause)
+// pollList subscribes to the list. Without any word it asks again before its silence counts as being told.
+func (b *Balancer) pollList(now time.Duration) {
+	b.pollAt = now + cmp.Or(b.cfg.PollDeadline*3/4, maxBackoff)
 	b.host.WatchList()
 }
 
-// askAgain sets the next call after one that failed: spread, as one of many, in time for what drains, and
+// scheduleNextPoll sets the next call after one that failed: spread, as one of many, in time for what drains, and
 // within a pause at most.
-func (b *Balancer) askAgain(now, within time.Duration) {
-	pause := max(firstPause, askEach*time.Duration(b.cfg.Balancers)) << min(b.askFails, 2)
+func (b *Balancer) scheduleNextPoll(now, within time.Duration) {
+	pause := max(initialBackoff, pollCost*time.Duration(b.cfg.Balancers)) << min(b.pollFailures, 2)
 	earliest, latest := pause/2, pause*3/2
-	left := b.lostAt + toldWithin + b.cfg.DrainGrace - callTakes - now
-	if most := min(within, max(left, lateAsk)); latest > most {
+	left := b.staleSince + notificationDeadline + b.cfg.DrainGrace - pollDuration - now
+	if most := min(within, max(left, overduePollDelay)); latest > most {
 		latest = most
-		earliest = time.Duration(askEarliest * float64(latest))
+		earliest = time.Duration(earliestPollShare * float64(latest))
 	}
-	b.askAt = now + earliest + time.Duration(b.rng.Float64()*float64(latest-earliest))
-	b.askFails++
+	b.pollAt = now + earliest + time.Duration(b.rng.Float64()*float64(latest-earliest))
+	b.pollFailures++
 }
 
-// A fleet whose calls the list service can answer within staggerFrom needs no order among them; no watch
-// is opened later than staggerMost after the whole list came.
-const staggerFrom, staggerMost = time.Second, 4 * time.Second
+// A fleet whose calls the list service can answer within staggerThreshold needs no order among them; no watch
+// is opened later than maxStagger after the whole list came.
+const staggerThreshold, maxStagger = time.Second, 4 * time.Second
 
 // SubscribeDelay is how long after the whole list its subscription may be made, where many balancers ask at once.
 func SubscribeDelay(balancers int) time.Duration {
-	return max(0, min(askEach*time.Duration(balancers)-staggerFrom, staggerMost))
+	return max(0, min(pollCost*time.Duration(balancers)-staggerThreshold, maxStagger))
 }
--- a/policy/ask_test.go
+++ b/policy/ask_test.go
@@ -21,9 +21,9 @@
 		b.Start(0)
 		b.List(0, ListFailed, nil)
 		for now := 10 * ms; now < time.Duration(len(calls))*500*ms; now += 10 * ms {
-			before := h.asks
+			before := h.watches
 			b.Wake(now)
-			for range h.asks - before {
+			for range h.watches - before {
 				calls[now/(500*ms)]++
 				b.List(now, ListFailed, nil)
 			}
@@ -61,8 +61,8 @@
 			now := noticed // the watch was silent from the start
 			for call := range 4 {
 				b.List(now, ListFailed, nil)
-				before, from := h.asks, now-noticed // the call was silent, like the watch
-				for ; h.asks == before && now < from+time.Minute; now += 10 * ms {
+				before, from := h.watches, now-noticed // the call was silent, like the watch
+				for ; h.watches == before && now < from+time.Minute; now += 10 * ms {
 					b.Wake(now)
 				}
 				if now-from > told+grace-takes {
@@ -87,8 +87,8 @@
 	now := time.Duration(0)
 	for call := range 20 {
 		b.List(now, ListFailed, nil)
-		before, from := h.asks, now
-		for ; h.asks == before && now < from+time.Minute; now += 10 * ms {
+		before, from := h.watches, now
+		for ; h.watches == before && now < from+time.Minute; now += 10 * ms {
 			b.Wake(now)
 		}
 		if now-from > 1600*ms {
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -4,95 +4,95 @@
 // overrun while another idles. A server is met too seldom to be measured, but all of one listed weight are not.
 
 const (
-	busyEnough = 0.2  // so busy a server must be for its rate to tell its capacity
-	sizePrior  = 2.0  // busy reports that the listed weights count for
-	sizeMemory = 60.0 // busy reports that are remembered: about a minute of them
-	// probeEvery is how many requests there are for each report that is asked for. Every one
+	minUtilization = 0.2  // so busy a server must be for its rate to tell its capacity
+	capacityPrior  = 2.0  // busy reports that the listed weights count for
+	capacityMemory = 60.0 // busy reports that are remembered: about a minute of them
+	// probeInterval is how many requests there are for each report that is asked for. Every one
 	// has a price, and those of all balancers add up.
-	probeEvery = 16
+	probeInterval = 16
 	// Nothing is known at the start: the first reports come thicker, a few: each balancer asks for them.
-	firstRequests, firstProbeEvery = 16, 4
-	// mostSizes bounds the weights that are told apart: all different, they are measurements.
-	mostSizes = 8
+	firstRequests, firstProbeInterval = 16, 4
+	// maxWeightClasses bounds the weights that are told apart: all different, they are measurements.
+	maxWeightClasses = 8
 )
 
-// size adds up the reports of all servers that one weight is listed for.
-type size struct {
-	weight float64
-	rate   float64 // requests a second, added up
-	busy   float64 // share of the cores in use, added up
+// weightClass adds up the reports of all servers that one weight is listed for.
+type weightClass struct {
+	weight      float64
+	servedRate  float64 // requests a second, added up
+	utilization float64 // share of the cores in use, added up
 }
 
-// measure learns from a load report what servers of one listed weight can do.
-func (b *Balancer) measure(s *server, l LoadReport) {
-	if l.Utilization < busyEnough || l.ServedPerSecond <= 0 {
+// learnCapacity learns from a load report what servers of one listed weight can do.
+func (b *Balancer) learnCapacity(s *server, l LoadReport) {
+	if l.Utilization < minUtilization || l.ServedPerSecond <= 0 {
 		return
 	}
-	z := b.sizeOf(s.Weight)
+	z := b.weightClass(s.Weight)
 	if z == nil {
 		return
 	}
-	z.rate += l.ServedPerSecond
-	if z.busy += l.Utilization; z.busy > sizeMemory {
-		z.rate, z.busy = z.rate/2, z.busy/2
+	z.servedRate += l.ServedPerSecond
+	if z.utilization += l.Utilization; z.utilization > capacityMemory {
+		z.servedRate, z.utilization = z.servedRate/2, z.utilization/2
 	}
 	for _, s := range b.servers {
-		s.size = b.capacity(s.Weight)
+		s.capacity = b.capacityOf(s.Weight)
 	}
 }
 
-// sizeOf returns the entry of a listed weight, or nil where there are too many.
-func (b *Balancer) sizeOf(weight float64) *size {
-	for i := range b.sizes {
-		if b.sizes[i].weight == weight {
-			return &b.sizes[i]
+// weightClass returns the entry of a listed weight, or nil where there are too many.
+func (b *Balancer) weightClass(weight float64) *weightClass {
+	for i := range b.weightClasses {
+		if b.weightClasses[i].weight == weight {
+			return &b.weightClasses[i]
 		}
 	}
-	if len(b.sizes) == mostSizes {
+	if len(b.weightClasses) == maxWeightClasses {
 		return nil
 	}
-	b.sizes = append(b.sizes, size{weight: weight})
-	return &b.sizes[len(b.sizes)-1]
+	b.weightClasses = append(b.weightClasses, weightClass{weight: weight})
+	return &b.weightClasses[len(b.weightClasses)-1]
 }
 
-// unit is how many requests a second servers answer for each unit of weight.
-func (b *Balancer) unit() float64 {
+// requestsPerWeight is how many requests a second servers answer for each requestsPerWeight of weight.
+func (b *Balancer) requestsPerWeight() float64 {
 	rate, busy := 0.0, 0.0
-	for _, z := range b.sizes {
-		rate += z.rate
-		busy += z.busy * z.weight
+	for _, z := range b.weightClasses {
+		rate += z.servedRate
+		busy += z.utilization * z.weight
 	}
 	if rate == 0 {
-		return 1 / max(b.pace.Seconds(), 1e-3) // no report yet: one at a time
+		return 1 / max(b.usualLatency.Seconds(), 1e-3) // no report yet: one at a time
 	}
 	return rate / busy
 }
 
-// capacity is what servers of a listed weight can do, on the scale of the weights.
-func (b *Balancer) capacity(weight float64) float64 {
-	mean := b.unit()
-	for _, z := range b.sizes {
+// capacityOf is what servers of a listed weight can do, on the scale of the weights.
+func (b *Balancer) capacityOf(weight float64) float64 {
+	mean := b.requestsPerWeight()
+	for _, z := range b.weightClasses {
 		if z.weight == weight {
-			return (z.rate + sizePrior*weight*mean) / (z.busy + sizePrior) / mean
+			return (z.servedRate + capacityPrior*weight*mean) / (z.utilization + capacityPrior) / mean
 		}
 	}
 	return weight
 }
 
-// probe asks a server for a load report, as often as requests pay for it. Where
+// probeForLoad asks a server for a load report, as often as requests pay for it. Where
 // traffic is thin it asks any server at random, so that balancers don't go round in step.
-func (b *Balancer) probe() {
+func (b *Balancer) probeForLoad() {
 	n := len(b.servers)
-	if b.probes++; !b.cfg.LoadReports || n == 0 {
+	if b.requestCount++; !b.cfg.LoadReports || n == 0 {
 		return
 	}
-	every, next := probeEvery, b.probes/probeEvery%n
-	if b.thin {
-		if next = b.rng.IntN(n); b.probes <= firstRequests {
-			every = firstProbeEvery
+	every, next := probeInterval, b.requestCount/probeInterval%n
+	if b.lowTraffic {
+		if next = b.rng.IntN(n); b.requestCount <= firstRequests {
+			every = firstProbeInterval
 		}
 	}
-	if s := b.servers[next]; b.probes%every == 0 && s.State == Ready {
+	if s := b.servers[next]; b.requestCount%every == 0 && s.State == Ready {
 		b.host.Probe(s.ID)
 	}
 }
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -11,9 +11,9 @@
 func TestReportsTellWhatListedSizesCanDo(t *testing.T) {
 	list := ready(1, 2)
 	list[1].Weight = 2
-	b, h := start(t, thinConfig(), list)
-	if b.server(1).size != 1 || b.server(2).size != 2 {
-		t.Fatalf("sizes %v and %v before any report", b.server(1).size, b.server(2).size)
+	b, h := start(t, lowTrafficConfig(), list)
+	if b.server(1).capacity != 1 || b.server(2).capacity != 2 {
+		t.Fatalf("sizes %v and %v before any report", b.server(1).capacity, b.server(2).capacity)
 	}
 	for range 50 {
 		b.Probed(ms, 1, true, LoadReport{InFlight: -1, Queued: 0, Utilization: 0.5, ServedPerSecond: 15}) // 30 a second
@@ -21,39 +21,39 @@
 		b.Probed(ms, 1, true, LoadReport{InFlight: -1, Queued: 0, Utilization: 0.1, ServedPerSecond: 40}) // too idle to tell
 		b.Probed(ms, 1, true, UnknownLoad)
 	}
-	if got := b.server(2).size / b.server(1).size; math.Abs(got-4.0/3) > 0.05 {
-		t.Fatalf("sizes %v and %v, want a third more for the second", b.server(1).size, b.server(2).size)
+	if got := b.server(2).capacity / b.server(1).capacity; math.Abs(got-4.0/3) > 0.05 {
+		t.Fatalf("sizes %v and %v, want a third more for the second", b.server(1).capacity, b.server(2).capacity)
 	}
 	for id := range RequestID(70) {
-		ask(b, ms, id, safeClass)
+		ask(b, ms, id, idempotentClass)
 		end(b, ms, id, 0, Served)
 	}
 	if n := h.sentTo(2); n < 38 || n > 42 {
 		t.Fatalf("%d of 70 to the larger server, want 40", n)
 	}
-	for i := range 2 * mostSizes {
+	for i := range 2 * maxWeightClasses {
 		list = append(list, Endpoint{ID: ServerID(10 + i), State: Ready, Weight: 1 + float64(i)/100})
 	}
 	b.List(ms, ListFull, list)
 	for _, s := range b.servers {
 		b.Probed(ms, s.ID, true, LoadReport{InFlight: -1, Queued: 0, Utilization: 1, ServedPerSecond: 20})
 	}
-	if len(b.sizes) > mostSizes {
-		t.Fatalf("%d listed sizes are told apart, at most %d", len(b.sizes), mostSizes)
+	if len(b.weightClasses) > maxWeightClasses {
+		t.Fatalf("%d listed sizes are told apart, at most %d", len(b.weightClasses), maxWeightClasses)
 	}
 }
 
 // Guards against this: probes that are cheap for one balancer cost the fleet more than they tell.
 func TestThinTrafficProbesSeldom(t *testing.T) {
-	cfg := thinConfig()
+	cfg := lowTrafficConfig()
 	cfg.LoadReports = true
 	b, h := start(t, cfg, ready(1, 2, 3, 4))
 	for id := range RequestID(firstRequests + 160) {
 		now := time.Duration(id) * 50 * ms
-		ask(b, now, id, safeClass)
+		ask(b, now, id, idempotentClass)
 		end(b, now+ms, id, 0, Served)
 	}
-	if want := firstRequests/firstProbeEvery + 160/probeEvery; len(h.probes) != want {
+	if want := firstRequests/firstProbeInterval + 160/probeInterval; len(h.probes) != want {
 		t.Fatalf("%d probes, want %d", len(h.probes), want)
 	}
 }
--- a/policy/coldstart.go
+++ b/policy/coldstart.go
@@ -9,68 +9,68 @@
 // part of its budget of work, counted among those that may use it, whatever traffic it has itself.
 
 const (
-	// coldPart is how much of a cold server's budget is used; the rest is left to
+	// slowStartBudgetShare is how much of a cold server's budget is used; the rest is left to
 	// chance, as a few heavy requests may meet.
-	coldPart  = 0.5
-	usersMore = 0.05 // of the balancers, more than the mean, may keep to a server by chance
-	// leastCharge is what a request is charged at least, as the hint of its work is rough; one
-	// of more than mostCharge goes to warm servers only: a few of those are a whole budget.
-	leastCharge, mostCharge = 0.5, 12.0
+	slowStartBudgetShare = 0.5
+	subsetShareMargin    = 0.05 // of the balancers, more than the mean, may keep to a server by chance
+	// minSlowStartCharge is what a request is charged at least, as the hint of its work is rough; one
+	// of more than maxSlowStartCharge goes to warm servers only: a few of those are a whole budget.
+	minSlowStartCharge, maxSlowStartCharge = 0.5, 12.0
 )
 
-// mayWarm says whether a server is warm, or else has some of its budget left for a request of this balancer.
-func (b *Balancer) mayWarm(now time.Duration, r *request, s *server) bool {
-	return now >= s.warmAt || (!b.shared && now >= s.coldAt && !b.spared(s) && b.workShare(r) <= mostCharge)
+// slowStartAllows says whether a server is warm, or else has some of its budget left for a request of this balancer.
+func (b *Balancer) slowStartAllows(now time.Duration, r *request, s *server) bool {
+	return now >= s.warmAt || (!b.twoProcesses && now >= s.nextSlowStartSend && !b.outsideSubset(s) && b.relativeWork(r) <= maxSlowStartCharge)
 }
 
-// charge takes a request out of this balancer's part of a cold server's budget.
-func (b *Balancer) charge(now time.Duration, r *request, s *server) {
+// chargeSlowStart takes a request out of this balancer's part of a cold server's budget.
+func (b *Balancer) chargeSlowStart(now time.Duration, r *request, s *server) {
 	if now < s.warmAt {
-		s.coldAt = now + time.Duration(max(b.workShare(r), leastCharge)*float64(b.coldGap(now, s)))
+		s.nextSlowStartSend = now + time.Duration(max(b.relativeWork(r), minSlowStartCharge)*float64(b.slowStartInterval(now, s)))
 	}
 }
 
-// workShare is a request's expected work against the average; 1 where it is unknown.
-func (b *Balancer) workShare(r *request) float64 {
-	if r.work <= 0 || b.work <= 0 {
+// relativeWork is a request's expected work against the average; 1 where it is unknown.
+func (b *Balancer) relativeWork(r *request) float64 {
+	if r.expectedWork <= 0 || b.averageWork <= 0 {
 		return 1
 	}
-	return float64(r.work) / b.work
+	return float64(r.expectedWork) / b.averageWork
 }
 
-// expect learns what work requests bring on average.
-func (b *Balancer) expect(work time.Duration) {
+// learnWork learns what work requests bring on average.
+func (b *Balancer) learnWork(work time.Duration) {
 	switch {
 	case work <= 0:
-	case b.work == 0:
-		b.work = float64(work)
+	case b.averageWork == 0:
+		b.averageWork = float64(work)
 	default:
-		b.work += (float64(work) - b.work) / 64
+		b.averageWork += (float64(work) - b.averageWork) / 64
 	}
 }
 
-// coldGap spaces sends to a cold server by its warmth half way to the next one.
-func (b *Balancer) coldGap(now time.Duration, s *server) time.Duration {
+// slowStartInterval spaces sends to a cold server by its warmth half way to the next one.
+func (b *Balancer) slowStartInterval(now time.Duration, s *server) time.Duration {
 	users := float64(b.cfg.Balancers)
-	if b.thin {
-		users = max(1, users*b.users)
+	if b.lowTraffic {
+		users = max(1, users*b.subsetShare)
 	}
 	// The quotas are close to what all servers can do; without them one answer's time is the guide, for
 	// one balancer alone and for as many as there are servers.
-	rate := cmp.Or(b.quota/users, min(1, float64(len(b.servers))/users)/b.pace.Seconds())
-	rate *= s.Weight / max(b.weight, s.Weight) * coldPart * max(b.cfg.OverloadFactor, 1)
-	gap := float64(time.Second) / max(rate*b.warmth(now, s), 0.01)
-	return time.Duration(float64(time.Second) / max(rate*b.warmth(now+time.Duration(gap/2), s), 0.01))
+	rate := cmp.Or(b.totalQuota/users, min(1, float64(len(b.servers))/users)/b.usualLatency.Seconds())
+	rate *= s.Weight / max(b.readyWeight, s.Weight) * slowStartBudgetShare * max(b.cfg.OverloadFactor, 1)
+	gap := float64(time.Second) / max(rate*b.warmUpShare(now, s), 0.01)
+	return time.Duration(float64(time.Second) / max(rate*b.warmUpShare(now+time.Duration(gap/2), s), 0.01))
 }
 
-// warmth is the share of its capacity that a server has at least.
-func (b *Balancer) warmth(now time.Duration, s *server) float64 {
+// warmUpShare is the share of its capacity that a server has at least.
+func (b *Balancer) warmUpShare(now time.Duration, s *server) float64 {
 	left := float64(max(0, s.warmAt-now)) / float64(max(1, b.cfg.SlowStartWindow))
 	return max(0.05, 1-left*(1-b.cfg.SlowStartFloor))
 }
 
-// clockStep is from how much on a difference between the wall clock and the monotonic one is a step.
-const clockStep = time.Second
+// minClockStep is from how much on a difference between the wall clock and the monotonic one is a step.
+const minClockStep = time.Second
 
 // StartedAt is when a server started, on this process's clock, by the Unix time that the list gives
 // for it; 0: long ago. This process's clock ran on evenly while the wall clock has gone ahead of it by
@@ -80,7 +80,7 @@
 	if listed <= 0 {
 		return 0
 	}
-	if step.Abs() < clockStep {
+	if step.Abs() < minClockStep {
 		return min(listed, now)
 	}
 	if after := listed - step; listed > now || after > listed {
--- a/policy/coldstart_test.go
+++ b/policy/coldstart_test.go
@@ -40,9 +40,9 @@
 			if now >= restart && b.server(1).Started == 0 {
 				b.List(now, ListDelta, []Endpoint{{ID: 1, State: Ready, Weight: 1, Started: restart}})
 				for _, s := range b.servers {
-					s.spare = s.spare && s.ID == 1
+					s.outsideSubset = s.outsideSubset && s.ID == 1
 					if s.ID != 1 {
-						s.restTill = time.Hour // the others are jammed: the cold one is wanted by all
+						s.ejectedUntil = time.Hour // the others are jammed: the cold one is wanted by all
 					}
 				}
 			}
@@ -51,7 +51,7 @@
 				cost = 20 // the heavy few bring half of the work
 			}
 			id++
-			b.Request(now, Request{ID: id, Class: unsafeClass, TimeLeft: 3 * time.Second, ExpectedWork: time.Duration(cost * float64(50*ms))})
+			b.Request(now, Request{ID: id, Class: nonIdempotentClass, TimeLeft: 3 * time.Second, ExpectedWork: time.Duration(cost * float64(50*ms))})
 			if n := len(h.sends); n > 0 && h.sends[n-1].id == id {
 				if to := h.sends[n-1].to; to == 1 && now >= restart {
 					work[(now-restart)/(500*ms)] += cost
--- a/policy/config.go
+++ b/policy/config.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// check returns an error that names the first unusable field of a Config.
-func check(cfg Config) error {
+// validate returns an error that names the first unusable field of a Config.
+func validate(cfg Config) error {
 	bad := func(f float64) bool { return math.IsNaN(f) || math.IsInf(f, 0) || f < 0 }
 	switch {
 	case cfg.Balancers < 1:
--- a/policy/govern_test.go
+++ b/policy/govern_test.go
@@ -11,7 +11,7 @@
 	b, h := start(t, testConfig(), ready(1, 2, 3)) // 6 and 2 slots, 1 place each
 	now := time.Duration(0)
 	for id := range RequestID(7) {
-		ask(b, now, id+1, safeClass)
+		ask(b, now, id+1, idempotentClass)
 	}
 	if len(h.sends) != 6 || b.QueueFree(0) != 0 {
 		t.Fatalf("%d are sent, %d places are free", len(h.sends), b.QueueFree(0))
@@ -30,8 +30,8 @@
 	if len(h.sends) != 7 { // the one that waited
 		t.Errorf("the queue is not fed: %d sends", len(h.sends))
 	}
-	ask(b, now, 20, safeClass)
-	ask(b, now, 21, safeClass)
+	ask(b, now, 20, idempotentClass)
+	ask(b, now, 21, idempotentClass)
 	if _, refused := h.refused[21]; !refused || len(h.sends) != 7 {
 		t.Errorf("beyond slots and queue: %v, %d sends", h.refused, len(h.sends))
 	}
@@ -45,7 +45,7 @@
 	if _, refused := h.refused[6]; !refused || len(h.failed) != 0 || len(b.requests) != 0 {
 		t.Errorf("the end of what ran: %v, %v, %d held", h.refused, h.failed, len(b.requests))
 	}
-	ask(b, now, 30, safeClass)
+	ask(b, now, 30, idempotentClass)
 	if _, refused := h.refused[30]; !refused {
 		t.Error("a tenant without slots is served")
 	}
@@ -65,12 +65,12 @@
 // lets more through than this sidecar would by itself.
 func TestTheFleetsWordOnlyTightensAndFades(t *testing.T) {
 	shed := func(a OverloadAdvice, jam float64, after time.Duration) (refused int) {
-		b, h := start(t, thinConfig(), ready(1, 2, 3, 4, 5, 6))
+		b, h := start(t, lowTrafficConfig(), ready(1, 2, 3, 4, 5, 6))
 		b.Advise(10*time.Second, a)
 		now := 10*time.Second + after
 		for id := range RequestID(200) {
-			b.waits, b.answers, b.waitsAt = 1000*jam, 1000, now
-			ask(b, now, id, safeClass)
+			b.congestionSum, b.congestionWeight, b.congestionAt = 1000*jam, 1000, now
+			ask(b, now, id, idempotentClass)
 			end(b, now, id, 0, Served)
 		}
 		return len(h.refused)
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -23,7 +23,7 @@
 	cancelled []RequestID
 	wakes     []time.Duration
 	probes    []ServerID
-	asks      int
+	watches   int
 	trace     []string
 }
 
@@ -66,7 +66,7 @@
 }
 
 func (h *fakeHost) WatchList() {
-	h.asks++
+	h.watches++
 	h.note("watch")
 }
 
@@ -83,11 +83,11 @@
 
 // The classes of testConfig.
 const (
-	safeClass = iota
-	keyedAll
-	keyedZone
-	keyedCell
-	unsafeClass
+	idempotentClass = iota
+	keyedAllClass
+	keyedZoneClass
+	keyedCellClass
+	nonIdempotentClass
 )
 
 func testConfig() Config {
--- a/policy/permit.go
+++ b/policy/permit.go
@@ -120,13 +120,13 @@
 }
 
 // Planned ends: the platform kills a process no sooner than the longest deadline, counted as
-// stopLongest where it is longer, and stopExtra after it has told the process to end.
+// maxCountedDeadline where it is longer, and killDelay after it has told the process to end.
 const (
-	stopLongest = 3 * time.Second
-	stopExtra   = 700 * time.Millisecond
-	// stopMargin is kept to the kill: for a signal that is handled late, a process that is held
+	maxCountedDeadline = 3 * time.Second
+	killDelay          = 700 * time.Millisecond
+	// killMargin is kept to the kill: for a signal that is handled late, a process that is held
 	// up for 0.15 s as it answers, and the answers' way.
-	stopMargin = 250 * time.Millisecond
+	killMargin = 250 * time.Millisecond
 	// repeatMargin is kept to the end of the time in which a request may be repeated, for the same
 	// hold-up and the way to the server.
 	repeatMargin = 200 * time.Millisecond
@@ -139,15 +139,15 @@
 		longest = max(longest, c.Deadline)
 	}
 	if longest == 0 {
-		longest = stopLongest
+		longest = maxCountedDeadline
 	}
-	return min(longest, stopLongest) + stopExtra - stopMargin
+	return min(longest, maxCountedDeadline) + killDelay - killMargin
 }
 
-// stop bounds what a request may wait for by the time by which the process has to be done.
-func (r *request) stop(by time.Duration) {
-	r.stopBy = by
+// boundByShutdown bounds what a request may wait for by the time by which the process has to be done.
+func (r *request) boundByShutdown(by time.Duration) {
+	r.shutdownDeadline = by
 	r.deadline = min(r.deadline, by)
-	r.useful = min(r.useful, r.deadline)
-	r.aimAt = min(r.aimAt, r.deadline)
+	r.usefulUntil = min(r.usefulUntil, r.deadline)
+	r.objectiveAt = min(r.objectiveAt, r.deadline)
 }
--- a/policy/permit_test.go
+++ b/policy/permit_test.go
@@ -125,7 +125,7 @@
 // Where the list was lost in plain sight each balancer of a large fleet calls soon, as what it missed
 // counts as told otherwise; those whose calls are turned away use all of the time that is left.
 func TestCallsOfALargeFleetUseTheTimeLeft(t *testing.T) {
-	const fleet, due = 300, toldWithin + 3*time.Second
+	const fleet, due = 300, notificationDeadline + 3*time.Second
 	second := make([]int, due/time.Second+1) // calls, by the second in which they come
 	for seed := range uint64(fleet) {
 		cfg := testConfig()
@@ -139,14 +139,14 @@
 		b.ListLost(0, ListLoss{Reached: true})
 		var calls []time.Duration
 		for now := 10 * ms; now < due; now += 10 * ms {
-			before := h.asks
-			if b.Wake(now); h.asks > before {
+			before := h.watches
+			if b.Wake(now); h.watches > before {
 				calls = append(calls, now)
 				b.ListLost(now, ListLoss{Reached: true})
 			}
 		}
-		if len(calls) < 2 || calls[0] > askSoon+20*ms || calls[len(calls)-1] < due-3*time.Second {
-			t.Fatalf("seed %d: calls at %v, want the first by %v and the last near %v", seed, calls, askSoon, due)
+		if len(calls) < 2 || calls[0] > firstPollWithin+20*ms || calls[len(calls)-1] < due-3*time.Second {
+			t.Fatalf("seed %d: calls at %v, want the first by %v and the last near %v", seed, calls, firstPollWithin, due)
 		}
 		second[calls[1]/time.Second]++
 	}
@@ -159,7 +159,7 @@
 
 // Few balancers subscribe at once, many one after the other and all in time.
 func TestSubscriptionsOfALargeFleetAreStaggered(t *testing.T) {
-	for balancers, want := range map[int]time.Duration{5: 0, 25: 0, 80: 2200 * ms, 300: staggerMost, 900: staggerMost} {
+	for balancers, want := range map[int]time.Duration{5: 0, 25: 0, 80: 2200 * ms, 300: maxStagger, 900: maxStagger} {
 		if got := SubscribeDelay(balancers); got != want {
 			t.Errorf("%d balancers: %v, want %v", balancers, got, want)
 		}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -15,7 +15,7 @@
 		t.Fatalf("walls: slots %d %d, places %d %d", b.SlotsFree(0), b.SlotsFree(1), b.QueueFree(0), b.QueueFree(1))
 	}
 	for id := range RequestID(10) {
-		ask(b, 0, id, safeClass)
+		ask(b, 0, id, idempotentClass)
 	}
 	if len(h.sends) != 6 || b.QueueFree(0) != 0 {
 		t.Fatalf("sent %d, queue places free %d; want 6 and 0", len(h.sends), b.QueueFree(0))
@@ -26,7 +26,7 @@
 	if b.SlotsFree(1) != 2 {
 		t.Fatalf("tenant 1 lost slots to tenant 0")
 	}
-	b.Request(0, Request{ID: 20, Class: safeClass, Tenant: 1, TimeLeft: 2 * time.Second})
+	b.Request(0, Request{ID: 20, Class: idempotentClass, Tenant: 1, TimeLeft: 2 * time.Second})
 	if len(h.sends) != 7 {
 		t.Fatalf("the other compartment did not send past the full one")
 	}
@@ -36,10 +36,10 @@
 	}
 }
 
-// firstTries lets a Balancer see what time left most requests come with.
-func firstTries(b *Balancer, left time.Duration) {
+// firstAttempts lets a Balancer see what time left most requests come with.
+func firstAttempts(b *Balancer, left time.Duration) {
 	for i := range RequestID(20) {
-		b.Request(0, Request{ID: 1000 + i, Class: safeClass, TimeLeft: left})
+		b.Request(0, Request{ID: 1000 + i, Class: idempotentClass, TimeLeft: left})
 		b.Outcome(0, Outcome{ID: 1000 + i, Ending: Served, Settled: true})
 	}
 }
@@ -56,7 +56,7 @@
 		if last {
 			left = 1800 * ms
 		}
-		b.Request(now, Request{ID: id, Class: safeClass, TimeLeft: left})
+		b.Request(now, Request{ID: id, Class: idempotentClass, TimeLeft: left})
 		end(b, now+5*ms, id, 0, Served)
 		switch timeout := h.sends[len(h.sends)-1].timeout; {
 		case id < 50:
@@ -76,18 +76,20 @@
 // Guards against this: a client's later tries are served when nothing can be earned by them any more.
 func TestLateTriesGiveWay(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
-	firstTries(b, 2800*ms) // come with this much of the class's 3 s
+	firstAttempts(b, 2800*ms) // come with this much of the class's 3 s
 	h.sends = nil
-	left := func(id RequestID, d time.Duration) { b.Request(0, Request{ID: id, Class: safeClass, TimeLeft: d}) }
+	left := func(id RequestID, d time.Duration) {
+		b.Request(0, Request{ID: id, Class: idempotentClass, TimeLeft: d})
+	}
 	left(1, 2800*ms)
 	left(2, 2500*ms) // begun half a second ago
 	left(3, 1500*ms) // begun 1.5 s ago, late already, but answers are quick
 	if len(h.sends) != 3 || h.sends[1].timeout != 500*ms || h.sends[2].timeout != 1500*ms {
 		t.Fatalf("sends %v: want the second cut to what is left of its aim, and the third served", h.sends)
 	}
-	ask(b, 0, 5, safeClass)
-	ask(b, 0, 6, safeClass)
-	ask(b, 0, 7, safeClass) // all slots of the tenant are used
+	ask(b, 0, 5, idempotentClass)
+	ask(b, 0, 6, idempotentClass)
+	ask(b, 0, 7, idempotentClass) // all slots of the tenant are used
 	left(4, 1500*ms)
 	if _, refused := h.refused[4]; !refused {
 		t.Fatal("a late try took a queue place")
@@ -103,7 +105,7 @@
 		if id >= 20 {
 			left = 2200 * ms
 		}
-		b.Request(now, Request{ID: id, Class: safeClass, TimeLeft: left})
+		b.Request(now, Request{ID: id, Class: idempotentClass, TimeLeft: left})
 		end(b, now+5*ms, id, 0, Served)
 	}
 	if last := h.sends[len(h.sends)-1]; last.timeout != time.Second {
@@ -115,11 +117,11 @@
 	cfg := testConfig()
 	cfg.ClientsMarkRetries = true
 	b, h := start(t, cfg, ready(1, 2))
-	firstTries(b, 2800*ms)
+	firstAttempts(b, 2800*ms)
 	h.sends = nil
-	b.Request(0, Request{ID: 1, Class: safeClass, TimeLeft: 2800 * ms})
-	b.Request(0, Request{ID: 2, Class: safeClass, TimeLeft: 2500 * ms})
-	b.Request(0, Request{ID: 3, Class: safeClass, TimeLeft: 2500 * ms, ClientRetry: true})
+	b.Request(0, Request{ID: 1, Class: idempotentClass, TimeLeft: 2800 * ms})
+	b.Request(0, Request{ID: 2, Class: idempotentClass, TimeLeft: 2500 * ms})
+	b.Request(0, Request{ID: 3, Class: idempotentClass, TimeLeft: 2500 * ms, ClientRetry: true})
 	if h.sends[1].timeout != time.Second || h.sends[2].timeout != 500*ms {
 		t.Fatalf("sends %v: want only the marked one cut", h.sends)
 	}
@@ -127,7 +129,7 @@
 
 func TestQueuedRequestIsRefusedBeforeItsAimIsLost(t *testing.T) {
 	b, h := start(t, testConfig(), nil) // no server at all: held, then refused in time
-	ask(b, 0, 1, unsafeClass)
+	ask(b, 0, 1, nonIdempotentClass)
 	if len(h.refused) != 0 {
 		t.Fatal("refused at once, though the queue has room")
 	}
@@ -143,7 +145,7 @@
 // every other request times out at servers that have lost capacity.
 func TestWaitEndsWhileAnAnswerCanStillCome(t *testing.T) {
 	b, h := start(t, testConfig(), nil)
-	ask(b, 0, 1, safeClass) // an aim of 1 s, answers usually take 125 ms
+	ask(b, 0, 1, idempotentClass) // an aim of 1 s, answers usually take 125 ms
 	b.Wake(740 * ms)
 	if len(h.refused) != 0 {
 		t.Fatal("refused with over twice the usual time left")
@@ -160,7 +162,7 @@
 	b, h := start(t, testConfig(), list)
 	for id := range RequestID(40) {
 		now := time.Duration(id) * 20 * ms
-		ask(b, now, id, safeClass)
+		ask(b, now, id, idempotentClass)
 		end(b, now+10*ms, id, 0, Served)
 	}
 	if h.sentTo(1) != 10 || h.sentTo(2) != 10 || h.sentTo(3) != 20 {
@@ -176,7 +178,7 @@
 	b, h := start(t, testConfig(), list)
 	for id := range RequestID(10) {
 		now := time.Duration(id) * 20 * ms
-		ask(b, now, id, safeClass)
+		ask(b, now, id, idempotentClass)
 		end(b, now+10*ms, id, 0, Served)
 	}
 	if h.sentTo(1) != 5 || h.sentTo(2) != 5 {
@@ -188,9 +190,9 @@
 	cfg := testConfig()
 	cfg.Classes[1].LateShare = 0.5
 	b, h := start(t, cfg, ready(1, 2))
-	ask(b, 0, 1, safeClass)
-	ask(b, 0, 2, keyedAll)
-	b.Request(0, Request{ID: 3, Class: keyedCell, TimeLeft: 300 * ms})
+	ask(b, 0, 1, idempotentClass)
+	ask(b, 0, 2, keyedAllClass)
+	b.Request(0, Request{ID: 3, Class: keyedCellClass, TimeLeft: 300 * ms})
 	if got := h.sends[0].timeout; got != time.Second {
 		t.Errorf("time-out %v, want the aim", got)
 	}
@@ -210,15 +212,15 @@
 		again bool
 		fails bool // where it is not sent again
 	}{
-		{"safe after an error", safeClass, Errored, true, false},
-		{"keyed after a reset", keyedAll, Broken, true, false},
-		{"unsafe turned away", unsafeClass, Rejected, true, false},
-		{"unsafe without a connection", unsafeClass, NoConnection, true, false},
-		{"unsafe never sent", unsafeClass, NotSent, true, false},
-		{"unsafe after an error", unsafeClass, Errored, false, true},
-		{"unsafe after a reset", unsafeClass, Broken, false, true},
-		{"unsafe after a time-out", unsafeClass, TimedOut, false, true},
-		{"unsafe after an unknown end", unsafeClass, Ending(99), false, true},
+		{"safe after an error", idempotentClass, Errored, true, false},
+		{"keyed after a reset", keyedAllClass, Broken, true, false},
+		{"unsafe turned away", nonIdempotentClass, Rejected, true, false},
+		{"unsafe without a connection", nonIdempotentClass, NoConnection, true, false},
+		{"unsafe never sent", nonIdempotentClass, NotSent, true, false},
+		{"unsafe after an error", nonIdempotentClass, Errored, false, true},
+		{"unsafe after a reset", nonIdempotentClass, Broken, false, true},
+		{"unsafe after a time-out", nonIdempotentClass, TimedOut, false, true},
+		{"unsafe after an unknown end", nonIdempotentClass, Ending(99), false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b, h := start(t, testConfig(), ready(1, 2, 3))
@@ -239,7 +241,7 @@
 
 func TestAttemptsLimitThenRefusal(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5))
-	ask(b, 0, 1, unsafeClass)
+	ask(b, 0, 1, nonIdempotentClass)
 	for i := range 3 {
 		end(b, time.Duration(i+1)*ms, 1, i, NoConnection)
 	}
@@ -255,10 +257,10 @@
 	}
 	byID := func(id ServerID) Endpoint { return list[id-1] }
 	for id := range RequestID(8) { // the turns make the first attempt meet every server
-		for _, class := range []int{keyedZone, keyedCell} {
+		for _, class := range []int{keyedZoneClass, keyedCellClass} {
 			b, h := start(t, testConfig(), list)
 			for warm := range id {
-				ask(b, 0, 100+warm, safeClass)
+				ask(b, 0, 100+warm, idempotentClass)
 				end(b, ms, 100+warm, 0, Served)
 			}
 			h.sends = nil
@@ -266,13 +268,13 @@
 			first := byID(h.sends[0].to)
 			end(b, 30*ms, 1, 0, Broken)
 			if len(h.sends) < 2 {
-				if class == keyedZone || first.Zone == 1 {
+				if class == keyedZoneClass || first.Zone == 1 {
 					t.Fatalf("class %d from server %d was not sent again", class, first.ID)
 				}
 				continue // alone in its cell
 			}
 			second := byID(h.sends[1].to)
-			if second.Zone != first.Zone || (class == keyedCell && second.Cell != first.Cell) {
+			if second.Zone != first.Zone || (class == keyedCellClass && second.Cell != first.Cell) {
 				t.Fatalf("class %d went from server %d to %d, outside its group", class, first.ID, second.ID)
 			}
 		}
@@ -285,12 +287,12 @@
 	b, h := start(t, testConfig(), list)
 	for h.sentTo(1) == 0 || len(h.sends) == 0 || h.sends[len(h.sends)-1].to != 1 {
 		id := RequestID(100 + len(h.sends))
-		ask(b, 0, id, safeClass)
+		ask(b, 0, id, idempotentClass)
 		end(b, ms, id, 0, Served)
 	}
 	b.List(ms, ListDelta, []Endpoint{{ID: 3, State: Removed}})
 	h.sends = nil
-	ask(b, 2*ms, 1, keyedZone) // it is the turn of server 2, in zone 1
+	ask(b, 2*ms, 1, keyedZoneClass) // it is the turn of server 2, in zone 1
 	if h.sends[0].to != 2 {
 		t.Fatalf("set-up: first attempt went to %d", h.sends[0].to)
 	}
@@ -306,12 +308,12 @@
 
 func TestKeyedWindowAndRefusal(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2, 3))
-	ask(b, 0, 1, keyedAll)
+	ask(b, 0, 1, keyedAllClass)
 	end(b, 700*ms, 1, 0, Errored) // the window of 700 ms since its send is over
 	if _, refused := h.refused[1]; len(h.sends) != 1 || !refused {
 		t.Fatalf("sends %d, refused %v; want 1 and a refusal, as all servers drop repeats", len(h.sends), refused)
 	}
-	ask(b, 800*ms, 2, keyedZone)
+	ask(b, 800*ms, 2, keyedZoneClass)
 	end(b, 1500*ms, 2, 0, Errored)
 	if !h.failed[2] {
 		t.Fatal("a keyed request that may have run, with a group of one zone, must be failed and not refused")
@@ -323,7 +325,7 @@
 		b, h := start(t, testConfig(), ready(1, 2))
 		b.List(10*ms, ListDelta, []Endpoint{{ID: 1, State: state, Weight: 1}})
 		for id := range RequestID(10) {
-			ask(b, 10*ms, id, safeClass)
+			ask(b, 10*ms, id, idempotentClass)
 			end(b, 20*ms, id, 0, Served)
 		}
 		if h.sentTo(1) != 0 || h.sentTo(2) != 10 {
@@ -333,7 +335,7 @@
 	b, h := start(t, testConfig(), ready(1, 2))
 	b.List(10*ms, ListFull, ready(2)) // absent from a full list
 	for id := range RequestID(4) {
-		ask(b, 10*ms, id, safeClass)
+		ask(b, 10*ms, id, idempotentClass)
 	}
 	if h.sentTo(1) != 0 {
 		t.Fatal("sent to a server that left the full list")
@@ -352,7 +354,7 @@
 		sends := map[bool]int{} // by whether in the first window
 		for now := 10 * time.Second; now < 20*time.Second; now += 2 * ms {
 			before := h.sentTo(1)
-			ask(b, now, id, safeClass)
+			ask(b, now, id, idempotentClass)
 			end(b, now+ms, id, 0, Served)
 			id++
 			if h.sentTo(1) > before && now < 11*time.Second {
@@ -375,14 +377,14 @@
 	b, h := start(t, testConfig(), ready(1, 2, 3))
 	now := time.Duration(0)
 	for id := range RequestID(300) {
-		ask(b, now, id, safeClass)
+		ask(b, now, id, idempotentClass)
 		if last := h.sends[len(h.sends)-1]; last.id == id && last.to != 1 {
 			end(b, now+5*ms, id, 0, Served)
 		}
 		now += 10 * ms
 		b.Wake(now)
 		for i := range h.sends { // server 1 answers nothing: time-outs after the aim
-			if s := h.sends[i]; s.to == 1 && b.requests[s.id] != nil && b.requests[s.id].attempts[0].sent+s.timeout <= now {
+			if s := h.sends[i]; s.to == 1 && b.requests[s.id] != nil && b.requests[s.id].attempts[0].sentAt+s.timeout <= now {
 				end(b, now, s.id, 0, TimedOut)
 			}
 		}
@@ -400,7 +402,7 @@
 	b, h := start(t, testConfig(), ready(1, 2))
 	for id := range RequestID(100) {
 		now := time.Duration(id) * 20 * ms
-		ask(b, now, id, unsafeClass) // never sent again after an error
+		ask(b, now, id, nonIdempotentClass) // never sent again after an error
 		end(b, now+5*ms, id, 0, map[bool]Ending{true: Errored, false: Served}[h.sends[len(h.sends)-1].to == 1])
 	}
 	if n := h.sentTo(1); n < 3 || n > 5 {
@@ -413,35 +415,35 @@
 	b, h := start(t, testConfig(), ready(1, 2))
 	id, now := RequestID(0), time.Duration(0)
 	for ; h.sentTo(1) == 0; id++ {
-		ask(b, now, id, safeClass)
+		ask(b, now, id, idempotentClass)
 		end(b, now, id, 0, map[bool]Ending{true: NoConnection, false: Served}[h.sends[len(h.sends)-1].to == 1])
 		end(b, now, id, 1, Served)
 	}
-	if !b.server(1).unwell {
+	if !b.server(1).outlier {
 		t.Fatal("no connection, and still held to be well")
 	}
 	before := h.sentTo(1)
 	for ; now < 3*time.Second; id++ {
 		now += 20 * ms
 		b.Wake(now)
-		ask(b, now, id, safeClass)
+		ask(b, now, id, idempotentClass)
 		end(b, now+5*ms, id, 0, Served)
 	}
-	if b.server(1).unwell || h.sentTo(1) < before+10 {
-		t.Fatalf("unwell %v, sends since %d", b.server(1).unwell, h.sentTo(1)-before)
+	if b.server(1).outlier || h.sentTo(1) < before+10 {
+		t.Fatalf("unwell %v, sends since %d", b.server(1).outlier, h.sentTo(1)-before)
 	}
 }
 
 func TestAllUnwellStillServes(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
-	ask(b, 0, 1, safeClass)
+	ask(b, 0, 1, idempotentClass)
 	end(b, 0, 1, 0, NoConnection)
 	end(b, 0, 1, 1, NoConnection)
-	if b.well != 0 {
+	if b.healthyWeight != 0 {
 		t.Fatal("set-up: a server is still held to be well")
 	}
 	n := len(h.sends)
-	ask(b, ms, 2, unsafeClass)
+	ask(b, ms, 2, nonIdempotentClass)
 	if len(h.sends) != n+1 {
 		t.Fatal("nothing is sent while all servers are judged unwell")
 	}
@@ -452,9 +454,9 @@
 func TestSlowServerHoldsLess(t *testing.T) {
 	b, _ := start(t, testConfig(), ready(1, 2))
 	for range 50 {
-		b.server(1).used += (0.8*0.8 - b.server(1).used) / 8
+		b.server(1).objectiveUse += (0.8*0.8 - b.server(1).objectiveUse) / 8
 	}
-	if slow, well := b.portion(b.server(1)), b.portion(b.server(2)); slow != 1 || well != 4 {
+	if slow, well := b.inFlightLimit(b.server(1)), b.inFlightLimit(b.server(2)); slow != 1 || well != 4 {
 		t.Fatalf("portions %v and %v, want 1 and 4", slow, well)
 	}
 }
@@ -465,20 +467,20 @@
 	cfg.MayProbe, cfg.LoadReports = true, true
 	b, h := start(t, cfg, ready(1, 2))
 	b.Probed(ms, 1, true, LoadReport{InFlight: 50})
-	for id := range RequestID(2 * probeEvery) {
-		ask(b, ms, id, safeClass)
+	for id := range RequestID(2 * probeInterval) {
+		ask(b, ms, id, idempotentClass)
 		end(b, ms, id, 0, Served)
 	}
-	if h.sentTo(1) != 0 || h.sentTo(2) != 2*probeEvery {
+	if h.sentTo(1) != 0 || h.sentTo(2) != 2*probeInterval {
 		t.Fatalf("sent %d to the full server", h.sentTo(1))
 	}
 	if len(h.probes) != 2 {
-		t.Fatalf("%d probes for %d requests, want 2", len(h.probes), 2*probeEvery)
+		t.Fatalf("%d probes for %d requests, want 2", len(h.probes), 2*probeInterval)
 	}
 	b.Probed(2*ms, 9, true, LoadReport{InFlight: 1}) // a server not listed
 	b.Probed(2*ms, 9, false, UnknownLoad)            // nor probed with success
 	for id := RequestID(10); id < 12; id++ {
-		ask(b, 2*time.Second, id, safeClass) // the report is old by now
+		ask(b, 2*time.Second, id, idempotentClass) // the report is old by now
 	}
 	if h.sentTo(1) == 0 {
 		t.Fatal("an old report still bars the server")
@@ -492,14 +494,14 @@
 	b, h := start(t, cfg, ready(1, 2, 3, 4))
 	b.List(ms, ListFull, ready(1))
 	for id := range RequestID(6) {
-		ask(b, ms, id, safeClass)
+		ask(b, ms, id, idempotentClass)
 	}
 	if h.sentTo(1) != 2 {
 		t.Fatalf("%d of 8 slots at the last of four servers, want its portion of 2", h.sentTo(1))
 	}
 	b.Probed(2*ms, 1, true, LoadReport{InFlight: 6}) // 12 at the quotas, a fourth of it at one server
 	end(b, 3*ms, h.sends[0].id, 0, Served)
-	ask(b, 3*ms, 10, safeClass)
+	ask(b, 3*ms, 10, idempotentClass)
 	if h.sentTo(1) != 2 {
 		t.Fatal("the last of four servers may hold more than a fourth and two of the whole fleet's attempts")
 	}
@@ -512,13 +514,13 @@
 	list := ready(1, 2, 3)
 	list[2].Zone = 1
 	b, h := start(t, cfg, list)
-	ask(b, 0, 1, safeClass)
-	ask(b, 0, 2, safeClass)
+	ask(b, 0, 1, idempotentClass)
+	ask(b, 0, 2, idempotentClass)
 	if h.sentTo(3) != 2 {
 		t.Fatalf("sends %v, want both near", h.sends)
 	}
 	for id := RequestID(3); id < 8; id++ {
-		ask(b, 0, id, safeClass)
+		ask(b, 0, id, idempotentClass)
 	}
 	if h.sentTo(1)+h.sentTo(2) == 0 {
 		t.Fatal("nothing was sent to the other zone though the near server holds its portion")
@@ -529,15 +531,15 @@
 	cfg := testConfig()
 	cfg.PollList = true
 	b, h := start(t, cfg, ready(1))
-	if h.asks != 1 {
-		t.Fatalf("asked %d times at the start", h.asks)
+	if h.watches != 1 {
+		t.Fatalf("asked %d times at the start", h.watches)
 	}
 	gaps, last, asked := []time.Duration{}, time.Duration(0), 1
 	b.List(0, ListFailed, nil)
 	for now := 10 * ms; now < 40*time.Second; now += 10 * ms {
 		b.Wake(now)
-		if h.asks > asked {
-			asked = h.asks
+		if h.watches > asked {
+			asked = h.watches
 			gaps = append(gaps, now-last)
 			last = now
 			b.List(now, ListFailed, nil)
@@ -553,7 +555,7 @@
 	for now := 40 * time.Second; now < 60*time.Second; now += 10 * ms {
 		b.Wake(now)
 	}
-	if h.asks != asked {
+	if h.watches != asked {
 		t.Fatal("asks again though it is subscribed")
 	}
 }
@@ -567,7 +569,7 @@
 	for now := time.Duration(0); now < cfg.PollDeadline; now += 50 * ms {
 		b.Wake(now)
 	}
-	if h.asks < 2 {
+	if h.watches < 2 {
 		t.Fatal("silence of the list service would have counted as being told")
 	}
 }
@@ -582,8 +584,8 @@
 	for now := time.Duration(0); now < 10*time.Second; now += 50 * ms {
 		b.Wake(now)
 	}
-	if h.asks != 3 {
-		t.Fatalf("asked %d times in 10 s, want at the start and every 4 s", h.asks)
+	if h.watches != 3 {
+		t.Fatalf("asked %d times in 10 s, want at the start and every 4 s", h.watches)
 	}
 }
 
@@ -597,8 +599,8 @@
 	if len(h.refused) != 5 || len(h.sends) != 0 {
 		t.Fatalf("refused %d, sent %d; want 5 and 0", len(h.refused), len(h.sends))
 	}
-	ask(b, 0, 6, safeClass)
-	ask(b, 0, 6, safeClass) // held already
+	ask(b, 0, 6, idempotentClass)
+	ask(b, 0, 6, idempotentClass) // held already
 	end(b, 0, 6, 3, Served)
 	end(b, 0, 6, -1, Served)
 	end(b, 0, 77, 0, Served)
@@ -616,7 +618,7 @@
 
 func TestClientGoneFreesAndForgets(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1))
-	ask(b, 0, 1, safeClass)
+	ask(b, 0, 1, idempotentClass)
 	b.ClientGone(ms, 1)
 	if len(h.cancelled) != 1 || b.SlotsFree(0) != 5 {
 		t.Fatal("the attempt was not called off, or its slot freed before it ended")
@@ -629,7 +631,7 @@
 
 func TestStreamIsLeftAlone(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
-	ask(b, 0, 1, safeClass)
+	ask(b, 0, 1, idempotentClass)
 	b.StreamBegun(1)
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * ms {
 		b.Wake(now)
@@ -647,7 +649,7 @@
 	b, _ := start(t, testConfig(), ready(1, 2))
 	for id := range RequestID(20000) {
 		now := time.Duration(id) * 5 * ms
-		ask(b, now, id, safeClass)
+		ask(b, now, id, idempotentClass)
 		switch id % 3 {
 		case 0:
 			end(b, now+ms, id, 0, Served)
@@ -665,9 +667,9 @@
 		b.Wake(now + 3*ms)
 	}
 	b.Wake(time.Hour)
-	if len(b.requests) > 3 || len(b.open) > 3 || len(b.servers) != 2 || cap(b.open) > 100 {
+	if len(b.requests) > 3 || len(b.openRequests) > 3 || len(b.servers) != 2 || cap(b.openRequests) > 100 {
 		t.Fatalf("held: %d requests, %d open (room for %d), %d servers",
-			len(b.requests), len(b.open), cap(b.open), len(b.servers))
+			len(b.requests), len(b.openRequests), cap(b.openRequests), len(b.servers))
 	}
 }
 
@@ -677,9 +679,9 @@
 	for _, balancers := range []int{1, 4, 64} {
 		cfg.Balancers = balancers
 		b, _ := start(t, cfg, ready(1))
-		whole := 100*1*slotAim + 2*spread*math.Sqrt(100*slotAim) + 2
-		if b.slots < 2 || float64(b.slots) > whole {
-			t.Errorf("%d balancers: %d slots, want 2 to %.0f", balancers, b.slots, whole)
+		whole := 100*1*slotObjectiveShare + 2*slotDeviations*math.Sqrt(100*slotObjectiveShare) + 2
+		if b.totalSlots < 2 || float64(b.totalSlots) > whole {
+			t.Errorf("%d balancers: %d slots, want 2 to %.0f", balancers, b.totalSlots, whole)
 		}
 		if b.SlotsFree(0) < b.SlotsFree(1) || b.QueueFree(1) < 1 {
 			t.Errorf("%d balancers: compartments %d and %d", balancers, b.SlotsFree(0), b.SlotsFree(1))
@@ -688,8 +690,8 @@
 	cfg.Tenants, cfg.Balancers = nil, 4 // no tenants and no quota: one compartment, sized by the first list
 	b, h := start(t, cfg, ready(1, 2))
 	b.Request(0, Request{ID: 1, TimeLeft: time.Second})
-	if len(b.parts) != 1 || b.slots != 11 || len(h.sends) != 1 {
-		t.Fatalf("without tenants: %d compartments, %d slots, %d sends", len(b.parts), b.slots, len(h.sends))
+	if len(b.bulkheads) != 1 || b.totalSlots != 11 || len(h.sends) != 1 {
+		t.Fatalf("without tenants: %d compartments, %d slots, %d sends", len(b.bulkheads), b.totalSlots, len(h.sends))
 	}
 }
 
@@ -742,7 +744,7 @@
 		b.List(10*time.Second, ListDelta, list[:1])
 		for id := range RequestID(20) {
 			now := 10*time.Second + time.Duration(id)*100*ms
-			ask(b, now, id, safeClass)
+			ask(b, now, id, idempotentClass)
 			end(b, now+ms, id, 0, Served)
 		}
 		sends += h.sentTo(1)
@@ -765,7 +767,7 @@
 		b, h := start(t, cfg, list)
 		cells := map[int]bool{}
 		for _, s := range b.servers {
-			if !b.spared(s) {
+			if !b.outsideSubset(s) {
 				cells[s.Cell] = true
 			}
 		}
@@ -775,14 +777,14 @@
 		to := map[ServerID]bool{}
 		for id := range RequestID(100) {
 			now := time.Duration(id) * 100 * ms
-			ask(b, now, id, safeClass)
+			ask(b, now, id, idempotentClass)
 			end(b, now+20*ms, id, 0, Served)
 			to[h.sends[len(h.sends)-1].to] = true
 		}
 		return len(to)
 	}
 	for _, price := range []float64{0.02, 0} { // of crossing zones: there may be one zone, or it may be free
-		if n := reached(thinConfig(), price); n < 4 || n > 10 {
+		if n := reached(lowTrafficConfig(), price); n < 4 || n > 10 {
 			t.Errorf("price %v: %d of 20 servers used where traffic is thin, want one of each cell and half at most", price, n)
 		}
 	}
@@ -811,7 +813,7 @@
 // forgotten at once, servers that are out for a moment would leave the others overrun.
 func TestOverlapOfReplacementsIsForgotten(t *testing.T) {
 	b, _ := start(t, testConfig(), ready(1, 2))
-	portion := func() float64 { return b.portion(b.server(1)) }
+	portion := func() float64 { return b.inFlightLimit(b.server(1)) }
 	alone := portion()
 	b.List(time.Second, ListFull, ready(1, 2, 3, 4))
 	overlap := portion()
@@ -828,22 +830,22 @@
 // rest. One that breaks all it gets must lose it all the same.
 func TestOneBrokenConnectionIsChance(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1))
-	ask(b, 0, 1, unsafeClass)
+	ask(b, 0, 1, nonIdempotentClass)
 	end(b, ms, 1, 0, Broken)
-	if b.server(1).unwell {
+	if b.server(1).outlier {
 		t.Error("unwell by one broken connection")
 	}
-	ask(b, 2*ms, 2, safeClass)
+	ask(b, 2*ms, 2, idempotentClass)
 	end(b, 3*ms, 2, 0, Served)
-	ask(b, 4*ms, 3, unsafeClass)
+	ask(b, 4*ms, 3, nonIdempotentClass)
 	end(b, 5*ms, 3, 0, Broken)
-	if b.server(1).unwell {
+	if b.server(1).outlier {
 		t.Error("unwell though it answered between two broken connections")
 	}
-	ask(b, 6*ms, 4, unsafeClass)
+	ask(b, 6*ms, 4, nonIdempotentClass)
 	end(b, 7*ms, 4, 0, Broken)
-	if !b.server(1).unwell || len(h.sends) != 4 {
-		t.Errorf("after two in a row: unwell %v, %d sends", b.server(1).unwell, len(h.sends))
+	if !b.server(1).outlier || len(h.sends) != 4 {
+		t.Errorf("after two in a row: unwell %v, %d sends", b.server(1).outlier, len(h.sends))
 	}
 }
 
@@ -851,17 +853,17 @@
 func TestConnectionsBrokenAtOnceAreOneEvent(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1))
 	for id := range RequestID(3) {
-		ask(b, 0, id, unsafeClass)
+		ask(b, 0, id, nonIdempotentClass)
 	}
 	for id := range RequestID(3) {
 		end(b, ms+time.Duration(id)*100*time.Microsecond, id, 0, Broken)
 	}
-	if len(h.sends) != 3 || b.server(1).unwell {
-		t.Errorf("%d were out as the connections broke, unwell %v", len(h.sends), b.server(1).unwell)
+	if len(h.sends) != 3 || b.server(1).outlier {
+		t.Errorf("%d were out as the connections broke, unwell %v", len(h.sends), b.server(1).outlier)
 	}
-	ask(b, 2*ms, 9, unsafeClass)
+	ask(b, 2*ms, 9, nonIdempotentClass)
 	end(b, 3*ms, 9, 0, Broken)
-	if !b.server(1).unwell {
+	if !b.server(1).outlier {
 		t.Error("well, though the next one broke too")
 	}
 }
@@ -872,18 +874,18 @@
 	cfg := testConfig()
 	cfg.MayProbe, cfg.LoadReports = true, true
 	b, h := start(t, cfg, ready(1, 2))
-	room := b.part(b.mean, b.server(1))
+	room := b.weightShare(b.expectedInFlight, b.server(1))
 	for _, id := range []ServerID{1, 2} {
 		b.Probed(0, id, true, LoadReport{InFlight: room + 1})
 	}
-	ask(b, ms, 1, safeClass)
+	ask(b, ms, 1, idempotentClass)
 	if len(h.sends) != 1 {
 		t.Error("nothing is sent with a place free at each server")
 	}
 	for _, id := range []ServerID{1, 2} {
 		b.Probed(2*ms, id, true, LoadReport{InFlight: room + 4})
 	}
-	ask(b, 3*ms, 2, safeClass)
+	ask(b, 3*ms, 2, idempotentClass)
 	if len(h.sends) != 1 {
 		t.Error("sent to servers that report to be full")
 	}
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -18,14 +18,14 @@
 	list := ready(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)
 	for balancers, thin := range map[int]bool{1: false, 6: false, 300: true} {
 		b, _ := start(t, withoutQuotas(balancers), list)
-		if b.thin != thin {
-			t.Errorf("%d balancers without quotas: thin %v, want %v", balancers, b.thin, thin)
+		if b.lowTraffic != thin {
+			t.Errorf("%d balancers without quotas: thin %v, want %v", balancers, b.lowTraffic, thin)
 		}
 	}
 	b, h := start(t, withoutQuotas(6), list)
 	for id := range RequestID(400) { // answers that take much of the aim
 		now := time.Duration(id) * 50 * ms
-		ask(b, now, id, unsafeClass)
+		ask(b, now, id, nonIdempotentClass)
 		if n := len(h.sends); n == 0 || h.sends[n-1].id != id {
 			t.Fatalf("request %d was not sent though nothing else is under way", id)
 		}
@@ -48,8 +48,8 @@
 		cfg.SlowStartWindow = time.Hour // it does not warm meanwhile
 		b, _ := start(t, cfg, ready(1, 2, 3, 4, 5, 6, 7, 8))
 		b.List(time.Second, ListDelta, []Endpoint{{ID: 1, State: Ready, Weight: 1, Started: time.Second}})
-		b.thin = false // all of them use it
-		return float64(balancers) / b.coldGap(time.Second, b.server(1)).Seconds()
+		b.lowTraffic = false // all of them use it
+		return float64(balancers) / b.slowStartInterval(time.Second, b.server(1)).Seconds()
 	}
 	few, many := sum(8), sum(80) // of 8 servers
 	if many > few*1.3 || few <= 0 {
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -17,7 +17,7 @@
 	b       *Balancer
 	now     time.Duration
 	next    RequestID
-	held    map[RequestID]*asked
+	held    map[RequestID]*heldRequest
 	order   []RequestID // ids of held, in order, so that a run can be repeated
 	listed  map[ServerID]Endpoint
 	trace   []string
@@ -28,22 +28,22 @@
 	slots   []int      // of each compartment
 }
 
-// asked is what the world knows of one request.
-type asked struct {
+// heldRequest is what the world knows of one request.
+type heldRequest struct {
 	q        Request
 	deadline time.Duration
-	tries    []tried
+	tries    []worldAttempt
 	answered bool
 }
 
-type tried struct {
+type worldAttempt struct {
 	to   Endpoint
 	sent time.Duration
 	end  Ending
 	out  bool
 }
 
-func (a *asked) mayHaveRun() *tried {
+func (a *heldRequest) mayHaveRun() *worldAttempt {
 	for i := range a.tries {
 		if e := a.tries[i].end; a.tries[i].out || (e != Rejected && e != NoConnection && e != NotSent) {
 			return &a.tries[i]
@@ -86,7 +86,7 @@
 		}
 	}
 	w.watchCold(s)
-	a.tries = append(a.tries, tried{to: s, sent: w.now, out: true})
+	a.tries = append(a.tries, worldAttempt{to: s, sent: w.now, out: true})
 }
 
 // watchCold checks that this balancer keeps to its even part of a cold server's budget in any
@@ -114,7 +114,7 @@
 	}
 }
 
-func (w *world) answer(id RequestID) *asked {
+func (w *world) answer(id RequestID) *heldRequest {
 	a := w.held[id]
 	if a == nil || a.answered {
 		w.t.Fatalf("rule 1: second answer for request %d, or one for a request not held", id)
@@ -150,7 +150,7 @@
 	cfg.PollList, cfg.MayProbe, cfg.LoadReports = true, true, pick(2) == 0
 	cfg.Balancers = []int{2, 1000}[pick(2)] // many: traffic too thin to know servers by
 	cfg.CrossZoneCost = float64(pick(2)) * 0.02
-	w := &world{t: t, cfg: cfg, held: map[RequestID]*asked{}, listed: map[ServerID]Endpoint{}, now: time.Hour}
+	w := &world{t: t, cfg: cfg, held: map[RequestID]*heldRequest{}, listed: map[ServerID]Endpoint{}, now: time.Hour}
 	w.cold = map[ServerID][]time.Duration{}
 	b, err := New(cfg, uint64(pick(1000)), w)
 	if err != nil {
@@ -194,7 +194,7 @@
 		if pick(8) == 0 {
 			q.TimeLeft /= 1000 // as good as none left
 		}
-		w.held[q.ID] = &asked{q: q, deadline: w.now + q.TimeLeft}
+		w.held[q.ID] = &heldRequest{q: q, deadline: w.now + q.TimeLeft}
 		w.order = append(w.order, q.ID)
 		w.b.Request(w.now, q)
 	case 3, 4, 5:
@@ -317,7 +317,7 @@
 	if len(w.order) > 60 { // forget what is over
 		w.order = slices.DeleteFunc(w.order, func(id RequestID) bool {
 			a := w.held[id]
-			over := a.answered && !slices.ContainsFunc(a.tries, func(tr tried) bool { return tr.out })
+			over := a.answered && !slices.ContainsFunc(a.tries, func(tr worldAttempt) bool { return tr.out })
 			if over {
 				delete(w.held, id)
 			}
@@ -381,14 +381,14 @@
 		{"an answer far too late", "rule 1", func(w *world) { w.now += 3 * time.Second; w.Fail(1) }},
 		{"an unsafe request twice", "rule 2", func(w *world) { w.Send(1, 1, ms, 0); w.Send(1, 1, ms, 0) }},
 		{"a keyed request again after its window", "rule 2", func(w *world) {
-			w.held[1].q.Class = keyedAll
+			w.held[1].q.Class = keyedAllClass
 			w.Send(1, 1, ms, 0)
-			w.Send(1, 1, ms, w.cfg.Classes[keyedAll].DedupWindow+ms)
+			w.Send(1, 1, ms, w.cfg.Classes[keyedAllClass].DedupWindow+ms)
 		}},
 		{"a refusal of what may have run", "rule 2", func(w *world) { w.Send(1, 1, ms, 0); w.Refuse(1, 0) }},
 		{"a burst to a cold server", "rule 4", func(w *world) {
 			for id := RequestID(10); id < 60; id++ {
-				w.held[id] = &asked{q: Request{ID: id}, deadline: w.now + time.Second}
+				w.held[id] = &heldRequest{q: Request{ID: id}, deadline: w.now + time.Second}
 				w.Send(id, 3, ms, 0)
 			}
 		}},
@@ -397,11 +397,11 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := &caught{TB: t}
-			w := &world{t: c, cfg: testConfig(), held: map[RequestID]*asked{}, listed: map[ServerID]Endpoint{}}
+			w := &world{t: c, cfg: testConfig(), held: map[RequestID]*heldRequest{}, listed: map[ServerID]Endpoint{}}
 			w.now, w.cold = time.Minute, map[ServerID][]time.Duration{}
 			w.listed[3] = Endpoint{ID: 3, State: Ready, Started: w.now}
 			w.listed[1], w.listed[2] = Endpoint{ID: 1, State: Ready}, Endpoint{ID: 2, State: Draining}
-			w.held[1] = &asked{q: Request{ID: 1, Class: unsafeClass}, deadline: w.now + 2*time.Second}
+			w.held[1] = &heldRequest{q: Request{ID: 1, Class: nonIdempotentClass}, deadline: w.now + 2*time.Second}
 			defer func() {
 				if p := recover(); p != nil && p != any(c) {
 					panic(p)
--- a/policy/rest_test.go
+++ b/policy/rest_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// thinConfig is that of one of many balancers, with little traffic to each server.
-func thinConfig() Config {
+// lowTrafficConfig is that of one of many balancers, with little traffic to each server.
+func lowTrafficConfig() Config {
 	cfg := testConfig()
 	cfg.Balancers, cfg.MayProbe, cfg.Slots = 1000, true, 8
 	return cfg
@@ -18,37 +18,37 @@
 // Guards against this: every balancer goes on sending in turn to a server with a
 // queue, as none of them has more than one request there.
 func TestServerBehindAQueueRests(t *testing.T) {
-	b, h := start(t, thinConfig(), ready(1, 2))
+	b, h := start(t, lowTrafficConfig(), ready(1, 2))
 	rest := func(now time.Duration, id RequestID) time.Duration {
 		for ; ; id++ { // until it is its turn
-			ask(b, now, id, safeClass)
+			ask(b, now, id, idempotentClass)
 			if h.sends[len(h.sends)-1].to == 1 {
 				end(b, now+slowTook, id, 0, Served)
-				return b.server(1).restTill - now - slowTook
+				return b.server(1).ejectedUntil - now - slowTook
 			}
 			end(b, now+ms, id, 0, Served)
 		}
 	}
 	pause := rest(0, 0)
-	if pause < restFor*slowTook/2 || pause > restFor*slowTook*3/2 {
-		t.Fatalf("a rest of %v, want about %v", pause, restFor*slowTook)
+	if pause < ejectionLatencyFactor*slowTook/2 || pause > ejectionLatencyFactor*slowTook*3/2 {
+		t.Fatalf("a rest of %v, want about %v", pause, ejectionLatencyFactor*slowTook)
 	}
 	before := h.sentTo(1)
 	for id := RequestID(100); id < 110; id++ {
-		ask(b, slowTook+ms, id, safeClass)
+		ask(b, slowTook+ms, id, idempotentClass)
 		end(b, slowTook+2*ms, id, 0, Served)
 	}
 	if h.sentTo(1) != before {
 		t.Fatal("a server at rest got a turn though another is well")
 	}
-	if more := rest(5*time.Second, 200); more < firstRest || b.server(1).slow != 2 {
+	if more := rest(5*time.Second, 200); more < initialEjection || b.server(1).consecutiveSlow != 2 {
 		t.Fatalf("a second slow answer brings a rest of %v after %v, want a longer one", more, pause)
 	}
 	for id := RequestID(300); id < 310; id++ { // quick ones
-		ask(b, 10*time.Second, id, safeClass)
+		ask(b, 10*time.Second, id, idempotentClass)
 		end(b, 10*time.Second+ms, id, 0, Served)
 	}
-	if b.server(1).slow != 0 {
+	if b.server(1).consecutiveSlow != 0 {
 		t.Fatal("quick answers do not end what was held against the server")
 	}
 }
@@ -70,10 +70,10 @@
 		"broken":      {slowTook, 0, Broken, false},
 		"cancelled":   {slowTook, 0, Cancelled, false},
 	} {
-		b, _ := start(t, thinConfig(), ready(1))
-		b.Request(0, Request{ID: 1, Class: unsafeClass, TimeLeft: 3 * time.Second, ExpectedWork: tt.work})
+		b, _ := start(t, lowTrafficConfig(), ready(1))
+		b.Request(0, Request{ID: 1, Class: nonIdempotentClass, TimeLeft: 3 * time.Second, ExpectedWork: tt.work})
 		end(b, tt.took, 1, 0, tt.end)
-		if got := b.resting(tt.took, b.server(1)); got != tt.rest {
+		if got := b.ejected(tt.took, b.server(1)); got != tt.rest {
 			t.Errorf("%s: at rest %v, want %v", name, got, tt.rest)
 		}
 	}
@@ -82,18 +82,18 @@
 // Guards against this: with all servers jammed each balancer goes on sending, and
 // all is answered late, or requests are held that nobody can serve in time.
 func TestNothingIsSentWhileAllRest(t *testing.T) {
-	b, h := start(t, thinConfig(), ready(1, 2))
+	b, h := start(t, lowTrafficConfig(), ready(1, 2))
 	for id := range RequestID(2) {
-		ask(b, 0, id, unsafeClass)
+		ask(b, 0, id, nonIdempotentClass)
 	}
 	for id := range RequestID(2) {
 		end(b, slowTook, id, 0, Served)
 	}
-	if len(h.sends) != 2 || b.atRest(slowTook, false) != 1 {
-		t.Fatalf("set-up: sends %v, %v at rest", h.sends, b.atRest(slowTook, false))
+	if len(h.sends) != 2 || b.ejectedShare(slowTook, false) != 1 {
+		t.Fatalf("set-up: sends %v, %v at rest", h.sends, b.ejectedShare(slowTook, false))
 	}
 	for id := RequestID(10); id < 40; id++ {
-		ask(b, slowTook, id, unsafeClass)
+		ask(b, slowTook, id, nonIdempotentClass)
 	}
 	if len(h.sends) != 2 || len(h.refused) < 20 {
 		t.Fatalf("%d sends, %d refused at once of 30", len(h.sends)-2, len(h.refused))
@@ -102,14 +102,14 @@
 		b.Wake(now)
 	}
 	before := len(h.sends) // one that waited may have gone as the first rest ended
-	if ask(b, 4*time.Second, 50, unsafeClass); len(h.sends) != before+1 {
+	if ask(b, 4*time.Second, 50, nonIdempotentClass); len(h.sends) != before+1 {
 		t.Fatal("nothing is sent after the rest")
 	}
 }
 
 // Guards against this: a zone's own balancers jam it while the other zone's servers idle.
 func TestRestsSpillToTheOtherZone(t *testing.T) {
-	cfg := thinConfig()
+	cfg := lowTrafficConfig()
 	cfg.CrossZoneCost = 0.02
 	var list []Endpoint
 	for id := range ServerID(40) {
@@ -118,13 +118,13 @@
 	far := func(resting int) int {
 		b, h := start(t, cfg, list)
 		for _, s := range b.servers {
-			if s.Zone == 0 && !s.spare && resting > 0 {
-				s.restTill = time.Hour
+			if s.Zone == 0 && !s.outsideSubset && resting > 0 {
+				s.ejectedUntil = time.Hour
 				resting--
 			}
 		}
 		for id := range RequestID(100) {
-			ask(b, 0, id, safeClass)
+			ask(b, 0, id, idempotentClass)
 			end(b, 0, id, 0, Served)
 		}
 		n := 0
@@ -148,16 +148,16 @@
 // Guards against this: late further tries take the places of requests that are in time.
 func TestLateGivesWayToRests(t *testing.T) {
 	sent := func(jam bool) int {
-		b, h := start(t, thinConfig(), ready(1, 2, 3, 4))
+		b, h := start(t, lowTrafficConfig(), ready(1, 2, 3, 4))
 		for _, s := range b.servers[:2] {
-			if s.spare = false; jam {
-				s.restTill = time.Hour
+			if s.outsideSubset = false; jam {
+				s.ejectedUntil = time.Hour
 			}
 		}
-		firstTries(b, 3*time.Second)
+		firstAttempts(b, 3*time.Second)
 		before := len(h.sends)
 		for id := range RequestID(10) {
-			b.Request(ms, Request{ID: id, Class: safeClass, TimeLeft: time.Second})
+			b.Request(ms, Request{ID: id, Class: idempotentClass, TimeLeft: time.Second})
 			end(b, 2*ms, id, 0, Served)
 		}
 		return len(h.sends) - before
@@ -177,15 +177,15 @@
 	for id := range ServerID(60) {
 		list = append(list, Endpoint{ID: id, Cell: int(id / 6), State: Ready, Weight: 1})
 	}
-	b, h := start(t, thinConfig(), list)
-	aim := b.classes[safeClass].LatencyObjective
+	b, h := start(t, lowTrafficConfig(), list)
+	aim := b.classes[idempotentClass].LatencyObjective
 	id := RequestID(0)
 	sent := func(n int, part float64, every time.Duration, from time.Duration) int {
 		before := len(h.sends)
 		for i := range n {
 			now := from + time.Duration(i)*every
 			b.Wake(now)
-			b.Request(now, Request{ID: id, Class: safeClass, TimeLeft: b.classes[safeClass].Deadline})
+			b.Request(now, Request{ID: id, Class: idempotentClass, TimeLeft: b.classes[idempotentClass].Deadline})
 			if _, open := b.requests[id]; open {
 				end(b, now+time.Duration(part*float64(aim)), id, 0, Served)
 			}
--- a/policy/silence_test.go
+++ b/policy/silence_test.go
@@ -14,8 +14,8 @@
 	return list
 }
 
-// probing is a configuration with probes and a price for crossing zones.
-func probing() Config {
+// probingConfig is a configuration with probes and a price for crossing zones.
+func probingConfig() Config {
 	cfg := testConfig()
 	cfg.MayProbe, cfg.CrossZoneCost, cfg.Slots = true, 0.02, 100
 	return cfg
@@ -24,8 +24,8 @@
 // Guards against this: each balancer finds out with requests of its own, again and
 // again, that a server is not there.
 func TestSilentServerGetsProbesAndNoRequests(t *testing.T) {
-	b, h := start(t, probing(), ready(1, 2))
-	ask(b, 0, 1, safeClass)
+	b, h := start(t, probingConfig(), ready(1, 2))
+	ask(b, 0, 1, idempotentClass)
 	silent := h.sends[0].to
 	end(b, 250*ms, 1, 0, NoConnection)
 	before := h.sentTo(silent)
@@ -33,7 +33,7 @@
 	for id := RequestID(2); id < 500; id++ {
 		now += 20 * ms
 		b.Wake(now)
-		ask(b, now, id, safeClass)
+		ask(b, now, id, idempotentClass)
 		end(b, now, id, 0, Served)
 		if n := len(h.probes); n > 0 && h.probes[n-1] == silent {
 			h.probes = h.probes[:n-1]
@@ -49,7 +49,7 @@
 	}
 	b.Probed(now, silent, true, UnknownLoad)
 	for id := RequestID(500); id < 504; id++ {
-		ask(b, now, id, safeClass)
+		ask(b, now, id, idempotentClass)
 		end(b, now, id, 0, Served)
 	}
 	if h.sentTo(silent) == before {
@@ -60,14 +60,14 @@
 // Guards against this: a zone is cut off without a word, and each server of it costs
 // each balancer a request and a slot until the time-out.
 func TestZoneThatSaysNothingIsDoubted(t *testing.T) {
-	b, h := start(t, probing(), twoZones(8))
-	for id := range RequestID(doubtSends) {
-		ask(b, 0, id, safeClass)
+	b, h := start(t, probingConfig(), twoZones(8))
+	for id := range RequestID(suspicionSends) {
+		ask(b, 0, id, idempotentClass)
 	}
-	wait := time.Duration(doubtPart * float64(time.Second))
+	wait := time.Duration(suspicionObjectiveShare * float64(time.Second))
 	b.Wake(wait - 10*ms)
-	ask(b, wait-10*ms, 10, safeClass)
-	if h.sends[doubtSends].to%2 != 0 {
+	ask(b, wait-10*ms, 10, idempotentClass)
+	if h.sends[suspicionSends].to%2 != 0 {
 		t.Fatal("the near zone is given up before it is due")
 	}
 	b.Wake(wait)
@@ -75,7 +75,7 @@
 		t.Fatalf("probes %v, want one into the doubted zone", h.probes)
 	}
 	for id := RequestID(20); id < 40; id++ {
-		ask(b, wait, id, safeClass)
+		ask(b, wait, id, idempotentClass)
 		end(b, wait, id, 0, Served)
 		if to := h.sends[len(h.sends)-1].to; to%2 != 1 {
 			t.Fatalf("a request to server %d of a zone that says nothing", to)
@@ -85,11 +85,11 @@
 		b.Wake(now)
 	}
 	if n := len(h.probes); n < 3 || n > 10 {
-		t.Fatalf("%d probes in 2 s, want one each %v or so", n, doubtProbe)
+		t.Fatalf("%d probes in 2 s, want one each %v or so", n, suspicionProbeInterval)
 	}
 	now := wait + 2*time.Second
 	b.Probed(now, h.probes[0], true, UnknownLoad)
-	ask(b, now, 50, safeClass)
+	ask(b, now, 50, idempotentClass)
 	if to := h.sends[len(h.sends)-1].to; to%2 != 0 {
 		t.Fatal("the zone spoke again and gets nothing")
 	}
@@ -97,13 +97,13 @@
 
 // Guards against this: a few slow servers pass for a zone that is cut off.
 func TestZoneThatSpeaksIsNotDoubted(t *testing.T) {
-	b, h := start(t, probing(), twoZones(8))
-	for id := range RequestID(doubtSends + 1) {
-		ask(b, 0, id, safeClass)
+	b, h := start(t, probingConfig(), twoZones(8))
+	for id := range RequestID(suspicionSends + 1) {
+		ask(b, 0, id, idempotentClass)
 	}
 	end(b, 200*ms, 0, 0, Served)
 	b.Wake(time.Second)
-	ask(b, time.Second, 10, safeClass)
+	ask(b, time.Second, 10, idempotentClass)
 	if h.sends[len(h.sends)-1].to%2 != 0 || len(h.probes) != 0 {
 		t.Fatal("the zone is doubted though one of its servers answered meanwhile")
 	}
@@ -112,17 +112,17 @@
 // Guards against this: a balancer that was cut off itself holds all servers to be
 // silent, and sends nothing for seconds after it is back.
 func TestAllSilentStillServes(t *testing.T) {
-	b, h := start(t, probing(), ready(1, 2))
+	b, h := start(t, probingConfig(), ready(1, 2))
 	for id := range ServerID(2) {
 		b.Probed(0, id+1, false, UnknownLoad)
 	}
-	ask(b, ms, 1, unsafeClass)
+	ask(b, ms, 1, nonIdempotentClass)
 	if len(h.sends) != 1 {
 		t.Fatal("nothing is sent while all servers are held to be silent")
 	}
 	end(b, 2*ms, 1, 0, Served)
 	for id := RequestID(2); id < 6; id++ { // one has answered: the other has to speak first
-		ask(b, 3*ms, id, unsafeClass)
+		ask(b, 3*ms, id, nonIdempotentClass)
 		end(b, 4*ms, id, 0, Served)
 		if to := h.sends[len(h.sends)-1].to; to != h.sends[0].to {
 			t.Fatalf("a request to server %d, which is still silent", to)
@@ -132,10 +132,10 @@
 
 // Guards against this: zones come and go with the servers, and their states pile up.
 func TestZonesAreForgotten(t *testing.T) {
-	b, _ := start(t, probing(), nil)
+	b, _ := start(t, probingConfig(), nil)
 	for z := range 100 {
 		b.List(0, ListFull, []Endpoint{{ID: 1, Zone: z, State: Ready, Weight: 1}})
-		ask(b, 0, RequestID(z), safeClass)
+		ask(b, 0, RequestID(z), idempotentClass)
 		end(b, 0, RequestID(z), 0, Served)
 	}
 	if len(b.zones) > 2 {
@@ -146,7 +146,7 @@
 // Guards against this: a silent server drains, is not looked at any more, and stays
 // without requests for ever when its drain is called off.
 func TestSilentServerIsProbedAgainAfterADrain(t *testing.T) {
-	b, h := start(t, probing(), ready(1, 2))
+	b, h := start(t, probingConfig(), ready(1, 2))
 	b.Probed(0, 1, false, UnknownLoad)
 	now := ms
 	for _, state := range []EndpointState{Draining, Ready} {
--- a/policy/takeover.go
+++ b/policy/takeover.go
@@ -8,13 +8,13 @@
 // HandOver gives up what this Balancer does not need for what it has and for so many requests that may be coming
 // still. It returns what it keeps, by tenant; that never grows. Cold servers' budget is the other's.
 func (b *Balancer) HandOver(coming int) []BulkheadCapacity {
-	b.shared, b.leaving = true, true
-	held := make([]BulkheadCapacity, len(b.parts))
-	for i := range b.parts {
-		c := &b.parts[i]
+	b.twoProcesses, b.handedOver = true, true
+	held := make([]BulkheadCapacity, len(b.bulkheads))
+	for i := range b.bulkheads {
+		c := &b.bulkheads[i]
 		c.slots = min(c.slots, c.used+len(c.queue)+coming)
-		c.places = min(c.places, len(c.queue)+coming)
-		held[i] = BulkheadCapacity{c.slots, c.places}
+		c.queuePlaces = min(c.queuePlaces, len(c.queue)+coming)
+		held[i] = BulkheadCapacity{c.slots, c.queuePlaces}
 	}
 	return held
 }
@@ -22,20 +22,20 @@
 // ReserveForPredecessor takes what the other process keeps, by tenant; nothing where it has ended.
 // Until then cold servers get nothing: it may have spent their budget a moment ago.
 func (b *Balancer) ReserveForPredecessor(now time.Duration, held []BulkheadCapacity) {
-	for i := range b.parts {
-		b.parts[i].lent = BulkheadCapacity{}
+	for i := range b.bulkheads {
+		b.bulkheads[i].reserved = BulkheadCapacity{}
 		if i < len(held) {
-			b.parts[i].lent = held[i]
+			b.bulkheads[i].reserved = held[i]
 		}
 	}
-	if b.shared && len(held) == 0 {
+	if b.twoProcesses && len(held) == 0 {
 		for _, s := range b.servers {
-			s.coldAt = max(s.coldAt, now+b.coldGap(now, s))
+			s.nextSlowStartSend = max(s.nextSlowStartSend, now+b.slowStartInterval(now, s))
 		}
 	}
-	b.shared = len(held) > 0
-	b.feed(now)
+	b.twoProcesses = len(held) > 0
+	b.dispatchQueued(now)
 }
 
 // full says whether a compartment has no slot for another request.
-func (c *compartment) full() bool { return c.used+c.lent.Slots >= c.slots }
+func (c *bulkhead) full() bool { return c.used+c.reserved.Slots >= c.slots }
--- a/policy/takeover_test.go
+++ b/policy/takeover_test.go
@@ -33,7 +33,7 @@
 		now, id := time.Duration(0), RequestID(0)
 		request := func(b *Balancer) {
 			id++
-			b.Request(now, Request{ID: id, Class: safeClass, Tenant: rng.IntN(2), TimeLeft: 2 * time.Second})
+			b.Request(now, Request{ID: id, Class: idempotentClass, Tenant: rng.IntN(2), TimeLeft: 2 * time.Second})
 		}
 		for range 20 {
 			request(old)
@@ -68,19 +68,19 @@
 			}
 			collect(old, oldHost)
 			collect(fresh, freshHost)
-			for i := range old.parts {
-				a, b := &old.parts[i], &fresh.parts[i]
+			for i := range old.bulkheads {
+				a, b := &old.bulkheads[i], &fresh.bulkheads[i]
 				if total := b.slots; a.used+b.used > total {
 					t.Fatalf("seed %d: tenant %d holds %d and %d of %d slots", seed, i, a.used, b.used, total)
 				}
-				if total := b.places; seed%2 == 0 && len(a.queue)+len(b.queue) > total { // retries wait beyond the places
+				if total := b.queuePlaces; seed%2 == 0 && len(a.queue)+len(b.queue) > total { // retries wait beyond the places
 					t.Fatalf("seed %d: tenant %d has %d and %d in %d places", seed, i, len(a.queue), len(b.queue), total)
 				}
 			}
 		}
 		fresh.ReserveForPredecessor(now, nil)
-		for i := range fresh.parts {
-			if fresh.SlotsFree(i) != fresh.parts[i].slots-fresh.parts[i].used {
+		for i := range fresh.bulkheads {
+			if fresh.SlotsFree(i) != fresh.bulkheads[i].slots-fresh.bulkheads[i].used {
 				t.Errorf("seed %d: slots are lent to a process that has ended", seed)
 			}
 		}
@@ -91,12 +91,12 @@
 // more than there were; the new one does without.
 func TestWhatIsComingKeepsItsSlot(t *testing.T) {
 	old, h := start(t, testConfig(), ready(1, 2, 3))
-	had := old.parts[0].slots
-	if held := old.HandOver(2); held[0] != (BulkheadCapacity{2, min(2, old.walls[0].Places)}) {
+	had := old.bulkheads[0].slots
+	if held := old.HandOver(2); held[0] != (BulkheadCapacity{2, min(2, old.configuredBulkheads[0].Places)}) {
 		t.Errorf("it keeps %v for two that are coming", held[0])
 	}
-	ask(old, 0, 1, safeClass)
-	ask(old, 0, 2, safeClass)
+	ask(old, 0, 1, idempotentClass)
+	ask(old, 0, 2, idempotentClass)
 	if len(h.sends) != 2 || len(h.refused) != 0 {
 		t.Errorf("%d sent and %d refused of two that were coming", len(h.sends), len(h.refused))
 	}
@@ -119,7 +119,7 @@
 	for i := range 30 {
 		id := RequestID(i + 1)
 		for b, h := range map[*Balancer]*fakeHost{old: oldHost, fresh: freshHost} {
-			ask(b, now, id, safeClass)
+			ask(b, now, id, idempotentClass)
 			if h.sentTo(1) > 0 {
 				t.Fatal("a cold server gets requests while both processes live")
 			}
@@ -130,8 +130,8 @@
 		now += ms
 	}
 	fresh.ReserveForPredecessor(now, nil)
-	gap := fresh.coldGap(now, fresh.server(1))
-	if at := fresh.server(1).coldAt; at < now+gap/2 {
+	gap := fresh.slowStartInterval(now, fresh.server(1))
+	if at := fresh.server(1).nextSlowStartSend; at < now+gap/2 {
 		t.Errorf("the first send may come %v after the old one's end, want about a gap of %v", at-now, gap)
 	}
 	if freshHost.sentTo(1) > 0 {
--- a/policy/turn.go
+++ b/policy/turn.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// keptLeast and keptMost bound the part of the servers that a balancer keeps to: with fewer,
+// minSubsetShare and maxSubsetShare bound the part of the servers that a balancer keeps to: with fewer,
 // those with much traffic overrun theirs, and cells may be large or not known.
-const keptLeast, keptMost = 1.0 / 6, 0.5
+const minSubsetShare, maxSubsetShare = 1.0 / 6, 0.5
 
-// keep chooses the servers that this balancer keeps to where traffic is thin, as each connection costs: of
+// chooseSubset chooses the servers that this balancer keeps to where traffic is thin, as each connection costs: of
 // every cell the first in an order of its own, so that each key finds its cell, and as many as traffic fills.
-func (b *Balancer) keep(part float64) {
+func (b *Balancer) chooseSubset(part float64) {
 	ready := slices.DeleteFunc(slices.Clone(b.servers), func(s *server) bool { return s.State != Ready })
-	order := func(s *server) uint64 { return mix(b.salt ^ mix(uint64(s.ID))) }
+	order := func(s *server) uint64 { return mix(b.subsetSalt ^ mix(uint64(s.ID))) }
 	slices.SortFunc(ready, func(x, y *server) int {
 		return cmp.Or(cmp.Compare(x.Zone, y.Zone), cmp.Compare(x.Cell, y.Cell), cmp.Compare(order(x), order(y)))
 	})
 	kept, due := 0, 0.0
 	for i, s := range ready {
-		due += max(keptLeast, min(keptMost, part))
+		due += max(minSubsetShare, min(maxSubsetShare, part))
 		first := i == 0 || s.Zone != ready[i-1].Zone || s.Cell != ready[i-1].Cell
-		if s.spare = !first && due < 1; !s.spare {
+		if s.outsideSubset = !first && due < 1; !s.outsideSubset {
 			kept, due = kept+1, max(0, due-1)
 		}
 	}
-	b.users = min(1, float64(kept)/float64(max(1, len(ready)))+usersMore)
+	b.subsetShare = min(1, float64(kept)/float64(max(1, len(ready)))+subsetShareMargin)
 }
 
-// spared says whether a server is not among those that this balancer keeps to.
-func (b *Balancer) spared(s *server) bool { return b.thin && s.spare }
+// outsideSubset says whether a server is not among those that this balancer keeps to.
+func (b *Balancer) outsideSubset(s *server) bool { return b.lowTraffic && s.outsideSubset }
 
-// far is how much of its turns a server of another zone gets. Where crossing has a price that is
+// remoteZoneShare is how much of its turns a server of another zone gets. Where crossing has a price that is
 // none; where traffic is thin, until servers of the own zone rest.
-func (b *Balancer) far(now time.Duration) float64 {
+func (b *Balancer) remoteZoneShare(now time.Duration) float64 {
 	if b.cfg.CrossZoneCost <= 0 {
 		return 1
 	}
-	if rest := b.atRest(now, true); b.thin && rest > spillFrom {
+	if rest := b.ejectedShare(now, true); b.lowTraffic && rest > zoneSpillThreshold {
 		return rest
 	}
 	return 0
@@ -49,24 +49,24 @@
 // the next one; first over those that this balancer keeps to, then over all. A server loses its turn while it
 // holds its portion of our attempts, rests, is silent or unwell (but for trials), or if the request was there.
 func (b *Balancer) pick(now time.Duration, r *request) *server {
-	far := b.far(now)
+	far := b.remoteZoneShare(now)
 	for near := true; ; near = false {
 		b.cells = b.cells[:0]
 		for _, s := range b.servers {
-			s.turnable, s.weighs = false, 0
+			s.eligible, s.effectiveWeight = false, 0
 			part := 1.0 // of its turns
 			if near && s.Zone != b.cfg.Zone {
 				part = far
 			}
-			if part == 0 || near && b.spared(s) || r.tried(s) || !b.mayGo(now, r, s) {
+			if part == 0 || near && b.outsideSubset(s) || r.triedAt(s) || !b.maySend(now, r, s) {
 				continue
 			}
-			s.weighs = s.size * b.warmth(now, s) * part
-			s.turnable = b.turnable(now, s)
+			s.effectiveWeight = s.capacity * b.warmUpShare(now, s) * part
+			s.eligible = b.eligible(now, s)
 			b.addCell(r, s)
 		}
-		if c := b.warmest(r); c != nil {
-			return b.turn(now, r, c.number)
+		if c := b.preferredCell(r); c != nil {
+			return b.nextInRotation(now, r, c.number)
 		}
 		if !near {
 			return nil
@@ -74,49 +74,49 @@
 	}
 }
 
-// turnable says whether nothing is held against a server at the moment.
-func (b *Balancer) turnable(now time.Duration, s *server) bool {
+// eligible says whether nothing is held against a server at the moment.
+func (b *Balancer) eligible(now time.Duration, s *server) bool {
 	switch {
-	case b.resting(now, s), b.cfg.MayProbe && (s.silent && b.well > 0 || s.in.doubted),
-		b.well > 0 && s.unwell && (now < s.trialAt || s.out > 0), float64(s.out) >= b.portion(s),
-		now-s.toldAt < time.Second && s.others+float64(s.out) >= 2+b.part(b.mean, s): // reported full
+	case b.ejected(now, s), b.cfg.MayProbe && (s.unresponsive && b.healthyWeight > 0 || s.zone.suspected),
+		b.healthyWeight > 0 && s.outlier && (now < s.recoveryAt || s.inFlight > 0), float64(s.inFlight) >= b.inFlightLimit(s),
+		now-s.reportedAt < time.Second && s.otherInFlight+float64(s.inFlight) >= 2+b.weightShare(b.expectedInFlight, s): // reported full
 		return false
 	}
 	return true
 }
 
-// turn gives the next turn among the servers of a cell.
-func (b *Balancer) turn(now time.Duration, r *request, cell int) *server {
+// nextInRotation gives the next nextInRotation among the servers of a cell.
+func (b *Balancer) nextInRotation(now time.Duration, r *request, cell int) *server {
 	var best *server
 	total, lost := 0.0, math.Inf(-1)
 	for _, s := range b.servers {
 		switch {
-		case s.weighs == 0 || b.cellOf(r, s) != cell:
-		case !s.turnable:
-			lost = max(lost, s.turn+s.weighs)
+		case s.effectiveWeight == 0 || b.cellOf(r, s) != cell:
+		case !s.eligible:
+			lost = max(lost, s.currentWeight+s.effectiveWeight)
 		default:
-			s.turn += s.weighs
-			total += s.weighs
-			if best == nil || s.turn > best.turn {
+			s.currentWeight += s.effectiveWeight
+			total += s.effectiveWeight
+			if best == nil || s.currentWeight > best.currentWeight {
 				best = s
 			}
 		}
 	}
 	switch {
-	case best.unwell:
-		b.count.Trials++
-		best.trialAt = now + b.backoff(best.strikes)
-	case best.turn >= lost:
-		b.count.Ordinary++
+	case best.outlier:
+		b.counters.Trials++
+		best.recoveryAt = now + b.backoff(best.consecutiveFailures)
+	case best.currentWeight >= lost:
+		b.counters.Ordinary++
 	default:
-		b.count.Passed++
+		b.counters.Passed++
 	}
-	best.turn -= total
+	best.currentWeight -= total
 	return best
 }
 
-// portion is how many of our attempts a server may hold: its part of all our slots, less the more
+// inFlightLimit is how many of our attempts a server may hold: its part of all our slots, less the more
 // of the aim its answers take. It does not grow when others leave or fail: the last would be overrun.
-func (b *Balancer) portion(s *server) float64 {
-	return max(1, b.part(float64(b.slots), s)*min(1, crowdedAt*crowdedAt/max(s.used, 1e-4)))
+func (b *Balancer) inFlightLimit(s *server) float64 {
+	return max(1, b.weightShare(float64(b.totalSlots), s)*min(1, crowdedObjectiveShare*crowdedObjectiveShare/max(s.objectiveUse, 1e-4)))
 }
