--- /dev/null
+++ b/internal/controller/compat_test.go
@@ -0,0 +1,137 @@
+package controller
+
+import (
+	"encoding/json"
+	"errors"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"barleywick/internal/registry"
+)
+
+// fixtures holds files that revision 396a775 wrote and read.
+const fixtures = "testdata/396a775"
+
+func fixture(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join(fixtures, name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// A configuration file is read to the values that revision 396a775 read.
+func TestConfigurationsOf396a775(t *testing.T) {
+	for _, name := range []string{"example", "all-keys", "minimal"} {
+		c, err := ParseConfig(fixture(t, name+".toml"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		want := fixture(t, name+".read.toml")
+		if got, err := toml.Marshal(c); err != nil || string(got) != string(want) {
+			t.Errorf("%s: got %s, %v, want %s", name, got, err, want)
+		}
+	}
+}
+
+// Tasks keep the names of their leases, which other processes of the fleet claim too.
+func TestLeasesOf396a775(t *testing.T) {
+	c, err := LoadConfig(filepath.Join(fixtures, "all-keys.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got []string
+	for _, task := range c.Tasks(nil) {
+		got = append(got, task.LeaseName)
+	}
+	const want = "drains, health-0, health-1, health-2, health-3, health-4, health-5, health-6, health-7, policy, overload, copies"
+	if strings.Join(got, ", ") != want {
+		t.Errorf("got %s, want %s", strings.Join(got, ", "), want)
+	}
+}
+
+func TestHealthAdviceOf396a775(t *testing.T) {
+	text := fixture(t, "health-advice.json")
+	var got map[string]HealthAdvice
+	if err := json.Unmarshal(text, &got); err != nil {
+		t.Fatal(err)
+	}
+	want := map[string]HealthAdvice{"s-3": {ConsecutiveFailures: 3, SinceMS: 1_800_000_000_000, LastError: "answers 503"}}
+	if !maps.Equal(got, want) {
+		t.Errorf("got %+v, want %+v", got, want)
+	}
+	if encoded, err := json.Marshal(got); err != nil || string(encoded) != string(text) {
+		t.Errorf("encoded as %s, %v, want %s", encoded, err, text)
+	}
+}
+
+// The folder of revision 396a775 is read, fenced by the token that it holds, and gone on with.
+func TestListCacheOf396a775(t *testing.T) {
+	dir := t.TempDir()
+	if err := os.CopyFS(dir, os.DirFS(filepath.Join(fixtures, "copies"))); err != nil {
+		t.Fatal(err)
+	}
+	cache := &ListCache{Dir: dir, Keep: 2}
+	names := func() (names []string) {
+		paths, err := cache.Paths()
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, path := range paths {
+			names = append(names, filepath.Base(path))
+		}
+		return names
+	}
+	before := []string{"registry-20270115T080500.000000Z.json", "registry-20270115T081000.000000Z.json"}
+	if got := names(); !slices.Equal(got, before) {
+		t.Fatalf("got %v, want %v", got, before)
+	}
+	backup, err := ReadCachedList(filepath.Join(dir, before[1]))
+	if err != nil {
+		t.Fatal(err)
+	}
+	at := time.UnixMilli(1_800_000_900_000)
+	if _, err := cache.Save(t.Context(), 8, at, backup); !errors.Is(err, registry.ErrFenced) {
+		t.Errorf("a lower token: %v, want %v", err, registry.ErrFenced)
+	}
+	if _, err := cache.Save(t.Context(), 9, at, backup); err != nil {
+		t.Errorf("the token of the last copy: %v", err)
+	}
+	after := []string{before[1], "registry-20270115T081500.000000Z.json"}
+	if got := names(); !slices.Equal(got, after) {
+		t.Errorf("got %v, want %v", got, after)
+	}
+	for _, file := range []struct{ was, is string }{{before[1], after[1]}, {before[1] + ".sha256", after[1] + ".sha256"}} {
+		text, err := os.ReadFile(filepath.Join(dir, file.is))
+		if want := strings.ReplaceAll(string(fixture(t, filepath.Join("copies", file.was))), before[1], after[1]); err != nil || string(text) != want {
+			t.Errorf("%s: got %q, %v, want %q", file.is, text, err, want)
+		}
+	}
+	if text, err := os.ReadFile(filepath.Join(dir, "fence")); err != nil || string(text) != "00000000000000000009\n" {
+		t.Errorf("fence: got %q, %v", text, err)
+	}
+}
+
+// A copy of revision 396a775 is restored into a new group.
+func TestCopyOf396a775IsRestored(t *testing.T) {
+	backup, err := ReadCachedList(filepath.Join(fixtures, "copies", "registry-20270115T081000.000000Z.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, c := startGroup(t, "g")
+	if err := c.Restore(t.Context(), backup); err != nil {
+		t.Fatal(err)
+	}
+	got, err := c.Registrations(t.Context())
+	if err != nil || len(got.Registrations) != 2 || got.Registrations[0].Host != "s-1" || got.Registrations[1].Machine != "m-1" || got.Marks["s-2"] != "ops-a" {
+		t.Errorf("restored: %+v, %v", got, err)
+	}
+}
