--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -31,28 +31,28 @@
 	MaxTenants      = 64
 	MaxSidecars     = 4096
 	MaxMessageBytes = 16 << 10
-	maxName         = 128
+	maxNameLength   = 128
 
-	// jamAim is the jam that the task keeps the fleet at: servers have work for every
+	// targetCongestion is the jam that the task keeps the fleet at: servers have work for every
 	// moment, and what they answer is in time still. Sidecars shed by themselves above it.
-	jamAim = 0.15
-	// gain is how much of a deviation from it one answer corrects: it shows after a queue's
+	targetCongestion = 0.15
+	// correctionGain is how much of a deviation from it one answer corrects: it shows after a queue's
 	// time only, and a whole correction each second would swing. A queue is drained with
-	// leastStep of what servers bear at least.
-	gain, leastStep = 0.5, 0.9
-	// What servers bear is followed down by fall a second while they jam, as when some are
-	// lost, and up by rise while they do not, until all that is asked goes through.
-	fall, rise = 0.97, 1.05
-	// greedy is how many times the part of its share a tenant's part of all that is asked
+	// minCorrection of what servers bear at least.
+	correctionGain, minCorrection = 0.5, 0.9
+	// What servers bear is followed down by capacityDecay a second while they jam, as when some are
+	// lost, and up by capacityGrowth while they do not, until all that is asked goes through.
+	capacityDecay, capacityGrowth = 0.97, 1.05
+	// overQuotaFactor is how many times the part of its share a tenant's part of all that is asked
 	// has to be for the task to cut it.
-	greedy = 1.5
-	// spare is how far above all that is asked a limit has to be to be none.
-	spare = 1.2
-	// leastPart is what each tenant may try whatever it asks: who is shut out altogether
+	overQuotaFactor = 1.5
+	// unlimitedFactor is how far above all that is asked a limit has to be to be none.
+	unlimitedFactor = 1.2
+	// minAdmitFraction is what each tenant may try whatever it asks: who is shut out altogether
 	// never shows that it has become less.
-	leastPart = 0.01
-	// thinAnswers are too few a second to tell anything.
-	thinAnswers = 5
+	minAdmitFraction = 0.01
+	// minResponseRate are too few a second to tell anything.
+	minResponseRate = 5
 )
 
 // TenantCounts is what came of one tenant's requests at a sidecar since its last digest.
@@ -113,22 +113,22 @@
 // ErrBadMessage is for what cannot be a digest or advice.
 var ErrBadMessage = errors.New("bad message")
 
-func part(f float64) bool { return f >= 0 && f <= 1 } // no number fails too
+func isFraction(f float64) bool { return f >= 0 && f <= 1 } // no number fails too
 
 // Check returns an error that names the first field that cannot be.
 func (d *Digest) Check() error {
 	switch {
-	case d.Name == "" || len(d.Name) > maxName || len(d.Fleet) > maxName:
+	case d.Name == "" || len(d.Name) > maxNameLength || len(d.Fleet) > maxNameLength:
 		return fmt.Errorf("%w: name or fleet is missing or too long", ErrBadMessage)
 	case d.PeriodMS <= 0 || d.PeriodMS > time.Hour.Milliseconds():
 		return fmt.Errorf("%w: over_ms is %d, it must lie between 1 and %d", ErrBadMessage, d.PeriodMS, time.Hour.Milliseconds())
-	case !part(d.Congestion):
+	case !isFraction(d.Congestion):
 		return fmt.Errorf("%w: jam is %v, it must lie between 0 and 1", ErrBadMessage, d.Congestion)
 	case len(d.Tenants) > MaxTenants:
 		return fmt.Errorf("%w: tenants: %d are named, %d at most", ErrBadMessage, len(d.Tenants), MaxTenants)
 	}
 	for i, t := range d.Tenants {
-		if len(t.Tenant) > maxName || !(t.Quota >= 0) || math.IsInf(t.Quota, 0) {
+		if len(t.Tenant) > maxNameLength || !(t.Quota >= 0) || math.IsInf(t.Quota, 0) {
 			return fmt.Errorf("%w: tenants[%d]: its name is too long or its share is no number of 0 or more", ErrBadMessage, i)
 		}
 	}
@@ -144,7 +144,7 @@
 		return fmt.Errorf("%w: parts: %d tenants are named, %d at most", ErrBadMessage, len(a.Tenants), MaxTenants)
 	}
 	for i, p := range a.Tenants {
-		if !part(p.AdmitFraction) || len(p.Tenant) > maxName {
+		if !isFraction(p.AdmitFraction) || len(p.Tenant) > maxNameLength {
 			return fmt.Errorf("%w: parts[%d].part is %v, it must lie between 0 and 1", ErrBadMessage, i, p.AdmitFraction)
 		}
 	}
@@ -154,29 +154,29 @@
 // Planner works out the advice. It is told the time, as a reading of a clock that never
 // goes back, and is not safe for concurrent use.
 type Planner struct {
-	fleet   string
-	token   uint64
-	number  uint64
-	bears   float64 // requests a second that servers bear; 0: all that is asked
-	limit   float64
-	members map[string]*member
-	expects int
+	fleet    string
+	token    uint64
+	number   uint64
+	capacity float64 // requests a second that servers bear; 0: all that is asked
+	limit    float64
+	sidecars map[string]*sidecarReport
+	expected int
 }
 
-type member struct {
-	last Digest
-	at   time.Duration
+type sidecarReport struct {
+	digest     Digest
+	receivedAt time.Duration
 }
 
 // NewPlanner makes the Planner of one grant: nothing of an earlier one's is known.
 func NewPlanner(fleet string, token uint64) *Planner {
-	return &Planner{fleet: fleet, token: token, members: make(map[string]*member)}
+	return &Planner{fleet: fleet, token: token, sidecars: make(map[string]*sidecarReport)}
 }
 
 // SetExpected notes how many sidecars there are, by somebody else's word; 0: nobody knows. Where
 // fewer than half of them are heard, nobody is cut: their part of a tenant is not the
 // tenant. A lower number than that of those heard changes nothing.
-func (p *Planner) SetExpected(sidecars int) { p.expects = min(max(0, sidecars), MaxSidecars) }
+func (p *Planner) SetExpected(sidecars int) { p.expected = min(max(0, sidecars), MaxSidecars) }
 
 // AddDigest takes a digest in. One that is older than what is known of its sidecar is an error.
 func (p *Planner) AddDigest(now time.Duration, d Digest) error {
@@ -186,46 +186,46 @@
 	if d.Fleet != p.fleet {
 		return fmt.Errorf("%w: it is of fleet %.64q, this is %q", ErrBadMessage, d.Fleet, p.fleet)
 	}
-	m := p.members[d.Name]
+	m := p.sidecars[d.Name]
 	switch {
-	case m == nil && len(p.members) >= MaxSidecars:
-		return fmt.Errorf("%w: %d sidecars are known", ErrBadMessage, len(p.members))
+	case m == nil && len(p.sidecars) >= MaxSidecars:
+		return fmt.Errorf("%w: %d sidecars are known", ErrBadMessage, len(p.sidecars))
 	case m == nil:
-		m = new(member)
-		p.members[d.Name] = m
-	case d.Incarnation < m.last.Incarnation || d.Incarnation == m.last.Incarnation && d.Seq <= m.last.Seq:
+		m = new(sidecarReport)
+		p.sidecars[d.Name] = m
+	case d.Incarnation < m.digest.Incarnation || d.Incarnation == m.digest.Incarnation && d.Seq <= m.digest.Seq:
 		return fmt.Errorf("%w: %.64s has told later ones", ErrBadMessage, d.Name)
 	}
-	m.last, m.at = d, now
+	m.digest, m.receivedAt = d, now
 	return nil
 }
 
-// sums are what the fleet's latest digests add up to, a second.
-type sums struct {
-	members int
-	fate    Rates
-	answers float64
-	jam     float64
-	tenants []tenant
+// fleetLoad are what the fleet's latest digests add up to, a second.
+type fleetLoad struct {
+	sidecars     int
+	rates        Rates
+	responseRate float64
+	congestion   float64
+	tenants      []tenantLoad
 }
 
-type tenant struct {
-	name  string
-	share float64
-	asked float64
+type tenantLoad struct {
+	name        string
+	quota       float64
+	requestRate float64
 }
 
-func (p *Planner) sum(now time.Duration) (s sums) {
+func (p *Planner) aggregate(now time.Duration) (s fleetLoad) {
 	index := make(map[string]int)
-	for name, m := range p.members {
-		if now-m.at > AdviceTTL {
-			delete(p.members, name) // its part is the others' from now on
+	for name, m := range p.sidecars {
+		if now-m.receivedAt > AdviceTTL {
+			delete(p.sidecars, name) // its part is the others' from now on
 			continue
 		}
-		s.members++
-		second := 1000 / float64(m.last.PeriodMS)
+		s.sidecars++
+		second := 1000 / float64(m.digest.PeriodMS)
 		var answers float64
-		for _, c := range m.last.Tenants {
+		for _, c := range m.digest.Tenants {
 			i, known := index[c.Tenant]
 			if !known {
 				if len(s.tenants) == MaxTenants {
@@ -233,25 +233,25 @@
 				}
 				i = len(s.tenants)
 				index[c.Tenant] = i
-				s.tenants = append(s.tenants, tenant{name: c.Tenant})
+				s.tenants = append(s.tenants, tenantLoad{name: c.Tenant})
 			}
 			t := &s.tenants[i]
-			t.share = max(t.share, c.Quota)
-			t.asked += float64(c.Requests) * second
-			s.fate.Requests += float64(c.Requests) * second
-			s.fate.InTime += float64(c.InTime) * second
-			s.fate.Late += float64(c.Late) * second
-			s.fate.Refused += float64(c.Refused) * second
-			s.fate.Failed += float64(c.Failed) * second
+			t.quota = max(t.quota, c.Quota)
+			t.requestRate += float64(c.Requests) * second
+			s.rates.Requests += float64(c.Requests) * second
+			s.rates.InTime += float64(c.InTime) * second
+			s.rates.Late += float64(c.Late) * second
+			s.rates.Refused += float64(c.Refused) * second
+			s.rates.Failed += float64(c.Failed) * second
 			answers += float64(c.InTime+c.Late) * second
 		}
-		s.jam += m.last.Congestion * answers
-		s.answers += answers
+		s.congestion += m.digest.Congestion * answers
+		s.responseRate += answers
 	}
-	if s.answers > 0 {
-		s.jam /= s.answers
+	if s.responseRate > 0 {
+		s.congestion /= s.responseRate
 	}
-	slices.SortFunc(s.tenants, func(a, b tenant) int {
+	slices.SortFunc(s.tenants, func(a, b tenantLoad) int {
 		if a.name < b.name {
 			return -1
 		}
@@ -262,64 +262,64 @@
 
 // Plan works out the advice of this moment.
 func (p *Planner) Plan(now time.Duration) Advice {
-	s := p.sum(now)
+	s := p.aggregate(now)
 	switch {
-	case s.answers < thinAnswers:
-		p.bears, p.limit = 0, 0 // nothing is known
-	case s.jam >= jamAim: // servers with a queue answer what they can, however much is sent there
-		p.bears = max(s.answers, p.bears*fall)
-	case p.bears > 0:
-		p.bears *= rise
+	case s.responseRate < minResponseRate:
+		p.capacity, p.limit = 0, 0 // nothing is known
+	case s.congestion >= targetCongestion: // servers with a queue answer what they can, however much is sent there
+		p.capacity = max(s.responseRate, p.capacity*capacityDecay)
+	case p.capacity > 0:
+		p.capacity *= capacityGrowth
 	}
-	if p.bears >= spare*s.fate.Requests {
-		p.bears = 0
+	if p.capacity >= unlimitedFactor*s.rates.Requests {
+		p.capacity = 0
 	}
-	p.limit = p.bears * max(leastStep, min(1, 1+gain*(jamAim-s.jam)/jamAim))
+	p.limit = p.capacity * max(minCorrection, min(1, 1+correctionGain*(targetCongestion-s.congestion)/targetCongestion))
 	p.number++
-	a := Advice{Fleet: p.fleet, Token: p.token, Number: p.number, ValidMS: AdviceTTL.Milliseconds(), Limit: p.limit, Congestion: s.jam, Sidecars: s.members, Expected: p.expects, Rates: s.fate}
-	if p.limit > 0 && 2*s.members >= p.expects {
-		a.Tenants = divide(p.limit, s.tenants)
+	a := Advice{Fleet: p.fleet, Token: p.token, Number: p.number, ValidMS: AdviceTTL.Milliseconds(), Limit: p.limit, Congestion: s.congestion, Sidecars: s.sidecars, Expected: p.expected, Rates: s.rates}
+	if p.limit > 0 && 2*s.sidecars >= p.expected {
+		a.Tenants = divideByQuota(p.limit, s.tenants)
 		shares := 0.0
 		for _, t := range s.tenants {
-			shares += t.share
+			shares += t.quota
 		}
 		for i, t := range s.tenants {
-			if t.asked*shares <= greedy*t.share*s.fate.Requests { // an overload of all is each sidecar's own to shed
-				a.Tenants[i].AdmitFraction, a.Tenants[i].AllowedRate = 1, t.asked
+			if t.requestRate*shares <= overQuotaFactor*t.quota*s.rates.Requests { // an overload of all is each sidecar's own to shed
+				a.Tenants[i].AdmitFraction, a.Tenants[i].AllowedRate = 1, t.requestRate
 			}
 		}
 	}
 	return a
 }
 
-// divide gives tenants what they ask for as far as it goes round, by their shares: who
+// divideByQuota gives tenants what they ask for as far as it goes round, by their shares: who
 // asks for less than its part leaves the rest to the others (weighted max-min fairness).
-func divide(limit float64, tenants []tenant) []TenantAdvice {
+func divideByQuota(limit float64, tenants []tenantLoad) []TenantAdvice {
 	parts := make([]TenantAdvice, len(tenants))
 	open := make([]int, 0, len(tenants)) // who has not got all that it asked for
 	for i, t := range tenants {
-		parts[i] = TenantAdvice{Tenant: t.name, AdmitFraction: 1, RequestRate: t.asked}
+		parts[i] = TenantAdvice{Tenant: t.name, AdmitFraction: 1, RequestRate: t.requestRate}
 		open = append(open, i)
 	}
 	for left := limit; len(open) > 0; {
 		shares := 0.0
 		for _, i := range open {
-			shares += max(tenants[i].share, 1e-9)
+			shares += max(tenants[i].quota, 1e-9)
 		}
 		var still []int
 		given := 0.0
 		for _, i := range open {
-			if own := left * max(tenants[i].share, 1e-9) / shares; tenants[i].asked <= own {
-				parts[i].AllowedRate = tenants[i].asked
-				given += tenants[i].asked
+			if own := left * max(tenants[i].quota, 1e-9) / shares; tenants[i].requestRate <= own {
+				parts[i].AllowedRate = tenants[i].requestRate
+				given += tenants[i].requestRate
 			} else {
 				still = append(still, i)
 			}
 		}
 		if len(still) == len(open) {
 			for _, i := range open {
-				parts[i].AllowedRate = left * max(tenants[i].share, 1e-9) / shares
-				parts[i].AdmitFraction = max(leastPart, min(1, parts[i].AllowedRate/tenants[i].asked))
+				parts[i].AllowedRate = left * max(tenants[i].quota, 1e-9) / shares
+				parts[i].AdmitFraction = max(minAdmitFraction, min(1, parts[i].AllowedRate/tenants[i].requestRate))
 			}
 			break
 		}
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -43,7 +43,7 @@
 		t.Errorf("nothing jams: %+v", a)
 	}
 	a := plan(t, p, 10, 0.5, map[string]uint64{"a": 10, "b": 10, "c": 200})
-	if a.FractionFor("a") != 1 || a.FractionFor("b") != 1 || a.FractionFor("c") > 0.6 || a.FractionFor("c") < leastPart {
+	if a.FractionFor("a") != 1 || a.FractionFor("b") != 1 || a.FractionFor("c") > 0.6 || a.FractionFor("c") < minAdmitFraction {
 		t.Errorf("c asks for twenty times b's: %+v", a.Tenants)
 	}
 	if a = plan(t, p, 30, 0.02, map[string]uint64{"a": 10, "b": 10, "c": 10}); len(a.Tenants) != 0 {
@@ -57,7 +57,7 @@
 	}
 	// Who has gone quiet counts no more, and nothing is said where nothing is known.
 	now := time.Duration(p.number) * time.Second
-	if a := p.Plan(now + AdviceTTL + time.Second); a.Sidecars != 0 || len(a.Tenants) != 0 || len(p.members) != 0 {
+	if a := p.Plan(now + AdviceTTL + time.Second); a.Sidecars != 0 || len(a.Tenants) != 0 || len(p.sidecars) != 0 {
 		t.Errorf("nobody tells anything: %+v", a)
 	}
 }
@@ -74,12 +74,12 @@
 		"two leave, twice": {40, []float64{4, 17, 100}, []float64{4, 17, 19}},
 		"nothing asked":    {40, []float64{0, 0, 0}, []float64{0, 0, 0}},
 	} {
-		var all []tenant
+		var all []tenantLoad
 		for i, a := range tt.asked {
-			all = append(all, tenant{name: string(rune('a' + i)), share: []float64{2, 1, 1}[i], asked: a})
+			all = append(all, tenantLoad{name: string(rune('a' + i)), quota: []float64{2, 1, 1}[i], requestRate: a})
 		}
-		for i, p := range divide(tt.limit, all) {
-			if math.Abs(p.AllowedRate-tt.allowed[i]) > 1e-9 || p.AdmitFraction > 1 || p.AdmitFraction < leastPart {
+		for i, p := range divideByQuota(tt.limit, all) {
+			if math.Abs(p.AllowedRate-tt.allowed[i]) > 1e-9 || p.AdmitFraction > 1 || p.AdmitFraction < minAdmitFraction {
 				t.Errorf("%s: %+v, want %v allowed", name, p, tt.allowed[i])
 			}
 		}
