--- a/internal/overload/filter.go
+++ b/internal/overload/filter.go
@@ -1,28 +1,28 @@
 package overload
 
-import (
-	"fmt"
-)
+import "fmt"
 
-// AdviceFilter decides which advice a sidecar takes: that of the latest holder, in order.
+// AdviceFilter decides which advice a sidecar puts into force: that of the latest lease holder,
+// in the order in which it was planned. It is not safe for concurrent use.
 type AdviceFilter struct {
-	Fleet         string
-	token, number uint64
+	Fleet string
+
+	token, number uint64 // of the last advice that was accepted
 }
 
-// Accept says whether advice is to be put in force.
-func (t *AdviceFilter) Accept(a Advice) error {
+// Accept returns an error if the advice must not be put into force.
+func (f *AdviceFilter) Accept(a Advice) error {
 	if err := a.Check(); err != nil {
 		return err
 	}
 	switch {
-	case a.Fleet != t.Fleet:
-		return fmt.Errorf("%w: it is for fleet %.64q, this is %q", ErrBadMessage, a.Fleet, t.Fleet)
-	case a.Token < t.token:
-		return fmt.Errorf("%w: it is under token %d, an earlier holder's: %d is known", ErrBadMessage, a.Token, t.token)
-	case a.Token == t.token && a.Number <= t.number:
-		return fmt.Errorf("%w: number %d came already", ErrBadMessage, t.number)
+	case a.Fleet != f.Fleet:
+		return fmt.Errorf("%w: it is for fleet %.64q, this is %q", ErrBadMessage, a.Fleet, f.Fleet)
+	case a.Token < f.token:
+		return fmt.Errorf("%w: it is under token %d, an earlier holder's: %d is known", ErrBadMessage, a.Token, f.token)
+	case a.Token == f.token && a.Number <= f.number:
+		return fmt.Errorf("%w: number %d came already", ErrBadMessage, f.number)
 	}
-	t.token, t.number = a.Token, a.Number
+	f.token, f.number = a.Token, a.Number
 	return nil
 }
--- a/internal/overload/planner.go
+++ b/internal/overload/planner.go
@@ -3,37 +3,70 @@
 import (
 	"fmt"
 	"slices"
+	"strings"
 	"time"
 )
 
-// Planner works out the advice. It is told the time, as a reading of a clock that never
-// goes back, and is not safe for concurrent use.
+const (
+	// targetCongestion is the congestion at which the fleet is kept: servers always have work, and
+	// still answer in time. Sidecars shed load by themselves above it.
+	targetCongestion = 0.15
+	// correctionGain is the part of a deviation from the target that one plan corrects. A
+	// correction shows only after a queueing time, so correcting the whole of it each second
+	// would oscillate.
+	correctionGain = 0.5
+	// minCorrection is the least part of the capacity to which the limit is lowered to drain a queue.
+	minCorrection = 0.9
+	// capacityDecay lowers the capacity each second under congestion, as after a loss of servers.
+	capacityDecay = 0.97
+	// capacityGrowth raises the capacity each second without congestion, until it covers all requests.
+	capacityGrowth = 1.05
+	// overQuotaFactor is how many times its quota a tenant has to ask for before it is limited.
+	overQuotaFactor = 1.5
+	// unlimitedFactor is how far above the rate of all requests the capacity has to be for the
+	// limit to end.
+	unlimitedFactor = 1.2
+	// minAdmitFraction is the part of its requests that a tenant may always try. If it could try
+	// none, the sidecars would not see that servers have recovered for it.
+	minAdmitFraction = 0.01
+	// minResponseRate is the rate of responses below which the fleet's state is not known.
+	minResponseRate = 5
+	// minQuota keeps the division by quotas defined where they are 0.
+	minQuota = 1e-9
+)
+
+// Planner works out advice from digests. The caller tells it the time as a reading of a
+// monotonic clock. It is not safe for concurrent use.
 type Planner struct {
 	fleet    string
 	token    uint64
-	number   uint64
-	capacity float64 // requests a second that servers bear; 0: all that is asked
-	limit    float64
+	number   uint64  // of the last plan
+	capacity float64 // requests a second that servers can serve; 0: enough for all requests
 	sidecars map[string]*sidecarReport
 	expected int
 }
 
+// sidecarReport is the latest digest of a sidecar.
 type sidecarReport struct {
 	digest     Digest
 	receivedAt time.Duration
 }
 
-// NewPlanner makes the Planner of one grant: nothing of an earlier one's is known.
+// NewPlanner makes the Planner of one lease grant, which starts without the state of earlier ones.
 func NewPlanner(fleet string, token uint64) *Planner {
 	return &Planner{fleet: fleet, token: token, sidecars: make(map[string]*sidecarReport)}
 }
 
-// SetExpected notes how many sidecars there are, by somebody else's word; 0: nobody knows. Where
-// fewer than half of them are heard, nobody is cut: their part of a tenant is not the
-// tenant. A lower number than that of those heard changes nothing.
-func (p *Planner) SetExpected(sidecars int) { p.expected = min(max(0, sidecars), MaxSidecars) }
+// SetExpected sets how many sidecars the fleet has, as its membership sees it; 0: not known.
+// While fewer than half of them report, no tenant is limited, since their share of a tenant's
+// requests says too little about the tenant. A number below that of the reporting sidecars
+// changes nothing.
+func (p *Planner) SetExpected(sidecars int) {
+	p.expected = min(max(0, sidecars), MaxSidecars)
+}
 
-// AddDigest takes a digest in. One that is older than what is known of its sidecar is an error.
+// AddDigest takes a digest in. It returns an error that wraps ErrBadMessage if the digest is
+// malformed, of another fleet, or older than the sidecar's latest one.
 func (p *Planner) AddDigest(now time.Duration, d Digest) error {
 	if err := d.Check(); err != nil {
 		return err
@@ -41,26 +74,33 @@
 	if d.Fleet != p.fleet {
 		return fmt.Errorf("%w: it is of fleet %.64q, this is %q", ErrBadMessage, d.Fleet, p.fleet)
 	}
-	m := p.sidecars[d.Name]
+	report, known := p.sidecars[d.Name]
 	switch {
-	case m == nil && len(p.sidecars) >= MaxSidecars:
+	case !known && len(p.sidecars) >= MaxSidecars:
 		return fmt.Errorf("%w: %d sidecars are known", ErrBadMessage, len(p.sidecars))
-	case m == nil:
-		m = new(sidecarReport)
-		p.sidecars[d.Name] = m
-	case d.Incarnation < m.digest.Incarnation || d.Incarnation == m.digest.Incarnation && d.Seq <= m.digest.Seq:
-		return fmt.Errorf("%w: %.64s has told later ones", ErrBadMessage, d.Name)
+	case !known:
+		report = new(sidecarReport)
+		p.sidecars[d.Name] = report
+	case !d.isNewerThan(&report.digest):
+		return fmt.Errorf("%w: %.64s has sent later ones", ErrBadMessage, d.Name)
 	}
-	m.digest, m.receivedAt = d, now
+	report.digest, report.receivedAt = d, now
 	return nil
 }
 
-// fleetLoad are what the fleet's latest digests add up to, a second.
+func (d *Digest) isNewerThan(other *Digest) bool {
+	if d.Incarnation != other.Incarnation {
+		return d.Incarnation > other.Incarnation
+	}
+	return d.Seq > other.Seq
+}
+
+// fleetLoad is the sum of the sidecars' latest digests, as rates a second.
 type fleetLoad struct {
 	sidecars     int
 	rates        Rates
 	responseRate float64
-	congestion   float64
+	congestion   float64 // the mean over all responses
 	tenants      []tenantLoad
 }
 
@@ -70,115 +110,142 @@
 	requestRate float64
 }
 
-func (p *Planner) aggregate(now time.Duration) (s fleetLoad) {
-	index := make(map[string]int)
-	for name, m := range p.sidecars {
-		if now-m.receivedAt > AdviceTTL {
-			delete(p.sidecars, name) // its part is the others' from now on
+// aggregate adds up the digests that are recent enough, and forgets the others.
+func (p *Planner) aggregate(now time.Duration) fleetLoad {
+	var load fleetLoad
+	index := make(map[string]int) // of load.tenants, by name
+	for name, report := range p.sidecars {
+		if now-report.receivedAt > AdviceTTL {
+			delete(p.sidecars, name)
 			continue
 		}
-		s.sidecars++
-		second := 1000 / float64(m.digest.PeriodMS)
-		var answers float64
-		for _, c := range m.digest.Tenants {
-			i, known := index[c.Tenant]
-			if !known {
-				if len(s.tenants) == MaxTenants {
-					continue
-				}
-				i = len(s.tenants)
-				index[c.Tenant] = i
-				s.tenants = append(s.tenants, tenantLoad{name: c.Tenant})
-			}
-			t := &s.tenants[i]
-			t.quota = max(t.quota, c.Quota)
-			t.requestRate += float64(c.Requests) * second
-			s.rates.Requests += float64(c.Requests) * second
-			s.rates.InTime += float64(c.InTime) * second
-			s.rates.Late += float64(c.Late) * second
-			s.rates.Refused += float64(c.Refused) * second
-			s.rates.Failed += float64(c.Failed) * second
-			answers += float64(c.InTime+c.Late) * second
-		}
-		s.congestion += m.digest.Congestion * answers
-		s.responseRate += answers
+		load.add(&report.digest, index)
 	}
-	if s.responseRate > 0 {
-		s.congestion /= s.responseRate
+	if load.responseRate > 0 {
+		load.congestion /= load.responseRate
 	}
-	slices.SortFunc(s.tenants, func(a, b tenantLoad) int {
-		if a.name < b.name {
-			return -1
+	slices.SortFunc(load.tenants, func(a, b tenantLoad) int { return strings.Compare(a.name, b.name) })
+	return load
+}
+
+// add adds a digest. Until all are added, congestion is the sum over responses.
+func (l *fleetLoad) add(d *Digest, index map[string]int) {
+	l.sidecars++
+	perSecond := 1000 / float64(d.PeriodMS)
+	var responseRate float64
+	for _, c := range d.Tenants {
+		t := l.tenant(c.Tenant, index)
+		if t == nil {
+			continue
+		}
+		t.quota = max(t.quota, c.Quota)
+		t.requestRate += float64(c.Requests) * perSecond
+		l.rates.Requests += float64(c.Requests) * perSecond
+		l.rates.InTime += float64(c.InTime) * perSecond
+		l.rates.Late += float64(c.Late) * perSecond
+		l.rates.Refused += float64(c.Refused) * perSecond
+		l.rates.Failed += float64(c.Failed) * perSecond
+		responseRate += float64(c.InTime+c.Late) * perSecond
+	}
+	l.congestion += d.Congestion * responseRate
+	l.responseRate += responseRate
+}
+
+// tenant returns the load of a tenant; nil if there are too many tenants.
+func (l *fleetLoad) tenant(name string, index map[string]int) *tenantLoad {
+	i, known := index[name]
+	if !known {
+		if len(l.tenants) == MaxTenants {
+			return nil
 		}
-		return 1
-	})
-	return s
+		i = len(l.tenants)
+		index[name] = i
+		l.tenants = append(l.tenants, tenantLoad{name: name})
+	}
+	return &l.tenants[i]
 }
 
 // Plan works out the advice of this moment.
 func (p *Planner) Plan(now time.Duration) Advice {
-	s := p.aggregate(now)
+	load := p.aggregate(now)
+	p.estimateCapacity(load)
+	correction := 1 + correctionGain*(targetCongestion-load.congestion)/targetCongestion
+	limit := p.capacity * max(minCorrection, min(1, correction))
+	p.number++
+	advice := Advice{
+		Fleet: p.fleet, Token: p.token, Number: p.number, ValidMS: AdviceTTL.Milliseconds(),
+		Limit: limit, Congestion: load.congestion, Sidecars: load.sidecars, Expected: p.expected, Rates: load.rates,
+	}
+	if limit > 0 && 2*load.sidecars >= p.expected {
+		advice.Tenants = limitTenants(limit, load)
+	}
+	return advice
+}
+
+// estimateCapacity follows the rate that servers can serve.
+func (p *Planner) estimateCapacity(load fleetLoad) {
 	switch {
-	case s.responseRate < minResponseRate:
-		p.capacity, p.limit = 0, 0 // nothing is known
-	case s.congestion >= targetCongestion: // servers with a queue answer what they can, however much is sent there
-		p.capacity = max(s.responseRate, p.capacity*capacityDecay)
+	case load.responseRate < minResponseRate:
+		p.capacity = 0
+	case load.congestion >= targetCongestion: // the servers have queues, so they serve as much as they can
+		p.capacity = max(load.responseRate, p.capacity*capacityDecay)
 	case p.capacity > 0:
 		p.capacity *= capacityGrowth
 	}
-	if p.capacity >= unlimitedFactor*s.rates.Requests {
+	if p.capacity >= unlimitedFactor*load.rates.Requests {
 		p.capacity = 0
 	}
-	p.limit = p.capacity * max(minCorrection, min(1, 1+correctionGain*(targetCongestion-s.congestion)/targetCongestion))
-	p.number++
-	a := Advice{Fleet: p.fleet, Token: p.token, Number: p.number, ValidMS: AdviceTTL.Milliseconds(), Limit: p.limit, Congestion: s.congestion, Sidecars: s.sidecars, Expected: p.expected, Rates: s.rates}
-	if p.limit > 0 && 2*s.sidecars >= p.expected {
-		a.Tenants = divideByQuota(p.limit, s.tenants)
-		shares := 0.0
-		for _, t := range s.tenants {
-			shares += t.quota
-		}
-		for i, t := range s.tenants {
-			if t.requestRate*shares <= overQuotaFactor*t.quota*s.rates.Requests { // an overload of all is each sidecar's own to shed
-				a.Tenants[i].AdmitFraction, a.Tenants[i].AllowedRate = 1, t.requestRate
-			}
+}
+
+// limitTenants divides the limit, and then lifts it from tenants that are not far above their
+// quota: an overload by all alike is shed by each sidecar itself.
+func limitTenants(limit float64, load fleetLoad) []TenantAdvice {
+	advice := divideByQuota(limit, load.tenants)
+	quotas := 0.0
+	for _, t := range load.tenants {
+		quotas += t.quota
+	}
+	for i, t := range load.tenants {
+		if t.requestRate*quotas <= overQuotaFactor*t.quota*load.rates.Requests {
+			advice[i].AdmitFraction, advice[i].AllowedRate = 1, t.requestRate
 		}
 	}
-	return a
+	return advice
 }
 
-// divideByQuota gives tenants what they ask for as far as it goes round, by their shares: who
-// asks for less than its part leaves the rest to the others (weighted max-min fairness).
+// divideByQuota divides a limit among tenants by weighted max-min fairness: a tenant that asks
+// for less than its quota leaves the rest to the others.
 func divideByQuota(limit float64, tenants []tenantLoad) []TenantAdvice {
-	parts := make([]TenantAdvice, len(tenants))
-	open := make([]int, 0, len(tenants)) // who has not got all that it asked for
+	advice := make([]TenantAdvice, len(tenants))
+	unsatisfied := make([]int, 0, len(tenants)) // indexes of tenants that have not got all they ask for
 	for i, t := range tenants {
-		parts[i] = TenantAdvice{Tenant: t.name, AdmitFraction: 1, RequestRate: t.requestRate}
-		open = append(open, i)
+		advice[i] = TenantAdvice{Tenant: t.name, AdmitFraction: 1, RequestRate: t.requestRate}
+		unsatisfied = append(unsatisfied, i)
 	}
-	for left := limit; len(open) > 0; {
-		shares := 0.0
-		for _, i := range open {
-			shares += max(tenants[i].quota, 1e-9)
+	for remaining := limit; len(unsatisfied) > 0; {
+		quotas := 0.0
+		for _, i := range unsatisfied {
+			quotas += max(tenants[i].quota, minQuota)
 		}
+		fairRate := func(i int) float64 { return remaining * max(tenants[i].quota, minQuota) / quotas }
 		var still []int
-		given := 0.0
-		for _, i := range open {
-			if own := left * max(tenants[i].quota, 1e-9) / shares; tenants[i].requestRate <= own {
-				parts[i].AllowedRate = tenants[i].requestRate
-				given += tenants[i].requestRate
+		granted := 0.0
+		for _, i := range unsatisfied {
+			if tenants[i].requestRate <= fairRate(i) {
+				advice[i].AllowedRate = tenants[i].requestRate
+				granted += tenants[i].requestRate
 			} else {
 				still = append(still, i)
 			}
 		}
-		if len(still) == len(open) {
-			for _, i := range open {
-				parts[i].AllowedRate = left * max(tenants[i].quota, 1e-9) / shares
-				parts[i].AdmitFraction = max(minAdmitFraction, min(1, parts[i].AllowedRate/tenants[i].requestRate))
+		if len(still) == len(unsatisfied) {
+			for _, i := range unsatisfied {
+				advice[i].AllowedRate = fairRate(i)
+				advice[i].AdmitFraction = max(minAdmitFraction, min(1, advice[i].AllowedRate/tenants[i].requestRate))
 			}
 			break
 		}
-		open, left = still, left-given
+		unsatisfied, remaining = still, remaining-granted
 	}
-	return parts
+	return advice
 }
