--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -62,17 +62,17 @@
 }
 
 const (
-	defaultLease    = 5 * time.Second
-	leastLease      = time.Second // several elections of the registry's are over by a part of it
-	mostLease       = 10 * time.Minute
-	defaultProbe    = 5 * time.Second // one probe costs a server up to 0.2 ms of work: a part in 25,000
-	leastProbe      = 100 * time.Millisecond
-	defaultAnswer   = time.Second
-	defaultFailures = 3
-	defaultCopies   = 5 * time.Minute
-	leastCopies     = time.Second
-	defaultKeep     = 24
-	mostKeep        = 10000
+	defaultLease         = 5 * time.Second
+	minLease             = time.Second // several elections of the registry's are over by a part of it
+	maxLease             = 10 * time.Minute
+	defaultProbeInterval = 5 * time.Second // one probe costs a server up to 0.2 ms of work: a part in 25,000
+	minProbeInterval     = 100 * time.Millisecond
+	defaultProbeTimeout  = time.Second
+	defaultFailures      = 3
+	defaultCacheInterval = 5 * time.Minute
+	minCacheInterval     = time.Second
+	defaultKeep          = 24
+	maxKeep              = 10000
 )
 
 // LoadConfig reads a keeper's configuration file.
@@ -101,14 +101,14 @@
 		return nil, err
 	}
 	if h := c.Health; h != nil {
-		orElse(&h.IntervalMS, defaultProbe.Milliseconds())
-		orElse(&h.TimeoutMS, min(defaultAnswer.Milliseconds(), h.IntervalMS))
+		setDefault(&h.IntervalMS, defaultProbeInterval.Milliseconds())
+		setDefault(&h.TimeoutMS, min(defaultProbeTimeout.Milliseconds(), h.IntervalMS))
 		if h.Failures == 0 {
 			h.Failures = defaultFailures
 		}
 	}
 	if k := c.ListCache; k != nil {
-		orElse(&k.IntervalMS, defaultCopies.Milliseconds())
+		setDefault(&k.IntervalMS, defaultCacheInterval.Milliseconds())
 		if k.Keep == 0 {
 			k.Keep = defaultKeep
 		}
@@ -119,7 +119,7 @@
 	return c, nil
 }
 
-func orElse(v *int64, otherwise int64) {
+func setDefault(v *int64, otherwise int64) {
 	if *v == 0 {
 		*v = otherwise
 	}
@@ -152,7 +152,7 @@
 		}
 		return nil
 	}
-	errs := []error{within("lease_ms", c.LeaseMS, leastLease.Milliseconds(), mostLease.Milliseconds())}
+	errs := []error{within("lease_ms", c.LeaseMS, minLease.Milliseconds(), maxLease.Milliseconds())}
 	if c.Drains != nil && c.Drains.Config == "" {
 		errs = append(errs, fmt.Errorf("drains.config is missing: barleyctl's configuration file"))
 	}
@@ -164,7 +164,7 @@
 	}
 	if h := c.Health; h != nil {
 		errs = append(errs,
-			within("health.every_ms", h.IntervalMS, leastProbe.Milliseconds(), time.Hour.Milliseconds()),
+			within("health.every_ms", h.IntervalMS, minProbeInterval.Milliseconds(), time.Hour.Milliseconds()),
 			within("health.timeout_ms", h.TimeoutMS, 1, min(h.IntervalMS, c.LeaseMS/2)),
 			within("health.failures", int64(h.Failures), 1, 1000))
 	}
@@ -173,8 +173,8 @@
 			errs = append(errs, fmt.Errorf("copies.folder is missing: one that all keepers share"))
 		}
 		errs = append(errs,
-			within("copies.every_ms", k.IntervalMS, leastCopies.Milliseconds(), (7*24*time.Hour).Milliseconds()),
-			within("copies.keep", int64(k.Keep), 1, mostKeep))
+			within("copies.every_ms", k.IntervalMS, minCacheInterval.Milliseconds(), (7*24*time.Hour).Milliseconds()),
+			within("copies.keep", int64(k.Keep), 1, maxKeep))
 	}
 	for _, err := range errs {
 		if err != nil {
@@ -184,4 +184,4 @@
 	return nil
 }
 
-func (c *Config) lease() time.Duration { return time.Duration(c.LeaseMS) * time.Millisecond }
+func (c *Config) leaseTTL() time.Duration { return time.Duration(c.LeaseMS) * time.Millisecond }
--- a/internal/controller/copies.go
+++ b/internal/controller/copies.go
@@ -33,11 +33,11 @@
 }
 
 const (
-	fenceFile  = "fence"
-	copyPrefix = "registry-"
-	copySuffix = ".json"
-	sumSuffix  = ".sha256"
-	lockEvery  = 20 * time.Millisecond
+	fenceFile         = "fence"
+	cachePrefix       = "registry-"
+	cacheSuffix       = ".json"
+	checksumSuffix    = ".sha256"
+	lockRetryInterval = 20 * time.Millisecond
 )
 
 // Save writes a copy under a token, and removes the oldest beyond those that are kept.
@@ -50,13 +50,13 @@
 		return "", err
 	}
 	defer unlock()
-	path = filepath.Join(c.Dir, copyPrefix+at.UTC().Format("20060102T150405.000000Z")+copySuffix)
+	path = filepath.Join(c.Dir, cachePrefix+at.UTC().Format("20060102T150405.000000Z")+cacheSuffix)
 	sum := sha256.Sum256(text)
 	if err := renameio.WriteFile(path, text, 0o600); err != nil {
 		return "", fmt.Errorf("copies: %w", err)
 	}
 	line := fmt.Sprintf("%s  %s\n", hex.EncodeToString(sum[:]), filepath.Base(path))
-	if err := renameio.WriteFile(path+sumSuffix, []byte(line), 0o600); err != nil {
+	if err := renameio.WriteFile(path+checksumSuffix, []byte(line), 0o600); err != nil {
 		return "", fmt.Errorf("copies: %w", err)
 	}
 	all, err := c.Paths()
@@ -64,7 +64,7 @@
 		return path, err
 	}
 	for _, old := range all[:max(0, len(all)-c.Keep)] {
-		if err := errors.Join(os.Remove(old+sumSuffix), os.Remove(old)); err != nil { // first what says that it is whole
+		if err := errors.Join(os.Remove(old+checksumSuffix), os.Remove(old)); err != nil { // first what says that it is whole
 			return path, fmt.Errorf("copies: %w", err)
 		}
 	}
@@ -90,7 +90,7 @@
 		if !errors.Is(err, unix.EWOULDBLOCK) {
 			return nil, fmt.Errorf("copies: lock: %w", err)
 		}
-		if err := pause(ctx, lockEvery); err != nil { // a process that was stopped may have it
+		if err := pause(ctx, lockRetryInterval); err != nil { // a process that was stopped may have it
 			return nil, fmt.Errorf("copies: another process has the folder: %w", err)
 		}
 	}
@@ -120,12 +120,12 @@
 
 // Paths returns the paths of all whole copies, the oldest first.
 func (c *ListCache) Paths() ([]string, error) {
-	all, err := filepath.Glob(filepath.Join(c.Dir, copyPrefix+"*"+copySuffix))
+	all, err := filepath.Glob(filepath.Join(c.Dir, cachePrefix+"*"+cacheSuffix))
 	if err != nil {
 		return nil, fmt.Errorf("copies: %w", err)
 	}
 	all = slices.DeleteFunc(all, func(path string) bool {
-		_, err := os.Stat(path + sumSuffix)
+		_, err := os.Stat(path + checksumSuffix)
 		return err != nil
 	})
 	slices.Sort(all)
@@ -138,24 +138,24 @@
 	if err != nil {
 		return nil, fmt.Errorf("copy: %w", err)
 	}
-	line, err := os.ReadFile(path + sumSuffix)
+	line, err := os.ReadFile(path + checksumSuffix)
 	if err != nil {
 		return nil, fmt.Errorf("copy %s is not whole: %w", path, err)
 	}
 	want, _, _ := strings.Cut(string(line), " ")
 	if sum := sha256.Sum256(text); hex.EncodeToString(sum[:]) != want {
-		return nil, fmt.Errorf("copy %s is spoilt: its checksum is not that of %s", path, filepath.Base(path)+sumSuffix)
+		return nil, fmt.Errorf("copy %s is spoilt: its checksum is not that of %s", path, filepath.Base(path)+checksumSuffix)
 	}
 	return text, nil
 }
 
-// copier keeps copies of the registry's contents.
-type copier struct {
+// listCacheTask keeps copies of the registry's contents.
+type listCacheTask struct {
 	config ListCacheConfig
 	client *client.Client
 }
 
-func (t *copier) run(ctx context.Context, term *lease.Handle) error {
+func (t *listCacheTask) run(ctx context.Context, term *lease.Handle) error {
 	c := &ListCache{Dir: t.config.Dir, Keep: t.config.Keep}
 	for {
 		text, err := t.client.Backup(ctx)
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -18,37 +18,37 @@
 const DrainsLease = "drains"
 
 const (
-	// drainsEvery is between two looks for drains that were handed over.
-	drainsEvery = 500 * time.Millisecond
-	// drainsAtOnce bounds them: each waits, most of its time.
-	drainsAtOnce = 64
-	// drainsAgain is the pause after one that failed.
-	drainsAgain = 5 * time.Second
+	// drainPollInterval is between two looks for drains that were handed over.
+	drainPollInterval = 500 * time.Millisecond
+	// maxConcurrentDrains bounds them: each waits, most of its time.
+	maxConcurrentDrains = 64
+	// drainRetryDelay is the pause after one that failed.
+	drainRetryDelay = 5 * time.Second
 )
 
-// drains runs what barleyctl has handed over. Its writes are fenced; to stop a server
+// drainTask runs what barleyctl has handed over. Its writes are fenced; to stop a server
 // is a timed act, which is harmless twice by what the stop command has to be.
-type drains struct {
+type drainTask struct {
 	config *drain.Config
 	client *client.Client
 }
 
-// fleetUnder stops servers only while the lease is held.
-type fleetUnder struct {
+// leasedFleet stops servers only while the lease is held.
+type leasedFleet struct {
 	drain.Fleet
 	term *lease.Handle
 	ttl  time.Duration
 }
 
-func (f fleetUnder) Stop(ctx context.Context, machine, host string) error {
+func (f leasedFleet) Stop(ctx context.Context, machine, host string) error {
 	return f.term.Do(ctx, f.ttl/4, func(ctx context.Context) error { return f.Fleet.Stop(ctx, machine, host) })
 }
 
-func (t *drains) run(ctx context.Context, term *lease.Handle) error {
-	under := t.config.WorkflowWith(fenced{t.client, term}, drain.OwnerControllers, drainsEvery, func(format string, args ...any) {
+func (t *drainTask) run(ctx context.Context, term *lease.Handle) error {
+	under := t.config.WorkflowWith(fencedRegistry{t.client, term}, drain.OwnerControllers, drainPollInterval, func(format string, args ...any) {
 		slog.Info("drain: "+fmt.Sprintf(format, args...), "lease", term.LeaseName(), "token", term.Token())
 	})
-	under.Fleet = fleetUnder{under.Fleet, term, term.TTL()}
+	under.Fleet = leasedFleet{under.Fleet, term, term.TTL()}
 	var all sync.WaitGroup
 	defer all.Wait()
 	var mu sync.Mutex
@@ -63,7 +63,7 @@
 		}
 		mu.Lock()
 		for _, d := range handed {
-			if running[d.Machine] || len(running) >= drainsAtOnce {
+			if running[d.Machine] || len(running) >= maxConcurrentDrains {
 				continue
 			}
 			running[d.Machine] = true
@@ -75,7 +75,7 @@
 					slog.Info("drain: given up", "machine", d.Machine, "token", term.Token(), "err", err)
 				case err != nil:
 					slog.Warn("drain: hindered", "machine", d.Machine, "token", term.Token(), "err", err)
-					pause(ctx, drainsAgain)
+					pause(ctx, drainRetryDelay)
 				}
 				mu.Lock()
 				delete(running, d.Machine)
@@ -83,7 +83,7 @@
 			})
 		}
 		mu.Unlock()
-		if err := pause(ctx, drainsEvery); err != nil {
+		if err := pause(ctx, drainPollInterval); err != nil {
 			return err
 		}
 	}
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -17,26 +17,26 @@
 	"barleywick/internal/registry/client"
 )
 
-// fleet is what a keeper does with what its membership tells. Leases never rest on that:
+// fleetView is what a keeper does with what its membership tells. Leases never rest on that:
 // what it sees with its own eyes, the end of a process on its own machine, ends that
-// process's claims; all else makes it more careful, and nothing more. A nil fleet tells
+// process's claims; all else makes it more careful, and nothing more. A nil fleetView tells
 // nothing.
-type fleet struct {
-	node   *gossip.Node
-	client *client.Client
-	look   chan struct{}
+type fleetView struct {
+	node    *gossip.Node
+	client  *client.Client
+	changed chan struct{}
 }
 
 const (
-	// buryIn is for one call that ends a claim.
-	buryIn = 2 * time.Second
+	// releaseTimeout is for one call that ends a claim.
+	releaseTimeout = 2 * time.Second
 	// actMargin is beyond what a keeper's longest timed act may take: what it had sent when
 	// it ended is on its way still.
 	actMargin = 50 * time.Millisecond
 )
 
-// longestAct is how long a timed act of this keeper may take.
-func (c *Config) longestAct() time.Duration {
+// maxActTime is how long a timed act of this keeper may take.
+func (c *Config) maxActTime() time.Duration {
 	if c.MaxActMS > 0 {
 		return time.Duration(c.MaxActMS) * time.Millisecond
 	}
@@ -45,13 +45,13 @@
 		longest = max(longest, time.Duration(c.Health.TimeoutMS)*time.Millisecond)
 	}
 	if c.Drains != nil {
-		longest = max(longest, c.lease()/4) // a stop command's part
+		longest = max(longest, c.leaseTTL()/4) // a stop command's part
 	}
 	return longest
 }
 
-func joinFleet(c *Config, k *Controller) (*fleet, error) {
-	f := &fleet{client: k.client, look: make(chan struct{}, 1)}
+func joinFleet(c *Config, k *Controller) (*fleetView, error) {
+	f := &fleetView{client: k.client, changed: make(chan struct{}, 1)}
 	var urls []string
 	for _, at := range c.Registry {
 		urls = append(urls, "http://"+at+registry.APIPath+membership.ViewPath)
@@ -62,10 +62,10 @@
 		Config: *c.Membership, WatchProcesses: true, FindSeeds: membership.SeedsFromViews(asks, urls),
 		Self: membership.Info{
 			Name: c.Name, Incarnation: k.member.Holder.Incarnation, Role: membership.RoleController,
-			HTTPAddr: c.Listen, LongestActMS: c.longestAct().Milliseconds(),
+			HTTPAddr: c.Listen, LongestActMS: c.maxActTime().Milliseconds(),
 		},
 		OnChange: func() {
-			for _, kick := range []chan struct{}{f.look, k.looked} {
+			for _, kick := range []chan struct{}{f.changed, k.membersChanged} {
 				select {
 				case kick <- struct{}{}:
 				default:
@@ -77,7 +77,7 @@
 }
 
 // run is a member until ctx ends, and ends the claims of keepers whose processes it sees end.
-func (f *fleet) run(ctx context.Context) {
+func (f *fleetView) run(ctx context.Context) {
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
 	tasks.Go(func() {
@@ -88,7 +88,7 @@
 	buried := make(map[string]bool)
 	for {
 		select {
-		case <-f.look:
+		case <-f.changed:
 		case <-ctx.Done():
 			return
 		}
@@ -97,11 +97,11 @@
 		for _, s := range f.node.Members() {
 			key := s.Key()
 			known[key] = true
-			if s.Role != membership.RoleController || buried[key] || !sureEnd(s, own) {
+			if s.Role != membership.RoleController || buried[key] || !sawProcessEnd(s, own) {
 				continue
 			}
 			buried[key] = true
-			tasks.Go(func() { f.bury(ctx, s) })
+			tasks.Go(func() { f.releaseClaims(ctx, s) })
 		}
 		for key := range buried {
 			if !known[key] {
@@ -111,19 +111,19 @@
 	}
 }
 
-// sureEnd says whether this process itself has seen a member's process end. The word of
+// sawProcessEnd says whether this process itself has seen a member's process end. The word of
 // others is none on which a lease may end.
-func sureEnd(s membership.Member, own string) bool {
+func sawProcessEnd(s membership.Member, own string) bool {
 	return s.Status == membership.StatusEnded && s.By == own || mutation.GossipRemoves && s.Status == membership.StatusUnreachable
 }
 
-// bury ends the claims of a keeper whose process has ended, once what it had sent has
+// releaseClaims ends the claims of a keeper whose process has ended, once what it had sent has
 // come to an end too: the next in line need not wait for the rest of the lease.
-func (f *fleet) bury(ctx context.Context, s membership.Member) {
+func (f *fleetView) releaseClaims(ctx context.Context, s membership.Member) {
 	if pause(ctx, time.Duration(s.LongestActMS)*time.Millisecond+actMargin) != nil {
 		return
 	}
-	in, cancel := context.WithTimeout(ctx, buryIn)
+	in, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	all, err := f.client.Leases(in, 0, 0)
 	if err != nil {
@@ -152,39 +152,39 @@
 	slog.Info("members: a keeper's process has ended, and so have its claims", "keeper", s.Name, "incarnation", s.Incarnation, "claims", ended)
 }
 
-// ended says whether a holder is sure to have ended, by anybody's word: nothing more is
+// hasEnded says whether a holder is sure to have hasEnded, by anybody's word: nothing more is
 // handed to it, or expected of it.
-func (f *fleet) ended(h registry.Holder) bool {
+func (f *fleetView) hasEnded(h registry.Holder) bool {
 	s, ok := f.standing(h)
 	return ok && (s.Status == membership.StatusEnded || s.Status == membership.StatusLeft)
 }
 
-// answers says whether a holder may be handed something: whoever is not known may.
-func (f *fleet) answers(h registry.Holder) bool {
+// canReceive says whether a holder may be handed something: whoever is not known may.
+func (f *fleetView) canReceive(h registry.Holder) bool {
 	s, ok := f.standing(h)
 	return !ok || s.Status == membership.StatusPresent
 }
 
-func (f *fleet) standing(h registry.Holder) (s membership.Member, ok bool) {
+func (f *fleetView) standing(h registry.Holder) (s membership.Member, ok bool) {
 	if f == nil {
 		return s, false
 	}
 	return f.node.Get(membership.Info{Name: h.Name, Incarnation: h.Incarnation}.Key())
 }
 
-// minority says that more than half of the fleet's members are lost from here.
-func (f *fleet) minority() bool { return f != nil && f.node.Partition().Minority() }
+// inMinority says that more than half of the fleet's members are lost from here.
+func (f *fleetView) inMinority() bool { return f != nil && f.node.Partition().Minority() }
 
-// sidecars is how many sidecars are there, as far as is seen here; 0: nothing is.
-func (f *fleet) sidecars() int {
+// sidecarCount is how many sidecarCount are there, as far as is seen here; 0: nothing is.
+func (f *fleetView) sidecarCount() int {
 	if f == nil {
 		return 0
 	}
 	return f.node.CountRole(membership.RoleSidecar)
 }
 
-// reasons are booking servers that a member has not heard from lately.
-func (f *fleet) reasons() []string {
+// suspectedServers are booking servers that a member has not heard from lately.
+func (f *fleetView) suspectedServers() []string {
 	if f == nil {
 		return nil
 	}
@@ -202,14 +202,14 @@
 )
 
 // Describe names the figures of the membership.
-func (f *fleet) Describe(c chan<- *prometheus.Desc) {
+func (f *fleetView) Describe(c chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{descMembers, descMinority, descDiffer, descSent, descSuspected, descLost, descBad} {
 		c <- d
 	}
 }
 
 // Collect reads them.
-func (f *fleet) Collect(c chan<- prometheus.Metric) {
+func (f *fleetView) Collect(c chan<- prometheus.Metric) {
 	a, n := f.node.View(), f.node.Stats()
 	by := make(map[membership.Status]int)
 	for _, m := range a.Members {
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -33,29 +33,29 @@
 // HealthRecordKey is the record that holds a shard's advice, by host. One without advice is well.
 func HealthRecordKey(shard int) string { return fmt.Sprint("health:", shard) }
 
-// health probes the booking servers of one shard. A probe is a timed act: one too many
+// healthTask probes the booking servers of one shard. A probe is a timed act: one too many
 // costs a server a fifth of a millisecond.
-type health struct {
-	config HealthConfig
-	client *client.Client
-	fleet  *fleet
-	shard  int
-	asked  map[string]bool // out of turn, for a word that lasts still
+type healthTask struct {
+	config          HealthConfig
+	client          *client.Client
+	fleet           *fleetView
+	shard           int
+	probedOutOfTurn map[string]bool // out of turn, for a word that lasts still
 }
 
-func (h *health) name() string { return fmt.Sprintf("health-%d", h.shard) }
+func (h *healthTask) leaseName() string { return fmt.Sprintf("health-%d", h.shard) }
 
-func (h *health) mine(host string) bool {
+func (h *healthTask) ownsServer(host string) bool {
 	return xxhash.Sum64String(host)%healthShards == uint64(h.shard)
 }
 
-func (h *health) run(ctx context.Context, term *lease.Handle) error {
+func (h *healthTask) run(ctx context.Context, term *lease.Handle) error {
 	timeout := time.Duration(h.config.TimeoutMS) * time.Millisecond
 	every := time.Duration(h.config.IntervalMS) * time.Millisecond
 	c := &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	r := fenced{h.client, term}
+	r := fencedRegistry{h.client, term}
 	failing := make(map[string]HealthAdvice)
-	h.asked = make(map[string]bool)
+	h.probedOutOfTurn = make(map[string]bool)
 	written := ""
 	// Each write names the version that it replaces: one that is repeated late would
 	// take back what came after it.
@@ -91,7 +91,7 @@
 			}
 			slog.Warn("health: the list cannot be read", "lease", term.LeaseName(), "err", err)
 		}
-		list.Registrations = slices.DeleteFunc(list.Registrations, func(e registry.Registration) bool { return !h.mine(e.Host) })
+		list.Registrations = slices.DeleteFunc(list.Registrations, func(e registry.Registration) bool { return !h.ownsServer(e.Host) })
 		maps.DeleteFunc(failing, func(host string, _ HealthAdvice) bool {
 			return err == nil && !slices.ContainsFunc(list.Registrations, func(e registry.Registration) bool { return e.Host == host })
 		})
@@ -106,7 +106,7 @@
 		}
 		advice := maps.Clone(failing)
 		maps.DeleteFunc(advice, func(_ string, a HealthAdvice) bool { return a.ConsecutiveFailures < h.config.Failures })
-		if text, key := h.text(advice); key != written {
+		if text, key := h.encodeAdvice(advice); key != written {
 			if version, err = r.Put(ctx, HealthRecordKey(h.shard), text, &version); err != nil {
 				return fmt.Errorf("advice: %w", err)
 			}
@@ -119,12 +119,12 @@
 	}
 }
 
-// reasonEvery is between two looks for a reason to probe out of turn.
-const reasonEvery = 250 * time.Millisecond
+// suspicionPollInterval is between two looks for a reason to probe out of turn.
+const suspicionPollInterval = 250 * time.Millisecond
 
 // wait waits for a server's turn. Meanwhile servers that some member of the fleet has not
 // heard from are looked at out of turn, each once as long as that word lasts.
-func (h *health) wait(ctx context.Context, until time.Time, all []registry.Registration, look func(registry.Registration) error) error {
+func (h *healthTask) wait(ctx context.Context, until time.Time, all []registry.Registration, look func(registry.Registration) error) error {
 	found := func(host string) (registry.Registration, bool) {
 		i := slices.IndexFunc(all, func(e registry.Registration) bool { return e.Host == host })
 		if i < 0 {
@@ -133,16 +133,16 @@
 		return all[i], true
 	}
 	for left := time.Until(until); left > 0; left = time.Until(until) {
-		if err := pause(ctx, min(left, reasonEvery)); err != nil {
+		if err := pause(ctx, min(left, suspicionPollInterval)); err != nil {
 			return err
 		}
-		reasons := h.fleet.reasons()
-		maps.DeleteFunc(h.asked, func(host string, _ bool) bool { return !slices.Contains(reasons, host) })
+		reasons := h.fleet.suspectedServers()
+		maps.DeleteFunc(h.probedOutOfTurn, func(host string, _ bool) bool { return !slices.Contains(reasons, host) })
 		for _, host := range reasons {
-			if !h.mine(host) || h.asked[host] {
+			if !h.ownsServer(host) || h.probedOutOfTurn[host] {
 				continue
 			}
-			h.asked[host] = true
+			h.probedOutOfTurn[host] = true
 			e, ok := found(host)
 			if !ok { // it may have come since the list was read
 				if list, err := h.client.Registrations(ctx); err == nil {
@@ -152,7 +152,7 @@
 					continue
 				}
 			}
-			slog.Info("health: a member does not hear from a server", "host", host, "lease", h.name())
+			slog.Info("health: a member does not hear from a server", "host", host, "lease", h.leaseName())
 			if err := look(e); err != nil {
 				return err
 			}
@@ -161,9 +161,9 @@
 	return nil
 }
 
-// text is the advice to be written, and what of it tells it from other advice: not how
+// encodeAdvice is the advice to be written, and what of it tells it from other advice: not how
 // often a server has failed since, which would be a write each time.
-func (h *health) text(advice map[string]HealthAdvice) (text []byte, key string) {
+func (h *healthTask) encodeAdvice(advice map[string]HealthAdvice) (text []byte, key string) {
 	text, err := json.Marshal(advice)
 	if err != nil {
 		panic(fmt.Sprintf("keeper: advice that cannot be written: %v", err)) // numbers and texts can
--- a/internal/controller/keeper.go
+++ b/internal/controller/keeper.go
@@ -28,24 +28,24 @@
 	Timed bool
 }
 
-// presence begins the names of leases that say which keepers there are. A keeper
+// presenceLeasePrefix begins the names of leases that say which keepers there are. A keeper
 // without its own holds no task, so of two processes with one name one is idle.
-const presence = "keeper:"
+const presenceLeasePrefix = "keeper:"
 
-// settleLeases is for how many lease lengths a keeper has to be present before tasks
+// settleTTLs is for how many lease lengths a keeper has to be present before tasks
 // are handed over to it: as long as it takes to notice that one has gone, twice.
-const settleLeases = 2
+const settleTTLs = 2
 
 // Controller is one process.
 type Controller struct {
-	name   string
-	ttl    time.Duration
-	client *client.Client
-	member *lease.Manager
-	tasks  []Task
-	news   chan registry.LeasesResponse // the latest alone
-	fleet  *fleet                       // what its membership tells; nil: it has none
-	looked chan struct{}                // the members have changed
+	name           string
+	ttl            time.Duration
+	client         *client.Client
+	member         *lease.Manager
+	tasks          []Task
+	leaseUpdates   chan registry.LeasesResponse // the latest alone
+	fleet          *fleetView                   // what its membership tells; nil: it has none
+	membersChanged chan struct{}                // the members have changed
 
 	mu   sync.Mutex
 	held map[string]*lease.Handle
@@ -57,9 +57,9 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &Controller{name: c.Name, ttl: c.lease(), client: r.WithAddressMap(c.Routes), held: make(map[string]*lease.Handle), news: make(chan registry.LeasesResponse, 1), looked: make(chan struct{}, 1)}
+	k := &Controller{name: c.Name, ttl: c.leaseTTL(), client: r.WithAddressMap(c.Routes), held: make(map[string]*lease.Handle), leaseUpdates: make(chan registry.LeasesResponse, 1), membersChanged: make(chan struct{}, 1)}
 	k.member = lease.NewManager(lease.Options{
-		Registry: r, TTL: k.ttl, OnChange: k.hear,
+		Registry: r, TTL: k.ttl, OnChange: k.onLeases,
 		// The start's time tells the later of two processes. It decides nothing between
 		// holders: a clock that was set back costs a place in a line.
 		Holder: registry.Holder{Name: c.Name, Incarnation: uint64(time.Now().UnixMicro())},
@@ -73,13 +73,13 @@
 	return k, nil
 }
 
-// hear keeps the latest news for the loop.
-func (k *Controller) hear(news registry.LeasesResponse) {
+// onLeases keeps the latest news for the loop.
+func (k *Controller) onLeases(news registry.LeasesResponse) {
 	select {
-	case <-k.news:
+	case <-k.leaseUpdates:
 	default:
 	}
-	k.news <- news // there is one that hears
+	k.leaseUpdates <- news // there is one that hears
 }
 
 // Run holds tasks until ctx ends, and gives them up then.
@@ -95,7 +95,7 @@
 	defer running.Wait()
 	defer end()
 	for {
-		err := k.member.Hold(ctx, presence+k.name, func(ctx context.Context, _ *lease.Handle) error {
+		err := k.member.Hold(ctx, presenceLeasePrefix+k.name, func(ctx context.Context, _ *lease.Handle) error {
 			k.present(ctx)
 			return ctx.Err()
 		})
@@ -110,7 +110,7 @@
 
 // present claims tasks and hands them over for as long as this keeper is present.
 func (k *Controller) present(ctx context.Context) {
-	s := &spread{settle: settleLeases * k.ttl}
+	s := &placement{settle: settleTTLs * k.ttl}
 	running := make(map[string]context.CancelFunc)
 	var all sync.WaitGroup
 	defer all.Wait()
@@ -121,8 +121,8 @@
 		select {
 		case <-ctx.Done():
 			return
-		case news = <-k.news:
-		case <-k.looked:
+		case news = <-k.leaseUpdates:
+		case <-k.membersChanged:
 		case <-tick.C:
 		}
 		if news.Version == 0 {
@@ -133,15 +133,15 @@
 		leases := make(map[string]registry.Lease, len(news.Leases))
 		for _, l := range news.Leases {
 			leases[l.Name] = l
-			if name, ok := strings.CutPrefix(l.Name, presence); ok && l.Grant != nil && l.Grant.Name == name && !k.fleet.ended(l.Grant.Holder) {
+			if name, ok := strings.CutPrefix(l.Name, presenceLeasePrefix); ok && l.Grant != nil && l.Grant.Name == name && !k.fleet.hasEnded(l.Grant.Holder) {
 				present = append(present, name)
 			}
 		}
 		s.update(present, now)
 		for _, t := range k.tasks {
-			claims, stop := s.claims(t.LeaseName, k.name), running[t.LeaseName]
+			claims, stop := s.shouldClaim(t.LeaseName, k.name), running[t.LeaseName]
 			holds := k.term(t.LeaseName) != nil
-			if t.Timed && k.fleet.minority() {
+			if t.Timed && k.fleet.inMinority() {
 				claims, holds = false, false // it stops also what it holds
 			}
 			switch {
@@ -155,11 +155,11 @@
 			case holds:
 				var waiting []string
 				for _, c := range leases[t.LeaseName].Queue {
-					if k.fleet.answers(c.Holder) {
+					if k.fleet.canReceive(c.Holder) {
 						waiting = append(waiting, c.Name)
 					}
 				}
-				if to, hand := s.next(t.LeaseName, k.name, waiting, now); hand {
+				if to, hand := s.handOverTarget(t.LeaseName, k.name, waiting, now); hand {
 					k.HandOver(t.LeaseName, to)
 				}
 			}
@@ -171,8 +171,8 @@
 func (k *Controller) hold(ctx context.Context, t Task) {
 	for ctx.Err() == nil {
 		err := k.member.Hold(ctx, t.LeaseName, func(ctx context.Context, term *lease.Handle) error {
-			k.note(t.LeaseName, term)
-			defer k.note(t.LeaseName, nil)
+			k.setTerm(t.LeaseName, term)
+			defer k.setTerm(t.LeaseName, nil)
 			if err := t.Run(ctx, term); err != nil {
 				return err
 			}
@@ -188,7 +188,7 @@
 	}
 }
 
-func (k *Controller) note(name string, t *lease.Handle) {
+func (k *Controller) setTerm(name string, t *lease.Handle) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if t == nil {
@@ -227,18 +227,18 @@
 	}
 }
 
-// fenced is the registry under a grant: whatever is written takes effect only while
+// fencedRegistry is the registry under a grant: whatever is written takes effect only while
 // the grant is the lease's.
-type fenced struct {
+type fencedRegistry struct {
 	*client.Client
 	term *lease.Handle
 }
 
-func (f fenced) Put(ctx context.Context, key string, value []byte, ifVersion *uint64) (uint64, error) {
+func (f fencedRegistry) Put(ctx context.Context, key string, value []byte, ifVersion *uint64) (uint64, error) {
 	return f.PutFenced(ctx, key, value, ifVersion, f.term.Fence())
 }
 
-func (f fenced) Mark(ctx context.Context, m registry.MarkRequest) (registry.WriteResponse, error) {
+func (f fencedRegistry) Mark(ctx context.Context, m registry.MarkRequest) (registry.WriteResponse, error) {
 	m.Fence = f.term.Fence()
 	return f.Client.Mark(ctx, m)
 }
@@ -250,22 +250,22 @@
 	}
 	var all []Task
 	if c.Drains != nil {
-		all = append(all, Task{LeaseName: DrainsLease, Run: (&drains{config: c.drains, client: k.client}).run})
+		all = append(all, Task{LeaseName: DrainsLease, Run: (&drainTask{config: c.drains, client: k.client}).run})
 	}
 	if c.Health != nil {
 		for shard := range healthShards {
-			h := &health{config: *c.Health, client: k.client, fleet: k.fleet, shard: shard}
-			all = append(all, Task{LeaseName: h.name(), Run: h.run, Timed: true})
+			h := &healthTask{config: *c.Health, client: k.client, fleet: k.fleet, shard: shard}
+			all = append(all, Task{LeaseName: h.leaseName(), Run: h.run, Timed: true})
 		}
 	}
 	if c.Policy != nil {
-		all = append(all, Task{LeaseName: PolicyLease, Run: (&policy{client: k.client}).run})
+		all = append(all, Task{LeaseName: PolicyLease, Run: (&policyTask{client: k.client}).run})
 	}
 	if c.Overload != nil {
 		all = append(all, Task{LeaseName: overload.LeaseName, Run: (&overloadTask{config: *c.Overload, client: k.client, fleet: k.fleet}).run, Timed: true})
 	}
 	if c.ListCache != nil {
-		all = append(all, Task{LeaseName: "copies", Run: (&copier{config: *c.ListCache, client: k.client}).run})
+		all = append(all, Task{LeaseName: "copies", Run: (&listCacheTask{config: *c.ListCache, client: k.client}).run})
 	}
 	return slices.Clip(all)
 }
--- a/internal/controller/keeper_test.go
+++ b/internal/controller/keeper_test.go
@@ -121,8 +121,8 @@
 }
 
 func TestSpread(t *testing.T) {
-	at := func(members ...string) *spread {
-		s := &spread{settle: 10 * time.Second}
+	at := func(members ...string) *placement {
+		s := &placement{settle: 10 * time.Second}
 		s.update(members, 0)
 		return s
 	}
@@ -131,7 +131,7 @@
 	counts := make(map[string]int)
 	for i := range 200 {
 		task := fmt.Sprint("task-", i)
-		owners[task] = at(five...).ranked(task)[0]
+		owners[task] = at(five...).rank(task)[0]
 		counts[owners[task]]++
 	}
 	for _, m := range five {
@@ -140,16 +140,16 @@
 		}
 	}
 	for task, owner := range owners { // one goes: its tasks move, the others stay
-		ranked := at(slices.DeleteFunc(slices.Clone(five), func(m string) bool { return m == "k2" })...).ranked(task)
+		ranked := at(slices.DeleteFunc(slices.Clone(five), func(m string) bool { return m == "k2" })...).rank(task)
 		if owner != "k2" && ranked[0] != owner {
 			t.Errorf("%s moves from %s to %s as k2 goes", task, owner, ranked[0])
 		}
-		if owner == "k2" && ranked[0] != at(five...).ranked(task)[1] {
+		if owner == "k2" && ranked[0] != at(five...).rank(task)[1] {
 			t.Errorf("%s goes from k2 to %s, who did not stand by", task, ranked[0])
 		}
 		claims := 0
 		for _, m := range five {
-			if at(five...).claims(task, m) {
+			if at(five...).shouldClaim(task, m) {
 				claims++
 			}
 		}
@@ -160,26 +160,26 @@
 	// One that comes and goes is handed nothing before it has been there for a while.
 	s := at("k0", "k1")
 	task := "task-0"
-	first, second := s.ranked(task)[0], s.ranked(task)[1]
+	first, second := s.rank(task)[0], s.rank(task)[1]
 	for now := time.Duration(0); now < time.Minute; now += time.Second {
 		present := []string{second}
 		if int(now/time.Second)%8 != 0 {
 			present = append(present, first)
 		}
 		s.update(present, now)
-		if to, hand := s.next(task, second, []string{first}, now); hand {
+		if to, hand := s.handOverTarget(task, second, []string{first}, now); hand {
 			t.Fatalf("handed over to %s after %v", to, now)
 		}
 	}
 	s.update([]string{first, second}, time.Minute)
 	s.update([]string{first, second}, 2*time.Minute)
-	if to, hand := s.next(task, second, []string{first}, 2*time.Minute); !hand || to != first {
+	if to, hand := s.handOverTarget(task, second, []string{first}, 2*time.Minute); !hand || to != first {
 		t.Errorf("not handed over to %s: %s", first, to)
 	}
-	if _, hand := s.next(task, second, nil, 2*time.Minute); hand {
+	if _, hand := s.handOverTarget(task, second, nil, 2*time.Minute); hand {
 		t.Error("handed over to one who does not wait")
 	}
-	if _, hand := s.next(task, first, []string{second}, 2*time.Minute); hand {
+	if _, hand := s.handOverTarget(task, first, []string{second}, 2*time.Minute); hand {
 		t.Error("handed over by the one who is to have it")
 	}
 }
@@ -238,7 +238,7 @@
 	if _, err := ReadCachedList(all[1]); err == nil || !strings.Contains(err.Error(), "spoilt") {
 		t.Errorf("a spoilt copy: %v", err)
 	}
-	if err := os.Remove(all[0] + sumSuffix); err != nil { // as when the process ended between the two
+	if err := os.Remove(all[0] + checksumSuffix); err != nil { // as when the process ended between the two
 		t.Fatal(err)
 	}
 	if _, err := ReadCachedList(all[0]); err == nil || !strings.Contains(err.Error(), "not whole") {
@@ -252,7 +252,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), 3*lockEvery)
+	ctx, cancel := context.WithTimeout(t.Context(), 3*lockRetryInterval)
 	defer cancel()
 	if _, err := c.Save(ctx, 9, at, nil); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("the folder is another's: %v", err)
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -24,20 +24,20 @@
 type overloadTask struct {
 	config OverloadConfig
 	client *client.Client
-	fleet  *fleet
+	fleet  *fleetView
 }
 
-// overloadCalls is how many digests are worked on at once: each takes some microseconds.
-const overloadCalls = 64
+// maxConcurrentDigests is how many digests are worked on at once: each takes some microseconds.
+const maxConcurrentDigests = 64
 
 func (t *overloadTask) run(ctx context.Context, term *lease.Handle) error {
 	ln, err := net.Listen("tcp", t.config.Listen)
 	if err != nil {
 		return fmt.Errorf("overload.listen: %w", err)
 	}
-	desk := &overloadDesk{term: term, planner: overload.NewPlanner(t.config.Fleet, term.Token()), began: time.Now(), busy: make(chan struct{}, overloadCalls)}
+	desk := &overloadServer{term: term, planner: overload.NewPlanner(t.config.Fleet, term.Token()), began: time.Now(), slots: make(chan struct{}, maxConcurrentDigests)}
 	desk.plan()
-	s := &http.Server{Handler: desk, ReadTimeout: callIn, WriteTimeout: callIn, IdleTimeout: 2 * callIn, MaxHeaderBytes: maxHead}
+	s := &http.Server{Handler: desk, ReadTimeout: httpTimeout, WriteTimeout: httpTimeout, IdleTimeout: 2 * httpTimeout, MaxHeaderBytes: maxHeaderBytes}
 	served := make(chan error, 1)
 	go func() { served <- s.Serve(ln) }() // ends with Close
 	defer func() {
@@ -53,7 +53,7 @@
 	for {
 		select {
 		case <-tick.C:
-			desk.expect(t.fleet.sidecars())
+			desk.expect(t.fleet.sidecarCount())
 			desk.plan()
 		case err := <-served:
 			served <- err // for what waits above
@@ -80,42 +80,42 @@
 	return nil
 }
 
-// overloadDesk answers digests with the word of the moment.
-type overloadDesk struct {
+// overloadServer answers digests with the word of the moment.
+type overloadServer struct {
 	term  *lease.Handle
 	began time.Time
-	busy  chan struct{}
+	slots chan struct{}
 
 	mu      sync.Mutex
 	planner *overload.Planner
-	word    overload.Advice
+	advice  overload.Advice
 }
 
-func (d *overloadDesk) expect(sidecars int) {
+func (d *overloadServer) expect(sidecars int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.planner.SetExpected(sidecars)
 }
 
-func (d *overloadDesk) plan() {
+func (d *overloadServer) plan() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	cut := len(d.word.Tenants) > 0
-	d.word = d.planner.Plan(time.Since(d.began))
-	if now := len(d.word.Tenants) > 0; now != cut {
-		slog.Info("overload: another word", "limit", d.word.Limit, "jam", d.word.Congestion, "sidecars", d.word.Sidecars, "parts", d.word.Tenants, "token", d.word.Token)
+	cut := len(d.advice.Tenants) > 0
+	d.advice = d.planner.Plan(time.Since(d.began))
+	if now := len(d.advice.Tenants) > 0; now != cut {
+		slog.Info("overload: another word", "limit", d.advice.Limit, "jam", d.advice.Congestion, "sidecars", d.advice.Sidecars, "parts", d.advice.Tenants, "token", d.advice.Token)
 	}
 }
 
 // ServeHTTP takes a digest, or tells the word to who only asks.
-func (d *overloadDesk) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (d *overloadServer) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	refuse := func(status int, err error) {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, err.Error(), status)
 	}
 	select {
-	case d.busy <- struct{}{}:
-		defer func() { <-d.busy }()
+	case d.slots <- struct{}{}:
+		defer func() { <-d.slots }()
 	default:
 		refuse(http.StatusServiceUnavailable, errors.New("too many digests at once"))
 		return
@@ -140,7 +140,7 @@
 	if q.Method == http.MethodPost {
 		err = d.planner.AddDigest(time.Since(d.began), digest)
 	}
-	word := d.word
+	word := d.advice
 	d.mu.Unlock()
 	switch {
 	case err != nil:
--- a/internal/controller/policy.go
+++ b/internal/controller/policy.go
@@ -15,24 +15,24 @@
 // PolicyLease is the lease of the task that leads changes of policy.
 const PolicyLease = "policy"
 
-// policyEvery is how often a change's time is looked at; what its sidecars say is heard
+// policyPollInterval is how often a change's time is looked at; what its sidecars say is heard
 // of at once.
-const policyEvery = 500 * time.Millisecond
+const policyPollInterval = 500 * time.Millisecond
 
-// policy leads changes of policy. Each step is fenced, and the registry looks itself at
+// policyTask leads changes of policyTask. Each step is fenced, and the registry looks itself at
 // whether everybody is there: a leader that is behind changes nothing.
-type policy struct{ client *client.Client }
+type policyTask struct{ client *client.Client }
 
-func (t *policy) run(ctx context.Context, term *lease.Handle) error {
+func (t *policyTask) run(ctx context.Context, term *lease.Handle) error {
 	var after uint64
 	for {
-		st, err := t.client.PolicyStatus(ctx, after, policyEvery)
+		st, err := t.client.PolicyStatus(ctx, after, policyPollInterval)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 		if err != nil {
 			slog.Warn("policy: not read", "lease", term.LeaseName(), "token", term.Token(), "err", err)
-			if err := pause(ctx, policyEvery); err != nil {
+			if err := pause(ctx, policyPollInterval); err != nil {
 				return err
 			}
 			continue
@@ -74,7 +74,7 @@
 				}
 			}
 		}
-		if pause(ctx, policyEvery) != nil {
+		if pause(ctx, policyPollInterval) != nil {
 			return nil
 		}
 	}
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	callIn  = 5 * time.Second
-	scrapes = 4
-	maxHead = 8 << 10
+	httpTimeout          = 5 * time.Second
+	maxConcurrentScrapes = 4
+	maxHeaderBytes       = 8 << 10
 )
 
 // Serve runs a keeper as its configuration says until ctx ends.
@@ -50,15 +50,15 @@
 // serve answers for metrics and readiness until ctx ends.
 func (k *Controller) serve(ctx context.Context, ln net.Listener) error {
 	r := prometheus.NewRegistry()
-	r.MustRegister(standing{k}, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
+	r.MustRegister(leaseCollector{k}, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	mux := http.NewServeMux()
-	mux.Handle("GET /metrics", promhttp.HandlerFor(r, promhttp.HandlerOpts{MaxRequestsInFlight: scrapes}))
+	mux.Handle("GET /metrics", promhttp.HandlerFor(r, promhttp.HandlerOpts{MaxRequestsInFlight: maxConcurrentScrapes}))
 	if k.fleet != nil {
 		mux.Handle("/"+membership.ViewPath, k.fleet.node)
 		r.MustRegister(k.fleet)
 	}
 	mux.HandleFunc("GET /health/ready", func(http.ResponseWriter, *http.Request) {})
-	s := &http.Server{Handler: mux, ReadTimeout: callIn, WriteTimeout: callIn, IdleTimeout: callIn, MaxHeaderBytes: maxHead}
+	s := &http.Server{Handler: mux, ReadTimeout: httpTimeout, WriteTimeout: httpTimeout, IdleTimeout: httpTimeout, MaxHeaderBytes: maxHeaderBytes}
 	closed := context.AfterFunc(ctx, func() { _ = s.Close() })
 	defer closed()
 	if err := s.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
@@ -73,18 +73,18 @@
 	descLapses = prometheus.NewDesc("barleykeeper_lease_lapses_total", "Leases that lapsed while their task ran.", nil, nil)
 )
 
-// standing tells how a keeper stands at the moment of a scrape.
-type standing struct{ k *Controller }
+// leaseCollector tells how a keeper stands at the moment of a scrape.
+type leaseCollector struct{ k *Controller }
 
 // Describe names the figures.
-func (standing) Describe(c chan<- *prometheus.Desc) {
+func (leaseCollector) Describe(c chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{descToken, descGrants, descLapses} {
 		c <- d
 	}
 }
 
 // Collect reads them.
-func (s standing) Collect(c chan<- prometheus.Metric) {
+func (s leaseCollector) Collect(c chan<- prometheus.Metric) {
 	for name, token := range s.k.HeldTokens() {
 		c <- prometheus.MustNewConstMetric(descToken, prometheus.GaugeValue, float64(token), name)
 	}
--- a/internal/controller/spread.go
+++ b/internal/controller/spread.go
@@ -12,15 +12,15 @@
 // that one is lost, the next is granted the lease at the very moment it ends.
 const standbys = 1
 
-// spread decides which keeper is to hold which task, alike at all keepers that see the
+// placement decides which keeper is to hold which task, alike at all keepers that see the
 // same members. It reads no clock.
-type spread struct {
+type placement struct {
 	settle time.Duration
 	since  map[string]time.Duration // by member: present without a break since then
 }
 
 // update takes the members in that are present now.
-func (s *spread) update(present []string, now time.Duration) {
+func (s *placement) update(present []string, now time.Duration) {
 	if s.since == nil {
 		s.since = make(map[string]time.Duration)
 	}
@@ -36,9 +36,9 @@
 	}
 }
 
-// ranked are the members in the order in which a task falls to them (rendezvous
+// rank are the members in the order in which a task falls to them (rendezvous
 // hashing): one that comes or goes moves its own tasks and no other.
-func (s *spread) ranked(task string) []string {
+func (s *placement) rank(task string) []string {
 	type scored struct {
 		name  string
 		score uint64
@@ -55,16 +55,16 @@
 	return names
 }
 
-// claims says whether a member is to claim a task: to hold it or to stand by.
-func (s *spread) claims(task, self string) bool {
-	return slices.Contains(s.ranked(task)[:min(len(s.since), 1+standbys)], self)
+// shouldClaim says whether a member is to claim a task: to hold it or to stand by.
+func (s *placement) shouldClaim(task, self string) bool {
+	return slices.Contains(s.rank(task)[:min(len(s.since), 1+standbys)], self)
 }
 
-// next says whom the holder of a task is to hand it over to, if anybody. A member is
+// handOverTarget says whom the holder of a task is to hand it over to, if anybody. A member is
 // given nothing before it has been present for a while: one that comes and goes moves
 // nothing. Neither is one that does not wait for the task.
-func (s *spread) next(task, holder string, waiting []string, now time.Duration) (to string, hand bool) {
-	ranked := s.ranked(task)
+func (s *placement) handOverTarget(task, holder string, waiting []string, now time.Duration) (to string, hand bool) {
+	ranked := s.rank(task)
 	if len(ranked) == 0 || ranked[0] == holder || !slices.Contains(waiting, ranked[0]) || now-s.since[ranked[0]] < s.settle {
 		return "", false
 	}
--- a/internal/drain/config.go
+++ b/internal/drain/config.go
@@ -28,13 +28,13 @@
 }
 
 const (
-	// defaultLease is several times the pause between renewals, and short enough
+	// defaultClaimTTL is several times the pause between renewals, and short enough
 	// that another operator need not wait long after a crash.
-	defaultLease = 15 * time.Second
-	leastLease   = 2 * time.Second
-	// answerIn is how long the registry may take to answer: longer than it is without
+	defaultClaimTTL = 15 * time.Second
+	minClaimTTL     = 2 * time.Second
+	// registryTimeout is how long the registry may take to answer: longer than it is without
 	// a leader after a loss.
-	answerIn = 10 * time.Second
+	registryTimeout = 10 * time.Second
 )
 
 // LoadConfig reads the command's configuration file. An unknown key is an error.
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("read configuration: %w", err)
 	}
-	c := &Config{LeaseMS: defaultLease.Milliseconds(), MaxRequestMS: -1, Floor: Floor{Default: -1}}
+	c := &Config{LeaseMS: defaultClaimTTL.Milliseconds(), MaxRequestMS: -1, Floor: Floor{Default: -1}}
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(c); err != nil {
@@ -65,8 +65,8 @@
 		return fmt.Errorf("longest_ms is missing or negative: the longest time that a client gives a request")
 	case c.Sidecars < 0:
 		return fmt.Errorf("sidecars is %d, it must not be negative", c.Sidecars)
-	case c.LeaseMS < leastLease.Milliseconds():
-		return fmt.Errorf("lease_ms is %d, at least %d is needed", c.LeaseMS, leastLease.Milliseconds())
+	case c.LeaseMS < minClaimTTL.Milliseconds():
+		return fmt.Errorf("lease_ms is %d, at least %d is needed", c.LeaseMS, minClaimTTL.Milliseconds())
 	case len(c.StopCommand) > 0 && c.StopCommand[0] == "":
 		return fmt.Errorf("stop: the command has no name")
 	}
@@ -84,7 +84,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	r.WithTimeout(answerIn)
+	r.WithTimeout(registryTimeout)
 	return c.WorkflowWith(r, owner, poll, say), r.Close, nil
 }
 
@@ -108,11 +108,11 @@
 			MembershipURLs: views,
 			Statuses:       r.Statuses, Sidecars: c.Sidecars, MaxRequestTime: time.Duration(c.MaxRequestMS) * time.Millisecond, StopCommand: c.StopCommand, Now: time.Now,
 		},
-		Floor: c.Floor, Owner: owner, ClaimTTL: time.Duration(c.LeaseMS) * time.Millisecond, PollInterval: poll, Now: time.Now, Sleep: sleep, Say: say,
+		Floor: c.Floor, Owner: owner, ClaimTTL: time.Duration(c.LeaseMS) * time.Millisecond, PollInterval: poll, Now: time.Now, Sleep: sleepContext, Say: say,
 	}
 }
 
-func sleep(ctx context.Context, d time.Duration) error {
+func sleepContext(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -63,9 +63,9 @@
 // RecordKey is where the registry keeps all drains.
 const RecordKey = "drains"
 
-// by is who marks a machine's servers: the drain and not its operator, so that
+// markOwner is who marks a machine's servers: the drain and not its operator, so that
 // whoever resumes or undoes it may.
-func by(machine string) string { return "drain:" + machine }
+func markOwner(machine string) string { return "drain:" + machine }
 
 // Registry is what the workflow needs of the list.
 type Registry interface {
@@ -95,7 +95,7 @@
 	Default int            `json:"others"`
 }
 
-func (f Floor) of(zone string) int {
+func (f Floor) forZone(zone string) int {
 	if n, ok := f.Zones[zone]; ok {
 		return n
 	}
@@ -114,8 +114,8 @@
 	Sleep        func(ctx context.Context, d time.Duration) error // waits, or returns ctx's error
 	Say          func(format string, args ...any)                 // tells the operator
 
-	mu    sync.Mutex
-	marks map[string]seenMark // by machine: the marks that this process has seen
+	mu        sync.Mutex
+	marksSeen map[string]seenMark // by machine: the marks that this process has seen
 }
 
 // Why a drain is refused. The error's text says what and what to do; nothing was changed.
@@ -127,36 +127,36 @@
 	ErrTimeout = errors.New("out of time")
 )
 
-func refuse(format string, args ...any) error {
+func refusal(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrRefused, fmt.Sprintf(format, args...))
 }
 
-// drains is the record of all drains at a version.
-type drains struct {
-	all     map[string]Drain
+// record is the record of all record at a version.
+type record struct {
+	drains  map[string]Drain
 	version uint64
 }
 
-// load reads the record.
-func (w *Workflow) load(ctx context.Context) (drains, error) {
-	d := drains{all: make(map[string]Drain)}
+// readRecord reads the record.
+func (w *Workflow) readRecord(ctx context.Context) (record, error) {
+	d := record{drains: make(map[string]Drain)}
 	r, err := w.Registry.Record(ctx, RecordKey)
 	if errors.Is(err, registry.ErrNotFound) {
 		return d, nil
 	} else if err != nil {
 		return d, err
 	}
-	if err := json.Unmarshal(r.Value, &d.all); err != nil {
+	if err := json.Unmarshal(r.Value, &d.drains); err != nil {
 		return d, fmt.Errorf("the record %s in the registry cannot be read: %w", RecordKey, err)
 	}
 	d.version = r.Version
 	return d, nil
 }
 
-// save writes the record if nobody has since it was read. registry.ErrConflict
+// writeRecord writes the record if nobody has since it was read. registry.ErrConflict
 // says that somebody has.
-func (w *Workflow) save(ctx context.Context, d *drains) error {
-	text, err := json.Marshal(d.all)
+func (w *Workflow) writeRecord(ctx context.Context, d *record) error {
+	text, err := json.Marshal(d.drains)
 	if err != nil {
 		return err
 	}
@@ -167,35 +167,35 @@
 	return err
 }
 
-// update changes one machine's drain as change says, in the newest record.
-func (w *Workflow) update(ctx context.Context, machine string, change func(d drains, own Drain, is bool) (Drain, bool, error)) (drains, error) {
+// updateDrain changes one machine's drain as change says, in the newest record.
+func (w *Workflow) updateDrain(ctx context.Context, machine string, change func(d record, own Drain, is bool) (Drain, bool, error)) (record, error) {
 	for {
-		d, err := w.load(ctx)
+		d, err := w.readRecord(ctx)
 		if err != nil {
 			return d, err
 		}
-		own, is := d.all[machine]
+		own, is := d.drains[machine]
 		next, keep, err := change(d, own, is)
 		if err != nil {
 			return d, err
 		}
 		if keep {
-			d.all[machine] = next
+			d.drains[machine] = next
 		} else {
-			delete(d.all, machine)
+			delete(d.drains, machine)
 		}
-		if err := w.save(ctx, &d); !errors.Is(err, registry.ErrConflict) {
+		if err := w.writeRecord(ctx, &d); !errors.Is(err, registry.ErrConflict) {
 			return d, err
 		}
 	}
 }
 
-// held changes a drain whose claim has to be ours, and renews the claim.
-func (w *Workflow) held(ctx context.Context, machine string, change func(own *Drain)) (Drain, drains, error) {
+// updateClaimed changes a drain whose claim has to be ours, and renews the claim.
+func (w *Workflow) updateClaimed(ctx context.Context, machine string, change func(own *Drain)) (Drain, record, error) {
 	var got Drain
-	d, err := w.update(ctx, machine, func(_ drains, own Drain, is bool) (Drain, bool, error) {
+	d, err := w.updateDrain(ctx, machine, func(_ record, own Drain, is bool) (Drain, bool, error) {
 		if !is || own.Owner != w.Owner {
-			return own, is, fmt.Errorf("%w: the drain of %s is %s by now; nothing more was changed here", ErrClaimLost, machine, describe(own, is))
+			return own, is, fmt.Errorf("%w: the drain of %s is %s by now; nothing more was changed here", ErrClaimLost, machine, describeClaim(own, is))
 		}
 		if change != nil {
 			change(&own)
@@ -207,7 +207,7 @@
 	return got, d, err
 }
 
-func describe(d Drain, is bool) string {
+func describeClaim(d Drain, is bool) string {
 	if !is {
 		return "over"
 	}
@@ -228,8 +228,8 @@
 	Ready, Remaining, Floor int
 }
 
-// plan checks a drain against the list and the other drains.
-func (w *Workflow) plan(ctx context.Context, machine string, d drains) (Plan, error) {
+// checkFloor checks a drain against the list and the other drains.
+func (w *Workflow) checkFloor(ctx context.Context, machine string, d record) (Plan, error) {
 	list, err := w.Registry.Registrations(ctx)
 	if err != nil {
 		return Plan{}, err
@@ -242,11 +242,11 @@
 		if e.Machine == machine {
 			p.Hosts = append(p.Hosts, e.Host)
 			zones[e.Site] += 0
-			if m := list.Marks[e.Host]; m != "" && m != by(machine) {
-				return p, refuse("server %s is marked by %s: let that end first", e.Host, m)
+			if m := list.Marks[e.Host]; m != "" && m != markOwner(machine) {
+				return p, refusal("server %s is marked by %s: let that end first", e.Host, m)
 			}
 		}
-		other := d.all[e.Machine]
+		other := d.drains[e.Machine]
 		if e.Health == registry.HealthUp && (other.Step == "" || e.Machine == machine) {
 			ready[e.Site]++
 			if e.Machine == machine {
@@ -262,14 +262,14 @@
 			}
 		}
 		slices.Sort(names)
-		return p, refuse("machine %q has no servers in the list; it has those of %s", machine, strings.Join(names, ", "))
+		return p, refusal("machine %q has no servers in the list; it has those of %s", machine, strings.Join(names, ", "))
 	}
 	slices.Sort(p.Hosts)
 	for _, z := range slices.Sorted(maps.Keys(zones)) {
-		r := ZoneReadiness{Zone: z, Ready: ready[z], Remaining: ready[z] - zones[z], Floor: w.Floor.of(z)}
+		r := ZoneReadiness{Zone: z, Ready: ready[z], Remaining: ready[z] - zones[z], Floor: w.Floor.forZone(z)}
 		p.Zones = append(p.Zones, r)
 		if zones[z] > 0 && r.Remaining < r.Floor {
-			return p, refuse("without %s zone %s would have %d ready servers, its floor is %d; start others first, or end another drain", machine, z, r.Remaining, r.Floor)
+			return p, refusal("without %s zone %s would have %d ready servers, its floor is %d; start others first, or end another drain", machine, z, r.Remaining, r.Floor)
 		}
 	}
 	return p, nil
@@ -277,37 +277,37 @@
 
 // Plan says what a drain of the machine would do, and changes nothing.
 func (w *Workflow) Plan(ctx context.Context, machine string) (Plan, error) {
-	d, err := w.load(ctx)
+	d, err := w.readRecord(ctx)
 	if err != nil {
 		return Plan{}, err
 	}
-	if own, is := d.all[machine]; is {
-		if err := w.mayClaim(own); err != nil {
+	if own, is := d.drains[machine]; is {
+		if err := w.checkResumable(own); err != nil {
 			return Plan{}, err
 		}
 		return Plan{Machine: machine, Hosts: own.Hosts, ResumesAt: own.Step}, nil
 	}
-	return w.plan(ctx, machine, d)
+	return w.checkFloor(ctx, machine, d)
 }
 
-// mayClaim says why a drain under way cannot be taken over, if it cannot.
-func (w *Workflow) mayClaim(own Drain) error {
+// checkResumable says why a drain under way cannot be taken over, if it cannot.
+func (w *Workflow) checkResumable(own Drain) error {
 	switch {
 	case own.Step == Done:
-		return refuse("machine %s is drained already; undrain brings it back", own.Machine)
+		return refusal("machine %s is drained already; undrain brings it back", own.Machine)
 	case own.Step == Undoing:
-		return refuse("the drain of machine %s is being undone; let undrain end that first", own.Machine)
+		return refusal("the drain of machine %s is being undone; let undrain end that first", own.Machine)
 	}
-	return w.free(own)
+	return w.checkUnclaimed(own)
 }
 
-// free says whose claim is in the way.
-func (w *Workflow) free(own Drain) error {
+// checkUnclaimed says whose claim is in the way.
+func (w *Workflow) checkUnclaimed(own Drain) error {
 	if own.Owner == OwnerControllers && w.Owner != OwnerControllers {
-		return refuse("machine %s is being drained by the keepers, at step %s; status follows it, undrain takes it back", own.Machine, own.Step)
+		return refusal("machine %s is being drained by the keepers, at step %s; status follows it, undrain takes it back", own.Machine, own.Step)
 	}
 	if left := own.ExpiresMS - w.Now().UnixMilli(); own.Owner != w.Owner && left > 0 {
-		return refuse("machine %s is claimed by %s, at step %s; its claim lasts another %v unless it is renewed",
+		return refusal("machine %s is claimed by %s, at step %s; its claim lasts another %v unless it is renewed",
 			own.Machine, own.Owner, own.Step, (time.Duration(left) * time.Millisecond).Round(time.Second))
 	}
 	return nil
@@ -322,11 +322,11 @@
 	}
 	for own.Step != Done {
 		step := own.Step
-		if own, err = w.step(ctx, own); err != nil {
+		if own, err = w.takeStep(ctx, own); err != nil {
 			// A keeper that is to stop leaves the drain to the next one.
 			passed := w.Owner == OwnerControllers && errors.Is(ctx.Err(), context.Canceled)
 			if ctx.Err() != nil && step != Stopping && step != Stopped && !errors.Is(err, ErrClaimLost) && !passed {
-				return w.giveUp(ctx, machine, step)
+				return w.undoAfterTimeout(ctx, machine, step)
 			}
 			return err
 		}
@@ -340,15 +340,15 @@
 // claim makes the machine's drain ours: a new one if the floor allows, or one that
 // nobody holds any more.
 func (w *Workflow) claim(ctx context.Context, machine string) (own Drain, err error) {
-	_, err = w.update(ctx, machine, func(d drains, was Drain, is bool) (Drain, bool, error) {
+	_, err = w.updateDrain(ctx, machine, func(d record, was Drain, is bool) (Drain, bool, error) {
 		now := w.Now()
 		if is {
-			if err := w.mayClaim(was); err != nil {
+			if err := w.checkResumable(was); err != nil {
 				return was, true, err
 			}
 			own = was
 		} else {
-			p, err := w.plan(ctx, machine, d)
+			p, err := w.checkFloor(ctx, machine, d)
 			if err != nil {
 				return was, false, err
 			}
@@ -363,14 +363,14 @@
 	return own, err
 }
 
-// step does what the step that a drain is at asks for, and brings it to the next
+// takeStep does what the takeStep that a drain is at asks for, and brings it to the next
 // one, or leaves it there for another look. Each may be done again.
-func (w *Workflow) step(ctx context.Context, own Drain) (Drain, error) {
+func (w *Workflow) takeStep(ctx context.Context, own Drain) (Drain, error) {
 	switch own.Step {
 	case Claimed:
-		return w.mark(ctx, own)
+		return w.markServers(ctx, own)
 	case Marked:
-		quiet, err := w.quiet(ctx, own)
+		quiet, err := w.workEnded(ctx, own)
 		if err != nil {
 			return own, err
 		}
@@ -378,26 +378,26 @@
 			if err := w.Sleep(ctx, w.PollInterval); err != nil {
 				return own, err
 			}
-			own, _, err = w.held(ctx, own.Machine, nil)
+			own, _, err = w.updateClaimed(ctx, own.Machine, nil)
 			return own, err
 		}
-		return w.advance(ctx, own, Drained)
+		return w.advanceTo(ctx, own, Drained)
 	case Drained:
-		return w.advance(ctx, own, Stopping)
+		return w.advanceTo(ctx, own, Stopping)
 	case Stopping:
 		for _, host := range own.Hosts {
 			if err := w.Fleet.Stop(ctx, own.Machine, host); err != nil {
 				return own, fmt.Errorf("%s: stopping %s: %w; drain it again to resume", own.Machine, host, err)
 			}
-			if _, _, err := w.held(ctx, own.Machine, nil); err != nil {
+			if _, _, err := w.updateClaimed(ctx, own.Machine, nil); err != nil {
 				return own, err
 			}
 		}
-		return w.advance(ctx, own, Stopped)
+		return w.advanceTo(ctx, own, Stopped)
 	case Stopped:
 		there, waits, err := w.Fleet.RemainingMembers(ctx, own.Machine)
 		if !waits || err == nil && len(there) == 0 {
-			return w.advance(ctx, own, Done)
+			return w.advanceTo(ctx, own, Done)
 		}
 		note := "waits for " + strings.Join(there, ", ") + " to end"
 		if err != nil {
@@ -409,20 +409,20 @@
 		if err := w.Sleep(ctx, w.PollInterval); err != nil {
 			return own, err
 		}
-		own, _, err = w.held(ctx, own.Machine, func(d *Drain) { d.Note = note })
+		own, _, err = w.updateClaimed(ctx, own.Machine, func(d *Drain) { d.Note = note })
 		return own, err
 	}
 	return own, fmt.Errorf("the drain of %s is at step %q, which this program does not know", own.Machine, own.Step)
 }
 
-func (w *Workflow) advance(ctx context.Context, own Drain, to Step) (Drain, error) {
-	next, _, err := w.held(ctx, own.Machine, func(d *Drain) { d.Step = to })
+func (w *Workflow) advanceTo(ctx context.Context, own Drain, to Step) (Drain, error) {
+	next, _, err := w.updateClaimed(ctx, own.Machine, func(d *Drain) { d.Step = to })
 	return next, err
 }
 
-// mark marks the machine's servers, those that have come since among them, while
+// markServers marks the machine's servers, those that have come since among them, while
 // the claim is ours: the registry checks that in the same command.
-func (w *Workflow) mark(ctx context.Context, own Drain) (Drain, error) {
+func (w *Workflow) markServers(ctx context.Context, own Drain) (Drain, error) {
 	list, err := w.Registry.Registrations(ctx)
 	if err != nil {
 		return own, err
@@ -438,7 +438,7 @@
 	})
 	slices.Sort(hosts)
 	for {
-		next, d, err := w.held(ctx, own.Machine, func(x *Drain) { x.Hosts = hosts })
+		next, d, err := w.updateClaimed(ctx, own.Machine, func(x *Drain) { x.Hosts = hosts })
 		if err != nil {
 			return own, err
 		}
@@ -446,12 +446,12 @@
 		var a registry.WriteResponse
 		if len(hosts) > 0 {
 			a, err = w.Registry.Mark(ctx, registry.MarkRequest{
-				Hosts: hosts, MarkedBy: by(own.Machine), Draining: true, IfRecord: RecordKey, IfRecordVersion: d.version,
+				Hosts: hosts, MarkedBy: markOwner(own.Machine), Draining: true, IfRecord: RecordKey, IfRecordVersion: d.version,
 			})
-			if errors.Is(err, registry.ErrConflict) && !w.marked(ctx, own) {
+			if errors.Is(err, registry.ErrConflict) && !w.allMarked(ctx, own) {
 				// Either another drain has moved on in the same record, or somebody else
 				// has marked one of the servers.
-				if err := w.foreign(ctx, hosts, own.Machine); err != nil {
+				if err := w.checkForeignMarks(ctx, hosts, own.Machine); err != nil {
 					return own, err
 				}
 				continue
@@ -465,27 +465,27 @@
 			}
 			a.Seq = list.Seq
 		}
-		next, _, err = w.held(ctx, own.Machine, func(x *Drain) {
+		next, _, err = w.updateClaimed(ctx, own.Machine, func(x *Drain) {
 			x.Step, x.Seq, x.MarkedMS = Marked, a.Seq, w.Now().UnixMilli()
 		})
 		return next, err
 	}
 }
 
-// marked says whether all its servers are marked by this drain already.
-func (w *Workflow) marked(ctx context.Context, own Drain) bool {
+// allMarked says whether all its servers are allMarked by this drain already.
+func (w *Workflow) allMarked(ctx context.Context, own Drain) bool {
 	list, err := w.Registry.Registrations(ctx)
-	return err == nil && !slices.ContainsFunc(own.Hosts, func(h string) bool { return list.Marks[h] != by(own.Machine) })
+	return err == nil && !slices.ContainsFunc(own.Hosts, func(h string) bool { return list.Marks[h] != markOwner(own.Machine) })
 }
 
-// foreign returns an error if somebody else has marked one of the servers.
-func (w *Workflow) foreign(ctx context.Context, hosts []string, machine string) error {
+// checkForeignMarks returns an error if somebody else has marked one of the servers.
+func (w *Workflow) checkForeignMarks(ctx context.Context, hosts []string, machine string) error {
 	list, err := w.Registry.Registrations(ctx)
 	if err != nil {
 		return err
 	}
 	for _, h := range hosts {
-		if m := list.Marks[h]; m != "" && m != by(machine) {
+		if m := list.Marks[h]; m != "" && m != markOwner(machine) {
 			return fmt.Errorf("server %s is marked by %s: let that end, then drain %s again or undrain it", h, m, machine)
 		}
 	}
@@ -498,14 +498,14 @@
 func (w *Workflow) markedSince(own Drain) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if seen, ok := w.marks[own.Machine]; ok && seen.at == own.MarkedMS {
+	if seen, ok := w.marksSeen[own.Machine]; ok && seen.at == own.MarkedMS {
 		return seen.since
 	}
-	if w.marks == nil {
-		w.marks = make(map[string]seenMark)
+	if w.marksSeen == nil {
+		w.marksSeen = make(map[string]seenMark)
 	}
 	now := w.Now()
-	w.marks[own.Machine] = seenMark{at: own.MarkedMS, since: now}
+	w.marksSeen[own.Machine] = seenMark{at: own.MarkedMS, since: now}
 	return now
 }
 
@@ -515,8 +515,8 @@
 	since time.Time
 }
 
-// quiet says whether the sidecars know of the marks and the servers have no work.
-func (w *Workflow) quiet(ctx context.Context, own Drain) (bool, error) {
+// workEnded says whether the sidecars know of the marks and the servers have no work.
+func (w *Workflow) workEnded(ctx context.Context, own Drain) (bool, error) {
 	since := w.markedSince(own)
 	told, err := w.Fleet.Notified(ctx, own.Seq, since)
 	if err != nil || !told {
@@ -530,8 +530,8 @@
 		if e.Machine != own.Machine {
 			continue
 		}
-		if list.Marks[e.Host] != by(own.Machine) { // it came, or was marked by hand, since
-			_, err := w.mark(ctx, own)
+		if list.Marks[e.Host] != markOwner(own.Machine) { // it came, or was marked by hand, since
+			_, err := w.markServers(ctx, own)
 			return false, err
 		}
 		idle, err := w.Fleet.Idle(ctx, e, since)
@@ -542,8 +542,8 @@
 	return true, nil
 }
 
-// giveUp undoes a drain whose time is up.
-func (w *Workflow) giveUp(ctx context.Context, machine string, step Step) error {
+// undoAfterTimeout undoes a drain whose time is up.
+func (w *Workflow) undoAfterTimeout(ctx context.Context, machine string, step Step) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), w.ClaimTTL)
 	defer cancel()
 	if err := w.Undrain(ctx, machine); err != nil {
@@ -556,12 +556,12 @@
 // servers be used again when they are there.
 func (w *Workflow) Undrain(ctx context.Context, machine string) error {
 	var own Drain
-	if _, err := w.update(ctx, machine, func(_ drains, was Drain, is bool) (Drain, bool, error) {
+	if _, err := w.updateDrain(ctx, machine, func(_ record, was Drain, is bool) (Drain, bool, error) {
 		if !is {
-			return was, false, refuse("machine %q is not drained, and not being drained", machine)
+			return was, false, refusal("machine %q is not drained, and not being drained", machine)
 		}
 		if was.Step != Done && was.Owner != OwnerControllers {
-			if err := w.free(was); err != nil {
+			if err := w.checkUnclaimed(was); err != nil {
 				return was, true, err
 			}
 		}
@@ -577,18 +577,18 @@
 	}
 	var hosts []string
 	for h, m := range list.Marks {
-		if m == by(machine) {
+		if m == markOwner(machine) {
 			hosts = append(hosts, h)
 		}
 	}
 	if slices.Sort(hosts); len(hosts) > 0 {
-		if _, err := w.Registry.Mark(ctx, registry.MarkRequest{Hosts: hosts, MarkedBy: by(machine)}); err != nil {
+		if _, err := w.Registry.Mark(ctx, registry.MarkRequest{Hosts: hosts, MarkedBy: markOwner(machine)}); err != nil {
 			return err
 		}
 	}
-	_, err = w.update(ctx, machine, func(_ drains, was Drain, is bool) (Drain, bool, error) {
+	_, err = w.updateDrain(ctx, machine, func(_ record, was Drain, is bool) (Drain, bool, error) {
 		if is && (was.Owner != w.Owner || was.Step != Undoing) {
-			return was, true, fmt.Errorf("%w: the drain of %s is %s by now", ErrClaimLost, machine, describe(was, is))
+			return was, true, fmt.Errorf("%w: the drain of %s is %s by now", ErrClaimLost, machine, describeClaim(was, is))
 		}
 		return was, false, nil
 	})
@@ -600,13 +600,13 @@
 
 // Status returns all drains, by machine.
 func (w *Workflow) Status(ctx context.Context) ([]Drain, error) {
-	d, err := w.load(ctx)
+	d, err := w.readRecord(ctx)
 	if err != nil {
 		return nil, err
 	}
 	var all []Drain
-	for _, m := range slices.Sorted(maps.Keys(d.all)) {
-		all = append(all, d.all[m])
+	for _, m := range slices.Sorted(maps.Keys(d.drains)) {
+		all = append(all, d.drains[m])
 	}
 	return all, nil
 }
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -53,8 +53,8 @@
 func (w *world) apply(c registry.Command) registry.Result {
 	c.AtMS = w.now.UnixMilli()
 	r := w.state.Apply(c)
-	if ready := w.ready("a"); w.state.Len() > 1 && ready < w.floor.of("a") && c.Op == registry.OpMark {
-		w.t.Errorf("zone a has %d ready servers, its floor is %d", ready, w.floor.of("a"))
+	if ready := w.ready("a"); w.state.Len() > 1 && ready < w.floor.forZone("a") && c.Op == registry.OpMark {
+		w.t.Errorf("zone a has %d ready servers, its floor is %d", ready, w.floor.forZone("a"))
 	}
 	return r
 }
@@ -529,7 +529,7 @@
 	if got[0].WatchSeq, got[0].Watches = 10, 1; told() {
 		t.Error("one sidecar does not watch")
 	}
-	if now = begin.Add(toldWithin); !told() {
+	if now = begin.Add(notificationDeadline); !told() {
 		t.Error("by the protocol it is told by then")
 	}
 
@@ -554,7 +554,7 @@
 		}
 	}
 	report = "no report"
-	if now = begin.Add(toldWithin + s.MaxRequestTime); !idle() {
+	if now = begin.Add(notificationDeadline + s.MaxRequestTime); !idle() {
 		t.Error("nobody can wait for an answer any longer")
 	}
 	now, status, report = begin, http.StatusNotFound, "inflight=0"
--- a/internal/drain/fleet.go
+++ b/internal/drain/fleet.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	// toldWithin is after how long anything that discovery has to tell counts as
+	// notificationDeadline is after how long anything that discovery has to tell counts as
 	// told, by the protocol, whether it arrived or not.
-	toldWithin = 6 * time.Second
-	askIn      = time.Second // for one question to a replica or a server
-	maxReport  = 4 << 10
-	maxOutput  = 300 // characters of a failed command's output that are shown
+	notificationDeadline = 6 * time.Second
+	callTimeout          = time.Second // for one question to a replica or a server
+	maxReportBytes       = 4 << 10
+	maxOutputShown       = 300 // characters of a failed command's output that are shown
 )
 
 // ReplicaStatuses asks every replica of the registry how it stands; one that cannot be
@@ -55,7 +55,7 @@
 	if len(s.MembershipURLs) == 0 {
 		return nil, false, nil
 	}
-	within, cancel := context.WithTimeout(ctx, askIn)
+	within, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	for _, url := range s.MembershipURLs {
 		var v membership.ViewResponse
@@ -75,7 +75,7 @@
 // Notified says whether all sidecars hold a version. Those that watch say so by it; one
 // that does not watch at the moment counts as told when the protocol says.
 func (s *LiveFleet) Notified(ctx context.Context, seq uint64, since time.Time) (bool, error) {
-	if s.Now().Sub(since) >= toldWithin {
+	if s.Now().Sub(since) >= notificationDeadline {
 		return true, nil
 	}
 	got, all := s.Statuses(ctx)
@@ -95,7 +95,7 @@
 // Idle asks a server for its load. One that cannot be reached any more has none; one
 // that does not report has none when nobody can wait for an answer any longer.
 func (s *LiveFleet) Idle(ctx context.Context, server registry.Registration, since time.Time) (bool, error) {
-	within, cancel := context.WithTimeout(ctx, askIn)
+	within, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(within, http.MethodGet, "http://"+server.Dial+"/stats", nil)
 	if err != nil {
@@ -110,21 +110,21 @@
 		return true, nil
 	case err == nil:
 		defer resp.Body.Close()
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxReport))
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxReportBytes))
 		report := resp.Header.Get("Server-Load")
 		if report == "" {
 			report = string(text)
 		}
-		if work, ok := load(report); ok && resp.StatusCode == http.StatusOK {
+		if work, ok := parseLoad(report); ok && resp.StatusCode == http.StatusOK {
 			return work == 0, nil
 		}
 	}
-	return s.Now().Sub(since) >= toldWithin+s.MaxRequestTime, nil
+	return s.Now().Sub(since) >= notificationDeadline+s.MaxRequestTime, nil
 }
 
-// load reads how much a server holds out of its report: what is in flight and what
+// parseLoad reads how much a server holds out of its report: what is in flight and what
 // waits, or else how busy its cores are.
-func load(report string) (work float64, ok bool) {
+func parseLoad(report string) (work float64, ok bool) {
 	values := settings.ParseLoadReport(report, "inflight", "queue", "util")
 	maps.DeleteFunc(values, func(_ string, v float64) bool { return !(v >= 0) })
 	inflight, a := values["inflight"]
@@ -149,7 +149,7 @@
 	out, err := exec.CommandContext(ctx, args[0], args[1:]...).CombinedOutput()
 	if err != nil {
 		line := strings.Join(strings.Fields(string(out)), " ")
-		return fmt.Errorf("%s: %w: %s", args[0], err, line[:min(len(line), maxOutput)])
+		return fmt.Errorf("%s: %w: %s", args[0], err, line[:min(len(line), maxOutputShown)])
 	}
 	return nil
 }
--- a/internal/drain/handover.go
+++ b/internal/drain/handover.go
@@ -9,8 +9,8 @@
 	"barleywick/internal/registry"
 )
 
-// as is the same workflow for another owner.
-func (w *Workflow) as(owner string) *Workflow {
+// withOwner is the same workflow for another owner.
+func (w *Workflow) withOwner(owner string) *Workflow {
 	return &Workflow{
 		Registry: w.Registry, Fleet: w.Fleet, Floor: w.Floor, Owner: owner,
 		ClaimTTL: w.ClaimTTL, PollInterval: w.PollInterval, Now: w.Now, Sleep: w.Sleep, Say: w.Say,
@@ -21,18 +21,18 @@
 // this process lives or not. The floor is checked here and now; until is when they are
 // to undo it if it has not come to stopping by then.
 func (w *Workflow) HandOver(ctx context.Context, machine string, until time.Time) error {
-	theirs := w.as(OwnerControllers)
-	_, err := theirs.update(ctx, machine, func(d drains, was Drain, is bool) (Drain, bool, error) {
+	theirs := w.withOwner(OwnerControllers)
+	_, err := theirs.updateDrain(ctx, machine, func(d record, was Drain, is bool) (Drain, bool, error) {
 		if is && was.Owner == OwnerControllers && was.Step != Done && was.Step != Undoing {
 			return was, true, nil // they have it already
 		}
 		own := was
 		if is {
-			if err := w.mayClaim(was); err != nil { // by the operator's own claim, or nobody's
+			if err := w.checkResumable(was); err != nil { // by the operator's own claim, or nobody's
 				return was, true, err
 			}
 		} else {
-			p, err := w.plan(ctx, machine, d)
+			p, err := w.checkFloor(ctx, machine, d)
 			if err != nil {
 				return was, false, err
 			}
@@ -49,11 +49,11 @@
 func (w *Workflow) Follow(ctx context.Context, machine string) error {
 	var said Drain
 	for {
-		d, err := w.load(ctx)
+		d, err := w.readRecord(ctx)
 		if err != nil {
 			return err
 		}
-		own, is := d.all[machine]
+		own, is := d.drains[machine]
 		switch {
 		case !is:
 			return fmt.Errorf("%s: %w: the drain was undone", machine, ErrTimeout)
@@ -98,7 +98,7 @@
 	case err == nil, ctx.Err() != nil, errors.Is(err, ErrClaimLost), errors.Is(err, ErrTimeout), errors.Is(err, registry.ErrFenced):
 		return err
 	}
-	if _, _, noted := w.held(ctx, d.Machine, func(own *Drain) { own.Note = err.Error() }); noted != nil {
+	if _, _, noted := w.updateClaimed(ctx, d.Machine, func(own *Drain) { own.Note = err.Error() }); noted != nil {
 		return errors.Join(err, noted)
 	}
 	return err
