--- /dev/null
+++ b/cmd/testbench/experiment.go
@@ -0,0 +1,62 @@
+package main
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"barleywick/internal/cli"
+	"barleywick/internal/simulation/experiment"
+	"barleywick/internal/simulation/report"
+)
+
+func experimentCommand() *cobra.Command {
+	var out output
+	c := &cobra.Command{
+		Use: "experiment FILE", Short: "Compare variants on the same days", Args: cobra.ExactArgs(1),
+		Long: `experiment plays the scenarios of a file with each of its variants on the same seeds,
+over all cores, and says what the variants differ by: the mean over paired days with its
+95 % bootstrap interval, and plainly when no difference is shown.
+docs/EXPERIMENTS.md describes the file.`,
+		Example: "  testbench experiment walls.toml --json walls.json --html walls.html",
+	}
+	out.flags(c)
+	c.RunE = func(c *cobra.Command, args []string) error {
+		plan, err := experiment.Load(args[0])
+		if err != nil {
+			return err
+		}
+		progress := c.ErrOrStderr()
+		live := terminal(progress)
+		broken := 0
+		o, err := plan.Play(c.Context(), func(played, all int, r experiment.Run) {
+			if len(r.Record.Broken) > 0 {
+				broken++
+			}
+			if live {
+				fmt.Fprintf(progress, "\r%d of %d days", played, all)
+			}
+		})
+		if live {
+			fmt.Fprintln(progress)
+		}
+		if err != nil {
+			return err
+		}
+		for _, d := range o.Differences {
+			fmt.Fprintln(c.OutOrStdout(), d)
+		}
+		if err := out.writeAll(o, func() (*report.Page, error) { return report.OfOutcome(o, time.Now()) }); err != nil {
+			return err
+		}
+		switch {
+		case o.Partial:
+			return cli.Status(statusCut, "cut short after %d days", len(o.Runs))
+		case broken > 0:
+			return cli.Status(statusBroken, "a rule was broken on %d days", broken)
+		}
+		return nil
+	}
+	return c
+}
--- a/cmd/testbench/localfleet.go
+++ b/cmd/testbench/localfleet.go
@@ -102,14 +102,3 @@
 	}
 	return c
 }
-
-// verdict is the status that a day ends with.
-func verdict(r *emulator.Record) error {
-	switch {
-	case r.Partial:
-		return cli.Status(statusCut, "cut short")
-	case len(r.Broken) > 0:
-		return cli.Status(statusBroken, "a rule was broken")
-	}
-	return nil
-}
--- /dev/null
+++ b/cmd/testbench/report.go
@@ -0,0 +1,90 @@
+package main
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"os"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"barleywick/internal/simulation/emulator"
+	"barleywick/internal/simulation/experiment"
+	"barleywick/internal/simulation/report"
+)
+
+// maxResult is far more than a result file has.
+const maxResult = 1 << 30
+
+func reportCommand() *cobra.Command {
+	var html string
+	c := &cobra.Command{
+		Use: "report FILE", Short: "Write a page of results that were kept", Args: cobra.ExactArgs(1),
+		Long:    "report reads what simulate or experiment wrote with --json and writes one page that needs nothing else.",
+		Example: "  testbench report walls.json --html walls.html",
+	}
+	c.Flags().StringVar(&html, "html", "", "the page's `FILE`; FILE with .html where it is left out")
+	c.RunE = func(c *cobra.Command, args []string) error {
+		f, err := os.Open(args[0])
+		if err != nil {
+			return err
+		}
+		defer f.Close()
+		text, err := io.ReadAll(io.LimitReader(f, maxResult))
+		if err != nil {
+			return fmt.Errorf("read %s: %w", args[0], err)
+		}
+		p, err := pageOf(text)
+		if err != nil {
+			return fmt.Errorf("%s: %w", args[0], err)
+		}
+		if html == "" {
+			html = strings.TrimSuffix(args[0], filepath.Ext(args[0])) + ".html"
+		}
+		if err := write(html, p.Write); err != nil {
+			return err
+		}
+		_, err = fmt.Fprintln(c.OutOrStdout(), html)
+		return err
+	}
+	return c
+}
+
+// pageOf tells an experiment's results from a day's.
+func pageOf(text []byte) (*report.Page, error) {
+	var kind struct {
+		Runs    json.RawMessage `json:"runs"`
+		Windows json.RawMessage `json:"windows"`
+	}
+	if err := json.Unmarshal(text, &kind); err != nil {
+		return nil, err
+	}
+	switch {
+	case kind.Runs != nil:
+		o := new(experiment.Outcome)
+		if err := json.Unmarshal(text, o); err != nil {
+			return nil, err
+		}
+		for i, r := range o.Runs {
+			if r.Record == nil {
+				return nil, fmt.Errorf("runs[%d] has no record", i)
+			}
+		}
+		return report.OfOutcome(o, time.Now())
+	case kind.Windows != nil:
+		r := new(emulator.Record)
+		if err := json.Unmarshal(text, r); err != nil {
+			return nil, err
+		}
+		if math.IsNaN(r.Length.Seconds()) || r.Length <= 0 {
+			return nil, errors.New("length_ns must be above 0")
+		}
+		return report.OfRecord(r, time.Now())
+	}
+	return nil, errors.New("these are no results of simulate or experiment")
+}
