--- a/cmd/fleetctl/drain.go
+++ b/cmd/fleetctl/drain.go
@@ -12,11 +12,12 @@
 	"barleywick/internal/drain"
 )
 
+// timeoutFlag adds the flag --timeout to a command.
 func timeoutFlag(c *cobra.Command, timeout *time.Duration) {
 	c.Flags().DurationVar(timeout, "timeout", defaultTimeout, "the longest it may take")
 }
 
-// timed runs work of a command with its time-out.
+// timed runs a command's work with its timeout.
 func (a *app) timed(ctx context.Context, timeout time.Duration, work func(ctx context.Context, w *drain.Workflow) error) error {
 	if timeout <= 0 {
 		return cli.WrongCall("--timeout must be above 0")
@@ -38,10 +39,10 @@
 		Use: "drain MACHINE", Short: "Take a machine out of service", Args: machine,
 		Long: `drain claims the machine, checks that what remains bears the load, marks its servers
 as draining, waits until the sidecars know it and the servers' work has ended, and
-stops them. Where a keeper holds the task of running drains it is handed over to the
-keepers and followed: it goes on when this command ends. With --here this command
-runs it. A drain that was cut off is resumed by drain, by whomever, and undone by
-undrain.`,
+stops them. Where a controller holds the task of running drains, the drain is handed
+over to the controllers and followed: it goes on when this command ends. With --here
+this command runs it. An interrupted drain is resumed by drain, by any operator, and
+undone by undrain.`,
 		Example: "  fleetctl drain m-1 --timeout 10m\n  fleetctl drain m-1 --here\n  fleetctl drain m-1 --dry-run",
 		RunE: func(c *cobra.Command, args []string) error {
 			return a.timed(c.Context(), timeout, func(ctx context.Context, w *drain.Workflow) error {
@@ -51,42 +52,48 @@
 				case here:
 					return w.Drain(ctx, args[0])
 				}
-				held, err := a.held(ctx, controller.DrainsLease)
-				if err != nil {
-					return err
-				}
-				if held == "" {
-					if detach {
-						return fmt.Errorf("no controller holds the task %s: start one, or leave --detach out", controller.DrainsLease)
-					}
-					return w.Drain(ctx, args[0])
-				}
-				if err := w.HandOver(ctx, args[0], w.Now().Add(timeout)); err != nil {
-					return err
-				}
-				fmt.Fprintf(a.out, "%s: handed over to the keepers, %s runs it\n", args[0], held)
-				if detach {
-					return nil
-				}
-				// The keepers undo it when its time is up; to be told of that takes a moment more.
-				follow, cancel := context.WithTimeout(c.Context(), timeout+askWithin)
-				defer cancel()
-				if err := w.Follow(follow, args[0]); follow.Err() != nil {
-					return cli.Status(outOfTime, "%s: the keepers go on with it; status tells how it stands", args[0])
-				} else if err != nil {
-					return err
-				}
-				return nil
+				return a.handOver(ctx, c.Context(), w, args[0], timeout, detach)
 			})
 		},
 	}
 	timeoutFlag(c, &timeout)
 	c.Flags().BoolVar(&dry, "dry-run", false, "say what it would do, and change nothing")
-	c.Flags().BoolVar(&here, "here", false, "run it in this command, whether there are keepers or not")
+	c.Flags().BoolVar(&here, "here", false, "run it in this command, whether there are controllers or not")
 	c.Flags().BoolVar(&detach, "detach", false, "hand it over and do not follow it")
 	return c
 }
 
+// handOver hands a drain over to the controllers and follows it, or runs it here where no controller holds
+// the task. Following may go on for a moment after ctx, so it is bounded by the command's own context.
+func (a *app) handOver(ctx, followed context.Context, w *drain.Workflow, machine string, timeout time.Duration, detach bool) error {
+	held, err := a.holder(ctx, controller.DrainsLease)
+	if err != nil {
+		return err
+	}
+	if held == "" {
+		if detach {
+			return fmt.Errorf("no controller holds the task %s: start one, or leave --detach out", controller.DrainsLease)
+		}
+		return w.Drain(ctx, machine)
+	}
+	if err := w.HandOver(ctx, machine, w.Now().Add(timeout)); err != nil {
+		return err
+	}
+	fmt.Fprintf(a.out, "%s: handed over to the controllers, %s runs it\n", machine, held)
+	if detach {
+		return nil
+	}
+	// The controllers undo it when its time is up, which is seen a moment later.
+	follow, cancel := context.WithTimeout(followed, timeout+callTimeout)
+	defer cancel()
+	if err := w.Follow(follow, machine); follow.Err() != nil {
+		return cli.Status(outOfTime, "%s: the controllers go on with it; status shows its progress", machine)
+	} else if err != nil {
+		return err
+	}
+	return nil
+}
+
 func (a *app) undrain() *cobra.Command {
 	var timeout time.Duration
 	c := &cobra.Command{
@@ -110,12 +117,12 @@
 			if len(args) > 0 {
 				only = args[0]
 			}
-			return a.timed(c.Context(), askWithin, func(ctx context.Context, w *drain.Workflow) error { return a.drains(ctx, w, only) })
+			return a.timed(c.Context(), callTimeout, func(ctx context.Context, w *drain.Workflow) error { return a.drains(ctx, w, only) })
 		},
 	}
 }
 
-// plan says what a drain would do.
+// plan prints what a drain would do.
 func (a *app) plan(ctx context.Context, w *drain.Workflow, machine string) error {
 	p, err := w.Plan(ctx, machine)
 	if err != nil {
@@ -132,7 +139,7 @@
 	return nil
 }
 
-// drains tells how drains stand.
+// drains prints the state of each drain, or of one machine's.
 func (a *app) drains(ctx context.Context, w *drain.Workflow, machine string) error {
 	all, err := w.Status(ctx)
 	if err != nil {
@@ -149,7 +156,7 @@
 		case d.Step == drain.Done:
 			claim = "out of service"
 		case d.Owner == drain.OwnerControllers:
-			claim = "run by the keepers"
+			claim = "run by the controllers"
 		case left <= 0:
 			claim = "nobody's: resume it with drain, or undo it with undrain"
 		default:
--- a/cmd/fleetctl/main.go
+++ b/cmd/fleetctl/main.go
@@ -32,8 +32,8 @@
 const (
 	defaultTimeout = 5 * time.Minute
 	pollEvery      = 200 * time.Millisecond
-	// askWithin is how long a call that only asks or says something may take.
-	askWithin = 15 * time.Second
+	// callTimeout bounds a call that reads or writes a single thing.
+	callTimeout = 15 * time.Second
 )
 
 func main() {
@@ -44,18 +44,18 @@
 	os.Exit(status)
 }
 
-// run carries one call out and returns its exit status.
+// run executes one command line and returns its exit status.
 func run(ctx context.Context, args []string, getenv func(string) string, out, errs io.Writer) int {
 	args = slices.Clone(args)
 	for i, a := range args {
-		if a == "-config" { // as it was written before there were two dashes
+		if a == "-config" { // deprecated: one dash
 			args[i] = "--config"
 		}
 	}
 	return cli.Run(ctx, "fleetctl", newRoot(&app{path: cli.LookupEnv(getenv, errs, "FLEETCTL_CONFIG", "BARLEYCTL_CONFIG"), out: out}), args, out, errs)
 }
 
-// app is what all commands share.
+// app holds what all commands share: the path of the configuration and the output.
 type app struct {
 	path string
 	out  io.Writer
@@ -65,9 +65,9 @@
 	root := &cobra.Command{
 		Use:   "fleetctl",
 		Short: "The operator's command",
-		Long: `fleetctl takes machines out of service and brings them back, and looks after the
-tasks that keepers hold, the fleet's policy and its word on an overload, and tells who is
-there. Its configuration is named by --config or FLEETCTL_CONFIG;
+		Long: `fleetctl takes machines out of service and brings them back, manages the tasks that
+controllers hold, the fleet's policy and the advice on an overload, and lists the members
+of the fleet. Its configuration is named by --config or FLEETCTL_CONFIG;
 docs/DRAINING.md describes it, docs/LEASES.md the tasks.
 
 ` + cli.Statuses + `
@@ -91,7 +91,7 @@
 	return drain.LoadConfig(a.path)
 }
 
-// client makes a client of the registry for calls that only ask or say something.
+// client makes a client of the registry for single calls.
 func (a *app) client() (*client.Client, error) {
 	c, err := a.config()
 	if err != nil {
@@ -101,7 +101,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return r.WithTimeout(askWithin), nil
+	return r.WithTimeout(callTimeout), nil
 }
 
 // workflow makes the workflow for this operator.
@@ -119,7 +119,7 @@
 	})
 }
 
-// machine checks the arguments of a command about one machine.
+// machine checks that a command has one machine as its argument.
 func machine(c *cobra.Command, args []string) error {
 	switch {
 	case len(args) == 0:
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// exits gives an error of the work its exit status.
+// exits gives an error of a workflow its exit status.
 func exits(err error) error {
 	switch {
 	case errors.Is(err, drain.ErrRefused):
--- a/cmd/fleetctl/main_test.go
+++ b/cmd/fleetctl/main_test.go
@@ -140,16 +140,16 @@
 	}
 }
 
-func TestOverloadIsTold(t *testing.T) {
+func TestOverloadAdviceIsPrinted(t *testing.T) {
 	var out bytes.Buffer
 	a := &app{out: &out}
-	word := overload.Advice{Fleet: "f", Token: 7, Number: 3, Sidecars: 12, Congestion: 0.31, Rates: overload.Rates{Requests: 100, InTime: 61.5, Refused: 38.5}}
-	if err := a.showWord(word, false); err != nil || !strings.Contains(out.String(), "f: 12 sidecars, answers take 0.31 of their aims (token 7, word 3)") || !strings.Contains(out.String(), "100.0 asked, 61.5 served in time, 0.0 late, 38.5 refused") || !strings.Contains(out.String(), "no tenant is cut") {
+	advice := overload.Advice{Fleet: "f", Token: 7, Number: 3, Sidecars: 12, Congestion: 0.31, Rates: overload.Rates{Requests: 100, InTime: 61.5, Refused: 38.5}}
+	if err := a.showAdvice(advice, false); err != nil || !strings.Contains(out.String(), "f: 12 sidecars, answers take 0.31 of their latency objectives (token 7, advice 3)") || !strings.Contains(out.String(), "100.0 requested, 61.5 served in time, 0.0 late, 38.5 refused") || !strings.Contains(out.String(), "no tenant is limited") {
 		t.Errorf("%v: %s", err, out.String())
 	}
 	out.Reset()
-	word.Tenants = []overload.TenantAdvice{{Tenant: "acme", AdmitFraction: 0.075, RequestRate: 8210.4, AllowedRate: 611.9}}
-	if err := a.showWord(word, false); err != nil || !strings.Contains(out.String(), "acme    8210.4   611.9      7.5 %") {
+	advice.Tenants = []overload.TenantAdvice{{Tenant: "acme", AdmitFraction: 0.075, RequestRate: 8210.4, AllowedRate: 611.9}}
+	if err := a.showAdvice(advice, false); err != nil || !strings.Contains(out.String(), "acme    8210.4       611.9      7.5 %") {
 		t.Errorf("%v: %s", err, out.String())
 	}
 }
--- a/cmd/fleetctl/members.go
+++ b/cmd/fleetctl/members.go
@@ -17,18 +17,21 @@
 	"barleywick/internal/registry"
 )
 
-// membersEvery is between two looks of --watch.
+// membersEvery is the interval of --watch.
 const membersEvery = time.Second
 
+// maxConcurrentViews bounds how many members are asked at once.
+const maxConcurrentViews = 16
+
 func (a *app) members() *cobra.Command {
 	var asJSON, watch, diff bool
 	var at, forget string
 	c := &cobra.Command{
-		Use: "members", Short: "Tell which processes of the fleet are there", Args: cli.NoArgs,
-		Long: `members asks a replica of the registry, or the member that --at names, which processes of
-the fleet it sees, and since when (docs/MEMBERSHIP.md). --diff asks every member that
-can be asked and shows of whom they differ. --forget has every member take one that
-was lost for one that never comes back.
+		Use: "members", Short: "List the members of the fleet", Args: cli.NoArgs,
+		Long: `members asks a replica of the registry, or the member that --at names, which members of
+the fleet it sees, and since when (docs/MEMBERSHIP.md). --diff compares the views of all
+members that serve theirs. --forget makes every member forget an unreachable one that
+never comes back.
 
 ` + cli.Statuses + `
  3  with --diff: views differ`,
@@ -60,11 +63,11 @@
 	c.Flags().BoolVar(&watch, "watch", false, "go on once a second, until interrupted")
 	c.Flags().BoolVar(&diff, "diff", false, "compare the views of all members that can be asked")
 	c.Flags().StringVar(&at, "at", "", "ask the member that serves at this `ADDRESS`")
-	c.Flags().StringVar(&forget, "forget", "", "the `NAME` of a lost member that never comes back")
+	c.Flags().StringVar(&forget, "forget", "", "the `NAME` of an unreachable member that never comes back")
 	return c
 }
 
-// fleetURL is where a member of a role is asked, at its address.
+// fleetURL returns where a member of a role serves its view.
 func fleetURL(role membership.Role, at string) string {
 	switch role {
 	case membership.RoleRegistry:
@@ -75,9 +78,9 @@
 	return "http://" + at + "/" + membership.ViewPath
 }
 
-// view asks one member: the one that is named, or the first replica that answers.
+// view fetches the view of the member at an address, or of the first replica that answers.
 func (a *app) view(ctx context.Context, at string) (v membership.ViewResponse, err error) {
-	ctx, cancel := context.WithTimeout(ctx, askWithin)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if at != "" {
 		for _, role := range []membership.Role{membership.RoleController, membership.RoleRegistry, membership.RoleSidecar} {
@@ -99,32 +102,32 @@
 	return v, fmt.Errorf("no replica of the registry tells its view: %w", err)
 }
 
-// views asks all members that a view holds and that can be asked, besides itself.
+// views fetches the views of all members of a view that serve theirs.
 func views(ctx context.Context, from membership.ViewResponse) (all []membership.ViewResponse, failed []string) {
-	ctx, cancel := context.WithTimeout(ctx, askWithin)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	type said struct {
+	type result struct {
 		view membership.ViewResponse
 		err  error
 		name string
 	}
-	asked := 0
-	answers := make(chan said, len(from.Members))
-	turns := make(chan struct{}, 16)
+	requested := 0
+	results := make(chan result, len(from.Members))
+	slots := make(chan struct{}, maxConcurrentViews)
 	for _, m := range from.Members {
 		if m.HTTPAddr == "" || m.Status == membership.StatusLeft || m.Status == membership.StatusEnded || m.Status == membership.StatusReplaced {
 			continue
 		}
-		asked++
-		go func() { // ends with the context at the latest; its answer has a place
-			turns <- struct{}{}
-			defer func() { <-turns }()
+		requested++
+		go func() { // ends with the context at the latest; the channel has room for its result
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			v, err := membership.FetchView(ctx, http.DefaultClient, fleetURL(m.Role, m.HTTPAddr), "")
-			answers <- said{v, err, m.Name}
+			results <- result{v, err, m.Name}
 		}()
 	}
-	for range asked {
-		if s := <-answers; s.err != nil {
+	for range requested {
+		if s := <-results; s.err != nil {
 			failed = append(failed, s.name)
 		} else {
 			all = append(all, s.view)
@@ -133,6 +136,7 @@
 	return all, failed
 }
 
+// showMembers prints one member's view of the fleet.
 func (a *app) showMembers(ctx context.Context, at string, diff, asJSON bool) error {
 	v, err := a.view(ctx, at)
 	if err != nil {
@@ -144,16 +148,16 @@
 	if asJSON {
 		return json.NewEncoder(a.out).Encode(v)
 	}
-	fmt.Fprintf(a.out, "%s, as %s sees it: %d there, %d lost; %d of %d others see the same\n", v.Fleet, v.Name, v.Present, v.Unreachable, v.AgreeingPeers, v.ComparedPeers)
+	fmt.Fprintf(a.out, "%s, as %s sees it: %d present, %d unreachable; %d of %d others see the same\n", v.Fleet, v.Name, v.Present, v.Unreachable, v.AgreeingPeers, v.ComparedPeers)
 	if v.PartitionedMS > 0 {
-		word := "some members fell silent"
+		partition := "some members are unreachable"
 		if v.Minority {
-			word = "more than half of the fleet fell silent: what rests on numbers is given up here"
+			partition = "more than half of the fleet is unreachable: this member acts as part of a minority"
 		}
-		fmt.Fprintf(a.out, "%s, the first %v ago\n", word, (time.Duration(v.PartitionedMS) * time.Millisecond).Round(100*time.Millisecond))
+		fmt.Fprintf(a.out, "%s, the first since %v\n", partition, (time.Duration(v.PartitionedMS) * time.Millisecond).Round(100*time.Millisecond))
 	}
 	if len(v.DifferingPeers) > 0 {
-		fmt.Fprintf(a.out, "another view have: %s\n", strings.Join(v.DifferingPeers, ", "))
+		fmt.Fprintf(a.out, "members with another view: %s\n", strings.Join(v.DifferingPeers, ", "))
 	}
 	w := tabwriter.NewWriter(a.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tROLE\tSTATUS\tFOR\tZONE\tPHASE\tPOLICY\tAT\tBY")
@@ -163,6 +167,7 @@
 	return w.Flush()
 }
 
+// showDiff prints the members about which views differ.
 func (a *app) showDiff(ctx context.Context, from membership.ViewResponse, asJSON bool) error {
 	all, failed := views(ctx, from)
 	if len(all) < 2 {
@@ -199,26 +204,26 @@
 	return cli.Status(refused, "views differ of %d members", len(different))
 }
 
-// forgetMember has every member that can be asked forget one.
+// forgetMember makes every member that serves its view forget one.
 func (a *app) forgetMember(ctx context.Context, at, name string) error {
 	v, err := a.view(ctx, at)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, askWithin)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	told := 0
+	notified := 0
 	for _, m := range v.Members {
 		if m.HTTPAddr == "" || m.Status != membership.StatusPresent && m.Status != membership.StatusSuspected {
 			continue
 		}
 		if _, err := membership.FetchView(ctx, http.DefaultClient, fleetURL(m.Role, m.HTTPAddr), name); err == nil {
-			told++
+			notified++
 		}
 	}
-	if told == 0 {
-		return fmt.Errorf("no member has lost one named %s", name)
+	if notified == 0 {
+		return fmt.Errorf("no member has an unreachable member named %s", name)
 	}
-	fmt.Fprintf(a.out, "%d members take %s for one that never comes back\n", told, name)
+	fmt.Fprintf(a.out, "%d members have forgotten %s\n", notified, name)
 	return nil
 }
--- a/cmd/fleetctl/overload.go
+++ b/cmd/fleetctl/overload.go
@@ -21,10 +21,10 @@
 func (a *app) overload() *cobra.Command {
 	var asJSON, watch bool
 	c := &cobra.Command{
-		Use: "overload", Short: "Tell who sheds what, and why", Args: cli.NoArgs,
-		Long: `overload asks the task that gives the fleet's word on an overload (docs/OVERLOAD.md): how
-many sidecars it hears, what answers take of their aims, and for each tenant what is
-asked and what part of it may be tried.`,
+		Use: "overload", Short: "Show how much is shed, and why", Args: cli.NoArgs,
+		Long: `overload asks the controller that holds the overload task (docs/OVERLOAD.md): how many
+sidecars report to it, what share of their latency objective answers take, and for each
+tenant how much is requested and what part of it may be tried.`,
 		Example: "  fleetctl overload\n  fleetctl overload --watch --json",
 		RunE: func(c *cobra.Command, _ []string) error {
 			r, err := a.client()
@@ -33,7 +33,7 @@
 			}
 			defer r.Close()
 			for {
-				word, err := wordOf(c.Context(), r)
+				advice, err := fetchAdvice(c.Context(), r)
 				switch {
 				case c.Context().Err() != nil && watch:
 					return nil
@@ -42,7 +42,7 @@
 				case err != nil:
 					fmt.Fprintln(a.out, err)
 				default:
-					if err := a.showWord(word, asJSON); err != nil {
+					if err := a.showAdvice(advice, asJSON); err != nil {
 						return err
 					}
 				}
@@ -62,57 +62,58 @@
 	return c
 }
 
-// wordOf asks the task for its word.
-func wordOf(ctx context.Context, r *client.Client) (word overload.Advice, err error) {
+// fetchAdvice asks the holder of the task for its current advice.
+func fetchAdvice(ctx context.Context, r *client.Client) (advice overload.Advice, err error) {
 	rec, err := r.Record(ctx, overload.RecordKey)
 	if errors.Is(err, registry.ErrNotFound) {
-		return word, errors.New("no keeper has held the task overload yet: is [overload] in a keeper's file?")
+		return advice, errors.New("no controller has held the task overload yet: is [overload] in a controller's file?")
 	} else if err != nil {
-		return word, err
+		return advice, err
 	}
-	var place overload.Location
-	if err := json.Unmarshal(rec.Value, &place); err != nil {
-		return word, fmt.Errorf("record %s: %w", overload.RecordKey, err)
+	var location overload.Location
+	if err := json.Unmarshal(rec.Value, &location); err != nil {
+		return advice, fmt.Errorf("record %s: %w", overload.RecordKey, err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, askWithin)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+place.Address+overload.Path, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+location.Address+overload.Path, nil)
 	if err != nil {
-		return word, err
+		return advice, err
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return word, fmt.Errorf("the task's holder does not answer: %w", err)
+		return advice, fmt.Errorf("the task's holder does not answer: %w", err)
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, overload.MaxMessageBytes))
 	switch {
 	case err != nil:
-		return word, fmt.Errorf("the task's holder: %w", err)
+		return advice, fmt.Errorf("the task's holder: %w", err)
 	case resp.StatusCode != http.StatusOK:
-		return word, fmt.Errorf("%s answers %d: %.200s", place.Address, resp.StatusCode, text)
+		return advice, fmt.Errorf("%s answers %d: %.200s", location.Address, resp.StatusCode, text)
 	}
-	return word, json.Unmarshal(text, &word)
+	return advice, json.Unmarshal(text, &advice)
 }
 
-func (a *app) showWord(word overload.Advice, asJSON bool) error {
+// showAdvice prints overload advice as a table or as JSON.
+func (a *app) showAdvice(advice overload.Advice, asJSON bool) error {
 	if asJSON {
-		return json.NewEncoder(a.out).Encode(word)
+		return json.NewEncoder(a.out).Encode(advice)
 	}
 	of := ""
-	if word.Expected > 0 {
-		of = fmt.Sprintf(" of %d", word.Expected)
+	if advice.Expected > 0 {
+		of = fmt.Sprintf(" of %d", advice.Expected)
 	}
-	fmt.Fprintf(a.out, "%s: %d%s sidecars, answers take %.2f of their aims (token %d, word %d)\n", word.Fleet, word.Sidecars, of, word.Congestion, word.Token, word.Number)
-	f := word.Rates
-	fmt.Fprintf(a.out, "a second: %.1f asked, %.1f served in time, %.1f late, %.1f refused, %.1f failed\n", f.Requests, f.InTime, f.Late, f.Refused, f.Failed)
-	if len(word.Tenants) == 0 {
-		fmt.Fprintln(a.out, "no tenant is cut")
+	fmt.Fprintf(a.out, "%s: %d%s sidecars, answers take %.2f of their latency objectives (token %d, advice %d)\n", advice.Fleet, advice.Sidecars, of, advice.Congestion, advice.Token, advice.Number)
+	f := advice.Rates
+	fmt.Fprintf(a.out, "a second: %.1f requested, %.1f served in time, %.1f late, %.1f refused, %.1f failed\n", f.Requests, f.InTime, f.Late, f.Refused, f.Failed)
+	if len(advice.Tenants) == 0 {
+		fmt.Fprintln(a.out, "no tenant is limited")
 		return nil
 	}
 	w := tabwriter.NewWriter(a.out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "TENANT\tASKED/S\tALLOWED/S\tTRIED")
-	for _, p := range word.Tenants {
+	fmt.Fprintln(w, "TENANT\tREQUESTED/S\tALLOWED/S\tADMITTED")
+	for _, p := range advice.Tenants {
 		fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.1f %%\n", p.Tenant, p.RequestRate, p.AllowedRate, 100*p.AdmitFraction)
 	}
 	return w.Flush()
--- a/cmd/fleetctl/policy.go
+++ b/cmd/fleetctl/policy.go
@@ -21,9 +21,9 @@
 
 func (a *app) policy() *cobra.Command {
 	c := &cobra.Command{
-		Use: "policy", Short: "Look at the fleet's policy, and change it everywhere or nowhere", Args: cli.NoArgs,
-		Long: `policy looks at what the whole fleet acts by, and changes it: every sidecar says that it
-can, acts by the stricter of old and new, and only when all do is the new one in force.
+		Use: "policy", Short: "Show the fleet policy, and change it everywhere or nowhere", Args: cli.NoArgs,
+		Long: `policy shows the fleet policy and changes it: every sidecar confirms that it supports the
+new one, acts by the stricter of old and new, and only when all do is the new one in force.
 docs/POLICY.md describes the document and what each failure looks like.`,
 		RunE: func(*cobra.Command, []string) error {
 			return cli.WrongCall("get, diff, propose, status, abort, history, revert or evict is needed; see fleetctl policy --help")
@@ -33,7 +33,7 @@
 	return c
 }
 
-// withStatus calls work with a client and how the policy stands.
+// withStatus calls work with a client and the status of the fleet policy.
 func (a *app) withStatus(ctx context.Context, work func(r *client.Client, st rollout.Status) error) error {
 	r, err := a.client()
 	if err != nil {
@@ -47,7 +47,7 @@
 	return refusals(work(r, st))
 }
 
-// refusals gives a registry's refusal its exit status.
+// refusals gives a refusal of the registry its exit status.
 func refusals(err error) error {
 	for _, plain := range []error{registry.ErrConflict, registry.ErrNotFound, registry.ErrInvalid, registry.ErrLimitReached} {
 		if errors.Is(err, plain) {
@@ -57,6 +57,7 @@
 	return err
 }
 
+// readDocument reads and checks a policy file.
 func readDocument(path string) (*rollout.Document, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -105,7 +106,7 @@
 
 func (a *app) policyDiff() *cobra.Command {
 	return &cobra.Command{
-		Use: "diff FILE", Short: "Tell what a file would change", Args: cobra.ExactArgs(1), Example: "  fleetctl policy diff policy.toml",
+		Use: "diff FILE", Short: "Show what a file would change", Args: cobra.ExactArgs(1), Example: "  fleetctl policy diff policy.toml",
 		RunE: func(c *cobra.Command, args []string) error {
 			d, err := readDocument(args[0])
 			if err != nil {
@@ -122,7 +123,7 @@
 func (a *app) policyStatus() *cobra.Command {
 	var asJSON bool
 	c := &cobra.Command{
-		Use: "status", Short: "Tell how the policy and its change stand", Args: cli.NoArgs, Example: "  fleetctl policy status --json",
+		Use: "status", Short: "Show the policy and the change under way", Args: cli.NoArgs, Example: "  fleetctl policy status --json",
 		RunE: func(c *cobra.Command, _ []string) error {
 			return a.withStatus(c.Context(), func(_ *client.Client, st rollout.Status) error {
 				if asJSON {
@@ -142,7 +143,7 @@
 
 func (a *app) policyAbort() *cobra.Command {
 	return &cobra.Command{
-		Use: "abort", Short: "Lead the change under way back to the old policy", Args: cli.NoArgs, Example: "  fleetctl policy abort",
+		Use: "abort", Short: "Roll the change under way back", Args: cli.NoArgs, Example: "  fleetctl policy abort",
 		RunE: func(c *cobra.Command, _ []string) error {
 			return a.withStatus(c.Context(), func(r *client.Client, st rollout.Status) error {
 				if st.Change == nil {
@@ -160,7 +161,7 @@
 
 func (a *app) policyHistory() *cobra.Command {
 	return &cobra.Command{
-		Use: "history", Short: "Tell what was proposed, by whom, and what became of it", Args: cli.NoArgs, Example: "  fleetctl policy history",
+		Use: "history", Short: "List what was proposed, by whom, and the outcome", Args: cli.NoArgs, Example: "  fleetctl policy history",
 		RunE: func(c *cobra.Command, _ []string) error {
 			return a.withStatus(c.Context(), func(_ *client.Client, st rollout.Status) error {
 				w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
@@ -176,16 +177,16 @@
 
 func (a *app) policyEvict() *cobra.Command {
 	return &cobra.Command{
-		Use: "evict SIDECAR", Short: "Say that a sidecar's process has gone for good", Args: cobra.ExactArgs(1),
-		Long: `evict takes a sidecar's seat away: changes wait for it no longer. It is your word that the
-process acts no more. If it does, it is refused by the registry from now on, and refuses
-new requests as soon as it hears of it; until then it may act by an old policy.`,
+		Use: "evict SIDECAR", Short: "Remove a sidecar whose process has ended from the roster", Args: cobra.ExactArgs(1),
+		Long: `evict removes a sidecar from the roster: changes no longer wait for it. Use it only when
+its process has ended. A process that still runs is refused by the registry from now on, and
+refuses new requests as soon as it is notified; until then it may act by an old policy.`,
 		Example: "  fleetctl policy evict n17",
 		RunE: func(c *cobra.Command, args []string) error {
 			return a.withStatus(c.Context(), func(r *client.Client, _ rollout.Status) error {
 				_, err := r.ApplyPolicyStep(c.Context(), rollout.Command{Op: rollout.OpEvict, Member: rollout.Member{Name: args[0]}}, nil)
 				if err == nil {
-					fmt.Fprintf(a.out, "%s has no seat any more\n", args[0])
+					fmt.Fprintf(a.out, "%s is no longer in the roster\n", args[0])
 				}
 				return err
 			})
--- a/cmd/fleetctl/propose.go
+++ b/cmd/fleetctl/propose.go
@@ -1,10 +1,12 @@
 package main
 
 import (
+	"cmp"
 	"context"
 	"errors"
 	"fmt"
 	"os"
+	"slices"
 	"strconv"
 	"strings"
 	"time"
@@ -18,7 +20,7 @@
 
 const defaultWithin = 2 * time.Minute // for a change to be confirmed by all
 
-// proposal is what the commands that propose share.
+// proposal holds the flags that the proposing commands share.
 type proposal struct {
 	reason string
 	within time.Duration
@@ -29,34 +31,28 @@
 
 func (p *proposal) flags(c *cobra.Command) {
 	c.Flags().StringVar(&p.reason, "reason", "", "why, for the history")
-	c.Flags().DurationVar(&p.within, "within", defaultWithin, "it takes hold nowhere if not everybody has confirmed it by then")
+	c.Flags().DurationVar(&p.within, "within", defaultWithin, "it is rolled back if not every sidecar has confirmed it by then")
 	c.Flags().StringVar(&p.first, "first", "", "a part of the sidecars, such as 5%, that goes ahead and is compared with the rest")
 	c.Flags().DurationVar(&p.watch, "watch", 30*time.Second, "with --first: for how long")
 	c.Flags().BoolVar(&p.wait, "wait", false, "follow it until it is settled or has failed")
 }
 
-// propose proposes a document, and follows it if that is wanted.
+// propose proposes a document and, with --wait, follows the change.
 func (a *app) propose(ctx context.Context, r *client.Client, st rollout.Status, d *rollout.Document, p proposal) error {
 	if p.within <= 0 {
 		return cli.WrongCall("--within must be above 0")
 	}
-	first, watch := 0.0, time.Duration(0)
-	if p.first != "" {
-		percent, err := strconv.ParseFloat(strings.TrimSuffix(p.first, "%"), 64)
-		if err != nil || !strings.HasSuffix(p.first, "%") || percent <= 0 || percent >= 100 {
-			return cli.WrongCall("--first is %q, it must be like 5%%, between 0%% and 100%%", p.first)
-		}
-		if p.watch <= 0 || p.watch >= p.within {
-			return cli.WrongCall("--watch is %v, it must be above 0 and under the %v of --within", p.watch, p.within)
-		}
-		first, watch = percent/100, p.watch
-	}
-	by := os.Getenv("USER")
-	if by == "" {
-		by = "operator"
+	canaryFraction, canaryWatch, err := p.canary()
+	if err != nil {
+		return err
 	}
 	a.diff(st, d)
-	if _, err := r.ApplyPolicyStep(ctx, rollout.Command{Op: rollout.OpPropose, Document: d, BaseEpoch: st.Epoch, By: by, Reason: p.reason, WithinMS: p.within.Milliseconds(), CanaryFraction: first, CanaryWatchMS: watch.Milliseconds()}, nil); err != nil {
+	command := rollout.Command{
+		Op: rollout.OpPropose, Document: d, BaseEpoch: st.Epoch,
+		By: cmp.Or(os.Getenv("USER"), "operator"), Reason: p.reason, WithinMS: p.within.Milliseconds(),
+		CanaryFraction: canaryFraction, CanaryWatchMS: canaryWatch.Milliseconds(),
+	}
+	if _, err := r.ApplyPolicyStep(ctx, command, nil); err != nil {
 		return err
 	}
 	now, err := r.PolicyStatus(ctx, 0, 0)
@@ -71,24 +67,48 @@
 	if !p.wait {
 		return nil
 	}
-	said := ""
-	for {
-		if now.Change == nil || now.Change.Number != number {
-			return a.outcome(now, d.Checksum(), st.Epoch)
-		}
-		if line := progress(now); line != said {
+	if now, err = a.follow(ctx, r, now, number); err != nil {
+		return err
+	}
+	return a.outcome(now, d.Checksum(), st.Epoch)
+}
+
+// canary returns the fraction of sidecars that go ahead and for how long they are compared; 0: none do.
+func (p *proposal) canary() (fraction float64, watch time.Duration, err error) {
+	if p.first == "" {
+		return 0, 0, nil
+	}
+	percent, err := strconv.ParseFloat(strings.TrimSuffix(p.first, "%"), 64)
+	if err != nil || !strings.HasSuffix(p.first, "%") || percent <= 0 || percent >= 100 {
+		return 0, 0, cli.WrongCall("--first is %q, it must be like 5%%, between 0%% and 100%%", p.first)
+	}
+	if p.watch <= 0 || p.watch >= p.within {
+		return 0, 0, cli.WrongCall("--watch is %v, it must be above 0 and under the %v of --within", p.watch, p.within)
+	}
+	return percent / 100, p.watch, nil
+}
+
+// follow prints each step of a change until it is over, and returns the status after that.
+func (a *app) follow(ctx context.Context, r *client.Client, now rollout.Status, number uint64) (rollout.Status, error) {
+	printed := ""
+	for now.Change != nil && now.Change.Number == number {
+		if line := progress(now); line != printed {
 			fmt.Fprintln(a.out, line)
-			said = line
+			printed = line
 		}
-		if now, err = r.PolicyStatus(ctx, now.Version, watchFor); err != nil {
-			if ctx.Err() != nil {
-				return cli.Status(outOfTime, "change %d goes on; status tells how it stands", number)
-			}
-			return err
+		next, err := r.PolicyStatus(ctx, now.Version, watchFor)
+		if ctx.Err() != nil && err != nil {
+			return now, cli.Status(outOfTime, "change %d goes on; status tells how it stands", number)
+		}
+		if err != nil {
+			return now, err
 		}
+		now = next
 	}
+	return now, nil
 }
 
+// progress returns a line with the stage of a change and who has not confirmed it.
 func progress(st rollout.Status) string {
 	const few = 6
 	line := fmt.Sprintf("change %d: %s, %d of %d have confirmed", st.Change.Number, st.Stage, len(st.Roster)-len(st.WaitingFor), len(st.Roster))
@@ -104,7 +124,7 @@
 	return line
 }
 
-// outcome tells what became of the change of a document that was proposed last.
+// outcome prints the result of the last change that proposed a document with this checksum.
 func (a *app) outcome(st rollout.Status, sum string, before uint64) error {
 	for i := len(st.History) - 1; i >= 0; i-- {
 		if h := st.History[i]; h.Checksum == sum && h.Number > before {
@@ -143,20 +163,31 @@
 		Example: "  fleetctl policy revert --wait",
 		RunE: func(c *cobra.Command, args []string) error {
 			return a.withStatus(c.Context(), func(r *client.Client, st rollout.Status) error {
-				for i := len(st.History) - 1; i >= 0; i-- {
-					h := st.History[i]
-					if h.Outcome != "committed" || len(args) == 0 && h.Number >= st.Epoch || len(args) > 0 && fmt.Sprint(h.Number) != args[0] {
-						continue
-					}
-					if p.reason == "" {
-						p.reason = fmt.Sprintf("revert to epoch %d", h.Number)
-					}
-					return a.propose(c.Context(), r, st, &h.Document, p)
+				earlier, ok := findCommitted(st, args)
+				if !ok {
+					return cli.Status(refused, "the history has no such policy that was in force")
 				}
-				return cli.Status(refused, "the history has no such policy that was in force")
+				if p.reason == "" {
+					p.reason = fmt.Sprintf("revert to epoch %d", earlier.Number)
+				}
+				return a.propose(c.Context(), r, st, &earlier.Document, p)
 			})
 		},
 	}
 	p.flags(c)
 	return c
 }
+
+// findCommitted returns the policy that was in force before this one, or that of the epoch in args.
+func findCommitted(st rollout.Status, args []string) (rollout.HistoryEntry, bool) {
+	for _, h := range slices.Backward(st.History) {
+		wanted := h.Number < st.Epoch
+		if len(args) > 0 {
+			wanted = fmt.Sprint(h.Number) == args[0]
+		}
+		if wanted && h.Outcome == "committed" {
+			return h, true
+		}
+	}
+	return rollout.HistoryEntry{}, false
+}
--- a/cmd/fleetctl/tasks.go
+++ b/cmd/fleetctl/tasks.go
@@ -15,11 +15,11 @@
 	"barleywick/internal/registry"
 )
 
-// watchFor is how long one call for the leases waits for a change.
+// watchFor bounds how long one call waits for a change.
 const watchFor = 4 * time.Second
 
-// held says who holds a lease; empty: nobody.
-func (a *app) held(ctx context.Context, name string) (string, error) {
+// holder returns the name of the process that holds a lease; empty: nobody.
+func (a *app) holder(ctx context.Context, name string) (string, error) {
 	r, err := a.client()
 	if err != nil {
 		return "", err
@@ -40,9 +40,9 @@
 func (a *app) tasks() *cobra.Command {
 	var asJSON, watch bool
 	c := &cobra.Command{
-		Use: "tasks", Short: "Tell who holds which task", Args: cli.NoArgs,
-		Long: `tasks lists the leases: who holds each, with which token, and who waits. Leases that
-begin with keeper: say which keepers there are.`,
+		Use: "tasks", Short: "List the tasks and who holds them", Args: cli.NoArgs,
+		Long: `tasks lists the leases: who holds each, with which token, and who waits. Leases whose
+names begin with keeper: show which controllers run.`,
 		Example: "  fleetctl tasks\n  fleetctl tasks --watch --json",
 		RunE: func(c *cobra.Command, _ []string) error {
 			r, err := a.client()
@@ -58,7 +58,7 @@
 				all, err := r.Leases(c.Context(), after, wait)
 				switch {
 				case c.Context().Err() != nil && watch:
-					return nil // it was ended as it is meant to be
+					return nil // interrupted, as a watch is meant to end
 				case err != nil:
 					return err
 				}
@@ -79,6 +79,7 @@
 	return c
 }
 
+// showTasks prints the leases as a table or as JSON.
 func (a *app) showTasks(all registry.LeasesResponse, asJSON bool) error {
 	if asJSON {
 		return json.NewEncoder(a.out).Encode(all)
@@ -91,27 +92,28 @@
 		return nil
 	}
 	w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "TASK\tHOLDER\tTOKEN\tWAITING\tWISHES")
+	fmt.Fprintln(w, "TASK\tHOLDER\tTOKEN\tWAITING\tREQUESTS")
 	for _, l := range all.Leases {
 		holder, token := "-", "-"
 		if l.Grant != nil {
 			holder, token = l.Grant.Name, fmt.Sprint(l.Grant.Token)
 		}
-		var waiting, wishes []string
+		var waiting, requests []string
 		for _, c := range l.Queue {
 			waiting = append(waiting, c.Name)
 		}
 		if l.Paused {
-			wishes = append(wishes, "paused")
+			requests = append(requests, "paused")
 		}
 		if l.YieldRequested {
-			wishes = append(wishes, strings.TrimSpace("to be given up "+l.NextHolder))
+			requests = append(requests, strings.TrimSpace("yield "+l.NextHolder))
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", l.Name, holder, token, orDash(waiting), orDash(wishes))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", l.Name, holder, token, orDash(waiting), orDash(requests))
 	}
 	return w.Flush()
 }
 
+// orDash joins words, or returns a dash where there are none.
 func orDash(words []string) string {
 	if len(words) == 0 {
 		return "-"
@@ -121,25 +123,27 @@
 
 func (a *app) task() *cobra.Command {
 	c := &cobra.Command{
-		Use: "task", Short: "Say what is to become of a task", Args: cli.NoArgs,
-		Long: `task says what is to become of one task. Nothing is taken from its holder: it is told
-at once, stops the task, and gives it up. One that does not answer loses it when its
-lease ends.`,
+		Use: "task", Short: "Release, hand over, pause or resume a task", Args: cli.NoArgs,
+		Long: `task asks the holder of a task to release it. The holder is notified at its next renewal,
+stops the task and releases the lease. A holder that does not answer loses the task when
+its lease ends.`,
 		RunE: func(*cobra.Command, []string) error {
 			return cli.WrongCall("release, hand-over, pause or resume is needed; see fleetctl task --help")
 		},
 	}
 	yes, no := true, false
-	add := func(use, short string, n int, wish func(args []string) registry.YieldRequest) {
+	add := func(use, short string, n int, request func(args []string) registry.YieldRequest) {
 		c.AddCommand(&cobra.Command{
-			Use: use, Short: short, Args: cobra.ExactArgs(n), Example: "  fleetctl task " + strings.NewReplacer("TASK", "drains", "KEEPER", "k2").Replace(use),
-			RunE: func(c *cobra.Command, args []string) error { return a.wish(c.Context(), args[0], wish(args)) },
+			Use: use, Short: short, Args: cobra.ExactArgs(n), Example: "  fleetctl task " + strings.NewReplacer("TASK", "drains", "CONTROLLER", "k2").Replace(use),
+			RunE: func(c *cobra.Command, args []string) error {
+				return a.requestYield(c.Context(), args[0], request(args))
+			},
 		})
 	}
 	add("release TASK", "Have its holder give it up: whoever waits has it next", 1, func([]string) registry.YieldRequest {
 		return registry.YieldRequest{Yield: true}
 	})
-	add("hand-over TASK KEEPER", "Have its holder hand it over to a keeper that waits for it", 2, func(args []string) registry.YieldRequest {
+	add("hand-over TASK CONTROLLER", "Have its holder hand it over to a controller that waits for it", 2, func(args []string) registry.YieldRequest {
 		return registry.YieldRequest{Yield: true, NextHolder: args[1]}
 	})
 	add("pause TASK", "Let nobody hold it", 1, func([]string) registry.YieldRequest { return registry.YieldRequest{Pause: &yes} })
@@ -147,13 +151,14 @@
 	return c
 }
 
-func (a *app) wish(ctx context.Context, name string, w registry.YieldRequest) error {
+// requestYield sends what an operator wants of a lease.
+func (a *app) requestYield(ctx context.Context, name string, request registry.YieldRequest) error {
 	r, err := a.client()
 	if err != nil {
 		return err
 	}
 	defer r.Close()
-	err = r.RequestYield(ctx, name, w)
+	err = r.RequestYield(ctx, name, request)
 	if errors.Is(err, registry.ErrNotFound) || errors.Is(err, registry.ErrConflict) {
 		return cli.Status(refused, "%w", err)
 	}
--- a/cmd/testbench/chaos.go
+++ b/cmd/testbench/chaos.go
@@ -20,35 +20,40 @@
 	"barleywick/internal/testing/faultinjection"
 )
 
+// chaosCommand makes the command chaos.
 func chaosCommand() *cobra.Command {
 	var o chaostest.Options
 	var schedule, out, programs string
 	var shrink int
 	var quiet bool
 	c := &cobra.Command{
-		Use: "chaos", Short: "Break a whole fleet of real processes, and check every promise", Args: cli.NoArgs,
-		Long: `chaos starts replicas of the registry, keepers with all their tasks, and sidecars under
+		Use: "chaos", Short: "Inject faults into a whole fleet of real processes, and check every invariant", Args: cli.NoArgs,
+		Long: `chaos starts replicas of the registry, controllers with all their tasks, and sidecars under
 load, with a relay for every link between two, and breaks them for a time: faults of
 processes and between them, up to three at once, while operators change policies,
-drain machines, hand tasks over and keep records. What was promised is checked on the
-way and when the last fault is over (docs/TESTING.md). Everything it starts ends with
+drain machines, hand tasks over and write records. Invariants are checked meanwhile and
+after the last fault (docs/TESTING.md). Everything it starts ends with
 it. The programs are those beside testbench.
 
 ` + cli.Statuses + `
- 3  a promise was broken`,
+ 3  an invariant was broken`,
 		Example: "  testbench chaos --for 20m --seed 7\n  testbench chaos --schedule '1.5s cut k1 for 3s' --seed 7",
 	}
 	f := c.Flags()
 	f.DurationVar(&o.For, "for", 2*time.Minute, "how long faults are drawn for")
 	f.Uint64Var(&o.Seed, "seed", 1, "of faults and operators")
+	f.IntVar(&o.Keepers, "controllers", 3, "processes that hold tasks")
 	f.IntVar(&o.Keepers, "keepers", 3, "processes that hold tasks")
+	if err := f.MarkDeprecated("keepers", "use --controllers"); err != nil {
+		panic(err) // the flag is defined on the line before
+	}
 	f.IntVar(&o.Sidecars, "sidecars", 24, "under load")
 	f.IntVar(&o.Servers, "servers", 16, "booking servers")
 	f.StringVar(&schedule, "schedule", "", "these faults instead of those drawn, as a report has them")
 	f.StringVar(&out, "json", "", "write the report to `FILE`")
 	f.StringVar(&programs, "programs", "", "the `FOLDER` of the programs (default: this program's)")
-	f.IntVar(&shrink, "shrink", 0, "when a promise is broken, leave faults out in so many further runs")
-	f.BoolVar(&quiet, "quiet", false, "tell the outcome alone, not the time line")
+	f.IntVar(&shrink, "shrink", 0, "when an invariant is broken, leave faults out in so many further runs")
+	f.BoolVar(&quiet, "quiet", false, "print the outcome alone, not the timeline")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if err := o.Check(); err != nil {
 			return cli.WrongCall("%v", err)
@@ -70,7 +75,7 @@
 		}
 		rep, err := chaostest.Run(c.Context(), o)
 		if rep != nil {
-			tellTorture(c.OutOrStdout(), rep)
+			printChaosReport(c.OutOrStdout(), rep)
 			if out != "" {
 				text, merr := json.MarshalIndent(rep, "", " ")
 				if merr == nil {
@@ -91,12 +96,12 @@
 				return len(part) > 0 && err == nil && len(again.Broken) > 0
 			})
 		}
-		return cli.Status(statusBroken, "%d promises were broken, the first: %s; to play it again: testbench chaos --seed %d --schedule '%v'", len(rep.Broken), rep.Broken[0], o.Seed, small)
+		return cli.Status(statusRuleBroken, "%d invariants were broken, the first: %s; to replay it: testbench chaos --seed %d --schedule '%v'", len(rep.Broken), rep.Broken[0], o.Seed, small)
 	}
 	return c
 }
 
-// command starts one of our programs on its configuration.
+// command makes the command line of a program with its configuration.
 func command(folder string, p chaostest.Program, config string) *exec.Cmd {
 	path := filepath.Join(folder, string(p))
 	switch p {
@@ -110,7 +115,8 @@
 	return cmd
 }
 
-func tellTorture(w io.Writer, r *chaostest.Report) {
+// printChaosReport prints what a run observed and the invariants that were broken.
+func printChaosReport(w io.Writer, r *chaostest.Report) {
 	var parts []string
 	for _, what := range slices.Sorted(maps.Keys(r.Saw)) {
 		parts = append(parts, fmt.Sprintf("%d %s", r.Saw[what], what))
--- a/cmd/testbench/experiment.go
+++ b/cmd/testbench/experiment.go
@@ -11,13 +11,14 @@
 	"barleywick/internal/simulation/report"
 )
 
+// experimentCommand makes the command experiment.
 func experimentCommand() *cobra.Command {
 	var out output
 	c := &cobra.Command{
-		Use: "experiment FILE", Short: "Compare variants on the same days", Args: cobra.ExactArgs(1),
-		Long: `experiment plays the scenarios of a file with each of its variants on the same seeds,
-over all cores, and says what the variants differ by: the mean over paired days with its
-95 % bootstrap interval, and plainly when no difference is shown.
+		Use: "experiment FILE", Short: "Compare variants on the same scenario runs", Args: cobra.ExactArgs(1),
+		Long: `experiment runs the scenarios of a file with each of its variants on the same seeds, over
+all cores, and reports the differences: the mean over paired runs with its 95 % bootstrap
+interval, or that no difference is shown.
 docs/EXPERIMENTS.md describes the file.`,
 		Example: "  testbench experiment walls.toml --json walls.json --html walls.html",
 	}
@@ -35,7 +36,7 @@
 				broken++
 			}
 			if live {
-				fmt.Fprintf(progress, "\r%d of %d days", played, all)
+				fmt.Fprintf(progress, "\r%d of %d runs", played, all)
 			}
 		})
 		if live {
@@ -52,9 +53,9 @@
 		}
 		switch {
 		case o.Partial:
-			return cli.Status(statusCut, "cut short after %d days", len(o.Runs))
+			return cli.Status(statusInterrupted, "interrupted after %d runs", len(o.Runs))
 		case broken > 0:
-			return cli.Status(statusBroken, "a rule was broken on %d days", broken)
+			return cli.Status(statusRuleBroken, "a rule was broken in %d runs", broken)
 		}
 		return nil
 	}
--- a/cmd/testbench/load.go
+++ b/cmd/testbench/load.go
@@ -15,15 +15,16 @@
 	"barleywick/internal/testing/loadgen"
 )
 
-// terminal says whether a writer is one, where a line may be written over.
+// terminal reports whether a writer is a terminal, where a line can be overwritten.
 func terminal(w io.Writer) bool {
 	f, ok := w.(*os.File)
 	return ok && term.IsTerminal(int(f.Fd()))
 }
 
-// defaultOpen is far more than a sidecar holds.
+// defaultOpen is far above what one sidecar admits.
 const defaultOpen = 10_000
 
+// loadCommand makes the command load.
 func loadCommand() *cobra.Command {
 	p := &loadgen.Plan{}
 	var out output
@@ -31,10 +32,10 @@
 	var recorded string
 	c := &cobra.Command{
 		Use: "load ADDRESS...", Short: "Put an open-loop load on sidecars", Args: cobra.MinimumNArgs(1),
-		Long: `load sends requests to sidecars when they are due, whatever has become of those before.
-Latencies count from when a request was due: a target that stands still makes all that is
-due meanwhile wait, and each wait counts. What is due while too many are open is not sent
-and is counted as unsent.`,
+		Long: `load sends requests to sidecars when they are due, whether or not earlier ones have ended.
+Latencies count from when a request was due, so that a target that stalls is charged for all
+requests that became due meanwhile. A request that is due while too many are open is not
+sent and is counted as unsent.`,
 		Example: `  testbench load 127.0.0.1:7070 --rate 200 --length 30s --class hold-slot:keyed:3 --class confirm-visit:unsafe:2 --tenants a,b
   testbench load 127.0.0.1:7070 --class read:safe --arrivals recorded --recorded times.txt --json out.json`,
 	}
@@ -45,7 +46,7 @@
 	f.DurationVar(&p.Length, "length", 10*time.Second, "of the load")
 	f.DurationVar(&p.Timeout, "timeout", 2*time.Second, "how long a client waits")
 	f.StringArrayVar(&classes, "class", nil, "`NAME:EFFECT[:SHARE]`, with safe, keyed or unsafe; at least one")
-	f.StringSliceVar(&p.Tenants, "tenants", nil, "names, evenly asked for")
+	f.StringSliceVar(&p.Tenants, "tenants", nil, "names, evenly distributed")
 	f.IntVar(&p.Keys, "keys", 0, "how many different affinity keys; 0: none")
 	f.IntVar(&p.Body, "body", 0, "`BYTES` of each body")
 	f.IntVar(&p.MostOpen, "open", defaultOpen, "requests open at once")
@@ -94,7 +95,7 @@
 			return err
 		}
 		if r.Partial {
-			return cli.Status(statusCut, "cut short")
+			return cli.Status(statusInterrupted, "interrupted")
 		}
 		return nil
 	}
--- a/cmd/testbench/localfleet.go
+++ b/cmd/testbench/localfleet.go
@@ -17,32 +17,33 @@
 	"barleywick/internal/testing/localfleet"
 )
 
-// What a lab on one machine has where nothing is said.
+// Defaults of a fleet on one machine.
 const (
-	labSidecars = 3
-	labServers  = 8
-	labLength   = 20 * time.Second
+	defaultSidecars = 3
+	defaultServers  = 8
+	defaultLength   = 20 * time.Second
 )
 
+// localFleetCommand makes the command localfleet.
 func localFleetCommand() *cobra.Command {
 	var out output
 	var o localfleet.Options
 	var sidecars, servers int
 	var length time.Duration
 	c := &cobra.Command{
-		Use: "localfleet [SCENARIO]", Short: "Play a day on real sockets, with real sidecar processes", Args: cobra.MaximumNArgs(1),
-		Long: `localfleet starts a registry, booking servers and sidecar processes on loopback, lets clients ask
-them as the scenario says, and follows each request to its one answer. Everything it
-starts ends with it, also at Ctrl-C; what was played until then is told.
+		Use: "localfleet [SCENARIO]", Short: "Run a scenario on real sockets, with real sidecar processes", Args: cobra.MaximumNArgs(1),
+		Long: `localfleet starts a registry, booking servers and sidecar processes on loopback, sends
+requests as the scenario says, and follows each of them to its one answer. Everything it
+starts ends with it, also at Ctrl-C; what was run until then is reported.
 SCENARIO is a name (simulate --list has them) or a file
 ending in .toml; calm where it is left out.`,
-		Example: "  testbench localfleet slow --length 30s --html lab.html",
+		Example: "  testbench localfleet slow --length 30s --html fleet.html",
 	}
 	f := c.Flags()
 	f.Uint64Var(&o.Seed, "seed", 1, "of all that is drawn")
-	f.IntVar(&sidecars, "sidecars", labSidecars, "of a scenario that has a name")
-	f.IntVar(&servers, "servers", labServers, "of a scenario that has a name")
-	f.DurationVar(&length, "length", labLength, "of a scenario that has a name")
+	f.IntVar(&sidecars, "sidecars", defaultSidecars, "of a scenario that has a name")
+	f.IntVar(&servers, "servers", defaultServers, "of a scenario that has a name")
+	f.DurationVar(&length, "length", defaultLength, "of a scenario that has a name")
 	f.IntVar(&o.Registry, "registry", 1, "replicas of the list, 1 or 3")
 	f.StringVar(&o.Program, "sidecar", "", "the sidecar's `PROGRAM`; sidecar beside testbench where it is left out")
 	f.StringVar(&o.Logs, "logs", "", "keep the sidecars' logs in `FOLDER`")
@@ -78,11 +79,11 @@
 			}
 		}
 		live := c.ErrOrStderr()
-		// The registry in this process has a log of its own, of which a user wants the worst.
+		// The registry in this process writes to the default log, of which only errors matter here.
 		slog.SetDefault(slog.New(slog.NewTextHandler(live, &slog.HandlerOptions{Level: slog.LevelError})))
 		o.Progress = func(r *emulator.Record) {
 			if terminal(live) {
-				fmt.Fprintf(live, "\r\x1b[K%d asked, %d served, %d refused, %d failed", r.Requests, r.ServedAll, r.Refused, r.Failed)
+				fmt.Fprintf(live, "\r\x1b[K%d requests, %d served, %d refused, %d failed", r.Requests, r.ServedAll, r.Refused, r.Failed)
 			}
 		}
 		fmt.Fprintf(c.OutOrStdout(), "%s: %d sidecars, %d servers, about %.0f requests a second for %v\n", sc.Name, sc.Sidecars, sc.Servers, sc.Rate(), time.Duration(sc.Length))
@@ -94,7 +95,7 @@
 			return err
 		}
 		fmt.Fprintln(c.OutOrStdout(), r.Line())
-		account(c.OutOrStdout(), r)
+		printAccount(c.OutOrStdout(), r)
 		if err := out.writeAll(r, func() (*report.Page, error) { return report.OfRecord(r, time.Now()) }); err != nil {
 			return err
 		}
--- a/cmd/testbench/main.go
+++ b/cmd/testbench/main.go
@@ -23,14 +23,14 @@
 
 func newRoot() *cobra.Command {
 	root := &cobra.Command{
-		Use: "testbench", Short: "Plays fleets of sidecars and tells what came of it",
-		Long: `testbench plays fleets of sidecars, in simulated time or on real sockets, and tells what
-came of it.
+		Use: "testbench", Short: "Simulates, loads and tests fleets of sidecars",
+		Long: `testbench runs fleets of sidecars, in simulated time or on real sockets, injects faults and
+reports the results.
 
 ` + cli.Statuses + `
  3  a rule was broken
- 4  cut short; what was written tells of the part that was played`,
-		Example: `  testbench localfleet --html lab.html
+ 4  interrupted; what was written covers the part that was run`,
+		Example: `  testbench localfleet --html fleet.html
   testbench simulate herd --sidecars 60 --servers 40 --html herd.html
   testbench experiment walls.toml --json walls.json --html walls.html
   testbench report walls.json --html walls.html`,
@@ -52,8 +52,8 @@
 	return root
 }
 
-// Exit statuses beside those of all our programs.
+// Exit statuses besides those that all programs have.
 const (
-	statusBroken = 3
-	statusCut    = 4
+	statusRuleBroken  = 3
+	statusInterrupted = 4
 )
--- a/cmd/testbench/main_test.go
+++ b/cmd/testbench/main_test.go
@@ -18,7 +18,7 @@
 	return status, o.String(), e.String()
 }
 
-func TestFromADayToAPage(t *testing.T) {
+func TestRunIsWrittenAsAPage(t *testing.T) {
 	folder := t.TempDir()
 	kept, page := filepath.Join(folder, "day.json"), filepath.Join(folder, "day.html")
 	status, out, errs := call(t.Context(), "simulate", "zone", "--sidecars", "6", "--servers", "6", "--length", "5s", "--json", kept, "--html", page)
@@ -38,12 +38,12 @@
 	}
 	for _, text := range []string{string(first), string(second)} {
 		if strings.Count(text, "<svg") != 6 || strings.Contains(text, "<?xml") || strings.Contains(text, "src=") || strings.Contains(text, "<script") || strings.Contains(text, "<link") {
-			t.Error("the page is not whole, or needs something else")
+			t.Error("the page is not complete, or needs other files")
 		}
 	}
 	cut := func(text []byte) string { _, rest, _ := strings.Cut(string(text), "</p>"); return rest }
 	if cut(first) != cut(second) {
-		t.Error("a kept day gives another page")
+		t.Error("saved results give another page")
 	}
 }
 
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestWhatCannotBeDoneIsOneLine(t *testing.T) {
+func TestErrorsAreOneLineWithTheirStatus(t *testing.T) {
 	folder := t.TempDir()
 	nothing := filepath.Join(folder, "nothing.json")
 	if err := os.WriteFile(nothing, []byte("{}"), 0o600); err != nil {
@@ -93,7 +93,7 @@
 		{t.Context(), []string{"load", "127.0.0.1:1"}, cli.Wrong, "classes"},
 		{t.Context(), []string{"load", "127.0.0.1:1", "--class", "a:odd"}, cli.Wrong, "odd"},
 		{t.Context(), []string{"load", "127.0.0.1:1", "--class", "a:safe", "--rate", "-5"}, cli.Wrong, "rate is -5"},
-		{gone, []string{"simulate", "calm"}, statusCut, "cut short"},
+		{gone, []string{"simulate", "calm"}, statusInterrupted, "interrupted"},
 	} {
 		status, _, errs := call(c.ctx, c.args...)
 		if status != c.status || !strings.Contains(errs, c.says) || strings.Count(errs, "\n") != 1 {
@@ -106,7 +106,7 @@
 }
 
 // A result that cannot be written leaves nothing behind.
-func TestNothingHalfWrittenIsLeft(t *testing.T) {
+func TestFailedWriteLeavesNoFile(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "out.json")
 	err := write(path, func(w io.Writer) error {
@@ -148,6 +148,9 @@
 			t.Errorf("%s --help: status %d, %q, %s", former, status, out, errs)
 		}
 	}
+	if status, out, errs := call(t.Context(), "chaos", "--keepers", "0"); status != cli.Wrong || !strings.Contains(out, "use --controllers") {
+		t.Errorf("chaos --keepers: status %d, says %q %q", status, out, errs)
+	}
 	status, _, errs := call(t.Context(), "hunt", "--days", "0")
 	if status != cli.Wrong || !strings.Contains(errs, "the command hunt is deprecated, use search\n") {
 		t.Errorf("hunt: status %d, says %q", status, errs)
--- a/cmd/testbench/members.go
+++ b/cmd/testbench/members.go
@@ -13,48 +13,48 @@
 	"barleywick/internal/membership/membershiptest"
 )
 
-// Bounds of one trial: all members are in this process.
+// Bounds of one run: all members are in this process.
 const (
-	mostMembers = 2000
-	mostParts   = 8
+	maxMembers    = 2000
+	maxPartitions = 8
 )
 
+// membersCommand makes the command members.
 func membersCommand() *cobra.Command {
 	p := membershiptest.Scenario{}
 	var asJSON bool
 	c := &cobra.Command{
-		Use: "members", Short: "Measure how members of a fleet see its losses and parts", Args: cli.NoArgs,
+		Use: "members", Short: "Measure how members of a fleet detect failures and partitions", Args: cli.NoArgs,
 		Long: `members runs a fleet of members (docs/MEMBERSHIP.md) in this process, in real time, over a
-network of its own that loses datagrams; connections lose nothing. It measures what a
-quiet time costs and how many are lost there that live, then kills a part at once and
-then cuts the network into parts, and tells how long the members took to see that and
-to agree again.`,
+simulated network that drops datagrams but nothing of a stream. It measures the cost and the
+false detections of a time without faults, then kills a fraction of the members at once and
+then partitions the network, and prints how long detection and agreement took.`,
 		Example: "  testbench members --members 300 --loss 0.1 --kill 0.5\n  testbench members --members 30 --parts 3 --apart 30s",
 	}
 	c.Flags().IntVar(&p.Members, "members", 30, "in the fleet")
 	c.Flags().Uint64Var(&p.Seed, "seed", 1, "of what is lost")
-	c.Flags().DurationVar(&p.ProbeInterval, "probe", 500*time.Millisecond, "between two looks of a member at some other")
-	c.Flags().Float64Var(&p.PacketLoss, "loss", 0, "part of the datagrams")
+	c.Flags().DurationVar(&p.ProbeInterval, "probe", 500*time.Millisecond, "between two probes of a member")
+	c.Flags().Float64Var(&p.PacketLoss, "loss", 0, "fraction of the datagrams that is dropped")
 	c.Flags().DurationVar(&p.Delay, "delay", time.Millisecond, "each comes so much later, and up to twice")
-	c.Flags().DurationVar(&p.Baseline, "quiet", 20*time.Second, "a time without another fault")
-	c.Flags().Float64Var(&p.KillFraction, "kill", 0.1, "part of the members that is then killed at once")
-	c.Flags().IntVar(&p.Partitions, "parts", 1, "into how many parts the network is then cut; 1: it is not")
+	c.Flags().DurationVar(&p.Baseline, "quiet", 20*time.Second, "a time without other faults")
+	c.Flags().Float64Var(&p.KillFraction, "kill", 0.1, "fraction of the members that is then killed at once")
+	c.Flags().IntVar(&p.Partitions, "parts", 1, "into how many parts the network is then partitioned; 1: it is not")
 	c.Flags().DurationVar(&p.PartitionDuration, "apart", 30*time.Second, "for how long")
 	c.Flags().BoolVar(&asJSON, "json", false, "one JSON object")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		switch {
-		case p.Members < 2 || p.Members > mostMembers:
-			return cli.WrongCall("--members is %d, it must lie between 2 and %d", p.Members, mostMembers)
+		case p.Members < 2 || p.Members > maxMembers:
+			return cli.WrongCall("--members is %d, it must lie between 2 and %d", p.Members, maxMembers)
 		case !(p.PacketLoss >= 0 && p.PacketLoss < 1) || !(p.KillFraction >= 0 && p.KillFraction < 1):
 			return cli.WrongCall("--loss and --kill are parts of at least 0, below 1")
-		case p.Partitions < 1 || p.Partitions > mostParts || p.Partitions > p.Members/2:
-			return cli.WrongCall("--parts is %d, it must lie between 1 and %d, and each part needs two members", p.Partitions, mostParts)
+		case p.Partitions < 1 || p.Partitions > maxPartitions || p.Partitions > p.Members/2:
+			return cli.WrongCall("--parts is %d, it must lie between 1 and %d, and each part needs two members", p.Partitions, maxPartitions)
 		case p.ProbeInterval < 50*time.Millisecond || p.Delay < 0 || p.Baseline < 0 || p.PartitionDuration < 0:
 			return cli.WrongCall("--probe is 50ms at least, no time is negative")
 		}
 		var r membershiptest.Result
 		done := make(chan error, 1)
-		go func() { // ends with the program where it is cut short: all members are in it
+		go func() { // where the run is interrupted it ends with the process
 			var err error
 			r, err = p.Run(slog.New(slog.NewTextHandler(io.Discard, nil)))
 			done <- err
@@ -65,18 +65,19 @@
 				return err
 			}
 		case <-c.Context().Done():
-			return cli.Status(statusCut, "cut short")
+			return cli.Status(statusInterrupted, "interrupted")
 		}
 		if asJSON {
 			return json.NewEncoder(c.OutOrStdout()).Encode(r)
 		}
-		tellTrial(c.OutOrStdout(), r)
+		printMembershipResult(c.OutOrStdout(), r)
 		return nil
 	}
 	return c
 }
 
-func tellTrial(w io.Writer, r membershiptest.Result) {
+// printMembershipResult prints the measured times and costs.
+func printMembershipResult(w io.Writer, r membershiptest.Result) {
 	ms := func(d time.Duration) time.Duration { return d.Round(10 * time.Millisecond) }
 	fmt.Fprintf(w, "%d members, a look every %v, %.0f %% of the datagrams lost: all see all after %v\n", r.Members, r.ProbeInterval, 100*r.PacketLoss, ms(r.JoinTime))
 	if r.Baseline > 0 {
--- a/cmd/testbench/modelcheck.go
+++ b/cmd/testbench/modelcheck.go
@@ -12,32 +12,33 @@
 	"barleywick/internal/testing/modelcheck/system"
 )
 
-// mostSchedules bounds one exploration.
-const mostSchedules = 100_000_000
+// maxSchedules bounds one exploration.
+const maxSchedules = 100_000_000
 
+// modelCheckCommand makes the command modelcheck.
 func modelCheckCommand() *cobra.Command {
 	var seed uint64
 	var schedules int
 	var steer, replay, pairs bool
 	var faults string
 	c := &cobra.Command{
-		Use: "modelcheck", Short: "Run registry, leases, policy, drains and the fleet's word together, with faults", Args: cli.NoArgs,
-		Long: `modelcheck plays schedules in which the real state machines run together over a clock, a
-network and disks of their own, and faults fall on their steps (docs/TESTING.md). Each
-follows from its seed and faults alone. One that breaks a promise is cut to the faults
-that it needs and told with the command that plays it again; the status is 1 then.`,
+		Use: "modelcheck", Short: "Model-check registry, leases, policy, drains and overload advice together, with faults", Args: cli.NoArgs,
+		Long: `modelcheck runs schedules in which the real state machines work together over a simulated
+clock, network and disks, and faults are injected at their steps (docs/TESTING.md). Each
+schedule follows from its seed and faults alone. One that breaks an invariant is reduced to
+the faults that it needs and printed with the command that replays it; the status is 1 then.`,
 		Example: "  testbench modelcheck --schedules 10000\n  testbench modelcheck --replay --seed 7 --faults 'kill leader for 2s at policy in force#1'",
 	}
 	c.Flags().Uint64Var(&seed, "seed", 1, "of the first schedule; each further one has the next")
-	c.Flags().IntVar(&schedules, "schedules", 1000, "how many to play")
-	c.Flags().BoolVar(&steer, "steer", true, "towards pairs of a fault and a step that were seen the least")
+	c.Flags().IntVar(&schedules, "schedules", 1000, "how many to run")
+	c.Flags().BoolVar(&steer, "steer", true, "towards the pairs of a fault and a step that were seen least")
 	c.Flags().BoolVar(&pairs, "pairs", false, "list each pair of a fault and a step, and how often it was seen")
-	c.Flags().BoolVar(&replay, "replay", false, "play one schedule, of --seed and --faults")
-	c.Flags().StringVar(&faults, "faults", "", "with --replay: the `FAULTS`, as a failure tells them")
+	c.Flags().BoolVar(&replay, "replay", false, "run one schedule, of --seed and --faults")
+	c.Flags().StringVar(&faults, "faults", "", "with --replay: the `FAULTS`, as a failure prints them")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		out := c.OutOrStdout()
-		if schedules < 1 || schedules > mostSchedules {
-			return cli.WrongCall("--schedules is %d, it must lie between 1 and %d", schedules, mostSchedules)
+		if schedules < 1 || schedules > maxSchedules {
+			return cli.WrongCall("--schedules is %d, it must lie between 1 and %d", schedules, maxSchedules)
 		}
 		if !replay && faults != "" {
 			return cli.WrongCall("--faults goes with --replay")
@@ -56,7 +57,7 @@
 		} else if seen, found = system.Explore(seed, schedules, steer); found != nil {
 			found = found.Shrink()
 		}
-		tellSeen(out, seen, time.Since(began), pairs)
+		printCoverage(out, seen, time.Since(began), pairs)
 		if found != nil {
 			return errors.New(found.Line())
 		}
@@ -65,7 +66,8 @@
 	return c
 }
 
-func tellSeen(w io.Writer, s system.Seen, took time.Duration, pairs bool) {
+// printCoverage prints what the schedules covered and what was checked.
+func printCoverage(w io.Writer, s system.Seen, took time.Duration, pairs bool) {
 	fmt.Fprintf(w, "%d schedules, %.0f a second: %d events, %d faults; %d of %d pairs of a fault and a step\n",
 		s.Schedules, float64(s.Schedules)/took.Seconds(), s.Events, s.Faults, len(s.Pairs), s.MostPairs())
 	fmt.Fprintf(w, "judged: %d timed acts, %d fenced writes, %d words, %d lists, %d acknowledged writes, %d policies in force, %d stops of servers, %d requests\n",
--- a/cmd/testbench/output.go
+++ b/cmd/testbench/output.go
@@ -12,16 +12,17 @@
 	"barleywick/internal/simulation/report"
 )
 
-// output is where results go besides the terminal.
+// output names the files that results are written to besides the terminal.
 type output struct{ json, html string }
 
+// flags adds the flags --json and --html.
 func (o *output) flags(c *cobra.Command) {
 	c.Flags().StringVar(&o.json, "json", "", "write all figures to `FILE`")
 	c.Flags().StringVar(&o.html, "html", "", "write a page with charts to `FILE`")
 }
 
-// write writes a file whole or not at all.
-func write(path string, make func(io.Writer) error) error {
+// write writes a file completely or not at all.
+func write(path string, render func(io.Writer) error) (err error) {
 	if path == "" {
 		return nil
 	}
@@ -29,8 +30,8 @@
 	if err != nil {
 		return fmt.Errorf("write %s: %w", path, err)
 	}
-	defer f.Cleanup()
-	if err := make(f); err != nil {
+	defer func() { err = errors.Join(err, f.Cleanup()) }() // does nothing once the file is in its place
+	if err := render(f); err != nil {
 		return fmt.Errorf("write %s: %w", path, err)
 	}
 	if err := f.CloseAtomicallyReplace(); err != nil {
@@ -39,8 +40,9 @@
 	return nil
 }
 
-func (o output) writeAll(v any, p func() (*report.Page, error)) error {
-	err := write(o.json, func(w io.Writer) error { // nothing, where no file is named
+// writeAll writes the figures and the page to the files that were named.
+func (o output) writeAll(v any, page func() (*report.Page, error)) error {
+	err := write(o.json, func(w io.Writer) error {
 		e := json.NewEncoder(w)
 		e.SetIndent("", " ")
 		return e.Encode(v)
@@ -48,9 +50,9 @@
 	if o.html == "" {
 		return err
 	}
-	made, pageErr := p()
+	rendered, pageErr := page()
 	if pageErr != nil {
 		return errors.Join(err, pageErr)
 	}
-	return errors.Join(err, write(o.html, made.Write))
+	return errors.Join(err, write(o.html, rendered.Write))
 }
--- a/cmd/testbench/report.go
+++ b/cmd/testbench/report.go
@@ -18,13 +18,14 @@
 	"barleywick/internal/simulation/report"
 )
 
-// maxResult is far more than a result file has.
+// maxResult bounds the size of a result file.
 const maxResult = 1 << 30
 
+// reportCommand makes the command report.
 func reportCommand() *cobra.Command {
 	var html string
 	c := &cobra.Command{
-		Use: "report FILE", Short: "Write a page of results that were kept", Args: cobra.ExactArgs(1),
+		Use: "report FILE", Short: "Write a page of results that were saved", Args: cobra.ExactArgs(1),
 		Long:    "report reads what simulate or experiment wrote with --json and writes one page that needs nothing else.",
 		Example: "  testbench report walls.json --html walls.html",
 	}
@@ -55,7 +56,7 @@
 	return c
 }
 
-// pageOf tells an experiment's results from a day's.
+// pageOf renders the results of an experiment or of a single run.
 func pageOf(text []byte) (*report.Page, error) {
 	var kind struct {
 		Runs    json.RawMessage `json:"runs"`
--- a/cmd/testbench/search.go
+++ b/cmd/testbench/search.go
@@ -19,30 +19,31 @@
 	"barleywick/internal/simulation/emulator"
 )
 
-// mostHunt bounds the days of one hunt.
-const mostHunt = 100_000
+// maxRuns bounds the runs of one search.
+const maxRuns = 100_000
 
+// searchCommand makes the command search.
 func searchCommand() *cobra.Command {
 	var out output
 	var seed uint64
 	var days, sidecars, servers int
 	var keep string
 	c := &cobra.Command{
-		Use: "search", Short: "Look for days on which a fleet keeps itself down", Args: cli.NoArgs,
-		Long: fmt.Sprintf(`search draws days with a surge and a trouble from seeds, plays them over all cores, and tells
-those that are not back %v after both are over: three seconds in a row at 0.95 of the worth
-asked for. Each can be played again: --keep DIR writes their scenario files.`, emulator.HuntWithin),
+		Use: "search", Short: "Search for runs in which a fleet does not recover", Args: cli.NoArgs,
+		Long: fmt.Sprintf(`search draws scenarios with a surge and a fault from seeds, runs them over all cores, and lists
+those that have not recovered %v after both are over: three seconds in a row at 0.95 of the
+requested weight. --keep DIR writes their scenario files, so that each can be run again.`, emulator.HuntWithin),
 		Example: "  testbench search --sidecars 300 --servers 67 --days 200 --keep found",
 	}
-	c.Flags().Uint64Var(&seed, "seed", 1, "of the first day; each further one has the next")
-	c.Flags().IntVar(&days, "days", 60, "how many days to play")
+	c.Flags().Uint64Var(&seed, "seed", 1, "of the first run; each further one has the next")
+	c.Flags().IntVar(&days, "days", 60, "how many runs")
 	c.Flags().IntVar(&sidecars, "sidecars", emulator.Base().Sidecars, "in each")
 	c.Flags().IntVar(&servers, "servers", emulator.Base().Servers, "in each")
-	c.Flags().StringVar(&keep, "keep", "", "write the scenario of each day that was found into `DIR`")
-	c.Flags().StringVar(&out.json, "json", "", "write all days to `FILE`")
+	c.Flags().StringVar(&keep, "keep", "", "write the scenario of each run that was found into `DIR`")
+	c.Flags().StringVar(&out.json, "json", "", "write all runs to `FILE`")
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		if days < 1 || days > mostHunt {
-			return cli.WrongCall("--days is %d, it must lie between 1 and %d", days, mostHunt)
+		if days < 1 || days > maxRuns {
+			return cli.WrongCall("--days is %d, it must lie between 1 and %d", days, maxRuns)
 		}
 		if _, _, err := emulator.HuntDay(seed, sidecars, servers); err != nil {
 			return cli.WrongCall("%v", err)
@@ -62,13 +63,13 @@
 		if err := out.writeAll(all, nil); err != nil {
 			return err
 		}
-		return toldHunt(c.OutOrStdout(), all, keep)
+		return printSearch(c.OutOrStdout(), all, keep)
 	}
 	return c
 }
 
-// toldHunt tells what a hunt found.
-func toldHunt(w io.Writer, all []*emulator.Hunted, keep string) error {
+// printSearch prints the runs that did not recover in time, and a summary.
+func printSearch(w io.Writer, all []*emulator.Hunted, keep string) error {
 	slices.SortStableFunc(all, func(a, b *emulator.Hunted) int { return int(b.Back - a.Back) })
 	var errs []error
 	found, broken := 0, 0
@@ -81,17 +82,17 @@
 			continue
 		}
 		found++
-		var troubles []string
+		var faults []string
 		for _, t := range h.Troubles {
-			troubles = append(troubles, fmt.Sprintf("%s size %.2f part %.2f from %.1f for %.1f s", t.Name, t.Size, t.Part, time.Duration(t.At).Seconds(), time.Duration(t.For).Seconds()))
+			faults = append(faults, fmt.Sprintf("%s size %.2f part %.2f from %.1f for %.1f s", t.Name, t.Size, t.Part, time.Duration(t.At).Seconds(), time.Duration(t.For).Seconds()))
 		}
-		back := fmt.Sprintf("back after %v", h.Back.Round(time.Millisecond))
+		recovered := fmt.Sprintf("back after %v", h.Back.Round(time.Millisecond))
 		if h.Never {
-			back = "not back to the end"
+			recovered = "not back to the end"
 		}
-		fmt.Fprintf(w, "seed %d: %s; goodput %.3f; %s\n", h.Seed, back, h.Goodput, strings.Join(troubles, ", "))
+		fmt.Fprintf(w, "seed %d: %s; goodput %.3f; %s\n", h.Seed, recovered, h.Goodput, strings.Join(faults, ", "))
 		if keep != "" {
-			errs = append(errs, keepDay(keep, h))
+			errs = append(errs, saveScenario(keep, h))
 		}
 	}
 	slices.Reverse(all)
@@ -101,12 +102,13 @@
 		return err
 	}
 	if broken > 0 {
-		return cli.Status(statusBroken, "a rule was broken on %d days", broken)
+		return cli.Status(statusRuleBroken, "a rule was broken in %d runs", broken)
 	}
 	return nil
 }
 
-func keepDay(dir string, h *emulator.Hunted) error {
+// saveScenario writes the scenario of a run into a folder.
+func saveScenario(dir string, h *emulator.Hunted) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("keep: %w", err)
 	}
--- a/cmd/testbench/simulate.go
+++ b/cmd/testbench/simulate.go
@@ -18,6 +18,7 @@
 	"barleywick/internal/simulation/report"
 )
 
+// simulateCommand makes the command simulate.
 func simulateCommand() *cobra.Command {
 	var out output
 	var seed uint64
@@ -25,20 +26,20 @@
 	var length time.Duration
 	var list bool
 	c := &cobra.Command{
-		Use: "simulate SCENARIO", Short: "Play one day in simulated time", Args: cobra.MaximumNArgs(1),
-		Long: `simulate plays one day with the real decision module of each sidecar. SCENARIO is a
+		Use: "simulate SCENARIO", Short: "Run one scenario in simulated time", Args: cobra.MaximumNArgs(1),
+		Long: `simulate runs one scenario with the real decision module of each sidecar. SCENARIO is a
 name (see --list) or a file ending in .toml; docs/EMULATOR.md describes the file.`,
 		Example: "  testbench simulate zone --seed 3 --html zone.html",
 	}
-	c.Flags().Uint64Var(&seed, "seed", 1, "of all that is drawn: the same seed gives the same day")
+	c.Flags().Uint64Var(&seed, "seed", 1, "of all that is drawn: the same seed gives the same run")
 	c.Flags().IntVar(&sidecars, "sidecars", emulator.Base().Sidecars, "of a scenario that has a name")
 	c.Flags().IntVar(&servers, "servers", emulator.Base().Servers, "of a scenario that has a name")
-	c.Flags().DurationVar(&length, "length", 0, "stretch the day to this `LENGTH`; 0: as the scenario has it")
-	c.Flags().BoolVar(&list, "list", false, "list the scenarios that have a name, and the troubles")
+	c.Flags().DurationVar(&length, "length", 0, "stretch the run to this `LENGTH`; 0: as the scenario has it")
+	c.Flags().BoolVar(&list, "list", false, "list the scenarios that have a name, and the faults")
 	out.flags(c)
 	c.RunE = func(c *cobra.Command, args []string) error {
 		if list {
-			return catalogue(c.OutOrStdout())
+			return printCatalogue(c.OutOrStdout())
 		}
 		if len(args) == 0 {
 			return cli.WrongCall("a scenario is needed; --list names them")
@@ -64,7 +65,7 @@
 		}
 		took := time.Since(began)
 		fmt.Fprintln(c.OutOrStdout(), r.Line())
-		account(c.OutOrStdout(), r)
+		printAccount(c.OutOrStdout(), r)
 		fmt.Fprintf(c.OutOrStdout(), "played in %v: %.0f requests and %.0f events a second\n", took.Round(time.Millisecond),
 			float64(r.Requests)/took.Seconds(), float64(r.Events)/took.Seconds())
 		if err := out.writeAll(r, func() (*report.Page, error) { return report.OfRecord(r, time.Now()) }); err != nil {
@@ -75,8 +76,8 @@
 	return c
 }
 
-// account tells where the worth went that was not served.
-func account(w io.Writer, r *emulator.Record) {
+// printAccount prints the causes of the weight that was not served, and what else the fleet did.
+func printAccount(w io.Writer, r *emulator.Record) {
 	for _, cause := range r.Causes() {
 		fmt.Fprintf(w, "  %6.2f %%  %s\n", 100*r.LostPart(cause), cause)
 	}
@@ -90,12 +91,13 @@
 	}
 	each := float64(max(1, r.Servers)) * max(1, seconds)
 	fmt.Fprintf(w, " %d turned away; %.1f core seconds of work served nobody;\n  for a server and second %.1f probes (%.0f %% of them at crowded ones), %.1f handshakes (%.0f %%); %d of %d calls for the list failed\n",
-		h.TurnedAway, h.Wasted, float64(h.Probes)/each, share(h.ProbesCrowded, h.Probes), float64(h.Handshakes)/each, share(h.HandshakesCrowded, h.Handshakes), h.ListFailed, h.ListCalls)
+		h.TurnedAway, h.Wasted, float64(h.Probes)/each, percent(h.ProbesCrowded, h.Probes), float64(h.Handshakes)/each, percent(h.HandshakesCrowded, h.Handshakes), h.ListFailed, h.ListCalls)
 }
 
-// share is a part in per cent.
-func share(part, of int) float64 { return 100 * float64(part) / float64(max(1, of)) }
+// percent returns a part of a total in per cent.
+func percent(part, of int) float64 { return 100 * float64(part) / float64(max(1, of)) }
 
+// scenario loads a scenario file, or the scenario of a name.
 func scenario(name string, sidecars, servers int) (*emulator.Scenario, error) {
 	if filepath.Ext(name) == ".toml" {
 		return emulator.LoadScenario(name)
@@ -103,7 +105,8 @@
 	return emulator.Preset(name, sidecars, servers)
 }
 
-func catalogue(w io.Writer) error {
+// printCatalogue lists the scenarios and faults that have names.
+func printCatalogue(w io.Writer) error {
 	var text strings.Builder
 	part := func(title string, names []string, about map[string]string) {
 		fmt.Fprintf(&text, "%s\n", title)
@@ -114,18 +117,18 @@
 	names, about := emulator.PresetNames()
 	part("scenarios", names, about)
 	names, about = emulator.TroubleNames()
-	part("troubles, for scenario files", names, about)
+	part("faults, for scenario files", names, about)
 	_, err := io.WriteString(w, text.String())
 	return err
 }
 
-// verdict is the status that a day ends with.
+// verdict returns the error that gives a run its exit status.
 func verdict(r *emulator.Record) error {
 	switch {
 	case r.Partial:
-		return cli.Status(statusCut, "cut short")
+		return cli.Status(statusInterrupted, "interrupted")
 	case len(r.Broken) > 0:
-		return cli.Status(statusBroken, "a rule was broken")
+		return cli.Status(statusRuleBroken, "a rule was broken")
 	}
 	return nil
 }
--- a/cmd/testbench/soak.go
+++ b/cmd/testbench/soak.go
@@ -22,6 +22,7 @@
 // soakProgram is the sidecar's program, beside this one.
 const soakProgram = "sidecar"
 
+// soakCommand makes the command soak.
 func soakCommand() *cobra.Command {
 	var o soaktest.Options
 	var seeds int
@@ -30,10 +31,10 @@
 	c := &cobra.Command{
 		Use: "soak", Short: "Run sidecars under random faults that overlap, and check the rules on every request", Args: cli.NoArgs,
 		Long: `soak starts sidecar processes, booking servers and a discovery service on loopback,
-lets clients ask them, and draws faults from the seed: planned ends with a kill after the
+lets clients send requests, and draws faults from the seed: planned ends with a kill after the
 protocol's time, kills, pauses, new configurations, drains, outages of discovery, and
 booking servers that hang, answer twice, reset, refuse or close. Every request is followed
-to its end and held against the rules (docs/TESTING.md). Everything it starts ends with it.
+to its end and checked against the rules (docs/TESTING.md). Everything it starts ends with it.
 
 ` + cli.Statuses + `
  3  an invariant was broken`,
@@ -45,10 +46,10 @@
 	f.IntVar(&o.Sidecars, "sidecars", 16, "processes")
 	f.IntVar(&o.Clients, "clients", 3, "beside each sidecar")
 	f.IntVar(&o.Servers, "servers", 6, "booking servers")
-	f.DurationVar(&o.For, "for", 15*time.Second, "how long faults are begun")
+	f.DurationVar(&o.For, "for", 15*time.Second, "how long faults are injected")
 	f.StringVar(&out, "json", "", "write the reports to `FILE`")
 	f.StringVar(&programs, "programs", "", "the `FOLDER` of the sidecar's program (default: this program's)")
-	f.BoolVar(&quiet, "quiet", false, "tell the outcome alone, not the timeline")
+	f.BoolVar(&quiet, "quiet", false, "print the outcome alone, not the timeline")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if err := o.Check(); err != nil {
 			return cli.WrongCall("%v", err)
@@ -73,7 +74,7 @@
 	return c
 }
 
-// findProgram finds one of our programs in a folder, or beside this one.
+// findProgram returns the path of a program in a folder, or beside this one.
 func findProgram(folder, name string) (string, error) {
 	if folder == "" {
 		self, err := os.Executable()
@@ -89,7 +90,7 @@
 	return path, nil
 }
 
-// runSoaks runs one seed after the other and tells what came of each.
+// runSoaks runs one seed after the other and prints each report.
 func runSoaks(c *cobra.Command, o soaktest.Options, seeds int, out string) error {
 	var reports []*soaktest.Report
 	broken := 0
@@ -98,7 +99,7 @@
 		if report != nil {
 			reports = append(reports, report)
 			broken += report.Cases
-			tellSoak(c.OutOrStdout(), report)
+			printSoakReport(c.OutOrStdout(), report)
 		}
 		if err != nil {
 			return err
@@ -111,12 +112,12 @@
 		return e.Encode(reports)
 	})
 	if broken > 0 {
-		err = errors.Join(err, cli.Status(statusBroken, "invariants were broken %d times in %d runs", broken, len(reports)))
+		err = errors.Join(err, cli.Status(statusRuleBroken, "invariants were broken %d times in %d runs", broken, len(reports)))
 	}
 	return err
 }
 
-func tellSoak(w io.Writer, r *soaktest.Report) {
+func printSoakReport(w io.Writer, r *soaktest.Report) {
 	var parts []string
 	for _, what := range slices.Sorted(maps.Keys(r.Seen)) {
 		parts = append(parts, fmt.Sprintf("%d %s", r.Seen[what], what))
