--- /dev/null
+++ b/internal/sidecar/counters_test.go
@@ -0,0 +1,85 @@
+package sidecar
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+
+	"barleywick/policy"
+)
+
+// The names of the counters are label values of metrics and stand in the log: operators' dashboards
+// and searches depend on them, whatever the Go fields are called.
+func TestCounterNamesAreStable(t *testing.T) {
+	for _, c := range []struct {
+		counters any
+		names    string
+	}{
+		{clientCounters{}, "Accepted Admitted Waited Refused GivenUpIdle GivenUpSilent OverIdle Silent Vanished Drained Dismissed"},
+		{listenerState{}, "Open HalfOpen Idle Waiting"},
+		{poolCounters{}, "Reused Opened DialFailed Waited LeftWaiting Evicted Expired Unneeded Stale Distrusted Retired Drained Excess Repeated ShortRest Local"},
+		{poolState{}, "Open Idle Resting Handshakes Waiting"},
+	} {
+		names := strings.Fields(c.names)
+		logged, encoded := make([]string, len(names)), make([]string, len(names))
+		for i, name := range names {
+			logged[i], encoded[i] = name+":0", fmt.Sprintf("%q:0", name)
+		}
+		if got, want := fmt.Sprintf("%+v", c.counters), "{"+strings.Join(logged, " ")+"}"; got != want {
+			t.Errorf("%T in the text log: got %s, want %s", c.counters, got, want)
+		}
+		text, err := json.Marshal(c.counters)
+		if want := "{" + strings.Join(encoded, ",") + "}"; err != nil || string(text) != want {
+			t.Errorf("%T in the JSON log: got %s, %v, want %s", c.counters, text, err, want)
+		}
+		slices.Sort(names)
+		if got := slices.Sorted(maps.Keys(numbers(c.counters))); !slices.Equal(got, names) {
+			t.Errorf("%T as labels: got %v, want %v", c.counters, got, names)
+		}
+	}
+}
+
+// What the gate counts is a metric's label too.
+func TestGateCounterNamesAreStable(t *testing.T) {
+	g := newGate()
+	for a := range acts {
+		for d := range policy.NumDenials {
+			g.count(a, d)
+		}
+	}
+	for v := range violations {
+		g.violated(v, "x", policy.Allowed)
+	}
+	var want []string
+	for _, a := range []string{"send", "close", "start"} {
+		for _, d := range []string{
+			"allowed", "answered", "client left", "late", "stopping", "attempts used up", "may have run", "window over",
+			"server drains or is gone", "server is cold", "answer owed",
+		} {
+			want = append(want, a+": "+d)
+		}
+	}
+	slices.Sort(want)
+	c := g.counters()
+	if got := slices.Sorted(maps.Keys(c.Decided)); !slices.Equal(got, want) {
+		t.Errorf("decisions: got %q, want %q", got, want)
+	}
+	want = []string{"attempt sent after its end", "closed over an unanswered request", "not done in time"}
+	if got := slices.Sorted(maps.Keys(c.Violated)); !slices.Equal(got, want) {
+		t.Errorf("violations: got %q, want %q", got, want)
+	}
+}
+
+// /health/ready answers with the phase, and the fleet's members tell it each other.
+func TestPhaseNamesAreStable(t *testing.T) {
+	for p, want := range map[phase]string{
+		starting: "starting", serving: "serving", draining: "draining", finishing: "finishing", over: "ended", ungoverned: "without a policy",
+	} {
+		if got := p.String(); got != want {
+			t.Errorf("phase %d: got %q, want %q", p, got, want)
+		}
+	}
+}
