--- a/internal/sidecar/client.go
+++ b/internal/sidecar/client.go
@@ -17,60 +17,60 @@
 )
 
 const (
-	// answerMargin is kept to the moment a client gives up, which counts from
+	// responseMargin is kept to the moment a client gives up, which counts from
 	// when it sent the request and not from when this process came to read it.
-	answerMargin = 5 * time.Millisecond
-	maxTimeout   = time.Hour
-	maxName      = 256 // bytes of a Request-Id
-	maxHeader    = 16 << 10
+	responseMargin    = 5 * time.Millisecond
+	maxTimeout        = time.Hour
+	maxRequestIDBytes = 256 // bytes of a Request-Id
+	maxHeaderBytes    = 16 << 10
 
 	// Connections are few, and a client is owed a word within 3 s of connecting.
-	readHeaderIn = 2 * time.Second
-	requestIn    = 2500 * time.Millisecond // header and body
-	idleClient   = 2 * time.Second         // between requests; clients need those back that they leave idle
-	writeAfter   = time.Second             // the time at which the client gives up
-	lingerIn     = 250 * time.Millisecond  // for the rest of a body that is not taken, and what comes behind a last answer
-	// replyIn is for an answer of our own, such as one to a health check, to be
+	readHeaderTimeout  = 2 * time.Second
+	readRequestTimeout = 2500 * time.Millisecond // header and body
+	idleTimeout        = 2 * time.Second         // between requests; clients need those back that they leave idle
+	writeGrace         = time.Second             // the time at which the client gives up
+	lingerTimeout      = 250 * time.Millisecond  // for the rest of a body that is not taken, and what comes behind a last answer
+	// localResponseTimeout is for an answer of our own, such as one to a health check, to be
 	// read: a client that sends on and reads none would hold its connection for
 	// ever. It is counted from the header and leaves room for the body.
-	replyIn = requestIn + writeAfter
+	localResponseTimeout = readRequestTimeout + writeGrace
 )
 
-// clients is the side towards the application.
-type clients struct {
-	loop     *loop
-	classes  map[string]int
-	tenants  map[string]int
-	listener *limitedListener
-	ending   *drain
-	governor *governor   // nil: there is no policy of the fleet's
-	adviser  *adviser    // nil: there is no word of the fleet's on an overload
-	member   FleetMember // nil: this sidecar is no member of the fleet
+// clientHandler is the side towards the application.
+type clientHandler struct {
+	loop        *loop
+	classIndex  map[string]int
+	tenantIndex map[string]int
+	listener    *limitedListener
+	shutdown    *gracefulShutdown
+	governor    *governor   // nil: there is no policy of the fleet's
+	adviser     *adviser    // nil: there is no word of the fleet's on an overload
+	member      FleetMember // nil: this sidecar is no member of the fleet
 }
 
-func newClients(c *Config, l *loop, ending *drain) *clients {
-	s := &clients{loop: l, classes: make(map[string]int), tenants: make(map[string]int), listener: ending.listener, ending: ending}
+func newClientHandler(c *Config, l *loop, ending *gracefulShutdown) *clientHandler {
+	s := &clientHandler{loop: l, classIndex: make(map[string]int), tenantIndex: make(map[string]int), listener: ending.listener, shutdown: ending}
 	for i, name := range c.Classes {
-		s.classes[name] = i
+		s.classIndex[name] = i
 	}
 	for i, name := range c.Tenants {
-		s.tenants[name] = i
+		s.tenantIndex[name] = i
 	}
 	return s
 }
 
-func (s *clients) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
+func (s *clientHandler) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
 	c := hr.Context().Value(connKey{}).(*clientConn)
-	status := framing(hr, c)
-	s.listener.headRead(c)
+	status := framingStatus(hr, c)
+	s.listener.headerRead(c)
 	if status != 0 {
-		reject(w, hr, status)
+		rejectRequest(w, hr, status)
 		return
 	}
 	if hr.URL.Path == "/health/ready" {
 		p := s.phase()
 		status := http.StatusOK
-		if p != serving {
+		if p != phaseServing {
 			status = http.StatusServiceUnavailable
 		}
 		w.WriteHeader(status)
@@ -90,63 +90,63 @@
 		return
 	}
 	c.requests++
-	r, status := s.read(w, hr, c)
+	r, status := s.readRequest(w, hr, c)
 	if r == nil {
-		reject(w, hr, status)
+		rejectRequest(w, hr, status)
 		return
 	}
-	if c.left() { // nobody waits for it, or only for its answer
-		reject(w, hr, http.StatusServiceUnavailable)
+	if c.closedByClient() { // nobody waits for it, or only for its answer
+		rejectRequest(w, hr, http.StatusServiceUnavailable)
 		return
 	}
-	if !s.listener.take(c) {
+	if !s.listener.beginRequest(c) {
 		panic(http.ErrAbortHandler) // it was closed as idle, and what was read of it refused
 	}
 	s.loop.post(arrived{r}) // which fails only where the program ends for an error
-	var a answer
+	var a response
 	select {
 	case a = <-r.answer:
 	case <-hr.Context().Done():
-		a = s.leave(r)
+		a = s.abandon(r)
 		w.Header().Set("Connection", "close")
 	}
 	// A client that does not read by then has given up; its answer is not held for it.
-	http.NewResponseController(w).SetWriteDeadline(r.until.Add(writeAfter))
-	s.write(w, a)
-	s.ending.gate.answered(r.stopBy, time.Now(), r.name)
+	http.NewResponseController(w).SetWriteDeadline(r.until.Add(writeGrace))
+	s.writeResponse(w, a)
+	s.shutdown.gate.checkAnswered(r.stopBy, time.Now(), r.name)
 }
 
-// leave gives a request up whose client has ended its side. That may still read: it gets the answer
+// abandon gives a request up whose client has ended its side. That may still read: it gets the answer
 // if there is one by now, or else no promise about the effect.
-func (s *clients) leave(r *request) answer {
+func (s *clientHandler) abandon(r *request) response {
 	select {
 	case a := <-r.answer:
 		return a
 	default:
 		s.loop.post(left{r})
-		return answer{status: http.StatusBadGateway}
+		return response{status: http.StatusBadGateway}
 	}
 }
 
 // phase is how far the sidecar is in its life.
-func (s *clients) phase() phase {
-	if p := s.ending.phase(); p != serving {
+func (s *clientHandler) phase() phase {
+	if p := s.shutdown.phase(); p != phaseServing {
 		return p
 	}
 	if !s.loop.ready.Load() {
-		return starting
+		return phaseStarting
 	}
 	if !s.loop.may() {
-		return ungoverned
+		return phaseWithoutPolicy
 	}
-	return serving
+	return phaseServing
 }
 
-// reject answers a request that is not taken and ends its connection: what else
+// rejectRequest answers a request that is not taken and ends its connection: what else
 // waits there may be its body. That is not read before the answer, as it may be
 // of any size or never come. A connection that is closed with bytes unread is
 // reset, and the client may lose the answer: some of the rest is read after it.
-func reject(w http.ResponseWriter, hr *http.Request, status int) {
+func rejectRequest(w http.ResponseWriter, hr *http.Request, status int) {
 	text := http.StatusText(status)
 	h := w.Header()
 	h.Set("Connection", "close")
@@ -156,17 +156,17 @@
 	io.WriteString(w, text)
 	rc := http.NewResponseController(w)
 	rc.Flush()
-	rc.SetReadDeadline(time.Now().Add(lingerIn))
+	rc.SetReadDeadline(time.Now().Add(lingerTimeout))
 	io.CopyN(io.Discard, hr.Body, maxBody)
 }
 
-// framing names the status for a request whose end is not certain, or 0: another
+// framingStatus names the status for a request whose end is not certain, or 0: another
 // request may hide in its body, and none of it may go on.
-func framing(hr *http.Request, c *clientConn) int {
+func framingStatus(hr *http.Request, c *clientConn) int {
 	switch {
 	case !hr.ProtoAtLeast(1, 1): // there net/http drops a Transfer-Encoding in silence
 		return http.StatusHTTPVersionNotSupported
-	case len(hr.TransferEncoding) > 0 && (strings.HasPrefix(hr.URL.Path, "/health/") || !c.chunksAlone(hr)):
+	case len(hr.TransferEncoding) > 0 && (strings.HasPrefix(hr.URL.Path, "/health/") || !c.chunkedWithoutLength(hr)):
 		return http.StatusLengthRequired
 	case hr.ContentLength > maxBody:
 		return http.StatusRequestEntityTooLarge
@@ -174,28 +174,28 @@
 	return 0
 }
 
-// read takes a request in, or names the status that it is rejected with. It
+// readRequest takes a request in, or names the status that it is rejected with. It
 // reads no body before all else is known to be right.
-func (s *clients) read(w http.ResponseWriter, hr *http.Request, c *clientConn) (*request, int) {
+func (s *clientHandler) readRequest(w http.ResponseWriter, hr *http.Request, c *clientConn) (*request, int) {
 	const bad = http.StatusBadRequest
 	arrival := time.Now()
 	h := hr.Header
-	hopByHop(h) // first of all: a field that is needed below may not go on if it is named as a hop's own
-	name, ok1 := single(h, "Request-Id")
-	className, ok2 := single(h, "Request-Class")
-	timeoutText, ok3 := single(h, "Request-Timeout")
-	class, ok4 := s.classes[className]
+	removeHopByHop(h) // first of all: a field that is needed below may not go on if it is named as a hop's own
+	name, ok1 := singleValue(h, "Request-Id")
+	className, ok2 := singleValue(h, "Request-Class")
+	timeoutText, ok3 := singleValue(h, "Request-Timeout")
+	class, ok4 := s.classIndex[className]
 	// A target may be no path, and so cannot go on unchanged.
 	if hr.Host == "" || !strings.HasPrefix(hr.URL.Path, "/") {
 		return nil, bad
 	}
-	if !ok1 || !ok2 || !ok3 || !ok4 || len(name) > maxName || strings.ContainsFunc(name, unprintable) {
+	if !ok1 || !ok2 || !ok3 || !ok4 || len(name) > maxRequestIDBytes || strings.ContainsFunc(name, isUnprintable) {
 		return nil, bad
 	}
 	tenant := 0
-	if len(s.tenants) > 0 {
-		tenantName, ok := single(h, "Tenant")
-		if tenant, ok = s.tenants[tenantName]; !ok {
+	if len(s.tenantIndex) > 0 {
+		tenantName, ok := singleValue(h, "Tenant")
+		if tenant, ok = s.tenantIndex[tenantName]; !ok {
 			return nil, bad
 		}
 	}
@@ -213,7 +213,7 @@
 	if hr.Method != method {
 		return nil, http.StatusMethodNotAllowed
 	}
-	if _, keyed := single(h, "Idempotency-Key"); keyed != (effect == policy.IdempotentByKey) || len(h["Idempotency-Key"]) > 1 {
+	if _, keyed := singleValue(h, "Idempotency-Key"); keyed != (effect == policy.IdempotentByKey) || len(h["Idempotency-Key"]) > 1 {
 		return nil, bad
 	}
 	if effect == policy.Idempotent && hr.ContentLength > 0 {
@@ -222,7 +222,7 @@
 	if s.loop.names.has(name) {
 		return nil, http.StatusConflict
 	}
-	body, err := readRequestBody(w, hr, c.bodyBy(arrival))
+	body, err := readRequestBody(w, hr, c.bodyDeadline(arrival))
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return nil, http.StatusRequestTimeout
@@ -231,23 +231,23 @@
 	case err != nil || effect == policy.Idempotent && len(body) > 0:
 		return nil, bad
 	}
-	came := c.cameAt()
+	came := c.requestArrivedAt()
 	if _, ok := h["User-Agent"]; !ok {
 		h["User-Agent"] = []string{""} // none of our own either
 	}
 	return &request{
-		name: name, class: class, tenant: tenant, repeat: h.Get("Client-Retry") == "1", work: workHint(h), key: keyHash(h),
+		name: name, class: class, tenant: tenant, repeat: h.Get("Client-Retry") == "1", work: parseWorkHint(h), key: affinityKeyHash(h),
 		conn:   c,
 		began:  came,
-		until:  came.Add(max(0, timeout-answerMargin)),
-		stopBy: s.ending.gate.stopFor(came),
+		until:  came.Add(max(0, timeout-responseMargin)),
+		stopBy: s.shutdown.gate.deadlineFor(came),
 		method: method, url: hr.URL, host: hr.Host, header: h, body: body,
-		answer: make(chan answer, 1),
+		answer: make(chan response, 1),
 	}, 0
 }
 
-// single returns a header field that must be there exactly once.
-func single(h http.Header, key string) (string, bool) {
+// singleValue returns a header field that must be there exactly once.
+func singleValue(h http.Header, key string) (string, bool) {
 	v := h[key]
 	if len(v) != 1 || v[0] == "" {
 		return "", false
@@ -255,7 +255,7 @@
 	return v[0], true
 }
 
-func unprintable(r rune) bool { return r <= ' ' || r > '~' }
+func isUnprintable(r rune) bool { return r <= ' ' || r > '~' }
 
 // parseTimeout reads seconds in plain decimals.
 func parseTimeout(s string) (time.Duration, bool) {
@@ -269,8 +269,8 @@
 	return time.Duration(min(f, maxTimeout.Seconds()) * float64(time.Second)), true
 }
 
-// workHint reads a guess at the work, in microseconds; what is no such guess is none.
-func workHint(h http.Header) time.Duration {
+// parseWorkHint reads a guess at the work, in microseconds; what is no such guess is none.
+func parseWorkHint(h http.Header) time.Duration {
 	us, err := strconv.ParseFloat(h.Get("Work-Hint"), 64)
 	if err != nil || !(us > 0) {
 		return 0
@@ -278,8 +278,8 @@
 	return time.Duration(min(us, float64(maxTimeout.Microseconds())) * float64(time.Microsecond))
 }
 
-// keyHash is the same at every sidecar for what a request concerns; 0 where that is not said.
-func keyHash(h http.Header) uint64 {
+// affinityKeyHash is the same at every sidecar for what a request concerns; 0 where that is not said.
+func affinityKeyHash(h http.Header) uint64 {
 	text := h.Get("Affinity-Key")
 	if text == "" {
 		return 0
@@ -310,8 +310,8 @@
 	return body, nil
 }
 
-// hopByHop takes the fields out of a header that concern one connection only.
-func hopByHop(h http.Header) {
+// removeHopByHop takes the fields out of a header that concern one connection only.
+func removeHopByHop(h http.Header) {
 	for _, list := range h["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
 			h.Del(strings.TrimSpace(name))
@@ -325,10 +325,10 @@
 	}
 }
 
-func (s *clients) write(w http.ResponseWriter, a answer) {
+func (s *clientHandler) writeResponse(w http.ResponseWriter, a response) {
 	h := w.Header()
 	if a.header != nil {
-		hopByHop(a.header)
+		removeHopByHop(a.header)
 		delete(a.header, "Server-Load")
 		for name, v := range a.header {
 			h[name] = v
@@ -337,8 +337,8 @@
 			h["Content-Type"] = nil // not guessed from the body
 		}
 	}
-	if a.pause > 0 {
-		h.Set("Retry-After", seconds(a.pause))
+	if a.retryAfter > 0 {
+		h.Set("Retry-After", formatSeconds(a.retryAfter))
 	}
 	if s.listener.isDraining() {
 		h.Set("Connection", "close")
@@ -348,18 +348,18 @@
 	w.Write(a.body)
 }
 
-// server makes the HTTP server of the client side. It has no ReadTimeout: that
+// newServer makes the HTTP newServer of the client side. It has no ReadTimeout: that
 // would also end the watch for clients that leave, as if they had left. The
 // WriteTimeout begins anew with each header; a request that is taken gets its own.
-func (s *clients) server() *http.Server {
+func (s *clientHandler) newServer() *http.Server {
 	return &http.Server{
 		Handler:           s,
-		ConnState:         s.listener.track,
-		ConnContext:       withConn,
-		ReadHeaderTimeout: readHeaderIn,
-		WriteTimeout:      replyIn,
-		IdleTimeout:       idleClient,
-		MaxHeaderBytes:    maxHeader,
+		ConnState:         s.listener.connStateChanged,
+		ConnContext:       contextWithConn,
+		ReadHeaderTimeout: readHeaderTimeout,
+		WriteTimeout:      localResponseTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
 }
--- a/internal/sidecar/client_test.go
+++ b/internal/sidecar/client_test.go
@@ -93,7 +93,7 @@
 		"empty id":        {class: "once", header: http.Header{"Request-Id": {""}}},
 		"id for one hop":  {class: "once", header: http.Header{"Connection": {"Request-Id"}}},
 		"key for one hop": {class: "keyed", header: http.Header{"Connection": {"idempotency-key"}}},
-		"long id":         {class: "once", id: strings.Repeat("x", maxName+1)},
+		"long id":         {class: "once", id: strings.Repeat("x", maxRequestIDBytes+1)},
 		"id with a space": {class: "once", id: "a b"},
 		"no class":        {class: "once", header: http.Header{"Request-Class": nil}},
 		"unknown class":   {class: "once", header: http.Header{"Request-Class": {"checkout"}}},
@@ -219,18 +219,18 @@
 	}
 	// The last ones were accepted only after as many older ones had been closed.
 	for _, nc := range conns {
-		if !quiet(nc) {
+		if !isIdleSocket(nc) {
 			closed++
 		}
 	}
-	if most, _ := c.Limits.connections(); len(conns)-closed > most {
+	if most, _ := c.Limits.splitSockets(); len(conns)-closed > most {
 		t.Errorf("%d connections are open, at most %d may be", len(conns)-closed, most)
 	}
 }
 
 // testLimits are client limits with room for so many connections.
 func testLimits(most int) clientLimits {
-	return clientLimits{Limits: admission.Limits{Total: most, PerAddress: most, HalfOpen: most, Idle: most}, Waiting: 2, Telling: 2}
+	return clientLimits{Limits: admission.Limits{Total: most, PerAddress: most, HalfOpen: most, Idle: most}, Waiting: 2, Refusing: 2}
 }
 
 // raw sends text over a connection of its own and reads until it is closed.
@@ -267,7 +267,7 @@
 		"behind the chunks":    rawHead("a") + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
 		"inside the chunks":    rawHead("a") + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk,
 		"a length below":       rawHead("a") + "Transfer-Encoding: chunked\r\ncOntent-length:5\r\n\r\n0\r\n\r\n" + hidden,
-		"chunks far above":     rawHead("a") + "Transfer-Encoding: chunked\r\nX: " + strings.Repeat("x", maxTapped) + "\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + hidden,
+		"chunks far above":     rawHead("a") + "Transfer-Encoding: chunked\r\nX: " + strings.Repeat("x", maxRecordedHead) + "\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + hidden,
 		"a list of encodings":  rawHead("a") + "Transfer-Encoding: gzip, chunked\r\n\r\n" + chunk,
 		"two encodings":        rawHead("a") + "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n" + chunk,
 		"HTTP/1.0":             strings.Replace(rawHead("a"), "1.1", "1.0", 1) + "Transfer-Encoding: chunked\r\nConnection: keep-alive\r\n\r\n" + chunk,
@@ -303,7 +303,7 @@
 		"a body to come":    rawHead("c") + "Content-Length: 100000\r\n\r\n",
 		"a body refused":    strings.Replace(rawHead("d"), "once", "many", 1) + "Content-Length: 10\r\n\r\nhalf",
 		"a chunk to come":   rawHead("e") + "Transfer-Encoding: chunked\r\n\r\n5\r\n",
-		"an endless header": "GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 2*maxHeader),
+		"an endless header": "GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 2*maxHeaderBytes),
 	}
 	type end struct {
 		name string
@@ -400,7 +400,7 @@
 	if got := (call{class: "once", id: "fresh"}).do(t, addr); got.status != 200 {
 		t.Errorf("on a new connection: %+v", got)
 	}
-	if took := time.Since(start); took > readHeaderIn {
+	if took := time.Since(start); took > readHeaderTimeout {
 		t.Errorf("a new connection was served after %v: it waited for useless ones to time out", took)
 	}
 	ask("again")
@@ -412,10 +412,10 @@
 	u := newUpstream(t, always(answer200("ok")))
 	c := testConfig(t, options{sockets: leastSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
-	most, _ := c.Limits.connections()
+	most, _ := c.Limits.splitSockets()
 	start := time.Now()
 	var first *bufio.Reader
-	for i := range most*idlePart/10 + 1 {
+	for i := range most*idleSocketTenths/10 + 1 {
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -433,21 +433,21 @@
 			first = in
 		}
 	}
-	if _, err := first.Peek(1); err != io.EOF || time.Since(start) > idleClient-time.Second/2 {
+	if _, err := first.Peek(1); err != io.EOF || time.Since(start) > idleTimeout-time.Second/2 {
 		t.Errorf("the longest idle one: %v after %v, want it closed well before it was idle too long", err, time.Since(start))
 	}
 }
 
 // A client that takes no more of its answer than fits into buffers must not hold it for ever.
 func TestAnswerIsNotHeldForAClientThatDoesNotRead(t *testing.T) {
-	u := newUpstream(t, always(answer200(strings.Repeat("x", maxAnswerBody))))
+	u := newUpstream(t, always(answer200(strings.Repeat("x", maxResponseBody))))
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	go l.run(t.Context())
 	ln, served := listenLoopback(t), make(chan struct{})
-	limited := limitListener(ln, testLimits(4))
-	limited.begin()
-	s := newClients(l.config, l, testDrain(limited))
-	server := s.server()
+	limited := newLimitedListener(ln, testLimits(4))
+	limited.start()
+	s := newClientHandler(l.config, l, testDrain(limited))
+	server := s.newServer()
 	server.Handler = http.HandlerFunc(func(w http.ResponseWriter, hr *http.Request) {
 		hr.Context().Value(connKey{}).(*clientConn).SetWriteBuffer(4 << 10)
 		s.ServeHTTP(w, hr)
@@ -467,11 +467,11 @@
 
 // Guards against this: two sidecars, or two requests, see another key in the same field.
 func TestKeyHash(t *testing.T) {
-	of := func(key string) uint64 { return keyHash(http.Header{"Affinity-Key": {key}}) }
+	of := func(key string) uint64 { return affinityKeyHash(http.Header{"Affinity-Key": {key}}) }
 	if of("7f3a") != of("7f3a") || of("7f3a") == of("7f3b") || of("7f3a") == 0 {
 		t.Errorf("hashes %x, %x", of("7f3a"), of("7f3b"))
 	}
-	if of("") != 0 || keyHash(http.Header{}) != 0 {
+	if of("") != 0 || affinityKeyHash(http.Header{}) != 0 {
 		t.Error("no key has a hash")
 	}
 }
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -246,11 +246,11 @@
 			return nil, err
 		}
 	}
-	said, err := parseConnections(f.Connections)
+	said, err := parseConnectionsConfig(f.Connections)
 	if err != nil {
 		return nil, err
 	}
-	if c.Connections, err = limitsFor(c.Limits, said); err != nil {
+	if c.Connections, err = deriveConnectionLimits(c.Limits, said); err != nil {
 		return nil, err
 	}
 	return c, nil
--- a/internal/sidecar/conn.go
+++ b/internal/sidecar/conn.go
@@ -27,30 +27,30 @@
 // run twice.
 type clientConn struct {
 	*net.TCPConn
-	raw      syscall.RawConn // nil where there is none, as in tests
-	accepted time.Time
-	first    atomic.Bool // its first header is not whole yet
-	answered atomic.Bool // something was written since it rested last
-	requests int         // whose headers were read; net/http serves one at a time
-	place    admission.Conn[*clientConn]
-	gate     *gate // counts; nil: nobody does
-
-	mu    sync.Mutex
-	state connState
-	heard bool          // something was read that is of no request whose header was
-	owed  bool          // something of a request was read that has got no answer
-	told  chan struct{} // closed once that answer is out, where the connection ends with it; nil: it does not
-	empty time.Time     // when there was nothing to read last
-	came  time.Time     // the earliest time at which what was read last can have come
-	heads tap           // what came first of the next request
+	raw                 syscall.RawConn // nil where there is none, as in tests
+	acceptedAt          time.Time
+	awaitingFirstHeader atomic.Bool // its first header is not whole yet
+	responseWritten     atomic.Bool // something was written since it rested last
+	requests            int         // whose headers were read; net/http serves one at a time
+	entry               admission.Conn[*clientConn]
+	gate                *gate // counts; nil: nobody does
+
+	mu           sync.Mutex
+	state        connState
+	partialRead  bool          // something was read that is of no request whose header was
+	responseOwed bool          // something of a request was read that has got no answer
+	refusalSent  chan struct{} // closed once that answer is out, where the connection ends with it; nil: it does not
+	emptyAt      time.Time     // when there was nothing to read last
+	arrivedAt    time.Time     // the earliest time at which what was read last can have come
+	head         headRecorder  // what came first of the next request
 
 	// Of the one read under way; net/http never has two.
-	into   []byte
-	got    int
-	waited bool // there was nothing to read at first
-	failed error
-	read   func(fd uintptr) bool
-	onRead func() // called in the middle of a read, in tests; nil: nothing is
+	readBuf    []byte
+	readLen    int
+	readWaited bool // there was nothing to read at first
+	readErr    error
+	readFunc   func(fd uintptr) bool
+	readHook   func() // called in the middle of a read, in tests; nil: nothing is
 }
 
 type connState int
@@ -62,12 +62,12 @@
 )
 
 func newClientConn(nc *net.TCPConn) *clientConn {
-	c := &clientConn{TCPConn: nc, accepted: time.Now()}
-	c.came = c.accepted
+	c := &clientConn{TCPConn: nc, acceptedAt: time.Now()}
+	c.arrivedAt = c.acceptedAt
 	c.raw, _ = nc.SyscallConn()
-	c.read = c.readNow
-	c.first.Store(true)
-	c.place.Owner = c
+	c.readFunc = c.readAvailable
+	c.awaitingFirstHeader.Store(true)
+	c.entry.Owner = c
 	return c
 }
 
@@ -76,27 +76,27 @@
 	if len(b) == 0 || c.raw == nil {
 		return c.TCPConn.Read(b)
 	}
-	c.into, c.waited = b, false
-	err := c.raw.Read(c.read)
-	c.into = nil
+	c.readBuf, c.readWaited = b, false
+	err := c.raw.Read(c.readFunc)
+	c.readBuf = nil
 	switch {
 	case err != nil:
 		return 0, err
-	case c.failed != nil:
-		return 0, &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: c.failed}
-	case c.got == 0:
+	case c.readErr != nil:
+		return 0, &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: c.readErr}
+	case c.readLen == 0:
 		return 0, io.EOF
 	}
-	return c.got, nil
+	return c.readLen, nil
 }
 
-// readNow reads without waiting, and says whether that is the end of it.
-func (c *clientConn) readNow(fd uintptr) bool {
+// readAvailable reads without waiting, and says whether that is the end of it.
+func (c *clientConn) readAvailable(fd uintptr) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.got, c.failed = 0, nil
+	c.readLen, c.readErr = 0, nil
 	if c.state == connClosed {
-		c.failed = net.ErrClosed
+		c.readErr = net.ErrClosed
 		return true
 	}
 	if c.state == connBusy { // net/http reads on only to see whether the client leaves
@@ -106,80 +106,80 @@
 			return hungUp(fd)
 		}
 	}
-	n, err := syscall.Read(int(fd), c.into)
+	n, err := syscall.Read(int(fd), c.readBuf)
 	for err == syscall.EINTR {
-		n, err = syscall.Read(int(fd), c.into)
+		n, err = syscall.Read(int(fd), c.readBuf)
 	}
 	if err == syscall.EAGAIN {
-		c.empty, c.waited = time.Now(), true
+		c.emptyAt, c.readWaited = time.Now(), true
 		return false
 	}
 	if err != nil {
-		c.failed = os.NewSyscallError("read", err)
+		c.readErr = os.NewSyscallError("read", err)
 		return true
 	}
-	if c.onRead != nil {
-		c.onRead()
+	if c.readHook != nil {
+		c.readHook()
 	}
-	if c.waited {
-		c.came = time.Now() // it was waited for, so it has come just now
-	} else if c.came.Before(c.empty) {
-		c.came = c.empty // it was there already, and came after the last look
+	if c.readWaited {
+		c.arrivedAt = time.Now() // it was waited for, so it has come just now
+	} else if c.arrivedAt.Before(c.emptyAt) {
+		c.arrivedAt = c.emptyAt // it was there already, and came after the last look
 	}
-	c.got, c.heard = n, c.heard || n > 0
-	c.owed = c.owed || n > 0
-	c.heads.note(c.into[:max(n, 0)])
+	c.readLen, c.partialRead = n, c.partialRead || n > 0
+	c.responseOwed = c.responseOwed || n > 0
+	c.head.record(c.readBuf[:max(n, 0)])
 	return true
 }
 
-// headRead takes that a request's header is whole.
-func (c *clientConn) headRead() {
-	c.first.Store(false)
+// headerRead takes that a request's header is whole.
+func (c *clientConn) headerRead() {
+	c.awaitingFirstHeader.Store(false)
 	c.mu.Lock()
-	c.heard = false
-	c.heads.restart() // a client that keeps to the protocol sends nothing more before it has the answer
+	c.partialRead = false
+	c.head.reset() // a client that keeps to the protocol sends nothing more before it has the answer
 	c.mu.Unlock()
 }
 
-// cameAt is when the request that was read last can have come whole at the earliest. While this
+// requestArrivedAt is when the request that was read last can have come whole at the earliest. While this
 // process was busy, or the connection waited for its place, the client's time ran already.
-func (c *clientConn) cameAt() time.Time {
+func (c *clientConn) requestArrivedAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.came
+	return c.arrivedAt
 }
 
-// chunksAlone says whether a request in chunks, whose header was just read, surely names no length.
-func (c *clientConn) chunksAlone(hr *http.Request) bool {
+// chunkedWithoutLength says whether a request in chunks, whose header was just read, surely names no length.
+func (c *clientConn) chunkedWithoutLength(hr *http.Request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	// What was read with the last request is not seen here: then it is some other head.
-	return c.heads.begins(hr.Method+" "+hr.RequestURI+" ") && c.heads.chunksAlone(1)
+	return c.head.hasPrefix(hr.Method+" "+hr.RequestURI+" ") && c.head.chunkedWithoutLength(1)
 }
 
 // SetReadDeadline keeps the first header to its time from connecting, which
 // net/http counts from when it was handed the connection. That there is no
 // deadline any more it says when the header has come.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
-	if by := c.accepted.Add(readHeaderIn); c.first.Load() && t.After(by) {
+	if by := c.acceptedAt.Add(readHeaderTimeout); c.awaitingFirstHeader.Load() && t.After(by) {
 		t = by
 	}
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// bodyBy is until when the body must have come of the request whose header was
+// bodyDeadline is until when the body must have come of the request whose header was
 // just read. The first one's budget counts from connecting: a client that stops
 // in the middle of a request does not hold its connection for longer.
-func (c *clientConn) bodyBy(now time.Time) time.Time {
+func (c *clientConn) bodyDeadline(now time.Time) time.Time {
 	if c.requests == 1 {
-		return c.accepted.Add(requestIn)
+		return c.acceptedAt.Add(readRequestTimeout)
 	}
-	return now.Add(requestIn)
+	return now.Add(readRequestTimeout)
 }
 
-// left says whether the client has closed the connection behind the request that was read
+// closedByClient says whether the client has closed the connection behind the request that was read
 // last: it may have done so long ago, where the request waited unread.
-func (c *clientConn) left() bool {
+func (c *clientConn) closedByClient() bool {
 	gone := false
 	return c.raw != nil && c.raw.Control(func(fd uintptr) {
 		n, err := peek(fd)
@@ -207,16 +207,16 @@
 	return err == nil && n == 1 && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// take is called before a request of the connection is acted on; if it returns
+// beginRequest is called before a request of the connection is acted on; if it returns
 // false the request must be left alone.
-func (c *clientConn) take() bool {
+func (c *clientConn) beginRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.state != connIdle {
 		return false
 	}
-	c.state, c.heard, c.owed = connBusy, false, true
-	c.heads.restart()
+	c.state, c.partialRead, c.responseOwed = connBusy, false, true
+	c.head.reset()
 	return true
 }
 
@@ -228,22 +228,22 @@
 	return c.gate.mayClose(closing) == policy.Allowed
 }
 
-// rest takes that the request which was taken is answered.
-func (c *clientConn) rest() {
+// endRequest takes that the request which was taken is answered.
+func (c *clientConn) endRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.state == connBusy {
 		c.state = connIdle
 	}
-	c.owed, c.empty = false, time.Now() // its client sends nothing before it has the answer
-	c.answered.Store(false)
+	c.responseOwed, c.emptyAt = false, time.Now() // its client sends nothing before it has the answer
+	c.responseWritten.Store(false)
 }
 
 // Write sends a part of an answer. A client that does not take it in time is not waited for: its
 // connection is to end with the close, and not when the kernel has given up what is unsent.
 func (c *clientConn) Write(b []byte) (int, error) {
 	n, err := c.TCPConn.Write(b)
-	if c.answered.Store(err == nil); err != nil {
+	if c.responseWritten.Store(err == nil); err != nil {
 		c.SetLinger(0)
 	}
 	return n, err
@@ -255,48 +255,48 @@
 // sending ends first, and what comes then is read for a moment, or until the client ends its side.
 func (c *clientConn) Close() error {
 	c.mu.Lock()
-	told, taken := c.told, c.state == connBusy
-	closing := policy.CloseFacts{RequestRead: c.owed && c.state != connClosed, Answered: c.answered.Load()}
+	told, taken := c.refusalSent, c.state == connBusy
+	closing := policy.CloseFacts{RequestRead: c.responseOwed && c.state != connClosed, Answered: c.responseWritten.Load()}
 	c.mu.Unlock()
 	if told != nil {
 		<-told // whoever dismissed it has answered, and closes it
 		return nil
 	}
 	if closing.Decide() != policy.Allowed {
-		text := refusedAnswer
+		text := refusedResponse
 		if taken {
-			text = failedAnswer // it may have run
+			text = failedResponse // it may have run
 		}
-		err := c.answer(text)
+		err := c.writeFinal(text)
 		slog.Debug("answered as its connection ends", "client", c.RemoteAddr(), "taken", taken, "err", err)
-		closing.Answered = err == nil || c.left() // nobody is owed anything who has gone
+		closing.Answered = err == nil || c.closedByClient() // nobody is owed anything who has gone
 	}
 	if c.gate != nil {
-		c.gate.closed(closing, c.RemoteAddr().String())
+		c.gate.checkClosed(closing, c.RemoteAddr().String())
 	}
-	if c.answered.Load() {
-		c.linger()
+	if c.responseWritten.Load() {
+		c.lingeringClose()
 	}
 	return c.TCPConn.Close()
 }
 
 // Answers that are written past the HTTP server, to a connection that ends with them.
 const (
-	refusedAnswer = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-	failedAnswer  = "HTTP/1.1 502 Bad Gateway\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+	refusedResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+	failedResponse  = "HTTP/1.1 502 Bad Gateway\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 )
 
-// answer writes the one answer that a request gets as its connection ends.
-func (c *clientConn) answer(text string) error {
-	c.TCPConn.SetWriteDeadline(time.Now().Add(lingerIn))
+// writeFinal writes the one writeFinal that a request gets as its connection ends.
+func (c *clientConn) writeFinal(text string) error {
+	c.TCPConn.SetWriteDeadline(time.Now().Add(lingerTimeout))
 	_, err := io.WriteString(c, text)
 	return err
 }
 
-// linger ends sending, and reads what comes for a moment or until the client ends its side.
-func (c *clientConn) linger() {
+// lingeringClose ends sending, and reads what comes for a moment or until the client ends its side.
+func (c *clientConn) lingeringClose() {
 	if c.CloseWrite() == nil {
-		c.TCPConn.SetReadDeadline(time.Now().Add(lingerIn))
+		c.TCPConn.SetReadDeadline(time.Now().Add(lingerTimeout))
 		io.CopyN(io.Discard, c.TCPConn, maxBody)
 	}
 }
@@ -306,11 +306,11 @@
 // is not closed yet: the caller has to call dismiss, which answers first.
 func (c *clientConn) closeIdle(half bool) (state connState, owed bool) {
 	c.mu.Lock()
-	closing := c.state != connClosed && c.mayClose(policy.CloseFacts{InProgress: c.state == connBusy, RequestRead: c.heard, Answered: half})
+	closing := c.state != connClosed && c.mayClose(policy.CloseFacts{InProgress: c.state == connBusy, RequestRead: c.partialRead, Answered: half})
 	if closing {
 		c.state = connClosed
-		if owed = c.owed; owed {
-			c.told = make(chan struct{})
+		if owed = c.responseOwed; owed {
+			c.refusalSent = make(chan struct{})
 		}
 	}
 	state = c.state
@@ -321,23 +321,23 @@
 	return state, owed
 }
 
-// dismiss refuses what was read on a connection that closeIdle has marked, and closes it; in
+// refusePartial refuses what was read on a connection that closeIdle has marked, and closes it; in
 // haste, without waiting for what is still on its way.
-func (c *clientConn) dismiss(haste bool) {
-	defer close(c.told)
-	slog.Debug("half a request refused", "client", c.RemoteAddr(), "after", time.Since(c.accepted))
-	if c.answer(refusedAnswer) == nil && !haste {
-		c.linger()
+func (c *clientConn) refusePartial(haste bool) {
+	defer close(c.refusalSent)
+	slog.Debug("half a request refused", "client", c.RemoteAddr(), "after", time.Since(c.acceptedAt))
+	if c.writeFinal(refusedResponse) == nil && !haste {
+		c.lingeringClose()
 	} else {
 		c.discardUnread()
 	}
 	c.TCPConn.Close()
 }
 
-// awaitFirst waits until there is something to read, without reading it, or
+// awaitFirstByte waits until there is something to read, without reading it, or
 // returns why nothing will come.
-func (c *clientConn) awaitFirst() error {
-	if err := c.SetReadDeadline(c.accepted.Add(readHeaderIn)); err != nil {
+func (c *clientConn) awaitFirstByte() error {
+	if err := c.SetReadDeadline(c.acceptedAt.Add(readHeaderTimeout)); err != nil {
 		return err
 	}
 	var n int
@@ -350,7 +350,7 @@
 		}
 		if waited {
 			c.mu.Lock()
-			c.empty = time.Now() // as good as: it has come just now
+			c.emptyAt = time.Now() // as good as: it has come just now
 			c.mu.Unlock()
 		}
 		return true
@@ -359,29 +359,29 @@
 	case err != nil:
 		return err // too late, or closed here
 	case failed != nil || n == 0:
-		return errVanished
+		return errClientVanished
 	}
 	return nil
 }
 
-// errVanished says that a client ended its connection before it sent anything.
-var errVanished = errors.New("ended by the client")
+// errClientVanished says that a client ended its connection before it sent anything.
+var errClientVanished = errors.New("ended by the client")
 
-// unreadMost bounds what is read of a request that is refused unread.
-const unreadMost = 16 << 10
+// maxDiscard bounds what is read of a request that is refused unread.
+const maxDiscard = 16 << 10
 
 // discardUnread reads what has come so far, without waiting for more: a connection
 // that is closed with bytes unread is reset, and its client may lose the answer.
 func (c *clientConn) discardUnread() {
 	c.raw.Control(func(fd uintptr) {
-		b := make([]byte, unreadMost)
+		b := make([]byte, maxDiscard)
 		syscall.Recvfrom(int(fd), b, syscall.MSG_DONTWAIT)
 	})
 }
 
 type connKey struct{}
 
-// withConn lets a handler find the connection of its request.
-func withConn(ctx context.Context, c net.Conn) context.Context {
+// contextWithConn lets a handler find the connection of its request.
+func contextWithConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
--- a/internal/sidecar/connections_test.go
+++ b/internal/sidecar/connections_test.go
@@ -157,11 +157,11 @@
 			}
 		}
 	}()
-	eventually(t, "the checks come", func() bool { return sent.Load() >= int64(len(check)) && limited.open() == 1 })
+	eventually(t, "the checks come", func() bool { return sent.Load() >= int64(len(check)) && limited.openConns() == 1 })
 	// What the buffers on the way take is only filled as fast as this machine answers, so patience
 	// begins anew with what goes through: a connection that stands still has to end.
 	at, since := int64(0), time.Now()
-	for limited.open() > 0 {
+	for limited.openConns() > 0 {
 		if now := sent.Load(); now != at {
 			at, since = now, time.Now()
 		}
@@ -243,8 +243,8 @@
 // Giving a connection up and taking its request exclude each other, whoever is first.
 func TestGivingUpAgainstTaking(t *testing.T) {
 	ln := listenLoopback(t)
-	l := limitListener(ln, testLimits(1))
-	l.begin()
+	l := newLimitedListener(ln, testLimits(1))
+	l.start()
 	defer l.Close()
 	for range 200 {
 		nc, err := net.Dial("tcp", ln.Addr().String())
@@ -257,21 +257,21 @@
 			t.Fatal(err)
 		}
 		c := accepted.(*clientConn)
-		l.track(c, http.StateIdle)
+		l.connStateChanged(c, http.StateIdle)
 		var took, gaveUp bool
 		var both sync.WaitGroup
-		both.Go(func() { took = l.take(c) })
+		both.Go(func() { took = l.beginRequest(c) })
 		both.Go(func() {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			_, gaveUp = l.giveUp(&c.place, time.Now())
+			_, gaveUp = l.evictLocked(&c.entry, time.Now())
 		})
 		both.Wait()
 		if took == gaveUp {
 			t.Fatalf("taken %v, given up %v", took, gaveUp)
 		}
 		c.Close()
-		l.track(c, http.StateClosed)
+		l.connStateChanged(c, http.StateClosed)
 		nc.Close()
 		if _, now := l.counters(); now.Open != 0 {
 			t.Fatalf("%+v after the end", now)
@@ -289,7 +289,7 @@
 	held := call{class: "once", id: "held"}.start(t, addr)
 	await(t, "the held one", u.requests)
 	stop()
-	time.AfterFunc(lastConnections+3200*time.Millisecond, func() { close(release) })
+	time.AfterFunc(lateArrivalTime+3200*time.Millisecond, func() { close(release) })
 	if got := await(t, "the held one's answer", held); got.status != 200 {
 		t.Errorf("a request that was taken: %+v", got)
 	}
@@ -306,16 +306,16 @@
 	defer p.close()
 	ctx, cancel := context.WithCancel(t.Context())
 	var callers sync.WaitGroup
-	ask := func(to *peer, n int) {
+	ask := func(to *upstreamServer, n int) {
 		for range n {
 			callers.Go(func() {
-				if _, err := p.get(ctx, to); err == nil {
+				if _, err := p.acquire(ctx, to); err == nil {
 					t.Error("a connection to where none comes up")
 				}
 			})
 		}
 	}
-	a, b, c := &peer{addr: silent, window: 10}, &peer{addr: again, window: 10}, &peer{addr: again}
+	a, b, c := &upstreamServer{addr: silent, dialWindow: 10}, &upstreamServer{addr: again, dialWindow: 10}, &upstreamServer{addr: again}
 	ask(a, 8)
 	eventually(t, "the first handshakes are under way", func() bool { _, now := p.counters(); return now.Waiting == 8 })
 	if _, now := p.counters(); now.Handshakes != 3 {
@@ -369,20 +369,20 @@
 	u := newUpstream(t, always(answer200("")))
 	p := testPool(20)
 	defer p.close()
-	to := &peer{addr: u.addr}
+	to := &upstreamServer{addr: u.addr}
 	for _, want := range []int{2, 3, 4} {
-		c, err := p.get(t.Context(), to)
+		c, err := p.acquire(t.Context(), to)
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.drop(c)
-		if to.window != want {
-			t.Errorf("window %d, want %d", to.window, want)
+		p.discard(c)
+		if to.dialWindow != want {
+			t.Errorf("window %d, want %d", to.dialWindow, want)
 		}
 	}
 	to.addr = "127.0.0.1:1"
-	if _, err := p.get(t.Context(), to); err == nil || to.window != 1 {
-		t.Errorf("error %v, window %d; want an error and 1", err, to.window)
+	if _, err := p.acquire(t.Context(), to); err == nil || to.dialWindow != 1 {
+		t.Errorf("error %v, window %d; want an error and 1", err, to.dialWindow)
 	}
 }
 
@@ -390,10 +390,10 @@
 // as by one that comes up; who has left is passed over.
 func TestWaitersAreServedInTurn(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := testPool(1), &peer{addr: u.addr}
+	p, to := testPool(1), &upstreamServer{addr: u.addr}
 	p.dialTimeout = patience
 	defer p.close()
-	c, err := p.get(t.Context(), to)
+	c, err := p.acquire(t.Context(), to)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -405,10 +405,10 @@
 			ctx = leave
 		}
 		go func() {
-			c, err := p.get(ctx, to)
+			c, err := p.acquire(ctx, to)
 			served <- i
 			if err == nil {
-				p.put(c)
+				p.release(c)
 			}
 		}()
 		eventually(t, "it waits", func() bool { return waiters(p) == i+1 })
@@ -417,7 +417,7 @@
 	if got := await(t, "the one that leaves", served); got != 2 {
 		t.Fatalf("%d left", got)
 	}
-	p.put(c)
+	p.release(c)
 	for _, want := range []int{0, 1, 3, 4} {
 		if got := await(t, "the next", served); got != want {
 			t.Errorf("%d was served, want %d", got, want)
@@ -433,15 +433,15 @@
 // Limits of our own are no word against an upstream.
 func TestOwnLimitsAreNoFailureOfTheUpstream(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := poolOf(20*time.Millisecond, 30*time.Second, 1), &peer{addr: u.addr}
+	p, to := poolOf(20*time.Millisecond, 30*time.Second, 1), &upstreamServer{addr: u.addr}
 	defer p.close()
-	if _, err := p.get(t.Context(), to); err != nil {
+	if _, err := p.acquire(t.Context(), to); err != nil {
 		t.Fatal(err)
 	}
-	if got, _ := tryOnce(t.Context(), p, &peer{addr: u.addr}); got != policy.NotSent {
+	if got, _ := runOneAttempt(t.Context(), p, &upstreamServer{addr: u.addr}); got != policy.NotSent {
 		t.Errorf("ending %v, want not sent", got)
 	}
-	if got, _ := tryOnce(t.Context(), poolOf(20*time.Millisecond, time.Second, 1), &peer{addr: newBlackHole(t)}); got != policy.NoConnection {
+	if got, _ := runOneAttempt(t.Context(), poolOf(20*time.Millisecond, time.Second, 1), &upstreamServer{addr: newBlackHole(t)}); got != policy.NoConnection {
 		t.Errorf("an upstream that says nothing: ending %v, want no connection", got)
 	}
 }
@@ -458,20 +458,20 @@
 				}
 				return answer200(""), false
 			})
-			p, to := testPool(8), &peer{addr: u.addr}
+			p, to := testPool(8), &upstreamServer{addr: u.addr}
 			defer p.close()
 			conns := connections(t, p, to, 3)
 			for _, c := range conns {
-				p.put(c)
+				p.release(c)
 			}
-			endRests(p)
+			endAllQuarantines(p)
 			ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 			defer cancel()
 			ending := make(chan policy.Ending, 1)
-			go func() { e, _ := tryOnce(ctx, p, to); ending <- e }()
+			go func() { e, _ := runOneAttempt(ctx, p, to); ending <- e }()
 			await(t, "the request", u.requests)
 			if heard {
-				ups := newUpstreams(p)
+				ups := newTransport(p)
 				ups.statsPath = "/stats"
 				if ok, _ := ups.probe(t.Context(), to); !ok {
 					t.Fatal("the probe failed")
@@ -480,7 +480,7 @@
 			if got := await(t, "its end", ending); got != policy.TimedOut {
 				t.Fatalf("ending %v", got)
 			}
-			endRests(p)
+			endAllQuarantines(p)
 			n, now := p.counters()
 			if want := map[bool]int{false: 0, true: 2}[heard]; now.Idle != want || int(n.Distrusted) != 2-want {
 				t.Errorf("%d idle connections are kept and %d distrusted, want %d kept", now.Idle, n.Distrusted, want)
@@ -493,29 +493,29 @@
 // upstream would; the last one is not.
 func TestIdleConnectionsAreKeptByNeed(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := poolOf(time.Second, time.Minute, 8), &peer{addr: u.addr}
+	p, to := poolOf(time.Second, time.Minute, 8), &upstreamServer{addr: u.addr}
 	defer p.close()
 	conns := connections(t, p, to, 5)
 	for _, c := range conns {
-		p.put(c)
+		p.release(c)
 	}
-	endRests(p)
-	now := conns[4].idle
-	p.sweep(now.Add(2*needFor - time.Millisecond))
+	endAllQuarantines(p)
+	now := conns[4].idleSince
+	p.sweep(now.Add(2*demandWindow - time.Millisecond))
 	if p.idle.Len() != 5 {
 		t.Fatalf("%d are left while the burst may come again, want 5", p.idle.Len())
 	}
 	p.mu.Lock()
 	for _, c := range conns[:2] { // two at once, all the while
-		c.idle = now.Add(2 * needFor)
+		c.idleSince = now.Add(2 * demandWindow)
 	}
-	to.peak, to.before, to.peakAt = 2, 2, now.Add(2*needFor)
+	to.peak, to.previousPeak, to.peakSince = 2, 2, now.Add(2*demandWindow)
 	p.mu.Unlock()
-	p.sweep(now.Add(2 * needFor))
+	p.sweep(now.Add(2 * demandWindow))
 	if n, _ := p.counters(); p.idle.Len() != 2 || n.Unneeded != 3 {
 		t.Errorf("%d are left and %d closed, want the 2 that are needed", p.idle.Len(), n.Unneeded)
 	}
-	p.sweep(now.Add(4*needFor + time.Second))
+	p.sweep(now.Add(4*demandWindow + time.Second))
 	if p.idle.Len() != 1 {
 		t.Errorf("%d are left without any need, want 1", p.idle.Len())
 	}
@@ -523,17 +523,17 @@
 
 // Attempts that wait for a connection to a host that leaves are told at once.
 func TestWaitersOfAHostThatLeaves(t *testing.T) {
-	p, to := testPool(4), &peer{addr: newBlackHole(t)}
+	p, to := testPool(4), &upstreamServer{addr: newBlackHole(t)}
 	p.dialTimeout = patience
 	defer p.close()
 	ending := make(chan policy.Ending, 1)
-	go func() { e, _ := tryOnce(t.Context(), p, to); ending <- e }()
+	go func() { e, _ := runOneAttempt(t.Context(), p, to); ending <- e }()
 	eventually(t, "it waits", func() bool { return waiters(p) == 1 })
 	p.retire(to)
 	if got := await(t, "its end", ending); got != policy.NotSent {
 		t.Errorf("ending %v, want not sent", got)
 	}
-	if got, _ := tryOnce(t.Context(), p, to); got != policy.NotSent {
+	if got, _ := runOneAttempt(t.Context(), p, to); got != policy.NotSent {
 		t.Errorf("to a host that has left: ending %v", got)
 	}
 }
@@ -541,17 +541,17 @@
 // New limits act on what is open.
 func TestLimitsChangeUnderWay(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := testPool(8), &peer{addr: u.addr}
+	p, to := testPool(8), &upstreamServer{addr: u.addr}
 	defer p.close()
 	conns := connections(t, p, to, 4)
 	for _, c := range conns[1:] {
-		p.put(c)
+		p.release(c)
 	}
 	p.setLimits(poolLimits{Total: 2, PerServer: 1, Handshakes: 1, HandshakesPerServer: 1})
 	if p.opened() != 2 {
 		t.Errorf("%d are open, want 2", p.opened())
 	}
-	p.put(conns[0])
+	p.release(conns[0])
 	if p.opened() != 1 {
 		t.Errorf("%d are open to one upstream, want 1", p.opened())
 	}
@@ -577,16 +577,16 @@
 		"absurd":           {`{"clients":{"total":99999999999}}`, "connections.clients.total is 99999999999"},
 		"beyond a machine": {`{"clients":{"total":99999999999999999999}}`, "connections.clients.total"},
 	} {
-		said, err := parseConnections([]byte(c.text))
+		said, err := parseConnectionsConfig([]byte(c.text))
 		if err == nil {
-			_, err = limitsFor(sockets, said)
+			_, err = deriveConnectionLimits(sockets, said)
 		}
 		if (err == nil) != (c.want == "") || (err != nil && (!strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n"))) {
 			t.Errorf("%s: error %v, want one with %q", name, err, c.want)
 		}
 	}
 	for n := leastSockets; n < 5000; n += 7 { // whatever is given can be lived with
-		if l, err := limitsFor(Limits{Sockets: n}, connectionsText{}); err != nil {
+		if l, err := deriveConnectionLimits(Limits{Sockets: n}, connectionsConfig{}); err != nil {
 			t.Errorf("%d sockets: %v, %+v", n, err, l)
 		}
 	}
@@ -642,12 +642,14 @@
 func TestConnectionsThatComeToNothing(t *testing.T) {
 	t.Parallel() // it takes the time for a header
 	ln := listenLoopback(t)
-	l := limitListener(ln, testLimits(4))
-	l.begin()
+	l := newLimitedListener(ln, testLimits(4))
+	l.start()
 	defer l.Close()
 	dialFrom(t, "127.0.0.1", ln.Addr().String())
 	dialFrom(t, "127.0.0.1", ln.Addr().String()).Close()
-	eventually(t, "both have ended", func() bool { return l.open() == 0 && func() bool { n, _ := l.counters(); return n.Accepted == 2 }() })
+	eventually(t, "both have ended", func() bool {
+		return l.openConns() == 0 && func() bool { n, _ := l.counters(); return n.Accepted == 2 }()
+	})
 	if n, _ := l.counters(); n.Silent != 1 || n.Vanished != 1 || n.Admitted != 2 {
 		t.Errorf("counted %+v, want one silent and one vanished", n)
 	}
@@ -687,12 +689,12 @@
 		if sockets < leastSockets {
 			return
 		}
-		said, err := parseConnections(text)
+		said, err := parseConnectionsConfig(text)
 		if err != nil {
 			return
 		}
-		if l, err := limitsFor(Limits{Sockets: sockets}, said); err == nil {
-			if l.Clients.Total+l.Clients.Waiting+l.Clients.Telling+l.Servers.Total >= sockets || l.Clients.Total < 1 || l.Servers.HandshakesPerServer < 1 {
+		if l, err := deriveConnectionLimits(Limits{Sockets: sockets}, said); err == nil {
+			if l.Clients.Total+l.Clients.Waiting+l.Clients.Refusing+l.Servers.Total >= sockets || l.Clients.Total < 1 || l.Servers.HandshakesPerServer < 1 {
 				t.Errorf("%s at %d sockets: %+v", text, sockets, l)
 			}
 		}
--- a/internal/sidecar/counters_test.go
+++ b/internal/sidecar/counters_test.go
@@ -45,13 +45,13 @@
 // What the gate counts is a metric's label too.
 func TestGateCounterNamesAreStable(t *testing.T) {
 	g := newGate()
-	for a := range acts {
+	for a := range actionCount {
 		for d := range policy.NumDenials {
-			g.count(a, d)
+			g.record(a, d)
 		}
 	}
-	for v := range violations {
-		g.violated(v, "x", policy.Allowed)
+	for v := range violationCount {
+		g.recordViolation(v, "x", policy.Allowed)
 	}
 	var want []string
 	for _, a := range []string{"send", "close", "start"} {
@@ -76,7 +76,7 @@
 // /health/ready answers with the phase, and the fleet's members tell it each other.
 func TestPhaseNamesAreStable(t *testing.T) {
 	for p, want := range map[phase]string{
-		starting: "starting", serving: "serving", draining: "draining", finishing: "finishing", over: "ended", ungoverned: "without a policy",
+		phaseStarting: "starting", phaseServing: "serving", phaseDraining: "draining", phaseFinishing: "finishing", phaseEnded: "ended", phaseWithoutPolicy: "without a policy",
 	} {
 		if got := p.String(); got != want {
 			t.Errorf("phase %d: got %q, want %q", p, got, want)
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -21,37 +21,37 @@
 // are closed, and if the drain is called off it is used again.
 func TestServerThatDrains(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := testPool(4), &peer{addr: u.addr}
+	p, to := testPool(4), &upstreamServer{addr: u.addr}
 	defer p.close()
 	conns := connections(t, p, to, 3)
-	p.put(conns[0])
+	p.release(conns[0])
 	p.drain(to)
 	await(t, "the idle connection's end", u.closed)
-	ups := newUpstreams(p)
+	ups := newTransport(p)
 	req := &http.Request{Method: "GET", URL: mustURL("/"), Host: "x", Header: http.Header{"Request-Id": {"late"}}}
-	if _, _, wrote, err := ups.exchange(t.Context(), permission{begin: t.Context()}, conns[1], req); err != errDrains || !wrote.IsZero() {
+	if _, _, wrote, err := ups.exchange(t.Context(), sendPermit{writeCtx: t.Context()}, conns[1], req); err != errServerDraining || !wrote.IsZero() {
 		t.Errorf("on a connection that was taken before: written %v, error %v", wrote, err)
 	}
-	if got, _ := tryOnce(t.Context(), p, to); got != policy.NotSent {
+	if got, _ := runOneAttempt(t.Context(), p, to); got != policy.NotSent {
 		t.Errorf("an attempt that had chosen it: ending %v, want not sent", got)
 	}
-	p.put(conns[2]) // what ran has ended
+	p.release(conns[2]) // what ran has ended
 	if n, now := p.counters(); now.Open != 0 || n.Drained != 2 || len(u.requests) > 0 {
 		t.Errorf("%d connections are open, %d were drained, %d requests came; want 0, 2, 0", now.Open, n.Drained, len(u.requests))
 	}
 	p.resume(to)
-	if got, _ := tryOnce(t.Context(), p, to); got != policy.Served {
+	if got, _ := runOneAttempt(t.Context(), p, to); got != policy.Served {
 		t.Errorf("after the drain was called off: ending %v", got)
 	}
 }
 
 // A drain that is told while an attempt waits for its connection ends the wait.
 func TestDrainToldDuringAHandshake(t *testing.T) {
-	p, to := testPool(4), &peer{addr: newBlackHole(t)}
+	p, to := testPool(4), &upstreamServer{addr: newBlackHole(t)}
 	p.dialTimeout = patience
 	defer p.close()
 	ending := make(chan policy.Ending, 1)
-	go func() { e, _ := tryOnce(t.Context(), p, to); ending <- e }()
+	go func() { e, _ := runOneAttempt(t.Context(), p, to); ending <- e }()
 	eventually(t, "it waits", func() bool { return waiters(p) == 1 })
 	p.drain(to)
 	if got := await(t, "its end", ending); got != policy.NotSent {
@@ -118,14 +118,14 @@
 	}
 	l.now = time.Second
 	change("draining")
-	if h.drainAt != time.Second || !h.peer.drains {
-		t.Errorf("drains since %v, peer %v", h.drainAt, h.peer.drains)
+	if h.drainAt != time.Second || !h.peer.draining {
+		t.Errorf("drains since %v, peer %v", h.drainAt, h.peer.draining)
 	}
 	l.now = 2 * time.Second
 	if change("draining"); h.drainAt != time.Second {
 		t.Error("told again, the drain began anew")
 	}
-	if change("up"); h.drainAt != 0 || h.peer.drains {
+	if change("up"); h.drainAt != 0 || h.peer.draining {
 		t.Error("the drain was not called off")
 	}
 }
@@ -211,7 +211,7 @@
 	})
 	t.Run("a client that never reads", func(t *testing.T) {
 		t.Parallel()
-		big := make([]byte, maxAnswerBody)
+		big := make([]byte, maxResponseBody)
 		u := newUpstream(t, always(answer200(string(big))))
 		addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
 		c := dialFrom(t, "127.0.0.1", addr)
@@ -227,21 +227,21 @@
 
 // begin acts once, whatever comes later.
 func TestDrainBeginsOnce(t *testing.T) {
-	l := limitListener(listenLoopback(t), testLimits(1))
-	l.begin()
+	l := newLimitedListener(listenLoopback(t), testLimits(1))
+	l.start()
 	defer l.Close()
 	d := testDrain(l)
 	d.begin()
-	begun := d.begun
+	begun := d.begunAt
 	d.begin()
-	if d.begun != begun || d.phase() != draining {
-		t.Errorf("begun at %v and again at %v, phase %v", begun, d.begun, d.phase())
+	if d.begunAt != begun || d.phase() != phaseDraining {
+		t.Errorf("begun at %v and again at %v, phase %v", begun, d.begunAt, d.phase())
 	}
-	if done, err := d.next(); done || err != nil || d.phase() != finishing {
+	if done, err := d.advance(); done || err != nil || d.phase() != phaseFinishing {
 		t.Errorf("then: done %v, error %v, phase %v", done, err, d.phase())
 	}
-	await(t, "the last connection's end", d.due())
-	if done, err := d.next(); !done || err != nil || d.phase() != over {
+	await(t, "the last connection's end", d.phaseDue())
+	if done, err := d.advance(); !done || err != nil || d.phase() != phaseEnded {
 		t.Errorf("at the end: done %v, error %v, phase %v", done, err, d.phase())
 	}
 }
--- a/internal/sidecar/gate.go
+++ b/internal/sidecar/gate.go
@@ -9,17 +9,17 @@
 	"barleywick/policy"
 )
 
-// act is a kind of thing that the gate is asked about.
-type act int
+// action is a kind of thing that the gate is asked about.
+type action int
 
 const (
-	actSend  act = iota // an attempt's first byte
-	actClose            // the end of a client's connection
-	actStart            // a probe
-	acts                // how many there are
+	actionSend  action = iota // an attempt's first byte
+	actionClose               // the end of a client's connection
+	actionStart               // a probe
+	actionCount               // how many there are
 )
 
-func (a act) String() string { return [acts]string{"send", "close", "start"}[a] }
+func (a action) String() string { return [actionCount]string{"send", "close", "start"}[a] }
 
 // violation is a rule that was broken although the gate had been asked, or past it.
 type violation int
@@ -31,106 +31,106 @@
 	violationUnanswered
 	// violationLateStop: a request was not answered when the process had to be done.
 	violationLateStop
-	violations // how many there are
+	violationCount // how many there are
 )
 
 func (v violation) String() string {
-	return [violations]string{"attempt sent after its end", "closed over an unanswered request", "not done in time"}[v]
+	return [violationCount]string{"attempt sent after its end", "closed over an unanswered request", "not done in time"}[v]
 }
 
-// holdUp is for how long the process may be held up between reading its clock and writing.
-const holdUp = 150 * time.Millisecond
+// stallAllowance is for how long the process may be held up between reading its clock and writing.
+const stallAllowance = 150 * time.Millisecond
 
 // gate is asked in the moment before something is sent, closed or started. The decision is
 // policy's; the gate adds the time and the facts of the moment, counts what was decided, and checks
 // after the act that it was in order. It is safe for concurrent use.
 type gate struct {
-	begin      time.Time
-	stopBy     atomic.Int64 // since begin; policy.NoLimit while the process serves on
-	lateFrom   atomic.Int64 // since begin: what comes from then on is bound to stopBy
-	decided    [acts][policy.NumDenials]atomic.Uint64
-	violations [violations]atomic.Uint64
+	startedAt        time.Time
+	shutdownDeadline atomic.Int64 // since begin; policy.NoLimit while the process serves on
+	lateFrom         atomic.Int64 // since begin: what comes from then on is bound to stopBy
+	decided          [actionCount][policy.NumDenials]atomic.Uint64
+	violations       [violationCount]atomic.Uint64
 }
 
 func newGate() *gate {
-	g := &gate{begin: time.Now()}
-	g.stopBy.Store(int64(policy.NoLimit))
+	g := &gate{startedAt: time.Now()}
+	g.shutdownDeadline.Store(int64(policy.NoLimit))
 	g.lateFrom.Store(int64(policy.NoLimit))
 	return g
 }
 
-// at turns a moment into the gate's monotonic time; the zero time is no limit.
-func (g *gate) at(t time.Time) time.Duration {
+// sinceStart turns a moment into the gate's monotonic time; the zero time is no limit.
+func (g *gate) sinceStart(t time.Time) time.Duration {
 	if t.IsZero() {
 		return policy.NoLimit
 	}
-	return t.Sub(g.begin)
+	return t.Sub(g.startedAt)
 }
 
-// stopLate is how long after the signal a request that comes has its client's whole time still:
+// lateRequestAfter is how long after the signal a request that comes has its client's whole time still:
 // the platform's kill leaves it that. The platform's figure is 0.7 s, less for a late signal.
-const stopLate = 500 * time.Millisecond
+const lateRequestAfter = 500 * time.Millisecond
 
-// stop takes that the process was told to end just now, and is to be done within a time.
-func (g *gate) stop(within time.Duration) {
-	now := g.at(time.Now())
-	g.lateFrom.Store(int64(now + stopLate))
-	g.stopBy.Store(int64(now + within))
+// stopWithin takes that the process was told to end just now, and is to be done within a time.
+func (g *gate) stopWithin(within time.Duration) {
+	now := g.sinceStart(time.Now())
+	g.lateFrom.Store(int64(now + lateRequestAfter))
+	g.shutdownDeadline.Store(int64(now + within))
 }
 
-// stopFor is by when a request that came at a time has to be answered for this process's end; the
+// deadlineFor is by when a request that came at a time has to be answered for this process's end; the
 // zero time: it has its client's time.
-func (g *gate) stopFor(came time.Time) time.Time {
-	if int64(g.at(came)) < g.lateFrom.Load() {
+func (g *gate) deadlineFor(came time.Time) time.Time {
+	if int64(g.sinceStart(came)) < g.lateFrom.Load() {
 		return time.Time{}
 	}
-	return g.begin.Add(time.Duration(g.stopBy.Load()))
+	return g.startedAt.Add(time.Duration(g.shutdownDeadline.Load()))
 }
 
-// answered checks the answer to a request that has a bound.
-func (g *gate) answered(stopBy, now time.Time, name string) {
-	if !stopBy.IsZero() && now.Sub(stopBy) > holdUp {
-		g.violated(violationLateStop, name, policy.DeniedShutdown)
+// checkAnswered checks the answer to a request that has a bound.
+func (g *gate) checkAnswered(stopBy, now time.Time, name string) {
+	if !stopBy.IsZero() && now.Sub(stopBy) > stallAllowance {
+		g.recordViolation(violationLateStop, name, policy.DeniedShutdown)
 	}
 }
 
 // maySend decides on an attempt by the facts given and the time of now.
 func (g *gate) maySend(s policy.SendFacts, now time.Time) policy.Denial {
-	s.Now = g.at(now)
-	return g.count(actSend, s.Decide())
+	s.Now = g.sinceStart(now)
+	return g.record(actionSend, s.Decide())
 }
 
-// sent checks an attempt after its last byte was handed to the kernel.
-func (g *gate) sent(s policy.SendFacts, now time.Time, name string) {
-	s.Now = g.at(now) - holdUp
+// checkSent checks an attempt after its last byte was handed to the kernel.
+func (g *gate) checkSent(s policy.SendFacts, now time.Time, name string) {
+	s.Now = g.sinceStart(now) - stallAllowance
 	if d := s.Decide(); d != policy.Allowed {
-		g.violated(violationLateSend, name, d)
+		g.recordViolation(violationLateSend, name, d)
 	}
 }
 
 // mayClose decides on the end of a client's connection.
-func (g *gate) mayClose(c policy.CloseFacts) policy.Denial { return g.count(actClose, c.Decide()) }
+func (g *gate) mayClose(c policy.CloseFacts) policy.Denial { return g.record(actionClose, c.Decide()) }
 
-// closed checks the end of a client's connection after it.
-func (g *gate) closed(c policy.CloseFacts, name string) {
+// checkClosed checks the end of a client's connection after it.
+func (g *gate) checkClosed(c policy.CloseFacts, name string) {
 	if d := c.Decide(); d != policy.Allowed {
-		g.violated(violationUnanswered, name, d)
+		g.recordViolation(violationUnanswered, name, d)
 	}
 }
 
 // mayStart decides on something that takes so long.
 func (g *gate) mayStart(takes time.Duration) policy.Denial {
-	s := policy.StartFacts{Now: g.at(time.Now()), ShutdownDeadline: time.Duration(g.stopBy.Load()), MaxDuration: takes}
-	return g.count(actStart, s.Decide())
+	s := policy.StartFacts{Now: g.sinceStart(time.Now()), ShutdownDeadline: time.Duration(g.shutdownDeadline.Load()), MaxDuration: takes}
+	return g.record(actionStart, s.Decide())
 }
 
-func (g *gate) count(a act, d policy.Denial) policy.Denial {
+func (g *gate) record(a action, d policy.Denial) policy.Denial {
 	g.decided[a][d].Add(1)
 	return d
 }
 
-// violated counts a broken rule and says so.
-func (g *gate) violated(v violation, name string, why policy.Denial) {
+// recordViolation counts a broken rule and says so.
+func (g *gate) recordViolation(v violation, name string, why policy.Denial) {
 	g.violations[v].Add(1)
 	slog.Error("rule violated", "rule", v, "of", name, "why", why)
 }
@@ -143,14 +143,14 @@
 
 func (g *gate) counters() GateCounters {
 	c := GateCounters{Decided: make(map[string]uint64), Violated: make(map[string]uint64)}
-	for a := range acts {
+	for a := range actionCount {
 		for d := range policy.NumDenials {
 			if n := g.decided[a][d].Load(); n > 0 {
 				c.Decided[fmt.Sprintf("%v: %v", a, d)] = n
 			}
 		}
 	}
-	for v := range violations {
+	for v := range violationCount {
 		if n := g.violations[v].Load(); n > 0 {
 			c.Violated[v.String()] = n
 		}
@@ -158,8 +158,8 @@
 	return c
 }
 
-// report logs them.
-func (g *gate) report() {
+// logCounters logs them.
+func (g *gate) logCounters() {
 	c := g.counters()
 	slog.Info("gate", "decided", c.Decided, "violated", c.Violated)
 }
--- a/internal/sidecar/gate_test.go
+++ b/internal/sidecar/gate_test.go
@@ -18,10 +18,10 @@
 	"barleywick/policy"
 )
 
-// sureOfAnswers lets a pool see as many different answers as it takes to tell them apart.
-func sureOfAnswers(p *pool) {
-	for i := range answersSure {
-		p.answers.note(p.answers.hash([]byte(fmt.Sprint("other ", i))), new(recentAnswers))
+// makeDuplicatesConclusive lets a pool see as many different answers as it takes to tell them apart.
+func makeDuplicatesConclusive(p *pool) {
+	for i := range distinctRunNeeded {
+		p.duplicates.observe(p.duplicates.hash([]byte(fmt.Sprint("other ", i))), new(recentResponses))
 	}
 }
 
@@ -41,17 +41,17 @@
 				}
 				return first + last, false
 			})
-			p, to := testPool(1), &peer{addr: u.addr}
+			p, to := testPool(1), &upstreamServer{addr: u.addr}
 			defer p.close()
 			if !alike {
-				sureOfAnswers(p)
+				makeDuplicatesConclusive(p)
 			}
-			for i := range answersSure + 4 {
+			for i := range distinctRunNeeded + 4 {
 				r := &request{method: "POST", url: mustURL("/"), host: "x", name: fmt.Sprint(i), header: http.Header{"Request-Id": {fmt.Sprint(i)}}}
 				r.until = time.Now().Add(time.Hour)
 				a := newAttempt(t.Context(), r, r.until, time.Time{})
-				a.to = to
-				ending, got := newUpstreams(p).try(a)
+				a.server = to
+				ending, got := newTransport(p).runAttempt(a)
 				want := fmt.Sprint("done ", i)
 				if alike {
 					want = "done"
@@ -59,7 +59,7 @@
 				if ending != policy.Served || string(got.body) != want {
 					t.Fatalf("request %d: ending %v, answer %+v", i, ending, got)
 				}
-				endRests(p)
+				endAllQuarantines(p)
 			}
 			if n, _ := p.counters(); (n.Repeated > 0) == alike {
 				t.Errorf("%d answers were passed over", n.Repeated)
@@ -72,18 +72,18 @@
 func TestRestsAreLongWhereAnswersMayBeTakenForOthers(t *testing.T) {
 	p := testPool(100)
 	defer p.close()
-	c := &conn{peer: new(peer), idle: time.Now()}
-	if got := p.restOf(c); got != longRest {
+	c := &upstreamConn{server: new(upstreamServer), idleSince: time.Now()}
+	if got := p.quarantineTime(c); got != maxQuarantine {
 		t.Errorf("before answers are told apart: %v", got)
 	}
-	if sureOfAnswers(p); p.restOf(c) != leastRest {
-		t.Errorf("once they are: %v", p.restOf(c))
+	if makeDuplicatesConclusive(p); p.quarantineTime(c) != minQuarantine {
+		t.Errorf("once they are: %v", p.quarantineTime(c))
 	}
-	if p.sawExcess(c); p.restOf(c) != longRest {
-		t.Errorf("after an excess: %v", p.restOf(c))
+	if p.noteSurplus(c); p.quarantineTime(c) != maxQuarantine {
+		t.Errorf("after an excess: %v", p.quarantineTime(c))
 	}
-	if p.open = 100; p.restOf(c) != leastRest {
-		t.Errorf("with no connection to spare: %v", p.restOf(c))
+	if p.open = 100; p.quarantineTime(c) != minQuarantine {
+		t.Errorf("with no connection to spare: %v", p.quarantineTime(c))
 	}
 }
 
@@ -102,20 +102,20 @@
 			begun <- c
 		}
 	}()
-	p, to := testPool(1), &peer{addr: ln.Addr().String()}
+	p, to := testPool(1), &upstreamServer{addr: ln.Addr().String()}
 	defer p.close()
 	c := connections(t, p, to, 1)[0]
 	c.Conn.(*net.TCPConn).SetWriteBuffer(4 << 10)
-	p.put(c)
-	endRests(p)
+	p.release(c)
+	endAllQuarantines(p)
 	r := &request{method: "POST", url: mustURL("/"), host: "x", name: "long", header: http.Header{}, body: make([]byte, 16<<20)}
 	r.until = time.Now().Add(time.Hour)
 	a := newAttempt(t.Context(), r, r.until, time.Time{})
-	a.to = to
+	a.server = to
 	ending := make(chan policy.Ending, 1)
-	go func() { e, _ := newUpstreams(p).try(a); ending <- e }()
+	go func() { e, _ := newTransport(p).runAttempt(a); ending <- e }()
 	defer await(t, "the first byte", begun).Close()
-	a.drop() // the client has left in the middle of the write; ctx lasts
+	a.cancelWrite() // the client has left in the middle of the write; ctx lasts
 	if got := await(t, "its end", ending); got != policy.NotSent {
 		t.Errorf("ending %v, want not sent", got)
 	}
@@ -141,9 +141,9 @@
 		t.Fatal(err)
 	}
 	defer near.Close()
-	c := &conn{Conn: far, peer: new(peer)}
-	if n, err := c.Write(make([]byte, body)); n != body || err != nil || c.unsent() == 0 {
-		t.Fatalf("wrote %d, %v, unsent %d", n, err, c.unsent())
+	c := &upstreamConn{Conn: far, server: new(upstreamServer)}
+	if n, err := c.Write(make([]byte, body)); n != body || err != nil || c.unsentBytes() == 0 {
+		t.Fatalf("wrote %d, %v, unsent %d", n, err, c.unsentBytes())
 	}
 	c.Close()
 	near.SetReadDeadline(time.Now().Add(patience))
@@ -155,27 +155,27 @@
 // The client's socket is looked at in the moment of the write: net/http may tell later.
 func TestNothingIsWrittenForAClientThatHasLeft(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
-	p, to := testPool(1), &peer{addr: u.addr}
+	p, to := testPool(1), &upstreamServer{addr: u.addr}
 	defer p.close()
 	far, near := connected(t)
 	r := &request{method: "POST", url: mustURL("/"), host: "x", name: "left", header: http.Header{}, conn: near}
 	r.until = time.Now().Add(time.Hour)
-	ups := newUpstreams(p)
+	ups := newTransport(p)
 	try := func() policy.Ending {
 		a := newAttempt(t.Context(), r, r.until, time.Time{})
-		a.to = to
-		ending, _ := ups.try(a)
+		a.server = to
+		ending, _ := ups.runAttempt(a)
 		return ending
 	}
 	if got := try(); got != policy.Served {
 		t.Errorf("while it is there: ending %v", got)
 	}
 	far.Close()
-	eventually(t, "the close has come", near.left)
+	eventually(t, "the close has come", near.closedByClient)
 	if got := try(); got != policy.NotSent || len(u.requests) != 1 {
 		t.Errorf("ending %v with %d requests written, want not sent", got, len(u.requests))
 	}
-	if n := ups.gate.decided[actSend][policy.DeniedClientGone].Load(); n != 1 {
+	if n := ups.gate.decided[actionSend][policy.DeniedClientGone].Load(); n != 1 {
 		t.Errorf("%d denials for a client that left, want 1", n)
 	}
 }
@@ -183,18 +183,18 @@
 // What was sent past its end, a late answer at the process's end and a close over a request are counted.
 func TestGateCountsViolations(t *testing.T) {
 	g, now := newGate(), time.Now()
-	fine := policy.SendFacts{ClientDeadline: g.at(now.Add(time.Second)), ShutdownDeadline: policy.NoLimit, RepeatDeadline: policy.NoLimit, ServerState: policy.Ready}
+	fine := policy.SendFacts{ClientDeadline: g.sinceStart(now.Add(time.Second)), ShutdownDeadline: policy.NoLimit, RepeatDeadline: policy.NoLimit, ServerState: policy.Ready}
 	late := fine
-	late.ClientDeadline = g.at(now)
-	g.sent(fine, now, "fine")
-	g.sent(late, now.Add(holdUp/2), "held up")
+	late.ClientDeadline = g.sinceStart(now)
+	g.checkSent(fine, now, "fine")
+	g.checkSent(late, now.Add(stallAllowance/2), "held up")
 	if c := g.counters(); len(c.Violated) != 0 {
 		t.Errorf("violations of what is in order: %v", c.Violated)
 	}
-	g.sent(late, now.Add(2*holdUp), "late")
-	g.answered(now, now.Add(2*holdUp), "late")
-	g.closed(policy.CloseFacts{RequestRead: true}, "unanswered")
-	if c := g.counters(); len(c.Violated) != int(violations) {
+	g.checkSent(late, now.Add(2*stallAllowance), "late")
+	g.checkAnswered(now, now.Add(2*stallAllowance), "late")
+	g.checkClosed(policy.CloseFacts{RequestRead: true}, "unanswered")
+	if c := g.counters(); len(c.Violated) != int(violationCount) {
 		t.Errorf("counted %v, want each rule once", c.Violated)
 	}
 }
@@ -202,15 +202,15 @@
 // What comes late in a planned end is bound to its time, what came before has its client's.
 func TestLateRequestsAreBoundToTheProcessesEnd(t *testing.T) {
 	g := newGate()
-	if by := g.stopFor(time.Now().Add(time.Hour)); !by.IsZero() {
+	if by := g.deadlineFor(time.Now().Add(time.Hour)); !by.IsZero() {
 		t.Errorf("bound to %v while it serves", by)
 	}
-	g.stop(2 * time.Second)
+	g.stopWithin(2 * time.Second)
 	now := time.Now()
-	if by := g.stopFor(now); !by.IsZero() {
+	if by := g.deadlineFor(now); !by.IsZero() {
 		t.Error("a request that came with the signal has not its client's time")
 	}
-	by := g.stopFor(now.Add(stopLate))
+	by := g.deadlineFor(now.Add(lateRequestAfter))
 	if left := by.Sub(now); left <= 0 || left > 2*time.Second {
 		t.Errorf("a late one is bound to %v after the signal", left)
 	}
@@ -235,7 +235,7 @@
 		if state != connClosed || !owed {
 			t.Fatalf("state %d, owed %v", state, owed)
 		}
-		go c.dismiss(haste)
+		go c.refusePartial(haste)
 		resp, err := http.ReadResponse(bufio.NewReader(far), nil)
 		if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 			t.Errorf("answered %+v, %v; want 503 and the end", resp, err)
@@ -254,7 +254,7 @@
 			t.Fatal(err)
 		}
 		if taken {
-			c.take()
+			c.beginRequest()
 		}
 		go c.Close()
 		resp, err := http.ReadResponse(bufio.NewReader(far), nil)
@@ -278,24 +278,24 @@
 			t.Fatal(err)
 		}
 	}
-	if read(); c.cameAt().Sub(c.accepted) >= late {
-		t.Errorf("it came %v after the connection, as if it had come when it was read", c.cameAt().Sub(c.accepted))
+	if read(); c.requestArrivedAt().Sub(c.acceptedAt) >= late {
+		t.Errorf("it came %v after the connection, as if it had come when it was read", c.requestArrivedAt().Sub(c.acceptedAt))
 	}
 	sent := make(chan time.Time, 1)
 	time.AfterFunc(late, func() {
 		sent <- time.Now()
 		io.WriteString(far, "E")
 	})
-	if read(); c.cameAt().Before(<-sent) {
+	if read(); c.requestArrivedAt().Before(<-sent) {
 		t.Error("what was waited for counts from before it was sent")
 	}
-	c.take()
-	c.rest()
+	c.beginRequest()
+	c.endRequest()
 	rested := time.Now()
 	io.WriteString(far, "T")
 	time.Sleep(late)
-	if read(); c.cameAt().Before(rested.Add(-late/2)) || c.cameAt().After(rested.Add(late/2)) {
-		t.Errorf("the next request counts from %v after the answer", c.cameAt().Sub(rested))
+	if read(); c.requestArrivedAt().Before(rested.Add(-late/2)) || c.requestArrivedAt().After(rested.Add(late/2)) {
+		t.Errorf("the next request counts from %v after the answer", c.requestArrivedAt().Sub(rested))
 	}
 }
 
@@ -304,9 +304,9 @@
 	for _, left := range []time.Duration{time.Second, 40 * time.Millisecond} {
 		ctx, cancel := context.WithTimeout(t.Context(), left)
 		r := &request{method: "GET", url: mustURL("/"), header: http.Header{}}
-		told, err := strconv.ParseFloat(r.outgoing(ctx).Header.Get("Request-Timeout"), 64)
+		told, err := strconv.ParseFloat(r.upstreamRequest(ctx).Header.Get("Request-Timeout"), 64)
 		cancel()
-		if most := left - min(toldMargin, left/4) + time.Millisecond; err != nil || told <= 0 || told > most.Seconds() {
+		if most := left - min(timeoutMargin, left/4) + time.Millisecond; err != nil || told <= 0 || told > most.Seconds() {
 			t.Errorf("%v left: told %v s, %v", left, told, err)
 		}
 	}
@@ -319,11 +319,11 @@
 		syscall.ECONNREFUSED: false, syscall.ETIMEDOUT: false, syscall.EHOSTUNREACH: false, syscall.ENETUNREACH: false,
 	} {
 		err := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
-		if isLocal(err) != local {
+		if isLocalError(err) != local {
 			t.Errorf("%v: local %v, want %v", errno, !local, local)
 		}
 	}
-	if isLocal(errors.New("other")) {
+	if isLocalError(errors.New("other")) {
 		t.Error("an unknown error is taken for one of this machine")
 	}
 }
@@ -357,7 +357,7 @@
 		io.WriteString(c, rawHead(fmt.Sprint("b", len(conns)))+"Content-Length: 0\r\n\r\n")
 		conns = append(conns, c)
 	}
-	limited.takeBacklog()
+	limited.acceptBacklog()
 	limited.stopAccepting()
 	for i, c := range conns {
 		c.SetDeadline(time.Now().Add(patience))
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -10,41 +10,41 @@
 )
 
 const (
-	socketsSpare     = 32 // standard streams, the listener, the poller and what the runtime opens
-	socketsDiscovery = 2
+	reservedSockets  = 32 // standard streams, the listener, the poller and what the runtime opens
+	discoverySockets = 2
 
-	// clientPart is how many tenths of the sockets are for clients: those that
+	// clientSocketTenths is how many tenths of the sockets are for clients: those that
 	// say nothing take some, until they are closed.
-	clientPart = 6
-	// idlePart is how many tenths of the clients' may be idle. Clients count those
+	clientSocketTenths = 6
+	// idleSocketTenths is how many tenths of the clients' may be idle. Clients count those
 	// too as theirs, and where each asks once and stays they could soon open no more.
-	idlePart = 3
-	// waitPart is which part of the clients' sockets may wait for a place, and
+	idleSocketTenths = 3
+	// waitingDivisor is which part of the clients' sockets may wait for a place, and
 	// which may be held by connections being told that there is none.
 	// They are few: a longer queue serves nobody sooner, and each in it is a place
 	// less, which is what clears a flood.
-	waitPart = 32
-	maxWait  = 8
+	waitingDivisor = 32
+	maxWaiting     = 8
 
-	// serverPart is which part of the upstreams' sockets one of them may hold: one
+	// perServerDivisor is which part of the upstreams' sockets one of them may hold: one
 	// that is slow must leave some to the others.
-	serverPart = 2
-	// handshakePart is which part may be in a handshake at once, and leastHandshakes
+	perServerDivisor = 2
+	// handshakeDivisor is which part may be in a handshake at once, and leastHandshakes
 	// how many in any case. Requests find idle connections but for the first moments
 	// and after a failure; then all sidecars open new ones at the same servers.
-	handshakePart   = 8
-	leastHandshakes = 8
-	// serverHandshakes may be under way to one upstream. A handshake costs it a
+	handshakeDivisor = 8
+	minHandshakes    = 8
+	// maxHandshakesPerServer may be under way to one upstream. A handshake costs it a
 	// twentieth of a request, and one sidecar's traffic needs few new ones at a time.
-	serverHandshakes = 4
+	maxHandshakesPerServer = 4
 )
 
 // clientLimits bound the connections to clients. All of them together are
 // sockets: places, those that wait, one in hand and those being told.
 type clientLimits struct {
 	admission.Limits
-	Waiting int // may wait for a place
-	Telling int // may be in the middle of being refused
+	Waiting  int // may wait for a place
+	Refusing int // may be in the middle of being refused
 }
 
 // poolLimits bound the connections to upstreams.
@@ -61,34 +61,34 @@
 	Servers poolLimits
 }
 
-// connections divides the sockets between the two sides.
-func (l Limits) connections() (clients, upstreams int) {
-	most := l.Sockets - socketsSpare - socketsDiscovery
-	clients = most * clientPart / 10
+// splitSockets divides the sockets between the two sides.
+func (l Limits) splitSockets() (clients, upstreams int) {
+	most := l.Sockets - reservedSockets - discoverySockets
+	clients = most * clientSocketTenths / 10
 	return clients, most - clients
 }
 
-// limitsFor are the limits that follow from the sockets given, and from what the
+// deriveConnectionLimits are the limits that follow from the sockets given, and from what the
 // configuration says instead.
-func limitsFor(sockets Limits, said connectionsText) (connectionLimits, error) {
-	forClients, forServers := sockets.connections()
-	wait := min(forClients/waitPart, maxWait)
+func deriveConnectionLimits(sockets Limits, said connectionsConfig) (connectionLimits, error) {
+	forClients, forServers := sockets.splitSockets()
+	wait := min(forClients/waitingDivisor, maxWaiting)
 	var l connectionLimits
 	c, s := &l.Clients, &l.Servers
-	c.Telling = max(wait, 1)
-	c.Waiting = or(said.Clients.Waiting, wait)
-	c.Total = or(said.Clients.Total, max(1, forClients-c.Waiting-c.Telling-1))
-	c.PerAddress = or(said.Clients.PerAddress, c.Total)
-	c.HalfOpen = or(said.Clients.HalfOpen, c.Total) // less would but slow down the clearing of a flood
-	c.Idle = or(said.Clients.Idle, min(c.Total, forClients*idlePart/10))
-	s.Total = or(said.Servers.Total, forServers)
-	s.PerServer = or(said.Servers.PerServer, max(1, s.Total/serverPart))
-	s.Handshakes = or(said.Servers.Handshakes, min(s.Total, max(leastHandshakes, s.Total/handshakePart)))
-	s.HandshakesPerServer = or(said.Servers.HandshakesPerServer, min(s.PerServer, s.Handshakes, serverHandshakes))
+	c.Refusing = max(wait, 1)
+	c.Waiting = valueOr(said.Clients.Waiting, wait)
+	c.Total = valueOr(said.Clients.Total, max(1, forClients-c.Waiting-c.Refusing-1))
+	c.PerAddress = valueOr(said.Clients.PerAddress, c.Total)
+	c.HalfOpen = valueOr(said.Clients.HalfOpen, c.Total) // less would but slow down the clearing of a flood
+	c.Idle = valueOr(said.Clients.Idle, min(c.Total, forClients*idleSocketTenths/10))
+	s.Total = valueOr(said.Servers.Total, forServers)
+	s.PerServer = valueOr(said.Servers.PerServer, max(1, s.Total/perServerDivisor))
+	s.Handshakes = valueOr(said.Servers.Handshakes, min(s.Total, max(minHandshakes, s.Total/handshakeDivisor)))
+	s.HandshakesPerServer = valueOr(said.Servers.HandshakesPerServer, min(s.PerServer, s.Handshakes, maxHandshakesPerServer))
 	return l, l.check(sockets.Sockets)
 }
 
-func or(said *int, derived int) int {
+func valueOr(said *int, derived int) int {
 	if said != nil {
 		return *said
 	}
@@ -122,7 +122,7 @@
 			return fmt.Errorf("connections.%s is %d, more than the %d of %s", f.name, f.value, f.most, f.mostName)
 		}
 	}
-	needed := c.Total + c.Waiting + c.Telling + 1 + s.Total + socketsSpare + socketsDiscovery
+	needed := c.Total + c.Waiting + c.Refusing + 1 + s.Total + reservedSockets + discoverySockets
 	if needed > sockets {
 		return fmt.Errorf("connections: the limits add up to %d sockets (clients.total %d, clients.waiting %d, servers.total %d, "+
 			"%d for the rest), limits.sockets allows %d", needed, c.Total, c.Waiting, s.Total, needed-c.Total-c.Waiting-s.Total, sockets)
@@ -130,9 +130,9 @@
 	return nil
 }
 
-// connectionsText is the configuration's optional object 'connections'. What it
+// connectionsConfig is the configuration's optional object 'connections'. What it
 // leaves out is derived.
-type connectionsText struct {
+type connectionsConfig struct {
 	Clients struct {
 		Total      *int `json:"total"`
 		PerAddress *int `json:"per_address"`
@@ -148,10 +148,10 @@
 	} `json:"servers"`
 }
 
-// parseConnections reads that object. A key that is not known is an error: a
+// parseConnectionsConfig reads that object. A key that is not known is an error: a
 // limit that is misspelt would not be in force.
-func parseConnections(text json.RawMessage) (connectionsText, error) {
-	var said connectionsText
+func parseConnectionsConfig(text json.RawMessage) (connectionsConfig, error) {
+	var said connectionsConfig
 	if len(text) == 0 {
 		return said, nil
 	}
--- a/internal/sidecar/listener.go
+++ b/internal/sidecar/listener.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// speakIn is how long a new connection is not held to be silent: its first
+	// firstByteGrace is how long a new connection is not held to be silent: its first
 	// bytes may be on their way.
-	speakIn = 50 * time.Millisecond
-	// finishIn is how long a request may take to come whole where others wait.
-	finishIn = 200 * time.Millisecond
-	// waitIn is how long a connection may wait for a place before it is refused:
+	firstByteGrace = 50 * time.Millisecond
+	// wholeRequestGrace is how long a request may take to come whole where others wait.
+	wholeRequestGrace = 200 * time.Millisecond
+	// maxAdmissionWait is how long a connection may wait for a place before it is refused:
 	// longer than any grace, and short against what a client waits for an answer.
-	waitIn = 500 * time.Millisecond
-	// acceptAgainIn is the pause after a failed accept, as when the machine is out of descriptors.
-	acceptAgainIn = 5 * time.Millisecond
-	// acceptLogEvery bounds what is logged of them.
-	acceptLogEvery = time.Second
+	maxAdmissionWait = 500 * time.Millisecond
+	// acceptRetryDelay is the pause after a failed accept, as when the machine is out of descriptors.
+	acceptRetryDelay = 5 * time.Millisecond
+	// acceptLogInterval bounds what is logged of them.
+	acceptLogInterval = time.Second
 )
 
 // clientCounters count what became of client connections, each decision apart.
@@ -52,27 +52,27 @@
 	inner net.Listener
 	gate  *gate // of its connections; nil: none counts
 	ready chan *clientConn
-	over  chan struct{} // closed by Close
-	// accepted is closed when begin was called and nothing is taken off the kernel's queue any more.
-	accepted chan struct{}
-	tasks    sync.WaitGroup
-
-	mu       sync.Mutex
-	table    *admission.Table[*clientConn]
-	limits   clientLimits
-	waiting  []*waitingConn           // the longest waiting first; at most limits.Waiting and one
-	room     *sync.Cond               // waiting got shorter, or Close was called
-	again    *time.Timer              // when a grace or a wait ends
-	telling  int                      // connections being told that they are refused
-	taken    int                      // accepted and not ended, wherever they are
-	placed   map[*clientConn]struct{} // that have a place
-	stopping bool                     // what is in the kernel's queue is taken, and then no more
-	accepts  bool                     // the listener still takes connections
-	began    bool                     // begin was called
-	draining bool
-	closed   bool
-	gone     chan struct{} // closed when nothing is accepted any more and every connection has ended
-	count    clientCounters
+	done  chan struct{} // closed by Close
+	// acceptEnded is closed when begin was called and nothing is taken off the kernel's queue any more.
+	acceptEnded chan struct{}
+	tasks       sync.WaitGroup
+
+	mu             sync.Mutex
+	table          *admission.Table[*clientConn]
+	limits         clientLimits
+	waiting        []*waitingConn           // the longest waiting first; at most limits.Waiting and one
+	waitingChanged *sync.Cond               // waiting got shorter, or Close was called
+	waitTimer      *time.Timer              // when a grace or a wait ends
+	refusing       int                      // connections being told that they are refused
+	alive          int                      // accepted and not ended, wherever they are
+	admitted       map[*clientConn]struct{} // that have a place
+	backlogOnly    bool                     // what is in the kernel's queue is taken, and then no more
+	accepting      bool                     // the listener still takes connections
+	started        bool                     // begin was called
+	draining       bool
+	closed         bool
+	allEnded       chan struct{} // closed when nothing is accepted any more and every connection has ended
+	count          clientCounters
 }
 
 type waitingConn struct {
@@ -81,29 +81,29 @@
 	since time.Time
 }
 
-func limitListener(inner net.Listener, limits clientLimits) *limitedListener {
+func newLimitedListener(inner net.Listener, limits clientLimits) *limitedListener {
 	l := &limitedListener{
-		inner: inner, limits: limits, accepts: true, placed: make(map[*clientConn]struct{}), accepted: make(chan struct{}),
-		ready: make(chan *clientConn), over: make(chan struct{}), gone: make(chan struct{}),
-		table: admission.New[*clientConn](limits.Limits, admission.Grace{FirstByte: speakIn, WholeRequest: finishIn}),
+		inner: inner, limits: limits, accepting: true, admitted: make(map[*clientConn]struct{}), acceptEnded: make(chan struct{}),
+		ready: make(chan *clientConn), done: make(chan struct{}), allEnded: make(chan struct{}),
+		table: admission.New[*clientConn](limits.Limits, admission.Grace{FirstByte: firstByteGrace, WholeRequest: wholeRequestGrace}),
 	}
-	l.room = sync.NewCond(&l.mu)
-	l.again = time.AfterFunc(time.Hour, func() {
+	l.waitingChanged = sync.NewCond(&l.mu)
+	l.waitTimer = time.AfterFunc(time.Hour, func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.serveWaiting(time.Now())
+		l.admitWaitingLocked(time.Now())
 	})
 	return l
 }
 
-// begin takes connections from now on.
-func (l *limitedListener) begin() {
+// start takes connections from now on.
+func (l *limitedListener) start() {
 	l.mu.Lock()
-	l.began = true
+	l.started = true
 	l.mu.Unlock()
 	l.tasks.Go(func() {
-		defer close(l.accepted)
-		l.accept()
+		defer close(l.acceptEnded)
+		l.acceptLoop()
 	})
 }
 
@@ -115,7 +115,7 @@
 	select {
 	case c := <-l.ready:
 		return c, nil
-	case <-l.over:
+	case <-l.done:
 		return nil, net.ErrClosed
 	}
 }
@@ -127,32 +127,32 @@
 	l.mu.Lock()
 	if !l.closed {
 		l.closed = true
-		close(l.over)
+		close(l.done)
 		for _, w := range l.waiting {
 			w.conn.Close()
-			l.ended()
+			l.endedLocked()
 		}
 		l.waiting = nil
-		l.again.Stop()
+		l.waitTimer.Stop()
 	}
 	l.mu.Unlock()
 	l.tasks.Wait()
 	return err
 }
 
-// backlogIn is for the connections that wait in the kernel's queue as the listener ends: they have
+// backlogAcceptTime is for the connections that wait in the kernel's queue as the listener ends: they have
 // been accepted there, and requests may have been written to them.
-const backlogIn = 20 * time.Millisecond
+const backlogAcceptTime = 20 * time.Millisecond
 
-// takeBacklog takes what waits in the kernel's queue, and then no more.
-func (l *limitedListener) takeBacklog() {
+// acceptBacklog takes what waits in the kernel's queue, and then no more.
+func (l *limitedListener) acceptBacklog() {
 	l.mu.Lock()
-	l.stopping = true
-	began := l.began
-	l.room.Broadcast()
+	l.backlogOnly = true
+	began := l.started
+	l.waitingChanged.Broadcast()
 	l.mu.Unlock()
-	if t, ok := l.inner.(*net.TCPListener); ok && began && t.SetDeadline(time.Now().Add(backlogIn)) == nil {
-		<-l.accepted
+	if t, ok := l.inner.(*net.TCPListener); ok && began && t.SetDeadline(time.Now().Add(backlogAcceptTime)) == nil {
+		<-l.acceptEnded
 	}
 }
 
@@ -164,29 +164,29 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.accepts = false
-	l.room.Broadcast()
-	l.checkGone()
+	l.accepting = false
+	l.waitingChanged.Broadcast()
+	l.checkAllEndedLocked()
 	return err
 }
 
-// accept takes connections off the kernel's queue until the listener is closed.
-func (l *limitedListener) accept() {
+// acceptLoop takes connections off the kernel's queue until the listener is closed.
+func (l *limitedListener) acceptLoop() {
 	var told time.Time // when a failure was logged last
 	for {
 		nc, err := l.inner.Accept()
 		if err != nil {
 			l.mu.Lock()
-			accepts := l.accepts && !l.stopping
+			accepts := l.accepting && !l.backlogOnly
 			l.mu.Unlock()
 			if !accepts || errors.Is(err, net.ErrClosed) {
 				return
 			}
-			if time.Since(told) >= acceptLogEvery {
+			if time.Since(told) >= acceptLogInterval {
 				slog.Warn("accept", "err", err) // out of descriptors, or a client that left at once
 				told = time.Now()
 			}
-			time.Sleep(acceptAgainIn)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		tcp, ok := nc.(*net.TCPConn)
@@ -195,14 +195,14 @@
 			nc.Close()
 			continue
 		}
-		l.arrive(newClientConn(tcp))
+		l.enqueue(newClientConn(tcp))
 	}
 }
 
-// arrive finds a place for a new connection, or lets it wait. Where as many wait
+// enqueue finds a place for a new connection, or lets it wait. Where as many wait
 // as may, and a place must come free within a grace, it holds up those behind it
 // in the kernel's queue; else the one whose client has the most is refused.
-func (l *limitedListener) arrive(c *clientConn) {
+func (l *limitedListener) enqueue(c *clientConn) {
 	addr := c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -210,50 +210,50 @@
 		c.Close()
 		return
 	}
-	l.taken++
+	l.alive++
 	c.gate = l.gate
 	l.count.Accepted++
-	l.waiting = append(l.waiting, &waitingConn{conn: c, addr: addr, since: c.accepted})
-	l.serveWaiting(c.accepted)
+	l.waiting = append(l.waiting, &waitingConn{conn: c, addr: addr, since: c.acceptedAt})
+	l.admitWaitingLocked(c.acceptedAt)
 	for len(l.waiting) > l.limits.Waiting && !l.closed {
-		worst := l.greediest()
+		worst := l.largestHolderLocked()
 		atItsLimit := l.limits.PerAddress < l.limits.Total && l.table.OpenFrom(l.waiting[worst].addr) >= l.limits.PerAddress
-		if atItsLimit || l.stopping || l.table.NextOverdue().IsZero() {
-			l.refuse(worst)
+		if atItsLimit || l.backlogOnly || l.table.NextOverdue().IsZero() {
+			l.refuseLocked(worst)
 			continue
 		}
-		l.room.Wait()
+		l.waitingChanged.Wait()
 	}
 }
 
-// serveWaiting gives places to those that wait, refuses those that have waited
+// admitWaitingLocked gives places to those that wait, refuses those that have waited
 // too long, and sees to it that it is called again in time.
-func (l *limitedListener) serveWaiting(now time.Time) {
+func (l *limitedListener) admitWaitingLocked(now time.Time) {
 	if l.closed || len(l.waiting) == 0 {
 		return
 	}
-	for i := l.next(now); i >= 0; i = l.next(now) {
+	for i := l.nextAdmissibleLocked(now); i >= 0; i = l.nextAdmissibleLocked(now) {
 		w := l.waiting[i]
-		l.unlist(i)
-		l.admit(w, now)
+		l.removeWaitingLocked(i)
+		l.admitLocked(w, now)
 	}
-	for len(l.waiting) > 0 && now.Sub(l.waiting[0].since) >= waitIn {
-		l.refuse(0)
+	for len(l.waiting) > 0 && now.Sub(l.waiting[0].since) >= maxAdmissionWait {
+		l.refuseLocked(0)
 	}
 	if len(l.waiting) == 0 {
 		return
 	}
-	at := l.waiting[0].since.Add(waitIn)
+	at := l.waiting[0].since.Add(maxAdmissionWait)
 	if by := l.table.NextOverdue(); !by.IsZero() && by.Before(at) {
 		at = by
 	}
 	// Not at once, even if that has passed: somebody is overdue who could not be closed.
-	l.again.Reset(max(time.Until(at), time.Millisecond))
+	l.waitTimer.Reset(max(time.Until(at), time.Millisecond))
 }
 
-// next makes room for one of those that wait and returns which, or -1: the one
+// nextAdmissibleLocked makes room for one of those that wait and returns which, or -1: the one
 // whose client holds the least, and of those the first.
-func (l *limitedListener) next(now time.Time) int {
+func (l *limitedListener) nextAdmissibleLocked(now time.Time) int {
 	tried := make(map[netip.Addr]bool, len(l.waiting))
 	for range l.waiting {
 		best, least := -1, 0
@@ -265,7 +265,7 @@
 		if best < 0 {
 			break
 		}
-		if l.makeRoom(l.waiting[best].addr, now) {
+		if l.evictForLocked(l.waiting[best].addr, now) {
 			return best
 		}
 		tried[l.waiting[best].addr] = true
@@ -273,9 +273,9 @@
 	return -1
 }
 
-// makeRoom says whether a connection from addr may have a place now, and closes
+// evictForLocked says whether a connection from addr may have a place now, and closes
 // the one that has to give its own up for it.
-func (l *limitedListener) makeRoom(addr netip.Addr, now time.Time) bool {
+func (l *limitedListener) evictForLocked(addr netip.Addr, now time.Time) bool {
 	for {
 		verdict, victim := l.table.Decide(addr, now)
 		switch {
@@ -284,17 +284,17 @@
 		case verdict == admission.Wait:
 			return false
 		}
-		if counter, ok := l.giveUp(victim, now); ok {
+		if counter, ok := l.evictLocked(victim, now); ok {
 			*counter++
 		}
 	}
 }
 
-// giveUp closes a connection for another's sake, if it proves to be as useless as
+// evictLocked closes a connection for another's sake, if it proves to be as useless as
 // the table holds it to be. Either way the table knows more of it afterwards.
-func (l *limitedListener) giveUp(p *admission.Conn[*clientConn], now time.Time) (counter *uint64, closed bool) {
+func (l *limitedListener) evictLocked(p *admission.Conn[*clientConn], now time.Time) (counter *uint64, closed bool) {
 	c := p.Owner
-	if p.Silent() && !quiet(c.TCPConn) {
+	if p.Silent() && !isIdleSocket(c.TCPConn) {
 		l.table.FirstByteRead(p, now) // whoever waits for its first byte has not run yet
 		return nil, false
 	}
@@ -312,69 +312,69 @@
 	}
 	l.table.Remove(p)
 	if owed {
-		l.dismissLocked(c)
+		l.refusePartialLocked(c)
 	}
 	return counter, true
 }
 
-// dismissLocked answers a connection that is closed over half a request.
-func (l *limitedListener) dismissLocked(c *clientConn) {
+// refusePartialLocked answers a connection that is closed over half a request.
+func (l *limitedListener) refusePartialLocked(c *clientConn) {
 	l.count.Dismissed++
-	if l.telling >= l.limits.Telling {
-		c.dismiss(true)
+	if l.refusing >= l.limits.Refusing {
+		c.refusePartial(true)
 		return
 	}
-	l.telling++
-	l.taken++ // until it has been told
+	l.refusing++
+	l.alive++ // until it has been told
 	l.tasks.Go(func() {
-		c.dismiss(false)
+		c.refusePartial(false)
 		l.mu.Lock()
-		l.telling--
-		l.ended()
+		l.refusing--
+		l.endedLocked()
 		l.mu.Unlock()
 	})
 }
 
-// admit gives a connection its place. Its first byte is waited for here.
-func (l *limitedListener) admit(w *waitingConn, now time.Time) {
+// admitLocked gives a connection its place. Its first byte is waited for here.
+func (l *limitedListener) admitLocked(w *waitingConn, now time.Time) {
 	c := w.conn
 	l.count.Admitted++
 	if now.After(w.since) {
 		l.count.Waited++
 	}
-	l.table.Add(&c.place, w.addr, now)
-	l.placed[c] = struct{}{}
+	l.table.Add(&c.entry, w.addr, now)
+	l.admitted[c] = struct{}{}
 	l.tasks.Go(func() {
-		err := c.awaitFirst()
+		err := c.awaitFirstByte()
 		l.mu.Lock()
 		if err != nil {
 			switch {
 			case errors.Is(err, os.ErrDeadlineExceeded):
 				l.count.Silent++
-			case errors.Is(err, errVanished):
+			case errors.Is(err, errClientVanished):
 				l.count.Vanished++
 			}
 			c.closeIdle(true)
-			l.end(c)
+			l.removeLocked(c)
 			l.mu.Unlock()
 			return
 		}
-		l.table.FirstByteRead(&c.place, time.Now())
+		l.table.FirstByteRead(&c.entry, time.Now())
 		l.mu.Unlock()
 		select {
 		case l.ready <- c:
-		case <-l.over:
+		case <-l.done:
 			c.Close()
 			l.mu.Lock()
-			l.end(c)
+			l.removeLocked(c)
 			l.mu.Unlock()
 		}
 	})
 }
 
-// greediest is which of those that wait is refused where one must be: the last
+// largestHolderLocked is which of those that wait is refused where one must be: the last
 // one of the client that has the most, waiting ones counted.
-func (l *limitedListener) greediest() int {
+func (l *limitedListener) largestHolderLocked() int {
 	asks := make(map[netip.Addr]int, len(l.waiting))
 	for _, w := range l.waiting {
 		asks[w.addr]++
@@ -388,58 +388,58 @@
 	return worst
 }
 
-func (l *limitedListener) unlist(i int) {
+func (l *limitedListener) removeWaitingLocked(i int) {
 	l.waiting = append(l.waiting[:i], l.waiting[i+1:]...)
-	l.room.Broadcast()
+	l.waitingChanged.Broadcast()
 }
 
-// refuse tells a waiting connection that there is no place. What was sent on it
+// refuseLocked tells a waiting connection that there is no place. What was sent on it
 // has not been read, and a close would reset it under the answer: so what comes is
 // read for a moment, but only on a few at a time. On others it is what has come.
-func (l *limitedListener) refuse(i int) {
+func (l *limitedListener) refuseLocked(i int) {
 	c := l.waiting[i].conn
-	l.unlist(i)
+	l.removeWaitingLocked(i)
 	l.count.Refused++
-	c.TCPConn.SetDeadline(time.Now().Add(lingerIn))
-	_, err := io.WriteString(c.TCPConn, refusedAnswer) // the first bytes on it: they fit its buffer
-	if err != nil || l.telling >= l.limits.Telling {
+	c.TCPConn.SetDeadline(time.Now().Add(lingerTimeout))
+	_, err := io.WriteString(c.TCPConn, refusedResponse) // the first bytes on it: they fit its buffer
+	if err != nil || l.refusing >= l.limits.Refusing {
 		c.discardUnread()
 		c.Close()
-		l.ended()
+		l.endedLocked()
 		return
 	}
-	l.telling++
+	l.refusing++
 	l.tasks.Go(func() {
 		if c.CloseWrite() == nil {
 			io.CopyN(io.Discard, c.TCPConn, maxBody)
 		}
 		c.Close()
 		l.mu.Lock()
-		l.telling--
-		l.ended()
+		l.refusing--
+		l.endedLocked()
 		l.mu.Unlock()
 	})
 }
 
-// end takes a connection out that has ended.
-func (l *limitedListener) end(c *clientConn) {
-	delete(l.placed, c)
-	l.table.Remove(&c.place)
-	l.ended()
-	l.serveWaiting(time.Now())
+// removeLocked takes a connection out that has ended.
+func (l *limitedListener) removeLocked(c *clientConn) {
+	delete(l.admitted, c)
+	l.table.Remove(&c.entry)
+	l.endedLocked()
+	l.admitWaitingLocked(time.Now())
 }
 
-func (l *limitedListener) ended() {
-	l.taken--
-	l.checkGone()
+func (l *limitedListener) endedLocked() {
+	l.alive--
+	l.checkAllEndedLocked()
 }
 
-func (l *limitedListener) checkGone() {
-	if !l.accepts && l.taken == 0 {
+func (l *limitedListener) checkAllEndedLocked() {
+	if !l.accepting && l.alive == 0 {
 		select {
-		case <-l.gone:
+		case <-l.allEnded:
 		default:
-			close(l.gone)
+			close(l.allEnded)
 		}
 	}
 }
@@ -451,15 +451,15 @@
 	defer l.mu.Unlock()
 	l.limits = limits
 	l.table.SetLimits(limits.Limits)
-	l.closeExcess(time.Now())
-	l.serveWaiting(time.Now())
-	l.room.Broadcast()
+	l.closeIdleOverLimitLocked(time.Now())
+	l.admitWaitingLocked(time.Now())
+	l.waitingChanged.Broadcast()
 }
 
-// closeExcess closes idle connections while there are too many.
-func (l *limitedListener) closeExcess(now time.Time) {
+// closeIdleOverLimitLocked closes idle connections while there are too many.
+func (l *limitedListener) closeIdleOverLimitLocked(now time.Time) {
 	for p := l.table.ExcessIdle(); p != nil; p = l.table.ExcessIdle() {
-		if _, ok := l.giveUp(p, now); ok {
+		if _, ok := l.evictLocked(p, now); ok {
 			l.count.OverIdle++
 		}
 	}
@@ -470,33 +470,33 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.draining = true
-	l.drainIdle(time.Now())
+	l.closeAllIdleLocked(time.Now())
 }
 
-func (l *limitedListener) drainIdle(now time.Time) {
+func (l *limitedListener) closeAllIdleLocked(now time.Time) {
 	for p := l.table.LongestIdle(); p != nil; p = l.table.LongestIdle() {
-		if _, ok := l.giveUp(p, now); ok {
+		if _, ok := l.evictLocked(p, now); ok {
 			l.count.Drained++
 		}
 	}
 }
 
-// closeRest ends every connection that has no request in work: what was read of one is refused
+// closeUnused ends every connection that has no request in work: what was read of one is refused
 // first. Those in work end with their answers.
-func (l *limitedListener) closeRest() {
+func (l *limitedListener) closeUnused() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for len(l.waiting) > 0 {
-		l.refuse(0)
+		l.refuseLocked(0)
 	}
-	for c := range l.placed {
+	for c := range l.admitted {
 		state, owed := c.closeIdle(true)
 		if state != connClosed {
 			continue
 		}
-		l.table.Remove(&c.place)
+		l.table.Remove(&c.entry)
 		if l.count.Drained++; owed {
-			l.dismissLocked(c)
+			l.refusePartialLocked(c)
 		}
 	}
 }
@@ -508,63 +508,63 @@
 	return l.draining
 }
 
-// headRead takes that a request's header is whole.
-func (l *limitedListener) headRead(c *clientConn) {
-	c.headRead()
+// headerRead takes that a request's header is whole.
+func (l *limitedListener) headerRead(c *clientConn) {
+	c.headerRead()
 	l.mu.Lock()
-	l.table.HeaderRead(&c.place)
-	l.serveWaiting(time.Now())
+	l.table.HeaderRead(&c.entry)
+	l.admitWaitingLocked(time.Now())
 	l.mu.Unlock()
 }
 
-// take marks a connection whose request is about to be taken, unless it was
+// beginRequest marks a connection whose request is about to be taken, unless it was
 // closed a moment ago.
-func (l *limitedListener) take(c *clientConn) bool {
-	if !c.take() {
+func (l *limitedListener) beginRequest(c *clientConn) bool {
+	if !c.beginRequest() {
 		return false
 	}
 	l.mu.Lock()
-	l.table.RequestStarted(&c.place, time.Now())
+	l.table.RequestStarted(&c.entry, time.Now())
 	l.mu.Unlock()
 	return true
 }
 
-// track follows the states of the server's connections.
-func (l *limitedListener) track(nc net.Conn, state http.ConnState) {
+// connStateChanged follows the states of the server's connections.
+func (l *limitedListener) connStateChanged(nc net.Conn, state http.ConnState) {
 	c := nc.(*clientConn)
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch state {
 	case http.StateActive:
-		l.table.FirstByteRead(&c.place, now)
+		l.table.FirstByteRead(&c.entry, now)
 	case http.StateIdle:
-		c.rest()
-		l.table.BecameIdle(&c.place, now)
+		c.endRequest()
+		l.table.BecameIdle(&c.entry, now)
 		if l.draining {
-			l.drainIdle(now)
+			l.closeAllIdleLocked(now)
 		} else {
-			l.closeExcess(now)
+			l.closeIdleOverLimitLocked(now)
 		}
-		l.serveWaiting(now) // there is one that may be closed now
+		l.admitWaitingLocked(now) // there is one that may be closed now
 	case http.StateClosed, http.StateHijacked:
-		l.end(c)
+		l.removeLocked(c)
 	}
 }
 
-// open returns how many connections have not ended, wherever they are.
-func (l *limitedListener) open() int {
+// openConns returns how many connections have not ended, wherever they are.
+func (l *limitedListener) openConns() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.taken
+	return l.alive
 }
 
-// speaking returns how many of them may bring a request or have brought one: those that
+// possiblyActive returns how many of them may bring a request or have brought one: those that
 // said nothing in their grace are not counted.
-func (l *limitedListener) speaking() int {
+func (l *limitedListener) possiblyActive() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.taken - l.table.SilentOverdue(time.Now())
+	return l.alive - l.table.SilentOverdue(time.Now())
 }
 
 // listenerState is what is open at a moment.
@@ -582,8 +582,8 @@
 	return l.count, listenerState{l.table.Open(), l.table.HalfOpen(), l.table.Idle(), len(l.waiting)}
 }
 
-// report logs them.
-func (l *limitedListener) report() {
+// logCounters logs them.
+func (l *limitedListener) logCounters() {
 	count, now := l.counters()
 	slog.Info("client connections", "now", now, "counters", count)
 }
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -36,7 +36,7 @@
 	host   string
 	header http.Header
 	body   []byte
-	answer chan answer // takes the one answer; never blocks
+	answer chan response // takes the one answer; never blocks
 
 	id       policy.RequestID
 	over     bool // answered, or the client has gone
@@ -62,7 +62,7 @@
 }
 
 // left says whether its client has closed the connection by now.
-func (r *request) left() bool { return r.conn != nil && r.conn.left() }
+func (r *request) left() bool { return r.conn != nil && r.conn.closedByClient() }
 
 // The events that I/O goroutines send to the loop.
 type (
@@ -71,7 +71,7 @@
 	ended   struct {
 		attempt *attempt
 		ending  policy.Ending
-		answer  *answer // with Served
+		answer  *response // with Served
 	}
 	probed struct {
 		probe *probe
@@ -98,7 +98,7 @@
 type host struct {
 	id      policy.ServerID
 	entry   client.Endpoint
-	peer    *peer
+	peer    *upstreamServer
 	started time.Duration
 	probes  []*probe      // in the order the module asked for them
 	out     int           // attempts under way
@@ -147,7 +147,7 @@
 type loop struct {
 	config *Config
 	b      *policy.Balancer
-	up     *upstreams
+	up     *transport
 	events chan any
 	local  []any // events that the loop makes itself
 	ready  atomic.Bool
@@ -194,7 +194,7 @@
 )
 
 // newLoop makes a loop that lives from now on until run has ended.
-func newLoop(c *Config, up *upstreams) (*loop, error) {
+func newLoop(c *Config, up *transport) (*loop, error) {
 	life, end := context.WithCancel(context.Background())
 	l := &loop{
 		life: life, end: end,
@@ -364,7 +364,7 @@
 	// One id, one request: a second one under the same id might run its effect twice.
 	if !l.names.claim(r.name) {
 		r.over = true
-		r.answer <- answer{status: http.StatusConflict}
+		r.answer <- response{status: http.StatusConflict}
 		return
 	}
 	l.lastID++
@@ -391,7 +391,7 @@
 	r.over = true
 	l.names.free(r.name)
 	for _, a := range r.attempts {
-		a.drop() // what was not written yet is not to be: nobody waits for it
+		a.cancelWrite() // what was not written yet is not to be: nobody waits for it
 	}
 	if r.out == 0 {
 		delete(l.requests, r.id)
@@ -399,7 +399,7 @@
 }
 
 // finish gives a request its one answer.
-func (l *loop) finish(id policy.RequestID, a answer) {
+func (l *loop) finish(id policy.RequestID, a response) {
 	if r := l.requests[id]; r != nil && !r.over {
 		l.close(r)
 		r.answer <- a
@@ -535,11 +535,11 @@
 	}
 	if h == nil {
 		l.lastHost++
-		h = &host{id: l.lastHost, peer: &peer{addr: e.Dial}}
+		h = &host{id: l.lastHost, peer: &upstreamServer{addr: e.Dial}}
 		l.hosts[e.Host], l.byID[h.id] = h, h
 	} else if h.entry.Dial != e.Dial || h.entry.BornMS != e.BornMS { // what was open to it leads nowhere now
 		l.up.pool.retire(h.peer)
-		h.peer, h.drainAt = &peer{addr: e.Dial}, 0
+		h.peer, h.drainAt = &upstreamServer{addr: e.Dial}, 0
 	}
 	// A start ahead of this machine's clock would keep an upstream cold for too
 	// long; it is taken for now, and stays so while the entry names the same start.
@@ -585,22 +585,22 @@
 	r.attempts = append(r.attempts, a)
 	r.out++
 	if h == nil || r.over {
-		a.drop()
+		a.cancelWrite()
 		a.cancel()
 		l.local = append(l.local, ended{attempt: a, ending: policy.NotSent})
 		return
 	}
-	a.to, a.host = h.peer, h
+	a.server, a.host = h.peer, h
 	h.out++
 	l.tasks.Go(func() {
-		ending, ans := l.up.try(a)
+		ending, ans := l.up.runAttempt(a)
 		l.post(ended{a, ending, ans})
 	})
 }
 
 // Refuse answers 503: trying again is harmless.
 func (l *loop) Refuse(id policy.RequestID, pause time.Duration) {
-	l.finish(id, answer{status: http.StatusServiceUnavailable, pause: pause})
+	l.finish(id, response{status: http.StatusServiceUnavailable, retryAfter: pause})
 }
 
 // Fail answers without a promise: never with 429 or 503, which are refusals.
@@ -609,7 +609,7 @@
 	if r := l.requests[id]; r != nil && (r.timedOut || r.out > 0) { // time ran out, whoever noticed first
 		status = http.StatusGatewayTimeout
 	}
-	l.finish(id, answer{status: status})
+	l.finish(id, response{status: status})
 }
 
 // Cancel gives an attempt up, which closes its connection.
--- a/internal/sidecar/meter.go
+++ b/internal/sidecar/meter.go
@@ -150,7 +150,7 @@
 	if a.host != nil {
 		host = a.host.entry.Host
 	}
-	slog.Debug("attempt ended", "request", a.req.name, "attempt", a.number, "host", host, "ending", endingNames[end], "took", time.Since(a.began))
+	slog.Debug("attempt ended", "request", a.req.name, "attempt", a.number, "host", host, "ending", endingNames[end], "took", time.Since(a.startedAt))
 }
 
 // endingNames are the module's endings in words.
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/peers_test.go
@@ -256,24 +256,24 @@
 	t.Helper()
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	go l.run(t.Context())
-	limited := limitListener(listenLoopback(t), testLimits(4))
-	limited.begin()
+	limited := newLimitedListener(listenLoopback(t), testLimits(4))
+	limited.start()
 	t.Cleanup(func() { limited.Close() })
-	s := newClients(l.config, l, testDrain(limited))
+	s := newClientHandler(l.config, l, testDrain(limited))
 	return func(c *clientConn) (aborted bool) {
 		defer func() { aborted = recover() == http.ErrAbortHandler }()
 		req := call{class: "once"}.request(t, "127.0.0.1:1")
-		s.ServeHTTP(httptest.NewRecorder(), req.WithContext(withConn(t.Context(), c)))
+		s.ServeHTTP(httptest.NewRecorder(), req.WithContext(contextWithConn(t.Context(), c)))
 		return false
 	}
 }
 
-// tryOnce carries one attempt out over a pool of its own.
-func tryOnce(ctx context.Context, p *pool, to *peer) (policy.Ending, *answer) {
+// runOneAttempt carries one attempt out over a pool of its own.
+func runOneAttempt(ctx context.Context, p *pool, to *upstreamServer) (policy.Ending, *response) {
 	r := &request{method: "POST", url: mustURL("/api"), host: "service.internal", header: http.Header{"Request-Id": {"x"}}, body: []byte("{}")}
 	a := newAttempt(ctx, r, time.Now().Add(time.Hour), time.Time{})
-	a.to = to
-	return newUpstreams(p).try(a)
+	a.server = to
+	return newTransport(p).runAttempt(a)
 }
 
 // valid says whether a text is JSON, so that a test's own list cannot be wrong by a slip.
@@ -289,19 +289,19 @@
 func closeIdle(c *clientConn, half bool) connState {
 	state, owed := c.closeIdle(half)
 	if owed {
-		c.dismiss(true)
+		c.refusePartial(true)
 	}
 	return state
 }
 
 // testDrain is a planned end without a bound in sight.
-func testDrain(l *limitedListener) *drain {
-	return newDrain(l, newGate(), time.Hour)
+func testDrain(l *limitedListener) *gracefulShutdown {
+	return newGracefulShutdown(l, newGate(), time.Hour)
 }
 
 // isBusy says whether a request of a connection has been taken and not been answered.
 func isBusy(c *clientConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.state == connBusy && !c.answered.Load()
+	return c.state == connBusy && !c.responseWritten.Load()
 }
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -16,13 +16,13 @@
 
 // waiter is a caller that waits for a connection.
 type waiter struct {
-	since time.Time
-	got   chan got // takes one value; never blocks
-	place queue.Node[*waiter]
+	since   time.Time
+	granted chan grant // takes one value; never blocks
+	node    queue.Node[*waiter]
 }
 
-type got struct {
-	conn *conn
+type grant struct {
+	conn *upstreamConn
 	err  error
 }
 
@@ -35,23 +35,23 @@
 // looks at all that are idle.
 type pool struct {
 	dialTimeout time.Duration
-	idleFor     time.Duration // an idle connection is not used for longer than this
-	life        context.Context
-	end         context.CancelFunc
+	maxIdle     time.Duration // an idle connection is not used for longer than this
+	ctx         context.Context
+	cancel      context.CancelFunc
 	dials       sync.WaitGroup
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	limits  poolLimits
-	open    int // connections, and handshakes under way
-	dialing int
-	idle    queue.List[*conn] // the longest idle first
-	resting restHeap          // the one whose rest ends first on top
-	rested  *time.Timer       // when that is
-	answers answerMemory
-	blocked queue.List[*peer] // upstreams whose next handshake a bound on all holds up
-	waiting int
-	count   poolCounters
+	mu              sync.Mutex
+	rng             *rand.Rand
+	limits          poolLimits
+	open            int // connections, and handshakes under way
+	dialing         int
+	idle            queue.List[*upstreamConn] // the longest idle first
+	quarantined     quarantineHeap            // the one whose rest ends first on top
+	quarantineTimer *time.Timer               // when that is
+	duplicates      duplicateDetector
+	blocked         queue.List[*upstreamServer] // upstreams whose next handshake a bound on all holds up
+	waiting         int
+	count           poolCounters
 }
 
 // poolCounters count what the pool decided, each decision apart.
@@ -81,32 +81,32 @@
 	// idleJitter is how much sooner, at most, in parts of the whole: connections that
 	// were opened together, by all sidecars at once, must not be opened again together.
 	idleJitter = 0.1
-	// needFor is how long what was in use at once is held to be needed. Twice that is
+	// demandWindow is how long what was in use at once is held to be needed. Twice that is
 	// well under the time upstreams keep an idle connection.
-	needFor = 10 * time.Second
-	// firstWindow is how many handshakes an upstream gets at once before one has succeeded.
-	firstWindow = 2
+	demandWindow = 10 * time.Second
+	// initialDialWindow is how many handshakes an upstream gets at once before one has succeeded.
+	initialDialWindow = 2
 )
 
 // Why the pool gave no connection, other than a handshake that failed.
 var (
-	errGone    = errors.New("the upstream has left the list")
-	errDrains  = errors.New("the upstream drains")
-	errBounded = errors.New("no connection within the limits in time")
-	errLate    = errors.New("the caller's own time was up before a connection came up")
-	errSilent  = errors.New("no connection came up in time")
+	errServerRemoved  = errors.New("the upstream has left the list")
+	errServerDraining = errors.New("the upstream drains")
+	errLimitReached   = errors.New("no connection within the limits in time")
+	errCallerTimeout  = errors.New("the caller's own time was up before a connection came up")
+	errConnectTimeout = errors.New("no connection came up in time")
 )
 
 func newPool(dialTimeout, connIdle time.Duration, limits poolLimits, seed uint64) *pool {
 	life, end := context.WithCancel(context.Background())
 	p := &pool{
 		dialTimeout: dialTimeout,
-		idleFor:     max(connIdle-idleMargin, connIdle/2),
-		life:        life, end: end,
+		maxIdle:     max(connIdle-idleMargin, connIdle/2),
+		ctx:         life, cancel: end,
 		limits: limits,
 		rng:    rand.New(rand.NewPCG(seed, 1)),
 	}
-	p.rested = time.AfterFunc(time.Hour, p.endRests)
+	p.quarantineTimer = time.AfterFunc(time.Hour, p.endQuarantines)
 	return p
 }
 
@@ -114,7 +114,7 @@
 // out are their users' to drop.
 func (p *pool) close() {
 	p.mu.Lock()
-	p.end() // under the lock: no handshake begins after it
+	p.cancel() // under the lock: no handshake begins after it
 	p.mu.Unlock()
 	p.dials.Wait()
 	p.mu.Lock()
@@ -122,10 +122,10 @@
 	for n := p.idle.Front(); n != nil; n = p.idle.Front() {
 		p.closeLocked(n.Value)
 	}
-	for len(p.resting) > 0 {
-		p.closeLocked(p.resting[0])
+	for len(p.quarantined) > 0 {
+		p.closeLocked(p.quarantined[0])
 	}
-	p.rested.Stop()
+	p.quarantineTimer.Stop()
 }
 
 // setLimits puts other limits in force. Idle connections beyond them are closed
@@ -136,14 +136,14 @@
 	p.limits = l
 	for p.open > l.Total && p.evictLocked() {
 	}
-	p.unblockLocked()
+	p.resumeBlockedLocked()
 }
 
-// get returns an idle connection to the upstream, the most recently used, or waits for one: for a handshake, or for another request to end. The error
+// acquire returns an idle connection to the upstream, the most recently used, or waits for one: for a handshake, or for another request to end. The error
 // errBounded says that the pool's own limits were the reason.
-func (p *pool) get(ctx context.Context, to *peer) (*conn, error) {
+func (p *pool) acquire(ctx context.Context, to *upstreamServer) (*upstreamConn, error) {
 	for {
-		c, err := p.takeOrWait(ctx, to)
+		c, err := p.acquireOrWait(ctx, to)
 		if err != nil {
 			return nil, err
 		}
@@ -154,79 +154,79 @@
 		p.mu.Lock()
 		p.count.Stale++
 		if excess {
-			p.excessLocked(c)
+			p.noteSurplusLocked(c)
 		}
 		p.mu.Unlock()
-		p.drop(c)
+		p.discard(c)
 	}
 }
 
-func (p *pool) takeOrWait(ctx context.Context, to *peer) (*conn, error) {
+func (p *pool) acquireOrWait(ctx context.Context, to *upstreamServer) (*upstreamConn, error) {
 	p.mu.Lock()
-	if n := to.idle.Back(); n != nil && to.closedTo() == nil {
+	if n := to.idle.Back(); n != nil && to.unavailable() == nil {
 		c := n.Value
-		p.takeLocked(c)
+		p.checkOutLocked(c)
 		p.count.Reused++
 		p.mu.Unlock()
 		return c, nil
 	}
-	err := cmp.Or(to.closedTo(), p.life.Err())
+	err := cmp.Or(to.unavailable(), p.ctx.Err())
 	if err == nil && ctx.Err() != nil {
-		err = errLate
+		err = errCallerTimeout
 	}
 	if err != nil {
 		p.mu.Unlock()
 		return nil, err
 	}
-	w := &waiter{since: time.Now(), got: make(chan got, 1)}
-	w.place.Value = w
-	to.waiting.PushBack(&w.place)
+	w := &waiter{since: time.Now(), granted: make(chan grant, 1)}
+	w.node.Value = w
+	to.waiting.PushBack(&w.node)
 	p.waiting++
 	p.count.Waited++
-	p.openLocked(to)
+	p.startDialsLocked(to)
 	p.mu.Unlock()
 
 	ctx, cancel := context.WithTimeout(ctx, p.dialTimeout)
 	defer cancel()
 	select {
-	case g := <-w.got:
+	case g := <-w.granted:
 		return g.conn, g.err
 	case <-ctx.Done():
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !w.place.Linked() { // served a moment ago
-		g := <-w.got
+	if !w.node.Linked() { // served a moment ago
+		g := <-w.granted
 		return g.conn, g.err
 	}
-	w.place.Remove()
+	w.node.Remove()
 	p.waiting--
 	p.count.LeftWaiting++
 	switch {
 	case time.Since(w.since) < p.dialTimeout:
-		return nil, errLate
-	case to.dialing > 0 && to.madeAt.Before(w.since):
-		return nil, errSilent
+		return nil, errCallerTimeout
+	case to.dialing > 0 && to.connectedAt.Before(w.since):
+		return nil, errConnectTimeout
 	}
-	return nil, errBounded
+	return nil, errLimitReached
 }
 
-// takeLocked takes an idle connection out for use.
-func (p *pool) takeLocked(c *conn) {
-	c.inPeer.Remove()
-	c.inAll.Remove()
-	c.peer.used(time.Now())
+// checkOutLocked takes an idle connection out for use.
+func (p *pool) checkOutLocked(c *upstreamConn) {
+	c.inServer.Remove()
+	c.inPool.Remove()
+	c.server.noteInUse(time.Now())
 }
 
-// openLocked begins handshakes with an upstream while somebody waits for more
+// startDialsLocked begins handshakes with an upstream while somebody waits for more
 // than are under way and the bounds allow.
-func (p *pool) openLocked(to *peer) {
+func (p *pool) startDialsLocked(to *upstreamServer) {
 	soon := 0
 	if to.waiting.Len() > 0 {
-		soon = to.restedSoon(time.Now())
+		soon = to.releasedSoon(time.Now())
 	}
-	for to.closedTo() == nil && p.life.Err() == nil && to.waiting.Len() > to.dialing+soon &&
-		to.open < p.limits.PerServer && to.dialing < min(max(to.window, firstWindow), p.limits.HandshakesPerServer) {
+	for to.unavailable() == nil && p.ctx.Err() == nil && to.waiting.Len() > to.dialing+soon &&
+		to.open < p.limits.PerServer && to.dialing < min(max(to.dialWindow, initialDialWindow), p.limits.HandshakesPerServer) {
 		if p.dialing >= p.limits.Handshakes || (p.open >= p.limits.Total && !p.evictLocked()) {
 			if to.blocked.Value = to; !to.blocked.Linked() {
 				p.blocked.PushBack(&to.blocked)
@@ -242,18 +242,18 @@
 	to.blocked.Remove()
 }
 
-// unblockLocked goes on with the upstreams that a bound on all held up, in turn.
-func (p *pool) unblockLocked() {
+// resumeBlockedLocked goes on with the upstreams that a bound on all held up, in turn.
+func (p *pool) resumeBlockedLocked() {
 	for n := p.blocked.Front(); n != nil; n = p.blocked.Front() {
-		if p.openLocked(n.Value); n.Linked() {
+		if p.startDialsLocked(n.Value); n.Linked() {
 			return // it is held up still, and so are those behind it
 		}
 	}
 }
 
 // dial opens a connection for whoever waits longest by then.
-func (p *pool) dial(to *peer) {
-	ctx, cancel := context.WithTimeout(p.life, p.dialTimeout)
+func (p *pool) dial(to *upstreamServer) {
+	ctx, cancel := context.WithTimeout(p.ctx, p.dialTimeout)
 	defer cancel()
 	begun := time.Now()
 	d := net.Dialer{KeepAlive: -1}
@@ -266,117 +266,117 @@
 	if err != nil {
 		p.open--
 		to.open--
-		if isLocal(err) { // no word against the upstream
+		if isLocalError(err) { // no word against the upstream
 			p.count.Local++
-			err = errBounded
+			err = errLimitReached
 		} else {
 			p.count.DialFailed++
-			to.window = 1
+			to.dialWindow = 1
 		}
 		if ctx.Err() != nil {
-			p.distrustLocked(to, begun)
+			p.closeUnresponsiveLocked(to, begun)
 		}
-		p.giveLocked(to, got{err: err})
-		p.openLocked(to)
-		p.unblockLocked()
+		p.grantLocked(to, grant{err: err})
+		p.startDialsLocked(to)
+		p.resumeBlockedLocked()
 		return
 	}
 	p.count.Opened++
-	to.grow()
-	to.madeAt, to.heard = now, now
-	c := &conn{Conn: nc, peer: to, idle: now}
-	c.inPeer.Value, c.inAll.Value = c, c
-	to.used(now)
-	p.putLocked(c) // nothing can be left over from an answer: it needs no rest
+	to.growDialWindow()
+	to.connectedAt, to.heardAt = now, now
+	c := &upstreamConn{Conn: nc, server: to, idleSince: now}
+	c.inServer.Value, c.inPool.Value = c, c
+	to.noteInUse(now)
+	p.releaseLocked(c) // nothing can be left over from an answer: it needs no rest
 }
 
-// giveLocked serves the one that waits longest, if any does.
-func (p *pool) giveLocked(to *peer, g got) bool {
+// grantLocked serves the one that waits longest, if any does.
+func (p *pool) grantLocked(to *upstreamServer, g grant) bool {
 	n := to.waiting.Front()
 	if n == nil {
 		return false
 	}
 	n.Remove()
 	p.waiting--
-	n.Value.got <- g
+	n.Value.granted <- g
 	return true
 }
 
-// put gives a connection back whose last answer was read to its end. One to a
+// release gives a connection back whose last answer was read to its end. One to a
 // host that has gone meanwhile is closed.
-func (p *pool) put(c *conn) {
-	c.idle = time.Now()
+func (p *pool) release(c *upstreamConn) {
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.putLocked(c)
+	p.releaseLocked(c)
 }
 
-// answered takes that a whole answer came from the upstream, whether its
+// noteResponse takes that a whole answer came from the upstream, whether its
 // connection can be used again or not.
-func (p *pool) answered(to *peer) {
+func (p *pool) noteResponse(to *upstreamServer) {
 	p.mu.Lock()
-	to.heard = time.Now()
+	to.heardAt = time.Now()
 	p.mu.Unlock()
 }
 
-// putLocked takes a connection back that carries no request, or a new one in.
-func (p *pool) putLocked(c *conn) {
-	to, fresh := c.peer, c.keep == 0
-	c.keep = time.Duration(float64(p.idleFor) * (1 - idleJitter*p.rng.Float64()))
+// releaseLocked takes a connection back that carries no request, or a new one in.
+func (p *pool) releaseLocked(c *upstreamConn) {
+	to, fresh := c.server, c.idleLimit == 0
+	c.idleLimit = time.Duration(float64(p.maxIdle) * (1 - idleJitter*p.rng.Float64()))
 	switch {
-	case to.gone:
+	case to.removed:
 		p.count.Retired++
 		p.closeLocked(c)
-	case to.drains:
+	case to.draining:
 		p.count.Drained++
 		p.closeLocked(c)
-	case p.life.Err() != nil || p.open > p.limits.Total || to.open > p.limits.PerServer: // the limits are new
+	case p.ctx.Err() != nil || p.open > p.limits.Total || to.open > p.limits.PerServer: // the limits are new
 		p.count.Evicted++
 		p.closeLocked(c)
 	case fresh:
 		p.offerLocked(c)
 	default:
-		p.restLocked(c)
+		p.quarantineLocked(c)
 	}
-	p.openLocked(to)
-	p.unblockLocked()
+	p.startDialsLocked(to)
+	p.resumeBlockedLocked()
 }
 
 // offerLocked gives a connection to who waits longest for it, or keeps it idle.
-func (p *pool) offerLocked(c *conn) {
-	if p.giveLocked(c.peer, got{conn: c}) {
+func (p *pool) offerLocked(c *upstreamConn) {
+	if p.grantLocked(c.server, grant{conn: c}) {
 		return
 	}
-	c.peer.idle.PushBack(&c.inPeer)
-	p.idle.PushBack(&c.inAll)
+	c.server.idle.PushBack(&c.inServer)
+	p.idle.PushBack(&c.inPool)
 }
 
-// drop closes a connection that came from get.
-func (p *pool) drop(c *conn) {
+// discard closes a connection that came from get.
+func (p *pool) discard(c *upstreamConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeLocked(c)
-	p.openLocked(c.peer)
-	p.unblockLocked()
+	p.startDialsLocked(c.server)
+	p.resumeBlockedLocked()
 }
 
 // closeLocked closes a connection, idle or not.
-func (p *pool) closeLocked(c *conn) {
-	c.inPeer.Remove()
-	c.inAll.Remove()
-	p.resting.remove(c)
+func (p *pool) closeLocked(c *upstreamConn) {
+	c.inServer.Remove()
+	c.inPool.Remove()
+	p.quarantined.remove(c)
 	c.Close()
 	p.open--
-	c.peer.open--
+	c.server.open--
 }
 
 // evictLocked closes the connection that has been idle longest, or else one that rests.
 func (p *pool) evictLocked() bool {
-	var c *conn
+	var c *upstreamConn
 	if n := p.idle.Front(); n != nil {
 		c = n.Value
-	} else if len(p.resting) > 0 {
-		c = p.resting[0]
+	} else if len(p.quarantined) > 0 {
+		c = p.quarantined[0]
 	} else {
 		return false
 	}
@@ -385,26 +385,26 @@
 	return true
 }
 
-// fellSilent takes that nothing came on a connection to an upstream on which a
+// noteUnresponsive takes that nothing came on a connection to an upstream on which a
 // request was written at that time.
-func (p *pool) fellSilent(to *peer, written time.Time) {
+func (p *pool) noteUnresponsive(to *upstreamServer, written time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.distrustLocked(to, written)
-	p.openLocked(to)
-	p.unblockLocked()
+	p.closeUnresponsiveLocked(to, written)
+	p.startDialsLocked(to)
+	p.resumeBlockedLocked()
 }
 
-// distrustLocked closes the idle connections to an upstream from which nothing
+// closeUnresponsiveLocked closes the idle connections to an upstream from which nothing
 // at all has come since then. A machine that vanished or was cut off says
 // nothing: a connection to it looks as good as ever, and swallows a request that
 // may never be repeated. Where another answer came meanwhile only that one
 // request was slow, and the connections are worth their handshakes.
-func (p *pool) distrustLocked(to *peer, since time.Time) {
-	if to.heard.After(since) {
+func (p *pool) closeUnresponsiveLocked(to *upstreamServer, since time.Time) {
+	if to.heardAt.After(since) {
 		return
 	}
-	for _, list := range []*queue.List[*conn]{&to.idle, &to.resting} {
+	for _, list := range []*queue.List[*upstreamConn]{&to.idle, &to.quarantined} {
 		for n := list.Front(); n != nil; n = list.Front() {
 			p.count.Distrusted++
 			p.closeLocked(n.Value)
@@ -412,15 +412,15 @@
 	}
 }
 
-// stateOf is what the list says of an upstream by now. Between its choice and the write lies a
+// serverState is what the list says of an upstream by now. Between its choice and the write lies a
 // handshake, and meanwhile the list may have said that it drains.
-func (p *pool) stateOf(to *peer) policy.EndpointState {
+func (p *pool) serverState(to *upstreamServer) policy.EndpointState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case to.gone:
+	case to.removed:
 		return policy.Removed
-	case to.drains:
+	case to.draining:
 		return policy.Draining
 	}
 	return policy.Ready
@@ -429,43 +429,43 @@
 // drain closes the idle connections to an upstream that drains, and the others as
 // they are given back; those that wait for one are told at once. If the drain is
 // called off, resume takes it back.
-func (p *pool) drain(to *peer) {
+func (p *pool) drain(to *upstreamServer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !to.drains {
-		to.drains = true
-		p.shutLocked(to, errDrains, &p.count.Drained)
+	if !to.draining {
+		to.draining = true
+		p.closeServerLocked(to, errServerDraining, &p.count.Drained)
 	}
 }
 
 // resume lets an upstream be used again that was drained.
-func (p *pool) resume(to *peer) {
+func (p *pool) resume(to *upstreamServer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	to.drains = false
+	to.draining = false
 }
 
 // retire closes the idle connections to a host that has gone, and from now on
 // every other that is given back. Whoever is at its address next has its own.
 // Those that wait for one are told at once.
-func (p *pool) retire(to *peer) {
+func (p *pool) retire(to *upstreamServer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	to.gone = true
-	p.shutLocked(to, errGone, &p.count.Retired)
+	to.removed = true
+	p.closeServerLocked(to, errServerRemoved, &p.count.Retired)
 }
 
-func (p *pool) shutLocked(to *peer, why error, counter *uint64) {
+func (p *pool) closeServerLocked(to *upstreamServer, why error, counter *uint64) {
 	to.blocked.Remove()
-	for _, list := range []*queue.List[*conn]{&to.idle, &to.resting} {
+	for _, list := range []*queue.List[*upstreamConn]{&to.idle, &to.quarantined} {
 		for n := list.Front(); n != nil; n = list.Front() {
 			*counter++
 			p.closeLocked(n.Value)
 		}
 	}
-	for p.giveLocked(to, got{err: why}) {
+	for p.grantLocked(to, grant{err: why}) {
 	}
-	p.unblockLocked()
+	p.resumeBlockedLocked()
 }
 
 // sweep closes the idle connections that are too old or not needed, that the peer
@@ -473,30 +473,30 @@
 func (p *pool) sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var next *queue.Node[*conn]
+	var next *queue.Node[*upstreamConn]
 	for n := p.idle.Front(); n != nil; n = next {
 		next = n.Next()
 		switch c := n.Value; {
-		case now.Sub(c.idle) >= c.keep:
+		case now.Sub(c.idleSince) >= c.idleLimit:
 			p.count.Expired++
 			p.closeLocked(c)
 		case p.isStaleLocked(c):
 			p.closeLocked(c)
-		case now.Sub(c.idle) >= 2*needFor && c.peer.open-c.peer.dialing > c.peer.needed(now):
+		case now.Sub(c.idleSince) >= 2*demandWindow && c.server.open-c.server.dialing > c.server.needed(now):
 			p.count.Unneeded++
 			p.closeLocked(c)
 		}
 	}
-	p.unblockLocked()
+	p.resumeBlockedLocked()
 }
 
 // isStaleLocked looks at an idle connection once, counts one that is of no use any more, and notes an excess.
-func (p *pool) isStaleLocked(c *conn) bool {
-	switch look(c.Conn) {
-	case socketQuiet:
+func (p *pool) isStaleLocked(c *upstreamConn) bool {
+	switch probeIdle(c.Conn) {
+	case socketIdle:
 		return false
-	case socketExcess:
-		p.excessLocked(c)
+	case socketReadable:
+		p.noteSurplusLocked(c)
 	}
 	p.count.Stale++
 	return true
@@ -515,11 +515,11 @@
 func (p *pool) counters() (poolCounters, poolState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.count, poolState{p.open, p.idle.Len(), len(p.resting), p.dialing, p.waiting}
+	return p.count, poolState{p.open, p.idle.Len(), len(p.quarantined), p.dialing, p.waiting}
 }
 
-// report logs them.
-func (p *pool) report() {
+// logCounters logs them.
+func (p *pool) logCounters() {
 	count, now := p.counters()
 	slog.Info("upstream connections", "now", now, "counters", count)
 }
--- a/internal/sidecar/races_test.go
+++ b/internal/sidecar/races_test.go
@@ -41,7 +41,7 @@
 func TestConnectionIsNotClosedOverWhatIsBeingRead(t *testing.T) {
 	far, c := connected(t)
 	reading, goOn := make(chan struct{}), make(chan struct{})
-	c.onRead = func() {
+	c.readHook = func() {
 		close(reading)
 		<-goOn
 	}
@@ -64,7 +64,7 @@
 	if closeIdle(c, false) != connIdle {
 		t.Error("closed as idle with half a request read")
 	}
-	if c.headRead(); closeIdle(c, false) != connClosed {
+	if c.headerRead(); closeIdle(c, false) != connClosed {
 		t.Error("not closed once that was answered")
 	}
 }
@@ -92,11 +92,11 @@
 		t.Errorf("state %d with half a request, want closed", got)
 	}
 	_, busy := connected(t)
-	busy.take()
+	busy.beginRequest()
 	if got := closeIdle(busy, true); got != connBusy {
 		t.Errorf("state %d with a request in work", got)
 	}
-	if busy.rest(); closeIdle(busy, false) != connClosed {
+	if busy.endRequest(); closeIdle(busy, false) != connClosed {
 		t.Error("not closed once it rests")
 	}
 }
@@ -104,24 +104,24 @@
 // The time in which a request may be sent again is over while it waits for a connection.
 func TestRepeatKeepsToItsWindowAtTheWrite(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
-	p, to := testPool(1), &peer{addr: u.addr}
-	ups := newUpstreams(p)
+	p, to := testPool(1), &upstreamServer{addr: u.addr}
+	ups := newTransport(p)
 	out := connections(t, p, to, 1)[0]
 	r := &request{method: "POST", url: mustURL("/api"), host: "x", header: map[string][]string{"Request-Id": {"x"}}}
 	a := newAttempt(t.Context(), r, time.Now().Add(time.Hour), time.Now().Add(20*time.Millisecond))
-	a.to = to
-	if got, _ := ups.try(a); got != policy.NotSent {
+	a.server = to
+	if got, _ := ups.runAttempt(a); got != policy.NotSent {
 		t.Errorf("waiting for a connection: ending %v, want not sent", got)
 	}
-	p.put(out)
+	p.release(out)
 	a = newAttempt(t.Context(), r, time.Now().Add(time.Hour), time.Now().Add(-time.Millisecond))
-	a.to = to
-	if got, _ := ups.try(a); got != policy.NotSent {
+	a.server = to
+	if got, _ := ups.runAttempt(a); got != policy.NotSent {
 		t.Errorf("with a connection: ending %v, want not sent", got)
 	}
 	a = newAttempt(t.Context(), r, time.Now().Add(time.Hour), time.Now().Add(time.Hour))
-	a.to = to
-	if got, _ := ups.try(a); got != policy.Served {
+	a.server = to
+	if got, _ := ups.runAttempt(a); got != policy.Served {
 		t.Errorf("in time: ending %v, want served", got)
 	}
 	if len(u.requests) != 1 {
@@ -132,12 +132,12 @@
 // The window is checked between the choice of a connection and the write, too.
 func TestRepeatIsNotWrittenAfterItsWindow(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
-	p, to := testPool(1), &peer{addr: u.addr}
-	ups := newUpstreams(p)
+	p, to := testPool(1), &upstreamServer{addr: u.addr}
+	ups := newTransport(p)
 	c := connections(t, p, to, 1)[0]
 	r := &request{method: "POST", url: mustURL("/api"), host: "x", header: map[string][]string{"Request-Id": {"x"}}}
 	a := newAttempt(t.Context(), r, time.Now().Add(time.Hour), time.Now().Add(-time.Millisecond))
-	if _, _, written, err := ups.exchange(a.ctx, a.permission(), c, r.outgoing(a.ctx)); err == nil || !written.IsZero() {
+	if _, _, written, err := ups.exchange(a.ctx, a.permit(), c, r.upstreamRequest(a.ctx)); err == nil || !written.IsZero() {
 		t.Errorf("written %v, error %v", written, err)
 	}
 	if len(u.requests) > 0 {
@@ -166,7 +166,7 @@
 	go l.run(t.Context())
 	r := &request{
 		name: "leaves", class: 2, method: "POST", url: mustURL("/api"), host: "x", header: map[string][]string{"Request-Id": {"leaves"}},
-		until: time.Now().Add(4 * time.Second), answer: make(chan answer, 1),
+		until: time.Now().Add(4 * time.Second), answer: make(chan response, 1),
 	}
 	l.post(arrived{r})
 	eventually(t, "the attempt waits", func() bool { return waiters(l.up.pool) == 1 })
@@ -174,9 +174,9 @@
 	handled := make(chan struct{})
 	l.post(ruled{done: handled})
 	await(t, "the loop", handled)
-	l.up.pool.put(out) // the attempt's turn, if it still waits
+	l.up.pool.release(out) // the attempt's turn, if it still waits
 	// The pool's one connection serves one after the other: the next request comes behind.
-	if got, _ := tryOnce(t.Context(), l.up.pool, to); got != policy.Served {
+	if got, _ := runOneAttempt(t.Context(), l.up.pool, to); got != policy.Served {
 		t.Errorf("the next attempt: ending %v", got)
 	}
 	if first := await(t, "a request", u.requests); first.Header.Get("Request-Id") == "leaves" {
@@ -230,7 +230,7 @@
 		r.conn.(*net.TCPConn).SetLinger(0) // its close is a reset
 		return "", true
 	})
-	if got, a := tryOnce(t.Context(), testPool(2), &peer{addr: u.addr}); got != policy.Broken {
+	if got, a := runOneAttempt(t.Context(), testPool(2), &upstreamServer{addr: u.addr}); got != policy.Broken {
 		t.Errorf("ending %v, answer %+v, want broken", got, a)
 	}
 }
@@ -245,11 +245,11 @@
 		"reset":  func(far net.Conn) { far.(*net.TCPConn).SetLinger(0); far.Close() },
 	} {
 		far, c := connected(t)
-		if c.left() {
+		if c.closedByClient() {
 			t.Fatal("it left before it did")
 		}
 		leave(far)
-		if eventually(t, "the close has come", c.left); serve(c) || isBusy(c) || len(u.requests) > 0 {
+		if eventually(t, "the close has come", c.closedByClient); serve(c) || isBusy(c) || len(u.requests) > 0 {
 			t.Errorf("%s: the request was taken or closed over, %d went upstream", name, len(u.requests))
 		}
 	}
@@ -262,22 +262,22 @@
 
 // parts runs a sidecar's client side and its loop, whose parts a test needs at hand. onRead is
 // called in the middle of each read from a client.
-func parts(t *testing.T, u *upstream, onRead func()) (*loop, *limitedListener, *drain) {
+func parts(t *testing.T, u *upstream, onRead func()) (*loop, *limitedListener, *gracefulShutdown) {
 	t.Helper()
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.addr, "up", 0))
-	limited := limitListener(listenLoopback(t), testLimits(4))
-	l.speaking = limited.speaking
+	limited := newLimitedListener(listenLoopback(t), testLimits(4))
+	l.speaking = limited.possiblyActive
 	ending := testDrain(limited)
-	server := newClients(l.config, l, ending).server()
+	server := newClientHandler(l.config, l, ending).newServer()
 	withRequest := server.ConnContext
 	server.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
-		c.(*clientConn).onRead = onRead
+		c.(*clientConn).readHook = onRead
 		return withRequest(ctx, c)
 	}
 	var tasks sync.WaitGroup
 	tasks.Go(func() { l.run(t.Context()) })
 	tasks.Go(func() { server.Serve(limited) })
-	limited.begin()
+	limited.start()
 	t.Cleanup(func() { // the loop's context has ended by now
 		server.Close()
 		limited.Close()
@@ -289,8 +289,8 @@
 // What a client has sent behind its request stays unread while that is in work, and hides
 // neither the client's end nor, at the end of this process, the answer: a close over it would be a reset.
 func TestClientIsWatchedBehindWhatItSentAhead(t *testing.T) {
-	const ahead = 3 * maxHeader // more than is read with the first request
-	begin := func(t *testing.T) (u *upstream, goOn chan struct{}, limited *limitedListener, ending *drain, c *net.TCPConn) {
+	const ahead = 3 * maxHeaderBytes // more than is read with the first request
+	begin := func(t *testing.T) (u *upstream, goOn chan struct{}, limited *limitedListener, ending *gracefulShutdown, c *net.TCPConn) {
 		goOn = make(chan struct{})
 		u = newUpstream(t, func(received) (string, bool) {
 			<-goOn
@@ -318,7 +318,7 @@
 		if got, _ := io.ReadAll(c); strings.Count(string(got), "HTTP/1.1 ") > 1 || !strings.HasPrefix(string(got), "HTTP/1.1 502 ") {
 			t.Errorf("its end was not seen with its request in work: it was answered %q", got)
 		}
-		eventually(t, "the connection has ended", func() bool { return limited.open() == 0 })
+		eventually(t, "the connection has ended", func() bool { return limited.openConns() == 0 })
 		close(goOn)
 	})
 	t.Run("this process ends", func(t *testing.T) {
@@ -334,7 +334,7 @@
 			t.Errorf("behind the answer's head came %q, error %v; want its body and an orderly end", rest, err)
 		}
 		c.Close()
-		eventually(t, "the connection has ended", func() bool { return limited.open() == 0 })
+		eventually(t, "the connection has ended", func() bool { return limited.openConns() == 0 })
 		if n := len(u.requests); n > 0 {
 			t.Errorf("%d requests went upstream that were read after the end", n)
 		}
@@ -357,7 +357,7 @@
 		_, now := limited.counters()
 		return now.Open == 1 && now.HalfOpen == 0
 	})
-	if err := ending.hand(); err != nil {
+	if err := ending.handOver(); err != nil {
 		t.Fatal(err)
 	}
 	if held := l.leave(); len(held) == 0 || held[0].Slots != 1 {
@@ -369,7 +369,7 @@
 		t.Fatalf("answered %+v, error %v; want 200 and the end", resp, err)
 	}
 	io.Copy(io.Discard, resp.Body)
-	await(t, "the end of its connection", limited.gone)
+	await(t, "the end of its connection", limited.allEnded)
 	if held := l.leave(); len(held) == 0 || held[0] != (policy.BulkheadCapacity{}) {
 		t.Errorf("it keeps %v at the end", held)
 	}
--- a/internal/sidecar/resting.go
+++ b/internal/sidecar/resting.go
@@ -15,136 +15,136 @@
 // all connections at rest opens one more.
 
 const (
-	// leastRest is how long a connection rests at least.
-	leastRest = 10 * time.Millisecond
-	// longRest covers a second answer that comes some milliseconds late, and a process or a network
+	// minQuarantine is how long a connection rests at least.
+	minQuarantine = 10 * time.Millisecond
+	// maxQuarantine covers a second answer that comes some milliseconds late, and a process or a network
 	// that is held up for 0.15 s.
-	longRest = 200 * time.Millisecond
+	maxQuarantine = 200 * time.Millisecond
 	// Long rests are cut short from this part of a limit on connections on, and as short as may be
 	// from the other on.
-	scarceFrom, scarceFull = 0.5, 0.9
-	// suspectFor is how long after an excess connections to its upstream take long rests.
-	suspectFor = 30 * time.Second
+	shortenFrom, shortenFull = 0.5, 0.9
+	// surplusSuspicion is how long after an excess connections to its upstream take long rests.
+	surplusSuspicion = 30 * time.Second
 )
 
-// restHeap holds connections that rest, the one whose rest ends first on top. A connection's place
+// quarantineHeap holds connections that rest, the one whose rest ends first on top. A connection's place
 // is its index and one.
-type restHeap []*conn
+type quarantineHeap []*upstreamConn
 
-func (h restHeap) Len() int           { return len(h) }
-func (h restHeap) Less(i, j int) bool { return h[i].rested.Before(h[j].rested) }
-func (h restHeap) Swap(i, j int) {
+func (h quarantineHeap) Len() int           { return len(h) }
+func (h quarantineHeap) Less(i, j int) bool { return h[i].releaseAt.Before(h[j].releaseAt) }
+func (h quarantineHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i+1, j+1
+	h[i].heapIndex, h[j].heapIndex = i+1, j+1
 }
 
 // Push is heap.Interface's.
-func (h *restHeap) Push(x any) {
-	c := x.(*conn)
+func (h *quarantineHeap) Push(x any) {
+	c := x.(*upstreamConn)
 	*h = append(*h, c)
-	c.place = len(*h)
+	c.heapIndex = len(*h)
 }
 
 // Pop is heap.Interface's.
-func (h *restHeap) Pop() any {
+func (h *quarantineHeap) Pop() any {
 	last := len(*h) - 1
 	c := (*h)[last]
 	(*h)[last] = nil
 	*h = (*h)[:last]
-	c.place = 0
+	c.heapIndex = 0
 	return c
 }
 
 // remove takes a connection out, if it is there.
-func (h *restHeap) remove(c *conn) {
-	if c.place > 0 {
-		heap.Remove(h, c.place-1)
+func (h *quarantineHeap) remove(c *upstreamConn) {
+	if c.heapIndex > 0 {
+		heap.Remove(h, c.heapIndex-1)
 	}
 }
 
-// restLocked lets a connection rest.
-func (p *pool) restLocked(c *conn) {
-	c.rested = c.idle.Add(p.restOf(c))
-	heap.Push(&p.resting, c)
-	c.peer.resting.PushBack(&c.inPeer)
-	if p.resting[0] == c {
-		p.rested.Reset(time.Until(c.rested))
+// quarantineLocked lets a connection rest.
+func (p *pool) quarantineLocked(c *upstreamConn) {
+	c.releaseAt = c.idleSince.Add(p.quarantineTime(c))
+	heap.Push(&p.quarantined, c)
+	c.server.quarantined.PushBack(&c.inServer)
+	if p.quarantined[0] == c {
+		p.quarantineTimer.Reset(time.Until(c.releaseAt))
 	}
 }
 
-// restOf is how long a connection is to rest.
-func (p *pool) restOf(c *conn) time.Duration {
-	if p.answers.sure() && c.idle.Sub(c.peer.excess) >= suspectFor {
-		return leastRest
+// quarantineTime is how long a connection is to rest.
+func (p *pool) quarantineTime(c *upstreamConn) time.Duration {
+	if p.duplicates.conclusive() && c.idleSince.Sub(c.server.surplusAt) >= surplusSuspicion {
+		return minQuarantine
 	}
-	used := max(float64(p.open)/float64(max(1, p.limits.Total)), float64(c.peer.open)/float64(max(1, p.limits.PerServer)))
-	scarce := min(1, (used-scarceFrom)/(scarceFull-scarceFrom))
+	used := max(float64(p.open)/float64(max(1, p.limits.Total)), float64(c.server.open)/float64(max(1, p.limits.PerServer)))
+	scarce := min(1, (used-shortenFrom)/(shortenFull-shortenFrom))
 	if scarce <= 0 {
-		return longRest
+		return maxQuarantine
 	}
 	p.count.ShortRest++
-	return longRest - time.Duration(scarce*float64(longRest-leastRest))
+	return maxQuarantine - time.Duration(scarce*float64(maxQuarantine-minQuarantine))
 }
 
-// restedSoon is how many connections to an upstream have rested within a moment: waiting for one
+// releasedSoon is how many connections to an upstream have rested within a moment: waiting for one
 // costs less than a handshake, which is work for the upstream and takes as long.
-func (to *peer) restedSoon(now time.Time) (soon int) {
-	by := now.Add(leastRest)
-	for n := to.resting.Front(); n != nil; n = n.Next() {
-		if !n.Value.rested.After(by) {
+func (to *upstreamServer) releasedSoon(now time.Time) (soon int) {
+	by := now.Add(minQuarantine)
+	for n := to.quarantined.Front(); n != nil; n = n.Next() {
+		if !n.Value.releaseAt.After(by) {
 			soon++
 		}
 	}
 	return soon
 }
 
-// endRests takes the connections back into use that have rested.
-func (p *pool) endRests() {
+// endQuarantines takes the connections back into use that have rested.
+func (p *pool) endQuarantines() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	for len(p.resting) > 0 && !p.resting[0].rested.After(now) {
-		p.endRestLocked(p.resting[0])
+	for len(p.quarantined) > 0 && !p.quarantined[0].releaseAt.After(now) {
+		p.endQuarantineLocked(p.quarantined[0])
 	}
-	if len(p.resting) > 0 {
-		p.rested.Reset(time.Until(p.resting[0].rested))
+	if len(p.quarantined) > 0 {
+		p.quarantineTimer.Reset(time.Until(p.quarantined[0].releaseAt))
 	}
-	p.unblockLocked()
+	p.resumeBlockedLocked()
 }
 
-// endRestLocked takes one back, unless it proves to be of no use.
-func (p *pool) endRestLocked(c *conn) {
-	p.resting.remove(c)
-	c.inPeer.Remove()
-	switch look(c.Conn) {
-	case socketExcess:
-		p.excessLocked(c)
+// endQuarantineLocked takes one back, unless it proves to be of no use.
+func (p *pool) endQuarantineLocked(c *upstreamConn) {
+	p.quarantined.remove(c)
+	c.inServer.Remove()
+	switch probeIdle(c.Conn) {
+	case socketReadable:
+		p.noteSurplusLocked(c)
 		p.closeLocked(c)
-	case socketEnded:
+	case socketClosed:
 		p.count.Stale++
 		p.closeLocked(c)
 	default:
 		p.offerLocked(c)
 	}
-	p.openLocked(c.peer)
+	p.startDialsLocked(c.server)
 }
 
-// excessLocked takes that something came on a connection that belongs to no request.
-func (p *pool) excessLocked(c *conn) {
+// noteSurplusLocked takes that something came on a connection that belongs to no request.
+func (p *pool) noteSurplusLocked(c *upstreamConn) {
 	p.count.Excess++
-	c.peer.excess = time.Now()
+	c.server.surplusAt = time.Now()
 }
 
-// sawExcess is excessLocked for who has a connection in use.
-func (p *pool) sawExcess(c *conn) {
+// noteSurplus is excessLocked for who has a connection in use.
+func (p *pool) noteSurplus(c *upstreamConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.excessLocked(c)
+	p.noteSurplusLocked(c)
 }
 
-// isLocal says whether a handshake failed for want of something on this machine: descriptors,
+// isLocalError says whether a handshake failed for want of something on this machine: descriptors,
 // buffers, ports. That is no word against the upstream, and the request was never sent.
-func isLocal(err error) bool {
+func isLocalError(err error) bool {
 	for _, local := range []error{
 		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN,
 	} {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -48,7 +48,7 @@
 	defer ln.Close()
 	pool := newPool(c.DialTimeout, c.ConnIdle, c.Connections.Servers, c.Seed)
 	defer pool.close()
-	up := newUpstreams(pool)
+	up := newTransport(pool)
 	up.loadFields = c.LoadFields
 	if c.Policy.LoadReports {
 		up.statsPath = "/stats"
@@ -72,19 +72,19 @@
 		discovery.Polls, discovery.OnLoss = l.asks, func(loss client.ListLoss) { l.post(listFailed{loss}) }
 	}
 	d := client.NewWatcher(discovery)
-	limited := limitListener(ln, c.Connections.Clients)
+	limited := newLimitedListener(ln, c.Connections.Clients)
 	defer limited.Close()
 	// What the policy of the fleet leaves of the limits on connections.
 	var ruling sync.Mutex
 	var ruled *rollout.Document
 	governed, dismiss := context.WithCancel(run)
 	defer dismiss()
-	l.speaking = limited.speaking
+	l.speaking = limited.possiblyActive
 	limited.gate = up.gate
 	l.report = func() {
-		limited.report()
-		pool.report()
-		up.gate.report()
+		limited.logCounters()
+		pool.logCounters()
+		up.gate.logCounters()
 	}
 	var gov *governor
 	ungoverned := make(chan error, 1)
@@ -135,8 +135,8 @@
 	loops.Go(func() { l.run(run) })
 	loops.Go(func() { sweep(run, pool) })
 
-	ending := newDrain(limited, up.gate, policy.ShutdownTimeout(c.Policy.Classes))
-	clients := newClients(c, l, ending)
+	ending := newGracefulShutdown(limited, up.gate, policy.ShutdownTimeout(c.Policy.Classes))
+	clients := newClientHandler(c, l, ending)
 	clients.governor, clients.adviser, clients.member = gov, adv, member
 	if member != nil {
 		loops.Go(func() { member.Run(run) })
@@ -145,26 +145,26 @@
 				if gov != nil {
 					epoch = gov.state().Epoch
 				}
-				if p := clients.phase(); p != serving {
+				if p := clients.phase(); p != phaseServing {
 					phase = p.String()
 				}
 				return phase, epoch
 			})
 		})
 	}
-	server := clients.server()
+	server := clients.newServer()
 	defer server.Close()
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(limited) }()
 	took := make(chan error, 1)
 	if old == nil {
-		limited.begin()
+		limited.start()
 		took <- nil
 	} else {
 		slog.Info("taking over", "name", c.Name, "listen", c.Listen)
 		loops.Go(func() {
 			err := old.takePlace(run, c.Takeover.readyIn(), l.ready.Load, func() {
-				limited.begin()
+				limited.start()
 				took <- nil
 			}, func(held []policy.BulkheadCapacity) { l.post(beside{held}) })
 			if err != nil {
@@ -206,7 +206,7 @@
 				continue
 			}
 			asked = nil
-			if err := ending.hand(); err != nil {
+			if err := ending.handOver(); err != nil {
 				return err
 			}
 			loops.Go(func() { next.tell(run, l.leave) })
@@ -217,8 +217,8 @@
 			stop = context.Background() // once: a second signal changes nothing
 			asked = nil                 // a new process would come too late
 			ending.begin()
-		case <-ending.due():
-			if done, err := ending.next(); done || err != nil {
+		case <-ending.phaseDue():
+			if done, err := ending.advance(); done || err != nil {
 				dismiss() // it has answered all: it gives its seat up
 				return err
 			}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -61,7 +61,7 @@
 	select {
 	case err := <-ended:
 		t.Fatalf("ended with a request unanswered: %v", err)
-	case <-time.After(lastConnections): // the listener has gone or is about to
+	case <-time.After(lateArrivalTime): // the listener has gone or is about to
 	}
 	close(release)
 	if got := await(t, "the held one's answer", held); got.status != 200 || got.body != "ok" {
@@ -100,18 +100,18 @@
 		}
 		return answer200("ok"), false
 	})
-	l, to := newTestLoop(t), &peer{addr: u.addr}
+	l, to := newTestLoop(t), &upstreamServer{addr: u.addr}
 	try := func(id string) policy.Ending {
 		r := &request{method: "GET", url: mustURL("/"), host: "x", header: http.Header{"Request-Id": {id}, "Idempotency-Key": {"k"}}}
 		a := newAttempt(t.Context(), r, time.Now().Add(time.Hour), time.Time{})
-		a.to = to
-		ending, _ := l.up.try(a)
+		a.server = to
+		ending, _ := l.up.runAttempt(a)
 		return ending
 	}
 	if got := try("first"); got != policy.Served {
 		t.Fatalf("first: ending %v", got)
 	}
-	endRests(l.up.pool)
+	endAllQuarantines(l.up.pool)
 	if got := try("breaks"); got != policy.Broken {
 		t.Errorf("on a breaking connection: ending %v, want broken", got)
 	}
@@ -123,7 +123,7 @@
 func TestConnectionsAreReused(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{probes: true}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
-	const requests, apart = 12, longRest + 20*time.Millisecond // each connection has rested by the next request
+	const requests, apart = 12, maxQuarantine + 20*time.Millisecond // each connection has rested by the next request
 	for i := range requests {
 		if got := (call{class: "keyed", id: fmt.Sprint(i)}).do(t, addr); got.status != 200 {
 			t.Fatalf("got %+v", got)
@@ -173,7 +173,7 @@
 
 func TestExactlyOneAnswer(t *testing.T) {
 	l := newTestLoop(t)
-	r := &request{name: "x", id: 7, answer: make(chan answer, 1)}
+	r := &request{name: "x", id: 7, answer: make(chan response, 1)}
 	l.requests[r.id] = r
 	l.names.claim(r.name)
 	l.Fail(r.id)
@@ -196,13 +196,13 @@
 	r := call{class: "once"}.request(t, u.addr)
 	held := &request{
 		name: "x", class: 2, until: time.Now().Add(patience), method: r.Method, url: r.URL, host: r.Host, header: r.Header,
-		answer: make(chan answer, 1),
+		answer: make(chan response, 1),
 	}
 	l.now = l.clock()
 	l.handle(arrived{held})
 	await(t, "the attempt", u.requests)
 	l.handle(left{held})
-	l.handle(ended{held.attempts[0], policy.Served, &answer{status: http.StatusOK}})
+	l.handle(ended{held.attempts[0], policy.Served, &response{status: http.StatusOK}})
 	if len(l.requests) > 0 || len(held.answer) > 0 {
 		t.Errorf("%d requests are still held, %d answers given", len(l.requests), len(held.answer))
 	}
@@ -213,8 +213,8 @@
 func TestTimeOutIsToldWhoeverNoticesFirst(t *testing.T) {
 	l := newTestLoop(t)
 	for want, r := range map[int]*request{
-		http.StatusGatewayTimeout: {name: "out", id: 7, out: 1, answer: make(chan answer, 1)},
-		http.StatusBadGateway:     {name: "broken", id: 8, answer: make(chan answer, 1)},
+		http.StatusGatewayTimeout: {name: "out", id: 7, out: 1, answer: make(chan response, 1)},
+		http.StatusBadGateway:     {name: "broken", id: 8, answer: make(chan response, 1)},
 	} {
 		l.requests[r.id] = r
 		l.Fail(r.id)
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -30,20 +30,20 @@
 	return newPool(dialTimeout, connIdle, poolLimits{most, most, most, most}, 1)
 }
 
-// endRests takes all connections that rest back into use, as if they had rested.
-func endRests(p *pool) {
+// endAllQuarantines takes all connections that rest back into use, as if they had rested.
+func endAllQuarantines(p *pool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for len(p.resting) > 0 {
-		p.endRestLocked(p.resting[0])
+	for len(p.quarantined) > 0 {
+		p.endQuarantineLocked(p.quarantined[0])
 	}
 }
 
 // connections takes n connections to an upstream out of a pool.
-func connections(t testing.TB, p *pool, to *peer, n int) (conns []*conn) {
+func connections(t testing.TB, p *pool, to *upstreamServer, n int) (conns []*upstreamConn) {
 	t.Helper()
 	for range n {
-		c, err := p.get(t.Context(), to)
+		c, err := p.acquire(t.Context(), to)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -74,9 +74,9 @@
 		"chunked, in small ones":  {text: "HTTP/1.1 200 OK\r\ntransfer-encoding: Chunked\r\n\r\n1\r\nh\r\n3;x=y\r\none\r\n1\r\ny\r\n0\r\nTrailer: x\r\n\r\n", want: policy.Served},
 		"chunked behind interim":  {text: "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n0\r\n\r\n", want: policy.Served},
 		"chunks, a length behind": {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\ncontent-length : 5\r\n\r\n5\r\nhoney\r\n0\r\n\r\n", want: policy.Broken},
-		"chunks below much else":  {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX: " + strings.Repeat("x", maxTapped) + "\r\nContent-Length: 5\r\n\r\n5\r\nhoney\r\n0\r\n\r\n", want: policy.Broken},
-		"chunks without an end":   {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1\r\nx\r\n", maxAnswerWire/6+4<<10), want: policy.Broken},
-		"without a length or end": {text: "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", maxAnswerWire+8<<10), want: policy.Broken},
+		"chunks below much else":  {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX: " + strings.Repeat("x", maxRecordedHead) + "\r\nContent-Length: 5\r\n\r\n5\r\nhoney\r\n0\r\n\r\n", want: policy.Broken},
+		"chunks without an end":   {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1\r\nx\r\n", maxResponseWire/6+4<<10), want: policy.Broken},
+		"without a length or end": {text: "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", maxResponseWire+8<<10), want: policy.Broken},
 		"chunks beside a length":  {text: "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n0\r\n\r\n", want: policy.Broken},
 		"broken chunk":            {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\nzz\r\n", want: policy.Broken},
 		"no length, and closed":   {text: "HTTP/1.1 200 OK\r\n\r\nhoney", end: true, want: policy.Served},
@@ -98,12 +98,12 @@
 		"cut body":                {text: "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhoney", end: true, want: policy.Broken},
 		"cut chunk":               {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n", end: true, want: policy.Broken},
 		"no HTTP":                 {text: "hello\r\n\r\n", end: true, want: policy.Broken},
-		"too large":               {text: answer200(strings.Repeat("x", maxAnswerBody+1)), want: policy.Broken},
-		"endless header":          {text: "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxAnswerHead), want: policy.Broken},
+		"too large":               {text: answer200(strings.Repeat("x", maxResponseBody+1)), want: policy.Broken},
+		"endless header":          {text: "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxResponseHead), want: policy.Broken},
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := newUpstream(t, func(received) (string, bool) { return c.text, c.end })
-			got, a := tryOnce(context.Background(), testPool(2), &peer{addr: u.addr})
+			got, a := runOneAttempt(context.Background(), testPool(2), &upstreamServer{addr: u.addr})
 			if got != c.want {
 				t.Errorf("ending %v, want %v", got, c.want)
 			}
@@ -121,7 +121,7 @@
 	u := newUpstream(t, always(""))
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
-	if got, _ := tryOnce(ctx, testPool(2), &peer{addr: u.addr}); got != policy.TimedOut {
+	if got, _ := runOneAttempt(ctx, testPool(2), &upstreamServer{addr: u.addr}); got != policy.TimedOut {
 		t.Errorf("ending %v, want timed out", got)
 	}
 	await(t, "the connection's end", u.closed)
@@ -134,7 +134,7 @@
 		<-u.requests
 		cancel()
 	}()
-	if got, _ := tryOnce(ctx, testPool(2), &peer{addr: u.addr}); got != policy.Cancelled {
+	if got, _ := runOneAttempt(ctx, testPool(2), &upstreamServer{addr: u.addr}); got != policy.Cancelled {
 		t.Errorf("ending %v, want cancelled", got)
 	}
 	await(t, "the connection's end", u.closed)
@@ -142,9 +142,9 @@
 
 // An answer that is too large ends its attempt when that is seen, not when the rest has come.
 func TestTooLargeAnswerIsNotWaitedFor(t *testing.T) {
-	text := answer200(strings.Repeat("x", maxAnswerBody+2))
+	text := answer200(strings.Repeat("x", maxResponseBody+2))
 	u := newUpstream(t, always(text[:len(text)-1])) // the last byte never comes
-	if got, _ := tryOnce(t.Context(), testPool(2), &peer{addr: u.addr}); got != policy.Broken {
+	if got, _ := runOneAttempt(t.Context(), testPool(2), &upstreamServer{addr: u.addr}); got != policy.Broken {
 		t.Errorf("ending %v, want broken", got)
 	}
 	await(t, "the connection's end", u.closed)
@@ -153,7 +153,7 @@
 func TestRefusedConnectionNeverRan(t *testing.T) {
 	ln := listenLoopback(t)
 	ln.Close()
-	if got, _ := tryOnce(context.Background(), testPool(2), &peer{addr: ln.Addr().String()}); got != policy.NoConnection {
+	if got, _ := runOneAttempt(context.Background(), testPool(2), &upstreamServer{addr: ln.Addr().String()}); got != policy.NoConnection {
 		t.Errorf("ending %v, want no connection", got)
 	}
 }
@@ -161,22 +161,22 @@
 // An attempt that is given up while it waits for a connection writes nothing.
 func TestEndedWhileQueuedWritesNothing(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := testPool(1), &peer{addr: u.addr}
-	held, err := p.get(context.Background(), to)
+	p, to := testPool(1), &upstreamServer{addr: u.addr}
+	held, err := p.acquire(context.Background(), to)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if got, _ := tryOnce(ctx, p, to); got != policy.NotSent {
+	if got, _ := runOneAttempt(ctx, p, to); got != policy.NotSent {
 		t.Errorf("cancelled: ending %v, want not sent", got)
 	}
 	late, done := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer done()
-	if got, _ := tryOnce(late, p, to); got != policy.NotSent {
+	if got, _ := runOneAttempt(late, p, to); got != policy.NotSent {
 		t.Errorf("timed out: ending %v, want not sent: the wait was for a connection of our own", got)
 	}
-	p.drop(held)
+	p.discard(held)
 	if len(u.requests) > 0 {
 		t.Error("a request was written")
 	}
@@ -197,14 +197,14 @@
 	}()
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
-	u := newUpstreams(testPool(1))
-	c, err := u.pool.get(ctx, &peer{addr: ln.Addr().String()})
+	u := newTransport(testPool(1))
+	c, err := u.pool.acquire(ctx, &upstreamServer{addr: ln.Addr().String()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.Conn.(*net.TCPConn).SetWriteBuffer(4 << 10)
 	req := &http.Request{Method: "GET", URL: mustURL("/"), Host: "x", Header: http.Header{"X": {strings.Repeat("x", 16<<20)}}}
-	if _, _, wrote, err := u.exchange(ctx, permission{begin: ctx}, c, req); err == nil || !wrote.IsZero() {
+	if _, _, wrote, err := u.exchange(ctx, sendPermit{writeCtx: ctx}, c, req); err == nil || !wrote.IsZero() {
 		t.Errorf("wrote %v, error %v; want an unfinished write", wrote, err)
 	}
 }
@@ -249,9 +249,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := newUpstream(t, always(c.text))
-			ups := newUpstreams(testPool(1))
+			ups := newTransport(testPool(1))
 			ups.loadFields, ups.statsPath = settings.LoadColumns{"busy_reqs", "pending"}, "/stats"
-			ok, load := ups.probe(context.Background(), &peer{addr: u.addr})
+			ok, load := ups.probe(context.Background(), &upstreamServer{addr: u.addr})
 			if ok != c.ok || load.InFlight != c.load {
 				t.Errorf("probe: %v, %v; want %v, %v", ok, load.InFlight, c.ok, c.load)
 			}
@@ -264,8 +264,8 @@
 
 func TestSilentProbeEnds(t *testing.T) {
 	u := newUpstream(t, always(""))
-	ups := newUpstreams(poolOf(500*time.Millisecond, time.Second, 1))
-	if ok, load := ups.probe(context.Background(), &peer{addr: u.addr}); ok || load.InFlight >= 0 {
+	ups := newTransport(poolOf(500*time.Millisecond, time.Second, 1))
+	if ok, load := ups.probe(context.Background(), &upstreamServer{addr: u.addr}); ok || load.InFlight >= 0 {
 		t.Errorf("probe of a silent upstream: %v, %v", ok, load)
 	}
 	await(t, "the connection's end", u.closed)
@@ -273,20 +273,20 @@
 
 func TestPoolReusesTheMostRecentConnection(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := testPool(4), &peer{addr: u.addr}
-	a, err := p.get(context.Background(), to)
+	p, to := testPool(4), &upstreamServer{addr: u.addr}
+	a, err := p.acquire(context.Background(), to)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := p.get(context.Background(), to)
+	b, err := p.acquire(context.Background(), to)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.put(a)
-	p.put(b)
-	endRests(p)
-	for _, want := range []*conn{b, a} {
-		if got, _ := p.get(context.Background(), to); got != want {
+	p.release(a)
+	p.release(b)
+	endAllQuarantines(p)
+	for _, want := range []*upstreamConn{b, a} {
+		if got, _ := p.acquire(context.Background(), to); got != want {
 			t.Errorf("got %p, want %p", got, want)
 		}
 	}
@@ -297,22 +297,22 @@
 
 func TestPoolDropsWhatThePeerClosed(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := testPool(4), &peer{addr: u.addr}
-	c, err := p.get(context.Background(), to)
+	p, to := testPool(4), &upstreamServer{addr: u.addr}
+	c, err := p.acquire(context.Background(), to)
 	if err != nil {
 		t.Fatal(err)
 	}
 	peer := await(t, "the connection", u.accepted)
-	if !quiet(c.Conn) {
+	if !isIdleSocket(c.Conn) {
 		t.Error("a live idle connection is taken for a closed one")
 	}
-	p.put(c)
-	endRests(p)
+	p.release(c)
+	endAllQuarantines(p)
 	peer.Close()
 	if _, err := c.Read(make([]byte, 1)); err == nil { // returns once the close has arrived
 		t.Fatal("the peer did not close")
 	}
-	if got, _ := p.get(context.Background(), to); got == c {
+	if got, _ := p.acquire(context.Background(), to); got == c {
 		t.Error("a closed connection was given out")
 	}
 	if n := p.opened(); n != 1 {
@@ -322,21 +322,21 @@
 
 func TestPoolClosesBeforeTheUpstreamDoes(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := poolOf(time.Second, 10*time.Second, 4), &peer{addr: u.addr}
-	c, err := p.get(context.Background(), to)
+	p, to := poolOf(time.Second, 10*time.Second, 4), &upstreamServer{addr: u.addr}
+	c, err := p.acquire(context.Background(), to)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.put(c)
-	endRests(p)
-	p.sweep(c.idle.Add(c.keep - time.Millisecond))
+	p.release(c)
+	endAllQuarantines(p)
+	p.sweep(c.idleSince.Add(c.idleLimit - time.Millisecond))
 	if p.opened() != 1 {
 		t.Error("closed too early")
 	}
-	if least := time.Duration(float64(p.idleFor) * (1 - idleJitter)); p.idleFor >= 10*time.Second || c.keep > p.idleFor || c.keep < least {
-		t.Errorf("an idle connection is kept for %v, want %v to %v", c.keep, least, p.idleFor)
+	if least := time.Duration(float64(p.maxIdle) * (1 - idleJitter)); p.maxIdle >= 10*time.Second || c.idleLimit > p.maxIdle || c.idleLimit < least {
+		t.Errorf("an idle connection is kept for %v, want %v to %v", c.idleLimit, least, p.maxIdle)
 	}
-	p.sweep(c.idle.Add(c.keep))
+	p.sweep(c.idleSince.Add(c.idleLimit))
 	await(t, "the connection's end", u.closed)
 	if p.opened() != 0 {
 		t.Error("the slot was not given back")
@@ -346,27 +346,27 @@
 // At the bound an idle connection makes way, to whatever upstream it goes.
 func TestPoolKeepsToItsBound(t *testing.T) {
 	a, b := newUpstream(t, always(answer200(""))), newUpstream(t, always(answer200("")))
-	p, toA, toB := testPool(2), &peer{addr: a.addr}, &peer{addr: b.addr}
-	first, err := p.get(context.Background(), toA)
+	p, toA, toB := testPool(2), &upstreamServer{addr: a.addr}, &upstreamServer{addr: b.addr}
+	first, err := p.acquire(context.Background(), toA)
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, err := p.get(context.Background(), toA)
+	second, err := p.acquire(context.Background(), toA)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.put(first)
-	if _, err := p.get(context.Background(), toB); err != nil {
+	p.release(first)
+	if _, err := p.acquire(context.Background(), toB); err != nil {
 		t.Fatalf("no room was made: %v", err)
 	}
 	await(t, "the idle connection's end", a.closed)
 	waits := make(chan error, 1)
 	go func() {
-		_, err := p.get(context.Background(), toB)
+		_, err := p.acquire(context.Background(), toB)
 		waits <- err
 	}()
 	await(t, "the second connection", a.accepted) // both were accepted by now
-	p.put(second)                                 // or drop, if the other waits already: either way there is room
+	p.release(second)                             // or drop, if the other waits already: either way there is room
 	if err := await(t, "a connection", waits); err != nil {
 		t.Errorf("a waiting caller got %v", err)
 	}
@@ -379,26 +379,26 @@
 // the old one may still be out by then: its connection is not the new one's.
 func TestConnectionsBelongToTheirHost(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, old := testPool(4), &peer{addr: u.addr}
-	idle, err := p.get(t.Context(), old)
+	p, old := testPool(4), &upstreamServer{addr: u.addr}
+	idle, err := p.acquire(t.Context(), old)
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, err := p.get(t.Context(), old)
+	out, err := p.acquire(t.Context(), old)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.put(idle)
+	p.release(idle)
 	p.retire(old)
 	await(t, "the idle connection's end", u.closed)
-	fresh, err := p.get(t.Context(), &peer{addr: u.addr})
+	fresh, err := p.acquire(t.Context(), &upstreamServer{addr: u.addr})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if fresh == idle || fresh == out {
 		t.Error("the new host got the old one's connection")
 	}
-	p.put(out)
+	p.release(out)
 	await(t, "the end of the one that was out", u.closed)
 	if p.opened() != 1 || p.idle.Len() != 0 {
 		t.Errorf("%d connections are open and %d idle, want 1 and none", p.opened(), p.idle.Len())
@@ -411,9 +411,9 @@
 	for name, behind := range map[string]string{"in the same write": answer200("stale"), "later": ""} {
 		t.Run(name, func(t *testing.T) {
 			u := newUpstream(t, func(r received) (string, bool) { return answer200("good") + behind, false })
-			p, to := testPool(4), &peer{addr: u.addr}
+			p, to := testPool(4), &upstreamServer{addr: u.addr}
 			for i := range 20 {
-				ending, a := tryOnce(t.Context(), p, to)
+				ending, a := runOneAttempt(t.Context(), p, to)
 				if ending != policy.Served || string(a.body) != "good" {
 					t.Fatalf("attempt %d: ending %v, answer %+v", i, ending, a)
 				}
@@ -432,27 +432,27 @@
 // long is not used while there is one that has, nor before it has.
 func TestConnectionRestsBeforeTheNextRequest(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
-	p, to := testPool(4), &peer{addr: u.addr}
-	get := func() *conn {
+	p, to := testPool(4), &upstreamServer{addr: u.addr}
+	get := func() *upstreamConn {
 		t.Helper()
-		c, err := p.get(t.Context(), to)
+		c, err := p.acquire(t.Context(), to)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return c
 	}
 	first, second := get(), get()
-	p.put(first)
-	endRests(p)
-	p.put(second)
+	p.release(first)
+	endAllQuarantines(p)
+	p.release(second)
 	if c := get(); c != first {
 		t.Error("a connection is used that had its answer a moment ago, beside one that has rested")
 	}
 	if c := get(); c == second {
-		t.Errorf("a connection is used %v after its last answer", time.Since(c.idle))
+		t.Errorf("a connection is used %v after its last answer", time.Since(c.idleSince))
 	}
 	eventually(t, "the rest is over", func() bool { _, now := p.counters(); return now.Resting == 0 })
-	if c := get(); c != second || time.Since(c.idle) < leastRest {
-		t.Errorf("a connection is used %v after its last answer", time.Since(c.idle))
+	if c := get(); c != second || time.Since(c.idleSince) < minQuarantine {
+		t.Errorf("a connection is used %v after its last answer", time.Since(c.idleSince))
 	}
 }
