--- /dev/null
+++ b/internal/registry/server/compat_group_test.go
@@ -0,0 +1,195 @@
+package server
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/hashicorp/raft"
+
+	"barleywick/internal/registry"
+)
+
+// mixedGroup is a group in which each replica runs either in the test's process, as
+// this version, or in a process of its own, as the earlier version where -earlier names
+// its program.
+type mixedGroup struct {
+	t         testing.TB
+	members   []registry.ReplicaInfo
+	paths     []string // of the configurations
+	nodes     []*node
+	processes []*process // nil: in the test's process, or not at all
+}
+
+func newMixedGroup(t testing.TB, n int) *mixedGroup {
+	t.Helper()
+	g := &mixedGroup{t: t, processes: make([]*process, n)}
+	var ids []string
+	for i := range n {
+		ids = append(ids, fmt.Sprint("r", i))
+	}
+	g.members = newMembers(t, ids...)
+	for _, m := range g.members {
+		settings := map[string]any{
+			"group": "test", "id": m.ID, "data": filepath.Join(t.TempDir(), "data"), "replicas": g.members,
+			"timing": map[string]any{"election_ms": 500}, "leases": map[string]any{"most_ttl_ms": 5000},
+		}
+		text, err := json.Marshal(settings)
+		if err != nil {
+			t.Fatal(err)
+		}
+		config, err := ParseConfig(text)
+		if err != nil {
+			t.Fatal(err)
+		}
+		g.paths = append(g.paths, writeConfig(t, settings))
+		g.nodes = append(g.nodes, &node{t: t, config: config, member: m})
+	}
+	t.Cleanup(func() {
+		for _, n := range g.nodes {
+			n.stop()
+		}
+	})
+	return g
+}
+
+// startEarlier starts a replica as the earlier version, startThis as this version.
+func (g *mixedGroup) startEarlier(i int) {
+	g.t.Helper()
+	g.processes[i] = startProcess(g.t, *earlierProgram, g.paths[i])
+}
+
+func (g *mixedGroup) startThis(i int) {
+	g.t.Helper()
+	g.processes[i] = nil
+	g.nodes[i].start()
+}
+
+func (g *mixedGroup) allReady() {
+	g.t.Helper()
+	for _, m := range g.members {
+		awaitReady(g.t, m)
+	}
+}
+
+// status is what a replica says of itself.
+func (g *mixedGroup) status(i int) (s registry.StatusResponse) {
+	g.t.Helper()
+	_, _, text := get(g.t, "http://"+g.members[i].HTTP+registry.APIPath+"status")
+	if err := json.Unmarshal([]byte(text), &s); err != nil {
+		g.t.Fatal(err)
+	}
+	return s
+}
+
+// makeLeader has one replica lead.
+func (g *mixedGroup) makeLeader(i int) {
+	g.t.Helper()
+	to := g.members[i]
+	eventually(g.t, "replica "+to.ID+" leads", func() bool {
+		for j, n := range g.nodes {
+			switch {
+			case j == i:
+			case n.up && n.raft.State() == raft.Leader:
+				n.raft.LeadershipTransferToServer(raft.ServerID(to.ID), raft.ServerAddress(to.Raft)).Error()
+			case g.processes[j] != nil && g.status(j).State == "leader": // it hands leadership over as it ends
+				g.processes[j].terminate()
+				g.startEarlier(j)
+				awaitReady(g.t, g.members[j])
+			}
+		}
+		return g.status(i).State == "leader"
+	})
+	eventually(g.t, "it takes writes", func() bool {
+		status, _, _ := do(g.t, "GET", "http://"+to.HTTP+registry.APIPath+"instances?linearizable=1", "")
+		return status == http.StatusOK
+	})
+}
+
+// writeThrough registers an instance by way of every replica: the leader takes it, and
+// the others name the leader. Then all list the same, and a lease moves.
+func (g *mixedGroup) writeThrough(leader int, round string) {
+	g.t.Helper()
+	for i, m := range g.members {
+		host := fmt.Sprintf("%s-%d", round, i)
+		body := fmt.Sprintf(`{"instance":{"host":%q,"dial":"127.0.0.1:7001","site":"a","health":"up","share":1,"born_ms":1},"session":"","ttl_ms":0}`, host)
+		url := "http://" + m.HTTP + registry.APIPath + "instances/" + host
+		if i != leader {
+			resp := g.call("PUT", url, body)
+			if want := "http://" + g.members[leader].HTTP + registry.APIPath + "instances/" + host; resp.StatusCode != http.StatusTemporaryRedirect || resp.Header.Get("Location") != want {
+				g.t.Fatalf("%s: replica %s answers %d with %q, want 307 with %q", round, m.ID, resp.StatusCode, resp.Header.Get("Location"), want)
+			}
+			url = resp.Header.Get("Location")
+		}
+		if resp := g.call("PUT", url, body); resp.StatusCode != http.StatusOK {
+			g.t.Fatalf("%s: the leader answers %d", round, resp.StatusCode)
+		}
+	}
+	lease := "lease-" + round
+	base := "http://" + g.members[leader].HTTP + registry.APIPath
+	claim := fmt.Sprintf(`"holder":"k0","incarnation":1,"ttl_ms":5000,"claim":"claim-%s"`, lease)
+	if status, _, text := do(g.t, "POST", base+"leases/"+lease+"/acquire", "{"+claim+"}"); status != http.StatusOK {
+		g.t.Errorf("%s: a lease: %d %s", round, status, text)
+	}
+	renewal := fmt.Sprintf(`{"holder":"k0","incarnation":1,"claims":[{"name":%q,"claim":"claim-%s"}]}`, lease, lease)
+	if status, _, text := do(g.t, "POST", base+"renewals", renewal); status != http.StatusOK || !strings.Contains(text, `"token":`) {
+		g.t.Errorf("%s: a renewal: %d %s", round, status, text)
+	}
+	eventually(g.t, "all replicas hold the same after "+round, func() bool {
+		var states []string
+		for _, m := range g.members {
+			_, _, text := get(g.t, "http://"+m.HTTP+registry.APIPath+"backup")
+			states = append(states, text)
+		}
+		return states[0] == states[1] && states[1] == states[2] && strings.Contains(states[0], `"`+round+`-2"`)
+	})
+}
+
+// call makes a call and follows no redirect.
+func (g *mixedGroup) call(method, url, body string) *http.Response {
+	g.t.Helper()
+	req, err := http.NewRequest(method, url, strings.NewReader(body))
+	if err != nil {
+		g.t.Fatal(err)
+	}
+	resp, err := http.DefaultTransport.RoundTrip(req)
+	if err != nil {
+		g.t.Fatal(err)
+	}
+	resp.Body.Close()
+	return resp
+}
+
+// A replica of the earlier version works in one group with replicas of this one: either
+// leads, takes writes and names the leader, and either goes on with the other's folder.
+func TestGroupWithEarlierVersion(t *testing.T) {
+	g := newMixedGroup(t, 3)
+	g.startThis(1)
+	g.startThis(2)
+	awaitReady(t, g.members[1])
+	g.startEarlier(0)
+	g.allReady()
+	awaitGrants(t, g.members[1])
+	g.makeLeader(1)
+	g.writeThrough(1, "this-leads")
+	g.makeLeader(0)
+	g.writeThrough(0, "earlier-leads")
+
+	g.processes[0].kill()
+	g.startThis(0)
+	g.allReady()
+	g.makeLeader(0)
+	g.writeThrough(0, "with-the-folder-of-the-earlier")
+
+	g.nodes[1].stop()
+	g.startEarlier(1)
+	g.allReady()
+	g.writeThrough(0, "with-the-folder-of-this")
+	g.processes[1].terminate()
+	g.startThis(1)
+	g.allReady()
+	g.writeThrough(0, "with-the-folder-of-both")
+}
--- a/internal/registry/server/server_test.go
+++ b/internal/registry/server/server_test.go
@@ -27,6 +27,13 @@
 )
 
 func TestMain(m *testing.M) {
+	if config := os.Getenv(processVariable); config != "" {
+		if err := runReplica(config); err != nil {
+			fmt.Fprintln(os.Stderr, err)
+			os.Exit(1)
+		}
+		return
+	}
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})))
 	os.Exit(m.Run())
 }
