--- a/internal/sidecar/conn.go
+++ b/internal/sidecar/client_conn.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
 	"os"
@@ -13,10 +12,7 @@
 	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"barleywick/internal/admission"
-	"barleywick/policy"
 )
 
 // clientConn is a client's connection. Closing it between requests, reading from it
@@ -187,26 +183,6 @@
 	}) == nil && gone
 }
 
-// peek looks, without reading or waiting, whether there is something to read.
-func peek(fd uintptr) (n int, err error) {
-	var b [1]byte
-	for {
-		if n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); err != syscall.EINTR {
-			return n, err
-		}
-	}
-}
-
-// hungUp says whether the peer has ended its side, whatever is still to be read before that.
-func hungUp(fd uintptr) bool {
-	p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-	n, err := unix.Poll(p, 0)
-	for err == unix.EINTR {
-		n, err = unix.Poll(p, 0)
-	}
-	return err == nil && n == 1 && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
-}
-
 // beginRequest is called before a request of the connection is acted on; if it returns
 // false the request must be left alone.
 func (c *clientConn) beginRequest() bool {
@@ -220,14 +196,6 @@
 	return true
 }
 
-// mayClose asks whether the connection may be closed.
-func (c *clientConn) mayClose(closing policy.CloseFacts) bool {
-	if c.gate == nil {
-		return closing.Decide() == policy.Allowed
-	}
-	return c.gate.mayClose(closing) == policy.Allowed
-}
-
 // endRequest takes that the request which was taken is answered.
 func (c *clientConn) endRequest() {
 	c.mu.Lock()
@@ -249,91 +217,6 @@
 	return n, err
 }
 
-// Close ends the connection. What was read of a request has its answer before that, if only a
-// refusal. Behind an answer that closes the connection there may be something unread, or on its
-// way, such as the next request: a close over that is a reset, which can take the answer with it. So
-// sending ends first, and what comes then is read for a moment, or until the client ends its side.
-func (c *clientConn) Close() error {
-	c.mu.Lock()
-	told, taken := c.refusalSent, c.state == connBusy
-	closing := policy.CloseFacts{RequestRead: c.responseOwed && c.state != connClosed, Answered: c.responseWritten.Load()}
-	c.mu.Unlock()
-	if told != nil {
-		<-told // whoever dismissed it has answered, and closes it
-		return nil
-	}
-	if closing.Decide() != policy.Allowed {
-		text := refusedResponse
-		if taken {
-			text = failedResponse // it may have run
-		}
-		err := c.writeFinal(text)
-		slog.Debug("answered as its connection ends", "client", c.RemoteAddr(), "taken", taken, "err", err)
-		closing.Answered = err == nil || c.closedByClient() // nobody is owed anything who has gone
-	}
-	if c.gate != nil {
-		c.gate.checkClosed(closing, c.RemoteAddr().String())
-	}
-	if c.responseWritten.Load() {
-		c.lingeringClose()
-	}
-	return c.TCPConn.Close()
-}
-
-// Answers that are written past the HTTP server, to a connection that ends with them.
-const (
-	refusedResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-	failedResponse  = "HTTP/1.1 502 Bad Gateway\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-)
-
-// writeFinal writes the one writeFinal that a request gets as its connection ends.
-func (c *clientConn) writeFinal(text string) error {
-	c.TCPConn.SetWriteDeadline(time.Now().Add(lingerTimeout))
-	_, err := io.WriteString(c, text)
-	return err
-}
-
-// lingeringClose ends sending, and reads what comes for a moment or until the client ends its side.
-func (c *clientConn) lingeringClose() {
-	if c.CloseWrite() == nil {
-		c.TCPConn.SetReadDeadline(time.Now().Add(lingerTimeout))
-		io.CopyN(io.Discard, c.TCPConn, maxBody)
-	}
-}
-
-// closeIdle closes the connection unless a request of it has been taken or, where half
-// a request is no reason to, something of the next one has been read. Where something was read it
-// is not closed yet: the caller has to call dismiss, which answers first.
-func (c *clientConn) closeIdle(half bool) (state connState, owed bool) {
-	c.mu.Lock()
-	closing := c.state != connClosed && c.mayClose(policy.CloseFacts{InProgress: c.state == connBusy, RequestRead: c.partialRead, Answered: half})
-	if closing {
-		c.state = connClosed
-		if owed = c.responseOwed; owed {
-			c.refusalSent = make(chan struct{})
-		}
-	}
-	state = c.state
-	c.mu.Unlock()
-	if closing && !owed {
-		c.TCPConn.Close() // at once, and without the lock: it waits for who reads
-	}
-	return state, owed
-}
-
-// refusePartial refuses what was read on a connection that closeIdle has marked, and closes it; in
-// haste, without waiting for what is still on its way.
-func (c *clientConn) refusePartial(haste bool) {
-	defer close(c.refusalSent)
-	slog.Debug("half a request refused", "client", c.RemoteAddr(), "after", time.Since(c.acceptedAt))
-	if c.writeFinal(refusedResponse) == nil && !haste {
-		c.lingeringClose()
-	} else {
-		c.discardUnread()
-	}
-	c.TCPConn.Close()
-}
-
 // awaitFirstByte waits until there is something to read, without reading it, or
 // returns why nothing will come.
 func (c *clientConn) awaitFirstByte() error {
@@ -367,18 +250,6 @@
 // errClientVanished says that a client ended its connection before it sent anything.
 var errClientVanished = errors.New("ended by the client")
 
-// maxDiscard bounds what is read of a request that is refused unread.
-const maxDiscard = 16 << 10
-
-// discardUnread reads what has come so far, without waiting for more: a connection
-// that is closed with bytes unread is reset, and its client may lose the answer.
-func (c *clientConn) discardUnread() {
-	c.raw.Control(func(fd uintptr) {
-		b := make([]byte, maxDiscard)
-		syscall.Recvfrom(int(fd), b, syscall.MSG_DONTWAIT)
-	})
-}
-
 type connKey struct{}
 
 // contextWithConn lets a handler find the connection of its request.
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -4,14 +4,11 @@
 	"cmp"
 	"context"
 	"errors"
-	"log/slog"
 	"math/rand/v2"
-	"net"
 	"sync"
 	"time"
 
 	"barleywick/internal/queue"
-	"barleywick/policy"
 )
 
 // waiter is a caller that waits for a connection.
@@ -54,26 +51,6 @@
 	count           poolCounters
 }
 
-// poolCounters count what the pool decided, each decision apart.
-type poolCounters struct {
-	Reused      uint64 `json:"Reused"`      // requests given an idle connection
-	Opened      uint64 `json:"Opened"`      // handshakes that succeeded
-	DialFailed  uint64 `json:"DialFailed"`  // that failed
-	Waited      uint64 `json:"Waited"`      // requests that found no idle connection
-	LeftWaiting uint64 `json:"LeftWaiting"` // of those, given up before there was one
-	Evicted     uint64 `json:"Evicted"`     // idle connections closed as another needed the place
-	Expired     uint64 `json:"Expired"`     // idle for as long as an upstream keeps them
-	Unneeded    uint64 `json:"Unneeded"`    // idle beyond what was in use at once lately
-	Stale       uint64 `json:"Stale"`       // closed by the upstream, or with bytes that nobody asked for
-	Distrusted  uint64 `json:"Distrusted"`  // idle to an upstream that fell silent
-	Retired     uint64 `json:"Retired"`     // to an upstream that has gone or was replaced
-	Drained     uint64 `json:"Drained"`     // to an upstream that drains
-	Excess      uint64 `json:"Excess"`      // connections on which something came that belongs to no request
-	Repeated    uint64 `json:"Repeated"`    // answers that were an earlier request's, and given to nobody
-	ShortRest   uint64 `json:"ShortRest"`   // rests cut short for want of connections
-	Local       uint64 `json:"Local"`       // handshakes that failed for want of something on this machine
-}
-
 const (
 	// idleMargin is kept to the time after which upstreams close idle connections: a
 	// request written to one that is being closed ends as a reset and may not be repeated.
@@ -218,78 +195,6 @@
 	c.server.noteInUse(time.Now())
 }
 
-// startDialsLocked begins handshakes with an upstream while somebody waits for more
-// than are under way and the bounds allow.
-func (p *pool) startDialsLocked(to *upstreamServer) {
-	soon := 0
-	if to.waiting.Len() > 0 {
-		soon = to.releasedSoon(time.Now())
-	}
-	for to.unavailable() == nil && p.ctx.Err() == nil && to.waiting.Len() > to.dialing+soon &&
-		to.open < p.limits.PerServer && to.dialing < min(max(to.dialWindow, initialDialWindow), p.limits.HandshakesPerServer) {
-		if p.dialing >= p.limits.Handshakes || (p.open >= p.limits.Total && !p.evictLocked()) {
-			if to.blocked.Value = to; !to.blocked.Linked() {
-				p.blocked.PushBack(&to.blocked)
-			}
-			return
-		}
-		p.open++
-		p.dialing++
-		to.open++
-		to.dialing++
-		p.dials.Go(func() { p.dial(to) })
-	}
-	to.blocked.Remove()
-}
-
-// resumeBlockedLocked goes on with the upstreams that a bound on all held up, in turn.
-func (p *pool) resumeBlockedLocked() {
-	for n := p.blocked.Front(); n != nil; n = p.blocked.Front() {
-		if p.startDialsLocked(n.Value); n.Linked() {
-			return // it is held up still, and so are those behind it
-		}
-	}
-}
-
-// dial opens a connection for whoever waits longest by then.
-func (p *pool) dial(to *upstreamServer) {
-	ctx, cancel := context.WithTimeout(p.ctx, p.dialTimeout)
-	defer cancel()
-	begun := time.Now()
-	d := net.Dialer{KeepAlive: -1}
-	nc, err := d.DialContext(ctx, "tcp", to.addr)
-	now := time.Now()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.dialing--
-	to.dialing--
-	if err != nil {
-		p.open--
-		to.open--
-		if isLocalError(err) { // no word against the upstream
-			p.count.Local++
-			err = errLimitReached
-		} else {
-			p.count.DialFailed++
-			to.dialWindow = 1
-		}
-		if ctx.Err() != nil {
-			p.closeUnresponsiveLocked(to, begun)
-		}
-		p.grantLocked(to, grant{err: err})
-		p.startDialsLocked(to)
-		p.resumeBlockedLocked()
-		return
-	}
-	p.count.Opened++
-	to.growDialWindow()
-	to.connectedAt, to.heardAt = now, now
-	c := &upstreamConn{Conn: nc, server: to, idleSince: now}
-	c.inServer.Value, c.inPool.Value = c, c
-	to.noteInUse(now)
-	p.releaseLocked(c) // nothing can be left over from an answer: it needs no rest
-}
-
 // grantLocked serves the one that waits longest, if any does.
 func (p *pool) grantLocked(to *upstreamServer, g grant) bool {
 	n := to.waiting.Front()
@@ -311,14 +216,6 @@
 	p.releaseLocked(c)
 }
 
-// noteResponse takes that a whole answer came from the upstream, whether its
-// connection can be used again or not.
-func (p *pool) noteResponse(to *upstreamServer) {
-	p.mu.Lock()
-	to.heardAt = time.Now()
-	p.mu.Unlock()
-}
-
 // releaseLocked takes a connection back that carries no request, or a new one in.
 func (p *pool) releaseLocked(c *upstreamConn) {
 	to, fresh := c.server, c.idleLimit == 0
@@ -369,157 +266,3 @@
 	p.open--
 	c.server.open--
 }
-
-// evictLocked closes the connection that has been idle longest, or else one that rests.
-func (p *pool) evictLocked() bool {
-	var c *upstreamConn
-	if n := p.idle.Front(); n != nil {
-		c = n.Value
-	} else if len(p.quarantined) > 0 {
-		c = p.quarantined[0]
-	} else {
-		return false
-	}
-	p.count.Evicted++
-	p.closeLocked(c)
-	return true
-}
-
-// noteUnresponsive takes that nothing came on a connection to an upstream on which a
-// request was written at that time.
-func (p *pool) noteUnresponsive(to *upstreamServer, written time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.closeUnresponsiveLocked(to, written)
-	p.startDialsLocked(to)
-	p.resumeBlockedLocked()
-}
-
-// closeUnresponsiveLocked closes the idle connections to an upstream from which nothing
-// at all has come since then. A machine that vanished or was cut off says
-// nothing: a connection to it looks as good as ever, and swallows a request that
-// may never be repeated. Where another answer came meanwhile only that one
-// request was slow, and the connections are worth their handshakes.
-func (p *pool) closeUnresponsiveLocked(to *upstreamServer, since time.Time) {
-	if to.heardAt.After(since) {
-		return
-	}
-	for _, list := range []*queue.List[*upstreamConn]{&to.idle, &to.quarantined} {
-		for n := list.Front(); n != nil; n = list.Front() {
-			p.count.Distrusted++
-			p.closeLocked(n.Value)
-		}
-	}
-}
-
-// serverState is what the list says of an upstream by now. Between its choice and the write lies a
-// handshake, and meanwhile the list may have said that it drains.
-func (p *pool) serverState(to *upstreamServer) policy.EndpointState {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	switch {
-	case to.removed:
-		return policy.Removed
-	case to.draining:
-		return policy.Draining
-	}
-	return policy.Ready
-}
-
-// drain closes the idle connections to an upstream that drains, and the others as
-// they are given back; those that wait for one are told at once. If the drain is
-// called off, resume takes it back.
-func (p *pool) drain(to *upstreamServer) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if !to.draining {
-		to.draining = true
-		p.closeServerLocked(to, errServerDraining, &p.count.Drained)
-	}
-}
-
-// resume lets an upstream be used again that was drained.
-func (p *pool) resume(to *upstreamServer) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	to.draining = false
-}
-
-// retire closes the idle connections to a host that has gone, and from now on
-// every other that is given back. Whoever is at its address next has its own.
-// Those that wait for one are told at once.
-func (p *pool) retire(to *upstreamServer) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	to.removed = true
-	p.closeServerLocked(to, errServerRemoved, &p.count.Retired)
-}
-
-func (p *pool) closeServerLocked(to *upstreamServer, why error, counter *uint64) {
-	to.blocked.Remove()
-	for _, list := range []*queue.List[*upstreamConn]{&to.idle, &to.quarantined} {
-		for n := list.Front(); n != nil; n = list.Front() {
-			*counter++
-			p.closeLocked(n.Value)
-		}
-	}
-	for p.grantLocked(to, grant{err: why}) {
-	}
-	p.resumeBlockedLocked()
-}
-
-// sweep closes the idle connections that are too old or not needed, that the peer
-// has closed, or on which something came that belongs to no request.
-func (p *pool) sweep(now time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	var next *queue.Node[*upstreamConn]
-	for n := p.idle.Front(); n != nil; n = next {
-		next = n.Next()
-		switch c := n.Value; {
-		case now.Sub(c.idleSince) >= c.idleLimit:
-			p.count.Expired++
-			p.closeLocked(c)
-		case p.isStaleLocked(c):
-			p.closeLocked(c)
-		case now.Sub(c.idleSince) >= 2*demandWindow && c.server.open-c.server.dialing > c.server.needed(now):
-			p.count.Unneeded++
-			p.closeLocked(c)
-		}
-	}
-	p.resumeBlockedLocked()
-}
-
-// isStaleLocked looks at an idle connection once, counts one that is of no use any more, and notes an excess.
-func (p *pool) isStaleLocked(c *upstreamConn) bool {
-	switch probeIdle(c.Conn) {
-	case socketIdle:
-		return false
-	case socketReadable:
-		p.noteSurplusLocked(c)
-	}
-	p.count.Stale++
-	return true
-}
-
-// poolState is what is open at a moment.
-type poolState struct {
-	Open       int `json:"Open"`
-	Idle       int `json:"Idle"`
-	Resting    int `json:"Resting"`
-	Handshakes int `json:"Handshakes"`
-	Waiting    int `json:"Waiting"`
-}
-
-// counters returns what was counted so far, and what is open now.
-func (p *pool) counters() (poolCounters, poolState) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.count, poolState{p.open, p.idle.Len(), len(p.quarantined), p.dialing, p.waiting}
-}
-
-// logCounters logs them.
-func (p *pool) logCounters() {
-	count, now := p.counters()
-	slog.Info("upstream connections", "now", now, "counters", count)
-}
--- a/internal/sidecar/resting.go
+++ b/internal/sidecar/quarantine.go
@@ -2,8 +2,6 @@
 
 import (
 	"container/heap"
-	"errors"
-	"syscall"
 	"time"
 )
 
@@ -141,16 +139,3 @@
 	defer p.mu.Unlock()
 	p.noteSurplusLocked(c)
 }
-
-// isLocalError says whether a handshake failed for want of something on this machine: descriptors,
-// buffers, ports. That is no word against the upstream, and the request was never sent.
-func isLocalError(err error) bool {
-	for _, local := range []error{
-		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN,
-	} {
-		if errors.Is(err, local) {
-			return true
-		}
-	}
-	return false
-}
