--- a/internal/sidecar/adviser.go
+++ b/internal/sidecar/adviser.go
@@ -48,21 +48,21 @@
 // word in force. Whatever fails, the sidecar goes on by what it sees itself: the word
 // that it has fades.
 type adviser struct {
-	config *adviceConfig
-	name   string
-	began  time.Time
-	names  []string // of tenants
-	loop   *loop
-	client *client.Client
-	http   *http.Client
-	at     string // where the task listens; empty: not known
-	seq    uint64
-	taker  overload.AdviceFilter
-
-	mu     sync.Mutex
-	word   overload.Advice
-	since  time.Time // when it was taken
-	failed error     // the last exchange; nil: it went well
+	config  *adviceConfig
+	name    string
+	began   time.Time
+	tenants []string // of tenants
+	loop    *loop
+	client  *client.Client
+	http    *http.Client
+	address string // where the task listens; empty: not known
+	seq     uint64
+	taker   overload.AdviceFilter
+
+	mu         sync.Mutex
+	advice     overload.Advice
+	receivedAt time.Time // when it was taken
+	lastError  error     // the last exchange; nil: it went well
 }
 
 // digested asks the loop for what came to it since it was asked last.
@@ -76,11 +76,11 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &adviser{config: c.Advice, name: c.Name, began: time.Now(), names: l.tenantNames(), loop: l, client: r.WithAddressMap(c.Advice.routes).WithTimeout(adviceCallIn), taker: overload.AdviceFilter{Fleet: c.Advice.Fleet}}
+	a := &adviser{config: c.Advice, name: c.Name, began: time.Now(), tenants: l.tenantNames(), loop: l, client: r.WithAddressMap(c.Advice.routes).WithTimeout(adviceCallIn), taker: overload.AdviceFilter{Fleet: c.Advice.Fleet}}
 	a.http = &http.Client{Timeout: adviceCallIn, Transport: &http.Transport{DialContext: c.Advice.routes.Dial(adviceCallIn), MaxConnsPerHost: 1, DisableCompression: true}}
-	l.tally = make([]overload.TenantCounts, len(a.names))
+	l.tally = make([]overload.TenantCounts, len(a.tenants))
 	for i := range l.tally {
-		l.tally[i] = overload.TenantCounts{Tenant: a.names[i], Quota: 1}
+		l.tally[i] = overload.TenantCounts{Tenant: a.tenants[i], Quota: 1}
 		if i < len(c.Policy.Tenants) {
 			l.tally[i].Quota = c.Policy.Tenants[i].Share
 		}
@@ -138,8 +138,8 @@
 		last = now
 		err := a.exchange(ctx, d)
 		a.mu.Lock()
-		was := a.failed
-		a.failed = err
+		was := a.lastError
+		a.lastError = err
 		a.mu.Unlock()
 		switch {
 		case ctx.Err() != nil:
@@ -154,7 +154,7 @@
 
 // exchange tells a digest, and takes the word that it is answered with.
 func (a *adviser) exchange(ctx context.Context, d overload.Digest) error {
-	if a.at == "" {
+	if a.address == "" {
 		r, err := a.client.Record(ctx, overload.RecordKey)
 		if err != nil {
 			return fmt.Errorf("where the task listens: %w", err)
@@ -166,33 +166,33 @@
 		if host, _, err := net.SplitHostPort(place.Address); err != nil || !net.ParseIP(host).IsLoopback() {
 			return fmt.Errorf("where the task listens: %.64q is no loopback address with a port", place.Address)
 		}
-		a.at = place.Address
+		a.address = place.Address
 	}
-	word, err := a.ask(ctx, d)
+	word, err := a.post(ctx, d)
 	if err != nil {
-		a.at = "" // another may hold it by now
+		a.address = "" // another may hold it by now
 		return err
 	}
 	if err := a.taker.Accept(word); err != nil {
 		return err
 	}
-	parts := make([]float64, len(a.names))
-	for i, name := range a.names {
+	parts := make([]float64, len(a.tenants))
+	for i, name := range a.tenants {
 		parts[i] = word.FractionFor(name)
 	}
 	a.mu.Lock()
-	a.word, a.since = word, time.Now()
+	a.advice, a.receivedAt = word, time.Now()
 	a.mu.Unlock()
 	a.loop.post(advised{policy.OverloadAdvice{AdmittedShares: parts, ValidFor: time.Duration(word.ValidMS) * time.Millisecond}})
 	return nil
 }
 
-func (a *adviser) ask(ctx context.Context, d overload.Digest) (word overload.Advice, err error) {
+func (a *adviser) post(ctx context.Context, d overload.Digest) (word overload.Advice, err error) {
 	text, err := json.Marshal(d)
 	if err != nil {
 		return word, fmt.Errorf("write digest: %w", err)
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.at+overload.Path, bytes.NewReader(text))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.address+overload.Path, bytes.NewReader(text))
 	if err != nil {
 		return word, err
 	}
@@ -206,10 +206,10 @@
 	case err != nil:
 		return word, err
 	case resp.StatusCode != http.StatusOK:
-		return word, fmt.Errorf("%s answers %d: %.200s", a.at, resp.StatusCode, bytes.TrimSpace(answer))
+		return word, fmt.Errorf("%s answers %d: %.200s", a.address, resp.StatusCode, bytes.TrimSpace(answer))
 	}
 	if err := json.Unmarshal(answer, &word); err != nil {
-		return word, fmt.Errorf("%s: %w", a.at, err)
+		return word, fmt.Errorf("%s: %w", a.address, err)
 	}
 	return word, nil
 }
@@ -227,9 +227,9 @@
 func (a *adviser) state() OverloadAdviceStatus {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	w := OverloadAdviceStatus{Advice: a.word, LastError: a.failed}
-	if !a.since.IsZero() {
-		w.Age = max(1, time.Since(a.since))
+	w := OverloadAdviceStatus{Advice: a.advice, LastError: a.lastError}
+	if !a.receivedAt.IsZero() {
+		w.Age = max(1, time.Since(a.receivedAt))
 	}
 	return w
 }
--- a/internal/sidecar/compatibility_test.go
+++ b/internal/sidecar/compatibility_test.go
@@ -114,7 +114,7 @@
 		if err := g.save(acts); err != nil {
 			t.Fatal(err)
 		}
-		got, err := os.ReadFile(g.file())
+		got, err := os.ReadFile(g.storePath())
 		if want := fixture(t, "policy/"+name+".json"); err != nil || string(got) != want {
 			t.Errorf("%s is stored as\n%s, error %v; want\n%s", name, got, err, want)
 		}
@@ -131,19 +131,19 @@
 		var enforced []*rollout.Document
 		g := &governor{
 			config: &policyConfig{FilePolicy: FilePolicy{Folder: folder}}, tenants: []string{"acme", "zeta"},
-			follow: &rollout.Follower{}, begun: time.Now().Add(-2 * askFirst),
-			enforce: func(_ context.Context, d *rollout.Document) error { enforced = append(enforced, d); return nil },
+			follower: &rollout.Follower{}, startedAt: time.Now().Add(-2 * askFirst),
+			enforcer: func(_ context.Context, d *rollout.Document) error { enforced = append(enforced, d); return nil },
 		}
-		g.fallBack(t.Context())
+		g.applyStored(t.Context())
 		want, usable := acts[name], name != "refuse" && name != "torn" && name != "changed"
 		if !usable {
-			if len(enforced) != 0 || g.may() {
-				t.Errorf("%s: enforced %v, admitting %v; want neither", name, enforced, g.may())
+			if len(enforced) != 0 || g.mayAdmit() {
+				t.Errorf("%s: enforced %v, admitting %v; want neither", name, enforced, g.mayAdmit())
 			}
 			continue
 		}
-		if len(enforced) != 1 || !reflect.DeepEqual(enforced[0], want.Effective()) || !reflect.DeepEqual(g.acts, want) || !g.may() {
-			t.Errorf("%s: enforced %+v, acts by %+v, admitting %v; want %+v", name, enforced, g.acts, g.may(), want)
+		if len(enforced) != 1 || !reflect.DeepEqual(enforced[0], want.Effective()) || !reflect.DeepEqual(g.acting, want) || !g.mayAdmit() {
+			t.Errorf("%s: enforced %+v, acts by %+v, admitting %v; want %+v", name, enforced, g.acting, g.mayAdmit(), want)
 		}
 	}
 }
--- a/internal/sidecar/governor.go
+++ b/internal/sidecar/governor.go
@@ -93,25 +93,25 @@
 // force what is to be acted by, and says so. What the sidecar's own file says stays the
 // most that it may: the stricter of both counts.
 type governor struct {
-	config  *policyConfig
-	tenants []string
-	client  *client.Client
-	member  *lease.Manager
-	enforce func(ctx context.Context, d *rollout.Document) error
-	begun   time.Time
-
-	asked, refused, failed, late atomic.Uint64 // requests since the start
-	reportedAt                   time.Time
-
-	open   atomic.Bool // it has what to act by
-	strict atomic.Bool // and only while it holds its lease
-	term   atomic.Pointer[lease.Handle]
-
-	mu     sync.Mutex
-	follow *rollout.Follower
-	acts   rollout.ActivePolicy
-	since  time.Time
-	saved  bool // it acts by its folder
+	config    *policyConfig
+	tenants   []string
+	client    *client.Client
+	leases    *lease.Manager
+	enforcer  func(ctx context.Context, d *rollout.Document) error
+	startedAt time.Time
+
+	requests, refused, failed, late atomic.Uint64 // requests since the start
+	reportedAt                      time.Time
+
+	admitting     atomic.Bool // it has what to act by
+	leaseRequired atomic.Bool // and only while it holds its lease
+	leaseTerm     atomic.Pointer[lease.Handle]
+
+	mu          sync.Mutex
+	follower    *rollout.Follower
+	acting      rollout.ActivePolicy
+	actingSince time.Time
+	fromStore   bool // it acts by its folder
 }
 
 func newGovernor(c *Config, enforce func(ctx context.Context, d *rollout.Document) error) (*governor, error) {
@@ -119,20 +119,20 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &governor{config: c.Govern, tenants: c.Tenants, client: r.WithAddressMap(c.Govern.routes), enforce: enforce, begun: time.Now()}
-	me := rollout.Member{Name: c.Name, Incarnation: uint64(g.begun.UnixMicro())}
-	g.follow = &rollout.Follower{Self: me, Supports: g.can}
+	g := &governor{config: c.Govern, tenants: c.Tenants, client: r.WithAddressMap(c.Govern.routes), enforcer: enforce, startedAt: time.Now()}
+	me := rollout.Member{Name: c.Name, Incarnation: uint64(g.startedAt.UnixMicro())}
+	g.follower = &rollout.Follower{Self: me, Supports: g.checkSupported}
 	if c.Govern.Machine != "" {
-		g.follow.Process = rollout.Process{Machine: c.Govern.Machine, PID: os.Getpid(), StartTicks: rollout.ProcessStartTicks(os.Getpid())}
+		g.follower.Process = rollout.Process{Machine: c.Govern.Machine, PID: os.Getpid(), StartTicks: rollout.ProcessStartTicks(os.Getpid())}
 	}
-	g.member = lease.NewManager(lease.Options{
+	g.leases = lease.NewManager(lease.Options{
 		Registry: r, TTL: time.Duration(c.Govern.LeaseMS) * time.Millisecond, Holder: registry.Holder{Name: me.Name, Incarnation: me.Incarnation},
 	})
 	return g, nil
 }
 
-// can says whether this sidecar could act by a document.
-func (g *governor) can(d *rollout.Document) error {
+// checkSupported says whether this sidecar could act by a document.
+func (g *governor) checkSupported(d *rollout.Document) error {
 	if err := d.Check(); err != nil {
 		return err
 	}
@@ -144,9 +144,9 @@
 	return nil
 }
 
-// note counts the end of a request, for the comparison of those that go ahead.
-func (g *governor) note(status int, took, aim time.Duration) {
-	g.asked.Add(1)
+// recordOutcome counts the end of a request, for the comparison of those that go ahead.
+func (g *governor) recordOutcome(status int, took, aim time.Duration) {
+	g.requests.Add(1)
 	switch outcome := outcomeOf(status); {
 	case outcome == outcomeRefused:
 		g.refused.Add(1)
@@ -158,18 +158,18 @@
 }
 
 func (g *governor) counts() rollout.RequestCounts {
-	return rollout.RequestCounts{Requests: g.asked.Load(), Refused: g.refused.Load(), Failed: g.failed.Load(), Late: g.late.Load()}
+	return rollout.RequestCounts{Requests: g.requests.Load(), Refused: g.refused.Load(), Failed: g.failed.Load(), Late: g.late.Load()}
 }
 
-// may says whether a new request may be taken now.
-func (g *governor) may() bool {
-	if !g.open.Load() {
+// mayAdmit says whether a new request mayAdmit be taken now.
+func (g *governor) mayAdmit() bool {
+	if !g.admitting.Load() {
 		return false
 	}
-	if !g.strict.Load() {
+	if !g.leaseRequired.Load() {
 		return true
 	}
-	t := g.term.Load()
+	t := g.leaseTerm.Load()
 	return t != nil && t.Held()
 }
 
@@ -181,54 +181,54 @@
 	var beside sync.WaitGroup
 	defer beside.Wait()
 	defer end()
-	beside.Go(func() { g.member.Run(life) })
+	beside.Go(func() { g.leases.Run(life) })
 	var hold context.CancelFunc = func() {}
 	defer func() { hold() }()
 	holding := false
 	for ctx.Err() == nil {
 		g.mu.Lock()
-		fatal := g.follow.Fatal()
-		acts, may := g.follow.Active()
+		fatal := g.follower.Fatal()
+		acts, may := g.follower.Active()
 		g.mu.Unlock()
 		if fatal != nil {
-			g.goodbye(ctx)
+			g.leaveRoster(ctx)
 			return fmt.Errorf("policy: epoch %d cannot be acted by here: %w", acts.Epoch, fatal)
 		}
-		if err := g.act(ctx, acts, may); err != nil {
+		if err := g.apply(ctx, acts, may); err != nil {
 			return err
 		}
-		if want := g.strict.Load(); want != holding {
+		if want := g.leaseRequired.Load(); want != holding {
 			if hold(); want {
 				in, cancel := context.WithCancel(ctx)
 				hold = cancel
-				beside.Go(func() { g.sit(in) })
+				beside.Go(func() { g.holdRosterLease(in) })
 			}
 			holding = want
 		}
-		if err := g.talk(ctx); err != nil && ctx.Err() == nil {
+		if err := g.synchronize(ctx); err != nil && ctx.Err() == nil {
 			slog.Warn("policy: the registry is out of reach", "err", err)
-			g.fallBack(ctx)
+			g.applyStored(ctx)
 			select {
 			case <-time.After(policyAgain/2 + rand.N(policyAgain)):
 			case <-ctx.Done():
 			}
 		}
 	}
-	g.goodbye(ctx)
+	g.leaveRoster(ctx)
 	return nil
 }
 
-// act puts in force what is to be acted by, keeps it in the folder, and only then counts.
-func (g *governor) act(ctx context.Context, acts rollout.ActivePolicy, may bool) error {
+// apply puts in force what is to be acted by, keeps it in the folder, and only then counts.
+func (g *governor) apply(ctx context.Context, acts rollout.ActivePolicy, may bool) error {
 	g.mu.Lock()
-	same := g.open.Load() && may && acts.Epoch == g.acts.Epoch && acts.JointChange == g.acts.JointChange && !g.saved
-	by := g.saved
+	same := g.admitting.Load() && may && acts.Epoch == g.acting.Epoch && acts.JointChange == g.acting.JointChange && !g.fromStore
+	by := g.fromStore
 	g.mu.Unlock()
 	if same {
 		return nil
 	}
 	if !may {
-		if !by && g.open.Swap(false) {
+		if !by && g.admitting.Swap(false) {
 			slog.Error("policy: this sidecar has no seat any more and refuses new requests")
 		}
 		return nil
@@ -238,30 +238,30 @@
 		slog.Error("policy: the folder cannot be written", "err", err)
 		if acts.JointChange != 0 { // there is a way back still
 			g.mu.Lock()
-			g.follow.Refuse(err)
+			g.follower.Refuse(err)
 			g.mu.Unlock()
 			return nil
 		}
 	}
-	if err := g.enforce(ctx, d); err != nil {
+	if err := g.enforcer(ctx, d); err != nil {
 		return err
 	}
 	g.mu.Lock()
-	g.acts, g.since, g.saved = acts, time.Now(), false
+	g.acting, g.actingSince, g.fromStore = acts, time.Now(), false
 	g.mu.Unlock()
-	g.strict.Store(d != nil && d.Mode == rollout.ModeRefuse)
-	g.open.Store(true)
+	g.leaseRequired.Store(d != nil && d.Mode == rollout.ModeRefuse)
+	g.admitting.Store(true)
 	slog.Info("policy: in force", "epoch", acts.Epoch, "joint_with", acts.JointChange)
 	return nil
 }
 
-// talk says what is to be said, or waits for news.
-func (g *governor) talk(ctx context.Context) error {
+// synchronize says what is to be said, or waits for news.
+func (g *governor) synchronize(ctx context.Context) error {
 	g.mu.Lock()
-	step, any := g.follow.NextCommand()
-	me, version := g.follow.Self, g.follow.Version()
+	step, any := g.follower.NextCommand()
+	me, version := g.follower.Self, g.follower.Version()
 	wait := policyWatch
-	if number, wanted := g.follow.ReportsWanted(); wanted && !any {
+	if number, wanted := g.follower.ReportsWanted(); wanted && !any {
 		if wait = reportEvery - time.Since(g.reportedAt); wait <= 0 {
 			step, any, g.reportedAt = rollout.Command{Op: rollout.OpReport, Member: me, ChangeNumber: number, Counts: g.counts()}, true, time.Now()
 		}
@@ -282,33 +282,33 @@
 	defer g.mu.Unlock()
 	switch {
 	case err == nil:
-		g.follow.HandleResult(step, nil)
+		g.follower.HandleResult(step, nil)
 		if step.Refusal != "" {
 			slog.Warn("policy: refused here", "change", step.ChangeNumber, "why", step.Refusal)
 		}
-		g.follow.HandleView(v)
+		g.follower.HandleView(v)
 	case errors.Is(err, registry.ErrNotFound):
-		g.follow.HandleResult(step, rollout.ErrNotFound)
+		g.follower.HandleResult(step, rollout.ErrNotFound)
 		return nil
 	case errors.Is(err, registry.ErrConflict) && step.Op == rollout.OpJoin: // evicted, or a later process has the name
-		g.follow.LostMembership()
+		g.follower.LostMembership()
 	case errors.Is(err, registry.ErrConflict): // what it has is out of date
 		g.mu.Unlock()
 		v, err = g.client.PolicyView(ctx, me, 0, 0)
 		g.mu.Lock()
 		if err == nil {
-			g.follow.HandleView(v)
+			g.follower.HandleView(v)
 		}
 	}
 	return err
 }
 
-// sit holds the lease under which this sidecar serves, where the policy says so.
-func (g *governor) sit(ctx context.Context) {
-	name := registry.RosterLeasePrefix + g.follow.Self.Name
-	err := g.member.Hold(ctx, name, func(ctx context.Context, t *lease.Handle) error {
-		g.term.Store(t)
-		defer g.term.Store(nil)
+// holdRosterLease holds the lease under which this sidecar serves, where the policy says so.
+func (g *governor) holdRosterLease(ctx context.Context) {
+	name := registry.RosterLeasePrefix + g.follower.Self.Name
+	err := g.leases.Hold(ctx, name, func(ctx context.Context, t *lease.Handle) error {
+		g.leaseTerm.Store(t)
+		defer g.leaseTerm.Store(nil)
 		<-ctx.Done()
 		return ctx.Err()
 	})
@@ -317,29 +317,29 @@
 	}
 }
 
-// goodbye gives the seat up: no change waits for this sidecar, and what it held must
+// leaveRoster gives the seat up: no change waits for this sidecar, and what it held must
 // not be served by any more.
-func (g *governor) goodbye(ctx context.Context) {
+func (g *governor) leaveRoster(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), policyCallIn/2)
 	defer cancel()
-	if _, err := g.client.ApplyPolicyStep(ctx, rollout.Command{Op: rollout.OpLeave, Member: g.follow.Self}, nil); err != nil {
+	if _, err := g.client.ApplyPolicyStep(ctx, rollout.Command{Op: rollout.OpLeave, Member: g.follower.Self}, nil); err != nil {
 		slog.Warn("policy: the seat is not given up: a change waits for this name until it starts again or is evicted", "err", err)
 		return
 	}
 	if g.config.Folder != "" {
-		if err := os.Remove(g.file()); err != nil && !errors.Is(err, os.ErrNotExist) {
+		if err := os.Remove(g.storePath()); err != nil && !errors.Is(err, os.ErrNotExist) {
 			slog.Warn("policy: the folder keeps what was held", "err", err)
 		}
 	}
 }
 
-// kept is what the folder holds: what was acted by last.
-type kept struct {
-	Sum  string          `json:"sum"` // of acts
-	Acts json.RawMessage `json:"acts"`
+// storedPolicy is what the folder holds: what was acted by last.
+type storedPolicy struct {
+	Checksum string          `json:"sum"` // of acts
+	Acting   json.RawMessage `json:"acts"`
 }
 
-func (g *governor) file() string { return filepath.Join(g.config.Folder, "policy.json") }
+func (g *governor) storePath() string { return filepath.Join(g.config.Folder, "policy.json") }
 
 // save keeps what is about to be acted by. It is written before the registry is told:
 // a process that starts again holds no less than this one has confirmed.
@@ -351,8 +351,8 @@
 	if err != nil {
 		return fmt.Errorf("policy: %w", err)
 	}
-	if text, err = json.Marshal(kept{rollout.Checksum(text), text}); err == nil {
-		err = writeAtomic(g.file(), text)
+	if text, err = json.Marshal(storedPolicy{rollout.Checksum(text), text}); err == nil {
+		err = writeAtomic(g.storePath(), text)
 	}
 	if err != nil {
 		return fmt.Errorf("policy: keep what is held: %w", err)
@@ -376,42 +376,42 @@
 	return err
 }
 
-// fallBack serves by the folder while nobody can be asked: only a start does, and only
+// applyStored serves by the folder while nobody can be asked: only a start does, and only
 // under a policy that lets sidecars carry on.
-func (g *governor) fallBack(ctx context.Context) {
-	if g.open.Load() || g.config.Folder == "" || time.Since(g.begun) < askFirst || g.follow.Version() != 0 {
+func (g *governor) applyStored(ctx context.Context) {
+	if g.admitting.Load() || g.config.Folder == "" || time.Since(g.startedAt) < askFirst || g.follower.Version() != 0 {
 		return
 	}
-	var k kept
+	var k storedPolicy
 	var acts rollout.ActivePolicy
-	text, err := os.ReadFile(g.file())
+	text, err := os.ReadFile(g.storePath())
 	if errors.Is(err, os.ErrNotExist) {
 		return
 	}
 	if err == nil {
 		err = json.Unmarshal(text, &k)
 	}
-	if err == nil && rollout.Checksum(k.Acts) != k.Sum {
+	if err == nil && rollout.Checksum(k.Acting) != k.Checksum {
 		err = errors.New("its checksum is wrong")
 	}
 	if err == nil {
-		err = json.Unmarshal(k.Acts, &acts)
+		err = json.Unmarshal(k.Acting, &acts)
 	}
 	if err != nil {
-		slog.Error("policy: what the folder holds is of no use", "file", g.file(), "err", err)
+		slog.Error("policy: what the folder holds is of no use", "file", g.storePath(), "err", err)
 		return
 	}
 	d := acts.Effective()
-	if d != nil && (d.Mode == rollout.ModeRefuse || g.can(d) != nil) {
+	if d != nil && (d.Mode == rollout.ModeRefuse || g.checkSupported(d) != nil) {
 		return // not enough to serve by
 	}
-	if err := g.enforce(ctx, d); err != nil {
+	if err := g.enforcer(ctx, d); err != nil {
 		return
 	}
 	g.mu.Lock()
-	g.acts, g.since, g.saved = acts, time.Now(), true
+	g.acting, g.actingSince, g.fromStore = acts, time.Now(), true
 	g.mu.Unlock()
-	g.open.Store(true)
+	g.admitting.Store(true)
 	slog.Error("policy: nobody can be asked: serving by what the folder holds", "epoch", acts.Epoch, "joint_with", acts.JointChange)
 }
 
@@ -428,8 +428,8 @@
 func (g *governor) state() FleetPolicyStatus {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	_, stage, refused := g.follow.Summary()
-	return FleetPolicyStatus{Epoch: g.acts.Epoch, JointChange: g.acts.JointChange, Stage: stage, Since: g.since, Admitting: g.may(), FromStore: g.saved, RefusalReason: refused}
+	_, stage, refused := g.follower.Summary()
+	return FleetPolicyStatus{Epoch: g.acting.Epoch, JointChange: g.acting.JointChange, Stage: stage, Since: g.actingSince, Admitting: g.mayAdmit(), FromStore: g.fromStore, RefusalReason: refused}
 }
 
 func (s FleetPolicyStatus) String() string {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -27,7 +27,7 @@
 // take its own.
 func Run(stop context.Context, reload <-chan os.Signal, c *Config) error {
 	if c.Takeover != nil {
-		old, err := reach(c)
+		old, err := dialPredecessor(c)
 		if err != nil {
 			return err
 		}
@@ -101,7 +101,7 @@
 		if err != nil {
 			return err
 		}
-		l.gate, l.policy, l.note = gov.may, gov.state, gov.note
+		l.gate, l.policy, l.note = gov.mayAdmit, gov.state, gov.recordOutcome
 		loops.Go(func() {
 			if err := gov.run(governed); err != nil {
 				ungoverned <- err
@@ -163,7 +163,7 @@
 	} else {
 		slog.Info("taking over", "name", c.Name, "listen", c.Listen)
 		loops.Go(func() {
-			err := old.takePlace(run, c.Takeover.readyIn(), l.ready.Load, func() {
+			err := old.takeOver(run, c.Takeover.readyIn(), l.ready.Load, func() {
 				limited.start()
 				took <- nil
 			}, func(held []policy.BulkheadCapacity) { l.post(beside{held}) })
@@ -193,15 +193,15 @@
 			if c.Takeover == nil {
 				continue
 			}
-			if offered, err = offer(c, ln); err != nil {
+			if offered, err = listenForSuccessor(c, ln); err != nil {
 				slog.Error("no new process can take this one's place", "err", err)
 				continue
 			}
-			asked = offered.asked
+			asked = offered.successors
 		case err := <-ungoverned:
 			return err
 		case next := <-asked:
-			if err := offered.give(next); err != nil {
+			if err := offered.handOver(next); err != nil {
 				slog.Warn("the place is not given away: this process goes on", "err", err)
 				continue
 			}
@@ -209,7 +209,7 @@
 			if err := ending.handOver(); err != nil {
 				return err
 			}
-			loops.Go(func() { next.tell(run, l.leave) })
+			loops.Go(func() { next.reportReserved(run, l.leave) })
 		case <-stop.Done():
 			if !inPlace && len(took) == 0 {
 				return nil // the old process goes on
--- a/internal/sidecar/takeover.go
+++ b/internal/sidecar/takeover.go
@@ -137,8 +137,8 @@
 	listener net.Listener
 }
 
-// reach asks the process that serves now, if there is one, for its listening socket.
-func reach(c *Config) (*predecessor, error) {
+// dialPredecessor asks the process that serves now, if there is one, for its listening socket.
+func dialPredecessor(c *Config) (*predecessor, error) {
 	d := net.Dialer{Timeout: answerIn}
 	nc, err := d.Dial("unix", c.Takeover.Socket)
 	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
@@ -148,14 +148,14 @@
 		return nil, fmt.Errorf("take-over: %w", err)
 	}
 	p := &predecessor{conn: nc.(*net.UnixConn)}
-	if err := p.take(c); err != nil {
+	if err := p.receiveSocket(c); err != nil {
 		nc.Close()
 		return nil, err
 	}
 	return p, nil
 }
 
-func (p *predecessor) take(c *Config) error {
+func (p *predecessor) receiveSocket(c *Config) error {
 	if err := send(p.conn, message{Kind: msgHello, Name: c.Name, Listen: c.Listen}, nil); err != nil {
 		return fmt.Errorf("take-over: %w", err)
 	}
@@ -213,13 +213,13 @@
 	return fds[0], nil
 }
 
-// ready tells the old process that this one could serve, waits until it may, and
+// waitForPlace tells the old process that this one could serve, waits until it may, and
 // returns what the old one still holds: nothing if it has died.
-func (p *predecessor) ready() ([]policy.BulkheadCapacity, error) {
-	if err := send(p.conn, message{Kind: msgReady}, nil); err != nil && !died(err) {
+func (p *predecessor) waitForPlace() ([]policy.BulkheadCapacity, error) {
+	if err := send(p.conn, message{Kind: msgReady}, nil); err != nil && !isDisconnect(err) {
 		return nil, fmt.Errorf("take-over: %w", err)
 	}
-	if _, err := receive(p.conn, p.in, msgYours, 0); died(err) {
+	if _, err := receive(p.conn, p.in, msgYours, 0); isDisconnect(err) {
 		slog.Warn("take-over: the old process has died, its place is this one's")
 		return nil, nil
 	} else if err != nil {
@@ -232,14 +232,14 @@
 	return m.Held, nil
 }
 
-// died says whether an error means that the other process has ended without a word: one that lives
+// isDisconnect says whether an error means that the other process has ended without a word: one that lives
 // says why before it hangs up.
-func died(err error) bool {
+func isDisconnect(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// follow hears what the old process still holds, until it ends.
-func (p *predecessor) follow(beside func(held []policy.BulkheadCapacity)) {
+// followReserved hears what the old process still holds, until it ends.
+func (p *predecessor) followReserved(beside func(held []policy.BulkheadCapacity)) {
 	defer beside(nil)
 	for {
 		m, err := receive(p.conn, p.in, msgHeld, answerIn)
@@ -252,10 +252,10 @@
 
 func (p *predecessor) close() { p.conn.Close() }
 
-// takePlace waits until this process has a list, then takes the place of the old one,
+// takeOver waits until this process has a list, then takes the place of the old one,
 // and passes on what that still holds until it ends. begin is called when this one
 // may accept.
-func (p *predecessor) takePlace(
+func (p *predecessor) takeOver(
 	ctx context.Context, within time.Duration, isReady func() bool, begin func(), beside func(held []policy.BulkheadCapacity),
 ) error {
 	defer context.AfterFunc(ctx, p.close)()
@@ -270,13 +270,13 @@
 			return fmt.Errorf("take-over: no list within %v: %w", within, waiting.Err())
 		}
 	}
-	held, err := p.ready()
+	held, err := p.waitForPlace()
 	if err != nil {
 		return err
 	}
 	beside(held)
 	begin()
-	p.follow(beside)
+	p.followReserved(beside)
 	return nil
 }
 
@@ -285,28 +285,28 @@
 	socket *net.UnixListener
 	config *Config
 	raw    syscall.RawConn // of the listening socket
-	// asked is sent one value when a new process is ready; the owner answers it by
+	// successors is sent one value when a new process is ready; the owner answers it by
 	// calling yours, once it accepts no more.
-	asked chan *successor
-	tasks sync.WaitGroup
+	successors chan *successor
+	tasks      sync.WaitGroup
 
-	mu     sync.Mutex
-	next   *net.UnixConn // the process that is trying
-	over   bool
-	handed bool // the path of the socket is the new process's
+	mu      sync.Mutex
+	current *net.UnixConn // the process that is trying
+	closed  bool
+	handed  bool // the path of the socket is the new process's
 }
 
 // successor is a new process that is ready.
 type successor struct {
 	conn *net.UnixConn
-	gone chan struct{} // closed when nothing more is to be told
+	done chan struct{} // closed when nothing more is to be told
 }
 
 // socketSuffix names the socket while it is being made: it gets its name when it
 // is ready to be reached.
 const socketSuffix = ".new"
 
-func offer(c *Config, ln net.Listener) (*handover, error) {
+func listenForSuccessor(c *Config, ln net.Listener) (*handover, error) {
 	tcp, ok := ln.(*net.TCPListener)
 	if !ok {
 		return nil, fmt.Errorf("take-over: a listener of kind %T, TCP is needed", ln)
@@ -326,7 +326,7 @@
 		s.Close()
 		return nil, fmt.Errorf("take-over: %w", err)
 	}
-	h := &handover{socket: s, config: c, raw: raw, asked: make(chan *successor)}
+	h := &handover{socket: s, config: c, raw: raw, successors: make(chan *successor)}
 	h.tasks.Go(h.serve)
 	return h, nil
 }
@@ -334,8 +334,8 @@
 // errEnding is for a new process that comes too late.
 var errEnding = errors.New("this process is ending by itself")
 
-// hangUp says why and ends the connection.
-func hangUp(c *net.UnixConn, why error) {
+// closeWithError says why and ends the connection.
+func closeWithError(c *net.UnixConn, why error) {
 	send(c, message{Kind: msgError, Error: why.Error()}, nil)
 	c.Close()
 }
@@ -343,13 +343,13 @@
 // close ends the offer, and what a new process has begun.
 func (h *handover) close() {
 	h.mu.Lock()
-	h.over = true
+	h.closed = true
 	h.socket.Close()
 	if !h.handed {
 		os.Remove(h.config.Takeover.Socket)
 	}
-	if h.next != nil {
-		hangUp(h.next, errEnding)
+	if h.current != nil {
+		closeWithError(h.current, errEnding)
 	}
 	h.mu.Unlock()
 	h.tasks.Wait()
@@ -365,31 +365,31 @@
 			return
 		}
 		h.mu.Lock()
-		busy := h.next != nil || h.over
+		busy := h.current != nil || h.closed
 		if !busy {
-			h.next = c
+			h.current = c
 		}
 		h.mu.Unlock()
 		if busy {
-			hangUp(c, errors.New("another process is taking over"))
+			closeWithError(c, errors.New("another process is taking over"))
 			continue
 		}
 		h.tasks.Go(func() {
 			var err error
-			defer func() { hangUp(c, cmp.Or(err, errEnding)) }() // once the place is free: whoever sees the end may come at once
-			err = h.hand(c)
+			defer func() { closeWithError(c, cmp.Or(err, errEnding)) }() // once the place is free: whoever sees the end may come at once
+			err = h.negotiate(c)
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			if h.next = nil; err != nil && !h.over {
+			if h.current = nil; err != nil && !h.closed {
 				slog.Warn("take-over: the new process has failed, this one goes on", "err", err)
 			}
 		})
 	}
 }
 
-// hand gives a new process the socket, and tells the owner when it is ready. It
+// negotiate gives a new process the socket, and tells the owner when it is ready. It
 // returns when the new one has failed, or when the owner has nothing more to tell.
-func (h *handover) hand(c *net.UnixConn) error {
+func (h *handover) negotiate(c *net.UnixConn) error {
 	in := bufio.NewReaderSize(c, maxMessage)
 	m, err := receive(c, in, msgHello, answerIn)
 	if err != nil {
@@ -407,20 +407,20 @@
 	if _, err := receive(c, in, msgReady, h.config.Takeover.readyIn()); err != nil {
 		return fmt.Errorf("it is not ready: %w", err)
 	}
-	s := &successor{conn: c, gone: make(chan struct{})}
+	s := &successor{conn: c, done: make(chan struct{})}
 	select {
-	case h.asked <- s:
+	case h.successors <- s:
 	case <-time.After(answerIn):
 		return errEnding
 	}
-	<-s.gone
+	<-s.done
 	return nil
 }
 
-// give tells a new process that the place is its. If it cannot be told, the place stays this one's.
-func (h *handover) give(s *successor) error {
+// handOver tells a new process that the place is its. If it cannot be told, the place stays this one's.
+func (h *handover) handOver(s *successor) error {
 	if err := send(s.conn, message{Kind: msgYours}, nil); err != nil {
-		close(s.gone)
+		close(s.done)
 		return fmt.Errorf("take-over: %w", err)
 	}
 	h.mu.Lock()
@@ -429,9 +429,9 @@
 	return nil
 }
 
-// tell says what this process still holds, until ctx ends.
-func (s *successor) tell(ctx context.Context, held func() []policy.BulkheadCapacity) {
-	defer close(s.gone)
+// reportReserved says what this process still holds, until ctx ends.
+func (s *successor) reportReserved(ctx context.Context, held func() []policy.BulkheadCapacity) {
+	defer close(s.done)
 	t := time.NewTicker(heldEvery)
 	defer t.Stop()
 	for {
--- a/internal/sidecar/takeover_test.go
+++ b/internal/sidecar/takeover_test.go
@@ -75,7 +75,7 @@
 // the offer stays open for the next.
 func TestHandoverIsParticular(t *testing.T) {
 	c := &Config{Name: "n", Listen: "127.0.0.1:1", Takeover: &takeoverConfig{Socket: filepath.Join(t.TempDir(), "s")}}
-	h, err := offer(c, listenLoopback(t))
+	h, err := listenForSuccessor(c, listenLoopback(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,7 +93,7 @@
 		nc.Close()
 	}
 	fresh := func() (p *predecessor) {
-		eventually(t, "the offer is free again", func() bool { p, err = reach(c); return err == nil && p != nil })
+		eventually(t, "the offer is free again", func() bool { p, err = dialPredecessor(c); return err == nil && p != nil })
 		return p
 	}
 	p := fresh()
@@ -105,15 +105,15 @@
 	p = fresh()
 	p.listener.Close()
 	done := make(chan error, 1)
-	go func() { _, err := p.ready(); done <- err }()
-	s := await(t, "the new one's word", h.asked)
-	close(s.gone) // this process ends instead
+	go func() { _, err := p.waitForPlace(); done <- err }()
+	s := await(t, "the new one's word", h.successors)
+	close(s.done) // this process ends instead
 	if err := await(t, "its answer", done); err == nil {
 		t.Error("it was given a place that nobody gave up")
 	}
 	p.close()
 	h.close()
-	if p, err := reach(c); p != nil || err != nil {
+	if p, err := dialPredecessor(c); p != nil || err != nil {
 		t.Errorf("after the end: %v, %v", p, err)
 	}
 	if _, err := os.Stat(c.Takeover.Socket); !errors.Is(err, os.ErrNotExist) && !h.handed {
@@ -148,7 +148,7 @@
 		}
 		accepted <- old
 	}()
-	if p, err = reach(c); err != nil || p == nil {
+	if p, err = dialPredecessor(c); err != nil || p == nil {
 		t.Fatalf("reached %v, error %v", p, err)
 	}
 	old = await(t, "the old process", accepted)
@@ -180,9 +180,9 @@
 		}, nil, ""},
 		"ends after its word": {func(old *net.UnixConn) {
 			send(old, message{Kind: msgYours}, nil)
-			hangUp(old, errEnding)
+			closeWithError(old, errEnding)
 		}, nil, ""},
-		"ends by itself instead": {func(old *net.UnixConn) { hangUp(old, errEnding) }, nil, errEnding.Error()},
+		"ends by itself instead": {func(old *net.UnixConn) { closeWithError(old, errEnding) }, nil, errEnding.Error()},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, old := oldProcess(t)
@@ -192,7 +192,7 @@
 			}
 			got := make(chan result, 1)
 			go func() {
-				held, err := p.ready()
+				held, err := p.waitForPlace()
 				got <- result{held, err}
 			}()
 			if _, err := receive(old, bufio.NewReader(old), msgReady, patience); err != nil {
@@ -211,12 +211,12 @@
 // is offered again.
 func TestPlaceIsKeptWhereTheNewProcessDied(t *testing.T) {
 	c := &Config{Name: "n", Listen: "127.0.0.1:1", Takeover: &takeoverConfig{Socket: filepath.Join(t.TempDir(), "s")}}
-	h, err := offer(c, listenLoopback(t))
+	h, err := listenForSuccessor(c, listenLoopback(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer h.close()
-	p, err := reach(c)
+	p, err := dialPredecessor(c)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -224,13 +224,13 @@
 	if err := send(p.conn, message{Kind: msgReady}, nil); err != nil {
 		t.Fatal(err)
 	}
-	s := await(t, "the new one's word", h.asked)
+	s := await(t, "the new one's word", h.successors)
 	p.close()
-	if err := h.give(s); err == nil || h.handed {
+	if err := h.handOver(s); err == nil || h.handed {
 		t.Errorf("the place was given to a process that has died: error %v", err)
 	}
 	eventually(t, "the offer is free again", func() bool {
-		again, err := reach(c)
+		again, err := dialPredecessor(c)
 		if err != nil || again == nil {
 			return false
 		}
