--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -8,6 +8,7 @@
 	"math/rand/v2"
 	"net/netip"
 	"os"
+	"path/filepath"
 	"slices"
 	"strconv"
 	"time"
@@ -56,6 +57,8 @@
 }
 
 const (
+	// defaultReady is as long as a platform waits for a sidecar at the start of a run.
+	defaultReady       = 30 * time.Second
 	defaultSockets     = 1024
 	leastSockets       = 64 // below, neither side could hold a handful of connections
 	defaultDialTimeout = 250 * time.Millisecond
@@ -279,3 +282,33 @@
 	}
 	return known
 }
+
+// takeoverConfig is the configuration's optional object 'takeover'.
+type takeoverConfig struct {
+	Socket  string `json:"socket"`   // the path of the Unix socket; its folder is the operator's to guard
+	ReadyMS int64  `json:"ready_ms"` // how long a new process may take to be ready
+}
+
+func (t *takeoverConfig) check() error {
+	switch {
+	case !filepath.IsAbs(t.Socket):
+		return fmt.Errorf("takeover.socket is %q, an absolute path is needed", t.Socket)
+	case len(t.Socket) > MaxSocketPath:
+		return fmt.Errorf("takeover.socket has %d bytes, %d at most", len(t.Socket), MaxSocketPath)
+	case t.ReadyMS < 0:
+		return fmt.Errorf("takeover.ready_ms is %d, it must not be negative", t.ReadyMS)
+	}
+	return nil
+}
+
+func (t *takeoverConfig) readyIn() time.Duration {
+	if t.ReadyMS == 0 {
+		return defaultReady
+	}
+	return time.Duration(t.ReadyMS) * time.Millisecond
+}
+
+// handoverConfig is what the hand-over needs of the configuration.
+func (c *Config) handoverConfig() HandoverConfig {
+	return HandoverConfig{Name: c.Name, Listen: c.Listen, Socket: c.Takeover.Socket, ReadyTimeout: c.Takeover.readyIn()}
+}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -27,7 +27,7 @@
 // take its own.
 func Run(stop context.Context, reload <-chan os.Signal, c *Config) error {
 	if c.Takeover != nil {
-		old, err := dialPredecessor(c)
+		old, err := dialPredecessor(c.handoverConfig())
 		if err != nil {
 			return err
 		}
@@ -193,7 +193,7 @@
 			if c.Takeover == nil {
 				continue
 			}
-			if offered, err = listenForSuccessor(c, ln); err != nil {
+			if offered, err = listenForSuccessor(c.handoverConfig(), ln); err != nil {
 				slog.Error("no new process can take this one's place", "err", err)
 				continue
 			}
--- a/internal/sidecar/takeover.go
+++ b/internal/sidecar/takeover.go
@@ -11,7 +11,6 @@
 	"log/slog"
 	"net"
 	"os"
-	"path/filepath"
 	"sync"
 	"syscall"
 	"time"
@@ -37,15 +36,7 @@
 // the old one lives: it would leave a place that is being given to it. Where the old one has died
 // without another word the place is the new one's.
 
-// takeoverConfig is the configuration's optional object 'takeover'.
-type takeoverConfig struct {
-	Socket  string `json:"socket"`   // the path of the Unix socket; its folder is the operator's to guard
-	ReadyMS int64  `json:"ready_ms"` // how long a new process may take to be ready
-}
-
 const (
-	// defaultReady is as long as a platform waits for a sidecar at the start of a run.
-	defaultReady = 30 * time.Second
 	// answerIn is for one message between two processes on one machine.
 	answerIn = 2 * time.Second
 	// heldEvery is how often the old process says what it still holds. Until the new
@@ -53,27 +44,18 @@
 	heldEvery  = 20 * time.Millisecond
 	readyPoll  = 5 * time.Millisecond // a list comes in some milliseconds
 	maxMessage = 64 << 10
-	// maxSocketPath is what the kernel takes.
-	maxSocketPath = 107
+	// maxUnixPath is the longest path that the kernel takes for a Unix socket.
+	maxUnixPath = 107
+	// MaxSocketPath bounds the path of the socket that the configuration names.
+	MaxSocketPath = maxUnixPath - len(socketSuffix)
 )
 
-func (t *takeoverConfig) check() error {
-	switch {
-	case !filepath.IsAbs(t.Socket):
-		return fmt.Errorf("takeover.socket is %q, an absolute path is needed", t.Socket)
-	case len(t.Socket) > maxSocketPath-len(socketSuffix):
-		return fmt.Errorf("takeover.socket has %d bytes, %d at most", len(t.Socket), maxSocketPath-len(socketSuffix))
-	case t.ReadyMS < 0:
-		return fmt.Errorf("takeover.ready_ms is %d, it must not be negative", t.ReadyMS)
-	}
-	return nil
-}
-
-func (t *takeoverConfig) readyIn() time.Duration {
-	if t.ReadyMS == 0 {
-		return defaultReady
-	}
-	return time.Duration(t.ReadyMS) * time.Millisecond
+// HandoverConfig says which sidecar hands over, and where.
+type HandoverConfig struct {
+	Name         string // of the sidecar: both processes have to be the same one
+	Listen       string // the address it listens on
+	Socket       string // the path of the Unix socket
+	ReadyTimeout time.Duration
 }
 
 // message is one line between the two processes.
@@ -138,9 +120,9 @@
 }
 
 // dialPredecessor asks the process that serves now, if there is one, for its listening socket.
-func dialPredecessor(c *Config) (*predecessor, error) {
+func dialPredecessor(c HandoverConfig) (*predecessor, error) {
 	d := net.Dialer{Timeout: answerIn}
-	nc, err := d.Dial("unix", c.Takeover.Socket)
+	nc, err := d.Dial("unix", c.Socket)
 	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
 		return nil, nil // nobody serves, or nobody any more
 	}
@@ -155,7 +137,7 @@
 	return p, nil
 }
 
-func (p *predecessor) receiveSocket(c *Config) error {
+func (p *predecessor) receiveSocket(c HandoverConfig) error {
 	if err := send(p.conn, message{Kind: msgHello, Name: c.Name, Listen: c.Listen}, nil); err != nil {
 		return fmt.Errorf("take-over: %w", err)
 	}
@@ -283,7 +265,7 @@
 // handover is the old process's side: it waits for a new one, one at a time.
 type handover struct {
 	socket *net.UnixListener
-	config *Config
+	config HandoverConfig
 	raw    syscall.RawConn // of the listening socket
 	// successors is sent one value when a new process is ready; the owner answers it by
 	// calling yours, once it accepts no more.
@@ -306,7 +288,7 @@
 // is ready to be reached.
 const socketSuffix = ".new"
 
-func listenForSuccessor(c *Config, ln net.Listener) (*handover, error) {
+func listenForSuccessor(c HandoverConfig, ln net.Listener) (*handover, error) {
 	tcp, ok := ln.(*net.TCPListener)
 	if !ok {
 		return nil, fmt.Errorf("take-over: a listener of kind %T, TCP is needed", ln)
@@ -315,14 +297,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("take-over: %w", err)
 	}
-	fresh := c.Takeover.Socket + socketSuffix
+	fresh := c.Socket + socketSuffix
 	os.Remove(fresh) // left by one that was killed
 	s, err := net.ListenUnix("unix", &net.UnixAddr{Name: fresh, Net: "unix"})
 	if err != nil {
 		return nil, fmt.Errorf("take-over: %w", err)
 	}
 	s.SetUnlinkOnClose(false) // by then it may be the next process's
-	if err := errors.Join(os.Chmod(fresh, 0o600), os.Rename(fresh, c.Takeover.Socket)); err != nil {
+	if err := errors.Join(os.Chmod(fresh, 0o600), os.Rename(fresh, c.Socket)); err != nil {
 		s.Close()
 		return nil, fmt.Errorf("take-over: %w", err)
 	}
@@ -346,7 +328,7 @@
 	h.closed = true
 	h.socket.Close()
 	if !h.handed {
-		os.Remove(h.config.Takeover.Socket)
+		os.Remove(h.config.Socket)
 	}
 	if h.current != nil {
 		closeWithError(h.current, errEnding)
@@ -404,7 +386,7 @@
 	}); err != nil || sent != nil {
 		return errors.Join(err, sent)
 	}
-	if _, err := receive(c, in, msgReady, h.config.Takeover.readyIn()); err != nil {
+	if _, err := receive(c, in, msgReady, h.config.ReadyTimeout); err != nil {
 		return fmt.Errorf("it is not ready: %w", err)
 	}
 	s := &successor{conn: c, done: make(chan struct{})}
--- a/internal/sidecar/takeover_test.go
+++ b/internal/sidecar/takeover_test.go
@@ -56,9 +56,9 @@
 		`{"socket":"/run/x.sock","ready_ms":500}`: "",
 		`{"socket":"x.sock"}`:                     "absolute path",
 		`{}`:                                      "absolute path",
-		`{"socket":"/` + strings.Repeat("x", maxSocketPath) + `"}`: "bytes",
-		`{"socket":"/run/x.sock","ready_ms":-1}`:                   "negative",
-		`{"socket":"/run/x.sock","redy_ms":1}`:                     "unknown field",
+		`{"socket":"/` + strings.Repeat("x", MaxSocketPath+len(socketSuffix)) + `"}`: "bytes",
+		`{"socket":"/run/x.sock","ready_ms":-1}`:                                     "negative",
+		`{"socket":"/run/x.sock","redy_ms":1}`:                                       "unknown field",
 	} {
 		config := `{"seed":"1","takeover":` + text + `,"settings":{"balancers":1,"caps":{"most_tries":3},"classes":[{"name":"a","aim_ms":1,"hard_limit_ms":2}]}}`
 		c, err := parseConfig([]byte(config), nil)
@@ -74,13 +74,13 @@
 // Who says something else than the old process waits for gets a word and no socket;
 // the offer stays open for the next.
 func TestHandoverIsParticular(t *testing.T) {
-	c := &Config{Name: "n", Listen: "127.0.0.1:1", Takeover: &takeoverConfig{Socket: filepath.Join(t.TempDir(), "s")}}
+	c := HandoverConfig{Name: "n", Listen: "127.0.0.1:1", Socket: filepath.Join(t.TempDir(), "s"), ReadyTimeout: defaultReady}
 	h, err := listenForSuccessor(c, listenLoopback(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, first := range []message{{Kind: msgReady}, {Kind: msgHello, Name: "m", Listen: c.Listen}, {Kind: msgHello, Name: "n", Listen: "127.0.0.1:2"}} {
-		nc, err := net.Dial("unix", c.Takeover.Socket)
+		nc, err := net.Dial("unix", c.Socket)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -116,7 +116,7 @@
 	if p, err := dialPredecessor(c); p != nil || err != nil {
 		t.Errorf("after the end: %v, %v", p, err)
 	}
-	if _, err := os.Stat(c.Takeover.Socket); !errors.Is(err, os.ErrNotExist) && !h.handed {
+	if _, err := os.Stat(c.Socket); !errors.Is(err, os.ErrNotExist) && !h.handed {
 		t.Errorf("the socket is left behind: %v", err)
 	}
 }
@@ -124,8 +124,8 @@
 // oldProcess plays the old process's side up to the new one's being ready, and returns its connection.
 func oldProcess(t *testing.T) (p *predecessor, old *net.UnixConn) {
 	t.Helper()
-	c := &Config{Name: "n", Listen: "127.0.0.1:1", Takeover: &takeoverConfig{Socket: filepath.Join(t.TempDir(), "s")}}
-	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: c.Takeover.Socket, Net: "unix"})
+	c := HandoverConfig{Name: "n", Listen: "127.0.0.1:1", Socket: filepath.Join(t.TempDir(), "s"), ReadyTimeout: defaultReady}
+	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: c.Socket, Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -210,7 +210,7 @@
 // A new process that dies when it has said that it is ready leaves the old one in its place, which
 // is offered again.
 func TestPlaceIsKeptWhereTheNewProcessDied(t *testing.T) {
-	c := &Config{Name: "n", Listen: "127.0.0.1:1", Takeover: &takeoverConfig{Socket: filepath.Join(t.TempDir(), "s")}}
+	c := HandoverConfig{Name: "n", Listen: "127.0.0.1:1", Socket: filepath.Join(t.TempDir(), "s"), ReadyTimeout: defaultReady}
 	h, err := listenForSuccessor(c, listenLoopback(t))
 	if err != nil {
 		t.Fatal(err)
