--- a/internal/sidecar/compatibility_test.go
+++ b/internal/sidecar/compatibility_test.go
@@ -39,15 +39,15 @@
 
 func TestTakeoverMessagesAreThoseOf396a775(t *testing.T) {
 	messages := []message{
-		{Kind: msgHello, Name: "n7", Listen: "127.0.0.1:7070"},
-		{Kind: msgSocket},
-		{Kind: msgReady},
-		{Kind: msgYours},
-		{Kind: msgHeld, Held: []policy.BulkheadCapacity{{Slots: 3, Places: 1}, {Slots: 0, Places: 0}, {Slots: 17, Places: 250}}},
-		{Kind: msgHeld},
-		{Kind: msgHeld, Held: []policy.BulkheadCapacity{{}}},
-		{Kind: msgError, Error: errEnding.Error()},
-		{Kind: msgError, Error: `this is n7 at 127.0.0.1:1, not "<n8>" at "x"`},
+		{Kind: messageHello, Name: "n7", Listen: "127.0.0.1:7070"},
+		{Kind: messageSocket},
+		{Kind: messageReady},
+		{Kind: messageYours},
+		{Kind: messageReserved, Reserved: []policy.BulkheadCapacity{{Slots: 3, Places: 1}, {Slots: 0, Places: 0}, {Slots: 17, Places: 250}}},
+		{Kind: messageReserved},
+		{Kind: messageReserved, Reserved: []policy.BulkheadCapacity{{}}},
+		{Kind: messageError, Error: errShuttingDown.Error()},
+		{Kind: messageError, Error: `this is n7 at 127.0.0.1:1, not "<n8>" at "x"`},
 	}
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(t.TempDir(), "s"), Net: "unix"})
 	if err != nil {
@@ -78,7 +78,7 @@
 		from, to = pair()
 		io.WriteString(from, strings.TrimSuffix(line, "\n")+"\n")
 		got, err := receive(to, bufio.NewReader(to), want.Kind, patience)
-		if want.Kind == msgError {
+		if want.Kind == messageError {
 			if err == nil || !strings.HasSuffix(err.Error(), want.Error) {
 				t.Errorf("message %d is received as error %v, want one that ends with %q", i, err, want.Error)
 			}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -27,13 +27,13 @@
 // take its own.
 func Run(stop context.Context, reload <-chan os.Signal, c *Config) error {
 	if c.Takeover != nil {
-		old, err := dialPredecessor(c.handoverConfig())
+		old, err := Connect(c.handoverConfig())
 		if err != nil {
 			return err
 		}
 		if old != nil {
-			defer old.close()
-			return serve(stop, reload, c, old.listener, old)
+			defer old.Close()
+			return serve(stop, reload, c, old.Listener, old)
 		}
 	}
 	ln, err := net.Listen("tcp", c.Listen)
@@ -44,7 +44,7 @@
 }
 
 // serve runs a sidecar on a listener, and in the place of an old process if there is one.
-func serve(stop context.Context, reload <-chan os.Signal, c *Config, ln net.Listener, old *predecessor) error {
+func serve(stop context.Context, reload <-chan os.Signal, c *Config, ln net.Listener, old *Predecessor) error {
 	defer ln.Close()
 	pool := newPool(c.DialTimeout, c.ConnIdle, c.Connections.Servers, c.Seed)
 	defer pool.close()
@@ -163,7 +163,7 @@
 	} else {
 		slog.Info("taking over", "name", c.Name, "listen", c.Listen)
 		loops.Go(func() {
-			err := old.takeOver(run, c.Takeover.readyIn(), l.ready.Load, func() {
+			err := old.TakeOver(run, c.Takeover.readyIn(), l.ready.Load, func() {
 				limited.start()
 				took <- nil
 			}, func(held []policy.BulkheadCapacity) { l.post(beside{held}) })
@@ -174,7 +174,7 @@
 	}
 	inPlace := false // it serves, or did
 	var offered *handover
-	var asked <-chan *successor
+	var asked <-chan *Successor
 	defer func() {
 		if offered != nil {
 			offered.close()
@@ -193,7 +193,7 @@
 			if c.Takeover == nil {
 				continue
 			}
-			if offered, err = listenForSuccessor(c.handoverConfig(), ln); err != nil {
+			if offered, err = Listen(c.handoverConfig(), ln); err != nil {
 				slog.Error("no new process can take this one's place", "err", err)
 				continue
 			}
@@ -209,7 +209,7 @@
 			if err := ending.handOver(); err != nil {
 				return err
 			}
-			loops.Go(func() { next.reportReserved(run, l.leave) })
+			loops.Go(func() { next.ReportReserved(run, l.leave) })
 		case <-stop.Done():
 			if !inPlace && len(took) == 0 {
 				return nil // the old process goes on
--- a/internal/sidecar/takeover.go
+++ b/internal/sidecar/takeover.go
@@ -37,17 +37,17 @@
 // without another word the place is the new one's.
 
 const (
-	// answerIn is for one message between two processes on one machine.
-	answerIn = 2 * time.Second
-	// heldEvery is how often the old process says what it still holds. Until the new
+	// messageTimeout is for one message between two processes on one machine.
+	messageTimeout = 2 * time.Second
+	// reservedInterval is how often the old process says what it still holds. Until the new
 	// one hears of a slot that has come free it does without it.
-	heldEvery  = 20 * time.Millisecond
-	readyPoll  = 5 * time.Millisecond // a list comes in some milliseconds
-	maxMessage = 64 << 10
+	reservedInterval  = 20 * time.Millisecond
+	readyPollInterval = 5 * time.Millisecond // a list comes in some milliseconds
+	maxMessageBytes   = 64 << 10
 	// maxUnixPath is the longest path that the kernel takes for a Unix socket.
 	maxUnixPath = 107
 	// MaxSocketPath bounds the path of the socket that the configuration names.
-	MaxSocketPath = maxUnixPath - len(socketSuffix)
+	MaxSocketPath = maxUnixPath - len(newSocketSuffix)
 )
 
 // HandoverConfig says which sidecar hands over, and where.
@@ -60,21 +60,21 @@
 
 // message is one line between the two processes.
 type message struct {
-	Kind   string                    `json:"kind"`
-	Name   string                    `json:"name,omitempty"`
-	Listen string                    `json:"listen,omitempty"`
-	Held   []policy.BulkheadCapacity `json:"held,omitempty"`
-	Error  string                    `json:"error,omitempty"`
+	Kind     string                    `json:"kind"`
+	Name     string                    `json:"name,omitempty"`
+	Listen   string                    `json:"listen,omitempty"`
+	Reserved []policy.BulkheadCapacity `json:"held,omitempty"`
+	Error    string                    `json:"error,omitempty"`
 }
 
 // The kinds of messages.
 const (
-	msgHello  = "hello"
-	msgSocket = "socket"
-	msgReady  = "ready"
-	msgYours  = "yours"
-	msgHeld   = "held"
-	msgError  = "error"
+	messageHello    = "hello"
+	messageSocket   = "socket"
+	messageReady    = "ready"
+	messageYours    = "yours"
+	messageReserved = "held"
+	messageError    = "error"
 )
 
 func send(c *net.UnixConn, m message, rights []byte) error {
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	c.SetWriteDeadline(time.Now().Add(answerIn))
+	c.SetWriteDeadline(time.Now().Add(messageTimeout))
 	_, _, err = c.WriteMsgUnix(append(text, '\n'), rights, nil)
 	return err
 }
@@ -103,7 +103,7 @@
 	if err := json.Unmarshal(line, &m); err != nil {
 		return m, fmt.Errorf("take-over: %w", err)
 	}
-	if m.Kind == msgError {
+	if m.Kind == messageError {
 		return m, fmt.Errorf("take-over: the other process says: %s", m.Error)
 	}
 	if m.Kind != kind {
@@ -112,16 +112,16 @@
 	return m, nil
 }
 
-// predecessor is the process whose place this one takes.
-type predecessor struct {
+// Predecessor is the process whose place this one takes.
+type Predecessor struct {
 	conn     *net.UnixConn
 	in       *bufio.Reader
-	listener net.Listener
+	Listener net.Listener
 }
 
-// dialPredecessor asks the process that serves now, if there is one, for its listening socket.
-func dialPredecessor(c HandoverConfig) (*predecessor, error) {
-	d := net.Dialer{Timeout: answerIn}
+// Connect asks the process that serves now, if there is one, for its listening socket.
+func Connect(c HandoverConfig) (*Predecessor, error) {
+	d := net.Dialer{Timeout: messageTimeout}
 	nc, err := d.Dial("unix", c.Socket)
 	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
 		return nil, nil // nobody serves, or nobody any more
@@ -129,7 +129,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("take-over: %w", err)
 	}
-	p := &predecessor{conn: nc.(*net.UnixConn)}
+	p := &Predecessor{conn: nc.(*net.UnixConn)}
 	if err := p.receiveSocket(c); err != nil {
 		nc.Close()
 		return nil, err
@@ -137,25 +137,25 @@
 	return p, nil
 }
 
-func (p *predecessor) receiveSocket(c HandoverConfig) error {
-	if err := send(p.conn, message{Kind: msgHello, Name: c.Name, Listen: c.Listen}, nil); err != nil {
+func (p *Predecessor) receiveSocket(c HandoverConfig) error {
+	if err := send(p.conn, message{Kind: messageHello, Name: c.Name, Listen: c.Listen}, nil); err != nil {
 		return fmt.Errorf("take-over: %w", err)
 	}
 	// The socket comes with the message's first byte, and with no other.
-	p.conn.SetReadDeadline(time.Now().Add(answerIn))
-	text, rights := make([]byte, maxMessage), make([]byte, syscall.CmsgSpace(4))
+	p.conn.SetReadDeadline(time.Now().Add(messageTimeout))
+	text, rights := make([]byte, maxMessageBytes), make([]byte, syscall.CmsgSpace(4))
 	n, r, _, _, err := p.conn.ReadMsgUnix(text, rights)
 	if err != nil {
 		return fmt.Errorf("take-over: %w", err)
 	}
-	fd, err := oneSocket(rights[:r])
+	fd, err := parseSocketRights(rights[:r])
 	var m message
 	if bad := json.Unmarshal(text[:n], &m); bad != nil {
 		err = errors.Join(err, bad)
-	} else if m.Kind == msgError {
+	} else if m.Kind == messageError {
 		err = fmt.Errorf("the other process says: %s", m.Error)
-	} else if m.Kind != msgSocket {
-		err = errors.Join(err, fmt.Errorf("%.32q came, not %q", m.Kind, msgSocket))
+	} else if m.Kind != messageSocket {
+		err = errors.Join(err, fmt.Errorf("%.32q came, not %q", m.Kind, messageSocket))
 	}
 	if err != nil {
 		if fd >= 0 {
@@ -165,15 +165,15 @@
 	}
 	f := os.NewFile(uintptr(fd), "listener")
 	defer f.Close()
-	if p.listener, err = net.FileListener(f); err != nil {
+	if p.Listener, err = net.FileListener(f); err != nil {
 		return fmt.Errorf("take-over: %w", err)
 	}
-	p.in = bufio.NewReaderSize(p.conn, maxMessage)
+	p.in = bufio.NewReaderSize(p.conn, maxMessageBytes)
 	return nil
 }
 
-// oneSocket reads the one descriptor that comes with a message, or returns -1.
-func oneSocket(rights []byte) (int, error) {
+// parseSocketRights reads the one descriptor that comes with a message, or returns -1.
+func parseSocketRights(rights []byte) (int, error) {
 	messages, err := syscall.ParseSocketControlMessage(rights)
 	if err != nil {
 		return -1, err
@@ -197,21 +197,21 @@
 
 // waitForPlace tells the old process that this one could serve, waits until it may, and
 // returns what the old one still holds: nothing if it has died.
-func (p *predecessor) waitForPlace() ([]policy.BulkheadCapacity, error) {
-	if err := send(p.conn, message{Kind: msgReady}, nil); err != nil && !isDisconnect(err) {
+func (p *Predecessor) waitForPlace() ([]policy.BulkheadCapacity, error) {
+	if err := send(p.conn, message{Kind: messageReady}, nil); err != nil && !isDisconnect(err) {
 		return nil, fmt.Errorf("take-over: %w", err)
 	}
-	if _, err := receive(p.conn, p.in, msgYours, 0); isDisconnect(err) {
+	if _, err := receive(p.conn, p.in, messageYours, 0); isDisconnect(err) {
 		slog.Warn("take-over: the old process has died, its place is this one's")
 		return nil, nil
 	} else if err != nil {
 		return nil, err
 	}
-	m, err := receive(p.conn, p.in, msgHeld, 0)
+	m, err := receive(p.conn, p.in, messageReserved, 0)
 	if err != nil {
 		return nil, nil // it has ended already, as one without a connection does at once
 	}
-	return m.Held, nil
+	return m.Reserved, nil
 }
 
 // isDisconnect says whether an error means that the other process has ended without a word: one that lives
@@ -221,29 +221,29 @@
 }
 
 // followReserved hears what the old process still holds, until it ends.
-func (p *predecessor) followReserved(beside func(held []policy.BulkheadCapacity)) {
+func (p *Predecessor) followReserved(beside func(held []policy.BulkheadCapacity)) {
 	defer beside(nil)
 	for {
-		m, err := receive(p.conn, p.in, msgHeld, answerIn)
+		m, err := receive(p.conn, p.in, messageReserved, messageTimeout)
 		if err != nil {
 			return
 		}
-		beside(m.Held)
+		beside(m.Reserved)
 	}
 }
 
-func (p *predecessor) close() { p.conn.Close() }
+func (p *Predecessor) Close() { p.conn.Close() }
 
-// takeOver waits until this process has a list, then takes the place of the old one,
+// TakeOver waits until this process has a list, then takes the place of the old one,
 // and passes on what that still holds until it ends. begin is called when this one
 // may accept.
-func (p *predecessor) takeOver(
+func (p *Predecessor) TakeOver(
 	ctx context.Context, within time.Duration, isReady func() bool, begin func(), beside func(held []policy.BulkheadCapacity),
 ) error {
-	defer context.AfterFunc(ctx, p.close)()
+	defer context.AfterFunc(ctx, p.Close)()
 	waiting, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	t := time.NewTicker(readyPoll)
+	t := time.NewTicker(readyPollInterval)
 	defer t.Stop()
 	for !isReady() {
 		select {
@@ -269,7 +269,7 @@
 	raw    syscall.RawConn // of the listening socket
 	// successors is sent one value when a new process is ready; the owner answers it by
 	// calling yours, once it accepts no more.
-	successors chan *successor
+	successors chan *Successor
 	tasks      sync.WaitGroup
 
 	mu      sync.Mutex
@@ -278,17 +278,17 @@
 	handed  bool // the path of the socket is the new process's
 }
 
-// successor is a new process that is ready.
-type successor struct {
+// Successor is a new process that is ready.
+type Successor struct {
 	conn *net.UnixConn
 	done chan struct{} // closed when nothing more is to be told
 }
 
-// socketSuffix names the socket while it is being made: it gets its name when it
+// newSocketSuffix names the socket while it is being made: it gets its name when it
 // is ready to be reached.
-const socketSuffix = ".new"
+const newSocketSuffix = ".new"
 
-func listenForSuccessor(c HandoverConfig, ln net.Listener) (*handover, error) {
+func Listen(c HandoverConfig, ln net.Listener) (*handover, error) {
 	tcp, ok := ln.(*net.TCPListener)
 	if !ok {
 		return nil, fmt.Errorf("take-over: a listener of kind %T, TCP is needed", ln)
@@ -297,7 +297,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("take-over: %w", err)
 	}
-	fresh := c.Socket + socketSuffix
+	fresh := c.Socket + newSocketSuffix
 	os.Remove(fresh) // left by one that was killed
 	s, err := net.ListenUnix("unix", &net.UnixAddr{Name: fresh, Net: "unix"})
 	if err != nil {
@@ -308,17 +308,17 @@
 		s.Close()
 		return nil, fmt.Errorf("take-over: %w", err)
 	}
-	h := &handover{socket: s, config: c, raw: raw, successors: make(chan *successor)}
+	h := &handover{socket: s, config: c, raw: raw, successors: make(chan *Successor)}
 	h.tasks.Go(h.serve)
 	return h, nil
 }
 
-// errEnding is for a new process that comes too late.
-var errEnding = errors.New("this process is ending by itself")
+// errShuttingDown is for a new process that comes too late.
+var errShuttingDown = errors.New("this process is ending by itself")
 
 // closeWithError says why and ends the connection.
 func closeWithError(c *net.UnixConn, why error) {
-	send(c, message{Kind: msgError, Error: why.Error()}, nil)
+	send(c, message{Kind: messageError, Error: why.Error()}, nil)
 	c.Close()
 }
 
@@ -331,7 +331,7 @@
 		os.Remove(h.config.Socket)
 	}
 	if h.current != nil {
-		closeWithError(h.current, errEnding)
+		closeWithError(h.current, errShuttingDown)
 	}
 	h.mu.Unlock()
 	h.tasks.Wait()
@@ -358,7 +358,7 @@
 		}
 		h.tasks.Go(func() {
 			var err error
-			defer func() { closeWithError(c, cmp.Or(err, errEnding)) }() // once the place is free: whoever sees the end may come at once
+			defer func() { closeWithError(c, cmp.Or(err, errShuttingDown)) }() // once the place is free: whoever sees the end may come at once
 			err = h.negotiate(c)
 			h.mu.Lock()
 			defer h.mu.Unlock()
@@ -372,8 +372,8 @@
 // negotiate gives a new process the socket, and tells the owner when it is ready. It
 // returns when the new one has failed, or when the owner has nothing more to tell.
 func (h *handover) negotiate(c *net.UnixConn) error {
-	in := bufio.NewReaderSize(c, maxMessage)
-	m, err := receive(c, in, msgHello, answerIn)
+	in := bufio.NewReaderSize(c, maxMessageBytes)
+	m, err := receive(c, in, messageHello, messageTimeout)
 	if err != nil {
 		return err
 	}
@@ -382,26 +382,26 @@
 	}
 	var sent error
 	if err := h.raw.Control(func(fd uintptr) { // not by File(), which would make the socket block for both
-		sent = send(c, message{Kind: msgSocket}, syscall.UnixRights(int(fd)))
+		sent = send(c, message{Kind: messageSocket}, syscall.UnixRights(int(fd)))
 	}); err != nil || sent != nil {
 		return errors.Join(err, sent)
 	}
-	if _, err := receive(c, in, msgReady, h.config.ReadyTimeout); err != nil {
+	if _, err := receive(c, in, messageReady, h.config.ReadyTimeout); err != nil {
 		return fmt.Errorf("it is not ready: %w", err)
 	}
-	s := &successor{conn: c, done: make(chan struct{})}
+	s := &Successor{conn: c, done: make(chan struct{})}
 	select {
 	case h.successors <- s:
-	case <-time.After(answerIn):
-		return errEnding
+	case <-time.After(messageTimeout):
+		return errShuttingDown
 	}
 	<-s.done
 	return nil
 }
 
 // handOver tells a new process that the place is its. If it cannot be told, the place stays this one's.
-func (h *handover) handOver(s *successor) error {
-	if err := send(s.conn, message{Kind: msgYours}, nil); err != nil {
+func (h *handover) handOver(s *Successor) error {
+	if err := send(s.conn, message{Kind: messageYours}, nil); err != nil {
 		close(s.done)
 		return fmt.Errorf("take-over: %w", err)
 	}
@@ -411,13 +411,13 @@
 	return nil
 }
 
-// reportReserved says what this process still holds, until ctx ends.
-func (s *successor) reportReserved(ctx context.Context, held func() []policy.BulkheadCapacity) {
+// ReportReserved says what this process still holds, until ctx ends.
+func (s *Successor) ReportReserved(ctx context.Context, held func() []policy.BulkheadCapacity) {
 	defer close(s.done)
-	t := time.NewTicker(heldEvery)
+	t := time.NewTicker(reservedInterval)
 	defer t.Stop()
 	for {
-		if err := send(s.conn, message{Kind: msgHeld, Held: held()}, nil); err != nil {
+		if err := send(s.conn, message{Kind: messageReserved, Reserved: held()}, nil); err != nil {
 			if !errors.Is(err, net.ErrClosed) { // which means that this process has ended what it had
 				slog.Warn("take-over: the new process does not listen any more", "err", err)
 			}
--- a/internal/sidecar/takeover_test.go
+++ b/internal/sidecar/takeover_test.go
@@ -42,8 +42,8 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		m, err := receive(c, bufio.NewReaderSize(c, maxMessage), msgHello, patience)
-		if err == nil && m.Kind != msgHello {
+		m, err := receive(c, bufio.NewReaderSize(c, maxMessageBytes), messageHello, patience)
+		if err == nil && m.Kind != messageHello {
 			t.Errorf("%q was taken for a hello", text)
 		}
 	})
@@ -56,9 +56,9 @@
 		`{"socket":"/run/x.sock","ready_ms":500}`: "",
 		`{"socket":"x.sock"}`:                     "absolute path",
 		`{}`:                                      "absolute path",
-		`{"socket":"/` + strings.Repeat("x", MaxSocketPath+len(socketSuffix)) + `"}`: "bytes",
-		`{"socket":"/run/x.sock","ready_ms":-1}`:                                     "negative",
-		`{"socket":"/run/x.sock","redy_ms":1}`:                                       "unknown field",
+		`{"socket":"/` + strings.Repeat("x", MaxSocketPath+len(newSocketSuffix)) + `"}`: "bytes",
+		`{"socket":"/run/x.sock","ready_ms":-1}`:                                        "negative",
+		`{"socket":"/run/x.sock","redy_ms":1}`:                                          "unknown field",
 	} {
 		config := `{"seed":"1","takeover":` + text + `,"settings":{"balancers":1,"caps":{"most_tries":3},"classes":[{"name":"a","aim_ms":1,"hard_limit_ms":2}]}}`
 		c, err := parseConfig([]byte(config), nil)
@@ -75,11 +75,11 @@
 // the offer stays open for the next.
 func TestHandoverIsParticular(t *testing.T) {
 	c := HandoverConfig{Name: "n", Listen: "127.0.0.1:1", Socket: filepath.Join(t.TempDir(), "s"), ReadyTimeout: defaultReady}
-	h, err := listenForSuccessor(c, listenLoopback(t))
+	h, err := Listen(c, listenLoopback(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, first := range []message{{Kind: msgReady}, {Kind: msgHello, Name: "m", Listen: c.Listen}, {Kind: msgHello, Name: "n", Listen: "127.0.0.1:2"}} {
+	for _, first := range []message{{Kind: messageReady}, {Kind: messageHello, Name: "m", Listen: c.Listen}, {Kind: messageHello, Name: "n", Listen: "127.0.0.1:2"}} {
 		nc, err := net.Dial("unix", c.Socket)
 		if err != nil {
 			t.Fatal(err)
@@ -87,23 +87,23 @@
 		nc.SetDeadline(time.Now().Add(patience))
 		json.NewEncoder(nc).Encode(first)
 		text, err := io.ReadAll(nc)
-		if err != nil || strings.Contains(string(text), `"`+msgSocket+`"`) {
+		if err != nil || strings.Contains(string(text), `"`+messageSocket+`"`) {
 			t.Errorf("%+v is answered %q, error %v", first, text, err)
 		}
 		nc.Close()
 	}
-	fresh := func() (p *predecessor) {
-		eventually(t, "the offer is free again", func() bool { p, err = dialPredecessor(c); return err == nil && p != nil })
+	fresh := func() (p *Predecessor) {
+		eventually(t, "the offer is free again", func() bool { p, err = Connect(c); return err == nil && p != nil })
 		return p
 	}
 	p := fresh()
-	if p.listener.Addr().Network() != "tcp" {
-		t.Errorf("a listener of %v came", p.listener.Addr())
+	if p.Listener.Addr().Network() != "tcp" {
+		t.Errorf("a listener of %v came", p.Listener.Addr())
 	}
-	p.listener.Close()
-	p.close() // before it is ready
+	p.Listener.Close()
+	p.Close() // before it is ready
 	p = fresh()
-	p.listener.Close()
+	p.Listener.Close()
 	done := make(chan error, 1)
 	go func() { _, err := p.waitForPlace(); done <- err }()
 	s := await(t, "the new one's word", h.successors)
@@ -111,9 +111,9 @@
 	if err := await(t, "its answer", done); err == nil {
 		t.Error("it was given a place that nobody gave up")
 	}
-	p.close()
+	p.Close()
 	h.close()
-	if p, err := dialPredecessor(c); p != nil || err != nil {
+	if p, err := Connect(c); p != nil || err != nil {
 		t.Errorf("after the end: %v, %v", p, err)
 	}
 	if _, err := os.Stat(c.Socket); !errors.Is(err, os.ErrNotExist) && !h.handed {
@@ -122,7 +122,7 @@
 }
 
 // oldProcess plays the old process's side up to the new one's being ready, and returns its connection.
-func oldProcess(t *testing.T) (p *predecessor, old *net.UnixConn) {
+func oldProcess(t *testing.T) (p *Predecessor, old *net.UnixConn) {
 	t.Helper()
 	c := HandoverConfig{Name: "n", Listen: "127.0.0.1:1", Socket: filepath.Join(t.TempDir(), "s"), ReadyTimeout: defaultReady}
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: c.Socket, Net: "unix"})
@@ -138,23 +138,23 @@
 	go func() {
 		old, err := ln.AcceptUnix()
 		if err == nil {
-			_, err = receive(old, bufio.NewReader(old), msgHello, patience)
+			_, err = receive(old, bufio.NewReader(old), messageHello, patience)
 		}
 		if err == nil {
-			err = raw.Control(func(fd uintptr) { err = send(old, message{Kind: msgSocket}, syscall.UnixRights(int(fd))) })
+			err = raw.Control(func(fd uintptr) { err = send(old, message{Kind: messageSocket}, syscall.UnixRights(int(fd))) })
 		}
 		if err != nil {
 			t.Errorf("the old process: %v", err)
 		}
 		accepted <- old
 	}()
-	if p, err = dialPredecessor(c); err != nil || p == nil {
+	if p, err = Connect(c); err != nil || p == nil {
 		t.Fatalf("reached %v, error %v", p, err)
 	}
 	old = await(t, "the old process", accepted)
 	t.Cleanup(func() {
-		p.listener.Close()
-		p.close()
+		p.Listener.Close()
+		p.Close()
 		old.Close()
 	})
 	return p, old
@@ -169,20 +169,20 @@
 		err  string
 	}{
 		"late": {func(old *net.UnixConn) {
-			time.Sleep(answerIn + 100*time.Millisecond) // what is tested: no time of its own ends the wait
-			send(old, message{Kind: msgYours}, nil)
-			send(old, message{Kind: msgHeld, Held: []policy.BulkheadCapacity{{Slots: 3, Places: 1}}}, nil)
+			time.Sleep(messageTimeout + 100*time.Millisecond) // what is tested: no time of its own ends the wait
+			send(old, message{Kind: messageYours}, nil)
+			send(old, message{Kind: messageReserved, Reserved: []policy.BulkheadCapacity{{Slots: 3, Places: 1}}}, nil)
 		}, []policy.BulkheadCapacity{{Slots: 3, Places: 1}}, ""},
 		"dies before its word": {func(old *net.UnixConn) { old.Close() }, nil, ""},
 		"dies after its word": {func(old *net.UnixConn) {
-			send(old, message{Kind: msgYours}, nil)
+			send(old, message{Kind: messageYours}, nil)
 			old.Close()
 		}, nil, ""},
 		"ends after its word": {func(old *net.UnixConn) {
-			send(old, message{Kind: msgYours}, nil)
-			closeWithError(old, errEnding)
+			send(old, message{Kind: messageYours}, nil)
+			closeWithError(old, errShuttingDown)
 		}, nil, ""},
-		"ends by itself instead": {func(old *net.UnixConn) { closeWithError(old, errEnding) }, nil, errEnding.Error()},
+		"ends by itself instead": {func(old *net.UnixConn) { closeWithError(old, errShuttingDown) }, nil, errShuttingDown.Error()},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, old := oldProcess(t)
@@ -195,7 +195,7 @@
 				held, err := p.waitForPlace()
 				got <- result{held, err}
 			}()
-			if _, err := receive(old, bufio.NewReader(old), msgReady, patience); err != nil {
+			if _, err := receive(old, bufio.NewReader(old), messageReady, patience); err != nil {
 				t.Fatal(err)
 			}
 			tt.old(old)
@@ -211,31 +211,31 @@
 // is offered again.
 func TestPlaceIsKeptWhereTheNewProcessDied(t *testing.T) {
 	c := HandoverConfig{Name: "n", Listen: "127.0.0.1:1", Socket: filepath.Join(t.TempDir(), "s"), ReadyTimeout: defaultReady}
-	h, err := listenForSuccessor(c, listenLoopback(t))
+	h, err := Listen(c, listenLoopback(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer h.close()
-	p, err := dialPredecessor(c)
+	p, err := Connect(c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer p.listener.Close()
-	if err := send(p.conn, message{Kind: msgReady}, nil); err != nil {
+	defer p.Listener.Close()
+	if err := send(p.conn, message{Kind: messageReady}, nil); err != nil {
 		t.Fatal(err)
 	}
 	s := await(t, "the new one's word", h.successors)
-	p.close()
+	p.Close()
 	if err := h.handOver(s); err == nil || h.handed {
 		t.Errorf("the place was given to a process that has died: error %v", err)
 	}
 	eventually(t, "the offer is free again", func() bool {
-		again, err := dialPredecessor(c)
+		again, err := Connect(c)
 		if err != nil || again == nil {
 			return false
 		}
-		again.listener.Close()
-		again.close()
+		again.Listener.Close()
+		again.Close()
 		return true
 	})
 }
