--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -173,11 +173,11 @@
 		})
 	}
 	inPlace := false // it serves, or did
-	var offered *handover
+	var offered *Server
 	var asked <-chan *Successor
 	defer func() {
 		if offered != nil {
-			offered.close()
+			offered.Close()
 		}
 	}()
 	for {
@@ -197,11 +197,11 @@
 				slog.Error("no new process can take this one's place", "err", err)
 				continue
 			}
-			asked = offered.successors
+			asked = offered.Successors
 		case err := <-ungoverned:
 			return err
 		case next := <-asked:
-			if err := offered.handOver(next); err != nil {
+			if err := offered.HandOver(next); err != nil {
 				slog.Warn("the place is not given away: this process goes on", "err", err)
 				continue
 			}
--- a/internal/sidecar/takeover.go
+++ b/internal/sidecar/takeover.go
@@ -262,14 +262,14 @@
 	return nil
 }
 
-// handover is the old process's side: it waits for a new one, one at a time.
-type handover struct {
+// Server is the old process's side: it waits for a new one, one at a time.
+type Server struct {
 	socket *net.UnixListener
 	config HandoverConfig
 	raw    syscall.RawConn // of the listening socket
-	// successors is sent one value when a new process is ready; the owner answers it by
+	// Successors is sent one value when a new process is ready; the owner answers it by
 	// calling yours, once it accepts no more.
-	successors chan *Successor
+	Successors chan *Successor
 	tasks      sync.WaitGroup
 
 	mu      sync.Mutex
@@ -288,7 +288,7 @@
 // is ready to be reached.
 const newSocketSuffix = ".new"
 
-func Listen(c HandoverConfig, ln net.Listener) (*handover, error) {
+func Listen(c HandoverConfig, ln net.Listener) (*Server, error) {
 	tcp, ok := ln.(*net.TCPListener)
 	if !ok {
 		return nil, fmt.Errorf("take-over: a listener of kind %T, TCP is needed", ln)
@@ -308,7 +308,7 @@
 		s.Close()
 		return nil, fmt.Errorf("take-over: %w", err)
 	}
-	h := &handover{socket: s, config: c, raw: raw, successors: make(chan *Successor)}
+	h := &Server{socket: s, config: c, raw: raw, Successors: make(chan *Successor)}
 	h.tasks.Go(h.serve)
 	return h, nil
 }
@@ -322,8 +322,8 @@
 	c.Close()
 }
 
-// close ends the offer, and what a new process has begun.
-func (h *handover) close() {
+// Close ends the offer, and what a new process has begun.
+func (h *Server) Close() {
 	h.mu.Lock()
 	h.closed = true
 	h.socket.Close()
@@ -337,7 +337,7 @@
 	h.tasks.Wait()
 }
 
-func (h *handover) serve() {
+func (h *Server) serve() {
 	for {
 		c, err := h.socket.AcceptUnix()
 		if err != nil {
@@ -371,7 +371,7 @@
 
 // negotiate gives a new process the socket, and tells the owner when it is ready. It
 // returns when the new one has failed, or when the owner has nothing more to tell.
-func (h *handover) negotiate(c *net.UnixConn) error {
+func (h *Server) negotiate(c *net.UnixConn) error {
 	in := bufio.NewReaderSize(c, maxMessageBytes)
 	m, err := receive(c, in, messageHello, messageTimeout)
 	if err != nil {
@@ -391,7 +391,7 @@
 	}
 	s := &Successor{conn: c, done: make(chan struct{})}
 	select {
-	case h.successors <- s:
+	case h.Successors <- s:
 	case <-time.After(messageTimeout):
 		return errShuttingDown
 	}
@@ -399,8 +399,8 @@
 	return nil
 }
 
-// handOver tells a new process that the place is its. If it cannot be told, the place stays this one's.
-func (h *handover) handOver(s *Successor) error {
+// HandOver tells a new process that the place is its. If it cannot be told, the place stays this one's.
+func (h *Server) HandOver(s *Successor) error {
 	if err := send(s.conn, message{Kind: messageYours}, nil); err != nil {
 		close(s.done)
 		return fmt.Errorf("take-over: %w", err)
--- a/internal/sidecar/takeover_test.go
+++ b/internal/sidecar/takeover_test.go
@@ -106,13 +106,13 @@
 	p.Listener.Close()
 	done := make(chan error, 1)
 	go func() { _, err := p.waitForPlace(); done <- err }()
-	s := await(t, "the new one's word", h.successors)
+	s := await(t, "the new one's word", h.Successors)
 	close(s.done) // this process ends instead
 	if err := await(t, "its answer", done); err == nil {
 		t.Error("it was given a place that nobody gave up")
 	}
 	p.Close()
-	h.close()
+	h.Close()
 	if p, err := Connect(c); p != nil || err != nil {
 		t.Errorf("after the end: %v, %v", p, err)
 	}
@@ -215,7 +215,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer h.close()
+	defer h.Close()
 	p, err := Connect(c)
 	if err != nil {
 		t.Fatal(err)
@@ -224,9 +224,9 @@
 	if err := send(p.conn, message{Kind: messageReady}, nil); err != nil {
 		t.Fatal(err)
 	}
-	s := await(t, "the new one's word", h.successors)
+	s := await(t, "the new one's word", h.Successors)
 	p.Close()
-	if err := h.handOver(s); err == nil || h.handed {
+	if err := h.HandOver(s); err == nil || h.handed {
 		t.Errorf("the place was given to a process that has died: error %v", err)
 	}
 	eventually(t, "the offer is free again", func() bool {
