--- a/internal/sidecar/compatibility_test.go
+++ b/internal/sidecar/compatibility_test.go
@@ -1,15 +1,12 @@
 package sidecar
 
 import (
-	"bufio"
 	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"maps"
-	"net"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -37,59 +34,6 @@
 	return string(text)
 }
 
-func TestTakeoverMessagesAreThoseOf396a775(t *testing.T) {
-	messages := []message{
-		{Kind: messageHello, Name: "n7", Listen: "127.0.0.1:7070"},
-		{Kind: messageSocket},
-		{Kind: messageReady},
-		{Kind: messageYours},
-		{Kind: messageReserved, Reserved: []policy.BulkheadCapacity{{Slots: 3, Places: 1}, {Slots: 0, Places: 0}, {Slots: 17, Places: 250}}},
-		{Kind: messageReserved},
-		{Kind: messageReserved, Reserved: []policy.BulkheadCapacity{{}}},
-		{Kind: messageError, Error: errShuttingDown.Error()},
-		{Kind: messageError, Error: `this is n7 at 127.0.0.1:1, not "<n8>" at "x"`},
-	}
-	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(t.TempDir(), "s"), Net: "unix"})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	pair := func() (from, to *net.UnixConn) {
-		c, err := net.Dial("unix", ln.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		if to, err = ln.AcceptUnix(); err != nil {
-			t.Fatal(err)
-		}
-		return c.(*net.UnixConn), to
-	}
-	for i, line := range strings.SplitAfter(strings.TrimSuffix(fixture(t, "takeover/messages.jsonl"), "\n"), "\n") {
-		want := messages[i]
-		from, to := pair()
-		if err := send(from, want, nil); err != nil {
-			t.Fatal(err)
-		}
-		from.Close()
-		if text, err := io.ReadAll(to); err != nil || strings.TrimSpace(string(text)) != strings.TrimSpace(line) {
-			t.Errorf("message %d is sent as %q, error %v; want %q", i, text, err, line)
-		}
-		to.Close()
-		from, to = pair()
-		io.WriteString(from, strings.TrimSuffix(line, "\n")+"\n")
-		got, err := receive(to, bufio.NewReader(to), want.Kind, patience)
-		if want.Kind == messageError {
-			if err == nil || !strings.HasSuffix(err.Error(), want.Error) {
-				t.Errorf("message %d is received as error %v, want one that ends with %q", i, err, want.Error)
-			}
-		} else if err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("message %d is received as %+v, error %v; want %+v", i, got, err, want)
-		}
-		from.Close()
-		to.Close()
-	}
-}
-
 // storedActs are what 396a775 wrote to its policy folder, by the name of the file.
 func storedActs() map[string]rollout.ActivePolicy {
 	document := func(mode rollout.Mode) *rollout.Document {
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -17,6 +17,7 @@
 	"barleywick/internal/membership"
 	"barleywick/internal/registry/client"
 	"barleywick/internal/settings"
+	"barleywick/internal/sidecar/handover"
 	"barleywick/policy"
 )
 
@@ -293,8 +294,8 @@
 	switch {
 	case !filepath.IsAbs(t.Socket):
 		return fmt.Errorf("takeover.socket is %q, an absolute path is needed", t.Socket)
-	case len(t.Socket) > MaxSocketPath:
-		return fmt.Errorf("takeover.socket has %d bytes, %d at most", len(t.Socket), MaxSocketPath)
+	case len(t.Socket) > handover.MaxSocketPath:
+		return fmt.Errorf("takeover.socket has %d bytes, %d at most", len(t.Socket), handover.MaxSocketPath)
 	case t.ReadyMS < 0:
 		return fmt.Errorf("takeover.ready_ms is %d, it must not be negative", t.ReadyMS)
 	}
@@ -309,6 +310,6 @@
 }
 
 // handoverConfig is what the hand-over needs of the configuration.
-func (c *Config) handoverConfig() HandoverConfig {
-	return HandoverConfig{Name: c.Name, Listen: c.Listen, Socket: c.Takeover.Socket, ReadyTimeout: c.Takeover.readyIn()}
+func (c *Config) handoverConfig() handover.Config {
+	return handover.Config{Name: c.Name, Listen: c.Listen, Socket: c.Takeover.Socket, ReadyTimeout: c.Takeover.readyIn()}
 }
--- a/internal/sidecar/file_test.go
+++ b/internal/sidecar/file_test.go
@@ -9,6 +9,7 @@
 	"testing"
 
 	"barleywick/internal/settings"
+	"barleywick/internal/sidecar/handover"
 )
 
 const persons = `name = "n0"
@@ -193,3 +194,25 @@
 		}
 	})
 }
+
+// The configuration of a take-over is checked at load.
+func TestTakeoverConfiguration(t *testing.T) {
+	for text, want := range map[string]string{
+		`{"socket":"/run/x.sock"}`:                "",
+		`{"socket":"/run/x.sock","ready_ms":500}`: "",
+		`{"socket":"x.sock"}`:                     "absolute path",
+		`{}`:                                      "absolute path",
+		`{"socket":"/` + strings.Repeat("x", handover.MaxSocketPath+1) + `"}`: "bytes",
+		`{"socket":"/run/x.sock","ready_ms":-1}`:                              "negative",
+		`{"socket":"/run/x.sock","redy_ms":1}`:                                "unknown field",
+	} {
+		config := `{"seed":"1","takeover":` + text + `,"settings":{"balancers":1,"caps":{"most_tries":3},"classes":[{"name":"a","aim_ms":1,"hard_limit_ms":2}]}}`
+		c, err := parseConfig([]byte(config), nil)
+		if (err == nil) != (want == "") || (err != nil && !strings.Contains(err.Error(), want)) {
+			t.Errorf("%s: error %v, want %q", text, err, want)
+		}
+		if err == nil && (c.Takeover == nil || c.Takeover.readyIn() <= 0) {
+			t.Errorf("%s: %+v", text, c.Takeover)
+		}
+	}
+}
--- a/internal/sidecar/takeover.go
+++ b/internal/sidecar/handover/handover.go
@@ -1,4 +1,4 @@
-package sidecar
+package handover
 
 import (
 	"bufio"
@@ -50,8 +50,8 @@
 	MaxSocketPath = maxUnixPath - len(newSocketSuffix)
 )
 
-// HandoverConfig says which sidecar hands over, and where.
-type HandoverConfig struct {
+// Config says which sidecar hands over, and where.
+type Config struct {
 	Name         string // of the sidecar: both processes have to be the same one
 	Listen       string // the address it listens on
 	Socket       string // the path of the Unix socket
@@ -120,7 +120,7 @@
 }
 
 // Connect asks the process that serves now, if there is one, for its listening socket.
-func Connect(c HandoverConfig) (*Predecessor, error) {
+func Connect(c Config) (*Predecessor, error) {
 	d := net.Dialer{Timeout: messageTimeout}
 	nc, err := d.Dial("unix", c.Socket)
 	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
@@ -137,7 +137,7 @@
 	return p, nil
 }
 
-func (p *Predecessor) receiveSocket(c HandoverConfig) error {
+func (p *Predecessor) receiveSocket(c Config) error {
 	if err := send(p.conn, message{Kind: messageHello, Name: c.Name, Listen: c.Listen}, nil); err != nil {
 		return fmt.Errorf("take-over: %w", err)
 	}
@@ -265,7 +265,7 @@
 // Server is the old process's side: it waits for a new one, one at a time.
 type Server struct {
 	socket *net.UnixListener
-	config HandoverConfig
+	config Config
 	raw    syscall.RawConn // of the listening socket
 	// Successors is sent one value when a new process is ready; the owner answers it by
 	// calling yours, once it accepts no more.
@@ -288,7 +288,7 @@
 // is ready to be reached.
 const newSocketSuffix = ".new"
 
-func Listen(c HandoverConfig, ln net.Listener) (*Server, error) {
+func Listen(c Config, ln net.Listener) (*Server, error) {
 	tcp, ok := ln.(*net.TCPListener)
 	if !ok {
 		return nil, fmt.Errorf("take-over: a listener of kind %T, TCP is needed", ln)
--- a/internal/sidecar/takeover_test.go
+++ b/internal/sidecar/handover/handover_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package handover
 
 import (
 	"bufio"
@@ -8,12 +8,14 @@
 	"net"
 	"os"
 	"path/filepath"
+	"reflect"
 	"slices"
 	"strings"
 	"syscall"
 	"testing"
 	"time"
 
+	"barleywick/internal/sidecar/sidecartest"
 	"barleywick/policy"
 )
 
@@ -42,40 +44,18 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		m, err := receive(c, bufio.NewReaderSize(c, maxMessageBytes), messageHello, patience)
+		m, err := receive(c, bufio.NewReaderSize(c, maxMessageBytes), messageHello, sidecartest.Patience)
 		if err == nil && m.Kind != messageHello {
 			t.Errorf("%q was taken for a hello", text)
 		}
 	})
 }
 
-// The configuration of a take-over is checked at load.
-func TestTakeoverConfiguration(t *testing.T) {
-	for text, want := range map[string]string{
-		`{"socket":"/run/x.sock"}`:                "",
-		`{"socket":"/run/x.sock","ready_ms":500}`: "",
-		`{"socket":"x.sock"}`:                     "absolute path",
-		`{}`:                                      "absolute path",
-		`{"socket":"/` + strings.Repeat("x", MaxSocketPath+len(newSocketSuffix)) + `"}`: "bytes",
-		`{"socket":"/run/x.sock","ready_ms":-1}`:                                        "negative",
-		`{"socket":"/run/x.sock","redy_ms":1}`:                                          "unknown field",
-	} {
-		config := `{"seed":"1","takeover":` + text + `,"settings":{"balancers":1,"caps":{"most_tries":3},"classes":[{"name":"a","aim_ms":1,"hard_limit_ms":2}]}}`
-		c, err := parseConfig([]byte(config), nil)
-		if (err == nil) != (want == "") || (err != nil && !strings.Contains(err.Error(), want)) {
-			t.Errorf("%s: error %v, want %q", text, err, want)
-		}
-		if err == nil && (c.Takeover == nil || c.Takeover.readyIn() <= 0) {
-			t.Errorf("%s: %+v", text, c.Takeover)
-		}
-	}
-}
-
 // Who says something else than the old process waits for gets a word and no socket;
 // the offer stays open for the next.
 func TestHandoverIsParticular(t *testing.T) {
-	c := HandoverConfig{Name: "n", Listen: "127.0.0.1:1", Socket: filepath.Join(t.TempDir(), "s"), ReadyTimeout: defaultReady}
-	h, err := Listen(c, listenLoopback(t))
+	c := Config{Name: "n", Listen: "127.0.0.1:1", Socket: filepath.Join(t.TempDir(), "s"), ReadyTimeout: sidecartest.Patience}
+	h, err := Listen(c, sidecartest.ListenLoopback(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +64,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		nc.SetDeadline(time.Now().Add(patience))
+		nc.SetDeadline(time.Now().Add(sidecartest.Patience))
 		json.NewEncoder(nc).Encode(first)
 		text, err := io.ReadAll(nc)
 		if err != nil || strings.Contains(string(text), `"`+messageSocket+`"`) {
@@ -93,7 +73,7 @@
 		nc.Close()
 	}
 	fresh := func() (p *Predecessor) {
-		eventually(t, "the offer is free again", func() bool { p, err = Connect(c); return err == nil && p != nil })
+		sidecartest.Eventually(t, "the offer is free again", func() bool { p, err = Connect(c); return err == nil && p != nil })
 		return p
 	}
 	p := fresh()
@@ -106,9 +86,9 @@
 	p.Listener.Close()
 	done := make(chan error, 1)
 	go func() { _, err := p.waitForPlace(); done <- err }()
-	s := await(t, "the new one's word", h.Successors)
+	s := sidecartest.Await(t, "the new one's word", h.Successors)
 	close(s.done) // this process ends instead
-	if err := await(t, "its answer", done); err == nil {
+	if err := sidecartest.Await(t, "its answer", done); err == nil {
 		t.Error("it was given a place that nobody gave up")
 	}
 	p.Close()
@@ -124,13 +104,13 @@
 // oldProcess plays the old process's side up to the new one's being ready, and returns its connection.
 func oldProcess(t *testing.T) (p *Predecessor, old *net.UnixConn) {
 	t.Helper()
-	c := HandoverConfig{Name: "n", Listen: "127.0.0.1:1", Socket: filepath.Join(t.TempDir(), "s"), ReadyTimeout: defaultReady}
+	c := Config{Name: "n", Listen: "127.0.0.1:1", Socket: filepath.Join(t.TempDir(), "s"), ReadyTimeout: sidecartest.Patience}
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: c.Socket, Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	raw, err := listenLoopback(t).(*net.TCPListener).SyscallConn()
+	raw, err := sidecartest.ListenLoopback(t).(*net.TCPListener).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,7 +118,7 @@
 	go func() {
 		old, err := ln.AcceptUnix()
 		if err == nil {
-			_, err = receive(old, bufio.NewReader(old), messageHello, patience)
+			_, err = receive(old, bufio.NewReader(old), messageHello, sidecartest.Patience)
 		}
 		if err == nil {
 			err = raw.Control(func(fd uintptr) { err = send(old, message{Kind: messageSocket}, syscall.UnixRights(int(fd))) })
@@ -151,7 +131,7 @@
 	if p, err = Connect(c); err != nil || p == nil {
 		t.Fatalf("reached %v, error %v", p, err)
 	}
-	old = await(t, "the old process", accepted)
+	old = sidecartest.Await(t, "the old process", accepted)
 	t.Cleanup(func() {
 		p.Listener.Close()
 		p.Close()
@@ -195,11 +175,11 @@
 				held, err := p.waitForPlace()
 				got <- result{held, err}
 			}()
-			if _, err := receive(old, bufio.NewReader(old), messageReady, patience); err != nil {
+			if _, err := receive(old, bufio.NewReader(old), messageReady, sidecartest.Patience); err != nil {
 				t.Fatal(err)
 			}
 			tt.old(old)
-			r := await(t, "the new process's decision", got)
+			r := sidecartest.Await(t, "the new process's decision", got)
 			if !slices.Equal(r.held, tt.want) || (r.err == nil) != (tt.err == "") || r.err != nil && !strings.Contains(r.err.Error(), tt.err) {
 				t.Errorf("%v, error %v; want %v and %q", r.held, r.err, tt.want, tt.err)
 			}
@@ -210,8 +190,8 @@
 // A new process that dies when it has said that it is ready leaves the old one in its place, which
 // is offered again.
 func TestPlaceIsKeptWhereTheNewProcessDied(t *testing.T) {
-	c := HandoverConfig{Name: "n", Listen: "127.0.0.1:1", Socket: filepath.Join(t.TempDir(), "s"), ReadyTimeout: defaultReady}
-	h, err := Listen(c, listenLoopback(t))
+	c := Config{Name: "n", Listen: "127.0.0.1:1", Socket: filepath.Join(t.TempDir(), "s"), ReadyTimeout: sidecartest.Patience}
+	h, err := Listen(c, sidecartest.ListenLoopback(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -224,12 +204,12 @@
 	if err := send(p.conn, message{Kind: messageReady}, nil); err != nil {
 		t.Fatal(err)
 	}
-	s := await(t, "the new one's word", h.Successors)
+	s := sidecartest.Await(t, "the new one's word", h.Successors)
 	p.Close()
 	if err := h.HandOver(s); err == nil || h.handed {
 		t.Errorf("the place was given to a process that has died: error %v", err)
 	}
-	eventually(t, "the offer is free again", func() bool {
+	sidecartest.Eventually(t, "the offer is free again", func() bool {
 		again, err := Connect(c)
 		if err != nil || again == nil {
 			return false
@@ -239,3 +219,61 @@
 		return true
 	})
 }
+
+// What the code of 396a775 sent has to be read, and what is sent now has to be the same byte for byte.
+func TestTakeoverMessagesAreThoseOf396a775(t *testing.T) {
+	fixture, err := os.ReadFile("testdata/396a775/messages.jsonl")
+	if err != nil {
+		t.Fatal(err)
+	}
+	messages := []message{
+		{Kind: messageHello, Name: "n7", Listen: "127.0.0.1:7070"},
+		{Kind: messageSocket},
+		{Kind: messageReady},
+		{Kind: messageYours},
+		{Kind: messageReserved, Reserved: []policy.BulkheadCapacity{{Slots: 3, Places: 1}, {Slots: 0, Places: 0}, {Slots: 17, Places: 250}}},
+		{Kind: messageReserved},
+		{Kind: messageReserved, Reserved: []policy.BulkheadCapacity{{}}},
+		{Kind: messageError, Error: errShuttingDown.Error()},
+		{Kind: messageError, Error: `this is n7 at 127.0.0.1:1, not "<n8>" at "x"`},
+	}
+	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(t.TempDir(), "s"), Net: "unix"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	pair := func() (from, to *net.UnixConn) {
+		c, err := net.Dial("unix", ln.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		if to, err = ln.AcceptUnix(); err != nil {
+			t.Fatal(err)
+		}
+		return c.(*net.UnixConn), to
+	}
+	for i, line := range strings.SplitAfter(strings.TrimSuffix(string(fixture), "\n"), "\n") {
+		want := messages[i]
+		from, to := pair()
+		if err := send(from, want, nil); err != nil {
+			t.Fatal(err)
+		}
+		from.Close()
+		if text, err := io.ReadAll(to); err != nil || strings.TrimSpace(string(text)) != strings.TrimSpace(line) {
+			t.Errorf("message %d is sent as %q, error %v; want %q", i, text, err, line)
+		}
+		to.Close()
+		from, to = pair()
+		io.WriteString(from, strings.TrimSuffix(line, "\n")+"\n")
+		got, err := receive(to, bufio.NewReader(to), want.Kind, sidecartest.Patience)
+		if want.Kind == messageError {
+			if err == nil || !strings.HasSuffix(err.Error(), want.Error) {
+				t.Errorf("message %d is received as error %v, want one that ends with %q", i, err, want.Error)
+			}
+		} else if err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("message %d is received as %+v, error %v; want %+v", i, got, err, want)
+		}
+		from.Close()
+		to.Close()
+	}
+}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -16,6 +16,7 @@
 
 	"barleywick/internal/registry/client"
 	"barleywick/internal/rollout"
+	"barleywick/internal/sidecar/handover"
 	"barleywick/policy"
 )
 
@@ -27,7 +28,7 @@
 // take its own.
 func Run(stop context.Context, reload <-chan os.Signal, c *Config) error {
 	if c.Takeover != nil {
-		old, err := Connect(c.handoverConfig())
+		old, err := handover.Connect(c.handoverConfig())
 		if err != nil {
 			return err
 		}
@@ -44,7 +45,7 @@
 }
 
 // serve runs a sidecar on a listener, and in the place of an old process if there is one.
-func serve(stop context.Context, reload <-chan os.Signal, c *Config, ln net.Listener, old *Predecessor) error {
+func serve(stop context.Context, reload <-chan os.Signal, c *Config, ln net.Listener, old *handover.Predecessor) error {
 	defer ln.Close()
 	pool := newPool(c.DialTimeout, c.ConnIdle, c.Connections.Servers, c.Seed)
 	defer pool.close()
@@ -173,8 +174,8 @@
 		})
 	}
 	inPlace := false // it serves, or did
-	var offered *Server
-	var asked <-chan *Successor
+	var offered *handover.Server
+	var asked <-chan *handover.Successor
 	defer func() {
 		if offered != nil {
 			offered.Close()
@@ -193,7 +194,7 @@
 			if c.Takeover == nil {
 				continue
 			}
-			if offered, err = Listen(c.handoverConfig(), ln); err != nil {
+			if offered, err = handover.Listen(c.handoverConfig(), ln); err != nil {
 				slog.Error("no new process can take this one's place", "err", err)
 				continue
 			}
