--- /dev/null
+++ b/internal/registry/compatibility_test.go
@@ -0,0 +1,278 @@
+package registry
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"barleywick/internal/rollout"
+)
+
+// The files of testdata/396a775 were written by the code of that commit: the
+// commands of a Raft log, what each came to, snapshots of the state between them,
+// and a body of each message of the API. What is stored and sent has to stay so.
+
+// fixture reads a file of that commit, without its line break.
+func fixture(t testing.TB, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", "396a775", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return bytes.TrimSuffix(text, []byte("\n"))
+}
+
+func fixtureLines(t testing.TB, name string) []string {
+	t.Helper()
+	return strings.Split(string(fixture(t, name)), "\n")
+}
+
+// recordedResult is what a command came to. Change is what a watcher was told of it.
+type recordedResult struct {
+	Version uint64          `json:"version"`
+	Seq     uint64          `json:"seq"`
+	Changed []string        `json:"changed"`
+	Token   uint64          `json:"token"`
+	Place   int             `json:"place"`
+	Error   string          `json:"error"`
+	Change  json.RawMessage `json:"change"`
+}
+
+// replay applies the recorded log up to, and without, the first command that stop
+// names; all of it where stop is nil.
+func replay(t testing.TB, stop func(Command) bool) *State {
+	t.Helper()
+	s := NewState()
+	results := fixtureLines(t, "results.jsonl")
+	for i, line := range fixtureLines(t, "commands.jsonl") {
+		var c Command
+		if err := json.Unmarshal([]byte(line), &c); err != nil {
+			t.Fatalf("command %d: %v", i, err)
+		}
+		if stop != nil && stop(c) {
+			return s
+		}
+		before := s.Seq()
+		r := s.Apply(c)
+		got := recordedResult{Version: r.Version, Seq: r.Seq, Changed: r.ChangedHosts, Token: r.Token, Place: r.QueuePosition}
+		if r.Err != nil {
+			got.Error = r.Err.Error()
+		}
+		if s.Seq() != before {
+			var err error
+			if got.Change, err = json.Marshal(s.ChangesSince(before)); err != nil {
+				t.Fatal(err)
+			}
+		}
+		text, err := json.Marshal(got)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if string(text) != results[i] {
+			t.Fatalf("command %d, %s:\ngot  %s\nwant %s", i, line, text, results[i])
+		}
+	}
+	return s
+}
+
+func marshal(t testing.TB, v any) []byte {
+	t.Helper()
+	text, err := json.Marshal(v)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+func TestRecordedCommandsAreReadAndWritten(t *testing.T) {
+	seen := make(map[Op]bool)
+	for i, line := range fixtureLines(t, "commands.jsonl") {
+		var c Command
+		if err := json.Unmarshal([]byte(line), &c); err != nil {
+			t.Fatalf("command %d: %v", i, err)
+		}
+		if got := marshal(t, c); string(got) != line {
+			t.Errorf("command %d:\ngot  %s\nwant %s", i, got, line)
+		}
+		seen[c.Op] = true
+	}
+	for _, op := range []Op{
+		OpFoundGroup, OpRegister, OpMark, OpRemove, OpExpireSessions, OpPutRecord, OpDeleteRecord, OpRestore, OpPolicyStep,
+		OpAcquireLease, OpReleaseLease, OpExpireClaims, OpRequestYield, OpOpenGrants,
+	} {
+		if !seen[op] {
+			t.Errorf("the recorded log has no command %q", op)
+		}
+	}
+}
+
+// The same log leads to the same state, and every command to the same result.
+func TestRecordedLogLeadsToTheSameState(t *testing.T) {
+	for name, stop := range map[string]func(Command) bool{
+		"backup.json":         func(c Command) bool { return c.Op == OpAcquireLease },
+		"state.json":          func(c Command) bool { return c.Op == OpExpireClaims && c.Term == 4 },
+		"state_restored.json": nil,
+	} {
+		s := replay(t, stop)
+		if got, want := marshal(t, s), fixture(t, name); !bytes.Equal(got, want) {
+			t.Errorf("%s:\ngot  %s\nwant %s", name, got, want)
+		}
+	}
+	if got, want := marshal(t, replay(t, nil).FullList()), fixture(t, "list.json"); !bytes.Equal(got, want) {
+		t.Errorf("the list:\ngot  %s\nwant %s", got, want)
+	}
+}
+
+func TestRecordedSnapshotsAreReadAndWritten(t *testing.T) {
+	for _, name := range []string{"backup.json", "state.json", "state_restored.json", "state_without_leases.json"} {
+		text := fixture(t, name)
+		s := NewState()
+		if err := json.Unmarshal(text, s); err != nil {
+			t.Errorf("%s: %v", name, err)
+			continue
+		}
+		if got := marshal(t, s); !bytes.Equal(got, text) {
+			t.Errorf("%s:\ngot  %s\nwant %s", name, got, text)
+		}
+		if got := marshal(t, s.Clone()); !bytes.Equal(got, text) {
+			t.Errorf("%s, its clone:\ngot  %s\nwant %s", name, got, text)
+		}
+	}
+}
+
+// A snapshot from before there were leases and a policy is read as one with none.
+func TestSnapshotWithoutLeasesIsRead(t *testing.T) {
+	var parts map[string]json.RawMessage
+	if err := json.Unmarshal(fixture(t, "state.json"), &parts); err != nil {
+		t.Fatal(err)
+	}
+	delete(parts, "leases")
+	delete(parts, "policy")
+	s := NewState()
+	if err := json.Unmarshal(marshal(t, parts), s); err != nil {
+		t.Fatal(err)
+	}
+	if got, want := marshal(t, s), fixture(t, "state_without_leases.json"); !bytes.Equal(got, want) {
+		t.Errorf("got  %s\nwant %s", got, want)
+	}
+}
+
+// The contents of a recorded snapshot, part by part: reading must not only be the
+// inverse of writing.
+func TestContentsOfARecordedSnapshot(t *testing.T) {
+	s := NewState()
+	if err := json.Unmarshal(fixture(t, "state.json"), s); err != nil {
+		t.Fatal(err)
+	}
+	if s.Group() != "prenota-nord" || s.FirstVersion() != 1843200002048000 || s.Seq() != 1843200002048014 {
+		t.Errorf("group %q, versions %d to %d", s.Group(), s.FirstVersion(), s.Seq())
+	}
+	hosts := make([]string, 0, s.Len())
+	for _, r := range s.Registrations() {
+		hosts = append(hosts, r.Host)
+	}
+	if want := []string{"s-1", "s-3", "s-4", "s-5", "s-6"}; !slices.Equal(hosts, want) {
+		t.Errorf("hosts %v, want %v", hosts, want)
+	}
+	block := 3
+	want := Registration{
+		Instance: Instance{Host: "s-1", Dial: "127.0.0.1:7070", Site: "milano-a", Class: "m2", Block: &block, Health: HealthDraining, Share: 1.5, BornMS: 5},
+		Session:  "session-1", TTLMS: 5000, Machine: "m-1", Version: 1843200002048007, ReportedHealth: HealthUp,
+	}
+	got, _ := s.Registration("s-1")
+	if !got.Instance.equal(want.Instance) {
+		t.Errorf("got %+v, want %+v", got.Instance, want.Instance)
+	}
+	got.Instance, want.Instance = Instance{}, Instance{}
+	if got != want {
+		t.Errorf("got %+v, want %+v", got, want)
+	}
+	for host, by := range map[string]string{"s-1": "ops-a", "s-3": "ops-a", "s-5": "ops-a", "s-6": "drain m-1"} {
+		if got := s.Marks()[host]; got != by {
+			t.Errorf("%s is marked by %q, want %q", host, got, by)
+		}
+	}
+	if r, _ := s.Record("drain:m-1"); string(r.Value) != `{"step":"marked"}` || r.Version != 1843200002048001 || r.AtMS != 1_800_000_031_000 {
+		t.Errorf("the record is %q, version %d, of %d", r.Value, r.Version, r.AtMS)
+	}
+	if keys := s.RecordKeys(); !slices.Equal(keys, []string{"drain:m-1", "fenced", "member:r1"}) {
+		t.Errorf("records %v", keys)
+	}
+	checkRecordedLeases(t, s.Leases())
+	checkRecordedRollout(t, s.Rollout().Status())
+}
+
+func checkRecordedLeases(t *testing.T, leases *Leases) {
+	t.Helper()
+	if leases.GrantsClosed() || leases.LastToken() != 1843200002048006 || leases.Version() != 1843200002048024 {
+		t.Errorf("closed %v, token %d, version %d", leases.GrantsClosed(), leases.LastToken(), leases.Version())
+	}
+	drains, _ := leases.Lease("drains")
+	if g := drains.Grant; g == nil || g.ID != "claim-k1-drains" || g.Holder != (Holder{"k1", 7}) || g.TTLMS != 4000 || g.Token != 1843200002048001 {
+		t.Errorf("drains is granted to %+v", g)
+	}
+	if !drains.YieldRequested || drains.NextHolder != "k3" || len(drains.Queue) != 2 || drains.Queue[1].ID != "claim-k3-drains-later" || drains.Queue[1].Incarnation != 3 {
+		t.Errorf("drains is %+v", drains)
+	}
+	if health, _ := leases.Lease("health"); !health.Paused || health.Grant != nil || len(health.Queue) != 1 {
+		t.Errorf("health is %+v", health)
+	}
+	ended := LeaseCommand{Name: "drains", Claim: Claim{ID: "claim-k3-drains", Holder: Holder{"k3", 2}, TTLMS: 4000}, Wait: true}
+	state := NewState()
+	state.group, state.leases = "g", leases.Clone()
+	if r := state.Apply(Command{Op: OpAcquireLease, Lease: &ended}); r.Err == nil || r.Err.Error() != "the claim has ended: claim claim-k3-drains" {
+		t.Errorf("a claim that had ended: %v", r.Err)
+	}
+	tracker := NewClaimTracker(time.Minute)
+	tracker.Sync(leases, time.Unix(0, 0))
+	if tracker.Len() != 7 {
+		t.Errorf("%d claims are tracked, want 7", tracker.Len())
+	}
+}
+
+func checkRecordedRollout(t *testing.T, status rollout.Status) {
+	t.Helper()
+	if status.Stage != rollout.StageCanary || status.Change == nil || status.Change.By != "ops-b" || len(status.Roster) != 2 || len(status.History) != 3 {
+		t.Errorf("the rollout is %+v", status)
+	}
+}
+
+// Each message of the API is read strictly, as the server does, and written alike.
+func TestRecordedMessagesAreReadAndWritten(t *testing.T) {
+	types := map[string]func() any{
+		"register": func() any { return new(RegisterRequest) }, "renew": func() any { return new(RenewRequest) }, "mark": func() any { return new(MarkRequest) },
+		"put": func() any { return new(PutRequest) }, "acquire": func() any { return new(AcquireRequest) }, "release": func() any { return new(ReleaseRequest) },
+		"ask": func() any { return new(YieldRequest) }, "renewals": func() any { return new(RenewClaimsRequest) }, "policy": func() any { return new(PolicyRequest) },
+		"list": func() any { return new(ListUpdate) }, "instances": func() any { return new(RegistrationsResponse) }, "write": func() any { return new(WriteResponse) },
+		"record": func() any { return new(Record) }, "claim": func() any { return new(ClaimStatus) }, "renewed": func() any { return new(RenewClaimsResponse) },
+		"leases": func() any { return new(LeasesResponse) }, "member": func() any { return new(ReplicaInfo) }, "status": func() any { return new(StatusResponse) },
+	}
+	seen := make(map[string]bool)
+	for _, line := range fixtureLines(t, "api.jsonl") {
+		var x struct {
+			Name string          `json:"name"`
+			Body json.RawMessage `json:"body"`
+		}
+		if err := json.Unmarshal([]byte(line), &x); err != nil {
+			t.Fatal(err)
+		}
+		seen[x.Name] = true
+		message := types[x.Name]()
+		d := json.NewDecoder(bytes.NewReader(x.Body))
+		d.DisallowUnknownFields()
+		if err := d.Decode(message); err != nil {
+			t.Errorf("%s: %v", line, err)
+		}
+		if got := marshal(t, message); !bytes.Equal(got, x.Body) {
+			t.Errorf("%s:\ngot  %s\nwant %s", x.Name, got, x.Body)
+		}
+	}
+	if len(seen) != len(types) {
+		t.Errorf("%d messages are recorded, want %d", len(seen), len(types))
+	}
+}
