--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -248,9 +248,12 @@
 	if r := s.Apply(Command{Op: OpMark, Host: "a", MarkedBy: "ops-a"}); r.Err != nil || health("a") != HealthUp {
 		t.Errorf("taken back: %v, %s", r.Err, health("a"))
 	}
-	put := s.Apply(Command{Op: OpPutRecord, Key: "drain/x", Value: []byte("1")})
-	late := Command{Op: OpMark, Host: "a", MarkedBy: "ops-a", Draining: true, IfRecord: "drain/x", IfRecordVersion: put.Version}
-	s.Apply(Command{Op: OpPutRecord, Key: "drain/x", Value: []byte("2")})
+	put := s.Apply(Command{Op: OpPutRecord, Key: "drain:x", Value: []byte("1")})
+	if put.Err != nil {
+		t.Fatal(put.Err)
+	}
+	late := Command{Op: OpMark, Host: "a", MarkedBy: "ops-a", Draining: true, IfRecord: "drain:x", IfRecordVersion: put.Version}
+	s.Apply(Command{Op: OpPutRecord, Key: "drain:x", Value: []byte("2")})
 	if r := s.Apply(late); !errors.Is(r.Err, ErrConflict) || health("a") != HealthUp {
 		t.Errorf("a mark by who has lost the claim: %v", r.Err)
 	}
