--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	// callIn is for one call to one replica, an election's length included.
-	callIn = 5 * time.Second
+	// callTimeout is for one call to one replica, an election's length included.
+	callTimeout = 5 * time.Second
 	// The pause between two rounds over all replicas, jittered.
-	firstPause = 50 * time.Millisecond
-	lastPause  = time.Second
-	maxAnswer  = 16 << 20
-	maxHops    = 3 // from one replica to the one that it says leads
+	minBackoff       = 50 * time.Millisecond
+	maxBackoff       = time.Second
+	maxResponseBytes = 16 << 20
+	maxRedirects     = 3 // from one replica to the one that it says leads
 )
 
 // Error is a registry's plain refusal. It is final: the same call gets it again.
@@ -67,13 +67,13 @@
 // Client reads and writes over all replicas of a registry: it goes to the one that
 // leads, and on to others while that is not to be had. It is safe for concurrent use.
 type Client struct {
-	http  *http.Client
-	addrs []string
-	most  time.Duration // for one call over all replicas; 0: as long as its context lasts
+	http    *http.Client
+	addrs   []string
+	timeout time.Duration // for one call over all replicas; 0: as long as its context lasts
 
-	mu   sync.Mutex
-	rng  *rand.Rand
-	last string // the replica that answered last
+	mu        sync.Mutex
+	rng       *rand.Rand
+	preferred string // the replica that answered last
 }
 
 // New makes a Client for a registry at these addresses.
@@ -110,31 +110,31 @@
 // WithTimeout bounds every call by a time, its tries at all replicas included. It is to
 // be called before the Client is used.
 func (c *Client) WithTimeout(most time.Duration) *Client {
-	c.most = most
+	c.timeout = most
 	return c
 }
 
-// order is in which order replicas are asked: the last that answered, then the
+// replicaOrder is in which replicaOrder replicas are asked: the last that answered, then the
 // others from a random one on, so that callers spread over them.
-func (c *Client) order() []string {
+func (c *Client) replicaOrder() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var all []string
-	if c.last != "" {
-		all = append(all, c.last)
+	if c.preferred != "" {
+		all = append(all, c.preferred)
 	}
 	for _, i := range c.rng.Perm(len(c.addrs)) {
-		if c.addrs[i] != c.last {
+		if c.addrs[i] != c.preferred {
 			all = append(all, c.addrs[i])
 		}
 	}
 	return all
 }
 
-func (c *Client) spread(d time.Duration) time.Duration {
+func (c *Client) jitter(d time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return spread(c.rng, d)
+	return jitter(c.rng, d)
 }
 
 // call makes one call, at one replica after the other until one does it or refuses
@@ -147,19 +147,19 @@
 			return fmt.Errorf("registry: write request: %w", err)
 		}
 	}
-	if c.most > 0 {
+	if c.timeout > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, c.most)
+		ctx, cancel = context.WithTimeout(ctx, c.timeout)
 		defer cancel()
 	}
 	var last error
-	for pause := firstPause; ; pause = min(2*pause, lastPause) {
-		for _, addr := range c.order() {
-			at, err := c.once(ctx, addr, method, path, text, into)
+	for pause := minBackoff; ; pause = min(2*pause, maxBackoff) {
+		for _, addr := range c.replicaOrder() {
+			at, err := c.callReplica(ctx, addr, method, path, text, into)
 			var refused *Error
 			if err == nil || errors.As(err, &refused) {
 				c.mu.Lock()
-				c.last = at
+				c.preferred = at
 				c.mu.Unlock()
 				return err
 			}
@@ -168,21 +168,21 @@
 			}
 		}
 		c.mu.Lock()
-		c.last = ""
+		c.preferred = ""
 		c.mu.Unlock()
 		select {
-		case <-time.After(c.spread(pause)):
+		case <-time.After(c.jitter(pause)):
 		case <-ctx.Done():
 			return fmt.Errorf("%w: %w", ErrUnreachable, last)
 		}
 	}
 }
 
-// once makes a call at one replica, or at the one it points to, and says which answered.
-func (c *Client) once(ctx context.Context, addr, method, path string, text []byte, into any) (at string, err error) {
-	ctx, cancel := context.WithTimeout(ctx, callIn)
+// callReplica makes a call at one replica, or at the one it points to, and says which answered.
+func (c *Client) callReplica(ctx context.Context, addr, method, path string, text []byte, into any) (at string, err error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	for range maxHops {
+	for range maxRedirects {
 		req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+registry.APIPath+path, bytes.NewReader(text))
 		if err != nil {
 			return addr, &Error{Status: http.StatusBadRequest, Message: err.Error()}
@@ -191,7 +191,7 @@
 		if err != nil {
 			return addr, err
 		}
-		answer, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+		answer, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 		resp.Body.Close()
 		if err != nil {
 			return addr, err
@@ -305,7 +305,7 @@
 	all = len(s.Replicas) > 0
 	for _, m := range s.Replicas {
 		var one registry.StatusResponse
-		if _, err := c.once(ctx, m.HTTP, http.MethodGet, "status", nil, &one); err != nil || !one.Ready {
+		if _, err := c.callReplica(ctx, m.HTTP, http.MethodGet, "status", nil, &one); err != nil || !one.Ready {
 			all = false
 			continue
 		}
--- a/internal/registry/client/fuzz_test.go
+++ b/internal/registry/client/fuzz_test.go
@@ -12,7 +12,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var got []ListUpdate
 		w := NewWatcher(WatcherOptions{Addrs: []string{"127.0.0.1:1"}, LastKnown: &ListUpdate{Seq: 41}, Deliver: func(l ListUpdate) { got = append(got, l) }})
-		err := w.take(text)
+		err := w.handleUpdate(text)
 		if (err == nil) != (len(got) == 1) {
 			t.Fatalf("error %v and %d deliveries", err, len(got))
 		}
--- a/internal/registry/client/register.go
+++ b/internal/registry/client/register.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// renewals is how many fall into a time to live: two may be lost, or an
+	// renewalsPerTTL is how many fall into a time to live: two may be lost, or an
 	// election come between, before the session ends.
-	renewals = 4
-	// leaveIn is how long an instance that ends tries to say so.
-	leaveIn = 2 * time.Second
+	renewalsPerTTL = 4
+	// deregisterTimeout is how long an instance that ends tries to say so.
+	deregisterTimeout = 2 * time.Second
 )
 
 // KeepRegistered registers an instance and keeps it registered until ctx ends; then it takes
@@ -27,7 +27,7 @@
 	for {
 		a, err := c.Register(ctx, r)
 		if ctx.Err() != nil {
-			return c.leave(ctx, r)
+			return c.deregister(ctx, r)
 		}
 		if err != nil {
 			return err
@@ -35,21 +35,21 @@
 		if registered != nil {
 			registered(a)
 		}
-		if err := c.renew(ctx, r, ttl/renewals); errors.Is(err, registry.ErrNotFound) {
+		if err := c.renewUntil(ctx, r, ttl/renewalsPerTTL); errors.Is(err, registry.ErrNotFound) {
 			slog.Warn("registry: the session is gone, registering again", "host", r.Instance.Host)
 			continue
 		} else if ctx.Err() == nil {
 			return err
 		}
-		return c.leave(ctx, r)
+		return c.deregister(ctx, r)
 	}
 }
 
-// renew keeps the session alive until it cannot.
-func (c *Client) renew(ctx context.Context, r registry.RegisterRequest, every time.Duration) error {
+// renewUntil keeps the session alive until it cannot.
+func (c *Client) renewUntil(ctx context.Context, r registry.RegisterRequest, every time.Duration) error {
 	for {
 		select {
-		case <-time.After(c.spread(every)):
+		case <-time.After(c.jitter(every)):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -59,10 +59,10 @@
 	}
 }
 
-// leave takes the instance out, as good as it can in a short time: its session
+// deregister takes the instance out, as good as it can in a short time: its session
 // ends by itself otherwise.
-func (c *Client) leave(ctx context.Context, r registry.RegisterRequest) error {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaveIn)
+func (c *Client) deregister(ctx context.Context, r registry.RegisterRequest) error {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), deregisterTimeout)
 	defer cancel()
 	err := c.Remove(ctx, r.Instance.Host, r.Session)
 	if errors.Is(err, registry.ErrHostTaken) {
--- a/internal/registry/client/watch.go
+++ b/internal/registry/client/watch.go
@@ -64,16 +64,16 @@
 }
 
 const (
-	// silence ends a watch: an empty line comes every 2 s while nothing changes.
-	silence = 3 * time.Second
+	// watchTimeout ends a watch: an empty line comes every 2 s while nothing changes.
+	watchTimeout = 3 * time.Second
 	// What is out of reach is tried again soon, but not at once, and not by all
 	// watchers in step: each pause is between a half and one and a half of these.
-	firstReopen = 100 * time.Millisecond
-	lastReopen  = time.Second
-	maxListing  = 4 << 20
-	// connections is how many a watcher may hold to one address: a watch, and a
+	minReopenDelay = 100 * time.Millisecond
+	maxReopenDelay = time.Second
+	maxUpdateBytes = 4 << 20
+	// maxConnsPerAddr is how many a watcher may hold to one address: a watch, and a
 	// call for the whole list.
-	connections = 2
+	maxConnsPerAddr = 2
 )
 
 // errGap says that a change was missed or could not be read: only the whole list helps.
@@ -82,11 +82,11 @@
 // errStale says that another replica may know more.
 var errStale = errors.New("the replica has no leader")
 
-// errTooLong says that a listing is longer than any that there is.
-var errTooLong = fmt.Errorf("%w: over %d bytes", errGap, maxListing)
+// errUpdateTooLong says that a listing is longer than any that there is.
+var errUpdateTooLong = fmt.Errorf("%w: over %d bytes", errGap, maxUpdateBytes)
 
-// errMoved ends a watch at addresses that are not discovery's any more.
-var errMoved = errors.New("discovery has moved")
+// errAddrsChanged ends a watch at addresses that are not discovery's any more.
+var errAddrsChanged = errors.New("discovery has moved")
 
 // WatcherOptions are what a Watcher needs.
 type WatcherOptions struct {
@@ -114,28 +114,28 @@
 	SinceLastMessage time.Duration
 }
 
-// errSilent ends a watch or a call on which nothing comes any more.
-var errSilent = errors.New("silent")
+// errUnresponsive ends a watch or a call on which nothing comes any more.
+var errUnresponsive = errors.New("silent")
 
 // lossOf tells from its error how a call failed.
 func lossOf(err error, moved bool) ListLoss {
 	var network *net.OpError
 	refused := errors.As(err, &network) && network.Op == "dial"
-	silent := errors.Is(err, errSilent) || errors.Is(err, os.ErrDeadlineExceeded)
+	silent := errors.Is(err, errUnresponsive) || errors.Is(err, os.ErrDeadlineExceeded)
 	return ListLoss{Unresponsive: silent, Reached: !refused && !silent, Moved: moved}
 }
 
 // Watcher follows the list.
 type Watcher struct {
 	WatcherOptions
-	client *http.Client
-	rng    *rand.Rand
-	at     int       // the address in use
-	heard  time.Time // the last word: a list, or a sign of life
-	held   bool      // a list is held: changes may build on it
-	seq    uint64    // its version
-
-	moves chan []string // the addresses to go on with; holds the latest alone
+	client      *http.Client
+	rng         *rand.Rand
+	current     int       // the address in use
+	lastMessage time.Time // the last word: a list, or a sign of life
+	hasList     bool      // a list is held: changes may build on it
+	seq         uint64    // its version
+
+	addrChanges chan []string // the addresses to go on with; holds the latest alone
 }
 
 // NewWatcher makes a Watcher; Follow sets it to work.
@@ -143,80 +143,80 @@
 	w := &Watcher{
 		WatcherOptions: o,
 		rng:            rand.New(rand.NewPCG(o.Seed, 2)),
-		moves:          make(chan []string, 1),
-		heard:          time.Now(),
+		addrChanges:    make(chan []string, 1),
+		lastMessage:    time.Now(),
 		client: &http.Client{Transport: &http.Transport{
-			DialContext:           (&net.Dialer{Timeout: silence, KeepAlive: -1}).DialContext,
-			ResponseHeaderTimeout: silence,
-			MaxConnsPerHost:       connections,
+			DialContext:           (&net.Dialer{Timeout: watchTimeout, KeepAlive: -1}).DialContext,
+			ResponseHeaderTimeout: watchTimeout,
+			MaxConnsPerHost:       maxConnsPerAddr,
 			DisableCompression:    true,
 		}},
 	}
-	w.at = w.rng.IntN(len(o.Addrs))
+	w.current = w.rng.IntN(len(o.Addrs))
 	if o.LastKnown != nil {
-		w.held, w.seq = true, o.LastKnown.Seq
+		w.hasList, w.seq = true, o.LastKnown.Seq
 	}
 	return w
 }
 
-func (w *Watcher) url() string { return "http://" + w.Addrs[w.at] + registry.ListPath }
+func (w *Watcher) url() string { return "http://" + w.Addrs[w.current] + registry.ListPath }
 
 // SetAddrs makes Follow go on at other addresses, at once. It must not be called concurrently.
 func (w *Watcher) SetAddrs(addrs []string) {
 	select {
-	case <-w.moves: // not taken yet, and out of date
+	case <-w.addrChanges: // not taken yet, and out of date
 	default:
 	}
-	w.moves <- addrs
+	w.addrChanges <- addrs
 }
 
-// moved turns to other addresses. Their versions may have nothing to do with those
+// useAddrs turns to other addresses. Their versions may have nothing to do with those
 // that were counted so far: only their whole list is to be built on.
-func (w *Watcher) moved(addrs []string) {
+func (w *Watcher) useAddrs(addrs []string) {
 	slog.Info("discovery: moved", "to", strings.Join(addrs, " "))
 	w.client.CloseIdleConnections()
-	w.Addrs, w.at, w.held = addrs, w.rng.IntN(len(addrs)), false
+	w.Addrs, w.current, w.hasList = addrs, w.rng.IntN(len(addrs)), false
 }
 
-// next turns to the next replica, whose versions are those of the last one.
-func (w *Watcher) next() { w.at = (w.at + 1) % len(w.Addrs) }
+// nextReplica turns to the nextReplica replica, whose versions are those of the last one.
+func (w *Watcher) nextReplica() { w.current = (w.current + 1) % len(w.Addrs) }
 
 // Follow watches the list until ctx ends. When a watch ends or falls silent it
 // opens the next one soon, at the next address, or when the owner asks, where
 // asking is the owner's. The list that was held stays in force until there is another.
 func (w *Watcher) Follow(ctx context.Context) {
 	defer w.client.CloseIdleConnections()
-	pause, down, atOnce, filled := firstReopen, false, false, false
+	pause, down, atOnce, filled := minReopenDelay, false, false, false
 	moved := false // discovery has moved, and was not heard since
 	for ctx.Err() == nil {
 		if w.Polls != nil && !atOnce {
 			select {
 			case <-w.Polls:
-			case addrs := <-w.moves:
-				w.moved(addrs)
+			case addrs := <-w.addrChanges:
+				w.useAddrs(addrs)
 				moved = true
 			case <-ctx.Done():
 				return
 			}
 		}
 		called := time.Now()
-		heard, addrs, err := w.watchHere(ctx)
+		heard, addrs, err := w.watchUntilMoved(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if atOnce = addrs != nil; atOnce {
-			w.moved(addrs)
-			pause, down, moved = firstReopen, false, true
+			w.useAddrs(addrs)
+			pause, down, moved = minReopenDelay, false, true
 			continue
 		}
 		if heard {
-			pause, down, moved = firstReopen, false, false
+			pause, down, moved = minReopenDelay, false, false
 		}
 		// Each failure is told: when the next call may come depends on how this one failed.
 		if down = !heard && down; down {
-			slog.Warn("discovery: call failed", "at", w.Addrs[w.at], "err", err, "seq", w.seq, "took", time.Since(called))
+			slog.Warn("discovery: call failed", "at", w.Addrs[w.current], "err", err, "seq", w.seq, "took", time.Since(called))
 		} else {
-			slog.Warn("discovery: watch ended", "at", w.Addrs[w.at], "err", err, "seq", w.seq, "took", time.Since(called))
+			slog.Warn("discovery: watch ended", "at", w.Addrs[w.current], "err", err, "seq", w.seq, "took", time.Since(called))
 			down = true
 		}
 		// What was missed counts as told already: the whole list is called for at once,
@@ -225,67 +225,67 @@
 			atOnce = true
 			continue
 		}
-		w.next()
+		w.nextReplica()
 		if w.Polls != nil {
 			select {
 			case <-w.Polls: // a call meant for the watch that has ended
 			default:
 			}
 			loss := lossOf(err, moved)
-			loss.SinceLastMessage = time.Since(w.heard)
+			loss.SinceLastMessage = time.Since(w.lastMessage)
 			w.OnLoss(loss)
 			continue
 		}
 		select {
-		case <-time.After(spread(w.rng, pause)):
-			pause = min(2*pause, w.reopenIn())
-		case addrs := <-w.moves:
-			w.moved(addrs)
-			pause, down = firstReopen, false
+		case <-time.After(jitter(w.rng, pause)):
+			pause = min(2*pause, w.maxReopen())
+		case addrs := <-w.addrChanges:
+			w.useAddrs(addrs)
+			pause, down = minReopenDelay, false
 		case <-ctx.Done():
 		}
 	}
 }
 
-// reopenIn is the longest pause before a watch is opened again. Where lists are pushed, all that
+// maxReopen is the longest pause before a watch is opened again. Where lists are pushed, all that
 // discovery had meanwhile counts as told once it is back: a third of the grace is for the
 // longest pause, which is half as much again, and the rest for the call.
-func (w *Watcher) reopenIn() time.Duration {
+func (w *Watcher) maxReopen() time.Duration {
 	if w.Grace <= 0 {
-		return lastReopen
+		return maxReopenDelay
 	}
-	return max(firstReopen, min(lastReopen, w.Grace/3))
+	return max(minReopenDelay, min(maxReopenDelay, w.Grace/3))
 }
 
-// spread is a pause of about d, so that callers do not act as one.
-func spread(rng *rand.Rand, d time.Duration) time.Duration {
+// jitter is a pause of about d, so that callers do not act as one.
+func jitter(rng *rand.Rand, d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.5 + rng.Float64()))
 }
 
-// watchHere watches until the watch ends or discovery moves to other addresses.
+// watchUntilMoved watches until the watch ends or discovery moves to other addresses.
 // When it returns, nothing more comes from the old ones.
-func (w *Watcher) watchHere(ctx context.Context) (heard bool, addrs []string, err error) {
+func (w *Watcher) watchUntilMoved(ctx context.Context) (heard bool, addrs []string, err error) {
 	ctx, leave := context.WithCancelCause(ctx)
 	defer leave(nil)
 	over, turned := make(chan struct{}), make(chan []string, 1)
 	go func() {
 		defer close(turned)
 		select {
-		case addrs := <-w.moves:
-			leave(errMoved)
+		case addrs := <-w.addrChanges:
+			leave(errAddrsChanged)
 			turned <- addrs
 		case <-over:
 		}
 	}()
-	heard, err = w.watchOne(ctx)
+	heard, err = w.watchAnyReplica(ctx)
 	close(over)
 	return heard, <-turned, err
 }
 
-// watchOne watches at the first address, from the one in use on, that takes the
+// watchAnyReplica watches at the first address, from the one in use on, that takes the
 // watch. A replica that says it is stale is the last resort: it is watched where all
 // the others are stale too or out of reach.
-func (w *Watcher) watchOne(ctx context.Context) (heard bool, err error) {
+func (w *Watcher) watchAnyReplica(ctx context.Context) (heard bool, err error) {
 	if len(w.Addrs) == 1 {
 		return w.watch(ctx, true)
 	}
@@ -295,14 +295,14 @@
 			return heard, err
 		}
 		if errors.Is(err, errStale) {
-			stale = w.at
+			stale = w.current
 		}
-		w.next()
+		w.nextReplica()
 	}
 	if stale < 0 {
 		return false, err
 	}
-	w.at = stale
+	w.current = stale
 	return w.watch(ctx, true)
 }
 
@@ -311,15 +311,15 @@
 func (w *Watcher) watch(ctx context.Context, stale bool) (heard bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	patience := time.AfterFunc(silence, func() { cancel(errSilent) })
+	patience := time.AfterFunc(watchTimeout, func() { cancel(errUnresponsive) })
 	defer patience.Stop()
 	defer func() {
 		if err != nil && context.Cause(ctx) != nil {
 			err = context.Cause(ctx)
 		}
 	}()
-	if !w.held {
-		if err := w.fetch(ctx, stale); err != nil {
+	if !w.hasList {
+		if err := w.fetchFullList(ctx, stale); err != nil {
 			return false, err
 		}
 		heard = true
@@ -327,16 +327,16 @@
 		if err := w.stagger(ctx); err != nil {
 			return heard, err
 		}
-		patience.Reset(silence) // the watch has its own time, however long the call took
+		patience.Reset(watchTimeout) // the watch has its own time, however long the call took
 	}
 	body, err := w.open(ctx, w.url()+"?watch=1&from="+strconv.FormatUint(w.seq, 10), stale)
 	if err != nil {
 		return heard, err
 	}
 	defer body.Close()
-	in := &pulse{from: body, left: maxListing, beat: func(idle bool) {
-		patience.Reset(silence)
-		w.heard = time.Now()
+	in := &watchReader{body: body, budget: maxUpdateBytes, onHeartbeat: func(idle bool) {
+		patience.Reset(watchTimeout)
+		w.lastMessage = time.Now()
 		if idle && !heard {
 			heard = true
 			w.Deliver(ListUpdate{Seq: w.seq}) // the watch is up and nothing has changed: the owner's call went well
@@ -349,15 +349,15 @@
 			if errors.As(err, &syntax) {
 				err = fmt.Errorf("%w: %w", errGap, err)
 			}
-			w.held = w.held && !errors.Is(err, errGap)
+			w.hasList = w.hasList && !errors.Is(err, errGap)
 			return heard, err
 		}
-		if err := w.take(text); err != nil {
-			w.held = false
+		if err := w.handleUpdate(text); err != nil {
+			w.hasList = false
 			return heard, err
 		}
 		heard = true
-		in.taken(listings.Buffered())
+		in.updateDone(listings.Buffered())
 	}
 }
 
@@ -374,53 +374,53 @@
 	}
 }
 
-// pulse reads a watch. A listing may stand on one line or on several and come in pieces;
+// watchReader reads a watch. A listing may stand on one line or on several and come in pieces;
 // between listings empty lines come. Both are signs of life, but an empty line in a listing
 // that does not go on is none: a watch that ends in the middle would never be opened again.
-type pulse struct {
-	from io.Reader
-	open bool            // a listing has begun
-	left int             // what it may still bring
-	beat func(idle bool) // takes a sign of life; idle: an empty line between listings
+type watchReader struct {
+	body        io.Reader
+	inUpdate    bool            // a listing has begun
+	budget      int             // what it may still bring
+	onHeartbeat func(idle bool) // takes a sign of life; idle: an empty line between listings
 }
 
-func (p *pulse) Read(b []byte) (int, error) {
-	n, err := p.from.Read(b)
+func (p *watchReader) Read(b []byte) (int, error) {
+	n, err := p.body.Read(b)
 	if n == 0 {
 		return n, err
 	}
 	blank := len(bytes.TrimSpace(b[:n])) == 0
 	if !blank {
-		if p.left -= n; p.left < 0 {
-			return 0, errTooLong
+		if p.budget -= n; p.budget < 0 {
+			return 0, errUpdateTooLong
 		}
-		p.open = true
+		p.inUpdate = true
 	}
-	if !blank || !p.open {
-		p.beat(blank)
+	if !blank || !p.inUpdate {
+		p.onHeartbeat(blank)
 	}
 	return n, err
 }
 
-// taken takes that a listing is whole, and what was read behind it.
-func (p *pulse) taken(behind io.Reader) {
+// updateDone takes that a listing is whole, and what was read behind it.
+func (p *watchReader) updateDone(behind io.Reader) {
 	rest, _ := io.ReadAll(behind) // it is in memory
-	p.open = len(bytes.TrimSpace(rest)) > 0
-	p.left = maxListing - len(rest)
+	p.inUpdate = len(bytes.TrimSpace(rest)) > 0
+	p.budget = maxUpdateBytes - len(rest)
 }
 
-// fetch asks for the whole list.
-func (w *Watcher) fetch(ctx context.Context, stale bool) error {
+// fetchFullList asks for the whole list.
+func (w *Watcher) fetchFullList(ctx context.Context, stale bool) error {
 	body, err := w.open(ctx, w.url(), stale)
 	if err != nil {
 		return err
 	}
 	defer body.Close()
-	text, err := io.ReadAll(io.LimitReader(body, maxListing))
+	text, err := io.ReadAll(io.LimitReader(body, maxUpdateBytes))
 	if err != nil {
 		return err
 	}
-	return w.take(text)
+	return w.handleUpdate(text)
 }
 
 func (w *Watcher) open(ctx context.Context, url string, stale bool) (io.ReadCloser, error) {
@@ -443,9 +443,9 @@
 	return resp.Body, nil
 }
 
-// take passes on one piece of news. Changes apply in order and only on top of
+// handleUpdate passes on one piece of news. Changes apply in order and only on top of
 // the list they follow; what was had already is passed over.
-func (w *Watcher) take(text []byte) error {
+func (w *Watcher) handleUpdate(text []byte) error {
 	var said struct {
 		Seq   *uint64         `json:"seq"`
 		Whole bool            `json:"whole"`
@@ -464,12 +464,12 @@
 	}
 	switch {
 	case l.Full:
-	case !w.held || l.Seq < w.seq:
+	case !w.hasList || l.Seq < w.seq:
 		return fmt.Errorf("%w: change to version %d, held is %d", errGap, l.Seq, w.seq)
 	case l.Seq == w.seq:
 		l.Endpoints = nil
 	}
-	w.held, w.seq, w.heard = true, l.Seq, time.Now()
+	w.hasList, w.seq, w.lastMessage = true, l.Seq, time.Now()
 	slog.Info("discovery: list", "seq", l.Seq, "whole", l.Full, "hosts", len(l.Endpoints))
 	w.Deliver(l)
 	return nil
--- a/internal/registry/client/watch_test.go
+++ b/internal/registry/client/watch_test.go
@@ -95,7 +95,7 @@
 	w := await(t, "the watch", g.Watches)
 	start := time.Now()
 	w2 := await(t, "the next watch", g.Watches)
-	if took := time.Since(start); took < silence/2 || w2.From != "1" {
+	if took := time.Since(start); took < watchTimeout/2 || w2.From != "1" {
 		t.Errorf("reopened after %v from %s", took, w2.From)
 	}
 	await(t, "the end of the silent one", w.Ended)
@@ -264,7 +264,7 @@
 	startDiscovery(t, g, &ListUpdate{Seq: 41, Full: true})
 	w := await(t, "the watch", g.Watches)
 	w.Lines <- `{"seq":42,"whole":false,"hosts":[`
-	beats := time.NewTicker(silence / 10)
+	beats := time.NewTicker(watchTimeout / 10)
 	defer beats.Stop()
 	for n := 0; ; {
 		select {
@@ -316,9 +316,9 @@
 // Where the grace is short a watch is opened again within a part of it.
 func TestReopeningKeepsToTheGrace(t *testing.T) {
 	for grace, want := range map[time.Duration]time.Duration{
-		0: lastReopen, 10 * time.Second: lastReopen, 900 * time.Millisecond: 300 * time.Millisecond, time.Millisecond: firstReopen,
+		0: maxReopenDelay, 10 * time.Second: maxReopenDelay, 900 * time.Millisecond: 300 * time.Millisecond, time.Millisecond: minReopenDelay,
 	} {
-		if got := NewWatcher(WatcherOptions{Addrs: []string{"127.0.0.1:1"}, Grace: grace}).reopenIn(); got != want {
+		if got := NewWatcher(WatcherOptions{Addrs: []string{"127.0.0.1:1"}, Grace: grace}).maxReopen(); got != want {
 			t.Errorf("grace %v: opened again within %v, want %v", grace, got, want)
 		}
 	}
--- a/internal/registry/instance.go
+++ b/internal/registry/instance.go
@@ -61,10 +61,10 @@
 )
 
 const (
-	maxName      = 128
-	maxInstances = 4096
-	maxShare     = 1e6
-	maxBlock     = 1 << 30
+	maxNameLength = 128
+	maxInstances  = 4096
+	maxShare      = 1e6
+	maxBlock      = 1 << 30
 	// MaxVersion is the highest version that a JSON reader which keeps numbers as
 	// floating point still tells from its neighbours.
 	MaxVersion = 1<<53 - 1
@@ -75,8 +75,8 @@
 	switch {
 	case name == "":
 		return fmt.Errorf("%s is missing", what)
-	case len(name) > maxName:
-		return fmt.Errorf("%s has %d bytes, %d at most", what, len(name), maxName)
+	case len(name) > maxNameLength:
+		return fmt.Errorf("%s has %d bytes, %d at most", what, len(name), maxNameLength)
 	case strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' || r > '~' || r == '/' || r == '?' || r == '#' || r == '%' }):
 		return fmt.Errorf("%s %q holds more than letters, digits and plain signs", what, name)
 	}
--- a/internal/registry/leaseclock.go
+++ b/internal/registry/leaseclock.go
@@ -14,14 +14,14 @@
 // it is the leader's alone: a new leader begins one of its own, in which every claim
 // has its full time before it. Time is told to it; it reads no clock.
 type ClaimTracker struct {
-	followed uint64        // the leases' version that it follows
-	longest  time.Duration // the longest time that a claim may have
-	last     map[ClaimRef]counted
-	shutAt   time.Time // when it first saw that no lease is granted yet
-	began    bool
+	syncedVersion  uint64        // the leases' version that it follows
+	maxTTL         time.Duration // the longest time that a claim may have
+	claims         map[ClaimRef]trackedClaim
+	grantsClosedAt time.Time // when it first saw that no lease is granted yet
+	synced         bool
 }
 
-type counted struct {
+type trackedClaim struct {
 	ttl     time.Duration
 	at      time.Time
 	granted bool
@@ -30,15 +30,15 @@
 
 // NewClaimTracker makes one for a group in which no claim has more than this time.
 func NewClaimTracker(longest time.Duration) *ClaimTracker {
-	return &ClaimTracker{longest: longest, last: make(map[ClaimRef]counted)}
+	return &ClaimTracker{maxTTL: longest, claims: make(map[ClaimRef]trackedClaim)}
 }
 
 // Clone returns a copy.
 func (c *ClaimTracker) Clone() *ClaimTracker {
 	d := *c
-	d.last = make(map[ClaimRef]counted, len(c.last))
-	for k, v := range c.last {
-		d.last[k] = v
+	d.claims = make(map[ClaimRef]trackedClaim, len(c.claims))
+	for k, v := range c.claims {
+		d.claims[k] = v
 	}
 	return &d
 }
@@ -46,29 +46,29 @@
 // Sync takes the claims of the state over. One that is new, or has been granted
 // its lease since, has its full time from now on.
 func (c *ClaimTracker) Sync(s *Leases, now time.Time) {
-	if c.began && c.followed == s.version {
+	if c.synced && c.syncedVersion == s.version {
 		return
 	}
-	c.followed = s.version
-	if !s.shut {
-		c.shutAt = time.Time{}
-	} else if c.shutAt.IsZero() {
-		c.shutAt = now
+	c.syncedVersion = s.version
+	if !s.grantsClosed {
+		c.grantsClosedAt = time.Time{}
+	} else if c.grantsClosedAt.IsZero() {
+		c.grantsClosedAt = now
 	}
-	there := make(map[ClaimRef]bool, len(c.last))
+	there := make(map[ClaimRef]bool, len(c.claims))
 	note := func(name string, claim Claim, granted bool) {
 		k := ClaimRef{name, claim.ID}
 		there[k] = true
-		if was, ok := c.last[k]; ok && was.granted == granted {
+		if was, ok := c.claims[k]; ok && was.granted == granted {
 			return
 		}
 		at := now
-		if mutation.ForgetfulLeader && !c.began {
+		if mutation.ForgetfulLeader && !c.synced {
 			at = now.Add(-time.Duration(claim.TTLMS) * time.Millisecond * 3 / 4)
 		}
-		c.last[k] = counted{ttl: time.Duration(claim.TTLMS) * time.Millisecond, at: at, granted: granted}
+		c.claims[k] = trackedClaim{ttl: time.Duration(claim.TTLMS) * time.Millisecond, at: at, granted: granted}
 	}
-	for name, l := range s.all {
+	for name, l := range s.leases {
 		if l.Grant != nil {
 			note(name, l.Grant.Claim, true)
 		}
@@ -76,25 +76,25 @@
 			note(name, w, false)
 		}
 	}
-	for k := range c.last {
+	for k := range c.claims {
 		if !there[k] {
-			delete(c.last, k)
+			delete(c.claims, k)
 		}
 	}
-	c.began = true
+	c.synced = true
 }
 
 // renew notes a sign of life that came at a time. It is false where the claim is not
 // followed, or its end has been decided.
 func (c *ClaimTracker) renew(name, claim string, at time.Time) bool {
 	k := ClaimRef{name, claim}
-	was, ok := c.last[k]
+	was, ok := c.claims[k]
 	if !ok || was.ending {
 		return false
 	}
 	if at.After(was.at) {
 		was.at = at
-		c.last[k] = was
+		c.claims[k] = was
 	}
 	return true
 }
@@ -107,7 +107,7 @@
 	answers := make([]ClaimStatus, len(claims))
 	for i, k := range claims {
 		a := ClaimStatus{Lease: k.Lease, ClaimID: k.ClaimID}
-		stand, err := s.Stand(k.Lease, Claim{ID: k.ClaimID, Holder: of})
+		stand, err := s.standing(k.Lease, Claim{ID: k.ClaimID, Holder: of})
 		switch {
 		case err != nil:
 			a.Ended = true
@@ -126,30 +126,30 @@
 // TakeExpired returns the claims whose time is up, and whether grants may begin. Whoever
 // takes them has them ended: a renewal that comes meanwhile comes too late.
 func (c *ClaimTracker) TakeExpired(now time.Time) (ended []ClaimRef, open bool) {
-	for k, v := range c.last {
+	for k, v := range c.claims {
 		if now.Sub(v.at) >= v.ttl {
 			v.ending = true
-			c.last[k] = v
+			c.claims[k] = v
 			ended = append(ended, k)
 		}
 	}
 	slices.SortFunc(ended, func(a, b ClaimRef) int {
 		return cmp.Or(cmp.Compare(a.Lease, b.Lease), cmp.Compare(a.ClaimID, b.ClaimID))
 	})
-	return ended, !c.shutAt.IsZero() && now.Sub(c.shutAt) >= c.longest
+	return ended, !c.grantsClosedAt.IsZero() && now.Sub(c.grantsClosedAt) >= c.maxTTL
 }
 
 // Visit tells how every claim stands, in a text that says what will become of it and
 // nothing else.
 func (c *ClaimTracker) Visit(now time.Time, tell func(k ClaimRef, how string)) {
-	keys := slices.SortedFunc(maps.Keys(c.last), func(a, b ClaimRef) int {
+	keys := slices.SortedFunc(maps.Keys(c.claims), func(a, b ClaimRef) int {
 		return cmp.Or(cmp.Compare(a.Lease, b.Lease), cmp.Compare(a.ClaimID, b.ClaimID))
 	})
 	for _, k := range keys {
-		v := c.last[k]
+		v := c.claims[k]
 		tell(k, fmt.Sprint(now.Sub(v.at), v.ttl, v.granted, v.ending))
 	}
 }
 
 // Len returns how many claims are followed.
-func (c *ClaimTracker) Len() int { return len(c.last) }
+func (c *ClaimTracker) Len() int { return len(c.claims) }
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -78,10 +78,10 @@
 }
 
 const (
-	maxLeases = 4096
-	maxLine   = 64   // who waits for one lease
-	maxEnded  = 1024 // claims remembered as ended, so that a late call does not begin one again
-	minClaim  = 8    // characters of a claim's id: it has to be unlike all others
+	maxLeases      = 4096
+	maxQueue       = 64   // who waits for one lease
+	maxEndedClaims = 1024 // claims remembered as ended, so that a late call does not begin one again
+	minClaimID     = 8    // characters of a claim's id: it has to be unlike all others
 )
 
 // Why a command on leases was not carried out, beside the others.
@@ -97,26 +97,26 @@
 // Leases is the part of the state machine that is about leases. When a claim's time
 // is up is not its to know: the leader counts (LeaseClock) and says so by LeaseEnd.
 type Leases struct {
-	all     map[string]*Lease
-	token   uint64 // the last one given
-	version uint64 // of the last change of any lease
-	shut    bool   // no lease is granted yet: leases that nobody here knows of may not have run out
-	ended   []string
+	leases       map[string]*Lease
+	lastToken    uint64 // the last one given
+	version      uint64 // of the last change of any lease
+	grantsClosed bool   // no lease is granted yet: leases that nobody here knows of may not have run out
+	endedClaims  []string
 }
 
-// NewLeases makes an empty one, whose tokens and versions begin after a number.
-func NewLeases(after uint64) *Leases {
-	return &Leases{all: make(map[string]*Lease), token: after, version: after}
+// newLeases makes an empty one, whose tokens and versions begin after a number.
+func newLeases(after uint64) *Leases {
+	return &Leases{leases: make(map[string]*Lease), lastToken: after, version: after}
 }
 
 // Clone returns a copy that shares nothing that changes.
 func (s *Leases) Clone() *Leases {
 	c := *s
-	c.all = make(map[string]*Lease, len(s.all))
-	for name, l := range s.all {
-		c.all[name] = l.clone()
+	c.leases = make(map[string]*Lease, len(s.leases))
+	for name, l := range s.leases {
+		c.leases[name] = l.clone()
 	}
-	c.ended = slices.Clone(s.ended)
+	c.endedClaims = slices.Clone(s.endedClaims)
 	return &c
 }
 
@@ -137,12 +137,12 @@
 	}
 	switch op {
 	case OpOpenGrants:
-		s.open()
+		s.openGrants()
 		return Result{Version: s.version}
 	case OpExpireClaims:
 		for _, e := range c.Expired {
-			if l := s.all[e.Lease]; l != nil {
-				s.end(l, e.ClaimID)
+			if l := s.leases[e.Lease]; l != nil {
+				s.endClaim(l, e.ClaimID)
 			}
 		}
 		return Result{Version: s.version}
@@ -156,7 +156,7 @@
 	case OpReleaseLease:
 		return s.release(c)
 	case OpRequestYield:
-		return s.ask(c)
+		return s.requestYield(c)
 	}
 	return failed(fmt.Errorf("%w: operation %.32q", ErrInvalid, op))
 }
@@ -169,8 +169,8 @@
 		return err
 	}
 	switch {
-	case len(c.ID) < minClaim:
-		return fmt.Errorf("claim has %d characters, at least %d are needed: no two claims may ever be alike", len(c.ID), minClaim)
+	case len(c.ID) < minClaimID:
+		return fmt.Errorf("claim has %d characters, at least %d are needed: no two claims may ever be alike", len(c.ID), minClaimID)
 	case c.Incarnation > MaxVersion:
 		return fmt.Errorf("incarnation is %d, %d at most", c.Incarnation, uint64(MaxVersion))
 	case c.TTLMS <= 0:
@@ -184,17 +184,17 @@
 	if err := checkClaim(c.Claim); err != nil {
 		return failed(fmt.Errorf("%w: %w", ErrInvalid, err))
 	}
-	if slices.Contains(s.ended, c.Claim.ID) {
+	if slices.Contains(s.endedClaims, c.Claim.ID) {
 		return failed(fmt.Errorf("%w: claim %s", ErrClaimEnded, c.Claim.ID))
 	}
-	l := s.all[c.Name]
+	l := s.leases[c.Name]
 	if l == nil {
-		if len(s.all) >= maxLeases {
-			return failed(fmt.Errorf("%w: there are %d leases", ErrLimitReached, len(s.all)))
+		if len(s.leases) >= maxLeases {
+			return failed(fmt.Errorf("%w: there are %d leases", ErrLimitReached, len(s.leases)))
 		}
 		l = &Lease{Name: c.Name}
 	}
-	if r, ok := l.standing(c.Claim); ok {
+	if r, ok := l.position(c.Claim); ok {
 		return r
 	}
 	// Of two processes with one name the newer one counts. It gets no lease before the
@@ -207,25 +207,25 @@
 	if l.Grant != nil && !c.Wait {
 		return failed(fmt.Errorf("%w: %s holds %s", ErrLeaseHeld, l.Grant.Name, l.Name))
 	}
-	if (l.Paused || s.shut) && !c.Wait {
+	if (l.Paused || s.grantsClosed) && !c.Wait {
 		return failed(fmt.Errorf("%w: %s cannot be granted now (paused, or the group began or was restored lately)", ErrLeaseHeld, l.Name))
 	}
 	for _, other := range slices.Clone(l.Queue) {
 		if other.Name == c.Claim.Name {
-			s.drop(l, other.ID)
+			s.removeClaim(l, other.ID)
 		}
 	}
-	if len(l.Queue) >= maxLine {
+	if len(l.Queue) >= maxQueue {
 		return failed(fmt.Errorf("%w: %d wait for %s", ErrLimitReached, len(l.Queue), l.Name))
 	}
-	if l.free(s.shut) && s.token >= MaxVersion {
+	if l.grantable(s.grantsClosed) && s.lastToken >= MaxVersion {
 		return failed(fmt.Errorf("%w: the tokens are used up", ErrLimitReached))
 	}
-	s.all[c.Name] = l
+	s.leases[c.Name] = l
 	l.Queue = append(l.Queue, c.Claim)
 	s.touch(l)
-	s.grant(l)
-	r, _ := l.standing(c.Claim)
+	s.grantNext(l)
+	r, _ := l.position(c.Claim)
 	return r
 }
 
@@ -238,8 +238,8 @@
 	return all
 }
 
-// standing tells a claim how it stands, if it is known.
-func (l *Lease) standing(c Claim) (Result, bool) {
+// position tells a claim how it stands, if it is known.
+func (l *Lease) position(c Claim) (Result, bool) {
 	if g := l.Grant; g != nil && g.ID == c.ID {
 		if g.Holder != c.Holder {
 			return failed(fmt.Errorf("%w: the claim is another process's", ErrConflict)), true
@@ -257,20 +257,20 @@
 	return Result{}, false
 }
 
-func (l *Lease) free(shut bool) bool { return l.Grant == nil && !l.Paused && !shut }
+func (l *Lease) grantable(shut bool) bool { return l.Grant == nil && !l.Paused && !shut }
 
-// grant gives a free lease to the one that was named, or else to who waits longest.
-func (s *Leases) grant(l *Lease) {
-	if l.free(s.shut) && len(l.Queue) > 0 && s.token < MaxVersion {
+// grantNext gives a free lease to the one that was named, or else to who waits longest.
+func (s *Leases) grantNext(l *Lease) {
+	if l.grantable(s.grantsClosed) && len(l.Queue) > 0 && s.lastToken < MaxVersion {
 		i := max(0, slices.IndexFunc(l.Queue, func(c Claim) bool { return c.Name == l.NextHolder }))
-		s.token++
-		l.Grant = &Grant{Claim: l.Queue[i], Token: s.token}
+		s.lastToken++
+		l.Grant = &Grant{Claim: l.Queue[i], Token: s.lastToken}
 		l.Queue = slices.Delete(l.Queue, i, i+1)
 		l.YieldRequested, l.NextHolder = false, ""
 		s.touch(l)
 	}
 	if l.Grant == nil && len(l.Queue) == 0 && !l.Paused {
-		delete(s.all, l.Name)
+		delete(s.leases, l.Name)
 	}
 }
 
@@ -279,8 +279,8 @@
 	l.Version = s.version
 }
 
-// drop takes a claim out and remembers that it has ended.
-func (s *Leases) drop(l *Lease, id string) bool {
+// removeClaim takes a claim out and remembers that it has ended.
+func (s *Leases) removeClaim(l *Lease, id string) bool {
 	if l.Grant != nil && l.Grant.ID == id {
 		l.Grant, l.YieldRequested = nil, false
 	} else if i := slices.IndexFunc(l.Queue, func(c Claim) bool { return c.ID == id }); i >= 0 {
@@ -288,71 +288,71 @@
 	} else {
 		return false
 	}
-	s.ended = append(s.ended, id)
-	if over := len(s.ended) - maxEnded; over > 0 {
-		s.ended = slices.Delete(s.ended, 0, over)
+	s.endedClaims = append(s.endedClaims, id)
+	if over := len(s.endedClaims) - maxEndedClaims; over > 0 {
+		s.endedClaims = slices.Delete(s.endedClaims, 0, over)
 	}
 	s.touch(l)
 	return true
 }
 
-// end ends a claim, and grants the lease to the next.
-func (s *Leases) end(l *Lease, id string) {
-	if s.drop(l, id) {
-		s.grant(l)
+// endClaim ends a claim, and grants the lease to the next.
+func (s *Leases) endClaim(l *Lease, id string) {
+	if s.removeClaim(l, id) {
+		s.grantNext(l)
 	}
 }
 
 // release gives a claim up. It ends that claim and no other: one that comes late
 // finds its claim ended and changes nothing.
 func (s *Leases) release(c *LeaseCommand) Result {
-	l := s.all[c.Name]
+	l := s.leases[c.Name]
 	if mutation.LooseRelease && l != nil && l.Grant != nil {
 		c.Claim = l.Grant.Claim
 	}
-	if l == nil || slices.Contains(s.ended, c.Claim.ID) {
+	if l == nil || slices.Contains(s.endedClaims, c.Claim.ID) {
 		return Result{Version: s.version}
 	}
-	r, known := l.standing(c.Claim)
+	r, known := l.position(c.Claim)
 	switch {
 	case !known:
 		return failed(fmt.Errorf("%w: no claim %.64s on %s", ErrNotFound, c.Claim.ID, c.Name))
 	case r.Err != nil:
 		return r
-	case c.NextHolder != "" && !l.waits(c.NextHolder):
+	case c.NextHolder != "" && !l.hasQueued(c.NextHolder):
 		return Result{Version: l.Version, Err: fmt.Errorf("%w: %.64s does not wait for %s", ErrNotFound, c.NextHolder, c.Name)}
 	}
 	if c.NextHolder != "" {
 		l.NextHolder = c.NextHolder
 	}
-	s.end(l, c.Claim.ID)
+	s.endClaim(l, c.Claim.ID)
 	return Result{Version: s.version}
 }
 
-func (l *Lease) waits(name string) bool {
+func (l *Lease) hasQueued(name string) bool {
 	return slices.ContainsFunc(l.Queue, func(c Claim) bool { return c.Name == name })
 }
 
-// ask notes what an operator wants of a lease. Nothing is taken from its holder: it
+// requestYield notes what an operator wants of a lease. Nothing is taken from its holder: it
 // is told at its next renewal, which does not prolong its time, and gives it up.
-func (s *Leases) ask(c *LeaseCommand) Result {
-	l := s.all[c.Name]
+func (s *Leases) requestYield(c *LeaseCommand) Result {
+	l := s.leases[c.Name]
 	switch {
 	case l != nil:
 	case c.Pause == nil || !*c.Pause:
 		return failed(fmt.Errorf("%w: lease %s", ErrNotFound, c.Name))
-	case len(s.all) >= maxLeases:
-		return failed(fmt.Errorf("%w: there are %d leases", ErrLimitReached, len(s.all)))
+	case len(s.leases) >= maxLeases:
+		return failed(fmt.Errorf("%w: there are %d leases", ErrLimitReached, len(s.leases)))
 	default:
 		l = &Lease{Name: c.Name}
 	}
 	switch {
-	case c.NextHolder != "" && !l.waits(c.NextHolder):
+	case c.NextHolder != "" && !l.hasQueued(c.NextHolder):
 		return Result{Version: l.Version, Err: fmt.Errorf("%w: %.64s does not wait for %s", ErrNotFound, c.NextHolder, c.Name)}
 	case c.Yield && l.Grant == nil:
 		return Result{Version: l.Version, Err: fmt.Errorf("%w: nobody holds %s", ErrNotFound, c.Name)}
 	}
-	s.all[c.Name] = l
+	s.leases[c.Name] = l
 	was := *l
 	if c.Pause != nil {
 		l.Paused = *c.Pause
@@ -365,31 +365,31 @@
 		s.touch(l)
 	}
 	version := l.Version
-	s.grant(l)
+	s.grantNext(l)
 	return Result{Version: version}
 }
 
-// open lets grants begin.
-func (s *Leases) open() {
-	if !s.shut {
+// openGrants lets grants begin.
+func (s *Leases) openGrants() {
+	if !s.grantsClosed {
 		return
 	}
-	s.shut = false
+	s.grantsClosed = false
 	s.version++
-	for _, name := range slices.Sorted(maps.Keys(s.all)) {
-		s.grant(s.all[name])
+	for _, name := range slices.Sorted(maps.Keys(s.leases)) {
+		s.grantNext(s.leases[name])
 	}
 }
 
 // GrantsClosed says that no lease is granted yet.
-func (s *Leases) GrantsClosed() bool { return s.shut }
+func (s *Leases) GrantsClosed() bool { return s.grantsClosed }
 
-// fenced says why a command with a fence is not to be carried out.
-func (s *Leases) fenced(f *Fence) error {
+// checkFence says why a command with a fence is not to be carried out.
+func (s *Leases) checkFence(f *Fence) error {
 	if f == nil || mutation.FenceOff {
 		return nil
 	}
-	l := s.all[f.Lease]
+	l := s.leases[f.Lease]
 	switch {
 	case l == nil || l.Grant == nil:
 		return fmt.Errorf("%w: nobody holds %.64s, token %d has ended", ErrFenced, f.Lease, f.Token)
@@ -399,27 +399,27 @@
 	return nil
 }
 
-// Stand tells a claim how it stands; ErrGone says that it has ended or never was.
-func (s *Leases) Stand(name string, c Claim) (Standing, error) {
-	l := s.all[name]
+// standing tells a claim how it stands; ErrGone says that it has ended or never was.
+func (s *Leases) standing(name string, c Claim) (claimStanding, error) {
+	l := s.leases[name]
 	if l == nil {
-		return Standing{}, fmt.Errorf("%w: claim %.64s on %.64s", ErrClaimEnded, c.ID, name)
+		return claimStanding{}, fmt.Errorf("%w: claim %.64s on %.64s", ErrClaimEnded, c.ID, name)
 	}
 	if g := l.Grant; mutation.OldIncarnation && g != nil && g.Name == c.Name {
-		return Standing{Token: g.Token, Claim: g.ID}, nil
+		return claimStanding{Token: g.Token, Claim: g.ID}, nil
 	}
-	r, known := l.standing(c)
+	r, known := l.position(c)
 	switch {
 	case !known:
-		return Standing{}, fmt.Errorf("%w: claim %.64s on %.64s", ErrClaimEnded, c.ID, name)
+		return claimStanding{}, fmt.Errorf("%w: claim %.64s on %.64s", ErrClaimEnded, c.ID, name)
 	case r.Err != nil:
-		return Standing{}, r.Err
+		return claimStanding{}, r.Err
 	}
-	return Standing{Token: r.Token, Place: r.QueuePosition, Leave: r.Token != 0 && l.YieldRequested, To: l.NextHolder, Claim: c.ID}, nil
+	return claimStanding{Token: r.Token, Place: r.QueuePosition, Leave: r.Token != 0 && l.YieldRequested, To: l.NextHolder, Claim: c.ID}, nil
 }
 
-// Standing is how a claim stands: it holds its lease with a token, or waits at a place.
-type Standing struct {
+// claimStanding is how a claim stands: it holds its lease with a token, or waits at a place.
+type claimStanding struct {
 	Token uint64
 	Place int
 	Leave bool   // the holder is asked to give it up
@@ -429,16 +429,16 @@
 
 // List returns all leases by name, and their version.
 func (s *Leases) List() ([]Lease, uint64) {
-	all := make([]Lease, 0, len(s.all))
-	for _, name := range slices.Sorted(maps.Keys(s.all)) {
-		all = append(all, *s.all[name].clone())
+	all := make([]Lease, 0, len(s.leases))
+	for _, name := range slices.Sorted(maps.Keys(s.leases)) {
+		all = append(all, *s.leases[name].clone())
 	}
 	return all, s.version
 }
 
 // Lease returns one lease.
 func (s *Leases) Lease(name string) (Lease, bool) {
-	if l := s.all[name]; l != nil {
+	if l := s.leases[name]; l != nil {
 		return *l.clone(), true
 	}
 	return Lease{}, false
@@ -448,22 +448,22 @@
 func (s *Leases) Version() uint64 { return s.version }
 
 // LastToken returns the last token that was given.
-func (s *Leases) LastToken() uint64 { return s.token }
+func (s *Leases) LastToken() uint64 { return s.lastToken }
 
-// restored brings the leases over a restore of the list: they are about processes
+// keepOverRestore brings the leases over a restore of the list: they are about processes
 // that live now, and stay. Tokens go on above the backup's, which may be another
 // group's of this name. That one's leases may not have run out: a group that was
 // founded for it grants none yet (Leases.shut).
-func (s *Leases) restored(backup *Leases) {
+func (s *Leases) keepOverRestore(backup *Leases) {
 	if mutation.RestoredToken {
-		s.token = backup.token
+		s.lastToken = backup.lastToken
 		return
 	}
-	s.token = min(max(s.token, backup.token)+1, MaxVersion)
+	s.lastToken = min(max(s.lastToken, backup.lastToken)+1, MaxVersion)
 	s.version = max(s.version, backup.version) + 1
 }
 
-type leasesImage struct {
+type leasesSnapshot struct {
 	Token   uint64            `json:"token"`
 	Version uint64            `json:"version"`
 	Shut    bool              `json:"shut,omitempty"`
@@ -473,26 +473,26 @@
 
 // MarshalJSON writes the leases for a snapshot.
 func (s *Leases) MarshalJSON() ([]byte, error) {
-	return json.Marshal(leasesImage{s.token, s.version, s.shut, s.all, s.ended})
+	return json.Marshal(leasesSnapshot{s.lastToken, s.version, s.grantsClosed, s.leases, s.endedClaims})
 }
 
 // UnmarshalJSON reads a snapshot. What cannot be right is refused.
 func (s *Leases) UnmarshalJSON(text []byte) error {
-	var i leasesImage
+	var i leasesSnapshot
 	if err := json.Unmarshal(text, &i); err != nil {
 		return fmt.Errorf("leases: %w", err)
 	}
-	if i.Token > MaxVersion || len(i.Ended) > maxEnded || len(i.All) > maxLeases {
+	if i.Token > MaxVersion || len(i.Ended) > maxEndedClaims || len(i.All) > maxLeases {
 		return fmt.Errorf("leases: token %d, %d leases, %d that ended", i.Token, len(i.All), len(i.Ended))
 	}
 	for name, l := range i.All {
-		if l == nil || l.Name != name || l.Version > i.Version || len(l.Queue) > maxLine || l.Grant != nil && l.Grant.Token > i.Token {
+		if l == nil || l.Name != name || l.Version > i.Version || len(l.Queue) > maxQueue || l.Grant != nil && l.Grant.Token > i.Token {
 			return fmt.Errorf("leases: %.64q is broken", name)
 		}
 	}
-	fresh := NewLeases(0)
-	fresh.token, fresh.version, fresh.shut, fresh.ended = i.Token, i.Version, i.Shut, i.Ended
-	maps.Copy(fresh.all, i.All)
+	fresh := newLeases(0)
+	fresh.lastToken, fresh.version, fresh.grantsClosed, fresh.endedClaims = i.Token, i.Version, i.Shut, i.Ended
+	maps.Copy(fresh.leases, i.All)
 	*s = *fresh
 	return nil
 }
--- a/internal/registry/leases_test.go
+++ b/internal/registry/leases_test.go
@@ -172,7 +172,7 @@
 	if r := ask(s, "a/b", claim("x", "k", 1), true); !errors.Is(r.Err, ErrInvalid) {
 		t.Errorf("a name with a slash: %v", r.Err)
 	}
-	for i := range maxLine + 1 {
+	for i := range maxQueue + 1 {
 		if r := ask(s, "l", claim(fmt.Sprint(i), fmt.Sprint("k", i), 1), true); r.Err != nil {
 			t.Fatal(r.Err)
 		}
@@ -180,7 +180,7 @@
 	if r := ask(s, "l", claim("more", "more", 1), true); !errors.Is(r.Err, ErrLimitReached) {
 		t.Errorf("a full line: %v", r.Err)
 	}
-	if r := ask(s, "l", claim("newer", "k5", 2), true); r.Err != nil || r.QueuePosition != maxLine {
+	if r := ask(s, "l", claim("newer", "k5", 2), true); r.Err != nil || r.QueuePosition != maxQueue {
 		t.Errorf("a process that started again does not take its own place: %+v", r)
 	}
 	for i := range maxLeases {
@@ -191,7 +191,7 @@
 	}
 	// A token at its largest value: no grant, and no lower one.
 	s = leased(t)
-	s.leases.token = MaxVersion - 1
+	s.leases.lastToken = MaxVersion - 1
 	if r := ask(s, "l", claim("last", "k", 1), true); r.Token != MaxVersion {
 		t.Errorf("the last token is %d, %v", r.Token, r.Err)
 	}
@@ -229,7 +229,7 @@
 	for _, broken := range []string{
 		`{"token":1,"version":1,"all":{"l":{"name":"m"}}}`, `{"token":1,"version":1,"all":{"l":{"name":"l","grant":{"token":2}}}}`, `{"token":9007199254740993}`,
 	} {
-		if err := json.Unmarshal([]byte(broken), NewLeases(0)); err == nil {
+		if err := json.Unmarshal([]byte(broken), newLeases(0)); err == nil {
 			t.Errorf("%s is taken", broken)
 		}
 	}
@@ -237,8 +237,8 @@
 	// grants none before those of the first have run out.
 	other := NewState()
 	other.Apply(Command{Op: OpFoundGroup, Group: "g", AtMS: 1_700_000_001_000})
-	if other.leases.token <= s.leases.token || !other.Leases().GrantsClosed() {
-		t.Errorf("a later group begins at %d, the first one is at %d; shut %v", other.leases.token, s.leases.token, other.Leases().GrantsClosed())
+	if other.leases.lastToken <= s.leases.lastToken || !other.Leases().GrantsClosed() {
+		t.Errorf("a later group begins at %d, the first one is at %d; shut %v", other.leases.lastToken, s.leases.lastToken, other.Leases().GrantsClosed())
 	}
 	if r := ask(other, "l", a, true); r.Err != nil || r.Token != 0 || r.QueuePosition != 1 {
 		t.Errorf("granted at once by a new group: %+v", r)
--- a/internal/registry/policy.go
+++ b/internal/registry/policy.go
@@ -14,10 +14,10 @@
 const RosterLeasePrefix = "seat:"
 
 // Rollout returns the change of policy, to be read.
-func (s *State) Rollout() *rollout.State { return s.policy }
+func (s *State) Rollout() *rollout.State { return s.rollout }
 
-// decide carries a step of a change of policy out.
-func (s *State) decide(c Command) Result {
+// applyPolicyStep carries a step of a change of policy out.
+func (s *State) applyPolicyStep(c Command) Result {
 	if c.PolicyStep == nil {
 		return failed(fmt.Errorf("%w: no step of a change of policy", ErrInvalid))
 	}
@@ -26,18 +26,18 @@
 	if step.Op == rollout.OpAdvance && c.Fence == nil {
 		return failed(fmt.Errorf("%w: to advance a change is for the holder of its lease", ErrInvalid))
 	}
-	err := s.policy.Apply(step)
+	err := s.rollout.Apply(step)
 	for ours, theirs := range map[error]error{ErrInvalid: rollout.ErrInvalid, ErrConflict: rollout.ErrConflict, ErrNotFound: rollout.ErrNotFound, ErrLimitReached: rollout.ErrLimitReached} {
 		if errors.Is(err, theirs) {
 			err = fmt.Errorf("%w: %w", ours, err)
 			break
 		}
 	}
-	return Result{Version: s.policy.Version(), Err: err}
+	return Result{Version: s.rollout.Version(), Err: err}
 }
 
-// seatedBefore are the sidecars that hold leases which a command may end.
-func (s *State) seatedBefore(c Command) (seated []Claim) {
+// rosterLeasesEndedBy are the sidecars that hold leases which a command may end.
+func (s *State) rosterLeasesEndedBy(c Command) (seated []Claim) {
 	if c.Lease == nil || c.Op != OpExpireClaims && c.Op != OpReleaseLease {
 		return nil
 	}
@@ -46,18 +46,18 @@
 		names = append(names, e.Lease)
 	}
 	for _, n := range names {
-		if l := s.leases.all[n]; strings.HasPrefix(n, RosterLeasePrefix) && l != nil && l.Grant != nil {
+		if l := s.leases.leases[n]; strings.HasPrefix(n, RosterLeasePrefix) && l != nil && l.Grant != nil {
 			seated = append(seated, l.Grant.Claim)
 		}
 	}
 	return seated
 }
 
-// unseat takes the seats of those away whose leases have ended.
-func (s *State) unseat(seated []Claim) {
+// leaveRoster takes the seats of those away whose leases have ended.
+func (s *State) leaveRoster(seated []Claim) {
 	for _, c := range seated {
-		if l := s.leases.all[RosterLeasePrefix+c.Name]; l == nil || l.Grant == nil || l.Grant.ID != c.ID {
-			s.policy.Apply(rollout.Command{Op: rollout.OpLeave, Member: rollout.Member{Name: c.Name, Incarnation: c.Incarnation}})
+		if l := s.leases.leases[RosterLeasePrefix+c.Name]; l == nil || l.Grant == nil || l.Grant.ID != c.ID {
+			s.rollout.Apply(rollout.Command{Op: rollout.OpLeave, Member: rollout.Member{Name: c.Name, Incarnation: c.Incarnation}})
 		}
 	}
 }
--- a/internal/registry/sessions.go
+++ b/internal/registry/sessions.go
@@ -10,20 +10,20 @@
 // and not replicated: a new leader begins one of its own, in which every session
 // has its full time to live before it. Time is told to it; it reads no clock.
 type SessionTracker struct {
-	floor  float64
-	within time.Duration
-	last   map[string]heard // by host
-	most   []sample         // how many sessions there were, the newest last
-	held   bool
+	floor      float64
+	window     time.Duration
+	sessions   map[string]trackedSession // by host
+	peaks      []sessionCount            // how many sessions there were, the newest last
+	expiryHeld bool
 }
 
-type heard struct {
+type trackedSession struct {
 	session string
 	ttl     time.Duration
 	at      time.Time
 }
 
-type sample struct {
+type sessionCount struct {
 	at time.Time
 	n  int
 }
@@ -32,7 +32,7 @@
 // at least floor is never removed for its silence: where that many fall silent at
 // once, the fault is more likely here than with them.
 func NewSessionTracker(floor float64, within time.Duration) *SessionTracker {
-	return &SessionTracker{floor: floor, within: within, last: make(map[string]heard)}
+	return &SessionTracker{floor: floor, window: within, sessions: make(map[string]trackedSession)}
 }
 
 // SetFloor puts another floor in force, and says whether it is another.
@@ -52,39 +52,39 @@
 		}
 		there[e.Host] = true
 		ttl := time.Duration(e.TTLMS) * time.Millisecond
-		if h, ok := s.last[e.Host]; !ok || h.session != e.Session || h.ttl != ttl {
-			s.last[e.Host] = heard{e.Session, ttl, now}
+		if h, ok := s.sessions[e.Host]; !ok || h.session != e.Session || h.ttl != ttl {
+			s.sessions[e.Host] = trackedSession{e.Session, ttl, now}
 		}
 	}
-	for host := range s.last {
+	for host := range s.sessions {
 		if !there[host] {
-			delete(s.last, host)
+			delete(s.sessions, host)
 		}
 	}
-	s.count(now)
+	s.recordPeak(now)
 }
 
 // Renew notes a sign of life. It is false where the host has no such session.
 func (s *SessionTracker) Renew(host, session string, now time.Time) bool {
-	h, ok := s.last[host]
+	h, ok := s.sessions[host]
 	if !ok || h.session != session {
 		return false
 	}
 	h.at = now
-	s.last[host] = h
+	s.sessions[host] = h
 	return true
 }
 
-// count keeps the most sessions there were within the time, as a queue whose
+// recordPeak keeps the most sessions there were within the time, as a queue whose
 // numbers fall from front to back.
-func (s *SessionTracker) count(now time.Time) {
-	n := len(s.last)
-	for len(s.most) > 0 && s.most[len(s.most)-1].n <= n {
-		s.most = s.most[:len(s.most)-1]
+func (s *SessionTracker) recordPeak(now time.Time) {
+	n := len(s.sessions)
+	for len(s.peaks) > 0 && s.peaks[len(s.peaks)-1].n <= n {
+		s.peaks = s.peaks[:len(s.peaks)-1]
 	}
-	s.most = append(s.most, sample{now, n})
-	for len(s.most) > 1 && now.Sub(s.most[0].at) > s.within {
-		s.most = slices.Delete(s.most, 0, 1)
+	s.peaks = append(s.peaks, sessionCount{now, n})
+	for len(s.peaks) > 1 && now.Sub(s.peaks[0].at) > s.window {
+		s.peaks = slices.Delete(s.peaks, 0, 1)
 	}
 }
 
@@ -92,19 +92,19 @@
 // there are more, or all, that are held back as too many ended at once; changed,
 // that this has just begun or ended.
 func (s *SessionTracker) Expired(now time.Time) (ended []SessionRef, held, changed bool) {
-	s.count(now)
-	for host, h := range s.last {
+	s.recordPeak(now)
+	for host, h := range s.sessions {
 		if now.Sub(h.at) >= h.ttl {
 			ended = append(ended, SessionRef{host, h.session})
 		}
 	}
 	slices.SortFunc(ended, func(a, b SessionRef) int { return cmp.Compare(a.Host, b.Host) })
-	if held = float64(len(s.last)-len(ended)) < s.floor*float64(s.most[0].n); held {
+	if held = float64(len(s.sessions)-len(ended)) < s.floor*float64(s.peaks[0].n); held {
 		ended = nil
 	}
-	changed, s.held = held != s.held, held
+	changed, s.expiryHeld = held != s.expiryHeld, held
 	return ended, held, changed
 }
 
 // Len returns how many sessions are followed.
-func (s *SessionTracker) Len() int { return len(s.last) }
+func (s *SessionTracker) Len() int { return len(s.sessions) }
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -104,37 +104,37 @@
 }
 
 const (
-	maxChanges  = 4096 // entries in the log of changes
-	maxRecords  = 1024
-	maxValue    = 32 << 10
-	maxMarks    = maxInstances
-	versionRoom = 1024 // versions a group is given for each millisecond of its life
+	maxListChanges = 4096 // entries in the log of changes
+	maxRecords     = 1024
+	maxRecordValue = 32 << 10
+	maxMarks       = maxInstances
+	versionsPerMS  = 1024 // versions a group is given for each millisecond of its life
 )
 
 // State is the whole state machine.
 type State struct {
-	group   string
-	founded uint64 // the first version of this history
-	seq     uint64 // the list's version
-	entries map[string]*Registration
-	marks   map[string]string // host -> who marked it
-	records map[string]*Record
-	edits   uint64 // the last version given to a record
-	log     []change
-	oldest  uint64 // the log is complete for versions after this
-	leases  *Leases
-	policy  *rollout.State
+	group         string
+	firstVersion  uint64 // the first version of this history
+	seq           uint64 // the list's version
+	registrations map[string]*Registration
+	marks         map[string]string // host -> who marked it
+	records       map[string]*Record
+	recordVersion uint64 // the last version given to a record
+	changes       []listChange
+	changesAfter  uint64 // the log is complete for versions after this
+	leases        *Leases
+	rollout       *rollout.State
 }
 
-// change is one host's change. What it changed to is the entry's to tell.
-type change struct {
+// listChange is one host's listChange. What it changed to is the entry's to tell.
+type listChange struct {
 	Seq  uint64 `json:"seq"`
 	Host string `json:"host"`
 }
 
 // NewState makes an empty State that belongs to no group yet.
 func NewState() *State {
-	return &State{entries: make(map[string]*Registration), marks: make(map[string]string), records: make(map[string]*Record), leases: NewLeases(0), policy: rollout.New(0)}
+	return &State{registrations: make(map[string]*Registration), marks: make(map[string]string), records: make(map[string]*Record), leases: newLeases(0), rollout: rollout.New(0)}
 }
 
 // Group returns the name of the group whose history this is; empty before it was founded.
@@ -144,7 +144,7 @@
 func (s *State) Seq() uint64 { return s.seq }
 
 // FirstVersion returns the first version of this history.
-func (s *State) FirstVersion() uint64 { return s.founded }
+func (s *State) FirstVersion() uint64 { return s.firstVersion }
 
 // Apply carries one command out.
 func (s *State) Apply(c Command) Result {
@@ -157,19 +157,19 @@
 	if s.group == "" && c.Op != OpFoundGroup {
 		return failed(fmt.Errorf("%w: the group has not been founded", ErrInvalid))
 	}
-	if err := s.leases.fenced(c.Fence); err != nil {
+	if err := s.leases.checkFence(c.Fence); err != nil {
 		return failed(err)
 	}
 	switch c.Op {
 	case OpAcquireLease, OpReleaseLease, OpExpireClaims, OpRequestYield, OpOpenGrants:
-		seated := s.seatedBefore(c)
+		seated := s.rosterLeasesEndedBy(c)
 		r := s.leases.apply(c.Op, c.Lease)
-		s.unseat(seated)
+		s.leaveRoster(seated)
 		return r
 	case OpPolicyStep:
-		return s.decide(c)
+		return s.applyPolicyStep(c)
 	case OpFoundGroup:
-		return s.found(c)
+		return s.foundGroup(c)
 	case OpRegister:
 		return s.register(c)
 	case OpMark:
@@ -177,7 +177,7 @@
 	case OpRemove:
 		return s.remove(c)
 	case OpExpireSessions:
-		return s.expire(c)
+		return s.expireSessions(c)
 	case OpPutRecord, OpDeleteRecord:
 		return s.edit(c)
 	case OpRestore:
@@ -188,30 +188,30 @@
 
 func failed(err error) Result { return Result{Err: err} }
 
-// found begins a history. Its versions begin where no other group's can be: a
+// foundGroup begins a history. Its versions begin where no other group's can be: a
 // watcher that comes with a version of another history is older than this one's
 // log or ahead of it, and gets the whole list either way.
-func (s *State) found(c Command) Result {
+func (s *State) foundGroup(c Command) Result {
 	if s.group != "" {
 		if s.group != c.Group {
 			return failed(fmt.Errorf("%w: this is group %q", ErrConflict, s.group))
 		}
-		return Result{Version: s.founded}
+		return Result{Version: s.firstVersion}
 	}
 	if err := CheckName("group", c.Group); err != nil {
 		return failed(fmt.Errorf("%w: %w", ErrInvalid, err))
 	}
-	if c.AtMS <= 0 || c.AtMS > MaxVersion/versionRoom/2 {
+	if c.AtMS <= 0 || c.AtMS > MaxVersion/versionsPerMS/2 {
 		return failed(fmt.Errorf("%w: founded at %d", ErrInvalid, c.AtMS))
 	}
-	s.group, s.founded = c.Group, uint64(c.AtMS)*versionRoom
-	s.seq, s.oldest, s.edits = s.founded, s.founded, s.founded
+	s.group, s.firstVersion = c.Group, uint64(c.AtMS)*versionsPerMS
+	s.seq, s.changesAfter, s.recordVersion = s.firstVersion, s.firstVersion, s.firstVersion
 	// Tokens begin where no earlier group's can be, and no lease is granted until those
 	// of an earlier group of this name have run out.
-	s.leases = NewLeases(s.founded)
-	s.leases.shut = true
-	s.policy = rollout.New(s.founded)
-	return Result{Version: s.founded}
+	s.leases = newLeases(s.firstVersion)
+	s.leases.grantsClosed = true
+	s.rollout = rollout.New(s.firstVersion)
+	return Result{Version: s.firstVersion}
 }
 
 // register takes an instance in. The same again changes nothing; another session
@@ -228,7 +228,7 @@
 	if _, marked := s.marks[e.Host]; marked {
 		e.Health = HealthDraining
 	}
-	was := s.entries[e.Host]
+	was := s.registrations[e.Host]
 	if was != nil {
 		if was.Instance.equal(e.Instance) && was.Session == e.Session && was.TTLMS == e.TTLMS && was.Machine == e.Machine && was.ReportedHealth == e.ReportedHealth {
 			return Result{Version: was.Version}
@@ -237,27 +237,27 @@
 			return Result{Version: was.Version, Err: fmt.Errorf("%w: host %s", ErrHostTaken, e.Host)}
 		}
 	}
-	if err := condition(c.IfVersion, was); err != nil {
-		return Result{Version: was.version(), Err: err}
+	if err := checkVersion(c.IfVersion, was); err != nil {
+		return Result{Version: was.versionOrZero(), Err: err}
 	}
-	if was == nil && len(s.entries) >= maxInstances {
-		return failed(fmt.Errorf("%w: %d instances are registered", ErrLimitReached, len(s.entries)))
+	if was == nil && len(s.registrations) >= maxInstances {
+		return failed(fmt.Errorf("%w: %d instances are registered", ErrLimitReached, len(s.registrations)))
 	}
-	s.entries[e.Host] = e
-	s.changed(e.Host) // even where the list does not show it: the entry's version has to move
+	s.registrations[e.Host] = e
+	s.bumpVersion(e.Host) // even where the list does not show it: the entry's version has to move
 	return Result{Version: e.Version, ChangedHosts: []string{e.Host}}
 }
 
-func (e *Registration) version() uint64 {
+func (e *Registration) versionOrZero() uint64 {
 	if e == nil {
 		return 0
 	}
 	return e.Version
 }
 
-func condition(want *uint64, e *Registration) error {
-	if want != nil && *want != e.version() {
-		return fmt.Errorf("%w: the entry has version %d, not %d", ErrConflict, e.version(), *want)
+func checkVersion(want *uint64, e *Registration) error {
+	if want != nil && *want != e.versionOrZero() {
+		return fmt.Errorf("%w: the entry has version %d, not %d", ErrConflict, e.versionOrZero(), *want)
 	}
 	return nil
 }
@@ -270,7 +270,7 @@
 	if c.Host != "" {
 		hosts = append(slices.Clone(hosts), c.Host)
 	}
-	if len(hosts) == 0 || c.MarkedBy == "" || len(c.MarkedBy) > maxName {
+	if len(hosts) == 0 || c.MarkedBy == "" || len(c.MarkedBy) > maxNameLength {
 		return failed(fmt.Errorf("%w: a mark needs hosts and who sets it", ErrInvalid))
 	}
 	if c.IfRecord != "" {
@@ -279,25 +279,25 @@
 		}
 	}
 	for _, h := range hosts {
-		e := s.entries[h]
+		e := s.registrations[h]
 		by, marked := s.marks[h]
 		switch {
 		case c.Draining && e == nil && !marked:
 			return failed(fmt.Errorf("%w: host %.64s", ErrNotFound, h))
 		case marked && by != c.MarkedBy:
-			return Result{Version: e.version(), Err: fmt.Errorf("%w: host %s is marked by %s", ErrConflict, h, by)}
+			return Result{Version: e.versionOrZero(), Err: fmt.Errorf("%w: host %s is marked by %s", ErrConflict, h, by)}
 		case c.Draining && !marked && len(s.marks) >= maxMarks:
 			return failed(fmt.Errorf("%w: %d hosts are marked", ErrLimitReached, len(s.marks)))
 		}
 		if len(hosts) == 1 {
-			if err := condition(c.IfVersion, e); err != nil && (c.Draining != marked) {
-				return Result{Version: e.version(), Err: err}
+			if err := checkVersion(c.IfVersion, e); err != nil && (c.Draining != marked) {
+				return Result{Version: e.versionOrZero(), Err: err}
 			}
 		}
 	}
 	var changed []string
 	for _, h := range hosts {
-		e := s.entries[h]
+		e := s.registrations[h]
 		health := HealthDraining
 		if c.Draining {
 			s.marks[h] = c.MarkedBy
@@ -309,8 +309,8 @@
 			changed = append(changed, h)
 		}
 	}
-	s.changed(changed...)
-	return Result{Version: s.entries[hosts[len(hosts)-1]].version(), ChangedHosts: changed}
+	s.bumpVersion(changed...)
+	return Result{Version: s.registrations[hosts[len(hosts)-1]].versionOrZero(), ChangedHosts: changed}
 }
 
 // remove takes an instance out, and its mark with it. One that is not there is
@@ -319,34 +319,34 @@
 	if err := CheckName("host", c.Host); err != nil {
 		return failed(fmt.Errorf("%w: %w", ErrInvalid, err))
 	}
-	e := s.entries[c.Host]
+	e := s.registrations[c.Host]
 	if e == nil {
 		return Result{}
 	}
-	if err := condition(c.IfVersion, e); err != nil {
+	if err := checkVersion(c.IfVersion, e); err != nil {
 		return Result{Version: e.Version, Err: err}
 	}
 	if c.Session != "" && c.Session != e.Session {
 		return Result{Version: e.Version, Err: fmt.Errorf("%w: host %s", ErrHostTaken, c.Host)}
 	}
-	delete(s.entries, c.Host)
+	delete(s.registrations, c.Host)
 	if c.Session == "" { // the operator's word, not the instance's own
 		delete(s.marks, c.Host)
 	}
-	s.changed(c.Host)
+	s.bumpVersion(c.Host)
 	return Result{ChangedHosts: []string{c.Host}}
 }
 
-// expire takes out those whose session is still the one that ended.
-func (s *State) expire(c Command) Result {
+// expireSessions takes out those whose session is still the one that ended.
+func (s *State) expireSessions(c Command) Result {
 	var changed []string
 	for _, x := range c.ExpiredSessions {
-		if e := s.entries[x.Host]; e != nil && e.Session == x.Session && e.Session != "" {
-			delete(s.entries, x.Host)
+		if e := s.registrations[x.Host]; e != nil && e.Session == x.Session && e.Session != "" {
+			delete(s.registrations, x.Host)
 			changed = append(changed, x.Host)
 		}
 	}
-	s.changed(changed...)
+	s.bumpVersion(changed...)
 	return Result{ChangedHosts: changed}
 }
 
@@ -360,23 +360,23 @@
 	if from.group != s.group {
 		return failed(fmt.Errorf("%w: the backup is of group %.64q, this is %q", ErrConflict, from.group, s.group))
 	}
-	for _, e := range from.entries {
+	for _, e := range from.registrations {
 		if err := e.Instance.Check(); err != nil {
 			return failed(fmt.Errorf("%w: backup: %w", ErrInvalid, err))
 		}
 	}
-	next := max(s.seq, s.edits, from.seq, from.edits) + 1
-	for _, e := range from.entries {
+	next := max(s.seq, s.recordVersion, from.seq, from.recordVersion) + 1
+	for _, e := range from.registrations {
 		e.Version = next
 	}
 	for _, r := range from.records {
 		r.Version = next
 	}
-	from.founded, from.seq, from.oldest, from.edits, from.log = s.founded, next, next, next, nil
-	s.leases.restored(from.leases)
+	from.firstVersion, from.seq, from.changesAfter, from.recordVersion, from.changes = s.firstVersion, next, next, next, nil
+	s.leases.keepOverRestore(from.leases)
 	from.leases = s.leases
-	s.policy.Restore(from.policy)
-	from.policy = s.policy
+	s.rollout.Restore(from.rollout)
+	from.rollout = s.rollout
 	*s = *from
 	return Result{Version: next}
 }
@@ -399,8 +399,8 @@
 	switch {
 	case c.IfVersion != nil && *c.IfVersion != version:
 		return Result{Version: version, Err: fmt.Errorf("%w: the record has version %d, not %d", ErrConflict, version, *c.IfVersion)}
-	case len(c.Value) > maxValue:
-		return Result{Version: version, Err: fmt.Errorf("%w: a value of %d bytes, %d at most", ErrInvalid, len(c.Value), maxValue)}
+	case len(c.Value) > maxRecordValue:
+		return Result{Version: version, Err: fmt.Errorf("%w: a value of %d bytes, %d at most", ErrInvalid, len(c.Value), maxRecordValue)}
 	case was == nil && len(s.records) >= maxRecords:
 		return failed(fmt.Errorf("%w: %d records are kept", ErrLimitReached, len(s.records)))
 	}
@@ -408,37 +408,37 @@
 		delete(s.records, c.Key)
 		return Result{}
 	}
-	s.edits++
-	s.records[c.Key] = &Record{Value: slices.Clone(c.Value), Version: s.edits, AtMS: c.AtMS}
-	return Result{Version: s.edits}
+	s.recordVersion++
+	s.records[c.Key] = &Record{Value: slices.Clone(c.Value), Version: s.recordVersion, AtMS: c.AtMS}
+	return Result{Version: s.recordVersion}
 }
 
-// changed gives the list its next version, with these hosts changed in it.
-func (s *State) changed(hosts ...string) {
+// bumpVersion gives the list its next version, with these hosts bumpVersion in it.
+func (s *State) bumpVersion(hosts ...string) {
 	if len(hosts) == 0 {
 		return
 	}
 	s.seq++
 	for _, h := range hosts {
-		if e := s.entries[h]; e != nil {
+		if e := s.registrations[h]; e != nil {
 			e.Version = s.seq
 		}
-		s.log = append(s.log, change{s.seq, h})
+		s.changes = append(s.changes, listChange{s.seq, h})
 	}
-	if over := len(s.log) - maxChanges; over > 0 {
-		s.oldest = s.log[over-1].Seq
-		for over < len(s.log) && s.log[over].Seq == s.oldest { // a version goes whole or not at all
+	if over := len(s.changes) - maxListChanges; over > 0 {
+		s.changesAfter = s.changes[over-1].Seq
+		for over < len(s.changes) && s.changes[over].Seq == s.changesAfter { // a version goes whole or not at all
 			over++
 		}
-		s.log = slices.Delete(s.log, 0, over)
+		s.changes = slices.Delete(s.changes, 0, over)
 	}
 }
 
 // FullList returns the list.
 func (s *State) FullList() ListUpdate {
-	l := ListUpdate{Seq: s.seq, Full: true, Instances: make([]Instance, 0, len(s.entries))}
-	for _, h := range slices.Sorted(maps.Keys(s.entries)) {
-		l.Instances = append(l.Instances, s.entries[h].Instance)
+	l := ListUpdate{Seq: s.seq, Full: true, Instances: make([]Instance, 0, len(s.registrations))}
+	for _, h := range slices.Sorted(maps.Keys(s.registrations)) {
+		l.Instances = append(l.Instances, s.registrations[h].Instance)
 	}
 	return l
 }
@@ -447,17 +447,17 @@
 // Where the log does not tell, for a version before it, after the newest or of
 // another history, it is the whole list.
 func (s *State) ChangesSince(from uint64) ListUpdate {
-	if from < s.oldest || from > s.seq {
+	if from < s.changesAfter || from > s.seq {
 		return s.FullList()
 	}
-	at, _ := slices.BinarySearchFunc(s.log, from+1, func(c change, v uint64) int { return cmp.Compare(c.Seq, v) })
+	at, _ := slices.BinarySearchFunc(s.changes, from+1, func(c listChange, v uint64) int { return cmp.Compare(c.Seq, v) })
 	hosts := make(map[string]bool)
-	for _, c := range s.log[at:] {
+	for _, c := range s.changes[at:] {
 		hosts[c.Host] = true
 	}
 	l := ListUpdate{Seq: s.seq, Instances: make([]Instance, 0, len(hosts))}
 	for _, h := range slices.Sorted(maps.Keys(hosts)) {
-		if e := s.entries[h]; e != nil {
+		if e := s.registrations[h]; e != nil {
 			l.Instances = append(l.Instances, e.Instance)
 		} else {
 			l.Instances = append(l.Instances, Instance{Host: h, Health: HealthRemoved})
@@ -467,20 +467,20 @@
 }
 
 // Len returns how many instances there are.
-func (s *State) Len() int { return len(s.entries) }
+func (s *State) Len() int { return len(s.registrations) }
 
 // Registrations returns all entries, by host.
 func (s *State) Registrations() []Registration {
-	all := make([]Registration, 0, len(s.entries))
-	for _, h := range slices.Sorted(maps.Keys(s.entries)) {
-		all = append(all, *s.entries[h])
+	all := make([]Registration, 0, len(s.registrations))
+	for _, h := range slices.Sorted(maps.Keys(s.registrations)) {
+		all = append(all, *s.registrations[h])
 	}
 	return all
 }
 
 // Registration returns one entry.
 func (s *State) Registration(host string) (Registration, bool) {
-	if e := s.entries[host]; e != nil {
+	if e := s.registrations[host]; e != nil {
 		return *e, true
 	}
 	return Registration{}, false
@@ -503,21 +503,21 @@
 // Clone returns a copy that shares nothing that changes.
 func (s *State) Clone() *State {
 	c := *s
-	c.entries = make(map[string]*Registration, len(s.entries))
-	for h, e := range s.entries {
+	c.registrations = make(map[string]*Registration, len(s.registrations))
+	for h, e := range s.registrations {
 		one := *e
-		c.entries[h] = &one
+		c.registrations[h] = &one
 	}
-	c.marks, c.records, c.log, c.leases = maps.Clone(s.marks), maps.Clone(s.records), slices.Clone(s.log), s.leases.Clone()
-	c.policy = s.policy.Clone()
+	c.marks, c.records, c.changes, c.leases = maps.Clone(s.marks), maps.Clone(s.records), slices.Clone(s.changes), s.leases.Clone()
+	c.rollout = s.rollout.Clone()
 	return &c
 }
 
 // Leases returns the leases, to be read.
 func (s *State) Leases() *Leases { return s.leases }
 
-// image is the state as it stands in a snapshot.
-type image struct {
+// stateSnapshot is the state as it stands in a snapshot.
+type stateSnapshot struct {
 	Form    int                      `json:"form"`
 	Group   string                   `json:"group"`
 	Founded uint64                   `json:"founded"`
@@ -527,31 +527,31 @@
 	Entries map[string]*Registration `json:"entries"`
 	Marks   map[string]string        `json:"marks"`
 	Records map[string]*Record       `json:"records"`
-	Log     []change                 `json:"log"`
+	Log     []listChange             `json:"log"`
 	Leases  *Leases                  `json:"leases,omitempty"`
 	Policy  *rollout.State           `json:"policy,omitempty"`
 }
 
-const imageForm = 1
+const snapshotForm = 1
 
 // MarshalJSON writes the state for a snapshot.
 func (s *State) MarshalJSON() ([]byte, error) {
-	return json.Marshal(image{imageForm, s.group, s.founded, s.seq, s.oldest, s.edits, s.entries, s.marks, s.records, s.log, s.leases, s.policy})
+	return json.Marshal(stateSnapshot{snapshotForm, s.group, s.firstVersion, s.seq, s.changesAfter, s.recordVersion, s.registrations, s.marks, s.records, s.changes, s.leases, s.rollout})
 }
 
 // UnmarshalJSON reads a snapshot. A state that cannot be right is refused, and
 // leaves s as it was.
 func (s *State) UnmarshalJSON(text []byte) error {
-	var i image
+	var i stateSnapshot
 	if err := json.Unmarshal(text, &i); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
 	switch {
-	case i.Form != imageForm:
-		return fmt.Errorf("snapshot: form %d is not known, only %d", i.Form, imageForm)
+	case i.Form != snapshotForm:
+		return fmt.Errorf("snapshot: form %d is not known, only %d", i.Form, snapshotForm)
 	case i.Group == "" && i.Seq != 0, i.Seq < i.Founded, i.Oldest < i.Founded, i.Oldest > i.Seq:
 		return fmt.Errorf("snapshot: versions %d to %d of a history from %d", i.Oldest, i.Seq, i.Founded)
-	case !slices.IsSortedFunc(i.Log, func(a, b change) int { return cmp.Compare(a.Seq, b.Seq) }),
+	case !slices.IsSortedFunc(i.Log, func(a, b listChange) int { return cmp.Compare(a.Seq, b.Seq) }),
 		len(i.Log) > 0 && (i.Log[0].Seq <= i.Oldest || i.Log[len(i.Log)-1].Seq > i.Seq):
 		return errors.New("snapshot: the log of changes is out of order")
 	}
@@ -566,16 +566,16 @@
 		}
 	}
 	fresh := NewState()
-	fresh.group, fresh.founded, fresh.seq, fresh.oldest, fresh.edits = i.Group, i.Founded, i.Seq, i.Oldest, i.Edits
-	maps.Copy(fresh.entries, i.Entries)
+	fresh.group, fresh.firstVersion, fresh.seq, fresh.changesAfter, fresh.recordVersion = i.Group, i.Founded, i.Seq, i.Oldest, i.Edits
+	maps.Copy(fresh.registrations, i.Entries)
 	maps.Copy(fresh.marks, i.Marks)
 	maps.Copy(fresh.records, i.Records)
-	fresh.log = i.Log
+	fresh.changes = i.Log
 	if fresh.leases = i.Leases; i.Leases == nil { // written before there were leases
-		fresh.leases = NewLeases(i.Edits)
+		fresh.leases = newLeases(i.Edits)
 	}
-	if fresh.policy = i.Policy; i.Policy == nil {
-		fresh.policy = rollout.New(i.Edits)
+	if fresh.rollout = i.Policy; i.Policy == nil {
+		fresh.rollout = rollout.New(i.Edits)
 	}
 	*s = *fresh
 	return nil
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -188,7 +188,7 @@
 // newer than the state, or of another group's history.
 func TestOtherVersionsBringTheWholeList(t *testing.T) {
 	s := founded(t)
-	for i := range maxChanges + 10 {
+	for i := range maxListChanges + 10 {
 		c := instance("s-1")
 		c.BornMS = int64(i)
 		s.Apply(Command{Op: OpRegister, Instance: c, Session: "x"})
@@ -196,7 +196,7 @@
 	other := NewState()
 	other.Apply(Command{Op: OpFoundGroup, Group: "other", AtMS: 1_800_000_000_000 + 60_000})
 	for name, from := range map[string]uint64{
-		"none": 0, "first": s.FirstVersion(), "just before the log": s.Seq() - maxChanges - 1, "next": s.Seq() + 1,
+		"none": 0, "first": s.FirstVersion(), "just before the log": s.Seq() - maxListChanges - 1, "next": s.Seq() + 1,
 		"highest": math.MaxUint64, "another group's": other.Seq(),
 	} {
 		if l := s.ChangesSince(from); !l.Full || len(l.Instances) != 1 || l.Seq != s.Seq() {
@@ -206,7 +206,7 @@
 	if l := other.ChangesSince(s.Seq()); !l.Full {
 		t.Error("an older group's version was taken for one of this history")
 	}
-	for _, from := range []uint64{s.Seq() - maxChanges, s.Seq() - 1} {
+	for _, from := range []uint64{s.Seq() - maxListChanges, s.Seq() - 1} {
 		if l := s.ChangesSince(from); l.Full || len(l.Instances) != 1 {
 			t.Errorf("from %d: %+v, want the change", s.Seq()-from, l)
 		}
@@ -214,8 +214,8 @@
 	if l := s.ChangesSince(s.Seq()); l.Full || len(l.Instances) != 0 {
 		t.Errorf("from the newest: %+v, want nothing", l)
 	}
-	if len(s.log) > maxChanges {
-		t.Errorf("the log has grown to %d", len(s.log))
+	if len(s.changes) > maxListChanges {
+		t.Errorf("the log has grown to %d", len(s.changes))
 	}
 }
 
@@ -285,7 +285,7 @@
 	if third := put("c", version(0)); third.Version <= second.Version {
 		t.Errorf("a record's version %d came again after %d", third.Version, second.Version)
 	}
-	if r := put(strings.Repeat("x", maxValue+1), nil); !errors.Is(r.Err, ErrInvalid) {
+	if r := put(strings.Repeat("x", maxRecordValue+1), nil); !errors.Is(r.Err, ErrInvalid) {
 		t.Errorf("too large: %v", r.Err)
 	}
 }
@@ -312,7 +312,7 @@
 func TestBadInstances(t *testing.T) {
 	for name, spoil := range map[string]func(i *Instance){
 		"no host":         func(i *Instance) { i.Host = "" },
-		"a long host":     func(i *Instance) { i.Host = strings.Repeat("x", maxName+1) },
+		"a long host":     func(i *Instance) { i.Host = strings.Repeat("x", maxNameLength+1) },
 		"a line break":    func(i *Instance) { i.Host = "a\nb" },
 		"a path":          func(i *Instance) { i.Host = "a/../b" },
 		"no port":         func(i *Instance) { i.Dial = "127.0.0.1" },
