--- a/internal/registry/api.go
+++ b/internal/registry/api.go
@@ -153,3 +153,19 @@
 	ExpiryHeld bool          `json:"expiry_held"`
 	Claims     int           `json:"claims"` // on leases, held and waiting, that the leader follows
 }
+
+const (
+	// ListPath is where the list is, by the protocol.
+	ListPath = "/registry/instances"
+	// APIPath begins the paths of the write interface.
+	APIPath = "/registry/v1/"
+	// ReadHeader says in each answer how fresh what it tells is.
+	ReadHeader = "Registry-Read"
+	// ReadStale means that the replica has no contact with a leader.
+	ReadStale = "stale"
+	// ReadCurrent means that it heard of a leader lately: an answer may still be a
+	// moment behind.
+	ReadCurrent = "current"
+	// ReadLinearizable means that the leader made sure that it still is the leader.
+	ReadLinearizable = "linearizable"
+)
--- /dev/null
+++ b/internal/registry/changes_test.go
@@ -0,0 +1,60 @@
+package registry
+
+import (
+	"maps"
+	"math"
+	"testing"
+)
+
+// follow is what an unchanged sidecar makes of one answer.
+func follow(held map[string]Instance, l ListUpdate) {
+	if l.Full {
+		clear(held)
+	}
+	for _, i := range l.Instances {
+		if i.Health == HealthRemoved {
+			delete(held, i.Host)
+		} else {
+			held[i.Host] = i
+		}
+	}
+}
+
+func same(a, b map[string]Instance) bool {
+	return maps.EqualFunc(a, b, func(x, y Instance) bool { return x.equal(y) })
+}
+
+// Versions that the log does not tell of bring the whole list: older than it,
+// newer than the state, or of another group's history.
+func TestOtherVersionsBringTheWholeList(t *testing.T) {
+	s := founded(t)
+	for i := range maxListChanges + 10 {
+		c := instance("s-1")
+		c.BornMS = int64(i)
+		s.Apply(Command{Op: OpRegister, Instance: c, Session: "x"})
+	}
+	other := NewState()
+	other.Apply(Command{Op: OpFoundGroup, Group: "other", AtMS: 1_800_000_000_000 + 60_000})
+	for name, from := range map[string]uint64{
+		"none": 0, "first": s.FirstVersion(), "just before the log": s.Seq() - maxListChanges - 1, "next": s.Seq() + 1,
+		"highest": math.MaxUint64, "another group's": other.Seq(),
+	} {
+		if l := s.ChangesSince(from); !l.Full || len(l.Instances) != 1 || l.Seq != s.Seq() {
+			t.Errorf("%s: %+v, want the whole list", name, l)
+		}
+	}
+	if l := other.ChangesSince(s.Seq()); !l.Full {
+		t.Error("an older group's version was taken for one of this history")
+	}
+	for _, from := range []uint64{s.Seq() - maxListChanges, s.Seq() - 1} {
+		if l := s.ChangesSince(from); l.Full || len(l.Instances) != 1 {
+			t.Errorf("from %d: %+v, want the change", s.Seq()-from, l)
+		}
+	}
+	if l := s.ChangesSince(s.Seq()); l.Full || len(l.Instances) != 0 {
+		t.Errorf("from the newest: %+v, want nothing", l)
+	}
+	if len(s.changes) > maxListChanges {
+		t.Errorf("the log has grown to %d", len(s.changes))
+	}
+}
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -11,7 +11,6 @@
 	"net"
 	"net/http"
 	"net/url"
-	"strconv"
 	"strings"
 	"sync"
 	"time"
@@ -30,40 +29,6 @@
 	maxRedirects     = 3 // from one replica to the one that it says leads
 )
 
-// Error is a registry's plain refusal. It is final: the same call gets it again.
-type Error struct {
-	Status  int
-	Message string
-	Version uint64 // what the entry or record is at, where the registry says so
-}
-
-func (e *Error) Error() string { return e.Message }
-
-// Is lets callers ask with errors.Is for the registry's own errors.
-func (e *Error) Is(target error) bool {
-	switch target {
-	case registry.ErrConflict, registry.ErrHostTaken:
-		return e.Status == http.StatusConflict
-	case registry.ErrLeaseHeld:
-		return e.Status == http.StatusLocked
-	case registry.ErrClaimEnded:
-		return e.Status == http.StatusGone
-	case registry.ErrFenced:
-		return e.Status == http.StatusPreconditionFailed
-	case registry.ErrNotFound:
-		return e.Status == http.StatusNotFound
-	case registry.ErrLimitReached:
-		return e.Status == http.StatusInsufficientStorage
-	case registry.ErrInvalid:
-		return e.Status == http.StatusBadRequest || e.Status == http.StatusRequestEntityTooLarge
-	}
-	return false
-}
-
-// ErrUnreachable says that no replica could do what was asked in time. What was
-// written may have been done; every write can be sent again.
-var ErrUnreachable = errors.New("no replica of the registry answers")
-
 // Client reads and writes over all replicas of a registry: it goes to the one that
 // leads, and on to others while that is not to be had. It is safe for concurrent use.
 type Client struct {
@@ -224,92 +189,3 @@
 	}
 	return addr, fmt.Errorf("%s: sent from one replica to the other", addr)
 }
-
-// Register takes an instance in, or changes it.
-func (c *Client) Register(ctx context.Context, r registry.RegisterRequest) (registry.WriteResponse, error) {
-	var a registry.WriteResponse
-	err := c.call(ctx, http.MethodPut, "instances/"+url.PathEscape(r.Instance.Host), r, &a)
-	return a, err
-}
-
-// RenewSession keeps a session alive.
-func (c *Client) RenewSession(ctx context.Context, host, session string) error {
-	return c.call(ctx, http.MethodPost, "instances/"+url.PathEscape(host)+"/renew", registry.RenewRequest{Session: session}, nil)
-}
-
-// Remove takes an instance out; with a session, only while it is that session's.
-func (c *Client) Remove(ctx context.Context, host, session string) error {
-	return c.call(ctx, http.MethodDelete, "instances/"+url.PathEscape(host)+"?session="+url.QueryEscape(session), nil, nil)
-}
-
-// Mark marks hosts draining, or takes the marks back: all or none.
-func (c *Client) Mark(ctx context.Context, m registry.MarkRequest) (registry.WriteResponse, error) {
-	var a registry.WriteResponse
-	err := c.call(ctx, http.MethodPost, "marks", m, &a)
-	return a, err
-}
-
-// Entries returns all entries as of now, whoever led before.
-func (c *Client) Registrations(ctx context.Context) (registry.RegistrationsResponse, error) {
-	var a registry.RegistrationsResponse
-	err := c.call(ctx, http.MethodGet, "instances?linearizable=1", nil, &a)
-	return a, err
-}
-
-// Record returns a record as of now.
-func (c *Client) Record(ctx context.Context, key string) (registry.Record, error) {
-	var r registry.Record
-	err := c.call(ctx, http.MethodGet, "records/"+url.PathEscape(key)+"?linearizable=1", nil, &r)
-	return r, err
-}
-
-// RecordKeys returns the keys of all records as of now.
-func (c *Client) RecordKeys(ctx context.Context) ([]string, error) {
-	var keys []string
-	err := c.call(ctx, http.MethodGet, "records?linearizable=1", nil, &keys)
-	return keys, err
-}
-
-// Put writes a record if it is at the version named, or whatever it is at where
-// that is nil, and returns the new version.
-func (c *Client) Put(ctx context.Context, key string, value []byte, ifVersion *uint64) (uint64, error) {
-	return c.PutFenced(ctx, key, value, ifVersion, nil)
-}
-
-// PutFenced is Put while a token is its lease's; registry.ErrFenced says that it is not.
-func (c *Client) PutFenced(ctx context.Context, key string, value []byte, ifVersion *uint64, fence *registry.Fence) (uint64, error) {
-	var a registry.WriteResponse
-	err := c.call(ctx, http.MethodPut, "records/"+url.PathEscape(key), registry.PutRequest{Value: value, IfVersion: ifVersion, Fence: fence}, &a)
-	return a.Version, err
-}
-
-// Delete deletes a record if it is at the version named.
-func (c *Client) Delete(ctx context.Context, key string, ifVersion uint64) error {
-	return c.call(ctx, http.MethodDelete, "records/"+url.PathEscape(key)+"?if_version="+strconv.FormatUint(ifVersion, 10), nil, nil)
-}
-
-// Status returns what one replica says of itself, the one that answers first.
-func (c *Client) Status(ctx context.Context) (registry.StatusResponse, error) {
-	var s registry.StatusResponse
-	err := c.call(ctx, http.MethodGet, "status", nil, &s)
-	return s, err
-}
-
-// Statuses asks every replica that the group has now how it stands. Those that do
-// not answer are left out, and all says whether none was.
-func (c *Client) Statuses(ctx context.Context) (got []registry.StatusResponse, all bool) {
-	s, err := c.Status(ctx)
-	if err != nil {
-		return nil, false
-	}
-	all = len(s.Replicas) > 0
-	for _, m := range s.Replicas {
-		var one registry.StatusResponse
-		if _, err := c.callReplica(ctx, m.HTTP, http.MethodGet, "status", nil, &one); err != nil || !one.Ready {
-			all = false
-			continue
-		}
-		got = append(got, one)
-	}
-	return got, all
-}
--- a/internal/registry/client/leases.go
+++ b/internal/registry/client/leases.go
@@ -45,25 +45,3 @@
 	err := c.call(ctx, http.MethodGet, fmt.Sprintf("leases?after=%d&wait_ms=%d", after, wait.Milliseconds()), nil, &a)
 	return a, err
 }
-
-// Backup returns the registry's contents, as of now.
-func (c *Client) Backup(ctx context.Context) ([]byte, error) {
-	var text rawJSON
-	err := c.call(ctx, http.MethodGet, "backup?linearizable=1", nil, &text)
-	return text, err
-}
-
-// Restore puts a backup's contents in place of all there is.
-func (c *Client) Restore(ctx context.Context, backup []byte) error {
-	return c.call(ctx, http.MethodPost, "restore", rawJSON(backup), nil)
-}
-
-// rawJSON is a text that goes as it is.
-type rawJSON []byte
-
-func (r rawJSON) MarshalJSON() ([]byte, error) { return r, nil }
-
-func (r *rawJSON) UnmarshalJSON(text []byte) error {
-	*r = append((*r)[:0], text...)
-	return nil
-}
--- a/internal/registry/instance.go
+++ b/internal/registry/instance.go
@@ -36,30 +36,6 @@
 	BornMS int64   `json:"born_ms"` // the last start; 0: long ago
 }
 
-// ListUpdate is what discovery answers: the whole list, or what has changed since
-// the version that was asked for.
-type ListUpdate struct {
-	Seq       uint64     `json:"seq"`
-	Full      bool       `json:"whole"`
-	Instances []Instance `json:"hosts"`
-}
-
-const (
-	// ListPath is where the list is, by the protocol.
-	ListPath = "/registry/instances"
-	// APIPath begins the paths of the write interface.
-	APIPath = "/registry/v1/"
-	// ReadHeader says in each answer how fresh what it tells is.
-	ReadHeader = "Registry-Read"
-	// ReadStale means that the replica has no contact with a leader.
-	ReadStale = "stale"
-	// ReadCurrent means that it heard of a leader lately: an answer may still be a
-	// moment behind.
-	ReadCurrent = "current"
-	// ReadLinearizable means that the leader made sure that it still is the leader.
-	ReadLinearizable = "linearizable"
-)
-
 const (
 	maxNameLength = 128
 	maxInstances  = 4096
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -1,8 +1,6 @@
 package registry
 
 import (
-	"encoding/json"
-	"errors"
 	"fmt"
 	"maps"
 	"slices"
@@ -10,73 +8,6 @@
 	"barleywick/internal/mutation"
 )
 
-// The commands on leases.
-const (
-	OpAcquireLease Op = "lease_acquire" // asks for a lease, or for a place in its line
-	OpReleaseLease Op = "lease_release" // gives a claim up, held or waiting
-	OpExpireClaims Op = "lease_end"     // ends claims whose time is up: the leader's
-	OpRequestYield Op = "lease_ask"     // an operator asks a holder to leave, or pauses a lease
-	OpOpenGrants   Op = "lease_open"    // lets grants begin: the leader's
-)
-
-// Holder is a process that claims leases. Of two with one name the one with the
-// higher incarnation started later.
-type Holder struct {
-	Name        string `json:"holder"`
-	Incarnation uint64 `json:"incarnation"`
-}
-
-// Claim is one wish for a lease, from the asking to its end. Its id is the caller's
-// to choose and never used again: a call that is repeated names the same claim, so
-// it is carried out once.
-type Claim struct {
-	ID string `json:"claim"`
-	Holder
-	TTLMS int64 `json:"ttl_ms"`
-}
-
-// Grant is a claim that holds its lease. Its token is higher than that of every
-// grant before, of any lease.
-type Grant struct {
-	Claim
-	Token uint64 `json:"token"`
-}
-
-// Lease is the state of one lease.
-type Lease struct {
-	Name           string  `json:"name"`
-	Grant          *Grant  `json:"grant,omitempty"`
-	Queue          []Claim `json:"line,omitempty"`    // who waits, in the order of arrival
-	YieldRequested bool    `json:"leave,omitempty"`   // the holder is asked to give it up
-	NextHolder     string  `json:"to,omitempty"`      // and the next one is to be this one
-	Paused         bool    `json:"paused,omitempty"`  // nobody is to hold it
-	Version        uint64  `json:"version,omitempty"` // of the leases when it last changed
-}
-
-// ClaimRef is a claim that is over.
-type ClaimRef struct {
-	Lease   string `json:"name"`
-	ClaimID string `json:"claim"`
-}
-
-// LeaseCommand is a command's part that is about leases.
-type LeaseCommand struct {
-	Name       string     `json:"name,omitempty"`
-	Claim      Claim      `json:"claim,omitzero"`
-	Wait       bool       `json:"wait,omitempty"`  // of LeaseAcquire: take a place in the line
-	NextHolder string     `json:"to,omitempty"`    // of LeaseRelease and LeaseAsk: the next holder
-	Yield      bool       `json:"leave,omitempty"` // of LeaseAsk
-	Pause      *bool      `json:"pause,omitempty"` // of LeaseAsk
-	Expired    []ClaimRef `json:"ends,omitempty"`  // of LeaseEnd
-}
-
-// Fence makes a command conditional on a grant: it is refused unless the token is
-// that of the lease's grant at this very moment.
-type Fence struct {
-	Lease string `json:"lease"`
-	Token uint64 `json:"token"`
-}
-
 const (
 	maxLeases      = 4096
 	maxQueue       = 64   // who waits for one lease
@@ -84,16 +15,6 @@
 	minClaimID     = 8    // characters of a claim's id: it has to be unlike all others
 )
 
-// Why a command on leases was not carried out, beside the others.
-var (
-	// ErrLeaseHeld says that somebody else holds the lease.
-	ErrLeaseHeld = fmt.Errorf("held by another: %w", ErrConflict)
-	// ErrClaimEnded says that the claim has ended. Another one may begin.
-	ErrClaimEnded = errors.New("the claim has ended")
-	// ErrFenced says that the token is not that of the lease's grant.
-	ErrFenced = fmt.Errorf("fenced off: %w", ErrConflict)
-)
-
 // Leases is the part of the state machine that is about leases. When a claim's time
 // is up is not its to know: the leader counts (LeaseClock) and says so by LeaseEnd.
 type Leases struct {
@@ -120,16 +41,6 @@
 	return &c
 }
 
-func (l *Lease) clone() *Lease {
-	c := *l
-	if l.Grant != nil {
-		g := *l.Grant
-		c.Grant = &g
-	}
-	c.Queue = slices.Clone(l.Queue)
-	return &c
-}
-
 // apply carries one command out.
 func (s *Leases) apply(op Op, c *LeaseCommand) Result {
 	if c == nil {
@@ -229,36 +140,6 @@
 	return r
 }
 
-// claims are all claims on a lease.
-func (l *Lease) claims() []Claim {
-	all := slices.Clone(l.Queue)
-	if l.Grant != nil {
-		all = append(all, l.Grant.Claim)
-	}
-	return all
-}
-
-// position tells a claim how it stands, if it is known.
-func (l *Lease) position(c Claim) (Result, bool) {
-	if g := l.Grant; g != nil && g.ID == c.ID {
-		if g.Holder != c.Holder {
-			return failed(fmt.Errorf("%w: the claim is another process's", ErrConflict)), true
-		}
-		return Result{Version: l.Version, Token: g.Token}, true
-	}
-	for i, w := range l.Queue {
-		if w.ID == c.ID {
-			if w.Holder != c.Holder {
-				return failed(fmt.Errorf("%w: the claim is another process's", ErrConflict)), true
-			}
-			return Result{Version: l.Version, QueuePosition: i + 1}, true
-		}
-	}
-	return Result{}, false
-}
-
-func (l *Lease) grantable(shut bool) bool { return l.Grant == nil && !l.Paused && !shut }
-
 // grantNext gives a free lease to the one that was named, or else to who waits longest.
 func (s *Leases) grantNext(l *Lease) {
 	if l.grantable(s.grantsClosed) && len(l.Queue) > 0 && s.lastToken < MaxVersion {
@@ -329,10 +210,6 @@
 	return Result{Version: s.version}
 }
 
-func (l *Lease) hasQueued(name string) bool {
-	return slices.ContainsFunc(l.Queue, func(c Claim) bool { return c.Name == name })
-}
-
 // requestYield notes what an operator wants of a lease. Nothing is taken from its holder: it
 // is told at its next renewal, which does not prolong its time, and gives it up.
 func (s *Leases) requestYield(c *LeaseCommand) Result {
@@ -449,50 +326,3 @@
 
 // LastToken returns the last token that was given.
 func (s *Leases) LastToken() uint64 { return s.lastToken }
-
-// keepOverRestore brings the leases over a restore of the list: they are about processes
-// that live now, and stay. Tokens go on above the backup's, which may be another
-// group's of this name. That one's leases may not have run out: a group that was
-// founded for it grants none yet (Leases.shut).
-func (s *Leases) keepOverRestore(backup *Leases) {
-	if mutation.RestoredToken {
-		s.lastToken = backup.lastToken
-		return
-	}
-	s.lastToken = min(max(s.lastToken, backup.lastToken)+1, MaxVersion)
-	s.version = max(s.version, backup.version) + 1
-}
-
-type leasesSnapshot struct {
-	Token   uint64            `json:"token"`
-	Version uint64            `json:"version"`
-	Shut    bool              `json:"shut,omitempty"`
-	All     map[string]*Lease `json:"all,omitempty"`
-	Ended   []string          `json:"ended,omitempty"`
-}
-
-// MarshalJSON writes the leases for a snapshot.
-func (s *Leases) MarshalJSON() ([]byte, error) {
-	return json.Marshal(leasesSnapshot{s.lastToken, s.version, s.grantsClosed, s.leases, s.endedClaims})
-}
-
-// UnmarshalJSON reads a snapshot. What cannot be right is refused.
-func (s *Leases) UnmarshalJSON(text []byte) error {
-	var i leasesSnapshot
-	if err := json.Unmarshal(text, &i); err != nil {
-		return fmt.Errorf("leases: %w", err)
-	}
-	if i.Token > MaxVersion || len(i.Ended) > maxEndedClaims || len(i.All) > maxLeases {
-		return fmt.Errorf("leases: token %d, %d leases, %d that ended", i.Token, len(i.All), len(i.Ended))
-	}
-	for name, l := range i.All {
-		if l == nil || l.Name != name || l.Version > i.Version || len(l.Queue) > maxQueue || l.Grant != nil && l.Grant.Token > i.Token {
-			return fmt.Errorf("leases: %.64q is broken", name)
-		}
-	}
-	fresh := newLeases(0)
-	fresh.lastToken, fresh.version, fresh.grantsClosed, fresh.endedClaims = i.Token, i.Version, i.Shut, i.Ended
-	maps.Copy(fresh.leases, i.All)
-	*s = *fresh
-	return nil
-}
