--- a/internal/simulation/emulator/trouble.go
+++ b/internal/simulation/emulator/trouble.go
@@ -9,15 +9,15 @@
 
 // Trouble is something that goes wrong for a while.
 type Trouble struct {
-	Name  string  `toml:"name"`
-	At    Span    `toml:"at"`
-	For   Span    `toml:"for"`
-	Part  float64 `toml:"part"`  // of the servers, sidecars or requests that it befalls
-	Size  float64 `toml:"size"`  // how bad it is; see troubleKinds
-	Extra Span    `toml:"extra"` // a time that some troubles have
-	Zone  int     `toml:"zone"`  // where it happens, for those that happen in a zone
-
-	Tenant string `toml:"tenant,omitempty" json:",omitempty"` // of burst: whose clients alone ask for more
+	Name  string  `toml:"name" json:"Name"`
+	At    Span    `toml:"at" json:"At"`
+	For   Span    `toml:"for" json:"For"`
+	Part  float64 `toml:"part" json:"Part"`   // of the servers, sidecars or requests that it befalls
+	Size  float64 `toml:"size" json:"Size"`   // how bad it is; see troubleKinds
+	Extra Span    `toml:"extra" json:"Extra"` // a time that some troubles have
+	Zone  int     `toml:"zone" json:"Zone"`   // where it happens, for those that happen in a zone
+
+	Tenant string `toml:"tenant,omitempty" json:"Tenant,omitempty"` // of burst: whose clients alone ask for more
 }
 
 // troubleKind is what a trouble does.
