--- a/cmd/testbench/experiment.go
+++ b/cmd/testbench/experiment.go
@@ -32,7 +32,7 @@
 		live := terminal(progress)
 		broken := 0
 		o, err := plan.Play(c.Context(), func(played, all int, r experiment.Run) {
-			if len(r.Record.Broken) > 0 {
+			if len(r.Record.ViolationTexts) > 0 {
 				broken++
 			}
 			if live {
--- a/cmd/testbench/localfleet.go
+++ b/cmd/testbench/localfleet.go
@@ -83,7 +83,7 @@
 		slog.SetDefault(slog.New(slog.NewTextHandler(live, &slog.HandlerOptions{Level: slog.LevelError})))
 		o.Progress = func(r *emulator.Record) {
 			if terminal(live) {
-				fmt.Fprintf(live, "\r\x1b[K%d requests, %d served, %d refused, %d failed", r.Requests, r.ServedAll, r.Refused, r.Failed)
+				fmt.Fprintf(live, "\r\x1b[K%d requests, %d served, %d refused, %d failed", r.Requests, r.ServedRequests, r.Refused, r.Failed)
 			}
 		}
 		fmt.Fprintf(c.OutOrStdout(), "%s: %d sidecars, %d servers, about %.0f requests a second for %v\n", sc.Name, sc.Sidecars, sc.Servers, sc.Rate(), time.Duration(sc.Length))
--- a/cmd/testbench/search.go
+++ b/cmd/testbench/search.go
@@ -32,28 +32,28 @@
 		Use: "search", Short: "Search for runs in which a fleet does not recover", Args: cli.NoArgs,
 		Long: fmt.Sprintf(`search draws scenarios with a surge and a fault from seeds, runs them over all cores, and lists
 those that have not recovered %v after both are over: three seconds in a row at 0.95 of the
-requested weight. --keep DIR writes their scenario files, so that each can be run again.`, emulator.HuntWithin),
+requested weight. --keep DIR writes their scenario files, so that each can be run again.`, emulator.RecoveryLimit),
 		Example: "  testbench search --sidecars 300 --servers 67 --days 200 --keep found",
 	}
 	c.Flags().Uint64Var(&seed, "seed", 1, "of the first run; each further one has the next")
 	c.Flags().IntVar(&days, "days", 60, "how many runs")
-	c.Flags().IntVar(&sidecars, "sidecars", emulator.Base().Sidecars, "in each")
-	c.Flags().IntVar(&servers, "servers", emulator.Base().Servers, "in each")
+	c.Flags().IntVar(&sidecars, "sidecars", emulator.DefaultScenario().Sidecars, "in each")
+	c.Flags().IntVar(&servers, "servers", emulator.DefaultScenario().Servers, "in each")
 	c.Flags().StringVar(&keep, "keep", "", "write the scenario of each run that was found into `DIR`")
 	c.Flags().StringVar(&out.json, "json", "", "write all runs to `FILE`")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if days < 1 || days > maxRuns {
 			return cli.WrongCall("--days is %d, it must lie between 1 and %d", days, maxRuns)
 		}
-		if _, _, err := emulator.HuntDay(seed, sidecars, servers); err != nil {
+		if _, _, err := emulator.SearchScenario(seed, sidecars, servers); err != nil {
 			return cli.WrongCall("%v", err)
 		}
-		all := make([]*emulator.Hunted, days)
+		all := make([]*emulator.SearchResult, days)
 		play, ctx := errgroup.WithContext(c.Context())
 		play.SetLimit(runtime.GOMAXPROCS(0))
 		for i := range all {
 			play.Go(func() (err error) {
-				all[i], err = emulator.Hunt(ctx, seed+uint64(i), sidecars, servers, emulator.Balancer)
+				all[i], err = emulator.RunSearch(ctx, seed+uint64(i), sidecars, servers, emulator.NewBalancer)
 				return err
 			})
 		}
@@ -69,25 +69,25 @@
 }
 
 // printSearch prints the runs that did not recover in time, and a summary.
-func printSearch(w io.Writer, all []*emulator.Hunted, keep string) error {
-	slices.SortStableFunc(all, func(a, b *emulator.Hunted) int { return int(b.Back - a.Back) })
+func printSearch(w io.Writer, all []*emulator.SearchResult, keep string) error {
+	slices.SortStableFunc(all, func(a, b *emulator.SearchResult) int { return int(b.RecoveryTime - a.RecoveryTime) })
 	var errs []error
 	found, broken := 0, 0
 	for _, h := range all {
-		if len(h.Broken) > 0 {
+		if len(h.ViolationTexts) > 0 {
 			broken++
-			fmt.Fprintf(w, "seed %d: RULES BROKEN: %s\n", h.Seed, h.Broken[0])
+			fmt.Fprintf(w, "seed %d: RULES BROKEN: %s\n", h.Seed, h.ViolationTexts[0])
 		}
-		if h.Back <= emulator.HuntWithin {
+		if h.RecoveryTime <= emulator.RecoveryLimit {
 			continue
 		}
 		found++
 		var faults []string
-		for _, t := range h.Troubles {
-			faults = append(faults, fmt.Sprintf("%s size %.2f part %.2f from %.1f for %.1f s", t.Name, t.Size, t.Part, time.Duration(t.At).Seconds(), time.Duration(t.For).Seconds()))
+		for _, t := range h.Faults {
+			faults = append(faults, fmt.Sprintf("%s size %.2f part %.2f from %.1f for %.1f s", t.Name, t.Size, t.Part, time.Duration(t.Start).Seconds(), time.Duration(t.Duration).Seconds()))
 		}
-		recovered := fmt.Sprintf("back after %v", h.Back.Round(time.Millisecond))
-		if h.Never {
+		recovered := fmt.Sprintf("back after %v", h.RecoveryTime.Round(time.Millisecond))
+		if h.NotRecovered {
 			recovered = "not back to the end"
 		}
 		fmt.Fprintf(w, "seed %d: %s; goodput %.3f; %s\n", h.Seed, recovered, h.Goodput, strings.Join(faults, ", "))
@@ -97,7 +97,7 @@
 	}
 	slices.Reverse(all)
 	fmt.Fprintf(w, "%d days: back after %v in the median, %v on 90 of 100, %v at most; %d not within %v\n",
-		len(all), all[len(all)/2].Back.Round(time.Millisecond), all[len(all)*9/10].Back.Round(time.Millisecond), all[len(all)-1].Back.Round(time.Millisecond), found, emulator.HuntWithin)
+		len(all), all[len(all)/2].RecoveryTime.Round(time.Millisecond), all[len(all)*9/10].RecoveryTime.Round(time.Millisecond), all[len(all)-1].RecoveryTime.Round(time.Millisecond), found, emulator.RecoveryLimit)
 	if err := errors.Join(errs...); err != nil {
 		return err
 	}
@@ -108,7 +108,7 @@
 }
 
 // saveScenario writes the scenario of a run into a folder.
-func saveScenario(dir string, h *emulator.Hunted) error {
+func saveScenario(dir string, h *emulator.SearchResult) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("keep: %w", err)
 	}
--- a/cmd/testbench/simulate.go
+++ b/cmd/testbench/simulate.go
@@ -32,8 +32,8 @@
 		Example: "  testbench simulate zone --seed 3 --html zone.html",
 	}
 	c.Flags().Uint64Var(&seed, "seed", 1, "of all that is drawn: the same seed gives the same run")
-	c.Flags().IntVar(&sidecars, "sidecars", emulator.Base().Sidecars, "of a scenario that has a name")
-	c.Flags().IntVar(&servers, "servers", emulator.Base().Servers, "of a scenario that has a name")
+	c.Flags().IntVar(&sidecars, "sidecars", emulator.DefaultScenario().Sidecars, "of a scenario that has a name")
+	c.Flags().IntVar(&servers, "servers", emulator.DefaultScenario().Servers, "of a scenario that has a name")
 	c.Flags().DurationVar(&length, "length", 0, "stretch the run to this `LENGTH`; 0: as the scenario has it")
 	c.Flags().BoolVar(&list, "list", false, "list the scenarios that have a name, and the faults")
 	out.flags(c)
@@ -54,7 +54,7 @@
 			}
 			sc.Stretch(length)
 		}
-		s, err := emulator.NewSim(sc, seed, emulator.Balancer)
+		s, err := emulator.NewSim(sc, seed, emulator.NewBalancer)
 		if err != nil {
 			return err
 		}
@@ -79,19 +79,19 @@
 // printAccount prints the causes of the weight that was not served, and what else the fleet did.
 func printAccount(w io.Writer, r *emulator.Record) {
 	for _, cause := range r.Causes() {
-		fmt.Fprintf(w, "  %6.2f %%  %s\n", 100*r.LostPart(cause), cause)
+		fmt.Fprintf(w, "  %6.2f %%  %s\n", 100*r.LostShare(cause), cause)
 	}
-	for _, what := range slices.Sorted(maps.Keys(r.Priced)) {
-		fmt.Fprintf(w, "  %6.2f points for %s\n", 100*r.Priced[what], what)
+	for _, what := range slices.Sorted(maps.Keys(r.Costs)) {
+		fmt.Fprintf(w, "  %6.2f points for %s\n", 100*r.Costs[what], what)
 	}
-	h, seconds := r.Harm(), r.Length.Seconds()
-	fmt.Fprintf(w, "  the fleet sent %.2f times for a request, %d again:", float64(h.Sends)/float64(max(1, r.Requests)), h.AgainAll())
-	for _, cause := range slices.Sorted(maps.Keys(h.Again)) {
-		fmt.Fprintf(w, " %d %s,", h.Again[cause], cause)
+	h, seconds := r.Impact(), r.Length.Seconds()
+	fmt.Fprintf(w, "  the fleet sent %.2f times for a request, %d again:", float64(h.Sends)/float64(max(1, r.Requests)), h.TotalRetries())
+	for _, cause := range slices.Sorted(maps.Keys(h.Retries)) {
+		fmt.Fprintf(w, " %d %s,", h.Retries[cause], cause)
 	}
 	each := float64(max(1, r.Servers)) * max(1, seconds)
 	fmt.Fprintf(w, " %d turned away; %.1f core seconds of work served nobody;\n  for a server and second %.1f probes (%.0f %% of them at crowded ones), %.1f handshakes (%.0f %%); %d of %d calls for the list failed\n",
-		h.TurnedAway, h.Wasted, float64(h.Probes)/each, percent(h.ProbesCrowded, h.Probes), float64(h.Handshakes)/each, percent(h.HandshakesCrowded, h.Handshakes), h.ListFailed, h.ListCalls)
+		h.Rejected, h.WastedWork, float64(h.Probes)/each, percent(h.ProbesToFullQueues, h.Probes), float64(h.Handshakes)/each, percent(h.HandshakesToFullQueues, h.Handshakes), h.ListFailed, h.ListCalls)
 }
 
 // percent returns a part of a total in per cent.
@@ -116,7 +116,7 @@
 	}
 	names, about := emulator.PresetNames()
 	part("scenarios", names, about)
-	names, about = emulator.TroubleNames()
+	names, about = emulator.FaultNames()
 	part("faults, for scenario files", names, about)
 	_, err := io.WriteString(w, text.String())
 	return err
@@ -127,7 +127,7 @@
 	switch {
 	case r.Partial:
 		return cli.Status(statusInterrupted, "interrupted")
-	case len(r.Broken) > 0:
+	case len(r.ViolationTexts) > 0:
 		return cli.Status(statusRuleBroken, "a rule was broken")
 	}
 	return nil
--- a/internal/simulation/emulator/account.go
+++ b/internal/simulation/emulator/account.go
@@ -13,98 +13,98 @@
 
 // Causes of a loss.
 const (
-	causeWall     = "refused: the wall was full"
-	causeShed     = "refused: shed as late"
-	causeQueue    = "refused: waited here"
-	causeAway     = "refused: servers were full"
-	causeConnect  = "refused: no connection"
-	causeOther    = "refused: otherwise"
-	causeKilled   = "its sidecar was killed"
-	causeNoServer = "failed: never sent"
-	causeThere    = "failed: waited at the server"
-	causeRan      = "failed: the server took too long"
-	causeSilent   = "failed: the server was silent or cut off"
-	causeError    = "failed: the server answered with an error"
-	causeSpoilt   = "failed: the answer was spoilt"
-	causeBroken   = "failed: the connection broke"
-	causeFail     = "failed: otherwise"
-	causeNoAnswer = "failed: no answer"
+	causeBulkheadFull  = "refused: the wall was full"
+	causeShed          = "refused: shed as late"
+	causeQueue         = "refused: waited here"
+	causeRejected      = "refused: servers were full"
+	causeConnect       = "refused: no connection"
+	causeOther         = "refused: otherwise"
+	causeKilled        = "its sidecar was killed"
+	causeNoServer      = "failed: never sent"
+	causeServerQueue   = "failed: waited at the server"
+	causeServerTimeout = "failed: the server took too long"
+	causeUnreachable   = "failed: the server was silent or cut off"
+	causeError         = "failed: the server answered with an error"
+	causeMalformed     = "failed: the answer was spoilt"
+	causeBroken        = "failed: the connection broke"
+	causeFail          = "failed: otherwise"
+	causeNoAnswer      = "failed: no answer"
 
-	causeLateTries = "late: earlier tries"
-	causeLateHere  = "late: waited here"
-	causeLateThere = "late: waited at the server"
-	causeLateCold  = "late: a cold server"
-	causeLateSlow  = "late: a slow server"
-	causeLateWork  = "late: its own work"
-	causeLateWay   = "late: on its way"
+	causeLateEarlierAttempts = "late: earlier tries"
+	causeLateQueuedHere      = "late: waited here"
+	causeLateServerQueue     = "late: waited at the server"
+	causeLateCold            = "late: a cold server"
+	causeLateSlow            = "late: a slow server"
+	causeLateWork            = "late: its own work"
+	causeLateNetwork         = "late: on its way"
 )
 
 // Causes lists what a record's losses have, the largest first.
 func (r *Record) Causes() []string {
-	return slices.SortedFunc(maps.Keys(r.Losses), func(a, b string) int {
+	return slices.SortedFunc(maps.Keys(r.LostWeight), func(a, b string) int {
 		switch {
-		case r.Losses[a] > r.Losses[b]:
+		case r.LostWeight[a] > r.LostWeight[b]:
 			return -1
-		case r.Losses[a] < r.Losses[b]:
+		case r.LostWeight[a] < r.LostWeight[b]:
 			return 1
 		}
 		return slices.Compare([]string{a}, []string{b})
 	})
 }
 
-// LostPart is a cause's part of all that was asked for.
-func (r *Record) LostPart(cause string) float64 {
+// LostShare is a cause's part of all that was asked for.
+func (r *Record) LostShare(cause string) float64 {
 	asked := 0.0
 	for _, c := range r.Classes {
-		asked += c.Asked
+		asked += c.Requested
 	}
 	if asked == 0 {
 		return 0
 	}
-	return r.Losses[cause] / asked
+	return r.LostWeight[cause] / asked
 }
 
-// lose books a loss.
-func (r *Record) lose(cause string, worth float64) {
+// addLoss books a loss.
+func (r *Record) addLoss(cause string, worth float64) {
 	if worth != 0 {
-		r.Losses[cause] += worth
+		r.LostWeight[cause] += worth
 	}
 }
 
-// sheds is how many requests a module has shed, where it tells.
-func sheds(d Decider) uint64 {
+// shedCount is how many requests a module has shed, where it tells.
+func shedCount(d Decider) uint64 {
 	if c, ok := d.(interface{ Counters() policy.Counters }); ok {
 		return c.Counters().Shed
 	}
 	return 0
 }
 
-// refusal is why a try was refused.
-func (r *request) refusal(now time.Duration) string {
+// refusalCause is why a try was refused.
+func (r *request) refusalCause(now time.Duration) string {
 	switch n := len(r.attempts); {
 	case n > 0 && r.attempts[n-1].ending == policy.Rejected:
-		return causeAway
+		return causeRejected
 	case n > 0 && r.attempts[n-1].ending == policy.NoConnection:
 		return causeConnect
 	case n > 0:
 		return causeOther
-	case now > r.began:
+	case now > r.receivedAt:
 		return causeQueue
 	case r.shed:
 		return causeShed
 	}
-	return causeWall
+	return causeBulkheadFull
 }
 
-// failure is why a try failed.
-func (r *request) failure() string {
+// failureCause is why a try failed.
+func (r *request) failureCause() string {
 	if len(r.attempts) == 0 {
 		return causeNoServer
 	}
 	a := r.attempts[len(r.attempts)-1]
 	switch {
-	case a.spoilt:
-		return causeSpoilt
+	case a.malformed:
+		return causeMalformed
 	case a.ending == policy.Errored:
 		return causeError
 	case a.ending == policy.Broken:
@@ -112,15 +112,15 @@
 	case a.ending != policy.TimedOut:
 		return causeFail
 	case a.job == nil:
-		return causeSilent
-	case a.job.Begun == 0:
-		return causeThere
+		return causeUnreachable
+	case a.job.Started == 0:
+		return causeServerQueue
 	}
-	return causeRan
+	return causeServerTimeout
 }
 
-// lateness is what took most of the time of a call that was served late.
-func (r *request) lateness(now time.Duration) string {
+// latenessCause is what took most of the time of a call that was served late.
+func (r *request) latenessCause(now time.Duration) string {
 	a := r.attempts[len(r.attempts)-1]
 	for _, b := range r.attempts { // the one that was served
 		if b.ending == policy.Served {
@@ -131,10 +131,10 @@
 	parts := []struct {
 		cause string
 		took  time.Duration
-	}{{causeLateTries, r.began - r.call.began}, {causeLateHere, a.sent - r.began}}
-	if j != nil && j.Begun > 0 {
-		service := j.Done - j.Begun
-		own := min(service, time.Duration(j.spent/a.to.Speed*float64(time.Second)))
+	}{{causeLateEarlierAttempts, r.receivedAt - r.call.began}, {causeLateQueuedHere, a.sent - r.receivedAt}}
+	if j != nil && j.Started > 0 {
+		service := j.Done - j.Started
+		own := min(service, time.Duration(j.work/a.to.Speed*float64(time.Second)))
 		extra := causeLateSlow
 		if j.Cold {
 			extra = causeLateCold
@@ -143,9 +143,9 @@
 		parts = append(parts, []struct {
 			cause string
 			took  time.Duration
-		}{{causeLateThere, j.Begun - j.Arrived}, {causeLateWork, own}, {extra, service - own}}...)
+		}{{causeLateServerQueue, j.Started - j.Arrived}, {causeLateWork, own}, {extra, service - own}}...)
 	}
-	cause, most := causeLateWay, way
+	cause, most := causeLateNetwork, way
 	for _, p := range parts {
 		if p.took > most {
 			cause, most = p.cause, p.took
--- a/internal/simulation/emulator/advice.go
+++ b/internal/simulation/emulator/advice.go
@@ -8,92 +8,92 @@
 	"barleywick/policy"
 )
 
-// advice is the task that works out the fleet's word on an overload, where the scenario
+// adviceTask is the task that works out the fleet's word on an overload, where the scenario
 // has one, and the way to it and back.
-type advice struct {
-	sim     *Sim
-	planner *overload.Planner
-	token   uint64
-	word    overload.Advice
-	cut     []int // by sidecar: troubles that keep it from the task
+type adviceTask struct {
+	sim          *Sim
+	planner      *overload.Planner
+	token        uint64
+	current      overload.Advice
+	disconnected []int // by sidecar: troubles that keep it from the task
 }
 
-// adviseFleet is what fleets of the emulator are called towards the task.
-const adviseFleet = "emulator"
+// fleetName is what fleets of the emulator are called towards the task.
+const fleetName = "emulator"
 
-// advised is a Decider that takes the fleet's word.
-type advised interface {
+// adviceTaker is a Decider that takes the fleet's word.
+type adviceTaker interface {
 	Advise(now time.Duration, a policy.OverloadAdvice)
 	Congestion(now time.Duration) float64
 }
 
-func newAdvice(s *Sim) *advice {
-	a := &advice{sim: s, cut: make([]int, s.sc.Sidecars)}
-	a.grant()
-	a.plan()
+func newAdviceTask(s *Sim) *adviceTask {
+	a := &adviceTask{sim: s, disconnected: make([]int, s.scenario.Sidecars)}
+	a.newHolder()
+	a.updateAdvice()
 	return a
 }
 
-// grant has the task begin anew, at another holder.
-func (a *advice) grant() {
+// newHolder has the task begin anew, at another holder.
+func (a *adviceTask) newHolder() {
 	a.token++
-	a.planner = overload.NewPlanner(adviseFleet, a.token)
+	a.planner = overload.NewPlanner(fleetName, a.token)
 }
 
-// plan works out the word once a second.
-func (a *advice) plan() {
-	a.word = a.planner.Plan(a.sim.now)
-	a.sim.after(overload.ReportInterval, a.plan)
+// updateAdvice works out the word once a second.
+func (a *adviceTask) updateAdvice() {
+	a.current = a.planner.Plan(a.sim.now)
+	a.sim.after(overload.ReportInterval, a.updateAdvice)
 }
 
-// tell has a sidecar tell once a second from its start on.
-func (a *advice) tell(n *node) {
-	n.counts = make([]overload.TenantCounts, len(a.sim.sc.Tenants))
-	n.taker = overload.AdviceFilter{Fleet: adviseFleet}
+// startReporting has a sidecar startReporting once a second from its start on.
+func (a *adviceTask) startReporting(n *node) {
+	n.counts = make([]overload.TenantCounts, len(a.sim.scenario.Tenants))
+	n.adviceFilter = overload.AdviceFilter{Fleet: fleetName}
 	n.digests = 0
 	var again func()
 	again = func() {
 		a.exchange(n)
-		n.mine(overload.ReportInterval, again)
+		n.afterInEpoch(overload.ReportInterval, again)
 	}
 	// Spread: the task must not hear of all at once.
-	n.mine(overload.ReportInterval*time.Duration(n.index%97+1)/97, again)
+	n.afterInEpoch(overload.ReportInterval*time.Duration(n.index%97+1)/97, again)
 }
 
 // exchange brings a digest to the task, and its word back.
-func (a *advice) exchange(n *node) {
+func (a *adviceTask) exchange(n *node) {
 	s := a.sim
-	d, takes := n.b.(advised)
+	d, takes := n.decider.(adviceTaker)
 	if !takes {
 		return
 	}
 	n.digests++
 	digest := overload.Digest{
-		Fleet: adviseFleet, Name: fmt.Sprint("n", n.index), Incarnation: uint64(n.epoch) + 1, Seq: n.digests, PeriodMS: overload.ReportInterval.Milliseconds(), Congestion: min(1, d.Congestion(s.now)),
+		Fleet: fleetName, Name: fmt.Sprint("n", n.index), Incarnation: uint64(n.epoch) + 1, Seq: n.digests, PeriodMS: overload.ReportInterval.Milliseconds(), Congestion: min(1, d.Congestion(s.now)),
 	}
 	for i, c := range n.counts {
-		c.Tenant, c.Quota = s.sc.Tenants[i].Name, s.sc.Tenants[i].Share
+		c.Tenant, c.Quota = s.scenario.Tenants[i].Name, s.scenario.Tenants[i].Share
 		digest.Tenants = append(digest.Tenants, c)
 	}
 	clear(n.counts)
-	if a.cut[n.index] > 0 {
+	if a.disconnected[n.index] > 0 {
 		return
 	}
-	way := s.way(n.zone, 0)
-	n.mine(way, func() {
+	way := s.delay(n.zone, 0)
+	n.afterInEpoch(way, func() {
 		if a.planner.AddDigest(s.now, digest) != nil {
 			return
 		}
-		word := a.word
-		n.mine(way, func() {
-			if n.taker.Accept(word) != nil {
+		word := a.current
+		n.afterInEpoch(way, func() {
+			if n.adviceFilter.Accept(word) != nil {
 				return
 			}
-			parts := make([]float64, len(s.sc.Tenants))
+			parts := make([]float64, len(s.scenario.Tenants))
 			for i := range parts {
 				parts[i] = 1
 				for _, p := range word.Tenants {
-					if p.Tenant == s.sc.Tenants[i].Name {
+					if p.Tenant == s.scenario.Tenants[i].Name {
 						parts[i] = p.AdmitFraction
 					}
 				}
@@ -113,26 +113,26 @@
 		c.Refused++
 	case a == AnswerFailed:
 		c.Failed++
-	case n.sim.now > r.call.aimAt:
+	case n.sim.now > r.call.objectiveAt:
 		c.Late++
 	default:
 		c.InTime++
 	}
 }
 
-// noAdvice keeps a part of the sidecars from the task; where it is all of them, another
+// disconnectAdvice keeps a part of the sidecars from the task; where it is all of them, another
 // holder has it afterwards, which knows nothing.
-func (s *Sim) noAdvice(t *Trouble) func() {
-	some := Befallen(s.luck, len(s.nodes), t.Part)
+func (s *Sim) disconnectAdvice(t *Fault) func() {
+	some := PickShare(s.environment, len(s.nodes), t.Part)
 	for _, i := range some {
-		s.advice.cut[i]++
+		s.advice.disconnected[i]++
 	}
 	return func() {
 		for _, i := range some {
-			s.advice.cut[i]--
+			s.advice.disconnected[i]--
 		}
 		if len(some) == len(s.nodes) {
-			s.advice.grant()
+			s.advice.newHolder()
 		}
 	}
 }
--- a/internal/simulation/emulator/advice_test.go
+++ b/internal/simulation/emulator/advice_test.go
@@ -6,10 +6,10 @@
 
 // others is what the tenants have had of theirs that did not ask for more.
 func others(r *Record) (share float64) {
-	var p Part
+	var p WeightShare
 	for _, t := range r.Tenants[:len(r.Tenants)-1] {
-		p.Asked += t.Asked
-		p.Got += t.Got
+		p.Requested += t.Requested
+		p.Served += t.Served
 	}
 	return p.Share()
 }
@@ -20,20 +20,20 @@
 	with := func(seed uint64, change func(*Scenario)) *Record {
 		sc := day(t, "greedy", 120, 14)
 		change(sc)
-		r := play(t, sc, seed, Balancer)
-		if len(r.Broken) > 0 {
-			t.Errorf("seed %d: %v", seed, r.Broken)
+		r := play(t, sc, seed, NewBalancer)
+		if len(r.ViolationTexts) > 0 {
+			t.Errorf("seed %d: %v", seed, r.ViolationTexts)
 		}
 		return r
 	}
 	var quiet, none, some, half, lost float64
 	const seeds = 2
 	for seed := range uint64(seeds) {
-		quiet += others(with(seed, func(s *Scenario) { s.Advice, s.Troubles = false, nil })) / seeds
-		none += others(with(seed, func(s *Scenario) { s.Advice, s.Troubles = false, s.Troubles[:1] })) / seeds
-		some += others(with(seed, func(s *Scenario) { s.Troubles = s.Troubles[:1] })) / seeds
-		half += others(with(seed, func(s *Scenario) { s.Troubles[1].Part, s.Troubles[1].For = 0.5, at(20) })) / seeds
-		lost += others(with(seed, func(s *Scenario) { s.Troubles[1].At, s.Troubles[1].For = at(9), at(20) })) / seeds
+		quiet += others(with(seed, func(s *Scenario) { s.OverloadAdvice, s.Faults = false, nil })) / seeds
+		none += others(with(seed, func(s *Scenario) { s.OverloadAdvice, s.Faults = false, s.Faults[:1] })) / seeds
+		some += others(with(seed, func(s *Scenario) { s.Faults = s.Faults[:1] })) / seeds
+		half += others(with(seed, func(s *Scenario) { s.Faults[1].Part, s.Faults[1].Duration = 0.5, fromSeconds(20) })) / seeds
+		lost += others(with(seed, func(s *Scenario) { s.Faults[1].Start, s.Faults[1].Duration = fromSeconds(9), fromSeconds(20) })) / seeds
 	}
 	t.Logf("the others' share: a quiet day %.4f, no word %.4f, a word %.4f, half of the sidecars cut off from it %.4f, its task lost %.4f", quiet, none, some, half, lost)
 	if some < none+0.005 || half < none-0.005 || lost < none-0.005 {
@@ -45,11 +45,11 @@
 func TestASurgeCostsALargeFleetNoMore(t *testing.T) {
 	goodput := func(sidecars int) (share, sends float64) {
 		sc := day(t, "surge", sidecars, 30)
-		r := play(t, sc, 1, Balancer)
-		var p Part
+		r := play(t, sc, 1, NewBalancer)
+		var p WeightShare
 		for _, w := range r.Windows[10:16] {
-			p.Asked += w.Part.Asked
-			p.Got += w.Got
+			p.Requested += w.WeightShare.Requested
+			p.Served += w.Served
 		}
 		return p.Share(), float64(r.Sends) / float64(r.Requests)
 	}
--- a/internal/simulation/emulator/arrivals.go
+++ b/internal/simulation/emulator/arrivals.go
@@ -12,32 +12,32 @@
 
 // Call is what a client wants: a first try, whatever becomes of it.
 type Call struct {
-	At      time.Duration // since the day's begin
-	Sidecar int
-	Class   int
-	Tenant  int
-	Key     uint64
-	Work    float64       // seconds on a core of speed 1
-	Hint    time.Duration // of it, as the client gives it
-	Worth   float64
-	Within  bool // its tenant's share
+	At          time.Duration // since the day's begin
+	Sidecar     int
+	Class       int
+	Tenant      int
+	Key         uint64
+	Work        float64       // seconds on a core of speed 1
+	Hint        time.Duration // of it, as the client gives it
+	Weight      float64
+	WithinQuota bool // its tenant's share
 }
 
 // Arrivals draws the calls of a day, in time. They follow from scenario and seed
 // alone: nothing that servers or sidecars do moves them, so that all variants, and
 // real sockets too, are asked for the same.
 type Arrivals struct {
-	sc      *Scenario
-	next    calls // one of each sidecar, by time
-	rates   []float64
-	rngs    []*rand.Rand // by sidecar, for the times
-	pull    *rand.Rand   // for what is asked
-	classes distuv.Categorical
-	tenants distuv.Categorical
-	keys    distuv.Categorical
-	quota   []bucket  // by tenant
-	usual   []float64 // each tenant's part of what is asked for on an ordinary day
-	most    float64   // how far above its mean the rate may rise
+	scenario     *Scenario
+	next         calls // one of each sidecar, by time
+	rates        []float64
+	timeSources  []*rand.Rand // by sidecar, for the times
+	contents     *rand.Rand   // for what is asked
+	classes      distuv.Categorical
+	tenants      distuv.Categorical
+	keys         distuv.Categorical
+	quota        []tokenBucket // by tenant
+	tenantShares []float64     // each tenant's part of what is asked for on an ordinary day
+	maxRate      float64       // how far above its mean the rate may rise
 }
 
 type calls []struct {
@@ -53,17 +53,17 @@
 func (c calls) Push(any)      { panic("one call of each sidecar, always") }
 func (c calls) Pop() any      { panic("one call of each sidecar, always") }
 
-// bucket is a tenant's share: what comes beyond it is worth little.
-type bucket struct {
+// tokenBucket is a tenant's share: what comes beyond it is worth little.
+type tokenBucket struct {
 	rate, level float64
 	at          time.Duration
 }
 
-// bucketTime is how many seconds of its share a tenant may save up.
-const bucketTime = 2.0
+// burstSeconds is how many seconds of its share a tenant may save up.
+const burstSeconds = 2.0
 
-func (b *bucket) within(now time.Duration) bool {
-	b.level = min(b.rate*bucketTime, b.level+(now-b.at).Seconds()*b.rate)
+func (b *tokenBucket) take(now time.Duration) bool {
+	b.level = min(b.rate*burstSeconds, b.level+(now-b.at).Seconds()*b.rate)
 	b.at = now
 	if b.level < 1 {
 		return false
@@ -74,7 +74,7 @@
 
 // NewArrivals makes the arrivals of a day. The scenario must be usable.
 func NewArrivals(sc *Scenario, seed uint64) *Arrivals {
-	a := &Arrivals{sc: sc, pull: source(seed, streamClients, 0), most: 1 + sc.Clients.Swing}
+	a := &Arrivals{scenario: sc, contents: source(seed, streamClients, 0), maxRate: 1 + sc.Clients.Swing}
 	var classes, tenants []float64
 	for _, k := range sc.Classes {
 		classes = append(classes, k.Share)
@@ -84,43 +84,43 @@
 		tenants = append(tenants, t.Share*t.Usage)
 		asked += t.Share * t.Usage
 		q := sc.quota(i)
-		a.quota = append(a.quota, bucket{rate: q, level: q * bucketTime})
+		a.quota = append(a.quota, tokenBucket{rate: q, level: q * burstSeconds})
 	}
 	if asked == 0 {
 		tenants[0], asked = 1, 1 // somebody has to ask
 	}
 	for _, t := range tenants {
-		a.usual = append(a.usual, t/asked)
+		a.tenantShares = append(a.tenantShares, t/asked)
 	}
 	keys := make([]float64, sc.Keys.Count)
 	for i := range keys {
 		keys[i] = math.Pow(float64(i+1), -sc.Keys.Zipf)
 	}
-	a.classes, a.tenants, a.keys = distuv.NewCategorical(classes, a.pull), distuv.NewCategorical(tenants, a.pull), distuv.NewCategorical(keys, a.pull)
-	for _, t := range sc.Troubles {
+	a.classes, a.tenants, a.keys = distuv.NewCategorical(classes, a.contents), distuv.NewCategorical(tenants, a.contents), distuv.NewCategorical(keys, a.contents)
+	for _, t := range sc.Faults {
 		if t.Name == "burst" {
-			a.most *= max(1, a.times(t))
+			a.maxRate *= max(1, a.burstFactor(t))
 		}
 	}
-	a.share()
+	a.divideTraffic()
 	for i := range a.rates {
-		a.rngs = append(a.rngs, source(seed, streamArrivals, i))
+		a.timeSources = append(a.timeSources, source(seed, streamArrivals, i))
 		a.next = append(a.next, struct {
 			at      time.Duration
 			sidecar int
-		}{a.gap(i), i})
+		}{a.drawInterval(i), i})
 	}
 	heap.Init(a.next)
 	return a
 }
 
-// share divides the traffic among the sidecars, unevenly as the scenario says.
-func (a *Arrivals) share() {
-	sc, sum := a.sc, 0.0
+// divideTraffic divides the traffic among the sidecars, unevenly as the scenario says.
+func (a *Arrivals) divideTraffic() {
+	sc, sum := a.scenario, 0.0
 	for i := range sc.Sidecars {
-		rate := lognormal(1, sc.Clients.Uneven, a.pull)
+		rate := lognormal(1, sc.Clients.TrafficCV, a.contents)
 		if len(sc.Zones) > 1 {
-			rate *= pick(sc.ZoneOf(i) == 0, 1+sc.Clients.ZoneSkew, 1-sc.Clients.ZoneSkew/float64(len(sc.Zones)-1))
+			rate *= choose(sc.ZoneOf(i) == 0, 1+sc.Clients.ZoneSkew, 1-sc.Clients.ZoneSkew/float64(len(sc.Zones)-1))
 		}
 		sum += rate
 		a.rates = append(a.rates, rate)
@@ -133,39 +133,39 @@
 // ZoneOf is the zone of a sidecar.
 func (s *Scenario) ZoneOf(sidecar int) int { return sidecar % len(s.Zones) }
 
-// gap draws the time to a sidecar's next candidate, at the highest rate there may be:
+// drawInterval draws the time to a sidecar's next candidate, at the highest rate there may be:
 // candidates are thinned to the rate of their time, which keeps them Poisson.
-func (a *Arrivals) gap(sidecar int) time.Duration {
-	if rate := a.rates[sidecar] * a.most; rate > 0 {
-		return time.Duration(min(distuv.Exponential{Rate: rate, Src: a.rngs[sidecar]}.Rand(), maxLength.Seconds()*2) * float64(time.Second))
+func (a *Arrivals) drawInterval(sidecar int) time.Duration {
+	if rate := a.rates[sidecar] * a.maxRate; rate > 0 {
+		return time.Duration(min(distuv.Exponential{Rate: rate, Src: a.timeSources[sidecar]}.Rand(), maxLength.Seconds()*2) * float64(time.Second))
 	}
 	return maxLength * 2
 }
 
-// level is the rate at a time, in parts of the mean.
-func (a *Arrivals) level(at time.Duration) float64 {
-	level := 1 + a.sc.Clients.Swing*math.Sin(2*math.Pi*at.Seconds()/a.sc.Clients.SwingTime.seconds())
-	for _, t := range a.sc.Troubles {
-		if t.Name == "burst" && t.on(at) {
-			level *= a.times(t)
+// rateAt is the rate at a time, in parts of the mean.
+func (a *Arrivals) rateAt(at time.Duration) float64 {
+	level := 1 + a.scenario.Clients.Swing*math.Sin(2*math.Pi*at.Seconds()/a.scenario.Clients.SwingTime.seconds())
+	for _, t := range a.scenario.Faults {
+		if t.Name == "burst" && t.activeAt(at) {
+			level *= a.burstFactor(t)
 		}
 	}
 	return level
 }
 
-// times is by how much a burst makes all that is asked more: one tenant's alone by that one's part.
-func (a *Arrivals) times(t Trouble) float64 {
-	if i := a.sc.tenant(t.Tenant); i >= 0 {
-		return 1 + a.usual[i]*(t.Size-1)
+// burstFactor is by how much a burst makes all that is asked more: one tenant's alone by that one's part.
+func (a *Arrivals) burstFactor(t Fault) float64 {
+	if i := a.scenario.tenant(t.Tenant); i >= 0 {
+		return 1 + a.tenantShares[i]*(t.Size-1)
 	}
 	return t.Size
 }
 
-// whose draws the tenant of a call, of whom one may ask for more.
-func (a *Arrivals) whose(at time.Duration) int {
-	for _, t := range a.sc.Troubles {
-		if i := a.sc.tenant(t.Tenant); i >= 0 && t.Name == "burst" && t.on(at) {
-			if all := a.times(t); a.pull.Float64()*all < all-1 {
+// drawTenant draws the tenant of a call, of whom one may ask for more.
+func (a *Arrivals) drawTenant(at time.Duration) int {
+	for _, t := range a.scenario.Faults {
+		if i := a.scenario.tenant(t.Tenant); i >= 0 && t.Name == "burst" && t.activeAt(at) {
+			if all := a.burstFactor(t); a.contents.Float64()*all < all-1 {
 				return i
 			}
 		}
@@ -178,18 +178,18 @@
 	return slices.IndexFunc(s.Tenants, func(t Tenant) bool { return name != "" && t.Name == name })
 }
 
-// on says whether it is the trouble's time.
-func (t Trouble) on(at time.Duration) bool {
-	return at >= time.Duration(t.At) && at < time.Duration(t.At)+time.Duration(t.For)
+// activeAt says whether it is the trouble's time.
+func (t Fault) activeAt(at time.Duration) bool {
+	return at >= time.Duration(t.Start) && at < time.Duration(t.Start)+time.Duration(t.Duration)
 }
 
 // Next is the next call; there is none after the scenario's length.
 func (a *Arrivals) Next() (Call, bool) {
-	for a.next[0].at < time.Duration(a.sc.Length) {
+	for a.next[0].at < time.Duration(a.scenario.Length) {
 		at, i := a.next[0].at, a.next[0].sidecar
-		a.next[0].at = at + a.gap(i)
+		a.next[0].at = at + a.drawInterval(i)
 		heap.Fix(a.next, 0)
-		if a.rngs[i].Float64()*a.most < a.level(at) {
+		if a.timeSources[i].Float64()*a.maxRate < a.rateAt(at) {
 			return a.draw(at, i), true
 		}
 	}
@@ -201,23 +201,23 @@
 
 // draw draws what a call asks for.
 func (a *Arrivals) draw(at time.Duration, sidecar int) Call {
-	c := Call{At: at, Sidecar: sidecar, Class: int(a.classes.Rand()), Tenant: a.whose(at), Key: uint64(a.keys.Rand()) + 1}
-	class := a.sc.Classes[c.Class]
+	c := Call{At: at, Sidecar: sidecar, Class: int(a.classes.Rand()), Tenant: a.drawTenant(at), Key: uint64(a.keys.Rand()) + 1}
+	class := a.scenario.Classes[c.Class]
 	if class.Tail == "pareto" {
-		c.Work = pareto(class.Work.seconds(), class.Spread, a.pull)
+		c.Work = pareto(class.Work.seconds(), class.WorkCV, a.contents)
 	} else {
-		c.Work = lognormal(class.Work.seconds(), class.Spread, a.pull)
+		c.Work = lognormal(class.Work.seconds(), class.WorkCV, a.contents)
 	}
-	for _, t := range a.sc.Troubles {
-		if t.Name == "heavy_tail" && c.Class == 0 && t.on(at) && a.pull.Float64() < t.Part {
+	for _, t := range a.scenario.Faults {
+		if t.Name == "heavy_tail" && c.Class == 0 && t.activeAt(at) && a.contents.Float64() < t.Part {
 			c.Work *= t.Size
 		}
 	}
 	c.Work = min(c.Work, class.Deadline.seconds()) // more could never be served
-	c.Hint = time.Duration(lognormal(c.Work, hintSpread, a.pull) * float64(time.Second))
-	c.Worth = class.Worth * c.Work
-	if c.Within = a.quota[c.Tenant].within(at); !c.Within {
-		c.Worth *= a.sc.Prices.OverShare
+	c.Hint = time.Duration(lognormal(c.Work, hintSpread, a.contents) * float64(time.Second))
+	c.Weight = class.PriorityWeight * c.Work
+	if c.WithinQuota = a.quota[c.Tenant].take(at); !c.WithinQuota {
+		c.Weight *= a.scenario.Prices.OverShare
 	}
 	return c
 }
--- a/internal/simulation/emulator/clients.go
+++ b/internal/simulation/emulator/clients.go
@@ -13,7 +13,7 @@
 type clients struct {
 	sim      *Sim
 	arrivals *Arrivals
-	moods    []*rand.Rand // by sidecar
+	choices  []*rand.Rand // by sidecar
 	ids      policy.RequestID
 }
 
@@ -22,139 +22,139 @@
 	Call
 	node        *node
 	began       time.Duration
-	aimAt       time.Duration
+	objectiveAt time.Duration
 	deadline    time.Duration
-	tries       int
+	attempts    int
 	refusedOnly bool   // no try got further than a refusal
 	cause       string // what became of the last try
 	done        bool
 }
 
 func newClients(s *Sim) *clients {
-	c := &clients{sim: s, arrivals: NewArrivals(s.sc, s.seed)}
-	for i := range s.sc.Sidecars {
-		c.moods = append(c.moods, source(s.seed, streamMoods, i))
+	c := &clients{sim: s, arrivals: NewArrivals(s.scenario, s.seed)}
+	for i := range s.scenario.Sidecars {
+		c.choices = append(c.choices, source(s.seed, streamClientChoices, i))
 	}
 	return c
 }
 
-// begin plans the next call, and so on to the end of the day.
-func (c *clients) begin() {
+// scheduleNext plans the next call, and so on to the end of the day.
+func (c *clients) scheduleNext() {
 	next, more := c.arrivals.Next()
 	if !more {
 		return
 	}
-	c.sim.plan(Dawn+next.At, func() {
-		c.first(next)
-		c.begin()
+	c.sim.schedule(StartTime+next.At, func() {
+		c.start(next)
+		c.scheduleNext()
 	})
 }
 
-// first makes a call's first try. A client goes and comes with its sidecar: where
+// start makes a call's start try. A client goes and comes with its sidecar: where
 // that is not up there is nobody to ask.
-func (c *clients) first(next Call) {
+func (c *clients) start(next Call) {
 	s, n := c.sim, c.sim.nodes[next.Sidecar]
-	if !n.up || n.leaving {
+	if !n.up || n.shuttingDown {
 		return
 	}
-	class := s.sc.Classes[next.Class]
-	k := &call{Call: next, node: n, began: s.now, aimAt: s.now + time.Duration(class.Aim), deadline: s.now + time.Duration(class.Deadline), refusedOnly: true}
-	s.rec.Asked(next)
-	c.try(k)
+	class := s.scenario.Classes[next.Class]
+	k := &call{Call: next, node: n, began: s.now, objectiveAt: s.now + time.Duration(class.LatencyObjective), deadline: s.now + time.Duration(class.Deadline), refusedOnly: true}
+	s.record.AddRequest(next)
+	c.attempt(k)
 }
 
-// try makes a try of a call, if there is time.
-func (c *clients) try(k *call) {
+// attempt makes a attempt of a call, if there is time.
+func (c *clients) attempt(k *call) {
 	s, n := c.sim, k.node
-	left := time.Duration(float64(k.deadline-s.now) * s.sc.Clients.TryShare)
+	left := time.Duration(float64(k.deadline-s.now) * s.scenario.Clients.AttemptShare)
 	if k.done || left < time.Millisecond {
-		c.end(k)
+		c.giveUp(k)
 		return
 	}
-	k.tries++
+	k.attempts++
 	c.ids++
 	r := &request{id: c.ids, call: k, deadline: s.now + left}
-	if mood := c.moods[n.index]; mood.Float64() < s.sc.Clients.Leave {
-		n.mine(time.Duration(mood.Float64()*float64(left)), func() {
-			if !r.over {
-				r.over = true
-				s.check.Left(r.id)
-				n.b.ClientGone(s.now, r.id)
+	if mood := c.choices[n.index]; mood.Float64() < s.scenario.Clients.AbandonRate {
+		n.afterInEpoch(time.Duration(mood.Float64()*float64(left)), func() {
+			if !r.closed {
+				r.closed = true
+				s.checker.ClientGone(r.id)
+				n.decider.ClientGone(s.now, r.id)
 				n.forget(r)
 				k.done = true
-				s.rec.Left(k.Call)
+				s.record.AddAbandoned(k.Call)
 			}
 		})
 	}
-	n.take(r, k.Hint)
+	n.receive(r, k.Hint)
 }
 
 // answered takes a final answer to a try.
 func (c *clients) answered(r *request, a Answer, pause time.Duration) {
 	s, k := c.sim, r.call
-	s.rec.Tries++
+	s.record.ClientAttempts++
 	if k.done {
 		return
 	}
 	if a == AnswerServed {
 		k.done = true
 		took, late := s.now-k.began, ""
-		if s.now > k.aimAt {
-			late = r.lateness(s.now)
+		if s.now > k.objectiveAt {
+			late = r.latenessCause(s.now)
 		}
-		s.rec.Served(k.Call, took, late)
+		s.record.AddServed(k.Call, took, late)
 		return
 	}
-	class := s.sc.Classes[k.Class]
-	if k.cause = r.refusal(s.now); a != AnswerRefused {
-		k.cause, k.refusedOnly = r.failure(), false
+	class := s.scenario.Classes[k.Class]
+	if k.cause = r.refusalCause(s.now); a != AnswerRefused {
+		k.cause, k.refusedOnly = r.failureCause(), false
 	}
-	if !class.Again(a) || k.tries > s.sc.Clients.Retries {
-		c.end(k)
+	if !class.RetriesAfter(a) || k.attempts > s.scenario.Clients.Retries {
+		c.giveUp(k)
 		return
 	}
 	epoch := k.node.epoch
-	s.after(s.sc.Clients.Wait(k.tries, pause, time.Duration(s.sc.Rules.RetryAfter), c.moods[k.node.index]), func() {
-		if k.node.epoch != epoch || k.node.leaving {
-			c.killed(k)
+	s.after(s.scenario.Clients.RetryDelay(k.attempts, pause, time.Duration(s.scenario.Rules.RetryAfter), c.choices[k.node.index]), func() {
+		if k.node.epoch != epoch || k.node.shuttingDown {
+			c.sidecarEnded(k)
 			return
 		}
-		c.try(k)
+		c.attempt(k)
 	})
 }
 
-// Again says whether a client tries again after an answer: after a refusal, and after
+// RetriesAfter says whether a client tries again after an answer: after a refusal, and after
 // a failure where a repeat is dropped by whoever gets it.
-func (c Class) Again(a Answer) bool {
-	return a == AnswerRefused || a == AnswerFailed && (c.Effect == "safe" || c.Effect == "keyed" && c.Group == "all")
+func (c Class) RetriesAfter(a Answer) bool {
+	return a == AnswerRefused || a == AnswerFailed && (c.Idempotency == "safe" || c.Idempotency == "keyed" && c.DedupScope == "all")
 }
 
-// Wait is how long a client stays away after its nth try: its own backoff, and what
+// RetryDelay is how long a client stays away after its nth try: its own backoff, and what
 // the answer asked for if it heeds that.
-func (c Clients) Wait(n int, asked, most time.Duration, rng *rand.Rand) time.Duration {
+func (c Clients) RetryDelay(n int, asked, most time.Duration, rng *rand.Rand) time.Duration {
 	wait := time.Duration(float64(c.Backoff) * math.Pow(2, float64(n-1)) * (0.5 + rng.Float64()))
-	if rng.Float64() < c.Honour {
+	if rng.Float64() < c.HonourRetryAfter {
 		wait = max(wait, min(asked, most))
 	}
 	return wait
 }
 
-// killed takes that a call has ended with its sidecar, and its client with it.
-func (c *clients) killed(k *call) {
+// sidecarEnded takes that a call has ended with its sidecar, and its client with it.
+func (c *clients) sidecarEnded(k *call) {
 	k.cause, k.refusedOnly = causeKilled, false
-	c.end(k)
+	c.giveUp(k)
 }
 
-// lost takes a try that had no answer at all.
-func (c *clients) lost(r *request) {
+// unanswered takes a try that had no answer at all.
+func (c *clients) unanswered(r *request) {
 	r.call.refusedOnly, r.call.cause = false, causeNoAnswer
-	c.end(r.call)
+	c.giveUp(r.call)
 }
 
-// end gives a call up.
-func (c *clients) end(k *call) {
+// giveUp gives a call up.
+func (c *clients) giveUp(k *call) {
 	if !k.done {
 		k.done = true
-		c.sim.rec.Unserved(k.Call, k.refusedOnly, c.sim.now-k.began, k.cause)
+		c.sim.record.AddUnserved(k.Call, k.refusedOnly, c.sim.now-k.began, k.cause)
 	}
 }
--- a/internal/simulation/emulator/fleet.go
+++ b/internal/simulation/emulator/fleet.go
@@ -14,15 +14,15 @@
 type Fleet struct {
 	Servers []*Server
 
-	sc    *Scenario
-	seed  uint64
-	cells []*Cell
-	zones []*repeats
+	scenario *Scenario
+	seed     uint64
+	cells    []*Cell
+	zones    []*dedupCache
 }
 
 // NewFleet sets up the servers that are there from a day's begin, as luck has it.
 func NewFleet(sc *Scenario, seed uint64, luck *rand.Rand) *Fleet {
-	f := &Fleet{sc: sc, seed: seed}
+	f := &Fleet{scenario: sc, seed: seed}
 	kinds := make([]float64, len(sc.Kinds))
 	for i, k := range sc.Kinds {
 		kinds[i] = k.Share
@@ -30,24 +30,24 @@
 	kind := distuv.NewCategorical(kinds, luck)
 	var cell *Cell
 	for z := range sc.Zones {
-		f.zones = append(f.zones, newRepeats())
+		f.zones = append(f.zones, newDedupCache())
 		here := (sc.Servers + len(sc.Zones) - 1 - z) / len(sc.Zones)
 		for n := range here {
 			k := sc.Kinds[int(kind.Rand())]
-			if n%sc.Keys.Cell == 0 {
-				cell = newCell(len(f.cells), f.zones[z], sc.Keys, k.Cores*sc.Keys.Cell)
+			if n%sc.Keys.CellSize == 0 {
+				cell = newCell(len(f.cells), f.zones[z], sc.Keys, k.Cores*sc.Keys.CellSize)
 				f.cells = append(f.cells, cell)
 			}
-			f.Place(z, k, cell, k.Speed*math.Exp(k.SpeedCV*luck.NormFloat64()), Dawn).Alive = true
+			f.AddServer(z, k, cell, k.Speed*math.Exp(k.SpeedCV*luck.NormFloat64()), StartTime).Alive = true
 		}
 	}
 	return f
 }
 
-// Place adds a server that does not run yet.
-func (f *Fleet) Place(zone int, k Kind, cell *Cell, speed float64, now time.Duration) *Server {
+// AddServer adds a server that does not run yet.
+func (f *Fleet) AddServer(zone int, k MachineKind, cell *Cell, speed float64, now time.Duration) *Server {
 	sv := &Server{
-		Index: len(f.Servers), Zone: zone, Cell: cell, Kind: k, Speed: speed, Slow: 1, rules: f.sc.Rules, accepts: f.sc.Network.PerCore, at: now,
+		Index: len(f.Servers), Zone: zone, Cell: cell, Kind: k, Speed: speed, Slowdown: 1, rules: f.scenario.Rules, connectionsPerCore: f.scenario.Network.ConnectionsPerCore, at: now,
 		rng: source(f.seed, streamServers, len(f.Servers)), reportAt: now,
 	}
 	f.Servers = append(f.Servers, sv)
@@ -64,8 +64,8 @@
 	return live
 }
 
-// Befallen picks a part of n, at random and in order.
-func Befallen(luck *rand.Rand, n int, part float64) []int {
+// PickShare picks a part of n, at random and in order.
+func PickShare(luck *rand.Rand, n int, part float64) []int {
 	picked := luck.Perm(n)[:int(math.Round(part*float64(n)))]
 	slices.Sort(picked)
 	return picked
--- a/internal/simulation/emulator/harm_test.go
+++ b/internal/simulation/emulator/harm_test.go
@@ -9,12 +9,12 @@
 // What the fleet did by second adds up to what it did over the day.
 func TestHarmAddsUp(t *testing.T) {
 	for _, name := range []string{"surge", "zone", "blind"} {
-		r := play(t, day(t, name, 40, 12), 1, Balancer)
-		h := r.Harm()
-		if h.Sends != r.Sends || h.Probes != r.Probes || h.Handshakes != r.Handshakes || h.TurnedAway != r.TurnedAway || h.ListCalls != r.ListCalls || h.ListFailed != r.ListFailed {
-			t.Errorf("%s: by second %+v, over the day %d sends, %d probes, %d handshakes, %d turned away, %d of %d calls failed", name, h, r.Sends, r.Probes, r.Handshakes, r.TurnedAway, r.ListFailed, r.ListCalls)
+		r := play(t, day(t, name, 40, 12), 1, NewBalancer)
+		h := r.Impact()
+		if h.Sends != r.Sends || h.Probes != r.Probes || h.Handshakes != r.Handshakes || h.Rejected != r.Rejected || h.ListCalls != r.ListCalls || h.ListFailed != r.ListFailed {
+			t.Errorf("%s: by second %+v, over the day %d sends, %d probes, %d handshakes, %d turned away, %d of %d calls failed", name, h, r.Sends, r.Probes, r.Handshakes, r.Rejected, r.ListFailed, r.ListCalls)
 		}
-		if d := h.Wasted - r.wasted; d > 1e-6 || d < -1e-6 || h.AgainAll() == 0 || h.Sends == 0 {
+		if d := h.WastedWork - r.wasted; d > 1e-6 || d < -1e-6 || h.TotalRetries() == 0 || h.Sends == 0 {
 			t.Errorf("%s: %+v, %v core seconds were wasted", name, h, r.wasted)
 		}
 		if name == "blind" && h.ListFailed == 0 {
@@ -26,12 +26,12 @@
 func TestBack(t *testing.T) {
 	r := &Record{}
 	for _, share := range []float64{1, 1, 0.2, 0.3, 0.96, 0.9, 0.95, 0.99, 1, 1} {
-		r.Windows = append(r.Windows, Window{Part: Part{Asked: 100, Got: 100 * share}})
+		r.Windows = append(r.Windows, Window{WeightShare: WeightShare{Requested: 100, Served: 100 * share}})
 	}
-	if got, ok := r.Back(2 * time.Second); !ok || got != 4*time.Second {
+	if got, ok := r.RecoveryTime(2 * time.Second); !ok || got != 4*time.Second {
 		t.Errorf("back after %v, %v; want 4 s", got, ok)
 	}
-	if _, ok := r.Back(8 * time.Second); ok {
+	if _, ok := r.RecoveryTime(8 * time.Second); ok {
 		t.Error("two seconds are not three")
 	}
 }
@@ -40,15 +40,15 @@
 func TestHunt(t *testing.T) {
 	kinds := make(map[string]bool)
 	for seed := range uint64(6) {
-		a, err := Hunt(context.Background(), seed, 20, 8, Balancer)
+		a, err := RunSearch(context.Background(), seed, 20, 8, NewBalancer)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b, err := Hunt(context.Background(), seed, 20, 8, Balancer)
-		if err != nil || a.Back != b.Back || a.Goodput != b.Goodput || len(a.Broken) > 0 || a.Back < 0 || a.Goodput <= 0.2 {
+		b, err := RunSearch(context.Background(), seed, 20, 8, NewBalancer)
+		if err != nil || a.RecoveryTime != b.RecoveryTime || a.Goodput != b.Goodput || len(a.ViolationTexts) > 0 || a.RecoveryTime < 0 || a.Goodput <= 0.2 {
 			t.Errorf("seed %d: %+v and %+v, %v", seed, a, b, err)
 		}
-		for _, x := range a.Troubles {
+		for _, x := range a.Faults {
 			kinds[x.Name] = true
 		}
 	}
@@ -56,7 +56,7 @@
 		t.Errorf("only %v in six days", kinds)
 	}
 	for seed := range uint64(500) {
-		if _, over, err := HuntDay(seed, 300, 200); err != nil || over < 10*time.Second {
+		if _, over, err := SearchScenario(seed, 300, 200); err != nil || over < 10*time.Second {
 			t.Errorf("seed %d: over at %v, %v", seed, over, err)
 		}
 	}
@@ -64,15 +64,15 @@
 
 // An oracle breaks no rule, and one that is not known is refused.
 func TestOracles(t *testing.T) {
-	for _, oracle := range []string{oracleLoad, oracleAdmission} {
+	for _, oracle := range []string{idealLoad, idealAdmission} {
 		sc := day(t, "surge", 40, 12)
-		sc.Oracle = oracle
-		if r := play(t, sc, 1, Balancer); len(r.Broken) > 0 || r.Goodput < 0.5 {
+		sc.IdealPolicy = oracle
+		if r := play(t, sc, 1, NewBalancer); len(r.ViolationTexts) > 0 || r.Goodput < 0.5 {
 			t.Errorf("%s: %s", oracle, r.Line())
 		}
 	}
 	sc := day(t, "surge", 40, 12)
-	sc.Oracle = "luck"
+	sc.IdealPolicy = "luck"
 	if err := sc.Check(); err == nil {
 		t.Error("an oracle that is not known is taken")
 	}
--- a/internal/simulation/emulator/hunt.go
+++ b/internal/simulation/emulator/hunt.go
@@ -10,18 +10,18 @@
 // The days of a hunt: a surge and a trouble that ends with it or a little later. A fleet
 // that is not well some seconds after both are over keeps itself down.
 const (
-	huntBegin  = 8.0  // seconds until the surge
-	huntAfter  = 20.0 // that the day goes on after all is over
-	huntLoad   = 0.7
-	leastSurge = 1.5
-	mostSurge  = 6.0
+	searchFaultStart     = 8.0  // seconds until the surge
+	searchRecoveryLength = 20.0 // that the day goes on after all is over
+	searchLoad           = 0.7
+	minSurge             = 1.5
+	maxSurge             = 6.0
 )
 
-// HuntWithin is within how long after its troubles a day has to be back.
-const HuntWithin = 5 * time.Second
+// RecoveryLimit is within how long after its troubles a day has to be back.
+const RecoveryLimit = 5 * time.Second
 
-// huntTroubles are what comes with a surge, each with the range of its part and size.
-var huntTroubles = []struct {
+// searchFaults are what comes with a surge, each with the range of its part and size.
+var searchFaults = []struct {
 	name                             string
 	leastPart, mostPart, least, most float64
 	extra                            float64
@@ -31,8 +31,8 @@
 	{name: "list_down"}, {name: "herd", leastPart: 0.3, mostPart: 0.8, extra: 0.5}, {name: "partition"}, {name: "reset", leastPart: 0.02, mostPart: 0.2},
 }
 
-// HuntDay draws a day of a hunt, and when its troubles are over.
-func HuntDay(seed uint64, sidecars, servers int) (*Scenario, time.Duration, error) {
+// SearchScenario draws a day of a hunt, and when its troubles are over.
+func SearchScenario(seed uint64, sidecars, servers int) (*Scenario, time.Duration, error) {
 	s, err := Preset("calm", sidecars, servers)
 	if err != nil {
 		return nil, 0, err
@@ -40,36 +40,36 @@
 	rng := rand.New(rand.NewPCG(seed, 17))
 	between := func(least, most float64) float64 { return least + rng.Float64()*(most-least) }
 	surge := between(2, 15)
-	over := huntBegin + surge
-	s.Name, s.Load = fmt.Sprintf("hunt-%d", seed), huntLoad
-	s.Troubles = []Trouble{{Name: "burst", At: at(huntBegin), For: at(surge), Size: between(leastSurge, mostSurge)}}
-	if k := rng.IntN(len(huntTroubles) + 1); k < len(huntTroubles) { // or none
-		x := huntTroubles[k]
-		begin, length := huntBegin+between(0, surge), between(1, 8)
-		s.Troubles = append(s.Troubles, Trouble{Name: x.name, At: at(begin), For: at(length), Part: between(x.leastPart, x.mostPart), Size: between(x.least, x.most), Extra: at(x.extra), Zone: rng.IntN(len(s.Zones))})
+	over := searchFaultStart + surge
+	s.Name, s.Load = fmt.Sprintf("hunt-%d", seed), searchLoad
+	s.Faults = []Fault{{Name: "burst", Start: fromSeconds(searchFaultStart), Duration: fromSeconds(surge), Size: between(minSurge, maxSurge)}}
+	if k := rng.IntN(len(searchFaults) + 1); k < len(searchFaults) { // or none
+		x := searchFaults[k]
+		begin, length := searchFaultStart+between(0, surge), between(1, 8)
+		s.Faults = append(s.Faults, Fault{Name: x.name, Start: fromSeconds(begin), Duration: fromSeconds(length), Part: between(x.leastPart, x.mostPart), Size: between(x.least, x.most), Extra: fromSeconds(x.extra), Zone: rng.IntN(len(s.Zones))})
 		over = max(over, begin+length)
 	}
-	s.Length = at(over + huntAfter)
-	return s, at(over).duration(), s.Check()
+	s.Length = fromSeconds(over + searchRecoveryLength)
+	return s, fromSeconds(over).timeDuration(), s.Check()
 }
 
-func (s Span) duration() time.Duration { return time.Duration(s) }
+func (s Duration) timeDuration() time.Duration { return time.Duration(s) }
 
-// Hunted is one day of a hunt.
-type Hunted struct {
-	Seed     uint64        `json:"seed"`
-	Scenario *Scenario     `json:"-"`
-	Over     time.Duration `json:"over_ns"` // its troubles, by the day's clock
-	Back     time.Duration `json:"back_ns"` // after that; as long as the day went on where it never was
-	Never    bool          `json:"never,omitempty"`
-	Goodput  float64       `json:"goodput"`
-	Broken   []string      `json:"broken,omitempty"`
-	Troubles []Trouble     `json:"troubles"`
+// SearchResult is one day of a hunt.
+type SearchResult struct {
+	Seed           uint64        `json:"seed"`
+	Scenario       *Scenario     `json:"-"`
+	FaultsEnd      time.Duration `json:"over_ns"` // its troubles, by the day's clock
+	RecoveryTime   time.Duration `json:"back_ns"` // after that; as long as the day went on where it never was
+	NotRecovered   bool          `json:"never,omitempty"`
+	Goodput        float64       `json:"goodput"`
+	ViolationTexts []string      `json:"broken,omitempty"`
+	Faults         []Fault       `json:"troubles"`
 }
 
-// Hunt plays the day of a seed.
-func Hunt(ctx context.Context, seed uint64, sidecars, servers int, decide Make) (*Hunted, error) {
-	sc, over, err := HuntDay(seed, sidecars, servers)
+// RunSearch plays the day of a seed.
+func RunSearch(ctx context.Context, seed uint64, sidecars, servers int, decide DeciderFactory) (*SearchResult, error) {
+	sc, over, err := SearchScenario(seed, sidecars, servers)
 	if err != nil {
 		return nil, err
 	}
@@ -81,10 +81,10 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &Hunted{Seed: seed, Scenario: sc, Over: over, Goodput: r.Goodput, Broken: r.Broken, Troubles: sc.Troubles}
+	h := &SearchResult{Seed: seed, Scenario: sc, FaultsEnd: over, Goodput: r.Goodput, ViolationTexts: r.ViolationTexts, Faults: sc.Faults}
 	var back bool
-	if h.Back, back = r.Back(over); !back {
-		h.Back, h.Never = at(huntAfter).duration(), true
+	if h.RecoveryTime, back = r.RecoveryTime(over); !back {
+		h.RecoveryTime, h.NotRecovered = fromSeconds(searchRecoveryLength).timeDuration(), true
 	}
 	return h, nil
 }
--- a/internal/simulation/emulator/list.go
+++ b/internal/simulation/emulator/list.go
@@ -6,48 +6,48 @@
 	"barleywick/policy"
 )
 
-// list is the service that tells sidecars of the servers. It learns of changes
+// listService is the service that tells sidecars of the servers. It learns of changes
 // late, brings them to its watchers in batches, and answers calls in turn: one that
 // has waited too long fails, though it has cost what it cost.
-type list struct {
-	sim     *Sim
-	entries []listed // by server
-	log     []int    // servers, in the order of their changes
-	down    bool
-	later   time.Duration // than usual
-	free    time.Duration // when it is done with the calls it has
-	flush   bool          // watches are brought what changed soon
-	told    int           // the part of the log that watches have been brought
+type listService struct {
+	sim          *Sim
+	entries      []listEntry // by server
+	log          []int       // servers, in the order of their changes
+	down         bool
+	extraDelay   time.Duration // than usual
+	busyUntil    time.Duration // when it is done with the calls it has
+	flushPlanned bool          // watches are brought what changed soon
+	notified     int           // the part of the log that watches have been brought
 }
 
-type listed struct {
-	known bool
-	entry policy.Endpoint
-	n     int // of the news under way; older news are void
+type listEntry struct {
+	known  bool
+	entry  policy.Endpoint
+	change int // of the news under way; older news are void
 }
 
-func newList(s *Sim) *list { return &list{sim: s, free: s.now} }
+func newListService(s *Sim) *listService { return &listService{sim: s, busyUntil: s.now} }
 
-// know puts a server on the list, from the beginning.
-func (l *list) know(sv *Server) {
-	*l.of(sv) = listed{known: true, entry: l.entry(sv)}
+// addKnown puts a server on the list, from the beginning.
+func (l *listService) addKnown(sv *Server) {
+	*l.entryOf(sv) = listEntry{known: true, entry: l.entry(sv)}
 }
 
-// of is the list's place for a server; it holds until the next server comes.
-func (l *list) of(sv *Server) *listed {
+// entryOf is the list's place for a server; it holds until the next server comes.
+func (l *listService) entryOf(sv *Server) *listEntry {
 	for len(l.entries) <= sv.Index {
-		l.entries = append(l.entries, listed{})
+		l.entries = append(l.entries, listEntry{})
 	}
 	return &l.entries[sv.Index]
 }
 
 // entry is how the list sees a server now.
-func (l *list) entry(sv *Server) policy.Endpoint {
+func (l *listService) entry(sv *Server) policy.Endpoint {
 	e := policy.Endpoint{
-		ID: policy.ServerID(sv.Index + 1), Zone: sv.Zone, Cell: sv.Cell.Number, State: policy.Ready, Weight: weight(sv), Started: sv.Born,
+		ID: policy.ServerID(sv.Index + 1), Zone: sv.Zone, Cell: sv.Cell.Number, State: policy.Ready, Weight: weight(sv), Started: sv.StartedAt,
 	}
 	switch {
-	case !sv.Alive || sv.Silent:
+	case !sv.Alive || sv.Unreachable:
 		e.State = policy.Removed
 	case sv.Draining:
 		e.State = policy.Draining
@@ -55,57 +55,57 @@
 	return e
 }
 
-// silentNotice is how much longer the list takes to learn of a machine that says nothing.
-const silentNotice = 3
+// unreachableDelayFactor is how much longer the list takes to learn of a machine that says nothing.
+const unreachableDelayFactor = 3
 
 // changed has the list learn of a server's state as it will be then.
-func (l *list) changed(sv *Server) {
-	spec, at := l.sim.sc.List, l.of(sv)
-	at.n++
-	n := at.n
-	late := time.Duration(spec.Notice)
+func (l *listService) changed(sv *Server) {
+	spec, at := l.sim.scenario.List, l.entryOf(sv)
+	at.change++
+	n := at.change
+	late := time.Duration(spec.RemovalDelay)
 	switch {
-	case sv.Silent:
-		late *= silentNotice
+	case sv.Unreachable:
+		late *= unreachableDelayFactor
 	case sv.Alive && !sv.Draining:
-		late = time.Duration(spec.Add)
+		late = time.Duration(spec.AdditionDelay)
 	}
-	l.sim.after(late+l.later, func() {
-		at := l.of(sv) // servers may have come
+	l.sim.after(late+l.extraDelay, func() {
+		at := l.entryOf(sv) // servers may have come
 		now := l.entry(sv)
-		if at.n != n && at.known {
+		if at.change != n && at.known {
 			return // later news bring it
 		}
 		if at.known && at.entry == now || !at.known && now.State == policy.Removed {
 			return
 		}
-		*at = listed{known: true, entry: now, n: at.n}
+		*at = listEntry{known: true, entry: now, change: at.change}
 		if now.State != policy.Ready {
 			for _, n := range l.sim.nodes {
-				n.mine(time.Duration(l.sim.sc.Rules.AskWithin), func() { n.unheard(sv.Index) })
+				n.afterInEpoch(time.Duration(l.sim.scenario.Rules.PollDeadline), func() { n.checkNotified(sv.Index) })
 			}
 		}
 		l.log = append(l.log, sv.Index)
-		if !l.flush {
-			l.flush = true
-			l.sim.after(time.Duration(spec.Period), l.bring)
+		if !l.flushPlanned {
+			l.flushPlanned = true
+			l.sim.after(time.Duration(spec.Period), l.notifyWatches)
 		}
 	})
 }
 
-// bring tells all watches what changed.
-func (l *list) bring() {
-	l.flush = false
+// notifyWatches tells all watches what changed.
+func (l *listService) notifyWatches() {
+	l.flushPlanned = false
 	if l.down {
 		return // it is told when the watches come back
 	}
-	changes := l.since(l.told)
-	l.told = len(l.log)
+	changes := l.since(l.notified)
+	l.notified = len(l.log)
 	for _, n := range l.sim.nodes {
 		if n.up && n.watching {
-			n.mine(l.sim.way(n.zone, 0), func() {
+			n.afterInEpoch(l.sim.delay(n.zone, 0), func() {
 				if n.watching {
-					n.told(policy.ListDelta, changes)
+					n.listReceived(policy.ListDelta, changes)
 				}
 			})
 		}
@@ -113,7 +113,7 @@
 }
 
 // since is what changed after a place in the log, each server once.
-func (l *list) since(from int) (changes []policy.Endpoint) {
+func (l *listService) since(from int) (changes []policy.Endpoint) {
 	seen := make(map[int]bool)
 	for _, i := range l.log[from:] {
 		if !seen[i] {
@@ -124,8 +124,8 @@
 	return changes
 }
 
-// all is the whole list.
-func (l *list) all() (all []policy.Endpoint) {
+// fullList is the whole list.
+func (l *listService) fullList() (all []policy.Endpoint) {
 	for _, e := range l.entries {
 		if e.known && e.entry.State != policy.Removed {
 			all = append(all, e.entry)
@@ -135,52 +135,52 @@
 }
 
 // watch is a sidecar's call for the list and all changes from then on.
-func (l *list) watch(n *node) {
-	s, spec := l.sim, l.sim.sc.List
-	s.rec.ListCalls++
-	s.rec.harm(s.now).ListCalls++
-	way := s.way(n.zone, 0)
+func (l *listService) watch(n *node) {
+	s, spec := l.sim, l.sim.scenario.List
+	s.record.ListCalls++
+	s.record.impactAt(s.now).ListCalls++
+	way := s.delay(n.zone, 0)
 	if l.down {
-		n.mine(2*way, func() { l.failed(n) })
+		n.afterInEpoch(2*way, func() { l.callFailed(n) })
 		return
 	}
-	begin := max(l.free, s.now+way)
+	begin := max(l.busyUntil, s.now+way)
 	lines := float64(spec.PerCall)
 	if !n.watching {
 		lines += float64(len(l.entries))
 	}
-	l.free = begin + time.Duration(lines/spec.PerMS*float64(time.Millisecond))
-	if begin-s.now > time.Duration(spec.WaitMost) {
-		n.mine(time.Duration(spec.WaitMost), func() { l.failed(n) })
+	l.busyUntil = begin + time.Duration(lines/spec.PerMS*float64(time.Millisecond))
+	if begin-s.now > time.Duration(spec.MaxWait) {
+		n.afterInEpoch(time.Duration(spec.MaxWait), func() { l.callFailed(n) })
 		return
 	}
-	n.mine(l.free-s.now, func() {
+	n.afterInEpoch(l.busyUntil-s.now, func() {
 		if l.down {
-			l.failed(n)
+			l.callFailed(n)
 			return
 		}
 		n.watching = true
-		all := l.all()
-		n.mine(way, func() { n.told(policy.ListFull, all) })
+		all := l.fullList()
+		n.afterInEpoch(way, func() { n.listReceived(policy.ListFull, all) })
 	})
 }
 
-func (l *list) failed(n *node) {
-	l.sim.rec.ListFailed++
-	l.sim.rec.harm(l.sim.now).ListFailed++
-	n.watching, n.refused = false, true
-	n.b.List(l.sim.now, policy.ListFailed, nil)
+func (l *listService) callFailed(n *node) {
+	l.sim.record.ListFailed++
+	l.sim.record.impactAt(l.sim.now).ListFailed++
+	n.watching, n.pollFailed = false, true
+	n.decider.List(l.sim.now, policy.ListFailed, nil)
 }
 
-// fail takes the service down: its watches end.
-func (l *list) fail() {
+// takeDown takes the service down: its watches end.
+func (l *listService) takeDown() {
 	l.down = true
 	for _, n := range l.sim.nodes {
 		if n.up && n.watching {
-			n.mine(l.sim.way(n.zone, 0), func() { l.failed(n) })
+			n.afterInEpoch(l.sim.delay(n.zone, 0), func() { l.callFailed(n) })
 		}
 	}
 }
 
-// leave ends the watch of a sidecar that is gone.
-func (l *list) leave(n *node) { n.watching = false }
+// endWatch ends the watch of a sidecar that is gone.
+func (l *listService) endWatch(n *node) { n.watching = false }
--- a/internal/simulation/emulator/record.go
+++ b/internal/simulation/emulator/record.go
@@ -22,47 +22,47 @@
 
 	// Goodput is the worth served, in parts of the worth asked for; Result also
 	// minds the worst 10 s, class and tenant, and the prices.
-	Goodput float64 `json:"goodput"`
-	Result  float64 `json:"result"`
-	Prices  float64 `json:"prices"`
+	Goodput   float64 `json:"goodput"`
+	Result    float64 `json:"result"`
+	TotalCost float64 `json:"prices"`
 
-	Requests   int `json:"asked"` // first tries
-	ServedAll  int `json:"served"`
-	Late       int `json:"late"`    // of those, after the aim
-	Refused    int `json:"refused"` // ended with a refusal
-	Failed     int `json:"failed"`
-	Gone       int `json:"left"` // their clients went away
-	Tries      int `json:"tries"`
-	Sends      int `json:"sends"`
-	TurnedAway int `json:"turned_away"`
-	Handshakes int `json:"handshakes"`
-	Probes     int `json:"probes"`
-	Crossed    int `json:"crossed"`
-	ListCalls  int `json:"list_calls"`
-	ListFailed int `json:"list_failed"`
-	Restarts   int `json:"restarts"`
-	Fell       int `json:"fell"`
-	Events     int `json:"events"`
-	Bad        int `json:"bad_clients"`         // connections of clients that say what cannot be read
-	BadWaiting int `json:"bad_clients_waiting"` // of those, the ones that got neither an error nor a close in time
+	Requests            int `json:"asked"` // first tries
+	ServedRequests      int `json:"served"`
+	Late                int `json:"late"`    // of those, after the aim
+	Refused             int `json:"refused"` // ended with a refusal
+	Failed              int `json:"failed"`
+	Abandoned           int `json:"left"` // their clients went away
+	ClientAttempts      int `json:"tries"`
+	Sends               int `json:"sends"`
+	Rejected            int `json:"turned_away"`
+	Handshakes          int `json:"handshakes"`
+	Probes              int `json:"probes"`
+	CrossZoneSends      int `json:"crossed"`
+	ListCalls           int `json:"list_calls"`
+	ListFailed          int `json:"list_failed"`
+	Restarts            int `json:"restarts"`
+	OverloadedServers   int `json:"fell"`
+	Events              int `json:"events"`
+	MalformedClients    int `json:"bad_clients"`         // connections of clients that say what cannot be read
+	MalformedUnanswered int `json:"bad_clients_waiting"` // of those, the ones that got neither an error nor a close in time
 
 	P50MS  float64 `json:"p50_ms"`
 	P99MS  float64 `json:"p99_ms"`
 	P999MS float64 `json:"p999_ms"`
 
-	// Losses are the worth that was not served, by cause; they add up to what was asked
+	// LostWeight are the worth that was not served, by cause; they add up to what was asked
 	// for less what was got. Priced are the prices by what they are for.
-	Losses map[string]float64 `json:"losses"`
-	Priced map[string]float64 `json:"priced"`
+	LostWeight map[string]float64 `json:"losses"`
+	Costs      map[string]float64 `json:"priced"`
 
-	Classes []Part   `json:"classes"`
-	Tenants []Part   `json:"tenants"`
-	Windows []Window `json:"windows"` // of a second each, by when the first try came
+	Classes []WeightShare `json:"classes"`
+	Tenants []WeightShare `json:"tenants"`
+	Windows []Window      `json:"windows"` // of a second each, by when the first try came
 
-	Troubles []Trouble `json:"troubles"`
-	Breaches [5]int    `json:"breaches"` // by rule, from 1 on
-	Broken   []string  `json:"broken,omitempty"`
-	Judged   struct {
+	Faults         []Fault  `json:"troubles"`
+	Violations     [5]int   `json:"breaches"` // by rule, from 1 on
+	ViolationTexts []string `json:"broken,omitempty"`
+	Checked        struct {
 		Requests  int `json:"Requests"`
 		Answers   int `json:"Answers"`
 		Sends     int `json:"Sends"`
@@ -70,30 +70,30 @@
 		ColdSends int `json:"ColdSends"`
 	} `json:"judged"`
 
-	wasted, offered, lateWorth float64
-	latency                    *hdrhistogram.Histogram
-	perWindow                  []*hdrhistogram.Histogram
-	sc                         *Scenario
+	wasted, offered, lateWeight float64
+	latency                     *hdrhistogram.Histogram
+	perWindow                   []*hdrhistogram.Histogram
+	scenario                    *Scenario
 }
 
-// Part is the worth of a class or tenant.
-type Part struct {
-	Name  string  `json:"name"`
-	Asked float64 `json:"asked"`
-	Got   float64 `json:"got"`
+// WeightShare is the worth of a class or tenant.
+type WeightShare struct {
+	Name      string  `json:"name"`
+	Requested float64 `json:"asked"`
+	Served    float64 `json:"got"`
 }
 
 // Share is the part that was served; 1 where nothing was asked.
-func (p Part) Share() float64 {
-	if p.Asked == 0 {
+func (p WeightShare) Share() float64 {
+	if p.Requested == 0 {
 		return 1
 	}
-	return p.Got / p.Asked
+	return p.Served / p.Requested
 }
 
 // Window is one second of a day.
 type Window struct {
-	Part
+	WeightShare
 	Requests int       `json:"requests"`
 	Refused  int       `json:"refused"`
 	Failed   int       `json:"failed"`
@@ -102,27 +102,27 @@
 	P99MS    float64   `json:"p99_ms"`
 	Queue    []int     `json:"queue"`    // by zone, at its begin: requests that wait at servers
 	Capacity []float64 `json:"capacity"` // by zone, at its begin: work a second
-	Fleet    Harm      `json:"fleet"`    // what the fleet did in it, whenever the requests came
+	Fleet    Impact    `json:"fleet"`    // what the fleet did in it, whenever the requests came
 }
 
 const (
-	leastLatency = 1        // microseconds
-	mostLatency  = 60 * 1e6 // as much as any deadline
-	digits       = 2        // of a latency: a hundredth is finer than the noise
+	minLatency        = 1        // microseconds
+	maxLatency        = 60 * 1e6 // as much as any deadline
+	significantDigits = 2        // of a latency: a hundredth is finer than the noise
 )
 
 // NewRecord makes the record of a day that begins.
 func NewRecord(sc *Scenario, seed uint64) *Record {
 	r := &Record{
 		Scenario: sc.Name, Seed: seed, Sidecars: sc.Sidecars, Servers: sc.Servers, Zones: sc.Zones, Length: time.Duration(sc.Length),
-		Troubles: sc.Troubles, latency: hdrhistogram.New(leastLatency, mostLatency, digits), sc: sc,
-		Losses: make(map[string]float64), Priced: make(map[string]float64),
+		Faults: sc.Faults, latency: hdrhistogram.New(minLatency, maxLatency, significantDigits), scenario: sc,
+		LostWeight: make(map[string]float64), Costs: make(map[string]float64),
 	}
 	for _, c := range sc.Classes {
-		r.Classes = append(r.Classes, Part{Name: c.Name})
+		r.Classes = append(r.Classes, WeightShare{Name: c.Name})
 	}
 	for _, t := range sc.Tenants {
-		r.Tenants = append(r.Tenants, Part{Name: t.Name})
+		r.Tenants = append(r.Tenants, WeightShare{Name: t.Name})
 	}
 	n := int(math.Ceil(sc.Length.seconds()))
 	r.Windows = make([]Window, n)
@@ -144,10 +144,10 @@
 	w.Capacity[zone] += capacity
 }
 
-// Wasted takes work that served nobody, in seconds on a core of speed 1.
-func (r *Record) Wasted(now time.Duration, work float64) {
+// AddWasted takes work that served nobody, in seconds on a core of speed 1.
+func (r *Record) AddWasted(now time.Duration, work float64) {
 	r.wasted += work
-	r.harm(now).Wasted += work
+	r.impactAt(now).WastedWork += work
 }
 
 // window is the second in which a call came, and its index.
@@ -156,55 +156,55 @@
 	return &r.Windows[i], i
 }
 
-// Asked takes a first try.
-func (r *Record) Asked(c Call) {
+// AddRequest takes a first try.
+func (r *Record) AddRequest(c Call) {
 	r.Requests++
 	r.offered += c.Work
-	r.expect(c, 1)
+	r.addRequested(c, 1)
 	w, _ := r.window(c)
 	w.Requests++
 }
 
-// expect adds a call's worth to what was asked for, or takes it back.
-func (r *Record) expect(c Call, sign float64) {
-	r.Classes[c.Class].Asked += sign * c.Worth
-	if c.Within {
-		r.Tenants[c.Tenant].Asked += sign * c.Worth
+// addRequested adds a call's worth to what was asked for, or takes it back.
+func (r *Record) addRequested(c Call, sign float64) {
+	r.Classes[c.Class].Requested += sign * c.Weight
+	if c.WithinQuota {
+		r.Tenants[c.Tenant].Requested += sign * c.Weight
 	}
 	w, _ := r.window(c)
-	w.Part.Asked += sign * c.Worth
+	w.WeightShare.Requested += sign * c.Weight
 }
 
-// Served takes that a call was served, so long after its first try. late is why, if it was.
-func (r *Record) Served(c Call, took time.Duration, late string) {
-	r.ServedAll++
+// AddServed takes that a call was served, so long after its first try. late is why, if it was.
+func (r *Record) AddServed(c Call, took time.Duration, late string) {
+	r.ServedRequests++
 	w, i := r.window(c)
-	got, class := c.Worth, r.sc.Classes[c.Class]
-	if took > time.Duration(class.Aim) {
-		got *= class.LateWorth
-		r.lateWorth += c.Worth - got
-		r.lose(late, c.Worth-got)
+	got, class := c.Weight, r.scenario.Classes[c.Class]
+	if took > time.Duration(class.LatencyObjective) {
+		got *= class.LateShare
+		r.lateWeight += c.Weight - got
+		r.addLoss(late, c.Weight-got)
 		r.Late++
 		w.Late++
 	}
-	r.Classes[c.Class].Got += got
-	if c.Within {
-		r.Tenants[c.Tenant].Got += got
+	r.Classes[c.Class].Served += got
+	if c.WithinQuota {
+		r.Tenants[c.Tenant].Served += got
 	}
-	w.Got += got
+	w.Served += got
 	if r.perWindow[i] == nil {
-		r.perWindow[i] = hdrhistogram.New(leastLatency, mostLatency, digits)
+		r.perWindow[i] = hdrhistogram.New(minLatency, maxLatency, significantDigits)
 	}
 	for _, h := range []*hdrhistogram.Histogram{r.latency, r.perWindow[i]} {
-		_ = h.RecordValue(min(max(took.Microseconds(), leastLatency), mostLatency)) // in range by the line itself
+		_ = h.RecordValue(min(max(took.Microseconds(), minLatency), maxLatency)) // in range by the line itself
 	}
 }
 
-// Unserved takes that a client has given a call up, so long after its first try, and why.
-func (r *Record) Unserved(c Call, refused bool, after time.Duration, cause string) {
-	r.lose(cause, c.Worth)
-	if after > time.Duration(r.sc.Classes[c.Class].Aim) {
-		r.lateWorth += c.Worth
+// AddUnserved takes that a client has given a call up, so long after its first try, and why.
+func (r *Record) AddUnserved(c Call, refused bool, after time.Duration, cause string) {
+	r.addLoss(cause, c.Weight)
+	if after > time.Duration(r.scenario.Classes[c.Class].LatencyObjective) {
+		r.lateWeight += c.Weight
 	}
 	w, _ := r.window(c)
 	if refused {
@@ -216,29 +216,29 @@
 	w.Failed++
 }
 
-// Left takes that a client went away early: nothing was asked of anybody then.
-func (r *Record) Left(c Call) {
-	r.Gone++
-	r.expect(c, -1)
+// AddAbandoned takes that a client went away early: nothing was asked of anybody then.
+func (r *Record) AddAbandoned(c Call) {
+	r.Abandoned++
+	r.addRequested(c, -1)
 }
 
 // The parts of the result, as the operators weigh them.
 const (
-	weightWhole  = 0.45
-	weightWorst  = 0.15
-	weightClass  = 0.30
-	weightTenant = 0.10
-	worstWindow  = 10 // seconds
+	weightOverall = 0.45
+	weightWorst   = 0.15
+	weightClass   = 0.30
+	weightTenant  = 0.10
+	worstWindow   = 10 // seconds
 )
 
 // Finish sums the day up, with what the Checker found.
 func (r *Record) Finish(c *Checker, partial bool) {
 	r.Partial = partial
-	var whole Part
+	var whole WeightShare
 	class, tenant, worst := 1.0, 1.0, 1.0
 	for _, p := range r.Classes {
-		whole.Asked += p.Asked
-		whole.Got += p.Got
+		whole.Requested += p.Requested
+		whole.Served += p.Served
 		class = min(class, p.Share())
 	}
 	for _, p := range r.Tenants {
@@ -251,40 +251,40 @@
 		if i+worstWindow > len(r.Windows) && i > 0 {
 			continue
 		}
-		var sum Part
+		var sum WeightShare
 		for _, w := range r.Windows[i:min(len(r.Windows), i+worstWindow)] {
-			sum.Asked += w.Part.Asked
-			sum.Got += w.Got
+			sum.Requested += w.WeightShare.Requested
+			sum.Served += w.Served
 		}
 		worst = min(worst, sum.Share())
 	}
 	r.Goodput = whole.Share()
 	if n := float64(r.Requests); n > 0 {
-		p := r.sc.Prices
-		r.Priced["crossing zones"], r.Priced["probes"], r.Priced["handshakes"] = p.CrossZone*float64(r.Crossed)/n, p.Probe*float64(r.Probes)/n, p.Handshake*float64(r.Handshakes)/n
+		p := r.scenario.Prices
+		r.Costs["crossing zones"], r.Costs["probes"], r.Costs["handshakes"] = p.CrossZone*float64(r.CrossZoneSends)/n, p.Probe*float64(r.Probes)/n, p.Handshake*float64(r.Handshakes)/n
 		if r.offered > 0 {
-			r.Priced["waste"] = p.Waste * r.wasted / r.offered
+			r.Costs["waste"] = p.Waste * r.wasted / r.offered
 		}
-		if whole.Asked > 0 {
-			r.Priced["failing late"] = p.LateFail * r.lateWorth / whole.Asked
+		if whole.Requested > 0 {
+			r.Costs["failing late"] = p.LateFail * r.lateWeight / whole.Requested
 		}
-		for _, what := range slices.Sorted(maps.Keys(r.Priced)) { // in order, so that the sum is the same each time
-			r.Prices += r.Priced[what]
+		for _, what := range slices.Sorted(maps.Keys(r.Costs)) { // in order, so that the sum is the same each time
+			r.TotalCost += r.Costs[what]
 		}
 	}
-	r.Result = weightWhole*r.Goodput + weightWorst*worst + weightClass*class + weightTenant*tenant - r.Prices
+	r.Result = weightOverall*r.Goodput + weightWorst*worst + weightClass*class + weightTenant*tenant - r.TotalCost
 	r.P50MS = float64(r.latency.ValueAtQuantile(50)) / 1e3
 	r.P99MS = float64(r.latency.ValueAtQuantile(99)) / 1e3
 	r.P999MS = float64(r.latency.ValueAtQuantile(99.9)) / 1e3
-	r.Breaches, r.Broken = c.Breaches, c.Broken
-	r.Judged.Requests, r.Judged.Answers, r.Judged.Sends, r.Judged.Repeats, r.Judged.ColdSends = c.Requests, c.Answers, c.Sends, c.Repeats, c.ColdSends
+	r.Violations, r.ViolationTexts = c.Violations, c.ViolationTexts
+	r.Checked.Requests, r.Checked.Answers, r.Checked.Sends, r.Checked.Repeats, r.Checked.ColdSends = c.Requests, c.Answers, c.Sends, c.Repeats, c.ColdSends
 }
 
 // Line is the day in one line.
 func (r *Record) Line() string {
 	rules := "rules kept"
-	if len(r.Broken) > 0 {
-		rules = fmt.Sprintf("RULES BROKEN %v: %s", r.Breaches[1:], r.Broken[0])
+	if len(r.ViolationTexts) > 0 {
+		rules = fmt.Sprintf("RULES BROKEN %v: %s", r.Violations[1:], r.ViolationTexts[0])
 	}
 	return fmt.Sprintf("%-10s seed %-4d goodput %.3f  result %.3f  asked %d  late %d  refused %d  failed %d  p50 %.0f ms  p99 %.0f ms  %s",
 		r.Scenario, r.Seed, r.Goodput, r.Result, r.Requests, r.Late, r.Refused, r.Failed, r.P50MS, r.P99MS, rules)
--- a/internal/simulation/emulator/scenario_test.go
+++ b/internal/simulation/emulator/scenario_test.go
@@ -10,8 +10,8 @@
 )
 
 func TestScenarioFileIsReadStrictly(t *testing.T) {
-	s, err := Read(strings.NewReader("name = \"mine\"\nlength = \"12s\"\nsidecars = 4\n[network]\nfar = \"20ms\"\n[[troubles]]\nname = \"slow\"\nat = \"1s\"\nfor = \"2s\"\npart = 0.5\nsize = 3\n"))
-	if err != nil || s.Name != "mine" || time.Duration(s.Network.Far) != 20*time.Millisecond || s.Servers != Base().Servers || len(s.Troubles) != 1 {
+	s, err := ReadScenario(strings.NewReader("name = \"mine\"\nlength = \"12s\"\nsidecars = 4\n[network]\nfar = \"20ms\"\n[[troubles]]\nname = \"slow\"\nat = \"1s\"\nfor = \"2s\"\npart = 0.5\nsize = 3\n"))
+	if err != nil || s.Name != "mine" || time.Duration(s.Network.FarDelay) != 20*time.Millisecond || s.Servers != DefaultScenario().Servers || len(s.Faults) != 1 {
 		t.Fatalf("%+v, %v", s, err)
 	}
 	for text, want := range map[string]string{
@@ -30,7 +30,7 @@
 		"[[classes]]\nname = \"x\"":                    "classes[0]",
 		"length = ":                                    "line 1",
 	} {
-		_, err := Read(strings.NewReader(text))
+		_, err := ReadScenario(strings.NewReader(text))
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: %v; want one line with %q", text, err, want)
 		}
@@ -45,7 +45,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, err := Read(bytes.NewReader(text))
+		s, err := ReadScenario(bytes.NewReader(text))
 		if err != nil {
 			t.Fatalf("%s: %v\n%s", name, err, text)
 		}
@@ -60,7 +60,7 @@
 	f.Add([]byte("name = \"x\"\nlength = \"2s\"\n[list]\nper_ms = 3.5\n[[troubles]]\nname = \"slow\"\nat = \"1s\"\nsize = 2\n"))
 	f.Add([]byte("zones = [\"a\"]\n[[tenants]]\nname = \"t\"\nshare = 1\nusage = 1\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		s, err := Read(bytes.NewReader(text))
+		s, err := ReadScenario(bytes.NewReader(text))
 		if err == nil && s.Check() != nil {
 			t.Error("read, and of no use")
 		}
--- a/internal/simulation/emulator/server_test.go
+++ b/internal/simulation/emulator/server_test.go
@@ -8,11 +8,11 @@
 
 // bench is a server of one core at speed 2, warm, with room for two.
 func bench(change func(*Server)) *Server {
-	keys := Keys{Gain: 0.5, For: span(1000), PerCore: 2, Cell: 1}
+	keys := Keys{WarmSaving: 0.5, WarmWindow: milliseconds(1000), PerCore: 2, CellSize: 1}
 	sv := &Server{
-		Kind:  Kind{Cores: 1, Speed: 2, Slots: 1, Room: 2, CrowdedAt: 100, ColdFrom: 0.5, ColdFor: span(4000), Report: span(10)},
-		Speed: 2, Slow: 1, Alive: true, accepts: 3, rules: Base().Rules,
-		Cell: newCell(0, newRepeats(), keys, 1), rng: rand.New(rand.NewPCG(1, 1)),
+		Kind:  MachineKind{Cores: 1, Speed: 2, Slots: 1, QueueCapacity: 2, CrowdedAt: 100, SlowStartFloor: 0.5, SlowStartWindow: milliseconds(4000), ReportInterval: milliseconds(10)},
+		Speed: 2, Slowdown: 1, Alive: true, connectionsPerCore: 3, rules: DefaultScenario().Rules,
+		Cell: newCell(0, newDedupCache(), keys, 1), rng: rand.New(rand.NewPCG(1, 1)),
 	}
 	if change != nil {
 		change(sv)
@@ -41,18 +41,18 @@
 		want   []float64 // ends of three requests of a second's work
 	}{
 		"as it is":        {nil, []float64{0.5, 1, 1.5}},
-		"slow":            {func(sv *Server) { sv.Slow = 4 }, []float64{2, 4, 6}},
-		"shared":          {func(sv *Server) { sv.Neighbour = 0.5 }, []float64{1, 2, 3}},
+		"slow":            {func(sv *Server) { sv.Slowdown = 4 }, []float64{2, 4, 6}},
+		"shared":          {func(sv *Server) { sv.NeighbourShare = 0.5 }, []float64{1, 2, 3}},
 		"two cores":       {func(sv *Server) { sv.Kind.Cores = 2 }, []float64{0.5, 0.5, 1}},
 		"two slots":       {func(sv *Server) { sv.Kind.Slots = 2 }, []float64{1, 1, 1.5}},
 		"crowded":         {func(sv *Server) { sv.Kind.CrowdedAt, sv.Kind.Crowding = 2, 1 }, []float64{1, 1.5, 2}},
-		"full of callers": {func(sv *Server) { sv.Kind.FullTax, sv.Open = 0.5, 3 }, []float64{1, 2, 3}},
+		"full of callers": {func(sv *Server) { sv.Kind.ConnectionCost, sv.OpenConnections = 0.5, 3 }, []float64{1, 2, 3}},
 		"after handshake": {func(sv *Server) { sv.Connect(time.Second) }, []float64{1, 1.5, 2}},
 	} {
 		sv := bench(c.change)
 		sv.Advance(0)
 		for range 3 {
-			if v := sv.Arrive(0, &Job{Work: 1}); v != Taken {
+			if v := sv.Arrive(0, &Job{Work: 1}); v != Accepted {
 				t.Errorf("%s: verdict %v", name, v)
 			}
 		}
@@ -69,14 +69,14 @@
 func TestServerTurnsAwayWhatItCannotHold(t *testing.T) {
 	sv := bench(nil)
 	sv.Advance(0)
-	for i, want := range []Verdict{Taken, Taken, Taken, Away} {
+	for i, want := range []Verdict{Accepted, Accepted, Accepted, Rejected} {
 		if got := sv.Arrive(0, &Job{Work: 1}); got != want {
 			t.Errorf("request %d: verdict %v, want %v", i, got, want)
 		}
 	}
 	sv.Draining = true
 	sv.Advance(seconds(10))
-	if v := sv.Arrive(seconds(10), &Job{Work: 1}); v != Away {
+	if v := sv.Arrive(seconds(10), &Job{Work: 1}); v != Rejected {
 		t.Errorf("draining: verdict %v", v)
 	}
 	for i, want := range []bool{true, true, true, false} {
@@ -86,7 +86,7 @@
 	}
 	sv.Draining = false
 	sv.Arrive(seconds(10), &Job{Work: 1})
-	if held := sv.Kill(seconds(10)); len(held) != 1 || sv.Connect(0) || sv.Arrive(seconds(11), &Job{}) != Nobody {
+	if held := sv.Kill(seconds(10)); len(held) != 1 || sv.Connect(0) || sv.Arrive(seconds(11), &Job{}) != NotRunning {
 		t.Errorf("killed: gives %d back and goes on", len(held))
 	}
 }
@@ -111,21 +111,21 @@
 
 // It bears its multiple of what it can do and falls over above, for good, and only while cold.
 func TestColdServerIsPushedOver(t *testing.T) {
-	budget := 3 * 1.0 * 2 * fallSlack // multiple x capacity x seconds
+	budget := 3 * 1.0 * 2 * overloadSlack // multiple x capacity x seconds
 	for name, c := range map[string]struct {
 		work float64
 		warm bool
 		fell bool
 	}{"within": {budget / 10 * 0.99, false, false}, "above": {budget / 10 * 1.02, false, true}, "warm": {100, true, false}} {
-		sv := bench(func(sv *Server) { sv.Kind.Room = 100 })
+		sv := bench(func(sv *Server) { sv.Kind.QueueCapacity = 100 })
 		if !c.warm {
 			sv.Start(1)
 		}
 		for range 10 {
 			sv.Arrive(1, &Job{Work: c.work})
 		}
-		if sv.Fell != c.fell {
-			t.Errorf("%s: fell %v", name, sv.Fell)
+		if sv.Overloaded != c.fell {
+			t.Errorf("%s: fell %v", name, sv.Overloaded)
 		}
 	}
 	sv := bench(nil) // what is rejected presses too
@@ -134,13 +134,13 @@
 	for range 10 {
 		sv.Arrive(1, &Job{Work: 1})
 	}
-	if !sv.Fell {
+	if !sv.Overloaded {
 		t.Error("what it turns away does not press")
 	}
 }
 
 func TestKeysAndRepeatsCostLess(t *testing.T) {
-	sv := bench(func(sv *Server) { sv.Kind.Room = 100 })
+	sv := bench(func(sv *Server) { sv.Kind.QueueCapacity = 100 })
 	sv.Advance(0)
 	for _, j := range []*Job{
 		{Work: 1, Key: 7}, {Work: 1, Key: 7}, // known at the second time
@@ -152,7 +152,7 @@
 	_, jobs := drain(sv)
 	var spent []float64
 	for _, j := range jobs {
-		spent = append(spent, j.spent)
+		spent = append(spent, j.work)
 	}
 	want := []float64{1, 0.5, 1, 1, 1, 1, repeatWork}
 	for i := range want {
--- a/internal/simulation/emulator/sim_test.go
+++ b/internal/simulation/emulator/sim_test.go
@@ -14,7 +14,7 @@
 	"barleywick/policy"
 )
 
-func play(t testing.TB, sc *Scenario, seed uint64, decide Make) *Record {
+func play(t testing.TB, sc *Scenario, seed uint64, decide DeciderFactory) *Record {
 	t.Helper()
 	s, err := NewSim(sc, seed, decide)
 	if err != nil {
@@ -44,14 +44,14 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			text := func(seed uint64) string {
-				r := play(t, day(t, name, 30, 20), seed, Balancer)
-				if len(r.Broken) > 0 {
-					t.Errorf("seed %d: %v %v", seed, r.Breaches, r.Broken)
+				r := play(t, day(t, name, 30, 20), seed, NewBalancer)
+				if len(r.ViolationTexts) > 0 {
+					t.Errorf("seed %d: %v %v", seed, r.Violations, r.ViolationTexts)
 				}
-				if r.Judged.Answers < 5000 || r.Goodput < 0.5 || r.Goodput > 1 || r.Result > r.Goodput+1e-9 {
+				if r.Checked.Answers < 5000 || r.Goodput < 0.5 || r.Goodput > 1 || r.Result > r.Goodput+1e-9 {
 					t.Errorf("seed %d: %+v", seed, r.Line())
 				}
-				if ended := r.ServedAll + r.Refused + r.Failed + r.Gone; ended > r.Requests || ended < r.Requests*9/10 {
+				if ended := r.ServedRequests + r.Refused + r.Failed + r.Abandoned; ended > r.Requests || ended < r.Requests*9/10 {
 					t.Errorf("seed %d: %d calls ended of %d", seed, ended, r.Requests)
 				}
 				checkAccount(t, r)
@@ -80,30 +80,30 @@
 	t.Helper()
 	asked, got, lost, priced := 0.0, 0.0, 0.0, 0.0
 	for _, c := range r.Classes {
-		asked, got = asked+c.Asked, got+c.Got
+		asked, got = asked+c.Requested, got+c.Served
 	}
 	for _, cause := range r.Causes() {
-		lost += r.Losses[cause]
+		lost += r.LostWeight[cause]
 	}
-	for _, p := range r.Priced {
+	for _, p := range r.Costs {
 		priced += p
 	}
 	if math.Abs(asked-got-lost) > 1e-6*asked || lost <= 0 {
-		t.Errorf("asked %v, served %v, the account has %v: %v", asked, got, lost, r.Losses)
+		t.Errorf("asked %v, served %v, the account has %v: %v", asked, got, lost, r.LostWeight)
 	}
-	if math.Abs(priced-r.Prices) > 1e-9 {
-		t.Errorf("prices %v, in parts %v", r.Prices, r.Priced)
+	if math.Abs(priced-r.TotalCost) > 1e-9 {
+		t.Errorf("prices %v, in parts %v", r.TotalCost, r.Costs)
 	}
 }
 
 // Each day's own trouble stands in its account.
 func TestAccountNamesTheTrouble(t *testing.T) {
 	for name, cause := range map[string]string{
-		"herd": causeKilled, "errors": causeError, "vanish": causeSilent, "overload": causeShed, "heavy": causeLateWork, "slow": causeLateSlow,
-		"zone": causeBroken, "split": causeSilent, "join": causeSpoilt,
+		"herd": causeKilled, "errors": causeError, "vanish": causeUnreachable, "overload": causeShed, "heavy": causeLateWork, "slow": causeLateSlow,
+		"zone": causeBroken, "split": causeUnreachable, "join": causeMalformed,
 	} {
-		if r := play(t, day(t, name, 30, 20), 1, Balancer); r.Losses[cause] == 0 {
-			t.Errorf("%s: nothing by %q: %v", name, cause, r.Losses)
+		if r := play(t, day(t, name, 30, 20), 1, NewBalancer); r.LostWeight[cause] == 0 {
+			t.Errorf("%s: nothing by %q: %v", name, cause, r.LostWeight)
 		}
 	}
 }
@@ -164,8 +164,8 @@
 }
 
 // meddling makes modules that are meddled with.
-func meddling(meddle func(*meddler)) Make {
-	return func(b Begin) (Decider, error) {
+func meddling(meddle func(*meddler)) DeciderFactory {
+	return func(b DeciderOptions) (Decider, error) {
 		m := &meddler{Host: b.Host, classes: make(map[policy.RequestID]int)}
 		meddle(m)
 		var err error
@@ -179,7 +179,7 @@
 	overload := day(t, "overload", 10, 8)
 	join := day(t, "join", 10, 20)
 	drained := day(t, "calm", 10, 20)
-	drained.Troubles = []Trouble{{Name: "replace", At: at(2), For: at(2), Part: 0.5, Extra: at(28)}}
+	drained.Faults = []Fault{{Name: "replace", Start: fromSeconds(2), Duration: fromSeconds(2), Part: 0.5, Extra: fromSeconds(28)}}
 	for name, c := range map[string]struct {
 		rule   int
 		sc     *Scenario
@@ -234,19 +234,19 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := play(t, c.sc, 1, meddling(c.meddle))
-			for rule, n := range r.Breaches {
+			for rule, n := range r.Violations {
 				if (n > 0) != (rule == c.rule) {
 					t.Errorf("rule %d: %d breaches; want some of rule %d alone", rule, n, c.rule)
 				}
 			}
-			if len(r.Broken) == 0 || !strings.HasPrefix(r.Broken[0], "rule ") {
-				t.Errorf("not in words: %v", r.Broken)
+			if len(r.ViolationTexts) == 0 || !strings.HasPrefix(r.ViolationTexts[0], "rule ") {
+				t.Errorf("not in words: %v", r.ViolationTexts)
 			}
 		})
 	}
 	t.Run("the meddler itself breaks nothing", func(t *testing.T) {
-		if r := play(t, join, 1, meddling(func(*meddler) {})); len(r.Broken) > 0 {
-			t.Error(r.Broken)
+		if r := play(t, join, 1, meddling(func(*meddler) {})); len(r.ViolationTexts) > 0 {
+			t.Error(r.ViolationTexts)
 		}
 	})
 }
@@ -254,21 +254,21 @@
 // A planned end of all sidecars loses no call that they have taken.
 func TestAPlannedEndAnswersWhatWasTaken(t *testing.T) {
 	planned, killed := day(t, "calm", 10, 8), day(t, "calm", 10, 8)
-	planned.Troubles = []Trouble{{Name: "roll", At: at(5), For: at(10), Part: 1, Extra: at(0.3)}}
-	killed.Troubles = []Trouble{{Name: "herd", At: at(5), Part: 1, Extra: at(0.3)}}
-	a, b := play(t, planned, 1, Balancer), play(t, killed, 1, Balancer)
-	if a.Restarts != 10 || b.Restarts != 10 || len(a.Broken) > 0 {
-		t.Fatalf("%d and %d restarts, %v", a.Restarts, b.Restarts, a.Broken)
+	planned.Faults = []Fault{{Name: "roll", Start: fromSeconds(5), Duration: fromSeconds(10), Part: 1, Extra: fromSeconds(0.3)}}
+	killed.Faults = []Fault{{Name: "herd", Start: fromSeconds(5), Part: 1, Extra: fromSeconds(0.3)}}
+	a, b := play(t, planned, 1, NewBalancer), play(t, killed, 1, NewBalancer)
+	if a.Restarts != 10 || b.Restarts != 10 || len(a.ViolationTexts) > 0 {
+		t.Fatalf("%d and %d restarts, %v", a.Restarts, b.Restarts, a.ViolationTexts)
 	}
-	if a.Losses[causeKilled] > 0 || b.Losses[causeKilled] == 0 {
-		t.Errorf("lost with their sidecar: %v in a planned end, %v in a kill", a.Losses[causeKilled], b.Losses[causeKilled])
+	if a.LostWeight[causeKilled] > 0 || b.LostWeight[causeKilled] == 0 {
+		t.Errorf("lost with their sidecar: %v in a planned end, %v in a kill", a.LostWeight[causeKilled], b.LostWeight[causeKilled])
 	}
 }
 
 func TestWhatIsForRealSocketsOnlyIsSaid(t *testing.T) {
 	sc := day(t, "calm", 3, 3)
-	sc.Troubles = []Trouble{{Name: "bad_clients", Size: 1}}
-	if _, err := NewSim(sc, 1, Balancer); err == nil || !strings.Contains(err.Error(), "troubles[0]: bad_clients is for real sockets only") {
+	sc.Faults = []Fault{{Name: "bad_clients", Size: 1}}
+	if _, err := NewSim(sc, 1, NewBalancer); err == nil || !strings.Contains(err.Error(), "troubles[0]: bad_clients is for real sockets only") {
 		t.Errorf("%v", err)
 	}
 }
@@ -277,20 +277,20 @@
 func TestADayOfNothingIsNotPassed(t *testing.T) {
 	sc := day(t, "slow", 3, 4)
 	sc.Load = 0
-	if r := play(t, sc, 1, Balancer); len(r.Broken) != 1 || !strings.Contains(r.Broken[0], "nothing to judge") {
-		t.Errorf("%v", r.Broken)
+	if r := play(t, sc, 1, NewBalancer); len(r.ViolationTexts) != 1 || !strings.Contains(r.ViolationTexts[0], "nothing to judge") {
+		t.Errorf("%v", r.ViolationTexts)
 	}
 }
 
 func TestADayCutShortIsTold(t *testing.T) {
-	s, err := NewSim(day(t, "calm", 10, 8), 1, Balancer)
+	s, err := NewSim(day(t, "calm", 10, 8), 1, NewBalancer)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s.plan(Dawn+10*time.Second, cancel)
+	s.schedule(StartTime+10*time.Second, cancel)
 	r, err := s.Run(ctx)
-	if !errors.Is(err, context.Canceled) || !r.Partial || r.Requests < 300 || r.ServedAll == 0 {
+	if !errors.Is(err, context.Canceled) || !r.Partial || r.Requests < 300 || r.ServedRequests == 0 {
 		t.Errorf("error %v, %+v", err, r)
 	}
 }
@@ -299,11 +299,11 @@
 func TestVariantsAreAskedForTheSame(t *testing.T) {
 	wide, narrow := day(t, "slow", 10, 8), day(t, "slow", 10, 8)
 	narrow.Slots = 7
-	a, b := play(t, wide, 5, Balancer), play(t, narrow, 5, Balancer)
+	a, b := play(t, wide, 5, NewBalancer), play(t, narrow, 5, NewBalancer)
 	if a.Requests != b.Requests || a.offered != b.offered {
 		t.Errorf("asked for %d (%v) and %d (%v)", a.Requests, a.offered, b.Requests, b.offered)
 	}
-	if a.ServedAll == b.ServedAll {
+	if a.ServedRequests == b.ServedRequests {
 		t.Error("the variants don't differ: the test shows nothing")
 	}
 }
@@ -311,7 +311,7 @@
 // Memory is bounded under endless overload: what is held at the end is what is open.
 func TestOverloadLeavesNothingBehind(t *testing.T) {
 	sc := day(t, "overload", 5, 4)
-	s, err := NewSim(sc, 1, Balancer)
+	s, err := NewSim(sc, 1, NewBalancer)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -328,8 +328,8 @@
 		for _, n := range s.nodes {
 			idle += len(n.idle[sv.Index])
 		}
-		if sv.Open != idle {
-			t.Errorf("server %d has %d connections, the sidecars hold %d", sv.Index, sv.Open, idle)
+		if sv.OpenConnections != idle {
+			t.Errorf("server %d has %d connections, the sidecars hold %d", sv.Index, sv.OpenConnections, idle)
 		}
 	}
 }
@@ -345,7 +345,7 @@
 			sc.Stretch(10 * time.Second)
 			requests, events := 0, 0
 			for b.Loop() {
-				r := play(b, sc, 1, Balancer)
+				r := play(b, sc, 1, NewBalancer)
 				requests, events = requests+r.Requests, events+r.Events
 			}
 			b.ReportMetric(float64(requests)/b.Elapsed().Seconds(), "requests/s")
--- a/internal/simulation/emulator/trouble.go
+++ b/internal/simulation/emulator/trouble.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// Trouble is something that goes wrong for a while.
-type Trouble struct {
-	Name  string  `toml:"name" json:"Name"`
-	At    Span    `toml:"at" json:"At"`
-	For   Span    `toml:"for" json:"For"`
-	Part  float64 `toml:"part" json:"Part"`   // of the servers, sidecars or requests that it befalls
-	Size  float64 `toml:"size" json:"Size"`   // how bad it is; see troubleKinds
-	Extra Span    `toml:"extra" json:"Extra"` // a time that some troubles have
-	Zone  int     `toml:"zone" json:"Zone"`   // where it happens, for those that happen in a zone
+// Fault is something that goes wrong for a while.
+type Fault struct {
+	Name     string   `toml:"name" json:"Name"`
+	Start    Duration `toml:"at" json:"At"`
+	Duration Duration `toml:"for" json:"For"`
+	Part     float64  `toml:"part" json:"Part"`   // of the servers, sidecars or requests that it befalls
+	Size     float64  `toml:"size" json:"Size"`   // how bad it is; see troubleKinds
+	Extra    Duration `toml:"extra" json:"Extra"` // a time that some troubles have
+	Zone     int      `toml:"zone" json:"Zone"`   // where it happens, for those that happen in a zone
 
 	Tenant string `toml:"tenant,omitempty" json:"Tenant,omitempty"` // of burst: whose clients alone ask for more
 }
 
-// troubleKind is what a trouble does.
-type troubleKind struct {
-	what        string
+// faultKind is what a trouble does.
+type faultKind struct {
+	description string
 	least, most float64 // of Size
-	begin       func(*Sim, *Trouble) (undo func())
+	begin       func(*Sim, *Fault) (undo func())
 }
 
-// troubleKinds has all troubles by name. A trouble's begin is called at its time
+// faultKinds has all troubles by name. A trouble's begin is called at its time
 // and the function that it returns, if any, when its time is over.
-var troubleKinds = map[string]troubleKind{
+var faultKinds = map[string]faultKind{
 	"slow":        {"servers run size times slower", 1, 1000, (*Sim).slow},
 	"fast_errors": {"servers fail that share of their requests at once", 0, 1, (*Sim).fastErrors},
 	"neighbour":   {"something else takes that part of the machines, on and off every extra", 0, 0.99, (*Sim).neighbour},
-	"heavy_tail":  {"part of the first class's requests cost size times the usual work", 1, 1000, (*Sim).asked},
-	"burst":       {"clients ask for size times as much, or those of tenant alone", 0, 100, (*Sim).asked},
+	"heavy_tail":  {"part of the first class's requests cost size times the usual work", 1, 1000, (*Sim).arrivalsOnly},
+	"burst":       {"clients ask for size times as much, or those of tenant alone", 0, 100, (*Sim).arrivalsOnly},
 	"kill":        {"server processes are killed; they start again, cold, when it is over", 0, 0, (*Sim).killServers},
 	"vanish":      {"machines are cut off from everybody and say nothing", 0, 0, (*Sim).vanish},
 	"replace":     {"servers are drained and replaced by new ones, in size steps over its time (0: one by one); each has extra to finish", 0, 10_000, (*Sim).replace},
@@ -42,34 +42,34 @@
 	"partition":   {"a zone cannot reach the others, nor they it", 0, 0, (*Sim).partition},
 	"list_down":   {"the list service is down", 0, 0, (*Sim).listDown},
 	"stale_list":  {"the list service learns of everything extra later", 0, 0, (*Sim).staleList},
-	"spoilt":      {"answers arrive spoilt: the request has run", 0, 0, (*Sim).spoilt},
+	"spoilt":      {"answers arrive spoilt: the request has run", 0, 0, (*Sim).malformedResponses},
 	"reset":       {"connections break under requests", 0, 0, (*Sim).resets},
 	"herd":        {"sidecars are killed at once; they are back, knowing only their old lists, after extra", 0, 0, (*Sim).herd},
-	"no_advice":   {"part of the sidecars are cut off from the task that gives advice; all of them: another holds it afterwards", 0, 0, (*Sim).noAdvice},
+	"no_advice":   {"part of the sidecars are cut off from the task that gives advice; all of them: another holds it afterwards", 0, 0, (*Sim).disconnectAdvice},
 	"bad_clients": {"size connections a second to each sidecar say what cannot be read; on real sockets only", 0, 1000, nil},
 	"roll":        {"sidecars are ended in order one after the other over its time; each is back extra after its end", 0, 0, (*Sim).roll},
 }
 
-// TroubleNames lists the troubles there are, sorted, each with what it does.
-func TroubleNames() (names []string, what map[string]string) {
-	what = make(map[string]string, len(troubleKinds))
-	for name, k := range troubleKinds {
+// FaultNames lists the troubles there are, sorted, each with what it does.
+func FaultNames() (names []string, what map[string]string) {
+	what = make(map[string]string, len(faultKinds))
+	for name, k := range faultKinds {
 		names = append(names, name)
-		what[name] = k.what
+		what[name] = k.description
 	}
 	slices.Sort(names)
 	return names, what
 }
 
-func (t Trouble) check(s *Scenario) error {
-	k, known := troubleKinds[t.Name]
-	names, _ := TroubleNames()
+func (t Fault) check(s *Scenario) error {
+	k, known := faultKinds[t.Name]
+	names, _ := FaultNames()
 	switch {
 	case !known:
 		return fmt.Errorf("name: there is no trouble %q; there are %s", t.Name, strings.Join(names, ", "))
-	case t.At < 0 || t.For < 0 || t.Extra < 0:
+	case t.Start < 0 || t.Duration < 0 || t.Extra < 0:
 		return fmt.Errorf("%s: at, for and extra must not be negative", t.Name)
-	case time.Duration(t.At) > maxLength || time.Duration(t.For) > maxLength || time.Duration(t.Extra) > maxLength:
+	case time.Duration(t.Start) > maxLength || time.Duration(t.Duration) > maxLength || time.Duration(t.Extra) > maxLength:
 		return fmt.Errorf("%s: at, for or extra is more than %v", t.Name, maxLength)
 	case !(t.Part >= 0 && t.Part <= 1):
 		return fmt.Errorf("%s: part is %g, it must lie between 0 and 1", t.Name, t.Part)
@@ -77,7 +77,7 @@
 		return fmt.Errorf("%s: size is %g, it must lie between %g and %g", t.Name, t.Size, k.least, k.most)
 	case t.Tenant != "" && s.tenant(t.Tenant) < 0:
 		return fmt.Errorf("%s: there is no tenant %q", t.Name, t.Tenant)
-	case t.Name == "no_advice" && !s.Advice:
+	case t.Name == "no_advice" && !s.OverloadAdvice:
 		return fmt.Errorf("%s: this scenario has no advice", t.Name)
 	case t.Zone < 0 || t.Zone >= len(s.Zones):
 		return fmt.Errorf("%s: zone is %d, there are %d", t.Name, t.Zone, len(s.Zones))
@@ -85,59 +85,59 @@
 	return nil
 }
 
-// struck picks the servers that a trouble befalls.
-func (s *Sim) struck(t *Trouble) (some []*Server) {
+// selectServers picks the servers that a trouble befalls.
+func (s *Sim) selectServers(t *Fault) (some []*Server) {
 	live := s.Live()
-	for _, i := range Befallen(s.luck, len(live), t.Part) {
+	for _, i := range PickShare(s.environment, len(live), t.Part) {
 		some = append(some, live[i])
 	}
 	return some
 }
 
-// change alters servers, each of which was as before up to now.
-func (s *Sim) change(some []*Server, do func(*Server)) {
+// updateServers alters servers, each of which was as before up to now.
+func (s *Sim) updateServers(some []*Server, do func(*Server)) {
 	for _, sv := range some {
-		s.touch(sv)
+		s.advanceServer(sv)
 		do(sv)
-		s.touch(sv)
+		s.advanceServer(sv)
 	}
 }
 
-// afflict changes some servers for a while.
-func (s *Sim) afflict(t *Trouble, change func(sv *Server, on bool)) func() {
-	some := s.struck(t)
-	s.change(some, func(sv *Server) { change(sv, true) })
-	return func() { s.change(some, func(sv *Server) { change(sv, false) }) }
+// updateWhile changes some servers for a while.
+func (s *Sim) updateWhile(t *Fault, change func(sv *Server, on bool)) func() {
+	some := s.selectServers(t)
+	s.updateServers(some, func(sv *Server) { change(sv, true) })
+	return func() { s.updateServers(some, func(sv *Server) { change(sv, false) }) }
 }
 
-func pick(on bool, yes, no float64) float64 {
+func choose(on bool, yes, no float64) float64 {
 	if on {
 		return yes
 	}
 	return no
 }
 
-func (s *Sim) slow(t *Trouble) func() {
-	return s.afflict(t, func(sv *Server, on bool) { sv.Slow = pick(on, t.Size, 1) })
+func (s *Sim) slow(t *Fault) func() {
+	return s.updateWhile(t, func(sv *Server, on bool) { sv.Slowdown = choose(on, t.Size, 1) })
 }
 
-func (s *Sim) fastErrors(t *Trouble) func() {
-	return s.afflict(t, func(sv *Server, on bool) { sv.Failing = pick(on, t.Size, 0) })
+func (s *Sim) fastErrors(t *Fault) func() {
+	return s.updateWhile(t, func(sv *Server, on bool) { sv.FailureShare = choose(on, t.Size, 0) })
 }
 
-func (s *Sim) vanish(t *Trouble) func() {
-	return s.afflict(t, func(sv *Server, on bool) { s.silence(sv, on) })
+func (s *Sim) vanish(t *Fault) func() {
+	return s.updateWhile(t, func(sv *Server, on bool) { s.disconnect(sv, on) })
 }
 
 // neighbour comes and goes, always at the same machines.
-func (s *Sim) neighbour(t *Trouble) func() {
-	some, on, over := s.struck(t), false, false
+func (s *Sim) neighbour(t *Fault) func() {
+	some, on, over := s.selectServers(t), false, false
 	var turn func()
 	turn = func() {
 		on = !on && !over
-		s.change(some, func(sv *Server) { sv.Neighbour = pick(on, t.Size, 0) })
+		s.updateServers(some, func(sv *Server) { sv.NeighbourShare = choose(on, t.Size, 0) })
 		if !over {
-			s.after(max(time.Duration(t.Extra), leastTurn), turn)
+			s.after(max(time.Duration(t.Extra), minNeighbourPeriod), turn)
 		}
 	}
 	turn()
@@ -147,21 +147,21 @@
 	}
 }
 
-// leastTurn is how fast a neighbour may come and go.
-const leastTurn = 100 * time.Millisecond
+// minNeighbourPeriod is how fast a neighbour may come and go.
+const minNeighbourPeriod = 100 * time.Millisecond
 
-// asked is a trouble of the arrivals alone: Arrivals sees to it.
-func (s *Sim) asked(*Trouble) func() { return nil }
+// arrivalsOnly is a trouble of the arrivals alone: Arrivals sees to it.
+func (s *Sim) arrivalsOnly(*Fault) func() { return nil }
 
-func (s *Sim) killServers(t *Trouble) func() {
-	dead := s.struck(t)
+func (s *Sim) killServers(t *Fault) func() {
+	dead := s.selectServers(t)
 	for _, sv := range dead {
 		s.kill(sv)
 	}
-	return func() { s.revive(dead) }
+	return func() { s.restartServers(dead) }
 }
 
-func (s *Sim) zoneLost(t *Trouble) func() {
+func (s *Sim) zoneLost(t *Fault) func() {
 	var dead []*Server
 	for _, sv := range s.Live() {
 		if sv.Zone == t.Zone {
@@ -169,75 +169,75 @@
 			s.kill(sv)
 		}
 	}
-	return func() { s.revive(dead) }
+	return func() { s.restartServers(dead) }
 }
 
-// SuccessorAfter is how long after its forerunner begins to drain a new server runs: it
+// SuccessorDelay is how long after its forerunner begins to drain a new server runs: it
 // takes its place, and has to start.
-const SuccessorAfter = time.Second
+const SuccessorDelay = time.Second
 
-// Step is when, since a trouble's begin, the nth of so many that it replaces has its
+// StepTime is when, since a trouble's begin, the nth of so many that it replaces has its
 // turn: in as many steps as its size says, or one by one.
-func (t Trouble) Step(n, of int) time.Duration {
+func (t Fault) StepTime(n, of int) time.Duration {
 	steps := of
 	if t.Size >= 1 {
 		steps = min(of, int(t.Size))
 	}
-	return time.Duration(float64(t.For) * float64(n*steps/of) / float64(steps))
+	return time.Duration(float64(t.Duration) * float64(n*steps/of) / float64(steps))
 }
 
 // replace drains servers step by step; each has a successor of the same zone and kind.
-func (s *Sim) replace(t *Trouble) func() {
-	some := s.struck(t)
+func (s *Sim) replace(t *Fault) func() {
+	some := s.selectServers(t)
 	for n, sv := range some {
-		s.after(t.Step(n, len(some)), func() {
-			s.touch(sv)
+		s.after(t.StepTime(n, len(some)), func() {
+			s.advanceServer(sv)
 			sv.Draining = true
 			s.list.changed(sv)
-			s.after(SuccessorAfter, func() { s.add(sv.Zone, sv.Kind, sv.Cell, sv.Speed) })
+			s.after(SuccessorDelay, func() { s.add(sv.Zone, sv.Kind, sv.Cell, sv.Speed) })
 			s.after(time.Duration(t.Extra), func() { s.kill(sv) })
 		})
 	}
 	return nil
 }
 
-func (s *Sim) partition(t *Trouble) func() {
-	s.cut[t.Zone]++
-	return func() { s.cut[t.Zone]-- }
+func (s *Sim) partition(t *Fault) func() {
+	s.partitioned[t.Zone]++
+	return func() { s.partitioned[t.Zone]-- }
 }
 
-func (s *Sim) listDown(*Trouble) func() {
-	s.list.fail()
+func (s *Sim) listDown(*Fault) func() {
+	s.list.takeDown()
 	return func() { s.list.down = false }
 }
 
-func (s *Sim) staleList(t *Trouble) func() {
-	s.list.later += time.Duration(t.Extra)
-	return func() { s.list.later -= time.Duration(t.Extra) }
+func (s *Sim) staleList(t *Fault) func() {
+	s.list.extraDelay += time.Duration(t.Extra)
+	return func() { s.list.extraDelay -= time.Duration(t.Extra) }
 }
 
-func (s *Sim) spoilt(t *Trouble) func() {
-	s.spoiltPart = t.Part
-	return func() { s.spoiltPart = 0 }
+func (s *Sim) malformedResponses(t *Fault) func() {
+	s.malformedShare = t.Part
+	return func() { s.malformedShare = 0 }
 }
 
-func (s *Sim) resets(t *Trouble) func() {
-	s.resetPart = t.Part
-	return func() { s.resetPart = 0 }
+func (s *Sim) resets(t *Fault) func() {
+	s.resetShare = t.Part
+	return func() { s.resetShare = 0 }
 }
 
-func (s *Sim) herd(t *Trouble) func() {
-	for _, i := range Befallen(s.luck, len(s.nodes), t.Part) {
+func (s *Sim) herd(t *Fault) func() {
+	for _, i := range PickShare(s.environment, len(s.nodes), t.Part) {
 		s.restart(s.nodes[i], time.Duration(t.Extra))
 	}
 	return nil
 }
 
-func (s *Sim) roll(t *Trouble) func() {
-	some := Befallen(s.luck, len(s.nodes), t.Part)
+func (s *Sim) roll(t *Fault) func() {
+	some := PickShare(s.environment, len(s.nodes), t.Part)
 	for n, i := range some {
 		node := s.nodes[i]
-		s.after(time.Duration(float64(t.For)*float64(n)/float64(len(some))), func() { s.leave(node, time.Duration(t.Extra)) })
+		s.after(time.Duration(float64(t.Duration)*float64(n)/float64(len(some))), func() { s.shutDown(node, time.Duration(t.Extra)) })
 	}
 	return nil
 }
--- a/internal/simulation/experiment/experiment.go
+++ b/internal/simulation/experiment/experiment.go
@@ -28,13 +28,13 @@
 
 // Plan is what an experiment file says.
 type Plan struct {
-	Name      string        `toml:"name"`
-	Scenarios []string      `toml:"scenarios"` // names, or files ending in .toml
-	Seeds     []uint64      `toml:"seeds"`
-	Sidecars  int           `toml:"sidecars"` // of the scenarios that have a name
-	Servers   int           `toml:"servers"`
-	Length    emulator.Span `toml:"length"` // stretches them; 0: as they are
-	Variants  []Variant     `toml:"variants"`
+	Name      string            `toml:"name"`
+	Scenarios []string          `toml:"scenarios"` // names, or files ending in .toml
+	Seeds     []uint64          `toml:"seeds"`
+	Sidecars  int               `toml:"sidecars"` // of the scenarios that have a name
+	Servers   int               `toml:"servers"`
+	Length    emulator.Duration `toml:"length"` // stretches them; 0: as they are
+	Variants  []Variant         `toml:"variants"`
 
 	scenarios []*emulator.Scenario
 }
@@ -74,7 +74,7 @@
 
 // Parse reads an experiment; scenario files are found in folder.
 func Parse(text []byte, folder string) (*Plan, error) {
-	p := &Plan{Sidecars: emulator.Base().Sidecars, Servers: emulator.Base().Servers}
+	p := &Plan{Sidecars: emulator.DefaultScenario().Sidecars, Servers: emulator.DefaultScenario().Servers}
 	if err := configfile.TOML(text, p); err != nil {
 		return nil, err
 	}
@@ -147,7 +147,7 @@
 	if err != nil {
 		return nil, err
 	}
-	changed, err := emulator.Read(bytes.NewReader(whole))
+	changed, err := emulator.ReadScenario(bytes.NewReader(whole))
 	if err != nil {
 		return nil, err
 	}
@@ -278,10 +278,10 @@
 		}
 		return r, err
 	}
-	return run(ctx, sc, seed, emulator.Balancer)
+	return run(ctx, sc, seed, emulator.NewBalancer)
 }
 
-func run(ctx context.Context, sc *emulator.Scenario, seed uint64, decide emulator.Make) (*emulator.Record, error) {
+func run(ctx context.Context, sc *emulator.Scenario, seed uint64, decide emulator.DeciderFactory) (*emulator.Record, error) {
 	s, err := emulator.NewSim(sc, seed, decide)
 	if err != nil {
 		return nil, err
--- a/internal/simulation/remoteadapter/remote.go
+++ b/internal/simulation/remoteadapter/remote.go
@@ -87,7 +87,7 @@
 func (a *Adapter) Err() error { return a.err }
 
 // NewDecider makes a Decider that asks the adapter.
-func (a *Adapter) NewDecider(b emulator.Begin) (emulator.Decider, error) {
+func (a *Adapter) NewDecider(b emulator.DeciderOptions) (emulator.Decider, error) {
 	if b.Config.Slots > 0 {
 		return nil, errors.New("slots cannot be said on the simulator's wire: only a module of this program can be given them")
 	}
--- a/internal/simulation/remoteadapter/remote_test.go
+++ b/internal/simulation/remoteadapter/remote_test.go
@@ -23,7 +23,7 @@
 	return sc
 }
 
-func play(t *testing.T, sc *emulator.Scenario, decide emulator.Make) string {
+func play(t *testing.T, sc *emulator.Scenario, decide emulator.DeciderFactory) string {
 	t.Helper()
 	s, err := emulator.NewSim(sc, 5, decide)
 	if err != nil {
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(r.Broken) > 0 || r.ServedAll == 0 {
+	if len(r.ViolationTexts) > 0 || r.ServedRequests == 0 {
 		t.Errorf("%s", r.Line())
 	}
 	text, err := json.Marshal(r)
@@ -75,7 +75,7 @@
 			if a.Err() != nil {
 				t.Fatal(a.Err())
 			}
-			if here := play(t, day(t, name), emulator.Balancer); here != over {
+			if here := play(t, day(t, name), emulator.NewBalancer); here != over {
 				t.Error("the day differs on the wire")
 			}
 		})
--- a/internal/simulation/report/report.go
+++ b/internal/simulation/report/report.go
@@ -105,8 +105,8 @@
 		lines       []line
 	}{
 		{"Worth asked for and served", "worth a second", []line{
-			{"asked", func(w *emulator.Window) float64 { return w.Part.Asked }},
-			{"served", func(w *emulator.Window) float64 { return w.Got }},
+			{"asked", func(w *emulator.Window) float64 { return w.WeightShare.Requested }},
+			{"served", func(w *emulator.Window) float64 { return w.Served }},
 		}},
 		{"Refused, failed, late", "requests a second", []line{
 			{"refused", func(w *emulator.Window) float64 { return float64(w.Refused) }},
@@ -114,8 +114,8 @@
 			{"late", func(w *emulator.Window) float64 { return float64(w.Late) }},
 		}},
 		{"What the fleet did to itself", "a second", []line{
-			{"sends again", func(w *emulator.Window) float64 { return float64(w.Fleet.AgainAll()) }},
-			{"turned away", func(w *emulator.Window) float64 { return float64(w.Fleet.TurnedAway) }},
+			{"sends again", func(w *emulator.Window) float64 { return float64(w.Fleet.TotalRetries()) }},
+			{"turned away", func(w *emulator.Window) float64 { return float64(w.Fleet.Rejected) }},
 			{"probes", func(w *emulator.Window) float64 { return float64(w.Fleet.Probes) }},
 			{"handshakes", func(w *emulator.Window) float64 { return float64(w.Fleet.Handshakes) }},
 			{"calls for the list that failed", func(w *emulator.Window) float64 { return float64(w.Fleet.ListFailed) }},
@@ -198,8 +198,8 @@
 		p.Legend.Add(l.name, curve)
 	}
 	p.Y.Max = most * 1.3 // room for the legend
-	for _, t := range r.Troubles {
-		from, to := time.Duration(t.At).Seconds(), (time.Duration(t.At) + time.Duration(t.For)).Seconds()
+	for _, t := range r.Faults {
+		from, to := time.Duration(t.Start).Seconds(), (time.Duration(t.Start) + time.Duration(t.Duration)).Seconds()
 		to = min(max(to, from+r.Length.Seconds()/200), r.Length.Seconds()) // at least a stroke
 		if from >= to {
 			continue
--- a/internal/testing/localfleet/bad.go
+++ b/internal/testing/localfleet/bad.go
@@ -31,11 +31,11 @@
 }
 
 // annoy lets bad clients come to each sidecar until the trouble is over or ctx ends.
-func (l *lab) annoy(ctx context.Context, t emulator.Trouble) error {
+func (l *lab) annoy(ctx context.Context, t emulator.Fault) error {
 	if t.Size <= 0 {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(t.For))
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(t.Duration))
 	defer cancel()
 	var all sync.WaitGroup
 	defer all.Wait()
@@ -59,14 +59,14 @@
 	_, _ = io.WriteString(conn, text) // a close meanwhile is one of the answers it is owed
 	answer, err := io.ReadAll(io.LimitReader(conn, maxBody))
 	l.count(func(r *emulator.Record) {
-		r.Bad++
+		r.MalformedClients++
 		if errors.Is(err, os.ErrDeadlineExceeded) && len(answer) == 0 {
-			r.BadWaiting++
+			r.MalformedUnanswered++
 		}
 	})
 	if strings.HasPrefix(string(answer), "HTTP/1.1 2") {
 		l.mu.Lock()
-		l.check.ServedBad(l.now(), fmt.Sprintf("%.40q", text))
+		l.check.MalformedServed(l.now(), fmt.Sprintf("%.40q", text))
 		l.mu.Unlock()
 	}
 }
--- a/internal/testing/localfleet/booking.go
+++ b/internal/testing/localfleet/booking.go
@@ -56,14 +56,14 @@
 	born := int64(0)
 	if cold {
 		b.sv.Start(b.lab.now())
-		b.lab.started(b.sv.Index, b.sv.Born)
+		b.lab.started(b.sv.Index, b.sv.StartedAt)
 		born = time.Now().UnixMilli()
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("/stats", b.stats)
 	mux.HandleFunc("/health/live", b.stats)
 	mux.HandleFunc("/", b.serve)
-	b.http = &http.Server{Handler: mux, ReadHeaderTimeout: headIn, IdleTimeout: time.Duration(b.lab.sc.Network.IdleFor), ConnState: b.connection}
+	b.http = &http.Server{Handler: mux, ReadHeaderTimeout: headIn, IdleTimeout: time.Duration(b.lab.sc.Network.IdleTimeout), ConnState: b.connection}
 	server, left := b.http, b.left
 	b.mu.Unlock()
 	b.over.Go(func() { _ = server.Serve(ln) }) // it ends when the server is closed
@@ -93,13 +93,13 @@
 	case http.StateNew:
 		b.lab.count(func(r *emulator.Record) { r.Handshakes++ })
 		b.settle(b.sv.Advance(b.lab.now()))
-		if !b.sv.Connect(time.Duration(b.lab.sc.Network.Handshake)) {
+		if !b.sv.Connect(time.Duration(b.lab.sc.Network.HandshakeWork)) {
 			b.full[conn] = true
 			_ = conn.Close() // it is refused, and need not be told
 		}
 	case http.StateClosed, http.StateHijacked:
 		if !b.full[conn] {
-			b.sv.Open = max(0, b.sv.Open-1)
+			b.sv.OpenConnections = max(0, b.sv.OpenConnections-1)
 		}
 		delete(b.full, conn)
 	}
@@ -198,7 +198,7 @@
 	b.mu.Lock()
 	b.settle(b.sv.Advance(b.lab.now()))
 	r := b.sv.Probe(b.lab.now())
-	silent := b.sv.Silent
+	silent := b.sv.Unreachable
 	b.mu.Unlock()
 	if silent {
 		<-b.quit
@@ -227,14 +227,14 @@
 	}
 	v := &visit{make(chan *emulator.Job, 1)}
 	j := &emulator.Job{Work: try.call.Work, Key: try.call.Key, Deadline: try.deadline, Owner: v}
-	if c := b.lab.sc.Classes[try.call.Class]; c.Effect == "keyed" {
-		j.Repeat, j.Window = uint64(try.id), time.Duration(c.Window)
+	if c := b.lab.sc.Classes[try.call.Class]; c.Idempotency == "keyed" {
+		j.Repeat, j.Window = uint64(try.id), time.Duration(c.DedupWindow)
 	}
 	b.mu.Lock()
-	silent := b.sv.Silent
+	silent := b.sv.Unreachable
 	now := b.lab.now()
 	n := b.lab.sent(try, b.sv, now)
-	verdict := emulator.Taken
+	verdict := emulator.Accepted
 	if !silent {
 		b.settle(b.sv.Advance(now))
 		verdict = b.sv.Arrive(now, j)
@@ -245,12 +245,12 @@
 	case silent:
 		<-b.quit // nothing is said, and the connection stays
 		return
-	case verdict == emulator.Away:
+	case verdict == emulator.Rejected:
 		b.lab.ended(try, n, false)
-		b.lab.count(func(r *emulator.Record) { r.TurnedAway++ })
+		b.lab.count(func(r *emulator.Record) { r.Rejected++ })
 		b.turnAway(w)
 		return
-	case verdict == emulator.Nobody:
+	case verdict == emulator.NotRunning:
 		panic(http.ErrAbortHandler) // pushed over: the connection breaks
 	}
 	spoilt, reset := b.lab.harm()
--- a/internal/testing/localfleet/lab.go
+++ b/internal/testing/localfleet/lab.go
@@ -96,7 +96,7 @@
 	case rate > maxRate:
 		return fmt.Errorf("lab: load and servers make %.0f requests a second, %d at most", rate, maxRate)
 	}
-	for i, t := range sc.Troubles {
+	for i, t := range sc.Faults {
 		if t.Name == "stale_list" && time.Duration(t.Extra) > mostStale {
 			return fmt.Errorf("lab: troubles[%d]: stale_list: extra is %v, %v at most: a watch that is silent for longer is opened again", i, time.Duration(t.Extra), mostStale)
 		}
@@ -153,7 +153,7 @@
 }
 
 // now is the model's time.
-func (l *lab) now() time.Duration { return emulator.Dawn + time.Since(l.began) }
+func (l *lab) now() time.Duration { return emulator.StartTime + time.Since(l.began) }
 
 // fail notes what the lab itself could not do.
 func (l *lab) fail(err error) {
@@ -295,7 +295,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i := range l.sidecars {
-		l.check.Told(l.now(), i, server, true, born)
+		l.check.EndpointNotified(l.now(), i, server, true, born)
 	}
 }
 
@@ -382,7 +382,7 @@
 			b.mu.Lock()
 			waiting, capacity := b.sv.State(now)
 			b.mu.Unlock()
-			l.count(func(r *emulator.Record) { r.Sample(now-emulator.Dawn-l.day, b.sv.Zone, waiting, capacity) })
+			l.count(func(r *emulator.Record) { r.Sample(now-emulator.StartTime-l.day, b.sv.Zone, waiting, capacity) })
 		}
 		if progress != nil {
 			l.count(progress)
@@ -406,13 +406,13 @@
 func (l *lab) sent(t *try, sv *emulator.Server, now time.Duration) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.check.Sent(now, t.id, sv.Index)
+	l.check.AttemptSent(now, t.id, sv.Index)
 	l.rec.Sends++
 	if l.sc.ZoneOf(t.call.Sidecar) != sv.Zone {
-		l.rec.Crossed++
+		l.rec.CrossZoneSends++
 	}
-	if capacity := sv.Cold(now); capacity > 0 {
-		l.check.Reached(now, t.call.Sidecar, sv.Index, sv.Born, t.call.Work, capacity)
+	if capacity := sv.ColdCapacity(now); capacity > 0 {
+		l.check.ColdServerReached(now, t.call.Sidecar, sv.Index, sv.StartedAt, t.call.Work, capacity)
 	}
 	t.sends++
 	return t.sends - 1
@@ -421,7 +421,7 @@
 func (l *lab) ended(t *try, n int, ran bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.check.Ended(t.id, n, ran)
+	l.check.AttemptEnded(t.id, n, ran)
 }
 
 // harm says what a trouble does to the request at hand.
@@ -450,24 +450,24 @@
 		l.mu.Unlock()
 		return // a client goes and comes with its sidecar
 	}
-	l.rec.Asked(c)
+	l.rec.AddRequest(c)
 	l.mu.Unlock()
 	refusedOnly, cause := true, "failed"
 	for n := 1; ; n++ {
-		left := time.Duration(float64(time.Duration(class.Deadline)-time.Since(began)) * l.sc.Clients.TryShare)
+		left := time.Duration(float64(time.Duration(class.Deadline)-time.Since(began)) * l.sc.Clients.AttemptShare)
 		if left < time.Millisecond {
 			break
 		}
 		out, gone := l.once(s, c, left)
 		took := time.Since(began)
 		if gone {
-			l.count(func(r *emulator.Record) { r.Left(c) })
+			l.count(func(r *emulator.Record) { r.AddAbandoned(c) })
 			return
 		}
 		a := emulator.AnswerFailed
 		switch out.Outcome {
 		case loadgen.Served:
-			l.count(func(r *emulator.Record) { r.Served(c, took, "late") })
+			l.count(func(r *emulator.Record) { r.AddServed(c, took, "late") })
 			return
 		case loadgen.Refused:
 			a = emulator.AnswerRefused
@@ -475,12 +475,12 @@
 		if cause = out.Outcome.String(); a != emulator.AnswerRefused {
 			refusedOnly = false
 		}
-		if !class.Again(a) || n > l.sc.Clients.Retries {
+		if !class.RetriesAfter(a) || n > l.sc.Clients.Retries {
 			break
 		}
-		time.Sleep(l.sc.Clients.Wait(n, out.Pause, time.Duration(l.sc.Rules.RetryAfter), mood))
+		time.Sleep(l.sc.Clients.RetryDelay(n, out.Pause, time.Duration(l.sc.Rules.RetryAfter), mood))
 	}
-	l.count(func(r *emulator.Record) { r.Unserved(c, refusedOnly, time.Since(began), cause) })
+	l.count(func(r *emulator.Record) { r.AddUnserved(c, refusedOnly, time.Since(began), cause) })
 }
 
 // once makes one try, and says whether the client has gone with its sidecar.
@@ -495,13 +495,13 @@
 	t := &try{id: l.nextID, call: c, deadline: l.now() + left}
 	name := fmt.Sprintf("%016x", uint64(t.id)*0x9e3779b97f4a7c15) // any names will do, if no two are the same
 	l.tries[name] = t
-	l.check.Asked(t.id, s.index, c.Class, t.deadline)
-	l.rec.Tries++
+	l.check.RequestReceived(t.id, s.index, c.Class, t.deadline)
+	l.rec.ClientAttempts++
 	l.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), left+emulator.SocketSlack)
 	defer cancel()
 	out = s.client.Do(ctx, loadgen.Ask{
-		ID: name, Class: class.Name, Effect: loadgen.Effect(class.Effect), Tenant: l.sc.Tenants[c.Tenant].Name, Key: fmt.Sprint(c.Key), Timeout: left, Hint: c.Hint,
+		ID: name, Class: class.Name, Effect: loadgen.Effect(class.Idempotency), Tenant: l.sc.Tenants[c.Tenant].Name, Key: fmt.Sprint(c.Key), Timeout: left, Hint: c.Hint,
 	}, nil)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -509,12 +509,12 @@
 	now := l.now()
 	switch {
 	case out.Outcome == loadgen.Lost && !s.up:
-		l.check.Left(t.id)
+		l.check.ClientGone(t.id)
 		return out, true
 	case out.Outcome == loadgen.Lost:
 		l.check.Overdue(now, t.id)
 	case out.Outcome == loadgen.Served && string(out.Body) != answerTo(name):
-		l.check.Wrong(now, t.id)
+		l.check.WrongResponse(now, t.id)
 	default:
 		l.check.Answered(now, t.id, map[loadgen.Outcome]emulator.Answer{loadgen.Served: emulator.AnswerServed, loadgen.Refused: emulator.AnswerRefused, loadgen.Failed: emulator.AnswerFailed}[out.Outcome])
 	}
--- a/internal/testing/localfleet/lab_test.go
+++ b/internal/testing/localfleet/lab_test.go
@@ -88,13 +88,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if len(r.Broken) > 0 || r.Judged.Answers < 100 || r.Judged.Sends < 100 || r.ServedAll < r.Requests/3 {
-				t.Errorf("%s\n%+v", r.Line(), r.Judged)
+			if len(r.ViolationTexts) > 0 || r.Checked.Answers < 100 || r.Checked.Sends < 100 || r.ServedRequests < r.Requests/3 {
+				t.Errorf("%s\n%+v", r.Line(), r.Checked)
 			}
 			if r.Windows[1].Capacity == nil || r.Probes == 0 || r.Handshakes == 0 || told == 0 {
 				t.Errorf("the record is not whole: %+v", r)
 			}
-			if name == "split" && r.Crossed == 0 {
+			if name == "split" && r.CrossZoneSends == 0 {
 				t.Error("nothing went between zones: the partition cut nothing")
 			}
 			if name == "herd" && r.Restarts == 0 {
@@ -111,13 +111,13 @@
 		t.Skip("it starts processes")
 	}
 	o := options(t, "calm", 4*time.Second)
-	o.Scenario.Troubles = []emulator.Trouble{{Name: "bad_clients", For: emulator.Span(4 * time.Second), Size: 15}}
+	o.Scenario.Faults = []emulator.Fault{{Name: "bad_clients", Duration: emulator.Duration(4 * time.Second), Size: 15}}
 	r, err := Run(t.Context(), o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Bad < 2*len(nonsense) || r.BadWaiting > 0 || len(r.Broken) > 0 || r.ServedAll < r.Requests*9/10 {
-		t.Errorf("%d bad clients, %d without a word; %s", r.Bad, r.BadWaiting, r.Line())
+	if r.MalformedClients < 2*len(nonsense) || r.MalformedUnanswered > 0 || len(r.ViolationTexts) > 0 || r.ServedRequests < r.Requests*9/10 {
+		t.Errorf("%d bad clients, %d without a word; %s", r.MalformedClients, r.MalformedUnanswered, r.Line())
 	}
 	nothingLeft(t)
 }
@@ -129,12 +129,12 @@
 	o := options(t, "slow", time.Minute)
 	ctx, cancel := context.WithCancel(t.Context())
 	o.Progress = func(r *emulator.Record) {
-		if r.ServedAll > 20 {
+		if r.ServedRequests > 20 {
 			cancel()
 		}
 	}
 	r, err := Run(ctx, o)
-	if !errors.Is(err, context.Canceled) || r == nil || !r.Partial || r.ServedAll < 20 {
+	if !errors.Is(err, context.Canceled) || r == nil || !r.Partial || r.ServedRequests < 20 {
 		t.Errorf("%v, %+v", err, r)
 	}
 	nothingLeft(t)
@@ -160,7 +160,7 @@
 	nothingLeft(t)
 	for want, change := range map[string]func(*emulator.Scenario){
 		"2.5s at most": func(sc *emulator.Scenario) {
-			sc.Troubles = []emulator.Trouble{{Name: "stale_list", Extra: emulator.Span(3 * time.Second)}}
+			sc.Faults = []emulator.Fault{{Name: "stale_list", Extra: emulator.Duration(3 * time.Second)}}
 		},
 		"sidecars is 100": func(sc *emulator.Scenario) { sc.Sidecars = 100 },
 		"servers is 500":  func(sc *emulator.Scenario) { sc.Servers = 500 },
--- a/internal/testing/localfleet/links.go
+++ b/internal/testing/localfleet/links.go
@@ -49,7 +49,7 @@
 // list gives a sidecar addresses for the list's replicas.
 func (k *links) list(sidecar int, replicas []string) (addrs []string, err error) {
 	partitions := false
-	for _, t := range k.lab.sc.Troubles {
+	for _, t := range k.lab.sc.Faults {
 		partitions = partitions || t.Name == "partition"
 	}
 	for i, r := range replicas {
--- a/internal/testing/localfleet/trouble.go
+++ b/internal/testing/localfleet/trouble.go
@@ -14,10 +14,10 @@
 // ends; then all are undone. It returns when they have ended.
 func (l *lab) trouble(ctx context.Context) {
 	var all sync.WaitGroup
-	for i := range l.sc.Troubles {
-		t := l.sc.Troubles[i]
+	for i := range l.sc.Faults {
+		t := l.sc.Faults[i]
 		all.Go(func() {
-			if !sleep(ctx, time.Duration(t.At)) {
+			if !sleep(ctx, time.Duration(t.Start)) {
 				return
 			}
 			undo, err := l.begin(ctx, t)
@@ -25,7 +25,7 @@
 				l.fail(fmt.Errorf("trouble %s: %w", t.Name, err))
 				return
 			}
-			sleep(ctx, time.Duration(t.For))
+			sleep(ctx, time.Duration(t.Duration))
 			if undo != nil && ctx.Err() == nil {
 				if err := undo(); err != nil {
 					l.fail(fmt.Errorf("end of trouble %s: %w", t.Name, err))
@@ -63,14 +63,14 @@
 	live := l.live()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, i := range emulator.Befallen(l.luck, len(live), part) {
+	for _, i := range emulator.PickShare(l.luck, len(live), part) {
 		some = append(some, live[i])
 	}
 	return some
 }
 
 // begin begins a trouble, and returns what ends it.
-func (l *lab) begin(ctx context.Context, t emulator.Trouble) (undo func() error, err error) {
+func (l *lab) begin(ctx context.Context, t emulator.Fault) (undo func() error, err error) {
 	set := func(change func(sv *emulator.Server, on bool)) (func() error, error) {
 		some := l.some(t.Part)
 		each := func(on bool) error {
@@ -83,13 +83,13 @@
 	}
 	switch t.Name {
 	case "slow":
-		return set(func(sv *emulator.Server, on bool) { sv.Slow = choose(on, t.Size, 1) })
+		return set(func(sv *emulator.Server, on bool) { sv.Slowdown = choose(on, t.Size, 1) })
 	case "fast_errors":
-		return set(func(sv *emulator.Server, on bool) { sv.Failing = choose(on, t.Size, 0) })
+		return set(func(sv *emulator.Server, on bool) { sv.FailureShare = choose(on, t.Size, 0) })
 	case "neighbour":
-		return set(func(sv *emulator.Server, on bool) { sv.Neighbour = choose(on, t.Size, 0) })
+		return set(func(sv *emulator.Server, on bool) { sv.NeighbourShare = choose(on, t.Size, 0) })
 	case "vanish":
-		return set(func(sv *emulator.Server, on bool) { sv.Silent = on })
+		return set(func(sv *emulator.Server, on bool) { sv.Unreachable = on })
 	case "kill":
 		return l.killed(l.some(t.Part)), nil
 	case "zone_lost":
@@ -117,7 +117,7 @@
 	case "herd":
 		return nil, l.restart(ctx, t, 0, (*member).killed)
 	case "roll":
-		return nil, l.restart(ctx, t, time.Duration(t.For), (*member).stop)
+		return nil, l.restart(ctx, t, time.Duration(t.Duration), (*member).stop)
 	}
 	return nil, nil // of the arrivals alone
 }
@@ -147,7 +147,7 @@
 func (l *lab) killed(some []*booking) (undo func() error) {
 	for _, b := range some {
 		b.kill()
-		b.goneAfter(time.Duration(l.sc.List.Notice))
+		b.goneAfter(time.Duration(l.sc.List.RemovalDelay))
 	}
 	return func() error {
 		for _, b := range some {
@@ -161,11 +161,11 @@
 }
 
 // replace drains servers step by step; each has a successor of the same kind.
-func (l *lab) replace(ctx context.Context, t emulator.Trouble) error {
+func (l *lab) replace(ctx context.Context, t emulator.Fault) error {
 	some := l.some(t.Part)
 	began := time.Now()
 	for n, b := range some {
-		if !sleep(ctx, t.Step(n, len(some))-time.Since(began)) {
+		if !sleep(ctx, t.StepTime(n, len(some))-time.Since(began)) {
 			return nil
 		}
 		if _, err := l.registry.Mark(ctx, registry.MarkRequest{Hosts: []string{b.name}, MarkedBy: "lab", Draining: true}); err != nil {
@@ -176,11 +176,11 @@
 		}
 		l.told(b.sv)
 		l.tasks.Go(func() {
-			if !sleep(ctx, emulator.SuccessorAfter) {
+			if !sleep(ctx, emulator.SuccessorDelay) {
 				return
 			}
 			l.mu.Lock()
-			next := l.fleet.Place(b.sv.Zone, b.sv.Kind, b.sv.Cell, b.sv.Speed, l.now())
+			next := l.fleet.AddServer(b.sv.Zone, b.sv.Kind, b.sv.Cell, b.sv.Speed, l.now())
 			l.mu.Unlock()
 			if err := l.addServer(next, true); err != nil {
 				l.fail(err)
@@ -202,15 +202,15 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i := range l.sidecars {
-		l.check.Told(l.now(), i, server.Index, false, server.Born)
+		l.check.EndpointNotified(l.now(), i, server.Index, false, server.StartedAt)
 	}
 }
 
 // restart ends a part of the sidecars, one after the other over a time, each by end;
 // each is back after the trouble's extra.
-func (l *lab) restart(ctx context.Context, t emulator.Trouble, over time.Duration, end func(*member) error) error {
+func (l *lab) restart(ctx context.Context, t emulator.Fault, over time.Duration, end func(*member) error) error {
 	l.mu.Lock()
-	some := emulator.Befallen(l.luck, len(l.sidecars), t.Part)
+	some := emulator.PickShare(l.luck, len(l.sidecars), t.Part)
 	l.mu.Unlock()
 	var all sync.WaitGroup
 	errs := make([]error, len(some))
@@ -242,7 +242,7 @@
 		return err
 	}
 	l.mu.Lock()
-	l.check.Killed(s.index)
+	l.check.SidecarKilled(s.index)
 	l.mu.Unlock()
 	if !sleep(ctx, down) {
 		return nil
