--- a/internal/registry/client/errors.go
+++ b/internal/registry/client/errors.go
@@ -7,34 +7,27 @@
 	"barleywick/internal/registry"
 )
 
-// Error is a registry's plain refusal. It is final: the same call gets it again.
+// Error is a refusal by the registry. It is final: the same call gets it again.
 type Error struct {
-	Status  int
-	Message string
-	Version uint64 // what the entry or record is at, where the registry says so
+	Status  int    // of the HTTP response
+	Message string // one line
+	Version uint64 // of the entry or record, where the registry says so
 }
 
+// Error returns the registry's message.
 func (e *Error) Error() string { return e.Message }
 
-// Is lets callers ask with errors.Is for the registry's own errors.
+// Is lets callers ask with errors.Is for the errors of package registry. A status tells
+// less than they do: 409 is both ErrConflict and ErrHostTaken.
 func (e *Error) Is(target error) bool {
-	switch target {
-	case registry.ErrConflict, registry.ErrHostTaken:
-		return e.Status == http.StatusConflict
-	case registry.ErrLeaseHeld:
-		return e.Status == http.StatusLocked
-	case registry.ErrClaimEnded:
-		return e.Status == http.StatusGone
-	case registry.ErrFenced:
-		return e.Status == http.StatusPreconditionFailed
-	case registry.ErrNotFound:
-		return e.Status == http.StatusNotFound
-	case registry.ErrLimitReached:
-		return e.Status == http.StatusInsufficientStorage
-	case registry.ErrInvalid:
-		return e.Status == http.StatusBadRequest || e.Status == http.StatusRequestEntityTooLarge
+	status, ok := registry.HTTPStatus(target)
+	if !ok {
+		return false
 	}
-	return false
+	if status == http.StatusBadRequest && e.Status == http.StatusRequestEntityTooLarge {
+		return true
+	}
+	return e.Status == status
 }
 
 // ErrUnreachable says that no replica could do what was asked in time. What was
