--- a/internal/sidecar/client_admission.go
+++ b/internal/sidecar/client_admission.go
@@ -6,20 +6,33 @@
 	"net"
 	"net/netip"
 	"os"
+	"slices"
 	"time"
 
 	"barleywick/internal/admission"
 )
 
+const (
+	// firstByteGrace is how long a new connection does not count as silent: its first bytes may be
+	// on their way.
+	firstByteGrace = 50 * time.Millisecond
+	// wholeRequestGrace is how long a request may take to arrive whole while others wait for admission.
+	wholeRequestGrace = 200 * time.Millisecond
+	// maxAdmissionWait is how long a connection may wait for admission before it is refused: longer
+	// than any grace period, and short compared with a client's timeout.
+	maxAdmissionWait = 500 * time.Millisecond
+)
+
+// waitingConn is an accepted connection that waits for admission.
 type waitingConn struct {
 	conn  *clientConn
 	addr  netip.Addr
 	since time.Time
 }
 
-// enqueue finds a place for a new connection, or lets it wait. Where as many wait
-// as may, and a place must come free within a grace, it holds up those behind it
-// in the kernel's queue; else the one whose client has the most is refused.
+// enqueue admits a new connection or lets it wait. When too many wait, and one that is admitted must
+// come free within a grace period, enqueue blocks, which leaves later connections in the kernel's
+// backlog. Otherwise it refuses one of the largest holder.
 func (l *limitedListener) enqueue(c *clientConn) {
 	addr := c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
 	l.mu.Lock()
@@ -34,18 +47,22 @@
 	l.waiting = append(l.waiting, &waitingConn{conn: c, addr: addr, since: c.acceptedAt})
 	l.admitWaitingLocked(c.acceptedAt)
 	for len(l.waiting) > l.limits.Waiting && !l.closed {
-		worst := l.largestHolderLocked()
-		atItsLimit := l.limits.PerAddress < l.limits.Total && l.table.OpenFrom(l.waiting[worst].addr) >= l.limits.PerAddress
-		if atItsLimit || l.backlogOnly || l.table.NextOverdue().IsZero() {
-			l.refuseLocked(worst)
+		largest := l.largestHolderLocked()
+		if l.atAddressLimitLocked(l.waiting[largest].addr) || l.backlogOnly || l.table.NextOverdue().IsZero() {
+			l.refuseLocked(largest)
 			continue
 		}
 		l.waitingChanged.Wait()
 	}
 }
 
-// admitWaitingLocked gives places to those that wait, refuses those that have waited
-// too long, and sees to it that it is called again in time.
+// atAddressLimitLocked reports whether addr has all connections that one address may have.
+func (l *limitedListener) atAddressLimitLocked(addr netip.Addr) bool {
+	return l.limits.PerAddress < l.limits.Total && l.table.OpenFrom(addr) >= l.limits.PerAddress
+}
+
+// admitWaitingLocked admits waiting connections while it can, refuses those that have waited too
+// long, and arms the timer for its next call.
 func (l *limitedListener) admitWaitingLocked(now time.Time) {
 	if l.closed || len(l.waiting) == 0 {
 		return
@@ -61,23 +78,24 @@
 	if len(l.waiting) == 0 {
 		return
 	}
-	at := l.waiting[0].since.Add(maxAdmissionWait)
-	if by := l.table.NextOverdue(); !by.IsZero() && by.Before(at) {
-		at = by
+	next := l.waiting[0].since.Add(maxAdmissionWait)
+	if overdue := l.table.NextOverdue(); !overdue.IsZero() && overdue.Before(next) {
+		next = overdue
 	}
-	// Not at once, even if that has passed: somebody is overdue who could not be closed.
-	l.waitTimer.Reset(max(time.Until(at), time.Millisecond))
+	// A time that has passed is not tried again at once: the overdue connection could not be closed.
+	l.waitTimer.Reset(max(time.Until(next), time.Millisecond))
 }
 
-// nextAdmissibleLocked makes room for one of those that wait and returns which, or -1: the one
-// whose client holds the least, and of those the first.
+// nextAdmissibleLocked evicts a connection, if necessary, for one of the waiting ones, and returns the
+// index of that one, or -1 if none can be admitted. It tries the address with the fewest connections
+// first, and of an address the longest waiting.
 func (l *limitedListener) nextAdmissibleLocked(now time.Time) int {
 	tried := make(map[netip.Addr]bool, len(l.waiting))
 	for range l.waiting {
-		best, least := -1, 0
+		best, fewest := -1, 0
 		for i, w := range l.waiting {
-			if held := l.table.OpenFrom(w.addr); !tried[w.addr] && (best < 0 || held < least) {
-				best, least = i, held
+			if open := l.table.OpenFrom(w.addr); !tried[w.addr] && (best < 0 || open < fewest) {
+				best, fewest = i, open
 			}
 		}
 		if best < 0 {
@@ -91,51 +109,51 @@
 	return -1
 }
 
-// evictForLocked says whether a connection from addr may have a place now, and closes
-// the one that has to give its own up for it.
+// evictForLocked reports whether a connection from addr may be admitted now, after it has evicted the
+// one that has to make way.
 func (l *limitedListener) evictForLocked(addr netip.Addr, now time.Time) bool {
 	for {
 		verdict, victim := l.table.Decide(addr, now)
-		switch {
-		case verdict == admission.Admit:
+		switch verdict {
+		case admission.Admit:
 			return true
-		case verdict == admission.Wait:
+		case admission.Wait:
 			return false
 		}
-		if counter, ok := l.evictLocked(victim, now); ok {
+		if counter, evicted := l.evictLocked(victim, now); evicted {
 			*counter++
 		}
 	}
 }
 
-// evictLocked closes a connection for another's sake, if it proves to be as useless as
-// the table holds it to be. Either way the table knows more of it afterwards.
-func (l *limitedListener) evictLocked(p *admission.Conn[*clientConn], now time.Time) (counter *uint64, closed bool) {
-	c := p.Owner
-	if p.Silent() && !isIdleSocket(c.TCPConn) {
-		l.table.FirstByteRead(p, now) // whoever waits for its first byte has not run yet
+// evictLocked closes a connection so that another can be admitted. It does not if the connection
+// proves to be in use; the table knows that afterwards. counter is the one for the victim's state.
+func (l *limitedListener) evictLocked(victim *admission.Conn[*clientConn], now time.Time) (counter *uint64, evicted bool) {
+	c := victim.Owner
+	if victim.Silent() && !isIdleSocket(c.TCPConn) {
+		l.table.FirstByteRead(victim, now) // awaitFirstByte has not noticed it yet
 		return nil, false
 	}
-	if counter = &l.count.GivenUpSilent; p.Idle() {
+	if counter = &l.count.GivenUpSilent; victim.Idle() {
 		counter = &l.count.GivenUpIdle
 	}
-	state, owed := c.closeIdle(!p.Idle())
+	state, refusalOwed := c.closeIdle(!victim.Idle())
 	switch state {
 	case connBusy:
-		l.table.RequestStarted(p, now) // a moment ago
+		l.table.RequestStarted(victim, now) // a moment ago
 		return nil, false
 	case connIdle:
-		l.table.FirstByteRead(p, now) // its next request has begun to come
+		l.table.FirstByteRead(victim, now) // a part of its next request has been read
 		return nil, false
 	}
-	l.table.Remove(p)
-	if owed {
+	l.table.Remove(victim)
+	if refusalOwed {
 		l.refusePartialLocked(c)
 	}
 	return counter, true
 }
 
-// admitLocked gives a connection its place. Its first byte is waited for here.
+// admitLocked admits a waiting connection.
 func (l *limitedListener) admitLocked(w *waitingConn, now time.Time) {
 	c := w.conn
 	l.count.Admitted++
@@ -144,58 +162,61 @@
 	}
 	l.table.Add(&c.entry, w.addr, now)
 	l.admitted[c] = struct{}{}
-	l.tasks.Go(func() {
-		err := c.awaitFirstByte()
-		l.mu.Lock()
-		if err != nil {
-			switch {
-			case errors.Is(err, os.ErrDeadlineExceeded):
-				l.count.Silent++
-			case errors.Is(err, errClientVanished):
-				l.count.Vanished++
-			}
-			c.closeIdle(true)
-			l.removeLocked(c)
-			l.mu.Unlock()
-			return
+	l.tasks.Go(func() { l.deliver(c) })
+}
+
+// deliver hands an admitted connection to Accept when its first byte has arrived.
+func (l *limitedListener) deliver(c *clientConn) {
+	err := c.awaitFirstByte()
+	l.mu.Lock()
+	if err != nil {
+		switch {
+		case errors.Is(err, os.ErrDeadlineExceeded):
+			l.count.Silent++
+		case errors.Is(err, errClientVanished):
+			l.count.Vanished++
 		}
-		l.table.FirstByteRead(&c.entry, time.Now())
+		c.closeIdle(true)
+		l.removeLocked(c)
 		l.mu.Unlock()
-		select {
-		case l.ready <- c:
-		case <-l.done:
-			c.Close()
-			l.mu.Lock()
-			l.removeLocked(c)
-			l.mu.Unlock()
-		}
-	})
+		return
+	}
+	l.table.FirstByteRead(&c.entry, time.Now())
+	l.mu.Unlock()
+	select {
+	case l.ready <- c:
+	case <-l.done:
+		c.Close()
+		l.mu.Lock()
+		l.removeLocked(c)
+		l.mu.Unlock()
+	}
 }
 
-// largestHolderLocked is which of those that wait is refused where one must be: the last
-// one of the client that has the most, waiting ones counted.
+// largestHolderLocked returns the index of the waiting connection to refuse: the last one of the
+// address with the most connections, waiting ones included.
 func (l *limitedListener) largestHolderLocked() int {
-	asks := make(map[netip.Addr]int, len(l.waiting))
+	waiting := make(map[netip.Addr]int, len(l.waiting))
 	for _, w := range l.waiting {
-		asks[w.addr]++
+		waiting[w.addr]++
 	}
-	worst, most := 0, -1
+	largest, most := 0, -1
 	for i, w := range l.waiting {
-		if has := l.table.OpenFrom(w.addr) + asks[w.addr]; has >= most {
-			worst, most = i, has
+		if n := l.table.OpenFrom(w.addr) + waiting[w.addr]; n >= most {
+			largest, most = i, n
 		}
 	}
-	return worst
+	return largest
 }
 
 func (l *limitedListener) removeWaitingLocked(i int) {
-	l.waiting = append(l.waiting[:i], l.waiting[i+1:]...)
+	l.waiting = slices.Delete(l.waiting, i, i+1)
 	l.waitingChanged.Broadcast()
 }
 
-// refuseLocked tells a waiting connection that there is no place. What was sent on it
-// has not been read, and a close would reset it under the answer: so what comes is
-// read for a moment, but only on a few at a time. On others it is what has come.
+// refuseLocked answers a waiting connection with 503 and closes it. What its client has sent is
+// unread, and a close over it would reset the connection and could destroy the answer. Therefore the
+// close lingers, on limits.Refusing connections at most; on others only what has arrived is discarded.
 func (l *limitedListener) refuseLocked(i int) {
 	c := l.waiting[i].conn
 	l.removeWaitingLocked(i)
@@ -208,30 +229,31 @@
 		l.endedLocked()
 		return
 	}
-	l.refusing++
-	l.tasks.Go(func() {
+	l.refuseInBackgroundLocked(func() {
 		if c.CloseWrite() == nil {
 			io.CopyN(io.Discard, c.TCPConn, maxBody)
 		}
 		c.Close()
-		l.mu.Lock()
-		l.refusing--
-		l.endedLocked()
-		l.mu.Unlock()
 	})
 }
 
-// refusePartialLocked answers a connection that is closed over half a request.
+// refusePartialLocked answers and closes a connection that closeIdle has marked as closed over a
+// partial request.
 func (l *limitedListener) refusePartialLocked(c *clientConn) {
 	l.count.Dismissed++
 	if l.refusing >= l.limits.Refusing {
 		c.refusePartial(true)
 		return
 	}
+	l.alive++ // counted once more until the refusal is sent
+	l.refuseInBackgroundLocked(func() { c.refusePartial(false) })
+}
+
+// refuseInBackgroundLocked runs refuse in a goroutine and counts the end of its connection after it.
+func (l *limitedListener) refuseInBackgroundLocked(refuse func()) {
 	l.refusing++
-	l.alive++ // until it has been told
 	l.tasks.Go(func() {
-		c.refusePartial(false)
+		refuse()
 		l.mu.Lock()
 		l.refusing--
 		l.endedLocked()
--- a/internal/sidecar/client_conn.go
+++ b/internal/sidecar/client_conn.go
@@ -15,46 +15,50 @@
 	"barleywick/internal/admission"
 )
 
-// clientConn is a client's connection. Closing it between requests, reading from it
-// and taking a request from it exclude each other: net/http calls a connection idle
-// until it has read a request's header. A request that was read when its connection is
-// closed is lost, for its client takes it to be in work; one that was not, the client
-// sends once more, and if the first one were taken all the same, an unsafe request could
-// run twice.
+// clientConn is a client's connection. Three acts on it exclude each other: closing it between
+// requests, reading from it, and beginning a request. net/http calls a connection idle until it has
+// read a request's header. If the connection were closed over bytes that were read, the request would
+// be lost: its client believes it to be in progress. If a request were begun although the connection
+// was closed before the read, it could run twice: its client sends it again.
 type clientConn struct {
 	*net.TCPConn
 	raw                 syscall.RawConn // nil where there is none, as in tests
 	acceptedAt          time.Time
-	awaitingFirstHeader atomic.Bool // its first header is not whole yet
-	responseWritten     atomic.Bool // something was written since it rested last
+	awaitingFirstHeader atomic.Bool // the first request's header has not been read
+	responseWritten     atomic.Bool // something was written since endRequest
 	requests            int         // whose headers were read; net/http serves one at a time
 	entry               admission.Conn[*clientConn]
-	gate                *gate // counts; nil: nobody does
+	gate                *gate // nil: nothing is counted
 
 	mu           sync.Mutex
 	state        connState
-	partialRead  bool          // something was read that is of no request whose header was
-	responseOwed bool          // something of a request was read that has got no answer
-	refusalSent  chan struct{} // closed once that answer is out, where the connection ends with it; nil: it does not
-	emptyAt      time.Time     // when there was nothing to read last
-	arrivedAt    time.Time     // the earliest time at which what was read last can have come
-	head         headRecorder  // what came first of the next request
+	partialRead  bool          // a part of a request was read, and not its whole header
+	responseOwed bool          // a part of a request was read that has no response
+	refusalSent  chan struct{} // closed when refusePartial is done; nil: it isn't called
+	emptyAt      time.Time     // when there was last nothing to read
+	arrivedAt    time.Time     // the earliest time at which the bytes read last can have arrived
+	head         headRecorder  // of the next request
 
-	// Of the one read under way; net/http never has two.
-	readBuf    []byte
-	readLen    int
-	readWaited bool // there was nothing to read at first
-	readErr    error
-	readFunc   func(fd uintptr) bool
-	readHook   func() // called in the middle of a read, in tests; nil: nothing is
+	reading  pendingRead // the call of Read in progress; net/http never makes two
+	readFunc func(fd uintptr) bool
+	readHook func() // set by tests: called in the middle of a read
 }
 
+// pendingRead is what a call of Read shares with readAvailable.
+type pendingRead struct {
+	buf    []byte
+	n      int
+	waited bool // there was nothing to read at first
+	err    error
+}
+
+// connState says whether a clientConn may be closed, read from, or begin a request.
 type connState int
 
 const (
-	connIdle connState = iota // between requests, or before the first
-	connBusy                  // a request of it has been taken
-	connClosed
+	connIdle   connState = iota // between requests, or before the first
+	connBusy                    // a request is in progress
+	connClosed                  // nothing is read any more, no request is begun
 )
 
 func newClientConn(nc *net.TCPConn) *clientConn {
@@ -67,105 +71,114 @@
 	return c
 }
 
-// Read reads what has come, unless the connection has been closed by then.
+// Read reads what has arrived. On a connection that closeIdle has closed it reads nothing.
 func (c *clientConn) Read(b []byte) (int, error) {
 	if len(b) == 0 || c.raw == nil {
 		return c.TCPConn.Read(b)
 	}
-	c.readBuf, c.readWaited = b, false
+	r := &c.reading
+	r.buf, r.waited = b, false
 	err := c.raw.Read(c.readFunc)
-	c.readBuf = nil
+	r.buf = nil
 	switch {
 	case err != nil:
 		return 0, err
-	case c.readErr != nil:
-		return 0, &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: c.readErr}
-	case c.readLen == 0:
+	case r.err != nil:
+		return 0, &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: r.err}
+	case r.n == 0:
 		return 0, io.EOF
 	}
-	return c.readLen, nil
+	return r.n, nil
 }
 
-// readAvailable reads without waiting, and says whether that is the end of it.
-func (c *clientConn) readAvailable(fd uintptr) bool {
+// readAvailable reads without blocking, and reports whether the read is complete: if not, the runtime
+// calls it again when the socket is readable.
+func (c *clientConn) readAvailable(fd uintptr) (complete bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.readLen, c.readErr = 0, nil
+	r := &c.reading
+	r.n, r.err = 0, nil
 	if c.state == connClosed {
-		c.readErr = net.ErrClosed
+		r.err = net.ErrClosed
 		return true
 	}
-	if c.state == connBusy { // net/http reads on only to see whether the client leaves
+	if c.state == connBusy { // net/http reads only to see whether the client closes its side
 		if n, err := peek(fd); err == nil && n > 0 {
-			// The next request has begun to come: it stays unread until this one is answered, and
-			// what stands before the client's end must not hide that.
+			// The next request has begun to arrive. It stays unread until this one is answered, but it
+			// must not hide that the client has closed its side.
 			return hungUp(fd)
 		}
 	}
-	n, err := syscall.Read(int(fd), c.readBuf)
+	n, err := syscall.Read(int(fd), r.buf)
 	for err == syscall.EINTR {
-		n, err = syscall.Read(int(fd), c.readBuf)
+		n, err = syscall.Read(int(fd), r.buf)
 	}
 	if err == syscall.EAGAIN {
-		c.emptyAt, c.readWaited = time.Now(), true
+		c.emptyAt, r.waited = time.Now(), true
 		return false
 	}
 	if err != nil {
-		c.readErr = os.NewSyscallError("read", err)
+		r.err = os.NewSyscallError("read", err)
 		return true
 	}
 	if c.readHook != nil {
 		c.readHook()
 	}
-	if c.readWaited {
-		c.arrivedAt = time.Now() // it was waited for, so it has come just now
+	r.n = n
+	c.noteReadLocked(r.buf[:max(n, 0)])
+	return true
+}
+
+// noteReadLocked records bytes that were read, none at the end of the stream.
+func (c *clientConn) noteReadLocked(b []byte) {
+	if c.reading.waited {
+		c.arrivedAt = time.Now() // the read was waiting for them
 	} else if c.arrivedAt.Before(c.emptyAt) {
-		c.arrivedAt = c.emptyAt // it was there already, and came after the last look
+		c.arrivedAt = c.emptyAt // they were there already
 	}
-	c.readLen, c.partialRead = n, c.partialRead || n > 0
-	c.responseOwed = c.responseOwed || n > 0
-	c.head.record(c.readBuf[:max(n, 0)])
-	return true
+	c.partialRead = c.partialRead || len(b) > 0
+	c.responseOwed = c.responseOwed || len(b) > 0
+	c.head.record(b)
 }
 
-// headerRead takes that a request's header is whole.
+// headerRead records that a request's header has been read.
 func (c *clientConn) headerRead() {
 	c.awaitingFirstHeader.Store(false)
 	c.mu.Lock()
 	c.partialRead = false
-	c.head.reset() // a client that keeps to the protocol sends nothing more before it has the answer
+	c.head.reset() // a client that keeps to the protocol sends nothing more before the response
 	c.mu.Unlock()
 }
 
-// requestArrivedAt is when the request that was read last can have come whole at the earliest. While this
-// process was busy, or the connection waited for its place, the client's time ran already.
+// requestArrivedAt returns the earliest time at which the request that was read can have arrived. Its
+// client's timeout has run since then, while this process was busy or the connection waited.
 func (c *clientConn) requestArrivedAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.arrivedAt
 }
 
-// chunkedWithoutLength says whether a request in chunks, whose header was just read, surely names no length.
+// chunkedWithoutLength reports whether a chunked request, whose header was just read, is certain to
+// have no Content-Length beside its chunks.
 func (c *clientConn) chunkedWithoutLength(hr *http.Request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// What was read with the last request is not seen here: then it is some other head.
+	// A head that was read together with the request before has not been recorded.
 	return c.head.hasPrefix(hr.Method+" "+hr.RequestURI+" ") && c.head.chunkedWithoutLength(1)
 }
 
-// SetReadDeadline keeps the first header to its time from connecting, which
-// net/http counts from when it was handed the connection. That there is no
-// deadline any more it says when the header has come.
+// SetReadDeadline lets the timeout for the first header count from the accept. net/http counts it
+// from the moment in which it was handed the connection.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
-	if by := c.acceptedAt.Add(readHeaderTimeout); c.awaitingFirstHeader.Load() && t.After(by) {
-		t = by
+	if deadline := c.acceptedAt.Add(readHeaderTimeout); c.awaitingFirstHeader.Load() && t.After(deadline) {
+		t = deadline
 	}
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// bodyDeadline is until when the body must have come of the request whose header was
-// just read. The first one's budget counts from connecting: a client that stops
-// in the middle of a request does not hold its connection for longer.
+// bodyDeadline returns the time by which the body must have arrived of the request whose header was
+// read at now. The first request's timeout counts from the accept, so that a client that stops in the
+// middle of a request does not hold its connection for longer.
 func (c *clientConn) bodyDeadline(now time.Time) time.Time {
 	if c.requests == 1 {
 		return c.acceptedAt.Add(readRequestTimeout)
@@ -173,18 +186,18 @@
 	return now.Add(readRequestTimeout)
 }
 
-// closedByClient says whether the client has closed the connection behind the request that was read
-// last: it may have done so long ago, where the request waited unread.
+// closedByClient reports whether the client has closed the connection. It may have done so long ago,
+// if its request waited unread.
 func (c *clientConn) closedByClient() bool {
-	gone := false
+	closed := false
 	return c.raw != nil && c.raw.Control(func(fd uintptr) {
 		n, err := peek(fd)
-		gone = err == nil && n == 0 || err == syscall.ECONNRESET || hungUp(fd)
-	}) == nil && gone
+		closed = err == nil && n == 0 || err == syscall.ECONNRESET || hungUp(fd)
+	}) == nil && closed
 }
 
-// beginRequest is called before a request of the connection is acted on; if it returns
-// false the request must be left alone.
+// beginRequest reports whether the request that was read may be acted on: it may not if the
+// connection was closed meanwhile.
 func (c *clientConn) beginRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -196,63 +209,63 @@
 	return true
 }
 
-// endRequest takes that the request which was taken is answered.
+// endRequest records that the request has been answered.
 func (c *clientConn) endRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.state == connBusy {
 		c.state = connIdle
 	}
-	c.responseOwed, c.emptyAt = false, time.Now() // its client sends nothing before it has the answer
+	c.responseOwed, c.emptyAt = false, time.Now() // a client sends nothing before it has the response
 	c.responseWritten.Store(false)
 }
 
-// Write sends a part of an answer. A client that does not take it in time is not waited for: its
-// connection is to end with the close, and not when the kernel has given up what is unsent.
+// Write writes a part of a response. If the client does not take it in time, the close discards what
+// is unsent instead of leaving the connection to the kernel until that gives up.
 func (c *clientConn) Write(b []byte) (int, error) {
 	n, err := c.TCPConn.Write(b)
-	if c.responseWritten.Store(err == nil); err != nil {
+	c.responseWritten.Store(err == nil)
+	if err != nil {
 		c.SetLinger(0)
 	}
 	return n, err
 }
 
-// awaitFirstByte waits until there is something to read, without reading it, or
-// returns why nothing will come.
+// errClientVanished is the error for a connection that its client closed before it sent anything.
+var errClientVanished = errors.New("closed by the client before its first byte")
+
+// awaitFirstByte waits, without reading, until there is something to read.
 func (c *clientConn) awaitFirstByte() error {
 	if err := c.SetReadDeadline(c.acceptedAt.Add(readHeaderTimeout)); err != nil {
 		return err
 	}
 	var n int
-	var failed error
+	var peekErr error
 	waited := false
 	err := c.raw.Read(func(fd uintptr) bool {
-		if n, failed = peek(fd); failed == syscall.EAGAIN {
+		if n, peekErr = peek(fd); peekErr == syscall.EAGAIN {
 			waited = true
 			return false
 		}
 		if waited {
 			c.mu.Lock()
-			c.emptyAt = time.Now() // as good as: it has come just now
+			c.emptyAt = time.Now() // it has just arrived
 			c.mu.Unlock()
 		}
 		return true
 	})
 	switch {
 	case err != nil:
-		return err // too late, or closed here
-	case failed != nil || n == 0:
+		return err // the deadline, or closed here
+	case peekErr != nil || n == 0:
 		return errClientVanished
 	}
 	return nil
 }
 
-// errClientVanished says that a client ended its connection before it sent anything.
-var errClientVanished = errors.New("ended by the client")
-
 type connKey struct{}
 
-// contextWithConn lets a handler find the connection of its request.
+// contextWithConn is the HTTP server's ConnContext: it lets the handler find a request's connection.
 func contextWithConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
--- a/internal/sidecar/client_counters.go
+++ b/internal/sidecar/client_counters.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// clientCounters count what became of client connections, each decision apart.
+// clientCounters count what became of client connections. The tags are the names in the log and in
+// metrics; docs/CONNECTIONS.md explains them.
 type clientCounters struct {
-	Accepted      uint64 `json:"Accepted"`      // taken off the kernel's queue
-	Admitted      uint64 `json:"Admitted"`      // given a place
-	Waited        uint64 `json:"Waited"`        // of those, after a wait
-	Refused       uint64 `json:"Refused"`       // answered 503 for want of a place
-	GivenUpIdle   uint64 `json:"GivenUpIdle"`   // idle, closed for another's sake
-	GivenUpSilent uint64 `json:"GivenUpSilent"` // without a whole request in its grace, closed for another's sake
-	OverIdle      uint64 `json:"OverIdle"`      // idle beyond the limit on idle ones
-	Silent        uint64 `json:"Silent"`        // never said a thing in its time
-	Vanished      uint64 `json:"Vanished"`      // ended by the client before its first byte
-	Drained       uint64 `json:"Drained"`       // idle, closed by a planned restart
-	Dismissed     uint64 `json:"Dismissed"`     // of those closed, the ones that were refused half a request before
+	Accepted      uint64 `json:"Accepted"`      // accepted from the kernel's backlog
+	Admitted      uint64 `json:"Admitted"`      // admitted by the limits
+	Waited        uint64 `json:"Waited"`        // of the admitted: after a wait
+	Refused       uint64 `json:"Refused"`       // answered 503 and closed without admission
+	GivenUpIdle   uint64 `json:"GivenUpIdle"`   // evicted while idle
+	GivenUpSilent uint64 `json:"GivenUpSilent"` // evicted without a whole request in the grace period
+	OverIdle      uint64 `json:"OverIdle"`      // closed because of the limit on idle connections
+	Silent        uint64 `json:"Silent"`        // closed without a byte within the header timeout
+	Vanished      uint64 `json:"Vanished"`      // closed by the client before its first byte
+	Drained       uint64 `json:"Drained"`       // closed by a graceful shutdown while idle
+	Dismissed     uint64 `json:"Dismissed"`     // of those closed here: over a partial request, refused before
 }
 
-// listenerState is what is open at a moment.
+// listenerState counts the connections at one moment, under the same rule for the tags.
 type listenerState struct {
 	Open     int `json:"Open"`
 	HalfOpen int `json:"HalfOpen"`
@@ -28,28 +29,28 @@
 	Waiting  int `json:"Waiting"`
 }
 
-// counters returns what was counted so far, and what is open now.
+// counters returns what was counted so far, and the connections now.
 func (l *limitedListener) counters() (clientCounters, listenerState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.count, listenerState{l.table.Open(), l.table.HalfOpen(), l.table.Idle(), len(l.waiting)}
 }
 
-// logCounters logs them.
+// logCounters logs what counters returns.
 func (l *limitedListener) logCounters() {
 	count, now := l.counters()
-	slog.Info("client connections", "now", now, "counters", count)
+	slog.Info("client: connections", "now", now, "counters", count)
 }
 
-// openConns returns how many connections have not ended, wherever they are.
+// openConns returns how many connections have been accepted and have not ended.
 func (l *limitedListener) openConns() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.alive
 }
 
-// possiblyActive returns how many of them may bring a request or have brought one: those that
-// said nothing in their grace are not counted.
+// possiblyActive returns how many of them may still bring a request or have one in progress: all but
+// those that have been silent for longer than their grace period.
 func (l *limitedListener) possiblyActive() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/sidecar/client_listener.go
+++ b/internal/sidecar/client_listener.go
@@ -11,56 +11,57 @@
 )
 
 const (
-	// firstByteGrace is how long a new connection is not held to be silent: its first
-	// bytes may be on their way.
-	firstByteGrace = 50 * time.Millisecond
-	// wholeRequestGrace is how long a request may take to come whole where others wait.
-	wholeRequestGrace = 200 * time.Millisecond
-	// maxAdmissionWait is how long a connection may wait for a place before it is refused:
-	// longer than any grace, and short against what a client waits for an answer.
-	maxAdmissionWait = 500 * time.Millisecond
-	// acceptRetryDelay is the pause after a failed accept, as when the machine is out of descriptors.
+	// acceptRetryDelay is the pause after a failed accept, as when the machine has no descriptor left.
 	acceptRetryDelay = 5 * time.Millisecond
-	// acceptLogInterval bounds what is logged of them.
+	// acceptLogInterval is the least time between two log lines about failed accepts.
 	acceptLogInterval = time.Second
+	// backlogAcceptTime is how long acceptBacklog accepts. The kernel has established the connections
+	// in the listener's backlog, and their clients may have sent requests already.
+	backlogAcceptTime = 20 * time.Millisecond
 )
 
-// limitedListener hands connections to the HTTP server that have a place and
-// have begun to speak. A connection that says nothing costs a small goroutine and
-// none of the server's buffers. Where there is no place a few wait for one, the
-// one whose client holds the least first. It takes none before begin is called.
+// limitedListener is the listener of the HTTP server. It admits connections by the limits, and hands
+// an admitted one to the server when its first byte has arrived: a silent connection costs a small
+// goroutine and none of the server's buffers. A few connections may wait for admission; the client
+// address with the fewest connections goes first. Nothing is accepted before start.
 type limitedListener struct {
-	inner net.Listener
-	gate  *gate // of its connections; nil: none counts
-	ready chan *clientConn
-	done  chan struct{} // closed by Close
-	// acceptEnded is closed when begin was called and nothing is taken off the kernel's queue any more.
-	acceptEnded chan struct{}
+	inner       net.Listener
+	gate        *gate            // of its connections; nil: none counts
+	ready       chan *clientConn // admitted, with something to read
+	done        chan struct{}    // closed by Close
+	acceptEnded chan struct{}    // closed when acceptLoop has returned
 	tasks       sync.WaitGroup
 
 	mu             sync.Mutex
 	table          *admission.Table[*clientConn]
 	limits         clientLimits
 	waiting        []*waitingConn           // the longest waiting first; at most limits.Waiting and one
-	waitingChanged *sync.Cond               // waiting got shorter, or Close was called
-	waitTimer      *time.Timer              // when a grace or a wait ends
-	refusing       int                      // connections being told that they are refused
-	alive          int                      // accepted and not ended, wherever they are
-	admitted       map[*clientConn]struct{} // that have a place
-	backlogOnly    bool                     // what is in the kernel's queue is taken, and then no more
-	accepting      bool                     // the listener still takes connections
-	started        bool                     // begin was called
-	draining       bool
-	closed         bool
-	allEnded       chan struct{} // closed when nothing is accepted any more and every connection has ended
+	waitingChanged *sync.Cond               // waiting got shorter, or accepting, backlogOnly or limits changed
+	waitTimer      *time.Timer              // fires when a grace period or a wait ends
+	refusing       int                      // connections whose refusal is being sent
+	alive          int                      // accepted and not ended, admitted or not
+	admitted       map[*clientConn]struct{} // admitted and not ended
+	started        bool                     // start was called
+	backlogOnly    bool                     // acceptBacklog was called
+	accepting      bool                     // the listening socket is open
+	draining       bool                     // drain was called
+	closed         bool                     // Close was called
+	allEnded       chan struct{}            // closed when the listening socket is closed and alive is 0
 	count          clientCounters
 }
 
 func newLimitedListener(inner net.Listener, limits clientLimits) *limitedListener {
+	grace := admission.Grace{FirstByte: firstByteGrace, WholeRequest: wholeRequestGrace}
 	l := &limitedListener{
-		inner: inner, limits: limits, accepting: true, admitted: make(map[*clientConn]struct{}), acceptEnded: make(chan struct{}),
-		ready: make(chan *clientConn), done: make(chan struct{}), allEnded: make(chan struct{}),
-		table: admission.New[*clientConn](limits.Limits, admission.Grace{FirstByte: firstByteGrace, WholeRequest: wholeRequestGrace}),
+		inner:       inner,
+		ready:       make(chan *clientConn),
+		done:        make(chan struct{}),
+		acceptEnded: make(chan struct{}),
+		table:       admission.New[*clientConn](limits.Limits, grace),
+		limits:      limits,
+		admitted:    make(map[*clientConn]struct{}),
+		accepting:   true,
+		allEnded:    make(chan struct{}),
 	}
 	l.waitingChanged = sync.NewCond(&l.mu)
 	l.waitTimer = time.AfterFunc(time.Hour, func() {
@@ -71,7 +72,7 @@
 	return l
 }
 
-// start takes connections from now on.
+// start begins to accept connections.
 func (l *limitedListener) start() {
 	l.mu.Lock()
 	l.started = true
@@ -82,7 +83,7 @@
 	})
 }
 
-// Addr is the address that is listened on.
+// Addr returns the address that is listened on.
 func (l *limitedListener) Addr() net.Addr { return l.inner.Addr() }
 
 // Accept returns the next connection that is ready for the HTTP server.
@@ -95,8 +96,8 @@
 	}
 }
 
-// Close stops listening and waits for the listener's own goroutines. Those that
-// have not been handed on are closed.
+// Close closes the listening socket and the connections that were not handed to the server, and
+// waits for the listener's goroutines.
 func (l *limitedListener) Close() error {
 	err := l.stopAccepting()
 	l.mu.Lock()
@@ -115,23 +116,20 @@
 	return err
 }
 
-// backlogAcceptTime is for the connections that wait in the kernel's queue as the listener ends: they have
-// been accepted there, and requests may have been written to them.
-const backlogAcceptTime = 20 * time.Millisecond
-
-// acceptBacklog takes what waits in the kernel's queue, and then no more.
+// acceptBacklog accepts what the kernel's backlog holds, and then nothing more.
 func (l *limitedListener) acceptBacklog() {
 	l.mu.Lock()
 	l.backlogOnly = true
-	began := l.started
+	started := l.started
 	l.waitingChanged.Broadcast()
 	l.mu.Unlock()
-	if t, ok := l.inner.(*net.TCPListener); ok && began && t.SetDeadline(time.Now().Add(backlogAcceptTime)) == nil {
+	tcp, ok := l.inner.(*net.TCPListener)
+	if ok && started && tcp.SetDeadline(time.Now().Add(backlogAcceptTime)) == nil {
 		<-l.acceptEnded
 	}
 }
 
-// stopAccepting closes the listening socket alone: what was accepted goes on.
+// stopAccepting closes the listening socket only: accepted connections are served on.
 func (l *limitedListener) stopAccepting() error {
 	err := l.inner.Close()
 	if errors.Is(err, net.ErrClosed) {
@@ -145,28 +143,25 @@
 	return err
 }
 
-// acceptLoop takes connections off the kernel's queue until the listener is closed.
+// acceptLoop accepts connections until the listening socket is closed or the backlog is empty.
 func (l *limitedListener) acceptLoop() {
-	var told time.Time // when a failure was logged last
+	var loggedAt time.Time
 	for {
 		nc, err := l.inner.Accept()
 		if err != nil {
-			l.mu.Lock()
-			accepts := l.accepting && !l.backlogOnly
-			l.mu.Unlock()
-			if !accepts || errors.Is(err, net.ErrClosed) {
+			if errors.Is(err, net.ErrClosed) || !l.acceptsMore() {
 				return
 			}
-			if time.Since(told) >= acceptLogInterval {
-				slog.Warn("accept", "err", err) // out of descriptors, or a client that left at once
-				told = time.Now()
+			if time.Since(loggedAt) >= acceptLogInterval {
+				slog.Warn("client: accept failed", "err", err) // out of descriptors, or a client that left at once
+				loggedAt = time.Now()
 			}
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		tcp, ok := nc.(*net.TCPConn)
 		if !ok {
-			slog.Error("accept: only TCP connections can be served", "local", nc.LocalAddr())
+			slog.Error("client: connection is not TCP", "local", nc.LocalAddr())
 			nc.Close()
 			continue
 		}
@@ -174,7 +169,13 @@
 	}
 }
 
-// removeLocked takes a connection out that has ended.
+func (l *limitedListener) acceptsMore() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.accepting && !l.backlogOnly
+}
+
+// removeLocked removes an admitted connection that has ended.
 func (l *limitedListener) removeLocked(c *clientConn) {
 	delete(l.admitted, c)
 	l.table.Remove(&c.entry)
@@ -182,6 +183,7 @@
 	l.admitWaitingLocked(time.Now())
 }
 
+// endedLocked counts the end of an accepted connection.
 func (l *limitedListener) endedLocked() {
 	l.alive--
 	l.checkAllEndedLocked()
--- a/internal/sidecar/client_states.go
+++ b/internal/sidecar/client_states.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// headerRead takes that a request's header is whole.
+// headerRead records that a request's header has been read.
 func (l *limitedListener) headerRead(c *clientConn) {
 	c.headerRead()
 	l.mu.Lock()
@@ -15,8 +15,8 @@
 	l.mu.Unlock()
 }
 
-// beginRequest marks a connection whose request is about to be taken, unless it was
-// closed a moment ago.
+// beginRequest reports whether the request that was read may be acted on. If so the connection is
+// not closed before endRequest; if not, it has been closed meanwhile.
 func (l *limitedListener) beginRequest(c *clientConn) bool {
 	if !c.beginRequest() {
 		return false
@@ -27,7 +27,7 @@
 	return true
 }
 
-// connStateChanged follows the states of the server's connections.
+// connStateChanged is the HTTP server's ConnState callback.
 func (l *limitedListener) connStateChanged(nc net.Conn, state http.ConnState) {
 	c := nc.(*clientConn)
 	now := time.Now()
@@ -44,14 +44,14 @@
 		} else {
 			l.closeIdleOverLimitLocked(now)
 		}
-		l.admitWaitingLocked(now) // there is one that may be closed now
+		l.admitWaitingLocked(now) // this one may be evicted now
 	case http.StateClosed, http.StateHijacked:
 		l.removeLocked(c)
 	}
 }
 
-// setLimits puts other limits in force. Idle connections beyond them are closed
-// now, others as they become idle.
+// setLimits applies other limits. Idle connections over the limits are closed now, the others when
+// they become idle.
 func (l *limitedListener) setLimits(limits clientLimits) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,14 +64,14 @@
 
 // closeIdleOverLimitLocked closes idle connections while there are too many.
 func (l *limitedListener) closeIdleOverLimitLocked(now time.Time) {
-	for p := l.table.ExcessIdle(); p != nil; p = l.table.ExcessIdle() {
-		if _, ok := l.evictLocked(p, now); ok {
+	for entry := l.table.ExcessIdle(); entry != nil; entry = l.table.ExcessIdle() {
+		if _, evicted := l.evictLocked(entry, now); evicted {
 			l.count.OverIdle++
 		}
 	}
 }
 
-// drain closes the idle connections, and from now on every other as it becomes idle.
+// drain closes the idle connections now, and the others when they become idle.
 func (l *limitedListener) drain() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,7 +79,7 @@
 	l.closeAllIdleLocked(time.Now())
 }
 
-// isDraining says whether drain was called.
+// isDraining reports whether drain was called.
 func (l *limitedListener) isDraining() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,15 +87,15 @@
 }
 
 func (l *limitedListener) closeAllIdleLocked(now time.Time) {
-	for p := l.table.LongestIdle(); p != nil; p = l.table.LongestIdle() {
-		if _, ok := l.evictLocked(p, now); ok {
+	for entry := l.table.LongestIdle(); entry != nil; entry = l.table.LongestIdle() {
+		if _, evicted := l.evictLocked(entry, now); evicted {
 			l.count.Drained++
 		}
 	}
 }
 
-// closeUnused ends every connection that has no request in work: what was read of one is refused
-// first. Those in work end with their answers.
+// closeUnused closes every connection without a request in progress, and refuses what was read of
+// one. The others are closed with their responses.
 func (l *limitedListener) closeUnused() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -103,12 +103,13 @@
 		l.refuseLocked(0)
 	}
 	for c := range l.admitted {
-		state, owed := c.closeIdle(true)
+		state, refusalOwed := c.closeIdle(true)
 		if state != connClosed {
 			continue
 		}
 		l.table.Remove(&c.entry)
-		if l.count.Drained++; owed {
+		l.count.Drained++
+		if refusalOwed {
 			l.refusePartialLocked(c)
 		}
 	}
