--- a/cmd/fleetctl/main.go
+++ b/cmd/fleetctl/main.go
@@ -114,9 +114,7 @@
 	if err != nil {
 		name = "operator"
 	}
-	return c.Workflow(fmt.Sprintf("%s/%d/%s", name, os.Getpid(), rand.Text()[:6]), pollEvery, func(format string, args ...any) {
-		fmt.Fprintf(a.out, format+"\n", args...)
-	})
+	return c.Workflow(fmt.Sprintf("%s/%d/%s", name, os.Getpid(), rand.Text()[:6]), pollEvery, func(e drain.Event) { fmt.Fprintln(a.out, e) })
 }
 
 // machine checks that a command has one machine as its argument.
--- a/cmd/fleetctl/main_test.go
+++ b/cmd/fleetctl/main_test.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, end, err := cfg.Workflow("test", time.Second, t.Logf)
+	w, end, err := cfg.Workflow("test", time.Second, func(e drain.Event) { t.Log(e) })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"log/slog"
 	"sync"
 	"time"
@@ -45,8 +44,8 @@
 }
 
 func (t *drainTask) run(ctx context.Context, term *lease.Handle) error {
-	under := t.config.WorkflowWith(fencedRegistry{t.client, term}, drain.OwnerControllers, drainPollInterval, func(format string, args ...any) {
-		slog.Info("drain: "+fmt.Sprintf(format, args...), "lease", term.LeaseName(), "token", term.Token())
+	under := t.config.WorkflowWith(fencedRegistry{t.client, term}, drain.OwnerControllers, drainPollInterval, func(e drain.Event) {
+		slog.Info("drain: "+e.String(), "lease", term.LeaseName(), "token", term.Token())
 	})
 	under.Fleet = leasedFleet{under.Fleet, term, term.TTL()}
 	var all sync.WaitGroup
--- a/internal/controller/keeper_test.go
+++ b/internal/controller/keeper_test.go
@@ -318,10 +318,10 @@
 	}
 	var mu sync.Mutex
 	var said []string
-	w := cfg.WorkflowWith(c, "operator", 20*time.Millisecond, func(format string, args ...any) {
+	w := cfg.WorkflowWith(c, "operator", 20*time.Millisecond, func(e drain.Event) {
 		mu.Lock()
 		defer mu.Unlock()
-		said = append(said, fmt.Sprintf(format, args...))
+		said = append(said, e.String())
 	})
 	if err := w.HandOver(t.Context(), "m-1", time.Now().Add(patience)); err != nil {
 		t.Fatal(err)
@@ -332,7 +332,7 @@
 	if err := w.HandOver(t.Context(), "m-2", time.Now().Add(patience)); !errors.Is(err, drain.ErrRefused) {
 		t.Errorf("below the floor: %v", err)
 	}
-	if err := w.Drain(t.Context(), "m-1"); !errors.Is(err, drain.ErrRefused) || !strings.Contains(err.Error(), "keepers") {
+	if err := w.Drain(t.Context(), "m-1"); !errors.Is(err, drain.ErrRefused) || !strings.Contains(err.Error(), "controllers") {
 		t.Errorf("an operator beside the keepers: %v", err)
 	}
 	eventually(t, "its servers are marked", func() bool {
--- a/internal/drain/compat_test.go
+++ b/internal/drain/compat_test.go
@@ -106,7 +106,7 @@
 	}
 	switch d.Step {
 	case Drained, Stopping, Stopped, Done, Undoing:
-		w.held = w.state.Seq()
+		w.sidecarSeq = w.state.Seq()
 		for _, host := range d.Hosts {
 			w.work[host] = 0
 		}
--- a/internal/drain/config_test.go
+++ b/internal/drain/config_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestConfig(t *testing.T) {
+func TestLoadConfig(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ctl.json")
 	load := func(text string) error {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -31,7 +31,7 @@
 		"a short lease": {`"longest_ms"`, `"lease_ms":1,"longest_ms"`},
 	} {
 		if err := load(strings.Replace(good, change[0], change[1], 1)); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want one line", name, err)
+			t.Errorf("%s: got error %v, want one line", name, err)
 		}
 	}
 	var d map[string]Drain
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -20,20 +20,20 @@
 	}
 	w.check("drained", "m-1", true)
 	if err := o.Drain(t.Context(), "m-1"); !errors.Is(err, ErrRefused) {
-		t.Errorf("again: %v", err)
+		t.Errorf("drained again: got %v, want %v", err, ErrRefused)
 	}
 	if err := o.Undrain(t.Context(), "m-1"); err != nil {
 		t.Fatal(err)
 	}
 	w.check("undrained", "m-1", false)
 	if err := o.Undrain(t.Context(), "m-1"); !errors.Is(err, ErrRefused) {
-		t.Errorf("undrained again: %v", err)
+		t.Errorf("undrained again: got %v, want %v", err, ErrRefused)
 	}
 }
 
-// Whatever call the command crashes at, before its effect or after, nobody else can
-// meddle while its claim lasts; then another resumes the drain, or undoes it, to a
-// clean end. Every stop comes after the sidecars know and the work has ended.
+// Whichever call the command crashes at, before its effect or after, nobody else can act while
+// its claim lasts; then another operator resumes the drain, or undoes it, to its end. The world
+// checks that servers are stopped only after the sidecars know and the work has ended.
 func TestCrashAtEveryCall(t *testing.T) {
 	ctx := context.Background()
 	for _, undo := range []bool{false, true} {
@@ -42,7 +42,7 @@
 				w := newWorld(t)
 				name := fmt.Sprintf("crash at call %d, effect %v, undo %v", at, after, undo)
 				first := w.operator("ops-a")
-				first.crashAt, first.after = at, after
+				first.crashAt, first.afterEffect = at, after
 				if err := first.workflow().Drain(ctx, "m-1"); err == nil {
 					if at < 20 {
 						t.Fatalf("only %d calls were explored", at-1)
@@ -62,24 +62,24 @@
 						"drain": w.operator("ops-b").workflow().Drain, "undrain": w.operator("ops-b").workflow().Undrain,
 					} {
 						if err := do(ctx, "m-1"); !errors.Is(err, ErrRefused) || !strings.Contains(err.Error(), "claimed by ops-a") {
-							t.Errorf("%s: %s during the claim: %v", name, what, err)
+							t.Errorf("%s: %s during the claim: got %v, want %v", name, what, err, ErrRefused)
 						}
 					}
 					if len(w.state.Marks()) != marks || w.state.Seq() != seq {
-						t.Errorf("%s: a refused call has changed something", name)
+						t.Errorf("%s: a refused call has changed marks or list", name)
 					}
 				}
-				w.now = w.now.Add(time.Minute) // the claim has run out
+				w.now = w.now.Add(time.Minute) // the claim has expired
 				second := w.operator("ops-b").workflow()
 				if undo {
 					if err := second.Undrain(ctx, "m-1"); (err == nil) != claimed {
-						t.Errorf("%s: undo: %v", name, err)
+						t.Errorf("%s: undo: got %v, want success: %v", name, err, claimed)
 					}
 					w.check(name, "m-1", false)
 					continue
 				}
 				if err := second.Drain(ctx, "m-1"); (err != nil) != ended {
-					t.Errorf("%s: resume: %v", name, err)
+					t.Errorf("%s: resume: got %v, want success: %v", name, err, !ended)
 				}
 				w.check(name, "m-1", true)
 			}
@@ -87,7 +87,7 @@
 	}
 }
 
-// An undo that crashes is ended by another, and meanwhile nobody drains.
+// An undo that crashes is completed by another operator.
 func TestCrashOfTheUndo(t *testing.T) {
 	ctx := context.Background()
 	for _, after := range []bool{false, true} {
@@ -97,21 +97,21 @@
 				t.Fatal(err)
 			}
 			first := w.operator("ops-a")
-			first.crashAt, first.after = at, after
+			first.crashAt, first.afterEffect = at, after
 			if first.workflow().Undrain(ctx, "m-1") == nil {
 				break
 			}
 			w.now = w.now.Add(time.Minute)
 			if err := w.operator("ops-b").workflow().Undrain(ctx, "m-1"); err != nil && !errors.Is(err, ErrRefused) {
-				t.Errorf("crash at call %d, effect %v: %v", at, after, err)
+				t.Errorf("crash at call %d, effect %v: got %v, want success or %v", at, after, err, ErrRefused)
 			}
 			w.check(fmt.Sprint("crash of the undo at call ", at), "m-1", false)
 		}
 	}
 }
 
-// Two drains at once never break the floor together, wherever the second comes in
-// between the first one's calls: one of them is refused, or waits.
+// Two concurrent drains never break the floor together, whichever of the first one's calls the
+// second comes between: one of them is refused.
 func TestTwoDrainsKeepTheFloor(t *testing.T) {
 	ctx := context.Background()
 	for at := 1; at < 25; at++ {
@@ -137,15 +137,15 @@
 		t.Fatal(err)
 	}
 	if err := w.operator("ops-b").workflow().Drain(ctx, "m-3"); err != nil {
-		t.Errorf("one that the floor allows beside it: %v", err)
+		t.Errorf("another drain that the floor allows: got %v, want success", err)
 	}
 	if err := w.operator("ops-b").workflow().Drain(ctx, "m-2"); !errors.Is(err, ErrRefused) {
-		t.Errorf("one that it does not: %v", err)
+		t.Errorf("another drain that the floor does not allow: got %v, want %v", err, ErrRefused)
 	}
 }
 
-// Random crashes, clocks and operators: at the end somebody brings everything to a
-// clean end, and the floor holds all the while (the world checks).
+// Random crashes, clocks and operators: the last operator undoes every drain, and the floor
+// holds all the while (the world checks that).
 func TestRandomOperators(t *testing.T) {
 	ctx := context.Background()
 	for seed := range uint64(300) {
@@ -154,7 +154,7 @@
 		for i := range 12 {
 			o := w.operator(fmt.Sprint("operator ", i))
 			if rng.IntN(3) > 0 {
-				o.crashAt, o.after = 1+rng.IntN(25), rng.IntN(2) == 0
+				o.crashAt, o.afterEffect = 1+rng.IntN(25), rng.IntN(2) == 0
 			}
 			machine := fmt.Sprint("m-", 1+rng.IntN(4))
 			if rng.IntN(3) == 0 {
@@ -171,36 +171,36 @@
 		for m := 1; m <= 4; m++ {
 			machine := fmt.Sprint("m-", m)
 			if err := w.operator("last").workflow().Undrain(ctx, machine); err != nil && !errors.Is(err, ErrRefused) {
-				t.Errorf("seed %d: %s: %v", seed, machine, err)
+				t.Errorf("seed %d: %s: got %v, want success or %v", seed, machine, err, ErrRefused)
 			}
 			w.check(fmt.Sprint("seed ", seed), machine, false)
 		}
 		if left := w.state.Marks(); len(left) > 0 {
-			t.Errorf("seed %d: marks are left: %v", seed, left)
+			t.Errorf("seed %d: got marks %v, want none", seed, left)
 		}
 	}
 }
 
-// A drain whose time is up is undone; one whose processes are being stopped is not.
-// A drain is over when the machine's members have ended, and tells for whom it waits.
+// A drain is done when the machine's members have ended, and reports for whom it waits.
 func TestDrainWaitsForMembers(t *testing.T) {
 	o := newWorld(t).operator("ops-a")
-	o.there = [][]string{{"k1", "s7"}, {"s7"}, {"s7"}, {}}
-	var said []string
+	o.members = [][]string{{"k1", "s7"}, {"s7"}, {"s7"}, {}}
+	var lines []string
 	w := o.workflow()
-	w.Say = func(format string, args ...any) { said = append(said, fmt.Sprintf(format, args...)) }
+	w.OnEvent = func(e Event) { lines = append(lines, e.String()) }
 	if err := w.Drain(t.Context(), "m-1"); err != nil {
 		t.Fatal(err)
 	}
-	text := strings.Join(said, "\n")
-	if len(o.there) != 0 || strings.Count(text, "waits for s7 to end") != 1 || !strings.Contains(text, "waits for k1, s7") || !strings.HasSuffix(text, "done") {
-		t.Errorf("%d looks were left; it said:\n%s", len(o.there), text)
+	text := strings.Join(lines, "\n")
+	if len(o.members) != 0 || strings.Count(text, "waits for s7 to end") != 1 || !strings.Contains(text, "waits for k1, s7") || !strings.HasSuffix(text, "done") {
+		t.Errorf("%d checks were not made; it reported:\n%s", len(o.members), text)
 	}
 }
 
-func TestOutOfTime(t *testing.T) {
+// A drain whose time is up is undone.
+func TestDrainIsUndoneAfterTimeout(t *testing.T) {
 	w := newWorld(t)
-	w.slow = true
+	w.watchStuck = true
 	o := w.operator("ops-a")
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -210,33 +210,33 @@
 		}
 	}
 	if err := o.workflow().Drain(ctx, "m-1"); !errors.Is(err, ErrTimeout) || !strings.Contains(err.Error(), "undone") {
-		t.Errorf("%v, want it undone", err)
+		t.Errorf("got %v, want %v and the drain undone", err, ErrTimeout)
 	}
 	w.check("out of time", "m-1", false)
 }
 
-// The claim is lost to another who had reason to think that it had run out.
-func TestLostClaim(t *testing.T) {
+// An operator who does not renew its claim in time loses it to another one.
+func TestClaimIsLost(t *testing.T) {
 	w := newWorld(t)
-	w.slow = true
+	w.watchStuck = true
 	first := w.operator("ops-a")
 	first.hook = func(call int) {
 		if call == 12 {
 			w.now = w.now.Add(time.Minute)
-			w.slow = false
+			w.watchStuck = false
 			if err := w.operator("ops-b").workflow().Drain(context.Background(), "m-1"); err != nil {
-				t.Errorf("ops-b: %v", err)
+				t.Errorf("ops-b: got %v, want success", err)
 			}
 		}
 	}
 	if err := first.workflow().Drain(t.Context(), "m-1"); !errors.Is(err, ErrClaimLost) {
-		t.Errorf("ops-a: %v, want the claim lost", err)
+		t.Errorf("ops-a: got %v, want %v", err, ErrClaimLost)
 	}
 	w.check("taken over", "m-1", true)
 }
 
-// An operator whose command stood still, wherever that was, does nothing more to a
-// machine that another has brought back meanwhile.
+// An operator whose command was stopped, at whichever call, changes nothing more of a machine
+// that another operator has brought back meanwhile.
 func TestStalledOperatorChangesNothing(t *testing.T) {
 	for at := 2; at < 25; at++ {
 		w := newWorld(t)
@@ -253,16 +253,16 @@
 			continue // before its claim, or after its end
 		}
 		if err == nil && w.ready("a") == 5 {
-			t.Errorf("stalled at call %d: it ended without an error", at)
+			t.Errorf("stalled at call %d: got success, want an error", at)
 		}
 		if err != nil && (len(w.state.Marks()) > 0 || w.ready("a") != 5) {
-			t.Errorf("stalled at call %d: marks are left that nobody owns: %v", at, w.state.Marks())
+			t.Errorf("stalled at call %d: got marks %v that no drain owns, want none", at, w.state.Marks())
 		}
 	}
 }
 
-// Servers that come to the machine while it drains are drained too.
-func TestServerThatComesMeanwhile(t *testing.T) {
+// Servers that are registered on the machine while it drains are drained, too.
+func TestServerRegisteredDuringDrain(t *testing.T) {
 	w := newWorld(t)
 	o := w.operator("ops-a")
 	o.hook = func(call int) {
@@ -276,7 +276,7 @@
 	w.check("drained", "m-1", true)
 }
 
-// Each refusal is one line that says what and what to do, and changes nothing.
+// Each refusal is one line that says why and what to do, and changes nothing.
 func TestRefusals(t *testing.T) {
 	for name, x := range map[string]struct {
 		machine, want string
@@ -298,15 +298,15 @@
 		marks, seq := fmt.Sprint(w.state.Marks(), len(w.state.RecordKeys())), w.state.Seq()
 		err := w.operator("ops-b").workflow().Drain(t.Context(), x.machine)
 		if err == nil || !strings.Contains(err.Error(), x.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want one line with %q", name, err, x.want)
+			t.Errorf("%s: got %v, want one line with %q", name, err, x.want)
 		}
 		if fmt.Sprint(w.state.Marks(), len(w.state.RecordKeys())) != marks || w.state.Seq() != seq {
-			t.Errorf("%s: something was changed", name)
+			t.Errorf("%s: a refused call has changed marks, records or list", name)
 		}
 	}
 	w := newWorld(t)
 	p, err := w.operator("ops-a").workflow().Plan(t.Context(), "m-1")
 	if err != nil || len(p.Hosts) != 2 || len(p.Zones) != 1 || p.Zones[0] != (ZoneReadiness{"a", 5, 3, 2}) || len(w.state.RecordKeys()) > 0 {
-		t.Errorf("a plan: %+v, %v", p, err)
+		t.Errorf("plan: got %+v, %v", p, err)
 	}
 }
--- a/internal/drain/floor.go
+++ b/internal/drain/floor.go
@@ -9,11 +9,10 @@
 	"barleywick/internal/registry"
 )
 
-// Floor is how many ready servers have to remain in each zone; Others counts where
-// a zone is not named.
+// Floor is how many ready servers have to remain in each zone.
 type Floor struct {
 	Zones   map[string]int `json:"zones"`
-	Default int            `json:"others"`
+	Default int            `json:"others"` // for zones that Zones does not name
 }
 
 func (f Floor) forZone(zone string) int {
@@ -26,60 +25,85 @@
 // Plan is what a drain would do.
 type Plan struct {
 	Machine   string
-	Hosts     []string
+	Hosts     []string // the servers that would be drained
 	Zones     []ZoneReadiness
-	ResumesAt Step // the step that a drain under way would be resumed at; empty: a new one
+	ResumesAt Step // the step at which a drain under way would be resumed; empty: a new drain
 }
 
-// ZoneReadiness is what a zone has before and after.
+// ZoneReadiness is how many ready servers a zone has, and how many would remain.
 type ZoneReadiness struct {
 	Zone                    string
 	Ready, Remaining, Floor int
 }
 
-// checkFloor checks a drain against the list and the other drains.
-func (w *Workflow) checkFloor(ctx context.Context, machine string, d record) (Plan, error) {
+// checkFloor plans a new drain. It returns ErrRefused if the machine has no servers, one of them
+// is marked by somebody else, or too few servers would remain beside the other drains.
+func (w *Workflow) checkFloor(ctx context.Context, machine string, rec record) (Plan, error) {
 	list, err := w.Registry.Registrations(ctx)
 	if err != nil {
 		return Plan{}, err
 	}
-	p := Plan{Machine: machine}
-	zones, ready := make(map[string]int), make(map[string]int)
-	known := make(map[string]bool)
-	for _, e := range list.Registrations {
-		known[e.Machine] = true
-		if e.Machine == machine {
-			p.Hosts = append(p.Hosts, e.Host)
-			zones[e.Site] += 0
-			if m := list.Marks[e.Host]; m != "" && m != markOwner(machine) {
-				return p, refusal("server %s is marked by %s: let that end first", e.Host, m)
-			}
+	plan := Plan{Machine: machine}
+	for _, server := range list.Registrations {
+		if server.Machine != machine {
+			continue
 		}
-		other := d.drains[e.Machine]
-		if e.Health == registry.HealthUp && (other.Step == "" || e.Machine == machine) {
-			ready[e.Site]++
-			if e.Machine == machine {
-				zones[e.Site]++
-			}
+		if marker := list.Marks[server.Host]; marker != "" && marker != markOwner(machine) {
+			return plan, refusal("server %s is marked by %s: let that end first", server.Host, marker)
 		}
+		plan.Hosts = append(plan.Hosts, server.Host)
 	}
-	if len(p.Hosts) == 0 {
-		var names []string
-		for m := range known {
-			if m != "" {
-				names = append(names, m)
-			}
+	if len(plan.Hosts) == 0 {
+		return plan, refusal("machine %q has no servers in the list; it has those of %s", machine, strings.Join(machines(list.Registrations), ", "))
+	}
+	slices.Sort(plan.Hosts)
+	for _, zone := range zonesAfter(list.Registrations, machine, rec) {
+		zone.Floor = w.Floor.forZone(zone.Zone)
+		plan.Zones = append(plan.Zones, zone)
+		if zone.Remaining < zone.Ready && zone.Remaining < zone.Floor {
+			return plan, refusal("without %s zone %s would have %d ready servers, its floor is %d; start others first, or end another drain",
+				machine, zone.Zone, zone.Remaining, zone.Floor)
+		}
+	}
+	return plan, nil
+}
+
+// zonesAfter counts the ready servers of the machine's zones, by zone. Servers of machines that
+// are being drained do not count.
+func zonesAfter(servers []registry.Registration, machine string, rec record) []ZoneReadiness {
+	byZone := make(map[string]ZoneReadiness)
+	for _, server := range servers {
+		if server.Machine == machine {
+			byZone[server.Site] = ZoneReadiness{Zone: server.Site}
 		}
-		slices.Sort(names)
-		return p, refusal("machine %q has no servers in the list; it has those of %s", machine, strings.Join(names, ", "))
 	}
-	slices.Sort(p.Hosts)
-	for _, z := range slices.Sorted(maps.Keys(zones)) {
-		r := ZoneReadiness{Zone: z, Ready: ready[z], Remaining: ready[z] - zones[z], Floor: w.Floor.forZone(z)}
-		p.Zones = append(p.Zones, r)
-		if zones[z] > 0 && r.Remaining < r.Floor {
-			return p, refusal("without %s zone %s would have %d ready servers, its floor is %d; start others first, or end another drain", machine, z, r.Remaining, r.Floor)
+	for _, server := range servers {
+		zone, concerned := byZone[server.Site]
+		draining := rec.drains[server.Machine].Step != ""
+		if !concerned || server.Health != registry.HealthUp || draining && server.Machine != machine {
+			continue
+		}
+		zone.Ready++
+		if server.Machine != machine {
+			zone.Remaining++
+		}
+		byZone[server.Site] = zone
+	}
+	zones := make([]ZoneReadiness, 0, len(byZone))
+	for _, name := range slices.Sorted(maps.Keys(byZone)) {
+		zones = append(zones, byZone[name])
+	}
+	return zones
+}
+
+// machines returns the names of the machines that have servers.
+func machines(servers []registry.Registration) []string {
+	var names []string
+	for _, server := range servers {
+		if server.Machine != "" {
+			names = append(names, server.Machine)
 		}
 	}
-	return p, nil
+	slices.Sort(names)
+	return slices.Compact(names)
 }
--- a/internal/drain/handover.go
+++ b/internal/drain/handover.go
@@ -9,60 +9,47 @@
 	"barleywick/internal/registry"
 )
 
-// withOwner is the same workflow for another owner.
-func (w *Workflow) withOwner(owner string) *Workflow {
-	return &Workflow{
-		Registry: w.Registry, Fleet: w.Fleet, Floor: w.Floor, Owner: owner,
-		ClaimTTL: w.ClaimTTL, PollInterval: w.PollInterval, Now: w.Now, Sleep: w.Sleep, Say: w.Say,
-	}
-}
-
-// HandOver claims a machine's drain for the keepers, which run it from then on, whether
-// this process lives or not. The floor is checked here and now; until is when they are
-// to undo it if it has not come to stopping by then.
-func (w *Workflow) HandOver(ctx context.Context, machine string, until time.Time) error {
-	theirs := w.withOwner(OwnerControllers)
-	_, err := theirs.updateDrain(ctx, machine, func(d record, was Drain, is bool) (Drain, bool, error) {
-		if is && was.Owner == OwnerControllers && was.Step != Done && was.Step != Undoing {
-			return was, true, nil // they have it already
+// HandOver claims a machine's drain for the controllers, which run it from then on whether this
+// process lives or not. The floor is checked here. The controllers undo the drain if it has not
+// come to Stopping by the deadline.
+func (w *Workflow) HandOver(ctx context.Context, machine string, deadline time.Time) error {
+	_, err := w.updateDrain(ctx, machine, func(rec record, current *Drain) (*Drain, error) {
+		if current != nil && current.Owner == OwnerControllers && current.Step != Done && current.Step != Undoing {
+			return current, nil // it has been handed over before
+		}
+		next, err := w.newOrResumable(ctx, machine, rec, current)
+		if err != nil {
+			return nil, err
 		}
-		own := was
-		if is {
-			if err := w.checkResumable(was); err != nil { // by the operator's own claim, or nobody's
-				return was, true, err
-			}
-		} else {
-			p, err := w.checkFloor(ctx, machine, d)
-			if err != nil {
-				return was, false, err
-			}
-			own = Drain{Machine: machine, Step: Claimed, Hosts: p.Hosts, BeganMS: w.Now().UnixMilli()}
+		if current == nil {
+			next.BeganMS = w.Now().UnixMilli()
 		}
-		own.Owner, own.DeadlineMS, own.Note = OwnerControllers, until.UnixMilli(), ""
-		own.ExpiresMS = w.Now().Add(w.ClaimTTL).UnixMilli()
-		return own, true, nil
+		next.Owner, next.DeadlineMS, next.Note = OwnerControllers, deadline.UnixMilli(), ""
+		next.ExpiresMS = w.claimExpiry()
+		return &next, nil
 	})
 	return err
 }
 
-// Follow tells how a drain that was handed over goes on, until it has ended.
+// Follow reports how a drain that was handed over goes on, until it has ended. It returns
+// ErrTimeout if the drain was undone.
 func (w *Workflow) Follow(ctx context.Context, machine string) error {
-	var said Drain
+	var last Drain
 	for {
-		d, err := w.readRecord(ctx)
+		rec, err := w.readRecord(ctx)
 		if err != nil {
 			return err
 		}
-		own, is := d.drains[machine]
+		d, exists := rec.drains[machine]
 		switch {
-		case !is:
+		case !exists:
 			return fmt.Errorf("%s: %w: the drain was undone", machine, ErrTimeout)
-		case own.Step != said.Step:
-			w.Say("%s: %s", machine, own.Step)
-		case own.Note != said.Note && own.Note != "":
-			w.Say("%s: %s, %s", machine, own.Step, own.Note)
+		case d.Step != last.Step:
+			w.OnEvent(Event{Kind: EventStep, Machine: machine, Step: d.Step})
+		case d.Note != last.Note && d.Note != "":
+			w.OnEvent(Event{Kind: EventNoted, Machine: machine, Step: d.Step, Note: d.Note})
 		}
-		if said = own; own.Step == Done {
+		if last = d; d.Step == Done {
 			return nil
 		}
 		if err := w.Sleep(ctx, w.PollInterval); err != nil {
@@ -71,35 +58,41 @@
 	}
 }
 
-// HandedOver returns the drains that keepers are to run, or to go on undoing.
-func (w *Workflow) HandedOver(ctx context.Context) (machines []Drain, err error) {
+// HandedOver returns the drains that the controllers have to run, or to undo.
+func (w *Workflow) HandedOver(ctx context.Context) ([]Drain, error) {
 	all, err := w.Status(ctx)
+	var handed []Drain
 	for _, d := range all {
 		if d.Owner == OwnerControllers && d.Step != Done {
-			machines = append(machines, d)
+			handed = append(handed, d)
 		}
 	}
-	return machines, err
+	return handed, err
 }
 
-// Resume goes on with one that was handed over, from whatever step it has come to. What
-// hinders it is noted in its record.
+// Resume goes on with a drain that was handed over, at whatever step it is. It notes in the
+// record why the drain fails.
 func (w *Workflow) Resume(ctx context.Context, d Drain) error {
 	if d.Step == Undoing {
 		return w.Undrain(ctx, d.Machine)
 	}
-	in, cancel := context.WithDeadline(ctx, time.UnixMilli(d.DeadlineMS))
-	defer cancel()
-	if d.Step == Stopping || d.Step == Stopped || d.DeadlineMS == 0 {
-		in = ctx // there is no way back
-	}
-	err := w.Drain(in, d.Machine)
+	err := w.drainUntil(ctx, d)
 	switch {
 	case err == nil, ctx.Err() != nil, errors.Is(err, ErrClaimLost), errors.Is(err, ErrTimeout), errors.Is(err, registry.ErrFenced):
 		return err
 	}
-	if _, _, noted := w.updateClaimed(ctx, d.Machine, func(own *Drain) { own.Note = err.Error() }); noted != nil {
-		return errors.Join(err, noted)
+	if _, _, noteErr := w.updateClaimed(ctx, d.Machine, func(d *Drain) { d.Note = err.Error() }); noteErr != nil {
+		return errors.Join(err, noteErr)
 	}
 	return err
 }
+
+// drainUntil drains the machine within the drain's deadline, where it has one.
+func (w *Workflow) drainUntil(ctx context.Context, d Drain) error {
+	if d.Step.canTimeOut() && d.DeadlineMS != 0 {
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithDeadline(ctx, time.UnixMilli(d.DeadlineMS))
+		defer cancel()
+	}
+	return w.Drain(ctx, d.Machine)
+}
--- a/internal/drain/livefleet.go
+++ b/internal/drain/livefleet.go
@@ -18,133 +18,162 @@
 )
 
 const (
-	// notificationDeadline is after how long anything that discovery has to tell counts as
-	// told, by the protocol, whether it arrived or not.
+	// notificationDeadline is the time after which a sidecar counts as notified of a change of
+	// the endpoint list by the protocol, whether it has received it or not.
 	notificationDeadline = 6 * time.Second
-	callTimeout          = time.Second // for one question to a replica or a server
-	maxReportBytes       = 4 << 10
-	maxOutputShown       = 300 // characters of a failed command's output that are shown
+	// callTimeout is for one call to a member of the fleet or a server.
+	callTimeout    = time.Second
+	maxReportBytes = 4 << 10
+	maxOutputShown = 300 // bytes of a failed command's output
 )
 
-// ReplicaStatuses asks every replica of the registry how it stands; one that cannot be
-// reached is left out, and all says whether none was.
+// ReplicaStatuses asks every replica of the registry for its status. Those that do not answer
+// are missing in got; all says whether none is.
 type ReplicaStatuses func(ctx context.Context) (got []registry.StatusResponse, all bool)
 
-// LiveFleet is the real fleet: the registry's watches, the booking servers' load
-// reports, and a command that stops a server's processes.
+// LiveFleet is the Fleet of real processes: it uses the registry's watches, the booking
+// servers' load reports, and a command that stops a server.
 type LiveFleet struct {
 	Statuses ReplicaStatuses
-	// Sidecars is how many there are, where that is known: if so many watches hold a
-	// version, nobody else has to be waited for.
+	// Sidecars is how many sidecars the fleet has; 0: not known. If so many watches have a
+	// version of the endpoint list, all sidecars are notified.
 	Sidecars int
-	// MaxRequestTime is the longest time that a client gives a request. A server that
-	// reports no load has no work after that.
+	// MaxRequestTime is the longest time that a client gives a request. A server without load
+	// reports has no work after that.
 	MaxRequestTime time.Duration
-	// StopCommand stops a server; {machine} and {host} stand for their names. None: the
-	// operator stops it.
+	// StopCommand stops a server; {machine} and {host} stand for their names. If it is empty,
+	// the operator stops the server.
 	StopCommand []string
 	Now         func() time.Time
-	// MembershipURLs are where members of the fleet are asked for their views, any of them; none:
-	// the machine's other processes are not waited for.
+	// MembershipURLs are where a view of the fleet's members can be had. If there are none, the
+	// machine's other processes are not waited for.
 	MembershipURLs []string
 }
 
-// RemainingMembers asks for a view of the fleet. One that fell silent may be cut off and carry
-// traffic still: only a goodbye, an end that was seen, or an operator's word ends a wait.
-func (s *LiveFleet) RemainingMembers(ctx context.Context, machine string) (there []string, waits bool, err error) {
-	if len(s.MembershipURLs) == 0 {
+// RemainingMembers takes them from the first view of the fleet that it gets. An unreachable member
+// counts, since it may be cut off and still carry traffic: the wait for it ends when it says
+// goodbye, when its end was seen, or when an operator says so.
+func (f *LiveFleet) RemainingMembers(ctx context.Context, machine string) (names []string, wait bool, err error) {
+	if len(f.MembershipURLs) == 0 {
 		return nil, false, nil
 	}
-	within, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	for _, url := range s.MembershipURLs {
-		var v membership.ViewResponse
-		if v, err = membership.FetchView(within, http.DefaultClient, url, ""); err != nil {
+	for _, url := range f.MembershipURLs {
+		var view membership.ViewResponse
+		if view, err = membership.FetchView(ctx, http.DefaultClient, url, ""); err != nil {
 			continue
 		}
-		for _, m := range v.Members {
+		for _, m := range view.Members {
 			if m.MachineName == machine && (m.Status.CountsAsPresent() || m.Status == membership.StatusUnreachable) {
-				there = append(there, m.Name)
+				names = append(names, m.Name)
 			}
 		}
-		return there, true, nil
+		return names, true, nil
 	}
 	return nil, true, err
 }
 
-// Notified says whether all sidecars hold a version. Those that watch say so by it; one
-// that does not watch at the moment counts as told when the protocol says.
-func (s *LiveFleet) Notified(ctx context.Context, seq uint64, since time.Time) (bool, error) {
-	if s.Now().Sub(since) >= notificationDeadline {
+// Notified asks the registry which version the sidecars' watches have. A sidecar that does not
+// watch at the moment counts as notified after the notification deadline.
+func (f *LiveFleet) Notified(ctx context.Context, seq uint64, since time.Time) (bool, error) {
+	if f.Now().Sub(since) >= notificationDeadline {
 		return true, nil
 	}
-	got, all := s.Statuses(ctx)
+	statuses, all := f.Statuses(ctx)
 	if err := ctx.Err(); err != nil {
 		return false, err
 	}
 	watches := 0
-	for _, r := range got {
-		if r.WatchSeq < seq {
+	for _, s := range statuses {
+		if s.WatchSeq < seq {
 			return false, nil
 		}
-		watches += r.Watches
+		watches += s.Watches
 	}
-	return all && s.Sidecars > 0 && watches >= s.Sidecars, nil
+	return all && f.Sidecars > 0 && watches >= f.Sidecars, nil
 }
 
-// Idle asks a server for its load. One that cannot be reached any more has none; one
-// that does not report has none when nobody can wait for an answer any longer.
-func (s *LiveFleet) Idle(ctx context.Context, server registry.Registration, since time.Time) (bool, error) {
-	within, cancel := context.WithTimeout(ctx, callTimeout)
+// Idle asks the server for its load report. A server that refuses connections has no work; one
+// that does not report has none when no client waits for an answer any more.
+func (f *LiveFleet) Idle(ctx context.Context, server registry.Registration, since time.Time) (bool, error) {
+	load, err := fetchLoad(ctx, server.Dial)
+	switch {
+	case errors.Is(err, errNoReport):
+		return f.Now().Sub(since) >= notificationDeadline+f.MaxRequestTime, nil
+	case errors.Is(err, errStopped):
+		return true, nil
+	case err != nil:
+		return false, err
+	}
+	return load == 0, nil
+}
+
+var (
+	errStopped  = errors.New("the server refuses connections")
+	errNoReport = errors.New("the server does not report its load")
+)
+
+// fetchLoad returns how much work a server has by its own report.
+func fetchLoad(ctx context.Context, address string) (float64, error) {
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(within, http.MethodGet, "http://"+server.Dial+"/stats", nil)
+	req, err := http.NewRequestWithContext(callCtx, http.MethodGet, "http://"+address+"/stats", nil)
 	if err != nil {
-		return false, err
+		return 0, err
 	}
 	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := c.Do(req)
+	if err == nil {
+		defer resp.Body.Close()
+	}
 	switch {
 	case ctx.Err() != nil:
-		return false, ctx.Err()
+		return 0, ctx.Err()
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return true, nil
-	case err == nil:
-		defer resp.Body.Close()
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxReportBytes))
-		report := resp.Header.Get("Server-Load")
-		if report == "" {
-			report = string(text)
-		}
-		if work, ok := parseLoad(report); ok && resp.StatusCode == http.StatusOK {
-			return work == 0, nil
-		}
+		return 0, errStopped
+	case err != nil || resp.StatusCode != http.StatusOK:
+		return 0, errNoReport
+	}
+	load, ok := parseLoad(loadReport(resp))
+	if !ok {
+		return 0, errNoReport
+	}
+	return load, nil
+}
+
+// loadReport returns the load report of a response, which stands in a header field or the body.
+func loadReport(resp *http.Response) string {
+	if report := resp.Header.Get("Server-Load"); report != "" {
+		return report
 	}
-	return s.Now().Sub(since) >= notificationDeadline+s.MaxRequestTime, nil
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxReportBytes)) // a part that cannot be read is no report
+	return string(text)
 }
 
-// parseLoad reads how much a server holds out of its report: what is in flight and what
-// waits, or else how busy its cores are.
-func parseLoad(report string) (work float64, ok bool) {
+// parseLoad reads how much work a server has out of its load report: the requests in flight and
+// queued, or how busy its cores are.
+func parseLoad(report string) (load float64, ok bool) {
 	values := settings.ParseLoadReport(report, "inflight", "queue", "util")
 	maps.DeleteFunc(values, func(_ string, v float64) bool { return !(v >= 0) })
-	inflight, a := values["inflight"]
-	util, b := values["util"]
-	if !a && !b {
+	inflight, hasInflight := values["inflight"]
+	utilization, hasUtilization := values["util"]
+	if !hasInflight && !hasUtilization {
 		return 0, false
 	}
-	return inflight + util + values["queue"], true
+	return inflight + utilization + values["queue"], true
 }
 
-// Stop runs the command for one server. It must do no harm where the server is
-// stopped already: a drain that is resumed runs it again.
-func (s *LiveFleet) Stop(ctx context.Context, machine, host string) error {
-	if len(s.StopCommand) == 0 {
+// Stop runs the stop command for one server. The command has to be harmless where the server is
+// stopped already, because a drain that is resumed runs it again.
+func (f *LiveFleet) Stop(ctx context.Context, machine, host string) error {
+	if len(f.StopCommand) == 0 {
 		return nil
 	}
 	names := strings.NewReplacer("{machine}", machine, "{host}", host)
-	args := make([]string, len(s.StopCommand))
-	for i, a := range s.StopCommand {
-		args[i] = names.Replace(a)
+	args := make([]string, len(f.StopCommand))
+	for i, arg := range f.StopCommand {
+		args[i] = names.Replace(arg)
 	}
 	out, err := exec.CommandContext(ctx, args[0], args[1:]...).CombinedOutput()
 	if err != nil {
--- a/internal/drain/livefleet_test.go
+++ b/internal/drain/livefleet_test.go
@@ -14,29 +14,34 @@
 	"barleywick/internal/registry"
 )
 
-func TestSite(t *testing.T) {
-	begin := time.Unix(1_800_000_000, 0)
-	var got []registry.StatusResponse
-	all, now := true, begin
-	s := &LiveFleet{
-		Statuses: func(context.Context) ([]registry.StatusResponse, bool) { return got, all },
+var fleetStart = time.Unix(1_800_000_000, 0)
+
+func TestNotified(t *testing.T) {
+	var statuses []registry.StatusResponse
+	now := fleetStart
+	f := &LiveFleet{
+		Statuses: func(context.Context) ([]registry.StatusResponse, bool) { return statuses, true },
 		Sidecars: 3, MaxRequestTime: 6 * time.Second, Now: func() time.Time { return now },
 	}
-	told := func() bool { ok, err := s.Notified(t.Context(), 10, begin); return ok && err == nil }
-	got = []registry.StatusResponse{{Watches: 2, WatchSeq: 10}, {Watches: 1, WatchSeq: 12}}
-	if !told() {
-		t.Error("all hold it")
-	}
-	if got[0].WatchSeq = 9; told() {
-		t.Error("one watch holds an older version")
-	}
-	if got[0].WatchSeq, got[0].Watches = 10, 1; told() {
-		t.Error("one sidecar does not watch")
-	}
-	if now = begin.Add(notificationDeadline); !told() {
-		t.Error("by the protocol it is told by then")
+	check := func(what string, want bool) {
+		t.Helper()
+		if got, err := f.Notified(t.Context(), 10, fleetStart); got != want || err != nil {
+			t.Errorf("%s: got %v, %v, want %v", what, got, err, want)
+		}
 	}
+	statuses = []registry.StatusResponse{{Watches: 2, WatchSeq: 10}, {Watches: 1, WatchSeq: 12}}
+	check("all have the version", true)
+	statuses[0].WatchSeq = 9
+	check("a watch has an older version", false)
+	statuses[0].WatchSeq, statuses[0].Watches = 10, 1
+	check("a sidecar does not watch", false)
+	now = fleetStart.Add(notificationDeadline)
+	check("at the notification deadline", true)
+}
 
+func TestIdle(t *testing.T) {
+	now := fleetStart
+	f := &LiveFleet{MaxRequestTime: 6 * time.Second, Now: func() time.Time { return now }}
 	report, status := "", http.StatusOK
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,41 +52,48 @@
 		fmt.Fprint(w, report)
 	})}
 	go server.Serve(ln)
-	e := registry.Registration{Instance: registry.Instance{Dial: ln.Addr().String()}}
-	idle := func() bool { ok, err := s.Idle(t.Context(), e, begin); return ok && err == nil }
-	for text, want := range map[string]bool{
-		"TEXT inflight=0, queue=0, util=0": true, "inflight=1, queue=0": false, "queue=0, util=0.5, qps=3": false,
-		"queue=0, util=0, qps=9": true, "queue=0": false, "": false, "inflight=x": false,
-	} {
-		if report = text; idle() != want {
-			t.Errorf("report %q: idle %v", text, !want)
+	registration := registry.Registration{Instance: registry.Instance{Dial: ln.Addr().String()}}
+	check := func(what string, want bool) {
+		t.Helper()
+		if got, err := f.Idle(t.Context(), registration, fleetStart); got != want || err != nil {
+			t.Errorf("%s: got %v, %v, want %v", what, got, err, want)
 		}
 	}
-	report = "no report"
-	if now = begin.Add(notificationDeadline + s.MaxRequestTime); !idle() {
-		t.Error("nobody can wait for an answer any longer")
-	}
-	now, status, report = begin, http.StatusNotFound, "inflight=0"
-	if idle() {
-		t.Error("an error was taken for a report")
+	for text, want := range map[string]bool{
+		"TEXT inflight=0, queue=0, util=0": true,
+		"inflight=1, queue=0":              false,
+		"queue=0, util=0.5, qps=3":         false,
+		"queue=0, util=0, qps=9":           true,
+		"queue=0":                          false,
+		"":                                 false,
+		"inflight=x":                       false,
+	} {
+		report = text
+		check(fmt.Sprintf("report %q", text), want)
 	}
+	report, now = "no report", fleetStart.Add(notificationDeadline+f.MaxRequestTime)
+	check("no client waits any more", true)
+	report, status, now = "inflight=0", http.StatusNotFound, fleetStart
+	check("an error response", false)
 	server.Close()
-	if !idle() {
-		t.Error("a server that has gone has no work")
-	}
-	if err := s.Stop(t.Context(), "m", "h"); err != nil {
-		t.Errorf("no command: %v", err)
+	check("a server that has ended", true)
+}
+
+func TestStopCommand(t *testing.T) {
+	f := new(LiveFleet)
+	if err := f.Stop(t.Context(), "m", "h"); err != nil {
+		t.Errorf("no command: got %v, want success", err)
 	}
 	out := filepath.Join(t.TempDir(), "stopped")
-	s.StopCommand = []string{"sh", "-c", "echo {machine} {host} > " + out}
-	if err := s.Stop(t.Context(), "m-1", "s-1"); err != nil {
+	f.StopCommand = []string{"sh", "-c", "echo {machine} {host} > " + out}
+	if err := f.Stop(t.Context(), "m-1", "s-1"); err != nil {
 		t.Error(err)
 	}
-	if text, _ := os.ReadFile(out); string(text) != "m-1 s-1\n" {
-		t.Errorf("the command got %q", text)
+	if text, err := os.ReadFile(out); string(text) != "m-1 s-1\n" {
+		t.Errorf("the command was given %q, %v, want machine and host", text, err)
 	}
-	s.StopCommand = []string{"sh", "-c", "echo no such unit >&2; exit 5"}
-	if err := s.Stop(t.Context(), "m-1", "s-1"); err == nil || !strings.Contains(err.Error(), "no such unit") {
-		t.Errorf("a command that fails: %v", err)
+	f.StopCommand = []string{"sh", "-c", "echo no such unit >&2; exit 5"}
+	if err := f.Stop(t.Context(), "m-1", "s-1"); err == nil || !strings.Contains(err.Error(), "no such unit") {
+		t.Errorf("a command that fails: got %v, want its output", err)
 	}
 }
--- a/internal/drain/record.go
+++ b/internal/drain/record.go
@@ -9,84 +9,95 @@
 	"barleywick/internal/registry"
 )
 
-// record is the record of all record at a version.
+// record is the state of all drains, at a version of the registry's record.
 type record struct {
-	drains  map[string]Drain
-	version uint64
+	drains  map[string]Drain // by machine
+	version uint64           // 0: there is no record yet
 }
 
-// readRecord reads the record.
 func (w *Workflow) readRecord(ctx context.Context) (record, error) {
-	d := record{drains: make(map[string]Drain)}
-	r, err := w.Registry.Record(ctx, RecordKey)
+	rec := record{drains: make(map[string]Drain)}
+	stored, err := w.Registry.Record(ctx, RecordKey)
 	if errors.Is(err, registry.ErrNotFound) {
-		return d, nil
+		return rec, nil
 	} else if err != nil {
-		return d, err
+		return rec, err
 	}
-	if err := json.Unmarshal(r.Value, &d.drains); err != nil {
-		return d, fmt.Errorf("the record %s in the registry cannot be read: %w", RecordKey, err)
+	if err := json.Unmarshal(stored.Value, &rec.drains); err != nil {
+		return rec, fmt.Errorf("the record %s in the registry cannot be read: %w", RecordKey, err)
 	}
-	d.version = r.Version
-	return d, nil
+	rec.version = stored.Version
+	return rec, nil
 }
 
-// writeRecord writes the record if nobody has since it was read. registry.ErrConflict
-// says that somebody has.
-func (w *Workflow) writeRecord(ctx context.Context, d *record) error {
-	text, err := json.Marshal(d.drains)
+// writeRecord writes the record if it still has the version that was read, and returns
+// registry.ErrConflict otherwise.
+func (w *Workflow) writeRecord(ctx context.Context, rec *record) error {
+	text, err := json.Marshal(rec.drains)
 	if err != nil {
 		return err
 	}
-	v, err := w.Registry.Put(ctx, RecordKey, text, &d.version)
+	version, err := w.Registry.Put(ctx, RecordKey, text, &rec.version)
 	if err == nil {
-		d.version = v
+		rec.version = version
 	}
 	return err
 }
 
-// updateDrain changes one machine's drain as change says, in the newest record.
-func (w *Workflow) updateDrain(ctx context.Context, machine string, change func(d record, own Drain, is bool) (Drain, bool, error)) (record, error) {
+// changeFunc returns the next state of a machine's drain; nil: there is none. Current is nil
+// where there is none now. It is called again if the record has changed meanwhile.
+type changeFunc func(rec record, current *Drain) (next *Drain, err error)
+
+// updateDrain changes one machine's drain in the latest record. It writes nothing if change
+// returns an error.
+func (w *Workflow) updateDrain(ctx context.Context, machine string, change changeFunc) (record, error) {
 	for {
-		d, err := w.readRecord(ctx)
+		rec, err := w.readRecord(ctx)
 		if err != nil {
-			return d, err
+			return rec, err
+		}
+		var current *Drain
+		if d, exists := rec.drains[machine]; exists {
+			current = &d
 		}
-		own, is := d.drains[machine]
-		next, keep, err := change(d, own, is)
+		next, err := change(rec, current)
 		if err != nil {
-			return d, err
+			return rec, err
 		}
-		if keep {
-			d.drains[machine] = next
+		if next != nil {
+			rec.drains[machine] = *next
 		} else {
-			delete(d.drains, machine)
+			delete(rec.drains, machine)
 		}
-		if err := w.writeRecord(ctx, &d); !errors.Is(err, registry.ErrConflict) {
-			return d, err
+		if err := w.writeRecord(ctx, &rec); !errors.Is(err, registry.ErrConflict) {
+			return rec, err
 		}
 	}
 }
 
-// updateClaimed changes a drain whose claim has to be ours, and renews the claim.
-func (w *Workflow) updateClaimed(ctx context.Context, machine string, change func(own *Drain)) (Drain, record, error) {
-	var got Drain
-	d, err := w.updateDrain(ctx, machine, func(_ record, own Drain, is bool) (Drain, bool, error) {
-		if !is || own.Owner != w.Owner {
-			return own, is, fmt.Errorf("%w: the drain of %s is %s by now; nothing more was changed here", ErrClaimLost, machine, describeClaim(own, is))
+// updateClaimed changes a drain that this workflow's owner has claimed, and renews the claim.
+// It returns ErrClaimLost if another owner has it. A nil change only renews.
+func (w *Workflow) updateClaimed(ctx context.Context, machine string, change func(d *Drain)) (Drain, record, error) {
+	var updated Drain
+	rec, err := w.updateDrain(ctx, machine, func(_ record, current *Drain) (*Drain, error) {
+		if current == nil || current.Owner != w.Owner {
+			return nil, fmt.Errorf("%w: the drain of %s is %s by now; nothing more was changed here", ErrClaimLost, machine, describeClaim(current))
 		}
 		if change != nil {
-			change(&own)
+			change(current)
 		}
-		own.ExpiresMS = w.Now().Add(w.ClaimTTL).UnixMilli()
-		got = own
-		return own, true, nil
+		current.ExpiresMS = w.claimExpiry()
+		updated = *current
+		return current, nil
 	})
-	return got, d, err
+	return updated, rec, err
 }
 
-func describeClaim(d Drain, is bool) string {
-	if !is {
+// claimExpiry is when a claim that is renewed now expires, in Unix milliseconds.
+func (w *Workflow) claimExpiry() int64 { return w.Now().Add(w.ClaimTTL).UnixMilli() }
+
+func describeClaim(d *Drain) string {
+	if d == nil {
 		return "over"
 	}
 	return fmt.Sprintf("%s's, at step %s", d.Owner, d.Step)
--- a/internal/drain/steps.go
+++ b/internal/drain/steps.go
@@ -11,181 +11,222 @@
 	"barleywick/internal/registry"
 )
 
-// takeStep does what the takeStep that a drain is at asks for, and brings it to the next
-// one, or leaves it there for another look. Each may be done again.
-func (w *Workflow) takeStep(ctx context.Context, own Drain) (Drain, error) {
-	switch own.Step {
+// takeStep does the work of a drain's step once. It returns the drain at the next step, or at
+// the same one if it has to wait. Each step may be repeated.
+func (w *Workflow) takeStep(ctx context.Context, d Drain) (Drain, error) {
+	switch d.Step {
 	case Claimed:
-		return w.markServers(ctx, own)
+		return w.markServers(ctx, d)
 	case Marked:
-		quiet, err := w.workEnded(ctx, own)
-		if err != nil {
-			return own, err
-		}
-		if !quiet {
-			if err := w.Sleep(ctx, w.PollInterval); err != nil {
-				return own, err
-			}
-			own, _, err = w.updateClaimed(ctx, own.Machine, nil)
-			return own, err
-		}
-		return w.advanceTo(ctx, own, Drained)
+		return w.awaitIdleServers(ctx, d)
 	case Drained:
-		return w.advanceTo(ctx, own, Stopping)
+		return w.advanceTo(ctx, d, Stopping)
 	case Stopping:
-		for _, host := range own.Hosts {
-			if err := w.Fleet.Stop(ctx, own.Machine, host); err != nil {
-				return own, fmt.Errorf("%s: stopping %s: %w; drain it again to resume", own.Machine, host, err)
-			}
-			if _, _, err := w.updateClaimed(ctx, own.Machine, nil); err != nil {
-				return own, err
-			}
-		}
-		return w.advanceTo(ctx, own, Stopped)
+		return w.stopServers(ctx, d)
 	case Stopped:
-		there, waits, err := w.Fleet.RemainingMembers(ctx, own.Machine)
-		if !waits || err == nil && len(there) == 0 {
-			return w.advanceTo(ctx, own, Done)
-		}
-		note := "waits for " + strings.Join(there, ", ") + " to end"
-		if err != nil {
-			note = "waits for somebody who knows its members: " + err.Error()
-		}
-		if note != own.Note {
-			w.Say("%s: %s", own.Machine, note)
-		}
-		if err := w.Sleep(ctx, w.PollInterval); err != nil {
-			return own, err
-		}
-		own, _, err = w.updateClaimed(ctx, own.Machine, func(d *Drain) { d.Note = note })
-		return own, err
+		return w.awaitMembers(ctx, d)
 	}
-	return own, fmt.Errorf("the drain of %s is at step %q, which this program does not know", own.Machine, own.Step)
+	return d, fmt.Errorf("the drain of %s is at step %q, which this program does not know", d.Machine, d.Step)
 }
 
-func (w *Workflow) advanceTo(ctx context.Context, own Drain, to Step) (Drain, error) {
-	next, _, err := w.updateClaimed(ctx, own.Machine, func(d *Drain) { d.Step = to })
+func (w *Workflow) advanceTo(ctx context.Context, d Drain, to Step) (Drain, error) {
+	next, _, err := w.updateClaimed(ctx, d.Machine, func(d *Drain) { d.Step = to })
 	return next, err
 }
 
-// markServers marks the machine's servers, those that have come since among them, while
-// the claim is ours: the registry checks that in the same command.
-func (w *Workflow) markServers(ctx context.Context, own Drain) (Drain, error) {
-	list, err := w.Registry.Registrations(ctx)
-	if err != nil {
-		return own, err
+// waitAndRenew waits until the next check, and renews the claim.
+func (w *Workflow) waitAndRenew(ctx context.Context, d Drain, change func(d *Drain)) (Drain, error) {
+	if err := w.Sleep(ctx, w.PollInterval); err != nil {
+		return d, err
 	}
-	hosts := slices.Clone(own.Hosts)
-	for _, e := range list.Registrations {
-		if e.Machine == own.Machine && !slices.Contains(hosts, e.Host) {
-			hosts = append(hosts, e.Host)
-		}
+	next, _, err := w.updateClaimed(ctx, d.Machine, change)
+	return next, err
+}
+
+// markServers marks the machine's servers, including those that came since the drain began. The
+// registry checks the claim in the command that marks.
+func (w *Workflow) markServers(ctx context.Context, d Drain) (Drain, error) {
+	hosts, err := w.serversToMark(ctx, d)
+	if err != nil {
+		return d, err
 	}
-	hosts = slices.DeleteFunc(hosts, func(h string) bool { // one that has left needs no mark
-		return !slices.ContainsFunc(list.Registrations, func(e registry.Registration) bool { return e.Host == h }) && list.Marks[h] == ""
-	})
-	slices.Sort(hosts)
 	for {
-		next, d, err := w.updateClaimed(ctx, own.Machine, func(x *Drain) { x.Hosts = hosts })
+		claimed, rec, err := w.updateClaimed(ctx, d.Machine, func(d *Drain) { d.Hosts = hosts })
 		if err != nil {
-			return own, err
+			return d, err
 		}
-		own = next
-		var a registry.WriteResponse
-		if len(hosts) > 0 {
-			a, err = w.Registry.Mark(ctx, registry.MarkRequest{
-				Hosts: hosts, MarkedBy: markOwner(own.Machine), Draining: true, IfRecord: RecordKey, IfRecordVersion: d.version,
-			})
-			if errors.Is(err, registry.ErrConflict) && !w.allMarked(ctx, own) {
-				// Either another drain has moved on in the same record, or somebody else
-				// has marked one of the servers.
-				if err := w.checkForeignMarks(ctx, hosts, own.Machine); err != nil {
-					return own, err
-				}
-				continue
-			} else if err != nil && !errors.Is(err, registry.ErrConflict) {
-				return own, err
-			}
+		seq, marked, err := w.tryMark(ctx, claimed, rec.version)
+		if err != nil {
+			return claimed, err
 		}
-		if a.Seq == 0 { // nobody is left to mark, or it had been done: the list of now has it
-			if list, err = w.Registry.Registrations(ctx); err != nil {
-				return own, err
-			}
-			a.Seq = list.Seq
+		if !marked {
+			continue
 		}
-		next, _, err = w.updateClaimed(ctx, own.Machine, func(x *Drain) {
-			x.Step, x.Seq, x.MarkedMS = Marked, a.Seq, w.Now().UnixMilli()
+		next, _, err := w.updateClaimed(ctx, d.Machine, func(d *Drain) {
+			d.Step, d.Seq, d.MarkedMS = Marked, seq, w.Now().UnixMilli()
 		})
 		return next, err
 	}
 }
 
-// allMarked says whether all its servers are allMarked by this drain already.
-func (w *Workflow) allMarked(ctx context.Context, own Drain) bool {
+// serversToMark returns the machine's servers as they are now, and those of the drain that have
+// a mark although they are not registered any more.
+func (w *Workflow) serversToMark(ctx context.Context, d Drain) ([]string, error) {
 	list, err := w.Registry.Registrations(ctx)
-	return err == nil && !slices.ContainsFunc(own.Hosts, func(h string) bool { return list.Marks[h] != markOwner(own.Machine) })
+	if err != nil {
+		return nil, err
+	}
+	registered := make(map[string]bool)
+	hosts := slices.Clone(d.Hosts)
+	for _, server := range list.Registrations {
+		registered[server.Host] = true
+		if server.Machine == d.Machine && !slices.Contains(hosts, server.Host) {
+			hosts = append(hosts, server.Host)
+		}
+	}
+	hosts = slices.DeleteFunc(hosts, func(host string) bool { return !registered[host] && list.Marks[host] == "" })
+	slices.Sort(hosts)
+	return hosts, nil
+}
+
+// tryMark marks a drain's servers if the record still has this version, and returns the version
+// of the endpoint list that has the marks. Where marked is false, it has to be tried again.
+func (w *Workflow) tryMark(ctx context.Context, d Drain, recordVersion uint64) (seq uint64, marked bool, err error) {
+	if len(d.Hosts) > 0 {
+		resp, err := w.Registry.Mark(ctx, registry.MarkRequest{
+			Hosts: d.Hosts, MarkedBy: markOwner(d.Machine), Draining: true, IfRecord: RecordKey, IfRecordVersion: recordVersion,
+		})
+		conflict := errors.Is(err, registry.ErrConflict)
+		switch {
+		case err != nil && !conflict:
+			return 0, false, err
+		case conflict && !w.allMarked(ctx, d):
+			// Either another drain has changed the record, or somebody else has marked a server.
+			return 0, false, w.checkForeignMarks(ctx, d)
+		}
+		seq = resp.Seq
+	}
+	if seq == 0 { // nothing had to be marked, so the current list has the marks
+		list, err := w.Registry.Registrations(ctx)
+		if err != nil {
+			return 0, false, err
+		}
+		seq = list.Seq
+	}
+	return seq, true, nil
 }
 
-// checkForeignMarks returns an error if somebody else has marked one of the servers.
-func (w *Workflow) checkForeignMarks(ctx context.Context, hosts []string, machine string) error {
+// allMarked reports whether all servers of a drain are known to be marked by it.
+func (w *Workflow) allMarked(ctx context.Context, d Drain) bool {
+	list, err := w.Registry.Registrations(ctx)
+	if err != nil {
+		return false
+	}
+	return !slices.ContainsFunc(d.Hosts, func(host string) bool { return list.Marks[host] != markOwner(d.Machine) })
+}
+
+// checkForeignMarks returns an error if somebody else has marked one of a drain's servers.
+func (w *Workflow) checkForeignMarks(ctx context.Context, d Drain) error {
 	list, err := w.Registry.Registrations(ctx)
 	if err != nil {
 		return err
 	}
-	for _, h := range hosts {
-		if m := list.Marks[h]; m != "" && m != markOwner(machine) {
-			return fmt.Errorf("server %s is marked by %s: let that end, then drain %s again or undrain it", h, m, machine)
+	for _, host := range d.Hosts {
+		if marker := list.Marks[host]; marker != "" && marker != markOwner(d.Machine) {
+			return fmt.Errorf("server %s is marked by %s: let that end, then drain %s again or undrain it", host, marker, d.Machine)
 		}
 	}
 	return nil
 }
 
-// markedSince is since when a drain has been marked at the latest, as this process can tell by its
-// monotonic clock: since it saw the mark first. The record has the wall clock's time, and that may
-// be set ahead by an hour: sidecars would count as told, and servers as idle, that are not.
-func (w *Workflow) markedSince(own Drain) time.Time {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if seen, ok := w.marksSeen[own.Machine]; ok && seen.at == own.MarkedMS {
-		return seen.since
+// awaitIdleServers ends the step when the sidecars are notified of the marks and the servers
+// have no work.
+func (w *Workflow) awaitIdleServers(ctx context.Context, d Drain) (Drain, error) {
+	idle, err := w.serversIdle(ctx, d)
+	if err != nil {
+		return d, err
 	}
-	if w.marksSeen == nil {
-		w.marksSeen = make(map[string]seenMark)
+	if !idle {
+		return w.waitAndRenew(ctx, d, nil)
 	}
-	now := w.Now()
-	w.marksSeen[own.Machine] = seenMark{at: own.MarkedMS, since: now}
-	return now
-}
-
-// seenMark is a mark that this process has seen: what the record says, and when that was.
-type seenMark struct {
-	at    int64
-	since time.Time
+	return w.advanceTo(ctx, d, Drained)
 }
 
-// workEnded says whether the sidecars know of the marks and the servers have no work.
-func (w *Workflow) workEnded(ctx context.Context, own Drain) (bool, error) {
-	since := w.markedSince(own)
-	told, err := w.Fleet.Notified(ctx, own.Seq, since)
-	if err != nil || !told {
+func (w *Workflow) serversIdle(ctx context.Context, d Drain) (bool, error) {
+	since := w.markedSince(d)
+	notified, err := w.Fleet.Notified(ctx, d.Seq, since)
+	if err != nil || !notified {
 		return false, err
 	}
 	list, err := w.Registry.Registrations(ctx)
 	if err != nil {
 		return false, err
 	}
-	for _, e := range list.Registrations {
-		if e.Machine != own.Machine {
+	for _, server := range list.Registrations {
+		if server.Machine != d.Machine {
 			continue
 		}
-		if list.Marks[e.Host] != markOwner(own.Machine) { // it came, or was marked by hand, since
-			_, err := w.markServers(ctx, own)
+		if list.Marks[server.Host] != markOwner(d.Machine) { // it was registered after the marks, or its mark was changed
+			_, err := w.markServers(ctx, d)
 			return false, err
 		}
-		idle, err := w.Fleet.Idle(ctx, e, since)
+		idle, err := w.Fleet.Idle(ctx, server, since)
 		if err != nil || !idle {
 			return false, err
 		}
 	}
 	return true, nil
 }
+
+// seenMark is a mark of the record and when this process has first seen it.
+type seenMark struct {
+	markedMS  int64
+	firstSeen time.Time
+}
+
+// markedSince returns when this process has first seen a drain's marks, by its monotonic clock.
+// The record's time is of the wall clock: if that is set ahead by an hour, sidecars would count
+// as notified and servers as idle that are not.
+func (w *Workflow) markedSince(d Drain) time.Time {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if seen, ok := w.marksSeen[d.Machine]; ok && seen.markedMS == d.MarkedMS {
+		return seen.firstSeen
+	}
+	if w.marksSeen == nil {
+		w.marksSeen = make(map[string]seenMark)
+	}
+	now := w.Now()
+	w.marksSeen[d.Machine] = seenMark{markedMS: d.MarkedMS, firstSeen: now}
+	return now
+}
+
+// stopServers stops the machine's servers one by one.
+func (w *Workflow) stopServers(ctx context.Context, d Drain) (Drain, error) {
+	for _, host := range d.Hosts {
+		if err := w.Fleet.Stop(ctx, d.Machine, host); err != nil {
+			return d, fmt.Errorf("%s: stopping %s: %w; drain it again to resume", d.Machine, host, err)
+		}
+		if _, _, err := w.updateClaimed(ctx, d.Machine, nil); err != nil {
+			return d, err
+		}
+	}
+	return w.advanceTo(ctx, d, Stopped)
+}
+
+// awaitMembers ends the step when the machine's other processes that are members of the fleet
+// have ended.
+func (w *Workflow) awaitMembers(ctx context.Context, d Drain) (Drain, error) {
+	names, wait, err := w.Fleet.RemainingMembers(ctx, d.Machine)
+	if !wait || err == nil && len(names) == 0 {
+		return w.advanceTo(ctx, d, Done)
+	}
+	note := "waits for " + strings.Join(names, ", ") + " to end"
+	if err != nil {
+		note = "waits for a view of its members: " + err.Error()
+	}
+	if note != d.Note {
+		w.OnEvent(Event{Kind: EventWaiting, Machine: d.Machine, Step: d.Step, Note: note})
+	}
+	return w.waitAndRenew(ctx, d, func(d *Drain) { d.Note = note })
+}
--- a/internal/drain/workflow.go
+++ b/internal/drain/workflow.go
@@ -6,14 +6,13 @@
 	"fmt"
 	"maps"
 	"slices"
-	"strings"
 	"sync"
 	"time"
 
 	"barleywick/internal/registry"
 )
 
-// Registry is what the workflow needs of the list.
+// Registry is what the workflow needs of the registry.
 type Registry interface {
 	Registrations(ctx context.Context) (registry.RegistrationsResponse, error)
 	Record(ctx context.Context, key string) (registry.Record, error)
@@ -21,121 +20,137 @@
 	Mark(ctx context.Context, m registry.MarkRequest) (registry.WriteResponse, error)
 }
 
-// Fleet is what the workflow needs to know of the world, and to do in it.
+// Fleet is what the workflow needs to know of sidecars and servers, and to do with them.
 type Fleet interface {
-	// Notified says whether all sidecars hold a version of the list; since is when it came.
+	// Notified reports whether all sidecars have a version of the endpoint list, which exists since then.
 	Notified(ctx context.Context, seq uint64, since time.Time) (bool, error)
-	// Idle says whether a server, marked at that time, has no work any more.
+	// Idle reports whether a server, which is marked since then, has no work any more.
 	Idle(ctx context.Context, server registry.Registration, since time.Time) (bool, error)
 	// Stop stops a server's processes. It may be called again for one that is stopped.
 	Stop(ctx context.Context, machine, host string) error
-	// RemainingMembers names the machine's processes that have not ended for sure. waits says whether
-	// they are to be waited for.
-	RemainingMembers(ctx context.Context, machine string) (there []string, waits bool, err error)
+	// RemainingMembers names the machine's processes that are members of the fleet and are not
+	// known to have ended. Wait says whether the drain has to wait for them.
+	RemainingMembers(ctx context.Context, machine string) (names []string, wait bool, err error)
 }
 
-// Workflow runs drains for one operator.
+// Workflow runs drains for one owner. Its fields may not change after the first call. It is
+// safe for concurrent use.
 type Workflow struct {
 	Registry     Registry
 	Fleet        Fleet
 	Floor        Floor
-	Owner        string
+	Owner        string                                           // who claims the drains
 	ClaimTTL     time.Duration                                    // how long a claim lasts without a renewal
-	PollInterval time.Duration                                    // between two looks at what is waited for
-	Now          func() time.Time                                 // the clock that all machines read
+	PollInterval time.Duration                                    // between two checks of what is waited for
+	Now          func() time.Time                                 // a clock that is the same on all machines
 	Sleep        func(ctx context.Context, d time.Duration) error // waits, or returns ctx's error
-	Say          func(format string, args ...any)                 // tells the operator
+	OnEvent      func(Event)                                      // is told the progress
 
 	mu        sync.Mutex
-	marksSeen map[string]seenMark // by machine: the marks that this process has seen
+	marksSeen map[string]seenMark // by machine
 }
 
 // Plan says what a drain of the machine would do, and changes nothing.
 func (w *Workflow) Plan(ctx context.Context, machine string) (Plan, error) {
-	d, err := w.readRecord(ctx)
+	rec, err := w.readRecord(ctx)
 	if err != nil {
 		return Plan{}, err
 	}
-	if own, is := d.drains[machine]; is {
-		if err := w.checkResumable(own); err != nil {
-			return Plan{}, err
-		}
-		return Plan{Machine: machine, Hosts: own.Hosts, ResumesAt: own.Step}, nil
+	d, exists := rec.drains[machine]
+	if !exists {
+		return w.checkFloor(ctx, machine, rec)
+	}
+	if err := w.checkResumable(d); err != nil {
+		return Plan{}, err
 	}
-	return w.checkFloor(ctx, machine, d)
+	return Plan{Machine: machine, Hosts: d.Hosts, ResumesAt: d.Step}, nil
 }
 
-// checkResumable says why a drain under way cannot be taken over, if it cannot.
-func (w *Workflow) checkResumable(own Drain) error {
-	switch {
-	case own.Step == Done:
-		return refusal("machine %s is drained already; undrain brings it back", own.Machine)
-	case own.Step == Undoing:
-		return refusal("the drain of machine %s is being undone; let undrain end that first", own.Machine)
-	}
-	return w.checkUnclaimed(own)
+// checkResumable returns ErrRefused if a drain cannot be resumed by this owner.
+func (w *Workflow) checkResumable(d Drain) error {
+	switch d.Step {
+	case Done:
+		return refusal("machine %s is drained already; undrain brings it back", d.Machine)
+	case Undoing:
+		return refusal("the drain of machine %s is being undone; let undrain end that first", d.Machine)
+	}
+	return w.checkUnclaimed(d)
 }
 
-// checkUnclaimed says whose claim is in the way.
-func (w *Workflow) checkUnclaimed(own Drain) error {
-	if own.Owner == OwnerControllers && w.Owner != OwnerControllers {
-		return refusal("machine %s is being drained by the keepers, at step %s; status follows it, undrain takes it back", own.Machine, own.Step)
+// checkUnclaimed returns ErrRefused if another owner has the claim.
+func (w *Workflow) checkUnclaimed(d Drain) error {
+	if d.Owner == OwnerControllers && w.Owner != OwnerControllers {
+		return refusal("machine %s is being drained by the controllers, at step %s; status follows it, undrain takes it back", d.Machine, d.Step)
 	}
-	if left := own.ExpiresMS - w.Now().UnixMilli(); own.Owner != w.Owner && left > 0 {
+	left := time.Duration(d.ExpiresMS-w.Now().UnixMilli()) * time.Millisecond
+	if d.Owner != w.Owner && left > 0 {
 		return refusal("machine %s is claimed by %s, at step %s; its claim lasts another %v unless it is renewed",
-			own.Machine, own.Owner, own.Step, (time.Duration(left) * time.Millisecond).Round(time.Second))
+			d.Machine, d.Owner, d.Step, left.Round(time.Second))
 	}
 	return nil
 }
 
-// Drain drains a machine, or resumes its drain. If ctx ends before the machine's
-// processes are being stopped, it is undone.
+// Drain drains a machine, or resumes its drain. If ctx ends before the machine's servers are
+// being stopped, the drain is undone.
 func (w *Workflow) Drain(ctx context.Context, machine string) error {
-	own, err := w.claim(ctx, machine)
+	d, err := w.claim(ctx, machine)
 	if err != nil {
 		return err
 	}
-	for own.Step != Done {
-		step := own.Step
-		if own, err = w.takeStep(ctx, own); err != nil {
-			// A keeper that is to stop leaves the drain to the next one.
-			passed := w.Owner == OwnerControllers && errors.Is(ctx.Err(), context.Canceled)
-			if ctx.Err() != nil && step != Stopping && step != Stopped && !errors.Is(err, ErrClaimLost) && !passed {
+	for d.Step != Done {
+		step := d.Step
+		if d, err = w.takeStep(ctx, d); err != nil {
+			if ctx.Err() != nil && step.canTimeOut() && !errors.Is(err, ErrClaimLost) && !w.passesOn(ctx) {
 				return w.undoAfterTimeout(ctx, machine, step)
 			}
 			return err
 		}
-		if own.Step != step {
-			w.Say("%s: %s", machine, own.Step)
+		if d.Step != step {
+			w.OnEvent(Event{Kind: EventStep, Machine: machine, Step: d.Step})
 		}
 	}
 	return nil
 }
 
-// claim makes the machine's drain ours: a new one if the floor allows, or one that
-// nobody holds any more.
-func (w *Workflow) claim(ctx context.Context, machine string) (own Drain, err error) {
-	_, err = w.updateDrain(ctx, machine, func(d record, was Drain, is bool) (Drain, bool, error) {
+// passesOn reports whether the drain is left to the next controller, because this one ends.
+func (w *Workflow) passesOn(ctx context.Context) bool {
+	return w.Owner == OwnerControllers && errors.Is(ctx.Err(), context.Canceled)
+}
+
+// claim claims a new drain, or one that can be resumed.
+func (w *Workflow) claim(ctx context.Context, machine string) (Drain, error) {
+	var claimed Drain
+	_, err := w.updateDrain(ctx, machine, func(rec record, current *Drain) (*Drain, error) {
 		now := w.Now()
-		if is {
-			if err := w.checkResumable(was); err != nil {
-				return was, true, err
-			}
-			own = was
-		} else {
-			p, err := w.checkFloor(ctx, machine, d)
-			if err != nil {
-				return was, false, err
-			}
-			own = Drain{Machine: machine, Step: Claimed, Hosts: p.Hosts, BeganMS: now.UnixMilli()}
+		next, err := w.newOrResumable(ctx, machine, rec, current)
+		if err != nil {
+			return nil, err
+		}
+		if current == nil {
+			next.BeganMS = now.UnixMilli()
 		}
-		own.Owner, own.ExpiresMS = w.Owner, now.Add(w.ClaimTTL).UnixMilli()
-		return own, true, nil
+		next.Owner, next.ExpiresMS = w.Owner, now.Add(w.ClaimTTL).UnixMilli()
+		claimed = next
+		return &next, nil
 	})
-	if err == nil {
-		w.Say("%s: %s, servers %s", machine, own.Step, strings.Join(own.Hosts, ", "))
+	if err != nil {
+		return Drain{}, err
 	}
-	return own, err
+	w.OnEvent(Event{Kind: EventClaimed, Machine: machine, Step: claimed.Step, Hosts: claimed.Hosts})
+	return claimed, nil
+}
+
+// newOrResumable returns the machine's current drain if this owner may resume it, or a new one,
+// without a claim, if there is none and the floor allows it.
+func (w *Workflow) newOrResumable(ctx context.Context, machine string, rec record, current *Drain) (Drain, error) {
+	if current != nil {
+		return *current, w.checkResumable(*current)
+	}
+	plan, err := w.checkFloor(ctx, machine, rec)
+	if err != nil {
+		return Drain{}, err
+	}
+	return Drain{Machine: machine, Step: Claimed, Hosts: plan.Hosts}, nil
 }
 
 // undoAfterTimeout undoes a drain whose time is up.
@@ -148,61 +163,83 @@
 	return fmt.Errorf("%s: %w at step %s; the drain is undone", machine, ErrTimeout, step)
 }
 
-// Undrain takes a machine's drain back, whatever step it has come to, and lets its
-// servers be used again when they are there.
+// Undrain undoes a machine's drain at whatever step it is, so that its servers are used again
+// where they run.
 func (w *Workflow) Undrain(ctx context.Context, machine string) error {
-	var own Drain
-	if _, err := w.updateDrain(ctx, machine, func(_ record, was Drain, is bool) (Drain, bool, error) {
-		if !is {
-			return was, false, refusal("machine %q is not drained, and not being drained", machine)
+	undone, err := w.claimUndo(ctx, machine)
+	if err != nil {
+		return err
+	}
+	if err := w.unmarkServers(ctx, machine); err != nil {
+		return err
+	}
+	if err := w.endUndo(ctx, machine); err != nil {
+		return err
+	}
+	w.OnEvent(Event{Kind: EventUndone, Machine: machine, Hosts: undone.Hosts})
+	return nil
+}
+
+// claimUndo claims a drain in order to undo it. One that is done, or that the controllers run,
+// is taken over; another operator's has to be unclaimed.
+func (w *Workflow) claimUndo(ctx context.Context, machine string) (Drain, error) {
+	var claimed Drain
+	_, err := w.updateDrain(ctx, machine, func(_ record, current *Drain) (*Drain, error) {
+		if current == nil {
+			return nil, refusal("machine %q is not drained, and not being drained", machine)
 		}
-		if was.Step != Done && was.Owner != OwnerControllers {
-			if err := w.checkUnclaimed(was); err != nil {
-				return was, true, err
+		if current.Step != Done && current.Owner != OwnerControllers {
+			if err := w.checkUnclaimed(*current); err != nil {
+				return nil, err
 			}
 		}
-		own = was
-		own.Step, own.Owner, own.ExpiresMS = Undoing, w.Owner, w.Now().Add(w.ClaimTTL).UnixMilli()
-		return own, true, nil
-	}); err != nil {
-		return err
-	}
+		current.Step, current.Owner, current.ExpiresMS = Undoing, w.Owner, w.claimExpiry()
+		claimed = *current
+		return current, nil
+	})
+	return claimed, err
+}
+
+// unmarkServers removes all marks of a machine's drain.
+func (w *Workflow) unmarkServers(ctx context.Context, machine string) error {
 	list, err := w.Registry.Registrations(ctx)
 	if err != nil {
 		return err
 	}
 	var hosts []string
-	for h, m := range list.Marks {
-		if m == markOwner(machine) {
-			hosts = append(hosts, h)
+	for host, marker := range list.Marks {
+		if marker == markOwner(machine) {
+			hosts = append(hosts, host)
 		}
 	}
-	if slices.Sort(hosts); len(hosts) > 0 {
-		if _, err := w.Registry.Mark(ctx, registry.MarkRequest{Hosts: hosts, MarkedBy: markOwner(machine)}); err != nil {
-			return err
-		}
+	if len(hosts) == 0 {
+		return nil
 	}
-	_, err = w.updateDrain(ctx, machine, func(_ record, was Drain, is bool) (Drain, bool, error) {
-		if is && (was.Owner != w.Owner || was.Step != Undoing) {
-			return was, true, fmt.Errorf("%w: the drain of %s is %s by now", ErrClaimLost, machine, describeClaim(was, is))
+	slices.Sort(hosts)
+	_, err = w.Registry.Mark(ctx, registry.MarkRequest{Hosts: hosts, MarkedBy: markOwner(machine)})
+	return err
+}
+
+// endUndo removes a drain from the record, unless another owner has it.
+func (w *Workflow) endUndo(ctx context.Context, machine string) error {
+	_, err := w.updateDrain(ctx, machine, func(_ record, current *Drain) (*Drain, error) {
+		if current != nil && (current.Owner != w.Owner || current.Step != Undoing) {
+			return nil, fmt.Errorf("%w: the drain of %s is %s by now", ErrClaimLost, machine, describeClaim(current))
 		}
-		return was, false, nil
+		return nil, nil
 	})
-	if err == nil {
-		w.Say("%s: undone, servers %s", machine, strings.Join(own.Hosts, ", "))
-	}
 	return err
 }
 
 // Status returns all drains, by machine.
 func (w *Workflow) Status(ctx context.Context) ([]Drain, error) {
-	d, err := w.readRecord(ctx)
+	rec, err := w.readRecord(ctx)
 	if err != nil {
 		return nil, err
 	}
-	var all []Drain
-	for _, m := range slices.Sorted(maps.Keys(d.drains)) {
-		all = append(all, d.drains[m])
+	var drains []Drain
+	for _, machine := range slices.Sorted(maps.Keys(rec.drains)) {
+		drains = append(drains, rec.drains[machine])
 	}
-	return all, nil
+	return drains, nil
 }
--- a/internal/testing/chaostest/operators.go
+++ b/internal/testing/chaostest/operators.go
@@ -54,7 +54,7 @@
 // flow is the drain's workflow of an operator, whose drains keepers run.
 func (r *run) flow() *drain.Workflow {
 	c := &drain.Config{Registry: r.addrs(), Floor: drain.Floor{Default: 1}, Sidecars: len(r.sidecars), MaxRequestMS: waits.Milliseconds(), LeaseMS: 5000}
-	return c.WorkflowWith(r.client, "operator", 200*time.Millisecond, func(string, ...any) {})
+	return c.WorkflowWith(r.client, "operator", 200*time.Millisecond, func(drain.Event) {})
 }
 
 // machines hands drains over and takes them back.
--- a/internal/testing/integration/drain_test.go
+++ b/internal/testing/integration/drain_test.go
@@ -24,8 +24,8 @@
 			Statuses: c.Statuses, Sidecars: sidecars, MaxRequestTime: 5 * time.Second, Now: time.Now,
 		}},
 		Floor: drain.Floor{Default: 1}, Owner: "systemtest", ClaimTTL: 15 * time.Second, PollInterval: 20 * time.Millisecond, Now: time.Now,
-		Sleep: func(ctx context.Context, d time.Duration) error { time.Sleep(d); return ctx.Err() },
-		Say:   g.t.Logf,
+		Sleep:   func(ctx context.Context, d time.Duration) error { time.Sleep(d); return ctx.Err() },
+		OnEvent: func(e drain.Event) { g.t.Log(e) },
 	}
 }
 
--- a/internal/testing/modelcheck/system/keeper.go
+++ b/internal/testing/modelcheck/system/keeper.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"strings"
 	"time"
 
 	"barleywick/internal/drain"
@@ -228,13 +227,12 @@
 		Registry: c, Fleet: site{t, w, n}, Floor: drain.Floor{Default: 1}, Owner: owner, ClaimTTL: 5 * time.Second, PollInterval: 100 * time.Millisecond,
 		Now:   t.time,
 		Sleep: func(_ context.Context, d time.Duration) error { t.sleep(t.spread(d)); return nil },
-		Say: func(format string, args ...any) {
-			text := fmt.Sprintf(format, args...)
-			if _, step, ok := strings.Cut(text, ": "); ok {
-				step, _, _ = strings.Cut(step, ",")
-				step, _, _ = strings.Cut(step, " waits")
-				w.step("drain " + step)
+		OnEvent: func(e drain.Event) {
+			if e.Kind == drain.EventUndone {
+				w.step("drain undone")
+				return
 			}
+			w.step("drain " + string(e.Step))
 		},
 	}
 }
