--- a/internal/sidecar/adviser.go
+++ b/internal/sidecar/adviser.go
@@ -44,15 +44,15 @@
 // adviceCallIn is for one digest and its answer: the next is due a little later.
 const adviceCallIn = 800 * time.Millisecond
 
-// adviser tells the fleet's task once a second what came to this sidecar, and puts its
+// overloadReporter tells the fleet's task once a second what came to this sidecar, and puts its
 // word in force. Whatever fails, the sidecar goes on by what it sees itself: the word
 // that it has fades.
-type adviser struct {
+type overloadReporter struct {
 	config  *adviceConfig
 	name    string
 	began   time.Time
 	tenants []string // of tenants
-	loop    *loop
+	loop    *eventLoop
 	client  *client.Client
 	http    *http.Client
 	address string // where the task listens; empty: not known
@@ -65,37 +65,37 @@
 	lastError  error     // the last exchange; nil: it went well
 }
 
-// digested asks the loop for what came to it since it was asked last.
-type digested struct{ digest chan<- overload.Digest }
+// digestRequested asks the loop for what came to it since it was asked last.
+type digestRequested struct{ digest chan<- overload.Digest }
 
-// advised is the event of a word that is to be in force.
-type advised struct{ advice policy.OverloadAdvice }
+// adviceReceived is the event of a word that is to be in force.
+type adviceReceived struct{ advice policy.OverloadAdvice }
 
-func newAdviser(c *Config, l *loop) (*adviser, error) {
+func newAdviser(c *Config, l *eventLoop) (*overloadReporter, error) {
 	r, err := client.New(c.Advice.Registry, c.Seed)
 	if err != nil {
 		return nil, err
 	}
-	a := &adviser{config: c.Advice, name: c.Name, began: time.Now(), tenants: l.tenantNames(), loop: l, client: r.WithAddressMap(c.Advice.routes).WithTimeout(adviceCallIn), taker: overload.AdviceFilter{Fleet: c.Advice.Fleet}}
+	a := &overloadReporter{config: c.Advice, name: c.Name, began: time.Now(), tenants: l.tenantNames(), loop: l, client: r.WithAddressMap(c.Advice.routes).WithTimeout(adviceCallIn), taker: overload.AdviceFilter{Fleet: c.Advice.Fleet}}
 	a.http = &http.Client{Timeout: adviceCallIn, Transport: &http.Transport{DialContext: c.Advice.routes.Dial(adviceCallIn), MaxConnsPerHost: 1, DisableCompression: true}}
-	l.tally = make([]overload.TenantCounts, len(a.tenants))
-	for i := range l.tally {
-		l.tally[i] = overload.TenantCounts{Tenant: a.tenants[i], Quota: 1}
+	l.overloadCounts = make([]overload.TenantCounts, len(a.tenants))
+	for i := range l.overloadCounts {
+		l.overloadCounts[i] = overload.TenantCounts{Tenant: a.tenants[i], Quota: 1}
 		if i < len(c.Policy.Tenants) {
-			l.tally[i].Quota = c.Policy.Tenants[i].Share
+			l.overloadCounts[i].Quota = c.Policy.Tenants[i].Share
 		}
 	}
 	return a, nil
 }
 
-// count notes what became of a request.
-func (l *loop) count(r *request, status int) {
-	switch c, outcome := &l.tally[r.tenant], outcomeOf(status); {
+// countOverload notes what became of a request.
+func (l *eventLoop) countOverload(r *request, status int) {
+	switch c, outcome := &l.overloadCounts[r.tenant], outcomeOf(status); {
 	case outcome == outcomeRefused:
 		c.Refused++
 	case outcome == outcomeFailed:
 		c.Failed++
-	case time.Since(r.began) > l.config.Policy.Classes[r.class].LatencyObjective:
+	case time.Since(r.receivedAt) > l.config.Policy.Classes[r.class].LatencyObjective:
 		c.Late++
 	default:
 		c.InTime++
@@ -103,16 +103,16 @@
 }
 
 // digest tells what was counted, and counts anew.
-func (l *loop) digest() overload.Digest {
-	d := overload.Digest{Congestion: min(1, l.b.Congestion(l.now)), Tenants: append([]overload.TenantCounts(nil), l.tally...)}
-	for i, c := range l.tally {
-		l.tally[i] = overload.TenantCounts{Tenant: c.Tenant, Quota: c.Quota}
+func (l *eventLoop) digest() overload.Digest {
+	d := overload.Digest{Congestion: min(1, l.balancer.Congestion(l.now)), Tenants: append([]overload.TenantCounts(nil), l.overloadCounts...)}
+	for i, c := range l.overloadCounts {
+		l.overloadCounts[i] = overload.TenantCounts{Tenant: c.Tenant, Quota: c.Quota}
 	}
 	return d
 }
 
 // run exchanges digests for words until ctx ends.
-func (a *adviser) run(ctx context.Context) {
+func (a *overloadReporter) run(ctx context.Context) {
 	defer a.client.Close()
 	defer a.http.CloseIdleConnections()
 	last := a.began
@@ -123,7 +123,7 @@
 			return
 		}
 		digest := make(chan overload.Digest, 1)
-		if !a.loop.post(digested{digest}) {
+		if !a.loop.post(digestRequested{digest}) {
 			return
 		}
 		var d overload.Digest
@@ -153,7 +153,7 @@
 }
 
 // exchange tells a digest, and takes the word that it is answered with.
-func (a *adviser) exchange(ctx context.Context, d overload.Digest) error {
+func (a *overloadReporter) exchange(ctx context.Context, d overload.Digest) error {
 	if a.address == "" {
 		r, err := a.client.Record(ctx, overload.RecordKey)
 		if err != nil {
@@ -183,11 +183,11 @@
 	a.mu.Lock()
 	a.advice, a.receivedAt = word, time.Now()
 	a.mu.Unlock()
-	a.loop.post(advised{policy.OverloadAdvice{AdmittedShares: parts, ValidFor: time.Duration(word.ValidMS) * time.Millisecond}})
+	a.loop.post(adviceReceived{policy.OverloadAdvice{AdmittedShares: parts, ValidFor: time.Duration(word.ValidMS) * time.Millisecond}})
 	return nil
 }
 
-func (a *adviser) post(ctx context.Context, d overload.Digest) (word overload.Advice, err error) {
+func (a *overloadReporter) post(ctx context.Context, d overload.Digest) (word overload.Advice, err error) {
 	text, err := json.Marshal(d)
 	if err != nil {
 		return word, fmt.Errorf("write digest: %w", err)
@@ -224,7 +224,7 @@
 // InForce says whether the word is in force.
 func (w OverloadAdviceStatus) InForce() bool { return w.Age > 0 && w.Age < overload.AdviceTTL }
 
-func (a *adviser) state() OverloadAdviceStatus {
+func (a *overloadReporter) state() OverloadAdviceStatus {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	w := OverloadAdviceStatus{Advice: a.advice, LastError: a.lastError}
--- a/internal/sidecar/client.go
+++ b/internal/sidecar/client.go
@@ -38,17 +38,17 @@
 
 // clientHandler is the side towards the application.
 type clientHandler struct {
-	loop        *loop
+	loop        *eventLoop
 	classIndex  map[string]int
 	tenantIndex map[string]int
 	listener    *limitedListener
 	shutdown    *gracefulShutdown
-	governor    *governor   // nil: there is no policy of the fleet's
-	adviser     *adviser    // nil: there is no word of the fleet's on an overload
-	member      FleetMember // nil: this sidecar is no member of the fleet
+	governor    *policyFollower   // nil: there is no policy of the fleet's
+	adviser     *overloadReporter // nil: there is no word of the fleet's on an overload
+	member      FleetMember       // nil: this sidecar is no member of the fleet
 }
 
-func newClientHandler(c *Config, l *loop, ending *gracefulShutdown) *clientHandler {
+func newClientHandler(c *Config, l *eventLoop, ending *gracefulShutdown) *clientHandler {
 	s := &clientHandler{loop: l, classIndex: make(map[string]int), tenantIndex: make(map[string]int), listener: ending.listener, shutdown: ending}
 	for i, name := range c.Classes {
 		s.classIndex[name] = i
@@ -102,28 +102,28 @@
 	if !s.listener.beginRequest(c) {
 		panic(http.ErrAbortHandler) // it was closed as idle, and what was read of it refused
 	}
-	s.loop.post(arrived{r}) // which fails only where the program ends for an error
+	s.loop.post(requestArrived{r}) // which fails only where the program ends for an error
 	var a response
 	select {
-	case a = <-r.answer:
+	case a = <-r.result:
 	case <-hr.Context().Done():
 		a = s.abandon(r)
 		w.Header().Set("Connection", "close")
 	}
 	// A client that does not read by then has given up; its answer is not held for it.
-	http.NewResponseController(w).SetWriteDeadline(r.until.Add(writeGrace))
+	http.NewResponseController(w).SetWriteDeadline(r.clientDeadline.Add(writeGrace))
 	s.writeResponse(w, a)
-	s.shutdown.gate.checkAnswered(r.stopBy, time.Now(), r.name)
+	s.shutdown.gate.checkAnswered(r.processDeadline, time.Now(), r.externalID)
 }
 
 // abandon gives a request up whose client has ended its side. That may still read: it gets the answer
 // if there is one by now, or else no promise about the effect.
 func (s *clientHandler) abandon(r *request) response {
 	select {
-	case a := <-r.answer:
+	case a := <-r.result:
 		return a
 	default:
-		s.loop.post(left{r})
+		s.loop.post(clientDisconnected{r})
 		return response{status: http.StatusBadGateway}
 	}
 }
@@ -136,7 +136,7 @@
 	if !s.loop.ready.Load() {
 		return phaseStarting
 	}
-	if !s.loop.may() {
+	if !s.loop.admitting() {
 		return phaseWithoutPolicy
 	}
 	return phaseServing
@@ -219,7 +219,7 @@
 	if effect == policy.Idempotent && hr.ContentLength > 0 {
 		return nil, bad
 	}
-	if s.loop.names.has(name) {
+	if s.loop.requestNames.isInUse(name) {
 		return nil, http.StatusConflict
 	}
 	body, err := readRequestBody(w, hr, c.bodyDeadline(arrival))
@@ -236,13 +236,13 @@
 		h["User-Agent"] = []string{""} // none of our own either
 	}
 	return &request{
-		name: name, class: class, tenant: tenant, repeat: h.Get("Client-Retry") == "1", work: parseWorkHint(h), key: affinityKeyHash(h),
-		conn:   c,
-		began:  came,
-		until:  came.Add(max(0, timeout-responseMargin)),
-		stopBy: s.shutdown.gate.deadlineFor(came),
-		method: method, url: hr.URL, host: hr.Host, header: h, body: body,
-		answer: make(chan response, 1),
+		externalID: name, class: class, tenant: tenant, clientRetry: h.Get("Client-Retry") == "1", expectedWork: parseWorkHint(h), affinityKey: affinityKeyHash(h),
+		conn:            c,
+		receivedAt:      came,
+		clientDeadline:  came.Add(max(0, timeout-responseMargin)),
+		processDeadline: s.shutdown.gate.deadlineFor(came),
+		method:          method, url: hr.URL, host: hr.Host, header: h, body: body,
+		result: make(chan response, 1),
 	}, 0
 }
 
--- a/internal/sidecar/compatibility_test.go
+++ b/internal/sidecar/compatibility_test.go
@@ -54,7 +54,7 @@
 
 func TestPolicyFolderIsWrittenAsBy396a775(t *testing.T) {
 	for name, acts := range storedActs() {
-		g := &governor{config: &policyConfig{FilePolicy: FilePolicy{Folder: t.TempDir()}}}
+		g := &policyFollower{config: &policyConfig{FilePolicy: FilePolicy{Folder: t.TempDir()}}}
 		if err := g.save(acts); err != nil {
 			t.Fatal(err)
 		}
@@ -73,7 +73,7 @@
 			t.Fatal(err)
 		}
 		var enforced []*rollout.Document
-		g := &governor{
+		g := &policyFollower{
 			config: &policyConfig{FilePolicy: FilePolicy{Folder: folder}}, tenants: []string{"acme", "zeta"},
 			follower: &rollout.Follower{}, startedAt: time.Now().Add(-2 * askFirst),
 			enforcer: func(_ context.Context, d *rollout.Document) error { enforced = append(enforced, d); return nil },
@@ -169,7 +169,7 @@
 func TestCounterNamesAreThoseOf396a775(t *testing.T) {
 	var got strings.Builder
 	for _, counts := range []any{clientCounters{}, listenerState{}, poolCounters{}, poolState{}, policy.Counters{}} {
-		text, err := json.Marshal(slices.Sorted(maps.Keys(numbers(counts))))
+		text, err := json.Marshal(slices.Sorted(maps.Keys(fieldValues(counts))))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sidecar/counters_test.go
+++ b/internal/sidecar/counters_test.go
@@ -36,7 +36,7 @@
 			t.Errorf("%T in the JSON log: got %s, %v, want %s", c.counters, text, err, want)
 		}
 		slices.Sort(names)
-		if got := slices.Sorted(maps.Keys(numbers(c.counters))); !slices.Equal(got, names) {
+		if got := slices.Sorted(maps.Keys(fieldValues(c.counters))); !slices.Equal(got, names) {
 			t.Errorf("%T as labels: got %v, want %v", c.counters, got, names)
 		}
 	}
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -36,10 +36,10 @@
 	}
 }
 
-func newTestLoop(t *testing.T, hosts ...string) *loop {
+func newTestLoop(t *testing.T, hosts ...string) *eventLoop {
 	t.Helper()
 	c := testConfig(t, options{}, "127.0.0.1:1", hosts...)
-	l, err := newLoop(c, newTransport(testPool(4)))
+	l, err := newEventLoop(c, newTransport(testPool(4)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,9 +55,9 @@
 		t.Fatal("the list was thrown away")
 	}
 	l := newTestLoop(t)
-	l.list(policy.ListFull, *known)
-	if len(l.hosts) != 2 || l.hosts["s-1"] == nil || l.hosts["s-3"] == nil {
-		t.Errorf("hosts %v, want s-1 and s-3", l.hosts)
+	l.applyListing(policy.ListFull, *known)
+	if len(l.endpoints) != 2 || l.endpoints["s-1"] == nil || l.endpoints["s-3"] == nil {
+		t.Errorf("hosts %v, want s-1 and s-3", l.endpoints)
 	}
 	if parseKnown([]byte(`{"seq":"x"}`)) != nil || parseKnown([]byte("null")) != nil {
 		t.Error("an unreadable known list is held")
@@ -75,22 +75,22 @@
 	if err := json.Unmarshal([]byte(text), &news); err != nil {
 		t.Fatal(err)
 	}
-	l.list(policy.ListFull, news)
-	if h := l.hosts["s-1"]; h == nil || h.entry.Dial != "127.0.0.1:7" || h.drainAt != 0 {
+	l.applyListing(policy.ListFull, news)
+	if h := l.endpoints["s-1"]; h == nil || h.entry.Dial != "127.0.0.1:7" || h.drainingSince != 0 {
 		t.Errorf("s-1 is %+v", h)
 	}
-	if h := l.hosts["s-2"]; h == nil || h.drainAt == 0 {
+	if h := l.endpoints["s-2"]; h == nil || h.drainingSince == 0 {
 		t.Errorf("s-2 is %+v, want it to drain still", h)
 	}
-	if l.hosts["s-3"] != nil || l.hosts["s-4"] != nil || l.hosts["s-9"] != nil || len(l.hosts) != 2 {
-		t.Errorf("hosts %v", l.hosts)
+	if l.endpoints["s-3"] != nil || l.endpoints["s-4"] != nil || l.endpoints["s-9"] != nil || len(l.endpoints) != 2 {
+		t.Errorf("hosts %v", l.endpoints)
 	}
 }
 
 func TestEntriesBecomeServers(t *testing.T) {
 	l := newTestLoop(t)
 	enter := func(e client.Endpoint) policy.Endpoint {
-		s, ok := l.enter(e)
+		s, ok := l.enterEndpoint(e)
 		if !ok {
 			t.Fatalf("%+v was passed over", e)
 		}
@@ -103,7 +103,7 @@
 		t.Errorf("server %+v", s)
 	}
 	e.Dial, e.Health = "127.0.0.1:8", "draining"
-	if d := enter(e); d.ID != s.ID || d.State != policy.Draining || l.hosts["s-1"].entry.Dial != e.Dial {
+	if d := enter(e); d.ID != s.ID || d.State != policy.Draining || l.endpoints["s-1"].entry.Dial != e.Dial {
 		t.Errorf("at another address it is %+v, was %+v", d, s)
 	}
 	e.Health = "a later word"
@@ -126,14 +126,14 @@
 func TestEarlierStartIsNotLongAgo(t *testing.T) {
 	l := newTestLoop(t)
 	born := time.Now().Add(-2 * time.Second).UnixMilli()
-	s, ok := l.enter(client.Endpoint{Host: "s-1", Dial: "127.0.0.1:7", Health: "up", BornMS: float64(born)})
+	s, ok := l.enterEndpoint(client.Endpoint{Host: "s-1", Dial: "127.0.0.1:7", Health: "up", BornMS: float64(born)})
 	if age := l.clock() - s.Started; !ok || s.Started <= 0 || age < time.Second || age > patience {
 		t.Errorf("started at %v, %v ago by the module's clock", s.Started, age)
 	}
 	ahead := client.Endpoint{Host: "s-2", Dial: "127.0.0.1:7", Health: "up", BornMS: float64(time.Now().Add(time.Hour).UnixMilli())}
-	first, _ := l.enter(ahead)
+	first, _ := l.enterEndpoint(ahead)
 	l.now = l.clock() + time.Second
-	if again, _ := l.enter(ahead); first.Started > l.now || again.Started != first.Started {
+	if again, _ := l.enterEndpoint(ahead); first.Started > l.now || again.Started != first.Started {
 		t.Errorf("a start ahead of the clock is %v and then %v", first.Started, again.Started)
 	}
 }
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -111,21 +111,21 @@
 // The loop counts what runs at a server that drains.
 func TestDrainIsCountedToItsEnd(t *testing.T) {
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0))
-	h := l.hosts["s-1"]
-	h.out = 1
+	h := l.endpoints["s-1"]
+	h.inFlight = 1
 	change := func(health string) {
-		l.list(policy.ListDelta, client.ListUpdate{Endpoints: []client.Endpoint{{Host: "s-1", Dial: "127.0.0.1:7", Site: "a", Health: health, Share: 1}}})
+		l.applyListing(policy.ListDelta, client.ListUpdate{Endpoints: []client.Endpoint{{Host: "s-1", Dial: "127.0.0.1:7", Site: "a", Health: health, Share: 1}}})
 	}
 	l.now = time.Second
 	change("draining")
-	if h.drainAt != time.Second || !h.peer.draining {
-		t.Errorf("drains since %v, peer %v", h.drainAt, h.peer.draining)
+	if h.drainingSince != time.Second || !h.peer.draining {
+		t.Errorf("drains since %v, peer %v", h.drainingSince, h.peer.draining)
 	}
 	l.now = 2 * time.Second
-	if change("draining"); h.drainAt != time.Second {
+	if change("draining"); h.drainingSince != time.Second {
 		t.Error("told again, the drain began anew")
 	}
-	if change("up"); h.drainAt != 0 || h.peer.draining {
+	if change("up"); h.drainingSince != 0 || h.peer.draining {
 		t.Error("the drain was not called off")
 	}
 }
--- a/internal/sidecar/gate_test.go
+++ b/internal/sidecar/gate_test.go
@@ -47,9 +47,9 @@
 				makeDuplicatesConclusive(p)
 			}
 			for i := range distinctRunNeeded + 4 {
-				r := &request{method: "POST", url: mustURL("/"), host: "x", name: fmt.Sprint(i), header: http.Header{"Request-Id": {fmt.Sprint(i)}}}
-				r.until = time.Now().Add(time.Hour)
-				a := newAttempt(t.Context(), r, r.until, time.Time{})
+				r := &request{method: "POST", url: mustURL("/"), host: "x", externalID: fmt.Sprint(i), header: http.Header{"Request-Id": {fmt.Sprint(i)}}}
+				r.clientDeadline = time.Now().Add(time.Hour)
+				a := newAttempt(t.Context(), r, r.clientDeadline, time.Time{})
 				a.server = to
 				ending, got := newTransport(p).runAttempt(a)
 				want := fmt.Sprint("done ", i)
@@ -108,9 +108,9 @@
 	c.Conn.(*net.TCPConn).SetWriteBuffer(4 << 10)
 	p.release(c)
 	endAllQuarantines(p)
-	r := &request{method: "POST", url: mustURL("/"), host: "x", name: "long", header: http.Header{}, body: make([]byte, 16<<20)}
-	r.until = time.Now().Add(time.Hour)
-	a := newAttempt(t.Context(), r, r.until, time.Time{})
+	r := &request{method: "POST", url: mustURL("/"), host: "x", externalID: "long", header: http.Header{}, body: make([]byte, 16<<20)}
+	r.clientDeadline = time.Now().Add(time.Hour)
+	a := newAttempt(t.Context(), r, r.clientDeadline, time.Time{})
 	a.server = to
 	ending := make(chan policy.Ending, 1)
 	go func() { e, _ := newTransport(p).runAttempt(a); ending <- e }()
@@ -158,11 +158,11 @@
 	p, to := testPool(1), &upstreamServer{addr: u.addr}
 	defer p.close()
 	far, near := connected(t)
-	r := &request{method: "POST", url: mustURL("/"), host: "x", name: "left", header: http.Header{}, conn: near}
-	r.until = time.Now().Add(time.Hour)
+	r := &request{method: "POST", url: mustURL("/"), host: "x", externalID: "left", header: http.Header{}, conn: near}
+	r.clientDeadline = time.Now().Add(time.Hour)
 	ups := newTransport(p)
 	try := func() policy.Ending {
-		a := newAttempt(t.Context(), r, r.until, time.Time{})
+		a := newAttempt(t.Context(), r, r.clientDeadline, time.Time{})
 		a.server = to
 		ending, _ := ups.runAttempt(a)
 		return ending
@@ -217,9 +217,9 @@
 	if g.mayStart(time.Second) != policy.Allowed || g.mayStart(3*time.Second) != policy.DeniedShutdown {
 		t.Error("what takes longer than the process has may be started, or what does not may not")
 	}
-	r := &request{until: now.Add(time.Hour), stopBy: by}
-	if r.answerBy() != by || r.stopIn() <= 0 {
-		t.Errorf("answered by %v, in %v", r.answerBy(), r.stopIn())
+	r := &request{clientDeadline: now.Add(time.Hour), processDeadline: by}
+	if r.deadline() != by || r.processTimeLeft() <= 0 {
+		t.Errorf("answered by %v, in %v", r.deadline(), r.processTimeLeft())
 	}
 }
 
@@ -335,7 +335,7 @@
 	l.wallNow = func() time.Time { return time.Now().Add(step) }
 	l.now = l.clock()
 	born := float64(time.Now().Add(step - time.Second).UnixMilli())
-	s, ok := l.enter(client.Endpoint{Host: "s-1", Dial: "127.0.0.1:7", Site: "a", Health: "up", Share: 1, BornMS: born})
+	s, ok := l.enterEndpoint(client.Endpoint{Host: "s-1", Dial: "127.0.0.1:7", Site: "a", Health: "up", Share: 1, BornMS: born})
 	if age := l.now - s.Started; !ok || age < 500*time.Millisecond || age > 1500*time.Millisecond {
 		t.Errorf("a server that started 1 s ago is %v old", age)
 	}
--- a/internal/sidecar/governor.go
+++ b/internal/sidecar/governor.go
@@ -42,8 +42,8 @@
 	policyAgain = 200 * time.Millisecond
 	// askFirst is how long a start asks the registry before it serves by its folder.
 	askFirst = 5 * time.Second
-	// ungovernedPause is the Retry-After of a sidecar that may not act, spread.
-	ungovernedPause = time.Second
+	// noPolicyRetryAfter is the Retry-After of a sidecar that may not act, spread.
+	noPolicyRetryAfter = time.Second
 )
 
 func (c *policyConfig) check() error {
@@ -89,10 +89,10 @@
 	return t, nil
 }
 
-// governor keeps a sidecar to the fleet's policy: it holds the sidecar's seat, puts in
+// policyFollower keeps a sidecar to the fleet's policy: it holds the sidecar's seat, puts in
 // force what is to be acted by, and says so. What the sidecar's own file says stays the
 // most that it may: the stricter of both counts.
-type governor struct {
+type policyFollower struct {
 	config    *policyConfig
 	tenants   []string
 	client    *client.Client
@@ -114,12 +114,12 @@
 	fromStore   bool // it acts by its folder
 }
 
-func newGovernor(c *Config, enforce func(ctx context.Context, d *rollout.Document) error) (*governor, error) {
+func newGovernor(c *Config, enforce func(ctx context.Context, d *rollout.Document) error) (*policyFollower, error) {
 	r, err := client.New(c.Govern.Registry, c.Seed)
 	if err != nil {
 		return nil, err
 	}
-	g := &governor{config: c.Govern, tenants: c.Tenants, client: r.WithAddressMap(c.Govern.routes), enforcer: enforce, startedAt: time.Now()}
+	g := &policyFollower{config: c.Govern, tenants: c.Tenants, client: r.WithAddressMap(c.Govern.routes), enforcer: enforce, startedAt: time.Now()}
 	me := rollout.Member{Name: c.Name, Incarnation: uint64(g.startedAt.UnixMicro())}
 	g.follower = &rollout.Follower{Self: me, Supports: g.checkSupported}
 	if c.Govern.Machine != "" {
@@ -132,7 +132,7 @@
 }
 
 // checkSupported says whether this sidecar could act by a document.
-func (g *governor) checkSupported(d *rollout.Document) error {
+func (g *policyFollower) checkSupported(d *rollout.Document) error {
 	if err := d.Check(); err != nil {
 		return err
 	}
@@ -145,7 +145,7 @@
 }
 
 // recordOutcome counts the end of a request, for the comparison of those that go ahead.
-func (g *governor) recordOutcome(status int, took, aim time.Duration) {
+func (g *policyFollower) recordOutcome(status int, took, aim time.Duration) {
 	g.requests.Add(1)
 	switch outcome := outcomeOf(status); {
 	case outcome == outcomeRefused:
@@ -157,12 +157,12 @@
 	}
 }
 
-func (g *governor) counts() rollout.RequestCounts {
+func (g *policyFollower) counts() rollout.RequestCounts {
 	return rollout.RequestCounts{Requests: g.requests.Load(), Refused: g.refused.Load(), Failed: g.failed.Load(), Late: g.late.Load()}
 }
 
 // mayAdmit says whether a new request mayAdmit be taken now.
-func (g *governor) mayAdmit() bool {
+func (g *policyFollower) mayAdmit() bool {
 	if !g.admitting.Load() {
 		return false
 	}
@@ -175,7 +175,7 @@
 
 // run keeps to the policy until ctx ends, and gives the seat up then. It returns an
 // error where this sidecar cannot act by the policy in force.
-func (g *governor) run(ctx context.Context) error {
+func (g *policyFollower) run(ctx context.Context) error {
 	defer g.client.Close()
 	life, end := context.WithCancel(context.WithoutCancel(ctx))
 	var beside sync.WaitGroup
@@ -219,7 +219,7 @@
 }
 
 // apply puts in force what is to be acted by, keeps it in the folder, and only then counts.
-func (g *governor) apply(ctx context.Context, acts rollout.ActivePolicy, may bool) error {
+func (g *policyFollower) apply(ctx context.Context, acts rollout.ActivePolicy, may bool) error {
 	g.mu.Lock()
 	same := g.admitting.Load() && may && acts.Epoch == g.acting.Epoch && acts.JointChange == g.acting.JointChange && !g.fromStore
 	by := g.fromStore
@@ -256,7 +256,7 @@
 }
 
 // synchronize says what is to be said, or waits for news.
-func (g *governor) synchronize(ctx context.Context) error {
+func (g *policyFollower) synchronize(ctx context.Context) error {
 	g.mu.Lock()
 	step, any := g.follower.NextCommand()
 	me, version := g.follower.Self, g.follower.Version()
@@ -304,7 +304,7 @@
 }
 
 // holdRosterLease holds the lease under which this sidecar serves, where the policy says so.
-func (g *governor) holdRosterLease(ctx context.Context) {
+func (g *policyFollower) holdRosterLease(ctx context.Context) {
 	name := registry.RosterLeasePrefix + g.follower.Self.Name
 	err := g.leases.Hold(ctx, name, func(ctx context.Context, t *lease.Handle) error {
 		g.leaseTerm.Store(t)
@@ -319,7 +319,7 @@
 
 // leaveRoster gives the seat up: no change waits for this sidecar, and what it held must
 // not be served by any more.
-func (g *governor) leaveRoster(ctx context.Context) {
+func (g *policyFollower) leaveRoster(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), policyCallIn/2)
 	defer cancel()
 	if _, err := g.client.ApplyPolicyStep(ctx, rollout.Command{Op: rollout.OpLeave, Member: g.follower.Self}, nil); err != nil {
@@ -339,11 +339,11 @@
 	Acting   json.RawMessage `json:"acts"`
 }
 
-func (g *governor) storePath() string { return filepath.Join(g.config.Folder, "policy.json") }
+func (g *policyFollower) storePath() string { return filepath.Join(g.config.Folder, "policy.json") }
 
 // save keeps what is about to be acted by. It is written before the registry is told:
 // a process that starts again holds no less than this one has confirmed.
-func (g *governor) save(acts rollout.ActivePolicy) error {
+func (g *policyFollower) save(acts rollout.ActivePolicy) error {
 	if g.config.Folder == "" {
 		return nil
 	}
@@ -378,7 +378,7 @@
 
 // applyStored serves by the folder while nobody can be asked: only a start does, and only
 // under a policy that lets sidecars carry on.
-func (g *governor) applyStored(ctx context.Context) {
+func (g *policyFollower) applyStored(ctx context.Context) {
 	if g.admitting.Load() || g.config.Folder == "" || time.Since(g.startedAt) < askFirst || g.follower.Version() != 0 {
 		return
 	}
@@ -425,7 +425,7 @@
 	RefusalReason      string
 }
 
-func (g *governor) state() FleetPolicyStatus {
+func (g *policyFollower) state() FleetPolicyStatus {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	_, stage, refused := g.follower.Summary()
@@ -452,14 +452,14 @@
 	return text
 }
 
-// ruled is the event of a policy that is to be in force.
-type ruled struct {
+// fleetPolicyReceived is the event of a policy that is to be in force.
+type fleetPolicyReceived struct {
 	rule policy.FleetLimits
 	done chan<- struct{}
 }
 
-// rule is what a document says to the decision module.
-func (l *loop) rule(d *rollout.Document) (r policy.FleetLimits) {
+// fleetLimits is what a document says to the decision module.
+func (l *eventLoop) fleetLimits(d *rollout.Document) (r policy.FleetLimits) {
 	if d == nil {
 		return r
 	}
@@ -471,16 +471,16 @@
 	return r
 }
 
-// govern has the loop put a policy in force, and returns when it has.
-func (l *loop) govern(ctx context.Context, d *rollout.Document) error {
+// applyFleetPolicy has the loop put a policy in force, and returns when it has.
+func (l *eventLoop) applyFleetPolicy(ctx context.Context, d *rollout.Document) error {
 	done := make(chan struct{})
-	if !l.post(ruled{l.rule(d), done}) {
+	if !l.post(fleetPolicyReceived{l.fleetLimits(d), done}) {
 		return errEnded
 	}
 	select {
 	case <-done:
 		return nil
-	case <-l.life.Done():
+	case <-l.lifetime.Done():
 		return errEnded
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/sidecar/member.go
+++ b/internal/sidecar/member.go
@@ -19,19 +19,19 @@
 }
 
 const (
-	// memberEvery is between two looks at what has changed on either side.
-	memberEvery = time.Second
-	// quietAttempts are as many in a row that a server left unanswered before the fleet is
+	// announceInterval is between two looks at what has changed on either side.
+	announceInterval = time.Second
+	// unresponsiveAfter are as many in a row that a server left unanswered before the fleet is
 	// told: one may be the request's, or the way's.
-	quietAttempts = 3
+	unresponsiveAfter = 3
 )
 
-// numbered is the event of another number of sidecars.
-type numbered struct{ sidecars int }
+// sidecarCountChanged is the event of another number of sidecars.
+type sidecarCountChanged struct{ sidecars int }
 
-// attend passes on what the fleet and this sidecar tell each other, until ctx ends.
-func attend(ctx context.Context, m FleetMember, l *loop, stand func() (phase string, epoch uint64)) {
-	tick := time.NewTicker(memberEvery)
+// runMembership passes on what the fleet and this sidecar tell each other, until ctx ends.
+func runMembership(ctx context.Context, m FleetMember, l *eventLoop, stand func() (phase string, epoch uint64)) {
+	tick := time.NewTicker(announceInterval)
 	defer tick.Stop()
 	known := 0
 	for {
@@ -43,23 +43,23 @@
 		m.Announce(stand())
 		if n := m.SidecarCount(); n != known {
 			known = n
-			l.post(numbered{n})
+			l.post(sidecarCountChanged{n})
 		}
 	}
 }
 
-// heard notes how an attempt at a host ended, and tells the fleet of one that is silent.
-func (l *loop) heard(h *host, ending policy.Ending) {
+// noteSilence notes how an attempt at a host ended, and tells the fleet of one that is silent.
+func (l *eventLoop) noteSilence(h *endpoint, ending policy.Ending) {
 	switch ending {
 	case policy.Cancelled, policy.NotSent: // says nothing of the host
 		return
 	case policy.TimedOut, policy.NoConnection:
-		h.quiet++
+		h.consecutiveSilent++
 	default:
-		h.quiet = 0
+		h.consecutiveSilent = 0
 	}
-	if h.quiet == quietAttempts && l.silent != nil {
-		l.silent(h.entry.Host)
-		h.quiet = 0 // and again after as many more
+	if h.consecutiveSilent == unresponsiveAfter && l.reportUnresponsive != nil {
+		l.reportUnresponsive(h.entry.Host)
+		h.consecutiveSilent = 0 // and again after as many more
 	}
 }
--- a/internal/sidecar/meter.go
+++ b/internal/sidecar/meter.go
@@ -46,17 +46,17 @@
 	SlotsFree, QueueFree int
 }
 
-// asked is the event that asks the loop for its part of the state.
-type asked struct{ state chan<- Status }
+// statusRequested is the event that asks the loop for its part of the state.
+type statusRequested struct{ state chan<- Status }
 
 var errEnded = errors.New("the sidecar has ended")
 
-// state asks the loop how things stand.
-func (l *loop) state(ctx context.Context) (Status, error) {
+// requestStatus asks the loop how things stand.
+func (l *eventLoop) requestStatus(ctx context.Context) (Status, error) {
 	answer := make(chan Status, 1)
 	select {
-	case l.events <- asked{answer}:
-	case <-l.life.Done():
+	case l.events <- statusRequested{answer}:
+	case <-l.lifetime.Done():
 		return Status{}, errEnded
 	case <-ctx.Done():
 		return Status{}, ctx.Err()
@@ -64,31 +64,31 @@
 	select {
 	case s := <-answer:
 		return s, nil
-	case <-l.life.Done():
+	case <-l.lifetime.Done():
 		return Status{}, errEnded
 	case <-ctx.Done():
 		return Status{}, ctx.Err()
 	}
 }
 
-// stand is the loop's part of the state.
-func (l *loop) stand() Status {
-	s := Status{OpenRequests: len(l.requests), Gate: l.up.gate.counters(), Congestion: l.b.Congestion(l.now), Decided: l.b.Counters(), Endpoints: make(map[string]map[string]int)}
-	if l.heardAt > 0 {
-		s.EndpointListAge = l.now - l.heardAt
+// status is the loop's part of the state.
+func (l *eventLoop) status() Status {
+	s := Status{OpenRequests: len(l.requests), Gate: l.upstreams.gate.counters(), Congestion: l.balancer.Congestion(l.now), Decided: l.balancer.Counters(), Endpoints: make(map[string]map[string]int)}
+	if l.listUpdatedAt > 0 {
+		s.EndpointListAge = l.now - l.listUpdatedAt
 	}
-	if l.policy != nil {
-		p := l.policy()
+	if l.policyStatus != nil {
+		p := l.policyStatus()
 		s.FleetPolicy = &p
 	}
-	if l.word != nil {
-		w := l.word()
+	if l.adviceStatus != nil {
+		w := l.adviceStatus()
 		s.OverloadAdvice = &w
 	}
 	for i, name := range l.tenantNames() {
-		s.Bulkheads = append(s.Bulkheads, Bulkhead{name, l.b.SlotsFree(i), l.b.QueueFree(i)})
+		s.Bulkheads = append(s.Bulkheads, Bulkhead{name, l.balancer.SlotsFree(i), l.balancer.QueueFree(i)})
 	}
-	for _, h := range l.hosts {
+	for _, h := range l.endpoints {
 		zone := s.Endpoints[h.entry.Site]
 		if zone == nil {
 			zone = make(map[string]int)
@@ -100,7 +100,7 @@
 }
 
 // tenantNames are the names of the compartments.
-func (l *loop) tenantNames() []string {
+func (l *eventLoop) tenantNames() []string {
 	if len(l.config.Tenants) == 0 {
 		return []string{""}
 	}
@@ -126,31 +126,31 @@
 	return outcomeFailed
 }
 
-// told tells meter and log of a request's end.
-func (l *loop) told(r *request, outcome string) {
-	if l.config.Exporter == nil && !l.trace {
+// recordEnd tells meter and log of a request's end.
+func (l *eventLoop) recordEnd(r *request, outcome string) {
+	if l.config.Exporter == nil && !l.traceRequests {
 		return
 	}
-	took := time.Since(r.began)
+	took := time.Since(r.receivedAt)
 	class, tenant := l.config.Classes[r.class], l.tenantNames()[r.tenant]
 	if l.config.Exporter != nil {
 		l.config.Exporter.RecordRequest(class, tenant, outcome, took)
 	}
-	if l.trace {
-		slog.Debug("request ended", "request", r.name, "class", class, "tenant", tenant, "outcome", outcome, "attempts", len(r.attempts), "took", took)
+	if l.traceRequests {
+		slog.Debug("request ended", "request", r.externalID, "class", class, "tenant", tenant, "outcome", outcome, "attempts", len(r.attempts), "took", took)
 	}
 }
 
 // traceAttempt logs the end of an attempt, with its request's id.
-func (l *loop) traceAttempt(a *attempt, end policy.Ending) {
-	if !l.trace {
+func (l *eventLoop) traceAttempt(a *attempt, end policy.Ending) {
+	if !l.traceRequests {
 		return
 	}
 	host := ""
 	if a.host != nil {
 		host = a.host.entry.Host
 	}
-	slog.Debug("attempt ended", "request", a.req.name, "attempt", a.number, "host", host, "ending", endingNames[end], "took", time.Since(a.startedAt))
+	slog.Debug("attempt ended", "request", a.req.externalID, "attempt", a.number, "host", host, "ending", endingNames[end], "took", time.Since(a.startedAt))
 }
 
 // endingNames are the module's endings in words.
@@ -159,8 +159,8 @@
 	policy.NoConnection: "no connection", policy.Broken: "broken", policy.Cancelled: "called off", policy.NotSent: "not sent",
 }
 
-// numbers turns a struct of counts into a map by the fields' names.
-func numbers(counts any) map[string]float64 {
+// fieldValues turns a struct of counts into a map by the fields' names.
+func fieldValues(counts any) map[string]float64 {
 	v := reflect.ValueOf(counts)
 	m := make(map[string]float64, v.NumField())
 	for i := range v.NumField() {
@@ -174,8 +174,8 @@
 	return m
 }
 
-// meter serves metrics where the configuration names an address for them.
-func meter(ctx context.Context, c *Config, l *loop, listener *limitedListener, p *pool) (run func(), err error) {
+// serveMetrics serves metrics where the configuration names an address for them.
+func serveMetrics(ctx context.Context, c *Config, l *eventLoop, listener *limitedListener, p *pool) (run func(), err error) {
 	if c.Exporter == nil {
 		return nil, nil
 	}
@@ -184,14 +184,14 @@
 		return nil, fmt.Errorf("metrics: %w", err)
 	}
 	state := func(ctx context.Context) (Status, error) {
-		s, err := l.state(ctx)
+		s, err := l.requestStatus(ctx)
 		if err != nil {
 			return s, err
 		}
 		count, now := listener.counters()
-		s.ClientConnectionEvents, s.ClientConnections = numbers(count), numbers(now)
+		s.ClientConnectionEvents, s.ClientConnections = fieldValues(count), fieldValues(now)
 		poolCount, poolNow := p.counters()
-		s.UpstreamConnectionEvents, s.UpstreamConnections = numbers(poolCount), numbers(poolNow)
+		s.UpstreamConnectionEvents, s.UpstreamConnections = fieldValues(poolCount), fieldValues(poolNow)
 		return s, nil
 	}
 	return func() {
@@ -202,4 +202,4 @@
 }
 
 // DecisionCounts are the module's counters by name.
-func (s Status) DecisionCounts() map[string]float64 { return numbers(s.Decided) }
+func (s Status) DecisionCounts() map[string]float64 { return fieldValues(s.Decided) }
--- a/internal/sidecar/races_test.go
+++ b/internal/sidecar/races_test.go
@@ -156,27 +156,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.b = b
+	l.balancer = b
 	b.Start(l.clock())
-	l.list(policy.ListFull, *l.config.Known)
-	l.up.pool = testPool(1)
-	defer l.up.pool.close()
-	to := l.hosts["s-1"].peer
-	out := connections(t, l.up.pool, to, 1)[0]
+	l.applyListing(policy.ListFull, *l.config.Known)
+	l.upstreams.pool = testPool(1)
+	defer l.upstreams.pool.close()
+	to := l.endpoints["s-1"].peer
+	out := connections(t, l.upstreams.pool, to, 1)[0]
 	go l.run(t.Context())
 	r := &request{
-		name: "leaves", class: 2, method: "POST", url: mustURL("/api"), host: "x", header: map[string][]string{"Request-Id": {"leaves"}},
-		until: time.Now().Add(4 * time.Second), answer: make(chan response, 1),
+		externalID: "leaves", class: 2, method: "POST", url: mustURL("/api"), host: "x", header: map[string][]string{"Request-Id": {"leaves"}},
+		clientDeadline: time.Now().Add(4 * time.Second), result: make(chan response, 1),
 	}
-	l.post(arrived{r})
-	eventually(t, "the attempt waits", func() bool { return waiters(l.up.pool) == 1 })
-	l.post(left{r})
+	l.post(requestArrived{r})
+	eventually(t, "the attempt waits", func() bool { return waiters(l.upstreams.pool) == 1 })
+	l.post(clientDisconnected{r})
 	handled := make(chan struct{})
-	l.post(ruled{done: handled})
+	l.post(fleetPolicyReceived{done: handled})
 	await(t, "the loop", handled)
-	l.up.pool.release(out) // the attempt's turn, if it still waits
+	l.upstreams.pool.release(out) // the attempt's turn, if it still waits
 	// The pool's one connection serves one after the other: the next request comes behind.
-	if got, _ := runOneAttempt(t.Context(), l.up.pool, to); got != policy.Served {
+	if got, _ := runOneAttempt(t.Context(), l.upstreams.pool, to); got != policy.Served {
 		t.Errorf("the next attempt: ending %v", got)
 	}
 	if first := await(t, "a request", u.requests); first.Header.Get("Request-Id") == "leaves" {
@@ -262,11 +262,11 @@
 
 // parts runs a sidecar's client side and its loop, whose parts a test needs at hand. onRead is
 // called in the middle of each read from a client.
-func parts(t *testing.T, u *upstream, onRead func()) (*loop, *limitedListener, *gracefulShutdown) {
+func parts(t *testing.T, u *upstream, onRead func()) (*eventLoop, *limitedListener, *gracefulShutdown) {
 	t.Helper()
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	limited := newLimitedListener(listenLoopback(t), testLimits(4))
-	l.speaking = limited.possiblyActive
+	l.activeConnections = limited.possiblyActive
 	ending := testDrain(limited)
 	server := newClientHandler(l.config, l, ending).newServer()
 	withRequest := server.ConnContext
@@ -360,7 +360,7 @@
 	if err := ending.handOver(); err != nil {
 		t.Fatal(err)
 	}
-	if held := l.leave(); len(held) == 0 || held[0].Slots != 1 {
+	if held := l.releaseCapacity(); len(held) == 0 || held[0].Slots != 1 {
 		t.Errorf("it keeps %v, want a slot for what is being read", held)
 	}
 	io.WriteString(c, "ld")
@@ -370,7 +370,7 @@
 	}
 	io.Copy(io.Discard, resp.Body)
 	await(t, "the end of its connection", limited.allEnded)
-	if held := l.leave(); len(held) == 0 || held[0] != (policy.BulkheadCapacity{}) {
+	if held := l.releaseCapacity(); len(held) == 0 || held[0] != (policy.BulkheadCapacity{}) {
 		t.Errorf("it keeps %v at the end", held)
 	}
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -54,7 +54,7 @@
 	if c.Policy.LoadReports {
 		up.statsPath = "/stats"
 	}
-	l, err := newLoop(c, up)
+	l, err := newEventLoop(c, up)
 	if err != nil {
 		return err
 	}
@@ -66,11 +66,11 @@
 	}()
 	discovery := client.WatcherOptions{
 		Addrs: c.discoveryAddrs(), LastKnown: c.Known, Seed: c.Seed, Grace: c.Policy.DrainGrace,
-		Deliver: func(news client.ListUpdate) { l.post(listed{news}) },
+		Deliver: func(news client.ListUpdate) { l.post(endpointsListed{news}) },
 	}
 	if c.Policy.PollList {
 		discovery.MaxStagger = policy.SubscribeDelay(c.Policy.Balancers)
-		discovery.Polls, discovery.OnLoss = l.asks, func(loss client.ListLoss) { l.post(listFailed{loss}) }
+		discovery.Polls, discovery.OnLoss = l.pollRequests, func(loss client.ListLoss) { l.post(listingLost{loss}) }
 	}
 	d := client.NewWatcher(discovery)
 	limited := newLimitedListener(ln, c.Connections.Clients)
@@ -80,14 +80,14 @@
 	var ruled *rollout.Document
 	governed, dismiss := context.WithCancel(run)
 	defer dismiss()
-	l.speaking = limited.possiblyActive
+	l.activeConnections = limited.possiblyActive
 	limited.gate = up.gate
-	l.report = func() {
+	l.logOtherCounters = func() {
 		limited.logCounters()
 		pool.logCounters()
 		up.gate.logCounters()
 	}
-	var gov *governor
+	var gov *policyFollower
 	ungoverned := make(chan error, 1)
 	if c.Govern != nil {
 		gov, err = newGovernor(c, func(ctx context.Context, d *rollout.Document) error {
@@ -97,24 +97,24 @@
 			limits := c.Connections.under(d)
 			limited.setLimits(limits.Clients)
 			pool.setLimits(limits.Servers)
-			return l.govern(ctx, d)
+			return l.applyFleetPolicy(ctx, d)
 		})
 		if err != nil {
 			return err
 		}
-		l.gate, l.policy, l.note = gov.mayAdmit, gov.state, gov.recordOutcome
+		l.admits, l.policyStatus, l.recordOutcome = gov.mayAdmit, gov.state, gov.recordOutcome
 		loops.Go(func() {
 			if err := gov.run(governed); err != nil {
 				ungoverned <- err
 			}
 		})
 	}
-	var adv *adviser
+	var adv *overloadReporter
 	if c.Advice != nil {
 		if adv, err = newAdviser(c, l); err != nil {
 			return err
 		}
-		l.word = adv.state
+		l.adviceStatus = adv.state
 		loops.Go(func() { adv.run(run) })
 	}
 	var member FleetMember
@@ -123,9 +123,9 @@
 			return errors.New("membership is set, and this program has none: start barleywick-metered, which has")
 		}
 		member = c.NewMember(c)
-		l.silent = member.ReportUnresponsive
+		l.reportUnresponsive = member.ReportUnresponsive
 	}
-	measure, err := meter(run, c, l, limited, pool)
+	measure, err := serveMetrics(run, c, l, limited, pool)
 	if err != nil {
 		return err
 	}
@@ -142,7 +142,7 @@
 	if member != nil {
 		loops.Go(func() { member.Run(run) })
 		loops.Go(func() {
-			attend(run, member, l, func() (phase string, epoch uint64) {
+			runMembership(run, member, l, func() (phase string, epoch uint64) {
 				if gov != nil {
 					epoch = gov.state().Epoch
 				}
@@ -167,7 +167,7 @@
 			err := old.TakeOver(run, c.Takeover.readyIn(), l.ready.Load, func() {
 				limited.start()
 				took <- nil
-			}, func(held []policy.BulkheadCapacity) { l.post(beside{held}) })
+			}, func(held []policy.BulkheadCapacity) { l.post(predecessorReported{held}) })
 			if err != nil {
 				took <- err
 			}
@@ -210,7 +210,7 @@
 			if err := ending.handOver(); err != nil {
 				return err
 			}
-			loops.Go(func() { next.ReportReserved(run, l.leave) })
+			loops.Go(func() { next.ReportReserved(run, l.releaseCapacity) })
 		case <-stop.Done():
 			if !inPlace && len(took) == 0 {
 				return nil // the old process goes on
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -105,13 +105,13 @@
 		r := &request{method: "GET", url: mustURL("/"), host: "x", header: http.Header{"Request-Id": {id}, "Idempotency-Key": {"k"}}}
 		a := newAttempt(t.Context(), r, time.Now().Add(time.Hour), time.Time{})
 		a.server = to
-		ending, _ := l.up.runAttempt(a)
+		ending, _ := l.upstreams.runAttempt(a)
 		return ending
 	}
 	if got := try("first"); got != policy.Served {
 		t.Fatalf("first: ending %v", got)
 	}
-	endAllQuarantines(l.up.pool)
+	endAllQuarantines(l.upstreams.pool)
 	if got := try("breaks"); got != policy.Broken {
 		t.Errorf("on a breaking connection: ending %v, want broken", got)
 	}
@@ -138,14 +138,14 @@
 // The module matches a server's probe results to its calls by their order.
 func TestProbeResultsKeepTheirOrder(t *testing.T) {
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0))
-	h := l.hosts["s-1"]
-	first, second := &probe{host: h}, &probe{host: h}
-	h.probes = []*probe{first, second}
-	l.handle(probed{second, true, policy.LoadReport{InFlight: 1}})
+	h := l.endpoints["s-1"]
+	first, second := &pendingProbe{endpoint: h}, &pendingProbe{endpoint: h}
+	h.probes = []*pendingProbe{first, second}
+	l.handle(probeCompleted{second, true, policy.LoadReport{InFlight: 1}})
 	if len(h.probes) != 2 {
 		t.Fatal("the second result went before the first")
 	}
-	l.handle(probed{first, false, policy.UnknownLoad})
+	l.handle(probeCompleted{first, false, policy.UnknownLoad})
 	if len(h.probes) != 0 {
 		t.Errorf("%d results are held back", len(h.probes))
 	}
@@ -155,10 +155,10 @@
 // never ask again.
 func TestEarlyTimerIsArmedAgain(t *testing.T) {
 	l := newTestLoop(t)
-	due := l.dueAt // as the module asked at its start
+	due := l.wakeAt // as the module asked at its start
 	l.now = due - time.Millisecond
 	l.wake()
-	if due == 0 || l.dueAt != due {
+	if due == 0 || l.wakeAt != due {
 		t.Fatal("an early timer disarmed the alarm")
 	}
 	for l.now < due { // it is armed for what was left at the made-up time, and so early again
@@ -166,25 +166,25 @@
 		l.now = l.clock()
 		l.wake()
 	}
-	if l.dueAt <= due {
+	if l.wakeAt <= due {
 		t.Error("the module was not woken: it would have asked for a later time")
 	}
 }
 
 func TestExactlyOneAnswer(t *testing.T) {
 	l := newTestLoop(t)
-	r := &request{name: "x", id: 7, answer: make(chan response, 1)}
+	r := &request{externalID: "x", id: 7, result: make(chan response, 1)}
 	l.requests[r.id] = r
-	l.names.claim(r.name)
+	l.requestNames.reserve(r.externalID)
 	l.Fail(r.id)
 	l.Fail(r.id)
 	l.Refuse(r.id, 0)
-	l.handle(left{r})
-	if a := await(t, "the answer", r.answer); a.status != http.StatusBadGateway || len(r.answer) > 0 {
-		t.Errorf("answered %d, and %d times more", a.status, len(r.answer))
+	l.handle(clientDisconnected{r})
+	if a := await(t, "the answer", r.result); a.status != http.StatusBadGateway || len(r.result) > 0 {
+		t.Errorf("answered %d, and %d times more", a.status, len(r.result))
 	}
-	if len(l.requests) > 0 || l.names.has(r.name) {
-		t.Errorf("%d requests are still held, name held: %v", len(l.requests), l.names.has(r.name))
+	if len(l.requests) > 0 || l.requestNames.isInUse(r.externalID) {
+		t.Errorf("%d requests are still held, name held: %v", len(l.requests), l.requestNames.isInUse(r.externalID))
 	}
 }
 
@@ -195,16 +195,16 @@
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	r := call{class: "once"}.request(t, u.addr)
 	held := &request{
-		name: "x", class: 2, until: time.Now().Add(patience), method: r.Method, url: r.URL, host: r.Host, header: r.Header,
-		answer: make(chan response, 1),
+		externalID: "x", class: 2, clientDeadline: time.Now().Add(patience), method: r.Method, url: r.URL, host: r.Host, header: r.Header,
+		result: make(chan response, 1),
 	}
 	l.now = l.clock()
-	l.handle(arrived{held})
+	l.handle(requestArrived{held})
 	await(t, "the attempt", u.requests)
-	l.handle(left{held})
-	l.handle(ended{held.attempts[0], policy.Served, &response{status: http.StatusOK}})
-	if len(l.requests) > 0 || len(held.answer) > 0 {
-		t.Errorf("%d requests are still held, %d answers given", len(l.requests), len(held.answer))
+	l.handle(clientDisconnected{held})
+	l.handle(attemptEnded{held.attempts[0], policy.Served, &response{status: http.StatusOK}})
+	if len(l.requests) > 0 || len(held.result) > 0 {
+		t.Errorf("%d requests are still held, %d answers given", len(l.requests), len(held.result))
 	}
 }
 
@@ -213,13 +213,13 @@
 func TestTimeOutIsToldWhoeverNoticesFirst(t *testing.T) {
 	l := newTestLoop(t)
 	for want, r := range map[int]*request{
-		http.StatusGatewayTimeout: {name: "out", id: 7, out: 1, answer: make(chan response, 1)},
-		http.StatusBadGateway:     {name: "broken", id: 8, answer: make(chan response, 1)},
+		http.StatusGatewayTimeout: {externalID: "out", id: 7, inFlight: 1, result: make(chan response, 1)},
+		http.StatusBadGateway:     {externalID: "broken", id: 8, result: make(chan response, 1)},
 	} {
 		l.requests[r.id] = r
 		l.Fail(r.id)
-		if a := await(t, "the answer", r.answer); a.status != want {
-			t.Errorf("%s: answered %d, want %d", r.name, a.status, want)
+		if a := await(t, "the answer", r.result); a.status != want {
+			t.Errorf("%s: answered %d, want %d", r.externalID, a.status, want)
 		}
 	}
 }
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -40,7 +40,7 @@
 	req            *request
 	number         int
 	server         *upstreamServer
-	host           *host           // the loop's; nil where it was never sent
+	host           *endpoint       // the loop's; nil where it was never sent
 	ctx            context.Context // ends when the attempt is given up
 	cancel         context.CancelFunc
 	writeCtx       context.Context // ends, with ctx or before it, when nothing may be written any more
@@ -72,7 +72,7 @@
 }
 
 func (a *attempt) permit() sendPermit {
-	return sendPermit{requestID: a.req.name, writeCtx: a.writeCtx, deadline: a.req.answerBy(), repeatDeadline: a.repeatDeadline, clientGone: a.req.left}
+	return sendPermit{requestID: a.req.externalID, writeCtx: a.writeCtx, deadline: a.req.deadline(), repeatDeadline: a.repeatDeadline, clientGone: a.req.clientLeft}
 }
 
 // sending is what is known of a write now.
