--- /dev/null
+++ b/internal/membership/compatibility_test.go
@@ -0,0 +1,29 @@
+package membership
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+// Node metadata as version 396a775 writes it is read, and written with the same bytes.
+func TestNodeMetaOfEarlierVersion(t *testing.T) {
+	for file, want := range map[string]Info{
+		"node_meta_full.json": {
+			Name: "k1", Incarnation: 1796175124000001, Role: RoleController, Zone: "a", Version: "3.1", PolicyEpoch: 14, Phase: "draining",
+			HTTPAddr: "127.0.0.1:9400", RaftAddr: "127.0.0.1:9500", ReplicaID: "r0", MachineName: "m7", MachineID: "1x2y3z", PID: 4711, ProcessStart: 99887766, LongestActMS: 250,
+		},
+		"node_meta_minimal.json": {Name: "s1", Incarnation: 11, Role: RoleSidecar},
+	} {
+		text, err := os.ReadFile(filepath.Join("testdata", "396a775", file))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got, err := DecodeInfo(text); err != nil || got != want {
+			t.Errorf("%s: got %+v (%v), want %+v", file, got, err, want)
+		}
+		if got, err := want.Encode(); err != nil || string(got) != string(text) {
+			t.Errorf("%s: encoded as %s (%v), want %s", file, got, err, text)
+		}
+	}
+}
--- /dev/null
+++ b/internal/membership/gossip/compatibility_test.go
@@ -0,0 +1,323 @@
+package gossip
+
+import (
+	"bytes"
+	"encoding/json"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+
+	"barleywick/internal/membership"
+)
+
+// The files in testdata/396a775 were written by that version: what members send each other,
+// what they answer over HTTP, and the file that they keep for their next start.
+
+func fixture(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", "396a775", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+func equalBytes(t *testing.T, name string, got []byte) {
+	t.Helper()
+	if want := fixture(t, name); !bytes.Equal(got, want) {
+		t.Errorf("%s: got %q, want %q", name, got, want)
+	}
+}
+
+var discard = slog.New(slog.NewTextHandler(io.Discard, nil))
+
+// k1 is the member by which the fixtures were written.
+var k1 = membership.Info{
+	Name: "k1", Incarnation: 1796175124000001, Role: membership.RoleController, Zone: "a", Version: "3.1", PolicyEpoch: 14, Phase: "draining",
+	HTTPAddr: "127.0.0.1:9400", RaftAddr: "127.0.0.1:9500", ReplicaID: "r0", MachineName: "m7", MachineID: "1x2y3z", PID: 4711, ProcessStart: 99887766, LongestActMS: 250,
+}
+
+func sidecarInfo(name string, incarnation uint64) membership.Info {
+	return membership.Info{Name: name, Incarnation: incarnation, Role: membership.RoleSidecar, MachineID: "1x2y3z"}
+}
+
+// newOfflineNode returns k1 without a network, in whose view s1 to s6 are present.
+func newOfflineNode(folder string) *Node {
+	n := &Node{
+		options: Options{Config: membership.Config{Fleet: "prenota-nord", Listen: "127.0.0.1:9601", StateDir: folder, ForgetS: 600, ProbeMS: 500}, Self: k1},
+		log:     discard, began: time.Now(), self: k1, changed: make(chan struct{}, 1),
+		addrs: map[string]string{"s1/11": "127.0.0.1:9611", "s2/12": "127.0.0.1:9612", "s3/13": "127.0.0.1:9613"}, hosts: make(map[string]time.Duration),
+	}
+	n.queue = &memberlist.TransmitLimitedQueue{NumNodes: func() int { return 5 }, RetransmitMult: 4}
+	n.view = membership.NewView(k1, 10*time.Minute, n.now())
+	time.Sleep(1500 * time.Millisecond)
+	for i, name := range []string{"s1", "s2", "s3", "s4", "s5", "s6"} {
+		n.view.Seen(sidecarInfo(name, uint64(11+i)), n.now())
+	}
+	return n
+}
+
+// breakMembers has the members of an offline node's view take each status.
+func breakMembers(n *Node) {
+	time.Sleep(2500 * time.Millisecond)
+	n.view.Suspect("s2/12", n.now(), n.now()+8*time.Second)
+	n.view.Silent("s3/13", false, n.now())
+	n.view.Silent("s4/14", true, n.now())
+	n.view.SeenGone("s5/15", k1.Key(), n.now())
+	n.view.Seen(sidecarInfo("s6", 26), n.now())
+	n.view.Said("s1/11", n.view.Digest(), n.now())
+	n.view.Said("s6/26", 1, n.now())
+	n.healedIn.Store(3)
+	time.Sleep(750 * time.Millisecond)
+}
+
+// Each message of the earlier version has its effect on a view, and each that this version
+// broadcasts has the same bytes.
+func TestMessagesOfEarlierVersion(t *testing.T) {
+	status := func(want membership.Status) func(n *Node) bool {
+		return func(n *Node) bool {
+			s, ok := n.Get("s1/11")
+			return ok && s.Status == want
+		}
+	}
+	for _, c := range []struct {
+		file  string
+		sent  note
+		holds func(n *Node) bool
+	}{
+		{"message_bye.json", note{Kind: noteBye, Key: "s1/11"}, status(membership.StatusLeft)},
+		{"message_gone.json", note{Kind: noteGone, Key: "s1/11", By: "k1/1796175124000001"}, status(membership.StatusEnded)},
+		{"message_suspect.json", note{Kind: noteSuspect, Key: "s1/11", By: "k1/1796175124000001"}, status(membership.StatusSuspected)},
+		{"message_host.json", note{Kind: noteHost, Key: "s1/11", Host: "booking-7"}, func(n *Node) bool {
+			endpoints := n.UnresponsiveEndpoints()
+			return len(endpoints) == 1 && endpoints[0] == "booking-7"
+		}},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			n := newOfflineNode("")
+			n.broadcast(c.sent)
+			sent := n.queue.GetBroadcasts(0, 1000)
+			if len(sent) != 1 {
+				t.Fatalf("%s: got %d broadcasts, want 1", c.file, len(sent))
+			}
+			equalBytes(t, c.file, sent[0])
+			n.queue.Reset()
+			(&delegate{n}).NotifyMsg(fixture(t, c.file))
+			if !c.holds(n) {
+				t.Errorf("%s has no effect: got %+v", c.file, n.Members())
+			}
+			if sent := n.queue.GetBroadcasts(0, 1000); len(sent) != 1 || !bytes.Equal(sent[0], fixture(t, c.file)) {
+				t.Errorf("%s is passed on as %q", c.file, sent)
+			}
+		})
+	}
+}
+
+// A digest of the earlier version is compared, and this version's has the same bytes.
+func TestDigestOfEarlierVersion(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		n := newOfflineNode("")
+		breakMembers(n)
+		text, err := json.Marshal(note{Kind: noteDigest, Key: "s1/11", Digest: n.view.Digest()})
+		if err != nil {
+			t.Fatal(err)
+		}
+		equalBytes(t, "message_digest.json", text)
+		time.Sleep(time.Second)
+		since := n.now()
+		(&delegate{n}).NotifyMsg(fixture(t, "message_digest.json"))
+		if agree, known := n.view.Agreement(since); agree != 1 || known != 1 {
+			t.Errorf("%d of %d digests agree, want 1 of 1", agree, known)
+		}
+	})
+}
+
+// Ends in the earlier version's exchange of views are taken in, and written with the same bytes.
+func TestPushPullStateOfEarlierVersion(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		n := newOfflineNode("")
+		(&delegate{n}).MergeRemoteState(fixture(t, "push_pull.json"), false)
+		for key, want := range map[string]membership.Status{"s3/13": membership.StatusPresent, "s4/14": membership.StatusLeft, "s5/15": membership.StatusEnded} {
+			if s, _ := n.Get(key); s.Status != want {
+				t.Errorf("%s: got %s, want %s", key, s.Status, want)
+			}
+		}
+		n = newOfflineNode("")
+		breakMembers(n)
+		equalBytes(t, "push_pull.json", (&delegate{n}).LocalState(false))
+	})
+}
+
+// The view that the earlier version serves is read whole, and served with the same bytes.
+func TestViewOfEarlierVersion(t *testing.T) {
+	served := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(fixture(t, "view.json")) }))
+	defer served.Close()
+	got, err := membership.FetchView(t.Context(), served.Client(), served.URL, "")
+	if err != nil {
+		t.Fatal(err)
+	}
+	again, err := json.Marshal(got)
+	if err != nil {
+		t.Fatal(err)
+	}
+	equalBytes(t, "view.json", append(again, '\n'))
+	if len(got.Members) != 8 || got.Present != 4 || got.Unreachable != 1 || got.PartitionedMS != 750 || got.HealRounds != 3 {
+		t.Errorf("read as %+v", got)
+	}
+	synctest.Test(t, func(t *testing.T) {
+		n := newOfflineNode("")
+		breakMembers(n)
+		w := httptest.NewRecorder()
+		n.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/fleet", nil))
+		equalBytes(t, "view.json", w.Body.Bytes())
+	})
+}
+
+// The file that the earlier version kept is read, and written with the same name and bytes.
+func TestCacheOfEarlierVersion(t *testing.T) {
+	const name = "members-k1.json"
+	folder := t.TempDir()
+	if err := os.WriteFile(filepath.Join(folder, name), fixture(t, name), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	n := newOfflineNode(folder)
+	cached, err := n.remembered()
+	if err != nil || cached.Incarnation != k1.Incarnation || len(cached.Members) != 1 || cached.Members[0] != "127.0.0.1:9611" {
+		t.Errorf("read as %+v: %v", cached, err)
+	}
+	n.options.Config.StateDir = t.TempDir()
+	n.addrs = map[string]string{"s1/11": "127.0.0.1:9611"}
+	n.remember()
+	text, err := os.ReadFile(filepath.Join(n.options.Config.StateDir, name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	equalBytes(t, name, text)
+}
+
+// wire is a transport of which both ends are the test's.
+type wire struct {
+	sent    chan []byte
+	dialed  chan net.Conn
+	packets chan *memberlist.Packet
+	streams chan net.Conn
+}
+
+func newWire() *wire {
+	return &wire{sent: make(chan []byte, 100), dialed: make(chan net.Conn, 1), packets: make(chan *memberlist.Packet), streams: make(chan net.Conn)}
+}
+
+func (w *wire) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+	return net.IPv4(127, 0, 0, 1).To4(), 9601, nil
+}
+
+func (w *wire) WriteTo(b []byte, to string) (time.Time, error) {
+	return w.WriteToAddress(b, memberlist.Address{Addr: to})
+}
+
+func (w *wire) WriteToAddress(b []byte, _ memberlist.Address) (time.Time, error) {
+	select {
+	case w.sent <- bytes.Clone(b):
+	default:
+	}
+	return time.Now(), nil
+}
+
+func (w *wire) PacketCh() <-chan *memberlist.Packet { return w.packets }
+func (w *wire) StreamCh() <-chan net.Conn           { return w.streams }
+
+func (w *wire) DialTimeout(to string, within time.Duration) (net.Conn, error) {
+	return w.DialAddressTimeout(memberlist.Address{Addr: to}, within)
+}
+
+func (w *wire) DialAddressTimeout(memberlist.Address, time.Duration) (net.Conn, error) {
+	near, far := net.Pipe()
+	w.dialed <- far
+	return near, nil
+}
+
+func (w *wire) Shutdown() error { return nil }
+
+// startOnWire starts a member whose network is the test's.
+func startOnWire(t *testing.T, self membership.Info) (*Node, *wire) {
+	t.Helper()
+	w := newWire()
+	n, err := Start(Options{Config: membership.Config{Fleet: "prenota-nord", Listen: "127.0.0.1:9601"}, Self: self, Transport: w, Logger: discard})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if err := n.list.Load().Shutdown(); err != nil {
+			t.Error(err)
+		}
+	})
+	n.Update(func(i *membership.Info) { i.MachineID, i.PID, i.ProcessStart = "", 0, 0 })
+	return n, w
+}
+
+// What goes over the network: an exchange of views and a datagram of the earlier version are
+// read, and both are written with the same bytes.
+func TestNetworkBytesOfEarlierVersion(t *testing.T) {
+	s1 := membership.Info{Name: "s1", Incarnation: 11, Role: membership.RoleSidecar}
+	n, w := startOnWire(t, s1)
+	n.mu.Lock()
+	n.addrs["k1/1796175124000001"] = "127.0.0.1:9602"
+	n.mu.Unlock()
+	n.say([]string{"k1/1796175124000001"}, note{Kind: noteDigest, Key: "s1/11", Digest: 0x123456789abcdef0})
+	equalBytes(t, "datagram.bin", <-w.sent)
+	joined := make(chan struct{})
+	go func() {
+		defer close(joined)
+		_, _ = n.list.Load().Join([]string{"127.0.0.1:9602"}) // nobody answers
+	}()
+	far := <-w.dialed
+	if err := far.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	text := make([]byte, len(fixture(t, "push_pull_stream.bin")))
+	if _, err := io.ReadFull(far, text); err != nil {
+		t.Fatal(err)
+	}
+	equalBytes(t, "push_pull_stream.bin", text)
+	if err := far.Close(); err != nil {
+		t.Error(err)
+	}
+	<-joined
+
+	other, w := startOnWire(t, membership.Info{Name: "s2", Incarnation: 12, Role: membership.RoleSidecar})
+	near, far := net.Pipe()
+	w.streams <- near
+	if err := far.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := far.Write(fixture(t, "push_pull_stream.bin")); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.ReadAll(far); err != nil { // its own views, until it closes
+		t.Fatal(err)
+	}
+	if got, ok := other.Get("s1/11"); !ok || got.Info != s1 || got.Status != membership.StatusPresent {
+		t.Errorf("s1 is known as %+v", got)
+	}
+	w.packets <- &memberlist.Packet{Buf: fixture(t, "datagram.bin"), From: &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 9601}, Timestamp: time.Now()}
+	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
+		other.mu.Lock()
+		_, known := other.view.Agreement(0)
+		other.mu.Unlock()
+		if known == 1 {
+			break
+		}
+		if time.Now().After(deadline) {
+			t.Fatal("the datagram's digest was not recorded")
+		}
+	}
+}
