--- a/internal/membership/answer.go
+++ b/internal/membership/answer.go
@@ -14,8 +14,8 @@
 // serves else.
 const ViewPath = "fleet"
 
-// MostAnswer bounds an answer: maxMembers of them, at their longest.
-const MostAnswer = 4 << 20
+// maxResponseBytes bounds an answer: maxMembers of them, at their longest.
+const maxResponseBytes = 4 << 20
 
 // MemberView is one member in an answer.
 type MemberView struct {
@@ -68,7 +68,7 @@
 		return a, err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, MostAnswer))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	switch {
 	case err != nil:
 		return a, err
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -27,10 +27,10 @@
 }
 
 const (
-	defaultProbe  = 500 * time.Millisecond // a death is sure to be seen in some three seconds, for two packets a second
-	leastProbe    = 50 * time.Millisecond
-	defaultForget = 10 * time.Minute // longer than a machine takes to start again
-	leastForget   = 10 * time.Second
+	defaultProbeInterval = 500 * time.Millisecond // a death is sure to be seen in some three seconds, for two packets a second
+	minProbeInterval     = 50 * time.Millisecond
+	defaultForgetAfter   = 10 * time.Minute // longer than a machine takes to start again
+	minForgetAfter       = 10 * time.Second
 	// MaxSeeds bounds the addresses that are tried.
 	MaxSeeds = 64
 )
@@ -55,8 +55,8 @@
 		}
 	}
 	for name, text := range map[string]string{"zone": c.Zone, "machine": c.MachineName} {
-		if len(text) > maxZone {
-			return fmt.Errorf("membership.%s has %d bytes, %d at most", name, len(text), maxZone)
+		if len(text) > maxZoneBytes {
+			return fmt.Errorf("membership.%s has %d bytes, %d at most", name, len(text), maxZoneBytes)
 		}
 	}
 	for _, f := range []struct {
@@ -64,8 +64,8 @@
 		value              *int64
 		least, most, other int64
 	}{
-		{"probe_ms", &c.ProbeMS, leastProbe.Milliseconds(), time.Minute.Milliseconds(), defaultProbe.Milliseconds()},
-		{"forget_s", &c.ForgetS, int64(leastForget.Seconds()), int64((7 * 24 * time.Hour).Seconds()), int64(defaultForget.Seconds())},
+		{"probe_ms", &c.ProbeMS, minProbeInterval.Milliseconds(), time.Minute.Milliseconds(), defaultProbeInterval.Milliseconds()},
+		{"forget_s", &c.ForgetS, int64(minForgetAfter.Seconds()), int64((7 * 24 * time.Hour).Seconds()), int64(defaultForgetAfter.Seconds())},
 	} {
 		if *f.value == 0 {
 			*f.value = f.other
--- a/internal/membership/gossip/answer.go
+++ b/internal/membership/gossip/answer.go
@@ -17,15 +17,15 @@
 	now := n.now()
 	side := n.view.Partition()
 	a := membership.ViewResponse{
-		Fleet: n.options.Config.Fleet, Name: n.self.Name, Incarnation: n.self.Incarnation, HealRounds: n.healedIn.Load(),
+		Fleet: n.options.Config.Fleet, Name: n.self.Name, Incarnation: n.self.Incarnation, HealRounds: n.healRounds.Load(),
 		Digest: strconv.FormatUint(n.view.Digest(), 16), Present: side.Present, Unreachable: side.Unreachable, Minority: side.Minority(),
 		Members: []membership.MemberView{},
 	}
 	if side.Partitioned() {
 		a.PartitionedMS = (now - side.Since).Milliseconds()
 	}
-	a.AgreeingPeers, a.ComparedPeers = n.view.Agreement(now - comparedFor)
-	a.DifferingPeers = n.view.Differ(now - comparedFor)
+	a.AgreeingPeers, a.ComparedPeers = n.view.Agreement(now - digestLifetime)
+	a.DifferingPeers = n.view.DifferingPeers(now - digestLifetime)
 	for _, s := range n.view.List() {
 		m := membership.MemberView{
 			Name: s.Name, Incarnation: s.Incarnation, Role: s.Role, Status: s.Status, StatusAgeMS: (now - s.StatusSince).Milliseconds(), By: s.By,
@@ -68,10 +68,10 @@
 func (n *Node) Stats() Stats {
 	c := Stats{
 		PacketsSent: n.traffic.packets.Load(), BytesSent: n.traffic.bytes.Load(), Streams: n.traffic.streams.Load(), RefusedStreams: n.traffic.refused.Load(),
-		Suspicions: n.suspected.Load(), Unreachable: n.lost.Load(), Notes: n.notes.Load(), MalformedMessages: n.bad.Load(), HealRounds: n.healedIn.Load(),
+		Suspicions: n.suspicions.Load(), Unreachable: n.unreachableSeen.Load(), Notes: n.notes.Load(), MalformedMessages: n.malformed.Load(), HealRounds: n.healRounds.Load(),
 	}
-	if n.watch != nil {
-		c.Watched = n.watch.watched()
+	if n.processes != nil {
+		c.Watched = n.processes.watched()
 	}
 	return c
 }
--- a/internal/membership/gossip/compatibility_test.go
+++ b/internal/membership/gossip/compatibility_test.go
@@ -54,14 +54,14 @@
 func newOfflineNode(folder string) *Node {
 	n := &Node{
 		options: Options{Config: membership.Config{Fleet: "prenota-nord", Listen: "127.0.0.1:9601", StateDir: folder, ForgetS: 600, ProbeMS: 500}, Self: k1},
-		log:     discard, began: time.Now(), self: k1, changed: make(chan struct{}, 1),
-		addrs: map[string]string{"s1/11": "127.0.0.1:9611", "s2/12": "127.0.0.1:9612", "s3/13": "127.0.0.1:9613"}, hosts: make(map[string]time.Duration),
+		log:     discard, startedAt: time.Now(), self: k1, changed: make(chan struct{}, 1),
+		addrs: map[string]string{"s1/11": "127.0.0.1:9611", "s2/12": "127.0.0.1:9612", "s3/13": "127.0.0.1:9613"}, unresponsive: make(map[string]time.Duration),
 	}
-	n.queue = &memberlist.TransmitLimitedQueue{NumNodes: func() int { return 5 }, RetransmitMult: 4}
+	n.broadcasts = &memberlist.TransmitLimitedQueue{NumNodes: func() int { return 5 }, RetransmitMult: 4}
 	n.view = membership.NewView(k1, 10*time.Minute, n.now())
 	time.Sleep(1500 * time.Millisecond)
 	for i, name := range []string{"s1", "s2", "s3", "s4", "s5", "s6"} {
-		n.view.Seen(sidecarInfo(name, uint64(11+i)), n.now())
+		n.view.MarkPresent(sidecarInfo(name, uint64(11+i)), n.now())
 	}
 	return n
 }
@@ -69,14 +69,14 @@
 // breakMembers has the members of an offline node's view take each status.
 func breakMembers(n *Node) {
 	time.Sleep(2500 * time.Millisecond)
-	n.view.Suspect("s2/12", n.now(), n.now()+8*time.Second)
-	n.view.Silent("s3/13", false, n.now())
-	n.view.Silent("s4/14", true, n.now())
-	n.view.SeenGone("s5/15", k1.Key(), n.now())
-	n.view.Seen(sidecarInfo("s6", 26), n.now())
-	n.view.Said("s1/11", n.view.Digest(), n.now())
-	n.view.Said("s6/26", 1, n.now())
-	n.healedIn.Store(3)
+	n.view.MarkSuspected("s2/12", n.now(), n.now()+8*time.Second)
+	n.view.MarkUnreachable("s3/13", false, n.now())
+	n.view.MarkUnreachable("s4/14", true, n.now())
+	n.view.MarkEnded("s5/15", k1.Key(), n.now())
+	n.view.MarkPresent(sidecarInfo("s6", 26), n.now())
+	n.view.RecordDigest("s1/11", n.view.Digest(), n.now())
+	n.view.RecordDigest("s6/26", 1, n.now())
+	n.healRounds.Store(3)
 	time.Sleep(750 * time.Millisecond)
 }
 
@@ -91,13 +91,13 @@
 	}
 	for _, c := range []struct {
 		file  string
-		sent  note
+		sent  message
 		holds func(n *Node) bool
 	}{
-		{"message_bye.json", note{Kind: noteBye, Key: "s1/11"}, status(membership.StatusLeft)},
-		{"message_gone.json", note{Kind: noteGone, Key: "s1/11", By: "k1/1796175124000001"}, status(membership.StatusEnded)},
-		{"message_suspect.json", note{Kind: noteSuspect, Key: "s1/11", By: "k1/1796175124000001"}, status(membership.StatusSuspected)},
-		{"message_host.json", note{Kind: noteHost, Key: "s1/11", Host: "booking-7"}, func(n *Node) bool {
+		{"message_bye.json", message{Kind: messageLeave, Key: "s1/11"}, status(membership.StatusLeft)},
+		{"message_gone.json", message{Kind: messageEnded, Key: "s1/11", Witness: "k1/1796175124000001"}, status(membership.StatusEnded)},
+		{"message_suspect.json", message{Kind: messageSuspect, Key: "s1/11", Witness: "k1/1796175124000001"}, status(membership.StatusSuspected)},
+		{"message_host.json", message{Kind: messageUnresponsive, Key: "s1/11", Endpoint: "booking-7"}, func(n *Node) bool {
 			endpoints := n.UnresponsiveEndpoints()
 			return len(endpoints) == 1 && endpoints[0] == "booking-7"
 		}},
@@ -105,17 +105,17 @@
 		synctest.Test(t, func(t *testing.T) {
 			n := newOfflineNode("")
 			n.broadcast(c.sent)
-			sent := n.queue.GetBroadcasts(0, 1000)
+			sent := n.broadcasts.GetBroadcasts(0, 1000)
 			if len(sent) != 1 {
 				t.Fatalf("%s: got %d broadcasts, want 1", c.file, len(sent))
 			}
 			equalBytes(t, c.file, sent[0])
-			n.queue.Reset()
+			n.broadcasts.Reset()
 			(&delegate{n}).NotifyMsg(fixture(t, c.file))
 			if !c.holds(n) {
 				t.Errorf("%s has no effect: got %+v", c.file, n.Members())
 			}
-			if sent := n.queue.GetBroadcasts(0, 1000); len(sent) != 1 || !bytes.Equal(sent[0], fixture(t, c.file)) {
+			if sent := n.broadcasts.GetBroadcasts(0, 1000); len(sent) != 1 || !bytes.Equal(sent[0], fixture(t, c.file)) {
 				t.Errorf("%s is passed on as %q", c.file, sent)
 			}
 		})
@@ -127,7 +127,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := newOfflineNode("")
 		breakMembers(n)
-		text, err := json.Marshal(note{Kind: noteDigest, Key: "s1/11", Digest: n.view.Digest()})
+		text, err := json.Marshal(message{Kind: messageDigest, Key: "s1/11", Digest: n.view.Digest()})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -190,13 +190,13 @@
 		t.Fatal(err)
 	}
 	n := newOfflineNode(folder)
-	cached, err := n.remembered()
+	cached, err := n.loadCache()
 	if err != nil || cached.Incarnation != k1.Incarnation || len(cached.Members) != 1 || cached.Members[0] != "127.0.0.1:9611" {
 		t.Errorf("read as %+v: %v", cached, err)
 	}
 	n.options.Config.StateDir = t.TempDir()
 	n.addrs = map[string]string{"s1/11": "127.0.0.1:9611"}
-	n.remember()
+	n.saveCache()
 	text, err := os.ReadFile(filepath.Join(n.options.Config.StateDir, name))
 	if err != nil {
 		t.Fatal(err)
@@ -272,7 +272,7 @@
 	n.mu.Lock()
 	n.addrs["k1/1796175124000001"] = "127.0.0.1:9602"
 	n.mu.Unlock()
-	n.say([]string{"k1/1796175124000001"}, note{Kind: noteDigest, Key: "s1/11", Digest: 0x123456789abcdef0})
+	n.send([]string{"k1/1796175124000001"}, message{Kind: messageDigest, Key: "s1/11", Digest: 0x123456789abcdef0})
 	equalBytes(t, "datagram.bin", <-w.sent)
 	joined := make(chan struct{})
 	go func() {
--- a/internal/membership/gossip/ends.go
+++ b/internal/membership/gossip/ends.go
@@ -11,40 +11,40 @@
 	"barleywick/internal/rollout"
 )
 
-// ends watches processes of this machine and tells when one has ended: that is evidence,
+// processWatcher watches processes of this machine and tells when one has ended: that is evidence,
 // which silence is not. A process is told from a later one of its id by its start.
-type ends struct {
-	tell func(key string)
+type processWatcher struct {
+	onEnd func(key string)
 
-	mu     sync.Mutex
-	all    map[string]int // descriptors of processes, by key
-	over   []string       // that had ended before they were watched
-	closed bool
-	tasks  sync.WaitGroup
-	stop   chan struct{}
+	mu           sync.Mutex
+	pidfds       map[string]int // descriptors of processes, by key
+	alreadyEnded []string       // that had ended before they were watched
+	closed       bool
+	tasks        sync.WaitGroup
+	stop         chan struct{}
 }
 
 const (
-	// maxWatched bounds the processes watched: those of one machine.
-	maxWatched = 1024
-	// endsEvery is between two looks at all of them.
-	endsEvery = 20 * time.Millisecond
+	// maxWatchedProcesses bounds the processes watched: those of one machine.
+	maxWatchedProcesses = 1024
+	// processPollInterval is between two looks at all of them.
+	processPollInterval = 20 * time.Millisecond
 )
 
-func watchEnds(tell func(key string)) *ends {
-	e := &ends{tell: tell, all: make(map[string]int), stop: make(chan struct{})}
+func newProcessWatcher(tell func(key string)) *processWatcher {
+	e := &processWatcher{onEnd: tell, pidfds: make(map[string]int), stop: make(chan struct{})}
 	e.tasks.Go(e.run)
 	return e
 }
 
 // add begins to watch the process of a member on this machine.
-func (e *ends) add(i membership.Info) {
+func (e *processWatcher) add(i membership.Info) {
 	if i.PID == 0 || i.ProcessStart == 0 || i.PID == os.Getpid() || rollout.ProcessStartTicks(os.Getpid()) == 0 {
 		return // where processes cannot be seen at all, none is seen to end
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if _, ok := e.all[i.Key()]; ok || e.closed || len(e.all)+len(e.over) >= maxWatched {
+	if _, ok := e.pidfds[i.Key()]; ok || e.closed || len(e.pidfds)+len(e.alreadyEnded) >= maxWatchedProcesses {
 		return
 	}
 	// The descriptor is taken first: it stays the same process's, so the look after it is
@@ -57,17 +57,17 @@
 		if fd >= 0 {
 			unix.Close(fd)
 		}
-		e.over = append(e.over, i.Key()) // told by the next look, not from within the caller's locks
+		e.alreadyEnded = append(e.alreadyEnded, i.Key()) // told by the next look, not from within the caller's locks
 		return
 	}
 	if fd >= 0 {
-		e.all[i.Key()] = fd
+		e.pidfds[i.Key()] = fd
 	}
 }
 
 // run looks at all of them again and again: one call to the kernel for all.
-func (e *ends) run() {
-	tick := time.NewTicker(endsEvery)
+func (e *processWatcher) run() {
+	tick := time.NewTicker(processPollInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -75,22 +75,22 @@
 			return
 		case <-tick.C:
 		}
-		for _, key := range e.look() {
-			e.tell(key)
+		for _, key := range e.poll() {
+			e.onEnd(key)
 		}
 	}
 }
 
-// look returns those that have ended since the last look.
-func (e *ends) look() (ended []string) {
+// poll returns those that have ended since the last poll.
+func (e *processWatcher) poll() (ended []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	ended, e.over = e.over, nil
-	if len(e.all) == 0 {
+	ended, e.alreadyEnded = e.alreadyEnded, nil
+	if len(e.pidfds) == 0 {
 		return ended
 	}
-	keys, polled := make([]string, 0, len(e.all)), make([]unix.PollFd, 0, len(e.all))
-	for key, fd := range e.all {
+	keys, polled := make([]string, 0, len(e.pidfds)), make([]unix.PollFd, 0, len(e.pidfds))
+	for key, fd := range e.pidfds {
 		keys, polled = append(keys, key), append(polled, unix.PollFd{Fd: int32(fd), Events: unix.POLLIN})
 	}
 	if some, err := unix.Poll(polled, 0); err != nil || some == 0 {
@@ -100,30 +100,30 @@
 		if p.Revents&unix.POLLIN != 0 {
 			ended = append(ended, keys[i])
 			unix.Close(int(p.Fd))
-			delete(e.all, keys[i])
+			delete(e.pidfds, keys[i])
 		}
 	}
 	return ended
 }
 
 // watched is how many are watched.
-func (e *ends) watched() int {
+func (e *processWatcher) watched() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.all)
+	return len(e.pidfds)
 }
 
 // close ends the watch.
-func (e *ends) close() {
+func (e *processWatcher) close() {
 	e.mu.Lock()
 	if e.closed {
 		e.mu.Unlock()
 		return
 	}
 	e.closed = true
-	for key, fd := range e.all {
+	for key, fd := range e.pidfds {
 		unix.Close(fd)
-		delete(e.all, key)
+		delete(e.pidfds, key)
 	}
 	e.mu.Unlock()
 	close(e.stop)
--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -40,67 +40,67 @@
 }
 
 const (
-	// gossipEvery: news are with a thousand members after some ten of them.
-	gossipEvery = 100 * time.Millisecond
-	// exchangeEvery is between two exchanges of whole views, which mend what gossip has lost.
-	exchangeEvery = 10 * time.Second
-	// looksEvery is a round: views are compared, who is lost is called.
-	looksEvery = time.Second
-	// comparedFor is for how long a word on a view is compared: each member is told
+	// gossipInterval: news are with a thousand members after some ten of them.
+	gossipInterval = 100 * time.Millisecond
+	// pushPullInterval is between two exchanges of whole views, which mend what gossip has lost.
+	pushPullInterval = 10 * time.Second
+	// roundInterval is a round: views are compared, who is lost is called.
+	roundInterval = time.Second
+	// digestLifetime is for how long a word on a view is compared: each member is told
 	// of by every other's three in a round, on average.
-	comparedFor = 10 * time.Second
-	// suspicionMult and suspicionMost bound how long a suspicion may last before it is a
+	digestLifetime = 10 * time.Second
+	// suspicionMult and suspicionMaxTimeoutMult bound how long a suspicion may last before it is a
 	// loss: so many probes times the logarithm of the members' number, and up to so many
 	// times that where this process itself may be the one that hears badly.
-	suspicionMult, suspicionMost = 4, 4
-	// callIn is for one connection to another member.
-	callIn = time.Second
-	// stoppedFor is how late a round may come before this process takes itself for one that
+	suspicionMult, suspicionMaxTimeoutMult = 4, 4
+	// callTimeout is for one connection to another member.
+	callTimeout = time.Second
+	// pauseThreshold is how late a round may come before this process takes itself for one that
 	// was stopped: whom it suspects then, it suspects of its own silence.
-	stoppedFor = 2 * looksEvery
-	leaveIn    = 2 * time.Second
-	noteMost   = 400 // bytes of a note: several go into one datagram
-	maxEnded   = 64  // ends that one exchange of views tells of
+	pauseThreshold  = 2 * roundInterval
+	leaveTimeout    = 2 * time.Second
+	maxMessageBytes = 400 // bytes of a note: several go into one datagram
+	maxEndRecords   = 64  // ends that one exchange of views tells of
 )
 
-// note is what members tell each other beside SWIM's own messages.
-type note struct {
-	Kind   string `json:"t"`
-	Key    string `json:"k"`
-	By     string `json:"b,omitempty"`
-	Digest uint64 `json:"d,omitempty"`
-	Host   string `json:"h,omitempty"`
+// message is what members tell each other beside SWIM's own messages.
+type message struct {
+	Kind     string `json:"t"`
+	Key      string `json:"k"`
+	Witness  string `json:"b,omitempty"`
+	Digest   uint64 `json:"d,omitempty"`
+	Endpoint string `json:"h,omitempty"`
 }
 
 const (
-	noteBye     = "bye"     // Key ends by its own will
-	noteGone    = "gone"    // Key's process has ended, as By saw
-	noteSuspect = "suspect" // Key does not answer By
-	noteDigest  = "digest"  // what Key sees
-	noteHost    = "host"    // the booking server Host does not answer Key
+	messageLeave        = "bye"     // Key ends by its own will
+	messageEnded        = "gone"    // Key's process has ended, as By saw
+	messageSuspect      = "suspect" // Key does not answer By
+	messageDigest       = "digest"  // what Key sees
+	messageUnresponsive = "host"    // the booking server Host does not answer Key
 )
 
 // Node is this process as a member.
 type Node struct {
-	options Options
-	log     *slog.Logger
-	began   time.Time
-	list    atomic.Pointer[memberlist.Memberlist]
-	queue   *memberlist.TransmitLimitedQueue
-	traffic traffic
-	watch   *ends // nil: it watches none
-	wake    chan struct{}
-	changed chan struct{}
-
-	mu      sync.Mutex
-	self    membership.Info
-	view    *membership.View
-	addrs   map[string]string // by key
-	hosts   map[string]time.Duration
-	apart   bool
-	stopped time.Duration // when it last took itself for one that was stopped
-
-	suspected, lost, healedIn, notes, bad atomic.Uint64
+	options    Options
+	log        *slog.Logger
+	startedAt  time.Time
+	list       atomic.Pointer[memberlist.Memberlist]
+	broadcasts *memberlist.TransmitLimitedQueue
+	traffic    traffic
+	processes  *processWatcher // nil: it watches none
+	replaced   chan struct{}
+	changed    chan struct{}
+
+	mu           sync.Mutex
+	self         membership.Info
+	view         *membership.View
+	addrs        map[string]string // by key
+	unresponsive map[string]time.Duration
+	partitioned  bool
+	resumedAt    time.Duration // when it last took itself for one that was stopped
+
+	suspicions, unreachableSeen, healRounds, notes, malformed atomic.Uint64
 }
 
 // Start joins the fleet as far as anybody answers; Run has to be at work from then on.
@@ -108,18 +108,18 @@
 	if err := o.Config.Check(); err != nil {
 		return nil, err
 	}
-	n := &Node{options: o, log: o.Logger, began: time.Now(), wake: make(chan struct{}, 1), changed: make(chan struct{}, 1), self: o.Self, addrs: make(map[string]string), hosts: make(map[string]time.Duration)}
+	n := &Node{options: o, log: o.Logger, startedAt: time.Now(), replaced: make(chan struct{}, 1), changed: make(chan struct{}, 1), self: o.Self, addrs: make(map[string]string), unresponsive: make(map[string]time.Duration)}
 	if n.log == nil {
 		n.log = slog.Default()
 	}
-	remembered, err := n.remembered()
+	remembered, err := n.loadCache()
 	if err != nil {
 		n.log.Warn("members: what was kept is not used", "err", err)
 	}
 	n.self.MachineID, n.self.PID, n.self.ProcessStart = membership.CurrentProcess()
 	n.self.MachineName, n.self.Zone = o.Config.MachineName, o.Config.Zone
 	if n.self.Incarnation == 0 {
-		n.self.Incarnation = uint64(n.began.UnixMicro())
+		n.self.Incarnation = uint64(n.startedAt.UnixMicro())
 	}
 	if n.self.Incarnation <= remembered.Incarnation {
 		n.self.Incarnation = remembered.Incarnation + 1 // the clock was set back
@@ -131,35 +131,35 @@
 		return nil, fmt.Errorf("membership: %w", err)
 	}
 	if o.WatchProcesses {
-		n.watch = watchEnds(n.ended)
+		n.processes = newProcessWatcher(n.processEnded)
 	}
-	n.queue = &memberlist.TransmitLimitedQueue{NumNodes: n.Size, RetransmitMult: memberlist.DefaultLANConfig().RetransmitMult}
-	if err := n.create(); err != nil {
+	n.broadcasts = &memberlist.TransmitLimitedQueue{NumNodes: n.Size, RetransmitMult: memberlist.DefaultLANConfig().RetransmitMult}
+	if err := n.createMemberlist(); err != nil {
 		return nil, err
 	}
 	return n, nil
 }
 
-// create begins as the process of this incarnation.
-func (n *Node) create() error {
+// createMemberlist begins as the process of this incarnation.
+func (n *Node) createMemberlist() error {
 	n.mu.Lock()
 	n.view = membership.NewView(n.self, n.options.Config.ForgetAfter(), n.now())
 	n.mu.Unlock()
-	logger := log.New(&lines{n}, "", 0)
+	logger := log.New(&memberlistLog{n}, "", 0)
 	inner := n.options.Transport
 	if inner == nil {
 		var err error
-		if inner, err = listenOn(n.options.Config.Listen, logger); err != nil {
+		if inner, err = listen(n.options.Config.Listen, logger); err != nil {
 			return err
 		}
 	}
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.Label = n.self.Key(), "barleywick/"+n.options.Config.Fleet
-	c.Transport, c.Logger = newRouted(inner, n.options.Config.Routes, &n.traffic), logger
-	c.TCPTimeout, c.GossipInterval, c.PushPullInterval = callIn, gossipEvery, exchangeEvery
+	c.Transport, c.Logger = newMappedTransport(inner, n.options.Config.Routes, &n.traffic), logger
+	c.TCPTimeout, c.GossipInterval, c.PushPullInterval = callTimeout, gossipInterval, pushPullInterval
 	c.ProbeInterval, c.ProbeTimeout = n.options.Config.ProbeInterval(), n.options.Config.ProbeInterval()/2
-	c.SuspicionMult, c.SuspicionMaxTimeoutMult = suspicionMult, suspicionMost
-	c.GossipToTheDeadTime = 3 * exchangeEvery
+	c.SuspicionMult, c.SuspicionMaxTimeoutMult = suspicionMult, suspicionMaxTimeoutMult
+	c.GossipToTheDeadTime = 3 * pushPullInterval
 	c.EnableCompression = false // a few hundred bytes: it costs more than it spares
 	d := &delegate{n}
 	c.Delegate, c.Events, c.Alive, c.Ping = d, d, d, d
@@ -172,31 +172,31 @@
 	return nil
 }
 
-func (n *Node) now() time.Duration { return time.Since(n.began) + 1 } // 0 is never
+func (n *Node) now() time.Duration { return time.Since(n.startedAt) + 1 } // 0 is never
 
 // Run keeps this process a member until ctx ends, and says goodbye then.
 func (n *Node) Run(ctx context.Context) error {
-	if n.watch != nil {
-		defer n.watch.close()
+	if n.processes != nil {
+		defer n.processes.close()
 	}
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
 	in, end := context.WithCancel(ctx)
 	defer end()
-	tasks.Go(func() { n.tell(in) })
+	tasks.Go(func() { n.deliverChanges(in) })
 	n.join(in)
-	if err := n.outrank(in); err != nil {
+	if err := n.supersede(in); err != nil {
 		return err
 	}
-	tasks.Go(func() { n.mend(in) })
+	tasks.Go(func() { n.reconnect(in) })
 	last := time.Now()
-	tick := time.NewTicker(looksEvery)
+	tick := time.NewTicker(roundInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return n.leave()
-		case <-n.wake: // this process has been replaced
+		case <-n.replaced: // this process has been replaced
 			n.mu.Lock()
 			s, _ := n.view.Get(n.self.Key())
 			n.mu.Unlock()
@@ -210,17 +210,17 @@
 			}
 		case <-tick.C:
 			now := time.Now()
-			n.look(now.Sub(last))
+			n.runRound(now.Sub(last))
 			last = now
 		}
 	}
 }
 
-// outrank makes this process the later one of its name, where its clock says otherwise:
+// supersede makes this process the later one of its name, where its clock says otherwise:
 // whoever was there when it came, began before.
-func (n *Node) outrank(ctx context.Context) error {
+func (n *Node) supersede(ctx context.Context) error {
 	n.mu.Lock()
-	latest, _ := n.view.Named(n.self.Name)
+	latest, _ := n.view.Latest(n.self.Name)
 	n.mu.Unlock()
 	if latest.Incarnation <= n.self.Incarnation {
 		return nil
@@ -235,7 +235,7 @@
 	n.mu.Lock()
 	n.self.Incarnation = latest.Incarnation + 1
 	n.mu.Unlock()
-	if err := n.create(); err != nil {
+	if err := n.createMemberlist(); err != nil {
 		return err
 	}
 	n.join(ctx)
@@ -244,25 +244,25 @@
 
 // leave says goodbye and stops.
 func (n *Node) leave() error {
-	n.broadcast(note{Kind: noteBye, Key: n.self.Key()})
-	time.Sleep(2 * gossipEvery) // the goodbye goes out with the next gossip, before SWIM's own word
-	err := n.list.Load().Leave(leaveIn)
-	n.remember()
+	n.broadcast(message{Kind: messageLeave, Key: n.self.Key()})
+	time.Sleep(2 * gossipInterval) // the goodbye goes out with the next gossip, before SWIM's own word
+	err := n.list.Load().Leave(leaveTimeout)
+	n.saveCache()
 	return errors.Join(err, n.list.Load().Shutdown())
 }
 
-// look is one round: what is past is forgotten, and others are told what is seen here.
-func (n *Node) look(since time.Duration) {
+// runRound is one round: what is past is forgotten, and others are told what is seen here.
+func (n *Node) runRound(since time.Duration) {
 	now := n.now()
 	n.mu.Lock()
-	if since > looksEvery+stoppedFor {
+	if since > roundInterval+pauseThreshold {
 		n.log.Warn("members: this process was stopped, or had no time to run", "for", since)
-		n.stopped = now
+		n.resumedAt = now
 	}
 	healed, done := n.view.Tick(now)
-	for host, until := range n.hosts {
+	for host, until := range n.unresponsive {
 		if now >= until {
-			delete(n.hosts, host)
+			delete(n.unresponsive, host)
 		}
 	}
 	side, digest := n.view.Partition(), n.view.Digest()
@@ -272,8 +272,8 @@
 			others = append(others, s.Key())
 		}
 	}
-	was := n.apart
-	n.apart = side.Partitioned()
+	was := n.partitioned
+	n.partitioned = side.Partitioned()
 	var to []string
 	for range min(membership.DigestFanout, len(others)) {
 		i := rand.IntN(len(others))
@@ -283,23 +283,23 @@
 	}
 	n.mu.Unlock()
 	switch {
-	case n.apart && !was:
+	case n.partitioned && !was:
 		n.log.Warn("members: some fell silent", "here", side.Present, "lost", side.Unreachable, "minority", side.Minority())
-	case was && !n.apart:
+	case was && !n.partitioned:
 		n.log.Info("members: nobody is missing", "here", side.Present)
 	}
 	if done {
-		n.healedIn.Store(uint64(healed))
+		n.healRounds.Store(uint64(healed))
 		n.log.Info("members: all is whole again", "here", side.Present, "rounds", healed)
 	}
-	n.say(to, note{Kind: noteDigest, Key: n.self.Key(), Digest: digest})
-	if n.apart != was || done {
-		n.tellChanged()
+	n.send(to, message{Kind: messageDigest, Key: n.self.Key(), Digest: digest})
+	if n.partitioned != was || done {
+		n.notifyChanged()
 	}
 }
 
-// say sends a note to some members, once.
-func (n *Node) say(to []string, what note) {
+// send sends a note to some members, once.
+func (n *Node) send(to []string, what message) {
 	text, err := json.Marshal(what)
 	if err != nil {
 		return
@@ -320,39 +320,39 @@
 }
 
 // broadcast has a note go to all members.
-func (n *Node) broadcast(what note) {
+func (n *Node) broadcast(what message) {
 	text, err := json.Marshal(what)
-	if err != nil || len(text) > noteMost {
+	if err != nil || len(text) > maxMessageBytes {
 		n.log.Warn("members: a note that cannot be sent", "kind", what.Kind, "bytes", len(text), "err", err)
 		return
 	}
-	n.queue.QueueBroadcast(spoken{what.Kind + what.Key + what.Host, text})
+	n.broadcasts.QueueBroadcast(queuedBroadcast{what.Kind + what.Key + what.Endpoint, text})
 }
 
-// spoken is a note on its way; a later one of the same name takes its place.
-type spoken struct {
+// queuedBroadcast is a note on its way; a later one of the same name takes its place.
+type queuedBroadcast struct {
 	name string
 	text []byte
 }
 
-func (s spoken) Invalidates(b memberlist.Broadcast) bool {
-	o, ok := b.(spoken)
+func (s queuedBroadcast) Invalidates(b memberlist.Broadcast) bool {
+	o, ok := b.(queuedBroadcast)
 	return ok && o.name == s.name
 }
-func (s spoken) Name() string    { return s.name }
-func (s spoken) Message() []byte { return s.text }
-func (s spoken) Finished()       {}
+func (s queuedBroadcast) Name() string    { return s.name }
+func (s queuedBroadcast) Message() []byte { return s.text }
+func (s queuedBroadcast) Finished()       {}
 
-// ended is told that a process of this machine has ended.
-func (n *Node) ended(key string) {
+// processEnded is told that a process of this machine has processEnded.
+func (n *Node) processEnded(key string) {
 	now := n.now()
 	n.mu.Lock()
-	news := n.view.SeenGone(key, n.self.Key(), now)
+	news := n.view.MarkEnded(key, n.self.Key(), now)
 	n.mu.Unlock()
 	if news {
 		n.log.Info("members: a process of this machine has ended", "member", key)
-		n.broadcast(note{Kind: noteGone, Key: key, By: n.self.Key()})
-		n.tellChanged()
+		n.broadcast(message{Kind: messageEnded, Key: key, Witness: n.self.Key()})
+		n.notifyChanged()
 	}
 }
 
@@ -360,27 +360,27 @@
 // reason to look at it, and nothing more.
 func (n *Node) ReportUnresponsive(host string) {
 	n.mu.Lock()
-	news := n.hosts[host] == 0 && len(n.hosts) < maxHosts
+	news := n.unresponsive[host] == 0 && len(n.unresponsive) < maxUnresponsive
 	if news {
-		n.hosts[host] = n.now() + hostFor
+		n.unresponsive[host] = n.now() + unresponsiveLifetime
 	}
 	n.mu.Unlock()
 	if news {
-		n.broadcast(note{Kind: noteHost, Key: n.self.Key(), Host: host})
-		n.tellChanged()
+		n.broadcast(message{Kind: messageUnresponsive, Key: n.self.Key(), Endpoint: host})
+		n.notifyChanged()
 	}
 }
 
 const (
-	maxHosts = 256
-	hostFor  = 5 * time.Second // for how long one word on a server is a reason to look at it
+	maxUnresponsive      = 256
+	unresponsiveLifetime = 5 * time.Second // for how long one word on a server is a reason to look at it
 )
 
 // UnresponsiveEndpoints are the booking servers that some member has not heard from in the last seconds.
 func (n *Node) UnresponsiveEndpoints() (hosts []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for host := range n.hosts {
+	for host := range n.unresponsive {
 		hosts = append(hosts, host)
 	}
 	return hosts
@@ -396,7 +396,7 @@
 	same := next == n.self
 	if err == nil && !same {
 		n.self = next
-		n.view.Seen(next, n.now())
+		n.view.MarkPresent(next, n.now())
 	}
 	n.mu.Unlock()
 	switch {
@@ -404,7 +404,7 @@
 		n.log.Error("members: what this process would say of itself is not said", "err", err)
 	case !same:
 		// For a bounded time: where it leaves meanwhile, nobody takes the news any more.
-		if err := n.list.Load().UpdateNode(callIn); err != nil {
+		if err := n.list.Load().UpdateNode(callTimeout); err != nil {
 			n.log.Debug("members: not told", "err", err)
 		}
 	}
@@ -459,7 +459,7 @@
 func (n *Node) Latest(name string) (membership.Member, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.view.Named(name)
+	return n.view.Latest(name)
 }
 
 // Forget takes a lost member for one that never comes back.
@@ -468,20 +468,20 @@
 	some := n.view.Forget(name, n.now())
 	n.mu.Unlock()
 	if some > 0 {
-		n.tellChanged()
+		n.notifyChanged()
 	}
 	return some
 }
 
-func (n *Node) tellChanged() {
+func (n *Node) notifyChanged() {
 	select {
 	case n.changed <- struct{}{}:
 	default:
 	}
 }
 
-// tell calls Changed, at most once at a time.
-func (n *Node) tell(ctx context.Context) {
+// deliverChanges calls Changed, at most once at a time.
+func (n *Node) deliverChanges(ctx context.Context) {
 	for {
 		select {
 		case <-n.changed:
@@ -513,7 +513,7 @@
 		err = fmt.Errorf("it is named %.80q and says %.80q", peer.Name, i.Key())
 	}
 	if err != nil {
-		d.n.bad.Add(1)
+		d.n.malformed.Add(1)
 	}
 	return err
 }
@@ -525,7 +525,7 @@
 		return // NotifyAlive has refused it
 	}
 	n.mu.Lock()
-	news := n.view.Seen(i, n.now())
+	news := n.view.MarkPresent(i, n.now())
 	if _, ok := n.view.Get(i.Key()); ok {
 		n.addrs[i.Key()] = net.JoinHostPort(peer.Addr.String(), fmt.Sprint(peer.Port))
 	}
@@ -539,15 +539,15 @@
 	n.mu.Unlock()
 	if s.Status == membership.StatusReplaced {
 		select {
-		case n.wake <- struct{}{}:
+		case n.replaced <- struct{}{}:
 		default:
 		}
 	}
-	if n.watch != nil && i.MachineID == own.MachineID && i.MachineID != "" && i.Key() != own.Key() {
-		n.watch.add(i)
+	if n.processes != nil && i.MachineID == own.MachineID && i.MachineID != "" && i.Key() != own.Key() {
+		n.processes.add(i)
 	}
 	if news {
-		n.tellChanged()
+		n.notifyChanged()
 	}
 }
 
@@ -556,19 +556,19 @@
 func (d *delegate) NotifyLeave(peer *memberlist.Node) {
 	n := d.n
 	n.mu.Lock()
-	news := n.view.Silent(peer.Name, false, n.now())
+	news := n.view.MarkUnreachable(peer.Name, false, n.now())
 	n.mu.Unlock()
 	if news {
-		n.lost.Add(1)
+		n.unreachableSeen.Add(1)
 		n.log.Info("members: lost", "member", peer.Name)
-		n.tellChanged()
+		n.notifyChanged()
 	}
 }
 
 func (d *delegate) NotifyPingComplete(other *memberlist.Node, _ time.Duration, _ []byte) {
 	d.n.mu.Lock()
 	defer d.n.mu.Unlock()
-	d.n.view.Answers(other.Name, d.n.now())
+	d.n.view.MarkResponded(other.Name, d.n.now())
 }
 
 func (d *delegate) AckPayload() []byte { return nil }
@@ -576,9 +576,9 @@
 // NotifyMsg takes a note in; what is news here is passed on.
 func (d *delegate) NotifyMsg(text []byte) {
 	n := d.n
-	var what note
-	if len(text) > noteMost || json.Unmarshal(text, &what) != nil || what.Key == "" {
-		n.bad.Add(1)
+	var what message
+	if len(text) > maxMessageBytes || json.Unmarshal(text, &what) != nil || what.Key == "" {
+		n.malformed.Add(1)
 		return
 	}
 	n.notes.Add(1)
@@ -586,32 +586,32 @@
 	news := false
 	n.mu.Lock()
 	switch what.Kind {
-	case noteDigest:
-		n.view.Said(what.Key, what.Digest, now)
-	case noteBye:
-		news = n.view.Silent(what.Key, true, now)
-	case noteGone:
-		news = n.view.SeenGone(what.Key, what.By, now)
-	case noteSuspect:
-		news = n.view.Suspect(what.Key, now, now+n.suspicion())
-	case noteHost:
-		if s, ok := n.view.Get(what.Key); ok && s.Status.CountsAsPresent() && n.hosts[what.Host] == 0 && len(n.hosts) < maxHosts {
-			n.hosts[what.Host], news = now+hostFor, true
+	case messageDigest:
+		n.view.RecordDigest(what.Key, what.Digest, now)
+	case messageLeave:
+		news = n.view.MarkUnreachable(what.Key, true, now)
+	case messageEnded:
+		news = n.view.MarkEnded(what.Key, what.Witness, now)
+	case messageSuspect:
+		news = n.view.MarkSuspected(what.Key, now, now+n.suspicionTimeout())
+	case messageUnresponsive:
+		if s, ok := n.view.Get(what.Key); ok && s.Status.CountsAsPresent() && n.unresponsive[what.Endpoint] == 0 && len(n.unresponsive) < maxUnresponsive {
+			n.unresponsive[what.Endpoint], news = now+unresponsiveLifetime, true
 		}
 	}
 	n.mu.Unlock()
 	if news {
 		n.broadcast(what)
-		n.tellChanged()
+		n.notifyChanged()
 	}
 }
 
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
-	return d.n.queue.GetBroadcasts(overhead, limit)
+	return d.n.broadcasts.GetBroadcasts(overhead, limit)
 }
 
-// ending is one end that an exchange of views tells of.
-type ending struct {
+// endRecord is one end that an exchange of views tells of.
+type endRecord struct {
 	Key     string `json:"k"`
 	By      string `json:"b,omitempty"`
 	Goodbye bool   `json:"g,omitempty"`
@@ -619,10 +619,10 @@
 
 // LocalState tells of ends, which notes may have been lost of.
 func (d *delegate) LocalState(bool) []byte {
-	var ends []ending
+	var ends []endRecord
 	for _, s := range d.n.Members() {
-		if (s.Status == membership.StatusLeft || s.Status == membership.StatusEnded) && len(ends) < maxEnded {
-			ends = append(ends, ending{s.Key(), s.By, s.Status == membership.StatusLeft})
+		if (s.Status == membership.StatusLeft || s.Status == membership.StatusEnded) && len(ends) < maxEndRecords {
+			ends = append(ends, endRecord{s.Key(), s.By, s.Status == membership.StatusLeft})
 		}
 	}
 	text, err := json.Marshal(ends)
@@ -635,62 +635,62 @@
 // MergeRemoteState takes another's ends in.
 func (d *delegate) MergeRemoteState(text []byte, _ bool) {
 	n := d.n
-	var ends []ending
-	if len(text) == 0 || len(text) > maxEnded*noteMost || json.Unmarshal(text, &ends) != nil || len(ends) > maxEnded {
+	var ends []endRecord
+	if len(text) == 0 || len(text) > maxEndRecords*maxMessageBytes || json.Unmarshal(text, &ends) != nil || len(ends) > maxEndRecords {
 		return
 	}
 	n.mu.Lock()
 	news := false
 	for _, e := range ends {
 		if e.Goodbye {
-			news = n.view.Silent(e.Key, true, n.now()) || news
+			news = n.view.MarkUnreachable(e.Key, true, n.now()) || news
 		} else {
-			news = n.view.SeenGone(e.Key, e.By, n.now()) || news
+			news = n.view.MarkEnded(e.Key, e.By, n.now()) || news
 		}
 	}
 	n.mu.Unlock()
 	if news {
-		n.tellChanged()
+		n.notifyChanged()
 	}
 }
 
-// suspicion is how long a suspicion lasts at most. The lock is held.
-func (n *Node) suspicion() time.Duration {
+// suspicionTimeout is how long a suspicionTimeout lasts at most. The lock is held.
+func (n *Node) suspicionTimeout() time.Duration {
 	scale := 1.0
 	for size := n.view.Partition().Present; size >= 10; size /= 10 {
 		scale++
 	}
-	return time.Duration(suspicionMult * suspicionMost * scale * float64(n.options.Config.ProbeInterval()))
+	return time.Duration(suspicionMult * suspicionMaxTimeoutMult * scale * float64(n.options.Config.ProbeInterval()))
 }
 
-// lines takes memberlist's own log: at debug, but for what this process itself found
+// memberlistLog takes memberlist's own log: at debug, but for what this process itself found
 // out. Its interface tells of members that are lost, not of those suspected.
-type lines struct{ n *Node }
+type memberlistLog struct{ n *Node }
 
-const suspectLine = "[INFO] memberlist: Suspect "
+const suspectPrefix = "[INFO] memberlist: Suspect "
 
-func (l *lines) Write(text []byte) (int, error) {
+func (l *memberlistLog) Write(text []byte) (int, error) {
 	line := strings.TrimSpace(string(text))
-	if rest, ok := strings.CutPrefix(line, suspectLine); ok {
+	if rest, ok := strings.CutPrefix(line, suspectPrefix); ok {
 		key, _, _ := strings.Cut(rest, " ")
-		l.n.suspects(key)
+		l.n.reportSuspicion(key)
 	}
 	l.n.log.Debug(line)
 	return len(text), nil
 }
 
-// suspects notes that a member has not answered this process.
-func (n *Node) suspects(key string) {
-	n.suspected.Add(1)
+// reportSuspicion notes that a member has not answered this process.
+func (n *Node) reportSuspicion(key string) {
+	n.suspicions.Add(1)
 	now := n.now()
 	n.mu.Lock()
 	// One that was stopped suspects whoever answered it meanwhile.
-	own := n.stopped != 0 && now-n.stopped < 2*n.options.Config.ProbeInterval()
-	news := !own && n.view.Suspect(key, now, now+n.suspicion())
+	own := n.resumedAt != 0 && now-n.resumedAt < 2*n.options.Config.ProbeInterval()
+	news := !own && n.view.MarkSuspected(key, now, now+n.suspicionTimeout())
 	n.mu.Unlock()
 	if news {
 		n.log.Info("members: suspected", "member", key)
-		n.broadcast(note{Kind: noteSuspect, Key: key, By: n.self.Key()})
-		n.tellChanged()
+		n.broadcast(message{Kind: messageSuspect, Key: key, Witness: n.self.Key()})
+		n.notifyChanged()
 	}
 }
--- a/internal/membership/info.go
+++ b/internal/membership/info.go
@@ -53,15 +53,15 @@
 }
 
 const (
-	maxZone, maxVersionText, maxPhase = 32, 24, 24
-	// metaMost is what memberlist carries of a member (memberlist.MetaMaxSize).
-	metaMost = 512
+	maxZoneBytes, maxVersionBytes, maxPhaseBytes = 32, 24, 24
+	// maxMetaBytes is what memberlist carries of a member (memberlist.MetaMaxSize).
+	maxMetaBytes = 512
 )
 
 // Key tells a start of a process from all others.
-func (i Info) Key() string { return key(i.Name, i.Incarnation) }
+func (i Info) Key() string { return memberKey(i.Name, i.Incarnation) }
 
-func key(name string, incarnation uint64) string {
+func memberKey(name string, incarnation uint64) string {
 	return name + "/" + strconv.FormatUint(incarnation, 10)
 }
 
@@ -76,7 +76,7 @@
 	for _, f := range []struct {
 		name, text string
 		most       int
-	}{{"zone", i.Zone, maxZone}, {"version", i.Version, maxVersionText}, {"phase", i.Phase, maxPhase}, {"machine", i.MachineID, maxZone}, {"host", i.MachineName, maxZone}, {"id", i.ReplicaID, maxZone}} {
+	}{{"zone", i.Zone, maxZoneBytes}, {"version", i.Version, maxVersionBytes}, {"phase", i.Phase, maxPhaseBytes}, {"machine", i.MachineID, maxZoneBytes}, {"host", i.MachineName, maxZoneBytes}, {"id", i.ReplicaID, maxZoneBytes}} {
 		if len(f.text) > f.most || strings.ContainsFunc(f.text, unicode.IsControl) {
 			return fmt.Errorf("%s %.64q has more than %d bytes, or signs that cannot be shown", f.name, f.text, f.most)
 		}
@@ -98,8 +98,8 @@
 		return nil, err
 	}
 	text, err := json.Marshal(i)
-	if err == nil && len(text) > metaMost {
-		err = fmt.Errorf("what a member says of itself takes %d bytes, %d at most: a shorter name or zone is needed", len(text), metaMost)
+	if err == nil && len(text) > maxMetaBytes {
+		err = fmt.Errorf("what a member says of itself takes %d bytes, %d at most: a shorter name or zone is needed", len(text), maxMetaBytes)
 	}
 	return text, err
 }
@@ -107,8 +107,8 @@
 // DecodeInfo reads what another member says of itself. Fields that a newer build has are
 // passed over.
 func DecodeInfo(text []byte) (i Info, err error) {
-	if len(text) > metaMost {
-		return i, fmt.Errorf("%d bytes, %d at most", len(text), metaMost)
+	if len(text) > maxMetaBytes {
+		return i, fmt.Errorf("%d bytes, %d at most", len(text), maxMetaBytes)
 	}
 	if err := json.Unmarshal(text, &i); err != nil {
 		return i, err
--- a/internal/membership/membershiptest/fleet.go
+++ b/internal/membership/membershiptest/fleet.go
@@ -21,17 +21,17 @@
 // Member is one of them.
 type Member struct {
 	*gossip.Node
-	of   int
-	net  *Network
-	stop context.CancelFunc
-	dead bool
+	index   int
+	net     *Network
+	stop    context.CancelFunc
+	stopped bool
 }
 
-// seeds is how many members all know the addresses of.
-const seeds = 3
+// seedCount is how many members all know the addresses of.
+const seedCount = 3
 
-// Start starts members that all know the same few. They probe each other at a pace.
-func Start(net *Network, members int, probe time.Duration, log *slog.Logger) (*Fleet, error) {
+// StartFleet starts members that all know the same few. They probe each other at a pace.
+func StartFleet(net *Network, members int, probe time.Duration, log *slog.Logger) (*Fleet, error) {
 	f := &Fleet{Net: net}
 	for i := range members {
 		if err := f.Add(i, fmt.Sprint("m", i), 0, probe, log); err != nil {
@@ -45,7 +45,7 @@
 // Add starts one member more.
 func (f *Fleet) Add(at int, name string, incarnation uint64, probe time.Duration, log *slog.Logger) error {
 	c := membership.Config{Fleet: "trial", Listen: Addr(at), ProbeMS: probe.Milliseconds()}
-	for i := range seeds {
+	for i := range seedCount {
 		c.Seeds = append(c.Seeds, Addr(i))
 	}
 	node, err := gossip.Start(gossip.Options{
@@ -56,7 +56,7 @@
 		return fmt.Errorf("trial: member %d: %w", at, err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	m := &Member{Node: node, of: at, net: f.Net, stop: cancel}
+	m := &Member{Node: node, index: at, net: f.Net, stop: cancel}
 	f.Members = append(f.Members, m)
 	f.tasks.Go(func() {
 		if err := node.Run(ctx); err != nil {
@@ -69,15 +69,15 @@
 // Kill ends a member without a word.
 func (m *Member) Kill() {
 	m.net.mu.Lock()
-	m.net.nodes[Addr(m.of)].dead = true
+	m.net.nodes[Addr(m.index)].dead = true
 	m.net.mu.Unlock()
-	m.dead = true
+	m.stopped = true
 	m.stop()
 }
 
-// End has a member say goodbye.
-func (m *Member) End() {
-	m.dead = true
+// Leave has a member say goodbye.
+func (m *Member) Leave() {
+	m.stopped = true
 	m.stop()
 }
 
@@ -89,10 +89,10 @@
 	f.tasks.Wait()
 }
 
-// Living are the members that run.
-func (f *Fleet) Living() (some []*Member) {
+// Running are the members that run.
+func (f *Fleet) Running() (some []*Member) {
 	for _, m := range f.Members {
-		if !m.dead {
+		if !m.stopped {
 			some = append(some, m)
 		}
 	}
@@ -114,23 +114,23 @@
 	return true
 }
 
-const lookEvery = 50 * time.Millisecond
+const pollInterval = 50 * time.Millisecond
 
-// Until waits until something holds, and returns how long that took.
-func Until(within time.Duration, holds func() bool) (time.Duration, error) {
+// WaitUntil waits until something holds, and returns how long that took.
+func WaitUntil(within time.Duration, holds func() bool) (time.Duration, error) {
 	began := time.Now()
 	for !holds() {
 		if time.Since(began) > within {
 			return 0, fmt.Errorf("not within %v", within)
 		}
-		time.Sleep(lookEvery)
+		time.Sleep(pollInterval)
 	}
 	return time.Since(began), nil
 }
 
 // Suspicions are how often living members took each other for silent, and lost each other.
 func (f *Fleet) Suspicions() (suspected, lost uint64) {
-	for _, m := range f.Living() {
+	for _, m := range f.Running() {
 		c := m.Stats()
 		suspected += c.Suspicions
 		lost += c.Unreachable
--- a/internal/membership/membershiptest/network.go
+++ b/internal/membership/membershiptest/network.go
@@ -18,12 +18,12 @@
 // Network carries what members send each other: datagrams, which may be lost and late,
 // and connections, which are only late.
 type Network struct {
-	mu    sync.Mutex
-	rng   *rand.Rand
-	nodes map[string]*transport // by address
-	loss  float64
-	delay time.Duration
-	cut   func(from, to int) bool
+	mu         sync.Mutex
+	rng        *rand.Rand
+	nodes      map[string]*transport // by address
+	packetLoss float64
+	delay      time.Duration
+	blocked    func(from, to int) bool
 }
 
 // NewNetwork makes a network whose losses are drawn from a seed.
@@ -31,24 +31,24 @@
 	return &Network{rng: rand.New(rand.NewPCG(seed, 1)), nodes: make(map[string]*transport)}
 }
 
-// Set changes what is lost and how late the rest is, by up to as much again.
-func (n *Network) Set(loss float64, delay time.Duration) {
+// SetConditions changes what is lost and how late the rest is, by up to as much again.
+func (n *Network) SetConditions(loss float64, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.loss, n.delay = loss, delay
+	n.packetLoss, n.delay = loss, delay
 }
 
-// Cut lets nothing pass from one member to another where a function says so; nil: all passes.
-func (n *Network) Cut(cut func(from, to int) bool) {
+// Partition lets nothing pass from one member to another where a function says so; nil: all passes.
+func (n *Network) Partition(cut func(from, to int) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = cut
+	n.blocked = cut
 }
 
 const (
-	port       = 7946 // every member's, each on an address of its own
-	packetRoom = 1024 // datagrams that wait for a member; beyond, they are lost
-	streamRoom = 64
+	port              = 7946 // every member's, each on an address of its own
+	packetQueueLength = 1024 // datagrams that wait for a member; beyond, they are lost
+	streamQueueLength = 64
 )
 
 // Addr is where a member listens.
@@ -56,7 +56,7 @@
 
 // Transport is a member's side of the network.
 func (n *Network) Transport(i int) memberlist.NodeAwareTransport {
-	t := &transport{net: n, of: i, packets: make(chan *memberlist.Packet, packetRoom), streams: make(chan net.Conn, streamRoom)}
+	t := &transport{net: n, index: i, packets: make(chan *memberlist.Packet, packetQueueLength), streams: make(chan net.Conn, streamQueueLength)}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.nodes[Addr(i)] = t
@@ -65,7 +65,7 @@
 
 type transport struct {
 	net     *Network
-	of      int
+	index   int
 	packets chan *memberlist.Packet
 	streams chan net.Conn
 	dead    bool // under the network's lock
@@ -81,7 +81,7 @@
 	t.net.mu.Lock()
 	defer t.net.mu.Unlock()
 	other = t.net.nodes[to]
-	if other == nil || other.dead || t.dead || t.net.cut != nil && t.net.cut(t.of, other.of) || lossy && t.net.rng.Float64() < t.net.loss {
+	if other == nil || other.dead || t.dead || t.net.blocked != nil && t.net.blocked(t.index, other.index) || lossy && t.net.rng.Float64() < t.net.packetLoss {
 		return nil, 0
 	}
 	if d := t.net.delay; d > 0 {
@@ -91,7 +91,7 @@
 }
 
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	host, p, err := net.SplitHostPort(Addr(t.of))
+	host, p, err := net.SplitHostPort(Addr(t.index))
 	if err != nil {
 		return nil, 0, err
 	}
@@ -106,7 +106,7 @@
 func (t *transport) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
 	now := time.Now()
 	if other, late := t.reach(to.Addr, true); other != nil {
-		p := &memberlist.Packet{Buf: append([]byte(nil), b...), From: address(Addr(t.of))}
+		p := &memberlist.Packet{Buf: append([]byte(nil), b...), From: address(Addr(t.index))}
 		time.AfterFunc(late, func() {
 			p.Timestamp = time.Now()
 			select {
@@ -129,7 +129,7 @@
 	other, late := t.reach(to.Addr, false)
 	back, _ := other, late
 	if other != nil {
-		back, _ = other.reach(Addr(t.of), false)
+		back, _ = other.reach(Addr(t.index), false)
 	}
 	if back == nil {
 		time.Sleep(within)
--- a/internal/membership/membershiptest/trial.go
+++ b/internal/membership/membershiptest/trial.go
@@ -46,10 +46,10 @@
 	HealRounds         uint64        `json:"Rounds"` // and the most rounds that a member counted
 }
 
-// mostWait bounds each wait of a trial.
-const mostWait = 5 * time.Minute
+// maxWait bounds each wait of a trial.
+const maxWait = 5 * time.Minute
 
-func cpu() time.Duration {
+func processCPUTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -61,14 +61,14 @@
 func (p Scenario) Run(log *slog.Logger) (r Result, err error) {
 	r.Scenario = p
 	net := NewNetwork(p.Seed)
-	net.Set(p.PacketLoss, p.Delay)
+	net.SetConditions(p.PacketLoss, p.Delay)
 	began := time.Now()
-	f, err := Start(net, p.Members, p.ProbeInterval, log)
+	f, err := StartFleet(net, p.Members, p.ProbeInterval, log)
 	if err != nil {
 		return r, err
 	}
 	defer f.Stop()
-	if _, err := Until(mostWait, func() bool { return Agree(f.Members, p.Members) }); err != nil {
+	if _, err := WaitUntil(maxWait, func() bool { return Agree(f.Members, p.Members) }); err != nil {
 		return r, fmt.Errorf("trial: all see all: %w", err)
 	}
 	r.JoinTime = time.Since(began)
@@ -84,9 +84,9 @@
 		}
 		bytes, packets := sent()
 		suspected, lost := f.Suspicions()
-		used := cpu()
+		used := processCPUTime()
 		time.Sleep(p.Baseline)
-		used = cpu() - used
+		used = processCPUTime() - used
 		b, q := sent()
 		s, l := f.Suspicions()
 		each := float64(p.Members) * p.Baseline.Seconds()
@@ -115,8 +115,8 @@
 	}
 	began := time.Now()
 	first := make(map[string]time.Duration)
-	living := f.Living()
-	if _, err := Until(mostWait, func() bool {
+	living := f.Running()
+	if _, err := WaitUntil(maxWait, func() bool {
 		unseen := 0
 		for _, m := range living {
 			for _, name := range killed {
@@ -138,7 +138,7 @@
 	}
 	slices.Sort(all)
 	r.FirstDetection = all[len(all)/2]
-	if _, err := Until(mostWait, func() bool { return Agree(living, len(living)) }); err != nil {
+	if _, err := WaitUntil(maxWait, func() bool { return Agree(living, len(living)) }); err != nil {
 		return fmt.Errorf("trial: all views are the same after a loss: %w", err)
 	}
 	r.FullAgreement = time.Since(began)
@@ -147,13 +147,13 @@
 
 // part cuts the network into parts, and heals it.
 func (r *Result) part(f *Fleet) error {
-	living := f.Living()
-	f.Net.Cut(func(a, b int) bool { return a%r.Partitions != b%r.Partitions })
+	living := f.Running()
+	f.Net.Partition(func(a, b int) bool { return a%r.Partitions != b%r.Partitions })
 	time.Sleep(r.PartitionDuration)
 	r.PresentByPartition = make([]int, r.Partitions)
 	for _, m := range living {
 		side := m.Partition()
-		r.PresentByPartition[m.of%r.Partitions] = side.Present
+		r.PresentByPartition[m.index%r.Partitions] = side.Present
 		if side.Partitioned() {
 			r.ReportedPartition++
 		}
@@ -161,13 +161,13 @@
 			r.ReportedMinority++
 		}
 	}
-	f.Net.Cut(nil)
-	healed, err := Until(mostWait, func() bool { return Agree(living, len(living)) })
+	f.Net.Partition(nil)
+	healed, err := WaitUntil(maxWait, func() bool { return Agree(living, len(living)) })
 	if err != nil {
 		return fmt.Errorf("trial: all see all after a cut: %w", err)
 	}
 	r.HealTime = healed
-	if _, err := Until(mostWait, func() bool {
+	if _, err := WaitUntil(maxWait, func() bool {
 		r.HealRounds = 0
 		for _, m := range living {
 			c := m.Stats()
--- a/internal/membership/membershiptest/trial_test.go
+++ b/internal/membership/membershiptest/trial_test.go
@@ -46,8 +46,8 @@
 // fleetOf is some members that all see each other.
 func fleetOf(t *testing.T, n int) *Fleet {
 	net := NewNetwork(1)
-	net.Set(0, time.Millisecond)
-	f, err := Start(net, n, 200*time.Millisecond, quiet)
+	net.SetConditions(0, time.Millisecond)
+	f, err := StartFleet(net, n, 200*time.Millisecond, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 
 func until(t *testing.T, what string, holds func() bool) time.Duration {
 	t.Helper()
-	took, err := Until(time.Minute, holds)
+	took, err := WaitUntil(time.Minute, holds)
 	if err != nil {
 		t.Fatalf("%s: %v", what, err)
 	}
@@ -85,9 +85,9 @@
 			}
 			later := f.Members[len(f.Members)-1]
 			if !kill {
-				old.dead = true // it lives, and is none of those that have to agree
+				old.stopped = true // it lives, and is none of those that have to agree
 			}
-			took := until(t, "all see the later one", func() bool { return Agree(f.Living(), 6) })
+			took := until(t, "all see the later one", func() bool { return Agree(f.Running(), 6) })
 			if took > 5*time.Second { // most by gossip in a fifth of one, some by a comparison of views
 				t.Errorf("all see the later one after %v only (the other killed: %v)", took, kill)
 			}
@@ -105,7 +105,7 @@
 		f := fleetOf(t, 3)
 		defer f.stopIn(t)
 		m := f.Members[2]
-		m.End()
+		m.Leave()
 		for phase := range 20 {
 			m.Update(func(i *membership.Info) { i.Phase = fmt.Sprint(phase) })
 			time.Sleep(100 * time.Millisecond)
@@ -123,25 +123,25 @@
 			if err := f.Add(50+turn, "flapper", 0, 200*time.Millisecond, quiet); err != nil {
 				t.Fatal(err)
 			}
-			until(t, "all see it", func() bool { return Agree(f.Living(), 7) })
+			until(t, "all see it", func() bool { return Agree(f.Running(), 7) })
 			m := f.Members[len(f.Members)-1]
-			m.End()
-			until(t, "all see it leave", func() bool { return Agree(f.Living(), 6) })
+			m.Leave()
+			until(t, "all see it leave", func() bool { return Agree(f.Running(), 6) })
 			until(t, "all have its goodbye", func() bool {
-				return !slices.ContainsFunc(f.Living(), func(other *Member) bool {
+				return !slices.ContainsFunc(f.Running(), func(other *Member) bool {
 					s, _ := other.Get(m.Self().Key())
 					return s.Status != membership.StatusLeft || other.Partition().Partitioned()
 				})
 			})
 		}
-		for _, seed := range f.Members[:seeds] {
+		for _, seed := range f.Members[:seedCount] {
 			seed.Kill()
 		}
 		if err := f.Add(60, "late", 0, 200*time.Millisecond, quiet); err != nil {
 			t.Fatal(err)
 		}
 		late := f.Members[len(f.Members)-1]
-		until(t, "the others have lost the seeds", func() bool { return Agree(f.Living()[:3], 3) })
+		until(t, "the others have lost the seeds", func() bool { return Agree(f.Running()[:3], 3) })
 		if late.Size() != 1 {
 			t.Fatalf("without a seed that lives it sees %d members", late.Size())
 		}
@@ -150,6 +150,6 @@
 		if err := f.Add(0, "m0", 0, 200*time.Millisecond, quiet); err != nil {
 			t.Fatal(err)
 		}
-		until(t, "all are found", func() bool { return Agree(f.Living(), 5) })
+		until(t, "all are found", func() bool { return Agree(f.Running(), 5) })
 	})
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -28,17 +28,17 @@
 // CountsAsPresent says whether a member with this status counts as there.
 func (s Status) CountsAsPresent() bool { return s == StatusPresent || s == StatusSuspected }
 
-// over says whether the status is for good: that process does not come back.
-func (s Status) over() bool { return s == StatusLeft || s == StatusEnded || s == StatusReplaced }
+// final says whether the status is for good: that process does not come back.
+func (s Status) final() bool { return s == StatusLeft || s == StatusEnded || s == StatusReplaced }
 
 const (
 	// maxMembers bounds a view, with those that are there no more.
 	maxMembers = 4096
-	// keepEnded is for how long those are kept whose end is sure, so that late news of
+	// endedRetention is for how long those are kept whose end is sure, so that late news of
 	// them change nothing.
-	keepEnded = 2 * time.Minute
-	// settled is for how many rounds nobody may have come or gone where all is whole again.
-	settled = 2
+	endedRetention = 2 * time.Minute
+	// stableRounds is for how many rounds nobody may have come or gone where all is whole again.
+	stableRounds = 2
 	// DigestFanout is to how many others a round tells what is seen.
 	DigestFanout = 3
 )
@@ -46,27 +46,27 @@
 // Member is one member in a view.
 type Member struct {
 	Info
-	Status      Status
-	StatusSince time.Duration // on the view's clock
-	By          string        // of Gone: who saw it; of Replaced: by which key
-	until       time.Duration // of Suspected: when that passes
+	Status         Status
+	StatusSince    time.Duration // on the view's clock
+	By             string        // of Gone: who saw it; of Replaced: by which key
+	suspectedUntil time.Duration // of Suspected: when that passes
 }
 
 // View is what one process knows of the others, and of how much of the fleet it sees: a
 // state machine without a clock, told the time as a reading that never goes back. It is
 // not safe for concurrent use.
 type View struct {
-	self   string        // its own key
-	forget time.Duration // after which one that is lost counts as never to come back
+	selfKey     string        // its own key
+	forgetAfter time.Duration // after which one that is lost counts as never to come back
 
-	all  map[string]*Member
-	side PartitionState
-	calm int              // rounds since somebody came or went
-	said map[string]heard // what others said last of their views, by key
+	members           map[string]*Member
+	partition         PartitionState
+	roundsSinceChange int                   // rounds since somebody came or went
+	digests           map[string]peerDigest // what others said last of their views, by key
 }
 
-// heard is another member's word on its view.
-type heard struct {
+// peerDigest is another member's word on its view.
+type peerDigest struct {
 	digest uint64
 	at     time.Duration
 }
@@ -91,126 +91,126 @@
 
 // NewView makes a view that holds this process alone.
 func NewView(self Info, forget, now time.Duration) *View {
-	v := &View{self: self.Key(), forget: forget, all: make(map[string]*Member), said: make(map[string]heard)}
-	v.Seen(self, now)
+	v := &View{selfKey: self.Key(), forgetAfter: forget, members: make(map[string]*Member), digests: make(map[string]peerDigest)}
+	v.MarkPresent(self, now)
 	return v
 }
 
-// Seen notes that a member is there, and reports whether that is news.
-func (v *View) Seen(i Info, now time.Duration) (news bool) {
-	s := v.all[i.Key()]
+// MarkPresent notes that a member is there, and reports whether that is news.
+func (v *View) MarkPresent(i Info, now time.Duration) (news bool) {
+	s := v.members[i.Key()]
 	switch {
 	case s == nil:
-		if len(v.all) >= maxMembers && !v.drop() {
+		if len(v.members) >= maxMembers && !v.evictOldest() {
 			return false
 		}
-		v.all[i.Key()] = &Member{Info: i, Status: StatusPresent, StatusSince: now}
-		v.replace(i.Name, now)
-	case s.Status.over():
+		v.members[i.Key()] = &Member{Info: i, Status: StatusPresent, StatusSince: now}
+		v.markReplaced(i.Name, now)
+	case s.Status.final():
 		return false // late news of a process that has ended
 	case s.Status == StatusUnreachable:
-		if v.side.HealingSince == 0 { // it had not ended
-			v.side.HealingSince, v.side.HealingRounds = now, 0
+		if v.partition.HealingSince == 0 { // it had not ended
+			v.partition.HealingSince, v.partition.HealingRounds = now, 0
 		}
 		s.Info, s.Status, s.StatusSince = i, StatusPresent, now
-		v.replace(i.Name, now)
+		v.markReplaced(i.Name, now)
 	case s.Info == i:
 		return false
 	default:
 		s.Info = i
 		return true
 	}
-	v.count()
+	v.recount()
 	return true
 }
 
-// Suspect notes that a member does not answer somebody, which counts until a time: by
+// MarkSuspected notes that a member does not answer somebody, which counts until a time: by
 // then it has answered or is lost.
-func (v *View) Suspect(key string, now, until time.Duration) (news bool) {
-	s := v.all[key]
-	if s == nil || key == v.self || !s.Status.CountsAsPresent() {
+func (v *View) MarkSuspected(key string, now, until time.Duration) (news bool) {
+	s := v.members[key]
+	if s == nil || key == v.selfKey || !s.Status.CountsAsPresent() {
 		return false
 	}
 	if news = s.Status == StatusPresent; news {
 		s.Status, s.StatusSince = StatusSuspected, now
 	}
-	s.until = until
+	s.suspectedUntil = until
 	return news
 }
 
-// Answers notes that a member has answered this process.
-func (v *View) Answers(key string, now time.Duration) {
-	if s := v.all[key]; s != nil && s.Status == StatusSuspected {
+// MarkResponded notes that a member has answered this process.
+func (v *View) MarkResponded(key string, now time.Duration) {
+	if s := v.members[key]; s != nil && s.Status == StatusSuspected {
 		s.Status, s.StatusSince = StatusPresent, now
 	}
 }
 
-// replace notes that of the processes with one name the latest one counts.
-func (v *View) replace(name string, now time.Duration) {
-	latest, _ := v.Named(name)
-	for _, s := range v.all {
-		if s.Name == name && s.Incarnation < latest.Incarnation && !s.Status.over() {
+// markReplaced notes that of the processes with one name the latest one counts.
+func (v *View) markReplaced(name string, now time.Duration) {
+	latest, _ := v.Latest(name)
+	for _, s := range v.members {
+		if s.Name == name && s.Incarnation < latest.Incarnation && !s.Status.final() {
 			s.Status, s.StatusSince, s.By = StatusReplaced, now, latest.Key()
 		}
 	}
 }
 
-// Silent notes that a member was given up for its silence, or said goodbye.
-func (v *View) Silent(key string, goodbye bool, now time.Duration) (news bool) {
-	s := v.all[key]
-	if s == nil || key == v.self || s.Status.over() || s.Status == StatusUnreachable && !goodbye {
+// MarkUnreachable notes that a member was given up for its silence, or said goodbye.
+func (v *View) MarkUnreachable(key string, goodbye bool, now time.Duration) (news bool) {
+	s := v.members[key]
+	if s == nil || key == v.selfKey || s.Status.final() || s.Status == StatusUnreachable && !goodbye {
 		return false
 	}
 	if s.Status, s.StatusSince = StatusUnreachable, now; goodbye {
 		s.Status = StatusLeft
 	}
-	v.count()
-	if v.side.Since == 0 && v.side.Unreachable > 0 {
-		v.side.Since = now
+	v.recount()
+	if v.partition.Since == 0 && v.partition.Unreachable > 0 {
+		v.partition.Since = now
 	}
-	v.side.HealingSince = 0
+	v.partition.HealingSince = 0
 	return true
 }
 
-// SeenGone notes that a process has ended, as one on its own machine has seen. The word
+// MarkEnded notes that a process has ended, as one on its own machine has seen. The word
 // of one elsewhere is no evidence.
-func (v *View) SeenGone(key, by string, now time.Duration) (news bool) {
-	s, witness := v.all[key], v.all[by]
-	if s == nil || witness == nil || key == v.self || s.Status.over() || s.MachineID == "" || s.MachineID != witness.MachineID {
+func (v *View) MarkEnded(key, by string, now time.Duration) (news bool) {
+	s, witness := v.members[key], v.members[by]
+	if s == nil || witness == nil || key == v.selfKey || s.Status.final() || s.MachineID == "" || s.MachineID != witness.MachineID {
 		return false
 	}
 	s.Status, s.StatusSince, s.By = StatusEnded, now, by
-	v.count()
+	v.recount()
 	return true
 }
 
-// returned notes that one that was lost is back: it had not ended.
-func (v *View) returned(now time.Duration) {
-	if v.side.HealingSince == 0 {
-		v.side.HealingSince, v.side.HealingRounds = now, 0
+// startHealing notes that one that was lost is back: it had not ended.
+func (v *View) startHealing(now time.Duration) {
+	if v.partition.HealingSince == 0 {
+		v.partition.HealingSince, v.partition.HealingRounds = now, 0
 	}
 }
 
-// count brings the sides' sizes up to date after somebody came or went.
-func (v *View) count() {
-	v.calm, v.side.Present, v.side.Unreachable = 0, 0, 0
-	for _, s := range v.all {
+// recount brings the sides' sizes up to date after somebody came or went.
+func (v *View) recount() {
+	v.roundsSinceChange, v.partition.Present, v.partition.Unreachable = 0, 0, 0
+	for _, s := range v.members {
 		switch {
 		case s.Status.CountsAsPresent():
-			v.side.Present++
+			v.partition.Present++
 		case s.Status == StatusUnreachable:
-			v.side.Unreachable++
+			v.partition.Unreachable++
 		}
 	}
-	if v.side.Unreachable == 0 {
-		v.side.Since = 0
+	if v.partition.Unreachable == 0 {
+		v.partition.Since = 0
 	}
 }
 
-// drop makes room by forgetting who has ended longest ago.
-func (v *View) drop() bool {
+// evictOldest makes room by forgetting who has ended longest ago.
+func (v *View) evictOldest() bool {
 	var oldest *Member
-	for _, s := range v.all {
+	for _, s := range v.members {
 		if !s.Status.CountsAsPresent() && (oldest == nil || s.StatusSince < oldest.StatusSince) {
 			oldest = s
 		}
@@ -218,54 +218,56 @@
 	if oldest == nil {
 		return false
 	}
-	delete(v.all, oldest.Key())
+	delete(v.members, oldest.Key())
 	return true
 }
 
 // Tick forgets what is long past. It is called once a round, and returns how many rounds
 // a partition took to heal when it just has.
 func (v *View) Tick(now time.Duration) (healed int, done bool) {
-	maps.DeleteFunc(v.all, func(_ string, s *Member) bool {
-		return s.Status == StatusUnreachable && now-s.StatusSince > v.forget || s.Status.over() && now-s.StatusSince > keepEnded && s.Key() != v.self
+	maps.DeleteFunc(v.members, func(_ string, s *Member) bool {
+		return s.Status == StatusUnreachable && now-s.StatusSince > v.forgetAfter || s.Status.final() && now-s.StatusSince > endedRetention && s.Key() != v.selfKey
 	})
-	for _, s := range v.all {
-		if s.Status == StatusSuspected && now >= s.until {
+	for _, s := range v.members {
+		if s.Status == StatusSuspected && now >= s.suspectedUntil {
 			s.Status, s.StatusSince = StatusPresent, now
 		}
 	}
-	maps.DeleteFunc(v.said, func(key string, _ heard) bool { return v.all[key] == nil || !v.all[key].Status.CountsAsPresent() })
-	calm := v.calm
-	v.count()
-	v.calm = calm
-	v.calm++
-	if v.side.HealingSince == 0 {
+	maps.DeleteFunc(v.digests, func(key string, _ peerDigest) bool {
+		return v.members[key] == nil || !v.members[key].Status.CountsAsPresent()
+	})
+	calm := v.roundsSinceChange
+	v.recount()
+	v.roundsSinceChange = calm
+	v.roundsSinceChange++
+	if v.partition.HealingSince == 0 {
 		return 0, false
 	}
-	v.side.HealingRounds++
+	v.partition.HealingRounds++
 	// Whoever came back may be the first of many, and who spoke last may have spoken before.
-	if agree, known := v.Agreement(v.side.HealingSince); agree < known || known < min(DigestFanout, v.side.Present-1) || !v.Settled() {
+	if agree, known := v.Agreement(v.partition.HealingSince); agree < known || known < min(DigestFanout, v.partition.Present-1) || !v.Stable() {
 		return 0, false
 	}
-	v.side.HealingSince = 0
-	return v.side.HealingRounds, true
+	v.partition.HealingSince = 0
+	return v.partition.HealingRounds, true
 }
 
 // Forget takes a member that was lost for one that never comes back, at an operator's word.
 func (v *View) Forget(name string, now time.Duration) (some int) {
-	for _, s := range v.all {
+	for _, s := range v.members {
 		if s.Name == name && s.Status == StatusUnreachable {
 			s.Status, s.StatusSince, s.By = StatusEnded, now, "an operator"
 			some++
 		}
 	}
-	v.count()
+	v.recount()
 	return some
 }
 
-// Said notes what another member said of its view.
-func (v *View) Said(key string, digest uint64, now time.Duration) {
-	if s := v.all[key]; s != nil && s.Status.CountsAsPresent() && key != v.self {
-		v.said[key] = heard{digest, now}
+// RecordDigest notes what another member said of its view.
+func (v *View) RecordDigest(key string, digest uint64, now time.Duration) {
+	if s := v.members[key]; s != nil && s.Status.CountsAsPresent() && key != v.selfKey {
+		v.digests[key] = peerDigest{digest, now}
 	}
 }
 
@@ -273,7 +275,7 @@
 // this one, and how many spoke.
 func (v *View) Agreement(since time.Duration) (agree, known int) {
 	own := v.Digest()
-	for _, h := range v.said {
+	for _, h := range v.digests {
 		if h.at < since {
 			continue
 		}
@@ -284,10 +286,10 @@
 	return agree, known
 }
 
-// Differ are the members that have said last that they see another fleet.
-func (v *View) Differ(since time.Duration) (keys []string) {
+// DifferingPeers are the members that have said last that they see another fleet.
+func (v *View) DifferingPeers(since time.Duration) (keys []string) {
 	own := v.Digest()
-	for key, h := range v.said {
+	for key, h := range v.digests {
 		if h.at >= since && h.digest != own {
 			keys = append(keys, key)
 		}
@@ -296,15 +298,15 @@
 	return keys
 }
 
-// Settled says that nobody has come or gone for some rounds: whose views differ still has
+// Stable says that nobody has come or gone for some rounds: whose views differ still has
 // missed something.
-func (v *View) Settled() bool { return v.calm > settled }
+func (v *View) Stable() bool { return v.roundsSinceChange > stableRounds }
 
 // Digest is alike for views that hold the same members as present. Suspicion is not in
 // it: it passes in a moment, one way or the other.
 func (v *View) Digest() uint64 {
-	keys := make([]string, 0, len(v.all))
-	for key, s := range v.all {
+	keys := make([]string, 0, len(v.members))
+	for key, s := range v.members {
 		if s.Status.CountsAsPresent() {
 			keys = append(keys, key)
 		}
@@ -314,19 +316,19 @@
 }
 
 // Partition is what this process sees of the fleet.
-func (v *View) Partition() PartitionState { return v.side }
+func (v *View) Partition() PartitionState { return v.partition }
 
 // Get returns a member by its key.
 func (v *View) Get(key string) (Member, bool) {
-	if s := v.all[key]; s != nil {
+	if s := v.members[key]; s != nil {
 		return *s, true
 	}
 	return Member{}, false
 }
 
-// Named is the latest process of a name.
-func (v *View) Named(name string) (s Member, ok bool) {
-	for _, other := range v.all {
+// Latest is the latest process of a name.
+func (v *View) Latest(name string) (s Member, ok bool) {
+	for _, other := range v.members {
 		if other.Name == name && (!ok || other.Incarnation > s.Incarnation) {
 			s, ok = *other, true
 		}
@@ -336,8 +338,8 @@
 
 // List returns all members by name, of one name the latest first.
 func (v *View) List() []Member {
-	all := make([]Member, 0, len(v.all))
-	for _, s := range v.all {
+	all := make([]Member, 0, len(v.members))
+	for _, s := range v.members {
 		all = append(all, *s)
 	}
 	slices.SortFunc(all, func(a, b Member) int {
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -21,25 +21,29 @@
 		want Status
 	}{
 		{"it came", func(*View) {}, StatusPresent},
-		{"suspected", func(v *View) { v.Suspect("a/1", 2, 10) }, StatusSuspected},
-		{"suspected, and the time has passed", func(v *View) { v.Suspect("a/1", 2, 3); v.Tick(4) }, StatusPresent},
-		{"suspected, and it answered", func(v *View) { v.Suspect("a/1", 2, 10); v.Answers("a/1", 3) }, StatusPresent},
-		{"lost", func(v *View) { v.Silent("a/1", false, 2) }, StatusUnreachable},
-		{"lost, and back", func(v *View) { v.Silent("a/1", false, 2); v.Seen(a, 3) }, StatusPresent},
-		{"a goodbye after its loss", func(v *View) { v.Silent("a/1", false, 2); v.Silent("a/1", true, 3) }, StatusLeft},
-		{"late news after its goodbye", func(v *View) { v.Silent("a/1", true, 2); v.Seen(a, 3); v.Silent("a/1", false, 4) }, StatusLeft},
-		{"seen to have ended by one on its machine", func(v *View) { v.SeenGone("a/1", "c/1", 2) }, StatusEnded},
-		{"by one elsewhere", func(v *View) { v.SeenGone("a/1", "b/1", 2) }, StatusPresent},
-		{"by one that nobody knows", func(v *View) { v.SeenGone("a/1", "d/1", 2) }, StatusPresent},
-		{"late news after its end", func(v *View) { v.SeenGone("a/1", "c/1", 2); v.Seen(a, 3) }, StatusEnded},
-		{"a later process has its name", func(v *View) { v.Seen(member("a", 2, "n"), 2) }, StatusReplaced},
-		{"an earlier one has, and is there", func(v *View) { v.Seen(member("a", 0, "n"), 2) }, StatusPresent},
-		{"an operator gave it up", func(v *View) { v.Silent("a/1", false, 2); v.Forget("a", 3) }, StatusEnded},
+		{"suspected", func(v *View) { v.MarkSuspected("a/1", 2, 10) }, StatusSuspected},
+		{"suspected, and the time has passed", func(v *View) { v.MarkSuspected("a/1", 2, 3); v.Tick(4) }, StatusPresent},
+		{"suspected, and it answered", func(v *View) { v.MarkSuspected("a/1", 2, 10); v.MarkResponded("a/1", 3) }, StatusPresent},
+		{"lost", func(v *View) { v.MarkUnreachable("a/1", false, 2) }, StatusUnreachable},
+		{"lost, and back", func(v *View) { v.MarkUnreachable("a/1", false, 2); v.MarkPresent(a, 3) }, StatusPresent},
+		{"a goodbye after its loss", func(v *View) { v.MarkUnreachable("a/1", false, 2); v.MarkUnreachable("a/1", true, 3) }, StatusLeft},
+		{"late news after its goodbye", func(v *View) {
+			v.MarkUnreachable("a/1", true, 2)
+			v.MarkPresent(a, 3)
+			v.MarkUnreachable("a/1", false, 4)
+		}, StatusLeft},
+		{"seen to have ended by one on its machine", func(v *View) { v.MarkEnded("a/1", "c/1", 2) }, StatusEnded},
+		{"by one elsewhere", func(v *View) { v.MarkEnded("a/1", "b/1", 2) }, StatusPresent},
+		{"by one that nobody knows", func(v *View) { v.MarkEnded("a/1", "d/1", 2) }, StatusPresent},
+		{"late news after its end", func(v *View) { v.MarkEnded("a/1", "c/1", 2); v.MarkPresent(a, 3) }, StatusEnded},
+		{"a later process has its name", func(v *View) { v.MarkPresent(member("a", 2, "n"), 2) }, StatusReplaced},
+		{"an earlier one has, and is there", func(v *View) { v.MarkPresent(member("a", 0, "n"), 2) }, StatusPresent},
+		{"an operator gave it up", func(v *View) { v.MarkUnreachable("a/1", false, 2); v.Forget("a", 3) }, StatusEnded},
 		{"an operator's word on one that is there", func(v *View) { v.Forget("a", 3) }, StatusPresent},
 	} {
 		v := NewView(here, time.Hour, 1)
 		for _, i := range []Info{a, other, near} {
-			v.Seen(i, 1)
+			v.MarkPresent(i, 1)
 		}
 		c.news(v)
 		if s, _ := v.Get("a/1"); s.Status != c.want {
@@ -53,11 +57,11 @@
 func TestViewOfParts(t *testing.T) {
 	v := NewView(member("m0", 1, ""), time.Hour, 1)
 	for i := 1; i < 9; i++ {
-		v.Seen(member(fmt.Sprint("m", i), 1, ""), 1)
+		v.MarkPresent(member(fmt.Sprint("m", i), 1, ""), 1)
 	}
 	whole := v.Digest()
 	for i := 4; i < 9; i++ {
-		v.Silent(fmt.Sprintf("m%d/1", i), false, time.Duration(10+i))
+		v.MarkUnreachable(fmt.Sprintf("m%d/1", i), false, time.Duration(10+i))
 		if side := v.Partition(); !side.Partitioned() || side.Since != 14 || side.Minority() != (i == 8) {
 			t.Fatalf("without %d of 9 the side is %+v, minority %v", i-3, side, side.Minority())
 		}
@@ -66,14 +70,14 @@
 		t.Error("the digest of four is that of nine")
 	}
 	for i := 4; i < 9; i++ {
-		v.Seen(member(fmt.Sprint("m", i), 1, ""), 100)
+		v.MarkPresent(member(fmt.Sprint("m", i), 1, ""), 100)
 		v.Tick(101)
 	}
 	for i := 1; i < 4; i++ {
 		if _, done := v.Tick(102); done {
 			t.Fatal("all was whole before anybody said so")
 		}
-		v.Said(fmt.Sprintf("m%d/1", i), whole, 102)
+		v.RecordDigest(fmt.Sprintf("m%d/1", i), whole, 102)
 	}
 	if rounds, done := v.Tick(103); !done || rounds != 9 || v.Partition().Partitioned() || v.Digest() != whole {
 		t.Errorf("afterwards: done %v in %d rounds, side %+v", done, rounds, v.Partition())
@@ -85,17 +89,17 @@
 	v := NewView(member("self", 1, ""), time.Hour, 1)
 	for i := range maxMembers + 300 {
 		m := member(fmt.Sprint("m", i), 1, "")
-		v.Seen(m, time.Duration(i+2))
+		v.MarkPresent(m, time.Duration(i+2))
 		if i >= 100 {
-			v.Silent(m.Key(), false, time.Duration(i+2))
+			v.MarkUnreachable(m.Key(), false, time.Duration(i+2))
 		}
 	}
-	if len(v.all) != maxMembers || v.Partition().Present != 101 {
-		t.Errorf("%d members are held, %d of them there; want %d and 101", len(v.all), v.Partition().Present, maxMembers)
+	if len(v.members) != maxMembers || v.Partition().Present != 101 {
+		t.Errorf("%d members are held, %d of them there; want %d and 101", len(v.members), v.Partition().Present, maxMembers)
 	}
 	v.Tick(3 * time.Hour)
-	if len(v.all) != 101 {
-		t.Errorf("%d are held when the lost ones are long past, want 101", len(v.all))
+	if len(v.members) != 101 {
+		t.Errorf("%d are held when the lost ones are long past, want 101", len(v.members))
 	}
 }
 
--- a/internal/sidecarmember/enlist.go
+++ b/internal/sidecarmember/enlist.go
@@ -16,9 +16,9 @@
 	"barleywick/internal/sidecar"
 )
 
-// againIn is between two tries to listen: the process before this one, whose place it
+// retryInterval is between two tries to listen: the process before this one, whose place it
 // takes, may have the address still.
-const againIn = time.Second
+const retryInterval = time.Second
 
 // New makes the member that a configuration describes. It begins with Run.
 func New(c *sidecar.Config) sidecar.FleetMember {
@@ -50,7 +50,7 @@
 		}
 		slog.Warn("members: this sidecar is none yet", "err", err)
 		select {
-		case <-time.After(againIn):
+		case <-time.After(retryInterval):
 		case <-ctx.Done():
 			return
 		}
