--- a/internal/testing/faultinjection/link.go
+++ b/internal/testing/faultinjection/link.go
@@ -35,12 +35,12 @@
 }
 
 const (
-	piece      = 16 << 10
-	backlog    = 64 // pieces under way in one direction of a connection
-	dialIn     = time.Second
-	maxPeers   = 256 // of a UDP link
-	datagram   = 64 << 10
-	maxPending = 1024 // datagrams under way
+	chunkSize           = 16 << 10
+	maxQueuedChunks     = 64 // pieces under way in one direction of a connection
+	dialTimeout         = time.Second
+	maxPeers            = 256 // of a UDP link
+	maxDatagramBytes    = 64 << 10
+	maxPendingDatagrams = 1024 // datagrams under way
 )
 
 // Link is a relay for what one process calls another by.
@@ -54,20 +54,20 @@
 	end   context.CancelFunc
 	tasks sync.WaitGroup
 
-	mu      sync.Mutex
-	rule    LinkRule
-	changed chan struct{}
-	conns   map[*relayed]bool
-	lose    int // answers to lose
-	rng     *rand.Rand
+	mu              sync.Mutex
+	rule            LinkRule
+	changed         chan struct{}
+	conns           map[*relayedConn]bool
+	responsesToDrop int // answers to lose
+	rng             *rand.Rand
 
 	Connections, Dropped, Bytes atomic.Int64
 }
 
-// relayed is one connection over a link.
-type relayed struct{ from, to net.Conn }
+// relayedConn is one connection over a link.
+type relayedConn struct{ from, to net.Conn }
 
-func (r *relayed) reset() {
+func (r *relayedConn) reset() {
 	for _, c := range []net.Conn{r.from, r.to} {
 		if t, ok := c.(*net.TCPConn); ok {
 			t.SetLinger(0)
@@ -87,7 +87,7 @@
 func NewNetwork(seed uint64) *Network { return &Network{links: make(map[string]*Link), seed: seed} }
 
 func (n *Network) add(name, target string) *Link {
-	l := &Link{Name: name, target: target, changed: make(chan struct{}), conns: make(map[*relayed]bool)}
+	l := &Link{Name: name, target: target, changed: make(chan struct{}), conns: make(map[*relayedConn]bool)}
 	l.ctx, l.end = context.WithCancel(context.Background())
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -116,7 +116,7 @@
 	}
 	l := n.add(name, target)
 	l.pc = pc
-	l.tasks.Go(l.datagrams)
+	l.tasks.Go(l.relayDatagrams)
 	return l, nil
 }
 
@@ -137,7 +137,7 @@
 		tcp, udp = n.add(name, target), n.add(name+"-udp", target)
 		tcp.ln, udp.pc = ln, pc
 		tcp.tasks.Go(tcp.accept)
-		udp.tasks.Go(udp.datagrams)
+		udp.tasks.Go(udp.relayDatagrams)
 		return tcp, udp, nil
 	}
 	return nil, nil, fmt.Errorf("link %s: %w", name, err)
@@ -184,9 +184,9 @@
 	l.rule = r
 	close(l.changed)
 	l.changed = make(chan struct{})
-	var over []*relayed
+	var over []*relayedConn
 	if r.RefuseConnections {
-		over = l.open()
+		over = l.openConns()
 	}
 	l.mu.Unlock()
 	for _, c := range over {
@@ -194,8 +194,8 @@
 	}
 }
 
-// open are the connections. The lock is held.
-func (l *Link) open() (all []*relayed) {
+// openConns are the connections. The lock is held.
+func (l *Link) openConns() (all []*relayedConn) {
 	for c := range l.conns {
 		all = append(all, c)
 	}
@@ -205,7 +205,7 @@
 // Reset resets the connections that there are.
 func (l *Link) Reset() {
 	l.mu.Lock()
-	all := l.open()
+	all := l.openConns()
 	l.mu.Unlock()
 	for _, c := range all {
 		c.reset()
@@ -230,7 +230,7 @@
 func (l *Link) DropResponses(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lose = n
+	l.responsesToDrop = n
 }
 
 // Close ends the link and its connections.
@@ -245,7 +245,7 @@
 	l.tasks.Wait()
 }
 
-func (l *Link) now() (LinkRule, <-chan struct{}) {
+func (l *Link) currentRule() (LinkRule, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rule, l.changed
@@ -261,8 +261,8 @@
 			continue
 		}
 		l.Connections.Add(1)
-		if r, _ := l.now(); r.RefuseConnections {
-			(&relayed{c, c}).reset()
+		if r, _ := l.currentRule(); r.RefuseConnections {
+			(&relayedConn{c, c}).reset()
 			continue
 		}
 		l.tasks.Go(func() { l.relay(c) })
@@ -272,15 +272,15 @@
 // relay carries one connection. It is opened onwards when the way there lets it.
 func (l *Link) relay(from net.Conn) {
 	defer from.Close()
-	if !l.pass(false) {
+	if !l.waitUnblocked(false) {
 		return
 	}
-	to, err := (&net.Dialer{Timeout: dialIn}).DialContext(l.ctx, "tcp", l.target)
+	to, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(l.ctx, "tcp", l.target)
 	if err != nil {
-		(&relayed{from, from}).reset()
+		(&relayedConn{from, from}).reset()
 		return
 	}
-	c := &relayed{from, to}
+	c := &relayedConn{from, to}
 	l.mu.Lock()
 	l.conns[c] = true
 	l.mu.Unlock()
@@ -294,15 +294,15 @@
 		return
 	}
 	var ways sync.WaitGroup
-	ways.Go(func() { l.carry(c, from, to, false) })
-	ways.Go(func() { l.carry(c, to, from, true) })
+	ways.Go(func() { l.copyDirection(c, from, to, false) })
+	ways.Go(func() { l.copyDirection(c, to, from, true) })
 	ways.Wait()
 }
 
-// pass waits until a direction is not cut; it is false when the link has ended.
-func (l *Link) pass(back bool) bool {
+// waitUnblocked waits until a direction is not cut; it is false when the link has ended.
+func (l *Link) waitUnblocked(back bool) bool {
 	for {
-		r, changed := l.now()
+		r, changed := l.currentRule()
 		way := r.ToTarget
 		if back {
 			way = r.FromTarget
@@ -318,8 +318,8 @@
 	}
 }
 
-// draw is how long a piece of so many bytes takes now.
-func (l *Link) draw(back bool, bytes int) (late, takes time.Duration, way Impairment) {
+// drawTiming is how long a piece of so many bytes takes now.
+func (l *Link) drawTiming(back bool, bytes int) (late, takes time.Duration, way Impairment) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	way = l.rule.ToTarget
@@ -336,24 +336,24 @@
 	return late, takes, way
 }
 
-type due struct {
+type delayedChunk struct {
 	text []byte
 	at   time.Time
 }
 
-// carry takes one direction of a connection from a to b until its end.
-func (l *Link) carry(c *relayed, a, b net.Conn, back bool) {
-	queue := make(chan due, backlog)
+// copyDirection takes one direction of a connection from a to b until its end.
+func (l *Link) copyDirection(c *relayedConn, a, b net.Conn, back bool) {
+	queue := make(chan delayedChunk, maxQueuedChunks)
 	var reader sync.WaitGroup
 	reader.Go(func() {
 		defer close(queue)
 		for {
-			text := make([]byte, piece)
+			text := make([]byte, chunkSize)
 			n, err := a.Read(text)
 			if n > 0 {
-				late, _, _ := l.draw(back, n)
+				late, _, _ := l.drawTiming(back, n)
 				select {
-				case queue <- due{text[:n], time.Now().Add(late)}:
+				case queue <- delayedChunk{text[:n], time.Now().Add(late)}:
 				case <-l.ctx.Done():
 					return
 				}
@@ -368,21 +368,21 @@
 	})
 	defer reader.Wait()
 	for d := range queue {
-		if !l.pass(back) {
+		if !l.waitUnblocked(back) {
 			c.reset()
 			break
 		}
-		if back && l.loses() {
+		if back && l.takeDroppedResponse() {
 			c.reset()
 			break
 		}
-		_, takes, _ := l.draw(back, len(d.text))
+		_, takes, _ := l.drawTiming(back, len(d.text))
 		select {
 		case <-time.After(time.Until(d.at) + takes):
 		case <-l.ctx.Done():
 			c.reset()
 		}
-		if !l.pass(back) { // cut while it was on its way
+		if !l.waitUnblocked(back) { // cut while it was on its way
 			c.reset()
 			break
 		}
@@ -399,25 +399,25 @@
 	}
 }
 
-func (l *Link) loses() bool {
+func (l *Link) takeDroppedResponse() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.lose == 0 {
+	if l.responsesToDrop == 0 {
 		return false
 	}
-	l.lose--
+	l.responsesToDrop--
 	l.Dropped.Add(1)
 	return true
 }
 
-// datagrams relays them, each sender over a socket of its own.
-func (l *Link) datagrams() {
+// relayDatagrams relays them, each sender over a socket of its own.
+func (l *Link) relayDatagrams() {
 	to, err := net.ResolveUDPAddr("udp", l.target)
 	if err != nil {
 		return
 	}
 	peers := make(map[string]*net.UDPConn)
-	pending := make(chan struct{}, maxPending)
+	pending := make(chan struct{}, maxPendingDatagrams)
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	defer func() {
@@ -425,7 +425,7 @@
 			p.Close()
 		}
 	}()
-	text := make([]byte, datagram)
+	text := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := l.pc.ReadFrom(text)
 		if err != nil {
@@ -442,28 +442,28 @@
 			peers[from.String()] = p
 			l.Connections.Add(1)
 			wait.Go(func() {
-				answer := make([]byte, datagram)
+				answer := make([]byte, maxDatagramBytes)
 				for {
 					n, err := p.Read(answer)
 					if errors.Is(err, net.ErrClosed) {
 						return
 					} else if err == nil {
-						l.throw(pending, &wait, true, answer[:n], func(b []byte) { l.pc.WriteTo(b, from) })
+						l.forwardDatagram(pending, &wait, true, answer[:n], func(b []byte) { l.pc.WriteTo(b, from) })
 					}
 				}
 			})
 		}
-		l.throw(pending, &wait, false, text[:n], func(b []byte) { p.Write(b) })
+		l.forwardDatagram(pending, &wait, false, text[:n], func(b []byte) { p.Write(b) })
 	}
 }
 
-// throw passes a datagram on as the rule says. A cut loses it.
-func (l *Link) throw(pending chan struct{}, wait *sync.WaitGroup, back bool, text []byte, write func([]byte)) {
-	late, takes, way := l.draw(back, len(text))
+// forwardDatagram passes a datagram on as the rule says. A cut loses it.
+func (l *Link) forwardDatagram(pending chan struct{}, wait *sync.WaitGroup, back bool, text []byte, write func([]byte)) {
+	late, takes, way := l.drawTiming(back, len(text))
 	l.mu.Lock()
 	lost, twice, over := l.rng.Float64() < way.LossRate, l.rng.Float64() < way.DuplicateRate, l.rng.Float64() < way.ReorderRate
-	if back && l.lose > 0 {
-		l.lose--
+	if back && l.responsesToDrop > 0 {
+		l.responsesToDrop--
 		lost = true
 	}
 	l.mu.Unlock()
--- a/internal/testing/faultinjection/process.go
+++ b/internal/testing/faultinjection/process.go
@@ -111,10 +111,10 @@
 	return p.cmd.Process.Signal(s)
 }
 
-// fill has its writes to files fail from now on, beyond their first byte, or lets them
+// setDiskFull has its writes to files fail from now on, beyond their first byte, or lets them
 // through again: a full disk, as far as one process can tell. The process has to pass
 // over SIGXFSZ, as one on a disk that is really full never gets it.
-func (p *Process) fill(full bool) error {
+func (p *Process) setDiskFull(full bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
--- a/internal/testing/faultinjection/schedule.go
+++ b/internal/testing/faultinjection/schedule.go
@@ -135,16 +135,16 @@
 	Injected map[FaultKind]int // faults that came to be
 }
 
-func ends(link string) (from, to string) {
+func linkEnds(link string) (from, to string) {
 	link, _, _ = strings.Cut(link, ":")
 	from, to, _ = strings.Cut(link, ">")
 	return from, to
 }
 
-// set puts rules in force on the links from and to a process.
-func (r *Injector) set(of string, from, to func(l *Link)) {
+// eachLink puts rules in force on the links from and to a process.
+func (r *Injector) eachLink(of string, from, to func(l *Link)) {
 	for _, l := range r.Network.FindLinks(func(string) bool { return true }) {
-		switch a, b := ends(l.Name); of {
+		switch a, b := linkEnds(l.Name); of {
 		case a:
 			from(l)
 		case b:
@@ -153,59 +153,59 @@
 	}
 }
 
-func rule(x LinkRule) func(l *Link) { return func(l *Link) { l.SetRule(x) } }
+func setRule(x LinkRule) func(l *Link) { return func(l *Link) { l.SetRule(x) } }
 
 const (
-	// lateBy is how late a late process's words come: longer than an election, and under
+	// faultDelay is how late a late process's words come: longer than an election, and under
 	// the time that a call has.
-	lateBy = 700 * time.Millisecond
-	// fadeBy is how late answers come before a cut: late enough to matter to a lease of
+	faultDelay = 700 * time.Millisecond
+	// fadeDelay is how late answers come before a cut: late enough to matter to a lease of
 	// a second, and not so late that its holder gives up on them.
-	fadeBy = 440 * time.Millisecond
+	fadeDelay = 440 * time.Millisecond
 )
 
-// lostAnswers is how many answers on each link are lost by one fault.
-const lostAnswers = 3
+// droppedResponses is how many answers on each link are lost by one fault.
+const droppedResponses = 3
 
 // Inject begins a fault, and returns what ends it.
 func (r *Injector) Inject(f Fault) (end func() error, err error) {
 	nothing := func() error { return nil }
-	cut, late := Impairment{Blocked: true}, Impairment{Delay: lateBy / 2, Jitter: lateBy / 2}
+	cut, late := Impairment{Blocked: true}, Impairment{Delay: faultDelay / 2, Jitter: faultDelay / 2}
 	heal := func() error {
-		r.set(f.Target, rule(LinkRule{}), rule(LinkRule{}))
+		r.eachLink(f.Target, setRule(LinkRule{}), setRule(LinkRule{}))
 		return nil
 	}
 	p := r.Processes[f.Target]
 	end = heal
 	switch f.Kind {
 	case Partition:
-		r.set(f.Target, rule(LinkRule{ToTarget: cut, FromTarget: cut}), rule(LinkRule{ToTarget: cut, FromTarget: cut}))
+		r.eachLink(f.Target, setRule(LinkRule{ToTarget: cut, FromTarget: cut}), setRule(LinkRule{ToTarget: cut, FromTarget: cut}))
 	case BlockInbound:
-		r.set(f.Target, rule(LinkRule{FromTarget: cut}), rule(LinkRule{ToTarget: cut}))
+		r.eachLink(f.Target, setRule(LinkRule{FromTarget: cut}), setRule(LinkRule{ToTarget: cut}))
 	case BlockOutbound:
-		r.set(f.Target, rule(LinkRule{ToTarget: cut}), rule(LinkRule{FromTarget: cut}))
+		r.eachLink(f.Target, setRule(LinkRule{ToTarget: cut}), setRule(LinkRule{FromTarget: cut}))
 	case Delay:
-		r.set(f.Target, rule(LinkRule{ToTarget: late, FromTarget: late}), rule(LinkRule{ToTarget: late, FromTarget: late}))
+		r.eachLink(f.Target, setRule(LinkRule{ToTarget: late, FromTarget: late}), setRule(LinkRule{ToTarget: late, FromTarget: late}))
 	case DelayThenPartition:
-		slow := Impairment{Delay: fadeBy}
-		r.set(f.Target, rule(LinkRule{FromTarget: slow}), rule(LinkRule{}))
+		slow := Impairment{Delay: fadeDelay}
+		r.eachLink(f.Target, setRule(LinkRule{FromTarget: slow}), setRule(LinkRule{}))
 		timer := time.AfterFunc(f.Duration/2, func() {
-			r.set(f.Target, rule(LinkRule{ToTarget: cut, FromTarget: cut}), rule(LinkRule{ToTarget: cut, FromTarget: cut}))
+			r.eachLink(f.Target, setRule(LinkRule{ToTarget: cut, FromTarget: cut}), setRule(LinkRule{ToTarget: cut, FromTarget: cut}))
 		})
 		end = func() error {
 			timer.Stop()
 			return heal()
 		}
 	case RefuseConnections:
-		r.set(f.Target, rule(LinkRule{RefuseConnections: true}), rule(LinkRule{RefuseConnections: true}))
+		r.eachLink(f.Target, setRule(LinkRule{RefuseConnections: true}), setRule(LinkRule{RefuseConnections: true}))
 	case ResetConnections:
-		r.set(f.Target, (*Link).Reset, (*Link).Reset)
+		r.eachLink(f.Target, (*Link).Reset, (*Link).Reset)
 		end = nothing
 	case HalfOpen:
-		r.set(f.Target, (*Link).HalfOpen, (*Link).HalfOpen)
+		r.eachLink(f.Target, (*Link).HalfOpen, (*Link).HalfOpen)
 		end = nothing
 	case DropResponses:
-		r.set(f.Target, func(l *Link) { l.DropResponses(lostAnswers) }, func(*Link) {})
+		r.eachLink(f.Target, func(l *Link) { l.DropResponses(droppedResponses) }, func(*Link) {})
 		end = nothing
 	case Pause:
 		if p == nil {
@@ -224,8 +224,8 @@
 		if p == nil {
 			return nil, fmt.Errorf("no process %s", f.Target)
 		}
-		err = p.fill(true)
-		end = func() error { return p.fill(false) }
+		err = p.setDiskFull(true)
+		end = func() error { return p.setDiskFull(false) }
 	case Crash:
 		if p == nil {
 			return nil, fmt.Errorf("no process %s", f.Target)
--- a/internal/testing/linearizability/history.go
+++ b/internal/testing/linearizability/history.go
@@ -15,8 +15,8 @@
 	Completed          bool // it was answered, and well
 }
 
-// never is later than any call of a history.
-const never = 24 * time.Hour
+// pendingReturn is later than any call of a history.
+const pendingReturn = 24 * time.Hour
 
 // GroupByKey are the histories of the records. A read that was not answered says nothing; a
 // write that nobody knows the end of counts if somebody has read it, and may have come at
@@ -35,7 +35,7 @@
 			if c.Written == "" || !read[[2]string{c.Key, c.Written}] {
 				continue
 			}
-			o.Return = int64(never)
+			o.Return = int64(pendingReturn)
 		}
 		all[c.Key] = append(all[c.Key], o)
 	}
