--- a/internal/membership/gossip/ends.go
+++ b/internal/membership/gossip/processwatcher.go
@@ -129,3 +129,16 @@
 	close(e.stop)
 	e.tasks.Wait()
 }
+
+// processEnded is told that a process of this machine has processEnded.
+func (n *Node) processEnded(key string) {
+	now := n.now()
+	n.mu.Lock()
+	news := n.view.MarkEnded(key, n.self.Key(), now)
+	n.mu.Unlock()
+	if news {
+		n.log.Info("members: a process of this machine has ended", "member", key)
+		n.broadcast(message{Kind: messageEnded, Key: key, Witness: n.self.Key()})
+		n.notifyChanged()
+	}
+}
--- a/internal/membership/info.go
+++ b/internal/membership/info.go
@@ -8,15 +8,12 @@
 import (
 	"encoding/json"
 	"fmt"
-	"hash/fnv"
 	"net/netip"
-	"os"
 	"strconv"
 	"strings"
 	"unicode"
 
 	"barleywick/internal/registry"
-	"barleywick/internal/rollout"
 )
 
 // Role is what a process does.
@@ -115,21 +112,3 @@
 	}
 	return i, i.Check()
 }
-
-// CurrentProcess is the machine and process that this is, for members that share its processes:
-// its kernel's boot and its space of process ids. Empty where that cannot be read.
-func CurrentProcess() (machine string, pid int, started uint64) {
-	boot, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
-	if err != nil {
-		return "", 0, 0
-	}
-	space, err := os.Readlink("/proc/self/ns/pid")
-	if err != nil {
-		return "", 0, 0
-	}
-	h := fnv.New64a()
-	h.Write(boot)
-	h.Write([]byte(space))
-	pid = os.Getpid()
-	return strconv.FormatUint(h.Sum64(), 36), pid, rollout.ProcessStartTicks(pid)
-}
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -8,29 +8,8 @@
 	"time"
 
 	"github.com/cespare/xxhash/v2"
-
-	"barleywick/internal/mutation"
 )
 
-// Status is how a member stands in somebody's view.
-type Status string
-
-// The statuses.
-const (
-	StatusPresent     Status = "present"
-	StatusSuspected   Status = "suspected" // it has not answered lately; it may yet
-	StatusUnreachable Status = "lost"      // silence: it ended, or is stopped, or cut off
-	StatusLeft        Status = "left"      // it said goodbye
-	StatusEnded       Status = "gone"      // its process was seen to have ended, on its own machine
-	StatusReplaced    Status = "replaced"  // a later process has its name
-)
-
-// CountsAsPresent says whether a member with this status counts as there.
-func (s Status) CountsAsPresent() bool { return s == StatusPresent || s == StatusSuspected }
-
-// final says whether the status is for good: that process does not come back.
-func (s Status) final() bool { return s == StatusLeft || s == StatusEnded || s == StatusReplaced }
-
 const (
 	// maxMembers bounds a view, with those that are there no more.
 	maxMembers = 4096
@@ -43,15 +22,6 @@
 	DigestFanout = 3
 )
 
-// Member is one member in a view.
-type Member struct {
-	Info
-	Status         Status
-	StatusSince    time.Duration // on the view's clock
-	By             string        // of Gone: who saw it; of Replaced: by which key
-	suspectedUntil time.Duration // of Suspected: when that passes
-}
-
 // View is what one process knows of the others, and of how much of the fleet it sees: a
 // state machine without a clock, told the time as a reading that never goes back. It is
 // not safe for concurrent use.
@@ -71,24 +41,6 @@
 	at     time.Duration
 }
 
-// PartitionState is the part of the fleet that this process sees, where it does not see all.
-type PartitionState struct {
-	Present       int           // members here, this one among them
-	Unreachable   int           // members that fell silent and said no goodbye
-	Since         time.Duration // when the first of these was lost
-	HealingSince  time.Duration // when the first of them came back; 0: none has
-	HealingRounds int           // looks since then
-}
-
-// Partitioned says whether somebody is missing.
-func (s PartitionState) Partitioned() bool { return s.Unreachable > 0 && !mutation.SilentPartition }
-
-// Minority says that more than half of the fleet was lost: whatever rests on numbers is
-// not to be relied on here.
-func (s PartitionState) Minority() bool {
-	return s.Partitioned() && 2*s.Unreachable > s.Unreachable+s.Present
-}
-
 // NewView makes a view that holds this process alone.
 func NewView(self Info, forget, now time.Duration) *View {
 	v := &View{selfKey: self.Key(), forgetAfter: forget, members: make(map[string]*Member), digests: make(map[string]peerDigest)}
