--- a/cmd/fleetctl/members.go
+++ b/cmd/fleetctl/members.go
@@ -84,7 +84,7 @@
 	defer cancel()
 	if at != "" {
 		for _, role := range []membership.Role{membership.RoleController, membership.RoleRegistry, membership.RoleSidecar} {
-			if v, err = membership.FetchView(ctx, http.DefaultClient, fleetURL(role, at), ""); err == nil {
+			if v, err = membership.FetchView(ctx, http.DefaultClient, fleetURL(role, at)); err == nil {
 				return v, nil
 			}
 		}
@@ -95,7 +95,7 @@
 		return v, err
 	}
 	for _, replica := range c.Registry {
-		if v, err = membership.FetchView(ctx, http.DefaultClient, fleetURL(membership.RoleRegistry, replica), ""); err == nil {
+		if v, err = membership.FetchView(ctx, http.DefaultClient, fleetURL(membership.RoleRegistry, replica)); err == nil {
 			return v, nil
 		}
 	}
@@ -122,7 +122,7 @@
 		go func() { // ends with the context at the latest; the channel has room for its result
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			v, err := membership.FetchView(ctx, http.DefaultClient, fleetURL(m.Role, m.HTTPAddr), "")
+			v, err := membership.FetchView(ctx, http.DefaultClient, fleetURL(m.Role, m.HTTPAddr))
 			results <- result{v, err, m.Name}
 		}()
 	}
@@ -217,7 +217,7 @@
 		if m.HTTPAddr == "" || m.Status != membership.StatusPresent && m.Status != membership.StatusSuspected {
 			continue
 		}
-		if _, err := membership.FetchView(ctx, http.DefaultClient, fleetURL(m.Role, m.HTTPAddr), name); err == nil {
+		if err := membership.ForgetMember(ctx, http.DefaultClient, fleetURL(m.Role, m.HTTPAddr), name); err == nil {
 			notified++
 		}
 	}
--- a/internal/drain/livefleet.go
+++ b/internal/drain/livefleet.go
@@ -61,7 +61,7 @@
 	defer cancel()
 	for _, url := range f.MembershipURLs {
 		var view membership.ViewResponse
-		if view, err = membership.FetchView(ctx, http.DefaultClient, url, ""); err != nil {
+		if view, err = membership.FetchView(ctx, http.DefaultClient, url); err != nil {
 			continue
 		}
 		for _, m := range view.Members {
--- a/internal/membership/client.go
+++ b/internal/membership/client.go
@@ -6,51 +6,67 @@
 	"fmt"
 	"io"
 	"net/http"
+	"net/url"
 )
 
-// FetchView asks a member for its view, at a URL; what is to be forgotten may be empty.
-func FetchView(ctx context.Context, c *http.Client, url, forget string) (a ViewResponse, err error) {
-	method := http.MethodGet
-	if forget != "" {
-		method, url = http.MethodPost, url+"?forget="+forget
-	}
-	req, err := http.NewRequestWithContext(ctx, method, url, nil)
+// FetchView returns the view that a member serves at a URL.
+func FetchView(ctx context.Context, client *http.Client, viewURL string) (ViewResponse, error) {
+	return call(ctx, client, http.MethodGet, viewURL)
+}
+
+// ForgetMember has the member that serves its view at a URL take an unreachable member for
+// one that never comes back.
+func ForgetMember(ctx context.Context, client *http.Client, viewURL, name string) error {
+	_, err := call(ctx, client, http.MethodPost, viewURL+"?forget="+url.QueryEscape(name))
+	return err
+}
+
+func call(ctx context.Context, client *http.Client, method, viewURL string) (view ViewResponse, err error) {
+	req, err := http.NewRequestWithContext(ctx, method, viewURL, nil)
 	if err != nil {
-		return a, err
+		return view, err
 	}
-	resp, err := c.Do(req)
+	resp, err := client.Do(req)
 	if err != nil {
-		return a, err
+		return view, err
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
-	switch {
-	case err != nil:
-		return a, err
-	case resp.StatusCode != http.StatusOK:
-		return a, fmt.Errorf("%s answers %d: %.200s", url, resp.StatusCode, text)
+	if err != nil {
+		return view, err
 	}
-	if err := json.Unmarshal(text, &a); err != nil {
-		return a, fmt.Errorf("%s: %w", url, err)
+	if resp.StatusCode != http.StatusOK {
+		return view, fmt.Errorf("%s answers %d: %.200s", viewURL, resp.StatusCode, text)
 	}
-	return a, nil
+	if err := json.Unmarshal(text, &view); err != nil {
+		return view, fmt.Errorf("%s: %w", viewURL, err)
+	}
+	return view, nil
 }
 
-// SeedsFromViews finds where members listen by asking some for their views, the first that answers.
-func SeedsFromViews(c *http.Client, urls []string) func(ctx context.Context) ([]string, error) {
-	return func(ctx context.Context) (addrs []string, err error) {
-		for _, url := range urls {
-			var a ViewResponse
-			if a, err = FetchView(ctx, c, url, ""); err != nil {
+// SeedsFromViews returns a function that finds where members listen: in the view of the
+// first member that answers at one of the URLs.
+func SeedsFromViews(client *http.Client, urls []string) func(ctx context.Context) ([]string, error) {
+	return func(ctx context.Context) ([]string, error) {
+		var lastErr error
+		for _, viewURL := range urls {
+			view, err := FetchView(ctx, client, viewURL)
+			if err != nil {
+				lastErr = err
 				continue
 			}
-			for _, m := range a.Members {
-				if m.GossipAddr != "" && m.Status.CountsAsPresent() {
-					addrs = append(addrs, m.GossipAddr)
-				}
-			}
-			return addrs[:min(len(addrs), MaxSeeds)], nil
+			return view.seeds(), nil
+		}
+		return nil, lastErr
+	}
+}
+
+// seeds returns where the view's present members listen, MaxSeeds at most.
+func (v ViewResponse) seeds() (addresses []string) {
+	for _, member := range v.Members {
+		if member.GossipAddr != "" && member.Status.CountsAsPresent() {
+			addresses = append(addresses, member.GossipAddr)
 		}
-		return nil, err
 	}
+	return addresses[:min(len(addresses), MaxSeeds)]
 }
--- a/internal/membership/diff.go
+++ b/internal/membership/diff.go
@@ -5,48 +5,45 @@
 	"slices"
 )
 
-// Difference is a member of which views differ.
+// Difference is a member on whose presence views differ.
 type Difference struct {
 	Name         string            `json:"name"`
 	Incarnation  uint64            `json:"incarnation"`
-	StatusByView map[string]Status `json:"status"` // by whose view it is
+	StatusByView map[string]Status `json:"status"` // by the name of the member whose view it is
 }
 
-// StatusUnknown is a member that a view does not hold.
-const StatusUnknown Status = "unknown"
-
-// Diff compares views: who is there for one and not for another.
-func Diff(views []ViewResponse) (all []Difference) {
-	type id struct {
+// Diff compares views: it returns the members that count as present in some and not in others.
+func Diff(views []ViewResponse) (differences []Difference) {
+	type memberID struct {
 		name        string
 		incarnation uint64
 	}
-	status := make(map[id]map[string]Status)
-	for _, v := range views {
-		for _, m := range v.Members {
-			k := id{m.Name, m.Incarnation}
-			if status[k] == nil {
-				status[k] = make(map[string]Status)
+	statuses := make(map[memberID]map[string]Status)
+	for _, view := range views {
+		for _, member := range view.Members {
+			id := memberID{member.Name, member.Incarnation}
+			if statuses[id] == nil {
+				statuses[id] = make(map[string]Status)
 			}
-			status[k][v.Name] = m.Status
+			statuses[id][view.Name] = member.Status
 		}
 	}
-	for k, by := range status {
-		here := 0
-		for _, v := range views {
-			if _, ok := by[v.Name]; !ok {
-				by[v.Name] = StatusUnknown
+	for id, byView := range statuses {
+		present := 0
+		for _, view := range views {
+			if _, ok := byView[view.Name]; !ok {
+				byView[view.Name] = StatusUnknown
 			}
-			if by[v.Name].CountsAsPresent() {
-				here++
+			if byView[view.Name].CountsAsPresent() {
+				present++
 			}
 		}
-		if here != 0 && here != len(by) {
-			all = append(all, Difference{k.name, k.incarnation, by})
+		if present != 0 && present != len(byView) {
+			differences = append(differences, Difference{id.name, id.incarnation, byView})
 		}
 	}
-	slices.SortFunc(all, func(a, b Difference) int {
+	slices.SortFunc(differences, func(a, b Difference) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
-	return all
+	return differences
 }
--- a/internal/membership/gossip/changes.go
+++ b/internal/membership/gossip/changes.go
@@ -2,14 +2,18 @@
 
 import "context"
 
-func (n *Node) notifyChanged() {
+// notifyChanged signals that the view has changed. It never blocks.
+func (n *Node) notifyChanged() { signal(n.changed) }
+
+// signal has a channel with one place hold a signal.
+func signal(c chan<- struct{}) {
 	select {
-	case n.changed <- struct{}{}:
+	case c <- struct{}{}:
 	default:
 	}
 }
 
-// deliverChanges calls Changed, at most once at a time.
+// deliverChanges calls Options.OnChange after changes of the view, until ctx ends.
 func (n *Node) deliverChanges(ctx context.Context) {
 	for {
 		select {
--- a/internal/membership/gossip/compatibility_test.go
+++ b/internal/membership/gossip/compatibility_test.go
@@ -70,13 +70,13 @@
 func breakMembers(n *Node) {
 	time.Sleep(2500 * time.Millisecond)
 	n.view.MarkSuspected("s2/12", n.now(), n.now()+8*time.Second)
-	n.view.MarkUnreachable("s3/13", false, n.now())
-	n.view.MarkUnreachable("s4/14", true, n.now())
+	n.view.MarkUnreachable("s3/13", n.now())
+	n.view.MarkLeft("s4/14", n.now())
 	n.view.MarkEnded("s5/15", k1.Key(), n.now())
 	n.view.MarkPresent(sidecarInfo("s6", 26), n.now())
 	n.view.RecordDigest("s1/11", n.view.Digest(), n.now())
 	n.view.RecordDigest("s6/26", 1, n.now())
-	n.healRounds.Store(3)
+	n.counters.healRounds.Store(3)
 	time.Sleep(750 * time.Millisecond)
 }
 
@@ -95,8 +95,8 @@
 		holds func(n *Node) bool
 	}{
 		{"message_bye.json", message{Kind: messageLeave, Key: "s1/11"}, status(membership.StatusLeft)},
-		{"message_gone.json", message{Kind: messageEnded, Key: "s1/11", Witness: "k1/1796175124000001"}, status(membership.StatusEnded)},
-		{"message_suspect.json", message{Kind: messageSuspect, Key: "s1/11", Witness: "k1/1796175124000001"}, status(membership.StatusSuspected)},
+		{"message_gone.json", message{Kind: messageEnded, Key: "s1/11", Observer: "k1/1796175124000001"}, status(membership.StatusEnded)},
+		{"message_suspect.json", message{Kind: messageSuspect, Key: "s1/11", Observer: "k1/1796175124000001"}, status(membership.StatusSuspected)},
 		{"message_host.json", message{Kind: messageUnresponsive, Key: "s1/11", Endpoint: "booking-7"}, func(n *Node) bool {
 			endpoints := n.UnresponsiveEndpoints()
 			return len(endpoints) == 1 && endpoints[0] == "booking-7"
@@ -161,7 +161,7 @@
 func TestViewOfEarlierVersion(t *testing.T) {
 	served := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(fixture(t, "view.json")) }))
 	defer served.Close()
-	got, err := membership.FetchView(t.Context(), served.Client(), served.URL, "")
+	got, err := membership.FetchView(t.Context(), served.Client(), served.URL)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -191,7 +191,7 @@
 	}
 	n := newOfflineNode(folder)
 	cached, err := n.loadCache()
-	if err != nil || cached.Incarnation != k1.Incarnation || len(cached.Members) != 1 || cached.Members[0] != "127.0.0.1:9611" {
+	if err != nil || cached.Incarnation != k1.Incarnation || len(cached.Addresses) != 1 || cached.Addresses[0] != "127.0.0.1:9611" {
 		t.Errorf("read as %+v: %v", cached, err)
 	}
 	n.options.Config.StateDir = t.TempDir()
--- a/internal/membership/gossip/delegate.go
+++ b/internal/membership/gossip/delegate.go
@@ -1,171 +1,191 @@
 package gossip
 
 import (
-	"barleywick/internal/membership"
 	"encoding/json"
 	"fmt"
 	"net"
+	"strconv"
 	"time"
 
 	"github.com/hashicorp/memberlist"
+
+	"barleywick/internal/membership"
 )
 
-// delegate is what memberlist calls. It holds memberlist's locks meanwhile, so nothing
-// here calls back.
+// delegate receives memberlist's callbacks. memberlist holds locks meanwhile, so no method
+// may call memberlist.
 type delegate struct{ n *Node }
 
+// NodeMeta returns the metadata that this process announces.
 func (d *delegate) NodeMeta(int) []byte {
 	text, err := d.n.Self().Encode()
 	if err != nil {
-		return nil // it was checked before
+		d.n.log.Error("members: metadata not encoded", "err", err) // Start and Update have validated it
+		return nil
 	}
 	return text
 }
 
-// NotifyAlive refuses what is no member of ours.
+// NotifyAlive rejects a node whose metadata is not a member's, or of another name.
 func (d *delegate) NotifyAlive(peer *memberlist.Node) error {
-	i, err := membership.DecodeInfo(peer.Meta)
-	if err == nil && i.Key() != peer.Name {
-		err = fmt.Errorf("it is named %.80q and says %.80q", peer.Name, i.Key())
+	info, err := membership.DecodeInfo(peer.Meta)
+	if err == nil && info.Key() != peer.Name {
+		err = fmt.Errorf("it is named %.80q and says %.80q", peer.Name, info.Key())
 	}
 	if err != nil {
-		d.n.malformed.Add(1)
+		d.n.counters.malformed.Add(1)
 	}
 	return err
 }
 
+// NotifyJoin records a member that is present.
 func (d *delegate) NotifyJoin(peer *memberlist.Node) {
-	n := d.n
-	i, err := membership.DecodeInfo(peer.Meta)
+	info, err := membership.DecodeInfo(peer.Meta)
 	if err != nil {
-		return // NotifyAlive has refused it
+		return // NotifyAlive has rejected it
 	}
+	d.n.memberPresent(info, net.JoinHostPort(peer.Addr.String(), strconv.Itoa(int(peer.Port))))
+}
+
+// NotifyUpdate records a member's new metadata.
+func (d *delegate) NotifyUpdate(peer *memberlist.Node) { d.NotifyJoin(peer) }
+
+// memberPresent records that a member is present, and where it listens.
+func (n *Node) memberPresent(info membership.Info, address string) {
 	n.mu.Lock()
-	news := n.view.MarkPresent(i, n.now())
-	if _, ok := n.view.Get(i.Key()); ok {
-		n.addrs[i.Key()] = net.JoinHostPort(peer.Addr.String(), fmt.Sprint(peer.Port))
+	changed := n.view.MarkPresent(info, n.now())
+	if _, ok := n.view.Get(info.Key()); ok {
+		n.addrs[info.Key()] = address
 	}
-	own := n.self
-	s, _ := n.view.Get(own.Key())
-	for key := range n.addrs { // as bounded as the view
+	for key := range n.addrs { // keeps the addresses as bounded as the view
 		if _, ok := n.view.Get(key); !ok {
 			delete(n.addrs, key)
 		}
 	}
+	own := n.self
+	self, _ := n.view.Get(own.Key())
 	n.mu.Unlock()
-	if s.Status == membership.StatusReplaced {
-		select {
-		case n.replaced <- struct{}{}:
-		default:
-		}
+	if self.Status == membership.StatusReplaced {
+		signal(n.replaced)
 	}
-	if n.processes != nil && i.MachineID == own.MachineID && i.MachineID != "" && i.Key() != own.Key() {
-		n.processes.add(i)
+	if n.processes != nil && info.MachineID == own.MachineID && info.MachineID != "" && info.Key() != own.Key() {
+		n.processes.add(info)
 	}
-	if news {
+	if changed {
 		n.notifyChanged()
 	}
 }
 
-func (d *delegate) NotifyUpdate(peer *memberlist.Node) { d.NotifyJoin(peer) }
-
+// NotifyLeave records a member that no longer answers. memberlist calls it for members
+// that leave, too; their own message has come first.
 func (d *delegate) NotifyLeave(peer *memberlist.Node) {
 	n := d.n
 	n.mu.Lock()
-	news := n.view.MarkUnreachable(peer.Name, false, n.now())
+	changed := n.view.MarkUnreachable(peer.Name, n.now())
 	n.mu.Unlock()
-	if news {
-		n.unreachableSeen.Add(1)
-		n.log.Info("members: lost", "member", peer.Name)
+	if changed {
+		n.counters.unreachable.Add(1)
+		n.log.Info("members: member unreachable", "member", peer.Name)
 		n.notifyChanged()
 	}
 }
 
-func (d *delegate) NotifyPingComplete(other *memberlist.Node, _ time.Duration, _ []byte) {
+// NotifyPingComplete records a member's answer to a probe of this process.
+func (d *delegate) NotifyPingComplete(peer *memberlist.Node, _ time.Duration, _ []byte) {
 	d.n.mu.Lock()
 	defer d.n.mu.Unlock()
-	d.n.view.MarkResponded(other.Name, d.n.now())
+	d.n.view.MarkResponded(peer.Name, d.n.now())
 }
 
+// AckPayload adds nothing to answers to probes.
 func (d *delegate) AckPayload() []byte { return nil }
 
-// NotifyMsg takes a note in; what is news here is passed on.
+// NotifyMsg receives a message. One that changes the view is passed on.
 func (d *delegate) NotifyMsg(text []byte) {
 	n := d.n
-	var what message
-	if len(text) > maxMessageBytes || json.Unmarshal(text, &what) != nil || what.Key == "" {
-		n.malformed.Add(1)
+	var m message
+	if len(text) > maxMessageBytes || json.Unmarshal(text, &m) != nil || m.Key == "" {
+		n.counters.malformed.Add(1)
 		return
 	}
-	n.notes.Add(1)
+	if n.apply(m) {
+		n.broadcast(m)
+		n.notifyChanged()
+	}
+}
+
+// apply has a message take effect, and reports whether that changes what is known here.
+// A digest changes nothing, so it is never passed on.
+func (n *Node) apply(m message) (changed bool) {
 	now := n.now()
-	news := false
 	n.mu.Lock()
-	switch what.Kind {
+	defer n.mu.Unlock()
+	switch m.Kind {
 	case messageDigest:
-		n.view.RecordDigest(what.Key, what.Digest, now)
+		n.view.RecordDigest(m.Key, m.Digest, now)
 	case messageLeave:
-		news = n.view.MarkUnreachable(what.Key, true, now)
+		return n.view.MarkLeft(m.Key, now)
 	case messageEnded:
-		news = n.view.MarkEnded(what.Key, what.Witness, now)
+		return n.view.MarkEnded(m.Key, m.Observer, now)
 	case messageSuspect:
-		news = n.view.MarkSuspected(what.Key, now, now+n.suspicionTimeout())
+		return n.view.MarkSuspected(m.Key, now, now+n.suspicionTimeout())
 	case messageUnresponsive:
-		if s, ok := n.view.Get(what.Key); ok && s.Status.CountsAsPresent() && n.unresponsive[what.Endpoint] == 0 && len(n.unresponsive) < maxUnresponsive {
-			n.unresponsive[what.Endpoint], news = now+unresponsiveLifetime, true
-		}
-	}
-	n.mu.Unlock()
-	if news {
-		n.broadcast(what)
-		n.notifyChanged()
+		reporter, ok := n.view.Get(m.Key)
+		return ok && reporter.Status.CountsAsPresent() && n.recordUnresponsive(m.Endpoint, now)
 	}
+	return false
 }
 
+// GetBroadcasts returns the messages that go out with the next packet.
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
 	return d.n.broadcasts.GetBroadcasts(overhead, limit)
 }
 
-// endRecord is one end that an exchange of views tells of.
+// maxEndRecords bounds the ends that one exchange of views tells of.
+const maxEndRecords = 64
+
+// endRecord is one member with a final status in an exchange of views.
 type endRecord struct {
-	Key     string `json:"k"`
-	By      string `json:"b,omitempty"`
-	Goodbye bool   `json:"g,omitempty"`
+	Key      string `json:"k"`
+	Observer string `json:"b,omitempty"`
+	Left     bool   `json:"g,omitempty"` // by its own message; otherwise Observer saw its process end
 }
 
-// LocalState tells of ends, which notes may have been lost of.
+// LocalState returns the ends that an exchange of views tells of. Members may have missed
+// the messages.
 func (d *delegate) LocalState(bool) []byte {
-	var ends []endRecord
-	for _, s := range d.n.Members() {
-		if (s.Status == membership.StatusLeft || s.Status == membership.StatusEnded) && len(ends) < maxEndRecords {
-			ends = append(ends, endRecord{s.Key(), s.By, s.Status == membership.StatusLeft})
+	var records []endRecord
+	for _, member := range d.n.Members() {
+		if (member.Status == membership.StatusLeft || member.Status == membership.StatusEnded) && len(records) < maxEndRecords {
+			records = append(records, endRecord{member.Key(), member.By, member.Status == membership.StatusLeft})
 		}
 	}
-	text, err := json.Marshal(ends)
+	text, err := json.Marshal(records)
 	if err != nil {
+		d.n.log.Error("members: state not encoded", "err", err)
 		return nil
 	}
 	return text
 }
 
-// MergeRemoteState takes another's ends in.
+// MergeRemoteState has the ends that another member tells of take effect.
 func (d *delegate) MergeRemoteState(text []byte, _ bool) {
 	n := d.n
-	var ends []endRecord
-	if len(text) == 0 || len(text) > maxEndRecords*maxMessageBytes || json.Unmarshal(text, &ends) != nil || len(ends) > maxEndRecords {
+	var records []endRecord
+	if len(text) == 0 || len(text) > maxEndRecords*maxMessageBytes || json.Unmarshal(text, &records) != nil || len(records) > maxEndRecords {
 		return
 	}
+	changed := false
 	n.mu.Lock()
-	news := false
-	for _, e := range ends {
-		if e.Goodbye {
-			news = n.view.MarkUnreachable(e.Key, true, n.now()) || news
+	for _, record := range records {
+		if record.Left {
+			changed = n.view.MarkLeft(record.Key, n.now()) || changed
 		} else {
-			news = n.view.MarkEnded(e.Key, e.By, n.now()) || news
+			changed = n.view.MarkEnded(record.Key, record.Observer, n.now()) || changed
 		}
 	}
 	n.mu.Unlock()
-	if news {
+	if changed {
 		n.notifyChanged()
 	}
 }
--- a/internal/membership/gossip/endpoints.go
+++ b/internal/membership/gossip/endpoints.go
@@ -3,31 +3,50 @@
 import "time"
 
 const (
-	maxUnresponsive      = 256
-	unresponsiveLifetime = 5 * time.Second // for how long one word on a server is a reason to look at it
+	// maxUnresponsive bounds the booking servers that count as unresponsive at one time.
+	maxUnresponsive = 256
+	// unresponsiveLifetime is for how long a report of a booking server counts.
+	unresponsiveLifetime = 5 * time.Second
 )
 
-// ReportUnresponsive tells the others that a booking server does not answer this process: a
-// reason to look at it, and nothing more.
-func (n *Node) ReportUnresponsive(host string) {
+// ReportUnresponsive tells the other members that a booking server does not answer this
+// process. That is a reason to probe it, and nothing more.
+func (n *Node) ReportUnresponsive(endpoint string) {
 	n.mu.Lock()
-	news := n.unresponsive[host] == 0 && len(n.unresponsive) < maxUnresponsive
-	if news {
-		n.unresponsive[host] = n.now() + unresponsiveLifetime
-	}
+	changed := n.recordUnresponsive(endpoint, n.now())
 	n.mu.Unlock()
-	if news {
-		n.broadcast(message{Kind: messageUnresponsive, Key: n.self.Key(), Endpoint: host})
+	if changed {
+		n.broadcast(message{Kind: messageUnresponsive, Key: n.self.Key(), Endpoint: endpoint})
 		n.notifyChanged()
 	}
 }
 
-// UnresponsiveEndpoints are the booking servers that some member has not heard from in the last seconds.
-func (n *Node) UnresponsiveEndpoints() (hosts []string) {
+// recordUnresponsive records a report of a booking server, and reports whether it is the
+// first in a while. The lock is held.
+func (n *Node) recordUnresponsive(endpoint string, now time.Duration) (changed bool) {
+	if n.unresponsive[endpoint] != 0 || len(n.unresponsive) >= maxUnresponsive {
+		return false
+	}
+	n.unresponsive[endpoint] = now + unresponsiveLifetime
+	return true
+}
+
+// expireUnresponsive drops the reports whose lifetime is over. The lock is held.
+func (n *Node) expireUnresponsive(now time.Duration) {
+	for endpoint, until := range n.unresponsive {
+		if now >= until {
+			delete(n.unresponsive, endpoint)
+		}
+	}
+}
+
+// UnresponsiveEndpoints returns the booking servers that a member has reported in the last
+// seconds.
+func (n *Node) UnresponsiveEndpoints() (endpoints []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for host := range n.unresponsive {
-		hosts = append(hosts, host)
+	for endpoint := range n.unresponsive {
+		endpoints = append(endpoints, endpoint)
 	}
-	return hosts
+	return endpoints
 }
--- a/internal/membership/gossip/http.go
+++ b/internal/membership/gossip/http.go
@@ -10,39 +10,64 @@
 	"barleywick/internal/membership"
 )
 
-// View tells this process's view.
+// View returns this process's view in the form in which it is served.
 func (n *Node) View() membership.ViewResponse {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
-	side := n.view.Partition()
-	a := membership.ViewResponse{
-		Fleet: n.options.Config.Fleet, Name: n.self.Name, Incarnation: n.self.Incarnation, HealRounds: n.healRounds.Load(),
-		Digest: strconv.FormatUint(n.view.Digest(), 16), Present: side.Present, Unreachable: side.Unreachable, Minority: side.Minority(),
-		Members: []membership.MemberView{},
+	partition := n.view.Partition()
+	view := membership.ViewResponse{
+		Fleet:       n.options.Config.Fleet,
+		Name:        n.self.Name,
+		Incarnation: n.self.Incarnation,
+		Digest:      strconv.FormatUint(n.view.Digest(), 16),
+		Present:     partition.Present,
+		Unreachable: partition.Unreachable,
+		Minority:    partition.Minority(),
+		HealRounds:  n.counters.healRounds.Load(),
+		Members:     []membership.MemberView{},
 	}
-	if side.Partitioned() {
-		a.PartitionedMS = (now - side.Since).Milliseconds()
+	if partition.Partitioned() {
+		view.PartitionedMS = (now - partition.Since).Milliseconds()
 	}
-	a.AgreeingPeers, a.ComparedPeers = n.view.Agreement(now - digestLifetime)
-	a.DifferingPeers = n.view.DifferingPeers(now - digestLifetime)
-	for _, s := range n.view.List() {
-		m := membership.MemberView{
-			Name: s.Name, Incarnation: s.Incarnation, Role: s.Role, Status: s.Status, StatusAgeMS: (now - s.StatusSince).Milliseconds(), By: s.By,
-			Zone: s.Zone, Version: s.Version, PolicyEpoch: s.PolicyEpoch, Phase: s.Phase, GossipAddr: n.addrs[s.Key()], HTTPAddr: s.HTTPAddr, MachineName: s.MachineName, MachineID: s.MachineID, PID: s.PID,
-		}
-		if s.Key() == n.self.Key() {
-			m.GossipAddr = n.options.Config.Listen
-		}
-		a.Members = append(a.Members, m)
+	view.AgreeingPeers, view.ComparedPeers = n.view.Agreement(now - digestLifetime)
+	view.DifferingPeers = n.view.DifferingPeers(now - digestLifetime)
+	for _, member := range n.view.List() {
+		view.Members = append(view.Members, n.memberView(member, now))
 	}
-	return a
+	return view
 }
 
-// ServeHTTP tells the view, or forgets a lost member: POST ?forget=NAME.
-func (n *Node) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	if name := q.URL.Query().Get("forget"); name != "" {
-		if q.Method != http.MethodPost {
+// memberView returns one member of the view as it is served. The lock is held.
+func (n *Node) memberView(member membership.Member, now time.Duration) membership.MemberView {
+	address := n.addrs[member.Key()]
+	if member.Key() == n.self.Key() {
+		address = n.options.Config.Listen
+	}
+	return membership.MemberView{
+		Name:        member.Name,
+		Incarnation: member.Incarnation,
+		Role:        member.Role,
+		Status:      member.Status,
+		StatusAgeMS: (now - member.StatusSince).Milliseconds(),
+		By:          member.By,
+		Zone:        member.Zone,
+		Version:     member.Version,
+		PolicyEpoch: member.PolicyEpoch,
+		Phase:       member.Phase,
+		GossipAddr:  address,
+		HTTPAddr:    member.HTTPAddr,
+		MachineName: member.MachineName,
+		MachineID:   member.MachineID,
+		PID:         member.PID,
+	}
+}
+
+// ServeHTTP serves the view. POST with ?forget=NAME first takes the unreachable members of
+// that name for ended.
+func (n *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if name := r.URL.Query().Get("forget"); name != "" {
+		if r.Method != http.MethodPost {
 			http.Error(w, "to forget a member is a POST", http.StatusMethodNotAllowed)
 			return
 		}
@@ -53,9 +78,6 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(n.View()); err != nil {
-		n.log.Debug("members: answer not written", "err", err)
+		n.log.Debug("members: response not written", "err", err)
 	}
 }
-
-// Age is how long a member has had its status, by this process's clock.
-func (n *Node) Age(s membership.Member) time.Duration { return n.now() - s.StatusSince }
--- a/internal/membership/gossip/join.go
+++ b/internal/membership/gossip/join.go
@@ -11,112 +11,120 @@
 )
 
 const (
-	joinBatch = 4 // addresses tried in one go: one that answers is enough
-	// callersPerRound is how many members of the fleet call somebody in a round, about, whatever its
-	// size: each call exchanges whole views, and those of hundreds at once would take the time
-	// in which they are to answer each other.
-	callersPerRound    = 32
-	maxCachedAddresses = 64
-	cacheInterval      = 10 * time.Second
-	maxCacheBytes      = 64 << 10 // bytes of the file
+	// joinBatch is how many addresses are tried in one call: one that answers is enough.
+	joinBatch = 4
+	// callersPerRound is about how many members of the fleet call another in one round,
+	// whatever the fleet's size. A call exchanges full views; those of hundreds at once would
+	// take the time in which members have to answer probes.
+	callersPerRound = 32
 )
 
-// addresses are where some of the others listen.
-func (n *Node) addresses(of func(s membership.Member) bool) (addrs []string) {
+// addresses returns where the other members listen for which a filter holds.
+func (n *Node) addresses(filter func(member membership.Member) bool) (addresses []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, s := range n.view.List() {
-		if a := n.addrs[s.Key()]; a != "" && s.Key() != n.self.Key() && of(s) {
-			addrs = append(addrs, a)
+	for _, member := range n.view.List() {
+		if address := n.addrs[member.Key()]; address != "" && member.Key() != n.self.Key() && filter(member) {
+			addresses = append(addresses, address)
 		}
 	}
-	return addrs
+	return addresses
 }
 
-// seedAddresses are all addresses where somebody may be found, the likeliest first.
+// seedAddresses returns all addresses where members may listen: those of the configuration,
+// of the cache and of the registry.
 func (n *Node) seedAddresses(ctx context.Context) []string {
-	all := slices.Clone(n.options.Config.Seeds)
-	if k, err := n.loadCache(); err == nil {
-		all = append(all, k.Members...)
+	seeds := slices.Clone(n.options.Config.Seeds)
+	if cache, err := n.loadCache(); err == nil {
+		seeds = append(seeds, cache.Addresses...)
 	}
 	if n.options.FindSeeds != nil {
-		in, cancel := context.WithTimeout(ctx, callTimeout)
-		more, err := n.options.FindSeeds(in)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		found, err := n.options.FindSeeds(callCtx)
 		cancel()
 		if err != nil {
-			n.log.Debug("members: the registry names none", "err", err)
+			n.log.Debug("members: seed lookup failed", "err", err)
 		}
-		all = append(all, more...)
+		seeds = append(seeds, found...)
 	}
+	slices.Sort(seeds)
 	own := n.options.Config.Listen
-	slices.Sort(all)
-	return slices.DeleteFunc(slices.Compact(all), func(a string) bool { return a == own })
+	return slices.DeleteFunc(slices.Compact(seeds), func(address string) bool { return address == own })
 }
 
-// exchangeViews exchanges views with some addresses, and says whether anybody answered.
-func (n *Node) exchangeViews(addrs []string) bool {
-	rand.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
-	some, err := n.list.Load().Join(addrs[:min(len(addrs), joinBatch)])
-	if err != nil && some == 0 {
-		n.log.Debug("members: nobody answers", "at", strings.Join(addrs, " "), "err", strings.Join(strings.Fields(err.Error()), " "))
+// exchangeViews exchanges full views with some of the addresses, and reports whether a
+// member answered. It changes the order of the addresses: those it has tried come first.
+func (n *Node) exchangeViews(addresses []string) bool {
+	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
+	answered, err := n.list.Load().Join(addresses[:min(len(addresses), joinBatch)])
+	if err != nil && answered == 0 {
+		oneLine := strings.Join(strings.Fields(err.Error()), " ")
+		n.log.Debug("members: no peer answered", "at", strings.Join(addresses, " "), "err", oneLine)
 	}
-	return some > 0
+	return answered > 0
 }
 
-// join looks for the fleet, once through all that is known.
+// join calls the seed addresses until a member answers or all have been tried.
 func (n *Node) join(ctx context.Context) {
-	addrs := n.seedAddresses(ctx)
-	for len(addrs) > 0 && ctx.Err() == nil {
-		if n.exchangeViews(addrs) {
+	addresses := n.seedAddresses(ctx)
+	for len(addresses) > 0 && ctx.Err() == nil {
+		if n.exchangeViews(addresses) {
 			n.log.Info("members: joined", "name", n.self.Name, "members", n.Size())
 			return
 		}
-		addrs = addrs[min(len(addrs), joinBatch):]
+		addresses = addresses[min(len(addresses), joinBatch):]
 	}
-	n.log.Warn("members: nobody is found yet; the search goes on", "name", n.self.Name)
+	n.log.Warn("members: no peer found yet, still trying", "name", n.self.Name)
 }
 
-// differingPeerAddress is where a member listens that sees another fleet; empty: none is known.
-func (n *Node) differingPeerAddress() string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	keys := n.view.DifferingPeers(n.now() - 2*roundInterval)
-	if !n.view.Stable() || len(keys) == 0 {
-		return ""
-	}
-	return n.addrs[keys[rand.IntN(len(keys))]]
-}
-
-// reconnect calls those that were lost, one a round, and seeds where nobody is there: both
-// sides of a partition may have given the other up, and SWIM itself never calls the dead.
-// It calls one, too, that still sees another fleet when nobody comes or goes any more:
-// gossip may miss somebody, and the next exchange of views by turn is far.
-func (n *Node) reconnect(ctx context.Context) {
-	kept := time.Now()
+// reconnectLoop calls members that have missed something, until ctx ends, and saves the
+// cache now and then. Unreachable members have to be called: both sides of a partition may
+// have given the other up, and SWIM itself never calls a dead member.
+func (n *Node) reconnectLoop(ctx context.Context) {
+	savedAt := time.Now()
 	for {
 		select {
-		case <-time.After(roundInterval*3/4 + rand.N(roundInterval/2)): // not all in one moment
+		case <-time.After(roundInterval*3/4 + rand.N(roundInterval/2)): // spreads the members' calls
 		case <-ctx.Done():
 			return
 		}
 		if size := n.Size(); size > callersPerRound && rand.IntN(size) >= callersPerRound {
 			continue
 		}
-		addrs := n.addresses(func(s membership.Member) bool { return s.Status == membership.StatusUnreachable })
-		if len(addrs) > 0 {
-			addrs = []string{addrs[rand.IntN(len(addrs))]}
-		} else if n.Size() == 1 {
-			addrs = n.seedAddresses(ctx)
+		if addresses := n.reconnectAddresses(ctx); len(addresses) > 0 {
+			n.exchangeViews(addresses)
 		}
-		if at := n.differingPeerAddress(); at != "" {
-			addrs = append(addrs, at)
-		}
-		if len(addrs) > 0 {
-			n.exchangeViews(addrs)
-		}
-		if time.Since(kept) > cacheInterval {
+		if time.Since(savedAt) > cacheInterval {
 			n.saveCache()
-			kept = time.Now()
+			savedAt = time.Now()
 		}
 	}
 }
+
+// reconnectAddresses returns where to call in this round: an unreachable member, or the
+// seeds where nobody else is present; and a member whose view differs.
+func (n *Node) reconnectAddresses(ctx context.Context) []string {
+	addresses := n.addresses(func(member membership.Member) bool { return member.Status == membership.StatusUnreachable })
+	if len(addresses) > 0 {
+		addresses = []string{addresses[rand.IntN(len(addresses))]}
+	} else if n.Size() == 1 {
+		addresses = n.seedAddresses(ctx)
+	}
+	if address := n.differingPeerAddress(); address != "" {
+		addresses = append(addresses, address)
+	}
+	return addresses
+}
+
+// differingPeerAddress returns where a member listens whose view differs although no member
+// has come or gone for some rounds; empty: there is none. It has missed a message, and
+// memberlist's next exchange of views with it may be far.
+func (n *Node) differingPeerAddress() string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	keys := n.view.DifferingPeers(n.now() - 2*roundInterval)
+	if !n.view.Stable() || len(keys) == 0 {
+		return ""
+	}
+	return n.addrs[keys[rand.IntN(len(keys))]]
+}
--- a/internal/membership/gossip/lifecycle.go
+++ b/internal/membership/gossip/lifecycle.go
@@ -1,7 +1,6 @@
 package gossip
 
 import (
-	"barleywick/internal/membership"
 	"context"
 	"errors"
 	"fmt"
@@ -11,84 +10,105 @@
 	"time"
 
 	"github.com/hashicorp/memberlist"
+
+	"barleywick/internal/membership"
 )
 
-// createMemberlist begins as the process of this incarnation.
+// labelPrefix begins the label of every packet, which keeps fleets apart; the fleet's name
+// follows.
+const labelPrefix = "barleywick/"
+
+// createMemberlist starts memberlist, with an empty view, as the process of the node's
+// present incarnation.
 func (n *Node) createMemberlist() error {
 	n.mu.Lock()
 	n.view = membership.NewView(n.self, n.options.Config.ForgetAfter(), n.now())
 	n.mu.Unlock()
 	logger := log.New(&memberlistLog{n}, "", 0)
-	inner := n.options.Transport
-	if inner == nil {
+	transport := n.options.Transport
+	if transport == nil {
 		var err error
-		if inner, err = listen(n.options.Config.Listen, logger); err != nil {
+		if transport, err = listen(n.options.Config.Listen, logger); err != nil {
 			return err
 		}
 	}
+	config := n.memberlistConfig(logger)
+	config.Transport = newMappedTransport(transport, n.options.Config.Routes, &n.traffic)
+	list, err := memberlist.Create(config)
+	if err != nil {
+		return fmt.Errorf("membership: %w", errors.Join(err, config.Transport.Shutdown()))
+	}
+	n.list.Store(list)
+	return nil
+}
+
+func (n *Node) memberlistConfig(logger *log.Logger) *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
-	c.Name, c.Label = n.self.Key(), "barleywick/"+n.options.Config.Fleet
-	c.Transport, c.Logger = newMappedTransport(inner, n.options.Config.Routes, &n.traffic), logger
+	c.Name, c.Label = n.self.Key(), labelPrefix+n.options.Config.Fleet
+	c.Logger = logger
 	c.TCPTimeout, c.GossipInterval, c.PushPullInterval = callTimeout, gossipInterval, pushPullInterval
 	c.ProbeInterval, c.ProbeTimeout = n.options.Config.ProbeInterval(), n.options.Config.ProbeInterval()/2
 	c.SuspicionMult, c.SuspicionMaxTimeoutMult = suspicionMult, suspicionMaxTimeoutMult
 	c.GossipToTheDeadTime = 3 * pushPullInterval
-	c.EnableCompression = false // a few hundred bytes: it costs more than it spares
+	c.EnableCompression = false // for a few hundred bytes it costs more than it saves
 	d := &delegate{n}
 	c.Delegate, c.Events, c.Alive, c.Ping = d, d, d, d
-	list, err := memberlist.Create(c)
-	if err != nil {
-		_ = c.Transport.Shutdown()
-		return fmt.Errorf("membership: %w", err)
-	}
-	n.list.Store(list)
-	return nil
+	return c
 }
 
-// Run keeps this process a member until ctx ends, and says goodbye then.
+// Run joins the fleet and keeps this process a member until ctx ends. It then announces
+// that the process leaves.
 func (n *Node) Run(ctx context.Context) error {
 	if n.processes != nil {
 		defer n.processes.close()
 	}
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
-	in, end := context.WithCancel(ctx)
-	defer end()
-	tasks.Go(func() { n.deliverChanges(in) })
-	n.join(in)
-	if err := n.supersede(in); err != nil {
+	taskCtx, stopTasks := context.WithCancel(ctx)
+	defer stopTasks()
+	tasks.Go(func() { n.deliverChanges(taskCtx) })
+	n.join(taskCtx)
+	if err := n.supersede(taskCtx); err != nil {
 		return err
 	}
-	tasks.Go(func() { n.reconnect(in) })
-	last := time.Now()
-	tick := time.NewTicker(roundInterval)
-	defer tick.Stop()
+	tasks.Go(func() { n.reconnectLoop(taskCtx) })
+	if laterKey := n.runRounds(ctx); laterKey != "" {
+		n.log.Error("members: replaced by a later process of the same name, no longer a member; give one of them another name", "name", n.self.Name, "later", laterKey)
+		stopTasks()
+		tasks.Wait()
+		if err := n.list.Load().Shutdown(); err != nil {
+			n.log.Debug("members: shutdown failed", "err", err)
+		}
+		<-ctx.Done() // the rest of the process goes on without membership
+		return nil
+	}
+	return n.leave()
+}
+
+// runRounds runs a round at each interval until ctx ends, or until a later process has this
+// one's name: it returns the key of that one.
+func (n *Node) runRounds(ctx context.Context) (laterKey string) {
+	lastRound := time.Now()
+	ticker := time.NewTicker(roundInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			return n.leave()
-		case <-n.replaced: // this process has been replaced
-			n.mu.Lock()
-			s, _ := n.view.Get(n.self.Key())
-			n.mu.Unlock()
-			if s.Status == membership.StatusReplaced {
-				n.log.Error("members: a later process has this one's name: it is a member no more; give one of them another name", "name", n.self.Name, "later", s.By)
-				end()
-				tasks.Wait()
-				_ = n.list.Load().Shutdown()
-				<-ctx.Done() // whatever else it does, it goes on
-				return nil
+			return ""
+		case <-n.replaced:
+			if self, _ := n.Get(n.Self().Key()); self.Status == membership.StatusReplaced {
+				return self.By
 			}
-		case <-tick.C:
+		case <-ticker.C:
 			now := time.Now()
-			n.runRound(now.Sub(last))
-			last = now
+			n.runRound(now.Sub(lastRound))
+			lastRound = now
 		}
 	}
 }
 
-// supersede makes this process the later one of its name, where its clock says otherwise:
-// whoever was there when it came, began before.
+// supersede takes a higher incarnation where a process of this name was there before and
+// has a later one, by its clock: this process has started after it.
 func (n *Node) supersede(ctx context.Context) error {
 	n.mu.Lock()
 	latest, _ := n.view.Latest(n.self.Name)
@@ -99,7 +119,7 @@
 	if n.options.Transport != nil {
 		return fmt.Errorf("membership: %s is there already, as %s", n.self.Name, latest.Key())
 	}
-	n.log.Error("members: another process of this name is there, and its start is later by the clock; this one goes before it", "name", n.self.Name, "other", latest.Key())
+	n.log.Error("members: another process of this name has a later start time, taking a higher incarnation", "name", n.self.Name, "other", latest.Key())
 	if err := n.list.Load().Shutdown(); err != nil {
 		return fmt.Errorf("membership: %w", err)
 	}
@@ -113,58 +133,66 @@
 	return nil
 }
 
-// leave says goodbye and stops.
+// leave announces that this process leaves, and stops.
 func (n *Node) leave() error {
 	n.broadcast(message{Kind: messageLeave, Key: n.self.Key()})
-	time.Sleep(2 * gossipInterval) // the goodbye goes out with the next gossip, before SWIM's own word
+	time.Sleep(2 * gossipInterval) // lets the message go out before SWIM's own
 	err := n.list.Load().Leave(leaveTimeout)
 	n.saveCache()
 	return errors.Join(err, n.list.Load().Shutdown())
 }
 
-// runRound is one round: what is past is forgotten, and others are told what is seen here.
-func (n *Node) runRound(since time.Duration) {
+// runRound expires what is outdated, and sends this view's digest to some members.
+func (n *Node) runRound(sinceLast time.Duration) {
 	now := n.now()
 	n.mu.Lock()
-	if since > roundInterval+pauseThreshold {
-		n.log.Warn("members: this process was stopped, or had no time to run", "for", since)
+	if sinceLast > roundInterval+pauseThreshold {
+		n.log.Warn("members: process was paused", "for", sinceLast)
 		n.resumedAt = now
 	}
-	healed, done := n.view.Tick(now)
-	for host, until := range n.unresponsive {
-		if now >= until {
-			delete(n.unresponsive, host)
-		}
-	}
-	side, digest := n.view.Partition(), n.view.Digest()
-	var others []string
-	for _, s := range n.view.List() {
-		if s.Status.CountsAsPresent() && s.Key() != n.self.Key() {
-			others = append(others, s.Key())
-		}
+	healRounds, healed := n.view.Tick(now)
+	n.expireUnresponsive(now)
+	partition, digest := n.view.Partition(), n.view.Digest()
+	wasPartitioned := n.partitioned
+	n.partitioned = partition.Partitioned()
+	partitionChanged := n.partitioned != wasPartitioned
+	targets := n.digestTargets()
+	n.mu.Unlock()
+
+	if partitionChanged {
+		n.logPartition(partition)
 	}
-	was := n.partitioned
-	n.partitioned = side.Partitioned()
-	var to []string
-	for range min(membership.DigestFanout, len(others)) {
-		i := rand.IntN(len(others))
-		to = append(to, others[i])
-		others[i] = others[len(others)-1]
-		others = others[:len(others)-1]
+	if healed {
+		n.counters.healRounds.Store(uint64(healRounds))
+		n.log.Info("members: all views agree again", "present", partition.Present, "rounds", healRounds)
 	}
-	n.mu.Unlock()
-	switch {
-	case n.partitioned && !was:
-		n.log.Warn("members: some fell silent", "here", side.Present, "lost", side.Unreachable, "minority", side.Minority())
-	case was && !n.partitioned:
-		n.log.Info("members: nobody is missing", "here", side.Present)
-	}
-	if done {
-		n.healRounds.Store(uint64(healed))
-		n.log.Info("members: all is whole again", "here", side.Present, "rounds", healed)
-	}
-	n.send(to, message{Kind: messageDigest, Key: n.self.Key(), Digest: digest})
-	if n.partitioned != was || done {
+	n.send(targets, message{Kind: messageDigest, Key: n.self.Key(), Digest: digest})
+	if partitionChanged || healed {
 		n.notifyChanged()
 	}
 }
+
+func (n *Node) logPartition(partition membership.PartitionState) {
+	if partition.Partitioned() {
+		n.log.Warn("members: members unreachable", "present", partition.Present, "unreachable", partition.Unreachable, "minority", partition.Minority())
+		return
+	}
+	n.log.Info("members: no members unreachable", "present", partition.Present)
+}
+
+// digestTargets draws the keys of the members that get this round's digest. The lock is held.
+func (n *Node) digestTargets() (targets []string) {
+	var peers []string
+	for _, member := range n.view.List() {
+		if member.Status.CountsAsPresent() && member.Key() != n.self.Key() {
+			peers = append(peers, member.Key())
+		}
+	}
+	for range min(membership.DigestFanout, len(peers)) {
+		i := rand.IntN(len(peers))
+		targets = append(targets, peers[i])
+		peers[i] = peers[len(peers)-1]
+		peers = peers[:len(peers)-1]
+	}
+	return targets
+}
--- a/internal/membership/gossip/messages.go
+++ b/internal/membership/gossip/messages.go
@@ -6,67 +6,77 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// message is what members tell each other beside SWIM's own messages.
-type message struct {
-	Kind     string `json:"t"`
-	Key      string `json:"k"`
-	Witness  string `json:"b,omitempty"`
-	Digest   uint64 `json:"d,omitempty"`
-	Endpoint string `json:"h,omitempty"`
-}
+// maxMessageBytes bounds a message: several fit into one datagram.
+const maxMessageBytes = 400
+
+// messageKind says what a message tells. Its values are sent to other members.
+type messageKind string
 
 const (
-	messageLeave        = "bye"     // Key ends by its own will
-	messageEnded        = "gone"    // Key's process has ended, as By saw
-	messageSuspect      = "suspect" // Key does not answer By
-	messageDigest       = "digest"  // what Key sees
-	messageUnresponsive = "host"    // the booking server Host does not answer Key
+	messageLeave        messageKind = "bye"     // the member Key leaves
+	messageEnded        messageKind = "gone"    // Observer saw the process of the member Key end
+	messageSuspect      messageKind = "suspect" // the member Key did not answer Observer
+	messageDigest       messageKind = "digest"  // Digest is that of the view of the member Key
+	messageUnresponsive messageKind = "host"    // the booking server Endpoint does not answer the member Key
 )
 
-// send sends a note to some members, once.
-func (n *Node) send(to []string, what message) {
-	text, err := json.Marshal(what)
+// message is what members tell each other beside memberlist's own messages.
+type message struct {
+	Kind     messageKind `json:"t"`
+	Key      string      `json:"k"`
+	Observer string      `json:"b,omitempty"`
+	Digest   uint64      `json:"d,omitempty"`
+	Endpoint string      `json:"h,omitempty"`
+}
+
+// send sends a message to some members, once.
+func (n *Node) send(keys []string, m message) {
+	text, err := json.Marshal(m)
 	if err != nil {
+		n.log.Warn("members: message not encoded", "kind", m.Kind, "err", err)
 		return
 	}
-	n.mu.Lock()
-	var addrs []memberlist.Address
-	for _, key := range to {
-		if a := n.addrs[key]; a != "" {
-			addrs = append(addrs, memberlist.Address{Addr: a, Name: key})
+	for _, target := range n.targets(keys) {
+		if err := n.list.Load().SendToAddress(target, text); err != nil {
+			n.log.Debug("members: message not sent", "to", target.Name, "err", err)
 		}
 	}
-	n.mu.Unlock()
-	for _, a := range addrs {
-		if err := n.list.Load().SendToAddress(a, text); err != nil {
-			n.log.Debug("members: not told", "to", a.Name, "err", err)
+}
+
+// targets returns the addresses of members, as far as they are known.
+func (n *Node) targets(keys []string) (targets []memberlist.Address) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, key := range keys {
+		if address := n.addrs[key]; address != "" {
+			targets = append(targets, memberlist.Address{Addr: address, Name: key})
 		}
 	}
+	return targets
 }
 
-// broadcast has a note go to all members.
-func (n *Node) broadcast(what message) {
-	text, err := json.Marshal(what)
+// broadcast has a message reach all members, through gossip.
+func (n *Node) broadcast(m message) {
+	text, err := json.Marshal(m)
 	if err != nil || len(text) > maxMessageBytes {
-		n.log.Warn("members: a note that cannot be sent", "kind", what.Kind, "bytes", len(text), "err", err)
+		n.log.Warn("members: message not sendable", "kind", m.Kind, "bytes", len(text), "err", err)
 		return
 	}
-	n.broadcasts.QueueBroadcast(queuedBroadcast{what.Kind + what.Key + what.Endpoint, text})
+	n.broadcasts.QueueBroadcast(queuedBroadcast{string(m.Kind) + m.Key + m.Endpoint, text})
 }
 
-// queuedBroadcast is a note on its way; a later one of the same name takes its place.
+// queuedBroadcast is a message in memberlist's queue. A later one of the same name
+// replaces it there.
 type queuedBroadcast struct {
 	name string
 	text []byte
 }
 
-func (s queuedBroadcast) Invalidates(b memberlist.Broadcast) bool {
-	o, ok := b.(queuedBroadcast)
-	return ok && o.name == s.name
+func (q queuedBroadcast) Invalidates(b memberlist.Broadcast) bool {
+	other, ok := b.(queuedBroadcast)
+	return ok && other.name == q.name
 }
 
-func (s queuedBroadcast) Name() string { return s.name }
-
-func (s queuedBroadcast) Message() []byte { return s.text }
-
-func (s queuedBroadcast) Finished() {}
+func (q queuedBroadcast) Name() string    { return q.name }
+func (q queuedBroadcast) Message() []byte { return q.text }
+func (q queuedBroadcast) Finished()       {}
--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -1,6 +1,3 @@
-// Package gossip is a process as a member of the fleet: SWIM with Lifeguard's extensions,
-// through hashicorp/memberlist, and beside it what members say of each other's ends and of
-// what they see.
 package gossip
 
 import (
@@ -21,43 +18,45 @@
 type Options struct {
 	Config membership.Config
 	Self   membership.Info
-	// FindSeeds finds further addresses where members listen, as the registry knows them; nil:
-	// there are none.
+	// FindSeeds finds further addresses where members listen, as the registry knows them;
+	// nil: there are none.
 	FindSeeds func(ctx context.Context) ([]string, error)
-	// WatchProcesses has it see when processes of its own machine end, for a descriptor each.
+	// WatchProcesses has the node watch the members' processes on its own machine, for a
+	// file descriptor each.
 	WatchProcesses bool
-	// Transport carries it instead of sockets.
+	// Transport carries the messages instead of sockets; nil: sockets do.
 	Transport memberlist.NodeAwareTransport
-	// OnChange is called after the view has changed, not twice at once, and must not wait.
+	// OnChange is called after the view has changed, never twice at once. It must not block.
 	OnChange func()
-	Logger   *slog.Logger // nil: the default one
+	Logger   *slog.Logger // nil: slog's default
 }
 
 const (
-	// gossipInterval: news are with a thousand members after some ten of them.
+	// gossipInterval lets a message reach a thousand members within some ten intervals.
 	gossipInterval = 100 * time.Millisecond
-	// pushPullInterval is between two exchanges of whole views, which mend what gossip has lost.
+	// pushPullInterval is the time between two exchanges of full views, which repair what
+	// gossip has lost.
 	pushPullInterval = 10 * time.Second
-	// roundInterval is a round: views are compared, who is lost is called.
+	// roundInterval is the time between two rounds: digests are sent, and unreachable
+	// members are called.
 	roundInterval = time.Second
-	// digestLifetime is for how long a word on a view is compared: each member is told
-	// of by every other's three in a round, on average.
+	// digestLifetime is for how long a digest is compared. In one round a member receives
+	// membership.DigestFanout digests on average.
 	digestLifetime = 10 * time.Second
-	// suspicionMult and suspicionMaxTimeoutMult bound how long a suspicion may last before it is a
-	// loss: so many probes times the logarithm of the members' number, and up to so many
-	// times that where this process itself may be the one that hears badly.
+	// suspicionMult and suspicionMaxTimeoutMult bound how long a suspicion may last until
+	// the member is unreachable: so many probe intervals times the logarithm of the number
+	// of members, and up to so many times that where this process itself may be the one that
+	// receives badly.
 	suspicionMult, suspicionMaxTimeoutMult = 4, 4
 	// callTimeout is for one connection to another member.
 	callTimeout = time.Second
-	// pauseThreshold is how late a round may come before this process takes itself for one that
-	// was stopped: whom it suspects then, it suspects of its own silence.
-	pauseThreshold  = 2 * roundInterval
-	leaveTimeout    = 2 * time.Second
-	maxMessageBytes = 400 // bytes of a note: several go into one datagram
-	maxEndRecords   = 64  // ends that one exchange of views tells of
+	// pauseThreshold is by how much a round may be late before this process counts as having
+	// been paused: its suspicions are then of its own silence.
+	pauseThreshold = 2 * roundInterval
+	leaveTimeout   = 2 * time.Second
 )
 
-// Node is this process as a member.
+// Node is this process as a member of the fleet.
 type Node struct {
 	options    Options
 	log        *slog.Logger
@@ -65,61 +64,76 @@
 	list       atomic.Pointer[memberlist.Memberlist]
 	broadcasts *memberlist.TransmitLimitedQueue
 	traffic    traffic
+	counters   counters
 	processes  *processWatcher // nil: it watches none
-	replaced   chan struct{}
-	changed    chan struct{}
+	replaced   chan struct{}   // signals that a later process has this one's name
+	changed    chan struct{}   // signals that the view has changed
 
 	mu           sync.Mutex
 	self         membership.Info
 	view         *membership.View
-	addrs        map[string]string // by key
-	unresponsive map[string]time.Duration
-	partitioned  bool
-	resumedAt    time.Duration // when it last took itself for one that was stopped
-
-	suspicions, unreachableSeen, healRounds, notes, malformed atomic.Uint64
+	addrs        map[string]string        // where members listen, by key
+	unresponsive map[string]time.Duration // until when a booking server counts as unresponsive
+	partitioned  bool                     // as of the last round
+	resumedAt    time.Duration            // when it last found that it had been paused
 }
 
-// Start joins the fleet as far as anybody answers; Run has to be at work from then on.
+// Start makes this process a member. Run has to be called next: it joins the fleet.
 func Start(o Options) (*Node, error) {
 	if err := o.Config.Check(); err != nil {
 		return nil, err
 	}
-	n := &Node{options: o, log: o.Logger, startedAt: time.Now(), replaced: make(chan struct{}, 1), changed: make(chan struct{}, 1), self: o.Self, addrs: make(map[string]string), unresponsive: make(map[string]time.Duration)}
-	if n.log == nil {
-		n.log = slog.Default()
-	}
-	remembered, err := n.loadCache()
+	n := newNode(o)
+	cache, err := n.loadCache()
 	if err != nil {
-		n.log.Warn("members: what was kept is not used", "err", err)
-	}
-	n.self.MachineID, n.self.PID, n.self.ProcessStart = membership.CurrentProcess()
-	n.self.MachineName, n.self.Zone = o.Config.MachineName, o.Config.Zone
-	if n.self.Incarnation == 0 {
-		n.self.Incarnation = uint64(n.startedAt.UnixMicro())
-	}
-	if n.self.Incarnation <= remembered.Incarnation {
-		n.self.Incarnation = remembered.Incarnation + 1 // the clock was set back
-	}
-	if mutation.SameIncarnation {
-		n.self.Incarnation = 1
+		n.log.Warn("members: cache not used", "err", err)
 	}
+	n.identify(cache.Incarnation)
 	if _, err := n.self.Encode(); err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
 	}
 	if o.WatchProcesses {
 		n.processes = newProcessWatcher(n.processEnded)
 	}
-	n.broadcasts = &memberlist.TransmitLimitedQueue{NumNodes: n.Size, RetransmitMult: memberlist.DefaultLANConfig().RetransmitMult}
 	if err := n.createMemberlist(); err != nil {
 		return nil, err
 	}
 	return n, nil
 }
 
-func (n *Node) now() time.Duration { return time.Since(n.startedAt) + 1 } // 0 is never
+func newNode(o Options) *Node {
+	n := &Node{
+		options: o, log: o.Logger, startedAt: time.Now(), self: o.Self,
+		replaced: make(chan struct{}, 1), changed: make(chan struct{}, 1),
+		addrs: make(map[string]string), unresponsive: make(map[string]time.Duration),
+	}
+	if n.log == nil {
+		n.log = slog.Default()
+	}
+	n.broadcasts = &memberlist.TransmitLimitedQueue{NumNodes: n.Size, RetransmitMult: memberlist.DefaultLANConfig().RetransmitMult}
+	return n
+}
+
+// identify completes this process's metadata. Its incarnation is above the one of its
+// last start, also where the clock was set back.
+func (n *Node) identify(lastIncarnation uint64) {
+	n.self.MachineID, n.self.PID, n.self.ProcessStart = membership.CurrentProcess()
+	n.self.MachineName, n.self.Zone = n.options.Config.MachineName, n.options.Config.Zone
+	if n.self.Incarnation == 0 {
+		n.self.Incarnation = uint64(n.startedAt.UnixMicro())
+	}
+	if n.self.Incarnation <= lastIncarnation {
+		n.self.Incarnation = lastIncarnation + 1
+	}
+	if mutation.SameIncarnation {
+		n.self.Incarnation = 1
+	}
+}
+
+// now is the view's clock. It is never 0, which stands for no time.
+func (n *Node) now() time.Duration { return time.Since(n.startedAt) + 1 }
 
-// Update changes what this process says of itself.
+// Update changes the metadata that this process announces. Its name and incarnation stay.
 func (n *Node) Update(change func(i *membership.Info)) {
 	n.mu.Lock()
 	next := n.self
@@ -132,49 +146,51 @@
 		n.view.MarkPresent(next, n.now())
 	}
 	n.mu.Unlock()
-	switch {
-	case err != nil:
-		n.log.Error("members: what this process would say of itself is not said", "err", err)
-	case !same:
-		// For a bounded time: where it leaves meanwhile, nobody takes the news any more.
-		if err := n.list.Load().UpdateNode(callTimeout); err != nil {
-			n.log.Debug("members: not told", "err", err)
-		}
+	if err != nil {
+		n.log.Error("members: invalid update of own metadata", "err", err)
+		return
+	}
+	if same {
+		return
+	}
+	// The timeout matters when this process leaves meanwhile: nobody takes the update then.
+	if err := n.list.Load().UpdateNode(callTimeout); err != nil {
+		n.log.Debug("members: update not sent", "err", err)
 	}
 }
 
-// Self is what this process says of itself.
+// Self returns the metadata that this process announces.
 func (n *Node) Self() membership.Info {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.self
 }
 
-// Size is how many members are there.
+// Size returns how many members count as present.
 func (n *Node) Size() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.view.Partition().Present
 }
 
-// CountRole is how many members of a role are there.
-func (n *Node) CountRole(role membership.Role) (some int) {
-	for _, s := range n.Members() {
-		if s.Role == role && s.Status.CountsAsPresent() {
-			some++
+// CountRole returns how many members of a role count as present.
+func (n *Node) CountRole(role membership.Role) (count int) {
+	for _, member := range n.Members() {
+		if member.Role == role && member.Status.CountsAsPresent() {
+			count++
 		}
 	}
-	return some
+	return count
 }
 
-// Partition is what this process sees of the fleet.
+// Partition returns how much of the fleet this process reaches.
 func (n *Node) Partition() membership.PartitionState {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.view.Partition()
 }
 
-// Members are all members that are known.
+// Members returns all members that the view holds.
 func (n *Node) Members() []membership.Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -188,20 +204,20 @@
 	return n.view.Get(key)
 }
 
-// Latest is the latest process of a name.
+// Latest returns the process of a name that started last.
 func (n *Node) Latest(name string) (membership.Member, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.view.Latest(name)
 }
 
-// Forget takes a lost member for one that never comes back.
+// Forget takes the unreachable members of a name for ended, and returns how many there were.
 func (n *Node) Forget(name string) int {
 	n.mu.Lock()
-	some := n.view.Forget(name, n.now())
+	forgotten := n.view.Forget(name, n.now())
 	n.mu.Unlock()
-	if some > 0 {
+	if forgotten > 0 {
 		n.notifyChanged()
 	}
-	return some
+	return forgotten
 }
--- a/internal/membership/gossip/stats.go
+++ b/internal/membership/gossip/stats.go
@@ -1,20 +1,33 @@
 package gossip
 
-// Stats are what a member has done and seen since its start.
+import "sync/atomic"
+
+// counters count what a node has seen since its start.
+type counters struct {
+	suspicions, unreachable, malformed atomic.Uint64
+	healRounds                         atomic.Uint64 // of the last partition that has healed
+}
+
+// Stats are counts since a node's start.
 type Stats struct {
-	PacketsSent, BytesSent, Streams, RefusedStreams               uint64 // sent; connections that found no place
-	Suspicions, Unreachable, Notes, MalformedMessages, HealRounds uint64
-	Watched                                                       int
+	PacketsSent       uint64
+	BytesSent         uint64
+	RefusedStreams    uint64 // connections beyond the limit
+	Suspicions        uint64 // probes that were not answered
+	Unreachable       uint64 // members that became unreachable
+	MalformedMessages uint64
+	HealRounds        uint64 // rounds that the last partition took to heal; 0: none has healed
 }
 
-// Stats tells them.
+// Stats returns the counts since the node's start.
 func (n *Node) Stats() Stats {
-	c := Stats{
-		PacketsSent: n.traffic.packets.Load(), BytesSent: n.traffic.bytes.Load(), Streams: n.traffic.streams.Load(), RefusedStreams: n.traffic.refused.Load(),
-		Suspicions: n.suspicions.Load(), Unreachable: n.unreachableSeen.Load(), Notes: n.notes.Load(), MalformedMessages: n.malformed.Load(), HealRounds: n.healRounds.Load(),
-	}
-	if n.processes != nil {
-		c.Watched = n.processes.watched()
+	return Stats{
+		PacketsSent:       n.traffic.packets.Load(),
+		BytesSent:         n.traffic.bytes.Load(),
+		RefusedStreams:    n.traffic.refused.Load(),
+		Suspicions:        n.counters.suspicions.Load(),
+		Unreachable:       n.counters.unreachable.Load(),
+		MalformedMessages: n.counters.malformed.Load(),
+		HealRounds:        n.counters.healRounds.Load(),
 	}
-	return c
 }
--- a/internal/membership/gossip/suspicion.go
+++ b/internal/membership/gossip/suspicion.go
@@ -5,39 +5,47 @@
 	"time"
 )
 
-// memberlistLog takes memberlist's own log: at debug, but for what this process itself found
-// out. Its interface tells of members that are lost, not of those suspected.
+// memberlistLog takes memberlist's own log lines and writes them at debug level. One kind
+// of line is also an event: memberlist's interface tells of members that are unreachable,
+// but of a failed probe only its log does.
 type memberlistLog struct{ n *Node }
 
+// suspectPrefix begins the log line of a failed probe; the member's key follows.
 const suspectPrefix = "[INFO] memberlist: Suspect "
 
 func (l *memberlistLog) Write(text []byte) (int, error) {
 	line := strings.TrimSpace(string(text))
 	if rest, ok := strings.CutPrefix(line, suspectPrefix); ok {
 		key, _, _ := strings.Cut(rest, " ")
-		l.n.reportSuspicion(key)
+		l.n.probeFailed(key)
 	}
 	l.n.log.Debug(line)
 	return len(text), nil
 }
 
-// reportSuspicion notes that a member has not answered this process.
-func (n *Node) reportSuspicion(key string) {
-	n.suspicions.Add(1)
+// probeFailed records that a member has not answered a probe of this process, and tells
+// the others.
+func (n *Node) probeFailed(key string) {
+	n.counters.suspicions.Add(1)
 	now := n.now()
 	n.mu.Lock()
-	// One that was stopped suspects whoever answered it meanwhile.
-	own := n.resumedAt != 0 && now-n.resumedAt < 2*n.options.Config.ProbeInterval()
-	news := !own && n.view.MarkSuspected(key, now, now+n.suspicionTimeout())
+	changed := !n.recentlyResumed(now) && n.view.MarkSuspected(key, now, now+n.suspicionTimeout())
 	n.mu.Unlock()
-	if news {
-		n.log.Info("members: suspected", "member", key)
-		n.broadcast(message{Kind: messageSuspect, Key: key, Witness: n.self.Key()})
+	if changed {
+		n.log.Info("members: member suspected", "member", key)
+		n.broadcast(message{Kind: messageSuspect, Key: key, Observer: n.self.Key()})
 		n.notifyChanged()
 	}
 }
 
-// suspicionTimeout is how long a suspicionTimeout lasts at most. The lock is held.
+// recentlyResumed reports whether this process was paused just now: it has then missed the
+// answers that arrived meanwhile. The lock is held.
+func (n *Node) recentlyResumed(now time.Duration) bool {
+	return n.resumedAt != 0 && now-n.resumedAt < 2*n.options.Config.ProbeInterval()
+}
+
+// suspicionTimeout returns the longest time that memberlist lets a suspicion last. The lock
+// is held.
 func (n *Node) suspicionTimeout() time.Duration {
 	scale := 1.0
 	for size := n.view.Partition().Present; size >= 10; size /= 10 {
--- a/internal/membership/gossip/transport.go
+++ b/internal/membership/gossip/transport.go
@@ -16,133 +16,142 @@
 )
 
 const (
-	// maxInboundStreams bounds connections from others: each is one exchange of whole views.
+	// maxInboundStreams bounds the open connections from other members. Each is one exchange
+	// of full views.
 	maxInboundStreams = 64
-	// streamTimeout is for one of them.
+	// streamTimeout bounds the lifetime of such a connection.
 	streamTimeout = 5 * time.Second
 )
 
-// traffic counts what a member sends and hears, and what it lets go.
+// traffic counts what a member sends, and the connections that it refuses.
 type traffic struct {
-	packets, bytes, streams, refused atomic.Uint64
+	packets, bytes, refused atomic.Uint64
 }
 
-// mappedTransport is memberlist's transport over a table of routes, with bounds and counts.
+// mappedTransport is memberlist's transport over an address map, with bounds and counts.
 type mappedTransport struct {
 	memberlist.NodeAwareTransport
 	routes   addressmap.Table
 	traffic  *traffic
 	accepted chan net.Conn
-	slots    chan struct{}
+	slots    chan struct{} // holds one value for each inbound stream
 	stopping chan struct{}
-	once     sync.Once
+	stopOnce sync.Once
 	tasks    sync.WaitGroup
 }
 
 // listen makes a transport that listens on an address, for datagrams and connections.
-func listen(at string, l *log.Logger) (memberlist.NodeAwareTransport, error) {
-	a, err := netip.ParseAddrPort(at)
+func listen(address string, logger *log.Logger) (memberlist.NodeAwareTransport, error) {
+	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, fmt.Errorf("membership.listen: %w", err)
 	}
-	t, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{a.Addr().String()}, BindPort: int(a.Port()), Logger: l})
+	transport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
+		BindAddrs: []string{parsed.Addr().String()}, BindPort: int(parsed.Port()), Logger: logger,
+	})
 	if err != nil {
 		return nil, fmt.Errorf("membership.listen: %w", err)
 	}
-	return t, nil
+	return transport, nil
 }
 
-func newMappedTransport(inner memberlist.NodeAwareTransport, routes addressmap.Table, t *traffic) *mappedTransport {
-	r := &mappedTransport{NodeAwareTransport: inner, routes: routes, traffic: t, accepted: make(chan net.Conn), slots: make(chan struct{}, maxInboundStreams), stopping: make(chan struct{})}
-	r.tasks.Go(r.acceptStreams)
-	return r
+func newMappedTransport(inner memberlist.NodeAwareTransport, routes addressmap.Table, counts *traffic) *mappedTransport {
+	t := &mappedTransport{
+		NodeAwareTransport: inner, routes: routes, traffic: counts,
+		accepted: make(chan net.Conn), slots: make(chan struct{}, maxInboundStreams), stopping: make(chan struct{}),
+	}
+	t.tasks.Go(t.acceptStreams)
+	return t
 }
 
 // WriteTo sends one datagram.
-func (r *mappedTransport) WriteTo(b []byte, to string) (time.Time, error) {
-	return r.WriteToAddress(b, memberlist.Address{Addr: to})
+func (t *mappedTransport) WriteTo(packet []byte, address string) (time.Time, error) {
+	return t.WriteToAddress(packet, memberlist.Address{Addr: address})
 }
 
 // WriteToAddress sends one datagram.
-func (r *mappedTransport) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
-	r.traffic.packets.Add(1)
-	r.traffic.bytes.Add(uint64(len(b)))
-	to.Addr = r.routes.To(to.Addr)
-	return r.NodeAwareTransport.WriteToAddress(b, to)
+func (t *mappedTransport) WriteToAddress(packet []byte, address memberlist.Address) (time.Time, error) {
+	t.traffic.packets.Add(1)
+	t.traffic.bytes.Add(uint64(len(packet)))
+	address.Addr = t.routes.To(address.Addr)
+	return t.NodeAwareTransport.WriteToAddress(packet, address)
 }
 
 // DialTimeout opens a connection.
-func (r *mappedTransport) DialTimeout(to string, within time.Duration) (net.Conn, error) {
-	return r.DialAddressTimeout(memberlist.Address{Addr: to}, within)
+func (t *mappedTransport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
+	return t.DialAddressTimeout(memberlist.Address{Addr: address}, timeout)
 }
 
 // DialAddressTimeout opens a connection.
-func (r *mappedTransport) DialAddressTimeout(to memberlist.Address, within time.Duration) (net.Conn, error) {
-	r.traffic.streams.Add(1)
-	to.Addr = r.routes.To(to.Addr)
-	c, err := r.NodeAwareTransport.DialAddressTimeout(to, within)
+func (t *mappedTransport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	address.Addr = t.routes.To(address.Addr)
+	conn, err := t.NodeAwareTransport.DialAddressTimeout(address, timeout)
 	if err != nil {
 		return nil, err
 	}
-	return &countingConn{Conn: c, traffic: r.traffic}, nil
+	return &countingConn{Conn: conn, traffic: t.traffic}, nil
 }
 
-// StreamCh are the connections that are let in.
-func (r *mappedTransport) StreamCh() <-chan net.Conn { return r.accepted }
+// StreamCh delivers the connections from other members, but for those that are refused.
+func (t *mappedTransport) StreamCh() <-chan net.Conn { return t.accepted }
 
-// acceptStreams lets so many connections in at once, and closes the others.
-func (r *mappedTransport) acceptStreams() {
+// acceptStreams passes connections on and closes those beyond the limit.
+func (t *mappedTransport) acceptStreams() {
 	for {
 		select {
-		case <-r.stopping:
+		case <-t.stopping:
 			return
-		case c := <-r.NodeAwareTransport.StreamCh():
+		case conn := <-t.NodeAwareTransport.StreamCh():
 			select {
-			case r.slots <- struct{}{}:
+			case t.slots <- struct{}{}:
+				t.pass(conn)
 			default:
-				r.traffic.refused.Add(1)
-				_ = c.Close()
-				continue
-			}
-			_ = c.SetDeadline(time.Now().Add(streamTimeout))
-			// Whatever becomes of it, its place is free when its time is up.
-			ctx, cancel := context.WithTimeout(context.Background(), streamTimeout)
-			let := &countingConn{Conn: c, traffic: r.traffic, onClose: cancel}
-			context.AfterFunc(ctx, func() {
-				_ = c.Close()
-				<-r.slots
-			})
-			select {
-			case r.accepted <- let:
-			case <-r.stopping:
-				_ = let.Close()
+				t.traffic.refused.Add(1)
+				conn.Close()
 			}
 		}
 	}
 }
 
+// pass hands one connection to memberlist. Its slot is free when it is closed, and when
+// its time is over at the latest.
+func (t *mappedTransport) pass(conn net.Conn) {
+	conn.SetDeadline(time.Now().Add(streamTimeout))
+	ctx, cancel := context.WithTimeout(context.Background(), streamTimeout)
+	context.AfterFunc(ctx, func() {
+		conn.Close()
+		<-t.slots
+	})
+	counted := &countingConn{Conn: conn, traffic: t.traffic, onClose: cancel}
+	select {
+	case t.accepted <- counted:
+	case <-t.stopping:
+		counted.Close()
+	}
+}
+
 // Shutdown stops listening.
-func (r *mappedTransport) Shutdown() error {
-	r.once.Do(func() { close(r.stopping) })
-	r.tasks.Wait()
-	return r.NodeAwareTransport.Shutdown()
+func (t *mappedTransport) Shutdown() error {
+	t.stopOnce.Do(func() { close(t.stopping) })
+	t.tasks.Wait()
+	return t.NodeAwareTransport.Shutdown()
 }
 
-// countingConn is a connection whose bytes are countingConn.
+// countingConn counts the bytes that are sent over a connection.
 type countingConn struct {
 	net.Conn
 	traffic *traffic
-	onClose func()
+	onClose func() // may be nil
 }
 
-// Write counts what is sent.
+// Write sends and counts.
 func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.traffic.bytes.Add(uint64(n))
 	return n, err
 }
 
-// Close closes it.
+// Close closes the connection.
 func (c *countingConn) Close() error {
 	if c.onClose != nil {
 		c.onClose()
--- a/internal/membership/info.go
+++ b/internal/membership/info.go
@@ -1,14 +1,8 @@
-// Package membership is what processes of the fleet know of each other without asking
-// anybody: what a member says of itself, and a view of all as a state machine. It does no
-// I/O but to ask another for its view; gossip/ is the network's part. A view is quick and
-// may be wrong; the registry tells for sure and may be out of reach. docs/MEMBERSHIP.md
-// has the rules by which one or the other counts.
 package membership
 
 import (
 	"encoding/json"
 	"fmt"
-	"net/netip"
 	"strconv"
 	"strings"
 	"unicode"
@@ -16,53 +10,54 @@
 	"barleywick/internal/registry"
 )
 
-// Role is what a process does.
+// Role is what a member does in the fleet.
 type Role string
 
-// The roles.
+// The roles. Their values are sent to other members.
 const (
 	RoleRegistry   Role = "registry"
 	RoleController Role = "keeper"
 	RoleSidecar    Role = "sidecar"
 )
 
-// Info is what a member says of itself. All of it travels in one datagram, so it is
-// short, and so are its names.
+// Info is the metadata that a member announces about itself. All of it travels in one
+// datagram, so the values and their JSON keys are short.
 type Info struct {
 	Name string `json:"n"`
 	// Incarnation is higher with each start of a process of that name: the start's time in
 	// microseconds, or more where the clock was set back.
-	Incarnation uint64 `json:"i"`
-	Role        Role   `json:"r"`
-	Zone        string `json:"z,omitempty"`
-	Version     string `json:"v,omitempty"`
-	PolicyEpoch uint64 `json:"p,omitempty"` // epoch of the fleet's policy that it acts by
-	Phase       string `json:"d,omitempty"` // how far it is in its life; empty: it serves
-	HTTPAddr    string `json:"h,omitempty"` // where it can be asked; of a registry's replica: where it serves
-	RaftAddr    string `json:"f,omitempty"` // where a registry's replica is reached by the others
-	ReplicaID   string `json:"c,omitempty"` // of a registry's replica
-	MachineName string `json:"w,omitempty"` // its machine's name, as the registry has it
-	// Where its process is, for members that can see it end.
-	MachineID    string `json:"m,omitempty"`
+	Incarnation  uint64 `json:"i"`
+	Role         Role   `json:"r"`
+	Zone         string `json:"z,omitempty"`
+	Version      string `json:"v,omitempty"`
+	PolicyEpoch  uint64 `json:"p,omitempty"` // epoch of the fleet policy that it acts by
+	Phase        string `json:"d,omitempty"` // lifecycle state; empty: it serves
+	HTTPAddr     string `json:"h,omitempty"` // where it serves its view; of a replica: where it serves the registry
+	RaftAddr     string `json:"f,omitempty"` // of a replica: where the other replicas reach it
+	ReplicaID    string `json:"c,omitempty"` // of a replica
+	MachineName  string `json:"w,omitempty"` // its machine's name in the registry
+	MachineID    string `json:"m,omitempty"` // with PID and ProcessStart: its process, for members that can watch it
 	PID          int    `json:"o,omitempty"`
 	ProcessStart uint64 `json:"s,omitempty"`
-	LongestActMS int64  `json:"a,omitempty"` // how long its longest timed act may go on
+	LongestActMS int64  `json:"a,omitempty"` // how long its longest timed act may take
 }
 
 const (
-	maxZoneBytes, maxVersionBytes, maxPhaseBytes = 32, 24, 24
+	maxNameBytes    = 32 // of zones, machines and replicas
+	maxVersionBytes = 24
+	maxPhaseBytes   = 24
 	// maxMetaBytes is what memberlist carries of a member (memberlist.MetaMaxSize).
 	maxMetaBytes = 512
 )
 
-// Key tells a start of a process from all others.
+// Key identifies one start of a process.
 func (i Info) Key() string { return memberKey(i.Name, i.Incarnation) }
 
 func memberKey(name string, incarnation uint64) string {
 	return name + "/" + strconv.FormatUint(incarnation, 10)
 }
 
-// Check says in one line what is wrong.
+// Check validates what a member announces.
 func (i Info) Check() error {
 	if err := registry.CheckName("name", i.Name); err != nil {
 		return err
@@ -70,18 +65,11 @@
 	if i.Role != RoleRegistry && i.Role != RoleController && i.Role != RoleSidecar {
 		return fmt.Errorf("role is %.32q; there are %s, %s and %s", i.Role, RoleRegistry, RoleController, RoleSidecar)
 	}
-	for _, f := range []struct {
-		name, text string
-		most       int
-	}{{"zone", i.Zone, maxZoneBytes}, {"version", i.Version, maxVersionBytes}, {"phase", i.Phase, maxPhaseBytes}, {"machine", i.MachineID, maxZoneBytes}, {"host", i.MachineName, maxZoneBytes}, {"id", i.ReplicaID, maxZoneBytes}} {
-		if len(f.text) > f.most || strings.ContainsFunc(f.text, unicode.IsControl) {
-			return fmt.Errorf("%s %.64q has more than %d bytes, or signs that cannot be shown", f.name, f.text, f.most)
-		}
+	if err := i.checkTexts(); err != nil {
+		return err
 	}
-	for _, f := range [][2]string{{"http", i.HTTPAddr}, {"raft", i.RaftAddr}} {
-		if a, err := netip.ParseAddrPort(f[1]); f[1] != "" && (err != nil || !a.Addr().Unmap().IsLoopback()) {
-			return fmt.Errorf("%s %.64q is not a loopback address with a port", f[0], f[1])
-		}
+	if err := i.checkAddresses(); err != nil {
+		return err
 	}
 	if i.LongestActMS < 0 || i.PID < 0 {
 		return fmt.Errorf("acts_ms is %d, pid is %d: neither may be negative", i.LongestActMS, i.PID)
@@ -89,7 +77,35 @@
 	return nil
 }
 
-// Encode is the Info as it travels.
+func (i Info) checkTexts() error {
+	for _, field := range []struct {
+		name, text string
+		maxBytes   int
+	}{
+		{"zone", i.Zone, maxNameBytes},
+		{"version", i.Version, maxVersionBytes},
+		{"phase", i.Phase, maxPhaseBytes},
+		{"machine", i.MachineID, maxNameBytes},
+		{"host", i.MachineName, maxNameBytes},
+		{"id", i.ReplicaID, maxNameBytes},
+	} {
+		if len(field.text) > field.maxBytes || strings.ContainsFunc(field.text, unicode.IsControl) {
+			return fmt.Errorf("%s %.64q has more than %d bytes, or signs that cannot be shown", field.name, field.text, field.maxBytes)
+		}
+	}
+	return nil
+}
+
+func (i Info) checkAddresses() error {
+	for _, field := range []struct{ name, address string }{{"http", i.HTTPAddr}, {"raft", i.RaftAddr}} {
+		if field.address != "" && !isLoopbackAddress(field.address) {
+			return fmt.Errorf("%s %.64q is not a loopback address with a port", field.name, field.address)
+		}
+	}
+	return nil
+}
+
+// Encode returns the metadata as it is sent to other members.
 func (i Info) Encode() ([]byte, error) {
 	if err := i.Check(); err != nil {
 		return nil, err
@@ -101,8 +117,8 @@
 	return text, err
 }
 
-// DecodeInfo reads what another member says of itself. Fields that a newer build has are
-// passed over.
+// DecodeInfo reads and validates another member's metadata. Fields of a newer version are
+// ignored.
 func DecodeInfo(text []byte) (i Info, err error) {
 	if len(text) > maxMetaBytes {
 		return i, fmt.Errorf("%d bytes, %d at most", len(text), maxMetaBytes)
--- a/internal/membership/partition.go
+++ b/internal/membership/partition.go
@@ -1,24 +1,32 @@
 package membership
 
 import (
-	"barleywick/internal/mutation"
 	"time"
+
+	"barleywick/internal/mutation"
 )
 
-// PartitionState is the part of the fleet that this process sees, where it does not see all.
+// PartitionState is how much of the fleet a process reaches.
 type PartitionState struct {
-	Present       int           // members here, this one among them
-	Unreachable   int           // members that fell silent and said no goodbye
-	Since         time.Duration // when the first of these was lost
+	Present       int           // members that count as running, this one among them
+	Unreachable   int           // members that no longer answer and did not announce their end
+	Since         time.Duration // when the first of these became unreachable
 	HealingSince  time.Duration // when the first of them came back; 0: none has
-	HealingRounds int           // looks since then
+	HealingRounds int           // rounds since then
 }
 
-// Partitioned says whether somebody is missing.
-func (s PartitionState) Partitioned() bool { return s.Unreachable > 0 && !mutation.SilentPartition }
+// Partitioned reports whether a member is unreachable.
+func (p PartitionState) Partitioned() bool { return p.Unreachable > 0 && !mutation.SilentPartition }
+
+// Minority reports whether more than half of the fleet is unreachable: what depends on the
+// number of members must not be relied on here.
+func (p PartitionState) Minority() bool {
+	return p.Partitioned() && 2*p.Unreachable > p.Unreachable+p.Present
+}
 
-// Minority says that more than half of the fleet was lost: whatever rests on numbers is
-// not to be relied on here.
-func (s PartitionState) Minority() bool {
-	return s.Partitioned() && 2*s.Unreachable > s.Unreachable+s.Present
+// startHealing records that an unreachable member has come back.
+func (p *PartitionState) startHealing(now time.Duration) {
+	if p.HealingSince == 0 {
+		p.HealingSince, p.HealingRounds = now, 0
+	}
 }
--- a/internal/membership/process.go
+++ b/internal/membership/process.go
@@ -1,26 +1,28 @@
 package membership
 
 import (
-	"barleywick/internal/rollout"
 	"hash/fnv"
 	"os"
 	"strconv"
+
+	"barleywick/internal/rollout"
 )
 
-// CurrentProcess is the machine and process that this is, for members that share its processes:
-// its kernel's boot and its space of process ids. Empty where that cannot be read.
-func CurrentProcess() (machine string, pid int, started uint64) {
-	boot, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
+// CurrentProcess identifies this process to members that see the same processes: a hash of
+// its kernel's boot and its PID namespace, its process id, and its start. All are zero
+// where the kernel does not tell.
+func CurrentProcess() (machineID string, pid int, processStart uint64) {
+	bootID, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
 		return "", 0, 0
 	}
-	space, err := os.Readlink("/proc/self/ns/pid")
+	namespace, err := os.Readlink("/proc/self/ns/pid")
 	if err != nil {
 		return "", 0, 0
 	}
-	h := fnv.New64a()
-	h.Write(boot)
-	h.Write([]byte(space))
+	hash := fnv.New64a()
+	hash.Write(bootID)
+	hash.Write([]byte(namespace))
 	pid = os.Getpid()
-	return strconv.FormatUint(h.Sum64(), 36), pid, rollout.ProcessStartTicks(pid)
+	return strconv.FormatUint(hash.Sum64(), 36), pid, rollout.ProcessStartTicks(pid)
 }
--- a/internal/membership/response.go
+++ b/internal/membership/response.go
@@ -1,32 +1,31 @@
 package membership
 
-// ViewPath is where a member that is asked over HTTP tells its view, below whatever it
-// serves else.
+// ViewPath is the path of a member's view, below the prefix under which the member serves.
 const ViewPath = "fleet"
 
-// maxResponseBytes bounds an answer: maxMembers of them, at their longest.
+// maxResponseBytes bounds a view's response: maxMembers of them, at their longest.
 const maxResponseBytes = 4 << 20
 
-// MemberView is one member in an answer.
+// MemberView is one member in a ViewResponse.
 type MemberView struct {
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"incarnation"`
 	Role        Role   `json:"role"`
 	Status      Status `json:"status"`
-	StatusAgeMS int64  `json:"for_ms"`       // since when it has this status
-	By          string `json:"by,omitempty"` // who saw it end, or by whom it is replaced
+	StatusAgeMS int64  `json:"for_ms"`       // for how long it has had this status
+	By          string `json:"by,omitempty"` // evidence for the status, as Member.By
 	Zone        string `json:"zone,omitempty"`
 	Version     string `json:"version,omitempty"`
 	PolicyEpoch uint64 `json:"policy_epoch,omitempty"`
 	Phase       string `json:"phase,omitempty"`
 	GossipAddr  string `json:"at,omitempty"`   // where it listens to other members
-	HTTPAddr    string `json:"http,omitempty"` // where it can be asked
-	MachineName string `json:"host,omitempty"` // its machine's name
+	HTTPAddr    string `json:"http,omitempty"` // where it serves its view
+	MachineName string `json:"host,omitempty"` // its machine's name in the registry
 	MachineID   string `json:"machine,omitempty"`
 	PID         int    `json:"pid,omitempty"`
 }
 
-// ViewResponse is one process's view of the fleet.
+// ViewResponse is the view of one process, as it serves it.
 type ViewResponse struct {
 	Fleet          string       `json:"fleet"`
 	Name           string       `json:"name"`
@@ -34,11 +33,11 @@
 	Digest         string       `json:"digest"`
 	Present        int          `json:"present"`
 	Unreachable    int          `json:"lost"`
-	PartitionedMS  int64        `json:"apart_ms,omitempty"` // since the first of those lost was
-	Minority       bool         `json:"minority,omitempty"` // more than half is lost
+	PartitionedMS  int64        `json:"apart_ms,omitempty"` // since the first of the unreachable members was
+	Minority       bool         `json:"minority,omitempty"` // more than half of the fleet is unreachable
 	HealRounds     uint64       `json:"healed_in,omitempty"`
-	AgreeingPeers  int          `json:"agree"`            // of the members heard lately, how many see the same
-	ComparedPeers  int          `json:"compared"`         // and how many were heard
-	DifferingPeers []string     `json:"differ,omitempty"` // and who sees another
+	AgreeingPeers  int          `json:"agree"`            // members with a recent digest equal to this one's
+	ComparedPeers  int          `json:"compared"`         // members with a recent digest
+	DifferingPeers []string     `json:"differ,omitempty"` // keys of those whose digest differs
 	Members        []MemberView `json:"members"`
 }
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -2,30 +2,42 @@
 
 import "time"
 
-// Status is how a member stands in somebody's view.
+// Status is how a member stands in a view.
 type Status string
 
-// The statuses.
+// The statuses. Their values are served to operators and are metric labels.
 const (
 	StatusPresent     Status = "present"
-	StatusSuspected   Status = "suspected" // it has not answered lately; it may yet
-	StatusUnreachable Status = "lost"      // silence: it ended, or is stopped, or cut off
-	StatusLeft        Status = "left"      // it said goodbye
-	StatusEnded       Status = "gone"      // its process was seen to have ended, on its own machine
+	StatusSuspected   Status = "suspected" // it has not answered a probe; it may yet
+	StatusUnreachable Status = "lost"      // it has ended, is stopped, or is cut off
+	StatusLeft        Status = "left"      // it announced that it leaves
+	StatusEnded       Status = "gone"      // its process was seen to end, on its own machine
 	StatusReplaced    Status = "replaced"  // a later process has its name
+
+	// StatusUnknown is that of a member that a view does not hold.
+	StatusUnknown Status = "unknown"
 )
 
-// CountsAsPresent says whether a member with this status counts as there.
+// CountsAsPresent reports whether a member with this status counts as running.
 func (s Status) CountsAsPresent() bool { return s == StatusPresent || s == StatusSuspected }
 
-// final says whether the status is for good: that process does not come back.
-func (s Status) final() bool { return s == StatusLeft || s == StatusEnded || s == StatusReplaced }
+// final reports whether the status is for good: that process does not come back.
+func (s Status) final() bool {
+	return s == StatusLeft || s == StatusEnded || s == StatusReplaced
+}
 
 // Member is one member in a view.
 type Member struct {
 	Info
-	Status         Status
-	StatusSince    time.Duration // on the view's clock
-	By             string        // of Gone: who saw it; of Replaced: by which key
-	suspectedUntil time.Duration // of Suspected: when that passes
+	Status      Status
+	StatusSince time.Duration // on the view's clock
+	// By is the evidence for a final status: the key of the member that saw the process
+	// end, or of the process that replaces it.
+	By string
+
+	suspectedUntil time.Duration // of StatusSuspected: when the suspicion expires
+}
+
+func (m *Member) setStatus(status Status, now time.Duration) {
+	m.Status, m.StatusSince = status, now
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -11,146 +11,166 @@
 )
 
 const (
-	// maxMembers bounds a view, with those that are there no more.
+	// maxMembers bounds a view, members that have ended among them.
 	maxMembers = 4096
-	// endedRetention is for how long those are kept whose end is sure, so that late news of
-	// them change nothing.
+	// endedRetention is for how long a view holds a member with a final status, so that late
+	// messages about it have no effect.
 	endedRetention = 2 * time.Minute
-	// stableRounds is for how many rounds nobody may have come or gone where all is whole again.
+	// stableRounds is for how many rounds no member may have come or gone before views are
+	// expected to agree.
 	stableRounds = 2
-	// DigestFanout is to how many others a round tells what is seen.
+	// operatorEvidence is Member.By of a member that an operator had forgotten.
+	operatorEvidence = "an operator"
+	// DigestFanout is the number of members to which a digest is sent each round.
 	DigestFanout = 3
 )
 
-// View is what one process knows of the others, and of how much of the fleet it sees: a
-// state machine without a clock, told the time as a reading that never goes back. It is
-// not safe for concurrent use.
+// View is what one process knows of the fleet's members, and how many of them it reaches:
+// a state machine without a clock, whose methods take the time as a monotonic reading. It
+// is not safe for concurrent use.
 type View struct {
-	selfKey     string        // its own key
-	forgetAfter time.Duration // after which one that is lost counts as never to come back
+	selfKey     string
+	forgetAfter time.Duration // after which an unreachable member is dropped
 
-	members           map[string]*Member
+	members           map[string]*Member // by key
 	partition         PartitionState
-	roundsSinceChange int                   // rounds since somebody came or went
-	digests           map[string]peerDigest // what others said last of their views, by key
+	roundsSinceChange int                   // since a member came or went
+	digests           map[string]peerDigest // the latest of each other member, by key
 }
 
-// peerDigest is another member's word on its view.
+// peerDigest is the digest of another member's view, and when it arrived.
 type peerDigest struct {
 	digest uint64
 	at     time.Duration
 }
 
 // NewView makes a view that holds this process alone.
-func NewView(self Info, forget, now time.Duration) *View {
-	v := &View{selfKey: self.Key(), forgetAfter: forget, members: make(map[string]*Member), digests: make(map[string]peerDigest)}
+func NewView(self Info, forgetAfter, now time.Duration) *View {
+	v := &View{selfKey: self.Key(), forgetAfter: forgetAfter, members: make(map[string]*Member), digests: make(map[string]peerDigest)}
 	v.MarkPresent(self, now)
 	return v
 }
 
-// MarkPresent notes that a member is there, and reports whether that is news.
-func (v *View) MarkPresent(i Info, now time.Duration) (news bool) {
-	s := v.members[i.Key()]
+// MarkPresent records that a member is running, with its metadata, and reports whether
+// that changes the view.
+func (v *View) MarkPresent(info Info, now time.Duration) (changed bool) {
+	member := v.members[info.Key()]
 	switch {
-	case s == nil:
+	case member == nil:
 		if len(v.members) >= maxMembers && !v.evictOldest() {
 			return false
 		}
-		v.members[i.Key()] = &Member{Info: i, Status: StatusPresent, StatusSince: now}
-		v.markReplaced(i.Name, now)
-	case s.Status.final():
-		return false // late news of a process that has ended
-	case s.Status == StatusUnreachable:
-		if v.partition.HealingSince == 0 { // it had not ended
-			v.partition.HealingSince, v.partition.HealingRounds = now, 0
-		}
-		s.Info, s.Status, s.StatusSince = i, StatusPresent, now
-		v.markReplaced(i.Name, now)
-	case s.Info == i:
+		v.members[info.Key()] = &Member{Info: info, Status: StatusPresent, StatusSince: now}
+		v.markReplaced(info.Name, now)
+	case member.Status.final():
+		return false // a late message of a process that has ended
+	case member.Status == StatusUnreachable:
+		v.partition.startHealing(now)
+		member.Info = info
+		member.setStatus(StatusPresent, now)
+		v.markReplaced(info.Name, now)
+	case member.Info == info:
 		return false
 	default:
-		s.Info = i
+		member.Info = info
 		return true
 	}
 	v.recount()
 	return true
 }
 
-// MarkSuspected notes that a member does not answer somebody, which counts until a time: by
-// then it has answered or is lost.
-func (v *View) MarkSuspected(key string, now, until time.Duration) (news bool) {
-	s := v.members[key]
-	if s == nil || key == v.selfKey || !s.Status.CountsAsPresent() {
+// MarkSuspected records that a member did not answer a probe, and reports whether that
+// changes the view. The suspicion expires at a time: the member has answered or is
+// unreachable by then.
+func (v *View) MarkSuspected(key string, now, until time.Duration) (changed bool) {
+	member := v.members[key]
+	if member == nil || key == v.selfKey || !member.Status.CountsAsPresent() {
 		return false
 	}
-	if news = s.Status == StatusPresent; news {
-		s.Status, s.StatusSince = StatusSuspected, now
+	changed = member.Status == StatusPresent
+	if changed {
+		member.setStatus(StatusSuspected, now)
 	}
-	s.suspectedUntil = until
-	return news
+	member.suspectedUntil = until
+	return changed
 }
 
-// MarkResponded notes that a member has answered this process.
+// MarkResponded records that a member answered a probe of this process.
 func (v *View) MarkResponded(key string, now time.Duration) {
-	if s := v.members[key]; s != nil && s.Status == StatusSuspected {
-		s.Status, s.StatusSince = StatusPresent, now
+	if member := v.members[key]; member != nil && member.Status == StatusSuspected {
+		member.setStatus(StatusPresent, now)
 	}
 }
 
-// markReplaced notes that of the processes with one name the latest one counts.
+// markReplaced gives the processes of a name, but for the latest, the status StatusReplaced.
 func (v *View) markReplaced(name string, now time.Duration) {
 	latest, _ := v.Latest(name)
-	for _, s := range v.members {
-		if s.Name == name && s.Incarnation < latest.Incarnation && !s.Status.final() {
-			s.Status, s.StatusSince, s.By = StatusReplaced, now, latest.Key()
+	for _, member := range v.members {
+		if member.Name == name && member.Incarnation < latest.Incarnation && !member.Status.final() {
+			member.setStatus(StatusReplaced, now)
+			member.By = latest.Key()
 		}
 	}
 }
 
-// MarkUnreachable notes that a member was given up for its silence, or said goodbye.
-func (v *View) MarkUnreachable(key string, goodbye bool, now time.Duration) (news bool) {
-	s := v.members[key]
-	if s == nil || key == v.selfKey || s.Status.final() || s.Status == StatusUnreachable && !goodbye {
+// MarkUnreachable records that a member no longer answers, and reports whether that
+// changes the view.
+func (v *View) MarkUnreachable(key string, now time.Duration) (changed bool) {
+	member := v.members[key]
+	if member == nil || key == v.selfKey || member.Status.final() || member.Status == StatusUnreachable {
 		return false
 	}
-	if s.Status, s.StatusSince = StatusUnreachable, now; goodbye {
-		s.Status = StatusLeft
-	}
+	member.setStatus(StatusUnreachable, now)
 	v.recount()
-	if v.partition.Since == 0 && v.partition.Unreachable > 0 {
+	if v.partition.Since == 0 {
 		v.partition.Since = now
 	}
 	v.partition.HealingSince = 0
 	return true
 }
 
-// MarkEnded notes that a process has ended, as one on its own machine has seen. The word
-// of one elsewhere is no evidence.
-func (v *View) MarkEnded(key, by string, now time.Duration) (news bool) {
-	s, witness := v.members[key], v.members[by]
-	if s == nil || witness == nil || key == v.selfKey || s.Status.final() || s.MachineID == "" || s.MachineID != witness.MachineID {
+// MarkLeft records that a member has announced that it leaves, and reports whether that
+// changes the view.
+func (v *View) MarkLeft(key string, now time.Duration) (changed bool) {
+	member := v.members[key]
+	if member == nil || key == v.selfKey || member.Status.final() {
 		return false
 	}
-	s.Status, s.StatusSince, s.By = StatusEnded, now, by
+	member.setStatus(StatusLeft, now)
 	v.recount()
+	v.partition.HealingSince = 0
 	return true
 }
 
-// startHealing notes that one that was lost is back: it had not ended.
-func (v *View) startHealing(now time.Duration) {
-	if v.partition.HealingSince == 0 {
-		v.partition.HealingSince, v.partition.HealingRounds = now, 0
+// MarkEnded records that the process of a member has ended, and reports whether that
+// changes the view. Only a witness on the process's own machine can have seen its end.
+func (v *View) MarkEnded(key, witnessKey string, now time.Duration) (changed bool) {
+	member, witness := v.members[key], v.members[witnessKey]
+	if member == nil || witness == nil || key == v.selfKey || member.Status.final() {
+		return false
+	}
+	if member.MachineID == "" || member.MachineID != witness.MachineID {
+		return false
 	}
+	member.setStatus(StatusEnded, now)
+	member.By = witnessKey
+	v.recount()
+	return true
 }
 
-// recount brings the sides' sizes up to date after somebody came or went.
+// recount updates the partition state after a member came or went.
 func (v *View) recount() {
-	v.roundsSinceChange, v.partition.Present, v.partition.Unreachable = 0, 0, 0
-	for _, s := range v.members {
+	v.roundsSinceChange = 0
+	v.countMembers()
+}
+
+func (v *View) countMembers() {
+	v.partition.Present, v.partition.Unreachable = 0, 0
+	for _, member := range v.members {
 		switch {
-		case s.Status.CountsAsPresent():
+		case member.Status.CountsAsPresent():
 			v.partition.Present++
-		case s.Status == StatusUnreachable:
+		case member.Status == StatusUnreachable:
 			v.partition.Unreachable++
 		}
 	}
@@ -159,12 +179,13 @@
 	}
 }
 
-// evictOldest makes room by forgetting who has ended longest ago.
+// evictOldest drops the member that has been gone for longest, and reports whether there
+// was one.
 func (v *View) evictOldest() bool {
 	var oldest *Member
-	for _, s := range v.members {
-		if !s.Status.CountsAsPresent() && (oldest == nil || s.StatusSince < oldest.StatusSince) {
-			oldest = s
+	for _, member := range v.members {
+		if !member.Status.CountsAsPresent() && (oldest == nil || member.StatusSince < oldest.StatusSince) {
+			oldest = member
 		}
 	}
 	if oldest == nil {
@@ -174,75 +195,91 @@
 	return true
 }
 
-// Tick forgets what is long past. It is called once a round, and returns how many rounds
-// a partition took to heal when it just has.
-func (v *View) Tick(now time.Duration) (healed int, done bool) {
-	maps.DeleteFunc(v.members, func(_ string, s *Member) bool {
-		return s.Status == StatusUnreachable && now-s.StatusSince > v.forgetAfter || s.Status.final() && now-s.StatusSince > endedRetention && s.Key() != v.selfKey
-	})
-	for _, s := range v.members {
-		if s.Status == StatusSuspected && now >= s.suspectedUntil {
-			s.Status, s.StatusSince = StatusPresent, now
-		}
-	}
-	maps.DeleteFunc(v.digests, func(key string, _ peerDigest) bool {
-		return v.members[key] == nil || !v.members[key].Status.CountsAsPresent()
-	})
-	calm := v.roundsSinceChange
-	v.recount()
-	v.roundsSinceChange = calm
+// Tick is called once a round: members, suspicions and digests expire. It returns how many
+// rounds a partition took to heal, when it has healed in this round.
+func (v *View) Tick(now time.Duration) (rounds int, healed bool) {
+	v.expire(now)
+	v.countMembers()
 	v.roundsSinceChange++
 	if v.partition.HealingSince == 0 {
 		return 0, false
 	}
 	v.partition.HealingRounds++
-	// Whoever came back may be the first of many, and who spoke last may have spoken before.
-	if agree, known := v.Agreement(v.partition.HealingSince); agree < known || known < min(DigestFanout, v.partition.Present-1) || !v.Stable() {
+	if !v.Stable() || !v.agreesSince(v.partition.HealingSince) {
 		return 0, false
 	}
 	v.partition.HealingSince = 0
 	return v.partition.HealingRounds, true
 }
 
-// Forget takes a member that was lost for one that never comes back, at an operator's word.
-func (v *View) Forget(name string, now time.Duration) (some int) {
-	for _, s := range v.members {
-		if s.Name == name && s.Status == StatusUnreachable {
-			s.Status, s.StatusSince, s.By = StatusEnded, now, "an operator"
-			some++
+func (v *View) expire(now time.Duration) {
+	maps.DeleteFunc(v.members, func(key string, member *Member) bool {
+		age := now - member.StatusSince
+		if member.Status == StatusUnreachable {
+			return age > v.forgetAfter
+		}
+		return member.Status.final() && age > endedRetention && key != v.selfKey
+	})
+	for _, member := range v.members {
+		if member.Status == StatusSuspected && now >= member.suspectedUntil {
+			member.setStatus(StatusPresent, now)
+		}
+	}
+	maps.DeleteFunc(v.digests, func(key string, _ peerDigest) bool {
+		return v.members[key] == nil || !v.members[key].Status.CountsAsPresent()
+	})
+}
+
+// agreesSince reports whether enough digests have arrived since a time and all equal this
+// view's. One is not enough: the first member that comes back may be the first of many.
+func (v *View) agreesSince(since time.Duration) bool {
+	agreeing, compared := v.Agreement(since)
+	return agreeing == compared && compared >= min(DigestFanout, v.partition.Present-1)
+}
+
+// Forget takes the unreachable members of a name for ended, on an operator's request, and
+// returns how many there were.
+func (v *View) Forget(name string, now time.Duration) (forgotten int) {
+	for _, member := range v.members {
+		if member.Name == name && member.Status == StatusUnreachable {
+			member.setStatus(StatusEnded, now)
+			member.By = operatorEvidence
+			forgotten++
 		}
 	}
 	v.recount()
-	return some
+	return forgotten
 }
 
-// RecordDigest notes what another member said of its view.
+// RecordDigest records the digest of another member's view.
 func (v *View) RecordDigest(key string, digest uint64, now time.Duration) {
-	if s := v.members[key]; s != nil && s.Status.CountsAsPresent() && key != v.selfKey {
+	if member := v.members[key]; member != nil && member.Status.CountsAsPresent() && key != v.selfKey {
 		v.digests[key] = peerDigest{digest, now}
 	}
 }
 
-// Agreement is how many of those who spoke of their views since a time have the same as
-// this one, and how many spoke.
-func (v *View) Agreement(since time.Duration) (agree, known int) {
+// Agreement returns how many digests have arrived since a time, and how many of them equal
+// this view's.
+func (v *View) Agreement(since time.Duration) (agreeing, compared int) {
 	own := v.Digest()
-	for _, h := range v.digests {
-		if h.at < since {
+	for _, peer := range v.digests {
+		if peer.at < since {
 			continue
 		}
-		if known++; h.digest == own {
-			agree++
+		compared++
+		if peer.digest == own {
+			agreeing++
 		}
 	}
-	return agree, known
+	return agreeing, compared
 }
 
-// DifferingPeers are the members that have said last that they see another fleet.
+// DifferingPeers returns the keys of the members whose digest has arrived since a time and
+// differs from this view's.
 func (v *View) DifferingPeers(since time.Duration) (keys []string) {
 	own := v.Digest()
-	for key, h := range v.digests {
-		if h.at >= since && h.digest != own {
+	for key, peer := range v.digests {
+		if peer.at >= since && peer.digest != own {
 			keys = append(keys, key)
 		}
 	}
@@ -250,16 +287,16 @@
 	return keys
 }
 
-// Stable says that nobody has come or gone for some rounds: whose views differ still has
-// missed something.
+// Stable reports whether no member has come or gone for some rounds. A peer whose view
+// still differs has missed a message then.
 func (v *View) Stable() bool { return v.roundsSinceChange > stableRounds }
 
-// Digest is alike for views that hold the same members as present. Suspicion is not in
-// it: it passes in a moment, one way or the other.
+// Digest is equal for views in which the same members count as present. Suspicion is left
+// out of it, as it passes in a moment.
 func (v *View) Digest() uint64 {
 	keys := make([]string, 0, len(v.members))
-	for key, s := range v.members {
-		if s.Status.CountsAsPresent() {
+	for key, member := range v.members {
+		if member.Status.CountsAsPresent() {
 			keys = append(keys, key)
 		}
 	}
@@ -267,32 +304,32 @@
 	return xxhash.Sum64String(strings.Join(keys, " "))
 }
 
-// Partition is what this process sees of the fleet.
+// Partition returns how much of the fleet this process reaches.
 func (v *View) Partition() PartitionState { return v.partition }
 
 // Get returns a member by its key.
 func (v *View) Get(key string) (Member, bool) {
-	if s := v.members[key]; s != nil {
-		return *s, true
+	if member := v.members[key]; member != nil {
+		return *member, true
 	}
 	return Member{}, false
 }
 
-// Latest is the latest process of a name.
-func (v *View) Latest(name string) (s Member, ok bool) {
-	for _, other := range v.members {
-		if other.Name == name && (!ok || other.Incarnation > s.Incarnation) {
-			s, ok = *other, true
+// Latest returns the process of a name that started last.
+func (v *View) Latest(name string) (latest Member, ok bool) {
+	for _, member := range v.members {
+		if member.Name == name && (!ok || member.Incarnation > latest.Incarnation) {
+			latest, ok = *member, true
 		}
 	}
-	return s, ok
+	return latest, ok
 }
 
-// List returns all members by name, of one name the latest first.
+// List returns all members by name; of one name the latest process comes first.
 func (v *View) List() []Member {
 	all := make([]Member, 0, len(v.members))
-	for _, s := range v.members {
-		all = append(all, *s)
+	for _, member := range v.members {
+		all = append(all, *member)
 	}
 	slices.SortFunc(all, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(b.Incarnation, a.Incarnation))
--- a/internal/testing/chaostest/promises.go
+++ b/internal/testing/chaostest/promises.go
@@ -109,7 +109,7 @@
 		for _, name := range r.all() {
 			var v membership.ViewResponse
 			if why := asks(func(in context.Context) (err error) {
-				v, err = membership.FetchView(in, http.DefaultClient, r.viewURL(name), "")
+				v, err = membership.FetchView(in, http.DefaultClient, r.viewURL(name))
 				return err
 			}); why != "" {
 				return name + ": " + why
--- a/internal/testing/integration/members_test.go
+++ b/internal/testing/integration/members_test.go
@@ -70,7 +70,7 @@
 func (m *memberRig) view(name string) (membership.ViewResponse, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	return membership.FetchView(ctx, http.DefaultClient, m.asked[name], "")
+	return membership.FetchView(ctx, http.DefaultClient, m.asked[name])
 }
 
 // agree waits until some see each other, and nobody else, and returns how long that took.
@@ -315,7 +315,7 @@
 		other = "k1"
 	}
 	eventually(t, "the others have lost the holder", func() bool {
-		return strings.Contains(r.Processes[other].Output(), `msg="members: lost" member=`+holder+"/")
+		return strings.Contains(r.Processes[other].Output(), `msg="members: member unreachable" member=`+holder+"/")
 	})
 	seen := w.count()
 	eventually(t, "they have acted for a while since", func() bool { return w.count() > seen+100 })
