--- a/internal/registry/server/certain.go
+++ b/internal/registry/server/certain.go
@@ -15,40 +15,42 @@
 	"barleywick/internal/registry"
 )
 
-// certainIn is how long the other replicas may take to say their terms: as long as a
+// verificationTimeout is how long the other replicas may take to say their terms: as long as a
 // leader that is cut off goes on believing.
-const certainIn = time.Second
+const verificationTimeout = time.Second
 
-// certainty makes sure that this replica leads. Raft's own VerifyLeader counts any
+// leadershipVerifier makes sure that this replica leads. Raft's own VerifyLeader counts any
 // answer that comes in after it was asked: in a process that was stopped and goes on
 // those may be from before, and another may lead since. Here a quorum says, asked
 // after the call began, that none of it has come to a later term: whoever is elected
 // next is elected after that. Calls that come while others are asked share one asking
 // that begins after them.
-type certainty struct {
-	ask chan struct{}
+type leadershipVerifier struct {
+	requested chan struct{}
 
-	mu   sync.Mutex
-	next *asking
+	mu      sync.Mutex
+	pending *verification
 }
 
-type asking struct {
+type verification struct {
 	done chan struct{}
 	err  error
 }
 
-func newCertainty() *certainty { return &certainty{ask: make(chan struct{}, 1)} }
+func newLeadershipVerifier() *leadershipVerifier {
+	return &leadershipVerifier{requested: make(chan struct{}, 1)}
+}
 
-// certain returns nil if this replica led at a moment after the call began.
-func (r *Replica) certain() error {
-	c := r.sure
+// verifyLeadership returns nil if this replica led at a moment after the call began.
+func (r *Replica) verifyLeadership() error {
+	c := r.verifier
 	c.mu.Lock()
-	a := c.next
+	a := c.pending
 	if a == nil {
-		a = &asking{done: make(chan struct{})}
-		c.next = a
+		a = &verification{done: make(chan struct{})}
+		c.pending = a
 		select {
-		case c.ask <- struct{}{}:
+		case c.requested <- struct{}{}:
 		default:
 		}
 	}
@@ -56,34 +58,34 @@
 	select {
 	case <-a.done:
 		return a.err
-	case <-r.life.Done():
+	case <-r.ctx.Done():
 		return raft.ErrRaftShutdown
 	}
 }
 
-// askTerms asks for whoever wants to be certain, until the replica ends.
-func (r *Replica) askTerms() {
+// runVerifications asks for whoever wants to be certain, until the replica ends.
+func (r *Replica) runVerifications() {
 	for {
 		select {
-		case <-r.sure.ask:
-		case <-r.life.Done():
+		case <-r.verifier.requested:
+		case <-r.ctx.Done():
 			return
 		}
-		r.sure.mu.Lock()
-		a := r.sure.next
-		r.sure.next = nil
-		r.sure.mu.Unlock()
-		a.err = r.askQuorum()
+		r.verifier.mu.Lock()
+		a := r.verifier.pending
+		r.verifier.pending = nil
+		r.verifier.mu.Unlock()
+		a.err = r.verifyWithQuorum()
 		close(a.done)
 	}
 }
 
-func (r *Replica) askQuorum() error {
+func (r *Replica) verifyWithQuorum() error {
 	term := r.raft.CurrentTerm()
 	if r.raft.State() != raft.Leader {
 		return raft.ErrNotLeader
 	}
-	ctx, cancel := context.WithTimeout(r.life, certainIn)
+	ctx, cancel := context.WithTimeout(r.ctx, verificationTimeout)
 	defer cancel()
 	voters := r.voters()
 	answers, asked, agree := make(chan error, len(voters)), 0, 0
@@ -93,7 +95,7 @@
 			continue
 		}
 		asked++
-		go func() { answers <- r.askTerm(ctx, string(v.ID), term) }() // ends with ctx
+		go func() { answers <- r.confirmTerm(ctx, string(v.ID), term) }() // ends with ctx
 	}
 	var last error
 	for ; asked > 0 && agree <= len(voters)/2; asked-- {
@@ -112,9 +114,9 @@
 	return nil
 }
 
-// askTerm asks one replica; an error says that it does not vouch for this term.
-func (r *Replica) askTerm(ctx context.Context, id string, term uint64) error {
-	m, ok := r.member(id)
+// confirmTerm asks one replica; an error says that it does not vouch for this term.
+func (r *Replica) confirmTerm(ctx context.Context, id string, term uint64) error {
+	m, ok := r.findReplica(id)
 	if !ok {
 		return fmt.Errorf("replica %s: its address is not known", id)
 	}
@@ -122,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	resp, err := r.http.Do(req)
+	resp, err := r.peerClient.Do(req)
 	if err != nil {
 		return err
 	}
--- a/internal/registry/server/compat_data_test.go
+++ b/internal/registry/server/compat_data_test.go
@@ -203,7 +203,7 @@
 	n := &node{t: t, config: config, member: m}
 	n.serve(ln, peers)
 	defer n.stop()
-	if first, err := n.disk.logs.FirstIndex(); err != nil || first <= 1 {
+	if first, err := n.storage.log.FirstIndex(); err != nil || first <= 1 {
 		t.Errorf("the log begins at entry %d, error %v; want one whose beginning is in the snapshot alone", first, err)
 	}
 	if term := n.raft.CurrentTerm(); term < earlierTerm {
@@ -229,7 +229,7 @@
 		t.Fatal(err)
 	}
 	mustDo(t, m, "POST", "leases/drains/release", `{"claim":"claim-k0-drains","holder":"k0","incarnation":11,"to":"k1"}`)
-	n.machine.read(func(s *registry.State) {
+	n.stateMachine.view(func(s *registry.State) {
 		l, _ := s.Leases().Lease("drains")
 		if l.Grant == nil || l.Grant.Name != "k1" || l.Grant.Token <= before.Leases().LastToken() {
 			t.Errorf("the lease's next grant is %+v, want k1's with a token over %d", l.Grant, before.Leases().LastToken())
--- a/internal/registry/server/compat_peers_test.go
+++ b/internal/registry/server/compat_peers_test.go
@@ -220,9 +220,9 @@
 			t.Errorf("connection %d: got %q want %q", chunk.Connection, got, want)
 		}
 	}
-	eventually(t, "the replica holds what it was sent", func() bool { return n.list()["s-9"] != "" })
+	eventually(t, "the replica holds what it was sent", func() bool { return n.wantedList()["s-9"] != "" })
 	want := map[string]string{"s-1": "up 1700000000000", "s-2": "draining 0", "s-3": "draining 5", "s-9": "up 5"}
-	if got := n.list(); !maps.Equal(got, want) {
+	if got := n.wantedList(); !maps.Equal(got, want) {
 		t.Errorf("the replica lists %v, want %v", got, want)
 	}
 }
@@ -244,7 +244,7 @@
 func TestHandshakeOfEarlierVersion(t *testing.T) {
 	r := readPeers(t)
 	history := func() (string, uint64) { return earlierGroup, r.Founded }
-	l := newLayer(listen(t, "127.0.0.1:0"), nil, history)
+	l := newStreamLayer(listen(t, "127.0.0.1:0"), nil, history)
 	defer l.Close()
 	for _, h := range r.Refused {
 		if got := sayHello(t, l.Addr().String(), h.Line); got != h.Answer {
--- a/internal/registry/server/config.go
+++ b/internal/registry/server/config.go
@@ -44,8 +44,8 @@
 	Waiting int `json:"waiting"` // that wait for their turn
 }
 
-// connections is how many callers there may be at once.
-func (l Limits) connections() int { return l.Watches + l.Calls + l.Waiting }
+// maxConnections is how many callers there may be at once.
+func (l Limits) maxConnections() int { return l.Watches + l.Calls + l.Waiting }
 
 // SessionConfig are the rules on instances that stop renewing.
 type SessionConfig struct {
@@ -68,19 +68,19 @@
 }
 
 const (
-	defaultWatches     = 1024 // several hundred sidecars, and as many again as they change over
-	defaultCalls       = 16
-	defaultWaiting     = 512
-	defaultFloor       = 0.5
-	defaultWithin      = time.Minute
-	defaultLeastTTL    = 500 * time.Millisecond // as long as an election may begin late
-	defaultMostTTL     = time.Hour
-	defaultElection    = 500 * time.Millisecond // on loopback a word takes under a millisecond
-	defaultLeastLease  = 500 * time.Millisecond // as long as an election may begin late
-	defaultMostLease   = 15 * time.Second       // a new group grants none for that long
-	defaultLeaseWrites = 1000                   // several times what half of a thousand leases moving in a second take
-	leastElection      = 50 * time.Millisecond
-	mostReplicas       = 7
+	defaultWatches       = 1024 // several hundred sidecars, and as many again as they change over
+	defaultCalls         = 16
+	defaultWaiting       = 512
+	defaultFloor         = 0.5
+	defaultSessionWindow = time.Minute
+	defaultMinTTL        = 500 * time.Millisecond // as long as an election may begin late
+	defaultMaxTTL        = time.Hour
+	defaultElection      = 500 * time.Millisecond // on loopback a word takes under a millisecond
+	defaultMinLeaseTTL   = 500 * time.Millisecond // as long as an election may begin late
+	defaultMaxLeaseTTL   = 15 * time.Second       // a new group grants none for that long
+	defaultLeaseWrites   = 1000                   // several times what half of a thousand leases moving in a second take
+	minElectionTimeout   = 50 * time.Millisecond
+	maxReplicas          = 7
 )
 
 // LoadConfig reads a replica's configuration file.
@@ -102,10 +102,10 @@
 	c := &Config{
 		Limits: Limits{Watches: defaultWatches, Calls: defaultCalls, Waiting: defaultWaiting},
 		Sessions: SessionConfig{
-			Floor: defaultFloor, WindowMS: defaultWithin.Milliseconds(),
-			MinTTLMS: defaultLeastTTL.Milliseconds(), MaxTTLMS: defaultMostTTL.Milliseconds(),
+			Floor: defaultFloor, WindowMS: defaultSessionWindow.Milliseconds(),
+			MinTTLMS: defaultMinTTL.Milliseconds(), MaxTTLMS: defaultMaxTTL.Milliseconds(),
 		},
-		Leases: LeaseConfig{MinTTLMS: defaultLeastLease.Milliseconds(), MaxTTLMS: defaultMostLease.Milliseconds(), WritesPerSecond: defaultLeaseWrites},
+		Leases: LeaseConfig{MinTTLMS: defaultMinLeaseTTL.Milliseconds(), MaxTTLMS: defaultMaxLeaseTTL.Milliseconds(), WritesPerSecond: defaultLeaseWrites},
 		Timing: TimingConfig{ElectionMS: defaultElection.Milliseconds()},
 	}
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -113,13 +113,13 @@
 	if err := d.Decode(c); err != nil {
 		return nil, err
 	}
-	if err := c.check(); err != nil {
+	if err := c.validate(); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-func (c *Config) check() error {
+func (c *Config) validate() error {
 	if err := registry.CheckName("group", c.Group); err != nil {
 		return err
 	}
@@ -129,15 +129,15 @@
 	if c.DataDir == "" {
 		return fmt.Errorf("data is missing: the folder for this replica's log")
 	}
-	if len(c.Replicas) == 0 || len(c.Replicas) > mostReplicas {
-		return fmt.Errorf("replicas: %d are named, 1 to %d may be", len(c.Replicas), mostReplicas)
+	if len(c.Replicas) == 0 || len(c.Replicas) > maxReplicas {
+		return fmt.Errorf("replicas: %d are named, 1 to %d may be", len(c.Replicas), maxReplicas)
 	}
 	if !c.Join && len(c.Replicas)%2 == 0 {
 		return fmt.Errorf("replicas: %d are named, an odd number is needed: an even one bears no more losses", len(c.Replicas))
 	}
 	seen := make(map[string]string)
 	for _, m := range c.Replicas {
-		if err := checkMember(m); err != nil {
+		if err := validateMember(m); err != nil {
 			return fmt.Errorf("replicas: %w", err)
 		}
 		for _, of := range []string{"id " + m.ID, "address " + m.HTTP, "address " + m.Raft} {
@@ -147,7 +147,7 @@
 			seen[of] = m.ID
 		}
 	}
-	if _, ok := c.self(); !ok {
+	if _, ok := c.findSelf(); !ok {
 		return fmt.Errorf("replicas: none has the id %q of this one", c.ID)
 	}
 	for _, f := range []struct {
@@ -164,7 +164,7 @@
 		{"leases.most_ttl_ms", c.Leases.MaxTTLMS, 1, (10 * time.Minute).Milliseconds()},
 		{"leases.least_ttl_ms", c.Leases.MinTTLMS, 1, c.Leases.MaxTTLMS},
 		{"leases.writes_per_s", c.Leases.WritesPerSecond, 1, 1 << 20},
-		{"timing.election_ms", c.Timing.ElectionMS, leastElection.Milliseconds(), time.Minute.Milliseconds()},
+		{"timing.election_ms", c.Timing.ElectionMS, minElectionTimeout.Milliseconds(), time.Minute.Milliseconds()},
 	} {
 		if f.value < f.least || f.value > f.most {
 			return fmt.Errorf("%s is %d, it must lie between %d and %d", f.name, f.value, f.least, f.most)
@@ -182,7 +182,7 @@
 	return nil
 }
 
-func checkMember(m registry.ReplicaInfo) error {
+func validateMember(m registry.ReplicaInfo) error {
 	if err := registry.CheckName("id", m.ID); err != nil {
 		return err
 	}
@@ -200,12 +200,12 @@
 
 // Self is this replica, with its addresses.
 func (c *Config) Self() registry.ReplicaInfo {
-	m, _ := c.self()
+	m, _ := c.findSelf()
 	return m
 }
 
-// self is this replica among those named.
-func (c *Config) self() (registry.ReplicaInfo, bool) {
+// findSelf is this replica among those named.
+func (c *Config) findSelf() (registry.ReplicaInfo, bool) {
 	i := slices.IndexFunc(c.Replicas, func(m registry.ReplicaInfo) bool { return m.ID == c.ID })
 	if i < 0 {
 		return registry.ReplicaInfo{}, false
@@ -226,6 +226,6 @@
 	return &next, nil
 }
 
-func (c *Config) election() time.Duration {
+func (c *Config) electionTimeout() time.Duration {
 	return time.Duration(c.Timing.ElectionMS) * time.Millisecond
 }
--- a/internal/registry/server/disk.go
+++ b/internal/registry/server/disk.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	identityFile = "replica.json"
-	logFile      = "raft.db"
-	lockWait     = time.Second // for another process to let go of the log
-	snapshots    = 2           // kept: one may prove spoilt
+	identityFile      = "replica.json"
+	logFile           = "raft.db"
+	lockTimeout       = time.Second // for another process to let go of the log
+	retainedSnapshots = 2           // kept: one may prove spoilt
 )
 
 // identity says whose folder it is.
@@ -35,51 +35,51 @@
 	ID    string `json:"id"`
 }
 
-// disk is a replica's folder.
-type disk struct {
-	logs  *checkedLog
-	terms *patientTerms
-	bolt  *raftboltdb.BoltStore
-	snaps raft.SnapshotStore
-	fresh bool // nothing was there yet
+// storage is a replica's folder.
+type storage struct {
+	log       *checkedLog
+	terms     *waitingTermStore
+	bolt      *raftboltdb.BoltStore
+	snapshots raft.SnapshotStore
+	isNew     bool // nothing was there yet
 }
 
-// openDisk opens the folder, and refuses one that is not this replica's or that
+// openStorage opens the folder, and refuses one that is not this replica's or that
 // cannot be read whole: what was acknowledged must not be lost in silence.
-func openDisk(c *Config, log *raftLog) (*disk, error) {
+func openStorage(c *Config, log *raftLogger) (*storage, error) {
 	if err := os.MkdirAll(c.DataDir, 0o700); err != nil {
 		return nil, fmt.Errorf("data folder: %w", err)
 	}
-	fresh, err := identify(c)
+	fresh, err := claimDataFolder(c)
 	if err != nil {
 		return nil, err
 	}
 	path := filepath.Join(c.DataDir, logFile)
 	if !fresh {
-		if err := examine(path); err != nil {
+		if err := checkLogFile(path); err != nil {
 			return nil, err
 		}
 	}
-	store, err := raftboltdb.New(raftboltdb.Options{Path: path, BoltOptions: &bolt.Options{Timeout: lockWait}})
+	store, err := raftboltdb.New(raftboltdb.Options{Path: path, BoltOptions: &bolt.Options{Timeout: lockTimeout}})
 	if errors.Is(err, bolt.ErrTimeout) {
 		return nil, fmt.Errorf("log %s: in use by another process", path)
 	} else if err != nil {
 		return nil, fmt.Errorf("log %s: %w", path, err)
 	}
-	d := &disk{bolt: store, logs: &checkedLog{BoltStore: store}, terms: newPatientTerms(store), fresh: fresh}
-	if err := d.logs.verify(); err != nil {
+	d := &storage{bolt: store, log: &checkedLog{BoltStore: store}, terms: newWaitingTermStore(store), isNew: fresh}
+	if err := d.log.verify(); err != nil {
 		store.Close()
 		return nil, fmt.Errorf("log %s: %w", path, err)
 	}
-	if d.snaps, err = raft.NewFileSnapshotStoreWithLogger(c.DataDir, snapshots, log); err != nil {
+	if d.snapshots, err = raft.NewFileSnapshotStoreWithLogger(c.DataDir, retainedSnapshots, log); err != nil {
 		store.Close()
 		return nil, fmt.Errorf("snapshots in %s: %w", c.DataDir, err)
 	}
 	return d, nil
 }
 
-// identify checks whose folder it is, and makes an empty one this replica's.
-func identify(c *Config) (fresh bool, err error) {
+// claimDataFolder checks whose folder it is, and makes an empty one this replica's.
+func claimDataFolder(c *Config) (fresh bool, err error) {
 	path := filepath.Join(c.DataDir, identityFile)
 	want := identity{1, c.Group, c.ID}
 	text, err := os.ReadFile(path)
@@ -128,16 +128,16 @@
 	return nil
 }
 
-// examine reads the log's file through before it is used: a file that was cut or
+// checkLogFile reads the log's file through before it is used: a file that was cut or
 // overwritten would end the process in the middle of its work.
-func examine(path string) (err error) {
+func checkLogFile(path string) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a file that is too short faults where it is mapped
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("log %s: spoilt: %v", path, p)
 		}
 	}()
-	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true, Timeout: lockWait})
+	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true, Timeout: lockTimeout})
 	if errors.Is(err, bolt.ErrTimeout) {
 		return fmt.Errorf("log %s: in use by another process", path)
 	} else if err != nil {
@@ -157,49 +157,49 @@
 // checkedLog keeps a checksum with each entry of the log, which the file has none of.
 type checkedLog struct {
 	*raftboltdb.BoltStore
-	failed atomic.Pointer[error] // why the last write failed, if it did
+	lastWriteError atomic.Pointer[error] // why the last write failed, if it did
 }
 
 // termKey is what Raft keeps the current term under.
 const termKey = "CurrentTerm"
 
-// fullPause is between two tries to keep the term on a disk that is full.
-const fullPause = 50 * time.Millisecond
+// termRetryInterval is between two tries to keep the term on a disk that is full.
+const termRetryInterval = 50 * time.Millisecond
 
-// patientTerms is where Raft keeps its term and its vote. Raft ends the process when the
+// waitingTermStore is where Raft keeps its term and its vote. Raft ends the process when the
 // term cannot be kept; on a disk that is full it has to wait here instead, as a replica
 // that takes no part, whose list is served on. A vote that cannot be kept is not given.
-type patientTerms struct {
+type waitingTermStore struct {
 	raft.StableStore
 	closing chan struct{}
 
-	mu           sync.Mutex
-	newest, kept uint64 // the latest term that Raft wanted kept, and that is
+	mu             sync.Mutex
+	wanted, stored uint64 // the latest term that Raft wanted kept, and that is
 
-	waits atomic.Int64
+	waiting atomic.Int64
 }
 
-func newPatientTerms(s raft.StableStore) *patientTerms {
-	return &patientTerms{StableStore: s, closing: make(chan struct{})}
+func newWaitingTermStore(s raft.StableStore) *waitingTermStore {
+	return &waitingTermStore{StableStore: s, closing: make(chan struct{})}
 }
 
 // SetUint64 keeps a number. It returns for a term when that is on disk.
-func (p *patientTerms) SetUint64(key []byte, value uint64) error {
+func (p *waitingTermStore) SetUint64(key []byte, value uint64) error {
 	if string(key) != termKey {
 		return p.StableStore.SetUint64(key, value)
 	}
 	for tries := 0; ; tries++ {
-		err := p.keep(key, value)
+		err := p.storeTerm(key, value)
 		if err == nil {
 			return nil
 		}
 		if tries == 0 {
 			slog.Error("the term cannot be written: this replica takes no part until it can", "term", value, "err", err)
-			p.waits.Add(1)
-			defer p.waits.Add(-1)
+			p.waiting.Add(1)
+			defer p.waiting.Add(-1)
 		}
 		select {
-		case <-time.After(fullPause):
+		case <-time.After(termRetryInterval):
 		case <-p.closing:
 			// Raft would end the process at an error, and go on in a term that is not kept at
 			// none. Its goroutine ends here; Raft counts it out as it would at its return.
@@ -208,24 +208,24 @@
 	}
 }
 
-// keep writes the latest term that was wanted: Raft asks from two goroutines, and the one
+// storeTerm writes the latest term that was wanted: Raft asks from two goroutines, and the one
 // that waits longest must not be the last word.
-func (p *patientTerms) keep(key []byte, term uint64) error {
+func (p *waitingTermStore) storeTerm(key []byte, term uint64) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.newest = max(p.newest, term); term <= p.kept {
+	if p.wanted = max(p.wanted, term); term <= p.stored {
 		return nil
 	}
-	err := p.StableStore.SetUint64(key, p.newest)
+	err := p.StableStore.SetUint64(key, p.wanted)
 	if err == nil {
-		p.kept = p.newest
+		p.stored = p.wanted
 	}
 	return err
 }
 
-const checksum = 4 // bytes
+const checksumSize = 4 // bytes
 
-func sum(l *raft.Log, data []byte) uint32 {
+func entryChecksum(l *raft.Log, data []byte) uint32 {
 	var head [17]byte
 	binary.BigEndian.PutUint64(head[:], l.Index)
 	binary.BigEndian.PutUint64(head[8:], l.Term)
@@ -241,14 +241,14 @@
 	checked := make([]*raft.Log, len(logs))
 	for i, l := range logs {
 		copied := *l
-		copied.Data = binary.BigEndian.AppendUint32(append(make([]byte, 0, len(l.Data)+checksum), l.Data...), sum(l, l.Data))
+		copied.Data = binary.BigEndian.AppendUint32(append(make([]byte, 0, len(l.Data)+checksumSize), l.Data...), entryChecksum(l, l.Data))
 		checked[i] = &copied
 	}
 	err := c.BoltStore.StoreLogs(checked)
 	if err != nil {
-		c.failed.Store(&err)
+		c.lastWriteError.Store(&err)
 	} else {
-		c.failed.Store(nil)
+		c.lastWriteError.Store(nil)
 	}
 	return err
 }
@@ -258,8 +258,8 @@
 	if err := c.BoltStore.GetLog(index, l); err != nil {
 		return err
 	}
-	n := len(l.Data) - checksum
-	if n < 0 || l.Index != index || sum(l, l.Data[:n]) != binary.BigEndian.Uint32(l.Data[n:]) {
+	n := len(l.Data) - checksumSize
+	if n < 0 || l.Index != index || entryChecksum(l, l.Data[:n]) != binary.BigEndian.Uint32(l.Data[n:]) {
 		return fmt.Errorf("entry %d is spoilt", index)
 	}
 	l.Data = l.Data[:n]
--- a/internal/registry/server/fleet.go
+++ b/internal/registry/server/fleet.go
@@ -15,10 +15,10 @@
 	"barleywick/internal/registry"
 )
 
-// joinFleet makes this replica a member of the fleet where its configuration says so.
+// joinMembership makes this replica a member of the fleet where its configuration says so.
 // What it does as a replica never waits for that: it hears of the others' new addresses,
 // and tells who asks what it sees.
-func (r *Replica) joinFleet() (end func(), err error) {
+func (r *Replica) joinMembership() (end func(), err error) {
 	c := r.config.Load()
 	if c.Membership == nil {
 		return func() {}, nil
@@ -30,13 +30,13 @@
 		}
 	}
 	node, err := gossip.Start(gossip.Options{
-		Config: *c.Membership, WatchProcesses: true, FindSeeds: membership.SeedsFromViews(r.http, urls),
+		Config: *c.Membership, WatchProcesses: true, FindSeeds: membership.SeedsFromViews(r.peerClient, urls),
 		Self: membership.Info{Name: c.Group + "-" + c.ID, Role: membership.RoleRegistry, HTTPAddr: r.self.HTTP, RaftAddr: r.self.Raft, ReplicaID: c.ID},
 	})
 	if err != nil {
 		return nil, err
 	}
-	r.fleet.Store(node)
+	r.gossip.Store(node)
 	ctx, cancel := context.WithCancel(context.Background())
 	var run sync.WaitGroup
 	run.Go(func() {
@@ -50,11 +50,11 @@
 	}, nil
 }
 
-// seen is where members of the fleet see a replica of this group, if any does. Whoever is
+// gossipedAddress is where members of the fleet see a replica of this group, if any does. Whoever is
 // there has to say first of which group it is (layer.compare), so a wrong word of an
 // address costs a connection and no more.
-func (r *Replica) seen(id string) (registry.ReplicaInfo, bool) {
-	node := r.fleet.Load()
+func (r *Replica) gossipedAddress(id string) (registry.ReplicaInfo, bool) {
+	node := r.gossip.Load()
 	if node == nil || id == r.self.ID {
 		return registry.ReplicaInfo{}, false
 	}
@@ -65,27 +65,27 @@
 	return registry.ReplicaInfo{ID: id, HTTP: s.HTTPAddr, Raft: s.RaftAddr}, true
 }
 
-// whereabouts tells Raft where a replica is reached now; where members do not see it,
+// addressProvider tells Raft where a replica is reached now; where members do not see it,
 // the address counts that the group was told.
-type whereabouts struct{ r *Replica }
+type addressProvider struct{ r *Replica }
 
 // ServerAddr finds a replica by its id.
-func (w whereabouts) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
-	if m, ok := w.r.seen(string(id)); ok {
+func (w addressProvider) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
+	if m, ok := w.r.gossipedAddress(string(id)); ok {
 		return raft.ServerAddress(m.Raft), nil
 	}
-	return "", errUnseen
+	return "", errNoMemberAddress
 }
 
-var errUnseen = errors.New("no member sees this replica")
+var errNoMemberAddress = errors.New("no member sees this replica")
 
-func (r *Replica) serveFleet(w http.ResponseWriter, q *http.Request) {
-	node := r.fleet.Load()
+func (r *Replica) serveMembership(w http.ResponseWriter, q *http.Request) {
+	node := r.gossip.Load()
 	if node == nil {
 		http.Error(w, fmt.Sprintf("replica %s is no member of a fleet: its configuration names no membership", r.self.ID), http.StatusNotFound)
 		return
 	}
-	if err := r.inTurn(q, func() error { node.ServeHTTP(w, q); return nil }); err != nil {
-		r.fail(w, q, err)
+	if err := r.limited(q, func() error { node.ServeHTTP(w, q); return nil }); err != nil {
+		r.writeError(w, q, err)
 	}
 }
--- a/internal/registry/server/http.go
+++ b/internal/registry/server/http.go
@@ -23,18 +23,18 @@
 )
 
 const (
-	maxBody    = 64 << 10 // of a write
-	maxBackup  = 8 << 20
-	maxHeader  = 16 << 10
-	callIn     = 10 * time.Second // for a whole call, its wait for a turn included
-	waitIn     = time.Second      // for a turn, and for a version that is on its way
-	headerIn   = 2 * time.Second
-	idleIn     = 30 * time.Second
-	lineIn     = 2 * time.Second // for a watch to take a line: the next empty one is due by then
-	emptyEvery = 2 * time.Second // an empty line, by the protocol
-	// comeBack is when a caller that was refused is to try again, more or less: all
+	maxBody                = 64 << 10 // of a write
+	maxBackup              = 8 << 20
+	maxHeader              = 16 << 10
+	callTimeout            = 10 * time.Second // for a whole call, its wait for a turn included
+	queueTimeout           = time.Second      // for a turn, and for a version that is on its way
+	headerTimeout          = 2 * time.Second
+	idleTimeout            = 30 * time.Second
+	watchLineTimeout       = 2 * time.Second // for a watch to take a line: the next empty one is due by then
+	watchHeartbeatInterval = 2 * time.Second // an empty line, by the protocol
+	// retryAfterBase is when a caller that was refused is to try again, more or less: all
 	// are refused together, and should not come back so.
-	comeBack = time.Second
+	retryAfterBase = time.Second
 )
 
 // Handler serves the protocol and the write interface.
@@ -43,8 +43,8 @@
 	mux.HandleFunc("GET "+registry.ListPath, r.serveList)
 	at := func(method, path string, h func(w http.ResponseWriter, q *http.Request) error) {
 		mux.HandleFunc(method+" "+registry.APIPath+path, func(w http.ResponseWriter, q *http.Request) {
-			if err := r.inTurn(q, func() error { return h(w, q) }); err != nil {
-				r.fail(w, q, err)
+			if err := r.limited(q, func() error { return h(w, q) }); err != nil {
+				r.writeError(w, q, err)
 			}
 		})
 	}
@@ -55,26 +55,26 @@
 	at("POST", "marks", r.serveMark)
 	at("GET", "records", r.serveRecords)
 	at("GET", "records/{key}", r.serveRecord)
-	at("PUT", "records/{key}", r.servePut)
-	at("DELETE", "records/{key}", r.serveDrop)
+	at("PUT", "records/{key}", r.servePutRecord)
+	at("DELETE", "records/{key}", r.serveDeleteRecord)
 	at("POST", "leases/{name}/acquire", r.serveAcquire)
 	at("POST", "leases/{name}/release", r.serveRelease)
-	at("POST", "leases/{name}/ask", r.serveAsk)
+	at("POST", "leases/{name}/ask", r.serveYieldRequest)
 	at("POST", "renewals", r.serveRenewals)
-	mux.HandleFunc("GET "+registry.APIPath+"leases", r.waiting(r.listLeases))
-	at("POST", "policy", r.servePolicy)
-	mux.HandleFunc("GET "+registry.APIPath+"policy", r.waiting(r.listPolicy))
-	mux.HandleFunc("GET "+registry.APIPath+"policy/view", r.waiting(r.viewPolicy))
+	mux.HandleFunc("GET "+registry.APIPath+"leases", r.longPoll(r.serveLeases))
+	at("POST", "policy", r.servePolicyStep)
+	mux.HandleFunc("GET "+registry.APIPath+"policy", r.longPoll(r.servePolicyStatus))
+	mux.HandleFunc("GET "+registry.APIPath+"policy/view", r.longPoll(r.servePolicyView))
 	mux.HandleFunc("GET "+registry.APIPath+"term", r.serveTerm)
-	at("PUT", "members/{id}", r.serveAdd)
-	at("DELETE", "members/{id}", r.serveDropMember)
+	at("PUT", "members/{id}", r.serveAddMember)
+	at("DELETE", "members/{id}", r.serveRemoveMember)
 	at("GET", "backup", r.serveBackup)
 	at("POST", "restore", r.serveRestore)
 	at("GET", "status", r.serveStatus)
-	mux.HandleFunc(registry.APIPath+membership.ViewPath, r.serveFleet)
+	mux.HandleFunc(registry.APIPath+membership.ViewPath, r.serveMembership)
 	mux.HandleFunc("GET /health/ready", func(w http.ResponseWriter, q *http.Request) {
 		if !r.ready.Load() {
-			r.fail(w, q, errNotReady)
+			r.writeError(w, q, errNotReady)
 		}
 	})
 	mux.HandleFunc("GET /metrics", r.serveMetrics)
@@ -84,44 +84,44 @@
 // HTTPServer serves a replica with limits on everything that a caller may hold.
 func (r *Replica) HTTPServer() *http.Server {
 	return &http.Server{
-		Handler: r.Handler(), ReadHeaderTimeout: headerIn, ReadTimeout: callIn, WriteTimeout: callIn, IdleTimeout: idleIn,
+		Handler: r.Handler(), ReadHeaderTimeout: headerTimeout, ReadTimeout: callTimeout, WriteTimeout: callTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: maxHeader, ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
 }
 
-// refusal is an error with the status it is answered with.
-type refusal struct {
+// statusError is an error with the status it is answered with.
+type statusError struct {
 	status int
 	err    error
 }
 
-func (r refusal) Error() string { return r.err.Error() }
-func (r refusal) Unwrap() error { return r.err }
+func (r statusError) Error() string { return r.err.Error() }
+func (r statusError) Unwrap() error { return r.err }
 
-func bad(format string, args ...any) error {
-	return refusal{http.StatusBadRequest, fmt.Errorf(format, args...)}
+func badRequest(format string, args ...any) error {
+	return statusError{http.StatusBadRequest, fmt.Errorf(format, args...)}
 }
 
 var (
 	errNotReady = errors.New("this replica has not caught up with its group yet")
 )
 
-// inTurn runs a call when it is its turn.
-func (r *Replica) inTurn(q *http.Request, call func() error) error {
-	ctx, cancel := context.WithTimeout(q.Context(), waitIn)
+// limited runs a call when it is its turn.
+func (r *Replica) limited(q *http.Request, call func() error) error {
+	ctx, cancel := context.WithTimeout(q.Context(), queueTimeout)
 	defer cancel()
-	if err := r.turn.take(ctx); err != nil {
+	if err := r.limiter.acquire(ctx); err != nil {
 		return errBusy
 	}
-	defer r.turn.done()
+	defer r.limiter.release()
 	return call()
 }
 
-// fail answers an error in one line. What a caller may try again is 503; a write
+// writeError answers an error in one line. What a caller may try again is 503; a write
 // that is the leader's to take goes there.
-func (r *Replica) fail(w http.ResponseWriter, q *http.Request, err error) {
+func (r *Replica) writeError(w http.ResponseWriter, q *http.Request, err error) {
 	status := http.StatusServiceUnavailable
-	var named refusal
+	var named statusError
 	switch {
 	case errors.As(err, &named):
 		status = named.status
@@ -143,7 +143,7 @@
 		if leader, ok := r.leader(); ok && leader.ID != r.self.ID {
 			w.Header().Set("Location", "http://"+leader.HTTP+q.URL.RequestURI())
 			status, err = http.StatusTemporaryRedirect, fmt.Errorf("replica %s leads", leader.ID)
-		} else if failed := r.disk.logs.failed.Load(); failed != nil {
+		} else if failed := r.storage.log.lastWriteError.Load(); failed != nil {
 			err = fmt.Errorf("this replica cannot write its log: %w", *failed)
 		} else {
 			err = errNoLeader
@@ -152,18 +152,18 @@
 		err = fmt.Errorf("the leader changed: the write may have been done or not, and can be sent again: %w", err)
 	}
 	if status == http.StatusServiceUnavailable {
-		r.refused.Add(1)
+		r.refusedCalls.Add(1)
 		w.Header().Set("Retry-After", retryAfter())
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	line := strings.Join(strings.Fields(err.Error()), " ")
-	writeJSON(w, registry.WriteResponse{Seq: r.machine.seq(), Error: line})
+	writeJSON(w, registry.WriteResponse{Seq: r.stateMachine.seq(), Error: line})
 }
 
 // retryAfter is about comeBack, in seconds; it differs from call to call.
 func retryAfter() string {
-	return strconv.FormatFloat(comeBack.Seconds()*(0.5+rand.Float64()), 'f', 2, 64)
+	return strconv.FormatFloat(retryAfterBase.Seconds()*(0.5+rand.Float64()), 'f', 2, 64)
 }
 
 func writeJSON(w io.Writer, v any) {
@@ -189,15 +189,15 @@
 		}
 		return registry.ReadLinearizable, nil
 	default:
-		return "", bad("linearizable is %.32q, it must be 1 or left out", v)
+		return "", badRequest("linearizable is %.32q, it must be 1 or left out", v)
 	}
 	if !r.ready.Load() {
 		return "", errNotReady
 	}
-	return r.read(), nil
+	return r.readHeader(), nil
 }
 
-func (r *Replica) read() string {
+func (r *Replica) readHeader() string {
 	word, age := r.freshness(time.Now())
 	return fmt.Sprintf("%s; age_ms=%d", word, age.Milliseconds())
 }
@@ -206,48 +206,48 @@
 func (r *Replica) serveList(w http.ResponseWriter, q *http.Request) {
 	query, err := url.ParseQuery(q.URL.RawQuery)
 	if err != nil {
-		r.fail(w, q, bad("the query cannot be read"))
+		r.writeError(w, q, badRequest("the query cannot be read"))
 		return
 	}
 	switch v := query.Get("watch"); v {
 	case "", "0":
-		err := r.inTurn(q, func() error {
+		err := r.limited(q, func() error {
 			read, err := r.fresh(query)
 			if err != nil {
 				return err
 			}
 			w.Header().Set(registry.ReadHeader, read)
 			w.Header().Set("Content-Type", "application/json")
-			w.Write(r.machine.list())
+			w.Write(r.stateMachine.fullList())
 			return nil
 		})
 		if err != nil {
-			r.fail(w, q, err)
+			r.writeError(w, q, err)
 		}
 	case "1":
 		r.serveWatch(w, q, query)
 	default:
-		r.fail(w, q, bad("watch is %.32q, it must be 1 or left out", v))
+		r.writeError(w, q, badRequest("watch is %.32q, it must be 1 or left out", v))
 	}
 }
 
 // serveWatch is one watch, from its call to its end.
 func (r *Replica) serveWatch(w http.ResponseWriter, q *http.Request, query url.Values) {
-	if r.watches.Add(1) > int64(r.config.Load().Limits.Watches) {
-		r.watches.Add(-1)
-		r.fail(w, q, fmt.Errorf("%w: all watches are taken", errBusy))
+	if r.openWatches.Add(1) > int64(r.config.Load().Limits.Watches) {
+		r.openWatches.Add(-1)
+		r.writeError(w, q, fmt.Errorf("%w: all watches are taken", errBusy))
 		return
 	}
-	defer r.watches.Add(-1)
+	defer r.openWatches.Add(-1)
 	var line []byte
 	var seq uint64
-	var at *frame
-	err := r.inTurn(q, func() error {
+	var at *watchEvent
+	err := r.limited(q, func() error {
 		from := uint64(0)
 		if text := query.Get("from"); text != "" {
 			var err error
 			if from, err = strconv.ParseUint(text, 10, 64); err != nil {
-				return bad("from is %.32q, it must be a version", text)
+				return badRequest("from is %.32q, it must be a version", text)
 			}
 		}
 		if !r.ready.Load() {
@@ -256,40 +256,40 @@
 		if err := r.awaitVersion(q.Context(), from); err != nil {
 			return err
 		}
-		line, seq, at = r.machine.follow(from)
+		line, seq, at = r.stateMachine.beginWatch(from)
 		return nil
 	})
 	if err != nil {
-		r.fail(w, q, err)
+		r.writeError(w, q, err)
 		return
 	}
 	rc := http.NewResponseController(w)
 	rc.SetReadDeadline(time.Time{}) // nothing more is read; net/http notices the end
-	w.Header().Set(registry.ReadHeader, r.read())
+	w.Header().Set(registry.ReadHeader, r.readHeader())
 	w.Header().Set("Content-Type", "application/json")
 	put := func(text []byte) error {
-		rc.SetWriteDeadline(time.Now().Add(lineIn))
+		rc.SetWriteDeadline(time.Now().Add(watchLineTimeout))
 		if _, err := w.Write(text); err != nil {
 			return err
 		}
 		return rc.Flush()
 	}
-	sent := r.sent.add()
-	defer r.sent.remove(sent)
+	sent := r.watchVersions.add()
+	defer r.watchVersions.remove(sent)
 	if err := r.watch(q.Context(), line, seq, at, sent, put); err != nil {
-		r.hub.cut.Add(1)
+		r.broadcaster.cutWatches.Add(1)
 		slog.Info("watch cut", "of", q.RemoteAddr, "err", err)
 		panic(http.ErrAbortHandler) // it must not pass for a good end
 	}
 }
 
 // watch writes lines until the watch ends; an error is for one that is cut.
-func (r *Replica) watch(ctx context.Context, line []byte, seq uint64, at *frame, sent *atomic.Uint64, put func([]byte) error) error {
+func (r *Replica) watch(ctx context.Context, line []byte, seq uint64, at *watchEvent, sent *atomic.Uint64, put func([]byte) error) error {
 	if err := put(line); err != nil {
 		return err
 	}
 	sent.Store(seq)
-	empty := time.NewTicker(emptyEvery)
+	empty := time.NewTicker(watchHeartbeatInterval)
 	defer empty.Stop()
 	for {
 		select {
@@ -300,15 +300,15 @@
 				return err
 			}
 			continue
-		case <-at.ready:
+		case <-at.published:
 		}
 		switch {
-		case at.last:
+		case at.final:
 			return nil
-		case r.hub.behind(at):
+		case r.broadcaster.tooFarBehind(at):
 			return errors.New("too far behind")
-		case at.jump:
-			line, seq, at = r.machine.follow(seq)
+		case at.resync:
+			line, seq, at = r.stateMachine.beginWatch(seq)
 		default:
 			line, seq, at = at.line, at.seq, at.next
 		}
@@ -316,7 +316,7 @@
 			return err
 		}
 		sent.Store(seq)
-		empty.Reset(emptyEvery)
+		empty.Reset(watchHeartbeatInterval)
 	}
 }
 
@@ -324,16 +324,16 @@
 // the leader does not know it either, it is of another history, or lost with the
 // disks of a quorum: the watcher gets the whole list.
 func (r *Replica) awaitVersion(ctx context.Context, from uint64) error {
-	ctx, cancel := context.WithTimeout(ctx, waitIn)
+	ctx, cancel := context.WithTimeout(ctx, queueTimeout)
 	defer cancel()
 	known := false // the leader has it
 	for {
-		seq, moved := r.machine.change()
+		seq, moved := r.stateMachine.listVersion()
 		if from <= seq {
 			return nil
 		}
 		if !known {
-			newest, err := r.leaderSeq()
+			newest, err := r.leaderListVersion()
 			switch {
 			case err != nil:
 				return fmt.Errorf("version %d is not known here, and no leader can be asked: %w", from, err)
@@ -357,7 +357,7 @@
 		return err
 	}
 	var a registry.RegistrationsResponse
-	r.machine.read(func(s *registry.State) {
+	r.stateMachine.view(func(s *registry.State) {
 		a = registry.RegistrationsResponse{Group: s.Group(), Seq: s.Seq(), Registrations: s.Registrations(), Marks: s.Marks()}
 	})
 	r.answer(w, read, a)
@@ -379,18 +379,18 @@
 	case err == nil:
 		return nil
 	case errors.As(err, &large):
-		return refusal{http.StatusRequestEntityTooLarge, fmt.Errorf("a body of more than %d bytes", most)}
+		return statusError{http.StatusRequestEntityTooLarge, fmt.Errorf("a body of more than %d bytes", most)}
 	}
-	return bad("the body cannot be read: %v", err)
+	return badRequest("the body cannot be read: %v", err)
 }
 
 // write has a command carried out and answers with its result.
 func (r *Replica) write(w http.ResponseWriter, c registry.Command) error {
-	if err := r.leads(); err != nil {
+	if err := r.requireLeader(); err != nil {
 		return err
 	}
 	result, err := r.apply(c)
-	return r.wrote(w, result, err)
+	return r.writeResult(w, result, err)
 }
 
 func (r *Replica) serveRegister(w http.ResponseWriter, q *http.Request) error {
@@ -405,11 +405,11 @@
 	rules := r.config.Load().Sessions
 	switch {
 	case b.Instance.Host != host:
-		return bad("the path names host %.64q and the body %.64q", host, b.Instance.Host)
+		return badRequest("the path names host %.64q and the body %.64q", host, b.Instance.Host)
 	case (b.Session == "") != (b.TTLMS == 0):
-		return bad("session and ttl_ms come together or not at all")
+		return badRequest("session and ttl_ms come together or not at all")
 	case b.Session != "" && (b.TTLMS < rules.MinTTLMS || b.TTLMS > rules.MaxTTLMS):
-		return bad("ttl_ms is %d, it must lie between %d and %d", b.TTLMS, rules.MinTTLMS, rules.MaxTTLMS)
+		return badRequest("ttl_ms is %d, it must lie between %d and %d", b.TTLMS, rules.MinTTLMS, rules.MaxTTLMS)
 	}
 	if b.Machine == "" {
 		b.Machine, _, _ = net.SplitHostPort(b.Instance.Dial)
@@ -417,12 +417,12 @@
 	for _, f := range [][2]string{{"session", b.Session}, {"machine", b.Machine}} {
 		if f[1] != "" {
 			if err := registry.CheckName(f[0], f[1]); err != nil {
-				return bad("%v", err)
+				return badRequest("%v", err)
 			}
 		}
 	}
 	if err := b.Instance.Check(); err != nil { // before it costs the log anything
-		return bad("%v", err)
+		return badRequest("%v", err)
 	}
 	return r.write(w, registry.Command{
 		Op: registry.OpRegister, Instance: &b.Instance, Session: b.Session, TTLMS: b.TTLMS, Machine: b.Machine, IfVersion: b.IfVersion,
@@ -434,10 +434,10 @@
 	if err := decode(w, q, maxBody, &b); err != nil {
 		return err
 	}
-	if err := r.renew(q.PathValue("host"), b.Session, time.Now()); err != nil {
+	if err := r.renewSession(q.PathValue("host"), b.Session, time.Now()); err != nil {
 		return err
 	}
-	r.answer(w, registry.ReadCurrent, registry.WriteResponse{Seq: r.machine.seq()})
+	r.answer(w, registry.ReadCurrent, registry.WriteResponse{Seq: r.stateMachine.seq()})
 	return nil
 }
 
@@ -449,7 +449,7 @@
 	}
 	v, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return nil, bad("if_version is %.32q, it must be a version", text)
+		return nil, badRequest("if_version is %.32q, it must be a version", text)
 	}
 	return &v, nil
 }
@@ -478,7 +478,7 @@
 		return err
 	}
 	var keys []string
-	r.machine.read(func(s *registry.State) { keys = s.RecordKeys() })
+	r.stateMachine.view(func(s *registry.State) { keys = s.RecordKeys() })
 	r.answer(w, read, keys)
 	return nil
 }
@@ -491,7 +491,7 @@
 	var rec registry.Record
 	var ok bool
 	key := q.PathValue("key")
-	r.machine.read(func(s *registry.State) { rec, ok = s.Record(key) })
+	r.stateMachine.view(func(s *registry.State) { rec, ok = s.Record(key) })
 	if !ok {
 		return fmt.Errorf("%w: record %.64s", registry.ErrNotFound, key)
 	}
@@ -499,31 +499,31 @@
 	return nil
 }
 
-func (r *Replica) servePut(w http.ResponseWriter, q *http.Request) error {
+func (r *Replica) servePutRecord(w http.ResponseWriter, q *http.Request) error {
 	var b registry.PutRequest
 	if err := decode(w, q, maxBody, &b); err != nil {
 		return err
 	}
 	key := q.PathValue("key")
-	if strings.HasPrefix(key, memberKey) {
-		return bad("records that begin with %s are the group's own: use members", memberKey)
+	if strings.HasPrefix(key, memberKeyPrefix) {
+		return badRequest("records that begin with %s are the group's own: use members", memberKeyPrefix)
 	}
 	return r.write(w, registry.Command{Op: registry.OpPutRecord, Key: key, Value: b.Value, IfVersion: b.IfVersion, Fence: b.Fence})
 }
 
-func (r *Replica) serveDrop(w http.ResponseWriter, q *http.Request) error {
+func (r *Replica) serveDeleteRecord(w http.ResponseWriter, q *http.Request) error {
 	v, err := ifVersion(q)
 	if err != nil {
 		return err
 	}
 	key := q.PathValue("key")
-	if strings.HasPrefix(key, memberKey) {
-		return bad("records that begin with %s are the group's own: use members", memberKey)
+	if strings.HasPrefix(key, memberKeyPrefix) {
+		return badRequest("records that begin with %s are the group's own: use members", memberKeyPrefix)
 	}
 	return r.write(w, registry.Command{Op: registry.OpDeleteRecord, Key: key, IfVersion: v})
 }
 
-func (r *Replica) serveAdd(w http.ResponseWriter, q *http.Request) error {
+func (r *Replica) serveAddMember(w http.ResponseWriter, q *http.Request) error {
 	var m registry.ReplicaInfo
 	if err := decode(w, q, maxBody, &m); err != nil {
 		return err
@@ -532,20 +532,20 @@
 		m.ID = q.PathValue("id")
 	}
 	if m.ID != q.PathValue("id") {
-		return bad("the path names replica %.64q and the body %.64q", q.PathValue("id"), m.ID)
+		return badRequest("the path names replica %.64q and the body %.64q", q.PathValue("id"), m.ID)
 	}
-	if err := checkMember(m); err != nil {
-		return bad("%v", err)
+	if err := validateMember(m); err != nil {
+		return badRequest("%v", err)
 	}
-	if err := r.add(m); err != nil {
+	if err := r.addReplica(m); err != nil {
 		return err
 	}
 	r.answer(w, registry.ReadLinearizable, r.Status())
 	return nil
 }
 
-func (r *Replica) serveDropMember(w http.ResponseWriter, q *http.Request) error {
-	if err := r.drop(q.PathValue("id")); err != nil {
+func (r *Replica) serveRemoveMember(w http.ResponseWriter, q *http.Request) error {
+	if err := r.removeReplica(q.PathValue("id")); err != nil {
 		return err
 	}
 	r.answer(w, registry.ReadLinearizable, r.Status())
@@ -558,7 +558,7 @@
 		return err
 	}
 	var text []byte
-	r.machine.read(func(s *registry.State) { text, err = json.Marshal(s) })
+	r.stateMachine.view(func(s *registry.State) { text, err = json.Marshal(s) })
 	if err != nil {
 		return err
 	}
@@ -571,16 +571,16 @@
 func (r *Replica) serveRestore(w http.ResponseWriter, q *http.Request) error {
 	text, err := io.ReadAll(http.MaxBytesReader(w, q.Body, maxBackup))
 	if err != nil {
-		return refusal{http.StatusRequestEntityTooLarge, fmt.Errorf("a backup of more than %d bytes", maxBackup)}
+		return statusError{http.StatusRequestEntityTooLarge, fmt.Errorf("a backup of more than %d bytes", maxBackup)}
 	}
 	if err := json.Unmarshal(text, registry.NewState()); err != nil {
-		return bad("%v", err)
+		return badRequest("%v", err)
 	}
 	return r.write(w, registry.Command{Op: registry.OpRestore, Backup: text})
 }
 
 func (r *Replica) serveStatus(w http.ResponseWriter, q *http.Request) error {
-	read := r.read()
+	read := r.readHeader()
 	if q.URL.Query().Get("linearizable") != "" {
 		var err error
 		if read, err = r.fresh(q.URL.Query()); err != nil {
@@ -594,7 +594,7 @@
 // serveMetrics writes what is counted, in the text form that scrapers read.
 func (r *Replica) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	s := r.Status()
-	running, waiting := r.turn.queue()
+	running, waiting := r.limiter.counts()
 	flag := func(b bool) uint64 {
 		if b {
 			return 1
@@ -602,7 +602,7 @@
 		return 0
 	}
 	var entries uint64
-	r.machine.read(func(st *registry.State) { entries = uint64(st.Len()) })
+	r.stateMachine.view(func(st *registry.State) { entries = uint64(st.Len()) })
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	for _, m := range []struct {
 		name, kind, help string
@@ -618,17 +618,17 @@
 		{"expiry_held", "gauge", "1 while too many sessions have ended at once", flag(s.ExpiryHeld)},
 		{"expired_total", "counter", "instances removed for their silence", r.expired.Load()},
 		{"writes_total", "counter", "commands that this replica had carried out", r.writes.Load()},
-		{"refused_total", "counter", "calls told to come back", r.refused.Load()},
+		{"refused_total", "counter", "calls told to come back", r.refusedCalls.Load()},
 		{"calls", "gauge", "calls under way", uint64(running)},
 		{"calls_waiting", "gauge", "calls that wait for their turn", uint64(waiting)},
 		{"watches", "gauge", "watches open", uint64(s.Watches)},
-		{"watches_cut_total", "counter", "watches cut as they took no lines", r.hub.cut.Load()},
+		{"watches_cut_total", "counter", "watches cut as they took no lines", r.broadcaster.cutWatches.Load()},
 		{"claims", "gauge", "claims on leases that the leader follows", uint64(s.Claims)},
 		{"lease_renewals_total", "counter", "claims on leases that this replica renewed", r.renewals.Load()},
 		{"lease_grants_total", "counter", "leases granted by calls that this replica took", r.granted.Load()},
 		{"lease_ended_total", "counter", "claims on leases that ended as their time was up", r.ended.Load()},
-		{"changes_total", "counter", "changes handed to the watches", r.hub.frames.Load()},
-		{"change_bytes_total", "counter", "bytes encoded for them, once for all watches", r.hub.bytes.Load()},
+		{"changes_total", "counter", "changes handed to the watches", r.broadcaster.eventCount.Load()},
+		{"change_bytes_total", "counter", "bytes encoded for them, once for all watches", r.broadcaster.eventBytes.Load()},
 	} {
 		fmt.Fprintf(w, "# HELP registry_%s %s\n# TYPE registry_%[1]s %[3]s\nregistry_%[1]s %[4]d\n", m.name, m.help, m.kind, m.value)
 	}
--- a/internal/registry/server/layer.go
+++ b/internal/registry/server/layer.go
@@ -16,37 +16,37 @@
 	"barleywick/internal/addressmap"
 )
 
-// layer carries Raft's connections. Each begins with a line that names the group
+// streamLayer carries Raft's connections. Each begins with a line that names the group
 // and its history: a replica with data of another group must not be written over
 // by this one, nor take its word.
-type layer struct {
+type streamLayer struct {
 	net.Listener
-	hello func() (group string, founded uint64)
-	to    addressmap.Table
+	localHistory func() (group string, founded uint64)
+	routes       addressmap.Table
 
-	ready chan net.Conn
-	over  chan struct{}
-	tasks sync.WaitGroup
-	once  sync.Once
+	accepted  chan net.Conn
+	closed    chan struct{}
+	running   sync.WaitGroup
+	closeOnce sync.Once
 }
 
 const (
-	helloWord = "barleywick-registry/1"
-	helloIn   = time.Second
-	helloMost = 512
-	// helloAtOnce is how many connections may be at their first line: a group has few replicas.
-	helloAtOnce = 32
+	handshakeProtocol = "barleywick-registry/1"
+	handshakeTimeout  = time.Second
+	maxHandshakeLine  = 512
+	// maxConcurrentHandshakes is how many connections may be at their first line: a group has few replicas.
+	maxConcurrentHandshakes = 32
 )
 
-func newLayer(ln net.Listener, routes addressmap.Table, hello func() (string, uint64)) *layer {
-	l := &layer{Listener: ln, hello: hello, to: routes, ready: make(chan net.Conn), over: make(chan struct{})}
-	l.tasks.Go(l.greet)
+func newStreamLayer(ln net.Listener, routes addressmap.Table, hello func() (string, uint64)) *streamLayer {
+	l := &streamLayer{Listener: ln, localHistory: hello, routes: routes, accepted: make(chan net.Conn), closed: make(chan struct{})}
+	l.running.Go(l.acceptLoop)
 	return l
 }
 
-// greet takes connections and hands on those of this group.
-func (l *layer) greet() {
-	places := make(chan struct{}, helloAtOnce)
+// acceptLoop takes connections and hands on those of this group.
+func (l *streamLayer) acceptLoop() {
+	places := make(chan struct{}, maxConcurrentHandshakes)
 	for {
 		c, err := l.Listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -62,53 +62,53 @@
 			c.Close()
 			continue
 		}
-		l.tasks.Go(func() {
+		l.running.Go(func() {
 			defer func() { <-places }()
-			if err := l.answer(c); err != nil {
+			if err := l.acceptHandshake(c); err != nil {
 				slog.Warn("replicas: a connection is refused", "from", c.RemoteAddr(), "err", err)
 				c.Close()
 				return
 			}
 			select {
-			case l.ready <- c:
-			case <-l.over:
+			case l.accepted <- c:
+			case <-l.closed:
 				c.Close()
 			}
 		})
 	}
 }
 
-// answer reads the other's first line and answers it.
-func (l *layer) answer(c net.Conn) error {
-	c.SetDeadline(time.Now().Add(helloIn))
-	line, err := readLine(c)
+// acceptHandshake reads the other's first line and answers it.
+func (l *streamLayer) acceptHandshake(c net.Conn) error {
+	c.SetDeadline(time.Now().Add(handshakeTimeout))
+	line, err := readHandshakeLine(c)
 	if err != nil {
 		return err
 	}
-	if err := l.compare(line); err != nil {
+	if err := l.checkHandshake(line); err != nil {
 		fmt.Fprintf(c, "no %v\n", err)
 		return err
 	}
-	if _, err := fmt.Fprintf(c, "ok %s\n", l.line()); err != nil {
+	if _, err := fmt.Fprintf(c, "ok %s\n", l.handshakeLine()); err != nil {
 		return err
 	}
 	return c.SetDeadline(time.Time{})
 }
 
-func (l *layer) line() string {
-	group, founded := l.hello()
-	return fmt.Sprintf("%s %s %d", helloWord, group, founded)
+func (l *streamLayer) handshakeLine() string {
+	group, founded := l.localHistory()
+	return fmt.Sprintf("%s %s %d", handshakeProtocol, group, founded)
 }
 
-// compare says whether another's line is of this group and history. A replica
+// checkHandshake says whether another's line is of this group and history. A replica
 // that has none yet may join any.
-func (l *layer) compare(line string) error {
+func (l *streamLayer) checkHandshake(line string) error {
 	var word, group string
 	var founded uint64
-	if n, err := fmt.Sscanf(line, "%s %s %d", &word, &group, &founded); n != 3 || err != nil || word != helloWord {
+	if n, err := fmt.Sscanf(line, "%s %s %d", &word, &group, &founded); n != 3 || err != nil || word != handshakeProtocol {
 		return errors.New("not a replica of a registry")
 	}
-	ours, since := l.hello()
+	ours, since := l.localHistory()
 	switch {
 	case group != ours:
 		return fmt.Errorf("it is of group %q, this is %q", group, ours)
@@ -118,10 +118,10 @@
 	return nil
 }
 
-// readLine reads one short line byte by byte: what follows is Raft's.
-func readLine(c net.Conn) (string, error) {
+// readHandshakeLine reads one short line byte by byte: what follows is Raft's.
+func readHandshakeLine(c net.Conn) (string, error) {
 	var text strings.Builder
-	for b := make([]byte, 1); text.Len() < helloMost; {
+	for b := make([]byte, 1); text.Len() < maxHandshakeLine; {
 		if _, err := c.Read(b); err != nil {
 			return "", err
 		}
@@ -134,40 +134,40 @@
 }
 
 // Accept returns the next connection of another replica of this group.
-func (l *layer) Accept() (net.Conn, error) {
+func (l *streamLayer) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.ready:
+	case c := <-l.accepted:
 		return c, nil
-	case <-l.over:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close stops listening.
-func (l *layer) Close() error {
+func (l *streamLayer) Close() error {
 	err := l.Listener.Close()
-	l.once.Do(func() { close(l.over) })
-	l.tasks.Wait()
+	l.closeOnce.Do(func() { close(l.closed) })
+	l.running.Wait()
 	return err
 }
 
 // Dial opens a connection to another replica.
-func (l *layer) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+func (l *streamLayer) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	c, err := l.to.Dial(0)(ctx, "tcp", string(to))
+	c, err := l.routes.Dial(0)(ctx, "tcp", string(to))
 	if err != nil {
 		return nil, err
 	}
-	c.SetDeadline(time.Now().Add(min(timeout, helloIn)))
-	if _, err = fmt.Fprintf(c, "%s\n", l.line()); err == nil {
+	c.SetDeadline(time.Now().Add(min(timeout, handshakeTimeout)))
+	if _, err = fmt.Fprintf(c, "%s\n", l.handshakeLine()); err == nil {
 		var line string
-		if line, err = readLine(c); err == nil {
+		if line, err = readHandshakeLine(c); err == nil {
 			rest, ok := strings.CutPrefix(line, "ok ")
 			if !ok {
 				err = fmt.Errorf("replica at %s: %s", to, line)
 			} else {
-				err = l.compare(rest)
+				err = l.checkHandshake(rest)
 			}
 		}
 	}
--- a/internal/registry/server/load_test.go
+++ b/internal/registry/server/load_test.go
@@ -27,7 +27,7 @@
 	g := startGroup(b, 1)
 	c := g.client()
 	for i := range loadInstances {
-		if _, err := c.Register(within(b), registry.RegisterRequest{Instance: instance(fmt.Sprint("s-", i), 1)}); err != nil {
+		if _, err := c.Register(testContext(b), registry.RegisterRequest{Instance: instance(fmt.Sprint("s-", i), 1)}); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -90,13 +90,13 @@
 	before := memory()
 	lines := make(chan struct{}, loadWatchers)
 	for range loadWatchers {
-		defer watchRaw(b, n.member.HTTP, n.machine.seq(), func() { lines <- struct{}{} })()
+		defer watchRaw(b, n.member.HTTP, n.stateMachine.seq(), func() { lines <- struct{}{} })()
 	}
 	for range loadWatchers { // the first line says that nothing has changed
 		<-lines
 	}
 	perWatcher := (memory() - before) / loadWatchers
-	bytes, frames, used := n.hub.bytes.Load(), n.hub.frames.Load(), cpu(b)
+	bytes, frames, used := n.broadcaster.eventBytes.Load(), n.broadcaster.eventCount.Load(), cpu(b)
 	b.ResetTimer()
 	i := int64(1)
 	for b.Loop() {
@@ -108,9 +108,9 @@
 			<-lines
 		}
 	}
-	changes := float64(n.hub.frames.Load() - frames)
+	changes := float64(n.broadcaster.eventCount.Load() - frames)
 	b.ReportMetric(perWatcher, "B/watcher")
-	b.ReportMetric(float64(n.hub.bytes.Load()-bytes)/changes, "B/change")
+	b.ReportMetric(float64(n.broadcaster.eventBytes.Load()-bytes)/changes, "B/change")
 	b.ReportMetric(float64(cpu(b)-used)/changes/1e3, "cpu-µs/change")
 }
 
@@ -128,7 +128,7 @@
 		begin := time.Now()
 		var stopped sync.WaitGroup
 		stopped.Go(leader.stop) // its own end takes longer than the others' election
-		if _, err := c.Register(within(b), registry.RegisterRequest{Instance: instance("s-1", 1)}); err != nil {
+		if _, err := c.Register(testContext(b), registry.RegisterRequest{Instance: instance("s-1", 1)}); err != nil {
 			b.Fatal(err)
 		}
 		gap += time.Since(begin)
--- a/internal/registry/server/machine.go
+++ b/internal/registry/server/machine.go
@@ -11,26 +11,26 @@
 	"barleywick/internal/registry"
 )
 
-// machine is the state under Raft: commands come in from the log one by one, and
+// stateMachine is the state under Raft: commands come in from the log one by one, and
 // every change goes on to the hub under the same lock, so that a watch that reads
 // the state and takes its place in the chain at once misses none and gets none twice.
-type machine struct {
-	hub *hub
-
-	mu    sync.RWMutex
-	state *registry.State
-	whole []byte // the whole list, encoded once for a version
-	at    uint64 // that version
-	moved chan struct{}
-	news  chan struct{} // closed at the next change of leases or policy
+type stateMachine struct {
+	broadcaster *watchBroadcaster
+
+	mu                    sync.RWMutex
+	state                 *registry.State
+	fullListCache         []byte // the whole list, encoded once for a version
+	fullListSeq           uint64 // that version
+	listChanged           chan struct{}
+	leasesOrPolicyChanged chan struct{} // closed at the next change of leases or policy
 }
 
-func newMachine(h *hub) *machine {
-	return &machine{hub: h, state: registry.NewState(), moved: make(chan struct{}), news: make(chan struct{})}
+func newStateMachine(h *watchBroadcaster) *stateMachine {
+	return &stateMachine{broadcaster: h, state: registry.NewState(), listChanged: make(chan struct{}), leasesOrPolicyChanged: make(chan struct{})}
 }
 
 // Apply carries out one command of the log.
-func (m *machine) Apply(entry *raft.Log) any {
+func (m *stateMachine) Apply(entry *raft.Log) any {
 	if entry.Type != raft.LogCommand {
 		return registry.Result{}
 	}
@@ -47,33 +47,33 @@
 	before, leases, policy := m.state.Seq(), m.state.Leases().Version(), m.state.Rollout().Version()
 	r := m.state.Apply(c)
 	if m.state.Leases().Version() != leases || m.state.Rollout().Version() != policy {
-		m.tell()
+		m.notifyLeasesOrPolicy()
 	}
 	if m.state.Seq() != before {
-		f := frame{seq: m.state.Seq(), jump: len(r.ChangedHosts) == 0}
-		if !f.jump {
-			f.line = encode(m.state.ChangesSince(before))
+		f := watchEvent{seq: m.state.Seq(), resync: len(r.ChangedHosts) == 0}
+		if !f.resync {
+			f.line = encodeLine(m.state.ChangesSince(before))
 		}
 		m.publish(f)
 	}
 	return r
 }
 
-// tell wakes those that wait for news of leases or of the policy.
-func (m *machine) tell() {
-	close(m.news)
-	m.news = make(chan struct{})
+// notifyLeasesOrPolicy wakes those that wait for news of leases or of the policy.
+func (m *stateMachine) notifyLeasesOrPolicy() {
+	close(m.leasesOrPolicyChanged)
+	m.leasesOrPolicyChanged = make(chan struct{})
 }
 
 // publish passes a change on and wakes those that wait for a version.
-func (m *machine) publish(f frame) {
-	m.hub.publish(f)
-	close(m.moved)
-	m.moved = make(chan struct{})
+func (m *stateMachine) publish(f watchEvent) {
+	m.broadcaster.publish(f)
+	close(m.listChanged)
+	m.listChanged = make(chan struct{})
 }
 
-// encode writes a listing as a line. It cannot fail: its numbers were checked.
-func encode(l registry.ListUpdate) []byte {
+// encodeLine writes a listing as a line. It cannot fail: its numbers were checked.
+func encodeLine(l registry.ListUpdate) []byte {
 	text, err := json.Marshal(l)
 	if err != nil {
 		panic(fmt.Sprintf("registry: a listing that cannot be written: %v", err))
@@ -82,18 +82,18 @@
 }
 
 // Snapshot keeps the state as it is now.
-func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
+func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	text, err := json.Marshal(m.state)
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	return image(text), nil
+	return serializedState(text), nil
 }
 
 // Restore takes over a snapshot. Watches go on from what they hold.
-func (m *machine) Restore(from io.ReadCloser) error {
+func (m *stateMachine) Restore(from io.ReadCloser) error {
 	defer from.Close()
 	text, err := io.ReadAll(from)
 	if err != nil {
@@ -105,17 +105,17 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.state, m.whole = state, nil
-	m.publish(frame{jump: true})
-	m.tell()
+	m.state, m.fullListCache = state, nil
+	m.publish(watchEvent{resync: true})
+	m.notifyLeasesOrPolicy()
 	return nil
 }
 
-// image is a state on its way to disk.
-type image []byte
+// serializedState is a state on its way to disk.
+type serializedState []byte
 
 // Persist writes it.
-func (i image) Persist(sink raft.SnapshotSink) error {
+func (i serializedState) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(i); err != nil {
 		sink.Cancel()
 		return fmt.Errorf("write snapshot: %w", err)
@@ -124,50 +124,50 @@
 }
 
 // Release has nothing to let go of.
-func (image) Release() {}
+func (serializedState) Release() {}
 
-// read gives a look at the state.
-func (m *machine) read(look func(s *registry.State)) {
+// view gives a look at the state.
+func (m *stateMachine) view(look func(s *registry.State)) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	look(m.state)
 }
 
-func (m *machine) seq() (v uint64) {
-	m.read(func(s *registry.State) { v = s.Seq() })
+func (m *stateMachine) seq() (v uint64) {
+	m.view(func(s *registry.State) { v = s.Seq() })
 	return v
 }
 
-// list returns the whole list as a line.
-func (m *machine) list() []byte {
+// fullList returns the whole fullList as a line.
+func (m *stateMachine) fullList() []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.wholeLocked()
+	return m.fullListLocked()
 }
 
-func (m *machine) wholeLocked() []byte {
-	if m.whole == nil || m.at != m.state.Seq() {
-		m.whole, m.at = encode(m.state.FullList()), m.state.Seq()
+func (m *stateMachine) fullListLocked() []byte {
+	if m.fullListCache == nil || m.fullListSeq != m.state.Seq() {
+		m.fullListCache, m.fullListSeq = encodeLine(m.state.FullList()), m.state.Seq()
 	}
-	return m.whole
+	return m.fullListCache
 }
 
-// follow returns what a watch from a version begins with, the version that it then
+// beginWatch returns what a watch from a version begins with, the version that it then
 // holds, and the frame it goes on at.
-func (m *machine) follow(from uint64) (line []byte, seq uint64, next *frame) {
+func (m *stateMachine) beginWatch(from uint64) (line []byte, seq uint64, next *watchEvent) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if l := m.state.ChangesSince(from); l.Full {
-		line = m.wholeLocked()
+		line = m.fullListLocked()
 	} else {
-		line = encode(l)
+		line = encodeLine(l)
 	}
-	return line, m.state.Seq(), m.hub.next()
+	return line, m.state.Seq(), m.broadcaster.nextEvent()
 }
 
-// change returns the version now, and the channel that is closed at the next change.
-func (m *machine) change() (seq uint64, moved <-chan struct{}) {
+// listVersion returns the version now, and the channel that is closed at the next listVersion.
+func (m *stateMachine) listVersion() (seq uint64, moved <-chan struct{}) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return m.state.Seq(), m.moved
+	return m.state.Seq(), m.listChanged
 }
--- a/internal/registry/server/run.go
+++ b/internal/registry/server/run.go
@@ -13,8 +13,8 @@
 	"golang.org/x/net/netutil"
 )
 
-// endIn is how long calls under way may take to end; watches end at once.
-const endIn = 5 * time.Second
+// shutdownTimeout is how long calls under way may take to end; watches end at once.
+const shutdownTimeout = 5 * time.Second
 
 // Run serves one replica, as the file at path says, until stop is done. At each
 // value of reload it reads the file again.
@@ -38,14 +38,14 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, r.Close()) }()
-	end, err := r.joinFleet()
+	end, err := r.joinMembership()
 	if err != nil {
 		return err
 	}
 	defer end()
 	s := r.HTTPServer()
 	served := make(chan error, 1)
-	go func() { served <- s.Serve(netutil.LimitListener(ln, r.connections)) }()
+	go func() { served <- s.Serve(netutil.LimitListener(ln, r.maxConnections)) }()
 	slog.Info("serving", "group", c.Group, "id", c.ID, "http", self.HTTP, "raft", self.Raft)
 	for {
 		select {
@@ -54,7 +54,7 @@
 		case <-stop.Done():
 			slog.Info("ending")
 			r.PrepareShutdown()
-			ctx, cancel := context.WithTimeout(context.Background(), endIn)
+			ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 			defer cancel()
 			if err := s.Shutdown(ctx); err != nil && !errors.Is(err, http.ErrServerClosed) {
 				s.Close()
--- a/internal/registry/server/server_test.go
+++ b/internal/registry/server/server_test.go
@@ -179,23 +179,23 @@
 	return registry.Instance{Host: host, Dial: "127.0.0.1:7070", Site: "a", Class: "m2", Block: &block, Health: registry.HealthUp, Share: 1, BornMS: born}
 }
 
-func within(t testing.TB) context.Context {
+func testContext(t testing.TB) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// follower is an unchanged sidecar's side: it holds what the watch told it.
-type follower struct {
+// testWatcher is an unchanged sidecar's side: it holds what the watch told it.
+type testWatcher struct {
 	mu   sync.Mutex
 	held map[string]string // host: health and start
 	seq  uint64
 	back int // versions that went back, but for whole lists of another history
 }
 
-func follow(t testing.TB, addrs []string, seed uint64) *follower {
+func startTestWatcher(t testing.TB, addrs []string, seed uint64) *testWatcher {
 	t.Helper()
-	f := &follower{held: make(map[string]string)}
+	f := &testWatcher{held: make(map[string]string)}
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	w := client.NewWatcher(client.WatcherOptions{Addrs: addrs, Seed: seed, Deliver: f.take})
@@ -207,7 +207,7 @@
 	return f
 }
 
-func (f *follower) take(l client.ListUpdate) {
+func (f *testWatcher) take(l client.ListUpdate) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if l.Seq < f.seq {
@@ -226,16 +226,16 @@
 	}
 }
 
-func (f *follower) holds(want map[string]string) bool {
+func (f *testWatcher) holds(want map[string]string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return maps.Equal(f.held, want)
 }
 
-// list is what followers have to hold.
-func (n *node) list() map[string]string {
+// wantedList is what followers have to hold.
+func (n *node) wantedList() map[string]string {
 	want := make(map[string]string)
-	n.machine.read(func(s *registry.State) {
+	n.stateMachine.view(func(s *registry.State) {
 		for _, i := range s.FullList().Instances {
 			want[i.Host] = fmt.Sprint(i.Health, " ", i.BornMS)
 		}
@@ -280,7 +280,7 @@
 func TestListAndWatchAsTheProtocolHasThem(t *testing.T) {
 	g := startGroup(t, 1)
 	n, c := g.nodes[0], g.client()
-	first, err := c.Register(within(t), registry.RegisterRequest{Instance: instance("s-1", 5)})
+	first, err := c.Register(testContext(t), registry.RegisterRequest{Instance: instance("s-1", 5)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -313,7 +313,7 @@
 	if got := next(); got != "" {
 		t.Errorf("while nothing changes: %q, want an empty line", got)
 	}
-	mark, err := c.Mark(within(t), registry.MarkRequest{Hosts: []string{"s-1"}, MarkedBy: "ops-a", Draining: true})
+	mark, err := c.Mark(testContext(t), registry.MarkRequest{Hosts: []string{"s-1"}, MarkedBy: "ops-a", Draining: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -321,7 +321,7 @@
 	if got := next(); got != want {
 		t.Errorf("a change: %s, want %s", got, want)
 	}
-	if err := c.Remove(within(t), "s-1", ""); err != nil {
+	if err := c.Remove(testContext(t), "s-1", ""); err != nil {
 		t.Fatal(err)
 	}
 	var l registry.ListUpdate
@@ -345,10 +345,10 @@
 func TestBadInput(t *testing.T) {
 	g := startGroup(t, 1)
 	n, c := g.nodes[0], g.client()
-	if _, err := c.Register(within(t), registry.RegisterRequest{Instance: instance("s-1", 5), Session: "x", TTLMS: 60000}); err != nil {
+	if _, err := c.Register(testContext(t), registry.RegisterRequest{Instance: instance("s-1", 5), Session: "x", TTLMS: 60000}); err != nil {
 		t.Fatal(err)
 	}
-	seq := n.machine.seq()
+	seq := n.stateMachine.seq()
 	good, _ := json.Marshal(registry.RegisterRequest{Instance: instance("s-2", 5)})
 	with := func(old, new string) string {
 		if !strings.Contains(string(good), old) {
@@ -399,8 +399,8 @@
 			t.Errorf("%s: %d, want 400", query, status)
 		}
 	}
-	if n.machine.seq() != seq {
-		t.Errorf("the version went from %d to %d", seq, n.machine.seq())
+	if n.stateMachine.seq() != seq {
+		t.Errorf("the version went from %d to %d", seq, n.stateMachine.seq())
 	}
 }
 
@@ -409,9 +409,9 @@
 func TestLossOfTheLeader(t *testing.T) {
 	g := startGroup(t, 3)
 	c := g.client()
-	var followers []*follower
+	var followers []*testWatcher
 	for i := range 6 {
-		followers = append(followers, follow(t, g.addrs(), uint64(i)))
+		followers = append(followers, startTestWatcher(t, g.addrs(), uint64(i)))
 	}
 	const ttl = 3000
 	ctx, cancel := context.WithCancel(context.Background())
@@ -428,7 +428,7 @@
 	}
 	write := func(host string) {
 		t.Helper()
-		if _, err := c.Register(within(t), registry.RegisterRequest{Instance: instance(host, 1)}); err != nil {
+		if _, err := c.Register(testContext(t), registry.RegisterRequest{Instance: instance(host, 1)}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -440,7 +440,7 @@
 		old.start()
 		eventually(t, "it is ready again", func() bool { return old.ready.Load() })
 	}
-	want := g.leader().list()
+	want := g.leader().wantedList()
 	if len(want) != 4+6 {
 		t.Errorf("%d instances are listed, want 10: %v", len(want), want)
 	}
@@ -452,7 +452,7 @@
 	}
 	cancel()
 	kept.Wait()
-	eventually(t, "those that left are out", func() bool { return len(g.leader().list()) == 6 })
+	eventually(t, "those that left are out", func() bool { return len(g.leader().wantedList()) == 6 })
 }
 
 // A replica without a quorum goes on serving its list and says that it is stale,
@@ -460,11 +460,11 @@
 func TestCutOffReplica(t *testing.T) {
 	g := startGroup(t, 3)
 	c := g.client()
-	if _, err := c.Register(within(t), registry.RegisterRequest{Instance: instance("s-1", 1)}); err != nil {
+	if _, err := c.Register(testContext(t), registry.RegisterRequest{Instance: instance("s-1", 1)}); err != nil {
 		t.Fatal(err)
 	}
 	last := g.nodes[0]
-	eventually(t, "the list is everywhere", func() bool { return len(last.list()) == 1 })
+	eventually(t, "the list is everywhere", func() bool { return len(last.wantedList()) == 1 })
 	resp, err := http.Get(fmt.Sprintf("http://%s%s?watch=1", last.member.HTTP, registry.ListPath))
 	if err != nil {
 		t.Fatal(err)
@@ -487,12 +487,12 @@
 		t.Errorf("a linearizable read: %d, want 503", status)
 	}
 	// Nobody can say whether a version it does not know is of this history.
-	if status, _, _ := get(t, fmt.Sprintf("http://%s%s?watch=1&from=%d", last.member.HTTP, registry.ListPath, last.machine.seq()+1)); status != 503 {
+	if status, _, _ := get(t, fmt.Sprintf("http://%s%s?watch=1&from=%d", last.member.HTTP, registry.ListPath, last.stateMachine.seq()+1)); status != 503 {
 		t.Errorf("a watch from a version that is ahead: %d, want 503", status)
 	}
 	g.nodes[1].start()
 	g.nodes[2].start()
-	if _, err := c.Register(within(t), registry.RegisterRequest{Instance: instance("s-2", 1)}); err != nil {
+	if _, err := c.Register(testContext(t), registry.RegisterRequest{Instance: instance("s-2", 1)}); err != nil {
 		t.Errorf("a write after its return: %v", err)
 	}
 }
@@ -502,21 +502,21 @@
 func TestRestartFromDisk(t *testing.T) {
 	g := startGroup(t, 3)
 	c := g.client()
-	var f []*follower
+	var f []*testWatcher
 	for i := range 3 {
-		f = append(f, follow(t, g.addrs(), uint64(i)))
+		f = append(f, startTestWatcher(t, g.addrs(), uint64(i)))
 	}
 	for round := range 2 {
 		for i := range 10 {
 			r := registry.RegisterRequest{Instance: instance(fmt.Sprint("s-", i), int64(round)), Session: "x", TTLMS: 1000}
 			r.Session = fmt.Sprint("x", round)
 			r.Instance.BornMS = int64(round + 1)
-			if _, err := c.Register(within(t), r); err != nil {
+			if _, err := c.Register(testContext(t), r); err != nil {
 				t.Fatal(err)
 			}
 		}
 		leader := g.leader()
-		want, seq := leader.list(), leader.machine.seq()
+		want, seq := leader.wantedList(), leader.stateMachine.seq()
 		if round == 0 {
 			if err := leader.raft.Snapshot().Error(); err != nil {
 				t.Fatal(err)
@@ -530,15 +530,15 @@
 		}
 		// The leader gives each session its full time, and then, as all are silent, removes none.
 		leader = g.leader()
-		if got := leader.list(); !maps.Equal(got, want) || leader.machine.seq() < seq {
-			t.Errorf("after the restart: %v at %d, want %v at %d or later", got, leader.machine.seq(), want, seq)
+		if got := leader.wantedList(); !maps.Equal(got, want) || leader.stateMachine.seq() < seq {
+			t.Errorf("after the restart: %v at %d, want %v at %d or later", got, leader.stateMachine.seq(), want, seq)
 		}
 		eventually(t, "removals are held back", func() bool { return leader.Status().ExpiryHeld })
-		if got := leader.list(); len(got) != 10 {
+		if got := leader.wantedList(); len(got) != 10 {
 			t.Errorf("%d of 10 are left of sessions that all fell silent at once", len(got))
 		}
 	}
-	want := g.leader().list()
+	want := g.leader().wantedList()
 	for i, f := range f {
 		eventually(t, fmt.Sprintf("follower %d holds the list", i), func() bool { return f.holds(want) })
 		if f.back > 0 {
@@ -553,7 +553,7 @@
 	c := g.client()
 	for i := range 3 {
 		r := registry.RegisterRequest{Instance: instance(fmt.Sprint("s-", i), 1), Session: "x", TTLMS: 500}
-		if _, err := c.Register(within(t), r); err != nil {
+		if _, err := c.Register(testContext(t), r); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -568,12 +568,12 @@
 		}()
 	}
 	eventually(t, "the silent one is out", func() bool {
-		return !maps.Equal(g.nodes[0].list(), map[string]string{"s-0": "up 1", "s-1": "up 1", "s-2": "up 1"})
+		return !maps.Equal(g.nodes[0].wantedList(), map[string]string{"s-0": "up 1", "s-1": "up 1", "s-2": "up 1"})
 	})
-	if got := g.nodes[0].list(); len(got) != 2 || got["s-2"] != "" {
+	if got := g.nodes[0].wantedList(); len(got) != 2 || got["s-2"] != "" {
 		t.Errorf("left are %v, want those that renew", got)
 	}
-	if err := c.RenewSession(within(t), "s-2", "x"); !errors.Is(err, registry.ErrNotFound) {
+	if err := c.RenewSession(testContext(t), "s-2", "x"); !errors.Is(err, registry.ErrNotFound) {
 		t.Errorf("a late renewal: %v", err)
 	}
 }
@@ -583,29 +583,29 @@
 	g := startGroup(t, 3)
 	c := g.client()
 	rng := rand.New(rand.NewPCG(5, 5))
-	var followers []*follower
+	var followers []*testWatcher
 	for i := range 8 {
-		followers = append(followers, follow(t, g.addrs(), uint64(i)))
+		followers = append(followers, startTestWatcher(t, g.addrs(), uint64(i)))
 	}
 	for i := range 150 {
 		host := fmt.Sprint("s-", rng.IntN(12))
 		var err error
 		switch rng.IntN(4) {
 		case 0:
-			err = c.Remove(within(t), host, "")
+			err = c.Remove(testContext(t), host, "")
 		case 1:
-			_, err = c.Mark(within(t), registry.MarkRequest{Hosts: []string{host}, MarkedBy: "ops-a", Draining: rng.IntN(2) == 0})
+			_, err = c.Mark(testContext(t), registry.MarkRequest{Hosts: []string{host}, MarkedBy: "ops-a", Draining: rng.IntN(2) == 0})
 		default:
-			_, err = c.Register(within(t), registry.RegisterRequest{Instance: instance(host, int64(i))})
+			_, err = c.Register(testContext(t), registry.RegisterRequest{Instance: instance(host, int64(i))})
 		}
 		if err != nil && !errors.Is(err, registry.ErrNotFound) {
 			t.Fatal(err)
 		}
 		if i%10 == 0 {
-			g.nodes[rng.IntN(3)].hub.endWatches()
+			g.nodes[rng.IntN(3)].broadcaster.endWatches()
 		}
 	}
-	want := g.leader().list()
+	want := g.leader().wantedList()
 	for i, f := range followers {
 		eventually(t, fmt.Sprintf("follower %d holds the list", i), func() bool { return f.holds(want) })
 		if f.back > 0 {
@@ -625,57 +625,57 @@
 	defer slow.Close()
 	slow.(*net.TCPConn).SetReadBuffer(4 << 10)
 	fmt.Fprintf(slow, "GET %s?watch=1&from=0 HTTP/1.1\r\nHost: x\r\n\r\n", registry.ListPath)
-	eventually(t, "it watches", func() bool { return n.watches.Load() == 1 })
-	f := follow(t, g.addrs(), 1)
+	eventually(t, "it watches", func() bool { return n.openWatches.Load() == 1 })
+	f := startTestWatcher(t, g.addrs(), 1)
 	big := instance("s-1", 1)
-	for i := int64(0); n.hub.cut.Load() == 0; i++ {
+	for i := int64(0); n.broadcaster.cutWatches.Load() == 0; i++ {
 		if i > 1<<20 {
 			t.Fatal("a watcher that takes nothing is not cut")
 		}
 		big.BornMS = i
-		n.machine.hub.publish(frame{seq: n.machine.seq(), line: []byte(`{"seq":0,"whole":false,"hosts":[]` + strings.Repeat(" ", 60<<10) + "}\n")})
+		n.stateMachine.broadcaster.publish(watchEvent{seq: n.stateMachine.seq(), line: []byte(`{"seq":0,"whole":false,"hosts":[]` + strings.Repeat(" ", 60<<10) + "}\n")})
 		time.Sleep(time.Millisecond)
 	}
-	if _, err := c.Register(within(t), registry.RegisterRequest{Instance: big}); err != nil {
+	if _, err := c.Register(testContext(t), registry.RegisterRequest{Instance: big}); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the other holds the list", func() bool { return f.holds(n.list()) })
+	eventually(t, "the other holds the list", func() bool { return f.holds(n.wantedList()) })
 }
 
 // Calls wait in a bounded turn, in order, and are told to come back beyond it.
 func TestTurn(t *testing.T) {
-	tn := &turn{limits: Limits{Calls: 1, Waiting: 2}}
-	if err := tn.take(t.Context()); err != nil {
+	tn := &callLimiter{limits: Limits{Calls: 1, Waiting: 2}}
+	if err := tn.acquire(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	order := make(chan int, 3)
 	gone, leave := context.WithCancel(t.Context())
 	for i, ctx := range []context.Context{gone, t.Context()} {
 		go func() {
-			if tn.take(ctx) == nil {
+			if tn.acquire(ctx) == nil {
 				order <- i
 			} else {
 				order <- -1
 			}
 		}()
-		eventually(t, "it waits", func() bool { _, waiting := tn.queue(); return waiting == i+1 })
+		eventually(t, "it waits", func() bool { _, waiting := tn.counts(); return waiting == i+1 })
 	}
-	if err := tn.take(t.Context()); err != errBusy {
+	if err := tn.acquire(t.Context()); err != errBusy {
 		t.Errorf("beyond the bound: %v", err)
 	}
 	leave()
 	if got := <-order; got != -1 {
 		t.Errorf("%d was served", got)
 	}
-	tn.done()
+	tn.release()
 	if got := <-order; got != 1 {
 		t.Errorf("%d was served, want the one that still waits", got)
 	}
 	tn.setLimits(Limits{Calls: 2, Waiting: 0})
-	if err := tn.take(t.Context()); err != nil {
+	if err := tn.acquire(t.Context()); err != nil {
 		t.Errorf("with another limit: %v", err)
 	}
-	if running, waiting := tn.queue(); running != 2 || waiting != 0 {
+	if running, waiting := tn.counts(); running != 2 || waiting != 0 {
 		t.Errorf("%d run and %d wait", running, waiting)
 	}
 }
@@ -683,7 +683,7 @@
 func TestBusyRegistrySaysWhenToComeBack(t *testing.T) {
 	g := startGroup(t, 1)
 	n := g.nodes[0]
-	n.turn.setLimits(Limits{Calls: 0, Waiting: 0})
+	n.limiter.setLimits(Limits{Calls: 0, Waiting: 0})
 	status, header, _ := get(t, "http://"+n.member.HTTP+registry.ListPath)
 	if status != 503 || header.Get("Retry-After") == "" {
 		t.Errorf("%d, Retry-After %q", status, header.Get("Retry-After"))
@@ -693,8 +693,8 @@
 	if err := n.Reload(&fresh); err != nil {
 		t.Fatal(err)
 	}
-	follow(t, g.addrs(), 1)
-	eventually(t, "one watches", func() bool { return n.watches.Load() == 1 })
+	startTestWatcher(t, g.addrs(), 1)
+	eventually(t, "one watches", func() bool { return n.openWatches.Load() == 1 })
 	if status, _, _ := get(t, "http://"+n.member.HTTP+registry.ListPath+"?watch=1"); status != 503 {
 		t.Errorf("a second watch: %d, want 503", status)
 	}
@@ -712,7 +712,7 @@
 func TestReplicaIsReplaced(t *testing.T) {
 	g := startGroup(t, 3)
 	c := g.client()
-	if _, err := c.Register(within(t), registry.RegisterRequest{Instance: instance("s-1", 1)}); err != nil {
+	if _, err := c.Register(testContext(t), registry.RegisterRequest{Instance: instance("s-1", 1)}); err != nil {
 		t.Fatal(err)
 	}
 	leader := g.leader()
@@ -726,7 +726,7 @@
 	config := *g.nodes[0].config
 	config.ID, config.DataDir, config.Join = "r9", t.TempDir(), true
 	config.Replicas = append(slices.Clone(config.Replicas), m)
-	if err := config.check(); err != nil {
+	if err := config.validate(); err != nil {
 		t.Fatal(err)
 	}
 	fresh := &node{t: t, config: &config, member: m}
@@ -741,7 +741,7 @@
 		t.Fatalf("drop: %d %s", status, a.Error)
 	}
 	eventually(t, "the new one is ready", func() bool { return fresh.ready.Load() })
-	if got := fresh.list(); len(got) != 1 {
+	if got := fresh.wantedList(); len(got) != 1 {
 		t.Errorf("the new one lists %v", got)
 	}
 	s := leader.Status()
@@ -760,23 +760,23 @@
 func TestBackupAndRestore(t *testing.T) {
 	g := startGroup(t, 1)
 	n, c := g.nodes[0], g.client()
-	f := follow(t, g.addrs(), 1)
-	if _, err := c.Register(within(t), registry.RegisterRequest{Instance: instance("s-1", 1)}); err != nil {
+	f := startTestWatcher(t, g.addrs(), 1)
+	if _, err := c.Register(testContext(t), registry.RegisterRequest{Instance: instance("s-1", 1)}); err != nil {
 		t.Fatal(err)
 	}
 	_, _, backup := get(t, "http://"+n.member.HTTP+registry.APIPath+"backup")
-	if err := c.Remove(within(t), "s-1", ""); err != nil {
+	if err := c.Remove(testContext(t), "s-1", ""); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Register(within(t), registry.RegisterRequest{Instance: instance("s-2", 1)}); err != nil {
+	if _, err := c.Register(testContext(t), registry.RegisterRequest{Instance: instance("s-2", 1)}); err != nil {
 		t.Fatal(err)
 	}
-	seq := n.machine.seq()
+	seq := n.stateMachine.seq()
 	if status, a, _ := do(t, "POST", "http://"+n.member.HTTP+registry.APIPath+"restore", backup); status != 200 || a.Seq <= seq {
 		t.Fatalf("restore: %d %s at %d after %d", status, a.Error, a.Seq, seq)
 	}
 	want := map[string]string{"s-1": "up 1"}
-	if got := n.list(); !maps.Equal(got, want) {
+	if got := n.wantedList(); !maps.Equal(got, want) {
 		t.Errorf("restored: %v", got)
 	}
 	eventually(t, "the follower holds it", func() bool { return f.holds(want) })
@@ -802,13 +802,13 @@
 	g := startGroup(t, 1)
 	n, c := g.nodes[0], g.client()
 	for i := range 50 {
-		if _, err := c.Register(within(t), registry.RegisterRequest{Instance: instance(fmt.Sprint("s-", i), 1)}); err != nil {
+		if _, err := c.Register(testContext(t), registry.RegisterRequest{Instance: instance(fmt.Sprint("s-", i), 1)}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	open := func(c *Config) error {
 		t.Helper()
-		d, err := openDisk(c, newRaftLog())
+		d, err := openStorage(c, newRaftLogger())
 		if err == nil {
 			d.bolt.Close()
 		}
@@ -870,27 +870,27 @@
 
 // A log's entry that was changed on disk is found when it is read, not acted upon.
 func TestSpoiltEntryIsFound(t *testing.T) {
-	d, err := openDisk(&Config{Group: "a", ID: "r", DataDir: t.TempDir()}, newRaftLog())
+	d, err := openStorage(&Config{Group: "a", ID: "r", DataDir: t.TempDir()}, newRaftLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer d.bolt.Close()
 	for i := uint64(1); i <= 3; i++ {
-		if err := d.logs.StoreLog(&raft.Log{Index: i, Term: 1, Data: fmt.Appendf(nil, "entry %d", i)}); err != nil {
+		if err := d.log.StoreLog(&raft.Log{Index: i, Term: 1, Data: fmt.Appendf(nil, "entry %d", i)}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	var l raft.Log
-	if err := d.logs.GetLog(2, &l); err != nil || string(l.Data) != "entry 2" {
+	if err := d.log.GetLog(2, &l); err != nil || string(l.Data) != "entry 2" {
 		t.Errorf("read %q, error %v", l.Data, err)
 	}
-	if err := d.logs.verify(); err != nil {
+	if err := d.log.verify(); err != nil {
 		t.Error(err)
 	}
 	if err := d.bolt.StoreLog(&raft.Log{Index: 2, Term: 1, Data: []byte("entry 2 without its checksum")}); err != nil {
 		t.Fatal(err)
 	}
-	if err := d.logs.verify(); err == nil || !strings.Contains(err.Error(), "entry 2 is spoilt") {
+	if err := d.log.verify(); err == nil || !strings.Contains(err.Error(), "entry 2 is spoilt") {
 		t.Errorf("error %v, want entry 2", err)
 	}
 }
@@ -899,23 +899,23 @@
 func TestFullDiskIsTold(t *testing.T) {
 	g := startGroup(t, 1)
 	n, c := g.nodes[0], g.client()
-	if _, err := c.Register(within(t), registry.RegisterRequest{Instance: instance("s-1", 1)}); err != nil {
+	if _, err := c.Register(testContext(t), registry.RegisterRequest{Instance: instance("s-1", 1)}); err != nil {
 		t.Fatal(err)
 	}
 	full := errors.New("no space left on device")
-	n.disk.logs.failed.Store(&full)
-	w := &recorder{header: make(http.Header)}
-	n.fail(w, nil, raft.ErrNotLeader)
+	n.storage.log.lastWriteError.Store(&full)
+	w := &responseRecorder{header: make(http.Header)}
+	n.writeError(w, nil, raft.ErrNotLeader)
 	if w.status != 503 || !strings.Contains(w.text.String(), "cannot write its log: no space left") {
 		t.Errorf("a write: %d %s", w.status, w.text.String())
 	}
-	if _, err := c.Register(within(t), registry.RegisterRequest{Instance: instance("s-2", 1)}); err != nil || n.disk.logs.failed.Load() != nil {
+	if _, err := c.Register(testContext(t), registry.RegisterRequest{Instance: instance("s-2", 1)}); err != nil || n.storage.log.lastWriteError.Load() != nil {
 		t.Errorf("once there is room again: %v", err)
 	}
 }
 
-// terms is a store that takes nothing while it is full.
-type terms struct {
+// flakyTermStore is a store that takes nothing while it is full.
+type flakyTermStore struct {
 	raft.StableStore
 	mu    sync.Mutex
 	full  bool
@@ -923,7 +923,7 @@
 	kept  []uint64
 }
 
-func (s *terms) SetUint64(_ []byte, v uint64) error {
+func (s *flakyTermStore) SetUint64(_ []byte, v uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.tries++; s.full {
@@ -936,8 +936,8 @@
 // A term waits for room on the disk, an earlier one that waited longer is not the last
 // word, and one that waits at the replica's end is never taken for kept.
 func TestTermWaitsForRoom(t *testing.T) {
-	s := &terms{full: true}
-	p := newPatientTerms(s)
+	s := &flakyTermStore{full: true}
+	p := newWaitingTermStore(s)
 	if err := p.SetUint64([]byte("LastVoteTerm"), 4); err == nil {
 		t.Error("a vote was kept on a full disk")
 	}
@@ -949,7 +949,7 @@
 			}
 		})
 	}
-	eventually(t, "all wait", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return p.waits.Load() == 3 && s.tries > 3 })
+	eventually(t, "all wait", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return p.waiting.Load() == 3 && s.tries > 3 })
 	s.mu.Lock()
 	s.full = false
 	s.mu.Unlock()
@@ -963,7 +963,7 @@
 		p.SetUint64([]byte(termKey), 9)
 		returned = true
 	})
-	eventually(t, "it waits", func() bool { return p.waits.Load() == 1 })
+	eventually(t, "it waits", func() bool { return p.waiting.Load() == 1 })
 	close(p.closing)
 	if waiting.Wait(); returned {
 		t.Error("it went on with a term that is not kept")
@@ -976,7 +976,7 @@
 	hello := func(group string, founded uint64) func() (string, uint64) {
 		return func() (string, uint64) { return group, founded }
 	}
-	l := newLayer(listen(t, "127.0.0.1:0"), nil, hello("a", 7))
+	l := newStreamLayer(listen(t, "127.0.0.1:0"), nil, hello("a", 7))
 	defer l.Close()
 	accepted := make(chan net.Conn, 10)
 	go func() {
@@ -995,7 +995,7 @@
 		"the same": {hello("a", 7), true}, "one that has none yet": {hello("a", 0), true},
 		"another group": {hello("b", 7), false}, "another history": {hello("a", 8), false},
 	} {
-		other := &layer{hello: x.hello}
+		other := &streamLayer{localHistory: x.hello}
 		c, err := other.Dial(raft.ServerAddress(l.Addr().String()), patience)
 		if (err == nil) != x.ok {
 			t.Errorf("%s: error %v", name, err)
@@ -1005,7 +1005,7 @@
 			(<-accepted).Close()
 		}
 	}
-	for _, noise := range []string{"GET / HTTP/1.1\r\n\r\n", strings.Repeat("x", 2*helloMost), "\x00\n"} {
+	for _, noise := range []string{"GET / HTTP/1.1\r\n\r\n", strings.Repeat("x", 2*maxHandshakeLine), "\x00\n"} {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -1021,7 +1021,7 @@
 
 func TestConfigurations(t *testing.T) {
 	const one = `{"group":"g","id":"r0","data":"/tmp/x","replicas":[{"id":"r0","http":"127.0.0.1:1","raft":"127.0.0.1:2"}]}`
-	if c, err := ParseConfig([]byte(one)); err != nil || c.Limits.Watches != defaultWatches || c.election() != defaultElection {
+	if c, err := ParseConfig([]byte(one)); err != nil || c.Limits.Watches != defaultWatches || c.electionTimeout() != defaultElection {
 		t.Errorf("%+v, %v", c, err)
 	}
 	for name, change := range map[string][2]string{
@@ -1059,7 +1059,7 @@
 		if err != nil {
 			return
 		}
-		w := &recorder{header: make(http.Header)}
+		w := &responseRecorder{header: make(http.Header)}
 		n.Handler().ServeHTTP(w, req)
 		if w.status >= 500 && w.status != 503 && w.status != 507 {
 			t.Errorf("%s %q %q: %d %s", method, path, body, w.status, w.text.String())
@@ -1067,15 +1067,15 @@
 	})
 }
 
-type recorder struct {
+type responseRecorder struct {
 	header http.Header
 	status int
 	text   strings.Builder
 }
 
-func (r *recorder) Header() http.Header { return r.header }
-func (r *recorder) WriteHeader(s int)   { r.status = s }
-func (r *recorder) Write(b []byte) (int, error) {
+func (r *responseRecorder) Header() http.Header { return r.header }
+func (r *responseRecorder) WriteHeader(s int)   { r.status = s }
+func (r *responseRecorder) Write(b []byte) (int, error) {
 	return r.text.Write(b)
 }
 
@@ -1088,7 +1088,7 @@
 		if err != nil {
 			return
 		}
-		if _, ok := c.self(); !ok || c.election() <= 0 || c.Limits.Calls < 1 {
+		if _, ok := c.findSelf(); !ok || c.electionTimeout() <= 0 || c.Limits.Calls < 1 {
 			t.Errorf("taken: %+v", c)
 		}
 	})
@@ -1099,9 +1099,9 @@
 	f.Add("barleywick-registry/1 a 7")
 	f.Add("barleywick-registry/1 a 0")
 	f.Add("barleywick-registry/1 a -7 x")
-	l := &layer{hello: func() (string, uint64) { return "a", 7 }}
+	l := &streamLayer{localHistory: func() (string, uint64) { return "a", 7 }}
 	f.Fuzz(func(t *testing.T, line string) {
-		if l.compare(line) == nil && !strings.HasPrefix(strings.Join(strings.Fields(line), " "), helloWord+" a ") {
+		if l.checkHandshake(line) == nil && !strings.HasPrefix(strings.Join(strings.Fields(line), " "), handshakeProtocol+" a ") {
 			t.Errorf("%q was let in", line)
 		}
 	})
--- a/internal/registry/server/turn.go
+++ b/internal/registry/server/turn.go
@@ -7,9 +7,9 @@
 	"sync"
 )
 
-// turn lets a bounded number of calls be under way and a bounded number wait; what
+// callLimiter lets a bounded number of calls be under way and a bounded number wait; what
 // comes beyond is told to come back.
-type turn struct {
+type callLimiter struct {
 	mu      sync.Mutex
 	limits  Limits
 	running int
@@ -18,8 +18,8 @@
 
 var errBusy = errors.New("too many calls wait for their turn")
 
-// take waits for a turn. Each success is to be followed by done.
-func (t *turn) take(ctx context.Context) error {
+// acquire waits for a turn. Each success is to be followed by done.
+func (t *callLimiter) acquire(ctx context.Context) error {
 	t.mu.Lock()
 	if t.running < t.limits.Calls && len(t.waiting) == 0 {
 		t.running++
@@ -45,20 +45,20 @@
 	}
 	t.mu.Unlock()
 	if i < 0 {
-		t.done() // it was given the turn a moment ago
+		t.release() // it was given the turn a moment ago
 	}
 	return ctx.Err()
 }
 
-func (t *turn) done() {
+func (t *callLimiter) release() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.running--
-	t.grant()
+	t.admitLocked()
 }
 
-// grant gives free turns to those that wait.
-func (t *turn) grant() {
+// admitLocked gives free turns to those that wait.
+func (t *callLimiter) admitLocked() {
 	for t.running < t.limits.Calls && len(t.waiting) > 0 {
 		t.running++
 		close(t.waiting[0])
@@ -66,15 +66,15 @@
 	}
 }
 
-func (t *turn) setLimits(l Limits) {
+func (t *callLimiter) setLimits(l Limits) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.limits = l
-	t.grant()
+	t.admitLocked()
 }
 
-// queue returns how many calls are under way and how many wait.
-func (t *turn) queue() (running, waiting int) {
+// counts returns how many calls are under way and how many wait.
+func (t *callLimiter) counts() (running, waiting int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.running, len(t.waiting)
