--- /dev/null
+++ b/internal/registry/server/harness_test.go
@@ -0,0 +1,284 @@
+package server
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"maps"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"barleywick/internal/registry"
+	"barleywick/internal/registry/client"
+)
+
+func TestMain(m *testing.M) {
+	if config := os.Getenv(processVariable); config != "" {
+		if err := runReplica(config); err != nil {
+			fmt.Fprintln(os.Stderr, err)
+			os.Exit(1)
+		}
+		return
+	}
+	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})))
+	os.Exit(m.Run())
+}
+
+const patience = 30 * time.Second // how long a test waits for an event; it never has to in a good run
+
+func eventually(t testing.TB, what string, holds func() bool) {
+	t.Helper()
+	for deadline := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("waited in vain until %s", what)
+		}
+	}
+}
+
+func listen(t testing.TB, addr string) net.Listener {
+	t.Helper()
+	var ln net.Listener
+	eventually(t, "the address is free", func() (ok bool) {
+		var err error
+		ln, err = net.Listen("tcp", addr)
+		return err == nil
+	})
+	return ln
+}
+
+// node is one replica of a test's group.
+type node struct {
+	t      testing.TB
+	config *Config
+	member registry.ReplicaInfo
+	*Replica
+	server *http.Server
+	up     bool
+}
+
+func (n *node) start() {
+	n.t.Helper()
+	n.serve(listen(n.t, n.member.HTTP), listen(n.t, n.member.Raft))
+}
+
+func (n *node) serve(ln, peers net.Listener) {
+	n.t.Helper()
+	r, err := Open(n.config, peers)
+	if err != nil {
+		n.t.Fatal(err)
+	}
+	n.Replica, n.server, n.up = r, r.HTTPServer(), true
+	go n.server.Serve(ln)
+}
+
+// stop ends a replica as a lost process does, as far as one process can: nothing
+// is handed over and connections are cut.
+func (n *node) stop() {
+	n.t.Helper()
+	if !n.up {
+		return
+	}
+	n.up = false
+	n.server.Close()
+	if err := n.Close(); err != nil {
+		n.t.Error(err)
+	}
+}
+
+type group struct {
+	t     testing.TB
+	nodes []*node
+}
+
+// startGroup runs a group of n replicas until the test ends.
+func startGroup(t testing.TB, n int) *group {
+	t.Helper()
+	g := &group{t: t}
+	var members []registry.ReplicaInfo
+	var https, rafts []net.Listener
+	for i := range n {
+		https, rafts = append(https, listen(t, "127.0.0.1:0")), append(rafts, listen(t, "127.0.0.1:0"))
+		members = append(members, registry.ReplicaInfo{ID: fmt.Sprint("r", i), HTTP: https[i].Addr().String(), Raft: rafts[i].Addr().String()})
+	}
+	for _, m := range members {
+		text, err := json.Marshal(map[string]any{
+			"group": "test", "id": m.ID, "data": t.TempDir(), "replicas": members,
+			"timing": map[string]any{"election_ms": 200}, "sessions": map[string]any{"floor": 0.5, "within_ms": 60000},
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+		c, err := ParseConfig(text)
+		if err != nil {
+			t.Fatal(err)
+		}
+		g.nodes = append(g.nodes, &node{t: t, config: c, member: m})
+	}
+	for i, n := range g.nodes {
+		n.serve(https[i], rafts[i])
+	}
+	t.Cleanup(func() {
+		for _, n := range g.nodes {
+			n.stop()
+		}
+	})
+	for _, n := range g.nodes {
+		eventually(t, "a replica is ready", func() bool { return n.ready.Load() })
+	}
+	return g
+}
+
+func (g *group) leader() *node {
+	var leader *node
+	eventually(g.t, "there is a leader", func() bool {
+		for _, n := range g.nodes {
+			if n.up && n.linearize() == nil {
+				leader = n
+				return true
+			}
+		}
+		return false
+	})
+	return leader
+}
+
+func (g *group) addrs() []string {
+	var all []string
+	for _, n := range g.nodes {
+		all = append(all, n.member.HTTP)
+	}
+	return all
+}
+
+func (g *group) client() *client.Client {
+	g.t.Helper()
+	c, err := client.New(g.addrs(), 1)
+	if err != nil {
+		g.t.Fatal(err)
+	}
+	g.t.Cleanup(c.Close)
+	return c
+}
+
+func instance(host string, born int64) registry.Instance {
+	block := 1
+	return registry.Instance{Host: host, Dial: "127.0.0.1:7070", Site: "a", Class: "m2", Block: &block, Health: registry.HealthUp, Share: 1, BornMS: born}
+}
+
+func testContext(t testing.TB) context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	t.Cleanup(cancel)
+	return ctx
+}
+
+// testWatcher is an unchanged sidecar's side: it holds what the watch told it.
+type testWatcher struct {
+	mu   sync.Mutex
+	held map[string]string // host: health and start
+	seq  uint64
+	back int // versions that went back, but for whole lists of another history
+}
+
+func startTestWatcher(t testing.TB, addrs []string, seed uint64) *testWatcher {
+	t.Helper()
+	f := &testWatcher{held: make(map[string]string)}
+	ctx, cancel := context.WithCancel(context.Background())
+	var done sync.WaitGroup
+	w := client.NewWatcher(client.WatcherOptions{Addrs: addrs, Seed: seed, Deliver: f.take})
+	done.Go(func() { w.Follow(ctx) })
+	t.Cleanup(func() {
+		cancel()
+		done.Wait()
+	})
+	return f
+}
+
+func (f *testWatcher) take(l client.ListUpdate) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if l.Seq < f.seq {
+		f.back++
+	}
+	f.seq = l.Seq
+	if l.Full {
+		clear(f.held)
+	}
+	for _, e := range l.Endpoints {
+		if e.Health == "removed" {
+			delete(f.held, e.Host)
+		} else {
+			f.held[e.Host] = fmt.Sprint(e.Health, " ", int64(e.BornMS))
+		}
+	}
+}
+
+func (f *testWatcher) holds(want map[string]string) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return maps.Equal(f.held, want)
+}
+
+// wantedList is what followers have to hold.
+func (n *node) wantedList() map[string]string {
+	want := make(map[string]string)
+	n.stateMachine.view(func(s *registry.State) {
+		for _, i := range s.FullList().Instances {
+			want[i.Host] = fmt.Sprint(i.Health, " ", i.BornMS)
+		}
+	})
+	return want
+}
+
+func get(t testing.TB, url string) (status int, header http.Header, body string) {
+	t.Helper()
+	resp, err := http.Get(url)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	text, err := io.ReadAll(resp.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return resp.StatusCode, resp.Header, string(text)
+}
+
+func do(t testing.TB, method, url, body string) (status int, answer registry.WriteResponse, text string) {
+	t.Helper()
+	req, err := http.NewRequest(method, url, strings.NewReader(body))
+	if err != nil {
+		t.Fatal(err)
+	}
+	resp, err := http.DefaultTransport.RoundTrip(req)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	got, err := io.ReadAll(resp.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	json.Unmarshal(got, &answer)
+	return resp.StatusCode, answer, string(got)
+}
+
+type responseRecorder struct {
+	header http.Header
+	status int
+	text   strings.Builder
+}
+
+func (r *responseRecorder) Header() http.Header { return r.header }
+
+func (r *responseRecorder) WriteHeader(s int) { r.status = s }
+
+func (r *responseRecorder) Write(b []byte) (int, error) {
+	return r.text.Write(b)
+}
--- /dev/null
+++ b/internal/registry/server/http_test.go
@@ -0,0 +1,165 @@
+package server
+
+import (
+	"encoding/json"
+	"maps"
+	"net/http"
+	"strings"
+	"testing"
+
+	"barleywick/internal/registry"
+)
+
+// Bad input gets one line that says why, and leaves the state as it was.
+func TestBadInput(t *testing.T) {
+	g := startGroup(t, 1)
+	n, c := g.nodes[0], g.client()
+	if _, err := c.Register(testContext(t), registry.RegisterRequest{Instance: instance("s-1", 5), Session: "x", TTLMS: 60000}); err != nil {
+		t.Fatal(err)
+	}
+	seq := n.stateMachine.seq()
+	good, _ := json.Marshal(registry.RegisterRequest{Instance: instance("s-2", 5)})
+	with := func(old, new string) string {
+		if !strings.Contains(string(good), old) {
+			t.Fatalf("%s has no %s", good, old)
+		}
+		return strings.Replace(string(good), old, new, 1)
+	}
+	for name, x := range map[string]struct {
+		method, path, body string
+		status             int
+	}{
+		"unreadable":          {"PUT", "instances/s-2", `{"instance":`, 400},
+		"nothing":             {"PUT", "instances/s-2", ``, 400},
+		"an unknown key":      {"PUT", "instances/s-2", `{"instanse":{}}`, 400},
+		"more behind it":      {"PUT", "instances/s-2", string(good) + "{}", 400},
+		"a wrong type":        {"PUT", "instances/s-2", with(`"share":1`, `"share":"much"`), 400},
+		"a huge number":       {"PUT", "instances/s-2", with(`"share":1`, `"share":1e400`), 400},
+		"another host":        {"PUT", "instances/s-3", string(good), 400},
+		"another network":     {"PUT", "instances/s-2", with("127.0.0.1", "192.0.2.1"), 400},
+		"a session alone":     {"PUT", "instances/s-2", with(`"session":""`, `"session":"x"`), 400},
+		"a short session":     {"PUT", "instances/s-2", with(`"session":"","ttl_ms":0`, `"session":"x","ttl_ms":1`), 400},
+		"a negative version":  {"PUT", "instances/s-2", with(`"ttl_ms":0`, `"ttl_ms":0,"if_version":-1`), 400},
+		"a taken host":        {"PUT", "instances/s-1", with(`"s-2"`, `"s-1"`), 409},
+		"another version":     {"PUT", "instances/s-2", with(`"ttl_ms":0`, `"ttl_ms":0,"if_version":7`), 409},
+		"an oversized body":   {"PUT", "instances/s-2", with(`"m2"`, `"`+strings.Repeat("x", maxBody)+`"`), 413},
+		"no such session":     {"POST", "instances/s-1/renew", `{"session":"y"}`, 404},
+		"no such host":        {"POST", "instances/s-9/renew", `{"session":"x"}`, 404},
+		"a mark on nobody":    {"POST", "marks", `{"hosts":["s-9"],"by":"ops-a","draining":true}`, 404},
+		"a mark by nobody":    {"POST", "marks", `{"hosts":["s-1"],"draining":true}`, 400},
+		"a removal's version": {"DELETE", "instances/s-1?if_version=x", ``, 400},
+		"an old removal":      {"DELETE", "instances/s-1?if_version=7", ``, 409},
+		"no record":           {"GET", "records/x", ``, 404},
+		"the group's record":  {"PUT", "records/member:x", `{"value":"eA=="}`, 400},
+		"no replica":          {"DELETE", "members/r9", ``, 404},
+		"a bad replica":       {"PUT", "members/r9", `{"http":"127.0.0.1:1","raft":"192.0.2.1:1"}`, 400},
+		"no backup":           {"POST", "restore", `{"form":7}`, 400},
+		"an unknown path":     {"GET", "nothing", ``, 404},
+		"an unknown method":   {"PATCH", "instances/s-1", ``, 405},
+		"a bad read":          {"GET", "instances?linearizable=maybe", ``, 400},
+	} {
+		status, a, text := do(t, x.method, "http://"+n.member.HTTP+registry.APIPath+x.path, x.body)
+		if status != x.status || strings.Count(strings.TrimSpace(text), "\n") > 0 || (x.status < 404 && a.Error == "") {
+			t.Errorf("%s: %d %q, want %d and one line", name, status, text, x.status)
+		}
+	}
+	for _, query := range []string{"?watch=1&from=-1", "?watch=1&from=x", "?watch=2", "?watch=1&from=99999999999999999999", "?%zz"} {
+		if status, _, _ := get(t, "http://"+n.member.HTTP+registry.ListPath+query); status != 400 {
+			t.Errorf("%s: %d, want 400", query, status)
+		}
+	}
+	if n.stateMachine.seq() != seq {
+		t.Errorf("the version went from %d to %d", seq, n.stateMachine.seq())
+	}
+}
+
+func TestBusyRegistrySaysWhenToComeBack(t *testing.T) {
+	g := startGroup(t, 1)
+	n := g.nodes[0]
+	n.limiter.setLimits(Limits{Calls: 0, Waiting: 0})
+	status, header, _ := get(t, "http://"+n.member.HTTP+registry.ListPath)
+	if status != 503 || header.Get("Retry-After") == "" {
+		t.Errorf("%d, Retry-After %q", status, header.Get("Retry-After"))
+	}
+	fresh := *n.config
+	fresh.Limits.Watches = 1
+	if err := n.Reload(&fresh); err != nil {
+		t.Fatal(err)
+	}
+	startTestWatcher(t, g.addrs(), 1)
+	eventually(t, "one watches", func() bool { return n.openWatches.Load() == 1 })
+	if status, _, _ := get(t, "http://"+n.member.HTTP+registry.ListPath+"?watch=1"); status != 503 {
+		t.Errorf("a second watch: %d, want 503", status)
+	}
+	if fresh.Limits.Watches = 1 << 20; n.Reload(&fresh) == nil {
+		t.Error("a reload let in more callers than the listener does")
+	}
+	fresh.Limits.Watches = 1
+	fresh.Group = "another"
+	if err := n.Reload(&fresh); err == nil {
+		t.Error("a reload moved the replica into another group")
+	}
+}
+
+// A backup brings the contents back, at versions that never came before.
+func TestBackupAndRestore(t *testing.T) {
+	g := startGroup(t, 1)
+	n, c := g.nodes[0], g.client()
+	f := startTestWatcher(t, g.addrs(), 1)
+	if _, err := c.Register(testContext(t), registry.RegisterRequest{Instance: instance("s-1", 1)}); err != nil {
+		t.Fatal(err)
+	}
+	_, _, backup := get(t, "http://"+n.member.HTTP+registry.APIPath+"backup")
+	if err := c.Remove(testContext(t), "s-1", ""); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := c.Register(testContext(t), registry.RegisterRequest{Instance: instance("s-2", 1)}); err != nil {
+		t.Fatal(err)
+	}
+	seq := n.stateMachine.seq()
+	if status, a, _ := do(t, "POST", "http://"+n.member.HTTP+registry.APIPath+"restore", backup); status != 200 || a.Seq <= seq {
+		t.Fatalf("restore: %d %s at %d after %d", status, a.Error, a.Seq, seq)
+	}
+	want := map[string]string{"s-1": "up 1"}
+	if got := n.wantedList(); !maps.Equal(got, want) {
+		t.Errorf("restored: %v", got)
+	}
+	eventually(t, "the follower holds it", func() bool { return f.holds(want) })
+}
+
+func TestMetricsAndStatus(t *testing.T) {
+	g := startGroup(t, 1)
+	base := "http://" + g.nodes[0].member.HTTP
+	if status, _, text := get(t, base+"/metrics"); status != 200 || !strings.Contains(text, "\nregistry_leader 1\n") {
+		t.Errorf("metrics: %d %s", status, text)
+	}
+	if status, _, _ := get(t, base+"/health/ready"); status != 200 {
+		t.Errorf("ready: %d", status)
+	}
+	var s registry.StatusResponse
+	if _, _, text := get(t, base+registry.APIPath+"status"); json.Unmarshal([]byte(text), &s) != nil || s.State != "leader" || s.Leader != "r0" || s.Group != "test" {
+		t.Errorf("status: %s", text)
+	}
+}
+
+// FuzzWrites: whatever comes as a write is answered, and never with a 500.
+func FuzzWrites(f *testing.F) {
+	g := startGroup(f, 1)
+	n := g.nodes[0]
+	good, _ := json.Marshal(registry.RegisterRequest{Instance: instance("s-2", 5)})
+	f.Add("PUT", "instances/s-2", string(good))
+	f.Add("POST", "marks", `{"hosts":["s-1"],"by":"a","draining":true}`)
+	f.Add("POST", "restore", `{"form":1}`)
+	f.Add("DELETE", "instances/x?if_version=7", ``)
+	f.Fuzz(func(t *testing.T, method, path, body string) {
+		req, err := http.NewRequest(method, "http://x"+registry.APIPath+path, strings.NewReader(body))
+		if err != nil {
+			return
+		}
+		w := &responseRecorder{header: make(http.Header)}
+		n.Handler().ServeHTTP(w, req)
+		if w.status >= 500 && w.status != 503 && w.status != 507 {
+			t.Errorf("%s %q %q: %d %s", method, path, body, w.status, w.text.String())
+		}
+	})
+}
--- /dev/null
+++ b/internal/registry/server/stream_layer_test.go
@@ -0,0 +1,73 @@
+package server
+
+import (
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/raft"
+)
+
+// Replicas of other groups, and of another history under the same name, take no
+// word from each other.
+func TestOtherGroupsAreRefused(t *testing.T) {
+	hello := func(group string, founded uint64) func() (string, uint64) {
+		return func() (string, uint64) { return group, founded }
+	}
+	l := newStreamLayer(listen(t, "127.0.0.1:0"), nil, hello("a", 7))
+	defer l.Close()
+	accepted := make(chan net.Conn, 10)
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			accepted <- c
+		}
+	}()
+	for name, x := range map[string]struct {
+		hello func() (string, uint64)
+		ok    bool
+	}{
+		"the same": {hello("a", 7), true}, "one that has none yet": {hello("a", 0), true},
+		"another group": {hello("b", 7), false}, "another history": {hello("a", 8), false},
+	} {
+		other := &streamLayer{localHistory: x.hello}
+		c, err := other.Dial(raft.ServerAddress(l.Addr().String()), patience)
+		if (err == nil) != x.ok {
+			t.Errorf("%s: error %v", name, err)
+		}
+		if err == nil {
+			c.Close()
+			(<-accepted).Close()
+		}
+	}
+	for _, noise := range []string{"GET / HTTP/1.1\r\n\r\n", strings.Repeat("x", 2*maxHandshakeLine), "\x00\n"} {
+		c, err := net.Dial("tcp", l.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		c.SetDeadline(time.Now().Add(patience))
+		io.WriteString(c, noise)
+		if got, _ := io.ReadAll(c); len(got) > 0 && !strings.HasPrefix(string(got), "no ") {
+			t.Errorf("noise is answered with %q", got)
+		}
+		c.Close()
+	}
+}
+
+// FuzzHello: whoever connects as a replica is of this group and history or refused.
+func FuzzHello(f *testing.F) {
+	f.Add("barleywick-registry/1 a 7")
+	f.Add("barleywick-registry/1 a 0")
+	f.Add("barleywick-registry/1 a -7 x")
+	l := &streamLayer{localHistory: func() (string, uint64) { return "a", 7 }}
+	f.Fuzz(func(t *testing.T, line string) {
+		if l.checkHandshake(line) == nil && !strings.HasPrefix(strings.Join(strings.Fields(line), " "), handshakeProtocol+" a ") {
+			t.Errorf("%q was let in", line)
+		}
+	})
+}
