--- a/internal/sidecar/handover/handover_test.go
+++ b/internal/sidecar/handover/handover_test.go
@@ -19,8 +19,7 @@
 	"barleywick/policy"
 )
 
-// FuzzTakeoverMessage: whatever comes over the socket is a message of the kind that
-// is due, or an error.
+// Whatever comes over the socket is a message of the kind that is expected, or an error.
 func FuzzTakeoverMessage(f *testing.F) {
 	f.Add([]byte(`{"kind":"hello","name":"n"}` + "\n"))
 	f.Add([]byte(`{"kind":"held","held":[{"Slots":-1,"Places":99999999999}]}` + "\n"))
@@ -51,11 +50,11 @@
 	})
 }
 
-// Who says something else than the old process waits for gets a word and no socket;
-// the offer stays open for the next.
-func TestHandoverIsParticular(t *testing.T) {
+// A process that sends another message than the server waits for gets an error and no socket, and
+// the next one is served.
+func TestServerRejectsWrongSuccessors(t *testing.T) {
 	c := Config{Name: "n", Listen: "127.0.0.1:1", Socket: filepath.Join(t.TempDir(), "s"), ReadyTimeout: sidecartest.Patience}
-	h, err := Listen(c, sidecartest.ListenLoopback(t))
+	server, err := Listen(c, sidecartest.ListenLoopback(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,41 +66,41 @@
 		nc.SetDeadline(time.Now().Add(sidecartest.Patience))
 		json.NewEncoder(nc).Encode(first)
 		text, err := io.ReadAll(nc)
-		if err != nil || strings.Contains(string(text), `"`+messageSocket+`"`) {
+		if err != nil || strings.Contains(string(text), `"`+string(messageSocket)+`"`) {
 			t.Errorf("%+v is answered %q, error %v", first, text, err)
 		}
 		nc.Close()
 	}
-	fresh := func() (p *Predecessor) {
-		sidecartest.Eventually(t, "the offer is free again", func() bool { p, err = Connect(c); return err == nil && p != nil })
+	connect := func() (p *Predecessor) {
+		sidecartest.Eventually(t, "the server is free again", func() bool { p, err = Connect(c); return err == nil })
 		return p
 	}
-	p := fresh()
-	if p.Listener.Addr().Network() != "tcp" {
-		t.Errorf("a listener of %v came", p.Listener.Addr())
+	p := connect()
+	if p.Listener().Addr().Network() != "tcp" {
+		t.Errorf("a listener of %v came", p.Listener().Addr())
 	}
-	p.Listener.Close()
+	p.Listener().Close()
 	p.Close() // before it is ready
-	p = fresh()
-	p.Listener.Close()
+	p = connect()
+	p.Listener().Close()
 	done := make(chan error, 1)
-	go func() { _, err := p.waitForPlace(); done <- err }()
-	s := sidecartest.Await(t, "the new one's word", h.Successors)
+	go func() { _, err := p.awaitPlace(); done <- err }()
+	s := sidecartest.Await(t, "the successor", server.Successors())
 	close(s.done) // this process ends instead
-	if err := sidecartest.Await(t, "its answer", done); err == nil {
-		t.Error("it was given a place that nobody gave up")
+	if err := sidecartest.Await(t, "the end of its wait", done); err == nil {
+		t.Error("a place that nobody gave up was handed over")
 	}
 	p.Close()
-	h.Close()
-	if p, err := Connect(c); p != nil || err != nil {
-		t.Errorf("after the end: %v, %v", p, err)
+	server.Close()
+	if p, err := Connect(c); p != nil || !errors.Is(err, ErrNoPredecessor) {
+		t.Errorf("after the end: %v, error %v; want ErrNoPredecessor", p, err)
 	}
-	if _, err := os.Stat(c.Socket); !errors.Is(err, os.ErrNotExist) && !h.handed {
+	if _, err := os.Stat(c.Socket); !errors.Is(err, os.ErrNotExist) && !server.handedOver {
 		t.Errorf("the socket is left behind: %v", err)
 	}
 }
 
-// oldProcess plays the old process's side up to the new one's being ready, and returns its connection.
+// oldProcess plays the old process up to where the new one is ready, and returns its connection.
 func oldProcess(t *testing.T) (p *Predecessor, old *net.UnixConn) {
 	t.Helper()
 	c := Config{Name: "n", Listen: "127.0.0.1:1", Socket: filepath.Join(t.TempDir(), "s"), ReadyTimeout: sidecartest.Patience}
@@ -128,20 +127,20 @@
 		}
 		accepted <- old
 	}()
-	if p, err = Connect(c); err != nil || p == nil {
-		t.Fatalf("reached %v, error %v", p, err)
+	if p, err = Connect(c); err != nil {
+		t.Fatal(err)
 	}
 	old = sidecartest.Await(t, "the old process", accepted)
 	t.Cleanup(func() {
-		p.Listener.Close()
+		p.Listener().Close()
 		p.Close()
 		old.Close()
 	})
 	return p, old
 }
 
-// A new process that is ready does not leave a place that is given to it: not where the word of it is
-// late, as the old one may be stopped for a while, and not where the old one dies instead of it.
+// A new process that is ready does not miss a place that is handed over to it: neither if the message
+// is late, as the old process may be stopped for a while, nor if the old process dies instead of sending it.
 func TestNewProcessWaitsForItsPlace(t *testing.T) {
 	for name, tt := range map[string]struct {
 		old  func(old *net.UnixConn)
@@ -149,72 +148,72 @@
 		err  string
 	}{
 		"late": {func(old *net.UnixConn) {
-			time.Sleep(messageTimeout + 100*time.Millisecond) // what is tested: no time of its own ends the wait
+			time.Sleep(messageTimeout + 100*time.Millisecond) // what is tested: no timeout ends the wait
 			send(old, message{Kind: messageYours}, nil)
 			send(old, message{Kind: messageReserved, Reserved: []policy.BulkheadCapacity{{Slots: 3, Places: 1}}}, nil)
 		}, []policy.BulkheadCapacity{{Slots: 3, Places: 1}}, ""},
-		"dies before its word": {func(old *net.UnixConn) { old.Close() }, nil, ""},
-		"dies after its word": {func(old *net.UnixConn) {
+		"dies before the message": {func(old *net.UnixConn) { old.Close() }, nil, ""},
+		"dies after the message": {func(old *net.UnixConn) {
 			send(old, message{Kind: messageYours}, nil)
 			old.Close()
 		}, nil, ""},
-		"ends after its word": {func(old *net.UnixConn) {
+		"ends after the message": {func(old *net.UnixConn) {
 			send(old, message{Kind: messageYours}, nil)
 			closeWithError(old, errShuttingDown)
 		}, nil, ""},
-		"ends by itself instead": {func(old *net.UnixConn) { closeWithError(old, errShuttingDown) }, nil, errShuttingDown.Error()},
+		"shuts down instead": {func(old *net.UnixConn) { closeWithError(old, errShuttingDown) }, nil, errShuttingDown.Error()},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, old := oldProcess(t)
 			type result struct {
-				held []policy.BulkheadCapacity
-				err  error
+				reserved []policy.BulkheadCapacity
+				err      error
 			}
 			got := make(chan result, 1)
 			go func() {
-				held, err := p.waitForPlace()
-				got <- result{held, err}
+				reserved, err := p.awaitPlace()
+				got <- result{reserved, err}
 			}()
 			if _, err := receive(old, bufio.NewReader(old), messageReady, sidecartest.Patience); err != nil {
 				t.Fatal(err)
 			}
 			tt.old(old)
 			r := sidecartest.Await(t, "the new process's decision", got)
-			if !slices.Equal(r.held, tt.want) || (r.err == nil) != (tt.err == "") || r.err != nil && !strings.Contains(r.err.Error(), tt.err) {
-				t.Errorf("%v, error %v; want %v and %q", r.held, r.err, tt.want, tt.err)
+			if !slices.Equal(r.reserved, tt.want) || (r.err == nil) != (tt.err == "") || r.err != nil && !strings.Contains(r.err.Error(), tt.err) {
+				t.Errorf("got %v, error %v; want %v and %q", r.reserved, r.err, tt.want, tt.err)
 			}
 		})
 	}
 }
 
-// A new process that dies when it has said that it is ready leaves the old one in its place, which
-// is offered again.
-func TestPlaceIsKeptWhereTheNewProcessDied(t *testing.T) {
+// If a new process dies after it has reported that it is ready, the old one keeps its place and waits
+// for the next.
+func TestPlaceIsKeptIfSuccessorDied(t *testing.T) {
 	c := Config{Name: "n", Listen: "127.0.0.1:1", Socket: filepath.Join(t.TempDir(), "s"), ReadyTimeout: sidecartest.Patience}
-	h, err := Listen(c, sidecartest.ListenLoopback(t))
+	server, err := Listen(c, sidecartest.ListenLoopback(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer h.Close()
+	defer server.Close()
 	p, err := Connect(c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer p.Listener.Close()
+	defer p.Listener().Close()
 	if err := send(p.conn, message{Kind: messageReady}, nil); err != nil {
 		t.Fatal(err)
 	}
-	s := sidecartest.Await(t, "the new one's word", h.Successors)
+	s := sidecartest.Await(t, "the successor", server.Successors())
 	p.Close()
-	if err := h.HandOver(s); err == nil || h.handed {
-		t.Errorf("the place was given to a process that has died: error %v", err)
+	if err := server.HandOver(s); err == nil || server.handedOver {
+		t.Errorf("the place was handed over to a process that has died: error %v", err)
 	}
-	sidecartest.Eventually(t, "the offer is free again", func() bool {
+	sidecartest.Eventually(t, "the server is free again", func() bool {
 		again, err := Connect(c)
-		if err != nil || again == nil {
+		if err != nil {
 			return false
 		}
-		again.Listener.Close()
+		again.Listener().Close()
 		again.Close()
 		return true
 	})
--- a/internal/sidecar/handover/predecessor.go
+++ b/internal/sidecar/handover/predecessor.go
@@ -6,7 +6,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
 	"net"
 	"os"
@@ -16,67 +15,92 @@
 	"barleywick/policy"
 )
 
+// ErrNoPredecessor says that no process serves at the socket, or none does any more.
+var ErrNoPredecessor = errors.New("takeover: no process serves at the socket")
+
 // Predecessor is the process whose place this one takes.
 type Predecessor struct {
-	conn     *net.UnixConn
-	in       *bufio.Reader
-	Listener net.Listener
+	conn         *net.UnixConn
+	in           *bufio.Reader
+	listener     net.Listener
+	readyTimeout time.Duration
+}
+
+// NewProcess is the process that takes a predecessor's place, as TakeOver needs it.
+type NewProcess interface {
+	// Ready says whether it could serve.
+	Ready() bool
+	// StartAccepting is called once, when the place is this process's.
+	StartAccepting()
+	// ReserveForPredecessor is told of the capacity, by tenant, that the predecessor still
+	// uses; nil when it has ended.
+	ReserveForPredecessor([]policy.BulkheadCapacity)
 }
 
-// Connect asks the process that serves now, if there is one, for its listening socket.
+// Connect asks the process that serves now for its listening socket. It returns ErrNoPredecessor
+// where there is none.
 func Connect(c Config) (*Predecessor, error) {
 	d := net.Dialer{Timeout: messageTimeout}
-	nc, err := d.Dial("unix", c.Socket)
+	conn, err := d.Dial("unix", c.Socket)
 	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
-		return nil, nil // nobody serves, or nobody any more
+		return nil, ErrNoPredecessor
 	}
 	if err != nil {
-		return nil, fmt.Errorf("take-over: %w", err)
+		return nil, fmt.Errorf("takeover: %w", err)
 	}
-	p := &Predecessor{conn: nc.(*net.UnixConn)}
-	if err := p.receiveSocket(c); err != nil {
-		nc.Close()
-		return nil, err
+	p := &Predecessor{conn: conn.(*net.UnixConn), readyTimeout: c.ReadyTimeout}
+	if err := p.receiveListener(c); err != nil {
+		conn.Close()
+		return nil, fmt.Errorf("takeover: %w", err)
 	}
+	p.in = bufio.NewReaderSize(p.conn, maxMessageBytes)
 	return p, nil
 }
 
-func (p *Predecessor) receiveSocket(c Config) error {
+// Listener is the listening socket that the predecessor passed on. The caller closes it.
+func (p *Predecessor) Listener() net.Listener { return p.listener }
+
+// Close closes the connection to the predecessor.
+func (p *Predecessor) Close() { p.conn.Close() }
+
+// receiveListener says who this process is and receives the listening socket.
+func (p *Predecessor) receiveListener(c Config) error {
 	if err := send(p.conn, message{Kind: messageHello, Name: c.Name, Listen: c.Listen}, nil); err != nil {
-		return fmt.Errorf("take-over: %w", err)
+		return err
 	}
 	// The socket comes with the message's first byte, and with no other.
 	p.conn.SetReadDeadline(time.Now().Add(messageTimeout))
 	text, rights := make([]byte, maxMessageBytes), make([]byte, syscall.CmsgSpace(4))
-	n, r, _, _, err := p.conn.ReadMsgUnix(text, rights)
+	n, rightsLen, _, _, err := p.conn.ReadMsgUnix(text, rights)
 	if err != nil {
-		return fmt.Errorf("take-over: %w", err)
+		return err
 	}
-	fd, err := parseSocketRights(rights[:r])
-	var m message
-	if bad := json.Unmarshal(text[:n], &m); bad != nil {
-		err = errors.Join(err, bad)
-	} else if m.Kind == messageError {
-		err = fmt.Errorf("the other process says: %s", m.Error)
-	} else if m.Kind != messageSocket {
-		err = errors.Join(err, fmt.Errorf("%.32q came, not %q", m.Kind, messageSocket))
+	fd, err := parseSocketRights(rights[:rightsLen])
+	if messageErr := checkSocketMessage(text[:n]); messageErr != nil {
+		err = messageErr // it says why no socket came
 	}
 	if err != nil {
 		if fd >= 0 {
 			syscall.Close(fd)
 		}
-		return fmt.Errorf("take-over: %w", err)
+		return err
 	}
 	f := os.NewFile(uintptr(fd), "listener")
 	defer f.Close()
-	if p.Listener, err = net.FileListener(f); err != nil {
-		return fmt.Errorf("take-over: %w", err)
+	p.listener, err = net.FileListener(f)
+	return err
+}
+
+// checkSocketMessage checks the message that the listening socket comes with.
+func checkSocketMessage(text []byte) error {
+	var m message
+	if err := json.Unmarshal(text, &m); err != nil {
+		return err
 	}
-	p.in = bufio.NewReaderSize(p.conn, maxMessageBytes)
-	return nil
+	return m.expect(messageSocket)
 }
 
-// parseSocketRights reads the one descriptor that comes with a message, or returns -1.
+// parseSocketRights returns the one descriptor that comes with a message, or -1.
 func parseSocketRights(rights []byte) (int, error) {
 	messages, err := syscall.ParseSocketControlMessage(rights)
 	if err != nil {
@@ -99,14 +123,48 @@
 	return fds[0], nil
 }
 
-// waitForPlace tells the old process that this one could serve, waits until it may, and
-// returns what the old one still holds: nothing if it has died.
-func (p *Predecessor) waitForPlace() ([]policy.BulkheadCapacity, error) {
+// TakeOver waits until the new process is ready, takes the predecessor's place for it, and reports
+// what the predecessor still uses until that ends. It fails if the new process is not ready in time,
+// or if the predecessor keeps its place.
+func (p *Predecessor) TakeOver(ctx context.Context, to NewProcess) error {
+	defer context.AfterFunc(ctx, p.Close)()
+	if err := awaitReady(ctx, p.readyTimeout, to); err != nil {
+		return err
+	}
+	reserved, err := p.awaitPlace()
+	if err != nil {
+		return err
+	}
+	to.ReserveForPredecessor(reserved)
+	to.StartAccepting()
+	p.followReserved(to)
+	return nil
+}
+
+// awaitReady waits until the new process could serve.
+func awaitReady(ctx context.Context, timeout time.Duration, to NewProcess) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	poll := time.NewTicker(readyPollInterval)
+	defer poll.Stop()
+	for !to.Ready() {
+		select {
+		case <-poll.C:
+		case <-ctx.Done():
+			return fmt.Errorf("takeover: no list within %v: %w", timeout, ctx.Err())
+		}
+	}
+	return nil
+}
+
+// awaitPlace tells the predecessor that this process is ready, waits until the place is this
+// process's, and returns what the predecessor still uses: nothing if it has died.
+func (p *Predecessor) awaitPlace() ([]policy.BulkheadCapacity, error) {
 	if err := send(p.conn, message{Kind: messageReady}, nil); err != nil && !isDisconnect(err) {
-		return nil, fmt.Errorf("take-over: %w", err)
+		return nil, fmt.Errorf("takeover: %w", err)
 	}
 	if _, err := receive(p.conn, p.in, messageYours, 0); isDisconnect(err) {
-		slog.Warn("take-over: the old process has died, its place is this one's")
+		slog.Warn("takeover: predecessor died, its place is taken")
 		return nil, nil
 	} else if err != nil {
 		return nil, err
@@ -118,50 +176,14 @@
 	return m.Reserved, nil
 }
 
-// isDisconnect says whether an error means that the other process has ended without a word: one that lives
-// says why before it hangs up.
-func isDisconnect(err error) bool {
-	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
-}
-
-// followReserved hears what the old process still holds, until it ends.
-func (p *Predecessor) followReserved(beside func(held []policy.BulkheadCapacity)) {
-	defer beside(nil)
+// followReserved passes on what the predecessor still uses, until that ends.
+func (p *Predecessor) followReserved(to NewProcess) {
+	defer to.ReserveForPredecessor(nil)
 	for {
 		m, err := receive(p.conn, p.in, messageReserved, messageTimeout)
 		if err != nil {
 			return
 		}
-		beside(m.Reserved)
-	}
-}
-
-func (p *Predecessor) Close() { p.conn.Close() }
-
-// TakeOver waits until this process has a list, then takes the place of the old one,
-// and passes on what that still holds until it ends. begin is called when this one
-// may accept.
-func (p *Predecessor) TakeOver(
-	ctx context.Context, within time.Duration, isReady func() bool, begin func(), beside func(held []policy.BulkheadCapacity),
-) error {
-	defer context.AfterFunc(ctx, p.Close)()
-	waiting, cancel := context.WithTimeout(ctx, within)
-	defer cancel()
-	t := time.NewTicker(readyPollInterval)
-	defer t.Stop()
-	for !isReady() {
-		select {
-		case <-t.C:
-		case <-waiting.Done():
-			return fmt.Errorf("take-over: no list within %v: %w", within, waiting.Err())
-		}
-	}
-	held, err := p.waitForPlace()
-	if err != nil {
-		return err
+		to.ReserveForPredecessor(m.Reserved)
 	}
-	beside(held)
-	begin()
-	p.followReserved(beside)
-	return nil
 }
--- a/internal/sidecar/handover/protocol.go
+++ b/internal/sidecar/handover/protocol.go
@@ -1,74 +1,89 @@
+// Package handover lets a new sidecar process take the place of one that serves, without a gap.
+//
+// The old process passes its listening socket on over a Unix socket that the configuration
+// names, so that connections that wait to be accepted are never refused or reset. Whoever starts
+// sidecars starts the new process, with limits and a configuration of its own; nothing is forked.
+// If the new process fails at any point before it is ready, the old one goes on serving.
+//
+//	new -> old   hello: who it is
+//	old -> new   socket: the listening socket comes with this message
+//	new -> old   ready: it has an endpoint list, and waits
+//	old -> new   yours: the old process accepts no more from now on
+//	old -> new   held: the capacity that the old process still uses, repeated until it ends
+//
+// Messages may be late, as either process may be stopped for a while, and either may die at any
+// point. An old process whose message does not go out keeps its place. A new process that is ready
+// waits for as long as the old one lives, because the place may be on its way to it. If the old
+// process dies without another message, the place belongs to the new one.
 package handover
 
 import (
 	"bufio"
 	"encoding/json"
+	"errors"
 	"fmt"
+	"io"
+	"log/slog"
 	"net"
+	"syscall"
 	"time"
 
 	"barleywick/policy"
 )
 
-// Take-over: a new process takes the place of one that serves, without a gap. The
-// old one hands its listening socket over a Unix socket, which the configuration
-// names, so that connections that wait to be accepted are never refused or reset.
-// The new process is started by whoever starts sidecars, with limits and a
-// configuration of its own; nothing is forked, and if it fails at any point before
-// it is ready the old one goes on as if nothing had been.
-//
-//	new -> old   hello: who it is
-//	old -> new   the listening socket
-//	new -> old   ready: it holds a list, and waits
-//	old -> new   yours: the old one accepts no more from now on
-//	old -> new   held: what the old one still has, again and again until it ends
-//
-// A word may be late, as either may be stopped for a while, and either may die at any point. An
-// old one whose word does not go out keeps its place. A new one that is ready waits for as long as
-// the old one lives: it would leave a place that is being given to it. Where the old one has died
-// without another word the place is the new one's.
-
 const (
 	// messageTimeout is for one message between two processes on one machine.
 	messageTimeout = 2 * time.Second
-	// reservedInterval is how often the old process says what it still holds. Until the new
-	// one hears of a slot that has come free it does without it.
+	// reservedInterval is how often the old process reports what it still uses. The new one does
+	// without a slot that has come free until it is told.
 	reservedInterval  = 20 * time.Millisecond
-	readyPollInterval = 5 * time.Millisecond // a list comes in some milliseconds
+	readyPollInterval = 5 * time.Millisecond // an endpoint list takes some milliseconds to come
 	maxMessageBytes   = 64 << 10
+
 	// maxUnixPath is the longest path that the kernel takes for a Unix socket.
 	maxUnixPath = 107
 	// MaxSocketPath bounds the path of the socket that the configuration names.
 	MaxSocketPath = maxUnixPath - len(newSocketSuffix)
+	// newSocketSuffix names the socket while it is being made: it gets its name when
+	// connections to it will be accepted.
+	newSocketSuffix = ".new"
 )
 
 // Config says which sidecar hands over, and where.
 type Config struct {
 	Name         string // of the sidecar: both processes have to be the same one
-	Listen       string // the address it listens on
+	Listen       string // the address that it listens on
 	Socket       string // the path of the Unix socket
 	ReadyTimeout time.Duration
 }
 
 // message is one line between the two processes.
 type message struct {
-	Kind     string                    `json:"kind"`
+	Kind     messageKind               `json:"kind"`
 	Name     string                    `json:"name,omitempty"`
 	Listen   string                    `json:"listen,omitempty"`
 	Reserved []policy.BulkheadCapacity `json:"held,omitempty"`
 	Error    string                    `json:"error,omitempty"`
 }
 
-// The kinds of messages.
+type messageKind string
+
 const (
-	messageHello    = "hello"
-	messageSocket   = "socket"
-	messageReady    = "ready"
-	messageYours    = "yours"
-	messageReserved = "held"
-	messageError    = "error"
+	messageHello    messageKind = "hello"
+	messageSocket   messageKind = "socket"
+	messageReady    messageKind = "ready"
+	messageYours    messageKind = "yours"
+	messageReserved messageKind = "held"
+	messageError    messageKind = "error"
 )
 
+// What one process tells the other before it closes the connection.
+var (
+	errShuttingDown = errors.New("this process is ending by itself")
+	errBusy         = errors.New("another process is taking over")
+)
+
+// send writes a message, with the rights to a socket if there are any.
 func send(c *net.UnixConn, m message, rights []byte) error {
 	text, err := json.Marshal(m)
 	if err != nil {
@@ -79,27 +94,49 @@
 	return err
 }
 
-// receive reads the next message, which has to be of one kind. Without a time it waits for as long
-// as the other process lives.
-func receive(c *net.UnixConn, in *bufio.Reader, kind string, within time.Duration) (message, error) {
+// receive reads the next message, which has to be of the kind given. Without a timeout it waits
+// for as long as the other process lives.
+func receive(c *net.UnixConn, in *bufio.Reader, kind messageKind, timeout time.Duration) (message, error) {
 	var m message
-	by := time.Time{}
-	if within > 0 {
-		by = time.Now().Add(within)
+	deadline := time.Time{}
+	if timeout > 0 {
+		deadline = time.Now().Add(timeout)
 	}
-	c.SetReadDeadline(by)
+	c.SetReadDeadline(deadline)
 	line, err := in.ReadSlice('\n')
 	if err != nil {
 		return m, err
 	}
 	if err := json.Unmarshal(line, &m); err != nil {
-		return m, fmt.Errorf("take-over: %w", err)
-	}
-	if m.Kind == messageError {
-		return m, fmt.Errorf("take-over: the other process says: %s", m.Error)
+		return m, fmt.Errorf("takeover: %w", err)
 	}
-	if m.Kind != kind {
-		return m, fmt.Errorf("take-over: %.32q came, not %q", m.Kind, kind)
+	if err := m.expect(kind); err != nil {
+		return m, fmt.Errorf("takeover: %w", err)
 	}
 	return m, nil
 }
+
+// expect returns an error unless the message is of the kind given and no error itself.
+func (m message) expect(kind messageKind) error {
+	switch m.Kind {
+	case messageError:
+		return fmt.Errorf("the other process says: %s", m.Error)
+	case kind:
+		return nil
+	}
+	return fmt.Errorf("%.32q came, not %q", m.Kind, kind)
+}
+
+// isDisconnect says whether an error means that the other process has ended without a message: one
+// that lives sends its reason before it closes the connection.
+func isDisconnect(err error) bool {
+	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
+}
+
+// closeWithError sends the reason and closes the connection.
+func closeWithError(c *net.UnixConn, reason error) {
+	if err := send(c, message{Kind: messageError, Error: reason.Error()}, nil); err != nil {
+		slog.Debug("takeover: reason not sent", "err", err)
+	}
+	c.Close()
+}
--- a/internal/sidecar/handover/server.go
+++ b/internal/sidecar/handover/server.go
@@ -16,169 +16,186 @@
 	"barleywick/policy"
 )
 
-// Server is the old process's side: it waits for a new one, one at a time.
+// Server is the old process's side: it waits for a new process, one at a time.
 type Server struct {
-	socket *net.UnixListener
-	config Config
-	raw    syscall.RawConn // of the listening socket
-	// Successors is sent one value when a new process is ready; the owner answers it by
-	// calling yours, once it accepts no more.
-	Successors chan *Successor
+	config     Config
+	socket     *net.UnixListener
+	listener   syscall.RawConn // the listening socket that is passed on
+	successors chan *Successor
 	tasks      sync.WaitGroup
 
-	mu      sync.Mutex
-	current *net.UnixConn // the process that is trying
-	closed  bool
-	handed  bool // the path of the socket is the new process's
+	mu         sync.Mutex
+	current    *net.UnixConn // the process that is trying
+	closed     bool
+	handedOver bool // the path of the socket is the new process's
 }
 
 // Successor is a new process that is ready.
 type Successor struct {
 	conn *net.UnixConn
-	done chan struct{} // closed when nothing more is to be told
+	done chan struct{} // closed when nothing more is to be reported
 }
 
-// newSocketSuffix names the socket while it is being made: it gets its name when it
-// is ready to be reached.
-const newSocketSuffix = ".new"
-
+// Listen lets new processes take this one's place on a listening socket.
 func Listen(c Config, ln net.Listener) (*Server, error) {
 	tcp, ok := ln.(*net.TCPListener)
 	if !ok {
-		return nil, fmt.Errorf("take-over: a listener of kind %T, TCP is needed", ln)
+		return nil, fmt.Errorf("takeover: a listener of kind %T, TCP is needed", ln)
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
-		return nil, fmt.Errorf("take-over: %w", err)
+		return nil, fmt.Errorf("takeover: %w", err)
+	}
+	socket, err := listenUnix(c.Socket)
+	if err != nil {
+		return nil, fmt.Errorf("takeover: %w", err)
 	}
-	fresh := c.Socket + newSocketSuffix
-	os.Remove(fresh) // left by one that was killed
-	s, err := net.ListenUnix("unix", &net.UnixAddr{Name: fresh, Net: "unix"})
+	s := &Server{config: c, socket: socket, listener: raw, successors: make(chan *Successor)}
+	s.tasks.Go(s.serve)
+	return s, nil
+}
+
+// listenUnix listens at a path that another process may have listened at until now.
+func listenUnix(path string) (*net.UnixListener, error) {
+	fresh := path + newSocketSuffix
+	os.Remove(fresh) // left by a process that was killed
+	socket, err := net.ListenUnix("unix", &net.UnixAddr{Name: fresh, Net: "unix"})
 	if err != nil {
-		return nil, fmt.Errorf("take-over: %w", err)
+		return nil, err
 	}
-	s.SetUnlinkOnClose(false) // by then it may be the next process's
-	if err := errors.Join(os.Chmod(fresh, 0o600), os.Rename(fresh, c.Socket)); err != nil {
-		s.Close()
-		return nil, fmt.Errorf("take-over: %w", err)
+	socket.SetUnlinkOnClose(false) // by then it may be the next process's
+	if err := errors.Join(os.Chmod(fresh, 0o600), os.Rename(fresh, path)); err != nil {
+		socket.Close()
+		return nil, err
 	}
-	h := &Server{socket: s, config: c, raw: raw, Successors: make(chan *Successor)}
-	h.tasks.Go(h.serve)
-	return h, nil
+	return socket, nil
 }
 
-// errShuttingDown is for a new process that comes too late.
-var errShuttingDown = errors.New("this process is ending by itself")
+// Successors receives a process that is ready to take this one's place. The receiver answers it
+// by HandOver, once this process accepts no more.
+func (s *Server) Successors() <-chan *Successor { return s.successors }
 
-// closeWithError says why and ends the connection.
-func closeWithError(c *net.UnixConn, why error) {
-	send(c, message{Kind: messageError, Error: why.Error()}, nil)
-	c.Close()
+// HandOver tells a new process that the place is its. On an error the place stays this process's.
+func (s *Server) HandOver(to *Successor) error {
+	if err := send(to.conn, message{Kind: messageYours}, nil); err != nil {
+		close(to.done)
+		return fmt.Errorf("takeover: %w", err)
+	}
+	s.mu.Lock()
+	s.handedOver = true
+	s.mu.Unlock()
+	return nil
 }
 
-// Close ends the offer, and what a new process has begun.
-func (h *Server) Close() {
-	h.mu.Lock()
-	h.closed = true
-	h.socket.Close()
-	if !h.handed {
-		os.Remove(h.config.Socket)
+// Close stops waiting, and ends what a new process has begun.
+func (s *Server) Close() {
+	s.mu.Lock()
+	s.closed = true
+	s.socket.Close()
+	if !s.handedOver {
+		os.Remove(s.config.Socket)
 	}
-	if h.current != nil {
-		closeWithError(h.current, errShuttingDown)
+	if s.current != nil {
+		closeWithError(s.current, errShuttingDown)
 	}
-	h.mu.Unlock()
-	h.tasks.Wait()
+	s.mu.Unlock()
+	s.tasks.Wait()
 }
 
-func (h *Server) serve() {
+// serve accepts new processes until the server is closed.
+func (s *Server) serve() {
 	for {
-		c, err := h.socket.AcceptUnix()
+		conn, err := s.socket.AcceptUnix()
 		if err != nil {
 			if !errors.Is(err, net.ErrClosed) {
-				slog.Error("take-over: no new process can come any more", "err", err)
+				slog.Error("takeover: accept failed, no successor can come", "err", err)
 			}
 			return
 		}
-		h.mu.Lock()
-		busy := h.current != nil || h.closed
-		if !busy {
-			h.current = c
-		}
-		h.mu.Unlock()
-		if busy {
-			closeWithError(c, errors.New("another process is taking over"))
+		if !s.claim(conn) {
+			closeWithError(conn, errBusy)
 			continue
 		}
-		h.tasks.Go(func() {
-			var err error
-			defer func() { closeWithError(c, cmp.Or(err, errShuttingDown)) }() // once the place is free: whoever sees the end may come at once
-			err = h.negotiate(c)
-			h.mu.Lock()
-			defer h.mu.Unlock()
-			if h.current = nil; err != nil && !h.closed {
-				slog.Warn("take-over: the new process has failed, this one goes on", "err", err)
-			}
-		})
+		s.tasks.Go(func() { s.serveSuccessor(conn) })
 	}
 }
 
-// negotiate gives a new process the socket, and tells the owner when it is ready. It
-// returns when the new one has failed, or when the owner has nothing more to tell.
-func (h *Server) negotiate(c *net.UnixConn) error {
-	in := bufio.NewReaderSize(c, maxMessageBytes)
-	m, err := receive(c, in, messageHello, messageTimeout)
+// claim makes a connection the current one, unless another process is trying.
+func (s *Server) claim(conn *net.UnixConn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.current != nil || s.closed {
+		return false
+	}
+	s.current = conn
+	return true
+}
+
+// serveSuccessor goes through the hand-over with one new process.
+func (s *Server) serveSuccessor(conn *net.UnixConn) {
+	err := s.negotiate(conn)
+	s.mu.Lock()
+	s.current = nil
+	closed := s.closed
+	s.mu.Unlock()
+	if err != nil && !closed {
+		slog.Warn("takeover: successor failed, still serving", "err", err)
+	}
+	// Only now, when another may be current: whoever sees the end of its connection may come at once.
+	closeWithError(conn, cmp.Or(err, errShuttingDown))
+}
+
+// negotiate gives a new process the socket, and tells the owner when it is ready. It returns when
+// the new process has failed, or when nothing more is to be reported to it.
+func (s *Server) negotiate(conn *net.UnixConn) error {
+	in := bufio.NewReaderSize(conn, maxMessageBytes)
+	hello, err := receive(conn, in, messageHello, messageTimeout)
 	if err != nil {
 		return err
 	}
-	if m.Name != h.config.Name || m.Listen != h.config.Listen {
-		return fmt.Errorf("this is %s at %s, not %.64q at %.64q", h.config.Name, h.config.Listen, m.Name, m.Listen)
+	if hello.Name != s.config.Name || hello.Listen != s.config.Listen {
+		return fmt.Errorf("this is %s at %s, not %.64q at %.64q", s.config.Name, s.config.Listen, hello.Name, hello.Listen)
 	}
-	var sent error
-	if err := h.raw.Control(func(fd uintptr) { // not by File(), which would make the socket block for both
-		sent = send(c, message{Kind: messageSocket}, syscall.UnixRights(int(fd)))
-	}); err != nil || sent != nil {
-		return errors.Join(err, sent)
+	if err := s.sendListener(conn); err != nil {
+		return err
 	}
-	if _, err := receive(c, in, messageReady, h.config.ReadyTimeout); err != nil {
+	if _, err := receive(conn, in, messageReady, s.config.ReadyTimeout); err != nil {
 		return fmt.Errorf("it is not ready: %w", err)
 	}
-	s := &Successor{conn: c, done: make(chan struct{})}
+	successor := &Successor{conn: conn, done: make(chan struct{})}
 	select {
-	case h.Successors <- s:
+	case s.successors <- successor:
 	case <-time.After(messageTimeout):
 		return errShuttingDown
 	}
-	<-s.done
+	<-successor.done
 	return nil
 }
 
-// HandOver tells a new process that the place is its. If it cannot be told, the place stays this one's.
-func (h *Server) HandOver(s *Successor) error {
-	if err := send(s.conn, message{Kind: messageYours}, nil); err != nil {
-		close(s.done)
-		return fmt.Errorf("take-over: %w", err)
-	}
-	h.mu.Lock()
-	h.handed = true
-	h.mu.Unlock()
-	return nil
+// sendListener passes the listening socket on. It does not use File, which would make the socket
+// block for both processes.
+func (s *Server) sendListener(conn *net.UnixConn) error {
+	var sendErr error
+	err := s.listener.Control(func(fd uintptr) {
+		sendErr = send(conn, message{Kind: messageSocket}, syscall.UnixRights(int(fd)))
+	})
+	return errors.Join(err, sendErr)
 }
 
-// ReportReserved says what this process still holds, until ctx ends.
-func (s *Successor) ReportReserved(ctx context.Context, held func() []policy.BulkheadCapacity) {
+// ReportReserved reports the capacity, by tenant, that this process still uses, until ctx ends.
+func (s *Successor) ReportReserved(ctx context.Context, reserved func() []policy.BulkheadCapacity) {
 	defer close(s.done)
-	t := time.NewTicker(reservedInterval)
-	defer t.Stop()
+	interval := time.NewTicker(reservedInterval)
+	defer interval.Stop()
 	for {
-		if err := send(s.conn, message{Kind: messageReserved, Reserved: held()}, nil); err != nil {
+		if err := send(s.conn, message{Kind: messageReserved, Reserved: reserved()}, nil); err != nil {
 			if !errors.Is(err, net.ErrClosed) { // which means that this process has ended what it had
-				slog.Warn("take-over: the new process does not listen any more", "err", err)
+				slog.Warn("takeover: successor cannot be reached", "err", err)
 			}
 			return
 		}
 		select {
-		case <-t.C:
+		case <-interval.C:
 		case <-ctx.Done():
 			return
 		}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -29,12 +29,12 @@
 func Run(stop context.Context, reload <-chan os.Signal, c *Config) error {
 	if c.Takeover != nil {
 		old, err := handover.Connect(c.handoverConfig())
-		if err != nil {
-			return err
-		}
-		if old != nil {
+		if err == nil {
 			defer old.Close()
-			return serve(stop, reload, c, old.Listener, old)
+			return serve(stop, reload, c, old.Listener(), old)
+		}
+		if !errors.Is(err, handover.ErrNoPredecessor) {
+			return err
 		}
 	}
 	ln, err := net.Listen("tcp", c.Listen)
@@ -162,13 +162,9 @@
 		limited.start()
 		took <- nil
 	} else {
-		slog.Info("taking over", "name", c.Name, "listen", c.Listen)
+		slog.Info("takeover: taking over from predecessor", "name", c.Name, "listen", c.Listen)
 		loops.Go(func() {
-			err := old.TakeOver(run, c.Takeover.readyIn(), l.ready.Load, func() {
-				limited.start()
-				took <- nil
-			}, func(held []policy.BulkheadCapacity) { l.post(predecessorReported{held}) })
-			if err != nil {
+			if err := old.TakeOver(run, &newProcess{loop: l, listener: limited, started: took}); err != nil {
 				took <- err
 			}
 		})
@@ -195,15 +191,15 @@
 				continue
 			}
 			if offered, err = handover.Listen(c.handoverConfig(), ln); err != nil {
-				slog.Error("no new process can take this one's place", "err", err)
+				slog.Error("takeover: no successor possible", "err", err)
 				continue
 			}
-			asked = offered.Successors
+			asked = offered.Successors()
 		case err := <-ungoverned:
 			return err
 		case next := <-asked:
 			if err := offered.HandOver(next); err != nil {
-				slog.Warn("the place is not given away: this process goes on", "err", err)
+				slog.Warn("takeover: handover failed, still serving", "err", err)
 				continue
 			}
 			asked = nil
@@ -241,6 +237,24 @@
 	}
 }
 
+// newProcess is this process as it takes a predecessor's place.
+type newProcess struct {
+	loop     *eventLoop
+	listener *limitedListener
+	started  chan<- error // gets nil when the place is this process's
+}
+
+func (p *newProcess) Ready() bool { return p.loop.ready.Load() }
+
+func (p *newProcess) StartAccepting() {
+	p.listener.start()
+	p.started <- nil
+}
+
+func (p *newProcess) ReserveForPredecessor(reserved []policy.BulkheadCapacity) {
+	p.loop.post(predecessorReported{reserved})
+}
+
 // sweep closes idle upstream connections in time.
 func sweep(ctx context.Context, p *pool) {
 	t := time.NewTicker(sweepEvery)
