--- a/internal/membership/membershiptest/fleet.go
+++ b/internal/membership/membershiptest/fleet.go
@@ -11,30 +11,33 @@
 	"barleywick/internal/membership/gossip"
 )
 
+// fleetName is part of every packet, so of the measured bytes.
+const fleetName = "trial"
+
+// seedCount is how many members all others know the addresses of.
+const seedCount = 3
+
 // Fleet is members in one process.
 type Fleet struct {
-	Net     *Network
+	Network *Network
 	Members []*Member
 	tasks   sync.WaitGroup
 }
 
-// Member is one of them.
+// Member is one member of a Fleet.
 type Member struct {
 	*gossip.Node
 	index   int
-	net     *Network
-	stop    context.CancelFunc
+	network *Network
+	cancel  context.CancelFunc
 	stopped bool
 }
 
-// seedCount is how many members all know the addresses of.
-const seedCount = 3
-
-// StartFleet starts members that all know the same few. They probe each other at a pace.
-func StartFleet(net *Network, members int, probe time.Duration, log *slog.Logger) (*Fleet, error) {
-	f := &Fleet{Net: net}
+// StartFleet starts members that all know the same seeds.
+func StartFleet(network *Network, members int, probeInterval time.Duration, logger *slog.Logger) (*Fleet, error) {
+	f := &Fleet{Network: network}
 	for i := range members {
-		if err := f.Add(i, fmt.Sprint("m", i), 0, probe, log); err != nil {
+		if err := f.Add(i, fmt.Sprint("m", i), 0, probeInterval, logger); err != nil {
 			f.Stop()
 			return nil, err
 		}
@@ -42,46 +45,42 @@
 	return f, nil
 }
 
-// Add starts one member more.
-func (f *Fleet) Add(at int, name string, incarnation uint64, probe time.Duration, log *slog.Logger) error {
-	c := membership.Config{Fleet: "trial", Listen: Addr(at), ProbeMS: probe.Milliseconds()}
+// Add starts one more member. With incarnation 0 it takes one from its clock.
+func (f *Fleet) Add(index int, name string, incarnation uint64, probeInterval time.Duration, logger *slog.Logger) error {
+	config := membership.Config{Fleet: fleetName, Listen: Addr(index), ProbeMS: probeInterval.Milliseconds()}
 	for i := range seedCount {
-		c.Seeds = append(c.Seeds, Addr(i))
+		config.Seeds = append(config.Seeds, Addr(i))
 	}
 	node, err := gossip.Start(gossip.Options{
-		Config: c, Transport: f.Net.Transport(at), Logger: log,
+		Config: config, Transport: f.Network.Transport(index), Logger: logger,
 		Self: membership.Info{Name: name, Role: membership.RoleSidecar, Incarnation: incarnation},
 	})
 	if err != nil {
-		return fmt.Errorf("trial: member %d: %w", at, err)
+		return fmt.Errorf("membershiptest: member %d: %w", index, err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	m := &Member{Node: node, index: at, net: f.Net, stop: cancel}
-	f.Members = append(f.Members, m)
+	f.Members = append(f.Members, &Member{Node: node, index: index, network: f.Network, cancel: cancel})
 	f.tasks.Go(func() {
 		if err := node.Run(ctx); err != nil {
-			log.Error("trial: a member ended", "member", name, "err", err)
+			logger.Error("membershiptest: member failed", "member", name, "err", err)
 		}
 	})
 	return nil
 }
 
-// Kill ends a member without a word.
+// Kill stops a member without an announcement.
 func (m *Member) Kill() {
-	m.net.mu.Lock()
-	m.net.nodes[Addr(m.index)].dead = true
-	m.net.mu.Unlock()
-	m.stopped = true
-	m.stop()
+	m.network.close(m.index)
+	m.Leave()
 }
 
-// Leave has a member say goodbye.
+// Leave stops a member, which announces that it leaves where the network lets it.
 func (m *Member) Leave() {
 	m.stopped = true
-	m.stop()
+	m.cancel()
 }
 
-// Stop ends all members, without goodbyes.
+// Stop kills all members and waits for their end.
 func (f *Fleet) Stop() {
 	for _, m := range f.Members {
 		m.Kill()
@@ -89,51 +88,59 @@
 	f.tasks.Wait()
 }
 
-// Running are the members that run.
-func (f *Fleet) Running() (some []*Member) {
+// Running returns the members that were neither killed nor have left.
+func (f *Fleet) Running() (running []*Member) {
 	for _, m := range f.Members {
 		if !m.stopped {
-			some = append(some, m)
+			running = append(running, m)
 		}
 	}
-	return some
+	return running
 }
 
-// Agree says whether some members all see the same fleet, of a size.
-func Agree(some []*Member, size int) bool {
+// Agree reports whether the views of some members are the same, with so many present.
+func Agree(members []*Member, present int) bool {
 	var digest string
-	for _, m := range some {
-		a := m.View()
+	for _, m := range members {
+		view := m.View()
 		if digest == "" {
-			digest = a.Digest
+			digest = view.Digest
 		}
-		if a.Present != size || a.Digest != digest {
+		if view.Present != present || view.Digest != digest {
 			return false
 		}
 	}
 	return true
 }
 
+// pollInterval is the time between two evaluations of a condition that is waited for.
 const pollInterval = 50 * time.Millisecond
 
-// WaitUntil waits until something holds, and returns how long that took.
-func WaitUntil(within time.Duration, holds func() bool) (time.Duration, error) {
-	began := time.Now()
-	for !holds() {
-		if time.Since(began) > within {
-			return 0, fmt.Errorf("not within %v", within)
+// WaitUntil waits until a condition holds, and returns how long that took.
+func WaitUntil(timeout time.Duration, condition func() bool) (time.Duration, error) {
+	start := time.Now()
+	for !condition() {
+		if time.Since(start) > timeout {
+			return 0, fmt.Errorf("not within %v", timeout)
 		}
 		time.Sleep(pollInterval)
 	}
-	return time.Since(began), nil
+	return time.Since(start), nil
+}
+
+// totals are sums over members since their start.
+type totals struct {
+	suspicions, unreachable uint64
+	bytes, packets          float64
 }
 
-// Suspicions are how often living members took each other for silent, and lost each other.
-func (f *Fleet) Suspicions() (suspected, lost uint64) {
-	for _, m := range f.Running() {
-		c := m.Stats()
-		suspected += c.Suspicions
-		lost += c.Unreachable
+func sumStats(members []*Member) (sum totals) {
+	for _, m := range members {
+		stats := m.Stats()
+		sum.suspicions += stats.Suspicions
+		sum.unreachable += stats.Unreachable
+		sum.bytes += float64(stats.BytesSent)
+		sum.packets += float64(stats.PacketsSent)
 	}
-	return suspected, lost
+	return sum
 }
--- a/internal/membership/membershiptest/network.go
+++ b/internal/membership/membershiptest/network.go
@@ -1,153 +1,87 @@
-// Package membershiptest runs a fleet of members in one process over a network of its own, breaks
-// that, and measures how long they take to see it and to agree.
 package membershiptest
 
 import (
-	"errors"
 	"fmt"
 	"math/rand/v2"
-	"net"
-	"os"
-	"strconv"
 	"sync"
 	"time"
 
 	"github.com/hashicorp/memberlist"
 )
 
-// Network carries what members send each other: datagrams, which may be lost and late,
-// and connections, which are only late.
+// Network carries what members send each other: datagrams, which may be lost and delayed,
+// and streams, which are only delayed.
 type Network struct {
 	mu         sync.Mutex
 	rng        *rand.Rand
-	nodes      map[string]*transport // by address
+	transports map[string]*transport // by address
 	packetLoss float64
 	delay      time.Duration
 	blocked    func(from, to int) bool
 }
 
-// NewNetwork makes a network whose losses are drawn from a seed.
+// NewNetwork makes a network whose losses and delays are drawn from a seed.
 func NewNetwork(seed uint64) *Network {
-	return &Network{rng: rand.New(rand.NewPCG(seed, 1)), nodes: make(map[string]*transport)}
+	return &Network{rng: rand.New(rand.NewPCG(seed, 1)), transports: make(map[string]*transport)}
 }
 
-// SetConditions changes what is lost and how late the rest is, by up to as much again.
-func (n *Network) SetConditions(loss float64, delay time.Duration) {
+// SetConditions sets the fraction of datagrams that is lost, and the delay: each datagram
+// and stream is late by that much, and up to as much again.
+func (n *Network) SetConditions(packetLoss float64, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.packetLoss, n.delay = loss, delay
+	n.packetLoss, n.delay = packetLoss, delay
 }
 
-// Partition lets nothing pass from one member to another where a function says so; nil: all passes.
-func (n *Network) Partition(cut func(from, to int) bool) {
+// Partition lets nothing pass from one member to another for which blocked holds; nil: all
+// passes.
+func (n *Network) Partition(blocked func(from, to int) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.blocked = cut
+	n.blocked = blocked
 }
 
-const (
-	port              = 7946 // every member's, each on an address of its own
-	packetQueueLength = 1024 // datagrams that wait for a member; beyond, they are lost
-	streamQueueLength = 64
-)
+// port is that of every member; each has an address of its own.
+const port = 7946
 
-// Addr is where a member listens.
-func Addr(i int) string { return fmt.Sprintf("127.%d.%d.%d:%d", 1+i>>16, i>>8&255, i&255, port) }
+// Addr returns where the member of an index listens.
+func Addr(index int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", 1+index>>16, index>>8&255, index&255, port)
+}
 
-// Transport is a member's side of the network.
-func (n *Network) Transport(i int) memberlist.NodeAwareTransport {
-	t := &transport{net: n, index: i, packets: make(chan *memberlist.Packet, packetQueueLength), streams: make(chan net.Conn, streamQueueLength)}
+// Transport makes the network's side of the member of an index.
+func (n *Network) Transport(index int) memberlist.NodeAwareTransport {
+	t := newTransport(n, index)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.nodes[Addr(i)] = t
+	n.transports[Addr(index)] = t
 	return t
 }
 
-type transport struct {
-	net     *Network
-	index   int
-	packets chan *memberlist.Packet
-	streams chan net.Conn
-	dead    bool // under the network's lock
+// close lets nothing more pass to and from the member of an index.
+func (n *Network) close(index int) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.transports[Addr(index)].closed = true
 }
 
-type address string
-
-func (a address) Network() string { return "trial" }
-func (a address) String() string  { return string(a) }
-
-// reach says whether something gets from here to an address now, and how late.
-func (t *transport) reach(to string, lossy bool) (other *transport, late time.Duration) {
-	t.net.mu.Lock()
-	defer t.net.mu.Unlock()
-	other = t.net.nodes[to]
-	if other == nil || other.dead || t.dead || t.net.blocked != nil && t.net.blocked(t.index, other.index) || lossy && t.net.rng.Float64() < t.net.packetLoss {
+// route returns the transport at an address, and the delay on the way there; nil: nothing
+// arrives. Packet loss applies to datagrams alone.
+func (n *Network) route(from *transport, address string, datagram bool) (to *transport, delay time.Duration) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	to = n.transports[address]
+	if to == nil || to.closed || from.closed {
 		return nil, 0
 	}
-	if d := t.net.delay; d > 0 {
-		late = d + time.Duration(t.net.rng.Int64N(int64(d)))
-	}
-	return other, late
-}
-
-func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	host, p, err := net.SplitHostPort(Addr(t.index))
-	if err != nil {
-		return nil, 0, err
-	}
-	n, err := strconv.Atoi(p)
-	return net.ParseIP(host).To4(), n, err
-}
-
-func (t *transport) WriteTo(b []byte, to string) (time.Time, error) {
-	return t.WriteToAddress(b, memberlist.Address{Addr: to})
-}
-
-func (t *transport) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
-	now := time.Now()
-	if other, late := t.reach(to.Addr, true); other != nil {
-		p := &memberlist.Packet{Buf: append([]byte(nil), b...), From: address(Addr(t.index))}
-		time.AfterFunc(late, func() {
-			p.Timestamp = time.Now()
-			select {
-			case other.packets <- p:
-			default:
-			}
-		})
-	}
-	return now, nil
-}
-
-func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
-func (t *transport) StreamCh() <-chan net.Conn           { return t.streams }
-
-func (t *transport) DialTimeout(to string, within time.Duration) (net.Conn, error) {
-	return t.DialAddressTimeout(memberlist.Address{Addr: to}, within)
-}
-
-func (t *transport) DialAddressTimeout(to memberlist.Address, within time.Duration) (net.Conn, error) {
-	other, late := t.reach(to.Addr, false)
-	back, _ := other, late
-	if other != nil {
-		back, _ = other.reach(Addr(t.index), false)
+	if n.blocked != nil && n.blocked(from.index, to.index) {
+		return nil, 0
 	}
-	if back == nil {
-		time.Sleep(within)
-		return nil, os.ErrDeadlineExceeded
+	if datagram && n.rng.Float64() < n.packetLoss {
+		return nil, 0
 	}
-	time.Sleep(late)
-	a, b := net.Pipe()
-	select {
-	case other.streams <- b:
-		return a, nil
-	default:
-		return nil, errors.New("trial: too many connections wait")
+	if n.delay > 0 {
+		delay = n.delay + time.Duration(n.rng.Int64N(int64(n.delay)))
 	}
-}
-
-func (t *transport) Shutdown() error {
-	t.net.mu.Lock()
-	defer t.net.mu.Unlock()
-	t.dead = true
-	return nil
+	return to, delay
 }
--- a/internal/membership/membershiptest/scenario.go
+++ b/internal/membership/membershiptest/scenario.go
@@ -7,178 +7,185 @@
 	"slices"
 	"syscall"
 	"time"
+
+	"barleywick/internal/membership"
 )
 
-// Scenario is one trial.
+// Scenario is one measurement: the members join, run for a time without faults, some are
+// killed, and the network is partitioned and healed.
 type Scenario struct {
 	Members           int           `json:"Members"`
 	Seed              uint64        `json:"Seed"`
 	ProbeInterval     time.Duration `json:"Probe"`
-	PacketLoss        float64       `json:"Loss"`  // part of the datagrams
-	Delay             time.Duration `json:"Delay"` // each is late by so much, and up to twice
-	Baseline          time.Duration `json:"Quiet"` // without a fault but the loss
-	KillFraction      float64       `json:"Kill"`  // the part that is then killed at once
-	Partitions        int           `json:"Parts"` // into how many parts the network is then cut; below 2: it is not
-	PartitionDuration time.Duration `json:"Apart"` // for so long
+	PacketLoss        float64       `json:"Loss"`  // fraction of the datagrams, throughout
+	Delay             time.Duration `json:"Delay"` // of each datagram and stream, and up to as much again
+	Baseline          time.Duration `json:"Quiet"` // time without other faults
+	KillFraction      float64       `json:"Kill"`  // of the members, killed at once after it
+	Partitions        int           `json:"Parts"` // into how many parts the network is then partitioned; below 2: it is not
+	PartitionDuration time.Duration `json:"Apart"`
 }
 
-// Result is what came of it. Times are zero where the plan has no such part.
+// Result is what a Scenario has measured. What its scenario leaves out is zero.
 type Result struct {
 	Scenario
-	JoinTime time.Duration `json:"Joined"` // until all see all
+	JoinTime time.Duration `json:"Joined"` // until all views hold all members
 
-	FalseSuspicions           uint64  `json:"Suspected"` // among living members in the quiet time: false ones
-	FalselyUnreachable        uint64  `json:"Lost"`      // among living members in the quiet time: false ones
-	FalselyUnreachablePerHour float64 `json:"PerHour"`   // of the lost ones, for each member and hour
-	BytesPerSecond            float64 `json:"Bytes"`     // sent by each member a second in the quiet time
-	PacketsPerSecond          float64 `json:"Packets"`   // sent by each member a second in the quiet time
-	CoresPerMember            float64 `json:"CPU"`       // of one core, for each member
+	FalseSuspicions           uint64  `json:"Suspected"` // of members that run, in the baseline
+	FalselyUnreachable        uint64  `json:"Lost"`      // members that run, in the baseline
+	FalselyUnreachablePerHour float64 `json:"PerHour"`   // of these, for each member
+	BytesPerSecond            float64 `json:"Bytes"`     // sent by each member in the baseline
+	PacketsPerSecond          float64 `json:"Packets"`   // sent by each member in the baseline
+	CoresPerMember            float64 `json:"CPU"`       // used by each member in the baseline
 
 	Killed         int           `json:"Killed"`
-	FirstDetection time.Duration `json:"FirstSeen"` // median over the killed: until the first sees the loss
-	FullDetection  time.Duration `json:"AllSeen"`   // until every one sees every loss
+	FirstDetection time.Duration `json:"FirstSeen"` // until one member holds a killed one for unreachable; median over the killed
+	FullDetection  time.Duration `json:"AllSeen"`   // until every member holds all killed ones for unreachable
 	FullAgreement  time.Duration `json:"AllAgree"`  // until all views are the same
 
-	PresentByPartition []int         `json:"Sides"`  // members that the first of each part sees at the end of the cut
-	ReportedPartition  int           `json:"Told"`   // members that report that they are apart, then
-	ReportedMinority   int           `json:"Minor"`  // members that report that more than half is lost
-	HealTime           time.Duration `json:"Healed"` // until all see all again
-	HealRounds         uint64        `json:"Rounds"` // and the most rounds that a member counted
+	PresentByPartition []int         `json:"Sides"`  // members present in a view of each part, at the partition's end
+	ReportedPartition  int           `json:"Told"`   // members that report a partition then
+	ReportedMinority   int           `json:"Minor"`  // members that report that more than half is unreachable
+	HealTime           time.Duration `json:"Healed"` // until all views hold all members again
+	HealRounds         uint64        `json:"Rounds"` // the most that a member has counted
 }
 
-// maxWait bounds each wait of a trial.
+// maxWait bounds each wait of a scenario.
 const maxWait = 5 * time.Minute
 
 func processCPUTime() time.Duration {
-	var u syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
+	var usage syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// Run carries a trial out.
-func (p Scenario) Run(log *slog.Logger) (r Result, err error) {
-	r.Scenario = p
-	net := NewNetwork(p.Seed)
-	net.SetConditions(p.PacketLoss, p.Delay)
-	began := time.Now()
-	f, err := StartFleet(net, p.Members, p.ProbeInterval, log)
+// Run carries the scenario out.
+func (s Scenario) Run(logger *slog.Logger) (Result, error) {
+	r := Result{Scenario: s}
+	network := NewNetwork(s.Seed)
+	network.SetConditions(s.PacketLoss, s.Delay)
+	start := time.Now()
+	fleet, err := StartFleet(network, s.Members, s.ProbeInterval, logger)
 	if err != nil {
 		return r, err
 	}
-	defer f.Stop()
-	if _, err := WaitUntil(maxWait, func() bool { return Agree(f.Members, p.Members) }); err != nil {
-		return r, fmt.Errorf("trial: all see all: %w", err)
+	defer fleet.Stop()
+	if _, err := WaitUntil(maxWait, func() bool { return Agree(fleet.Members, s.Members) }); err != nil {
+		return r, fmt.Errorf("membershiptest: join: %w", err)
 	}
-	r.JoinTime = time.Since(began)
-
-	if p.Baseline > 0 {
-		sent := func() (bytes, packets float64) {
-			for _, m := range f.Members {
-				c := m.Stats()
-				bytes += float64(c.BytesSent)
-				packets += float64(c.PacketsSent)
-			}
-			return bytes, packets
-		}
-		bytes, packets := sent()
-		suspected, lost := f.Suspicions()
-		used := processCPUTime()
-		time.Sleep(p.Baseline)
-		used = processCPUTime() - used
-		b, q := sent()
-		s, l := f.Suspicions()
-		each := float64(p.Members) * p.Baseline.Seconds()
-		r.BytesPerSecond, r.PacketsPerSecond, r.CoresPerMember = (b-bytes)/each, (q-packets)/each, used.Seconds()/each
-		r.FalseSuspicions, r.FalselyUnreachable = s-suspected, l-lost
-		r.FalselyUnreachablePerHour = float64(r.FalselyUnreachable) / each * time.Hour.Seconds()
+	r.JoinTime = time.Since(start)
+
+	if s.Baseline > 0 {
+		r.measureBaseline(fleet)
 	}
-	if r.Killed = int(math.Round(p.KillFraction * float64(p.Members))); r.Killed > 0 {
-		if err := r.kill(f); err != nil {
+	if r.Killed = int(math.Round(s.KillFraction * float64(s.Members))); r.Killed > 0 {
+		if err := r.kill(fleet); err != nil {
 			return r, err
 		}
 	}
-	if p.Partitions > 1 {
-		return r, r.part(f)
+	if s.Partitions > 1 {
+		return r, r.partition(fleet)
 	}
 	return r, nil
 }
 
-// kill kills members and waits until all others know.
-func (r *Result) kill(f *Fleet) error {
+// measureBaseline measures the cost and the false detections of a time without faults.
+func (r *Result) measureBaseline(fleet *Fleet) {
+	before, cpuBefore := sumStats(fleet.Members), processCPUTime()
+	time.Sleep(r.Baseline)
+	cpu, after := processCPUTime()-cpuBefore, sumStats(fleet.Members)
+	memberSeconds := float64(r.Members) * r.Baseline.Seconds()
+	r.BytesPerSecond = (after.bytes - before.bytes) / memberSeconds
+	r.PacketsPerSecond = (after.packets - before.packets) / memberSeconds
+	r.CoresPerMember = cpu.Seconds() / memberSeconds
+	r.FalseSuspicions = after.suspicions - before.suspicions
+	r.FalselyUnreachable = after.unreachable - before.unreachable
+	r.FalselyUnreachablePerHour = float64(r.FalselyUnreachable) / memberSeconds * time.Hour.Seconds()
+}
+
+// kill kills members and waits until all others have detected it and agree.
+func (r *Result) kill(fleet *Fleet) error {
 	var killed []string
 	for i := range r.Killed { // spread over the fleet; the seeds come last
-		m := f.Members[len(f.Members)-1-i*len(f.Members)/r.Killed]
-		killed = append(killed, m.Self().Name)
-		m.Kill()
+		member := fleet.Members[len(fleet.Members)-1-i*len(fleet.Members)/r.Killed]
+		killed = append(killed, member.Self().Name)
+		member.Kill()
 	}
-	began := time.Now()
-	first := make(map[string]time.Duration)
-	living := f.Running()
+	start := time.Now()
+	running := fleet.Running()
+	firstDetection := make(map[string]time.Duration) // by the name of the killed
 	if _, err := WaitUntil(maxWait, func() bool {
-		unseen := 0
-		for _, m := range living {
+		undetected := 0
+		for _, member := range running {
 			for _, name := range killed {
-				if s, ok := m.Latest(name); ok && s.Status != "lost" {
-					unseen++
-				} else if first[name] == 0 {
-					first[name] = time.Since(began)
+				if latest, ok := member.Latest(name); ok && latest.Status != membership.StatusUnreachable {
+					undetected++
+				} else if firstDetection[name] == 0 {
+					firstDetection[name] = time.Since(start)
 				}
 			}
 		}
-		return unseen == 0
+		return undetected == 0
 	}); err != nil {
-		return fmt.Errorf("trial: every loss is seen: %w", err)
-	}
-	r.FullDetection = time.Since(began)
-	var all []time.Duration
-	for _, d := range first {
-		all = append(all, d)
+		return fmt.Errorf("membershiptest: detection of killed members: %w", err)
 	}
-	slices.Sort(all)
-	r.FirstDetection = all[len(all)/2]
-	if _, err := WaitUntil(maxWait, func() bool { return Agree(living, len(living)) }); err != nil {
-		return fmt.Errorf("trial: all views are the same after a loss: %w", err)
+	r.FullDetection = time.Since(start)
+	r.FirstDetection = median(firstDetection)
+	if _, err := WaitUntil(maxWait, func() bool { return Agree(running, len(running)) }); err != nil {
+		return fmt.Errorf("membershiptest: agreement after members were killed: %w", err)
 	}
-	r.FullAgreement = time.Since(began)
+	r.FullAgreement = time.Since(start)
 	return nil
 }
 
-// part cuts the network into parts, and heals it.
-func (r *Result) part(f *Fleet) error {
-	living := f.Running()
-	f.Net.Partition(func(a, b int) bool { return a%r.Partitions != b%r.Partitions })
+func median(durations map[string]time.Duration) time.Duration {
+	var sorted []time.Duration
+	for _, d := range durations {
+		sorted = append(sorted, d)
+	}
+	slices.Sort(sorted)
+	return sorted[len(sorted)/2]
+}
+
+// partition partitions the network for a time, and waits until all have healed.
+func (r *Result) partition(fleet *Fleet) error {
+	running := fleet.Running()
+	fleet.Network.Partition(func(from, to int) bool { return from%r.Partitions != to%r.Partitions })
 	time.Sleep(r.PartitionDuration)
 	r.PresentByPartition = make([]int, r.Partitions)
-	for _, m := range living {
-		side := m.Partition()
-		r.PresentByPartition[m.index%r.Partitions] = side.Present
-		if side.Partitioned() {
+	for _, member := range running {
+		state := member.Partition()
+		r.PresentByPartition[member.index%r.Partitions] = state.Present
+		if state.Partitioned() {
 			r.ReportedPartition++
 		}
-		if side.Minority() {
+		if state.Minority() {
 			r.ReportedMinority++
 		}
 	}
-	f.Net.Partition(nil)
-	healed, err := WaitUntil(maxWait, func() bool { return Agree(living, len(living)) })
+	fleet.Network.Partition(nil)
+	healTime, err := WaitUntil(maxWait, func() bool { return Agree(running, len(running)) })
 	if err != nil {
-		return fmt.Errorf("trial: all see all after a cut: %w", err)
+		return fmt.Errorf("membershiptest: agreement after a partition: %w", err)
 	}
-	r.HealTime = healed
-	if _, err := WaitUntil(maxWait, func() bool {
-		r.HealRounds = 0
-		for _, m := range living {
-			c := m.Stats()
-			if c.HealRounds == 0 {
-				return false
-			}
-			r.HealRounds = max(r.HealRounds, c.HealRounds)
-		}
-		return true
-	}); err != nil {
-		return fmt.Errorf("trial: every member counts its rounds: %w", err)
+	r.HealTime = healTime
+	if _, err := WaitUntil(maxWait, func() bool { return r.countHealRounds(running) }); err != nil {
+		return fmt.Errorf("membershiptest: heal rounds: %w", err)
 	}
 	return nil
 }
+
+// countHealRounds takes the most rounds that a member counted until a partition had healed,
+// and reports whether all have counted.
+func (r *Result) countHealRounds(members []*Member) bool {
+	r.HealRounds = 0
+	for _, member := range members {
+		rounds := member.Stats().HealRounds
+		if rounds == 0 {
+			return false
+		}
+		r.HealRounds = max(r.HealRounds, rounds)
+	}
+	return true
+}
--- a/internal/sidecarmember/member.go
+++ b/internal/sidecarmember/member.go
@@ -1,6 +1,6 @@
-// Package sidecarmember makes a sidecar a member of the fleet. It is apart from the sidecar's own
-// package, which links nothing of it: the network's part takes memory whether a
-// configuration names it or not.
+// Package sidecarmember makes a sidecar a member of the fleet. It is apart from package
+// sidecar because it links the gossip library, which takes memory whether a configuration
+// names a membership or not.
 package sidecarmember
 
 import (
@@ -16,29 +16,34 @@
 	"barleywick/internal/sidecar"
 )
 
-// retryInterval is between two tries to listen: the process before this one, whose place it
-// takes, may have the address still.
-const retryInterval = time.Second
+const (
+	// retryInterval is the time between two attempts to become a member. The predecessor may
+	// still use the address while this process takes over from it.
+	retryInterval = time.Second
+	dialTimeout   = time.Second
+)
 
-// New makes the member that a configuration describes. It begins with Run.
+// New makes the member that a configuration describes. Its Run has to be called.
 func New(c *sidecar.Config) sidecar.FleetMember {
 	var urls []string
-	for _, at := range append([]string{c.Discovery}, c.DiscoveryReplicas...) { // which may be a registry of ours
-		urls = append(urls, "http://"+at+registry.APIPath+membership.ViewPath)
+	for _, address := range append([]string{c.Discovery}, c.DiscoveryReplicas...) { // they may be replicas of our registry
+		urls = append(urls, "http://"+address+registry.APIPath+membership.ViewPath)
 	}
-	asks := &http.Client{Transport: &http.Transport{DialContext: c.Membership.Routes.Dial(time.Second), DisableKeepAlives: true}}
+	client := &http.Client{Transport: &http.Transport{DialContext: c.Membership.Routes.Dial(dialTimeout), DisableKeepAlives: true}}
 	return &member{options: gossip.Options{
-		Config: *c.Membership, FindSeeds: membership.SeedsFromViews(asks, urls),
+		Config: *c.Membership, FindSeeds: membership.SeedsFromViews(client, urls),
 		Self: membership.Info{Name: c.Name, Role: membership.RoleSidecar, HTTPAddr: c.Listen},
 	}}
 }
 
+// member is a sidecar as a member of the fleet.
 type member struct {
 	options gossip.Options
-	node    atomic.Pointer[gossip.Node] // nil: it has not begun
+	node    atomic.Pointer[gossip.Node] // nil: it is not a member yet
 }
 
-// Run is a member until ctx ends. Whatever hinders it, the sidecar goes on.
+// Run keeps the sidecar a member until ctx ends. No failure ends the sidecar: it is tried
+// again.
 func (m *member) Run(ctx context.Context) {
 	for {
 		node, err := gossip.Start(m.options)
@@ -48,7 +53,7 @@
 				return
 			}
 		}
-		slog.Warn("members: this sidecar is none yet", "err", err)
+		slog.Warn("members: not a member yet, retrying", "err", err)
 		select {
 		case <-time.After(retryInterval):
 		case <-ctx.Done():
@@ -57,33 +62,36 @@
 	}
 }
 
-// Announce is what this sidecar says of itself from now on.
-func (m *member) Announce(phase string, epoch uint64) {
+// Announce sets the lifecycle state and the policy epoch that this sidecar announces.
+func (m *member) Announce(phase string, policyEpoch uint64) {
 	if node := m.node.Load(); node != nil {
-		node.Update(func(i *membership.Info) { i.Phase, i.PolicyEpoch = phase, epoch })
+		node.Update(func(info *membership.Info) { info.Phase, info.PolicyEpoch = phase, policyEpoch })
 	}
 }
 
 // ReportUnresponsive tells the fleet that a booking server does not answer.
-func (m *member) ReportUnresponsive(host string) {
+func (m *member) ReportUnresponsive(endpoint string) {
 	if node := m.node.Load(); node != nil {
-		node.ReportUnresponsive(host)
+		node.ReportUnresponsive(endpoint)
 	}
 }
 
-// SidecarCount is how many sidecars are there, as this one sees it.
-func (m *member) SidecarCount() (n int) {
-	if node := m.node.Load(); node != nil {
-		n = node.CountRole(membership.RoleSidecar)
+// SidecarCount returns how many sidecars count as present in this one's view; 0: it is not
+// a member yet.
+func (m *member) SidecarCount() int {
+	node := m.node.Load()
+	if node == nil {
+		return 0
 	}
-	return n
+	return node.CountRole(membership.RoleSidecar)
 }
 
-// ServeHTTP tells what this sidecar sees.
-func (m *member) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	if node := m.node.Load(); node != nil {
-		node.ServeHTTP(w, q)
+// ServeHTTP serves this sidecar's view.
+func (m *member) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	node := m.node.Load()
+	if node == nil {
+		http.Error(w, "this sidecar is no member yet", http.StatusServiceUnavailable)
 		return
 	}
-	http.Error(w, "this sidecar is no member yet", http.StatusServiceUnavailable)
+	node.ServeHTTP(w, r)
 }
