--- a/internal/sidecar/duplicates.go
+++ b/internal/sidecar/duplicates.go
@@ -5,27 +5,29 @@
 	"slices"
 )
 
-// duplicateDetector knows whether answers tell requests apart: where none of the last answers was equal
-// to one on another connection, an answer that is equal to an earlier one of its own connection is
-// that one once more, and belongs to no request.
-type duplicateDetector struct {
-	seed        maphash.Seed
-	occurrences map[uint64]int // how often each is in ring
-	ring        [responsesKept]uint64
-	next        int
-	distinctRun int // answers since the last that was equal to another connection's
-}
-
 const (
+	// responsesKept is how many responses of all connections are compared with a new one.
 	responsesKept = 64
-	// distinctRunNeeded is how many answers in a row have to differ before equality means anything.
+	// distinctRunNeeded is how many responses in a row must differ from those of other connections
+	// before equal ones count as duplicates.
 	distinctRunNeeded = 8
-	// responsesPerConn is how many answers of a connection are compared: with their rests they reach
-	// back for longer than a second answer is late.
+	// responsesPerConn is how many responses of its own connection a new one is compared with. With
+	// their quarantines they reach back for longer than a second response is late.
 	responsesPerConn = 8
 )
 
-// recentResponses are hashes of a connection's last answers; 0 is none.
+// duplicateDetector finds responses that a server sent twice. While none of the last responses was
+// equal to one on another connection, a response tells its request apart from others: one that equals
+// an earlier one of its own connection is that response once more, and answers no request.
+type duplicateDetector struct {
+	seed        maphash.Seed
+	ring        [responsesKept]uint64 // hashes of the last responses
+	next        int                   // index in ring
+	occurrences map[uint64]int        // of each hash in ring
+	distinctRun int                   // responses since the last that equalled another connection's
+}
+
+// recentResponses are the hashes of a connection's last responses; 0 is none.
 type recentResponses struct {
 	hashes [responsesPerConn]uint64
 	next   int
@@ -36,45 +38,45 @@
 	r.next = (r.next + 1) % responsesPerConn
 }
 
-// hash returns a body's hash; 0 is that of an empty one.
-func (m *duplicateDetector) hash(body []byte) uint64 {
+// hash returns a body's hash, which is 0 for an empty body and no other.
+func (d *duplicateDetector) hash(body []byte) uint64 {
 	if len(body) == 0 {
 		return 0
 	}
-	if m.occurrences == nil {
-		m.seed, m.occurrences = maphash.MakeSeed(), make(map[uint64]int, responsesKept)
+	if d.occurrences == nil {
+		d.seed, d.occurrences = maphash.MakeSeed(), make(map[uint64]int, responsesKept)
 	}
-	return max(1, maphash.Bytes(m.seed, body))
+	return max(1, maphash.Bytes(d.seed, body))
 }
 
-// conclusive says whether equality means anything by now.
-func (m *duplicateDetector) conclusive() bool { return m.distinctRun >= distinctRunNeeded }
+// conclusive reports whether an equal response counts as a duplicate.
+func (d *duplicateDetector) conclusive() bool { return d.distinctRun >= distinctRunNeeded }
 
-// observe takes an answer in, and says whether it is an earlier one of its connection once more.
-func (m *duplicateDetector) observe(hash uint64, of *recentResponses) (again bool) {
+// observe records a response, and reports whether it is a duplicate on its connection.
+func (d *duplicateDetector) observe(hash uint64, recent *recentResponses) (duplicate bool) {
 	if hash == 0 {
 		return false
 	}
-	if slices.Contains(of.hashes[:], hash) {
-		return m.conclusive()
+	if slices.Contains(recent.hashes[:], hash) {
+		return d.conclusive()
 	}
-	of.add(hash)
-	if m.occurrences[hash] > 0 {
-		m.distinctRun = 0
+	recent.add(hash)
+	if d.occurrences[hash] > 0 {
+		d.distinctRun = 0
 	} else {
-		m.distinctRun++
+		d.distinctRun++
 	}
-	old := m.ring[m.next]
-	if m.occurrences[old]--; m.occurrences[old] <= 0 {
-		delete(m.occurrences, old)
+	oldest := d.ring[d.next]
+	if d.occurrences[oldest]--; d.occurrences[oldest] <= 0 {
+		delete(d.occurrences, oldest)
 	}
-	m.ring[m.next] = hash
-	m.occurrences[hash]++
-	m.next = (m.next + 1) % responsesKept
+	d.ring[d.next] = hash
+	d.occurrences[hash]++
+	d.next = (d.next + 1) % responsesKept
 	return false
 }
 
-// isDuplicate says whether an answer is an earlier one of its connection once more.
+// isDuplicate records a response, and reports whether it is a duplicate that must be dropped.
 func (p *pool) isDuplicate(c *upstreamConn, body []byte) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/sidecar/head_recorder.go
+++ b/internal/sidecar/head_recorder.go
@@ -5,43 +5,44 @@
 	"io"
 )
 
-// maxRecordedHead is how much of a message is kept as it came. A longer head is not looked through.
+// maxRecordedHead limits what headRecorder keeps. A longer head is not checked.
 const maxRecordedHead = 4 << 10
 
-// headRecorder keeps the first bytes of a message as they came. A message may say where it ends by a
-// length or by chunks; of one that says both net/http drops the length in silence. Two readers
-// may see such a message end in two places, and what stands between them in one's body is the
-// other's next message.
+var contentLength = []byte("content-length")
+
+// headRecorder keeps the first bytes of a message as they arrived. A message may state its length or
+// be chunked; if it does both, net/http drops the length silently. Two readers may then see the end of
+// the message in two places, and a request may hide between them in what one of them takes for the body.
 type headRecorder struct {
-	source   io.Reader
+	source   io.Reader // of Read
 	recorded []byte
 }
 
-func (t *headRecorder) Read(b []byte) (int, error) {
-	n, err := t.source.Read(b)
-	t.record(b[:n])
+// Read reads from source and records what it reads.
+func (h *headRecorder) Read(b []byte) (int, error) {
+	n, err := h.source.Read(b)
+	h.record(b[:n])
 	return n, err
 }
 
-func (t *headRecorder) record(b []byte) {
-	if room := maxRecordedHead - len(t.recorded); room > 0 {
-		t.recorded = append(t.recorded, b[:min(room, len(b))]...)
+func (h *headRecorder) record(b []byte) {
+	if free := maxRecordedHead - len(h.recorded); free > 0 {
+		h.recorded = append(h.recorded, b[:min(free, len(b))]...)
 	}
 }
 
-// reset begins with another message. What takes more than a usual head is let go.
-func (t *headRecorder) reset() {
-	t.recorded = t.recorded[:0]
-	if cap(t.recorded) > maxRecordedHead/4 {
-		t.recorded = nil
+// reset begins with another message. A buffer that is larger than usual heads need is released.
+func (h *headRecorder) reset() {
+	h.recorded = h.recorded[:0]
+	if cap(h.recorded) > maxRecordedHead/4 {
+		h.recorded = nil
 	}
 }
 
-var contentLength = []byte("content-length")
-
-// chunkedWithoutLength says whether the first heads seen, so many of them, surely name no length.
-func (t *headRecorder) chunkedWithoutLength(heads int) bool {
-	for line := range bytes.Lines(t.recorded) {
+// chunkedWithoutLength reports whether the first heads, so many of them, were recorded whole and have
+// no Content-Length.
+func (h *headRecorder) chunkedWithoutLength(heads int) bool {
+	for line := range bytes.Lines(h.recorded) {
 		if line[len(line)-1] != '\n' {
 			return false // the head goes on
 		}
@@ -60,5 +61,5 @@
 	return false
 }
 
-// hasPrefix says whether what was seen hasPrefix with a text, as a head does with its first line.
-func (t *headRecorder) hasPrefix(with string) bool { return bytes.HasPrefix(t.recorded, []byte(with)) }
+// hasPrefix reports whether the message begins with text.
+func (h *headRecorder) hasPrefix(text string) bool { return bytes.HasPrefix(h.recorded, []byte(text)) }
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -11,28 +11,35 @@
 	"barleywick/internal/queue"
 )
 
-// waiter is a caller that waits for a connection.
-type waiter struct {
-	since   time.Time
-	granted chan grant // takes one value; never blocks
-	node    queue.Node[*waiter]
-}
+const (
+	// idleMargin is how long before a server closes an idle connection the pool stops to use it: a
+	// request that is written to a connection being closed ends in a reset, and may not be repeated.
+	idleMargin = 2 * time.Second
+	// idleJitter is the largest part of the idle limit by which a connection's own limit is shorter.
+	// Connections that all sidecars opened together must not be closed and opened again together.
+	idleJitter = 0.1
+	// demandWindow is the length of the windows in which a server's demand for connections is
+	// measured. Two windows are well under the time for which servers keep an idle connection.
+	demandWindow = 10 * time.Second
+)
 
-type grant struct {
-	conn *upstreamConn
-	err  error
-}
+// Errors of acquire, other than that of a failed handshake.
+var (
+	errServerRemoved  = errors.New("the server was removed from the endpoint list")
+	errServerDraining = errors.New("the server is draining")
+	errLimitReached   = errors.New("no connection within the limits in time")
+	errCallerTimeout  = errors.New("the caller's time was up before a connection was established")
+	errConnectTimeout = errors.New("no connection was established in time")
+)
 
-// pool keeps connections to upstreams for further requests: a new one costs the
-// upstream work and the request time. It bounds how many are open and how many
-// are being opened, to each upstream and to all, and serves those that wait for
-// one in the order in which they came.
+// pool keeps connections to booking servers for further requests: a handshake costs the server work
+// and the request time. It limits the connections and the handshakes in progress, in total and for
+// each server, and serves waiting callers in their order.
 //
-// Each operation takes constant time in the number of connections; sweep alone
-// looks at all that are idle.
+// Each operation takes constant time in the number of connections, except for sweep and releasedSoon.
 type pool struct {
 	dialTimeout time.Duration
-	maxIdle     time.Duration // an idle connection is not used for longer than this
+	maxIdle     time.Duration // the idle limit of a connection, before its jitter
 	ctx         context.Context
 	cancel      context.CancelFunc
 	dials       sync.WaitGroup
@@ -40,58 +47,50 @@
 	mu              sync.Mutex
 	rng             *rand.Rand
 	limits          poolLimits
-	open            int // connections, and handshakes under way
-	dialing         int
+	open            int                       // connections, and handshakes in progress
+	dialing         int                       // handshakes in progress
 	idle            queue.List[*upstreamConn] // the longest idle first
-	quarantined     quarantineHeap            // the one whose rest ends first on top
-	quarantineTimer *time.Timer               // when that is
+	quarantined     quarantineHeap
+	quarantineTimer *time.Timer // fires when the first quarantine ends
 	duplicates      duplicateDetector
-	blocked         queue.List[*upstreamServer] // upstreams whose next handshake a bound on all holds up
-	waiting         int
+	blocked         queue.List[*upstreamServer] // whose next handshake waits for a limit on the total
+	waiting         int                         // callers
 	count           poolCounters
 }
 
-const (
-	// idleMargin is kept to the time after which upstreams close idle connections: a
-	// request written to one that is being closed ends as a reset and may not be repeated.
-	idleMargin = 2 * time.Second
-	// idleJitter is how much sooner, at most, in parts of the whole: connections that
-	// were opened together, by all sidecars at once, must not be opened again together.
-	idleJitter = 0.1
-	// demandWindow is how long what was in use at once is held to be needed. Twice that is
-	// well under the time upstreams keep an idle connection.
-	demandWindow = 10 * time.Second
-	// initialDialWindow is how many handshakes an upstream gets at once before one has succeeded.
-	initialDialWindow = 2
-)
+// waiter is a caller of acquire that waits for a connection.
+type waiter struct {
+	since   time.Time
+	granted chan grant // takes one value; never blocks
+	node    queue.Node[*waiter]
+}
 
-// Why the pool gave no connection, other than a handshake that failed.
-var (
-	errServerRemoved  = errors.New("the upstream has left the list")
-	errServerDraining = errors.New("the upstream drains")
-	errLimitReached   = errors.New("no connection within the limits in time")
-	errCallerTimeout  = errors.New("the caller's own time was up before a connection came up")
-	errConnectTimeout = errors.New("no connection came up in time")
-)
+// grant ends a caller's wait.
+type grant struct {
+	conn *upstreamConn
+	err  error
+}
 
+// newPool returns a pool for servers that close a connection after connIdle without a request.
 func newPool(dialTimeout, connIdle time.Duration, limits poolLimits, seed uint64) *pool {
-	life, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	p := &pool{
 		dialTimeout: dialTimeout,
 		maxIdle:     max(connIdle-idleMargin, connIdle/2),
-		ctx:         life, cancel: end,
-		limits: limits,
-		rng:    rand.New(rand.NewPCG(seed, 1)),
+		ctx:         ctx,
+		cancel:      cancel,
+		limits:      limits,
+		rng:         rand.New(rand.NewPCG(seed, 1)),
 	}
 	p.quarantineTimer = time.AfterFunc(time.Hour, p.endQuarantines)
 	return p
 }
 
-// close ends handshakes under way and closes what is idle. Connections that are
-// out are their users' to drop.
+// close ends the handshakes in progress and closes all connections that are not in use. Those in use
+// have to be given back.
 func (p *pool) close() {
 	p.mu.Lock()
-	p.cancel() // under the lock: no handshake begins after it
+	p.cancel() // with the lock held: no handshake begins after it
 	p.mu.Unlock()
 	p.dials.Wait()
 	p.mu.Lock()
@@ -105,49 +104,44 @@
 	p.quarantineTimer.Stop()
 }
 
-// setLimits puts other limits in force. Idle connections beyond them are closed
-// now, others when they are put back.
-func (p *pool) setLimits(l poolLimits) {
+// setLimits applies other limits. Idle connections over the total are closed now, others when they
+// are released.
+func (p *pool) setLimits(limits poolLimits) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.limits = l
-	for p.open > l.Total && p.evictLocked() {
+	p.limits = limits
+	for p.open > limits.Total && p.evictLocked() {
 	}
 	p.resumeBlockedLocked()
 }
 
-// acquire returns an idle connection to the upstream, the most recently used, or waits for one: for a handshake, or for another request to end. The error
-// errBounded says that the pool's own limits were the reason.
-func (p *pool) acquire(ctx context.Context, to *upstreamServer) (*upstreamConn, error) {
+// acquire returns the most recently used idle connection to a server, or waits for a handshake or for
+// another request to end. The caller gives it back with release or discard.
+func (p *pool) acquire(ctx context.Context, server *upstreamServer) (*upstreamConn, error) {
 	for {
-		c, err := p.acquireOrWait(ctx, to)
+		c, err := p.acquireOrWait(ctx, server)
 		if err != nil {
 			return nil, err
 		}
-		ok, excess := c.usable(time.Now())
-		if ok {
+		usable, surplus := c.check(time.Now())
+		if usable {
 			return c, nil
 		}
-		p.mu.Lock()
-		p.count.Stale++
-		if excess {
-			p.noteSurplusLocked(c)
-		}
-		p.mu.Unlock()
-		p.discard(c)
+		p.discardStale(c, surplus)
 	}
 }
 
-func (p *pool) acquireOrWait(ctx context.Context, to *upstreamServer) (*upstreamConn, error) {
+// acquireOrWait is acquire without a check of the connection.
+func (p *pool) acquireOrWait(ctx context.Context, server *upstreamServer) (*upstreamConn, error) {
 	p.mu.Lock()
-	if n := to.idle.Back(); n != nil && to.unavailable() == nil {
+	if n := server.idle.Back(); n != nil && server.unavailable() == nil {
 		c := n.Value
 		p.checkOutLocked(c)
 		p.count.Reused++
 		p.mu.Unlock()
 		return c, nil
 	}
-	err := cmp.Or(to.unavailable(), p.ctx.Err())
+	err := cmp.Or(server.unavailable(), p.ctx.Err())
 	if err == nil && ctx.Err() != nil {
 		err = errCallerTimeout
 	}
@@ -155,14 +149,24 @@
 		p.mu.Unlock()
 		return nil, err
 	}
+	w := p.enqueueLocked(server)
+	p.mu.Unlock()
+	return p.wait(ctx, server, w)
+}
+
+// enqueueLocked makes the caller wait for a connection, and starts a handshake if one is needed.
+func (p *pool) enqueueLocked(server *upstreamServer) *waiter {
 	w := &waiter{since: time.Now(), granted: make(chan grant, 1)}
 	w.node.Value = w
-	to.waiting.PushBack(&w.node)
+	server.waiting.PushBack(&w.node)
 	p.waiting++
 	p.count.Waited++
-	p.startDialsLocked(to)
-	p.mu.Unlock()
+	p.startDialsLocked(server)
+	return w
+}
 
+// wait waits for a grant, at most until ctx or dialTimeout ends.
+func (p *pool) wait(ctx context.Context, server *upstreamServer, w *waiter) (*upstreamConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.dialTimeout)
 	defer cancel()
 	select {
@@ -172,7 +176,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !w.node.Linked() { // served a moment ago
+	if !w.node.Linked() { // granted a moment ago
 		g := <-w.granted
 		return g.conn, g.err
 	}
@@ -182,22 +186,22 @@
 	switch {
 	case time.Since(w.since) < p.dialTimeout:
 		return nil, errCallerTimeout
-	case to.dialing > 0 && to.connectedAt.Before(w.since):
+	case server.dialing > 0 && server.connectedAt.Before(w.since):
 		return nil, errConnectTimeout
 	}
 	return nil, errLimitReached
 }
 
-// checkOutLocked takes an idle connection out for use.
+// checkOutLocked takes an idle connection for use.
 func (p *pool) checkOutLocked(c *upstreamConn) {
 	c.inServer.Remove()
 	c.inPool.Remove()
 	c.server.noteInUse(time.Now())
 }
 
-// grantLocked serves the one that waits longest, if any does.
-func (p *pool) grantLocked(to *upstreamServer, g grant) bool {
-	n := to.waiting.Front()
+// grantLocked ends the wait of the server's longest waiting caller, and reports whether there is one.
+func (p *pool) grantLocked(server *upstreamServer, g grant) bool {
+	n := server.waiting.Front()
 	if n == nil {
 		return false
 	}
@@ -207,8 +211,8 @@
 	return true
 }
 
-// release gives a connection back whose last answer was read to its end. One to a
-// host that has gone meanwhile is closed.
+// release gives a connection back whose last response was read to its end. It is closed if the server
+// gets nothing new any more.
 func (p *pool) release(c *upstreamConn) {
 	c.idleSince = time.Now()
 	p.mu.Lock()
@@ -216,30 +220,30 @@
 	p.releaseLocked(c)
 }
 
-// releaseLocked takes a connection back that carries no request, or a new one in.
+// releaseLocked adds a connection without a request to the pool, a new one or one that was in use.
 func (p *pool) releaseLocked(c *upstreamConn) {
-	to, fresh := c.server, c.idleLimit == 0
+	server, isNew := c.server, c.idleLimit == 0
 	c.idleLimit = time.Duration(float64(p.maxIdle) * (1 - idleJitter*p.rng.Float64()))
 	switch {
-	case to.removed:
+	case server.removed:
 		p.count.Retired++
 		p.closeLocked(c)
-	case to.draining:
+	case server.draining:
 		p.count.Drained++
 		p.closeLocked(c)
-	case p.ctx.Err() != nil || p.open > p.limits.Total || to.open > p.limits.PerServer: // the limits are new
+	case p.ctx.Err() != nil || p.open > p.limits.Total || server.open > p.limits.PerServer: // the limits were lowered
 		p.count.Evicted++
 		p.closeLocked(c)
-	case fresh:
+	case isNew: // no response can have been left on it
 		p.offerLocked(c)
 	default:
 		p.quarantineLocked(c)
 	}
-	p.startDialsLocked(to)
+	p.startDialsLocked(server)
 	p.resumeBlockedLocked()
 }
 
-// offerLocked gives a connection to who waits longest for it, or keeps it idle.
+// offerLocked grants a connection to the server's longest waiting caller, or keeps it idle.
 func (p *pool) offerLocked(c *upstreamConn) {
 	if p.grantLocked(c.server, grant{conn: c}) {
 		return
@@ -248,7 +252,7 @@
 	p.idle.PushBack(&c.inPool)
 }
 
-// discard closes a connection that came from get.
+// discard closes a connection that was acquired.
 func (p *pool) discard(c *upstreamConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -257,7 +261,18 @@
 	p.resumeBlockedLocked()
 }
 
-// closeLocked closes a connection, idle or not.
+// discardStale closes a connection that was acquired and proved to be unusable.
+func (p *pool) discardStale(c *upstreamConn, surplus bool) {
+	p.mu.Lock()
+	p.count.Stale++
+	if surplus {
+		p.noteSurplusLocked(c)
+	}
+	p.mu.Unlock()
+	p.discard(c)
+}
+
+// closeLocked closes a connection, in use or not.
 func (p *pool) closeLocked(c *upstreamConn) {
 	c.inServer.Remove()
 	c.inPool.Remove()
--- a/internal/sidecar/pool_counters.go
+++ b/internal/sidecar/pool_counters.go
@@ -2,44 +2,45 @@
 
 import "log/slog"
 
-// poolCounters count what the pool decided, each decision apart.
+// poolCounters count what became of upstream connections. The tags are the names in the log and in
+// metrics; docs/CONNECTIONS.md explains them.
 type poolCounters struct {
-	Reused      uint64 `json:"Reused"`      // requests given an idle connection
+	Reused      uint64 `json:"Reused"`      // requests that got an idle connection
 	Opened      uint64 `json:"Opened"`      // handshakes that succeeded
-	DialFailed  uint64 `json:"DialFailed"`  // that failed
+	DialFailed  uint64 `json:"DialFailed"`  // handshakes that failed because of the server
 	Waited      uint64 `json:"Waited"`      // requests that found no idle connection
-	LeftWaiting uint64 `json:"LeftWaiting"` // of those, given up before there was one
-	Evicted     uint64 `json:"Evicted"`     // idle connections closed as another needed the place
-	Expired     uint64 `json:"Expired"`     // idle for as long as an upstream keeps them
-	Unneeded    uint64 `json:"Unneeded"`    // idle beyond what was in use at once lately
-	Stale       uint64 `json:"Stale"`       // closed by the upstream, or with bytes that nobody asked for
-	Distrusted  uint64 `json:"Distrusted"`  // idle to an upstream that fell silent
-	Retired     uint64 `json:"Retired"`     // to an upstream that has gone or was replaced
-	Drained     uint64 `json:"Drained"`     // to an upstream that drains
-	Excess      uint64 `json:"Excess"`      // connections on which something came that belongs to no request
-	Repeated    uint64 `json:"Repeated"`    // answers that were an earlier request's, and given to nobody
-	ShortRest   uint64 `json:"ShortRest"`   // rests cut short for want of connections
-	Local       uint64 `json:"Local"`       // handshakes that failed for want of something on this machine
+	LeftWaiting uint64 `json:"LeftWaiting"` // of those that waited: given up before there was a connection
+	Evicted     uint64 `json:"Evicted"`     // connections closed because of the limits
+	Expired     uint64 `json:"Expired"`     // closed at their idle limit
+	Unneeded    uint64 `json:"Unneeded"`    // closed because fewer were in use lately
+	Stale       uint64 `json:"Stale"`       // found closed by the server, too old, or with surplus bytes
+	Distrusted  uint64 `json:"Distrusted"`  // closed because their server was unresponsive
+	Retired     uint64 `json:"Retired"`     // closed because their server was removed or replaced
+	Drained     uint64 `json:"Drained"`     // closed because their server drains
+	Excess      uint64 `json:"Excess"`      // surplus responses: bytes that belong to no request
+	Repeated    uint64 `json:"Repeated"`    // duplicate responses, dropped
+	ShortRest   uint64 `json:"ShortRest"`   // quarantines shortened because connections were scarce
+	Local       uint64 `json:"Local"`       // handshakes that failed because of this machine
 }
 
-// poolState is what is open at a moment.
+// poolState counts the connections and callers at one moment, under the same rule for the tags.
 type poolState struct {
-	Open       int `json:"Open"`
+	Open       int `json:"Open"` // handshakes in progress included
 	Idle       int `json:"Idle"`
-	Resting    int `json:"Resting"`
+	Resting    int `json:"Resting"` // in quarantine
 	Handshakes int `json:"Handshakes"`
-	Waiting    int `json:"Waiting"`
+	Waiting    int `json:"Waiting"` // requests that wait for a connection
 }
 
-// counters returns what was counted so far, and what is open now.
+// counters returns what was counted so far, and the state now.
 func (p *pool) counters() (poolCounters, poolState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.count, poolState{p.open, p.idle.Len(), len(p.quarantined), p.dialing, p.waiting}
 }
 
-// logCounters logs them.
+// logCounters logs what counters returns.
 func (p *pool) logCounters() {
 	count, now := p.counters()
-	slog.Info("upstream connections", "now", now, "counters", count)
+	slog.Info("upstream: connections", "now", now, "counters", count)
 }
--- a/internal/sidecar/pool_dial.go
+++ b/internal/sidecar/pool_dial.go
@@ -8,84 +8,99 @@
 	"time"
 )
 
-// startDialsLocked begins handshakes with an upstream while somebody waits for more
-// than are under way and the bounds allow.
-func (p *pool) startDialsLocked(to *upstreamServer) {
+// startDialsLocked starts handshakes with a server while more callers wait for it than connections
+// are about to come up or to leave quarantine, and the limits allow.
+func (p *pool) startDialsLocked(server *upstreamServer) {
 	soon := 0
-	if to.waiting.Len() > 0 {
-		soon = to.releasedSoon(time.Now())
+	if server.waiting.Len() > 0 {
+		soon = server.releasedSoon(time.Now())
 	}
-	for to.unavailable() == nil && p.ctx.Err() == nil && to.waiting.Len() > to.dialing+soon &&
-		to.open < p.limits.PerServer && to.dialing < min(max(to.dialWindow, initialDialWindow), p.limits.HandshakesPerServer) {
+	for p.mayDialLocked(server, soon) {
 		if p.dialing >= p.limits.Handshakes || (p.open >= p.limits.Total && !p.evictLocked()) {
-			if to.blocked.Value = to; !to.blocked.Linked() {
-				p.blocked.PushBack(&to.blocked)
+			if server.blocked.Value = server; !server.blocked.Linked() {
+				p.blocked.PushBack(&server.blocked)
 			}
 			return
 		}
 		p.open++
 		p.dialing++
-		to.open++
-		to.dialing++
-		p.dials.Go(func() { p.dial(to) })
+		server.open++
+		server.dialing++
+		p.dials.Go(func() { p.dial(server) })
 	}
-	to.blocked.Remove()
+	server.blocked.Remove()
 }
 
-// resumeBlockedLocked goes on with the upstreams that a bound on all held up, in turn.
+// mayDialLocked reports whether another handshake with a server is needed and its own limits allow it.
+func (p *pool) mayDialLocked(server *upstreamServer, releasedSoon int) bool {
+	return server.unavailable() == nil && p.ctx.Err() == nil &&
+		server.waiting.Len() > server.dialing+releasedSoon &&
+		server.open < p.limits.PerServer &&
+		server.dialing < min(max(server.dialWindow, initialDialWindow), p.limits.HandshakesPerServer)
+}
+
+// resumeBlockedLocked starts the handshakes that waited for a limit on the total, in their order.
 func (p *pool) resumeBlockedLocked() {
 	for n := p.blocked.Front(); n != nil; n = p.blocked.Front() {
-		if p.startDialsLocked(n.Value); n.Linked() {
-			return // it is held up still, and so are those behind it
+		p.startDialsLocked(n.Value)
+		if n.Linked() {
+			return // still blocked, and so are the servers behind it
 		}
 	}
 }
 
-// dial opens a connection for whoever waits longest by then.
-func (p *pool) dial(to *upstreamServer) {
+// dial establishes a connection for the caller that waits longest when it is done.
+func (p *pool) dial(server *upstreamServer) {
 	ctx, cancel := context.WithTimeout(p.ctx, p.dialTimeout)
 	defer cancel()
-	begun := time.Now()
-	d := net.Dialer{KeepAlive: -1}
-	nc, err := d.DialContext(ctx, "tcp", to.addr)
+	startedAt := time.Now()
+	dialer := net.Dialer{KeepAlive: -1}
+	nc, err := dialer.DialContext(ctx, "tcp", server.addr)
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dialing--
-	to.dialing--
+	server.dialing--
 	if err != nil {
-		p.open--
-		to.open--
-		if isLocalError(err) { // no word against the upstream
-			p.count.Local++
-			err = errLimitReached
-		} else {
-			p.count.DialFailed++
-			to.dialWindow = 1
-		}
-		if ctx.Err() != nil {
-			p.closeUnresponsiveLocked(to, begun)
-		}
-		p.grantLocked(to, grant{err: err})
-		p.startDialsLocked(to)
-		p.resumeBlockedLocked()
+		p.dialFailedLocked(server, err, ctx.Err() != nil, startedAt)
 		return
 	}
 	p.count.Opened++
-	to.growDialWindow()
-	to.connectedAt, to.heardAt = now, now
-	c := &upstreamConn{Conn: nc, server: to, idleSince: now}
+	server.growDialWindow()
+	server.connectedAt, server.heardAt = now, now
+	c := &upstreamConn{Conn: nc, server: server, idleSince: now}
 	c.inServer.Value, c.inPool.Value = c, c
-	to.noteInUse(now)
-	p.releaseLocked(c) // nothing can be left over from an answer: it needs no rest
+	server.noteInUse(now)
+	p.releaseLocked(c)
+}
+
+// dialFailedLocked records a handshake that failed, because of its timeout or otherwise.
+func (p *pool) dialFailedLocked(server *upstreamServer, err error, timedOut bool, startedAt time.Time) {
+	p.open--
+	server.open--
+	if isLocalError(err) { // says nothing about the server
+		p.count.Local++
+		err = errLimitReached
+	} else {
+		p.count.DialFailed++
+		server.dialWindow = 1
+	}
+	if timedOut {
+		p.closeUnresponsiveLocked(server, startedAt)
+	}
+	p.grantLocked(server, grant{err: err})
+	p.startDialsLocked(server)
+	p.resumeBlockedLocked()
+}
+
+// localErrors are failures of a handshake for want of descriptors, buffers or ports of this machine.
+var localErrors = []error{
+	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN,
 }
 
-// isLocalError says whether a handshake failed for want of something on this machine: descriptors,
-// buffers, ports. That is no word against the upstream, and the request was never sent.
+// isLocalError reports whether a handshake failed because of this machine and not of the server.
 func isLocalError(err error) bool {
-	for _, local := range []error{
-		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN,
-	} {
+	for _, local := range localErrors {
 		if errors.Is(err, local) {
 			return true
 		}
--- a/internal/sidecar/pool_idle.go
+++ b/internal/sidecar/pool_idle.go
@@ -6,7 +6,8 @@
 	"barleywick/internal/queue"
 )
 
-// evictLocked closes the connection that has been idle longest, or else one that rests.
+// evictLocked closes the connection that has been idle longest, or else the one whose quarantine ends
+// first. It reports whether there was one.
 func (p *pool) evictLocked() bool {
 	var c *upstreamConn
 	if n := p.idle.Front(); n != nil {
@@ -21,8 +22,8 @@
 	return true
 }
 
-// sweep closes the idle connections that are too old or not needed, that the peer
-// has closed, or on which something came that belongs to no request.
+// sweep closes the idle connections that have reached their idle limit, are not needed, were closed
+// by the server, or on which surplus bytes have arrived.
 func (p *pool) sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -43,7 +44,7 @@
 	p.resumeBlockedLocked()
 }
 
-// isStaleLocked looks at an idle connection once, counts one that is of no use any more, and notes an excess.
+// isStaleLocked probes an idle connection, and counts what makes it unusable.
 func (p *pool) isStaleLocked(c *upstreamConn) bool {
 	switch probeIdle(c.Conn) {
 	case socketIdle:
--- a/internal/sidecar/pool_servers.go
+++ b/internal/sidecar/pool_servers.go
@@ -7,93 +7,88 @@
 	"barleywick/policy"
 )
 
-// noteResponse takes that a whole answer came from the upstream, whether its
-// connection can be used again or not.
-func (p *pool) noteResponse(to *upstreamServer) {
+// noteResponse records that a complete response came from a server.
+func (p *pool) noteResponse(server *upstreamServer) {
 	p.mu.Lock()
-	to.heardAt = time.Now()
+	server.heardAt = time.Now()
 	p.mu.Unlock()
 }
 
-// noteUnresponsive takes that nothing came on a connection to an upstream on which a
-// request was written at that time.
-func (p *pool) noteUnresponsive(to *upstreamServer, written time.Time) {
+// noteUnresponsive records that a request, written at writtenAt, got no response.
+func (p *pool) noteUnresponsive(server *upstreamServer, writtenAt time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.closeUnresponsiveLocked(to, written)
-	p.startDialsLocked(to)
+	p.closeUnresponsiveLocked(server, writtenAt)
+	p.startDialsLocked(server)
 	p.resumeBlockedLocked()
 }
 
-// closeUnresponsiveLocked closes the idle connections to an upstream from which nothing
-// at all has come since then. A machine that vanished or was cut off says
-// nothing: a connection to it looks as good as ever, and swallows a request that
-// may never be repeated. Where another answer came meanwhile only that one
-// request was slow, and the connections are worth their handshakes.
-func (p *pool) closeUnresponsiveLocked(to *upstreamServer, since time.Time) {
-	if to.heardAt.After(since) {
-		return
-	}
-	for _, list := range []*queue.List[*upstreamConn]{&to.idle, &to.quarantined} {
-		for n := list.Front(); n != nil; n = list.Front() {
-			p.count.Distrusted++
-			p.closeLocked(n.Value)
-		}
+// closeUnresponsiveLocked closes the unused connections to a server from which nothing has come since
+// a time. A machine that has vanished or was cut off breaks no connection: an idle one to it looks
+// good, and a request written to it may never be repeated. If another response came meanwhile, only
+// that one request was slow, and the connections are kept.
+func (p *pool) closeUnresponsiveLocked(server *upstreamServer, since time.Time) {
+	if !server.heardAt.After(since) {
+		p.closeUnusedLocked(server, &p.count.Distrusted)
 	}
 }
 
-// serverState is what the list says of an upstream by now. Between its choice and the write lies a
-// handshake, and meanwhile the list may have said that it drains.
-func (p *pool) serverState(to *upstreamServer) policy.EndpointState {
+// serverState returns what the endpoint list says of a server now: it may have changed since the
+// server was chosen, as a handshake takes time.
+func (p *pool) serverState(server *upstreamServer) policy.EndpointState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case to.removed:
+	case server.removed:
 		return policy.Removed
-	case to.draining:
+	case server.draining:
 		return policy.Draining
 	}
 	return policy.Ready
 }
 
-// drain closes the idle connections to an upstream that drains, and the others as
-// they are given back; those that wait for one are told at once. If the drain is
-// called off, resume takes it back.
-func (p *pool) drain(to *upstreamServer) {
+// drain closes the unused connections to a server, and from now on every other when it is released;
+// waiting callers get an error at once. resume takes it back.
+func (p *pool) drain(server *upstreamServer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !to.draining {
-		to.draining = true
-		p.closeServerLocked(to, errServerDraining, &p.count.Drained)
+	if !server.draining {
+		server.draining = true
+		p.shutOffLocked(server, errServerDraining, &p.count.Drained)
 	}
 }
 
-// resume lets an upstream be used again that was drained.
-func (p *pool) resume(to *upstreamServer) {
+// resume ends the drain of a server.
+func (p *pool) resume(server *upstreamServer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	to.draining = false
+	server.draining = false
 }
 
-// retire closes the idle connections to a host that has gone, and from now on
-// every other that is given back. Whoever is at its address next has its own.
-// Those that wait for one are told at once.
-func (p *pool) retire(to *upstreamServer) {
+// retire does what drain does for a server that was removed, for good. Another server may come to the
+// same address: it is another upstreamServer, with connections of its own.
+func (p *pool) retire(server *upstreamServer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	to.removed = true
-	p.closeServerLocked(to, errServerRemoved, &p.count.Retired)
+	server.removed = true
+	p.shutOffLocked(server, errServerRemoved, &p.count.Retired)
+}
+
+// shutOffLocked closes the unused connections to a server and fails the callers that wait for one.
+func (p *pool) shutOffLocked(server *upstreamServer, err error, counter *uint64) {
+	server.blocked.Remove()
+	p.closeUnusedLocked(server, counter)
+	for p.grantLocked(server, grant{err: err}) {
+	}
+	p.resumeBlockedLocked()
 }
 
-func (p *pool) closeServerLocked(to *upstreamServer, why error, counter *uint64) {
-	to.blocked.Remove()
-	for _, list := range []*queue.List[*upstreamConn]{&to.idle, &to.quarantined} {
+// closeUnusedLocked closes the idle and the quarantined connections to a server, and counts them.
+func (p *pool) closeUnusedLocked(server *upstreamServer, counter *uint64) {
+	for _, list := range []*queue.List[*upstreamConn]{&server.idle, &server.quarantined} {
 		for n := list.Front(); n != nil; n = list.Front() {
 			*counter++
 			p.closeLocked(n.Value)
 		}
 	}
-	for p.grantLocked(to, grant{err: why}) {
-	}
-	p.resumeBlockedLocked()
 }
--- a/internal/sidecar/quarantine.go
+++ b/internal/sidecar/quarantine.go
@@ -5,45 +5,50 @@
 	"time"
 )
 
-// A server may answer a request a second time, some milliseconds behind the first answer, and
-// nothing on the wire tells that from the answer to the connection's next request. So a connection
-// rests after each answer: what comes meanwhile belongs to nobody, and the connection is closed. What
-// comes later still is told by answerMemory, once that is sure of it; until then, and where a server
-// has sent an excess lately, rests are longer. A long rest costs handshakes: each request that finds
-// all connections at rest opens one more.
+// A server may send a second response to a request some milliseconds after the first, and nothing in
+// it tells that it does not answer the connection's next request. Therefore a connection is quarantined
+// after each response: if something arrives meanwhile, it is a surplus response, and the connection is
+// closed. A duplicate that arrives later is found by duplicateDetector, once that is conclusive. Until
+// then, and after a surplus response from the same server, quarantines are longer. A long quarantine
+// costs handshakes: each request that finds all connections quarantined needs one more.
 
 const (
-	// minQuarantine is how long a connection rests at least.
+	// minQuarantine is the shortest quarantine.
 	minQuarantine = 10 * time.Millisecond
-	// maxQuarantine covers a second answer that comes some milliseconds late, and a process or a network
-	// that is held up for 0.15 s.
+	// maxQuarantine covers a second response that is some milliseconds late, and a process or a network
+	// that is stalled for 0.15 s.
 	maxQuarantine = 200 * time.Millisecond
-	// Long rests are cut short from this part of a limit on connections on, and as short as may be
-	// from the other on.
+	// A long quarantine is shortened when more than shortenFrom of a limit on connections is used, and
+	// shortened to minQuarantine from shortenFull on.
 	shortenFrom, shortenFull = 0.5, 0.9
-	// surplusSuspicion is how long after an excess connections to its upstream take long rests.
+	// surplusSuspicion is how long quarantines are long for a server after a surplus response.
 	surplusSuspicion = 30 * time.Second
 )
 
-// quarantineHeap holds connections that rest, the one whose rest ends first on top. A connection's place
-// is its index and one.
+// quarantineHeap is a heap of the quarantined connections, the one to be released first on top. A
+// connection's heapIndex is its index plus one.
 type quarantineHeap []*upstreamConn
 
-func (h quarantineHeap) Len() int           { return len(h) }
+// Len implements heap.Interface.
+func (h quarantineHeap) Len() int { return len(h) }
+
+// Less implements heap.Interface.
 func (h quarantineHeap) Less(i, j int) bool { return h[i].releaseAt.Before(h[j].releaseAt) }
+
+// Swap implements heap.Interface.
 func (h quarantineHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].heapIndex, h[j].heapIndex = i+1, j+1
 }
 
-// Push is heap.Interface's.
+// Push implements heap.Interface.
 func (h *quarantineHeap) Push(x any) {
 	c := x.(*upstreamConn)
 	*h = append(*h, c)
 	c.heapIndex = len(*h)
 }
 
-// Pop is heap.Interface's.
+// Pop implements heap.Interface.
 func (h *quarantineHeap) Pop() any {
 	last := len(*h) - 1
 	c := (*h)[last]
@@ -53,14 +58,14 @@
 	return c
 }
 
-// remove takes a connection out, if it is there.
+// remove removes a connection if it is in the heap.
 func (h *quarantineHeap) remove(c *upstreamConn) {
 	if c.heapIndex > 0 {
 		heap.Remove(h, c.heapIndex-1)
 	}
 }
 
-// quarantineLocked lets a connection rest.
+// quarantineLocked begins the quarantine of a connection.
 func (p *pool) quarantineLocked(c *upstreamConn) {
 	c.releaseAt = c.idleSince.Add(p.quarantineTime(c))
 	heap.Push(&p.quarantined, c)
@@ -70,33 +75,34 @@
 	}
 }
 
-// quarantineTime is how long a connection is to rest.
+// quarantineTime returns how long a connection is quarantined.
 func (p *pool) quarantineTime(c *upstreamConn) time.Duration {
 	if p.duplicates.conclusive() && c.idleSince.Sub(c.server.surplusAt) >= surplusSuspicion {
 		return minQuarantine
 	}
-	used := max(float64(p.open)/float64(max(1, p.limits.Total)), float64(c.server.open)/float64(max(1, p.limits.PerServer)))
-	scarce := min(1, (used-shortenFrom)/(shortenFull-shortenFrom))
-	if scarce <= 0 {
+	usedInTotal := float64(p.open) / float64(max(1, p.limits.Total))
+	usedByServer := float64(c.server.open) / float64(max(1, p.limits.PerServer))
+	scarcity := min(1, (max(usedInTotal, usedByServer)-shortenFrom)/(shortenFull-shortenFrom))
+	if scarcity <= 0 {
 		return maxQuarantine
 	}
 	p.count.ShortRest++
-	return maxQuarantine - time.Duration(scarce*float64(maxQuarantine-minQuarantine))
+	return maxQuarantine - time.Duration(scarcity*float64(maxQuarantine-minQuarantine))
 }
 
-// releasedSoon is how many connections to an upstream have rested within a moment: waiting for one
-// costs less than a handshake, which is work for the upstream and takes as long.
-func (to *upstreamServer) releasedSoon(now time.Time) (soon int) {
-	by := now.Add(minQuarantine)
-	for n := to.quarantined.Front(); n != nil; n = n.Next() {
-		if !n.Value.releaseAt.After(by) {
+// releasedSoon returns how many of a server's connections leave quarantine within minQuarantine: to
+// wait for one costs less than a handshake, which takes as long and is work for the server.
+func (s *upstreamServer) releasedSoon(now time.Time) (soon int) {
+	limit := now.Add(minQuarantine)
+	for n := s.quarantined.Front(); n != nil; n = n.Next() {
+		if !n.Value.releaseAt.After(limit) {
 			soon++
 		}
 	}
 	return soon
 }
 
-// endQuarantines takes the connections back into use that have rested.
+// endQuarantines releases the connections whose quarantine has ended.
 func (p *pool) endQuarantines() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,7 +116,7 @@
 	p.resumeBlockedLocked()
 }
 
-// endQuarantineLocked takes one back, unless it proves to be of no use.
+// endQuarantineLocked offers a quarantined connection for use, or closes it if it proves unusable.
 func (p *pool) endQuarantineLocked(c *upstreamConn) {
 	p.quarantined.remove(c)
 	c.inServer.Remove()
@@ -127,15 +133,14 @@
 	p.startDialsLocked(c.server)
 }
 
-// noteSurplusLocked takes that something came on a connection that belongs to no request.
-func (p *pool) noteSurplusLocked(c *upstreamConn) {
-	p.count.Excess++
-	c.server.surplusAt = time.Now()
-}
-
-// noteSurplus is excessLocked for who has a connection in use.
+// noteSurplus records that bytes arrived on a connection that belong to no request.
 func (p *pool) noteSurplus(c *upstreamConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.noteSurplusLocked(c)
 }
+
+func (p *pool) noteSurplusLocked(c *upstreamConn) {
+	p.count.Excess++
+	c.server.surplusAt = time.Now()
+}
--- a/internal/sidecar/socket.go
+++ b/internal/sidecar/socket.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// peek looks, without reading or waiting, whether there is something to read.
+// peek looks for a byte to read without taking it and without blocking.
 func peek(fd uintptr) (n int, err error) {
 	var b [1]byte
 	for {
@@ -18,27 +18,26 @@
 	}
 }
 
-// hungUp says whether the peer has ended its side, whatever is still to be read before that.
+// hungUp reports whether the other end has closed its side, even if there is something left to read.
 func hungUp(fd uintptr) bool {
-	p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-	n, err := unix.Poll(p, 0)
+	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+	n, err := unix.Poll(fds, 0)
 	for err == unix.EINTR {
-		n, err = unix.Poll(p, 0)
+		n, err = unix.Poll(fds, 0)
 	}
-	return err == nil && n == 1 && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+	return err == nil && n == 1 && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// socketState is what a look at a socket finds, without blocking.
+// socketState is what an idle probe finds.
 type socketState int
 
 const (
 	socketIdle     socketState = iota // open, with nothing to read
 	socketReadable                    // there is something to read
-	socketClosed                      // the other end has closed it, or it is broken
+	socketClosed                      // closed by the other end, or broken
 )
 
-// probeIdle looks at a socket without blocking. It goes past the lock of readers, one of which may be
-// waiting on the socket.
+// probeIdle looks at a socket without reading or blocking. It does not wait for a read in progress.
 func probeIdle(nc net.Conn) socketState {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -63,5 +62,5 @@
 	return state
 }
 
-// isIdleSocket says whether there is nothing to read on a socket and it is open.
+// isIdleSocket reports whether a socket is open and has nothing to read.
 func isIdleSocket(nc net.Conn) bool { return probeIdle(nc) == socketIdle }
--- a/internal/sidecar/upstream_buffers.go
+++ b/internal/sidecar/upstream_buffers.go
@@ -7,24 +7,24 @@
 	"sync"
 )
 
-// exchangeBuffers are what a connection needs while it carries a request and not while it is idle.
+// maxPooledRequest is the largest capacity of a request buffer that bufferPool takes back.
+const maxPooledRequest = 8 << 10
+
+// exchangeBuffers are what a connection needs while it carries a request, and not while it is idle.
 type exchangeBuffers struct {
-	limited io.LimitedReader // bounds what one answer may bring
-	head    headRecorder     // what came first, read through limit
-	reader  *bufio.Reader    // reads through heads
-	request bytes.Buffer     // a request is gathered here, so that it goes out in one write
+	limited io.LimitedReader // limits what one response may take
+	head    headRecorder     // reads from limited
+	reader  *bufio.Reader    // reads from head
+	request bytes.Buffer     // the request, so that it is written at once
 }
 
-// maxPooledRequest is how large a request's buffer may be to be used again.
-const maxPooledRequest = 8 << 10
-
 var bufferPool = sync.Pool{New: func() any {
 	b := new(exchangeBuffers)
 	b.reader = bufio.NewReader(&b.limited)
 	return b
 }}
 
-// borrowBuffers gives a connection buffers for one exchange.
+// borrowBuffers gives the connection buffers for one exchange.
 func (c *upstreamConn) borrowBuffers() *exchangeBuffers {
 	b := bufferPool.Get().(*exchangeBuffers)
 	b.limited.R, b.head.source = c.Conn, &b.limited
@@ -35,14 +35,14 @@
 	return b
 }
 
-// returnBuffers takes them back, and says whether all that came had been read.
-func (c *upstreamConn) returnBuffers() (clean bool) {
+// returnBuffers ends the exchange. It reports whether everything that arrived had been read.
+func (c *upstreamConn) returnBuffers() (allRead bool) {
 	b := c.buffers
 	c.buffers = nil
-	clean = b.reader.Buffered() == 0
+	allRead = b.reader.Buffered() == 0
 	b.limited.R = nil
 	if b.request.Cap() <= maxPooledRequest {
 		bufferPool.Put(b)
 	}
-	return clean
+	return allRead
 }
--- a/internal/sidecar/upstream_conn.go
+++ b/internal/sidecar/upstream_conn.go
@@ -11,22 +11,22 @@
 	"barleywick/internal/queue"
 )
 
-// upstreamConn is a connection to an upstream; it carries one request at a time.
+// upstreamConn is a connection to a booking server. It carries one request at a time.
 type upstreamConn struct {
 	net.Conn
 	server    *upstreamServer
-	idleSince time.Time       // since when it has been idle
-	idleLimit time.Duration   // and how long it may be
-	releaseAt time.Time       // when it may carry the next request
-	heapIndex int             // in the heap of those that rest; 0: it is not there
-	recent    recentResponses // of this connection
+	idleSince time.Time
+	idleLimit time.Duration   // from idleSince on; 0: it is new
+	releaseAt time.Time       // the end of its quarantine
+	heapIndex int             // in the quarantineHeap, plus one; 0: it is not quarantined
+	recent    recentResponses // for duplicateDetector
 	inServer  queue.Node[*upstreamConn]
 	inPool    queue.Node[*upstreamConn]
 	buffers   *exchangeBuffers // while it carries a request
 }
 
-// Close ends the connection with what the other end does not have yet: a plain close would let the
-// kernel send that later, and an upstream would begin a request that had been given up.
+// Close closes the connection and discards what the server has not received. A plain close would let
+// the kernel send that later, and a server would begin a request that had been given up.
 func (c *upstreamConn) Close() error {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok && c.unsentBytes() > 0 {
 		tcp.SetLinger(0)
@@ -34,7 +34,8 @@
 	return c.Conn.Close()
 }
 
-// unsentBytes is how many bytes were written that the other end does not have yet; 0 where there is no telling.
+// unsentBytes returns how many bytes were written that the server has not received, or 0 if that is
+// not known.
 func (c *upstreamConn) unsentBytes() int {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -45,25 +46,26 @@
 		return 0
 	}
 	unsent := 0
-	if raw.Control(func(fd uintptr) { unsent, err = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) }) != nil || err != nil {
+	controlErr := raw.Control(func(fd uintptr) { unsent, err = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) })
+	if controlErr != nil || err != nil {
 		return 0
 	}
 	return unsent
 }
 
-// sentPollInterval is how often a connection is asked what it has not sent yet.
+// sentPollInterval is the time between two looks at unsentBytes.
 const sentPollInterval = 2 * time.Millisecond
 
-// awaitSent waits until the other end has all that was written, or ctx ends.
+// awaitSent waits until the server has received all that was written, or ctx ends.
 func (c *upstreamConn) awaitSent(ctx context.Context) {
 	for ctx.Err() == nil && c.unsentBytes() > 0 {
 		time.Sleep(sentPollInterval)
 	}
 }
 
-// usable says whether an idle connection may carry a request: young enough, and
-// neither closed by the peer nor with bytes that nobody asked for.
-func (c *upstreamConn) usable(now time.Time) (ok, excess bool) {
+// check probes an idle connection: it is usable if it has not reached its idle limit, is open, and has
+// nothing to read. surplus reports whether there was something to read.
+func (c *upstreamConn) check(now time.Time) (usable, surplus bool) {
 	state := probeIdle(c.Conn)
 	return now.Sub(c.idleSince) < c.idleLimit && state == socketIdle, state == socketReadable
 }
--- a/internal/sidecar/upstream_server.go
+++ b/internal/sidecar/upstream_server.go
@@ -6,67 +6,72 @@
 	"barleywick/internal/queue"
 )
 
-// upstreamServer is one upstream to the pool. It stands for the host and not for its
-// address, which may be another host's tomorrow. The pool's lock guards it.
+const (
+	// initialDialWindow is how many handshakes a server gets at once before the first has succeeded.
+	initialDialWindow = 2
+	// maxDialWindow is above any sensible limit on the handshakes with one server.
+	maxDialWindow = 64
+)
+
+// upstreamServer is the pool's part for one booking server: for an endpoint and not for its address,
+// which may be another server's later. The pool's lock guards it.
 type upstreamServer struct {
-	addr string
+	addr     string
+	removed  bool
+	draining bool // gets no request any more, unless the drain is called off
+
+	idle        queue.List[*upstreamConn]   // the most recently used last
+	quarantined queue.List[*upstreamConn]   // in the order of their release to quarantine
+	waiting     queue.List[*waiter]         // the longest waiting first
+	blocked     queue.Node[*upstreamServer] // in the pool's list of that name
+	open        int                         // connections, and handshakes in progress
+	dialing     int                         // handshakes in progress
+	dialWindow  int                         // how many handshakes may be in progress: see growDialWindow
 
-	removed      bool
-	draining     bool                        // it finishes what it has: no request is to be written to it
-	idle         queue.List[*upstreamConn]   // the most recently used last
-	quarantined  queue.List[*upstreamConn]   // had an answer a moment ago, and none is used yet
-	waiting      queue.List[*waiter]         // the longest waiting first
-	blocked      queue.Node[*upstreamServer] // among those that a bound on all upstreams holds up
-	open         int                         // connections, and handshakes under way
-	dialing      int                         // handshakes under way
-	dialWindow   int                         // how many may be: see grow
-	connectedAt  time.Time                   // the last connection that came up
-	heardAt      time.Time                   // the last answer, or connection that came up
-	peak         int                         // most connections in use at once, in this while and in the last one
-	previousPeak int
-	peakSince    time.Time // when this while began
-	surplusAt    time.Time // when something came last that belongs to no request
+	connectedAt time.Time // of the last connection
+	heardAt     time.Time // of the last complete response or new connection
+	surplusAt   time.Time // of the last surplus response
+
+	peak         int // most connections in use at once, in the current demand window
+	previousPeak int // and in the one before
+	peakSince    time.Time
 }
 
-// unavailable returns an error if the upstream is to get nothing new.
-func (to *upstreamServer) unavailable() error {
+// unavailable returns an error if the server gets nothing new.
+func (s *upstreamServer) unavailable() error {
 	switch {
-	case to.removed:
+	case s.removed:
 		return errServerRemoved
-	case to.draining:
+	case s.draining:
 		return errServerDraining
 	}
 	return nil
 }
 
-// noteInUse notes how many connections to the upstream are in use at once.
-func (to *upstreamServer) noteInUse(now time.Time) {
-	if past := now.Sub(to.peakSince); past >= 2*demandWindow {
-		to.peak, to.previousPeak, to.peakSince = 0, 0, now
-	} else if past >= demandWindow {
-		to.peak, to.previousPeak, to.peakSince = 0, to.peak, now
+// noteInUse records how many connections are in use at once.
+func (s *upstreamServer) noteInUse(now time.Time) {
+	if age := now.Sub(s.peakSince); age >= 2*demandWindow {
+		s.peak, s.previousPeak, s.peakSince = 0, 0, now
+	} else if age >= demandWindow {
+		s.peak, s.previousPeak, s.peakSince = 0, s.peak, now
 	}
-	to.peak = max(to.peak, to.open-to.dialing-to.idle.Len())
+	s.peak = max(s.peak, s.open-s.dialing-s.idle.Len())
 }
 
-// growDialWindow lets an upstream have one more handshake at once for each that succeeded.
-// One that was out of reach begins again with one: it comes back for all
-// sidecars at the same moment, and cold.
-func (to *upstreamServer) growDialWindow() {
-	to.dialWindow = min(max(to.dialWindow, initialDialWindow-1)+1, maxDialWindow)
-}
-
-// maxDialWindow is above any limit on handshakes to one upstream that makes sense.
-const maxDialWindow = 64
-
-// needed is how many connections to the upstream were in use at once lately; one
-// at least, as a handshake costs more than keeping it.
-func (to *upstreamServer) needed(now time.Time) int {
-	switch past := now.Sub(to.peakSince); {
-	case past >= 2*demandWindow:
+// needed returns how many connections were in use at once lately, and at least one: a handshake costs
+// more than to keep a connection.
+func (s *upstreamServer) needed(now time.Time) int {
+	switch age := now.Sub(s.peakSince); {
+	case age >= 2*demandWindow:
 		return 1
-	case past >= demandWindow:
-		return max(1, to.peak)
+	case age >= demandWindow:
+		return max(1, s.peak)
 	}
-	return max(1, to.peak, to.previousPeak)
+	return max(1, s.peak, s.previousPeak)
+}
+
+// growDialWindow allows one more handshake at once after one that succeeded. After a failed one the
+// window is 1: a server that was out of reach returns to all sidecars at the same moment, and cold.
+func (s *upstreamServer) growDialWindow() {
+	s.dialWindow = min(max(s.dialWindow, initialDialWindow-1)+1, maxDialWindow)
 }
