--- a/internal/sidecar/adviser.go
+++ b/internal/sidecar/adviser.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -14,33 +13,11 @@
 	"sync"
 	"time"
 
-	"barleywick/internal/addressmap"
 	"barleywick/internal/overload"
-	"barleywick/internal/registry"
 	"barleywick/internal/registry/client"
 	"barleywick/policy"
 )
 
-// adviceConfig names where the fleet's word on an overload comes from.
-type adviceConfig struct {
-	FileOverload
-	routes addressmap.Table
-}
-
-func (c *adviceConfig) check() (err error) {
-	if c.Fleet == "" {
-		return errors.New("overload.fleet is missing: the fleet's name, as the keepers have it")
-	}
-	if err := registry.CheckName("overload.fleet", c.Fleet); err != nil {
-		return err
-	}
-	if err := replicas("overload", c.Registry); err != nil {
-		return err
-	}
-	c.routes, err = routes("overload", c.Routes)
-	return err
-}
-
 // adviceCallIn is for one digest and its answer: the next is due a little later.
 const adviceCallIn = 800 * time.Millisecond
 
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -3,18 +3,23 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
+	"net"
 	"net/netip"
 	"os"
 	"path/filepath"
 	"slices"
 	"strconv"
+	"strings"
 	"time"
 
+	"barleywick/internal/addressmap"
 	"barleywick/internal/configfile"
 	"barleywick/internal/membership"
+	"barleywick/internal/registry"
 	"barleywick/internal/registry/client"
 	"barleywick/internal/settings"
 	"barleywick/internal/sidecar/handover"
@@ -58,6 +63,8 @@
 }
 
 const (
+	defaultSeatLease = 5 * time.Second
+	leastSeatLease   = time.Second
 	// defaultReady is as long as a platform waits for a sidecar at the start of a run.
 	defaultReady       = 30 * time.Second
 	defaultSockets     = 1024
@@ -313,3 +320,72 @@
 func (c *Config) handoverConfig() handover.Config {
 	return handover.Config{Name: c.Name, Listen: c.Listen, Socket: c.Takeover.Socket, ReadyTimeout: c.Takeover.readyIn()}
 }
+
+// policyConfig names the registry that the fleet's policy comes from.
+type policyConfig struct {
+	FilePolicy
+	routes addressmap.Table
+}
+
+func (c *policyConfig) check() error {
+	if err := replicas("policy", c.Registry); err != nil {
+		return err
+	}
+	if c.LeaseMS == 0 {
+		c.LeaseMS = defaultSeatLease.Milliseconds()
+	}
+	if c.LeaseMS < leastSeatLease.Milliseconds() {
+		return fmt.Errorf("policy.lease_ms is %d, at least %d is needed", c.LeaseMS, leastSeatLease.Milliseconds())
+	}
+	var err error
+	if c.routes, err = routes("policy", c.Routes); err != nil {
+		return err
+	}
+	return nil
+}
+
+// replicas checks the addresses of the registry that a table names.
+func replicas(table string, addrs []string) error {
+	if len(addrs) == 0 {
+		return fmt.Errorf("%s.registry is missing: the addresses of its replicas", table)
+	}
+	for _, a := range addrs {
+		if _, _, err := net.SplitHostPort(a); err != nil {
+			return fmt.Errorf("%s.registry: %.64q is not an address with a port", table, a)
+		}
+	}
+	return nil
+}
+
+// routes reads the addresses that a table has called instead of others.
+func routes(table string, pairs []string) (addressmap.Table, error) {
+	t := make(addressmap.Table, len(pairs))
+	for _, r := range pairs {
+		from, to, _ := strings.Cut(r, "=")
+		t[from] = to
+	}
+	if err := t.Check(); err != nil {
+		return nil, fmt.Errorf("%s.routes: %w", table, err)
+	}
+	return t, nil
+}
+
+// adviceConfig names where the fleet's word on an overload comes from.
+type adviceConfig struct {
+	FileOverload
+	routes addressmap.Table
+}
+
+func (c *adviceConfig) check() (err error) {
+	if c.Fleet == "" {
+		return errors.New("overload.fleet is missing: the fleet's name, as the keepers have it")
+	}
+	if err := registry.CheckName("overload.fleet", c.Fleet); err != nil {
+		return err
+	}
+	if err := replicas("overload", c.Registry); err != nil {
+		return err
+	}
+	c.routes, err = routes("overload", c.Routes)
+	return err
+}
--- a/internal/sidecar/governor.go
+++ b/internal/sidecar/governor.go
@@ -7,16 +7,13 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"net"
 	"os"
 	"path/filepath"
 	"slices"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"barleywick/internal/addressmap"
 	"barleywick/internal/lease"
 	"barleywick/internal/registry"
 	"barleywick/internal/registry/client"
@@ -24,15 +21,7 @@
 	"barleywick/policy"
 )
 
-// policyConfig names the registry that the fleet's policy comes from.
-type policyConfig struct {
-	FilePolicy
-	routes addressmap.Table
-}
-
 const (
-	defaultSeatLease = 5 * time.Second
-	leastSeatLease   = time.Second
 	// policyCallIn is for one call, an election's length included.
 	policyCallIn = 5 * time.Second
 	policyWatch  = 4 * time.Second
@@ -46,49 +35,6 @@
 	noPolicyRetryAfter = time.Second
 )
 
-func (c *policyConfig) check() error {
-	if err := replicas("policy", c.Registry); err != nil {
-		return err
-	}
-	if c.LeaseMS == 0 {
-		c.LeaseMS = defaultSeatLease.Milliseconds()
-	}
-	if c.LeaseMS < leastSeatLease.Milliseconds() {
-		return fmt.Errorf("policy.lease_ms is %d, at least %d is needed", c.LeaseMS, leastSeatLease.Milliseconds())
-	}
-	var err error
-	if c.routes, err = routes("policy", c.Routes); err != nil {
-		return err
-	}
-	return nil
-}
-
-// replicas checks the addresses of the registry that a table names.
-func replicas(table string, addrs []string) error {
-	if len(addrs) == 0 {
-		return fmt.Errorf("%s.registry is missing: the addresses of its replicas", table)
-	}
-	for _, a := range addrs {
-		if _, _, err := net.SplitHostPort(a); err != nil {
-			return fmt.Errorf("%s.registry: %.64q is not an address with a port", table, a)
-		}
-	}
-	return nil
-}
-
-// routes reads the addresses that a table has called instead of others.
-func routes(table string, pairs []string) (addressmap.Table, error) {
-	t := make(addressmap.Table, len(pairs))
-	for _, r := range pairs {
-		from, to, _ := strings.Cut(r, "=")
-		t[from] = to
-	}
-	if err := t.Check(); err != nil {
-		return nil, fmt.Errorf("%s.routes: %w", table, err)
-	}
-	return t, nil
-}
-
 // policyFollower keeps a sidecar to the fleet's policy: it holds the sidecar's seat, puts in
 // force what is to be acted by, and says so. What the sidecar's own file says stays the
 // most that it may: the stricter of both counts.
@@ -486,19 +432,3 @@
 		return ctx.Err()
 	}
 }
-
-// under are the limits that a policy leaves of those that are configured.
-func (c connectionLimits) under(d *rollout.Document) connectionLimits {
-	if d != nil && d.MaxClientConnections > 0 {
-		k := &c.Clients
-		k.Total = min(k.Total, d.MaxClientConnections)
-		k.PerAddress, k.HalfOpen, k.Idle = min(k.PerAddress, k.Total), min(k.HalfOpen, k.Total), min(k.Idle, k.Total)
-	}
-	if d != nil && d.MaxServerConnections > 0 {
-		s := &c.Servers
-		s.Total = min(s.Total, d.MaxServerConnections)
-		s.PerServer, s.Handshakes = min(s.PerServer, s.Total), min(s.Handshakes, s.Total)
-		s.HandshakesPerServer = min(s.HandshakesPerServer, s.PerServer, s.Handshakes)
-	}
-	return c
-}
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -7,6 +7,7 @@
 	"fmt"
 
 	"barleywick/internal/admission"
+	"barleywick/internal/rollout"
 )
 
 const (
@@ -181,3 +182,19 @@
 	}
 	return said, nil
 }
+
+// under are the limits that a policy leaves of those that are configured.
+func (c connectionLimits) under(d *rollout.Document) connectionLimits {
+	if d != nil && d.MaxClientConnections > 0 {
+		k := &c.Clients
+		k.Total = min(k.Total, d.MaxClientConnections)
+		k.PerAddress, k.HalfOpen, k.Idle = min(k.PerAddress, k.Total), min(k.HalfOpen, k.Total), min(k.Idle, k.Total)
+	}
+	if d != nil && d.MaxServerConnections > 0 {
+		s := &c.Servers
+		s.Total = min(s.Total, d.MaxServerConnections)
+		s.PerServer, s.Handshakes = min(s.PerServer, s.Total), min(s.Handshakes, s.Total)
+		s.HandshakesPerServer = min(s.HandshakesPerServer, s.PerServer, s.Handshakes)
+	}
+	return c
+}
