--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -41,18 +41,16 @@
 	Classes     []string
 	Tenants     []string // empty: there is one, and requests need not name it
 	Zones       []string
-	LoadFields  settings.LoadColumns      // the names in a load report
-	DialTimeout time.Duration             // a connection not made by then never comes
-	ConnIdle    time.Duration             // upstreams close a connection that was idle this long
-	Connections connectionLimits          // how many connections, on both sides
-	Takeover    *takeoverConfig           // how a new process takes this one's place; nil: it does not
-	Govern      *policyConfig             // where the fleet's policy comes from; nil: there is none
-	Advice      *adviceConfig             // where its word on an overload comes from; nil: there is none
-	Membership  *membership.Config        // how it is a member of the fleet; nil: it is none
-	NewMember   func(*Config) FleetMember // what makes it one; nil: nothing here does
-	Log         FileLog                   // how the program's log is written
-	Metrics     FileMetrics               // where metrics are served; nowhere unless it says so
-	Exporter    MetricsExporter           // what is told of them; nil: nothing is measured
+	LoadFields  settings.LoadColumns // the names in a load report
+	DialTimeout time.Duration        // a connection not made by then never comes
+	ConnIdle    time.Duration        // upstreams close a connection that was idle this long
+	Connections connectionLimits     // how many connections, on both sides
+	Takeover    *takeoverConfig      // how a new process takes this one's place; nil: it does not
+	Govern      *policyConfig        // where the fleet's policy comes from; nil: there is none
+	Advice      *adviceConfig        // where its word on an overload comes from; nil: there is none
+	Membership  *membership.Config   // how it is a member of the fleet; nil: it is none
+	Log         FileLog              // how the program's log is written
+	Metrics     FileMetrics          // where metrics are served; nowhere unless it says so
 }
 
 // Limits are the platform's limits on this process.
--- a/internal/sidecar/connections_test.go
+++ b/internal/sidecar/connections_test.go
@@ -197,7 +197,7 @@
 	c.Connections.Clients = testLimits(8)
 	stop, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- serve(stop, nil, c, ln, nil) }()
+	go func() { ended <- serve(stop, nil, c, runOptions{}, ln, nil) }()
 	addr := ln.Addr().String()
 	var clients sync.WaitGroup
 	for _, text := range []string{
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -168,6 +168,8 @@
 	activeConnections func() int
 	admits            func() bool // whether a new request may be taken; nil: any may
 
+	exporter MetricsExporter // is told of each request; nil: nothing is measured
+
 	reportUnresponsive func(host string) // tells the fleet of a server that does not answer; nil: nobody is told
 
 	logOtherCounters func() // logs what else there is to tell with the module's counters; may be nil
--- a/internal/sidecar/meter.go
+++ b/internal/sidecar/meter.go
@@ -128,13 +128,13 @@
 
 // recordEnd tells meter and log of a request's end.
 func (l *eventLoop) recordEnd(r *request, outcome string) {
-	if l.config.Exporter == nil && !l.traceRequests {
+	if l.exporter == nil && !l.traceRequests {
 		return
 	}
 	took := time.Since(r.receivedAt)
 	class, tenant := l.config.Classes[r.class], l.tenantNames()[r.tenant]
-	if l.config.Exporter != nil {
-		l.config.Exporter.RecordRequest(class, tenant, outcome, took)
+	if l.exporter != nil {
+		l.exporter.RecordRequest(class, tenant, outcome, took)
 	}
 	if l.traceRequests {
 		slog.Debug("request ended", "request", r.externalID, "class", class, "tenant", tenant, "outcome", outcome, "attempts", len(r.attempts), "took", took)
@@ -176,7 +176,7 @@
 
 // serveMetrics serves metrics where the configuration names an address for them.
 func serveMetrics(ctx context.Context, c *Config, l *eventLoop, listener *limitedListener, p *pool) (run func(), err error) {
-	if c.Exporter == nil {
+	if l.exporter == nil {
 		return nil, nil
 	}
 	ln, err := net.Listen("tcp", c.Metrics.Listen)
@@ -195,7 +195,7 @@
 		return s, nil
 	}
 	return func() {
-		if err := c.Exporter.Serve(ctx, ln, state); err != nil {
+		if err := l.exporter.Serve(ctx, ln, state); err != nil {
 			slog.Error("metrics", "err", err)
 		}
 	}, nil
--- a/internal/sidecar/meter_test.go
+++ b/internal/sidecar/meter_test.go
@@ -44,8 +44,8 @@
 	})
 	m := &fakeMeter{state: make(chan func(context.Context) (Status, error), 1)}
 	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
-	c.Exporter, c.Metrics.Listen = m, "127.0.0.1:0"
-	addr, stop, ended := startSidecar(t, c)
+	c.Metrics.Listen = "127.0.0.1:0"
+	addr, stop, ended := startSidecar(t, c, WithMetrics(m))
 	state := await(t, "the meter", m.state)
 	for _, id := range []string{"one", "two", "breaks"} {
 		call{class: "once", id: id}.do(t, addr)
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/peers_test.go
@@ -155,22 +155,26 @@
 
 // startSidecar runs a sidecar until the test ends and returns its address and a
 // function that stops it as a planned restart does.
-func startSidecar(t testing.TB, c *Config) (addr string, stop func(), ended <-chan error) {
+func startSidecar(t testing.TB, c *Config, opts ...Option) (addr string, stop func(), ended <-chan error) {
 	t.Helper()
-	return startReloadable(t, c, nil)
+	return startReloadable(t, c, nil, opts...)
 }
 
 // startReloadable does the same for one that reads its configuration again.
-func startReloadable(t testing.TB, c *Config, reload <-chan os.Signal) (addr string, stop func(), ended <-chan error) {
+func startReloadable(t testing.TB, c *Config, reload <-chan os.Signal, opts ...Option) (addr string, stop func(), ended <-chan error) {
 	t.Helper()
 	ln := listenLoopback(t)
 	ctx, cancel := context.WithCancel(context.Background())
+	var o runOptions
+	for _, set := range opts {
+		set(&o)
+	}
 	done := make(chan error, 1)
 	var wg sync.WaitGroup
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		done <- serve(ctx, reload, c, ln, nil)
+		done <- serve(ctx, reload, c, o, ln, nil)
 	}()
 	t.Cleanup(func() {
 		cancel()
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -22,16 +22,37 @@
 
 const sweepEvery = time.Second
 
+// Option adds a part to a sidecar that not every program links, as it takes memory whether the
+// configuration names it or not.
+type Option func(*runOptions)
+
+type runOptions struct {
+	exporter  MetricsExporter
+	newMember func(*Config) FleetMember
+}
+
+// WithMetrics has a sidecar measured, and its metrics served where the configuration says.
+func WithMetrics(e MetricsExporter) Option { return func(o *runOptions) { o.exporter = e } }
+
+// WithMembership says what makes a sidecar a member of the fleet where its configuration asks for it.
+func WithMembership(newMember func(*Config) FleetMember) Option {
+	return func(o *runOptions) { o.newMember = newMember }
+}
+
 // Run listens and serves until stop is done, then finishes what was taken. At
 // each value of reload it reads its configuration again. Where the configuration
 // says how, it takes the place of a process that serves already, and lets another
 // take its own.
-func Run(stop context.Context, reload <-chan os.Signal, c *Config) error {
+func Run(stop context.Context, reload <-chan os.Signal, c *Config, opts ...Option) error {
+	var o runOptions
+	for _, set := range opts {
+		set(&o)
+	}
 	if c.Takeover != nil {
 		old, err := handover.Connect(c.handoverConfig())
 		if err == nil {
 			defer old.Close()
-			return serve(stop, reload, c, old.Listener(), old)
+			return serve(stop, reload, c, o, old.Listener(), old)
 		}
 		if !errors.Is(err, handover.ErrNoPredecessor) {
 			return err
@@ -41,11 +62,11 @@
 	if err != nil {
 		return err
 	}
-	return serve(stop, reload, c, ln, nil)
+	return serve(stop, reload, c, o, ln, nil)
 }
 
 // serve runs a sidecar on a listener, and in the place of an old process if there is one.
-func serve(stop context.Context, reload <-chan os.Signal, c *Config, ln net.Listener, old *handover.Predecessor) error {
+func serve(stop context.Context, reload <-chan os.Signal, c *Config, o runOptions, ln net.Listener, old *handover.Predecessor) error {
 	defer ln.Close()
 	pool := newPool(c.DialTimeout, c.ConnIdle, c.Connections.Servers, c.Seed)
 	defer pool.close()
@@ -58,6 +79,7 @@
 	if err != nil {
 		return err
 	}
+	l.exporter = o.exporter
 	run, end := context.WithCancel(context.Background())
 	var loops sync.WaitGroup
 	defer func() {
@@ -119,10 +141,10 @@
 	}
 	var member FleetMember
 	if c.Membership != nil {
-		if c.NewMember == nil {
+		if o.newMember == nil {
 			return errors.New("membership is set, and this program has none: start barleywick-metered, which has")
 		}
-		member = c.NewMember(c)
+		member = o.newMember(c)
 		l.reportUnresponsive = member.ReportUnresponsive
 	}
 	measure, err := serveMetrics(run, c, l, limited, pool)
--- a/internal/sidecarcmd/command.go
+++ b/internal/sidecarcmd/command.go
@@ -124,14 +124,14 @@
 	}
 	slog.SetDefault(log)
 	fit(c.Limits)
+	options := []sidecar.Option{sidecar.WithMembership(parts.Enlist)}
 	if c.Metrics.Listen != "" {
 		if parts.Meter == nil {
 			return errors.New("metrics.listen is set, and this program serves none: start sidecar-metrics, which does")
 		}
-		c.Exporter = parts.Meter()
+		options = append(options, sidecar.WithMetrics(parts.Meter()))
 	}
-	c.NewMember = parts.Enlist
-	return sidecar.Run(stop, reload, c)
+	return sidecar.Run(stop, reload, c, options...)
 }
 
 // fit keeps the runtime within the platform's limits. The heap is small, so it
--- a/internal/testing/integration/harness_test.go
+++ b/internal/testing/integration/harness_test.go
@@ -71,8 +71,7 @@
 	if err != nil {
 		return err
 	}
-	c.NewMember = sidecarmember.New
-	return sidecar.Run(stop, reload, c)
+	return sidecar.Run(stop, reload, c, sidecar.WithMembership(sidecarmember.New))
 }
 
 // process is one process under test.
