--- a/internal/lease/member.go
+++ b/internal/lease/member.go
@@ -29,8 +29,8 @@
 const (
 	// watchWait is how long one call for news of the leases waits.
 	watchWait = 4 * time.Second
-	// releaseIn is how long a release may take: it only spares the next holder a wait.
-	releaseIn = 2 * time.Second
+	// releaseTimeout is how long a release may take: it only spares the next holder a wait.
+	releaseTimeout = 2 * time.Second
 )
 
 // Options are what a Member needs.
@@ -56,10 +56,10 @@
 // is claimed. It is safe for concurrent use.
 type Manager struct {
 	Options
-	kick chan struct{}
+	wakeup chan struct{}
 
-	mu  sync.Mutex
-	all map[string]*Handle // by the claim's id
+	mu      sync.Mutex
+	handles map[string]*Handle // by the claim's id
 
 	grants, lapses atomic.Uint64
 }
@@ -69,7 +69,7 @@
 	if o.Clock == nil {
 		o.Clock = BootTime
 	}
-	return &Manager{Options: o, kick: make(chan struct{}, 1), all: make(map[string]*Handle)}
+	return &Manager{Options: o, wakeup: make(chan struct{}, 1), handles: make(map[string]*Handle)}
 }
 
 // Counts returns how often a lease was granted to it and has lapsed.
@@ -77,40 +77,40 @@
 
 // Handle is a task's view of the lease that it runs under.
 type Handle struct {
-	m       *Manager
-	tenure  Session // under the member's lock
+	manager *Manager
+	session Session // under the member's lock
 	changed chan struct{}
 }
 
 // LeaseName is the lease's.
-func (t *Handle) LeaseName() string { return t.tenure.LeaseName }
+func (t *Handle) LeaseName() string { return t.session.LeaseName }
 
 // TTL is the lease's time to live.
-func (t *Handle) TTL() time.Duration { return t.tenure.TTL }
+func (t *Handle) TTL() time.Duration { return t.session.TTL }
 
 // Token is the fencing token of the grant.
 func (t *Handle) Token() uint64 {
-	t.m.mu.Lock()
-	defer t.m.mu.Unlock()
-	return t.tenure.Token()
+	t.manager.mu.Lock()
+	defer t.manager.mu.Unlock()
+	return t.session.Token()
 }
 
 // Fence makes a write conditional on the grant.
 func (t *Handle) Fence() *registry.Fence {
-	return &registry.Fence{Lease: t.tenure.LeaseName, Token: t.Token()}
+	return &registry.Fence{Lease: t.session.LeaseName, Token: t.Token()}
 }
 
 // BeginAct begins one act: it is refused unless the lease is held and lasts for as long as
 // the act may take, and gets a context that ends before the lease does. To be called
 // right before each act: a process may have been stopped since the last one.
 func (t *Handle) BeginAct(ctx context.Context, takes time.Duration) (context.Context, context.CancelFunc, error) {
-	t.m.mu.Lock()
-	defer t.m.mu.Unlock()
-	now := t.m.Clock()
-	if err := t.tenure.CheckAct(now, takes); err != nil {
+	t.manager.mu.Lock()
+	defer t.manager.mu.Unlock()
+	now := t.manager.Clock()
+	if err := t.session.CheckAct(now, takes); err != nil {
 		return nil, nil, err
 	}
-	in, cancel := context.WithTimeoutCause(ctx, t.tenure.Deadline()-now, ErrLapsed)
+	in, cancel := context.WithTimeoutCause(ctx, t.session.Deadline()-now, ErrLapsed)
 	return in, cancel, nil
 }
 
@@ -130,11 +130,11 @@
 	watch.Go(func() { m.watch(ctx) })
 	defer watch.Wait()
 	for ctx.Err() == nil {
-		m.renew(ctx)
-		pause := m.TTL / renewals
+		m.renewClaims(ctx)
+		pause := m.TTL / renewalsPerTTL
 		select {
 		case <-time.After(pause*3/4 + mathrand.N(pause/2)):
-		case <-m.kick:
+		case <-m.wakeup:
 		case <-ctx.Done():
 		}
 	}
@@ -150,13 +150,13 @@
 		cancel()
 		if err != nil {
 			select {
-			case <-time.After(m.TTL / renewals):
+			case <-time.After(m.TTL / renewalsPerTTL):
 			case <-ctx.Done():
 			}
 			after = 0 // whoever answers next may be behind
 			continue
 		}
-		if after = news.Version; m.learn(news) {
+		if after = news.Version; m.needsRenewal(news) {
 			m.wake()
 		}
 		if m.OnChange != nil {
@@ -165,13 +165,13 @@
 	}
 }
 
-// learn says whether the news make a renewal worth while.
-func (m *Manager) learn(news registry.LeasesResponse) bool {
+// needsRenewal says whether the news make a renewal worth while.
+func (m *Manager) needsRenewal(news registry.LeasesResponse) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, l := range news.Leases {
 		if g := l.Grant; g != nil {
-			if t := m.all[g.ID]; t != nil && (t.tenure.Token() == 0 || l.YieldRequested) {
+			if t := m.handles[g.ID]; t != nil && (t.session.Token() == 0 || l.YieldRequested) {
 				return true
 			}
 		}
@@ -181,17 +181,17 @@
 
 func (m *Manager) wake() {
 	select {
-	case m.kick <- struct{}{}:
+	case m.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// renew gives a sign of life for all claims.
-func (m *Manager) renew(ctx context.Context) {
+// renewClaims gives a sign of life for all claims.
+func (m *Manager) renewClaims(ctx context.Context) {
 	m.mu.Lock()
-	claims := make([]registry.ClaimRef, 0, len(m.all))
-	for id, t := range m.all {
-		claims = append(claims, registry.ClaimRef{Lease: t.tenure.LeaseName, ClaimID: id})
+	claims := make([]registry.ClaimRef, 0, len(m.handles))
+	for id, t := range m.handles {
+		claims = append(claims, registry.ClaimRef{Lease: t.session.LeaseName, ClaimID: id})
 	}
 	m.mu.Unlock()
 	slices.SortFunc(claims, func(a, b registry.ClaimRef) int { return cmp.Compare(a.ClaimID, b.ClaimID) })
@@ -209,17 +209,17 @@
 		m.mu.Lock()
 		now := m.Clock()
 		for _, c := range a.Claims {
-			if t := m.all[c.ClaimID]; t != nil && t.tenure.LeaseName == c.Lease {
-				t.tenure.Renewed(c, sent, now)
-				t.note()
+			if t := m.handles[c.ClaimID]; t != nil && t.session.LeaseName == c.Lease {
+				t.session.Renewed(c, sent, now)
+				t.notifyChanged()
 			}
 		}
 		m.mu.Unlock()
 	}
 }
 
-// note tells whoever waits on the term. The lock is held.
-func (t *Handle) note() {
+// notifyChanged tells whoever waits on the term. The lock is held.
+func (t *Handle) notifyChanged() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
@@ -228,9 +228,9 @@
 // returns nil. The task's context ends with the lease; a new claim begins only when
 // the task has returned.
 func (m *Manager) Hold(ctx context.Context, name string, task func(ctx context.Context, t *Handle) error) error {
-	pause := m.TTL / renewals
+	pause := m.TTL / renewalsPerTTL
 	for {
-		held, err := m.once(ctx, name, task)
+		held, err := m.holdOnce(ctx, name, task)
 		switch {
 		case ctx.Err() != nil:
 			return ctx.Err()
@@ -249,46 +249,46 @@
 	}
 }
 
-// once is one claim, from its asking to its end.
-func (m *Manager) once(ctx context.Context, name string, task func(ctx context.Context, t *Handle) error) (held bool, err error) {
-	t := &Handle{m: m, changed: make(chan struct{})}
-	t.tenure = Session{LeaseName: name, ClaimID: rand.Text(), Holder: m.Holder, TTL: m.TTL}
+// holdOnce is one claim, from its asking to its end.
+func (m *Manager) holdOnce(ctx context.Context, name string, task func(ctx context.Context, t *Handle) error) (held bool, err error) {
+	t := &Handle{manager: m, changed: make(chan struct{})}
+	t.session = Session{LeaseName: name, ClaimID: rand.Text(), Holder: m.Holder, TTL: m.TTL}
 	m.mu.Lock()
-	t.tenure.AcquireSent(m.Clock())
+	t.session.AcquireSent(m.Clock())
 	m.mu.Unlock()
 	defer m.release(ctx, t)
 	in, cancel := context.WithTimeout(ctx, m.TTL)
 	a, err := m.Registry.Acquire(in, name, registry.AcquireRequest{
-		Claim: registry.Claim{ID: t.tenure.ClaimID, Holder: m.Holder, TTLMS: m.TTL.Milliseconds()}, Wait: true,
+		Claim: registry.Claim{ID: t.session.ClaimID, Holder: m.Holder, TTLMS: m.TTL.Milliseconds()}, Wait: true,
 	})
 	cancel()
 	if err != nil {
 		return false, err
 	}
 	m.mu.Lock()
-	m.all[t.tenure.ClaimID] = t
-	t.tenure.Acquired(a, m.Clock())
+	m.handles[t.session.ClaimID] = t
+	t.session.Acquired(a, m.Clock())
 	m.mu.Unlock()
-	if err := t.await(ctx); err != nil {
+	if err := t.awaitGrant(ctx); err != nil {
 		return false, err
 	}
-	return true, t.run(ctx, task)
+	return true, t.runTask(ctx, task)
 }
 
-// look tells how the term stands, and what to wait for.
-func (t *Handle) look() (held, over, leave bool, left time.Duration, changed <-chan struct{}) {
-	t.m.mu.Lock()
-	defer t.m.mu.Unlock()
-	now := t.m.Clock()
-	held, over = t.tenure.Held(now), t.tenure.Ended(now)
-	_, leave = t.tenure.YieldRequested()
-	return held, over, leave, t.tenure.Deadline() - now, t.changed
+// status tells how the term stands, and what to wait for.
+func (t *Handle) status() (held, over, leave bool, left time.Duration, changed <-chan struct{}) {
+	t.manager.mu.Lock()
+	defer t.manager.mu.Unlock()
+	now := t.manager.Clock()
+	held, over = t.session.Held(now), t.session.Ended(now)
+	_, leave = t.session.YieldRequested()
+	return held, over, leave, t.session.Deadline() - now, t.changed
 }
 
-// await waits in the line.
-func (t *Handle) await(ctx context.Context) error {
+// awaitGrant waits in the line.
+func (t *Handle) awaitGrant(ctx context.Context) error {
 	for {
-		held, over, _, _, changed := t.look()
+		held, over, _, _, changed := t.status()
 		switch {
 		case held:
 			return nil
@@ -303,9 +303,9 @@
 	}
 }
 
-// run runs the task until it returns; its context ends when the lease does.
-func (t *Handle) run(ctx context.Context, task func(ctx context.Context, t *Handle) error) error {
-	m := t.m
+// runTask runs the task until it returns; its context ends when the lease does.
+func (t *Handle) runTask(ctx context.Context, task func(ctx context.Context, t *Handle) error) error {
+	m := t.manager
 	m.grants.Add(1)
 	log := slog.With("lease", t.LeaseName(), "holder", m.Holder.Name, "token", t.Token())
 	log.Info("lease: held")
@@ -314,7 +314,7 @@
 	done := make(chan error, 1)
 	go func() { done <- task(in, t) }() // waited for below
 	for {
-		_, over, leave, left, changed := t.look()
+		_, over, leave, left, changed := t.status()
 		switch {
 		case over:
 			m.lapses.Add(1)
@@ -326,7 +326,7 @@
 			log.Info("lease: asked to give it up")
 			end(context.Canceled)
 			<-done
-			return errAsked
+			return errYieldRequested
 		}
 		select {
 		case err := <-done:
@@ -338,40 +338,40 @@
 	}
 }
 
-var errAsked = errors.New("the lease was asked for")
+var errYieldRequested = errors.New("the lease was asked for")
 
 // release ends the claim when its task has returned.
 func (m *Manager) release(ctx context.Context, t *Handle) {
 	m.mu.Lock()
-	delete(m.all, t.tenure.ClaimID)
-	t.tenure.Resign()
-	to, _ := t.tenure.YieldRequested()
+	delete(m.handles, t.session.ClaimID)
+	t.session.Resign()
+	to, _ := t.session.YieldRequested()
 	m.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseIn)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer cancel()
-	r := registry.ReleaseRequest{ClaimID: t.tenure.ClaimID, Holder: m.Holder, NextHolder: to}
-	err := m.Registry.Release(ctx, t.tenure.LeaseName, r)
+	r := registry.ReleaseRequest{ClaimID: t.session.ClaimID, Holder: m.Holder, NextHolder: to}
+	err := m.Registry.Release(ctx, t.session.LeaseName, r)
 	if to != "" && errors.Is(err, registry.ErrNotFound) { // it has gone meanwhile: whoever waits longest has it next
 		r.NextHolder = ""
-		err = m.Registry.Release(ctx, t.tenure.LeaseName, r)
+		err = m.Registry.Release(ctx, t.session.LeaseName, r)
 	}
 	if err != nil && !errors.Is(err, registry.ErrNotFound) {
-		slog.Debug("lease: not released, its time will be up", "lease", t.tenure.LeaseName, "err", err)
+		slog.Debug("lease: not released, its time will be up", "lease", t.session.LeaseName, "err", err)
 	}
 }
 
 // Held says whether the lease is held at this moment.
 func (t *Handle) Held() bool {
-	t.m.mu.Lock()
-	defer t.m.mu.Unlock()
-	return t.tenure.Held(t.m.Clock())
+	t.manager.mu.Lock()
+	defer t.manager.mu.Unlock()
+	return t.session.Held(t.manager.Clock())
 }
 
 // HandOver asks the term's own task to end, and for the lease to go to another who
 // waits for it.
 func (t *Handle) HandOver(to string) {
-	t.m.mu.Lock()
-	defer t.m.mu.Unlock()
-	t.tenure.RequestYield(to)
-	t.note()
+	t.manager.mu.Lock()
+	defer t.manager.mu.Unlock()
+	t.session.RequestYield(to)
+	t.notifyChanged()
 }
--- a/internal/lease/member_test.go
+++ b/internal/lease/member_test.go
@@ -13,35 +13,35 @@
 	"barleywick/internal/registry"
 )
 
-// group is a registry of one replica without a network: the real state machine and
+// fakeRegistry is a registry of one replica without a network: the real state machine and
 // the real count of a leader, on the bubble's clock.
-type group struct {
+type fakeRegistry struct {
 	mu    sync.Mutex
 	state *registry.State
 	clock *registry.ClaimTracker
-	cut   map[string]string // by holder: "out" loses calls, "back" loses answers
+	lost  map[string]string // by holder: "out" loses calls, "back" loses answers
 }
 
 const ttl = 6 * time.Second
 
-var errCut = errors.New("cut off")
+var errLost = errors.New("cut off")
 
-func newGroup(t *testing.T) *group {
+func newFakeRegistry(t *testing.T) *fakeRegistry {
 	t.Helper()
-	g := &group{state: registry.NewState(), clock: registry.NewClaimTracker(ttl), cut: make(map[string]string)}
+	g := &fakeRegistry{state: registry.NewState(), clock: registry.NewClaimTracker(ttl), lost: make(map[string]string)}
 	g.apply(registry.Command{Op: registry.OpFoundGroup, Group: "g", AtMS: 1_700_000_000_000})
 	g.apply(registry.Command{Op: registry.OpOpenGrants, Lease: new(registry.LeaseCommand)})
 	return g
 }
 
-func (g *group) apply(c registry.Command) registry.Result {
+func (g *fakeRegistry) apply(c registry.Command) registry.Result {
 	r := g.state.Apply(c)
 	g.clock.Sync(g.state.Leases(), time.Now())
 	return r
 }
 
-// lead ends what is due, as a leader does.
-func (g *group) lead(ctx context.Context) {
+// endExpired ends what is due, as a leader does.
+func (g *fakeRegistry) endExpired(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -56,9 +56,9 @@
 }
 
 // call carries a holder's call out, unless it or its answer is lost.
-func (g *group) call(ctx context.Context, holder string, do func() error) error {
+func (g *fakeRegistry) call(ctx context.Context, holder string, do func() error) error {
 	g.mu.Lock()
-	lost := g.cut[holder]
+	lost := g.lost[holder]
 	var err error
 	if lost != "out" {
 		err = do()
@@ -66,18 +66,18 @@
 	g.mu.Unlock()
 	if lost != "" {
 		<-ctx.Done()
-		return errCut
+		return errLost
 	}
 	return err
 }
 
-func (g *group) sever(holder, how string) {
+func (g *fakeRegistry) setLost(holder, how string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.cut[holder] = how
+	g.lost[holder] = how
 }
 
-func (g *group) Acquire(ctx context.Context, name string, r registry.AcquireRequest) (a registry.ClaimStatus, err error) {
+func (g *fakeRegistry) Acquire(ctx context.Context, name string, r registry.AcquireRequest) (a registry.ClaimStatus, err error) {
 	err = g.call(ctx, r.Name, func() error {
 		got := g.apply(registry.Command{Op: registry.OpAcquireLease, Lease: &registry.LeaseCommand{Name: name, Claim: r.Claim, Wait: r.Wait}})
 		a = registry.ClaimStatus{Lease: name, ClaimID: r.ID, Token: got.Token, QueuePosition: got.QueuePosition}
@@ -86,7 +86,7 @@
 	return a, err
 }
 
-func (g *group) RenewClaims(ctx context.Context, r registry.RenewClaimsRequest) (a registry.RenewClaimsResponse, err error) {
+func (g *fakeRegistry) RenewClaims(ctx context.Context, r registry.RenewClaimsRequest) (a registry.RenewClaimsResponse, err error) {
 	err = g.call(ctx, r.Name, func() error {
 		a.Claims = g.clock.RenewClaims(g.state.Leases(), r.Holder, r.Claims, time.Now())
 		return nil
@@ -94,13 +94,13 @@
 	return a, err
 }
 
-func (g *group) Release(ctx context.Context, name string, r registry.ReleaseRequest) error {
+func (g *fakeRegistry) Release(ctx context.Context, name string, r registry.ReleaseRequest) error {
 	return g.call(ctx, r.Name, func() error {
 		return g.apply(registry.Command{Op: registry.OpReleaseLease, Lease: &registry.LeaseCommand{Name: name, Claim: registry.Claim{ID: r.ClaimID, Holder: r.Holder}, NextHolder: r.NextHolder}}).Err
 	})
 }
 
-func (g *group) Leases(ctx context.Context, after uint64, wait time.Duration) (registry.LeasesResponse, error) {
+func (g *fakeRegistry) Leases(ctx context.Context, after uint64, wait time.Duration) (registry.LeasesResponse, error) {
 	until := time.Now().Add(wait)
 	for {
 		g.mu.Lock()
@@ -117,34 +117,34 @@
 	}
 }
 
-// bench runs members in a bubble and notes who holds when.
-type bench struct {
-	g     *group
-	ctx   context.Context
-	tasks sync.WaitGroup
+// harness runs members in a bubble and notes who holds when.
+type harness struct {
+	registry *fakeRegistry
+	ctx      context.Context
+	tasks    sync.WaitGroup
 
-	mu   sync.Mutex
-	held []span
+	mu    sync.Mutex
+	holds []holdSpan
 }
 
-type span struct {
+type holdSpan struct {
 	holder     string
 	token      uint64
 	begin, end time.Time
 }
 
-func run(t *testing.T, f func(b *bench)) {
+func run(t *testing.T, f func(b *harness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, end := context.WithCancel(t.Context())
-		b := &bench{g: newGroup(t), ctx: ctx}
-		b.tasks.Go(func() { b.g.lead(ctx) })
+		b := &harness{registry: newFakeRegistry(t), ctx: ctx}
+		b.tasks.Go(func() { b.registry.endExpired(ctx) })
 		f(b)
 		end()
 		b.tasks.Wait()
-		slices.SortFunc(b.held, func(a, c span) int { return a.begin.Compare(c.begin) })
-		for i := 1; i < len(b.held); i++ {
-			if was, is := b.held[i-1], b.held[i]; is.begin.Before(was.end) || is.token <= was.token {
+		slices.SortFunc(b.holds, func(a, c holdSpan) int { return a.begin.Compare(c.begin) })
+		for i := 1; i < len(b.holds); i++ {
+			if was, is := b.holds[i-1], b.holds[i]; is.begin.Before(was.end) || is.token <= was.token {
 				t.Errorf("%+v overlaps %+v", is, was)
 			}
 		}
@@ -153,23 +153,23 @@
 
 // join starts a member that acts for as long as it holds the lease; its clock begins
 // when the bubble's does.
-func (b *bench) join(holder string) (leave context.CancelFunc) {
+func (b *harness) join(holder string) (leave context.CancelFunc) {
 	ctx, cancel := context.WithCancel(b.ctx)
 	began := time.Now()
 	m := NewManager(Options{
-		Registry: b.g, TTL: ttl, Holder: registry.Holder{Name: holder, Incarnation: 1}, Clock: func() time.Duration { return time.Since(began) },
+		Registry: b.registry, TTL: ttl, Holder: registry.Holder{Name: holder, Incarnation: 1}, Clock: func() time.Duration { return time.Since(began) },
 	})
 	over := make(chan struct{})
 	b.tasks.Go(func() { m.Run(b.ctx) })
 	b.tasks.Go(func() {
 		defer close(over)
 		m.Hold(ctx, "l", func(ctx context.Context, term *Handle) error {
-			s := span{holder: holder, token: term.Token(), begin: time.Now()}
+			s := holdSpan{holder: holder, token: term.Token(), begin: time.Now()}
 			<-ctx.Done()
 			s.end = time.Now()
 			b.mu.Lock()
 			defer b.mu.Unlock()
-			b.held = append(b.held, s)
+			b.holds = append(b.holds, s)
 			return ctx.Err()
 		})
 	})
@@ -180,10 +180,10 @@
 }
 
 // holder is whose the lease is by the registry.
-func (b *bench) holder() string {
-	b.g.mu.Lock()
-	defer b.g.mu.Unlock()
-	l, _ := b.g.state.Leases().Lease("l")
+func (b *harness) holder() string {
+	b.registry.mu.Lock()
+	defer b.registry.mu.Unlock()
+	l, _ := b.registry.state.Leases().Lease("l")
 	if l.Grant == nil {
 		return ""
 	}
@@ -191,7 +191,7 @@
 }
 
 func TestHandOver(t *testing.T) {
-	run(t, func(b *bench) {
+	run(t, func(b *harness) {
 		leave := b.join("k1")
 		time.Sleep(time.Second)
 		b.join("k2")
@@ -206,9 +206,9 @@
 			t.Errorf("%q holds the lease when k1 has left", got)
 		}
 		time.Sleep(time.Second)
-		b.g.mu.Lock()
-		b.g.apply(registry.Command{Op: registry.OpRequestYield, Lease: &registry.LeaseCommand{Name: "l", Yield: true, NextHolder: "k3"}})
-		b.g.mu.Unlock()
+		b.registry.mu.Lock()
+		b.registry.apply(registry.Command{Op: registry.OpRequestYield, Lease: &registry.LeaseCommand{Name: "l", Yield: true, NextHolder: "k3"}})
+		b.registry.mu.Unlock()
 		time.Sleep(time.Second)
 		if got := b.holder(); got != "k3" {
 			t.Errorf("%q holds the lease when k2 was asked to hand over to k3", got)
@@ -222,12 +222,12 @@
 func TestCutOff(t *testing.T) {
 	for _, how := range []string{"out", "back"} {
 		t.Run(how, func(t *testing.T) {
-			run(t, func(b *bench) {
+			run(t, func(b *harness) {
 				b.join("k1")
 				time.Sleep(time.Second)
 				b.join("k2")
 				time.Sleep(ttl)
-				b.g.sever("k1", how)
+				b.registry.setLost("k1", how)
 				cut := time.Now()
 				for b.holder() != "k2" {
 					time.Sleep(10 * time.Millisecond)
@@ -240,7 +240,7 @@
 				if took := time.Since(cut); took > 2*ttl {
 					t.Errorf("it took %v", took)
 				}
-				b.g.sever("k1", "")
+				b.registry.setLost("k1", "")
 				time.Sleep(2 * ttl)
 			})
 		})
@@ -248,10 +248,10 @@
 }
 
 func TestActs(t *testing.T) {
-	run(t, func(b *bench) {
+	run(t, func(b *harness) {
 		began := time.Now()
 		var stopped atomic.Int64
-		m := NewManager(Options{Registry: b.g, TTL: ttl, Holder: registry.Holder{Name: "k1"}, Clock: func() time.Duration { return time.Since(began) + time.Duration(stopped.Load()) }})
+		m := NewManager(Options{Registry: b.registry, TTL: ttl, Holder: registry.Holder{Name: "k1"}, Clock: func() time.Duration { return time.Since(began) + time.Duration(stopped.Load()) }})
 		b.tasks.Go(func() { m.Run(b.ctx) })
 		err := m.Hold(b.ctx, "l", func(ctx context.Context, term *Handle) error {
 			if stopped.Load() > 0 {
--- a/internal/lease/model/model_test.go
+++ b/internal/lease/model/model_test.go
@@ -9,18 +9,18 @@
 // long is set for the modes that take minutes; the README names the command.
 var long = os.Getenv("BARLEYWICK_LONG") != ""
 
-// small are the worlds that are searched through. A time to live of two ticks is the
+// searchSetups are the worlds that are searched through. A time to live of two ticks is the
 // least in which a holder can act at two moments and lose its lease between two more.
-var small = map[string]Setup{
-	"two holders": {Holders: 2, Leases: 1, TTL: 2 * time.Second, Tick: time.Second, Messages: 3, Copies: 1, Losses: 1, Leaders: 1, Ends: 5 * time.Second},
+var searchSetups = map[string]Setup{
+	"two holders": {Holders: 2, Leases: 1, TTL: 2 * time.Second, Tick: time.Second, MaxInFlight: 3, MaxDuplicates: 1, MaxLosses: 1, MaxElections: 1, EndTime: 5 * time.Second},
 	"clocks a tenth apart": {
-		Holders: 2, Leases: 1, TTL: 2 * time.Second, Tick: time.Second, Messages: 2, Leaders: 1, Ends: 5 * time.Second, Rates: []int64{900, 1000, 1000},
+		Holders: 2, Leases: 1, TTL: 2 * time.Second, Tick: time.Second, MaxInFlight: 2, MaxElections: 1, EndTime: 5 * time.Second, ClockRates: []int64{900, 1000, 1000},
 	},
-	"namesakes":     {Holders: 2, Leases: 1, TTL: 2 * time.Second, Tick: time.Second, Messages: 3, Ends: 4 * time.Second, Namesakes: true},
-	"an old backup": {Holders: 2, Leases: 1, TTL: 2 * time.Second, Tick: time.Second, Messages: 2, Restores: 1, Ends: 4 * time.Second},
+	"namesakes":     {Holders: 2, Leases: 1, TTL: 2 * time.Second, Tick: time.Second, MaxInFlight: 3, EndTime: 4 * time.Second, SharedName: true},
+	"an old backup": {Holders: 2, Leases: 1, TTL: 2 * time.Second, Tick: time.Second, MaxInFlight: 2, MaxRestores: 1, EndTime: 4 * time.Second},
 	// No time passes here, so that orders of calls can be followed further.
-	"late calls":     {Holders: 2, Leases: 1, TTL: 2 * time.Second, Tick: time.Second, Messages: 3, Copies: 1},
-	"killed holders": {Holders: 2, Leases: 1, TTL: 2 * time.Second, Tick: time.Second, Messages: 2, Restarts: 2, Leaders: 1, Ends: 5 * time.Second},
+	"late calls":     {Holders: 2, Leases: 1, TTL: 2 * time.Second, Tick: time.Second, MaxInFlight: 3, MaxDuplicates: 1},
+	"killed holders": {Holders: 2, Leases: 1, TTL: 2 * time.Second, Tick: time.Second, MaxInFlight: 2, MaxRestarts: 2, MaxElections: 1, EndTime: 5 * time.Second},
 }
 
 // Level (a): every order of events to a depth.
@@ -29,7 +29,7 @@
 	if long {
 		depth, most = 40, 3_000_000
 	}
-	for name, s := range small {
+	for name, s := range searchSetups {
 		t.Run(name, func(t *testing.T) {
 			states, full, seen, found := Search(s, depth, most)
 			if found != nil {
@@ -52,8 +52,8 @@
 	var all Counts
 	for seed := range uint64(walks) {
 		s := Setup{
-			Holders: 4, Leases: 2, TTL: 8 * time.Second, Tick: 700 * time.Millisecond, Messages: 10, Copies: 1000, Losses: 1000, Leaders: 4, Restarts: 4,
-			Restores: int(seed % 2), Ends: time.Hour, Namesakes: seed%3 == 0,
+			Holders: 4, Leases: 2, TTL: 8 * time.Second, Tick: 700 * time.Millisecond, MaxInFlight: 10, MaxDuplicates: 1000, MaxLosses: 1000, MaxElections: 4, MaxRestarts: 4,
+			MaxRestores: int(seed % 2), EndTime: time.Hour, SharedName: seed%3 == 0,
 		}
 		seen, found := Walk(s, seed, 400)
 		if found != nil {
--- a/internal/rollout/document.go
+++ b/internal/rollout/document.go
@@ -36,7 +36,7 @@
 	MaxClientConnections int `json:"client_connections,omitempty" toml:"client_connections"`
 	MaxServerConnections int `json:"server_connections,omitempty" toml:"server_connections"`
 
-	unknown string // what this build does not know of it
+	unknownField string // what this build does not know of it
 }
 
 // Tenant is one tenant's walls at each sidecar.
@@ -47,27 +47,27 @@
 }
 
 const (
-	form        = 1
-	maxTenants  = 256
-	maxSlots    = 1 << 16
-	maxTries    = 16
-	maxName     = 128
-	maxDocument = 32 << 10
+	formatVersion = 1
+	maxTenants    = 256
+	maxSlots      = 1 << 16
+	maxAttempts   = 16
+	maxName       = 128
+	maxDocument   = 32 << 10
 )
 
 // Check returns an error that begins with the first field that cannot be.
 func (d *Document) Check() error {
 	switch {
-	case d.unknown != "":
-		return fmt.Errorf("%s: this build does not know it", d.unknown)
-	case d.FormatVersion != form:
-		return fmt.Errorf("form is %d, this build knows %d", d.FormatVersion, form)
+	case d.unknownField != "":
+		return fmt.Errorf("%s: this build does not know it", d.unknownField)
+	case d.FormatVersion != formatVersion:
+		return fmt.Errorf("form is %d, this build knows %d", d.FormatVersion, formatVersion)
 	case d.Mode != ModeCarry && d.Mode != ModeRefuse:
 		return fmt.Errorf("mode is %.32q; there are carry and refuse", d.Mode)
 	case len(d.Tenants) == 0 || len(d.Tenants) > maxTenants:
 		return fmt.Errorf("tenants: %d are named, 1 to %d are needed", len(d.Tenants), maxTenants)
-	case d.MaxAttempts < 0 || d.MaxAttempts > maxTries:
-		return fmt.Errorf("most_tries is %d, it must lie between 0 and %d", d.MaxAttempts, maxTries)
+	case d.MaxAttempts < 0 || d.MaxAttempts > maxAttempts:
+		return fmt.Errorf("most_tries is %d, it must lie between 0 and %d", d.MaxAttempts, maxAttempts)
 	case d.MaxClientConnections < 0 || d.MaxClientConnections > maxSlots:
 		return fmt.Errorf("client_connections is %d, it must lie between 0 and %d", d.MaxClientConnections, maxSlots)
 	case d.MaxServerConnections < 0 || d.MaxServerConnections > maxSlots:
@@ -108,8 +108,8 @@
 // Stricter is the policy that allows what both allow, field by field. Whoever acts by
 // it takes no more than either alone would.
 func Stricter(a, b *Document) *Document {
-	j := &Document{FormatVersion: form, Mode: a.Mode, MaxAttempts: least(a.MaxAttempts, b.MaxAttempts), NoProbes: a.NoProbes || b.NoProbes,
-		MaxClientConnections: least(a.MaxClientConnections, b.MaxClientConnections), MaxServerConnections: least(a.MaxServerConnections, b.MaxServerConnections)}
+	j := &Document{FormatVersion: formatVersion, Mode: a.Mode, MaxAttempts: stricterLimit(a.MaxAttempts, b.MaxAttempts), NoProbes: a.NoProbes || b.NoProbes,
+		MaxClientConnections: stricterLimit(a.MaxClientConnections, b.MaxClientConnections), MaxServerConnections: stricterLimit(a.MaxServerConnections, b.MaxServerConnections)}
 	if b.Mode == ModeRefuse {
 		j.Mode = ModeRefuse
 	}
@@ -125,8 +125,8 @@
 	return j
 }
 
-// least is the lower of two bounds, of which 0 is none.
-func least(a, b int) int {
+// stricterLimit is the lower of two bounds, of which 0 is none.
+func stricterLimit(a, b int) int {
 	if a == 0 || b != 0 && b < a {
 		return b
 	}
@@ -159,7 +159,7 @@
 	strict := json.NewDecoder(bytes.NewReader(text))
 	strict.DisallowUnknownFields()
 	if err := strict.Decode(new(plain)); err != nil {
-		p.unknown = strings.TrimPrefix(err.Error(), "json: ")
+		p.unknownField = strings.TrimPrefix(err.Error(), "json: ")
 	}
 	*d = Document(p)
 	return nil
--- a/internal/rollout/follower.go
+++ b/internal/rollout/follower.go
@@ -36,14 +36,14 @@
 	Process  Process                 // where its process is; may be nowhere
 	Supports func(d *Document) error // whether this sidecar could act by a document
 
-	view    View
-	have    bool // a view of a seat of its own
-	said    Stage
-	of      uint64 // the change that it said it of
-	could   uint64 // the change that it said it can act by
-	refused uint64
-	why     string
-	fatal   error
+	view            View
+	inRoster        bool // a view of a seat of its own
+	ackedStage      Stage
+	ackedChange     uint64 // the change that it said it of
+	supportedChange uint64 // the change that it said it can act by
+	refusedChange   uint64
+	refusal         string
+	fatal           error
 }
 
 // Fatal says why this process cannot act by the policy in force, if it cannot: one that
@@ -53,28 +53,28 @@
 // HandleView takes news of the registry in. News that are older than those it has change
 // nothing: they come late.
 func (f *Follower) HandleView(v View) {
-	if f.have && v.Version < f.view.Version {
+	if f.inRoster && v.Version < f.view.Version {
 		return
 	}
 	if f.view.ChangeNumber != v.ChangeNumber {
-		f.said, f.of = "", 0
+		f.ackedStage, f.ackedChange = "", 0
 	}
-	f.view, f.have = v, v.InRoster
+	f.view, f.inRoster = v, v.InRoster
 	f.fatal = nil
-	if v.InRoster && v.Document != nil && f.could != v.Epoch {
-		if f.fatal = f.Supports(v.Document); f.fatal == nil && v.ChangeNumber != f.could {
-			f.could = v.Epoch
+	if v.InRoster && v.Document != nil && f.supportedChange != v.Epoch {
+		if f.fatal = f.Supports(v.Document); f.fatal == nil && v.ChangeNumber != f.supportedChange {
+			f.supportedChange = v.Epoch
 		}
 	}
 	if !v.InRoster {
-		f.said, f.of = "", 0
+		f.ackedStage, f.ackedChange = "", 0
 	}
 }
 
 // Active says whether it may act at all, and by what. Without a seat it does not: a
 // change may pass that does not wait for it.
 func (f *Follower) Active() (ActivePolicy, bool) {
-	if !f.have {
+	if !f.inRoster {
 		return ActivePolicy{}, mutation.LateRoster
 	}
 	if f.fatal != nil {
@@ -92,55 +92,55 @@
 
 // LostMembership takes that the registry refuses this process: it was evicted, or a later one has
 // its name. It acts no more.
-func (f *Follower) LostMembership() { f.have, f.said, f.of = false, "", 0 }
+func (f *Follower) LostMembership() { f.inRoster, f.ackedStage, f.ackedChange = false, "", 0 }
 
 // NextCommand is what to say to the registry now, if anything. What it says of a stage it has
 // to act by already: whoever calls puts Acting in force before.
 func (f *Follower) NextCommand() (Command, bool) {
 	v := f.view
 	switch {
-	case !f.have:
+	case !f.inRoster:
 		return Command{Op: OpJoin, Member: f.Self, Process: f.Process}, true
-	case v.Stage == StageSettled || f.of == v.ChangeNumber && order(f.said) >= order(v.Stage) && !f.refuses():
+	case v.Stage == StageSettled || f.ackedChange == v.ChangeNumber && stageOrder(f.ackedStage) >= stageOrder(v.Stage) && !f.refusesPending():
 		return Command{}, false
 	}
 	c := Command{Op: OpAck, Member: f.Self, ChangeNumber: v.ChangeNumber, Stage: v.Stage}
-	if v.NextDocument != nil && f.could != v.ChangeNumber && f.refused != v.ChangeNumber {
+	if v.NextDocument != nil && f.supportedChange != v.ChangeNumber && f.refusedChange != v.ChangeNumber {
 		if err := f.Supports(v.NextDocument); err != nil {
 			f.Refuse(err)
 		} else {
-			f.could = v.ChangeNumber
+			f.supportedChange = v.ChangeNumber
 		}
 	}
-	if f.refuses() {
-		c.Refusal = f.why
+	if f.refusesPending() {
+		c.Refusal = f.refusal
 	}
 	return c, true
 }
 
-// refuses says whether it refuses the change under way, while that can be ended still.
-func (f *Follower) refuses() bool {
-	return f.view.NextDocument != nil && f.refused == f.view.ChangeNumber
+// refusesPending says whether it refusesPending the change under way, while that can be ended still.
+func (f *Follower) refusesPending() bool {
+	return f.view.NextDocument != nil && f.refusedChange == f.view.ChangeNumber
 }
 
 // Refuse takes that this sidecar cannot act by the change under way, whatever it has
 // said of it. Before the change is in force that ends it everywhere.
 func (f *Follower) Refuse(err error) {
 	if f.view.NextDocument != nil {
-		f.refused, f.why = f.view.ChangeNumber, err.Error()
+		f.refusedChange, f.refusal = f.view.ChangeNumber, err.Error()
 	}
 }
 
 // ReportsWanted is the change for which counts are to be reported from time to time, if any.
 func (f *Follower) ReportsWanted() (number uint64, wanted bool) {
-	return f.view.ChangeNumber, f.have && f.view.ReportCounts
+	return f.view.ChangeNumber, f.inRoster && f.view.ReportCounts
 }
 
 // HandleResult takes what became of what was said.
 func (f *Follower) HandleResult(c Command, err error) {
 	switch {
 	case c.Op == OpAck && err == nil && c.Refusal == "":
-		f.said, f.of = c.Stage, c.ChangeNumber
+		f.ackedStage, f.ackedChange = c.Stage, c.ChangeNumber
 	case c.Op == OpAck && errors.Is(err, ErrNotFound): // it has no seat any more
 		f.LostMembership()
 	}
@@ -148,8 +148,8 @@
 
 // Summary is a line for people: what it refused, if anything.
 func (f *Follower) Summary() (epoch uint64, stage Stage, refused string) {
-	if f.refused != 0 && f.refused == f.view.ChangeNumber {
-		refused = f.why
+	if f.refusedChange != 0 && f.refusedChange == f.view.ChangeNumber {
+		refused = f.refusal
 	}
 	return f.view.Epoch, f.view.Stage, refused
 }
@@ -180,7 +180,7 @@
 			}
 		}
 	case s.Stage != StageCommitted && nowMS >= c.DeadlineMS:
-		why := "not confirmed by " + list(s.WaitingFor)
+		why := "not confirmed by " + joinNames(s.WaitingFor)
 		if len(s.WaitingFor) == 0 {
 			why = "too few requests at those that went ahead to compare them"
 		}
@@ -190,12 +190,12 @@
 }
 
 const (
-	// leastAsked is how many requests those that went ahead have to have had: with fewer,
+	// minCanaryRequests is how many requests those that went ahead have to have had: with fewer,
 	// a difference of some hundredths is chance.
-	leastAsked = 100
-	// worseBy is how much more of their requests may end badly than of the others', beyond
+	minCanaryRequests = 100
+	// maxExcessFailures is how much more of their requests may end badly than of the others', beyond
 	// what chance does (three standard deviations).
-	worseBy = 0.02
+	maxExcessFailures = 0.02
 )
 
 // CompareCanaries holds those that went ahead with a change against the rest, by the part of
@@ -216,22 +216,22 @@
 		sum.Failed += seat.LastReport.Failed - seat.FirstReport.Failed
 		sum.Late += seat.LastReport.Late - seat.FirstReport.Late
 	}
-	if ahead.Requests < leastAsked {
+	if ahead.Requests < minCanaryRequests {
 		return "", false
 	}
 	part := func(c RequestCounts) float64 {
 		return float64(c.Refused+c.Failed+c.Late) / float64(max(1, c.Requests))
 	}
 	a, r := part(ahead), part(rest)
-	if chance := 3 * math.Sqrt(r*(1-min(1, r))/float64(ahead.Requests)); a > r+worseBy+chance {
+	if chance := 3 * math.Sqrt(r*(1-min(1, r))/float64(ahead.Requests)); a > r+maxExcessFailures+chance {
 		return fmt.Sprintf("%.3f of their %d requests ended badly (%d refused, %d failed, %d late), %.3f of the others' %d",
 			a, ahead.Requests, ahead.Refused, ahead.Failed, ahead.Late, r, rest.Requests), true
 	}
 	return "", true
 }
 
-// list names some.
-func list(names []string) string {
+// joinNames names some.
+func joinNames(names []string) string {
 	const few = 5
 	text := ""
 	for i, n := range names {
@@ -248,5 +248,5 @@
 
 // Key appends what tells the follower's state from others.
 func (f *Follower) Key(text []byte) []byte {
-	return fmt.Append(text, f.have, f.said, f.of, f.could, f.view.Epoch, f.view.Stage, f.view.ChangeNumber, f.view.Version)
+	return fmt.Append(text, f.inRoster, f.ackedStage, f.ackedChange, f.supportedChange, f.view.Epoch, f.view.Stage, f.view.ChangeNumber, f.view.Version)
 }
--- a/internal/rollout/model/model_test.go
+++ b/internal/rollout/model/model_test.go
@@ -9,14 +9,14 @@
 
 var long = os.Getenv("BARLEYWICK_LONG") != ""
 
-// small are the worlds that are searched through.
-var small = map[string]Setup{
-	"a change":        {Sidecars: 2, Changes: 1, Messages: 3, Leaders: 1, Losses: 1},
-	"one comes":       {Sidecars: 2, Changes: 1, Messages: 3, Leaders: 1, Restarts: 1},
-	"one cannot":      {Sidecars: 1, Cannot: 1, Messages: 2, Leaders: 1, Restarts: 1},
-	"one is cut off":  {Sidecars: 2, Changes: 1, Messages: 2, Leaders: 1, Ticks: 2},
-	"a few ahead":     {Sidecars: 2, Changes: 1, Messages: 2, Leaders: 1, Ticks: 1, Canaries: 1},
-	"an early return": {Sidecars: 3, Changes: 1, Messages: 3, Leaders: 2, Goodbyes: 1},
+// searchSetups are the worlds that are searched through.
+var searchSetups = map[string]Setup{
+	"a change":        {Sidecars: 2, MaxProposals: 1, MaxInFlight: 3, Leaders: 1, MaxLosses: 1},
+	"one comes":       {Sidecars: 2, MaxProposals: 1, MaxInFlight: 3, Leaders: 1, MaxRestarts: 1},
+	"one cannot":      {Sidecars: 1, MaxUnsupported: 1, MaxInFlight: 2, Leaders: 1, MaxRestarts: 1},
+	"one is cut off":  {Sidecars: 2, MaxProposals: 1, MaxInFlight: 2, Leaders: 1, MaxTicks: 2},
+	"a few ahead":     {Sidecars: 2, MaxProposals: 1, MaxInFlight: 2, Leaders: 1, MaxTicks: 1, Canaries: 1},
+	"an early return": {Sidecars: 3, MaxProposals: 1, MaxInFlight: 3, Leaders: 2, MaxLeaves: 1},
 }
 
 func TestProofBySearch(t *testing.T) {
@@ -24,12 +24,12 @@
 	if long {
 		depth, most = 60, 2_000_000
 	}
-	for name, s := range small {
+	for name, s := range searchSetups {
 		t.Run(name, func(t *testing.T) {
 			var seen Counts
 			states, full, found := modelcheck.Search(New(s), depth, most, func(w *World) {
-				seen.add(w.judge.Counts)
-				w.judge.Counts = Counts{}
+				seen.add(w.checker.Counts)
+				w.checker.Counts = Counts{}
 			})
 			if found != nil {
 				t.Fatal(found)
@@ -50,8 +50,8 @@
 	var all Counts
 	for seed := range uint64(walks) {
 		s := Setup{
-			Sidecars: 3, Changes: 4, Messages: 6, Losses: 10, Restarts: 3, Goodbyes: 2, Aborts: 1, Evicts: 1, Cannot: int(seed % 2), Ticks: 6,
-			Restores: int(seed % 3 / 2), Leaders: 2, Canaries: int(seed % 3),
+			Sidecars: 3, MaxProposals: 4, MaxInFlight: 6, MaxLosses: 10, MaxRestarts: 3, MaxLeaves: 2, MaxAborts: 1, MaxEvictions: 1, MaxUnsupported: int(seed % 2), MaxTicks: 6,
+			MaxRestores: int(seed % 3 / 2), Leaders: 2, Canaries: int(seed % 3),
 		}
 		seen, found := Walk(s, seed, 200)
 		if found != nil {
--- a/internal/rollout/model/world.go
+++ b/internal/rollout/model/world.go
@@ -15,44 +15,44 @@
 
 // Setup is the size of a world.
 type Setup struct {
-	Sidecars int
-	Changes  int // proposals
-	Messages int // under way at once
-	Losses   int
-	Restarts int // of sidecars
-	Goodbyes int // sidecars that end in order
-	Aborts   int // by an operator
-	Evicts   int // of sidecars that are down
-	Cannot   int // proposals that one process cannot act by
-	Ticks    int // of time, of which a change has two
-	Restores int // of an old backup
-	Canaries int // of two proposals, so many go ahead with a part
-	Leaders  int // processes that believe they lead the change
+	Sidecars       int
+	MaxProposals   int // proposals
+	MaxInFlight    int // under way at once
+	MaxLosses      int
+	MaxRestarts    int // of sidecars
+	MaxLeaves      int // sidecars that end in order
+	MaxAborts      int // by an operator
+	MaxEvictions   int // of sidecars that are down
+	MaxUnsupported int // proposals that one process cannot act by
+	MaxTicks       int // of time, of which a change has two
+	MaxRestores    int // of an old backup
+	Canaries       int // of two proposals, so many go ahead with a part
+	Leaders        int // processes that believe they lead the change
 }
 
 // sidecar is one process, or none while it is down.
 type sidecar struct {
-	me     rollout.Member
-	up     bool
-	follow *rollout.Follower
-	saying bool // a call of its is under way
-	acts   rollout.ActivePolicy
-	acting bool
-	cannot bool // it cannot act by documents that name too much
+	self     rollout.Member
+	up       bool
+	follower *rollout.Follower
+	calling  bool // a call of its is under way
+	active   rollout.ActivePolicy
+	acting   bool
+	limited  bool // it cannot act by documents that name too much
 }
 
 type kind int
 
 const (
-	say kind = iota
+	request kind = iota
 	answer
-	step // of a leader
+	leaderCommand // of a leader
 )
 
 type message struct {
 	kind    kind
-	of      int // the sidecar, or the leader
-	me      rollout.Member
+	sender  int // the sidecar, or the leader
+	self    rollout.Member
 	command rollout.Command
 	view    rollout.View
 	err     error
@@ -68,14 +68,14 @@
 	leaders  []rollout.Status // what each has read last
 	network  []message
 	starts   uint64
-	used     map[string]int
-	judge    judge
+	counts   map[string]int
+	checker  checker
 }
 
 // Counts is what the judge has seen.
 type Counts struct{ Steps, Faults, Commits, Acting, Joint int }
 
-type judge struct {
+type checker struct {
 	Counts
 	epoch uint64
 }
@@ -96,10 +96,10 @@
 
 // New makes a world whose sidecars are about to start.
 func New(s Setup) *World {
-	w := &World{Setup: s, state: rollout.New(10), used: make(map[string]int)}
+	w := &World{Setup: s, state: rollout.New(10), counts: make(map[string]int)}
 	w.backup = w.state.Clone()
 	for i := range s.Sidecars {
-		w.sidecars = append(w.sidecars, &sidecar{me: rollout.Member{Name: fmt.Sprint("n", i)}})
+		w.sidecars = append(w.sidecars, &sidecar{self: rollout.Member{Name: fmt.Sprint("n", i)}})
 		w.start(i)
 	}
 	w.leaders = make([]rollout.Status, s.Leaders)
@@ -113,16 +113,16 @@
 	c.sidecars = make([]*sidecar, len(w.sidecars))
 	for i, s := range w.sidecars {
 		one := *s
-		if s.follow != nil {
-			f := *s.follow
-			one.follow = &f
+		if s.follower != nil {
+			f := *s.follower
+			one.follower = &f
 		}
 		c.sidecars[i] = &one
 	}
 	c.network, c.leaders = slices.Clone(w.network), slices.Clone(w.leaders)
-	c.used = make(map[string]int, len(w.used))
-	for k, v := range w.used {
-		c.used[k] = v
+	c.counts = make(map[string]int, len(w.counts))
+	for k, v := range w.counts {
+		c.counts[k] = v
 	}
 	return &c
 }
@@ -132,11 +132,11 @@
 func (w *World) start(i int) {
 	s := w.sidecars[i]
 	w.starts++
-	s.me.Incarnation = w.starts
-	s.up, s.saying, s.acting = true, false, false
-	s.cannot = w.used["cannot"] > 0 && i == 0
-	cannot := s.cannot
-	s.follow = &rollout.Follower{Self: s.me, Supports: func(d *rollout.Document) error {
+	s.self.Incarnation = w.starts
+	s.up, s.calling, s.acting = true, false, false
+	s.limited = w.counts["cannot"] > 0 && i == 0
+	cannot := s.limited
+	s.follower = &rollout.Follower{Self: s.self, Supports: func(d *rollout.Document) error {
 		if cannot && d.Tenants[0].Slots > 100 {
 			return errCannot
 		}
@@ -152,48 +152,48 @@
 	all := make([]Step, 0, 32)
 	add := func(weight, of int, format string, a any, do func(w *World)) {
 		all = append(all, Step{Format: format, A: a, Weight: weight, Of: of, Do: func(w *World) error {
-			w.judge.Steps++
+			w.checker.Steps++
 			do(w)
-			return w.look()
+			return w.checkInvariants()
 		}})
 	}
 	// limited is what may happen so many times.
 	limited := func(what string, most int, may bool, weight, of int, format string, a any, do func(w *World)) {
-		if may && w.used[what] < most {
+		if may && w.counts[what] < most {
 			add(weight, of, format, a, func(w *World) {
-				w.used[what]++
-				w.judge.Faults++
+				w.counts[what]++
+				w.checker.Faults++
 				do(w)
 			})
 		}
 	}
-	room := len(w.network) < w.Messages
+	room := len(w.network) < w.MaxInFlight
 	st := w.state.Status()
 	for i, s := range w.sidecars {
 		if !s.up {
 			add(4, i, "n%d starts", i, func(w *World) { w.start(i) })
-			limited("evict", w.Evicts, slices.ContainsFunc(st.Roster, func(m rollout.RosterMember) bool { return m.Name == s.me.Name }), 1, -1, "n%d is evicted", i, func(w *World) {
-				w.state.Apply(rollout.Command{Op: rollout.OpEvict, Member: w.sidecars[i].me})
+			limited("evict", w.MaxEvictions, slices.ContainsFunc(st.Roster, func(m rollout.RosterMember) bool { return m.Name == s.self.Name }), 1, -1, "n%d is evicted", i, func(w *World) {
+				w.state.Apply(rollout.Command{Op: rollout.OpEvict, Member: w.sidecars[i].self})
 			})
 			continue
 		}
-		if room && !s.saying {
-			add(8, i, "n%d speaks", i, func(w *World) { w.speak(i) })
+		if room && !s.calling {
+			add(8, i, "n%d speaks", i, func(w *World) { w.call(i) })
 		}
-		limited("restart", w.Restarts, true, 1, i, "n%d is killed", i, func(w *World) { w.sidecars[i].up, w.sidecars[i].acting = false, false })
-		limited("goodbye", w.Goodbyes, room, 1, i, "n%d says goodbye and ends", i, func(w *World) {
+		limited("restart", w.MaxRestarts, true, 1, i, "n%d is killed", i, func(w *World) { w.sidecars[i].up, w.sidecars[i].acting = false, false })
+		limited("goodbye", w.MaxLeaves, room, 1, i, "n%d says goodbye and ends", i, func(w *World) {
 			s := w.sidecars[i]
 			s.up, s.acting = false, false
-			w.network = append(w.network, message{kind: say, of: i, me: s.me, command: rollout.Command{Op: rollout.OpLeave, Member: s.me}})
+			w.network = append(w.network, message{kind: request, sender: i, self: s.self, command: rollout.Command{Op: rollout.OpLeave, Member: s.self}})
 		})
 	}
 	for i, m := range w.network {
 		add(10, -1, "a message (%v) comes", m.kind, func(w *World) { w.deliver(i) })
-		limited("loss", w.Losses, true, 2, -1, "a message (%v) is lost", m.kind, func(w *World) {
+		limited("loss", w.MaxLosses, true, 2, -1, "a message (%v) is lost", m.kind, func(w *World) {
 			m := w.network[i]
 			w.network = slices.Delete(w.network, i, i+1)
-			if s := w.sidecars[min(m.of, len(w.sidecars)-1)]; m.kind != step && s.me == m.me {
-				s.saying = false
+			if s := w.sidecars[min(m.sender, len(w.sidecars)-1)]; m.kind != leaderCommand && s.self == m.self {
+				s.calling = false
 			}
 		})
 	}
@@ -202,28 +202,28 @@
 		if _, any := rollout.Decide(w.leaders[i], w.now); any && room {
 			add(5, -1, "leader %d steps", i, func(w *World) {
 				c, _ := rollout.Decide(w.leaders[i], w.now)
-				w.network = append(w.network, message{kind: step, of: i, command: c})
+				w.network = append(w.network, message{kind: leaderCommand, sender: i, command: c})
 			})
 		}
 	}
-	limited("change", w.Changes, true, 3, -1, "a change is proposed", nil, func(w *World) { w.propose(false) })
-	limited("cannot", w.Cannot, true, 2, -1, "a change that not all bear is proposed", nil, func(w *World) { w.propose(true) })
-	limited("abort", w.Aborts, st.Change != nil, 1, -1, "the change is aborted", nil, func(w *World) {
+	limited("change", w.MaxProposals, true, 3, -1, "a change is proposed", nil, func(w *World) { w.propose(false) })
+	limited("cannot", w.MaxUnsupported, true, 2, -1, "a change that not all bear is proposed", nil, func(w *World) { w.propose(true) })
+	limited("abort", w.MaxAborts, st.Change != nil, 1, -1, "the change is aborted", nil, func(w *World) {
 		if c := w.state.Status().Change; c != nil {
 			w.state.Apply(rollout.Command{Op: rollout.OpAbort, ChangeNumber: c.Number, By: "operator"})
 		}
 	})
-	limited("restore", w.Restores, true, 1, -1, "an old backup is restored", nil, func(w *World) {
+	limited("restore", w.MaxRestores, true, 1, -1, "an old backup is restored", nil, func(w *World) {
 		w.state.Restore(w.backup)
-		w.judge.epoch = w.state.Status().Epoch
+		w.checker.epoch = w.state.Status().Epoch
 	})
-	limited("tick", w.Ticks, true, 3, -1, "time passes", nil, func(w *World) { w.now += tick })
+	limited("tick", w.MaxTicks, true, 3, -1, "time passes", nil, func(w *World) { w.now += tick })
 	return all
 }
 
 func (w *World) propose(hard bool) {
 	st := w.state.Status()
-	n := w.used["change"] + w.used["cannot"]
+	n := w.counts["change"] + w.counts["cannot"]
 	c := rollout.Command{Op: rollout.OpPropose, Document: document(n, hard), BaseEpoch: st.Epoch, By: "operator", Reason: fmt.Sprint(n), WithinMS: within, AtMS: w.now}
 	if n%2 < w.Canaries {
 		c.CanaryFraction, c.CanaryWatchMS = 0.3, tick/2
@@ -231,62 +231,62 @@
 	w.state.Apply(c)
 }
 
-// speak puts in force what a sidecar is to act by, and says what it has to say, or asks
+// call puts in force what a sidecar is to act by, and says what it has to say, or asks
 // for news.
-func (w *World) speak(i int) {
+func (w *World) call(i int) {
 	s := w.sidecars[i]
-	s.acts, s.acting = s.follow.Active()
-	c, any := s.follow.NextCommand()
+	s.active, s.acting = s.follower.Active()
+	c, any := s.follower.NextCommand()
 	if !any {
 		c = rollout.Command{}
-		if n, wanted := s.follow.ReportsWanted(); wanted {
-			c = rollout.Command{Op: rollout.OpReport, Member: s.me, ChangeNumber: n, Counts: rollout.RequestCounts{Requests: uint64(w.judge.Steps) * 100}}
+		if n, wanted := s.follower.ReportsWanted(); wanted {
+			c = rollout.Command{Op: rollout.OpReport, Member: s.self, ChangeNumber: n, Counts: rollout.RequestCounts{Requests: uint64(w.checker.Steps) * 100}}
 		}
 	}
-	s.saying = true
-	w.network = append(w.network, message{kind: say, of: i, me: s.me, command: c})
+	s.calling = true
+	w.network = append(w.network, message{kind: request, sender: i, self: s.self, command: c})
 }
 
 func (w *World) deliver(i int) {
 	m := w.network[i]
 	w.network = slices.Delete(w.network, i, i+1)
 	switch m.kind {
-	case step:
+	case leaderCommand:
 		w.state.Apply(m.command)
-	case say:
+	case request:
 		var err error
 		if m.command.Op != "" {
 			m.command.AtMS = w.now
 			err = w.state.Apply(m.command)
 		}
 		if m.command.Op != rollout.OpLeave {
-			w.network = append(w.network, message{kind: answer, of: m.of, me: m.me, command: m.command, view: w.state.View(m.me), err: err})
+			w.network = append(w.network, message{kind: answer, sender: m.sender, self: m.self, command: m.command, view: w.state.View(m.self), err: err})
 		}
 	case answer:
-		s := w.sidecars[m.of]
-		if !s.up || s.me != m.me {
+		s := w.sidecars[m.sender]
+		if !s.up || s.self != m.self {
 			return
 		}
-		s.saying = false
-		s.follow.HandleResult(m.command, m.err)
-		s.follow.HandleView(m.view)
-		if s.acts, s.acting = s.follow.Active(); s.follow.Fatal() != nil { // it ends as a start that fails does
+		s.calling = false
+		s.follower.HandleResult(m.command, m.err)
+		s.follower.HandleView(m.view)
+		if s.active, s.acting = s.follower.Active(); s.follower.Fatal() != nil { // it ends as a start that fails does
 			s.up = false
-			w.network = append(w.network, message{kind: say, of: m.of, me: s.me, command: rollout.Command{Op: rollout.OpLeave, Member: s.me}})
+			w.network = append(w.network, message{kind: request, sender: m.sender, self: s.self, command: rollout.Command{Op: rollout.OpLeave, Member: s.self}})
 		}
 	}
 }
 
-// look is what the judge sees after each step: which policies each sidecar's acts keep
+// checkInvariants is what the judge sees after each step: which policies each sidecar's acts keep
 // to. Two that keep to no common one act by the old and by the new at once.
-func (w *World) look() error {
+func (w *World) checkInvariants() error {
 	st := w.state.Status()
-	if st.Epoch != w.judge.epoch {
-		w.judge.epoch = st.Epoch
-		w.judge.Commits++
+	if st.Epoch != w.checker.epoch {
+		w.checker.epoch = st.Epoch
+		w.checker.Commits++
 		for _, seat := range st.Roster {
-			i := slices.IndexFunc(w.sidecars, func(s *sidecar) bool { return s.up && s.me == seat.Member })
-			if i >= 0 && (!w.sidecars[i].acting || w.sidecars[i].acts.JointChange != st.Epoch) {
+			i := slices.IndexFunc(w.sidecars, func(s *sidecar) bool { return s.up && s.self == seat.Member })
+			if i >= 0 && (!w.sidecars[i].acting || w.sidecars[i].active.JointChange != st.Epoch) {
 				return fmt.Errorf("epoch %d is in force, and n%d, which has a seat, never acted by it and the old one", st.Epoch, i)
 			}
 		}
@@ -298,14 +298,14 @@
 			continue
 		}
 		acting++
-		w.judge.Acting++
-		common[s.acts.Epoch]++
-		if s.acts.JointChange != 0 {
-			common[s.acts.JointChange]++
-			w.judge.Joint++
+		w.checker.Acting++
+		common[s.active.Epoch]++
+		if s.active.JointChange != 0 {
+			common[s.active.JointChange]++
+			w.checker.Joint++
 		}
-		if s.cannot && s.acts.Document != nil && s.acts.Document.Tenants[0].Slots > 100 {
-			return fmt.Errorf("n%d is to act by epoch %d, which it cannot", i, s.acts.Epoch)
+		if s.limited && s.active.Document != nil && s.active.Document.Tenants[0].Slots > 100 {
+			return fmt.Errorf("n%d is to act by epoch %d, which it cannot", i, s.active.Epoch)
 		}
 	}
 	for _, n := range common {
@@ -319,7 +319,7 @@
 	text := ""
 	for i, s := range w.sidecars {
 		if s.up && s.acting {
-			text += fmt.Sprintf(" n%d by epoch %d (joint with %d)", i, s.acts.Epoch, s.acts.JointChange)
+			text += fmt.Sprintf(" n%d by epoch %d (joint with %d)", i, s.active.Epoch, s.active.JointChange)
 		}
 	}
 	return fmt.Errorf("old and new at once:%s", text)
@@ -329,14 +329,14 @@
 func (w *World) Key(text []byte) []byte {
 	st := w.state.Status()
 	st.History = nil
-	text = fmt.Append(text, w.now, w.used, st.Epoch, st.Stage, st.Roster)
+	text = fmt.Append(text, w.now, w.counts, st.Epoch, st.Stage, st.Roster)
 	if st.Change != nil {
 		text = fmt.Append(text, st.Change.Number, st.Change.DeadlineMS)
 	}
 	for _, s := range w.sidecars {
-		text = fmt.Append(text, "|", s.up, s.acting, s.cannot, s.saying, s.me.Incarnation, s.acts.Epoch, s.acts.JointChange)
+		text = fmt.Append(text, "|", s.up, s.acting, s.limited, s.calling, s.self.Incarnation, s.active.Epoch, s.active.JointChange)
 		if s.up {
-			text = s.follow.Key(text)
+			text = s.follower.Key(text)
 		}
 	}
 	for _, l := range w.leaders {
@@ -344,7 +344,7 @@
 	}
 	lines := make([]string, 0, len(w.network))
 	for _, m := range w.network {
-		lines = append(lines, fmt.Sprint(m.kind, m.of, m.me, m.command.Op, m.command.ChangeNumber, m.command.Stage, m.command.Refusal != "", m.view.Epoch, m.view.Stage, m.view.ChangeNumber, m.view.InRoster, st.Version-m.view.Version, m.err != nil))
+		lines = append(lines, fmt.Sprint(m.kind, m.sender, m.self, m.command.Op, m.command.ChangeNumber, m.command.Stage, m.command.Refusal != "", m.view.Epoch, m.view.Stage, m.view.ChangeNumber, m.view.InRoster, st.Version-m.view.Version, m.err != nil))
 	}
 	slices.Sort(lines)
 	return fmt.Append(text, lines)
@@ -358,26 +358,26 @@
 	if f == nil {
 		f = settle(k)
 	}
-	return k.W.judge.Counts, f
+	return k.W.checker.Counts, f
 }
 
-// rounds is in how many rounds of calls all settles.
-const rounds = 30
+// settleRounds is in how many settleRounds of calls all settles.
+const settleRounds = 30
 
 func settle(k *modelcheck.Walker[*World]) *modelcheck.Found {
 	w := k.W
 	take := func(format string, do func(w *World)) *modelcheck.Found {
-		return k.Take(Step{Format: format, Do: func(w *World) error { do(w); return w.look() }})
+		return k.Take(Step{Format: format, Do: func(w *World) error { do(w); return w.checkInvariants() }})
 	}
-	for range rounds {
+	for range settleRounds {
 		for i, s := range w.sidecars {
 			if !s.up {
 				if f := take("one that is down starts", func(w *World) { w.start(i) }); f != nil {
 					return f
 				}
 			}
-			if !s.saying {
-				if f := take("one speaks", func(w *World) { w.speak(i) }); f != nil {
+			if !s.calling {
+				if f := take("one speaks", func(w *World) { w.call(i) }); f != nil {
 					return f
 				}
 			}
@@ -404,11 +404,11 @@
 		return k.Found(fmt.Errorf("change %d is still %s, it waits for %v", st.Change.Number, st.Stage, st.WaitingFor))
 	}
 	for i, s := range w.sidecars {
-		if s.cannot && st.Document != nil && st.Document.Tenants[0].Slots > 100 {
+		if s.limited && st.Document != nil && st.Document.Tenants[0].Slots > 100 {
 			continue // it starts in vain
 		}
-		if !s.acting || s.acts.Epoch != st.Epoch || s.acts.JointChange != 0 {
-			return k.Found(fmt.Errorf("n%d acts by epoch %d (joint with %d, acting %v) when epoch %d has settled", i, s.acts.Epoch, s.acts.JointChange, s.acting, st.Epoch))
+		if !s.acting || s.active.Epoch != st.Epoch || s.active.JointChange != 0 {
+			return k.Found(fmt.Errorf("n%d acts by epoch %d (joint with %d, acting %v) when epoch %d has settled", i, s.active.Epoch, s.active.JointChange, s.acting, st.Epoch))
 		}
 	}
 	return nil
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -139,20 +139,20 @@
 
 // State is the workflow's state.
 type State struct {
-	epoch   uint64 // of the policy in force; 0: there is none yet
-	last    uint64 // the number given last
-	doc     Document
-	stage   Stage
-	change  *Change // unless settled; after commit it is what is in force
-	roster  map[string]*RosterMember
-	evicted map[string]uint64 // the highest incarnation that may not come back
-	history []HistoryEntry
-	version uint64 // of the last change of anything
+	epoch      uint64 // of the policy in force; 0: there is none yet
+	lastNumber uint64 // the number given last
+	document   Document
+	stage      Stage
+	change     *Change // unless settled; after commit it is what is in force
+	roster     map[string]*RosterMember
+	evicted    map[string]uint64 // the highest incarnation that may not come back
+	history    []HistoryEntry
+	version    uint64 // of the last change of anything
 }
 
 // New makes an empty state whose numbers begin after one.
 func New(after uint64) *State {
-	return &State{stage: StageSettled, roster: make(map[string]*RosterMember), evicted: make(map[string]uint64), last: after, version: after}
+	return &State{stage: StageSettled, roster: make(map[string]*RosterMember), evicted: make(map[string]uint64), lastNumber: after, version: after}
 }
 
 // Clone returns a copy that shares nothing that changes.
@@ -185,7 +185,7 @@
 	case OpLeave:
 		return s.leave(c.Member)
 	case OpAck:
-		return s.say(c)
+		return s.ack(c)
 	case OpEvict:
 		return s.evict(c)
 	case OpPropose:
@@ -231,7 +231,7 @@
 	}
 	delete(s.roster, m.Name)
 	s.version++
-	s.settle()
+	s.settleIfConfirmed()
 	return nil
 }
 
@@ -248,8 +248,8 @@
 	return s.leave(was.Member)
 }
 
-// say takes what a member confirms of a change, or why it cannot.
-func (s *State) say(c Command) error {
+// ack takes what a member confirms of a change, or why it cannot.
+func (s *State) ack(c Command) error {
 	seat := s.roster[c.Member.Name]
 	if seat == nil || seat.Incarnation != c.Member.Incarnation {
 		return fmt.Errorf("%w: %s has no seat: join first", ErrNotFound, c.Member.Name)
@@ -258,22 +258,22 @@
 	case s.change == nil || s.change.Number != c.ChangeNumber:
 		return nil // of a change that is over
 	case c.Refusal != "" && s.stage != StageCommitted: // also one that joined since and never said that it could
-		s.end(fmt.Sprintf("refused by %s: %.*s", c.Member.Name, maxReason, c.Refusal), c.AtMS)
+		s.abandon(fmt.Sprintf("refused by %s: %.*s", c.Member.Name, maxReason, c.Refusal), c.AtMS)
 		return nil
 	case c.Refusal != "":
 		return fmt.Errorf("%w: change %d is in force", ErrConflict, c.ChangeNumber)
-	case order(c.Stage) > order(s.stageOf(seat.Name)):
+	case stageOrder(c.Stage) > stageOrder(s.stageOf(seat.Name)):
 		return fmt.Errorf("%w: change %d is %s, not %s yet", ErrConflict, c.ChangeNumber, s.stage, c.Stage)
-	case seat.AckedChange == c.ChangeNumber && order(seat.AckedStage) >= order(c.Stage):
+	case seat.AckedChange == c.ChangeNumber && stageOrder(seat.AckedStage) >= stageOrder(c.Stage):
 		return nil // it says so again
 	}
 	seat.AckedChange, seat.AckedStage = c.ChangeNumber, c.Stage
 	s.version++
-	s.settle()
+	s.settleIfConfirmed()
 	return nil
 }
 
-func order(s Stage) int {
+func stageOrder(s Stage) int {
 	return slices.Index([]Stage{"", StagePreparing, StageCanary, StageJoint, StageCommitted}, s)
 }
 
@@ -331,8 +331,8 @@
 	if c.BaseEpoch != s.epoch {
 		return fmt.Errorf("%w: it was compared with epoch %d, %d is in force", ErrConflict, c.BaseEpoch, s.epoch)
 	}
-	s.last++
-	s.change = &Change{Number: s.last, Document: *c.Document, By: c.By, Reason: c.Reason, StartedMS: c.AtMS, DeadlineMS: c.AtMS + c.WithinMS, CanaryFraction: c.CanaryFraction, CanaryWatchMS: c.CanaryWatchMS}
+	s.lastNumber++
+	s.change = &Change{Number: s.lastNumber, Document: *c.Document, By: c.By, Reason: c.Reason, StartedMS: c.AtMS, DeadlineMS: c.AtMS + c.WithinMS, CanaryFraction: c.CanaryFraction, CanaryWatchMS: c.CanaryWatchMS}
 	s.stage = StagePreparing
 	s.version++
 	return nil
@@ -346,18 +346,18 @@
 	case s.stage == StageCommitted:
 		return fmt.Errorf("%w: change %d is in force, the way back is another change", ErrConflict, c.ChangeNumber)
 	}
-	s.end(fmt.Sprintf("aborted by %s: %.*s", c.By, maxReason, c.Reason), c.AtMS)
+	s.abandon(fmt.Sprintf("aborted by %s: %.*s", c.By, maxReason, c.Reason), c.AtMS)
 	return nil
 }
 
-// end notes what became of a change that is not to be.
-func (s *State) end(why string, at int64) {
-	s.note(why, at)
+// abandon notes what became of a change that is not to be.
+func (s *State) abandon(why string, at int64) {
+	s.record(why, at)
 	s.change, s.stage = nil, StageSettled
 	s.version++
 }
 
-func (s *State) note(outcome string, at int64) {
+func (s *State) record(outcome string, at int64) {
 	s.history = append(s.history, HistoryEntry{*s.change, s.change.Document.Checksum(), outcome, at})
 	if over := len(s.history) - maxHistory; over > 0 {
 		s.history = slices.Delete(s.history, 0, over)
@@ -370,13 +370,13 @@
 	if s.change == nil || c.ChangeNumber != s.change.Number || c.Stage != s.stage {
 		return nil // it has been done
 	}
-	if who := s.waits(); len(who) > 0 && s.stage != StageCommitted && !mutation.LooseStep {
+	if who := s.waitingFor(); len(who) > 0 && s.stage != StageCommitted && !mutation.LooseStep {
 		return fmt.Errorf("%w: change %d waits for %d, %s among them", ErrConflict, c.ChangeNumber, len(who), who[0])
 	}
 	switch s.stage {
 	case StagePreparing:
 		if s.change.CanaryFraction > 0 {
-			s.stage, s.change.CanarySinceMS, s.change.Canaries = StageCanary, c.AtMS, s.ahead()
+			s.stage, s.change.CanarySinceMS, s.change.Canaries = StageCanary, c.AtMS, s.chooseCanaries()
 			break
 		}
 		if s.stage = StageJoint; mutation.NoJoint {
@@ -388,12 +388,12 @@
 		s.commit(c.AtMS)
 	}
 	s.version++
-	s.settle()
+	s.settleIfConfirmed()
 	return nil
 }
 
-// ahead draws who goes ahead: at least one, and others with each change.
-func (s *State) ahead() []string {
+// chooseCanaries draws who goes chooseCanaries: at least one, and others with each change.
+func (s *State) chooseCanaries() []string {
 	all := slices.Collect(maps.Keys(s.roster))
 	by := func(name string) uint64 { return xxhash.Sum64String(fmt.Sprint(s.change.Number, "/", name)) }
 	slices.SortFunc(all, func(a, b string) int { return cmp.Or(cmp.Compare(by(a), by(b)), cmp.Compare(a, b)) })
@@ -403,25 +403,25 @@
 
 // commit puts the new policy in force: one write.
 func (s *State) commit(at int64) {
-	s.epoch, s.doc, s.stage = s.change.Number, s.change.Document, StageCommitted
-	s.note("committed", at)
+	s.epoch, s.document, s.stage = s.change.Number, s.change.Document, StageCommitted
+	s.record("committed", at)
 }
 
-// settle ends a change that is in force once everybody has confirmed it.
-func (s *State) settle() {
-	if s.stage == StageCommitted && s.waits() == nil {
+// settleIfConfirmed ends a change that is in force once everybody has confirmed it.
+func (s *State) settleIfConfirmed() {
+	if s.stage == StageCommitted && s.waitingFor() == nil {
 		s.change, s.stage = nil, StageSettled
 		s.version++
 	}
 }
 
-// waits is who has not confirmed the stage that the change is at.
-func (s *State) waits() (who []string) {
+// waitingFor is who has not confirmed the stage that the change is at.
+func (s *State) waitingFor() (who []string) {
 	if s.change == nil {
 		return nil
 	}
 	for name, seat := range s.roster {
-		if seat.AckedChange != s.change.Number || order(seat.AckedStage) < order(s.stageOf(name)) {
+		if seat.AckedChange != s.change.Number || stageOrder(seat.AckedStage) < stageOrder(s.stageOf(name)) {
 			who = append(who, name)
 		}
 	}
@@ -445,7 +445,7 @@
 func (s *State) View(m Member) View {
 	v := View{Version: s.version, Epoch: s.epoch, Stage: s.stage}
 	if s.epoch != 0 {
-		doc := s.doc
+		doc := s.document
 		v.Document = &doc
 	}
 	if s.change != nil {
@@ -477,9 +477,9 @@
 // Status returns how everything stands.
 func (s *State) Status() Status {
 	c := s.Clone()
-	st := Status{Version: c.version, Epoch: c.epoch, Stage: c.stage, Change: c.change, WaitingFor: c.waits(), History: c.history, Roster: []RosterMember{}}
+	st := Status{Version: c.version, Epoch: c.epoch, Stage: c.stage, Change: c.change, WaitingFor: c.waitingFor(), History: c.history, Roster: []RosterMember{}}
 	if c.epoch != 0 {
-		st.Document, st.Checksum = &c.doc, c.doc.Checksum()
+		st.Document, st.Checksum = &c.document, c.document.Checksum()
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.roster)) {
 		st.Roster = append(st.Roster, *c.roster[name])
@@ -494,50 +494,50 @@
 // under way are about processes that act now, and stay. Numbers go on above the
 // backup's. A group that has no policy takes the backup's over, as a proposal would.
 func (s *State) Restore(backup *State) {
-	s.last = max(s.last, backup.last) + 1
+	s.lastNumber = max(s.lastNumber, backup.lastNumber) + 1
 	s.version = max(s.version, backup.version) + 1
 	if s.epoch == 0 && s.change == nil && backup.epoch != 0 && len(s.roster) == 0 {
-		s.epoch, s.doc = s.last, backup.doc
+		s.epoch, s.document = s.lastNumber, backup.document
 		s.history = slices.Clone(backup.history)
 	}
 }
 
-type image struct {
-	Epoch   uint64                   `json:"epoch"`
-	Last    uint64                   `json:"last"`
-	Doc     *Document                `json:"document,omitempty"`
-	Stage   Stage                    `json:"stage"`
-	Change  *Change                  `json:"change,omitempty"`
-	Roster  map[string]*RosterMember `json:"roster,omitempty"`
-	Evicted map[string]uint64        `json:"evicted,omitempty"`
-	History []HistoryEntry           `json:"history,omitempty"`
-	Version uint64                   `json:"version"`
+type snapshot struct {
+	Epoch      uint64                   `json:"epoch"`
+	LastNumber uint64                   `json:"last"`
+	Document   *Document                `json:"document,omitempty"`
+	Stage      Stage                    `json:"stage"`
+	Change     *Change                  `json:"change,omitempty"`
+	Roster     map[string]*RosterMember `json:"roster,omitempty"`
+	Evicted    map[string]uint64        `json:"evicted,omitempty"`
+	History    []HistoryEntry           `json:"history,omitempty"`
+	Version    uint64                   `json:"version"`
 }
 
 // MarshalJSON writes the state for a snapshot.
 func (s *State) MarshalJSON() ([]byte, error) {
-	i := image{s.epoch, s.last, nil, s.stage, s.change, s.roster, s.evicted, s.history, s.version}
+	i := snapshot{s.epoch, s.lastNumber, nil, s.stage, s.change, s.roster, s.evicted, s.history, s.version}
 	if s.epoch != 0 {
-		i.Doc = &s.doc
+		i.Document = &s.document
 	}
 	return json.Marshal(i)
 }
 
 // UnmarshalJSON reads a snapshot. What cannot be right is refused.
 func (s *State) UnmarshalJSON(text []byte) error {
-	var i image
+	var i snapshot
 	if err := json.Unmarshal(text, &i); err != nil {
 		return fmt.Errorf("policy: %w", err)
 	}
 	switch {
-	case (i.Epoch == 0) != (i.Doc == nil), i.Epoch > i.Last, (i.Change == nil) != (i.Stage == StageSettled),
-		i.Change != nil && i.Change.Number > i.Last, !slices.Contains([]Stage{StageSettled, StagePreparing, StageCanary, StageJoint, StageCommitted}, i.Stage):
-		return fmt.Errorf("policy: epoch %d at stage %.32q, last number %d", i.Epoch, i.Stage, i.Last)
+	case (i.Epoch == 0) != (i.Document == nil), i.Epoch > i.LastNumber, (i.Change == nil) != (i.Stage == StageSettled),
+		i.Change != nil && i.Change.Number > i.LastNumber, !slices.Contains([]Stage{StageSettled, StagePreparing, StageCanary, StageJoint, StageCommitted}, i.Stage):
+		return fmt.Errorf("policy: epoch %d at stage %.32q, last number %d", i.Epoch, i.Stage, i.LastNumber)
 	}
-	fresh := New(i.Last)
+	fresh := New(i.LastNumber)
 	fresh.epoch, fresh.stage, fresh.change, fresh.history, fresh.version = i.Epoch, i.Stage, i.Change, i.History, i.Version
-	if i.Doc != nil {
-		fresh.doc = *i.Doc
+	if i.Document != nil {
+		fresh.document = *i.Document
 	}
 	for name, seat := range i.Roster {
 		if seat == nil || seat.Name != name {
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -85,7 +85,7 @@
 	w.advance()
 	w.sayAll(2)
 	w.must(Command{Op: OpJoin, Member: Member{"n0", 2}}) // it has started again: its promise is another's
-	if who := w.s.waits(); !slices.Equal(who, []string{"n0", "n2"}) {
+	if who := w.s.waitingFor(); !slices.Equal(who, []string{"n0", "n2"}) {
 		t.Errorf("waits for %v", who)
 	}
 	if err := w.do(Command{Op: OpAck, Member: w.member(0), ChangeNumber: w.s.change.Number, Stage: StageJoint}); !errors.Is(err, ErrNotFound) {
