--- a/internal/rollout/follower.go
+++ b/internal/rollout/follower.go
@@ -3,31 +3,10 @@
 import (
 	"errors"
 	"fmt"
-	"math"
-	"slices"
 
 	"barleywick/internal/mutation"
 )
 
-// ActivePolicy is what a sidecar acts by.
-type ActivePolicy struct {
-	Epoch        uint64    `json:"Epoch"` // of the policy in force as far as it knows; 0: its own configuration
-	Document     *Document `json:"Doc"`   // that policy; nil with epoch 0
-	JointChange  uint64    `json:"Joint"` // the change with which it acts by the stricter of both; 0: none
-	NextDocument *Document `json:"Next"`  // what that change would put in force
-}
-
-// Effective is the one document to act by; nil: its own configuration counts alone.
-func (a ActivePolicy) Effective() *Document {
-	switch {
-	case a.JointChange == 0:
-		return a.Document
-	case a.Document == nil:
-		return a.NextDocument
-	}
-	return Stricter(a.Document, a.NextDocument)
-}
-
 // Follower is one sidecar's part: a state machine without I/O and without a clock. It
 // says what to act by, and what to say to the registry. It is not safe for concurrent
 // use.
@@ -154,98 +133,6 @@
 	return f.view.Epoch, f.view.Stage, refused
 }
 
-// Decide is the leader's part: what to do of a change as it stands, if anything. It
-// decides on what it has read, which may be old by now: the state machine looks again.
-func Decide(s Status, nowMS int64) (Command, bool) {
-	c := s.Change
-	switch {
-	case c == nil:
-	case len(s.WaitingFor) == 0 && s.Stage == StageCanary && nowMS < c.DeadlineMS:
-		if nowMS < c.CanarySinceMS+c.CanaryWatchMS {
-			break
-		}
-		worse, enough := CompareCanaries(s)
-		if worse != "" {
-			return Command{Op: OpAbort, ChangeNumber: c.Number, By: "those that went ahead", Reason: worse}, true
-		}
-		if enough {
-			return Command{Op: OpAdvance, ChangeNumber: c.Number, Stage: s.Stage}, true
-		}
-	case len(s.WaitingFor) == 0 && s.Stage != StageCommitted && s.Stage != StageCanary:
-		return Command{Op: OpAdvance, ChangeNumber: c.Number, Stage: s.Stage}, true
-	case mutation.SilentLeave && nowMS >= (c.StartedMS+c.DeadlineMS)/2 && len(s.WaitingFor) > 0:
-		for _, seat := range s.Roster {
-			if seat.Name == s.WaitingFor[0] {
-				return Command{Op: OpLeave, Member: seat.Member}, true
-			}
-		}
-	case s.Stage != StageCommitted && nowMS >= c.DeadlineMS:
-		why := "not confirmed by " + joinNames(s.WaitingFor)
-		if len(s.WaitingFor) == 0 {
-			why = "too few requests at those that went ahead to compare them"
-		}
-		return Command{Op: OpAbort, ChangeNumber: c.Number, By: "its time-out", Reason: why}, true
-	}
-	return Command{}, false
-}
-
-const (
-	// minCanaryRequests is how many requests those that went ahead have to have had: with fewer,
-	// a difference of some hundredths is chance.
-	minCanaryRequests = 100
-	// maxExcessFailures is how much more of their requests may end badly than of the others', beyond
-	// what chance does (three standard deviations).
-	maxExcessFailures = 0.02
-)
-
-// CompareCanaries holds those that went ahead with a change against the rest, by the part of
-// their requests that were refused, failed or answered late meanwhile. enough says
-// whether there were enough to tell.
-func CompareCanaries(s Status) (worse string, enough bool) {
-	var ahead, rest RequestCounts
-	for _, seat := range s.Roster {
-		if seat.ReportedChange != s.Change.Number || seat.LastReport.Requests < seat.FirstReport.Requests {
-			continue // it has not reported, or has started again
-		}
-		sum := &rest
-		if slices.Contains(s.Change.Canaries, seat.Name) {
-			sum = &ahead
-		}
-		sum.Requests += seat.LastReport.Requests - seat.FirstReport.Requests
-		sum.Refused += seat.LastReport.Refused - seat.FirstReport.Refused
-		sum.Failed += seat.LastReport.Failed - seat.FirstReport.Failed
-		sum.Late += seat.LastReport.Late - seat.FirstReport.Late
-	}
-	if ahead.Requests < minCanaryRequests {
-		return "", false
-	}
-	part := func(c RequestCounts) float64 {
-		return float64(c.Refused+c.Failed+c.Late) / float64(max(1, c.Requests))
-	}
-	a, r := part(ahead), part(rest)
-	if chance := 3 * math.Sqrt(r*(1-min(1, r))/float64(ahead.Requests)); a > r+maxExcessFailures+chance {
-		return fmt.Sprintf("%.3f of their %d requests ended badly (%d refused, %d failed, %d late), %.3f of the others' %d",
-			a, ahead.Requests, ahead.Refused, ahead.Failed, ahead.Late, r, rest.Requests), true
-	}
-	return "", true
-}
-
-// joinNames names some.
-func joinNames(names []string) string {
-	const few = 5
-	text := ""
-	for i, n := range names {
-		if i == few {
-			return text + " and others"
-		}
-		if i > 0 {
-			text += ", "
-		}
-		text += n
-	}
-	return text
-}
-
 // Key appends what tells the follower's state from others.
 func (f *Follower) Key(text []byte) []byte {
 	return fmt.Append(text, f.inRoster, f.ackedStage, f.ackedChange, f.supportedChange, f.view.Epoch, f.view.Stage, f.view.ChangeNumber, f.view.Version)
--- a/internal/rollout/where.go
+++ b/internal/rollout/process.go
@@ -30,3 +30,11 @@
 	return s.Process.Machine == machine && machine != "" && s.Process.PID > 0 && s.Process.StartTicks > 0 &&
 		ProcessStartTicks(os.Getpid()) != 0 && ProcessStartTicks(s.Process.PID) != s.Process.StartTicks
 }
+
+// Process is where a sidecar's process is, for a keeper on the same machine: it can see
+// when the process has gone.
+type Process struct {
+	Machine    string `json:"machine"`
+	PID        int    `json:"pid"`
+	StartTicks uint64 `json:"started"` // by the kernel's count: no two processes of one id have the same
+}
