--- /dev/null
+++ b/internal/simulation/emulator/attempt.go
@@ -0,0 +1,264 @@
+package emulator
+
+import (
+	"time"
+
+	"barleywick/policy"
+)
+
+// request is one try of a client, at its sidecar.
+type request struct {
+	id         policy.RequestID
+	node       *node
+	epoch      int
+	call       *call
+	deadline   time.Duration
+	attempts   []*attempt
+	closed     bool
+	receivedAt time.Duration
+	shed       bool // the module said so
+}
+
+// attempt is one send.
+type attempt struct {
+	request   *request
+	number    int
+	to        *Server
+	ended     bool // the sidecar has its outcome
+	completed bool // the server has run it
+	work      float64
+	connected bool // a connection is up
+
+	sent      time.Duration
+	ending    policy.Ending
+	malformed bool
+	job       *Job // at the server; nil: it has not come there
+}
+
+// receive brings the sidecar a client's try.
+func (n *node) receive(r *request, work time.Duration) {
+	s := n.sim
+	r.node, r.epoch, r.receivedAt = n, n.epoch, s.now
+	n.open[r.id] = r
+	if n.counts != nil {
+		n.counts[r.call.Tenant].Requests++
+	}
+	s.checker.RequestReceived(r.id, n.index, r.call.Class, r.deadline)
+	late := r.deadline + time.Duration(s.scenario.Rules.AnswerSlack) - s.now
+	n.afterInEpoch(late+1, func() {
+		if !r.closed {
+			s.checker.Overdue(s.now, r.id)
+			r.closed = true
+			n.decider.ClientGone(s.now, r.id)
+			s.clients.unanswered(r)
+		}
+	})
+	n.deciding, n.shed = r, shedCount(n.decider)
+	n.decider.Request(s.now, policy.Request{
+		ID: r.id, Class: r.call.Class, Tenant: r.call.Tenant, TimeLeft: r.deadline - s.now, ExpectedWork: work, AffinityKey: r.call.Key,
+	})
+	n.deciding = nil
+}
+
+// Send starts the next attempt of a request.
+func (n *node) Send(id policy.RequestID, to policy.ServerID, timeout, _ time.Duration) {
+	s := n.sim
+	sv := s.Servers[int(to)-1]
+	s.checker.AttemptSent(s.now, id, sv.Index)
+	r := n.open[id]
+	if r == nil {
+		return // the Checker has it
+	}
+	a := &attempt{request: r, number: len(r.attempts), to: sv, sent: s.now}
+	r.attempts = append(r.attempts, a)
+	s.record.Sends++
+	h := s.record.impactAt(s.now)
+	h.Sends++
+	if n := len(r.attempts); n > 1 {
+		h.countRetry(r.attempts[n-2].ending)
+	}
+	if sv.Zone != n.zone {
+		s.record.CrossZoneSends++
+	}
+	timeout = min(timeout, r.deadline-s.now)
+	n.afterInEpoch(max(0, timeout), func() { n.endAttempt(a, policy.TimedOut) })
+	n.dial(a)
+}
+
+// dial gets the attempt a connection and sends it.
+func (n *node) dial(a *attempt) {
+	s, sv := n.sim, a.to
+	way := s.delay(n.zone, sv.Zone)
+	idle := n.idle[sv.Index]
+	for len(idle) > 0 { // the one used last; those that stood too long are closed
+		since := idle[len(idle)-1]
+		idle = idle[:len(idle)-1]
+		if s.now-since <= time.Duration(s.scenario.Network.IdleTimeout) {
+			n.idle[sv.Index] = idle
+			a.connected = true
+			s.after(way, func() { s.arrive(a) })
+			return
+		}
+		sv.OpenConnections = max(0, sv.OpenConnections-1)
+	}
+	n.idle[sv.Index] = idle
+	s.record.Handshakes++
+	h := s.record.impactAt(s.now)
+	h.Handshakes++
+	if sv.queueHalfFull() {
+		h.HandshakesToFullQueues++
+	}
+	if sv.Unreachable || !s.reachable(n.zone, sv.Zone) { // no word comes back
+		n.afterInEpoch(time.Duration(s.scenario.Network.ConnectTimeout), func() { n.fail(a, policy.NoConnection) })
+		return
+	}
+	s.after(way, func() {
+		s.advanceServer(sv)
+		if !sv.Connect(time.Duration(s.scenario.Network.HandshakeWork)) {
+			s.afterForAttempt(a, way, func() { n.fail(a, policy.NoConnection) })
+			return
+		}
+		if a.ended { // called off meanwhile
+			sv.OpenConnections = max(0, sv.OpenConnections-1)
+			return
+		}
+		a.connected = true
+		s.after(2*way, func() { s.arrive(a) })
+	})
+}
+
+// afterForAttempt plans something for the life of the sidecar that began an attempt.
+func (s *Sim) afterForAttempt(a *attempt, d time.Duration, do func()) {
+	s.after(d, func() {
+		if a.request.node.epoch == a.request.epoch {
+			do()
+		}
+	})
+}
+
+// fail ends an attempt that proves not to have run.
+func (n *node) fail(a *attempt, end policy.Ending) {
+	n.sim.checker.AttemptEnded(a.request.id, a.number, false)
+	n.endAttempt(a, end)
+}
+
+// arrive brings an attempt to its server.
+func (s *Sim) arrive(a *attempt) {
+	sv, n := a.to, a.request.node
+	if sv.Unreachable || !s.reachable(n.zone, sv.Zone) {
+		return // swallowed
+	}
+	if a.ended { // called off on its way, or its sidecar is dead: it is never whole
+		return
+	}
+	s.advanceServer(sv)
+	work := a.request.call.Work
+	if sv.Alive && sv.ColdCapacity(s.now) > 0 {
+		s.checker.ColdServerReached(s.now, n.index, sv.Index, sv.StartedAt, work, sv.ColdCapacity(s.now))
+	}
+	j := &Job{Work: work, Key: a.request.call.Key, Deadline: a.request.deadline, Owner: a}
+	if c := s.scenario.Classes[a.request.call.Class]; c.Idempotency == "keyed" {
+		j.Repeat, j.Window = uint64(a.request.id)+1, time.Duration(c.DedupWindow)
+	}
+	switch fell := sv.Overloaded; sv.Arrive(s.now, j) {
+	case Accepted:
+		a.job = j
+		if s.resetShare > 0 && s.feedback.Float64() < s.resetShare {
+			s.afterForAttempt(a, time.Duration(s.feedback.Float64()*float64(100*time.Millisecond)), func() { n.endAttempt(a, policy.Broken) })
+		}
+		s.advanceServer(sv)
+	case Rejected:
+		s.checker.AttemptEnded(a.request.id, a.number, false)
+		s.record.Rejected++
+		s.record.impactAt(s.now).Rejected++
+		s.reply(sv, a, policy.Rejected)
+	case NotRunning:
+		if sv.Overloaded && !fell {
+			s.record.OverloadedServers++
+			s.kill(sv)
+		}
+		s.checker.AttemptEnded(a.request.id, a.number, false)
+		s.reply(sv, a, policy.NoConnection)
+	}
+}
+
+// endAttempt gives the sidecar the outcome of an attempt, once.
+func (n *node) endAttempt(a *attempt, end policy.Ending) {
+	if a.ended {
+		return
+	}
+	a.ended, a.ending = true, end
+	s, r := n.sim, a.request
+	if a.connected {
+		if end == policy.Served || end == policy.Errored || end == policy.Rejected {
+			n.idle[a.to.Index] = append(n.idle[a.to.Index], s.now)
+		} else {
+			a.to.OpenConnections = max(0, a.to.OpenConnections-1)
+		}
+	}
+	if end != policy.Rejected && end != policy.NoConnection && end != policy.NotSent {
+		s.checker.AttemptEnded(r.id, a.number, true)
+	}
+	settled := r.closed
+	if end == policy.Served && !r.closed {
+		settled = true
+		n.answer(r, AnswerServed, 0)
+	} else if end == policy.Served && a.completed {
+		s.record.AddWasted(s.now, a.work)
+	}
+	if n.decider != nil && n.up {
+		n.decider.Outcome(s.now, policy.Outcome{ID: r.id, Attempt: a.number, Ending: end, Settled: settled})
+	}
+	if r.closed {
+		n.forget(r)
+	}
+}
+
+// forget drops a request that is over and has no attempt out.
+func (n *node) forget(r *request) {
+	for _, a := range r.attempts {
+		if !a.ended {
+			return
+		}
+	}
+	delete(n.open, r.id)
+}
+
+// answer gives the client its one final answer.
+func (n *node) answer(r *request, a Answer, pause time.Duration) {
+	s := n.sim
+	s.checker.Answered(s.now, r.id, a)
+	if r.closed {
+		return
+	}
+	r.closed = true
+	n.count(r, a)
+	s.clients.answered(r, a, pause)
+}
+
+// Refuse ends a request; trying again is harmless.
+func (n *node) Refuse(id policy.RequestID, pause time.Duration) {
+	n.finish(id, AnswerRefused, pause)
+}
+
+// Fail ends a request.
+func (n *node) Fail(id policy.RequestID) { n.finish(id, AnswerFailed, 0) }
+
+func (n *node) finish(id policy.RequestID, a Answer, pause time.Duration) {
+	r := n.open[id]
+	if r == nil || r.closed {
+		return // ended a moment ago, which the protocol forgives
+	}
+	r.shed = n.deciding == r && shedCount(n.decider) > n.shed
+	n.answer(r, a, pause)
+	n.forget(r)
+}
+
+// Cancel calls off one attempt.
+func (n *node) Cancel(id policy.RequestID, attempt int) {
+	r := n.open[id]
+	if r == nil || attempt >= len(r.attempts) {
+		return
+	}
+	n.afterInEpoch(0, func() { n.endAttempt(r.attempts[attempt], policy.Cancelled) })
+}
--- /dev/null
+++ b/internal/simulation/emulator/decider.go
@@ -0,0 +1,33 @@
+package emulator
+
+import (
+	"time"
+
+	"barleywick/policy"
+)
+
+// Decider is what decides for one sidecar; policy.Balancer is one.
+type Decider interface {
+	Start(now time.Duration)
+	Request(now time.Duration, q policy.Request)
+	Outcome(now time.Duration, o policy.Outcome)
+	ClientGone(now time.Duration, id policy.RequestID)
+	Wake(now time.Duration)
+	Probed(now time.Duration, id policy.ServerID, ok bool, l policy.LoadReport)
+	List(now time.Duration, kind policy.ListKind, entries []policy.Endpoint)
+}
+
+// DeciderOptions is what a Decider is made from, at one start of a sidecar.
+type DeciderOptions struct {
+	Scenario *Scenario
+	Sidecar  int
+	Config   policy.Config
+	Seed     uint64
+	Host     policy.Host
+}
+
+// DeciderFactory makes the Decider of one start of a sidecar.
+type DeciderFactory func(DeciderOptions) (Decider, error)
+
+// NewBalancer is the real one.
+func NewBalancer(b DeciderOptions) (Decider, error) { return policy.New(b.Config, b.Seed, b.Host) }
--- a/internal/simulation/emulator/list.go
+++ b/internal/simulation/emulator/listserver.go
@@ -1,15 +1,17 @@
 package emulator
 
 import (
+	"cmp"
+	"math"
 	"time"
 
 	"barleywick/policy"
 )
 
-// listService is the service that tells sidecars of the servers. It learns of changes
+// listServer is the service that tells sidecars of the servers. It learns of changes
 // late, brings them to its watchers in batches, and answers calls in turn: one that
 // has waited too long fails, though it has cost what it cost.
-type listService struct {
+type listServer struct {
 	sim          *Sim
 	entries      []listEntry // by server
 	log          []int       // servers, in the order of their changes
@@ -26,15 +28,15 @@
 	change int // of the news under way; older news are void
 }
 
-func newListService(s *Sim) *listService { return &listService{sim: s, busyUntil: s.now} }
+func newListServer(s *Sim) *listServer { return &listServer{sim: s, busyUntil: s.now} }
 
 // addKnown puts a server on the list, from the beginning.
-func (l *listService) addKnown(sv *Server) {
+func (l *listServer) addKnown(sv *Server) {
 	*l.entryOf(sv) = listEntry{known: true, entry: l.entry(sv)}
 }
 
 // entryOf is the list's place for a server; it holds until the next server comes.
-func (l *listService) entryOf(sv *Server) *listEntry {
+func (l *listServer) entryOf(sv *Server) *listEntry {
 	for len(l.entries) <= sv.Index {
 		l.entries = append(l.entries, listEntry{})
 	}
@@ -42,7 +44,7 @@
 }
 
 // entry is how the list sees a server now.
-func (l *listService) entry(sv *Server) policy.Endpoint {
+func (l *listServer) entry(sv *Server) policy.Endpoint {
 	e := policy.Endpoint{
 		ID: policy.ServerID(sv.Index + 1), Zone: sv.Zone, Cell: sv.Cell.Number, State: policy.Ready, Weight: weight(sv), Started: sv.StartedAt,
 	}
@@ -59,7 +61,7 @@
 const unreachableDelayFactor = 3
 
 // changed has the list learn of a server's state as it will be then.
-func (l *listService) changed(sv *Server) {
+func (l *listServer) changed(sv *Server) {
 	spec, at := l.sim.scenario.List, l.entryOf(sv)
 	at.change++
 	n := at.change
@@ -94,7 +96,7 @@
 }
 
 // notifyWatches tells all watches what changed.
-func (l *listService) notifyWatches() {
+func (l *listServer) notifyWatches() {
 	l.flushPlanned = false
 	if l.down {
 		return // it is told when the watches come back
@@ -113,7 +115,7 @@
 }
 
 // since is what changed after a place in the log, each server once.
-func (l *listService) since(from int) (changes []policy.Endpoint) {
+func (l *listServer) since(from int) (changes []policy.Endpoint) {
 	seen := make(map[int]bool)
 	for _, i := range l.log[from:] {
 		if !seen[i] {
@@ -125,7 +127,7 @@
 }
 
 // fullList is the whole list.
-func (l *listService) fullList() (all []policy.Endpoint) {
+func (l *listServer) fullList() (all []policy.Endpoint) {
 	for _, e := range l.entries {
 		if e.known && e.entry.State != policy.Removed {
 			all = append(all, e.entry)
@@ -135,7 +137,7 @@
 }
 
 // watch is a sidecar's call for the list and all changes from then on.
-func (l *listService) watch(n *node) {
+func (l *listServer) watch(n *node) {
 	s, spec := l.sim, l.sim.scenario.List
 	s.record.ListCalls++
 	s.record.impactAt(s.now).ListCalls++
@@ -165,7 +167,7 @@
 	})
 }
 
-func (l *listService) callFailed(n *node) {
+func (l *listServer) callFailed(n *node) {
 	l.sim.record.ListFailed++
 	l.sim.record.impactAt(l.sim.now).ListFailed++
 	n.watching, n.pollFailed = false, true
@@ -173,7 +175,7 @@
 }
 
 // takeDown takes the service down: its watches end.
-func (l *listService) takeDown() {
+func (l *listServer) takeDown() {
 	l.down = true
 	for _, n := range l.sim.nodes {
 		if n.up && n.watching {
@@ -183,4 +185,9 @@
 }
 
 // endWatch ends the watch of a sidecar that is gone.
-func (l *listService) endWatch(n *node) { n.watching = false }
+func (l *listServer) endWatch(n *node) { n.watching = false }
+
+// weight is a machine's size as the list has it: roughly right, and as precise as the wire.
+func weight(sv *Server) float64 {
+	return float64(float32(cmp.Or(math.Round(sv.Kind.capacity()*10)/10, 1)))
+}
--- /dev/null
+++ b/internal/simulation/emulator/network.go
@@ -0,0 +1,32 @@
+package emulator
+
+import (
+	"time"
+
+	"barleywick/policy"
+)
+
+// reply lets an answer travel back to the sidecar.
+func (s *Sim) reply(sv *Server, a *attempt, end policy.Ending) {
+	n, epoch := a.request.node, a.request.epoch
+	if !s.reachable(n.zone, sv.Zone) || sv.Unreachable {
+		return // it is lost; the attempt times out
+	}
+	s.after(s.delay(n.zone, sv.Zone), func() {
+		if n.epoch == epoch {
+			n.endAttempt(a, end)
+		}
+	})
+}
+
+// reachable says whether two zones hear each other.
+func (s *Sim) reachable(a, b int) bool { return a == b || s.partitioned[a]+s.partitioned[b] == 0 }
+
+// delay is the time of a message one delay.
+func (s *Sim) delay(a, b int) time.Duration {
+	d := time.Duration(s.scenario.Network.NearDelay)
+	if a != b {
+		d = time.Duration(s.scenario.Network.FarDelay)
+	}
+	return time.Duration(float64(d) * (1 + s.scenario.Network.Jitter*(2*s.feedback.Float64()-1)))
+}
--- /dev/null
+++ b/internal/simulation/emulator/node.go
@@ -0,0 +1,236 @@
+package emulator
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"barleywick/internal/overload"
+	"barleywick/policy"
+)
+
+// node is one sidecar: it carries out what its Decider decides. It is policy.Host.
+type node struct {
+	sim     *Sim
+	index   int
+	zone    int
+	up      bool
+	epoch   int // of its starts: what was planned for an earlier one is void
+	decider Decider
+	open    map[policy.RequestID]*request
+	idle    map[int][]time.Duration // by server: since when each idle connection is
+
+	known        []policy.Endpoint // the list as last had
+	shuttingDown bool              // a planned end: nothing new comes, what it has is answered
+	watching     bool
+	polledAt     time.Duration // it called for the list last
+	pollFailed   bool          // and that call failed
+
+	counts       []overload.TenantCounts // since the last digest, by tenant; nil: nobody is told
+	digests      uint64
+	adviceFilter overload.AdviceFilter
+
+	deciding *request // being handed to the module
+	shed     uint64   // what it had shed before
+}
+
+// start begins the sidecar's life, knowing the list as it last had it.
+func (n *node) start() {
+	s := n.sim
+	n.epoch++
+	n.open = make(map[policy.RequestID]*request)
+	b, err := s.newDecider(DeciderOptions{s.scenario, n.index, s.scenario.Policy(n.zone), s.seed ^ uint64(n.index)<<32 ^ uint64(n.epoch)<<8, n})
+	if err != nil {
+		s.failure = fmt.Errorf("sidecar %d: %w", n.index, err)
+		return
+	}
+	n.decider, n.up, n.shuttingDown, n.watching, n.polledAt = b, true, false, false, s.now
+	if n.known == nil {
+		n.known = s.list.fullList()
+	}
+	b.Start(s.now)
+	b.List(s.now, policy.ListCached, n.known)
+	if s.advice != nil {
+		s.advice.startReporting(n)
+	}
+}
+
+// restart kills a sidecar; it is back after a while. What it held is void: its
+// client went with it.
+func (s *Sim) restart(n *node, down time.Duration) {
+	if !n.up {
+		return
+	}
+	n.up = false
+	n.epoch++
+	for _, id := range slices.Sorted(maps.Keys(n.open)) {
+		r := n.open[id]
+		if !r.closed {
+			s.clients.sidecarEnded(r.call)
+		}
+		r.closed = true
+		s.checker.ClientGone(id)
+		for _, a := range r.attempts {
+			if a.connected && !a.ended {
+				a.to.OpenConnections = max(0, a.to.OpenConnections-1)
+			}
+			a.ended = true
+		}
+	}
+	n.open = nil
+	for i := range s.Servers {
+		if free := n.idle[i]; len(free) > 0 {
+			s.Servers[i].OpenConnections = max(0, s.Servers[i].OpenConnections-len(free))
+		}
+	}
+	clear(n.idle)
+	s.checker.SidecarKilled(n.index)
+	s.list.endWatch(n)
+	s.record.Restarts++
+	s.after(down, n.start)
+}
+
+// shutdownGrace is the longest that a sidecar is given for its answers at a planned end,
+// beyond the longest deadline; shutdownCheckInterval is how often it is looked at meanwhile.
+const (
+	shutdownGrace         = 700 * time.Millisecond
+	shutdownCheckInterval = 20 * time.Millisecond
+)
+
+// shutDown ends a sidecar as planned: nothing new comes, and it goes when all that it has
+// is answered, or its time is up.
+func (s *Sim) shutDown(n *node, down time.Duration) {
+	if !n.up || n.shuttingDown {
+		return
+	}
+	n.shuttingDown = true
+	by := s.now + s.longestDeadline() + shutdownGrace
+	var look func()
+	look = func() {
+		if len(n.open) > 0 && s.now < by {
+			n.afterInEpoch(shutdownCheckInterval, look)
+			return
+		}
+		s.restart(n, down)
+	}
+	look()
+}
+
+// afterInEpoch plans something for this life of the sidecar.
+func (n *node) afterInEpoch(d time.Duration, do func()) {
+	epoch := n.epoch
+	n.sim.after(d, func() {
+		if n.epoch == epoch {
+			do()
+		}
+	})
+}
+
+// Wake asks for a call of the Decider's Wake.
+func (n *node) Wake(d time.Duration) {
+	n.afterInEpoch(max(d, time.Microsecond), func() { n.decider.Wake(n.sim.now) })
+}
+
+// probeTimeout is how long a probe waits for its answer.
+const probeTimeout = 500 * time.Millisecond
+
+// Probe asks a server for its load.
+func (n *node) Probe(to policy.ServerID) {
+	s, sv := n.sim, n.sim.Servers[int(to)-1]
+	s.record.Probes++
+	h := s.record.impactAt(s.now)
+	h.Probes++
+	if sv.queueHalfFull() {
+		h.ProbesToFullQueues++
+	}
+	if sv.Unreachable || !s.reachable(n.zone, sv.Zone) {
+		n.afterInEpoch(probeTimeout, func() { n.decider.Probed(s.now, to, false, policy.UnknownLoad) })
+		return
+	}
+	way := s.delay(n.zone, sv.Zone)
+	n.afterInEpoch(way, func() {
+		if !sv.Alive || sv.Overloaded {
+			n.afterInEpoch(way, func() { n.decider.Probed(s.now, to, false, policy.UnknownLoad) })
+			return
+		}
+		s.advanceServer(sv)
+		r := sv.Probe(s.now)
+		s.advanceServer(sv)
+		n.afterInEpoch(way, func() {
+			n.decider.Probed(s.now, to, true, policy.LoadReport{InFlight: -1, Queued: r.Queue, Utilization: float64(float32(r.Busy)), ServedPerSecond: float64(float32(r.Rate))})
+		})
+	})
+}
+
+// WatchList asks for the list.
+func (n *node) WatchList() {
+	n.polledAt = n.sim.now
+	n.afterInEpoch(0, func() { n.sim.list.watch(n) })
+}
+
+// checkNotified looks whether a sidecar that follows no watch has gone without asking for so
+// long that it counts as told of a server's end or drain.
+func (n *node) checkNotified(server int) {
+	s, within := n.sim, time.Duration(n.sim.scenario.Rules.PollDeadline)
+	if n.pollFailed {
+		within *= failedPollFactor
+	}
+	switch e := s.list.entries[server]; {
+	case n.watching || e.entry.State == policy.Ready:
+	case s.now < n.polledAt+within:
+		n.afterInEpoch(n.polledAt+within-s.now, func() { n.checkNotified(server) })
+	default:
+		s.checker.EndpointNotified(s.now, n.index, server, false, e.entry.Started)
+	}
+}
+
+// failedPollFactor is how many times as long a sidecar has whose last call failed.
+const failedPollFactor = 4
+
+// listReceived gives the sidecar news of the list.
+func (n *node) listReceived(kind policy.ListKind, entries []policy.Endpoint) {
+	s := n.sim
+	n.pollFailed = false
+	if kind == policy.ListFull {
+		named := make(map[policy.ServerID]bool, len(entries))
+		for _, e := range entries {
+			named[e.ID] = true
+		}
+		for _, e := range n.known {
+			if !named[e.ID] {
+				s.checker.EndpointNotified(s.now, n.index, int(e.ID)-1, false, e.Started)
+			}
+		}
+		n.known = entries
+	} else {
+		n.known = mergeChanges(n.known, entries)
+	}
+	for _, e := range entries {
+		s.checker.EndpointNotified(s.now, n.index, int(e.ID)-1, e.State == policy.Ready, e.Started)
+	}
+	n.decider.List(s.now, kind, entries)
+}
+
+// mergeChanges applies changes to a list.
+func mergeChanges(list, changes []policy.Endpoint) []policy.Endpoint {
+	merged := append([]policy.Endpoint(nil), list...)
+	for _, c := range changes {
+		found := false
+		for i := range merged {
+			if merged[i].ID == c.ID {
+				merged[i], found = c, true
+			}
+		}
+		if !found {
+			merged = append(merged, c)
+		}
+	}
+	kept := merged[:0]
+	for _, e := range merged {
+		if e.State != policy.Removed {
+			kept = append(kept, e)
+		}
+	}
+	return kept
+}
--- a/internal/simulation/emulator/presets.go
+++ b/internal/simulation/emulator/presets.go
@@ -105,3 +105,29 @@
 		t.Start, t.Duration = Duration(float64(t.Start)*f), Duration(float64(t.Duration)*f)
 	}
 }
+
+// DefaultScenario is a fleet whose figures lie in the middle of what the operators state of theirs.
+func DefaultScenario() *Scenario {
+	s := &Scenario{
+		Name: "calm", Length: Duration(30 * time.Second), Sidecars: 30, Servers: 20,
+		Zones: []string{"milano-a", "torino-b"}, Load: 0.7,
+		Network: Network{NearDelay: milliseconds(0.2), FarDelay: milliseconds(10), Jitter: 0.2, ConnectTimeout: milliseconds(250), IdleTimeout: milliseconds(15000), HandshakeWork: milliseconds(4), ConnectionsPerCore: 750},
+		List:    ListService{RemovalDelay: milliseconds(2200), AdditionDelay: milliseconds(1200), Period: milliseconds(800), PerMS: 4, PerCall: 50, MaxWait: milliseconds(1000)},
+		Clients: Clients{TrafficCV: 1, ZoneSkew: 0.15, Swing: 0.12, SwingTime: milliseconds(20000), Retries: 2, AttemptShare: 0.6, Backoff: milliseconds(300), HonourRetryAfter: 0.8, AbandonRate: 0.01},
+		Classes: []Class{
+			{Name: "hold-slot", Share: 0.61, Work: milliseconds(90), WorkCV: 2, Tail: "lognormal", LatencyObjective: milliseconds(1500), Deadline: milliseconds(6000), PriorityWeight: 5, LateShare: 0.5, Idempotency: "keyed", DedupScope: "zone", DedupWindow: milliseconds(4000)},
+			{Name: "confirm-visit", Share: 0.39, Work: milliseconds(90), WorkCV: 2, Tail: "pareto", LatencyObjective: milliseconds(1200), Deadline: milliseconds(3000), PriorityWeight: 3, LateShare: 0.25, Idempotency: "unsafe"},
+		},
+		Keys:   Keys{Count: 700, Zipf: 0.75, WarmSaving: 0.5, WarmWindow: milliseconds(7000), PerCore: 16, CellSize: 6},
+		Rules:  Rules{AnswerSlack: milliseconds(70), DrainGrace: milliseconds(3000), PollDeadline: milliseconds(10000), OverloadFactor: 3, OverloadWindow: milliseconds(2000), MaxAttempts: 4, RetryAfter: milliseconds(2000)},
+		Prices: Prices{CrossZone: 0.026, Waste: 0.3, Probe: 0.05, Handshake: 0.08, LateFail: 0.057, OverShare: 0.1},
+		Kinds: []MachineKind{
+			{Name: "single-fast", Share: 0.63, Cores: 1, Speed: 1.5, SpeedCV: 0.15, Slots: 1, QueueCapacity: 26, CrowdedAt: 9, SlowStartFloor: 0.45, SlowStartWindow: milliseconds(6000), ErrorRate: 0.001, ConnectionCost: 0.25, ReportInterval: milliseconds(50), ReportNoise: 0.02},
+			{Name: "dual-std", Share: 0.37, Cores: 2, Speed: 1, SpeedCV: 0.1, Slots: 1, QueueCapacity: 20, CrowdedAt: 9, SlowStartFloor: 0.45, SlowStartWindow: milliseconds(6000), ErrorRate: 0.001, ConnectionCost: 0.25, ReportInterval: milliseconds(50), ReportNoise: 0.02},
+		},
+	}
+	for i, share := range []float64{0.2, 0.18, 0.15, 0.14, 0.13, 0.12, 0.08} {
+		s.Tenants = append(s.Tenants, Tenant{Name: fmt.Sprintf("tenant-%d", i+1), Share: share, Usage: 1})
+	}
+	return s
+}
--- a/internal/simulation/emulator/server.go
+++ b/internal/simulation/emulator/server.go
@@ -376,3 +376,23 @@
 	}
 	return s.report
 }
+
+// advanceServer brings a server up to now, answers what has ended and plans its next end.
+func (s *Sim) advanceServer(sv *Server) {
+	for _, j := range sv.Advance(s.now) {
+		s.jobEnded(sv, j)
+	}
+	next := sv.Next()
+	if next == Never || (s.nextLook[sv.Index] <= next && s.nextLook[sv.Index] > s.now) {
+		return // what is planned comes in time
+	}
+	s.nextLook[sv.Index] = next
+	s.schedule(next, func() {
+		if s.nextLook[sv.Index] == next {
+			s.nextLook[sv.Index] = Never
+		}
+		if sv.Alive {
+			s.advanceServer(sv)
+		}
+	})
+}
--- a/internal/simulation/emulator/settings.go
+++ b/internal/simulation/emulator/settings.go
@@ -1,6 +1,10 @@
 package emulator
 
-import "time"
+import (
+	"time"
+
+	"barleywick/policy"
+)
 
 // Settings is what a sidecar's configuration file holds on this day under
 // 'settings', in the platform's form.
@@ -34,3 +38,51 @@
 		},
 	}
 }
+
+// Policy is what a sidecar's settings say on this day.
+func (s *Scenario) Policy(zone int) policy.Config {
+	c := policy.Config{
+		Balancers: s.Sidecars, Zone: zone, Slots: s.Slots,
+		MaxAttempts: s.Rules.MaxAttempts, MayCancel: true, MayProbe: true, LoadReports: true,
+		MaxRetryAfter: time.Duration(s.Rules.RetryAfter), KeyAffinity: s.Keys.WarmSaving > 0,
+		PollList: true, PollDeadline: time.Duration(s.Rules.PollDeadline), DrainGrace: time.Duration(s.Rules.DrainGrace), OverloadFactor: s.Rules.OverloadFactor,
+		SlowStartFloor: 1, CrossZoneCost: s.Prices.CrossZone,
+	}
+	for _, k := range s.Kinds {
+		c.SlowStartFloor = min(c.SlowStartFloor, k.SlowStartFloor)
+		c.SlowStartWindow = max(c.SlowStartWindow, time.Duration(k.SlowStartWindow))
+	}
+	for _, k := range s.Classes {
+		c.Classes = append(c.Classes, policy.Class{
+			LatencyObjective: time.Duration(k.LatencyObjective), Deadline: time.Duration(k.Deadline), LateShare: k.LateShare, PriorityWeight: k.PriorityWeight,
+			Idempotency: k.idempotency(), DedupScope: k.dedupScope(), DedupWindow: time.Duration(k.DedupWindow),
+		})
+	}
+	for i := range s.Tenants {
+		c.Tenants = append(c.Tenants, policy.Tenant{Share: s.Tenants[i].Share, Quota: s.quota(i)})
+	}
+	return c
+}
+
+// quotaPart is how much of what the servers can do is promised to the tenants.
+const quotaPart = 0.82
+
+// quota is a tenant's share in requests a second, over all sidecars.
+func (s *Scenario) quota(tenant int) float64 {
+	shares := 0.0
+	for _, t := range s.Tenants {
+		shares += t.Share
+	}
+	if s.Load == 0 {
+		return 0
+	}
+	return s.Tenants[tenant].Share / shares * s.Rate() / s.Load * quotaPart
+}
+
+func (c Class) idempotency() policy.Idempotency {
+	return map[string]policy.Idempotency{"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NonIdempotent}[c.Idempotency]
+}
+
+func (c Class) dedupScope() policy.DedupScope {
+	return map[string]policy.DedupScope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}[c.DedupScope]
+}
