--- a/internal/simulation/emulator/advicetask.go
+++ b/internal/simulation/emulator/advicetask.go
@@ -8,20 +8,20 @@
 	"barleywick/policy"
 )
 
-// adviceTask is the task that works out the fleet's word on an overload, where the scenario
-// has one, and the way to it and back.
+// adviceTask is the fleet-wide task that computes overload advice, where the scenario
+// has one, with the messages to it and back.
 type adviceTask struct {
 	sim          *Sim
 	planner      *overload.Planner
 	token        uint64
 	current      overload.Advice
-	disconnected []int // by sidecar: troubles that keep it from the task
+	disconnected []int // by sidecar: active faults that disconnect it from the task
 }
 
-// fleetName is what fleets of the emulator are called towards the task.
+// fleetName names the emulated fleet in digests and advice.
 const fleetName = "emulator"
 
-// adviceTaker is a Decider that takes the fleet's word.
+// adviceTaker is a Decider that accepts overload advice.
 type adviceTaker interface {
 	Advise(now time.Duration, a policy.OverloadAdvice)
 	Congestion(now time.Duration) float64
@@ -34,19 +34,19 @@
 	return a
 }
 
-// newHolder has the task begin anew, at another holder.
+// newHolder restarts the task at another lease holder.
 func (a *adviceTask) newHolder() {
 	a.token++
 	a.planner = overload.NewPlanner(fleetName, a.token)
 }
 
-// updateAdvice works out the word once a second.
+// updateAdvice computes the advice once a second.
 func (a *adviceTask) updateAdvice() {
 	a.current = a.planner.Plan(a.sim.now)
 	a.sim.after(overload.ReportInterval, a.updateAdvice)
 }
 
-// startReporting has a sidecar startReporting once a second from its start on.
+// startReporting makes a sidecar send a digest once a second from its start on.
 func (a *adviceTask) startReporting(n *node) {
 	n.counts = make([]overload.TenantCounts, len(a.sim.scenario.Tenants))
 	n.adviceFilter = overload.AdviceFilter{Fleet: fleetName}
@@ -56,11 +56,11 @@
 		a.exchange(n)
 		n.afterInEpoch(overload.ReportInterval, again)
 	}
-	// Spread: the task must not hear of all at once.
+	// Spread, so that digests do not arrive all at once.
 	n.afterInEpoch(overload.ReportInterval*time.Duration(n.index%97+1)/97, again)
 }
 
-// exchange brings a digest to the task, and its word back.
+// exchange sends a digest to the task and its advice back.
 func (a *adviceTask) exchange(n *node) {
 	s := a.sim
 	d, takes := n.decider.(adviceTaker)
@@ -103,7 +103,7 @@
 	})
 }
 
-// count notes what became of a try.
+// count counts the outcome of a request for the next digest.
 func (n *node) count(r *request, a Answer) {
 	if n.counts == nil {
 		return
@@ -120,8 +120,8 @@
 	}
 }
 
-// disconnectAdvice keeps a part of the sidecars from the task; where it is all of them, another
-// holder has it afterwards, which knows nothing.
+// disconnectAdvice disconnects a fraction of the sidecars from the task; where it is all of them, another
+// holder, without any digests, has the task afterwards.
 func (s *Sim) disconnectAdvice(t *Fault) func() {
 	some := PickShare(s.environment, len(s.nodes), t.Part)
 	for _, i := range some {
--- a/internal/simulation/emulator/advicetask_test.go
+++ b/internal/simulation/emulator/advicetask_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// others is what the tenants have had of theirs that did not ask for more.
+// others returns the served share of the tenants without a burst.
 func others(r *Record) (share float64) {
 	var p WeightShare
 	for _, t := range r.Tenants[:len(r.Tenants)-1] {
@@ -14,9 +14,9 @@
 	return p.Share()
 }
 
-// One tenant that asks for a hundred times its share costs the others less where the
-// fleet has a word; a word that is lost, or lost for a part, costs nothing beside none.
-func TestTheFleetsWordKeepsOneTenantOffTheOthers(t *testing.T) {
+// A tenant that requests a hundred times its share costs the others less where the
+// fleet has overload advice; advice that is lost, or lost for some sidecars, costs no more than none.
+func TestOverloadAdviceProtectsOtherTenants(t *testing.T) {
 	with := func(seed uint64, change func(*Scenario)) *Record {
 		sc := day(t, "greedy", 120, 14)
 		change(sc)
@@ -35,14 +35,14 @@
 		half += others(with(seed, func(s *Scenario) { s.Faults[1].Part, s.Faults[1].Duration = 0.5, fromSeconds(20) })) / seeds
 		lost += others(with(seed, func(s *Scenario) { s.Faults[1].Start, s.Faults[1].Duration = fromSeconds(9), fromSeconds(20) })) / seeds
 	}
-	t.Logf("the others' share: a quiet day %.4f, no word %.4f, a word %.4f, half of the sidecars cut off from it %.4f, its task lost %.4f", quiet, none, some, half, lost)
+	t.Logf("share of the other tenants: no burst %.4f, no advice %.4f, advice %.4f, half of the sidecars disconnected %.4f, task lost %.4f", quiet, none, some, half, lost)
 	if some < none+0.005 || half < none-0.005 || lost < none-0.005 {
-		t.Errorf("no word %.4f, a word %.4f, half cut off %.4f, lost %.4f", none, some, half, lost)
+		t.Errorf("no advice %.4f, advice %.4f, half disconnected %.4f, lost %.4f", none, some, half, lost)
 	}
 }
 
-// A surge that no sidecar of a large fleet sees whole costs the fleet no more than a small one.
-func TestASurgeCostsALargeFleetNoMore(t *testing.T) {
+// A surge of which each sidecar of a large fleet sees a small part costs it no more than a small fleet.
+func TestSurgeCostsLargeFleetNoMore(t *testing.T) {
 	goodput := func(sidecars int) (share, sends float64) {
 		sc := day(t, "surge", sidecars, 30)
 		r := play(t, sc, 1, NewBalancer)
--- a/internal/simulation/emulator/arrivals.go
+++ b/internal/simulation/emulator/arrivals.go
@@ -10,34 +10,34 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Call is what a client wants: a first try, whatever becomes of it.
+// Call is a request of a client before its first attempt.
 type Call struct {
-	At          time.Duration // since the day's begin
+	At          time.Duration // since the start of the run
 	Sidecar     int
 	Class       int
 	Tenant      int
 	Key         uint64
 	Work        float64       // seconds on a core of speed 1
-	Hint        time.Duration // of it, as the client gives it
+	Hint        time.Duration // estimate of the work that the client sends along
 	Weight      float64
-	WithinQuota bool // its tenant's share
+	WithinQuota bool // it lies within its tenant's quota
 }
 
-// Arrivals draws the calls of a day, in time. They follow from scenario and seed
-// alone: nothing that servers or sidecars do moves them, so that all variants, and
-// real sockets too, are asked for the same.
+// Arrivals draws the calls of a run in order of time. They follow from scenario and seed
+// alone and do not depend on servers or sidecars, so that all variants, and
+// real sockets too, get the same calls.
 type Arrivals struct {
 	scenario     *Scenario
-	next         calls // one of each sidecar, by time
+	next         calls // the next candidate of each sidecar, by time
 	rates        []float64
-	timeSources  []*rand.Rand // by sidecar, for the times
-	contents     *rand.Rand   // for what is asked
+	timeSources  []*rand.Rand // by sidecar, of the times
+	contents     *rand.Rand   // of the calls' contents
 	classes      distuv.Categorical
 	tenants      distuv.Categorical
 	keys         distuv.Categorical
 	quota        []tokenBucket // by tenant
-	tenantShares []float64     // each tenant's part of what is asked for on an ordinary day
-	maxRate      float64       // how far above its mean the rate may rise
+	tenantShares []float64     // each tenant's fraction of the calls without bursts
+	maxRate      float64       // bound of the rate, as a multiple of its mean
 }
 
 type calls []struct {
@@ -53,13 +53,13 @@
 func (c calls) Push(any)      { panic("one call of each sidecar, always") }
 func (c calls) Pop() any      { panic("one call of each sidecar, always") }
 
-// tokenBucket is a tenant's share: what comes beyond it is worth little.
+// tokenBucket is a tenant's quota: a call beyond it has little weight.
 type tokenBucket struct {
 	rate, level float64
 	at          time.Duration
 }
 
-// burstSeconds is how many seconds of its share a tenant may save up.
+// burstSeconds is how many seconds of its quota a tenant may accumulate.
 const burstSeconds = 2.0
 
 func (b *tokenBucket) take(now time.Duration) bool {
@@ -72,7 +72,7 @@
 	return true
 }
 
-// NewArrivals makes the arrivals of a day. The scenario must be usable.
+// NewArrivals makes the arrivals of a run. The scenario must have passed Check.
 func NewArrivals(sc *Scenario, seed uint64) *Arrivals {
 	a := &Arrivals{scenario: sc, contents: source(seed, streamClients, 0), maxRate: 1 + sc.Clients.Swing}
 	var classes, tenants []float64
@@ -87,7 +87,7 @@
 		a.quota = append(a.quota, tokenBucket{rate: q, level: q * burstSeconds})
 	}
 	if asked == 0 {
-		tenants[0], asked = 1, 1 // somebody has to ask
+		tenants[0], asked = 1, 1 // some tenant has to send requests
 	}
 	for _, t := range tenants {
 		a.tenantShares = append(a.tenantShares, t/asked)
@@ -114,7 +114,7 @@
 	return a
 }
 
-// divideTraffic divides the traffic among the sidecars, unevenly as the scenario says.
+// divideTraffic divides the traffic among the sidecars, as unevenly as the scenario says.
 func (a *Arrivals) divideTraffic() {
 	sc, sum := a.scenario, 0.0
 	for i := range sc.Sidecars {
@@ -130,11 +130,11 @@
 	}
 }
 
-// ZoneOf is the zone of a sidecar.
+// ZoneOf returns the zone of a sidecar.
 func (s *Scenario) ZoneOf(sidecar int) int { return sidecar % len(s.Zones) }
 
-// drawInterval draws the time to a sidecar's next candidate, at the highest rate there may be:
-// candidates are thinned to the rate of their time, which keeps them Poisson.
+// drawInterval draws the time to a sidecar's next candidate at the highest possible rate:
+// candidates are thinned to the rate of their time, which keeps the process Poisson.
 func (a *Arrivals) drawInterval(sidecar int) time.Duration {
 	if rate := a.rates[sidecar] * a.maxRate; rate > 0 {
 		return time.Duration(min(distuv.Exponential{Rate: rate, Src: a.timeSources[sidecar]}.Rand(), maxLength.Seconds()*2) * float64(time.Second))
@@ -142,7 +142,7 @@
 	return maxLength * 2
 }
 
-// rateAt is the rate at a time, in parts of the mean.
+// rateAt returns the rate at a time, as a multiple of the mean.
 func (a *Arrivals) rateAt(at time.Duration) float64 {
 	level := 1 + a.scenario.Clients.Swing*math.Sin(2*math.Pi*at.Seconds()/a.scenario.Clients.SwingTime.seconds())
 	for _, t := range a.scenario.Faults {
@@ -153,7 +153,7 @@
 	return level
 }
 
-// burstFactor is by how much a burst makes all that is asked more: one tenant's alone by that one's part.
+// burstFactor returns by how much a burst multiplies the whole traffic: a burst of one tenant counts by its share.
 func (a *Arrivals) burstFactor(t Fault) float64 {
 	if i := a.scenario.tenant(t.Tenant); i >= 0 {
 		return 1 + a.tenantShares[i]*(t.Size-1)
@@ -161,7 +161,7 @@
 	return t.Size
 }
 
-// drawTenant draws the tenant of a call, of whom one may ask for more.
+// drawTenant draws the tenant of a call, one of which may have a burst.
 func (a *Arrivals) drawTenant(at time.Duration) int {
 	for _, t := range a.scenario.Faults {
 		if i := a.scenario.tenant(t.Tenant); i >= 0 && t.Name == "burst" && t.activeAt(at) {
@@ -173,17 +173,17 @@
 	return int(a.tenants.Rand())
 }
 
-// tenant is the place of a tenant by its name, or -1.
+// tenant returns the index of a tenant by its name, or -1.
 func (s *Scenario) tenant(name string) int {
 	return slices.IndexFunc(s.Tenants, func(t Tenant) bool { return name != "" && t.Name == name })
 }
 
-// activeAt says whether it is the trouble's time.
+// activeAt reports whether the fault is active at a time.
 func (t Fault) activeAt(at time.Duration) bool {
 	return at >= time.Duration(t.Start) && at < time.Duration(t.Start)+time.Duration(t.Duration)
 }
 
-// Next is the next call; there is none after the scenario's length.
+// Next returns the next call; there is none after the scenario's length.
 func (a *Arrivals) Next() (Call, bool) {
 	for a.next[0].at < time.Duration(a.scenario.Length) {
 		at, i := a.next[0].at, a.next[0].sidecar
@@ -196,10 +196,10 @@
 	return Call{}, false
 }
 
-// hintSpread is how rough the hint of a request's work is.
+// hintSpread is the coefficient of variation of the estimate of a request's work.
 const hintSpread = 0.3
 
-// draw draws what a call asks for.
+// draw draws the contents of a call.
 func (a *Arrivals) draw(at time.Duration, sidecar int) Call {
 	c := Call{At: at, Sidecar: sidecar, Class: int(a.classes.Rand()), Tenant: a.drawTenant(at), Key: uint64(a.keys.Rand()) + 1}
 	class := a.scenario.Classes[c.Class]
@@ -213,7 +213,7 @@
 			c.Work *= t.Size
 		}
 	}
-	c.Work = min(c.Work, class.Deadline.seconds()) // more could never be served
+	c.Work = min(c.Work, class.Deadline.seconds()) // more could not be served in time
 	c.Hint = time.Duration(lognormal(c.Work, hintSpread, a.contents) * float64(time.Second))
 	c.Weight = class.PriorityWeight * c.Work
 	if c.WithinQuota = a.quota[c.Tenant].take(at); !c.WithinQuota {
@@ -240,7 +240,7 @@
 	return distuv.Pareto{Xm: mean * (alpha - 1) / alpha, Alpha: alpha, Src: src}.Rand()
 }
 
-// source is a random source of one of many of a kind.
+// source returns the random source of one stream and index.
 func source(seed uint64, stream, index int) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, uint64(index)<<8|uint64(stream)))
 }
--- a/internal/simulation/emulator/attempt.go
+++ b/internal/simulation/emulator/attempt.go
@@ -6,7 +6,7 @@
 	"barleywick/policy"
 )
 
-// request is one try of a client, at its sidecar.
+// request is one attempt of a client, at its sidecar.
 type request struct {
 	id         policy.RequestID
 	node       *node
@@ -16,26 +16,26 @@
 	attempts   []*attempt
 	closed     bool
 	receivedAt time.Duration
-	shed       bool // the module said so
+	shed       bool // the module counted it as shed
 }
 
-// attempt is one send.
+// attempt is one attempt of a sidecar at a server.
 type attempt struct {
 	request   *request
 	number    int
 	to        *Server
 	ended     bool // the sidecar has its outcome
-	completed bool // the server has run it
+	completed bool // the server has completed it
 	work      float64
 	connected bool // a connection is up
 
 	sent      time.Duration
 	ending    policy.Ending
 	malformed bool
-	job       *Job // at the server; nil: it has not come there
+	job       *Job // at the server; nil: it has not arrived there
 }
 
-// receive brings the sidecar a client's try.
+// receive passes a client's request to the sidecar.
 func (n *node) receive(r *request, work time.Duration) {
 	s := n.sim
 	r.node, r.epoch, r.receivedAt = n, n.epoch, s.now
@@ -67,7 +67,7 @@
 	s.checker.AttemptSent(s.now, id, sv.Index)
 	r := n.open[id]
 	if r == nil {
-		return // the Checker has it
+		return // the Checker reports the violation
 	}
 	a := &attempt{request: r, number: len(r.attempts), to: sv, sent: s.now}
 	r.attempts = append(r.attempts, a)
@@ -85,12 +85,12 @@
 	n.dial(a)
 }
 
-// dial gets the attempt a connection and sends it.
+// dial takes an idle connection or opens one, and sends the attempt.
 func (n *node) dial(a *attempt) {
 	s, sv := n.sim, a.to
 	way := s.delay(n.zone, sv.Zone)
 	idle := n.idle[sv.Index]
-	for len(idle) > 0 { // the one used last; those that stood too long are closed
+	for len(idle) > 0 { // the one used last; those idle for too long are closed
 		since := idle[len(idle)-1]
 		idle = idle[:len(idle)-1]
 		if s.now-since <= time.Duration(s.scenario.Network.IdleTimeout) {
@@ -108,7 +108,7 @@
 	if sv.queueHalfFull() {
 		h.HandshakesToFullQueues++
 	}
-	if sv.Unreachable || !s.reachable(n.zone, sv.Zone) { // no word comes back
+	if sv.Unreachable || !s.reachable(n.zone, sv.Zone) { // nothing comes back
 		n.afterInEpoch(time.Duration(s.scenario.Network.ConnectTimeout), func() { n.fail(a, policy.NoConnection) })
 		return
 	}
@@ -118,7 +118,7 @@
 			s.afterForAttempt(a, way, func() { n.fail(a, policy.NoConnection) })
 			return
 		}
-		if a.ended { // called off meanwhile
+		if a.ended { // cancelled meanwhile
 			sv.OpenConnections = max(0, sv.OpenConnections-1)
 			return
 		}
@@ -127,7 +127,7 @@
 	})
 }
 
-// afterForAttempt plans something for the life of the sidecar that began an attempt.
+// afterForAttempt schedules an event that is void once the attempt's sidecar has been restarted.
 func (s *Sim) afterForAttempt(a *attempt, d time.Duration, do func()) {
 	s.after(d, func() {
 		if a.request.node.epoch == a.request.epoch {
@@ -136,19 +136,19 @@
 	})
 }
 
-// fail ends an attempt that proves not to have run.
+// fail ends an attempt that is known not to have run.
 func (n *node) fail(a *attempt, end policy.Ending) {
 	n.sim.checker.AttemptEnded(a.request.id, a.number, false)
 	n.endAttempt(a, end)
 }
 
-// arrive brings an attempt to its server.
+// arrive delivers an attempt to its server.
 func (s *Sim) arrive(a *attempt) {
 	sv, n := a.to, a.request.node
 	if sv.Unreachable || !s.reachable(n.zone, sv.Zone) {
-		return // swallowed
+		return // lost
 	}
-	if a.ended { // called off on its way, or its sidecar is dead: it is never whole
+	if a.ended { // cancelled on its way, or its sidecar was killed: it never arrives completely
 		return
 	}
 	s.advanceServer(sv)
@@ -182,7 +182,7 @@
 	}
 }
 
-// endAttempt gives the sidecar the outcome of an attempt, once.
+// endAttempt passes the outcome of an attempt to the sidecar, once.
 func (n *node) endAttempt(a *attempt, end policy.Ending) {
 	if a.ended {
 		return
@@ -214,7 +214,7 @@
 	}
 }
 
-// forget drops a request that is over and has no attempt out.
+// forget drops a request that is closed and has no attempt in flight.
 func (n *node) forget(r *request) {
 	for _, a := range r.attempts {
 		if !a.ended {
@@ -224,7 +224,7 @@
 	delete(n.open, r.id)
 }
 
-// answer gives the client its one final answer.
+// answer sends the client its one final answer.
 func (n *node) answer(r *request, a Answer, pause time.Duration) {
 	s := n.sim
 	s.checker.Answered(s.now, r.id, a)
@@ -236,25 +236,25 @@
 	s.clients.answered(r, a, pause)
 }
 
-// Refuse ends a request; trying again is harmless.
+// Refuse ends a request that may safely be retried.
 func (n *node) Refuse(id policy.RequestID, pause time.Duration) {
 	n.finish(id, AnswerRefused, pause)
 }
 
-// Fail ends a request.
+// Fail ends a request without a promise about its effect.
 func (n *node) Fail(id policy.RequestID) { n.finish(id, AnswerFailed, 0) }
 
 func (n *node) finish(id policy.RequestID, a Answer, pause time.Duration) {
 	r := n.open[id]
 	if r == nil || r.closed {
-		return // ended a moment ago, which the protocol forgives
+		return // it has just ended, which the protocol allows
 	}
 	r.shed = n.deciding == r && shedCount(n.decider) > n.shed
 	n.answer(r, a, pause)
 	n.forget(r)
 }
 
-// Cancel calls off one attempt.
+// Cancel cancels one attempt.
 func (n *node) Cancel(id policy.RequestID, attempt int) {
 	r := n.open[id]
 	if r == nil || attempt >= len(r.attempts) {
--- a/internal/simulation/emulator/checker.go
+++ b/internal/simulation/emulator/checker.go
@@ -7,24 +7,24 @@
 	"barleywick/policy"
 )
 
-// Checker judges the four rules. It is told what happened, in the order in which it
+// Checker verifies the four rules. It is notified of what happened, in the order in which it
 // happened, and follows each request by its id to its one answer and each send to
-// its server. It decides nothing and shares no state with what it judges.
+// its server. It decides nothing and shares no state with what it checks.
 type Checker struct {
 	rules      Rules
 	classes    []Class
 	open       map[policy.RequestID]*openRequest
-	notifiedAt []map[int]time.Duration // of each sidecar: when it was told that a server drains or is gone
-	knownStart []map[int]time.Duration // of each sidecar: the last start of a server that it was told of
-	coldWork   map[int][]coldArrival   // by server: the work that reached it lately
+	notifiedAt []map[int]time.Duration // of each sidecar: when it was notified that a server drains or was removed
+	knownStart []map[int]time.Duration // of each sidecar: the last start of a server that it was notified of
+	coldWork   map[int][]coldArrival   // by server: the work that reached it recently
 	zones      func(server int) (zone, cell int)
 	sockets    bool
 
-	// ViolationTexts are the first breaches, in words; Breaches counts all of them, by rule.
+	// ViolationTexts describes the first violations; Violations counts all of them, by rule.
 	ViolationTexts []string
 	Violations     [5]int
 
-	// What was seen: a judgement that rests on nothing is none.
+	// What was observed: a check without observations proves nothing.
 	Requests, Answers, Sends, Repeats, ColdSends int
 }
 
@@ -40,7 +40,7 @@
 	server int
 	at     time.Duration
 	ended  bool
-	ran    bool // it may have
+	ran    bool // it may have run
 }
 
 // Answer is a final answer.
@@ -53,7 +53,7 @@
 	AnswerFailed
 )
 
-// maxViolationTexts bounds the breaches that are kept in words.
+// maxViolationTexts bounds the violations that are described.
 const maxViolationTexts = 20
 
 func newChecker(s *Scenario, zones func(int) (int, int)) *Checker {
@@ -64,12 +64,12 @@
 	return c
 }
 
-// SocketSlack is how long past its time an answer on real sockets is only late, and
-// not lost: the machine that all share may be busy.
+// SocketSlack is how long past its deadline an answer on real sockets is only late, and
+// not lost: the shared machine may be busy.
 const SocketSlack = 500 * time.Millisecond
 
-// NewSocketChecker makes a Checker for real sockets. Servers tell of sends there, and
-// one that was called off may reach its server after its request has ended.
+// NewSocketChecker makes a Checker for real sockets. Servers report attempts there, and
+// a cancelled one may reach its server after its request has ended.
 func NewSocketChecker(s *Scenario, f *Fleet) *Checker {
 	c := newChecker(s, f.Group)
 	c.sockets = true
@@ -84,13 +84,13 @@
 	}
 }
 
-// RequestReceived takes that a live sidecar has a request whole.
+// RequestReceived records that a live sidecar has received a complete request.
 func (c *Checker) RequestReceived(id policy.RequestID, sidecar, class int, deadline time.Duration) {
 	c.Requests++
 	c.open[id] = &openRequest{sidecar: sidecar, class: &c.classes[class], deadline: deadline}
 }
 
-// AttemptSent takes an attempt.
+// AttemptSent records an attempt and checks that it was allowed.
 func (c *Checker) AttemptSent(now time.Duration, id policy.RequestID, server int) {
 	c.Sends++
 	r := c.open[id]
@@ -120,19 +120,19 @@
 		case r.class.DedupScope == "zone" && zone != firstZone, r.class.DedupScope == "cell" && cell != firstCell:
 			c.addViolation(2, "request %d of %s went to server %d, outside the %s that drops repeats", id, r.class.Name, server, r.class.DedupScope)
 		}
-		break // the first that may have run begins the window
+		break // the first that may have run starts the window
 	}
 	r.attempts = append(r.attempts, sentAttempt{server: server, at: now})
 }
 
-// AttemptEnded takes the end of an attempt as it truly was: whether it may have run.
+// AttemptEnded records the end of an attempt and whether it may have run.
 func (c *Checker) AttemptEnded(id policy.RequestID, attempt int, ran bool) {
 	if r := c.open[id]; r != nil && attempt < len(r.attempts) {
 		r.attempts[attempt].ended, r.attempts[attempt].ran = true, ran
 	}
 }
 
-// Answered takes a final answer.
+// Answered records a final answer and checks that it was allowed and in time.
 func (c *Checker) Answered(now time.Duration, id policy.RequestID, a Answer) {
 	c.Answers++
 	r := c.open[id]
@@ -155,7 +155,7 @@
 	}
 }
 
-// Overdue takes that a client has given up; an open request is lost.
+// Overdue records that a client has given up; an open request is lost.
 func (c *Checker) Overdue(now time.Duration, id policy.RequestID) {
 	if _, open := c.open[id]; open {
 		c.addViolation(1, "request %d had no answer at %v", id, now)
@@ -163,21 +163,21 @@
 	}
 }
 
-// WrongResponse takes an answer that no server made for the request: the request is lost.
+// WrongResponse records an answer that no server made for the request: the request is lost.
 func (c *Checker) WrongResponse(now time.Duration, id policy.RequestID) {
 	c.addViolation(1, "request %d was served at %v with what no server made for it", id, now)
 	delete(c.open, id)
 }
 
-// MalformedServed takes that a client was served that had asked for nothing that can be.
+// MalformedServed records that a client was served although its request was malformed.
 func (c *Checker) MalformedServed(now time.Duration, said string) {
 	c.addViolation(1, "a client that said %s was served at %v", said, now)
 }
 
-// ClientGone takes that a client went away early: nothing is owed any more.
+// ClientGone records that a client left early: no answer is owed any more.
 func (c *Checker) ClientGone(id policy.RequestID) { delete(c.open, id) }
 
-// EndpointNotified takes that a sidecar was told of a server's state, and of its last start.
+// EndpointNotified records that a sidecar was notified of a server's state and last start.
 func (c *Checker) EndpointNotified(now time.Duration, sidecar, server int, ready bool, born time.Duration) {
 	c.knownStart[sidecar][server] = born
 	switch _, told := c.notifiedAt[sidecar][server]; {
@@ -188,13 +188,13 @@
 	}
 }
 
-// SidecarKilled takes that a sidecar is gone with all it knew and all it held.
+// SidecarKilled records that a sidecar ended with all its knowledge.
 func (c *Checker) SidecarKilled(sidecar int) {
 	clear(c.notifiedAt[sidecar])
 	clear(c.knownStart[sidecar])
 }
 
-// coldArrival is work at a cold server, and whether its sender was told of the start.
+// coldArrival is work at a server that warms up, and whether its sender was notified of the start.
 type coldArrival struct {
 	at       time.Duration
 	work     float64
@@ -202,15 +202,15 @@
 }
 
 const (
-	// notificationDeadline is after how long a sidecar counts as told, whatever arrived.
+	// notificationDeadline is how long after a start a sidecar counts as notified in any case.
 	notificationDeadline = 6 * time.Second
-	// notifiedShare of the work that pushes a server over has to come from sidecars that
-	// were told of its start: nobody can spare a server that looks warm.
+	// notifiedShare of the work that overloads a server has to come from sidecars that
+	// were notified of its start: no sidecar can spare a server that looks warm.
 	notifiedShare = 2.0 / 3
 )
 
-// ColdServerReached takes a sidecar's work that reached a cold server, which started at born and
-// can do so much now. More than the multiple of it within the rule's time breaks the rule.
+// ColdServerReached records work that reached a server that warms up, which started at born and
+// has so much capacity now. More than the allowed multiple of it within the rule's window breaks the rule.
 func (c *Checker) ColdServerReached(now time.Duration, sidecar, server int, born time.Duration, work, capacity float64) {
 	c.ColdSends++
 	recent := c.coldWork[server]
@@ -235,10 +235,10 @@
 	}
 }
 
-// Finish ends the day: what is open still has had no answer. now is after the last deadline.
+// Finish ends the run: requests that are still open had no answer. now is after the last deadline.
 func (c *Checker) Finish(now time.Duration) {
 	if n := len(c.open); n > 0 {
-		c.addViolation(1, "%d requests had no answer at the end of the day", n)
+		c.addViolation(1, "%d requests had no answer at the end of the run", n)
 	}
 	if c.Requests == 0 || c.Answers == 0 || c.Sends == 0 {
 		c.ViolationTexts = append(c.ViolationTexts, fmt.Sprintf("nothing to judge: %d requests, %d answers, %d sends", c.Requests, c.Answers, c.Sends))
--- a/internal/simulation/emulator/clients.go
+++ b/internal/simulation/emulator/clients.go
@@ -8,8 +8,8 @@
 	"barleywick/policy"
 )
 
-// clients are the callers, one group beside each sidecar: what they ask for is drawn
-// by Arrivals, what they do about the answers here.
+// clients are the callers, one group beside each sidecar: their calls are drawn
+// by Arrivals, their reaction to the answers here.
 type clients struct {
 	sim      *Sim
 	arrivals *Arrivals
@@ -25,8 +25,8 @@
 	objectiveAt time.Duration
 	deadline    time.Duration
 	attempts    int
-	refusedOnly bool   // no try got further than a refusal
-	cause       string // what became of the last try
+	refusedOnly bool   // all attempts were refused
+	cause       string // cause of the last attempt's failure
 	done        bool
 }
 
@@ -38,7 +38,7 @@
 	return c
 }
 
-// scheduleNext plans the next call, and so on to the end of the day.
+// scheduleNext schedules the next call, and so on to the end of the run.
 func (c *clients) scheduleNext() {
 	next, more := c.arrivals.Next()
 	if !more {
@@ -50,8 +50,8 @@
 	})
 }
 
-// start makes a call's start try. A client goes and comes with its sidecar: where
-// that is not up there is nobody to ask.
+// start makes the first attempt of a call. A client ends and starts with its sidecar: where
+// that is not up there is no call.
 func (c *clients) start(next Call) {
 	s, n := c.sim, c.sim.nodes[next.Sidecar]
 	if !n.up || n.shuttingDown {
@@ -63,7 +63,7 @@
 	c.attempt(k)
 }
 
-// attempt makes a attempt of a call, if there is time.
+// attempt makes an attempt of a call, if there is time.
 func (c *clients) attempt(k *call) {
 	s, n := c.sim, k.node
 	left := time.Duration(float64(k.deadline-s.now) * s.scenario.Clients.AttemptShare)
@@ -89,7 +89,7 @@
 	n.receive(r, k.Hint)
 }
 
-// answered takes a final answer to a try.
+// answered handles the final answer to an attempt.
 func (c *clients) answered(r *request, a Answer, pause time.Duration) {
 	s, k := c.sim, r.call
 	s.record.ClientAttempts++
@@ -123,14 +123,14 @@
 	})
 }
 
-// RetriesAfter says whether a client tries again after an answer: after a refusal, and after
-// a failure where a repeat is dropped by whoever gets it.
+// RetriesAfter reports whether a client retries after an answer: after a refusal, and after
+// a failure where every server drops repeats.
 func (c Class) RetriesAfter(a Answer) bool {
 	return a == AnswerRefused || a == AnswerFailed && (c.Idempotency == "safe" || c.Idempotency == "keyed" && c.DedupScope == "all")
 }
 
-// RetryDelay is how long a client stays away after its nth try: its own backoff, and what
-// the answer asked for if it heeds that.
+// RetryDelay draws how long a client waits after its nth attempt: its own backoff, and what
+// the answer asked for if it honours that.
 func (c Clients) RetryDelay(n int, asked, most time.Duration, rng *rand.Rand) time.Duration {
 	wait := time.Duration(float64(c.Backoff) * math.Pow(2, float64(n-1)) * (0.5 + rng.Float64()))
 	if rng.Float64() < c.HonourRetryAfter {
@@ -139,19 +139,19 @@
 	return wait
 }
 
-// sidecarEnded takes that a call has ended with its sidecar, and its client with it.
+// sidecarEnded ends a call whose sidecar, and client with it, has ended.
 func (c *clients) sidecarEnded(k *call) {
 	k.cause, k.refusedOnly = causeKilled, false
 	c.giveUp(k)
 }
 
-// unanswered takes a try that had no answer at all.
+// unanswered ends a call whose attempt had no answer at all.
 func (c *clients) unanswered(r *request) {
 	r.call.refusedOnly, r.call.cause = false, causeNoAnswer
 	c.giveUp(r.call)
 }
 
-// giveUp gives a call up.
+// giveUp ends a call that was not served.
 func (c *clients) giveUp(k *call) {
 	if !k.done {
 		k.done = true
--- a/internal/simulation/emulator/decider.go
+++ b/internal/simulation/emulator/decider.go
@@ -6,7 +6,7 @@
 	"barleywick/policy"
 )
 
-// Decider is what decides for one sidecar; policy.Balancer is one.
+// Decider makes the decisions of one sidecar; policy.Balancer implements it.
 type Decider interface {
 	Start(now time.Duration)
 	Request(now time.Duration, q policy.Request)
@@ -17,7 +17,7 @@
 	List(now time.Duration, kind policy.ListKind, entries []policy.Endpoint)
 }
 
-// DeciderOptions is what a Decider is made from, at one start of a sidecar.
+// DeciderOptions are the arguments for a new Decider, at one start of a sidecar.
 type DeciderOptions struct {
 	Scenario *Scenario
 	Sidecar  int
@@ -26,8 +26,8 @@
 	Host     policy.Host
 }
 
-// DeciderFactory makes the Decider of one start of a sidecar.
+// DeciderFactory makes the Decider for one start of a sidecar.
 type DeciderFactory func(DeciderOptions) (Decider, error)
 
-// NewBalancer is the real one.
+// NewBalancer makes the product's decision module.
 func NewBalancer(b DeciderOptions) (Decider, error) { return policy.New(b.Config, b.Seed, b.Host) }
--- a/internal/simulation/emulator/events.go
+++ b/internal/simulation/emulator/events.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// events are what is to happen, in time.
+// events is a heap of scheduled events, ordered by time.
 type events []event
 
 type event struct {
@@ -32,7 +32,7 @@
 	return x
 }
 
-// schedule has something done at a time.
+// schedule adds an event at a time.
 func (s *Sim) schedule(at time.Duration, do func()) {
 	s.count++
 	heap.Push(&s.queue, event{max(at, s.now), s.count, do})
--- a/internal/simulation/emulator/fault.go
+++ b/internal/simulation/emulator/fault.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// Fault is something that goes wrong for a while.
+// Fault is a fault that is injected for a while.
 type Fault struct {
 	Name     string   `toml:"name" json:"Name"`
 	Start    Duration `toml:"at" json:"At"`
 	Duration Duration `toml:"for" json:"For"`
-	Part     float64  `toml:"part" json:"Part"`   // of the servers, sidecars or requests that it befalls
-	Size     float64  `toml:"size" json:"Size"`   // how bad it is; see troubleKinds
-	Extra    Duration `toml:"extra" json:"Extra"` // a time that some troubles have
-	Zone     int      `toml:"zone" json:"Zone"`   // where it happens, for those that happen in a zone
+	Part     float64  `toml:"part" json:"Part"`   // fraction of the servers, sidecars or requests that it affects
+	Size     float64  `toml:"size" json:"Size"`   // severity; see faultKinds
+	Extra    Duration `toml:"extra" json:"Extra"` // a duration that some faults have
+	Zone     int      `toml:"zone" json:"Zone"`   // the zone, for faults of a zone
 
-	Tenant string `toml:"tenant,omitempty" json:"Tenant,omitempty"` // of burst: whose clients alone ask for more
+	Tenant string `toml:"tenant,omitempty" json:"Tenant,omitempty"` // of burst: the only tenant whose clients request more
 }
 
-// faultKind is what a trouble does.
+// faultKind describes and implements a fault.
 type faultKind struct {
 	description string
 	least, most float64 // of Size
 	begin       func(*Sim, *Fault) (undo func())
 }
 
-// faultKinds has all troubles by name. A trouble's begin is called at its time
-// and the function that it returns, if any, when its time is over.
+// faultKinds has all faults by name. A fault's begin is called at its start
+// and the function that it returns, if any, at its end.
 var faultKinds = map[string]faultKind{
 	"slow":        {"servers run size times slower", 1, 1000, (*Sim).slow},
 	"fast_errors": {"servers fail that share of their requests at once", 0, 1, (*Sim).fastErrors},
@@ -50,7 +50,7 @@
 	"roll":        {"sidecars are ended in order one after the other over its time; each is back extra after its end", 0, 0, (*Sim).roll},
 }
 
-// FaultNames lists the troubles there are, sorted, each with what it does.
+// FaultNames lists the faults, sorted, with their descriptions.
 func FaultNames() (names []string, what map[string]string) {
 	what = make(map[string]string, len(faultKinds))
 	for name, k := range faultKinds {
@@ -66,7 +66,7 @@
 	names, _ := FaultNames()
 	switch {
 	case !known:
-		return fmt.Errorf("name: there is no trouble %q; there are %s", t.Name, strings.Join(names, ", "))
+		return fmt.Errorf("name: there is no fault %q; there are %s", t.Name, strings.Join(names, ", "))
 	case t.Start < 0 || t.Duration < 0 || t.Extra < 0:
 		return fmt.Errorf("%s: at, for and extra must not be negative", t.Name)
 	case time.Duration(t.Start) > maxLength || time.Duration(t.Duration) > maxLength || time.Duration(t.Extra) > maxLength:
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// selectServers picks the servers that a trouble befalls.
+// selectServers picks the servers that a fault affects.
 func (s *Sim) selectServers(t *Fault) (some []*Server) {
 	live := s.Live()
 	for _, i := range PickShare(s.environment, len(live), t.Part) {
@@ -94,7 +94,7 @@
 	return some
 }
 
-// updateServers alters servers, each of which was as before up to now.
+// updateServers changes servers after advancing each of them to the present.
 func (s *Sim) updateServers(some []*Server, do func(*Server)) {
 	for _, sv := range some {
 		s.advanceServer(sv)
@@ -103,7 +103,7 @@
 	}
 }
 
-// updateWhile changes some servers for a while.
+// updateWhile changes some servers until the returned function is called.
 func (s *Sim) updateWhile(t *Fault, change func(sv *Server, on bool)) func() {
 	some := s.selectServers(t)
 	s.updateServers(some, func(sv *Server) { change(sv, true) })
@@ -129,7 +129,7 @@
 	return s.updateWhile(t, func(sv *Server, on bool) { s.disconnect(sv, on) })
 }
 
-// neighbour comes and goes, always at the same machines.
+// neighbour takes capacity from the same machines periodically.
 func (s *Sim) neighbour(t *Fault) func() {
 	some, on, over := s.selectServers(t), false, false
 	var turn func()
@@ -147,10 +147,10 @@
 	}
 }
 
-// minNeighbourPeriod is how fast a neighbour may come and go.
+// minNeighbourPeriod bounds how often a neighbour changes.
 const minNeighbourPeriod = 100 * time.Millisecond
 
-// arrivalsOnly is a trouble of the arrivals alone: Arrivals sees to it.
+// arrivalsOnly begins a fault that Arrivals implements.
 func (s *Sim) arrivalsOnly(*Fault) func() { return nil }
 
 func (s *Sim) killServers(t *Fault) func() {
@@ -172,12 +172,12 @@
 	return func() { s.restartServers(dead) }
 }
 
-// SuccessorDelay is how long after its forerunner begins to drain a new server runs: it
-// takes its place, and has to start.
+// SuccessorDelay is how long after a server begins to drain its successor runs, as the successor
+// has to start.
 const SuccessorDelay = time.Second
 
-// StepTime is when, since a trouble's begin, the nth of so many that it replaces has its
-// turn: in as many steps as its size says, or one by one.
+// StepTime returns when, since the start of a fault, the nth of so many servers is
+// replaced: in as many steps as its size says, or one by one.
 func (t Fault) StepTime(n, of int) time.Duration {
 	steps := of
 	if t.Size >= 1 {
--- a/internal/simulation/emulator/fleet.go
+++ b/internal/simulation/emulator/fleet.go
@@ -9,8 +9,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Fleet are the servers of a day, with the cells and zones that they share keys and
-// repeats in. Those that have gone stay, so that an index names one server for ever.
+// Fleet holds the servers of a run, with the cells and zones whose caches of keys and
+// repeats they share. Removed servers stay, so that an index always names the same server.
 type Fleet struct {
 	Servers []*Server
 
@@ -20,7 +20,7 @@
 	zones    []*dedupCache
 }
 
-// NewFleet sets up the servers that are there from a day's begin, as luck has it.
+// NewFleet draws the servers that run from the start.
 func NewFleet(sc *Scenario, seed uint64, luck *rand.Rand) *Fleet {
 	f := &Fleet{scenario: sc, seed: seed}
 	kinds := make([]float64, len(sc.Kinds))
@@ -54,7 +54,7 @@
 	return sv
 }
 
-// Live are the servers that run and don't drain, by index.
+// Live returns the servers that run and do not drain, by index.
 func (f *Fleet) Live() (live []*Server) {
 	for _, sv := range f.Servers {
 		if sv.Alive && !sv.Draining {
@@ -64,14 +64,14 @@
 	return live
 }
 
-// PickShare picks a part of n, at random and in order.
+// PickShare picks a fraction of n indexes at random, in order.
 func PickShare(luck *rand.Rand, n int, part float64) []int {
 	picked := luck.Perm(n)[:int(math.Round(part*float64(n)))]
 	slices.Sort(picked)
 	return picked
 }
 
-// Group is the zone and the cell of a server.
+// Group returns the zone and the cell of a server.
 func (f *Fleet) Group(server int) (zone, cell int) {
 	return f.Servers[server].Zone, f.Servers[server].Cell.Number
 }
--- a/internal/simulation/emulator/idealpolicy.go
+++ b/internal/simulation/emulator/idealpolicy.go
@@ -7,14 +7,14 @@
 	"barleywick/policy"
 )
 
-// An oracle tells each sidecar one thing that it cannot know, at once and for nothing:
-// what that is worth bounds what may be gained by finding it out.
+// An ideal policy gives each sidecar one fact that it cannot know, at once and at no cost:
+// the result bounds what can be gained by measuring that fact.
 const (
-	idealLoad      = "load"      // how many requests each server holds
-	idealAdmission = "admission" // what part of all that is asked the servers bear
+	idealLoad      = "load"      // how many requests are in flight at each server
+	idealAdmission = "admission" // what fraction of the requests the servers can serve
 )
 
-// idealInterval is how often it tells: well under the time that a queue takes to come.
+// idealInterval is well under the time in which a queue builds up.
 const idealInterval = 100 * time.Millisecond
 
 func checkIdealPolicy(name string) error {
@@ -25,7 +25,7 @@
 	return fmt.Errorf("scenario: oracle is %q; there are %s and %s", name, idealLoad, idealAdmission)
 }
 
-// informIdeally tells all sidecars, again and again.
+// informIdeally gives the fact to all sidecars, periodically.
 func (s *Sim) informIdeally() {
 	switch s.scenario.IdealPolicy {
 	case idealLoad:
@@ -41,7 +41,7 @@
 		bears, asked := 0.0, s.scenario.meanWork()*s.scenario.Rate()*s.clients.arrivals.rateAt(s.now-StartTime)
 		for _, sv := range s.Servers {
 			waiting, capacity := sv.State(s.now)
-			bears += max(0, capacity-float64(waiting)*s.scenario.meanWork()) // what waits comes first
+			bears += max(0, capacity-float64(waiting)*s.scenario.meanWork()) // queued work is served first
 		}
 		part := min(1, bears/max(asked, 1e-9))
 		parts := make([]float64, len(s.scenario.Tenants))
--- a/internal/simulation/emulator/impact.go
+++ b/internal/simulation/emulator/impact.go
@@ -8,22 +8,22 @@
 	"barleywick/policy"
 )
 
-// Impact is what a fleet does beside serving, in one second: what is harmless in one
+// Impact counts what a fleet does besides serving, in one second: what is harmless in one
 // sidecar may add up.
 type Impact struct {
 	Sends                  int            `json:"sends"`
-	Retries                map[string]int `json:"again,omitempty"` // of them, those beyond a request's first, by how the one before ended
+	Retries                map[string]int `json:"again,omitempty"` // of them, those after a request's first, by how the attempt before ended
 	Rejected               int            `json:"turned_away"`
-	WastedWork             float64        `json:"wasted"` // work for answers that served nobody, in seconds on a core of speed 1
+	WastedWork             float64        `json:"wasted"` // work that served no client, in seconds on a core of speed 1
 	Probes                 int            `json:"probes"`
-	ProbesToFullQueues     int            `json:"probes_crowded"` // of them, those at servers whose waiting room was half full
+	ProbesToFullQueues     int            `json:"probes_crowded"` // of them, those at servers whose queue was half full
 	Handshakes             int            `json:"handshakes"`
 	HandshakesToFullQueues int            `json:"handshakes_crowded"`
 	ListCalls              int            `json:"list_calls"`
 	ListFailed             int            `json:"list_failed"`
 }
 
-// impactAt is the account of the second that a time lies in.
+// impactAt returns the impact of the second that a time lies in.
 func (r *Record) impactAt(now time.Duration) *Impact {
 	i := int((now - StartTime) / time.Second)
 	return &r.Windows[max(0, min(len(r.Windows)-1, i))].Fleet
@@ -42,7 +42,7 @@
 	h.Retries[endingNames[end]]++
 }
 
-// TotalRetries is how many sends were beyond a request's first.
+// TotalRetries returns how many attempts came after a request's first.
 func (h *Impact) TotalRetries() (n int) {
 	for _, k := range h.Retries {
 		n += k
@@ -50,7 +50,7 @@
 	return n
 }
 
-// Impact is that of the whole day.
+// Impact returns the sum over the whole run.
 func (r *Record) Impact() Impact {
 	all := Impact{Retries: make(map[string]int)}
 	for i := range r.Windows {
@@ -71,19 +71,19 @@
 	return all
 }
 
-// queueHalfFull says whether a server's waiting room is half full.
+// queueHalfFull reports whether a server's queue is half full.
 func (s *Server) queueHalfFull() bool {
 	return 2*len(s.queue) >= max(1, s.Kind.QueueCapacity*s.Kind.Cores)
 }
 
-// recoverySeconds in a row have to be good for a day to be back, and recoveredShare is good.
+// A run has recovered after recoverySeconds in a row with at least recoveredShare served.
 const (
 	recoverySeconds = 3
 	recoveredShare  = 0.95
 )
 
-// RecoveryTime is how long after a time of the day the first of three seconds in a row comes in
-// which nearly all of the worth asked for is served; false where none does.
+// RecoveryTime returns how long after a time of the run the first of three seconds in a row starts in
+// which nearly all of the requested weight is served; false where there are none.
 func (r *Record) RecoveryTime(after time.Duration) (time.Duration, bool) {
 	good := 0
 	for i := int(after / time.Second); i < len(r.Windows); i++ {
--- a/internal/simulation/emulator/impact_test.go
+++ b/internal/simulation/emulator/impact_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// What the fleet did by second adds up to what it did over the day.
-func TestHarmAddsUp(t *testing.T) {
+// The impacts of the seconds add up to those of the run.
+func TestImpactAddsUp(t *testing.T) {
 	for _, name := range []string{"surge", "zone", "blind"} {
 		r := play(t, day(t, name, 40, 12), 1, NewBalancer)
 		h := r.Impact()
 		if h.Sends != r.Sends || h.Probes != r.Probes || h.Handshakes != r.Handshakes || h.Rejected != r.Rejected || h.ListCalls != r.ListCalls || h.ListFailed != r.ListFailed {
-			t.Errorf("%s: by second %+v, over the day %d sends, %d probes, %d handshakes, %d turned away, %d of %d calls failed", name, h, r.Sends, r.Probes, r.Handshakes, r.Rejected, r.ListFailed, r.ListCalls)
+			t.Errorf("%s: by second %+v, over the run %d attempts, %d probes, %d handshakes, %d rejected, %d of %d calls failed", name, h, r.Sends, r.Probes, r.Handshakes, r.Rejected, r.ListFailed, r.ListCalls)
 		}
 		if d := h.WastedWork - r.wasted; d > 1e-6 || d < -1e-6 || h.TotalRetries() == 0 || h.Sends == 0 {
 			t.Errorf("%s: %+v, %v core seconds were wasted", name, h, r.wasted)
@@ -23,21 +23,21 @@
 	}
 }
 
-func TestBack(t *testing.T) {
+func TestRecoveryTime(t *testing.T) {
 	r := &Record{}
 	for _, share := range []float64{1, 1, 0.2, 0.3, 0.96, 0.9, 0.95, 0.99, 1, 1} {
 		r.Windows = append(r.Windows, Window{WeightShare: WeightShare{Requested: 100, Served: 100 * share}})
 	}
 	if got, ok := r.RecoveryTime(2 * time.Second); !ok || got != 4*time.Second {
-		t.Errorf("back after %v, %v; want 4 s", got, ok)
+		t.Errorf("recovered after %v, %v; want 4 s", got, ok)
 	}
 	if _, ok := r.RecoveryTime(8 * time.Second); ok {
 		t.Error("two seconds are not three")
 	}
 }
 
-// A hunt's days are drawn from their seeds alone, keep the rules, and differ.
-func TestHunt(t *testing.T) {
+// The runs of a search follow from their seeds alone, keep the rules, and differ.
+func TestSearch(t *testing.T) {
 	kinds := make(map[string]bool)
 	for seed := range uint64(6) {
 		a, err := RunSearch(context.Background(), seed, 20, 8, NewBalancer)
@@ -53,7 +53,7 @@
 		}
 	}
 	if len(kinds) < 3 {
-		t.Errorf("only %v in six days", kinds)
+		t.Errorf("got only %v in six runs", kinds)
 	}
 	for seed := range uint64(500) {
 		if _, over, err := SearchScenario(seed, 300, 200); err != nil || over < 10*time.Second {
@@ -62,8 +62,8 @@
 	}
 }
 
-// An oracle breaks no rule, and one that is not known is refused.
-func TestOracles(t *testing.T) {
+// An ideal policy breaks no rule, and an unknown one is refused.
+func TestIdealPolicies(t *testing.T) {
 	for _, oracle := range []string{idealLoad, idealAdmission} {
 		sc := day(t, "surge", 40, 12)
 		sc.IdealPolicy = oracle
@@ -74,6 +74,6 @@
 	sc := day(t, "surge", 40, 12)
 	sc.IdealPolicy = "luck"
 	if err := sc.Check(); err == nil {
-		t.Error("an oracle that is not known is taken")
+		t.Error("an unknown ideal policy was accepted")
 	}
 }
--- a/internal/simulation/emulator/listserver.go
+++ b/internal/simulation/emulator/listserver.go
@@ -8,34 +8,34 @@
 	"barleywick/policy"
 )
 
-// listServer is the service that tells sidecars of the servers. It learns of changes
-// late, brings them to its watchers in batches, and answers calls in turn: one that
-// has waited too long fails, though it has cost what it cost.
+// listServer is the discovery service. It learns of changes
+// late, sends them to its watchers in batches, and answers polls in order: a poll that
+// has waited too long fails, although it has used the service's time.
 type listServer struct {
 	sim          *Sim
 	entries      []listEntry // by server
 	log          []int       // servers, in the order of their changes
 	down         bool
-	extraDelay   time.Duration // than usual
-	busyUntil    time.Duration // when it is done with the calls it has
-	flushPlanned bool          // watches are brought what changed soon
-	notified     int           // the part of the log that watches have been brought
+	extraDelay   time.Duration // beyond the usual delay
+	busyUntil    time.Duration // when it has answered the polls that it has
+	flushPlanned bool          // a batch of watch events is scheduled
+	notified     int           // the part of the log that has been sent to watches
 }
 
 type listEntry struct {
 	known  bool
 	entry  policy.Endpoint
-	change int // of the news under way; older news are void
+	change int // counts changes on their way; earlier ones are void
 }
 
 func newListServer(s *Sim) *listServer { return &listServer{sim: s, busyUntil: s.now} }
 
-// addKnown puts a server on the list, from the beginning.
+// addKnown lists a server from the start of the run.
 func (l *listServer) addKnown(sv *Server) {
 	*l.entryOf(sv) = listEntry{known: true, entry: l.entry(sv)}
 }
 
-// entryOf is the list's place for a server; it holds until the next server comes.
+// entryOf returns the entry of a server; the pointer is valid until the next server is added.
 func (l *listServer) entryOf(sv *Server) *listEntry {
 	for len(l.entries) <= sv.Index {
 		l.entries = append(l.entries, listEntry{})
@@ -43,7 +43,7 @@
 	return &l.entries[sv.Index]
 }
 
-// entry is how the list sees a server now.
+// entry returns a server's present state as the list shows it.
 func (l *listServer) entry(sv *Server) policy.Endpoint {
 	e := policy.Endpoint{
 		ID: policy.ServerID(sv.Index + 1), Zone: sv.Zone, Cell: sv.Cell.Number, State: policy.Ready, Weight: weight(sv), Started: sv.StartedAt,
@@ -57,10 +57,10 @@
 	return e
 }
 
-// unreachableDelayFactor is how much longer the list takes to learn of a machine that says nothing.
+// unreachableDelayFactor multiplies the delay for a machine that has become unreachable.
 const unreachableDelayFactor = 3
 
-// changed has the list learn of a server's state as it will be then.
+// changed schedules that the list learns a server's state as it is at that later time.
 func (l *listServer) changed(sv *Server) {
 	spec, at := l.sim.scenario.List, l.entryOf(sv)
 	at.change++
@@ -73,10 +73,10 @@
 		late = time.Duration(spec.AdditionDelay)
 	}
 	l.sim.after(late+l.extraDelay, func() {
-		at := l.entryOf(sv) // servers may have come
+		at := l.entryOf(sv) // servers may have been added
 		now := l.entry(sv)
 		if at.change != n && at.known {
-			return // later news bring it
+			return // a later change brings it
 		}
 		if at.known && at.entry == now || !at.known && now.State == policy.Removed {
 			return
@@ -95,11 +95,11 @@
 	})
 }
 
-// notifyWatches tells all watches what changed.
+// notifyWatches sends the changes to all watches.
 func (l *listServer) notifyWatches() {
 	l.flushPlanned = false
 	if l.down {
-		return // it is told when the watches come back
+		return // watches get the full list when they come back
 	}
 	changes := l.since(l.notified)
 	l.notified = len(l.log)
@@ -114,7 +114,7 @@
 	}
 }
 
-// since is what changed after a place in the log, each server once.
+// since returns what changed after a position in the log, each server once.
 func (l *listServer) since(from int) (changes []policy.Endpoint) {
 	seen := make(map[int]bool)
 	for _, i := range l.log[from:] {
@@ -126,7 +126,7 @@
 	return changes
 }
 
-// fullList is the whole list.
+// fullList returns all endpoints.
 func (l *listServer) fullList() (all []policy.Endpoint) {
 	for _, e := range l.entries {
 		if e.known && e.entry.State != policy.Removed {
@@ -136,7 +136,7 @@
 	return all
 }
 
-// watch is a sidecar's call for the list and all changes from then on.
+// watch answers a sidecar's poll and subscribes it to later changes.
 func (l *listServer) watch(n *node) {
 	s, spec := l.sim, l.sim.scenario.List
 	s.record.ListCalls++
@@ -174,7 +174,7 @@
 	n.decider.List(l.sim.now, policy.ListFailed, nil)
 }
 
-// takeDown takes the service down: its watches end.
+// takeDown stops the service and ends its watches.
 func (l *listServer) takeDown() {
 	l.down = true
 	for _, n := range l.sim.nodes {
@@ -184,10 +184,10 @@
 	}
 }
 
-// endWatch ends the watch of a sidecar that is gone.
+// endWatch ends the watch of a sidecar that has ended.
 func (l *listServer) endWatch(n *node) { n.watching = false }
 
-// weight is a machine's size as the list has it: roughly right, and as precise as the wire.
+// weight returns a machine's size as the list shows it: rounded, and as precise as the wire.
 func weight(sv *Server) float64 {
 	return float64(float32(cmp.Or(math.Round(sv.Kind.capacity()*10)/10, 1)))
 }
--- a/internal/simulation/emulator/losses.go
+++ b/internal/simulation/emulator/losses.go
@@ -8,8 +8,8 @@
 	"barleywick/policy"
 )
 
-// The account says where the worth went that was asked for and not served. Each
-// call's loss has one cause, so that the causes add up to the whole.
+// This file attributes the weight that was requested and not served to causes. Each
+// call's loss has one cause, so that the causes add up to the total.
 
 // Causes of a loss.
 const (
@@ -39,7 +39,7 @@
 	causeLateNetwork         = "late: on its way"
 )
 
-// Causes lists what a record's losses have, the largest first.
+// Causes lists the causes of a record's losses, the largest first.
 func (r *Record) Causes() []string {
 	return slices.SortedFunc(maps.Keys(r.LostWeight), func(a, b string) int {
 		switch {
@@ -52,7 +52,7 @@
 	})
 }
 
-// LostShare is a cause's part of all that was asked for.
+// LostShare returns the fraction of the requested weight that was lost to a cause.
 func (r *Record) LostShare(cause string) float64 {
 	asked := 0.0
 	for _, c := range r.Classes {
@@ -64,14 +64,14 @@
 	return r.LostWeight[cause] / asked
 }
 
-// addLoss books a loss.
+// addLoss adds lost weight to a cause.
 func (r *Record) addLoss(cause string, worth float64) {
 	if worth != 0 {
 		r.LostWeight[cause] += worth
 	}
 }
 
-// shedCount is how many requests a module has shed, where it tells.
+// shedCount returns how many requests a module has shed, where it counts them.
 func shedCount(d Decider) uint64 {
 	if c, ok := d.(interface{ Counters() policy.Counters }); ok {
 		return c.Counters().Shed
@@ -79,7 +79,7 @@
 	return 0
 }
 
-// refusalCause is why a try was refused.
+// refusalCause returns why an attempt was refused.
 func (r *request) refusalCause(now time.Duration) string {
 	switch n := len(r.attempts); {
 	case n > 0 && r.attempts[n-1].ending == policy.Rejected:
@@ -96,7 +96,7 @@
 	return causeBulkheadFull
 }
 
-// failureCause is why a try failed.
+// failureCause returns why an attempt failed.
 func (r *request) failureCause() string {
 	if len(r.attempts) == 0 {
 		return causeNoServer
@@ -119,7 +119,7 @@
 	return causeServerTimeout
 }
 
-// latenessCause is what took most of the time of a call that was served late.
+// latenessCause returns what took most of the time of a call that was served late.
 func (r *request) latenessCause(now time.Duration) string {
 	a := r.attempts[len(r.attempts)-1]
 	for _, b := range r.attempts { // the one that was served
--- a/internal/simulation/emulator/network.go
+++ b/internal/simulation/emulator/network.go
@@ -6,7 +6,7 @@
 	"barleywick/policy"
 )
 
-// reply lets an answer travel back to the sidecar.
+// reply sends an outcome back to the sidecar.
 func (s *Sim) reply(sv *Server, a *attempt, end policy.Ending) {
 	n, epoch := a.request.node, a.request.epoch
 	if !s.reachable(n.zone, sv.Zone) || sv.Unreachable {
@@ -19,10 +19,10 @@
 	})
 }
 
-// reachable says whether two zones hear each other.
+// reachable reports whether two zones can exchange messages.
 func (s *Sim) reachable(a, b int) bool { return a == b || s.partitioned[a]+s.partitioned[b] == 0 }
 
-// delay is the time of a message one delay.
+// delay draws the one-way delay of a message.
 func (s *Sim) delay(a, b int) time.Duration {
 	d := time.Duration(s.scenario.Network.NearDelay)
 	if a != b {
--- a/internal/simulation/emulator/node.go
+++ b/internal/simulation/emulator/node.go
@@ -10,32 +10,32 @@
 	"barleywick/policy"
 )
 
-// node is one sidecar: it carries out what its Decider decides. It is policy.Host.
+// node is one sidecar: it executes what its Decider decides. It implements policy.Host.
 type node struct {
 	sim     *Sim
 	index   int
 	zone    int
 	up      bool
-	epoch   int // of its starts: what was planned for an earlier one is void
+	epoch   int // counts its starts: events scheduled for an earlier one are void
 	decider Decider
 	open    map[policy.RequestID]*request
-	idle    map[int][]time.Duration // by server: since when each idle connection is
+	idle    map[int][]time.Duration // by server: since when each connection is idle
 
-	known        []policy.Endpoint // the list as last had
-	shuttingDown bool              // a planned end: nothing new comes, what it has is answered
+	known        []policy.Endpoint // the endpoint list as last received
+	shuttingDown bool              // graceful shutdown: no new requests, those in flight are answered
 	watching     bool
-	polledAt     time.Duration // it called for the list last
-	pollFailed   bool          // and that call failed
+	polledAt     time.Duration // its last poll
+	pollFailed   bool          // and whether that poll failed
 
-	counts       []overload.TenantCounts // since the last digest, by tenant; nil: nobody is told
+	counts       []overload.TenantCounts // since the last digest, by tenant; nil: no digests are sent
 	digests      uint64
 	adviceFilter overload.AdviceFilter
 
-	deciding *request // being handed to the module
-	shed     uint64   // what it had shed before
+	deciding *request // the request that is being passed to the module
+	shed     uint64   // the module's count of shed requests before that
 }
 
-// start begins the sidecar's life, knowing the list as it last had it.
+// start starts the sidecar with the endpoint list that it had last.
 func (n *node) start() {
 	s := n.sim
 	n.epoch++
@@ -56,8 +56,8 @@
 	}
 }
 
-// restart kills a sidecar; it is back after a while. What it held is void: its
-// client went with it.
+// restart kills a sidecar and starts it again after a while. Its requests are void, as its
+// client ended with it.
 func (s *Sim) restart(n *node, down time.Duration) {
 	if !n.up {
 		return
@@ -91,15 +91,15 @@
 	s.after(down, n.start)
 }
 
-// shutdownGrace is the longest that a sidecar is given for its answers at a planned end,
-// beyond the longest deadline; shutdownCheckInterval is how often it is looked at meanwhile.
+// shutdownGrace is how long a sidecar may take for its answers in a graceful shutdown,
+// beyond the longest deadline; shutdownCheckInterval is how often it is checked meanwhile.
 const (
 	shutdownGrace         = 700 * time.Millisecond
 	shutdownCheckInterval = 20 * time.Millisecond
 )
 
-// shutDown ends a sidecar as planned: nothing new comes, and it goes when all that it has
-// is answered, or its time is up.
+// shutDown ends a sidecar gracefully: it gets no new requests and ends when all that it has
+// are answered, or the grace is over.
 func (s *Sim) shutDown(n *node, down time.Duration) {
 	if !n.up || n.shuttingDown {
 		return
@@ -117,7 +117,7 @@
 	look()
 }
 
-// afterInEpoch plans something for this life of the sidecar.
+// afterInEpoch schedules an event that is void once the sidecar has been restarted.
 func (n *node) afterInEpoch(d time.Duration, do func()) {
 	epoch := n.epoch
 	n.sim.after(d, func() {
@@ -127,15 +127,15 @@
 	})
 }
 
-// Wake asks for a call of the Decider's Wake.
+// Wake schedules a call of the Decider's Wake.
 func (n *node) Wake(d time.Duration) {
 	n.afterInEpoch(max(d, time.Microsecond), func() { n.decider.Wake(n.sim.now) })
 }
 
-// probeTimeout is how long a probe waits for its answer.
+// probeTimeout bounds the wait for the answer to a probe.
 const probeTimeout = 500 * time.Millisecond
 
-// Probe asks a server for its load.
+// Probe requests a load report from a server.
 func (n *node) Probe(to policy.ServerID) {
 	s, sv := n.sim, n.sim.Servers[int(to)-1]
 	s.record.Probes++
@@ -163,14 +163,14 @@
 	})
 }
 
-// WatchList asks for the list.
+// WatchList polls the endpoint list and subscribes to its changes.
 func (n *node) WatchList() {
 	n.polledAt = n.sim.now
 	n.afterInEpoch(0, func() { n.sim.list.watch(n) })
 }
 
-// checkNotified looks whether a sidecar that follows no watch has gone without asking for so
-// long that it counts as told of a server's end or drain.
+// checkNotified checks whether a sidecar without a watch has not polled for so
+// long that it counts as notified of a server's removal or drain.
 func (n *node) checkNotified(server int) {
 	s, within := n.sim, time.Duration(n.sim.scenario.Rules.PollDeadline)
 	if n.pollFailed {
@@ -185,10 +185,10 @@
 	}
 }
 
-// failedPollFactor is how many times as long a sidecar has whose last call failed.
+// failedPollFactor multiplies that time for a sidecar whose last poll failed.
 const failedPollFactor = 4
 
-// listReceived gives the sidecar news of the list.
+// listReceived passes a full list or a watch event to the sidecar.
 func (n *node) listReceived(kind policy.ListKind, entries []policy.Endpoint) {
 	s := n.sim
 	n.pollFailed = false
--- a/internal/simulation/emulator/presets.go
+++ b/internal/simulation/emulator/presets.go
@@ -14,8 +14,8 @@
 	change      func(*Scenario)
 }
 
-// presets are the days that can be played by name. Their figures are those that the
-// operators' records give for such days, in the middle of the range.
+// presets are the scenarios that have names. Their figures are those that the
+// operators' records give for such faults, in the middle of the range.
 var presets = map[string]preset{
 	"calm": {description: "no fault; a burst of half as much again",
 		faults: []Fault{{Name: "burst", Start: fromSeconds(12), Duration: fromSeconds(6), Size: 1.5}},
@@ -55,19 +55,19 @@
 
 const (
 	// keysPerServer is how many keys there are for each server: the operators state 400 to
-	// 1,000 for 8 to 10. With a fixed number a large fleet would have them all warm.
+	// 1,000 for 8 to 10. With a fixed number all keys would be warm in a large fleet.
 	keysPerServer = 75
-	// callsPerSidecar is how many calls for the whole list the service bears in a second for
-	// each sidecar. The operators' drawn days state between one and two.
+	// callsPerSidecar is how many polls for the full list the discovery service can answer in a second for
+	// each sidecar. The operators' scenarios state between one and two.
 	callsPerSidecar = 1.4
-	// overloadedListShare is what is left of that where it has too many callers: a call takes
+	// overloadedListShare is the fraction that is left where the service has too many callers: a poll takes
 	// some 75 ms for 80 sidecars then.
 	overloadedListShare = 0.12
 )
 
 func fromSeconds(seconds float64) Duration { return milliseconds(seconds * 1000) }
 
-// PresetNames lists the scenarios that have a name, sorted, each with what happens.
+// PresetNames lists the scenarios that have names, sorted, with their descriptions.
 func PresetNames() (names []string, about map[string]string) {
 	about = make(map[string]string, len(presets))
 	for name, p := range presets {
@@ -78,7 +78,7 @@
 	return names, about
 }
 
-// Preset is the scenario of that name, for a fleet of a size.
+// Preset returns the scenario of that name for a fleet of a size.
 func Preset(name string, sidecars, servers int) (*Scenario, error) {
 	p, known := presets[name]
 	if !known {
@@ -87,7 +87,7 @@
 	}
 	s := DefaultScenario()
 	s.Name, s.Sidecars, s.Servers, s.Faults = name, sidecars, servers, slices.Clone(p.faults)
-	// The service has grown with the fleet, as the operators' has.
+	// The discovery service grows with the fleet, as the operators' does.
 	s.List.PerMS = callsPerSidecar * float64(sidecars) * float64(s.List.PerCall+servers) / 1000
 	s.Keys.Count = keysPerServer * servers
 	if p.change != nil {
@@ -96,7 +96,7 @@
 	return s, s.Check()
 }
 
-// Stretch changes the length of a scenario, with the times of its troubles.
+// Stretch changes the length of a scenario and scales the times of its faults.
 func (s *Scenario) Stretch(length time.Duration) {
 	f := length.Seconds() / s.Length.seconds()
 	s.Length = Duration(length)
@@ -106,7 +106,7 @@
 	}
 }
 
-// DefaultScenario is a fleet whose figures lie in the middle of what the operators state of theirs.
+// DefaultScenario returns a fleet whose figures lie in the middle of what the operators state of theirs.
 func DefaultScenario() *Scenario {
 	s := &Scenario{
 		Name: "calm", Length: Duration(30 * time.Second), Sidecars: 30, Servers: 20,
--- a/internal/simulation/emulator/record.go
+++ b/internal/simulation/emulator/record.go
@@ -10,7 +10,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Record is what came of a day.
+// Record is the result of a run.
 type Record struct {
 	Scenario string        `json:"scenario"`
 	Seed     uint64        `json:"seed"`
@@ -18,20 +18,20 @@
 	Servers  int           `json:"servers"`
 	Zones    []string      `json:"zones"`
 	Length   time.Duration `json:"length_ns"`
-	Partial  bool          `json:"partial,omitempty"` // it was cut short
+	Partial  bool          `json:"partial,omitempty"` // it was interrupted
 
-	// Goodput is the worth served, in parts of the worth asked for; Result also
-	// minds the worst 10 s, class and tenant, and the prices.
+	// Goodput is the weight served as a fraction of the weight requested; Result also
+	// counts the worst 10 s, class and tenant, and the costs.
 	Goodput   float64 `json:"goodput"`
 	Result    float64 `json:"result"`
 	TotalCost float64 `json:"prices"`
 
-	Requests            int `json:"asked"` // first tries
+	Requests            int `json:"asked"` // first attempts
 	ServedRequests      int `json:"served"`
-	Late                int `json:"late"`    // of those, after the aim
+	Late                int `json:"late"`    // of those, after the latency objective
 	Refused             int `json:"refused"` // ended with a refusal
 	Failed              int `json:"failed"`
-	Abandoned           int `json:"left"` // their clients went away
+	Abandoned           int `json:"left"` // their clients left
 	ClientAttempts      int `json:"tries"`
 	Sends               int `json:"sends"`
 	Rejected            int `json:"turned_away"`
@@ -43,21 +43,21 @@
 	Restarts            int `json:"restarts"`
 	OverloadedServers   int `json:"fell"`
 	Events              int `json:"events"`
-	MalformedClients    int `json:"bad_clients"`         // connections of clients that say what cannot be read
+	MalformedClients    int `json:"bad_clients"`         // connections of clients that send malformed requests
 	MalformedUnanswered int `json:"bad_clients_waiting"` // of those, the ones that got neither an error nor a close in time
 
 	P50MS  float64 `json:"p50_ms"`
 	P99MS  float64 `json:"p99_ms"`
 	P999MS float64 `json:"p999_ms"`
 
-	// LostWeight are the worth that was not served, by cause; they add up to what was asked
-	// for less what was got. Priced are the prices by what they are for.
+	// LostWeight is the weight that was not served, by cause; it adds up to the requested weight
+	// less the served weight. Costs are the costs by what they are for.
 	LostWeight map[string]float64 `json:"losses"`
 	Costs      map[string]float64 `json:"priced"`
 
 	Classes []WeightShare `json:"classes"`
 	Tenants []WeightShare `json:"tenants"`
-	Windows []Window      `json:"windows"` // of a second each, by when the first try came
+	Windows []Window      `json:"windows"` // of a second each, by the time of the first attempt
 
 	Faults         []Fault  `json:"troubles"`
 	Violations     [5]int   `json:"breaches"` // by rule, from 1 on
@@ -76,14 +76,14 @@
 	scenario                    *Scenario
 }
 
-// WeightShare is the worth of a class or tenant.
+// WeightShare is the requested and served weight of a class, tenant or second.
 type WeightShare struct {
 	Name      string  `json:"name"`
 	Requested float64 `json:"asked"`
 	Served    float64 `json:"got"`
 }
 
-// Share is the part that was served; 1 where nothing was asked.
+// Share returns the fraction that was served; 1 where nothing was requested.
 func (p WeightShare) Share() float64 {
 	if p.Requested == 0 {
 		return 1
@@ -91,7 +91,7 @@
 	return p.Served / p.Requested
 }
 
-// Window is one second of a day.
+// Window is one second of a run.
 type Window struct {
 	WeightShare
 	Requests int       `json:"requests"`
@@ -100,18 +100,18 @@
 	Late     int       `json:"late"`
 	P50MS    float64   `json:"p50_ms"`
 	P99MS    float64   `json:"p99_ms"`
-	Queue    []int     `json:"queue"`    // by zone, at its begin: requests that wait at servers
-	Capacity []float64 `json:"capacity"` // by zone, at its begin: work a second
-	Fleet    Impact    `json:"fleet"`    // what the fleet did in it, whenever the requests came
+	Queue    []int     `json:"queue"`    // by zone, at its start: requests queued at servers
+	Capacity []float64 `json:"capacity"` // by zone, at its start: work a second
+	Fleet    Impact    `json:"fleet"`    // what the fleet did in it, whenever the requests arrived
 }
 
 const (
 	minLatency        = 1        // microseconds
-	maxLatency        = 60 * 1e6 // as much as any deadline
-	significantDigits = 2        // of a latency: a hundredth is finer than the noise
+	maxLatency        = 60 * 1e6 // longer than any deadline
+	significantDigits = 2        // of a latency
 )
 
-// NewRecord makes the record of a day that begins.
+// NewRecord makes the record of a run that starts.
 func NewRecord(sc *Scenario, seed uint64) *Record {
 	r := &Record{
 		Scenario: sc.Name, Seed: seed, Sidecars: sc.Sidecars, Servers: sc.Servers, Zones: sc.Zones, Length: time.Duration(sc.Length),
@@ -130,7 +130,7 @@
 	return r
 }
 
-// Sample notes a server's state at a time of the day. What a zone's servers have adds up.
+// Sample adds a server's state at a time of the run to its zone's.
 func (r *Record) Sample(at time.Duration, zone, waiting int, capacity float64) {
 	i := int(at / time.Second)
 	if i < 0 || i >= len(r.Windows) {
@@ -144,19 +144,19 @@
 	w.Capacity[zone] += capacity
 }
 
-// AddWasted takes work that served nobody, in seconds on a core of speed 1.
+// AddWasted adds work that served no client, in seconds on a core of speed 1.
 func (r *Record) AddWasted(now time.Duration, work float64) {
 	r.wasted += work
 	r.impactAt(now).WastedWork += work
 }
 
-// window is the second in which a call came, and its index.
+// window returns the second in which a call arrived, and its index.
 func (r *Record) window(c Call) (*Window, int) {
 	i := min(len(r.Windows)-1, int(c.At/time.Second))
 	return &r.Windows[i], i
 }
 
-// AddRequest takes a first try.
+// AddRequest adds a first attempt.
 func (r *Record) AddRequest(c Call) {
 	r.Requests++
 	r.offered += c.Work
@@ -165,7 +165,7 @@
 	w.Requests++
 }
 
-// addRequested adds a call's worth to what was asked for, or takes it back.
+// addRequested adds a call's weight to the requested weight, or subtracts it.
 func (r *Record) addRequested(c Call, sign float64) {
 	r.Classes[c.Class].Requested += sign * c.Weight
 	if c.WithinQuota {
@@ -175,7 +175,7 @@
 	w.WeightShare.Requested += sign * c.Weight
 }
 
-// AddServed takes that a call was served, so long after its first try. late is why, if it was.
+// AddServed adds a call that was served so long after its first attempt; late is the cause if it was late.
 func (r *Record) AddServed(c Call, took time.Duration, late string) {
 	r.ServedRequests++
 	w, i := r.window(c)
@@ -196,11 +196,11 @@
 		r.perWindow[i] = hdrhistogram.New(minLatency, maxLatency, significantDigits)
 	}
 	for _, h := range []*hdrhistogram.Histogram{r.latency, r.perWindow[i]} {
-		_ = h.RecordValue(min(max(took.Microseconds(), minLatency), maxLatency)) // in range by the line itself
+		_ = h.RecordValue(min(max(took.Microseconds(), minLatency), maxLatency)) // clamped to the histogram's range
 	}
 }
 
-// AddUnserved takes that a client has given a call up, so long after its first try, and why.
+// AddUnserved adds a call that its client gave up so long after its first attempt, with the cause.
 func (r *Record) AddUnserved(c Call, refused bool, after time.Duration, cause string) {
 	r.addLoss(cause, c.Weight)
 	if after > time.Duration(r.scenario.Classes[c.Class].LatencyObjective) {
@@ -216,13 +216,13 @@
 	w.Failed++
 }
 
-// AddAbandoned takes that a client went away early: nothing was asked of anybody then.
+// AddAbandoned removes a call whose client left early from the requested weight.
 func (r *Record) AddAbandoned(c Call) {
 	r.Abandoned++
 	r.addRequested(c, -1)
 }
 
-// The parts of the result, as the operators weigh them.
+// Weights of the parts of the result, as the operators set them.
 const (
 	weightOverall = 0.45
 	weightWorst   = 0.15
@@ -231,7 +231,7 @@
 	worstWindow   = 10 // seconds
 )
 
-// Finish sums the day up, with what the Checker found.
+// Finish computes the result of the run, with the Checker's findings.
 func (r *Record) Finish(c *Checker, partial bool) {
 	r.Partial = partial
 	var whole WeightShare
@@ -268,7 +268,7 @@
 		if whole.Requested > 0 {
 			r.Costs["failing late"] = p.LateFail * r.lateWeight / whole.Requested
 		}
-		for _, what := range slices.Sorted(maps.Keys(r.Costs)) { // in order, so that the sum is the same each time
+		for _, what := range slices.Sorted(maps.Keys(r.Costs)) { // in a fixed order, so that the floating-point sum is reproducible
 			r.TotalCost += r.Costs[what]
 		}
 	}
@@ -280,7 +280,7 @@
 	r.Checked.Requests, r.Checked.Answers, r.Checked.Sends, r.Checked.Repeats, r.Checked.ColdSends = c.Requests, c.Answers, c.Sends, c.Repeats, c.ColdSends
 }
 
-// Line is the day in one line.
+// Line summarises the run in one line.
 func (r *Record) Line() string {
 	rules := "rules kept"
 	if len(r.ViolationTexts) > 0 {
--- a/internal/simulation/emulator/scenario.go
+++ b/internal/simulation/emulator/scenario.go
@@ -1,26 +1,26 @@
-// Package emulator is a model of what a sidecar lives among: booking servers in
-// zones, the list service, the network and the clients, with the troubles that
-// befall them. Sim runs the real decision module of each sidecar against it in
-// simulated time, in one goroutine and the same on every run; Checker judges the
-// four rules from what it is told and shares no code with what it judges.
+// Package emulator models the environment of a sidecar: booking servers in
+// zones, the discovery service, the network and the clients, with the faults that
+// are injected. Sim runs the real decision module of each sidecar against it in
+// simulated time, in one goroutine and deterministically; Checker verifies the
+// four rules from what it is notified of and shares no code with what it checks.
 //
 // The model follows the protocol's public description. docs/EMULATOR.md says what
-// it leaves out and where it had to guess.
+// it leaves out and which assumptions it makes.
 package emulator
 
-// Scenario is one day to be played: how much there is of everything, and what goes
-// wrong. Base gives one whose figures are those of the deployment this project
-// serves; a file or a program changes what it needs to.
+// Scenario describes one run: the size of everything and the faults. DefaultScenario has
+// the figures of the deployment that this project
+// serves; a file or a program changes some of them.
 type Scenario struct {
 	Name           string        `toml:"name"`
-	Length         Duration      `toml:"length"`   // of the arrivals; the day goes on until all is answered
+	Length         Duration      `toml:"length"`   // of the arrivals; the run ends when all requests are answered
 	Sidecars       int           `toml:"sidecars"` // one beside each client
 	Servers        int           `toml:"servers"`
 	Zones          []string      `toml:"zones"`
-	Load           float64       `toml:"load"`   // work asked for, in parts of what all servers can do
-	Slots          int           `toml:"slots"`  // of each sidecar over all compartments; 0: derived from the quotas
-	OverloadAdvice bool          `toml:"advice"` // a task of the fleet's gives its word on an overload (docs/OVERLOAD.md)
-	IdealPolicy    string        `toml:"oracle"` // what every sidecar is told that it cannot know: load, admission; empty: nothing
+	Load           float64       `toml:"load"`   // work requested, as a fraction of the capacity of all servers
+	Slots          int           `toml:"slots"`  // of each sidecar over all bulkheads; 0: derived from the quotas
+	OverloadAdvice bool          `toml:"advice"` // a fleet-wide task gives overload advice (docs/OVERLOAD.md)
+	IdealPolicy    string        `toml:"oracle"` // what every sidecar is given that it cannot know: load, admission; empty: nothing
 	Network        Network       `toml:"network"`
 	List           ListService   `toml:"list"`
 	Clients        Clients       `toml:"clients"`
@@ -33,38 +33,38 @@
 	Faults         []Fault       `toml:"troubles"`
 }
 
-// Network is the time that messages take, and connections.
+// Network holds message delays and the limits of connections.
 type Network struct {
 	NearDelay          Duration `toml:"near"`   // one way within a zone
 	FarDelay           Duration `toml:"far"`    // one way between zones
-	Jitter             float64  `toml:"jitter"` // part of it that varies, evenly
+	Jitter             float64  `toml:"jitter"` // fraction of the delay that varies, uniformly
 	ConnectTimeout     Duration `toml:"connect_within"`
-	IdleTimeout        Duration `toml:"idle_for"`  // a sidecar keeps an idle connection so long
+	IdleTimeout        Duration `toml:"idle_for"`  // how long a sidecar keeps an idle connection
 	HandshakeWork      Duration `toml:"handshake"` // work that a new connection costs a server
 	ConnectionsPerCore int      `toml:"per_core"`  // connections that a server accepts for each core
 }
 
-// ListService is the service that tells sidecars of the servers.
+// ListService configures the discovery service that serves the endpoint list.
 type ListService struct {
-	RemovalDelay  Duration `toml:"notice"`    // it learns so late that a server drains or is gone
-	AdditionDelay Duration `toml:"add"`       // and so late of a new one
-	Period        Duration `toml:"period"`    // watches bring what changed so often
-	PerMS         float64  `toml:"per_ms"`    // lines it can send in a millisecond, for calls
-	PerCall       int      `toml:"per_call"`  // lines that a call costs on top of those it brings
-	MaxWait       Duration `toml:"wait_most"` // a call that waited longer fails
+	RemovalDelay  Duration `toml:"notice"`    // until it knows that a server drains or has been removed
+	AdditionDelay Duration `toml:"add"`       // until it knows of a new one
+	Period        Duration `toml:"period"`    // interval of watch events
+	PerMS         float64  `toml:"per_ms"`    // list entries that it sends in a millisecond, for polls
+	PerCall       int      `toml:"per_call"`  // entries that a poll costs besides those it returns
+	MaxWait       Duration `toml:"wait_most"` // a poll that waited longer fails
 }
 
-// Clients is how the callers behave.
+// Clients configures the behaviour of the clients.
 type Clients struct {
 	TrafficCV        float64  `toml:"uneven"`     // coefficient of variation of the sidecars' traffic
-	ZoneSkew         float64  `toml:"zone_skew"`  // part of the traffic that moves to the first zone
-	Swing            float64  `toml:"swing"`      // of the daily wave, in parts of the mean
+	ZoneSkew         float64  `toml:"zone_skew"`  // fraction of the traffic that moves to the first zone
+	Swing            float64  `toml:"swing"`      // amplitude of the traffic wave, as a fraction of the mean
 	SwingTime        Duration `toml:"swing_time"` // length of one wave
-	Retries          int      `toml:"retries"`    // further tries of a client
-	AttemptShare     float64  `toml:"try_share"`  // of the time left, that one try may take
-	Backoff          Duration `toml:"backoff"`    // before the first further try; doubled each time
-	HonourRetryAfter float64  `toml:"honour"`     // part of the clients that heed Retry-After
-	AbandonRate      float64  `toml:"leave"`      // part of the tries that the client leaves early
+	Retries          int      `toml:"retries"`    // retries of a client
+	AttemptShare     float64  `toml:"try_share"`  // fraction of the time left that one attempt may take
+	Backoff          Duration `toml:"backoff"`    // before the first retry; doubled each time
+	HonourRetryAfter float64  `toml:"honour"`     // fraction of the clients that honour Retry-After
+	AbandonRate      float64  `toml:"leave"`      // fraction of the attempts that the client abandons
 }
 
 // Class is one kind of request.
@@ -77,7 +77,7 @@
 	LatencyObjective Duration `toml:"aim"`
 	Deadline         Duration `toml:"deadline"`
 	PriorityWeight   float64  `toml:"worth"`
-	LateShare        float64  `toml:"late_worth"` // part of the worth that an answer after the aim has
+	LateShare        float64  `toml:"late_worth"` // fraction of the weight of an answer after the latency objective
 	Idempotency      string   `toml:"effect"`     // "safe", "keyed" or "unsafe"
 	DedupScope       string   `toml:"group"`      // keyed: who drops repeats: "all", "zone" or "cell"
 	DedupWindow      Duration `toml:"window"`     // keyed: how long
@@ -87,7 +87,7 @@
 type Tenant struct {
 	Name  string  `toml:"name"`
 	Share float64 `toml:"share"`
-	Usage float64 `toml:"usage"` // what it asks for, in parts of its share
+	Usage float64 `toml:"usage"` // requested load, as a fraction of its share
 }
 
 // MachineKind is a kind of machine.
@@ -97,30 +97,30 @@
 	Cores           int      `toml:"cores"`
 	Speed           float64  `toml:"speed"`
 	SpeedCV         float64  `toml:"speed_cv"`
-	Slots           int      `toml:"slots"`      // requests in work for each core
-	QueueCapacity   int      `toml:"room"`       // that wait, for each core
-	Crowding        float64  `toml:"crowding"`   // efficiency lost for each request held above CrowdedAt
-	CrowdedAt       float64  `toml:"crowded_at"` // requests held for each core
+	Slots           int      `toml:"slots"`      // requests in service for each core
+	QueueCapacity   int      `toml:"room"`       // requests that wait, for each core
+	Crowding        float64  `toml:"crowding"`   // efficiency lost for each request in flight above CrowdedAt
+	CrowdedAt       float64  `toml:"crowded_at"` // requests in flight for each core
 	SlowStartFloor  float64  `toml:"cold_from"`
 	SlowStartWindow Duration `toml:"cold_for"`
-	ErrorRate       float64  `toml:"errors"`       // part of the requests that fail on a good day
-	DropsLate       bool     `toml:"drops_late"`   // it turns away what is over already when its turn comes
-	ConnectionCost  float64  `toml:"full_tax"`     // part of the capacity that a full table of connections takes
-	ReportInterval  Duration `toml:"report"`       // load reports are made so often
-	ReportNoise     float64  `toml:"report_noise"` // and are off by such a part
+	ErrorRate       float64  `toml:"errors"`       // fraction of the requests that fail without any fault
+	DropsLate       bool     `toml:"drops_late"`   // it rejects a request whose deadline has passed when it leaves the queue
+	ConnectionCost  float64  `toml:"full_tax"`     // fraction of the capacity that a full connection table takes
+	ReportInterval  Duration `toml:"report"`       // interval of load reports
+	ReportNoise     float64  `toml:"report_noise"` // relative error of load reports
 }
 
-// Keys is what requests concern.
+// Keys configures the affinity keys of requests.
 type Keys struct {
 	Count      int      `toml:"count"`
 	Zipf       float64  `toml:"zipf"`     // exponent of their popularity
-	WarmSaving float64  `toml:"gain"`     // part of the work saved where a cell met the key lately
-	WarmWindow Duration `toml:"for"`      // lately
+	WarmSaving float64  `toml:"gain"`     // fraction of the work saved where a cell met the key within WarmWindow
+	WarmWindow Duration `toml:"for"`      // how long a cell remembers a key
 	PerCore    int      `toml:"per_core"` // keys that a cell remembers for each core
 	CellSize   int      `toml:"cell"`     // servers in a cell
 }
 
-// Rules are the figures of the four rules.
+// Rules holds the figures of the four rules.
 type Rules struct {
 	AnswerSlack    Duration `toml:"answer_slack"`
 	DrainGrace     Duration `toml:"stop_within"`
@@ -128,23 +128,23 @@
 	OverloadFactor float64  `toml:"fall_multiple"`
 	OverloadWindow Duration `toml:"fall_time"`
 	MaxAttempts    int      `toml:"most_tries"`
-	RetryAfter     Duration `toml:"retry_after"` // the longest that clients heed
+	RetryAfter     Duration `toml:"retry_after"` // the longest that clients honour
 }
 
-// Prices are points of the result: each is taken off times its share or rate.
+// Prices holds costs: each is subtracted from the result, multiplied by its share or rate.
 type Prices struct {
 	CrossZone float64 `toml:"cross_zone"`
 	Waste     float64 `toml:"waste"`
 	Probe     float64 `toml:"probe"`
 	Handshake float64 `toml:"handshake"`
 	LateFail  float64 `toml:"late_fail"`
-	OverShare float64 `toml:"over_share"` // worth of what a tenant asks beyond its share
+	OverShare float64 `toml:"over_share"` // weight of what a tenant requests beyond its quota
 }
 
-// capacity is what a kind of machine can do: work a second, on a core of speed 1.
+// capacity returns the work per second of a kind of machine, in seconds on a core of speed 1.
 func (k MachineKind) capacity() float64 { return float64(k.Cores) * k.Speed }
 
-// Rate is how many first tries come in a second, over all sidecars.
+// Rate returns the first attempts per second over all sidecars.
 func (s *Scenario) Rate() float64 {
 	capacity, kinds := 0.0, 0.0
 	for _, k := range s.Kinds {
@@ -154,7 +154,7 @@
 	return s.Load * capacity / kinds * float64(s.Servers) / s.meanWork()
 }
 
-// meanWork of a request, in seconds.
+// meanWork returns the mean work of a request in seconds.
 func (s *Scenario) meanWork() float64 {
 	work, shares := 0.0, 0.0
 	for _, c := range s.Classes {
--- a/internal/simulation/emulator/scenario_test.go
+++ b/internal/simulation/emulator/scenario_test.go
@@ -22,7 +22,7 @@
 		"load = nan":                     "load is NaN",
 		"servers = 100000":               "servers is 100000",
 		"zones = []":                     "zones is 0",
-		"[[troubles]]\nname = \"flood\"": `there is no trouble "flood"`,
+		"[[troubles]]\nname = \"flood\"": `there is no fault "flood"`,
 		"[[troubles]]\nname = \"slow\"\nsize = 0.5":    "troubles[0]: slow: size is 0.5",
 		"[[troubles]]\nname = \"kill\"\npart = 2":      "part is 2",
 		"[[troubles]]\nname = \"kill\"\nat = \"-1s\"":  "must not be negative",
@@ -37,7 +37,7 @@
 	}
 }
 
-// What is written can be read again and is the same.
+// A scenario that is written and read again is the same.
 func TestScenarioRoundTrip(t *testing.T) {
 	names, _ := PresetNames()
 	for _, name := range names {
@@ -62,7 +62,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s, err := ReadScenario(bytes.NewReader(text))
 		if err == nil && s.Check() != nil {
-			t.Error("read, and of no use")
+			t.Error("a file that Check refuses was read")
 		}
 		if err != nil && !strings.HasPrefix(err.Error(), "scenario: ") {
 			t.Errorf("%v", err)
--- a/internal/simulation/emulator/scenariocheck.go
+++ b/internal/simulation/emulator/scenariocheck.go
@@ -14,42 +14,139 @@
 	maxLength   = 2 * time.Hour
 )
 
-// Check returns an error that names the first field that cannot be.
-func (s *Scenario) Check() error {
-	type figure struct {
-		name        string
-		value       float64
-		least, most float64
+// figure is a number of a scenario with the range that it must lie in.
+type figure struct {
+	name        string
+	value       float64
+	least, most float64
+}
+
+// check returns an error where the figure is outside its range or not a number.
+func (f figure) check() error {
+	if f.value >= f.least && f.value <= f.most {
+		return nil
 	}
-	for _, f := range []figure{
-		{"length", s.Length.seconds(), 0.001, maxLength.Seconds()},
-		{"sidecars", float64(s.Sidecars), 1, maxSidecars}, {"servers", float64(s.Servers), 1, maxServers},
-		{"zones", float64(len(s.Zones)), 1, 16}, {"load", s.Load, 0, 1000}, {"slots", float64(s.Slots), 0, 1e6},
-		{"classes", float64(len(s.Classes)), 1, 64}, {"tenants", float64(len(s.Tenants)), 1, 10_000}, {"kinds", float64(len(s.Kinds)), 1, 64},
-		{"network.near", s.Network.NearDelay.seconds(), 0, 10}, {"network.far", s.Network.FarDelay.seconds(), 0, 10},
-		{"network.jitter", s.Network.Jitter, 0, 1}, {"network.connect_within", s.Network.ConnectTimeout.seconds(), 0.001, 60},
-		{"network.idle_for", s.Network.IdleTimeout.seconds(), 0.001, 3600}, {"network.handshake", s.Network.HandshakeWork.seconds(), 0, 10},
-		{"network.per_core", float64(s.Network.ConnectionsPerCore), 1, 1e6},
-		{"list.notice", s.List.RemovalDelay.seconds(), 0, 3600}, {"list.add", s.List.AdditionDelay.seconds(), 0, 3600},
-		{"list.period", s.List.Period.seconds(), 0.001, 60}, {"list.per_ms", s.List.PerMS, 1e-6, 1e9},
-		{"list.per_call", float64(s.List.PerCall), 0, 1e6}, {"list.wait_most", s.List.MaxWait.seconds(), 0.001, 60},
-		{"clients.uneven", s.Clients.TrafficCV, 0, 10}, {"clients.zone_skew", s.Clients.ZoneSkew, 0, 1}, {"clients.swing", s.Clients.Swing, 0, 1},
-		{"clients.swing_time", s.Clients.SwingTime.seconds(), 0.1, 86400}, {"clients.retries", float64(s.Clients.Retries), 0, 100},
-		{"clients.try_share", s.Clients.AttemptShare, 0.01, 1}, {"clients.backoff", s.Clients.Backoff.seconds(), 0.001, 60},
-		{"clients.honour", s.Clients.HonourRetryAfter, 0, 1}, {"clients.leave", s.Clients.AbandonRate, 0, 1},
-		{"keys.count", float64(s.Keys.Count), 1, 1e6}, {"keys.zipf", s.Keys.Zipf, 0, 5}, {"keys.gain", s.Keys.WarmSaving, 0, 1},
-		{"keys.for", s.Keys.WarmWindow.seconds(), 0, 3600}, {"keys.per_core", float64(s.Keys.PerCore), 1, 1e6}, {"keys.cell", float64(s.Keys.CellSize), 1, 1000},
-		{"rules.most_tries", float64(s.Rules.MaxAttempts), 1, 100}, {"rules.fall_multiple", s.Rules.OverloadFactor, 1, 1000},
-		{"rules.fall_time", s.Rules.OverloadWindow.seconds(), 0.001, 60}, {"rules.answer_slack", s.Rules.AnswerSlack.seconds(), 0, 10},
-		{"rules.stop_within", s.Rules.DrainGrace.seconds(), 0, 60}, {"rules.ask_within", s.Rules.PollDeadline.seconds(), 0.1, 3600},
-		{"rules.retry_after", s.Rules.RetryAfter.seconds(), 0, 60},
-		{"prices.cross_zone", s.Prices.CrossZone, 0, 10}, {"prices.waste", s.Prices.Waste, 0, 10}, {"prices.probe", s.Prices.Probe, 0, 10},
-		{"prices.handshake", s.Prices.Handshake, 0, 10}, {"prices.late_fail", s.Prices.LateFail, 0, 10}, {"prices.over_share", s.Prices.OverShare, 0, 1},
+	return fmt.Errorf("scenario: %s is %g, it must lie between %g and %g", f.name, f.value, f.least, f.most)
+}
+
+// Check returns an error that names the first field that is out of range.
+func (s *Scenario) Check() error {
+	for _, figures := range [][]figure{
+		s.figures(), s.Network.figures(), s.List.figures(), s.Clients.figures(), s.Keys.figures(), s.Rules.figures(), s.Prices.figures(),
 	} {
-		if !(f.value >= f.least && f.value <= f.most) { // so that no number fails too
-			return fmt.Errorf("scenario: %s is %g, it must lie between %g and %g", f.name, f.value, f.least, f.most)
+		for _, f := range figures {
+			if err := f.check(); err != nil {
+				return err
+			}
 		}
 	}
+	if err := s.checkClasses(); err != nil {
+		return err
+	}
+	if err := s.checkTenants(); err != nil {
+		return err
+	}
+	if err := s.checkKinds(); err != nil {
+		return err
+	}
+	if err := checkIdealPolicy(s.IdealPolicy); err != nil {
+		return err
+	}
+	for i, f := range s.Faults {
+		if err := f.check(s); err != nil {
+			return fmt.Errorf("scenario: troubles[%d]: %w", i, err)
+		}
+	}
+	return nil
+}
+
+func (s *Scenario) figures() []figure {
+	return []figure{
+		{"length", s.Length.seconds(), 0.001, maxLength.Seconds()},
+		{"sidecars", float64(s.Sidecars), 1, maxSidecars},
+		{"servers", float64(s.Servers), 1, maxServers},
+		{"zones", float64(len(s.Zones)), 1, 16},
+		{"load", s.Load, 0, 1000},
+		{"slots", float64(s.Slots), 0, 1e6},
+		{"classes", float64(len(s.Classes)), 1, 64},
+		{"tenants", float64(len(s.Tenants)), 1, 10_000},
+		{"kinds", float64(len(s.Kinds)), 1, 64},
+	}
+}
+
+func (n Network) figures() []figure {
+	return []figure{
+		{"network.near", n.NearDelay.seconds(), 0, 10},
+		{"network.far", n.FarDelay.seconds(), 0, 10},
+		{"network.jitter", n.Jitter, 0, 1},
+		{"network.connect_within", n.ConnectTimeout.seconds(), 0.001, 60},
+		{"network.idle_for", n.IdleTimeout.seconds(), 0.001, 3600},
+		{"network.handshake", n.HandshakeWork.seconds(), 0, 10},
+		{"network.per_core", float64(n.ConnectionsPerCore), 1, 1e6},
+	}
+}
+
+func (l ListService) figures() []figure {
+	return []figure{
+		{"list.notice", l.RemovalDelay.seconds(), 0, 3600},
+		{"list.add", l.AdditionDelay.seconds(), 0, 3600},
+		{"list.period", l.Period.seconds(), 0.001, 60},
+		{"list.per_ms", l.PerMS, 1e-6, 1e9},
+		{"list.per_call", float64(l.PerCall), 0, 1e6},
+		{"list.wait_most", l.MaxWait.seconds(), 0.001, 60},
+	}
+}
+
+func (c Clients) figures() []figure {
+	return []figure{
+		{"clients.uneven", c.TrafficCV, 0, 10},
+		{"clients.zone_skew", c.ZoneSkew, 0, 1},
+		{"clients.swing", c.Swing, 0, 1},
+		{"clients.swing_time", c.SwingTime.seconds(), 0.1, 86400},
+		{"clients.retries", float64(c.Retries), 0, 100},
+		{"clients.try_share", c.AttemptShare, 0.01, 1},
+		{"clients.backoff", c.Backoff.seconds(), 0.001, 60},
+		{"clients.honour", c.HonourRetryAfter, 0, 1},
+		{"clients.leave", c.AbandonRate, 0, 1},
+	}
+}
+
+func (k Keys) figures() []figure {
+	return []figure{
+		{"keys.count", float64(k.Count), 1, 1e6},
+		{"keys.zipf", k.Zipf, 0, 5},
+		{"keys.gain", k.WarmSaving, 0, 1},
+		{"keys.for", k.WarmWindow.seconds(), 0, 3600},
+		{"keys.per_core", float64(k.PerCore), 1, 1e6},
+		{"keys.cell", float64(k.CellSize), 1, 1000},
+	}
+}
+
+func (r Rules) figures() []figure {
+	return []figure{
+		{"rules.most_tries", float64(r.MaxAttempts), 1, 100},
+		{"rules.fall_multiple", r.OverloadFactor, 1, 1000},
+		{"rules.fall_time", r.OverloadWindow.seconds(), 0.001, 60},
+		{"rules.answer_slack", r.AnswerSlack.seconds(), 0, 10},
+		{"rules.stop_within", r.DrainGrace.seconds(), 0, 60},
+		{"rules.ask_within", r.PollDeadline.seconds(), 0.1, 3600},
+		{"rules.retry_after", r.RetryAfter.seconds(), 0, 60},
+	}
+}
+
+func (p Prices) figures() []figure {
+	return []figure{
+		{"prices.cross_zone", p.CrossZone, 0, 10},
+		{"prices.waste", p.Waste, 0, 10},
+		{"prices.probe", p.Probe, 0, 10},
+		{"prices.handshake", p.Handshake, 0, 10},
+		{"prices.late_fail", p.LateFail, 0, 10},
+		{"prices.over_share", p.OverShare, 0, 1},
+	}
+}
+
+// checkClasses checks each class and that their shares add up to something.
+func (s *Scenario) checkClasses() error {
 	shares := 0.0
 	for i, c := range s.Classes {
 		shares += c.Share
@@ -57,33 +154,63 @@
 			return err
 		}
 	}
+	if !(shares > 0) {
+		return errNoShares
+	}
+	return nil
+}
+
+var errNoShares = errors.New("scenario: the shares of classes or kinds add up to nothing")
+
+func (s *Scenario) checkTenants() error {
 	for i, t := range s.Tenants {
 		if t.Name == "" || !(t.Share > 0) || !(t.Usage >= 0) || math.IsInf(t.Share+t.Usage, 0) {
 			return fmt.Errorf("scenario: tenants[%d]: a name, a share above 0 and a usage of 0 or more are needed", i)
 		}
 	}
-	kinds := 0.0
+	return nil
+}
+
+// checkKinds checks each kind of machine and that their shares add up to something.
+func (s *Scenario) checkKinds() error {
+	shares := 0.0
 	for i, k := range s.Kinds {
-		kinds += k.Share
-		if k.Cores < 1 || k.Slots < 1 || k.QueueCapacity < 0 || !(k.Speed > 0) || !(k.SpeedCV >= 0) || !(k.Share >= 0) || !(k.SlowStartFloor > 0 && k.SlowStartFloor <= 1) ||
-			k.SlowStartWindow < 0 || !(k.ErrorRate >= 0 && k.ErrorRate <= 1) || !(k.ConnectionCost >= 0 && k.ConnectionCost < 1) || k.ReportInterval <= 0 || !(k.Crowding >= 0) || !(k.ReportNoise >= 0) {
+		shares += k.Share
+		if !k.valid() {
 			return fmt.Errorf("scenario: kinds[%d] (%s): a figure is missing or out of range", i, k.Name)
 		}
 	}
-	if !(shares > 0) || !(kinds > 0) {
-		return errors.New("scenario: the shares of classes or kinds add up to nothing")
+	if !(shares > 0) {
+		return errNoShares
 	}
-	if err := checkIdealPolicy(s.IdealPolicy); err != nil {
-		return err
-	}
-	for i, t := range s.Faults {
-		if err := t.check(s); err != nil {
-			return fmt.Errorf("scenario: troubles[%d]: %w", i, err)
+	return nil
+}
+
+// valid reports whether all figures of a kind of machine are within their ranges.
+func (k MachineKind) valid() bool {
+	for _, ok := range []bool{
+		k.Cores >= 1,
+		k.Slots >= 1,
+		k.QueueCapacity >= 0,
+		k.Speed > 0,
+		k.SpeedCV >= 0,
+		k.Share >= 0,
+		k.SlowStartFloor > 0 && k.SlowStartFloor <= 1,
+		k.SlowStartWindow >= 0,
+		k.ErrorRate >= 0 && k.ErrorRate <= 1,
+		k.ConnectionCost >= 0 && k.ConnectionCost < 1,
+		k.ReportInterval > 0,
+		k.Crowding >= 0,
+		k.ReportNoise >= 0,
+	} {
+		if !ok {
+			return false
 		}
 	}
-	return nil
+	return true
 }
 
+// check checks one class; at names it in the error.
 func (c Class) check(at string) error {
 	switch {
 	case c.Name == "":
--- a/internal/simulation/emulator/scenariofile.go
+++ b/internal/simulation/emulator/scenariofile.go
@@ -22,16 +22,16 @@
 	return nil
 }
 
-// MarshalText writes it as a scenario file has it.
+// MarshalText writes the duration as a scenario file has it.
 func (s Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
 func (s Duration) seconds() float64 { return time.Duration(s).Seconds() }
 
-// milliseconds is a number of milliseconds.
+// milliseconds converts a number of milliseconds.
 func milliseconds(ms float64) Duration { return Duration(ms * float64(time.Millisecond)) }
 
-// ReadScenario reads a scenario file: TOML that changes what Base has. A key that is not
-// known, a wrong type and a figure that cannot be are refused, with line and field.
+// ReadScenario reads a scenario file: TOML that changes DefaultScenario. A key that is not
+// known, a wrong type and a figure out of range are errors that name line and field.
 func ReadScenario(r io.Reader) (*Scenario, error) {
 	text, err := io.ReadAll(io.LimitReader(r, maxFile+1))
 	if err != nil {
@@ -47,7 +47,7 @@
 	return s, s.Check()
 }
 
-// maxFile is far more than any scenario has.
+// maxFile bounds the size of a scenario file.
 const maxFile = 1 << 20
 
 // LoadScenario reads a scenario file.
--- a/internal/simulation/emulator/search.go
+++ b/internal/simulation/emulator/search.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// The days of a hunt: a surge and a trouble that ends with it or a little later. A fleet
-// that is not well some seconds after both are over keeps itself down.
+// The scenarios of a search: a surge and a fault that ends with it or a little later. A fleet
+// that has not recovered some seconds after both are over sustains its own overload.
 const (
 	searchFaultStart     = 8.0  // seconds until the surge
-	searchRecoveryLength = 20.0 // that the day goes on after all is over
+	searchRecoveryLength = 20.0 // that the run goes on after all faults are over
 	searchLoad           = 0.7
 	minSurge             = 1.5
 	maxSurge             = 6.0
 )
 
-// RecoveryLimit is within how long after its troubles a day has to be back.
+// RecoveryLimit is how long after its faults a run may take to recover.
 const RecoveryLimit = 5 * time.Second
 
-// searchFaults are what comes with a surge, each with the range of its part and size.
+// searchFaults are the faults that accompany a surge, with the ranges of their parts and sizes.
 var searchFaults = []struct {
 	name                             string
 	leastPart, mostPart, least, most float64
@@ -31,7 +31,7 @@
 	{name: "list_down"}, {name: "herd", leastPart: 0.3, mostPart: 0.8, extra: 0.5}, {name: "partition"}, {name: "reset", leastPart: 0.02, mostPart: 0.2},
 }
 
-// SearchScenario draws a day of a hunt, and when its troubles are over.
+// SearchScenario draws the scenario of a seed and returns when its faults are over.
 func SearchScenario(seed uint64, sidecars, servers int) (*Scenario, time.Duration, error) {
 	s, err := Preset("calm", sidecars, servers)
 	if err != nil {
@@ -43,7 +43,7 @@
 	over := searchFaultStart + surge
 	s.Name, s.Load = fmt.Sprintf("hunt-%d", seed), searchLoad
 	s.Faults = []Fault{{Name: "burst", Start: fromSeconds(searchFaultStart), Duration: fromSeconds(surge), Size: between(minSurge, maxSurge)}}
-	if k := rng.IntN(len(searchFaults) + 1); k < len(searchFaults) { // or none
+	if k := rng.IntN(len(searchFaults) + 1); k < len(searchFaults) { // or no further fault
 		x := searchFaults[k]
 		begin, length := searchFaultStart+between(0, surge), between(1, 8)
 		s.Faults = append(s.Faults, Fault{Name: x.name, Start: fromSeconds(begin), Duration: fromSeconds(length), Part: between(x.leastPart, x.mostPart), Size: between(x.least, x.most), Extra: fromSeconds(x.extra), Zone: rng.IntN(len(s.Zones))})
@@ -55,19 +55,19 @@
 
 func (s Duration) timeDuration() time.Duration { return time.Duration(s) }
 
-// SearchResult is one day of a hunt.
+// SearchResult is one run of a search.
 type SearchResult struct {
 	Seed           uint64        `json:"seed"`
 	Scenario       *Scenario     `json:"-"`
-	FaultsEnd      time.Duration `json:"over_ns"` // its troubles, by the day's clock
-	RecoveryTime   time.Duration `json:"back_ns"` // after that; as long as the day went on where it never was
+	FaultsEnd      time.Duration `json:"over_ns"` // end of its faults, since the start of the run
+	RecoveryTime   time.Duration `json:"back_ns"` // after that; the rest of the run where it never recovered
 	NotRecovered   bool          `json:"never,omitempty"`
 	Goodput        float64       `json:"goodput"`
 	ViolationTexts []string      `json:"broken,omitempty"`
 	Faults         []Fault       `json:"troubles"`
 }
 
-// RunSearch plays the day of a seed.
+// RunSearch runs the scenario of a seed.
 func RunSearch(ctx context.Context, seed uint64, sidecars, servers int, decide DeciderFactory) (*SearchResult, error) {
 	sc, over, err := SearchScenario(seed, sidecars, servers)
 	if err != nil {
--- a/internal/simulation/emulator/server.go
+++ b/internal/simulation/emulator/server.go
@@ -11,39 +11,39 @@
 // Job is a request at a booking server.
 type Job struct {
 	Work     float64       // seconds on a core of speed 1
-	Key      uint64        // what it concerns; 0: nothing
-	Repeat   uint64        // repeats with this number are dropped; 0: they run
-	Window   time.Duration // for so long
+	Key      uint64        // affinity key; 0: none
+	Repeat   uint64        // deduplication key; 0: repeats run
+	Window   time.Duration // of the deduplication
 	Deadline time.Duration // its client's
 	Owner    any           // the caller's own
 
 	Arrived time.Duration // at the server
-	Started time.Duration // its turn came; 0: it has not
+	Started time.Duration // its service started; 0: it has not
 	Done    time.Duration
-	Cold    bool // the server was cold when its turn came
+	Cold    bool // the server was warming up then
 	Failed  bool // it ended in an error
-	Dropped bool // its time was up when its turn came: it never ran
+	Dropped bool // its deadline had passed then: it never ran
 
 	remaining float64
 	work      float64
 	fails     bool
 }
 
-// Verdict is what becomes of a request that arrives.
+// Verdict is the server's decision on a request that arrives.
 type Verdict int
 
 // Verdicts.
 const (
-	Accepted   Verdict = iota // Advance gives it back when it has ended
-	Rejected                  // turned away: full, or draining
+	Accepted   Verdict = iota // Advance returns it when it has ended
+	Rejected                  // the server is full, or draining
 	NotRunning                // no process is there
 )
 
-// LoadReport is what a server says of its load.
+// LoadReport is a server's report of its load.
 type LoadReport struct{ Queue, Busy, Rate float64 }
 
 // Server is a booking server. It has no clock: callers pass the time, which never
-// goes back, and call Advance at Next. It is not safe for concurrent use.
+// decreases, and call Advance at the time that Next returns. It is not safe for concurrent use.
 type Server struct {
 	Index     int
 	Zone      int
@@ -54,11 +54,11 @@
 	Alive     bool          // its process runs
 	Draining  bool
 
-	// What troubles do to it.
+	// Effects of active faults.
 	Slowdown       float64 // times slower; 1: not
-	NeighbourShare float64 // part of the machine that something else takes
-	FailureShare   float64 // part of the requests that fail at once
-	Unreachable    bool    // the machine is cut off from everybody
+	NeighbourShare float64 // fraction of the machine that another process takes
+	FailureShare   float64 // fraction of the requests that fail at once
+	Unreachable    bool    // the machine is cut off from the network
 
 	OpenConnections    int // connections
 	connectionsPerCore int // connections for each core
@@ -70,10 +70,10 @@
 	queue          []*Job
 	overheadWork   float64   // work for handshakes and probes, done before requests
 	workSinceStart float64   // work done since the start
-	ended          []*Job    // not given back yet
+	ended          []*Job    // not returned yet
 	returned       []*Job    // by the last Advance
-	coldArrivals   []arrival // at a cold server, within the time of the rule
-	Overloaded     bool      // pushed over while cold
+	coldArrivals   []arrival // while warming up, within the rule's window
+	Overloaded     bool      // overloaded while warming up
 
 	reportAt time.Duration
 	report   LoadReport
@@ -86,8 +86,8 @@
 	work float64
 }
 
-// Cell is a few servers that share which keys they have met. Servers of one cell or
-// zone may be used concurrently: what they share has locks of its own.
+// Cell is a group of servers that share a cache of keys. Servers of one cell or
+// zone may be used concurrently: the shared caches have locks.
 type Cell struct {
 	Number      int
 	keys        *lru.Cache[uint64, time.Duration]
@@ -95,10 +95,10 @@
 	keySettings Keys
 }
 
-// dedupCache are the keyed requests that a zone has met, each with when it was begun.
+// dedupCache holds the deduplication keys that a zone has met, with the time of each.
 type dedupCache = lru.Cache[uint64, time.Duration]
 
-// maxRepeats bounds what a zone remembers of keyed requests: more than come within a window.
+// maxRepeats bounds a zone's deduplication cache; it is more than arrive within a window.
 const maxRepeats = 1 << 17
 
 func newDedupCache() *dedupCache {
@@ -109,7 +109,7 @@
 	return met
 }
 
-// NewCell makes a cell that remembers so many keys.
+// newCell makes a cell whose cache has room for its cores.
 func newCell(number int, zone *dedupCache, spec Keys, cores int) *Cell {
 	keys, err := lru.New[uint64, time.Duration](max(1, spec.PerCore*cores))
 	if err != nil {
@@ -118,7 +118,7 @@
 	return &Cell{Number: number, keys: keys, zone: zone, keySettings: spec}
 }
 
-// discount is the part of its work that a key costs here now, and notes the key.
+// discount returns the fraction of its work that a request with this key needs, and remembers the key.
 func (c *Cell) discount(now time.Duration, key uint64) float64 {
 	if key == 0 {
 		return 1
@@ -132,15 +132,15 @@
 }
 
 const (
-	coldInterval    = 50 * time.Millisecond // how finely a cold server's capacity is followed
+	coldInterval    = 50 * time.Millisecond // step in which the capacity of a server that warms up is followed
 	probeWork       = 0.00014               // seconds of work that a probe costs
-	repeatWork      = 0.001                 // and a repeat that is dropped
-	failedWorkShare = 0.05                  // part of its work that a request has cost when it fails at once
-	warmUpWorkShare = 0.6                   // a cold server is warm after this part of what it could have done meanwhile
-	overloadSlack   = 1.1                   // of the budget of a cold server, for chance
+	repeatWork      = 0.001                 // seconds of work that a dropped repeat costs
+	failedWorkShare = 0.05                  // fraction of its work that a request costs when it fails at once
+	warmUpWorkShare = 0.6                   // a server is warm after this fraction of the work it could have done meanwhile
+	overloadSlack   = 1.1                   // tolerance on the budget of a server that warms up, for random variation
 )
 
-// warmth is the share of its capacity that the server has.
+// warmth returns the fraction of its capacity that the server has reached.
 func (s *Server) warmth(now time.Duration) float64 {
 	if s.StartedAt == 0 || s.Kind.SlowStartWindow == 0 {
 		return 1
@@ -150,10 +150,10 @@
 	return min(1, s.Kind.SlowStartFloor+(1-s.Kind.SlowStartFloor)*max(byTime, byWork))
 }
 
-// fullCapacity is what the machine can do: seconds of work a second.
+// fullCapacity returns what the machine can do when warm: seconds of work a second.
 func (s *Server) fullCapacity() float64 { return float64(s.Kind.Cores) * s.Speed }
 
-// Capacity is what it can do now, cold or in trouble as it is.
+// Capacity returns what the server can do now, with warm-up and faults.
 func (s *Server) Capacity(now time.Duration) float64 {
 	if !s.Alive || s.Overloaded {
 		return 0
@@ -161,7 +161,7 @@
 	return s.fullCapacity() * s.warmth(now) * s.speedFactor()
 }
 
-// State is how many requests wait there, and the capacity that callers can use.
+// State returns how many requests are queued, and the capacity that callers can use.
 func (s *Server) State(now time.Duration) (waiting int, capacity float64) {
 	if !s.Draining && !s.Unreachable {
 		capacity = s.Capacity(now)
@@ -169,7 +169,7 @@
 	return len(s.queue), capacity
 }
 
-// ColdCapacity is what it can do now while it is cold, troubles apart; 0 once it is warm.
+// ColdCapacity returns the capacity while warming up, without faults; 0 once the server is warm.
 func (s *Server) ColdCapacity(now time.Duration) float64 {
 	if w := s.warmth(now); w < 1 {
 		return s.fullCapacity() * w
@@ -177,7 +177,7 @@
 	return 0
 }
 
-// speedFactor is what troubles, crowding and connections leave of the speed.
+// speedFactor returns the fraction of the speed that faults, crowding and connections leave.
 func (s *Server) speedFactor() float64 {
 	f := (1 - s.NeighbourShare) / max(1, s.Slowdown)
 	if over := float64(len(s.running)+len(s.queue))/float64(s.Kind.Cores) - s.Kind.CrowdedAt; over > 0 && s.Kind.Crowding > 0 {
@@ -186,7 +186,7 @@
 	return f * (1 - s.Kind.ConnectionCost*float64(s.OpenConnections)/float64(max(1, s.maxConnections())))
 }
 
-// rate is how fast each running request goes on.
+// rate returns how fast each running request progresses.
 func (s *Server) rate() float64 {
 	if len(s.running) == 0 {
 		return 0
@@ -194,13 +194,13 @@
 	return s.Speed * s.warmth(s.at) * s.speedFactor() * min(1, float64(s.Kind.Cores)/float64(len(s.running)))
 }
 
-// Start begins a process there, cold.
+// Start starts a process, which begins to warm up.
 func (s *Server) Start(now time.Duration) {
 	s.StartedAt, s.Alive, s.Draining, s.Overloaded = now, true, false, false
 	s.workSinceStart, s.overheadWork, s.coldArrivals, s.at = 0, 0, s.coldArrivals[:0], now
 }
 
-// Kill ends the process; what it held is given back.
+// Kill ends the process and returns the requests that it had.
 func (s *Server) Kill(now time.Duration) []*Job {
 	s.Advance(now)
 	held := append(s.running, s.queue...)
@@ -208,10 +208,10 @@
 	return held
 }
 
-// maxConnections is how many connections it accepts.
+// maxConnections returns how many connections the server accepts.
 func (s *Server) maxConnections() int { return max(1, s.Kind.Cores*s.connectionsPerCore) }
 
-// Connect opens a connection, if there is room.
+// Connect opens a connection, if the limit allows it.
 func (s *Server) Connect(handshake time.Duration) bool {
 	if !s.Alive || s.Overloaded || s.OpenConnections >= s.maxConnections() {
 		return false
@@ -221,7 +221,7 @@
 	return true
 }
 
-// Arrive brings a request whose last byte has come. Advance must have been called for now.
+// Arrive delivers a request whose last byte has arrived. Advance must have been called for now.
 func (s *Server) Arrive(now time.Duration, j *Job) Verdict {
 	if !s.Alive || s.Overloaded {
 		return NotRunning
@@ -241,7 +241,7 @@
 
 func (s *Server) slots() int { return s.Kind.Slots * s.Kind.Cores }
 
-// recordColdWork counts work that reaches a cold server: more than a multiple of what it can do pushes it over.
+// recordColdWork counts work that reaches a server that warms up: more than a multiple of its capacity overloads it.
 func (s *Server) recordColdWork(now time.Duration, work float64) {
 	if s.warmth(now) >= 1 {
 		s.coldArrivals = s.coldArrivals[:0]
@@ -261,7 +261,7 @@
 	}
 }
 
-// startJobs gives free slots to what waits.
+// startJobs starts queued requests while slots are free.
 func (s *Server) startJobs() {
 	for len(s.running) < s.slots() && len(s.queue) > 0 {
 		j := s.queue[0]
@@ -291,8 +291,8 @@
 	}
 }
 
-// Advance lets time pass and gives back the requests that ended, in order. The
-// slice is good until the next call.
+// Advance advances the server and returns the requests that ended, in order. The
+// slice is valid until the next call.
 func (s *Server) Advance(now time.Duration) []*Job {
 	s.startJobs()
 	for s.at < now {
@@ -334,7 +334,7 @@
 	return s.returned
 }
 
-// timeToFirstEnd is the time until the timeToFirstEnd running request ends at a rate, at least a nanosecond.
+// timeToFirstEnd returns the time until the first running request ends at a rate, at least a nanosecond.
 func (s *Server) timeToFirstEnd(rate float64) time.Duration {
 	least := math.Inf(1)
 	for _, j := range s.running {
@@ -343,10 +343,10 @@
 	return max(1, time.Duration(math.Ceil(least/rate*1e9)))
 }
 
-// Never is later than any day.
+// Never is later than any run.
 const Never = time.Duration(math.MaxInt64)
 
-// Next is when Advance may have something to give back.
+// Next returns when Advance may have something to return.
 func (s *Server) Next() time.Duration {
 	if len(s.ended) > 0 {
 		return s.at
@@ -362,7 +362,7 @@
 	return s.at + d
 }
 
-// Probe costs a little and tells the load as of the last report.
+// Probe costs a little work and returns the last load report.
 func (s *Server) Probe(now time.Duration) LoadReport {
 	s.overheadWork += probeWork
 	if passed := now - s.reportAt; passed >= time.Duration(s.Kind.ReportInterval) {
@@ -376,23 +376,3 @@
 	}
 	return s.report
 }
-
-// advanceServer brings a server up to now, answers what has ended and plans its next end.
-func (s *Sim) advanceServer(sv *Server) {
-	for _, j := range sv.Advance(s.now) {
-		s.jobEnded(sv, j)
-	}
-	next := sv.Next()
-	if next == Never || (s.nextLook[sv.Index] <= next && s.nextLook[sv.Index] > s.now) {
-		return // what is planned comes in time
-	}
-	s.nextLook[sv.Index] = next
-	s.schedule(next, func() {
-		if s.nextLook[sv.Index] == next {
-			s.nextLook[sv.Index] = Never
-		}
-		if sv.Alive {
-			s.advanceServer(sv)
-		}
-	})
-}
--- a/internal/simulation/emulator/server_test.go
+++ b/internal/simulation/emulator/server_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// bench is a server of one core at speed 2, warm, with room for two.
+// bench is a warm server of one core at speed 2 whose queue holds two.
 func bench(change func(*Server)) *Server {
 	keys := Keys{WarmSaving: 0.5, WarmWindow: milliseconds(1000), PerCore: 2, CellSize: 1}
 	sv := &Server{
@@ -20,7 +20,7 @@
 	return sv
 }
 
-// drain lets a server finish and tells when each request ended, in order.
+// drain lets a server finish and returns when each request ended, in order.
 func drain(sv *Server) (ends []time.Duration, jobs []*Job) {
 	for at := sv.Next(); at != Never; at = sv.Next() {
 		for _, j := range sv.Advance(at) {
@@ -32,10 +32,10 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// near says whether two times are the same but for rounding.
+// near reports whether two times are equal but for rounding.
 func near(a, b time.Duration) bool { return max(a-b, b-a) <= 2*time.Microsecond }
 
-func TestServerWorksOffItsQueueAtItsSpeed(t *testing.T) {
+func TestServerServesItsQueueAtItsSpeed(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*Server)
 		want   []float64 // ends of three requests of a second's work
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestServerTurnsAwayWhatItCannotHold(t *testing.T) {
+func TestFullServerRejects(t *testing.T) {
 	sv := bench(nil)
 	sv.Advance(0)
 	for i, want := range []Verdict{Accepted, Accepted, Accepted, Rejected} {
@@ -91,7 +91,7 @@
 	}
 }
 
-// A cold server begins at its part, warms with time, or sooner with work.
+// A cold server starts with a fraction of its capacity and warms up with time, or sooner with work.
 func TestServerWarmsUp(t *testing.T) {
 	sv := bench(nil)
 	sv.Start(seconds(1))
@@ -109,8 +109,8 @@
 	}
 }
 
-// It bears its multiple of what it can do and falls over above, for good, and only while cold.
-func TestColdServerIsPushedOver(t *testing.T) {
+// A cold server bears a multiple of its capacity and is overloaded above that, permanently and only while cold.
+func TestColdServerIsOverloaded(t *testing.T) {
 	budget := 3 * 1.0 * 2 * overloadSlack // multiple x capacity x seconds
 	for name, c := range map[string]struct {
 		work float64
@@ -125,7 +125,7 @@
 			sv.Arrive(1, &Job{Work: c.work})
 		}
 		if sv.Overloaded != c.fell {
-			t.Errorf("%s: fell %v", name, sv.Overloaded)
+			t.Errorf("%s: overloaded %v", name, sv.Overloaded)
 		}
 	}
 	sv := bench(nil) // what is rejected presses too
@@ -135,7 +135,7 @@
 		sv.Arrive(1, &Job{Work: 1})
 	}
 	if !sv.Overloaded {
-		t.Error("what it turns away does not press")
+		t.Error("rejected work does not count")
 	}
 }
 
@@ -162,7 +162,7 @@
 	}
 }
 
-func TestServerDropsWhatIsOver(t *testing.T) {
+func TestServerDropsExpiredRequests(t *testing.T) {
 	sv := bench(func(sv *Server) { sv.Kind.DropsLate = true })
 	sv.Advance(0)
 	sv.Arrive(0, &Job{Work: 1, Deadline: time.Hour})
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestProbeTellsTheLoad(t *testing.T) {
+func TestProbeReportsTheLoad(t *testing.T) {
 	sv := bench(nil)
 	sv.Advance(0)
 	for range 3 {
--- a/internal/simulation/emulator/settings.go
+++ b/internal/simulation/emulator/settings.go
@@ -6,7 +6,7 @@
 	"barleywick/policy"
 )
 
-// Settings is what a sidecar's configuration file holds on this day under
+// Settings returns what a sidecar's configuration file holds in this scenario under
 // 'settings', in the platform's form.
 func (s *Scenario) Settings(sidecar int) map[string]any {
 	ms := func(d Duration) float64 { return float64(d) / float64(time.Millisecond) }
@@ -39,7 +39,7 @@
 	}
 }
 
-// Policy is what a sidecar's settings say on this day.
+// Policy returns the configuration of a sidecar's decision module in this scenario.
 func (s *Scenario) Policy(zone int) policy.Config {
 	c := policy.Config{
 		Balancers: s.Sidecars, Zone: zone, Slots: s.Slots,
@@ -64,10 +64,10 @@
 	return c
 }
 
-// quotaPart is how much of what the servers can do is promised to the tenants.
+// quotaPart is the fraction of the servers' capacity that is promised to the tenants.
 const quotaPart = 0.82
 
-// quota is a tenant's share in requests a second, over all sidecars.
+// quota returns a tenant's quota in requests per second over all sidecars.
 func (s *Scenario) quota(tenant int) float64 {
 	shares := 0.0
 	for _, t := range s.Tenants {
--- a/internal/simulation/emulator/settings_test.go
+++ b/internal/simulation/emulator/settings_test.go
@@ -9,7 +9,7 @@
 )
 
 // A sidecar that reads the emulator's settings is configured as the emulated one is.
-func TestSettingsSayWhatTheModuleIsGiven(t *testing.T) {
+func TestSettingsMatchThePolicyConfig(t *testing.T) {
 	names, _ := PresetNames()
 	for _, name := range names {
 		sc := day(t, name, 7, 9)
--- a/internal/simulation/emulator/sim.go
+++ b/internal/simulation/emulator/sim.go
@@ -10,37 +10,37 @@
 	"barleywick/policy"
 )
 
-// Sim plays a scenario in simulated time. All of it runs in the caller's goroutine;
-// what happens follows from scenario, seed and Decider alone.
+// Sim runs a scenario in simulated time. All of it runs in the caller's goroutine;
+// the result follows from scenario, seed and Decider alone.
 type Sim struct {
 	newDecider DeciderFactory
 	now        time.Duration
 	queue      events
-	count      uint64 // of events ever planned: ties go in the order of planning
+	count      uint64 // of events ever scheduled: ties go in this order
 
 	*Fleet
-	advice   *adviceTask     // nil: the fleet has no word on an overload
-	nextLook []time.Duration // when each server is looked at next
+	advice   *adviceTask     // nil: the fleet has no overload advice
+	nextLook []time.Duration // when each server is advanced next
 	nodes    []*node
 	list     *listServer
 	clients  *clients
 	checker  *Checker
 	record   *Record
 
-	environment *rand.Rand // of troubles, servers and network: the same for all variants
-	feedback    *rand.Rand // of what depends on what the sidecars did
+	environment *rand.Rand // randomness of faults, servers and network: the same for all variants
+	feedback    *rand.Rand // randomness of what depends on the sidecars' decisions
 
-	// What troubles do to the whole.
+	// Effects of active faults on the whole simulation.
 	partitioned                []int // by zone
 	malformedShare, resetShare float64
 
 	failure error
 }
 
-// StartTime is the time at which a day begins: a decision module takes time 0 for long ago.
+// StartTime is the time at which a run starts: a decision module takes time 0 for long ago.
 const StartTime = time.Hour
 
-// stream numbers of the random sources that follow from a seed.
+// Stream numbers of the random sources that are derived from a seed.
 const (
 	streamEnvironment = iota + 1
 	streamFeedback
@@ -50,7 +50,7 @@
 	streamServers
 )
 
-// NewSim prepares a day. The scenario must not be changed any more.
+// NewSim prepares a run. The scenario must not be changed afterwards.
 func NewSim(sc *Scenario, seed uint64, decide DeciderFactory) (*Sim, error) {
 	if err := sc.Check(); err != nil {
 		return nil, err
@@ -90,7 +90,7 @@
 	return s, nil
 }
 
-// add starts a new server, cold, of which the list learns in time.
+// add starts a new server, which the discovery service lists after its delay.
 func (s *Sim) add(zone int, k MachineKind, cell *Cell, speed float64) {
 	sv := s.AddServer(zone, k, cell, speed, s.now)
 	s.nextLook = append(s.nextLook, Never)
@@ -98,11 +98,11 @@
 	s.list.changed(sv)
 }
 
-// cancelCheckInterval is after how many events a day looks whether it is to be cut short.
+// cancelCheckInterval is how many events are processed between two checks for cancellation.
 const cancelCheckInterval = 1024
 
-// Run plays the day to its end, or until ctx is done: the record then tells of the
-// part that was played.
+// Run runs the scenario to its end, or until ctx is done: the record then covers the
+// part that was run.
 func (s *Sim) Run(ctx context.Context) (*Record, error) {
 	for _, n := range s.nodes {
 		n.start()
@@ -129,13 +129,13 @@
 	return s.record, s.failure
 }
 
-// finish sums the day up.
+// finish completes the record.
 func (s *Sim) finish(partial bool) {
 	s.record.Events = int(s.count)
 	s.record.Finish(s.checker, partial)
 }
 
-// sample notes the servers' state, once a second.
+// sample records the servers' state once a second.
 func (s *Sim) sample() {
 	for _, sv := range s.Servers {
 		waiting, capacity := sv.State(s.now)
@@ -144,7 +144,7 @@
 	s.after(time.Second, s.sample)
 }
 
-// longestDeadline is the longestDeadline deadline.
+// longestDeadline returns the longest deadline of all classes.
 func (s *Sim) longestDeadline() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range s.scenario.Classes {
@@ -153,7 +153,7 @@
 	return longest
 }
 
-// jobEnded takes a request that a server is done with.
+// jobEnded handles a request that a server has finished.
 func (s *Sim) jobEnded(sv *Server, j *Job) {
 	a := j.Owner.(*attempt)
 	if j.Dropped {
@@ -179,7 +179,7 @@
 	}
 }
 
-// kill ends a server's process: its connections are reset.
+// kill ends a server's process and resets its connections.
 func (s *Sim) kill(sv *Server) {
 	if !sv.Alive {
 		return
@@ -196,7 +196,7 @@
 	s.list.changed(sv)
 }
 
-// restartServers starts servers again, cold.
+// restartServers starts killed servers again; they warm up from the beginning.
 func (s *Sim) restartServers(dead []*Server) {
 	for _, sv := range dead {
 		if !sv.Alive {
@@ -206,8 +206,28 @@
 	}
 }
 
-// disconnect cuts a machine off, or brings it back.
+// disconnect makes a machine unreachable, or reachable again.
 func (s *Sim) disconnect(sv *Server, on bool) {
 	sv.Unreachable = on
 	s.list.changed(sv)
 }
+
+// advanceServer advances a server to the present, answers what has ended and schedules its next end.
+func (s *Sim) advanceServer(sv *Server) {
+	for _, j := range sv.Advance(s.now) {
+		s.jobEnded(sv, j)
+	}
+	next := sv.Next()
+	if next == Never || (s.nextLook[sv.Index] <= next && s.nextLook[sv.Index] > s.now) {
+		return // the scheduled event comes in time
+	}
+	s.nextLook[sv.Index] = next
+	s.schedule(next, func() {
+		if s.nextLook[sv.Index] == next {
+			s.nextLook[sv.Index] = Never
+		}
+		if sv.Alive {
+			s.advanceServer(sv)
+		}
+	})
+}
--- a/internal/simulation/emulator/sim_test.go
+++ b/internal/simulation/emulator/sim_test.go
@@ -36,9 +36,9 @@
 	return sc
 }
 
-// Every named day: the real module keeps the rules, there was something to judge,
-// and the same seed gives the same day to the last digit.
-func TestEveryDayKeepsTheRulesAndRepeats(t *testing.T) {
+// In every named scenario the real module keeps the rules, there was something to check,
+// and the same seed gives the same run to the last digit.
+func TestEveryScenarioKeepsTheRulesAndIsReproducible(t *testing.T) {
 	names, _ := PresetNames()
 	for _, name := range names {
 		t.Run(name, func(t *testing.T) {
@@ -54,7 +54,7 @@
 				if ended := r.ServedRequests + r.Refused + r.Failed + r.Abandoned; ended > r.Requests || ended < r.Requests*9/10 {
 					t.Errorf("seed %d: %d calls ended of %d", seed, ended, r.Requests)
 				}
-				checkAccount(t, r)
+				checkLosses(t, r)
 				out, err := json.Marshal(r)
 				if err != nil {
 					t.Fatal(err)
@@ -63,20 +63,20 @@
 			}
 			first := text(3)
 			if text(3) != first {
-				t.Error("the same seed gave another day")
+				t.Error("the same seed gave another run")
 			}
 			if text(4) == first {
-				t.Error("another seed gave the same day")
+				t.Error("another seed gave the same run")
 			}
 		})
 	}
 }
 
-// unsafe is the class that must never run twice; what never ran may go anywhere.
+// unsafe is the non-idempotent class; an attempt that never ran may be repeated.
 const unsafe = 1
 
-// checkAccount checks that the causes add up to all that was not served.
-func checkAccount(t *testing.T, r *Record) {
+// checkLosses checks that the causes add up to the weight that was not served.
+func checkLosses(t *testing.T, r *Record) {
 	t.Helper()
 	asked, got, lost, priced := 0.0, 0.0, 0.0, 0.0
 	for _, c := range r.Classes {
@@ -89,26 +89,26 @@
 		priced += p
 	}
 	if math.Abs(asked-got-lost) > 1e-6*asked || lost <= 0 {
-		t.Errorf("asked %v, served %v, the account has %v: %v", asked, got, lost, r.LostWeight)
+		t.Errorf("requested %v, served %v, losses add up to %v: %v", asked, got, lost, r.LostWeight)
 	}
 	if math.Abs(priced-r.TotalCost) > 1e-9 {
-		t.Errorf("prices %v, in parts %v", r.TotalCost, r.Costs)
+		t.Errorf("total cost %v, parts %v", r.TotalCost, r.Costs)
 	}
 }
 
-// Each day's own trouble stands in its account.
-func TestAccountNamesTheTrouble(t *testing.T) {
+// The losses of each scenario name its fault.
+func TestLossesNameTheFault(t *testing.T) {
 	for name, cause := range map[string]string{
 		"herd": causeKilled, "errors": causeError, "vanish": causeUnreachable, "overload": causeShed, "heavy": causeLateWork, "slow": causeLateSlow,
 		"zone": causeBroken, "split": causeUnreachable, "join": causeMalformed,
 	} {
 		if r := play(t, day(t, name, 30, 20), 1, NewBalancer); r.LostWeight[cause] == 0 {
-			t.Errorf("%s: nothing by %q: %v", name, cause, r.LostWeight)
+			t.Errorf("%s: no loss by %q: %v", name, cause, r.LostWeight)
 		}
 	}
 }
 
-// meddler stands between a module and its host, and between the list and the module.
+// meddler changes what passes between a module and its host, and between the list and the module.
 type meddler struct {
 	*policy.Balancer
 	policy.Host
@@ -146,7 +146,7 @@
 	m.Host.Refuse(id, pause)
 }
 
-// decider is the meddler as the emulator drives it.
+// decider is the meddler as a Decider.
 type decider struct{ *meddler }
 
 func (d decider) Wake(now time.Duration) { d.Balancer.Wake(now) }
@@ -163,7 +163,7 @@
 	d.Balancer.List(now, kind, entries)
 }
 
-// meddling makes modules that are meddled with.
+// meddling wraps the modules of a run in meddlers.
 func meddling(meddle func(*meddler)) DeciderFactory {
 	return func(b DeciderOptions) (Decider, error) {
 		m := &meddler{Host: b.Host, classes: make(map[policy.RequestID]int)}
@@ -174,8 +174,8 @@
 	}
 }
 
-// A rule that is broken on purpose is found, and no other is said to be broken.
-func TestEachBrokenRuleIsFound(t *testing.T) {
+// A violation on purpose is found, and no other rule is reported.
+func TestEachViolationIsFound(t *testing.T) {
 	overload := day(t, "overload", 10, 8)
 	join := day(t, "join", 10, 20)
 	drained := day(t, "calm", 10, 20)
@@ -236,11 +236,11 @@
 			r := play(t, c.sc, 1, meddling(c.meddle))
 			for rule, n := range r.Violations {
 				if (n > 0) != (rule == c.rule) {
-					t.Errorf("rule %d: %d breaches; want some of rule %d alone", rule, n, c.rule)
+					t.Errorf("rule %d: %d violations; want some of rule %d alone", rule, n, c.rule)
 				}
 			}
 			if len(r.ViolationTexts) == 0 || !strings.HasPrefix(r.ViolationTexts[0], "rule ") {
-				t.Errorf("not in words: %v", r.ViolationTexts)
+				t.Errorf("no description: %v", r.ViolationTexts)
 			}
 		})
 	}
@@ -251,8 +251,8 @@
 	})
 }
 
-// A planned end of all sidecars loses no call that they have taken.
-func TestAPlannedEndAnswersWhatWasTaken(t *testing.T) {
+// A graceful shutdown of all sidecars loses no call that they have accepted.
+func TestGracefulShutdownAnswersAcceptedRequests(t *testing.T) {
 	planned, killed := day(t, "calm", 10, 8), day(t, "calm", 10, 8)
 	planned.Faults = []Fault{{Name: "roll", Start: fromSeconds(5), Duration: fromSeconds(10), Part: 1, Extra: fromSeconds(0.3)}}
 	killed.Faults = []Fault{{Name: "herd", Start: fromSeconds(5), Part: 1, Extra: fromSeconds(0.3)}}
@@ -261,11 +261,11 @@
 		t.Fatalf("%d and %d restarts, %v", a.Restarts, b.Restarts, a.ViolationTexts)
 	}
 	if a.LostWeight[causeKilled] > 0 || b.LostWeight[causeKilled] == 0 {
-		t.Errorf("lost with their sidecar: %v in a planned end, %v in a kill", a.LostWeight[causeKilled], b.LostWeight[causeKilled])
+		t.Errorf("lost with their sidecar: %v in a graceful shutdown, %v in a kill", a.LostWeight[causeKilled], b.LostWeight[causeKilled])
 	}
 }
 
-func TestWhatIsForRealSocketsOnlyIsSaid(t *testing.T) {
+func TestFaultsForRealSocketsAreRefused(t *testing.T) {
 	sc := day(t, "calm", 3, 3)
 	sc.Faults = []Fault{{Name: "bad_clients", Size: 1}}
 	if _, err := NewSim(sc, 1, NewBalancer); err == nil || !strings.Contains(err.Error(), "troubles[0]: bad_clients is for real sockets only") {
@@ -273,8 +273,8 @@
 	}
 }
 
-// A day without a request has not been judged.
-func TestADayOfNothingIsNotPassed(t *testing.T) {
+// A run without a request does not pass.
+func TestRunWithoutRequestsFails(t *testing.T) {
 	sc := day(t, "slow", 3, 4)
 	sc.Load = 0
 	if r := play(t, sc, 1, NewBalancer); len(r.ViolationTexts) != 1 || !strings.Contains(r.ViolationTexts[0], "nothing to judge") {
@@ -282,7 +282,7 @@
 	}
 }
 
-func TestADayCutShortIsTold(t *testing.T) {
+func TestInterruptedRunIsPartial(t *testing.T) {
 	s, err := NewSim(day(t, "calm", 10, 8), 1, NewBalancer)
 	if err != nil {
 		t.Fatal(err)
@@ -295,21 +295,21 @@
 	}
 }
 
-// Two variants are asked for the same, whatever they make of it.
-func TestVariantsAreAskedForTheSame(t *testing.T) {
+// Two variants get the same calls, however they answer them.
+func TestVariantsGetTheSameCalls(t *testing.T) {
 	wide, narrow := day(t, "slow", 10, 8), day(t, "slow", 10, 8)
 	narrow.Slots = 7
 	a, b := play(t, wide, 5, NewBalancer), play(t, narrow, 5, NewBalancer)
 	if a.Requests != b.Requests || a.offered != b.offered {
-		t.Errorf("asked for %d (%v) and %d (%v)", a.Requests, a.offered, b.Requests, b.offered)
+		t.Errorf("got %d (%v) and %d (%v) calls", a.Requests, a.offered, b.Requests, b.offered)
 	}
 	if a.ServedRequests == b.ServedRequests {
-		t.Error("the variants don't differ: the test shows nothing")
+		t.Error("the variants do not differ: the test proves nothing")
 	}
 }
 
-// Memory is bounded under endless overload: what is held at the end is what is open.
-func TestOverloadLeavesNothingBehind(t *testing.T) {
+// Memory is bounded under endless overload: only open requests and connections remain.
+func TestOverloadLeavesNoRequestsOrConnections(t *testing.T) {
 	sc := day(t, "overload", 5, 4)
 	s, err := NewSim(sc, 1, NewBalancer)
 	if err != nil {
@@ -320,7 +320,7 @@
 	}
 	for _, n := range s.nodes {
 		if len(n.open) > 0 {
-			t.Errorf("sidecar %d holds %d requests after the day", n.index, len(n.open))
+			t.Errorf("sidecar %d has %d open requests after the run", n.index, len(n.open))
 		}
 	}
 	for _, sv := range s.Servers {
@@ -334,8 +334,8 @@
 	}
 }
 
-// BenchmarkDay plays ten seconds with fleets of several sizes. 3,000 sidecars take minutes.
-func BenchmarkDay(b *testing.B) {
+// BenchmarkRun runs ten seconds with fleets of several sizes. 3,000 sidecars take minutes.
+func BenchmarkRun(b *testing.B) {
 	for _, size := range []struct{ sidecars, servers int }{{30, 20}, {100, 67}, {300, 200}, {1000, 667}, {3000, 2000}} {
 		b.Run(fmt.Sprintf("%dx%d", size.sidecars, size.servers), func(b *testing.B) {
 			if size.sidecars > 300 && testing.Short() {
--- a/internal/simulation/experiment/experiment.go
+++ b/internal/simulation/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment plays scenarios with several variants on the same seeds and
-// says what the variants differ by, with how sure that is.
+// Package experiment runs scenarios with several variants on the same seeds and
+// estimates the differences between the variants, with confidence intervals.
 package experiment
 
 import (
@@ -26,7 +26,7 @@
 	"barleywick/internal/simulation/remoteadapter"
 )
 
-// Plan is what an experiment file says.
+// Plan is the contents of an experiment file.
 type Plan struct {
 	Name      string            `toml:"name"`
 	Scenarios []string          `toml:"scenarios"` // names, or files ending in .toml
@@ -39,11 +39,11 @@
 	scenarios []*emulator.Scenario
 }
 
-// Variant is one of the things compared; the first is what the others are held against.
+// Variant is one of the things compared; the others are compared with the first.
 type Variant struct {
 	Name string         `toml:"name"`
-	Set  map[string]any `toml:"set"` // what it changes in each scenario, as a scenario file would
-	// Adapter is the program of a build that decides in place of this one's module,
+	Set  map[string]any `toml:"set"` // its changes to each scenario, as a scenario file has them
+	// Adapter is the adapter program of another build, which decides in place of this one's module,
 	// on the simulator's wire; empty: this one's.
 	Adapter string `toml:"adapter"`
 }
@@ -54,7 +54,7 @@
 	maxFile     = 1 << 20
 )
 
-// Load reads an experiment file. Scenario files are found beside it.
+// Load reads an experiment file. The paths of scenario files are relative to it.
 func Load(path string) (*Plan, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -72,7 +72,7 @@
 	return p, nil
 }
 
-// Parse reads an experiment; scenario files are found in folder.
+// Parse reads an experiment; the paths of scenario files are relative to folder.
 func Parse(text []byte, folder string) (*Plan, error) {
 	p := &Plan{Sidecars: emulator.DefaultScenario().Sidecars, Servers: emulator.DefaultScenario().Servers}
 	if err := configfile.TOML(text, p); err != nil {
@@ -137,7 +137,7 @@
 	return sc, sc.Check()
 }
 
-// apply returns a scenario as the variant changes it.
+// apply returns a scenario with the variant's changes.
 func (v Variant) apply(sc *emulator.Scenario) (*emulator.Scenario, error) {
 	whole, err := toml.Marshal(sc)
 	if err != nil {
@@ -157,21 +157,21 @@
 	return changed, changed.Check()
 }
 
-// Run is one day with one variant.
+// Run is one scenario run with one variant.
 type Run struct {
 	Variant string           `json:"variant"`
 	Record  *emulator.Record `json:"record"`
 }
 
-// Outcome is what came of an experiment.
+// Outcome is the result of an experiment.
 type Outcome struct {
 	Name        string       `json:"name"`
-	Partial     bool         `json:"partial,omitempty"` // it was cut short: what was played counts
+	Partial     bool         `json:"partial,omitempty"` // it was interrupted; the runs that were completed count
 	Runs        []Run        `json:"runs"`
 	Differences []Difference `json:"differences"`
 }
 
-// Difference is what a variant differs by from the first, on paired days.
+// Difference is the difference of a variant from the first, on paired runs.
 type Difference struct {
 	Scenario string  `json:"scenario"` // "all" for all of them together
 	Variant  string  `json:"variant"`
@@ -183,11 +183,11 @@
 	Shown    bool    `json:"shown"` // the interval does not hold 0
 }
 
-// Verdict says plainly what the interval means.
+// Verdict describes in words what the interval shows.
 func (d Difference) Verdict() string {
 	switch {
-	case d.Pairs < leastPairs:
-		return fmt.Sprintf("too few pairs to say anything, %d are needed", leastPairs)
+	case d.Pairs < minPairs:
+		return fmt.Sprintf("too few pairs to say anything, %d are needed", minPairs)
 	case d.Shown && d.Mean > 0:
 		return "higher"
 	case d.Shown:
@@ -196,7 +196,7 @@
 	return "no difference is shown"
 }
 
-// String is the difference in one line.
+// String returns the difference in one line.
 func (d Difference) String() string {
 	return fmt.Sprintf("%-10s %-20s %-8s %+.4f  [%+.4f, %+.4f]  %d pairs: %s", d.Scenario, d.Variant, d.Measure, d.Mean, d.Low, d.High, d.Pairs, d.Verdict())
 }
@@ -265,7 +265,7 @@
 	return o, nil
 }
 
-// play plays one day, with an adapter of its own where the variant names one.
+// play runs one scenario, with an adapter process where the variant names one.
 func (v Variant) play(ctx context.Context, sc *emulator.Scenario, seed uint64) (*emulator.Record, error) {
 	if v.Adapter != "" {
 		a, err := remoteadapter.Start(ctx, v.Adapter)
@@ -274,7 +274,7 @@
 		}
 		r, err := run(ctx, sc, seed, a.NewDecider)
 		if wrong := a.Close(); wrong != nil {
-			return nil, wrong // a day that an adapter failed on is none, whatever came of it
+			return nil, wrong // a run on which an adapter failed does not count
 		}
 		return r, err
 	}
@@ -289,7 +289,7 @@
 	return s.Run(ctx)
 }
 
-// compare pairs the variants' days with the first's by scenario and seed.
+// compare pairs the variants' runs with the first's by scenario and seed.
 func (p *Plan) compare(runs []Run) (differences []Difference) {
 	type day struct {
 		variant, scenario string
@@ -324,12 +324,12 @@
 const (
 	resamples  = 10_000
 	confidence = 0.95
-	// leastPairs is how few pairs a bootstrap can say anything about: with less than
+	// minPairs is how many pairs a bootstrap needs: with less than
 	// five, all of one sign happen by chance more often than one time in twenty.
-	leastPairs = 5
+	minPairs = 5
 )
 
-// difference is the mean of paired differences with its bootstrap interval (percentiles).
+// difference returns the mean of paired differences with its bootstrap interval (percentiles).
 // The resampling is seeded: the same runs give the same interval.
 func difference(scenario, variant, measure string, d []float64) Difference {
 	out := Difference{Scenario: scenario, Variant: variant, Measure: measure, Pairs: len(d)}
@@ -349,6 +349,6 @@
 	slices.Sort(means)
 	out.Low = stat.Quantile((1-confidence)/2, stat.Empirical, means, nil)
 	out.High = stat.Quantile((1+confidence)/2, stat.Empirical, means, nil)
-	out.Shown = len(d) >= leastPairs && (out.Low > 0 || out.High < 0) && !math.IsNaN(out.Mean)
+	out.Shown = len(d) >= minPairs && (out.Low > 0 || out.High < 0) && !math.IsNaN(out.Mean)
 	return out
 }
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -26,7 +26,7 @@
 load = 6
 `
 
-func TestVariantsArePairedAndDifferencesTold(t *testing.T) {
+func TestVariantsArePairedAndCompared(t *testing.T) {
 	p, err := Parse([]byte(small), ".")
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestExperimentCutShortKeepsWhatWasPlayed(t *testing.T) {
+func TestInterruptedExperimentKeepsItsRuns(t *testing.T) {
 	p, err := Parse([]byte(small), ".")
 	if err != nil {
 		t.Fatal(err)
@@ -106,7 +106,7 @@
 
 // The interval holds the truth about as often as it says, and says so plainly when
 // there is too little to go by.
-func TestIntervalHoldsTheTruth(t *testing.T) {
+func TestIntervalCoversTheMean(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	held, shown := 0, 0
 	const tries, truth = 200, 0.1
@@ -137,7 +137,7 @@
 	}
 }
 
-func TestSettingsOfAVariantChangeNothingElse(t *testing.T) {
+func TestVariantSettingsChangeNothingElse(t *testing.T) {
 	sc, err := emulator.Preset("calm", 5, 4)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulation/report/report.go
+++ b/internal/simulation/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes what came of emulated or real days as one HTML page that
-// needs nothing else: no network, no script, no file beside it.
+// Package report renders the results of simulated or real runs as one HTML page that
+// is self-contained: no network, no script, no other file.
 package report
 
 import (
@@ -33,17 +33,17 @@
 	"inc":     func(i int) int { return i + 1 },
 }).ParseFS(files, "page.html"))
 
-// Page is what a page shows.
+// Page is the contents of a page.
 type Page struct {
 	Title       string
 	Made        time.Time
 	Partial     bool
-	Days        []Day
+	Runs        []ScenarioRun
 	Differences []experiment.Difference
 }
 
-// Day is one day with its charts.
-type Day struct {
+// ScenarioRun is one run with its charts.
+type ScenarioRun struct {
 	Name   string
 	Record *emulator.Record
 	Charts []Chart
@@ -55,30 +55,30 @@
 	SVG   template.HTML
 }
 
-// maxDays bounds the days that get charts of their own; the rest are in the tables.
-const maxDays = 40
+// maxCharted bounds the runs that get charts of their own; the rest are in the tables.
+const maxCharted = 40
 
-// OfRecord is the page of one day.
+// OfRecord returns the page of one run.
 func OfRecord(r *emulator.Record, made time.Time) (*Page, error) {
-	d, err := day(r.Scenario, r)
+	d, err := chartRun(r.Scenario, r)
 	if err != nil {
 		return nil, err
 	}
-	return &Page{Title: r.Scenario, Made: made, Partial: r.Partial, Days: []Day{d}}, nil
+	return &Page{Title: r.Scenario, Made: made, Partial: r.Partial, Runs: []ScenarioRun{d}}, nil
 }
 
-// OfOutcome is the page of an experiment.
+// OfOutcome returns the page of an experiment.
 func OfOutcome(o *experiment.Outcome, made time.Time) (*Page, error) {
 	p := &Page{Title: o.Name, Made: made, Partial: o.Partial, Differences: o.Differences}
 	for i, run := range o.Runs {
-		d := Day{Name: run.Variant, Record: run.Record}
-		if i < maxDays {
+		d := ScenarioRun{Name: run.Variant, Record: run.Record}
+		if i < maxCharted {
 			var err error
-			if d, err = day(run.Variant, run.Record); err != nil {
+			if d, err = chartRun(run.Variant, run.Record); err != nil {
 				return nil, err
 			}
 		}
-		p.Days = append(p.Days, d)
+		p.Runs = append(p.Runs, d)
 	}
 	return p, nil
 }
@@ -97,15 +97,31 @@
 	of   func(w *emulator.Window) float64
 }
 
-func day(name string, r *emulator.Record) (Day, error) {
-	d := Day{Name: name, Record: r}
+// chartSpec describes one chart.
+type chartSpec struct {
+	title, unit string
+	lines       []line
+}
+
+// chartRun draws the charts of a run.
+func chartRun(name string, r *emulator.Record) (ScenarioRun, error) {
+	run := ScenarioRun{Name: name, Record: r}
 	second := r.Length.Seconds() / float64(max(1, len(r.Windows)))
-	charts := []struct {
-		title, unit string
-		lines       []line
-	}{
-		{"Worth asked for and served", "worth a second", []line{
-			{"asked", func(w *emulator.Window) float64 { return w.WeightShare.Requested }},
+	for _, spec := range append(fleetCharts(), zoneCharts(r)...) {
+		svg, err := chart(r, second, spec.unit, spec.lines)
+		if err != nil {
+			return run, fmt.Errorf("chart %s: %w", spec.title, err)
+		}
+		run.Charts = append(run.Charts, Chart{spec.title, svg})
+	}
+	return run, nil
+}
+
+// fleetCharts are the charts of the whole fleet.
+func fleetCharts() []chartSpec {
+	return []chartSpec{
+		{"Weight requested and served", "weight a second", []line{
+			{"requested", func(w *emulator.Window) float64 { return w.WeightShare.Requested }},
 			{"served", func(w *emulator.Window) float64 { return w.Served }},
 		}},
 		{"Refused, failed, late", "requests a second", []line{
@@ -113,18 +129,22 @@
 			{"failed", func(w *emulator.Window) float64 { return float64(w.Failed) }},
 			{"late", func(w *emulator.Window) float64 { return float64(w.Late) }},
 		}},
-		{"What the fleet did to itself", "a second", []line{
-			{"sends again", func(w *emulator.Window) float64 { return float64(w.Fleet.TotalRetries()) }},
-			{"turned away", func(w *emulator.Window) float64 { return float64(w.Fleet.Rejected) }},
+		{"Impact of the fleet on itself", "a second", []line{
+			{"retries", func(w *emulator.Window) float64 { return float64(w.Fleet.TotalRetries()) }},
+			{"rejected", func(w *emulator.Window) float64 { return float64(w.Fleet.Rejected) }},
 			{"probes", func(w *emulator.Window) float64 { return float64(w.Fleet.Probes) }},
 			{"handshakes", func(w *emulator.Window) float64 { return float64(w.Fleet.Handshakes) }},
-			{"calls for the list that failed", func(w *emulator.Window) float64 { return float64(w.Fleet.ListFailed) }},
+			{"polls of the list that failed", func(w *emulator.Window) float64 { return float64(w.Fleet.ListFailed) }},
 		}},
-		{"Latency of what was served", "ms", []line{
-			{"half", func(w *emulator.Window) float64 { return w.P50MS }},
-			{"99 of 100", func(w *emulator.Window) float64 { return w.P99MS }},
+		{"Latency of served requests", "ms", []line{
+			{"median", func(w *emulator.Window) float64 { return w.P50MS }},
+			{"99th percentile", func(w *emulator.Window) float64 { return w.P99MS }},
 		}},
 	}
+}
+
+// zoneCharts are the charts with a curve for each zone.
+func zoneCharts(r *emulator.Record) []chartSpec {
 	var queue, capacity []line
 	for z, zone := range r.Zones {
 		queue = append(queue, line{zone, func(w *emulator.Window) float64 {
@@ -140,21 +160,13 @@
 			return math.NaN()
 		}})
 	}
-	charts = append(charts, []struct {
-		title, unit string
-		lines       []line
-	}{{"Requests that wait at servers, by zone", "requests", queue}, {"Capacity by zone", "work a second", capacity}}...)
-	for _, c := range charts {
-		svg, err := chart(r, second, c.unit, c.lines)
-		if err != nil {
-			return d, fmt.Errorf("chart %s: %w", c.title, err)
-		}
-		d.Charts = append(d.Charts, Chart{c.title, svg})
+	return []chartSpec{
+		{"Requests queued at servers, by zone", "requests", queue},
+		{"Capacity by zone", "work a second", capacity},
 	}
-	return d, nil
 }
 
-// The colours of curves: told apart also by those who see red and green alike.
+// Colours of the curves, distinguishable with red-green colour blindness.
 var colours = []color.Color{
 	color.NRGBA{0x00, 0x72, 0xb2, 255}, color.NRGBA{0xd5, 0x5e, 0x00, 255}, color.NRGBA{0x00, 0x9e, 0x73, 255},
 	color.NRGBA{0xcc, 0x79, 0xa7, 255}, color.NRGBA{0x56, 0xb4, 0xe9, 255}, color.NRGBA{0x50, 0x50, 0x50, 255},
@@ -167,10 +179,10 @@
 	chartHeight = 6 * vg.Centimeter
 )
 
-// prolog is what an SVG file begins with and one inside a page must not have.
+// prolog matches the beginning of an SVG file, which must not stand inside a page.
 var prolog = regexp.MustCompile(`(?s)^.*?<svg`)
 
-// chart draws curves over the day, with the time of each trouble shaded.
+// chart draws curves over the run, with the time of each fault shaded.
 func chart(r *emulator.Record, second float64, unit string, lines []line) (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "seconds", unit
@@ -197,10 +209,10 @@
 		curves = append(curves, curve)
 		p.Legend.Add(l.name, curve)
 	}
-	p.Y.Max = most * 1.3 // room for the legend
+	p.Y.Max = most * 1.3 // space for the legend
 	for _, t := range r.Faults {
 		from, to := time.Duration(t.Start).Seconds(), (time.Duration(t.Start) + time.Duration(t.Duration)).Seconds()
-		to = min(max(to, from+r.Length.Seconds()/200), r.Length.Seconds()) // at least a stroke
+		to = min(max(to, from+r.Length.Seconds()/200), r.Length.Seconds()) // at least a visible line
 		if from >= to {
 			continue
 		}
@@ -221,5 +233,5 @@
 	if _, err := canvas.WriteTo(&out); err != nil {
 		return "", err
 	}
-	return template.HTML(prolog.ReplaceAll(out.Bytes(), []byte("<svg"))), nil // drawn here, from numbers and escaped names
+	return template.HTML(prolog.ReplaceAll(out.Bytes(), []byte("<svg"))), nil // drawn above, from numbers and escaped names
 }
