--- a/internal/sidecar/client.go
+++ b/internal/sidecar/client.go
@@ -113,7 +113,7 @@
 	// A client that does not read by then has given up; its answer is not held for it.
 	http.NewResponseController(w).SetWriteDeadline(r.clientDeadline.Add(writeGrace))
 	s.writeResponse(w, a)
-	s.shutdown.gate.checkAnswered(r.processDeadline, time.Now(), r.externalID)
+	s.shutdown.gate.CheckAnswered(r.processDeadline, time.Now(), r.externalID)
 }
 
 // abandon gives a request up whose client has ended its side. That may still read: it gets the answer
@@ -240,7 +240,7 @@
 		conn:            c,
 		receivedAt:      came,
 		clientDeadline:  came.Add(max(0, timeout-responseMargin)),
-		processDeadline: s.shutdown.gate.deadlineFor(came),
+		processDeadline: s.shutdown.gate.DeadlineFor(came),
 		method:          method, url: hr.URL, host: hr.Host, header: h, body: body,
 		result: make(chan response, 1),
 	}, 0
--- a/internal/sidecar/client_conn.go
+++ b/internal/sidecar/client_conn.go
@@ -28,7 +28,7 @@
 	responseWritten     atomic.Bool // something was written since endRequest
 	requests            int         // whose headers were read; net/http serves one at a time
 	entry               admission.Conn[*clientConn]
-	gate                *gate // nil: nothing is counted
+	gate                *Gate // nil: nothing is counted
 
 	mu           sync.Mutex
 	state        connState
--- a/internal/sidecar/client_conn_close.go
+++ b/internal/sidecar/client_conn_close.go
@@ -23,7 +23,7 @@
 	if c.gate == nil {
 		return facts.Decide() == policy.Allowed
 	}
-	return c.gate.mayClose(facts) == policy.Allowed
+	return c.gate.MayClose(facts) == policy.Allowed
 }
 
 // Close answers what was read of a request, if it has no response yet, and closes the connection.
@@ -48,7 +48,7 @@
 		facts.Answered = err == nil || c.closedByClient() // a client that has gone is owed nothing
 	}
 	if c.gate != nil {
-		c.gate.checkClosed(facts, c.RemoteAddr().String())
+		c.gate.CheckClosed(facts, c.RemoteAddr().String())
 	}
 	if c.responseWritten.Load() {
 		c.lingerBeforeClose()
--- a/internal/sidecar/client_listener.go
+++ b/internal/sidecar/client_listener.go
@@ -26,7 +26,7 @@
 // address with the fewest connections goes first. Nothing is accepted before start.
 type limitedListener struct {
 	inner       net.Listener
-	gate        *gate            // of its connections; nil: none counts
+	gate        *Gate            // of its connections; nil: none counts
 	ready       chan *clientConn // admitted, with something to read
 	done        chan struct{}    // closed by Close
 	acceptEnded chan struct{}    // closed when acceptLoop has returned
--- a/internal/sidecar/counters_test.go
+++ b/internal/sidecar/counters_test.go
@@ -44,7 +44,7 @@
 
 // What the gate counts is a metric's label too.
 func TestGateCounterNamesAreStable(t *testing.T) {
-	g := newGate()
+	g := New()
 	for a := range actionCount {
 		for d := range policy.NumDenials {
 			g.record(a, d)
@@ -63,7 +63,7 @@
 		}
 	}
 	slices.Sort(want)
-	c := g.counters()
+	c := g.Counters()
 	if got := slices.Sorted(maps.Keys(c.Decided)); !slices.Equal(got, want) {
 		t.Errorf("decisions: got %q, want %q", got, want)
 	}
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -43,7 +43,7 @@
 // signal: everything that is begun from then on, and every span that runs, ends before that.
 type gracefulShutdown struct {
 	listener     *limitedListener
-	gate         *gate
+	gate         *Gate
 	timeout      time.Duration // from the signal until the process has to have answered everything
 	begunAt      time.Time
 	arrivalsOver chan struct{} // closed when no connection comes any more
@@ -51,7 +51,7 @@
 	signalled    atomic.Bool // there is a time by which the process has to be done
 }
 
-func newGracefulShutdown(l *limitedListener, g *gate, within time.Duration) *gracefulShutdown {
+func newGracefulShutdown(l *limitedListener, g *Gate, within time.Duration) *gracefulShutdown {
 	d := &gracefulShutdown{listener: l, gate: g, timeout: within, arrivalsOver: make(chan struct{})}
 	d.current.Store(int32(phaseServing))
 	return d
@@ -69,7 +69,7 @@
 	if !d.signalled.CompareAndSwap(false, true) {
 		return
 	}
-	d.gate.stopWithin(d.timeout)
+	d.gate.Shutdown(d.timeout)
 	slog.Info("told to end", "answered_within", d.timeout)
 	time.AfterFunc(d.timeout, d.listener.closeUnused)
 	if d.phase() != phaseServing {
--- a/internal/sidecar/gate.go
+++ b/internal/sidecar/gate.go
@@ -41,10 +41,10 @@
 // stallAllowance is for how long the process may be held up between reading its clock and writing.
 const stallAllowance = 150 * time.Millisecond
 
-// gate is asked in the moment before something is sent, closed or started. The decision is
-// policy's; the gate adds the time and the facts of the moment, counts what was decided, and checks
+// Gate is asked in the moment before something is sent, closed or started. The decision is
+// policy's; the Gate adds the time and the facts of the moment, counts what was decided, and checks
 // after the act that it was in order. It is safe for concurrent use.
-type gate struct {
+type Gate struct {
 	startedAt        time.Time
 	shutdownDeadline atomic.Int64 // since begin; policy.NoLimit while the process serves on
 	lateFrom         atomic.Int64 // since begin: what comes from then on is bound to stopBy
@@ -52,15 +52,15 @@
 	violations       [violationCount]atomic.Uint64
 }
 
-func newGate() *gate {
-	g := &gate{startedAt: time.Now()}
+func New() *Gate {
+	g := &Gate{startedAt: time.Now()}
 	g.shutdownDeadline.Store(int64(policy.NoLimit))
 	g.lateFrom.Store(int64(policy.NoLimit))
 	return g
 }
 
-// sinceStart turns a moment into the gate's monotonic time; the zero time is no limit.
-func (g *gate) sinceStart(t time.Time) time.Duration {
+// SinceStart turns a moment into the gate's monotonic time; the zero time is no limit.
+func (g *Gate) SinceStart(t time.Time) time.Duration {
 	if t.IsZero() {
 		return policy.NoLimit
 	}
@@ -71,78 +71,78 @@
 // the platform's kill leaves it that. The platform's figure is 0.7 s, less for a late signal.
 const lateRequestAfter = 500 * time.Millisecond
 
-// stopWithin takes that the process was told to end just now, and is to be done within a time.
-func (g *gate) stopWithin(within time.Duration) {
-	now := g.sinceStart(time.Now())
+// Shutdown takes that the process was told to end just now, and is to be done within a time.
+func (g *Gate) Shutdown(within time.Duration) {
+	now := g.SinceStart(time.Now())
 	g.lateFrom.Store(int64(now + lateRequestAfter))
 	g.shutdownDeadline.Store(int64(now + within))
 }
 
-// deadlineFor is by when a request that came at a time has to be answered for this process's end; the
+// DeadlineFor is by when a request that came at a time has to be answered for this process's end; the
 // zero time: it has its client's time.
-func (g *gate) deadlineFor(came time.Time) time.Time {
-	if int64(g.sinceStart(came)) < g.lateFrom.Load() {
+func (g *Gate) DeadlineFor(came time.Time) time.Time {
+	if int64(g.SinceStart(came)) < g.lateFrom.Load() {
 		return time.Time{}
 	}
 	return g.startedAt.Add(time.Duration(g.shutdownDeadline.Load()))
 }
 
-// checkAnswered checks the answer to a request that has a bound.
-func (g *gate) checkAnswered(stopBy, now time.Time, name string) {
+// CheckAnswered checks the answer to a request that has a bound.
+func (g *Gate) CheckAnswered(stopBy, now time.Time, name string) {
 	if !stopBy.IsZero() && now.Sub(stopBy) > stallAllowance {
 		g.recordViolation(violationLateStop, name, policy.DeniedShutdown)
 	}
 }
 
-// maySend decides on an attempt by the facts given and the time of now.
-func (g *gate) maySend(s policy.SendFacts, now time.Time) policy.Denial {
-	s.Now = g.sinceStart(now)
+// MaySend decides on an attempt by the facts given and the time of now.
+func (g *Gate) MaySend(s policy.SendFacts, now time.Time) policy.Denial {
+	s.Now = g.SinceStart(now)
 	return g.record(actionSend, s.Decide())
 }
 
-// checkSent checks an attempt after its last byte was handed to the kernel.
-func (g *gate) checkSent(s policy.SendFacts, now time.Time, name string) {
-	s.Now = g.sinceStart(now) - stallAllowance
+// CheckSent checks an attempt after its last byte was handed to the kernel.
+func (g *Gate) CheckSent(s policy.SendFacts, now time.Time, name string) {
+	s.Now = g.SinceStart(now) - stallAllowance
 	if d := s.Decide(); d != policy.Allowed {
 		g.recordViolation(violationLateSend, name, d)
 	}
 }
 
-// mayClose decides on the end of a client's connection.
-func (g *gate) mayClose(c policy.CloseFacts) policy.Denial { return g.record(actionClose, c.Decide()) }
+// MayClose decides on the end of a client's connection.
+func (g *Gate) MayClose(c policy.CloseFacts) policy.Denial { return g.record(actionClose, c.Decide()) }
 
-// checkClosed checks the end of a client's connection after it.
-func (g *gate) checkClosed(c policy.CloseFacts, name string) {
+// CheckClosed checks the end of a client's connection after it.
+func (g *Gate) CheckClosed(c policy.CloseFacts, name string) {
 	if d := c.Decide(); d != policy.Allowed {
 		g.recordViolation(violationUnanswered, name, d)
 	}
 }
 
-// mayStart decides on something that takes so long.
-func (g *gate) mayStart(takes time.Duration) policy.Denial {
-	s := policy.StartFacts{Now: g.sinceStart(time.Now()), ShutdownDeadline: time.Duration(g.shutdownDeadline.Load()), MaxDuration: takes}
+// MayStart decides on something that takes so long.
+func (g *Gate) MayStart(takes time.Duration) policy.Denial {
+	s := policy.StartFacts{Now: g.SinceStart(time.Now()), ShutdownDeadline: time.Duration(g.shutdownDeadline.Load()), MaxDuration: takes}
 	return g.record(actionStart, s.Decide())
 }
 
-func (g *gate) record(a action, d policy.Denial) policy.Denial {
+func (g *Gate) record(a action, d policy.Denial) policy.Denial {
 	g.decided[a][d].Add(1)
 	return d
 }
 
 // recordViolation counts a broken rule and says so.
-func (g *gate) recordViolation(v violation, name string, why policy.Denial) {
+func (g *Gate) recordViolation(v violation, name string, why policy.Denial) {
 	g.violations[v].Add(1)
 	slog.Error("rule violated", "rule", v, "of", name, "why", why)
 }
 
-// GateCounters are what the gate has decided so far; only what is not zero has an entry.
-type GateCounters struct {
+// Counters are what the gate has decided so far; only what is not zero has an entry.
+type Counters struct {
 	Decided  map[string]uint64 // by act and denial
 	Violated map[string]uint64 // by rule
 }
 
-func (g *gate) counters() GateCounters {
-	c := GateCounters{Decided: make(map[string]uint64), Violated: make(map[string]uint64)}
+func (g *Gate) Counters() Counters {
+	c := Counters{Decided: make(map[string]uint64), Violated: make(map[string]uint64)}
 	for a := range actionCount {
 		for d := range policy.NumDenials {
 			if n := g.decided[a][d].Load(); n > 0 {
@@ -158,8 +158,8 @@
 	return c
 }
 
-// logCounters logs them.
-func (g *gate) logCounters() {
-	c := g.counters()
+// LogCounters logs them.
+func (g *Gate) LogCounters() {
+	c := g.Counters()
 	slog.Info("gate", "decided", c.Decided, "violated", c.Violated)
 }
--- a/internal/sidecar/gate_test.go
+++ b/internal/sidecar/gate_test.go
@@ -182,39 +182,39 @@
 
 // What was sent past its end, a late answer at the process's end and a close over a request are counted.
 func TestGateCountsViolations(t *testing.T) {
-	g, now := newGate(), time.Now()
-	fine := policy.SendFacts{ClientDeadline: g.sinceStart(now.Add(time.Second)), ShutdownDeadline: policy.NoLimit, RepeatDeadline: policy.NoLimit, ServerState: policy.Ready}
+	g, now := New(), time.Now()
+	fine := policy.SendFacts{ClientDeadline: g.SinceStart(now.Add(time.Second)), ShutdownDeadline: policy.NoLimit, RepeatDeadline: policy.NoLimit, ServerState: policy.Ready}
 	late := fine
-	late.ClientDeadline = g.sinceStart(now)
-	g.checkSent(fine, now, "fine")
-	g.checkSent(late, now.Add(stallAllowance/2), "held up")
-	if c := g.counters(); len(c.Violated) != 0 {
+	late.ClientDeadline = g.SinceStart(now)
+	g.CheckSent(fine, now, "fine")
+	g.CheckSent(late, now.Add(stallAllowance/2), "held up")
+	if c := g.Counters(); len(c.Violated) != 0 {
 		t.Errorf("violations of what is in order: %v", c.Violated)
 	}
-	g.checkSent(late, now.Add(2*stallAllowance), "late")
-	g.checkAnswered(now, now.Add(2*stallAllowance), "late")
-	g.checkClosed(policy.CloseFacts{RequestRead: true}, "unanswered")
-	if c := g.counters(); len(c.Violated) != int(violationCount) {
+	g.CheckSent(late, now.Add(2*stallAllowance), "late")
+	g.CheckAnswered(now, now.Add(2*stallAllowance), "late")
+	g.CheckClosed(policy.CloseFacts{RequestRead: true}, "unanswered")
+	if c := g.Counters(); len(c.Violated) != int(violationCount) {
 		t.Errorf("counted %v, want each rule once", c.Violated)
 	}
 }
 
 // What comes late in a planned end is bound to its time, what came before has its client's.
 func TestLateRequestsAreBoundToTheProcessesEnd(t *testing.T) {
-	g := newGate()
-	if by := g.deadlineFor(time.Now().Add(time.Hour)); !by.IsZero() {
+	g := New()
+	if by := g.DeadlineFor(time.Now().Add(time.Hour)); !by.IsZero() {
 		t.Errorf("bound to %v while it serves", by)
 	}
-	g.stopWithin(2 * time.Second)
+	g.Shutdown(2 * time.Second)
 	now := time.Now()
-	if by := g.deadlineFor(now); !by.IsZero() {
+	if by := g.DeadlineFor(now); !by.IsZero() {
 		t.Error("a request that came with the signal has not its client's time")
 	}
-	by := g.deadlineFor(now.Add(lateRequestAfter))
+	by := g.DeadlineFor(now.Add(lateRequestAfter))
 	if left := by.Sub(now); left <= 0 || left > 2*time.Second {
 		t.Errorf("a late one is bound to %v after the signal", left)
 	}
-	if g.mayStart(time.Second) != policy.Allowed || g.mayStart(3*time.Second) != policy.DeniedShutdown {
+	if g.MayStart(time.Second) != policy.Allowed || g.MayStart(3*time.Second) != policy.DeniedShutdown {
 		t.Error("what takes longer than the process has may be started, or what does not may not")
 	}
 	r := &request{clientDeadline: now.Add(time.Hour), processDeadline: by}
--- a/internal/sidecar/meter.go
+++ b/internal/sidecar/meter.go
@@ -34,7 +34,7 @@
 	UpstreamConnections      map[string]float64
 	ClientConnectionEvents   map[string]float64 // what was counted of connections so far
 	UpstreamConnectionEvents map[string]float64
-	Gate                     GateCounters          // what may be done now, and what was done past it
+	Gate                     Counters          // what may be done now, and what was done past it
 	FleetPolicy              *FleetPolicyStatus    // nil where the configuration names none
 	Congestion               float64               // what answers took of their aims lately
 	OverloadAdvice           *OverloadAdviceStatus // the fleet's on an overload; nil where the configuration names none
@@ -73,7 +73,7 @@
 
 // status is the loop's part of the state.
 func (l *eventLoop) status() Status {
-	s := Status{OpenRequests: len(l.requests), Gate: l.upstreams.gate.counters(), Congestion: l.balancer.Congestion(l.now), Decided: l.balancer.Counters(), Endpoints: make(map[string]map[string]int)}
+	s := Status{OpenRequests: len(l.requests), Gate: l.upstreams.gate.Counters(), Congestion: l.balancer.Congestion(l.now), Decided: l.balancer.Counters(), Endpoints: make(map[string]map[string]int)}
 	if l.listUpdatedAt > 0 {
 		s.EndpointListAge = l.now - l.listUpdatedAt
 	}
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/peers_test.go
@@ -300,7 +300,7 @@
 
 // testDrain is a planned end without a bound in sight.
 func testDrain(l *limitedListener) *gracefulShutdown {
-	return newGracefulShutdown(l, newGate(), time.Hour)
+	return newGracefulShutdown(l, New(), time.Hour)
 }
 
 // isBusy says whether a request of a connection has been taken and not been answered.
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -107,7 +107,7 @@
 	l.logOtherCounters = func() {
 		limited.logCounters()
 		pool.logCounters()
-		up.gate.logCounters()
+		up.gate.LogCounters()
 	}
 	var gov *policyFollower
 	ungoverned := make(chan error, 1)
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -76,14 +76,14 @@
 }
 
 // sending is what is known of a write now.
-func (p sendPermit) sending(g *gate, server policy.EndpointState) policy.SendFacts {
+func (p sendPermit) sending(g *Gate, server policy.EndpointState) policy.SendFacts {
 	s := policy.SendFacts{
-		ClientDeadline: g.sinceStart(p.deadline), ShutdownDeadline: policy.NoLimit, RepeatDeadline: g.sinceStart(p.repeatDeadline), ServerState: server,
+		ClientDeadline: g.SinceStart(p.deadline), ShutdownDeadline: policy.NoLimit, RepeatDeadline: g.SinceStart(p.repeatDeadline), ServerState: server,
 		MayHaveRun: !p.repeatDeadline.IsZero(), Repeatable: true,
 	}
 	s.Answered = p.writeCtx.Err() != nil
 	if until, ok := p.writeCtx.Deadline(); ok { // the timer that ends the context may be late, the clock is not
-		s.ClientDeadline = min(s.ClientDeadline, g.sinceStart(until))
+		s.ClientDeadline = min(s.ClientDeadline, g.SinceStart(until))
 	}
 	s.ClientGone = p.clientGone != nil && p.clientGone()
 	return s
@@ -111,13 +111,13 @@
 // transport carries out attempts and probes over one pool of connections.
 type transport struct {
 	pool       *pool
-	gate       *gate
+	gate       *Gate
 	loadFields settings.LoadColumns
 	statsPath  string
 }
 
 func newTransport(p *pool) *transport {
-	return &transport{pool: p, gate: newGate(), statsPath: "/health/live"}
+	return &transport{pool: p, gate: New(), statsPath: "/health/live"}
 }
 
 // runAttempt carries an attempt out. What it returns follows the protocol's table: as
@@ -213,7 +213,7 @@
 	server := u.pool.serverState(c.server)
 	sending := may.sending(u.gate, server)
 	begun = time.Now()
-	if why := u.gate.maySend(sending, begun); why != policy.Allowed {
+	if why := u.gate.MaySend(sending, begun); why != policy.Allowed {
 		slog.Debug("attempt not sent", "request", may.requestID, "upstream", c.server.addr, "why", why)
 		return begun, deniedError(why, server)
 	}
@@ -231,7 +231,7 @@
 	if long {
 		c.awaitSent(may.writeCtx)
 	}
-	u.gate.checkSent(sending, time.Now(), may.requestID)
+	u.gate.CheckSent(sending, time.Now(), may.requestID)
 	return begun, nil
 }
 
@@ -336,7 +336,7 @@
 	load = policy.UnknownLoad
 	ctx, cancel := context.WithTimeout(ctx, u.pool.dialTimeout)
 	defer cancel()
-	if u.gate.mayStart(u.pool.dialTimeout) != policy.Allowed {
+	if u.gate.MayStart(u.pool.dialTimeout) != policy.Allowed {
 		return false, load
 	}
 	c, err := u.pool.acquire(ctx, to)
