--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -14,6 +14,7 @@
 
 	"barleywick/internal/overload"
 	"barleywick/internal/sidecar"
+	"barleywick/internal/sidecar/gate"
 	"barleywick/policy"
 )
 
@@ -97,7 +98,7 @@
 			ClientConnections: map[string]float64{"Open": 8}, ClientConnectionEvents: map[string]float64{"Accepted": 10},
 			UpstreamConnections: map[string]float64{"Open": 9}, UpstreamConnectionEvents: map[string]float64{"Reused": 11},
 
-			Gate:        sidecar.Counters{Decided: map[string]uint64{"send: allowed": 12}, Violated: map[string]uint64{"not done in time": 13}},
+			Gate:        gate.Counters{Decided: map[string]uint64{"send: allowed": 12}, Violated: map[string]uint64{"not done in time": 13}},
 			FleetPolicy: &sidecar.FleetPolicyStatus{Epoch: 14, JointChange: 15, Admitting: true},
 			Congestion:  0.25,
 			OverloadAdvice: &sidecar.OverloadAdviceStatus{
--- a/internal/sidecar/client_conn.go
+++ b/internal/sidecar/client_conn.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"barleywick/internal/admission"
+	"barleywick/internal/sidecar/gate"
 )
 
 // clientConn is a client's connection. Three acts on it exclude each other: closing it between
@@ -28,7 +29,7 @@
 	responseWritten     atomic.Bool // something was written since endRequest
 	requests            int         // whose headers were read; net/http serves one at a time
 	entry               admission.Conn[*clientConn]
-	gate                *Gate // nil: nothing is counted
+	gate                *gate.Gate // nil: nothing is counted
 
 	mu           sync.Mutex
 	state        connState
--- /dev/null
+++ b/internal/sidecar/client_conn_test.go
@@ -0,0 +1,169 @@
+package sidecar
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+)
+
+// Half a request that gives way is refused before its connection ends, also where many do.
+func TestHalfARequestIsRefusedBeforeItsConnectionEnds(t *testing.T) {
+	for _, haste := range []bool{false, true} {
+		far, c := connected(t)
+		io.WriteString(far, "POST /api HTT")
+		if _, err := c.Read(make([]byte, 100)); err != nil {
+			t.Fatal(err)
+		}
+		state, owed := c.closeIdle(true)
+		if state != connClosed || !owed {
+			t.Fatalf("state %d, owed %v", state, owed)
+		}
+		go c.refusePartial(haste)
+		resp, err := http.ReadResponse(bufio.NewReader(far), nil)
+		if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
+			t.Errorf("answered %+v, %v; want 503 and the end", resp, err)
+		}
+		far.Close()
+		c.Close() // net/http's, which waits for it
+	}
+}
+
+// A connection that net/http closes over what it has read has a refusal before that.
+func TestReadRequestIsAnsweredAsItsConnectionEnds(t *testing.T) {
+	for want, taken := range map[int]bool{http.StatusServiceUnavailable: false, http.StatusBadGateway: true} {
+		far, c := connected(t)
+		io.WriteString(far, "POST /api HTT")
+		if _, err := c.Read(make([]byte, 100)); err != nil {
+			t.Fatal(err)
+		}
+		if taken {
+			c.beginRequest()
+		}
+		go c.Close()
+		resp, err := http.ReadResponse(bufio.NewReader(far), nil)
+		if err != nil || resp.StatusCode != want {
+			t.Errorf("taken %v: answered %+v, %v; want %d", taken, resp, err, want)
+		}
+		far.Close()
+	}
+}
+
+// A request that lay in the kernel while its connection waited counts from then, one that was
+// waited for from when it came.
+func TestRequestCountsFromWhenItCame(t *testing.T) {
+	const late = 80 * time.Millisecond
+	far, c := connected(t)
+	io.WriteString(far, "G")
+	time.Sleep(late)
+	read := func() {
+		t.Helper()
+		if _, err := c.Read(make([]byte, 10)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if read(); c.requestArrivedAt().Sub(c.acceptedAt) >= late {
+		t.Errorf("it came %v after the connection, as if it had come when it was read", c.requestArrivedAt().Sub(c.acceptedAt))
+	}
+	sent := make(chan time.Time, 1)
+	time.AfterFunc(late, func() {
+		sent <- time.Now()
+		io.WriteString(far, "E")
+	})
+	if read(); c.requestArrivedAt().Before(<-sent) {
+		t.Error("what was waited for counts from before it was sent")
+	}
+	c.beginRequest()
+	c.endRequest()
+	rested := time.Now()
+	io.WriteString(far, "T")
+	time.Sleep(late)
+	if read(); c.requestArrivedAt().Before(rested.Add(-late/2)) || c.requestArrivedAt().After(rested.Add(late/2)) {
+		t.Errorf("the next request counts from %v after the answer", c.requestArrivedAt().Sub(rested))
+	}
+}
+
+// connected returns a client's end of a connection, and ours.
+func connected(t *testing.T) (net.Conn, *clientConn) {
+	t.Helper()
+	ln := listenLoopback(t)
+	far, err := net.Dial("tcp", ln.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	near, err := ln.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	c := newClientConn(near.(*net.TCPConn))
+	t.Cleanup(func() { far.Close(); c.Close() })
+	return far, c
+}
+
+// A request that is being read in the moment in which its connection is to be closed as
+// idle is lost if the close goes through: its client takes it to be in work.
+func TestConnectionIsNotClosedOverWhatIsBeingRead(t *testing.T) {
+	far, c := connected(t)
+	reading, goOn := make(chan struct{}), make(chan struct{})
+	c.readHook = func() {
+		close(reading)
+		<-goOn
+	}
+	read := make(chan error, 1)
+	go func() {
+		_, err := c.Read(make([]byte, 10))
+		read <- err
+	}()
+	far.Write([]byte("P"))
+	await(t, "the middle of the read", reading)
+	state := make(chan connState, 1)
+	go func() { state <- closeIdle(c, false) }()
+	close(goOn)
+	if got := await(t, "the close", state); got != connIdle {
+		t.Errorf("the connection is in state %d, want left alone", got)
+	}
+	if err := await(t, "the read", read); err != nil {
+		t.Errorf("what was read is lost: %v", err)
+	}
+	if closeIdle(c, false) != connIdle {
+		t.Error("closed as idle with half a request read")
+	}
+	if c.headerRead(); closeIdle(c, false) != connClosed {
+		t.Error("not closed once that was answered")
+	}
+}
+
+// The other way round nothing is read any more: the client sends its request once more.
+func TestNothingIsReadFromAClosedConnection(t *testing.T) {
+	far, c := connected(t)
+	c.mu.Lock()
+	c.state = connClosed // the moment before its close
+	c.mu.Unlock()
+	far.Write([]byte("P"))
+	if n, err := c.Read(make([]byte, 10)); n != 0 || !errors.Is(err, net.ErrClosed) {
+		t.Errorf("read %d bytes and %v", n, err)
+	}
+}
+
+// Half a request gives way to others that wait, whole ones and those in work do not.
+func TestHalfARequestGivesWay(t *testing.T) {
+	far, c := connected(t)
+	far.Write([]byte("P"))
+	if _, err := c.Read(make([]byte, 10)); err != nil {
+		t.Fatal(err)
+	}
+	if got := closeIdle(c, true); got != connClosed {
+		t.Errorf("state %d with half a request, want closed", got)
+	}
+	_, busy := connected(t)
+	busy.beginRequest()
+	if got := closeIdle(busy, true); got != connBusy {
+		t.Errorf("state %d with a request in work", got)
+	}
+	if busy.endRequest(); closeIdle(busy, false) != connClosed {
+		t.Error("not closed once it rests")
+	}
+}
--- a/internal/sidecar/client_listener.go
+++ b/internal/sidecar/client_listener.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"barleywick/internal/admission"
+	"barleywick/internal/sidecar/gate"
 )
 
 const (
@@ -26,7 +27,7 @@
 // address with the fewest connections goes first. Nothing is accepted before start.
 type limitedListener struct {
 	inner       net.Listener
-	gate        *Gate            // of its connections; nil: none counts
+	gate        *gate.Gate       // of its connections; nil: none counts
 	ready       chan *clientConn // admitted, with something to read
 	done        chan struct{}    // closed by Close
 	acceptEnded chan struct{}    // closed when acceptLoop has returned
--- a/internal/sidecar/counters_test.go
+++ b/internal/sidecar/counters_test.go
@@ -7,8 +7,6 @@
 	"slices"
 	"strings"
 	"testing"
-
-	"barleywick/policy"
 )
 
 // The names of the counters are label values of metrics and stand in the log: operators' dashboards
@@ -41,34 +39,3 @@
 		}
 	}
 }
-
-// What the gate counts is a metric's label too.
-func TestGateCounterNamesAreStable(t *testing.T) {
-	g := New()
-	for a := range actionCount {
-		for d := range policy.NumDenials {
-			g.record(a, d)
-		}
-	}
-	for v := range violationCount {
-		g.recordViolation(v, "x", policy.Allowed)
-	}
-	var want []string
-	for _, a := range []string{"send", "close", "start"} {
-		for _, d := range []string{
-			"allowed", "answered", "client left", "late", "stopping", "attempts used up", "may have run", "window over",
-			"server drains or is gone", "server is cold", "answer owed",
-		} {
-			want = append(want, a+": "+d)
-		}
-	}
-	slices.Sort(want)
-	c := g.Counters()
-	if got := slices.Sorted(maps.Keys(c.Decided)); !slices.Equal(got, want) {
-		t.Errorf("decisions: got %q, want %q", got, want)
-	}
-	want = []string{"attempt sent after its end", "closed over an unanswered request", "not done in time"}
-	if got := slices.Sorted(maps.Keys(c.Violated)); !slices.Equal(got, want) {
-		t.Errorf("violations: got %q, want %q", got, want)
-	}
-}
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -161,3 +161,16 @@
 		t.Error("a request went to a draining upstream")
 	}
 }
+
+// The wall clock is set ahead under a running process: a server that starts then is cold.
+func TestStartAfterAStepOfTheWallClock(t *testing.T) {
+	l := newTestLoop(t)
+	const step = time.Hour
+	l.wallNow = func() time.Time { return time.Now().Add(step) }
+	l.now = l.clock()
+	born := float64(time.Now().Add(step - time.Second).UnixMilli())
+	s, ok := l.enterEndpoint(client.Endpoint{Host: "s-1", Dial: "127.0.0.1:7", Site: "a", Health: "up", Share: 1, BornMS: born})
+	if age := l.now - s.Started; !ok || age < 500*time.Millisecond || age > 1500*time.Millisecond {
+		t.Errorf("a server that started 1 s ago is %v old", age)
+	}
+}
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -1,6 +1,7 @@
 package sidecar
 
 import (
+	"barleywick/internal/sidecar/gate"
 	"fmt"
 	"log/slog"
 	"sync/atomic"
@@ -43,7 +44,7 @@
 // signal: everything that is begun from then on, and every span that runs, ends before that.
 type gracefulShutdown struct {
 	listener     *limitedListener
-	gate         *Gate
+	gate         *gate.Gate
 	timeout      time.Duration // from the signal until the process has to have answered everything
 	begunAt      time.Time
 	arrivalsOver chan struct{} // closed when no connection comes any more
@@ -51,7 +52,7 @@
 	signalled    atomic.Bool // there is a time by which the process has to be done
 }
 
-func newGracefulShutdown(l *limitedListener, g *Gate, within time.Duration) *gracefulShutdown {
+func newGracefulShutdown(l *limitedListener, g *gate.Gate, within time.Duration) *gracefulShutdown {
 	d := &gracefulShutdown{listener: l, gate: g, timeout: within, arrivalsOver: make(chan struct{})}
 	d.current.Store(int32(phaseServing))
 	return d
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -1,6 +1,7 @@
 package sidecar
 
 import (
+	"bufio"
 	"fmt"
 	"io"
 	"net"
@@ -245,3 +246,29 @@
 		t.Errorf("at the end: done %v, error %v, phase %v", done, err, d.phase())
 	}
 }
+
+// Connections that wait in the kernel's queue as the listener ends are served: the machine has
+// accepted them, and requests were written to them.
+func TestBacklogIsServedAsTheListenerEnds(t *testing.T) {
+	u := newUpstream(t, always(answer200("ok")))
+	_, limited, ending := parts(t, u, nil)
+	ending.begin()
+	var conns []net.Conn
+	for range 3 {
+		c, err := net.Dial("tcp", limited.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { c.Close() })
+		io.WriteString(c, rawHead(fmt.Sprint("b", len(conns)))+"Content-Length: 0\r\n\r\n")
+		conns = append(conns, c)
+	}
+	limited.acceptBacklog()
+	limited.stopAccepting()
+	for i, c := range conns {
+		c.SetDeadline(time.Now().Add(patience))
+		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode >= 500 && resp.StatusCode != http.StatusServiceUnavailable {
+			t.Errorf("connection %d: %+v, %v", i, resp, err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/sidecar/gate/gate_test.go
@@ -0,0 +1,82 @@
+package gate
+
+import (
+	"maps"
+	"slices"
+	"testing"
+	"time"
+
+	"barleywick/policy"
+)
+
+// An attempt sent after its deadline, a response after the shutdown deadline and a close over an unanswered
+// request are counted.
+func TestViolationsAreCounted(t *testing.T) {
+	g, now := New(), time.Now()
+	fine := policy.SendFacts{ClientDeadline: g.SinceStart(now.Add(time.Second)), ShutdownDeadline: policy.NoLimit, RepeatDeadline: policy.NoLimit, ServerState: policy.Ready}
+	late := fine
+	late.ClientDeadline = g.SinceStart(now)
+	g.CheckSent(fine, now, "fine")
+	g.CheckSent(late, now.Add(stallAllowance/2), "stalled")
+	if c := g.Counters(); len(c.Violated) != 0 {
+		t.Errorf("got violations %v, want none", c.Violated)
+	}
+	g.CheckSent(late, now.Add(2*stallAllowance), "late")
+	g.CheckAnswered(now, now.Add(2*stallAllowance), "late")
+	g.CheckClosed(policy.CloseFacts{RequestRead: true}, "unanswered")
+	if c := g.Counters(); len(c.Violated) != int(violationCount) {
+		t.Errorf("got %v, want each rule once", c.Violated)
+	}
+}
+
+// A request that arrives late in a graceful shutdown is bound to the shutdown deadline, one that came
+// before has its client's whole time.
+func TestLateRequestsAreBoundToTheShutdownDeadline(t *testing.T) {
+	g := New()
+	if deadline := g.DeadlineFor(time.Now().Add(time.Hour)); !deadline.IsZero() {
+		t.Errorf("before the shutdown: got deadline %v, want none", deadline)
+	}
+	g.Shutdown(2 * time.Second)
+	now := time.Now()
+	if deadline := g.DeadlineFor(now); !deadline.IsZero() {
+		t.Errorf("with the signal: got deadline %v, want none", deadline)
+	}
+	deadline := g.DeadlineFor(now.Add(lateRequestAfter))
+	if left := deadline.Sub(now); left <= 0 || left > 2*time.Second {
+		t.Errorf("late: got a deadline %v after the signal, want at most 2s", left)
+	}
+	if g.MayStart(time.Second) != policy.Allowed || g.MayStart(3*time.Second) != policy.DeniedShutdown {
+		t.Error("may start what takes longer than is left, or may not start what fits")
+	}
+}
+
+// The names of decisions and rules are label values of metrics.
+func TestCounterNamesAreStable(t *testing.T) {
+	g := New()
+	for a := range actionCount {
+		for d := range policy.NumDenials {
+			g.record(a, d)
+		}
+	}
+	for v := range violationCount {
+		g.recordViolation(v, "x", policy.Allowed)
+	}
+	var want []string
+	for _, a := range []string{"send", "close", "start"} {
+		for _, d := range []string{
+			"allowed", "answered", "client left", "late", "stopping", "attempts used up", "may have run", "window over",
+			"server drains or is gone", "server is cold", "answer owed",
+		} {
+			want = append(want, a+": "+d)
+		}
+	}
+	slices.Sort(want)
+	c := g.Counters()
+	if got := slices.Sorted(maps.Keys(c.Decided)); !slices.Equal(got, want) {
+		t.Errorf("decisions: got %q, want %q", got, want)
+	}
+	want = []string{"attempt sent after its end", "closed over an unanswered request", "not done in time"}
+	if got := slices.Sorted(maps.Keys(c.Violated)); !slices.Equal(got, want) {
+		t.Errorf("violations: got %q, want %q", got, want)
+	}
+}
--- a/internal/sidecar/meter.go
+++ b/internal/sidecar/meter.go
@@ -10,6 +10,7 @@
 	"reflect"
 	"time"
 
+	"barleywick/internal/sidecar/gate"
 	"barleywick/policy"
 )
 
@@ -34,7 +35,7 @@
 	UpstreamConnections      map[string]float64
 	ClientConnectionEvents   map[string]float64 // what was counted of connections so far
 	UpstreamConnectionEvents map[string]float64
-	Gate                     Counters          // what may be done now, and what was done past it
+	Gate                     gate.Counters         // what may be done now, and what was done past it
 	FleetPolicy              *FleetPolicyStatus    // nil where the configuration names none
 	Congestion               float64               // what answers took of their aims lately
 	OverloadAdvice           *OverloadAdviceStatus // the fleet's on an overload; nil where the configuration names none
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/peers_test.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"barleywick/internal/registry/registrytest"
+	"barleywick/internal/sidecar/gate"
 	"barleywick/policy"
 )
 
@@ -300,7 +301,7 @@
 
 // testDrain is a planned end without a bound in sight.
 func testDrain(l *limitedListener) *gracefulShutdown {
-	return newGracefulShutdown(l, New(), time.Hour)
+	return newGracefulShutdown(l, gate.New(), time.Hour)
 }
 
 // isBusy says whether a request of a connection has been taken and not been answered.
--- /dev/null
+++ b/internal/sidecar/pool_dial_test.go
@@ -0,0 +1,179 @@
+package sidecar
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"barleywick/policy"
+)
+
+// Want of something on this machine is no word against the server.
+func TestLocalFailuresAreNotTheServers(t *testing.T) {
+	for errno, local := range map[syscall.Errno]bool{
+		syscall.EMFILE: true, syscall.ENFILE: true, syscall.ENOBUFS: true, syscall.EADDRNOTAVAIL: true,
+		syscall.ECONNREFUSED: false, syscall.ETIMEDOUT: false, syscall.EHOSTUNREACH: false, syscall.ENETUNREACH: false,
+	} {
+		err := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
+		if isLocalError(err) != local {
+			t.Errorf("%v: local %v, want %v", errno, !local, local)
+		}
+	}
+	if isLocalError(errors.New("other")) {
+		t.Error("an unknown error is taken for one of this machine")
+	}
+}
+
+// Handshakes to one upstream and to all are bounded, and who waits is served in turn.
+func TestHandshakesAreBounded(t *testing.T) {
+	// A full backlog leaves handshakes hanging, as a machine does that was cut off.
+	silent, again := newBlackHole(t), newBlackHole(t)
+	p := newPool(patience, 30*time.Second, poolLimits{Total: 20, PerServer: 10, Handshakes: 5, HandshakesPerServer: 3}, 1)
+	defer p.close()
+	ctx, cancel := context.WithCancel(t.Context())
+	var callers sync.WaitGroup
+	ask := func(to *upstreamServer, n int) {
+		for range n {
+			callers.Go(func() {
+				if _, err := p.acquire(ctx, to); err == nil {
+					t.Error("a connection to where none comes up")
+				}
+			})
+		}
+	}
+	a, b, c := &upstreamServer{addr: silent, dialWindow: 10}, &upstreamServer{addr: again, dialWindow: 10}, &upstreamServer{addr: again}
+	ask(a, 8)
+	eventually(t, "the first handshakes are under way", func() bool { _, now := p.counters(); return now.Waiting == 8 })
+	if _, now := p.counters(); now.Handshakes != 3 {
+		t.Errorf("%d handshakes to one upstream, want 3", now.Handshakes)
+	}
+	ask(b, 8)
+	ask(c, 8)
+	eventually(t, "all wait", func() bool { _, now := p.counters(); return now.Waiting == 24 })
+	if _, now := p.counters(); now.Handshakes != 5 || now.Open != 5 {
+		t.Errorf("%d handshakes and %d open in all, want 5", now.Handshakes, now.Open)
+	}
+	cancel()
+	callers.Wait()
+	if n, now := p.counters(); now.Waiting != 0 || n.LeftWaiting != 24 || a.waiting.Len()+b.waiting.Len()+c.waiting.Len() != 0 {
+		t.Errorf("%+v, %+v: waiters are left that have gone", n, now)
+	}
+}
+
+// newBlackHole returns an address where connections neither come up nor fail.
+func newBlackHole(t *testing.T) string {
+	t.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { syscall.Close(fd) })
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	if err := syscall.Listen(fd, 0); err != nil {
+		t.Fatal(err)
+	}
+	name, err := syscall.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	addr := fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
+	for range 8 { // nobody accepts: the backlog fills, and further ones hang
+		c, err := net.DialTimeout("tcp", addr, 50*time.Millisecond)
+		if err != nil {
+			return addr
+		}
+		t.Cleanup(func() { c.Close() })
+	}
+	t.Skip("this kernel does not let a backlog fill")
+	return ""
+}
+
+// An upstream that was out of reach gets one handshake at a time until one succeeds.
+func TestHandshakesBeginSlowly(t *testing.T) {
+	u := newUpstream(t, always(answer200("")))
+	p := testPool(20)
+	defer p.close()
+	to := &upstreamServer{addr: u.addr}
+	for _, want := range []int{2, 3, 4} {
+		c, err := p.acquire(t.Context(), to)
+		if err != nil {
+			t.Fatal(err)
+		}
+		p.discard(c)
+		if to.dialWindow != want {
+			t.Errorf("window %d, want %d", to.dialWindow, want)
+		}
+	}
+	to.addr = "127.0.0.1:1"
+	if _, err := p.acquire(t.Context(), to); err == nil || to.dialWindow != 1 {
+		t.Errorf("error %v, window %d; want an error and 1", err, to.dialWindow)
+	}
+}
+
+// Who waits is served in the order of arrival, by a connection that comes back
+// as by one that comes up; who has left is passed over.
+func TestWaitersAreServedInTurn(t *testing.T) {
+	u := newUpstream(t, always(answer200("")))
+	p, to := testPool(1), &upstreamServer{addr: u.addr}
+	p.dialTimeout = patience
+	defer p.close()
+	c, err := p.acquire(t.Context(), to)
+	if err != nil {
+		t.Fatal(err)
+	}
+	served := make(chan int, 5)
+	leave, left := context.WithCancel(t.Context())
+	for i := range 5 {
+		ctx := t.Context()
+		if i == 2 {
+			ctx = leave
+		}
+		go func() {
+			c, err := p.acquire(ctx, to)
+			served <- i
+			if err == nil {
+				p.release(c)
+			}
+		}()
+		eventually(t, "it waits", func() bool { return waiters(p) == i+1 })
+	}
+	left()
+	if got := await(t, "the one that leaves", served); got != 2 {
+		t.Fatalf("%d left", got)
+	}
+	p.release(c)
+	for _, want := range []int{0, 1, 3, 4} {
+		if got := await(t, "the next", served); got != want {
+			t.Errorf("%d was served, want %d", got, want)
+		}
+	}
+	if len(u.accepted) != 1 {
+		t.Errorf("%d connections, want the one", len(u.accepted))
+	}
+}
+
+func waiters(p *pool) int { _, now := p.counters(); return now.Waiting }
+
+// Limits of our own are no word against an upstream.
+func TestOwnLimitsAreNoFailureOfTheUpstream(t *testing.T) {
+	u := newUpstream(t, always(answer200("")))
+	p, to := poolOf(20*time.Millisecond, 30*time.Second, 1), &upstreamServer{addr: u.addr}
+	defer p.close()
+	if _, err := p.acquire(t.Context(), to); err != nil {
+		t.Fatal(err)
+	}
+	if got, _ := runOneAttempt(t.Context(), p, &upstreamServer{addr: u.addr}); got != policy.NotSent {
+		t.Errorf("ending %v, want not sent", got)
+	}
+	if got, _ := runOneAttempt(t.Context(), poolOf(20*time.Millisecond, time.Second, 1), &upstreamServer{addr: newBlackHole(t)}); got != policy.NoConnection {
+		t.Errorf("an upstream that says nothing: ending %v, want no connection", got)
+	}
+}
--- /dev/null
+++ b/internal/sidecar/quarantine_test.go
@@ -0,0 +1,132 @@
+package sidecar
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"testing"
+	"time"
+
+	"barleywick/policy"
+)
+
+// makeDuplicatesConclusive lets a pool see as many different answers as it takes to tell them apart.
+func makeDuplicatesConclusive(p *pool) {
+	for i := range distinctRunNeeded {
+		p.duplicates.observe(p.duplicates.hash([]byte(fmt.Sprint("other ", i))), new(recentResponses))
+	}
+}
+
+// A second answer that comes after the rest, in front of the next request's, is that request's to
+// nobody; where all servers answer alike, equality says nothing.
+func TestSecondAnswerIsNotTheNextRequests(t *testing.T) {
+	for name, alike := range map[string]bool{"answers differ": false, "answers are alike": true} {
+		t.Run(name, func(t *testing.T) {
+			last := ""
+			u := newUpstream(t, func(r received) (string, bool) {
+				first := last
+				if last = answer200("done " + r.Header.Get("Request-Id")); alike {
+					last = answer200("done")
+				}
+				if first == "" || alike {
+					return last, false
+				}
+				return first + last, false
+			})
+			p, to := testPool(1), &upstreamServer{addr: u.addr}
+			defer p.close()
+			if !alike {
+				makeDuplicatesConclusive(p)
+			}
+			for i := range distinctRunNeeded + 4 {
+				r := &request{method: "POST", url: mustURL("/"), host: "x", externalID: fmt.Sprint(i), header: http.Header{"Request-Id": {fmt.Sprint(i)}}}
+				r.clientDeadline = time.Now().Add(time.Hour)
+				a := newAttempt(t.Context(), r, r.clientDeadline, time.Time{})
+				a.server = to
+				ending, got := newTransport(p).runAttempt(a)
+				want := fmt.Sprint("done ", i)
+				if alike {
+					want = "done"
+				}
+				if ending != policy.Served || string(got.body) != want {
+					t.Fatalf("request %d: ending %v, answer %+v", i, ending, got)
+				}
+				endAllQuarantines(p)
+			}
+			if n, _ := p.counters(); (n.Repeated > 0) == alike {
+				t.Errorf("%d answers were passed over", n.Repeated)
+			}
+		})
+	}
+}
+
+// A server that has sent an excess gets long rests, and so does any until answers are told apart.
+func TestRestsAreLongWhereAnswersMayBeTakenForOthers(t *testing.T) {
+	p := testPool(100)
+	defer p.close()
+	c := &upstreamConn{server: new(upstreamServer), idleSince: time.Now()}
+	if got := p.quarantineTime(c); got != maxQuarantine {
+		t.Errorf("before answers are told apart: %v", got)
+	}
+	if makeDuplicatesConclusive(p); p.quarantineTime(c) != minQuarantine {
+		t.Errorf("once they are: %v", p.quarantineTime(c))
+	}
+	if p.noteSurplus(c); p.quarantineTime(c) != maxQuarantine {
+		t.Errorf("after an excess: %v", p.quarantineTime(c))
+	}
+	if p.open = 100; p.quarantineTime(c) != minQuarantine {
+		t.Errorf("with no connection to spare: %v", p.quarantineTime(c))
+	}
+}
+
+// What comes behind a good answer and belongs to no request, even a little
+// later, must not be taken for the next one's answer.
+func TestExcessIsNoAnswer(t *testing.T) {
+	for name, behind := range map[string]string{"in the same write": answer200("stale"), "later": ""} {
+		t.Run(name, func(t *testing.T) {
+			u := newUpstream(t, func(r received) (string, bool) { return answer200("good") + behind, false })
+			p, to := testPool(4), &upstreamServer{addr: u.addr}
+			for i := range 20 {
+				ending, a := runOneAttempt(t.Context(), p, to)
+				if ending != policy.Served || string(a.body) != "good" {
+					t.Fatalf("attempt %d: ending %v, answer %+v", i, ending, a)
+				}
+				if r := await(t, "the request", u.requests); behind == "" {
+					io.WriteString(r.conn, answer200("stale"))
+				}
+			}
+			if len(u.accepted) != 20 {
+				t.Errorf("%d connections for 20 answers with an excess, want one each", len(u.accepted))
+			}
+		})
+	}
+}
+
+// A second answer may come some milliseconds behind the first. A connection that has not rested for so
+// long is not used while there is one that has, nor before it has.
+func TestConnectionRestsBeforeTheNextRequest(t *testing.T) {
+	u := newUpstream(t, always(answer200("ok")))
+	p, to := testPool(4), &upstreamServer{addr: u.addr}
+	get := func() *upstreamConn {
+		t.Helper()
+		c, err := p.acquire(t.Context(), to)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return c
+	}
+	first, second := get(), get()
+	p.release(first)
+	endAllQuarantines(p)
+	p.release(second)
+	if c := get(); c != first {
+		t.Error("a connection is used that had its answer a moment ago, beside one that has rested")
+	}
+	if c := get(); c == second {
+		t.Errorf("a connection is used %v after its last answer", time.Since(c.idleSince))
+	}
+	eventually(t, "the rest is over", func() bool { _, now := p.counters(); return now.Resting == 0 })
+	if c := get(); c != second || time.Since(c.idleSince) < minQuarantine {
+		t.Errorf("a connection is used %v after its last answer", time.Since(c.idleSince))
+	}
+}
--- a/internal/sidecar/races_test.go
+++ b/internal/sidecar/races_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -19,88 +18,6 @@
 	"barleywick/policy"
 )
 
-// connected returns a client's end of a connection, and ours.
-func connected(t *testing.T) (net.Conn, *clientConn) {
-	t.Helper()
-	ln := listenLoopback(t)
-	far, err := net.Dial("tcp", ln.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	near, err := ln.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	c := newClientConn(near.(*net.TCPConn))
-	t.Cleanup(func() { far.Close(); c.Close() })
-	return far, c
-}
-
-// A request that is being read in the moment in which its connection is to be closed as
-// idle is lost if the close goes through: its client takes it to be in work.
-func TestConnectionIsNotClosedOverWhatIsBeingRead(t *testing.T) {
-	far, c := connected(t)
-	reading, goOn := make(chan struct{}), make(chan struct{})
-	c.readHook = func() {
-		close(reading)
-		<-goOn
-	}
-	read := make(chan error, 1)
-	go func() {
-		_, err := c.Read(make([]byte, 10))
-		read <- err
-	}()
-	far.Write([]byte("P"))
-	await(t, "the middle of the read", reading)
-	state := make(chan connState, 1)
-	go func() { state <- closeIdle(c, false) }()
-	close(goOn)
-	if got := await(t, "the close", state); got != connIdle {
-		t.Errorf("the connection is in state %d, want left alone", got)
-	}
-	if err := await(t, "the read", read); err != nil {
-		t.Errorf("what was read is lost: %v", err)
-	}
-	if closeIdle(c, false) != connIdle {
-		t.Error("closed as idle with half a request read")
-	}
-	if c.headerRead(); closeIdle(c, false) != connClosed {
-		t.Error("not closed once that was answered")
-	}
-}
-
-// The other way round nothing is read any more: the client sends its request once more.
-func TestNothingIsReadFromAClosedConnection(t *testing.T) {
-	far, c := connected(t)
-	c.mu.Lock()
-	c.state = connClosed // the moment before its close
-	c.mu.Unlock()
-	far.Write([]byte("P"))
-	if n, err := c.Read(make([]byte, 10)); n != 0 || !errors.Is(err, net.ErrClosed) {
-		t.Errorf("read %d bytes and %v", n, err)
-	}
-}
-
-// Half a request gives way to others that wait, whole ones and those in work do not.
-func TestHalfARequestGivesWay(t *testing.T) {
-	far, c := connected(t)
-	far.Write([]byte("P"))
-	if _, err := c.Read(make([]byte, 10)); err != nil {
-		t.Fatal(err)
-	}
-	if got := closeIdle(c, true); got != connClosed {
-		t.Errorf("state %d with half a request, want closed", got)
-	}
-	_, busy := connected(t)
-	busy.beginRequest()
-	if got := closeIdle(busy, true); got != connBusy {
-		t.Errorf("state %d with a request in work", got)
-	}
-	if busy.endRequest(); closeIdle(busy, false) != connClosed {
-		t.Error("not closed once it rests")
-	}
-}
-
 // The time in which a request may be sent again is over while it waits for a connection.
 func TestRepeatKeepsToItsWindowAtTheWrite(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"barleywick/internal/settings"
+	"barleywick/internal/sidecar/gate"
 	"barleywick/policy"
 )
 
@@ -76,7 +77,7 @@
 }
 
 // sending is what is known of a write now.
-func (p sendPermit) sending(g *Gate, server policy.EndpointState) policy.SendFacts {
+func (p sendPermit) sending(g *gate.Gate, server policy.EndpointState) policy.SendFacts {
 	s := policy.SendFacts{
 		ClientDeadline: g.SinceStart(p.deadline), ShutdownDeadline: policy.NoLimit, RepeatDeadline: g.SinceStart(p.repeatDeadline), ServerState: server,
 		MayHaveRun: !p.repeatDeadline.IsZero(), Repeatable: true,
@@ -111,13 +112,13 @@
 // transport carries out attempts and probes over one pool of connections.
 type transport struct {
 	pool       *pool
-	gate       *Gate
+	gate       *gate.Gate
 	loadFields settings.LoadColumns
 	statsPath  string
 }
 
 func newTransport(p *pool) *transport {
-	return &transport{pool: p, gate: New(), statsPath: "/health/live"}
+	return &transport{pool: p, gate: gate.New(), statsPath: "/health/live"}
 }
 
 // runAttempt carries an attempt out. What it returns follows the protocol's table: as
--- /dev/null
+++ b/internal/sidecar/upstream_write_test.go
@@ -0,0 +1,130 @@
+package sidecar
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"syscall"
+	"testing"
+	"time"
+
+	"barleywick/policy"
+)
+
+// A write that is not done when its permission ends is cut off: what is not whole never runs. Attempts
+// that may not be cancelled are no exception.
+func TestLongWriteEndsWithItsPermission(t *testing.T) {
+	ln := listenLoopback(t)
+	begun := make(chan net.Conn, 1)
+	go func() { // it reads the first byte, and nothing more
+		c, err := ln.Accept()
+		if err != nil {
+			return
+		}
+		c.(*net.TCPConn).SetReadBuffer(4 << 10)
+		if _, err := io.ReadFull(c, make([]byte, 1)); err == nil {
+			begun <- c
+		}
+	}()
+	p, to := testPool(1), &upstreamServer{addr: ln.Addr().String()}
+	defer p.close()
+	c := connections(t, p, to, 1)[0]
+	c.Conn.(*net.TCPConn).SetWriteBuffer(4 << 10)
+	p.release(c)
+	endAllQuarantines(p)
+	r := &request{method: "POST", url: mustURL("/"), host: "x", externalID: "long", header: http.Header{}, body: make([]byte, 16<<20)}
+	r.clientDeadline = time.Now().Add(time.Hour)
+	a := newAttempt(t.Context(), r, r.clientDeadline, time.Time{})
+	a.server = to
+	ending := make(chan policy.Ending, 1)
+	go func() { e, _ := newTransport(p).runAttempt(a); ending <- e }()
+	defer await(t, "the first byte", begun).Close()
+	a.cancelWrite() // the client has left in the middle of the write; ctx lasts
+	if got := await(t, "its end", ending); got != policy.NotSent {
+		t.Errorf("ending %v, want not sent", got)
+	}
+}
+
+// What lies unsent in the kernel as an attempt is given up never reaches its server.
+func TestGivenUpWriteIsNotSentLater(t *testing.T) {
+	const body = 60 << 10 // it fits the buffer of the sender, and not the receiver's
+	listen := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
+		return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
+	}}
+	ln, err := listen.Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	far, err := net.Dial("tcp", ln.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	near, err := ln.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer near.Close()
+	c := &upstreamConn{Conn: far, server: new(upstreamServer)}
+	if n, err := c.Write(make([]byte, body)); n != body || err != nil || c.unsentBytes() == 0 {
+		t.Fatalf("wrote %d, %v, unsent %d", n, err, c.unsentBytes())
+	}
+	c.Close()
+	near.SetReadDeadline(time.Now().Add(patience))
+	if n, err := io.Copy(io.Discard, near); n >= body || err == nil {
+		t.Errorf("%d bytes came and %v, want a part and a reset", n, err)
+	}
+}
+
+// The client's socket is looked at in the moment of the write: net/http may tell later.
+func TestNothingIsWrittenForAClientThatHasLeft(t *testing.T) {
+	u := newUpstream(t, always(answer200("ok")))
+	p, to := testPool(1), &upstreamServer{addr: u.addr}
+	defer p.close()
+	far, near := connected(t)
+	r := &request{method: "POST", url: mustURL("/"), host: "x", externalID: "left", header: http.Header{}, conn: near}
+	r.clientDeadline = time.Now().Add(time.Hour)
+	ups := newTransport(p)
+	try := func() policy.Ending {
+		a := newAttempt(t.Context(), r, r.clientDeadline, time.Time{})
+		a.server = to
+		ending, _ := ups.runAttempt(a)
+		return ending
+	}
+	if got := try(); got != policy.Served {
+		t.Errorf("while it is there: ending %v", got)
+	}
+	far.Close()
+	eventually(t, "the close has come", near.closedByClient)
+	if got := try(); got != policy.NotSent || len(u.requests) != 1 {
+		t.Errorf("ending %v with %d requests written, want not sent", got, len(u.requests))
+	}
+	if n := ups.gate.Counters().Decided["send: client left"]; n != 1 {
+		t.Errorf("%d denials for a client that left, want 1", n)
+	}
+}
+
+// A server is told less than its client has left.
+func TestDeadlineToldLeavesTimeForTheWrite(t *testing.T) {
+	for _, left := range []time.Duration{time.Second, 40 * time.Millisecond} {
+		ctx, cancel := context.WithTimeout(t.Context(), left)
+		r := &request{method: "GET", url: mustURL("/"), header: http.Header{}}
+		told, err := strconv.ParseFloat(r.upstreamRequest(ctx).Header.Get("Request-Timeout"), 64)
+		cancel()
+		if most := left - min(timeoutMargin, left/4) + time.Millisecond; err != nil || told <= 0 || told > most.Seconds() {
+			t.Errorf("%v left: told %v s, %v", left, told, err)
+		}
+	}
+}
+
+// A request is answered by its client's deadline or by the shutdown deadline, whichever is earlier.
+func TestRequestDeadlineIsTheEarlierOne(t *testing.T) {
+	now := time.Now()
+	shutdown := now.Add(2 * time.Second)
+	r := &request{clientDeadline: now.Add(time.Hour), processDeadline: shutdown}
+	if r.deadline() != shutdown || r.processTimeLeft() <= 0 {
+		t.Errorf("got %v, in %v, want %v", r.deadline(), r.processTimeLeft(), shutdown)
+	}
+}
