--- /dev/null
+++ b/internal/controller/helpers_test.go
@@ -0,0 +1,115 @@
+package controller
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"net"
+	"os"
+	"path/filepath"
+	"sync"
+	"testing"
+	"time"
+
+	"barleywick/internal/registry"
+	"barleywick/internal/registry/client"
+	"barleywick/internal/registry/server"
+)
+
+func TestMain(m *testing.M) {
+	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})))
+	os.Exit(m.Run())
+}
+
+const patience = 40 * time.Second
+
+func eventually(t testing.TB, what string, holds func() bool) {
+	t.Helper()
+	for deadline := time.Now().Add(patience); !holds(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("waited in vain until %s", what)
+		}
+	}
+}
+
+// startGroup runs a registry of one replica until the test ends.
+func startGroup(t *testing.T, name string) (addr string, c *client.Client) {
+	t.Helper()
+	listen := func() net.Listener {
+		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		return ln
+	}
+	ln, raft := listen(), listen()
+	text, err := json.Marshal(map[string]any{
+		"group": name, "id": "r", "data": t.TempDir(), "timing": map[string]any{"election_ms": 100}, "leases": map[string]any{"most_ttl_ms": 1000},
+		"replicas": []registry.ReplicaInfo{{ID: "r", HTTP: ln.Addr().String(), Raft: raft.Addr().String()}},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	config, err := server.ParseConfig(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r, err := server.Open(config, raft)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := r.HTTPServer()
+	go s.Serve(ln)
+	addr = ln.Addr().String()
+	if c, err = client.New([]string{addr}, 1); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		c.Close()
+		s.Close()
+		if err := r.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+	return addr, c
+}
+
+// startKeeper runs one until the test ends, or until it is left.
+func startKeeper(t *testing.T, name, addr, rest string) (leave func()) {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "k.toml")
+	text := fmt.Sprintf("name = %q\nregistry = [%q]\nlease_ms = 1000\n%s", name, addr, rest)
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	c, err := LoadConfig(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	over := make(chan error, 1)
+	go func() { over <- Serve(ctx, c) }()
+	leave = sync.OnceFunc(func() {
+		cancel()
+		if err := <-over; err != nil {
+			t.Error(err)
+		}
+	})
+	t.Cleanup(leave)
+	return leave
+}
+
+func holder(t *testing.T, c *client.Client, name string) string {
+	t.Helper()
+	all, err := c.Leases(t.Context(), 0, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, l := range all.Leases {
+		if l.Name == name && l.Grant != nil {
+			return l.Grant.Name
+		}
+	}
+	return ""
+}
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -67,28 +67,9 @@
 	return nil
 }
 
-var (
-	descToken  = prometheus.NewDesc("barleykeeper_lease_token", "Fencing token of each lease that this keeper holds.", []string{"lease"}, nil)
-	descGrants = prometheus.NewDesc("barleykeeper_lease_grants_total", "Leases granted to this keeper.", nil, nil)
-	descLapses = prometheus.NewDesc("barleykeeper_lease_lapses_total", "Leases that lapsed while their task ran.", nil, nil)
-)
-
-// leaseCollector tells how a keeper stands at the moment of a scrape.
-type leaseCollector struct{ k *Controller }
-
 // Describe names the figures.
 func (leaseCollector) Describe(c chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{descToken, descGrants, descLapses} {
 		c <- d
 	}
 }
-
-// Collect reads them.
-func (s leaseCollector) Collect(c chan<- prometheus.Metric) {
-	for name, token := range s.k.HeldTokens() {
-		c <- prometheus.MustNewConstMetric(descToken, prometheus.GaugeValue, float64(token), name)
-	}
-	grants, lapses := s.k.member.Counts()
-	c <- prometheus.MustNewConstMetric(descGrants, prometheus.CounterValue, float64(grants))
-	c <- prometheus.MustNewConstMetric(descLapses, prometheus.CounterValue, float64(lapses))
-}
