--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -64,11 +64,7 @@
 			if err != nil {
 				return err
 			}
-			var tasks []string
-			for _, t := range cfg.Tasks(nil) {
-				tasks = append(tasks, t.LeaseName)
-			}
-			fmt.Fprintf(c.OutOrStdout(), "%s: tasks %s; leases of %d ms\n", cfg.Name, strings.Join(tasks, ", "), cfg.LeaseMS)
+			fmt.Fprintf(c.OutOrStdout(), "%s: tasks %s; leases of %d ms\n", cfg.Name, strings.Join(cfg.LeaseNames(), ", "), cfg.LeaseMS)
 			return nil
 		},
 	}, cli.VersionCommand("controller"))
--- a/internal/controller/compat_test.go
+++ b/internal/controller/compat_test.go
@@ -48,13 +48,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var got []string
-	for _, task := range c.Tasks(nil) {
-		got = append(got, task.LeaseName)
-	}
 	const want = "drains, health-0, health-1, health-2, health-3, health-4, health-5, health-6, health-7, policy, overload, copies"
-	if strings.Join(got, ", ") != want {
-		t.Errorf("got %s, want %s", strings.Join(got, ", "), want)
+	if got := strings.Join(c.LeaseNames(), ", "); got != want {
+		t.Errorf("got %s, want %s", got, want)
 	}
 }
 
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"cmp"
+	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -13,69 +15,80 @@
 	"barleywick/internal/registry"
 )
 
-// Config is what a keeper is told. docs/LEASES.md describes it.
+// Config is a controller's configuration file, in TOML. docs/LEASES.md describes it.
 type Config struct {
 	Name     string           `toml:"name"`
-	Registry []string         `toml:"registry"`
-	Listen   string           `toml:"listen"` // for /metrics and /health/ready; empty: neither
+	Registry []string         `toml:"registry"` // addresses of the replicas
+	Listen   string           `toml:"listen"`   // for /metrics and /health/ready; empty: neither
 	LeaseMS  int64            `toml:"lease_ms"`
-	MaxActMS int64            `toml:"-"` // of tasks that are none of Tasks; 0: what those take
+	MaxActMS int64            `toml:"-"` // the longest timed act of tasks other than those of Tasks; 0: there are none
 	Routes   addressmap.Table `toml:"routes"`
 
-	Drains *struct {
-		Config string `toml:"config"` // barleyctl's file
-	} `toml:"drains"`
+	// A task runs here only if its table is in the file.
+	Drains    *DrainsConfig    `toml:"drains"`
 	Health    *HealthConfig    `toml:"health"`
 	ListCache *ListCacheConfig `toml:"copies"`
 	Policy    *PolicyConfig    `toml:"policy"`
-
-	Overload *OverloadConfig `toml:"overload"`
+	Overload  *OverloadConfig  `toml:"overload"`
 
 	Membership *membership.Config `toml:"membership"`
 
-	drains *drain.Config
+	drains *drain.Config // the file that Drains names
+}
+
+// DrainsConfig configures the task that runs drains.
+type DrainsConfig struct {
+	Config string `toml:"config"` // path of fleetctl's configuration file
 }
 
-// PolicyConfig has a keeper lead changes of the fleet's policy.
+// PolicyConfig configures the task that leads rollouts of the fleet policy.
 type PolicyConfig struct {
-	Machine string `toml:"machine"` // whose sidecars' processes it watches; empty: none
+	Machine string `toml:"machine"` // the machine whose sidecars' processes it watches; empty: none
 }
 
-// OverloadConfig has a keeper give the fleet's word on an overload.
+// OverloadConfig configures the task that gives overload advice.
 type OverloadConfig struct {
-	Fleet  string `toml:"fleet"`  // as the sidecars have it
-	Listen string `toml:"listen"` // for their digests, while it holds the task
+	Fleet  string `toml:"fleet"`  // as in the sidecars' configuration
+	Listen string `toml:"listen"` // for the sidecars' digests, while the lease is held
 }
 
-// HealthConfig is what the checker of booking servers is told.
+// HealthConfig configures the tasks that probe booking servers.
 type HealthConfig struct {
 	IntervalMS int64 `toml:"every_ms"`
 	TimeoutMS  int64 `toml:"timeout_ms"`
-	Failures   int   `toml:"failures"` // in a row, before the advice says so
+	Failures   int   `toml:"failures"` // consecutive failures from which on a server is named
 }
 
-// ListCacheConfig is what the keeper of copies is told.
+// ListCacheConfig configures the task that saves copies of the registry's contents.
 type ListCacheConfig struct {
-	Dir        string `toml:"folder"` // one that all keepers share
+	Dir        string `toml:"folder"` // a folder that all controllers share
 	IntervalMS int64  `toml:"every_ms"`
-	Keep       int    `toml:"keep"`
+	Keep       int    `toml:"keep"` // how many copies stay
 }
 
 const (
-	defaultLease         = 5 * time.Second
-	minLease             = time.Second // several elections of the registry's are over by a part of it
-	maxLease             = 10 * time.Minute
-	defaultProbeInterval = 5 * time.Second // one probe costs a server up to 0.2 ms of work: a part in 25,000
+	defaultLease = 5 * time.Second
+	minLease     = time.Second // several elections of the registry fit into it
+	maxLease     = 10 * time.Minute
+
+	defaultProbeInterval = 5 * time.Second // a probe costs a server up to 0.2 ms of work: a part in 25,000
 	minProbeInterval     = 100 * time.Millisecond
+	maxProbeInterval     = time.Hour
 	defaultProbeTimeout  = time.Second
 	defaultFailures      = 3
+	maxFailures          = 1000
+
 	defaultCacheInterval = 5 * time.Minute
 	minCacheInterval     = time.Second
+	maxCacheInterval     = 7 * 24 * time.Hour
 	defaultKeep          = 24
 	maxKeep              = 10000
+
+	// minLongestAct covers an answer to a digest.
+	minLongestAct = 100 * time.Millisecond
 )
 
-// LoadConfig reads a keeper's configuration file.
+// LoadConfig reads a controller's configuration file and the one that it names.
 func LoadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -93,89 +106,111 @@
 	return c, nil
 }
 
-// ParseConfig reads a configuration and fills in what it leaves out. An unknown field
-// is an error.
+// ParseConfig reads a configuration and fills in what it leaves out. An unknown field is an
+// error.
 func ParseConfig(text []byte) (*Config, error) {
 	c := &Config{LeaseMS: defaultLease.Milliseconds()}
 	if err := configfile.TOML(text, c); err != nil {
 		return nil, err
 	}
-	if h := c.Health; h != nil {
-		setDefault(&h.IntervalMS, defaultProbeInterval.Milliseconds())
-		setDefault(&h.TimeoutMS, min(defaultProbeTimeout.Milliseconds(), h.IntervalMS))
-		if h.Failures == 0 {
-			h.Failures = defaultFailures
-		}
-	}
-	if k := c.ListCache; k != nil {
-		setDefault(&k.IntervalMS, defaultCacheInterval.Milliseconds())
-		if k.Keep == 0 {
-			k.Keep = defaultKeep
-		}
-	}
+	c.setDefaults()
 	if err := c.check(); err != nil {
 		return nil, configfile.AtLine(text, err)
 	}
 	return c, nil
 }
 
-func setDefault(v *int64, otherwise int64) {
-	if *v == 0 {
-		*v = otherwise
+func (c *Config) setDefaults() {
+	if h := c.Health; h != nil {
+		h.IntervalMS = cmp.Or(h.IntervalMS, defaultProbeInterval.Milliseconds())
+		h.TimeoutMS = cmp.Or(h.TimeoutMS, min(defaultProbeTimeout.Milliseconds(), h.IntervalMS))
+		h.Failures = cmp.Or(h.Failures, defaultFailures)
+	}
+	if l := c.ListCache; l != nil {
+		l.IntervalMS = cmp.Or(l.IntervalMS, defaultCacheInterval.Milliseconds())
+		l.Keep = cmp.Or(l.Keep, defaultKeep)
 	}
 }
 
+// check returns an error that begins with the path of the first wrong field.
 func (c *Config) check() error {
-	if err := registry.CheckName("name", c.Name); err != nil {
-		return err
-	}
+	return firstError(
+		registry.CheckName("name", c.Name),
+		c.checkAddresses(),
+		checkDuration("lease_ms", c.LeaseMS, minLease, maxLease),
+		c.Drains.check(),
+		c.Overload.check(),
+		c.checkMembership(),
+		c.Health.check(c.leaseTTL()),
+		c.ListCache.check(),
+	)
+}
+
+func (c *Config) checkAddresses() error {
 	if len(c.Registry) == 0 {
-		return fmt.Errorf("registry is missing: the addresses of its replicas")
-	}
-	loopback := func(name, addr string) error {
-		if host, _, err := net.SplitHostPort(addr); err != nil || !net.ParseIP(host).IsLoopback() {
-			return fmt.Errorf("%s is %q, it must be a loopback address with a port", name, addr)
-		}
-		return nil
+		return errors.New("registry is missing: the addresses of its replicas")
 	}
 	if c.Listen != "" {
-		if err := loopback("listen", c.Listen); err != nil {
+		if err := checkLoopback("listen", c.Listen); err != nil {
 			return err
 		}
 	}
 	if err := c.Routes.Check(); err != nil {
 		return fmt.Errorf("routes: %w", err)
 	}
-	within := func(name string, v, least, most int64) error {
-		if v < least || v > most {
-			return fmt.Errorf("%s is %d, it must lie between %d and %d", name, v, least, most)
-		}
+	return nil
+}
+
+func (c *Config) checkMembership() error {
+	if c.Membership == nil {
 		return nil
 	}
-	errs := []error{within("lease_ms", c.LeaseMS, minLease.Milliseconds(), maxLease.Milliseconds())}
-	if c.Drains != nil && c.Drains.Config == "" {
-		errs = append(errs, fmt.Errorf("drains.config is missing: barleyctl's configuration file"))
+	return c.Membership.Check()
+}
+
+func (d *DrainsConfig) check() error {
+	if d != nil && d.Config == "" {
+		return errors.New("drains.config is missing: fleetctl's configuration file")
+	}
+	return nil
+}
+
+func (o *OverloadConfig) check() error {
+	if o == nil {
+		return nil
 	}
-	if o := c.Overload; o != nil {
-		errs = append(errs, registry.CheckName("overload.fleet", o.Fleet), loopback("overload.listen", o.Listen))
+	return firstError(
+		registry.CheckName("overload.fleet", o.Fleet),
+		checkLoopback("overload.listen", o.Listen),
+	)
+}
+
+func (h *HealthConfig) check(leaseTTL time.Duration) error {
+	if h == nil {
+		return nil
 	}
-	if c.Membership != nil {
-		errs = append(errs, c.Membership.Check())
+	maxTimeout := min(time.Duration(h.IntervalMS)*time.Millisecond, leaseTTL/2)
+	return firstError(
+		checkDuration("health.every_ms", h.IntervalMS, minProbeInterval, maxProbeInterval),
+		checkDuration("health.timeout_ms", h.TimeoutMS, time.Millisecond, maxTimeout),
+		checkRange("health.failures", int64(h.Failures), 1, maxFailures),
+	)
+}
+
+func (l *ListCacheConfig) check() error {
+	if l == nil {
+		return nil
 	}
-	if h := c.Health; h != nil {
-		errs = append(errs,
-			within("health.every_ms", h.IntervalMS, minProbeInterval.Milliseconds(), time.Hour.Milliseconds()),
-			within("health.timeout_ms", h.TimeoutMS, 1, min(h.IntervalMS, c.LeaseMS/2)),
-			within("health.failures", int64(h.Failures), 1, 1000))
-	}
-	if k := c.ListCache; k != nil {
-		if k.Dir == "" {
-			errs = append(errs, fmt.Errorf("copies.folder is missing: one that all keepers share"))
-		}
-		errs = append(errs,
-			within("copies.every_ms", k.IntervalMS, minCacheInterval.Milliseconds(), (7*24*time.Hour).Milliseconds()),
-			within("copies.keep", int64(k.Keep), 1, maxKeep))
+	if l.Dir == "" {
+		return errors.New("copies.folder is missing: one that all controllers share")
 	}
+	return firstError(
+		checkDuration("copies.every_ms", l.IntervalMS, minCacheInterval, maxCacheInterval),
+		checkRange("copies.keep", int64(l.Keep), 1, maxKeep),
+	)
+}
+
+func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -184,4 +219,39 @@
 	return nil
 }
 
+func checkLoopback(field, address string) error {
+	host, _, err := net.SplitHostPort(address)
+	if err != nil || !net.ParseIP(host).IsLoopback() {
+		return fmt.Errorf("%s is %q, it must be a loopback address with a port", field, address)
+	}
+	return nil
+}
+
+// checkDuration checks a number of milliseconds.
+func checkDuration(field string, ms int64, least, most time.Duration) error {
+	return checkRange(field, ms, least.Milliseconds(), most.Milliseconds())
+}
+
+func checkRange(field string, value, least, most int64) error {
+	if value < least || value > most {
+		return fmt.Errorf("%s is %d, it must lie between %d and %d", field, value, least, most)
+	}
+	return nil
+}
+
 func (c *Config) leaseTTL() time.Duration { return time.Duration(c.LeaseMS) * time.Millisecond }
+
+// longestAct returns how long a timed act of this controller may take.
+func (c *Config) longestAct() time.Duration {
+	if c.MaxActMS > 0 {
+		return time.Duration(c.MaxActMS) * time.Millisecond
+	}
+	longest := minLongestAct
+	if c.Health != nil {
+		longest = max(longest, time.Duration(c.Health.TimeoutMS)*time.Millisecond)
+	}
+	if c.Drains != nil {
+		longest = max(longest, c.leaseTTL()/stopActPart)
+	}
+	return longest
+}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,6 +1,7 @@
-// Package controller is a process that holds fleet-wide tasks: any number of keepers run,
-// and each task is one keeper's at a time, by a lease. Which one's is decided by
-// rendezvous hashing over those that are present; a second one stands by.
+// Package controller runs fleet-wide tasks under leases. Any number of controllers run, and each
+// task is run by one of them at a time: the one that holds the task's lease. Which one should
+// hold it is decided by rendezvous hashing over the controllers that are present; a second one
+// waits for the lease as a standby. docs/LEASES.md describes it for operators.
 package controller
 
 import (
@@ -8,7 +9,6 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"strings"
 	"sync"
 	"time"
 
@@ -17,202 +17,148 @@
 	"barleywick/internal/registry/client"
 )
 
-// presenceLeasePrefix begins the names of leases that say which keepers there are. A keeper
-// without its own holds no task, so of two processes with one name one is idle.
+// presenceLeasePrefix begins the names of the leases by which controllers show that they are
+// present. A controller without its own runs no task, so of two processes with one name one is idle.
 const presenceLeasePrefix = "keeper:"
 
-// settleTTLs is for how many lease lengths a keeper has to be present before tasks
-// are handed over to it: as long as it takes to notice that one has gone, twice.
-const settleTTLs = 2
-
-// Controller is one process.
+// Controller is one process that runs tasks.
 type Controller struct {
-	name           string
-	ttl            time.Duration
-	client         *client.Client
-	member         *lease.Manager
-	tasks          []Task
-	leaseUpdates   chan registry.LeasesResponse // the latest alone
-	fleet          *fleetView                   // what its membership tells; nil: it has none
-	membersChanged chan struct{}                // the members have changed
+	name   string
+	ttl    time.Duration
+	client *client.Client
+	leases *lease.Manager
+	fleet  *fleetView // nil: it is no member of the fleet
+	tasks  []Task
+
+	leaseUpdates   chan registry.LeasesResponse // holds the latest state only
+	membersChanged chan struct{}
 
 	mu   sync.Mutex
-	held map[string]*lease.Handle
+	held map[string]*lease.Handle // by lease
 }
 
-// New makes a keeper of these tasks.
-func New(c *Config, tasks func(k *Controller) []Task) (*Controller, error) {
-	r, err := client.New(c.Registry, rand.Uint64())
+// New makes a controller with the given tasks, such as Config.Tasks.
+func New(config *Config, tasks func(c *Controller) []Task) (*Controller, error) {
+	r, err := client.New(config.Registry, rand.Uint64())
 	if err != nil {
 		return nil, err
 	}
-	k := &Controller{name: c.Name, ttl: c.leaseTTL(), client: r.WithAddressMap(c.Routes), held: make(map[string]*lease.Handle), leaseUpdates: make(chan registry.LeasesResponse, 1), membersChanged: make(chan struct{}, 1)}
-	k.member = lease.NewManager(lease.Options{
-		Registry: r, TTL: k.ttl, OnChange: k.onLeases,
-		// The start's time tells the later of two processes. It decides nothing between
-		// holders: a clock that was set back costs a place in a line.
-		Holder: registry.Holder{Name: c.Name, Incarnation: uint64(time.Now().UnixMicro())},
+	c := &Controller{
+		name:           config.Name,
+		ttl:            config.leaseTTL(),
+		client:         r.WithAddressMap(config.Routes),
+		leaseUpdates:   make(chan registry.LeasesResponse, 1),
+		membersChanged: make(chan struct{}, 1),
+		held:           make(map[string]*lease.Handle),
+	}
+	c.leases = lease.NewManager(lease.Options{
+		Registry: r, TTL: c.ttl, OnChange: c.onLeases,
+		// Of two processes with one name, the start time tells the later one. It decides nothing
+		// between lease holders: a clock that was set back costs a queue position.
+		Holder: registry.Holder{Name: config.Name, Incarnation: uint64(time.Now().UnixMicro())},
 	})
-	if c.Membership != nil {
-		if k.fleet, err = joinFleet(c, k); err != nil {
+	if config.Membership != nil {
+		if c.fleet, err = joinFleet(config, c); err != nil {
 			return nil, err
 		}
 	}
-	k.tasks = tasks(k)
-	return k, nil
+	c.tasks = tasks(c)
+	return c, nil
 }
 
-// onLeases keeps the latest news for the loop.
-func (k *Controller) onLeases(news registry.LeasesResponse) {
+// onLeases keeps the latest state of the leases for coordinate. It is called by one goroutine.
+func (c *Controller) onLeases(leases registry.LeasesResponse) {
 	select {
-	case <-k.leaseUpdates:
+	case <-c.leaseUpdates:
 	default:
 	}
-	k.leaseUpdates <- news // there is one that hears
+	c.leaseUpdates <- leases
 }
 
-// Run holds tasks until ctx ends, and gives them up then.
-func (k *Controller) Run(ctx context.Context) error {
-	defer k.client.Close()
-	// Claims are given up after ctx has ended: what renews them goes on until then.
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
+// Run runs tasks until ctx ends, and then releases their leases.
+func (c *Controller) Run(ctx context.Context) error {
+	defer c.client.Close()
+	// Leases are released after ctx has ended, and have to be renewed until then.
+	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var running sync.WaitGroup
-	running.Go(func() { k.member.Run(life) })
-	if k.fleet != nil {
-		running.Go(func() { k.fleet.run(life) })
+	running.Go(func() { c.leases.Run(background) })
+	if c.fleet != nil {
+		running.Go(func() { c.fleet.run(background) })
 	}
 	defer running.Wait()
-	defer end()
+	defer stop()
 	for {
-		err := k.member.Hold(ctx, presenceLeasePrefix+k.name, func(ctx context.Context, _ *lease.Handle) error {
-			k.present(ctx)
+		err := c.leases.Hold(ctx, presenceLeasePrefix+c.name, func(ctx context.Context, _ *lease.Handle) error {
+			c.coordinate(ctx)
 			return ctx.Err()
 		})
 		if ctx.Err() != nil {
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("keeper %s: %w", k.name, err)
-		}
-	}
-}
-
-// present claims tasks and hands them over for as long as this keeper is present.
-func (k *Controller) present(ctx context.Context) {
-	s := &placement{settle: settleTTLs * k.ttl}
-	running := make(map[string]context.CancelFunc)
-	var all sync.WaitGroup
-	defer all.Wait()
-	var news registry.LeasesResponse
-	tick := time.NewTicker(k.ttl / 2) // what has settled is nobody's news
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case news = <-k.leaseUpdates:
-		case <-k.membersChanged:
-		case <-tick.C:
-		}
-		if news.Version == 0 {
-			continue
-		}
-		now := lease.BootTime()
-		var present []string
-		leases := make(map[string]registry.Lease, len(news.Leases))
-		for _, l := range news.Leases {
-			leases[l.Name] = l
-			if name, ok := strings.CutPrefix(l.Name, presenceLeasePrefix); ok && l.Grant != nil && l.Grant.Name == name && !k.fleet.hasEnded(l.Grant.Holder) {
-				present = append(present, name)
-			}
-		}
-		s.update(present, now)
-		for _, t := range k.tasks {
-			claims, stop := s.shouldClaim(t.LeaseName, k.name), running[t.LeaseName]
-			holds := k.term(t.LeaseName) != nil
-			if t.Timed && k.fleet.inMinority() {
-				claims, holds = false, false // it stops also what it holds
-			}
-			switch {
-			case claims && stop == nil:
-				in, cancel := context.WithCancel(ctx)
-				running[t.LeaseName] = cancel
-				all.Go(func() { k.hold(in, t) })
-			case !claims && stop != nil && !holds: // it stands by no longer
-				stop()
-				delete(running, t.LeaseName)
-			case holds:
-				var waiting []string
-				for _, c := range leases[t.LeaseName].Queue {
-					if k.fleet.canReceive(c.Holder) {
-						waiting = append(waiting, c.Name)
-					}
-				}
-				if to, hand := s.handOverTarget(t.LeaseName, k.name, waiting, now); hand {
-					k.HandOver(t.LeaseName, to)
-				}
-			}
+			return fmt.Errorf("controller %s: %w", c.name, err)
 		}
 	}
 }
 
-// hold runs a task whenever its lease is this keeper's, until ctx ends.
-func (k *Controller) hold(ctx context.Context, t Task) {
+// hold runs a task whenever this controller holds its lease, until ctx ends.
+func (c *Controller) hold(ctx context.Context, task Task) {
 	for ctx.Err() == nil {
-		err := k.member.Hold(ctx, t.LeaseName, func(ctx context.Context, term *lease.Handle) error {
-			k.setTerm(t.LeaseName, term)
-			defer k.setTerm(t.LeaseName, nil)
-			if err := t.Run(ctx, term); err != nil {
+		err := c.leases.Hold(ctx, task.LeaseName, func(ctx context.Context, handle *lease.Handle) error {
+			c.setHandle(task.LeaseName, handle)
+			defer c.setHandle(task.LeaseName, nil)
+			if err := task.Run(ctx, handle); err != nil {
 				return err
 			}
 			return ctx.Err()
 		})
-		if ctx.Err() == nil {
-			slog.Error("keeper: a task cannot be held", "lease", t.LeaseName, "err", err)
-			select {
-			case <-time.After(k.ttl):
-			case <-ctx.Done():
-			}
+		if ctx.Err() != nil {
+			return
+		}
+		slog.Error("controller: task not held", "lease", task.LeaseName, "err", err)
+		if pause(ctx, c.ttl) != nil {
+			return
 		}
 	}
 }
 
-func (k *Controller) setTerm(name string, t *lease.Handle) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if t == nil {
-		delete(k.held, name)
+// setHandle notes that a lease is held, or with a nil handle that it is not.
+func (c *Controller) setHandle(leaseName string, handle *lease.Handle) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if handle == nil {
+		delete(c.held, leaseName)
 		return
 	}
-	k.held[name] = t
+	c.held[leaseName] = handle
 }
 
-func (k *Controller) term(name string) *lease.Handle {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.held[name]
+func (c *Controller) handle(leaseName string) *lease.Handle {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.held[leaseName]
 }
 
-// HeldTokens are the tasks that it holds, with their tokens.
-func (k *Controller) HeldTokens() map[string]uint64 {
-	k.mu.Lock()
-	terms := make([]*lease.Handle, 0, len(k.held))
-	for _, t := range k.held {
-		terms = append(terms, t)
+// HeldTokens returns the fencing tokens of the tasks' leases that it holds, by lease.
+func (c *Controller) HeldTokens() map[string]uint64 {
+	c.mu.Lock()
+	handles := make([]*lease.Handle, 0, len(c.held))
+	for _, handle := range c.held {
+		handles = append(handles, handle)
 	}
-	k.mu.Unlock()
-	held := make(map[string]uint64, len(terms))
-	for _, t := range terms {
-		held[t.LeaseName()] = t.Token()
+	c.mu.Unlock()
+	tokens := make(map[string]uint64, len(handles))
+	for _, handle := range handles {
+		tokens[handle.LeaseName()] = handle.Token()
 	}
-	return held
+	return tokens
 }
 
-// HandOver stops a task and gives its lease to another keeper that waits for it.
-func (k *Controller) HandOver(name, to string) {
-	if t := k.term(name); t != nil {
-		slog.Info("keeper: handing over", "lease", name, "to", to)
-		t.HandOver(to)
+// HandOver stops a task and gives its lease to another controller that waits for it.
+func (c *Controller) HandOver(leaseName, to string) {
+	if handle := c.handle(leaseName); handle != nil {
+		slog.Info("controller: handing over task", "lease", leaseName, "to", to)
+		handle.HandOver(to)
 	}
 }
 
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -13,20 +13,16 @@
 	"barleywick/internal/registry/client"
 )
 
-// DrainsLease is the lease of the task that runs drains.
-const DrainsLease = "drains"
-
 const (
-	// drainPollInterval is between two looks for drains that were handed over.
-	drainPollInterval = 500 * time.Millisecond
-	// maxConcurrentDrains bounds them: each waits, most of its time.
-	maxConcurrentDrains = 64
-	// drainRetryDelay is the pause after one that failed.
-	drainRetryDelay = 5 * time.Second
+	drainPollInterval   = 500 * time.Millisecond // between two checks for drains that were handed over
+	maxConcurrentDrains = 64                     // each waits most of its time
+	drainRetryDelay     = 5 * time.Second        // after a drain that failed
+	// stopActPart is the part of a lease's time to live that a stop command may take.
+	stopActPart = 4
 )
 
-// drainTask runs what barleyctl has handed over. Its writes are fenced; to stop a server
-// is a timed act, which is harmless twice by what the stop command has to be.
+// drainTask runs the drains that were handed over to the controllers. Its writes are fenced. To
+// stop a server is a timed act, so the stop command has to be harmless when it runs twice.
 type drainTask struct {
 	config *drain.Config
 	client *client.Client
@@ -35,55 +31,89 @@
 // leasedFleet stops servers only while the lease is held.
 type leasedFleet struct {
 	drain.Fleet
-	term *lease.Handle
-	ttl  time.Duration
+	handle *lease.Handle
 }
 
+// Stop stops a server as an act under the lease.
 func (f leasedFleet) Stop(ctx context.Context, machine, host string) error {
-	return f.term.Do(ctx, f.ttl/4, func(ctx context.Context) error { return f.Fleet.Stop(ctx, machine, host) })
+	return f.handle.Do(ctx, f.handle.TTL()/stopActPart, func(ctx context.Context) error {
+		return f.Fleet.Stop(ctx, machine, host)
+	})
 }
 
-func (t *drainTask) run(ctx context.Context, term *lease.Handle) error {
-	under := t.config.WorkflowWith(fencedRegistry{t.client, term}, drain.OwnerControllers, drainPollInterval, func(e drain.Event) {
-		slog.Info("drain: "+e.String(), "lease", term.LeaseName(), "token", term.Token())
+func (t *drainTask) run(ctx context.Context, handle *lease.Handle) error {
+	workflow := t.config.WorkflowWith(fencedRegistry{t.client, handle}, drain.OwnerControllers, drainPollInterval, func(e drain.Event) {
+		logDrainEvent(e, handle)
 	})
-	under.Fleet = leasedFleet{under.Fleet, term, term.TTL()}
-	var all sync.WaitGroup
-	defer all.Wait()
-	var mu sync.Mutex
-	running := make(map[string]bool)
+	workflow.Fleet = leasedFleet{workflow.Fleet, handle}
+	runner := &drainRunner{workflow: workflow, handle: handle, machines: make(map[string]bool)}
+	defer runner.running.Wait()
 	for {
-		handed, err := under.HandedOver(ctx)
+		drains, err := workflow.HandedOver(ctx)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 		if err != nil {
-			slog.Warn("drains: not read", "lease", term.LeaseName(), "token", term.Token(), "err", err)
+			slog.Warn("drain: record not read", "lease", handle.LeaseName(), "token", handle.Token(), "err", err)
 		}
-		mu.Lock()
-		for _, d := range handed {
-			if running[d.Machine] || len(running) >= maxConcurrentDrains {
-				continue
-			}
-			running[d.Machine] = true
-			all.Go(func() {
-				err := under.Resume(ctx, d)
-				switch {
-				case ctx.Err() != nil:
-				case errors.Is(err, drain.ErrClaimLost), errors.Is(err, drain.ErrTimeout), errors.Is(err, registry.ErrFenced):
-					slog.Info("drain: given up", "machine", d.Machine, "token", term.Token(), "err", err)
-				case err != nil:
-					slog.Warn("drain: hindered", "machine", d.Machine, "token", term.Token(), "err", err)
-					pause(ctx, drainRetryDelay)
-				}
-				mu.Lock()
-				delete(running, d.Machine)
-				mu.Unlock()
-			})
-		}
-		mu.Unlock()
+		runner.start(ctx, drains)
 		if err := pause(ctx, drainPollInterval); err != nil {
 			return err
 		}
 	}
 }
+
+// drainRunner runs drains concurrently, each machine's at most once at a time.
+type drainRunner struct {
+	workflow *drain.Workflow
+	handle   *lease.Handle
+	running  sync.WaitGroup
+
+	mu       sync.Mutex
+	machines map[string]bool // whose drains run
+}
+
+// start starts the drains that do not run yet.
+func (r *drainRunner) start(ctx context.Context, drains []drain.Drain) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, d := range drains {
+		if r.machines[d.Machine] || len(r.machines) >= maxConcurrentDrains {
+			continue
+		}
+		r.machines[d.Machine] = true
+		r.running.Go(func() {
+			r.resume(ctx, d)
+			r.mu.Lock()
+			defer r.mu.Unlock()
+			delete(r.machines, d.Machine)
+		})
+	}
+}
+
+// resume runs a drain until it ends or fails, and delays the next try after a failure.
+func (r *drainRunner) resume(ctx context.Context, d drain.Drain) {
+	err := r.workflow.Resume(ctx, d)
+	switch {
+	case ctx.Err() != nil || err == nil:
+	case errors.Is(err, drain.ErrClaimLost), errors.Is(err, drain.ErrTimeout), errors.Is(err, registry.ErrFenced):
+		slog.Info("drain: stopped", "machine", d.Machine, "token", r.handle.Token(), "err", err)
+	default:
+		slog.Warn("drain: failed", "machine", d.Machine, "token", r.handle.Token(), "err", err)
+		_ = pause(ctx, drainRetryDelay) // where ctx ends, the delay does, too
+	}
+}
+
+func logDrainEvent(e drain.Event, handle *lease.Handle) {
+	log := slog.With("machine", e.Machine, "lease", handle.LeaseName(), "token", handle.Token())
+	switch e.Kind {
+	case drain.EventClaimed:
+		log.Info("drain: claimed", "step", e.Step, "servers", e.Hosts)
+	case drain.EventWaiting, drain.EventNoted:
+		log.Info("drain: waiting", "step", e.Step, "note", e.Note)
+	case drain.EventUndone:
+		log.Info("drain: undone", "servers", e.Hosts)
+	default:
+		log.Info("drain: step reached", "step", e.Step)
+	}
+}
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -14,82 +14,123 @@
 
 	"barleywick/internal/drain"
 	"barleywick/internal/registry"
+	"barleywick/internal/registry/client"
 )
 
-// A drain that was handed over goes on when its keeper is gone, with another.
-func TestDrainGoesOn(t *testing.T) {
+// drainFleet is a registry with a server on each of two machines, and controllers k1 and k2 that
+// run drains.
+type drainFleet struct {
+	client   *client.Client
+	workflow *drain.Workflow
+	stop     map[string]func() // by controller
+
+	mu     sync.Mutex
+	events []string
+}
+
+func startDrainFleet(t *testing.T) *drainFleet {
+	t.Helper()
 	addr, c := startGroup(t, "g")
-	config := filepath.Join(t.TempDir(), "ctl.json")
-	text, _ := json.Marshal(drain.Config{Registry: []string{addr}, Floor: drain.Floor{Default: 1}, MaxRequestMS: 100, LeaseMS: 15000})
-	if err := os.WriteFile(config, text, 0o600); err != nil {
-		t.Fatal(err)
-	}
-	for _, s := range [][2]string{{"s-1", "m-1"}, {"s-2", "m-2"}} {
-		i := registry.Instance{Host: s[0], Dial: "127.0.0.1:1", Site: "a", Health: registry.HealthUp, Share: 1}
-		if _, err := c.Register(t.Context(), registry.RegisterRequest{Instance: i, Machine: s[1]}); err != nil {
+	f := &drainFleet{client: c, stop: make(map[string]func())}
+	for _, s := range []struct{ host, machine string }{{"s-1", "m-1"}, {"s-2", "m-2"}} {
+		instance := registry.Instance{Host: s.host, Dial: "127.0.0.1:1", Site: "a", Health: registry.HealthUp, Share: 1}
+		if _, err := c.Register(t.Context(), registry.RegisterRequest{Instance: instance, Machine: s.machine}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	leave := make(map[string]func())
-	for _, k := range []string{"k1", "k2"} {
-		leave[k] = startKeeper(t, k, addr, fmt.Sprintf("[drains]\nconfig = %q\n", config))
+	path := filepath.Join(t.TempDir(), "fleetctl.json")
+	text, err := json.Marshal(drain.Config{Registry: []string{addr}, Floor: drain.Floor{Default: 1}, MaxRequestMS: 100, LeaseMS: 15000})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		t.Fatal(err)
 	}
-	var first string
-	eventually(t, "the task is held", func() bool { first = holder(t, c, DrainsLease); return first != "" })
-	cfg, err := drain.LoadConfig(config)
+	config, err := drain.LoadConfig(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var mu sync.Mutex
-	var said []string
-	w := cfg.WorkflowWith(c, "operator", 20*time.Millisecond, func(e drain.Event) {
-		mu.Lock()
-		defer mu.Unlock()
-		said = append(said, e.String())
+	f.workflow = config.WorkflowWith(c, "operator", 20*time.Millisecond, func(e drain.Event) {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		f.events = append(f.events, e.String())
 	})
+	for _, name := range []string{"k1", "k2"} {
+		f.stop[name] = startController(t, name, addr, fmt.Sprintf("[drains]\nconfig = %q\n", path))
+	}
+	return f
+}
+
+func (f *drainFleet) marks(t *testing.T) map[string]string {
+	t.Helper()
+	list, err := f.client.Registrations(t.Context())
+	if err != nil {
+		t.Fatal(err)
+	}
+	return list.Marks
+}
+
+// A drain that was handed over goes on with another controller when the one that runs it ends.
+func TestDrainGoesOnWithAnotherController(t *testing.T) {
+	f := startDrainFleet(t)
+	w := f.workflow
+	var first string
+	eventually(t, "the task is held", func() bool { first = holder(t, f.client, DrainsLease); return first != "" })
 	if err := w.HandOver(t.Context(), "m-1", time.Now().Add(patience)); err != nil {
 		t.Fatal(err)
 	}
 	if err := w.HandOver(t.Context(), "m-1", time.Now().Add(patience)); err != nil {
-		t.Errorf("handed over twice: %v", err)
+		t.Errorf("handed over again: got %v, want success", err)
 	}
 	if err := w.HandOver(t.Context(), "m-2", time.Now().Add(patience)); !errors.Is(err, drain.ErrRefused) {
-		t.Errorf("below the floor: %v", err)
+		t.Errorf("below the floor: got %v, want %v", err, drain.ErrRefused)
 	}
 	if err := w.Drain(t.Context(), "m-1"); !errors.Is(err, drain.ErrRefused) || !strings.Contains(err.Error(), "controllers") {
-		t.Errorf("an operator beside the keepers: %v", err)
+		t.Errorf("an operator beside the controllers: got %v, want %v that names them", err, drain.ErrRefused)
 	}
-	eventually(t, "its servers are marked", func() bool {
-		got, err := c.Registrations(t.Context())
-		return err == nil && got.Marks["s-1"] != ""
+	eventually(t, "its server is marked", func() bool { return f.marks(t)["s-1"] != "" })
+	f.stop[first]() // the sidecars count as notified after 6 s, so the drain is far from done
+	eventually(t, "the other controller holds the task", func() bool {
+		h := holder(t, f.client, DrainsLease)
+		return h != "" && h != first
 	})
-	leave[first]() // the sidecars count as told after 6 s: it is far from done
-	eventually(t, "the other keeper has it", func() bool { h := holder(t, c, DrainsLease); return h != "" && h != first })
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
 	if err := w.Follow(ctx, "m-1"); err != nil {
 		t.Fatal(err)
 	}
-	if got := strings.Join(said, "; "); !strings.HasSuffix(got, "m-1: done") {
-		t.Errorf("told: %s", got)
+	if got := strings.Join(f.events, "; "); !strings.HasSuffix(got, "m-1: done") {
+		t.Errorf("got events %s, want the last to be done", got)
 	}
-	// One whose time is up is undone by the keepers, and one that is taken back as well.
 	if err := w.Undrain(t.Context(), "m-1"); err != nil {
 		t.Fatal(err)
 	}
+	if marks := f.marks(t); len(marks) != 0 {
+		t.Errorf("got marks %v, want none", marks)
+	}
+}
+
+// A drain that was handed over is undone by the controllers when its time is up, and by an
+// operator at any time.
+func TestDrainThatWasHandedOverIsUndone(t *testing.T) {
+	f := startDrainFleet(t)
+	w := f.workflow
+	eventually(t, "the task is held", func() bool { return holder(t, f.client, DrainsLease) != "" })
+	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	defer cancel()
 	if err := w.HandOver(t.Context(), "m-1", time.Now().Add(time.Second)); err != nil {
 		t.Fatal(err)
 	}
 	if err := w.Follow(ctx, "m-1"); !errors.Is(err, drain.ErrTimeout) {
-		t.Errorf("out of time: %v", err)
+		t.Errorf("time is up: got %v, want %v", err, drain.ErrTimeout)
 	}
 	if err := w.HandOver(t.Context(), "m-1", time.Now().Add(patience)); err != nil {
 		t.Fatal(err)
 	}
 	if err := w.Undrain(t.Context(), "m-1"); err != nil {
-		t.Errorf("taken back from the keepers: %v", err)
+		t.Errorf("undone by the operator: got %v, want success", err)
 	}
-	if got, err := c.Registrations(t.Context()); err != nil || len(got.Marks) != 0 {
-		t.Errorf("marks are left: %v, %v", got.Marks, err)
+	if marks := f.marks(t); len(marks) != 0 {
+		t.Errorf("got marks %v, want none", marks)
 	}
 }
--- a/internal/controller/fleetview.go
+++ b/internal/controller/fleetview.go
@@ -15,165 +15,178 @@
 	"barleywick/internal/registry/client"
 )
 
-// fleetView is what a keeper does with what its membership tells. Leases never rest on that:
-// what it sees with its own eyes, the end of a process on its own machine, ends that
-// process's claims; all else makes it more careful, and nothing more. A nil fleetView tells
-// nothing.
-type fleetView struct {
-	node    *gossip.Node
-	client  *client.Client
-	changed chan struct{}
-}
-
 const (
-	// releaseTimeout is for one call that ends a claim.
+	// releaseTimeout is for the calls that release the claims of one controller.
 	releaseTimeout = 2 * time.Second
-	// actMargin is beyond what a keeper's longest timed act may take: what it had sent when
-	// it ended is on its way still.
+	// actMargin is added to a controller's longest timed act, since what it had sent when it
+	// ended may still be on its way.
 	actMargin = 50 * time.Millisecond
+	// dialTimeout is for a connection to ask a replica for its view of the fleet.
+	dialTimeout = time.Second
 )
 
-// maxActTime is how long a timed act of this keeper may take.
-func (c *Config) maxActTime() time.Duration {
-	if c.MaxActMS > 0 {
-		return time.Duration(c.MaxActMS) * time.Millisecond
-	}
-	longest := 100 * time.Millisecond // an answer to a digest, a look at a lock
-	if c.Health != nil {
-		longest = max(longest, time.Duration(c.Health.TimeoutMS)*time.Millisecond)
-	}
-	if c.Drains != nil {
-		longest = max(longest, c.leaseTTL()/4) // a stop command's part
-	}
-	return longest
+// fleetView is what a controller does with its membership of the fleet. Leases do not rest on
+// it, with one exception: a controller that itself sees the end of another one's process, on
+// its own machine, releases that one's claims. Otherwise the view only makes it more careful.
+// A nil fleetView knows nothing.
+type fleetView struct {
+	node    *gossip.Node
+	client  *client.Client
+	changed chan struct{}
 }
 
-func joinFleet(c *Config, k *Controller) (*fleetView, error) {
-	f := &fleetView{client: k.client, changed: make(chan struct{}, 1)}
-	var urls []string
-	for _, at := range c.Registry {
-		urls = append(urls, "http://"+at+registry.APIPath+membership.ViewPath)
+// joinFleet makes a controller a member of the fleet.
+func joinFleet(config *Config, c *Controller) (*fleetView, error) {
+	f := &fleetView{client: c.client, changed: make(chan struct{}, 1)}
+	var views []string
+	for _, replica := range config.Registry {
+		views = append(views, "http://"+replica+registry.APIPath+membership.ViewPath)
 	}
-	asks := &http.Client{Transport: &http.Transport{DialContext: c.Routes.Dial(time.Second), DisableKeepAlives: true}}
+	httpClient := &http.Client{Transport: &http.Transport{DialContext: config.Routes.Dial(dialTimeout), DisableKeepAlives: true}}
 	var err error
 	f.node, err = gossip.Start(gossip.Options{
-		Config: *c.Membership, WatchProcesses: true, FindSeeds: membership.SeedsFromViews(asks, urls),
+		Config: *config.Membership, WatchProcesses: true, FindSeeds: membership.SeedsFromViews(httpClient, views),
 		Self: membership.Info{
-			Name: c.Name, Incarnation: k.member.Holder.Incarnation, Role: membership.RoleController,
-			HTTPAddr: c.Listen, LongestActMS: c.maxActTime().Milliseconds(),
+			Name: config.Name, Incarnation: c.leases.Holder.Incarnation, Role: membership.RoleController,
+			HTTPAddr: config.Listen, LongestActMS: config.longestAct().Milliseconds(),
 		},
 		OnChange: func() {
-			for _, kick := range []chan struct{}{f.changed, k.membersChanged} {
-				select {
-				case kick <- struct{}{}:
-				default:
-				}
-			}
+			notify(f.changed)
+			notify(c.membersChanged)
 		},
 	})
 	return f, err
 }
 
-// run is a member until ctx ends, and ends the claims of keepers whose processes it sees end.
+// notify leaves a notification in a channel that holds one.
+func notify(changed chan<- struct{}) {
+	select {
+	case changed <- struct{}{}:
+	default:
+	}
+}
+
+// run is a member of the fleet until ctx ends, and releases the claims of controllers whose
+// processes it sees end.
 func (f *fleetView) run(ctx context.Context) {
-	var tasks sync.WaitGroup
-	defer tasks.Wait()
-	tasks.Go(func() {
+	var running sync.WaitGroup
+	defer running.Wait()
+	running.Go(func() {
 		if err := f.node.Run(ctx); err != nil {
-			slog.Error("members: this keeper is one no more", "err", err)
+			slog.Error("members: membership ended", "err", err)
 		}
 	})
-	buried := make(map[string]bool)
+	released := make(map[string]bool) // by member
 	for {
 		select {
 		case <-f.changed:
 		case <-ctx.Done():
 			return
 		}
-		own := f.node.Self().Key()
-		known := make(map[string]bool)
-		for _, s := range f.node.Members() {
-			key := s.Key()
-			known[key] = true
-			if s.Role != membership.RoleController || buried[key] || !sawProcessEnd(s, own) {
-				continue
-			}
-			buried[key] = true
-			tasks.Go(func() { f.releaseClaims(ctx, s) })
+		for _, m := range f.endedControllers(released) {
+			running.Go(func() { f.releaseClaims(ctx, m) })
 		}
-		for key := range buried {
-			if !known[key] {
-				delete(buried, key)
-			}
+	}
+}
+
+// endedControllers returns the controllers that were seen to end and are not in released, and
+// notes them there. It forgets those in released that the view does not have any more.
+func (f *fleetView) endedControllers(released map[string]bool) []membership.Member {
+	self := f.node.Self().Key()
+	known := make(map[string]bool)
+	var ended []membership.Member
+	for _, m := range f.node.Members() {
+		key := m.Key()
+		known[key] = true
+		if m.Role == membership.RoleController && !released[key] && sawProcessEnd(m, self) {
+			released[key] = true
+			ended = append(ended, m)
+		}
+	}
+	for key := range released {
+		if !known[key] {
+			delete(released, key)
 		}
 	}
+	return ended
 }
 
-// sawProcessEnd says whether this process itself has seen a member's process end. The word of
-// others is none on which a lease may end.
-func sawProcessEnd(s membership.Member, own string) bool {
-	return s.Status == membership.StatusEnded && s.By == own || mutation.GossipRemoves && s.Status == membership.StatusUnreachable
+// sawProcessEnd reports whether this process itself has seen a member's process end. No lease
+// may end because another member says so.
+func sawProcessEnd(m membership.Member, self string) bool {
+	if mutation.GossipRemoves && m.Status == membership.StatusUnreachable {
+		return true
+	}
+	return m.Status == membership.StatusEnded && m.By == self
 }
 
-// releaseClaims ends the claims of a keeper whose process has ended, once what it had sent has
-// come to an end too: the next in line need not wait for the rest of the lease.
-func (f *fleetView) releaseClaims(ctx context.Context, s membership.Member) {
-	if pause(ctx, time.Duration(s.LongestActMS)*time.Millisecond+actMargin) != nil {
+// releaseClaims releases the claims of a controller whose process has ended, once the acts that
+// it had begun have ended, too. The next controller then need not wait for the leases to expire.
+func (f *fleetView) releaseClaims(ctx context.Context, m membership.Member) {
+	if pause(ctx, time.Duration(m.LongestActMS)*time.Millisecond+actMargin) != nil {
 		return
 	}
-	in, cancel := context.WithTimeout(ctx, releaseTimeout)
+	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	all, err := f.client.Leases(in, 0, 0)
+	leases, err := f.client.Leases(ctx, 0, 0)
 	if err != nil {
-		slog.Warn("members: a keeper that has ended keeps its leases until their time is up", "keeper", s.Name, "err", err)
+		slog.Warn("members: claims of ended controller not read", "controller", m.Name, "err", err)
 		return
 	}
-	dead := registry.Holder{Name: s.Name, Incarnation: s.Incarnation}
-	ended := 0
-	for _, l := range all.Leases {
-		claims := l.Queue
-		if l.Grant != nil {
-			claims = append(claims, l.Grant.Claim)
-		}
-		for _, c := range claims {
-			if c.Holder != dead {
-				continue
-			}
-			err := f.client.Release(in, l.Name, registry.ReleaseRequest{ClaimID: c.ID, Holder: dead})
+	holder := registry.Holder{Name: m.Name, Incarnation: m.Incarnation}
+	released := 0
+	for _, l := range leases.Leases {
+		for _, claimID := range claimsOf(l, holder) {
+			err := f.client.Release(ctx, l.Name, registry.ReleaseRequest{ClaimID: claimID, Holder: holder})
 			if err != nil && !errors.Is(err, registry.ErrNotFound) {
-				slog.Warn("members: a claim of a keeper that has ended goes on", "lease", l.Name, "keeper", s.Name, "err", err)
+				slog.Warn("members: claim of ended controller not released", "lease", l.Name, "controller", m.Name, "err", err)
 				continue
 			}
-			ended++
+			released++
+		}
+	}
+	slog.Info("members: claims of ended controller released", "controller", m.Name, "incarnation", m.Incarnation, "claims", released)
+}
+
+// claimsOf returns the ids of a holder's claims on a lease.
+func claimsOf(l registry.Lease, holder registry.Holder) []string {
+	var ids []string
+	for _, claim := range l.Queue {
+		if claim.Holder == holder {
+			ids = append(ids, claim.ID)
 		}
 	}
-	slog.Info("members: a keeper's process has ended, and so have its claims", "keeper", s.Name, "incarnation", s.Incarnation, "claims", ended)
+	if l.Grant != nil && l.Grant.Holder == holder {
+		ids = append(ids, l.Grant.ID)
+	}
+	return ids
 }
 
-// hasEnded says whether a holder is sure to have hasEnded, by anybody's word: nothing more is
-// handed to it, or expected of it.
+// hasEnded reports whether a holder is certain to have ended, according to any member. Nothing
+// is handed over to it any more.
 func (f *fleetView) hasEnded(h registry.Holder) bool {
-	s, ok := f.standing(h)
-	return ok && (s.Status == membership.StatusEnded || s.Status == membership.StatusLeft)
+	m, known := f.member(h)
+	return known && (m.Status == membership.StatusEnded || m.Status == membership.StatusLeft)
 }
 
-// canReceive says whether a holder may be handed something: whoever is not known may.
+// canReceive reports whether a task may be handed over to a holder. One that is not known may
+// receive it.
 func (f *fleetView) canReceive(h registry.Holder) bool {
-	s, ok := f.standing(h)
-	return !ok || s.Status == membership.StatusPresent
+	m, known := f.member(h)
+	return !known || m.Status == membership.StatusPresent
 }
 
-func (f *fleetView) standing(h registry.Holder) (s membership.Member, ok bool) {
+func (f *fleetView) member(h registry.Holder) (m membership.Member, known bool) {
 	if f == nil {
-		return s, false
+		return membership.Member{}, false
 	}
 	return f.node.Get(membership.Info{Name: h.Name, Incarnation: h.Incarnation}.Key())
 }
 
-// inMinority says that more than half of the fleet's members are lost from here.
+// inMinority reports whether more than half of the fleet's members are unreachable from here.
 func (f *fleetView) inMinority() bool { return f != nil && f.node.Partition().Minority() }
 
-// sidecarCount is how many sidecarCount are there, as far as is seen here; 0: nothing is.
+// sidecarCount returns how many sidecars are present as seen from here; 0: not known.
 func (f *fleetView) sidecarCount() int {
 	if f == nil {
 		return 0
@@ -181,7 +194,7 @@
 	return f.node.CountRole(membership.RoleSidecar)
 }
 
-// suspectedServers are booking servers that a member has not heard from lately.
+// suspectedServers returns the booking servers that some member got no answer from lately.
 func (f *fleetView) suspectedServers() []string {
 	if f == nil {
 		return nil
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -18,142 +18,153 @@
 	"barleywick/internal/registry/client"
 )
 
-// healthShards is into how many tasks the checking of booking servers is cut: enough
-// that a handful of keepers have even parts.
-const healthShards = 8
+const (
+	// healthShards is into how many tasks the health checks of booking servers are divided:
+	// enough that a handful of controllers have even parts.
+	healthShards = 8
+	// suspicionPollInterval is between two checks for a reason to probe out of turn.
+	suspicionPollInterval = 250 * time.Millisecond
+)
 
-// HealthAdvice is what the checker says of one booking server. It removes nothing: who reads
-// it decides.
+// HealthAdvice is what the health check says of one booking server. It removes nothing: who
+// reads it decides.
 type HealthAdvice struct {
-	ConsecutiveFailures int    `json:"failures"` // probes in a row
-	SinceMS             int64  `json:"since_ms"` // the first of them
-	LastError           string `json:"said"`     // what the last one met
+	ConsecutiveFailures int    `json:"failures"` // of probes
+	SinceMS             int64  `json:"since_ms"` // the time of the first of them, in Unix milliseconds
+	LastError           string `json:"said"`     // of the last probe
 }
 
-// HealthRecordKey is the record that holds a shard's advice, by host. One without advice is well.
+// HealthRecordKey is the registry's record that holds a shard's advice, by host. A server
+// without advice is healthy.
 func HealthRecordKey(shard int) string { return fmt.Sprint("health:", shard) }
 
 // healthTask probes the booking servers of one shard. A probe is a timed act: one too many
 // costs a server a fifth of a millisecond.
 type healthTask struct {
-	config          HealthConfig
-	client          *client.Client
-	fleet           *fleetView
-	shard           int
-	probedOutOfTurn map[string]bool // out of turn, for a word that lasts still
+	config HealthConfig
+	client *client.Client
+	fleet  *fleetView
+	shard  int
 }
 
-func (h *healthTask) leaseName() string { return fmt.Sprintf("health-%d", h.shard) }
+func (t *healthTask) leaseName() string { return fmt.Sprintf("health-%d", t.shard) }
 
-func (h *healthTask) ownsServer(host string) bool {
-	return xxhash.Sum64String(host)%healthShards == uint64(h.shard)
+func (t *healthTask) ownsServer(host string) bool {
+	return xxhash.Sum64String(host)%healthShards == uint64(t.shard)
 }
 
-func (h *healthTask) run(ctx context.Context, term *lease.Handle) error {
-	timeout := time.Duration(h.config.TimeoutMS) * time.Millisecond
-	every := time.Duration(h.config.IntervalMS) * time.Millisecond
-	c := &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	r := fencedRegistry{h.client, term}
-	failing := make(map[string]HealthAdvice)
-	h.probedOutOfTurn = make(map[string]bool)
-	written := ""
-	// Each write names the version that it replaces: one that is repeated late would
-	// take back what came after it.
-	var version uint64
-	if was, err := r.Record(ctx, HealthRecordKey(h.shard)); err == nil {
-		version = was.Version
-	} else if !errors.Is(err, registry.ErrNotFound) {
-		return fmt.Errorf("advice: %w", err)
+func (t *healthTask) run(ctx context.Context, handle *lease.Handle) error {
+	timeout := time.Duration(t.config.TimeoutMS) * time.Millisecond
+	p := &prober{
+		healthTask:      t,
+		handle:          handle,
+		registry:        fencedRegistry{t.client, handle},
+		http:            &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true}},
+		timeout:         timeout,
+		interval:        time.Duration(t.config.IntervalMS) * time.Millisecond,
+		failing:         make(map[string]HealthAdvice),
+		probedOutOfTurn: make(map[string]bool),
+	}
+	if err := p.readVersion(ctx); err != nil {
+		return err
 	}
-	look := func(e registry.Registration) error {
-		var met error
-		if err := term.Do(ctx, timeout, func(ctx context.Context) error { met = probe(ctx, c, e.Dial); return nil }); err != nil {
+	for {
+		if err := p.round(ctx); err != nil {
 			return err
 		}
-		if met == nil || ctx.Err() != nil {
-			delete(failing, e.Host)
-			return nil
-		}
-		a := failing[e.Host]
-		if a.ConsecutiveFailures++; a.ConsecutiveFailures == 1 {
-			a.SinceMS = time.Now().UnixMilli()
-		}
-		a.LastError = met.Error()
-		failing[e.Host] = a
-		return nil
 	}
-	for {
-		began := time.Now()
-		list, err := r.Registrations(ctx)
-		if err != nil {
-			if ctx.Err() != nil {
-				return ctx.Err()
-			}
-			slog.Warn("health: the list cannot be read", "lease", term.LeaseName(), "err", err)
+}
+
+// prober is a health task while its lease is held.
+type prober struct {
+	*healthTask
+	handle            *lease.Handle
+	registry          fencedRegistry
+	http              *http.Client
+	timeout, interval time.Duration
+
+	failing         map[string]HealthAdvice // by host: servers whose last probe failed
+	probedOutOfTurn map[string]bool         // by host: while the suspicion lasts
+	version         uint64                  // of the record
+	published       []string                // the hosts that the record names
+	hasPublished    bool
+}
+
+// readVersion reads which version the first write replaces. Each write names that version, since
+// one that is repeated late must not replace what came after it.
+func (p *prober) readVersion(ctx context.Context) error {
+	current, err := p.registry.Record(ctx, HealthRecordKey(p.shard))
+	if err != nil && !errors.Is(err, registry.ErrNotFound) {
+		return fmt.Errorf("advice: %w", err)
+	}
+	p.version = current.Version
+	return nil
+}
+
+// round probes each server of the shard once, and publishes the advice.
+func (p *prober) round(ctx context.Context) error {
+	began := time.Now()
+	servers, err := p.servers(ctx)
+	if err != nil {
+		if ctx.Err() != nil {
+			return ctx.Err()
 		}
-		list.Registrations = slices.DeleteFunc(list.Registrations, func(e registry.Registration) bool { return !h.ownsServer(e.Host) })
-		maps.DeleteFunc(failing, func(host string, _ HealthAdvice) bool {
-			return err == nil && !slices.ContainsFunc(list.Registrations, func(e registry.Registration) bool { return e.Host == host })
+		slog.Warn("controller: endpoint list not read", "lease", p.handle.LeaseName(), "err", err)
+	} else {
+		maps.DeleteFunc(p.failing, func(host string, _ HealthAdvice) bool {
+			_, registered := findServer(servers, host)
+			return !registered
 		})
-		for i, e := range list.Registrations {
-			// Spread over the whole time, so that no two servers are asked at once.
-			if err := h.wait(ctx, began.Add(every*time.Duration(i)/time.Duration(len(list.Registrations))), list.Registrations, look); err != nil {
-				return err
-			}
-			if err := look(e); err != nil {
-				return err
-			}
-		}
-		advice := maps.Clone(failing)
-		maps.DeleteFunc(advice, func(_ string, a HealthAdvice) bool { return a.ConsecutiveFailures < h.config.Failures })
-		if text, key := h.encodeAdvice(advice); key != written {
-			if version, err = r.Put(ctx, HealthRecordKey(h.shard), text, &version); err != nil {
-				return fmt.Errorf("advice: %w", err)
-			}
-			written = key
-			slog.Info("health: advice", "lease", term.LeaseName(), "token", term.Token(), "failing", slices.Sorted(maps.Keys(advice)))
+	}
+	for i, server := range servers {
+		// Spread over the interval, so that no two servers are probed at once.
+		turn := began.Add(p.interval * time.Duration(i) / time.Duration(len(servers)))
+		if err := p.wait(ctx, turn, servers); err != nil {
+			return err
 		}
-		if err := h.wait(ctx, began.Add(every), list.Registrations, look); err != nil {
+		if err := p.probe(ctx, server); err != nil {
 			return err
 		}
 	}
+	if err := p.publish(ctx); err != nil {
+		return err
+	}
+	return p.wait(ctx, began.Add(p.interval), servers)
 }
 
-// suspicionPollInterval is between two looks for a reason to probe out of turn.
-const suspicionPollInterval = 250 * time.Millisecond
+// servers returns the servers of the shard.
+func (p *prober) servers(ctx context.Context) ([]registry.Registration, error) {
+	list, err := p.registry.Registrations(ctx)
+	if err != nil {
+		return nil, err
+	}
+	return slices.DeleteFunc(list.Registrations, func(server registry.Registration) bool { return !p.ownsServer(server.Host) }), nil
+}
 
-// wait waits for a server's turn. Meanwhile servers that some member of the fleet has not
-// heard from are looked at out of turn, each once as long as that word lasts.
-func (h *healthTask) wait(ctx context.Context, until time.Time, all []registry.Registration, look func(registry.Registration) error) error {
-	found := func(host string) (registry.Registration, bool) {
-		i := slices.IndexFunc(all, func(e registry.Registration) bool { return e.Host == host })
-		if i < 0 {
-			return registry.Registration{}, false
-		}
-		return all[i], true
+func findServer(servers []registry.Registration, host string) (server registry.Registration, found bool) {
+	i := slices.IndexFunc(servers, func(s registry.Registration) bool { return s.Host == host })
+	if i < 0 {
+		return registry.Registration{}, false
 	}
+	return servers[i], true
+}
+
+// wait waits until a time. Meanwhile it probes servers out of turn that some member of the fleet
+// got no answer from, each once while that suspicion lasts.
+func (p *prober) wait(ctx context.Context, until time.Time, servers []registry.Registration) error {
 	for left := time.Until(until); left > 0; left = time.Until(until) {
 		if err := pause(ctx, min(left, suspicionPollInterval)); err != nil {
 			return err
 		}
-		reasons := h.fleet.suspectedServers()
-		maps.DeleteFunc(h.probedOutOfTurn, func(host string, _ bool) bool { return !slices.Contains(reasons, host) })
-		for _, host := range reasons {
-			if !h.ownsServer(host) || h.probedOutOfTurn[host] {
+		suspected := p.fleet.suspectedServers()
+		maps.DeleteFunc(p.probedOutOfTurn, func(host string, _ bool) bool { return !slices.Contains(suspected, host) })
+		for _, host := range suspected {
+			if !p.ownsServer(host) || p.probedOutOfTurn[host] {
 				continue
 			}
-			h.probedOutOfTurn[host] = true
-			e, ok := found(host)
-			if !ok { // it may have come since the list was read
-				if list, err := h.client.Registrations(ctx); err == nil {
-					all = list.Registrations
-				}
-				if e, ok = found(host); !ok {
-					continue
-				}
-			}
-			slog.Info("health: a member does not hear from a server", "host", host, "lease", h.leaseName())
-			if err := look(e); err != nil {
+			p.probedOutOfTurn[host] = true
+			var err error
+			if servers, err = p.probeSuspected(ctx, host, servers); err != nil {
 				return err
 			}
 		}
@@ -161,19 +172,49 @@
 	return nil
 }
 
-// encodeAdvice is the advice to be written, and what of it tells it from other advice: not how
-// often a server has failed since, which would be a write each time.
-func (h *healthTask) encodeAdvice(advice map[string]HealthAdvice) (text []byte, key string) {
-	text, err := json.Marshal(advice)
+// probeSuspected probes a server out of turn. If it is not among the known servers, it reads
+// them again, and returns them.
+func (p *prober) probeSuspected(ctx context.Context, host string, servers []registry.Registration) ([]registry.Registration, error) {
+	server, found := findServer(servers, host)
+	if !found {
+		if list, err := p.client.Registrations(ctx); err == nil {
+			servers = list.Registrations
+		}
+		if server, found = findServer(servers, host); !found {
+			return servers, nil
+		}
+	}
+	slog.Info("controller: probing suspected server", "host", host, "lease", p.leaseName())
+	return servers, p.probe(ctx, server)
+}
+
+// probe probes a server, and notes whether it fails. It returns an error if the lease does not
+// allow the probe.
+func (p *prober) probe(ctx context.Context, server registry.Registration) error {
+	var failure error
+	err := p.handle.Do(ctx, p.timeout, func(ctx context.Context) error {
+		failure = checkLive(ctx, p.http, server.Dial)
+		return nil
+	})
 	if err != nil {
-		panic(fmt.Sprintf("keeper: advice that cannot be written: %v", err)) // numbers and texts can
+		return err
 	}
-	return text, fmt.Sprint(slices.Sorted(maps.Keys(advice)))
+	if failure == nil || ctx.Err() != nil {
+		delete(p.failing, server.Host)
+		return nil
+	}
+	advice := p.failing[server.Host]
+	if advice.ConsecutiveFailures++; advice.ConsecutiveFailures == 1 {
+		advice.SinceMS = time.Now().UnixMilli()
+	}
+	advice.LastError = failure.Error()
+	p.failing[server.Host] = advice
+	return nil
 }
 
-// probe asks a server whether it is there.
-func probe(ctx context.Context, c *http.Client, dial string) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+dial+"/health/live", nil)
+// checkLive asks a server whether it is alive.
+func checkLive(ctx context.Context, c *http.Client, address string) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/health/live", nil)
 	if err != nil {
 		return err
 	}
@@ -182,8 +223,29 @@
 		return err
 	}
 	resp.Body.Close()
-	if resp.StatusCode >= 500 { // 404: its settings allow no probes, and it is there
+	if resp.StatusCode >= http.StatusInternalServerError { // 404: its settings allow no probes, but it is alive
 		return fmt.Errorf("answers %d", resp.StatusCode)
 	}
 	return nil
 }
+
+// publish writes the advice if it names other servers than before. A further failure of the same
+// servers is no reason for a write.
+func (p *prober) publish(ctx context.Context) error {
+	advice := maps.Clone(p.failing)
+	maps.DeleteFunc(advice, func(_ string, a HealthAdvice) bool { return a.ConsecutiveFailures < p.config.Failures })
+	hosts := slices.Sorted(maps.Keys(advice))
+	if p.hasPublished && slices.Equal(hosts, p.published) {
+		return nil
+	}
+	text, err := json.Marshal(advice)
+	if err != nil {
+		return fmt.Errorf("advice: %w", err)
+	}
+	if p.version, err = p.registry.Put(ctx, HealthRecordKey(p.shard), text, &p.version); err != nil {
+		return fmt.Errorf("advice: %w", err)
+	}
+	p.published, p.hasPublished = hosts, true
+	slog.Info("controller: health advice changed", "lease", p.handle.LeaseName(), "token", p.handle.Token(), "failing", hosts)
+	return nil
+}
--- a/internal/controller/helpers_test.go
+++ b/internal/controller/helpers_test.go
@@ -28,22 +28,24 @@
 	t.Helper()
 	for deadline := time.Now().Add(patience); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited in vain until %s", what)
+			t.Fatalf("after %v it does not hold that %s", patience, what)
 		}
 	}
 }
 
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return ln
+}
+
 // startGroup runs a registry of one replica until the test ends.
 func startGroup(t *testing.T, name string) (addr string, c *client.Client) {
 	t.Helper()
-	listen := func() net.Listener {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		return ln
-	}
-	ln, raft := listen(), listen()
+	ln, raft := listen(t), listen(t)
 	text, err := json.Marshal(map[string]any{
 		"group": name, "id": "r", "data": t.TempDir(), "timing": map[string]any{"election_ms": 100}, "leases": map[string]any{"most_ttl_ms": 1000},
 		"replicas": []registry.ReplicaInfo{{ID: "r", HTTP: ln.Addr().String(), Raft: raft.Addr().String()}},
@@ -75,11 +77,11 @@
 	return addr, c
 }
 
-// startKeeper runs one until the test ends, or until it is left.
-func startKeeper(t *testing.T, name, addr, rest string) (leave func()) {
+// startController runs a controller until the test ends, or until it is stopped.
+func startController(t *testing.T, name, registryAddr, moreConfig string) (stop func()) {
 	t.Helper()
-	path := filepath.Join(t.TempDir(), "k.toml")
-	text := fmt.Sprintf("name = %q\nregistry = [%q]\nlease_ms = 1000\n%s", name, addr, rest)
+	path := filepath.Join(t.TempDir(), "controller.toml")
+	text := fmt.Sprintf("name = %q\nregistry = [%q]\nlease_ms = 1000\n%s", name, registryAddr, moreConfig)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -88,26 +90,27 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan error, 1)
-	go func() { over <- Serve(ctx, c) }()
-	leave = sync.OnceFunc(func() {
+	ended := make(chan error, 1)
+	go func() { ended <- Serve(ctx, c) }()
+	stop = sync.OnceFunc(func() {
 		cancel()
-		if err := <-over; err != nil {
+		if err := <-ended; err != nil {
 			t.Error(err)
 		}
 	})
-	t.Cleanup(leave)
-	return leave
+	t.Cleanup(stop)
+	return stop
 }
 
-func holder(t *testing.T, c *client.Client, name string) string {
+// holder returns the name of a lease's holder, empty if there is none.
+func holder(t *testing.T, c *client.Client, leaseName string) string {
 	t.Helper()
-	all, err := c.Leases(t.Context(), 0, 0)
+	leases, err := c.Leases(t.Context(), 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, l := range all.Leases {
-		if l.Name == name && l.Grant != nil {
+	for _, l := range leases.Leases {
+		if l.Name == leaseName && l.Grant != nil {
 			return l.Grant.Name
 		}
 	}
--- a/internal/controller/listcache.go
+++ b/internal/controller/listcache.go
@@ -20,128 +20,166 @@
 	"barleywick/internal/registry"
 )
 
-// ListCache is a folder of copies of the registry's contents, which several processes may
-// write to: a file holds the highest token seen, and a lower one is refused under its
-// lock. A copy is restored as it is; beside each stands its checksum, as sha256sum
-// writes it, and one without is not whole.
+// ListCache is a folder of copies of the registry's contents, which several processes may write
+// to. A file in it holds the highest fencing token that has written; under its lock, a lower one
+// is rejected. A copy can be restored as it is. Beside each is its checksum, as sha256sum
+// writes it; a copy without one is incomplete.
 type ListCache struct {
 	Dir  string
-	Keep int
+	Keep int // how many copies stay
 }
 
+// Names of the files in the folder.
+const (
+	fenceFile      = "fence"
+	copyPrefix     = "registry-"
+	copySuffix     = ".json"
+	checksumSuffix = ".sha256"
+	copyTimeFormat = "20060102T150405.000000Z"
+	copyPattern    = copyPrefix + "*" + copySuffix
+)
+
 const (
-	fenceFile         = "fence"
-	cachePrefix       = "registry-"
-	cacheSuffix       = ".json"
-	checksumSuffix    = ".sha256"
 	lockRetryInterval = 20 * time.Millisecond
+	maxFenceBytes     = 64
 )
 
-// Save writes a copy under a token, and removes the oldest beyond those that are kept.
+// Save writes a copy under a fencing token, and removes the oldest copies beyond those to keep.
 func (c *ListCache) Save(ctx context.Context, token uint64, at time.Time, text []byte) (path string, err error) {
 	if err := os.MkdirAll(c.Dir, 0o700); err != nil {
-		return "", fmt.Errorf("copies: %w", err)
+		return "", fmt.Errorf("list cache: %w", err)
 	}
 	unlock, err := c.lock(ctx, token)
 	if err != nil {
 		return "", err
 	}
 	defer unlock()
-	path = filepath.Join(c.Dir, cachePrefix+at.UTC().Format("20060102T150405.000000Z")+cacheSuffix)
-	sum := sha256.Sum256(text)
-	if err := renameio.WriteFile(path, text, 0o600); err != nil {
-		return "", fmt.Errorf("copies: %w", err)
+	path = filepath.Join(c.Dir, copyPrefix+at.UTC().Format(copyTimeFormat)+copySuffix)
+	if err := writeCopy(path, text); err != nil {
+		return "", fmt.Errorf("list cache: %w", err)
 	}
-	line := fmt.Sprintf("%s  %s\n", hex.EncodeToString(sum[:]), filepath.Base(path))
-	if err := renameio.WriteFile(path+checksumSuffix, []byte(line), 0o600); err != nil {
-		return "", fmt.Errorf("copies: %w", err)
+	return path, c.removeOldest()
+}
+
+// writeCopy writes a copy, and then its checksum, which makes it complete.
+func writeCopy(path string, text []byte) error {
+	if err := renameio.WriteFile(path, text, 0o600); err != nil {
+		return err
 	}
-	all, err := c.Paths()
+	line := fmt.Sprintf("%s  %s\n", checksum(text), filepath.Base(path))
+	return renameio.WriteFile(path+checksumSuffix, []byte(line), 0o600)
+}
+
+func checksum(text []byte) string {
+	sum := sha256.Sum256(text)
+	return hex.EncodeToString(sum[:])
+}
+
+// removeOldest removes the oldest copies beyond those to keep, the checksum first.
+func (c *ListCache) removeOldest() error {
+	paths, err := c.Paths()
 	if err != nil {
-		return path, err
+		return err
 	}
-	for _, old := range all[:max(0, len(all)-c.Keep)] {
-		if err := errors.Join(os.Remove(old+checksumSuffix), os.Remove(old)); err != nil { // first what says that it is whole
-			return path, fmt.Errorf("copies: %w", err)
+	for _, path := range paths[:max(0, len(paths)-c.Keep)] {
+		if err := errors.Join(os.Remove(path+checksumSuffix), os.Remove(path)); err != nil {
+			return fmt.Errorf("list cache: %w", err)
 		}
 	}
-	return path, nil
+	return nil
 }
 
-// lock takes the folder for a token, unless a higher one has been here.
+// lock locks the folder for a fencing token. It returns registry.ErrFenced if a higher one has
+// written.
 func (c *ListCache) lock(ctx context.Context, token uint64) (unlock func(), err error) {
 	f, err := os.OpenFile(filepath.Join(c.Dir, fenceFile), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("copies: %w", err)
+		return nil, fmt.Errorf("list cache: %w", err)
 	}
-	defer func() {
-		if err != nil {
-			f.Close()
-		}
-	}()
+	if err = lockFile(ctx, f); err == nil {
+		err = raiseFence(f, token)
+	}
+	if err != nil {
+		f.Close()
+		return nil, fmt.Errorf("list cache: %w", err)
+	}
+	return func() { f.Close() }, nil // which unlocks it
+}
+
+// lockFile waits for the lock until ctx ends, because a process that was stopped may hold it.
+func lockFile(ctx context.Context, f *os.File) error {
 	for {
 		err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB)
-		if err == nil {
-			break
+		switch {
+		case err == nil:
+			return nil
+		case !errors.Is(err, unix.EWOULDBLOCK):
+			return fmt.Errorf("lock: %w", err)
 		}
-		if !errors.Is(err, unix.EWOULDBLOCK) {
-			return nil, fmt.Errorf("copies: lock: %w", err)
-		}
-		if err := pause(ctx, lockRetryInterval); err != nil { // a process that was stopped may have it
-			return nil, fmt.Errorf("copies: another process has the folder: %w", err)
+		if err := pause(ctx, lockRetryInterval); err != nil {
+			return fmt.Errorf("another process has locked the folder: %w", err)
 		}
 	}
-	text, err := io.ReadAll(io.LimitReader(f, 64))
+}
+
+// raiseFence sets the token in a fence file, unless a higher one is in it.
+func raiseFence(f *os.File, token uint64) error {
+	highest, err := readFence(f)
 	if err != nil {
-		return nil, fmt.Errorf("copies: %w", err)
+		return err
 	}
-	seen := uint64(0)
-	if len(text) > 0 {
-		if seen, err = strconv.ParseUint(strings.TrimSpace(string(text)), 10, 64); err != nil {
-			return nil, fmt.Errorf("copies: %s is spoilt: it has to hold the highest token; remove it when no other keeper runs", f.Name())
-		}
+	if token < highest {
+		return fmt.Errorf("%w: token %d, the folder has seen %d", registry.ErrFenced, token, highest)
 	}
-	if token < seen {
-		return nil, fmt.Errorf("copies: %w: token %d, the folder has seen %d", registry.ErrFenced, token, seen)
+	if token == highest {
+		return nil
 	}
-	if token > seen { // as wide as any, so that it is written whole or not at all
-		if _, err := f.WriteAt(fmt.Appendf(nil, "%020d\n", token), 0); err != nil {
-			return nil, fmt.Errorf("copies: %w", err)
-		}
-		if err := f.Sync(); err != nil {
-			return nil, fmt.Errorf("copies: %w", err)
-		}
+	// All tokens have the same width, so that the write replaces the whole text.
+	if _, err := f.WriteAt(fmt.Appendf(nil, "%020d\n", token), 0); err != nil {
+		return err
+	}
+	return f.Sync()
+}
+
+// readFence reads the token of a fence file; 0 if the file is new.
+func readFence(f *os.File) (uint64, error) {
+	text, err := io.ReadAll(io.LimitReader(f, maxFenceBytes))
+	if err != nil || len(text) == 0 {
+		return 0, err
+	}
+	token, err := strconv.ParseUint(strings.TrimSpace(string(text)), 10, 64)
+	if err != nil {
+		return 0, fmt.Errorf("%s is corrupt: it has to hold the highest token; remove it when no other controller runs", f.Name())
 	}
-	return func() { f.Close() }, nil
+	return token, nil
 }
 
-// Paths returns the paths of all whole copies, the oldest first.
+// Paths returns the paths of all complete copies, the oldest first.
 func (c *ListCache) Paths() ([]string, error) {
-	all, err := filepath.Glob(filepath.Join(c.Dir, cachePrefix+"*"+cacheSuffix))
+	paths, err := filepath.Glob(filepath.Join(c.Dir, copyPattern))
 	if err != nil {
-		return nil, fmt.Errorf("copies: %w", err)
+		return nil, fmt.Errorf("list cache: %w", err)
 	}
-	all = slices.DeleteFunc(all, func(path string) bool {
+	paths = slices.DeleteFunc(paths, func(path string) bool {
 		_, err := os.Stat(path + checksumSuffix)
 		return err != nil
 	})
-	slices.Sort(all)
-	return all, nil
+	slices.Sort(paths)
+	return paths, nil
 }
 
-// ReadCachedList reads a copy and holds it against its checksum.
+// ReadCachedList reads a copy and verifies its checksum.
 func ReadCachedList(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("copy: %w", err)
+		return nil, fmt.Errorf("list cache: %w", err)
 	}
 	line, err := os.ReadFile(path + checksumSuffix)
 	if err != nil {
-		return nil, fmt.Errorf("copy %s is not whole: %w", path, err)
+		return nil, fmt.Errorf("list cache: %s is incomplete: %w", path, err)
 	}
-	want, _, _ := strings.Cut(string(line), " ")
-	if sum := sha256.Sum256(text); hex.EncodeToString(sum[:]) != want {
-		return nil, fmt.Errorf("copy %s is spoilt: its checksum is not that of %s", path, filepath.Base(path)+checksumSuffix)
+	if want, _, _ := strings.Cut(string(line), " "); checksum(text) != want {
+		return nil, fmt.Errorf("list cache: %s is corrupt: its checksum is not that of %s", path, filepath.Base(path)+checksumSuffix)
 	}
 	return text, nil
 }
--- a/internal/controller/listcache_test.go
+++ b/internal/controller/listcache_test.go
@@ -13,78 +13,90 @@
 	"barleywick/internal/registry"
 )
 
-func TestCopies(t *testing.T) {
-	c := &ListCache{Dir: filepath.Join(t.TempDir(), "copies"), Keep: 3}
-	at := time.UnixMilli(1_700_000_000_000)
-	save := func(token uint64, text string) (string, error) {
-		at = at.Add(time.Second)
-		return c.Save(t.Context(), token, at, []byte(text))
-	}
-	for i := range 5 {
-		if _, err := save(7, fmt.Sprint(i)); err != nil {
+// savedCache is a list cache with the last three of five copies under token 7, and one under 9.
+func savedCache(t *testing.T) (cache *ListCache, paths []string) {
+	t.Helper()
+	cache = &ListCache{Dir: filepath.Join(t.TempDir(), "copies"), Keep: 3}
+	for i, text := range []string{"0", "1", "2", "3", "4", "newer"} {
+		token := uint64(7)
+		if text == "newer" {
+			token = 9
+		}
+		if _, err := cache.Save(t.Context(), token, copyTime(i), []byte(text)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := save(9, "newer"); err != nil {
-		t.Fatal(err)
+	paths, err := cache.Paths()
+	if err != nil || len(paths) != 3 {
+		t.Fatalf("got %d copies, %v, want 3", len(paths), err)
 	}
-	if _, err := save(8, "older"); !errors.Is(err, registry.ErrFenced) {
-		t.Errorf("an older token: %v", err)
+	return cache, paths
+}
+
+func copyTime(i int) time.Time { return time.UnixMilli(1_700_000_000_000 + int64(i)*1000) }
+
+func TestListCacheIsFenced(t *testing.T) {
+	cache, paths := savedCache(t)
+	if _, err := cache.Save(t.Context(), 8, copyTime(9), []byte("older")); !errors.Is(err, registry.ErrFenced) {
+		t.Errorf("a lower token: got %v, want %v", err, registry.ErrFenced)
+	}
+	if text, err := ReadCachedList(paths[2]); err != nil || string(text) != "newer" {
+		t.Errorf("the last copy: got %q, %v, want newer", text, err)
 	}
-	all, err := c.Paths()
-	if err != nil || len(all) != 3 {
-		t.Fatalf("%d copies are kept, %v", len(all), err)
+	if err := os.WriteFile(filepath.Join(cache.Dir, fenceFile), []byte("what"), 0o600); err != nil {
+		t.Fatal(err)
 	}
-	if text, err := ReadCachedList(all[2]); err != nil || string(text) != "newer" {
-		t.Errorf("the last is %q, %v", text, err)
+	if _, err := cache.Save(t.Context(), 10, copyTime(10), []byte("x")); err == nil || !strings.Contains(err.Error(), "corrupt") {
+		t.Errorf("a corrupt fence: got %v, want an error that says so", err)
 	}
-	if err := os.WriteFile(all[1], []byte("spoilt"), 0o600); err != nil {
+}
+
+func TestBrokenCopiesAreNotRead(t *testing.T) {
+	cache, paths := savedCache(t)
+	if err := os.WriteFile(paths[1], []byte("other"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ReadCachedList(all[1]); err == nil || !strings.Contains(err.Error(), "spoilt") {
-		t.Errorf("a spoilt copy: %v", err)
+	if _, err := ReadCachedList(paths[1]); err == nil || !strings.Contains(err.Error(), "corrupt") {
+		t.Errorf("a corrupt copy: got %v, want an error that says so", err)
 	}
-	if err := os.Remove(all[0] + checksumSuffix); err != nil { // as when the process ended between the two
+	if err := os.Remove(paths[0] + checksumSuffix); err != nil { // as if the process had ended between the two writes
 		t.Fatal(err)
 	}
-	if _, err := ReadCachedList(all[0]); err == nil || !strings.Contains(err.Error(), "not whole") {
-		t.Errorf("half a copy: %v", err)
+	if _, err := ReadCachedList(paths[0]); err == nil || !strings.Contains(err.Error(), "incomplete") {
+		t.Errorf("an incomplete copy: got %v, want an error that says so", err)
 	}
-	if left, _ := c.Paths(); len(left) != 2 {
-		t.Errorf("%d copies count as whole", len(left))
+	if complete, _ := cache.Paths(); len(complete) != 2 {
+		t.Errorf("got %d complete copies, want 2", len(complete))
 	}
-	// Somebody who was stopped has the folder: one waits as long as it may, and no longer.
-	unlock, err := c.lock(t.Context(), 9)
+}
+
+// A process that was stopped has locked the folder: another one waits until its context ends.
+func TestListCacheWaitsForLock(t *testing.T) {
+	cache, _ := savedCache(t)
+	unlock, err := cache.lock(t.Context(), 9)
 	if err != nil {
 		t.Fatal(err)
 	}
+	defer unlock()
 	ctx, cancel := context.WithTimeout(t.Context(), 3*lockRetryInterval)
 	defer cancel()
-	if _, err := c.Save(ctx, 9, at, nil); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("the folder is another's: %v", err)
-	}
-	unlock()
-	if err := os.WriteFile(filepath.Join(c.Dir, fenceFile), []byte("what"), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	if _, err := save(10, "x"); err == nil || !strings.Contains(err.Error(), "spoilt") {
-		t.Errorf("a spoilt fence: %v", err)
+	if _, err := cache.Save(ctx, 9, copyTime(9), nil); !errors.Is(err, context.DeadlineExceeded) {
+		t.Errorf("got %v, want %v", err, context.DeadlineExceeded)
 	}
 }
 
-// A copy that a keeper made is restored into a new group.
-func TestCopyIsRestored(t *testing.T) {
+// A copy that a controller saved is restored into a new group.
+func TestSavedCopyIsRestored(t *testing.T) {
 	addr, c := startGroup(t, "g")
-	i := registry.Instance{Host: "s-1", Dial: "127.0.0.1:1", Site: "a", Health: registry.HealthUp, Share: 1}
-	if _, err := c.Register(t.Context(), registry.RegisterRequest{Instance: i}); err != nil {
+	instance := registry.Instance{Host: "s-1", Dial: "127.0.0.1:1", Site: "a", Health: registry.HealthUp, Share: 1}
+	if _, err := c.Register(t.Context(), registry.RegisterRequest{Instance: instance}); err != nil {
 		t.Fatal(err)
 	}
-	folder := t.TempDir()
-	startKeeper(t, "k1", addr, fmt.Sprintf("[copies]\nfolder = %q\nevery_ms = 1000\n", folder))
-	copies := &ListCache{Dir: folder}
-	var all []string
-	eventually(t, "there is a copy", func() bool { all, _ = copies.Paths(); return len(all) > 0 })
-	text, err := ReadCachedList(all[0])
+	cache := &ListCache{Dir: t.TempDir()}
+	startController(t, "k1", addr, fmt.Sprintf("[copies]\nfolder = %q\nevery_ms = 1000\n", cache.Dir))
+	var paths []string
+	eventually(t, "there is a copy", func() bool { paths, _ = cache.Paths(); return len(paths) > 0 })
+	text, err := ReadCachedList(paths[0])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,6 +106,6 @@
 	}
 	got, err := other.Registrations(t.Context())
 	if err != nil || len(got.Registrations) != 1 || got.Registrations[0].Host != "s-1" {
-		t.Errorf("restored: %+v, %v", got.Registrations, err)
+		t.Errorf("got %+v, %v, want s-1", got.Registrations, err)
 	}
 }
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -16,45 +16,45 @@
 	"barleywick/internal/registry/client"
 )
 
-// overloadTask gathers what sidecars tell and gives them the fleet's word. Its answers are
-// timed acts, given only while the lease is held; the token in each has sidecars pass
-// over what an earlier holder says late. Where it listens is written under the fence.
+// overloadTask takes load digests of sidecars and answers with overload advice. Its responses
+// are timed acts, given only while the lease is held; by the token in each, sidecars reject
+// what an earlier holder sends late. Where it listens is written under the fence.
 type overloadTask struct {
 	config OverloadConfig
 	client *client.Client
 	fleet  *fleetView
 }
 
-// maxConcurrentDigests is how many digests are worked on at once: each takes some microseconds.
-const maxConcurrentDigests = 64
-
-func (t *overloadTask) run(ctx context.Context, term *lease.Handle) error {
+func (t *overloadTask) run(ctx context.Context, handle *lease.Handle) error {
 	ln, err := net.Listen("tcp", t.config.Listen)
 	if err != nil {
 		return fmt.Errorf("overload.listen: %w", err)
 	}
-	desk := &overloadServer{term: term, planner: overload.NewPlanner(t.config.Fleet, term.Token()), began: time.Now(), slots: make(chan struct{}, maxConcurrentDigests)}
-	desk.plan()
-	s := &http.Server{Handler: desk, ReadTimeout: httpTimeout, WriteTimeout: httpTimeout, IdleTimeout: 2 * httpTimeout, MaxHeaderBytes: maxHeaderBytes}
+	handler := newOverloadServer(handle, t.config.Fleet)
+	handler.plan()
+	server := &http.Server{Handler: handler, ReadTimeout: httpTimeout, WriteTimeout: httpTimeout, IdleTimeout: 2 * httpTimeout, MaxHeaderBytes: maxHeaderBytes}
 	served := make(chan error, 1)
-	go func() { served <- s.Serve(ln) }() // ends with Close
+	go func() {
+		served <- server.Serve(ln)
+		close(served)
+	}()
 	defer func() {
-		_ = s.Close()
-		<-served
+		server.Close()
+		for range served { // until it has returned
+		}
 	}()
-	if err := t.announce(ctx, term, ln.Addr().String()); err != nil {
+	if err := t.announce(ctx, handle, ln.Addr().String()); err != nil {
 		return err
 	}
-	slog.Info("overload: listening", "at", ln.Addr(), "fleet", t.config.Fleet, "lease", term.LeaseName(), "token", term.Token())
+	slog.Info("overload: listening", "at", ln.Addr(), "fleet", t.config.Fleet, "lease", handle.LeaseName(), "token", handle.Token())
 	tick := time.NewTicker(overload.ReportInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			desk.expect(t.fleet.sidecarCount())
-			desk.plan()
+			handler.setExpected(t.fleet.sidecarCount())
+			handler.plan()
 		case err := <-served:
-			served <- err // for what waits above
 			return fmt.Errorf("overload: %w", err)
 		case <-ctx.Done():
 			return ctx.Err()
@@ -62,18 +62,18 @@
 	}
 }
 
-// announce writes where the task listens, over what an earlier holder wrote.
-func (t *overloadTask) announce(ctx context.Context, term *lease.Handle, at string) error {
-	text, err := json.Marshal(overload.Location{Address: at, Token: term.Token()})
+// announce writes where the task listens into the registry, over what an earlier holder wrote.
+func (t *overloadTask) announce(ctx context.Context, handle *lease.Handle, address string) error {
+	text, err := json.Marshal(overload.Location{Address: address, Token: handle.Token()})
 	if err != nil {
 		return err
 	}
-	was, err := t.client.Record(ctx, overload.RecordKey)
+	current, err := t.client.Record(ctx, overload.RecordKey)
 	if err != nil && !errors.Is(err, registry.ErrNotFound) {
-		return fmt.Errorf("overload: where it listens is not written: %w", err)
+		return fmt.Errorf("overload: location not written: %w", err)
 	}
-	if _, err := t.client.PutFenced(ctx, overload.RecordKey, text, &was.Version, term.Fence()); err != nil {
-		return fmt.Errorf("overload: where it listens is not written: %w", err)
+	if _, err := t.client.PutFenced(ctx, overload.RecordKey, text, &current.Version, handle.Fence()); err != nil {
+		return fmt.Errorf("overload: location not written: %w", err)
 	}
 	return nil
 }
--- a/internal/controller/overloadserver.go
+++ b/internal/controller/overloadserver.go
@@ -14,77 +14,113 @@
 	"barleywick/internal/overload"
 )
 
-// overloadServer answers digests with the word of the moment.
+// maxConcurrentDigests bounds the digests in work; each takes some microseconds.
+const maxConcurrentDigests = 64
+
+// overloadServer serves the current overload advice to sidecars, in response to their digests,
+// and to operators.
 type overloadServer struct {
-	term  *lease.Handle
-	began time.Time
-	slots chan struct{}
+	handle *lease.Handle
+	began  time.Time
+	slots  chan struct{}
 
 	mu      sync.Mutex
 	planner *overload.Planner
 	advice  overload.Advice
 }
 
-func (d *overloadServer) expect(sidecars int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.planner.SetExpected(sidecars)
+func newOverloadServer(handle *lease.Handle, fleet string) *overloadServer {
+	return &overloadServer{
+		handle:  handle,
+		began:   time.Now(),
+		slots:   make(chan struct{}, maxConcurrentDigests),
+		planner: overload.NewPlanner(fleet, handle.Token()),
+	}
 }
 
-func (d *overloadServer) plan() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	cut := len(d.advice.Tenants) > 0
-	d.advice = d.planner.Plan(time.Since(d.began))
-	if now := len(d.advice.Tenants) > 0; now != cut {
-		slog.Info("overload: another word", "limit", d.advice.Limit, "jam", d.advice.Congestion, "sidecars", d.advice.Sidecars, "parts", d.advice.Tenants, "token", d.advice.Token)
-	}
+// setExpected sets how many sidecars the fleet has; 0: not known.
+func (s *overloadServer) setExpected(sidecars int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.planner.SetExpected(sidecars)
 }
 
-// ServeHTTP takes a digest, or tells the word to who only asks.
-func (d *overloadServer) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	refuse := func(status int, err error) {
-		w.Header().Set("Retry-After", "1")
-		http.Error(w, err.Error(), status)
+// plan works out new advice.
+func (s *overloadServer) plan() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	limited := len(s.advice.Tenants) > 0
+	s.advice = s.planner.Plan(time.Since(s.began))
+	if a := s.advice; (len(a.Tenants) > 0) != limited {
+		slog.Info("overload: advice changed", "limit", a.Limit, "congestion", a.Congestion, "sidecars", a.Sidecars, "tenants", a.Tenants, "token", a.Token)
 	}
+}
+
+// ServeHTTP takes a digest (POST) and responds with the current advice (also to GET).
+func (s *overloadServer) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	select {
-	case d.slots <- struct{}{}:
-		defer func() { <-d.slots }()
+	case s.slots <- struct{}{}:
+		defer func() { <-s.slots }()
 	default:
-		refuse(http.StatusServiceUnavailable, errors.New("too many digests at once"))
+		refuse(w, http.StatusServiceUnavailable, errors.New("too many digests at once"))
 		return
 	}
-	if q.URL.Path != overload.Path || q.Method != http.MethodPost && q.Method != http.MethodGet {
-		http.NotFound(w, q)
+	if req.URL.Path != overload.Path {
+		http.NotFound(w, req)
 		return
 	}
-	var digest overload.Digest
-	if q.Method == http.MethodPost {
-		text, err := io.ReadAll(http.MaxBytesReader(w, q.Body, overload.MaxMessageBytes))
-		if err == nil {
-			err = json.Unmarshal(text, &digest)
-		}
-		if err != nil {
-			refuse(http.StatusBadRequest, fmt.Errorf("the digest cannot be read: %w", err))
+	var advice overload.Advice
+	switch req.Method {
+	case http.MethodPost:
+		var err error
+		if advice, err = s.takeDigest(w, req); err != nil {
+			refuse(w, http.StatusBadRequest, err)
 			return
 		}
+	case http.MethodGet:
+		advice = s.currentAdvice()
+	default:
+		http.NotFound(w, req)
+		return
 	}
-	d.mu.Lock()
-	var err error
-	if q.Method == http.MethodPost {
-		err = d.planner.AddDigest(time.Since(d.began), digest)
+	s.respond(w, advice)
+}
+
+func refuse(w http.ResponseWriter, status int, err error) {
+	w.Header().Set("Retry-After", "1")
+	http.Error(w, err.Error(), status)
+}
+
+// takeDigest reads a digest, gives it to the planner, and returns the current advice.
+func (s *overloadServer) takeDigest(w http.ResponseWriter, req *http.Request) (overload.Advice, error) {
+	text, err := io.ReadAll(http.MaxBytesReader(w, req.Body, overload.MaxMessageBytes))
+	if err != nil {
+		return overload.Advice{}, fmt.Errorf("the digest cannot be read: %w", err)
 	}
-	word := d.advice
-	d.mu.Unlock()
-	switch {
-	case err != nil:
-		refuse(http.StatusBadRequest, err)
-	case !d.term.Held(): // looked at last: this process may have been stopped
-		refuse(http.StatusConflict, lease.ErrLapsed)
-	default:
-		w.Header().Set("Content-Type", "application/json")
-		if err := json.NewEncoder(w).Encode(word); err != nil {
-			slog.Debug("overload: answer not written", "err", err)
-		}
+	var digest overload.Digest
+	if err := json.Unmarshal(text, &digest); err != nil {
+		return overload.Advice{}, fmt.Errorf("the digest cannot be read: %w", err)
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.advice, s.planner.AddDigest(time.Since(s.began), digest)
+}
+
+func (s *overloadServer) currentAdvice() overload.Advice {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.advice
+}
+
+// respond sends advice if the lease is still held. That is checked last, since this process may
+// have been stopped meanwhile.
+func (s *overloadServer) respond(w http.ResponseWriter, advice overload.Advice) {
+	if !s.handle.Held() {
+		refuse(w, http.StatusConflict, lease.ErrLapsed)
+		return
+	}
+	w.Header().Set("Content-Type", "application/json")
+	if err := json.NewEncoder(w).Encode(advice); err != nil {
+		slog.Debug("overload: response not written", "err", err)
 	}
 }
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -8,65 +8,71 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// standbys is how many keepers wait for a task beside the one that is to hold it: if
-// that one is lost, the next is granted the lease at the very moment it ends.
+// standbys is how many controllers wait for a task beside the one that should hold it. If that
+// one is lost, the registry grants the lease to the next at the moment it ends.
 const standbys = 1
 
-// placement decides which keeper is to hold which task, alike at all keepers that see the
-// same members. It reads no clock.
+// placement decides which controller should hold which task. All controllers that see the same
+// members decide alike. It reads no clock.
 type placement struct {
-	settle time.Duration
-	since  map[string]time.Duration // by member: present without a break since then
+	settle time.Duration            // for how long a member has to be present to be handed a task
+	since  map[string]time.Duration // by member: since when it is present without a break
 }
 
-// update takes the members in that are present now.
-func (s *placement) update(present []string, now time.Duration) {
-	if s.since == nil {
-		s.since = make(map[string]time.Duration)
+// update sets the members that are present now.
+func (p *placement) update(present []string, now time.Duration) {
+	if p.since == nil {
+		p.since = make(map[string]time.Duration)
 	}
-	for m := range s.since {
-		if !slices.Contains(present, m) {
-			delete(s.since, m)
+	for member := range p.since {
+		if !slices.Contains(present, member) {
+			delete(p.since, member)
 		}
 	}
-	for _, m := range present {
-		if _, ok := s.since[m]; !ok {
-			s.since[m] = now
+	for _, member := range present {
+		if _, known := p.since[member]; !known {
+			p.since[member] = now
 		}
 	}
 }
 
-// rank are the members in the order in which a task falls to them (rendezvous
-// hashing): one that comes or goes moves its own tasks and no other.
-func (s *placement) rank(task string) []string {
+// rank returns the members in the order in which they should hold a task, by rendezvous
+// hashing: a member that comes or goes moves its own tasks and no others.
+func (p *placement) rank(task string) []string {
 	type scored struct {
-		name  string
-		score uint64
+		member string
+		score  uint64
 	}
 	var all []scored
-	for m := range s.since {
-		all = append(all, scored{m, xxhash.Sum64String(m + "\x00" + task)})
+	for member := range p.since {
+		all = append(all, scored{member, xxhash.Sum64String(member + "\x00" + task)})
 	}
-	slices.SortFunc(all, func(a, b scored) int { return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.name, b.name)) })
-	names := make([]string, len(all))
-	for i, m := range all {
-		names[i] = m.name
+	slices.SortFunc(all, func(a, b scored) int {
+		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.member, b.member))
+	})
+	members := make([]string, len(all))
+	for i, s := range all {
+		members[i] = s.member
 	}
-	return names
+	return members
 }
 
-// shouldClaim says whether a member is to claim a task: to hold it or to stand by.
-func (s *placement) shouldClaim(task, self string) bool {
-	return slices.Contains(s.rank(task)[:min(len(s.since), 1+standbys)], self)
+// shouldClaim reports whether a member should claim a task, in order to hold it or as a standby.
+func (p *placement) shouldClaim(task, member string) bool {
+	return slices.Contains(p.rank(task)[:min(len(p.since), 1+standbys)], member)
 }
 
-// handOverTarget says whom the holder of a task is to hand it over to, if anybody. A member is
-// given nothing before it has been present for a while: one that comes and goes moves
-// nothing. Neither is one that does not wait for the task.
-func (s *placement) handOverTarget(task, holder string, waiting []string, now time.Duration) (to string, hand bool) {
-	ranked := s.rank(task)
-	if len(ranked) == 0 || ranked[0] == holder || !slices.Contains(waiting, ranked[0]) || now-s.since[ranked[0]] < s.settle {
+// handOverTarget returns the member to which the holder of a task should hand it over, if any.
+// That member has to wait for the task, and to have been present for a while: one that comes
+// and goes moves nothing.
+func (p *placement) handOverTarget(task, holder string, waiting []string, now time.Duration) (target string, ok bool) {
+	ranked := p.rank(task)
+	if len(ranked) == 0 || ranked[0] == holder {
 		return "", false
 	}
-	return ranked[0], true
+	target = ranked[0]
+	if !slices.Contains(waiting, target) || now-p.since[target] < p.settle {
+		return "", false
+	}
+	return target, true
 }
--- a/internal/controller/policy.go
+++ b/internal/controller/policy.go
@@ -12,70 +12,79 @@
 	"barleywick/internal/rollout"
 )
 
-// PolicyLease is the lease of the task that leads changes of policy.
-const PolicyLease = "policy"
-
-// policyPollInterval is how often a change's time is looked at; what its sidecars say is heard
-// of at once.
+// policyPollInterval is between two checks of a rollout's time limits. Answers of sidecars are
+// noticed at once.
 const policyPollInterval = 500 * time.Millisecond
 
-// policyTask leads changes of policyTask. Each step is fenced, and the registry looks itself at
-// whether everybody is there: a leader that is behind changes nothing.
+// policyTask leads rollouts of the fleet policy. Each step is fenced, and the registry itself
+// checks whether all members of the roster have answered: a leader that lags behind changes nothing.
 type policyTask struct{ client *client.Client }
 
-func (t *policyTask) run(ctx context.Context, term *lease.Handle) error {
-	var after uint64
+func (t *policyTask) run(ctx context.Context, handle *lease.Handle) error {
+	var after uint64 // the version to wait beyond; 0: do not wait
 	for {
-		st, err := t.client.PolicyStatus(ctx, after, policyPollInterval)
+		status, err := t.client.PolicyStatus(ctx, after, policyPollInterval)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 		if err != nil {
-			slog.Warn("policy: not read", "lease", term.LeaseName(), "token", term.Token(), "err", err)
+			slog.Warn("policy: status not read", "lease", handle.LeaseName(), "token", handle.Token(), "err", err)
 			if err := pause(ctx, policyPollInterval); err != nil {
 				return err
 			}
 			continue
 		}
-		after = st.Version
-		step, any := rollout.Decide(st, time.Now().UnixMilli())
-		if !any {
+		after = status.Version
+		step, due := rollout.Decide(status, time.Now().UnixMilli())
+		if !due {
 			continue
 		}
-		switch _, err := t.client.ApplyPolicyStep(ctx, step, term.Fence()); {
-		case ctx.Err() != nil:
-			return ctx.Err()
-		case errors.Is(err, registry.ErrFenced):
+		if err := t.takeStep(ctx, step, handle); err != nil {
 			return err
-		case errors.Is(err, registry.ErrConflict), errors.Is(err, registry.ErrNotFound):
-			slog.Debug("policy: what was read is out of date", "step", step.Op, "err", err)
-		case err != nil:
-			slog.Warn("policy: a step was not taken", "step", step.Op, "change", step.ChangeNumber, "token", term.Token(), "err", err)
-		default:
-			slog.Info("policy: a step", "step", step.Op, "change", step.ChangeNumber, "from", step.Stage, "reason", step.Reason, "token", term.Token())
 		}
-		after = 0 // look again at once
+		after = 0
+	}
+}
+
+// takeStep takes one step of a rollout. It returns an error only if the task has to end.
+func (t *policyTask) takeStep(ctx context.Context, step rollout.Command, handle *lease.Handle) error {
+	switch _, err := t.client.ApplyPolicyStep(ctx, step, handle.Fence()); {
+	case ctx.Err() != nil:
+		return ctx.Err()
+	case errors.Is(err, registry.ErrFenced):
+		return err
+	case errors.Is(err, registry.ErrConflict), errors.Is(err, registry.ErrNotFound):
+		slog.Debug("policy: step outdated", "step", step.Op, "err", err)
+	case err != nil:
+		slog.Warn("policy: step failed", "step", step.Op, "change", step.ChangeNumber, "token", handle.Token(), "err", err)
+	default:
+		slog.Info("policy: step taken", "step", step.Op, "change", step.ChangeNumber, "from", step.Stage, "reason", step.Reason, "token", handle.Token())
 	}
+	return nil
 }
 
-// watchMachine gives up the seats of sidecars on this machine whose processes have
-// gone: that is evidence, which silence is not. It is every keeper's own task.
-func watchMachine(ctx context.Context, c *client.Client, machine string) error {
+// watchMachine removes sidecars of this machine from the roster when their processes have ended,
+// until ctx ends. That a sidecar does not answer is no reason to. Every controller does it,
+// without a lease.
+func watchMachine(ctx context.Context, c *client.Client, machine string) {
 	for {
-		st, err := c.PolicyStatus(ctx, 0, 0)
-		if err == nil {
-			for _, seat := range st.Roster {
-				if !seat.ProcessGone(machine) {
-					continue
-				}
-				slog.Warn("policy: a sidecar's process has gone", "sidecar", seat.Name, "pid", seat.Process.PID)
-				if _, err := c.ApplyPolicyStep(ctx, rollout.Command{Op: rollout.OpLeave, Member: seat.Member}, nil); err != nil {
-					slog.Warn("policy: its seat is not given up", "sidecar", seat.Name, "err", err)
-				}
-			}
+		if status, err := c.PolicyStatus(ctx, 0, 0); err == nil {
+			removeEnded(ctx, c, machine, status.Roster)
 		}
 		if pause(ctx, policyPollInterval) != nil {
-			return nil
+			return
+		}
+	}
+}
+
+func removeEnded(ctx context.Context, c *client.Client, machine string, roster []rollout.RosterMember) {
+	for _, sidecar := range roster {
+		if !sidecar.ProcessGone(machine) {
+			continue
+		}
+		slog.Warn("policy: sidecar process ended", "sidecar", sidecar.Name, "pid", sidecar.Process.PID)
+		if _, err := c.ApplyPolicyStep(ctx, rollout.Command{Op: rollout.OpLeave, Member: sidecar.Member}, nil); err != nil {
+			slog.Warn("policy: roster member not removed", "sidecar", sidecar.Name, "err", err)
 		}
 	}
 }
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -23,53 +23,49 @@
 	maxHeaderBytes       = 8 << 10
 )
 
-// Serve runs a keeper as its configuration says until ctx ends.
-func Serve(ctx context.Context, c *Config) error {
-	k, err := New(c, c.Tasks)
+// Serve runs a controller by its configuration until ctx ends.
+func Serve(ctx context.Context, config *Config) error {
+	c, err := New(config, config.Tasks)
 	if err != nil {
 		return err
 	}
-	all, in := errgroup.WithContext(ctx)
-	if c.Listen != "" {
-		ln, err := net.Listen("tcp", c.Listen)
+	group, groupCtx := errgroup.WithContext(ctx)
+	if config.Listen != "" {
+		ln, err := net.Listen("tcp", config.Listen)
 		if err != nil {
 			return fmt.Errorf("listen: %w", err)
 		}
-		all.Go(func() error { return k.serve(in, ln) })
+		group.Go(func() error { return c.serveHTTP(groupCtx, ln) })
 	}
-	if c.Policy != nil && c.Policy.Machine != "" {
-		all.Go(func() error { return watchMachine(in, k.client, c.Policy.Machine) })
+	if config.Policy != nil && config.Policy.Machine != "" {
+		group.Go(func() error {
+			watchMachine(groupCtx, c.client, config.Policy.Machine)
+			return nil
+		})
 	}
-	slog.Info("keeper: serving", "name", c.Name, "tasks", len(k.tasks))
-	all.Go(func() error { return k.Run(in) })
-	err = all.Wait()
-	slog.Info("keeper: ended", "name", c.Name)
+	slog.Info("controller: serving", "name", config.Name, "tasks", len(c.tasks))
+	group.Go(func() error { return c.Run(groupCtx) })
+	err = group.Wait()
+	slog.Info("controller: ended", "name", config.Name)
 	return err
 }
 
-// serve answers for metrics and readiness until ctx ends.
-func (k *Controller) serve(ctx context.Context, ln net.Listener) error {
-	r := prometheus.NewRegistry()
-	r.MustRegister(leaseCollector{k}, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
+// serveHTTP serves metrics, readiness and the view of the fleet until ctx ends.
+func (c *Controller) serveHTTP(ctx context.Context, ln net.Listener) error {
+	metrics := prometheus.NewRegistry()
+	metrics.MustRegister(leaseCollector{c}, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	mux := http.NewServeMux()
-	mux.Handle("GET /metrics", promhttp.HandlerFor(r, promhttp.HandlerOpts{MaxRequestsInFlight: maxConcurrentScrapes}))
-	if k.fleet != nil {
-		mux.Handle("/"+membership.ViewPath, k.fleet.node)
-		r.MustRegister(k.fleet)
+	mux.Handle("GET /metrics", promhttp.HandlerFor(metrics, promhttp.HandlerOpts{MaxRequestsInFlight: maxConcurrentScrapes}))
+	if c.fleet != nil {
+		mux.Handle("/"+membership.ViewPath, c.fleet.node)
+		metrics.MustRegister(membershipCollector{c.fleet.node})
 	}
 	mux.HandleFunc("GET /health/ready", func(http.ResponseWriter, *http.Request) {})
-	s := &http.Server{Handler: mux, ReadTimeout: httpTimeout, WriteTimeout: httpTimeout, IdleTimeout: httpTimeout, MaxHeaderBytes: maxHeaderBytes}
-	closed := context.AfterFunc(ctx, func() { _ = s.Close() })
-	defer closed()
-	if err := s.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
+	server := &http.Server{Handler: mux, ReadTimeout: httpTimeout, WriteTimeout: httpTimeout, IdleTimeout: httpTimeout, MaxHeaderBytes: maxHeaderBytes}
+	stop := context.AfterFunc(ctx, func() { server.Close() })
+	defer stop()
+	if err := server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serve: %w", err)
 	}
 	return nil
 }
-
-// Describe names the figures.
-func (leaseCollector) Describe(c chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{descToken, descGrants, descLapses} {
-		c <- d
-	}
-}
--- a/internal/controller/tasks.go
+++ b/internal/controller/tasks.go
@@ -10,54 +10,75 @@
 	"barleywick/internal/registry/client"
 )
 
-// Task is work of which one process does its part at a time.
+// Leases of the tasks; that of the overload task is overload.LeaseName, those of the health
+// checks are health-0 and so on.
+const (
+	DrainsLease    = "drains"
+	PolicyLease    = "policy"
+	ListCacheLease = "copies"
+)
+
+// Task is work that one controller does at a time.
 type Task struct {
 	LeaseName string
-	Run       func(ctx context.Context, term *lease.Handle) error
-	// Timed says that its acts reach what knows no token. A keeper that has lost more than
-	// half of the fleet's members gives such a task up.
+	// Run does the work until ctx ends, which it does with the lease.
+	Run func(ctx context.Context, handle *lease.Handle) error
+	// Timed says that its acts reach something that checks no fencing token. A controller that
+	// has lost more than half of the fleet's members gives such a task up.
 	Timed bool
 }
 
-// fencedRegistry is the registry under a grant: whatever is written takes effect only while
-// the grant is the lease's.
-type fencedRegistry struct {
-	*client.Client
-	term *lease.Handle
-}
-
-func (f fencedRegistry) Put(ctx context.Context, key string, value []byte, ifVersion *uint64) (uint64, error) {
-	return f.PutFenced(ctx, key, value, ifVersion, f.term.Fence())
-}
-
-func (f fencedRegistry) Mark(ctx context.Context, m registry.MarkRequest) (registry.WriteResponse, error) {
-	m.Fence = f.term.Fence()
-	return f.Client.Mark(ctx, m)
-}
-
-// Tasks are the real tasks that a configuration names.
-func (c *Config) Tasks(k *Controller) []Task {
-	if k == nil {
-		k = new(Controller) // only their names are wanted
-	}
-	var all []Task
+// Tasks returns the tasks that a configuration names, for a controller.
+func (c *Config) Tasks(controller *Controller) []Task {
+	var tasks []Task
 	if c.Drains != nil {
-		all = append(all, Task{LeaseName: DrainsLease, Run: (&drainTask{config: c.drains, client: k.client}).run})
+		t := &drainTask{config: c.drains, client: controller.client}
+		tasks = append(tasks, Task{LeaseName: DrainsLease, Run: t.run})
 	}
 	if c.Health != nil {
 		for shard := range healthShards {
-			h := &healthTask{config: *c.Health, client: k.client, fleet: k.fleet, shard: shard}
-			all = append(all, Task{LeaseName: h.leaseName(), Run: h.run, Timed: true})
+			t := &healthTask{config: *c.Health, client: controller.client, fleet: controller.fleet, shard: shard}
+			tasks = append(tasks, Task{LeaseName: t.leaseName(), Run: t.run, Timed: true})
 		}
 	}
 	if c.Policy != nil {
-		all = append(all, Task{LeaseName: PolicyLease, Run: (&policyTask{client: k.client}).run})
+		t := &policyTask{client: controller.client}
+		tasks = append(tasks, Task{LeaseName: PolicyLease, Run: t.run})
 	}
 	if c.Overload != nil {
-		all = append(all, Task{LeaseName: overload.LeaseName, Run: (&overloadTask{config: *c.Overload, client: k.client, fleet: k.fleet}).run, Timed: true})
+		t := &overloadTask{config: *c.Overload, client: controller.client, fleet: controller.fleet}
+		tasks = append(tasks, Task{LeaseName: overload.LeaseName, Run: t.run, Timed: true})
 	}
 	if c.ListCache != nil {
-		all = append(all, Task{LeaseName: "copies", Run: (&listCacheTask{config: *c.ListCache, client: k.client}).run})
+		t := &listCacheTask{config: *c.ListCache, client: controller.client}
+		tasks = append(tasks, Task{LeaseName: ListCacheLease, Run: t.run})
 	}
-	return slices.Clip(all)
+	return slices.Clip(tasks)
+}
+
+// LeaseNames returns the leases of the tasks that a configuration names.
+func (c *Config) LeaseNames() []string {
+	var names []string
+	for _, task := range c.Tasks(new(Controller)) {
+		names = append(names, task.LeaseName)
+	}
+	return names
+}
+
+// fencedRegistry is the registry as a lease holder writes to it: a write takes effect only while
+// the grant is the lease's.
+type fencedRegistry struct {
+	*client.Client
+	handle *lease.Handle
+}
+
+// Put writes a record under the fence.
+func (r fencedRegistry) Put(ctx context.Context, key string, value []byte, ifVersion *uint64) (uint64, error) {
+	return r.PutFenced(ctx, key, value, ifVersion, r.handle.Fence())
+}
+
+// Mark marks endpoints under the fence.
+func (r fencedRegistry) Mark(ctx context.Context, m registry.MarkRequest) (registry.WriteResponse, error) {
+	m.Fence = r.handle.Fence()
+	return r.Client.Mark(ctx, m)
 }
--- a/internal/testing/integration/members_test.go
+++ b/internal/testing/integration/members_test.go
@@ -283,7 +283,7 @@
 	eventually(t, "a keeper looks at the server for a reason", func() bool {
 		asked++
 		askOnce(http.DefaultClient, m.addrs["s0"], fmt.Sprint("q", asked), "once", func() {})
-		return strings.Contains(m.Processes["k0"].Output()+m.Processes["k1"].Output(), "a member does not hear from a server")
+		return strings.Contains(m.Processes["k0"].Output()+m.Processes["k1"].Output(), "controller: probing suspected server")
 	})
 	select {
 	case <-probed:
--- a/internal/testing/integration/policy_test.go
+++ b/internal/testing/integration/policy_test.go
@@ -489,7 +489,7 @@
 	if outcome, _ = g.change(c, doc(6, rollout.ModeCarry), patience); outcome != "committed" {
 		t.Errorf("with the process of n0 gone: %s", outcome)
 	}
-	if !strings.Contains(g.Processes["k0"].Output()+g.Processes["k1"].Output(), "process has gone") {
+	if !strings.Contains(g.Processes["k0"].Output()+g.Processes["k1"].Output(), "policy: sidecar process ended") {
 		t.Error("no keeper has seen it")
 	}
 	if g.end(); g.served.Load() < 200 {
