--- a/internal/testing/loadgen/load.go
+++ b/internal/testing/loadgen/load.go
@@ -118,8 +118,13 @@
 
 // Latency are percentiles in milliseconds, from when each request was due.
 type Latency struct {
-	Count                          int64
-	P50, P90, P99, P999, Max, Mean float64
+	Count int64   `json:"Count"`
+	P50   float64 `json:"P50"`
+	P90   float64 `json:"P90"`
+	P99   float64 `json:"P99"`
+	P999  float64 `json:"P999"`
+	Max   float64 `json:"Max"`
+	Mean  float64 `json:"Mean"`
 }
 
 func latency(h *hdrhistogram.Histogram) Latency {
