--- a/cmd/testbench/load.go
+++ b/cmd/testbench/load.go
@@ -49,7 +49,7 @@
 	f.StringSliceVar(&p.Tenants, "tenants", nil, "names, evenly distributed")
 	f.IntVar(&p.Keys, "keys", 0, "how many different affinity keys; 0: none")
 	f.IntVar(&p.Body, "body", 0, "`BYTES` of each body")
-	f.IntVar(&p.MostOpen, "open", defaultOpen, "requests open at once")
+	f.IntVar(&p.MaxOpen, "open", defaultOpen, "requests open at once")
 	f.Uint64Var(&p.Seed, "seed", 1, "of times, classes and keys")
 	f.StringVar(&out.json, "json", "", "write all figures to `FILE`")
 	c.RunE = func(c *cobra.Command, args []string) error {
@@ -108,7 +108,7 @@
 	if len(parts) < 2 || len(parts) > 3 {
 		return loadgen.Class{}, cli.WrongCall("--class %q: NAME:EFFECT or NAME:EFFECT:SHARE is needed", text)
 	}
-	c := loadgen.Class{Name: parts[0], Effect: loadgen.Effect(parts[1]), Share: 1}
+	c := loadgen.Class{Name: parts[0], Idempotency: loadgen.Idempotency(parts[1]), Share: 1}
 	if len(parts) == 3 {
 		share, err := strconv.ParseFloat(parts[2], 64)
 		if err != nil {
--- a/internal/testing/chaostest/torture.go
+++ b/internal/testing/chaostest/torture.go
@@ -291,19 +291,19 @@
 func (r *run) load(ctx context.Context, name string, index int) {
 	c := r.clients[name]
 	for n := 0; ctx.Err() == nil; n++ {
-		class, effect := "read", loadgen.Safe
+		class, effect := "read", loadgen.Idempotent
 		if n%2 == 1 {
-			class, effect = "once", loadgen.Unsafe
+			class, effect = "once", loadgen.NonIdempotent
 		}
 		id := fmt.Sprintf("%s-%d-%d", name, index, n)
 		r.mu.Lock()
-		if effect == loadgen.Unsafe {
+		if effect == loadgen.NonIdempotent {
 			r.once[id] = true
 		}
 		r.mu.Unlock()
 		began := time.Now()
 		in, cancel := context.WithTimeout(context.Background(), waits+time.Second) // it is beside the sidecar: what is late is the sidecar's
-		a := c.Do(in, loadgen.Ask{ID: id, Class: class, Effect: effect, Tenant: "t", Timeout: waits}, nil)
+		a := c.Do(in, loadgen.Request{ID: id, Class: class, Idempotency: effect, Tenant: "t", Timeout: waits}, nil)
 		cancel()
 		r.asked.Add(1)
 		switch {
@@ -323,7 +323,7 @@
 		}
 		wait := 40 * time.Millisecond
 		if a.Outcome != loadgen.Served {
-			wait = max(200*time.Millisecond, a.Pause)
+			wait = max(200*time.Millisecond, a.RetryAfter)
 		}
 		pause(ctx, wait)
 	}
--- a/internal/testing/integration/shutdown_test.go
+++ b/internal/testing/integration/shutdown_test.go
@@ -105,14 +105,14 @@
 	text := fmt.Sprintf("%s /api HTTP/1.1\r\nHost: service.internal\r\nRequest-Id: %s\r\nRequest-Class: %s\r\nRequest-Timeout: %s\r\n%sContent-Length: 0\r\n\r\n",
 		method, w.id, w.class, strconv.FormatFloat(w.timeout.Seconds(), 'f', 3, 64), key)
 	time.Sleep(time.Until(began.Add(w.begins)))
-	if raw.Closed(conn) {
+	if raw.ClosedByPeer(conn) {
 		return fate{err: errors.New("closed before the request")}
 	}
 	if _, err := io.WriteString(conn, text[:20]); err != nil {
 		return fate{err: err}
 	}
 	time.Sleep(time.Until(began.Add(w.ends)))
-	if w.ends > w.begins && raw.Closed(conn) {
+	if w.ends > w.begins && raw.ClosedByPeer(conn) {
 		return fate{err: errors.New("closed in the middle of the request")}
 	}
 	if _, err := io.WriteString(conn, text[20:]); err != nil {
--- a/internal/testing/loadgen/client.go
+++ b/internal/testing/loadgen/client.go
@@ -1,5 +1,5 @@
-// Package loadgen is the client's side: it sends requests to sidecars as the protocol
-// has it, one at a time or as an open-loop load whose latencies count from when each
+// Package loadgen is the client's side of the protocol: it sends requests to sidecars,
+// one at a time or as an open-loop load whose latencies count from when each
 // request was due, not from when there was time to send it.
 package loadgen
 
@@ -18,29 +18,29 @@
 	"time"
 )
 
-// Effect is what repeating a request may do; it fixes the method.
-type Effect string
+// Idempotency says what repeating a request may do; it determines the HTTP method.
+type Idempotency string
 
-// The effects of a class.
+// Kinds of idempotency.
 const (
-	Safe   Effect = "safe"
-	Keyed  Effect = "keyed"
-	Unsafe Effect = "unsafe"
+	Idempotent      Idempotency = "safe"
+	IdempotentByKey Idempotency = "keyed"
+	NonIdempotent   Idempotency = "unsafe"
 )
 
-// Ask is one try of a client.
-type Ask struct {
-	ID      string
-	Class   string
-	Effect  Effect
-	Tenant  string        // empty: none
-	Key     string        // what it concerns; empty: nothing
-	Timeout time.Duration // the client waits so long
-	Hint    time.Duration // of its work; 0: none
-	Body    []byte
+// Request is one attempt of a client.
+type Request struct {
+	ID          string
+	Class       string
+	Idempotency Idempotency
+	Tenant      string        // empty: none
+	AffinityKey string        // empty: none
+	Timeout     time.Duration // how long the client waits
+	WorkHint    time.Duration // estimate of its work; 0: none
+	Body        []byte
 }
 
-// Outcome is what became of a try.
+// Outcome is the outcome of an attempt.
 type Outcome int
 
 // Outcomes.
@@ -48,67 +48,67 @@
 	Served Outcome = iota
 	Refused
 	Failed
-	Lost // no answer, or none that is whole
+	Lost // no complete response
 )
 
 func (o Outcome) String() string { return [...]string{"served", "refused", "failed", "lost"}[o] }
 
-// Answer is a try's outcome with what came of it.
-type Answer struct {
-	Outcome Outcome
-	Status  int
-	Pause   time.Duration // Retry-After
-	Body    []byte
-	Err     error // why it was lost
+// Response is the outcome of an attempt with the response's contents.
+type Response struct {
+	Outcome    Outcome
+	Status     int
+	RetryAfter time.Duration // Retry-After
+	Body       []byte
+	Err        error // why the response was lost
 }
 
 const (
-	// maxBody is the protocol's.
+	// maxBody is the protocol's limit.
 	maxBody = 64 << 10
-	// keptFor is shorter than a sidecar keeps a connection with no request, so that
-	// few closes cross a request.
-	keptFor = 1500 * time.Millisecond
-	// connectIn is ample on one machine.
-	connectIn = 2 * time.Second
+	// idleTimeout is shorter than a sidecar keeps an idle connection, so that
+	// closes rarely cross a request.
+	idleTimeout = 1500 * time.Millisecond
+	// connectTimeout bounds the handshake.
+	connectTimeout = 2 * time.Second
 )
 
-// Client asks one sidecar. It may be used concurrently; connections are kept and
-// more are opened when all are busy, at most Limit of them.
+// Client sends requests to one sidecar. It may be used concurrently; connections are reused and
+// more are opened when all are busy, up to the limit.
 type Client struct {
 	url       string
 	transport *http.Transport
 }
 
-// NewClient makes a client of the sidecar at an address.
+// NewClient makes a client of the sidecar at an address with a limit of connections.
 func NewClient(addr string, limit int) *Client {
 	return &Client{
 		url: "http://" + addr + "/api",
 		transport: &http.Transport{
-			DialContext:        (&net.Dialer{Timeout: connectIn, KeepAlive: -1}).DialContext,
+			DialContext:        (&net.Dialer{Timeout: connectTimeout, KeepAlive: -1}).DialContext,
 			MaxConnsPerHost:    limit,
 			MaxIdleConns:       limit,
-			DisableCompression: true, IdleConnTimeout: keptFor, MaxIdleConnsPerHost: limit,
+			DisableCompression: true, IdleConnTimeout: idleTimeout, MaxIdleConnsPerHost: limit,
 		},
 	}
 }
 
-// Close closes the connections that are kept.
+// Close closes the idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// Do sends a try and waits for its answer until ctx ends. A try on a kept connection
-// that proves to be closed is sent once more on a new one, as the protocol says.
-// written is called when it may have been written whole, once at least; it may be nil.
-func (c *Client) Do(ctx context.Context, a Ask, written func()) Answer {
-	out, again := c.try(ctx, a, written)
+// Do sends a request and waits for its response until ctx ends. A request on a reused connection
+// that turns out to be closed is sent once more on a new one, as the protocol says.
+// written is called at least once when the request may have been written completely; it may be nil.
+func (c *Client) Do(ctx context.Context, a Request, written func()) Response {
+	out, again := c.attempt(ctx, a, written)
 	if again && ctx.Err() == nil {
 		c.transport.CloseIdleConnections()
-		out, _ = c.try(ctx, a, written)
+		out, _ = c.attempt(ctx, a, written)
 	}
 	return out
 }
 
-// try sends a try once, and says whether it may be sent once more.
-func (c *Client) try(ctx context.Context, a Ask, written func()) (out Answer, again bool) {
+// attempt sends a request once and reports whether it may be sent once more.
+func (c *Client) attempt(ctx context.Context, a Request, written func()) (out Response, again bool) {
 	var reused, answered atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn:              func(i httptrace.GotConnInfo) { reused.Store(i.Reused) },
@@ -119,38 +119,38 @@
 			}
 		},
 	})
-	q, err := a.request(ctx, c.url)
+	q, err := a.httpRequest(ctx, c.url)
 	if err != nil {
-		return Answer{Outcome: Lost, Err: err}, false
+		return Response{Outcome: Lost, Err: err}, false
 	}
 	resp, err := c.transport.RoundTrip(q)
 	if err != nil {
-		return Answer{Outcome: Lost, Err: err}, reused.Load() && !answered.Load()
+		return Response{Outcome: Lost, Err: err}, reused.Load() && !answered.Load()
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBody+1))
 	switch {
 	case err != nil:
-		return Answer{Outcome: Lost, Status: resp.StatusCode, Err: fmt.Errorf("read answer: %w", err)}, false
+		return Response{Outcome: Lost, Status: resp.StatusCode, Err: fmt.Errorf("read answer: %w", err)}, false
 	case len(body) > maxBody:
-		return Answer{Outcome: Lost, Status: resp.StatusCode, Err: errors.New("the answer is longer than the protocol allows")}, false
+		return Response{Outcome: Lost, Status: resp.StatusCode, Err: errors.New("the answer is longer than the protocol allows")}, false
 	}
-	out = Answer{Status: resp.StatusCode, Body: body}
+	out = Response{Status: resp.StatusCode, Body: body}
 	switch resp.StatusCode {
 	case http.StatusOK:
 		out.Outcome = Served
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		out.Outcome, out.Pause = Refused, pause(resp.Header.Get("Retry-After"))
+		out.Outcome, out.RetryAfter = Refused, parseRetryAfter(resp.Header.Get("Retry-After"))
 	default:
 		out.Outcome = Failed
 	}
 	return out, false
 }
 
-// request puts a try into the protocol's form.
-func (a Ask) request(ctx context.Context, url string) (*http.Request, error) {
+// httpRequest encodes a request as the protocol defines it.
+func (a Request) httpRequest(ctx context.Context, url string) (*http.Request, error) {
 	method := http.MethodPost
-	if a.Effect == Safe {
+	if a.Idempotency == Idempotent {
 		method = http.MethodGet
 	}
 	var body io.Reader
@@ -164,28 +164,28 @@
 	q.Header = http.Header{
 		"Request-Id": {a.ID}, "Request-Class": {a.Class}, "Request-Timeout": {strconv.FormatFloat(a.Timeout.Seconds(), 'f', 3, 64)},
 	}
-	for name, value := range map[string]string{"Tenant": a.Tenant, "Affinity-Key": a.Key} {
+	for name, value := range map[string]string{"Tenant": a.Tenant, "Affinity-Key": a.AffinityKey} {
 		if value != "" {
 			q.Header.Set(name, value)
 		}
 	}
-	if a.Effect == Keyed {
+	if a.Idempotency == IdempotentByKey {
 		q.Header.Set("Idempotency-Key", a.ID)
 	}
-	if a.Hint > 0 {
-		q.Header.Set("Work-Hint", strconv.FormatInt(a.Hint.Microseconds(), 10))
+	if a.WorkHint > 0 {
+		q.Header.Set("Work-Hint", strconv.FormatInt(a.WorkHint.Microseconds(), 10))
 	}
 	return q, nil
 }
 
-// maxPause bounds a Retry-After that is no sensible one.
-const maxPause = time.Hour
+// maxRetryAfter bounds the Retry-After that is accepted.
+const maxRetryAfter = time.Hour
 
-// pause reads a Retry-After in seconds; 0 where there is none that can be read.
-func pause(text string) time.Duration {
+// parseRetryAfter reads a Retry-After in seconds; 0 where it is missing or malformed.
+func parseRetryAfter(text string) time.Duration {
 	s, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || !(s > 0) {
 		return 0
 	}
-	return time.Duration(min(s, maxPause.Seconds()) * float64(time.Second))
+	return time.Duration(min(s, maxRetryAfter.Seconds()) * float64(time.Second))
 }
--- a/internal/testing/loadgen/closed.go
+++ b/internal/testing/loadgen/closedbypeer.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Closed says, without reading, whether the other side of a connection has closed it by now.
-func Closed(conn *net.TCPConn) bool {
+// ClosedByPeer reports, without reading, whether the peer has closed a connection.
+func ClosedByPeer(conn *net.TCPConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return true
--- a/internal/testing/loadgen/load.go
+++ b/internal/testing/loadgen/load.go
@@ -17,26 +17,26 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Class is a share of a load.
+// Class is one class of requests of a load.
 type Class struct {
-	Name   string
-	Effect Effect
-	Share  float64
+	Name        string
+	Idempotency Idempotency
+	Share       float64
 }
 
-// Plan is a load.
+// Plan describes a load.
 type Plan struct {
 	Targets  []string        // sidecars; requests go to them in turn
 	Rate     float64         // requests a second over all of them
 	Arrivals string          // "poisson", "constant" or "recorded"
-	Recorded []time.Duration // the times, with "recorded"
+	Recorded []time.Duration // times of the requests, with "recorded"
 	Length   time.Duration
-	Timeout  time.Duration // a client waits so long
+	Timeout  time.Duration // how long a client waits
 	Classes  []Class
 	Tenants  []string
-	Keys     int // how many different ones; 0: none
-	Body     int // bytes, where the method has one
-	MostOpen int // requests open at once; what is due beyond is not sent and counts as lost
+	Keys     int // number of different affinity keys; 0: none
+	Body     int // size in bytes, where the method has a body
+	MaxOpen  int // open requests at once; a request that is due beyond that is not sent and counts as unsent
 	Seed     uint64
 }
 
@@ -47,15 +47,15 @@
 	maxLength = 24 * time.Hour
 )
 
-// Check returns an error that names the first field that cannot be.
+// Check returns an error that names the first field that is out of range.
 func (p *Plan) Check() error {
 	shares := 0.0
 	for _, c := range p.Classes {
 		if c.Name == "" || !(c.Share >= 0) {
 			return fmt.Errorf("class %q: a name and a share of 0 or more are needed", c.Name)
 		}
-		if c.Effect != Safe && c.Effect != Keyed && c.Effect != Unsafe {
-			return fmt.Errorf("class %q: effect is %q; there are safe, keyed and unsafe", c.Name, c.Effect)
+		if c.Idempotency != Idempotent && c.Idempotency != IdempotentByKey && c.Idempotency != NonIdempotent {
+			return fmt.Errorf("class %q: effect is %q; there are safe, keyed and unsafe", c.Name, c.Idempotency)
 		}
 		shares += c.Share
 	}
@@ -76,13 +76,13 @@
 		return errors.New("classes: the shares add up to nothing")
 	case p.Keys < 0 || p.Body < 0 || p.Body > maxBody:
 		return fmt.Errorf("keys is %d and body %d; keys must not be negative, a body has at most %d bytes", p.Keys, p.Body, maxBody)
-	case p.MostOpen < 1 || p.MostOpen > maxOpen:
-		return fmt.Errorf("open is %d, it must lie between 1 and %d", p.MostOpen, maxOpen)
+	case p.MaxOpen < 1 || p.MaxOpen > maxOpen:
+		return fmt.Errorf("open is %d, it must lie between 1 and %d", p.MaxOpen, maxOpen)
 	}
 	return nil
 }
 
-// ReadArrivals reads recorded arrivals: a time in seconds on each line, not falling.
+// ReadArrivals reads recorded arrivals: a time in seconds on each line, in order.
 func ReadArrivals(r io.Reader) (times []time.Duration, err error) {
 	lines := bufio.NewScanner(io.LimitReader(r, 1<<30))
 	last := 0.0
@@ -101,22 +101,22 @@
 	return times, lines.Err()
 }
 
-// Result is what came of a load.
+// Result is the result of a load.
 type Result struct {
 	Partial  bool           `json:"partial,omitempty"`
 	LengthS  float64        `json:"length_s"`
 	Due      int            `json:"due"`
-	Unsent   int            `json:"unsent"` // too many were open: the load, not the target, gave way
+	Unsent   int            `json:"unsent"` // not sent because too many were open
 	Outcomes map[string]int `json:"outcomes"`
 	RateS    float64        `json:"served_per_s"`
 	MaxOpen  int            `json:"max_open"`
 	Served   Latency        `json:"served"`
 	Refused  Latency        `json:"refused"`
-	LagMS    float64        `json:"send_lag_p99_ms"`  // how late the load itself was
-	Errors   []string       `json:"errors,omitempty"` // the first few
+	LagMS    float64        `json:"send_lag_p99_ms"`  // how late requests were sent
+	Errors   []string       `json:"errors,omitempty"` // the first ones
 }
 
-// Latency are percentiles in milliseconds, from when each request was due.
+// Latency holds percentiles in milliseconds, from when each request was due.
 type Latency struct {
 	Count int64   `json:"Count"`
 	P50   float64 `json:"P50"`
@@ -127,33 +127,33 @@
 	Mean  float64 `json:"Mean"`
 }
 
-func latency(h *hdrhistogram.Histogram) Latency {
+func percentiles(h *hdrhistogram.Histogram) Latency {
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1e3 }
 	return Latency{h.TotalCount(), at(50), at(90), at(99), at(99.9), float64(h.Max()) / 1e3, h.Mean() / 1e3}
 }
 
 const (
-	mostErrors = 5
-	// overdue is how long past its time-out an answer is still waited for: one that
-	// comes then is late, and none at all is lost.
-	overdue = 500 * time.Millisecond
+	maxErrors = 5
+	// lateGrace is how long past its timeout a response is still waited for: one that
+	// arrives then is late, and none at all is lost.
+	lateGrace = 500 * time.Millisecond
 )
 
 // run is a load under way.
 type run struct {
 	plan    *Plan
 	clients []*Client
-	began   time.Time
+	started time.Time
 
-	mu           sync.Mutex
-	open         int
-	res          Result
-	served, away *hdrhistogram.Histogram
-	lag          *hdrhistogram.Histogram
+	mu              sync.Mutex
+	open            int
+	counts          Result
+	served, refused *hdrhistogram.Histogram
+	lag             *hdrhistogram.Histogram
 }
 
-// Run plays a load until its end, or until ctx ends; then what is open is still
-// waited for. progress is called once a second; it may be nil.
+// Run generates a load until its end, or until ctx ends; open requests are still
+// waited for then. progress is called once a second; it may be nil.
 func Run(ctx context.Context, p *Plan, progress func(Result)) (*Result, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
@@ -161,10 +161,10 @@
 	histogram := func() *hdrhistogram.Histogram {
 		return hdrhistogram.New(1, (p.Timeout + time.Hour).Microseconds(), 3)
 	}
-	r := &run{plan: p, served: histogram(), away: histogram(), lag: histogram(), began: time.Now()}
-	r.res.Outcomes = make(map[string]int)
+	r := &run{plan: p, served: histogram(), refused: histogram(), lag: histogram(), started: time.Now()}
+	r.counts.Outcomes = make(map[string]int)
 	for _, t := range p.Targets {
-		c := NewClient(t, p.MostOpen)
+		c := NewClient(t, p.MaxOpen)
 		defer c.Close()
 		r.clients = append(r.clients, c)
 	}
@@ -172,7 +172,7 @@
 	if progress != nil {
 		ticking, stop := context.WithCancel(context.Background())
 		var ticker sync.WaitGroup
-		ticker.Go(func() { r.tell(ticking, progress) })
+		ticker.Go(func() { r.reportProgress(ticking, progress) })
 		defer ticker.Wait()
 		defer stop()
 	}
@@ -183,8 +183,8 @@
 	return &out, nil
 }
 
-// send starts each request when it is due, however many are open, and says whether
-// all were. It never waits for an answer: that is what makes the load an open one.
+// send starts each request when it is due and reports whether
+// all were started. It never waits for a response: that makes the load an open one.
 func (r *run) send(ctx context.Context, tasks *sync.WaitGroup) bool {
 	p := r.plan
 	rng := rand.New(rand.NewPCG(p.Seed, 1))
@@ -213,7 +213,7 @@
 		if due >= p.Length {
 			return true
 		}
-		if wait := due - time.Since(r.began); wait > 0 {
+		if wait := due - time.Since(r.started); wait > 0 {
 			timer.Reset(wait)
 			select {
 			case <-timer.C:
@@ -224,80 +224,80 @@
 			return false
 		}
 		c := p.Classes[int(class.Rand())]
-		a := Ask{ID: fmt.Sprintf("%016x", rng.Uint64()), Class: c.Name, Effect: c.Effect, Timeout: p.Timeout, Body: body}
+		a := Request{ID: fmt.Sprintf("%016x", rng.Uint64()), Class: c.Name, Idempotency: c.Idempotency, Timeout: p.Timeout, Body: body}
 		if len(p.Tenants) > 0 {
 			a.Tenant = p.Tenants[rng.IntN(len(p.Tenants))]
 		}
 		if p.Keys > 0 {
-			a.Key = strconv.Itoa(rng.IntN(p.Keys))
+			a.AffinityKey = strconv.Itoa(rng.IntN(p.Keys))
 		}
-		if r.begin() {
-			tasks.Go(func() { r.one(r.clients[n%len(r.clients)], a, due) })
+		if r.admit() {
+			tasks.Go(func() { r.sendOne(r.clients[n%len(r.clients)], a, due) })
 		}
 	}
 }
 
-// begin counts a request that is due, and says whether it may be sent.
-func (r *run) begin() bool {
+// admit counts a request that is due and reports whether it may be sent.
+func (r *run) admit() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.res.Due++
-	if r.open >= r.plan.MostOpen {
-		r.res.Unsent++
+	r.counts.Due++
+	if r.open >= r.plan.MaxOpen {
+		r.counts.Unsent++
 		return false
 	}
 	r.open++
-	r.res.MaxOpen = max(r.res.MaxOpen, r.open)
+	r.counts.MaxOpen = max(r.counts.MaxOpen, r.open)
 	return true
 }
 
-// one sends one request and books what became of it.
-func (r *run) one(c *Client, a Ask, due time.Duration) {
-	late := time.Since(r.began) - due
-	// Its owner is the load, not the caller's context: what was sent is waited for.
-	ctx, cancel := context.WithTimeout(context.Background(), a.Timeout+overdue)
+// sendOne sends one request and records its outcome.
+func (r *run) sendOne(c *Client, a Request, due time.Duration) {
+	late := time.Since(r.started) - due
+	// Not the caller's context: requests that were sent are waited for.
+	ctx, cancel := context.WithTimeout(context.Background(), a.Timeout+lateGrace)
 	defer cancel()
 	got := c.Do(ctx, a, nil)
-	took := time.Since(r.began) - due
+	took := time.Since(r.started) - due
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.open--
-	r.res.Outcomes[got.Outcome.String()]++
+	r.counts.Outcomes[got.Outcome.String()]++
 	record := func(h *hdrhistogram.Histogram, d time.Duration) {
-		_ = h.RecordValue(min(max(1, d.Microseconds()), h.HighestTrackableValue())) // in range by the line itself
+		_ = h.RecordValue(min(max(1, d.Microseconds()), h.HighestTrackableValue())) // clamped to the histogram's range
 	}
 	record(r.lag, late)
 	switch got.Outcome {
 	case Served:
 		record(r.served, took)
 	case Refused:
-		record(r.away, took)
+		record(r.refused, took)
 	case Lost:
-		if len(r.res.Errors) < mostErrors {
-			r.res.Errors = append(r.res.Errors, fmt.Sprintf("request %s: %v", a.ID, got.Err))
+		if len(r.counts.Errors) < maxErrors {
+			r.counts.Errors = append(r.counts.Errors, fmt.Sprintf("request %s: %v", a.ID, got.Err))
 		}
 	}
 }
 
-// result is how things stand.
+// result returns the result so far.
 func (r *run) result() Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := r.res
-	out.LengthS = time.Since(r.began).Seconds()
-	out.Outcomes = make(map[string]int, len(r.res.Outcomes))
-	for name, n := range r.res.Outcomes {
+	out := r.counts
+	out.LengthS = time.Since(r.started).Seconds()
+	out.Outcomes = make(map[string]int, len(r.counts.Outcomes))
+	for name, n := range r.counts.Outcomes {
 		out.Outcomes[name] = n
 	}
-	out.Errors = append([]string(nil), r.res.Errors...)
+	out.Errors = append([]string(nil), r.counts.Errors...)
 	out.RateS = float64(out.Outcomes[Served.String()]) / max(out.LengthS, 1e-9)
-	out.Served, out.Refused = latency(r.served), latency(r.away)
+	out.Served, out.Refused = percentiles(r.served), percentiles(r.refused)
 	out.LagMS = float64(r.lag.ValueAtQuantile(99)) / 1e3
 	return out
 }
 
-// tell reports progress once a second until ctx ends.
-func (r *run) tell(ctx context.Context, progress func(Result)) {
+// reportProgress calls progress once a second until ctx ends.
+func (r *run) reportProgress(ctx context.Context, progress func(Result)) {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
 	for {
@@ -310,7 +310,7 @@
 	}
 }
 
-// Line is a result in one line.
+// Line summarises a result in one line.
 func (r Result) Line() string {
 	return fmt.Sprintf("%.0f s: %d due, %d served (%.1f/s), %d refused, %d failed, %d lost, %d unsent; served in p50 %.1f p99 %.1f p99.9 %.1f max %.1f ms; the load's own lag p99 %.1f ms",
 		r.LengthS, r.Due, r.Outcomes["served"], r.RateS, r.Outcomes["refused"], r.Outcomes["failed"], r.Outcomes["lost"], r.Unsent,
--- a/internal/testing/loadgen/load_test.go
+++ b/internal/testing/loadgen/load_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// target is a stand-in for a sidecar.
+// target acts as a sidecar.
 func target(t *testing.T, h http.HandlerFunc) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -29,11 +29,11 @@
 func plan(addr string) *Plan {
 	return &Plan{
 		Targets: []string{addr}, Rate: 200, Arrivals: "constant", Length: 500 * time.Millisecond, Timeout: 2 * time.Second,
-		Classes: []Class{{"read", Safe, 1}, {"hold", Keyed, 1}, {"pay", Unsafe, 1}}, Tenants: []string{"acme"}, Keys: 10, Body: 100, MostOpen: 1000,
+		Classes: []Class{{"read", Idempotent, 1}, {"hold", IdempotentByKey, 1}, {"pay", NonIdempotent, 1}}, Tenants: []string{"acme"}, Keys: 10, Body: 100, MaxOpen: 1000,
 	}
 }
 
-func TestRequestsAreAsTheProtocolHasThem(t *testing.T) {
+func TestRequestsFollowTheProtocol(t *testing.T) {
 	var mu sync.Mutex
 	ids, classes := make(map[string]bool), make(map[string]int)
 	addr := target(t, func(w http.ResponseWriter, q *http.Request) {
@@ -62,8 +62,8 @@
 	}
 }
 
-// While a target stands still for a while, what is due then waits too, and its wait
-// counts: a load that only measured the requests it was free to send would see one.
+// While a target stalls, requests that become due wait too, and their wait counts: a
+// closed-loop load would measure a single slow request.
 func TestLatencyCountsFromWhenARequestWasDue(t *testing.T) {
 	var once sync.Once
 	still := make(chan struct{})
@@ -77,13 +77,13 @@
 	if err != nil || r.Outcomes["served"] != r.Due || r.Due != 70 {
 		t.Fatalf("%+v, %v", r, err)
 	}
-	// Evenly due over 350 ms and served at 400 or later: half waited 225 ms or more.
+	// Due at a constant rate over 350 ms and served at 400 ms or later: half waited 225 ms or more.
 	if r.Served.P50 < 200 || r.Served.Max < 390 {
 		t.Errorf("half within %v ms, all within %v", r.Served.P50, r.Served.Max)
 	}
 }
 
-func TestOutcomesAreToldApart(t *testing.T) {
+func TestOutcomesAreDistinguished(t *testing.T) {
 	var n atomic.Int64
 	addr := target(t, func(w http.ResponseWriter, q *http.Request) {
 		switch n.Add(1) % 5 {
@@ -102,22 +102,22 @@
 		}
 	})
 	r, err := Run(t.Context(), plan(addr), nil)
-	if err != nil || r.Outcomes["refused"] != 40 || r.Outcomes["failed"] != 20 || r.Outcomes["lost"] != 20 || r.Outcomes["served"] != 20 || len(r.Errors) != mostErrors {
+	if err != nil || r.Outcomes["refused"] != 40 || r.Outcomes["failed"] != 20 || r.Outcomes["lost"] != 20 || r.Outcomes["served"] != 20 || len(r.Errors) != maxErrors {
 		t.Errorf("%+v, %v", r, err)
 	}
-	for text, want := range map[string]time.Duration{"0.25": 250 * time.Millisecond, "2": 2 * time.Second, "": 0, "soon": 0, "-1": 0, "NaN": 0, "1e300": maxPause} {
-		if got := pause(text); got != want {
+	for text, want := range map[string]time.Duration{"0.25": 250 * time.Millisecond, "2": 2 * time.Second, "": 0, "soon": 0, "-1": 0, "NaN": 0, "1e300": maxRetryAfter} {
+		if got := parseRetryAfter(text); got != want {
 			t.Errorf("Retry-After %q: %v, want %v", text, got, want)
 		}
 	}
 }
 
-// What is open is bounded, and what gave way is said.
+// Open requests are bounded, and the unsent ones are counted.
 func TestOpenRequestsAreBounded(t *testing.T) {
 	release := make(chan struct{})
 	addr := target(t, func(http.ResponseWriter, *http.Request) { <-release })
 	p := plan(addr)
-	p.MostOpen = 7
+	p.MaxOpen = 7
 	seen := make(chan Result, 100)
 	done := make(chan *Result)
 	go func() {
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestLoadThatIsCutShortWaitsForItsAnswers(t *testing.T) {
+func TestInterruptedLoadWaitsForResponses(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var n atomic.Int64
 	addr := target(t, func(http.ResponseWriter, *http.Request) {
@@ -169,7 +169,7 @@
 	}
 }
 
-func TestPlansThatCannotBeAreRefused(t *testing.T) {
+func TestInvalidPlansAreRefused(t *testing.T) {
 	for want, change := range map[string]func(*Plan){
 		"targets":  func(p *Plan) { p.Targets = nil },
 		"rate":     func(p *Plan) { p.Rate = -1 },
@@ -178,9 +178,9 @@
 		"arrivals": func(p *Plan) { p.Arrivals = "sometimes" },
 		"recorded": func(p *Plan) { p.Arrivals = "recorded" },
 		"classes":  func(p *Plan) { p.Classes = nil },
-		"effect":   func(p *Plan) { p.Classes[0].Effect = "odd" },
+		"effect":   func(p *Plan) { p.Classes[0].Idempotency = "odd" },
 		"body":     func(p *Plan) { p.Body = maxBody + 1 },
-		"open":     func(p *Plan) { p.MostOpen = 0 },
+		"open":     func(p *Plan) { p.MaxOpen = 0 },
 	} {
 		p := plan("127.0.0.1:1")
 		change(p)
--- a/internal/testing/localfleet/links.go
+++ b/internal/testing/localfleet/links.go
@@ -16,45 +16,45 @@
 	"barleywick/internal/testing/faultinjection"
 )
 
-// links are the relays between the lab's processes: each sidecar calls the list over
-// one, and, in a scenario with a partition, each zone calls each server over another.
-type links struct {
-	net  *faultinjection.Network
-	lab  *lab
-	over []func() // ends the views
+// linkSet holds the relays between processes: each sidecar polls the list over
+// one, and, in a scenario with a partition, each zone reaches each server over another.
+type linkSet struct {
+	net     *faultinjection.Network
+	owner   *localFleet
+	closers []func() // close the zone views
 
-	mu    sync.Mutex
-	cut   map[int]int         // zones that are cut off from the others, and how often
-	slow  time.Duration       // how much later news of the list come
-	down  int                 // how often the list is down
-	views map[int]*view       // by zone
-	ways  map[string][2]int   // zones from and to, by the link's name
-	dials map[string]struct{} // links to the list
+	mu          sync.Mutex
+	partitioned map[int]int         // zones that are partitioned, with the number of active faults
+	listDelay   time.Duration       // additional delay of list messages
+	listDown    int                 // number of active faults that take the list down
+	views       map[int]*zoneView   // by zone
+	zonePairs   map[string][2]int   // source and destination zone, by link name
+	listLinks   map[string]struct{} // links to the registry
 }
 
-func newLinks(l *lab) *links {
-	return &links{
-		net: faultinjection.NewNetwork(l.seed), lab: l, cut: make(map[int]int), views: make(map[int]*view),
-		ways: make(map[string][2]int), dials: make(map[string]struct{}),
+func newLinks(l *localFleet) *linkSet {
+	return &linkSet{
+		net: faultinjection.NewNetwork(l.seed), owner: l, partitioned: make(map[int]int), views: make(map[int]*zoneView),
+		zonePairs: make(map[string][2]int), listLinks: make(map[string]struct{}),
 	}
 }
 
-func (k *links) close() {
-	for _, end := range k.over {
+func (k *linkSet) close() {
+	for _, end := range k.closers {
 		end()
 	}
 	k.net.Close()
 }
 
-// list gives a sidecar addresses for the list's replicas.
-func (k *links) list(sidecar int, replicas []string) (addrs []string, err error) {
+// listAddrs returns the addresses at which a sidecar reaches the registry's replicas.
+func (k *linkSet) listAddrs(sidecar int, replicas []string) (addrs []string, err error) {
 	partitions := false
-	for _, t := range k.lab.sc.Faults {
+	for _, t := range k.owner.scenario.Faults {
 		partitions = partitions || t.Name == "partition"
 	}
 	for i, r := range replicas {
 		if partitions {
-			if r, err = k.view(k.lab.sc.ZoneOf(sidecar), r); err != nil {
+			if r, err = k.serveView(k.owner.scenario.ZoneOf(sidecar), r); err != nil {
 				return nil, err
 			}
 		}
@@ -64,37 +64,37 @@
 			return nil, err
 		}
 		k.mu.Lock()
-		k.dials[name] = struct{}{}
+		k.listLinks[name] = struct{}{}
 		k.mu.Unlock()
 		addrs = append(addrs, l.Addr())
 	}
 	return addrs, nil
 }
 
-// apply puts what is wrong now in force on all links.
-func (k *links) apply() {
+// apply puts the active faults in force on all links.
+func (k *linkSet) apply() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for name := range k.dials {
+	for name := range k.listLinks {
 		if l, ok := k.net.Link(name); ok {
-			l.SetRule(faultinjection.LinkRule{RefuseConnections: k.down > 0, FromTarget: faultinjection.Impairment{Delay: k.slow}})
+			l.SetRule(faultinjection.LinkRule{RefuseConnections: k.listDown > 0, FromTarget: faultinjection.Impairment{Delay: k.listDelay}})
 		}
 	}
-	for name, ends := range k.ways {
+	for name, ends := range k.zonePairs {
 		if l, ok := k.net.Link(name); ok {
-			l.SetRule(k.between(ends))
+			l.SetRule(k.ruleBetween(ends))
 		}
 	}
 }
 
-// between is the rule from one zone to another. The lock is held.
-func (k *links) between(ends [2]int) faultinjection.LinkRule {
-	way := faultinjection.Impairment{Blocked: ends[0] != ends[1] && (k.cut[ends[0]] > 0 || k.cut[ends[1]] > 0)}
+// ruleBetween returns the rule for a link between two zones. The caller holds the lock.
+func (k *linkSet) ruleBetween(ends [2]int) faultinjection.LinkRule {
+	way := faultinjection.Impairment{Blocked: ends[0] != ends[1] && (k.partitioned[ends[0]] > 0 || k.partitioned[ends[1]] > 0)}
 	return faultinjection.LinkRule{ToTarget: way, FromTarget: way}
 }
 
-// change alters what is wrong, and returns what takes that back.
-func (k *links) change(do func(k *links, by int)) (undo func() error) {
+// updateFaults applies a fault and returns the function that removes it.
+func (k *linkSet) updateFaults(do func(k *linkSet, by int)) (undo func() error) {
 	set := func(by int) {
 		k.mu.Lock()
 		do(k, by)
@@ -108,31 +108,31 @@
 	}
 }
 
-// view is the list as one zone sees it: each server at a link of its own from there.
+// zoneView serves the list as one zone sees it: each server at a link from that zone.
 // The protocol lets an instance's address differ from one sidecar to the next.
-type view struct {
-	links *links
-	zone  int
-	from  string
-	http  *http.Client
-	ctx   context.Context
+type zoneView struct {
+	links   *linkSet
+	zone    int
+	replica string
+	http    *http.Client
+	ctx     context.Context
 }
 
-// view serves a zone's list from one replica.
-func (k *links) view(zone int, replica string) (addr string, err error) {
+// serveView serves a zone's view of the list of one replica.
+func (k *linkSet) serveView(zone int, replica string) (addr string, err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", fmt.Errorf("lab: %w", err)
+		return "", fmt.Errorf("localfleet: %w", err)
 	}
 	ctx, end := context.WithCancel(context.Background())
-	v := &view{links: k, zone: zone, from: replica, ctx: ctx, http: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
-	s := &http.Server{Handler: v, ReadHeaderTimeout: headIn}
+	v := &zoneView{links: k, zone: zone, replica: replica, ctx: ctx, http: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
+	s := &http.Server{Handler: v, ReadHeaderTimeout: headerTimeout}
 	served := make(chan struct{})
-	go func() { // ended by close, which waits for it
+	go func() { // ended and awaited by close
 		defer close(served)
 		_ = s.Serve(ln)
 	}()
-	k.over = append(k.over, func() {
+	k.closers = append(k.closers, func() {
 		end()
 		_ = s.Close()
 		<-served
@@ -141,12 +141,12 @@
 	return ln.Addr().String(), nil
 }
 
-// ServeHTTP passes one call on, and each line of its answer back.
-func (v *view) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+// ServeHTTP forwards one call and each line of its response.
+func (v *zoneView) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	ctx, cancel := context.WithCancel(q.Context())
 	defer cancel()
 	defer context.AfterFunc(v.ctx, cancel)()
-	req, err := http.NewRequestWithContext(ctx, q.Method, "http://"+v.from+q.URL.RequestURI(), nil)
+	req, err := http.NewRequestWithContext(ctx, q.Method, "http://"+v.replica+q.URL.RequestURI(), nil)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -173,13 +173,13 @@
 		if err == io.EOF {
 			return
 		} else if err != nil {
-			panic(http.ErrAbortHandler) // a cut must not pass for a good end
+			panic(http.ErrAbortHandler) // an interrupted stream must not look complete
 		}
 	}
 }
 
-// rewrite puts this zone's links in place of the servers' addresses.
-func (v *view) rewrite(line []byte) []byte {
+// rewrite replaces the servers' addresses by this zone's links.
+func (v *zoneView) rewrite(line []byte) []byte {
 	const mark = `"dial":"`
 	var out []byte
 	for {
@@ -192,39 +192,39 @@
 		if end < 0 {
 			return append(out, line...)
 		}
-		out = append(append(out, line[:i]...), v.links.server(v.zone, string(line[i:i+end]))...)
+		out = append(append(out, line[:i]...), v.links.serverLink(v.zone, string(line[i:i+end]))...)
 		line = line[i+end:]
 	}
 }
 
-// server is a zone's link to a server at an address.
-func (k *links) server(zone int, addr string) string {
+// serverLink returns the address of a zone's link to a server.
+func (k *linkSet) serverLink(zone int, addr string) string {
 	name := fmt.Sprintf("zone%d>%s", zone, strings.ReplaceAll(addr, ":", "_"))
 	if l, ok := k.net.Link(name); ok {
 		return l.Addr()
 	}
 	to := -1
-	for _, b := range k.lab.all() {
+	for _, b := range k.owner.allServers() {
 		b.mu.Lock()
 		if b.addr == addr {
-			to = b.sv.Zone
+			to = b.model.Zone
 		}
 		b.mu.Unlock()
 	}
 	if to < 0 {
-		return addr // the lab has none there
+		return addr // no server of this run is there
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if l, ok := k.net.Link(name); ok { // another watch came first
+	if l, ok := k.net.Link(name); ok { // added meanwhile for another watch
 		return l.Addr()
 	}
 	l, err := k.net.AddTCP(name, addr)
 	if err != nil {
-		k.lab.fail(err)
+		k.owner.fail(err)
 		return addr
 	}
-	k.ways[name] = [2]int{zone, to}
-	l.SetRule(k.between(k.ways[name]))
+	k.zonePairs[name] = [2]int{zone, to}
+	l.SetRule(k.ruleBetween(k.zonePairs[name]))
 	return l.Addr()
 }
--- a/internal/testing/localfleet/lab_test.go
+++ b/internal/testing/localfleet/localfleet_test.go
@@ -17,10 +17,10 @@
 	"barleywick/internal/simulation/emulator"
 )
 
-// TestMain lets the test binary stand in for the sidecar's program.
+// TestMain lets the test binary act as the sidecar's program.
 func TestMain(m *testing.M) {
 	if os.Getenv("ROUTER_CONFIG") == "" {
-		slog.SetDefault(slog.New(slog.DiscardHandler)) // the registry's log
+		slog.SetDefault(slog.New(slog.DiscardHandler)) // output of the registry in this process
 		os.Exit(m.Run())
 	}
 	stop, done := signal.NotifyContext(context.Background(), syscall.SIGTERM)
@@ -35,7 +35,7 @@
 	}
 }
 
-// options are those of a short day, with a folder for whatever is temporary.
+// options returns the options of a short run, with a folder for temporary files.
 func options(t *testing.T, name string, length time.Duration) Options {
 	t.Helper()
 	t.Setenv("TMPDIR", t.TempDir())
@@ -47,7 +47,7 @@
 	return Options{Scenario: sc, Seed: 1, Program: os.Args[0]}
 }
 
-// nothingLeft checks that a lab has taken everything with it.
+// nothingLeft checks that a run leaves no files and processes.
 func nothingLeft(t *testing.T) {
 	t.Helper()
 	if left, err := os.ReadDir(os.Getenv("TMPDIR")); err != nil || len(left) > 0 {
@@ -69,21 +69,21 @@
 	}
 }
 
-func TestADayOnRealSocketsKeepsTheRules(t *testing.T) {
+func TestScenariosOnRealSocketsKeepTheRules(t *testing.T) {
 	if testing.Short() {
 		t.Skip("it starts processes")
 	}
 	for _, name := range []string{"calm", "herd", "join", "zone", "split", "blind"} {
 		t.Run(name, func(t *testing.T) {
-			told := 0
+			reports := 0
 			o := options(t, name, 4*time.Second)
 			switch name {
 			case "blind":
 				o.Registry = 3
-			case "split": // at a price sidecars cross zones only where near servers rest, which may not come to be
+			case "split": // with a cost sidecars cross zones only where near servers are ejected, which may not happen
 				o.Scenario.Prices.CrossZone = 0
 			}
-			o.Progress = func(*emulator.Record) { told++ }
+			o.Progress = func(*emulator.Record) { reports++ }
 			r, err := Run(t.Context(), o)
 			if err != nil {
 				t.Fatal(err)
@@ -91,11 +91,11 @@
 			if len(r.ViolationTexts) > 0 || r.Checked.Answers < 100 || r.Checked.Sends < 100 || r.ServedRequests < r.Requests/3 {
 				t.Errorf("%s\n%+v", r.Line(), r.Checked)
 			}
-			if r.Windows[1].Capacity == nil || r.Probes == 0 || r.Handshakes == 0 || told == 0 {
-				t.Errorf("the record is not whole: %+v", r)
+			if r.Windows[1].Capacity == nil || r.Probes == 0 || r.Handshakes == 0 || reports == 0 {
+				t.Errorf("the record is incomplete: %+v", r)
 			}
 			if name == "split" && r.CrossZoneSends == 0 {
-				t.Error("nothing went between zones: the partition cut nothing")
+				t.Error("no request crossed zones: the partition had no effect")
 			}
 			if name == "herd" && r.Restarts == 0 {
 				t.Error("no sidecar was killed")
@@ -105,8 +105,8 @@
 	}
 }
 
-// Whatever bad clients say, they get an error or a close in time, and the others are served.
-func TestBadClientsGetAWordAndNobodySuffers(t *testing.T) {
+// Malformed requests get an error or a close in time, and other clients are served.
+func TestMalformedRequestsGetAnAnswerAndOthersAreServed(t *testing.T) {
 	if testing.Short() {
 		t.Skip("it starts processes")
 	}
@@ -116,13 +116,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.MalformedClients < 2*len(nonsense) || r.MalformedUnanswered > 0 || len(r.ViolationTexts) > 0 || r.ServedRequests < r.Requests*9/10 {
-		t.Errorf("%d bad clients, %d without a word; %s", r.MalformedClients, r.MalformedUnanswered, r.Line())
+	if r.MalformedClients < 2*len(malformedRequests) || r.MalformedUnanswered > 0 || len(r.ViolationTexts) > 0 || r.ServedRequests < r.Requests*9/10 {
+		t.Errorf("%d malformed requests, %d unanswered; %s", r.MalformedClients, r.MalformedUnanswered, r.Line())
 	}
 	nothingLeft(t)
 }
 
-func TestALabCutShortLeavesNothing(t *testing.T) {
+func TestInterruptedRunLeavesNothing(t *testing.T) {
 	if testing.Short() {
 		t.Skip("it starts processes")
 	}
@@ -141,12 +141,12 @@
 	gone, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := Run(gone, o); err == nil {
-		t.Error("a lab that was called off has played")
+		t.Error("a cancelled run has run")
 	}
 	nothingLeft(t)
 }
 
-func TestALabThatCannotStartSaysWhy(t *testing.T) {
+func TestFailedStartIsExplained(t *testing.T) {
 	o := options(t, "calm", time.Second)
 	o.Program = "/bin/false"
 	if _, err := Run(t.Context(), o); err == nil || !strings.Contains(err.Error(), "ended before it was ready") || strings.Contains(err.Error(), "\n") {
--- a/internal/testing/localfleet/bad.go
+++ b/internal/testing/localfleet/malformed.go
@@ -14,11 +14,11 @@
 	"barleywick/internal/simulation/emulator"
 )
 
-// badIn is how soon a client that says what cannot be read is owed an error or a close.
-const badIn = 3 * time.Second
+// malformedTimeout is how soon a malformed request has to get an error or a close.
+const malformedTimeout = 3 * time.Second
 
-// nonsense is what such clients say, in turn. The empty one says nothing.
-var nonsense = []string{
+// malformedRequests are sent in turn. The empty one is a connection without a request.
+var malformedRequests = []string{
 	"",
 	"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03 noise \r\n\r\n",
 	"POST /api HTTP/1.1\r\nHost: x\r\nRequest-Id: ha",
@@ -30,8 +30,8 @@
 	"POST /api HTTP/1.1\r\nHost: x\r\nRequest-Class: hold-slot\r\nRequest-Timeout: 1\r\nContent-Length: 62914560\r\n\r\n" + strings.Repeat("x", 4096),
 }
 
-// annoy lets bad clients come to each sidecar until the trouble is over or ctx ends.
-func (l *lab) annoy(ctx context.Context, t emulator.Fault) error {
+// sendMalformed sends malformed requests to each sidecar until the fault is over or ctx ends.
+func (l *localFleet) sendMalformed(ctx context.Context, t emulator.Fault) error {
 	if t.Size <= 0 {
 		return nil
 	}
@@ -42,23 +42,23 @@
 	every := time.Duration(float64(time.Second) / (t.Size * float64(len(l.sidecars))))
 	for n := 0; sleep(ctx, every); n++ {
 		s := l.sidecars[n%len(l.sidecars)]
-		text := nonsense[n/len(l.sidecars)%len(nonsense)]
-		all.Go(func() { l.bad(s, text) })
+		text := malformedRequests[n/len(l.sidecars)%len(malformedRequests)]
+		all.Go(func() { l.malformedClient(s, text) })
 	}
 	return nil
 }
 
-// bad is one bad client: it says its nonsense and sees what it gets.
-func (l *lab) bad(s *member, text string) {
-	conn, err := net.DialTimeout("tcp", s.addr, badIn)
+// malformedClient sends one malformed request and records the answer.
+func (l *localFleet) malformedClient(s *sidecarProcess, text string) {
+	conn, err := net.DialTimeout("tcp", s.addr, malformedTimeout)
 	if err != nil {
-		return // its sidecar is down
+		return // the sidecar is down
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(badIn + emulator.SocketSlack))
-	_, _ = io.WriteString(conn, text) // a close meanwhile is one of the answers it is owed
+	_ = conn.SetDeadline(time.Now().Add(malformedTimeout + emulator.SocketSlack))
+	_, _ = io.WriteString(conn, text) // a close meanwhile is one of the permitted answers
 	answer, err := io.ReadAll(io.LimitReader(conn, maxBody))
-	l.count(func(r *emulator.Record) {
+	l.updateRecord(func(r *emulator.Record) {
 		r.MalformedClients++
 		if errors.Is(err, os.ErrDeadlineExceeded) && len(answer) == 0 {
 			r.MalformedUnanswered++
@@ -66,7 +66,7 @@
 	})
 	if strings.HasPrefix(string(answer), "HTTP/1.1 2") {
 		l.mu.Lock()
-		l.check.MalformedServed(l.now(), fmt.Sprintf("%.40q", text))
+		l.checker.MalformedServed(l.now(), fmt.Sprintf("%.40q", text))
 		l.mu.Unlock()
 	}
 }
--- a/internal/testing/localfleet/sidecar.go
+++ b/internal/testing/localfleet/sidecar.go
@@ -17,9 +17,9 @@
 	"barleywick/internal/testing/loadgen"
 )
 
-// member is one real sidecar process, and its client.
-type member struct {
-	lab    *lab
+// sidecarProcess is one real sidecar process, and its client.
+type sidecarProcess struct {
+	owner  *localFleet
 	index  int
 	addr   string
 	config string
@@ -27,37 +27,37 @@
 	log    *os.File
 
 	cmd   *exec.Cmd
-	ended chan error // takes the process's end
-	up    bool       // guarded by lab.mu; a client goes and comes with its sidecar
+	ended chan error // receives the result of the process
+	up    bool       // guarded by the owner's mu; a client ends and starts with its sidecar
 }
 
 const (
-	readyIn = 15 * time.Second
-	// pollEvery is how often a sidecar is asked whether it is ready.
-	pollEvery = 20 * time.Millisecond
-	// endIn is the longest time from SIGTERM on that a sidecar may need for its answers.
-	endIn = 10 * time.Second
+	readyTimeout = 15 * time.Second
+	// pollInterval is the interval of readiness checks.
+	pollInterval = 20 * time.Millisecond
+	// shutdownTimeout bounds a graceful shutdown after SIGTERM.
+	shutdownTimeout = 10 * time.Second
 
 	sockets  = 1024
 	memoryMB = 192
 )
 
 // prepare picks an address and writes the configuration.
-func (s *member) prepare(discovery []string) error {
+func (s *sidecarProcess) prepare(discovery []string) error {
 	addr, err := freeAddr()
 	if err != nil {
 		return err
 	}
 	s.addr = addr
 	text, err := json.MarshalIndent(map[string]any{
-		"name": fmt.Sprintf("n%d", s.index), "listen": addr, "discovery": discovery[0], "discovery_replicas": discovery[1:], "seed": fmt.Sprintf("%x", s.lab.seed+uint64(s.index)+1),
+		"name": fmt.Sprintf("n%d", s.index), "listen": addr, "discovery": discovery[0], "discovery_replicas": discovery[1:], "seed": fmt.Sprintf("%x", s.owner.seed+uint64(s.index)+1),
 		"limits":   map[string]any{"cores": 1.0, "memory_mb": memoryMB, "sockets": sockets},
-		"settings": s.lab.sc.Settings(s.index),
+		"settings": s.owner.scenario.Settings(s.index),
 	}, "", " ")
 	if err != nil {
 		return err
 	}
-	s.config = filepath.Join(s.lab.folder, fmt.Sprintf("n%d.json", s.index))
+	s.config = filepath.Join(s.owner.dir, fmt.Sprintf("n%d.json", s.index))
 	if err := os.WriteFile(s.config, text, 0o600); err != nil {
 		return fmt.Errorf("configuration of sidecar %d: %w", s.index, err)
 	}
@@ -66,18 +66,18 @@
 }
 
 // start starts the process and waits until it is ready.
-func (s *member) start(ctx context.Context) error {
-	s.cmd = exec.Command(s.lab.program)
+func (s *sidecarProcess) start(ctx context.Context) error {
+	s.cmd = exec.Command(s.owner.program)
 	s.cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+s.config)
 	s.cmd.Stdout, s.cmd.Stderr = s.log, s.log
-	s.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // it never outlives the lab, and Ctrl-C is the lab's to pass on
+	s.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // it ends with this process, which handles Ctrl-C alone
 	if err := s.cmd.Start(); err != nil {
 		return fmt.Errorf("sidecar %d: %w", s.index, err)
 	}
 	s.ended = make(chan error, 1)
 	cmd, ended := s.cmd, s.ended
-	s.lab.tasks.Go(func() { ended <- cmd.Wait() })
-	ctx, cancel := context.WithTimeout(ctx, readyIn)
+	s.owner.tasks.Go(func() { ended <- cmd.Wait() })
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
 		if s.ready(ctx) {
@@ -86,15 +86,15 @@
 		select {
 		case err := <-s.ended:
 			s.ended <- err
-			return fmt.Errorf("sidecar %d ended before it was ready (%v); its log: %s", s.index, err, s.lastLine())
+			return fmt.Errorf("sidecar %d ended before it was ready (%w); its log: %s", s.index, err, s.lastLine())
 		case <-ctx.Done():
 			return fmt.Errorf("sidecar %d is not ready: %w", s.index, ctx.Err())
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-func (s *member) ready(ctx context.Context) bool {
+func (s *sidecarProcess) ready(ctx context.Context) bool {
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.addr+"/health/ready", nil)
 	if err != nil {
 		return false
@@ -108,8 +108,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// lastLine is the end of the process's log.
-func (s *member) lastLine() string {
+// lastLine returns the last line of the process's log.
+func (s *sidecarProcess) lastLine() string {
 	text, err := os.ReadFile(s.log.Name())
 	if err != nil {
 		return err.Error()
@@ -118,24 +118,24 @@
 	return string(lines[len(lines)-1])
 }
 
-// kill ends the process outright and waits for its end.
-func (s *member) kill() {
+// kill kills the process and waits for its end.
+func (s *sidecarProcess) kill() {
 	if s.ended == nil {
 		return
 	}
-	_ = s.cmd.Process.Kill() // it may have ended by itself
+	_ = s.cmd.Process.Kill() // it may have ended already
 	<-s.ended
 	s.ended = nil
 }
 
-// killed is kill, as restart wants it.
-func (s *member) killed() error {
+// killNow is kill with the signature of stop.
+func (s *sidecarProcess) killNow() error {
 	s.kill()
 	return nil
 }
 
 // stop ends the process by SIGTERM.
-func (s *member) stop() error {
+func (s *sidecarProcess) stop() error {
 	if s.ended == nil {
 		return nil
 	}
@@ -149,8 +149,8 @@
 			return fmt.Errorf("sidecar %d ended with %w; its log: %s", s.index, err, s.lastLine())
 		}
 		return nil
-	case <-time.After(endIn):
+	case <-time.After(shutdownTimeout):
 		s.kill()
-		return fmt.Errorf("sidecar %d did not end within %v of SIGTERM", s.index, endIn)
+		return fmt.Errorf("sidecar %d did not end within %v of SIGTERM", s.index, shutdownTimeout)
 	}
 }
--- a/internal/testing/soaktest/client.go
+++ b/internal/testing/soaktest/client.go
@@ -130,7 +130,7 @@
 }
 
 // ended says whether the sidecar has closed the connection by now.
-func (c *client) ended() bool { return loadgen.Closed(c.conn) }
+func (c *client) ended() bool { return loadgen.ClosedByPeer(c.conn) }
 
 // once hands one request in and follows it to its end.
 func (c *client) once() {
