--- a/internal/membership/gossip/lifecycle.go
+++ b/internal/membership/gossip/lifecycle.go
@@ -73,7 +73,7 @@
 	}
 	tasks.Go(func() { n.reconnectLoop(taskCtx) })
 	if laterKey := n.runRounds(ctx); laterKey != "" {
-		n.log.Error("members: replaced by a later process of the same name, no longer a member; give one of them another name", "name", n.self.Name, "later", laterKey)
+		n.log.Error("members: replaced by a later process of the same name", "name", n.self.Name, "later", laterKey)
 		stopTasks()
 		tasks.Wait()
 		if err := n.list.Load().Shutdown(); err != nil {
@@ -119,7 +119,7 @@
 	if n.options.Transport != nil {
 		return fmt.Errorf("membership: %s is there already, as %s", n.self.Name, latest.Key())
 	}
-	n.log.Error("members: another process of this name has a later start time, taking a higher incarnation", "name", n.self.Name, "other", latest.Key())
+	n.log.Error("members: taking a higher incarnation than another process of this name", "name", n.self.Name, "other", latest.Key())
 	if err := n.list.Load().Shutdown(); err != nil {
 		return fmt.Errorf("membership: %w", err)
 	}
