--- a/internal/registry/api.go
+++ b/internal/registry/api.go
@@ -7,7 +7,39 @@
 	"barleywick/internal/rollout"
 )
 
-// The write interface's messages. docs/REGISTRY.md describes them.
+// The paths of the API, and the header that says how fresh a response is. docs/REGISTRY.md
+// describes the calls.
+const (
+	// ListPath is the path of the list and its watch in the discovery protocol.
+	ListPath = "/registry/instances"
+	// APIPath begins the paths of all other calls.
+	APIPath = "/registry/v1/"
+	// ReadHeader is the header that says how fresh a response is: one of the values below.
+	ReadHeader = "Registry-Read"
+	// ReadStale means that the replica has no contact with a leader.
+	ReadStale = "stale"
+	// ReadCurrent means that the replica has heard of a leader lately: the response may be a
+	// moment behind.
+	ReadCurrent = "current"
+	// ReadLinearizable means that the leader has verified its leadership for this response.
+	ReadLinearizable = "linearizable"
+)
+
+// MaxRenewals is how many claims one call may renew.
+const MaxRenewals = 256
+
+// Base64 is a value that JSON holds as base64 text.
+type Base64 []byte
+
+// UnmarshalJSON reads base64 text. Its error says what was expected.
+func (b *Base64) UnmarshalJSON(text []byte) error {
+	var plain []byte
+	if err := json.Unmarshal(text, &plain); err != nil {
+		return fmt.Errorf("value is not a text in base64: %w", err)
+	}
+	*b = plain
+	return nil
+}
 
 // RegisterRequest is the body of PUT instances/HOST.
 type RegisterRequest struct {
@@ -25,11 +57,11 @@
 
 // MarkRequest is the body of POST marks.
 type MarkRequest struct {
-	Fence           *Fence   `json:"fence,omitempty"` // only while this token is the lease's
+	Fence           *Fence   `json:"fence,omitempty"` // only while this is the lease's token
 	Hosts           []string `json:"hosts"`
 	MarkedBy        string   `json:"by"`
 	Draining        bool     `json:"draining"`
-	IfVersion       *uint64  `json:"if_version,omitempty"` // with one host
+	IfVersion       *uint64  `json:"if_version,omitempty"` // with a single host
 	IfRecord        string   `json:"record,omitempty"`     // only while this record
 	IfRecordVersion uint64   `json:"record_at,omitempty"`  // has this version
 }
@@ -38,86 +70,73 @@
 type PutRequest struct {
 	Value     Base64  `json:"value"`
 	IfVersion *uint64 `json:"if_version,omitempty"`
-	Fence     *Fence  `json:"fence,omitempty"` // only while this token is the lease's
-}
-
-// Base64 is bytes that stand in JSON as text in base64.
-type Base64 []byte
-
-// UnmarshalJSON says what is wanted where it is something else.
-func (b *Base64) UnmarshalJSON(text []byte) error {
-	var plain []byte
-	if err := json.Unmarshal(text, &plain); err != nil {
-		return fmt.Errorf("value is not a text in base64: %w", err)
-	}
-	*b = plain
-	return nil
+	Fence     *Fence  `json:"fence,omitempty"` // only while this is the lease's token
 }
 
 // AcquireRequest is the body of POST leases/NAME/acquire.
 type AcquireRequest struct {
 	Claim
-	Wait bool `json:"wait,omitempty"` // take a place in the line where it is not free
+	Wait bool `json:"wait,omitempty"` // queue if the lease is not free
 }
 
 // ReleaseRequest is the body of POST leases/NAME/release.
 type ReleaseRequest struct {
 	ClaimID string `json:"claim"`
 	Holder
-	NextHolder string `json:"to,omitempty"` // who waits and is to have it next
+	NextHolder string `json:"to,omitempty"` // who in the queue gets the lease next
 }
 
-// YieldRequest is the body of POST leases/NAME/ask, an operator's.
+// YieldRequest is the body of POST leases/NAME/ask: an operator asks the holder to yield
+// the lease, or pauses it.
 type YieldRequest struct {
-	Yield      bool   `json:"leave,omitempty"` // the holder is to give it up
-	NextHolder string `json:"to,omitempty"`    // to this one, who waits
-	Pause      *bool  `json:"pause,omitempty"` // nobody is to hold it, or that is over
+	Yield      bool   `json:"leave,omitempty"`
+	NextHolder string `json:"to,omitempty"`    // who in the queue gets the lease next
+	Pause      *bool  `json:"pause,omitempty"` // true: nobody may hold the lease; false: the pause is over
 }
 
-// RenewClaimsRequest is the body of POST renewals: a sign of life for claims of one
-// process, held or waiting.
+// RenewClaimsRequest is the body of POST renewals. It renews claims of one process, held
+// or queued.
 type RenewClaimsRequest struct {
 	Holder
 	Claims []ClaimRef `json:"claims"`
 }
 
-// MaxRenewals is how many claims one call may renew.
-const MaxRenewals = 256
+// RenewClaimsResponse is the answer to POST renewals, in the order of the request.
+type RenewClaimsResponse struct {
+	Claims []ClaimStatus `json:"claims"`
+}
 
-// ClaimStatus is how a claim stands. A token means that it holds its lease.
+// ClaimStatus is how a claim stands: it holds its lease with a token, is queued, is asked
+// to yield, or has ended.
 type ClaimStatus struct {
 	Lease          string `json:"name"`
 	ClaimID        string `json:"claim"`
 	Token          uint64 `json:"token,omitempty"`
-	QueuePosition  int    `json:"place,omitempty"` // in the line, from 1 on
-	YieldRequested bool   `json:"leave,omitempty"` // give it up; it has not been renewed
-	NextHolder     string `json:"to,omitempty"`    // to this one
-	Ended          bool   `json:"gone,omitempty"`  // the claim has ended
+	QueuePosition  int    `json:"place,omitempty"` // from 1 on
+	YieldRequested bool   `json:"leave,omitempty"` // the claim was not renewed
+	NextHolder     string `json:"to,omitempty"`    // to whom the holder is asked to yield
+	Ended          bool   `json:"gone,omitempty"`
 }
 
-// RenewClaimsResponse is the answer to POST renewals, in the order of the call.
-type RenewClaimsResponse struct {
-	Claims []ClaimStatus `json:"claims"`
-}
-
-// PolicyRequest is the body of POST policy; the answer is the named member's view.
+// PolicyRequest is the body of POST policy. The answer is the view of the member that the
+// command names.
 type PolicyRequest struct {
 	rollout.Command
-	Fence *Fence `json:"fence,omitempty"` // only while this token is the lease's
+	Fence *Fence `json:"fence,omitempty"` // only while this is the lease's token
 }
 
 // LeasesResponse is the answer to GET leases.
 type LeasesResponse struct {
 	Version      uint64  `json:"version"`
-	GrantsClosed bool    `json:"shut,omitempty"` // none is granted yet
+	GrantsClosed bool    `json:"shut,omitempty"` // the group does not grant leases yet
 	Leases       []Lease `json:"leases"`
 }
 
 // WriteResponse is the answer to a write.
 type WriteResponse struct {
-	Version uint64 `json:"version"`         // of the entry or record
-	Seq     uint64 `json:"seq"`             // of the list
-	Error   string `json:"error,omitempty"` // one line, where it was not done
+	Version uint64 `json:"version"`         // of the registration or record
+	Seq     uint64 `json:"seq"`             // the list's version
+	Error   string `json:"error,omitempty"` // one line, if the write was not carried out
 }
 
 // RegistrationsResponse is the answer to GET instances.
@@ -128,44 +147,28 @@
 	Marks         map[string]string `json:"marks"`
 }
 
-// ReplicaInfo is one replica of a group.
+// ReplicaInfo names one replica of a group and its addresses.
 type ReplicaInfo struct {
 	ID   string `json:"id"`
-	HTTP string `json:"http"` // where it serves
-	Raft string `json:"raft"` // where replicas reach it
+	HTTP string `json:"http"` // where it serves the API
+	Raft string `json:"raft"` // where the other replicas reach it
 }
 
 // StatusResponse is the answer to GET status.
 type StatusResponse struct {
 	ID         string        `json:"id"`
 	Group      string        `json:"group"`
-	State      string        `json:"state"` // leader, follower, candidate
+	State      string        `json:"state"` // leader, follower or candidate
 	Leader     string        `json:"leader"`
-	Read       string        `json:"read"` // as the header says
+	Read       string        `json:"read"` // as in ReadHeader
 	Ready      bool          `json:"ready"`
 	Seq        uint64        `json:"seq"`
 	Term       uint64        `json:"term"`
 	Applied    uint64        `json:"applied"`
 	Replicas   []ReplicaInfo `json:"members"`
 	Watches    int           `json:"watches"`
-	WatchSeq   uint64        `json:"watch_seq"` // the oldest version that a watch here has been sent
+	WatchSeq   uint64        `json:"watch_seq"` // the oldest version that one of its watches has been sent
 	Sessions   int           `json:"sessions"`
-	ExpiryHeld bool          `json:"expiry_held"`
-	Claims     int           `json:"claims"` // on leases, held and waiting, that the leader follows
+	ExpiryHeld bool          `json:"expiry_held"` // too many sessions have expired at once
+	Claims     int           `json:"claims"`      // that the leader tracks
 }
-
-const (
-	// ListPath is where the list is, by the protocol.
-	ListPath = "/registry/instances"
-	// APIPath begins the paths of the write interface.
-	APIPath = "/registry/v1/"
-	// ReadHeader says in each answer how fresh what it tells is.
-	ReadHeader = "Registry-Read"
-	// ReadStale means that the replica has no contact with a leader.
-	ReadStale = "stale"
-	// ReadCurrent means that it heard of a leader lately: an answer may still be a
-	// moment behind.
-	ReadCurrent = "current"
-	// ReadLinearizable means that the leader made sure that it still is the leader.
-	ReadLinearizable = "linearizable"
-)
--- a/internal/registry/changes.go
+++ b/internal/registry/changes.go
@@ -6,69 +6,80 @@
 	"slices"
 )
 
-// listChange is one host's listChange. What it changed to is the entry's to tell.
+// ListUpdate is a message of the endpoint list: the full list, or what has changed since
+// the version that was asked for.
+type ListUpdate struct {
+	Seq       uint64     `json:"seq"`
+	Full      bool       `json:"whole"`
+	Instances []Instance `json:"hosts"`
+}
+
+// listChange says that a host's entry changed with a version of the list. How it is now
+// stands in the host's registration.
 type listChange struct {
 	Seq  uint64 `json:"seq"`
 	Host string `json:"host"`
 }
 
-// bumpVersion gives the list its next version, with these hosts bumpVersion in it.
+// compareSeq orders changes by their version.
+func (c listChange) compareSeq(d listChange) int { return cmp.Compare(c.Seq, d.Seq) }
+
+// bumpVersion gives the list its next version, in which these hosts have changed.
 func (s *State) bumpVersion(hosts ...string) {
 	if len(hosts) == 0 {
 		return
 	}
 	s.seq++
-	for _, h := range hosts {
-		if e := s.registrations[h]; e != nil {
-			e.Version = s.seq
+	for _, host := range hosts {
+		if r := s.registrations[host]; r != nil {
+			r.Version = s.seq
 		}
-		s.changes = append(s.changes, listChange{s.seq, h})
+		s.changes = append(s.changes, listChange{s.seq, host})
 	}
-	if over := len(s.changes) - maxListChanges; over > 0 {
-		s.changesAfter = s.changes[over-1].Seq
-		for over < len(s.changes) && s.changes[over].Seq == s.changesAfter { // a version goes whole or not at all
-			over++
-		}
-		s.changes = slices.Delete(s.changes, 0, over)
+	s.trimChanges()
+}
+
+// trimChanges bounds the log of changes. It drops all changes of a version or none.
+func (s *State) trimChanges() {
+	excess := len(s.changes) - maxListChanges
+	if excess <= 0 {
+		return
+	}
+	s.changesAfter = s.changes[excess-1].Seq
+	for excess < len(s.changes) && s.changes[excess].Seq == s.changesAfter {
+		excess++
 	}
+	s.changes = slices.Delete(s.changes, 0, excess)
 }
 
-// FullList returns the list.
+// FullList returns all instances.
 func (s *State) FullList() ListUpdate {
-	l := ListUpdate{Seq: s.seq, Full: true, Instances: make([]Instance, 0, len(s.registrations))}
-	for _, h := range slices.Sorted(maps.Keys(s.registrations)) {
-		l.Instances = append(l.Instances, s.registrations[h].Instance)
+	u := ListUpdate{Seq: s.seq, Full: true, Instances: make([]Instance, 0, len(s.registrations))}
+	for _, host := range slices.Sorted(maps.Keys(s.registrations)) {
+		u.Instances = append(u.Instances, s.registrations[host].Instance)
 	}
-	return l
+	return u
 }
 
-// ChangesSince returns what changed after a version: each host that did, as it is now.
-// Where the log does not tell, for a version before it, after the newest or of
-// another history, it is the whole list.
-func (s *State) ChangesSince(from uint64) ListUpdate {
-	if from < s.changesAfter || from > s.seq {
+// ChangesSince returns each host that has changed after a version, as it is now. It
+// returns the full list if the log of changes does not cover the version: one that is
+// too old, newer than the list, or of another history.
+func (s *State) ChangesSince(version uint64) ListUpdate {
+	if version < s.changesAfter || version > s.seq {
 		return s.FullList()
 	}
-	at, _ := slices.BinarySearchFunc(s.changes, from+1, func(c listChange, v uint64) int { return cmp.Compare(c.Seq, v) })
-	hosts := make(map[string]bool)
-	for _, c := range s.changes[at:] {
-		hosts[c.Host] = true
+	first, _ := slices.BinarySearchFunc(s.changes, listChange{Seq: version + 1}, listChange.compareSeq)
+	changed := make(map[string]bool)
+	for _, c := range s.changes[first:] {
+		changed[c.Host] = true
 	}
-	l := ListUpdate{Seq: s.seq, Instances: make([]Instance, 0, len(hosts))}
-	for _, h := range slices.Sorted(maps.Keys(hosts)) {
-		if e := s.registrations[h]; e != nil {
-			l.Instances = append(l.Instances, e.Instance)
+	u := ListUpdate{Seq: s.seq, Instances: make([]Instance, 0, len(changed))}
+	for _, host := range slices.Sorted(maps.Keys(changed)) {
+		if r := s.registrations[host]; r != nil {
+			u.Instances = append(u.Instances, r.Instance)
 		} else {
-			l.Instances = append(l.Instances, Instance{Host: h, Health: HealthRemoved})
+			u.Instances = append(u.Instances, Instance{Host: host, Health: HealthRemoved})
 		}
 	}
-	return l
-}
-
-// ListUpdate is what discovery answers: the whole list, or what has changed since
-// the version that was asked for.
-type ListUpdate struct {
-	Seq       uint64     `json:"seq"`
-	Full      bool       `json:"whole"`
-	Instances []Instance `json:"hosts"`
+	return u
 }
--- a/internal/registry/claim_tracker.go
+++ b/internal/registry/claim_tracker.go
@@ -10,146 +10,148 @@
 	"barleywick/internal/mutation"
 )
 
-// ClaimTracker counts for how long each claim has given no sign of life. As Sessions
-// it is the leader's alone: a new leader begins one of its own, in which every claim
-// has its full time before it. Time is told to it; it reads no clock.
+// ClaimTracker measures how long ago each claim was renewed. Like a SessionTracker it
+// belongs to the leader and is not replicated: a new leader begins with a new one, in
+// which every claim has its full time to live. It is told the time and reads no clock.
 type ClaimTracker struct {
-	syncedVersion  uint64        // the leases' version that it follows
-	maxTTL         time.Duration // the longest time that a claim may have
+	synced         bool          // it has followed the leases once
+	syncedVersion  uint64        // the leases' version that it followed last
+	maxTTL         time.Duration // the longest time to live that a claim may have
 	claims         map[ClaimRef]trackedClaim
-	grantsClosedAt time.Time // when it first saw that no lease is granted yet
-	synced         bool
+	grantsClosedAt time.Time // when it first saw that no leases are granted yet; zero: they are
 }
 
+// trackedClaim is when a claim was renewed last, and for how long.
 type trackedClaim struct {
-	ttl     time.Duration
-	at      time.Time
-	granted bool
-	ending  bool // its end is on its way through the log: no renewal is taken any more
+	ttl       time.Duration
+	renewedAt time.Time
+	granted   bool
+	expired   bool // its end is on its way through the log: it can no longer be renewed
 }
 
-// NewClaimTracker makes one for a group in which no claim has more than this time.
-func NewClaimTracker(longest time.Duration) *ClaimTracker {
-	return &ClaimTracker{maxTTL: longest, claims: make(map[ClaimRef]trackedClaim)}
+// NewClaimTracker makes a tracker for a group in which no claim lives longer than maxTTL
+// without a renewal.
+func NewClaimTracker(maxTTL time.Duration) *ClaimTracker {
+	return &ClaimTracker{maxTTL: maxTTL, claims: make(map[ClaimRef]trackedClaim)}
 }
 
 // Clone returns a copy.
-func (c *ClaimTracker) Clone() *ClaimTracker {
-	d := *c
-	d.claims = make(map[ClaimRef]trackedClaim, len(c.claims))
-	for k, v := range c.claims {
-		d.claims[k] = v
-	}
-	return &d
+func (t *ClaimTracker) Clone() *ClaimTracker {
+	c := *t
+	c.claims = maps.Clone(t.claims)
+	return &c
 }
 
-// Sync takes the claims of the state over. One that is new, or has been granted
-// its lease since, has its full time from now on.
-func (c *ClaimTracker) Sync(s *Leases, now time.Time) {
-	if c.synced && c.syncedVersion == s.version {
+// Len returns how many claims are tracked.
+func (t *ClaimTracker) Len() int { return len(t.claims) }
+
+// Sync follows the claims of the state. A claim that is new, or has been granted its
+// lease since the last call, has its full time to live from now on.
+func (t *ClaimTracker) Sync(leases *Leases, now time.Time) {
+	if t.synced && t.syncedVersion == leases.version {
 		return
 	}
-	c.syncedVersion = s.version
-	if !s.grantsClosed {
-		c.grantsClosedAt = time.Time{}
-	} else if c.grantsClosedAt.IsZero() {
-		c.grantsClosedAt = now
+	t.syncedVersion = leases.version
+	if !leases.grantsClosed {
+		t.grantsClosedAt = time.Time{}
+	} else if t.grantsClosedAt.IsZero() {
+		t.grantsClosedAt = now
 	}
-	there := make(map[ClaimRef]bool, len(c.claims))
-	note := func(name string, claim Claim, granted bool) {
-		k := ClaimRef{name, claim.ID}
-		there[k] = true
-		if was, ok := c.claims[k]; ok && was.granted == granted {
-			return
-		}
-		at := now
-		if mutation.ForgetfulLeader && !c.synced {
-			at = now.Add(-time.Duration(claim.TTLMS) * time.Millisecond * 3 / 4)
-		}
-		c.claims[k] = trackedClaim{ttl: time.Duration(claim.TTLMS) * time.Millisecond, at: at, granted: granted}
-	}
-	for name, l := range s.leases {
+	present := make(map[ClaimRef]bool, len(t.claims))
+	for name, l := range leases.leases {
 		if l.Grant != nil {
-			note(name, l.Grant.Claim, true)
+			present[t.track(name, l.Grant.Claim, true, now)] = true
 		}
-		for _, w := range l.Queue {
-			note(name, w, false)
+		for _, queued := range l.Queue {
+			present[t.track(name, queued, false, now)] = true
 		}
 	}
-	for k := range c.claims {
-		if !there[k] {
-			delete(c.claims, k)
-		}
+	maps.DeleteFunc(t.claims, func(ref ClaimRef, _ trackedClaim) bool { return !present[ref] })
+	t.synced = true
+}
+
+// track follows one claim of the state.
+func (t *ClaimTracker) track(lease string, claim Claim, granted bool, now time.Time) ClaimRef {
+	ref := ClaimRef{lease, claim.ID}
+	if known, ok := t.claims[ref]; ok && known.granted == granted {
+		return ref
+	}
+	ttl := time.Duration(claim.TTLMS) * time.Millisecond
+	renewedAt := now
+	if mutation.ForgetfulLeader && !t.synced {
+		renewedAt = now.Add(-ttl * 3 / 4)
 	}
-	c.synced = true
+	t.claims[ref] = trackedClaim{ttl: ttl, renewedAt: renewedAt, granted: granted}
+	return ref
 }
 
-// renew notes a sign of life that came at a time. It is false where the claim is not
-// followed, or its end has been decided.
-func (c *ClaimTracker) renew(name, claim string, at time.Time) bool {
-	k := ClaimRef{name, claim}
-	was, ok := c.claims[k]
-	if !ok || was.ending {
+// renew records that a claim was renewed. It returns false if the claim is not tracked,
+// or has expired already.
+func (t *ClaimTracker) renew(lease, claimID string, at time.Time) bool {
+	ref := ClaimRef{lease, claimID}
+	claim, ok := t.claims[ref]
+	if !ok || claim.expired {
 		return false
 	}
-	if at.After(was.at) {
-		was.at = at
-		c.claims[k] = was
+	if at.After(claim.renewedAt) {
+		claim.renewedAt = at
+		t.claims[ref] = claim
 	}
 	return true
 }
 
-// RenewClaims tells claims of one process how they stand, and notes the sign of life that
-// came with them at a time. Only a leader may that has made sure, after that time,
-// that it is one: whoever leads next begins later and gives every claim its full time.
-func (c *ClaimTracker) RenewClaims(s *Leases, of Holder, claims []ClaimRef, at time.Time) []ClaimStatus {
-	c.Sync(s, at)
-	answers := make([]ClaimStatus, len(claims))
-	for i, k := range claims {
-		a := ClaimStatus{Lease: k.Lease, ClaimID: k.ClaimID}
-		stand, err := s.standing(k.Lease, Claim{ID: k.ClaimID, Holder: of})
-		switch {
-		case err != nil:
-			a.Ended = true
-		case stand.Leave:
-			a.YieldRequested, a.NextHolder = true, stand.To
-		case !c.renew(k.Lease, stand.Claim, at):
-			a.Ended = true // its end is on its way
-		default:
-			a.Token, a.QueuePosition = stand.Token, stand.Place
-		}
-		answers[i] = a
+// RenewClaims renews claims of one holder as of a time, and returns how each stands. Only
+// a leader may call it, after it has verified its leadership later than that time: a
+// replica that leads afterwards begins later, and gives every claim its full time.
+func (t *ClaimTracker) RenewClaims(leases *Leases, holder Holder, claims []ClaimRef, at time.Time) []ClaimStatus {
+	t.Sync(leases, at)
+	statuses := make([]ClaimStatus, len(claims))
+	for i, ref := range claims {
+		statuses[i] = t.renewClaim(leases, holder, ref, at)
 	}
-	return answers
+	return statuses
 }
 
-// TakeExpired returns the claims whose time is up, and whether grants may begin. Whoever
-// takes them has them ended: a renewal that comes meanwhile comes too late.
-func (c *ClaimTracker) TakeExpired(now time.Time) (ended []ClaimRef, open bool) {
-	for k, v := range c.claims {
-		if now.Sub(v.at) >= v.ttl {
-			v.ending = true
-			c.claims[k] = v
-			ended = append(ended, k)
+func (t *ClaimTracker) renewClaim(leases *Leases, holder Holder, ref ClaimRef, at time.Time) ClaimStatus {
+	status := ClaimStatus{Lease: ref.Lease, ClaimID: ref.ClaimID}
+	standing, err := leases.standing(ref.Lease, Claim{ID: ref.ClaimID, Holder: holder})
+	switch {
+	case err != nil:
+		status.Ended = true
+	case standing.yieldRequested: // not renewed
+		status.YieldRequested, status.NextHolder = true, standing.nextHolder
+	case !t.renew(ref.Lease, standing.claimID, at):
+		status.Ended = true
+	default:
+		status.Token, status.QueuePosition = standing.token, standing.queuePosition
+	}
+	return status
+}
+
+// TakeExpired returns the claims whose time to live is over, in order, and whether the
+// group may open its grants. The caller ends these claims: they can no longer be renewed.
+func (t *ClaimTracker) TakeExpired(now time.Time) (expired []ClaimRef, openGrants bool) {
+	for ref, claim := range t.claims {
+		if now.Sub(claim.renewedAt) >= claim.ttl {
+			claim.expired = true
+			t.claims[ref] = claim
+			expired = append(expired, ref)
 		}
 	}
-	slices.SortFunc(ended, func(a, b ClaimRef) int {
-		return cmp.Or(cmp.Compare(a.Lease, b.Lease), cmp.Compare(a.ClaimID, b.ClaimID))
-	})
-	return ended, !c.grantsClosedAt.IsZero() && now.Sub(c.grantsClosedAt) >= c.maxTTL
+	slices.SortFunc(expired, compareClaimRefs)
+	openGrants = !t.grantsClosedAt.IsZero() && now.Sub(t.grantsClosedAt) >= t.maxTTL
+	return expired, openGrants
 }
 
-// Visit tells how every claim stands, in a text that says what will become of it and
-// nothing else.
-func (c *ClaimTracker) Visit(now time.Time, tell func(k ClaimRef, how string)) {
-	keys := slices.SortedFunc(maps.Keys(c.claims), func(a, b ClaimRef) int {
-		return cmp.Or(cmp.Compare(a.Lease, b.Lease), cmp.Compare(a.ClaimID, b.ClaimID))
-	})
-	for _, k := range keys {
-		v := c.claims[k]
-		tell(k, fmt.Sprint(now.Sub(v.at), v.ttl, v.granted, v.ending))
+// Visit calls visit for every claim, in order, with a text that tells claims apart which
+// will fare differently, and no others.
+func (t *ClaimTracker) Visit(now time.Time, visit func(ref ClaimRef, state string)) {
+	for _, ref := range slices.SortedFunc(maps.Keys(t.claims), compareClaimRefs) {
+		claim := t.claims[ref]
+		visit(ref, fmt.Sprint(now.Sub(claim.renewedAt), claim.ttl, claim.granted, claim.expired))
 	}
 }
 
-// Len returns how many claims are followed.
-func (c *ClaimTracker) Len() int { return len(c.claims) }
+func compareClaimRefs(a, b ClaimRef) int {
+	return cmp.Or(cmp.Compare(a.Lease, b.Lease), cmp.Compare(a.ClaimID, b.ClaimID))
+}
--- a/internal/registry/instance.go
+++ b/internal/registry/instance.go
@@ -1,10 +1,3 @@
-// Package registry is the list of booking servers as a state machine: instances,
-// versions, a bounded log of changes, drain marks and records. Commands go in,
-// results and changes come out. It does no I/O, starts no goroutine and reads no
-// clock: time enters only as a command's field, so that every replica that applies
-// the same commands holds the same state.
-//
-// Nothing here is safe for concurrent use.
 package registry
 
 import (
@@ -17,23 +10,23 @@
 // Health is what the list says of an instance.
 type Health string
 
-// The words that the protocol has for it.
+// The health values of the protocol.
 const (
 	HealthUp       Health = "up"
 	HealthDraining Health = "draining"
-	HealthRemoved  Health = "removed" // among changes only
+	HealthRemoved  Health = "removed" // only in changes of the list
 )
 
-// Instance is one entry of the list, in the protocol's form.
+// Instance is one entry of the endpoint list, in the protocol's form.
 type Instance struct {
-	Host   string  `json:"host"` // the same at every sidecar
+	Host   string  `json:"host"` // the same name at every sidecar
 	Dial   string  `json:"dial"`
 	Site   string  `json:"site"`
 	Class  string  `json:"class"`
 	Block  *int    `json:"block,omitempty"`
 	Health Health  `json:"health"`
 	Share  float64 `json:"share"`
-	BornMS int64   `json:"born_ms"` // the last start; 0: long ago
+	BornMS int64   `json:"born_ms"` // the last start, in milliseconds since 1970; 0: long ago
 }
 
 const (
@@ -41,38 +34,35 @@
 	maxInstances  = 4096
 	maxShare      = 1e6
 	maxBlock      = 1 << 30
-	// MaxVersion is the highest version that a JSON reader which keeps numbers as
-	// floating point still tells from its neighbours.
+	// MaxVersion is the highest version that JSON readers can represent exactly if they keep
+	// numbers as floating point.
 	MaxVersion = 1<<53 - 1
 )
 
-// CheckName says whether a text can stand in a path, a log line and a list.
+// CheckName returns an error unless name can stand in a path, a log line and a list. The
+// error begins with what.
 func CheckName(what, name string) error {
 	switch {
 	case name == "":
 		return fmt.Errorf("%s is missing", what)
 	case len(name) > maxNameLength:
 		return fmt.Errorf("%s has %d bytes, %d at most", what, len(name), maxNameLength)
-	case strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' || r > '~' || r == '/' || r == '?' || r == '#' || r == '%' }):
+	case strings.ContainsFunc(name, notInNames):
 		return fmt.Errorf("%s %q holds more than letters, digits and plain signs", what, name)
 	}
 	return nil
 }
 
-// Check returns an error that says in one line what is wrong with an instance
-// that is to be registered.
+func notInNames(r rune) bool { return r <= ' ' || r > '~' || strings.ContainsRune("/?#%", r) }
+
+// Check returns an error that says in one line what is wrong with an instance that is to
+// be registered.
 func (i Instance) Check() error {
 	if err := CheckName("host", i.Host); err != nil {
 		return err
 	}
-	addr, err := netip.ParseAddrPort(i.Dial)
-	switch {
-	case err != nil:
-		return fmt.Errorf("dial %.64q is not an address with a port", i.Dial)
-	case !addr.Addr().Unmap().IsLoopback():
-		return fmt.Errorf("dial %s is not a loopback address", i.Dial)
-	case addr.Port() == 0:
-		return fmt.Errorf("dial %s has no port", i.Dial)
+	if err := checkDial(i.Dial); err != nil {
+		return err
 	}
 	if err := CheckName("site", i.Site); err != nil {
 		return err
@@ -95,6 +85,19 @@
 	return nil
 }
 
+func checkDial(dial string) error {
+	addr, err := netip.ParseAddrPort(dial)
+	switch {
+	case err != nil:
+		return fmt.Errorf("dial %.64q is not an address with a port", dial)
+	case !addr.Addr().Unmap().IsLoopback():
+		return fmt.Errorf("dial %s is not a loopback address", dial)
+	case addr.Port() == 0:
+		return fmt.Errorf("dial %s has no port", dial)
+	}
+	return nil
+}
+
 // equal compares two instances by their contents.
 func (i Instance) equal(j Instance) bool {
 	a, b := i.Block, j.Block
--- a/internal/registry/lease.go
+++ b/internal/registry/lease.go
@@ -5,64 +5,83 @@
 	"slices"
 )
 
-// Holder is a process that claims leases. Of two with one name the one with the
+// Holder is a process that claims leases. Of two with the same name, the one with the
 // higher incarnation started later.
 type Holder struct {
 	Name        string `json:"holder"`
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// Claim is one wish for a lease, from the asking to its end. Its id is the caller's
-// to choose and never used again: a call that is repeated names the same claim, so
-// it is carried out once.
+// Claim is one request of a process for a lease, from its first call to its end. The
+// caller chooses the ID and never uses it again, so a repeated call names the same claim
+// and is carried out once.
 type Claim struct {
 	ID string `json:"claim"`
 	Holder
 	TTLMS int64 `json:"ttl_ms"`
 }
 
-// Grant is a claim that holds its lease. Its token is higher than that of every
-// grant before, of any lease.
-type Grant struct {
-	Claim
-	Token uint64 `json:"token"`
-}
-
-// Lease is the state of one lease.
-type Lease struct {
-	Name           string  `json:"name"`
-	Grant          *Grant  `json:"grant,omitempty"`
-	Queue          []Claim `json:"line,omitempty"`    // who waits, in the order of arrival
-	YieldRequested bool    `json:"leave,omitempty"`   // the holder is asked to give it up
-	NextHolder     string  `json:"to,omitempty"`      // and the next one is to be this one
-	Paused         bool    `json:"paused,omitempty"`  // nobody is to hold it
-	Version        uint64  `json:"version,omitempty"` // of the leases when it last changed
+// check returns an error that says what is wrong with a new claim.
+func (c Claim) check() error {
+	if err := CheckName("holder", c.Name); err != nil {
+		return err
+	}
+	if err := CheckName("claim", c.ID); err != nil {
+		return err
+	}
+	switch {
+	case len(c.ID) < minClaimID:
+		return fmt.Errorf("claim has %d characters, at least %d are needed: no two claims may ever be alike", len(c.ID), minClaimID)
+	case c.Incarnation > MaxVersion:
+		return fmt.Errorf("incarnation is %d, %d at most", c.Incarnation, uint64(MaxVersion))
+	case c.TTLMS <= 0:
+		return fmt.Errorf("ttl_ms is %d, it must be above 0", c.TTLMS)
+	}
+	return nil
 }
 
-// ClaimRef is a claim that is over.
+// ClaimRef names a claim on a lease.
 type ClaimRef struct {
 	Lease   string `json:"name"`
 	ClaimID string `json:"claim"`
 }
 
-// Fence makes a command conditional on a grant: it is refused unless the token is
-// that of the lease's grant at this very moment.
+// Grant is a claim that holds its lease. Its fencing token is higher than that of every
+// earlier grant, of any lease.
+type Grant struct {
+	Claim
+	Token uint64 `json:"token"`
+}
+
+// Fence makes a command conditional on a grant: it is rejected unless the token is that
+// of the lease's grant when the command is applied.
 type Fence struct {
 	Lease string `json:"lease"`
 	Token uint64 `json:"token"`
 }
 
+// Lease is the state of one lease.
+type Lease struct {
+	Name           string  `json:"name"`
+	Grant          *Grant  `json:"grant,omitempty"`
+	Queue          []Claim `json:"line,omitempty"`    // the claims that wait, in the order of arrival
+	YieldRequested bool    `json:"leave,omitempty"`   // the holder is asked to release the lease
+	NextHolder     string  `json:"to,omitempty"`      // who in the queue gets it next; empty: the first
+	Paused         bool    `json:"paused,omitempty"`  // nobody may hold the lease
+	Version        uint64  `json:"version,omitempty"` // the leases' version at the last change of this one
+}
+
 func (l *Lease) clone() *Lease {
 	c := *l
 	if l.Grant != nil {
-		g := *l.Grant
-		c.Grant = &g
+		grant := *l.Grant
+		c.Grant = &grant
 	}
 	c.Queue = slices.Clone(l.Queue)
 	return &c
 }
 
-// claims are all claims on a lease.
+// claims returns all claims on the lease.
 func (l *Lease) claims() []Claim {
 	all := slices.Clone(l.Queue)
 	if l.Grant != nil {
@@ -71,27 +90,31 @@
 	return all
 }
 
-// position tells a claim how it stands, if it is known.
-func (l *Lease) position(c Claim) (Result, bool) {
+// position returns the token or the queue position of a claim, and whether the lease
+// knows a claim of that ID. It is an error if that claim is another process's.
+func (l *Lease) position(c Claim) (r Result, known bool, err error) {
 	if g := l.Grant; g != nil && g.ID == c.ID {
 		if g.Holder != c.Holder {
-			return failed(fmt.Errorf("%w: the claim is another process's", ErrConflict)), true
+			return Result{}, true, conflict("the claim is another process's")
 		}
-		return Result{Version: l.Version, Token: g.Token}, true
+		return Result{Version: l.Version, Token: g.Token}, true, nil
 	}
-	for i, w := range l.Queue {
-		if w.ID == c.ID {
-			if w.Holder != c.Holder {
-				return failed(fmt.Errorf("%w: the claim is another process's", ErrConflict)), true
-			}
-			return Result{Version: l.Version, QueuePosition: i + 1}, true
-		}
+	i := l.queueIndex(c.ID)
+	if i < 0 {
+		return Result{}, false, nil
+	}
+	if l.Queue[i].Holder != c.Holder {
+		return Result{}, true, conflict("the claim is another process's")
 	}
-	return Result{}, false
+	return Result{Version: l.Version, QueuePosition: i + 1}, true, nil
 }
 
-func (l *Lease) grantable(shut bool) bool { return l.Grant == nil && !l.Paused && !shut }
+// queueIndex returns where in the queue a claim is, or -1.
+func (l *Lease) queueIndex(claimID string) int {
+	return slices.IndexFunc(l.Queue, func(c Claim) bool { return c.ID == claimID })
+}
 
-func (l *Lease) hasQueued(name string) bool {
-	return slices.ContainsFunc(l.Queue, func(c Claim) bool { return c.Name == name })
+// hasQueued reports whether a holder of that name waits for the lease.
+func (l *Lease) hasQueued(holder string) bool {
+	return slices.ContainsFunc(l.Queue, func(c Claim) bool { return c.Name == holder })
 }
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -1,7 +1,6 @@
 package registry
 
 import (
-	"fmt"
 	"maps"
 	"slices"
 
@@ -10,319 +9,342 @@
 
 const (
 	maxLeases      = 4096
-	maxQueue       = 64   // who waits for one lease
-	maxEndedClaims = 1024 // claims remembered as ended, so that a late call does not begin one again
-	minClaimID     = 8    // characters of a claim's id: it has to be unlike all others
+	maxQueue       = 64   // claims that wait for one lease
+	maxEndedClaims = 1024 // ended claims that are remembered, so that a late call does not begin one again
+	minClaimID     = 8    // characters of a claim's ID, which has to be unlike all others
 )
 
-// Leases is the part of the state machine that is about leases. When a claim's time
-// is up is not its to know: the leader counts (LeaseClock) and says so by LeaseEnd.
+// Leases is the part of the state machine that concerns leases. It does not know when the
+// time to live of a claim is over: the leader does (ClaimTracker) and ends it with
+// OpExpireClaims.
 type Leases struct {
-	leases       map[string]*Lease
-	lastToken    uint64 // the last one given
-	version      uint64 // of the last change of any lease
-	grantsClosed bool   // no lease is granted yet: leases that nobody here knows of may not have run out
-	endedClaims  []string
+	leases    map[string]*Lease
+	lastToken uint64 // the last fencing token that was given
+	version   uint64 // counts the changes of all leases
+	// grantsClosed holds grants back in a new group: leases that an earlier group of the
+	// same name granted may not have run out.
+	grantsClosed bool
+	endedClaims  []string // the IDs of the claims that ended last, the newest last
 }
 
-// newLeases makes an empty one, whose tokens and versions begin after a number.
+// newLeases returns no leases; tokens and versions begin after a number.
 func newLeases(after uint64) *Leases {
 	return &Leases{leases: make(map[string]*Lease), lastToken: after, version: after}
 }
 
 // Clone returns a copy that shares nothing that changes.
-func (s *Leases) Clone() *Leases {
-	c := *s
-	c.leases = make(map[string]*Lease, len(s.leases))
-	for name, l := range s.leases {
+func (ls *Leases) Clone() *Leases {
+	c := *ls
+	c.leases = make(map[string]*Lease, len(ls.leases))
+	for name, l := range ls.leases {
 		c.leases[name] = l.clone()
 	}
-	c.endedClaims = slices.Clone(s.endedClaims)
+	c.endedClaims = slices.Clone(ls.endedClaims)
 	return &c
 }
 
-// apply carries one command out.
-func (s *Leases) apply(op Op, c *LeaseCommand) Result {
+// List returns all leases ordered by name, and their version.
+func (ls *Leases) List() ([]Lease, uint64) {
+	all := make([]Lease, 0, len(ls.leases))
+	for _, name := range slices.Sorted(maps.Keys(ls.leases)) {
+		all = append(all, *ls.leases[name].clone())
+	}
+	return all, ls.version
+}
+
+// Lease returns one lease.
+func (ls *Leases) Lease(name string) (Lease, bool) {
+	if l := ls.leases[name]; l != nil {
+		return *l.clone(), true
+	}
+	return Lease{}, false
+}
+
+// Version returns the version of the last change.
+func (ls *Leases) Version() uint64 { return ls.version }
+
+// LastToken returns the last fencing token that was given.
+func (ls *Leases) LastToken() uint64 { return ls.lastToken }
+
+// GrantsClosed reports whether the group does not grant leases yet.
+func (ls *Leases) GrantsClosed() bool { return ls.grantsClosed }
+
+// apply carries out one command.
+func (ls *Leases) apply(op Op, c *LeaseCommand) (Result, error) {
 	if c == nil {
-		return failed(fmt.Errorf("%w: no lease is named", ErrInvalid))
+		return Result{}, invalid("no lease is named")
 	}
 	switch op {
 	case OpOpenGrants:
-		s.openGrants()
-		return Result{Version: s.version}
+		ls.openGrants()
+		return Result{Version: ls.version}, nil
 	case OpExpireClaims:
-		for _, e := range c.Expired {
-			if l := s.leases[e.Lease]; l != nil {
-				s.endClaim(l, e.ClaimID)
-			}
-		}
-		return Result{Version: s.version}
+		ls.expireClaims(c.Expired)
+		return Result{Version: ls.version}, nil
 	}
 	if err := CheckName("lease", c.Name); err != nil {
-		return failed(fmt.Errorf("%w: %w", ErrInvalid, err))
+		return Result{}, invalid("%w", err)
 	}
 	switch op {
 	case OpAcquireLease:
-		return s.acquire(c)
+		return ls.acquire(c)
 	case OpReleaseLease:
-		return s.release(c)
+		return ls.release(c)
 	case OpRequestYield:
-		return s.requestYield(c)
+		return ls.requestYield(c)
 	}
-	return failed(fmt.Errorf("%w: operation %.32q", ErrInvalid, op))
+	return Result{}, invalid("operation %.32q", op)
 }
 
-func checkClaim(c Claim) error {
-	if err := CheckName("holder", c.Name); err != nil {
-		return err
-	}
-	if err := CheckName("claim", c.ID); err != nil {
-		return err
+// leaseOrNew returns a lease, or a new one that does not belong to the state yet.
+func (ls *Leases) leaseOrNew(name string) (*Lease, error) {
+	if l := ls.leases[name]; l != nil {
+		return l, nil
 	}
-	switch {
-	case len(c.ID) < minClaimID:
-		return fmt.Errorf("claim has %d characters, at least %d are needed: no two claims may ever be alike", len(c.ID), minClaimID)
-	case c.Incarnation > MaxVersion:
-		return fmt.Errorf("incarnation is %d, %d at most", c.Incarnation, uint64(MaxVersion))
-	case c.TTLMS <= 0:
-		return fmt.Errorf("ttl_ms is %d, it must be above 0", c.TTLMS)
+	if len(ls.leases) >= maxLeases {
+		return nil, limitReached("there are %d leases", len(ls.leases))
 	}
-	return nil
+	return &Lease{Name: name}, nil
 }
 
-// acquire takes a claim in. The same claim again is told how it stands.
-func (s *Leases) acquire(c *LeaseCommand) Result {
-	if err := checkClaim(c.Claim); err != nil {
-		return failed(fmt.Errorf("%w: %w", ErrInvalid, err))
-	}
-	if slices.Contains(s.endedClaims, c.Claim.ID) {
-		return failed(fmt.Errorf("%w: claim %s", ErrClaimEnded, c.Claim.ID))
-	}
-	l := s.leases[c.Name]
-	if l == nil {
-		if len(s.leases) >= maxLeases {
-			return failed(fmt.Errorf("%w: there are %d leases", ErrLimitReached, len(s.leases)))
-		}
-		l = &Lease{Name: c.Name}
+// acquire adds a claim. If it is there already, the result says how it stands.
+func (ls *Leases) acquire(c *LeaseCommand) (Result, error) {
+	if err := c.Claim.check(); err != nil {
+		return Result{}, invalid("%w", err)
 	}
-	if r, ok := l.position(c.Claim); ok {
-		return r
+	if ls.hasEnded(c.Claim.ID) {
+		return Result{}, reject(ErrClaimEnded, "claim %s", c.Claim.ID)
 	}
-	// Of two processes with one name the newer one counts. It gets no lease before the
-	// older one's time is up: that one may still act.
-	for _, other := range l.claims() {
-		if other.Name == c.Claim.Name && other.Incarnation > c.Claim.Incarnation {
-			return failed(fmt.Errorf("%w: a later process named %s has a claim on %s", ErrConflict, other.Name, c.Name))
-		}
+	l, err := ls.leaseOrNew(c.Name)
+	if err != nil {
+		return Result{}, err
 	}
-	if l.Grant != nil && !c.Wait {
-		return failed(fmt.Errorf("%w: %s holds %s", ErrLeaseHeld, l.Grant.Name, l.Name))
+	if r, known, err := l.position(c.Claim); known {
+		return r, err
 	}
-	if (l.Paused || s.grantsClosed) && !c.Wait {
-		return failed(fmt.Errorf("%w: %s cannot be granted now (paused, or the group began or was restored lately)", ErrLeaseHeld, l.Name))
+	if err := ls.checkAcquire(l, c); err != nil {
+		return Result{}, err
 	}
+	// A process that has started again replaces the claims of its earlier incarnation in
+	// the queue.
 	for _, other := range slices.Clone(l.Queue) {
 		if other.Name == c.Claim.Name {
-			s.removeClaim(l, other.ID)
+			ls.removeClaim(l, other.ID)
 		}
 	}
 	if len(l.Queue) >= maxQueue {
-		return failed(fmt.Errorf("%w: %d wait for %s", ErrLimitReached, len(l.Queue), l.Name))
+		return Result{}, limitReached("%d wait for %s", len(l.Queue), l.Name)
 	}
-	if l.grantable(s.grantsClosed) && s.lastToken >= MaxVersion {
-		return failed(fmt.Errorf("%w: the tokens are used up", ErrLimitReached))
+	if ls.grantable(l) && ls.lastToken >= MaxVersion {
+		return Result{}, limitReached("the tokens are used up")
 	}
-	s.leases[c.Name] = l
+	ls.leases[c.Name] = l
 	l.Queue = append(l.Queue, c.Claim)
-	s.touch(l)
-	s.grantNext(l)
-	r, _ := l.position(c.Claim)
-	return r
+	ls.touch(l)
+	ls.grantNext(l)
+	r, _, err := l.position(c.Claim)
+	return r, err
 }
 
-// grantNext gives a free lease to the one that was named, or else to who waits longest.
-func (s *Leases) grantNext(l *Lease) {
-	if l.grantable(s.grantsClosed) && len(l.Queue) > 0 && s.lastToken < MaxVersion {
-		i := max(0, slices.IndexFunc(l.Queue, func(c Claim) bool { return c.Name == l.NextHolder }))
-		s.lastToken++
-		l.Grant = &Grant{Claim: l.Queue[i], Token: s.lastToken}
-		l.Queue = slices.Delete(l.Queue, i, i+1)
-		l.YieldRequested, l.NextHolder = false, ""
-		s.touch(l)
-	}
-	if l.Grant == nil && len(l.Queue) == 0 && !l.Paused {
-		delete(s.leases, l.Name)
-	}
-}
-
-func (s *Leases) touch(l *Lease) {
-	s.version++
-	l.Version = s.version
-}
-
-// removeClaim takes a claim out and remembers that it has ended.
-func (s *Leases) removeClaim(l *Lease, id string) bool {
-	if l.Grant != nil && l.Grant.ID == id {
-		l.Grant, l.YieldRequested = nil, false
-	} else if i := slices.IndexFunc(l.Queue, func(c Claim) bool { return c.ID == id }); i >= 0 {
-		l.Queue = slices.Delete(l.Queue, i, i+1)
-	} else {
-		return false
+// checkAcquire returns an error if a new claim may not be added to the lease.
+func (ls *Leases) checkAcquire(l *Lease, c *LeaseCommand) error {
+	// Of two processes with the same name the newer one counts. It gets no lease before the
+	// claim of the older one expires: that process may still act.
+	for _, other := range l.claims() {
+		if other.Name == c.Claim.Name && other.Incarnation > c.Claim.Incarnation {
+			return conflict("a later process named %s has a claim on %s", other.Name, c.Name)
+		}
 	}
-	s.endedClaims = append(s.endedClaims, id)
-	if over := len(s.endedClaims) - maxEndedClaims; over > 0 {
-		s.endedClaims = slices.Delete(s.endedClaims, 0, over)
+	if l.Grant != nil && !c.Wait {
+		return reject(ErrLeaseHeld, "%s holds %s", l.Grant.Name, l.Name)
 	}
-	s.touch(l)
-	return true
-}
-
-// endClaim ends a claim, and grants the lease to the next.
-func (s *Leases) endClaim(l *Lease, id string) {
-	if s.removeClaim(l, id) {
-		s.grantNext(l)
+	if (l.Paused || ls.grantsClosed) && !c.Wait {
+		return reject(ErrLeaseHeld, "%s cannot be granted now (paused, or the group began or was restored lately)", l.Name)
 	}
+	return nil
 }
 
-// release gives a claim up. It ends that claim and no other: one that comes late
-// finds its claim ended and changes nothing.
-func (s *Leases) release(c *LeaseCommand) Result {
-	l := s.leases[c.Name]
+// release ends a claim and no other: a call that comes late finds its claim ended and
+// changes nothing.
+func (ls *Leases) release(c *LeaseCommand) (Result, error) {
+	l := ls.leases[c.Name]
 	if mutation.LooseRelease && l != nil && l.Grant != nil {
 		c.Claim = l.Grant.Claim
 	}
-	if l == nil || slices.Contains(s.endedClaims, c.Claim.ID) {
-		return Result{Version: s.version}
+	if l == nil || ls.hasEnded(c.Claim.ID) {
+		return Result{Version: ls.version}, nil
 	}
-	r, known := l.position(c.Claim)
+	r, known, err := l.position(c.Claim)
 	switch {
 	case !known:
-		return failed(fmt.Errorf("%w: no claim %.64s on %s", ErrNotFound, c.Claim.ID, c.Name))
-	case r.Err != nil:
-		return r
+		return Result{}, notFound("no claim %.64s on %s", c.Claim.ID, c.Name)
+	case err != nil:
+		return r, err
 	case c.NextHolder != "" && !l.hasQueued(c.NextHolder):
-		return Result{Version: l.Version, Err: fmt.Errorf("%w: %.64s does not wait for %s", ErrNotFound, c.NextHolder, c.Name)}
+		return Result{Version: l.Version}, notFound("%.64s does not wait for %s", c.NextHolder, c.Name)
 	}
 	if c.NextHolder != "" {
 		l.NextHolder = c.NextHolder
 	}
-	s.endClaim(l, c.Claim.ID)
-	return Result{Version: s.version}
+	ls.endClaim(l, c.Claim.ID)
+	return Result{Version: ls.version}, nil
 }
 
-// requestYield notes what an operator wants of a lease. Nothing is taken from its holder: it
-// is told at its next renewal, which does not prolong its time, and gives it up.
-func (s *Leases) requestYield(c *LeaseCommand) Result {
-	l := s.leases[c.Name]
-	switch {
-	case l != nil:
-	case c.Pause == nil || !*c.Pause:
-		return failed(fmt.Errorf("%w: lease %s", ErrNotFound, c.Name))
-	case len(s.leases) >= maxLeases:
-		return failed(fmt.Errorf("%w: there are %d leases", ErrLimitReached, len(s.leases)))
-	default:
-		l = &Lease{Name: c.Name}
+// requestYield records what an operator wants of a lease. It takes nothing from the
+// holder, who learns of it at the next renewal. That renewal does not extend the
+// holder's time.
+func (ls *Leases) requestYield(c *LeaseCommand) (Result, error) {
+	pauses := c.Pause != nil && *c.Pause
+	if ls.leases[c.Name] == nil && !pauses {
+		return Result{}, notFound("lease %s", c.Name)
+	}
+	l, err := ls.leaseOrNew(c.Name)
+	if err != nil {
+		return Result{}, err
 	}
 	switch {
 	case c.NextHolder != "" && !l.hasQueued(c.NextHolder):
-		return Result{Version: l.Version, Err: fmt.Errorf("%w: %.64s does not wait for %s", ErrNotFound, c.NextHolder, c.Name)}
+		return Result{Version: l.Version}, notFound("%.64s does not wait for %s", c.NextHolder, c.Name)
 	case c.Yield && l.Grant == nil:
-		return Result{Version: l.Version, Err: fmt.Errorf("%w: nobody holds %s", ErrNotFound, c.Name)}
+		return Result{Version: l.Version}, notFound("nobody holds %s", c.Name)
 	}
-	s.leases[c.Name] = l
-	was := *l
+	ls.leases[c.Name] = l
+	before := *l
 	if c.Pause != nil {
-		l.Paused = *c.Pause
-		l.YieldRequested = l.Paused && l.Grant != nil
+		l.Paused = pauses
+		l.YieldRequested = pauses && l.Grant != nil
 	}
 	if c.Yield {
 		l.YieldRequested, l.NextHolder = true, c.NextHolder
 	}
-	if was.Paused != l.Paused || was.YieldRequested != l.YieldRequested || was.NextHolder != l.NextHolder {
-		s.touch(l)
+	if before.Paused != l.Paused || before.YieldRequested != l.YieldRequested || before.NextHolder != l.NextHolder {
+		ls.touch(l)
 	}
 	version := l.Version
-	s.grantNext(l)
-	return Result{Version: version}
+	ls.grantNext(l)
+	return Result{Version: version}, nil
 }
 
-// openGrants lets grants begin.
-func (s *Leases) openGrants() {
-	if !s.grantsClosed {
+// openGrants lets a new group begin to grant leases.
+func (ls *Leases) openGrants() {
+	if !ls.grantsClosed {
 		return
 	}
-	s.grantsClosed = false
-	s.version++
-	for _, name := range slices.Sorted(maps.Keys(s.leases)) {
-		s.grantNext(s.leases[name])
+	ls.grantsClosed = false
+	ls.version++
+	for _, name := range slices.Sorted(maps.Keys(ls.leases)) {
+		ls.grantNext(ls.leases[name])
 	}
 }
 
-// GrantsClosed says that no lease is granted yet.
-func (s *Leases) GrantsClosed() bool { return s.grantsClosed }
+// expireClaims ends claims, and grants their leases to the next.
+func (ls *Leases) expireClaims(expired []ClaimRef) {
+	for _, ref := range expired {
+		if l := ls.leases[ref.Lease]; l != nil {
+			ls.endClaim(l, ref.ClaimID)
+		}
+	}
+}
 
-// checkFence says why a command with a fence is not to be carried out.
-func (s *Leases) checkFence(f *Fence) error {
+// endClaim ends a claim, and grants the lease to the next.
+func (ls *Leases) endClaim(l *Lease, id string) {
+	if ls.removeClaim(l, id) {
+		ls.grantNext(l)
+	}
+}
+
+// removeClaim removes a claim from the lease and remembers that it has ended. It reports
+// whether the lease had that claim.
+func (ls *Leases) removeClaim(l *Lease, id string) bool {
+	if l.Grant != nil && l.Grant.ID == id {
+		l.Grant, l.YieldRequested = nil, false
+	} else if i := l.queueIndex(id); i >= 0 {
+		l.Queue = slices.Delete(l.Queue, i, i+1)
+	} else {
+		return false
+	}
+	ls.endedClaims = append(ls.endedClaims, id)
+	if excess := len(ls.endedClaims) - maxEndedClaims; excess > 0 {
+		ls.endedClaims = slices.Delete(ls.endedClaims, 0, excess)
+	}
+	ls.touch(l)
+	return true
+}
+
+// hasEnded reports whether a claim is remembered as ended.
+func (ls *Leases) hasEnded(claimID string) bool { return slices.Contains(ls.endedClaims, claimID) }
+
+// grantable reports whether the next claim in the queue may have the lease.
+func (ls *Leases) grantable(l *Lease) bool { return l.Grant == nil && !l.Paused && !ls.grantsClosed }
+
+// grantNext grants a free lease to the holder that was named, or else to the claim that
+// has waited longest. It removes a lease that nobody claims.
+func (ls *Leases) grantNext(l *Lease) {
+	if ls.grantable(l) && len(l.Queue) > 0 && ls.lastToken < MaxVersion {
+		i := max(0, slices.IndexFunc(l.Queue, func(c Claim) bool { return c.Name == l.NextHolder }))
+		ls.lastToken++
+		l.Grant = &Grant{Claim: l.Queue[i], Token: ls.lastToken}
+		l.Queue = slices.Delete(l.Queue, i, i+1)
+		l.YieldRequested, l.NextHolder = false, ""
+		ls.touch(l)
+	}
+	if l.Grant == nil && len(l.Queue) == 0 && !l.Paused {
+		delete(ls.leases, l.Name)
+	}
+}
+
+// touch gives a lease that has changed the next version.
+func (ls *Leases) touch(l *Lease) {
+	ls.version++
+	l.Version = ls.version
+}
+
+// checkFence returns an error if a command with this fence must be rejected.
+func (ls *Leases) checkFence(f *Fence) error {
 	if f == nil || mutation.FenceOff {
 		return nil
 	}
-	l := s.leases[f.Lease]
+	l := ls.leases[f.Lease]
 	switch {
 	case l == nil || l.Grant == nil:
-		return fmt.Errorf("%w: nobody holds %.64s, token %d has ended", ErrFenced, f.Lease, f.Token)
+		return reject(ErrFenced, "nobody holds %.64s, token %d has ended", f.Lease, f.Token)
 	case l.Grant.Token != f.Token:
-		return fmt.Errorf("%w: %s has token %d, not %d", ErrFenced, f.Lease, l.Grant.Token, f.Token)
+		return reject(ErrFenced, "%s has token %d, not %d", f.Lease, l.Grant.Token, f.Token)
 	}
 	return nil
 }
 
-// standing tells a claim how it stands; ErrGone says that it has ended or never was.
-func (s *Leases) standing(name string, c Claim) (claimStanding, error) {
-	l := s.leases[name]
+// claimStanding is how a claim stands: it holds its lease with a token, or is queued.
+type claimStanding struct {
+	token          uint64
+	queuePosition  int
+	yieldRequested bool   // the holder is asked to release the lease
+	nextHolder     string // to this one
+	claimID        string
+}
+
+// standing returns how a claim stands. The error is ErrClaimEnded if the claim has ended
+// or never existed.
+func (ls *Leases) standing(name string, c Claim) (claimStanding, error) {
+	l := ls.leases[name]
 	if l == nil {
-		return claimStanding{}, fmt.Errorf("%w: claim %.64s on %.64s", ErrClaimEnded, c.ID, name)
+		return claimStanding{}, reject(ErrClaimEnded, "claim %.64s on %.64s", c.ID, name)
 	}
 	if g := l.Grant; mutation.OldIncarnation && g != nil && g.Name == c.Name {
-		return claimStanding{Token: g.Token, Claim: g.ID}, nil
+		return claimStanding{token: g.Token, claimID: g.ID}, nil
 	}
-	r, known := l.position(c)
+	r, known, err := l.position(c)
 	switch {
 	case !known:
-		return claimStanding{}, fmt.Errorf("%w: claim %.64s on %.64s", ErrClaimEnded, c.ID, name)
-	case r.Err != nil:
-		return claimStanding{}, r.Err
-	}
-	return claimStanding{Token: r.Token, Place: r.QueuePosition, Leave: r.Token != 0 && l.YieldRequested, To: l.NextHolder, Claim: c.ID}, nil
-}
-
-// claimStanding is how a claim stands: it holds its lease with a token, or waits at a place.
-type claimStanding struct {
-	Token uint64
-	Place int
-	Leave bool   // the holder is asked to give it up
-	To    string // to this one
-	Claim string
+		return claimStanding{}, reject(ErrClaimEnded, "claim %.64s on %.64s", c.ID, name)
+	case err != nil:
+		return claimStanding{}, err
+	}
+	return claimStanding{
+		token:          r.Token,
+		queuePosition:  r.QueuePosition,
+		yieldRequested: r.Token != 0 && l.YieldRequested,
+		nextHolder:     l.NextHolder,
+		claimID:        c.ID,
+	}, nil
 }
-
-// List returns all leases by name, and their version.
-func (s *Leases) List() ([]Lease, uint64) {
-	all := make([]Lease, 0, len(s.leases))
-	for _, name := range slices.Sorted(maps.Keys(s.leases)) {
-		all = append(all, *s.leases[name].clone())
-	}
-	return all, s.version
-}
-
-// Lease returns one lease.
-func (s *Leases) Lease(name string) (Lease, bool) {
-	if l := s.leases[name]; l != nil {
-		return *l.clone(), true
-	}
-	return Lease{}, false
-}
-
-// Version returns the version of the last change.
-func (s *Leases) Version() uint64 { return s.version }
-
-// LastToken returns the last token that was given.
-func (s *Leases) LastToken() uint64 { return s.lastToken }
--- a/internal/registry/marks.go
+++ b/internal/registry/marks.go
@@ -1,61 +1,103 @@
 package registry
 
 import (
-	"fmt"
 	"maps"
 	"slices"
 )
 
-// mark marks hosts draining for somebody, or takes that back: all or none. A mark
-// stays while its host is away: a server that starts again on a machine that is
-// being drained gets nothing.
-func (s *State) mark(c Command) Result {
+// mark sets the drain marks of hosts, or clears them: all or none. A mark outlasts its
+// instance, so that a server which restarts on a machine that is being drained gets no
+// requests.
+func (s *State) mark(c Command) (Result, error) {
 	hosts := c.Hosts
 	if c.Host != "" {
 		hosts = append(slices.Clone(hosts), c.Host)
 	}
-	if len(hosts) == 0 || c.MarkedBy == "" || len(c.MarkedBy) > maxNameLength {
-		return failed(fmt.Errorf("%w: a mark needs hosts and who sets it", ErrInvalid))
+	if err := s.checkMarkCommand(c, hosts); err != nil {
+		return Result{}, err
 	}
-	if c.IfRecord != "" {
-		if rec := s.records[c.IfRecord]; rec == nil || rec.Version != c.IfRecordVersion {
-			return failed(fmt.Errorf("%w: record %s is not at version %d any more", ErrConflict, c.IfRecord, c.IfRecordVersion))
+	for _, host := range hosts {
+		if r, err := s.checkMark(c, host); err != nil {
+			return r, err
 		}
 	}
-	for _, h := range hosts {
-		e := s.registrations[h]
-		by, marked := s.marks[h]
-		switch {
-		case c.Draining && e == nil && !marked:
-			return failed(fmt.Errorf("%w: host %.64s", ErrNotFound, h))
-		case marked && by != c.MarkedBy:
-			return Result{Version: e.versionOrZero(), Err: fmt.Errorf("%w: host %s is marked by %s", ErrConflict, h, by)}
-		case c.Draining && !marked && len(s.marks) >= maxMarks:
-			return failed(fmt.Errorf("%w: %d hosts are marked", ErrLimitReached, len(s.marks)))
-		}
-		if len(hosts) == 1 {
-			if err := checkVersion(c.IfVersion, e); err != nil && (c.Draining != marked) {
-				return Result{Version: e.versionOrZero(), Err: err}
-			}
+	if len(hosts) == 1 {
+		if r, err := s.checkMarkVersion(c, hosts[0]); err != nil {
+			return r, err
 		}
 	}
 	var changed []string
-	for _, h := range hosts {
-		e := s.registrations[h]
-		health := HealthDraining
-		if c.Draining {
-			s.marks[h] = c.MarkedBy
-		} else if delete(s.marks, h); e != nil {
-			health = e.ReportedHealth
-		}
-		if e != nil && e.Health != health {
-			e.Health = health
-			changed = append(changed, h)
+	for _, host := range hosts {
+		if s.setMark(host, c.MarkedBy, c.Draining) {
+			changed = append(changed, host)
 		}
 	}
 	s.bumpVersion(changed...)
-	return Result{Version: s.registrations[hosts[len(hosts)-1]].versionOrZero(), ChangedHosts: changed}
+	last := s.registrations[hosts[len(hosts)-1]]
+	return Result{Version: last.versionOrZero(), ChangedHosts: changed}, nil
+}
+
+// checkMarkCommand checks what does not depend on a single host.
+func (s *State) checkMarkCommand(c Command, hosts []string) error {
+	if len(hosts) == 0 || c.MarkedBy == "" || len(c.MarkedBy) > maxNameLength {
+		return invalid("a mark needs hosts and who sets it")
+	}
+	if c.IfRecord == "" {
+		return nil
+	}
+	if record := s.records[c.IfRecord]; record == nil || record.Version != c.IfRecordVersion {
+		return conflict("record %s is not at version %d any more", c.IfRecord, c.IfRecordVersion)
+	}
+	return nil
+}
+
+// checkMark returns an error if the mark of one host cannot be set or cleared.
+func (s *State) checkMark(c Command, host string) (Result, error) {
+	current := s.registrations[host]
+	by, marked := s.marks[host]
+	switch {
+	case c.Draining && current == nil && !marked:
+		return Result{}, notFound("host %.64s", host)
+	case marked && by != c.MarkedBy:
+		return Result{Version: current.versionOrZero()}, conflict("host %s is marked by %s", host, by)
+	case c.Draining && !marked && len(s.marks) >= maxMarks:
+		return Result{}, limitReached("%d hosts are marked", len(s.marks))
+	}
+	return Result{}, nil
+}
+
+// checkMarkVersion checks the version that a command with one host expects. A mark that
+// is already as the command wants it needs none: the command is a repetition.
+func (s *State) checkMarkVersion(c Command, host string) (Result, error) {
+	current := s.registrations[host]
+	if _, marked := s.marks[host]; c.Draining == marked {
+		return Result{}, nil
+	}
+	if err := current.checkVersion(c.IfVersion); err != nil {
+		return Result{Version: current.versionOrZero()}, err
+	}
+	return Result{}, nil
+}
+
+// setMark sets or clears one host's mark and reports whether that changes the list.
+func (s *State) setMark(host, by string, draining bool) (changed bool) {
+	if draining {
+		s.marks[host] = by
+	} else {
+		delete(s.marks, host)
+	}
+	r := s.registrations[host]
+	if r == nil {
+		return false
+	}
+	health := HealthDraining
+	if !draining {
+		health = r.ReportedHealth
+	}
+	changed = r.Health != health
+	r.Health = health
+	return changed
 }
 
-// Marks returns who marked which hosts draining.
+// Marks returns who marked which hosts as draining.
 func (s *State) Marks() map[string]string { return maps.Clone(s.marks) }
--- a/internal/registry/policy.go
+++ b/internal/registry/policy.go
@@ -8,56 +8,82 @@
 	"barleywick/internal/rollout"
 )
 
-// RosterLeasePrefix begins the names of the leases under which sidecars serve whose policy says
-// that they refuse when they are cut off. Its end is evidence that the sidecar acts no
-// more: its seat in the roster goes in the same command.
+// RosterLeasePrefix begins the names of roster leases. A sidecar whose policy tells it to
+// refuse requests when it is cut off from the registry serves under such a lease. The end
+// of the lease is evidence that the sidecar has stopped serving, so the same command
+// removes it from the roster.
 const RosterLeasePrefix = "seat:"
 
-// Rollout returns the change of policy, to be read.
+// Rollout returns the fleet policy with its rollout. The caller must not change it.
 func (s *State) Rollout() *rollout.State { return s.rollout }
 
-// applyPolicyStep carries a step of a change of policy out.
-func (s *State) applyPolicyStep(c Command) Result {
+// rolloutErrors says which error of this package an error of the rollout is.
+var rolloutErrors = []struct{ ours, rollout error }{
+	{ErrInvalid, rollout.ErrInvalid},
+	{ErrConflict, rollout.ErrConflict},
+	{ErrNotFound, rollout.ErrNotFound},
+	{ErrLimitReached, rollout.ErrLimitReached},
+}
+
+// applyPolicyStep carries out a step of a rollout.
+func (s *State) applyPolicyStep(c Command) (Result, error) {
 	if c.PolicyStep == nil {
-		return failed(fmt.Errorf("%w: no step of a change of policy", ErrInvalid))
+		return Result{}, invalid("no step of a change of policy")
 	}
 	step := *c.PolicyStep
 	step.AtMS = c.AtMS
 	if step.Op == rollout.OpAdvance && c.Fence == nil {
-		return failed(fmt.Errorf("%w: to advance a change is for the holder of its lease", ErrInvalid))
+		return Result{}, invalid("to advance a change is for the holder of its lease")
 	}
 	err := s.rollout.Apply(step)
-	for ours, theirs := range map[error]error{ErrInvalid: rollout.ErrInvalid, ErrConflict: rollout.ErrConflict, ErrNotFound: rollout.ErrNotFound, ErrLimitReached: rollout.ErrLimitReached} {
-		if errors.Is(err, theirs) {
-			err = fmt.Errorf("%w: %w", ours, err)
+	for _, e := range rolloutErrors {
+		if errors.Is(err, e.rollout) {
+			err = fmt.Errorf("%w: %w", e.ours, err)
 			break
 		}
 	}
-	return Result{Version: s.rollout.Version(), Err: err}
+	return Result{Version: s.rollout.Version()}, err
+}
+
+// applyLeaseCommand carries out a command on leases. Sidecars whose roster leases it ends
+// leave the roster.
+func (s *State) applyLeaseCommand(c Command) (Result, error) {
+	before := s.rosterLeasesEndedBy(c)
+	r, err := s.leases.apply(c.Op, c.Lease)
+	if err != nil {
+		return r, err
+	}
+	return r, s.leaveRoster(before)
 }
 
-// rosterLeasesEndedBy are the sidecars that hold leases which a command may end.
-func (s *State) rosterLeasesEndedBy(c Command) (seated []Claim) {
+// rosterLeasesEndedBy returns the grants of the roster leases that a command may end.
+func (s *State) rosterLeasesEndedBy(c Command) (grants []Claim) {
 	if c.Lease == nil || c.Op != OpExpireClaims && c.Op != OpReleaseLease {
 		return nil
 	}
 	names := []string{c.Lease.Name}
-	for _, e := range c.Lease.Expired {
-		names = append(names, e.Lease)
+	for _, ref := range c.Lease.Expired {
+		names = append(names, ref.Lease)
 	}
-	for _, n := range names {
-		if l := s.leases.leases[n]; strings.HasPrefix(n, RosterLeasePrefix) && l != nil && l.Grant != nil {
-			seated = append(seated, l.Grant.Claim)
+	for _, name := range names {
+		if l := s.leases.leases[name]; strings.HasPrefix(name, RosterLeasePrefix) && l != nil && l.Grant != nil {
+			grants = append(grants, l.Grant.Claim)
 		}
 	}
-	return seated
+	return grants
 }
 
-// leaveRoster takes the seats of those away whose leases have ended.
-func (s *State) leaveRoster(seated []Claim) {
-	for _, c := range seated {
-		if l := s.leases.leases[RosterLeasePrefix+c.Name]; l == nil || l.Grant == nil || l.Grant.ID != c.ID {
-			s.rollout.Apply(rollout.Command{Op: rollout.OpLeave, Member: rollout.Member{Name: c.Name, Incarnation: c.Incarnation}})
+// leaveRoster removes those sidecars from the roster that no longer hold their roster
+// leases.
+func (s *State) leaveRoster(grants []Claim) error {
+	for _, c := range grants {
+		if l := s.leases.leases[RosterLeasePrefix+c.Name]; l != nil && l.Grant != nil && l.Grant.ID == c.ID {
+			continue
+		}
+		leave := rollout.Command{Op: rollout.OpLeave, Member: rollout.Member{Name: c.Name, Incarnation: c.Incarnation}}
+		if err := s.rollout.Apply(leave); err != nil {
+			return err
 		}
 	}
+	return nil
 }
--- a/internal/registry/records.go
+++ b/internal/registry/records.go
@@ -1,51 +1,76 @@
 package registry
 
 import (
-	"fmt"
 	"maps"
 	"slices"
 )
 
-// Record is a value that others keep here under compare-and-set.
+// Record is a value that workflows keep in the registry under compare-and-set.
 type Record struct {
 	Value   []byte `json:"value"`
 	Version uint64 `json:"version"`
-	AtMS    int64  `json:"at_ms"`
+	AtMS    int64  `json:"at_ms"` // when it was written, in milliseconds since 1970
 }
 
-// edit writes or deletes a record. The same value again changes nothing.
-func (s *State) edit(c Command) Result {
-	if err := CheckName("key", c.Key); err != nil {
-		return failed(fmt.Errorf("%w: %w", ErrInvalid, err))
-	}
-	was, version := s.records[c.Key], uint64(0)
-	if was != nil {
-		version = was.Version
+// versionOrZero returns the record's version, and 0 if there is none.
+func (r *Record) versionOrZero() uint64 {
+	if r == nil {
+		return 0
 	}
-	if c.Op == OpDeleteRecord && was == nil {
-		return Result{}
+	return r.Version
+}
+
+// putRecord writes a record. The same value again changes nothing, also where it was
+// written by somebody else.
+func (s *State) putRecord(c Command) (Result, error) {
+	if err := CheckName("key", c.Key); err != nil {
+		return Result{}, invalid("%w", err)
 	}
-	if c.Op == OpPutRecord && was != nil && slices.Equal(was.Value, c.Value) && (c.IfVersion == nil || *c.IfVersion <= version) {
-		return Result{Version: version} // a repeat, or the same by somebody else
+	current := s.records[c.Key]
+	version := current.versionOrZero()
+	if current != nil && slices.Equal(current.Value, c.Value) && (c.IfVersion == nil || *c.IfVersion <= version) {
+		return Result{Version: version}, nil
 	}
-	switch {
-	case c.IfVersion != nil && *c.IfVersion != version:
-		return Result{Version: version, Err: fmt.Errorf("%w: the record has version %d, not %d", ErrConflict, version, *c.IfVersion)}
-	case len(c.Value) > maxRecordValue:
-		return Result{Version: version, Err: fmt.Errorf("%w: a value of %d bytes, %d at most", ErrInvalid, len(c.Value), maxRecordValue)}
-	case was == nil && len(s.records) >= maxRecords:
-		return failed(fmt.Errorf("%w: %d records are kept", ErrLimitReached, len(s.records)))
+	if err := checkRecordChange(c, current); err != nil {
+		return Result{Version: version}, err
 	}
-	if c.Op == OpDeleteRecord {
-		delete(s.records, c.Key)
-		return Result{}
+	if current == nil && len(s.records) >= maxRecords {
+		return Result{}, limitReached("%d records are kept", len(s.records))
 	}
 	s.recordVersion++
 	s.records[c.Key] = &Record{Value: slices.Clone(c.Value), Version: s.recordVersion, AtMS: c.AtMS}
-	return Result{Version: s.recordVersion}
+	return Result{Version: s.recordVersion}, nil
+}
+
+// deleteRecord deletes a record. One that does not exist counts as deleted.
+func (s *State) deleteRecord(c Command) (Result, error) {
+	if err := CheckName("key", c.Key); err != nil {
+		return Result{}, invalid("%w", err)
+	}
+	current := s.records[c.Key]
+	if current == nil {
+		return Result{}, nil
+	}
+	if err := checkRecordChange(c, current); err != nil {
+		return Result{Version: current.Version}, err
+	}
+	delete(s.records, c.Key)
+	return Result{}, nil
+}
+
+// checkRecordChange checks a command's condition and value against the current record.
+func checkRecordChange(c Command, current *Record) error {
+	version := current.versionOrZero()
+	if c.IfVersion != nil && *c.IfVersion != version {
+		return conflict("the record has version %d, not %d", version, *c.IfVersion)
+	}
+	if len(c.Value) > maxRecordValue {
+		return invalid("a value of %d bytes, %d at most", len(c.Value), maxRecordValue)
+	}
+	return nil
 }
 
-// Record returns one record.
+// Record returns the record with a key.
 func (s *State) Record(key string) (Record, bool) {
 	if r := s.records[key]; r != nil {
 		return *r, true
@@ -53,5 +78,5 @@
 	return Record{}, false
 }
 
-// RecordKeys returns the keys of all records.
+// RecordKeys returns the keys of all records, in order.
 func (s *State) RecordKeys() []string { return slices.Sorted(maps.Keys(s.records)) }
--- a/internal/registry/registrations.go
+++ b/internal/registry/registrations.go
@@ -1,7 +1,6 @@
 package registry
 
 import (
-	"fmt"
 	"maps"
 	"slices"
 )
@@ -10,113 +9,132 @@
 type Registration struct {
 	Instance
 	Session        string `json:"session,omitempty"`
-	TTLMS          int64  `json:"ttl_ms,omitempty"` // 0: without a session, for ever
-	Machine        string `json:"machine"`          // the machine it runs on
-	Version        uint64 `json:"version"`          // of the list when it last changed
-	ReportedHealth Health `json:"asked"`            // what the instance says of itself, without a mark
+	TTLMS          int64  `json:"ttl_ms,omitempty"` // 0: no session; the registration does not expire
+	Machine        string `json:"machine"`          // where the instance runs
+	Version        uint64 `json:"version"`          // the list's version at the last change
+	ReportedHealth Health `json:"asked"`            // what the instance says of itself, without a drain mark
 }
 
-func (e *Registration) versionOrZero() uint64 {
-	if e == nil {
+// versionOrZero returns the registration's version, and 0 if there is none.
+func (r *Registration) versionOrZero() uint64 {
+	if r == nil {
 		return 0
 	}
-	return e.Version
+	return r.Version
 }
 
-func checkVersion(want *uint64, e *Registration) error {
-	if want != nil && *want != e.versionOrZero() {
-		return fmt.Errorf("%w: the entry has version %d, not %d", ErrConflict, e.versionOrZero(), *want)
+// checkVersion returns an error unless the registration has the version that a command
+// wants; nil stands for any.
+func (r *Registration) checkVersion(want *uint64) error {
+	if want != nil && *want != r.versionOrZero() {
+		return conflict("the entry has version %d, not %d", r.versionOrZero(), *want)
 	}
 	return nil
 }
 
-// register takes an instance in. The same again changes nothing; another session
-// may take a host over only if it started later, as after a restart, or if it says
-// which version it replaces.
-func (s *State) register(c Command) Result {
+// sameAs compares two registrations of a host by what was registered.
+func (r *Registration) sameAs(other *Registration) bool {
+	return r.Instance.equal(other.Instance) && r.Session == other.Session && r.TTLMS == other.TTLMS &&
+		r.Machine == other.Machine && r.ReportedHealth == other.ReportedHealth
+}
+
+// blocks reports whether the session of r keeps a registration by another session out,
+// which may take the host over only if its instance started later.
+func (r *Registration) blocks(other *Registration) bool {
+	return r.Session != other.Session && r.Session != "" && other.BornMS <= r.BornMS
+}
+
+// newRegistration returns the registration that a command asks for.
+func (s *State) newRegistration(c Command) *Registration {
+	r := &Registration{Instance: *c.Instance, Session: c.Session, TTLMS: c.TTLMS, Machine: c.Machine, ReportedHealth: c.Instance.Health}
+	if _, marked := s.marks[r.Host]; marked {
+		r.Health = HealthDraining
+	}
+	return r
+}
+
+// register adds an instance or changes its registration. The same again changes nothing.
+func (s *State) register(c Command) (Result, error) {
 	if c.Instance == nil {
-		return failed(fmt.Errorf("%w: no instance", ErrInvalid))
+		return Result{}, invalid("no instance")
 	}
 	if err := c.Instance.Check(); err != nil {
-		return failed(fmt.Errorf("%w: %w", ErrInvalid, err))
-	}
-	e := &Registration{Instance: *c.Instance, Session: c.Session, TTLMS: c.TTLMS, Machine: c.Machine, ReportedHealth: c.Instance.Health}
-	if _, marked := s.marks[e.Host]; marked {
-		e.Health = HealthDraining
+		return Result{}, invalid("%w", err)
 	}
-	was := s.registrations[e.Host]
-	if was != nil {
-		if was.Instance.equal(e.Instance) && was.Session == e.Session && was.TTLMS == e.TTLMS && was.Machine == e.Machine && was.ReportedHealth == e.ReportedHealth {
-			return Result{Version: was.Version}
+	next, current := s.newRegistration(c), s.registrations[c.Instance.Host]
+	if current != nil {
+		if current.sameAs(next) {
+			return Result{Version: current.Version}, nil
 		}
-		if was.Session != e.Session && c.IfVersion == nil && was.Session != "" && e.BornMS <= was.BornMS {
-			return Result{Version: was.Version, Err: fmt.Errorf("%w: host %s", ErrHostTaken, e.Host)}
+		if c.IfVersion == nil && current.blocks(next) {
+			return Result{Version: current.Version}, reject(ErrHostTaken, "host %s", next.Host)
 		}
 	}
-	if err := checkVersion(c.IfVersion, was); err != nil {
-		return Result{Version: was.versionOrZero(), Err: err}
+	if err := current.checkVersion(c.IfVersion); err != nil {
+		return Result{Version: current.versionOrZero()}, err
 	}
-	if was == nil && len(s.registrations) >= maxInstances {
-		return failed(fmt.Errorf("%w: %d instances are registered", ErrLimitReached, len(s.registrations)))
+	if current == nil && len(s.registrations) >= maxInstances {
+		return Result{}, limitReached("%d instances are registered", len(s.registrations))
 	}
-	s.registrations[e.Host] = e
-	s.bumpVersion(e.Host) // even where the list does not show it: the entry's version has to move
-	return Result{Version: e.Version, ChangedHosts: []string{e.Host}}
+	s.registrations[next.Host] = next
+	// The registration's version moves also where the list shows no difference.
+	s.bumpVersion(next.Host)
+	return Result{Version: next.Version, ChangedHosts: []string{next.Host}}, nil
 }
 
-// remove takes an instance out, and its mark with it. One that is not there is
-// out already.
-func (s *State) remove(c Command) Result {
+// remove removes an instance. One that is not registered counts as removed.
+func (s *State) remove(c Command) (Result, error) {
 	if err := CheckName("host", c.Host); err != nil {
-		return failed(fmt.Errorf("%w: %w", ErrInvalid, err))
+		return Result{}, invalid("%w", err)
 	}
-	e := s.registrations[c.Host]
-	if e == nil {
-		return Result{}
+	current := s.registrations[c.Host]
+	if current == nil {
+		return Result{}, nil
 	}
-	if err := checkVersion(c.IfVersion, e); err != nil {
-		return Result{Version: e.Version, Err: err}
+	if err := current.checkVersion(c.IfVersion); err != nil {
+		return Result{Version: current.Version}, err
 	}
-	if c.Session != "" && c.Session != e.Session {
-		return Result{Version: e.Version, Err: fmt.Errorf("%w: host %s", ErrHostTaken, c.Host)}
+	if c.Session != "" && c.Session != current.Session {
+		return Result{Version: current.Version}, reject(ErrHostTaken, "host %s", c.Host)
 	}
 	delete(s.registrations, c.Host)
-	if c.Session == "" { // the operator's word, not the instance's own
+	if c.Session == "" { // an operator removes the host for good; the instance itself may return
 		delete(s.marks, c.Host)
 	}
 	s.bumpVersion(c.Host)
-	return Result{ChangedHosts: []string{c.Host}}
+	return Result{ChangedHosts: []string{c.Host}}, nil
 }
 
-// expireSessions takes out those whose session is still the one that ended.
+// expireSessions removes the instances that still have the session that expired.
 func (s *State) expireSessions(c Command) Result {
 	var changed []string
-	for _, x := range c.ExpiredSessions {
-		if e := s.registrations[x.Host]; e != nil && e.Session == x.Session && e.Session != "" {
-			delete(s.registrations, x.Host)
-			changed = append(changed, x.Host)
+	for _, expired := range c.ExpiredSessions {
+		r := s.registrations[expired.Host]
+		if r != nil && r.Session == expired.Session && r.Session != "" {
+			delete(s.registrations, expired.Host)
+			changed = append(changed, expired.Host)
 		}
 	}
 	s.bumpVersion(changed...)
 	return Result{ChangedHosts: changed}
 }
 
-// Len returns how many instances there are.
+// Len returns how many instances are registered.
 func (s *State) Len() int { return len(s.registrations) }
 
-// Registrations returns all entries, by host.
+// Registrations returns all registrations, ordered by host.
 func (s *State) Registrations() []Registration {
 	all := make([]Registration, 0, len(s.registrations))
-	for _, h := range slices.Sorted(maps.Keys(s.registrations)) {
-		all = append(all, *s.registrations[h])
+	for _, host := range slices.Sorted(maps.Keys(s.registrations)) {
+		all = append(all, *s.registrations[host])
 	}
 	return all
 }
 
-// Registration returns one entry.
+// Registration returns the registration of a host.
 func (s *State) Registration(host string) (Registration, bool) {
-	if e := s.registrations[host]; e != nil {
-		return *e, true
+	if r := s.registrations[host]; r != nil {
+		return *r, true
 	}
 	return Registration{}, false
 }
--- a/internal/registry/snapshot.go
+++ b/internal/registry/snapshot.go
@@ -1,7 +1,6 @@
 package registry
 
 import (
-	"cmp"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -11,98 +10,137 @@
 	"barleywick/internal/rollout"
 )
 
-// stateSnapshot is the state as it stands in a snapshot.
+// snapshotForm is the version of the snapshot's format.
+const snapshotForm = 1
+
+// stateSnapshot is the state as a snapshot and a backup hold it.
 type stateSnapshot struct {
-	Form    int                      `json:"form"`
-	Group   string                   `json:"group"`
-	Founded uint64                   `json:"founded"`
-	Seq     uint64                   `json:"seq"`
-	Oldest  uint64                   `json:"oldest"`
-	Edits   uint64                   `json:"edits"`
-	Entries map[string]*Registration `json:"entries"`
-	Marks   map[string]string        `json:"marks"`
-	Records map[string]*Record       `json:"records"`
-	Log     []listChange             `json:"log"`
-	Leases  *Leases                  `json:"leases,omitempty"`
-	Policy  *rollout.State           `json:"policy,omitempty"`
+	Form          int                      `json:"form"`
+	Group         string                   `json:"group"`
+	FirstVersion  uint64                   `json:"founded"`
+	Seq           uint64                   `json:"seq"`
+	ChangesAfter  uint64                   `json:"oldest"`
+	RecordVersion uint64                   `json:"edits"`
+	Registrations map[string]*Registration `json:"entries"`
+	Marks         map[string]string        `json:"marks"`
+	Records       map[string]*Record       `json:"records"`
+	Changes       []listChange             `json:"log"`
+	Leases        *Leases                  `json:"leases,omitempty"` // left out in snapshots of early versions
+	Rollout       *rollout.State           `json:"policy,omitempty"` // likewise
 }
 
-const snapshotForm = 1
-
 // MarshalJSON writes the state for a snapshot.
 func (s *State) MarshalJSON() ([]byte, error) {
-	return json.Marshal(stateSnapshot{snapshotForm, s.group, s.firstVersion, s.seq, s.changesAfter, s.recordVersion, s.registrations, s.marks, s.records, s.changes, s.leases, s.rollout})
+	return json.Marshal(stateSnapshot{
+		Form:          snapshotForm,
+		Group:         s.group,
+		FirstVersion:  s.firstVersion,
+		Seq:           s.seq,
+		ChangesAfter:  s.changesAfter,
+		RecordVersion: s.recordVersion,
+		Registrations: s.registrations,
+		Marks:         s.marks,
+		Records:       s.records,
+		Changes:       s.changes,
+		Leases:        s.leases,
+		Rollout:       s.rollout,
+	})
 }
 
-// UnmarshalJSON reads a snapshot. A state that cannot be right is refused, and
-// leaves s as it was.
+// UnmarshalJSON reads a snapshot. It returns an error, and leaves s unchanged, if the
+// contents are inconsistent.
 func (s *State) UnmarshalJSON(text []byte) error {
-	var i stateSnapshot
-	if err := json.Unmarshal(text, &i); err != nil {
+	var snapshot stateSnapshot
+	if err := json.Unmarshal(text, &snapshot); err != nil {
+		return fmt.Errorf("snapshot: %w", err)
+	}
+	if err := snapshot.check(); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
-	switch {
-	case i.Form != snapshotForm:
-		return fmt.Errorf("snapshot: form %d is not known, only %d", i.Form, snapshotForm)
-	case i.Group == "" && i.Seq != 0, i.Seq < i.Founded, i.Oldest < i.Founded, i.Oldest > i.Seq:
-		return fmt.Errorf("snapshot: versions %d to %d of a history from %d", i.Oldest, i.Seq, i.Founded)
-	case !slices.IsSortedFunc(i.Log, func(a, b listChange) int { return cmp.Compare(a.Seq, b.Seq) }),
-		len(i.Log) > 0 && (i.Log[0].Seq <= i.Oldest || i.Log[len(i.Log)-1].Seq > i.Seq):
-		return errors.New("snapshot: the log of changes is out of order")
+	*s = *snapshot.state()
+	return nil
+}
+
+// check returns an error if the snapshot cannot be that of a state.
+func (s *stateSnapshot) check() error {
+	if s.Form != snapshotForm {
+		return fmt.Errorf("form %d is not known, only %d", s.Form, snapshotForm)
+	}
+	if s.Group == "" && s.Seq != 0 || s.Seq < s.FirstVersion || s.ChangesAfter < s.FirstVersion || s.ChangesAfter > s.Seq {
+		return fmt.Errorf("versions %d to %d of a history from %d", s.ChangesAfter, s.Seq, s.FirstVersion)
 	}
-	for host, e := range i.Entries {
-		if e == nil || e.Host != host || e.Version > i.Seq {
-			return fmt.Errorf("snapshot: entry %.64q is broken", host)
+	if !s.changesInOrder() {
+		return errors.New("the log of changes is out of order")
+	}
+	for host, r := range s.Registrations {
+		if r == nil || r.Host != host || r.Version > s.Seq {
+			return fmt.Errorf("entry %.64q is broken", host)
 		}
 	}
-	for key, r := range i.Records {
-		if r == nil || r.Version > i.Edits {
-			return fmt.Errorf("snapshot: record %.64q is broken", key)
+	for key, r := range s.Records {
+		if r == nil || r.Version > s.RecordVersion {
+			return fmt.Errorf("record %.64q is broken", key)
 		}
 	}
-	fresh := NewState()
-	fresh.group, fresh.firstVersion, fresh.seq, fresh.changesAfter, fresh.recordVersion = i.Group, i.Founded, i.Seq, i.Oldest, i.Edits
-	maps.Copy(fresh.registrations, i.Entries)
-	maps.Copy(fresh.marks, i.Marks)
-	maps.Copy(fresh.records, i.Records)
-	fresh.changes = i.Log
-	if fresh.leases = i.Leases; i.Leases == nil { // written before there were leases
-		fresh.leases = newLeases(i.Edits)
+	return nil
+}
+
+// changesInOrder reports whether the log of changes grows, and lies between the versions
+// that the snapshot names.
+func (s *stateSnapshot) changesInOrder() bool {
+	if !slices.IsSortedFunc(s.Changes, listChange.compareSeq) {
+		return false
 	}
-	if fresh.rollout = i.Policy; i.Policy == nil {
-		fresh.rollout = rollout.New(i.Edits)
+	return len(s.Changes) == 0 || s.Changes[0].Seq > s.ChangesAfter && s.Changes[len(s.Changes)-1].Seq <= s.Seq
+}
+
+// state returns the state that the snapshot holds.
+func (s *stateSnapshot) state() *State {
+	state := NewState()
+	state.group, state.firstVersion = s.Group, s.FirstVersion
+	state.seq, state.changesAfter, state.changes = s.Seq, s.ChangesAfter, s.Changes
+	state.recordVersion = s.RecordVersion
+	maps.Copy(state.registrations, s.Registrations)
+	maps.Copy(state.marks, s.Marks)
+	maps.Copy(state.records, s.Records)
+	if state.leases = s.Leases; s.Leases == nil {
+		state.leases = newLeases(s.RecordVersion)
 	}
-	*s = *fresh
-	return nil
+	if state.rollout = s.Rollout; s.Rollout == nil {
+		state.rollout = rollout.New(s.RecordVersion)
+	}
+	return state
 }
 
-// restore takes over the contents of a backup, but not its versions: the list's
-// go on, to where no version was before, and every watcher gets the whole list.
-func (s *State) restore(c Command) Result {
-	from := NewState()
-	if err := json.Unmarshal(c.Backup, from); err != nil {
-		return failed(fmt.Errorf("%w: %w", ErrInvalid, err))
+// restore takes over the contents of a backup, but not its versions: they go on where no
+// version was before, and every watch gets the full list. Leases and the rollout concern
+// processes that run now, so they stay.
+func (s *State) restore(c Command) (Result, error) {
+	backup := NewState()
+	if err := json.Unmarshal(c.Backup, backup); err != nil {
+		return Result{}, invalid("%w", err)
 	}
-	if from.group != s.group {
-		return failed(fmt.Errorf("%w: the backup is of group %.64q, this is %q", ErrConflict, from.group, s.group))
+	if backup.group != s.group {
+		return Result{}, conflict("the backup is of group %.64q, this is %q", backup.group, s.group)
 	}
-	for _, e := range from.registrations {
-		if err := e.Instance.Check(); err != nil {
-			return failed(fmt.Errorf("%w: backup: %w", ErrInvalid, err))
+	for _, r := range backup.registrations {
+		if err := r.Instance.Check(); err != nil {
+			return Result{}, invalid("backup: %w", err)
 		}
 	}
-	next := max(s.seq, s.recordVersion, from.seq, from.recordVersion) + 1
-	for _, e := range from.registrations {
-		e.Version = next
+	next := max(s.seq, s.recordVersion, backup.seq, backup.recordVersion) + 1
+	for _, r := range backup.registrations {
+		r.Version = next
 	}
-	for _, r := range from.records {
+	for _, r := range backup.records {
 		r.Version = next
 	}
-	from.firstVersion, from.seq, from.changesAfter, from.recordVersion, from.changes = s.firstVersion, next, next, next, nil
-	s.leases.keepOverRestore(from.leases)
-	from.leases = s.leases
-	s.rollout.Restore(from.rollout)
-	from.rollout = s.rollout
-	*s = *from
-	return Result{Version: next}
+	backup.firstVersion, backup.seq, backup.recordVersion = s.firstVersion, next, next
+	backup.changesAfter, backup.changes = next, nil
+	s.leases.keepOverRestore(backup.leases)
+	backup.leases = s.leases
+	s.rollout.Restore(backup.rollout)
+	backup.rollout = s.rollout
+	*s = *backup
+	return Result{Version: next}, nil
 }
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -1,7 +1,6 @@
 package registry
 
 import (
-	"fmt"
 	"maps"
 	"slices"
 
@@ -13,10 +12,10 @@
 	maxRecords     = 1024
 	maxRecordValue = 32 << 10
 	maxMarks       = maxInstances
-	versionsPerMS  = 1024 // versions a group is given for each millisecond of its life
+	versionsPerMS  = 1024 // versions that a group has for each millisecond of its life
 )
 
-// State is the whole state machine.
+// State is the replicated state machine.
 type State struct {
 	group         string
 	firstVersion  uint64 // the first version of this history
@@ -24,16 +23,37 @@
 	registrations map[string]*Registration
 	marks         map[string]string // host -> who marked it
 	records       map[string]*Record
-	recordVersion uint64 // the last version given to a record
+	recordVersion uint64 // the last version that a record got
 	changes       []listChange
-	changesAfter  uint64 // the log is complete for versions after this
+	changesAfter  uint64 // changes has all that came after this version
 	leases        *Leases
 	rollout       *rollout.State
 }
 
-// NewState makes an empty State that belongs to no group yet.
+// NewState makes an empty state that belongs to no group yet.
 func NewState() *State {
-	return &State{registrations: make(map[string]*Registration), marks: make(map[string]string), records: make(map[string]*Record), leases: newLeases(0), rollout: rollout.New(0)}
+	return &State{
+		registrations: make(map[string]*Registration),
+		marks:         make(map[string]string),
+		records:       make(map[string]*Record),
+		leases:        newLeases(0),
+		rollout:       rollout.New(0),
+	}
+}
+
+// Clone returns a copy that shares nothing that changes.
+func (s *State) Clone() *State {
+	c := *s
+	c.registrations = make(map[string]*Registration, len(s.registrations))
+	for host, r := range s.registrations {
+		registration := *r
+		c.registrations[host] = &registration
+	}
+	c.marks, c.records = maps.Clone(s.marks), maps.Clone(s.records)
+	c.changes = slices.Clone(s.changes)
+	c.leases = s.leases.Clone()
+	c.rollout = s.rollout.Clone()
+	return &c
 }
 
 // Group returns the name of the group whose history this is; empty before it was founded.
@@ -45,26 +65,26 @@
 // FirstVersion returns the first version of this history.
 func (s *State) FirstVersion() uint64 { return s.firstVersion }
 
-// Apply carries one command out.
+// Leases returns the leases. The caller must not change them.
+func (s *State) Leases() *Leases { return s.leases }
+
+// Apply carries out one command. If the result has an error the state is unchanged.
 func (s *State) Apply(c Command) Result {
-	r := s.apply(c)
-	r.Seq = s.seq
+	r, err := s.apply(c)
+	r.Seq, r.Err = s.seq, err
 	return r
 }
 
-func (s *State) apply(c Command) Result {
+func (s *State) apply(c Command) (Result, error) {
 	if s.group == "" && c.Op != OpFoundGroup {
-		return failed(fmt.Errorf("%w: the group has not been founded", ErrInvalid))
+		return Result{}, invalid("the group has not been founded")
 	}
 	if err := s.leases.checkFence(c.Fence); err != nil {
-		return failed(err)
+		return Result{}, err
 	}
 	switch c.Op {
 	case OpAcquireLease, OpReleaseLease, OpExpireClaims, OpRequestYield, OpOpenGrants:
-		seated := s.rosterLeasesEndedBy(c)
-		r := s.leases.apply(c.Op, c.Lease)
-		s.leaveRoster(seated)
-		return r
+		return s.applyLeaseCommand(c)
 	case OpPolicyStep:
 		return s.applyPolicyStep(c)
 	case OpFoundGroup:
@@ -76,53 +96,39 @@
 	case OpRemove:
 		return s.remove(c)
 	case OpExpireSessions:
-		return s.expireSessions(c)
-	case OpPutRecord, OpDeleteRecord:
-		return s.edit(c)
+		return s.expireSessions(c), nil
+	case OpPutRecord:
+		return s.putRecord(c)
+	case OpDeleteRecord:
+		return s.deleteRecord(c)
 	case OpRestore:
 		return s.restore(c)
 	}
-	return failed(fmt.Errorf("%w: operation %.32q", ErrInvalid, c.Op))
+	return Result{}, invalid("operation %.32q", c.Op)
 }
 
-// foundGroup begins a history. Its versions begin where no other group's can be: a
-// watcher that comes with a version of another history is older than this one's
-// log or ahead of it, and gets the whole list either way.
-func (s *State) foundGroup(c Command) Result {
+// foundGroup begins a history. Its versions begin where no other group's can be: a watch
+// that comes with a version of another history is older than this one's log of changes,
+// or newer than its list, and gets the full list either way.
+func (s *State) foundGroup(c Command) (Result, error) {
 	if s.group != "" {
 		if s.group != c.Group {
-			return failed(fmt.Errorf("%w: this is group %q", ErrConflict, s.group))
+			return Result{}, conflict("this is group %q", s.group)
 		}
-		return Result{Version: s.firstVersion}
+		return Result{Version: s.firstVersion}, nil
 	}
 	if err := CheckName("group", c.Group); err != nil {
-		return failed(fmt.Errorf("%w: %w", ErrInvalid, err))
+		return Result{}, invalid("%w", err)
 	}
 	if c.AtMS <= 0 || c.AtMS > MaxVersion/versionsPerMS/2 {
-		return failed(fmt.Errorf("%w: founded at %d", ErrInvalid, c.AtMS))
+		return Result{}, invalid("founded at %d", c.AtMS)
 	}
 	s.group, s.firstVersion = c.Group, uint64(c.AtMS)*versionsPerMS
 	s.seq, s.changesAfter, s.recordVersion = s.firstVersion, s.firstVersion, s.firstVersion
-	// Tokens begin where no earlier group's can be, and no lease is granted until those
+	// Tokens, too, begin where no earlier group's can be. No lease is granted until those
 	// of an earlier group of this name have run out.
 	s.leases = newLeases(s.firstVersion)
 	s.leases.grantsClosed = true
 	s.rollout = rollout.New(s.firstVersion)
-	return Result{Version: s.firstVersion}
+	return Result{Version: s.firstVersion}, nil
 }
-
-// Clone returns a copy that shares nothing that changes.
-func (s *State) Clone() *State {
-	c := *s
-	c.registrations = make(map[string]*Registration, len(s.registrations))
-	for h, e := range s.registrations {
-		one := *e
-		c.registrations[h] = &one
-	}
-	c.marks, c.records, c.changes, c.leases = maps.Clone(s.marks), maps.Clone(s.records), slices.Clone(s.changes), s.leases.Clone()
-	c.rollout = s.rollout.Clone()
-	return &c
-}
-
-// Leases returns the leases, to be read.
-func (s *State) Leases() *Leases { return s.leases }
