--- a/internal/registry/changes_test.go
+++ b/internal/registry/changes_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// follow is what an unchanged sidecar makes of one answer.
-func follow(held map[string]Instance, l ListUpdate) {
+// applyUpdate applies an update to a list as a sidecar does.
+func applyUpdate(held map[string]Instance, l ListUpdate) {
 	if l.Full {
 		clear(held)
 	}
@@ -20,16 +20,16 @@
 	}
 }
 
-func same(a, b map[string]Instance) bool {
+func sameList(a, b map[string]Instance) bool {
 	return maps.EqualFunc(a, b, func(x, y Instance) bool { return x.equal(y) })
 }
 
-// Versions that the log does not tell of bring the whole list: older than it,
+// Versions that the log of changes does not cover get the full list: older than the log,
 // newer than the state, or of another group's history.
-func TestOtherVersionsBringTheWholeList(t *testing.T) {
-	s := founded(t)
+func TestUncoveredVersionsGetTheFullList(t *testing.T) {
+	s := newFoundedState(t)
 	for i := range maxListChanges + 10 {
-		c := instance("s-1")
+		c := newInstance("s-1")
 		c.BornMS = int64(i)
 		s.Apply(Command{Op: OpRegister, Instance: c, Session: "x"})
 	}
@@ -40,7 +40,7 @@
 		"highest": math.MaxUint64, "another group's": other.Seq(),
 	} {
 		if l := s.ChangesSince(from); !l.Full || len(l.Instances) != 1 || l.Seq != s.Seq() {
-			t.Errorf("%s: %+v, want the whole list", name, l)
+			t.Errorf("%s: got %+v, want the full list", name, l)
 		}
 	}
 	if l := other.ChangesSince(s.Seq()); !l.Full {
@@ -48,13 +48,13 @@
 	}
 	for _, from := range []uint64{s.Seq() - maxListChanges, s.Seq() - 1} {
 		if l := s.ChangesSince(from); l.Full || len(l.Instances) != 1 {
-			t.Errorf("from %d: %+v, want the change", s.Seq()-from, l)
+			t.Errorf("%d versions back: got %+v, want the change", s.Seq()-from, l)
 		}
 	}
 	if l := s.ChangesSince(s.Seq()); l.Full || len(l.Instances) != 0 {
-		t.Errorf("from the newest: %+v, want nothing", l)
+		t.Errorf("newest version: got %+v, want no change", l)
 	}
 	if len(s.changes) > maxListChanges {
-		t.Errorf("the log has grown to %d", len(s.changes))
+		t.Errorf("the log of changes has %d entries, want %d at most", len(s.changes), maxListChanges)
 	}
 }
--- a/internal/registry/harness_test.go
+++ b/internal/registry/harness_test.go
@@ -4,12 +4,12 @@
 	"testing"
 )
 
-func instance(host string) *Instance {
+func newInstance(host string) *Instance {
 	block := 3
 	return &Instance{Host: host, Dial: "127.0.0.1:7070", Site: "milano-a", Class: "m2", Block: &block, Health: HealthUp, Share: 1, BornMS: 5}
 }
 
-func founded(t testing.TB) *State {
+func newFoundedState(t testing.TB) *State {
 	t.Helper()
 	s := NewState()
 	if r := s.Apply(Command{Op: OpFoundGroup, Group: "prenota", AtMS: 1_800_000_000_000}); r.Err != nil {
@@ -18,4 +18,4 @@
 	return s
 }
 
-func version(v uint64) *uint64 { return &v }
+func versionPtr(v uint64) *uint64 { return &v }
--- a/internal/registry/instance_test.go
+++ b/internal/registry/instance_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-func TestBadInstances(t *testing.T) {
-	for name, spoil := range map[string]func(i *Instance){
+func TestInvalidInstances(t *testing.T) {
+	for name, change := range map[string]func(i *Instance){
 		"no host":         func(i *Instance) { i.Host = "" },
 		"a long host":     func(i *Instance) { i.Host = strings.Repeat("x", maxNameLength+1) },
 		"a line break":    func(i *Instance) { i.Host = "a\nb" },
@@ -26,15 +26,15 @@
 		"before 1970":     func(i *Instance) { i.BornMS = -1 },
 		"a negative cell": func(i *Instance) { n := -1; i.Block = &n },
 	} {
-		i := instance("s")
-		spoil(i)
-		s := founded(t)
+		i := newInstance("s")
+		change(i)
+		s := newFoundedState(t)
 		seq := s.Seq()
 		if r := s.Apply(Command{Op: OpRegister, Instance: i}); !errors.Is(r.Err, ErrInvalid) || strings.Contains(r.Err.Error(), "\n") || s.Seq() != seq {
-			t.Errorf("%s: error %v, want one plain line", name, r.Err)
+			t.Errorf("%s: got error %v, want ErrInvalid in one line", name, r.Err)
 		}
 	}
-	if err := instance("s-1").Check(); err != nil {
+	if err := newInstance("s-1").Check(); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/registry/lease_snapshot_test.go
+++ b/internal/registry/lease_snapshot_test.go
@@ -8,19 +8,19 @@
 )
 
 func TestLeasesOverRestoreAndSnapshot(t *testing.T) {
-	s := leased(t)
+	s := newOpenState(t)
 	backup, _ := s.MarshalJSON()
 	a := claim("a", "k1", 1)
-	token := ask(s, "l", a, true).Token
-	ask(s, "l", claim("b", "k2", 1), true)
+	token := acquire(s, "l", a, true).Token
+	acquire(s, "l", claim("b", "k2", 1), true)
 	if r := s.Apply(Command{Op: OpRestore, Backup: backup}); r.Err != nil {
 		t.Fatal(r.Err)
 	}
 	if l, _ := s.Leases().Lease("l"); l.Grant == nil || l.Grant.Token != token {
-		t.Errorf("a restore took a lease from its holder: %+v", l)
+		t.Errorf("after a restore: got %+v, want the grant with token %d", l, token)
 	}
-	if r := ask(s, "m", claim("c", "k1", 1), true); r.Token <= token {
-		t.Errorf("token %d after %d and a restore", r.Token, token)
+	if r := acquire(s, "m", claim("c", "k1", 1), true); r.Token <= token {
+		t.Errorf("after a restore: got token %d, want more than %d", r.Token, token)
 	}
 	text, err := json.Marshal(s)
 	if err != nil {
@@ -31,40 +31,40 @@
 		t.Fatal(err)
 	}
 	if twice, _ := json.Marshal(again); !bytes.Equal(twice, text) {
-		t.Errorf("a snapshot of a snapshot is\n%s, it was\n%s", twice, text)
+		t.Errorf("snapshot of a snapshot:\ngot  %s\nwant %s", twice, text)
 	}
 	for _, broken := range []string{
 		`{"token":1,"version":1,"all":{"l":{"name":"m"}}}`, `{"token":1,"version":1,"all":{"l":{"name":"l","grant":{"token":2}}}}`, `{"token":9007199254740993}`,
 	} {
 		if err := json.Unmarshal([]byte(broken), newLeases(0)); err == nil {
-			t.Errorf("%s is taken", broken)
+			t.Errorf("%s is accepted", broken)
 		}
 	}
-	// Another group of the name, founded later: its tokens are higher still, and it
-	// grants none before those of the first have run out.
+	// Another group of the name, founded later, has higher tokens, and grants no leases before
+	// those of the first group have run out.
 	other := NewState()
 	other.Apply(Command{Op: OpFoundGroup, Group: "g", AtMS: 1_700_000_001_000})
 	if other.leases.lastToken <= s.leases.lastToken || !other.Leases().GrantsClosed() {
-		t.Errorf("a later group begins at %d, the first one is at %d; shut %v", other.leases.lastToken, s.leases.lastToken, other.Leases().GrantsClosed())
+		t.Errorf("later group: got token %d, grants closed %v, want more than %d, closed", other.leases.lastToken, other.Leases().GrantsClosed(), s.leases.lastToken)
 	}
-	if r := ask(other, "l", a, true); r.Err != nil || r.Token != 0 || r.QueuePosition != 1 {
-		t.Errorf("granted at once by a new group: %+v", r)
+	if r := acquire(other, "l", a, true); r.Err != nil || r.Token != 0 || r.QueuePosition != 1 {
+		t.Errorf("new group: got %+v, want queue position 1", r)
 	}
-	clock := NewClaimTracker(time.Minute)
+	tracker := NewClaimTracker(time.Minute)
 	now := time.Unix(0, 0)
-	clock.Sync(other.Leases(), now)
-	if _, open := clock.TakeExpired(now.Add(time.Minute - 1)); open {
-		t.Error("grants begin too early")
+	tracker.Sync(other.Leases(), now)
+	if _, open := tracker.TakeExpired(now.Add(time.Minute - 1)); open {
+		t.Error("grants open too early")
 	}
-	if _, open := clock.TakeExpired(now.Add(time.Minute)); !open {
-		t.Error("grants never begin")
+	if _, open := tracker.TakeExpired(now.Add(time.Minute)); !open {
+		t.Error("grants never open")
 	}
 	other.Apply(Command{Op: OpOpenGrants, Lease: new(LeaseCommand)})
 	if l, _ := other.Leases().Lease("l"); l.Grant == nil {
-		t.Error("who waited is not granted the lease")
+		t.Error("the queued claim is not granted the lease")
 	}
-	clock.Sync(other.Leases(), now.Add(2*time.Minute))
-	if _, open := clock.TakeExpired(now.Add(4 * time.Minute)); open {
-		t.Error("grants begin twice")
+	tracker.Sync(other.Leases(), now.Add(2*time.Minute))
+	if _, open := tracker.TakeExpired(now.Add(4 * time.Minute)); open {
+		t.Error("grants open twice")
 	}
 }
--- a/internal/registry/records_test.go
+++ b/internal/registry/records_test.go
@@ -7,32 +7,32 @@
 )
 
 func TestRecords(t *testing.T) {
-	s := founded(t)
-	put := func(value string, if_ *uint64) Result {
-		return s.Apply(Command{Op: OpPutRecord, Key: "k", Value: []byte(value), IfVersion: if_})
+	s := newFoundedState(t)
+	put := func(value string, ifVersion *uint64) Result {
+		return s.Apply(Command{Op: OpPutRecord, Key: "k", Value: []byte(value), IfVersion: ifVersion})
 	}
-	first := put("a", version(0))
+	first := put("a", versionPtr(0))
 	if first.Err != nil || first.Version == 0 {
-		t.Fatalf("%+v", first)
+		t.Fatalf("first write: got %+v", first)
 	}
-	if again := put("a", version(0)); again.Err != nil || again.Version != first.Version {
-		t.Errorf("the same again: %+v", again)
+	if again := put("a", versionPtr(0)); again.Err != nil || again.Version != first.Version {
+		t.Errorf("same value again: got %+v, want version %d", again, first.Version)
 	}
-	if r := put("b", version(0)); !errors.Is(r.Err, ErrConflict) || r.Version != first.Version {
-		t.Errorf("over another's: %+v", r)
+	if r := put("b", versionPtr(0)); !errors.Is(r.Err, ErrConflict) || r.Version != first.Version {
+		t.Errorf("another value under version 0: got %+v, want ErrConflict at version %d", r, first.Version)
 	}
-	second := put("b", version(first.Version))
+	second := put("b", versionPtr(first.Version))
 	if second.Err != nil || second.Version <= first.Version {
-		t.Errorf("%+v", second)
+		t.Errorf("second write: got %+v, want a version above %d", second, first.Version)
 	}
-	if r := s.Apply(Command{Op: OpDeleteRecord, Key: "k", IfVersion: version(first.Version)}); !errors.Is(r.Err, ErrConflict) {
-		t.Errorf("dropped by an old version: %v", r.Err)
+	if r := s.Apply(Command{Op: OpDeleteRecord, Key: "k", IfVersion: versionPtr(first.Version)}); !errors.Is(r.Err, ErrConflict) {
+		t.Errorf("deleted under an old version: got %v, want ErrConflict", r.Err)
 	}
 	s.Apply(Command{Op: OpDeleteRecord, Key: "k"})
-	if third := put("c", version(0)); third.Version <= second.Version {
-		t.Errorf("a record's version %d came again after %d", third.Version, second.Version)
+	if third := put("c", versionPtr(0)); third.Version <= second.Version {
+		t.Errorf("after a deletion: got version %d, want more than %d", third.Version, second.Version)
 	}
 	if r := put(strings.Repeat("x", maxRecordValue+1), nil); !errors.Is(r.Err, ErrInvalid) {
-		t.Errorf("too large: %v", r.Err)
+		t.Errorf("value that is too large: got %v, want ErrInvalid", r.Err)
 	}
 }
--- a/internal/registry/snapshot_test.go
+++ b/internal/registry/snapshot_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// FuzzSnapshot: what cannot be a state is refused and leaves nothing behind; what
-// is taken can be written and read again.
+// FuzzSnapshot: a snapshot that cannot be a state's is rejected and leaves the state
+// unchanged; one that is accepted can be written and read again.
 func FuzzSnapshot(f *testing.F) {
-	s := founded(f)
-	s.Apply(Command{Op: OpRegister, Instance: instance("a"), Session: "x", TTLMS: 5})
+	s := newFoundedState(f)
+	s.Apply(Command{Op: OpRegister, Instance: newInstance("a"), Session: "x", TTLMS: 5})
 	s.Apply(Command{Op: OpMark, Host: "a", MarkedBy: "ops-a", Draining: true})
 	s.Apply(Command{Op: OpPutRecord, Key: "k", Value: []byte("v")})
 	text, _ := json.Marshal(s)
@@ -20,19 +20,19 @@
 		s := NewState()
 		if err := json.Unmarshal(text, s); err != nil {
 			if s.Group() != "" || s.Seq() != 0 {
-				t.Error("a refused snapshot has left something behind")
+				t.Error("a rejected snapshot has changed the state")
 			}
 			return
 		}
 		s.FullList()
 		s.ChangesSince(s.Seq())
-		s.Apply(Command{Op: OpRegister, Instance: instance("b")})
+		s.Apply(Command{Op: OpRegister, Instance: newInstance("b")})
 		out, err := json.Marshal(s)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if err := json.Unmarshal(out, NewState()); err != nil {
-			t.Errorf("cannot read what it wrote: %v", err)
+			t.Errorf("the snapshot that it wrote cannot be read: %v", err)
 		}
 	})
 }
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// model is what the state has to agree with: the plain rules, kept as maps.
+// model holds in maps what the state has to agree with, by the plain rules.
 type model struct {
 	entries map[string]Registration
 	marks   map[string]string
@@ -26,15 +26,15 @@
 	return l
 }
 
-// Whatever comes, the state agrees with the model, its version grows with each
-// change and only then, and a watcher that reads from any version it has ever
-// seen, at this replica or at one restored from a snapshot, holds the list.
+// After any commands the state agrees with the model, its version has grown with each
+// change and only then, and a watcher that reads from any version it has seen, of this
+// replica or of one that was restored from a snapshot, holds the list.
 func TestStateAgainstAModel(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 0))
-			s, m := founded(t), &model{make(map[string]Registration), make(map[string]string)}
-			replica := founded(t)
+			s, m := newFoundedState(t), &model{make(map[string]Registration), make(map[string]string)}
+			replica := newFoundedState(t)
 			watchers := make([]map[string]Instance, 5)
 			at := make([]uint64, len(watchers))
 			for i := range watchers {
@@ -49,7 +49,7 @@
 				before, seq := m.list(), s.Seq()
 				switch rng.IntN(6) {
 				case 0, 1:
-					c = Command{Op: OpRegister, Instance: instance(h), Session: fmt.Sprint("x", rng.IntN(2)), TTLMS: 1000}
+					c = Command{Op: OpRegister, Instance: newInstance(h), Session: fmt.Sprint("x", rng.IntN(2)), TTLMS: 1000}
 					c.Instance.BornMS = int64(rng.IntN(4))
 					if rng.IntN(4) == 0 {
 						c.Instance.Health = HealthDraining
@@ -64,11 +64,11 @@
 					c = Command{Op: Op(fmt.Sprint("op", rng.IntN(9)))}
 				}
 				if (c.Op == OpRegister || c.Op == OpRemove) && rng.IntN(4) == 0 {
-					c.IfVersion = version([]uint64{0, old.Version, old.Version + 1}[rng.IntN(3)])
+					c.IfVersion = versionPtr([]uint64{0, old.Version, old.Version + 1}[rng.IntN(3)])
 				}
 				r := s.Apply(c)
 				if again := replica.Apply(c); !reflect.DeepEqual(fmt.Sprint(again), fmt.Sprint(r)) {
-					t.Fatalf("step %d: replicas disagree: %v and %v", step, r, again)
+					t.Fatalf("step %d: another replica: got %v, want %v", step, again, r)
 				}
 				switch c.Op {
 				case OpRegister:
@@ -76,14 +76,14 @@
 					taken := old.Host != "" && old.Session != c.Session && c.IfVersion == nil && c.Instance.BornMS <= old.BornMS
 					conflict := c.IfVersion != nil && *c.IfVersion != old.Version
 					if want := !same && (taken || conflict); (r.Err != nil) != want {
-						t.Fatalf("step %d: register: error %v, want one: %v", step, r.Err, want)
+						t.Fatalf("step %d: register: got error %v, want one: %v", step, r.Err, want)
 					} else if !want {
 						m.entries[h] = Registration{Instance: *c.Instance, Session: c.Session, ReportedHealth: c.Instance.Health, Version: r.Version}
 					}
 				case OpMark:
 					wrong := (c.Draining && old.Host == "" && m.marks[h] == "") || (m.marks[h] != "" && m.marks[h] != c.MarkedBy)
 					if (r.Err != nil) != wrong {
-						t.Fatalf("step %d: mark: error %v, want one: %v", step, r.Err, wrong)
+						t.Fatalf("step %d: mark: got error %v, want one: %v", step, r.Err, wrong)
 					}
 					if !wrong && c.Draining {
 						m.marks[h] = c.MarkedBy
@@ -92,7 +92,7 @@
 					}
 				case OpRemove:
 					if wrong := old.Host != "" && c.IfVersion != nil && *c.IfVersion != old.Version; (r.Err != nil) != wrong {
-						t.Fatalf("step %d: remove: error %v, want one: %v", step, r.Err, wrong)
+						t.Fatalf("step %d: remove: got error %v, want one: %v", step, r.Err, wrong)
 					} else if !wrong && old.Host != "" {
 						delete(m.entries, h)
 						delete(m.marks, h)
@@ -105,7 +105,7 @@
 					}
 				default:
 					if !errors.Is(r.Err, ErrInvalid) {
-						t.Fatalf("step %d: %s: error %v", step, c.Op, r.Err)
+						t.Fatalf("step %d: %s: got %v, want ErrInvalid", step, c.Op, r.Err)
 					}
 				}
 				for h, e := range m.entries { // their versions move with what the list shows
@@ -115,11 +115,11 @@
 					}
 				}
 				want, got := m.list(), make(map[string]Instance)
-				follow(got, s.FullList())
-				if !same(got, want) {
-					t.Fatalf("step %d, %s: the list is %v, want %v", step, c.Op, got, want)
+				applyUpdate(got, s.FullList())
+				if !sameList(got, want) {
+					t.Fatalf("step %d, %s: got list %v, want %v", step, c.Op, got, want)
 				}
-				if differs := !same(before, want); s.Seq() < seq || (differs && s.Seq() != seq+1) {
+				if differs := !sameList(before, want); s.Seq() < seq || (differs && s.Seq() != seq+1) {
 					t.Fatalf("step %d: version %d after %d, changed: %v", step, s.Seq(), seq, differs)
 				}
 				source := s
@@ -136,9 +136,9 @@
 				}
 				i := rng.IntN(len(watchers))
 				l := source.ChangesSince(at[i])
-				follow(watchers[i], l)
-				if at[i] = l.Seq; !same(watchers[i], want) || l.Seq != s.Seq() {
-					t.Fatalf("step %d: a watcher holds %v, want %v", step, watchers[i], want)
+				applyUpdate(watchers[i], l)
+				if at[i] = l.Seq; !sameList(watchers[i], want) || l.Seq != s.Seq() {
+					t.Fatalf("step %d: a watcher: got %v, want %v", step, watchers[i], want)
 				}
 			}
 		})
@@ -146,42 +146,42 @@
 }
 
 func TestBounds(t *testing.T) {
-	s := founded(t)
+	s := newFoundedState(t)
 	for i := range maxInstances {
-		if r := s.Apply(Command{Op: OpRegister, Instance: instance(fmt.Sprint("s-", i))}); r.Err != nil {
+		if r := s.Apply(Command{Op: OpRegister, Instance: newInstance(fmt.Sprint("s-", i))}); r.Err != nil {
 			t.Fatal(r.Err)
 		}
 	}
 	seq := s.Seq()
-	if r := s.Apply(Command{Op: OpRegister, Instance: instance("one-more")}); !errors.Is(r.Err, ErrLimitReached) || s.Seq() != seq {
-		t.Errorf("one instance more: %v", r.Err)
+	if r := s.Apply(Command{Op: OpRegister, Instance: newInstance("one-more")}); !errors.Is(r.Err, ErrLimitReached) || s.Seq() != seq {
+		t.Errorf("one instance too many: got %v, want ErrLimitReached", r.Err)
 	}
 	for i := range maxRecords {
 		s.Apply(Command{Op: OpPutRecord, Key: fmt.Sprint("k", i), Value: []byte("v")})
 	}
 	if r := s.Apply(Command{Op: OpPutRecord, Key: "one-more"}); !errors.Is(r.Err, ErrLimitReached) {
-		t.Errorf("one record more: %v", r.Err)
+		t.Errorf("one record too many: got %v, want ErrLimitReached", r.Err)
 	}
 }
 
 func TestGroupIsFoundedOnce(t *testing.T) {
 	s := NewState()
-	if r := s.Apply(Command{Op: OpRegister, Instance: instance("a")}); !errors.Is(r.Err, ErrInvalid) {
-		t.Errorf("before the group was founded: %v", r.Err)
+	if r := s.Apply(Command{Op: OpRegister, Instance: newInstance("a")}); !errors.Is(r.Err, ErrInvalid) {
+		t.Errorf("before the group was founded: got %v, want ErrInvalid", r.Err)
 	}
 	if r := s.Apply(Command{Op: OpFoundGroup, Group: "a", AtMS: 0}); r.Err == nil {
-		t.Error("founded without a time")
+		t.Error("the group was founded without a time")
 	}
 	one := s.Apply(Command{Op: OpFoundGroup, Group: "a", AtMS: 1000})
 	if again := s.Apply(Command{Op: OpFoundGroup, Group: "a", AtMS: 2000}); again.Err != nil || again.Version != one.Version {
-		t.Errorf("founded again: %+v", again)
+		t.Errorf("founded again: got %+v, want version %d", again, one.Version)
 	}
 	if r := s.Apply(Command{Op: OpFoundGroup, Group: "b", AtMS: 2000}); !errors.Is(r.Err, ErrConflict) {
-		t.Errorf("as another group: %v", r.Err)
+		t.Errorf("founded as another group: got %v, want ErrConflict", r.Err)
 	}
 }
 
-// FuzzCommand: no command that can be read crashes the state or breaks its versions.
+// FuzzCommand: no command that can be decoded crashes the state or breaks its versions.
 func FuzzCommand(f *testing.F) {
 	f.Add([]byte(`{"op":"register","instance":{"host":"a","dial":"127.0.0.1:1","site":"z","health":"up","share":1},"session":"x"}`))
 	f.Add([]byte(`{"op":"mark","hosts":["a","a"],"by":"x","draining":true,"if_version":7}`))
@@ -191,18 +191,18 @@
 		if json.Unmarshal(text, &c) != nil {
 			return
 		}
-		s := founded(t)
-		s.Apply(Command{Op: OpRegister, Instance: instance("a"), Session: "x"})
+		s := newFoundedState(t)
+		s.Apply(Command{Op: OpRegister, Instance: newInstance("a"), Session: "x"})
 		seq, held := s.Seq(), make(map[string]Instance)
-		follow(held, s.FullList())
+		applyUpdate(held, s.FullList())
 		r := s.Apply(c)
 		if s.Seq() < seq || r.Seq != s.Seq() {
-			t.Errorf("version %d after %d, told %d", s.Seq(), seq, r.Seq)
+			t.Errorf("got version %d in the result and %d in the state, after %d", r.Seq, s.Seq(), seq)
 		}
-		follow(held, s.ChangesSince(seq))
+		applyUpdate(held, s.ChangesSince(seq))
 		want := make(map[string]Instance)
-		if follow(want, s.FullList()); !same(held, want) {
-			t.Errorf("a watcher holds %v, want %v", held, want)
+		if applyUpdate(want, s.FullList()); !sameList(held, want) {
+			t.Errorf("a watcher: got %v, want %v", held, want)
 		}
 	})
 }
