--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -20,95 +20,93 @@
 )
 
 const (
-	// callTimeout is for one call to one replica, an election's length included.
+	// callTimeout is for a call to one replica, the length of an election included.
 	callTimeout = 5 * time.Second
-	// The pause between two rounds over all replicas, jittered.
+	dialTimeout = time.Second
+	// minBackoff and maxBackoff bound the pause between two rounds over all replicas.
 	minBackoff       = 50 * time.Millisecond
 	maxBackoff       = time.Second
 	maxResponseBytes = 16 << 20
-	maxRedirects     = 3 // from one replica to the one that it says leads
+	maxMessageBytes  = 200 // of a response that is not the registry's
+	maxRedirects     = 3   // from a replica to the one that leads
 )
 
-// Client reads and writes over all replicas of a registry: it goes to the one that
-// leads, and on to others while that is not to be had. It is safe for concurrent use.
+// Client makes calls to all replicas of a registry: to the one that leads, and to others
+// while that one cannot be reached. It is safe for concurrent use.
 type Client struct {
 	http    *http.Client
 	addrs   []string
-	timeout time.Duration // for one call over all replicas; 0: as long as its context lasts
+	timeout time.Duration // of a call over all replicas; 0: as long as its context lasts
 
 	mu        sync.Mutex
 	rng       *rand.Rand
 	preferred string // the replica that answered last
 }
 
-// New makes a Client for a registry at these addresses.
+// New makes a client of a registry whose replicas have these addresses. The seed spreads
+// clients over replicas and in time.
 func New(addrs []string, seed uint64) (*Client, error) {
 	if len(addrs) == 0 {
 		return nil, errors.New("no address of a registry")
 	}
-	for _, a := range addrs {
-		if _, _, err := net.SplitHostPort(a); err != nil {
-			return nil, fmt.Errorf("registry address %q: %w", a, err)
+	for _, addr := range addrs {
+		if _, _, err := net.SplitHostPort(addr); err != nil {
+			return nil, fmt.Errorf("registry address %q: %w", addr, err)
 		}
 	}
 	c := &Client{addrs: addrs, rng: rand.New(rand.NewPCG(seed, 3))}
 	c.http = &http.Client{
 		Transport: &http.Transport{
-			DialContext:     addressmap.Table(nil).Dial(time.Second),
-			MaxConnsPerHost: 8, IdleConnTimeout: 10 * time.Second, DisableCompression: true,
+			DialContext:        addressmap.Table(nil).Dial(dialTimeout),
+			MaxConnsPerHost:    8,
+			IdleConnTimeout:    10 * time.Second,
+			DisableCompression: true,
 		},
-		// Redirects are followed here: the client has to learn who leads.
+		// The client follows redirects itself: it has to learn which replica leads.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 	return c, nil
 }
 
-// Close lets go of idle connections.
-func (c *Client) Close() { c.http.CloseIdleConnections() }
-
-// WithAddressMap sends calls over other addresses. It is to be called before the Client is used.
+// WithAddressMap makes calls go to other addresses instead. It must be called before the
+// client is used, and returns the client.
 func (c *Client) WithAddressMap(routes addressmap.Table) *Client {
-	c.http.Transport.(*http.Transport).DialContext = routes.Dial(time.Second)
+	c.http.Transport.(*http.Transport).DialContext = routes.Dial(dialTimeout)
 	return c
 }
 
-// WithTimeout bounds every call by a time, its tries at all replicas included. It is to
-// be called before the Client is used.
-func (c *Client) WithTimeout(most time.Duration) *Client {
-	c.timeout = most
+// WithTimeout bounds every call, its attempts at all replicas included. It must be called
+// before the client is used, and returns the client.
+func (c *Client) WithTimeout(timeout time.Duration) *Client {
+	c.timeout = timeout
 	return c
 }
 
-// replicaOrder is in which replicaOrder replicas are asked: the last that answered, then the
-// others from a random one on, so that callers spread over them.
-func (c *Client) replicaOrder() []string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	var all []string
-	if c.preferred != "" {
-		all = append(all, c.preferred)
-	}
-	for _, i := range c.rng.Perm(len(c.addrs)) {
-		if c.addrs[i] != c.preferred {
-			all = append(all, c.addrs[i])
-		}
-	}
-	return all
+// Close closes idle connections.
+func (c *Client) Close() { c.http.CloseIdleConnections() }
+
+// apiCall is one call, as it is made at every replica that is tried.
+type apiCall struct {
+	method   string
+	path     string // below registry.APIPath
+	body     []byte
+	response any // where the response is decoded to; nil: it is not needed
 }
 
-func (c *Client) jitter(d time.Duration) time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return jitter(c.rng, d)
+// request makes a call and returns its response.
+func request[T any](ctx context.Context, c *Client, method, path string, body any) (T, error) {
+	var response T
+	err := c.call(ctx, method, path, body, &response)
+	return response, err
 }
 
-// call makes one call, at one replica after the other until one does it or refuses
-// it for good, and round again until ctx ends.
-func (c *Client) call(ctx context.Context, method, path string, body, into any) error {
-	var text []byte
+// call makes a call at one replica after the other until one carries it out or refuses it
+// for good, and again until ctx ends.
+func (c *Client) call(ctx context.Context, method, path string, body, response any) error {
+	call := apiCall{method: method, path: path, response: response}
 	if body != nil {
 		var err error
-		if text, err = json.Marshal(body); err != nil {
+		if call.body, err = json.Marshal(body); err != nil {
 			return fmt.Errorf("registry: write request: %w", err)
 		}
 	}
@@ -117,75 +115,119 @@
 		ctx, cancel = context.WithTimeout(ctx, c.timeout)
 		defer cancel()
 	}
-	var last error
-	for pause := minBackoff; ; pause = min(2*pause, maxBackoff) {
+	var lastErr error
+	for backoff := minBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		for _, addr := range c.replicaOrder() {
-			at, err := c.callReplica(ctx, addr, method, path, text, into)
-			var refused *Error
-			if err == nil || errors.As(err, &refused) {
-				c.mu.Lock()
-				c.preferred = at
-				c.mu.Unlock()
+			answered, err := c.callReplica(ctx, addr, call)
+			var refusal *Error
+			if err == nil || errors.As(err, &refusal) {
+				c.prefer(answered)
 				return err
 			}
-			if ctx.Err() == nil || last == nil {
-				last = err
+			if ctx.Err() == nil || lastErr == nil { // what comes after ctx has ended tells nothing
+				lastErr = err
 			}
 		}
-		c.mu.Lock()
-		c.preferred = ""
-		c.mu.Unlock()
+		c.prefer("")
 		select {
-		case <-time.After(c.jitter(pause)):
+		case <-time.After(c.jitter(backoff)):
 		case <-ctx.Done():
-			return fmt.Errorf("%w: %w", ErrUnreachable, last)
+			return fmt.Errorf("%w: %w", ErrUnreachable, lastErr)
 		}
 	}
 }
 
-// callReplica makes a call at one replica, or at the one it points to, and says which answered.
-func (c *Client) callReplica(ctx context.Context, addr, method, path string, text []byte, into any) (at string, err error) {
+// replicaOrder returns the order in which replicas are tried: the one that answered last,
+// then the others at random, so that clients spread over them.
+func (c *Client) replicaOrder() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var order []string
+	if c.preferred != "" {
+		order = append(order, c.preferred)
+	}
+	for _, i := range c.rng.Perm(len(c.addrs)) {
+		if c.addrs[i] != c.preferred {
+			order = append(order, c.addrs[i])
+		}
+	}
+	return order
+}
+
+// prefer makes a replica the first that is tried; empty: none is.
+func (c *Client) prefer(addr string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.preferred = addr
+}
+
+func (c *Client) jitter(d time.Duration) time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return jitter(c.rng, d)
+}
+
+// callReplica makes a call at one replica, or at the one that it redirects to, and returns
+// which one answered.
+func (c *Client) callReplica(ctx context.Context, addr string, call apiCall) (answered string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	for range maxRedirects {
-		req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+registry.APIPath+path, bytes.NewReader(text))
-		if err != nil {
-			return addr, &Error{Status: http.StatusBadRequest, Message: err.Error()}
-		}
-		resp, err := c.http.Do(req)
-		if err != nil {
-			return addr, err
-		}
-		answer, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
-		resp.Body.Close()
-		if err != nil {
-			return addr, err
-		}
+		resp, text, err := c.send(ctx, addr, call)
 		switch {
+		case err != nil:
+			return addr, err
 		case resp.StatusCode == http.StatusOK:
-			if into == nil {
-				return addr, nil
-			}
-			if err := json.Unmarshal(answer, into); err != nil {
-				return addr, fmt.Errorf("%s: answer: %w", addr, err)
-			}
-			return addr, nil
-		case resp.StatusCode == http.StatusTemporaryRedirect:
-			to, err := url.Parse(resp.Header.Get("Location"))
-			if err != nil || to.Host == "" {
-				return addr, fmt.Errorf("%s points nowhere", addr)
-			}
-			addr = to.Host
-			continue
-		}
-		var a registry.WriteResponse
-		if json.Unmarshal(answer, &a) != nil || a.Error == "" {
-			a.Error = strings.TrimSpace(string(answer[:min(len(answer), 200)]))
+			return addr, call.decode(addr, text)
+		case resp.StatusCode != http.StatusTemporaryRedirect:
+			return addr, responseError(addr, resp.StatusCode, text)
 		}
-		if resp.StatusCode >= 500 && resp.StatusCode != http.StatusInsufficientStorage {
-			return addr, fmt.Errorf("%s: %d: %s", addr, resp.StatusCode, a.Error)
+		leader, err := url.Parse(resp.Header.Get("Location"))
+		if err != nil || leader.Host == "" {
+			return addr, fmt.Errorf("%s: a redirect without an address", addr)
 		}
-		return addr, &Error{Status: resp.StatusCode, Message: a.Error, Version: a.Version}
+		addr = leader.Host
+	}
+	return addr, fmt.Errorf("%s: more than %d redirects", addr, maxRedirects)
+}
+
+// send sends one request and reads its response whole.
+func (c *Client) send(ctx context.Context, addr string, call apiCall) (*http.Response, []byte, error) {
+	req, err := http.NewRequestWithContext(ctx, call.method, "http://"+addr+registry.APIPath+call.path, bytes.NewReader(call.body))
+	if err != nil {
+		return nil, nil, &Error{Status: http.StatusBadRequest, Message: err.Error()}
+	}
+	resp, err := c.http.Do(req)
+	if err != nil {
+		return nil, nil, err
+	}
+	defer resp.Body.Close()
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+	if err != nil {
+		return nil, nil, err
+	}
+	return resp, text, nil
+}
+
+func (call apiCall) decode(addr string, text []byte) error {
+	if call.response == nil {
+		return nil
+	}
+	if err := json.Unmarshal(text, call.response); err != nil {
+		return fmt.Errorf("%s: answer: %w", addr, err)
+	}
+	return nil
+}
+
+// responseError returns the error that a response stands for: an *Error if the registry
+// refuses the call for good, another error if a repetition may help.
+func responseError(addr string, status int, text []byte) error {
+	var w registry.WriteResponse
+	if json.Unmarshal(text, &w) != nil || w.Error == "" {
+		w.Error = strings.TrimSpace(string(text[:min(len(text), maxMessageBytes)]))
+	}
+	if status >= http.StatusInternalServerError && status != http.StatusInsufficientStorage {
+		return fmt.Errorf("%s: %d: %s", addr, status, w.Error)
 	}
-	return addr, fmt.Errorf("%s: sent from one replica to the other", addr)
+	return &Error{Status: status, Message: w.Error, Version: w.Version}
 }
--- a/internal/registry/client/group.go
+++ b/internal/registry/client/group.go
@@ -7,49 +7,48 @@
 	"barleywick/internal/registry"
 )
 
-// Status returns what one replica says of itself, the one that answers first.
+// Status returns the status of one replica: of the first that answers.
 func (c *Client) Status(ctx context.Context) (registry.StatusResponse, error) {
-	var s registry.StatusResponse
-	err := c.call(ctx, http.MethodGet, "status", nil, &s)
-	return s, err
+	return request[registry.StatusResponse](ctx, c, http.MethodGet, "status", nil)
 }
 
-// Statuses asks every replica that the group has now how it stands. Those that do
-// not answer are left out, and all says whether none was.
-func (c *Client) Statuses(ctx context.Context) (got []registry.StatusResponse, all bool) {
-	s, err := c.Status(ctx)
+// Statuses returns the status of every replica that the group has now. Replicas that do
+// not answer, or are not ready, are left out; all reports whether none was.
+func (c *Client) Statuses(ctx context.Context) (statuses []registry.StatusResponse, all bool) {
+	first, err := c.Status(ctx)
 	if err != nil {
 		return nil, false
 	}
-	all = len(s.Replicas) > 0
-	for _, m := range s.Replicas {
-		var one registry.StatusResponse
-		if _, err := c.callReplica(ctx, m.HTTP, http.MethodGet, "status", nil, &one); err != nil || !one.Ready {
+	all = len(first.Replicas) > 0
+	for _, replica := range first.Replicas {
+		var status registry.StatusResponse
+		call := apiCall{method: http.MethodGet, path: "status", response: &status}
+		if _, err := c.callReplica(ctx, replica.HTTP, call); err != nil || !status.Ready {
 			all = false
 			continue
 		}
-		got = append(got, one)
+		statuses = append(statuses, status)
 	}
-	return got, all
+	return statuses, all
 }
 
-// Backup returns the registry's contents, as of now.
+// Backup returns the registry's contents. The read is linearizable.
 func (c *Client) Backup(ctx context.Context) ([]byte, error) {
-	var text rawJSON
-	err := c.call(ctx, http.MethodGet, "backup?linearizable=1", nil, &text)
-	return text, err
+	return request[rawJSON](ctx, c, http.MethodGet, "backup?linearizable=1", nil)
 }
 
-// Restore puts a backup's contents in place of all there is.
+// Restore replaces the registry's contents by those of a backup.
 func (c *Client) Restore(ctx context.Context, backup []byte) error {
 	return c.call(ctx, http.MethodPost, "restore", rawJSON(backup), nil)
 }
 
-// rawJSON is a text that goes as it is.
+// rawJSON is JSON that is sent and received as it is.
 type rawJSON []byte
 
+// MarshalJSON returns the text.
 func (r rawJSON) MarshalJSON() ([]byte, error) { return r, nil }
 
+// UnmarshalJSON keeps a copy of the text.
 func (r *rawJSON) UnmarshalJSON(text []byte) error {
 	*r = append((*r)[:0], text...)
 	return nil
--- a/internal/registry/client/list_loss.go
+++ b/internal/registry/client/list_loss.go
@@ -8,34 +8,37 @@
 	"time"
 )
 
-// ListLoss is how a call failed or a watch ended.
+// ListLoss says how a call for the list failed, or how a watch ended.
 type ListLoss struct {
-	Unresponsive bool // nothing was heard for a while
-	Reached      bool // discovery was there, and turned the call away or broke it off
-	Moved        bool // discovery has moved, and was not heard since
-	// SinceLastMessage is how long ago the last word came, a list or a sign of life.
+	Unresponsive bool // nothing arrived for a while
+	Reached      bool // the service was there, and refused the call or broke it off
+	Moved        bool // the addresses have changed, and nothing has arrived from the new ones
+	// SinceLastMessage is how long ago the last message arrived: an update or a heartbeat.
 	SinceLastMessage time.Duration
 }
 
-// lossOf tells from its error how a call failed.
-func lossOf(err error, moved bool) ListLoss {
+// lossOf returns how a call failed or a watch ended, by its error.
+func lossOf(err error, moved bool, sinceLastMessage time.Duration) ListLoss {
 	var network *net.OpError
 	refused := errors.As(err, &network) && network.Op == "dial"
-	silent := errors.Is(err, errUnresponsive) || errors.Is(err, os.ErrDeadlineExceeded)
-	return ListLoss{Unresponsive: silent, Reached: !refused && !silent, Moved: moved}
+	unresponsive := errors.Is(err, errUnresponsive) || errors.Is(err, os.ErrDeadlineExceeded)
+	return ListLoss{
+		Unresponsive:     unresponsive,
+		Reached:          !refused && !unresponsive,
+		Moved:            moved,
+		SinceLastMessage: sinceLastMessage,
+	}
 }
 
-// errUnresponsive ends a watch or a call on which nothing comes any more.
-var errUnresponsive = errors.New("silent")
-
-// errGap says that a change was missed or could not be read: only the whole list helps.
-var errGap = errors.New("gap in the list")
-
-// errStale says that another replica may know more.
-var errStale = errors.New("the replica has no leader")
-
-// errUpdateTooLong says that a listing is longer than any that there is.
-var errUpdateTooLong = fmt.Errorf("%w: over %d bytes", errGap, maxUpdateBytes)
-
-// errAddrsChanged ends a watch at addresses that are not discovery's any more.
-var errAddrsChanged = errors.New("discovery has moved")
+var (
+	// errUnresponsive ends a watch or a call on which nothing arrives any more.
+	errUnresponsive = errors.New("no message within " + watchTimeout.String())
+	// errGap says that an update was missed or cannot be read: the full list is needed.
+	errGap = errors.New("gap in the list")
+	// errUpdateTooLong says that an update is longer than any list is.
+	errUpdateTooLong = fmt.Errorf("%w: over %d bytes", errGap, maxUpdateBytes)
+	// errStale says that the replica has no leader: another one may know more.
+	errStale = errors.New("the replica has no leader")
+	// errAddrsChanged ends a watch at addresses that are no longer the service's.
+	errAddrsChanged = errors.New("addresses changed")
+)
--- a/internal/registry/client/policy.go
+++ b/internal/registry/client/policy.go
@@ -11,26 +11,20 @@
 	"barleywick/internal/rollout"
 )
 
-// ApplyPolicyStep takes a step of a change of policy, and returns what the member that it names
-// is to act by. It may be called again: a step is carried out once.
+// ApplyPolicyStep carries out a step of a rollout and returns the view of the member that
+// it names. It may be called again: a step is carried out once.
 func (c *Client) ApplyPolicyStep(ctx context.Context, step rollout.Command, fence *registry.Fence) (rollout.View, error) {
-	var v rollout.View
-	err := c.call(ctx, http.MethodPost, "policy", registry.PolicyRequest{Command: step, Fence: fence}, &v)
-	return v, err
+	return request[rollout.View](ctx, c, http.MethodPost, "policy", registry.PolicyRequest{Command: step, Fence: fence})
 }
 
-// PolicyView returns what a member is to act by, at the latest when that has changed
-// after a version or the wait is over. It may be a moment old.
+// PolicyView returns what a member has to act by, as soon as that has changed after a
+// version, or when the wait is over. It may be a moment old.
 func (c *Client) PolicyView(ctx context.Context, m rollout.Member, after uint64, wait time.Duration) (rollout.View, error) {
-	var v rollout.View
-	path := fmt.Sprintf("policy/view?member=%s&incarnation=%d&after=%d&wait_ms=%d", url.QueryEscape(m.Name), m.Incarnation, after, wait.Milliseconds())
-	err := c.call(ctx, http.MethodGet, path, nil, &v)
-	return v, err
+	path := fmt.Sprintf("policy/view?member=%s&incarnation=%d&%s", url.QueryEscape(m.Name), m.Incarnation, waitQuery(after, wait))
+	return request[rollout.View](ctx, c, http.MethodGet, path, nil)
 }
 
-// PolicyStatus tells how the policy and its change stand.
+// PolicyStatus returns the state of the policy and its rollout, as PolicyView does.
 func (c *Client) PolicyStatus(ctx context.Context, after uint64, wait time.Duration) (rollout.Status, error) {
-	var s rollout.Status
-	err := c.call(ctx, http.MethodGet, fmt.Sprintf("policy?after=%d&wait_ms=%d", after, wait.Milliseconds()), nil, &s)
-	return s, err
+	return request[rollout.Status](ctx, c, http.MethodGet, "policy?"+waitQuery(after, wait), nil)
 }
--- a/internal/registry/client/records.go
+++ b/internal/registry/client/records.go
@@ -9,34 +9,31 @@
 	"barleywick/internal/registry"
 )
 
-// Record returns a record as of now.
+// Record returns a record. The read is linearizable.
 func (c *Client) Record(ctx context.Context, key string) (registry.Record, error) {
-	var r registry.Record
-	err := c.call(ctx, http.MethodGet, "records/"+url.PathEscape(key)+"?linearizable=1", nil, &r)
-	return r, err
+	return request[registry.Record](ctx, c, http.MethodGet, "records/"+url.PathEscape(key)+"?linearizable=1", nil)
 }
 
-// RecordKeys returns the keys of all records as of now.
+// RecordKeys returns the keys of all records. The read is linearizable.
 func (c *Client) RecordKeys(ctx context.Context) ([]string, error) {
-	var keys []string
-	err := c.call(ctx, http.MethodGet, "records?linearizable=1", nil, &keys)
-	return keys, err
+	return request[[]string](ctx, c, http.MethodGet, "records?linearizable=1", nil)
 }
 
-// Put writes a record if it is at the version named, or whatever it is at where
-// that is nil, and returns the new version.
+// Put writes a record if it has the version ifVersion, or any if that is nil, and returns
+// the new version.
 func (c *Client) Put(ctx context.Context, key string, value []byte, ifVersion *uint64) (uint64, error) {
 	return c.PutFenced(ctx, key, value, ifVersion, nil)
 }
 
-// PutFenced is Put while a token is its lease's; registry.ErrFenced says that it is not.
+// PutFenced is Put on the condition that the fence's token is that of the lease's grant.
+// It returns registry.ErrFenced if it is not.
 func (c *Client) PutFenced(ctx context.Context, key string, value []byte, ifVersion *uint64, fence *registry.Fence) (uint64, error) {
-	var a registry.WriteResponse
-	err := c.call(ctx, http.MethodPut, "records/"+url.PathEscape(key), registry.PutRequest{Value: value, IfVersion: ifVersion, Fence: fence}, &a)
-	return a.Version, err
+	body := registry.PutRequest{Value: value, IfVersion: ifVersion, Fence: fence}
+	w, err := request[registry.WriteResponse](ctx, c, http.MethodPut, "records/"+url.PathEscape(key), body)
+	return w.Version, err
 }
 
-// Delete deletes a record if it is at the version named.
+// Delete deletes a record if it has the version ifVersion.
 func (c *Client) Delete(ctx context.Context, key string, ifVersion uint64) error {
 	return c.call(ctx, http.MethodDelete, "records/"+url.PathEscape(key)+"?if_version="+strconv.FormatUint(ifVersion, 10), nil, nil)
 }
--- a/internal/registry/client/watch.go
+++ b/internal/registry/client/watch.go
@@ -1,7 +1,3 @@
-// Package client follows the list of booking servers and writes to it. It speaks
-// the protocol's list and watch, with our own registry and with anybody else's,
-// and the registry's write interface. It does not link what the registry's
-// replicas are made of: a sidecar carries none of that.
 package client
 
 import (
@@ -19,45 +15,61 @@
 	"barleywick/internal/registry"
 )
 
-// watch opens one watch and passes on what it brings until it ends; heard tells
-// whether any line came. Where no list is held, it asks for the whole list first.
-func (w *Watcher) watch(ctx context.Context, stale bool) (heard bool, err error) {
+const (
+	// watchTimeout ends a watch on which nothing arrives: without changes an empty line is
+	// due every 2 s.
+	watchTimeout   = 3 * time.Second
+	maxUpdateBytes = 4 << 20
+)
+
+// watch opens a watch at the current address and delivers its updates until it ends; heard
+// reports whether anything arrived. If the watcher has no list it fetches the full one first.
+func (w *Watcher) watch(ctx context.Context, acceptStale bool) (heard bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	patience := time.AfterFunc(watchTimeout, func() { cancel(errUnresponsive) })
-	defer patience.Stop()
+	timeout := time.AfterFunc(watchTimeout, func() { cancel(errUnresponsive) })
+	defer timeout.Stop()
 	defer func() {
 		if err != nil && context.Cause(ctx) != nil {
 			err = context.Cause(ctx)
 		}
 	}()
 	if !w.hasList {
-		if err := w.fetchFullList(ctx, stale); err != nil {
+		if err := w.fetchFullList(ctx, acceptStale); err != nil {
 			return false, err
 		}
 		heard = true
-		patience.Stop()
+		timeout.Stop()
 		if err := w.stagger(ctx); err != nil {
 			return heard, err
 		}
-		patience.Reset(watchTimeout) // the watch has its own time, however long the call took
+		timeout.Reset(watchTimeout) // the watch has its own time, however long the call took
 	}
-	body, err := w.open(ctx, w.url()+"?watch=1&from="+strconv.FormatUint(w.seq, 10), stale)
+	body, err := w.open(ctx, w.url()+"?watch=1&from="+strconv.FormatUint(w.seq, 10), acceptStale)
 	if err != nil {
 		return heard, err
 	}
 	defer body.Close()
-	in := &watchReader{body: body, budget: maxUpdateBytes, onHeartbeat: func(idle bool) {
-		patience.Reset(watchTimeout)
+	return w.readUpdates(body, heard, func() { timeout.Reset(watchTimeout) })
+}
+
+// readUpdates delivers the updates of an open watch until it ends. It returns whether
+// anything arrived, now or before; keepAlive is called for each sign of life.
+func (w *Watcher) readUpdates(body io.Reader, heardBefore bool, keepAlive func()) (heard bool, err error) {
+	heard = heardBefore
+	reader := &watchReader{body: body, budget: maxUpdateBytes, onHeartbeat: func(idle bool) {
+		keepAlive()
 		w.lastMessage = time.Now()
 		if idle && !heard {
 			heard = true
-			w.Deliver(ListUpdate{Seq: w.seq}) // the watch is up and nothing has changed: the owner's call went well
+			// The watch is open and nothing has changed: the owner learns that its call succeeded.
+			w.options.Deliver(ListUpdate{Seq: w.seq})
 		}
 	}}
-	for listings := json.NewDecoder(in); ; {
+	updates := json.NewDecoder(reader)
+	for {
 		var text json.RawMessage
-		if err := listings.Decode(&text); err != nil {
+		if err := updates.Decode(&text); err != nil {
 			var syntax *json.SyntaxError
 			if errors.As(err, &syntax) {
 				err = fmt.Errorf("%w: %w", errGap, err)
@@ -70,26 +82,28 @@
 			return heard, err
 		}
 		heard = true
-		in.updateDone(listings.Buffered())
+		if err := reader.updateDone(updates.Buffered()); err != nil {
+			return heard, err
+		}
 	}
 }
 
-// stagger waits for half to all of the time that the watch may come later than the list.
+// stagger waits for a random time between a half and the whole of MaxStagger.
 func (w *Watcher) stagger(ctx context.Context) error {
-	if w.MaxStagger <= 0 {
+	if w.options.MaxStagger <= 0 {
 		return nil
 	}
 	select {
-	case <-time.After(time.Duration((1 + w.rng.Float64()) / 2 * float64(w.MaxStagger))):
+	case <-time.After(time.Duration((1 + w.rng.Float64()) / 2 * float64(w.options.MaxStagger))):
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// fetchFullList asks for the whole list.
-func (w *Watcher) fetchFullList(ctx context.Context, stale bool) error {
-	body, err := w.open(ctx, w.url(), stale)
+// fetchFullList calls for the full list and delivers it.
+func (w *Watcher) fetchFullList(ctx context.Context, acceptStale bool) error {
+	body, err := w.open(ctx, w.url(), acceptStale)
 	if err != nil {
 		return err
 	}
@@ -101,7 +115,8 @@
 	return w.handleUpdate(text)
 }
 
-func (w *Watcher) open(ctx context.Context, url string, stale bool) (io.ReadCloser, error) {
+// open makes a call and returns the body of its response.
+func (w *Watcher) open(ctx context.Context, url string, acceptStale bool) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
@@ -114,41 +129,29 @@
 		resp.Body.Close()
 		return nil, fmt.Errorf("status %d", resp.StatusCode)
 	}
-	if !stale && strings.HasPrefix(resp.Header.Get(registry.ReadHeader), registry.ReadStale) {
+	if !acceptStale && strings.HasPrefix(resp.Header.Get(registry.ReadHeader), registry.ReadStale) {
 		resp.Body.Close()
 		return nil, errStale
 	}
 	return resp.Body, nil
 }
 
-// handleUpdate passes on one piece of news. Changes apply in order and only on top of
-// the list they follow; what was had already is passed over.
+// handleUpdate delivers one update. Changes apply in order, and only to the list that they
+// follow; of a version that the watcher has already, the changes are left out.
 func (w *Watcher) handleUpdate(text []byte) error {
-	var said struct {
-		Seq   *uint64         `json:"seq"`
-		Whole bool            `json:"whole"`
-		Hosts json.RawMessage `json:"hosts"`
-	}
-	if err := json.Unmarshal(text, &said); err != nil {
-		return fmt.Errorf("%w: %w", errGap, err)
-	}
-	// A list that leaves out what it consists of would pass for an empty one.
-	if said.Seq == nil || said.Hosts == nil {
-		return fmt.Errorf("%w: without seq or hosts", errGap)
-	}
-	l := ListUpdate{Seq: *said.Seq, Full: said.Whole}
-	if err := json.Unmarshal(said.Hosts, &l.Endpoints); err != nil {
-		return fmt.Errorf("%w: hosts: %w", errGap, err)
+	u, err := parseUpdate(text)
+	if err != nil {
+		return err
 	}
 	switch {
-	case l.Full:
-	case !w.hasList || l.Seq < w.seq:
-		return fmt.Errorf("%w: change to version %d, held is %d", errGap, l.Seq, w.seq)
-	case l.Seq == w.seq:
-		l.Endpoints = nil
-	}
-	w.hasList, w.seq, w.lastMessage = true, l.Seq, time.Now()
-	slog.Info("discovery: list", "seq", l.Seq, "whole", l.Full, "hosts", len(l.Endpoints))
-	w.Deliver(l)
+	case u.Full:
+	case !w.hasList || u.Seq < w.seq:
+		return fmt.Errorf("%w: change to version %d, held is %d", errGap, u.Seq, w.seq)
+	case u.Seq == w.seq:
+		u.Endpoints = nil
+	}
+	w.hasList, w.seq, w.lastMessage = true, u.Seq, time.Now()
+	slog.Info("discovery: list update", "seq", u.Seq, "full", u.Full, "endpoints", len(u.Endpoints))
+	w.options.Deliver(u)
 	return nil
 }
--- a/internal/registry/client/watcher_test.go
+++ b/internal/registry/client/watcher_test.go
@@ -136,7 +136,7 @@
 	old, fresh := registrytest.NewServer(t), registrytest.NewServer(t)
 	asks, failed, news := make(chan struct{}, 1), make(chan struct{}, 1), make(chan ListUpdate, 10)
 	d := NewWatcher(WatcherOptions{Addrs: []string{old.Addr}, LastKnown: &ListUpdate{Seq: 3, Full: true}, Deliver: func(l ListUpdate) { news <- l }})
-	d.Polls, d.OnLoss = asks, func(ListLoss) { failed <- struct{}{} }
+	d.options.Polls, d.options.OnLoss = asks, func(ListLoss) { failed <- struct{}{} }
 	go d.Follow(t.Context())
 	asks <- struct{}{}
 	await(t, "the old watch", old.Watches)
@@ -155,7 +155,7 @@
 	g := registrytest.NewServer(t)
 	asks, failed, news := make(chan struct{}, 1), make(chan struct{}, 1), make(chan ListUpdate, 10)
 	d := NewWatcher(WatcherOptions{Addrs: []string{g.Addr}, LastKnown: &ListUpdate{Seq: 3, Full: true}, Deliver: func(l ListUpdate) { news <- l }})
-	d.Polls, d.OnLoss = asks, func(ListLoss) { failed <- struct{}{} }
+	d.options.Polls, d.options.OnLoss = asks, func(ListLoss) { failed <- struct{}{} }
 	go d.Follow(t.Context())
 	asks <- struct{}{}
 	w := await(t, "the watch", g.Watches)
@@ -261,7 +261,7 @@
 	for grace, want := range map[time.Duration]time.Duration{
 		0: maxReopenDelay, 10 * time.Second: maxReopenDelay, 900 * time.Millisecond: 300 * time.Millisecond, time.Millisecond: minReopenDelay,
 	} {
-		if got := NewWatcher(WatcherOptions{Addrs: []string{"127.0.0.1:1"}, Grace: grace}).maxReopen(); got != want {
+		if got := NewWatcher(WatcherOptions{Addrs: []string{"127.0.0.1:1"}, Grace: grace}).maxDelay(); got != want {
 			t.Errorf("grace %v: opened again within %v, want %v", grace, got, want)
 		}
 	}
--- a/internal/registry/registrytest/server.go
+++ b/internal/registry/registrytest/server.go
@@ -1,8 +1,9 @@
-// Package registrytest has a discovery service for tests, which answers what the
-// test writes.
+// Package registrytest has a discovery service for tests: the test writes what the service
+// answers, and sees what it was asked.
 package registrytest
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -13,74 +14,97 @@
 	"barleywick/internal/registry"
 )
 
-// Server is a fake discovery: the test writes the lines of each watch.
+// maxPending is how many calls, watches and full lists wait until they are taken.
+const maxPending = 10
+
+// Server is a discovery service whose answers the test writes.
 type Server struct {
 	Addr      string
-	Watches   chan *Watch
-	FullLists chan string // what the next call for the whole list gets
-	ListCalls chan string // the query of each call for the whole list
+	Watches   chan *Watch // the watches that clients open
+	FullLists chan string // the answers to the next calls for the full list
+	ListCalls chan string // the query of each call for the full list
 }
 
-// Watch is one that a client holds open. The test writes its lines, and closes
-// Lines to end it; Ended is closed when it has ended.
+// Watch is a watch that a client holds open. The test writes its lines, and closes Lines
+// to end it. Ended is closed when the watch has ended.
 type Watch struct {
 	From  string
 	Lines chan string
 	Ended chan struct{}
 }
 
-// NewServer starts one that ends with the test.
+// NewServer starts a service that ends with the test.
 func NewServer(t testing.TB) *Server {
 	t.Helper()
-	g := &Server{Watches: make(chan *Watch, 10), FullLists: make(chan string, 10), ListCalls: make(chan string, 10)}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.Addr = ln.Addr().String()
-	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Path != registry.ListPath {
-			http.NotFound(w, r)
-			return
-		}
-		if r.URL.Query().Get("watch") == "" {
-			g.ListCalls <- r.URL.RawQuery
-			select {
-			case text := <-g.FullLists:
-				io.WriteString(w, text)
-			case <-r.Context().Done():
-			}
-			return
+	s := &Server{
+		Addr:      ln.Addr().String(),
+		Watches:   make(chan *Watch, maxPending),
+		FullLists: make(chan string, maxPending),
+		ListCalls: make(chan string, maxPending),
+	}
+	server := &http.Server{Handler: s}
+	go func() {
+		if err := server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
+			t.Error(err)
 		}
-		x := &Watch{From: r.URL.Query().Get("from"), Lines: make(chan string), Ended: make(chan struct{})}
-		defer close(x.Ended)
-		w.WriteHeader(http.StatusOK)
-		w.(http.Flusher).Flush()
-		g.Watches <- x
-		for {
-			select {
-			case line, ok := <-x.Lines:
-				if !ok {
-					return
-				}
-				io.WriteString(w, line+"\n")
-				w.(http.Flusher).Flush()
-			case <-r.Context().Done():
+	}()
+	t.Cleanup(func() { server.Close() })
+	return s
+}
+
+// ServeHTTP answers calls for the list and for watches.
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if r.URL.Path != registry.ListPath {
+		http.NotFound(w, r)
+		return
+	}
+	if r.URL.Query().Get("watch") == "" {
+		s.serveList(w, r)
+		return
+	}
+	s.serveWatch(w, r)
+}
+
+func (s *Server) serveList(w http.ResponseWriter, r *http.Request) {
+	s.ListCalls <- r.URL.RawQuery
+	select {
+	case text := <-s.FullLists:
+		io.WriteString(w, text)
+	case <-r.Context().Done():
+	}
+}
+
+func (s *Server) serveWatch(w http.ResponseWriter, r *http.Request) {
+	watch := &Watch{From: r.URL.Query().Get("from"), Lines: make(chan string), Ended: make(chan struct{})}
+	defer close(watch.Ended)
+	rc := http.NewResponseController(w)
+	w.WriteHeader(http.StatusOK)
+	rc.Flush()
+	s.Watches <- watch
+	for {
+		select {
+		case line, ok := <-watch.Lines:
+			if !ok {
 				return
 			}
+			io.WriteString(w, line+"\n")
+			rc.Flush()
+		case <-r.Context().Done():
+			return
 		}
-	})}
-	go server.Serve(ln)
-	t.Cleanup(func() { server.Close() })
-	return g
+	}
 }
 
-// EndpointJSON is an entry of a list.
+// EndpointJSON returns an endpoint as a list holds it.
 func EndpointJSON(name, dial, health string, born int64) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","block":3,"health":%q,"share":1.0,"born_ms":%d}`, name, dial, health, born)
 }
 
-// ListJSON is an answer of discovery.
-func ListJSON(seq int, whole bool, hosts ...string) string {
-	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, whole, strings.Join(hosts, ","))
+// ListJSON returns a list update: the full list, or what has changed.
+func ListJSON(seq int, full bool, endpoints ...string) string {
+	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, full, strings.Join(endpoints, ","))
 }
