--- a/internal/registry/client/compatibility_test.go
+++ b/internal/registry/client/compatibility_test.go
@@ -306,7 +306,7 @@
 		t.Fatalf("the recorded watch has %d lines", len(lines))
 	}
 	s := registrytest.NewServer(t)
-	updates := startDiscovery(t, s, &ListUpdate{Seq: 1, Full: true})
+	updates := startWatcher(t, s, &ListUpdate{Seq: 1, Full: true})
 	w := await(t, "the watch", s.Watches)
 	for i, want := range []ListUpdate{
 		{Seq: 1839328215806981, Full: true, Endpoints: []Endpoint{recordedEndpoint("s-1+1", "up")}},
--- a/internal/registry/client/fuzz_test.go
+++ b/internal/registry/client/fuzz_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// FuzzListing: what a discovery service may send is taken or refused, and what was
-// held is built upon only by what follows it.
-func FuzzListing(f *testing.F) {
+// FuzzUpdate: what a discovery service may send is accepted or rejected, and changes apply
+// only to the list that they follow.
+func FuzzUpdate(f *testing.F) {
 	f.Add([]byte(`{"seq":43,"whole":false,"hosts":[{"host":"s","dial":"127.0.0.1:1","health":"up","share":1,"block":3}]}`))
 	f.Add([]byte(`{"seq":1,"whole":true,"hosts":[{"host":7},{"share":"x"},null]}`))
 	f.Add([]byte(`{"seq":-1}`))
@@ -14,10 +14,10 @@
 		w := NewWatcher(WatcherOptions{Addrs: []string{"127.0.0.1:1"}, LastKnown: &ListUpdate{Seq: 41}, Deliver: func(l ListUpdate) { got = append(got, l) }})
 		err := w.handleUpdate(text)
 		if (err == nil) != (len(got) == 1) {
-			t.Fatalf("error %v and %d deliveries", err, len(got))
+			t.Fatalf("got error %v and %d deliveries", err, len(got))
 		}
 		if err == nil && !got[0].Full && got[0].Seq < 41 {
-			t.Errorf("a change to version %d was taken on top of 41", got[0].Seq)
+			t.Errorf("a change to version %d was applied to version 41", got[0].Seq)
 		}
 	})
 }
--- a/internal/registry/client/watch_reader_test.go
+++ b/internal/registry/client/watch_reader_test.go
@@ -10,14 +10,14 @@
 	"barleywick/internal/registry/registrytest"
 )
 
-// A listing may stand on several lines, and come in pieces with time between them.
-func TestListingOverSeveralLines(t *testing.T) {
+// An update may stand on several lines, and arrive in pieces with time between them.
+func TestUpdateOverSeveralLines(t *testing.T) {
 	g := registrytest.NewServer(t)
-	news := startDiscovery(t, g, &ListUpdate{Seq: 41, Full: true})
+	updates := startWatcher(t, g, &ListUpdate{Seq: 41, Full: true})
 	w := await(t, "the watch", g.Watches)
 	w.Lines <- ""
-	if l := await(t, "word that the watch is up", news); l.Seq != 41 || l.Endpoints != nil {
-		t.Errorf("delivered %+v", l)
+	if l := await(t, "the report that the watch is open", updates); l.Seq != 41 || l.Endpoints != nil {
+		t.Errorf("got update %+v", l)
 	}
 	var indented bytes.Buffer
 	if err := json.Indent(&indented, []byte(registrytest.ListJSON(43, false, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "draining", 0))), "", "  "); err != nil {
@@ -28,19 +28,19 @@
 	}
 	w.Lines <- registrytest.ListJSON(44, false, registrytest.EndpointJSON("s-2", "127.0.0.1:7", "up", 0))
 	for _, want := range []uint64{43, 44} {
-		if l := await(t, "a change", news); l.Seq != want || len(l.Endpoints) != 1 {
-			t.Errorf("delivered %+v, want version %d", l, want)
+		if l := await(t, "a change", updates); l.Seq != want || len(l.Endpoints) != 1 {
+			t.Errorf("got %+v, want version %d", l, want)
 		}
 	}
 	if len(g.ListCalls) > 0 {
-		t.Error("the whole list was called for")
+		t.Error("the full list was called for")
 	}
 }
 
-// Empty lines in a listing that does not go on are no signs of life.
-func TestListingThatDoesNotGoOnIsSilence(t *testing.T) {
+// Empty lines inside an update that does not go on do not keep the watch alive.
+func TestEmptyLinesInsideAnUpdateAreNoHeartbeats(t *testing.T) {
 	g := registrytest.NewServer(t)
-	startDiscovery(t, g, &ListUpdate{Seq: 41, Full: true})
+	startWatcher(t, g, &ListUpdate{Seq: 41, Full: true})
 	w := await(t, "the watch", g.Watches)
 	w.Lines <- `{"seq":42,"whole":false,"hosts":[`
 	beats := time.NewTicker(watchTimeout / 10)
@@ -55,11 +55,11 @@
 			}
 		case again := <-g.Watches:
 			if again.From != "41" || n == 0 {
-				t.Errorf("the next watch is from %s after %d empty lines", again.From, n)
+				t.Errorf("next watch: got from=%s after %d empty lines, want 41 after at least one", again.From, n)
 			}
 			return
 		case <-time.After(patience):
-			t.Fatalf("the watch goes on after %d empty lines", n)
+			t.Fatalf("the watch is still open after %d empty lines", n)
 		}
 	}
 }
