--- a/internal/sidecar/adviser.go
+++ b/internal/sidecar/adviser.go
@@ -25,7 +25,7 @@
 // word in force. Whatever fails, the sidecar goes on by what it sees itself: the word
 // that it has fades.
 type overloadReporter struct {
-	config  *adviceConfig
+	config  *Overload
 	name    string
 	began   time.Time
 	tenants []string // of tenants
@@ -49,12 +49,12 @@
 type adviceReceived struct{ advice policy.OverloadAdvice }
 
 func newAdviser(c *Config, l *eventLoop) (*overloadReporter, error) {
-	r, err := client.New(c.Advice.Registry, c.Seed)
+	r, err := client.New(c.Overload.Registry, c.Seed)
 	if err != nil {
 		return nil, err
 	}
-	a := &overloadReporter{config: c.Advice, name: c.Name, began: time.Now(), tenants: l.tenantNames(), loop: l, client: r.WithAddressMap(c.Advice.routes).WithTimeout(adviceCallIn), taker: overload.AdviceFilter{Fleet: c.Advice.Fleet}}
-	a.http = &http.Client{Timeout: adviceCallIn, Transport: &http.Transport{DialContext: c.Advice.routes.Dial(adviceCallIn), MaxConnsPerHost: 1, DisableCompression: true}}
+	a := &overloadReporter{config: c.Overload, name: c.Name, began: time.Now(), tenants: l.tenantNames(), loop: l, client: r.WithAddressMap(c.Overload.AddressMap).WithTimeout(adviceCallIn), taker: overload.AdviceFilter{Fleet: c.Overload.Fleet}}
+	a.http = &http.Client{Timeout: adviceCallIn, Transport: &http.Transport{DialContext: c.Overload.AddressMap.Dial(adviceCallIn), MaxConnsPerHost: 1, DisableCompression: true}}
 	l.overloadCounts = make([]overload.TenantCounts, len(a.tenants))
 	for i := range l.overloadCounts {
 		l.overloadCounts[i] = overload.TenantCounts{Tenant: a.tenants[i], Quota: 1}
--- a/internal/sidecar/client_listener.go
+++ b/internal/sidecar/client_listener.go
@@ -35,7 +35,7 @@
 
 	mu             sync.Mutex
 	table          *admission.Table[*clientConn]
-	limits         clientLimits
+	limits         ClientLimits
 	waiting        []*waitingConn           // the longest waiting first; at most limits.Waiting and one
 	waitingChanged *sync.Cond               // waiting got shorter, or accepting, backlogOnly or limits changed
 	waitTimer      *time.Timer              // fires when a grace period or a wait ends
@@ -51,7 +51,7 @@
 	count          clientCounters
 }
 
-func newLimitedListener(inner net.Listener, limits clientLimits) *limitedListener {
+func newLimitedListener(inner net.Listener, limits ClientLimits) *limitedListener {
 	grace := admission.Grace{FirstByte: firstByteGrace, WholeRequest: wholeRequestGrace}
 	l := &limitedListener{
 		inner:       inner,
--- a/internal/sidecar/client_states.go
+++ b/internal/sidecar/client_states.go
@@ -52,7 +52,7 @@
 
 // setLimits applies other limits. Idle connections over the limits are closed now, the others when
 // they become idle.
-func (l *limitedListener) setLimits(limits clientLimits) {
+func (l *limitedListener) setLimits(limits ClientLimits) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.limits = limits
--- a/internal/sidecar/client_test.go
+++ b/internal/sidecar/client_test.go
@@ -196,11 +196,11 @@
 // The bound on client connections: idle ones make way, and a waiting one is served in the end.
 func TestClientConnectionsAreBounded(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
-	c := testConfig(t, options{sockets: leastSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
+	c := testConfig(t, options{sockets: MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
 	var closed int
 	var conns []net.Conn
-	for i := range 3 * leastSockets / 2 {
+	for i := range 3 * MinSockets / 2 {
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -223,14 +223,14 @@
 			closed++
 		}
 	}
-	if most, _ := c.Limits.splitSockets(); len(conns)-closed > most {
+	if most, _ := c.Limits.SplitSockets(); len(conns)-closed > most {
 		t.Errorf("%d connections are open, at most %d may be", len(conns)-closed, most)
 	}
 }
 
 // testLimits are client limits with room for so many connections.
-func testLimits(most int) clientLimits {
-	return clientLimits{Limits: admission.Limits{Total: most, PerAddress: most, HalfOpen: most, Idle: most}, Waiting: 2, Refusing: 2}
+func testLimits(most int) ClientLimits {
+	return ClientLimits{Limits: admission.Limits{Total: most, PerAddress: most, HalfOpen: most, Idle: most}, Waiting: 2, Refusing: 2}
 }
 
 // raw sends text over a connection of its own and reads until it is closed.
@@ -369,7 +369,7 @@
 
 func testGivesWay(t *testing.T, useless string) {
 	u := newUpstream(t, always(answer200("ok")))
-	c := testConfig(t, options{sockets: leastSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
+	c := testConfig(t, options{sockets: MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
 	kept, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -388,7 +388,7 @@
 		io.Copy(io.Discard, resp.Body)
 	}
 	ask("first")
-	for range 2 * leastSockets { // far over the bound
+	for range 2 * MinSockets { // far over the bound
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -410,9 +410,9 @@
 // some are closed, long before the sidecar's own bound, they can open no more.
 func TestIdleConnectionsAreFew(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
-	c := testConfig(t, options{sockets: leastSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
+	c := testConfig(t, options{sockets: MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
-	most, _ := c.Limits.splitSockets()
+	most, _ := c.Limits.SplitSockets()
 	start := time.Now()
 	var first *bufio.Reader
 	for i := range most*idleSocketTenths/10 + 1 {
--- a/internal/sidecar/compatibility_test.go
+++ b/internal/sidecar/compatibility_test.go
@@ -54,7 +54,7 @@
 
 func TestPolicyFolderIsWrittenAsBy396a775(t *testing.T) {
 	for name, acts := range storedActs() {
-		g := &policyFollower{config: &policyConfig{FilePolicy: FilePolicy{Folder: t.TempDir()}}}
+		g := &policyFollower{config: &FleetPolicy{FilePolicy: FilePolicy{Folder: t.TempDir()}}}
 		if err := g.save(acts); err != nil {
 			t.Fatal(err)
 		}
@@ -74,7 +74,7 @@
 		}
 		var enforced []*rollout.Document
 		g := &policyFollower{
-			config: &policyConfig{FilePolicy: FilePolicy{Folder: folder}}, tenants: []string{"acme", "zeta"},
+			config: &FleetPolicy{FilePolicy: FilePolicy{Folder: folder}}, tenants: []string{"acme", "zeta"},
 			follower: &rollout.Follower{}, startedAt: time.Now().Add(-2 * askFirst),
 			enforcer: func(_ context.Context, d *rollout.Document) error { enforced = append(enforced, d); return nil },
 		}
@@ -100,7 +100,7 @@
 var fieldOfStruct = regexp.MustCompile(`struct field \S+ of type`)
 
 func loadFile(path string) (*Config, error) {
-	return LoadConfig(func(name string) string {
+	return Load(func(name string) string {
 		if name == "ROUTER_CONFIG" {
 			return path
 		}
@@ -111,7 +111,7 @@
 func TestConfigurationFilesMeanWhatTheyMeantTo396a775(t *testing.T) {
 	for _, name := range []string{"short.toml", "full.toml", "takeover.toml", "platform.json"} {
 		path := filepath.Join("testdata", "396a775", "config", name)
-		if isPersons(path) {
+		if isTOML(path) {
 			form, err := platformForm([]byte(fixture(t, "config/"+name)), drawSeed)
 			if want := fixture(t, "config/"+name+".platform.json"); err != nil || string(form)+"\n" != want {
 				t.Errorf("the platform's form of %s is\n%s, error %v; want\n%s", name, form, err, want)
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -33,24 +33,24 @@
 	Discovery         string
 	DiscoveryReplicas []string // further addresses of the same discovery service
 	Seed              uint64
-	Known             *client.ListUpdate // the list of upstreams as last held; nil where there is none
+	KnownEndpoints    *client.ListUpdate // the list of upstreams as last held; nil where there is none
 	Limits            Limits
-	path              string // the file it came from
+	Path              string // the file it came from
 
-	Policy      policy.Config
-	Classes     []string
-	Tenants     []string // empty: there is one, and requests need not name it
-	Zones       []string
-	LoadFields  settings.LoadColumns // the names in a load report
-	DialTimeout time.Duration        // a connection not made by then never comes
-	ConnIdle    time.Duration        // upstreams close a connection that was idle this long
-	Connections connectionLimits     // how many connections, on both sides
-	Takeover    *takeoverConfig      // how a new process takes this one's place; nil: it does not
-	Govern      *policyConfig        // where the fleet's policy comes from; nil: there is none
-	Advice      *adviceConfig        // where its word on an overload comes from; nil: there is none
-	Membership  *membership.Config   // how it is a member of the fleet; nil: it is none
-	Log         FileLog              // how the program's log is written
-	Metrics     FileMetrics          // where metrics are served; nowhere unless it says so
+	Policy              policy.Config
+	Classes             []string
+	Tenants             []string // empty: there is one, and requests need not name it
+	Zones               []string
+	LoadReportColumns   settings.LoadColumns // the names in a load report
+	DialTimeout         time.Duration        // a connection not made by then never comes
+	UpstreamIdleTimeout time.Duration        // upstreams close a connection that was idle this long
+	Connections         ConnectionLimits     // how many connections, on both sides
+	Takeover            *Takeover            // how a new process takes this one's place; nil: it does not
+	FleetPolicy         *FleetPolicy         // where the fleet's policy comes from; nil: there is none
+	Overload            *Overload            // where its word on an overload comes from; nil: there is none
+	Membership          *membership.Config   // how it is a member of the fleet; nil: it is none
+	Log                 Log                  // how the program's log is written
+	Metrics             Metrics              // where metrics are served; nowhere unless it says so
 }
 
 // Limits are the platform's limits on this process.
@@ -61,19 +61,19 @@
 }
 
 const (
-	defaultSeatLease = 5 * time.Second
-	leastSeatLease   = time.Second
-	// defaultReady is as long as a platform waits for a sidecar at the start of a run.
-	defaultReady       = 30 * time.Second
-	defaultSockets     = 1024
-	leastSockets       = 64 // below, neither side could hold a handful of connections
-	defaultDialTimeout = 250 * time.Millisecond
-	defaultConnIdle    = 15 * time.Second
+	defaultRosterLease = 5 * time.Second
+	minRosterLease     = time.Second
+	// defaultReadyTimeout is as long as a platform waits for a sidecar at the start of a run.
+	defaultReadyTimeout = 30 * time.Second
+	defaultSockets      = 1024
+	MinSockets          = 64 // below, neither side could hold a handful of connections
+	defaultDialTimeout  = 250 * time.Millisecond
+	defaultUpstreamIdle = 15 * time.Second
 )
 
-// LoadConfig reads the configuration file that ROUTER_CONFIG names. ROUTER_NAME,
+// Load reads the configuration file that ROUTER_CONFIG names. ROUTER_NAME,
 // ROUTER_LISTEN and ROUTER_DISCOVERY go before what the file says of them.
-func LoadConfig(getenv func(string) string) (*Config, error) {
+func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
 		return nil, fmt.Errorf("ROUTER_CONFIG is not set: it names the configuration file")
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.path = path
+	c.Path = path
 	for name, field := range map[string]*string{
 		"ROUTER_NAME": &c.Name, "ROUTER_LISTEN": &c.Listen, "ROUTER_DISCOVERY": &c.Discovery,
 	} {
@@ -104,14 +104,14 @@
 		return nil, fmt.Errorf("read configuration: %w", err)
 	}
 	platform := text
-	if isPersons(path) {
+	if isTOML(path) {
 		if platform, err = platformForm(text, drawSeed); err != nil {
 			return nil, fmt.Errorf("configuration %s: %w", path, err)
 		}
 	}
-	c, err := parseConfig(platform, fixed)
+	c, err := Parse(platform, fixed)
 	if err != nil {
-		if isPersons(path) {
+		if isTOML(path) {
 			err = configfile.AtLine(text, err)
 		}
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
@@ -122,12 +122,12 @@
 // drawSeed is the seed of a sidecar that was given none.
 func drawSeed() string { return strconv.FormatUint(rand.Uint64(), 16) }
 
-// reload reads the file again and takes over what may change under way: where
+// Reload reads the file again and takes over what may change under way: where
 // discovery is and the limits on connections. The platform's limits are those of
 // the start. The environment is that of the start too, so here the file alone
 // counts. If the file is of no use, c stays as it is.
-func (c *Config) reload() error {
-	fresh, err := readConfig(c.path, &c.Limits)
+func (c *Config) Reload() error {
+	fresh, err := readConfig(c.Path, &c.Limits)
 	if err != nil {
 		return err
 	}
@@ -138,14 +138,14 @@
 	return nil
 }
 
-// maxReplicas is more than a group of replicas has.
-const maxReplicas = 16
+// maxDiscoveryReplicas is more than a group of replicas has.
+const maxDiscoveryReplicas = 16
 
 func (c *Config) checkDiscovery() error {
-	if len(c.DiscoveryReplicas) > maxReplicas {
-		return fmt.Errorf("discovery_replicas: %d addresses, %d at most", len(c.DiscoveryReplicas), maxReplicas)
+	if len(c.DiscoveryReplicas) > maxDiscoveryReplicas {
+		return fmt.Errorf("discovery_replicas: %d addresses, %d at most", len(c.DiscoveryReplicas), maxDiscoveryReplicas)
 	}
-	for _, addr := range c.discoveryAddrs() {
+	for _, addr := range c.DiscoveryAddrs() {
 		if _, err := netip.ParseAddrPort(addr); err != nil {
 			return fmt.Errorf("discovery address: %w", err)
 		}
@@ -153,8 +153,8 @@
 	return nil
 }
 
-// discoveryAddrs are all addresses of discovery, each once.
-func (c *Config) discoveryAddrs() []string {
+// DiscoveryAddrs are all addresses of discovery, each once.
+func (c *Config) DiscoveryAddrs() []string {
 	addrs := []string{c.Discovery}
 	for _, addr := range c.DiscoveryReplicas {
 		if !slices.Contains(addrs, addr) {
@@ -164,7 +164,7 @@
 	return addrs
 }
 
-func parseConfig(text []byte, fixed *Limits) (*Config, error) {
+func Parse(text []byte, fixed *Limits) (*Config, error) {
 	var f struct {
 		Name      string          `json:"name"`
 		Listen    string          `json:"listen"`
@@ -180,8 +180,8 @@
 		Policy      json.RawMessage `json:"policy"`
 		Overload    json.RawMessage `json:"overload"`
 		Membership  json.RawMessage `json:"membership"`
-		Log         FileLog         `json:"log"`
-		Metrics     FileMetrics     `json:"metrics"`
+		Log         Log             `json:"log"`
+		Metrics     Metrics         `json:"metrics"`
 	}
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, err
@@ -198,15 +198,15 @@
 		return nil, err
 	}
 	c := &Config{
-		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, DiscoveryReplicas: f.Replicas, Limits: f.Limits, Known: parseKnown(f.Known),
+		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, DiscoveryReplicas: f.Replicas, Limits: f.Limits, KnownEndpoints: parseKnown(f.Known),
 		Log: f.Log, Metrics: f.Metrics,
-		Policy:      p,
-		Classes:     s.Names("classes"),
-		Tenants:     s.Names("orgs"),
-		Zones:       s.Values("zones"),
-		LoadFields:  s.LoadColumns(),
-		DialTimeout: s.Duration("caps.dial_timeout_ms", defaultDialTimeout),
-		ConnIdle:    s.Duration("caps.conn_idle_ms", defaultConnIdle),
+		Policy:              p,
+		Classes:             s.Names("classes"),
+		Tenants:             s.Names("orgs"),
+		Zones:               s.Values("zones"),
+		LoadReportColumns:   s.LoadColumns(),
+		DialTimeout:         s.Duration("caps.dial_timeout_ms", defaultDialTimeout),
+		UpstreamIdleTimeout: s.Duration("caps.conn_idle_ms", defaultUpstreamIdle),
 	}
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %w", err)
@@ -225,18 +225,18 @@
 	if c.Limits.Sockets == 0 {
 		c.Limits.Sockets = defaultSockets
 	}
-	if c.Limits.Sockets < leastSockets {
-		return nil, fmt.Errorf("limits.sockets is %d, at least %d are needed", c.Limits.Sockets, leastSockets)
+	if c.Limits.Sockets < MinSockets {
+		return nil, fmt.Errorf("limits.sockets is %d, at least %d are needed", c.Limits.Sockets, MinSockets)
 	}
 	if len(f.Takeover) > 0 {
-		c.Takeover = new(takeoverConfig)
-		if err := part("takeover", f.Takeover, c.Takeover, c.Takeover.check); err != nil {
+		c.Takeover = new(Takeover)
+		if err := decodePart("takeover", f.Takeover, c.Takeover, c.Takeover.check); err != nil {
 			return nil, err
 		}
 	}
 	if len(f.Policy) > 0 {
-		c.Govern = new(policyConfig)
-		if err := part("policy", f.Policy, &c.Govern.FilePolicy, c.Govern.check); err != nil {
+		c.FleetPolicy = new(FleetPolicy)
+		if err := decodePart("policy", f.Policy, &c.FleetPolicy.FilePolicy, c.FleetPolicy.check); err != nil {
 			return nil, err
 		}
 		if c.Takeover != nil {
@@ -244,14 +244,14 @@
 		}
 	}
 	if len(f.Overload) > 0 {
-		c.Advice = new(adviceConfig)
-		if err := part("overload", f.Overload, &c.Advice.FileOverload, c.Advice.check); err != nil {
+		c.Overload = new(Overload)
+		if err := decodePart("overload", f.Overload, &c.Overload.FileOverload, c.Overload.check); err != nil {
 			return nil, err
 		}
 	}
 	if len(f.Membership) > 0 {
 		c.Membership = new(membership.Config)
-		if err := part("membership", f.Membership, c.Membership, c.Membership.Check); err != nil {
+		if err := decodePart("membership", f.Membership, c.Membership, c.Membership.Check); err != nil {
 			return nil, err
 		}
 	}
@@ -265,8 +265,8 @@
 	return c, nil
 }
 
-// part reads a table that may be left out, strictly.
-func part(name string, text json.RawMessage, into any, check func() error) error {
+// decodePart reads a table that may be left out, strictly.
+func decodePart(name string, text json.RawMessage, into any, check func() error) error {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
@@ -289,13 +289,13 @@
 	return known
 }
 
-// takeoverConfig is the configuration's optional object 'takeover'.
-type takeoverConfig struct {
+// Takeover is the configuration's optional object 'takeover'.
+type Takeover struct {
 	Socket  string `json:"socket"`   // the path of the Unix socket; its folder is the operator's to guard
 	ReadyMS int64  `json:"ready_ms"` // how long a new process may take to be ready
 }
 
-func (t *takeoverConfig) check() error {
+func (t *Takeover) check() error {
 	switch {
 	case !filepath.IsAbs(t.Socket):
 		return fmt.Errorf("takeover.socket is %q, an absolute path is needed", t.Socket)
@@ -307,43 +307,43 @@
 	return nil
 }
 
-func (t *takeoverConfig) readyIn() time.Duration {
+func (t *Takeover) ReadyTimeout() time.Duration {
 	if t.ReadyMS == 0 {
-		return defaultReady
+		return defaultReadyTimeout
 	}
 	return time.Duration(t.ReadyMS) * time.Millisecond
 }
 
-// handoverConfig is what the hand-over needs of the configuration.
-func (c *Config) handoverConfig() handover.Config {
-	return handover.Config{Name: c.Name, Listen: c.Listen, Socket: c.Takeover.Socket, ReadyTimeout: c.Takeover.readyIn()}
+// Handover is what the hand-over needs of the configuration.
+func (c *Config) Handover() handover.Config {
+	return handover.Config{Name: c.Name, Listen: c.Listen, Socket: c.Takeover.Socket, ReadyTimeout: c.Takeover.ReadyTimeout()}
 }
 
-// policyConfig names the registry that the fleet's policy comes from.
-type policyConfig struct {
+// FleetPolicy names the registry that the fleet's policy comes from.
+type FleetPolicy struct {
 	FilePolicy
-	routes addressmap.Table
+	AddressMap addressmap.Table
 }
 
-func (c *policyConfig) check() error {
-	if err := replicas("policy", c.Registry); err != nil {
+func (c *FleetPolicy) check() error {
+	if err := checkReplicas("policy", c.Registry); err != nil {
 		return err
 	}
 	if c.LeaseMS == 0 {
-		c.LeaseMS = defaultSeatLease.Milliseconds()
+		c.LeaseMS = defaultRosterLease.Milliseconds()
 	}
-	if c.LeaseMS < leastSeatLease.Milliseconds() {
-		return fmt.Errorf("policy.lease_ms is %d, at least %d is needed", c.LeaseMS, leastSeatLease.Milliseconds())
+	if c.LeaseMS < minRosterLease.Milliseconds() {
+		return fmt.Errorf("policy.lease_ms is %d, at least %d is needed", c.LeaseMS, minRosterLease.Milliseconds())
 	}
 	var err error
-	if c.routes, err = routes("policy", c.Routes); err != nil {
+	if c.AddressMap, err = parseRoutes("policy", c.Routes); err != nil {
 		return err
 	}
 	return nil
 }
 
-// replicas checks the addresses of the registry that a table names.
-func replicas(table string, addrs []string) error {
+// checkReplicas checks the addresses of the registry that a table names.
+func checkReplicas(table string, addrs []string) error {
 	if len(addrs) == 0 {
 		return fmt.Errorf("%s.registry is missing: the addresses of its replicas", table)
 	}
@@ -355,8 +355,8 @@
 	return nil
 }
 
-// routes reads the addresses that a table has called instead of others.
-func routes(table string, pairs []string) (addressmap.Table, error) {
+// parseRoutes reads the addresses that a table has called instead of others.
+func parseRoutes(table string, pairs []string) (addressmap.Table, error) {
 	t := make(addressmap.Table, len(pairs))
 	for _, r := range pairs {
 		from, to, _ := strings.Cut(r, "=")
@@ -368,22 +368,22 @@
 	return t, nil
 }
 
-// adviceConfig names where the fleet's word on an overload comes from.
-type adviceConfig struct {
+// Overload names where the fleet's word on an overload comes from.
+type Overload struct {
 	FileOverload
-	routes addressmap.Table
+	AddressMap addressmap.Table
 }
 
-func (c *adviceConfig) check() (err error) {
+func (c *Overload) check() (err error) {
 	if c.Fleet == "" {
 		return errors.New("overload.fleet is missing: the fleet's name, as the keepers have it")
 	}
 	if err := registry.CheckName("overload.fleet", c.Fleet); err != nil {
 		return err
 	}
-	if err := replicas("overload", c.Registry); err != nil {
+	if err := checkReplicas("overload", c.Registry); err != nil {
 		return err
 	}
-	c.routes, err = routes("overload", c.Routes)
+	c.AddressMap, err = parseRoutes("overload", c.Routes)
 	return err
 }
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -138,9 +138,9 @@
 	u := newUpstream(t, func(received) (string, bool) { <-release; return answer200("ok"), false })
 	old, fresh := registrytest.NewServer(t), registrytest.NewServer(t)
 	c := testConfig(t, options{}, old.Addr, registrytest.EndpointJSON("s-1", u.addr, "up", 0))
-	c.path = filepath.Join(t.TempDir(), "config.json")
+	c.Path = filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"discovery":%q,"seed":"1","settings":%s}`, fresh.Addr, fmt.Sprintf(testSettings, false, 500, "push"))
-	if err := os.WriteFile(c.path, []byte(valid(t, text)), 0o600); err != nil {
+	if err := os.WriteFile(c.Path, []byte(valid(t, text)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	reload := make(chan os.Signal)
--- a/internal/sidecar/explain.go
+++ b/internal/sidecar/explain.go
@@ -26,10 +26,10 @@
 	p := c.Policy
 	line("name", "name, ROUTER_NAME", "%s", c.Name)
 	line("listens on", "listen, ROUTER_LISTEN", "%s", c.Listen)
-	line("discovery", "discovery, ROUTER_DISCOVERY, discovery_replicas", "%v", c.discoveryAddrs())
+	line("discovery", "discovery, ROUTER_DISCOVERY, discovery_replicas", "%v", c.DiscoveryAddrs())
 	known := 0
-	if c.Known != nil {
-		known = len(c.Known.Endpoints)
+	if c.KnownEndpoints != nil {
+		known = len(c.KnownEndpoints.Endpoints)
 	}
 	line("booking servers known at the start", "known", "%d", known)
 	line("cores, memory, sockets", "limits", "%g, %d MB, %d", c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets)
@@ -55,7 +55,7 @@
 	line("a cold server", "settings.rules.cold_*, fall_multiple", "begins at %g of its capacity, is warm after %v, falls over at %g times what it can do",
 		p.SlowStartFloor, p.SlowStartWindow, p.OverloadFactor)
 	line("connecting is given up after", "settings.caps.dial_timeout_ms", "%v", c.DialTimeout)
-	line("servers close idle connections after", "settings.caps.conn_idle_ms", "%v", c.ConnIdle)
+	line("servers close idle connections after", "settings.caps.conn_idle_ms", "%v", c.UpstreamIdleTimeout)
 	k, s := c.Connections.Clients, c.Connections.Servers
 	line("client connections", "connections.clients, limits.sockets", "%d; %d of one address, %d without a whole header, %d idle, %d waiting",
 		k.Total, k.PerAddress, k.HalfOpen, k.Idle, k.Waiting)
--- a/internal/sidecar/file.go
+++ b/internal/sidecar/file.go
@@ -26,9 +26,9 @@
 	Policy            *FilePolicy        `toml:"policy" json:"policy,omitempty"`
 	Overload          *FileOverload      `toml:"overload" json:"overload,omitempty"`
 	Membership        *membership.Config `toml:"membership" json:"membership,omitempty"`
-	Log               FileLog            `toml:"log" json:"log"`
-	Metrics           FileMetrics        `toml:"metrics" json:"metrics"`
-	Settings          FileSite           `toml:"settings" json:"settings"`
+	Log               Log                `toml:"log" json:"log"`
+	Metrics           Metrics            `toml:"metrics" json:"metrics"`
+	Settings          FileSettings       `toml:"settings" json:"settings"`
 }
 
 // FileLimits are what the process may use.
@@ -83,97 +83,97 @@
 	Routes   []string `toml:"routes" json:"routes,omitempty" unit:"address:port=address:port" default:"none" doc:"addresses to call instead of others"`
 }
 
-// FileLog says how the program's own log is written.
-type FileLog struct {
+// Log says how the program's own log is written.
+type Log struct {
 	Level  string `toml:"level" json:"level,omitempty" default:"info" doc:"least level: debug (a line for each attempt and answer), info, warn, error"`
 	Format string `toml:"format" json:"format,omitempty" default:"text" doc:"text or json"`
 }
 
-// FileMetrics says where metrics are served.
-type FileMetrics struct {
+// Metrics says where metrics are served.
+type Metrics struct {
 	Listen string `toml:"listen" json:"listen,omitempty" unit:"address:port" default:"no metrics" doc:"a loopback address of their own for Prometheus, path /metrics"`
 }
 
-// FileSite are the settings of the site, the same at all its sidecars.
-type FileSite struct {
-	Balancers int        `toml:"balancers" json:"balancers" default:"1" doc:"sidecars that send to the same servers; budgets are divided among them"`
-	Zone      int        `toml:"zone" json:"zone" default:"0" doc:"this sidecar's zone, an index into zones"`
-	Zones     []string   `toml:"zones" json:"zones,omitempty" default:"none" doc:"names, as the list has them"`
-	Discovery string     `toml:"discovery" json:"discovery,omitempty" default:"push" doc:"push: the list comes by itself; ask: the sidecar decides when to call"`
-	Classes   []FileKind `toml:"classes" json:"classes"`
-	Orgs      []FileOrg  `toml:"orgs" json:"orgs,omitempty"`
-	Caps      FileCaps   `toml:"caps" json:"caps"`
-	Rules     FileRules  `toml:"rules" json:"rules"`
-	Telemetry FileLoad   `toml:"telemetry" json:"telemetry"`
-	Charges   FileCost   `toml:"charges" json:"charges"`
-	Family    FileKeys   `toml:"family_info" json:"family_info"`
-	Habits    FileHabit  `toml:"client_habits" json:"client_habits"`
-}
-
-// FileKind is a class of requests.
-type FileKind struct {
-	Name       string  `toml:"name" json:"name" doc:"as requests name it"`
-	AimMS      float64 `toml:"aim_ms" json:"aim_ms" unit:"ms" doc:"answers within it have their full worth"`
-	AimStretch float64 `toml:"aim_stretch" json:"aim_stretch,omitempty" default:"0" doc:"the aim grows by this multiple of a request's expected work"`
-	HardMS     float64 `toml:"hard_limit_ms" json:"hard_limit_ms" unit:"ms" doc:"a client's whole wait over its tries; not under aim_ms"`
-	LateShare  float64 `toml:"late_share" json:"late_share" default:"0" doc:"part of the worth that an answer after the aim has"`
-	Worth      float64 `toml:"worth" json:"worth" default:"0" doc:"against the other classes'"`
-	Semantics  string  `toml:"semantics" json:"semantics" default:"single_shot" doc:"free: may be repeated; guarded: repeats are dropped by a group of servers for a while; single_shot: must never run twice"`
-	Scope      string  `toml:"dedup_scope" json:"dedup_scope,omitempty" default:"cell" doc:"guarded: the group: all, zone or cell"`
-	WindowMS   float64 `toml:"window_ms" json:"window_ms,omitempty" unit:"ms" default:"0" doc:"guarded: how long, from the first send on"`
-}
-
-// FileOrg is a tenant.
-type FileOrg struct {
+// FileSettings are the settings of the site, the same at all its sidecars.
+type FileSettings struct {
+	Balancers    int              `toml:"balancers" json:"balancers" default:"1" doc:"sidecars that send to the same servers; budgets are divided among them"`
+	Zone         int              `toml:"zone" json:"zone" default:"0" doc:"this sidecar's zone, an index into zones"`
+	Zones        []string         `toml:"zones" json:"zones,omitempty" default:"none" doc:"names, as the list has them"`
+	Discovery    string           `toml:"discovery" json:"discovery,omitempty" default:"push" doc:"push: the list comes by itself; ask: the sidecar decides when to call"`
+	Classes      []FileClass      `toml:"classes" json:"classes"`
+	Tenants      []FileTenant     `toml:"orgs" json:"orgs,omitempty"`
+	Capabilities FileCapabilities `toml:"caps" json:"caps"`
+	Rules        FileRules        `toml:"rules" json:"rules"`
+	Telemetry    FileTelemetry    `toml:"telemetry" json:"telemetry"`
+	Charges      FileCharges      `toml:"charges" json:"charges"`
+	Family       FileFamily       `toml:"family_info" json:"family_info"`
+	ClientHabits FileClientHabits `toml:"client_habits" json:"client_habits"`
+}
+
+// FileClass is a class of requests.
+type FileClass struct {
+	Name                string  `toml:"name" json:"name" doc:"as requests name it"`
+	LatencyObjectiveMS  float64 `toml:"aim_ms" json:"aim_ms" unit:"ms" doc:"answers within it have their full worth"`
+	ObjectiveWorkFactor float64 `toml:"aim_stretch" json:"aim_stretch,omitempty" default:"0" doc:"the aim grows by this multiple of a request's expected work"`
+	DeadlineMS          float64 `toml:"hard_limit_ms" json:"hard_limit_ms" unit:"ms" doc:"a client's whole wait over its tries; not under aim_ms"`
+	LateShare           float64 `toml:"late_share" json:"late_share" default:"0" doc:"part of the worth that an answer after the aim has"`
+	PriorityWeight      float64 `toml:"worth" json:"worth" default:"0" doc:"against the other classes'"`
+	Semantics           string  `toml:"semantics" json:"semantics" default:"single_shot" doc:"free: may be repeated; guarded: repeats are dropped by a group of servers for a while; single_shot: must never run twice"`
+	DedupScope          string  `toml:"dedup_scope" json:"dedup_scope,omitempty" default:"cell" doc:"guarded: the group: all, zone or cell"`
+	DedupWindowMS       float64 `toml:"window_ms" json:"window_ms,omitempty" unit:"ms" default:"0" doc:"guarded: how long, from the first send on"`
+}
+
+// FileTenant is a tenant.
+type FileTenant struct {
 	Name  string  `toml:"name" json:"name" doc:"as requests name it; with none named there is one tenant"`
 	Share float64 `toml:"share" json:"share" doc:"of the slots, set against the others'"`
 	Quota float64 `toml:"quota_per_s" json:"quota_per_s" unit:"requests a second" default:"0: unknown" doc:"within its share, over all sidecars; slots follow from it"`
 }
 
-// FileCaps are what the sidecar may do.
-type FileCaps struct {
-	MostTries  int     `toml:"most_tries" json:"most_tries" default:"1" doc:"attempts for a request"`
-	MayCancel  bool    `toml:"may_cancel" json:"may_cancel" default:"false" doc:"attempts may be called off"`
-	Probes     bool    `toml:"probes" json:"probes" default:"false" doc:"servers may be probed"`
-	MaxPauseMS float64 `toml:"max_retry_after_ms" json:"max_retry_after_ms" unit:"ms" default:"0" doc:"the longest Retry-After that clients heed"`
-	DialMS     float64 `toml:"dial_timeout_ms" json:"dial_timeout_ms,omitempty" unit:"ms" default:"250" doc:"a connection that is not made by then never comes"`
-	ConnIdleMS float64 `toml:"conn_idle_ms" json:"conn_idle_ms,omitempty" unit:"ms" default:"15000" doc:"servers close a connection that was idle so long"`
+// FileCapabilities are what the sidecar may do.
+type FileCapabilities struct {
+	MaxAttempts     int     `toml:"most_tries" json:"most_tries" default:"1" doc:"attempts for a request"`
+	MayCancel       bool    `toml:"may_cancel" json:"may_cancel" default:"false" doc:"attempts may be called off"`
+	Probes          bool    `toml:"probes" json:"probes" default:"false" doc:"servers may be probed"`
+	MaxRetryAfterMS float64 `toml:"max_retry_after_ms" json:"max_retry_after_ms" unit:"ms" default:"0" doc:"the longest Retry-After that clients heed"`
+	DialTimeoutMS   float64 `toml:"dial_timeout_ms" json:"dial_timeout_ms,omitempty" unit:"ms" default:"250" doc:"a connection that is not made by then never comes"`
+	UpstreamIdleMS  float64 `toml:"conn_idle_ms" json:"conn_idle_ms,omitempty" unit:"ms" default:"15000" doc:"servers close a connection that was idle so long"`
 }
 
 // FileRules are the figures of the rules.
 type FileRules struct {
-	AskWithinMS float64 `toml:"ask_within_ms" json:"ask_within_ms,omitempty" unit:"ms" default:"not known" doc:"without asking so long, a change of the list counts as told"`
-	StopMS      float64 `toml:"stop_sending_within_ms" json:"stop_sending_within_ms,omitempty" unit:"ms" default:"not known" doc:"sends to a server that drains or has gone have to stop in this time after the list says so"`
-	ColdFrom    float64 `toml:"cold_from" json:"cold_from" default:"0" doc:"the part of its capacity that a server begins with at least"`
-	ColdMS      float64 `toml:"cold_ms" json:"cold_ms" unit:"ms" default:"0" doc:"it has all of it after this"`
-	Multiple    float64 `toml:"fall_multiple" json:"fall_multiple" default:"0" doc:"sent more than this multiple of what it can do, a cold server falls over"`
+	PollDeadlineMS float64 `toml:"ask_within_ms" json:"ask_within_ms,omitempty" unit:"ms" default:"not known" doc:"without asking so long, a change of the list counts as told"`
+	DrainGraceMS   float64 `toml:"stop_sending_within_ms" json:"stop_sending_within_ms,omitempty" unit:"ms" default:"not known" doc:"sends to a server that drains or has gone have to stop in this time after the list says so"`
+	SlowStartFloor float64 `toml:"cold_from" json:"cold_from" default:"0" doc:"the part of its capacity that a server begins with at least"`
+	SlowStartMS    float64 `toml:"cold_ms" json:"cold_ms" unit:"ms" default:"0" doc:"it has all of it after this"`
+	OverloadFactor float64 `toml:"fall_multiple" json:"fall_multiple" default:"0" doc:"sent more than this multiple of what it can do, a cold server falls over"`
 }
 
-// FileLoad says whether and how servers report their load.
-type FileLoad struct {
+// FileTelemetry says whether and how servers report their load.
+type FileTelemetry struct {
 	How     string   `toml:"how" json:"how,omitempty" default:"pull" doc:"silent: no reports; pull: with probes; piggyback: with answers too"`
 	Columns []string `toml:"columns" json:"columns,omitempty" default:"none" doc:"the names in a report: busy_reqs, pending, cpu_share, served_ps"`
 }
 
-// FileCost are prices.
-type FileCost struct {
+// FileCharges are prices.
+type FileCharges struct {
 	CrossZone float64 `toml:"cross_zone" json:"cross_zone" default:"0" doc:"of an attempt that leaves its zone, against a worth of 1; 0: zones don't matter"`
 }
 
-// FileKeys is what is known of the servers' keys.
-type FileKeys struct {
-	WarmKeys bool `toml:"warm_keys" json:"warm_keys" default:"false" doc:"a server that met a key lately needs less work for it"`
+// FileFamily is what is known of the servers' keys.
+type FileFamily struct {
+	KeyAffinity bool `toml:"warm_keys" json:"warm_keys" default:"false" doc:"a server that met a key lately needs less work for it"`
 }
 
-// FileHabit is what is known of the clients.
-type FileHabit struct {
-	MarksRetry bool `toml:"marks_retry" json:"marks_retry" default:"false" doc:"clients mark their own further tries"`
+// FileClientHabits is what is known of the clients.
+type FileClientHabits struct {
+	MarksRetries bool `toml:"marks_retry" json:"marks_retry" default:"false" doc:"clients mark their own further tries"`
 }
 
 // platformForm turns a person's file into the platform's JSON. seed is for files
 // that name none.
 func platformForm(text []byte, seed func() string) ([]byte, error) {
-	f := File{Settings: FileSite{Balancers: 1, Caps: FileCaps{MostTries: 1}}}
+	f := File{Settings: FileSettings{Balancers: 1, Capabilities: FileCapabilities{MaxAttempts: 1}}}
 	if err := configfile.TOML(text, &f); err != nil {
 		return nil, err
 	}
@@ -186,8 +186,8 @@
 	return json.Marshal(f)
 }
 
-// isPersons says whether a file is in a person's form.
-func isPersons(path string) bool { return filepath.Ext(path) == ".toml" }
+// isTOML says whether a file is in a person's form.
+func isTOML(path string) bool { return filepath.Ext(path) == ".toml" }
 
 // check returns an error that begins with the first field that cannot be.
 func (f *File) check() error {
@@ -203,23 +203,23 @@
 		switch {
 		case c.Name == "":
 			return errors.New(at + "name is missing")
-		case !(c.AimMS > 0):
-			return fmt.Errorf("%saim_ms is %g, it must be above 0", at, c.AimMS)
-		case !(c.HardMS >= c.AimMS):
-			return fmt.Errorf("%shard_limit_ms is %g, under the %g of aim_ms", at, c.HardMS, c.AimMS)
+		case !(c.LatencyObjectiveMS > 0):
+			return fmt.Errorf("%saim_ms is %g, it must be above 0", at, c.LatencyObjectiveMS)
+		case !(c.DeadlineMS >= c.LatencyObjectiveMS):
+			return fmt.Errorf("%shard_limit_ms is %g, under the %g of aim_ms", at, c.DeadlineMS, c.LatencyObjectiveMS)
 		case !(c.LateShare >= 0 && c.LateShare <= 1):
 			return fmt.Errorf("%slate_share is %g, a part between 0 and 1 is needed", at, c.LateShare)
 		case !slices.Contains([]string{"free", "guarded", "single_shot", ""}, c.Semantics):
 			return fmt.Errorf("%ssemantics is %q; there are free, guarded and single_shot", at, c.Semantics)
-		case !slices.Contains([]string{"all", "zone", "cell", ""}, c.Scope):
-			return fmt.Errorf("%sdedup_scope is %q; there are all, zone and cell", at, c.Scope)
-		case c.Semantics == "guarded" && !(c.WindowMS > 0):
-			return fmt.Errorf("%swindow_ms is %g, a guarded class needs one above 0", at, c.WindowMS)
-		case c.Semantics != "guarded" && (c.Scope != "" || c.WindowMS != 0):
+		case !slices.Contains([]string{"all", "zone", "cell", ""}, c.DedupScope):
+			return fmt.Errorf("%sdedup_scope is %q; there are all, zone and cell", at, c.DedupScope)
+		case c.Semantics == "guarded" && !(c.DedupWindowMS > 0):
+			return fmt.Errorf("%swindow_ms is %g, a guarded class needs one above 0", at, c.DedupWindowMS)
+		case c.Semantics != "guarded" && (c.DedupScope != "" || c.DedupWindowMS != 0):
 			return fmt.Errorf("%ssemantics is %q, and dedup_scope and window_ms are for guarded alone", at, c.Semantics)
 		}
 	}
-	for i, o := range s.Orgs {
+	for i, o := range s.Tenants {
 		if o.Name == "" || !(o.Share > 0) || !(o.Quota >= 0) {
 			return fmt.Errorf("settings.orgs[%d].name, share and quota_per_s: a name, a share above 0 and a quota of 0 or more are needed", i)
 		}
@@ -231,10 +231,10 @@
 		return fmt.Errorf("settings.zone is %d, zones has %d", s.Zone, len(s.Zones))
 	case !slices.Contains([]string{"push", "ask", ""}, s.Discovery):
 		return fmt.Errorf("settings.discovery is %q; there are push and ask", s.Discovery)
-	case s.Caps.MostTries < 1:
-		return fmt.Errorf("settings.caps.most_tries is %d, at least 1 is needed", s.Caps.MostTries)
-	case !(s.Rules.ColdFrom >= 0 && s.Rules.ColdFrom <= 1):
-		return fmt.Errorf("settings.rules.cold_from is %g, a part between 0 and 1 is needed", s.Rules.ColdFrom)
+	case s.Capabilities.MaxAttempts < 1:
+		return fmt.Errorf("settings.caps.most_tries is %d, at least 1 is needed", s.Capabilities.MaxAttempts)
+	case !(s.Rules.SlowStartFloor >= 0 && s.Rules.SlowStartFloor <= 1):
+		return fmt.Errorf("settings.rules.cold_from is %g, a part between 0 and 1 is needed", s.Rules.SlowStartFloor)
 	case !slices.Contains([]string{"silent", "pull", "piggyback", ""}, s.Telemetry.How):
 		return fmt.Errorf("settings.telemetry.how is %q; there are silent, pull and piggyback", s.Telemetry.How)
 	}
@@ -242,8 +242,8 @@
 		name  string
 		value float64
 	}{
-		{"settings.caps.max_retry_after_ms", s.Caps.MaxPauseMS}, {"settings.caps.dial_timeout_ms", s.Caps.DialMS}, {"settings.caps.conn_idle_ms", s.Caps.ConnIdleMS},
-		{"settings.rules.ask_within_ms", s.Rules.AskWithinMS}, {"settings.rules.stop_sending_within_ms", s.Rules.StopMS}, {"settings.rules.cold_ms", s.Rules.ColdMS}, {"settings.rules.fall_multiple", s.Rules.Multiple},
+		{"settings.caps.max_retry_after_ms", s.Capabilities.MaxRetryAfterMS}, {"settings.caps.dial_timeout_ms", s.Capabilities.DialTimeoutMS}, {"settings.caps.conn_idle_ms", s.Capabilities.UpstreamIdleMS},
+		{"settings.rules.ask_within_ms", s.Rules.PollDeadlineMS}, {"settings.rules.stop_sending_within_ms", s.Rules.DrainGraceMS}, {"settings.rules.cold_ms", s.Rules.SlowStartMS}, {"settings.rules.fall_multiple", s.Rules.OverloadFactor},
 		{"settings.charges.cross_zone", s.Charges.CrossZone}, {"limits.cores", f.Limits.Cores}, {"limits.memory_mb", float64(f.Limits.MemoryMB)},
 	} {
 		if !(v.value >= 0) {
--- a/internal/sidecar/file_test.go
+++ b/internal/sidecar/file_test.go
@@ -189,7 +189,7 @@
 			}
 			return
 		}
-		if _, err := parseConfig(platform, nil); err != nil && strings.Contains(err.Error(), "unmarshal") {
+		if _, err := Parse(platform, nil); err != nil && strings.Contains(err.Error(), "unmarshal") {
 			t.Errorf("the platform's form cannot be read: %v", err)
 		}
 	})
@@ -207,11 +207,11 @@
 		`{"socket":"/run/x.sock","redy_ms":1}`:                                "unknown field",
 	} {
 		config := `{"seed":"1","takeover":` + text + `,"settings":{"balancers":1,"caps":{"most_tries":3},"classes":[{"name":"a","aim_ms":1,"hard_limit_ms":2}]}}`
-		c, err := parseConfig([]byte(config), nil)
+		c, err := Parse([]byte(config), nil)
 		if (err == nil) != (want == "") || (err != nil && !strings.Contains(err.Error(), want)) {
 			t.Errorf("%s: error %v, want %q", text, err, want)
 		}
-		if err == nil && (c.Takeover == nil || c.Takeover.readyIn() <= 0) {
+		if err == nil && (c.Takeover == nil || c.Takeover.ReadyTimeout() <= 0) {
 			t.Errorf("%s: %+v", text, c.Takeover)
 		}
 	}
--- a/internal/sidecar/governor.go
+++ b/internal/sidecar/governor.go
@@ -39,7 +39,7 @@
 // force what is to be acted by, and says so. What the sidecar's own file says stays the
 // most that it may: the stricter of both counts.
 type policyFollower struct {
-	config    *policyConfig
+	config    *FleetPolicy
 	tenants   []string
 	client    *client.Client
 	leases    *lease.Manager
@@ -61,18 +61,18 @@
 }
 
 func newGovernor(c *Config, enforce func(ctx context.Context, d *rollout.Document) error) (*policyFollower, error) {
-	r, err := client.New(c.Govern.Registry, c.Seed)
+	r, err := client.New(c.FleetPolicy.Registry, c.Seed)
 	if err != nil {
 		return nil, err
 	}
-	g := &policyFollower{config: c.Govern, tenants: c.Tenants, client: r.WithAddressMap(c.Govern.routes), enforcer: enforce, startedAt: time.Now()}
+	g := &policyFollower{config: c.FleetPolicy, tenants: c.Tenants, client: r.WithAddressMap(c.FleetPolicy.AddressMap), enforcer: enforce, startedAt: time.Now()}
 	me := rollout.Member{Name: c.Name, Incarnation: uint64(g.startedAt.UnixMicro())}
 	g.follower = &rollout.Follower{Self: me, Supports: g.checkSupported}
-	if c.Govern.Machine != "" {
-		g.follower.Process = rollout.Process{Machine: c.Govern.Machine, PID: os.Getpid(), StartTicks: rollout.ProcessStartTicks(os.Getpid())}
+	if c.FleetPolicy.Machine != "" {
+		g.follower.Process = rollout.Process{Machine: c.FleetPolicy.Machine, PID: os.Getpid(), StartTicks: rollout.ProcessStartTicks(os.Getpid())}
 	}
 	g.leases = lease.NewManager(lease.Options{
-		Registry: r, TTL: time.Duration(c.Govern.LeaseMS) * time.Millisecond, Holder: registry.Holder{Name: me.Name, Incarnation: me.Incarnation},
+		Registry: r, TTL: time.Duration(c.FleetPolicy.LeaseMS) * time.Millisecond, Holder: registry.Holder{Name: me.Name, Incarnation: me.Incarnation},
 	})
 	return g, nil
 }
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -40,30 +40,30 @@
 	maxHandshakesPerServer = 4
 )
 
-// clientLimits bound the connections to clients. All of them together are
+// ClientLimits bound the connections to clients. All of them together are
 // sockets: places, those that wait, one in hand and those being told.
-type clientLimits struct {
+type ClientLimits struct {
 	admission.Limits
 	Waiting  int // may wait for a place
 	Refusing int // may be in the middle of being refused
 }
 
-// poolLimits bound the connections to upstreams.
-type poolLimits struct {
+// UpstreamLimits bound the connections to upstreams.
+type UpstreamLimits struct {
 	Total               int // of all upstreams
 	PerServer           int
 	Handshakes          int // under way at once, to all of them
 	HandshakesPerServer int
 }
 
-// connectionLimits are the limits of both sides.
-type connectionLimits struct {
-	Clients clientLimits
-	Servers poolLimits
+// ConnectionLimits are the limits of both sides.
+type ConnectionLimits struct {
+	Clients ClientLimits
+	Servers UpstreamLimits
 }
 
-// splitSockets divides the sockets between the two sides.
-func (l Limits) splitSockets() (clients, upstreams int) {
+// SplitSockets divides the sockets between the two sides.
+func (l Limits) SplitSockets() (clients, upstreams int) {
 	most := l.Sockets - reservedSockets - discoverySockets
 	clients = most * clientSocketTenths / 10
 	return clients, most - clients
@@ -71,10 +71,10 @@
 
 // deriveConnectionLimits are the limits that follow from the sockets given, and from what the
 // configuration says instead.
-func deriveConnectionLimits(sockets Limits, said connectionsConfig) (connectionLimits, error) {
-	forClients, forServers := sockets.splitSockets()
+func deriveConnectionLimits(sockets Limits, said connectionsConfig) (ConnectionLimits, error) {
+	forClients, forServers := sockets.SplitSockets()
 	wait := min(forClients/waitingDivisor, maxWaiting)
-	var l connectionLimits
+	var l ConnectionLimits
 	c, s := &l.Clients, &l.Servers
 	c.Refusing = max(wait, 1)
 	c.Waiting = valueOr(said.Clients.Waiting, wait)
@@ -97,7 +97,7 @@
 }
 
 // check returns an error that names the first limit that cannot be.
-func (l connectionLimits) check(sockets int) error {
+func (l ConnectionLimits) check(sockets int) error {
 	type limit struct {
 		name        string
 		value       int
@@ -183,8 +183,8 @@
 	return said, nil
 }
 
-// under are the limits that a policy leaves of those that are configured.
-func (c connectionLimits) under(d *rollout.Document) connectionLimits {
+// WithinPolicy are the limits that a policy leaves of those that are configured.
+func (c ConnectionLimits) WithinPolicy(d *rollout.Document) ConnectionLimits {
 	if d != nil && d.MaxClientConnections > 0 {
 		k := &c.Clients
 		k.Total = min(k.Total, d.MaxClientConnections)
--- a/internal/sidecar/limits_test.go
+++ b/internal/sidecar/limits_test.go
@@ -40,7 +40,7 @@
 			t.Errorf("%s: error %v, want one with %q", name, err, c.want)
 		}
 	}
-	for n := leastSockets; n < 5000; n += 7 { // whatever is given can be lived with
+	for n := MinSockets; n < 5000; n += 7 { // whatever is given can be lived with
 		if l, err := deriveConnectionLimits(Limits{Sockets: n}, connectionsConfig{}); err != nil {
 			t.Errorf("%d sockets: %v, %+v", n, err, l)
 		}
@@ -53,7 +53,7 @@
 	f.Add([]byte(`{"servers":{"handshakes":-1}}`), 64)
 	f.Add([]byte(`{"clients":null,"servers":[]}`), 1024)
 	f.Fuzz(func(t *testing.T, text []byte, sockets int) {
-		if sockets < leastSockets {
+		if sockets < MinSockets {
 			return
 		}
 		said, err := parseConnectionsConfig(text)
@@ -73,11 +73,11 @@
 func TestReloadChangesLimits(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
 	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
-	c.path = filepath.Join(t.TempDir(), "config.json")
+	c.Path = filepath.Join(t.TempDir(), "config.json")
 	write := func(connections string) {
 		t.Helper()
 		text := fmt.Sprintf(`{"discovery":"127.0.0.1:1","seed":"1","connections":%s,"settings":%s}`, connections, fmt.Sprintf(testSettings, false, 500, "push"))
-		if err := os.WriteFile(c.path, []byte(valid(t, text)), 0o600); err != nil {
+		if err := os.WriteFile(c.Path, []byte(valid(t, text)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -217,8 +217,8 @@
 	l.balancer = b
 	l.now = l.clock()
 	b.Start(l.now)
-	if c.Known != nil {
-		l.applyListing(policy.ListCached, *c.Known)
+	if c.KnownEndpoints != nil {
+		l.applyListing(policy.ListCached, *c.KnownEndpoints)
 	}
 	return l, nil
 }
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/peers_test.go
@@ -147,7 +147,7 @@
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",%s
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":%d},"settings":%s}`,
 		discovery, known, o.sockets, fmt.Sprintf(testSettings, o.probes, o.aim.Milliseconds(), mode))
-	c, err := parseConfig([]byte(text), nil)
+	c, err := Parse([]byte(text), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -46,7 +46,7 @@
 
 	mu              sync.Mutex
 	rng             *rand.Rand
-	limits          poolLimits
+	limits          UpstreamLimits
 	open            int                       // connections, and handshakes in progress
 	dialing         int                       // handshakes in progress
 	idle            queue.List[*upstreamConn] // the longest idle first
@@ -72,7 +72,7 @@
 }
 
 // newPool returns a pool for servers that close a connection after connIdle without a request.
-func newPool(dialTimeout, connIdle time.Duration, limits poolLimits, seed uint64) *pool {
+func newPool(dialTimeout, connIdle time.Duration, limits UpstreamLimits, seed uint64) *pool {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &pool{
 		dialTimeout: dialTimeout,
@@ -106,7 +106,7 @@
 
 // setLimits applies other limits. Idle connections over the total are closed now, others when they
 // are released.
-func (p *pool) setLimits(limits poolLimits) {
+func (p *pool) setLimits(limits UpstreamLimits) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limits = limits
--- a/internal/sidecar/races_test.go
+++ b/internal/sidecar/races_test.go
@@ -75,7 +75,7 @@
 	}
 	l.balancer = b
 	b.Start(l.clock())
-	l.applyListing(policy.ListFull, *l.config.Known)
+	l.applyListing(policy.ListFull, *l.config.KnownEndpoints)
 	l.upstreams.pool = testPool(1)
 	defer l.upstreams.pool.close()
 	to := l.endpoints["s-1"].peer
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -49,7 +49,7 @@
 		set(&o)
 	}
 	if c.Takeover != nil {
-		old, err := handover.Connect(c.handoverConfig())
+		old, err := handover.Connect(c.Handover())
 		if err == nil {
 			defer old.Close()
 			return serve(stop, reload, c, o, old.Listener(), old)
@@ -68,10 +68,10 @@
 // serve runs a sidecar on a listener, and in the place of an old process if there is one.
 func serve(stop context.Context, reload <-chan os.Signal, c *Config, o runOptions, ln net.Listener, old *handover.Predecessor) error {
 	defer ln.Close()
-	pool := newPool(c.DialTimeout, c.ConnIdle, c.Connections.Servers, c.Seed)
+	pool := newPool(c.DialTimeout, c.UpstreamIdleTimeout, c.Connections.Servers, c.Seed)
 	defer pool.close()
 	up := newTransport(pool)
-	up.loadFields = c.LoadFields
+	up.loadFields = c.LoadReportColumns
 	if c.Policy.LoadReports {
 		up.statsPath = "/stats"
 	}
@@ -87,7 +87,7 @@
 		loops.Wait()
 	}()
 	discovery := client.WatcherOptions{
-		Addrs: c.discoveryAddrs(), LastKnown: c.Known, Seed: c.Seed, Grace: c.Policy.DrainGrace,
+		Addrs: c.DiscoveryAddrs(), LastKnown: c.KnownEndpoints, Seed: c.Seed, Grace: c.Policy.DrainGrace,
 		Deliver: func(news client.ListUpdate) { l.post(endpointsListed{news}) },
 	}
 	if c.Policy.PollList {
@@ -111,12 +111,12 @@
 	}
 	var gov *policyFollower
 	ungoverned := make(chan error, 1)
-	if c.Govern != nil {
+	if c.FleetPolicy != nil {
 		gov, err = newGovernor(c, func(ctx context.Context, d *rollout.Document) error {
 			ruling.Lock()
 			defer ruling.Unlock()
 			ruled = d
-			limits := c.Connections.under(d)
+			limits := c.Connections.WithinPolicy(d)
 			limited.setLimits(limits.Clients)
 			pool.setLimits(limits.Servers)
 			return l.applyFleetPolicy(ctx, d)
@@ -132,7 +132,7 @@
 		})
 	}
 	var adv *overloadReporter
-	if c.Advice != nil {
+	if c.Overload != nil {
 		if adv, err = newAdviser(c, l); err != nil {
 			return err
 		}
@@ -212,7 +212,7 @@
 			if c.Takeover == nil {
 				continue
 			}
-			if offered, err = handover.Listen(c.handoverConfig(), ln); err != nil {
+			if offered, err = handover.Listen(c.Handover(), ln); err != nil {
 				slog.Error("takeover: no successor possible", "err", err)
 				continue
 			}
@@ -242,17 +242,17 @@
 				return err
 			}
 		case <-reload: // also while it drains: discovery may move, and answers are owed still
-			was := c.discoveryAddrs()
-			if err := c.reload(); err != nil {
+			was := c.DiscoveryAddrs()
+			if err := c.Reload(); err != nil {
 				slog.Error("configuration: the old one stays in force", "err", err)
 				continue
 			}
 			ruling.Lock() // the stricter of the file and the fleet's policy counts
-			limits := c.Connections.under(ruled)
+			limits := c.Connections.WithinPolicy(ruled)
 			limited.setLimits(limits.Clients)
 			pool.setLimits(limits.Servers)
 			ruling.Unlock()
-			if now := c.discoveryAddrs(); !slices.Equal(now, was) {
+			if now := c.DiscoveryAddrs(); !slices.Equal(now, was) {
 				d.SetAddrs(now)
 			}
 		}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -238,10 +238,10 @@
 	})
 	b := newUpstream(t, always(answer200("b")))
 	c := testConfig(t, options{}, old.Addr, registrytest.EndpointJSON("s-1", a.addr, "up", 0))
-	c.path = filepath.Join(t.TempDir(), "config.json")
+	c.Path = filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
 		t.Helper()
-		if err := os.WriteFile(c.path, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(c.Path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -290,7 +290,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return LoadConfig(func(name string) string {
+		return Load(func(name string) string {
 			if name == "ROUTER_CONFIG" {
 				return path
 			}
@@ -301,8 +301,8 @@
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"settings":{"balancers":1,"caps":{"most_tries":3},"later":null,
 		"classes":[{"name":"a","aim_ms":1,"hard_limit_ms":2}]}}`
 	c, err := load(good, map[string]string{"ROUTER_LISTEN": "127.0.0.1:9"})
-	if err != nil || c.Name != "n3" || c.Listen != "127.0.0.1:9" || c.Seed != 255 || c.Known != nil || c.Limits.Sockets != 1024 ||
-		c.DialTimeout != defaultDialTimeout || c.ConnIdle != defaultConnIdle {
+	if err != nil || c.Name != "n3" || c.Listen != "127.0.0.1:9" || c.Seed != 255 || c.KnownEndpoints != nil || c.Limits.Sockets != 1024 ||
+		c.DialTimeout != defaultDialTimeout || c.UpstreamIdleTimeout != defaultUpstreamIdle {
 		t.Errorf("configuration %+v, error %v", c, err)
 	}
 	for name, change := range map[string][2]string{
@@ -318,7 +318,7 @@
 			t.Errorf("%s: error %v, want one plain line", name, err)
 		}
 	}
-	if _, err := LoadConfig(func(string) string { return "" }); err == nil {
+	if _, err := Load(func(string) string { return "" }); err == nil {
 		t.Error("without ROUTER_CONFIG: no error")
 	}
 }
--- a/internal/sidecarcmd/command.go
+++ b/internal/sidecarcmd/command.go
@@ -88,7 +88,7 @@
 }
 
 // logger makes the log that the flags describe, and the file where they say nothing.
-func (f logFlags) logger(w io.Writer, file sidecar.FileLog) (*slog.Logger, error) {
+func (f logFlags) logger(w io.Writer, file sidecar.Log) (*slog.Logger, error) {
 	var level slog.Level
 	if text := cmp.Or(f.level, file.Level, "info"); level.UnmarshalText([]byte(text)) != nil {
 		return nil, cli.WrongCall("log level is %q; there are debug, info, warn and error", text)
@@ -105,7 +105,7 @@
 }
 
 func serve(parts Parts, getenv func(string) string, logs logFlags, errs io.Writer) error {
-	log, err := logs.logger(errs, sidecar.FileLog{}) // for what there is to say of the file
+	log, err := logs.logger(errs, sidecar.Log{}) // for what there is to say of the file
 	if err != nil {
 		return err
 	}
@@ -115,7 +115,7 @@
 	// Unhandled, the signal that says 'read your configuration again' would end the program.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	c, err := sidecar.LoadConfig(getenv)
+	c, err := sidecar.Load(getenv)
 	if err != nil {
 		return err
 	}
@@ -157,7 +157,7 @@
 			return getenv(name)
 		}
 	}
-	c, err := sidecar.LoadConfig(env)
+	c, err := sidecar.Load(env)
 	if err != nil {
 		return err
 	}
--- a/internal/testing/integration/harness_test.go
+++ b/internal/testing/integration/harness_test.go
@@ -67,7 +67,7 @@
 
 func runSidecar() error {
 	stop, reload := signals()
-	c, err := sidecar.LoadConfig(os.Getenv)
+	c, err := sidecar.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
--- a/internal/testing/localfleet/localfleet_test.go
+++ b/internal/testing/localfleet/localfleet_test.go
@@ -25,7 +25,7 @@
 	}
 	stop, done := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer done()
-	c, err := sidecar.LoadConfig(os.Getenv)
+	c, err := sidecar.Load(os.Getenv)
 	if err == nil {
 		err = sidecar.Run(stop, nil, c)
 	}
--- a/internal/testing/soaktest/soak_test.go
+++ b/internal/testing/soaktest/soak_test.go
@@ -25,7 +25,7 @@
 	stop, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	c, err := program.LoadConfig(os.Getenv)
+	c, err := program.Load(os.Getenv)
 	if err == nil {
 		err = program.Run(stop, reload, c)
 	}
