--- a/internal/sidecar/adviser.go
+++ b/internal/sidecar/adviser.go
@@ -13,6 +13,8 @@
 	"sync"
 	"time"
 
+	"barleywick/internal/sidecar/config"
+
 	"barleywick/internal/overload"
 	"barleywick/internal/registry/client"
 	"barleywick/policy"
@@ -25,7 +27,7 @@
 // word in force. Whatever fails, the sidecar goes on by what it sees itself: the word
 // that it has fades.
 type overloadReporter struct {
-	config  *Overload
+	config  *config.Overload
 	name    string
 	began   time.Time
 	tenants []string // of tenants
@@ -48,7 +50,7 @@
 // adviceReceived is the event of a word that is to be in force.
 type adviceReceived struct{ advice policy.OverloadAdvice }
 
-func newAdviser(c *Config, l *eventLoop) (*overloadReporter, error) {
+func newAdviser(c *config.Config, l *eventLoop) (*overloadReporter, error) {
 	r, err := client.New(c.Overload.Registry, c.Seed)
 	if err != nil {
 		return nil, err
--- a/internal/sidecar/client.go
+++ b/internal/sidecar/client.go
@@ -12,6 +12,8 @@
 	"strings"
 	"time"
 
+	"barleywick/internal/sidecar/config"
+
 	"barleywick/internal/membership"
 	"barleywick/policy"
 )
@@ -48,7 +50,7 @@
 	member      FleetMember       // nil: this sidecar is no member of the fleet
 }
 
-func newClientHandler(c *Config, l *eventLoop, ending *gracefulShutdown) *clientHandler {
+func newClientHandler(c *config.Config, l *eventLoop, ending *gracefulShutdown) *clientHandler {
 	s := &clientHandler{loop: l, classIndex: make(map[string]int), tenantIndex: make(map[string]int), listener: ending.listener, shutdown: ending}
 	for i, name := range c.Classes {
 		s.classIndex[name] = i
--- a/internal/sidecar/client_listener.go
+++ b/internal/sidecar/client_listener.go
@@ -7,6 +7,8 @@
 	"sync"
 	"time"
 
+	"barleywick/internal/sidecar/config"
+
 	"barleywick/internal/admission"
 	"barleywick/internal/sidecar/gate"
 )
@@ -35,7 +37,7 @@
 
 	mu             sync.Mutex
 	table          *admission.Table[*clientConn]
-	limits         ClientLimits
+	limits         config.ClientLimits
 	waiting        []*waitingConn           // the longest waiting first; at most limits.Waiting and one
 	waitingChanged *sync.Cond               // waiting got shorter, or accepting, backlogOnly or limits changed
 	waitTimer      *time.Timer              // fires when a grace period or a wait ends
@@ -51,7 +53,7 @@
 	count          clientCounters
 }
 
-func newLimitedListener(inner net.Listener, limits ClientLimits) *limitedListener {
+func newLimitedListener(inner net.Listener, limits config.ClientLimits) *limitedListener {
 	grace := admission.Grace{FirstByte: firstByteGrace, WholeRequest: wholeRequestGrace}
 	l := &limitedListener{
 		inner:       inner,
--- a/internal/sidecar/client_states.go
+++ b/internal/sidecar/client_states.go
@@ -4,6 +4,8 @@
 	"net"
 	"net/http"
 	"time"
+
+	"barleywick/internal/sidecar/config"
 )
 
 // headerRead records that a request's header has been read.
@@ -52,7 +54,7 @@
 
 // setLimits applies other limits. Idle connections over the limits are closed now, the others when
 // they become idle.
-func (l *limitedListener) setLimits(limits ClientLimits) {
+func (l *limitedListener) setLimits(limits config.ClientLimits) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.limits = limits
--- a/internal/sidecar/client_test.go
+++ b/internal/sidecar/client_test.go
@@ -10,6 +10,8 @@
 	"testing"
 	"time"
 
+	"barleywick/internal/sidecar/config"
+
 	"barleywick/internal/admission"
 
 	"barleywick/internal/registry/registrytest"
@@ -196,11 +198,11 @@
 // The bound on client connections: idle ones make way, and a waiting one is served in the end.
 func TestClientConnectionsAreBounded(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
-	c := testConfig(t, options{sockets: MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
+	c := testConfig(t, options{sockets: config.MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
 	var closed int
 	var conns []net.Conn
-	for i := range 3 * MinSockets / 2 {
+	for i := range 3 * config.MinSockets / 2 {
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -229,8 +231,8 @@
 }
 
 // testLimits are client limits with room for so many connections.
-func testLimits(most int) ClientLimits {
-	return ClientLimits{Limits: admission.Limits{Total: most, PerAddress: most, HalfOpen: most, Idle: most}, Waiting: 2, Refusing: 2}
+func testLimits(most int) config.ClientLimits {
+	return config.ClientLimits{Limits: admission.Limits{Total: most, PerAddress: most, HalfOpen: most, Idle: most}, Waiting: 2, Refusing: 2}
 }
 
 // raw sends text over a connection of its own and reads until it is closed.
@@ -369,7 +371,7 @@
 
 func testGivesWay(t *testing.T, useless string) {
 	u := newUpstream(t, always(answer200("ok")))
-	c := testConfig(t, options{sockets: MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
+	c := testConfig(t, options{sockets: config.MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
 	kept, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -388,7 +390,7 @@
 		io.Copy(io.Discard, resp.Body)
 	}
 	ask("first")
-	for range 2 * MinSockets { // far over the bound
+	for range 2 * config.MinSockets { // far over the bound
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -410,12 +412,11 @@
 // some are closed, long before the sidecar's own bound, they can open no more.
 func TestIdleConnectionsAreFew(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
-	c := testConfig(t, options{sockets: MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
+	c := testConfig(t, options{sockets: config.MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
-	most, _ := c.Limits.SplitSockets()
 	start := time.Now()
 	var first *bufio.Reader
-	for i := range most*idleSocketTenths/10 + 1 {
+	for i := range c.Connections.Clients.Idle + 1 {
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/sidecar/compatibility_test.go
+++ b/internal/sidecar/compatibility_test.go
@@ -1,7 +1,6 @@
 package sidecar
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
@@ -10,12 +9,13 @@
 	"os"
 	"path/filepath"
 	"reflect"
-	"regexp"
 	"slices"
 	"strings"
 	"testing"
 	"time"
 
+	"barleywick/internal/sidecar/config"
+
 	"barleywick/internal/overload"
 	"barleywick/internal/rollout"
 	"barleywick/policy"
@@ -54,7 +54,7 @@
 
 func TestPolicyFolderIsWrittenAsBy396a775(t *testing.T) {
 	for name, acts := range storedActs() {
-		g := &policyFollower{config: &FleetPolicy{FilePolicy: FilePolicy{Folder: t.TempDir()}}}
+		g := &policyFollower{config: &config.FleetPolicy{FilePolicy: config.FilePolicy{Folder: t.TempDir()}}}
 		if err := g.save(acts); err != nil {
 			t.Fatal(err)
 		}
@@ -74,7 +74,7 @@
 		}
 		var enforced []*rollout.Document
 		g := &policyFollower{
-			config: &FleetPolicy{FilePolicy: FilePolicy{Folder: folder}}, tenants: []string{"acme", "zeta"},
+			config: &config.FleetPolicy{FilePolicy: config.FilePolicy{Folder: folder}}, tenants: []string{"acme", "zeta"},
 			follower: &rollout.Follower{}, startedAt: time.Now().Add(-2 * askFirst),
 			enforcer: func(_ context.Context, d *rollout.Document) error { enforced = append(enforced, d); return nil },
 		}
@@ -92,79 +92,6 @@
 	}
 }
 
-// rewordedConfigText is what `check` and the reader of configurations say in other words now than
-// 396a775 did.
-var rewordedConfigText = strings.NewReplacer()
-
-// fieldOfStruct is where the TOML library's messages name a Go type.
-var fieldOfStruct = regexp.MustCompile(`struct field \S+ of type`)
-
-func loadFile(path string) (*Config, error) {
-	return Load(func(name string) string {
-		if name == "ROUTER_CONFIG" {
-			return path
-		}
-		return ""
-	})
-}
-
-func TestConfigurationFilesMeanWhatTheyMeantTo396a775(t *testing.T) {
-	for _, name := range []string{"short.toml", "full.toml", "takeover.toml", "platform.json"} {
-		path := filepath.Join("testdata", "396a775", "config", name)
-		if isTOML(path) {
-			form, err := platformForm([]byte(fixture(t, "config/"+name)), drawSeed)
-			if want := fixture(t, "config/"+name+".platform.json"); err != nil || string(form)+"\n" != want {
-				t.Errorf("the platform's form of %s is\n%s, error %v; want\n%s", name, form, err, want)
-			}
-		}
-		c, err := loadFile(path)
-		if err != nil {
-			t.Errorf("%s: %v", name, err)
-			continue
-		}
-		var got bytes.Buffer
-		if err := c.Explain(&got); err != nil {
-			t.Fatal(err)
-		}
-		columns := regexp.MustCompile(`  +`) // their width follows from the words
-		want := columns.ReplaceAllString(rewordedConfigText.Replace(fixture(t, "config/"+name+".explained.txt")), "  ")
-		if text := columns.ReplaceAllString(got.String(), "  "); text != want {
-			t.Errorf("%s is explained as\n%s\nwant\n%s", name, text, want)
-		}
-	}
-}
-
-// Each line of mutations.txt is a mistake in a configuration file, and the same line of
-// mutations.golden is what 396a775 said of it.
-func TestMistakesInConfigurationFilesAreNamedAsBy396a775(t *testing.T) {
-	golden := strings.Split(strings.TrimSuffix(fixture(t, "config/mutations.golden"), "\n"), "\n")
-	checked := 0
-	for line := range strings.Lines(fixture(t, "config/mutations.txt")) {
-		line = strings.TrimSuffix(line, "\n")
-		if strings.HasPrefix(line, "#") {
-			continue
-		}
-		file, change, _ := strings.Cut(line, ": ")
-		from, to, _ := strings.Cut(change, " => ")
-		text := strings.Replace(fixture(t, "config/"+file), from, strings.ReplaceAll(to, "|", "\n"), 1)
-		dir := t.TempDir()
-		path := filepath.Join(dir, file)
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		_, err := loadFile(path)
-		got := fieldOfStruct.ReplaceAllString(strings.ReplaceAll(fmt.Sprint(err), dir+"/", ""), "struct field of type")
-		want := fieldOfStruct.ReplaceAllString(rewordedConfigText.Replace(golden[checked]), "struct field of type")
-		if got != want {
-			t.Errorf("%s:\ngot  %s\nwant %s", line, got, want)
-		}
-		checked++
-	}
-	if checked != len(golden) {
-		t.Errorf("%d mistakes tried, %d are in the golden file", checked, len(golden))
-	}
-}
-
 // The fields' names of these structs are label values of metrics.
 func TestCounterNamesAreThoseOf396a775(t *testing.T) {
 	var got strings.Builder
--- /dev/null
+++ b/internal/sidecar/config/compatibility_test.go
@@ -0,0 +1,95 @@
+package config
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+// The files in testdata/396a775 were written for and by the code of that commit, the last one before
+// names changed: what they mean, and what is said of mistakes in them, has to stay.
+func fixture(t *testing.T, name string) string {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", "396a775", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// rewordedConfigText is what `check` and the reader of configurations say in other words now than
+// 396a775 did.
+var rewordedConfigText = strings.NewReplacer()
+
+// fieldOfStruct is where the TOML library's messages name a Go type.
+var fieldOfStruct = regexp.MustCompile(`struct field \S+ of type`)
+
+func loadFile(path string) (*Config, error) {
+	return Load(func(name string) string {
+		if name == "ROUTER_CONFIG" {
+			return path
+		}
+		return ""
+	})
+}
+
+func TestConfigurationFilesMeanWhatTheyMeantTo396a775(t *testing.T) {
+	for _, name := range []string{"short.toml", "full.toml", "takeover.toml", "platform.json"} {
+		path := filepath.Join("testdata", "396a775", name)
+		if isTOML(path) {
+			form, err := platformForm([]byte(fixture(t, name)), drawSeed)
+			if want := fixture(t, name+".platform.json"); err != nil || string(form)+"\n" != want {
+				t.Errorf("the platform's form of %s is\n%s, error %v; want\n%s", name, form, err, want)
+			}
+		}
+		c, err := loadFile(path)
+		if err != nil {
+			t.Errorf("%s: %v", name, err)
+			continue
+		}
+		var got bytes.Buffer
+		if err := c.Explain(&got); err != nil {
+			t.Fatal(err)
+		}
+		columns := regexp.MustCompile(`  +`) // their width follows from the words
+		want := columns.ReplaceAllString(rewordedConfigText.Replace(fixture(t, name+".explained.txt")), "  ")
+		if text := columns.ReplaceAllString(got.String(), "  "); text != want {
+			t.Errorf("%s is explained as\n%s\nwant\n%s", name, text, want)
+		}
+	}
+}
+
+// Each line of mutations.txt is a mistake in a configuration file, and the same line of
+// mutations.golden is what 396a775 said of it.
+func TestMistakesInConfigurationFilesAreNamedAsBy396a775(t *testing.T) {
+	golden := strings.Split(strings.TrimSuffix(fixture(t, "mutations.golden"), "\n"), "\n")
+	checked := 0
+	for line := range strings.Lines(fixture(t, "mutations.txt")) {
+		line = strings.TrimSuffix(line, "\n")
+		if strings.HasPrefix(line, "#") {
+			continue
+		}
+		file, change, _ := strings.Cut(line, ": ")
+		from, to, _ := strings.Cut(change, " => ")
+		text := strings.Replace(fixture(t, file), from, strings.ReplaceAll(to, "|", "\n"), 1)
+		dir := t.TempDir()
+		path := filepath.Join(dir, file)
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		_, err := loadFile(path)
+		got := fieldOfStruct.ReplaceAllString(strings.ReplaceAll(fmt.Sprint(err), dir+"/", ""), "struct field of type")
+		want := fieldOfStruct.ReplaceAllString(rewordedConfigText.Replace(golden[checked]), "struct field of type")
+		if got != want {
+			t.Errorf("%s:\ngot  %s\nwant %s", line, got, want)
+		}
+		checked++
+	}
+	if checked != len(golden) {
+		t.Errorf("%d mistakes tried, %d are in the golden file", checked, len(golden))
+	}
+}
--- a/internal/sidecar/file_test.go
+++ b/internal/sidecar/config/file_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package config
 
 import (
 	"fmt"
@@ -111,7 +111,7 @@
 
 // The page lists each field of the schema, as the code has it, and no other.
 func TestConfigurationPageAgreesWithTheCode(t *testing.T) {
-	page, err := os.ReadFile("../../docs/CONFIGURATION.md")
+	page, err := os.ReadFile("../../../docs/CONFIGURATION.md")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/connections_test.go
+++ b/internal/sidecar/connections_test.go
@@ -17,6 +17,8 @@
 	"testing"
 	"time"
 
+	"barleywick/internal/sidecar/config"
+
 	"barleywick/internal/registry/registrytest"
 )
 
@@ -50,7 +52,7 @@
 }
 
 // startLimited runs a sidecar with the limits given.
-func startLimited(t *testing.T, u *upstream, limits ClientLimits) (addr string, stop func(), ended <-chan error) {
+func startLimited(t *testing.T, u *upstream, limits config.ClientLimits) (addr string, stop func(), ended <-chan error) {
 	t.Helper()
 	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	c.Connections.Clients = limits
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -50,18 +50,15 @@
 	good := registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0)
 	text := valid(t, registrytest.ListJSON(1, true, `{"host":7,"dial":"127.0.0.1:7","health":"up"}`, `"nonsense"`, `{"dial":"127.0.0.1:7","health":"up"}`,
 		registrytest.EndpointJSON("s-2", "nowhere", "up", 0), good, `{"host":"s-3","dial":"127.0.0.1:8","health":"up","later":{"x":1}}`))
-	known := parseKnown([]byte(text))
-	if known == nil {
-		t.Fatal("the list was thrown away")
+	var known client.ListUpdate
+	if err := json.Unmarshal([]byte(text), &known); err != nil {
+		t.Fatal(err)
 	}
 	l := newTestLoop(t)
-	l.applyListing(policy.ListFull, *known)
+	l.applyListing(policy.ListFull, known)
 	if len(l.endpoints) != 2 || l.endpoints["s-1"] == nil || l.endpoints["s-3"] == nil {
 		t.Errorf("hosts %v, want s-1 and s-3", l.endpoints)
 	}
-	if parseKnown([]byte(`{"seq":"x"}`)) != nil || parseKnown([]byte("null")) != nil {
-		t.Error("an unreadable known list is held")
-	}
 }
 
 // A host whose entry cannot be read is still named: it stays as it was known, also in a
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -1,11 +1,12 @@
 package sidecar
 
 import (
-	"barleywick/internal/sidecar/gate"
 	"fmt"
 	"log/slog"
 	"sync/atomic"
 	"time"
+
+	"barleywick/internal/sidecar/gate"
 )
 
 // phase is how far a sidecar is in its life. Its log and /health/ready tell.
--- a/internal/sidecar/governor.go
+++ b/internal/sidecar/governor.go
@@ -14,6 +14,8 @@
 	"sync/atomic"
 	"time"
 
+	"barleywick/internal/sidecar/config"
+
 	"barleywick/internal/lease"
 	"barleywick/internal/registry"
 	"barleywick/internal/registry/client"
@@ -39,7 +41,7 @@
 // force what is to be acted by, and says so. What the sidecar's own file says stays the
 // most that it may: the stricter of both counts.
 type policyFollower struct {
-	config    *FleetPolicy
+	config    *config.FleetPolicy
 	tenants   []string
 	client    *client.Client
 	leases    *lease.Manager
@@ -60,7 +62,7 @@
 	fromStore   bool // it acts by its folder
 }
 
-func newGovernor(c *Config, enforce func(ctx context.Context, d *rollout.Document) error) (*policyFollower, error) {
+func newGovernor(c *config.Config, enforce func(ctx context.Context, d *rollout.Document) error) (*policyFollower, error) {
 	r, err := client.New(c.FleetPolicy.Registry, c.Seed)
 	if err != nil {
 		return nil, err
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -12,6 +12,8 @@
 	"sync/atomic"
 	"time"
 
+	"barleywick/internal/sidecar/config"
+
 	"barleywick/internal/overload"
 	"barleywick/internal/registry/client"
 	"barleywick/internal/settings"
@@ -145,7 +147,7 @@
 // eventLoop owns the Balancer: every event comes to it by a channel, and it carries
 // out what the Balancer decides without ever waiting for I/O.
 type eventLoop struct {
-	config       *Config
+	config       *config.Config
 	balancer     *policy.Balancer
 	upstreams    *transport
 	events       chan any
@@ -196,7 +198,7 @@
 )
 
 // newEventLoop makes a loop that lives from now on until run has ended.
-func newEventLoop(c *Config, up *transport) (*eventLoop, error) {
+func newEventLoop(c *config.Config, up *transport) (*eventLoop, error) {
 	life, end := context.WithCancel(context.Background())
 	l := &eventLoop{
 		lifetime: life, endLifetime: end,
--- a/internal/sidecar/meter.go
+++ b/internal/sidecar/meter.go
@@ -10,6 +10,8 @@
 	"reflect"
 	"time"
 
+	"barleywick/internal/sidecar/config"
+
 	"barleywick/internal/sidecar/gate"
 	"barleywick/policy"
 )
@@ -176,7 +178,7 @@
 }
 
 // serveMetrics serves metrics where the configuration names an address for them.
-func serveMetrics(ctx context.Context, c *Config, l *eventLoop, listener *limitedListener, p *pool) (run func(), err error) {
+func serveMetrics(ctx context.Context, c *config.Config, l *eventLoop, listener *limitedListener, p *pool) (run func(), err error) {
 	if l.exporter == nil {
 		return nil, nil
 	}
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/peers_test.go
@@ -15,6 +15,8 @@
 	"testing"
 	"time"
 
+	"barleywick/internal/sidecar/config"
+
 	"barleywick/internal/registry/registrytest"
 	"barleywick/internal/sidecar/gate"
 	"barleywick/policy"
@@ -128,7 +130,7 @@
 	sockets int
 }
 
-func testConfig(t testing.TB, o options, discovery string, hosts ...string) *Config {
+func testConfig(t testing.TB, o options, discovery string, hosts ...string) *config.Config {
 	t.Helper()
 	if o.aim == 0 {
 		o.aim = 4 * time.Second
@@ -147,7 +149,7 @@
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",%s
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":%d},"settings":%s}`,
 		discovery, known, o.sockets, fmt.Sprintf(testSettings, o.probes, o.aim.Milliseconds(), mode))
-	c, err := Parse([]byte(text), nil)
+	c, err := config.Parse([]byte(text), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,13 +158,13 @@
 
 // startSidecar runs a sidecar until the test ends and returns its address and a
 // function that stops it as a planned restart does.
-func startSidecar(t testing.TB, c *Config, opts ...Option) (addr string, stop func(), ended <-chan error) {
+func startSidecar(t testing.TB, c *config.Config, opts ...Option) (addr string, stop func(), ended <-chan error) {
 	t.Helper()
 	return startReloadable(t, c, nil, opts...)
 }
 
 // startReloadable does the same for one that reads its configuration again.
-func startReloadable(t testing.TB, c *Config, reload <-chan os.Signal, opts ...Option) (addr string, stop func(), ended <-chan error) {
+func startReloadable(t testing.TB, c *config.Config, reload <-chan os.Signal, opts ...Option) (addr string, stop func(), ended <-chan error) {
 	t.Helper()
 	ln := listenLoopback(t)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -8,6 +8,8 @@
 	"sync"
 	"time"
 
+	"barleywick/internal/sidecar/config"
+
 	"barleywick/internal/queue"
 )
 
@@ -46,7 +48,7 @@
 
 	mu              sync.Mutex
 	rng             *rand.Rand
-	limits          UpstreamLimits
+	limits          config.UpstreamLimits
 	open            int                       // connections, and handshakes in progress
 	dialing         int                       // handshakes in progress
 	idle            queue.List[*upstreamConn] // the longest idle first
@@ -72,7 +74,7 @@
 }
 
 // newPool returns a pool for servers that close a connection after connIdle without a request.
-func newPool(dialTimeout, connIdle time.Duration, limits UpstreamLimits, seed uint64) *pool {
+func newPool(dialTimeout, connIdle time.Duration, limits config.UpstreamLimits, seed uint64) *pool {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &pool{
 		dialTimeout: dialTimeout,
@@ -106,7 +108,7 @@
 
 // setLimits applies other limits. Idle connections over the total are closed now, others when they
 // are released.
-func (p *pool) setLimits(limits UpstreamLimits) {
+func (p *pool) setLimits(limits config.UpstreamLimits) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limits = limits
--- a/internal/sidecar/pool_dial_test.go
+++ b/internal/sidecar/pool_dial_test.go
@@ -11,6 +11,8 @@
 	"testing"
 	"time"
 
+	"barleywick/internal/sidecar/config"
+
 	"barleywick/policy"
 )
 
@@ -34,7 +36,7 @@
 func TestHandshakesAreBounded(t *testing.T) {
 	// A full backlog leaves handshakes hanging, as a machine does that was cut off.
 	silent, again := newBlackHole(t), newBlackHole(t)
-	p := newPool(patience, 30*time.Second, UpstreamLimits{Total: 20, PerServer: 10, Handshakes: 5, HandshakesPerServer: 3}, 1)
+	p := newPool(patience, 30*time.Second, config.UpstreamLimits{Total: 20, PerServer: 10, Handshakes: 5, HandshakesPerServer: 3}, 1)
 	defer p.close()
 	ctx, cancel := context.WithCancel(t.Context())
 	var callers sync.WaitGroup
--- a/internal/sidecar/pool_test.go
+++ b/internal/sidecar/pool_test.go
@@ -5,6 +5,8 @@
 	"testing"
 	"time"
 
+	"barleywick/internal/sidecar/config"
+
 	"barleywick/policy"
 )
 
@@ -109,7 +111,7 @@
 	for _, c := range conns[1:] {
 		p.release(c)
 	}
-	p.setLimits(UpstreamLimits{Total: 2, PerServer: 1, Handshakes: 1, HandshakesPerServer: 1})
+	p.setLimits(config.UpstreamLimits{Total: 2, PerServer: 1, Handshakes: 1, HandshakesPerServer: 1})
 	if p.opened() != 2 {
 		t.Errorf("%d are open, want 2", p.opened())
 	}
@@ -123,7 +125,7 @@
 
 // poolOf bounds connections in all and nothing else.
 func poolOf(dialTimeout, connIdle time.Duration, most int) *pool {
-	return newPool(dialTimeout, connIdle, UpstreamLimits{most, most, most, most}, 1)
+	return newPool(dialTimeout, connIdle, config.UpstreamLimits{Total: most, PerServer: most, Handshakes: most, HandshakesPerServer: most}, 1)
 }
 
 // endAllQuarantines takes all connections that rest back into use, as if they had rested.
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -14,6 +14,8 @@
 	"sync"
 	"time"
 
+	"barleywick/internal/sidecar/config"
+
 	"barleywick/internal/registry/client"
 	"barleywick/internal/rollout"
 	"barleywick/internal/sidecar/handover"
@@ -28,14 +30,14 @@
 
 type runOptions struct {
 	exporter  MetricsExporter
-	newMember func(*Config) FleetMember
+	newMember func(*config.Config) FleetMember
 }
 
 // WithMetrics has a sidecar measured, and its metrics served where the configuration says.
 func WithMetrics(e MetricsExporter) Option { return func(o *runOptions) { o.exporter = e } }
 
 // WithMembership says what makes a sidecar a member of the fleet where its configuration asks for it.
-func WithMembership(newMember func(*Config) FleetMember) Option {
+func WithMembership(newMember func(*config.Config) FleetMember) Option {
 	return func(o *runOptions) { o.newMember = newMember }
 }
 
@@ -43,7 +45,7 @@
 // each value of reload it reads its configuration again. Where the configuration
 // says how, it takes the place of a process that serves already, and lets another
 // take its own.
-func Run(stop context.Context, reload <-chan os.Signal, c *Config, opts ...Option) error {
+func Run(stop context.Context, reload <-chan os.Signal, c *config.Config, opts ...Option) error {
 	var o runOptions
 	for _, set := range opts {
 		set(&o)
@@ -66,7 +68,7 @@
 }
 
 // serve runs a sidecar on a listener, and in the place of an old process if there is one.
-func serve(stop context.Context, reload <-chan os.Signal, c *Config, o runOptions, ln net.Listener, old *handover.Predecessor) error {
+func serve(stop context.Context, reload <-chan os.Signal, c *config.Config, o runOptions, ln net.Listener, old *handover.Predecessor) error {
 	defer ln.Close()
 	pool := newPool(c.DialTimeout, c.UpstreamIdleTimeout, c.Connections.Servers, c.Seed)
 	defer pool.close()
--- a/internal/sidecarcmd/command.go
+++ b/internal/sidecarcmd/command.go
@@ -15,6 +15,8 @@
 	"runtime/debug"
 	"syscall"
 
+	"barleywick/internal/sidecar/config"
+
 	"github.com/spf13/cobra"
 
 	"barleywick/internal/cli"
@@ -27,8 +29,8 @@
 	Name       string // the program's
 	FormerName string // deprecated; a link of this name still starts the program
 
-	Meter  func() sidecar.MetricsExporter            // makes what serves metrics
-	Enlist func(*sidecar.Config) sidecar.FleetMember // makes a sidecar a member of the fleet
+	Meter  func() sidecar.MetricsExporter           // makes what serves metrics
+	Enlist func(*config.Config) sidecar.FleetMember // makes a sidecar a member of the fleet
 }
 
 // Main runs the program with its command line and exits with the status that follows.
@@ -88,7 +90,7 @@
 }
 
 // logger makes the log that the flags describe, and the file where they say nothing.
-func (f logFlags) logger(w io.Writer, file sidecar.Log) (*slog.Logger, error) {
+func (f logFlags) logger(w io.Writer, file config.Log) (*slog.Logger, error) {
 	var level slog.Level
 	if text := cmp.Or(f.level, file.Level, "info"); level.UnmarshalText([]byte(text)) != nil {
 		return nil, cli.WrongCall("log level is %q; there are debug, info, warn and error", text)
@@ -105,7 +107,7 @@
 }
 
 func serve(parts Parts, getenv func(string) string, logs logFlags, errs io.Writer) error {
-	log, err := logs.logger(errs, sidecar.Log{}) // for what there is to say of the file
+	log, err := logs.logger(errs, config.Log{}) // for what there is to say of the file
 	if err != nil {
 		return err
 	}
@@ -115,7 +117,7 @@
 	// Unhandled, the signal that says 'read your configuration again' would end the program.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	c, err := sidecar.Load(getenv)
+	c, err := config.Load(getenv)
 	if err != nil {
 		return err
 	}
@@ -136,7 +138,7 @@
 
 // fit keeps the runtime within the platform's limits. The heap is small, so it
 // is collected rarely, but the memory limit is kept to with a quarter to spare.
-func fit(l sidecar.Limits) {
+func fit(l config.Limits) {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(l.Cores)))
 	}
@@ -157,7 +159,7 @@
 			return getenv(name)
 		}
 	}
-	c, err := sidecar.Load(env)
+	c, err := config.Load(env)
 	if err != nil {
 		return err
 	}
--- a/internal/sidecarmember/member.go
+++ b/internal/sidecarmember/member.go
@@ -10,6 +10,8 @@
 	"sync/atomic"
 	"time"
 
+	"barleywick/internal/sidecar/config"
+
 	"barleywick/internal/membership"
 	"barleywick/internal/membership/gossip"
 	"barleywick/internal/registry"
@@ -24,7 +26,7 @@
 )
 
 // New makes the member that a configuration describes. Its Run has to be called.
-func New(c *sidecar.Config) sidecar.FleetMember {
+func New(c *config.Config) sidecar.FleetMember {
 	var urls []string
 	for _, address := range append([]string{c.Discovery}, c.DiscoveryReplicas...) { // they may be replicas of our registry
 		urls = append(urls, "http://"+address+registry.APIPath+membership.ViewPath)
--- a/internal/testing/integration/harness_test.go
+++ b/internal/testing/integration/harness_test.go
@@ -3,6 +3,7 @@
 package integration
 
 import (
+	"barleywick/internal/sidecar/config"
 	"bytes"
 	"context"
 	"encoding/json"
@@ -67,7 +68,7 @@
 
 func runSidecar() error {
 	stop, reload := signals()
-	c, err := sidecar.Load(os.Getenv)
+	c, err := config.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
--- a/internal/testing/localfleet/localfleet_test.go
+++ b/internal/testing/localfleet/localfleet_test.go
@@ -1,6 +1,7 @@
 package localfleet
 
 import (
+	"barleywick/internal/sidecar/config"
 	"context"
 	"errors"
 	"fmt"
@@ -25,7 +26,7 @@
 	}
 	stop, done := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer done()
-	c, err := sidecar.Load(os.Getenv)
+	c, err := config.Load(os.Getenv)
 	if err == nil {
 		err = sidecar.Run(stop, nil, c)
 	}
--- a/internal/testing/soaktest/soak_test.go
+++ b/internal/testing/soaktest/soak_test.go
@@ -1,6 +1,7 @@
 package soaktest
 
 import (
+	"barleywick/internal/sidecar/config"
 	"context"
 	"fmt"
 	"log/slog"
@@ -25,7 +26,7 @@
 	stop, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	c, err := program.Load(os.Getenv)
+	c, err := config.Load(os.Getenv)
 	if err == nil {
 		err = program.Run(stop, reload, c)
 	}
