--- a/internal/registry/server/call_limiter.go
+++ b/internal/registry/server/call_limiter.go
@@ -7,75 +7,90 @@
 	"sync"
 )
 
-// callLimiter lets a bounded number of calls be under way and a bounded number wait; what
-// comes beyond is told to come back.
+// errBusy says that a call was refused by a limit on how much is served at once.
+var errBusy = errors.New("too many calls wait for their turn")
+
+// callLimiter bounds the calls that run at once and those that wait, first come first
+// served.
 type callLimiter struct {
 	mu      sync.Mutex
 	limits  Limits
 	running int
-	waiting []chan struct{} // in the order of arrival; closed when it is their turn
+	waiting []chan struct{} // in the order of arrival; closed when the call may run
 }
 
-var errBusy = errors.New("too many calls wait for their turn")
-
-// acquire waits for a turn. Each success is to be followed by done.
-func (t *callLimiter) acquire(ctx context.Context) error {
-	t.mu.Lock()
-	if t.running < t.limits.Calls && len(t.waiting) == 0 {
-		t.running++
-		t.mu.Unlock()
-		return nil
-	}
-	if len(t.waiting) >= t.limits.Waiting {
-		t.mu.Unlock()
-		return errBusy
+// acquire waits until a call may run. Each success has to be followed by release.
+func (l *callLimiter) acquire(ctx context.Context) error {
+	admitted, err := l.enqueue()
+	if admitted == nil || err != nil {
+		return err
 	}
-	c := make(chan struct{})
-	t.waiting = append(t.waiting, c)
-	t.mu.Unlock()
 	select {
-	case <-c:
+	case <-admitted:
 		return nil
 	case <-ctx.Done():
 	}
-	t.mu.Lock()
-	i := slices.Index(t.waiting, c)
-	if i >= 0 {
-		t.waiting = slices.Delete(t.waiting, i, i+1)
+	if !l.dequeue(admitted) {
+		l.release() // it was admitted a moment ago
+	}
+	return ctx.Err()
+}
+
+// enqueue returns nil if the call may run at once, or else a channel that is closed when
+// it may.
+func (l *callLimiter) enqueue() (admitted chan struct{}, err error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.running < l.limits.Calls && len(l.waiting) == 0 {
+		l.running++
+		return nil, nil
+	}
+	if len(l.waiting) >= l.limits.Waiting {
+		return nil, errBusy
 	}
-	t.mu.Unlock()
+	admitted = make(chan struct{})
+	l.waiting = append(l.waiting, admitted)
+	return admitted, nil
+}
+
+// dequeue removes a call that waits. It returns false if the call does not wait any more.
+func (l *callLimiter) dequeue(admitted chan struct{}) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	i := slices.Index(l.waiting, admitted)
 	if i < 0 {
-		t.release() // it was given the turn a moment ago
+		return false
 	}
-	return ctx.Err()
+	l.waiting = slices.Delete(l.waiting, i, i+1)
+	return true
 }
 
-func (t *callLimiter) release() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.running--
-	t.admitLocked()
+func (l *callLimiter) release() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.running--
+	l.admitLocked()
 }
 
-// admitLocked gives free turns to those that wait.
-func (t *callLimiter) admitLocked() {
-	for t.running < t.limits.Calls && len(t.waiting) > 0 {
-		t.running++
-		close(t.waiting[0])
-		t.waiting = slices.Delete(t.waiting, 0, 1)
+// admitLocked lets waiting calls run as far as the limit allows.
+func (l *callLimiter) admitLocked() {
+	for l.running < l.limits.Calls && len(l.waiting) > 0 {
+		l.running++
+		close(l.waiting[0])
+		l.waiting = slices.Delete(l.waiting, 0, 1)
 	}
 }
 
-func (t *callLimiter) setLimits(l Limits) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.limits = l
-	t.admitLocked()
+func (l *callLimiter) setLimits(limits Limits) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.limits = limits
+	l.admitLocked()
 }
 
-// counts returns how many calls are under way and how many wait.
-func (t *callLimiter) counts() (running, waiting int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.running, len(t.waiting)
+// counts returns how many calls run and how many wait.
+func (l *callLimiter) counts() (running, waiting int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.running, len(l.waiting)
 }
--- a/internal/registry/server/checked_log.go
+++ b/internal/registry/server/checked_log.go
@@ -10,67 +10,72 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// checkedLog keeps a checksum with each entry of the log, which the file has none of.
+const (
+	checksumSize   = 4         // bytes at the end of an entry's data
+	logHeaderBytes = 8 + 8 + 1 // of an entry's index, term and type
+)
+
+// checkedLog is Raft's log with a checksum for each entry, which BoltDB does not have.
 type checkedLog struct {
 	*raftboltdb.BoltStore
-	lastWriteError atomic.Pointer[error] // why the last write failed, if it did
+	lastWriteError atomic.Pointer[error] // nil if the last write succeeded
 }
 
-const checksumSize = 4 // bytes
-
-func entryChecksum(l *raft.Log, data []byte) uint32 {
-	var head [17]byte
-	binary.BigEndian.PutUint64(head[:], l.Index)
-	binary.BigEndian.PutUint64(head[8:], l.Term)
-	head[16] = byte(l.Type)
-	return crc32.Update(crc32.ChecksumIEEE(head[:]), crc32.IEEETable, data)
+// entryChecksum returns the checksum of an entry with some data.
+func entryChecksum(entry *raft.Log, data []byte) uint32 {
+	var header [logHeaderBytes]byte
+	binary.BigEndian.PutUint64(header[:], entry.Index)
+	binary.BigEndian.PutUint64(header[8:], entry.Term)
+	header[16] = byte(entry.Type)
+	return crc32.Update(crc32.ChecksumIEEE(header[:]), crc32.IEEETable, data)
 }
 
 // StoreLog writes one entry.
-func (c *checkedLog) StoreLog(l *raft.Log) error { return c.StoreLogs([]*raft.Log{l}) }
+func (l *checkedLog) StoreLog(entry *raft.Log) error { return l.StoreLogs([]*raft.Log{entry}) }
 
 // StoreLogs writes entries, each with its checksum.
-func (c *checkedLog) StoreLogs(logs []*raft.Log) error {
-	checked := make([]*raft.Log, len(logs))
-	for i, l := range logs {
-		copied := *l
-		copied.Data = binary.BigEndian.AppendUint32(append(make([]byte, 0, len(l.Data)+checksumSize), l.Data...), entryChecksum(l, l.Data))
-		checked[i] = &copied
+func (l *checkedLog) StoreLogs(entries []*raft.Log) error {
+	checked := make([]*raft.Log, len(entries))
+	for i, entry := range entries {
+		withChecksum := *entry
+		data := append(make([]byte, 0, len(entry.Data)+checksumSize), entry.Data...)
+		withChecksum.Data = binary.BigEndian.AppendUint32(data, entryChecksum(entry, entry.Data))
+		checked[i] = &withChecksum
 	}
-	err := c.BoltStore.StoreLogs(checked)
+	err := l.BoltStore.StoreLogs(checked)
 	if err != nil {
-		c.lastWriteError.Store(&err)
+		l.lastWriteError.Store(&err)
 	} else {
-		c.lastWriteError.Store(nil)
+		l.lastWriteError.Store(nil)
 	}
 	return err
 }
 
-// GetLog reads an entry, and fails where it is not what was written.
-func (c *checkedLog) GetLog(index uint64, l *raft.Log) error {
-	if err := c.BoltStore.GetLog(index, l); err != nil {
+// GetLog reads an entry, and returns an error if it is not what was written.
+func (l *checkedLog) GetLog(index uint64, entry *raft.Log) error {
+	if err := l.BoltStore.GetLog(index, entry); err != nil {
 		return err
 	}
-	n := len(l.Data) - checksumSize
-	if n < 0 || l.Index != index || entryChecksum(l, l.Data[:n]) != binary.BigEndian.Uint32(l.Data[n:]) {
-		return fmt.Errorf("entry %d is spoilt", index)
+	n := len(entry.Data) - checksumSize
+	if n < 0 || entry.Index != index || entryChecksum(entry, entry.Data[:n]) != binary.BigEndian.Uint32(entry.Data[n:]) {
+		return fmt.Errorf("entry %d is corrupt", index)
 	}
-	l.Data = l.Data[:n]
+	entry.Data = entry.Data[:n]
 	return nil
 }
 
 // verify reads every entry.
-func (c *checkedLog) verify() error {
-	first, err := c.FirstIndex()
+func (l *checkedLog) verify() error {
+	first, err := l.FirstIndex()
 	if err != nil {
 		return err
 	}
-	last, err := c.LastIndex()
+	last, err := l.LastIndex()
 	if err != nil {
 		return err
 	}
 	for i := first; i != 0 && i <= last; i++ {
-		if err := c.GetLog(i, new(raft.Log)); err != nil {
+		if err := l.GetLog(i, new(raft.Log)); err != nil {
 			return fmt.Errorf("entry %d of %d to %d: %w", i, first, last, err)
 		}
 	}
--- a/internal/registry/server/data_folder.go
+++ b/internal/registry/server/data_folder.go
@@ -9,43 +9,61 @@
 	"path/filepath"
 )
 
-// identity says whose folder it is.
+const (
+	identityFile = "replica.json"
+	identityForm = 1
+	logFile      = "raft.db"
+)
+
+// identity is the contents of identityFile: whose data folder it is.
 type identity struct {
 	Form  int    `json:"form"`
 	Group string `json:"group"`
 	ID    string `json:"id"`
 }
 
-// claimDataFolder checks whose folder it is, and makes an empty one this replica's.
-func claimDataFolder(c *Config) (fresh bool, err error) {
+// claimDataFolder checks that the data folder is this replica's, and claims an empty one.
+// isNew says that it holds no log yet.
+func claimDataFolder(c *Config) (isNew bool, err error) {
 	path := filepath.Join(c.DataDir, identityFile)
-	want := identity{1, c.Group, c.ID}
-	text, err := os.ReadFile(path)
+	want := identity{identityForm, c.Group, c.ID}
+	got, err := readIdentity(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		names, err := os.ReadDir(c.DataDir)
-		if err != nil {
-			return false, fmt.Errorf("data folder: %w", err)
-		}
-		if len(names) > 0 {
-			return false, fmt.Errorf("data folder %s: it holds %s but no %s: it is not a replica's", c.DataDir, names[0].Name(), identityFile)
-		}
-		return true, writeIdentity(path, want)
+		return true, claimEmptyFolder(c.DataDir, path, want)
 	case err != nil:
-		return false, fmt.Errorf("data folder: %w", err)
-	}
-	var got identity
-	if err := json.Unmarshal(text, &got); err != nil {
-		return false, fmt.Errorf("%s: %w", path, err)
-	}
-	if got != want {
+		return false, err
+	case got != want:
 		return false, fmt.Errorf("data folder %s: it belongs to replica %q of group %q, this is %q of %q", c.DataDir, got.ID, got.Group, want.ID, want.Group)
 	}
 	_, err = os.Stat(filepath.Join(c.DataDir, logFile))
 	return errors.Is(err, fs.ErrNotExist), nil
 }
 
-// writeIdentity writes the file whole or not at all.
+func readIdentity(path string) (i identity, err error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return i, fmt.Errorf("data folder: %w", err)
+	}
+	if err := json.Unmarshal(text, &i); err != nil {
+		return i, fmt.Errorf("%s: %w", path, err)
+	}
+	return i, nil
+}
+
+// claimEmptyFolder writes the identity into a folder that must hold nothing.
+func claimEmptyFolder(dir, path string, i identity) error {
+	entries, err := os.ReadDir(dir)
+	if err != nil {
+		return fmt.Errorf("data folder: %w", err)
+	}
+	if len(entries) > 0 {
+		return fmt.Errorf("data folder %s: it holds %s but no %s: it is not a replica's", dir, entries[0].Name(), identityFile)
+	}
+	return writeIdentity(path, i)
+}
+
+// writeIdentity writes the file completely or not at all.
 func writeIdentity(path string, i identity) error {
 	text, err := json.Marshal(i)
 	if err != nil {
--- a/internal/registry/server/raft_logger.go
+++ b/internal/registry/server/raft_logger.go
@@ -9,37 +9,35 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// raftLogger writes Raft's log lines with slog, one level lower than Raft holds them
-// to be: its every heartbeat that fails is no news to an operator.
+// raftLogger writes the Raft library's log lines with slog, one level lower than the
+// library's: each heartbeat that fails is a line, and none of them calls for an operator.
 type raftLogger struct {
-	hclog.Logger
-	target *slog.Logger
+	hclog.Logger // for the methods that are not used
+	target       *slog.Logger
 }
 
-func newRaftLogger() *raftLogger {
-	return &raftLogger{hclog.NewNullLogger(), slog.With("part", "raft")}
-}
+func newRaftLogger() *raftLogger { return &raftLogger{hclog.NewNullLogger(), slog.Default()} }
 
 func (l *raftLogger) log(level slog.Level, msg string, args []any) {
-	l.target.Log(context.Background(), level, msg, args...)
+	l.target.Log(context.Background(), level, "raft: "+msg, args...)
 }
 
-// Trace and the others pass a line on.
-func (l *raftLogger) Trace(msg string, args ...any) {}
+// Trace drops the line.
+func (l *raftLogger) Trace(string, ...any) {}
 
-// Debug is for Raft's own makers.
-func (l *raftLogger) Debug(msg string, args ...any) {}
+// Debug drops the line: it is meant for the library's authors.
+func (l *raftLogger) Debug(string, ...any) {}
 
-// Info tells of elections and snapshots.
+// Info writes elections and snapshots.
 func (l *raftLogger) Info(msg string, args ...any) { l.log(slog.LevelDebug, msg, args) }
 
-// Warn tells of what mends itself.
+// Warn writes faults that end by themselves.
 func (l *raftLogger) Warn(msg string, args ...any) { l.log(slog.LevelInfo, msg, args) }
 
-// Error tells of what somebody may have to look at.
+// Error writes faults that may call for an operator.
 func (l *raftLogger) Error(msg string, args ...any) { l.log(slog.LevelWarn, msg, args) }
 
-// Log passes a line on at the level named.
+// Log writes a line at the level named.
 func (l *raftLogger) Log(level hclog.Level, msg string, args ...any) {
 	switch {
 	case level >= hclog.Error:
@@ -51,23 +49,23 @@
 	}
 }
 
-// Named and the others keep this logger in place.
+// Named returns this logger: its lines have one prefix.
 func (l *raftLogger) Named(string) hclog.Logger { return l }
 
-// With adds fields.
+// ResetNamed returns this logger.
+func (l *raftLogger) ResetNamed(string) hclog.Logger { return l }
+
+// With returns a logger with more attributes.
 func (l *raftLogger) With(args ...any) hclog.Logger {
 	return &raftLogger{l.Logger, l.target.With(args...)}
 }
 
-// ResetNamed keeps this logger.
-func (l *raftLogger) ResetNamed(string) hclog.Logger { return l }
-
-// StandardLogger is for parts that write with log.
+// StandardLogger returns a logger of the standard library that writes here.
 func (l *raftLogger) StandardLogger(*hclog.StandardLoggerOptions) *log.Logger {
 	return slog.NewLogLogger(l.target.Handler(), slog.LevelDebug)
 }
 
-// StandardWriter is for parts that write lines.
+// StandardWriter returns a writer whose lines are written here.
 func (l *raftLogger) StandardWriter(*hclog.StandardLoggerOptions) io.Writer {
 	return l.StandardLogger(nil).Writer()
 }
--- a/internal/registry/server/storage.go
+++ b/internal/registry/server/storage.go
@@ -14,77 +14,90 @@
 )
 
 const (
-	identityFile      = "replica.json"
-	logFile           = "raft.db"
-	lockTimeout       = time.Second // for another process to let go of the log
-	retainedSnapshots = 2           // kept: one may prove spoilt
+	lockTimeout       = time.Second // for another process to release the log
+	retainedSnapshots = 2           // one may prove corrupt
 )
 
-// storage is a replica's folder.
+// storage is what a replica has on disk: Raft's log, terms and votes in one BoltDB file,
+// snapshots, and the identity of the folder.
 type storage struct {
-	log       *checkedLog
-	terms     *waitingTermStore
 	bolt      *raftboltdb.BoltStore
+	log       *checkedLog       // in bolt
+	terms     *waitingTermStore // in bolt
 	snapshots raft.SnapshotStore
-	isNew     bool // nothing was there yet
+	isNew     bool // the folder held no log
 }
 
-// openStorage opens the folder, and refuses one that is not this replica's or that
-// cannot be read whole: what was acknowledged must not be lost in silence.
-func openStorage(c *Config, log *raftLogger) (*storage, error) {
+// openStorage opens the data folder. It refuses one that is another replica's or that
+// cannot be read completely: an acknowledged write must not be lost without notice.
+func openStorage(c *Config, logger *raftLogger) (*storage, error) {
 	if err := os.MkdirAll(c.DataDir, 0o700); err != nil {
 		return nil, fmt.Errorf("data folder: %w", err)
 	}
-	fresh, err := claimDataFolder(c)
+	isNew, err := claimDataFolder(c)
 	if err != nil {
 		return nil, err
 	}
 	path := filepath.Join(c.DataDir, logFile)
-	if !fresh {
+	if !isNew {
 		if err := checkLogFile(path); err != nil {
 			return nil, err
 		}
 	}
 	store, err := raftboltdb.New(raftboltdb.Options{Path: path, BoltOptions: &bolt.Options{Timeout: lockTimeout}})
 	if errors.Is(err, bolt.ErrTimeout) {
-		return nil, fmt.Errorf("log %s: in use by another process", path)
+		return nil, lockedError(path)
 	} else if err != nil {
 		return nil, fmt.Errorf("log %s: %w", path, err)
 	}
-	d := &storage{bolt: store, log: &checkedLog{BoltStore: store}, terms: newWaitingTermStore(store), isNew: fresh}
-	if err := d.log.verify(); err != nil {
-		store.Close()
+	s := &storage{bolt: store, log: &checkedLog{BoltStore: store}, terms: newWaitingTermStore(store), isNew: isNew}
+	if err := s.log.verify(); err != nil {
+		s.close()
 		return nil, fmt.Errorf("log %s: %w", path, err)
 	}
-	if d.snapshots, err = raft.NewFileSnapshotStoreWithLogger(c.DataDir, retainedSnapshots, log); err != nil {
-		store.Close()
+	if s.snapshots, err = raft.NewFileSnapshotStoreWithLogger(c.DataDir, retainedSnapshots, logger); err != nil {
+		s.close()
 		return nil, fmt.Errorf("snapshots in %s: %w", c.DataDir, err)
 	}
-	return d, nil
+	return s, nil
 }
 
-// checkLogFile reads the log's file through before it is used: a file that was cut or
-// overwritten would end the process in the middle of its work.
+func (s *storage) close() error { return s.bolt.Close() }
+
+func lockedError(path string) error {
+	return fmt.Errorf("log %s: in use by another process", path)
+}
+
+// checkLogFile reads the log's file completely before it is used: BoltDB maps the file,
+// and one that was truncated or overwritten would crash the process in the middle of its
+// work.
 func checkLogFile(path string) (err error) {
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a file that is too short faults where it is mapped
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a truncated file faults where it is mapped
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("log %s: spoilt: %v", path, p)
+			err = fmt.Errorf("log %s: corrupt: %v", path, p)
 		}
 	}()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true, Timeout: lockTimeout})
 	if errors.Is(err, bolt.ErrTimeout) {
-		return fmt.Errorf("log %s: in use by another process", path)
+		return lockedError(path)
 	} else if err != nil {
-		return fmt.Errorf("log %s: spoilt: %w", path, err)
+		return fmt.Errorf("log %s: corrupt: %w", path, err)
 	}
 	defer db.Close()
-	return db.View(func(tx *bolt.Tx) error {
-		if info, err := os.Stat(path); err != nil || info.Size() < tx.Size() {
-			return fmt.Errorf("log %s: cut short: error %v", path, err)
-		}
-		return tx.ForEach(func(name []byte, b *bolt.Bucket) error {
-			return b.ForEach(func(k, v []byte) error { return nil })
-		})
+	return db.View(func(tx *bolt.Tx) error { return readBuckets(tx, path) })
+}
+
+// readBuckets reads every entry of the log's file.
+func readBuckets(tx *bolt.Tx, path string) error {
+	info, err := os.Stat(path)
+	if err != nil {
+		return fmt.Errorf("log %s: %w", path, err)
+	}
+	if info.Size() < tx.Size() {
+		return fmt.Errorf("log %s: cut short: %d bytes of %d", path, info.Size(), tx.Size())
+	}
+	return tx.ForEach(func(_ []byte, bucket *bolt.Bucket) error {
+		return bucket.ForEach(func(_, _ []byte) error { return nil })
 	})
 }
--- a/internal/registry/server/storage_test.go
+++ b/internal/registry/server/storage_test.go
@@ -72,7 +72,7 @@
 		"another group":      {&other, "belongs to"},
 		"another replica":    {&stranger, "belongs to"},
 		"a folder of others": {&empty, "not a replica's"},
-		"a flipped bit":      {copied(spoilt), "spoilt"},
+		"a flipped bit":      {copied(spoilt), "corrupt"},
 		"cut in the middle":  {copied(whole[:at]), "log "},
 		"cut at the start":   {copied(whole[:100]), "log "},
 		"no log at all":      {copied([]byte(strings.Repeat("noise", 10000))), "log "},
@@ -110,7 +110,7 @@
 	if err := d.bolt.StoreLog(&raft.Log{Index: 2, Term: 1, Data: []byte("entry 2 without its checksum")}); err != nil {
 		t.Fatal(err)
 	}
-	if err := d.log.verify(); err == nil || !strings.Contains(err.Error(), "entry 2 is spoilt") {
+	if err := d.log.verify(); err == nil || !strings.Contains(err.Error(), "entry 2 is corrupt") {
 		t.Errorf("error %v, want entry 2", err)
 	}
 }
--- a/internal/registry/server/stream_layer.go
+++ b/internal/registry/server/stream_layer.go
@@ -16,83 +16,118 @@
 	"barleywick/internal/addressmap"
 )
 
-// streamLayer carries Raft's connections. Each begins with a line that names the group
-// and its history: a replica with data of another group must not be written over
-// by this one, nor take its word.
+const (
+	// handshakeProtocol is the first word on each connection between replicas.
+	handshakeProtocol = "barleywick-registry/1"
+	// An accepted handshake is answered with acceptWord and a handshake line, another one
+	// with refuseWord and the reason.
+	acceptWord, refuseWord = "ok ", "no "
+
+	handshakeTimeout = time.Second
+	maxHandshakeLine = 512 // bytes
+	// maxConcurrentHandshakes bounds the accepted connections whose handshake is not
+	// finished: a group has few replicas.
+	maxConcurrentHandshakes = 32
+	acceptRetryInterval     = 10 * time.Millisecond
+)
+
+// streamLayer carries Raft's connections. Each begins with a handshake that names the
+// group and its history: replicas that hold data of different groups must not replicate
+// to each other.
 type streamLayer struct {
 	net.Listener
 	localHistory func() (group string, founded uint64)
 	routes       addressmap.Table
 
-	accepted  chan net.Conn
+	accepted  chan net.Conn // after their handshakes
 	closed    chan struct{}
 	running   sync.WaitGroup
 	closeOnce sync.Once
 }
 
-const (
-	handshakeProtocol = "barleywick-registry/1"
-	handshakeTimeout  = time.Second
-	maxHandshakeLine  = 512
-	// maxConcurrentHandshakes is how many connections may be at their first line: a group has few replicas.
-	maxConcurrentHandshakes = 32
-)
-
-func newStreamLayer(ln net.Listener, routes addressmap.Table, hello func() (string, uint64)) *streamLayer {
-	l := &streamLayer{Listener: ln, localHistory: hello, routes: routes, accepted: make(chan net.Conn), closed: make(chan struct{})}
+func newStreamLayer(ln net.Listener, routes addressmap.Table, localHistory func() (string, uint64)) *streamLayer {
+	l := &streamLayer{
+		Listener: ln, localHistory: localHistory, routes: routes,
+		accepted: make(chan net.Conn), closed: make(chan struct{}),
+	}
 	l.running.Go(l.acceptLoop)
 	return l
 }
 
-// acceptLoop takes connections and hands on those of this group.
+// acceptLoop accepts connections, and delivers each whose handshake succeeds.
 func (l *streamLayer) acceptLoop() {
-	places := make(chan struct{}, maxConcurrentHandshakes)
+	slots := make(chan struct{}, maxConcurrentHandshakes)
 	for {
-		c, err := l.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		} else if err != nil {
-			slog.Warn("replicas: accept", "err", err)
-			time.Sleep(10 * time.Millisecond)
+			slog.Warn("raft: accept failed", "err", err)
+			time.Sleep(acceptRetryInterval)
 			continue
 		}
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
-			c.Close()
+			conn.Close()
 			continue
 		}
 		l.running.Go(func() {
-			defer func() { <-places }()
-			if err := l.acceptHandshake(c); err != nil {
-				slog.Warn("replicas: a connection is refused", "from", c.RemoteAddr(), "err", err)
-				c.Close()
-				return
-			}
-			select {
-			case l.accepted <- c:
-			case <-l.closed:
-				c.Close()
-			}
+			defer func() { <-slots }()
+			l.deliver(conn)
 		})
 	}
 }
 
-// acceptHandshake reads the other's first line and answers it.
-func (l *streamLayer) acceptHandshake(c net.Conn) error {
-	c.SetDeadline(time.Now().Add(handshakeTimeout))
-	line, err := readHandshakeLine(c)
+// deliver hands a connection to Accept once its handshake has succeeded.
+func (l *streamLayer) deliver(conn net.Conn) {
+	if err := l.acceptHandshake(conn); err != nil {
+		slog.Warn("raft: connection refused by handshake", "from", conn.RemoteAddr(), "err", err)
+		conn.Close()
+		return
+	}
+	select {
+	case l.accepted <- conn:
+	case <-l.closed:
+		conn.Close()
+	}
+}
+
+// acceptHandshake reads the other replica's handshake line and answers it.
+func (l *streamLayer) acceptHandshake(conn net.Conn) error {
+	conn.SetDeadline(time.Now().Add(handshakeTimeout))
+	line, err := readHandshakeLine(conn)
 	if err != nil {
 		return err
 	}
 	if err := l.checkHandshake(line); err != nil {
-		fmt.Fprintf(c, "no %v\n", err)
+		fmt.Fprintf(conn, "%s%v\n", refuseWord, err)
+		return err
+	}
+	if _, err := fmt.Fprintf(conn, "%s%s\n", acceptWord, l.handshakeLine()); err != nil {
+		return err
+	}
+	return conn.SetDeadline(time.Time{})
+}
+
+// dialHandshake sends this replica's handshake line and checks the answer.
+func (l *streamLayer) dialHandshake(conn net.Conn, to raft.ServerAddress, timeout time.Duration) error {
+	conn.SetDeadline(time.Now().Add(min(timeout, handshakeTimeout)))
+	if _, err := fmt.Fprintf(conn, "%s\n", l.handshakeLine()); err != nil {
+		return err
+	}
+	answer, err := readHandshakeLine(conn)
+	if err != nil {
 		return err
 	}
-	if _, err := fmt.Fprintf(c, "ok %s\n", l.handshakeLine()); err != nil {
+	line, ok := strings.CutPrefix(answer, acceptWord)
+	if !ok {
+		return fmt.Errorf("replica at %s: %s", to, answer)
+	}
+	if err := l.checkHandshake(line); err != nil {
 		return err
 	}
-	return c.SetDeadline(time.Time{})
+	return conn.SetDeadline(time.Time{})
 }
 
 func (l *streamLayer) handshakeLine() string {
@@ -100,29 +135,29 @@
 	return fmt.Sprintf("%s %s %d", handshakeProtocol, group, founded)
 }
 
-// checkHandshake says whether another's line is of this group and history. A replica
-// that has none yet may join any.
+// checkHandshake returns an error unless a handshake line is of this group and this
+// history. A replica that has no history yet may join any of its group.
 func (l *streamLayer) checkHandshake(line string) error {
-	var word, group string
+	var protocol, group string
 	var founded uint64
-	if n, err := fmt.Sscanf(line, "%s %s %d", &word, &group, &founded); n != 3 || err != nil || word != handshakeProtocol {
+	if n, err := fmt.Sscanf(line, "%s %s %d", &protocol, &group, &founded); n != 3 || err != nil || protocol != handshakeProtocol {
 		return errors.New("not a replica of a registry")
 	}
-	ours, since := l.localHistory()
+	localGroup, localFounded := l.localHistory()
 	switch {
-	case group != ours:
-		return fmt.Errorf("it is of group %q, this is %q", group, ours)
-	case founded != 0 && since != 0 && founded != since:
-		return fmt.Errorf("its group %q was founded at version %d, this one at %d", group, founded, since)
+	case group != localGroup:
+		return fmt.Errorf("it is of group %q, this is %q", group, localGroup)
+	case founded != 0 && localFounded != 0 && founded != localFounded:
+		return fmt.Errorf("its group %q was founded at version %d, this one at %d", group, founded, localFounded)
 	}
 	return nil
 }
 
-// readHandshakeLine reads one short line byte by byte: what follows is Raft's.
-func readHandshakeLine(c net.Conn) (string, error) {
+// readHandshakeLine reads one short line byte by byte: what follows it is for Raft.
+func readHandshakeLine(conn net.Conn) (string, error) {
 	var text strings.Builder
 	for b := make([]byte, 1); text.Len() < maxHandshakeLine; {
-		if _, err := c.Read(b); err != nil {
+		if _, err := conn.Read(b); err != nil {
 			return "", err
 		}
 		if b[0] == '\n' {
@@ -133,11 +168,11 @@
 	return "", bufio.ErrTooLong
 }
 
-// Accept returns the next connection of another replica of this group.
+// Accept returns the next connection from a replica of this group.
 func (l *streamLayer) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.accepted:
-		return c, nil
+	case conn := <-l.accepted:
+		return conn, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
 	}
@@ -155,28 +190,13 @@
 func (l *streamLayer) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	c, err := l.routes.Dial(0)(ctx, "tcp", string(to))
+	conn, err := l.routes.Dial(0)(ctx, "tcp", string(to))
 	if err != nil {
 		return nil, err
 	}
-	c.SetDeadline(time.Now().Add(min(timeout, handshakeTimeout)))
-	if _, err = fmt.Fprintf(c, "%s\n", l.handshakeLine()); err == nil {
-		var line string
-		if line, err = readHandshakeLine(c); err == nil {
-			rest, ok := strings.CutPrefix(line, "ok ")
-			if !ok {
-				err = fmt.Errorf("replica at %s: %s", to, line)
-			} else {
-				err = l.checkHandshake(rest)
-			}
-		}
-	}
-	if err == nil {
-		err = c.SetDeadline(time.Time{})
-	}
-	if err != nil {
-		c.Close()
+	if err := l.dialHandshake(conn, to, timeout); err != nil {
+		conn.Close()
 		return nil, err
 	}
-	return c, nil
+	return conn, nil
 }
--- a/internal/registry/server/term_store.go
+++ b/internal/registry/server/term_store.go
@@ -10,65 +10,69 @@
 	"github.com/hashicorp/raft"
 )
 
-// termKey is what Raft keeps the current term under.
-const termKey = "CurrentTerm"
-
-// termRetryInterval is between two tries to keep the term on a disk that is full.
-const termRetryInterval = 50 * time.Millisecond
+const (
+	// termKey is the key under which Raft stores the current term.
+	termKey = "CurrentTerm"
+	// termRetryInterval is the time between two tries to store the term on a full disk.
+	termRetryInterval = 50 * time.Millisecond
+)
 
-// waitingTermStore is where Raft keeps its term and its vote. Raft ends the process when the
-// term cannot be kept; on a disk that is full it has to wait here instead, as a replica
-// that takes no part, whose list is served on. A vote that cannot be kept is not given.
+// waitingTermStore is where Raft stores its term and its vote. Raft ends the process if
+// the term cannot be stored. On a full disk it waits here instead: the replica takes no
+// part in elections, and goes on serving its list. A vote that cannot be stored is not
+// given.
 type waitingTermStore struct {
 	raft.StableStore
 	closing chan struct{}
 
 	mu             sync.Mutex
-	wanted, stored uint64 // the latest term that Raft wanted kept, and that is
+	wanted, stored uint64 // the latest term that Raft wanted stored, and the one that is
 
-	waiting atomic.Int64
+	waiting atomic.Int64 // calls that wait for space on the disk
 }
 
-func newWaitingTermStore(s raft.StableStore) *waitingTermStore {
-	return &waitingTermStore{StableStore: s, closing: make(chan struct{})}
+func newWaitingTermStore(store raft.StableStore) *waitingTermStore {
+	return &waitingTermStore{StableStore: store, closing: make(chan struct{})}
 }
 
-// SetUint64 keeps a number. It returns for a term when that is on disk.
-func (p *waitingTermStore) SetUint64(key []byte, value uint64) error {
+// SetUint64 stores a number. For the term it returns only once that is on disk.
+func (s *waitingTermStore) SetUint64(key []byte, value uint64) error {
 	if string(key) != termKey {
-		return p.StableStore.SetUint64(key, value)
+		return s.StableStore.SetUint64(key, value)
 	}
-	for tries := 0; ; tries++ {
-		err := p.storeTerm(key, value)
-		if err == nil {
-			return nil
-		}
-		if tries == 0 {
-			slog.Error("the term cannot be written: this replica takes no part until it can", "term", value, "err", err)
-			p.waiting.Add(1)
-			defer p.waiting.Add(-1)
-		}
+	err := s.storeTerm(key, value)
+	if err == nil {
+		return nil
+	}
+	slog.Error("raft: term not stored, replica takes no part until it is", "term", value, "err", err)
+	s.waiting.Add(1)
+	defer s.waiting.Add(-1)
+	for {
 		select {
 		case <-time.After(termRetryInterval):
-		case <-p.closing:
-			// Raft would end the process at an error, and go on in a term that is not kept at
-			// none. Its goroutine ends here; Raft counts it out as it would at its return.
+		case <-s.closing:
+			// Raft would end the process if an error was returned, and would continue in a
+			// term that is not stored if none was. Its goroutine ends here instead; Raft
+			// counts it as ended, as it would after a return.
 			runtime.Goexit()
 		}
+		if s.storeTerm(key, value) == nil {
+			return nil
+		}
 	}
 }
 
-// storeTerm writes the latest term that was wanted: Raft asks from two goroutines, and the one
-// that waits longest must not be the last word.
-func (p *waitingTermStore) storeTerm(key []byte, term uint64) error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.wanted = max(p.wanted, term); term <= p.stored {
+// storeTerm stores the latest term that was wanted: Raft calls from two goroutines, and
+// the one that waited longest must not set the term back.
+func (s *waitingTermStore) storeTerm(key []byte, term uint64) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.wanted = max(s.wanted, term); term <= s.stored {
 		return nil
 	}
-	err := p.StableStore.SetUint64(key, p.wanted)
+	err := s.StableStore.SetUint64(key, s.wanted)
 	if err == nil {
-		p.stored = p.wanted
+		s.stored = s.wanted
 	}
 	return err
 }
