--- a/internal/registry/server/claims.go
+++ b/internal/registry/server/claims.go
@@ -7,64 +7,67 @@
 	"barleywick/internal/registry"
 )
 
-// syncLeasesLocked lets the clock follow the claims of the state. The lock is held.
-func (r *Replica) syncLeasesLocked(now time.Time) {
-	r.stateMachine.view(func(s *registry.State) { r.leases.Sync(s.Leases(), now) })
+// syncClaimsLocked takes claims over that have begun or ended in the state. The caller
+// holds the lock of leadership.
+func (r *Replica) syncClaimsLocked(now time.Time) {
+	r.stateMachine.view(func(s *registry.State) { r.leadership.claims.Sync(s.Leases(), now) })
 }
 
-// expireClaims ends the claims whose time is up.
+// expireClaims opens grants when that is due, and ends the claims that have expired.
 func (r *Replica) expireClaims(now time.Time, term uint64) {
-	r.mu.Lock()
-	r.syncLeasesLocked(now)
-	ended, open := r.leases.TakeExpired(now)
-	r.mu.Unlock()
+	l := &r.leadership
+	l.mu.Lock()
+	r.syncClaimsLocked(now)
+	expired, open := l.claims.TakeExpired(now)
+	l.mu.Unlock()
 	if open {
 		if _, err := r.apply(registry.Command{Op: registry.OpOpenGrants, Lease: new(registry.LeaseCommand), Term: term}); err != nil {
-			slog.Warn("leases: grants cannot begin", "err", err)
+			slog.Warn("lease: opening grants failed", "err", err)
 			return
 		}
-		slog.Info("leases: grants begin")
+		slog.Info("lease: grants opened")
 	}
-	if len(ended) == 0 {
+	if len(expired) == 0 {
 		return
 	}
-	if _, err := r.apply(registry.Command{Op: registry.OpExpireClaims, Lease: &registry.LeaseCommand{Expired: ended}, Term: term}); err != nil {
-		slog.Warn("leases: claims whose time is up are not ended", "err", err) // the next look tries again
+	if _, err := r.apply(registry.Command{Op: registry.OpExpireClaims, Lease: &registry.LeaseCommand{Expired: expired}, Term: term}); err != nil {
+		slog.Warn("lease: expired claims not ended", "err", err) // the next tick tries again
 		return
 	}
-	r.ended.Add(uint64(len(ended)))
-	for _, e := range ended {
-		slog.Info("leases: a claim's time is up", "lease", e.Lease, "claim", e.ClaimID)
+	r.counters.expiredClaims.Add(uint64(len(expired)))
+	for _, claim := range expired {
+		slog.Info("lease: claim expired", "lease", claim.Lease, "claim", claim.ClaimID)
 	}
 }
 
-// renewClaims notes signs of life that came at a time. A leader has to make sure that
-// it was one after that time: whoever leads next begins later than that and gives
-// every claim its full time, so none can end before its holder's count does.
-func (r *Replica) renewClaims(of registry.Holder, claims []registry.ClaimRef, at time.Time) ([]registry.ClaimStatus, error) {
-	r.mu.Lock()
-	err, clock := r.requireLeaderLocked(), r.leases
-	r.mu.Unlock()
+// renewClaims renews claims as of the time at. The leader has to verify that it still
+// led after that time: whoever leads next begins later and gives every claim its full
+// time, so no claim can end before its holder counts it as ended.
+func (r *Replica) renewClaims(holder registry.Holder, claims []registry.ClaimRef, at time.Time) ([]registry.ClaimStatus, error) {
+	l := &r.leadership
+	l.mu.Lock()
+	err, tracker := r.requireLeaderLocked(), l.claims
+	l.mu.Unlock()
 	if err != nil {
 		return nil, err
 	}
 	if err := r.verifyLeadership(); err != nil {
 		return nil, err
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if err := r.requireLeaderLocked(); err != nil {
 		return nil, err
 	}
-	if r.leases != clock { // it led, lost that and leads again: what was made sure of is of the past
+	if l.claims != tracker { // leadership was lost and won again: the verification was of an earlier term
 		return nil, errNewLeader
 	}
-	var answers []registry.ClaimStatus
-	r.stateMachine.view(func(s *registry.State) { answers = r.leases.RenewClaims(s.Leases(), of, claims, at) })
-	for _, a := range answers {
-		if a.Token != 0 || a.QueuePosition != 0 {
-			r.renewals.Add(1)
+	var statuses []registry.ClaimStatus
+	r.stateMachine.view(func(s *registry.State) { statuses = l.claims.RenewClaims(s.Leases(), holder, claims, at) })
+	for _, status := range statuses {
+		if status.Token != 0 || status.QueuePosition != 0 {
+			r.counters.renewedClaims.Add(1)
 		}
 	}
-	return answers, nil
+	return statuses, nil
 }
--- a/internal/registry/server/config.go
+++ b/internal/registry/server/config.go
@@ -1,10 +1,11 @@
-// Package server replicates the list of booking servers with Raft and serves it:
-// the protocol's list and watch, and the write interface.
+// Package server replicates the state of package registry with Raft and serves it over
+// HTTP: the protocol's list and watch, and the API for writes.
 package server
 
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net/netip"
 	"os"
@@ -16,69 +17,69 @@
 	"barleywick/internal/registry"
 )
 
-// Config is what a replica is told.
+// Config is a replica's configuration file.
 type Config struct {
-	Group    string                 `json:"group"`
-	ID       string                 `json:"id"`
-	DataDir  string                 `json:"data"`     // the folder that holds its log
-	Replicas []registry.ReplicaInfo `json:"replicas"` // the group at its founding, this one among them
-	// Join says that this replica is added to a group that runs already: it founds
-	// none, and waits until an operator adds it.
+	Group   string `json:"group"`
+	ID      string `json:"id"`
+	DataDir string `json:"data"` // the folder of its log and snapshots
+	// Replicas is the group at its founding, this replica among them.
+	Replicas []registry.ReplicaInfo `json:"replicas"`
+	// Join says that this replica is added to a running group: it does not found one,
+	// and waits until an operator adds it.
 	Join     bool          `json:"join"`
 	Limits   Limits        `json:"limits"`
 	Sessions SessionConfig `json:"sessions"`
 	Leases   LeaseConfig   `json:"leases"`
 	Timing   TimingConfig  `json:"timing"`
-	// Routes are where to call instead of other replicas' addresses, where the way
-	// there leads over something.
+	// Routes maps other replicas' addresses to those to call instead, for example of a
+	// forwarder on the way.
 	Routes addressmap.Table `json:"routes,omitempty"`
-	// Membership lets it know the other processes of the fleet without the registry;
-	// docs/MEMBERSHIP.md. nil: it does not.
+	// Membership makes the replica a member of the fleet (docs/MEMBERSHIP.md); nil: it is none.
 	Membership *membership.Config `json:"membership,omitempty"`
 }
 
-// Limits bound what callers may take.
+// Limits bound what is served at once.
 type Limits struct {
-	Watches int `json:"watches"` // open at once
-	Calls   int `json:"calls"`   // under way at once, but for watches that are open
-	Waiting int `json:"waiting"` // that wait for their turn
+	Watches int `json:"watches"` // open watches and long polls
+	Calls   int `json:"calls"`   // other calls
+	Waiting int `json:"waiting"` // calls that wait to be served
 }
 
-// maxConnections is how many callers there may be at once.
+// maxConnections is how many callers can be served or wait at once.
 func (l Limits) maxConnections() int { return l.Watches + l.Calls + l.Waiting }
 
-// SessionConfig are the rules on instances that stop renewing.
+// SessionConfig holds the rules for sessions of instances.
 type SessionConfig struct {
-	Floor    float64 `json:"floor"`        // the part of the sessions that no silence removes
-	WindowMS int64   `json:"within_ms"`    // of those there were in this time
-	MinTTLMS int64   `json:"least_ttl_ms"` // what an instance may ask for
+	Floor    float64 `json:"floor"`        // the fraction of the recent sessions below which expiry is held back
+	WindowMS int64   `json:"within_ms"`    // how far back sessions count as recent
+	MinTTLMS int64   `json:"least_ttl_ms"` // of what an instance may ask for
 	MaxTTLMS int64   `json:"most_ttl_ms"`
 }
 
-// LeaseConfig are the rules on leases.
+// LeaseConfig holds the rules for leases.
 type LeaseConfig struct {
-	MinTTLMS        int64 `json:"least_ttl_ms"` // what a claim may ask for
+	MinTTLMS        int64 `json:"least_ttl_ms"` // of what a claim may ask for
 	MaxTTLMS        int64 `json:"most_ttl_ms"`
-	WritesPerSecond int64 `json:"writes_per_s"` // commands on leases that a leader takes; renewals are none
+	WritesPerSecond int64 `json:"writes_per_s"` // commands on leases that a leader applies; renewals are none
 }
 
-// TimingConfig is how long replicas wait for each other.
+// TimingConfig holds the times that replicas wait for each other.
 type TimingConfig struct {
-	ElectionMS int64 `json:"election_ms"` // without a leader's word before a replica stands for election
+	ElectionMS int64 `json:"election_ms"` // without a leader's heartbeat before a replica stands for election
 }
 
 const (
-	defaultWatches       = 1024 // several hundred sidecars, and as many again as they change over
+	defaultWatches       = 1024 // several hundred sidecars, and as many again while they are replaced
 	defaultCalls         = 16
 	defaultWaiting       = 512
 	defaultFloor         = 0.5
 	defaultSessionWindow = time.Minute
-	defaultMinTTL        = 500 * time.Millisecond // as long as an election may begin late
+	defaultMinTTL        = 500 * time.Millisecond // by how much an election may begin late
 	defaultMaxTTL        = time.Hour
-	defaultElection      = 500 * time.Millisecond // on loopback a word takes under a millisecond
-	defaultMinLeaseTTL   = 500 * time.Millisecond // as long as an election may begin late
-	defaultMaxLeaseTTL   = 15 * time.Second       // a new group grants none for that long
-	defaultLeaseWrites   = 1000                   // several times what half of a thousand leases moving in a second take
+	defaultElection      = 500 * time.Millisecond // on loopback a message takes under a millisecond
+	defaultMinLeaseTTL   = 500 * time.Millisecond // by how much an election may begin late
+	defaultMaxLeaseTTL   = 15 * time.Second       // for that long a new group grants no lease
+	defaultLeaseWrites   = 1000                   // several times what half of a thousand leases that move in one second need
 	minElectionTimeout   = 50 * time.Millisecond
 	maxReplicas          = 7
 )
@@ -96,18 +97,9 @@
 	return c, nil
 }
 
-// ParseConfig reads a configuration and fills in what it leaves out. An unknown
-// key is an error.
+// ParseConfig reads a configuration and fills in the defaults. An unknown key is an error.
 func ParseConfig(text []byte) (*Config, error) {
-	c := &Config{
-		Limits: Limits{Watches: defaultWatches, Calls: defaultCalls, Waiting: defaultWaiting},
-		Sessions: SessionConfig{
-			Floor: defaultFloor, WindowMS: defaultSessionWindow.Milliseconds(),
-			MinTTLMS: defaultMinTTL.Milliseconds(), MaxTTLMS: defaultMaxTTL.Milliseconds(),
-		},
-		Leases: LeaseConfig{MinTTLMS: defaultMinLeaseTTL.Milliseconds(), MaxTTLMS: defaultMaxLeaseTTL.Milliseconds(), WritesPerSecond: defaultLeaseWrites},
-		Timing: TimingConfig{ElectionMS: defaultElection.Milliseconds()},
-	}
+	c := defaultConfig()
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(c); err != nil {
@@ -119,7 +111,38 @@
 	return c, nil
 }
 
+func defaultConfig() *Config {
+	return &Config{
+		Limits: Limits{Watches: defaultWatches, Calls: defaultCalls, Waiting: defaultWaiting},
+		Sessions: SessionConfig{
+			Floor:    defaultFloor,
+			WindowMS: defaultSessionWindow.Milliseconds(),
+			MinTTLMS: defaultMinTTL.Milliseconds(),
+			MaxTTLMS: defaultMaxTTL.Milliseconds(),
+		},
+		Leases: LeaseConfig{
+			MinTTLMS:        defaultMinLeaseTTL.Milliseconds(),
+			MaxTTLMS:        defaultMaxLeaseTTL.Milliseconds(),
+			WritesPerSecond: defaultLeaseWrites,
+		},
+		Timing: TimingConfig{ElectionMS: defaultElection.Milliseconds()},
+	}
+}
+
+// validate returns an error that says in one line what is wrong first.
 func (c *Config) validate() error {
+	for _, check := range []func() error{c.validateIdentity, c.validateReplicas, c.validateRanges, c.validateFloor, c.validateRoutes} {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	if c.Membership != nil {
+		return c.Membership.Check()
+	}
+	return nil
+}
+
+func (c *Config) validateIdentity() error {
 	if err := registry.CheckName("group", c.Group); err != nil {
 		return err
 	}
@@ -127,33 +150,40 @@
 		return err
 	}
 	if c.DataDir == "" {
-		return fmt.Errorf("data is missing: the folder for this replica's log")
+		return errors.New("data is missing: the folder for this replica's log")
 	}
+	return nil
+}
+
+func (c *Config) validateReplicas() error {
 	if len(c.Replicas) == 0 || len(c.Replicas) > maxReplicas {
 		return fmt.Errorf("replicas: %d are named, 1 to %d may be", len(c.Replicas), maxReplicas)
 	}
 	if !c.Join && len(c.Replicas)%2 == 0 {
 		return fmt.Errorf("replicas: %d are named, an odd number is needed: an even one bears no more losses", len(c.Replicas))
 	}
-	seen := make(map[string]string)
-	for _, m := range c.Replicas {
-		if err := validateMember(m); err != nil {
+	owner := make(map[string]string) // of each id and address
+	for _, replica := range c.Replicas {
+		if err := validateReplica(replica); err != nil {
 			return fmt.Errorf("replicas: %w", err)
 		}
-		for _, of := range []string{"id " + m.ID, "address " + m.HTTP, "address " + m.Raft} {
-			if other, ok := seen[of]; ok {
-				return fmt.Errorf("replicas: %s belongs to %s and to %s", of, other, m.ID)
+		for _, unique := range []string{"id " + replica.ID, "address " + replica.HTTP, "address " + replica.Raft} {
+			if other, ok := owner[unique]; ok {
+				return fmt.Errorf("replicas: %s belongs to %s and to %s", unique, other, replica.ID)
 			}
-			seen[of] = m.ID
+			owner[unique] = replica.ID
 		}
 	}
 	if _, ok := c.findSelf(); !ok {
 		return fmt.Errorf("replicas: none has the id %q of this one", c.ID)
 	}
+	return nil
+}
+
+func (c *Config) validateRanges() error {
 	for _, f := range []struct {
-		name        string
-		value       int64
-		least, most int64
+		key             string
+		value, min, max int64
 	}{
 		{"limits.watches", int64(c.Limits.Watches), 1, 1 << 20},
 		{"limits.calls", int64(c.Limits.Calls), 1, 1 << 12},
@@ -166,62 +196,68 @@
 		{"leases.writes_per_s", c.Leases.WritesPerSecond, 1, 1 << 20},
 		{"timing.election_ms", c.Timing.ElectionMS, minElectionTimeout.Milliseconds(), time.Minute.Milliseconds()},
 	} {
-		if f.value < f.least || f.value > f.most {
-			return fmt.Errorf("%s is %d, it must lie between %d and %d", f.name, f.value, f.least, f.most)
+		if f.value < f.min || f.value > f.max {
+			return fmt.Errorf("%s is %d, it must lie between %d and %d", f.key, f.value, f.min, f.max)
 		}
 	}
-	if !(c.Sessions.Floor >= 0 && c.Sessions.Floor <= 1) {
+	return nil
+}
+
+func (c *Config) validateFloor() error {
+	if !(c.Sessions.Floor >= 0 && c.Sessions.Floor <= 1) { // also false for NaN
 		return fmt.Errorf("sessions.floor is %v, a part between 0 and 1 is needed", c.Sessions.Floor)
 	}
+	return nil
+}
+
+func (c *Config) validateRoutes() error {
 	if err := c.Routes.Check(); err != nil {
 		return fmt.Errorf("routes: %w", err)
 	}
-	if c.Membership != nil {
-		return c.Membership.Check()
-	}
 	return nil
 }
 
-func validateMember(m registry.ReplicaInfo) error {
-	if err := registry.CheckName("id", m.ID); err != nil {
+// validateReplica returns an error if a replica's id or addresses cannot be used.
+func validateReplica(replica registry.ReplicaInfo) error {
+	if err := registry.CheckName("id", replica.ID); err != nil {
 		return err
 	}
-	for _, f := range [][2]string{{"http", m.HTTP}, {"raft", m.Raft}} {
-		a, err := netip.ParseAddrPort(f[1])
+	for _, address := range []struct{ key, value string }{{"http", replica.HTTP}, {"raft", replica.Raft}} {
+		parsed, err := netip.ParseAddrPort(address.value)
 		switch {
 		case err != nil:
-			return fmt.Errorf("%s: %s %.64q is not an address with a port", m.ID, f[0], f[1])
-		case !a.Addr().Unmap().IsLoopback():
-			return fmt.Errorf("%s: %s %s is not a loopback address", m.ID, f[0], f[1])
+			return fmt.Errorf("%s: %s %.64q is not an address with a port", replica.ID, address.key, address.value)
+		case !parsed.Addr().Unmap().IsLoopback():
+			return fmt.Errorf("%s: %s %s is not a loopback address", replica.ID, address.key, address.value)
 		}
 	}
 	return nil
 }
 
-// Self is this replica, with its addresses.
+// Self returns this replica's id and addresses.
 func (c *Config) Self() registry.ReplicaInfo {
-	m, _ := c.findSelf()
-	return m
+	self, _ := c.findSelf()
+	return self
 }
 
-// findSelf is this replica among those named.
+// findSelf returns this replica among those of the configuration.
 func (c *Config) findSelf() (registry.ReplicaInfo, bool) {
-	i := slices.IndexFunc(c.Replicas, func(m registry.ReplicaInfo) bool { return m.ID == c.ID })
+	i := slices.IndexFunc(c.Replicas, func(replica registry.ReplicaInfo) bool { return replica.ID == c.ID })
 	if i < 0 {
 		return registry.ReplicaInfo{}, false
 	}
 	return c.Replicas[i], true
 }
 
-// reloaded takes over from a fresh configuration what may change under way, and
-// says so where something else has changed.
+// reloaded returns this configuration with what may change while a replica runs taken
+// from a fresh one. It returns an error if anything else differs.
 func (c *Config) reloaded(fresh *Config) (*Config, error) {
 	next := *c
 	next.Limits, next.Sessions = fresh.Limits, fresh.Sessions
-	a, errA := json.Marshal(next)
-	b, errB := json.Marshal(fresh)
-	if errA != nil || errB != nil || !bytes.Equal(a, b) {
-		return nil, fmt.Errorf("only limits and sessions may change while a replica runs")
+	nextText, nextErr := json.Marshal(next)
+	freshText, freshErr := json.Marshal(fresh)
+	if nextErr != nil || freshErr != nil || !bytes.Equal(nextText, freshText) {
+		return nil, errors.New("only limits and sessions may change while a replica runs")
 	}
 	return &next, nil
 }
--- a/internal/registry/server/freshness.go
+++ b/internal/registry/server/freshness.go
@@ -14,8 +14,24 @@
 	"barleywick/internal/registry"
 )
 
-// freshness says how fresh what this replica tells is, for the header.
-func (r *Replica) freshness(now time.Time) (word string, age time.Duration) {
+const (
+	// staleElections is after how many election timeouts without contact with a leader
+	// a replica calls its reads stale.
+	staleElections = 3
+	// catchUpInterval is the mean time between two tries to become ready.
+	catchUpInterval = 50 * time.Millisecond
+	// appliedPollInterval is how often a linearizable read looks whether the log is applied.
+	appliedPollInterval = time.Millisecond
+)
+
+var (
+	errNotReady = errors.New("this replica has not caught up with its group yet")
+	errNoLeader = errors.New("no leader is known: this replica has no contact with a quorum")
+)
+
+// freshness returns how fresh reads from this replica are: registry.ReadCurrent or
+// registry.ReadStale, and the time since the last contact with a leader.
+func (r *Replica) freshness(now time.Time) (freshness string, age time.Duration) {
 	if r.raft.State() == raft.Leader {
 		return registry.ReadCurrent, 0
 	}
@@ -23,15 +39,15 @@
 	if last.IsZero() {
 		return registry.ReadStale, 0
 	}
-	age = max(0, now.Sub(last)) // the leader may have been heard since now was read
+	age = max(0, now.Sub(last)) // the leader may have been in contact since now was read
 	if leader, _ := r.raft.LeaderWithID(); leader == "" || age > staleElections*r.config.Load().electionTimeout() {
 		return registry.ReadStale, age
 	}
 	return registry.ReadCurrent, age
 }
 
-// linearize makes sure that this replica leads and has applied all that any
-// replica has acknowledged.
+// linearize returns once this replica is verified to lead and has applied everything
+// that any replica had acknowledged when the call began.
 func (r *Replica) linearize() error {
 	term, err := r.requireLeaderTerm()
 	if err != nil {
@@ -41,8 +57,8 @@
 	if err := r.verifyLeadership(); err != nil {
 		return err
 	}
-	// It may have lost the lead after the index was read and have won it again: what others
-	// have committed in between is not within that index.
+	// Leadership may have been lost after the index was read, and won again: entries
+	// that another leader committed in between are not within that index.
 	if now, err := r.requireLeaderTerm(); err != nil || now != term {
 		return errNewLeader
 	}
@@ -50,18 +66,18 @@
 		if time.Now().After(deadline) {
 			return errors.New("the log is applied too slowly")
 		}
-		time.Sleep(time.Millisecond)
+		time.Sleep(appliedPollInterval)
 	}
 	return nil
 }
 
-// catchUp makes the replica ready once it holds what the group held when it
-// came: before, it would tell watchers of a list that they have left behind.
+// catchUp makes the replica ready once it has applied what the group had committed when
+// it started. Before, it would show watchers a list older than the one they have.
 func (r *Replica) catchUp() {
 	for r.ctx.Err() == nil {
 		if seq, err := r.leaderListVersion(); err == nil && seq > 0 && r.stateMachine.seq() >= seq {
 			r.ready.Store(true)
-			slog.Info("ready", "seq", r.stateMachine.seq())
+			slog.Info("registry: ready", "seq", r.stateMachine.seq())
 			return
 		}
 		select {
@@ -71,7 +87,7 @@
 	}
 }
 
-// leaderListVersion asks the leader for the list's version.
+// leaderListVersion returns the list's version at the leader.
 func (r *Replica) leaderListVersion() (uint64, error) {
 	_, id := r.raft.LeaderWithID()
 	if string(id) == r.self.ID {
@@ -93,37 +109,38 @@
 		return 0, err
 	}
 	defer resp.Body.Close()
-	var status registry.StatusResponse
 	if resp.StatusCode != http.StatusOK {
 		return 0, fmt.Errorf("the leader answers %d", resp.StatusCode)
 	}
+	var status registry.StatusResponse
 	if err := json.NewDecoder(resp.Body).Decode(&status); err != nil {
 		return 0, err
 	}
 	return status.Seq, nil
 }
 
-var errNoLeader = errors.New("no leader is known: this replica has no contact with a quorum")
-
-// endWatchesWhenStale ends the watches when this replica becomes stale: those that can follow
-// another replica do, and the others come back and are told that it is.
+// endWatchesWhenStale ends the open watches each time this replica becomes stale, so
+// that watchers with another address go there. The others come back and read in the
+// header that the list is stale.
 func (r *Replica) endWatchesWhenStale() {
 	tick := time.NewTicker(r.config.Load().electionTimeout() / 2)
 	defer tick.Stop()
-	was := registry.ReadCurrent
+	last := registry.ReadCurrent
 	for {
 		select {
 		case <-r.ctx.Done():
 			return
-		case <-tick.C: // its time may be one from before this process was stopped
-			word, age := r.freshness(time.Now())
-			if word != was && word == registry.ReadStale && r.ready.Load() {
-				slog.Warn("no leader is heard of: the list goes on as stale", "age", age)
-				r.broadcaster.endWatches()
-			} else if word != was && word == registry.ReadCurrent {
-				slog.Info("a leader is heard of again")
-			}
-			was = word
+		case <-tick.C: // its value may be a time from before this process was stopped
+		}
+		freshness, age := r.freshness(time.Now())
+		switch {
+		case freshness == last:
+		case freshness == registry.ReadCurrent:
+			slog.Info("registry: leader found again")
+		case r.ready.Load():
+			slog.Warn("registry: no leader, list served as stale", "age", age)
+			r.broadcaster.endWatches()
 		}
+		last = freshness
 	}
 }
--- a/internal/registry/server/group.go
+++ b/internal/registry/server/group.go
@@ -10,7 +10,11 @@
 	"barleywick/internal/registry"
 )
 
-// voters are the replicas that count for a quorum.
+// memberKeyPrefix begins the keys of the records that hold the addresses of replicas
+// which were added to the group after its founding.
+const memberKeyPrefix = "member:"
+
+// voters returns the replicas that count for a quorum.
 func (r *Replica) voters() []raft.Server {
 	f := r.raft.GetConfiguration()
 	if f.Error() != nil {
@@ -19,30 +23,33 @@
 	return f.Configuration().Servers
 }
 
-// findReplica finds a replica by its id: where the fleet's members see it, or else one of the
-// founding ones, or one added since.
+// findReplica returns the addresses of a replica: as members of the fleet see them, or
+// else from its record, or else from the configuration.
 func (r *Replica) findReplica(id string) (registry.ReplicaInfo, bool) {
-	if m, ok := r.gossipedAddress(id); ok {
-		return m, true
+	if info, ok := r.gossipedAddress(id); ok {
+		return info, true
 	}
-	var m registry.ReplicaInfo
-	added := false
-	r.stateMachine.view(func(s *registry.State) {
-		if rec, ok := s.Record(memberKeyPrefix + id); ok {
-			added = json.Unmarshal(rec.Value, &m) == nil
-		}
-	})
-	if added {
-		return m, true
+	if info, ok := r.addedReplica(id); ok {
+		return info, true
 	}
-	all := r.config.Load().Replicas
-	if i := slices.IndexFunc(all, func(m registry.ReplicaInfo) bool { return m.ID == id }); i >= 0 {
-		return all[i], true
+	founding := r.config.Load().Replicas
+	if i := slices.IndexFunc(founding, func(m registry.ReplicaInfo) bool { return m.ID == id }); i >= 0 {
+		return founding[i], true
 	}
 	return registry.ReplicaInfo{}, false
 }
 
-// leader is the replica that leads, if one is known.
+// addedReplica returns the addresses of a replica that was added after the founding.
+func (r *Replica) addedReplica(id string) (info registry.ReplicaInfo, ok bool) {
+	r.stateMachine.view(func(s *registry.State) {
+		if record, found := s.Record(memberKeyPrefix + id); found {
+			ok = json.Unmarshal(record.Value, &info) == nil
+		}
+	})
+	return info, ok
+}
+
+// leader returns the replica that leads, if one is known.
 func (r *Replica) leader() (registry.ReplicaInfo, bool) {
 	_, id := r.raft.LeaderWithID()
 	if id == "" {
@@ -51,22 +58,22 @@
 	return r.findReplica(string(id))
 }
 
-// addReplica takes a replica into the group.
-func (r *Replica) addReplica(m registry.ReplicaInfo) error {
+// addReplica adds a replica to the group.
+func (r *Replica) addReplica(info registry.ReplicaInfo) error {
 	if err := r.requireLeader(); err != nil {
 		return err
 	}
-	text, err := json.Marshal(m)
+	text, err := json.Marshal(info)
 	if err != nil {
 		return err
 	}
-	if _, err := r.apply(registry.Command{Op: registry.OpPutRecord, Key: memberKeyPrefix + m.ID, Value: text}); err != nil {
+	if _, err := r.apply(registry.Command{Op: registry.OpPutRecord, Key: memberKeyPrefix + info.ID, Value: text}); err != nil {
 		return err
 	}
-	return r.raft.AddVoter(raft.ServerID(m.ID), raft.ServerAddress(m.Raft), 0, writeTimeout).Error()
+	return r.raft.AddVoter(raft.ServerID(info.ID), raft.ServerAddress(info.Raft), 0, writeTimeout).Error()
 }
 
-// removeReplica takes a replica out of the group.
+// removeReplica removes a replica from the group.
 func (r *Replica) removeReplica(id string) error {
 	if err := r.requireLeader(); err != nil {
 		return err
--- a/internal/registry/server/handler.go
+++ b/internal/registry/server/handler.go
@@ -8,6 +8,7 @@
 	"io"
 	"log/slog"
 	"net/http"
+	"strconv"
 	"time"
 
 	"barleywick/internal/membership"
@@ -15,75 +16,87 @@
 )
 
 const (
-	maxBody                = 64 << 10 // of a write
-	maxBackup              = 8 << 20
-	maxHeader              = 16 << 10
-	callTimeout            = 10 * time.Second // for a whole call, its wait for a turn included
-	queueTimeout           = time.Second      // for a turn, and for a version that is on its way
-	headerTimeout          = 2 * time.Second
-	idleTimeout            = 30 * time.Second
-	watchLineTimeout       = 2 * time.Second // for a watch to take a line: the next empty one is due by then
-	watchHeartbeatInterval = 2 * time.Second // an empty line, by the protocol
-	// retryAfterBase is when a caller that was refused is to try again, more or less: all
-	// are refused together, and should not come back so.
-	retryAfterBase = time.Second
+	maxBody       = 64 << 10         // of a write, in bytes
+	maxBackup     = 8 << 20          // bytes
+	maxHeader     = 16 << 10         // bytes
+	callTimeout   = 10 * time.Second // for a whole call, its time in the queue included
+	queueTimeout  = time.Second      // in the call limiter's queue, and for a list version that is on its way
+	headerTimeout = 2 * time.Second
+	idleTimeout   = 30 * time.Second
 )
 
-// Handler serves the protocol and the write interface.
+// apiHandler answers a call. An error that it returns is answered by writeError; it has
+// written nothing then.
+type apiHandler func(w http.ResponseWriter, req *http.Request) error
+
+// Handler returns the replica's HTTP interface: the protocol's list and watch, the API
+// for writes, health and metrics.
 func (r *Replica) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+registry.ListPath, r.serveList)
-	at := func(method, path string, h func(w http.ResponseWriter, q *http.Request) error) {
-		mux.HandleFunc(method+" "+registry.APIPath+path, func(w http.ResponseWriter, q *http.Request) {
-			if err := r.limited(q, func() error { return h(w, q) }); err != nil {
-				r.writeError(w, q, err)
-			}
-		})
+	mux.HandleFunc("GET /health/ready", r.serveReady)
+	mux.HandleFunc("GET /metrics", r.serveMetrics)
+
+	api := func(method, path string, handler http.HandlerFunc) {
+		mux.HandleFunc(method+" "+registry.APIPath+path, handler)
 	}
-	at("GET", "instances", r.serveEntries)
-	at("PUT", "instances/{host}", r.serveRegister)
-	at("POST", "instances/{host}/renew", r.serveRenew)
-	at("DELETE", "instances/{host}", r.serveRemove)
-	at("POST", "marks", r.serveMark)
-	at("GET", "records", r.serveRecords)
-	at("GET", "records/{key}", r.serveRecord)
-	at("PUT", "records/{key}", r.servePutRecord)
-	at("DELETE", "records/{key}", r.serveDeleteRecord)
-	at("POST", "leases/{name}/acquire", r.serveAcquire)
-	at("POST", "leases/{name}/release", r.serveRelease)
-	at("POST", "leases/{name}/ask", r.serveYieldRequest)
-	at("POST", "renewals", r.serveRenewals)
-	mux.HandleFunc("GET "+registry.APIPath+"leases", r.longPoll(r.serveLeases))
-	at("POST", "policy", r.servePolicyStep)
-	mux.HandleFunc("GET "+registry.APIPath+"policy", r.longPoll(r.servePolicyStatus))
-	mux.HandleFunc("GET "+registry.APIPath+"policy/view", r.longPoll(r.servePolicyView))
-	mux.HandleFunc("GET "+registry.APIPath+"term", r.serveTerm)
-	at("PUT", "members/{id}", r.serveAddMember)
-	at("DELETE", "members/{id}", r.serveRemoveMember)
-	at("GET", "backup", r.serveBackup)
-	at("POST", "restore", r.serveRestore)
-	at("GET", "status", r.serveStatus)
+	api("GET", "instances", r.limited(r.serveRegistrations))
+	api("PUT", "instances/{host}", r.limited(r.serveRegister))
+	api("POST", "instances/{host}/renew", r.limited(r.serveRenew))
+	api("DELETE", "instances/{host}", r.limited(r.serveRemove))
+	api("POST", "marks", r.limited(r.serveMark))
+
+	api("GET", "records", r.limited(r.serveRecordKeys))
+	api("GET", "records/{key}", r.limited(r.serveRecord))
+	api("PUT", "records/{key}", r.limited(r.servePutRecord))
+	api("DELETE", "records/{key}", r.limited(r.serveDeleteRecord))
+
+	api("GET", "leases", r.longPoll(r.serveLeases))
+	api("POST", "leases/{name}/acquire", r.limited(r.serveAcquire))
+	api("POST", "leases/{name}/release", r.limited(r.serveRelease))
+	api("POST", "leases/{name}/ask", r.limited(r.serveYieldRequest))
+	api("POST", "renewals", r.limited(r.serveRenewals))
+
+	api("GET", "policy", r.longPoll(r.servePolicyStatus))
+	api("GET", "policy/view", r.longPoll(r.servePolicyView))
+	api("POST", "policy", r.limited(r.servePolicyStep))
+
+	api("GET", "status", r.limited(r.serveStatus))
+	api("GET", "backup", r.limited(r.serveBackup))
+	api("POST", "restore", r.limited(r.serveRestore))
+	api("PUT", "members/{id}", r.limited(r.serveAddReplica))
+	api("DELETE", "members/{id}", r.limited(r.serveRemoveReplica))
+	api("GET", "term", r.serveTerm)
 	mux.HandleFunc(registry.APIPath+membership.ViewPath, r.serveMembership)
-	mux.HandleFunc("GET /health/ready", func(w http.ResponseWriter, q *http.Request) {
-		if !r.ready.Load() {
-			r.writeError(w, q, errNotReady)
-		}
-	})
-	mux.HandleFunc("GET /metrics", r.serveMetrics)
 	return mux
 }
 
-// HTTPServer serves a replica with limits on everything that a caller may hold.
+// HTTPServer returns a server for Handler with limits on everything that a caller may
+// hold.
 func (r *Replica) HTTPServer() *http.Server {
 	return &http.Server{
-		Handler: r.Handler(), ReadHeaderTimeout: headerTimeout, ReadTimeout: callTimeout, WriteTimeout: callTimeout, IdleTimeout: idleTimeout,
-		MaxHeaderBytes: maxHeader, ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
+		Handler:           r.Handler(),
+		ReadHeaderTimeout: headerTimeout,
+		ReadTimeout:       callTimeout,
+		WriteTimeout:      callTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeader,
+		ErrorLog:          slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
 }
 
-// limited runs a call when it is its turn.
-func (r *Replica) limited(q *http.Request, call func() error) error {
-	ctx, cancel := context.WithTimeout(q.Context(), queueTimeout)
+// limited serves calls as the call limiter admits them.
+func (r *Replica) limited(handler apiHandler) http.HandlerFunc {
+	return func(w http.ResponseWriter, req *http.Request) {
+		if err := r.admitted(req, func() error { return handler(w, req) }); err != nil {
+			r.writeError(w, req, err)
+		}
+	}
+}
+
+// admitted runs a call when the call limiter admits it.
+func (r *Replica) admitted(req *http.Request, call func() error) error {
+	ctx, cancel := context.WithTimeout(req.Context(), queueTimeout)
 	defer cancel()
 	if err := r.limiter.acquire(ctx); err != nil {
 		return errBusy
@@ -92,22 +105,15 @@
 	return call()
 }
 
-func writeJSON(w io.Writer, v any) {
-	if err := json.NewEncoder(w).Encode(v); err != nil {
-		slog.Debug("answer not written", "err", err) // the caller has gone
+func (r *Replica) serveReady(w http.ResponseWriter, req *http.Request) {
+	if !r.ready.Load() {
+		r.writeError(w, req, errNotReady)
 	}
 }
 
-// answer writes a good answer, with a word on how fresh it is.
-func (r *Replica) answer(w http.ResponseWriter, read string, v any) {
-	w.Header().Set(registry.ReadHeader, read)
-	w.Header().Set("Content-Type", "application/json")
-	writeJSON(w, v)
-}
-
-// decode reads a call's body whole and strictly.
-func decode(w http.ResponseWriter, q *http.Request, most int64, into any) error {
-	d := json.NewDecoder(http.MaxBytesReader(w, q.Body, most))
+// decodeBody reads a call's JSON body, and refuses unknown keys and anything behind it.
+func decodeBody(w http.ResponseWriter, req *http.Request, into any) error {
+	d := json.NewDecoder(http.MaxBytesReader(w, req.Body, maxBody))
 	d.DisallowUnknownFields()
 	err := d.Decode(into)
 	if err == nil {
@@ -115,12 +121,56 @@
 			err = errors.New("something follows the object")
 		}
 	}
-	var large *http.MaxBytesError
+	var tooLarge *http.MaxBytesError
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &large):
-		return statusError{http.StatusRequestEntityTooLarge, fmt.Errorf("a body of more than %d bytes", most)}
+	case errors.As(err, &tooLarge):
+		return statusError{http.StatusRequestEntityTooLarge, fmt.Errorf("a body of more than %d bytes", maxBody)}
 	}
 	return badRequest("the body cannot be read: %v", err)
 }
+
+// queryUint reads a number of a call's query; 0 where it is left out.
+func queryUint(req *http.Request, name string) (uint64, error) {
+	text := req.URL.Query().Get(name)
+	if text == "" {
+		return 0, nil
+	}
+	n, err := strconv.ParseUint(text, 10, 53)
+	if err != nil {
+		return 0, badRequest("%s is %.32q, it must be a whole number", name, text)
+	}
+	return n, nil
+}
+
+// queryIfVersion reads the condition of a call that has no body; nil where it is left out.
+func queryIfVersion(req *http.Request) (*uint64, error) {
+	text := req.URL.Query().Get("if_version")
+	if text == "" {
+		return nil, nil
+	}
+	version, err := strconv.ParseUint(text, 10, 64)
+	if err != nil {
+		return nil, badRequest("if_version is %.32q, it must be a version", text)
+	}
+	return &version, nil
+}
+
+// writeHeaders begins a good answer; freshness is the value of registry.ReadHeader.
+func writeHeaders(w http.ResponseWriter, freshness string) {
+	w.Header().Set(registry.ReadHeader, freshness)
+	w.Header().Set("Content-Type", "application/json")
+}
+
+// writeAnswer writes a good answer.
+func writeAnswer(w http.ResponseWriter, freshness string, v any) {
+	writeHeaders(w, freshness)
+	writeJSON(w, v)
+}
+
+func writeJSON(w io.Writer, v any) {
+	if err := json.NewEncoder(w).Encode(v); err != nil {
+		slog.Debug("registry: response not written", "err", err) // the caller has gone
+	}
+}
--- a/internal/registry/server/http_admin.go
+++ b/internal/registry/server/http_admin.go
@@ -9,37 +9,50 @@
 	"barleywick/internal/registry"
 )
 
-func (r *Replica) serveAddMember(w http.ResponseWriter, q *http.Request) error {
-	var m registry.ReplicaInfo
-	if err := decode(w, q, maxBody, &m); err != nil {
+func (r *Replica) serveStatus(w http.ResponseWriter, req *http.Request) error {
+	freshness := r.freshnessHeader()
+	if query := req.URL.Query(); query.Get("linearizable") != "" {
+		var err error
+		if freshness, err = r.prepareRead(query); err != nil {
+			return err
+		}
+	}
+	writeAnswer(w, freshness, r.Status())
+	return nil
+}
+
+func (r *Replica) serveAddReplica(w http.ResponseWriter, req *http.Request) error {
+	var info registry.ReplicaInfo
+	if err := decodeBody(w, req, &info); err != nil {
 		return err
 	}
-	if m.ID == "" {
-		m.ID = q.PathValue("id")
+	id := req.PathValue("id")
+	if info.ID == "" {
+		info.ID = id
 	}
-	if m.ID != q.PathValue("id") {
-		return badRequest("the path names replica %.64q and the body %.64q", q.PathValue("id"), m.ID)
+	if info.ID != id {
+		return badRequest("the path names replica %.64q and the body %.64q", id, info.ID)
 	}
-	if err := validateMember(m); err != nil {
+	if err := validateReplica(info); err != nil {
 		return badRequest("%v", err)
 	}
-	if err := r.addReplica(m); err != nil {
+	if err := r.addReplica(info); err != nil {
 		return err
 	}
-	r.answer(w, registry.ReadLinearizable, r.Status())
+	writeAnswer(w, registry.ReadLinearizable, r.Status())
 	return nil
 }
 
-func (r *Replica) serveRemoveMember(w http.ResponseWriter, q *http.Request) error {
-	if err := r.removeReplica(q.PathValue("id")); err != nil {
+func (r *Replica) serveRemoveReplica(w http.ResponseWriter, req *http.Request) error {
+	if err := r.removeReplica(req.PathValue("id")); err != nil {
 		return err
 	}
-	r.answer(w, registry.ReadLinearizable, r.Status())
+	writeAnswer(w, registry.ReadLinearizable, r.Status())
 	return nil
 }
 
-func (r *Replica) serveBackup(w http.ResponseWriter, q *http.Request) error {
-	read, err := r.fresh(q.URL.Query())
+func (r *Replica) serveBackup(w http.ResponseWriter, req *http.Request) error {
+	freshness, err := r.prepareRead(req.URL.Query())
 	if err != nil {
 		return err
 	}
@@ -48,14 +61,13 @@
 	if err != nil {
 		return err
 	}
-	w.Header().Set(registry.ReadHeader, read)
-	w.Header().Set("Content-Type", "application/json")
+	writeHeaders(w, freshness)
 	w.Write(append(text, '\n'))
 	return nil
 }
 
-func (r *Replica) serveRestore(w http.ResponseWriter, q *http.Request) error {
-	text, err := io.ReadAll(http.MaxBytesReader(w, q.Body, maxBackup))
+func (r *Replica) serveRestore(w http.ResponseWriter, req *http.Request) error {
+	text, err := io.ReadAll(http.MaxBytesReader(w, req.Body, maxBackup))
 	if err != nil {
 		return statusError{http.StatusRequestEntityTooLarge, fmt.Errorf("a backup of more than %d bytes", maxBackup)}
 	}
@@ -64,15 +76,3 @@
 	}
 	return r.write(w, registry.Command{Op: registry.OpRestore, Backup: text})
 }
-
-func (r *Replica) serveStatus(w http.ResponseWriter, q *http.Request) error {
-	read := r.readHeader()
-	if q.URL.Query().Get("linearizable") != "" {
-		var err error
-		if read, err = r.fresh(q.URL.Query()); err != nil {
-			return err
-		}
-	}
-	r.answer(w, read, r.Status())
-	return nil
-}
--- a/internal/registry/server/http_error.go
+++ b/internal/registry/server/http_error.go
@@ -7,75 +7,101 @@
 	"net/http"
 	"strconv"
 	"strings"
+	"time"
 
 	"github.com/hashicorp/raft"
 
 	"barleywick/internal/registry"
 )
 
-// statusError is an error with the status it is answered with.
+// retryAfterMean is when a refused caller is to try again, on average. Callers are often
+// refused together, and should not come back together.
+const retryAfterMean = time.Second
+
+// statusError is an error that names the HTTP status of its answer.
 type statusError struct {
 	status int
 	err    error
 }
 
-func (r statusError) Error() string { return r.err.Error() }
+func (e statusError) Error() string { return e.err.Error() }
 
-func (r statusError) Unwrap() error { return r.err }
+func (e statusError) Unwrap() error { return e.err }
 
 func badRequest(format string, args ...any) error {
 	return statusError{http.StatusBadRequest, fmt.Errorf(format, args...)}
 }
 
-var (
-	errNotReady = errors.New("this replica has not caught up with its group yet")
-)
+// errorStatuses are the statuses of the state machine's errors. The first match counts:
+// ErrFenced and ErrLeaseHeld wrap ErrConflict.
+var errorStatuses = []struct {
+	err    error
+	status int
+}{
+	{registry.ErrInvalid, http.StatusBadRequest},
+	{registry.ErrNotFound, http.StatusNotFound},
+	{registry.ErrFenced, http.StatusPreconditionFailed},
+	{registry.ErrLeaseHeld, http.StatusLocked},
+	{registry.ErrClaimEnded, http.StatusGone},
+	{registry.ErrConflict, http.StatusConflict},
+	{registry.ErrHostTaken, http.StatusConflict},
+	{registry.ErrLimitReached, http.StatusInsufficientStorage},
+}
 
-// writeError answers an error in one line. What a caller may try again is 503; a write
-// that is the leader's to take goes there.
-func (r *Replica) writeError(w http.ResponseWriter, q *http.Request, err error) {
-	status := http.StatusServiceUnavailable
+// errorStatus returns the status of an error that another try would meet again.
+func errorStatus(err error) (status int, final bool) {
 	var named statusError
+	if errors.As(err, &named) {
+		return named.status, true
+	}
+	for _, known := range errorStatuses {
+		if errors.Is(err, known.err) {
+			return known.status, true
+		}
+	}
+	return 0, false
+}
+
+// writeError answers with an error in one line. What may succeed later or elsewhere is
+// answered with 503 and Retry-After, or with a redirect to the leader.
+func (r *Replica) writeError(w http.ResponseWriter, req *http.Request, err error) {
+	status, final := errorStatus(err)
+	if !final {
+		status, err = r.retryableError(w, req, err)
+	}
+	w.Header().Set("Content-Type", "application/json")
+	w.WriteHeader(status)
+	line := strings.Join(strings.Fields(err.Error()), " ")
+	writeJSON(w, registry.WriteResponse{Seq: r.stateMachine.seq(), Error: line})
+}
+
+// retryableError sets the headers of an answer that tells the caller to try again, and
+// returns its status and the error that it reports.
+func (r *Replica) retryableError(w http.ResponseWriter, req *http.Request, err error) (int, error) {
 	switch {
-	case errors.As(err, &named):
-		status = named.status
-	case errors.Is(err, registry.ErrInvalid):
-		status = http.StatusBadRequest
-	case errors.Is(err, registry.ErrNotFound):
-		status = http.StatusNotFound
-	case errors.Is(err, registry.ErrFenced):
-		status = http.StatusPreconditionFailed
-	case errors.Is(err, registry.ErrLeaseHeld):
-		status = http.StatusLocked
-	case errors.Is(err, registry.ErrClaimEnded):
-		status = http.StatusGone
-	case errors.Is(err, registry.ErrConflict), errors.Is(err, registry.ErrHostTaken):
-		status = http.StatusConflict
-	case errors.Is(err, registry.ErrLimitReached):
-		status = http.StatusInsufficientStorage
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress):
 		if leader, ok := r.leader(); ok && leader.ID != r.self.ID {
-			w.Header().Set("Location", "http://"+leader.HTTP+q.URL.RequestURI())
-			status, err = http.StatusTemporaryRedirect, fmt.Errorf("replica %s leads", leader.ID)
-		} else if failed := r.storage.log.lastWriteError.Load(); failed != nil {
-			err = fmt.Errorf("this replica cannot write its log: %w", *failed)
-		} else {
-			err = errNoLeader
+			w.Header().Set("Location", "http://"+leader.HTTP+req.URL.RequestURI())
+			return http.StatusTemporaryRedirect, fmt.Errorf("replica %s leads", leader.ID)
 		}
+		err = r.noLeaderError()
 	case errors.Is(err, raft.ErrLeadershipLost), errors.Is(err, raft.ErrEnqueueTimeout):
 		err = fmt.Errorf("the leader changed: the write may have been done or not, and can be sent again: %w", err)
 	}
-	if status == http.StatusServiceUnavailable {
-		r.refusedCalls.Add(1)
-		w.Header().Set("Retry-After", retryAfter())
+	r.counters.refusedCalls.Add(1)
+	w.Header().Set("Retry-After", retryAfter())
+	return http.StatusServiceUnavailable, err
+}
+
+// noLeaderError says why there is no leader, as far as this replica knows.
+func (r *Replica) noLeaderError() error {
+	if failed := r.storage.log.lastWriteError.Load(); failed != nil {
+		return fmt.Errorf("this replica cannot write its log: %w", *failed)
 	}
-	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(status)
-	line := strings.Join(strings.Fields(err.Error()), " ")
-	writeJSON(w, registry.WriteResponse{Seq: r.stateMachine.seq(), Error: line})
+	return errNoLeader
 }
 
-// retryAfter is about comeBack, in seconds; it differs from call to call.
+// retryAfter returns a number of seconds about retryAfterMean, another for each call.
 func retryAfter() string {
-	return strconv.FormatFloat(retryAfterBase.Seconds()*(0.5+rand.Float64()), 'f', 2, 64)
+	return strconv.FormatFloat(retryAfterMean.Seconds()*(0.5+rand.Float64()), 'f', 2, 64)
 }
--- a/internal/registry/server/http_leases.go
+++ b/internal/registry/server/http_leases.go
@@ -9,25 +9,10 @@
 	"barleywick/internal/registry"
 )
 
-func (r *Replica) serveRenewals(w http.ResponseWriter, q *http.Request) error {
-	at := time.Now()
-	var b registry.RenewClaimsRequest
-	if err := decode(w, q, maxBody, &b); err != nil {
-		return err
-	}
-	if len(b.Claims) > registry.MaxRenewals {
-		return badRequest("claims: %d are named, %d at most", len(b.Claims), registry.MaxRenewals)
-	}
-	answers, err := r.renewClaims(b.Holder, b.Claims, at)
-	if err != nil {
-		return err
-	}
-	r.answer(w, registry.ReadLinearizable, registry.RenewClaimsResponse{Claims: answers})
-	return nil
-}
+var errLeaseRate = errors.New("more commands on leases than leases.writes_per_s")
 
-// leaseWrite has a command on a lease carried out.
-func (r *Replica) leaseWrite(op registry.Op, c *registry.LeaseCommand) (registry.Result, error) {
+// applyLeaseCommand has a command on a lease applied, unless there are too many.
+func (r *Replica) applyLeaseCommand(op registry.Op, c *registry.LeaseCommand) (registry.Result, error) {
 	if err := registry.CheckName("lease", c.Name); err != nil {
 		return registry.Result{}, badRequest("%v", err)
 	}
@@ -40,62 +25,91 @@
 	return r.apply(registry.Command{Op: op, Lease: c})
 }
 
-var errLeaseRate = errors.New("more commands on leases than leases.writes_per_s")
+// writeLeaseCommand is applyLeaseCommand, and answers with the result.
+func (r *Replica) writeLeaseCommand(w http.ResponseWriter, op registry.Op, c *registry.LeaseCommand) error {
+	result, err := r.applyLeaseCommand(op, c)
+	if err != nil {
+		return err
+	}
+	writeResult(w, result)
+	return nil
+}
 
-func (r *Replica) serveAcquire(w http.ResponseWriter, q *http.Request) error {
-	var b registry.AcquireRequest
-	if err := decode(w, q, maxBody, &b); err != nil {
+func (r *Replica) serveAcquire(w http.ResponseWriter, req *http.Request) error {
+	var body registry.AcquireRequest
+	if err := decodeBody(w, req, &body); err != nil {
 		return err
 	}
-	if rules := r.config.Load().Leases; b.TTLMS < rules.MinTTLMS || b.TTLMS > rules.MaxTTLMS {
-		return badRequest("ttl_ms is %d, it must lie between %d and %d", b.TTLMS, rules.MinTTLMS, rules.MaxTTLMS)
+	if rules := r.config.Load().Leases; body.TTLMS < rules.MinTTLMS || body.TTLMS > rules.MaxTTLMS {
+		return badRequest("ttl_ms is %d, it must lie between %d and %d", body.TTLMS, rules.MinTTLMS, rules.MaxTTLMS)
 	}
-	name := q.PathValue("name")
-	result, err := r.leaseWrite(registry.OpAcquireLease, &registry.LeaseCommand{Name: name, Claim: b.Claim, Wait: b.Wait})
+	lease := req.PathValue("name")
+	result, err := r.applyLeaseCommand(registry.OpAcquireLease, &registry.LeaseCommand{Name: lease, Claim: body.Claim, Wait: body.Wait})
 	if err != nil {
 		return err
 	}
 	if result.Token != 0 {
-		r.granted.Add(1)
-		slog.Info("leases: granted", "lease", name, "holder", b.Claim.Name, "token", result.Token)
+		r.counters.grantedLeases.Add(1)
+		slog.Info("lease: granted", "lease", lease, "holder", body.Claim.Name, "token", result.Token)
 	}
-	r.answer(w, registry.ReadLinearizable, registry.ClaimStatus{Lease: name, ClaimID: b.ID, Token: result.Token, QueuePosition: result.QueuePosition})
+	writeAnswer(w, registry.ReadLinearizable, registry.ClaimStatus{
+		Lease: lease, ClaimID: body.ID, Token: result.Token, QueuePosition: result.QueuePosition,
+	})
 	return nil
 }
 
-func (r *Replica) serveRelease(w http.ResponseWriter, q *http.Request) error {
-	var b registry.ReleaseRequest
-	if err := decode(w, q, maxBody, &b); err != nil {
+func (r *Replica) serveRelease(w http.ResponseWriter, req *http.Request) error {
+	var body registry.ReleaseRequest
+	if err := decodeBody(w, req, &body); err != nil {
 		return err
 	}
-	claim := registry.Claim{ID: b.ClaimID, Holder: b.Holder}
-	result, err := r.leaseWrite(registry.OpReleaseLease, &registry.LeaseCommand{Name: q.PathValue("name"), Claim: claim, NextHolder: b.NextHolder})
-	return r.writeResult(w, result, err)
+	return r.writeLeaseCommand(w, registry.OpReleaseLease, &registry.LeaseCommand{
+		Name:       req.PathValue("name"),
+		Claim:      registry.Claim{ID: body.ClaimID, Holder: body.Holder},
+		NextHolder: body.NextHolder,
+	})
 }
 
-func (r *Replica) serveYieldRequest(w http.ResponseWriter, q *http.Request) error {
-	var b registry.YieldRequest
-	if err := decode(w, q, maxBody, &b); err != nil {
+func (r *Replica) serveYieldRequest(w http.ResponseWriter, req *http.Request) error {
+	var body registry.YieldRequest
+	if err := decodeBody(w, req, &body); err != nil {
 		return err
 	}
-	if !b.Yield && b.Pause == nil {
+	if !body.Yield && body.Pause == nil {
 		return badRequest("leave or pause is needed")
 	}
-	result, err := r.leaseWrite(registry.OpRequestYield, &registry.LeaseCommand{Name: q.PathValue("name"), Yield: b.Yield, NextHolder: b.NextHolder, Pause: b.Pause})
-	return r.writeResult(w, result, err)
+	return r.writeLeaseCommand(w, registry.OpRequestYield, &registry.LeaseCommand{
+		Name: req.PathValue("name"), Yield: body.Yield, NextHolder: body.NextHolder, Pause: body.Pause,
+	})
+}
+
+func (r *Replica) serveRenewals(w http.ResponseWriter, req *http.Request) error {
+	arrived := time.Now()
+	var body registry.RenewClaimsRequest
+	if err := decodeBody(w, req, &body); err != nil {
+		return err
+	}
+	if len(body.Claims) > registry.MaxRenewals {
+		return badRequest("claims: %d are named, %d at most", len(body.Claims), registry.MaxRenewals)
+	}
+	statuses, err := r.renewClaims(body.Holder, body.Claims, arrived)
+	if err != nil {
+		return err
+	}
+	writeAnswer(w, registry.ReadLinearizable, registry.RenewClaimsResponse{Claims: statuses})
+	return nil
 }
 
-// serveLeases lists the leases.
-func (r *Replica) serveLeases(w http.ResponseWriter, q *http.Request) error {
-	read, err := r.awaitChange(q, func(s *registry.State) uint64 { return s.Leases().Version() })
+func (r *Replica) serveLeases(w http.ResponseWriter, req *http.Request) error {
+	freshness, err := r.awaitChange(req, func(s *registry.State) uint64 { return s.Leases().Version() })
 	if err != nil {
 		return err
 	}
-	var a registry.LeasesResponse
+	var answer registry.LeasesResponse
 	r.stateMachine.view(func(s *registry.State) {
-		a.Leases, a.Version = s.Leases().List()
-		a.GrantsClosed = s.Leases().GrantsClosed()
+		answer.Leases, answer.Version = s.Leases().List()
+		answer.GrantsClosed = s.Leases().GrantsClosed()
 	})
-	r.answer(w, read, a)
+	writeAnswer(w, freshness, answer)
 	return nil
 }
--- a/internal/registry/server/http_policy.go
+++ b/internal/registry/server/http_policy.go
@@ -7,54 +7,57 @@
 	"barleywick/internal/rollout"
 )
 
-// servePolicyStep takes a step of a change of policy, and answers with what the member that
-// it names is to act by from then on.
-func (r *Replica) servePolicyStep(w http.ResponseWriter, q *http.Request) error {
-	var b registry.PolicyRequest
-	if err := decode(w, q, maxBody, &b); err != nil {
+func policyVersion(s *registry.State) uint64 { return s.Rollout().Version() }
+
+// servePolicyStep applies a step of a rollout, and answers with what the member that the
+// step names is to act by from then on.
+func (r *Replica) servePolicyStep(w http.ResponseWriter, req *http.Request) error {
+	var body registry.PolicyRequest
+	if err := decodeBody(w, req, &body); err != nil {
 		return err
 	}
 	if err := r.requireLeader(); err != nil {
 		return err
 	}
-	b.AtMS = 0 // the leader's to say
-	if _, err := r.apply(registry.Command{Op: registry.OpPolicyStep, PolicyStep: &b.Command, Fence: b.Fence}); err != nil {
+	body.AtMS = 0 // the leader sets it, not the caller
+	if _, err := r.apply(registry.Command{Op: registry.OpPolicyStep, PolicyStep: &body.Command, Fence: body.Fence}); err != nil {
 		return err
 	}
-	var v rollout.View
-	r.stateMachine.view(func(s *registry.State) { v = s.Rollout().View(b.Member) })
-	r.answer(w, registry.ReadLinearizable, v)
+	writeAnswer(w, registry.ReadLinearizable, r.policyView(body.Member))
 	return nil
 }
 
-// servePolicyStatus tells how the policy and its change stand.
-func (r *Replica) servePolicyStatus(w http.ResponseWriter, q *http.Request) error {
-	read, err := r.awaitChange(q, func(s *registry.State) uint64 { return s.Rollout().Version() })
+// servePolicyStatus answers with the fleet policy and the state of its rollout.
+func (r *Replica) servePolicyStatus(w http.ResponseWriter, req *http.Request) error {
+	freshness, err := r.awaitChange(req, policyVersion)
 	if err != nil {
 		return err
 	}
-	var st rollout.Status
-	r.stateMachine.view(func(s *registry.State) { st = s.Rollout().Status() })
-	r.answer(w, read, st)
+	var status rollout.Status
+	r.stateMachine.view(func(s *registry.State) { status = s.Rollout().Status() })
+	writeAnswer(w, freshness, status)
 	return nil
 }
 
-// servePolicyView tells a member what to act by.
-func (r *Replica) servePolicyView(w http.ResponseWriter, q *http.Request) error {
-	m := rollout.Member{Name: q.URL.Query().Get("member")}
-	var err error
-	if m.Incarnation, err = queryUint(q, "incarnation"); err != nil {
+// servePolicyView answers with what one member is to act by.
+func (r *Replica) servePolicyView(w http.ResponseWriter, req *http.Request) error {
+	incarnation, err := queryUint(req, "incarnation")
+	if err != nil {
 		return err
 	}
-	if err := registry.CheckName("member", m.Name); err != nil {
+	name := req.URL.Query().Get("member")
+	if err := registry.CheckName("member", name); err != nil {
 		return badRequest("%v", err)
 	}
-	read, err := r.awaitChange(q, func(s *registry.State) uint64 { return s.Rollout().Version() })
+	freshness, err := r.awaitChange(req, policyVersion)
 	if err != nil {
 		return err
 	}
-	var v rollout.View
-	r.stateMachine.view(func(s *registry.State) { v = s.Rollout().View(m) })
-	r.answer(w, read, v)
+	writeAnswer(w, freshness, r.policyView(rollout.Member{Name: name, Incarnation: incarnation}))
 	return nil
 }
+
+func (r *Replica) policyView(m rollout.Member) (view rollout.View) {
+	r.stateMachine.view(func(s *registry.State) { view = s.Rollout().View(m) })
+	return view
+}
--- a/internal/registry/server/http_read.go
+++ b/internal/registry/server/http_read.go
@@ -9,9 +9,10 @@
 	"barleywick/internal/registry"
 )
 
-// fresh makes a read as fresh as the caller asks for, and says how fresh it is.
-func (r *Replica) fresh(q url.Values) (string, error) {
-	switch v := q.Get("linearizable"); v {
+// prepareRead makes a read as fresh as the query asks for, and returns the value of
+// registry.ReadHeader for its answer.
+func (r *Replica) prepareRead(query url.Values) (freshness string, err error) {
+	switch v := query.Get("linearizable"); v {
 	case "", "0":
 	case "1":
 		if err := r.linearize(); err != nil {
@@ -24,79 +25,78 @@
 	if !r.ready.Load() {
 		return "", errNotReady
 	}
-	return r.readHeader(), nil
+	return r.freshnessHeader(), nil
 }
 
-func (r *Replica) readHeader() string {
-	word, age := r.freshness(time.Now())
-	return fmt.Sprintf("%s; age_ms=%d", word, age.Milliseconds())
+// freshnessHeader is the value of registry.ReadHeader for a read that is not linearizable.
+func (r *Replica) freshnessHeader() string {
+	freshness, age := r.freshness(time.Now())
+	return fmt.Sprintf("%s; age_ms=%d", freshness, age.Milliseconds())
 }
 
-// serveList is the protocol's list and watch.
-func (r *Replica) serveList(w http.ResponseWriter, q *http.Request) {
-	query, err := url.ParseQuery(q.URL.RawQuery)
+// serveList serves the protocol's list and watch.
+func (r *Replica) serveList(w http.ResponseWriter, req *http.Request) {
+	query, err := url.ParseQuery(req.URL.RawQuery)
 	if err != nil {
-		r.writeError(w, q, badRequest("the query cannot be read"))
+		r.writeError(w, req, badRequest("the query cannot be read"))
 		return
 	}
 	switch v := query.Get("watch"); v {
 	case "", "0":
-		err := r.limited(q, func() error {
-			read, err := r.fresh(query)
-			if err != nil {
-				return err
-			}
-			w.Header().Set(registry.ReadHeader, read)
-			w.Header().Set("Content-Type", "application/json")
-			w.Write(r.stateMachine.fullList())
-			return nil
-		})
-		if err != nil {
-			r.writeError(w, q, err)
-		}
+		r.limited(func(w http.ResponseWriter, _ *http.Request) error { return r.serveFullList(w, query) })(w, req)
 	case "1":
-		r.serveWatch(w, q, query)
+		r.serveWatch(w, req, query)
 	default:
-		r.writeError(w, q, badRequest("watch is %.32q, it must be 1 or left out", v))
+		r.writeError(w, req, badRequest("watch is %.32q, it must be 1 or left out", v))
 	}
 }
 
-func (r *Replica) serveEntries(w http.ResponseWriter, q *http.Request) error {
-	read, err := r.fresh(q.URL.Query())
+func (r *Replica) serveFullList(w http.ResponseWriter, query url.Values) error {
+	freshness, err := r.prepareRead(query)
+	if err != nil {
+		return err
+	}
+	writeHeaders(w, freshness)
+	w.Write(r.stateMachine.fullList())
+	return nil
+}
+
+func (r *Replica) serveRegistrations(w http.ResponseWriter, req *http.Request) error {
+	freshness, err := r.prepareRead(req.URL.Query())
 	if err != nil {
 		return err
 	}
-	var a registry.RegistrationsResponse
+	var answer registry.RegistrationsResponse
 	r.stateMachine.view(func(s *registry.State) {
-		a = registry.RegistrationsResponse{Group: s.Group(), Seq: s.Seq(), Registrations: s.Registrations(), Marks: s.Marks()}
+		answer = registry.RegistrationsResponse{Group: s.Group(), Seq: s.Seq(), Registrations: s.Registrations(), Marks: s.Marks()}
 	})
-	r.answer(w, read, a)
+	writeAnswer(w, freshness, answer)
 	return nil
 }
 
-func (r *Replica) serveRecords(w http.ResponseWriter, q *http.Request) error {
-	read, err := r.fresh(q.URL.Query())
+func (r *Replica) serveRecordKeys(w http.ResponseWriter, req *http.Request) error {
+	freshness, err := r.prepareRead(req.URL.Query())
 	if err != nil {
 		return err
 	}
 	var keys []string
 	r.stateMachine.view(func(s *registry.State) { keys = s.RecordKeys() })
-	r.answer(w, read, keys)
+	writeAnswer(w, freshness, keys)
 	return nil
 }
 
-func (r *Replica) serveRecord(w http.ResponseWriter, q *http.Request) error {
-	read, err := r.fresh(q.URL.Query())
+func (r *Replica) serveRecord(w http.ResponseWriter, req *http.Request) error {
+	freshness, err := r.prepareRead(req.URL.Query())
 	if err != nil {
 		return err
 	}
-	var rec registry.Record
-	var ok bool
-	key := q.PathValue("key")
-	r.stateMachine.view(func(s *registry.State) { rec, ok = s.Record(key) })
-	if !ok {
+	var record registry.Record
+	var found bool
+	key := req.PathValue("key")
+	r.stateMachine.view(func(s *registry.State) { record, found = s.Record(key) })
+	if !found {
 		return fmt.Errorf("%w: record %.64s", registry.ErrNotFound, key)
 	}
-	r.answer(w, read, rec)
+	writeAnswer(w, freshness, record)
 	return nil
 }
--- a/internal/registry/server/http_write.go
+++ b/internal/registry/server/http_write.go
@@ -3,129 +3,151 @@
 import (
 	"net"
 	"net/http"
-	"strconv"
 	"strings"
 	"time"
 
 	"barleywick/internal/registry"
 )
 
-// write has a command carried out and answers with its result.
+// write has a command applied and answers with its result.
 func (r *Replica) write(w http.ResponseWriter, c registry.Command) error {
 	if err := r.requireLeader(); err != nil {
 		return err
 	}
 	result, err := r.apply(c)
-	return r.writeResult(w, result, err)
+	if err != nil {
+		return err
+	}
+	writeResult(w, result)
+	return nil
 }
 
-// writeResult answers with what became of a write.
-func (r *Replica) writeResult(w http.ResponseWriter, result registry.Result, err error) error {
-	if err == nil {
-		r.answer(w, registry.ReadLinearizable, registry.WriteResponse{Version: result.Version, Seq: result.Seq})
-	}
-	return err
+// writeResult answers with the versions after a write.
+func writeResult(w http.ResponseWriter, result registry.Result) {
+	writeAnswer(w, registry.ReadLinearizable, registry.WriteResponse{Version: result.Version, Seq: result.Seq})
 }
 
-func (r *Replica) serveRegister(w http.ResponseWriter, q *http.Request) error {
-	var b registry.RegisterRequest
-	if err := decode(w, q, maxBody, &b); err != nil {
+func (r *Replica) serveRegister(w http.ResponseWriter, req *http.Request) error {
+	var body registry.RegisterRequest
+	if err := decodeBody(w, req, &body); err != nil {
 		return err
 	}
-	host := q.PathValue("host")
-	if b.Instance.Host == "" {
-		b.Instance.Host = host
+	host := req.PathValue("host")
+	if body.Instance.Host == "" {
+		body.Instance.Host = host
 	}
-	rules := r.config.Load().Sessions
+	if body.Machine == "" {
+		body.Machine, _, _ = net.SplitHostPort(body.Instance.Dial)
+	}
+	// Checked here as well as by the state machine, before it costs the log anything.
+	if err := checkRegistration(host, body, r.config.Load().Sessions); err != nil {
+		return err
+	}
+	return r.write(w, registry.Command{
+		Op:        registry.OpRegister,
+		Instance:  &body.Instance,
+		Session:   body.Session,
+		TTLMS:     body.TTLMS,
+		Machine:   body.Machine,
+		IfVersion: body.IfVersion,
+	})
+}
+
+// checkRegistration returns an error if an instance cannot be registered as a call asks.
+func checkRegistration(host string, body registry.RegisterRequest, rules SessionConfig) error {
 	switch {
-	case b.Instance.Host != host:
-		return badRequest("the path names host %.64q and the body %.64q", host, b.Instance.Host)
-	case (b.Session == "") != (b.TTLMS == 0):
+	case body.Instance.Host != host:
+		return badRequest("the path names host %.64q and the body %.64q", host, body.Instance.Host)
+	case (body.Session == "") != (body.TTLMS == 0):
 		return badRequest("session and ttl_ms come together or not at all")
-	case b.Session != "" && (b.TTLMS < rules.MinTTLMS || b.TTLMS > rules.MaxTTLMS):
-		return badRequest("ttl_ms is %d, it must lie between %d and %d", b.TTLMS, rules.MinTTLMS, rules.MaxTTLMS)
-	}
-	if b.Machine == "" {
-		b.Machine, _, _ = net.SplitHostPort(b.Instance.Dial)
+	case body.Session != "" && (body.TTLMS < rules.MinTTLMS || body.TTLMS > rules.MaxTTLMS):
+		return badRequest("ttl_ms is %d, it must lie between %d and %d", body.TTLMS, rules.MinTTLMS, rules.MaxTTLMS)
 	}
-	for _, f := range [][2]string{{"session", b.Session}, {"machine", b.Machine}} {
-		if f[1] != "" {
-			if err := registry.CheckName(f[0], f[1]); err != nil {
-				return badRequest("%v", err)
-			}
+	for _, name := range []struct{ key, value string }{{"session", body.Session}, {"machine", body.Machine}} {
+		if name.value == "" {
+			continue
+		}
+		if err := registry.CheckName(name.key, name.value); err != nil {
+			return badRequest("%v", err)
 		}
 	}
-	if err := b.Instance.Check(); err != nil { // before it costs the log anything
+	if err := body.Instance.Check(); err != nil {
 		return badRequest("%v", err)
 	}
-	return r.write(w, registry.Command{
-		Op: registry.OpRegister, Instance: &b.Instance, Session: b.Session, TTLMS: b.TTLMS, Machine: b.Machine, IfVersion: b.IfVersion,
-	})
+	return nil
 }
 
-func (r *Replica) serveRenew(w http.ResponseWriter, q *http.Request) error {
-	var b registry.RenewRequest
-	if err := decode(w, q, maxBody, &b); err != nil {
+func (r *Replica) serveRenew(w http.ResponseWriter, req *http.Request) error {
+	var body registry.RenewRequest
+	if err := decodeBody(w, req, &body); err != nil {
 		return err
 	}
-	if err := r.renewSession(q.PathValue("host"), b.Session, time.Now()); err != nil {
+	if err := r.renewSession(req.PathValue("host"), body.Session, time.Now()); err != nil {
 		return err
 	}
-	r.answer(w, registry.ReadCurrent, registry.WriteResponse{Seq: r.stateMachine.seq()})
+	writeAnswer(w, registry.ReadCurrent, registry.WriteResponse{Seq: r.stateMachine.seq()})
 	return nil
 }
 
-// ifVersion reads the condition of a call that has no body.
-func ifVersion(q *http.Request) (*uint64, error) {
-	text := q.URL.Query().Get("if_version")
-	if text == "" {
-		return nil, nil
-	}
-	v, err := strconv.ParseUint(text, 10, 64)
-	if err != nil {
-		return nil, badRequest("if_version is %.32q, it must be a version", text)
-	}
-	return &v, nil
-}
-
-func (r *Replica) serveRemove(w http.ResponseWriter, q *http.Request) error {
-	v, err := ifVersion(q)
+func (r *Replica) serveRemove(w http.ResponseWriter, req *http.Request) error {
+	ifVersion, err := queryIfVersion(req)
 	if err != nil {
 		return err
 	}
-	return r.write(w, registry.Command{Op: registry.OpRemove, Host: q.PathValue("host"), Session: q.URL.Query().Get("session"), IfVersion: v})
+	return r.write(w, registry.Command{
+		Op:        registry.OpRemove,
+		Host:      req.PathValue("host"),
+		Session:   req.URL.Query().Get("session"),
+		IfVersion: ifVersion,
+	})
 }
 
-func (r *Replica) serveMark(w http.ResponseWriter, q *http.Request) error {
-	var b registry.MarkRequest
-	if err := decode(w, q, maxBody, &b); err != nil {
+func (r *Replica) serveMark(w http.ResponseWriter, req *http.Request) error {
+	var body registry.MarkRequest
+	if err := decodeBody(w, req, &body); err != nil {
 		return err
 	}
 	return r.write(w, registry.Command{
-		Op: registry.OpMark, Hosts: b.Hosts, MarkedBy: b.MarkedBy, Draining: b.Draining, Fence: b.Fence, IfVersion: b.IfVersion, IfRecord: b.IfRecord, IfRecordVersion: b.IfRecordVersion,
+		Op:              registry.OpMark,
+		Hosts:           body.Hosts,
+		MarkedBy:        body.MarkedBy,
+		Draining:        body.Draining,
+		Fence:           body.Fence,
+		IfVersion:       body.IfVersion,
+		IfRecord:        body.IfRecord,
+		IfRecordVersion: body.IfRecordVersion,
 	})
 }
 
-func (r *Replica) servePutRecord(w http.ResponseWriter, q *http.Request) error {
-	var b registry.PutRequest
-	if err := decode(w, q, maxBody, &b); err != nil {
+// writableKey returns the key of a record that callers may write.
+func writableKey(req *http.Request) (string, error) {
+	key := req.PathValue("key")
+	if strings.HasPrefix(key, memberKeyPrefix) {
+		return "", badRequest("records that begin with %s are the group's own: use members", memberKeyPrefix)
+	}
+	return key, nil
+}
+
+func (r *Replica) servePutRecord(w http.ResponseWriter, req *http.Request) error {
+	var body registry.PutRequest
+	if err := decodeBody(w, req, &body); err != nil {
 		return err
 	}
-	key := q.PathValue("key")
-	if strings.HasPrefix(key, memberKeyPrefix) {
-		return badRequest("records that begin with %s are the group's own: use members", memberKeyPrefix)
+	key, err := writableKey(req)
+	if err != nil {
+		return err
 	}
-	return r.write(w, registry.Command{Op: registry.OpPutRecord, Key: key, Value: b.Value, IfVersion: b.IfVersion, Fence: b.Fence})
+	return r.write(w, registry.Command{Op: registry.OpPutRecord, Key: key, Value: body.Value, IfVersion: body.IfVersion, Fence: body.Fence})
 }
 
-func (r *Replica) serveDeleteRecord(w http.ResponseWriter, q *http.Request) error {
-	v, err := ifVersion(q)
+func (r *Replica) serveDeleteRecord(w http.ResponseWriter, req *http.Request) error {
+	ifVersion, err := queryIfVersion(req)
 	if err != nil {
 		return err
 	}
-	key := q.PathValue("key")
-	if strings.HasPrefix(key, memberKeyPrefix) {
-		return badRequest("records that begin with %s are the group's own: use members", memberKeyPrefix)
+	key, err := writableKey(req)
+	if err != nil {
+		return err
 	}
-	return r.write(w, registry.Command{Op: registry.OpDeleteRecord, Key: key, IfVersion: v})
+	return r.write(w, registry.Command{Op: registry.OpDeleteRecord, Key: key, IfVersion: ifVersion})
 }
--- a/internal/registry/server/leadership.go
+++ b/internal/registry/server/leadership.go
@@ -12,7 +12,28 @@
 	"barleywick/internal/registry"
 )
 
-// followLeadership leads while this replica is the leader.
+// expiryInterval is how often the leader looks for sessions and claims that have
+// expired: a fraction of the shortest time to live.
+const expiryInterval = 100 * time.Millisecond
+
+// leadership is what the leader keeps in memory for one term: when each session and
+// each claim was renewed last. A term that was lost and won again starts anew, since
+// another leader may have committed entries in between, and may have renewed sessions
+// and claims that this replica knows nothing of.
+type leadership struct {
+	mu              sync.Mutex
+	term            uint64
+	sessions        *registry.SessionTracker // nil unless this replica leads
+	sessionsVersion uint64                   // the list's version that sessions were taken from
+	expiryHeld      bool                     // too many sessions ended at once
+	claims          *registry.ClaimTracker   // nil unless this replica leads
+}
+
+// errNewLeader says that this replica was elected and is not ready to lead: it has to
+// apply what its predecessors committed, or to found the group.
+var errNewLeader = errors.New("this replica has just been elected")
+
+// followLeadership runs lead in each term in which this replica is the leader.
 func (r *Replica) followLeadership() {
 	var leading sync.WaitGroup
 	stop := func() {}
@@ -36,45 +57,28 @@
 	}
 }
 
-// lead founds the group if nobody has, and removes instances whose sessions end.
-// Each session has its full time from now on, whatever the last leader knew.
+// lead does the leader's work for one term: it founds the group if nobody has, and
+// removes what has expired, until ctx ends.
 func (r *Replica) lead(ctx context.Context) {
-	// What is counted and applied here holds for this term alone: one that was lost and
-	// won again may have had another leader in between, whose commits this one has to
-	// apply, and whose sessions and claims need their full time.
 	term := r.raft.CurrentTerm()
 	if err := r.raft.Barrier(writeTimeout).Error(); err != nil {
-		return // no leader any more
+		return // this replica is no leader any more
 	}
 	if _, err := r.apply(registry.Command{Op: registry.OpFoundGroup, Group: r.config.Load().Group}); err != nil {
-		slog.Error("the group cannot be founded", "err", err)
+		slog.Error("registry: founding the group failed", "err", err)
 		return
 	}
-	rules := r.config.Load().Sessions
-	sessions := registry.NewSessionTracker(rules.Floor, time.Duration(rules.WindowMS)*time.Millisecond)
-	r.mu.Lock()
-	r.sessions, r.followed, r.term = sessions, 0, term
-	r.leases = registry.NewClaimTracker(time.Duration(r.config.Load().Leases.MaxTTLMS) * time.Millisecond)
-	r.syncSessionsLocked(time.Now())
-	r.syncLeasesLocked(time.Now())
-	live := sessions.Len()
-	r.mu.Unlock()
-	slog.Info("leading", "term", r.raft.CurrentTerm(), "sessions", live, "seq", r.stateMachine.seq())
-	defer func() {
-		r.mu.Lock()
-		r.sessions, r.leases, r.held = nil, nil, false
-		r.mu.Unlock()
-		slog.Info("leading no more")
-	}()
+	r.beginTerm(term)
+	defer r.endTerm()
 	tick := time.NewTicker(expiryInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C: // its time may be one from before this process was stopped
+		case <-tick.C: // its value may be a time from before this process was stopped
 			if r.requireLeader() != nil {
-				continue // it is about to be told
+				continue // LeaderCh is about to tell
 			}
 			r.expireSessions(time.Now(), term)
 			r.expireClaims(time.Now(), term)
@@ -82,30 +86,49 @@
 	}
 }
 
-// errNewLeader says that this replica leads and is not ready to: it has to apply
-// what its predecessors committed, or to found the group.
-var errNewLeader = errors.New("this replica has just been elected")
+// beginTerm gives every session and every claim its full time, whatever the last leader knew.
+func (r *Replica) beginTerm(term uint64) {
+	config := r.config.Load()
+	sessions := registry.NewSessionTracker(config.Sessions.Floor, time.Duration(config.Sessions.WindowMS)*time.Millisecond)
+	l := &r.leadership
+	l.mu.Lock()
+	l.term, l.sessions, l.sessionsVersion = term, sessions, 0
+	l.claims = registry.NewClaimTracker(time.Duration(config.Leases.MaxTTLMS) * time.Millisecond)
+	r.syncSessionsLocked(time.Now())
+	r.syncClaimsLocked(time.Now())
+	live := sessions.Len()
+	l.mu.Unlock()
+	slog.Info("registry: became leader", "term", r.raft.CurrentTerm(), "sessions", live, "seq", r.stateMachine.seq())
+}
+
+func (r *Replica) endTerm() {
+	l := &r.leadership
+	l.mu.Lock()
+	l.sessions, l.claims, l.expiryHeld = nil, nil, false
+	l.mu.Unlock()
+	slog.Info("registry: lost leadership")
+}
 
-// requireLeader returns an error unless this replica requireLeader and has applied what its
+// requireLeader returns an error unless this replica leads and has applied what its
 // predecessors committed.
 func (r *Replica) requireLeader() error {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.requireLeaderLocked()
+	_, err := r.requireLeaderTerm()
+	return err
 }
 
-// requireLeaderTerm is leads, and the term in which.
+// requireLeaderTerm is requireLeader, and returns the term in which the replica leads.
 func (r *Replica) requireLeaderTerm() (term uint64, err error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.term, r.requireLeaderLocked()
+	r.leadership.mu.Lock()
+	defer r.leadership.mu.Unlock()
+	return r.leadership.term, r.requireLeaderLocked()
 }
 
+// requireLeaderLocked is requireLeader for a caller that holds the lock of leadership.
 func (r *Replica) requireLeaderLocked() error {
 	switch {
 	case r.raft.State() != raft.Leader:
 		return raft.ErrNotLeader
-	case r.sessions == nil, r.term != r.raft.CurrentTerm():
+	case r.leadership.sessions == nil, r.leadership.term != r.raft.CurrentTerm():
 		return errNewLeader
 	}
 	return nil
--- a/internal/registry/server/replica.go
+++ b/internal/registry/server/replica.go
@@ -20,101 +20,111 @@
 )
 
 const (
-	// writeTimeout is how long a write may take to reach a quorum's disks.
+	// writeTimeout is how long a write may take until a quorum has it on disk.
 	writeTimeout = 5 * time.Second
-	// staleElections is after how many election time-outs without a leader's word a
-	// replica says that what it tells may be stale.
-	staleElections = 3
-	// expiryInterval is how often the leader looks for sessions that have ended: a
-	// part of the shortest time to live.
-	expiryInterval = 100 * time.Millisecond
-	// memberKeyPrefix begins the records that name replicas added later.
-	memberKeyPrefix = "member:"
-
-	raftPoolSize    = 3 // connections kept to each replica
-	raftTimeout     = 2 * time.Second
-	peerCallTimeout = time.Second
-	catchUpInterval = 50 * time.Millisecond
+
+	raftPoolSize       = 3 // connections kept to each other replica
+	raftTimeout        = 2 * time.Second
+	commitsPerElection = 4 // commit messages at least within an election timeout
+	snapshotCheck      = 30 * time.Second
+	snapshotEntries    = 4096 // log entries after which a snapshot is made, and that are kept behind it
+
+	peerCallTimeout    = time.Second // for an HTTP call to another replica
+	maxPeerConnections = 4           // to one replica, for such calls
 )
 
-// Replica is one replica of the registry.
+// Replica is one replica of the registry: a Raft node, the state machine that its log
+// drives, and the HTTP interface to both.
 type Replica struct {
-	self         registry.ReplicaInfo
-	config       atomic.Pointer[Config]
-	stateMachine *stateMachine
-	broadcaster  *watchBroadcaster
-	limiter      *callLimiter
+	self   registry.ReplicaInfo
+	config atomic.Pointer[Config]
+
 	storage      *storage
 	raft         *raft.Raft
 	transport    *raft.NetworkTransport
-	peerClient   *http.Client
-	gossip       atomic.Pointer[gossip.Node] // nil: it knows no members
+	stateMachine *stateMachine
+	leadership   leadership
+	verifier     *leadershipVerifier
+
+	peerClient *http.Client                // calls other replicas
+	gossip     atomic.Pointer[gossip.Node] // nil without membership
+
+	ready             atomic.Bool // it has caught up with the group once since its start
+	limiter           *callLimiter
+	leaseWriteLimiter *rate.Limiter
+	maxConnections    int // that its listener accepts at once
+	broadcaster       *watchBroadcaster
+	openWatches       atomic.Int64 // long polls among them
+	watchVersions     watchVersions
+	counters          counters
 
-	ctx        context.Context
+	ctx        context.Context // ends when the replica is closed
 	cancel     context.CancelFunc
 	background sync.WaitGroup
+}
 
-	ready         atomic.Bool // it has caught up with the group once since its start
-	openWatches   atomic.Int64
-	watchVersions watchVersions
-
-	maxConnections    int           // that its listener lets in
-	refusedCalls      atomic.Uint64 // calls told to come back
-	leaseWriteLimiter *rate.Limiter
-	verifier          *leadershipVerifier
-	renewals          atomic.Uint64 // claims renewed
-	granted           atomic.Uint64 // leases granted to calls taken here
-	ended             atomic.Uint64 // claims ended as their time was up
-	writes            atomic.Uint64
-	expired           atomic.Uint64 // instances removed for their silence
-
-	mu       sync.Mutex
-	sessions *registry.SessionTracker // while it leads
-	followed uint64                   // the list's version that they are those of
-	held     bool                     // expiry is held back
-	leases   *registry.ClaimTracker
-	term     uint64 // in which it leads
+// counters are totals since the start, served as metrics.
+type counters struct {
+	refusedCalls     atomic.Uint64 // answered with 503 and Retry-After
+	writes           atomic.Uint64 // commands applied for calls to this replica
+	expiredInstances atomic.Uint64
+	renewedClaims    atomic.Uint64
+	grantedLeases    atomic.Uint64
+	expiredClaims    atomic.Uint64
 }
 
-// Open starts a replica on the listener given for other replicas, which it takes over.
+// Open starts a replica. It takes over the listener on which other replicas connect,
+// and closes it also when it returns an error.
 func Open(c *Config, peers net.Listener) (*Replica, error) {
-	self := c.Self()
 	logger := newRaftLogger()
-	d, err := openStorage(c, logger)
+	disk, err := openStorage(c, logger)
 	if err != nil {
 		peers.Close()
 		return nil, err
 	}
-	h := newWatchBroadcaster()
-	r := &Replica{self: self, broadcaster: h, stateMachine: newStateMachine(h), limiter: &callLimiter{limits: c.Limits}, storage: d, maxConnections: c.Limits.maxConnections()}
-	r.leaseWriteLimiter = rate.NewLimiter(rate.Limit(c.Leases.WritesPerSecond), int(c.Leases.WritesPerSecond))
-	r.peerClient = &http.Client{Timeout: peerCallTimeout, Transport: &http.Transport{MaxConnsPerHost: 4, DisableCompression: true, DialContext: c.Routes.Dial(peerCallTimeout)}}
-	r.verifier = newLeadershipVerifier()
-	r.config.Store(c)
-	r.ctx, r.cancel = context.WithCancel(context.Background())
-	if err := r.start(c, peers, logger); err != nil {
+	r := newReplica(c, disk)
+	if err := r.startRaft(c, peers, logger); err != nil {
 		r.cancel()
 		peers.Close()
-		d.bolt.Close()
+		disk.close()
 		return nil, err
 	}
 	r.background.Go(r.followLeadership)
 	r.background.Go(r.catchUp)
 	r.background.Go(r.endWatchesWhenStale)
-	r.background.Go(r.runVerifications)
+	r.background.Go(func() { r.verifier.run(r.ctx) })
 	return r, nil
 }
 
-func (r *Replica) start(c *Config, peers net.Listener, logger *raftLogger) error {
-	rc := raft.DefaultConfig()
-	rc.LocalID = raft.ServerID(c.ID)
-	rc.HeartbeatTimeout, rc.ElectionTimeout, rc.LeaderLeaseTimeout = c.electionTimeout(), c.electionTimeout(), c.electionTimeout()/2
-	rc.CommitTimeout = min(rc.CommitTimeout, c.electionTimeout()/4)
-	rc.SnapshotInterval, rc.SnapshotThreshold, rc.TrailingLogs = 30*time.Second, 4096, 4096
-	rc.Logger = logger
-	rc.NoLegacyTelemetry = true
-	if err := raft.ValidateConfig(rc); err != nil {
-		return fmt.Errorf("timing: %w", err)
+func newReplica(c *Config, disk *storage) *Replica {
+	broadcaster := newWatchBroadcaster()
+	r := &Replica{
+		self:              c.Self(),
+		storage:           disk,
+		stateMachine:      newStateMachine(broadcaster),
+		broadcaster:       broadcaster,
+		limiter:           &callLimiter{limits: c.Limits},
+		leaseWriteLimiter: rate.NewLimiter(rate.Limit(c.Leases.WritesPerSecond), int(c.Leases.WritesPerSecond)),
+		maxConnections:    c.Limits.maxConnections(),
+	}
+	r.peerClient = &http.Client{
+		Timeout: peerCallTimeout,
+		Transport: &http.Transport{
+			MaxConnsPerHost: maxPeerConnections, DisableCompression: true, DialContext: c.Routes.Dial(peerCallTimeout),
+		},
+	}
+	r.verifier = newLeadershipVerifier(r.confirmLeadership)
+	r.config.Store(c)
+	r.ctx, r.cancel = context.WithCancel(context.Background())
+	return r
+}
+
+// startRaft starts the Raft node on the replica's storage, and bootstraps the group on
+// an empty one.
+func (r *Replica) startRaft(c *Config, peers net.Listener, logger *raftLogger) error {
+	settings, err := raftSettings(c, logger)
+	if err != nil {
+		return err
 	}
 	layer := newStreamLayer(peers, c.Routes, func() (group string, founded uint64) {
 		r.stateMachine.view(func(s *registry.State) { founded = s.FirstVersion() })
@@ -124,28 +134,53 @@
 		Stream: layer, MaxPool: raftPoolSize, Timeout: raftTimeout, Logger: logger, ServerAddressProvider: addressProvider{r},
 	})
 	if r.storage.isNew && !c.Join {
-		var group raft.Configuration
-		for _, m := range c.Replicas {
-			group.Servers = append(group.Servers, raft.Server{ID: raft.ServerID(m.ID), Address: raft.ServerAddress(m.Raft)})
-		}
-		if err := raft.BootstrapCluster(rc, r.storage.log, r.storage.bolt, r.storage.snapshots, r.transport, group); err != nil {
+		if err := r.bootstrap(c, settings); err != nil {
 			r.transport.Close()
 			return fmt.Errorf("found the group: %w", err)
 		}
 	}
-	var err error
-	if r.raft, err = raft.NewRaft(rc, r.stateMachine, r.storage.log, r.storage.terms, r.storage.snapshots, r.transport); err != nil {
+	r.raft, err = raft.NewRaft(settings, r.stateMachine, r.storage.log, r.storage.terms, r.storage.snapshots, r.transport)
+	if err != nil {
 		r.transport.Close()
 		return fmt.Errorf("start on %s: %w", c.DataDir, err)
 	}
 	return nil
 }
 
-// PrepareShutdown hands leadership over and ends the watches; calls are answered still.
+func raftSettings(c *Config, logger *raftLogger) (*raft.Config, error) {
+	election := c.electionTimeout()
+	settings := raft.DefaultConfig()
+	settings.LocalID = raft.ServerID(c.ID)
+	settings.HeartbeatTimeout = election
+	settings.ElectionTimeout = election
+	settings.LeaderLeaseTimeout = election / 2
+	settings.CommitTimeout = min(settings.CommitTimeout, election/commitsPerElection)
+	settings.SnapshotInterval = snapshotCheck
+	settings.SnapshotThreshold = snapshotEntries
+	settings.TrailingLogs = snapshotEntries
+	settings.Logger = logger
+	settings.NoLegacyTelemetry = true
+	if err := raft.ValidateConfig(settings); err != nil {
+		return nil, fmt.Errorf("timing: %w", err)
+	}
+	return settings, nil
+}
+
+// bootstrap writes the group's first configuration to an empty log. Every founding
+// replica writes the same.
+func (r *Replica) bootstrap(c *Config, settings *raft.Config) error {
+	var group raft.Configuration
+	for _, m := range c.Replicas {
+		group.Servers = append(group.Servers, raft.Server{ID: raft.ServerID(m.ID), Address: raft.ServerAddress(m.Raft)})
+	}
+	return raft.BootstrapCluster(settings, r.storage.log, r.storage.bolt, r.storage.snapshots, r.transport, group)
+}
+
+// PrepareShutdown hands leadership over and ends the watches. Calls are still answered.
 func (r *Replica) PrepareShutdown() {
 	if r.raft.State() == raft.Leader && len(r.voters()) > 1 {
 		if err := r.raft.LeadershipTransfer().Error(); err != nil {
-			slog.Warn("leadership was not handed over", "err", err)
+			slog.Warn("registry: leadership transfer failed", "err", err)
 		}
 	}
 	r.broadcaster.close()
@@ -159,30 +194,31 @@
 	err := r.raft.Shutdown().Error()
 	r.background.Wait()
 	r.peerClient.CloseIdleConnections()
-	return errors.Join(err, r.transport.Close(), r.storage.bolt.Close())
+	return errors.Join(err, r.transport.Close(), r.storage.close())
 }
 
-// apply has a command carried out by the group. When it returns without an error,
-// a quorum has it on disk.
+// apply has the group apply a command. When it returns without an error, a quorum has
+// the command on disk.
 func (r *Replica) apply(c registry.Command) (registry.Result, error) {
 	c.AtMS = time.Now().UnixMilli()
 	text, err := json.Marshal(c)
 	if err != nil {
 		return registry.Result{}, fmt.Errorf("write command: %w", err)
 	}
-	f := r.raft.Apply(text, writeTimeout)
-	if err := f.Error(); err != nil {
+	future := r.raft.Apply(text, writeTimeout)
+	if err := future.Error(); err != nil {
 		return registry.Result{}, err
 	}
-	r.writes.Add(1)
-	result, ok := f.Response().(registry.Result)
+	r.counters.writes.Add(1)
+	result, ok := future.Response().(registry.Result)
 	if !ok {
-		return registry.Result{}, fmt.Errorf("command %s: answered with %T", c.Op, f.Response())
+		return registry.Result{}, fmt.Errorf("command %s: answered with %T", c.Op, future.Response())
 	}
 	return result, result.Err
 }
 
-// Reload puts other limits and rules on sessions in force.
+// Reload puts other limits and session rules in force. Nothing else may differ from the
+// configuration that the replica was started with.
 func (r *Replica) Reload(fresh *Config) error {
 	next, err := r.config.Load().reloaded(fresh)
 	if err != nil {
--- a/internal/registry/server/sessions.go
+++ b/internal/registry/server/sessions.go
@@ -8,66 +8,72 @@
 	"barleywick/internal/registry"
 )
 
-// syncSessionsLocked lets the sessions be those of the state. The lock is held.
+// syncSessionsLocked takes sessions over that have begun or ended in the state. The
+// caller holds the lock of leadership.
 func (r *Replica) syncSessionsLocked(now time.Time) {
-	var entries []registry.Registration
+	l := &r.leadership
+	var registrations []registry.Registration
 	var seq uint64
 	r.stateMachine.view(func(s *registry.State) {
-		if seq = s.Seq(); seq != r.followed { // every change of a session is one of the list's version
-			entries = s.Registrations()
+		if seq = s.Seq(); seq != l.sessionsVersion { // every change of a session changes the list's version
+			registrations = s.Registrations()
 		}
 	})
-	if seq != r.followed {
-		r.followed = seq
-		r.sessions.Sync(entries, now)
+	if seq != l.sessionsVersion {
+		l.sessionsVersion = seq
+		l.sessions.Sync(registrations, now)
 	}
 }
 
-// expireSessions removes the instances whose sessions have ended, unless too many have at once.
+// expireSessions removes the instances whose sessions have expired, unless too many
+// have at once.
 func (r *Replica) expireSessions(now time.Time, term uint64) {
-	r.mu.Lock()
-	if rules := r.config.Load().Sessions; r.sessions.SetFloor(rules.Floor) {
-		slog.Info("sessions: another floor", "floor", rules.Floor)
+	l := &r.leadership
+	l.mu.Lock()
+	if floor := r.config.Load().Sessions.Floor; l.sessions.SetFloor(floor) {
+		slog.Info("registry: session floor changed", "floor", floor)
 	}
 	r.syncSessionsLocked(now)
-	ended, held, changed := r.sessions.Expired(now)
-	r.held = held
-	live := r.sessions.Len()
-	r.mu.Unlock()
-	if changed && held {
-		slog.Warn("sessions: too many have ended at once: none is removed until they renew or are removed by hand", "of", live)
-	} else if changed {
-		slog.Info("sessions: removals go on")
+	expired, held, changed := l.sessions.Expired(now)
+	l.expiryHeld = held
+	live := l.sessions.Len()
+	l.mu.Unlock()
+	switch {
+	case changed && held:
+		slog.Warn("registry: session expiry held back, too many have ended at once", "sessions", live)
+	case changed:
+		slog.Info("registry: session expiry resumed")
 	}
-	if len(ended) == 0 {
+	if len(expired) == 0 {
 		return
 	}
-	if _, err := r.apply(registry.Command{Op: registry.OpExpireSessions, ExpiredSessions: ended, Term: term}); err != nil {
-		slog.Warn("sessions: not removed", "err", err)
+	if _, err := r.apply(registry.Command{Op: registry.OpExpireSessions, ExpiredSessions: expired, Term: term}); err != nil {
+		slog.Warn("registry: expired sessions not removed", "err", err) // the next tick tries again
 		return
 	}
-	r.expired.Add(uint64(len(ended)))
-	hosts := make([]string, len(ended))
-	for i, e := range ended {
-		hosts[i] = e.Host
+	r.counters.expiredInstances.Add(uint64(len(expired)))
+	hosts := make([]string, len(expired))
+	for i, session := range expired {
+		hosts[i] = session.Host
 	}
-	slog.Info("sessions: removed for their silence", "hosts", hosts)
+	slog.Info("registry: expired sessions removed", "hosts", hosts)
 }
 
-// renewSession notes a sign of life. Only a leader may, and one is a leader no longer
-// than its lease: a replica that was cut off takes no word for another's.
+// renewSession records that an instance is alive. Only a leader may, and one is a leader
+// no longer than its Raft lease: a replica that was cut off renews nothing.
 func (r *Replica) renewSession(host, session string, now time.Time) error {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+	l := &r.leadership
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if err := r.requireLeaderLocked(); err != nil {
 		return err
 	}
-	var entry registry.Registration
-	r.stateMachine.view(func(s *registry.State) { entry, _ = s.Registration(host) })
-	if session == "" || entry.Session != session { // the state may be ahead of what is followed
+	var registered registry.Registration
+	r.stateMachine.view(func(s *registry.State) { registered, _ = s.Registration(host) })
+	if session == "" || registered.Session != session { // the state may be ahead of the tracked sessions
 		return fmt.Errorf("%w: host %.64s has no such session: register again", registry.ErrNotFound, host)
 	}
-	if !r.sessions.Renew(host, session, now) {
+	if !l.sessions.Renew(host, session, now) {
 		r.syncSessionsLocked(now) // it was registered a moment ago, and has its full time
 	}
 	return nil
--- a/internal/registry/server/state_machine.go
+++ b/internal/registry/server/state_machine.go
@@ -11,32 +11,38 @@
 	"barleywick/internal/registry"
 )
 
-// stateMachine is the state under Raft: commands come in from the log one by one, and
-// every change goes on to the hub under the same lock, so that a watch that reads
-// the state and takes its place in the chain at once misses none and gets none twice.
+// stateMachine is the replicated state machine under Raft. It applies the commands of
+// the log one by one, and publishes each change of the list under the same lock: a watch
+// that reads the state and takes its place among the events at once misses no change and
+// gets none twice.
 type stateMachine struct {
 	broadcaster *watchBroadcaster
 
 	mu                    sync.RWMutex
 	state                 *registry.State
-	fullListCache         []byte // the whole list, encoded once for a version
-	fullListSeq           uint64 // that version
+	fullListCache         []byte // the full list, encoded once for each version
+	fullListSeq           uint64 // the version that fullListCache is of
 	listChanged           chan struct{}
-	leasesOrPolicyChanged chan struct{} // closed at the next change of leases or policy
+	leasesOrPolicyChanged chan struct{} // closed at the next change of the leases or of the policy
 }
 
-func newStateMachine(h *watchBroadcaster) *stateMachine {
-	return &stateMachine{broadcaster: h, state: registry.NewState(), listChanged: make(chan struct{}), leasesOrPolicyChanged: make(chan struct{})}
+func newStateMachine(broadcaster *watchBroadcaster) *stateMachine {
+	return &stateMachine{
+		broadcaster:           broadcaster,
+		state:                 registry.NewState(),
+		listChanged:           make(chan struct{}),
+		leasesOrPolicyChanged: make(chan struct{}),
+	}
 }
 
-// Apply carries out one command of the log.
+// Apply applies one command of the log.
 func (m *stateMachine) Apply(entry *raft.Log) any {
 	if entry.Type != raft.LogCommand {
 		return registry.Result{}
 	}
 	var c registry.Command
 	if err := json.Unmarshal(entry.Data, &c); err != nil {
-		// The same on all replicas, as they read the same bytes.
+		// All replicas return the same, as they read the same bytes.
 		return registry.Result{Err: fmt.Errorf("%w: log entry %d: %w", registry.ErrInvalid, entry.Index, err)}
 	}
 	if c.Term != 0 && c.Term != entry.Term {
@@ -45,43 +51,49 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	before, leases, policy := m.state.Seq(), m.state.Leases().Version(), m.state.Rollout().Version()
-	r := m.state.Apply(c)
+	result := m.state.Apply(c)
 	if m.state.Leases().Version() != leases || m.state.Rollout().Version() != policy {
 		m.notifyLeasesOrPolicy()
 	}
 	if m.state.Seq() != before {
-		f := watchEvent{seq: m.state.Seq(), resync: len(r.ChangedHosts) == 0}
-		if !f.resync {
-			f.line = encodeLine(m.state.ChangesSince(before))
-		}
-		m.publish(f)
+		m.publishChanges(before, len(result.ChangedHosts) == 0)
+	}
+	return result
+}
+
+// publishChanges publishes what has changed in the list since a version. With resync the
+// watches have to read it from the state.
+func (m *stateMachine) publishChanges(since uint64, resync bool) {
+	event := watchEvent{seq: m.state.Seq(), resync: resync}
+	if !resync {
+		event.line = encodeLine(m.state.ChangesSince(since))
 	}
-	return r
+	m.publish(event)
 }
 
-// notifyLeasesOrPolicy wakes those that wait for news of leases or of the policy.
+// notifyLeasesOrPolicy wakes the calls that wait for a change of the leases or of the policy.
 func (m *stateMachine) notifyLeasesOrPolicy() {
 	close(m.leasesOrPolicyChanged)
 	m.leasesOrPolicyChanged = make(chan struct{})
 }
 
-// publish passes a change on and wakes those that wait for a version.
-func (m *stateMachine) publish(f watchEvent) {
-	m.broadcaster.publish(f)
+// publish hands an event to the watches, and wakes the calls that wait for a version.
+func (m *stateMachine) publish(event watchEvent) {
+	m.broadcaster.publish(event)
 	close(m.listChanged)
 	m.listChanged = make(chan struct{})
 }
 
-// encodeLine writes a listing as a line. It cannot fail: its numbers were checked.
-func encodeLine(l registry.ListUpdate) []byte {
-	text, err := json.Marshal(l)
+// encodeLine writes a list message as a line. It cannot fail: the numbers were checked.
+func encodeLine(update registry.ListUpdate) []byte {
+	text, err := json.Marshal(update)
 	if err != nil {
-		panic(fmt.Sprintf("registry: a listing that cannot be written: %v", err))
+		panic(fmt.Sprintf("registry: a list that cannot be written: %v", err))
 	}
 	return append(text, '\n')
 }
 
-// Snapshot keeps the state as it is now.
+// Snapshot returns the state as it is now, for Raft to write.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -92,10 +104,10 @@
 	return serializedState(text), nil
 }
 
-// Restore takes over a snapshot. Watches go on from what they hold.
-func (m *stateMachine) Restore(from io.ReadCloser) error {
-	defer from.Close()
-	text, err := io.ReadAll(from)
+// Restore replaces the state by a snapshot. Watches continue from the version they have.
+func (m *stateMachine) Restore(snapshot io.ReadCloser) error {
+	defer snapshot.Close()
+	text, err := io.ReadAll(snapshot)
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
@@ -111,34 +123,35 @@
 	return nil
 }
 
-// serializedState is a state on its way to disk.
+// serializedState is a snapshot of the state.
 type serializedState []byte
 
-// Persist writes it.
-func (i serializedState) Persist(sink raft.SnapshotSink) error {
-	if _, err := sink.Write(i); err != nil {
-		sink.Cancel()
+// Persist writes the snapshot.
+func (s serializedState) Persist(sink raft.SnapshotSink) error {
+	if _, err := sink.Write(s); err != nil {
+		_ = sink.Cancel() // the write's error tells why
 		return fmt.Errorf("write snapshot: %w", err)
 	}
 	return sink.Close()
 }
 
-// Release has nothing to let go of.
+// Release does nothing: a snapshot holds no resources.
 func (serializedState) Release() {}
 
-// view gives a look at the state.
-func (m *stateMachine) view(look func(s *registry.State)) {
+// view calls read with the state, which read must not keep.
+func (m *stateMachine) view(read func(s *registry.State)) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	look(m.state)
+	read(m.state)
 }
 
-func (m *stateMachine) seq() (v uint64) {
-	m.view(func(s *registry.State) { v = s.Seq() })
-	return v
+// seq returns the list's version.
+func (m *stateMachine) seq() (seq uint64) {
+	m.view(func(s *registry.State) { seq = s.Seq() })
+	return seq
 }
 
-// fullList returns the whole fullList as a line.
+// fullList returns the full list as a line.
 func (m *stateMachine) fullList() []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -152,21 +165,30 @@
 	return m.fullListCache
 }
 
-// beginWatch returns what a watch from a version begins with, the version that it then
-// holds, and the frame it goes on at.
-func (m *stateMachine) beginWatch(from uint64) (line []byte, seq uint64, next *watchEvent) {
+// watchPosition is how far a watch has come: the line to send, the list's version after
+// it, and the event that follows.
+type watchPosition struct {
+	line []byte
+	seq  uint64
+	next *watchEvent
+}
+
+// beginWatch returns the position of a watch that has a version of the list: its line
+// holds what has changed since, or the full list.
+func (m *stateMachine) beginWatch(from uint64) watchPosition {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if l := m.state.ChangesSince(from); l.Full {
-		line = m.fullListLocked()
+	position := watchPosition{seq: m.state.Seq(), next: m.broadcaster.nextEvent()}
+	if update := m.state.ChangesSince(from); update.Full {
+		position.line = m.fullListLocked()
 	} else {
-		line = encodeLine(l)
+		position.line = encodeLine(update)
 	}
-	return line, m.state.Seq(), m.broadcaster.nextEvent()
+	return position
 }
 
-// listVersion returns the version now, and the channel that is closed at the next listVersion.
-func (m *stateMachine) listVersion() (seq uint64, moved <-chan struct{}) {
+// listVersion returns the list's version, and a channel that is closed when it changes.
+func (m *stateMachine) listVersion() (seq uint64, changed <-chan struct{}) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.state.Seq(), m.listChanged
--- a/internal/registry/server/status.go
+++ b/internal/registry/server/status.go
@@ -7,29 +7,35 @@
 	"barleywick/internal/registry"
 )
 
-// Status tells how the replica stands.
+// Status returns how the replica stands.
 func (r *Replica) Status() registry.StatusResponse {
-	word, _ := r.freshness(time.Now())
+	freshness, _ := r.freshness(time.Now())
 	s := registry.StatusResponse{
-		ID: r.self.ID, State: strings.ToLower(r.raft.State().String()), Read: word, Ready: r.ready.Load(),
-		Term: r.raft.CurrentTerm(), Applied: r.raft.AppliedIndex(), Watches: int(r.openWatches.Load()),
+		ID:      r.self.ID,
+		State:   strings.ToLower(r.raft.State().String()),
+		Read:    freshness,
+		Ready:   r.ready.Load(),
+		Term:    r.raft.CurrentTerm(),
+		Applied: r.raft.AppliedIndex(),
+		Watches: int(r.openWatches.Load()),
 	}
-	if m, ok := r.leader(); ok {
-		s.Leader = m.ID
+	if leader, ok := r.leader(); ok {
+		s.Leader = leader.ID
 	}
-	r.stateMachine.view(func(st *registry.State) { s.Group, s.Seq = st.Group(), st.Seq() })
+	r.stateMachine.view(func(state *registry.State) { s.Group, s.Seq = state.Group(), state.Seq() })
 	s.WatchSeq = r.watchVersions.oldest(s.Seq)
-	for _, v := range r.voters() {
-		m, ok := r.findReplica(string(v.ID))
+	for _, voter := range r.voters() {
+		info, ok := r.findReplica(string(voter.ID))
 		if !ok {
-			m = registry.ReplicaInfo{ID: string(v.ID), Raft: string(v.Address)}
+			info = registry.ReplicaInfo{ID: string(voter.ID), Raft: string(voter.Address)}
 		}
-		s.Replicas = append(s.Replicas, m)
+		s.Replicas = append(s.Replicas, info)
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if s.ExpiryHeld = r.held; r.sessions != nil {
-		s.Sessions, s.Claims = r.sessions.Len(), r.leases.Len()
+	l := &r.leadership
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if s.ExpiryHeld = l.expiryHeld; l.sessions != nil {
+		s.Sessions, s.Claims = l.sessions.Len(), l.claims.Len()
 	}
 	return s
 }
--- a/internal/registry/server/watch_broadcaster.go
+++ b/internal/registry/server/watch_broadcaster.go
@@ -5,78 +5,84 @@
 	"sync/atomic"
 )
 
-// watchBroadcaster hands each change to all watches. A change is encoded once, and its bytes
-// are shared: watches stand at their own places in one chain of frames, and a frame
-// that all have passed is garbage. How far a watch may fall behind is bounded, and
-// so is the chain.
+// maxWatchBacklog is how many events a watch may be behind. A watch whose caller reads is
+// behind by those of a moment; one whose caller does not is cut by its write deadline.
+const maxWatchBacklog = 1024
+
+// watchBroadcaster hands each change of the list to all watches. A change is encoded
+// once, and its bytes are shared: each watch stands at its own place in one linked list
+// of events, and an event that all watches have passed is garbage. How far a watch may
+// fall behind is bounded, and so is the list.
 type watchBroadcaster struct {
 	mu        sync.Mutex
-	pending   *watchEvent // the one to come
-	published uint64      // frames so far
+	pending   *watchEvent // the next to be published
+	published uint64      // events so far
 	closed    bool
 
 	eventCount, eventBytes, cutWatches atomic.Uint64
 }
 
-// watchEvent is one change, or the end. Until ready is closed it is still to come.
+// watchEvent is one change of the list, or the end of the watches. The other fields are
+// valid once published is closed.
 type watchEvent struct {
 	published chan struct{}
 	number    uint64
 	line      []byte // with its line break
-	seq       uint64 // the list's version after it
-	resync    bool   // more has changed than a line tells: watches have to look at the state
-	final     bool   // it ends the watches that come to it
+	seq       uint64 // the list's version after the change
+	resync    bool   // more has changed than a line tells: watches have to read the state
+	final     bool   // ends the watches that come to it
 	next      *watchEvent
 }
 
-// maxWatchBacklog is how many frames a watch may be behind. One that takes its lines is
-// behind by those of a moment; one that takes none is cut by its write's deadline.
-const maxWatchBacklog = 1024
-
 func newWatchEvent() *watchEvent { return &watchEvent{published: make(chan struct{})} }
 
 func newWatchBroadcaster() *watchBroadcaster { return &watchBroadcaster{pending: newWatchEvent()} }
 
-// publish passes one frame on.
-func (h *watchBroadcaster) publish(f watchEvent) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.closed {
+// publish hands one event to all watches.
+func (b *watchBroadcaster) publish(event watchEvent) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.closed {
 		return
 	}
-	h.published++
-	t := h.pending
-	t.number, t.line, t.seq, t.resync, t.final, t.next = h.published, f.line, f.seq, f.resync, f.final, newWatchEvent()
-	h.pending = t.next
-	h.eventCount.Add(1)
-	h.eventBytes.Add(uint64(len(f.line)))
-	close(t.published)
+	b.published++
+	current := b.pending
+	current.number = b.published
+	current.line = event.line
+	current.seq = event.seq
+	current.resync = event.resync
+	current.final = event.final
+	current.next = newWatchEvent()
+	b.pending = current.next
+	b.eventCount.Add(1)
+	b.eventBytes.Add(uint64(len(event.line)))
+	close(current.published)
 }
 
 // endWatches ends the watches that are open; others may begin.
-func (h *watchBroadcaster) endWatches() { h.publish(watchEvent{final: true}) }
+func (b *watchBroadcaster) endWatches() { b.publish(watchEvent{final: true}) }
 
-// close ends all watches, and those that begin later at once.
-func (h *watchBroadcaster) close() {
-	h.endWatches()
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if !h.closed {
-		h.closed, h.pending.final = true, true
-		close(h.pending.published)
+// close ends all watches, and at once those that begin later.
+func (b *watchBroadcaster) close() {
+	b.endWatches()
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if !b.closed {
+		b.closed, b.pending.final = true, true
+		close(b.pending.published)
 	}
 }
 
-// nextEvent is the frame to come.
-func (h *watchBroadcaster) nextEvent() *watchEvent {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.pending
+// nextEvent returns the next event to be published.
+func (b *watchBroadcaster) nextEvent() *watchEvent {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.pending
 }
 
-// tooFarBehind says whether a watch at a frame has fallen too far tooFarBehind.
-func (h *watchBroadcaster) tooFarBehind(f *watchEvent) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.published > f.number+maxWatchBacklog
+// tooFarBehind says whether a watch that comes to an event only now has to be cut.
+func (b *watchBroadcaster) tooFarBehind(event *watchEvent) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.published > event.number+maxWatchBacklog
 }
--- a/internal/registry/server/watch_versions.go
+++ b/internal/registry/server/watch_versions.go
@@ -5,36 +5,36 @@
 	"sync/atomic"
 )
 
-// watchVersions are what each open watch has been sent.
+// watchVersions holds, for each open watch, the list's version that it was sent last.
 type watchVersions struct {
 	mu   sync.Mutex
 	open map[*atomic.Uint64]bool
 }
 
-// add takes a watch in that has been sent nothing yet.
+// add returns the version of a watch that has been sent nothing yet, for its owner to set.
 func (v *watchVersions) add() *atomic.Uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.open == nil {
 		v.open = make(map[*atomic.Uint64]bool)
 	}
-	at := new(atomic.Uint64)
-	v.open[at] = true
-	return at
+	version := new(atomic.Uint64)
+	v.open[version] = true
+	return version
 }
 
-func (v *watchVersions) remove(at *atomic.Uint64) {
+func (v *watchVersions) remove(version *atomic.Uint64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	delete(v.open, at)
+	delete(v.open, version)
 }
 
-// oldest is the oldest version among the watches, or none where there is no watch.
-func (v *watchVersions) oldest(none uint64) uint64 {
+// oldest returns the oldest version among the watches, or upTo if none is older.
+func (v *watchVersions) oldest(upTo uint64) uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for at := range v.open {
-		none = min(none, at.Load())
+	for version := range v.open {
+		upTo = min(upTo, version.Load())
 	}
-	return none
+	return upTo
 }
