--- a/internal/registry/server/benchmark_test.go
+++ b/internal/registry/server/benchmark_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"net"
 	"net/http"
@@ -20,8 +21,8 @@
 	loadInstances = 200
 )
 
-// loadedGroup is a group of one with a list of loadInstances. Watchers are raw
-// connections in this process: what they cost stands in the figures.
+// loadedGroup starts a group of one with loadInstances instances. Watchers are raw
+// connections in this process: their cost is part of the figures.
 func loadedGroup(b *testing.B) *group {
 	b.Helper()
 	g := startGroup(b, 1)
@@ -34,7 +35,7 @@
 	return g
 }
 
-// watchRaw opens a watch and calls took for each line.
+// watchRaw opens a watch and calls took for each line that is not empty.
 func watchRaw(b *testing.B, addr string, from uint64, took func()) (end func()) {
 	b.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -52,7 +53,7 @@
 		lines := bufio.NewReaderSize(resp.Body, 1<<10)
 		for {
 			line, err := lines.ReadSlice('\n')
-			if err != nil && err != bufio.ErrBufferFull {
+			if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
 				return
 			}
 			if err == nil && len(line) > 1 {
@@ -75,8 +76,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkWatchers tells what a change costs that goes to all watchers, and what
-// a watcher holds at rest.
+// BenchmarkWatchers measures the cost of a change that goes to all watchers, and the
+// memory of an idle watcher.
 func BenchmarkWatchers(b *testing.B) {
 	g := loadedGroup(b)
 	n, c := g.nodes[0], g.client()
@@ -114,8 +115,8 @@
 	b.ReportMetric(float64(cpu(b)-used)/changes/1e3, "cpu-µs/change")
 }
 
-// BenchmarkNewLeader tells how long a group of three is without a leader when its
-// leader ends without a word, in election time-outs.
+// BenchmarkNewLeader measures how long a group of three is without a leader after its
+// leader crashed, in election timeouts.
 func BenchmarkNewLeader(b *testing.B) {
 	var gap time.Duration
 	rounds := 0
@@ -127,7 +128,7 @@
 		b.StartTimer()
 		begin := time.Now()
 		var stopped sync.WaitGroup
-		stopped.Go(leader.stop) // its own end takes longer than the others' election
+		stopped.Go(leader.stop) // its stop takes longer than the others' election
 		if _, err := c.Register(testContext(b), registry.RegisterRequest{Instance: instance("s-1", 1)}); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/registry/server/call_limiter_test.go
+++ b/internal/registry/server/call_limiter_test.go
@@ -2,43 +2,45 @@
 
 import (
 	"context"
+	"errors"
 	"testing"
 )
 
-// Calls wait in a bounded turn, in order, and are told to come back beyond it.
-func TestTurn(t *testing.T) {
-	tn := &callLimiter{limits: Limits{Calls: 1, Waiting: 2}}
-	if err := tn.acquire(t.Context()); err != nil {
+// The limiter runs a bounded number of calls, lets a bounded number wait in order, and
+// refuses others.
+func TestCallLimiter(t *testing.T) {
+	limiter := &callLimiter{limits: Limits{Calls: 1, Waiting: 2}}
+	if err := limiter.acquire(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	order := make(chan int, 3)
 	gone, leave := context.WithCancel(t.Context())
 	for i, ctx := range []context.Context{gone, t.Context()} {
 		go func() {
-			if tn.acquire(ctx) == nil {
+			if limiter.acquire(ctx) == nil {
 				order <- i
 			} else {
 				order <- -1
 			}
 		}()
-		eventually(t, "it waits", func() bool { _, waiting := tn.counts(); return waiting == i+1 })
+		eventually(t, "it waits", func() bool { _, waiting := limiter.counts(); return waiting == i+1 })
 	}
-	if err := tn.acquire(t.Context()); err != errBusy {
-		t.Errorf("beyond the bound: %v", err)
+	if err := limiter.acquire(t.Context()); !errors.Is(err, errBusy) {
+		t.Errorf("a call beyond the limits: got %v want %v", err, errBusy)
 	}
 	leave()
 	if got := <-order; got != -1 {
-		t.Errorf("%d was served", got)
+		t.Errorf("got %d want -1: a call whose caller had gone was admitted", got)
 	}
-	tn.release()
+	limiter.release()
 	if got := <-order; got != 1 {
-		t.Errorf("%d was served, want the one that still waits", got)
+		t.Errorf("got %d want 1, the call that still waits", got)
 	}
-	tn.setLimits(Limits{Calls: 2, Waiting: 0})
-	if err := tn.acquire(t.Context()); err != nil {
-		t.Errorf("with another limit: %v", err)
+	limiter.setLimits(Limits{Calls: 2, Waiting: 0})
+	if err := limiter.acquire(t.Context()); err != nil {
+		t.Errorf("with other limits: %v", err)
 	}
-	if running, waiting := tn.counts(); running != 2 || waiting != 0 {
-		t.Errorf("%d run and %d wait", running, waiting)
+	if running, waiting := limiter.counts(); running != 2 || waiting != 0 {
+		t.Errorf("got %d running and %d waiting, want 2 and 0", running, waiting)
 	}
 }
--- a/internal/registry/server/compat_data_test.go
+++ b/internal/registry/server/compat_data_test.go
@@ -73,7 +73,7 @@
 	t.Helper()
 	p := startProcess(t, program, writeConfig(t, singleReplica(m, data, map[string]any{"leases": map[string]any{"most_ttl_ms": 500}})))
 	awaitReady(t, m)
-	awaitGrants(t, m)
+	awaitGrantsOpen(t, m)
 	p.terminate()
 }
 
--- a/internal/registry/server/compat_group_test.go
+++ b/internal/registry/server/compat_group_test.go
@@ -172,7 +172,7 @@
 	awaitReady(t, g.members[1])
 	g.startEarlier(0)
 	g.allReady()
-	awaitGrants(t, g.members[1])
+	awaitGrantsOpen(t, g.members[1])
 	g.makeLeader(1)
 	g.writeThrough(1, "this-leads")
 	g.makeLeader(0)
--- a/internal/registry/server/compat_peers_test.go
+++ b/internal/registry/server/compat_peers_test.go
@@ -139,7 +139,7 @@
 	for _, line := range []string{
 		"barleywick-registry/1 another 0\n", "barleywick-registry/1 fixture 7\n", "barleywick-registry/2 fixture 0\n", "GET / HTTP/1.1\n",
 	} {
-		r.Refused = append(r.Refused, handshake{line, sayHello(t, leader.Raft, line)})
+		r.Refused = append(r.Refused, handshake{line, sendHandshakeLine(t, leader.Raft, line)})
 	}
 	p.kill()
 	text, err := json.MarshalIndent(r, "", " ")
@@ -149,8 +149,8 @@
 	writeFixture(t, "peers.json", append(text, '\n'))
 }
 
-// sayHello sends a first line and returns all that is answered before the connection ends.
-func sayHello(t testing.TB, address, line string) string {
+// sendHandshakeLine sends a first line and returns all that is answered before the connection ends.
+func sendHandshakeLine(t testing.TB, address, line string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -247,7 +247,7 @@
 	l := newStreamLayer(listen(t, "127.0.0.1:0"), nil, history)
 	defer l.Close()
 	for _, h := range r.Refused {
-		if got := sayHello(t, l.Addr().String(), h.Line); got != h.Answer {
+		if got := sendHandshakeLine(t, l.Addr().String(), h.Line); got != h.Answer {
 			t.Errorf("%q: got %q want %q", h.Line, got, h.Answer)
 		}
 	}
--- a/internal/registry/server/compat_test.go
+++ b/internal/registry/server/compat_test.go
@@ -138,7 +138,7 @@
 	}
 }
 
-func awaitGrants(t testing.TB, m registry.ReplicaInfo) {
+func awaitGrantsOpen(t testing.TB, m registry.ReplicaInfo) {
 	t.Helper()
 	eventually(t, "leases are granted", func() bool {
 		_, _, text := get(t, "http://"+m.HTTP+registry.APIPath+"leases")
--- a/internal/registry/server/config_test.go
+++ b/internal/registry/server/config_test.go
@@ -8,7 +8,7 @@
 func TestConfigurations(t *testing.T) {
 	const one = `{"group":"g","id":"r0","data":"/tmp/x","replicas":[{"id":"r0","http":"127.0.0.1:1","raft":"127.0.0.1:2"}]}`
 	if c, err := ParseConfig([]byte(one)); err != nil || c.Limits.Watches != defaultWatches || c.electionTimeout() != defaultElection {
-		t.Errorf("%+v, %v", c, err)
+		t.Errorf("got %+v, error %v; want the defaults", c, err)
 	}
 	for name, change := range map[string][2]string{
 		"unreadable":       {`{`, `(`},
@@ -26,12 +26,12 @@
 		"a hasty election": {`{"group"`, `{"timing":{"election_ms":1},"group"`},
 	} {
 		if _, err := ParseConfig([]byte(strings.Replace(one, change[0], change[1], 1))); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want one line", name, err)
+			t.Errorf("%s: got error %v, want one line", name, err)
 		}
 	}
 }
 
-// FuzzConfig: a configuration is taken or refused in one line.
+// FuzzConfig: a configuration that is accepted can be used.
 func FuzzConfig(f *testing.F) {
 	f.Add([]byte(`{"group":"g","id":"r0","data":"/tmp/x","replicas":[{"id":"r0","http":"127.0.0.1:1","raft":"127.0.0.1:2"}]}`))
 	f.Add([]byte(`{"timing":{"election_ms":-1},"sessions":{"floor":1e999}}`))
@@ -41,7 +41,7 @@
 			return
 		}
 		if _, ok := c.findSelf(); !ok || c.electionTimeout() <= 0 || c.Limits.Calls < 1 {
-			t.Errorf("taken: %+v", c)
+			t.Errorf("accepted: %+v", c)
 		}
 	})
 }
--- a/internal/registry/server/failover_test.go
+++ b/internal/registry/server/failover_test.go
@@ -17,8 +17,8 @@
 	"barleywick/internal/registry"
 )
 
-// The loss of the leader loses no acknowledged write, no watcher and no session;
-// a replica that comes back catches up before it is asked.
+// When the leader crashes no acknowledged write, no watch and no session is lost. A
+// replica that returns serves nothing before it has caught up.
 func TestLossOfTheLeader(t *testing.T) {
 	g := startGroup(t, 3)
 	c := g.client()
@@ -51,25 +51,25 @@
 		old.stop()
 		write(fmt.Sprint("after-", round))
 		old.start()
-		eventually(t, "it is ready again", func() bool { return old.ready.Load() })
+		eventually(t, "the replica is ready again", func() bool { return old.ready.Load() })
 	}
 	want := g.leader().wantedList()
 	if len(want) != 4+6 {
-		t.Errorf("%d instances are listed, want 10: %v", len(want), want)
+		t.Errorf("got %d instances, want 10: %v", len(want), want)
 	}
 	for i, f := range followers {
-		eventually(t, fmt.Sprintf("follower %d holds the list", i), func() bool { return f.holds(want) })
-		if f.back > 0 {
-			t.Errorf("follower %d went back %d times", i, f.back)
+		eventually(t, fmt.Sprintf("watcher %d holds the list", i), func() bool { return f.holds(want) })
+		if f.wentBack > 0 {
+			t.Errorf("watcher %d: the version went back %d times", i, f.wentBack)
 		}
 	}
 	cancel()
 	kept.Wait()
-	eventually(t, "those that left are out", func() bool { return len(g.leader().wantedList()) == 6 })
+	eventually(t, "the instances that left are removed", func() bool { return len(g.leader().wantedList()) == 6 })
 }
 
-// A replica without a quorum goes on serving its list and says that it is stale,
-// refuses writes plainly, and ends its watches so that they may go elsewhere.
+// A replica without a quorum goes on serving its list as stale, refuses writes with the
+// reason, and ends its watches so that watchers may go elsewhere.
 func TestCutOffReplica(t *testing.T) {
 	g := startGroup(t, 3)
 	c := g.client()
@@ -86,32 +86,32 @@
 	g.nodes[1].stop()
 	g.nodes[2].stop()
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		t.Errorf("the watch ended with %v, want a clean end", err)
+		t.Errorf("the watch ended with %v, want a proper end", err)
 	}
 	status, header, text := get(t, "http://"+last.member.HTTP+registry.ListPath)
 	if status != 200 || !strings.HasPrefix(header.Get(registry.ReadHeader), registry.ReadStale) || !strings.Contains(text, "s-1") {
-		t.Errorf("the list: %d %s, read %q", status, text, header.Get(registry.ReadHeader))
+		t.Errorf("the list: got %d %s, read %q; want it as stale", status, text, header.Get(registry.ReadHeader))
 	}
 	good, _ := json.Marshal(registry.RegisterRequest{Instance: instance("s-2", 5)})
 	if status, a, _ := do(t, "PUT", "http://"+last.member.HTTP+registry.APIPath+"instances/s-2", string(good)); status != 503 || !strings.Contains(a.Error, "quorum") {
-		t.Errorf("a write: %d %q, want 503 and why", status, a.Error)
+		t.Errorf("a write: got %d %q, want 503 and the reason", status, a.Error)
 	}
 	if status, _, _ := do(t, "GET", "http://"+last.member.HTTP+registry.APIPath+"instances?linearizable=1", ""); status != 503 {
-		t.Errorf("a linearizable read: %d, want 503", status)
+		t.Errorf("a linearizable read: got %d want 503", status)
 	}
 	// Nobody can say whether a version it does not know is of this history.
 	if status, _, _ := get(t, fmt.Sprintf("http://%s%s?watch=1&from=%d", last.member.HTTP, registry.ListPath, last.stateMachine.seq()+1)); status != 503 {
-		t.Errorf("a watch from a version that is ahead: %d, want 503", status)
+		t.Errorf("a watch from a version that is ahead: got %d want 503", status)
 	}
 	g.nodes[1].start()
 	g.nodes[2].start()
 	if _, err := c.Register(testContext(t), registry.RegisterRequest{Instance: instance("s-2", 1)}); err != nil {
-		t.Errorf("a write after its return: %v", err)
+		t.Errorf("a write once there is a quorum: %v", err)
 	}
 }
 
-// All replicas ended and started again from their disks hold what was acknowledged,
-// at versions that never came before, and empty no list.
+// Replicas that all end and start again from their disks hold what was acknowledged, at
+// versions that never went back, and remove no instance.
 func TestRestartFromDisk(t *testing.T) {
 	g := startGroup(t, 3)
 	c := g.client()
@@ -141,27 +141,27 @@
 		for _, n := range g.nodes {
 			n.start()
 		}
-		// The leader gives each session its full time, and then, as all are silent, removes none.
+		// The leader gives each session its full time, and then, as all expire at once, removes none.
 		leader = g.leader()
 		if got := leader.wantedList(); !maps.Equal(got, want) || leader.stateMachine.seq() < seq {
-			t.Errorf("after the restart: %v at %d, want %v at %d or later", got, leader.stateMachine.seq(), want, seq)
+			t.Errorf("after the restart: got %v at %d, want %v at %d or later", got, leader.stateMachine.seq(), want, seq)
 		}
-		eventually(t, "removals are held back", func() bool { return leader.Status().ExpiryHeld })
+		eventually(t, "expiry is held back", func() bool { return leader.Status().ExpiryHeld })
 		if got := leader.wantedList(); len(got) != 10 {
-			t.Errorf("%d of 10 are left of sessions that all fell silent at once", len(got))
+			t.Errorf("%d of 10 instances are left though all sessions expired at once, want all", len(got))
 		}
 	}
 	want := g.leader().wantedList()
 	for i, f := range f {
-		eventually(t, fmt.Sprintf("follower %d holds the list", i), func() bool { return f.holds(want) })
-		if f.back > 0 {
-			t.Errorf("follower %d went back %d times", i, f.back)
+		eventually(t, fmt.Sprintf("watcher %d holds the list", i), func() bool { return f.holds(want) })
+		if f.wentBack > 0 {
+			t.Errorf("watcher %d: the version went back %d times", i, f.wentBack)
 		}
 	}
 }
 
-// An instance that stops renewing is removed after its time; those that renew stay.
-func TestSilentInstanceIsRemoved(t *testing.T) {
+// An instance that stops renewing is removed after its time to live; those that renew stay.
+func TestExpiredInstanceIsRemoved(t *testing.T) {
 	g := startGroup(t, 1)
 	c := g.client()
 	for i := range 3 {
@@ -180,18 +180,18 @@
 			}
 		}()
 	}
-	eventually(t, "the silent one is out", func() bool {
+	eventually(t, "the instance that does not renew is removed", func() bool {
 		return !maps.Equal(g.nodes[0].wantedList(), map[string]string{"s-0": "up 1", "s-1": "up 1", "s-2": "up 1"})
 	})
 	if got := g.nodes[0].wantedList(); len(got) != 2 || got["s-2"] != "" {
-		t.Errorf("left are %v, want those that renew", got)
+		t.Errorf("got %v, want the instances that renew", got)
 	}
 	if err := c.RenewSession(testContext(t), "s-2", "x"); !errors.Is(err, registry.ErrNotFound) {
-		t.Errorf("a late renewal: %v", err)
+		t.Errorf("a late renewal: got %v want %v", err, registry.ErrNotFound)
 	}
 }
 
-// A replica is replaced: a new one is added, catches up, and the old one goes.
+// A replica is replaced: a new one is added and catches up, and the old one is removed.
 func TestReplicaIsReplaced(t *testing.T) {
 	g := startGroup(t, 3)
 	c := g.client()
@@ -204,8 +204,8 @@
 		lost = g.nodes[1]
 	}
 	lost.stop()
-	http_, raft_ := listen(t, "127.0.0.1:0"), listen(t, "127.0.0.1:0")
-	m := registry.ReplicaInfo{ID: "r9", HTTP: http_.Addr().String(), Raft: raft_.Addr().String()}
+	httpListener, raftListener := listen(t, "127.0.0.1:0"), listen(t, "127.0.0.1:0")
+	m := registry.ReplicaInfo{ID: "r9", HTTP: httpListener.Addr().String(), Raft: raftListener.Addr().String()}
 	config := *g.nodes[0].config
 	config.ID, config.DataDir, config.Join = "r9", t.TempDir(), true
 	config.Replicas = append(slices.Clone(config.Replicas), m)
@@ -213,19 +213,19 @@
 		t.Fatal(err)
 	}
 	fresh := &node{t: t, config: &config, member: m}
-	fresh.serve(http_, raft_)
+	fresh.serve(httpListener, raftListener)
 	defer fresh.stop()
 	text, _ := json.Marshal(m)
 	base := "http://" + leader.member.HTTP + registry.APIPath + "members/"
 	if status, a, _ := do(t, "PUT", base+"r9", string(text)); status != 200 {
-		t.Fatalf("add: %d %s", status, a.Error)
+		t.Fatalf("add a replica: got %d %s", status, a.Error)
 	}
 	if status, a, _ := do(t, "DELETE", base+lost.member.ID, ""); status != 200 {
-		t.Fatalf("drop: %d %s", status, a.Error)
+		t.Fatalf("remove a replica: got %d %s", status, a.Error)
 	}
-	eventually(t, "the new one is ready", func() bool { return fresh.ready.Load() })
+	eventually(t, "the new replica is ready", func() bool { return fresh.ready.Load() })
 	if got := fresh.wantedList(); len(got) != 1 {
-		t.Errorf("the new one lists %v", got)
+		t.Errorf("the new replica lists %v, want one instance", got)
 	}
 	s := leader.Status()
 	ids := make([]string, len(s.Replicas))
@@ -235,6 +235,6 @@
 		}
 	}
 	if len(ids) != 3 || !slices.Contains(ids, "r9") || slices.Contains(ids, lost.member.ID) {
-		t.Errorf("the group is %v", ids)
+		t.Errorf("the group is %v, want r9 in place of %s", ids, lost.member.ID)
 	}
 }
--- a/internal/registry/server/harness_test.go
+++ b/internal/registry/server/harness_test.go
@@ -31,13 +31,14 @@
 	os.Exit(m.Run())
 }
 
-const patience = 30 * time.Second // how long a test waits for an event; it never has to in a good run
+// patience is how long a test waits for an event before it fails.
+const patience = 30 * time.Second
 
 func eventually(t testing.TB, what string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited in vain until %s", what)
+			t.Fatalf("timed out: want that %s", what)
 		}
 	}
 }
@@ -53,7 +54,7 @@
 	return ln
 }
 
-// node is one replica of a test's group.
+// node is one replica of a group that runs in the test's process.
 type node struct {
 	t      testing.TB
 	config *Config
@@ -78,8 +79,8 @@
 	go n.server.Serve(ln)
 }
 
-// stop ends a replica as a lost process does, as far as one process can: nothing
-// is handed over and connections are cut.
+// stop ends a replica as a crash does, as far as one process can: leadership is not
+// handed over and connections are cut.
 func (n *node) stop() {
 	n.t.Helper()
 	if !n.up {
@@ -92,6 +93,7 @@
 	}
 }
 
+// group is a group of replicas that run in the test's process.
 type group struct {
 	t     testing.TB
 	nodes []*node
@@ -130,7 +132,7 @@
 		}
 	})
 	for _, n := range g.nodes {
-		eventually(t, "a replica is ready", func() bool { return n.ready.Load() })
+		eventually(t, "replica "+n.member.ID+" is ready", func() bool { return n.ready.Load() })
 	}
 	return g
 }
@@ -178,20 +180,20 @@
 	return ctx
 }
 
-// testWatcher is an unchanged sidecar's side: it holds what the watch told it.
+// testWatcher holds the list as a sidecar does that follows it by the protocol.
 type testWatcher struct {
-	mu   sync.Mutex
-	held map[string]string // host: health and start
-	seq  uint64
-	back int // versions that went back, but for whole lists of another history
+	mu       sync.Mutex
+	list     map[string]string // host: health and start
+	seq      uint64
+	wentBack int // how often the version went back
 }
 
 func startTestWatcher(t testing.TB, addrs []string, seed uint64) *testWatcher {
 	t.Helper()
-	f := &testWatcher{held: make(map[string]string)}
+	f := &testWatcher{list: make(map[string]string)}
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
-	w := client.NewWatcher(client.WatcherOptions{Addrs: addrs, Seed: seed, Deliver: f.take})
+	w := client.NewWatcher(client.WatcherOptions{Addrs: addrs, Seed: seed, Deliver: f.handle})
 	done.Go(func() { w.Follow(ctx) })
 	t.Cleanup(func() {
 		cancel()
@@ -200,21 +202,21 @@
 	return f
 }
 
-func (f *testWatcher) take(l client.ListUpdate) {
+func (f *testWatcher) handle(l client.ListUpdate) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if l.Seq < f.seq {
-		f.back++
+		f.wentBack++
 	}
 	f.seq = l.Seq
 	if l.Full {
-		clear(f.held)
+		clear(f.list)
 	}
 	for _, e := range l.Endpoints {
 		if e.Health == "removed" {
-			delete(f.held, e.Host)
+			delete(f.list, e.Host)
 		} else {
-			f.held[e.Host] = fmt.Sprint(e.Health, " ", int64(e.BornMS))
+			f.list[e.Host] = fmt.Sprint(e.Health, " ", int64(e.BornMS))
 		}
 	}
 }
@@ -222,10 +224,10 @@
 func (f *testWatcher) holds(want map[string]string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return maps.Equal(f.held, want)
+	return maps.Equal(f.list, want)
 }
 
-// wantedList is what followers have to hold.
+// wantedList is what watchers have to hold.
 func (n *node) wantedList() map[string]string {
 	want := make(map[string]string)
 	n.stateMachine.view(func(s *registry.State) {
@@ -268,17 +270,3 @@
 	json.Unmarshal(got, &answer)
 	return resp.StatusCode, answer, string(got)
 }
-
-type responseRecorder struct {
-	header http.Header
-	status int
-	text   strings.Builder
-}
-
-func (r *responseRecorder) Header() http.Header { return r.header }
-
-func (r *responseRecorder) WriteHeader(s int) { r.status = s }
-
-func (r *responseRecorder) Write(b []byte) (int, error) {
-	return r.text.Write(b)
-}
--- a/internal/registry/server/http_test.go
+++ b/internal/registry/server/http_test.go
@@ -4,13 +4,14 @@
 	"encoding/json"
 	"maps"
 	"net/http"
+	"net/http/httptest"
 	"strings"
 	"testing"
 
 	"barleywick/internal/registry"
 )
 
-// Bad input gets one line that says why, and leaves the state as it was.
+// A call that is wrong is answered with one line that says why, and changes nothing.
 func TestBadInput(t *testing.T) {
 	g := startGroup(t, 1)
 	n, c := g.nodes[0], g.client()
@@ -60,26 +61,26 @@
 	} {
 		status, a, text := do(t, x.method, "http://"+n.member.HTTP+registry.APIPath+x.path, x.body)
 		if status != x.status || strings.Count(strings.TrimSpace(text), "\n") > 0 || (x.status < 404 && a.Error == "") {
-			t.Errorf("%s: %d %q, want %d and one line", name, status, text, x.status)
+			t.Errorf("%s: got %d %q, want %d and one line", name, status, text, x.status)
 		}
 	}
 	for _, query := range []string{"?watch=1&from=-1", "?watch=1&from=x", "?watch=2", "?watch=1&from=99999999999999999999", "?%zz"} {
 		if status, _, _ := get(t, "http://"+n.member.HTTP+registry.ListPath+query); status != 400 {
-			t.Errorf("%s: %d, want 400", query, status)
+			t.Errorf("%s: got %d want 400", query, status)
 		}
 	}
 	if n.stateMachine.seq() != seq {
-		t.Errorf("the version went from %d to %d", seq, n.stateMachine.seq())
+		t.Errorf("the version changed from %d to %d", seq, n.stateMachine.seq())
 	}
 }
 
-func TestBusyRegistrySaysWhenToComeBack(t *testing.T) {
+func TestBusyRegistryAnswersRetryAfter(t *testing.T) {
 	g := startGroup(t, 1)
 	n := g.nodes[0]
 	n.limiter.setLimits(Limits{Calls: 0, Waiting: 0})
 	status, header, _ := get(t, "http://"+n.member.HTTP+registry.ListPath)
 	if status != 503 || header.Get("Retry-After") == "" {
-		t.Errorf("%d, Retry-After %q", status, header.Get("Retry-After"))
+		t.Errorf("got %d, Retry-After %q; want 503 with a time", status, header.Get("Retry-After"))
 	}
 	fresh := *n.config
 	fresh.Limits.Watches = 1
@@ -87,21 +88,21 @@
 		t.Fatal(err)
 	}
 	startTestWatcher(t, g.addrs(), 1)
-	eventually(t, "one watches", func() bool { return n.openWatches.Load() == 1 })
+	eventually(t, "one watch is open", func() bool { return n.openWatches.Load() == 1 })
 	if status, _, _ := get(t, "http://"+n.member.HTTP+registry.ListPath+"?watch=1"); status != 503 {
-		t.Errorf("a second watch: %d, want 503", status)
+		t.Errorf("a second watch: got %d want 503", status)
 	}
 	if fresh.Limits.Watches = 1 << 20; n.Reload(&fresh) == nil {
-		t.Error("a reload let in more callers than the listener does")
+		t.Error("a reload was accepted that allows more callers than the listener")
 	}
 	fresh.Limits.Watches = 1
 	fresh.Group = "another"
 	if err := n.Reload(&fresh); err == nil {
-		t.Error("a reload moved the replica into another group")
+		t.Error("a reload was accepted that names another group")
 	}
 }
 
-// A backup brings the contents back, at versions that never came before.
+// A backup brings the contents back, at a version later than all before.
 func TestBackupAndRestore(t *testing.T) {
 	g := startGroup(t, 1)
 	n, c := g.nodes[0], g.client()
@@ -118,31 +119,31 @@
 	}
 	seq := n.stateMachine.seq()
 	if status, a, _ := do(t, "POST", "http://"+n.member.HTTP+registry.APIPath+"restore", backup); status != 200 || a.Seq <= seq {
-		t.Fatalf("restore: %d %s at %d after %d", status, a.Error, a.Seq, seq)
+		t.Fatalf("restore: got %d %s at version %d, want one after %d", status, a.Error, a.Seq, seq)
 	}
 	want := map[string]string{"s-1": "up 1"}
 	if got := n.wantedList(); !maps.Equal(got, want) {
-		t.Errorf("restored: %v", got)
+		t.Errorf("restored: got %v want %v", got, want)
 	}
-	eventually(t, "the follower holds it", func() bool { return f.holds(want) })
+	eventually(t, "the watcher holds it", func() bool { return f.holds(want) })
 }
 
 func TestMetricsAndStatus(t *testing.T) {
 	g := startGroup(t, 1)
 	base := "http://" + g.nodes[0].member.HTTP
 	if status, _, text := get(t, base+"/metrics"); status != 200 || !strings.Contains(text, "\nregistry_leader 1\n") {
-		t.Errorf("metrics: %d %s", status, text)
+		t.Errorf("metrics: got %d %s", status, text)
 	}
 	if status, _, _ := get(t, base+"/health/ready"); status != 200 {
-		t.Errorf("ready: %d", status)
+		t.Errorf("ready: got %d want 200", status)
 	}
 	var s registry.StatusResponse
 	if _, _, text := get(t, base+registry.APIPath+"status"); json.Unmarshal([]byte(text), &s) != nil || s.State != "leader" || s.Leader != "r0" || s.Group != "test" {
-		t.Errorf("status: %s", text)
+		t.Errorf("status: got %s", text)
 	}
 }
 
-// FuzzWrites: whatever comes as a write is answered, and never with a 500.
+// FuzzWrites: whatever arrives as a write is answered, and never with a 500.
 func FuzzWrites(f *testing.F) {
 	g := startGroup(f, 1)
 	n := g.nodes[0]
@@ -156,10 +157,10 @@
 		if err != nil {
 			return
 		}
-		w := &responseRecorder{header: make(http.Header)}
+		w := httptest.NewRecorder()
 		n.Handler().ServeHTTP(w, req)
-		if w.status >= 500 && w.status != 503 && w.status != 507 {
-			t.Errorf("%s %q %q: %d %s", method, path, body, w.status, w.text.String())
+		if w.Code >= 500 && w.Code != 503 && w.Code != 507 {
+			t.Errorf("%s %q %q: %d %s", method, path, body, w.Code, w.Body.String())
 		}
 	})
 }
--- a/internal/registry/server/replica.go
+++ b/internal/registry/server/replica.go
@@ -86,7 +86,7 @@
 	if err := r.startRaft(c, peers, logger); err != nil {
 		r.cancel()
 		peers.Close()
-		disk.close()
+		disk.Close()
 		return nil, err
 	}
 	r.background.Go(r.followLeadership)
@@ -194,7 +194,7 @@
 	err := r.raft.Shutdown().Error()
 	r.background.Wait()
 	r.peerClient.CloseIdleConnections()
-	return errors.Join(err, r.transport.Close(), r.storage.close())
+	return errors.Join(err, r.transport.Close(), r.storage.Close())
 }
 
 // apply has the group apply a command. When it returns without an error, a quorum has
--- a/internal/registry/server/storage.go
+++ b/internal/registry/server/storage.go
@@ -52,17 +52,18 @@
 	}
 	s := &storage{bolt: store, log: &checkedLog{BoltStore: store}, terms: newWaitingTermStore(store), isNew: isNew}
 	if err := s.log.verify(); err != nil {
-		s.close()
+		s.Close()
 		return nil, fmt.Errorf("log %s: %w", path, err)
 	}
 	if s.snapshots, err = raft.NewFileSnapshotStoreWithLogger(c.DataDir, retainedSnapshots, logger); err != nil {
-		s.close()
+		s.Close()
 		return nil, fmt.Errorf("snapshots in %s: %w", c.DataDir, err)
 	}
 	return s, nil
 }
 
-func (s *storage) close() error { return s.bolt.Close() }
+// Close releases the log. The other parts hold no resources.
+func (s *storage) Close() error { return s.bolt.Close() }
 
 func lockedError(path string) error {
 	return fmt.Errorf("log %s: in use by another process", path)
--- a/internal/registry/server/storage_test.go
+++ b/internal/registry/server/storage_test.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"net/http"
+	"net/http/httptest"
 	"os"
 	"path/filepath"
 	"slices"
@@ -17,7 +17,7 @@
 	"barleywick/internal/registry"
 )
 
-// A folder that is not this replica's, or not whole, is refused in one line.
+// A folder that is another replica's, or whose log is corrupt, is refused in one line.
 func TestFoldersThatAreRefused(t *testing.T) {
 	g := startGroup(t, 1)
 	n, c := g.nodes[0], g.client()
@@ -35,13 +35,13 @@
 		return err
 	}
 	if err := open(n.config); err == nil || !strings.Contains(err.Error(), "in use") {
-		t.Errorf("while another process has it: %v", err)
+		t.Errorf("while another process has it: got error %v, want that it is in use", err)
 	}
 	n.stop()
 	if err := open(n.config); err != nil {
-		t.Fatalf("as it was left: %v", err)
+		t.Fatalf("as the replica left it: %v", err)
 	}
-	whole, err := os.ReadFile(filepath.Join(n.config.DataDir, logFile))
+	log, err := os.ReadFile(filepath.Join(n.config.DataDir, logFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,9 +55,9 @@
 		}
 		return &c
 	}
-	at := strings.LastIndex(string(whole), "s-20")
-	spoilt := slices.Clone(whole)
-	spoilt[at]++
+	at := strings.LastIndex(string(log), "s-20")
+	corrupt := slices.Clone(log)
+	corrupt[at]++
 	other, stranger, empty := *n.config, *n.config, *n.config
 	other.Group = "another"
 	stranger.ID = "r7"
@@ -72,24 +72,24 @@
 		"another group":      {&other, "belongs to"},
 		"another replica":    {&stranger, "belongs to"},
 		"a folder of others": {&empty, "not a replica's"},
-		"a flipped bit":      {copied(spoilt), "corrupt"},
-		"cut in the middle":  {copied(whole[:at]), "log "},
-		"cut at the start":   {copied(whole[:100]), "log "},
+		"a flipped bit":      {copied(corrupt), "corrupt"},
+		"cut in the middle":  {copied(log[:at]), "log "},
+		"cut at the start":   {copied(log[:100]), "log "},
 		"no log at all":      {copied([]byte(strings.Repeat("noise", 10000))), "log "},
 	} {
 		if err := open(x.config); err == nil || !strings.Contains(err.Error(), x.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want one line with %q", name, err, x.want)
+			t.Errorf("%s: got error %v, want one line with %q", name, err, x.want)
 		}
 	}
 	file := *n.config
 	file.DataDir = filepath.Join(n.config.DataDir, logFile)
 	if err := open(&file); err == nil {
-		t.Error("a file was taken for a folder")
+		t.Error("a file was accepted as the folder")
 	}
 }
 
-// A log's entry that was changed on disk is found when it is read, not acted upon.
-func TestSpoiltEntryIsFound(t *testing.T) {
+// An entry of the log that was changed on disk is found when it is read.
+func TestCorruptEntryIsFound(t *testing.T) {
 	d, err := openStorage(&Config{Group: "a", ID: "r", DataDir: t.TempDir()}, newRaftLogger())
 	if err != nil {
 		t.Fatal(err)
@@ -102,7 +102,7 @@
 	}
 	var l raft.Log
 	if err := d.log.GetLog(2, &l); err != nil || string(l.Data) != "entry 2" {
-		t.Errorf("read %q, error %v", l.Data, err)
+		t.Errorf("got %q, error %v; want entry 2", l.Data, err)
 	}
 	if err := d.log.verify(); err != nil {
 		t.Error(err)
@@ -111,12 +111,12 @@
 		t.Fatal(err)
 	}
 	if err := d.log.verify(); err == nil || !strings.Contains(err.Error(), "entry 2 is corrupt") {
-		t.Errorf("error %v, want entry 2", err)
+		t.Errorf("got error %v, want that entry 2 is corrupt", err)
 	}
 }
 
-// A replica whose disk takes no more says so, and serves on.
-func TestFullDiskIsTold(t *testing.T) {
+// A replica whose disk is full reports it, and goes on serving.
+func TestFullDiskIsReported(t *testing.T) {
 	g := startGroup(t, 1)
 	n, c := g.nodes[0], g.client()
 	if _, err := c.Register(testContext(t), registry.RegisterRequest{Instance: instance("s-1", 1)}); err != nil {
@@ -124,23 +124,23 @@
 	}
 	full := errors.New("no space left on device")
 	n.storage.log.lastWriteError.Store(&full)
-	w := &responseRecorder{header: make(http.Header)}
+	w := httptest.NewRecorder()
 	n.writeError(w, nil, raft.ErrNotLeader)
-	if w.status != 503 || !strings.Contains(w.text.String(), "cannot write its log: no space left") {
-		t.Errorf("a write: %d %s", w.status, w.text.String())
+	if w.Code != 503 || !strings.Contains(w.Body.String(), "cannot write its log: no space left") {
+		t.Errorf("a write: got %d %s", w.Code, w.Body.String())
 	}
 	if _, err := c.Register(testContext(t), registry.RegisterRequest{Instance: instance("s-2", 1)}); err != nil || n.storage.log.lastWriteError.Load() != nil {
-		t.Errorf("once there is room again: %v", err)
+		t.Errorf("once there is space again: %v", err)
 	}
 }
 
-// flakyTermStore is a store that takes nothing while it is full.
+// flakyTermStore is a store that stores nothing while it is full.
 type flakyTermStore struct {
 	raft.StableStore
-	mu    sync.Mutex
-	full  bool
-	tries int
-	kept  []uint64
+	mu     sync.Mutex
+	full   bool
+	tries  int
+	stored []uint64
 }
 
 func (s *flakyTermStore) SetUint64(_ []byte, v uint64) error {
@@ -149,17 +149,17 @@
 	if s.tries++; s.full {
 		return errors.New("no space left on device")
 	}
-	s.kept = append(s.kept, v)
+	s.stored = append(s.stored, v)
 	return nil
 }
 
-// A term waits for room on the disk, an earlier one that waited longer is not the last
-// word, and one that waits at the replica's end is never taken for kept.
-func TestTermWaitsForRoom(t *testing.T) {
+// A term waits for space on the disk, one that waited longer does not overwrite a later
+// one, and one that waits when the replica is closed never counts as stored.
+func TestTermWaitsForDiskSpace(t *testing.T) {
 	s := &flakyTermStore{full: true}
 	p := newWaitingTermStore(s)
 	if err := p.SetUint64([]byte("LastVoteTerm"), 4); err == nil {
-		t.Error("a vote was kept on a full disk")
+		t.Error("a vote was stored on a full disk")
 	}
 	var waiting sync.WaitGroup
 	for term := uint64(5); term < 8; term++ {
@@ -169,13 +169,13 @@
 			}
 		})
 	}
-	eventually(t, "all wait", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return p.waiting.Load() == 3 && s.tries > 3 })
+	eventually(t, "all terms wait", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return p.waiting.Load() == 3 && s.tries > 3 })
 	s.mu.Lock()
 	s.full = false
 	s.mu.Unlock()
 	waiting.Wait()
-	if !slices.Equal(s.kept, []uint64{7}) {
-		t.Errorf("kept %v, want the newest alone", s.kept)
+	if !slices.Equal(s.stored, []uint64{7}) {
+		t.Errorf("got %v stored, want the newest term alone", s.stored)
 	}
 	s.full = true
 	returned := false
@@ -183,9 +183,9 @@
 		p.SetUint64([]byte(termKey), 9)
 		returned = true
 	})
-	eventually(t, "it waits", func() bool { return p.waiting.Load() == 1 })
+	eventually(t, "the term waits", func() bool { return p.waiting.Load() == 1 })
 	close(p.closing)
 	if waiting.Wait(); returned {
-		t.Error("it went on with a term that is not kept")
+		t.Error("SetUint64 returned though the term is not stored")
 	}
 }
--- a/internal/registry/server/stream_layer_test.go
+++ b/internal/registry/server/stream_layer_test.go
@@ -10,13 +10,12 @@
 	"github.com/hashicorp/raft"
 )
 
-// Replicas of other groups, and of another history under the same name, take no
-// word from each other.
+// Replicas of other groups, and of another history under the same name, are refused.
 func TestOtherGroupsAreRefused(t *testing.T) {
-	hello := func(group string, founded uint64) func() (string, uint64) {
+	history := func(group string, founded uint64) func() (string, uint64) {
 		return func() (string, uint64) { return group, founded }
 	}
-	l := newStreamLayer(listen(t, "127.0.0.1:0"), nil, hello("a", 7))
+	l := newStreamLayer(listen(t, "127.0.0.1:0"), nil, history("a", 7))
 	defer l.Close()
 	accepted := make(chan net.Conn, 10)
 	go func() {
@@ -29,16 +28,16 @@
 		}
 	}()
 	for name, x := range map[string]struct {
-		hello func() (string, uint64)
-		ok    bool
+		history func() (string, uint64)
+		ok      bool
 	}{
-		"the same": {hello("a", 7), true}, "one that has none yet": {hello("a", 0), true},
-		"another group": {hello("b", 7), false}, "another history": {hello("a", 8), false},
+		"the same": {history("a", 7), true}, "one that has none yet": {history("a", 0), true},
+		"another group": {history("b", 7), false}, "another history": {history("a", 8), false},
 	} {
-		other := &streamLayer{localHistory: x.hello}
+		other := &streamLayer{localHistory: x.history}
 		c, err := other.Dial(raft.ServerAddress(l.Addr().String()), patience)
 		if (err == nil) != x.ok {
-			t.Errorf("%s: error %v", name, err)
+			t.Errorf("%s: got error %v, want accepted %v", name, err, x.ok)
 		}
 		if err == nil {
 			c.Close()
@@ -53,21 +52,21 @@
 		c.SetDeadline(time.Now().Add(patience))
 		io.WriteString(c, noise)
 		if got, _ := io.ReadAll(c); len(got) > 0 && !strings.HasPrefix(string(got), "no ") {
-			t.Errorf("noise is answered with %q", got)
+			t.Errorf("noise is answered with %q, want a refusal", got)
 		}
 		c.Close()
 	}
 }
 
-// FuzzHello: whoever connects as a replica is of this group and history or refused.
-func FuzzHello(f *testing.F) {
+// FuzzHandshake: a handshake line is of this group and history or refused.
+func FuzzHandshake(f *testing.F) {
 	f.Add("barleywick-registry/1 a 7")
 	f.Add("barleywick-registry/1 a 0")
 	f.Add("barleywick-registry/1 a -7 x")
 	l := &streamLayer{localHistory: func() (string, uint64) { return "a", 7 }}
 	f.Fuzz(func(t *testing.T, line string) {
 		if l.checkHandshake(line) == nil && !strings.HasPrefix(strings.Join(strings.Fields(line), " "), handshakeProtocol+" a ") {
-			t.Errorf("%q was let in", line)
+			t.Errorf("%q was accepted", line)
 		}
 	})
 }
--- a/internal/registry/server/watch_test.go
+++ b/internal/registry/server/watch_test.go
@@ -15,7 +15,7 @@
 	"barleywick/internal/registry"
 )
 
-// The protocol's list and watch, word for word, from one replica.
+// The list and the watch of one replica are as the protocol has them, byte by byte.
 func TestListAndWatchAsTheProtocolHasThem(t *testing.T) {
 	g := startGroup(t, 1)
 	n, c := g.nodes[0], g.client()
@@ -27,7 +27,7 @@
 	status, header, text := get(t, base)
 	want := fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.1:7070","site":"a","class":"m2","block":1,"health":"up","share":1,"born_ms":5}]}`, first.Seq)
 	if status != 200 || strings.TrimSpace(text) != want || !strings.HasPrefix(header.Get(registry.ReadHeader), registry.ReadCurrent) {
-		t.Errorf("the list: %d %s (%s), want %s", status, text, header.Get(registry.ReadHeader), want)
+		t.Errorf("the list: got %d %s (%s) want %s", status, text, header.Get(registry.ReadHeader), want)
 	}
 	resp, err := http.Get(fmt.Sprintf("%s?watch=1&from=%d", base, first.Seq))
 	if err != nil {
@@ -35,7 +35,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.ContentLength != -1 || resp.StatusCode != 200 {
-		t.Errorf("the watch: %d, length %d; want a chunked answer", resp.StatusCode, resp.ContentLength)
+		t.Errorf("the watch: got %d, length %d; want a chunked answer", resp.StatusCode, resp.ContentLength)
 	}
 	lines := bufio.NewReader(resp.Body)
 	next := func() string {
@@ -47,10 +47,10 @@
 		return strings.TrimSpace(line)
 	}
 	if got := next(); got != fmt.Sprintf(`{"seq":%d,"whole":false,"hosts":[]}`, first.Seq) {
-		t.Errorf("the first line is %s, want no change", got)
+		t.Errorf("the first line: got %s want no change", got)
 	}
 	if got := next(); got != "" {
-		t.Errorf("while nothing changes: %q, want an empty line", got)
+		t.Errorf("while nothing changes: got %q want an empty line", got)
 	}
 	mark, err := c.Mark(testContext(t), registry.MarkRequest{Hosts: []string{"s-1"}, MarkedBy: "ops-a", Draining: true})
 	if err != nil {
@@ -58,14 +58,14 @@
 	}
 	want = fmt.Sprintf(`{"seq":%d,"whole":false,"hosts":[{"host":"s-1","dial":"127.0.0.1:7070","site":"a","class":"m2","block":1,"health":"draining","share":1,"born_ms":5}]}`, mark.Seq)
 	if got := next(); got != want {
-		t.Errorf("a change: %s, want %s", got, want)
+		t.Errorf("a change: got %s want %s", got, want)
 	}
 	if err := c.Remove(testContext(t), "s-1", ""); err != nil {
 		t.Fatal(err)
 	}
 	var l registry.ListUpdate
 	if err := json.Unmarshal([]byte(next()), &l); err != nil || l.Seq <= mark.Seq || len(l.Instances) != 1 || l.Instances[0].Health != registry.HealthRemoved {
-		t.Errorf("the removal: %+v, error %v", l, err)
+		t.Errorf("the removal: got %+v, error %v", l, err)
 	}
 	for _, from := range []string{"0", "41", fmt.Sprint(uint64(1) << 60), "18446744073709551615"} {
 		resp, err := http.Get(base + "?watch=1&from=" + from)
@@ -75,12 +75,12 @@
 		line, err := bufio.NewReader(resp.Body).ReadString('\n')
 		resp.Body.Close()
 		if err != nil || !strings.Contains(line, `"whole":true`) {
-			t.Errorf("from %s: %s, error %v; want the whole list", from, line, err)
+			t.Errorf("from %s: got %s, error %v; want the full list", from, line, err)
 		}
 	}
 }
 
-// Any watcher, cut at any moment, at any replica, ends at the list.
+// A watcher whose watches end at any moment, at any replica, holds the list at the end.
 func TestWatchersEndAtTheList(t *testing.T) {
 	g := startGroup(t, 3)
 	c := g.client()
@@ -109,14 +109,14 @@
 	}
 	want := g.leader().wantedList()
 	for i, f := range followers {
-		eventually(t, fmt.Sprintf("follower %d holds the list", i), func() bool { return f.holds(want) })
-		if f.back > 0 {
-			t.Errorf("follower %d went back %d times", i, f.back)
+		eventually(t, fmt.Sprintf("watcher %d holds the list", i), func() bool { return f.holds(want) })
+		if f.wentBack > 0 {
+			t.Errorf("watcher %d: the version went back %d times", i, f.wentBack)
 		}
 	}
 }
 
-// A watcher that takes nothing is cut and holds up nobody.
+// A watcher that does not read is cut, and delays nobody.
 func TestSlowWatcherIsCut(t *testing.T) {
 	g := startGroup(t, 1)
 	n, c := g.nodes[0], g.client()
@@ -127,12 +127,12 @@
 	defer slow.Close()
 	slow.(*net.TCPConn).SetReadBuffer(4 << 10)
 	fmt.Fprintf(slow, "GET %s?watch=1&from=0 HTTP/1.1\r\nHost: x\r\n\r\n", registry.ListPath)
-	eventually(t, "it watches", func() bool { return n.openWatches.Load() == 1 })
+	eventually(t, "its watch is open", func() bool { return n.openWatches.Load() == 1 })
 	f := startTestWatcher(t, g.addrs(), 1)
 	big := instance("s-1", 1)
 	for i := int64(0); n.broadcaster.cutWatches.Load() == 0; i++ {
 		if i > 1<<20 {
-			t.Fatal("a watcher that takes nothing is not cut")
+			t.Fatal("a watcher that does not read is not cut")
 		}
 		big.BornMS = i
 		n.stateMachine.broadcaster.publish(watchEvent{seq: n.stateMachine.seq(), line: []byte(`{"seq":0,"whole":false,"hosts":[]` + strings.Repeat(" ", 60<<10) + "}\n")})
@@ -141,5 +141,5 @@
 	if _, err := c.Register(testContext(t), registry.RegisterRequest{Instance: big}); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the other holds the list", func() bool { return f.holds(n.wantedList()) })
+	eventually(t, "the other watcher holds the list", func() bool { return f.holds(n.wantedList()) })
 }
