--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -1,4 +1,4 @@
-// Registry is one replica of the list of booking servers.
+// Registry is one replica of the registry of booking servers. docs/REGISTRY.md describes it.
 package main
 
 import (
@@ -25,15 +25,35 @@
 `
 
 func main() {
-	if err := run(os.Args[1:], os.Stderr); err != nil {
-		if !errors.Is(err, flag.ErrHelp) {
-			fmt.Fprintln(os.Stderr, "registry:", err)
-			os.Exit(1)
-		}
+	err := run(os.Args[1:], os.Stderr)
+	if err != nil && !errors.Is(err, flag.ErrHelp) {
+		fmt.Fprintln(os.Stderr, "registry:", err)
+		os.Exit(1)
 	}
 }
 
+// options are what the command line says.
+type options struct {
+	configPath string
+	logLevel   slog.Level
+}
+
+// run serves one replica until it is asked to end.
 func run(args []string, out io.Writer) error {
+	o, err := parseArguments(args, out)
+	if err != nil {
+		return err
+	}
+	slog.SetDefault(slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: o.logLevel})))
+	stop, done := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer done()
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
+	defer signal.Stop(reload)
+	return server.Run(stop, reload, o.configPath)
+}
+
+func parseArguments(args []string, out io.Writer) (options, error) {
 	flags := flag.NewFlagSet("registry", flag.ContinueOnError)
 	flags.SetOutput(out)
 	path := flags.String("config", "", "the configuration `FILE`")
@@ -43,21 +63,15 @@
 		flags.PrintDefaults()
 	}
 	if err := flags.Parse(args); err != nil {
-		return err
+		return options{}, err
 	}
 	if *path == "" || flags.NArg() > 0 {
 		flags.Usage()
-		return errors.New("-config FILE is needed, and nothing else")
+		return options{}, errors.New("-config FILE is needed, and nothing else")
 	}
-	level := slog.LevelInfo
+	o := options{configPath: *path, logLevel: slog.LevelInfo}
 	if *verbose {
-		level = slog.LevelDebug
+		o.logLevel = slog.LevelDebug
 	}
-	slog.SetDefault(slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: level})))
-	stop, done := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	defer done()
-	reload := make(chan os.Signal, 1)
-	signal.Notify(reload, syscall.SIGHUP)
-	defer signal.Stop(reload)
-	return server.Run(stop, reload, *path)
+	return o, nil
 }
