--- a/internal/sidecar/compatibility_test.go
+++ b/internal/sidecar/compatibility_test.go
@@ -54,7 +54,7 @@
 
 func TestPolicyFolderIsWrittenAsBy396a775(t *testing.T) {
 	for name, acts := range storedActs() {
-		g := &policyFollower{config: &config.FleetPolicy{FilePolicy: config.FilePolicy{Folder: t.TempDir()}}}
+		g := &policyFollower{config: &config.FleetPolicy{PolicyTable: config.PolicyTable{Folder: t.TempDir()}}}
 		if err := g.save(acts); err != nil {
 			t.Fatal(err)
 		}
@@ -74,7 +74,7 @@
 		}
 		var enforced []*rollout.Document
 		g := &policyFollower{
-			config: &config.FleetPolicy{FilePolicy: config.FilePolicy{Folder: folder}}, tenants: []string{"acme", "zeta"},
+			config: &config.FleetPolicy{PolicyTable: config.PolicyTable{Folder: folder}}, tenants: []string{"acme", "zeta"},
 			follower: &rollout.Follower{}, startedAt: time.Now().Add(-2 * askFirst),
 			enforcer: func(_ context.Context, d *rollout.Document) error { enforced = append(enforced, d); return nil },
 		}
--- a/internal/sidecar/config/compatibility_test.go
+++ b/internal/sidecar/config/compatibility_test.go
@@ -21,9 +21,27 @@
 	return string(text)
 }
 
-// rewordedConfigText is what `check` and the reader of configurations say in other words now than
-// 396a775 did.
-var rewordedConfigText = strings.NewReplacer()
+// reworded turns what 396a775 said of a configuration into today's words.
+var reworded = strings.NewReplacer(
+	"aim 500ms", "latency objective 500ms",
+	"aim 400ms", "latency objective 400ms",
+	"aim 300ms", "latency objective 300ms",
+	"aim 250ms", "latency objective 250ms",
+	"worth", "priority weight",
+	"may be repeated", "idempotent: may be repeated",
+	"repeats dropped", "idempotent by key: repeats dropped",
+	"must never run twice", "non-idempotent: must never run twice",
+	"compartment ", "bulkhead ",
+	"the first list of servers", "the first endpoint list",
+	"a change of the list counts as told after", "a change of the endpoint list counts as notified after",
+	"sends to a server that drains stop within", "forwarding to a draining server stops within",
+	"a cold server", "a server that warms up",
+	"is warm after", "has all of it after",
+	"connecting is given up after", "connect timeout",
+	"a whole header", "a complete header",
+	"barleywick-metered", "sidecar-metrics",
+	"as the keepers have it", "as the controllers have it",
+)
 
 // fieldOfStruct is where the TOML library's messages name a Go type.
 var fieldOfStruct = regexp.MustCompile(`struct field \S+ of type`)
@@ -56,7 +74,7 @@
 			t.Fatal(err)
 		}
 		columns := regexp.MustCompile(`  +`) // their width follows from the words
-		want := columns.ReplaceAllString(rewordedConfigText.Replace(fixture(t, name+".explained.txt")), "  ")
+		want := columns.ReplaceAllString(reworded.Replace(fixture(t, name+".explained.txt")), "  ")
 		if text := columns.ReplaceAllString(got.String(), "  "); text != want {
 			t.Errorf("%s is explained as\n%s\nwant\n%s", name, text, want)
 		}
@@ -83,7 +101,7 @@
 		}
 		_, err := loadFile(path)
 		got := fieldOfStruct.ReplaceAllString(strings.ReplaceAll(fmt.Sprint(err), dir+"/", ""), "struct field of type")
-		want := fieldOfStruct.ReplaceAllString(rewordedConfigText.Replace(golden[checked]), "struct field of type")
+		want := fieldOfStruct.ReplaceAllString(reworded.Replace(golden[checked]), "struct field of type")
 		if got != want {
 			t.Errorf("%s:\ngot  %s\nwant %s", line, got, want)
 		}
--- a/internal/sidecar/config/config.go
+++ b/internal/sidecar/config/config.go
@@ -1,28 +1,23 @@
+// Package config is the configuration of one sidecar: the files that people and the platform write,
+// what is checked of them, the limits that follow, and an explanation of each figure.
 package config
 
 import (
-	"bytes"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"net"
 	"net/netip"
 	"os"
-	"path/filepath"
 	"slices"
 	"strconv"
-	"strings"
 	"time"
 
-	"barleywick/internal/addressmap"
 	"barleywick/internal/configfile"
 	"barleywick/internal/membership"
-	"barleywick/internal/registry"
 	"barleywick/internal/registry/client"
 	"barleywick/internal/settings"
-	"barleywick/internal/sidecar/handover"
 	"barleywick/policy"
 )
 
@@ -33,50 +28,45 @@
 	Discovery         string
 	DiscoveryReplicas []string // further addresses of the same discovery service
 	Seed              uint64
-	KnownEndpoints    *client.ListUpdate // the list of upstreams as last held; nil where there is none
+	KnownEndpoints    *client.ListUpdate // the endpoint list as last known; nil where there is none
 	Limits            Limits
-	Path              string // the file it came from
+	Path              string // of the file it was read from
 
 	Policy              policy.Config
 	Classes             []string
 	Tenants             []string // empty: there is one, and requests need not name it
 	Zones               []string
 	LoadReportColumns   settings.LoadColumns // the names in a load report
-	DialTimeout         time.Duration        // a connection not made by then never comes
-	UpstreamIdleTimeout time.Duration        // upstreams close a connection that was idle this long
-	Connections         ConnectionLimits     // how many connections, on both sides
-	Takeover            *Takeover            // how a new process takes this one's place; nil: it does not
-	FleetPolicy         *FleetPolicy         // where the fleet's policy comes from; nil: there is none
-	Overload            *Overload            // where its word on an overload comes from; nil: there is none
-	Membership          *membership.Config   // how it is a member of the fleet; nil: it is none
-	Log                 Log                  // how the program's log is written
-	Metrics             Metrics              // where metrics are served; nowhere unless it says so
-}
-
-// Limits are the platform's limits on this process.
-type Limits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB int64   `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	DialTimeout         time.Duration
+	UpstreamIdleTimeout time.Duration      // booking servers close a connection that was idle for this long
+	Connections         ConnectionLimits   // on both sides
+	Takeover            *Takeover          // how a new process takes this one's place; nil: none can
+	FleetPolicy         *FleetPolicy       // where the fleet policy comes from; nil: there is none
+	Overload            *Overload          // where overload advice comes from; nil: there is none
+	Membership          *membership.Config // how it is a member of the fleet; nil: it is none
+	Log                 Log
+	Metrics             Metrics
 }
 
 const (
-	defaultRosterLease = 5 * time.Second
-	minRosterLease     = time.Second
-	// defaultReadyTimeout is as long as a platform waits for a sidecar at the start of a run.
-	defaultReadyTimeout = 30 * time.Second
-	defaultSockets      = 1024
-	MinSockets          = 64 // below, neither side could hold a handful of connections
+	// MinSockets is the least number of sockets that a sidecar can serve with: below, neither
+	// side could hold a handful of connections.
+	MinSockets     = 64
+	defaultSockets = 1024
+
 	defaultDialTimeout  = 250 * time.Millisecond
 	defaultUpstreamIdle = 15 * time.Second
+
+	// maxDiscoveryReplicas is more than a group of replicas has.
+	maxDiscoveryReplicas = 16
 )
 
-// Load reads the configuration file that ROUTER_CONFIG names. ROUTER_NAME,
-// ROUTER_LISTEN and ROUTER_DISCOVERY go before what the file says of them.
+// Load reads the configuration file that ROUTER_CONFIG names. ROUTER_NAME, ROUTER_LISTEN and
+// ROUTER_DISCOVERY override what the file says.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
-		return nil, fmt.Errorf("ROUTER_CONFIG is not set: it names the configuration file")
+		return nil, errors.New("ROUTER_CONFIG is not set: it names the configuration file")
 	}
 	c, err := readConfig(path, nil)
 	if err != nil {
@@ -96,36 +86,9 @@
 	return c, c.checkDiscovery()
 }
 
-// readConfig reads the file. Where the limits of this process are fixed already,
-// those count and not the file's.
-func readConfig(path string, fixed *Limits) (*Config, error) {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return nil, fmt.Errorf("read configuration: %w", err)
-	}
-	platform := text
-	if isTOML(path) {
-		if platform, err = platformForm(text, drawSeed); err != nil {
-			return nil, fmt.Errorf("configuration %s: %w", path, err)
-		}
-	}
-	c, err := Parse(platform, fixed)
-	if err != nil {
-		if isTOML(path) {
-			err = configfile.AtLine(text, err)
-		}
-		return nil, fmt.Errorf("configuration %s: %w", path, err)
-	}
-	return c, nil
-}
-
-// drawSeed is the seed of a sidecar that was given none.
-func drawSeed() string { return strconv.FormatUint(rand.Uint64(), 16) }
-
-// Reload reads the file again and takes over what may change under way: where
-// discovery is and the limits on connections. The platform's limits are those of
-// the start. The environment is that of the start too, so here the file alone
-// counts. If the file is of no use, c stays as it is.
+// Reload reads the file again and takes over what may change under way: the discovery addresses
+// and the limits on connections. The platform's limits are those of the start. The environment is
+// that of the start too, so here the file alone counts. On an error nothing changes.
 func (c *Config) Reload() error {
 	fresh, err := readConfig(c.Path, &c.Limits)
 	if err != nil {
@@ -138,8 +101,16 @@
 	return nil
 }
 
-// maxDiscoveryReplicas is more than a group of replicas has.
-const maxDiscoveryReplicas = 16
+// DiscoveryAddrs returns all addresses of discovery, each once.
+func (c *Config) DiscoveryAddrs() []string {
+	addrs := []string{c.Discovery}
+	for _, addr := range c.DiscoveryReplicas {
+		if !slices.Contains(addrs, addr) {
+			addrs = append(addrs, addr)
+		}
+	}
+	return addrs
+}
 
 func (c *Config) checkDiscovery() error {
 	if len(c.DiscoveryReplicas) > maxDiscoveryReplicas {
@@ -153,237 +124,146 @@
 	return nil
 }
 
-// DiscoveryAddrs are all addresses of discovery, each once.
-func (c *Config) DiscoveryAddrs() []string {
-	addrs := []string{c.Discovery}
-	for _, addr := range c.DiscoveryReplicas {
-		if !slices.Contains(addrs, addr) {
-			addrs = append(addrs, addr)
+// readConfig reads a file. The limits of the process count instead of the file's if they are fixed
+// already.
+func readConfig(path string, fixed *Limits) (*Config, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("read configuration: %w", err)
+	}
+	platform := text
+	if isTOML(path) {
+		if platform, err = platformForm(text, drawSeed); err != nil {
+			return nil, fmt.Errorf("configuration %s: %w", path, err)
 		}
 	}
-	return addrs
+	c, err := Parse(platform, fixed)
+	if err != nil {
+		if isTOML(path) {
+			err = configfile.AtLine(text, err)
+		}
+		return nil, fmt.Errorf("configuration %s: %w", path, err)
+	}
+	return c, nil
 }
 
-func Parse(text []byte, fixed *Limits) (*Config, error) {
-	var f struct {
-		Name      string          `json:"name"`
-		Listen    string          `json:"listen"`
-		Discovery string          `json:"discovery"`
-		Replicas  []string        `json:"discovery_replicas"`
-		Seed      string          `json:"seed"`
-		Limits    Limits          `json:"limits"`
-		Known     json.RawMessage `json:"known"`
-		Settings  json.RawMessage `json:"settings"`
+// drawSeed draws the seed of a sidecar that was given none.
+func drawSeed() string { return strconv.FormatUint(rand.Uint64(), 16) }
 
-		Connections json.RawMessage `json:"connections"`
-		Takeover    json.RawMessage `json:"takeover"`
-		Policy      json.RawMessage `json:"policy"`
-		Overload    json.RawMessage `json:"overload"`
-		Membership  json.RawMessage `json:"membership"`
-		Log         Log             `json:"log"`
-		Metrics     Metrics         `json:"metrics"`
-	}
+// platformFile is the platform's JSON. Keys that are not listed are ignored, as the platform adds
+// some; the tables that are read strictly stay raw here.
+type platformFile struct {
+	Name              string          `json:"name"`
+	Listen            string          `json:"listen"`
+	Discovery         string          `json:"discovery"`
+	DiscoveryReplicas []string        `json:"discovery_replicas"`
+	Seed              string          `json:"seed"`
+	Limits            Limits          `json:"limits"`
+	Known             json.RawMessage `json:"known"`
+	Settings          json.RawMessage `json:"settings"`
+
+	Connections json.RawMessage `json:"connections"`
+	Takeover    json.RawMessage `json:"takeover"`
+	Policy      json.RawMessage `json:"policy"`
+	Overload    json.RawMessage `json:"overload"`
+	Membership  json.RawMessage `json:"membership"`
+	Log         Log             `json:"log"`
+	Metrics     Metrics         `json:"metrics"`
+}
+
+// Parse reads the platform's JSON. The limits of the process count instead of the text's if they
+// are fixed already.
+func Parse(text []byte, fixed *Limits) (*Config, error) {
+	var f platformFile
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, err
 	}
-	if f.Settings == nil {
-		return nil, fmt.Errorf("settings are missing")
-	}
-	s, err := settings.ParseJSON(f.Settings)
-	if err != nil {
-		return nil, err
-	}
-	p, err := s.PolicyConfig()
-	if err != nil {
-		return nil, err
-	}
 	c := &Config{
-		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, DiscoveryReplicas: f.Replicas, Limits: f.Limits, KnownEndpoints: parseKnown(f.Known),
-		Log: f.Log, Metrics: f.Metrics,
-		Policy:              p,
-		Classes:             s.Names("classes"),
-		Tenants:             s.Names("orgs"),
-		Zones:               s.Values("zones"),
-		LoadReportColumns:   s.LoadColumns(),
-		DialTimeout:         s.Duration("caps.dial_timeout_ms", defaultDialTimeout),
-		UpstreamIdleTimeout: s.Duration("caps.conn_idle_ms", defaultUpstreamIdle),
-	}
-	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed: %w", err)
-	}
-	if slices.Contains(c.Classes, "") || slices.Contains(c.Tenants, "") {
-		return nil, fmt.Errorf("settings: a class or tenant has no name")
-	}
-	if addr := c.Metrics.Listen; addr != "" {
-		if a, err := netip.ParseAddrPort(addr); err != nil || !a.Addr().Unmap().IsLoopback() {
-			return nil, fmt.Errorf("metrics.listen is %.64q, a loopback address with a port is needed", addr)
-		}
+		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, DiscoveryReplicas: f.DiscoveryReplicas,
+		Limits: f.Limits, Log: f.Log, Metrics: f.Metrics,
 	}
 	if fixed != nil {
 		c.Limits = *fixed
 	}
-	if c.Limits.Sockets == 0 {
-		c.Limits.Sockets = defaultSockets
-	}
-	if c.Limits.Sockets < MinSockets {
-		return nil, fmt.Errorf("limits.sockets is %d, at least %d are needed", c.Limits.Sockets, MinSockets)
-	}
-	if len(f.Takeover) > 0 {
-		c.Takeover = new(Takeover)
-		if err := decodePart("takeover", f.Takeover, c.Takeover, c.Takeover.check); err != nil {
-			return nil, err
-		}
-	}
-	if len(f.Policy) > 0 {
-		c.FleetPolicy = new(FleetPolicy)
-		if err := decodePart("policy", f.Policy, &c.FleetPolicy.FilePolicy, c.FleetPolicy.check); err != nil {
-			return nil, err
-		}
-		if c.Takeover != nil {
-			return nil, fmt.Errorf("policy: it cannot be named beside takeover: two processes of one sidecar have one seat")
-		}
-	}
-	if len(f.Overload) > 0 {
-		c.Overload = new(Overload)
-		if err := decodePart("overload", f.Overload, &c.Overload.FileOverload, c.Overload.check); err != nil {
+	for _, step := range []func() error{
+		func() error { return c.readSettings(f.Settings) },
+		func() error { return c.readKnownEndpoints(f.Known) },
+		func() error { return c.readSeed(f.Seed) },
+		c.checkNames,
+		c.Metrics.check,
+		c.Limits.check,
+		func() error { return c.readTakeover(f.Takeover) },
+		func() error { return c.readFleetPolicy(f.Policy) },
+		func() error { return c.readOverload(f.Overload) },
+		func() error { return c.readMembership(f.Membership) },
+		func() error { return c.readConnections(f.Connections) },
+	} {
+		if err := step(); err != nil {
 			return nil, err
 		}
 	}
-	if len(f.Membership) > 0 {
-		c.Membership = new(membership.Config)
-		if err := decodePart("membership", f.Membership, c.Membership, c.Membership.Check); err != nil {
-			return nil, err
-		}
+	return c, nil
+}
+
+// readSettings reads the settings of the site.
+func (c *Config) readSettings(text json.RawMessage) error {
+	if text == nil {
+		return errors.New("settings are missing")
 	}
-	said, err := parseConnectionsConfig(f.Connections)
+	s, err := settings.ParseJSON(text)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	if c.Connections, err = deriveConnectionLimits(c.Limits, said); err != nil {
-		return nil, err
+	if c.Policy, err = s.PolicyConfig(); err != nil {
+		return err
 	}
-	return c, nil
+	c.Classes = s.Names("classes")
+	c.Tenants = s.Names("orgs")
+	c.Zones = s.Values("zones")
+	c.LoadReportColumns = s.LoadColumns()
+	c.DialTimeout = s.Duration("caps.dial_timeout_ms", defaultDialTimeout)
+	c.UpstreamIdleTimeout = s.Duration("caps.conn_idle_ms", defaultUpstreamIdle)
+	return nil
 }
 
-// decodePart reads a table that may be left out, strictly.
-func decodePart(name string, text json.RawMessage, into any, check func() error) error {
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
-	if err := d.Decode(into); err != nil {
-		return fmt.Errorf("%s: %w", name, err)
-	}
-	return check()
+// readKnownEndpoints reads the endpoint list as last known. One that cannot be read is ignored:
+// discovery brings another.
+func (c *Config) readKnownEndpoints(text json.RawMessage) error {
+	c.KnownEndpoints = parseKnown(text)
+	return nil
 }
 
-// parseKnown reads the list as last held. One that cannot be read is done
-// without: discovery brings another.
 func parseKnown(text json.RawMessage) *client.ListUpdate {
 	if len(text) == 0 || string(text) == "null" {
 		return nil
 	}
 	known := new(client.ListUpdate)
 	if err := json.Unmarshal(text, known); err != nil {
-		slog.Warn("configuration: the known list is passed over", "err", err)
+		slog.Warn("configuration: known endpoint list ignored", "err", err)
 		return nil
 	}
 	return known
 }
 
-// Takeover is the configuration's optional object 'takeover'.
-type Takeover struct {
-	Socket  string `json:"socket"`   // the path of the Unix socket; its folder is the operator's to guard
-	ReadyMS int64  `json:"ready_ms"` // how long a new process may take to be ready
-}
-
-func (t *Takeover) check() error {
-	switch {
-	case !filepath.IsAbs(t.Socket):
-		return fmt.Errorf("takeover.socket is %q, an absolute path is needed", t.Socket)
-	case len(t.Socket) > handover.MaxSocketPath:
-		return fmt.Errorf("takeover.socket has %d bytes, %d at most", len(t.Socket), handover.MaxSocketPath)
-	case t.ReadyMS < 0:
-		return fmt.Errorf("takeover.ready_ms is %d, it must not be negative", t.ReadyMS)
+func (c *Config) readSeed(text string) (err error) {
+	if c.Seed, err = strconv.ParseUint(text, 16, 64); err != nil {
+		return fmt.Errorf("seed: %w", err)
 	}
 	return nil
 }
 
-func (t *Takeover) ReadyTimeout() time.Duration {
-	if t.ReadyMS == 0 {
-		return defaultReadyTimeout
-	}
-	return time.Duration(t.ReadyMS) * time.Millisecond
-}
-
-// Handover is what the hand-over needs of the configuration.
-func (c *Config) Handover() handover.Config {
-	return handover.Config{Name: c.Name, Listen: c.Listen, Socket: c.Takeover.Socket, ReadyTimeout: c.Takeover.ReadyTimeout()}
-}
-
-// FleetPolicy names the registry that the fleet's policy comes from.
-type FleetPolicy struct {
-	FilePolicy
-	AddressMap addressmap.Table
-}
-
-func (c *FleetPolicy) check() error {
-	if err := checkReplicas("policy", c.Registry); err != nil {
-		return err
-	}
-	if c.LeaseMS == 0 {
-		c.LeaseMS = defaultRosterLease.Milliseconds()
-	}
-	if c.LeaseMS < minRosterLease.Milliseconds() {
-		return fmt.Errorf("policy.lease_ms is %d, at least %d is needed", c.LeaseMS, minRosterLease.Milliseconds())
-	}
-	var err error
-	if c.AddressMap, err = parseRoutes("policy", c.Routes); err != nil {
-		return err
-	}
-	return nil
-}
-
-// checkReplicas checks the addresses of the registry that a table names.
-func checkReplicas(table string, addrs []string) error {
-	if len(addrs) == 0 {
-		return fmt.Errorf("%s.registry is missing: the addresses of its replicas", table)
-	}
-	for _, a := range addrs {
-		if _, _, err := net.SplitHostPort(a); err != nil {
-			return fmt.Errorf("%s.registry: %.64q is not an address with a port", table, a)
-		}
+func (c *Config) checkNames() error {
+	if slices.Contains(c.Classes, "") || slices.Contains(c.Tenants, "") {
+		return errors.New("settings: a class or tenant has no name")
 	}
 	return nil
 }
 
-// parseRoutes reads the addresses that a table has called instead of others.
-func parseRoutes(table string, pairs []string) (addressmap.Table, error) {
-	t := make(addressmap.Table, len(pairs))
-	for _, r := range pairs {
-		from, to, _ := strings.Cut(r, "=")
-		t[from] = to
-	}
-	if err := t.Check(); err != nil {
-		return nil, fmt.Errorf("%s.routes: %w", table, err)
-	}
-	return t, nil
-}
-
-// Overload names where the fleet's word on an overload comes from.
-type Overload struct {
-	FileOverload
-	AddressMap addressmap.Table
-}
-
-func (c *Overload) check() (err error) {
-	if c.Fleet == "" {
-		return errors.New("overload.fleet is missing: the fleet's name, as the keepers have it")
-	}
-	if err := registry.CheckName("overload.fleet", c.Fleet); err != nil {
-		return err
-	}
-	if err := checkReplicas("overload", c.Registry); err != nil {
+func (c *Config) readConnections(text json.RawMessage) error {
+	table, err := parseConnections(text)
+	if err != nil {
 		return err
 	}
-	c.AddressMap, err = parseRoutes("overload", c.Routes)
+	c.Connections, err = deriveConnectionLimits(c.Limits, table)
 	return err
 }
--- a/internal/sidecar/config/explain.go
+++ b/internal/sidecar/config/explain.go
@@ -10,79 +10,114 @@
 	"barleywick/policy"
 )
 
-// Explain writes each figure that follows from the configuration, with where it
-// comes from. It starts nothing.
+// Explain writes each figure that follows from the configuration, with the keys it comes from. It
+// starts nothing.
 func (c *Config) Explain(w io.Writer) error {
-	b, err := policy.New(c.Policy, c.Seed, nil) // it is not started, so it needs no host
+	balancer, err := policy.New(c.Policy, c.Seed, nil) // it is not started, so it needs no host
 	if err != nil {
 		return err
 	}
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	var wrong error
-	line := func(name, from, format string, args ...any) {
-		_, err := fmt.Fprintf(t, "%s\t%s\t%s\n", name, fmt.Sprintf(format, args...), from)
-		wrong = errors.Join(wrong, err)
-	}
-	p := c.Policy
-	line("name", "name, ROUTER_NAME", "%s", c.Name)
-	line("listens on", "listen, ROUTER_LISTEN", "%s", c.Listen)
-	line("discovery", "discovery, ROUTER_DISCOVERY, discovery_replicas", "%v", c.DiscoveryAddrs())
+	e := &explainer{w: tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)}
+	c.explainProcess(e)
+	c.explainRequests(e)
+	c.explainBulkheads(e, balancer)
+	c.explainEndpoints(e)
+	c.explainConnections(e)
+	c.explainOptionalParts(e)
+	return errors.Join(e.err, e.w.Flush())
+}
+
+// explainer writes a table of three columns.
+type explainer struct {
+	w   *tabwriter.Writer
+	err error
+}
+
+// line adds a line: what is explained, the keys that it follows from, and its value.
+func (e *explainer) line(name, keys, format string, args ...any) {
+	_, err := fmt.Fprintf(e.w, "%s\t%s\t%s\n", name, fmt.Sprintf(format, args...), keys)
+	e.err = errors.Join(e.err, err)
+}
+
+func (c *Config) explainProcess(e *explainer) {
+	e.line("name", "name, ROUTER_NAME", "%s", c.Name)
+	e.line("listens on", "listen, ROUTER_LISTEN", "%s", c.Listen)
+	e.line("discovery", "discovery, ROUTER_DISCOVERY, discovery_replicas", "%v", c.DiscoveryAddrs())
 	known := 0
 	if c.KnownEndpoints != nil {
 		known = len(c.KnownEndpoints.Endpoints)
 	}
-	line("booking servers known at the start", "known", "%d", known)
-	line("cores, memory, sockets", "limits", "%g, %d MB, %d", c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets)
-	line("sidecars in the fleet", "settings.balancers", "%d", p.Balancers)
-	line("attempts for a request", "settings.caps.most_tries", "%d", p.MaxAttempts)
-	line("longest Retry-After", "settings.caps.max_retry_after_ms", "%v", p.MaxRetryAfter)
-	for i, k := range p.Classes {
-		line("class "+c.Classes[i], "settings.classes", "aim %v, deadline %v, worth %g, %s", k.LatencyObjective, k.Deadline, k.PriorityWeight, repeats(k))
+	e.line("booking servers known at the start", "known", "%d", known)
+	e.line("cores, memory, sockets", "limits", "%g, %d MB, %d", c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets)
+}
+
+func (c *Config) explainRequests(e *explainer) {
+	p := c.Policy
+	e.line("sidecars in the fleet", "settings.balancers", "%d", p.Balancers)
+	e.line("attempts for a request", "settings.caps.most_tries", "%d", p.MaxAttempts)
+	e.line("longest Retry-After", "settings.caps.max_retry_after_ms", "%v", p.MaxRetryAfter)
+	for i, class := range p.Classes {
+		e.line("class "+c.Classes[i], "settings.classes", "latency objective %v, deadline %v, priority weight %g, %s",
+			class.LatencyObjective, class.Deadline, class.PriorityWeight, describeIdempotency(class))
 	}
+}
+
+func (c *Config) explainBulkheads(e *explainer, balancer *policy.Balancer) {
 	tenants := c.Tenants
 	if len(tenants) == 0 {
 		tenants = []string{"(one for all)"}
 	}
 	for i, name := range tenants {
-		if slots := b.SlotsFree(i); slots > 0 {
-			line("compartment "+name, "share and quota in settings.orgs", "%d slots, %d queue places", slots, b.QueueFree(i))
+		if slots := balancer.SlotsFree(i); slots > 0 {
+			e.line("bulkhead "+name, "share and quota in settings.orgs", "%d slots, %d queue places", slots, balancer.QueueFree(i))
 		} else {
-			line("compartment "+name, "settings.orgs names no quota", "sized by the first list of servers")
+			e.line("bulkhead "+name, "settings.orgs names no quota", "sized by the first endpoint list")
 		}
 	}
-	line("a change of the list counts as told after", "settings.rules.ask_within_ms", "%s", orNone(p.PollDeadline))
-	line("sends to a server that drains stop within", "settings.rules.stop_sending_within_ms", "%s", orNone(p.DrainGrace))
-	line("a cold server", "settings.rules.cold_*, fall_multiple", "begins at %g of its capacity, is warm after %v, falls over at %g times what it can do",
+}
+
+func (c *Config) explainEndpoints(e *explainer) {
+	p := c.Policy
+	e.line("a change of the endpoint list counts as notified after", "settings.rules.ask_within_ms", "%s", durationOrNone(p.PollDeadline))
+	e.line("forwarding to a draining server stops within", "settings.rules.stop_sending_within_ms", "%s", durationOrNone(p.DrainGrace))
+	e.line("a server that warms up", "settings.rules.cold_*, fall_multiple", "begins at %g of its capacity, has all of it after %v, falls over at %g times what it can do",
 		p.SlowStartFloor, p.SlowStartWindow, p.OverloadFactor)
-	line("connecting is given up after", "settings.caps.dial_timeout_ms", "%v", c.DialTimeout)
-	line("servers close idle connections after", "settings.caps.conn_idle_ms", "%v", c.UpstreamIdleTimeout)
-	k, s := c.Connections.Clients, c.Connections.Servers
-	line("client connections", "connections.clients, limits.sockets", "%d; %d of one address, %d without a whole header, %d idle, %d waiting",
-		k.Total, k.PerAddress, k.HalfOpen, k.Idle, k.Waiting)
-	line("server connections", "connections.servers, limits.sockets", "%d; %d to one server; handshakes %d, %d to one server",
-		s.Total, s.PerServer, s.Handshakes, s.HandshakesPerServer)
+}
+
+func (c *Config) explainConnections(e *explainer) {
+	e.line("connect timeout", "settings.caps.dial_timeout_ms", "%v", c.DialTimeout)
+	e.line("servers close idle connections after", "settings.caps.conn_idle_ms", "%v", c.UpstreamIdleTimeout)
+	clients, servers := c.Connections.Clients, c.Connections.Servers
+	e.line("client connections", "connections.clients, limits.sockets", "%d; %d of one address, %d without a complete header, %d idle, %d waiting",
+		clients.Total, clients.PerAddress, clients.HalfOpen, clients.Idle, clients.Waiting)
+	e.line("server connections", "connections.servers, limits.sockets", "%d; %d to one server; handshakes %d, %d to one server",
+		servers.Total, servers.PerServer, servers.Handshakes, servers.HandshakesPerServer)
+}
+
+func (c *Config) explainOptionalParts(e *explainer) {
 	if c.Metrics.Listen != "" {
-		line("metrics", "metrics.listen", "http://%s/metrics, by barleywick-metered", c.Metrics.Listen)
+		e.line("metrics", "metrics.listen", "http://%s/metrics, by sidecar-metrics", c.Metrics.Listen)
 	}
 	if c.Takeover != nil {
-		line("take-over", "takeover", "a new process may take this one's place at %s", c.Takeover.Socket)
+		e.line("take-over", "takeover", "a new process may take this one's place at %s", c.Takeover.Socket)
 	}
-	return errors.Join(wrong, t.Flush())
 }
 
-// repeats says in words what repeating a request of a class may do.
-func repeats(c policy.Class) string {
-	switch c.Idempotency {
+// describeIdempotency says in words what repeating a request of a class may do.
+func describeIdempotency(class policy.Class) string {
+	switch class.Idempotency {
 	case policy.Idempotent:
-		return "may be repeated"
+		return "idempotent: may be repeated"
 	case policy.IdempotentByKey:
-		scope := map[policy.DedupScope]string{policy.ScopeAll: "all servers", policy.ScopeZone: "the servers of a zone", policy.ScopeCell: "the servers of a cell"}
-		return fmt.Sprintf("repeats dropped by %s for %v", scope[c.DedupScope], c.DedupWindow)
+		scope := map[policy.DedupScope]string{
+			policy.ScopeAll: "all servers", policy.ScopeZone: "the servers of a zone", policy.ScopeCell: "the servers of a cell",
+		}
+		return fmt.Sprintf("idempotent by key: repeats dropped by %s for %v", scope[class.DedupScope], class.DedupWindow)
 	}
-	return "must never run twice"
+	return "non-idempotent: must never run twice"
 }
 
-func orNone(d time.Duration) string {
+func durationOrNone(d time.Duration) string {
 	if d <= 0 {
 		return "no time is set"
 	}
--- a/internal/sidecar/config/file_test.go
+++ b/internal/sidecar/config/file_test.go
@@ -12,7 +12,7 @@
 	"barleywick/internal/sidecar/handover"
 )
 
-const persons = `name = "n0"
+const tomlText = `name = "n0"
 listen = "127.0.0.1:7070"
 discovery = "127.0.0.1:8500"
 seed = "ff"
@@ -46,7 +46,7 @@
 probes = true
 `
 
-const platforms = `{"name":"n0","listen":"127.0.0.1:7070","discovery":"127.0.0.1:8500","seed":"ff","limits":{"sockets":256},
+const platformText = `{"name":"n0","listen":"127.0.0.1:7070","discovery":"127.0.0.1:8500","seed":"ff","limits":{"sockets":256},
 	"connections":{"clients":{"idle":7}},"log":{"level":"debug"},
 	"settings":{"balancers":3,"zones":["a","b"],"zone":1,"caps":{"most_tries":3,"probes":true},"orgs":[{"name":"acme","share":1,"quota_per_s":100}],
 	"classes":[{"name":"hold","aim_ms":500,"hard_limit_ms":1000.5,"semantics":"guarded","dedup_scope":"zone","window_ms":400},{"name":"confirm","aim_ms":500,"hard_limit_ms":1000}]}}`
@@ -60,12 +60,12 @@
 	return readConfig(path, nil)
 }
 
-func TestBothFormsSayTheSame(t *testing.T) {
-	a, err := readText(t, "c.toml", persons)
+func TestTOMLAndJSONMeanTheSame(t *testing.T) {
+	a, err := readText(t, "c.toml", tomlText)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := readText(t, "c.json", platforms)
+	b, err := readText(t, "c.json", platformText)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,15 +75,15 @@
 	if a.Seed != 0xff || a.Connections.Clients.Idle != 7 || a.Policy.Zone != 1 || len(a.Policy.Classes) != 2 {
 		t.Errorf("%+v", a)
 	}
-	c, err := readText(t, "c.toml", strings.Replace(persons, `seed = "ff"`, "", 1))
-	d, err2 := readText(t, "c.toml", strings.Replace(persons, `seed = "ff"`, "", 1))
+	c, err := readText(t, "c.toml", strings.Replace(tomlText, `seed = "ff"`, "", 1))
+	d, err2 := readText(t, "c.toml", strings.Replace(tomlText, `seed = "ff"`, "", 1))
 	if err != nil || err2 != nil || c.Seed == d.Seed {
 		t.Errorf("two sidecars without a seed act in step: %v %v", err, err2)
 	}
 }
 
-// What a person writes wrong is refused in one line that names file, line and field.
-func TestPersonsFileIsReadStrictly(t *testing.T) {
+// A mistake in a TOML file is refused in one line that names file, line and field.
+func TestTOMLIsReadStrictly(t *testing.T) {
 	for from, c := range map[string][2]string{
 		`name = "n0"`:            {`nam = "n0"`, "line 1: there is no field nam"},
 		`listen = `:              {`listen = 7 #`, "line 2: listen"},
@@ -102,20 +102,20 @@
 		"[log]":                  {"[metrics]\nlisten = \"10.0.0.1:9\"\n[log]", "line 10: metrics.listen"},
 		`"127.0.0.1:8500"`:       {`"127.0.0.1:8500`, "line 3"},
 	} {
-		_, err := readText(t, "c.toml", strings.Replace(persons, from, c[0], 1))
+		_, err := readText(t, "c.toml", strings.Replace(tomlText, from, c[0], 1))
 		if err == nil || !strings.Contains(err.Error(), "c.toml: "+c[1]) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: %v; want one line with %q", c[0], err, c[1])
 		}
 	}
 }
 
-// The page lists each field of the schema, as the code has it, and no other.
+// The page lists each field of the schema, with the code's words, and no other.
 func TestConfigurationPageAgreesWithTheCode(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/CONFIGURATION.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := fields(reflect.TypeFor[File](), "")
+	want := fields(reflect.TypeFor[file](), "")
 	var got []string
 	for line := range strings.Lines(string(page)) {
 		if strings.HasPrefix(line, "| `") {
@@ -154,7 +154,7 @@
 	return text
 }
 
-// Each field of the schema's settings has an effect: it isn't a word that nothing reads.
+// Each field of the schema's settings has an effect on the decisions.
 func TestEachSettingIsRead(t *testing.T) {
 	for _, path := range []string{
 		"balancers=2", "zone=1", "discovery=ask", "caps.most_tries=9", "caps.may_cancel=true", "caps.probes=true", "caps.max_retry_after_ms=9",
@@ -178,8 +178,8 @@
 	}
 }
 
-func FuzzPersonsFile(f *testing.F) {
-	f.Add([]byte(persons))
+func FuzzTOMLFile(f *testing.F) {
+	f.Add([]byte(tomlText))
 	f.Add([]byte("[[settings.classes]]\n[settings.classes.x]\na.b = 1\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		platform, err := platformForm(text, func() string { return "1" })
--- a/internal/sidecar/config/limits.go
+++ b/internal/sidecar/config/limits.go
@@ -14,45 +14,45 @@
 	reservedSockets  = 32 // standard streams, the listener, the poller and what the runtime opens
 	discoverySockets = 2
 
-	// clientSocketTenths is how many tenths of the sockets are for clients: those that
-	// say nothing take some, until they are closed.
+	// clientSocketTenths is how many tenths of the sockets are for clients: silent connections use
+	// some, until they are closed.
 	clientSocketTenths = 6
-	// idleSocketTenths is how many tenths of the clients' may be idle. Clients count those
-	// too as theirs, and where each asks once and stays they could soon open no more.
+	// idleSocketTenths is how many tenths of the clients' sockets may be idle. Clients count idle
+	// connections against their own limits: if each sent one request and stayed, they could soon
+	// open no more.
 	idleSocketTenths = 3
-	// waitingDivisor is which part of the clients' sockets may wait for a place, and
-	// which may be held by connections being told that there is none.
-	// They are few: a longer queue serves nobody sooner, and each in it is a place
-	// less, which is what clears a flood.
+	// waitingDivisor is which part of the clients' sockets may wait to be admitted, and which part
+	// may be in the middle of being refused. They are few: a longer queue serves nobody sooner, and
+	// each socket in it is one less for clearing a flood.
 	waitingDivisor = 32
 	maxWaiting     = 8
 
-	// perServerDivisor is which part of the upstreams' sockets one of them may hold: one
-	// that is slow must leave some to the others.
+	// perServerDivisor is which part of the upstream sockets one server may hold: a slow one must
+	// leave some to the others.
 	perServerDivisor = 2
-	// handshakeDivisor is which part may be in a handshake at once, and leastHandshakes
-	// how many in any case. Requests find idle connections but for the first moments
-	// and after a failure; then all sidecars open new ones at the same servers.
+	// handshakeDivisor is which part of the upstream sockets may be in a handshake at once, and
+	// minHandshakes how many in any case. Requests find idle connections except in the first
+	// moments and after a failure; then all sidecars open new ones to the same servers.
 	handshakeDivisor = 8
 	minHandshakes    = 8
-	// maxHandshakesPerServer may be under way to one upstream. A handshake costs it a
-	// twentieth of a request, and one sidecar's traffic needs few new ones at a time.
+	// maxHandshakesPerServer may be under way to one server. A handshake costs it a twentieth of a
+	// request, and one sidecar's traffic needs few new connections at a time.
 	maxHandshakesPerServer = 4
 )
 
-// ClientLimits bound the connections to clients. All of them together are
-// sockets: places, those that wait, one in hand and those being told.
+// ClientLimits bound the connections to clients. Together they bound sockets: admitted connections,
+// those that wait, the one just accepted and those that are being refused.
 type ClientLimits struct {
 	admission.Limits
-	Waiting  int // may wait for a place
+	Waiting  int // may wait to be admitted
 	Refusing int // may be in the middle of being refused
 }
 
-// UpstreamLimits bound the connections to upstreams.
+// UpstreamLimits bound the connections to booking servers.
 type UpstreamLimits struct {
-	Total               int // of all upstreams
+	Total               int // to all servers
 	PerServer           int
-	Handshakes          int // under way at once, to all of them
+	Handshakes          int // at once, with all servers
 	HandshakesPerServer int
 }
 
@@ -63,46 +63,47 @@
 }
 
 // SplitSockets divides the sockets between the two sides.
-func (l Limits) SplitSockets() (clients, upstreams int) {
-	most := l.Sockets - reservedSockets - discoverySockets
-	clients = most * clientSocketTenths / 10
-	return clients, most - clients
+func (l *Limits) SplitSockets() (clients, upstreams int) {
+	available := l.Sockets - reservedSockets - discoverySockets
+	clients = available * clientSocketTenths / 10
+	return clients, available - clients
 }
 
-// deriveConnectionLimits are the limits that follow from the sockets given, and from what the
-// configuration says instead.
-func deriveConnectionLimits(sockets Limits, said connectionsConfig) (ConnectionLimits, error) {
+// deriveConnectionLimits returns the limits that follow from the sockets, except where the table
+// says something else.
+func deriveConnectionLimits(sockets Limits, table connectionsTable) (ConnectionLimits, error) {
 	forClients, forServers := sockets.SplitSockets()
-	wait := min(forClients/waitingDivisor, maxWaiting)
+	waiting := min(forClients/waitingDivisor, maxWaiting)
 	var l ConnectionLimits
 	c, s := &l.Clients, &l.Servers
-	c.Refusing = max(wait, 1)
-	c.Waiting = valueOr(said.Clients.Waiting, wait)
-	c.Total = valueOr(said.Clients.Total, max(1, forClients-c.Waiting-c.Refusing-1))
-	c.PerAddress = valueOr(said.Clients.PerAddress, c.Total)
-	c.HalfOpen = valueOr(said.Clients.HalfOpen, c.Total) // less would but slow down the clearing of a flood
-	c.Idle = valueOr(said.Clients.Idle, min(c.Total, forClients*idleSocketTenths/10))
-	s.Total = valueOr(said.Servers.Total, forServers)
-	s.PerServer = valueOr(said.Servers.PerServer, max(1, s.Total/perServerDivisor))
-	s.Handshakes = valueOr(said.Servers.Handshakes, min(s.Total, max(minHandshakes, s.Total/handshakeDivisor)))
-	s.HandshakesPerServer = valueOr(said.Servers.HandshakesPerServer, min(s.PerServer, s.Handshakes, maxHandshakesPerServer))
+	c.Refusing = max(waiting, 1)
+	c.Waiting = valueOr(table.Clients.Waiting, waiting)
+	c.Total = valueOr(table.Clients.Total, max(1, forClients-c.Waiting-c.Refusing-1))
+	c.PerAddress = valueOr(table.Clients.PerAddress, c.Total)
+	c.HalfOpen = valueOr(table.Clients.HalfOpen, c.Total) // less would only slow down the clearing of a flood
+	c.Idle = valueOr(table.Clients.Idle, min(c.Total, forClients*idleSocketTenths/10))
+	s.Total = valueOr(table.Servers.Total, forServers)
+	s.PerServer = valueOr(table.Servers.PerServer, max(1, s.Total/perServerDivisor))
+	s.Handshakes = valueOr(table.Servers.Handshakes, min(s.Total, max(minHandshakes, s.Total/handshakeDivisor)))
+	s.HandshakesPerServer = valueOr(table.Servers.HandshakesPerServer, min(s.PerServer, s.Handshakes, maxHandshakesPerServer))
 	return l, l.check(sockets.Sockets)
 }
 
-func valueOr(said *int, derived int) int {
-	if said != nil {
-		return *said
+func valueOr(configured *int, derived int) int {
+	if configured != nil {
+		return *configured
 	}
 	return derived
 }
 
-// check returns an error that names the first limit that cannot be.
-func (l ConnectionLimits) check(sockets int) error {
+// check returns an error that names the first limit that is wrong.
+func (l *ConnectionLimits) check(sockets int) error {
 	type limit struct {
-		name        string
-		value       int
-		least, most int
-		mostName    string
+		name       string
+		value      int
+		least      int
+		most       int
+		mostSource string
 	}
 	c, s := l.Clients, l.Servers
 	for _, f := range []limit{
@@ -120,81 +121,79 @@
 			return fmt.Errorf("connections.%s is %d, at least %d is needed", f.name, f.value, f.least)
 		}
 		if f.value > f.most {
-			return fmt.Errorf("connections.%s is %d, more than the %d of %s", f.name, f.value, f.most, f.mostName)
+			return fmt.Errorf("connections.%s is %d, more than the %d of %s", f.name, f.value, f.most, f.mostSource)
 		}
 	}
-	needed := c.Total + c.Waiting + c.Refusing + 1 + s.Total + reservedSockets + discoverySockets
-	if needed > sockets {
-		return fmt.Errorf("connections: the limits add up to %d sockets (clients.total %d, clients.waiting %d, servers.total %d, "+
-			"%d for the rest), limits.sockets allows %d", needed, c.Total, c.Waiting, s.Total, needed-c.Total-c.Waiting-s.Total, sockets)
+	return l.checkSum(sockets)
+}
+
+// checkSum returns an error if all limits together need more sockets than there are.
+func (l *ConnectionLimits) checkSum(sockets int) error {
+	c, s := l.Clients, l.Servers
+	rest := c.Refusing + 1 + reservedSockets + discoverySockets
+	needed := c.Total + c.Waiting + s.Total + rest
+	if needed <= sockets {
+		return nil
 	}
-	return nil
+	return fmt.Errorf("connections: the limits add up to %d sockets (clients.total %d, clients.waiting %d, servers.total %d, "+
+		"%d for the rest), limits.sockets allows %d", needed, c.Total, c.Waiting, s.Total, rest, sockets)
 }
 
-// connectionsConfig is the configuration's optional object 'connections'. What it
-// leaves out is derived.
-type connectionsConfig struct {
-	Clients struct {
-		Total      *int `json:"total"`
-		PerAddress *int `json:"per_address"`
-		HalfOpen   *int `json:"half_open"`
-		Idle       *int `json:"idle"`
-		Waiting    *int `json:"waiting"`
-	} `json:"clients"`
-	Servers struct {
-		Total               *int `json:"total"`
-		PerServer           *int `json:"per_server"`
-		Handshakes          *int `json:"handshakes"`
-		HandshakesPerServer *int `json:"handshakes_per_server"`
-	} `json:"servers"`
+// WithinPolicy returns what a fleet policy leaves of the limits.
+func (l ConnectionLimits) WithinPolicy(d *rollout.Document) ConnectionLimits {
+	if d != nil && d.MaxClientConnections > 0 {
+		c := &l.Clients
+		c.Total = min(c.Total, d.MaxClientConnections)
+		c.PerAddress, c.HalfOpen, c.Idle = min(c.PerAddress, c.Total), min(c.HalfOpen, c.Total), min(c.Idle, c.Total)
+	}
+	if d != nil && d.MaxServerConnections > 0 {
+		s := &l.Servers
+		s.Total = min(s.Total, d.MaxServerConnections)
+		s.PerServer, s.Handshakes = min(s.PerServer, s.Total), min(s.Handshakes, s.Total)
+		s.HandshakesPerServer = min(s.HandshakesPerServer, s.PerServer, s.Handshakes)
+	}
+	return l
 }
 
-// parseConnectionsConfig reads that object. A key that is not known is an error: a
-// limit that is misspelt would not be in force.
-func parseConnectionsConfig(text json.RawMessage) (connectionsConfig, error) {
-	var said connectionsConfig
+// parseConnections reads the table of connections. A key that is not known is an error: a limit
+// that is misspelt would not be in force.
+func parseConnections(text json.RawMessage) (connectionsTable, error) {
+	var table connectionsTable
 	if len(text) == 0 {
-		return said, nil
+		return table, nil
 	}
-	var parts map[string]json.RawMessage
-	if err := json.Unmarshal(text, &parts); err != nil {
-		return said, fmt.Errorf("connections: an object is needed: %w", err)
+	var sides map[string]json.RawMessage
+	if err := json.Unmarshal(text, &sides); err != nil {
+		return table, fmt.Errorf("connections: an object is needed: %w", err)
 	}
-	for name, part := range parts {
-		var into any
+	for name, side := range sides {
+		var err error
 		switch name {
 		case "clients":
-			into = &said.Clients
+			err = decodeLimits(name, side, &table.Clients)
 		case "servers":
-			into = &said.Servers
+			err = decodeLimits(name, side, &table.Servers)
 		default:
-			return said, fmt.Errorf("connections.%s: unknown, there are clients and servers", name)
+			err = fmt.Errorf("connections.%s: unknown, there are clients and servers", name)
 		}
-		d := json.NewDecoder(bytes.NewReader(part))
-		d.DisallowUnknownFields()
-		if err := d.Decode(into); err != nil {
-			var kind *json.UnmarshalTypeError
-			if errors.As(err, &kind) && kind.Field != "" {
-				return said, fmt.Errorf("connections.%s.%s: a whole number is needed, not a %s", name, kind.Field, kind.Value)
-			}
-			return said, fmt.Errorf("connections.%s: %w", name, err)
+		if err != nil {
+			return table, err
 		}
 	}
-	return said, nil
+	return table, nil
 }
 
-// WithinPolicy are the limits that a policy leaves of those that are configured.
-func (c ConnectionLimits) WithinPolicy(d *rollout.Document) ConnectionLimits {
-	if d != nil && d.MaxClientConnections > 0 {
-		k := &c.Clients
-		k.Total = min(k.Total, d.MaxClientConnections)
-		k.PerAddress, k.HalfOpen, k.Idle = min(k.PerAddress, k.Total), min(k.HalfOpen, k.Total), min(k.Idle, k.Total)
-	}
-	if d != nil && d.MaxServerConnections > 0 {
-		s := &c.Servers
-		s.Total = min(s.Total, d.MaxServerConnections)
-		s.PerServer, s.Handshakes = min(s.PerServer, s.Total), min(s.Handshakes, s.Total)
-		s.HandshakesPerServer = min(s.HandshakesPerServer, s.PerServer, s.Handshakes)
+// decodeLimits reads one side's limits.
+func decodeLimits(name string, text json.RawMessage, into any) error {
+	d := json.NewDecoder(bytes.NewReader(text))
+	d.DisallowUnknownFields()
+	err := d.Decode(into)
+	var wrongType *json.UnmarshalTypeError
+	switch {
+	case err == nil:
+		return nil
+	case errors.As(err, &wrongType) && wrongType.Field != "":
+		return fmt.Errorf("connections.%s.%s: a whole number is needed, not a %s", name, wrongType.Field, wrongType.Value)
 	}
-	return c
+	return fmt.Errorf("connections.%s: %w", name, err)
 }
--- a/internal/sidecar/config/limits_test.go
+++ b/internal/sidecar/config/limits_test.go
@@ -8,7 +8,7 @@
 func TestConnectionLimits(t *testing.T) {
 	sockets := Limits{Sockets: 256}
 	for name, c := range map[string]struct{ text, want string }{
-		"nothing said":     {``, ""},
+		"nothing set":      {``, ""},
 		"all of them":      {`{"clients":{"total":60,"per_address":20,"half_open":30,"idle":10,"waiting":4},"servers":{"total":80,"per_server":20,"handshakes":8,"handshakes_per_server":2}}`, ""},
 		"no object":        {`7`, "connections: an object"},
 		"unknown side":     {`{"peers":{}}`, "connections.peers"},
@@ -25,22 +25,22 @@
 		"absurd":           {`{"clients":{"total":99999999999}}`, "connections.clients.total is 99999999999"},
 		"beyond a machine": {`{"clients":{"total":99999999999999999999}}`, "connections.clients.total"},
 	} {
-		said, err := parseConnectionsConfig([]byte(c.text))
+		table, err := parseConnections([]byte(c.text))
 		if err == nil {
-			_, err = deriveConnectionLimits(sockets, said)
+			_, err = deriveConnectionLimits(sockets, table)
 		}
 		if (err == nil) != (c.want == "") || (err != nil && (!strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n"))) {
 			t.Errorf("%s: error %v, want one with %q", name, err, c.want)
 		}
 	}
-	for n := MinSockets; n < 5000; n += 7 { // whatever is given can be lived with
-		if l, err := deriveConnectionLimits(Limits{Sockets: n}, connectionsConfig{}); err != nil {
+	for n := MinSockets; n < 5000; n += 7 { // any number of sockets can be divided
+		if l, err := deriveConnectionLimits(Limits{Sockets: n}, connectionsTable{}); err != nil {
 			t.Errorf("%d sockets: %v, %+v", n, err, l)
 		}
 	}
 }
 
-// FuzzConnections: limits are taken whole and possible, or refused.
+// Limits are accepted complete and consistent, or refused.
 func FuzzConnections(f *testing.F) {
 	f.Add([]byte(`{"clients":{"total":60,"per_address":20,"half_open":30,"idle":10,"waiting":4},"servers":{"total":80}}`), 256)
 	f.Add([]byte(`{"servers":{"handshakes":-1}}`), 64)
@@ -49,11 +49,11 @@
 		if sockets < MinSockets {
 			return
 		}
-		said, err := parseConnectionsConfig(text)
+		table, err := parseConnections(text)
 		if err != nil {
 			return
 		}
-		if l, err := deriveConnectionLimits(Limits{Sockets: sockets}, said); err == nil {
+		if l, err := deriveConnectionLimits(Limits{Sockets: sockets}, table); err == nil {
 			if l.Clients.Total+l.Clients.Waiting+l.Clients.Refusing+l.Servers.Total >= sockets || l.Clients.Total < 1 || l.Servers.HandshakesPerServer < 1 {
 				t.Errorf("%s at %d sockets: %+v", text, sockets, l)
 			}
--- a/internal/sidecarcmd/command_test.go
+++ b/internal/sidecarcmd/command_test.go
@@ -53,12 +53,12 @@
 	if status != cli.Done || errs != "" {
 		t.Fatalf("status %d, %s", status, errs)
 	}
-	for _, want := range []string{"127.0.0.1:9", "must never run twice", "124; 124 of one address", "compartment acme"} {
+	for _, want := range []string{"127.0.0.1:9", "must never run twice", "124; 124 of one address", "bulkhead acme"} {
 		if !strings.Contains(out, want) {
 			t.Errorf("no %q in\n%s", want, out)
 		}
 	}
-	if strings.Contains(out, "compartment acme  0 slots") {
+	if strings.Contains(out, "bulkhead acme  0 slots") {
 		t.Errorf("no slots in\n%s", out)
 	}
 }
