--- a/cmd/testbench/chaos.go
+++ b/cmd/testbench/chaos.go
@@ -40,10 +40,10 @@
 		Example: "  testbench chaos --for 20m --seed 7\n  testbench chaos --schedule '1.5s cut k1 for 3s' --seed 7",
 	}
 	f := c.Flags()
-	f.DurationVar(&o.For, "for", 2*time.Minute, "how long faults are drawn for")
+	f.DurationVar(&o.Duration, "for", 2*time.Minute, "how long faults are drawn for")
 	f.Uint64Var(&o.Seed, "seed", 1, "of faults and operators")
-	f.IntVar(&o.Keepers, "controllers", 3, "processes that hold tasks")
-	f.IntVar(&o.Keepers, "keepers", 3, "processes that hold tasks")
+	f.IntVar(&o.Controllers, "controllers", 3, "processes that hold tasks")
+	f.IntVar(&o.Controllers, "keepers", 3, "processes that hold tasks")
 	if err := f.MarkDeprecated("keepers", "use --controllers"); err != nil {
 		panic(err) // the flag is defined on the line before
 	}
@@ -62,7 +62,7 @@
 		if o.Schedule, err = faultinjection.ParseSchedule(schedule); err != nil {
 			return cli.WrongCall("--schedule: %v", err)
 		}
-		for _, p := range []chaostest.Program{chaostest.Replica, chaostest.Keeper, chaostest.Sidecar} {
+		for _, p := range []chaostest.Program{chaostest.Replica, chaostest.Controller, chaostest.Sidecar} {
 			path, err := findProgram(programs, string(p))
 			if err != nil {
 				return err
@@ -71,7 +71,7 @@
 		}
 		o.Command = func(p chaostest.Program, config string) *exec.Cmd { return command(programs, p, config) }
 		if !quiet {
-			o.Tell = func(line string) { fmt.Fprintln(c.OutOrStdout(), line) }
+			o.OnEvent = func(line string) { fmt.Fprintln(c.OutOrStdout(), line) }
 		}
 		rep, err := chaostest.Run(c.Context(), o)
 		if rep != nil {
@@ -84,19 +84,19 @@
 				err = errors.Join(err, merr)
 			}
 		}
-		if err != nil || len(rep.Broken) == 0 {
+		if err != nil || len(rep.Violations) == 0 {
 			return err
 		}
-		small := o.Plan()
+		small := o.FaultSchedule()
 		if shrink > 0 {
 			small = faultinjection.Shrink(small, shrink, func(part faultinjection.Schedule) bool {
 				less := o
-				less.Schedule, less.Tell = part, nil
+				less.Schedule, less.OnEvent = part, nil
 				again, err := chaostest.Run(c.Context(), less)
-				return len(part) > 0 && err == nil && len(again.Broken) > 0
+				return len(part) > 0 && err == nil && len(again.Violations) > 0
 			})
 		}
-		return cli.Status(statusRuleBroken, "%d invariants were broken, the first: %s; to replay it: testbench chaos --seed %d --schedule '%v'", len(rep.Broken), rep.Broken[0], o.Seed, small)
+		return cli.Status(statusRuleBroken, "%d invariants were broken, the first: %s; to replay it: testbench chaos --seed %d --schedule '%v'", len(rep.Violations), rep.Violations[0], o.Seed, small)
 	}
 	return c
 }
@@ -107,7 +107,7 @@
 	switch p {
 	case chaostest.Replica:
 		return exec.Command(path, "-config", config)
-	case chaostest.Keeper:
+	case chaostest.Controller:
 		return exec.Command(path, "--config", config)
 	}
 	cmd := exec.Command(path)
@@ -118,11 +118,11 @@
 // printChaosReport prints what a run observed and the invariants that were broken.
 func printChaosReport(w io.Writer, r *chaostest.Report) {
 	var parts []string
-	for _, what := range slices.Sorted(maps.Keys(r.Saw)) {
-		parts = append(parts, fmt.Sprintf("%d %s", r.Saw[what], what))
+	for _, what := range slices.Sorted(maps.Keys(r.Counts)) {
+		parts = append(parts, fmt.Sprintf("%d %s", r.Counts[what], what))
 	}
 	fmt.Fprintf(w, "seed %d, %v: %s\n", r.Seed, r.Took.Round(time.Second), strings.Join(parts, ", "))
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		fmt.Fprintln(w, "BROKEN:", b)
 	}
 }
--- a/cmd/testbench/modelcheck.go
+++ b/cmd/testbench/modelcheck.go
@@ -44,22 +44,22 @@
 			return cli.WrongCall("--faults goes with --replay")
 		}
 		began := time.Now()
-		var seen system.Seen
-		var found *system.Found
+		var seen system.Coverage
+		var found *system.Failure
 		if replay {
-			plan, err := system.Parse(faults)
+			plan, err := system.ParsePlan(faults)
 			if err != nil {
 				return cli.WrongCall("%v", err)
 			}
-			if seen, err = system.Play(seed, plan); err != nil {
-				found = &system.Found{Seed: seed, Plan: plan, Err: err, Plays: 1}
+			if seen, err = system.Run(seed, plan); err != nil {
+				found = &system.Failure{Seed: seed, Plan: plan, Err: err, Schedules: 1}
 			}
 		} else if seen, found = system.Explore(seed, schedules, steer); found != nil {
 			found = found.Shrink()
 		}
 		printCoverage(out, seen, time.Since(began), pairs)
 		if found != nil {
-			return errors.New(found.Line())
+			return errors.New(found.ReplayText())
 		}
 		return nil
 	}
@@ -67,15 +67,15 @@
 }
 
 // printCoverage prints what the schedules covered and what was checked.
-func printCoverage(w io.Writer, s system.Seen, took time.Duration, pairs bool) {
+func printCoverage(w io.Writer, s system.Coverage, took time.Duration, pairs bool) {
 	fmt.Fprintf(w, "%d schedules, %.0f a second: %d events, %d faults; %d of %d pairs of a fault and a step\n",
-		s.Schedules, float64(s.Schedules)/took.Seconds(), s.Events, s.Faults, len(s.Pairs), s.MostPairs())
+		s.Schedules, float64(s.Schedules)/took.Seconds(), s.Events, s.Faults, len(s.Pairs), s.MaxPairs())
 	fmt.Fprintf(w, "judged: %d timed acts, %d fenced writes, %d words, %d lists, %d acknowledged writes, %d policies in force, %d stops of servers, %d requests\n",
-		s.Acts, s.Fenced, s.Words, s.Lists, s.Writes, s.Commits, s.Stops, s.Requests)
+		s.TimedActs, s.FencedWrites, s.Advice, s.Lists, s.AcknowledgedWrites, s.Policies, s.ServerStops, s.Requests)
 	if !pairs {
 		return
 	}
-	for _, p := range s.Least() {
+	for _, p := range s.RarestPairs() {
 		fmt.Fprintf(w, "%8d  %s during %s\n", s.Pairs[p], p.Kind, p.Step)
 	}
 }
--- a/internal/lease/model/steps.go
+++ b/internal/lease/model/steps.go
@@ -25,7 +25,7 @@
 func (w *World) Steps() []Step {
 	all := make([]Step, 0, 64)
 	put := func(weight int, fault bool, do func(w *World), format string, names ...any) {
-		one := Step{Format: format, Do: checkedStep(do), Weight: weight, Of: -1}
+		one := Step{Format: format, Do: checkedStep(do), Weight: weight, Actor: -1}
 		if fault {
 			one.Do = checkedStep(func(w *World) { w.checker.Faults++; do(w) })
 		}
@@ -76,7 +76,7 @@
 			fault(1, func(w *World) { w.restart(i) }, "k%d is killed and starts again", i)
 		}
 		for k := from; k < len(all); k++ {
-			all[k].Of = i
+			all[k].Actor = i
 		}
 	}
 	for i, m := range w.network {
--- a/internal/rollout/model/steps.go
+++ b/internal/rollout/model/steps.go
@@ -15,7 +15,7 @@
 func (w *World) Steps() []Step {
 	all := make([]Step, 0, 32)
 	add := func(weight, of int, format string, a any, do func(w *World)) {
-		all = append(all, Step{Format: format, A: a, Weight: weight, Of: of, Do: func(w *World) error {
+		all = append(all, Step{Format: format, A: a, Weight: weight, Actor: of, Do: func(w *World) error {
 			w.checker.Steps++
 			do(w)
 			return w.checkInvariants()
--- a/internal/rollout/model/walk.go
+++ b/internal/rollout/model/walk.go
@@ -10,21 +10,21 @@
 
 // Walk takes steps drawn from a seed; then all faults end, and within a bound all acts
 // are by one policy, and no change is under way.
-func Walk(s Setup, seed uint64, steps int) (Counts, *modelcheck.Found) {
-	k := &modelcheck.Walker[*World]{W: New(s)}
+func Walk(s Setup, seed uint64, steps int) (Counts, *modelcheck.Violation) {
+	k := &modelcheck.Walker[*World]{World: New(s)}
 	f := k.Walk(rand.New(rand.NewPCG(seed, 6)), steps, s.Sidecars)
 	if f == nil {
 		f = settle(k)
 	}
-	return k.W.checker.Counts, f
+	return k.World.checker.Counts, f
 }
 
 // settleRounds is in how many settleRounds of calls all settles.
 const settleRounds = 30
 
-func settle(k *modelcheck.Walker[*World]) *modelcheck.Found {
-	w := k.W
-	take := func(format string, do func(w *World)) *modelcheck.Found {
+func settle(k *modelcheck.Walker[*World]) *modelcheck.Violation {
+	w := k.World
+	take := func(format string, do func(w *World)) *modelcheck.Violation {
 		return k.Take(Step{Format: format, Do: func(w *World) error { do(w); return w.checkInvariants() }})
 	}
 	for range settleRounds {
@@ -59,14 +59,14 @@
 	}
 	st := w.state.Status()
 	if st.Stage != rollout.StageSettled {
-		return k.Found(fmt.Errorf("change %d is still %s, it waits for %v", st.Change.Number, st.Stage, st.WaitingFor))
+		return k.Violation(fmt.Errorf("change %d is still %s, it waits for %v", st.Change.Number, st.Stage, st.WaitingFor))
 	}
 	for i, s := range w.sidecars {
 		if s.limited && st.Document != nil && st.Document.Tenants[0].Slots > 100 {
 			continue // it starts in vain
 		}
 		if !s.acting || s.active.Epoch != st.Epoch || s.active.JointChange != 0 {
-			return k.Found(fmt.Errorf("n%d acts by epoch %d (joint with %d, acting %v) when epoch %d has settled", i, s.active.Epoch, s.active.JointChange, s.acting, st.Epoch))
+			return k.Violation(fmt.Errorf("n%d acts by epoch %d (joint with %d, acting %v) when epoch %d has settled", i, s.active.Epoch, s.active.JointChange, s.acting, st.Epoch))
 		}
 	}
 	return nil
--- a/internal/testing/chaostest/fleet.go
+++ b/internal/testing/chaostest/fleet.go
@@ -32,21 +32,21 @@
 
 // The programs.
 const (
-	Replica Program = "registry"
-	Keeper  Program = "controller"
-	Sidecar Program = "sidecar-metrics"
+	Replica    Program = "registry"
+	Controller Program = "controller"
+	Sidecar    Program = "sidecar-metrics"
 )
 
 // Options are what a run needs.
 type Options struct {
-	Command  func(p Program, config string) *exec.Cmd // starts a program on its configuration
-	For      time.Duration                            // of faults; what comes before and after is beside
-	Seed     uint64
-	Schedule faultinjection.Schedule // the faults; none: drawn from the seed
-	Keepers  int
-	Sidecars int
-	Servers  int
-	Tell     func(line string) // the time line as it comes; may be nil
+	Command     func(p Program, config string) *exec.Cmd // starts a program on its configuration
+	Duration    time.Duration                            // of faults; what comes before and after is beside
+	Seed        uint64
+	Schedule    faultinjection.Schedule // the faults; none: drawn from the seed
+	Controllers int
+	Sidecars    int
+	Servers     int
+	OnEvent     func(line string) // the time line as it comes; may be nil
 }
 
 const (
@@ -101,7 +101,7 @@
 func newFleet(o Options, folder string) (f *fleet, err error) {
 	f = &fleet{
 		Injector: &faultinjection.Injector{Network: faultinjection.NewNetwork(o.Seed), Processes: make(map[string]*faultinjection.Process)}, o: o, folder: folder,
-		keepers: names("k", o.Keepers), sidecars: names("n", o.Sidecars),
+		keepers: names("k", o.Controllers), sidecars: names("n", o.Sidecars),
 		gossip: make(map[string]string), listens: make(map[string]string), routes: make(map[string]addressmap.Table), clients: make(map[string]*loadgen.Client),
 	}
 	defer func() {
@@ -266,7 +266,7 @@
 	if err != nil {
 		return err
 	}
-	return f.process(name, Keeper, ".toml", text)
+	return f.process(name, Controller, ".toml", text)
 }
 
 func (f *fleet) sidecar(name string, i int) error {
--- a/internal/testing/chaostest/torture.go
+++ b/internal/testing/chaostest/torture.go
@@ -16,8 +16,8 @@
 	"barleywick/internal/testing/loadgen"
 )
 
-// Line is one of the time line: a fault, an operator's action, or what became of a promise.
-type Line struct {
+// Event is one of the time line: a fault, an operator's action, or what became of a promise.
+type Event struct {
 	At   time.Duration `json:"at_ns"`
 	Kind string        `json:"kind"` // fault, operator, promise, fleet
 	Text string        `json:"text"`
@@ -25,13 +25,13 @@
 
 // Report is what a run came to.
 type Report struct {
-	Seed     uint64            `json:"seed"`
-	Schedule string            `json:"schedule"`
-	Took     time.Duration     `json:"took_ns"`
-	Lines    []Line            `json:"lines"`
-	Broken   []string          `json:"broken"`         // promises, each in one line
-	Saw      map[string]uint64 `json:"saw"`            // what was judged
-	Logs     map[string]string `json:"logs,omitempty"` // the ends of logs of those that broke one
+	Seed       uint64            `json:"seed"`
+	Schedule   string            `json:"schedule"`
+	Took       time.Duration     `json:"took_ns"`
+	Timeline   []Event           `json:"lines"`
+	Violations []string          `json:"broken"`         // promises, each in one line
+	Counts     map[string]uint64 `json:"saw"`            // what was judged
+	Logs       map[string]string `json:"logs,omitempty"` // the ends of logs of those that broke one
 }
 
 // run is one under way.
@@ -64,17 +64,17 @@
 	mostLines = 100_000
 )
 
-// Plan draws the faults of a run.
-func (o Options) Plan() faultinjection.Schedule {
+// FaultSchedule draws the faults of a run.
+func (o Options) FaultSchedule() faultinjection.Schedule {
 	if len(o.Schedule) > 0 {
 		return o.Schedule
 	}
 	const every = 1500 * time.Millisecond
 	quorum := names("r", 3)
-	all := append(append(quorum, names("k", o.Keepers)...), names("n", o.Sidecars)...)
+	all := append(append(quorum, names("k", o.Controllers)...), names("n", o.Sidecars)...)
 	p := faultinjection.Plan{
 		Targets: all, Kinds: []faultinjection.FaultKind{faultinjection.Partition, faultinjection.BlockInbound, faultinjection.BlockOutbound, faultinjection.Delay, faultinjection.ResetConnections, faultinjection.HalfOpen, faultinjection.RefuseConnections, faultinjection.DropResponses, faultinjection.Pause, faultinjection.Crash},
-		Count: max(1, int(o.For/every)), MeanInterval: every, MinDuration: 300 * time.Millisecond, MaxDuration: 6 * time.Second, MaxConcurrent: 3, QuorumGroup: quorum, MaxQuorumFaults: 2,
+		Count: max(1, int(o.Duration/every)), MeanInterval: every, MinDuration: 300 * time.Millisecond, MaxDuration: 6 * time.Second, MaxConcurrent: 3, QuorumGroup: quorum, MaxQuorumFaults: 2,
 	}
 	return p.Draw(o.Seed)
 }
@@ -82,9 +82,9 @@
 // Check says in one line what is wrong with the options.
 func (o Options) Check() error {
 	switch {
-	case o.For <= 0:
+	case o.Duration <= 0:
 		return errors.New("the time must be above 0")
-	case o.Keepers < 2 || o.Keepers > 8 || o.Sidecars < 2 || o.Sidecars > 64 || o.Servers < 4 || o.Servers > 64:
+	case o.Controllers < 2 || o.Controllers > 8 || o.Sidecars < 2 || o.Sidecars > 64 || o.Servers < 4 || o.Servers > 64:
 		return errors.New("2 to 8 keepers, 2 to 64 sidecars and 4 to 64 servers share one machine")
 	}
 	return nil
@@ -106,7 +106,7 @@
 		return nil, fmt.Errorf("torture: %w", err)
 	}
 	r := &run{fleet: f, began: time.Now(), rng: rand.New(rand.NewPCG(o.Seed, 77)), once: make(map[string]bool), away: make(map[string]time.Time), acked: make(map[string][]written)}
-	r.report = Report{Seed: o.Seed, Saw: make(map[string]uint64)}
+	r.report = Report{Seed: o.Seed, Counts: make(map[string]uint64)}
 	life, end := context.WithCancel(ctx)
 	defer func() {
 		end()
@@ -127,7 +127,7 @@
 	}
 	r.line("fleet", "all serve")
 	sized := r.sizes()
-	plan := o.Plan()
+	plan := o.FaultSchedule()
 	r.report.Schedule = plan.String()
 	calm, quiet := context.WithCancel(life)
 	defer quiet()
@@ -161,14 +161,14 @@
 
 // line adds to the time line.
 func (r *run) line(kind, format string, args ...any) {
-	l := Line{time.Since(r.began).Round(time.Millisecond), kind, fmt.Sprintf(format, args...)}
+	l := Event{time.Since(r.began).Round(time.Millisecond), kind, fmt.Sprintf(format, args...)}
 	r.mu.Lock()
-	if len(r.report.Lines) < mostLines {
-		r.report.Lines = append(r.report.Lines, l)
+	if len(r.report.Timeline) < mostLines {
+		r.report.Timeline = append(r.report.Timeline, l)
 	}
 	r.mu.Unlock()
-	if r.o.Tell != nil {
-		r.o.Tell(fmt.Sprintf("%9.3f %-8s %s", l.At.Seconds(), l.Kind, l.Text))
+	if r.o.OnEvent != nil {
+		r.o.OnEvent(fmt.Sprintf("%9.3f %-8s %s", l.At.Seconds(), l.Kind, l.Text))
 	}
 }
 
@@ -176,7 +176,7 @@
 func (r *run) broken(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	r.mu.Lock()
-	r.report.Broken = append(r.report.Broken, text)
+	r.report.Violations = append(r.report.Violations, text)
 	r.mu.Unlock()
 	r.line("promise", "BROKEN: %s", text)
 }
@@ -185,7 +185,7 @@
 func (r *run) saw(what string, n uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.report.Saw[what] += n
+	r.report.Counts[what] += n
 }
 
 // start starts all processes and waits until each sidecar serves.
--- a/internal/testing/integration/torture_test.go
+++ b/internal/testing/integration/torture_test.go
@@ -17,31 +17,31 @@
 		t.Skip("it starts real processes")
 	}
 	t.Parallel()
-	o := chaostest.Options{Seed: 1, For: 5 * time.Second, Keepers: 2, Sidecars: 4, Servers: 8, Command: func(p chaostest.Program, config string) *exec.Cmd {
-		role := map[chaostest.Program]string{chaostest.Replica: "registry", chaostest.Keeper: "keeper", chaostest.Sidecar: "sidecar"}[p]
+	o := chaostest.Options{Seed: 1, Duration: 5 * time.Second, Controllers: 2, Sidecars: 4, Servers: 8, Command: func(p chaostest.Program, config string) *exec.Cmd {
+		role := map[chaostest.Program]string{chaostest.Replica: "registry", chaostest.Controller: "keeper", chaostest.Sidecar: "sidecar"}[p]
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), roleVariable+"="+role, configVariable+"="+config, "ROUTER_CONFIG="+config)
 		return cmd
 	}}
 	if long {
-		o.For, o.Keepers, o.Sidecars, o.Servers = 5*time.Minute, 3, 24, 16
+		o.Duration, o.Controllers, o.Sidecars, o.Servers = 5*time.Minute, 3, 24, 16
 	}
 	rep, err := chaostest.Run(context.Background(), o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%v", rep.Saw)
-	for _, b := range rep.Broken {
+	t.Logf("%v", rep.Counts)
+	for _, b := range rep.Violations {
 		t.Error(b)
 	}
 	if t.Failed() {
-		for _, l := range rep.Lines {
+		for _, l := range rep.Timeline {
 			t.Logf("%9.3f %s %s", l.At.Seconds(), l.Kind, l.Text)
 		}
 	}
 	for what, least := range map[string]uint64{"faults": 2, "grants": 10, "requests that ran": 300, "calls on records": 30, "promises at rest": 7, "processes that ended in order": 9} {
-		if rep.Saw[what] < least {
-			t.Errorf("too little was seen: %d %s, %d at least are wanted", rep.Saw[what], what, least)
+		if rep.Counts[what] < least {
+			t.Errorf("too little was seen: %d %s, %d at least are wanted", rep.Counts[what], what, least)
 		}
 	}
 }
--- a/internal/testing/modelcheck/explore.go
+++ b/internal/testing/modelcheck/explore.go
@@ -28,7 +28,7 @@
 	A, B   any
 	Do     func(w W) error // an error is a promise that is broken now
 	Weight int             // how often a walk takes it, against the others
-	Of     int             // whose step it is, from 0 on; -1: nobody's
+	Actor  int             // whose step it is, from 0 on; -1: nobody's
 }
 
 // String names the step. It is put together only for who asks: most are not taken.
@@ -42,13 +42,13 @@
 	return s.Format
 }
 
-// Found is a broken promise, and the steps that lead to it.
-type Found struct {
+// Violation is a broken invariant, and the steps that lead to it.
+type Violation struct {
 	Err   error
 	Steps []string
 }
 
-func (f *Found) Error() string {
+func (f *Violation) Error() string {
 	return fmt.Sprintf("%v, after %d steps:\n  %s", f.Err, len(f.Steps), strings.Join(f.Steps, "\n  "))
 }
 
@@ -71,7 +71,7 @@
 // until so many states have been met. It returns how many there were, the depth that
 // was tried in full, and what was broken first. seen, if any, looks at each state that
 // a step led to, new or not.
-func Search[W World[W]](first W, depth, most int, seen func(W)) (states, full int, found *Found) {
+func Search[W World[W]](first W, depth, most int, seen func(W)) (states, full int, found *Violation) {
 	seeds := [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()}
 	met := make(map[[2]uint64]struct{}) // two hashes of 64 bits: one may happen to agree
 	var text []byte
@@ -94,7 +94,7 @@
 					seen(w)
 				}
 				if err != nil {
-					return len(met), full, &Found{err, append(n.trail(), step.String())}
+					return len(met), full, &Violation{err, append(n.trail(), step.String())}
 				}
 				if fresh(w) {
 					next = append(next, &node[W]{w, n, step})
@@ -114,22 +114,22 @@
 
 // Walker takes steps of one world, and remembers them.
 type Walker[W World[W]] struct {
-	W     W
+	World W
 	steps []Step[W]
 }
 
 // Take takes one step.
-func (k *Walker[W]) Take(s Step[W]) *Found {
+func (k *Walker[W]) Take(s Step[W]) *Violation {
 	k.steps = append(k.steps, s)
-	if err := s.Do(k.W); err != nil {
-		return k.Found(err)
+	if err := s.Do(k.World); err != nil {
+		return k.Violation(err)
 	}
 	return nil
 }
 
-// Found is an error after the steps so far.
-func (k *Walker[W]) Found(err error) *Found {
-	f := &Found{Err: err}
+// Violation returns an error together with the steps taken so far.
+func (k *Walker[W]) Violation(err error) *Violation {
+	f := &Violation{Err: err}
 	for _, s := range k.steps {
 		f.Steps = append(f.Steps, s.String())
 	}
@@ -141,17 +141,17 @@
 
 // Walk takes so many steps, drawn by their weights. Of those whose steps there are, of
 // in number, one at a time may say nothing for a while, as one that is stopped or cut off.
-func (k *Walker[W]) Walk(rng *rand.Rand, steps, of int) *Found {
+func (k *Walker[W]) Walk(rng *rand.Rand, steps, of int) *Violation {
 	silent, until := -1, 0
 	for i := range steps {
 		if i >= until {
 			silent, until = rng.IntN(2*of)-of, i+rng.IntN(mostSilent)
 		}
-		all := k.W.Steps()
+		all := k.World.Steps()
 		if len(all) == 0 {
 			return nil
 		}
-		all = slices.DeleteFunc(all, func(s Step[W]) bool { return silent >= 0 && s.Of == silent })
+		all = slices.DeleteFunc(all, func(s Step[W]) bool { return silent >= 0 && s.Actor == silent })
 		if len(all) == 0 {
 			continue
 		}
--- a/internal/testing/modelcheck/system/explore.go
+++ b/internal/testing/modelcheck/system/explore.go
@@ -13,40 +13,40 @@
 	"time"
 )
 
-// Kind is what a fault does to a process.
-type Kind string
+// FaultKind is what a fault does to a process.
+type FaultKind string
 
 // The faults.
 const (
-	Kill  Kind = "kill"
-	Pause Kind = "pause"
-	Cut   Kind = "cut"
-	Mute  Kind = "mute"
-	Deaf  Kind = "deaf"
-	Late  Kind = "late"
-	Full  Kind = "full"  // the disk of a replica takes nothing more
-	Drift Kind = "drift" // its clock runs a twentieth off
+	Crash         FaultKind = "kill"
+	Pause         FaultKind = "pause"
+	Partition     FaultKind = "cut"
+	BlockOutbound FaultKind = "mute"
+	BlockInbound  FaultKind = "deaf"
+	Delay         FaultKind = "late"
+	DiskFull      FaultKind = "full"  // the disk of a replica takes nothing more
+	ClockDrift    FaultKind = "drift" // its clock runs a twentieth off
 )
 
-var kinds = []Kind{Kill, Pause, Cut, Mute, Deaf, Late, Full, Drift}
+var kinds = []FaultKind{Crash, Pause, Partition, BlockOutbound, BlockInbound, Delay, DiskFull, ClockDrift}
 
 // Fault falls on a process as a step is taken for the nth time, for a time. The process is
 // named by what it is then: leader, follower, holder:LEASE, or s0, k1, r2.
 type Fault struct {
-	Step string
-	Nth  int
-	Kind Kind
-	On   string
-	For  time.Duration
+	Step       string
+	Occurrence int
+	Kind       FaultKind
+	Target     string
+	Duration   time.Duration
 }
 
 // String is the fault as Parse reads it.
 func (f Fault) String() string {
-	return fmt.Sprintf("%s %s for %v at %s#%d", f.Kind, f.On, f.For, f.Step, f.Nth)
+	return fmt.Sprintf("%s %s for %v at %s#%d", f.Kind, f.Target, f.Duration, f.Step, f.Occurrence)
 }
 
-// Parse reads faults as String writes them, with semicolons between them.
-func Parse(text string) (all []Fault, err error) {
+// ParsePlan reads faults as String writes them, with semicolons between them.
+func ParsePlan(text string) (all []Fault, err error) {
 	for part := range strings.SplitSeq(text, ";") {
 		part = strings.TrimSpace(part)
 		if part == "" {
@@ -55,14 +55,14 @@
 		what, at, ok := strings.Cut(part, " at ")
 		words := strings.Fields(what)
 		cut := strings.LastIndexByte(at, '#')
-		if !ok || len(words) != 4 || words[2] != "for" || cut < 0 || !slices.Contains(kinds, Kind(words[0])) {
+		if !ok || len(words) != 4 || words[2] != "for" || cut < 0 || !slices.Contains(kinds, FaultKind(words[0])) {
 			return nil, fmt.Errorf("fault %q: it has to be like 'kill leader for 2s at policy in force#1', with one of %v", part, kinds)
 		}
-		f := Fault{Step: at[:cut], Kind: Kind(words[0]), On: words[1]}
-		if f.For, err = time.ParseDuration(words[3]); err != nil {
+		f := Fault{Step: at[:cut], Kind: FaultKind(words[0]), Target: words[1]}
+		if f.Duration, err = time.ParseDuration(words[3]); err != nil {
 			return nil, fmt.Errorf("fault %q: %w", part, err)
 		}
-		if f.Nth, err = strconv.Atoi(at[cut+1:]); err != nil || f.Nth < 1 {
+		if f.Occurrence, err = strconv.Atoi(at[cut+1:]); err != nil || f.Occurrence < 1 {
 			return nil, fmt.Errorf("fault %q: %q is not a number from 1 on", part, at[cut+1:])
 		}
 		all = append(all, f)
@@ -72,7 +72,7 @@
 
 // Pair is a step that was taken while a fault went on.
 type Pair struct {
-	Kind Kind
+	Kind FaultKind
 	Step string
 }
 
@@ -83,7 +83,7 @@
 		w.pairs[Pair{f.Kind, name}]++
 	}
 	for i, f := range w.plan {
-		if !w.fell[i] && f.Step == name && f.Nth == w.nth[name] {
+		if !w.fell[i] && f.Step == name && f.Occurrence == w.nth[name] {
 			w.fell[i] = true
 			w.after(0, func() { w.fall(i) })
 		}
@@ -92,7 +92,7 @@
 
 // whom is the process that a fault falls on now.
 func (w *world) whom(f Fault) *process {
-	if lease, ok := strings.CutPrefix(f.On, "holder:"); ok {
+	if lease, ok := strings.CutPrefix(f.Target, "holder:"); ok {
 		for _, k := range w.keepers {
 			if t := k.tenures[lease]; k.up && t != nil && t.Held(k.reads()) {
 				return &k.process
@@ -100,24 +100,24 @@
 		}
 		return &w.keepers[0].process
 	}
-	switch f.On {
+	switch f.Target {
 	case "leader":
 		return &w.group.replicas[max(0, w.group.leader)].process
 	case "follower":
 		return &w.group.replicas[(max(0, w.group.leader)+1)%len(w.group.replicas)].process
 	}
 	for _, k := range w.keepers {
-		if k.name == f.On {
+		if k.name == f.Target {
 			return &k.process
 		}
 	}
 	for _, x := range w.sidecars {
-		if x.name == f.On {
+		if x.name == f.Target {
 			return &x.process
 		}
 	}
 	for _, r := range w.group.replicas {
-		if r.name == f.On {
+		if r.name == f.Target {
 			return &r.process
 		}
 	}
@@ -134,7 +134,7 @@
 	w.active[i] = f
 	set := func(on bool) {
 		switch f.Kind {
-		case Kill:
+		case Crash:
 			if p.kill(); !on {
 				p.start()
 			}
@@ -143,21 +143,21 @@
 				p.cont()
 				w.group.wakes(p)
 			}
-		case Cut:
+		case Partition:
 			p.mute, p.deaf = on, on
-		case Mute:
+		case BlockOutbound:
 			p.mute = on
-		case Deaf:
+		case BlockInbound:
 			p.deaf = on
-		case Late:
+		case Delay:
 			p.late = on
-		case Full:
+		case DiskFull:
 			for _, r := range w.group.replicas {
 				if &r.process == p {
 					r.full = on
 				}
 			}
-		case Drift:
+		case ClockDrift:
 			rate := int64(1000)
 			if on {
 				rate = []int64{950, 1050}[i%2]
@@ -166,7 +166,7 @@
 		}
 	}
 	set(true)
-	w.after(f.For, func() {
+	w.after(f.Duration, func() {
 		if _, on := w.active[i]; on {
 			delete(w.active, i)
 			set(false)
@@ -207,29 +207,29 @@
 	historyEvery = 8
 )
 
-// Seen is what schedules went through, and what was judged in them.
-type Seen struct {
-	Schedules, Events, Faults int
-	Acts, Words, Commits      int
-	Stops, Lists, Writes      int
-	Requests, Joint, Fenced   int
-	Steps                     map[string]int
-	Pairs                     map[Pair]int
+// Coverage is what schedules went through, and what was judged in them.
+type Coverage struct {
+	Schedules, Events, Faults              int
+	TimedActs, Advice, Policies            int
+	ServerStops, Lists, AcknowledgedWrites int
+	Requests, JointPolicies, FencedWrites  int
+	Steps                                  map[string]int
+	Pairs                                  map[Pair]int
 }
 
-func (s *Seen) add(o Seen) {
+func (s *Coverage) add(o Coverage) {
 	s.Schedules += o.Schedules
 	s.Events += o.Events
 	s.Faults += o.Faults
-	s.Acts += o.Acts
-	s.Words += o.Words
-	s.Commits += o.Commits
-	s.Stops += o.Stops
+	s.TimedActs += o.TimedActs
+	s.Advice += o.Advice
+	s.Policies += o.Policies
+	s.ServerStops += o.ServerStops
 	s.Lists += o.Lists
-	s.Writes += o.Writes
+	s.AcknowledgedWrites += o.AcknowledgedWrites
 	s.Requests += o.Requests
-	s.Joint += o.Joint
-	s.Fenced += o.Fenced
+	s.JointPolicies += o.JointPolicies
+	s.FencedWrites += o.FencedWrites
 	if s.Steps == nil {
 		s.Steps, s.Pairs = make(map[string]int), make(map[Pair]int)
 	}
@@ -241,8 +241,8 @@
 	}
 }
 
-// Play plays one schedule: what is broken first, and what it went through.
-func Play(seed uint64, plan []Fault) (Seen, error) {
+// Run plays one schedule: what is broken first, and what it went through.
+func Run(seed uint64, plan []Fault) (Coverage, error) {
 	w := newWorld(seed, plan)
 	stop := func() bool { return w.err != nil }
 	w.run(troubled, stop)
@@ -254,12 +254,12 @@
 		w.judge.ends(w, seed%historyEvery == 0)
 	}
 	w.end()
-	s := Seen{
-		Schedules: 1, Events: w.events, Acts: w.judge.acted, Words: w.judge.words, Commits: w.judge.commits, Stops: w.judge.stops,
-		Lists: w.judge.checked, Requests: w.judge.requests, Joint: w.judge.jointly, Fenced: w.judge.fenced, Steps: w.nth, Pairs: w.pairs,
+	s := Coverage{
+		Schedules: 1, Events: w.events, TimedActs: w.judge.acted, Advice: w.judge.words, Policies: w.judge.commits, ServerStops: w.judge.stops,
+		Lists: w.judge.checked, Requests: w.judge.requests, JointPolicies: w.judge.jointly, FencedWrites: w.judge.fenced, Steps: w.nth, Pairs: w.pairs,
 	}
 	for _, a := range w.judge.acked {
-		s.Writes += len(a)
+		s.AcknowledgedWrites += len(a)
 	}
 	for _, fell := range w.fell {
 		if fell {
@@ -280,16 +280,16 @@
 	}
 }
 
-// Found is a schedule that breaks a promise.
-type Found struct {
-	Seed  uint64
-	Plan  []Fault
-	Err   error
-	Plays int // until it was found
+// Failure is a schedule that breaks a promise.
+type Failure struct {
+	Seed      uint64
+	Plan      []Fault
+	Err       error
+	Schedules int // until it was found
 }
 
-// Text is the plan as Parse reads it.
-func Text(plan []Fault) string {
+// FormatPlan is the plan as Parse reads it.
+func FormatPlan(plan []Fault) string {
 	parts := make([]string, len(plan))
 	for i, f := range plan {
 		parts[i] = f.String()
@@ -309,14 +309,14 @@
 
 // draw makes a plan. With steering, the first fault is one of a pair that was seen the
 // least so far.
-func draw(seed uint64, seen *Seen, steer bool) (plan []Fault) {
+func draw(seed uint64, seen *Coverage, steer bool) (plan []Fault) {
 	rng := rand.New(rand.NewPCG(seed, 222))
 	steps := slices.Sorted(maps.Keys(seen.Steps))
 	if len(steps) == 0 {
 		steps = []string{"leader elected"}
 	}
 	for n := range 1 + rng.IntN(mostFaults) {
-		f := Fault{Step: steps[rng.IntN(len(steps))], Kind: kinds[rng.IntN(len(kinds))], On: targets[rng.IntN(len(targets))]}
+		f := Fault{Step: steps[rng.IntN(len(steps))], Kind: kinds[rng.IntN(len(kinds))], Target: targets[rng.IntN(len(targets))]}
 		if steer && n == 0 {
 			least := -1
 			for range 8 { // of some pairs, the one seen least
@@ -326,12 +326,12 @@
 				}
 			}
 		}
-		if f.Kind == Full {
-			f.On = []string{"leader", "follower", "r0", "r1"}[rng.IntN(4)]
+		if f.Kind == DiskFull {
+			f.Target = []string{"leader", "follower", "r0", "r1"}[rng.IntN(4)]
 		}
 		// One that is taken once in a play has to be hit the first time.
-		f.Nth = 1 + rng.IntN(max(1, min(mostNth, seen.Steps[f.Step]/max(1, seen.Schedules))))
-		f.For = time.Duration(50+rng.IntN(5000)) * time.Millisecond
+		f.Occurrence = 1 + rng.IntN(max(1, min(mostNth, seen.Steps[f.Step]/max(1, seen.Schedules))))
+		f.Duration = time.Duration(50+rng.IntN(5000)) * time.Millisecond
 		plan = append(plan, f)
 	}
 	return plan
@@ -339,12 +339,12 @@
 
 // Explore plays schedules from a seed on, until one breaks a promise. It returns what
 // all of them went through.
-func Explore(first uint64, schedules int, steer bool) (Seen, *Found) {
-	var all Seen
+func Explore(first uint64, schedules int, steer bool) (Coverage, *Failure) {
+	var all Coverage
 	// What steps there are is known from a play without faults.
-	s, err := Play(first, nil)
+	s, err := Run(first, nil)
 	if err != nil {
-		return s, &Found{first, nil, err, 1}
+		return s, &Failure{first, nil, err, 1}
 	}
 	all.add(s)
 	for done := 0; done < schedules; done += batch {
@@ -353,7 +353,7 @@
 		for i := range plans {
 			plans[i] = draw(first+uint64(done+i), &all, steer)
 		}
-		seen, errs := make([]Seen, n), make([]error, n)
+		seen, errs := make([]Coverage, n), make([]error, n)
 		var workers sync.WaitGroup
 		next := make(chan int, n)
 		for i := range n {
@@ -363,7 +363,7 @@
 		for range min(n, runtime.GOMAXPROCS(0)) {
 			workers.Go(func() {
 				for i := range next {
-					seen[i], errs[i] = Play(first+uint64(done+i), plans[i])
+					seen[i], errs[i] = Run(first+uint64(done+i), plans[i])
 				}
 			})
 		}
@@ -371,7 +371,7 @@
 		for i := range n {
 			all.add(seen[i])
 			if errs[i] != nil {
-				return all, &Found{first + uint64(done+i), plans[i], errs[i], done + i + 1}
+				return all, &Failure{first + uint64(done+i), plans[i], errs[i], done + i + 1}
 			}
 		}
 	}
@@ -379,11 +379,11 @@
 }
 
 // Shrink leaves out the faults that a broken promise does not need.
-func (f *Found) Shrink() *Found {
+func (f *Failure) Shrink() *Failure {
 	small := *f
 	for i := 0; i < len(small.Plan); {
 		rest := slices.Concat(small.Plan[:i], small.Plan[i+1:])
-		if _, err := Play(f.Seed, rest); err != nil {
+		if _, err := Run(f.Seed, rest); err != nil {
 			small.Plan, small.Err = rest, err
 		} else {
 			i++
@@ -394,16 +394,16 @@
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// Line says what was found, and how to play it again.
-func (f *Found) Line() string {
-	return fmt.Sprintf("after %d schedules: %v; to play it again: testbench modelcheck --replay --seed %d --faults '%s'", f.Plays, f.Err, f.Seed, Text(f.Plan))
+// ReplayText says what was found, and how to play it again.
+func (f *Failure) ReplayText() string {
+	return fmt.Sprintf("after %d schedules: %v; to play it again: testbench modelcheck --replay --seed %d --faults '%s'", f.Schedules, f.Err, f.Seed, FormatPlan(f.Plan))
 }
 
-// MostPairs is how many pairs there could be of the steps that were seen.
-func (s *Seen) MostPairs() int { return len(kinds) * len(s.Steps) }
+// MaxPairs is how many pairs there could be of the steps that were seen.
+func (s *Coverage) MaxPairs() int { return len(kinds) * len(s.Steps) }
 
-// Least are all pairs of the steps that were seen, the one seen least first.
-func (s *Seen) Least() (all []Pair) {
+// RarestPairs are all pairs of the steps that were seen, the one seen least first.
+func (s *Coverage) RarestPairs() (all []Pair) {
 	for _, k := range kinds {
 		for _, step := range sortedKeys(s.Steps) {
 			all = append(all, Pair{k, step})
--- a/internal/testing/modelcheck/system/together_test.go
+++ b/internal/testing/modelcheck/system/together_test.go
@@ -15,13 +15,13 @@
 	const schedules = 250
 	seen, found := Explore(1, schedules, true)
 	if found != nil {
-		t.Fatal(found.Shrink().Line())
+		t.Fatal(found.Shrink().ReplayText())
 	}
 	t.Logf("%d schedules: %d events, %d faults, %d of %d pairs, %d acts, %d fenced writes, %d words, %d lists, %d writes, %d commits, %d stops",
-		seen.Schedules, seen.Events, seen.Faults, len(seen.Pairs), seen.MostPairs(), seen.Acts, seen.Fenced, seen.Words, seen.Lists, seen.Writes, seen.Commits, seen.Stops)
+		seen.Schedules, seen.Events, seen.Faults, len(seen.Pairs), seen.MaxPairs(), seen.TimedActs, seen.FencedWrites, seen.Advice, seen.Lists, seen.AcknowledgedWrites, seen.Policies, seen.ServerStops)
 	for what, n := range map[string]int{
-		"faults": seen.Faults / 2, "acts": seen.Acts / 100, "fenced writes": seen.Fenced / 20, "words": seen.Words / 30, "lists": seen.Lists / 5,
-		"writes": seen.Writes / 10, "commits": seen.Commits, "stops": seen.Stops, "pairs of a fault and a step": schedules * len(seen.Pairs) / seen.MostPairs() * 10 / 9,
+		"faults": seen.Faults / 2, "acts": seen.TimedActs / 100, "fenced writes": seen.FencedWrites / 20, "words": seen.Advice / 30, "lists": seen.Lists / 5,
+		"writes": seen.AcknowledgedWrites / 10, "commits": seen.Policies, "stops": seen.ServerStops, "pairs of a fault and a step": schedules * len(seen.Pairs) / seen.MaxPairs() * 10 / 9,
 	} {
 		if n < schedules {
 			t.Errorf("too little was seen of %s: %d a schedule are wanted at least", what, n/schedules)
@@ -34,17 +34,17 @@
 func TestScheduleIsPlayedAgain(t *testing.T) {
 	all, _ := Explore(50, batch, true)
 	plan := draw(51, &all, true)
-	again, err := Parse(Text(plan))
+	again, err := ParsePlan(FormatPlan(plan))
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, errA := Play(51, plan)
-	b, errB := Play(51, again)
+	a, errA := Run(51, plan)
+	b, errB := Run(51, again)
 	if errA != nil || errB != nil || a.Events != b.Events || !maps.Equal(a.Steps, b.Steps) || !maps.Equal(a.Pairs, b.Pairs) || a.Faults == 0 {
-		t.Errorf("%s: %d events and %d, %d faults (%v, %v)", Text(plan), a.Events, b.Events, a.Faults, errA, errB)
+		t.Errorf("%s: %d events and %d, %d faults (%v, %v)", FormatPlan(plan), a.Events, b.Events, a.Faults, errA, errB)
 	}
 	for _, bad := range []string{"kill", "kill leader for 1s", "kill leader for x at a#1", "kill leader for 1s at a#0", "bite leader for 1s at a#1"} {
-		if _, err := Parse(bad); err == nil || strings.Contains(err.Error(), "\n") {
+		if _, err := ParsePlan(bad); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q is read: %v", bad, err)
 		}
 	}
