--- a/internal/testing/faultinjection/injector.go
+++ b/internal/testing/faultinjection/injector.go
@@ -10,157 +10,182 @@
 	"time"
 )
 
-// Injector is the processes and the links that faults fall on. A link's name is
+const (
+	// faultDelay is the longest delay of the fault Delay: longer than an election, and
+	// shorter than the timeout of a call.
+	faultDelay = 700 * time.Millisecond
+	// fadeDelay is the delay of responses before the partition of DelayThenPartition: long
+	// enough to matter to a lease of a second, and not so long that its holder gives up.
+	fadeDelay = 440 * time.Millisecond
+	// droppedResponses is how many responses one fault drops on each link.
+	droppedResponses = 3
+)
+
+// Injector injects faults into processes and the links between them. A link's name is
 // "from>to"; several between the same two are told apart by what follows a colon.
 type Injector struct {
 	Network   *Network
-	Processes map[string]*Process
+	Processes map[string]*Process // by name
 
-	// OnPause is told of each process that was stopped and went on; it may be nil.
-	OnPause func(of string, begin, end time.Time)
+	// OnPause is called for each process that was paused and has resumed; nil: nothing is.
+	OnPause func(target string, begin, end time.Time)
 
 	mu       sync.Mutex
-	Injected map[FaultKind]int // faults that came to be
+	Injected map[FaultKind]int // number of faults that were injected
 }
 
-func linkEnds(link string) (from, to string) {
-	link, _, _ = strings.Cut(link, ":")
-	from, to, _ = strings.Cut(link, ">")
-	return from, to
+// Inject starts a fault, and returns the function that ends it.
+func (i *Injector) Inject(f Fault) (end func() error, err error) {
+	end, err = i.start(f)
+	if err != nil {
+		return nil, fmt.Errorf("%v: %w", f, err)
+	}
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if i.Injected == nil {
+		i.Injected = make(map[FaultKind]int)
+	}
+	i.Injected[f.Kind]++
+	return end, nil
 }
 
-// eachLink puts rules in force on the links from and to a process.
-func (r *Injector) eachLink(of string, from, to func(l *Link)) {
-	for _, l := range r.Network.FindLinks(func(string) bool { return true }) {
-		switch a, b := linkEnds(l.Name); of {
-		case a:
-			from(l)
-		case b:
-			to(l)
+func (i *Injector) start(f Fault) (end func() error, err error) {
+	switch f.Kind {
+	case Partition, BlockInbound, BlockOutbound, Delay, RefuseConnections:
+		i.setRules(f.Target, rulesByKind[f.Kind])
+		return i.healer(f.Target), nil
+	case DelayThenPartition:
+		return i.delayThenPartition(f), nil
+	case ResetConnections:
+		i.eachLink(f.Target, (*Link).Reset, (*Link).Reset)
+		return endNothing, nil
+	case HalfOpen:
+		i.eachLink(f.Target, (*Link).HalfOpen, (*Link).HalfOpen)
+		return endNothing, nil
+	case DropResponses:
+		i.eachLink(f.Target, func(l *Link) { l.DropResponses(droppedResponses) }, func(*Link) {})
+		return endNothing, nil
+	case Pause, Crash, DiskFull:
+		process := i.Processes[f.Target]
+		if process == nil {
+			return nil, fmt.Errorf("no process %s", f.Target)
 		}
+		return i.startProcessFault(f, process)
 	}
+	return nil, fmt.Errorf("no fault %q", f.Kind)
 }
 
-func setRule(x LinkRule) func(l *Link) { return func(l *Link) { l.SetRule(x) } }
+// linkRules are the rules of all links of one process.
+type linkRules struct{ fromProcess, toProcess LinkRule }
 
-const (
-	// faultDelay is how late a late process's words come: longer than an election, and under
-	// the time that a call has.
-	faultDelay = 700 * time.Millisecond
-	// fadeDelay is how late answers come before a cut: late enough to matter to a lease of
-	// a second, and not so late that its holder gives up on them.
-	fadeDelay = 440 * time.Millisecond
+var (
+	blocked     = Impairment{Blocked: true}
+	delayed     = Impairment{Delay: faultDelay / 2, Jitter: faultDelay / 2}
+	rulesByKind = map[FaultKind]linkRules{
+		Partition:         {LinkRule{ToTarget: blocked, FromTarget: blocked}, LinkRule{ToTarget: blocked, FromTarget: blocked}},
+		BlockInbound:      {LinkRule{FromTarget: blocked}, LinkRule{ToTarget: blocked}},
+		BlockOutbound:     {LinkRule{ToTarget: blocked}, LinkRule{FromTarget: blocked}},
+		Delay:             {LinkRule{ToTarget: delayed, FromTarget: delayed}, LinkRule{ToTarget: delayed, FromTarget: delayed}},
+		RefuseConnections: {LinkRule{RefuseConnections: true}, LinkRule{RefuseConnections: true}},
+	}
 )
 
-// droppedResponses is how many answers on each link are lost by one fault.
-const droppedResponses = 3
+func (i *Injector) setRules(process string, rules linkRules) {
+	i.eachLink(process, func(l *Link) { l.SetRule(rules.fromProcess) }, func(l *Link) { l.SetRule(rules.toProcess) })
+}
+
+// eachLink calls one function for the links from a process and another for those to it.
+func (i *Injector) eachLink(process string, fromProcess, toProcess func(l *Link)) {
+	for _, l := range i.Network.all() {
+		switch from, to := linkEnds(l.Name); process {
+		case from:
+			fromProcess(l)
+		case to:
+			toProcess(l)
+		}
+	}
+}
+
+// linkEnds returns the names of the processes that a link is between.
+func linkEnds(name string) (from, to string) {
+	name, _, _ = strings.Cut(name, ":")
+	from, to, _ = strings.Cut(name, ">")
+	return from, to
+}
+
+func endNothing() error { return nil }
 
-// Inject begins a fault, and returns what ends it.
-func (r *Injector) Inject(f Fault) (end func() error, err error) {
-	nothing := func() error { return nil }
-	cut, late := Impairment{Blocked: true}, Impairment{Delay: faultDelay / 2, Jitter: faultDelay / 2}
-	heal := func() error {
-		r.eachLink(f.Target, setRule(LinkRule{}), setRule(LinkRule{}))
+// healer returns the function that lets everything pass on the links of a process.
+func (i *Injector) healer(process string) func() error {
+	return func() error {
+		i.setRules(process, linkRules{})
 		return nil
 	}
-	p := r.Processes[f.Target]
-	end = heal
+}
+
+func (i *Injector) delayThenPartition(f Fault) (end func() error) {
+	i.setRules(f.Target, linkRules{fromProcess: LinkRule{FromTarget: Impairment{Delay: fadeDelay}}})
+	partition := time.AfterFunc(f.Duration/2, func() { i.setRules(f.Target, rulesByKind[Partition]) })
+	heal := i.healer(f.Target)
+	return func() error {
+		partition.Stop()
+		return heal()
+	}
+}
+
+func (i *Injector) startProcessFault(f Fault, process *Process) (end func() error, err error) {
 	switch f.Kind {
-	case Partition:
-		r.eachLink(f.Target, setRule(LinkRule{ToTarget: cut, FromTarget: cut}), setRule(LinkRule{ToTarget: cut, FromTarget: cut}))
-	case BlockInbound:
-		r.eachLink(f.Target, setRule(LinkRule{FromTarget: cut}), setRule(LinkRule{ToTarget: cut}))
-	case BlockOutbound:
-		r.eachLink(f.Target, setRule(LinkRule{ToTarget: cut}), setRule(LinkRule{FromTarget: cut}))
-	case Delay:
-		r.eachLink(f.Target, setRule(LinkRule{ToTarget: late, FromTarget: late}), setRule(LinkRule{ToTarget: late, FromTarget: late}))
-	case DelayThenPartition:
-		slow := Impairment{Delay: fadeDelay}
-		r.eachLink(f.Target, setRule(LinkRule{FromTarget: slow}), setRule(LinkRule{}))
-		timer := time.AfterFunc(f.Duration/2, func() {
-			r.eachLink(f.Target, setRule(LinkRule{ToTarget: cut, FromTarget: cut}), setRule(LinkRule{ToTarget: cut, FromTarget: cut}))
-		})
-		end = func() error {
-			timer.Stop()
-			return heal()
-		}
-	case RefuseConnections:
-		r.eachLink(f.Target, setRule(LinkRule{RefuseConnections: true}), setRule(LinkRule{RefuseConnections: true}))
-	case ResetConnections:
-		r.eachLink(f.Target, (*Link).Reset, (*Link).Reset)
-		end = nothing
-	case HalfOpen:
-		r.eachLink(f.Target, (*Link).HalfOpen, (*Link).HalfOpen)
-		end = nothing
-	case DropResponses:
-		r.eachLink(f.Target, func(l *Link) { l.DropResponses(droppedResponses) }, func(*Link) {})
-		end = nothing
 	case Pause:
-		if p == nil {
-			return nil, fmt.Errorf("no process %s", f.Target)
-		}
-		began := time.Now()
-		err = p.Signal(syscall.SIGSTOP)
-		end = func() error {
-			err := p.Signal(syscall.SIGCONT)
-			if r.OnPause != nil {
-				r.OnPause(f.Target, began, time.Now())
-			}
-			return err
-		}
+		return i.pause(f.Target, process)
 	case DiskFull:
-		if p == nil {
-			return nil, fmt.Errorf("no process %s", f.Target)
-		}
-		err = p.setDiskFull(true)
-		end = func() error { return p.setDiskFull(false) }
-	case Crash:
-		if p == nil {
-			return nil, fmt.Errorf("no process %s", f.Target)
-		}
-		p.Kill()
-		end = p.Start
-	default:
-		return nil, fmt.Errorf("no fault %q", f.Kind)
-	}
-	if err != nil {
-		return nil, fmt.Errorf("%v: %w", f, err)
+		return func() error { return process.setDiskFull(false) }, process.setDiskFull(true)
+	default: // Crash
+		process.Kill()
+		return process.Start, nil
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.Injected == nil {
-		r.Injected = make(map[FaultKind]int)
-	}
-	r.Injected[f.Kind]++
-	return end, nil
 }
 
-// Run plays a schedule, and returns when all its faults have ended. What ctx cuts
-// short is ended too.
-func (r *Injector) Run(ctx context.Context, s Schedule) error {
-	began := time.Now()
-	var all sync.WaitGroup
-	errs := make([]error, len(s))
-	for i, f := range s {
-		all.Go(func() {
-			if !sleep(ctx, f.Start-time.Since(began)) {
-				return
-			}
-			end, err := r.Inject(f)
-			if err != nil {
-				errs[i] = err
-				return
-			}
-			sleep(ctx, f.Duration)
-			if err := end(); err != nil {
-				errs[i] = fmt.Errorf("end of %v: %w", f, err)
+func (i *Injector) pause(target string, process *Process) (end func() error, err error) {
+	begin := time.Now()
+	return func() error {
+		err := process.Signal(syscall.SIGCONT)
+		if i.OnPause != nil {
+			i.OnPause(target, begin, time.Now())
+		}
+		return err
+	}, process.Signal(syscall.SIGSTOP)
+}
+
+// Run injects the faults of a schedule at their times, and returns when all have ended.
+// When ctx ends, those that have started are ended early.
+func (i *Injector) Run(ctx context.Context, schedule Schedule) error {
+	start := time.Now()
+	var faults sync.WaitGroup
+	errs := make([]error, len(schedule))
+	for index, f := range schedule {
+		faults.Go(func() {
+			if sleep(ctx, f.Start-time.Since(start)) {
+				errs[index] = i.runFault(ctx, f)
 			}
 		})
 	}
-	all.Wait()
+	faults.Wait()
 	return cmp.Or(errs...)
 }
 
+func (i *Injector) runFault(ctx context.Context, f Fault) error {
+	end, err := i.Inject(f)
+	if err != nil {
+		return err
+	}
+	sleep(ctx, f.Duration)
+	if err := end(); err != nil {
+		return fmt.Errorf("end of %v: %w", f, err)
+	}
+	return nil
+}
+
+// sleep waits, and reports whether ctx has not ended meanwhile.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/internal/testing/faultinjection/link.go
+++ b/internal/testing/faultinjection/link.go
@@ -1,9 +1,3 @@
-// Package faultinjection puts faults between real processes: each directed link from one
-// process to another is a relay on loopback that the first is told to call instead of
-// the second, and that can be late, slow, cut (in one direction or both, saying
-// nothing), reset, half open, or lose an answer whose request was delivered. Faults of
-// processes are signals to them, by id. Schedules of faults are drawn from a seed,
-// written as text, shrunk and played again.
 package faultinjection
 
 import (
@@ -15,131 +9,143 @@
 	"time"
 )
 
-const (
-	chunkSize           = 16 << 10
-	maxQueuedChunks     = 64 // pieces under way in one direction of a connection
-	dialTimeout         = time.Second
-	maxPeers            = 256 // of a UDP link
-	maxDatagramBytes    = 64 << 10
-	maxPendingDatagrams = 1024 // datagrams under way
-)
-
-// Link is a relay for what one process calls another by.
+// Link is a relay by which one process calls another: for connections or for datagrams.
 type Link struct {
-	Name   string // "from>to"
-	target string
-	ln     net.Listener
-	pc     net.PacketConn
+	Name     string // "from>to", and after a colon what tells it from others between the two
+	target   string
+	listener net.Listener   // of a link for connections
+	socket   net.PacketConn // of a link for datagrams
 
-	ctx   context.Context
-	end   context.CancelFunc
-	tasks sync.WaitGroup
+	ctx    context.Context // until Close
+	cancel context.CancelFunc
+	tasks  sync.WaitGroup
 
 	mu              sync.Mutex
 	rule            LinkRule
-	changed         chan struct{}
+	ruleChanged     chan struct{} // closed when the rule changes
 	conns           map[*relayedConn]bool
-	responsesToDrop int // answers to lose
+	responsesToDrop int
 	rng             *rand.Rand
 
-	Connections, Dropped, Bytes atomic.Int64
+	// Dropped counts responses and datagrams that were dropped.
+	Dropped atomic.Int64
 }
 
-// Addr is where the first process is to call.
+// Addr returns the address that the first process has to call.
 func (l *Link) Addr() string {
-	if l.pc != nil {
-		return l.pc.LocalAddr().String()
+	if l.socket != nil {
+		return l.socket.LocalAddr().String()
 	}
-	return l.ln.Addr().String()
+	return l.listener.Addr().String()
 }
 
-// SetRule puts a rule in force, for what is under way too.
-func (l *Link) SetRule(r LinkRule) {
+// SetRule sets what happens on the link, also to what is on its way.
+func (l *Link) SetRule(rule LinkRule) {
 	l.mu.Lock()
-	l.rule = r
-	close(l.changed)
-	l.changed = make(chan struct{})
-	var over []*relayedConn
-	if r.RefuseConnections {
-		over = l.openConns()
-	}
+	l.rule = rule
+	close(l.ruleChanged)
+	l.ruleChanged = make(chan struct{})
 	l.mu.Unlock()
-	for _, c := range over {
-		c.reset()
+	if rule.RefuseConnections {
+		l.Reset()
 	}
 }
 
-// openConns are the connections. The lock is held.
-func (l *Link) openConns() (all []*relayedConn) {
-	for c := range l.conns {
-		all = append(all, c)
-	}
-	return all
+// currentRule returns the rule, and a channel that is closed when it changes.
+func (l *Link) currentRule() (LinkRule, <-chan struct{}) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.rule, l.ruleChanged
 }
 
-// Reset resets the connections that there are.
+// Reset resets the open connections.
 func (l *Link) Reset() {
-	l.mu.Lock()
-	all := l.openConns()
-	l.mu.Unlock()
-	for _, c := range all {
+	for _, c := range l.openConns() {
 		c.reset()
 	}
 }
 
-// HalfOpen closes the far side of the connections that there are: the near one goes
-// on as if nothing had happened, and hears nothing.
+func (l *Link) openConns() (conns []*relayedConn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for c := range l.conns {
+		conns = append(conns, c)
+	}
+	return conns
+}
+
+// HalfOpen resets the target's side of the open connections. The caller's side stays open,
+// without any sign of it.
 func (l *Link) HalfOpen() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
-		if t, ok := c.to.(*net.TCPConn); ok {
-			t.SetLinger(0)
-			t.Close()
-		}
+		resetConn(c.target)
 	}
 }
 
-// DropResponses loses the next answers: what was asked has been delivered, and the
-// connection is reset instead of the answer's first piece.
-func (l *Link) DropResponses(n int) {
+// DropResponses has the next responses dropped: the request was delivered, and the
+// connection is reset in place of the response's first chunk.
+func (l *Link) DropResponses(count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.responsesToDrop = n
+	l.responsesToDrop = count
+}
+
+// takeDroppedResponse reports whether a response is to be dropped, and counts it. The lock
+// is held.
+func (l *Link) takeDroppedResponse() bool {
+	if l.responsesToDrop == 0 {
+		return false
+	}
+	l.responsesToDrop--
+	return true
 }
 
-// Close ends the link and its connections.
+// Close closes the link and its connections.
 func (l *Link) Close() {
-	l.end()
-	if l.ln != nil {
-		l.ln.Close()
+	l.cancel()
+	if l.listener != nil {
+		l.listener.Close()
 	} else {
-		l.pc.Close()
+		l.socket.Close()
 	}
 	l.Reset()
 	l.tasks.Wait()
 }
 
-func (l *Link) currentRule() (LinkRule, <-chan struct{}) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.rule, l.changed
+// waitUnblocked waits until a direction is not blocked. It is false when the link is closed.
+func (l *Link) waitUnblocked(d direction) bool {
+	for {
+		rule, changed := l.currentRule()
+		if !rule.impairment(d).Blocked {
+			return l.ctx.Err() == nil
+		}
+		select {
+		case <-changed:
+		case <-l.ctx.Done():
+			return false
+		}
+	}
 }
 
-// drawTiming is how long a piece of so many bytes takes now.
-func (l *Link) drawTiming(back bool, bytes int) (late, takes time.Duration, way Impairment) {
+// timing is when a chunk or a datagram arrives.
+type timing struct {
+	delay        time.Duration
+	transmission time.Duration // by the limit of bytes a second
+}
+
+// drawTiming draws the timing of so many bytes, and returns the impairment that it is by.
+func (l *Link) drawTiming(d direction, size int) (timing, Impairment) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	way = l.rule.ToTarget
-	if back {
-		way = l.rule.FromTarget
-	}
-	late = way.Delay
-	if way.Jitter > 0 {
-		late += time.Duration(l.rng.Int64N(int64(way.Jitter)))
+	impairment := l.rule.impairment(d)
+	t := timing{delay: impairment.Delay}
+	if impairment.Jitter > 0 {
+		t.delay += time.Duration(l.rng.Int64N(int64(impairment.Jitter)))
 	}
-	if way.BytesPerSecond > 0 {
-		takes = time.Duration(float64(bytes) / float64(way.BytesPerSecond) * float64(time.Second))
+	if impairment.BytesPerSecond > 0 {
+		t.transmission = time.Duration(float64(size) / float64(impairment.BytesPerSecond) * float64(time.Second))
 	}
-	return late, takes, way
+	return t, impairment
 }
--- a/internal/testing/faultinjection/network.go
+++ b/internal/testing/faultinjection/network.go
@@ -8,19 +8,22 @@
 	"sync"
 )
 
-// Network is all links of a rig.
+// anyPort has the system choose a port of the loopback.
+const anyPort = "127.0.0.1:0"
+
+// Network holds the links between processes.
 type Network struct {
 	mu    sync.Mutex
-	links map[string]*Link
+	links map[string]*Link // by name
 	seed  uint64
 }
 
-// NewNetwork makes a rig without links; the seed draws jitter and losses.
+// NewNetwork makes a network without links. Jitter and losses are drawn from the seed.
 func NewNetwork(seed uint64) *Network { return &Network{links: make(map[string]*Link), seed: seed} }
 
 func (n *Network) add(name, target string) *Link {
-	l := &Link{Name: name, target: target, changed: make(chan struct{}), conns: make(map[*relayedConn]bool)}
-	l.ctx, l.end = context.WithCancel(context.Background())
+	l := &Link{Name: name, target: target, ruleChanged: make(chan struct{}), conns: make(map[*relayedConn]bool)}
+	l.ctx, l.cancel = context.WithCancel(context.Background())
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l.rng = rand.New(rand.NewPCG(n.seed, uint64(len(n.links))))
@@ -28,51 +31,55 @@
 	return l
 }
 
-// AddTCP makes a link to an address, and begins to relay.
+// AddTCP makes a link for connections to an address.
 func (n *Network) AddTCP(name, target string) (*Link, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", anyPort)
 	if err != nil {
 		return nil, fmt.Errorf("link %s: %w", name, err)
 	}
 	l := n.add(name, target)
-	l.ln = ln
-	l.tasks.Go(l.accept)
+	l.startTCP(listener)
 	return l, nil
 }
 
 // AddUDP makes a link for datagrams to an address.
 func (n *Network) AddUDP(name, target string) (*Link, error) {
-	pc, err := net.ListenPacket("udp", "127.0.0.1:0")
+	socket, err := net.ListenPacket("udp", anyPort)
 	if err != nil {
 		return nil, fmt.Errorf("link %s: %w", name, err)
 	}
 	l := n.add(name, target)
-	l.pc = pc
-	l.tasks.Go(l.relayDatagrams)
+	l.startUDP(socket)
 	return l, nil
 }
 
-// AddTCPAndUDP makes a link for connections and one for datagrams to an address, which the first
-// process calls by one address too. The second's name ends in "-udp".
+// AddTCPAndUDP makes a link for connections and one for datagrams to an address. Both have
+// the same address. The second's name ends in "-udp".
 func (n *Network) AddTCPAndUDP(name, target string) (tcp, udp *Link, err error) {
-	const tries = 20 // the port that is free for one may be taken for the other
-	for range tries {
-		var ln net.Listener
-		if ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
-			break
+	listener, socket, err := listenTCPAndUDP()
+	if err != nil {
+		return nil, nil, fmt.Errorf("link %s: %w", name, err)
+	}
+	tcp, udp = n.add(name, target), n.add(name+"-udp", target)
+	tcp.startTCP(listener)
+	udp.startUDP(socket)
+	return tcp, udp, nil
+}
+
+// listenTCPAndUDP listens for both on one port. It tries several, as a port that is free
+// for one may be taken for the other.
+func listenTCPAndUDP() (listener net.Listener, socket net.PacketConn, err error) {
+	const attempts = 20
+	for range attempts {
+		if listener, err = net.Listen("tcp", anyPort); err != nil {
+			return nil, nil, err
 		}
-		var pc net.PacketConn
-		if pc, err = net.ListenPacket("udp", ln.Addr().String()); err != nil {
-			ln.Close()
-			continue
+		if socket, err = net.ListenPacket("udp", listener.Addr().String()); err == nil {
+			return listener, socket, nil
 		}
-		tcp, udp = n.add(name, target), n.add(name+"-udp", target)
-		tcp.ln, udp.pc = ln, pc
-		tcp.tasks.Go(tcp.accept)
-		udp.tasks.Go(udp.relayDatagrams)
-		return tcp, udp, nil
+		listener.Close()
 	}
-	return nil, nil, fmt.Errorf("link %s: %w", name, err)
+	return nil, nil, err
 }
 
 // Link returns a link by its name.
@@ -83,21 +90,23 @@
 	return l, ok
 }
 
-// FindLinks returns the links whose names a function likes.
-func (n *Network) FindLinks(like func(name string) bool) (some []*Link) {
+// FindLinks returns the links for whose names match holds.
+func (n *Network) FindLinks(match func(name string) bool) (found []*Link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for name, l := range n.links {
-		if like(name) {
-			some = append(some, l)
+		if match(name) {
+			found = append(found, l)
 		}
 	}
-	return some
+	return found
 }
 
-// Close ends all links.
+func (n *Network) all() []*Link { return n.FindLinks(func(string) bool { return true }) }
+
+// Close closes all links.
 func (n *Network) Close() {
-	for _, l := range n.FindLinks(func(string) bool { return true }) {
+	for _, l := range n.all() {
 		l.Close()
 	}
 }
--- a/internal/testing/faultinjection/process.go
+++ b/internal/testing/faultinjection/process.go
@@ -2,7 +2,9 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
+	"os"
 	"os/exec"
 	"sync"
 	"syscall"
@@ -11,42 +13,41 @@
 	"golang.org/x/sys/unix"
 )
 
-// Process is a real process of ours that can be killed, stopped and continued by its
-// id, and started again on its own folder.
+// maxOutputBytes bounds the output of a process that is held. Of more the latest is.
+const maxOutputBytes = 4 << 20
+
+// Process is a process that can be killed, stopped and continued by its id, and started
+// again. Its zero value with Name and NewCommand set is ready to start.
 type Process struct {
 	Name       string
-	NewCommand func() *exec.Cmd // a command that was not started yet
+	NewCommand func() *exec.Cmd // returns a command that was not started yet
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	ended   chan struct{}
-	err     error
-	stopped bool
-	log     bytes.Buffer
-	Starts  int
+	mu     sync.Mutex
+	cmd    *exec.Cmd     // nil: it does not run
+	ended  chan struct{} // closed when the last start has ended
+	err    error         // of its end
+	output bytes.Buffer
+	Starts int // number of successful starts
 }
 
-// maxLog bounds what is kept of a process's output, the latest.
-const maxLog = 4 << 20
-
-// Write keeps what the process writes.
+// Write takes the process's output.
 func (p *Process) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.log.Len()+len(b) > maxLog {
-		p.log.Next(p.log.Len() / 2)
+	if p.output.Len()+len(b) > maxOutputBytes {
+		p.output.Next(p.output.Len() / 2)
 	}
-	return p.log.Write(b)
+	return p.output.Write(b)
 }
 
-// Output is what it wrote.
+// Output returns what the process has written, over all its starts.
 func (p *Process) Output() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.log.String()
+	return p.output.String()
 }
 
-// Start starts the process; it ends with this one at the latest.
+// Start starts the process. The kernel kills it when this process ends.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,29 +64,28 @@
 		return fmt.Errorf("start %s: %w", p.Name, err)
 	}
 	ended := make(chan struct{})
-	p.cmd, p.ended, p.stopped = cmd, ended, false
+	p.cmd, p.ended = cmd, ended
 	p.Starts++
-	go func() { // ends with the process
-		err := cmd.Wait()
-		p.mu.Lock()
-		p.err = err
-		if p.cmd == cmd {
-			p.cmd = nil
-		}
-		p.mu.Unlock()
-		close(ended)
-	}()
+	go p.wait(cmd, ended) // ends with the process
 	return nil
 }
 
-// Running says whether it runs, stopped or not.
-func (p *Process) Running() bool {
+// wait waits for the end of a start.
+func (p *Process) wait(cmd *exec.Cmd, ended chan<- struct{}) {
+	err := cmd.Wait()
 	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.cmd != nil
+	p.err = err
+	if p.cmd == cmd {
+		p.cmd = nil
+	}
+	p.mu.Unlock()
+	close(ended)
 }
 
-// PID is its id; 0 where it does not run.
+// Running reports whether the process runs, stopped by a signal or not.
+func (p *Process) Running() bool { return p.PID() != 0 }
+
+// PID returns the process id; 0: it does not run.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,30 +95,24 @@
 	return p.cmd.Process.Pid
 }
 
-// Signal sends it a signal.
-func (p *Process) Signal(s syscall.Signal) error {
+// Signal sends the process a signal.
+func (p *Process) Signal(signal syscall.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
 		return fmt.Errorf("%s does not run", p.Name)
 	}
-	switch s {
-	case syscall.SIGSTOP:
-		p.stopped = true
-	case syscall.SIGCONT:
-		p.stopped = false
-	}
-	return p.cmd.Process.Signal(s)
+	return p.cmd.Process.Signal(signal)
 }
 
-// setDiskFull has its writes to files fail from now on, beyond their first byte, or lets them
-// through again: a full disk, as far as one process can tell. The process has to pass
-// over SIGXFSZ, as one on a disk that is really full never gets it.
+// setDiskFull has the process's writes to files fail beyond their first byte, or succeed
+// again: a full disk, as far as one process can tell. The process has to ignore SIGXFSZ,
+// which it would not get on a disk that is really full.
 func (p *Process) setDiskFull(full bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
-		return nil // it starts again with room
+		return nil // it starts again without the limit
 	}
 	pid := p.cmd.Process.Pid
 	var limit unix.Rlimit
@@ -135,12 +129,14 @@
 	return nil
 }
 
-// Kill ends it outright.
+// Kill kills the process and waits for its end.
 func (p *Process) Kill() {
 	p.mu.Lock()
 	ended := p.ended
 	if p.cmd != nil {
-		p.cmd.Process.Kill()
+		if err := p.cmd.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
+			fmt.Fprintf(&p.output, "kill %s: %v\n", p.Name, err)
+		}
 	}
 	p.mu.Unlock()
 	if ended != nil {
@@ -148,11 +144,12 @@
 	}
 }
 
-// Terminate asks it to end, and kills it when it has not after a time.
-func (p *Process) Terminate(within time.Duration) error {
-	p.Signal(syscall.SIGCONT)
-	if err := p.Signal(syscall.SIGTERM); err != nil {
-		return nil // it has ended
+// Terminate sends the process SIGTERM and waits for its end. After the timeout it kills it.
+func (p *Process) Terminate(timeout time.Duration) error {
+	for _, signal := range []syscall.Signal{syscall.SIGCONT, syscall.SIGTERM} {
+		if err := p.Signal(signal); err != nil {
+			return nil // it has ended
+		}
 	}
 	p.mu.Lock()
 	ended := p.ended
@@ -162,8 +159,8 @@
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return p.err
-	case <-time.After(within):
+	case <-time.After(timeout):
 		p.Kill()
-		return fmt.Errorf("%s did not end within %v", p.Name, within)
+		return fmt.Errorf("%s did not end within %v", p.Name, timeout)
 	}
 }
--- a/internal/testing/faultinjection/shrink.go
+++ b/internal/testing/faultinjection/shrink.go
@@ -2,14 +2,16 @@
 
 import "slices"
 
-// Shrink leaves faults out as long as what is left still fails, half of them first and
-// each by itself in the end. It asks at most so many times.
-func Shrink(s Schedule, most int, fails func(Schedule) bool) Schedule {
+// Shrink leaves out faults of a schedule as long as the rest still fails: half of them at
+// first, single ones in the end. It calls fails maxCalls times at most.
+func Shrink(s Schedule, maxCalls int, fails func(Schedule) bool) Schedule {
+	calls := 0
 	for size := (len(s) + 1) / 2; size > 0; {
 		smaller := false
-		for i := 0; i+size <= len(s) && most > 0; {
+		for i := 0; i+size <= len(s) && calls < maxCalls; {
 			rest := slices.Concat(s[:i], s[i+size:])
-			if most--; fails(rest) {
+			calls++
+			if fails(rest) {
 				s, smaller = rest, true
 			} else {
 				i += size
@@ -18,7 +20,7 @@
 		if !smaller || size > 1 {
 			size /= 2
 		}
-		if most <= 0 {
+		if calls >= maxCalls {
 			break
 		}
 	}
--- a/internal/testing/faultinjection/tcp.go
+++ b/internal/testing/faultinjection/tcp.go
@@ -8,155 +8,168 @@
 	"time"
 )
 
+const (
+	chunkSize       = 16 << 10
+	maxQueuedChunks = 64 // in one direction of a connection
+	dialTimeout     = time.Second
+	// acceptRetryInterval is the pause after a failed accept.
+	acceptRetryInterval = 10 * time.Millisecond
+)
+
 // relayedConn is one connection over a link.
-type relayedConn struct{ from, to net.Conn }
+type relayedConn struct{ caller, target net.Conn }
 
-func (r *relayedConn) reset() {
-	for _, c := range []net.Conn{r.from, r.to} {
-		if t, ok := c.(*net.TCPConn); ok {
-			t.SetLinger(0)
-		}
-		c.Close()
+func (c *relayedConn) reset() {
+	resetConn(c.caller)
+	resetConn(c.target)
+}
+
+// resetConn closes a connection by a reset.
+func resetConn(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		tcp.SetLinger(0)
 	}
+	conn.Close()
+}
+
+// startTCP begins to relay connections.
+func (l *Link) startTCP(listener net.Listener) {
+	l.listener = listener
+	l.tasks.Go(l.accept)
 }
 
 func (l *Link) accept() {
 	for {
-		c, err := l.ln.Accept()
+		conn, err := l.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
-		} else if err != nil {
-			time.Sleep(10 * time.Millisecond)
+		}
+		if err != nil {
+			time.Sleep(acceptRetryInterval)
 			continue
 		}
-		l.Connections.Add(1)
-		if r, _ := l.currentRule(); r.RefuseConnections {
-			(&relayedConn{c, c}).reset()
+		if rule, _ := l.currentRule(); rule.RefuseConnections {
+			resetConn(conn)
 			continue
 		}
-		l.tasks.Go(func() { l.relay(c) })
+		l.tasks.Go(func() { l.relay(conn) })
 	}
 }
 
-// relay carries one connection. It is opened onwards when the way there lets it.
-func (l *Link) relay(from net.Conn) {
-	defer from.Close()
-	if !l.waitUnblocked(false) {
+// relay relays one connection. The target is called when the direction to it is not blocked.
+func (l *Link) relay(caller net.Conn) {
+	defer caller.Close()
+	if !l.waitUnblocked(toTarget) {
 		return
 	}
-	to, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(l.ctx, "tcp", l.target)
+	target, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(l.ctx, "tcp", l.target)
 	if err != nil {
-		(&relayedConn{from, from}).reset()
+		resetConn(caller)
 		return
 	}
-	c := &relayedConn{from, to}
-	l.mu.Lock()
-	l.conns[c] = true
-	l.mu.Unlock()
-	defer func() {
-		l.mu.Lock()
-		delete(l.conns, c)
-		l.mu.Unlock()
-		to.Close()
-	}()
-	if l.ctx.Err() != nil {
+	defer target.Close()
+	c := &relayedConn{caller, target}
+	l.track(c)
+	defer l.untrack(c)
+	if l.ctx.Err() != nil { // Close may have missed it
 		return
 	}
-	var ways sync.WaitGroup
-	ways.Go(func() { l.copyDirection(c, from, to, false) })
-	ways.Go(func() { l.copyDirection(c, to, from, true) })
-	ways.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { l.copyDirection(c, caller, target, toTarget) })
+	directions.Go(func() { l.copyDirection(c, target, caller, fromTarget) })
+	directions.Wait()
 }
 
-// waitUnblocked waits until a direction is not cut; it is false when the link has ended.
-func (l *Link) waitUnblocked(back bool) bool {
-	for {
-		r, changed := l.currentRule()
-		way := r.ToTarget
-		if back {
-			way = r.FromTarget
-		}
-		if !way.Blocked {
-			return l.ctx.Err() == nil
-		}
-		select {
-		case <-changed:
-		case <-l.ctx.Done():
-			return false
-		}
-	}
+func (l *Link) track(c *relayedConn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.conns[c] = true
 }
 
+func (l *Link) untrack(c *relayedConn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.conns, c)
+}
+
+// delayedChunk is a piece of a connection's bytes that arrives at a time.
 type delayedChunk struct {
-	text []byte
+	data []byte
 	at   time.Time
 }
 
-// copyDirection takes one direction of a connection from a to b until its end.
-func (l *Link) copyDirection(c *relayedConn, a, b net.Conn, back bool) {
+// copyDirection copies one direction of a connection until its end.
+func (l *Link) copyDirection(c *relayedConn, source, destination net.Conn, d direction) {
 	queue := make(chan delayedChunk, maxQueuedChunks)
 	var reader sync.WaitGroup
 	reader.Go(func() {
 		defer close(queue)
-		for {
-			text := make([]byte, chunkSize)
-			n, err := a.Read(text)
-			if n > 0 {
-				late, _, _ := l.drawTiming(back, n)
-				select {
-				case queue <- delayedChunk{text[:n], time.Now().Add(late)}:
-				case <-l.ctx.Done():
-					return
-				}
-			}
-			if err != nil {
-				if !errors.Is(err, io.EOF) {
-					c.reset()
-				}
-				return
-			}
-		}
+		l.readChunks(c, source, d, queue)
 	})
 	defer reader.Wait()
-	for d := range queue {
-		if !l.waitUnblocked(back) {
+	for chunk := range queue {
+		if !l.deliver(destination, chunk, d) {
 			c.reset()
 			break
 		}
-		if back && l.takeDroppedResponse() {
-			c.reset()
-			break
-		}
-		_, takes, _ := l.drawTiming(back, len(d.text))
-		select {
-		case <-time.After(time.Until(d.at) + takes):
-		case <-l.ctx.Done():
-			c.reset()
+	}
+	for range queue { // lets the reader end
+	}
+	if tcp, ok := destination.(*net.TCPConn); ok {
+		tcp.CloseWrite()
+	}
+}
+
+// readChunks reads until the source ends, and queues what it reads with its time of arrival.
+func (l *Link) readChunks(c *relayedConn, source net.Conn, d direction, queue chan<- delayedChunk) {
+	for {
+		data := make([]byte, chunkSize)
+		n, err := source.Read(data)
+		if n > 0 {
+			t, _ := l.drawTiming(d, n)
+			select {
+			case queue <- delayedChunk{data[:n], time.Now().Add(t.delay)}:
+			case <-l.ctx.Done():
+				return
+			}
 		}
-		if !l.waitUnblocked(back) { // cut while it was on its way
-			c.reset()
-			break
+		if errors.Is(err, io.EOF) {
+			return
 		}
-		if _, err := b.Write(d.text); err != nil {
+		if err != nil {
 			c.reset()
-			break
+			return
 		}
-		l.Bytes.Add(int64(len(d.text)))
 	}
-	for range queue { // the reader must not wait for a place
+}
+
+// deliver writes a chunk at its time. It is false when the connection has to be reset.
+func (l *Link) deliver(destination net.Conn, chunk delayedChunk, d direction) bool {
+	if !l.waitUnblocked(d) {
+		return false
 	}
-	if t, ok := b.(*net.TCPConn); ok {
-		t.CloseWrite()
+	if d == fromTarget && l.dropResponse() {
+		return false
+	}
+	t, _ := l.drawTiming(d, len(chunk.data))
+	select {
+	case <-time.After(time.Until(chunk.at) + t.transmission):
+	case <-l.ctx.Done():
+		return false
 	}
+	if !l.waitUnblocked(d) { // the direction may have been blocked meanwhile
+		return false
+	}
+	_, err := destination.Write(chunk.data)
+	return err == nil
 }
 
-func (l *Link) takeDroppedResponse() bool {
+func (l *Link) dropResponse() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.responsesToDrop == 0 {
-		return false
+	dropped := l.takeDroppedResponse()
+	if dropped {
+		l.Dropped.Add(1)
 	}
-	l.responsesToDrop--
-	l.Dropped.Add(1)
-	return true
+	return dropped
 }
--- a/internal/testing/faultinjection/udp.go
+++ b/internal/testing/faultinjection/udp.go
@@ -1,101 +1,160 @@
 package faultinjection
 
 import (
+	"bytes"
 	"errors"
 	"net"
 	"sync"
 	"time"
 )
 
-// relayDatagrams relays them, each sender over a socket of its own.
+const (
+	maxPeers            = 256 // callers of one link
+	maxDatagramBytes    = 64 << 10
+	maxPendingDatagrams = 1024 // on their way at one time
+	// reorderDelay is the least delay of a datagram that others are to overtake.
+	reorderDelay = 10 * time.Millisecond
+)
+
+// startUDP begins to relay datagrams.
+func (l *Link) startUDP(socket net.PacketConn) {
+	l.socket = socket
+	l.tasks.Go(l.relayDatagrams)
+}
+
+// udpRelay relays datagrams. Each caller has a socket of its own to the target, by which
+// responses find their way back.
+type udpRelay struct {
+	link    *Link
+	target  *net.UDPAddr
+	peers   map[string]*net.UDPConn // by the caller's address
+	pending chan struct{}           // holds one value for each datagram that is delayed
+	tasks   sync.WaitGroup
+}
+
 func (l *Link) relayDatagrams() {
-	to, err := net.ResolveUDPAddr("udp", l.target)
+	target, err := net.ResolveUDPAddr("udp", l.target)
 	if err != nil {
 		return
 	}
-	peers := make(map[string]*net.UDPConn)
-	pending := make(chan struct{}, maxPendingDatagrams)
-	var wait sync.WaitGroup
-	defer wait.Wait()
-	defer func() {
-		for _, p := range peers {
-			p.Close()
-		}
-	}()
-	text := make([]byte, maxDatagramBytes)
+	r := &udpRelay{link: l, target: target, peers: make(map[string]*net.UDPConn), pending: make(chan struct{}, maxPendingDatagrams)}
+	defer r.close()
+	buffer := make([]byte, maxDatagramBytes)
 	for {
-		n, from, err := l.pc.ReadFrom(text)
+		n, caller, err := l.socket.ReadFrom(buffer)
 		if err != nil {
 			return
 		}
-		p := peers[from.String()]
-		if p == nil {
-			if len(peers) >= maxPeers {
-				continue
-			}
-			if p, err = net.DialUDP("udp", nil, to); err != nil {
-				continue
-			}
-			peers[from.String()] = p
-			l.Connections.Add(1)
-			wait.Go(func() {
-				answer := make([]byte, maxDatagramBytes)
-				for {
-					n, err := p.Read(answer)
-					if errors.Is(err, net.ErrClosed) {
-						return
-					} else if err == nil {
-						l.forwardDatagram(pending, &wait, true, answer[:n], func(b []byte) { l.pc.WriteTo(b, from) })
-					}
-				}
-			})
+		peer := r.peer(caller)
+		if peer == nil {
+			continue
 		}
-		l.forwardDatagram(pending, &wait, false, text[:n], func(b []byte) { p.Write(b) })
+		r.forward(toTarget, buffer[:n], func(datagram []byte) error {
+			_, err := peer.Write(datagram)
+			return err
+		})
 	}
 }
 
-// forwardDatagram passes a datagram on as the rule says. A cut loses it.
-func (l *Link) forwardDatagram(pending chan struct{}, wait *sync.WaitGroup, back bool, text []byte, write func([]byte)) {
-	late, takes, way := l.drawTiming(back, len(text))
-	l.mu.Lock()
-	lost, twice, over := l.rng.Float64() < way.LossRate, l.rng.Float64() < way.DuplicateRate, l.rng.Float64() < way.ReorderRate
-	if back && l.responsesToDrop > 0 {
-		l.responsesToDrop--
-		lost = true
+func (r *udpRelay) close() {
+	for _, peer := range r.peers {
+		peer.Close()
 	}
-	l.mu.Unlock()
-	if way.Blocked || lost {
-		l.Dropped.Add(1)
-		return
+	r.tasks.Wait()
+}
+
+// peer returns the socket of a caller; nil: there are too many, or none can be opened.
+func (r *udpRelay) peer(caller net.Addr) *net.UDPConn {
+	if peer := r.peers[caller.String()]; peer != nil {
+		return peer
 	}
-	if over { // what comes after it, comes before it
-		late += 2*(way.Delay+way.Jitter) + 10*time.Millisecond
+	if len(r.peers) >= maxPeers {
+		return nil
 	}
-	times := 1
-	if twice {
-		times = 2
+	peer, err := net.DialUDP("udp", nil, r.target)
+	if err != nil {
+		return nil
 	}
-	own := append([]byte(nil), text...)
-	for range times {
-		if late+takes <= 0 {
-			write(own)
-			l.Bytes.Add(int64(len(own)))
+	r.peers[caller.String()] = peer
+	r.tasks.Go(func() { r.relayResponses(peer, caller) })
+	return peer
+}
+
+func (r *udpRelay) relayResponses(peer *net.UDPConn, caller net.Addr) {
+	buffer := make([]byte, maxDatagramBytes)
+	for {
+		n, err := peer.Read(buffer)
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			continue // the target does not listen at the moment
+		}
+		r.forward(fromTarget, buffer[:n], func(datagram []byte) error {
+			_, err := r.link.socket.WriteTo(datagram, caller)
+			return err
+		})
+	}
+}
+
+// forward sends a datagram on as the link's rule says. While a direction is blocked it is
+// lost.
+func (r *udpRelay) forward(d direction, datagram []byte, write func([]byte) error) {
+	fate := r.link.drawFate(d, len(datagram))
+	if fate.lost {
+		r.link.Dropped.Add(1)
+		return
+	}
+	own := bytes.Clone(datagram)
+	for range fate.copies {
+		if fate.delay <= 0 {
+			r.send(own, write)
 			continue
 		}
 		select {
-		case pending <- struct{}{}:
+		case r.pending <- struct{}{}:
 		default:
-			l.Dropped.Add(1)
+			r.link.Dropped.Add(1)
 			continue
 		}
-		wait.Go(func() {
-			defer func() { <-pending }()
+		r.tasks.Go(func() {
+			defer func() { <-r.pending }()
 			select {
-			case <-time.After(late + takes):
-				write(own)
-				l.Bytes.Add(int64(len(own)))
-			case <-l.ctx.Done():
+			case <-time.After(fate.delay):
+				r.send(own, write)
+			case <-r.link.ctx.Done():
 			}
 		})
 	}
 }
+
+func (r *udpRelay) send(datagram []byte, write func([]byte) error) {
+	if err := write(datagram); err != nil {
+		r.link.Dropped.Add(1)
+	}
+}
+
+// datagramFate is what becomes of a datagram.
+type datagramFate struct {
+	lost   bool
+	delay  time.Duration
+	copies int
+}
+
+func (l *Link) drawFate(d direction, size int) datagramFate {
+	t, impairment := l.drawTiming(d, size)
+	fate := datagramFate{delay: t.delay + t.transmission, copies: 1}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	// All three are drawn for each datagram, so that a rate does not shift later draws.
+	lost, duplicated, reordered := l.rng.Float64() < impairment.LossRate, l.rng.Float64() < impairment.DuplicateRate, l.rng.Float64() < impairment.ReorderRate
+	dropped := d == fromTarget && l.takeDroppedResponse()
+	fate.lost = impairment.Blocked || lost || dropped
+	if reordered {
+		fate.delay += 2*(impairment.Delay+impairment.Jitter) + reorderDelay
+	}
+	if duplicated {
+		fate.copies = 2
+	}
+	return fate
+}
