--- a/cmd/testbench/soak.go
+++ b/cmd/testbench/soak.go
@@ -46,7 +46,7 @@
 	f.IntVar(&o.Sidecars, "sidecars", 16, "processes")
 	f.IntVar(&o.Clients, "clients", 3, "beside each sidecar")
 	f.IntVar(&o.Servers, "servers", 6, "booking servers")
-	f.DurationVar(&o.For, "for", 15*time.Second, "how long faults are injected")
+	f.DurationVar(&o.Duration, "for", 15*time.Second, "how long faults are injected")
 	f.StringVar(&out, "json", "", "write the reports to `FILE`")
 	f.StringVar(&programs, "programs", "", "the `FOLDER` of the sidecar's program (default: this program's)")
 	f.BoolVar(&quiet, "quiet", false, "print the outcome alone, not the timeline")
@@ -67,7 +67,7 @@
 			return cmd
 		}
 		if !quiet {
-			o.Tell = func(line string) { fmt.Fprintln(c.OutOrStdout(), line) }
+			o.OnEvent = func(line string) { fmt.Fprintln(c.OutOrStdout(), line) }
 		}
 		return runSoaks(c, o, seeds, out)
 	}
@@ -98,7 +98,7 @@
 		report, err := soaktest.Run(c.Context(), o)
 		if report != nil {
 			reports = append(reports, report)
-			broken += report.Cases
+			broken += report.ViolationCount
 			printSoakReport(c.OutOrStdout(), report)
 		}
 		if err != nil {
@@ -119,12 +119,12 @@
 
 func printSoakReport(w io.Writer, r *soaktest.Report) {
 	var parts []string
-	for _, what := range slices.Sorted(maps.Keys(r.Seen)) {
-		parts = append(parts, fmt.Sprintf("%d %s", r.Seen[what], what))
+	for _, what := range slices.Sorted(maps.Keys(r.Counts)) {
+		parts = append(parts, fmt.Sprintf("%d %s", r.Counts[what], what))
 	}
-	fmt.Fprintf(w, "seed %d, %v, stalled for %v at most: %s\n", r.Seed, r.Took.Round(time.Second), r.Stall.Round(time.Millisecond), strings.Join(parts, ", "))
-	for _, broken := range r.Broken {
+	fmt.Fprintf(w, "seed %d, %v, stalled for %v at most: %s\n", r.Seed, r.Duration.Round(time.Second), r.LongestStall.Round(time.Millisecond), strings.Join(parts, ", "))
+	for _, broken := range r.Violations {
 		fmt.Fprintln(w, "BROKEN:", broken)
 	}
-	fmt.Fprintf(w, "seed %d: %d invariants broken\n", r.Seed, r.Cases)
+	fmt.Fprintf(w, "seed %d: %d invariants broken\n", r.Seed, r.ViolationCount)
 }
--- a/internal/testing/soaktest/client.go
+++ b/internal/testing/soaktest/client.go
@@ -18,75 +18,75 @@
 	"barleywick/internal/testing/loadgen"
 )
 
-// manner is how a client hands one request in.
-type manner int
+// behaviour is how a client sends one request.
+type behaviour int
 
 const (
-	// plain: on the kept connection, at once.
-	plain manner = iota
-	// silentFirst: on a new connection that says nothing for a while.
+	// plain: on the open connection, at once.
+	plain behaviour = iota
+	// silentFirst: on a new connection, after a silence.
 	silentFirst
 	// slowly: in pieces, with pauses.
 	slowly
-	// leaves: it closes its connection before the answer.
+	// leaves: closes its connection before the response.
 	leaves
-	// stops: it sends a part and stays.
+	// stops: sends a part and keeps the connection.
 	stops
-	// halfCloses: it ends its side behind the request and waits for an answer.
+	// halfCloses: closes its side after the request and waits for the response.
 	halfCloses
-	// rests: it lets its connection rest for long before the request.
+	// rests: leaves its connection idle for long before the request.
 	rests
 )
 
-func (m manner) String() string {
+func (m behaviour) String() string {
 	return [...]string{"plain", "silent first", "slowly", "leaves", "stops", "half closes", "rests"}[m]
 }
 
-// The times of clients.
+// Timing of clients.
 const (
-	connectIn      = 2 * time.Second
-	stoppedIn      = 3 * time.Second // by when who stops in the middle is owed its end
-	longestSilence = 1700 * time.Millisecond
-	longestPause   = 350 * time.Millisecond
-	longestThought = 60 * time.Millisecond
-	shortestWait   = 200 * time.Millisecond
+	connectTimeout = 2 * time.Second
+	stoppedTimeout = 3 * time.Second // until a client that stopped midway is owed an end
+	maxSilence     = 1700 * time.Millisecond
+	maxPause       = 350 * time.Millisecond
+	maxThinkTime   = 60 * time.Millisecond
+	minTimeout     = 200 * time.Millisecond
 )
 
-// The bodies of requests: one in so many is long.
+// Bodies of requests: one in longBodyInterval is long.
 const (
 	shortBody, longBody = 200, 60 << 10
-	longBodies          = 6
+	longBodyInterval    = 6
 )
 
-var errClosedBefore = errors.New("closed before the request was whole")
+var errClosedEarly = errors.New("closed before the request was whole")
 
-// client asks one sidecar, one request at a time.
+// client sends requests to one sidecar, one at a time.
 type client struct {
-	sidecar *sidecar
-	ledger  *ledger
-	rng     *rand.Rand
-	name    string
-	conn    *net.TCPConn // kept; nil: none
-	in      *bufio.Reader
-	asked   int
+	sidecar  *sidecar
+	ledger   *ledger
+	rng      *rand.Rand
+	name     string
+	conn     *net.TCPConn // nil: none is open
+	reader   *bufio.Reader
+	requests int
 }
 
-// run asks until ctx ends.
+// run sends requests until ctx ends.
 func (c *client) run(ctx context.Context) {
-	defer c.hangUp()
+	defer c.closeConn()
 	for ctx.Err() == nil {
-		c.once()
-		time.Sleep(c.upTo(longestThought))
+		c.sendRequest()
+		time.Sleep(c.drawUpTo(maxThinkTime))
 	}
 }
 
-// upTo draws a time.
-func (c *client) upTo(most time.Duration) time.Duration {
+// drawUpTo draws a duration below a bound.
+func (c *client) drawUpTo(most time.Duration) time.Duration {
 	return time.Duration(c.rng.Int64N(int64(most)))
 }
 
-// draw chooses a manner: most requests are plain ones.
-func (c *client) draw() manner {
+// drawBehaviour draws a behaviour; most requests are plain.
+func (c *client) drawBehaviour() behaviour {
 	switch n := c.rng.IntN(100); {
 	case n < 70:
 		return plain
@@ -104,69 +104,69 @@
 	return rests
 }
 
-// hangUp closes the kept connection.
-func (c *client) hangUp() {
+// closeConn closes the open connection.
+func (c *client) closeConn() {
 	if c.conn != nil {
 		c.conn.Close()
 		c.conn = nil
 	}
 }
 
-// connect sees to it that there is a connection.
+// connect opens a connection unless one is open.
 func (c *client) connect() error {
-	if c.conn != nil && c.ended() {
-		c.hangUp()
+	if c.conn != nil && c.closedByPeer() {
+		c.closeConn()
 	}
 	if c.conn != nil {
 		return nil
 	}
-	conn, err := net.DialTimeout("tcp", c.sidecar.addr, connectIn)
+	conn, err := net.DialTimeout("tcp", c.sidecar.addr, connectTimeout)
 	if err != nil {
 		return err
 	}
 	c.conn = conn.(*net.TCPConn)
-	c.in = bufio.NewReader(conn)
+	c.reader = bufio.NewReader(conn)
 	return nil
 }
 
-// ended says whether the sidecar has closed the connection by now.
-func (c *client) ended() bool { return loadgen.ClosedByPeer(c.conn) }
+// closedByPeer reports whether the sidecar has closed the connection.
+func (c *client) closedByPeer() bool { return loadgen.ClosedByPeer(c.conn) }
 
-// once hands one request in and follows it to its end.
-func (c *client) once() {
-	how := c.draw()
+// sendRequest hands one request in and follows it to its end.
+func (c *client) sendRequest() {
+	how := c.drawBehaviour()
 	if how == silentFirst {
-		c.hangUp()
+		c.closeConn()
 	}
 	if err := c.connect(); err != nil {
 		time.Sleep(10 * time.Millisecond) // it is being restarted
 		return
 	}
 	if how == silentFirst || how == rests {
-		time.Sleep(c.upTo(longestSilence))
+		time.Sleep(c.drawUpTo(maxSilence))
 	}
 	r, text := c.request()
-	r.how = how
+	r.behaviour = how
 	c.ledger.open(r)
-	c.ledger.saw("clients: " + how.String())
-	if c.ended() { // nothing was written: it goes on a new connection
-		if c.hangUp(); c.connect() != nil {
+	c.ledger.increment("clients: " + how.String())
+	if c.closedByPeer() { // nothing was written: use a new connection
+		if c.closeConn(); c.connect() != nil {
 			return
 		}
 	}
-	c.handIn(r, text, how)
+	c.exchange(r, text, how)
 }
 
-// request makes a new request.
+// request draws a new request and returns it with its text.
 func (c *client) request() (*request, string) {
-	c.asked++
+	c.requests++
 	class := []string{"read", "keyed", "once"}[c.rng.IntN(3)]
 	r := &request{
-		id: fmt.Sprintf("%s-%d", c.name, c.asked), class: class, sidecar: c.sidecar,
-		timeout: (shortestWait + c.upTo(longestDeadline-shortestWait)).Truncate(time.Millisecond),
+		id: fmt.Sprintf("%s-%d", c.name, c.requests), class: class, sidecar: c.sidecar,
+		timeout: (minTimeout + c.drawUpTo(longestDeadline-minTimeout)).Truncate(time.Millisecond),
 	}
 	length := c.rng.IntN(shortBody)
-	if c.rng.IntN(longBodies) == 0 {
+	if c.rng.IntN(longBodyInterval) == 0 {
 		length = c.rng.IntN(longBody)
 	}
 	method, key, body := http.MethodPost, "", strings.Repeat("b", length)
@@ -181,36 +181,36 @@
 	return r, head + body
 }
 
-// handIn writes a request and waits for its end, as the manner has it.
-func (c *client) handIn(r *request, text string, how manner) {
+// exchange writes a request and waits for its end, according to the behaviour.
+func (c *client) exchange(r *request, text string, how behaviour) {
 	if how == stops {
-		c.stop(r, text)
+		c.stopMidway(r, text)
 		return
 	}
 	if err := c.write(r, text, how == slowly); err != nil {
 		c.ledger.update(func() { r.err = err })
-		c.hangUp()
+		c.closeConn()
 		return
 	}
 	switch how {
 	case leaves:
-		time.Sleep(c.upTo(r.timeout))
-		c.ledger.update(func() { r.left = time.Now() })
-		c.hangUp()
+		time.Sleep(c.drawUpTo(r.timeout))
+		c.ledger.update(func() { r.clientGone = time.Now() })
+		c.closeConn()
 		return
 	case halfCloses:
-		_ = c.conn.CloseWrite() // where it fails, the read below tells
+		_ = c.conn.CloseWrite() // a failure shows in the read below
 	}
 	err := c.read(r)
-	if err != nil && c.crossed(r, err) && how != halfCloses {
-		err = c.again(r, text)
+	if err != nil && c.closeCrossedRequest(r, err) && how != halfCloses {
+		err = c.resend(r, text)
 	}
 	if err != nil {
 		c.ledger.update(func() { r.err = err })
-		c.hangUp()
+		c.closeConn()
 	}
 	if how == halfCloses {
-		c.hangUp()
+		c.closeConn()
 	}
 }
 
@@ -223,24 +223,24 @@
 				return err
 			}
 			text = text[n:]
-			time.Sleep(c.upTo(longestPause))
-			if c.ended() {
-				return errClosedBefore
+			time.Sleep(c.drawUpTo(maxPause))
+			if c.closedByPeer() {
+				return errClosedEarly
 			}
 		}
 	}
-	c.ledger.update(func() { r.whole = time.Now() })
+	c.ledger.update(func() { r.complete = time.Now() })
 	if _, err := io.WriteString(c.conn, text); err != nil {
-		c.ledger.update(func() { r.whole = time.Time{} })
+		c.ledger.update(func() { r.complete = time.Time{} })
 		return err
 	}
 	return nil
 }
 
-// read reads the answer.
+// read reads the response.
 func (c *client) read(r *request) error {
-	c.conn.SetReadDeadline(r.whole.Add(r.timeout + answerSlack + holdUp + machineSlack))
-	resp, err := http.ReadResponse(c.in, &http.Request{Method: http.MethodPost})
+	c.conn.SetReadDeadline(r.complete.Add(r.timeout + answerSlack + pauseSlack + machineSlack))
+	resp, err := http.ReadResponse(c.reader, &http.Request{Method: http.MethodPost})
 	if err != nil {
 		return err
 	}
@@ -250,15 +250,15 @@
 	}
 	c.ledger.update(func() { r.status, r.body, r.answered = resp.StatusCode, string(body), time.Now() })
 	if resp.Close {
-		c.hangUp()
+		c.closeConn()
 	}
 	return nil
 }
 
-// crossed says whether a close may have crossed a request that nobody read: the connection
+// closeCrossedRequest reports whether a close may have crossed an unread request: the connection
 // ended without a byte, and no booking server has the request.
-func (c *client) crossed(r *request, err error) bool {
-	if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, unix.ECONNRESET) || c.in.Buffered() > 0 {
+func (c *client) closeCrossedRequest(r *request, err error) bool {
+	if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, unix.ECONNRESET) || c.reader.Buffered() > 0 {
 		return false
 	}
 	sent := false
@@ -266,12 +266,12 @@
 	return !sent
 }
 
-// again sends a request once more on a new connection.
-func (c *client) again(r *request, text string) error {
-	c.hangUp()
-	c.ledger.update(func() { r.resent, r.whole = true, time.Time{} })
+// resend sends a request once more on a new connection.
+func (c *client) resend(r *request, text string) error {
+	c.closeConn()
+	c.ledger.update(func() { r.resent, r.complete = true, time.Time{} })
 	if err := c.connect(); err != nil {
-		return err // the sidecar takes none any more: the request was never whole
+		return err // the sidecar accepts no connection: the request was never complete
 	}
 	if err := c.write(r, text, false); err != nil {
 		return err
@@ -279,17 +279,17 @@
 	return c.read(r)
 }
 
-// stop sends a part of a request and stays; it is owed its end.
-func (c *client) stop(r *request, text string) {
-	defer c.hangUp()
+// stopMidway sends a part of a request and waits for the end that it is owed.
+func (c *client) stopMidway(r *request, text string) {
+	defer c.closeConn()
 	if _, err := io.WriteString(c.conn, text[:1+c.rng.IntN(len(text)-2)]); err != nil {
 		return
 	}
 	begun := time.Now()
-	c.conn.SetReadDeadline(begun.Add(stoppedIn + holdUp + machineSlack))
-	_, err := io.Copy(io.Discard, c.in)
+	c.conn.SetReadDeadline(begun.Add(stoppedTimeout + pauseSlack + machineSlack))
+	_, err := io.Copy(io.Discard, c.reader)
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() && !c.sidecar.killedSince(begun) {
-		c.ledger.broken(InvariantAnswered, "%s stopped in the middle and was left without an end for %v", r.id, time.Since(begun))
+		c.ledger.addViolation(InvariantAnswered, "%s stopped in the middle and was left without an end for %v", r.id, time.Since(begun))
 	}
 }
--- a/internal/testing/soaktest/discovery.go
+++ b/internal/testing/soaktest/discovery.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	keepAliveEvery = 2 * time.Second
-	health         = "up"
-	draining       = "draining"
+	keepAliveInterval = 2 * time.Second
+	healthUp          = "up"
+	healthDraining    = "draining"
 )
 
-// entry is one booking server in discovery's form.
-type entry struct {
+// endpoint is one booking server as discovery lists it.
+type endpoint struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
 	Site   string  `json:"site"`
@@ -30,30 +30,30 @@
 	BornMS int64   `json:"born_ms"`
 }
 
-// listing is an answer of discovery.
-type listing struct {
-	Seq   int     `json:"seq"`
-	Whole bool    `json:"whole"`
-	Hosts []entry `json:"hosts"`
+// listMessage is a response of discovery.
+type listMessage struct {
+	Seq       int        `json:"seq"`
+	Full      bool       `json:"whole"`
+	Endpoints []endpoint `json:"hosts"`
 }
 
-// discovery is a stand-in for the discovery service, reached at two addresses so that a new
+// discovery is a simulated discovery service at two addresses, so that a new
 // configuration can move it.
 type discovery struct {
 	addresses []string
 	servers   []*http.Server
 
-	mu      sync.Mutex
-	seq     int
-	entries []entry
-	changed chan struct{} // closed at each change, and as it goes down
-	down    bool
+	mu        sync.Mutex
+	seq       int
+	endpoints []endpoint
+	changed   chan struct{} // closed at each change, and when it goes down
+	down      bool
 }
 
 func startDiscovery(servers []*server) (*discovery, error) {
 	d := &discovery{seq: 1, changed: make(chan struct{})}
 	for _, s := range servers {
-		d.entries = append(d.entries, entry{Host: s.name, Dial: s.address(), Site: "a", Block: 1, Health: health, Share: 1})
+		d.endpoints = append(d.endpoints, endpoint{Host: s.name, Dial: s.address(), Site: "a", Block: 1, Health: healthUp, Share: 1})
 	}
 	for range 2 {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -78,13 +78,13 @@
 func (d *discovery) set(host, to string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for i := range d.entries {
-		if d.entries[i].Host == host {
-			d.entries[i].Health = to
+	for i := range d.endpoints {
+		if d.endpoints[i].Host == host {
+			d.endpoints[i].Health = to
 		}
 	}
 	d.seq++
-	d.wake()
+	d.notifyWatches()
 }
 
 // setDown ends all watches and refuses calls, or serves again.
@@ -92,23 +92,23 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down = down
-	d.wake()
+	d.notifyWatches()
 }
 
-func (d *discovery) wake() {
+func (d *discovery) notifyWatches() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// now is the whole list at a moment.
-func (d *discovery) now() (l listing, changed <-chan struct{}, down bool) {
+// snapshot returns the full list, a channel that is closed at the next change, and whether discovery is down.
+func (d *discovery) snapshot() (l listMessage, changed <-chan struct{}, down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return listing{Seq: d.seq, Whole: true, Hosts: append([]entry(nil), d.entries...)}, d.changed, d.down
+	return listMessage{Seq: d.seq, Full: true, Endpoints: append([]endpoint(nil), d.endpoints...)}, d.changed, d.down
 }
 
 func (d *discovery) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	list, changed, down := d.now()
+	list, changed, down := d.snapshot()
 	if q.URL.Path != registry.ListPath {
 		http.NotFound(w, q)
 		return
@@ -118,7 +118,7 @@
 	}
 	out := json.NewEncoder(w)
 	if q.URL.Query().Get("watch") == "" {
-		_ = out.Encode(list) // a caller that has left asks again
+		_ = out.Encode(list) // a caller that has left polls again
 		return
 	}
 	if err := d.watch(q.Context(), w, out, list, changed); errors.Is(err, errDown) {
@@ -128,8 +128,8 @@
 
 var errDown = errors.New("discovery is down")
 
-// watch writes the whole list at the begin and at each change.
-func (d *discovery) watch(ctx context.Context, w http.ResponseWriter, out *json.Encoder, list listing, changed <-chan struct{}) error {
+// watch writes the full list at the start and at each change.
+func (d *discovery) watch(ctx context.Context, w http.ResponseWriter, out *json.Encoder, list listMessage, changed <-chan struct{}) error {
 	flush := http.NewResponseController(w).Flush
 	for {
 		if err := out.Encode(list); err != nil {
@@ -142,7 +142,7 @@
 			select {
 			case <-changed:
 				idle = false
-			case <-time.After(keepAliveEvery):
+			case <-time.After(keepAliveInterval):
 				if _, err := w.Write([]byte("\n")); err != nil {
 					return err
 				}
@@ -151,7 +151,7 @@
 			}
 		}
 		var down bool
-		if list, changed, down = d.now(); down {
+		if list, changed, down = d.snapshot(); down {
 			return errDown
 		}
 	}
--- a/internal/testing/soaktest/faults.go
+++ b/internal/testing/soaktest/faults.go
@@ -11,71 +11,71 @@
 type faultKind int
 
 const (
-	faultPlannedEnd faultKind = iota
+	faultGracefulRestart faultKind = iota
 	faultKill
 	faultPause
 	faultReload
-	faultServers
+	faultServerMode
 	faultDrain
 	faultDiscovery
-	faultKinds
+	numFaultKinds
 )
 
-// The times of faults.
+// Timing of faults.
 const (
-	meanGap        = 180 * time.Millisecond // between the begins of two faults, in a fleet of 16
-	gapFleet       = 16
-	longestTrouble = 3500 * time.Millisecond
-	pauseFor       = holdUp
-	startAgainIn   = 200 * time.Millisecond
-	mostDrained    = 3 // part of the servers, as one in so many, that drain at once
+	meanFaultInterval  = 180 * time.Millisecond // between the starts of two faults, in a fleet of referenceFleetSize
+	referenceFleetSize = 16
+	maxFaultDuration   = 3500 * time.Millisecond
+	pauseDuration      = pauseSlack
+	restartDelay       = 200 * time.Millisecond
+	drainedFraction    = 3 // at most one in so many servers drains at once
 )
 
-// playFaults begins faults, several under way at once, until their time is over.
-func (f *fleet) playFaults(ctx context.Context) {
+// injectFaults begins faults, several of them active at once, until their time is over.
+func (f *fleet) injectFaults(ctx context.Context) {
 	rng := f.random("faults", 0)
-	gap := max(meanGap*gapFleet/time.Duration(max(f.Sidecars, gapFleet)), 10*time.Millisecond)
+	gap := max(meanFaultInterval*referenceFleetSize/time.Duration(max(f.Sidecars, referenceFleetSize)), 10*time.Millisecond)
 	drained := make(map[string]bool)
-	for time.Since(f.began) < f.For && ctx.Err() == nil {
+	for time.Since(f.startedAt) < f.Duration && ctx.Err() == nil {
 		time.Sleep(time.Duration(rng.Int64N(int64(2 * gap))))
-		f.begin(ctx, faultKind(rng.IntN(int(faultKinds))), rng, drained)
+		f.beginFault(ctx, faultKind(rng.IntN(int(numFaultKinds))), rng, drained)
 	}
-	f.faults.Wait()
+	f.activeFaults.Wait()
 	for host := range drained {
-		f.discovery.set(host, health)
+		f.discovery.set(host, healthUp)
 		f.ledger.drain(host, false)
 	}
 }
 
-// begin begins one fault.
-func (f *fleet) begin(ctx context.Context, kind faultKind, rng *rand.Rand, drained map[string]bool) {
+// beginFault begins one fault.
+func (f *fleet) beginFault(ctx context.Context, kind faultKind, rng *rand.Rand, drained map[string]bool) {
 	s := f.sidecars[rng.IntN(len(f.sidecars))]
 	server := f.servers[rng.IntN(len(f.servers))]
-	lasts := time.Duration(rng.Int64N(int64(longestTrouble)))
+	lasts := time.Duration(rng.Int64N(int64(maxFaultDuration)))
 	switch kind {
-	case faultPlannedEnd:
+	case faultGracefulRestart:
 		f.restart(ctx, s, true)
 	case faultKill:
-		if rng.IntN(3) == 0 { // the rarer one: it excuses what it cuts off
+		if rng.IntN(3) == 0 { // rarer, as it excuses the requests that it cuts off
 			f.restart(ctx, s, false)
 		}
 	case faultPause:
 		f.pause(s)
 	case faultReload:
 		if !s.isDown() {
-			f.tell("SIGHUP %s", s.name)
-			f.ledger.saw("faults: reload")
+			f.logEvent("SIGHUP %s", s.name)
+			f.ledger.increment("faults: reload")
 			_ = s.process.Signal(syscall.SIGHUP) // it may just have ended
 		}
-	case faultServers:
-		m := mode(1 + rng.IntN(int(modes)-1))
-		f.trouble(ctx, m, rng.IntN(len(f.servers)), 1+rng.IntN(max(1, len(f.servers)*2/3)), lasts)
+	case faultServerMode:
+		m := mode(1 + rng.IntN(int(numModes)-1))
+		f.setServerMode(ctx, m, rng.IntN(len(f.servers)), 1+rng.IntN(max(1, len(f.servers)*2/3)), lasts)
 	case faultDrain:
 		f.drain(server, drained)
 	case faultDiscovery:
-		f.faults.Go(func() {
-			f.tell("discovery goes down for %v", lasts)
-			f.ledger.saw("faults: discovery down")
+		f.activeFaults.Go(func() {
+			f.logEvent("discovery goes down for %v", lasts)
+			f.ledger.increment("faults: discovery down")
 			f.discovery.setDown(true)
 			sleep(ctx, lasts)
 			f.discovery.setDown(false)
@@ -84,100 +84,100 @@
 	}
 }
 
-// restart ends a sidecar, in order or outright, and starts it again.
+// restart ends a sidecar, gracefully or by SIGKILL, and starts it again.
 func (f *fleet) restart(ctx context.Context, s *sidecar, planned bool) {
 	if s.isDown() {
 		return
 	}
-	s.down(!planned)
-	f.faults.Go(func() {
+	s.markDown(!planned)
+	f.activeFaults.Go(func() {
 		if planned {
-			f.plannedEnd(ctx, s)
+			f.gracefulRestart(ctx, s)
 		} else {
-			f.tell("SIGKILL %s", s.name)
-			f.ledger.saw("faults: kill")
+			f.logEvent("SIGKILL %s", s.name)
+			f.ledger.increment("faults: kill")
 			s.process.Kill()
 		}
-		sleep(ctx, startAgainIn)
+		sleep(ctx, restartDelay)
 		if err := s.process.Start(); err != nil {
-			f.ledger.broken(InvariantProcess, "%v", err)
+			f.ledger.addViolation(InvariantProcess, "%v", err)
 			return
 		}
-		ready, cancel := context.WithTimeout(ctx, readyWithin)
+		ready, cancel := context.WithTimeout(ctx, readyTimeout)
 		defer cancel()
 		if err := s.awaitReady(ready); err != nil {
-			f.ledger.broken(InvariantProcess, "%v", err)
+			f.ledger.addViolation(InvariantProcess, "%v", err)
 		}
-		s.up()
+		s.markUp()
 	})
 }
 
-// plannedEnd sends SIGTERM, and SIGKILL when the protocol's time is up.
-func (f *fleet) plannedEnd(ctx context.Context, s *sidecar) {
-	f.tell("SIGTERM %s", s.name)
-	f.ledger.saw("faults: planned end")
+// gracefulRestart sends SIGTERM, and SIGKILL when the protocol's time is over.
+func (f *fleet) gracefulRestart(ctx context.Context, s *sidecar) {
+	f.logEvent("SIGTERM %s", s.name)
+	f.ledger.increment("faults: planned end")
 	began := time.Now()
 	if err := s.process.Signal(syscall.SIGTERM); err != nil {
-		f.ledger.broken(InvariantProcess, "%s has ended by itself: %v", s.name, err)
+		f.ledger.addViolation(InvariantProcess, "%s has ended by itself: %v", s.name, err)
 	}
-	for s.process.Running() && time.Since(began) < killAfter {
+	for s.process.Running() && time.Since(began) < killDelay {
 		if !sleep(ctx, 5*time.Millisecond) {
 			break
 		}
 	}
 	if s.process.Running() {
-		f.tell("SIGKILL %s, which has not ended", s.name)
-		f.ledger.saw("planned ends cut off")
+		f.logEvent("SIGKILL %s, which has not ended", s.name)
+		f.ledger.increment("planned ends cut off")
 		s.process.Kill()
 	}
 }
 
-// pause holds a process up for a moment.
+// pause stops a process for a moment.
 func (f *fleet) pause(s *sidecar) {
-	f.faults.Go(func() {
+	f.activeFaults.Go(func() {
 		if s.process.Signal(syscall.SIGSTOP) != nil {
 			return // it is being restarted
 		}
-		f.ledger.saw("faults: pause")
-		time.Sleep(pauseFor)
+		f.ledger.increment("faults: pause")
+		time.Sleep(pauseDuration)
 		_ = s.process.Signal(syscall.SIGCONT) // it may have been killed meanwhile
 	})
 }
 
-// trouble puts some servers into a mode for a while.
-func (f *fleet) trouble(ctx context.Context, m mode, from, count int, lasts time.Duration) {
-	f.tell("%d servers from %s on: %s for %v", count, f.servers[from].name, m, lasts)
-	f.ledger.saw("faults: server " + m.String())
-	f.faults.Go(func() {
+// setServerMode puts some servers into a mode for a while.
+func (f *fleet) setServerMode(ctx context.Context, m mode, from, count int, lasts time.Duration) {
+	f.logEvent("%d servers from %s on: %s for %v", count, f.servers[from].name, m, lasts)
+	f.ledger.increment("faults: server " + m.String())
+	f.activeFaults.Go(func() {
 		for i := range count {
-			f.servers[(from+i)%len(f.servers)].set(m)
+			f.servers[(from+i)%len(f.servers)].setMode(m)
 		}
 		sleep(ctx, lasts)
 		for i := range count {
-			f.servers[(from+i)%len(f.servers)].set(modeWell)
+			f.servers[(from+i)%len(f.servers)].setMode(modeNormal)
 		}
 	})
 }
 
-// drain lists a server as draining, or takes that back.
+// drain lists a server as draining, or as up again.
 func (f *fleet) drain(s *server, drained map[string]bool) {
 	switch {
 	case drained[s.name]:
 		delete(drained, s.name)
-		f.discovery.set(s.name, health)
+		f.discovery.set(s.name, healthUp)
 		f.ledger.drain(s.name, false)
-	case len(drained) < len(f.servers)/mostDrained:
+	case len(drained) < len(f.servers)/drainedFraction:
 		drained[s.name] = true
 		f.ledger.drain(s.name, true)
-		f.discovery.set(s.name, draining)
+		f.discovery.set(s.name, healthDraining)
 	default:
 		return
 	}
-	f.tell("%s drains: %v", s.name, drained[s.name])
-	f.ledger.saw("faults: drain")
+	f.logEvent("%s drains: %v", s.name, drained[s.name])
+	f.ledger.increment("faults: drain")
 }
 
-// sleep waits, and says whether ctx lasts still.
+// sleep waits and reports whether ctx is still active.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/internal/testing/soaktest/ledger.go
+++ b/internal/testing/soaktest/ledger.go
@@ -8,137 +8,137 @@
 	"time"
 )
 
-// Invariant is one of the rules that the oracle checks.
+// Invariant is one of the rules that are checked.
 type Invariant string
 
 // The invariants.
 const (
-	// InvariantAnswered: each request that became whole gets one whole answer in its time.
+	// InvariantAnswered: each complete request gets one complete response in its time.
 	InvariantAnswered Invariant = "answered"
-	// InvariantOwn: a 200 holds what a booking server made for this very request.
-	InvariantOwn Invariant = "own answer"
-	// InvariantLeft: no attempt begins after its client has left or its time is over.
-	InvariantLeft Invariant = "nothing after the end"
-	// InvariantOnce: an unsafe request runs once; a keyed one is repeated in its window alone.
-	InvariantOnce Invariant = "no duplicate"
-	// InvariantRefusal: what is refused has had no effect.
+	// InvariantOwnResponse: a response 200 holds what a booking server made for this request.
+	InvariantOwnResponse Invariant = "own answer"
+	// InvariantNothingAfterEnd: no attempt begins after its client has left or its deadline.
+	InvariantNothingAfterEnd Invariant = "nothing after the end"
+	// InvariantNoDuplicate: a non-idempotent request runs once; one with a key is repeated only within its window.
+	InvariantNoDuplicate Invariant = "no duplicate"
+	// InvariantRefusal: a refused request has had no effect.
 	InvariantRefusal Invariant = "true refusal"
-	// InvariantDrain: nothing new comes to a server that drains once that is told and the grace is over.
+	// InvariantDrain: a draining server gets no new requests once sidecars are notified and the grace is over.
 	InvariantDrain Invariant = "drain"
-	// InvariantDeadline: the deadline told to a server is no more than the client has left.
-	InvariantDeadline Invariant = "deadline told"
-	// InvariantProcess: a process ends when it is told to, in time, and not before.
+	// InvariantDeadlineHeader: the deadline sent to a server is no more than the client has left.
+	InvariantDeadlineHeader Invariant = "deadline told"
+	// InvariantProcess: a process ends after SIGTERM in time, and not before.
 	InvariantProcess Invariant = "process"
-	// InvariantOwnCount: a sidecar's own checks have counted no violation.
-	InvariantOwnCount Invariant = "own checks"
+	// InvariantOwnChecks: a sidecar's own checks have counted no violation.
+	InvariantOwnChecks Invariant = "own checks"
 )
 
-// Slack of the oracle, beside what the protocol allows.
+// Tolerances of the checks, in addition to what the protocol allows.
 const (
-	// holdUp is for how long a process may be held up between reading its clock and writing.
-	holdUp = 150 * time.Millisecond
+	// pauseSlack is how long a process may be paused between reading its clock and writing.
+	pauseSlack = 150 * time.Millisecond
 	// machineSlack is for the scheduling of some hundred processes on one machine.
 	machineSlack = 100 * time.Millisecond
-	// readSlack is for what lies in a slow reader's buffer already.
+	// readSlack is for bytes that are in a slow reader's buffer.
 	readSlack = 3 * slowPause
-	// leftSlack is the protocol's time after a client's close.
-	leftSlack = 100 * time.Millisecond
-	// deadlineSlack is the protocol's slack for the deadline told.
+	// clientGoneSlack is the protocol's tolerance after a client's close.
+	clientGoneSlack = 100 * time.Millisecond
+	// deadlineSlack is the protocol's tolerance for the deadline header.
 	deadlineSlack = 150 * time.Millisecond
-	// answerSlack is how much later than its time an answer may still come.
+	// answerSlack is how long past its deadline a response may still arrive.
 	answerSlack = 500 * time.Millisecond
-	// toldWithin is when a change counts as told at the latest.
-	toldWithin = 6 * time.Second
+	// notificationDeadline is when a change counts as notified at the latest.
+	notificationDeadline = 6 * time.Second
 )
 
-// trace says whether an attempt may have had an effect.
-type trace int
+// attemptResult says whether an attempt may have had an effect.
+type attemptResult int
 
 const (
-	inWork trace = iota
+	running attemptResult = iota
 	mayHaveRun
 	neverRan
 )
 
-// attempt is one request at one booking server, as that saw it.
+// attempt is one request at one booking server, as the server observed it.
 type attempt struct {
-	ledger   *ledger
-	id       string
-	server   string
-	began    time.Time // its first byte
-	whole    time.Time // its last byte
-	told     time.Duration
-	trace    trace
-	finished time.Time
+	ledger    *ledger
+	id        string
+	server    string
+	firstByte time.Time // time of its first byte
+	complete  time.Time // time of its last byte
+	deadline  time.Duration
+	result    attemptResult
+	finished  time.Time
 }
 
-func (a *attempt) end(t trace) {
+func (a *attempt) end(t attemptResult) {
 	a.ledger.mu.Lock()
 	defer a.ledger.mu.Unlock()
-	a.trace, a.finished = t, time.Now()
+	a.result, a.finished = t, time.Now()
 }
 
-// request is one request of a client with all that is known of it.
+// request is one request of a client with everything observed of it.
 type request struct {
 	id, class string
 	sidecar   *sidecar
 	timeout   time.Duration
-	how       manner
-	// whole is when its last byte was written; zero: it never was.
-	whole time.Time
-	// left is when the client closed its connection; zero: it did not.
-	left     time.Time
-	attempts []*attempt
-	status   int // of its answer; 0: none
-	body     string
-	answered time.Time
-	resent   bool // once more on a new connection, as a close crossed it
-	err      error
+	behaviour behaviour
+	// complete is when its last byte was written; zero: it was not.
+	complete time.Time
+	// clientGone is when the client closed its connection; zero: it did not.
+	clientGone time.Time
+	attempts   []*attempt
+	status     int // of its response; 0: none
+	body       string
+	answered   time.Time
+	resent     bool // sent again on a new connection, as a close crossed it
+	err        error
 }
 
-// drainSpan is a time in which a server was listed as draining.
-type drainSpan struct {
-	server     string
-	from, till time.Time // till is zero while it lasts
+// drainPeriod is a time in which a server was listed as draining.
+type drainPeriod struct {
+	server      string
+	from, until time.Time // till is zero while it lasts
 }
 
-// ledger keeps every request and what became of it.
+// ledger records every request and its outcome.
 type ledger struct {
-	mu       sync.Mutex
-	requests map[string]*request
-	drains   []drainSpan
-	returns  []time.Time // when discovery could be reached again
-	seen     map[string]int
-	cases    []Case
-	count    int
+	mu             sync.Mutex
+	requests       map[string]*request
+	drains         []drainPeriod
+	discoveryBack  []time.Time // when discovery became reachable again
+	counts         map[string]int
+	violations     []Violation
+	violationCount int
 }
 
 func newLedger() *ledger {
-	return &ledger{requests: make(map[string]*request), seen: make(map[string]int)}
+	return &ledger{requests: make(map[string]*request), counts: make(map[string]int)}
 }
 
-// saw counts something.
-func (l *ledger) saw(what string) {
+// increment counts an event.
+func (l *ledger) increment(what string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.seen[what]++
+	l.counts[what]++
 }
 
-// broken notes a broken invariant.
-func (l *ledger) broken(i Invariant, format string, args ...any) {
+// addViolation records a violation of an invariant.
+func (l *ledger) addViolation(i Invariant, format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.brokenLocked(i, format, args...)
+	l.addViolationLocked(i, format, args...)
 }
 
-func (l *ledger) brokenLocked(i Invariant, format string, args ...any) {
-	l.seen[fmt.Sprint("broken: ", i)]++
-	if l.count++; len(l.cases) < maxReportedCases {
-		l.cases = append(l.cases, Case{i, fmt.Sprintf(format, args...)})
+func (l *ledger) addViolationLocked(i Invariant, format string, args ...any) {
+	l.counts[fmt.Sprint("broken: ", i)]++
+	if l.violationCount++; len(l.violations) < maxReportedViolations {
+		l.violations = append(l.violations, Violation{i, fmt.Sprintf(format, args...)})
 	}
 }
 
-// open takes a new request in.
+// open adds a new request.
 func (l *ledger) open(r *request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -152,7 +152,7 @@
 	change()
 }
 
-// attempt notes a request that came whole to a server; nil: nobody sent it.
+// attempt records a complete request at a server; nil: no client sent it.
 func (l *ledger) attempt(id, server string, began time.Time, told time.Duration) *attempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -160,38 +160,38 @@
 	if r == nil {
 		return nil
 	}
-	a := &attempt{ledger: l, id: id, server: server, began: began, whole: time.Now(), told: told}
+	a := &attempt{ledger: l, id: id, server: server, firstByte: began, complete: time.Now(), deadline: told}
 	r.attempts = append(r.attempts, a)
-	l.seen["attempts"]++
+	l.counts["attempts"]++
 	return a
 }
 
-// drain notes that discovery lists a server as draining, or no more.
+// drain records that discovery lists a server as draining, or no longer does.
 func (l *ledger) drain(server string, drains bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if drains {
-		l.drains = append(l.drains, drainSpan{server: server, from: time.Now()})
+		l.drains = append(l.drains, drainPeriod{server: server, from: time.Now()})
 		return
 	}
 	for i := range l.drains {
-		if d := &l.drains[i]; d.server == server && d.till.IsZero() {
-			d.till = time.Now()
+		if d := &l.drains[i]; d.server == server && d.until.IsZero() {
+			d.until = time.Now()
 		}
 	}
 }
 
-// discoveryReturned notes that discovery can be reached again.
+// discoveryReturned records that discovery is reachable again.
 func (l *ledger) discoveryReturned() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.returns = append(l.returns, time.Now())
+	l.discoveryBack = append(l.discoveryBack, time.Now())
 }
 
-// reachable is since when discovery, which had something to tell from a moment on, could be reached
-// without a break until another.
-func (l *ledger) reachable(from, until time.Time) time.Time {
-	for _, back := range l.returns {
+// reachableSince returns since when discovery, which had a change from one time on, has been reachable
+// without interruption until another.
+func (l *ledger) reachableSince(from, until time.Time) time.Time {
+	for _, back := range l.discoveryBack {
 		if back.After(from) && back.Before(until) {
 			from = back
 		}
@@ -199,130 +199,130 @@
 	return from
 }
 
-// judge checks all invariants on all that was seen.
-func (l *ledger) judge(logs map[string]string) {
+// check checks all invariants on everything that was recorded.
+func (l *ledger) check(logs map[string]string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range l.requests {
-		l.judgeAnswer(r)
-		l.judgeAttempts(r)
+		l.checkResponse(r)
+		l.checkAttempts(r)
 	}
 	for name, log := range logs {
 		if n := strings.Count(log, violationMark); n > 0 {
 			at := strings.Index(log, violationMark)
 			line, _, _ := strings.Cut(log[at:], "\n")
-			l.brokenLocked(InvariantOwnCount, "%s has counted %d: %s", name, n, line)
+			l.addViolationLocked(InvariantOwnChecks, "%s has counted %d: %s", name, n, line)
 		}
 		if strings.Contains(log, "panic:") || strings.Contains(log, "DATA RACE") {
-			l.brokenLocked(InvariantProcess, "%s has crashed or raced", name)
+			l.addViolationLocked(InvariantProcess, "%s has crashed or raced", name)
 		}
 	}
 }
 
-// violationMark is what a sidecar logs where its own check finds a broken rule.
+// violationMark is the log message of a sidecar whose own check finds a violation.
 const violationMark = "rule violated"
 
-// judgeAnswer checks what the client got.
-func (l *ledger) judgeAnswer(r *request) {
-	if r.whole.IsZero() {
-		l.seen["requests never whole"]++
+// checkResponse checks what the client received.
+func (l *ledger) checkResponse(r *request) {
+	if r.complete.IsZero() {
+		l.counts["requests never whole"]++
 		return
 	}
-	l.seen["requests"]++
+	l.counts["requests"]++
 	if r.resent {
-		l.seen["requests sent once more"]++
+		l.counts["requests sent once more"]++
 	}
-	killed := r.sidecar.killedSince(r.whole)
+	killed := r.sidecar.killedSince(r.complete)
 	switch {
-	case r.status == 0 && !r.left.IsZero():
-		l.seen["clients that left"]++
+	case r.status == 0 && !r.clientGone.IsZero():
+		l.counts["clients that left"]++
 	case r.status == 0 && killed:
-		l.seen["requests of a killed sidecar"]++
+		l.counts["requests of a killed sidecar"]++
 	case r.status == 0:
-		l.brokenLocked(InvariantAnswered, "%s of %s, %v, %d attempts: %v", r.id, r.class, r.how, len(r.attempts), r.err)
-	case r.answered.Sub(r.whole) > r.timeout+answerSlack+holdUp:
-		l.brokenLocked(InvariantAnswered, "%s: its answer took %v of %v", r.id, r.answered.Sub(r.whole), r.timeout)
+		l.addViolationLocked(InvariantAnswered, "%s of %s, %v, %d attempts: %v", r.id, r.class, r.behaviour, len(r.attempts), r.err)
+	case r.answered.Sub(r.complete) > r.timeout+answerSlack+pauseSlack:
+		l.addViolationLocked(InvariantAnswered, "%s: its answer took %v of %v", r.id, r.answered.Sub(r.complete), r.timeout)
 	default:
-		l.seen[fmt.Sprint("answers ", r.status)]++
+		l.counts[fmt.Sprint("answers ", r.status)]++
 	}
 	if r.status == 200 && r.body != "done "+r.id {
-		l.brokenLocked(InvariantOwn, "%s of %s got %q", r.id, r.class, r.body)
+		l.addViolationLocked(InvariantOwnResponse, "%s of %s got %q", r.id, r.class, r.body)
 	}
 	if r.status == 503 || r.status == 429 {
 		for _, a := range r.attempts {
-			if a.trace != neverRan && r.class == "once" {
-				l.brokenLocked(InvariantRefusal, "%s was refused, and %s had it", r.id, a.server)
+			if a.result != neverRan && r.class == "once" {
+				l.addViolationLocked(InvariantRefusal, "%s was refused, and %s had it", r.id, a.server)
 			}
 		}
 	}
 }
 
-// judgeAttempts checks what booking servers got.
-func (l *ledger) judgeAttempts(r *request) {
+// checkAttempts checks what booking servers received.
+func (l *ledger) checkAttempts(r *request) {
 	var ran []*attempt
 	for _, a := range r.attempts {
-		if a.trace != neverRan {
+		if a.result != neverRan {
 			ran = append(ran, a)
 		}
-		l.judgeMoment(r, a)
-		l.judgeDrain(a)
+		l.checkAttemptTime(r, a)
+		l.checkDrain(a)
 	}
 	for i, a := range ran {
 		switch {
 		case i == 0:
 		case r.class == "once":
-			l.brokenLocked(InvariantOnce, "%s came %d times to servers", r.id, len(ran))
-		case r.class == "keyed" && a.whole.Sub(ran[0].whole) > repeatWindow+machineSlack/2:
-			l.brokenLocked(InvariantOnce, "%s was repeated %v after its first attempt", r.id, a.whole.Sub(ran[0].whole))
+			l.addViolationLocked(InvariantNoDuplicate, "%s came %d times to servers", r.id, len(ran))
+		case r.class == "keyed" && a.complete.Sub(ran[0].complete) > repeatWindow+machineSlack/2:
+			l.addViolationLocked(InvariantNoDuplicate, "%s was repeated %v after its first attempt", r.id, a.complete.Sub(ran[0].complete))
 		}
 	}
-	if len(r.attempts) > mostAttempts {
-		l.brokenLocked(InvariantOnce, "%s came %d times to servers", r.id, len(r.attempts))
+	if len(r.attempts) > maxAttempts {
+		l.addViolationLocked(InvariantNoDuplicate, "%s came %d times to servers", r.id, len(r.attempts))
 	}
 }
 
-// judgeMoment checks that an attempt came while its client waited.
-func (l *ledger) judgeMoment(r *request, a *attempt) {
-	if r.whole.IsZero() {
-		if !r.left.IsZero() || r.err != nil {
-			return // the write that failed may have been read to its end
+// checkAttemptTime checks that an attempt arrived while its client waited.
+func (l *ledger) checkAttemptTime(r *request, a *attempt) {
+	if r.complete.IsZero() {
+		if !r.clientGone.IsZero() || r.err != nil {
+			return // a failed write may still have been read completely
 		}
-		l.brokenLocked(InvariantLeft, "%s was forwarded and never whole", r.id)
+		l.addViolationLocked(InvariantNothingAfterEnd, "%s was forwarded and never whole", r.id)
 		return
 	}
-	over := r.whole.Add(r.timeout)
-	if !r.left.IsZero() && r.left.Add(leftSlack).Before(over) {
-		over = r.left.Add(leftSlack)
+	over := r.complete.Add(r.timeout)
+	if !r.clientGone.IsZero() && r.clientGone.Add(clientGoneSlack).Before(over) {
+		over = r.clientGone.Add(clientGoneSlack)
 	}
 	if !r.answered.IsZero() && r.answered.Before(over) {
 		over = r.answered
 	}
-	if late := a.whole.Sub(over); late > holdUp+machineSlack+readSlack {
-		l.brokenLocked(InvariantLeft, "%s of %s, %v, came to %s %v after it had ended (begun %v after it was whole; status %d, %v given, left %v)",
-			r.id, r.class, r.how, a.server, late, a.began.Sub(r.whole), r.status, r.timeout, !r.left.IsZero())
+	if late := a.complete.Sub(over); late > pauseSlack+machineSlack+readSlack {
+		l.addViolationLocked(InvariantNothingAfterEnd, "%s of %s, %v, came to %s %v after it had ended (begun %v after it was whole; status %d, %v given, left %v)",
+			r.id, r.class, r.behaviour, a.server, late, a.firstByte.Sub(r.complete), r.status, r.timeout, !r.clientGone.IsZero())
 	}
-	left := r.timeout - a.began.Sub(r.whole)
-	if more := a.told - left; more > deadlineSlack+machineSlack/2 {
-		l.brokenLocked(InvariantDeadline, "%s: %s was told %v, the client has %v left", r.id, a.server, a.told, left)
+	left := r.timeout - a.firstByte.Sub(r.complete)
+	if more := a.deadline - left; more > deadlineSlack+machineSlack/2 {
+		l.addViolationLocked(InvariantDeadlineHeader, "%s: %s was told %v, the client has %v left", r.id, a.server, a.deadline, left)
 	}
 }
 
-// judgeDrain checks that no attempt came to a server that drains for long.
-func (l *ledger) judgeDrain(a *attempt) {
+// checkDrain checks that no attempt came to a draining server after the grace.
+func (l *ledger) checkDrain(a *attempt) {
 	for _, d := range l.drains {
-		if d.server != a.server || !d.till.IsZero() && a.began.After(d.till) {
+		if d.server != a.server || !d.until.IsZero() && a.firstByte.After(d.until) {
 			continue
 		}
-		told := l.reachable(d.from, a.began).Add(toldWithin)
-		if late := a.began.Sub(told.Add(drainGrace)); late > machineSlack {
-			l.brokenLocked(InvariantDrain, "%s came to %s %v after the grace", a.id, a.server, late)
+		told := l.reachableSince(d.from, a.firstByte).Add(notificationDeadline)
+		if late := a.firstByte.Sub(told.Add(drainGrace)); late > machineSlack {
+			l.addViolationLocked(InvariantDrain, "%s came to %s %v after the grace", a.id, a.server, late)
 		}
 	}
 }
 
-// result is what was seen and what was broken.
-func (l *ledger) result() (seen map[string]int, cases []Case, count int) {
+// result returns the counts and the violations.
+func (l *ledger) result() (seen map[string]int, cases []Violation, count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return maps.Clone(l.seen), append([]Case(nil), l.cases...), l.count
+	return maps.Clone(l.counts), append([]Violation(nil), l.violations...), l.violationCount
 }
--- a/internal/testing/soaktest/server.go
+++ b/internal/testing/soaktest/server.go
@@ -17,39 +17,39 @@
 	"golang.org/x/sys/unix"
 )
 
-// mode is how a booking server acts.
+// mode is how a booking server behaves.
 type mode int
 
 const (
-	// modeWell: it answers each request once, in 1 to 40 ms.
-	modeWell mode = iota
-	// modeHang: it takes requests and answers none of them until the mode ends.
+	// modeNormal: answers each request once, in 1 to 40 ms.
+	modeNormal mode = iota
+	// modeHang: accepts requests and answers none of them until the mode ends.
 	modeHang
-	// modeTwice: each answer comes a second time, 1 to 150 ms later.
-	modeTwice
-	// modeReset: connections are reset under requests, before or in the middle of the answer.
+	// modeDuplicate: sends each response a second time, 1 to 150 ms later.
+	modeDuplicate
+	// modeReset: resets connections under requests, before or in the middle of the response.
 	modeReset
-	// modeRefuse: it turns requests away, or fails them.
+	// modeRefuse: rejects requests, or fails them.
 	modeRefuse
-	// modeClose: connections end shortly after an answer.
+	// modeClose: closes connections shortly after a response.
 	modeClose
-	// modeSlowRead: it reads what comes in pieces, with pauses.
+	// modeSlowRead: reads in pieces, with pauses.
 	modeSlowRead
-	modes // how many there are
+	numModes // number of modes
 )
 
 func (m mode) String() string {
 	return [...]string{"well", "hangs", "answers twice", "resets", "refuses", "closes", "reads slowly"}[m]
 }
 
-// A slow reader takes a piece at a time, out of a buffer that holds little more.
+// A slow reader reads a piece at a time, out of a buffer that holds little more.
 const (
 	slowPiece  = 4 << 10
 	slowPause  = 60 * time.Millisecond
 	readBuffer = 4 << 10
 )
 
-// server is a booking server: it writes raw answers and notes when each request came.
+// server is a booking server that writes raw responses and records when each request arrived.
 type server struct {
 	name     string
 	listener net.Listener
@@ -59,7 +59,7 @@
 	mu      sync.Mutex
 	rng     *rand.Rand
 	mode    mode
-	changed chan struct{} // closed as the mode changes
+	changed chan struct{} // closed when the mode changes
 	conns   map[net.Conn]bool
 	closed  bool
 }
@@ -75,7 +75,7 @@
 	return s, nil
 }
 
-// smallBuffers bounds what the kernel takes for a server before that reads; connections inherit it.
+// smallBuffers bounds what the kernel buffers for a server; connections inherit it.
 func smallBuffers(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
@@ -89,7 +89,7 @@
 // close ends the server and all of its connections.
 func (s *server) close() {
 	s.listener.Close()
-	s.set(modeWell)
+	s.setMode(modeNormal)
 	s.mu.Lock()
 	s.closed = true
 	for c := range s.conns {
@@ -99,8 +99,8 @@
 	s.tasks.Wait()
 }
 
-// set changes how the server acts from now on.
-func (s *server) set(m mode) {
+// setMode changes how the server behaves from now on.
+func (s *server) setMode(m mode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode = m
@@ -157,7 +157,7 @@
 	}
 }
 
-// readBody reads a request's body, slowly where the mode says so, and says whether it came whole.
+// readBody reads a request's body, slowly where the mode says so, and reports whether it was complete.
 func (s *server) readBody(body io.Reader) bool {
 	s.mu.Lock()
 	slow := s.mode == modeSlowRead
@@ -177,7 +177,7 @@
 	}
 }
 
-// answer acts by the mode, and says whether the connection goes on.
+// answer responds according to the mode and reports whether the connection stays open.
 func (s *server) answer(c net.Conn, a *attempt) bool {
 	s.mu.Lock()
 	m, changed := s.mode, s.changed
@@ -188,7 +188,7 @@
 	text := "done " + a.id
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	if m == modeHang {
-		<-changed // its answer comes late, as one of a server that was stopped
+		<-changed // the response comes late, as from a server that was stopped
 	} else {
 		time.Sleep(work)
 	}
@@ -212,11 +212,11 @@
 		return false
 	}
 	switch {
-	case m == modeTwice:
+	case m == modeDuplicate:
 		s.tasks.Go(func() {
 			time.Sleep(again)
 			if _, err := io.WriteString(c, whole); err == nil {
-				s.ledger.saw("second answers written")
+				s.ledger.increment("second answers written")
 			}
 		})
 	case m == modeClose && coin < 2:
--- a/internal/testing/soaktest/sidecar.go
+++ b/internal/testing/soaktest/sidecar.go
@@ -14,25 +14,25 @@
 	"barleywick/internal/testing/faultinjection"
 )
 
-// The settings' figures that the oracle holds the fleet to.
+// Figures of the settings that the checks rely on.
 const (
 	drainGrace   = 3 * time.Second
 	repeatWindow = 1200 * time.Millisecond
-	mostAttempts = 3
+	maxAttempts  = 3
 )
 
-// sidecar is one process under test with what its clients know of it.
+// sidecar is one process under test.
 type sidecar struct {
 	name, addr, config string
 	process            *faultinjection.Process
 
 	mu       sync.Mutex
-	killedAt time.Time // the last kill outright, planned ends not counted; zero: none
-	lives    int       // how often it was started
-	downAt   time.Time // since when it ends or is gone; zero: it serves
+	killedAt time.Time // the last SIGKILL without a graceful end; zero: none
+	starts   int       // number of starts
+	downAt   time.Time // since when it is ending or has ended; zero: it serves
 }
 
-// loopbackAddress is an address of a sidecar's own: nobody else of the run is at its host.
+// loopbackAddress returns an address whose host no other part of the run uses.
 func loopbackAddress(index int) string {
 	for port := 20000 + os.Getpid()%20000; ; port++ {
 		address := fmt.Sprintf("127.%d.%d.%d:%d", 60+os.Getpid()%60, 1+index/200, 1+index%200, port)
@@ -43,15 +43,15 @@
 	}
 }
 
-// class is a class of requests in the settings' form.
-type class struct {
-	Name      string `json:"name"`
-	Semantics string `json:"semantics"`
-	Scope     string `json:"dedup_scope,omitempty"`
-	WindowMS  int64  `json:"window_ms,omitempty"`
-	AimMS     int64  `json:"aim_ms"`
-	LimitMS   int64  `json:"hard_limit_ms"`
-	Worth     int    `json:"worth"`
+// classSettings is a class of requests in the form of the settings.
+type classSettings struct {
+	Name        string `json:"name"`
+	Semantics   string `json:"semantics"`
+	Scope       string `json:"dedup_scope,omitempty"`
+	WindowMS    int64  `json:"window_ms,omitempty"`
+	ObjectiveMS int64  `json:"aim_ms"`
+	DeadlineMS  int64  `json:"hard_limit_ms"`
+	Weight      int    `json:"worth"`
 }
 
 func (s *sidecar) writeConfig(seed uint64, sidecars int, discovery string) error {
@@ -59,13 +59,13 @@
 	settings := map[string]any{
 		"balancers": sidecars, "discovery": "push", "zones": []string{"a"},
 		"caps": map[string]any{
-			"may_cancel": seed%3 != 0, "probes": false, "most_tries": mostAttempts, "dial_timeout_ms": 250,
+			"may_cancel": seed%3 != 0, "probes": false, "most_tries": maxAttempts, "dial_timeout_ms": 250,
 			"conn_idle_ms": 30000, "max_retry_after_ms": 300,
 		},
-		"classes": []class{
-			{Name: "read", Semantics: "free", AimMS: limit / 2, LimitMS: limit, Worth: 1},
-			{Name: "keyed", Semantics: "guarded", Scope: "all", WindowMS: repeatWindow.Milliseconds(), AimMS: limit / 2, LimitMS: limit, Worth: 1},
-			{Name: "once", Semantics: "single_shot", AimMS: limit / 2, LimitMS: limit, Worth: 1},
+		"classes": []classSettings{
+			{Name: "read", Semantics: "free", ObjectiveMS: limit / 2, DeadlineMS: limit, Weight: 1},
+			{Name: "keyed", Semantics: "guarded", Scope: "all", WindowMS: repeatWindow.Milliseconds(), ObjectiveMS: limit / 2, DeadlineMS: limit, Weight: 1},
+			{Name: "once", Semantics: "single_shot", ObjectiveMS: limit / 2, DeadlineMS: limit, Weight: 1},
 		},
 		"rules": map[string]any{"cold_from": 0.9, "cold_ms": 100, "fall_multiple": 3, "drain_grace_ms": drainGrace.Milliseconds()},
 	}
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// awaitReady waits until the process says that it is ready.
+// awaitReady waits until the process reports that it is ready.
 func (s *sidecar) awaitReady(ctx context.Context) error {
 	for {
 		if s.isReady(ctx) {
@@ -112,8 +112,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// down notes that it ends or is gone, and killed that it was killed outright just then.
-func (s *sidecar) down(killed bool) {
+// markDown records that the process is ending, and whether it is being killed.
+func (s *sidecar) markDown(killed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.downAt = time.Now()
@@ -122,22 +122,22 @@
 	}
 }
 
-// up notes that it serves again.
-func (s *sidecar) up() {
+// markUp records that the process serves again.
+func (s *sidecar) markUp() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.downAt = time.Time{}
-	s.lives++
+	s.starts++
 }
 
-// isDown says whether it ends or is gone.
+// isDown reports whether the process is ending or has ended.
 func (s *sidecar) isDown() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.downAt.IsZero()
 }
 
-// killedSince says whether it was killed outright after a moment.
+// killedSince reports whether the process was killed after a time.
 func (s *sidecar) killedSince(t time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testing/soaktest/soak.go
+++ b/internal/testing/soaktest/soaktest.go
@@ -18,83 +18,83 @@
 	"barleywick/internal/testing/faultinjection"
 )
 
-// Options say what is run.
+// Options configure a run.
 type Options struct {
 	Seed     uint64
 	Sidecars int           // processes
 	Clients  int           // beside each sidecar
 	Servers  int           // booking servers
-	For      time.Duration // how long faults begin
+	Duration time.Duration // how long faults are injected
 	// Command makes the command of a sidecar that reads the configuration file.
 	Command func(config string) *exec.Cmd
-	// Tell takes each line of the timeline as it happens; nil: nobody does.
-	Tell func(line string)
+	// OnEvent is called with each line of the timeline; it may be nil.
+	OnEvent func(line string)
 }
 
 const (
-	longestDeadline  = 1900 * time.Millisecond // of all classes of the site
-	killAfter        = longestDeadline + 700*time.Millisecond
-	readyWithin      = 20 * time.Second
-	mostSidecars     = 320
-	mostClients      = 16
-	mostServers      = 64
-	mostLength       = time.Hour
-	maxReportedCases = 200 // of broken invariants, and of lines of the timeline
-	maxTimeline      = 5000
+	longestDeadline       = 1900 * time.Millisecond // of all classes of the site
+	killDelay             = longestDeadline + 700*time.Millisecond
+	readyTimeout          = 20 * time.Second
+	maxSidecars           = 320
+	maxClients            = 16
+	maxServers            = 64
+	maxDuration           = time.Hour
+	maxReportedViolations = 200 // bounds of the report
+	maxTimeline           = 5000
 )
 
-// Check says what is wrong with the options.
+// Check returns an error that names the first option that is out of range.
 func (o Options) Check() error {
 	switch {
-	case o.Sidecars < 1 || o.Sidecars > mostSidecars:
-		return fmt.Errorf("sidecars is %d, 1 to %d are possible", o.Sidecars, mostSidecars)
-	case o.Clients < 1 || o.Clients > mostClients:
-		return fmt.Errorf("clients is %d, 1 to %d are possible", o.Clients, mostClients)
-	case o.Servers < 2 || o.Servers > mostServers:
-		return fmt.Errorf("servers is %d, 2 to %d are possible", o.Servers, mostServers)
-	case o.For < time.Second || o.For > mostLength:
-		return fmt.Errorf("for is %v, 1 s to %v are possible", o.For, mostLength)
+	case o.Sidecars < 1 || o.Sidecars > maxSidecars:
+		return fmt.Errorf("sidecars is %d, 1 to %d are possible", o.Sidecars, maxSidecars)
+	case o.Clients < 1 || o.Clients > maxClients:
+		return fmt.Errorf("clients is %d, 1 to %d are possible", o.Clients, maxClients)
+	case o.Servers < 2 || o.Servers > maxServers:
+		return fmt.Errorf("servers is %d, 2 to %d are possible", o.Servers, maxServers)
+	case o.Duration < time.Second || o.Duration > maxDuration:
+		return fmt.Errorf("for is %v, 1 s to %v are possible", o.Duration, maxDuration)
 	}
 	return nil
 }
 
-// Report is what a run saw.
+// Report is the result of a run.
 type Report struct {
-	Seed     uint64         `json:"Seed"`
-	Took     time.Duration  `json:"Took"`
-	Seen     map[string]int `json:"Seen"`   // how often each thing was seen
-	Broken   []Case         `json:"Broken"` // the first of them
-	Cases    int            `json:"Cases"`  // all of them
-	Timeline []string       `json:"Timeline"`
-	// Stall is the longest time for which this process itself was not scheduled.
-	Stall time.Duration `json:"Stall"`
+	Seed           uint64         `json:"Seed"`
+	Duration       time.Duration  `json:"Took"`
+	Counts         map[string]int `json:"Seen"`   // how often each event was observed
+	Violations     []Violation    `json:"Broken"` // the first ones
+	ViolationCount int            `json:"Cases"`  // all of them
+	Timeline       []string       `json:"Timeline"`
+	// LongestStall is the longest time for which this process was not scheduled.
+	LongestStall time.Duration `json:"Stall"`
 }
 
-// Case is one broken invariant.
-type Case struct {
+// Violation is one violation of an invariant.
+type Violation struct {
 	Invariant Invariant `json:"Invariant"`
 	Detail    string    `json:"Detail"`
 }
 
-func (c Case) String() string { return fmt.Sprintf("%s: %s", c.Invariant, c.Detail) }
+func (c Violation) String() string { return fmt.Sprintf("%s: %s", c.Invariant, c.Detail) }
 
-// fleet is one run.
+// fleet is a run under way.
 type fleet struct {
 	Options
-	folder    string
-	began     time.Time
-	ledger    *ledger
-	discovery *discovery
-	servers   []*server
-	sidecars  []*sidecar
-	tasks     sync.WaitGroup // clients
-	faults    sync.WaitGroup // faults under way
+	dir          string
+	startedAt    time.Time
+	ledger       *ledger
+	discovery    *discovery
+	servers      []*server
+	sidecars     []*sidecar
+	clientTasks  sync.WaitGroup // clients
+	activeFaults sync.WaitGroup // active faults
 
 	mu       sync.Mutex
 	timeline []string
 }
 
-// Run runs a soak until its faults are over and every request has had its time.
+// Run runs a soak test until its faults are over and every request has ended.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -104,14 +104,14 @@
 		return nil, fmt.Errorf("make a folder: %w", err)
 	}
 	defer os.RemoveAll(folder)
-	f := &fleet{Options: o, folder: folder, began: time.Now(), ledger: newLedger()}
+	f := &fleet{Options: o, dir: folder, startedAt: time.Now(), ledger: newLedger()}
 	defer f.close()
 	if err := f.start(ctx); err != nil {
 		return nil, err
 	}
 	stalls := watchStalls(ctx)
-	f.play(ctx)
-	f.ledger.judge(f.sidecarLogs())
+	f.sendAndInject(ctx)
+	f.ledger.check(f.sidecarLogs())
 	return f.report(stalls()), ctx.Err()
 }
 
@@ -138,7 +138,7 @@
 			return err
 		}
 	}
-	ready, cancel := context.WithTimeout(ctx, readyWithin)
+	ready, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, s := range f.sidecars {
 		if err := s.awaitReady(ready); err != nil {
@@ -148,43 +148,43 @@
 	return nil
 }
 
-// play lets clients ask while faults come, and ends when the last request has ended.
-func (f *fleet) play(ctx context.Context) {
+// sendAndInject runs clients while faults are injected, and returns when the last request has ended.
+func (f *fleet) sendAndInject(ctx context.Context) {
 	asking, stop := context.WithCancel(ctx)
 	defer stop()
 	for i, s := range f.sidecars {
 		for j := range f.Clients {
-			c := &client{sidecar: s, ledger: f.ledger, rng: f.random("client", i*mostClients+j), name: fmt.Sprintf("%s-%d", s.name, j)}
-			f.tasks.Go(func() { c.run(asking) })
+			c := &client{sidecar: s, ledger: f.ledger, rng: f.random("client", i*maxClients+j), name: fmt.Sprintf("%s-%d", s.name, j)}
+			f.clientTasks.Go(func() { c.run(asking) })
 		}
 	}
-	f.playFaults(asking)
-	f.faults.Wait()
+	f.injectFaults(asking)
+	f.activeFaults.Wait()
 	stop()
-	f.tasks.Wait()
+	f.clientTasks.Wait()
 	f.endAll()
 }
 
-// endAll ends every sidecar in order; one that does not end by itself is a broken invariant.
+// endAll ends every sidecar by SIGTERM; one that does not end by itself violates an invariant.
 func (f *fleet) endAll() {
 	var ending sync.WaitGroup
 	for _, s := range f.sidecars {
 		ending.Go(func() {
 			if !s.process.Running() {
-				f.ledger.broken(InvariantProcess, "%s has ended by itself before the end", s.name)
+				f.ledger.addViolation(InvariantProcess, "%s has ended by itself before the end", s.name)
 				return
 			}
-			if err := s.process.Terminate(killAfter); err != nil {
-				f.ledger.broken(InvariantProcess, "%s: %v", s.name, err)
+			if err := s.process.Terminate(killDelay); err != nil {
+				f.ledger.addViolation(InvariantProcess, "%s: %v", s.name, err)
 				return
 			}
-			f.ledger.saw("processes that ended in order")
+			f.ledger.increment("processes that ended in order")
 		})
 	}
 	ending.Wait()
 }
 
-// random is a source of randomness of its own for each part of the run.
+// random returns an independent source of randomness for each part of the run.
 func (f *fleet) random(part string, index int) *rand.Rand {
 	stream := uint64(index)
 	for _, b := range []byte(part) {
@@ -193,16 +193,16 @@
 	return rand.New(rand.NewPCG(f.Seed, stream))
 }
 
-// tell adds a line to the timeline.
-func (f *fleet) tell(format string, args ...any) {
-	line := fmt.Sprintf("%8.3f %s", time.Since(f.began).Seconds(), fmt.Sprintf(format, args...))
+// logEvent adds a line to the timeline.
+func (f *fleet) logEvent(format string, args ...any) {
+	line := fmt.Sprintf("%8.3f %s", time.Since(f.startedAt).Seconds(), fmt.Sprintf(format, args...))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.timeline) < maxTimeline {
 		f.timeline = append(f.timeline, line)
 	}
-	if f.Tell != nil {
-		f.Tell(line)
+	if f.OnEvent != nil {
+		f.OnEvent(line)
 	}
 }
 
@@ -216,10 +216,10 @@
 
 func (f *fleet) report(stall time.Duration) *Report {
 	seen, broken, cases := f.ledger.result()
-	return &Report{Seed: f.Seed, Took: time.Since(f.began), Seen: seen, Broken: broken, Cases: cases, Timeline: f.timeline, Stall: stall}
+	return &Report{Seed: f.Seed, Duration: time.Since(f.startedAt), Counts: seen, Violations: broken, ViolationCount: cases, Timeline: f.timeline, LongestStall: stall}
 }
 
-// close ends whatever is left.
+// close ends everything that is still running.
 func (f *fleet) close() {
 	for _, s := range f.sidecars {
 		s.process.Kill()
@@ -232,7 +232,7 @@
 	}
 }
 
-// watchStalls measures how late this process is woken; the function returns the longest.
+// watchStalls measures how late this process is woken; the returned function stops it and returns the longest delay.
 func watchStalls(ctx context.Context) func() time.Duration {
 	const every = 5 * time.Millisecond
 	ctx, stop := context.WithCancel(ctx)
@@ -255,7 +255,7 @@
 // newSidecar prepares a sidecar process.
 func (f *fleet) newSidecar(index int) (*sidecar, error) {
 	s := &sidecar{name: fmt.Sprint("n", index), addr: loopbackAddress(index)}
-	s.config = filepath.Join(f.folder, s.name+".json")
+	s.config = filepath.Join(f.dir, s.name+".json")
 	if err := s.writeConfig(f.Seed+uint64(index), f.Sidecars, f.discovery.addresses[0]); err != nil {
 		return nil, err
 	}
--- a/internal/testing/soaktest/soak_test.go
+++ b/internal/testing/soaktest/soaktest_test.go
@@ -15,7 +15,7 @@
 	program "barleywick/internal/sidecar"
 )
 
-// roleVariable makes the test binary a sidecar process.
+// roleVariable makes the test binary act as a sidecar process.
 const roleVariable = "SOAK_ROLE"
 
 func TestMain(m *testing.M) {
@@ -36,8 +36,8 @@
 	}
 }
 
-// asItself starts this test binary as a sidecar.
-func asItself(config string) *exec.Cmd {
+// testBinary returns a command that starts this test binary as a sidecar.
+func testBinary(config string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), roleVariable+"=sidecar", "ROUTER_CONFIG="+config)
 	return cmd
@@ -50,12 +50,12 @@
 	}
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			report, err := Run(t.Context(), Options{Seed: seed, Sidecars: 10, Clients: 3, Servers: 6, For: 8 * time.Second, Command: asItself})
+			report, err := Run(t.Context(), Options{Seed: seed, Sidecars: 10, Clients: 3, Servers: 6, Duration: 8 * time.Second, Command: testBinary})
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Logf("stalled for %v, saw %v", report.Stall, report.Seen)
-			for _, c := range report.Broken {
+			t.Logf("stalled for %v, saw %v", report.LongestStall, report.Counts)
+			for _, c := range report.Violations {
 				t.Error(c)
 			}
 			if t.Failed() {
@@ -64,8 +64,8 @@
 				}
 			}
 			for what, least := range map[string]int{"requests": 600, "attempts": 400, "answers 200": 400, "faults: planned end": 2, "faults: pause": 2, "processes that ended in order": 10} {
-				if report.Seen[what] < least {
-					t.Errorf("too little was seen: %d %s, %d at least are wanted", report.Seen[what], what, least)
+				if report.Counts[what] < least {
+					t.Errorf("got %d %s, want at least %d", report.Counts[what], what, least)
 				}
 			}
 		})
