--- a/internal/sidecar/client.go
+++ b/internal/sidecar/client.go
@@ -15,6 +15,7 @@
 	"barleywick/internal/sidecar/config"
 
 	"barleywick/internal/membership"
+	"barleywick/internal/sidecar/httpmessage"
 	"barleywick/policy"
 )
 
@@ -228,7 +229,7 @@
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return nil, http.StatusRequestTimeout
-	case errors.Is(err, errTooLarge):
+	case errors.Is(err, httpmessage.ErrTooLarge):
 		return nil, http.StatusRequestEntityTooLarge
 	case err != nil || effect == policy.Idempotent && len(body) > 0:
 		return nil, bad
@@ -301,9 +302,9 @@
 	var body []byte
 	var err error
 	if hr.ContentLength > 0 {
-		body, err = readExactly(hr.Body, hr.ContentLength)
+		body, err = httpmessage.ReadExactly(hr.Body, hr.ContentLength)
 	} else {
-		body, err = readToEnd(hr.Body, maxBody)
+		body, err = httpmessage.ReadToEnd(hr.Body, maxBody)
 	}
 	if err != nil {
 		return nil, err
@@ -340,7 +341,7 @@
 		}
 	}
 	if a.retryAfter > 0 {
-		h.Set("Retry-After", formatSeconds(a.retryAfter))
+		h.Set("Retry-After", httpmessage.FormatSeconds(a.retryAfter))
 	}
 	if s.listener.isDraining() {
 		h.Set("Connection", "close")
--- a/internal/sidecar/client_admission.go
+++ b/internal/sidecar/client_admission.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"barleywick/internal/admission"
+	"barleywick/internal/sidecar/socket"
 )
 
 const (
@@ -130,7 +131,7 @@
 // proves to be in use; the table knows that afterwards. counter is the one for the victim's state.
 func (l *limitedListener) evictLocked(victim *admission.Conn[*clientConn], now time.Time) (counter *uint64, evicted bool) {
 	c := victim.Owner
-	if victim.Silent() && !isIdleSocket(c.TCPConn) {
+	if victim.Silent() && !socket.IsIdle(c.TCPConn) {
 		l.table.FirstByteRead(victim, now) // awaitFirstByte has not noticed it yet
 		return nil, false
 	}
--- a/internal/sidecar/client_conn.go
+++ b/internal/sidecar/client_conn.go
@@ -14,6 +14,8 @@
 
 	"barleywick/internal/admission"
 	"barleywick/internal/sidecar/gate"
+	"barleywick/internal/sidecar/httpmessage"
+	"barleywick/internal/sidecar/socket"
 )
 
 // clientConn is a client's connection. Three acts on it exclude each other: closing it between
@@ -33,12 +35,12 @@
 
 	mu           sync.Mutex
 	state        connState
-	partialRead  bool          // a part of a request was read, and not its whole header
-	responseOwed bool          // a part of a request was read that has no response
-	refusalSent  chan struct{} // closed when refusePartial is done; nil: it isn't called
-	emptyAt      time.Time     // when there was last nothing to read
-	arrivedAt    time.Time     // the earliest time at which the bytes read last can have arrived
-	head         headRecorder  // of the next request
+	partialRead  bool                     // a part of a request was read, and not its whole header
+	responseOwed bool                     // a part of a request was read that has no response
+	refusalSent  chan struct{}            // closed when refusePartial is done; nil: it isn't called
+	emptyAt      time.Time                // when there was last nothing to read
+	arrivedAt    time.Time                // the earliest time at which the bytes read last can have arrived
+	head         httpmessage.HeadRecorder // of the next request
 
 	reading  pendingRead // the call of Read in progress; net/http never makes two
 	readFunc func(fd uintptr) bool
@@ -104,10 +106,10 @@
 		return true
 	}
 	if c.state == connBusy { // net/http reads only to see whether the client closes its side
-		if n, err := peek(fd); err == nil && n > 0 {
+		if n, err := socket.Peek(fd); err == nil && n > 0 {
 			// The next request has begun to arrive. It stays unread until this one is answered, but it
 			// must not hide that the client has closed its side.
-			return hungUp(fd)
+			return socket.HungUp(fd)
 		}
 	}
 	n, err := syscall.Read(int(fd), r.buf)
@@ -139,7 +141,7 @@
 	}
 	c.partialRead = c.partialRead || len(b) > 0
 	c.responseOwed = c.responseOwed || len(b) > 0
-	c.head.record(b)
+	c.head.Record(b)
 }
 
 // headerRead records that a request's header has been read.
@@ -147,7 +149,7 @@
 	c.awaitingFirstHeader.Store(false)
 	c.mu.Lock()
 	c.partialRead = false
-	c.head.reset() // a client that keeps to the protocol sends nothing more before the response
+	c.head.Reset() // a client that keeps to the protocol sends nothing more before the response
 	c.mu.Unlock()
 }
 
@@ -165,7 +167,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	// A head that was read together with the request before has not been recorded.
-	return c.head.hasPrefix(hr.Method+" "+hr.RequestURI+" ") && c.head.chunkedWithoutLength(1)
+	return c.head.HasPrefix(hr.Method+" "+hr.RequestURI+" ") && c.head.ChunkedWithoutLength(1)
 }
 
 // SetReadDeadline lets the timeout for the first header count from the accept. net/http counts it
@@ -192,8 +194,8 @@
 func (c *clientConn) closedByClient() bool {
 	closed := false
 	return c.raw != nil && c.raw.Control(func(fd uintptr) {
-		n, err := peek(fd)
-		closed = err == nil && n == 0 || err == syscall.ECONNRESET || hungUp(fd)
+		n, err := socket.Peek(fd)
+		closed = err == nil && n == 0 || err == syscall.ECONNRESET || socket.HungUp(fd)
 	}) == nil && closed
 }
 
@@ -206,7 +208,7 @@
 		return false
 	}
 	c.state, c.partialRead, c.responseOwed = connBusy, false, true
-	c.head.reset()
+	c.head.Reset()
 	return true
 }
 
@@ -244,7 +246,7 @@
 	var peekErr error
 	waited := false
 	err := c.raw.Read(func(fd uintptr) bool {
-		if n, peekErr = peek(fd); peekErr == syscall.EAGAIN {
+		if n, peekErr = socket.Peek(fd); peekErr == syscall.EAGAIN {
 			waited = true
 			return false
 		}
--- a/internal/sidecar/client_test.go
+++ b/internal/sidecar/client_test.go
@@ -15,6 +15,8 @@
 	"barleywick/internal/admission"
 
 	"barleywick/internal/registry/registrytest"
+	"barleywick/internal/sidecar/httpmessage"
+	"barleywick/internal/sidecar/socket"
 )
 
 func TestServesTheWholeBodyUnchanged(t *testing.T) {
@@ -221,7 +223,7 @@
 	}
 	// The last ones were accepted only after as many older ones had been closed.
 	for _, nc := range conns {
-		if !isIdleSocket(nc) {
+		if !socket.IsIdle(nc) {
 			closed++
 		}
 	}
@@ -269,7 +271,7 @@
 		"behind the chunks":    rawHead("a") + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
 		"inside the chunks":    rawHead("a") + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk,
 		"a length below":       rawHead("a") + "Transfer-Encoding: chunked\r\ncOntent-length:5\r\n\r\n0\r\n\r\n" + hidden,
-		"chunks far above":     rawHead("a") + "Transfer-Encoding: chunked\r\nX: " + strings.Repeat("x", maxRecordedHead) + "\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + hidden,
+		"chunks far above":     rawHead("a") + "Transfer-Encoding: chunked\r\nX: " + strings.Repeat("x", httpmessage.MaxRecordedHead) + "\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + hidden,
 		"a list of encodings":  rawHead("a") + "Transfer-Encoding: gzip, chunked\r\n\r\n" + chunk,
 		"two encodings":        rawHead("a") + "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n" + chunk,
 		"HTTP/1.0":             strings.Replace(rawHead("a"), "1.1", "1.0", 1) + "Transfer-Encoding: chunked\r\nConnection: keep-alive\r\n\r\n" + chunk,
--- a/internal/sidecar/pool_idle.go
+++ b/internal/sidecar/pool_idle.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"barleywick/internal/queue"
+	"barleywick/internal/sidecar/socket"
 )
 
 // evictLocked closes the connection that has been idle longest, or else the one whose quarantine ends
@@ -46,10 +47,10 @@
 
 // isStaleLocked probes an idle connection, and counts what makes it unusable.
 func (p *pool) isStaleLocked(c *upstreamConn) bool {
-	switch probeIdle(c.Conn) {
-	case socketIdle:
+	switch socket.Probe(c.Conn) {
+	case socket.Idle:
 		return false
-	case socketReadable:
+	case socket.Readable:
 		p.noteSurplusLocked(c)
 	}
 	p.count.Stale++
--- a/internal/sidecar/pool_test.go
+++ b/internal/sidecar/pool_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"barleywick/internal/sidecar/config"
-
+	"barleywick/internal/sidecar/socket"
 	"barleywick/policy"
 )
 
@@ -188,7 +188,7 @@
 		t.Fatal(err)
 	}
 	peer := await(t, "the connection", u.accepted)
-	if !isIdleSocket(c.Conn) {
+	if !socket.IsIdle(c.Conn) {
 		t.Error("a live idle connection is taken for a closed one")
 	}
 	p.release(c)
--- a/internal/sidecar/quarantine.go
+++ b/internal/sidecar/quarantine.go
@@ -1,6 +1,7 @@
 package sidecar
 
 import (
+	"barleywick/internal/sidecar/socket"
 	"container/heap"
 	"time"
 )
@@ -120,11 +121,11 @@
 func (p *pool) endQuarantineLocked(c *upstreamConn) {
 	p.quarantined.remove(c)
 	c.inServer.Remove()
-	switch probeIdle(c.Conn) {
-	case socketReadable:
+	switch socket.Probe(c.Conn) {
+	case socket.Readable:
 		p.noteSurplusLocked(c)
 		p.closeLocked(c)
-	case socketClosed:
+	case socket.Closed:
 		p.count.Stale++
 		p.closeLocked(c)
 	default:
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -10,11 +10,11 @@
 	"maps"
 	"net/http"
 	"net/url"
-	"strconv"
 	"time"
 
 	"barleywick/internal/settings"
 	"barleywick/internal/sidecar/gate"
+	"barleywick/internal/sidecar/httpmessage"
 	"barleywick/policy"
 )
 
@@ -29,9 +29,6 @@
 	maxResponseWire = 2 * maxResponseBody // chunks take room too
 )
 
-// trustedLength is how much is set aside for a body on the word of its length alone.
-const trustedLength = 8 << 10
-
 // maxLoadReport bounds the body of a probe's answer that is looked at.
 const maxLoadReport = 4 << 10
 
@@ -253,7 +250,7 @@
 			return nil, nil, fmt.Errorf("unexpected status %d", resp.StatusCode)
 		}
 	}
-	if len(resp.TransferEncoding) > 0 && !b.head.chunkedWithoutLength(informational+1) {
+	if len(resp.TransferEncoding) > 0 && !b.head.ChunkedWithoutLength(informational+1) {
 		return nil, nil, errors.New("chunks, and it may name a length")
 	}
 	b.limited.N = maxResponseWire
@@ -266,44 +263,20 @@
 // nextResponse begins with another answer on the same connection.
 func (b *exchangeBuffers) nextResponse() {
 	b.limited.N = maxResponseHead
-	b.head.reset()
+	b.head.Reset()
 }
 
-var errTooLarge = errors.New("body too large")
-
 // readResponseBody reads an answer's body if the answer proves to be whole: by its length, by
 // its last chunk, or, where it has neither, by its connection's orderly end. A reset is
 // no end, and neither is the bound on what is read.
 func readResponseBody(resp *http.Response) ([]byte, error) {
 	if resp.ContentLength > maxResponseBody {
-		return nil, errTooLarge
+		return nil, httpmessage.ErrTooLarge
 	}
 	if resp.ContentLength >= 0 {
-		return readExactly(resp.Body, resp.ContentLength)
-	}
-	return readToEnd(resp.Body, maxResponseBody)
-}
-
-// readToEnd reads what says itself where it ends, if that is most bytes or less.
-func readToEnd(r io.Reader, most int64) ([]byte, error) {
-	b, err := io.ReadAll(io.LimitReader(r, most+1))
-	if err == nil && int64(len(b)) > most {
-		err = errTooLarge
+		return httpmessage.ReadExactly(resp.Body, resp.ContentLength)
 	}
-	return b, err
-}
-
-// readExactly reads n bytes. A length that somebody claims takes little memory
-// before bytes have come, and their rest is set aside at once: growing step by
-// step would copy a large body over and over.
-func readExactly(r io.Reader, n int64) ([]byte, error) {
-	b := make([]byte, min(n, trustedLength))
-	if _, err := io.ReadFull(r, b); err != nil || n <= trustedLength {
-		return b, err
-	}
-	b = append(make([]byte, 0, n), b...)[:n]
-	_, err := io.ReadFull(r, b[trustedLength:])
-	return b, err
+	return httpmessage.ReadToEnd(resp.Body, maxResponseBody)
 }
 
 // timeoutMargin is what a server is told less than there is left: the request was read a moment after
@@ -323,14 +296,11 @@
 	if until, ok := ctx.Deadline(); ok {
 		left := time.Until(until)
 		left = max(left-min(timeoutMargin, left/4), time.Millisecond)
-		out.Header["Request-Timeout"] = []string{formatSeconds(left)}
+		out.Header["Request-Timeout"] = []string{httpmessage.FormatSeconds(left)}
 	}
 	return out
 }
 
-// formatSeconds writes a duration as formatSeconds with decimals.
-func formatSeconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
-
 // probe asks an upstream for a sign of life and its load. Without any answer in
 // the time that a connection may take to come up, it has failed.
 func (u *transport) probe(ctx context.Context, to *upstreamServer) (ok bool, load policy.LoadReport) {
--- a/internal/sidecar/upstream_buffers.go
+++ b/internal/sidecar/upstream_buffers.go
@@ -1,6 +1,7 @@
 package sidecar
 
 import (
+	"barleywick/internal/sidecar/httpmessage"
 	"bufio"
 	"bytes"
 	"io"
@@ -12,10 +13,10 @@
 
 // exchangeBuffers are what a connection needs while it carries a request, and not while it is idle.
 type exchangeBuffers struct {
-	limited io.LimitedReader // limits what one response may take
-	head    headRecorder     // reads from limited
-	reader  *bufio.Reader    // reads from head
-	request bytes.Buffer     // the request, so that it is written at once
+	limited io.LimitedReader         // limits what one response may take
+	head    httpmessage.HeadRecorder // reads from limited
+	reader  *bufio.Reader            // reads from head
+	request bytes.Buffer             // the request, so that it is written at once
 }
 
 var bufferPool = sync.Pool{New: func() any {
@@ -27,8 +28,8 @@
 // borrowBuffers gives the connection buffers for one exchange.
 func (c *upstreamConn) borrowBuffers() *exchangeBuffers {
 	b := bufferPool.Get().(*exchangeBuffers)
-	b.limited.R, b.head.source = c.Conn, &b.limited
-	b.head.reset()
+	b.limited.R, b.head.Source = c.Conn, &b.limited
+	b.head.Reset()
 	b.reader.Reset(&b.head)
 	b.request.Reset()
 	c.buffers = b
--- a/internal/sidecar/upstream_conn.go
+++ b/internal/sidecar/upstream_conn.go
@@ -9,6 +9,7 @@
 	"golang.org/x/sys/unix"
 
 	"barleywick/internal/queue"
+	"barleywick/internal/sidecar/socket"
 )
 
 // upstreamConn is a connection to a booking server. It carries one request at a time.
@@ -66,6 +67,6 @@
 // check probes an idle connection: it is usable if it has not reached its idle limit, is open, and has
 // nothing to read. surplus reports whether there was something to read.
 func (c *upstreamConn) check(now time.Time) (usable, surplus bool) {
-	state := probeIdle(c.Conn)
-	return now.Sub(c.idleSince) < c.idleLimit && state == socketIdle, state == socketReadable
+	state := socket.Probe(c.Conn)
+	return now.Sub(c.idleSince) < c.idleLimit && state == socket.Idle, state == socket.Readable
 }
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -11,6 +11,7 @@
 
 	"barleywick/internal/registry/registrytest"
 	"barleywick/internal/settings"
+	"barleywick/internal/sidecar/httpmessage"
 	"barleywick/policy"
 )
 
@@ -38,7 +39,7 @@
 		"chunked, in small ones":  {text: "HTTP/1.1 200 OK\r\ntransfer-encoding: Chunked\r\n\r\n1\r\nh\r\n3;x=y\r\none\r\n1\r\ny\r\n0\r\nTrailer: x\r\n\r\n", want: policy.Served},
 		"chunked behind interim":  {text: "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n0\r\n\r\n", want: policy.Served},
 		"chunks, a length behind": {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\ncontent-length : 5\r\n\r\n5\r\nhoney\r\n0\r\n\r\n", want: policy.Broken},
-		"chunks below much else":  {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX: " + strings.Repeat("x", maxRecordedHead) + "\r\nContent-Length: 5\r\n\r\n5\r\nhoney\r\n0\r\n\r\n", want: policy.Broken},
+		"chunks below much else":  {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX: " + strings.Repeat("x", httpmessage.MaxRecordedHead) + "\r\nContent-Length: 5\r\n\r\n5\r\nhoney\r\n0\r\n\r\n", want: policy.Broken},
 		"chunks without an end":   {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1\r\nx\r\n", maxResponseWire/6+4<<10), want: policy.Broken},
 		"without a length or end": {text: "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", maxResponseWire+8<<10), want: policy.Broken},
 		"chunks beside a length":  {text: "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n0\r\n\r\n", want: policy.Broken},
