--- a/internal/sidecar/client.go
+++ b/internal/sidecar/client.go
@@ -98,7 +98,7 @@
 		rejectRequest(w, hr, status)
 		return
 	}
-	if c.closedByClient() { // nobody waits for it, or only for its answer
+	if c.ClosedByClient() { // nobody waits for it, or only for its answer
 		rejectRequest(w, hr, http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/sidecar/client_conn.go
+++ b/internal/sidecar/client_conn.go
@@ -189,9 +189,9 @@
 	return now.Add(readRequestTimeout)
 }
 
-// closedByClient reports whether the client has closed the connection. It may have done so long ago,
+// ClosedByClient reports whether the client has closed the connection. It may have done so long ago,
 // if its request waited unread.
-func (c *clientConn) closedByClient() bool {
+func (c *clientConn) ClosedByClient() bool {
 	closed := false
 	return c.raw != nil && c.raw.Control(func(fd uintptr) {
 		n, err := socket.Peek(fd)
--- a/internal/sidecar/client_conn_close.go
+++ b/internal/sidecar/client_conn_close.go
@@ -45,7 +45,7 @@
 		}
 		err := c.writeFinal(response)
 		slog.Debug("client: request answered at connection close", "client", c.RemoteAddr(), "in_progress", busy, "err", err)
-		facts.Answered = err == nil || c.closedByClient() // a client that has gone is owed nothing
+		facts.Answered = err == nil || c.ClosedByClient() // a client that has gone is owed nothing
 	}
 	if c.gate != nil {
 		c.gate.CheckClosed(facts, c.RemoteAddr().String())
--- a/internal/sidecar/client_test.go
+++ b/internal/sidecar/client_test.go
@@ -443,7 +443,7 @@
 
 // A client that takes no more of its answer than fits into buffers must not hold it for ever.
 func TestAnswerIsNotHeldForAClientThatDoesNotRead(t *testing.T) {
-	u := newUpstream(t, always(answer200(strings.Repeat("x", maxResponseBody))))
+	u := newUpstream(t, always(answer200(strings.Repeat("x", MaxResponseBody))))
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	go l.run(t.Context())
 	ln, served := listenLoopback(t), make(chan struct{})
--- a/internal/sidecar/compatibility_test.go
+++ b/internal/sidecar/compatibility_test.go
@@ -95,7 +95,7 @@
 // The fields' names of these structs are label values of metrics.
 func TestCounterNamesAreThoseOf396a775(t *testing.T) {
 	var got strings.Builder
-	for _, counts := range []any{clientCounters{}, listenerState{}, poolCounters{}, poolState{}, policy.Counters{}} {
+	for _, counts := range []any{clientCounters{}, listenerState{}, PoolCounters{}, PoolState{}, policy.Counters{}} {
 		text, err := json.Marshal(slices.Sorted(maps.Keys(fieldValues(counts))))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/sidecar/connections_test.go
+++ b/internal/sidecar/connections_test.go
@@ -321,7 +321,7 @@
 		t.Fatal(err)
 	}
 	named := make(map[string]bool)
-	for _, of := range []reflect.Type{reflect.TypeFor[clientCounters](), reflect.TypeFor[poolCounters]()} {
+	for _, of := range []reflect.Type{reflect.TypeFor[clientCounters](), reflect.TypeFor[PoolCounters]()} {
 		for i := range of.NumField() {
 			named[of.Field(i).Name] = false
 		}
--- a/internal/sidecar/counters_test.go
+++ b/internal/sidecar/counters_test.go
@@ -18,8 +18,8 @@
 	}{
 		{clientCounters{}, "Accepted Admitted Waited Refused GivenUpIdle GivenUpSilent OverIdle Silent Vanished Drained Dismissed"},
 		{listenerState{}, "Open HalfOpen Idle Waiting"},
-		{poolCounters{}, "Reused Opened DialFailed Waited LeftWaiting Evicted Expired Unneeded Stale Distrusted Retired Drained Excess Repeated ShortRest Local"},
-		{poolState{}, "Open Idle Resting Handshakes Waiting"},
+		{PoolCounters{}, "Reused Opened DialFailed Waited LeftWaiting Evicted Expired Unneeded Stale Distrusted Retired Drained Excess Repeated ShortRest Local"},
+		{PoolState{}, "Open Idle Resting Handshakes Waiting"},
 	} {
 		names := strings.Fields(c.names)
 		logged, encoded := make([]string, len(names)), make([]string, len(names))
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -39,7 +39,7 @@
 func newTestLoop(t *testing.T, hosts ...string) *eventLoop {
 	t.Helper()
 	c := testConfig(t, options{}, "127.0.0.1:1", hosts...)
-	l, err := newEventLoop(c, newTransport(testPool(4)))
+	l, err := newEventLoop(c, NewTransport(testPool(4)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -22,13 +22,13 @@
 // are closed, and if the drain is called off it is used again.
 func TestServerThatDrains(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := testPool(4), &upstreamServer{addr: u.addr}
-	defer p.close()
+	p, to := testPool(4), &Server{addr: u.addr}
+	defer p.Close()
 	conns := connections(t, p, to, 3)
-	p.release(conns[0])
-	p.drain(to)
+	p.Release(conns[0])
+	p.Drain(to)
 	await(t, "the idle connection's end", u.closed)
-	ups := newTransport(p)
+	ups := NewTransport(p)
 	req := &http.Request{Method: "GET", URL: mustURL("/"), Host: "x", Header: http.Header{"Request-Id": {"late"}}}
 	if _, _, wrote, err := ups.exchange(t.Context(), sendPermit{writeCtx: t.Context()}, conns[1], req); err != errServerDraining || !wrote.IsZero() {
 		t.Errorf("on a connection that was taken before: written %v, error %v", wrote, err)
@@ -36,11 +36,11 @@
 	if got, _ := runOneAttempt(t.Context(), p, to); got != policy.NotSent {
 		t.Errorf("an attempt that had chosen it: ending %v, want not sent", got)
 	}
-	p.release(conns[2]) // what ran has ended
-	if n, now := p.counters(); now.Open != 0 || n.Drained != 2 || len(u.requests) > 0 {
+	p.Release(conns[2]) // what ran has ended
+	if n, now := p.Counters(); now.Open != 0 || n.Drained != 2 || len(u.requests) > 0 {
 		t.Errorf("%d connections are open, %d were drained, %d requests came; want 0, 2, 0", now.Open, n.Drained, len(u.requests))
 	}
-	p.resume(to)
+	p.Resume(to)
 	if got, _ := runOneAttempt(t.Context(), p, to); got != policy.Served {
 		t.Errorf("after the drain was called off: ending %v", got)
 	}
@@ -48,13 +48,13 @@
 
 // A drain that is told while an attempt waits for its connection ends the wait.
 func TestDrainToldDuringAHandshake(t *testing.T) {
-	p, to := testPool(4), &upstreamServer{addr: newBlackHole(t)}
+	p, to := testPool(4), &Server{addr: newBlackHole(t)}
 	p.dialTimeout = patience
-	defer p.close()
+	defer p.Close()
 	ending := make(chan policy.Ending, 1)
 	go func() { e, _ := runOneAttempt(t.Context(), p, to); ending <- e }()
 	eventually(t, "it waits", func() bool { return waiters(p) == 1 })
-	p.drain(to)
+	p.Drain(to)
 	if got := await(t, "its end", ending); got != policy.NotSent {
 		t.Errorf("ending %v, want not sent", got)
 	}
@@ -212,7 +212,7 @@
 	})
 	t.Run("a client that never reads", func(t *testing.T) {
 		t.Parallel()
-		big := make([]byte, maxResponseBody)
+		big := make([]byte, MaxResponseBody)
 		u := newUpstream(t, always(answer200(string(big))))
 		addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
 		c := dialFrom(t, "127.0.0.1", addr)
--- a/internal/sidecar/duplicates.go
+++ b/internal/sidecar/duplicates.go
@@ -77,7 +77,7 @@
 }
 
 // isDuplicate records a response, and reports whether it is a duplicate that must be dropped.
-func (p *pool) isDuplicate(c *upstreamConn, body []byte) bool {
+func (p *Pool) isDuplicate(c *Conn, body []byte) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.duplicates.observe(p.duplicates.hash(body), &c.recent) {
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -64,7 +64,7 @@
 }
 
 // clientLeft says whether its client has closed the connection by now.
-func (r *request) clientLeft() bool { return r.conn != nil && r.conn.closedByClient() }
+func (r *request) clientLeft() bool { return r.conn != nil && r.conn.ClosedByClient() }
 
 // The events that I/O goroutines send to the loop.
 type (
@@ -100,7 +100,7 @@
 type endpoint struct {
 	id                policy.ServerID
 	entry             client.Endpoint
-	peer              *upstreamServer
+	peer              *Server
 	startedAt         time.Duration
 	probes            []*pendingProbe // in the order the module asked for them
 	inFlight          int             // attempts under way
@@ -149,7 +149,7 @@
 type eventLoop struct {
 	config       *config.Config
 	balancer     *policy.Balancer
-	upstreams    *transport
+	upstreams    *Transport
 	events       chan any
 	queued       []any // events that the loop makes itself
 	ready        atomic.Bool
@@ -198,7 +198,7 @@
 )
 
 // newEventLoop makes a loop that lives from now on until run has ended.
-func newEventLoop(c *config.Config, up *transport) (*eventLoop, error) {
+func newEventLoop(c *config.Config, up *Transport) (*eventLoop, error) {
 	life, end := context.WithCancel(context.Background())
 	l := &eventLoop{
 		lifetime: life, endLifetime: end,
@@ -477,7 +477,7 @@
 		if h.entry.Health == "removed" || (kind != policy.ListDelta && !named[name]) {
 			delete(l.endpoints, name)
 			delete(l.endpointsByID, h.id)
-			l.upstreams.pool.retire(h.peer)
+			l.upstreams.pool.Retire(h.peer)
 		}
 	}
 	l.forgetUnusedZones()
@@ -493,12 +493,12 @@
 	switch {
 	case drains && h.drainingSince == 0:
 		h.drainingSince = l.now
-		l.upstreams.pool.drain(h.peer)
+		l.upstreams.pool.Drain(h.peer)
 		slog.Info("upstream drains", "host", h.entry.Host, "running", h.inFlight)
 		l.logDrained(h)
 	case !drains && h.drainingSince != 0:
 		h.drainingSince = 0
-		l.upstreams.pool.resume(h.peer)
+		l.upstreams.pool.Resume(h.peer)
 		slog.Info("upstream's drain is called off", "host", h.entry.Host)
 	}
 }
@@ -539,11 +539,11 @@
 	}
 	if h == nil {
 		l.lastEndpointID++
-		h = &endpoint{id: l.lastEndpointID, peer: &upstreamServer{addr: e.Dial}}
+		h = &endpoint{id: l.lastEndpointID, peer: &Server{addr: e.Dial}}
 		l.endpoints[e.Host], l.endpointsByID[h.id] = h, h
 	} else if h.entry.Dial != e.Dial || h.entry.BornMS != e.BornMS { // what was open to it leads nowhere now
-		l.upstreams.pool.retire(h.peer)
-		h.peer, h.drainingSince = &upstreamServer{addr: e.Dial}, 0
+		l.upstreams.pool.Retire(h.peer)
+		h.peer, h.drainingSince = &Server{addr: e.Dial}, 0
 	}
 	// A start ahead of this machine's clock would keep an upstream cold for too
 	// long; it is taken for now, and stays so while the entry names the same start.
@@ -597,7 +597,7 @@
 	a.server, a.host = h.peer, h
 	h.inFlight++
 	l.tasks.Go(func() {
-		ending, ans := l.upstreams.runAttempt(a)
+		ending, ans := l.upstreams.Do(a)
 		l.post(attemptEnded{a, ending, ans})
 	})
 }
@@ -639,7 +639,7 @@
 	h.probes = append(h.probes, p)
 	peer := h.peer
 	l.tasks.Go(func() {
-		ok, load := l.upstreams.probe(l.lifetime, peer)
+		ok, load := l.upstreams.Probe(l.lifetime, peer)
 		l.post(probeCompleted{p, ok, load})
 	})
 }
--- a/internal/sidecar/meter.go
+++ b/internal/sidecar/meter.go
@@ -178,7 +178,7 @@
 }
 
 // serveMetrics serves metrics where the configuration names an address for them.
-func serveMetrics(ctx context.Context, c *config.Config, l *eventLoop, listener *limitedListener, p *pool) (run func(), err error) {
+func serveMetrics(ctx context.Context, c *config.Config, l *eventLoop, listener *limitedListener, p *Pool) (run func(), err error) {
 	if l.exporter == nil {
 		return nil, nil
 	}
@@ -193,7 +193,7 @@
 		}
 		count, now := listener.counters()
 		s.ClientConnectionEvents, s.ClientConnections = fieldValues(count), fieldValues(now)
-		poolCount, poolNow := p.counters()
+		poolCount, poolNow := p.Counters()
 		s.UpstreamConnectionEvents, s.UpstreamConnections = fieldValues(poolCount), fieldValues(poolNow)
 		return s, nil
 	}
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/peers_test.go
@@ -276,11 +276,11 @@
 }
 
 // runOneAttempt carries one attempt out over a pool of its own.
-func runOneAttempt(ctx context.Context, p *pool, to *upstreamServer) (policy.Ending, *response) {
+func runOneAttempt(ctx context.Context, p *Pool, to *Server) (policy.Ending, *response) {
 	r := &request{method: "POST", url: mustURL("/api"), host: "service.internal", header: http.Header{"Request-Id": {"x"}}, body: []byte("{}")}
 	a := newAttempt(ctx, r, time.Now().Add(time.Hour), time.Time{})
 	a.server = to
-	return newTransport(p).runAttempt(a)
+	return NewTransport(p).Do(a)
 }
 
 // valid says whether a text is JSON, so that a test's own list cannot be wrong by a slip.
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -34,12 +34,12 @@
 	errConnectTimeout = errors.New("no connection was established in time")
 )
 
-// pool keeps connections to booking servers for further requests: a handshake costs the server work
+// Pool keeps connections to booking servers for further requests: a handshake costs the server work
 // and the request time. It limits the connections and the handshakes in progress, in total and for
 // each server, and serves waiting callers in their order.
 //
 // Each operation takes constant time in the number of connections, except for sweep and releasedSoon.
-type pool struct {
+type Pool struct {
 	dialTimeout time.Duration
 	maxIdle     time.Duration // the idle limit of a connection, before its jitter
 	ctx         context.Context
@@ -49,15 +49,15 @@
 	mu              sync.Mutex
 	rng             *rand.Rand
 	limits          config.UpstreamLimits
-	open            int                       // connections, and handshakes in progress
-	dialing         int                       // handshakes in progress
-	idle            queue.List[*upstreamConn] // the longest idle first
+	open            int               // connections, and handshakes in progress
+	dialing         int               // handshakes in progress
+	idle            queue.List[*Conn] // the longest idle first
 	quarantined     quarantineHeap
 	quarantineTimer *time.Timer // fires when the first quarantine ends
 	duplicates      duplicateDetector
-	blocked         queue.List[*upstreamServer] // whose next handshake waits for a limit on the total
-	waiting         int                         // callers
-	count           poolCounters
+	blocked         queue.List[*Server] // whose next handshake waits for a limit on the total
+	waiting         int                 // callers
+	count           PoolCounters
 }
 
 // waiter is a caller of acquire that waits for a connection.
@@ -69,14 +69,14 @@
 
 // grant ends a caller's wait.
 type grant struct {
-	conn *upstreamConn
+	conn *Conn
 	err  error
 }
 
-// newPool returns a pool for servers that close a connection after connIdle without a request.
-func newPool(dialTimeout, connIdle time.Duration, limits config.UpstreamLimits, seed uint64) *pool {
+// NewPool returns a pool for servers that close a connection after connIdle without a request.
+func NewPool(dialTimeout, connIdle time.Duration, limits config.UpstreamLimits, seed uint64) *Pool {
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &pool{
+	p := &Pool{
 		dialTimeout: dialTimeout,
 		maxIdle:     max(connIdle-idleMargin, connIdle/2),
 		ctx:         ctx,
@@ -88,9 +88,9 @@
 	return p
 }
 
-// close ends the handshakes in progress and closes all connections that are not in use. Those in use
+// Close ends the handshakes in progress and closes all connections that are not in use. Those in use
 // have to be given back.
-func (p *pool) close() {
+func (p *Pool) Close() {
 	p.mu.Lock()
 	p.cancel() // with the lock held: no handshake begins after it
 	p.mu.Unlock()
@@ -106,9 +106,9 @@
 	p.quarantineTimer.Stop()
 }
 
-// setLimits applies other limits. Idle connections over the total are closed now, others when they
+// SetLimits applies other limits. Idle connections over the total are closed now, others when they
 // are released.
-func (p *pool) setLimits(limits config.UpstreamLimits) {
+func (p *Pool) SetLimits(limits config.UpstreamLimits) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limits = limits
@@ -117,9 +117,9 @@
 	p.resumeBlockedLocked()
 }
 
-// acquire returns the most recently used idle connection to a server, or waits for a handshake or for
+// Acquire returns the most recently used idle connection to a server, or waits for a handshake or for
 // another request to end. The caller gives it back with release or discard.
-func (p *pool) acquire(ctx context.Context, server *upstreamServer) (*upstreamConn, error) {
+func (p *Pool) Acquire(ctx context.Context, server *Server) (*Conn, error) {
 	for {
 		c, err := p.acquireOrWait(ctx, server)
 		if err != nil {
@@ -134,7 +134,7 @@
 }
 
 // acquireOrWait is acquire without a check of the connection.
-func (p *pool) acquireOrWait(ctx context.Context, server *upstreamServer) (*upstreamConn, error) {
+func (p *Pool) acquireOrWait(ctx context.Context, server *Server) (*Conn, error) {
 	p.mu.Lock()
 	if n := server.idle.Back(); n != nil && server.unavailable() == nil {
 		c := n.Value
@@ -157,7 +157,7 @@
 }
 
 // enqueueLocked makes the caller wait for a connection, and starts a handshake if one is needed.
-func (p *pool) enqueueLocked(server *upstreamServer) *waiter {
+func (p *Pool) enqueueLocked(server *Server) *waiter {
 	w := &waiter{since: time.Now(), granted: make(chan grant, 1)}
 	w.node.Value = w
 	server.waiting.PushBack(&w.node)
@@ -168,7 +168,7 @@
 }
 
 // wait waits for a grant, at most until ctx or dialTimeout ends.
-func (p *pool) wait(ctx context.Context, server *upstreamServer, w *waiter) (*upstreamConn, error) {
+func (p *Pool) wait(ctx context.Context, server *Server, w *waiter) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.dialTimeout)
 	defer cancel()
 	select {
@@ -195,14 +195,14 @@
 }
 
 // checkOutLocked takes an idle connection for use.
-func (p *pool) checkOutLocked(c *upstreamConn) {
+func (p *Pool) checkOutLocked(c *Conn) {
 	c.inServer.Remove()
 	c.inPool.Remove()
 	c.server.noteInUse(time.Now())
 }
 
 // grantLocked ends the wait of the server's longest waiting caller, and reports whether there is one.
-func (p *pool) grantLocked(server *upstreamServer, g grant) bool {
+func (p *Pool) grantLocked(server *Server, g grant) bool {
 	n := server.waiting.Front()
 	if n == nil {
 		return false
@@ -213,9 +213,9 @@
 	return true
 }
 
-// release gives a connection back whose last response was read to its end. It is closed if the server
+// Release gives a connection back whose last response was read to its end. It is closed if the server
 // gets nothing new any more.
-func (p *pool) release(c *upstreamConn) {
+func (p *Pool) Release(c *Conn) {
 	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -223,7 +223,7 @@
 }
 
 // releaseLocked adds a connection without a request to the pool, a new one or one that was in use.
-func (p *pool) releaseLocked(c *upstreamConn) {
+func (p *Pool) releaseLocked(c *Conn) {
 	server, isNew := c.server, c.idleLimit == 0
 	c.idleLimit = time.Duration(float64(p.maxIdle) * (1 - idleJitter*p.rng.Float64()))
 	switch {
@@ -246,7 +246,7 @@
 }
 
 // offerLocked grants a connection to the server's longest waiting caller, or keeps it idle.
-func (p *pool) offerLocked(c *upstreamConn) {
+func (p *Pool) offerLocked(c *Conn) {
 	if p.grantLocked(c.server, grant{conn: c}) {
 		return
 	}
@@ -254,8 +254,8 @@
 	p.idle.PushBack(&c.inPool)
 }
 
-// discard closes a connection that was acquired.
-func (p *pool) discard(c *upstreamConn) {
+// Discard closes a connection that was acquired.
+func (p *Pool) Discard(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeLocked(c)
@@ -264,18 +264,18 @@
 }
 
 // discardStale closes a connection that was acquired and proved to be unusable.
-func (p *pool) discardStale(c *upstreamConn, surplus bool) {
+func (p *Pool) discardStale(c *Conn, surplus bool) {
 	p.mu.Lock()
 	p.count.Stale++
 	if surplus {
 		p.noteSurplusLocked(c)
 	}
 	p.mu.Unlock()
-	p.discard(c)
+	p.Discard(c)
 }
 
 // closeLocked closes a connection, in use or not.
-func (p *pool) closeLocked(c *upstreamConn) {
+func (p *Pool) closeLocked(c *Conn) {
 	c.inServer.Remove()
 	c.inPool.Remove()
 	p.quarantined.remove(c)
--- a/internal/sidecar/pool_counters.go
+++ b/internal/sidecar/pool_counters.go
@@ -2,9 +2,9 @@
 
 import "log/slog"
 
-// poolCounters count what became of upstream connections. The tags are the names in the log and in
+// PoolCounters count what became of upstream connections. The tags are the names in the log and in
 // metrics; docs/CONNECTIONS.md explains them.
-type poolCounters struct {
+type PoolCounters struct {
 	Reused      uint64 `json:"Reused"`      // requests that got an idle connection
 	Opened      uint64 `json:"Opened"`      // handshakes that succeeded
 	DialFailed  uint64 `json:"DialFailed"`  // handshakes that failed because of the server
@@ -23,8 +23,8 @@
 	Local       uint64 `json:"Local"`       // handshakes that failed because of this machine
 }
 
-// poolState counts the connections and callers at one moment, under the same rule for the tags.
-type poolState struct {
+// PoolState counts the connections and callers at one moment, under the same rule for the tags.
+type PoolState struct {
 	Open       int `json:"Open"` // handshakes in progress included
 	Idle       int `json:"Idle"`
 	Resting    int `json:"Resting"` // in quarantine
@@ -32,15 +32,15 @@
 	Waiting    int `json:"Waiting"` // requests that wait for a connection
 }
 
-// counters returns what was counted so far, and the state now.
-func (p *pool) counters() (poolCounters, poolState) {
+// Counters returns what was counted so far, and the state now.
+func (p *Pool) Counters() (PoolCounters, PoolState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.count, poolState{p.open, p.idle.Len(), len(p.quarantined), p.dialing, p.waiting}
+	return p.count, PoolState{p.open, p.idle.Len(), len(p.quarantined), p.dialing, p.waiting}
 }
 
-// logCounters logs what counters returns.
-func (p *pool) logCounters() {
-	count, now := p.counters()
+// LogCounters logs what counters returns.
+func (p *Pool) LogCounters() {
+	count, now := p.Counters()
 	slog.Info("upstream: connections", "now", now, "counters", count)
 }
--- a/internal/sidecar/pool_dial.go
+++ b/internal/sidecar/pool_dial.go
@@ -10,7 +10,7 @@
 
 // startDialsLocked starts handshakes with a server while more callers wait for it than connections
 // are about to come up or to leave quarantine, and the limits allow.
-func (p *pool) startDialsLocked(server *upstreamServer) {
+func (p *Pool) startDialsLocked(server *Server) {
 	soon := 0
 	if server.waiting.Len() > 0 {
 		soon = server.releasedSoon(time.Now())
@@ -32,7 +32,7 @@
 }
 
 // mayDialLocked reports whether another handshake with a server is needed and its own limits allow it.
-func (p *pool) mayDialLocked(server *upstreamServer, releasedSoon int) bool {
+func (p *Pool) mayDialLocked(server *Server, releasedSoon int) bool {
 	return server.unavailable() == nil && p.ctx.Err() == nil &&
 		server.waiting.Len() > server.dialing+releasedSoon &&
 		server.open < p.limits.PerServer &&
@@ -40,7 +40,7 @@
 }
 
 // resumeBlockedLocked starts the handshakes that waited for a limit on the total, in their order.
-func (p *pool) resumeBlockedLocked() {
+func (p *Pool) resumeBlockedLocked() {
 	for n := p.blocked.Front(); n != nil; n = p.blocked.Front() {
 		p.startDialsLocked(n.Value)
 		if n.Linked() {
@@ -50,7 +50,7 @@
 }
 
 // dial establishes a connection for the caller that waits longest when it is done.
-func (p *pool) dial(server *upstreamServer) {
+func (p *Pool) dial(server *Server) {
 	ctx, cancel := context.WithTimeout(p.ctx, p.dialTimeout)
 	defer cancel()
 	startedAt := time.Now()
@@ -68,14 +68,14 @@
 	p.count.Opened++
 	server.growDialWindow()
 	server.connectedAt, server.heardAt = now, now
-	c := &upstreamConn{Conn: nc, server: server, idleSince: now}
+	c := &Conn{Conn: nc, server: server, idleSince: now}
 	c.inServer.Value, c.inPool.Value = c, c
 	server.noteInUse(now)
 	p.releaseLocked(c)
 }
 
 // dialFailedLocked records a handshake that failed, because of its timeout or otherwise.
-func (p *pool) dialFailedLocked(server *upstreamServer, err error, timedOut bool, startedAt time.Time) {
+func (p *Pool) dialFailedLocked(server *Server, err error, timedOut bool, startedAt time.Time) {
 	p.open--
 	server.open--
 	if isLocalError(err) { // says nothing about the server
--- a/internal/sidecar/pool_dial_test.go
+++ b/internal/sidecar/pool_dial_test.go
@@ -36,34 +36,34 @@
 func TestHandshakesAreBounded(t *testing.T) {
 	// A full backlog leaves handshakes hanging, as a machine does that was cut off.
 	silent, again := newBlackHole(t), newBlackHole(t)
-	p := newPool(patience, 30*time.Second, config.UpstreamLimits{Total: 20, PerServer: 10, Handshakes: 5, HandshakesPerServer: 3}, 1)
-	defer p.close()
+	p := NewPool(patience, 30*time.Second, config.UpstreamLimits{Total: 20, PerServer: 10, Handshakes: 5, HandshakesPerServer: 3}, 1)
+	defer p.Close()
 	ctx, cancel := context.WithCancel(t.Context())
 	var callers sync.WaitGroup
-	ask := func(to *upstreamServer, n int) {
+	ask := func(to *Server, n int) {
 		for range n {
 			callers.Go(func() {
-				if _, err := p.acquire(ctx, to); err == nil {
+				if _, err := p.Acquire(ctx, to); err == nil {
 					t.Error("a connection to where none comes up")
 				}
 			})
 		}
 	}
-	a, b, c := &upstreamServer{addr: silent, dialWindow: 10}, &upstreamServer{addr: again, dialWindow: 10}, &upstreamServer{addr: again}
+	a, b, c := &Server{addr: silent, dialWindow: 10}, &Server{addr: again, dialWindow: 10}, &Server{addr: again}
 	ask(a, 8)
-	eventually(t, "the first handshakes are under way", func() bool { _, now := p.counters(); return now.Waiting == 8 })
-	if _, now := p.counters(); now.Handshakes != 3 {
+	eventually(t, "the first handshakes are under way", func() bool { _, now := p.Counters(); return now.Waiting == 8 })
+	if _, now := p.Counters(); now.Handshakes != 3 {
 		t.Errorf("%d handshakes to one upstream, want 3", now.Handshakes)
 	}
 	ask(b, 8)
 	ask(c, 8)
-	eventually(t, "all wait", func() bool { _, now := p.counters(); return now.Waiting == 24 })
-	if _, now := p.counters(); now.Handshakes != 5 || now.Open != 5 {
+	eventually(t, "all wait", func() bool { _, now := p.Counters(); return now.Waiting == 24 })
+	if _, now := p.Counters(); now.Handshakes != 5 || now.Open != 5 {
 		t.Errorf("%d handshakes and %d open in all, want 5", now.Handshakes, now.Open)
 	}
 	cancel()
 	callers.Wait()
-	if n, now := p.counters(); now.Waiting != 0 || n.LeftWaiting != 24 || a.waiting.Len()+b.waiting.Len()+c.waiting.Len() != 0 {
+	if n, now := p.Counters(); now.Waiting != 0 || n.LeftWaiting != 24 || a.waiting.Len()+b.waiting.Len()+c.waiting.Len() != 0 {
 		t.Errorf("%+v, %+v: waiters are left that have gone", n, now)
 	}
 }
@@ -102,20 +102,20 @@
 func TestHandshakesBeginSlowly(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
 	p := testPool(20)
-	defer p.close()
-	to := &upstreamServer{addr: u.addr}
+	defer p.Close()
+	to := &Server{addr: u.addr}
 	for _, want := range []int{2, 3, 4} {
-		c, err := p.acquire(t.Context(), to)
+		c, err := p.Acquire(t.Context(), to)
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.discard(c)
+		p.Discard(c)
 		if to.dialWindow != want {
 			t.Errorf("window %d, want %d", to.dialWindow, want)
 		}
 	}
 	to.addr = "127.0.0.1:1"
-	if _, err := p.acquire(t.Context(), to); err == nil || to.dialWindow != 1 {
+	if _, err := p.Acquire(t.Context(), to); err == nil || to.dialWindow != 1 {
 		t.Errorf("error %v, window %d; want an error and 1", err, to.dialWindow)
 	}
 }
@@ -124,10 +124,10 @@
 // as by one that comes up; who has left is passed over.
 func TestWaitersAreServedInTurn(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := testPool(1), &upstreamServer{addr: u.addr}
+	p, to := testPool(1), &Server{addr: u.addr}
 	p.dialTimeout = patience
-	defer p.close()
-	c, err := p.acquire(t.Context(), to)
+	defer p.Close()
+	c, err := p.Acquire(t.Context(), to)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,10 +139,10 @@
 			ctx = leave
 		}
 		go func() {
-			c, err := p.acquire(ctx, to)
+			c, err := p.Acquire(ctx, to)
 			served <- i
 			if err == nil {
-				p.release(c)
+				p.Release(c)
 			}
 		}()
 		eventually(t, "it waits", func() bool { return waiters(p) == i+1 })
@@ -151,7 +151,7 @@
 	if got := await(t, "the one that leaves", served); got != 2 {
 		t.Fatalf("%d left", got)
 	}
-	p.release(c)
+	p.Release(c)
 	for _, want := range []int{0, 1, 3, 4} {
 		if got := await(t, "the next", served); got != want {
 			t.Errorf("%d was served, want %d", got, want)
@@ -162,20 +162,20 @@
 	}
 }
 
-func waiters(p *pool) int { _, now := p.counters(); return now.Waiting }
+func waiters(p *Pool) int { _, now := p.Counters(); return now.Waiting }
 
 // Limits of our own are no word against an upstream.
 func TestOwnLimitsAreNoFailureOfTheUpstream(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := poolOf(20*time.Millisecond, 30*time.Second, 1), &upstreamServer{addr: u.addr}
-	defer p.close()
-	if _, err := p.acquire(t.Context(), to); err != nil {
+	p, to := poolOf(20*time.Millisecond, 30*time.Second, 1), &Server{addr: u.addr}
+	defer p.Close()
+	if _, err := p.Acquire(t.Context(), to); err != nil {
 		t.Fatal(err)
 	}
-	if got, _ := runOneAttempt(t.Context(), p, &upstreamServer{addr: u.addr}); got != policy.NotSent {
+	if got, _ := runOneAttempt(t.Context(), p, &Server{addr: u.addr}); got != policy.NotSent {
 		t.Errorf("ending %v, want not sent", got)
 	}
-	if got, _ := runOneAttempt(t.Context(), poolOf(20*time.Millisecond, time.Second, 1), &upstreamServer{addr: newBlackHole(t)}); got != policy.NoConnection {
+	if got, _ := runOneAttempt(t.Context(), poolOf(20*time.Millisecond, time.Second, 1), &Server{addr: newBlackHole(t)}); got != policy.NoConnection {
 		t.Errorf("an upstream that says nothing: ending %v, want no connection", got)
 	}
 }
--- a/internal/sidecar/pool_idle.go
+++ b/internal/sidecar/pool_idle.go
@@ -9,8 +9,8 @@
 
 // evictLocked closes the connection that has been idle longest, or else the one whose quarantine ends
 // first. It reports whether there was one.
-func (p *pool) evictLocked() bool {
-	var c *upstreamConn
+func (p *Pool) evictLocked() bool {
+	var c *Conn
 	if n := p.idle.Front(); n != nil {
 		c = n.Value
 	} else if len(p.quarantined) > 0 {
@@ -23,12 +23,12 @@
 	return true
 }
 
-// sweep closes the idle connections that have reached their idle limit, are not needed, were closed
+// Sweep closes the idle connections that have reached their idle limit, are not needed, were closed
 // by the server, or on which surplus bytes have arrived.
-func (p *pool) sweep(now time.Time) {
+func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var next *queue.Node[*upstreamConn]
+	var next *queue.Node[*Conn]
 	for n := p.idle.Front(); n != nil; n = next {
 		next = n.Next()
 		switch c := n.Value; {
@@ -46,7 +46,7 @@
 }
 
 // isStaleLocked probes an idle connection, and counts what makes it unusable.
-func (p *pool) isStaleLocked(c *upstreamConn) bool {
+func (p *Pool) isStaleLocked(c *Conn) bool {
 	switch socket.Probe(c.Conn) {
 	case socket.Idle:
 		return false
--- a/internal/sidecar/pool_servers.go
+++ b/internal/sidecar/pool_servers.go
@@ -8,14 +8,14 @@
 )
 
 // noteResponse records that a complete response came from a server.
-func (p *pool) noteResponse(server *upstreamServer) {
+func (p *Pool) noteResponse(server *Server) {
 	p.mu.Lock()
 	server.heardAt = time.Now()
 	p.mu.Unlock()
 }
 
 // noteUnresponsive records that a request, written at writtenAt, got no response.
-func (p *pool) noteUnresponsive(server *upstreamServer, writtenAt time.Time) {
+func (p *Pool) noteUnresponsive(server *Server, writtenAt time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeUnresponsiveLocked(server, writtenAt)
@@ -27,15 +27,15 @@
 // a time. A machine that has vanished or was cut off breaks no connection: an idle one to it looks
 // good, and a request written to it may never be repeated. If another response came meanwhile, only
 // that one request was slow, and the connections are kept.
-func (p *pool) closeUnresponsiveLocked(server *upstreamServer, since time.Time) {
+func (p *Pool) closeUnresponsiveLocked(server *Server, since time.Time) {
 	if !server.heardAt.After(since) {
 		p.closeUnusedLocked(server, &p.count.Distrusted)
 	}
 }
 
-// serverState returns what the endpoint list says of a server now: it may have changed since the
+// ServerState returns what the endpoint list says of a server now: it may have changed since the
 // server was chosen, as a handshake takes time.
-func (p *pool) serverState(server *upstreamServer) policy.EndpointState {
+func (p *Pool) ServerState(server *Server) policy.EndpointState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
@@ -47,9 +47,9 @@
 	return policy.Ready
 }
 
-// drain closes the unused connections to a server, and from now on every other when it is released;
+// Drain closes the unused connections to a server, and from now on every other when it is released;
 // waiting callers get an error at once. resume takes it back.
-func (p *pool) drain(server *upstreamServer) {
+func (p *Pool) Drain(server *Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !server.draining {
@@ -58,16 +58,16 @@
 	}
 }
 
-// resume ends the drain of a server.
-func (p *pool) resume(server *upstreamServer) {
+// Resume ends the drain of a server.
+func (p *Pool) Resume(server *Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	server.draining = false
 }
 
-// retire does what drain does for a server that was removed, for good. Another server may come to the
+// Retire does what drain does for a server that was removed, for good. Another server may come to the
 // same address: it is another upstreamServer, with connections of its own.
-func (p *pool) retire(server *upstreamServer) {
+func (p *Pool) Retire(server *Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	server.removed = true
@@ -75,7 +75,7 @@
 }
 
 // shutOffLocked closes the unused connections to a server and fails the callers that wait for one.
-func (p *pool) shutOffLocked(server *upstreamServer, err error, counter *uint64) {
+func (p *Pool) shutOffLocked(server *Server, err error, counter *uint64) {
 	server.blocked.Remove()
 	p.closeUnusedLocked(server, counter)
 	for p.grantLocked(server, grant{err: err}) {
@@ -84,8 +84,8 @@
 }
 
 // closeUnusedLocked closes the idle and the quarantined connections to a server, and counts them.
-func (p *pool) closeUnusedLocked(server *upstreamServer, counter *uint64) {
-	for _, list := range []*queue.List[*upstreamConn]{&server.idle, &server.quarantined} {
+func (p *Pool) closeUnusedLocked(server *Server, counter *uint64) {
+	for _, list := range []*queue.List[*Conn]{&server.idle, &server.quarantined} {
 		for n := list.Front(); n != nil; n = list.Front() {
 			*counter++
 			p.closeLocked(n.Value)
--- a/internal/sidecar/pool_test.go
+++ b/internal/sidecar/pool_test.go
@@ -22,11 +22,11 @@
 				}
 				return answer200(""), false
 			})
-			p, to := testPool(8), &upstreamServer{addr: u.addr}
-			defer p.close()
+			p, to := testPool(8), &Server{addr: u.addr}
+			defer p.Close()
 			conns := connections(t, p, to, 3)
 			for _, c := range conns {
-				p.release(c)
+				p.Release(c)
 			}
 			endAllQuarantines(p)
 			ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
@@ -35,9 +35,9 @@
 			go func() { e, _ := runOneAttempt(ctx, p, to); ending <- e }()
 			await(t, "the request", u.requests)
 			if heard {
-				ups := newTransport(p)
+				ups := NewTransport(p)
 				ups.statsPath = "/stats"
-				if ok, _ := ups.probe(t.Context(), to); !ok {
+				if ok, _ := ups.Probe(t.Context(), to); !ok {
 					t.Fatal("the probe failed")
 				}
 			}
@@ -45,7 +45,7 @@
 				t.Fatalf("ending %v", got)
 			}
 			endAllQuarantines(p)
-			n, now := p.counters()
+			n, now := p.Counters()
 			if want := map[bool]int{false: 0, true: 2}[heard]; now.Idle != want || int(n.Distrusted) != 2-want {
 				t.Errorf("%d idle connections are kept and %d distrusted, want %d kept", now.Idle, n.Distrusted, want)
 			}
@@ -57,15 +57,15 @@
 // upstream would; the last one is not.
 func TestIdleConnectionsAreKeptByNeed(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := poolOf(time.Second, time.Minute, 8), &upstreamServer{addr: u.addr}
-	defer p.close()
+	p, to := poolOf(time.Second, time.Minute, 8), &Server{addr: u.addr}
+	defer p.Close()
 	conns := connections(t, p, to, 5)
 	for _, c := range conns {
-		p.release(c)
+		p.Release(c)
 	}
 	endAllQuarantines(p)
 	now := conns[4].idleSince
-	p.sweep(now.Add(2*demandWindow - time.Millisecond))
+	p.Sweep(now.Add(2*demandWindow - time.Millisecond))
 	if p.idle.Len() != 5 {
 		t.Fatalf("%d are left while the burst may come again, want 5", p.idle.Len())
 	}
@@ -75,11 +75,11 @@
 	}
 	to.peak, to.previousPeak, to.peakSince = 2, 2, now.Add(2*demandWindow)
 	p.mu.Unlock()
-	p.sweep(now.Add(2 * demandWindow))
-	if n, _ := p.counters(); p.idle.Len() != 2 || n.Unneeded != 3 {
+	p.Sweep(now.Add(2 * demandWindow))
+	if n, _ := p.Counters(); p.idle.Len() != 2 || n.Unneeded != 3 {
 		t.Errorf("%d are left and %d closed, want the 2 that are needed", p.idle.Len(), n.Unneeded)
 	}
-	p.sweep(now.Add(4*demandWindow + time.Second))
+	p.Sweep(now.Add(4*demandWindow + time.Second))
 	if p.idle.Len() != 1 {
 		t.Errorf("%d are left without any need, want 1", p.idle.Len())
 	}
@@ -87,13 +87,13 @@
 
 // Attempts that wait for a connection to a host that leaves are told at once.
 func TestWaitersOfAHostThatLeaves(t *testing.T) {
-	p, to := testPool(4), &upstreamServer{addr: newBlackHole(t)}
+	p, to := testPool(4), &Server{addr: newBlackHole(t)}
 	p.dialTimeout = patience
-	defer p.close()
+	defer p.Close()
 	ending := make(chan policy.Ending, 1)
 	go func() { e, _ := runOneAttempt(t.Context(), p, to); ending <- e }()
 	eventually(t, "it waits", func() bool { return waiters(p) == 1 })
-	p.retire(to)
+	p.Retire(to)
 	if got := await(t, "its end", ending); got != policy.NotSent {
 		t.Errorf("ending %v, want not sent", got)
 	}
@@ -105,31 +105,31 @@
 // New limits act on what is open.
 func TestLimitsChangeUnderWay(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := testPool(8), &upstreamServer{addr: u.addr}
-	defer p.close()
+	p, to := testPool(8), &Server{addr: u.addr}
+	defer p.Close()
 	conns := connections(t, p, to, 4)
 	for _, c := range conns[1:] {
-		p.release(c)
+		p.Release(c)
 	}
-	p.setLimits(config.UpstreamLimits{Total: 2, PerServer: 1, Handshakes: 1, HandshakesPerServer: 1})
+	p.SetLimits(config.UpstreamLimits{Total: 2, PerServer: 1, Handshakes: 1, HandshakesPerServer: 1})
 	if p.opened() != 2 {
 		t.Errorf("%d are open, want 2", p.opened())
 	}
-	p.release(conns[0])
+	p.Release(conns[0])
 	if p.opened() != 1 {
 		t.Errorf("%d are open to one upstream, want 1", p.opened())
 	}
 }
 
-func testPool(most int) *pool { return poolOf(time.Second, 30*time.Second, most) }
+func testPool(most int) *Pool { return poolOf(time.Second, 30*time.Second, most) }
 
 // poolOf bounds connections in all and nothing else.
-func poolOf(dialTimeout, connIdle time.Duration, most int) *pool {
-	return newPool(dialTimeout, connIdle, config.UpstreamLimits{Total: most, PerServer: most, Handshakes: most, HandshakesPerServer: most}, 1)
+func poolOf(dialTimeout, connIdle time.Duration, most int) *Pool {
+	return NewPool(dialTimeout, connIdle, config.UpstreamLimits{Total: most, PerServer: most, Handshakes: most, HandshakesPerServer: most}, 1)
 }
 
 // endAllQuarantines takes all connections that rest back into use, as if they had rested.
-func endAllQuarantines(p *pool) {
+func endAllQuarantines(p *Pool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(p.quarantined) > 0 {
@@ -138,10 +138,10 @@
 }
 
 // connections takes n connections to an upstream out of a pool.
-func connections(t testing.TB, p *pool, to *upstreamServer, n int) (conns []*upstreamConn) {
+func connections(t testing.TB, p *Pool, to *Server, n int) (conns []*Conn) {
 	t.Helper()
 	for range n {
-		c, err := p.acquire(t.Context(), to)
+		c, err := p.Acquire(t.Context(), to)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -151,27 +151,27 @@
 }
 
 // opened is how many connections of a pool are open or being opened.
-func (p *pool) opened() int {
-	_, now := p.counters()
+func (p *Pool) opened() int {
+	_, now := p.Counters()
 	return now.Open
 }
 
 func TestPoolReusesTheMostRecentConnection(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := testPool(4), &upstreamServer{addr: u.addr}
-	a, err := p.acquire(context.Background(), to)
+	p, to := testPool(4), &Server{addr: u.addr}
+	a, err := p.Acquire(context.Background(), to)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := p.acquire(context.Background(), to)
+	b, err := p.Acquire(context.Background(), to)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.release(a)
-	p.release(b)
+	p.Release(a)
+	p.Release(b)
 	endAllQuarantines(p)
-	for _, want := range []*upstreamConn{b, a} {
-		if got, _ := p.acquire(context.Background(), to); got != want {
+	for _, want := range []*Conn{b, a} {
+		if got, _ := p.Acquire(context.Background(), to); got != want {
 			t.Errorf("got %p, want %p", got, want)
 		}
 	}
@@ -182,8 +182,8 @@
 
 func TestPoolDropsWhatThePeerClosed(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := testPool(4), &upstreamServer{addr: u.addr}
-	c, err := p.acquire(context.Background(), to)
+	p, to := testPool(4), &Server{addr: u.addr}
+	c, err := p.Acquire(context.Background(), to)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -191,13 +191,13 @@
 	if !socket.IsIdle(c.Conn) {
 		t.Error("a live idle connection is taken for a closed one")
 	}
-	p.release(c)
+	p.Release(c)
 	endAllQuarantines(p)
 	peer.Close()
 	if _, err := c.Read(make([]byte, 1)); err == nil { // returns once the close has arrived
 		t.Fatal("the peer did not close")
 	}
-	if got, _ := p.acquire(context.Background(), to); got == c {
+	if got, _ := p.Acquire(context.Background(), to); got == c {
 		t.Error("a closed connection was given out")
 	}
 	if n := p.opened(); n != 1 {
@@ -207,21 +207,21 @@
 
 func TestPoolClosesBeforeTheUpstreamDoes(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := poolOf(time.Second, 10*time.Second, 4), &upstreamServer{addr: u.addr}
-	c, err := p.acquire(context.Background(), to)
+	p, to := poolOf(time.Second, 10*time.Second, 4), &Server{addr: u.addr}
+	c, err := p.Acquire(context.Background(), to)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.release(c)
+	p.Release(c)
 	endAllQuarantines(p)
-	p.sweep(c.idleSince.Add(c.idleLimit - time.Millisecond))
+	p.Sweep(c.idleSince.Add(c.idleLimit - time.Millisecond))
 	if p.opened() != 1 {
 		t.Error("closed too early")
 	}
 	if least := time.Duration(float64(p.maxIdle) * (1 - idleJitter)); p.maxIdle >= 10*time.Second || c.idleLimit > p.maxIdle || c.idleLimit < least {
 		t.Errorf("an idle connection is kept for %v, want %v to %v", c.idleLimit, least, p.maxIdle)
 	}
-	p.sweep(c.idleSince.Add(c.idleLimit))
+	p.Sweep(c.idleSince.Add(c.idleLimit))
 	await(t, "the connection's end", u.closed)
 	if p.opened() != 0 {
 		t.Error("the slot was not given back")
@@ -231,27 +231,27 @@
 // At the bound an idle connection makes way, to whatever upstream it goes.
 func TestPoolKeepsToItsBound(t *testing.T) {
 	a, b := newUpstream(t, always(answer200(""))), newUpstream(t, always(answer200("")))
-	p, toA, toB := testPool(2), &upstreamServer{addr: a.addr}, &upstreamServer{addr: b.addr}
-	first, err := p.acquire(context.Background(), toA)
+	p, toA, toB := testPool(2), &Server{addr: a.addr}, &Server{addr: b.addr}
+	first, err := p.Acquire(context.Background(), toA)
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, err := p.acquire(context.Background(), toA)
+	second, err := p.Acquire(context.Background(), toA)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.release(first)
-	if _, err := p.acquire(context.Background(), toB); err != nil {
+	p.Release(first)
+	if _, err := p.Acquire(context.Background(), toB); err != nil {
 		t.Fatalf("no room was made: %v", err)
 	}
 	await(t, "the idle connection's end", a.closed)
 	waits := make(chan error, 1)
 	go func() {
-		_, err := p.acquire(context.Background(), toB)
+		_, err := p.Acquire(context.Background(), toB)
 		waits <- err
 	}()
 	await(t, "the second connection", a.accepted) // both were accepted by now
-	p.release(second)                             // or drop, if the other waits already: either way there is room
+	p.Release(second)                             // or drop, if the other waits already: either way there is room
 	if err := await(t, "a connection", waits); err != nil {
 		t.Errorf("a waiting caller got %v", err)
 	}
@@ -264,26 +264,26 @@
 // the old one may still be out by then: its connection is not the new one's.
 func TestConnectionsBelongToTheirHost(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, old := testPool(4), &upstreamServer{addr: u.addr}
-	idle, err := p.acquire(t.Context(), old)
+	p, old := testPool(4), &Server{addr: u.addr}
+	idle, err := p.Acquire(t.Context(), old)
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, err := p.acquire(t.Context(), old)
+	out, err := p.Acquire(t.Context(), old)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.release(idle)
-	p.retire(old)
+	p.Release(idle)
+	p.Retire(old)
 	await(t, "the idle connection's end", u.closed)
-	fresh, err := p.acquire(t.Context(), &upstreamServer{addr: u.addr})
+	fresh, err := p.Acquire(t.Context(), &Server{addr: u.addr})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if fresh == idle || fresh == out {
 		t.Error("the new host got the old one's connection")
 	}
-	p.release(out)
+	p.Release(out)
 	await(t, "the end of the one that was out", u.closed)
 	if p.opened() != 1 || p.idle.Len() != 0 {
 		t.Errorf("%d connections are open and %d idle, want 1 and none", p.opened(), p.idle.Len())
--- a/internal/sidecar/quarantine.go
+++ b/internal/sidecar/quarantine.go
@@ -16,9 +16,9 @@
 const (
 	// minQuarantine is the shortest quarantine.
 	minQuarantine = 10 * time.Millisecond
-	// maxQuarantine covers a second response that is some milliseconds late, and a process or a network
+	// MaxQuarantine covers a second response that is some milliseconds late, and a process or a network
 	// that is stalled for 0.15 s.
-	maxQuarantine = 200 * time.Millisecond
+	MaxQuarantine = 200 * time.Millisecond
 	// A long quarantine is shortened when more than shortenFrom of a limit on connections is used, and
 	// shortened to minQuarantine from shortenFull on.
 	shortenFrom, shortenFull = 0.5, 0.9
@@ -28,7 +28,7 @@
 
 // quarantineHeap is a heap of the quarantined connections, the one to be released first on top. A
 // connection's heapIndex is its index plus one.
-type quarantineHeap []*upstreamConn
+type quarantineHeap []*Conn
 
 // Len implements heap.Interface.
 func (h quarantineHeap) Len() int { return len(h) }
@@ -44,7 +44,7 @@
 
 // Push implements heap.Interface.
 func (h *quarantineHeap) Push(x any) {
-	c := x.(*upstreamConn)
+	c := x.(*Conn)
 	*h = append(*h, c)
 	c.heapIndex = len(*h)
 }
@@ -60,14 +60,14 @@
 }
 
 // remove removes a connection if it is in the heap.
-func (h *quarantineHeap) remove(c *upstreamConn) {
+func (h *quarantineHeap) remove(c *Conn) {
 	if c.heapIndex > 0 {
 		heap.Remove(h, c.heapIndex-1)
 	}
 }
 
 // quarantineLocked begins the quarantine of a connection.
-func (p *pool) quarantineLocked(c *upstreamConn) {
+func (p *Pool) quarantineLocked(c *Conn) {
 	c.releaseAt = c.idleSince.Add(p.quarantineTime(c))
 	heap.Push(&p.quarantined, c)
 	c.server.quarantined.PushBack(&c.inServer)
@@ -77,7 +77,7 @@
 }
 
 // quarantineTime returns how long a connection is quarantined.
-func (p *pool) quarantineTime(c *upstreamConn) time.Duration {
+func (p *Pool) quarantineTime(c *Conn) time.Duration {
 	if p.duplicates.conclusive() && c.idleSince.Sub(c.server.surplusAt) >= surplusSuspicion {
 		return minQuarantine
 	}
@@ -85,15 +85,15 @@
 	usedByServer := float64(c.server.open) / float64(max(1, p.limits.PerServer))
 	scarcity := min(1, (max(usedInTotal, usedByServer)-shortenFrom)/(shortenFull-shortenFrom))
 	if scarcity <= 0 {
-		return maxQuarantine
+		return MaxQuarantine
 	}
 	p.count.ShortRest++
-	return maxQuarantine - time.Duration(scarcity*float64(maxQuarantine-minQuarantine))
+	return MaxQuarantine - time.Duration(scarcity*float64(MaxQuarantine-minQuarantine))
 }
 
 // releasedSoon returns how many of a server's connections leave quarantine within minQuarantine: to
 // wait for one costs less than a handshake, which takes as long and is work for the server.
-func (s *upstreamServer) releasedSoon(now time.Time) (soon int) {
+func (s *Server) releasedSoon(now time.Time) (soon int) {
 	limit := now.Add(minQuarantine)
 	for n := s.quarantined.Front(); n != nil; n = n.Next() {
 		if !n.Value.releaseAt.After(limit) {
@@ -104,7 +104,7 @@
 }
 
 // endQuarantines releases the connections whose quarantine has ended.
-func (p *pool) endQuarantines() {
+func (p *Pool) endQuarantines() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -118,7 +118,7 @@
 }
 
 // endQuarantineLocked offers a quarantined connection for use, or closes it if it proves unusable.
-func (p *pool) endQuarantineLocked(c *upstreamConn) {
+func (p *Pool) endQuarantineLocked(c *Conn) {
 	p.quarantined.remove(c)
 	c.inServer.Remove()
 	switch socket.Probe(c.Conn) {
@@ -135,13 +135,13 @@
 }
 
 // noteSurplus records that bytes arrived on a connection that belong to no request.
-func (p *pool) noteSurplus(c *upstreamConn) {
+func (p *Pool) noteSurplus(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.noteSurplusLocked(c)
 }
 
-func (p *pool) noteSurplusLocked(c *upstreamConn) {
+func (p *Pool) noteSurplusLocked(c *Conn) {
 	p.count.Excess++
 	c.server.surplusAt = time.Now()
 }
--- a/internal/sidecar/quarantine_test.go
+++ b/internal/sidecar/quarantine_test.go
@@ -11,7 +11,7 @@
 )
 
 // makeDuplicatesConclusive lets a pool see as many different answers as it takes to tell them apart.
-func makeDuplicatesConclusive(p *pool) {
+func makeDuplicatesConclusive(p *Pool) {
 	for i := range distinctRunNeeded {
 		p.duplicates.observe(p.duplicates.hash([]byte(fmt.Sprint("other ", i))), new(recentResponses))
 	}
@@ -33,8 +33,8 @@
 				}
 				return first + last, false
 			})
-			p, to := testPool(1), &upstreamServer{addr: u.addr}
-			defer p.close()
+			p, to := testPool(1), &Server{addr: u.addr}
+			defer p.Close()
 			if !alike {
 				makeDuplicatesConclusive(p)
 			}
@@ -43,7 +43,7 @@
 				r.clientDeadline = time.Now().Add(time.Hour)
 				a := newAttempt(t.Context(), r, r.clientDeadline, time.Time{})
 				a.server = to
-				ending, got := newTransport(p).runAttempt(a)
+				ending, got := NewTransport(p).Do(a)
 				want := fmt.Sprint("done ", i)
 				if alike {
 					want = "done"
@@ -53,7 +53,7 @@
 				}
 				endAllQuarantines(p)
 			}
-			if n, _ := p.counters(); (n.Repeated > 0) == alike {
+			if n, _ := p.Counters(); (n.Repeated > 0) == alike {
 				t.Errorf("%d answers were passed over", n.Repeated)
 			}
 		})
@@ -63,15 +63,15 @@
 // A server that has sent an excess gets long rests, and so does any until answers are told apart.
 func TestRestsAreLongWhereAnswersMayBeTakenForOthers(t *testing.T) {
 	p := testPool(100)
-	defer p.close()
-	c := &upstreamConn{server: new(upstreamServer), idleSince: time.Now()}
-	if got := p.quarantineTime(c); got != maxQuarantine {
+	defer p.Close()
+	c := &Conn{server: new(Server), idleSince: time.Now()}
+	if got := p.quarantineTime(c); got != MaxQuarantine {
 		t.Errorf("before answers are told apart: %v", got)
 	}
 	if makeDuplicatesConclusive(p); p.quarantineTime(c) != minQuarantine {
 		t.Errorf("once they are: %v", p.quarantineTime(c))
 	}
-	if p.noteSurplus(c); p.quarantineTime(c) != maxQuarantine {
+	if p.noteSurplus(c); p.quarantineTime(c) != MaxQuarantine {
 		t.Errorf("after an excess: %v", p.quarantineTime(c))
 	}
 	if p.open = 100; p.quarantineTime(c) != minQuarantine {
@@ -85,7 +85,7 @@
 	for name, behind := range map[string]string{"in the same write": answer200("stale"), "later": ""} {
 		t.Run(name, func(t *testing.T) {
 			u := newUpstream(t, func(r received) (string, bool) { return answer200("good") + behind, false })
-			p, to := testPool(4), &upstreamServer{addr: u.addr}
+			p, to := testPool(4), &Server{addr: u.addr}
 			for i := range 20 {
 				ending, a := runOneAttempt(t.Context(), p, to)
 				if ending != policy.Served || string(a.body) != "good" {
@@ -106,26 +106,26 @@
 // long is not used while there is one that has, nor before it has.
 func TestConnectionRestsBeforeTheNextRequest(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
-	p, to := testPool(4), &upstreamServer{addr: u.addr}
-	get := func() *upstreamConn {
+	p, to := testPool(4), &Server{addr: u.addr}
+	get := func() *Conn {
 		t.Helper()
-		c, err := p.acquire(t.Context(), to)
+		c, err := p.Acquire(t.Context(), to)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return c
 	}
 	first, second := get(), get()
-	p.release(first)
+	p.Release(first)
 	endAllQuarantines(p)
-	p.release(second)
+	p.Release(second)
 	if c := get(); c != first {
 		t.Error("a connection is used that had its answer a moment ago, beside one that has rested")
 	}
 	if c := get(); c == second {
 		t.Errorf("a connection is used %v after its last answer", time.Since(c.idleSince))
 	}
-	eventually(t, "the rest is over", func() bool { _, now := p.counters(); return now.Resting == 0 })
+	eventually(t, "the rest is over", func() bool { _, now := p.Counters(); return now.Resting == 0 })
 	if c := get(); c != second || time.Since(c.idleSince) < minQuarantine {
 		t.Errorf("a connection is used %v after its last answer", time.Since(c.idleSince))
 	}
--- a/internal/sidecar/races_test.go
+++ b/internal/sidecar/races_test.go
@@ -21,24 +21,24 @@
 // The time in which a request may be sent again is over while it waits for a connection.
 func TestRepeatKeepsToItsWindowAtTheWrite(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
-	p, to := testPool(1), &upstreamServer{addr: u.addr}
-	ups := newTransport(p)
+	p, to := testPool(1), &Server{addr: u.addr}
+	ups := NewTransport(p)
 	out := connections(t, p, to, 1)[0]
 	r := &request{method: "POST", url: mustURL("/api"), host: "x", header: map[string][]string{"Request-Id": {"x"}}}
 	a := newAttempt(t.Context(), r, time.Now().Add(time.Hour), time.Now().Add(20*time.Millisecond))
 	a.server = to
-	if got, _ := ups.runAttempt(a); got != policy.NotSent {
+	if got, _ := ups.Do(a); got != policy.NotSent {
 		t.Errorf("waiting for a connection: ending %v, want not sent", got)
 	}
-	p.release(out)
+	p.Release(out)
 	a = newAttempt(t.Context(), r, time.Now().Add(time.Hour), time.Now().Add(-time.Millisecond))
 	a.server = to
-	if got, _ := ups.runAttempt(a); got != policy.NotSent {
+	if got, _ := ups.Do(a); got != policy.NotSent {
 		t.Errorf("with a connection: ending %v, want not sent", got)
 	}
 	a = newAttempt(t.Context(), r, time.Now().Add(time.Hour), time.Now().Add(time.Hour))
 	a.server = to
-	if got, _ := ups.runAttempt(a); got != policy.Served {
+	if got, _ := ups.Do(a); got != policy.Served {
 		t.Errorf("in time: ending %v, want served", got)
 	}
 	if len(u.requests) != 1 {
@@ -49,8 +49,8 @@
 // The window is checked between the choice of a connection and the write, too.
 func TestRepeatIsNotWrittenAfterItsWindow(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
-	p, to := testPool(1), &upstreamServer{addr: u.addr}
-	ups := newTransport(p)
+	p, to := testPool(1), &Server{addr: u.addr}
+	ups := NewTransport(p)
 	c := connections(t, p, to, 1)[0]
 	r := &request{method: "POST", url: mustURL("/api"), host: "x", header: map[string][]string{"Request-Id": {"x"}}}
 	a := newAttempt(t.Context(), r, time.Now().Add(time.Hour), time.Now().Add(-time.Millisecond))
@@ -77,7 +77,7 @@
 	b.Start(l.clock())
 	l.applyListing(policy.ListFull, *l.config.KnownEndpoints)
 	l.upstreams.pool = testPool(1)
-	defer l.upstreams.pool.close()
+	defer l.upstreams.pool.Close()
 	to := l.endpoints["s-1"].peer
 	out := connections(t, l.upstreams.pool, to, 1)[0]
 	go l.run(t.Context())
@@ -91,7 +91,7 @@
 	handled := make(chan struct{})
 	l.post(fleetPolicyReceived{done: handled})
 	await(t, "the loop", handled)
-	l.upstreams.pool.release(out) // the attempt's turn, if it still waits
+	l.upstreams.pool.Release(out) // the attempt's turn, if it still waits
 	// The pool's one connection serves one after the other: the next request comes behind.
 	if got, _ := runOneAttempt(t.Context(), l.upstreams.pool, to); got != policy.Served {
 		t.Errorf("the next attempt: ending %v", got)
@@ -147,7 +147,7 @@
 		r.conn.(*net.TCPConn).SetLinger(0) // its close is a reset
 		return "", true
 	})
-	if got, a := runOneAttempt(t.Context(), testPool(2), &upstreamServer{addr: u.addr}); got != policy.Broken {
+	if got, a := runOneAttempt(t.Context(), testPool(2), &Server{addr: u.addr}); got != policy.Broken {
 		t.Errorf("ending %v, answer %+v, want broken", got, a)
 	}
 }
@@ -162,11 +162,11 @@
 		"reset":  func(far net.Conn) { far.(*net.TCPConn).SetLinger(0); far.Close() },
 	} {
 		far, c := connected(t)
-		if c.closedByClient() {
+		if c.ClosedByClient() {
 			t.Fatal("it left before it did")
 		}
 		leave(far)
-		if eventually(t, "the close has come", c.closedByClient); serve(c) || isBusy(c) || len(u.requests) > 0 {
+		if eventually(t, "the close has come", c.ClosedByClient); serve(c) || isBusy(c) || len(u.requests) > 0 {
 			t.Errorf("%s: the request was taken or closed over, %d went upstream", name, len(u.requests))
 		}
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -70,9 +70,9 @@
 // serve runs a sidecar on a listener, and in the place of an old process if there is one.
 func serve(stop context.Context, reload <-chan os.Signal, c *config.Config, o runOptions, ln net.Listener, old *handover.Predecessor) error {
 	defer ln.Close()
-	pool := newPool(c.DialTimeout, c.UpstreamIdleTimeout, c.Connections.Servers, c.Seed)
-	defer pool.close()
-	up := newTransport(pool)
+	pool := NewPool(c.DialTimeout, c.UpstreamIdleTimeout, c.Connections.Servers, c.Seed)
+	defer pool.Close()
+	up := NewTransport(pool)
 	up.loadFields = c.LoadReportColumns
 	if c.Policy.LoadReports {
 		up.statsPath = "/stats"
@@ -108,7 +108,7 @@
 	limited.gate = up.gate
 	l.logOtherCounters = func() {
 		limited.logCounters()
-		pool.logCounters()
+		pool.LogCounters()
 		up.gate.LogCounters()
 	}
 	var gov *policyFollower
@@ -120,7 +120,7 @@
 			ruled = d
 			limits := c.Connections.WithinPolicy(d)
 			limited.setLimits(limits.Clients)
-			pool.setLimits(limits.Servers)
+			pool.SetLimits(limits.Servers)
 			return l.applyFleetPolicy(ctx, d)
 		})
 		if err != nil {
@@ -252,7 +252,7 @@
 			ruling.Lock() // the stricter of the file and the fleet's policy counts
 			limits := c.Connections.WithinPolicy(ruled)
 			limited.setLimits(limits.Clients)
-			pool.setLimits(limits.Servers)
+			pool.SetLimits(limits.Servers)
 			ruling.Unlock()
 			if now := c.DiscoveryAddrs(); !slices.Equal(now, was) {
 				d.SetAddrs(now)
@@ -280,13 +280,13 @@
 }
 
 // sweep closes idle upstream connections in time.
-func sweep(ctx context.Context, p *pool) {
+func sweep(ctx context.Context, p *Pool) {
 	t := time.NewTicker(sweepEvery)
 	defer t.Stop()
 	for {
 		select {
 		case now := <-t.C:
-			p.sweep(now)
+			p.Sweep(now)
 		case <-ctx.Done():
 			return
 		}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -99,12 +99,12 @@
 		}
 		return answer200("ok"), false
 	})
-	l, to := newTestLoop(t), &upstreamServer{addr: u.addr}
+	l, to := newTestLoop(t), &Server{addr: u.addr}
 	try := func(id string) policy.Ending {
 		r := &request{method: "GET", url: mustURL("/"), host: "x", header: http.Header{"Request-Id": {id}, "Idempotency-Key": {"k"}}}
 		a := newAttempt(t.Context(), r, time.Now().Add(time.Hour), time.Time{})
 		a.server = to
-		ending, _ := l.upstreams.runAttempt(a)
+		ending, _ := l.upstreams.Do(a)
 		return ending
 	}
 	if got := try("first"); got != policy.Served {
@@ -122,7 +122,7 @@
 func TestConnectionsAreReused(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{probes: true}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
-	const requests, apart = 12, maxQuarantine + 20*time.Millisecond // each connection has rested by the next request
+	const requests, apart = 12, MaxQuarantine + 20*time.Millisecond // each connection has rested by the next request
 	for i := range requests {
 		if got := (call{class: "keyed", id: fmt.Sprint(i)}).do(t, addr); got.status != 200 {
 			t.Fatalf("got %+v", got)
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -25,8 +25,8 @@
 // what the protocol names; 1 MiB of them can be held for as many as are out.
 const (
 	maxResponseHead = 128 << 10 // interim answers included
-	maxResponseBody = 1 << 20
-	maxResponseWire = 2 * maxResponseBody // chunks take room too
+	MaxResponseBody = 1 << 20
+	maxResponseWire = 2 * MaxResponseBody // chunks take room too
 )
 
 // maxLoadReport bounds the body of a probe's answer that is looked at.
@@ -37,7 +37,7 @@
 type attempt struct {
 	req            *request
 	number         int
-	server         *upstreamServer
+	server         *Server
 	host           *endpoint       // the loop's; nil where it was never sent
 	ctx            context.Context // ends when the attempt is given up
 	cancel         context.CancelFunc
@@ -106,27 +106,27 @@
 	retryAfter time.Duration // refused: how long to stay away
 }
 
-// transport carries out attempts and probes over one pool of connections.
-type transport struct {
-	pool       *pool
+// Transport carries out attempts and probes over one pool of connections.
+type Transport struct {
+	pool       *Pool
 	gate       *gate.Gate
 	loadFields settings.LoadColumns
 	statsPath  string
 }
 
-func newTransport(p *pool) *transport {
-	return &transport{pool: p, gate: gate.New(), statsPath: "/health/live"}
+func NewTransport(p *Pool) *Transport {
+	return &Transport{pool: p, gate: gate.New(), statsPath: "/health/live"}
 }
 
-// runAttempt carries an attempt out. What it returns follows the protocol's table: as
+// Do carries an attempt out. What it returns follows the protocol's table: as
 // long as the request's last byte has not been written, it never ran.
-func (u *transport) runAttempt(a *attempt) (policy.Ending, *response) {
+func (u *Transport) Do(a *attempt) (policy.Ending, *response) {
 	defer a.cancel()
 	defer a.cancelWrite()
 	var resp *http.Response
 	var body []byte
 	var written time.Time
-	c, err := u.pool.acquire(a.writeCtx, a.server)
+	c, err := u.pool.Acquire(a.writeCtx, a.server)
 	if err == nil {
 		resp, body, written, err = u.exchange(a.ctx, a.permit(), c, a.req.upstreamRequest(a.ctx))
 	}
@@ -164,7 +164,7 @@
 // not, and closed at once when ctx ends; nothing is written without permission.
 // written is when the request's last byte was to be written, or zero if it was not;
 // else no upstream can have begun it.
-func (u *transport) exchange(ctx context.Context, may sendPermit, c *upstreamConn, req *http.Request) (
+func (u *Transport) exchange(ctx context.Context, may sendPermit, c *Conn, req *http.Request) (
 	resp *http.Response, body []byte, written time.Time, err error,
 ) {
 	b := c.borrowBuffers()
@@ -180,9 +180,9 @@
 		}
 		// If stop comes too late the connection is closed, or about to be.
 		if stop() && err == nil && !resp.Close && clean {
-			u.pool.release(c)
+			u.pool.Release(c)
 		} else {
-			u.pool.discard(c)
+			u.pool.Discard(c)
 		}
 	}()
 	if err := req.Write(&b.request); err != nil {
@@ -207,8 +207,8 @@
 
 // writeRequest writes a request if the gate lets it, in one writeRequest, and returns when it began. One that
 // takes long ends, half written, when its permission does: what is not whole never runs.
-func (u *transport) writeRequest(may sendPermit, c *upstreamConn, text []byte) (begun time.Time, err error) {
-	server := u.pool.serverState(c.server)
+func (u *Transport) writeRequest(may sendPermit, c *Conn, text []byte) (begun time.Time, err error) {
+	server := u.pool.ServerState(c.server)
 	sending := may.sending(u.gate, server)
 	begun = time.Now()
 	if why := u.gate.MaySend(sending, begun); why != policy.Allowed {
@@ -270,13 +270,13 @@
 // its last chunk, or, where it has neither, by its connection's orderly end. A reset is
 // no end, and neither is the bound on what is read.
 func readResponseBody(resp *http.Response) ([]byte, error) {
-	if resp.ContentLength > maxResponseBody {
+	if resp.ContentLength > MaxResponseBody {
 		return nil, httpmessage.ErrTooLarge
 	}
 	if resp.ContentLength >= 0 {
 		return httpmessage.ReadExactly(resp.Body, resp.ContentLength)
 	}
-	return httpmessage.ReadToEnd(resp.Body, maxResponseBody)
+	return httpmessage.ReadToEnd(resp.Body, MaxResponseBody)
 }
 
 // timeoutMargin is what a server is told less than there is left: the request was read a moment after
@@ -301,16 +301,16 @@
 	return out
 }
 
-// probe asks an upstream for a sign of life and its load. Without any answer in
+// Probe asks an upstream for a sign of life and its load. Without any answer in
 // the time that a connection may take to come up, it has failed.
-func (u *transport) probe(ctx context.Context, to *upstreamServer) (ok bool, load policy.LoadReport) {
+func (u *Transport) Probe(ctx context.Context, to *Server) (ok bool, load policy.LoadReport) {
 	load = policy.UnknownLoad
 	ctx, cancel := context.WithTimeout(ctx, u.pool.dialTimeout)
 	defer cancel()
 	if u.gate.MayStart(u.pool.dialTimeout) != policy.Allowed {
 		return false, load
 	}
-	c, err := u.pool.acquire(ctx, to)
+	c, err := u.pool.Acquire(ctx, to)
 	if err != nil {
 		return false, load
 	}
@@ -334,7 +334,7 @@
 
 // parseLoad reads a report of the form 'TEXT name=value, name=value'. What it lacks, and
 // what is no number, is unknown.
-func (u *transport) parseLoad(report string) policy.LoadReport {
+func (u *Transport) parseLoad(report string) policy.LoadReport {
 	values := settings.ParseLoadReport(report, u.loadFields...)
 	return u.loadFields.LoadReport(func(column int) (float64, bool) {
 		v, ok := values[u.loadFields[column]]
--- a/internal/sidecar/upstream_buffers.go
+++ b/internal/sidecar/upstream_buffers.go
@@ -26,7 +26,7 @@
 }}
 
 // borrowBuffers gives the connection buffers for one exchange.
-func (c *upstreamConn) borrowBuffers() *exchangeBuffers {
+func (c *Conn) borrowBuffers() *exchangeBuffers {
 	b := bufferPool.Get().(*exchangeBuffers)
 	b.limited.R, b.head.Source = c.Conn, &b.limited
 	b.head.Reset()
@@ -37,7 +37,7 @@
 }
 
 // returnBuffers ends the exchange. It reports whether everything that arrived had been read.
-func (c *upstreamConn) returnBuffers() (allRead bool) {
+func (c *Conn) returnBuffers() (allRead bool) {
 	b := c.buffers
 	c.buffers = nil
 	allRead = b.reader.Buffered() == 0
--- a/internal/sidecar/upstream_conn.go
+++ b/internal/sidecar/upstream_conn.go
@@ -12,23 +12,23 @@
 	"barleywick/internal/sidecar/socket"
 )
 
-// upstreamConn is a connection to a booking server. It carries one request at a time.
-type upstreamConn struct {
+// Conn is a connection to a booking server. It carries one request at a time.
+type Conn struct {
 	net.Conn
-	server    *upstreamServer
+	server    *Server
 	idleSince time.Time
 	idleLimit time.Duration   // from idleSince on; 0: it is new
 	releaseAt time.Time       // the end of its quarantine
 	heapIndex int             // in the quarantineHeap, plus one; 0: it is not quarantined
 	recent    recentResponses // for duplicateDetector
-	inServer  queue.Node[*upstreamConn]
-	inPool    queue.Node[*upstreamConn]
+	inServer  queue.Node[*Conn]
+	inPool    queue.Node[*Conn]
 	buffers   *exchangeBuffers // while it carries a request
 }
 
 // Close closes the connection and discards what the server has not received. A plain close would let
 // the kernel send that later, and a server would begin a request that had been given up.
-func (c *upstreamConn) Close() error {
+func (c *Conn) Close() error {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok && c.unsentBytes() > 0 {
 		tcp.SetLinger(0)
 	}
@@ -37,7 +37,7 @@
 
 // unsentBytes returns how many bytes were written that the server has not received, or 0 if that is
 // not known.
-func (c *upstreamConn) unsentBytes() int {
+func (c *Conn) unsentBytes() int {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return 0
@@ -58,7 +58,7 @@
 const sentPollInterval = 2 * time.Millisecond
 
 // awaitSent waits until the server has received all that was written, or ctx ends.
-func (c *upstreamConn) awaitSent(ctx context.Context) {
+func (c *Conn) awaitSent(ctx context.Context) {
 	for ctx.Err() == nil && c.unsentBytes() > 0 {
 		time.Sleep(sentPollInterval)
 	}
@@ -66,7 +66,7 @@
 
 // check probes an idle connection: it is usable if it has not reached its idle limit, is open, and has
 // nothing to read. surplus reports whether there was something to read.
-func (c *upstreamConn) check(now time.Time) (usable, surplus bool) {
+func (c *Conn) check(now time.Time) (usable, surplus bool) {
 	state := socket.Probe(c.Conn)
 	return now.Sub(c.idleSince) < c.idleLimit && state == socket.Idle, state == socket.Readable
 }
--- a/internal/sidecar/upstream_server.go
+++ b/internal/sidecar/upstream_server.go
@@ -13,20 +13,20 @@
 	maxDialWindow = 64
 )
 
-// upstreamServer is the pool's part for one booking server: for an endpoint and not for its address,
+// Server is the pool's part for one booking server: for an endpoint and not for its address,
 // which may be another server's later. The pool's lock guards it.
-type upstreamServer struct {
+type Server struct {
 	addr     string
 	removed  bool
 	draining bool // gets no request any more, unless the drain is called off
 
-	idle        queue.List[*upstreamConn]   // the most recently used last
-	quarantined queue.List[*upstreamConn]   // in the order of their release to quarantine
-	waiting     queue.List[*waiter]         // the longest waiting first
-	blocked     queue.Node[*upstreamServer] // in the pool's list of that name
-	open        int                         // connections, and handshakes in progress
-	dialing     int                         // handshakes in progress
-	dialWindow  int                         // how many handshakes may be in progress: see growDialWindow
+	idle        queue.List[*Conn]   // the most recently used last
+	quarantined queue.List[*Conn]   // in the order of their release to quarantine
+	waiting     queue.List[*waiter] // the longest waiting first
+	blocked     queue.Node[*Server] // in the pool's list of that name
+	open        int                 // connections, and handshakes in progress
+	dialing     int                 // handshakes in progress
+	dialWindow  int                 // how many handshakes may be in progress: see growDialWindow
 
 	connectedAt time.Time // of the last connection
 	heardAt     time.Time // of the last complete response or new connection
@@ -38,7 +38,7 @@
 }
 
 // unavailable returns an error if the server gets nothing new.
-func (s *upstreamServer) unavailable() error {
+func (s *Server) unavailable() error {
 	switch {
 	case s.removed:
 		return errServerRemoved
@@ -49,7 +49,7 @@
 }
 
 // noteInUse records how many connections are in use at once.
-func (s *upstreamServer) noteInUse(now time.Time) {
+func (s *Server) noteInUse(now time.Time) {
 	if age := now.Sub(s.peakSince); age >= 2*demandWindow {
 		s.peak, s.previousPeak, s.peakSince = 0, 0, now
 	} else if age >= demandWindow {
@@ -60,7 +60,7 @@
 
 // needed returns how many connections were in use at once lately, and at least one: a handshake costs
 // more than to keep a connection.
-func (s *upstreamServer) needed(now time.Time) int {
+func (s *Server) needed(now time.Time) int {
 	switch age := now.Sub(s.peakSince); {
 	case age >= 2*demandWindow:
 		return 1
@@ -72,6 +72,6 @@
 
 // growDialWindow allows one more handshake at once after one that succeeded. After a failed one the
 // window is 1: a server that was out of reach returns to all sidecars at the same moment, and cold.
-func (s *upstreamServer) growDialWindow() {
+func (s *Server) growDialWindow() {
 	s.dialWindow = min(max(s.dialWindow, initialDialWindow-1)+1, maxDialWindow)
 }
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -63,12 +63,12 @@
 		"cut body":                {text: "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhoney", end: true, want: policy.Broken},
 		"cut chunk":               {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n", end: true, want: policy.Broken},
 		"no HTTP":                 {text: "hello\r\n\r\n", end: true, want: policy.Broken},
-		"too large":               {text: answer200(strings.Repeat("x", maxResponseBody+1)), want: policy.Broken},
+		"too large":               {text: answer200(strings.Repeat("x", MaxResponseBody+1)), want: policy.Broken},
 		"endless header":          {text: "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxResponseHead), want: policy.Broken},
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := newUpstream(t, func(received) (string, bool) { return c.text, c.end })
-			got, a := runOneAttempt(context.Background(), testPool(2), &upstreamServer{addr: u.addr})
+			got, a := runOneAttempt(context.Background(), testPool(2), &Server{addr: u.addr})
 			if got != c.want {
 				t.Errorf("ending %v, want %v", got, c.want)
 			}
@@ -86,7 +86,7 @@
 	u := newUpstream(t, always(""))
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
-	if got, _ := runOneAttempt(ctx, testPool(2), &upstreamServer{addr: u.addr}); got != policy.TimedOut {
+	if got, _ := runOneAttempt(ctx, testPool(2), &Server{addr: u.addr}); got != policy.TimedOut {
 		t.Errorf("ending %v, want timed out", got)
 	}
 	await(t, "the connection's end", u.closed)
@@ -99,7 +99,7 @@
 		<-u.requests
 		cancel()
 	}()
-	if got, _ := runOneAttempt(ctx, testPool(2), &upstreamServer{addr: u.addr}); got != policy.Cancelled {
+	if got, _ := runOneAttempt(ctx, testPool(2), &Server{addr: u.addr}); got != policy.Cancelled {
 		t.Errorf("ending %v, want cancelled", got)
 	}
 	await(t, "the connection's end", u.closed)
@@ -107,9 +107,9 @@
 
 // An answer that is too large ends its attempt when that is seen, not when the rest has come.
 func TestTooLargeAnswerIsNotWaitedFor(t *testing.T) {
-	text := answer200(strings.Repeat("x", maxResponseBody+2))
+	text := answer200(strings.Repeat("x", MaxResponseBody+2))
 	u := newUpstream(t, always(text[:len(text)-1])) // the last byte never comes
-	if got, _ := runOneAttempt(t.Context(), testPool(2), &upstreamServer{addr: u.addr}); got != policy.Broken {
+	if got, _ := runOneAttempt(t.Context(), testPool(2), &Server{addr: u.addr}); got != policy.Broken {
 		t.Errorf("ending %v, want broken", got)
 	}
 	await(t, "the connection's end", u.closed)
@@ -118,7 +118,7 @@
 func TestRefusedConnectionNeverRan(t *testing.T) {
 	ln := listenLoopback(t)
 	ln.Close()
-	if got, _ := runOneAttempt(context.Background(), testPool(2), &upstreamServer{addr: ln.Addr().String()}); got != policy.NoConnection {
+	if got, _ := runOneAttempt(context.Background(), testPool(2), &Server{addr: ln.Addr().String()}); got != policy.NoConnection {
 		t.Errorf("ending %v, want no connection", got)
 	}
 }
@@ -126,8 +126,8 @@
 // An attempt that is given up while it waits for a connection writes nothing.
 func TestEndedWhileQueuedWritesNothing(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := testPool(1), &upstreamServer{addr: u.addr}
-	held, err := p.acquire(context.Background(), to)
+	p, to := testPool(1), &Server{addr: u.addr}
+	held, err := p.Acquire(context.Background(), to)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -141,7 +141,7 @@
 	if got, _ := runOneAttempt(late, p, to); got != policy.NotSent {
 		t.Errorf("timed out: ending %v, want not sent: the wait was for a connection of our own", got)
 	}
-	p.discard(held)
+	p.Discard(held)
 	if len(u.requests) > 0 {
 		t.Error("a request was written")
 	}
@@ -162,8 +162,8 @@
 	}()
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
-	u := newTransport(testPool(1))
-	c, err := u.pool.acquire(ctx, &upstreamServer{addr: ln.Addr().String()})
+	u := NewTransport(testPool(1))
+	c, err := u.pool.Acquire(ctx, &Server{addr: ln.Addr().String()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -214,9 +214,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := newUpstream(t, always(c.text))
-			ups := newTransport(testPool(1))
+			ups := NewTransport(testPool(1))
 			ups.loadFields, ups.statsPath = settings.LoadColumns{"busy_reqs", "pending"}, "/stats"
-			ok, load := ups.probe(context.Background(), &upstreamServer{addr: u.addr})
+			ok, load := ups.Probe(context.Background(), &Server{addr: u.addr})
 			if ok != c.ok || load.InFlight != c.load {
 				t.Errorf("probe: %v, %v; want %v, %v", ok, load.InFlight, c.ok, c.load)
 			}
@@ -229,8 +229,8 @@
 
 func TestSilentProbeEnds(t *testing.T) {
 	u := newUpstream(t, always(""))
-	ups := newTransport(poolOf(500*time.Millisecond, time.Second, 1))
-	if ok, load := ups.probe(context.Background(), &upstreamServer{addr: u.addr}); ok || load.InFlight >= 0 {
+	ups := NewTransport(poolOf(500*time.Millisecond, time.Second, 1))
+	if ok, load := ups.Probe(context.Background(), &Server{addr: u.addr}); ok || load.InFlight >= 0 {
 		t.Errorf("probe of a silent upstream: %v, %v", ok, load)
 	}
 	await(t, "the connection's end", u.closed)
--- a/internal/sidecar/upstream_write_test.go
+++ b/internal/sidecar/upstream_write_test.go
@@ -28,18 +28,18 @@
 			begun <- c
 		}
 	}()
-	p, to := testPool(1), &upstreamServer{addr: ln.Addr().String()}
-	defer p.close()
+	p, to := testPool(1), &Server{addr: ln.Addr().String()}
+	defer p.Close()
 	c := connections(t, p, to, 1)[0]
 	c.Conn.(*net.TCPConn).SetWriteBuffer(4 << 10)
-	p.release(c)
+	p.Release(c)
 	endAllQuarantines(p)
 	r := &request{method: "POST", url: mustURL("/"), host: "x", externalID: "long", header: http.Header{}, body: make([]byte, 16<<20)}
 	r.clientDeadline = time.Now().Add(time.Hour)
 	a := newAttempt(t.Context(), r, r.clientDeadline, time.Time{})
 	a.server = to
 	ending := make(chan policy.Ending, 1)
-	go func() { e, _ := newTransport(p).runAttempt(a); ending <- e }()
+	go func() { e, _ := NewTransport(p).Do(a); ending <- e }()
 	defer await(t, "the first byte", begun).Close()
 	a.cancelWrite() // the client has left in the middle of the write; ctx lasts
 	if got := await(t, "its end", ending); got != policy.NotSent {
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	defer near.Close()
-	c := &upstreamConn{Conn: far, server: new(upstreamServer)}
+	c := &Conn{Conn: far, server: new(Server)}
 	if n, err := c.Write(make([]byte, body)); n != body || err != nil || c.unsentBytes() == 0 {
 		t.Fatalf("wrote %d, %v, unsent %d", n, err, c.unsentBytes())
 	}
@@ -81,23 +81,23 @@
 // The client's socket is looked at in the moment of the write: net/http may tell later.
 func TestNothingIsWrittenForAClientThatHasLeft(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
-	p, to := testPool(1), &upstreamServer{addr: u.addr}
-	defer p.close()
+	p, to := testPool(1), &Server{addr: u.addr}
+	defer p.Close()
 	far, near := connected(t)
 	r := &request{method: "POST", url: mustURL("/"), host: "x", externalID: "left", header: http.Header{}, conn: near}
 	r.clientDeadline = time.Now().Add(time.Hour)
-	ups := newTransport(p)
+	ups := NewTransport(p)
 	try := func() policy.Ending {
 		a := newAttempt(t.Context(), r, r.clientDeadline, time.Time{})
 		a.server = to
-		ending, _ := ups.runAttempt(a)
+		ending, _ := ups.Do(a)
 		return ending
 	}
 	if got := try(); got != policy.Served {
 		t.Errorf("while it is there: ending %v", got)
 	}
 	far.Close()
-	eventually(t, "the close has come", near.closedByClient)
+	eventually(t, "the close has come", near.ClosedByClient)
 	if got := try(); got != policy.NotSent || len(u.requests) != 1 {
 		t.Errorf("ending %v with %d requests written, want not sent", got, len(u.requests))
 	}
