--- a/internal/sidecar/adviser.go
+++ b/internal/sidecar/adviser.go
@@ -13,10 +13,9 @@
 	"sync"
 	"time"
 
-	"barleywick/internal/sidecar/config"
-
 	"barleywick/internal/overload"
 	"barleywick/internal/registry/client"
+	"barleywick/internal/sidecar/config"
 	"barleywick/policy"
 )
 
--- a/internal/sidecar/upstream_buffers.go
+++ b/internal/sidecar/buffers.go
@@ -1,11 +1,12 @@
 package sidecar
 
 import (
-	"barleywick/internal/sidecar/httpmessage"
 	"bufio"
 	"bytes"
 	"io"
 	"sync"
+
+	"barleywick/internal/sidecar/httpmessage"
 )
 
 // maxPooledRequest is the largest capacity of a request buffer that bufferPool takes back.
--- a/internal/sidecar/client_listener.go
+++ b/internal/sidecar/client_listener.go
@@ -7,9 +7,8 @@
 	"sync"
 	"time"
 
-	"barleywick/internal/sidecar/config"
-
 	"barleywick/internal/admission"
+	"barleywick/internal/sidecar/config"
 	"barleywick/internal/sidecar/gate"
 )
 
--- /dev/null
+++ b/internal/sidecar/client_response.go
@@ -0,0 +1,77 @@
+package sidecar
+
+import (
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"barleywick/internal/sidecar/httpmessage"
+)
+
+// response is what a client gets.
+type response struct {
+	status     int
+	header     http.Header
+	body       []byte
+	retryAfter time.Duration // of a refusal
+}
+
+func (s *clientHandler) writeResponse(w http.ResponseWriter, resp response) {
+	h := w.Header()
+	if resp.header != nil {
+		removeHopByHop(resp.header)
+		delete(resp.header, "Server-Load")
+		for name, v := range resp.header {
+			h[name] = v
+		}
+		if _, ok := h["Content-Type"]; !ok {
+			h["Content-Type"] = nil // or net/http would guess it from the body
+		}
+	}
+	if resp.retryAfter > 0 {
+		h.Set("Retry-After", httpmessage.FormatSeconds(resp.retryAfter))
+	}
+	if s.listener.isDraining() {
+		h.Set("Connection", "close")
+	}
+	h.Set("Content-Length", strconv.Itoa(len(resp.body)))
+	w.WriteHeader(resp.status)
+	w.Write(resp.body)
+}
+
+// rejectRequest answers a request that is not forwarded and closes its connection, as its body may be
+// unread. The body may have any size or never arrive, so the response is sent before a part of it is
+// read. Without that part the close could reset the connection and destroy the response.
+func rejectRequest(w http.ResponseWriter, hr *http.Request, status int) {
+	text := http.StatusText(status)
+	h := w.Header()
+	h.Set("Connection", "close")
+	h.Set("Content-Type", "text/plain; charset=utf-8")
+	h.Set("Content-Length", strconv.Itoa(len(text)))
+	w.WriteHeader(status)
+	io.WriteString(w, text)
+	rc := http.NewResponseController(w)
+	rc.Flush()
+	rc.SetReadDeadline(time.Now().Add(lingerTimeout))
+	io.CopyN(io.Discard, hr.Body, maxBody)
+}
+
+// hopByHopFields concern one connection only, with those that the field Connection names.
+var hopByHopFields = []string{
+	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
+	"Transfer-Encoding", "Upgrade", "Expect",
+}
+
+// removeHopByHop removes the hop-by-hop fields from a header.
+func removeHopByHop(h http.Header) {
+	for _, list := range h["Connection"] {
+		for name := range strings.SplitSeq(list, ",") {
+			h.Del(strings.TrimSpace(name))
+		}
+	}
+	for _, name := range hopByHopFields {
+		delete(h, name)
+	}
+}
--- a/internal/sidecar/client_test.go
+++ b/internal/sidecar/client_test.go
@@ -10,11 +10,9 @@
 	"testing"
 	"time"
 
-	"barleywick/internal/sidecar/config"
-
 	"barleywick/internal/admission"
-
 	"barleywick/internal/registry/registrytest"
+	"barleywick/internal/sidecar/config"
 	"barleywick/internal/sidecar/httpmessage"
 	"barleywick/internal/sidecar/socket"
 )
--- a/internal/sidecar/compatibility_test.go
+++ b/internal/sidecar/compatibility_test.go
@@ -14,10 +14,9 @@
 	"testing"
 	"time"
 
-	"barleywick/internal/sidecar/config"
-
 	"barleywick/internal/overload"
 	"barleywick/internal/rollout"
+	"barleywick/internal/sidecar/config"
 	"barleywick/policy"
 )
 
--- a/internal/sidecar/connections_test.go
+++ b/internal/sidecar/connections_test.go
@@ -17,9 +17,8 @@
 	"testing"
 	"time"
 
-	"barleywick/internal/sidecar/config"
-
 	"barleywick/internal/registry/registrytest"
+	"barleywick/internal/sidecar/config"
 )
 
 // dialFrom opens a connection from a loopback address of its own.
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -9,6 +9,7 @@
 
 	"barleywick/internal/registry/client"
 	"barleywick/internal/registry/registrytest"
+	"barleywick/internal/sidecar/gate"
 	"barleywick/policy"
 )
 
@@ -39,7 +40,7 @@
 func newTestLoop(t *testing.T, hosts ...string) *eventLoop {
 	t.Helper()
 	c := testConfig(t, options{}, "127.0.0.1:1", hosts...)
-	l, err := newEventLoop(c, NewTransport(testPool(4)))
+	l, err := newEventLoop(c, newTestTransport(testPool(4)), gate.New())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -22,16 +22,16 @@
 // are closed, and if the drain is called off it is used again.
 func TestServerThatDrains(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := testPool(4), &Server{addr: u.addr}
+	p, to := testPool(4), NewServer(u.addr)
 	defer p.Close()
 	conns := connections(t, p, to, 3)
 	p.Release(conns[0])
 	p.Drain(to)
 	await(t, "the idle connection's end", u.closed)
-	ups := NewTransport(p)
+	ups := newTestTransport(p)
 	req := &http.Request{Method: "GET", URL: mustURL("/"), Host: "x", Header: http.Header{"Request-Id": {"late"}}}
-	if _, _, wrote, err := ups.exchange(t.Context(), sendPermit{writeCtx: t.Context()}, conns[1], req); err != errServerDraining || !wrote.IsZero() {
-		t.Errorf("on a connection that was taken before: written %v, error %v", wrote, err)
+	if x, err := ups.exchange(t.Context(), sendPermit{writeCtx: t.Context()}, conns[1], req); err != errServerDraining || x.written() {
+		t.Errorf("on a connection that was acquired before: got written %v, error %v", x.writtenAt, err)
 	}
 	if got, _ := runOneAttempt(t.Context(), p, to); got != policy.NotSent {
 		t.Errorf("an attempt that had chosen it: ending %v, want not sent", got)
@@ -48,7 +48,7 @@
 
 // A drain that is told while an attempt waits for its connection ends the wait.
 func TestDrainToldDuringAHandshake(t *testing.T) {
-	p, to := testPool(4), &Server{addr: newBlackHole(t)}
+	p, to := testPool(4), NewServer(newBlackHole(t))
 	p.dialTimeout = patience
 	defer p.Close()
 	ending := make(chan policy.Ending, 1)
--- a/internal/sidecar/governor.go
+++ b/internal/sidecar/governor.go
@@ -14,12 +14,11 @@
 	"sync/atomic"
 	"time"
 
-	"barleywick/internal/sidecar/config"
-
 	"barleywick/internal/lease"
 	"barleywick/internal/registry"
 	"barleywick/internal/registry/client"
 	"barleywick/internal/rollout"
+	"barleywick/internal/sidecar/config"
 	"barleywick/policy"
 )
 
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -7,23 +7,22 @@
 	"math/rand/v2"
 	"net/http"
 	"net/netip"
-	"net/url"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"barleywick/internal/sidecar/config"
-
 	"barleywick/internal/overload"
 	"barleywick/internal/registry/client"
 	"barleywick/internal/settings"
+	"barleywick/internal/sidecar/config"
+	"barleywick/internal/sidecar/gate"
 	"barleywick/policy"
 )
 
 // request is a client's request while it is held. The fields that go to an
 // upstream are fixed before the loop sees it; the rest belongs to the loop.
 type request struct {
-	externalID      string // the client's Request-Id
+	Request         // as it goes to a server
 	class           int
 	tenant          int
 	clientRetry     bool
@@ -33,11 +32,6 @@
 	receivedAt      time.Time     // when it came
 	clientDeadline  time.Time     // when the client gives up
 	processDeadline time.Time     // the process has to have answered it by then; zero: it serves on
-	method          string
-	url             *url.URL
-	host            string
-	header          http.Header
-	body            []byte
 	result          chan response // takes the one answer; never blocks
 
 	id           policy.RequestID
@@ -63,9 +57,6 @@
 	return max(1, time.Until(r.processDeadline))
 }
 
-// clientLeft says whether its client has closed the connection by now.
-func (r *request) clientLeft() bool { return r.conn != nil && r.conn.ClosedByClient() }
-
 // The events that I/O goroutines send to the loop.
 type (
 	requestArrived     struct{ request *request }
@@ -73,7 +64,7 @@
 	attemptEnded       struct {
 		attempt *attempt
 		ending  policy.Ending
-		answer  *response // with Served
+		answer  *Response // with Served
 	}
 	probeCompleted struct {
 		probe *pendingProbe
@@ -149,7 +140,8 @@
 type eventLoop struct {
 	config       *config.Config
 	balancer     *policy.Balancer
-	upstreams    *Transport
+	transport    *Transport
+	gate         *gate.Gate
 	events       chan any
 	queued       []any // events that the loop makes itself
 	ready        atomic.Bool
@@ -198,11 +190,11 @@
 )
 
 // newEventLoop makes a loop that lives from now on until run has ended.
-func newEventLoop(c *config.Config, up *Transport) (*eventLoop, error) {
+func newEventLoop(c *config.Config, up *Transport, g *gate.Gate) (*eventLoop, error) {
 	life, end := context.WithCancel(context.Background())
 	l := &eventLoop{
 		lifetime: life, endLifetime: end,
-		config: c, upstreams: up, startedAt: time.Now(), traceRequests: slog.Default().Enabled(life, slog.LevelDebug),
+		config: c, transport: up, gate: g, startedAt: time.Now(), traceRequests: slog.Default().Enabled(life, slog.LevelDebug),
 		wallNow: time.Now, events: make(chan any, eventBacklog), pollRequests: make(chan struct{}, 1), timer: time.NewTimer(time.Hour),
 		requests: make(map[policy.RequestID]*request), requestNames: requestNames{inUse: make(map[string]bool)},
 		endpoints: make(map[string]*endpoint), endpointsByID: make(map[policy.ServerID]*endpoint), zoneNumbers: make(map[string]int),
@@ -366,7 +358,7 @@
 
 func (l *eventLoop) admitRequest(r *request) {
 	// One id, one request: a second one under the same id might run its effect twice.
-	if !l.requestNames.reserve(r.externalID) {
+	if !l.requestNames.reserve(r.ID) {
 		r.closed = true
 		r.result <- response{status: http.StatusConflict}
 		return
@@ -393,9 +385,9 @@
 // closeRequest ends a request towards its client.
 func (l *eventLoop) closeRequest(r *request) {
 	r.closed = true
-	l.requestNames.release(r.externalID)
+	l.requestNames.release(r.ID)
 	for _, a := range r.attempts {
-		a.cancelWrite() // what was not written yet is not to be: nobody waits for it
+		a.CancelWrite() // what was not written yet is not to be: nobody waits for it
 	}
 	if r.inFlight == 0 {
 		delete(l.requests, r.id)
@@ -428,7 +420,7 @@
 	r.lastTimedOut = e.ending == policy.TimedOut
 	l.traceAttempt(a, e.ending)
 	if e.ending == policy.Served {
-		l.answerRequest(r.id, *e.answer)
+		l.answerRequest(r.id, response{status: http.StatusOK, header: e.answer.Header, body: e.answer.Body})
 	}
 	// Whatever the ending: an answer too late for its client would stay here for ever.
 	if r.closed && r.inFlight == 0 {
@@ -477,7 +469,7 @@
 		if h.entry.Health == "removed" || (kind != policy.ListDelta && !named[name]) {
 			delete(l.endpoints, name)
 			delete(l.endpointsByID, h.id)
-			l.upstreams.pool.Retire(h.peer)
+			l.transport.Pool().Retire(h.peer)
 		}
 	}
 	l.forgetUnusedZones()
@@ -493,12 +485,12 @@
 	switch {
 	case drains && h.drainingSince == 0:
 		h.drainingSince = l.now
-		l.upstreams.pool.Drain(h.peer)
+		l.transport.Pool().Drain(h.peer)
 		slog.Info("upstream drains", "host", h.entry.Host, "running", h.inFlight)
 		l.logDrained(h)
 	case !drains && h.drainingSince != 0:
 		h.drainingSince = 0
-		l.upstreams.pool.Resume(h.peer)
+		l.transport.Pool().Resume(h.peer)
 		slog.Info("upstream's drain is called off", "host", h.entry.Host)
 	}
 }
@@ -539,11 +531,11 @@
 	}
 	if h == nil {
 		l.lastEndpointID++
-		h = &endpoint{id: l.lastEndpointID, peer: &Server{addr: e.Dial}}
+		h = &endpoint{id: l.lastEndpointID, peer: NewServer(e.Dial)}
 		l.endpoints[e.Host], l.endpointsByID[h.id] = h, h
 	} else if h.entry.Dial != e.Dial || h.entry.BornMS != e.BornMS { // what was open to it leads nowhere now
-		l.upstreams.pool.Retire(h.peer)
-		h.peer, h.drainingSince = &Server{addr: e.Dial}, 0
+		l.transport.Pool().Retire(h.peer)
+		h.peer, h.drainingSince = NewServer(e.Dial), 0
 	}
 	// A start ahead of this machine's clock would keep an upstream cold for too
 	// long; it is taken for now, and stays so while the entry names the same start.
@@ -570,6 +562,29 @@
 	return s, true
 }
 
+// attempt is an attempt of a request, with what the loop keeps of it.
+type attempt struct {
+	Attempt
+	req       *request
+	number    int
+	host      *endpoint // nil: it was never sent
+	startedAt time.Time
+}
+
+// newAttempt returns the next attempt of a request, which is given up at giveUpAt. If repeatDeadline
+// is not zero, its request is written before that or not at all.
+func newAttempt(ctx context.Context, r *request, giveUpAt, repeatDeadline time.Time) *attempt {
+	a := &attempt{
+		Attempt: Attempt{Request: &r.Request, Deadline: r.deadline(), RepeatDeadline: repeatDeadline},
+		req:     r, number: len(r.attempts), startedAt: time.Now(),
+	}
+	if r.conn != nil {
+		a.Client = r.conn
+	}
+	a.Begin(ctx, giveUpAt)
+	return a
+}
+
 // Send starts an attempt.
 func (l *eventLoop) Send(id policy.RequestID, to policy.ServerID, timeout, start time.Duration) {
 	r, h := l.requests[id], l.endpointsByID[to]
@@ -589,15 +604,15 @@
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
 	if h == nil || r.closed {
-		a.cancelWrite()
-		a.cancel()
+		a.CancelWrite()
+		a.Cancel()
 		l.queued = append(l.queued, attemptEnded{attempt: a, ending: policy.NotSent})
 		return
 	}
-	a.server, a.host = h.peer, h
+	a.Server, a.host = h.peer, h
 	h.inFlight++
 	l.tasks.Go(func() {
-		ending, ans := l.upstreams.Do(a)
+		ending, ans := l.transport.Do(&a.Attempt)
 		l.post(attemptEnded{a, ending, ans})
 	})
 }
@@ -619,7 +634,7 @@
 // Cancel gives an attempt up, which closes its connection.
 func (l *eventLoop) Cancel(id policy.RequestID, number int) {
 	if r := l.requests[id]; r != nil && number >= 0 && number < len(r.attempts) {
-		r.attempts[number].cancel()
+		r.attempts[number].Cancel()
 	}
 }
 
@@ -639,7 +654,7 @@
 	h.probes = append(h.probes, p)
 	peer := h.peer
 	l.tasks.Go(func() {
-		ok, load := l.upstreams.Probe(l.lifetime, peer)
+		ok, load := l.transport.Probe(l.lifetime, peer)
 		l.post(probeCompleted{p, ok, load})
 	})
 }
--- a/internal/sidecar/meter.go
+++ b/internal/sidecar/meter.go
@@ -11,7 +11,6 @@
 	"time"
 
 	"barleywick/internal/sidecar/config"
-
 	"barleywick/internal/sidecar/gate"
 	"barleywick/policy"
 )
@@ -76,7 +75,7 @@
 
 // status is the loop's part of the state.
 func (l *eventLoop) status() Status {
-	s := Status{OpenRequests: len(l.requests), Gate: l.upstreams.gate.Counters(), Congestion: l.balancer.Congestion(l.now), Decided: l.balancer.Counters(), Endpoints: make(map[string]map[string]int)}
+	s := Status{OpenRequests: len(l.requests), Gate: l.gate.Counters(), Congestion: l.balancer.Congestion(l.now), Decided: l.balancer.Counters(), Endpoints: make(map[string]map[string]int)}
 	if l.listUpdatedAt > 0 {
 		s.EndpointListAge = l.now - l.listUpdatedAt
 	}
@@ -140,7 +139,7 @@
 		l.exporter.RecordRequest(class, tenant, outcome, took)
 	}
 	if l.traceRequests {
-		slog.Debug("request ended", "request", r.externalID, "class", class, "tenant", tenant, "outcome", outcome, "attempts", len(r.attempts), "took", took)
+		slog.Debug("request ended", "request", r.ID, "class", class, "tenant", tenant, "outcome", outcome, "attempts", len(r.attempts), "took", took)
 	}
 }
 
@@ -153,7 +152,7 @@
 	if a.host != nil {
 		host = a.host.entry.Host
 	}
-	slog.Debug("attempt ended", "request", a.req.externalID, "attempt", a.number, "host", host, "ending", endingNames[end], "took", time.Since(a.startedAt))
+	slog.Debug("attempt ended", "request", a.req.ID, "attempt", a.number, "host", host, "ending", endingNames[end], "took", time.Since(a.startedAt))
 }
 
 // endingNames are the module's endings in words.
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/peers_test.go
@@ -15,9 +15,8 @@
 	"testing"
 	"time"
 
-	"barleywick/internal/sidecar/config"
-
 	"barleywick/internal/registry/registrytest"
+	"barleywick/internal/sidecar/config"
 	"barleywick/internal/sidecar/gate"
 	"barleywick/policy"
 )
@@ -276,11 +275,20 @@
 }
 
 // runOneAttempt carries one attempt out over a pool of its own.
-func runOneAttempt(ctx context.Context, p *Pool, to *Server) (policy.Ending, *response) {
-	r := &request{method: "POST", url: mustURL("/api"), host: "service.internal", header: http.Header{"Request-Id": {"x"}}, body: []byte("{}")}
-	a := newAttempt(ctx, r, time.Now().Add(time.Hour), time.Time{})
-	a.server = to
-	return NewTransport(p).Do(a)
+func runOneAttempt(ctx context.Context, p *Pool, to *Server) (policy.Ending, *Response) {
+	r := &Request{Method: "POST", URL: mustURL("/api"), Host: "service.internal", Header: http.Header{"Request-Id": {"x"}}, Body: []byte("{}")}
+	return newTestTransport(p).Do(newTestAttempt(ctx, r, to, time.Time{}, time.Time{}))
+}
+
+// newTestTransport returns a transport without load reports.
+func newTestTransport(p *Pool) *Transport { return NewTransport(p, gate.New(), "/health/live", nil) }
+
+// newTestAttempt returns an attempt that has an hour, unless its client's deadline or the one for a
+// repeat is earlier; zero times are none.
+func newTestAttempt(ctx context.Context, r *Request, to *Server, deadline, repeatDeadline time.Time) *Attempt {
+	a := &Attempt{Request: r, Server: to, Deadline: deadline, RepeatDeadline: repeatDeadline}
+	a.Begin(ctx, time.Now().Add(time.Hour))
+	return a
 }
 
 // valid says whether a text is JSON, so that a test's own list cannot be wrong by a slip.
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -8,9 +8,8 @@
 	"sync"
 	"time"
 
-	"barleywick/internal/sidecar/config"
-
 	"barleywick/internal/queue"
+	"barleywick/internal/sidecar/config"
 )
 
 const (
--- a/internal/sidecar/pool_dial_test.go
+++ b/internal/sidecar/pool_dial_test.go
@@ -12,7 +12,6 @@
 	"time"
 
 	"barleywick/internal/sidecar/config"
-
 	"barleywick/policy"
 )
 
@@ -49,7 +48,8 @@
 			})
 		}
 	}
-	a, b, c := &Server{addr: silent, dialWindow: 10}, &Server{addr: again, dialWindow: 10}, &Server{addr: again}
+	a, b, c := NewServer(silent), NewServer(again), NewServer(again)
+	a.dialWindow, b.dialWindow = 10, 10
 	ask(a, 8)
 	eventually(t, "the first handshakes are under way", func() bool { _, now := p.Counters(); return now.Waiting == 8 })
 	if _, now := p.Counters(); now.Handshakes != 3 {
@@ -103,7 +103,7 @@
 	u := newUpstream(t, always(answer200("")))
 	p := testPool(20)
 	defer p.Close()
-	to := &Server{addr: u.addr}
+	to := NewServer(u.addr)
 	for _, want := range []int{2, 3, 4} {
 		c, err := p.Acquire(t.Context(), to)
 		if err != nil {
@@ -124,7 +124,7 @@
 // as by one that comes up; who has left is passed over.
 func TestWaitersAreServedInTurn(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := testPool(1), &Server{addr: u.addr}
+	p, to := testPool(1), NewServer(u.addr)
 	p.dialTimeout = patience
 	defer p.Close()
 	c, err := p.Acquire(t.Context(), to)
@@ -167,15 +167,15 @@
 // Limits of our own are no word against an upstream.
 func TestOwnLimitsAreNoFailureOfTheUpstream(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := poolOf(20*time.Millisecond, 30*time.Second, 1), &Server{addr: u.addr}
+	p, to := poolOf(20*time.Millisecond, 30*time.Second, 1), NewServer(u.addr)
 	defer p.Close()
 	if _, err := p.Acquire(t.Context(), to); err != nil {
 		t.Fatal(err)
 	}
-	if got, _ := runOneAttempt(t.Context(), p, &Server{addr: u.addr}); got != policy.NotSent {
+	if got, _ := runOneAttempt(t.Context(), p, NewServer(u.addr)); got != policy.NotSent {
 		t.Errorf("ending %v, want not sent", got)
 	}
-	if got, _ := runOneAttempt(t.Context(), poolOf(20*time.Millisecond, time.Second, 1), &Server{addr: newBlackHole(t)}); got != policy.NoConnection {
+	if got, _ := runOneAttempt(t.Context(), poolOf(20*time.Millisecond, time.Second, 1), NewServer(newBlackHole(t))); got != policy.NoConnection {
 		t.Errorf("an upstream that says nothing: ending %v, want no connection", got)
 	}
 }
--- a/internal/sidecar/pool_test.go
+++ b/internal/sidecar/pool_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"barleywick/internal/sidecar/config"
+	"barleywick/internal/sidecar/gate"
 	"barleywick/internal/sidecar/socket"
 	"barleywick/policy"
 )
@@ -22,7 +23,7 @@
 				}
 				return answer200(""), false
 			})
-			p, to := testPool(8), &Server{addr: u.addr}
+			p, to := testPool(8), NewServer(u.addr)
 			defer p.Close()
 			conns := connections(t, p, to, 3)
 			for _, c := range conns {
@@ -35,8 +36,7 @@
 			go func() { e, _ := runOneAttempt(ctx, p, to); ending <- e }()
 			await(t, "the request", u.requests)
 			if heard {
-				ups := NewTransport(p)
-				ups.statsPath = "/stats"
+				ups := NewTransport(p, gate.New(), "/stats", nil)
 				if ok, _ := ups.Probe(t.Context(), to); !ok {
 					t.Fatal("the probe failed")
 				}
@@ -57,7 +57,7 @@
 // upstream would; the last one is not.
 func TestIdleConnectionsAreKeptByNeed(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := poolOf(time.Second, time.Minute, 8), &Server{addr: u.addr}
+	p, to := poolOf(time.Second, time.Minute, 8), NewServer(u.addr)
 	defer p.Close()
 	conns := connections(t, p, to, 5)
 	for _, c := range conns {
@@ -87,7 +87,7 @@
 
 // Attempts that wait for a connection to a host that leaves are told at once.
 func TestWaitersOfAHostThatLeaves(t *testing.T) {
-	p, to := testPool(4), &Server{addr: newBlackHole(t)}
+	p, to := testPool(4), NewServer(newBlackHole(t))
 	p.dialTimeout = patience
 	defer p.Close()
 	ending := make(chan policy.Ending, 1)
@@ -105,7 +105,7 @@
 // New limits act on what is open.
 func TestLimitsChangeUnderWay(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := testPool(8), &Server{addr: u.addr}
+	p, to := testPool(8), NewServer(u.addr)
 	defer p.Close()
 	conns := connections(t, p, to, 4)
 	for _, c := range conns[1:] {
@@ -158,7 +158,7 @@
 
 func TestPoolReusesTheMostRecentConnection(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := testPool(4), &Server{addr: u.addr}
+	p, to := testPool(4), NewServer(u.addr)
 	a, err := p.Acquire(context.Background(), to)
 	if err != nil {
 		t.Fatal(err)
@@ -182,7 +182,7 @@
 
 func TestPoolDropsWhatThePeerClosed(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := testPool(4), &Server{addr: u.addr}
+	p, to := testPool(4), NewServer(u.addr)
 	c, err := p.Acquire(context.Background(), to)
 	if err != nil {
 		t.Fatal(err)
@@ -207,7 +207,7 @@
 
 func TestPoolClosesBeforeTheUpstreamDoes(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := poolOf(time.Second, 10*time.Second, 4), &Server{addr: u.addr}
+	p, to := poolOf(time.Second, 10*time.Second, 4), NewServer(u.addr)
 	c, err := p.Acquire(context.Background(), to)
 	if err != nil {
 		t.Fatal(err)
@@ -231,7 +231,7 @@
 // At the bound an idle connection makes way, to whatever upstream it goes.
 func TestPoolKeepsToItsBound(t *testing.T) {
 	a, b := newUpstream(t, always(answer200(""))), newUpstream(t, always(answer200("")))
-	p, toA, toB := testPool(2), &Server{addr: a.addr}, &Server{addr: b.addr}
+	p, toA, toB := testPool(2), NewServer(a.addr), NewServer(b.addr)
 	first, err := p.Acquire(context.Background(), toA)
 	if err != nil {
 		t.Fatal(err)
@@ -264,7 +264,7 @@
 // the old one may still be out by then: its connection is not the new one's.
 func TestConnectionsBelongToTheirHost(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, old := testPool(4), &Server{addr: u.addr}
+	p, old := testPool(4), NewServer(u.addr)
 	idle, err := p.Acquire(t.Context(), old)
 	if err != nil {
 		t.Fatal(err)
@@ -276,7 +276,7 @@
 	p.Release(idle)
 	p.Retire(old)
 	await(t, "the idle connection's end", u.closed)
-	fresh, err := p.Acquire(t.Context(), &Server{addr: u.addr})
+	fresh, err := p.Acquire(t.Context(), NewServer(u.addr))
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/sidecar/probe.go
@@ -0,0 +1,53 @@
+package sidecar
+
+import (
+	"context"
+	"net/http"
+	"net/url"
+
+	"barleywick/internal/settings"
+	"barleywick/policy"
+)
+
+// maxLoadReport is how much of a probe's response body is parsed.
+const maxLoadReport = 4 << 10
+
+// Probe checks a server's health and asks for its load. It fails without a response within the time
+// that a connection may take to be established.
+func (t *Transport) Probe(ctx context.Context, server *Server) (ok bool, load policy.LoadReport) {
+	ctx, cancel := context.WithTimeout(ctx, t.pool.dialTimeout)
+	defer cancel()
+	if t.gate.MayStart(t.pool.dialTimeout) != policy.Allowed {
+		return false, policy.UnknownLoad
+	}
+	c, err := t.pool.Acquire(ctx, server)
+	if err != nil {
+		return false, policy.UnknownLoad
+	}
+	req := &http.Request{
+		Method: http.MethodGet, URL: &url.URL{Path: t.probePath}, Host: server.addr,
+		Header: http.Header{"User-Agent": {""}},
+	}
+	x, err := t.exchange(ctx, sendPermit{requestID: "probe", writeCtx: ctx}, c, req)
+	if ctx.Err() != nil && x.written() {
+		t.pool.noteUnresponsive(server, x.writtenAt)
+	}
+	if err != nil || x.resp.StatusCode != http.StatusOK {
+		return false, policy.UnknownLoad
+	}
+	report := x.resp.Header.Get("Server-Load")
+	if report == "" {
+		report = string(x.body[:min(len(x.body), maxLoadReport)])
+	}
+	return true, t.parseLoad(report)
+}
+
+// parseLoad parses a load report, 'TEXT name=value, name=value'. A field that is missing or is not a
+// number is unknown.
+func (t *Transport) parseLoad(report string) policy.LoadReport {
+	values := settings.ParseLoadReport(report, t.loadFields...)
+	return t.loadFields.LoadReport(func(column int) (float64, bool) {
+		v, ok := values[t.loadFields[column]]
+		return v, ok
+	})
+}
--- a/internal/sidecar/quarantine.go
+++ b/internal/sidecar/quarantine.go
@@ -1,9 +1,10 @@
 package sidecar
 
 import (
-	"barleywick/internal/sidecar/socket"
 	"container/heap"
 	"time"
+
+	"barleywick/internal/sidecar/socket"
 )
 
 // A server may send a second response to a request some milliseconds after the first, and nothing in
--- a/internal/sidecar/quarantine_test.go
+++ b/internal/sidecar/quarantine_test.go
@@ -33,22 +33,19 @@
 				}
 				return first + last, false
 			})
-			p, to := testPool(1), &Server{addr: u.addr}
+			p, to := testPool(1), NewServer(u.addr)
 			defer p.Close()
 			if !alike {
 				makeDuplicatesConclusive(p)
 			}
 			for i := range distinctRunNeeded + 4 {
-				r := &request{method: "POST", url: mustURL("/"), host: "x", externalID: fmt.Sprint(i), header: http.Header{"Request-Id": {fmt.Sprint(i)}}}
-				r.clientDeadline = time.Now().Add(time.Hour)
-				a := newAttempt(t.Context(), r, r.clientDeadline, time.Time{})
-				a.server = to
-				ending, got := NewTransport(p).Do(a)
+				r := &Request{ID: fmt.Sprint(i), Method: "POST", URL: mustURL("/"), Host: "x", Header: http.Header{"Request-Id": {fmt.Sprint(i)}}}
+				ending, got := newTestTransport(p).Do(newTestAttempt(t.Context(), r, to, time.Now().Add(time.Hour), time.Time{}))
 				want := fmt.Sprint("done ", i)
 				if alike {
 					want = "done"
 				}
-				if ending != policy.Served || string(got.body) != want {
+				if ending != policy.Served || string(got.Body) != want {
 					t.Fatalf("request %d: ending %v, answer %+v", i, ending, got)
 				}
 				endAllQuarantines(p)
@@ -85,10 +82,10 @@
 	for name, behind := range map[string]string{"in the same write": answer200("stale"), "later": ""} {
 		t.Run(name, func(t *testing.T) {
 			u := newUpstream(t, func(r received) (string, bool) { return answer200("good") + behind, false })
-			p, to := testPool(4), &Server{addr: u.addr}
+			p, to := testPool(4), NewServer(u.addr)
 			for i := range 20 {
 				ending, a := runOneAttempt(t.Context(), p, to)
-				if ending != policy.Served || string(a.body) != "good" {
+				if ending != policy.Served || string(a.Body) != "good" {
 					t.Fatalf("attempt %d: ending %v, answer %+v", i, ending, a)
 				}
 				if r := await(t, "the request", u.requests); behind == "" {
@@ -106,7 +103,7 @@
 // long is not used while there is one that has, nor before it has.
 func TestConnectionRestsBeforeTheNextRequest(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
-	p, to := testPool(4), &Server{addr: u.addr}
+	p, to := testPool(4), NewServer(u.addr)
 	get := func() *Conn {
 		t.Helper()
 		c, err := p.Acquire(t.Context(), to)
--- a/internal/sidecar/races_test.go
+++ b/internal/sidecar/races_test.go
@@ -21,23 +21,20 @@
 // The time in which a request may be sent again is over while it waits for a connection.
 func TestRepeatKeepsToItsWindowAtTheWrite(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
-	p, to := testPool(1), &Server{addr: u.addr}
-	ups := NewTransport(p)
+	p, to := testPool(1), NewServer(u.addr)
+	ups := newTestTransport(p)
 	out := connections(t, p, to, 1)[0]
-	r := &request{method: "POST", url: mustURL("/api"), host: "x", header: map[string][]string{"Request-Id": {"x"}}}
-	a := newAttempt(t.Context(), r, time.Now().Add(time.Hour), time.Now().Add(20*time.Millisecond))
-	a.server = to
+	r := &Request{Method: "POST", URL: mustURL("/api"), Host: "x", Header: map[string][]string{"Request-Id": {"x"}}}
+	a := newTestAttempt(t.Context(), r, to, time.Time{}, time.Now().Add(20*time.Millisecond))
 	if got, _ := ups.Do(a); got != policy.NotSent {
 		t.Errorf("waiting for a connection: ending %v, want not sent", got)
 	}
 	p.Release(out)
-	a = newAttempt(t.Context(), r, time.Now().Add(time.Hour), time.Now().Add(-time.Millisecond))
-	a.server = to
+	a = newTestAttempt(t.Context(), r, to, time.Time{}, time.Now().Add(-time.Millisecond))
 	if got, _ := ups.Do(a); got != policy.NotSent {
 		t.Errorf("with a connection: ending %v, want not sent", got)
 	}
-	a = newAttempt(t.Context(), r, time.Now().Add(time.Hour), time.Now().Add(time.Hour))
-	a.server = to
+	a = newTestAttempt(t.Context(), r, to, time.Time{}, time.Now().Add(time.Hour))
 	if got, _ := ups.Do(a); got != policy.Served {
 		t.Errorf("in time: ending %v, want served", got)
 	}
@@ -49,13 +46,13 @@
 // The window is checked between the choice of a connection and the write, too.
 func TestRepeatIsNotWrittenAfterItsWindow(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
-	p, to := testPool(1), &Server{addr: u.addr}
-	ups := NewTransport(p)
+	p, to := testPool(1), NewServer(u.addr)
+	ups := newTestTransport(p)
 	c := connections(t, p, to, 1)[0]
-	r := &request{method: "POST", url: mustURL("/api"), host: "x", header: map[string][]string{"Request-Id": {"x"}}}
-	a := newAttempt(t.Context(), r, time.Now().Add(time.Hour), time.Now().Add(-time.Millisecond))
-	if _, _, written, err := ups.exchange(a.ctx, a.permit(), c, r.upstreamRequest(a.ctx)); err == nil || !written.IsZero() {
-		t.Errorf("written %v, error %v", written, err)
+	r := &Request{Method: "POST", URL: mustURL("/api"), Host: "x", Header: map[string][]string{"Request-Id": {"x"}}}
+	a := newTestAttempt(t.Context(), r, to, time.Time{}, time.Now().Add(-time.Millisecond))
+	if x, err := ups.exchange(a.ctx, a.permit(), c, r.outgoing(a.ctx)); err == nil || x.written() {
+		t.Errorf("got written %v, error %v; want an error before the write", x.writtenAt, err)
 	}
 	if len(u.requests) > 0 {
 		t.Error("it was written")
@@ -76,24 +73,25 @@
 	l.balancer = b
 	b.Start(l.clock())
 	l.applyListing(policy.ListFull, *l.config.KnownEndpoints)
-	l.upstreams.pool = testPool(1)
-	defer l.upstreams.pool.Close()
+	pool := testPool(1)
+	defer pool.Close()
+	l.transport = newTestTransport(pool)
 	to := l.endpoints["s-1"].peer
-	out := connections(t, l.upstreams.pool, to, 1)[0]
+	out := connections(t, pool, to, 1)[0]
 	go l.run(t.Context())
 	r := &request{
-		externalID: "leaves", class: 2, method: "POST", url: mustURL("/api"), host: "x", header: map[string][]string{"Request-Id": {"leaves"}},
-		clientDeadline: time.Now().Add(4 * time.Second), result: make(chan response, 1),
+		Request: Request{ID: "leaves", Method: "POST", URL: mustURL("/api"), Host: "x", Header: map[string][]string{"Request-Id": {"leaves"}}},
+		class:   2, clientDeadline: time.Now().Add(4 * time.Second), result: make(chan response, 1),
 	}
 	l.post(requestArrived{r})
-	eventually(t, "the attempt waits", func() bool { return waiters(l.upstreams.pool) == 1 })
+	eventually(t, "the attempt waits", func() bool { return waiters(pool) == 1 })
 	l.post(clientDisconnected{r})
 	handled := make(chan struct{})
 	l.post(fleetPolicyReceived{done: handled})
 	await(t, "the loop", handled)
-	l.upstreams.pool.Release(out) // the attempt's turn, if it still waits
+	pool.Release(out) // the attempt's turn, if it still waits
 	// The pool's one connection serves one after the other: the next request comes behind.
-	if got, _ := runOneAttempt(t.Context(), l.upstreams.pool, to); got != policy.Served {
+	if got, _ := runOneAttempt(t.Context(), pool, to); got != policy.Served {
 		t.Errorf("the next attempt: ending %v", got)
 	}
 	if first := await(t, "a request", u.requests); first.Header.Get("Request-Id") == "leaves" {
@@ -147,7 +145,7 @@
 		r.conn.(*net.TCPConn).SetLinger(0) // its close is a reset
 		return "", true
 	})
-	if got, a := runOneAttempt(t.Context(), testPool(2), &Server{addr: u.addr}); got != policy.Broken {
+	if got, a := runOneAttempt(t.Context(), testPool(2), NewServer(u.addr)); got != policy.Broken {
 		t.Errorf("ending %v, answer %+v, want broken", got, a)
 	}
 }
--- a/internal/sidecar/upstream_server.go
+++ b/internal/sidecar/server.go
@@ -37,6 +37,9 @@
 	peakSince    time.Time
 }
 
+// NewServer returns a server without connections, at an address.
+func NewServer(addr string) *Server { return &Server{addr: addr} }
+
 // unavailable returns an error if the server gets nothing new.
 func (s *Server) unavailable() error {
 	switch {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -14,10 +14,10 @@
 	"sync"
 	"time"
 
-	"barleywick/internal/sidecar/config"
-
 	"barleywick/internal/registry/client"
 	"barleywick/internal/rollout"
+	"barleywick/internal/sidecar/config"
+	"barleywick/internal/sidecar/gate"
 	"barleywick/internal/sidecar/handover"
 	"barleywick/policy"
 )
@@ -67,17 +67,22 @@
 	return serve(stop, reload, c, o, ln, nil)
 }
 
+// probePath is where servers are probed.
+func probePath(c *config.Config) string {
+	if c.Policy.LoadReports {
+		return "/stats"
+	}
+	return "/health/live"
+}
+
 // serve runs a sidecar on a listener, and in the place of an old process if there is one.
 func serve(stop context.Context, reload <-chan os.Signal, c *config.Config, o runOptions, ln net.Listener, old *handover.Predecessor) error {
 	defer ln.Close()
 	pool := NewPool(c.DialTimeout, c.UpstreamIdleTimeout, c.Connections.Servers, c.Seed)
 	defer pool.Close()
-	up := NewTransport(pool)
-	up.loadFields = c.LoadReportColumns
-	if c.Policy.LoadReports {
-		up.statsPath = "/stats"
-	}
-	l, err := newEventLoop(c, up)
+	sendGate := gate.New()
+	transport := NewTransport(pool, sendGate, probePath(c), c.LoadReportColumns)
+	l, err := newEventLoop(c, transport, sendGate)
 	if err != nil {
 		return err
 	}
@@ -105,11 +110,11 @@
 	governed, dismiss := context.WithCancel(run)
 	defer dismiss()
 	l.activeConnections = limited.possiblyActive
-	limited.gate = up.gate
+	limited.gate = sendGate
 	l.logOtherCounters = func() {
 		limited.logCounters()
 		pool.LogCounters()
-		up.gate.LogCounters()
+		sendGate.LogCounters()
 	}
 	var gov *policyFollower
 	ungoverned := make(chan error, 1)
@@ -160,7 +165,7 @@
 	loops.Go(func() { l.run(run) })
 	loops.Go(func() { sweep(run, pool) })
 
-	ending := newGracefulShutdown(limited, up.gate, policy.ShutdownTimeout(c.Policy.Classes))
+	ending := newGracefulShutdown(limited, sendGate, policy.ShutdownTimeout(c.Policy.Classes))
 	clients := newClientHandler(c, l, ending)
 	clients.governor, clients.adviser, clients.member = gov, adv, member
 	if member != nil {
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -99,18 +99,16 @@
 		}
 		return answer200("ok"), false
 	})
-	l, to := newTestLoop(t), &Server{addr: u.addr}
+	p, to := testPool(4), NewServer(u.addr)
 	try := func(id string) policy.Ending {
-		r := &request{method: "GET", url: mustURL("/"), host: "x", header: http.Header{"Request-Id": {id}, "Idempotency-Key": {"k"}}}
-		a := newAttempt(t.Context(), r, time.Now().Add(time.Hour), time.Time{})
-		a.server = to
-		ending, _ := l.upstreams.Do(a)
+		r := &Request{Method: "GET", URL: mustURL("/"), Host: "x", Header: http.Header{"Request-Id": {id}, "Idempotency-Key": {"k"}}}
+		ending, _ := newTestTransport(p).Do(newTestAttempt(t.Context(), r, to, time.Time{}, time.Time{}))
 		return ending
 	}
 	if got := try("first"); got != policy.Served {
 		t.Fatalf("first: ending %v", got)
 	}
-	endAllQuarantines(l.upstreams.pool)
+	endAllQuarantines(p)
 	if got := try("breaks"); got != policy.Broken {
 		t.Errorf("on a breaking connection: ending %v, want broken", got)
 	}
@@ -172,9 +170,9 @@
 
 func TestExactlyOneAnswer(t *testing.T) {
 	l := newTestLoop(t)
-	r := &request{externalID: "x", id: 7, result: make(chan response, 1)}
+	r := &request{Request: Request{ID: "x"}, id: 7, result: make(chan response, 1)}
 	l.requests[r.id] = r
-	l.requestNames.reserve(r.externalID)
+	l.requestNames.reserve(r.ID)
 	l.Fail(r.id)
 	l.Fail(r.id)
 	l.Refuse(r.id, 0)
@@ -182,8 +180,8 @@
 	if a := await(t, "the answer", r.result); a.status != http.StatusBadGateway || len(r.result) > 0 {
 		t.Errorf("answered %d, and %d times more", a.status, len(r.result))
 	}
-	if len(l.requests) > 0 || l.requestNames.isInUse(r.externalID) {
-		t.Errorf("%d requests are still held, name held: %v", len(l.requests), l.requestNames.isInUse(r.externalID))
+	if len(l.requests) > 0 || l.requestNames.isInUse(r.ID) {
+		t.Errorf("%d requests are still held, name held: %v", len(l.requests), l.requestNames.isInUse(r.ID))
 	}
 }
 
@@ -194,14 +192,15 @@
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.addr, "up", 0))
 	r := call{class: "once"}.request(t, u.addr)
 	held := &request{
-		externalID: "x", class: 2, clientDeadline: time.Now().Add(patience), method: r.Method, url: r.URL, host: r.Host, header: r.Header,
+		Request: Request{ID: "x", Method: r.Method, URL: r.URL, Host: r.Host, Header: r.Header},
+		class:   2, clientDeadline: time.Now().Add(patience),
 		result: make(chan response, 1),
 	}
 	l.now = l.clock()
 	l.handle(requestArrived{held})
 	await(t, "the attempt", u.requests)
 	l.handle(clientDisconnected{held})
-	l.handle(attemptEnded{held.attempts[0], policy.Served, &response{status: http.StatusOK}})
+	l.handle(attemptEnded{held.attempts[0], policy.Served, &Response{}})
 	if len(l.requests) > 0 || len(held.result) > 0 {
 		t.Errorf("%d requests are still held, %d answers given", len(l.requests), len(held.result))
 	}
@@ -212,13 +211,13 @@
 func TestTimeOutIsToldWhoeverNoticesFirst(t *testing.T) {
 	l := newTestLoop(t)
 	for want, r := range map[int]*request{
-		http.StatusGatewayTimeout: {externalID: "out", id: 7, inFlight: 1, result: make(chan response, 1)},
-		http.StatusBadGateway:     {externalID: "broken", id: 8, result: make(chan response, 1)},
+		http.StatusGatewayTimeout: {Request: Request{ID: "out"}, id: 7, inFlight: 1, result: make(chan response, 1)},
+		http.StatusBadGateway:     {Request: Request{ID: "broken"}, id: 8, result: make(chan response, 1)},
 	} {
 		l.requests[r.id] = r
 		l.Fail(r.id)
 		if a := await(t, "the answer", r.result); a.status != want {
-			t.Errorf("%s: answered %d, want %d", r.externalID, a.status, want)
+			t.Errorf("%s: answered %d, want %d", r.ID, a.status, want)
 		}
 	}
 }
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -11,6 +11,7 @@
 
 	"barleywick/internal/registry/registrytest"
 	"barleywick/internal/settings"
+	"barleywick/internal/sidecar/gate"
 	"barleywick/internal/sidecar/httpmessage"
 	"barleywick/policy"
 )
@@ -68,11 +69,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := newUpstream(t, func(received) (string, bool) { return c.text, c.end })
-			got, a := runOneAttempt(context.Background(), testPool(2), &Server{addr: u.addr})
+			got, a := runOneAttempt(context.Background(), testPool(2), NewServer(u.addr))
 			if got != c.want {
 				t.Errorf("ending %v, want %v", got, c.want)
 			}
-			if (a != nil) != (c.want == policy.Served) || (a != nil && string(a.body) != "honey") {
+			if (a != nil) != (c.want == policy.Served) || (a != nil && string(a.Body) != "honey") {
 				t.Errorf("answer %+v", a)
 			}
 			if r := await(t, "the request", u.requests); r.body != "{}" || r.Header.Get("Request-Id") != "x" {
@@ -86,7 +87,7 @@
 	u := newUpstream(t, always(""))
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
-	if got, _ := runOneAttempt(ctx, testPool(2), &Server{addr: u.addr}); got != policy.TimedOut {
+	if got, _ := runOneAttempt(ctx, testPool(2), NewServer(u.addr)); got != policy.TimedOut {
 		t.Errorf("ending %v, want timed out", got)
 	}
 	await(t, "the connection's end", u.closed)
@@ -99,7 +100,7 @@
 		<-u.requests
 		cancel()
 	}()
-	if got, _ := runOneAttempt(ctx, testPool(2), &Server{addr: u.addr}); got != policy.Cancelled {
+	if got, _ := runOneAttempt(ctx, testPool(2), NewServer(u.addr)); got != policy.Cancelled {
 		t.Errorf("ending %v, want cancelled", got)
 	}
 	await(t, "the connection's end", u.closed)
@@ -109,7 +110,7 @@
 func TestTooLargeAnswerIsNotWaitedFor(t *testing.T) {
 	text := answer200(strings.Repeat("x", MaxResponseBody+2))
 	u := newUpstream(t, always(text[:len(text)-1])) // the last byte never comes
-	if got, _ := runOneAttempt(t.Context(), testPool(2), &Server{addr: u.addr}); got != policy.Broken {
+	if got, _ := runOneAttempt(t.Context(), testPool(2), NewServer(u.addr)); got != policy.Broken {
 		t.Errorf("ending %v, want broken", got)
 	}
 	await(t, "the connection's end", u.closed)
@@ -118,7 +119,7 @@
 func TestRefusedConnectionNeverRan(t *testing.T) {
 	ln := listenLoopback(t)
 	ln.Close()
-	if got, _ := runOneAttempt(context.Background(), testPool(2), &Server{addr: ln.Addr().String()}); got != policy.NoConnection {
+	if got, _ := runOneAttempt(context.Background(), testPool(2), NewServer(ln.Addr().String())); got != policy.NoConnection {
 		t.Errorf("ending %v, want no connection", got)
 	}
 }
@@ -126,7 +127,7 @@
 // An attempt that is given up while it waits for a connection writes nothing.
 func TestEndedWhileQueuedWritesNothing(t *testing.T) {
 	u := newUpstream(t, always(answer200("")))
-	p, to := testPool(1), &Server{addr: u.addr}
+	p, to := testPool(1), NewServer(u.addr)
 	held, err := p.Acquire(context.Background(), to)
 	if err != nil {
 		t.Fatal(err)
@@ -162,15 +163,15 @@
 	}()
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
-	u := NewTransport(testPool(1))
-	c, err := u.pool.Acquire(ctx, &Server{addr: ln.Addr().String()})
+	u := newTestTransport(testPool(1))
+	c, err := u.pool.Acquire(ctx, NewServer(ln.Addr().String()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.Conn.(*net.TCPConn).SetWriteBuffer(4 << 10)
 	req := &http.Request{Method: "GET", URL: mustURL("/"), Host: "x", Header: http.Header{"X": {strings.Repeat("x", 16<<20)}}}
-	if _, _, wrote, err := u.exchange(ctx, sendPermit{writeCtx: ctx}, c, req); err == nil || !wrote.IsZero() {
-		t.Errorf("wrote %v, error %v; want an unfinished write", wrote, err)
+	if x, err := u.exchange(ctx, sendPermit{writeCtx: ctx}, c, req); err == nil || x.written() {
+		t.Errorf("got written %v, error %v; want an unfinished write", x.writtenAt, err)
 	}
 }
 
@@ -214,9 +215,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := newUpstream(t, always(c.text))
-			ups := NewTransport(testPool(1))
-			ups.loadFields, ups.statsPath = settings.LoadColumns{"busy_reqs", "pending"}, "/stats"
-			ok, load := ups.Probe(context.Background(), &Server{addr: u.addr})
+			ups := NewTransport(testPool(1), gate.New(), "/stats", settings.LoadColumns{"busy_reqs", "pending"})
+			ok, load := ups.Probe(context.Background(), NewServer(u.addr))
 			if ok != c.ok || load.InFlight != c.load {
 				t.Errorf("probe: %v, %v; want %v, %v", ok, load.InFlight, c.ok, c.load)
 			}
@@ -229,8 +229,8 @@
 
 func TestSilentProbeEnds(t *testing.T) {
 	u := newUpstream(t, always(""))
-	ups := NewTransport(poolOf(500*time.Millisecond, time.Second, 1))
-	if ok, load := ups.Probe(context.Background(), &Server{addr: u.addr}); ok || load.InFlight >= 0 {
+	ups := newTestTransport(poolOf(500*time.Millisecond, time.Second, 1))
+	if ok, load := ups.Probe(context.Background(), NewServer(u.addr)); ok || load.InFlight >= 0 {
 		t.Errorf("probe of a silent upstream: %v, %v", ok, load)
 	}
 	await(t, "the connection's end", u.closed)
--- a/internal/sidecar/upstream_write_test.go
+++ b/internal/sidecar/upstream_write_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"barleywick/internal/sidecar/gate"
 	"barleywick/policy"
 )
 
@@ -28,20 +29,18 @@
 			begun <- c
 		}
 	}()
-	p, to := testPool(1), &Server{addr: ln.Addr().String()}
+	p, to := testPool(1), NewServer(ln.Addr().String())
 	defer p.Close()
 	c := connections(t, p, to, 1)[0]
 	c.Conn.(*net.TCPConn).SetWriteBuffer(4 << 10)
 	p.Release(c)
 	endAllQuarantines(p)
-	r := &request{method: "POST", url: mustURL("/"), host: "x", externalID: "long", header: http.Header{}, body: make([]byte, 16<<20)}
-	r.clientDeadline = time.Now().Add(time.Hour)
-	a := newAttempt(t.Context(), r, r.clientDeadline, time.Time{})
-	a.server = to
+	r := &Request{ID: "long", Method: "POST", URL: mustURL("/"), Host: "x", Header: http.Header{}, Body: make([]byte, 16<<20)}
+	a := newTestAttempt(t.Context(), r, to, time.Now().Add(time.Hour), time.Time{})
 	ending := make(chan policy.Ending, 1)
-	go func() { e, _ := NewTransport(p).Do(a); ending <- e }()
+	go func() { e, _ := newTestTransport(p).Do(a); ending <- e }()
 	defer await(t, "the first byte", begun).Close()
-	a.cancelWrite() // the client has left in the middle of the write; ctx lasts
+	a.CancelWrite() // the client has left in the middle of the write; ctx lasts
 	if got := await(t, "its end", ending); got != policy.NotSent {
 		t.Errorf("ending %v, want not sent", got)
 	}
@@ -81,15 +80,15 @@
 // The client's socket is looked at in the moment of the write: net/http may tell later.
 func TestNothingIsWrittenForAClientThatHasLeft(t *testing.T) {
 	u := newUpstream(t, always(answer200("ok")))
-	p, to := testPool(1), &Server{addr: u.addr}
+	p, to := testPool(1), NewServer(u.addr)
 	defer p.Close()
 	far, near := connected(t)
-	r := &request{method: "POST", url: mustURL("/"), host: "x", externalID: "left", header: http.Header{}, conn: near}
-	r.clientDeadline = time.Now().Add(time.Hour)
-	ups := NewTransport(p)
+	r := &Request{ID: "left", Method: "POST", URL: mustURL("/"), Host: "x", Header: http.Header{}}
+	sendGate := gate.New()
+	ups := NewTransport(p, sendGate, "/health/live", nil)
 	try := func() policy.Ending {
-		a := newAttempt(t.Context(), r, r.clientDeadline, time.Time{})
-		a.server = to
+		a := newTestAttempt(t.Context(), r, to, time.Now().Add(time.Hour), time.Time{})
+		a.Client = near
 		ending, _ := ups.Do(a)
 		return ending
 	}
@@ -101,7 +100,7 @@
 	if got := try(); got != policy.NotSent || len(u.requests) != 1 {
 		t.Errorf("ending %v with %d requests written, want not sent", got, len(u.requests))
 	}
-	if n := ups.gate.Counters().Decided["send: client left"]; n != 1 {
+	if n := sendGate.Counters().Decided["send: client left"]; n != 1 {
 		t.Errorf("%d denials for a client that left, want 1", n)
 	}
 }
@@ -110,8 +109,8 @@
 func TestDeadlineToldLeavesTimeForTheWrite(t *testing.T) {
 	for _, left := range []time.Duration{time.Second, 40 * time.Millisecond} {
 		ctx, cancel := context.WithTimeout(t.Context(), left)
-		r := &request{method: "GET", url: mustURL("/"), header: http.Header{}}
-		told, err := strconv.ParseFloat(r.upstreamRequest(ctx).Header.Get("Request-Timeout"), 64)
+		r := &Request{Method: "GET", URL: mustURL("/"), Header: http.Header{}}
+		told, err := strconv.ParseFloat(r.outgoing(ctx).Header.Get("Request-Timeout"), 64)
 		cancel()
 		if most := left - min(timeoutMargin, left/4) + time.Millisecond; err != nil || told <= 0 || told > most.Seconds() {
 			t.Errorf("%v left: told %v s, %v", left, told, err)
