--- a/internal/registry/server/http_error.go
+++ b/internal/registry/server/http_error.go
@@ -32,34 +32,13 @@
 	return statusError{http.StatusBadRequest, fmt.Errorf(format, args...)}
 }
 
-// errorStatuses are the statuses of the state machine's errors. The first match counts:
-// ErrFenced and ErrLeaseHeld wrap ErrConflict.
-var errorStatuses = []struct {
-	err    error
-	status int
-}{
-	{registry.ErrInvalid, http.StatusBadRequest},
-	{registry.ErrNotFound, http.StatusNotFound},
-	{registry.ErrFenced, http.StatusPreconditionFailed},
-	{registry.ErrLeaseHeld, http.StatusLocked},
-	{registry.ErrClaimEnded, http.StatusGone},
-	{registry.ErrConflict, http.StatusConflict},
-	{registry.ErrHostTaken, http.StatusConflict},
-	{registry.ErrLimitReached, http.StatusInsufficientStorage},
-}
-
 // errorStatus returns the status of an error that another try would meet again.
 func errorStatus(err error) (status int, final bool) {
 	var named statusError
 	if errors.As(err, &named) {
 		return named.status, true
 	}
-	for _, known := range errorStatuses {
-		if errors.Is(err, known.err) {
-			return known.status, true
-		}
-	}
-	return 0, false
+	return registry.HTTPStatus(err)
 }
 
 // writeError answers with an error in one line. What may succeed later or elsewhere is
