--- a/internal/controller/fleetview.go
+++ b/internal/controller/fleetview.go
@@ -47,7 +47,7 @@
 	f.node, err = gossip.Start(gossip.Options{
 		Config: *config.Membership, WatchProcesses: true, FindSeeds: membership.SeedsFromViews(httpClient, views),
 		Self: membership.Info{
-			Name: config.Name, Incarnation: c.leases.Holder.Incarnation, Role: membership.RoleController,
+			Name: config.Name, Incarnation: c.leases.Holder().Incarnation, Role: membership.RoleController,
 			HTTPAddr: config.Listen, LongestActMS: config.longestAct().Milliseconds(),
 		},
 		OnChange: func() {
--- a/internal/lease/fakeregistry_test.go
+++ b/internal/lease/fakeregistry_test.go
@@ -10,101 +10,112 @@
 	"barleywick/internal/registry"
 )
 
+const ttl = 6 * time.Second
+
+var errLost = errors.New("lost")
+
+// loss is what becomes of a holder's calls.
+type loss int
+
+const (
+	lossNone loss = iota
+	lossOfCalls
+	lossOfAnswers
+)
+
 // fakeRegistry is a registry of one replica without a network: the real state machine and
-// the real count of a leader, on the bubble's clock.
+// the leader's real claim tracker, on the bubble's clock.
 type fakeRegistry struct {
-	mu    sync.Mutex
-	state *registry.State
-	clock *registry.ClaimTracker
-	lost  map[string]string // by holder: "out" loses calls, "back" loses answers
+	mu      sync.Mutex
+	state   *registry.State
+	tracker *registry.ClaimTracker
+	lost    map[string]loss // by holder
 }
 
-const ttl = 6 * time.Second
-
-var errLost = errors.New("cut off")
-
 func newFakeRegistry(t *testing.T) *fakeRegistry {
 	t.Helper()
-	g := &fakeRegistry{state: registry.NewState(), clock: registry.NewClaimTracker(ttl), lost: make(map[string]string)}
-	g.apply(registry.Command{Op: registry.OpFoundGroup, Group: "g", AtMS: 1_700_000_000_000})
-	g.apply(registry.Command{Op: registry.OpOpenGrants, Lease: new(registry.LeaseCommand)})
-	return g
+	r := &fakeRegistry{state: registry.NewState(), tracker: registry.NewClaimTracker(ttl), lost: make(map[string]loss)}
+	r.apply(registry.Command{Op: registry.OpFoundGroup, Group: "g", AtMS: 1_700_000_000_000})
+	r.apply(registry.Command{Op: registry.OpOpenGrants, Lease: new(registry.LeaseCommand)})
+	return r
 }
 
-func (g *fakeRegistry) apply(c registry.Command) registry.Result {
-	r := g.state.Apply(c)
-	g.clock.Sync(g.state.Leases(), time.Now())
-	return r
+func (r *fakeRegistry) apply(c registry.Command) registry.Result {
+	result := r.state.Apply(c)
+	r.tracker.Sync(r.state.Leases(), time.Now())
+	return result
 }
 
-// endExpired ends what is due, as a leader does.
-func (g *fakeRegistry) endExpired(ctx context.Context) {
+// runLeader ends expired claims until ctx ends.
+func (r *fakeRegistry) runLeader(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(100 * time.Millisecond):
 		}
-		g.mu.Lock()
-		ended, _ := g.clock.TakeExpired(time.Now())
-		g.apply(registry.Command{Op: registry.OpExpireClaims, Lease: &registry.LeaseCommand{Expired: ended}})
-		g.mu.Unlock()
+		r.mu.Lock()
+		expired, _ := r.tracker.TakeExpired(time.Now())
+		r.apply(registry.Command{Op: registry.OpExpireClaims, Lease: &registry.LeaseCommand{Expired: expired}})
+		r.mu.Unlock()
 	}
 }
 
-// call carries a holder's call out, unless it or its answer is lost.
-func (g *fakeRegistry) call(ctx context.Context, holder string, do func() error) error {
-	g.mu.Lock()
-	lost := g.lost[holder]
+// call makes a holder's call, unless the call or its answer is lost.
+func (r *fakeRegistry) call(ctx context.Context, holder string, do func() error) error {
+	r.mu.Lock()
+	lost := r.lost[holder]
 	var err error
-	if lost != "out" {
+	if lost != lossOfCalls {
 		err = do()
 	}
-	g.mu.Unlock()
-	if lost != "" {
+	r.mu.Unlock()
+	if lost != lossNone {
 		<-ctx.Done()
 		return errLost
 	}
 	return err
 }
 
-func (g *fakeRegistry) setLost(holder, how string) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.lost[holder] = how
+func (r *fakeRegistry) setLoss(holder string, l loss) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.lost[holder] = l
 }
 
-func (g *fakeRegistry) Acquire(ctx context.Context, name string, r registry.AcquireRequest) (a registry.ClaimStatus, err error) {
-	err = g.call(ctx, r.Name, func() error {
-		got := g.apply(registry.Command{Op: registry.OpAcquireLease, Lease: &registry.LeaseCommand{Name: name, Claim: r.Claim, Wait: r.Wait}})
-		a = registry.ClaimStatus{Lease: name, ClaimID: r.ID, Token: got.Token, QueuePosition: got.QueuePosition}
-		return got.Err
+func (r *fakeRegistry) Acquire(ctx context.Context, name string, q registry.AcquireRequest) (status registry.ClaimStatus, err error) {
+	err = r.call(ctx, q.Name, func() error {
+		result := r.apply(registry.Command{Op: registry.OpAcquireLease, Lease: &registry.LeaseCommand{Name: name, Claim: q.Claim, Wait: q.Wait}})
+		status = registry.ClaimStatus{Lease: name, ClaimID: q.ID, Token: result.Token, QueuePosition: result.QueuePosition}
+		return result.Err
 	})
-	return a, err
+	return status, err
 }
 
-func (g *fakeRegistry) RenewClaims(ctx context.Context, r registry.RenewClaimsRequest) (a registry.RenewClaimsResponse, err error) {
-	err = g.call(ctx, r.Name, func() error {
-		a.Claims = g.clock.RenewClaims(g.state.Leases(), r.Holder, r.Claims, time.Now())
+func (r *fakeRegistry) RenewClaims(ctx context.Context, q registry.RenewClaimsRequest) (response registry.RenewClaimsResponse, err error) {
+	err = r.call(ctx, q.Name, func() error {
+		response.Claims = r.tracker.RenewClaims(r.state.Leases(), q.Holder, q.Claims, time.Now())
 		return nil
 	})
-	return a, err
+	return response, err
 }
 
-func (g *fakeRegistry) Release(ctx context.Context, name string, r registry.ReleaseRequest) error {
-	return g.call(ctx, r.Name, func() error {
-		return g.apply(registry.Command{Op: registry.OpReleaseLease, Lease: &registry.LeaseCommand{Name: name, Claim: registry.Claim{ID: r.ClaimID, Holder: r.Holder}, NextHolder: r.NextHolder}}).Err
+func (r *fakeRegistry) Release(ctx context.Context, name string, q registry.ReleaseRequest) error {
+	return r.call(ctx, q.Name, func() error {
+		return r.apply(registry.Command{Op: registry.OpReleaseLease, Lease: &registry.LeaseCommand{
+			Name: name, Claim: registry.Claim{ID: q.ClaimID, Holder: q.Holder}, NextHolder: q.NextHolder,
+		}}).Err
 	})
 }
 
-func (g *fakeRegistry) Leases(ctx context.Context, after uint64, wait time.Duration) (registry.LeasesResponse, error) {
+func (r *fakeRegistry) Leases(ctx context.Context, after uint64, wait time.Duration) (registry.LeasesResponse, error) {
 	until := time.Now().Add(wait)
 	for {
-		g.mu.Lock()
-		all, v := g.state.Leases().List()
-		g.mu.Unlock()
-		if v > after || !time.Now().Before(until) {
-			return registry.LeasesResponse{Version: v, Leases: all}, nil
+		r.mu.Lock()
+		leases, version := r.state.Leases().List()
+		r.mu.Unlock()
+		if version > after || !time.Now().Before(until) {
+			return registry.LeasesResponse{Version: version, Leases: leases}, nil
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/lease/handle.go
+++ b/internal/lease/handle.go
@@ -7,101 +7,115 @@
 	"barleywick/internal/registry"
 )
 
-// Handle is a task's view of the lease that it runs under.
+// Handle is what a task gets that runs under a lease. It is safe for concurrent use.
 type Handle struct {
 	manager *Manager
-	session Session // under the member's lock
-	changed chan struct{}
+	session Session       // guarded by the manager's lock
+	changed chan struct{} // closed and replaced when the session changes; guarded likewise
 }
 
-// LeaseName is the lease's.
-func (t *Handle) LeaseName() string { return t.session.LeaseName }
+// sessionStatus is a session at one moment.
+type sessionStatus struct {
+	held           bool
+	ended          bool
+	yieldRequested bool
+	remaining      time.Duration   // until acts have to have ended
+	changed        <-chan struct{} // closed when the session changes
+}
+
+// LeaseName returns the name of the lease.
+func (h *Handle) LeaseName() string { return h.session.LeaseName }
 
-// TTL is the lease's time to live.
-func (t *Handle) TTL() time.Duration { return t.session.TTL }
+// TTL returns the lease's time to live.
+func (h *Handle) TTL() time.Duration { return h.session.TTL }
 
-// Token is the fencing token of the grant.
-func (t *Handle) Token() uint64 {
-	t.manager.mu.Lock()
-	defer t.manager.mu.Unlock()
-	return t.session.Token()
+// Token returns the fencing token of the grant.
+func (h *Handle) Token() uint64 {
+	h.manager.mu.Lock()
+	defer h.manager.mu.Unlock()
+	return h.session.Token()
 }
 
-// Fence makes a write conditional on the grant.
-func (t *Handle) Fence() *registry.Fence {
-	return &registry.Fence{Lease: t.session.LeaseName, Token: t.Token()}
+// Fence returns the condition that makes a write depend on the grant.
+func (h *Handle) Fence() *registry.Fence {
+	return &registry.Fence{Lease: h.session.LeaseName, Token: h.Token()}
 }
 
-// Held says whether the lease is held at this moment.
-func (t *Handle) Held() bool {
-	t.manager.mu.Lock()
-	defer t.manager.mu.Unlock()
-	return t.session.Held(t.manager.Clock())
+// Held reports whether the lease is held at this moment.
+func (h *Handle) Held() bool {
+	h.manager.mu.Lock()
+	defer h.manager.mu.Unlock()
+	return h.session.Held(h.manager.options.Clock())
 }
 
-// BeginAct begins one act: it is refused unless the lease is held and lasts for as long as
-// the act may take, and gets a context that ends before the lease does. To be called
-// right before each act: a process may have been stopped since the last one.
-func (t *Handle) BeginAct(ctx context.Context, takes time.Duration) (context.Context, context.CancelFunc, error) {
-	t.manager.mu.Lock()
-	defer t.manager.mu.Unlock()
-	now := t.manager.Clock()
-	if err := t.session.CheckAct(now, takes); err != nil {
+// BeginAct begins one act. It fails unless the lease is held for as long as the act may
+// take, and returns a context that ends before the lease does. It has to be called right
+// before each act, because the process may have been stopped since the last one.
+func (h *Handle) BeginAct(ctx context.Context, takes time.Duration) (context.Context, context.CancelFunc, error) {
+	h.manager.mu.Lock()
+	defer h.manager.mu.Unlock()
+	now := h.manager.options.Clock()
+	if err := h.session.CheckAct(now, takes); err != nil {
 		return nil, nil, err
 	}
-	in, cancel := context.WithTimeoutCause(ctx, t.session.Deadline()-now, ErrLapsed)
-	return in, cancel, nil
+	actCtx, cancel := context.WithTimeoutCause(ctx, h.session.Deadline()-now, ErrLapsed)
+	return actCtx, cancel, nil
 }
 
-// Do carries one act out.
-func (t *Handle) Do(ctx context.Context, takes time.Duration, act func(ctx context.Context) error) error {
-	in, cancel, err := t.BeginAct(ctx, takes)
+// Do runs one act with the context that BeginAct returns.
+func (h *Handle) Do(ctx context.Context, takes time.Duration, act func(ctx context.Context) error) error {
+	actCtx, cancel, err := h.BeginAct(ctx, takes)
 	if err != nil {
 		return err
 	}
 	defer cancel()
-	return act(in)
+	return act(actCtx)
 }
 
-// HandOver asks the term's own task to end, and for the lease to go to another who
-// waits for it.
-func (t *Handle) HandOver(to string) {
-	t.manager.mu.Lock()
-	defer t.manager.mu.Unlock()
-	t.session.RequestYield(to)
-	t.notifyChanged()
+// HandOver ends the task that runs under the lease, and releases the lease to another
+// process in its queue.
+func (h *Handle) HandOver(to string) {
+	h.manager.mu.Lock()
+	defer h.manager.mu.Unlock()
+	h.session.RequestYield(to)
+	h.notifyChanged()
 }
 
-// status tells how the term stands, and what to wait for.
-func (t *Handle) status() (held, over, leave bool, left time.Duration, changed <-chan struct{}) {
-	t.manager.mu.Lock()
-	defer t.manager.mu.Unlock()
-	now := t.manager.Clock()
-	held, over = t.session.Held(now), t.session.Ended(now)
-	_, leave = t.session.YieldRequested()
-	return held, over, leave, t.session.Deadline() - now, t.changed
+func (h *Handle) status() sessionStatus {
+	h.manager.mu.Lock()
+	defer h.manager.mu.Unlock()
+	now := h.manager.options.Clock()
+	_, yieldRequested := h.session.YieldRequested()
+	return sessionStatus{
+		held:           h.session.Held(now),
+		ended:          h.session.Ended(now),
+		yieldRequested: yieldRequested,
+		remaining:      h.session.Deadline() - now,
+		changed:        h.changed,
+	}
 }
 
-// awaitGrant waits in the line.
-func (t *Handle) awaitGrant(ctx context.Context) error {
+// awaitGrant waits in the lease's queue.
+func (h *Handle) awaitGrant(ctx context.Context) error {
 	for {
-		held, over, _, _, changed := t.status()
+		status := h.status()
 		switch {
-		case held:
+		case status.held:
 			return nil
-		case over:
+		case status.ended:
 			return ErrLapsed
 		}
 		select {
-		case <-changed:
+		case <-status.changed:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// notifyChanged tells whoever waits on the term. The lock is held.
-func (t *Handle) notifyChanged() {
-	close(t.changed)
-	t.changed = make(chan struct{})
+// notifyChanged wakes those who wait for a change of the session. The manager's lock is
+// held.
+func (h *Handle) notifyChanged() {
+	close(h.changed)
+	h.changed = make(chan struct{})
 }
--- a/internal/lease/hold.go
+++ b/internal/lease/hold.go
@@ -12,13 +12,19 @@
 	"barleywick/internal/registry"
 )
 
-var errYieldRequested = errors.New("the lease was asked for")
+// releaseTimeout limits a release call, which only spares the next holder the wait for
+// the end of the time to live.
+const releaseTimeout = 2 * time.Second
+
+// errYieldRequested ends a claim whose lease another process is to have.
+var errYieldRequested = errors.New("a yield of the lease was requested")
+
+// Task is work that runs under a lease. Its context ends when the lease does.
+type Task func(ctx context.Context, h *Handle) error
 
 // Hold runs a task whenever this process holds a lease, until ctx ends or the task
-// returns nil. The task's context ends with the lease; a new claim begins only when
-// the task has returned.
-func (m *Manager) Hold(ctx context.Context, name string, task func(ctx context.Context, t *Handle) error) error {
-	pause := m.TTL / renewalsPerTTL
+// returns nil. The next claim begins only after the task has returned.
+func (m *Manager) Hold(ctx context.Context, name string, task Task) error {
 	for {
 		held, err := m.holdOnce(ctx, name, task)
 		switch {
@@ -29,9 +35,11 @@
 		case errors.Is(err, registry.ErrInvalid), errors.Is(err, registry.ErrLimitReached):
 			return fmt.Errorf("lease %s: %w", name, err)
 		case err != nil:
-			slog.Warn("lease: once more", "lease", name, "holder", m.Holder.Name, "err", err)
+			slog.Warn("lease: retrying", "lease", name, "holder", m.options.Holder.Name, "err", err)
 		}
-		select { // a task that fails at once must not make the registry's log grow as fast as it can
+		// The pause keeps a task that fails at once from filling the registry's log.
+		pause := m.renewInterval()
+		select {
 		case <-time.After(pause/2 + mathrand.N(pause)):
 		case <-ctx.Done():
 			return ctx.Err()
@@ -39,83 +47,109 @@
 	}
 }
 
-// holdOnce is one claim, from its asking to its end.
-func (m *Manager) holdOnce(ctx context.Context, name string, task func(ctx context.Context, t *Handle) error) (held bool, err error) {
-	t := &Handle{manager: m, changed: make(chan struct{})}
-	t.session = Session{LeaseName: name, ClaimID: rand.Text(), Holder: m.Holder, TTL: m.TTL}
+// holdOnce makes one claim, runs the task when the claim is granted, and releases it. It
+// reports whether the lease was held.
+func (m *Manager) holdOnce(ctx context.Context, name string, task Task) (held bool, err error) {
+	h := m.newHandle(name)
+	defer m.release(ctx, h)
+	if err := m.acquire(ctx, h); err != nil {
+		return false, err
+	}
+	if err := h.awaitGrant(ctx); err != nil {
+		return false, err
+	}
+	return true, h.runTask(ctx, task)
+}
+
+// newHandle makes the handle of a new claim, whose time counts from now on.
+func (m *Manager) newHandle(name string) *Handle {
+	h := &Handle{
+		manager: m,
+		session: Session{LeaseName: name, ClaimID: rand.Text(), Holder: m.options.Holder, TTL: m.options.TTL},
+		changed: make(chan struct{}),
+	}
 	m.mu.Lock()
-	t.session.AcquireSent(m.Clock())
-	m.mu.Unlock()
-	defer m.release(ctx, t)
-	in, cancel := context.WithTimeout(ctx, m.TTL)
-	a, err := m.Registry.Acquire(in, name, registry.AcquireRequest{
-		Claim: registry.Claim{ID: t.session.ClaimID, Holder: m.Holder, TTLMS: m.TTL.Milliseconds()}, Wait: true,
+	defer m.mu.Unlock()
+	h.session.AcquireSent(m.options.Clock())
+	return h
+}
+
+// acquire sends the acquire call, and has the claim renewed from then on.
+func (m *Manager) acquire(ctx context.Context, h *Handle) error {
+	callCtx, cancel := context.WithTimeout(ctx, m.options.TTL)
+	defer cancel()
+	status, err := m.options.Registry.Acquire(callCtx, h.session.LeaseName, registry.AcquireRequest{
+		Claim: registry.Claim{ID: h.session.ClaimID, Holder: m.options.Holder, TTLMS: m.options.TTL.Milliseconds()},
+		Wait:  true,
 	})
-	cancel()
 	if err != nil {
-		return false, err
+		return err
 	}
 	m.mu.Lock()
-	m.handles[t.session.ClaimID] = t
-	t.session.Acquired(a, m.Clock())
-	m.mu.Unlock()
-	if err := t.awaitGrant(ctx); err != nil {
-		return false, err
-	}
-	return true, t.runTask(ctx, task)
+	defer m.mu.Unlock()
+	m.handles[h.session.ClaimID] = h
+	h.session.Acquired(status, m.options.Clock())
+	return nil
 }
 
-// runTask runs the task until it returns; its context ends when the lease does.
-func (t *Handle) runTask(ctx context.Context, task func(ctx context.Context, t *Handle) error) error {
-	m := t.manager
+// runTask runs the task until it returns. The task's context ends when the lease does or
+// a yield is requested.
+func (h *Handle) runTask(ctx context.Context, task Task) error {
+	m := h.manager
 	m.grants.Add(1)
-	log := slog.With("lease", t.LeaseName(), "holder", m.Holder.Name, "token", t.Token())
-	log.Info("lease: held")
-	in, end := context.WithCancelCause(ctx)
-	defer end(nil)
-	done := make(chan error, 1)
-	go func() { done <- task(in, t) }() // waited for below
+	log := slog.With("lease", h.LeaseName(), "holder", m.options.Holder.Name, "token", h.Token())
+	log.Info("lease: granted")
+	taskCtx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	var taskErr error
+	done := make(chan struct{})
+	go func() { // every return below waits for it
+		defer close(done)
+		taskErr = task(taskCtx, h)
+	}()
 	for {
-		_, over, leave, left, changed := t.status()
+		status := h.status()
 		switch {
-		case over:
+		case status.ended:
 			m.lapses.Add(1)
-			log.Warn("lease: lapsed, its task stops")
-			end(ErrLapsed)
+			log.Warn("lease: lapsed, stopping task")
+			cancel(ErrLapsed)
 			<-done
 			return ErrLapsed
-		case leave:
-			log.Info("lease: asked to give it up")
-			end(context.Canceled)
+		case status.yieldRequested:
+			log.Info("lease: yield requested, stopping task")
+			cancel(context.Canceled)
 			<-done
 			return errYieldRequested
 		}
 		select {
-		case err := <-done:
-			log.Info("lease: its task has ended", "err", err)
-			return err
-		case <-changed:
-		case <-time.After(left):
+		case <-done:
+			log.Info("lease: task ended", "err", taskErr)
+			return taskErr
+		case <-status.changed:
+		case <-time.After(status.remaining):
 		}
 	}
 }
 
-// release ends the claim when its task has returned.
-func (m *Manager) release(ctx context.Context, t *Handle) {
+// release ends the claim after its task has returned. If the process that is to have the
+// lease next no longer waits, the first in the queue gets it.
+func (m *Manager) release(ctx context.Context, h *Handle) {
 	m.mu.Lock()
-	delete(m.handles, t.session.ClaimID)
-	t.session.Resign()
-	to, _ := t.session.YieldRequested()
+	delete(m.handles, h.session.ClaimID)
+	h.session.Resign()
+	to, _ := h.session.YieldRequested()
 	m.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
+
+	callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer cancel()
-	r := registry.ReleaseRequest{ClaimID: t.session.ClaimID, Holder: m.Holder, NextHolder: to}
-	err := m.Registry.Release(ctx, t.session.LeaseName, r)
-	if to != "" && errors.Is(err, registry.ErrNotFound) { // it has gone meanwhile: whoever waits longest has it next
-		r.NextHolder = ""
-		err = m.Registry.Release(ctx, t.session.LeaseName, r)
+	request := registry.ReleaseRequest{ClaimID: h.session.ClaimID, Holder: m.options.Holder, NextHolder: to}
+	err := m.options.Registry.Release(callCtx, h.session.LeaseName, request)
+	if to != "" && errors.Is(err, registry.ErrNotFound) {
+		request.NextHolder = ""
+		err = m.options.Registry.Release(callCtx, h.session.LeaseName, request)
 	}
 	if err != nil && !errors.Is(err, registry.ErrNotFound) {
-		slog.Debug("lease: not released, its time will be up", "lease", t.session.LeaseName, "err", err)
+		slog.Debug("lease: release failed", "lease", h.session.LeaseName, "err", err)
 	}
 }
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -13,7 +13,10 @@
 	"barleywick/internal/registry"
 )
 
-// Registry is what a member needs of it; client.Client is one.
+// watchWait is how long one call that watches the leases waits for a change.
+const watchWait = 4 * time.Second
+
+// Registry is the part of the registry that a Manager calls; client.Client implements it.
 type Registry interface {
 	Acquire(ctx context.Context, name string, r registry.AcquireRequest) (registry.ClaimStatus, error)
 	RenewClaims(ctx context.Context, r registry.RenewClaimsRequest) (registry.RenewClaimsResponse, error)
@@ -21,53 +24,53 @@
 	Leases(ctx context.Context, after uint64, wait time.Duration) (registry.LeasesResponse, error)
 }
 
-const (
-	// watchWait is how long one call for news of the leases waits.
-	watchWait = 4 * time.Second
-	// releaseTimeout is how long a release may take: it only spares the next holder a wait.
-	releaseTimeout = 2 * time.Second
-)
-
-// Options are what a Member needs.
+// Options configure a Manager.
 type Options struct {
 	Registry Registry
 	Holder   registry.Holder
 	TTL      time.Duration
-	Clock    func() time.Duration // nil: Boottime
-	OnChange func(registry.LeasesResponse)
+	Clock    func() time.Duration          // nil: BootTime
+	OnChange func(registry.LeasesResponse) // called when any lease has changed; may be nil
 }
 
-// Manager is one process that claims leases. Run has to be at work for as long as any
-// is claimed. It is safe for concurrent use.
+// Manager claims the leases of one process and renews them. Run has to run for as long as
+// any lease is claimed. A Manager is safe for concurrent use.
 type Manager struct {
-	Options
-	wakeup chan struct{}
+	options Options
+	wakeup  chan struct{} // asks Run for a renewal at once
 
 	mu      sync.Mutex
-	handles map[string]*Handle // by the claim's id
+	handles map[string]*Handle // by claim id
 
 	grants, lapses atomic.Uint64
 }
 
-// NewManager makes a Member.
+// NewManager makes a Manager.
 func NewManager(o Options) *Manager {
 	if o.Clock == nil {
 		o.Clock = BootTime
 	}
-	return &Manager{Options: o, wakeup: make(chan struct{}, 1), handles: make(map[string]*Handle)}
+	return &Manager{options: o, wakeup: make(chan struct{}, 1), handles: make(map[string]*Handle)}
 }
 
-// Counts returns how often a lease was granted to it and has lapsed.
+// Counts returns how often a lease was granted to this process, and how often one lapsed
+// while its task ran.
 func (m *Manager) Counts() (grants, lapses uint64) { return m.grants.Load(), m.lapses.Load() }
 
-// Run renews claims and follows the leases until ctx ends.
+// Holder returns the process that claims the leases.
+func (m *Manager) Holder() registry.Holder { return m.options.Holder }
+
+// renewInterval is the mean time between two renewals.
+func (m *Manager) renewInterval() time.Duration { return m.options.TTL / renewalsPerTTL }
+
+// Run renews claims and watches the leases until ctx ends.
 func (m *Manager) Run(ctx context.Context) {
 	var watch sync.WaitGroup
 	watch.Go(func() { m.watch(ctx) })
 	defer watch.Wait()
 	for ctx.Err() == nil {
 		m.renewClaims(ctx)
-		pause := m.TTL / renewalsPerTTL
+		pause := m.renewInterval()
 		select {
 		case <-time.After(pause*3/4 + mathrand.N(pause/2)):
 		case <-m.wakeup:
@@ -76,40 +79,45 @@
 	}
 }
 
-// watch follows the leases, so that a grant from the line or a wish is known at once
-// and not with the next renewal. It may be behind or fail: nothing rests on it.
+// watch watches the leases, so that a grant from the queue or a yield request is known at
+// once instead of at the next renewal. It may be late or fail: safety does not depend on
+// it.
 func (m *Manager) watch(ctx context.Context) {
 	var after uint64
 	for ctx.Err() == nil {
-		in, cancel := context.WithTimeout(ctx, 2*watchWait)
-		news, err := m.Registry.Leases(in, after, watchWait)
+		callCtx, cancel := context.WithTimeout(ctx, 2*watchWait)
+		leases, err := m.options.Registry.Leases(callCtx, after, watchWait)
 		cancel()
 		if err != nil {
+			after = 0 // the replica that answers next may have an older version
 			select {
-			case <-time.After(m.TTL / renewalsPerTTL):
+			case <-time.After(m.renewInterval()):
 			case <-ctx.Done():
 			}
-			after = 0 // whoever answers next may be behind
 			continue
 		}
-		if after = news.Version; m.needsRenewal(news) {
+		after = leases.Version
+		if m.needsRenewal(leases) {
 			m.wake()
 		}
-		if m.OnChange != nil {
-			m.OnChange(news)
+		if m.options.OnChange != nil {
+			m.options.OnChange(leases)
 		}
 	}
 }
 
-// needsRenewal says whether the news make a renewal worth while.
-func (m *Manager) needsRenewal(news registry.LeasesResponse) bool {
+// needsRenewal reports whether a renewal would tell a claim of this process something
+// new: that it is granted, or that its lease is to be released.
+func (m *Manager) needsRenewal(leases registry.LeasesResponse) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, l := range news.Leases {
-		if g := l.Grant; g != nil {
-			if t := m.handles[g.ID]; t != nil && (t.session.Token() == 0 || l.YieldRequested) {
-				return true
-			}
+	for _, l := range leases.Leases {
+		if l.Grant == nil {
+			continue
+		}
+		h := m.handles[l.Grant.ID]
+		if h != nil && (h.session.Token() == 0 || l.YieldRequested) {
+			return true
 		}
 	}
 	return false
@@ -122,34 +130,46 @@
 	}
 }
 
-// renewClaims gives a sign of life for all claims.
-func (m *Manager) renewClaims(ctx context.Context) {
+// claims returns the claims of this process in the order of their ids.
+func (m *Manager) claims() []registry.ClaimRef {
 	m.mu.Lock()
+	defer m.mu.Unlock()
 	claims := make([]registry.ClaimRef, 0, len(m.handles))
-	for id, t := range m.handles {
-		claims = append(claims, registry.ClaimRef{Lease: t.session.LeaseName, ClaimID: id})
+	for id, h := range m.handles {
+		claims = append(claims, registry.ClaimRef{Lease: h.session.LeaseName, ClaimID: id})
 	}
-	m.mu.Unlock()
 	slices.SortFunc(claims, func(a, b registry.ClaimRef) int { return cmp.Compare(a.ClaimID, b.ClaimID) })
-	for part := range slices.Chunk(claims, registry.MaxRenewals) {
-		in, cancel := context.WithTimeout(ctx, m.TTL/2)
-		sent := m.Clock() // before the call: however late it comes, the leader counts from later
-		a, err := m.Registry.RenewClaims(in, registry.RenewClaimsRequest{Holder: m.Holder, Claims: part})
+	return claims
+}
+
+// renewClaims renews all claims.
+func (m *Manager) renewClaims(ctx context.Context) {
+	for claims := range slices.Chunk(m.claims(), registry.MaxRenewals) {
+		callCtx, cancel := context.WithTimeout(ctx, m.options.TTL/2)
+		sentAt := m.options.Clock() // before the call, so that the leader's count begins later
+		response, err := m.options.Registry.RenewClaims(callCtx, registry.RenewClaimsRequest{Holder: m.options.Holder, Claims: claims})
 		cancel()
 		if err != nil {
 			if ctx.Err() == nil {
-				slog.Warn("lease: not renewed", "holder", m.Holder.Name, "claims", len(part), "err", err)
+				slog.Warn("lease: renewal failed", "holder", m.options.Holder.Name, "claims", len(claims), "err", err)
 			}
 			continue
 		}
-		m.mu.Lock()
-		now := m.Clock()
-		for _, c := range a.Claims {
-			if t := m.handles[c.ClaimID]; t != nil && t.session.LeaseName == c.Lease {
-				t.session.Renewed(c, sent, now)
-				t.notifyChanged()
-			}
+		m.handleRenewals(response.Claims, sentAt)
+	}
+}
+
+// handleRenewals gives the answers of one renewal call to their sessions.
+func (m *Manager) handleRenewals(claims []registry.ClaimStatus, sentAt time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	now := m.options.Clock()
+	for _, status := range claims {
+		h := m.handles[status.ClaimID]
+		if h == nil || h.session.LeaseName != status.Lease {
+			continue
 		}
-		m.mu.Unlock()
+		h.session.Renewed(status, sentAt, now)
+		h.notifyChanged()
 	}
 }
--- a/internal/lease/manager_test.go
+++ b/internal/lease/manager_test.go
@@ -13,7 +13,7 @@
 	"barleywick/internal/registry"
 )
 
-// harness runs members in a bubble and notes who holds when.
+// harness runs managers in a bubble and records who holds the lease "l" and when.
 type harness struct {
 	registry *fakeRegistry
 	ctx      context.Context
@@ -29,57 +29,59 @@
 	begin, end time.Time
 }
 
-func run(t *testing.T, f func(b *harness)) {
+// run runs a test in a bubble, and checks that no two holders held the lease at once.
+func run(t *testing.T, test func(h *harness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		ctx, end := context.WithCancel(t.Context())
-		b := &harness{registry: newFakeRegistry(t), ctx: ctx}
-		b.tasks.Go(func() { b.registry.endExpired(ctx) })
-		f(b)
-		end()
-		b.tasks.Wait()
-		slices.SortFunc(b.holds, func(a, c holdSpan) int { return a.begin.Compare(c.begin) })
-		for i := 1; i < len(b.holds); i++ {
-			if was, is := b.holds[i-1], b.holds[i]; is.begin.Before(was.end) || is.token <= was.token {
-				t.Errorf("%+v overlaps %+v", is, was)
+		ctx, cancel := context.WithCancel(t.Context())
+		h := &harness{registry: newFakeRegistry(t), ctx: ctx}
+		h.tasks.Go(func() { h.registry.runLeader(ctx) })
+		test(h)
+		cancel()
+		h.tasks.Wait()
+		slices.SortFunc(h.holds, func(a, b holdSpan) int { return a.begin.Compare(b.begin) })
+		for i := 1; i < len(h.holds); i++ {
+			previous, next := h.holds[i-1], h.holds[i]
+			if next.begin.Before(previous.end) || next.token <= previous.token {
+				t.Errorf("%+v overlaps %+v", next, previous)
 			}
 		}
 	})
 }
 
-// join starts a member that acts for as long as it holds the lease; its clock begins
-// when the bubble's does.
-func (b *harness) join(holder string) (leave context.CancelFunc) {
-	ctx, cancel := context.WithCancel(b.ctx)
-	began := time.Now()
+// join starts a manager that holds the lease for as long as it can, until leave is
+// called. Its clock begins when the bubble's does.
+func (h *harness) join(holder string) (leave context.CancelFunc) {
+	ctx, cancel := context.WithCancel(h.ctx)
+	start := time.Now()
 	m := NewManager(Options{
-		Registry: b.registry, TTL: ttl, Holder: registry.Holder{Name: holder, Incarnation: 1}, Clock: func() time.Duration { return time.Since(began) },
+		Registry: h.registry, TTL: ttl, Holder: registry.Holder{Name: holder, Incarnation: 1}, Clock: func() time.Duration { return time.Since(start) },
 	})
-	over := make(chan struct{})
-	b.tasks.Go(func() { m.Run(b.ctx) })
-	b.tasks.Go(func() {
-		defer close(over)
-		m.Hold(ctx, "l", func(ctx context.Context, term *Handle) error {
-			s := holdSpan{holder: holder, token: term.Token(), begin: time.Now()}
+	done := make(chan struct{})
+	h.tasks.Go(func() { m.Run(h.ctx) })
+	h.tasks.Go(func() {
+		defer close(done)
+		m.Hold(ctx, "l", func(ctx context.Context, handle *Handle) error {
+			span := holdSpan{holder: holder, token: handle.Token(), begin: time.Now()}
 			<-ctx.Done()
-			s.end = time.Now()
-			b.mu.Lock()
-			defer b.mu.Unlock()
-			b.holds = append(b.holds, s)
+			span.end = time.Now()
+			h.mu.Lock()
+			defer h.mu.Unlock()
+			h.holds = append(h.holds, span)
 			return ctx.Err()
 		})
 	})
 	return func() {
 		cancel()
-		<-over
+		<-done
 	}
 }
 
-// holder is whose the lease is by the registry.
-func (b *harness) holder() string {
-	b.registry.mu.Lock()
-	defer b.registry.mu.Unlock()
-	l, _ := b.registry.state.Leases().Lease("l")
+// holder returns who holds the lease, as the registry has it.
+func (h *harness) holder() string {
+	h.registry.mu.Lock()
+	defer h.registry.mu.Unlock()
+	l, _ := h.registry.state.Leases().Lease("l")
 	if l.Grant == nil {
 		return ""
 	}
@@ -87,27 +89,27 @@
 }
 
 func TestHandOver(t *testing.T) {
-	run(t, func(b *harness) {
-		leave := b.join("k1")
+	run(t, func(h *harness) {
+		leave := h.join("k1")
 		time.Sleep(time.Second)
-		b.join("k2")
+		h.join("k2")
 		time.Sleep(time.Second)
-		b.join("k3")
+		h.join("k3")
 		time.Sleep(10 * ttl)
-		if got := b.holder(); got != "k1" {
-			t.Fatalf("%q holds the lease, k1 has renewed it for ten times its time", got)
+		if got := h.holder(); got != "k1" {
+			t.Fatalf("after ten times the time to live: got holder %q, want k1", got)
 		}
 		leave()
-		if got := b.holder(); got != "k2" {
-			t.Errorf("%q holds the lease when k1 has left", got)
+		if got := h.holder(); got != "k2" {
+			t.Errorf("after k1 has left: got holder %q, want k2", got)
 		}
 		time.Sleep(time.Second)
-		b.registry.mu.Lock()
-		b.registry.apply(registry.Command{Op: registry.OpRequestYield, Lease: &registry.LeaseCommand{Name: "l", Yield: true, NextHolder: "k3"}})
-		b.registry.mu.Unlock()
+		h.registry.mu.Lock()
+		h.registry.apply(registry.Command{Op: registry.OpRequestYield, Lease: &registry.LeaseCommand{Name: "l", Yield: true, NextHolder: "k3"}})
+		h.registry.mu.Unlock()
 		time.Sleep(time.Second)
-		if got := b.holder(); got != "k3" {
-			t.Errorf("%q holds the lease when k2 was asked to hand over to k3", got)
+		if got := h.holder(); got != "k3" {
+			t.Errorf("after a yield to k3 was requested: got holder %q, want k3", got)
 		}
 		time.Sleep(time.Second)
 	})
@@ -116,27 +118,27 @@
 // A holder that is cut off in one direction or in both stops before another begins,
 // and another begins within the time to live.
 func TestCutOff(t *testing.T) {
-	for _, how := range []string{"out", "back"} {
-		t.Run(how, func(t *testing.T) {
-			run(t, func(b *harness) {
-				b.join("k1")
+	for name, l := range map[string]loss{"out": lossOfCalls, "back": lossOfAnswers} {
+		t.Run(name, func(t *testing.T) {
+			run(t, func(h *harness) {
+				h.join("k1")
 				time.Sleep(time.Second)
-				b.join("k2")
+				h.join("k2")
 				time.Sleep(ttl)
-				b.registry.setLost("k1", how)
+				h.registry.setLoss("k1", l)
 				cut := time.Now()
-				for b.holder() != "k2" {
+				for h.holder() != "k2" {
 					time.Sleep(10 * time.Millisecond)
 					if time.Since(cut) > 3*ttl {
 						t.Fatal("the lease stays with a holder that is cut off")
 					}
 				}
-				// Its calls still arrive where the answers are lost, until it stops by itself
-				// and gives no sign of life any more.
+				// Where only answers are lost, the holder's renewals still arrive until it
+				// stops by itself.
 				if took := time.Since(cut); took > 2*ttl {
-					t.Errorf("it took %v", took)
+					t.Errorf("got another holder after %v, want at most %v", took, 2*ttl)
 				}
-				b.registry.setLost("k1", "")
+				h.registry.setLoss("k1", lossNone)
 				time.Sleep(2 * ttl)
 			})
 		})
@@ -144,29 +146,32 @@
 }
 
 func TestActs(t *testing.T) {
-	run(t, func(b *harness) {
-		began := time.Now()
-		var stopped atomic.Int64
-		m := NewManager(Options{Registry: b.registry, TTL: ttl, Holder: registry.Holder{Name: "k1"}, Clock: func() time.Duration { return time.Since(began) + time.Duration(stopped.Load()) }})
-		b.tasks.Go(func() { m.Run(b.ctx) })
-		err := m.Hold(b.ctx, "l", func(ctx context.Context, term *Handle) error {
+	run(t, func(h *harness) {
+		start := time.Now()
+		var stopped atomic.Int64 // for how long the process was stopped
+		m := NewManager(Options{
+			Registry: h.registry, TTL: ttl, Holder: registry.Holder{Name: "k1"},
+			Clock: func() time.Duration { return time.Since(start) + time.Duration(stopped.Load()) },
+		})
+		h.tasks.Go(func() { m.Run(h.ctx) })
+		err := m.Hold(h.ctx, "l", func(ctx context.Context, handle *Handle) error {
 			if stopped.Load() > 0 {
-				return nil // the member saw that the lease had lapsed before the task's end
+				return nil // the manager saw that the lease had lapsed before the task ended
 			}
-			if err := term.Do(ctx, ttl, func(context.Context) error { return nil }); !errors.Is(err, ErrInsufficientTime) {
-				t.Errorf("an act longer than the lease: %v", err)
+			if err := handle.Do(ctx, ttl, func(context.Context) error { return nil }); !errors.Is(err, ErrInsufficientTime) {
+				t.Errorf("an act longer than the lease: got %v, want %v", err, ErrInsufficientTime)
 			}
-			in, cancel, err := term.BeginAct(ctx, time.Second)
+			actCtx, cancel, err := handle.BeginAct(ctx, time.Second)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer cancel()
-			if until, ok := in.Deadline(); !ok || time.Until(until) > ttl*3/4 {
-				t.Errorf("an act may last until %v", until)
+			if until, ok := actCtx.Deadline(); !ok || time.Until(until) > ttl*3/4 {
+				t.Errorf("got a deadline of an act at %v, want at most %v from now", until, ttl*3/4)
 			}
-			stopped.Store(int64(ttl)) // as a process that was stopped for that long finds when it goes on
-			if _, _, err := term.BeginAct(ctx, 0); !errors.Is(err, ErrLapsed) {
-				t.Errorf("an act after the lease: %v", err)
+			stopped.Store(int64(ttl))
+			if _, _, err := handle.BeginAct(ctx, 0); !errors.Is(err, ErrLapsed) {
+				t.Errorf("an act after the lease: got %v, want %v", err, ErrLapsed)
 			}
 			return nil
 		})
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -1,10 +1,3 @@
-// Package lease is the holder's side of the registry's leases: it asks for them,
-// keeps them, and knows at each moment whether their tasks may still act.
-//
-// A holder counts its time from before it sent the call that the registry granted,
-// and acts for a part of the time to live alone. It is therefore through before the
-// registry's leader, which counts from when the call came and for the whole time,
-// gives the lease to another. docs/LEASES.md says what this rests on.
 package lease
 
 import (
@@ -17,27 +10,28 @@
 )
 
 const (
-	// actFraction is the part of the time to live in which a holder may act. What is left
-	// is for clocks that do not run alike and for a pause within an act: with clocks of
-	// which one runs by a tenth slow against the other, a pause of a sixth of the time
-	// to live is still within it (0.75/0.9 + 1/6 = 1).
+	// actFraction is the part of the time to live in which a holder may act. The rest
+	// covers clocks that run at different rates and a pause within an act: if one clock
+	// runs a tenth slower than the other, a pause of a sixth of the time to live still
+	// fits (0.75/0.9 + 1/6 = 1).
 	actFraction = 0.75
-	// renewalsPerTTL is how many fall into a time to live: three may be lost or late before
-	// the holder stops.
+	// renewalsPerTTL is the number of renewals in a time to live: three may be lost or
+	// late before the holder stops.
 	renewalsPerTTL = 6
 )
 
-// Why a task may not act.
+// The reasons why a task may not act.
 var (
-	// ErrLapsed says that the time is up, as far as this process knows.
+	// ErrLapsed means that the lease's time is up, as far as this process knows.
 	ErrLapsed = errors.New("the lease has lapsed")
-	// ErrInsufficientTime says that too little time is left for the act.
-	ErrInsufficientTime = errors.New("too little of the lease is left")
+	// ErrInsufficientTime means that the lease is held, but for less time than the act
+	// may take.
+	ErrInsufficientTime = errors.New("insufficient remaining time of the lease")
 )
 
-// Session is one claim on one lease from its asking to its end: a state machine
-// without a clock, which is told the time, as a reading of a clock that never goes
-// back. It is not safe for concurrent use.
+// Session is the holder's view of one claim on one lease, from the first call to its end.
+// It is a state machine without a clock: each method is given the time as the reading of
+// a clock that never goes back. It is not safe for concurrent use.
 type Session struct {
 	LeaseName string
 	ClaimID   string
@@ -45,7 +39,7 @@
 	TTL       time.Duration
 
 	acquireSent    bool
-	firstSentAt    time.Duration // before the first call for it was sent
+	firstSentAt    time.Duration // before the first acquire call was sent
 	token          uint64
 	deadline       time.Duration // acts end before this
 	ended          bool
@@ -53,89 +47,103 @@
 	yieldTo        string
 }
 
-// AcquireSent notes that a call for the lease is about to be sent.
-func (t *Session) AcquireSent(now time.Duration) {
-	if !t.acquireSent {
-		t.acquireSent, t.firstSentAt = true, now
+// AcquireSent records that an acquire call is about to be sent.
+func (s *Session) AcquireSent(now time.Duration) {
+	if !s.acquireSent {
+		s.acquireSent, s.firstSentAt = true, now
 	}
 }
 
-// Acquired takes the answer to that call in. However often it was sent, the grant may
-// have come with the first.
-func (t *Session) Acquired(a registry.ClaimStatus, now time.Duration) {
-	t.handleAnswer(a, t.firstSentAt, now)
+// Acquired handles the answer to an acquire call. The call may have been sent several
+// times and granted the first time, so the time to live counts from the first.
+func (s *Session) Acquired(status registry.ClaimStatus, now time.Duration) {
+	s.handleAnswer(status, s.firstSentAt, now)
 }
 
-// Renewed takes the answer in to a renewal that was sent at a time.
-func (t *Session) Renewed(a registry.ClaimStatus, sent, now time.Duration) {
-	t.handleAnswer(a, sent, now)
+// Renewed handles the answer to a renewal that was sent at sentAt.
+func (s *Session) Renewed(status registry.ClaimStatus, sentAt, now time.Duration) {
+	s.handleAnswer(status, sentAt, now)
 }
 
-func (t *Session) handleAnswer(a registry.ClaimStatus, sent, now time.Duration) {
-	t.checkDeadline(now)
+func (s *Session) handleAnswer(status registry.ClaimStatus, sentAt, now time.Duration) {
+	s.checkDeadline(now)
 	switch {
-	case t.ended:
-	case a.Ended || t.token != 0 && a.Token != 0 && a.Token != t.token:
-		t.ended = true
-	case a.YieldRequested:
-		t.RequestYield(a.NextHolder)
-	case a.Token != 0:
+	case s.ended:
+	case status.Ended || s.contradictedBy(status.Token):
+		s.ended = true
+	case status.YieldRequested:
+		s.RequestYield(status.NextHolder)
+	case status.Token != 0:
 		if mutation.FromAnswer {
-			sent = now
+			sentAt = now
 		}
-		until := sent + time.Duration(actFraction*float64(t.TTL))
-		if t.token == 0 && until <= now {
-			return // granted from the line, or heard of too late to act by: the next renewal tells
-		}
-		t.token, t.deadline = a.Token, max(t.deadline, until)
+		s.extend(status.Token, sentAt, now)
+	}
+}
+
+// contradictedBy reports whether an answer's token is that of another grant.
+func (s *Session) contradictedBy(token uint64) bool {
+	return s.token != 0 && token != 0 && token != s.token
+}
+
+// extend prolongs the time to act. A first grant that is known too late to act is
+// ignored: the claim was granted while it was queued, or the answer was slow, and the next
+// renewal tells.
+func (s *Session) extend(token uint64, sentAt, now time.Duration) {
+	deadline := sentAt + time.Duration(actFraction*float64(s.TTL))
+	if s.token == 0 && deadline <= now {
+		return
 	}
+	s.token, s.deadline = token, max(s.deadline, deadline)
 }
 
-// checkDeadline notes that the time is up. A tenure that has lapsed once is over: its task is
-// to stop first, and may then begin another.
-func (t *Session) checkDeadline(now time.Duration) {
-	if t.token != 0 && t.deadline != 0 && now >= t.deadline && !mutation.UncheckedPause {
-		t.ended = true
+// checkDeadline ends the session if its time is up. A session that has lapsed stays
+// ended: its task has to stop before another session may begin.
+func (s *Session) checkDeadline(now time.Duration) {
+	if s.token != 0 && s.deadline != 0 && now >= s.deadline && !mutation.UncheckedPause {
+		s.ended = true
 	}
 }
 
-// Held says whether the lease is held, as far as this process knows.
-func (t *Session) Held(now time.Duration) bool {
-	t.checkDeadline(now)
-	return t.token != 0 && !t.ended
+// Held reports whether the lease is held, as far as this process knows.
+func (s *Session) Held(now time.Duration) bool {
+	s.checkDeadline(now)
+	return s.token != 0 && !s.ended
 }
 
-// Ended says whether the tenure has ended for good.
-func (t *Session) Ended(now time.Duration) bool {
-	t.checkDeadline(now)
-	return t.ended
+// Ended reports whether the session has ended for good.
+func (s *Session) Ended(now time.Duration) bool {
+	s.checkDeadline(now)
+	return s.ended
 }
 
-// RequestYield notes that the lease is to be given up, to somebody or to whoever waits longest.
-func (t *Session) RequestYield(to string) { t.yieldRequested, t.yieldTo = true, to }
+// RequestYield records that the lease is to be released, to a named process or, if the
+// name is empty, to the first in the queue.
+func (s *Session) RequestYield(to string) { s.yieldRequested, s.yieldTo = true, to }
 
-// YieldRequested says whether the holder was asked to give the lease up, and to whom.
-func (t *Session) YieldRequested() (to string, leave bool) { return t.yieldTo, t.yieldRequested }
+// YieldRequested reports whether the lease is to be released, and to whom.
+func (s *Session) YieldRequested() (to string, requested bool) { return s.yieldTo, s.yieldRequested }
 
-// Token is the fencing token, 0 before the grant.
-func (t *Session) Token() uint64 { return t.token }
+// Token returns the fencing token, which is 0 before the grant.
+func (s *Session) Token() uint64 { return s.token }
 
-// Age is how long ago the lease was first asked for.
-func (t *Session) Age(now time.Duration) time.Duration { return now - t.firstSentAt }
+// Age returns the time since the first acquire call.
+func (s *Session) Age(now time.Duration) time.Duration { return now - s.firstSentAt }
 
-// Deadline is when acts have to have ended, on the clock that the tenure is told.
-func (t *Session) Deadline() time.Duration { return t.deadline }
+// Deadline returns the time at which acts have to have ended.
+func (s *Session) Deadline() time.Duration { return s.deadline }
 
-// CheckAct says whether an act that takes a time may begin now.
-func (t *Session) CheckAct(now, takes time.Duration) error {
+// CheckAct returns nil if an act of the given length may begin now, or else an error that
+// wraps ErrLapsed or ErrInsufficientTime.
+func (s *Session) CheckAct(now, takes time.Duration) error {
 	switch {
-	case !t.Held(now):
-		return fmt.Errorf("%w: %s", ErrLapsed, t.LeaseName)
-	case now+takes > t.deadline && !mutation.UncheckedPause:
-		return fmt.Errorf("%w: %s has another %v, the act may take %v", ErrInsufficientTime, t.LeaseName, t.deadline-now, takes)
+	case !s.Held(now):
+		return fmt.Errorf("%w: %s", ErrLapsed, s.LeaseName)
+	case now+takes > s.deadline && !mutation.UncheckedPause:
+		return fmt.Errorf("%w: %s has another %v, the act may take %v", ErrInsufficientTime, s.LeaseName, s.deadline-now, takes)
 	}
 	return nil
 }
 
-// Resign ends the tenure from this side.
-func (t *Session) Resign() { t.ended = true }
+// Resign ends the session from the holder's side.
+func (s *Session) Resign() { s.ended = true }
