--- a/internal/lease/model/checker.go
+++ b/internal/lease/model/checker.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Counts is what a judge has seen.
+// Counts are what a checker has seen.
 type Counts struct {
 	Steps, Grants, Acts, Writes, Refused, Faults int
 }
@@ -20,17 +20,21 @@
 	c.Faults += d.Faults
 }
 
-// checker knows nothing of how leases work: it is told which token was given to whom,
-// who says at a moment that it may act, and which writes took effect.
+// checker does not know how leases work. It sees which token was given to which claim,
+// which holders may act at a moment, and which writes took effect.
 type checker struct {
 	Counts
-	claimByToken map[uint64]string // token -> claim
+	claimByToken map[uint64]string
 	highestToken uint64
 	newestToken  []uint64 // by lease: the token of the last grant
-	violation    error
+	violation    error    // found between two steps
 }
 
-// checkInvariants is what the judge sees after each step.
+func newChecker(leases int, highestToken uint64) checker {
+	return checker{claimByToken: make(map[uint64]string), highestToken: highestToken, newestToken: make([]uint64, leases)}
+}
+
+// checkInvariants looks at the world after a step.
 func (w *World) checkInvariants() error {
 	for j := range w.Leases {
 		if l, _ := w.state.Leases().Lease(leaseName(j)); l.Grant != nil {
@@ -43,46 +47,53 @@
 		return w.checker.violation
 	}
 	for j := range w.Leases {
-		var may []string
-		for i, h := range w.holders {
-			if t := h.sessions[j]; t != nil {
-				one := *t // asking must not change it
-				if one.CheckAct(w.holderClock(i), time.Millisecond) == nil {
-					may = append(may, fmt.Sprintf("k%d with token %d", i, t.Token()))
-				}
-			}
-		}
-		if w.checker.Acts += len(may); len(may) > 1 {
-			return fmt.Errorf("two may act under lease %d at %v: %s", j, w.now, strings.Join(may, ", "))
+		acting := w.acting(j)
+		w.checker.Acts += len(acting)
+		if len(acting) > 1 {
+			return fmt.Errorf("two may act under lease %d at %v: %s", j, w.now, strings.Join(acting, ", "))
 		}
 	}
 	return nil
 }
 
-// checkGrant notes a grant: tokens only grow, and each is one claim's.
-func (j *checker) checkGrant(lease int, token uint64, claim string) error {
-	switch owner, known := j.claimByToken[token]; {
+// acting lists the holders that may act under a lease now.
+func (w *World) acting(lease int) (holders []string) {
+	for i, h := range w.holders {
+		if h.sessions[lease] == nil {
+			continue
+		}
+		s := *h.sessions[lease] // a copy: to ask may change the session
+		if s.CheckAct(w.holderClock(i), time.Millisecond) == nil {
+			holders = append(holders, fmt.Sprintf("k%d with token %d", i, s.Token()))
+		}
+	}
+	return holders
+}
+
+// checkGrant checks that tokens only grow, and that each belongs to one claim.
+func (c *checker) checkGrant(lease int, token uint64, claim string) error {
+	switch owner, known := c.claimByToken[token]; {
 	case known && owner != claim:
 		return fmt.Errorf("token %d was given to %s and to %s", token, owner, claim)
 	case known:
-	case token <= j.highestToken:
-		return fmt.Errorf("token %d was given after %d", token, j.highestToken)
+	case token <= c.highestToken:
+		return fmt.Errorf("token %d was given after %d", token, c.highestToken)
 	default:
-		j.claimByToken[token], j.highestToken, j.newestToken[lease] = claim, token, token
-		j.Grants++
+		c.claimByToken[token], c.highestToken, c.newestToken[lease] = claim, token, token
+		c.Grants++
 	}
 	return nil
 }
 
-// checkWrite notes a write. One that takes effect is its writer's, under the newest grant of
-// the lease: else an older holder's act has come after a newer one began.
-func (j *checker) checkWrite(m message, err error) {
+// checkWrite checks that a write which took effect was made under the newest grant of its
+// lease. With an older token, it took effect after a later holder had begun to act.
+func (c *checker) checkWrite(m message, err error) {
 	switch {
 	case err != nil:
-		j.Refused++
-	case m.token < j.newestToken[m.lease] || j.claimByToken[m.token] != m.claim.ID:
-		j.violation = fmt.Errorf("a write of %s under lease %d took effect with token %d, the newest is %d", m.claim.ID, m.lease, m.token, j.newestToken[m.lease])
+		c.Refused++
+	case m.token < c.newestToken[m.lease] || c.claimByToken[m.token] != m.claim.ID:
+		c.violation = fmt.Errorf("a write of %s under lease %d took effect with token %d, the newest is %d", m.claim.ID, m.lease, m.token, c.newestToken[m.lease])
 	default:
-		j.Writes++
+		c.Writes++
 	}
 }
--- a/internal/lease/model/key.go
+++ b/internal/lease/model/key.go
@@ -3,69 +3,101 @@
 import (
 	"fmt"
 	"slices"
+	"strings"
 
 	"barleywick/internal/registry"
 )
 
+// keyWriter writes the key of one state. Claims are numbered in the order in which they
+// are met, and tokens stand relative to the last one, so that states meet again.
+type keyWriter struct {
+	text      []byte
+	claims    map[string]int
+	lastToken uint64
+}
+
+func (k *keyWriter) line(values ...any) { k.text = fmt.Appendln(k.text, values...) }
+
+func (k *keyWriter) claim(id string) int {
+	n, ok := k.claims[id]
+	if !ok {
+		n = len(k.claims)
+		k.claims[id] = n
+	}
+	return n
+}
+
+func (k *keyWriter) token(t uint64) uint64 {
+	if t == 0 {
+		return 0
+	}
+	return k.lastToken - t + 1
+}
+
 // Key tells states apart: two with the same key have the same future. Times stand
-// relative to now and tokens relative to the last one, so that states meet again.
+// relative to now.
 func (w *World) Key(text []byte) []byte {
-	last := w.state.Leases().LastToken()
-	ids := make(map[string]int) // claims by the order in which they are met
-	id := func(claim string) int {
-		if _, ok := ids[claim]; !ok {
-			ids[claim] = len(ids)
-		}
-		return ids[claim]
-	}
-	token := func(t uint64) uint64 {
-		if t == 0 {
-			return 0
-		}
-		return last - t + 1
+	k := &keyWriter{text: text, claims: make(map[string]int), lastToken: w.state.Leases().LastToken()}
+	k.line(w.now, w.leader, w.duplicates, w.losses, w.restores, w.restarts)
+	w.holdersKey(k)
+	w.leasesKey(k)
+	w.networkKey(k)
+	w.tracker.Visit(w.leaderClock(), func(ref registry.ClaimRef, status string) {
+		k.line(ref.Lease, k.claim(ref.ClaimID), status)
+	})
+	for _, t := range w.checker.newestToken {
+		k.line(k.token(t))
 	}
-	text = fmt.Appendln(text, w.now, w.leader, w.duplicates, w.losses, w.restores, w.restarts)
+	return k.text
+}
+
+func (w *World) holdersKey(k *keyWriter) {
 	for i, h := range w.holders {
 		now := w.holderClock(i)
-		text = fmt.Appendln(text, h.identity)
-		for _, t := range h.sessions {
-			if t == nil || t.Ended(now) {
-				text = append(text, '-')
+		k.line(h.identity)
+		for _, s := range h.sessions {
+			if s == nil || s.Ended(now) {
+				k.text = append(k.text, '-')
 				continue
 			}
-			text = fmt.Appendln(text, id(t.ClaimID), token(t.Token()), max(-1, t.Deadline()-now), t.Age(now))
+			k.line(k.claim(s.ClaimID), k.token(s.Token()), max(-1, s.Deadline()-now), s.Age(now))
 		}
 	}
-	all, _ := w.state.Leases().List()
-	for _, l := range all {
-		text = append(text, l.Name...)
+}
+
+func (w *World) leasesKey(k *keyWriter) {
+	leases, _ := w.state.Leases().List()
+	for _, l := range leases {
+		k.text = append(k.text, l.Name...)
 		if g := l.Grant; g != nil {
-			text = fmt.Appendln(text, "held", id(g.ID), token(g.Token), g.Holder)
+			k.line("held", k.claim(g.ID), k.token(g.Token), g.Holder)
 		}
 		for _, c := range l.Queue {
-			text = fmt.Appendln(text, "waits", id(c.ID), c.Holder)
+			k.line("waits", k.claim(c.ID), c.Holder)
 		}
 	}
+}
+
+// networkKey writes the messages and the renewals that are being verified. Their order
+// does not matter, so the lines are sorted.
+func (w *World) networkKey(k *keyWriter) {
 	lines := make([]string, 0, len(w.network)+len(w.verifications))
 	for _, m := range w.network {
-		ago := w.holderClock(m.holder) - m.sentAt
+		age := w.holderClock(m.holder) - m.sentAt
 		if m.kind != renewal && m.kind != answer || m.toAcquire {
-			ago = 0 // only what a renewal's answer carries is counted from
+			age = 0 // only the answer to a renewal counts from when the call was sent
 		}
-		lines = append(lines, fmt.Sprintln("m", m.kind, m.holder, m.lease, id(m.claim.ID), m.claim.Incarnation, ago, token(m.token), token(m.answer.Token), m.answer.Ended, m.answer.QueuePosition > 0, m.toAcquire, m.duplicated))
+		lines = append(lines, fmt.Sprintln(
+			"m", m.kind, m.holder, m.lease, k.claim(m.claim.ID), m.claim.Incarnation, age, k.token(m.token),
+			k.token(m.answer.Token), m.answer.Ended, m.answer.QueuePosition > 0, m.toAcquire, m.duplicated,
+		))
 	}
-	for _, c := range w.verifications {
-		lines = append(lines, fmt.Sprintln("v", c.holder, c.lease, id(c.claim.ID), c.claim.Incarnation, w.holderClock(c.holder)-c.sentAt, w.leaderClock().Sub(c.receivedAt), w.leader-c.leader))
+	for _, v := range w.verifications {
+		lines = append(lines, fmt.Sprintln(
+			"v", v.holder, v.lease, k.claim(v.claim.ID), v.claim.Incarnation,
+			w.holderClock(v.holder)-v.sentAt, w.leaderClock().Sub(v.receivedAt), w.leader-v.leader,
+		))
 	}
 	slices.Sort(lines)
-	for _, l := range lines {
-		text = append(text, l...)
-	}
-	w.clock.Visit(w.leaderClock(), func(k registry.ClaimRef, line string) {
-		text = fmt.Appendln(text, k.Lease, id(k.ClaimID), line)
-	})
-	for _, t := range w.checker.newestToken {
-		text = fmt.Appendln(text, token(t))
-	}
-	return text
+	k.text = append(k.text, strings.Join(lines, "")...)
 }
--- a/internal/lease/model/message.go
+++ b/internal/lease/model/message.go
@@ -9,10 +9,10 @@
 	"barleywick/internal/registry"
 )
 
-type kind int
+type messageKind int
 
 const (
-	acquire kind = iota
+	acquire messageKind = iota
 	renewal
 	release
 	write
@@ -23,7 +23,7 @@
 
 // message is one call or answer on its way.
 type message struct {
-	kind       kind
+	kind       messageKind
 	holder     int
 	lease      int
 	claim      registry.Claim
@@ -34,65 +34,88 @@
 	duplicated bool
 }
 
-// pendingVerification is a renewal that came to a leader, which now makes sure that it leads.
+// pendingVerification is a renewal that arrived at a leader, which now verifies that it
+// still leads.
 type pendingVerification struct {
 	message
 	receivedAt time.Time
 	leader     int
 }
 
-func (w *World) send(k kind, i, j int) {
-	h := w.holders[i]
-	t := h.sessions[j]
-	now := w.holderClock(i)
-	if k == acquire {
-		t.AcquireSent(now)
+// send puts a holder's call on its way.
+func (w *World) send(kind messageKind, holder, lease int) {
+	h := w.holders[holder]
+	s := h.sessions[lease]
+	now := w.holderClock(holder)
+	if kind == acquire {
+		s.AcquireSent(now)
 	}
-	m := message{kind: k, holder: i, lease: j, sentAt: now}
-	m.claim = registry.Claim{ID: t.ClaimID, Holder: h.identity, TTLMS: w.TTL.Milliseconds()}
-	m.token = t.Token()
-	w.network = append(w.network, m)
+	w.network = append(w.network, message{
+		kind: kind, holder: holder, lease: lease, sentAt: now, token: s.Token(),
+		claim: registry.Claim{ID: s.ClaimID, Holder: h.identity, TTLMS: w.TTL.Milliseconds()},
+	})
 }
 
-// deliver lets a message come to where it goes.
+// deliver lets a message arrive.
 func (w *World) deliver(i int) {
 	m := w.network[i]
 	w.network = slices.Delete(w.network, i, i+1)
-	name := leaseName(m.lease)
 	switch m.kind {
 	case acquire:
-		r := w.state.Apply(registry.Command{Op: registry.OpAcquireLease, Lease: &registry.LeaseCommand{Name: name, Claim: m.claim, Wait: true}})
-		w.follow()
-		a := registry.ClaimStatus{Lease: name, ClaimID: m.claim.ID, Token: r.Token, QueuePosition: r.QueuePosition, Ended: errors.Is(r.Err, registry.ErrClaimEnded)}
-		w.network = append(w.network, message{kind: answer, holder: m.holder, lease: m.lease, claim: m.claim, answer: a, toAcquire: true})
+		w.deliverAcquire(m)
 	case renewal:
 		w.verifications = append(w.verifications, pendingVerification{m, w.leaderClock(), w.leader})
 	case release:
-		w.state.Apply(registry.Command{Op: registry.OpReleaseLease, Lease: &registry.LeaseCommand{Name: name, Claim: m.claim}})
-		w.follow()
+		w.state.Apply(registry.Command{Op: registry.OpReleaseLease, Lease: &registry.LeaseCommand{Name: leaseName(m.lease), Claim: m.claim}})
+		w.syncTracker()
 	case write:
-		r := w.state.Apply(registry.Command{
-			Op: registry.OpPutRecord, Key: name, Value: fmt.Append(nil, m.token, m.sentAt), Fence: &registry.Fence{Lease: name, Token: m.token},
-		})
-		w.checker.checkWrite(m, r.Err)
+		w.deliverWrite(m)
 	case answer:
-		if t := w.holders[m.holder].sessions[m.lease]; t != nil && t.ClaimID == m.claim.ID && t.Holder == m.claim.Holder {
-			if m.toAcquire {
-				t.Acquired(m.answer, w.holderClock(m.holder))
-			} else {
-				t.Renewed(m.answer, m.sentAt, w.holderClock(m.holder))
-			}
-		}
+		w.deliverAnswer(m)
+	}
+}
+
+func (w *World) deliverAcquire(m message) {
+	name := leaseName(m.lease)
+	r := w.state.Apply(registry.Command{Op: registry.OpAcquireLease, Lease: &registry.LeaseCommand{Name: name, Claim: m.claim, Wait: true}})
+	w.syncTracker()
+	status := registry.ClaimStatus{
+		Lease: name, ClaimID: m.claim.ID, Token: r.Token, QueuePosition: r.QueuePosition, Ended: errors.Is(r.Err, registry.ErrClaimEnded),
+	}
+	w.network = append(w.network, message{kind: answer, holder: m.holder, lease: m.lease, claim: m.claim, answer: status, toAcquire: true})
+}
+
+func (w *World) deliverWrite(m message) {
+	name := leaseName(m.lease)
+	r := w.state.Apply(registry.Command{
+		Op: registry.OpPutRecord, Key: name, Value: fmt.Append(nil, m.token, m.sentAt), Fence: &registry.Fence{Lease: name, Token: m.token},
+	})
+	w.checker.checkWrite(m, r.Err)
+}
+
+// deliverAnswer gives an answer to the session that asked, if the holder still has it.
+func (w *World) deliverAnswer(m message) {
+	s := w.holders[m.holder].sessions[m.lease]
+	if s == nil || s.ClaimID != m.claim.ID || s.Holder != m.claim.Holder {
+		return
+	}
+	now := w.holderClock(m.holder)
+	if m.toAcquire {
+		s.Acquired(m.answer, now)
+	} else {
+		s.Renewed(m.answer, m.sentAt, now)
 	}
 }
 
-// finishVerification ends a leader's check: it fails where another leads since the call came.
+// finishVerification answers a renewal, unless another leader was elected since it
+// arrived.
 func (w *World) finishVerification(i int) {
-	c := w.verifications[i]
+	v := w.verifications[i]
 	w.verifications = slices.Delete(w.verifications, i, i+1)
-	if c.leader != w.leader {
+	if v.leader != w.leader {
 		return
 	}
-	a := w.clock.RenewClaims(w.state.Leases(), c.claim.Holder, []registry.ClaimRef{{Lease: leaseName(c.lease), ClaimID: c.claim.ID}}, c.receivedAt)
-	w.network = append(w.network, message{kind: answer, holder: c.holder, lease: c.lease, claim: c.claim, sentAt: c.sentAt, answer: a[0]})
+	refs := []registry.ClaimRef{{Lease: leaseName(v.lease), ClaimID: v.claim.ID}}
+	statuses := w.tracker.RenewClaims(w.state.Leases(), v.claim.Holder, refs, v.receivedAt)
+	w.network = append(w.network, message{kind: answer, holder: v.holder, lease: v.lease, claim: v.claim, sentAt: v.sentAt, answer: statuses[0]})
 }
--- a/internal/lease/model/walk.go
+++ b/internal/lease/model/walk.go
@@ -1,82 +1,114 @@
 package model
 
 import (
-	"cmp"
 	"fmt"
 	"math/rand/v2"
-	"slices"
 	"time"
 
 	"barleywick/internal/testing/modelcheck"
 )
 
-// settleEvery is of how many walks one goes on until all has settleEvery, which takes several
-// times the steps of the walk.
+// settleEvery is how many walks there are to one that goes on without faults until all
+// leases are held. That takes several times the steps of the walk.
 const settleEvery = 10
 
-// Walk takes so many steps drawn from a seed. Some walks go on without faults then: by
-// the end of that each lease has to be somebody's.
+// Walk takes a number of steps that are drawn from a seed. Some walks then go on without
+// faults; at the end of that, each lease has to be held.
 func Walk(s Setup, seed uint64, steps int) (Counts, *modelcheck.Violation) {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	if s.ClockRates == nil {
 		for range s.Holders + 1 {
-			s.ClockRates = append(s.ClockRates, 950+rng.Int64N(101)) // a twentieth off either way
+			s.ClockRates = append(s.ClockRates, 950+rng.Int64N(101)) // up to a twentieth off
 		}
 	}
-	k := &modelcheck.Walker[*World]{World: New(s)}
-	found := k.Walk(rng, steps, s.Holders)
-	if found == nil && seed%settleEvery == 0 {
-		found = settle(k)
+	walker := &modelcheck.Walker[*World]{World: New(s)}
+	violation := walker.Walk(rng, steps, s.Holders)
+	if violation == nil && seed%settleEvery == 0 {
+		violation = (&settler{walker, walker.World}).settle()
 	}
-	return k.World.checker.Counts, found
+	return walker.World.checker.Counts, violation
 }
 
-// settle lets time pass without faults, each call arriving and each holder renewing:
-// within a bound every lease is held, which is the time to live once for who held it
-// and once for each that waited and is gone.
-func settle(k *modelcheck.Walker[*World]) *modelcheck.Violation {
-	w := k.World
-	bound := w.TTL * time.Duration(2+w.Holders)
-	w.EndTime = w.now + bound
-	do := func(format string, i, j int, f func(w *World)) *modelcheck.Violation {
-		return k.Take(Step{Format: format, A: i, B: j, Do: checkedStep(f)})
-	}
-	arrive := func() *modelcheck.Violation {
-		for len(w.network) > 0 || len(w.verifications) > 0 {
-			act := func(w *World) { w.deliver(0) }
-			if len(w.network) == 0 {
-				act = func(w *World) { w.finishVerification(0) }
-			}
-			if f := k.Take(Step{Format: "what is under way comes", Do: checkedStep(act)}); f != nil {
-				return f
-			}
-		}
-		return nil
-	}
+// settler goes on with a walk without faults.
+type settler struct {
+	walker *modelcheck.Walker[*World]
+	world  *World
+}
+
+// settle lets time pass while each call arrives and each holder renews. All leases have
+// to be held after the time to live of the last holder and of each one that waited and is
+// gone.
+func (s *settler) settle() *modelcheck.Violation {
+	w := s.world
+	limit := w.TTL * time.Duration(2+w.Holders)
+	w.EndTime = w.now + limit
 	for w.now < w.EndTime {
-		for i, h := range w.holders {
-			for j, t := range h.sessions {
-				var f *modelcheck.Violation
-				switch {
-				case t == nil || t.Ended(w.holderClock(i)):
-					f = do("k%d asks for %d", i, j, func(w *World) { w.acquireNew(i, j) })
-				case t.Token() == 0: // the first call may have been lost
-					f = do("k%d asks again for %d", i, j, func(w *World) { w.send(acquire, i, j) })
-				}
-				f = cmp.Or(f, arrive(), do("k%d renews %d", i, j, func(w *World) { w.send(renewal, i, j) }), arrive())
-				if f != nil {
-					return f
+		for holder := range w.holders {
+			for lease := range w.Leases {
+				if violation := s.claimAndRenew(holder, lease); violation != nil {
+					return violation
 				}
 			}
 		}
-		if f := k.Take(Step{Format: "tick", Do: checkedStep(func(w *World) { w.now += w.Tick; w.expire() })}); f != nil {
-			return f
+		if violation := s.take((*World).tick, "tick"); violation != nil {
+			return violation
+		}
+	}
+	for lease := range w.Leases {
+		if !w.held(lease) {
+			return s.walker.Violation(fmt.Errorf("lease %d is nobody's %v after the last fault", lease, limit))
 		}
 	}
-	for j := range w.Leases {
-		if !slices.ContainsFunc(w.holders, func(h *holder) bool { return h.sessions[j].Held(w.holderClock(slices.Index(w.holders, h))) }) {
-			return k.Violation(fmt.Errorf("lease %d is nobody's %v after the last fault", j, bound))
+	return nil
+}
+
+// claimAndRenew has a holder claim a lease, if it has no claim, and renew it.
+func (s *settler) claimAndRenew(holder, lease int) *modelcheck.Violation {
+	var violation *modelcheck.Violation
+	switch session := s.world.holders[holder].sessions[lease]; {
+	case session == nil || session.Ended(s.world.holderClock(holder)):
+		violation = s.take(func(w *World) { w.acquireNew(holder, lease) }, "k%d claims %d", holder, lease)
+	case session.Token() == 0: // the first call may have been lost
+		violation = s.take(func(w *World) { w.send(acquire, holder, lease) }, "k%d repeats its claim on %d", holder, lease)
+	}
+	if violation != nil {
+		return violation
+	}
+	if violation := s.deliverAll(); violation != nil {
+		return violation
+	}
+	if violation := s.take(func(w *World) { w.send(renewal, holder, lease) }, "k%d renews %d", holder, lease); violation != nil {
+		return violation
+	}
+	return s.deliverAll()
+}
+
+// deliverAll lets all messages arrive, and the answers to them.
+func (s *settler) deliverAll() *modelcheck.Violation {
+	for len(s.world.network) > 0 || len(s.world.verifications) > 0 {
+		do := func(w *World) { w.deliver(0) }
+		if len(s.world.network) == 0 {
+			do = func(w *World) { w.finishVerification(0) }
+		}
+		if violation := s.take(do, "what is in flight arrives"); violation != nil {
+			return violation
 		}
 	}
 	return nil
 }
+
+func (s *settler) take(do func(w *World), format string, names ...any) *modelcheck.Violation {
+	l := &stepList{actor: -1}
+	l.add(0, do, format, names...)
+	return s.walker.Take(l.steps[0])
+}
+
+// held reports whether some process holds a lease.
+func (w *World) held(lease int) bool {
+	for i, h := range w.holders {
+		if h.sessions[lease].Held(w.holderClock(i)) {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/lease/model/world.go
+++ b/internal/lease/model/world.go
@@ -1,12 +1,8 @@
-// Package model is a small world in which the real state machine of leases, the real
-// count of a leader and the real holder's code run together, step by step, without a
-// clock, a network or a goroutine: what may happen next is listed, and somebody
-// chooses. Search tries all choices to a depth; Walk draws them from a seed. A judge
-// that shares no code with leases watches what was granted and done.
 package model
 
 import (
 	"fmt"
+	"maps"
 	"slices"
 	"time"
 
@@ -14,39 +10,43 @@
 	"barleywick/internal/registry"
 )
 
+// trueClockRate is the rate of a clock that keeps true time.
+const trueClockRate = 1000
+
+// epoch is the leader's clock at the beginning.
+var epoch = time.UnixMilli(1_700_000_000_000)
+
 // holder is one process with at most one claim on each lease.
 type holder struct {
 	identity registry.Holder
-	sessions []*lease.Session
+	sessions []*lease.Session // by lease; nil: no claim
 }
 
-// World is one state of everything.
+// World is one state of all processes and of the network between them.
 type World struct {
 	Setup
 	now           time.Duration // true time
 	state         *registry.State
 	backup        []byte
-	clock         *registry.ClaimTracker
-	leader        int // counts leaders
+	tracker       *registry.ClaimTracker // of the present leader
+	leader        int                    // number of leaders so far
 	holders       []*holder
 	network       []message
 	verifications []pendingVerification
-	claimCount    int // ids given
+	claimCount    int // claim ids given
 	duplicates    int
 	losses        int
-	restores      int // restores so far
-	restarts      int // restarts so far
+	restores      int
+	restarts      int
 	checker       checker
 }
 
-var epoch = time.UnixMilli(1_700_000_000_000)
-
 // New makes a world in which grants have begun.
 func New(s Setup) *World {
-	w := &World{Setup: s, state: registry.NewState(), checker: checker{claimByToken: make(map[uint64]string), newestToken: make([]uint64, s.Leases)}}
+	w := &World{Setup: s, state: registry.NewState()}
 	w.mustApply(registry.Command{Op: registry.OpFoundGroup, Group: "g", AtMS: epoch.UnixMilli()})
 	w.mustApply(registry.Command{Op: registry.OpOpenGrants, Lease: new(registry.LeaseCommand)})
-	w.checker.highestToken = w.state.Leases().LastToken()
+	w.checker = newChecker(s.Leases, w.state.Leases().LastToken())
 	var err error
 	if w.backup, err = w.state.MarshalJSON(); err != nil {
 		panic(err)
@@ -71,64 +71,89 @@
 // Clone returns a copy that shares nothing that changes.
 func (w *World) Clone() *World {
 	c := *w
-	c.state, c.clock = w.state.Clone(), w.clock.Clone()
+	c.state, c.tracker = w.state.Clone(), w.tracker.Clone()
 	c.holders = make([]*holder, len(w.holders))
 	for i, h := range w.holders {
-		n := &holder{identity: h.identity, sessions: make([]*lease.Session, len(h.sessions))}
-		for j, t := range h.sessions {
-			if t != nil {
-				one := *t
-				n.sessions[j] = &one
-			}
-		}
-		c.holders[i] = n
+		c.holders[i] = h.clone()
 	}
 	c.network, c.verifications = slices.Clone(w.network), slices.Clone(w.verifications)
-	c.checker.claimByToken = make(map[uint64]string, len(w.checker.claimByToken))
-	for k, v := range w.checker.claimByToken {
-		c.checker.claimByToken[k] = v
-	}
+	c.checker.claimByToken = maps.Clone(w.checker.claimByToken)
 	c.checker.newestToken = slices.Clone(w.checker.newestToken)
 	return &c
 }
 
+func (h *holder) clone() *holder {
+	c := &holder{identity: h.identity, sessions: make([]*lease.Session, len(h.sessions))}
+	for i, s := range h.sessions {
+		if s != nil {
+			session := *s
+			c.sessions[i] = &session
+		}
+	}
+	return c
+}
+
 func (w *World) clockRate(process int) int64 {
 	if len(w.ClockRates) == 0 {
-		return 1000
+		return trueClockRate
 	}
 	return w.ClockRates[process]
 }
 
-// holderClock is what a holder's clock says; they all began at different readings.
-func (w *World) holderClock(h int) time.Duration {
-	return time.Duration(int64(w.now)*w.clockRate(h)/1000) + time.Duration(h+1)*time.Hour
+// holderClock reads a holder's clock. All holders' clocks began at different readings.
+func (w *World) holderClock(holder int) time.Duration {
+	return time.Duration(int64(w.now)*w.clockRate(holder)/trueClockRate) + time.Duration(holder+1)*time.Hour
 }
 
-// leaderClock is what the leader's clock says.
+// leaderClock reads the leader's clock.
 func (w *World) leaderClock() time.Time {
-	return epoch.Add(time.Duration(int64(w.now) * w.clockRate(w.Holders) / 1000))
+	return epoch.Add(time.Duration(int64(w.now) * w.clockRate(w.Holders) / trueClockRate))
 }
 
-// elect puts a new leader in place, which gives every claim its full time.
+// elect makes another leader, whose claim tracker gives each claim its full time.
 func (w *World) elect() {
 	w.leader++
-	w.clock = registry.NewClaimTracker(w.TTL)
-	w.clock.Sync(w.state.Leases(), w.leaderClock())
+	w.tracker = registry.NewClaimTracker(w.TTL)
+	w.syncTracker()
 }
 
-func leaseName(i int) string { return fmt.Sprint("task-", i) }
-
-// expire lets the leader end what is due, as soon as it is.
+// expire has the leader end the claims whose time is up.
 func (w *World) expire() {
-	w.clock.Sync(w.state.Leases(), w.leaderClock())
-	ended, open := w.clock.TakeExpired(w.leaderClock())
+	w.syncTracker()
+	expired, open := w.tracker.TakeExpired(w.leaderClock())
 	if open {
 		w.mustApply(registry.Command{Op: registry.OpOpenGrants, Lease: new(registry.LeaseCommand)})
 	}
-	if len(ended) > 0 {
-		w.mustApply(registry.Command{Op: registry.OpExpireClaims, Lease: &registry.LeaseCommand{Expired: ended}})
+	if len(expired) > 0 {
+		w.mustApply(registry.Command{Op: registry.OpExpireClaims, Lease: &registry.LeaseCommand{Expired: expired}})
 	}
-	w.follow()
+	w.syncTracker()
+}
+
+func (w *World) syncTracker() { w.tracker.Sync(w.state.Leases(), w.leaderClock()) }
+
+// tick lets time pass.
+func (w *World) tick() {
+	w.now += w.Tick
+	w.expire()
 }
 
-func (w *World) follow() { w.clock.Sync(w.state.Leases(), w.leaderClock()) }
+// acquireNew begins a new claim of a holder.
+func (w *World) acquireNew(holder, leaseIndex int) {
+	h := w.holders[holder]
+	w.claimCount++
+	h.sessions[leaseIndex] = &lease.Session{
+		LeaseName: leaseName(leaseIndex), ClaimID: fmt.Sprintf("claim-%05d", w.claimCount), Holder: h.identity, TTL: w.TTL,
+	}
+	w.send(acquire, holder, leaseIndex)
+}
+
+// restart starts a holder again, which has forgotten its claims.
+func (w *World) restart(holder int) {
+	w.restarts++
+	h := w.holders[holder]
+	h.identity.Incarnation = uint64(2 + w.restarts) // later than any before
+	h.sessions = make([]*lease.Session, w.Leases)
+}
+
+func leaseName(i int) string { return fmt.Sprint("task-", i) }
