--- a/internal/sidecar/client_test.go
+++ b/internal/sidecar/client_test.go
@@ -19,8 +19,8 @@
 
 func TestServesTheWholeBodyUnchanged(t *testing.T) {
 	body := strings.Repeat("\x00honey\r\n", 60000) // upstreams do send that much
-	u := newUpstream(t, always(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\nServer-Load: TEXT busy_reqs=1\r\nX-Ledger: 4\r\n\r\n%s", len(body), body)))
-	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
+	u := NewFakeServer(t, Always(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\nServer-Load: TEXT busy_reqs=1\r\nX-Ledger: 4\r\n\r\n%s", len(body), body)))
+	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	got := call{class: "once", body: "{}"}.do(t, addr)
 	if got.status != 200 || got.body != body || got.header.Get("X-Ledger") != "4" || got.header.Get("Server-Load") != "" {
 		t.Errorf("status %d, %d bytes, header %v, error %v", got.status, len(got.body), got.header, got.err)
@@ -30,21 +30,21 @@
 // A failure is never worded 429 or 503: these promise that a retry is harmless.
 func TestFailureIsNoRefusal(t *testing.T) {
 	for _, status := range []int{500, 503, 504, 429, 400, 302} {
-		u := newUpstream(t, always(fmt.Sprintf("HTTP/1.1 %d x\r\nContent-Length: 4\r\n\r\nlate", status)))
-		addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
+		u := NewFakeServer(t, Always(fmt.Sprintf("HTTP/1.1 %d x\r\nContent-Length: 4\r\n\r\nlate", status)))
+		addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 		if got := (call{class: "once"}).do(t, addr); got.status != http.StatusBadGateway || got.body != "" || got.header.Get("Retry-After") != "" {
 			t.Errorf("upstream's %d: got %+v, want a plain 502", status, got)
 		}
-		if len(u.requests) != 1 {
-			t.Errorf("upstream's %d: %d attempts of a request that may have run", status, len(u.requests))
+		if len(u.Requests) != 1 {
+			t.Errorf("upstream's %d: %d attempts of a request that may have run", status, len(u.Requests))
 		}
 	}
 }
 
 func TestRefusalSaysWhenToComeBack(t *testing.T) {
-	u := newUpstream(t, always("HTTP/1.1 503 x\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"))
+	u := NewFakeServer(t, Always("HTTP/1.1 503 x\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"))
 	// The module refuses once an answer would be late for the aim of 0.2 s.
-	c := testConfig(t, options{aim: 200 * time.Millisecond}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
+	c := testConfig(t, options{aim: 200 * time.Millisecond}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
 	start := time.Now()
 	got := call{class: "once"}.do(t, addr)
@@ -58,37 +58,37 @@
 }
 
 func TestSilenceIsAnsweredBeforeTheDeadline(t *testing.T) {
-	u := newUpstream(t, always(""))
-	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
+	u := NewFakeServer(t, Always(""))
+	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	start := time.Now()
 	got := call{class: "once", timeout: "0.4"}.do(t, addr)
 	if took := time.Since(start); got.status != http.StatusGatewayTimeout || took > 450*time.Millisecond {
 		t.Errorf("got %+v after %v, want 504 within 0.45 s", got, took)
 	}
-	await(t, "the end of the attempt's connection", u.closed)
+	Await(t, "the end of the attempt's connection", u.Closed)
 }
 
 func TestClientThatLeavesEndsItsAttempt(t *testing.T) {
-	u := newUpstream(t, always(""))
-	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
+	u := NewFakeServer(t, Always(""))
+	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	call{class: "once", body: "{}"}.request(t, addr).Write(c)
-	await(t, "the attempt", u.requests)
+	Await(t, "the attempt", u.Requests)
 	c.Close()
-	await(t, "the end of the attempt's connection", u.closed)
+	Await(t, "the end of the attempt's connection", u.Closed)
 	// Its id is free again, and nothing more of it goes out.
 	again := call{class: "once", timeout: "0.6"}.do(t, addr)
-	if again.status != http.StatusGatewayTimeout || len(u.requests) != 1 {
-		t.Errorf("got %+v and %d more attempts, want 504 and one", again, len(u.requests))
+	if again.status != http.StatusGatewayTimeout || len(u.Requests) != 1 {
+		t.Errorf("got %+v and %d more attempts, want 504 and one", again, len(u.Requests))
 	}
 }
 
 func TestBadInput(t *testing.T) {
-	u := newUpstream(t, always(answer200("")))
-	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
+	u := NewFakeServer(t, Always(OKResponse("")))
+	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	bad := map[string]call{
 		"no id":           {class: "once", header: http.Header{"Request-Id": nil}},
 		"two ids":         {class: "once", header: http.Header{"Request-Id": {"a", "b"}}},
@@ -137,15 +137,15 @@
 			t.Fatal(err)
 		}
 		io.WriteString(c, text)
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(Patience))
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || resp.StatusCode < 400 || resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests {
 			t.Errorf("%s: got %v, error %v, want a plain 4xx or 5xx, no refusal", name, resp, err)
 		}
 		c.Close()
 	}
-	if len(u.requests) > 0 {
-		t.Errorf("%d requests went upstream", len(u.requests))
+	if len(u.Requests) > 0 {
+		t.Errorf("%d requests went upstream", len(u.Requests))
 	}
 	if got := (call{class: "once"}).do(t, addr); got.status != 200 {
 		t.Errorf("a good request afterwards: %+v", got)
@@ -155,16 +155,16 @@
 // Two requests under one id might run one effect twice.
 func TestIdThatIsHeldIsNotTakenAgain(t *testing.T) {
 	go1 := make(chan struct{})
-	u := newUpstream(t, func(received) (string, bool) { <-go1; return answer200("ok"), false })
-	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
+	u := NewFakeServer(t, func(Received) (string, bool) { <-go1; return OKResponse("ok"), false })
+	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	first := call{class: "once"}.start(t, addr)
-	await(t, "the first", u.requests)
+	Await(t, "the first", u.Requests)
 	if got := (call{class: "once"}).do(t, addr); got.status != http.StatusConflict {
 		t.Errorf("the second: %+v, want 409", got)
 	}
 	close(go1)
-	if got := await(t, "the first's answer", first); got.status != 200 || len(u.requests) > 0 {
-		t.Errorf("the first: %+v, %d more attempts", got, len(u.requests))
+	if got := Await(t, "the first's answer", first); got.status != 200 || len(u.Requests) > 0 {
+		t.Errorf("the first: %+v, %d more attempts", got, len(u.Requests))
 	}
 }
 
@@ -179,16 +179,16 @@
 		resp.Body.Close()
 		return resp.StatusCode
 	}
-	await(t, "the call for the list", g.ListCalls)
+	Await(t, "the call for the list", g.ListCalls)
 	if got := ready(); got != http.StatusServiceUnavailable {
 		t.Errorf("ready is %d without a list", got)
 	}
-	u := newUpstream(t, always(answer200("ok")))
-	g.FullLists <- registrytest.ListJSON(5, true, registrytest.EndpointJSON("s-1", u.addr, "up", 0))
-	if w := await(t, "the watch", g.Watches); w.From != "5" {
+	u := NewFakeServer(t, Always(OKResponse("ok")))
+	g.FullLists <- registrytest.ListJSON(5, true, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
+	if w := Await(t, "the watch", g.Watches); w.From != "5" {
 		t.Errorf("the watch begins from %s, want 5", w.From)
 	}
-	for deadline := time.Now().Add(patience); ready() != http.StatusOK; {
+	for deadline := time.Now().Add(Patience); ready() != http.StatusOK; {
 		if time.Now().After(deadline) {
 			t.Fatal("never ready")
 		}
@@ -197,8 +197,8 @@
 
 // The bound on client connections: idle ones make way, and a waiting one is served in the end.
 func TestClientConnectionsAreBounded(t *testing.T) {
-	u := newUpstream(t, always(answer200("ok")))
-	c := testConfig(t, options{sockets: config.MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
+	u := NewFakeServer(t, Always(OKResponse("ok")))
+	c := testConfig(t, options{sockets: config.MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
 	var closed int
 	var conns []net.Conn
@@ -208,7 +208,7 @@
 			t.Fatal(err)
 		}
 		defer nc.Close()
-		nc.SetDeadline(time.Now().Add(patience))
+		nc.SetDeadline(time.Now().Add(Patience))
 		call{class: "once", id: fmt.Sprint(i)}.request(t, addr).Write(nc)
 		resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 		if err != nil || resp.StatusCode != 200 {
@@ -243,7 +243,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(Patience))
 	go io.WriteString(c, text)
 	got, err := io.ReadAll(c)
 	if err != nil && len(got) == 0 {
@@ -260,8 +260,8 @@
 // What stands inside or behind a request whose length is not certain is nobody's
 // request, wherever its connection leads.
 func TestHiddenRequestIsNotServed(t *testing.T) {
-	u := newUpstream(t, always(answer200("ok")))
-	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
+	u := NewFakeServer(t, Always(OKResponse("ok")))
+	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	hidden := rawHead("hidden") + "Content-Length: 0\r\n\r\n"
 	chunk := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(hidden), hidden)
 	health := "GET /health/ready HTTP/1.1\r\nHost: x\r\n"
@@ -288,16 +288,16 @@
 			t.Errorf("%s: got %q, want one error and a close", name, got)
 		}
 	}
-	if len(u.requests) > 0 {
-		t.Errorf("%d requests went upstream", len(u.requests))
+	if len(u.Requests) > 0 {
+		t.Errorf("%d requests went upstream", len(u.Requests))
 	}
 }
 
 // A word is owed soon to whoever connects, and whoever sends nothing more must
 // not hold a connection for longer.
 func TestUnfinishedRequestsEndSoon(t *testing.T) {
-	u := newUpstream(t, always(answer200("ok")))
-	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
+	u := NewFakeServer(t, Always(OKResponse("ok")))
+	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	texts := map[string]string{
 		"nothing":           "",
 		"half a header":     rawHead("a"),
@@ -319,7 +319,7 @@
 		}
 		defer c.Close()
 		start := time.Now()
-		c.SetDeadline(start.Add(patience))
+		c.SetDeadline(start.Add(Patience))
 		go func() {
 			io.WriteString(c, text)
 			io.Copy(io.Discard, c)
@@ -327,12 +327,12 @@
 		}()
 	}
 	for range texts {
-		if e := await(t, "an end", ends); e.took > 3*time.Second {
+		if e := Await(t, "an end", ends); e.took > 3*time.Second {
 			t.Errorf("%s: ended after %v, want 3 s at the most", e.name, e.took)
 		}
 	}
-	if len(u.requests) > 0 {
-		t.Errorf("%d requests went upstream", len(u.requests))
+	if len(u.Requests) > 0 {
+		t.Errorf("%d requests went upstream", len(u.Requests))
 	}
 }
 
@@ -340,10 +340,10 @@
 // neither is one under an id that is held.
 func TestRefusedHeaderNeedsNoBody(t *testing.T) {
 	release := make(chan struct{})
-	u := newUpstream(t, func(received) (string, bool) { <-release; return answer200("ok"), false })
-	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
+	u := NewFakeServer(t, func(Received) (string, bool) { <-release; return OKResponse("ok"), false })
+	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	first := call{class: "once", id: "held"}.start(t, addr)
-	await(t, "the first", u.requests)
+	Await(t, "the first", u.Requests)
 	for status, text := range map[int]string{
 		http.StatusBadRequest:            strings.Replace(rawHead("a"), "once", "many", 1) + "Content-Length: 10\r\n\r\n",
 		http.StatusConflict:              rawHead("held") + "Content-Length: 10\r\n\r\n",
@@ -354,7 +354,7 @@
 		}
 	}
 	close(release)
-	if got := await(t, "the first's answer", first); got.status != 200 {
+	if got := Await(t, "the first's answer", first); got.status != 200 {
 		t.Errorf("the first: %+v", got)
 	}
 }
@@ -370,15 +370,15 @@
 }
 
 func testGivesWay(t *testing.T, useless string) {
-	u := newUpstream(t, always(answer200("ok")))
-	c := testConfig(t, options{sockets: config.MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
+	u := NewFakeServer(t, Always(OKResponse("ok")))
+	c := testConfig(t, options{sockets: config.MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
 	kept, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer kept.Close()
-	kept.SetDeadline(time.Now().Add(patience))
+	kept.SetDeadline(time.Now().Add(Patience))
 	in := bufio.NewReader(kept)
 	ask := func(id string) {
 		t.Helper()
@@ -411,8 +411,8 @@
 // Clients that ask once and stay hold connections that count as theirs: unless
 // some are closed, long before the sidecar's own bound, they can open no more.
 func TestIdleConnectionsAreFew(t *testing.T) {
-	u := newUpstream(t, always(answer200("ok")))
-	c := testConfig(t, options{sockets: config.MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
+	u := NewFakeServer(t, Always(OKResponse("ok")))
+	c := testConfig(t, options{sockets: config.MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
 	start := time.Now()
 	var first *bufio.Reader
@@ -422,7 +422,7 @@
 			t.Fatal(err)
 		}
 		defer nc.Close()
-		nc.SetDeadline(time.Now().Add(patience))
+		nc.SetDeadline(time.Now().Add(Patience))
 		io.WriteString(nc, rawHead(fmt.Sprint(i))+"Content-Length: 0\r\n\r\n")
 		in := bufio.NewReader(nc)
 		resp, err := http.ReadResponse(in, nil)
@@ -441,10 +441,10 @@
 
 // A client that takes no more of its answer than fits into buffers must not hold it for ever.
 func TestAnswerIsNotHeldForAClientThatDoesNotRead(t *testing.T) {
-	u := newUpstream(t, always(answer200(strings.Repeat("x", MaxResponseBody))))
-	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.addr, "up", 0))
+	u := NewFakeServer(t, Always(OKResponse(strings.Repeat("x", MaxResponseBody))))
+	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	go l.run(t.Context())
-	ln, served := listenLoopback(t), make(chan struct{})
+	ln, served := ListenLoopback(t), make(chan struct{})
 	limited := newLimitedListener(ln, testLimits(4))
 	limited.start()
 	s := newClientHandler(l.config, l, testDrain(limited))
@@ -463,7 +463,7 @@
 	defer c.Close()
 	c.(*net.TCPConn).SetReadBuffer(4 << 10)
 	call{class: "once", timeout: "0.5"}.request(t, "x").Write(c)
-	await(t, "the end of the answer", served)
+	Await(t, "the end of the answer", served)
 }
 
 // Guards against this: two sidecars, or two requests, see another key in the same field.
--- a/internal/sidecar/connections_test.go
+++ b/internal/sidecar/connections_test.go
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(Patience))
 	return c
 }
 
@@ -51,17 +51,17 @@
 }
 
 // startLimited runs a sidecar with the limits given.
-func startLimited(t *testing.T, u *upstream, limits config.ClientLimits) (addr string, stop func(), ended <-chan error) {
+func startLimited(t *testing.T, u *FakeServer, limits config.ClientLimits) (addr string, stop func(), ended <-chan error) {
 	t.Helper()
-	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
+	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	c.Connections.Clients = limits
 	return startSidecar(t, c)
 }
 
-// eventually waits until a condition holds that no event tells of.
-func eventually(t *testing.T, what string, holds func() bool) {
+// Eventually waits until a condition holds that no event tells of.
+func Eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); !holds(); runtime.Gosched() {
+	for deadline := time.Now().Add(Patience); !holds(); runtime.Gosched() {
 		if time.Now().After(deadline) {
 			t.Fatalf("waited in vain until %s", what)
 		}
@@ -71,7 +71,7 @@
 // A greedy client that keeps all connections it can get leaves each modest one
 // its part, to the last one, and is told so on one that it opens beyond.
 func TestGreedyClientLeavesOthersTheirPart(t *testing.T) {
-	u := newUpstream(t, always(answer200("ok")))
+	u := NewFakeServer(t, Always(OKResponse("ok")))
 	addr, _, _ := startLimited(t, u, testLimits(12))
 	for i := range 30 {
 		if got := ask(dialFrom(t, "127.0.0.2", addr), fmt.Sprint("greedy", i)); got != 200 {
@@ -102,12 +102,12 @@
 // when to come back, whether it had sent its request or not; then there is room again.
 func TestFullPlacesRefuseInWords(t *testing.T) {
 	release := make(chan struct{})
-	u := newUpstream(t, func(received) (string, bool) { <-release; return answer200("ok"), false })
+	u := NewFakeServer(t, func(Received) (string, bool) { <-release; return OKResponse("ok"), false })
 	addr, _, _ := startLimited(t, u, testLimits(3))
 	var held []<-chan result
 	for i := range 3 {
 		held = append(held, call{class: "once", id: fmt.Sprint(i)}.start(t, addr))
-		await(t, "a held one", u.requests)
+		Await(t, "a held one", u.Requests)
 	}
 	var told sync.WaitGroup
 	for i := range 6 {
@@ -125,7 +125,7 @@
 	told.Wait()
 	close(release)
 	for _, h := range held {
-		if got := await(t, "a held one's answer", h); got.status != 200 {
+		if got := Await(t, "a held one's answer", h); got.status != 200 {
 			t.Errorf("a request that was taken: %+v", got)
 		}
 	}
@@ -139,7 +139,7 @@
 // the word of it.
 func TestUnreadHealthChecksEnd(t *testing.T) {
 	t.Parallel() // it takes a write's whole time
-	u := newUpstream(t, always(answer200("ok")))
+	u := NewFakeServer(t, Always(OKResponse("ok")))
 	_, limited, _ := parts(t, u, nil)
 	c := dialFrom(t, "127.0.0.1", limited.Addr().String())
 	c.(*net.TCPConn).SetReadBuffer(4 << 10)
@@ -155,7 +155,7 @@
 			}
 		}
 	}()
-	eventually(t, "the checks come", func() bool { return sent.Load() >= int64(len(check)) && limited.openConns() == 1 })
+	Eventually(t, "the checks come", func() bool { return sent.Load() >= int64(len(check)) && limited.openConns() == 1 })
 	// What the buffers on the way take is only filled as fast as this machine answers, so patience
 	// begins anew with what goes through: a connection that stands still has to end.
 	at, since := int64(0), time.Now()
@@ -163,7 +163,7 @@
 		if now := sent.Load(); now != at {
 			at, since = now, time.Now()
 		}
-		if time.Since(since) > patience {
+		if time.Since(since) > Patience {
 			t.Fatalf("the connection is held for a client that reads nothing, after %d bytes of checks", at)
 		}
 		if at > 1000*int64(len(check)) {
@@ -172,7 +172,7 @@
 		runtime.Gosched()
 	}
 	c.Close()
-	await(t, "the client", stopped)
+	Await(t, "the client", stopped)
 }
 
 // descriptors is how many this process holds open.
@@ -188,10 +188,10 @@
 // A surge of clients of every bad kind leaves nothing behind: no descriptor, no
 // goroutine, and no place.
 func TestSurgeLeavesNothingBehind(t *testing.T) {
-	u := newUpstream(t, always(answer200("ok")))
-	ln := listenLoopback(t)
+	u := NewFakeServer(t, Always(OKResponse("ok")))
+	ln := ListenLoopback(t)
 	goroutines, fds := runtime.NumGoroutine(), descriptors(t)
-	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
+	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	c.Connections.Clients = testLimits(8)
 	stop, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -210,7 +210,7 @@
 					return
 				}
 				defer nc.Close()
-				nc.SetDeadline(time.Now().Add(patience))
+				nc.SetDeadline(time.Now().Add(Patience))
 				io.WriteString(nc, text)
 				switch j % 3 {
 				case 0: // vanishes
@@ -228,19 +228,19 @@
 		t.Errorf("after the surge: %+v", got)
 	}
 	cancel()
-	if err := await(t, "the end", ended); err != nil {
+	if err := Await(t, "the end", ended); err != nil {
 		t.Error(err)
 	}
-	for range len(u.accepted) {
-		(<-u.accepted).Close()
+	for range len(u.Accepted) {
+		(<-u.Accepted).Close()
 	}
-	eventually(t, "all descriptors but the listener's are closed", func() bool { return descriptors(t) <= fds-1 })
-	eventually(t, "all goroutines have ended", func() bool { return runtime.NumGoroutine() <= goroutines })
+	Eventually(t, "all descriptors but the listener's are closed", func() bool { return descriptors(t) <= fds-1 })
+	Eventually(t, "all goroutines have ended", func() bool { return runtime.NumGoroutine() <= goroutines })
 }
 
 // Giving a connection up and taking its request exclude each other, whoever is first.
 func TestGivingUpAgainstTaking(t *testing.T) {
-	ln := listenLoopback(t)
+	ln := ListenLoopback(t)
 	l := newLimitedListener(ln, testLimits(1))
 	l.start()
 	defer l.Close()
@@ -282,16 +282,16 @@
 func TestPlannedRestartWaitsForTheLongestRequest(t *testing.T) {
 	t.Parallel() // it takes longer than the protocol's 3 s
 	release := make(chan struct{})
-	u := newUpstream(t, func(received) (string, bool) { <-release; return answer200("ok"), false })
-	addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
+	u := NewFakeServer(t, func(Received) (string, bool) { <-release; return OKResponse("ok"), false })
+	addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	held := call{class: "once", id: "held"}.start(t, addr)
-	await(t, "the held one", u.requests)
+	Await(t, "the held one", u.Requests)
 	stop()
 	time.AfterFunc(lateArrivalTime+3200*time.Millisecond, func() { close(release) })
-	if got := await(t, "the held one's answer", held); got.status != 200 {
+	if got := Await(t, "the held one's answer", held); got.status != 200 {
 		t.Errorf("a request that was taken: %+v", got)
 	}
-	if err := await(t, "the end", ended); err != nil {
+	if err := Await(t, "the end", ended); err != nil {
 		t.Error(err)
 	}
 }
@@ -299,13 +299,13 @@
 // Each connection that comes to nothing is counted for what it was.
 func TestConnectionsThatComeToNothing(t *testing.T) {
 	t.Parallel() // it takes the time for a header
-	ln := listenLoopback(t)
+	ln := ListenLoopback(t)
 	l := newLimitedListener(ln, testLimits(4))
 	l.start()
 	defer l.Close()
 	dialFrom(t, "127.0.0.1", ln.Addr().String())
 	dialFrom(t, "127.0.0.1", ln.Addr().String()).Close()
-	eventually(t, "both have ended", func() bool {
+	Eventually(t, "both have ended", func() bool {
 		return l.openConns() == 0 && func() bool { n, _ := l.counters(); return n.Accepted == 2 }()
 	})
 	if n, _ := l.counters(); n.Silent != 1 || n.Vanished != 1 || n.Admitted != 2 {
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -21,15 +21,15 @@
 // told, not even what has chosen it already; what runs there ends, idle connections
 // are closed, and if the drain is called off it is used again.
 func TestServerThatDrains(t *testing.T) {
-	u := newUpstream(t, always(answer200("")))
-	p, to := testPool(4), NewServer(u.addr)
+	u := NewFakeServer(t, Always(OKResponse("")))
+	p, to := testPool(4), NewServer(u.Addr)
 	defer p.Close()
 	conns := connections(t, p, to, 3)
 	p.Release(conns[0])
 	p.Drain(to)
-	await(t, "the idle connection's end", u.closed)
+	Await(t, "the idle connection's end", u.Closed)
 	ups := newTestTransport(p)
-	req := &http.Request{Method: "GET", URL: mustURL("/"), Host: "x", Header: http.Header{"Request-Id": {"late"}}}
+	req := &http.Request{Method: "GET", URL: MustURL("/"), Host: "x", Header: http.Header{"Request-Id": {"late"}}}
 	if x, err := ups.exchange(t.Context(), sendPermit{writeCtx: t.Context()}, conns[1], req); err != errServerDraining || x.written() {
 		t.Errorf("on a connection that was acquired before: got written %v, error %v", x.writtenAt, err)
 	}
@@ -37,8 +37,8 @@
 		t.Errorf("an attempt that had chosen it: ending %v, want not sent", got)
 	}
 	p.Release(conns[2]) // what ran has ended
-	if n, now := p.Counters(); now.Open != 0 || n.Drained != 2 || len(u.requests) > 0 {
-		t.Errorf("%d connections are open, %d were drained, %d requests came; want 0, 2, 0", now.Open, n.Drained, len(u.requests))
+	if n, now := p.Counters(); now.Open != 0 || n.Drained != 2 || len(u.Requests) > 0 {
+		t.Errorf("%d connections are open, %d were drained, %d requests came; want 0, 2, 0", now.Open, n.Drained, len(u.Requests))
 	}
 	p.Resume(to)
 	if got, _ := runOneAttempt(t.Context(), p, to); got != policy.Served {
@@ -48,14 +48,14 @@
 
 // A drain that is told while an attempt waits for its connection ends the wait.
 func TestDrainToldDuringAHandshake(t *testing.T) {
-	p, to := testPool(4), NewServer(newBlackHole(t))
-	p.dialTimeout = patience
+	p, to := testPool(4), NewServer(NewBlackHole(t))
+	p.dialTimeout = Patience
 	defer p.Close()
 	ending := make(chan policy.Ending, 1)
 	go func() { e, _ := runOneAttempt(t.Context(), p, to); ending <- e }()
-	eventually(t, "it waits", func() bool { return waiters(p) == 1 })
+	Eventually(t, "it waits", func() bool { return waiters(p) == 1 })
 	p.Drain(to)
-	if got := await(t, "its end", ending); got != policy.NotSent {
+	if got := Await(t, "its end", ending); got != policy.NotSent {
 		t.Errorf("ending %v, want not sent", got)
 	}
 }
@@ -66,19 +66,19 @@
 func TestDrainsThroughTheList(t *testing.T) {
 	g := registrytest.NewServer(t)
 	release := make(chan struct{})
-	u := newUpstream(t, func(r received) (string, bool) {
+	u := NewFakeServer(t, func(r Received) (string, bool) {
 		if r.Header.Get("Request-Id") == "held" {
 			<-release
 		}
-		return answer200("ok"), false
+		return OKResponse("ok"), false
 	})
-	addr, _, _ := startSidecar(t, testConfig(t, options{aim: time.Second}, g.Addr, registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
-	w := await(t, "the watch", g.Watches)
+	addr, _, _ := startSidecar(t, testConfig(t, options{aim: time.Second}, g.Addr, registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
+	w := Await(t, "the watch", g.Watches)
 	held := call{class: "once", id: "held"}.start(t, addr)
-	await(t, "the held one", u.requests)
+	Await(t, "the held one", u.Requests)
 	tell := func(seq int, host, health string) {
 		t.Helper()
-		w.Lines <- registrytest.ListJSON(seq, false, registrytest.EndpointJSON(host, u.addr, health, 0))
+		w.Lines <- registrytest.ListJSON(seq, false, registrytest.EndpointJSON(host, u.Addr, health, 0))
 		w.Lines <- "" // taken once the one before has been read
 	}
 	tell(2, "s-1", "draining")
@@ -94,11 +94,11 @@
 			t.Fatalf("a server that drains gets requests: %+v", got)
 		}
 	}
-	for len(u.requests) > 0 {
-		<-u.requests
+	for len(u.Requests) > 0 {
+		<-u.Requests
 	}
 	close(release)
-	if got := await(t, "the held one's answer", held); got.status != 200 {
+	if got := Await(t, "the held one's answer", held); got.status != 200 {
 		t.Errorf("what ran: %+v", got)
 	}
 	tell(3, "s-1", "up")
@@ -135,9 +135,9 @@
 // client without end do meanwhile.
 func TestPhasesOfThePlannedEnd(t *testing.T) {
 	release := make(chan struct{})
-	u := newUpstream(t, func(received) (string, bool) { <-release; return answer200("ok"), false })
+	u := NewFakeServer(t, func(Received) (string, bool) { <-release; return OKResponse("ok"), false })
 	old, fresh := registrytest.NewServer(t), registrytest.NewServer(t)
-	c := testConfig(t, options{}, old.Addr, registrytest.EndpointJSON("s-1", u.addr, "up", 0))
+	c := testConfig(t, options{}, old.Addr, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	c.Path = filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"discovery":%q,"seed":"1","settings":%s}`, fresh.Addr, fmt.Sprintf(testSettings, false, 500, "push"))
 	if err := os.WriteFile(c.Path, []byte(valid(t, text)), 0o600); err != nil {
@@ -145,7 +145,7 @@
 	}
 	reload := make(chan os.Signal)
 	addr, stop, ended := startReloadable(t, c, reload)
-	await(t, "the watch", old.Watches)
+	Await(t, "the watch", old.Watches)
 	phase := func() string {
 		resp, err := http.Get("http://" + addr + "/health/ready")
 		if err != nil {
@@ -159,23 +159,23 @@
 		t.Errorf("before: %q", got)
 	}
 	held := call{class: "once", id: "held"}.start(t, addr)
-	await(t, "the held one", u.requests)
+	Await(t, "the held one", u.Requests)
 	stop()
-	eventually(t, "it drains", func() bool { return phase() == "503 draining\n" })
+	Eventually(t, "it drains", func() bool { return phase() == "503 draining\n" })
 	stop()
 	reload <- syscall.SIGHUP
-	await(t, "the call at the new address", fresh.ListCalls)
-	eventually(t, "the listener is closed", func() bool { c, err := net.Dial("tcp", addr); closeIf(c, err); return err != nil })
+	Await(t, "the call at the new address", fresh.ListCalls)
+	Eventually(t, "the listener is closed", func() bool { c, err := net.Dial("tcp", addr); closeIf(c, err); return err != nil })
 	select {
 	case err := <-ended:
 		t.Fatalf("ended with a request unanswered: %v", err)
 	default:
 	}
 	close(release)
-	if got := await(t, "the held one's answer", held); got.status != 200 {
+	if got := Await(t, "the held one's answer", held); got.status != 200 {
 		t.Errorf("the held one: %+v", got)
 	}
-	if err := await(t, "the end", ended); err != nil {
+	if err := Await(t, "the end", ended); err != nil {
 		t.Error(err)
 	}
 }
@@ -192,35 +192,35 @@
 	t.Run("before it is ready", func(t *testing.T) {
 		_, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1"))
 		stop()
-		if err := await(t, "the end", ended); err != nil {
+		if err := Await(t, "the end", ended); err != nil {
 			t.Error(err)
 		}
 	})
 	t.Run("an attempt that never ends", func(t *testing.T) {
 		t.Parallel() // it takes the request's whole time
-		u := newUpstream(t, always(""))
-		addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
+		u := NewFakeServer(t, Always(""))
+		addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 		held := call{class: "once", id: "held", timeout: "1.5"}.start(t, addr)
-		await(t, "the held one", u.requests)
+		Await(t, "the held one", u.Requests)
 		stop()
-		if got := await(t, "its answer", held); got.status != http.StatusGatewayTimeout {
+		if got := Await(t, "its answer", held); got.status != http.StatusGatewayTimeout {
 			t.Errorf("the held one: %+v", got)
 		}
-		if err := await(t, "the end", ended); err != nil {
+		if err := Await(t, "the end", ended); err != nil {
 			t.Error(err)
 		}
 	})
 	t.Run("a client that never reads", func(t *testing.T) {
 		t.Parallel()
 		big := make([]byte, MaxResponseBody)
-		u := newUpstream(t, always(answer200(string(big))))
-		addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
+		u := NewFakeServer(t, Always(OKResponse(string(big))))
+		addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 		c := dialFrom(t, "127.0.0.1", addr)
 		c.(*net.TCPConn).SetReadBuffer(4 << 10)
 		call{class: "once", id: "unread", timeout: "0.5"}.request(t, addr).Write(c)
-		await(t, "the request", u.requests)
+		Await(t, "the request", u.Requests)
 		stop()
-		if err := await(t, "the end", ended); err != nil {
+		if err := Await(t, "the end", ended); err != nil {
 			t.Error(err)
 		}
 	})
@@ -228,7 +228,7 @@
 
 // begin acts once, whatever comes later.
 func TestDrainBeginsOnce(t *testing.T) {
-	l := newLimitedListener(listenLoopback(t), testLimits(1))
+	l := newLimitedListener(ListenLoopback(t), testLimits(1))
 	l.start()
 	defer l.Close()
 	d := testDrain(l)
@@ -241,7 +241,7 @@
 	if done, err := d.advance(); done || err != nil || d.phase() != phaseFinishing {
 		t.Errorf("then: done %v, error %v, phase %v", done, err, d.phase())
 	}
-	await(t, "the last connection's end", d.phaseDue())
+	Await(t, "the last connection's end", d.phaseDue())
 	if done, err := d.advance(); !done || err != nil || d.phase() != phaseEnded {
 		t.Errorf("at the end: done %v, error %v, phase %v", done, err, d.phase())
 	}
@@ -250,7 +250,7 @@
 // Connections that wait in the kernel's queue as the listener ends are served: the machine has
 // accepted them, and requests were written to them.
 func TestBacklogIsServedAsTheListenerEnds(t *testing.T) {
-	u := newUpstream(t, always(answer200("ok")))
+	u := NewFakeServer(t, Always(OKResponse("ok")))
 	_, limited, ending := parts(t, u, nil)
 	ending.begin()
 	var conns []net.Conn
@@ -266,7 +266,7 @@
 	limited.acceptBacklog()
 	limited.stopAccepting()
 	for i, c := range conns {
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(Patience))
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode >= 500 && resp.StatusCode != http.StatusServiceUnavailable {
 			t.Errorf("connection %d: %+v, %v", i, resp, err)
 		}
--- a/internal/sidecar/limits_test.go
+++ b/internal/sidecar/limits_test.go
@@ -14,8 +14,8 @@
 // SIGHUP puts new limits in force; limits that cannot be keep the old ones, and
 // what else the file says too.
 func TestReloadChangesLimits(t *testing.T) {
-	u := newUpstream(t, always(answer200("ok")))
-	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
+	u := NewFakeServer(t, Always(OKResponse("ok")))
+	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	c.Path = filepath.Join(t.TempDir(), "config.json")
 	write := func(connections string) {
 		t.Helper()
--- a/internal/sidecar/load_test.go
+++ b/internal/sidecar/load_test.go
@@ -26,7 +26,7 @@
 func loaded(b *testing.B, release <-chan struct{}) (addr string) {
 	b.Helper()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	ln := listenLoopback(b)
+	ln := ListenLoopback(b)
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -43,7 +43,7 @@
 					}
 					io.Copy(io.Discard, req.Body)
 					<-release
-					if _, err := io.WriteString(c, answer200("ok")); err != nil {
+					if _, err := io.WriteString(c, OKResponse("ok")); err != nil {
 						return
 					}
 				}
@@ -215,13 +215,13 @@
 			slog.SetDefault(slog.New(slog.DiscardHandler))
 			var ratio, rounds float64
 			for b.Loop() {
-				u := newUpstream(b, func(received) (string, bool) { time.Sleep(rest); return answer200("ok"), false })
-				addr, stop, ended := startSidecar(b, testConfig(b, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
+				u := NewFakeServer(b, func(Received) (string, bool) { time.Sleep(rest); return OKResponse("ok"), false })
+				addr, stop, ended := startSidecar(b, testConfig(b, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 				c := newLoadClient(b, addr)
 				if err := c.send(loadIDs.Add(1)); err != nil {
 					b.Fatal(err)
 				}
-				<-u.requests
+				<-u.Requests
 				begun := time.Now()
 				stop()
 				if err := c.read(); err != nil {
--- a/internal/sidecar/meter_test.go
+++ b/internal/sidecar/meter_test.go
@@ -36,17 +36,17 @@
 }
 
 func TestMeterIsToldOfEachRequestOnce(t *testing.T) {
-	u := newUpstream(t, func(r received) (string, bool) {
+	u := NewFakeServer(t, func(r Received) (string, bool) {
 		if r.Header.Get("Request-Id") == "breaks" {
 			return "", true
 		}
-		return answer200("ok"), false
+		return OKResponse("ok"), false
 	})
 	m := &fakeMeter{state: make(chan func(context.Context) (Status, error), 1)}
-	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0))
+	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	c.Metrics.Listen = "127.0.0.1:0"
 	addr, stop, ended := startSidecar(t, c, WithMetrics(m))
-	state := await(t, "the meter", m.state)
+	state := Await(t, "the meter", m.state)
 	for _, id := range []string{"one", "two", "breaks"} {
 		call{class: "once", id: id}.do(t, addr)
 	}
@@ -65,7 +65,7 @@
 		t.Errorf("%+v", s)
 	}
 	stop()
-	if err := await(t, "the end", ended); err != nil {
+	if err := Await(t, "the end", ended); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := state(t.Context()); err == nil {
@@ -102,11 +102,11 @@
 	defer slog.SetDefault(old)
 	log := new(syncBuffer)
 	slog.SetDefault(slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug})))
-	u := newUpstream(t, always(answer200("ok")))
-	addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
+	u := NewFakeServer(t, Always(OKResponse("ok")))
+	addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	call{class: "once", id: "follow-me"}.do(t, addr)
 	stop()
-	if err := await(t, "the end", ended); err != nil {
+	if err := Await(t, "the end", ended); err != nil {
 		t.Fatal(err)
 	}
 	lines := 0
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/peers_test.go
@@ -21,22 +21,22 @@
 	"barleywick/policy"
 )
 
-const patience = 10 * time.Second // how long a test waits for an event; it never has to in a good run
+const Patience = 10 * time.Second // how long a test waits for an event; it never has to in a good run
 
-// await takes the next value of a channel.
-func await[T any](t testing.TB, what string, c <-chan T) T {
+// Await takes the next value of a channel.
+func Await[T any](t testing.TB, what string, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(patience):
+	case <-time.After(Patience):
 		t.Fatalf("waited in vain for %s", what)
 		panic("unreachable")
 	}
 }
 
-// listenLoopback opens a listener that ends with the test.
-func listenLoopback(t testing.TB) net.Listener {
+// ListenLoopback opens a listener that ends with the test.
+func ListenLoopback(t testing.TB) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,37 +46,37 @@
 	return ln
 }
 
-// received is one request that a fake upstream read, with the connection it came on.
-type received struct {
+// Received is one request that a fake upstream read, with the connection it came on.
+type Received struct {
 	*http.Request
-	body string
-	conn net.Conn
+	Body string
+	Conn net.Conn
 }
 
-// upstream is a fake upstream that speaks raw HTTP: it hands every request to
+// FakeServer is a fake FakeServer that speaks raw HTTP: it hands every request to
 // the test and writes what respond returns, or nothing.
-type upstream struct {
-	addr     string
-	requests chan received
-	accepted chan net.Conn
-	closed   chan net.Conn // connections whose other end has closed
+type FakeServer struct {
+	Addr     string
+	Requests chan Received
+	Accepted chan net.Conn
+	Closed   chan net.Conn // connections whose other end has closed
 }
 
-// respond says what to write for a request and whether to close the connection after it.
-type respond func(r received) (text string, end bool)
+// Respond says what to write for a request and whether to close the connection after it.
+type Respond func(r Received) (text string, end bool)
 
-func answer200(body string) string {
+func OKResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-func always(text string) respond { return func(received) (string, bool) { return text, false } }
+func Always(text string) Respond { return func(Received) (string, bool) { return text, false } }
 
-func newUpstream(t testing.TB, do respond) *upstream {
+func NewFakeServer(t testing.TB, do Respond) *FakeServer {
 	t.Helper()
-	ln := listenLoopback(t)
-	u := &upstream{
-		addr: ln.Addr().String(), requests: make(chan received, 100),
-		accepted: make(chan net.Conn, 100), closed: make(chan net.Conn, 100),
+	ln := ListenLoopback(t)
+	u := &FakeServer{
+		Addr: ln.Addr().String(), Requests: make(chan Received, 100),
+		Accepted: make(chan net.Conn, 100), Closed: make(chan net.Conn, 100),
 	}
 	go func() {
 		for {
@@ -85,24 +85,24 @@
 				return
 			}
 			t.Cleanup(func() { c.Close() })
-			u.accepted <- c
+			u.Accepted <- c
 			go u.serve(c, do)
 		}
 	}()
 	return u
 }
 
-func (u *upstream) serve(c net.Conn, do respond) {
+func (u *FakeServer) serve(c net.Conn, do Respond) {
 	in := bufio.NewReader(c)
 	for {
 		req, err := http.ReadRequest(in)
 		if err != nil {
-			u.closed <- c
+			u.Closed <- c
 			return
 		}
 		body, _ := io.ReadAll(req.Body)
-		r := received{req, string(body), c}
-		u.requests <- r
+		r := Received{req, string(body), c}
+		u.Requests <- r
 		text, end := do(r)
 		io.WriteString(c, text)
 		if end {
@@ -165,7 +165,7 @@
 // startReloadable does the same for one that reads its configuration again.
 func startReloadable(t testing.TB, c *config.Config, reload <-chan os.Signal, opts ...Option) (addr string, stop func(), ended <-chan error) {
 	t.Helper()
-	ln := listenLoopback(t)
+	ln := ListenLoopback(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	var o runOptions
 	for _, set := range opts {
@@ -258,11 +258,11 @@
 
 // handled gives a request to the client side's handler as one that was read from a
 // connection, and says whether it was left alone.
-func handled(t *testing.T, u *upstream) func(c *clientConn) (aborted bool) {
+func handled(t *testing.T, u *FakeServer) func(c *clientConn) (aborted bool) {
 	t.Helper()
-	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.addr, "up", 0))
+	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	go l.run(t.Context())
-	limited := newLimitedListener(listenLoopback(t), testLimits(4))
+	limited := newLimitedListener(ListenLoopback(t), testLimits(4))
 	limited.start()
 	t.Cleanup(func() { limited.Close() })
 	s := newClientHandler(l.config, l, testDrain(limited))
@@ -276,7 +276,7 @@
 
 // runOneAttempt carries one attempt out over a pool of its own.
 func runOneAttempt(ctx context.Context, p *Pool, to *Server) (policy.Ending, *Response) {
-	r := &Request{Method: "POST", URL: mustURL("/api"), Host: "service.internal", Header: http.Header{"Request-Id": {"x"}}, Body: []byte("{}")}
+	r := &Request{Method: "POST", URL: MustURL("/api"), Host: "service.internal", Header: http.Header{"Request-Id": {"x"}}, Body: []byte("{}")}
 	return newTestTransport(p).Do(newTestAttempt(ctx, r, to, time.Time{}, time.Time{}))
 }
 
--- a/internal/sidecar/pool_dial_test.go
+++ b/internal/sidecar/pool_dial_test.go
@@ -34,8 +34,8 @@
 // Handshakes to one upstream and to all are bounded, and who waits is served in turn.
 func TestHandshakesAreBounded(t *testing.T) {
 	// A full backlog leaves handshakes hanging, as a machine does that was cut off.
-	silent, again := newBlackHole(t), newBlackHole(t)
-	p := NewPool(patience, 30*time.Second, config.UpstreamLimits{Total: 20, PerServer: 10, Handshakes: 5, HandshakesPerServer: 3}, 1)
+	silent, again := NewBlackHole(t), NewBlackHole(t)
+	p := NewPool(Patience, 30*time.Second, config.UpstreamLimits{Total: 20, PerServer: 10, Handshakes: 5, HandshakesPerServer: 3}, 1)
 	defer p.Close()
 	ctx, cancel := context.WithCancel(t.Context())
 	var callers sync.WaitGroup
@@ -51,13 +51,13 @@
 	a, b, c := NewServer(silent), NewServer(again), NewServer(again)
 	a.dialWindow, b.dialWindow = 10, 10
 	ask(a, 8)
-	eventually(t, "the first handshakes are under way", func() bool { _, now := p.Counters(); return now.Waiting == 8 })
+	Eventually(t, "the first handshakes are under way", func() bool { _, now := p.Counters(); return now.Waiting == 8 })
 	if _, now := p.Counters(); now.Handshakes != 3 {
 		t.Errorf("%d handshakes to one upstream, want 3", now.Handshakes)
 	}
 	ask(b, 8)
 	ask(c, 8)
-	eventually(t, "all wait", func() bool { _, now := p.Counters(); return now.Waiting == 24 })
+	Eventually(t, "all wait", func() bool { _, now := p.Counters(); return now.Waiting == 24 })
 	if _, now := p.Counters(); now.Handshakes != 5 || now.Open != 5 {
 		t.Errorf("%d handshakes and %d open in all, want 5", now.Handshakes, now.Open)
 	}
@@ -68,8 +68,8 @@
 	}
 }
 
-// newBlackHole returns an address where connections neither come up nor fail.
-func newBlackHole(t *testing.T) string {
+// NewBlackHole returns an address where connections neither come up nor fail.
+func NewBlackHole(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -100,10 +100,10 @@
 
 // An upstream that was out of reach gets one handshake at a time until one succeeds.
 func TestHandshakesBeginSlowly(t *testing.T) {
-	u := newUpstream(t, always(answer200("")))
+	u := NewFakeServer(t, Always(OKResponse("")))
 	p := testPool(20)
 	defer p.Close()
-	to := NewServer(u.addr)
+	to := NewServer(u.Addr)
 	for _, want := range []int{2, 3, 4} {
 		c, err := p.Acquire(t.Context(), to)
 		if err != nil {
@@ -123,9 +123,9 @@
 // Who waits is served in the order of arrival, by a connection that comes back
 // as by one that comes up; who has left is passed over.
 func TestWaitersAreServedInTurn(t *testing.T) {
-	u := newUpstream(t, always(answer200("")))
-	p, to := testPool(1), NewServer(u.addr)
-	p.dialTimeout = patience
+	u := NewFakeServer(t, Always(OKResponse("")))
+	p, to := testPool(1), NewServer(u.Addr)
+	p.dialTimeout = Patience
 	defer p.Close()
 	c, err := p.Acquire(t.Context(), to)
 	if err != nil {
@@ -145,20 +145,20 @@
 				p.Release(c)
 			}
 		}()
-		eventually(t, "it waits", func() bool { return waiters(p) == i+1 })
+		Eventually(t, "it waits", func() bool { return waiters(p) == i+1 })
 	}
 	left()
-	if got := await(t, "the one that leaves", served); got != 2 {
+	if got := Await(t, "the one that leaves", served); got != 2 {
 		t.Fatalf("%d left", got)
 	}
 	p.Release(c)
 	for _, want := range []int{0, 1, 3, 4} {
-		if got := await(t, "the next", served); got != want {
+		if got := Await(t, "the next", served); got != want {
 			t.Errorf("%d was served, want %d", got, want)
 		}
 	}
-	if len(u.accepted) != 1 {
-		t.Errorf("%d connections, want the one", len(u.accepted))
+	if len(u.Accepted) != 1 {
+		t.Errorf("%d connections, want the one", len(u.Accepted))
 	}
 }
 
@@ -166,16 +166,16 @@
 
 // Limits of our own are no word against an upstream.
 func TestOwnLimitsAreNoFailureOfTheUpstream(t *testing.T) {
-	u := newUpstream(t, always(answer200("")))
-	p, to := poolOf(20*time.Millisecond, 30*time.Second, 1), NewServer(u.addr)
+	u := NewFakeServer(t, Always(OKResponse("")))
+	p, to := poolOf(20*time.Millisecond, 30*time.Second, 1), NewServer(u.Addr)
 	defer p.Close()
 	if _, err := p.Acquire(t.Context(), to); err != nil {
 		t.Fatal(err)
 	}
-	if got, _ := runOneAttempt(t.Context(), p, NewServer(u.addr)); got != policy.NotSent {
+	if got, _ := runOneAttempt(t.Context(), p, NewServer(u.Addr)); got != policy.NotSent {
 		t.Errorf("ending %v, want not sent", got)
 	}
-	if got, _ := runOneAttempt(t.Context(), poolOf(20*time.Millisecond, time.Second, 1), NewServer(newBlackHole(t))); got != policy.NoConnection {
+	if got, _ := runOneAttempt(t.Context(), poolOf(20*time.Millisecond, time.Second, 1), NewServer(NewBlackHole(t))); got != policy.NoConnection {
 		t.Errorf("an upstream that says nothing: ending %v, want no connection", got)
 	}
 }
--- a/internal/sidecar/pool_test.go
+++ b/internal/sidecar/pool_test.go
@@ -17,13 +17,13 @@
 func TestSilenceMakesIdleConnectionsSuspect(t *testing.T) {
 	for name, heard := range map[string]bool{"silent": false, "one slow request": true} {
 		t.Run(name, func(t *testing.T) {
-			u := newUpstream(t, func(r received) (string, bool) {
+			u := NewFakeServer(t, func(r Received) (string, bool) {
 				if r.Header.Get("Request-Id") == "x" {
 					return "", false
 				}
-				return answer200(""), false
+				return OKResponse(""), false
 			})
-			p, to := testPool(8), NewServer(u.addr)
+			p, to := testPool(8), NewServer(u.Addr)
 			defer p.Close()
 			conns := connections(t, p, to, 3)
 			for _, c := range conns {
@@ -34,14 +34,14 @@
 			defer cancel()
 			ending := make(chan policy.Ending, 1)
 			go func() { e, _ := runOneAttempt(ctx, p, to); ending <- e }()
-			await(t, "the request", u.requests)
+			Await(t, "the request", u.Requests)
 			if heard {
 				ups := NewTransport(p, gate.New(), "/stats", nil)
 				if ok, _ := ups.Probe(t.Context(), to); !ok {
 					t.Fatal("the probe failed")
 				}
 			}
-			if got := await(t, "its end", ending); got != policy.TimedOut {
+			if got := Await(t, "its end", ending); got != policy.TimedOut {
 				t.Fatalf("ending %v", got)
 			}
 			endAllQuarantines(p)
@@ -56,8 +56,8 @@
 // Connections beyond what was in use at once lately are closed long before an
 // upstream would; the last one is not.
 func TestIdleConnectionsAreKeptByNeed(t *testing.T) {
-	u := newUpstream(t, always(answer200("")))
-	p, to := poolOf(time.Second, time.Minute, 8), NewServer(u.addr)
+	u := NewFakeServer(t, Always(OKResponse("")))
+	p, to := poolOf(time.Second, time.Minute, 8), NewServer(u.Addr)
 	defer p.Close()
 	conns := connections(t, p, to, 5)
 	for _, c := range conns {
@@ -87,14 +87,14 @@
 
 // Attempts that wait for a connection to a host that leaves are told at once.
 func TestWaitersOfAHostThatLeaves(t *testing.T) {
-	p, to := testPool(4), NewServer(newBlackHole(t))
-	p.dialTimeout = patience
+	p, to := testPool(4), NewServer(NewBlackHole(t))
+	p.dialTimeout = Patience
 	defer p.Close()
 	ending := make(chan policy.Ending, 1)
 	go func() { e, _ := runOneAttempt(t.Context(), p, to); ending <- e }()
-	eventually(t, "it waits", func() bool { return waiters(p) == 1 })
+	Eventually(t, "it waits", func() bool { return waiters(p) == 1 })
 	p.Retire(to)
-	if got := await(t, "its end", ending); got != policy.NotSent {
+	if got := Await(t, "its end", ending); got != policy.NotSent {
 		t.Errorf("ending %v, want not sent", got)
 	}
 	if got, _ := runOneAttempt(t.Context(), p, to); got != policy.NotSent {
@@ -104,8 +104,8 @@
 
 // New limits act on what is open.
 func TestLimitsChangeUnderWay(t *testing.T) {
-	u := newUpstream(t, always(answer200("")))
-	p, to := testPool(8), NewServer(u.addr)
+	u := NewFakeServer(t, Always(OKResponse("")))
+	p, to := testPool(8), NewServer(u.Addr)
 	defer p.Close()
 	conns := connections(t, p, to, 4)
 	for _, c := range conns[1:] {
@@ -157,8 +157,8 @@
 }
 
 func TestPoolReusesTheMostRecentConnection(t *testing.T) {
-	u := newUpstream(t, always(answer200("")))
-	p, to := testPool(4), NewServer(u.addr)
+	u := NewFakeServer(t, Always(OKResponse("")))
+	p, to := testPool(4), NewServer(u.Addr)
 	a, err := p.Acquire(context.Background(), to)
 	if err != nil {
 		t.Fatal(err)
@@ -181,13 +181,13 @@
 }
 
 func TestPoolDropsWhatThePeerClosed(t *testing.T) {
-	u := newUpstream(t, always(answer200("")))
-	p, to := testPool(4), NewServer(u.addr)
+	u := NewFakeServer(t, Always(OKResponse("")))
+	p, to := testPool(4), NewServer(u.Addr)
 	c, err := p.Acquire(context.Background(), to)
 	if err != nil {
 		t.Fatal(err)
 	}
-	peer := await(t, "the connection", u.accepted)
+	peer := Await(t, "the connection", u.Accepted)
 	if !socket.IsIdle(c.Conn) {
 		t.Error("a live idle connection is taken for a closed one")
 	}
@@ -206,8 +206,8 @@
 }
 
 func TestPoolClosesBeforeTheUpstreamDoes(t *testing.T) {
-	u := newUpstream(t, always(answer200("")))
-	p, to := poolOf(time.Second, 10*time.Second, 4), NewServer(u.addr)
+	u := NewFakeServer(t, Always(OKResponse("")))
+	p, to := poolOf(time.Second, 10*time.Second, 4), NewServer(u.Addr)
 	c, err := p.Acquire(context.Background(), to)
 	if err != nil {
 		t.Fatal(err)
@@ -222,7 +222,7 @@
 		t.Errorf("an idle connection is kept for %v, want %v to %v", c.idleLimit, least, p.maxIdle)
 	}
 	p.Sweep(c.idleSince.Add(c.idleLimit))
-	await(t, "the connection's end", u.closed)
+	Await(t, "the connection's end", u.Closed)
 	if p.opened() != 0 {
 		t.Error("the slot was not given back")
 	}
@@ -230,8 +230,8 @@
 
 // At the bound an idle connection makes way, to whatever upstream it goes.
 func TestPoolKeepsToItsBound(t *testing.T) {
-	a, b := newUpstream(t, always(answer200(""))), newUpstream(t, always(answer200("")))
-	p, toA, toB := testPool(2), NewServer(a.addr), NewServer(b.addr)
+	a, b := NewFakeServer(t, Always(OKResponse(""))), NewFakeServer(t, Always(OKResponse("")))
+	p, toA, toB := testPool(2), NewServer(a.Addr), NewServer(b.Addr)
 	first, err := p.Acquire(context.Background(), toA)
 	if err != nil {
 		t.Fatal(err)
@@ -244,15 +244,15 @@
 	if _, err := p.Acquire(context.Background(), toB); err != nil {
 		t.Fatalf("no room was made: %v", err)
 	}
-	await(t, "the idle connection's end", a.closed)
+	Await(t, "the idle connection's end", a.Closed)
 	waits := make(chan error, 1)
 	go func() {
 		_, err := p.Acquire(context.Background(), toB)
 		waits <- err
 	}()
-	await(t, "the second connection", a.accepted) // both were accepted by now
+	Await(t, "the second connection", a.Accepted) // both were accepted by now
 	p.Release(second)                             // or drop, if the other waits already: either way there is room
-	if err := await(t, "a connection", waits); err != nil {
+	if err := Await(t, "a connection", waits); err != nil {
 		t.Errorf("a waiting caller got %v", err)
 	}
 	if n := p.opened(); n != 2 {
@@ -263,8 +263,8 @@
 // Another host may come to the address of one that has gone, and an attempt at
 // the old one may still be out by then: its connection is not the new one's.
 func TestConnectionsBelongToTheirHost(t *testing.T) {
-	u := newUpstream(t, always(answer200("")))
-	p, old := testPool(4), NewServer(u.addr)
+	u := NewFakeServer(t, Always(OKResponse("")))
+	p, old := testPool(4), NewServer(u.Addr)
 	idle, err := p.Acquire(t.Context(), old)
 	if err != nil {
 		t.Fatal(err)
@@ -275,8 +275,8 @@
 	}
 	p.Release(idle)
 	p.Retire(old)
-	await(t, "the idle connection's end", u.closed)
-	fresh, err := p.Acquire(t.Context(), NewServer(u.addr))
+	Await(t, "the idle connection's end", u.Closed)
+	fresh, err := p.Acquire(t.Context(), NewServer(u.Addr))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -284,7 +284,7 @@
 		t.Error("the new host got the old one's connection")
 	}
 	p.Release(out)
-	await(t, "the end of the one that was out", u.closed)
+	Await(t, "the end of the one that was out", u.Closed)
 	if p.opened() != 1 || p.idle.Len() != 0 {
 		t.Errorf("%d connections are open and %d idle, want 1 and none", p.opened(), p.idle.Len())
 	}
--- a/internal/sidecar/quarantine_test.go
+++ b/internal/sidecar/quarantine_test.go
@@ -23,23 +23,23 @@
 	for name, alike := range map[string]bool{"answers differ": false, "answers are alike": true} {
 		t.Run(name, func(t *testing.T) {
 			last := ""
-			u := newUpstream(t, func(r received) (string, bool) {
+			u := NewFakeServer(t, func(r Received) (string, bool) {
 				first := last
-				if last = answer200("done " + r.Header.Get("Request-Id")); alike {
-					last = answer200("done")
+				if last = OKResponse("done " + r.Header.Get("Request-Id")); alike {
+					last = OKResponse("done")
 				}
 				if first == "" || alike {
 					return last, false
 				}
 				return first + last, false
 			})
-			p, to := testPool(1), NewServer(u.addr)
+			p, to := testPool(1), NewServer(u.Addr)
 			defer p.Close()
 			if !alike {
 				makeDuplicatesConclusive(p)
 			}
 			for i := range distinctRunNeeded + 4 {
-				r := &Request{ID: fmt.Sprint(i), Method: "POST", URL: mustURL("/"), Host: "x", Header: http.Header{"Request-Id": {fmt.Sprint(i)}}}
+				r := &Request{ID: fmt.Sprint(i), Method: "POST", URL: MustURL("/"), Host: "x", Header: http.Header{"Request-Id": {fmt.Sprint(i)}}}
 				ending, got := newTestTransport(p).Do(newTestAttempt(t.Context(), r, to, time.Now().Add(time.Hour), time.Time{}))
 				want := fmt.Sprint("done ", i)
 				if alike {
@@ -79,21 +79,21 @@
 // What comes behind a good answer and belongs to no request, even a little
 // later, must not be taken for the next one's answer.
 func TestExcessIsNoAnswer(t *testing.T) {
-	for name, behind := range map[string]string{"in the same write": answer200("stale"), "later": ""} {
+	for name, behind := range map[string]string{"in the same write": OKResponse("stale"), "later": ""} {
 		t.Run(name, func(t *testing.T) {
-			u := newUpstream(t, func(r received) (string, bool) { return answer200("good") + behind, false })
-			p, to := testPool(4), NewServer(u.addr)
+			u := NewFakeServer(t, func(r Received) (string, bool) { return OKResponse("good") + behind, false })
+			p, to := testPool(4), NewServer(u.Addr)
 			for i := range 20 {
 				ending, a := runOneAttempt(t.Context(), p, to)
 				if ending != policy.Served || string(a.Body) != "good" {
 					t.Fatalf("attempt %d: ending %v, answer %+v", i, ending, a)
 				}
-				if r := await(t, "the request", u.requests); behind == "" {
-					io.WriteString(r.conn, answer200("stale"))
+				if r := Await(t, "the request", u.Requests); behind == "" {
+					io.WriteString(r.Conn, OKResponse("stale"))
 				}
 			}
-			if len(u.accepted) != 20 {
-				t.Errorf("%d connections for 20 answers with an excess, want one each", len(u.accepted))
+			if len(u.Accepted) != 20 {
+				t.Errorf("%d connections for 20 answers with an excess, want one each", len(u.Accepted))
 			}
 		})
 	}
@@ -102,8 +102,8 @@
 // A second answer may come some milliseconds behind the first. A connection that has not rested for so
 // long is not used while there is one that has, nor before it has.
 func TestConnectionRestsBeforeTheNextRequest(t *testing.T) {
-	u := newUpstream(t, always(answer200("ok")))
-	p, to := testPool(4), NewServer(u.addr)
+	u := NewFakeServer(t, Always(OKResponse("ok")))
+	p, to := testPool(4), NewServer(u.Addr)
 	get := func() *Conn {
 		t.Helper()
 		c, err := p.Acquire(t.Context(), to)
@@ -122,7 +122,7 @@
 	if c := get(); c == second {
 		t.Errorf("a connection is used %v after its last answer", time.Since(c.idleSince))
 	}
-	eventually(t, "the rest is over", func() bool { _, now := p.Counters(); return now.Resting == 0 })
+	Eventually(t, "the rest is over", func() bool { _, now := p.Counters(); return now.Resting == 0 })
 	if c := get(); c != second || time.Since(c.idleSince) < minQuarantine {
 		t.Errorf("a connection is used %v after its last answer", time.Since(c.idleSince))
 	}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -19,19 +19,19 @@
 // served and told to close, and idle ones are closed before the listener goes.
 func TestPlannedRestartLosesNothing(t *testing.T) {
 	release := make(chan struct{})
-	u := newUpstream(t, func(r received) (string, bool) {
+	u := NewFakeServer(t, func(r Received) (string, bool) {
 		if r.Header.Get("Request-Id") == "held" {
 			<-release
 		}
-		return answer200("ok"), false
+		return OKResponse("ok"), false
 	})
-	addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
+	addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	idle, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer idle.Close()
-	idle.SetDeadline(time.Now().Add(patience))
+	idle.SetDeadline(time.Now().Add(Patience))
 	call{class: "once", id: "first"}.request(t, addr).Write(idle)
 	in := bufio.NewReader(idle)
 	if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 200 || resp.Close {
@@ -39,9 +39,9 @@
 	} else {
 		in.Discard(int(resp.ContentLength))
 	}
-	await(t, "the first", u.requests)
+	Await(t, "the first", u.Requests)
 	held := call{class: "once", id: "held"}.start(t, addr)
-	await(t, "the held one", u.requests)
+	Await(t, "the held one", u.Requests)
 	stop()
 	if _, err := in.Peek(1); err == nil { // returns when the idle connection is closed
 		t.Error("bytes nobody asked for")
@@ -52,7 +52,7 @@
 		t.Fatalf("a new connection after the announcement: %v", err)
 	}
 	defer fresh.Close()
-	fresh.SetDeadline(time.Now().Add(patience))
+	fresh.SetDeadline(time.Now().Add(Patience))
 	call{class: "once", id: "fresh"}.request(t, addr).Write(fresh)
 	if resp, err := http.ReadResponse(bufio.NewReader(fresh), nil); err != nil || resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("on a new connection: %+v, error %v; want 200 and close", resp, err)
@@ -63,10 +63,10 @@
 	case <-time.After(lateArrivalTime): // the listener has gone or is about to
 	}
 	close(release)
-	if got := await(t, "the held one's answer", held); got.status != 200 || got.body != "ok" {
+	if got := Await(t, "the held one's answer", held); got.status != 200 || got.body != "ok" {
 		t.Errorf("the held one: %+v", got)
 	}
-	if err := await(t, "the end", ended); err != nil {
+	if err := Await(t, "the end", ended); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
@@ -75,14 +75,14 @@
 // connection closed as idle in that moment must not have its request taken: the
 // client sends it once more.
 func TestRequestOnAConnectionClosedAsIdleIsLeftAlone(t *testing.T) {
-	u := newUpstream(t, always(answer200("ok")))
+	u := NewFakeServer(t, Always(OKResponse("ok")))
 	serve := handled(t, u)
 	closed, open := newClientConn(&net.TCPConn{}), newClientConn(&net.TCPConn{})
 	closed.closeIdle(false)
-	if !serve(closed) || len(u.requests) > 0 {
+	if !serve(closed) || len(u.Requests) > 0 {
 		t.Error("a request of a connection that was closed as idle was taken")
 	}
-	if serve(open) || len(u.requests) != 1 {
+	if serve(open) || len(u.Requests) != 1 {
 		t.Error("a request of an open connection was not taken")
 	}
 	if closeIdle(open, true) != connBusy {
@@ -93,15 +93,15 @@
 // Nothing is sent again behind the module's back, not even a request that may be
 // repeated, when a kept connection breaks under it.
 func TestNoHiddenAttempts(t *testing.T) {
-	u := newUpstream(t, func(r received) (string, bool) {
+	u := NewFakeServer(t, func(r Received) (string, bool) {
 		if r.Header.Get("Request-Id") == "breaks" {
 			return "", true
 		}
-		return answer200("ok"), false
+		return OKResponse("ok"), false
 	})
-	p, to := testPool(4), NewServer(u.addr)
+	p, to := testPool(4), NewServer(u.Addr)
 	try := func(id string) policy.Ending {
-		r := &Request{Method: "GET", URL: mustURL("/"), Host: "x", Header: http.Header{"Request-Id": {id}, "Idempotency-Key": {"k"}}}
+		r := &Request{Method: "GET", URL: MustURL("/"), Host: "x", Header: http.Header{"Request-Id": {id}, "Idempotency-Key": {"k"}}}
 		ending, _ := newTestTransport(p).Do(newTestAttempt(t.Context(), r, to, time.Time{}, time.Time{}))
 		return ending
 	}
@@ -112,14 +112,14 @@
 	if got := try("breaks"); got != policy.Broken {
 		t.Errorf("on a breaking connection: ending %v, want broken", got)
 	}
-	if len(u.requests) != 2 || len(u.accepted) != 1 {
-		t.Errorf("%d requests on %d connections, want 2 on 1", len(u.requests), len(u.accepted))
+	if len(u.Requests) != 2 || len(u.Accepted) != 1 {
+		t.Errorf("%d requests on %d connections, want 2 on 1", len(u.Requests), len(u.Accepted))
 	}
 }
 
 func TestConnectionsAreReused(t *testing.T) {
-	u := newUpstream(t, always(answer200("ok")))
-	addr, _, _ := startSidecar(t, testConfig(t, options{probes: true}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.addr, "up", 0)))
+	u := NewFakeServer(t, Always(OKResponse("ok")))
+	addr, _, _ := startSidecar(t, testConfig(t, options{probes: true}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	const requests, apart = 12, MaxQuarantine + 20*time.Millisecond // each connection has rested by the next request
 	for i := range requests {
 		if got := (call{class: "keyed", id: fmt.Sprint(i)}).do(t, addr); got.status != 200 {
@@ -127,7 +127,7 @@
 		}
 		time.Sleep(apart)
 	}
-	if n := len(u.accepted); n > 4 { // one, and one more for each probe that may be out meanwhile
+	if n := len(u.Accepted); n > 4 { // one, and one more for each probe that may be out meanwhile
 		t.Errorf("%d connections for %d requests in turn", n, requests)
 	}
 }
@@ -159,7 +159,7 @@
 		t.Fatal("an early timer disarmed the alarm")
 	}
 	for l.now < due { // it is armed for what was left at the made-up time, and so early again
-		await(t, "the timer", l.timer.C)
+		Await(t, "the timer", l.timer.C)
 		l.now = l.clock()
 		l.wake()
 	}
@@ -177,7 +177,7 @@
 	l.Fail(r.id)
 	l.Refuse(r.id, 0)
 	l.handle(clientDisconnected{r})
-	if a := await(t, "the answer", r.result); a.status != http.StatusBadGateway || len(r.result) > 0 {
+	if a := Await(t, "the answer", r.result); a.status != http.StatusBadGateway || len(r.result) > 0 {
 		t.Errorf("answered %d, and %d times more", a.status, len(r.result))
 	}
 	if len(l.requests) > 0 || l.requestNames.isInUse(r.ID) {
@@ -188,17 +188,17 @@
 // An answer that comes when its client has left finds nobody, but must not
 // leave the request behind.
 func TestLateAnswerLeavesNothingBehind(t *testing.T) {
-	u := newUpstream(t, always(""))
-	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.addr, "up", 0))
-	r := call{class: "once"}.request(t, u.addr)
+	u := NewFakeServer(t, Always(""))
+	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
+	r := call{class: "once"}.request(t, u.Addr)
 	held := &request{
 		Request: Request{ID: "x", Method: r.Method, URL: r.URL, Host: r.Host, Header: r.Header},
-		class:   2, clientDeadline: time.Now().Add(patience),
+		class:   2, clientDeadline: time.Now().Add(Patience),
 		result: make(chan response, 1),
 	}
 	l.now = l.clock()
 	l.handle(requestArrived{held})
-	await(t, "the attempt", u.requests)
+	Await(t, "the attempt", u.Requests)
 	l.handle(clientDisconnected{held})
 	l.handle(attemptEnded{held.attempts[0], policy.Served, &Response{}})
 	if len(l.requests) > 0 || len(held.result) > 0 {
@@ -216,7 +216,7 @@
 	} {
 		l.requests[r.id] = r
 		l.Fail(r.id)
-		if a := await(t, "the answer", r.result); a.status != want {
+		if a := Await(t, "the answer", r.result); a.status != want {
 			t.Errorf("%s: answered %d, want %d", r.ID, a.status, want)
 		}
 	}
@@ -228,14 +228,14 @@
 func TestReloadMovesDiscovery(t *testing.T) {
 	old, fresh := registrytest.NewServer(t), registrytest.NewServer(t)
 	release := make(chan struct{})
-	a := newUpstream(t, func(r received) (string, bool) {
+	a := NewFakeServer(t, func(r Received) (string, bool) {
 		if r.Header.Get("Request-Id") == "held" {
 			<-release
 		}
-		return answer200("a"), false
+		return OKResponse("a"), false
 	})
-	b := newUpstream(t, always(answer200("b")))
-	c := testConfig(t, options{}, old.Addr, registrytest.EndpointJSON("s-1", a.addr, "up", 0))
+	b := NewFakeServer(t, Always(OKResponse("b")))
+	c := testConfig(t, options{}, old.Addr, registrytest.EndpointJSON("s-1", a.Addr, "up", 0))
 	c.Path = filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
 		t.Helper()
@@ -248,9 +248,9 @@
 	}
 	reload := make(chan os.Signal)
 	addr, _, _ := startReloadable(t, c, reload)
-	w := await(t, "the watch", old.Watches)
+	w := Await(t, "the watch", old.Watches)
 	held := call{class: "once", id: "held"}.start(t, addr)
-	await(t, "the held one", a.requests)
+	Await(t, "the held one", a.Requests)
 	for _, wrong := range []string{"", "{", good("discovery.internal"), `{"discovery":"127.0.0.1:1"}`} {
 		write(wrong)
 		reload <- syscall.SIGHUP
@@ -262,13 +262,13 @@
 	}
 	write(good(fresh.Addr))
 	reload <- syscall.SIGHUP
-	await(t, "the call for the new list", fresh.ListCalls)
+	Await(t, "the call for the new list", fresh.ListCalls)
 	if got := (call{class: "once", id: "meanwhile"}).do(t, addr); got.body != "a" {
 		t.Errorf("without a new list: %+v", got)
 	}
-	fresh.FullLists <- registrytest.ListJSON(1, true, registrytest.EndpointJSON("s-2", b.addr, "up", 0))
-	await(t, "the new watch", fresh.Watches)
-	for i, deadline := 0, time.Now().Add(patience); ; i++ {
+	fresh.FullLists <- registrytest.ListJSON(1, true, registrytest.EndpointJSON("s-2", b.Addr, "up", 0))
+	Await(t, "the new watch", fresh.Watches)
+	for i, deadline := 0, time.Now().Add(Patience); ; i++ {
 		if got := (call{class: "once", id: fmt.Sprint(i)}).do(t, addr); got.body == "b" {
 			break
 		} else if time.Now().After(deadline) {
@@ -276,7 +276,7 @@
 		}
 	}
 	close(release)
-	if got := await(t, "the held one's answer", held); got.body != "a" {
+	if got := Await(t, "the held one's answer", held); got.body != "a" {
 		t.Errorf("the held one: %+v", got)
 	}
 }
