--- a/internal/sidecar/client_conn_test.go
+++ b/internal/sidecar/client_conn_test.go
@@ -8,6 +8,8 @@
 	"net/http"
 	"testing"
 	"time"
+
+	"barleywick/internal/sidecar/sidecartest"
 )
 
 // Half a request that gives way is refused before its connection ends, also where many do.
@@ -89,7 +91,7 @@
 // connected returns a client's end of a connection, and ours.
 func connected(t *testing.T) (net.Conn, *clientConn) {
 	t.Helper()
-	ln := ListenLoopback(t)
+	ln := sidecartest.ListenLoopback(t)
 	far, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -118,14 +120,14 @@
 		read <- err
 	}()
 	far.Write([]byte("P"))
-	Await(t, "the middle of the read", reading)
+	sidecartest.Await(t, "the middle of the read", reading)
 	state := make(chan connState, 1)
 	go func() { state <- closeIdle(c, false) }()
 	close(goOn)
-	if got := Await(t, "the close", state); got != connIdle {
+	if got := sidecartest.Await(t, "the close", state); got != connIdle {
 		t.Errorf("the connection is in state %d, want left alone", got)
 	}
-	if err := Await(t, "the read", read); err != nil {
+	if err := sidecartest.Await(t, "the read", read); err != nil {
 		t.Errorf("what was read is lost: %v", err)
 	}
 	if closeIdle(c, false) != connIdle {
--- a/internal/sidecar/client_test.go
+++ b/internal/sidecar/client_test.go
@@ -14,12 +14,13 @@
 	"barleywick/internal/registry/registrytest"
 	"barleywick/internal/sidecar/config"
 	"barleywick/internal/sidecar/httpmessage"
+	"barleywick/internal/sidecar/sidecartest"
 	"barleywick/internal/sidecar/socket"
 )
 
 func TestServesTheWholeBodyUnchanged(t *testing.T) {
 	body := strings.Repeat("\x00honey\r\n", 60000) // upstreams do send that much
-	u := NewFakeServer(t, Always(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\nServer-Load: TEXT busy_reqs=1\r\nX-Ledger: 4\r\n\r\n%s", len(body), body)))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\nServer-Load: TEXT busy_reqs=1\r\nX-Ledger: 4\r\n\r\n%s", len(body), body)))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	got := call{class: "once", body: "{}"}.do(t, addr)
 	if got.status != 200 || got.body != body || got.header.Get("X-Ledger") != "4" || got.header.Get("Server-Load") != "" {
@@ -30,7 +31,7 @@
 // A failure is never worded 429 or 503: these promise that a retry is harmless.
 func TestFailureIsNoRefusal(t *testing.T) {
 	for _, status := range []int{500, 503, 504, 429, 400, 302} {
-		u := NewFakeServer(t, Always(fmt.Sprintf("HTTP/1.1 %d x\r\nContent-Length: 4\r\n\r\nlate", status)))
+		u := sidecartest.NewFakeServer(t, sidecartest.Always(fmt.Sprintf("HTTP/1.1 %d x\r\nContent-Length: 4\r\n\r\nlate", status)))
 		addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 		if got := (call{class: "once"}).do(t, addr); got.status != http.StatusBadGateway || got.body != "" || got.header.Get("Retry-After") != "" {
 			t.Errorf("upstream's %d: got %+v, want a plain 502", status, got)
@@ -42,7 +43,7 @@
 }
 
 func TestRefusalSaysWhenToComeBack(t *testing.T) {
-	u := NewFakeServer(t, Always("HTTP/1.1 503 x\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always("HTTP/1.1 503 x\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"))
 	// The module refuses once an answer would be late for the aim of 0.2 s.
 	c := testConfig(t, options{aim: 200 * time.Millisecond}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
@@ -58,27 +59,27 @@
 }
 
 func TestSilenceIsAnsweredBeforeTheDeadline(t *testing.T) {
-	u := NewFakeServer(t, Always(""))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	start := time.Now()
 	got := call{class: "once", timeout: "0.4"}.do(t, addr)
 	if took := time.Since(start); got.status != http.StatusGatewayTimeout || took > 450*time.Millisecond {
 		t.Errorf("got %+v after %v, want 504 within 0.45 s", got, took)
 	}
-	Await(t, "the end of the attempt's connection", u.Closed)
+	sidecartest.Await(t, "the end of the attempt's connection", u.Closed)
 }
 
 func TestClientThatLeavesEndsItsAttempt(t *testing.T) {
-	u := NewFakeServer(t, Always(""))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	call{class: "once", body: "{}"}.request(t, addr).Write(c)
-	Await(t, "the attempt", u.Requests)
+	sidecartest.Await(t, "the attempt", u.Requests)
 	c.Close()
-	Await(t, "the end of the attempt's connection", u.Closed)
+	sidecartest.Await(t, "the end of the attempt's connection", u.Closed)
 	// Its id is free again, and nothing more of it goes out.
 	again := call{class: "once", timeout: "0.6"}.do(t, addr)
 	if again.status != http.StatusGatewayTimeout || len(u.Requests) != 1 {
@@ -87,7 +88,7 @@
 }
 
 func TestBadInput(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	bad := map[string]call{
 		"no id":           {class: "once", header: http.Header{"Request-Id": nil}},
@@ -137,7 +138,7 @@
 			t.Fatal(err)
 		}
 		io.WriteString(c, text)
-		c.SetReadDeadline(time.Now().Add(Patience))
+		c.SetReadDeadline(time.Now().Add(sidecartest.Patience))
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || resp.StatusCode < 400 || resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests {
 			t.Errorf("%s: got %v, error %v, want a plain 4xx or 5xx, no refusal", name, resp, err)
@@ -155,15 +156,15 @@
 // Two requests under one id might run one effect twice.
 func TestIdThatIsHeldIsNotTakenAgain(t *testing.T) {
 	go1 := make(chan struct{})
-	u := NewFakeServer(t, func(Received) (string, bool) { <-go1; return OKResponse("ok"), false })
+	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-go1; return sidecartest.OKResponse("ok"), false })
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	first := call{class: "once"}.start(t, addr)
-	Await(t, "the first", u.Requests)
+	sidecartest.Await(t, "the first", u.Requests)
 	if got := (call{class: "once"}).do(t, addr); got.status != http.StatusConflict {
 		t.Errorf("the second: %+v, want 409", got)
 	}
 	close(go1)
-	if got := Await(t, "the first's answer", first); got.status != 200 || len(u.Requests) > 0 {
+	if got := sidecartest.Await(t, "the first's answer", first); got.status != 200 || len(u.Requests) > 0 {
 		t.Errorf("the first: %+v, %d more attempts", got, len(u.Requests))
 	}
 }
@@ -179,16 +180,16 @@
 		resp.Body.Close()
 		return resp.StatusCode
 	}
-	Await(t, "the call for the list", g.ListCalls)
+	sidecartest.Await(t, "the call for the list", g.ListCalls)
 	if got := ready(); got != http.StatusServiceUnavailable {
 		t.Errorf("ready is %d without a list", got)
 	}
-	u := NewFakeServer(t, Always(OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	g.FullLists <- registrytest.ListJSON(5, true, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
-	if w := Await(t, "the watch", g.Watches); w.From != "5" {
+	if w := sidecartest.Await(t, "the watch", g.Watches); w.From != "5" {
 		t.Errorf("the watch begins from %s, want 5", w.From)
 	}
-	for deadline := time.Now().Add(Patience); ready() != http.StatusOK; {
+	for deadline := time.Now().Add(sidecartest.Patience); ready() != http.StatusOK; {
 		if time.Now().After(deadline) {
 			t.Fatal("never ready")
 		}
@@ -197,7 +198,7 @@
 
 // The bound on client connections: idle ones make way, and a waiting one is served in the end.
 func TestClientConnectionsAreBounded(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	c := testConfig(t, options{sockets: config.MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
 	var closed int
@@ -208,7 +209,7 @@
 			t.Fatal(err)
 		}
 		defer nc.Close()
-		nc.SetDeadline(time.Now().Add(Patience))
+		nc.SetDeadline(time.Now().Add(sidecartest.Patience))
 		call{class: "once", id: fmt.Sprint(i)}.request(t, addr).Write(nc)
 		resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 		if err != nil || resp.StatusCode != 200 {
@@ -243,7 +244,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(Patience))
+	c.SetDeadline(time.Now().Add(sidecartest.Patience))
 	go io.WriteString(c, text)
 	got, err := io.ReadAll(c)
 	if err != nil && len(got) == 0 {
@@ -260,7 +261,7 @@
 // What stands inside or behind a request whose length is not certain is nobody's
 // request, wherever its connection leads.
 func TestHiddenRequestIsNotServed(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	hidden := rawHead("hidden") + "Content-Length: 0\r\n\r\n"
 	chunk := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(hidden), hidden)
@@ -296,7 +297,7 @@
 // A word is owed soon to whoever connects, and whoever sends nothing more must
 // not hold a connection for longer.
 func TestUnfinishedRequestsEndSoon(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	texts := map[string]string{
 		"nothing":           "",
@@ -319,7 +320,7 @@
 		}
 		defer c.Close()
 		start := time.Now()
-		c.SetDeadline(start.Add(Patience))
+		c.SetDeadline(start.Add(sidecartest.Patience))
 		go func() {
 			io.WriteString(c, text)
 			io.Copy(io.Discard, c)
@@ -327,7 +328,7 @@
 		}()
 	}
 	for range texts {
-		if e := Await(t, "an end", ends); e.took > 3*time.Second {
+		if e := sidecartest.Await(t, "an end", ends); e.took > 3*time.Second {
 			t.Errorf("%s: ended after %v, want 3 s at the most", e.name, e.took)
 		}
 	}
@@ -340,10 +341,10 @@
 // neither is one under an id that is held.
 func TestRefusedHeaderNeedsNoBody(t *testing.T) {
 	release := make(chan struct{})
-	u := NewFakeServer(t, func(Received) (string, bool) { <-release; return OKResponse("ok"), false })
+	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-release; return sidecartest.OKResponse("ok"), false })
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	first := call{class: "once", id: "held"}.start(t, addr)
-	Await(t, "the first", u.Requests)
+	sidecartest.Await(t, "the first", u.Requests)
 	for status, text := range map[int]string{
 		http.StatusBadRequest:            strings.Replace(rawHead("a"), "once", "many", 1) + "Content-Length: 10\r\n\r\n",
 		http.StatusConflict:              rawHead("held") + "Content-Length: 10\r\n\r\n",
@@ -354,7 +355,7 @@
 		}
 	}
 	close(release)
-	if got := Await(t, "the first's answer", first); got.status != 200 {
+	if got := sidecartest.Await(t, "the first's answer", first); got.status != 200 {
 		t.Errorf("the first: %+v", got)
 	}
 }
@@ -370,7 +371,7 @@
 }
 
 func testGivesWay(t *testing.T, useless string) {
-	u := NewFakeServer(t, Always(OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	c := testConfig(t, options{sockets: config.MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
 	kept, err := net.Dial("tcp", addr)
@@ -378,7 +379,7 @@
 		t.Fatal(err)
 	}
 	defer kept.Close()
-	kept.SetDeadline(time.Now().Add(Patience))
+	kept.SetDeadline(time.Now().Add(sidecartest.Patience))
 	in := bufio.NewReader(kept)
 	ask := func(id string) {
 		t.Helper()
@@ -411,7 +412,7 @@
 // Clients that ask once and stay hold connections that count as theirs: unless
 // some are closed, long before the sidecar's own bound, they can open no more.
 func TestIdleConnectionsAreFew(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	c := testConfig(t, options{sockets: config.MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
 	start := time.Now()
@@ -422,7 +423,7 @@
 			t.Fatal(err)
 		}
 		defer nc.Close()
-		nc.SetDeadline(time.Now().Add(Patience))
+		nc.SetDeadline(time.Now().Add(sidecartest.Patience))
 		io.WriteString(nc, rawHead(fmt.Sprint(i))+"Content-Length: 0\r\n\r\n")
 		in := bufio.NewReader(nc)
 		resp, err := http.ReadResponse(in, nil)
@@ -441,10 +442,10 @@
 
 // A client that takes no more of its answer than fits into buffers must not hold it for ever.
 func TestAnswerIsNotHeldForAClientThatDoesNotRead(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse(strings.Repeat("x", MaxResponseBody))))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse(strings.Repeat("x", MaxResponseBody))))
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	go l.run(t.Context())
-	ln, served := ListenLoopback(t), make(chan struct{})
+	ln, served := sidecartest.ListenLoopback(t), make(chan struct{})
 	limited := newLimitedListener(ln, testLimits(4))
 	limited.start()
 	s := newClientHandler(l.config, l, testDrain(limited))
@@ -463,7 +464,7 @@
 	defer c.Close()
 	c.(*net.TCPConn).SetReadBuffer(4 << 10)
 	call{class: "once", timeout: "0.5"}.request(t, "x").Write(c)
-	Await(t, "the end of the answer", served)
+	sidecartest.Await(t, "the end of the answer", served)
 }
 
 // Guards against this: two sidecars, or two requests, see another key in the same field.
--- a/internal/sidecar/connections_test.go
+++ b/internal/sidecar/connections_test.go
@@ -19,6 +19,7 @@
 
 	"barleywick/internal/registry/registrytest"
 	"barleywick/internal/sidecar/config"
+	"barleywick/internal/sidecar/sidecartest"
 )
 
 // dialFrom opens a connection from a loopback address of its own.
@@ -30,7 +31,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(Patience))
+	c.SetDeadline(time.Now().Add(sidecartest.Patience))
 	return c
 }
 
@@ -51,27 +52,17 @@
 }
 
 // startLimited runs a sidecar with the limits given.
-func startLimited(t *testing.T, u *FakeServer, limits config.ClientLimits) (addr string, stop func(), ended <-chan error) {
+func startLimited(t *testing.T, u *sidecartest.FakeServer, limits config.ClientLimits) (addr string, stop func(), ended <-chan error) {
 	t.Helper()
 	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	c.Connections.Clients = limits
 	return startSidecar(t, c)
 }
 
-// Eventually waits until a condition holds that no event tells of.
-func Eventually(t *testing.T, what string, holds func() bool) {
-	t.Helper()
-	for deadline := time.Now().Add(Patience); !holds(); runtime.Gosched() {
-		if time.Now().After(deadline) {
-			t.Fatalf("waited in vain until %s", what)
-		}
-	}
-}
-
 // A greedy client that keeps all connections it can get leaves each modest one
 // its part, to the last one, and is told so on one that it opens beyond.
 func TestGreedyClientLeavesOthersTheirPart(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	addr, _, _ := startLimited(t, u, testLimits(12))
 	for i := range 30 {
 		if got := ask(dialFrom(t, "127.0.0.2", addr), fmt.Sprint("greedy", i)); got != 200 {
@@ -102,12 +93,12 @@
 // when to come back, whether it had sent its request or not; then there is room again.
 func TestFullPlacesRefuseInWords(t *testing.T) {
 	release := make(chan struct{})
-	u := NewFakeServer(t, func(Received) (string, bool) { <-release; return OKResponse("ok"), false })
+	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-release; return sidecartest.OKResponse("ok"), false })
 	addr, _, _ := startLimited(t, u, testLimits(3))
 	var held []<-chan result
 	for i := range 3 {
 		held = append(held, call{class: "once", id: fmt.Sprint(i)}.start(t, addr))
-		Await(t, "a held one", u.Requests)
+		sidecartest.Await(t, "a held one", u.Requests)
 	}
 	var told sync.WaitGroup
 	for i := range 6 {
@@ -125,7 +116,7 @@
 	told.Wait()
 	close(release)
 	for _, h := range held {
-		if got := Await(t, "a held one's answer", h); got.status != 200 {
+		if got := sidecartest.Await(t, "a held one's answer", h); got.status != 200 {
 			t.Errorf("a request that was taken: %+v", got)
 		}
 	}
@@ -139,7 +130,7 @@
 // the word of it.
 func TestUnreadHealthChecksEnd(t *testing.T) {
 	t.Parallel() // it takes a write's whole time
-	u := NewFakeServer(t, Always(OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	_, limited, _ := parts(t, u, nil)
 	c := dialFrom(t, "127.0.0.1", limited.Addr().String())
 	c.(*net.TCPConn).SetReadBuffer(4 << 10)
@@ -155,7 +146,7 @@
 			}
 		}
 	}()
-	Eventually(t, "the checks come", func() bool { return sent.Load() >= int64(len(check)) && limited.openConns() == 1 })
+	sidecartest.Eventually(t, "the checks come", func() bool { return sent.Load() >= int64(len(check)) && limited.openConns() == 1 })
 	// What the buffers on the way take is only filled as fast as this machine answers, so patience
 	// begins anew with what goes through: a connection that stands still has to end.
 	at, since := int64(0), time.Now()
@@ -163,7 +154,7 @@
 		if now := sent.Load(); now != at {
 			at, since = now, time.Now()
 		}
-		if time.Since(since) > Patience {
+		if time.Since(since) > sidecartest.Patience {
 			t.Fatalf("the connection is held for a client that reads nothing, after %d bytes of checks", at)
 		}
 		if at > 1000*int64(len(check)) {
@@ -172,7 +163,7 @@
 		runtime.Gosched()
 	}
 	c.Close()
-	Await(t, "the client", stopped)
+	sidecartest.Await(t, "the client", stopped)
 }
 
 // descriptors is how many this process holds open.
@@ -188,8 +179,8 @@
 // A surge of clients of every bad kind leaves nothing behind: no descriptor, no
 // goroutine, and no place.
 func TestSurgeLeavesNothingBehind(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("ok")))
-	ln := ListenLoopback(t)
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	ln := sidecartest.ListenLoopback(t)
 	goroutines, fds := runtime.NumGoroutine(), descriptors(t)
 	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	c.Connections.Clients = testLimits(8)
@@ -210,7 +201,7 @@
 					return
 				}
 				defer nc.Close()
-				nc.SetDeadline(time.Now().Add(Patience))
+				nc.SetDeadline(time.Now().Add(sidecartest.Patience))
 				io.WriteString(nc, text)
 				switch j % 3 {
 				case 0: // vanishes
@@ -228,19 +219,19 @@
 		t.Errorf("after the surge: %+v", got)
 	}
 	cancel()
-	if err := Await(t, "the end", ended); err != nil {
+	if err := sidecartest.Await(t, "the end", ended); err != nil {
 		t.Error(err)
 	}
 	for range len(u.Accepted) {
 		(<-u.Accepted).Close()
 	}
-	Eventually(t, "all descriptors but the listener's are closed", func() bool { return descriptors(t) <= fds-1 })
-	Eventually(t, "all goroutines have ended", func() bool { return runtime.NumGoroutine() <= goroutines })
+	sidecartest.Eventually(t, "all descriptors but the listener's are closed", func() bool { return descriptors(t) <= fds-1 })
+	sidecartest.Eventually(t, "all goroutines have ended", func() bool { return runtime.NumGoroutine() <= goroutines })
 }
 
 // Giving a connection up and taking its request exclude each other, whoever is first.
 func TestGivingUpAgainstTaking(t *testing.T) {
-	ln := ListenLoopback(t)
+	ln := sidecartest.ListenLoopback(t)
 	l := newLimitedListener(ln, testLimits(1))
 	l.start()
 	defer l.Close()
@@ -282,16 +273,16 @@
 func TestPlannedRestartWaitsForTheLongestRequest(t *testing.T) {
 	t.Parallel() // it takes longer than the protocol's 3 s
 	release := make(chan struct{})
-	u := NewFakeServer(t, func(Received) (string, bool) { <-release; return OKResponse("ok"), false })
+	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-release; return sidecartest.OKResponse("ok"), false })
 	addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	held := call{class: "once", id: "held"}.start(t, addr)
-	Await(t, "the held one", u.Requests)
+	sidecartest.Await(t, "the held one", u.Requests)
 	stop()
 	time.AfterFunc(lateArrivalTime+3200*time.Millisecond, func() { close(release) })
-	if got := Await(t, "the held one's answer", held); got.status != 200 {
+	if got := sidecartest.Await(t, "the held one's answer", held); got.status != 200 {
 		t.Errorf("a request that was taken: %+v", got)
 	}
-	if err := Await(t, "the end", ended); err != nil {
+	if err := sidecartest.Await(t, "the end", ended); err != nil {
 		t.Error(err)
 	}
 }
@@ -299,13 +290,13 @@
 // Each connection that comes to nothing is counted for what it was.
 func TestConnectionsThatComeToNothing(t *testing.T) {
 	t.Parallel() // it takes the time for a header
-	ln := ListenLoopback(t)
+	ln := sidecartest.ListenLoopback(t)
 	l := newLimitedListener(ln, testLimits(4))
 	l.start()
 	defer l.Close()
 	dialFrom(t, "127.0.0.1", ln.Addr().String())
 	dialFrom(t, "127.0.0.1", ln.Addr().String()).Close()
-	Eventually(t, "both have ended", func() bool {
+	sidecartest.Eventually(t, "both have ended", func() bool {
 		return l.openConns() == 0 && func() bool { n, _ := l.counters(); return n.Accepted == 2 }()
 	})
 	if n, _ := l.counters(); n.Silent != 1 || n.Vanished != 1 || n.Admitted != 2 {
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -10,16 +10,17 @@
 	"barleywick/internal/registry/client"
 	"barleywick/internal/registry/registrytest"
 	"barleywick/internal/sidecar/gate"
+	"barleywick/internal/sidecar/sidecartest"
 	"barleywick/policy"
 )
 
 // A module that asks gets its watch again after a failure, through the whole program.
 func TestAskingSidecarWatches(t *testing.T) {
 	g := registrytest.NewServer(t)
-	u := NewFakeServer(t, Always(OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{ask: true}, g.Addr, registrytest.EndpointJSON("s-0", "127.0.0.1:1", "draining", 0)))
-	close(Await(t, "the watch", g.Watches).Lines)
-	w := Await(t, "the next watch", g.Watches)
+	close(sidecartest.Await(t, "the watch", g.Watches).Lines)
+	w := sidecartest.Await(t, "the next watch", g.Watches)
 	w.Lines <- registrytest.ListJSON(2, false, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	serveSoon(t, addr)
 }
@@ -27,7 +28,7 @@
 // serveSoon sends requests until one is served: news of the list is on its way.
 func serveSoon(t *testing.T, addr string) {
 	t.Helper()
-	for i, deadline := 0, time.Now().Add(Patience); ; i++ {
+	for i, deadline := 0, time.Now().Add(sidecartest.Patience); ; i++ {
 		if got := (call{class: "once", id: fmt.Sprint("soon-", i)}).do(t, addr); got.status == http.StatusOK {
 			return
 		}
@@ -125,7 +126,7 @@
 	l := newTestLoop(t)
 	born := time.Now().Add(-2 * time.Second).UnixMilli()
 	s, ok := l.enterEndpoint(client.Endpoint{Host: "s-1", Dial: "127.0.0.1:7", Health: "up", BornMS: float64(born)})
-	if age := l.clock() - s.Started; !ok || s.Started <= 0 || age < time.Second || age > Patience {
+	if age := l.clock() - s.Started; !ok || s.Started <= 0 || age < time.Second || age > sidecartest.Patience {
 		t.Errorf("started at %v, %v ago by the module's clock", s.Started, age)
 	}
 	ahead := client.Endpoint{Host: "s-2", Dial: "127.0.0.1:7", Health: "up", BornMS: float64(time.Now().Add(time.Hour).UnixMilli())}
@@ -138,11 +139,11 @@
 
 func TestDrainActsAtOnce(t *testing.T) {
 	g := registrytest.NewServer(t)
-	a, b := NewFakeServer(t, Always(OKResponse("a"))), NewFakeServer(t, Always(OKResponse("b")))
+	a, b := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("a"))), sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("b")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, g.Addr, registrytest.EndpointJSON("s-1", a.Addr, "up", 0)))
-	w := Await(t, "the watch", g.Watches)
+	w := sidecartest.Await(t, "the watch", g.Watches)
 	serveSoon(t, addr)
-	Await(t, "a request", a.Requests)
+	sidecartest.Await(t, "a request", a.Requests)
 	w.Lines <- registrytest.ListJSON(2, false, registrytest.EndpointJSON("s-1", a.Addr, "draining", 0), registrytest.EndpointJSON("s-2", b.Addr, "up", 0))
 	for i := range 1000 { // until the news has arrived; from then on everything goes to the other
 		if got := (call{class: "once", id: fmt.Sprint(i)}).do(t, addr); got.body == "b" {
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -14,6 +14,7 @@
 
 	"barleywick/internal/registry/client"
 	"barleywick/internal/registry/registrytest"
+	"barleywick/internal/sidecar/sidecartest"
 	"barleywick/policy"
 )
 
@@ -21,15 +22,15 @@
 // told, not even what has chosen it already; what runs there ends, idle connections
 // are closed, and if the drain is called off it is used again.
 func TestServerThatDrains(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, to := testPool(4), NewServer(u.Addr)
 	defer p.Close()
 	conns := connections(t, p, to, 3)
 	p.Release(conns[0])
 	p.Drain(to)
-	Await(t, "the idle connection's end", u.Closed)
+	sidecartest.Await(t, "the idle connection's end", u.Closed)
 	ups := newTestTransport(p)
-	req := &http.Request{Method: "GET", URL: MustURL("/"), Host: "x", Header: http.Header{"Request-Id": {"late"}}}
+	req := &http.Request{Method: "GET", URL: sidecartest.MustURL("/"), Host: "x", Header: http.Header{"Request-Id": {"late"}}}
 	if x, err := ups.exchange(t.Context(), sendPermit{writeCtx: t.Context()}, conns[1], req); err != errServerDraining || x.written() {
 		t.Errorf("on a connection that was acquired before: got written %v, error %v", x.writtenAt, err)
 	}
@@ -48,14 +49,14 @@
 
 // A drain that is told while an attempt waits for its connection ends the wait.
 func TestDrainToldDuringAHandshake(t *testing.T) {
-	p, to := testPool(4), NewServer(NewBlackHole(t))
-	p.dialTimeout = Patience
+	p, to := testPool(4), NewServer(sidecartest.NewBlackHole(t))
+	p.dialTimeout = sidecartest.Patience
 	defer p.Close()
 	ending := make(chan policy.Ending, 1)
 	go func() { e, _ := runOneAttempt(t.Context(), p, to); ending <- e }()
-	Eventually(t, "it waits", func() bool { return waiters(p) == 1 })
+	sidecartest.Eventually(t, "it waits", func() bool { return waiters(p) == 1 })
 	p.Drain(to)
-	if got := Await(t, "its end", ending); got != policy.NotSent {
+	if got := sidecartest.Await(t, "its end", ending); got != policy.NotSent {
 		t.Errorf("ending %v, want not sent", got)
 	}
 }
@@ -66,16 +67,16 @@
 func TestDrainsThroughTheList(t *testing.T) {
 	g := registrytest.NewServer(t)
 	release := make(chan struct{})
-	u := NewFakeServer(t, func(r Received) (string, bool) {
+	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
 		if r.Header.Get("Request-Id") == "held" {
 			<-release
 		}
-		return OKResponse("ok"), false
+		return sidecartest.OKResponse("ok"), false
 	})
 	addr, _, _ := startSidecar(t, testConfig(t, options{aim: time.Second}, g.Addr, registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
-	w := Await(t, "the watch", g.Watches)
+	w := sidecartest.Await(t, "the watch", g.Watches)
 	held := call{class: "once", id: "held"}.start(t, addr)
-	Await(t, "the held one", u.Requests)
+	sidecartest.Await(t, "the held one", u.Requests)
 	tell := func(seq int, host, health string) {
 		t.Helper()
 		w.Lines <- registrytest.ListJSON(seq, false, registrytest.EndpointJSON(host, u.Addr, health, 0))
@@ -98,7 +99,7 @@
 		<-u.Requests
 	}
 	close(release)
-	if got := Await(t, "the held one's answer", held); got.status != 200 {
+	if got := sidecartest.Await(t, "the held one's answer", held); got.status != 200 {
 		t.Errorf("what ran: %+v", got)
 	}
 	tell(3, "s-1", "up")
@@ -135,7 +136,7 @@
 // client without end do meanwhile.
 func TestPhasesOfThePlannedEnd(t *testing.T) {
 	release := make(chan struct{})
-	u := NewFakeServer(t, func(Received) (string, bool) { <-release; return OKResponse("ok"), false })
+	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-release; return sidecartest.OKResponse("ok"), false })
 	old, fresh := registrytest.NewServer(t), registrytest.NewServer(t)
 	c := testConfig(t, options{}, old.Addr, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	c.Path = filepath.Join(t.TempDir(), "config.json")
@@ -145,7 +146,7 @@
 	}
 	reload := make(chan os.Signal)
 	addr, stop, ended := startReloadable(t, c, reload)
-	Await(t, "the watch", old.Watches)
+	sidecartest.Await(t, "the watch", old.Watches)
 	phase := func() string {
 		resp, err := http.Get("http://" + addr + "/health/ready")
 		if err != nil {
@@ -159,23 +160,23 @@
 		t.Errorf("before: %q", got)
 	}
 	held := call{class: "once", id: "held"}.start(t, addr)
-	Await(t, "the held one", u.Requests)
+	sidecartest.Await(t, "the held one", u.Requests)
 	stop()
-	Eventually(t, "it drains", func() bool { return phase() == "503 draining\n" })
+	sidecartest.Eventually(t, "it drains", func() bool { return phase() == "503 draining\n" })
 	stop()
 	reload <- syscall.SIGHUP
-	Await(t, "the call at the new address", fresh.ListCalls)
-	Eventually(t, "the listener is closed", func() bool { c, err := net.Dial("tcp", addr); closeIf(c, err); return err != nil })
+	sidecartest.Await(t, "the call at the new address", fresh.ListCalls)
+	sidecartest.Eventually(t, "the listener is closed", func() bool { c, err := net.Dial("tcp", addr); closeIf(c, err); return err != nil })
 	select {
 	case err := <-ended:
 		t.Fatalf("ended with a request unanswered: %v", err)
 	default:
 	}
 	close(release)
-	if got := Await(t, "the held one's answer", held); got.status != 200 {
+	if got := sidecartest.Await(t, "the held one's answer", held); got.status != 200 {
 		t.Errorf("the held one: %+v", got)
 	}
-	if err := Await(t, "the end", ended); err != nil {
+	if err := sidecartest.Await(t, "the end", ended); err != nil {
 		t.Error(err)
 	}
 }
@@ -192,35 +193,35 @@
 	t.Run("before it is ready", func(t *testing.T) {
 		_, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1"))
 		stop()
-		if err := Await(t, "the end", ended); err != nil {
+		if err := sidecartest.Await(t, "the end", ended); err != nil {
 			t.Error(err)
 		}
 	})
 	t.Run("an attempt that never ends", func(t *testing.T) {
 		t.Parallel() // it takes the request's whole time
-		u := NewFakeServer(t, Always(""))
+		u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
 		addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 		held := call{class: "once", id: "held", timeout: "1.5"}.start(t, addr)
-		Await(t, "the held one", u.Requests)
+		sidecartest.Await(t, "the held one", u.Requests)
 		stop()
-		if got := Await(t, "its answer", held); got.status != http.StatusGatewayTimeout {
+		if got := sidecartest.Await(t, "its answer", held); got.status != http.StatusGatewayTimeout {
 			t.Errorf("the held one: %+v", got)
 		}
-		if err := Await(t, "the end", ended); err != nil {
+		if err := sidecartest.Await(t, "the end", ended); err != nil {
 			t.Error(err)
 		}
 	})
 	t.Run("a client that never reads", func(t *testing.T) {
 		t.Parallel()
 		big := make([]byte, MaxResponseBody)
-		u := NewFakeServer(t, Always(OKResponse(string(big))))
+		u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse(string(big))))
 		addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 		c := dialFrom(t, "127.0.0.1", addr)
 		c.(*net.TCPConn).SetReadBuffer(4 << 10)
 		call{class: "once", id: "unread", timeout: "0.5"}.request(t, addr).Write(c)
-		Await(t, "the request", u.Requests)
+		sidecartest.Await(t, "the request", u.Requests)
 		stop()
-		if err := Await(t, "the end", ended); err != nil {
+		if err := sidecartest.Await(t, "the end", ended); err != nil {
 			t.Error(err)
 		}
 	})
@@ -228,7 +229,7 @@
 
 // begin acts once, whatever comes later.
 func TestDrainBeginsOnce(t *testing.T) {
-	l := newLimitedListener(ListenLoopback(t), testLimits(1))
+	l := newLimitedListener(sidecartest.ListenLoopback(t), testLimits(1))
 	l.start()
 	defer l.Close()
 	d := testDrain(l)
@@ -241,7 +242,7 @@
 	if done, err := d.advance(); done || err != nil || d.phase() != phaseFinishing {
 		t.Errorf("then: done %v, error %v, phase %v", done, err, d.phase())
 	}
-	Await(t, "the last connection's end", d.phaseDue())
+	sidecartest.Await(t, "the last connection's end", d.phaseDue())
 	if done, err := d.advance(); !done || err != nil || d.phase() != phaseEnded {
 		t.Errorf("at the end: done %v, error %v, phase %v", done, err, d.phase())
 	}
@@ -250,7 +251,7 @@
 // Connections that wait in the kernel's queue as the listener ends are served: the machine has
 // accepted them, and requests were written to them.
 func TestBacklogIsServedAsTheListenerEnds(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	_, limited, ending := parts(t, u, nil)
 	ending.begin()
 	var conns []net.Conn
@@ -266,7 +267,7 @@
 	limited.acceptBacklog()
 	limited.stopAccepting()
 	for i, c := range conns {
-		c.SetDeadline(time.Now().Add(Patience))
+		c.SetDeadline(time.Now().Add(sidecartest.Patience))
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode >= 500 && resp.StatusCode != http.StatusServiceUnavailable {
 			t.Errorf("connection %d: %+v, %v", i, resp, err)
 		}
--- a/internal/sidecar/limits_test.go
+++ b/internal/sidecar/limits_test.go
@@ -9,12 +9,13 @@
 	"testing"
 
 	"barleywick/internal/registry/registrytest"
+	"barleywick/internal/sidecar/sidecartest"
 )
 
 // SIGHUP puts new limits in force; limits that cannot be keep the old ones, and
 // what else the file says too.
 func TestReloadChangesLimits(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	c.Path = filepath.Join(t.TempDir(), "config.json")
 	write := func(connections string) {
--- a/internal/sidecar/load_test.go
+++ b/internal/sidecar/load_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"barleywick/internal/registry/registrytest"
+	"barleywick/internal/sidecar/sidecartest"
 )
 
 // The load on client connections, for before and after: go test -run xxx -bench
@@ -26,7 +27,7 @@
 func loaded(b *testing.B, release <-chan struct{}) (addr string) {
 	b.Helper()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	ln := ListenLoopback(b)
+	ln := sidecartest.ListenLoopback(b)
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -43,7 +44,7 @@
 					}
 					io.Copy(io.Discard, req.Body)
 					<-release
-					if _, err := io.WriteString(c, OKResponse("ok")); err != nil {
+					if _, err := io.WriteString(c, sidecartest.OKResponse("ok")); err != nil {
 						return
 					}
 				}
@@ -215,7 +216,10 @@
 			slog.SetDefault(slog.New(slog.DiscardHandler))
 			var ratio, rounds float64
 			for b.Loop() {
-				u := NewFakeServer(b, func(Received) (string, bool) { time.Sleep(rest); return OKResponse("ok"), false })
+				u := sidecartest.NewFakeServer(b, func(sidecartest.Received) (string, bool) {
+					time.Sleep(rest)
+					return sidecartest.OKResponse("ok"), false
+				})
 				addr, stop, ended := startSidecar(b, testConfig(b, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 				c := newLoadClient(b, addr)
 				if err := c.send(loadIDs.Add(1)); err != nil {
--- a/internal/sidecar/meter_test.go
+++ b/internal/sidecar/meter_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"barleywick/internal/registry/registrytest"
+	"barleywick/internal/sidecar/sidecartest"
 )
 
 // fakeMeter notes what it is told.
@@ -36,17 +37,17 @@
 }
 
 func TestMeterIsToldOfEachRequestOnce(t *testing.T) {
-	u := NewFakeServer(t, func(r Received) (string, bool) {
+	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
 		if r.Header.Get("Request-Id") == "breaks" {
 			return "", true
 		}
-		return OKResponse("ok"), false
+		return sidecartest.OKResponse("ok"), false
 	})
 	m := &fakeMeter{state: make(chan func(context.Context) (Status, error), 1)}
 	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	c.Metrics.Listen = "127.0.0.1:0"
 	addr, stop, ended := startSidecar(t, c, WithMetrics(m))
-	state := Await(t, "the meter", m.state)
+	state := sidecartest.Await(t, "the meter", m.state)
 	for _, id := range []string{"one", "two", "breaks"} {
 		call{class: "once", id: id}.do(t, addr)
 	}
@@ -65,7 +66,7 @@
 		t.Errorf("%+v", s)
 	}
 	stop()
-	if err := Await(t, "the end", ended); err != nil {
+	if err := sidecartest.Await(t, "the end", ended); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := state(t.Context()); err == nil {
@@ -102,11 +103,11 @@
 	defer slog.SetDefault(old)
 	log := new(syncBuffer)
 	slog.SetDefault(slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug})))
-	u := NewFakeServer(t, Always(OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	call{class: "once", id: "follow-me"}.do(t, addr)
 	stop()
-	if err := Await(t, "the end", ended); err != nil {
+	if err := sidecartest.Await(t, "the end", ended); err != nil {
 		t.Fatal(err)
 	}
 	lines := 0
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/peers_test.go
@@ -1,12 +1,10 @@
 package sidecar
 
 import (
-	"bufio"
 	"context"
 	"encoding/json"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"net/http/httptest"
 	"os"
@@ -18,100 +16,10 @@
 	"barleywick/internal/registry/registrytest"
 	"barleywick/internal/sidecar/config"
 	"barleywick/internal/sidecar/gate"
+	"barleywick/internal/sidecar/sidecartest"
 	"barleywick/policy"
 )
 
-const Patience = 10 * time.Second // how long a test waits for an event; it never has to in a good run
-
-// Await takes the next value of a channel.
-func Await[T any](t testing.TB, what string, c <-chan T) T {
-	t.Helper()
-	select {
-	case v := <-c:
-		return v
-	case <-time.After(Patience):
-		t.Fatalf("waited in vain for %s", what)
-		panic("unreachable")
-	}
-}
-
-// ListenLoopback opens a listener that ends with the test.
-func ListenLoopback(t testing.TB) net.Listener {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ln.Close() })
-	return ln
-}
-
-// Received is one request that a fake upstream read, with the connection it came on.
-type Received struct {
-	*http.Request
-	Body string
-	Conn net.Conn
-}
-
-// FakeServer is a fake FakeServer that speaks raw HTTP: it hands every request to
-// the test and writes what respond returns, or nothing.
-type FakeServer struct {
-	Addr     string
-	Requests chan Received
-	Accepted chan net.Conn
-	Closed   chan net.Conn // connections whose other end has closed
-}
-
-// Respond says what to write for a request and whether to close the connection after it.
-type Respond func(r Received) (text string, end bool)
-
-func OKResponse(body string) string {
-	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-}
-
-func Always(text string) Respond { return func(Received) (string, bool) { return text, false } }
-
-func NewFakeServer(t testing.TB, do Respond) *FakeServer {
-	t.Helper()
-	ln := ListenLoopback(t)
-	u := &FakeServer{
-		Addr: ln.Addr().String(), Requests: make(chan Received, 100),
-		Accepted: make(chan net.Conn, 100), Closed: make(chan net.Conn, 100),
-	}
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			t.Cleanup(func() { c.Close() })
-			u.Accepted <- c
-			go u.serve(c, do)
-		}
-	}()
-	return u
-}
-
-func (u *FakeServer) serve(c net.Conn, do Respond) {
-	in := bufio.NewReader(c)
-	for {
-		req, err := http.ReadRequest(in)
-		if err != nil {
-			u.Closed <- c
-			return
-		}
-		body, _ := io.ReadAll(req.Body)
-		r := Received{req, string(body), c}
-		u.Requests <- r
-		text, end := do(r)
-		io.WriteString(c, text)
-		if end {
-			c.Close()
-			return
-		}
-	}
-}
-
 // testSettings has one class of each effect and two tenants.
 const testSettings = `{"balancers":1,"caps":{"may_cancel":true,"probes":%v,"most_tries":3,"dial_timeout_ms":250,
 	"conn_idle_ms":30000,"max_retry_after_ms":1200,"a_later_key":[null,{"x":1}]},
@@ -165,7 +73,7 @@
 // startReloadable does the same for one that reads its configuration again.
 func startReloadable(t testing.TB, c *config.Config, reload <-chan os.Signal, opts ...Option) (addr string, stop func(), ended <-chan error) {
 	t.Helper()
-	ln := ListenLoopback(t)
+	ln := sidecartest.ListenLoopback(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	var o runOptions
 	for _, set := range opts {
@@ -258,11 +166,11 @@
 
 // handled gives a request to the client side's handler as one that was read from a
 // connection, and says whether it was left alone.
-func handled(t *testing.T, u *FakeServer) func(c *clientConn) (aborted bool) {
+func handled(t *testing.T, u *sidecartest.FakeServer) func(c *clientConn) (aborted bool) {
 	t.Helper()
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	go l.run(t.Context())
-	limited := newLimitedListener(ListenLoopback(t), testLimits(4))
+	limited := newLimitedListener(sidecartest.ListenLoopback(t), testLimits(4))
 	limited.start()
 	t.Cleanup(func() { limited.Close() })
 	s := newClientHandler(l.config, l, testDrain(limited))
@@ -276,7 +184,7 @@
 
 // runOneAttempt carries one attempt out over a pool of its own.
 func runOneAttempt(ctx context.Context, p *Pool, to *Server) (policy.Ending, *Response) {
-	r := &Request{Method: "POST", URL: MustURL("/api"), Host: "service.internal", Header: http.Header{"Request-Id": {"x"}}, Body: []byte("{}")}
+	r := &Request{Method: "POST", URL: sidecartest.MustURL("/api"), Host: "service.internal", Header: http.Header{"Request-Id": {"x"}}, Body: []byte("{}")}
 	return newTestTransport(p).Do(newTestAttempt(ctx, r, to, time.Time{}, time.Time{}))
 }
 
--- a/internal/sidecar/pool_dial_test.go
+++ b/internal/sidecar/pool_dial_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"net"
 	"os"
 	"sync"
@@ -12,6 +11,7 @@
 	"time"
 
 	"barleywick/internal/sidecar/config"
+	"barleywick/internal/sidecar/sidecartest"
 	"barleywick/policy"
 )
 
@@ -34,8 +34,8 @@
 // Handshakes to one upstream and to all are bounded, and who waits is served in turn.
 func TestHandshakesAreBounded(t *testing.T) {
 	// A full backlog leaves handshakes hanging, as a machine does that was cut off.
-	silent, again := NewBlackHole(t), NewBlackHole(t)
-	p := NewPool(Patience, 30*time.Second, config.UpstreamLimits{Total: 20, PerServer: 10, Handshakes: 5, HandshakesPerServer: 3}, 1)
+	silent, again := sidecartest.NewBlackHole(t), sidecartest.NewBlackHole(t)
+	p := NewPool(sidecartest.Patience, 30*time.Second, config.UpstreamLimits{Total: 20, PerServer: 10, Handshakes: 5, HandshakesPerServer: 3}, 1)
 	defer p.Close()
 	ctx, cancel := context.WithCancel(t.Context())
 	var callers sync.WaitGroup
@@ -51,13 +51,13 @@
 	a, b, c := NewServer(silent), NewServer(again), NewServer(again)
 	a.dialWindow, b.dialWindow = 10, 10
 	ask(a, 8)
-	Eventually(t, "the first handshakes are under way", func() bool { _, now := p.Counters(); return now.Waiting == 8 })
+	sidecartest.Eventually(t, "the first handshakes are under way", func() bool { _, now := p.Counters(); return now.Waiting == 8 })
 	if _, now := p.Counters(); now.Handshakes != 3 {
 		t.Errorf("%d handshakes to one upstream, want 3", now.Handshakes)
 	}
 	ask(b, 8)
 	ask(c, 8)
-	Eventually(t, "all wait", func() bool { _, now := p.Counters(); return now.Waiting == 24 })
+	sidecartest.Eventually(t, "all wait", func() bool { _, now := p.Counters(); return now.Waiting == 24 })
 	if _, now := p.Counters(); now.Handshakes != 5 || now.Open != 5 {
 		t.Errorf("%d handshakes and %d open in all, want 5", now.Handshakes, now.Open)
 	}
@@ -68,39 +68,9 @@
 	}
 }
 
-// NewBlackHole returns an address where connections neither come up nor fail.
-func NewBlackHole(t *testing.T) string {
-	t.Helper()
-	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { syscall.Close(fd) })
-	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-		t.Fatal(err)
-	}
-	if err := syscall.Listen(fd, 0); err != nil {
-		t.Fatal(err)
-	}
-	name, err := syscall.Getsockname(fd)
-	if err != nil {
-		t.Fatal(err)
-	}
-	addr := fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
-	for range 8 { // nobody accepts: the backlog fills, and further ones hang
-		c, err := net.DialTimeout("tcp", addr, 50*time.Millisecond)
-		if err != nil {
-			return addr
-		}
-		t.Cleanup(func() { c.Close() })
-	}
-	t.Skip("this kernel does not let a backlog fill")
-	return ""
-}
-
 // An upstream that was out of reach gets one handshake at a time until one succeeds.
 func TestHandshakesBeginSlowly(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p := testPool(20)
 	defer p.Close()
 	to := NewServer(u.Addr)
@@ -123,9 +93,9 @@
 // Who waits is served in the order of arrival, by a connection that comes back
 // as by one that comes up; who has left is passed over.
 func TestWaitersAreServedInTurn(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, to := testPool(1), NewServer(u.Addr)
-	p.dialTimeout = Patience
+	p.dialTimeout = sidecartest.Patience
 	defer p.Close()
 	c, err := p.Acquire(t.Context(), to)
 	if err != nil {
@@ -145,15 +115,15 @@
 				p.Release(c)
 			}
 		}()
-		Eventually(t, "it waits", func() bool { return waiters(p) == i+1 })
+		sidecartest.Eventually(t, "it waits", func() bool { return waiters(p) == i+1 })
 	}
 	left()
-	if got := Await(t, "the one that leaves", served); got != 2 {
+	if got := sidecartest.Await(t, "the one that leaves", served); got != 2 {
 		t.Fatalf("%d left", got)
 	}
 	p.Release(c)
 	for _, want := range []int{0, 1, 3, 4} {
-		if got := Await(t, "the next", served); got != want {
+		if got := sidecartest.Await(t, "the next", served); got != want {
 			t.Errorf("%d was served, want %d", got, want)
 		}
 	}
@@ -166,7 +136,7 @@
 
 // Limits of our own are no word against an upstream.
 func TestOwnLimitsAreNoFailureOfTheUpstream(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, to := poolOf(20*time.Millisecond, 30*time.Second, 1), NewServer(u.Addr)
 	defer p.Close()
 	if _, err := p.Acquire(t.Context(), to); err != nil {
@@ -175,7 +145,7 @@
 	if got, _ := runOneAttempt(t.Context(), p, NewServer(u.Addr)); got != policy.NotSent {
 		t.Errorf("ending %v, want not sent", got)
 	}
-	if got, _ := runOneAttempt(t.Context(), poolOf(20*time.Millisecond, time.Second, 1), NewServer(NewBlackHole(t))); got != policy.NoConnection {
+	if got, _ := runOneAttempt(t.Context(), poolOf(20*time.Millisecond, time.Second, 1), NewServer(sidecartest.NewBlackHole(t))); got != policy.NoConnection {
 		t.Errorf("an upstream that says nothing: ending %v, want no connection", got)
 	}
 }
--- a/internal/sidecar/pool_test.go
+++ b/internal/sidecar/pool_test.go
@@ -7,6 +7,7 @@
 
 	"barleywick/internal/sidecar/config"
 	"barleywick/internal/sidecar/gate"
+	"barleywick/internal/sidecar/sidecartest"
 	"barleywick/internal/sidecar/socket"
 	"barleywick/policy"
 )
@@ -17,11 +18,11 @@
 func TestSilenceMakesIdleConnectionsSuspect(t *testing.T) {
 	for name, heard := range map[string]bool{"silent": false, "one slow request": true} {
 		t.Run(name, func(t *testing.T) {
-			u := NewFakeServer(t, func(r Received) (string, bool) {
+			u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
 				if r.Header.Get("Request-Id") == "x" {
 					return "", false
 				}
-				return OKResponse(""), false
+				return sidecartest.OKResponse(""), false
 			})
 			p, to := testPool(8), NewServer(u.Addr)
 			defer p.Close()
@@ -34,14 +35,14 @@
 			defer cancel()
 			ending := make(chan policy.Ending, 1)
 			go func() { e, _ := runOneAttempt(ctx, p, to); ending <- e }()
-			Await(t, "the request", u.Requests)
+			sidecartest.Await(t, "the request", u.Requests)
 			if heard {
 				ups := NewTransport(p, gate.New(), "/stats", nil)
 				if ok, _ := ups.Probe(t.Context(), to); !ok {
 					t.Fatal("the probe failed")
 				}
 			}
-			if got := Await(t, "its end", ending); got != policy.TimedOut {
+			if got := sidecartest.Await(t, "its end", ending); got != policy.TimedOut {
 				t.Fatalf("ending %v", got)
 			}
 			endAllQuarantines(p)
@@ -56,7 +57,7 @@
 // Connections beyond what was in use at once lately are closed long before an
 // upstream would; the last one is not.
 func TestIdleConnectionsAreKeptByNeed(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, to := poolOf(time.Second, time.Minute, 8), NewServer(u.Addr)
 	defer p.Close()
 	conns := connections(t, p, to, 5)
@@ -87,14 +88,14 @@
 
 // Attempts that wait for a connection to a host that leaves are told at once.
 func TestWaitersOfAHostThatLeaves(t *testing.T) {
-	p, to := testPool(4), NewServer(NewBlackHole(t))
-	p.dialTimeout = Patience
+	p, to := testPool(4), NewServer(sidecartest.NewBlackHole(t))
+	p.dialTimeout = sidecartest.Patience
 	defer p.Close()
 	ending := make(chan policy.Ending, 1)
 	go func() { e, _ := runOneAttempt(t.Context(), p, to); ending <- e }()
-	Eventually(t, "it waits", func() bool { return waiters(p) == 1 })
+	sidecartest.Eventually(t, "it waits", func() bool { return waiters(p) == 1 })
 	p.Retire(to)
-	if got := Await(t, "its end", ending); got != policy.NotSent {
+	if got := sidecartest.Await(t, "its end", ending); got != policy.NotSent {
 		t.Errorf("ending %v, want not sent", got)
 	}
 	if got, _ := runOneAttempt(t.Context(), p, to); got != policy.NotSent {
@@ -104,7 +105,7 @@
 
 // New limits act on what is open.
 func TestLimitsChangeUnderWay(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, to := testPool(8), NewServer(u.Addr)
 	defer p.Close()
 	conns := connections(t, p, to, 4)
@@ -157,7 +158,7 @@
 }
 
 func TestPoolReusesTheMostRecentConnection(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, to := testPool(4), NewServer(u.Addr)
 	a, err := p.Acquire(context.Background(), to)
 	if err != nil {
@@ -181,13 +182,13 @@
 }
 
 func TestPoolDropsWhatThePeerClosed(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, to := testPool(4), NewServer(u.Addr)
 	c, err := p.Acquire(context.Background(), to)
 	if err != nil {
 		t.Fatal(err)
 	}
-	peer := Await(t, "the connection", u.Accepted)
+	peer := sidecartest.Await(t, "the connection", u.Accepted)
 	if !socket.IsIdle(c.Conn) {
 		t.Error("a live idle connection is taken for a closed one")
 	}
@@ -206,7 +207,7 @@
 }
 
 func TestPoolClosesBeforeTheUpstreamDoes(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, to := poolOf(time.Second, 10*time.Second, 4), NewServer(u.Addr)
 	c, err := p.Acquire(context.Background(), to)
 	if err != nil {
@@ -222,7 +223,7 @@
 		t.Errorf("an idle connection is kept for %v, want %v to %v", c.idleLimit, least, p.maxIdle)
 	}
 	p.Sweep(c.idleSince.Add(c.idleLimit))
-	Await(t, "the connection's end", u.Closed)
+	sidecartest.Await(t, "the connection's end", u.Closed)
 	if p.opened() != 0 {
 		t.Error("the slot was not given back")
 	}
@@ -230,7 +231,7 @@
 
 // At the bound an idle connection makes way, to whatever upstream it goes.
 func TestPoolKeepsToItsBound(t *testing.T) {
-	a, b := NewFakeServer(t, Always(OKResponse(""))), NewFakeServer(t, Always(OKResponse("")))
+	a, b := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse(""))), sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, toA, toB := testPool(2), NewServer(a.Addr), NewServer(b.Addr)
 	first, err := p.Acquire(context.Background(), toA)
 	if err != nil {
@@ -244,15 +245,15 @@
 	if _, err := p.Acquire(context.Background(), toB); err != nil {
 		t.Fatalf("no room was made: %v", err)
 	}
-	Await(t, "the idle connection's end", a.Closed)
+	sidecartest.Await(t, "the idle connection's end", a.Closed)
 	waits := make(chan error, 1)
 	go func() {
 		_, err := p.Acquire(context.Background(), toB)
 		waits <- err
 	}()
-	Await(t, "the second connection", a.Accepted) // both were accepted by now
-	p.Release(second)                             // or drop, if the other waits already: either way there is room
-	if err := Await(t, "a connection", waits); err != nil {
+	sidecartest.Await(t, "the second connection", a.Accepted) // both were accepted by now
+	p.Release(second)                                         // or drop, if the other waits already: either way there is room
+	if err := sidecartest.Await(t, "a connection", waits); err != nil {
 		t.Errorf("a waiting caller got %v", err)
 	}
 	if n := p.opened(); n != 2 {
@@ -263,7 +264,7 @@
 // Another host may come to the address of one that has gone, and an attempt at
 // the old one may still be out by then: its connection is not the new one's.
 func TestConnectionsBelongToTheirHost(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, old := testPool(4), NewServer(u.Addr)
 	idle, err := p.Acquire(t.Context(), old)
 	if err != nil {
@@ -275,7 +276,7 @@
 	}
 	p.Release(idle)
 	p.Retire(old)
-	Await(t, "the idle connection's end", u.Closed)
+	sidecartest.Await(t, "the idle connection's end", u.Closed)
 	fresh, err := p.Acquire(t.Context(), NewServer(u.Addr))
 	if err != nil {
 		t.Fatal(err)
@@ -284,7 +285,7 @@
 		t.Error("the new host got the old one's connection")
 	}
 	p.Release(out)
-	Await(t, "the end of the one that was out", u.Closed)
+	sidecartest.Await(t, "the end of the one that was out", u.Closed)
 	if p.opened() != 1 || p.idle.Len() != 0 {
 		t.Errorf("%d connections are open and %d idle, want 1 and none", p.opened(), p.idle.Len())
 	}
--- a/internal/sidecar/quarantine_test.go
+++ b/internal/sidecar/quarantine_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"barleywick/internal/sidecar/sidecartest"
 	"barleywick/policy"
 )
 
@@ -23,10 +24,10 @@
 	for name, alike := range map[string]bool{"answers differ": false, "answers are alike": true} {
 		t.Run(name, func(t *testing.T) {
 			last := ""
-			u := NewFakeServer(t, func(r Received) (string, bool) {
+			u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
 				first := last
-				if last = OKResponse("done " + r.Header.Get("Request-Id")); alike {
-					last = OKResponse("done")
+				if last = sidecartest.OKResponse("done " + r.Header.Get("Request-Id")); alike {
+					last = sidecartest.OKResponse("done")
 				}
 				if first == "" || alike {
 					return last, false
@@ -39,7 +40,7 @@
 				makeDuplicatesConclusive(p)
 			}
 			for i := range distinctRunNeeded + 4 {
-				r := &Request{ID: fmt.Sprint(i), Method: "POST", URL: MustURL("/"), Host: "x", Header: http.Header{"Request-Id": {fmt.Sprint(i)}}}
+				r := &Request{ID: fmt.Sprint(i), Method: "POST", URL: sidecartest.MustURL("/"), Host: "x", Header: http.Header{"Request-Id": {fmt.Sprint(i)}}}
 				ending, got := newTestTransport(p).Do(newTestAttempt(t.Context(), r, to, time.Now().Add(time.Hour), time.Time{}))
 				want := fmt.Sprint("done ", i)
 				if alike {
@@ -79,17 +80,17 @@
 // What comes behind a good answer and belongs to no request, even a little
 // later, must not be taken for the next one's answer.
 func TestExcessIsNoAnswer(t *testing.T) {
-	for name, behind := range map[string]string{"in the same write": OKResponse("stale"), "later": ""} {
+	for name, behind := range map[string]string{"in the same write": sidecartest.OKResponse("stale"), "later": ""} {
 		t.Run(name, func(t *testing.T) {
-			u := NewFakeServer(t, func(r Received) (string, bool) { return OKResponse("good") + behind, false })
+			u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) { return sidecartest.OKResponse("good") + behind, false })
 			p, to := testPool(4), NewServer(u.Addr)
 			for i := range 20 {
 				ending, a := runOneAttempt(t.Context(), p, to)
 				if ending != policy.Served || string(a.Body) != "good" {
 					t.Fatalf("attempt %d: ending %v, answer %+v", i, ending, a)
 				}
-				if r := Await(t, "the request", u.Requests); behind == "" {
-					io.WriteString(r.Conn, OKResponse("stale"))
+				if r := sidecartest.Await(t, "the request", u.Requests); behind == "" {
+					io.WriteString(r.Conn, sidecartest.OKResponse("stale"))
 				}
 			}
 			if len(u.Accepted) != 20 {
@@ -102,7 +103,7 @@
 // A second answer may come some milliseconds behind the first. A connection that has not rested for so
 // long is not used while there is one that has, nor before it has.
 func TestConnectionRestsBeforeTheNextRequest(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	p, to := testPool(4), NewServer(u.Addr)
 	get := func() *Conn {
 		t.Helper()
@@ -122,7 +123,7 @@
 	if c := get(); c == second {
 		t.Errorf("a connection is used %v after its last answer", time.Since(c.idleSince))
 	}
-	Eventually(t, "the rest is over", func() bool { _, now := p.Counters(); return now.Resting == 0 })
+	sidecartest.Eventually(t, "the rest is over", func() bool { _, now := p.Counters(); return now.Resting == 0 })
 	if c := get(); c != second || time.Since(c.idleSince) < minQuarantine {
 		t.Errorf("a connection is used %v after its last answer", time.Since(c.idleSince))
 	}
--- a/internal/sidecar/races_test.go
+++ b/internal/sidecar/races_test.go
@@ -15,16 +15,17 @@
 	"time"
 
 	"barleywick/internal/registry/registrytest"
+	"barleywick/internal/sidecar/sidecartest"
 	"barleywick/policy"
 )
 
 // The time in which a request may be sent again is over while it waits for a connection.
 func TestRepeatKeepsToItsWindowAtTheWrite(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	p, to := testPool(1), NewServer(u.Addr)
 	ups := newTestTransport(p)
 	out := connections(t, p, to, 1)[0]
-	r := &Request{Method: "POST", URL: MustURL("/api"), Host: "x", Header: map[string][]string{"Request-Id": {"x"}}}
+	r := &Request{Method: "POST", URL: sidecartest.MustURL("/api"), Host: "x", Header: map[string][]string{"Request-Id": {"x"}}}
 	a := newTestAttempt(t.Context(), r, to, time.Time{}, time.Now().Add(20*time.Millisecond))
 	if got, _ := ups.Do(a); got != policy.NotSent {
 		t.Errorf("waiting for a connection: ending %v, want not sent", got)
@@ -45,11 +46,11 @@
 
 // The window is checked between the choice of a connection and the write, too.
 func TestRepeatIsNotWrittenAfterItsWindow(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	p, to := testPool(1), NewServer(u.Addr)
 	ups := newTestTransport(p)
 	c := connections(t, p, to, 1)[0]
-	r := &Request{Method: "POST", URL: MustURL("/api"), Host: "x", Header: map[string][]string{"Request-Id": {"x"}}}
+	r := &Request{Method: "POST", URL: sidecartest.MustURL("/api"), Host: "x", Header: map[string][]string{"Request-Id": {"x"}}}
 	a := newTestAttempt(t.Context(), r, to, time.Time{}, time.Now().Add(-time.Millisecond))
 	if x, err := ups.exchange(a.ctx, a.permit(), c, r.outgoing(a.ctx)); err == nil || x.written() {
 		t.Errorf("got written %v, error %v; want an error before the write", x.writtenAt, err)
@@ -62,7 +63,7 @@
 // A client leaves while its attempt waits for a connection. Where attempts may not be called
 // off, one that has not begun is still not to begin.
 func TestAttemptDoesNotBeginOnceItsClientHasGone(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	config := l.config.Policy
 	config.MayCancel = false
@@ -80,21 +81,21 @@
 	out := connections(t, pool, to, 1)[0]
 	go l.run(t.Context())
 	r := &request{
-		Request: Request{ID: "leaves", Method: "POST", URL: MustURL("/api"), Host: "x", Header: map[string][]string{"Request-Id": {"leaves"}}},
+		Request: Request{ID: "leaves", Method: "POST", URL: sidecartest.MustURL("/api"), Host: "x", Header: map[string][]string{"Request-Id": {"leaves"}}},
 		class:   2, clientDeadline: time.Now().Add(4 * time.Second), result: make(chan response, 1),
 	}
 	l.post(requestArrived{r})
-	Eventually(t, "the attempt waits", func() bool { return waiters(pool) == 1 })
+	sidecartest.Eventually(t, "the attempt waits", func() bool { return waiters(pool) == 1 })
 	l.post(clientDisconnected{r})
 	handled := make(chan struct{})
 	l.post(fleetPolicyReceived{done: handled})
-	Await(t, "the loop", handled)
+	sidecartest.Await(t, "the loop", handled)
 	pool.Release(out) // the attempt's turn, if it still waits
 	// The pool's one connection serves one after the other: the next request comes behind.
 	if got, _ := runOneAttempt(t.Context(), pool, to); got != policy.Served {
 		t.Errorf("the next attempt: ending %v", got)
 	}
-	if first := Await(t, "a request", u.Requests); first.Header.Get("Request-Id") == "leaves" {
+	if first := sidecartest.Await(t, "a request", u.Requests); first.Header.Get("Request-Id") == "leaves" {
 		t.Error("the attempt began although its client had gone")
 	}
 }
@@ -102,14 +103,14 @@
 // A request in chunks that names no length beside them has a certain end, on a new
 // connection as on a kept one, and whatever comes in one piece or byte by byte.
 func TestRequestInChunksIsServed(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(Patience))
+	c.SetDeadline(time.Now().Add(sidecartest.Patience))
 	answers := bufio.NewReader(c)
 	for i, piece := range []int{1 << 10, 1, 7} {
 		fmt.Fprintf(c, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") // it leaves nothing behind
@@ -132,7 +133,7 @@
 		if resp.StatusCode != 200 || string(body) != "ok" {
 			t.Errorf("request %d: got %d %q", i, resp.StatusCode, body)
 		}
-		if r := Await(t, "the request", u.Requests); r.Body != "honey pot" || r.ContentLength != 9 || len(r.TransferEncoding) > 0 {
+		if r := sidecartest.Await(t, "the request", u.Requests); r.Body != "honey pot" || r.ContentLength != 9 || len(r.TransferEncoding) > 0 {
 			t.Errorf("request %d: the upstream read %q, length %d, encoding %v", i, r.Body, r.ContentLength, r.TransferEncoding)
 		}
 	}
@@ -140,7 +141,7 @@
 
 // An answer without a length ends with its connection, but not with a reset.
 func TestResetIsNoEndOfAnAnswer(t *testing.T) {
-	u := NewFakeServer(t, func(r Received) (string, bool) {
+	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
 		io.WriteString(r.Conn, "HTTP/1.1 200 OK\r\n\r\nhoney")
 		r.Conn.(*net.TCPConn).SetLinger(0) // its close is a reset
 		return "", true
@@ -153,7 +154,7 @@
 // A client may leave long before its request is read, where that waited for a place. The
 // request is not sent on, although net/http has not noticed yet that nobody is there.
 func TestRequestOfAClientThatLeftUnreadIsNotSent(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	serve := handled(t, u)
 	for name, leave := range map[string]func(net.Conn){
 		"closed": func(far net.Conn) { far.Close() },
@@ -164,7 +165,7 @@
 			t.Fatal("it left before it did")
 		}
 		leave(far)
-		if Eventually(t, "the close has come", c.ClosedByClient); serve(c) || isBusy(c) || len(u.Requests) > 0 {
+		if sidecartest.Eventually(t, "the close has come", c.ClosedByClient); serve(c) || isBusy(c) || len(u.Requests) > 0 {
 			t.Errorf("%s: the request was taken or closed over, %d went upstream", name, len(u.Requests))
 		}
 	}
@@ -177,10 +178,10 @@
 
 // parts runs a sidecar's client side and its loop, whose parts a test needs at hand. onRead is
 // called in the middle of each read from a client.
-func parts(t *testing.T, u *FakeServer, onRead func()) (*eventLoop, *limitedListener, *gracefulShutdown) {
+func parts(t *testing.T, u *sidecartest.FakeServer, onRead func()) (*eventLoop, *limitedListener, *gracefulShutdown) {
 	t.Helper()
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
-	limited := newLimitedListener(ListenLoopback(t), testLimits(4))
+	limited := newLimitedListener(sidecartest.ListenLoopback(t), testLimits(4))
 	l.activeConnections = limited.possiblyActive
 	ending := testDrain(limited)
 	server := newClientHandler(l.config, l, ending).newServer()
@@ -205,11 +206,11 @@
 // neither the client's end nor, at the end of this process, the answer: a close over it would be a reset.
 func TestClientIsWatchedBehindWhatItSentAhead(t *testing.T) {
 	const ahead = 3 * maxHeaderBytes // more than is read with the first request
-	begin := func(t *testing.T) (u *FakeServer, goOn chan struct{}, limited *limitedListener, ending *gracefulShutdown, c *net.TCPConn) {
+	begin := func(t *testing.T) (u *sidecartest.FakeServer, goOn chan struct{}, limited *limitedListener, ending *gracefulShutdown, c *net.TCPConn) {
 		goOn = make(chan struct{})
-		u = NewFakeServer(t, func(Received) (string, bool) {
+		u = sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) {
 			<-goOn
-			return OKResponse("ok"), false
+			return sidecartest.OKResponse("ok"), false
 		})
 		_, limited, ending = parts(t, u, nil)
 		nc, err := net.Dial("tcp", limited.Addr().String())
@@ -217,9 +218,9 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { nc.Close() })
-		nc.SetDeadline(time.Now().Add(Patience))
+		nc.SetDeadline(time.Now().Add(sidecartest.Patience))
 		io.WriteString(nc, rawHead("first")+"Content-Length: 0\r\n\r\n")
-		Await(t, "the first request", u.Requests)
+		sidecartest.Await(t, "the first request", u.Requests)
 		if _, err := io.WriteString(nc, rawHead("second")+strings.Repeat("x", ahead)); err != nil {
 			t.Fatal(err)
 		}
@@ -233,7 +234,7 @@
 		if got, _ := io.ReadAll(c); strings.Count(string(got), "HTTP/1.1 ") > 1 || !strings.HasPrefix(string(got), "HTTP/1.1 502 ") {
 			t.Errorf("its end was not seen with its request in work: it was answered %q", got)
 		}
-		Eventually(t, "the connection has ended", func() bool { return limited.openConns() == 0 })
+		sidecartest.Eventually(t, "the connection has ended", func() bool { return limited.openConns() == 0 })
 		close(goOn)
 	})
 	t.Run("this process ends", func(t *testing.T) {
@@ -249,7 +250,7 @@
 			t.Errorf("behind the answer's head came %q, error %v; want its body and an orderly end", rest, err)
 		}
 		c.Close()
-		Eventually(t, "the connection has ended", func() bool { return limited.openConns() == 0 })
+		sidecartest.Eventually(t, "the connection has ended", func() bool { return limited.openConns() == 0 })
 		if n := len(u.Requests); n > 0 {
 			t.Errorf("%d requests went upstream that were read after the end", n)
 		}
@@ -259,16 +260,16 @@
 // A request is half read as another process takes this one's place. It is this one's still, and
 // has its slot here: it is served, and not refused for slots that were given away under it.
 func TestRequestHalfReadAsTheListenerIsGivenAwayIsServed(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	l, limited, ending := parts(t, u, nil)
 	c, err := net.Dial("tcp", limited.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(Patience))
+	c.SetDeadline(time.Now().Add(sidecartest.Patience))
 	io.WriteString(c, rawHead("half")+"Content-Length: 4\r\n\r\nho")
-	Eventually(t, "its header is read", func() bool {
+	sidecartest.Eventually(t, "its header is read", func() bool {
 		_, now := limited.counters()
 		return now.Open == 1 && now.HalfOpen == 0
 	})
@@ -284,7 +285,7 @@
 		t.Fatalf("answered %+v, error %v; want 200 and the end", resp, err)
 	}
 	io.Copy(io.Discard, resp.Body)
-	Await(t, "the end of its connection", limited.allEnded)
+	sidecartest.Await(t, "the end of its connection", limited.allEnded)
 	if held := l.releaseCapacity(); len(held) == 0 || held[0] != (policy.BulkheadCapacity{}) {
 		t.Errorf("it keeps %v at the end", held)
 	}
@@ -293,7 +294,7 @@
 // A request is being read on a resting connection as the end begins: it is answered, and its
 // answer closes the connection.
 func TestRequestReadAsTheEndBeginsIsAnswered(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	var reads atomic.Int32
 	reading, goOn := make(chan struct{}), make(chan struct{})
 	_, limited, ending := parts(t, u, func() {
@@ -307,7 +308,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(Patience))
+	c.SetDeadline(time.Now().Add(sidecartest.Patience))
 	answers := bufio.NewReader(c)
 	ask := func(id string) { io.WriteString(c, rawHead(id)+"Content-Length: 0\r\n\r\n") }
 	answer := func() *http.Response {
@@ -323,15 +324,15 @@
 	if got := answer(); got.StatusCode != 200 || got.Close {
 		t.Fatalf("before the end: %d, close %v", got.StatusCode, got.Close)
 	}
-	Eventually(t, "it rests", func() bool { _, now := limited.counters(); return now.Idle == 1 })
+	sidecartest.Eventually(t, "it rests", func() bool { _, now := limited.counters(); return now.Idle == 1 })
 	ask("second")
-	Await(t, "the middle of its read", reading)
+	sidecartest.Await(t, "the middle of its read", reading)
 	begun := make(chan struct{})
 	go func() {
 		ending.begin()
 		close(begun)
 	}()
-	Eventually(t, "the end holds the listener and waits for the read", func() bool {
+	sidecartest.Eventually(t, "the end holds the listener and waits for the read", func() bool {
 		free := limited.mu.TryLock() // nobody else wants it now
 		if free {
 			limited.mu.Unlock()
@@ -342,7 +343,7 @@
 	if got := answer(); got.StatusCode != 200 || !got.Close {
 		t.Errorf("as the end begins: %d, close %v", got.StatusCode, got.Close)
 	}
-	Await(t, "the end's beginning", begun)
+	sidecartest.Await(t, "the end's beginning", begun)
 	if len(u.Requests) != 2 {
 		t.Errorf("%d requests went upstream", len(u.Requests))
 	}
@@ -351,9 +352,9 @@
 // Wherever the answer to an unsafe request breaks off, it was sent once, and its client is
 // not told that it may try again.
 func TestUnsafeIsSentOnceWhereverItsAnswerBreaksOff(t *testing.T) {
-	whole := OKResponse("ok")
+	whole := sidecartest.OKResponse("ok")
 	var most atomic.Int32
-	u := NewFakeServer(t, func(r Received) (string, bool) {
+	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
 		io.WriteString(r.Conn, whole[:most.Load()])
 		r.Conn.(*net.TCPConn).SetLinger(0) // its close is a reset
 		return "", int(most.Load()) < len(whole)
@@ -374,7 +375,7 @@
 			}
 			continue
 		}
-		if r := Await(t, "the attempt", u.Requests); r.Header.Get("Request-Id") != fmt.Sprint("cut-", n) || len(u.Requests) > 0 {
+		if r := sidecartest.Await(t, "the attempt", u.Requests); r.Header.Get("Request-Id") != fmt.Sprint("cut-", n) || len(u.Requests) > 0 {
 			t.Errorf("cut after %d bytes: %s and %d more attempts", n, r.Header.Get("Request-Id"), len(u.Requests))
 		}
 		tried++
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"barleywick/internal/registry/registrytest"
+	"barleywick/internal/sidecar/sidecartest"
 	"barleywick/policy"
 )
 
@@ -19,11 +20,11 @@
 // served and told to close, and idle ones are closed before the listener goes.
 func TestPlannedRestartLosesNothing(t *testing.T) {
 	release := make(chan struct{})
-	u := NewFakeServer(t, func(r Received) (string, bool) {
+	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
 		if r.Header.Get("Request-Id") == "held" {
 			<-release
 		}
-		return OKResponse("ok"), false
+		return sidecartest.OKResponse("ok"), false
 	})
 	addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	idle, err := net.Dial("tcp", addr)
@@ -31,7 +32,7 @@
 		t.Fatal(err)
 	}
 	defer idle.Close()
-	idle.SetDeadline(time.Now().Add(Patience))
+	idle.SetDeadline(time.Now().Add(sidecartest.Patience))
 	call{class: "once", id: "first"}.request(t, addr).Write(idle)
 	in := bufio.NewReader(idle)
 	if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 200 || resp.Close {
@@ -39,9 +40,9 @@
 	} else {
 		in.Discard(int(resp.ContentLength))
 	}
-	Await(t, "the first", u.Requests)
+	sidecartest.Await(t, "the first", u.Requests)
 	held := call{class: "once", id: "held"}.start(t, addr)
-	Await(t, "the held one", u.Requests)
+	sidecartest.Await(t, "the held one", u.Requests)
 	stop()
 	if _, err := in.Peek(1); err == nil { // returns when the idle connection is closed
 		t.Error("bytes nobody asked for")
@@ -52,7 +53,7 @@
 		t.Fatalf("a new connection after the announcement: %v", err)
 	}
 	defer fresh.Close()
-	fresh.SetDeadline(time.Now().Add(Patience))
+	fresh.SetDeadline(time.Now().Add(sidecartest.Patience))
 	call{class: "once", id: "fresh"}.request(t, addr).Write(fresh)
 	if resp, err := http.ReadResponse(bufio.NewReader(fresh), nil); err != nil || resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("on a new connection: %+v, error %v; want 200 and close", resp, err)
@@ -63,10 +64,10 @@
 	case <-time.After(lateArrivalTime): // the listener has gone or is about to
 	}
 	close(release)
-	if got := Await(t, "the held one's answer", held); got.status != 200 || got.body != "ok" {
+	if got := sidecartest.Await(t, "the held one's answer", held); got.status != 200 || got.body != "ok" {
 		t.Errorf("the held one: %+v", got)
 	}
-	if err := Await(t, "the end", ended); err != nil {
+	if err := sidecartest.Await(t, "the end", ended); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
@@ -75,7 +76,7 @@
 // connection closed as idle in that moment must not have its request taken: the
 // client sends it once more.
 func TestRequestOnAConnectionClosedAsIdleIsLeftAlone(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	serve := handled(t, u)
 	closed, open := newClientConn(&net.TCPConn{}), newClientConn(&net.TCPConn{})
 	closed.closeIdle(false)
@@ -93,15 +94,15 @@
 // Nothing is sent again behind the module's back, not even a request that may be
 // repeated, when a kept connection breaks under it.
 func TestNoHiddenAttempts(t *testing.T) {
-	u := NewFakeServer(t, func(r Received) (string, bool) {
+	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
 		if r.Header.Get("Request-Id") == "breaks" {
 			return "", true
 		}
-		return OKResponse("ok"), false
+		return sidecartest.OKResponse("ok"), false
 	})
 	p, to := testPool(4), NewServer(u.Addr)
 	try := func(id string) policy.Ending {
-		r := &Request{Method: "GET", URL: MustURL("/"), Host: "x", Header: http.Header{"Request-Id": {id}, "Idempotency-Key": {"k"}}}
+		r := &Request{Method: "GET", URL: sidecartest.MustURL("/"), Host: "x", Header: http.Header{"Request-Id": {id}, "Idempotency-Key": {"k"}}}
 		ending, _ := newTestTransport(p).Do(newTestAttempt(t.Context(), r, to, time.Time{}, time.Time{}))
 		return ending
 	}
@@ -118,7 +119,7 @@
 }
 
 func TestConnectionsAreReused(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{probes: true}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	const requests, apart = 12, MaxQuarantine + 20*time.Millisecond // each connection has rested by the next request
 	for i := range requests {
@@ -159,7 +160,7 @@
 		t.Fatal("an early timer disarmed the alarm")
 	}
 	for l.now < due { // it is armed for what was left at the made-up time, and so early again
-		Await(t, "the timer", l.timer.C)
+		sidecartest.Await(t, "the timer", l.timer.C)
 		l.now = l.clock()
 		l.wake()
 	}
@@ -177,7 +178,7 @@
 	l.Fail(r.id)
 	l.Refuse(r.id, 0)
 	l.handle(clientDisconnected{r})
-	if a := Await(t, "the answer", r.result); a.status != http.StatusBadGateway || len(r.result) > 0 {
+	if a := sidecartest.Await(t, "the answer", r.result); a.status != http.StatusBadGateway || len(r.result) > 0 {
 		t.Errorf("answered %d, and %d times more", a.status, len(r.result))
 	}
 	if len(l.requests) > 0 || l.requestNames.isInUse(r.ID) {
@@ -188,17 +189,17 @@
 // An answer that comes when its client has left finds nobody, but must not
 // leave the request behind.
 func TestLateAnswerLeavesNothingBehind(t *testing.T) {
-	u := NewFakeServer(t, Always(""))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	r := call{class: "once"}.request(t, u.Addr)
 	held := &request{
 		Request: Request{ID: "x", Method: r.Method, URL: r.URL, Host: r.Host, Header: r.Header},
-		class:   2, clientDeadline: time.Now().Add(Patience),
+		class:   2, clientDeadline: time.Now().Add(sidecartest.Patience),
 		result: make(chan response, 1),
 	}
 	l.now = l.clock()
 	l.handle(requestArrived{held})
-	Await(t, "the attempt", u.Requests)
+	sidecartest.Await(t, "the attempt", u.Requests)
 	l.handle(clientDisconnected{held})
 	l.handle(attemptEnded{held.attempts[0], policy.Served, &Response{}})
 	if len(l.requests) > 0 || len(held.result) > 0 {
@@ -216,7 +217,7 @@
 	} {
 		l.requests[r.id] = r
 		l.Fail(r.id)
-		if a := Await(t, "the answer", r.result); a.status != want {
+		if a := sidecartest.Await(t, "the answer", r.result); a.status != want {
 			t.Errorf("%s: answered %d, want %d", r.ID, a.status, want)
 		}
 	}
@@ -228,13 +229,13 @@
 func TestReloadMovesDiscovery(t *testing.T) {
 	old, fresh := registrytest.NewServer(t), registrytest.NewServer(t)
 	release := make(chan struct{})
-	a := NewFakeServer(t, func(r Received) (string, bool) {
+	a := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
 		if r.Header.Get("Request-Id") == "held" {
 			<-release
 		}
-		return OKResponse("a"), false
+		return sidecartest.OKResponse("a"), false
 	})
-	b := NewFakeServer(t, Always(OKResponse("b")))
+	b := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("b")))
 	c := testConfig(t, options{}, old.Addr, registrytest.EndpointJSON("s-1", a.Addr, "up", 0))
 	c.Path = filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
@@ -248,9 +249,9 @@
 	}
 	reload := make(chan os.Signal)
 	addr, _, _ := startReloadable(t, c, reload)
-	w := Await(t, "the watch", old.Watches)
+	w := sidecartest.Await(t, "the watch", old.Watches)
 	held := call{class: "once", id: "held"}.start(t, addr)
-	Await(t, "the held one", a.Requests)
+	sidecartest.Await(t, "the held one", a.Requests)
 	for _, wrong := range []string{"", "{", good("discovery.internal"), `{"discovery":"127.0.0.1:1"}`} {
 		write(wrong)
 		reload <- syscall.SIGHUP
@@ -262,13 +263,13 @@
 	}
 	write(good(fresh.Addr))
 	reload <- syscall.SIGHUP
-	Await(t, "the call for the new list", fresh.ListCalls)
+	sidecartest.Await(t, "the call for the new list", fresh.ListCalls)
 	if got := (call{class: "once", id: "meanwhile"}).do(t, addr); got.body != "a" {
 		t.Errorf("without a new list: %+v", got)
 	}
 	fresh.FullLists <- registrytest.ListJSON(1, true, registrytest.EndpointJSON("s-2", b.Addr, "up", 0))
-	Await(t, "the new watch", fresh.Watches)
-	for i, deadline := 0, time.Now().Add(Patience); ; i++ {
+	sidecartest.Await(t, "the new watch", fresh.Watches)
+	for i, deadline := 0, time.Now().Add(sidecartest.Patience); ; i++ {
 		if got := (call{class: "once", id: fmt.Sprint(i)}).do(t, addr); got.body == "b" {
 			break
 		} else if time.Now().After(deadline) {
@@ -276,7 +277,7 @@
 		}
 	}
 	close(release)
-	if got := Await(t, "the held one's answer", held); got.body != "a" {
+	if got := sidecartest.Await(t, "the held one's answer", held); got.body != "a" {
 		t.Errorf("the held one: %+v", got)
 	}
 }
--- /dev/null
+++ b/internal/sidecar/sidecartest/fakeserver.go
@@ -0,0 +1,89 @@
+package sidecartest
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/url"
+	"testing"
+)
+
+// Received is a request that a FakeServer has read, with its connection.
+type Received struct {
+	*http.Request
+	Body string
+	Conn net.Conn
+}
+
+// FakeServer is a booking server that speaks raw HTTP: it hands every request to the test, and writes
+// what its Respond returns.
+type FakeServer struct {
+	Addr     string
+	Requests chan Received // read so far, and not yet received by the test
+	Accepted chan net.Conn // likewise
+	Closed   chan net.Conn // whose other end has closed them
+}
+
+// Respond returns what to write for a request, and whether to close the connection after it.
+type Respond func(r Received) (text string, end bool)
+
+// OKResponse is a complete response with status 200.
+func OKResponse(body string) string {
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+}
+
+// Always returns a Respond that writes the same text for every request.
+func Always(text string) Respond { return func(Received) (string, bool) { return text, false } }
+
+// NewFakeServer starts a server that ends with the test.
+func NewFakeServer(t testing.TB, respond Respond) *FakeServer {
+	t.Helper()
+	ln := ListenLoopback(t)
+	u := &FakeServer{
+		Addr: ln.Addr().String(), Requests: make(chan Received, 100),
+		Accepted: make(chan net.Conn, 100), Closed: make(chan net.Conn, 100),
+	}
+	go func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			t.Cleanup(func() { c.Close() })
+			u.Accepted <- c
+			go u.serve(c, respond)
+		}
+	}()
+	return u
+}
+
+func (u *FakeServer) serve(c net.Conn, respond Respond) {
+	in := bufio.NewReader(c)
+	for {
+		req, err := http.ReadRequest(in)
+		if err != nil {
+			u.Closed <- c
+			return
+		}
+		body, _ := io.ReadAll(req.Body)
+		r := Received{req, string(body), c}
+		u.Requests <- r
+		text, end := respond(r)
+		io.WriteString(c, text)
+		if end {
+			c.Close()
+			return
+		}
+	}
+}
+
+// MustURL parses a URL, and panics if it is not one.
+func MustURL(s string) *url.URL {
+	u, err := url.Parse(s)
+	if err != nil {
+		panic(err)
+	}
+	return u
+}
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"net"
 	"net/http"
-	"net/url"
 	"strings"
 	"testing"
 	"time"
@@ -13,17 +12,10 @@
 	"barleywick/internal/settings"
 	"barleywick/internal/sidecar/gate"
 	"barleywick/internal/sidecar/httpmessage"
+	"barleywick/internal/sidecar/sidecartest"
 	"barleywick/policy"
 )
 
-func MustURL(s string) *url.URL {
-	u, err := url.Parse(s)
-	if err != nil {
-		panic(err)
-	}
-	return u
-}
-
 // The protocol's table: what comes back, and whether it may have run.
 func TestOutcomes(t *testing.T) {
 	const none = "Content-Length: 0\r\n\r\n"
@@ -32,10 +24,10 @@
 		end  bool
 		want policy.Ending
 	}{
-		"served":                  {text: OKResponse("honey"), want: policy.Served},
+		"served":                  {text: sidecartest.OKResponse("honey"), want: policy.Served},
 		"twice the same length":   {text: "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 5\r\n\r\nhoney", want: policy.Served},
-		"more than belongs to it": {text: OKResponse("honey") + OKResponse("again"), want: policy.Served},
-		"two interim answers":     {text: "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + OKResponse("honey"), want: policy.Served},
+		"more than belongs to it": {text: sidecartest.OKResponse("honey") + sidecartest.OKResponse("again"), want: policy.Served},
+		"two interim answers":     {text: "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + sidecartest.OKResponse("honey"), want: policy.Served},
 		"chunked":                 {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n0\r\n\r\n", want: policy.Served},
 		"chunked, in small ones":  {text: "HTTP/1.1 200 OK\r\ntransfer-encoding: Chunked\r\n\r\n1\r\nh\r\n3;x=y\r\none\r\n1\r\ny\r\n0\r\nTrailer: x\r\n\r\n", want: policy.Served},
 		"chunked behind interim":  {text: "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n0\r\n\r\n", want: policy.Served},
@@ -52,7 +44,7 @@
 		"another protocol":        {text: "ICY 200 OK\r\nContent-Length: 5\r\n\r\nhoney", want: policy.Broken},
 		"line without a colon":    {text: "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 5\r\n\r\nhoney", want: policy.Broken},
 		"said to have 3 GB":       {text: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhoney", want: policy.Broken},
-		"after an interim answer": {text: "HTTP/1.1 100 Continue\r\n\r\n" + OKResponse("honey"), want: policy.Served},
+		"after an interim answer": {text: "HTTP/1.1 100 Continue\r\n\r\n" + sidecartest.OKResponse("honey"), want: policy.Served},
 		"error":                   {text: "HTTP/1.1 500 x\r\n" + none, want: policy.Errored},
 		"turned away 503":         {text: "HTTP/1.1 503 x\r\nNot-Started: 1\r\n" + none, want: policy.Rejected},
 		"turned away 504":         {text: "HTTP/1.1 504 x\r\nNot-Started: 1\r\n" + none, want: policy.Rejected},
@@ -64,11 +56,11 @@
 		"cut body":                {text: "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhoney", end: true, want: policy.Broken},
 		"cut chunk":               {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n", end: true, want: policy.Broken},
 		"no HTTP":                 {text: "hello\r\n\r\n", end: true, want: policy.Broken},
-		"too large":               {text: OKResponse(strings.Repeat("x", MaxResponseBody+1)), want: policy.Broken},
+		"too large":               {text: sidecartest.OKResponse(strings.Repeat("x", MaxResponseBody+1)), want: policy.Broken},
 		"endless header":          {text: "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxResponseHead), want: policy.Broken},
 	} {
 		t.Run(name, func(t *testing.T) {
-			u := NewFakeServer(t, func(Received) (string, bool) { return c.text, c.end })
+			u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { return c.text, c.end })
 			got, a := runOneAttempt(context.Background(), testPool(2), NewServer(u.Addr))
 			if got != c.want {
 				t.Errorf("ending %v, want %v", got, c.want)
@@ -76,7 +68,7 @@
 			if (a != nil) != (c.want == policy.Served) || (a != nil && string(a.Body) != "honey") {
 				t.Errorf("answer %+v", a)
 			}
-			if r := Await(t, "the request", u.Requests); r.Body != "{}" || r.Header.Get("Request-Id") != "x" {
+			if r := sidecartest.Await(t, "the request", u.Requests); r.Body != "{}" || r.Header.Get("Request-Id") != "x" {
 				t.Errorf("the upstream read %v %q", r.Header, r.Body)
 			}
 		})
@@ -84,17 +76,17 @@
 }
 
 func TestSilenceTimesOutAndClosesTheConnection(t *testing.T) {
-	u := NewFakeServer(t, Always(""))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
 	if got, _ := runOneAttempt(ctx, testPool(2), NewServer(u.Addr)); got != policy.TimedOut {
 		t.Errorf("ending %v, want timed out", got)
 	}
-	Await(t, "the connection's end", u.Closed)
+	sidecartest.Await(t, "the connection's end", u.Closed)
 }
 
 func TestCancelClosesTheConnection(t *testing.T) {
-	u := NewFakeServer(t, Always(""))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		<-u.Requests
@@ -103,21 +95,21 @@
 	if got, _ := runOneAttempt(ctx, testPool(2), NewServer(u.Addr)); got != policy.Cancelled {
 		t.Errorf("ending %v, want cancelled", got)
 	}
-	Await(t, "the connection's end", u.Closed)
+	sidecartest.Await(t, "the connection's end", u.Closed)
 }
 
 // An answer that is too large ends its attempt when that is seen, not when the rest has come.
 func TestTooLargeAnswerIsNotWaitedFor(t *testing.T) {
-	text := OKResponse(strings.Repeat("x", MaxResponseBody+2))
-	u := NewFakeServer(t, Always(text[:len(text)-1])) // the last byte never comes
+	text := sidecartest.OKResponse(strings.Repeat("x", MaxResponseBody+2))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(text[:len(text)-1])) // the last byte never comes
 	if got, _ := runOneAttempt(t.Context(), testPool(2), NewServer(u.Addr)); got != policy.Broken {
 		t.Errorf("ending %v, want broken", got)
 	}
-	Await(t, "the connection's end", u.Closed)
+	sidecartest.Await(t, "the connection's end", u.Closed)
 }
 
 func TestRefusedConnectionNeverRan(t *testing.T) {
-	ln := ListenLoopback(t)
+	ln := sidecartest.ListenLoopback(t)
 	ln.Close()
 	if got, _ := runOneAttempt(context.Background(), testPool(2), NewServer(ln.Addr().String())); got != policy.NoConnection {
 		t.Errorf("ending %v, want no connection", got)
@@ -126,7 +118,7 @@
 
 // An attempt that is given up while it waits for a connection writes nothing.
 func TestEndedWhileQueuedWritesNothing(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, to := testPool(1), NewServer(u.Addr)
 	held, err := p.Acquire(context.Background(), to)
 	if err != nil {
@@ -150,7 +142,7 @@
 
 // A request whose last byte could not be written never ran, however much of it went out.
 func TestUnfinishedWriteNeverRan(t *testing.T) {
-	ln := ListenLoopback(t)
+	ln := sidecartest.ListenLoopback(t)
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -169,14 +161,14 @@
 		t.Fatal(err)
 	}
 	c.Conn.(*net.TCPConn).SetWriteBuffer(4 << 10)
-	req := &http.Request{Method: "GET", URL: MustURL("/"), Host: "x", Header: http.Header{"X": {strings.Repeat("x", 16<<20)}}}
+	req := &http.Request{Method: "GET", URL: sidecartest.MustURL("/"), Host: "x", Header: http.Header{"X": {strings.Repeat("x", 16<<20)}}}
 	if x, err := u.exchange(ctx, sendPermit{writeCtx: ctx}, c, req); err == nil || x.written() {
 		t.Errorf("got written %v, error %v; want an unfinished write", x.writtenAt, err)
 	}
 }
 
 func TestRequestGoesOnUnchanged(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	body := strings.Repeat("h", maxBody)
 	got := call{class: "keyed", body: body, timeout: "3.25", header: http.Header{
@@ -185,7 +177,7 @@
 	if got.status != 200 || got.body != "ok" {
 		t.Fatalf("got %+v", got)
 	}
-	r := Await(t, "the request", u.Requests)
+	r := sidecartest.Await(t, "the request", u.Requests)
 	if r.Method != "POST" || r.RequestURI != "/api/a%2Fb?q=1&r=%20" || r.Body != body ||
 		r.Header.Get("Request-Id") != t.Name() || r.Header.Get("Idempotency-Key") != "5c0f6e1a" {
 		t.Errorf("the upstream read %s %s %v, %d bytes", r.Method, r.RequestURI, r.Header, len(r.Body))
@@ -204,23 +196,23 @@
 		ok   bool
 		load float64
 	}{
-		"body":          {OKResponse("TEXT failed_ps=0.5, busy_reqs=7"), true, 7},
+		"body":          {sidecartest.OKResponse("TEXT failed_ps=0.5, busy_reqs=7"), true, 7},
 		"header":        {"HTTP/1.1 200 OK\r\nServer-Load: TEXT busy_reqs=3\r\nContent-Length: 0\r\n\r\n", true, 3},
-		"without field": {OKResponse("TEXT failed_ps=0.5"), true, -1},
-		"no number":     {OKResponse("TEXT busy_reqs=many"), true, -1},
-		"negative":      {OKResponse("TEXT busy_reqs=-2"), true, -1},
-		"infinite":      {OKResponse("TEXT busy_reqs=+Inf"), true, -1},
-		"garbage":       {OKResponse("\x00=,,=busy_reqs"), true, -1},
+		"without field": {sidecartest.OKResponse("TEXT failed_ps=0.5"), true, -1},
+		"no number":     {sidecartest.OKResponse("TEXT busy_reqs=many"), true, -1},
+		"negative":      {sidecartest.OKResponse("TEXT busy_reqs=-2"), true, -1},
+		"infinite":      {sidecartest.OKResponse("TEXT busy_reqs=+Inf"), true, -1},
+		"garbage":       {sidecartest.OKResponse("\x00=,,=busy_reqs"), true, -1},
 		"unwell":        {"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", false, -1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			u := NewFakeServer(t, Always(c.text))
+			u := sidecartest.NewFakeServer(t, sidecartest.Always(c.text))
 			ups := NewTransport(testPool(1), gate.New(), "/stats", settings.LoadColumns{"busy_reqs", "pending"})
 			ok, load := ups.Probe(context.Background(), NewServer(u.Addr))
 			if ok != c.ok || load.InFlight != c.load {
 				t.Errorf("probe: %v, %v; want %v, %v", ok, load.InFlight, c.ok, c.load)
 			}
-			if r := Await(t, "the probe", u.Requests); r.URL.Path != "/stats" || r.Header.Get("Request-Id") != "" {
+			if r := sidecartest.Await(t, "the probe", u.Requests); r.URL.Path != "/stats" || r.Header.Get("Request-Id") != "" {
 				t.Errorf("asked for %s with %v", r.URL, r.Header)
 			}
 		})
@@ -228,10 +220,10 @@
 }
 
 func TestSilentProbeEnds(t *testing.T) {
-	u := NewFakeServer(t, Always(""))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
 	ups := newTestTransport(poolOf(500*time.Millisecond, time.Second, 1))
 	if ok, load := ups.Probe(context.Background(), NewServer(u.Addr)); ok || load.InFlight >= 0 {
 		t.Errorf("probe of a silent upstream: %v, %v", ok, load)
 	}
-	Await(t, "the connection's end", u.Closed)
+	sidecartest.Await(t, "the connection's end", u.Closed)
 }
--- a/internal/sidecar/upstream_write_test.go
+++ b/internal/sidecar/upstream_write_test.go
@@ -11,13 +11,14 @@
 	"time"
 
 	"barleywick/internal/sidecar/gate"
+	"barleywick/internal/sidecar/sidecartest"
 	"barleywick/policy"
 )
 
 // A write that is not done when its permission ends is cut off: what is not whole never runs. Attempts
 // that may not be cancelled are no exception.
 func TestLongWriteEndsWithItsPermission(t *testing.T) {
-	ln := ListenLoopback(t)
+	ln := sidecartest.ListenLoopback(t)
 	begun := make(chan net.Conn, 1)
 	go func() { // it reads the first byte, and nothing more
 		c, err := ln.Accept()
@@ -35,13 +36,13 @@
 	c.Conn.(*net.TCPConn).SetWriteBuffer(4 << 10)
 	p.Release(c)
 	endAllQuarantines(p)
-	r := &Request{ID: "long", Method: "POST", URL: MustURL("/"), Host: "x", Header: http.Header{}, Body: make([]byte, 16<<20)}
+	r := &Request{ID: "long", Method: "POST", URL: sidecartest.MustURL("/"), Host: "x", Header: http.Header{}, Body: make([]byte, 16<<20)}
 	a := newTestAttempt(t.Context(), r, to, time.Now().Add(time.Hour), time.Time{})
 	ending := make(chan policy.Ending, 1)
 	go func() { e, _ := newTestTransport(p).Do(a); ending <- e }()
-	defer Await(t, "the first byte", begun).Close()
+	defer sidecartest.Await(t, "the first byte", begun).Close()
 	a.CancelWrite() // the client has left in the middle of the write; ctx lasts
-	if got := Await(t, "its end", ending); got != policy.NotSent {
+	if got := sidecartest.Await(t, "its end", ending); got != policy.NotSent {
 		t.Errorf("ending %v, want not sent", got)
 	}
 }
@@ -71,7 +72,7 @@
 		t.Fatalf("wrote %d, %v, unsent %d", n, err, c.unsentBytes())
 	}
 	c.Close()
-	near.SetReadDeadline(time.Now().Add(Patience))
+	near.SetReadDeadline(time.Now().Add(sidecartest.Patience))
 	if n, err := io.Copy(io.Discard, near); n >= body || err == nil {
 		t.Errorf("%d bytes came and %v, want a part and a reset", n, err)
 	}
@@ -79,11 +80,11 @@
 
 // The client's socket is looked at in the moment of the write: net/http may tell later.
 func TestNothingIsWrittenForAClientThatHasLeft(t *testing.T) {
-	u := NewFakeServer(t, Always(OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	p, to := testPool(1), NewServer(u.Addr)
 	defer p.Close()
 	far, near := connected(t)
-	r := &Request{ID: "left", Method: "POST", URL: MustURL("/"), Host: "x", Header: http.Header{}}
+	r := &Request{ID: "left", Method: "POST", URL: sidecartest.MustURL("/"), Host: "x", Header: http.Header{}}
 	sendGate := gate.New()
 	ups := NewTransport(p, sendGate, "/health/live", nil)
 	try := func() policy.Ending {
@@ -96,7 +97,7 @@
 		t.Errorf("while it is there: ending %v", got)
 	}
 	far.Close()
-	Eventually(t, "the close has come", near.ClosedByClient)
+	sidecartest.Eventually(t, "the close has come", near.ClosedByClient)
 	if got := try(); got != policy.NotSent || len(u.Requests) != 1 {
 		t.Errorf("ending %v with %d requests written, want not sent", got, len(u.Requests))
 	}
@@ -109,7 +110,7 @@
 func TestDeadlineToldLeavesTimeForTheWrite(t *testing.T) {
 	for _, left := range []time.Duration{time.Second, 40 * time.Millisecond} {
 		ctx, cancel := context.WithTimeout(t.Context(), left)
-		r := &Request{Method: "GET", URL: MustURL("/"), Header: http.Header{}}
+		r := &Request{Method: "GET", URL: sidecartest.MustURL("/"), Header: http.Header{}}
 		told, err := strconv.ParseFloat(r.outgoing(ctx).Header.Get("Request-Timeout"), 64)
 		cancel()
 		if most := left - min(timeoutMargin, left/4) + time.Millisecond; err != nil || told <= 0 || told > most.Seconds() {
