--- a/internal/sidecar/adviser.go
+++ b/internal/sidecar/adviser.go
@@ -16,16 +16,17 @@
 	"barleywick/internal/overload"
 	"barleywick/internal/registry/client"
 	"barleywick/internal/sidecar/config"
+	"barleywick/internal/sidecar/outcome"
 	"barleywick/policy"
 )
 
 // adviceCallIn is for one digest and its answer: the next is due a little later.
 const adviceCallIn = 800 * time.Millisecond
 
-// overloadReporter tells the fleet's task once a second what came to this sidecar, and puts its
+// Reporter tells the fleet's task once a second what came to this sidecar, and puts its
 // word in force. Whatever fails, the sidecar goes on by what it sees itself: the word
 // that it has fades.
-type overloadReporter struct {
+type Reporter struct {
 	config  *config.Overload
 	name    string
 	began   time.Time
@@ -49,12 +50,12 @@
 // adviceReceived is the event of a word that is to be in force.
 type adviceReceived struct{ advice policy.OverloadAdvice }
 
-func newAdviser(c *config.Config, l *eventLoop) (*overloadReporter, error) {
+func newAdviser(c *config.Config, l *eventLoop) (*Reporter, error) {
 	r, err := client.New(c.Overload.Registry, c.Seed)
 	if err != nil {
 		return nil, err
 	}
-	a := &overloadReporter{config: c.Overload, name: c.Name, began: time.Now(), tenants: l.tenantNames(), loop: l, client: r.WithAddressMap(c.Overload.AddressMap).WithTimeout(adviceCallIn), taker: overload.AdviceFilter{Fleet: c.Overload.Fleet}}
+	a := &Reporter{config: c.Overload, name: c.Name, began: time.Now(), tenants: l.tenantNames(), loop: l, client: r.WithAddressMap(c.Overload.AddressMap).WithTimeout(adviceCallIn), taker: overload.AdviceFilter{Fleet: c.Overload.Fleet}}
 	a.http = &http.Client{Timeout: adviceCallIn, Transport: &http.Transport{DialContext: c.Overload.AddressMap.Dial(adviceCallIn), MaxConnsPerHost: 1, DisableCompression: true}}
 	l.overloadCounts = make([]overload.TenantCounts, len(a.tenants))
 	for i := range l.overloadCounts {
@@ -67,15 +68,16 @@
 }
 
 // countOverload notes what became of a request.
-func (l *eventLoop) countOverload(r *request, status int) {
-	switch c, outcome := &l.overloadCounts[r.tenant], outcomeOf(status); {
-	case outcome == outcomeRefused:
+func (l *eventLoop) countOverload(r *request, o outcome.Outcome) {
+	c := &l.overloadCounts[r.tenant]
+	switch o {
+	case outcome.Refused:
 		c.Refused++
-	case outcome == outcomeFailed:
+	case outcome.Failed:
 		c.Failed++
-	case time.Since(r.receivedAt) > l.config.Policy.Classes[r.class].LatencyObjective:
+	case outcome.Late:
 		c.Late++
-	default:
+	case outcome.InTime:
 		c.InTime++
 	}
 }
@@ -89,8 +91,8 @@
 	return d
 }
 
-// run exchanges digests for words until ctx ends.
-func (a *overloadReporter) run(ctx context.Context) {
+// Run exchanges digests for words until ctx ends.
+func (a *Reporter) Run(ctx context.Context) {
 	defer a.client.Close()
 	defer a.http.CloseIdleConnections()
 	last := a.began
@@ -131,7 +133,7 @@
 }
 
 // exchange tells a digest, and takes the word that it is answered with.
-func (a *overloadReporter) exchange(ctx context.Context, d overload.Digest) error {
+func (a *Reporter) exchange(ctx context.Context, d overload.Digest) error {
 	if a.address == "" {
 		r, err := a.client.Record(ctx, overload.RecordKey)
 		if err != nil {
@@ -165,7 +167,7 @@
 	return nil
 }
 
-func (a *overloadReporter) post(ctx context.Context, d overload.Digest) (word overload.Advice, err error) {
+func (a *Reporter) post(ctx context.Context, d overload.Digest) (word overload.Advice, err error) {
 	text, err := json.Marshal(d)
 	if err != nil {
 		return word, fmt.Errorf("write digest: %w", err)
@@ -202,7 +204,7 @@
 // InForce says whether the word is in force.
 func (w OverloadAdviceStatus) InForce() bool { return w.Age > 0 && w.Age < overload.AdviceTTL }
 
-func (a *overloadReporter) state() OverloadAdviceStatus {
+func (a *Reporter) Status() OverloadAdviceStatus {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	w := OverloadAdviceStatus{Advice: a.advice, LastError: a.lastError}
--- a/internal/sidecar/client_handler.go
+++ b/internal/sidecar/client_handler.go
@@ -36,9 +36,9 @@
 	tenantIndex map[string]int // empty: there is one tenant, which requests need not name
 	listener    *limitedListener
 	shutdown    *gracefulShutdown
-	governor    *policyFollower   // nil: no fleet policy is followed
-	adviser     *overloadReporter // nil: no overload advice is taken
-	member      FleetMember       // nil: the sidecar is not a member of the fleet
+	governor    *Follower   // nil: no fleet policy is followed
+	adviser     *Reporter   // nil: no overload advice is taken
+	member      FleetMember // nil: the sidecar is not a member of the fleet
 }
 
 func newClientHandler(c *config.Config, l *eventLoop, shutdown *gracefulShutdown) *clientHandler {
@@ -137,9 +137,9 @@
 	case endpoint == "ready":
 		s.serveReady(w)
 	case endpoint == "policy" && s.governor != nil:
-		io.WriteString(w, s.governor.state().String()+"\n")
+		io.WriteString(w, s.governor.Status().String()+"\n")
 	case endpoint == "overload" && s.adviser != nil:
-		io.WriteString(w, s.adviser.state().String()+"\n")
+		io.WriteString(w, s.adviser.Status().String()+"\n")
 	case endpoint == membership.ViewPath && s.member != nil:
 		s.member.ServeHTTP(w, hr)
 	default:
--- a/internal/sidecar/compatibility_test.go
+++ b/internal/sidecar/compatibility_test.go
@@ -53,7 +53,7 @@
 
 func TestPolicyFolderIsWrittenAsBy396a775(t *testing.T) {
 	for name, acts := range storedActs() {
-		g := &policyFollower{config: &config.FleetPolicy{PolicyTable: config.PolicyTable{Folder: t.TempDir()}}}
+		g := &Follower{config: &config.FleetPolicy{PolicyTable: config.PolicyTable{Folder: t.TempDir()}}}
 		if err := g.save(acts); err != nil {
 			t.Fatal(err)
 		}
@@ -72,7 +72,7 @@
 			t.Fatal(err)
 		}
 		var enforced []*rollout.Document
-		g := &policyFollower{
+		g := &Follower{
 			config: &config.FleetPolicy{PolicyTable: config.PolicyTable{Folder: folder}}, tenants: []string{"acme", "zeta"},
 			follower: &rollout.Follower{}, startedAt: time.Now().Add(-2 * askFirst),
 			enforcer: func(_ context.Context, d *rollout.Document) error { enforced = append(enforced, d); return nil },
@@ -80,13 +80,13 @@
 		g.applyStored(t.Context())
 		want, usable := acts[name], name != "refuse" && name != "torn" && name != "changed"
 		if !usable {
-			if len(enforced) != 0 || g.mayAdmit() {
-				t.Errorf("%s: enforced %v, admitting %v; want neither", name, enforced, g.mayAdmit())
+			if len(enforced) != 0 || g.Admitting() {
+				t.Errorf("%s: enforced %v, admitting %v; want neither", name, enforced, g.Admitting())
 			}
 			continue
 		}
-		if len(enforced) != 1 || !reflect.DeepEqual(enforced[0], want.Effective()) || !reflect.DeepEqual(g.acting, want) || !g.mayAdmit() {
-			t.Errorf("%s: enforced %+v, acts by %+v, admitting %v; want %+v", name, enforced, g.acting, g.mayAdmit(), want)
+		if len(enforced) != 1 || !reflect.DeepEqual(enforced[0], want.Effective()) || !reflect.DeepEqual(g.acting, want) || !g.Admitting() {
+			t.Errorf("%s: enforced %+v, acts by %+v, admitting %v; want %+v", name, enforced, g.acting, g.Admitting(), want)
 		}
 	}
 }
--- a/internal/sidecar/governor.go
+++ b/internal/sidecar/governor.go
@@ -19,6 +19,7 @@
 	"barleywick/internal/registry/client"
 	"barleywick/internal/rollout"
 	"barleywick/internal/sidecar/config"
+	"barleywick/internal/sidecar/outcome"
 	"barleywick/policy"
 )
 
@@ -36,10 +37,10 @@
 	noPolicyRetryAfter = time.Second
 )
 
-// policyFollower keeps a sidecar to the fleet's policy: it holds the sidecar's seat, puts in
+// Follower keeps a sidecar to the fleet's policy: it holds the sidecar's seat, puts in
 // force what is to be acted by, and says so. What the sidecar's own file says stays the
 // most that it may: the stricter of both counts.
-type policyFollower struct {
+type Follower struct {
 	config    *config.FleetPolicy
 	tenants   []string
 	client    *client.Client
@@ -61,12 +62,12 @@
 	fromStore   bool // it acts by its folder
 }
 
-func newGovernor(c *config.Config, enforce func(ctx context.Context, d *rollout.Document) error) (*policyFollower, error) {
+func newGovernor(c *config.Config, enforce func(ctx context.Context, d *rollout.Document) error) (*Follower, error) {
 	r, err := client.New(c.FleetPolicy.Registry, c.Seed)
 	if err != nil {
 		return nil, err
 	}
-	g := &policyFollower{config: c.FleetPolicy, tenants: c.Tenants, client: r.WithAddressMap(c.FleetPolicy.AddressMap), enforcer: enforce, startedAt: time.Now()}
+	g := &Follower{config: c.FleetPolicy, tenants: c.Tenants, client: r.WithAddressMap(c.FleetPolicy.AddressMap), enforcer: enforce, startedAt: time.Now()}
 	me := rollout.Member{Name: c.Name, Incarnation: uint64(g.startedAt.UnixMicro())}
 	g.follower = &rollout.Follower{Self: me, Supports: g.checkSupported}
 	if c.FleetPolicy.Machine != "" {
@@ -79,7 +80,7 @@
 }
 
 // checkSupported says whether this sidecar could act by a document.
-func (g *policyFollower) checkSupported(d *rollout.Document) error {
+func (g *Follower) checkSupported(d *rollout.Document) error {
 	if err := d.Check(); err != nil {
 		return err
 	}
@@ -91,25 +92,25 @@
 	return nil
 }
 
-// recordOutcome counts the end of a request, for the comparison of those that go ahead.
-func (g *policyFollower) recordOutcome(status int, took, aim time.Duration) {
+// RecordRequest counts the end of a request, for the comparison of those that go ahead.
+func (g *Follower) RecordRequest(o outcome.Outcome) {
 	g.requests.Add(1)
-	switch outcome := outcomeOf(status); {
-	case outcome == outcomeRefused:
+	switch o {
+	case outcome.Refused:
 		g.refused.Add(1)
-	case outcome == outcomeFailed:
+	case outcome.Failed:
 		g.failed.Add(1)
-	case took > aim:
+	case outcome.Late:
 		g.late.Add(1)
 	}
 }
 
-func (g *policyFollower) counts() rollout.RequestCounts {
+func (g *Follower) counts() rollout.RequestCounts {
 	return rollout.RequestCounts{Requests: g.requests.Load(), Refused: g.refused.Load(), Failed: g.failed.Load(), Late: g.late.Load()}
 }
 
-// mayAdmit says whether a new request mayAdmit be taken now.
-func (g *policyFollower) mayAdmit() bool {
+// Admitting says whether a new request Admitting be taken now.
+func (g *Follower) Admitting() bool {
 	if !g.admitting.Load() {
 		return false
 	}
@@ -120,9 +121,9 @@
 	return t != nil && t.Held()
 }
 
-// run keeps to the policy until ctx ends, and gives the seat up then. It returns an
+// Run keeps to the policy until ctx ends, and gives the seat up then. It returns an
 // error where this sidecar cannot act by the policy in force.
-func (g *policyFollower) run(ctx context.Context) error {
+func (g *Follower) Run(ctx context.Context) error {
 	defer g.client.Close()
 	life, end := context.WithCancel(context.WithoutCancel(ctx))
 	var beside sync.WaitGroup
@@ -166,7 +167,7 @@
 }
 
 // apply puts in force what is to be acted by, keeps it in the folder, and only then counts.
-func (g *policyFollower) apply(ctx context.Context, acts rollout.ActivePolicy, may bool) error {
+func (g *Follower) apply(ctx context.Context, acts rollout.ActivePolicy, may bool) error {
 	g.mu.Lock()
 	same := g.admitting.Load() && may && acts.Epoch == g.acting.Epoch && acts.JointChange == g.acting.JointChange && !g.fromStore
 	by := g.fromStore
@@ -203,7 +204,7 @@
 }
 
 // synchronize says what is to be said, or waits for news.
-func (g *policyFollower) synchronize(ctx context.Context) error {
+func (g *Follower) synchronize(ctx context.Context) error {
 	g.mu.Lock()
 	step, any := g.follower.NextCommand()
 	me, version := g.follower.Self, g.follower.Version()
@@ -251,7 +252,7 @@
 }
 
 // holdRosterLease holds the lease under which this sidecar serves, where the policy says so.
-func (g *policyFollower) holdRosterLease(ctx context.Context) {
+func (g *Follower) holdRosterLease(ctx context.Context) {
 	name := registry.RosterLeasePrefix + g.follower.Self.Name
 	err := g.leases.Hold(ctx, name, func(ctx context.Context, t *lease.Handle) error {
 		g.leaseTerm.Store(t)
@@ -266,7 +267,7 @@
 
 // leaveRoster gives the seat up: no change waits for this sidecar, and what it held must
 // not be served by any more.
-func (g *policyFollower) leaveRoster(ctx context.Context) {
+func (g *Follower) leaveRoster(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), policyCallIn/2)
 	defer cancel()
 	if _, err := g.client.ApplyPolicyStep(ctx, rollout.Command{Op: rollout.OpLeave, Member: g.follower.Self}, nil); err != nil {
@@ -286,11 +287,11 @@
 	Acting   json.RawMessage `json:"acts"`
 }
 
-func (g *policyFollower) storePath() string { return filepath.Join(g.config.Folder, "policy.json") }
+func (g *Follower) storePath() string { return filepath.Join(g.config.Folder, "policy.json") }
 
 // save keeps what is about to be acted by. It is written before the registry is told:
 // a process that starts again holds no less than this one has confirmed.
-func (g *policyFollower) save(acts rollout.ActivePolicy) error {
+func (g *Follower) save(acts rollout.ActivePolicy) error {
 	if g.config.Folder == "" {
 		return nil
 	}
@@ -325,7 +326,7 @@
 
 // applyStored serves by the folder while nobody can be asked: only a start does, and only
 // under a policy that lets sidecars carry on.
-func (g *policyFollower) applyStored(ctx context.Context) {
+func (g *Follower) applyStored(ctx context.Context) {
 	if g.admitting.Load() || g.config.Folder == "" || time.Since(g.startedAt) < askFirst || g.follower.Version() != 0 {
 		return
 	}
@@ -372,11 +373,11 @@
 	RefusalReason      string
 }
 
-func (g *policyFollower) state() FleetPolicyStatus {
+func (g *Follower) Status() FleetPolicyStatus {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	_, stage, refused := g.follower.Summary()
-	return FleetPolicyStatus{Epoch: g.acting.Epoch, JointChange: g.acting.JointChange, Stage: stage, Since: g.actingSince, Admitting: g.mayAdmit(), FromStore: g.fromStore, RefusalReason: refused}
+	return FleetPolicyStatus{Epoch: g.acting.Epoch, JointChange: g.acting.JointChange, Stage: stage, Since: g.actingSince, Admitting: g.Admitting(), FromStore: g.fromStore, RefusalReason: refused}
 }
 
 func (s FleetPolicyStatus) String() string {
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -16,6 +16,7 @@
 	"barleywick/internal/settings"
 	"barleywick/internal/sidecar/config"
 	"barleywick/internal/sidecar/gate"
+	"barleywick/internal/sidecar/outcome"
 	"barleywick/policy"
 )
 
@@ -154,10 +155,10 @@
 	traceRequests bool          // each attempt and answer goes to the log
 	listUpdatedAt time.Duration // the last news of the list; 0: none yet
 
-	adviceStatus   func() OverloadAdviceStatus               // the fleet's on an overload; nil: it has none
-	policyStatus   func() FleetPolicyStatus                  // how it stands towards the fleet's policy; nil: there is none
-	overloadCounts []overload.TenantCounts                   // what came of requests since the last digest, by tenant; nil: nobody is told
-	recordOutcome  func(status int, took, aim time.Duration) // counts the end of a request; may be nil
+	adviceStatus   func() OverloadAdviceStatus // the fleet's on an overload; nil: it has none
+	policyStatus   func() FleetPolicyStatus    // how it stands towards the fleet's policy; nil: there is none
+	overloadCounts []overload.TenantCounts     // what came of requests since the last digest, by tenant; nil: nobody is told
+	recordOutcome  func(outcome.Outcome)       // counts the end of a request; may be nil
 	// activeConnections is how many client connections are open that may have something to say; nil: none.
 	activeConnections func() int
 	admits            func() bool // whether a new request may be taken; nil: any may
@@ -320,7 +321,7 @@
 	case clientDisconnected:
 		if r := e.request; r.id != 0 && !r.closed {
 			l.closeRequest(r)
-			l.recordEnd(r, outcomeLeft)
+			l.recordEnd(r, outcome.ClientVanished)
 			l.balancer.ClientGone(l.now, r.id)
 		}
 	case attemptEnded:
@@ -399,13 +400,14 @@
 	if r := l.requests[id]; r != nil && !r.closed {
 		l.closeRequest(r)
 		r.result <- a
+		o := outcome.Of(a.status, time.Since(r.receivedAt), l.config.Policy.Classes[r.class].LatencyObjective)
 		if l.recordOutcome != nil {
-			l.recordOutcome(a.status, time.Since(r.receivedAt), l.config.Policy.Classes[r.class].LatencyObjective)
+			l.recordOutcome(o)
 		}
 		if l.overloadCounts != nil {
-			l.countOverload(r, a.status)
+			l.countOverload(r, o)
 		}
-		l.recordEnd(r, outcomeOf(a.status))
+		l.recordEnd(r, o)
 	}
 }
 
--- a/internal/sidecar/meter.go
+++ b/internal/sidecar/meter.go
@@ -6,12 +6,12 @@
 	"fmt"
 	"log/slog"
 	"net"
-	"net/http"
 	"reflect"
 	"time"
 
 	"barleywick/internal/sidecar/config"
 	"barleywick/internal/sidecar/gate"
+	"barleywick/internal/sidecar/outcome"
 	"barleywick/policy"
 )
 
@@ -109,37 +109,18 @@
 	return l.config.Tenants
 }
 
-// Outcomes of requests, as metrics and the log name them.
-const (
-	outcomeServed  = "served"
-	outcomeRefused = "refused"
-	outcomeFailed  = "failed"
-	outcomeLeft    = "left"
-)
-
-// outcomeOf names what an answer's status says.
-func outcomeOf(status int) string {
-	switch status {
-	case http.StatusOK:
-		return outcomeServed
-	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return outcomeRefused
-	}
-	return outcomeFailed
-}
-
 // recordEnd tells meter and log of a request's end.
-func (l *eventLoop) recordEnd(r *request, outcome string) {
+func (l *eventLoop) recordEnd(r *request, o outcome.Outcome) {
 	if l.exporter == nil && !l.traceRequests {
 		return
 	}
 	took := time.Since(r.receivedAt)
 	class, tenant := l.config.Classes[r.class], l.tenantNames()[r.tenant]
 	if l.exporter != nil {
-		l.exporter.RecordRequest(class, tenant, outcome, took)
+		l.exporter.RecordRequest(class, tenant, o.Label(), took)
 	}
 	if l.traceRequests {
-		slog.Debug("request ended", "request", r.ID, "class", class, "tenant", tenant, "outcome", outcome, "attempts", len(r.attempts), "took", took)
+		slog.Debug("request ended", "request", r.ID, "class", class, "tenant", tenant, "outcome", o.Label(), "attempts", len(r.attempts), "took", took)
 	}
 }
 
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -116,7 +116,7 @@
 		pool.LogCounters()
 		sendGate.LogCounters()
 	}
-	var gov *policyFollower
+	var gov *Follower
 	ungoverned := make(chan error, 1)
 	if c.FleetPolicy != nil {
 		gov, err = newGovernor(c, func(ctx context.Context, d *rollout.Document) error {
@@ -131,20 +131,20 @@
 		if err != nil {
 			return err
 		}
-		l.admits, l.policyStatus, l.recordOutcome = gov.mayAdmit, gov.state, gov.recordOutcome
+		l.admits, l.policyStatus, l.recordOutcome = gov.Admitting, gov.Status, gov.RecordRequest
 		loops.Go(func() {
-			if err := gov.run(governed); err != nil {
+			if err := gov.Run(governed); err != nil {
 				ungoverned <- err
 			}
 		})
 	}
-	var adv *overloadReporter
+	var adv *Reporter
 	if c.Overload != nil {
 		if adv, err = newAdviser(c, l); err != nil {
 			return err
 		}
-		l.adviceStatus = adv.state
-		loops.Go(func() { adv.run(run) })
+		l.adviceStatus = adv.Status
+		loops.Go(func() { adv.Run(run) })
 	}
 	var member FleetMember
 	if c.Membership != nil {
@@ -173,7 +173,7 @@
 		loops.Go(func() {
 			runMembership(run, member, l, func() (phase string, epoch uint64) {
 				if gov != nil {
-					epoch = gov.state().Epoch
+					epoch = gov.Status().Epoch
 				}
 				if p := clients.phase(); p != phaseServing {
 					phase = p.String()
