--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -15,6 +15,8 @@
 	"barleywick/internal/overload"
 	"barleywick/internal/sidecar"
 	"barleywick/internal/sidecar/gate"
+	"barleywick/internal/sidecar/overloadreporter"
+	"barleywick/internal/sidecar/policyfollower"
 	"barleywick/policy"
 )
 
@@ -46,7 +48,7 @@
 			OpenRequests: 3, EndpointListAge: 2 * time.Second, Bulkheads: []sidecar.Bulkhead{{Tenant: "acme", SlotsFree: 4, QueueFree: 1}},
 			Endpoints: map[string]map[string]int{"a": {"up": 5, "draining": 1}}, Decided: policy.Counters{Shed: 9},
 			ClientConnections: map[string]float64{"Open": 8}, UpstreamConnectionEvents: map[string]float64{"Reused": 7},
-			Congestion: 0.25, OverloadAdvice: &sidecar.OverloadAdviceStatus{Advice: overload.Advice{Token: 7, Tenants: []overload.TenantAdvice{{Tenant: "acme", AdmitFraction: 0.5}}}, Age: time.Second},
+			Congestion: 0.25, OverloadAdvice: &overloadreporter.Status{Advice: overload.Advice{Token: 7, Tenants: []overload.TenantAdvice{{Tenant: "acme", AdmitFraction: 0.5}}}, Age: time.Second},
 		}, wrong
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -99,9 +101,9 @@
 			UpstreamConnections: map[string]float64{"Open": 9}, UpstreamConnectionEvents: map[string]float64{"Reused": 11},
 
 			Gate:        gate.Counters{Decided: map[string]uint64{"send: allowed": 12}, Violated: map[string]uint64{"not done in time": 13}},
-			FleetPolicy: &sidecar.FleetPolicyStatus{Epoch: 14, JointChange: 15, Admitting: true},
+			FleetPolicy: &policyfollower.Status{Epoch: 14, JointChange: 15, Admitting: true},
 			Congestion:  0.25,
-			OverloadAdvice: &sidecar.OverloadAdviceStatus{
+			OverloadAdvice: &overloadreporter.Status{
 				Advice: overload.Advice{Token: 16, Tenants: []overload.TenantAdvice{{Tenant: "acme", AdmitFraction: 0.5}}}, Age: time.Second,
 			},
 		}, nil
--- a/internal/sidecar/client_handler.go
+++ b/internal/sidecar/client_handler.go
@@ -9,6 +9,8 @@
 
 	"barleywick/internal/membership"
 	"barleywick/internal/sidecar/config"
+	"barleywick/internal/sidecar/overloadreporter"
+	"barleywick/internal/sidecar/policyfollower"
 )
 
 // A client has to get an answer within 3 s of connecting, whatever it sends, and connections are few.
@@ -36,9 +38,9 @@
 	tenantIndex map[string]int // empty: there is one tenant, which requests need not name
 	listener    *limitedListener
 	shutdown    *gracefulShutdown
-	governor    *Follower   // nil: no fleet policy is followed
-	adviser     *Reporter   // nil: no overload advice is taken
-	member      FleetMember // nil: the sidecar is not a member of the fleet
+	governor    *policyfollower.Follower   // nil: no fleet policy is followed
+	adviser     *overloadreporter.Reporter // nil: no overload advice is taken
+	member      FleetMember                // nil: the sidecar is not a member of the fleet
 }
 
 func newClientHandler(c *config.Config, l *eventLoop, shutdown *gracefulShutdown) *clientHandler {
--- a/internal/sidecar/compatibility_test.go
+++ b/internal/sidecar/compatibility_test.go
@@ -1,22 +1,15 @@
 package sidecar
 
 import (
-	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"maps"
 	"os"
 	"path/filepath"
-	"reflect"
 	"slices"
 	"strings"
 	"testing"
-	"time"
 
-	"barleywick/internal/overload"
-	"barleywick/internal/rollout"
-	"barleywick/internal/sidecar/config"
 	"barleywick/policy"
 )
 
@@ -33,64 +26,6 @@
 	return string(text)
 }
 
-// storedActs are what 396a775 wrote to its policy folder, by the name of the file.
-func storedActs() map[string]rollout.ActivePolicy {
-	document := func(mode rollout.Mode) *rollout.Document {
-		return &rollout.Document{
-			FormatVersion: 1, Mode: mode, MaxAttempts: 2, NoProbes: true, MaxClientConnections: 100, MaxServerConnections: 50,
-			Tenants: []rollout.Tenant{{Name: "acme", Slots: 8, QueuePlaces: 4}, {Name: "zeta", Slots: 2, QueuePlaces: 1}},
-		}
-	}
-	next := &rollout.Document{FormatVersion: 1, Mode: rollout.ModeCarry, Tenants: []rollout.Tenant{{Name: "acme", Slots: 1, QueuePlaces: 1}}}
-	return map[string]rollout.ActivePolicy{
-		"none":   {},
-		"carry":  {Epoch: 4, Document: document(rollout.ModeCarry)},
-		"refuse": {Epoch: 5, Document: document(rollout.ModeRefuse)},
-		"joint":  {Epoch: 4, Document: document(rollout.ModeCarry), JointChange: 5, NextDocument: next},
-		"first":  {JointChange: 1, NextDocument: next},
-	}
-}
-
-func TestPolicyFolderIsWrittenAsBy396a775(t *testing.T) {
-	for name, acts := range storedActs() {
-		g := &Follower{config: &config.FleetPolicy{PolicyTable: config.PolicyTable{Folder: t.TempDir()}}}
-		if err := g.save(acts); err != nil {
-			t.Fatal(err)
-		}
-		got, err := os.ReadFile(g.storePath())
-		if want := fixture(t, "policy/"+name+".json"); err != nil || string(got) != want {
-			t.Errorf("%s is stored as\n%s, error %v; want\n%s", name, got, err, want)
-		}
-	}
-}
-
-func TestPolicyFolderOf396a775IsRead(t *testing.T) {
-	acts := storedActs()
-	for _, name := range []string{"none", "carry", "refuse", "joint", "first", "torn", "changed"} {
-		folder := t.TempDir()
-		if err := os.WriteFile(filepath.Join(folder, "policy.json"), []byte(fixture(t, "policy/"+name+".json")), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		var enforced []*rollout.Document
-		g := &Follower{
-			config: &config.FleetPolicy{PolicyTable: config.PolicyTable{Folder: folder}}, tenants: []string{"acme", "zeta"},
-			follower: &rollout.Follower{}, startedAt: time.Now().Add(-2 * askFirst),
-			enforcer: func(_ context.Context, d *rollout.Document) error { enforced = append(enforced, d); return nil },
-		}
-		g.applyStored(t.Context())
-		want, usable := acts[name], name != "refuse" && name != "torn" && name != "changed"
-		if !usable {
-			if len(enforced) != 0 || g.Admitting() {
-				t.Errorf("%s: enforced %v, admitting %v; want neither", name, enforced, g.Admitting())
-			}
-			continue
-		}
-		if len(enforced) != 1 || !reflect.DeepEqual(enforced[0], want.Effective()) || !reflect.DeepEqual(g.acting, want) || !g.Admitting() {
-			t.Errorf("%s: enforced %+v, acts by %+v, admitting %v; want %+v", name, enforced, g.acting, g.Admitting(), want)
-		}
-	}
-}
-
 // The fields' names of these structs are label values of metrics.
 func TestCounterNamesAreThoseOf396a775(t *testing.T) {
 	var got strings.Builder
@@ -106,33 +41,13 @@
 	}
 }
 
-// Programs and people read what /health/ serves.
-func TestHealthTextsAreThoseOf396a775(t *testing.T) {
-	since := time.Unix(1764000000, 0)
-	advice := overload.Advice{Number: 12, Token: 7, Tenants: []overload.TenantAdvice{{Tenant: "acme", AdmitFraction: 0.25}, {Tenant: "zeta", AdmitFraction: 1}}}
-	texts := map[string][]fmt.Stringer{
-		"health/policy.txt": {
-			FleetPolicyStatus{},
-			FleetPolicyStatus{Epoch: 4, Stage: rollout.StageSettled, Since: since, Admitting: true},
-			FleetPolicyStatus{Epoch: 4, JointChange: 5, Stage: rollout.StageJoint, Since: since, Admitting: true},
-			FleetPolicyStatus{Epoch: 4, Stage: rollout.StagePreparing, Since: since, Admitting: true, FromStore: true},
-			FleetPolicyStatus{Epoch: 4, Stage: rollout.StageCanary, Since: since, RefusalReason: "policy: keep what is held: no"},
-		},
-		"health/overload.txt": {
-			OverloadAdviceStatus{},
-			OverloadAdviceStatus{LastError: errors.New("where the task listens: no")},
-			OverloadAdviceStatus{Advice: advice, Age: 1500 * time.Millisecond},
-			OverloadAdviceStatus{Advice: advice, Age: 4 * time.Second, LastError: errors.New("127.0.0.1:1 answers 503: x")},
-		},
-		"health/phases.txt": {phaseStarting, phaseServing, phaseDraining, phaseFinishing, phaseEnded, phaseWithoutPolicy},
+// Programs and people read what /health/ready serves.
+func TestPhaseTextsAreThoseOf396a775(t *testing.T) {
+	var got strings.Builder
+	for _, p := range []phase{phaseStarting, phaseServing, phaseDraining, phaseFinishing, phaseEnded, phaseWithoutPolicy} {
+		fmt.Fprintln(&got, p)
 	}
-	for name, values := range texts {
-		var got strings.Builder
-		for _, v := range values {
-			fmt.Fprintln(&got, v)
-		}
-		if want := fixture(t, name); got.String() != want {
-			t.Errorf("%s: got\n%s\nwant\n%s", name, got.String(), want)
-		}
+	if want := fixture(t, "health/phases.txt"); got.String() != want {
+		t.Errorf("got\n%s\nwant\n%s", got.String(), want)
 	}
 }
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -17,6 +17,8 @@
 	"barleywick/internal/sidecar/config"
 	"barleywick/internal/sidecar/gate"
 	"barleywick/internal/sidecar/outcome"
+	"barleywick/internal/sidecar/overloadreporter"
+	"barleywick/internal/sidecar/policyfollower"
 	"barleywick/policy"
 )
 
@@ -155,10 +157,10 @@
 	traceRequests bool          // each attempt and answer goes to the log
 	listUpdatedAt time.Duration // the last news of the list; 0: none yet
 
-	adviceStatus   func() OverloadAdviceStatus // the fleet's on an overload; nil: it has none
-	policyStatus   func() FleetPolicyStatus    // how it stands towards the fleet's policy; nil: there is none
-	overloadCounts []overload.TenantCounts     // what came of requests since the last digest, by tenant; nil: nobody is told
-	recordOutcome  func(outcome.Outcome)       // counts the end of a request; may be nil
+	adviceStatus   func() overloadreporter.Status // the fleet's on an overload; nil: it has none
+	policyStatus   func() policyfollower.Status   // how it stands towards the fleet's policy; nil: there is none
+	overloadCounts []overload.TenantCounts        // what came of requests since the last digest, by tenant; nil: nobody is told
+	recordOutcome  func(outcome.Outcome)          // counts the end of a request; may be nil
 	// activeConnections is how many client connections are open that may have something to say; nil: none.
 	activeConnections func() int
 	admits            func() bool // whether a new request may be taken; nil: any may
--- a/internal/sidecar/meter.go
+++ b/internal/sidecar/meter.go
@@ -12,6 +12,8 @@
 	"barleywick/internal/sidecar/config"
 	"barleywick/internal/sidecar/gate"
 	"barleywick/internal/sidecar/outcome"
+	"barleywick/internal/sidecar/overloadreporter"
+	"barleywick/internal/sidecar/policyfollower"
 	"barleywick/policy"
 )
 
@@ -36,10 +38,10 @@
 	UpstreamConnections      map[string]float64
 	ClientConnectionEvents   map[string]float64 // what was counted of connections so far
 	UpstreamConnectionEvents map[string]float64
-	Gate                     gate.Counters         // what may be done now, and what was done past it
-	FleetPolicy              *FleetPolicyStatus    // nil where the configuration names none
-	Congestion               float64               // what answers took of their aims lately
-	OverloadAdvice           *OverloadAdviceStatus // the fleet's on an overload; nil where the configuration names none
+	Gate                     gate.Counters            // what may be done now, and what was done past it
+	FleetPolicy              *policyfollower.Status   // nil where the configuration names none
+	Congestion               float64                  // what answers took of their aims lately
+	OverloadAdvice           *overloadreporter.Status // the fleet's on an overload; nil where the configuration names none
 }
 
 // Bulkhead is the state of one tenant's.
--- a/internal/sidecar/adviser.go
+++ b/internal/sidecar/overloadreporter/reporter.go
@@ -1,4 +1,4 @@
-package sidecar
+package overloadreporter
 
 import (
 	"bytes"
@@ -16,7 +16,6 @@
 	"barleywick/internal/overload"
 	"barleywick/internal/registry/client"
 	"barleywick/internal/sidecar/config"
-	"barleywick/internal/sidecar/outcome"
 	"barleywick/policy"
 )
 
@@ -31,7 +30,7 @@
 	name    string
 	began   time.Time
 	tenants []string // of tenants
-	loop    *eventLoop
+	sidecar Sidecar
 	client  *client.Client
 	http    *http.Client
 	address string // where the task listens; empty: not known
@@ -44,53 +43,26 @@
 	lastError  error     // the last exchange; nil: it went well
 }
 
-// digestRequested asks the loop for what came to it since it was asked last.
-type digestRequested struct{ digest chan<- overload.Digest }
-
-// adviceReceived is the event of a word that is to be in force.
-type adviceReceived struct{ advice policy.OverloadAdvice }
+// Sidecar is what the reporter needs of the sidecar that it reports for.
+type Sidecar interface {
+	// OverloadDigest returns the congestion and what was counted since the last call. It fails
+	// if the sidecar or ctx ends.
+	OverloadDigest(ctx context.Context) (overload.Digest, error)
+	// ApplyAdvice puts advice into force.
+	ApplyAdvice(policy.OverloadAdvice)
+}
 
-func newAdviser(c *config.Config, l *eventLoop) (*Reporter, error) {
+// New makes the reporter of a sidecar whose configuration names where overload advice comes from.
+func New(c *config.Config, tenants []string, s Sidecar) (*Reporter, error) {
 	r, err := client.New(c.Overload.Registry, c.Seed)
 	if err != nil {
 		return nil, err
 	}
-	a := &Reporter{config: c.Overload, name: c.Name, began: time.Now(), tenants: l.tenantNames(), loop: l, client: r.WithAddressMap(c.Overload.AddressMap).WithTimeout(adviceCallIn), taker: overload.AdviceFilter{Fleet: c.Overload.Fleet}}
+	a := &Reporter{config: c.Overload, name: c.Name, began: time.Now(), tenants: tenants, sidecar: s, client: r.WithAddressMap(c.Overload.AddressMap).WithTimeout(adviceCallIn), taker: overload.AdviceFilter{Fleet: c.Overload.Fleet}}
 	a.http = &http.Client{Timeout: adviceCallIn, Transport: &http.Transport{DialContext: c.Overload.AddressMap.Dial(adviceCallIn), MaxConnsPerHost: 1, DisableCompression: true}}
-	l.overloadCounts = make([]overload.TenantCounts, len(a.tenants))
-	for i := range l.overloadCounts {
-		l.overloadCounts[i] = overload.TenantCounts{Tenant: a.tenants[i], Quota: 1}
-		if i < len(c.Policy.Tenants) {
-			l.overloadCounts[i].Quota = c.Policy.Tenants[i].Share
-		}
-	}
 	return a, nil
 }
 
-// countOverload notes what became of a request.
-func (l *eventLoop) countOverload(r *request, o outcome.Outcome) {
-	c := &l.overloadCounts[r.tenant]
-	switch o {
-	case outcome.Refused:
-		c.Refused++
-	case outcome.Failed:
-		c.Failed++
-	case outcome.Late:
-		c.Late++
-	case outcome.InTime:
-		c.InTime++
-	}
-}
-
-// digest tells what was counted, and counts anew.
-func (l *eventLoop) digest() overload.Digest {
-	d := overload.Digest{Congestion: min(1, l.balancer.Congestion(l.now)), Tenants: append([]overload.TenantCounts(nil), l.overloadCounts...)}
-	for i, c := range l.overloadCounts {
-		l.overloadCounts[i] = overload.TenantCounts{Tenant: c.Tenant, Quota: c.Quota}
-	}
-	return d
-}
-
 // Run exchanges digests for words until ctx ends.
 func (a *Reporter) Run(ctx context.Context) {
 	defer a.client.Close()
@@ -102,21 +74,15 @@
 		case <-ctx.Done():
 			return
 		}
-		digest := make(chan overload.Digest, 1)
-		if !a.loop.post(digestRequested{digest}) {
-			return
-		}
-		var d overload.Digest
-		select {
-		case d = <-digest:
-		case <-ctx.Done():
+		d, err := a.sidecar.OverloadDigest(ctx)
+		if err != nil {
 			return
 		}
 		now := time.Now()
 		a.seq++
 		d.Fleet, d.Name, d.Incarnation, d.Seq, d.PeriodMS = a.config.Fleet, a.name, uint64(a.began.UnixMicro()), a.seq, max(1, now.Sub(last).Milliseconds())
 		last = now
-		err := a.exchange(ctx, d)
+		err = a.exchange(ctx, d)
 		a.mu.Lock()
 		was := a.lastError
 		a.lastError = err
@@ -163,7 +129,7 @@
 	a.mu.Lock()
 	a.advice, a.receivedAt = word, time.Now()
 	a.mu.Unlock()
-	a.loop.post(adviceReceived{policy.OverloadAdvice{AdmittedShares: parts, ValidFor: time.Duration(word.ValidMS) * time.Millisecond}})
+	a.sidecar.ApplyAdvice(policy.OverloadAdvice{AdmittedShares: parts, ValidFor: time.Duration(word.ValidMS) * time.Millisecond})
 	return nil
 }
 
@@ -194,20 +160,20 @@
 	return word, nil
 }
 
-// OverloadAdviceStatus tells how a sidecar stands towards the fleet's word on an overload.
-type OverloadAdviceStatus struct {
+// Status tells how a sidecar stands towards the fleet's word on an overload.
+type Status struct {
 	Advice    overload.Advice
 	Age       time.Duration // of it; 0: none came yet
 	LastError error         // why the last exchange failed
 }
 
 // InForce says whether the word is in force.
-func (w OverloadAdviceStatus) InForce() bool { return w.Age > 0 && w.Age < overload.AdviceTTL }
+func (w Status) InForce() bool { return w.Age > 0 && w.Age < overload.AdviceTTL }
 
-func (a *Reporter) Status() OverloadAdviceStatus {
+func (a *Reporter) Status() Status {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	w := OverloadAdviceStatus{Advice: a.advice, LastError: a.lastError}
+	w := Status{Advice: a.advice, LastError: a.lastError}
 	if !a.receivedAt.IsZero() {
 		w.Age = max(1, time.Since(a.receivedAt))
 	}
@@ -215,7 +181,7 @@
 }
 
 // String is a line for people.
-func (w OverloadAdviceStatus) String() string {
+func (w Status) String() string {
 	text := "no word yet"
 	if w.Age > 0 {
 		text = fmt.Sprintf("word %d under token %d, %.1f s ago", w.Advice.Number, w.Advice.Token, w.Age.Seconds())
--- /dev/null
+++ b/internal/sidecar/policyfollower/compatibility_test.go
@@ -0,0 +1,106 @@
+package policyfollower
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"barleywick/internal/rollout"
+	"barleywick/internal/sidecar/config"
+)
+
+// The files in testdata/396a775 were written by the code of that commit, the last one before names
+// changed: they have to be read, and what is written now has to be the same byte for byte.
+func fixture(t *testing.T, name string) string {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", "396a775", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+type enforcerFunc func(ctx context.Context, d *rollout.Document) error
+
+func (f enforcerFunc) EnforcePolicy(ctx context.Context, d *rollout.Document) error { return f(ctx, d) }
+
+// storedActs are what 396a775 wrote to its policy folder, by the name of the file.
+func storedActs() map[string]rollout.ActivePolicy {
+	document := func(mode rollout.Mode) *rollout.Document {
+		return &rollout.Document{
+			FormatVersion: 1, Mode: mode, MaxAttempts: 2, NoProbes: true, MaxClientConnections: 100, MaxServerConnections: 50,
+			Tenants: []rollout.Tenant{{Name: "acme", Slots: 8, QueuePlaces: 4}, {Name: "zeta", Slots: 2, QueuePlaces: 1}},
+		}
+	}
+	next := &rollout.Document{FormatVersion: 1, Mode: rollout.ModeCarry, Tenants: []rollout.Tenant{{Name: "acme", Slots: 1, QueuePlaces: 1}}}
+	return map[string]rollout.ActivePolicy{
+		"none":   {},
+		"carry":  {Epoch: 4, Document: document(rollout.ModeCarry)},
+		"refuse": {Epoch: 5, Document: document(rollout.ModeRefuse)},
+		"joint":  {Epoch: 4, Document: document(rollout.ModeCarry), JointChange: 5, NextDocument: next},
+		"first":  {JointChange: 1, NextDocument: next},
+	}
+}
+
+func TestPolicyFolderIsWrittenAsBy396a775(t *testing.T) {
+	for name, acts := range storedActs() {
+		g := &Follower{config: &config.FleetPolicy{PolicyTable: config.PolicyTable{Folder: t.TempDir()}}}
+		if err := g.save(acts); err != nil {
+			t.Fatal(err)
+		}
+		got, err := os.ReadFile(g.storePath())
+		if want := fixture(t, name+".json"); err != nil || string(got) != want {
+			t.Errorf("%s is stored as\n%s, error %v; want\n%s", name, got, err, want)
+		}
+	}
+}
+
+func TestPolicyFolderOf396a775IsRead(t *testing.T) {
+	acts := storedActs()
+	for _, name := range []string{"none", "carry", "refuse", "joint", "first", "torn", "changed"} {
+		folder := t.TempDir()
+		if err := os.WriteFile(filepath.Join(folder, "policy.json"), []byte(fixture(t, name+".json")), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		var enforced []*rollout.Document
+		g := &Follower{
+			config: &config.FleetPolicy{PolicyTable: config.PolicyTable{Folder: folder}}, tenants: []string{"acme", "zeta"},
+			follower: &rollout.Follower{}, startedAt: time.Now().Add(-2 * askFirst),
+			enforcer: enforcerFunc(func(_ context.Context, d *rollout.Document) error { enforced = append(enforced, d); return nil }),
+		}
+		g.applyStored(t.Context())
+		want, usable := acts[name], name != "refuse" && name != "torn" && name != "changed"
+		if !usable {
+			if len(enforced) != 0 || g.Admitting() {
+				t.Errorf("%s: enforced %v, admitting %v; want neither", name, enforced, g.Admitting())
+			}
+			continue
+		}
+		if len(enforced) != 1 || !reflect.DeepEqual(enforced[0], want.Effective()) || !reflect.DeepEqual(g.acting, want) || !g.Admitting() {
+			t.Errorf("%s: enforced %+v, acts by %+v, admitting %v; want %+v", name, enforced, g.acting, g.Admitting(), want)
+		}
+	}
+}
+
+// Programs and people read what /health/policy serves.
+func TestStatusTextsAreThoseOf396a775(t *testing.T) {
+	since := time.Unix(1764000000, 0)
+	var got strings.Builder
+	for _, s := range []Status{
+		{},
+		{Epoch: 4, Stage: rollout.StageSettled, Since: since, Admitting: true},
+		{Epoch: 4, JointChange: 5, Stage: rollout.StageJoint, Since: since, Admitting: true},
+		{Epoch: 4, Stage: rollout.StagePreparing, Since: since, Admitting: true, FromStore: true},
+		{Epoch: 4, Stage: rollout.StageCanary, Since: since, RefusalReason: "policy: keep what is held: no"},
+	} {
+		fmt.Fprintln(&got, s)
+	}
+	if want := fixture(t, "status.txt"); got.String() != want {
+		t.Errorf("got\n%s\nwant\n%s", got.String(), want)
+	}
+}
--- a/internal/sidecar/governor.go
+++ b/internal/sidecar/policyfollower/follower.go
@@ -1,4 +1,4 @@
-package sidecar
+package policyfollower
 
 import (
 	"context"
@@ -20,7 +20,6 @@
 	"barleywick/internal/rollout"
 	"barleywick/internal/sidecar/config"
 	"barleywick/internal/sidecar/outcome"
-	"barleywick/policy"
 )
 
 const (
@@ -33,8 +32,6 @@
 	policyAgain = 200 * time.Millisecond
 	// askFirst is how long a start asks the registry before it serves by its folder.
 	askFirst = 5 * time.Second
-	// noPolicyRetryAfter is the Retry-After of a sidecar that may not act, spread.
-	noPolicyRetryAfter = time.Second
 )
 
 // Follower keeps a sidecar to the fleet's policy: it holds the sidecar's seat, puts in
@@ -45,7 +42,7 @@
 	tenants   []string
 	client    *client.Client
 	leases    *lease.Manager
-	enforcer  func(ctx context.Context, d *rollout.Document) error
+	enforcer  Enforcer
 	startedAt time.Time
 
 	requests, refused, failed, late atomic.Uint64 // requests since the start
@@ -62,7 +59,13 @@
 	fromStore   bool // it acts by its folder
 }
 
-func newGovernor(c *config.Config, enforce func(ctx context.Context, d *rollout.Document) error) (*Follower, error) {
+// Enforcer puts a policy into force at a sidecar; nil means that its own configuration counts alone.
+type Enforcer interface {
+	EnforcePolicy(ctx context.Context, d *rollout.Document) error
+}
+
+// New makes the follower of a sidecar whose configuration names a fleet policy.
+func New(c *config.Config, enforce Enforcer) (*Follower, error) {
 	r, err := client.New(c.FleetPolicy.Registry, c.Seed)
 	if err != nil {
 		return nil, err
@@ -191,7 +194,7 @@
 			return nil
 		}
 	}
-	if err := g.enforcer(ctx, d); err != nil {
+	if err := g.enforcer.EnforcePolicy(ctx, d); err != nil {
 		return err
 	}
 	g.mu.Lock()
@@ -353,7 +356,7 @@
 	if d != nil && (d.Mode == rollout.ModeRefuse || g.checkSupported(d) != nil) {
 		return // not enough to serve by
 	}
-	if err := g.enforcer(ctx, d); err != nil {
+	if err := g.enforcer.EnforcePolicy(ctx, d); err != nil {
 		return
 	}
 	g.mu.Lock()
@@ -363,8 +366,8 @@
 	slog.Error("policy: nobody can be asked: serving by what the folder holds", "epoch", acts.Epoch, "joint_with", acts.JointChange)
 }
 
-// FleetPolicyStatus tells how a sidecar stands towards the fleet's policy.
-type FleetPolicyStatus struct {
+// Status tells how a sidecar stands towards the fleet's policy.
+type Status struct {
 	Epoch, JointChange uint64
 	Stage              rollout.Stage
 	Since              time.Time
@@ -373,14 +376,14 @@
 	RefusalReason      string
 }
 
-func (g *Follower) Status() FleetPolicyStatus {
+func (g *Follower) Status() Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	_, stage, refused := g.follower.Summary()
-	return FleetPolicyStatus{Epoch: g.acting.Epoch, JointChange: g.acting.JointChange, Stage: stage, Since: g.actingSince, Admitting: g.Admitting(), FromStore: g.fromStore, RefusalReason: refused}
+	return Status{Epoch: g.acting.Epoch, JointChange: g.acting.JointChange, Stage: stage, Since: g.actingSince, Admitting: g.Admitting(), FromStore: g.fromStore, RefusalReason: refused}
 }
 
-func (s FleetPolicyStatus) String() string {
+func (s Status) String() string {
 	text := fmt.Sprintf("epoch %d, %s", s.Epoch, s.Stage)
 	if s.JointChange != 0 {
 		text += fmt.Sprintf(", joint with %d", s.JointChange)
@@ -399,38 +402,3 @@
 	}
 	return text
 }
-
-// fleetPolicyReceived is the event of a policy that is to be in force.
-type fleetPolicyReceived struct {
-	rule policy.FleetLimits
-	done chan<- struct{}
-}
-
-// fleetLimits is what a document says to the decision module.
-func (l *eventLoop) fleetLimits(d *rollout.Document) (r policy.FleetLimits) {
-	if d == nil {
-		return r
-	}
-	for _, name := range l.tenantNames() {
-		t := d.Tenant(name)
-		r.Bulkheads = append(r.Bulkheads, policy.BulkheadCapacity{Slots: t.Slots, Places: t.QueuePlaces})
-	}
-	r.MaxAttempts, r.NoProbes = d.MaxAttempts, d.NoProbes
-	return r
-}
-
-// applyFleetPolicy has the loop put a policy in force, and returns when it has.
-func (l *eventLoop) applyFleetPolicy(ctx context.Context, d *rollout.Document) error {
-	done := make(chan struct{})
-	if !l.post(fleetPolicyReceived{l.fleetLimits(d), done}) {
-		return errEnded
-	}
-	select {
-	case <-done:
-		return nil
-	case <-l.lifetime.Done():
-		return errEnded
-	case <-ctx.Done():
-		return ctx.Err()
-	}
-}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -15,10 +15,11 @@
 	"time"
 
 	"barleywick/internal/registry/client"
-	"barleywick/internal/rollout"
 	"barleywick/internal/sidecar/config"
 	"barleywick/internal/sidecar/gate"
 	"barleywick/internal/sidecar/handover"
+	"barleywick/internal/sidecar/overloadreporter"
+	"barleywick/internal/sidecar/policyfollower"
 	"barleywick/policy"
 )
 
@@ -104,9 +105,7 @@
 	d := client.NewWatcher(discovery)
 	limited := newLimitedListener(ln, c.Connections.Clients)
 	defer limited.Close()
-	// What the policy of the fleet leaves of the limits on connections.
-	var ruling sync.Mutex
-	var ruled *rollout.Document
+	enforcer := &policyEnforcer{config: c, loop: l, listener: limited, pool: pool}
 	governed, dismiss := context.WithCancel(run)
 	defer dismiss()
 	l.activeConnections = limited.possiblyActive
@@ -116,18 +115,10 @@
 		pool.LogCounters()
 		sendGate.LogCounters()
 	}
-	var gov *Follower
+	var gov *policyfollower.Follower
 	ungoverned := make(chan error, 1)
 	if c.FleetPolicy != nil {
-		gov, err = newGovernor(c, func(ctx context.Context, d *rollout.Document) error {
-			ruling.Lock()
-			defer ruling.Unlock()
-			ruled = d
-			limits := c.Connections.WithinPolicy(d)
-			limited.setLimits(limits.Clients)
-			pool.SetLimits(limits.Servers)
-			return l.applyFleetPolicy(ctx, d)
-		})
+		gov, err = policyfollower.New(c, enforcer)
 		if err != nil {
 			return err
 		}
@@ -138,11 +129,12 @@
 			}
 		})
 	}
-	var adv *Reporter
+	var adv *overloadreporter.Reporter
 	if c.Overload != nil {
-		if adv, err = newAdviser(c, l); err != nil {
+		if adv, err = overloadreporter.New(c, l.tenantNames(), l); err != nil {
 			return err
 		}
+		l.countForOverload(l.tenantNames())
 		l.adviceStatus = adv.Status
 		loops.Go(func() { adv.Run(run) })
 	}
@@ -254,11 +246,7 @@
 				slog.Error("configuration: the old one stays in force", "err", err)
 				continue
 			}
-			ruling.Lock() // the stricter of the file and the fleet's policy counts
-			limits := c.Connections.WithinPolicy(ruled)
-			limited.setLimits(limits.Clients)
-			pool.SetLimits(limits.Servers)
-			ruling.Unlock()
+			enforcer.applyConnectionLimits()
 			if now := c.DiscoveryAddrs(); !slices.Equal(now, was) {
 				d.SetAddrs(now)
 			}
