--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -40,7 +40,7 @@
 registry. Any number may run; each task is held by one controller at a time.
 SIGTERM hands its tasks over and ends it. docs/LEASES.md describes the file.
 
-` + cli.Statuses,
+` + cli.StatusHelp,
 		Example: "  controller --config k1.toml\n  controller check --config k1.toml",
 		RunE: func(c *cobra.Command, _ []string) error {
 			var l slog.Level
--- a/cmd/fleetctl/drain.go
+++ b/cmd/fleetctl/drain.go
@@ -87,7 +87,7 @@
 	follow, cancel := context.WithTimeout(followed, timeout+callTimeout)
 	defer cancel()
 	if err := w.Follow(follow, machine); follow.Err() != nil {
-		return cli.Status(outOfTime, "%s: the controllers go on with it; status shows its progress", machine)
+		return cli.ExitError(outOfTime, "%s: the controllers go on with it; status shows its progress", machine)
 	} else if err != nil {
 		return err
 	}
--- a/cmd/fleetctl/main.go
+++ b/cmd/fleetctl/main.go
@@ -22,9 +22,9 @@
 
 // Exit statuses.
 const (
-	done      = cli.Done
-	failed    = cli.Failed
-	wrongCall = cli.Wrong
+	done      = cli.StatusDone
+	failed    = cli.StatusFailed
+	wrongCall = cli.StatusWrongCall
 	refused   = 3
 	outOfTime = 4
 )
@@ -70,7 +70,7 @@
 of the fleet. Its configuration is named by --config or FLEETCTL_CONFIG;
 docs/DRAINING.md describes it, docs/LEASES.md the tasks.
 
-` + cli.Statuses + `
+` + cli.StatusHelp + `
  3  refused, nothing was changed
  4  out of time: the message says what that left`,
 		Args: cli.NoArgs,
@@ -132,9 +132,9 @@
 func exits(err error) error {
 	switch {
 	case errors.Is(err, drain.ErrRefused):
-		return cli.Status(refused, "%w", err)
+		return cli.ExitError(refused, "%w", err)
 	case errors.Is(err, drain.ErrTimeout), errors.Is(err, context.Canceled) && !errors.Is(err, client.ErrUnreachable):
-		return cli.Status(outOfTime, "%w", err)
+		return cli.ExitError(outOfTime, "%w", err)
 	}
 	return err
 }
--- a/cmd/fleetctl/members.go
+++ b/cmd/fleetctl/members.go
@@ -33,7 +33,7 @@
 members that serve theirs. --forget makes every member forget an unreachable one that
 never comes back.
 
-` + cli.Statuses + `
+` + cli.StatusHelp + `
  3  with --diff: views differ`,
 		Example: "  fleetctl members\n  fleetctl members --diff\n  fleetctl members --at 127.0.0.1:9400 --watch\n  fleetctl members --forget k2",
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -177,7 +177,7 @@
 	if asJSON {
 		err := json.NewEncoder(a.out).Encode(map[string]any{"asked": len(all), "silent": failed, "differ": different})
 		if err == nil && len(different) > 0 {
-			err = cli.Status(refused, "views differ of %d members", len(different))
+			err = cli.ExitError(refused, "views differ of %d members", len(different))
 		}
 		return err
 	}
@@ -201,7 +201,7 @@
 			}
 		}
 	}
-	return cli.Status(refused, "views differ of %d members", len(different))
+	return cli.ExitError(refused, "views differ of %d members", len(different))
 }
 
 // forgetMember makes every member that serves its view forget one.
--- a/cmd/fleetctl/policy.go
+++ b/cmd/fleetctl/policy.go
@@ -51,7 +51,7 @@
 func refusals(err error) error {
 	for _, plain := range []error{registry.ErrConflict, registry.ErrNotFound, registry.ErrInvalid, registry.ErrLimitReached} {
 		if errors.Is(err, plain) {
-			return cli.Status(refused, "%w", err)
+			return cli.ExitError(refused, "%w", err)
 		}
 	}
 	return err
@@ -64,11 +64,11 @@
 		return nil, fmt.Errorf("read policy: %w", err)
 	}
 	d := &rollout.Document{FormatVersion: 1, Mode: rollout.ModeCarry}
-	if err := configfile.TOML(text, d); err != nil {
-		return nil, cli.Status(refused, "policy %s: %w", path, err)
+	if err := configfile.DecodeTOML(text, d); err != nil {
+		return nil, cli.ExitError(refused, "policy %s: %w", path, err)
 	}
 	if err := d.Check(); err != nil {
-		return nil, cli.Status(refused, "policy %s: %w", path, configfile.AtLine(text, err))
+		return nil, cli.ExitError(refused, "policy %s: %w", path, configfile.WithLine(text, err))
 	}
 	return d, nil
 }
@@ -79,7 +79,7 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			return a.withStatus(c.Context(), func(_ *client.Client, st rollout.Status) error {
 				if st.Document == nil {
-					return cli.Status(refused, "no policy is in force: each sidecar acts by its own file")
+					return cli.ExitError(refused, "no policy is in force: each sidecar acts by its own file")
 				}
 				fmt.Fprintf(a.out, "# epoch %d, checksum %s\n", st.Epoch, st.Checksum)
 				return toml.NewEncoder(a.out).Encode(st.Document)
@@ -147,7 +147,7 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			return a.withStatus(c.Context(), func(r *client.Client, st rollout.Status) error {
 				if st.Change == nil {
-					return cli.Status(refused, "no change is under way")
+					return cli.ExitError(refused, "no change is under way")
 				}
 				_, err := r.ApplyPolicyStep(c.Context(), rollout.Command{Op: rollout.OpAbort, ChangeNumber: st.Change.Number, By: "an operator"}, nil)
 				if err == nil {
--- a/cmd/fleetctl/propose.go
+++ b/cmd/fleetctl/propose.go
@@ -98,7 +98,7 @@
 		}
 		next, err := r.PolicyStatus(ctx, now.Version, watchFor)
 		if ctx.Err() != nil && err != nil {
-			return now, cli.Status(outOfTime, "change %d goes on; status tells how it stands", number)
+			return now, cli.ExitError(outOfTime, "change %d goes on; status tells how it stands", number)
 		}
 		if err != nil {
 			return now, err
@@ -132,7 +132,7 @@
 				fmt.Fprintf(a.out, "epoch %d is in force everywhere\n", h.Number)
 				return nil
 			}
-			return cli.Status(refused, "change %d took hold nowhere: %s", h.Number, h.Outcome)
+			return cli.ExitError(refused, "change %d took hold nowhere: %s", h.Number, h.Outcome)
 		}
 	}
 	return errors.New("the change is over, and the history does not tell how")
@@ -165,7 +165,7 @@
 			return a.withStatus(c.Context(), func(r *client.Client, st rollout.Status) error {
 				earlier, ok := findCommitted(st, args)
 				if !ok {
-					return cli.Status(refused, "the history has no such policy that was in force")
+					return cli.ExitError(refused, "the history has no such policy that was in force")
 				}
 				if p.reason == "" {
 					p.reason = fmt.Sprintf("revert to epoch %d", earlier.Number)
--- a/cmd/fleetctl/tasks.go
+++ b/cmd/fleetctl/tasks.go
@@ -160,7 +160,7 @@
 	defer r.Close()
 	err = r.RequestYield(ctx, name, request)
 	if errors.Is(err, registry.ErrNotFound) || errors.Is(err, registry.ErrConflict) {
-		return cli.Status(refused, "%w", err)
+		return cli.ExitError(refused, "%w", err)
 	}
 	return err
 }
--- a/cmd/sidecar-metrics/main.go
+++ b/cmd/sidecar-metrics/main.go
@@ -10,9 +10,9 @@
 )
 
 func main() {
-	sidecarcmd.Main(sidecarcmd.Parts{
+	sidecarcmd.Main(sidecarcmd.Program{
 		Name: "sidecar-metrics", FormerName: "barleywick-metered",
-		Meter:  func() sidecar.MetricsExporter { return metrics.New() },
-		Enlist: sidecarmember.New,
+		NewExporter: func() sidecar.MetricsExporter { return metrics.New() },
+		NewMember:   sidecarmember.New,
 	})
 }
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -4,4 +4,4 @@
 
 import "barleywick/internal/sidecarcmd"
 
-func main() { sidecarcmd.Main(sidecarcmd.Parts{Name: "sidecar", FormerName: "barleywick"}) }
+func main() { sidecarcmd.Main(sidecarcmd.Program{Name: "sidecar", FormerName: "barleywick"}) }
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -78,7 +78,7 @@
 	}
 	moved := false
 	for !moved && lines.Scan() {
-		moved = strings.Contains(lines.Text(), "moved") && strings.Contains(lines.Text(), "127.0.0.1:2")
+		moved = strings.Contains(lines.Text(), "addresses changed") && strings.Contains(lines.Text(), "127.0.0.1:2")
 	}
 	if !moved {
 		t.Error("the program did not go on with the new configuration")
--- a/cmd/testbench/chaos.go
+++ b/cmd/testbench/chaos.go
@@ -35,7 +35,7 @@
 after the last fault (docs/TESTING.md). Everything it starts ends with
 it. The programs are those beside testbench.
 
-` + cli.Statuses + `
+` + cli.StatusHelp + `
  3  an invariant was broken`,
 		Example: "  testbench chaos --for 20m --seed 7\n  testbench chaos --schedule '1.5s cut k1 for 3s' --seed 7",
 	}
@@ -96,7 +96,7 @@
 				return len(part) > 0 && err == nil && len(again.Violations) > 0
 			})
 		}
-		return cli.Status(statusRuleBroken, "%d invariants were broken, the first: %s; to replay it: testbench chaos --seed %d --schedule '%v'", len(rep.Violations), rep.Violations[0], o.Seed, small)
+		return cli.ExitError(statusRuleBroken, "%d invariants were broken, the first: %s; to replay it: testbench chaos --seed %d --schedule '%v'", len(rep.Violations), rep.Violations[0], o.Seed, small)
 	}
 	return c
 }
--- a/cmd/testbench/experiment.go
+++ b/cmd/testbench/experiment.go
@@ -53,9 +53,9 @@
 		}
 		switch {
 		case o.Partial:
-			return cli.Status(statusInterrupted, "interrupted after %d runs", len(o.Runs))
+			return cli.ExitError(statusInterrupted, "interrupted after %d runs", len(o.Runs))
 		case broken > 0:
-			return cli.Status(statusRuleBroken, "a rule was broken in %d runs", broken)
+			return cli.ExitError(statusRuleBroken, "a rule was broken in %d runs", broken)
 		}
 		return nil
 	}
--- a/cmd/testbench/load.go
+++ b/cmd/testbench/load.go
@@ -95,7 +95,7 @@
 			return err
 		}
 		if r.Partial {
-			return cli.Status(statusInterrupted, "interrupted")
+			return cli.ExitError(statusInterrupted, "interrupted")
 		}
 		return nil
 	}
--- a/cmd/testbench/main.go
+++ b/cmd/testbench/main.go
@@ -27,7 +27,7 @@
 		Long: `testbench runs fleets of sidecars, in simulated time or on real sockets, injects faults and
 reports the results.
 
-` + cli.Statuses + `
+` + cli.StatusHelp + `
  3  a rule was broken
  4  interrupted; what was written covers the part that was run`,
 		Example: `  testbench localfleet --html fleet.html
--- a/cmd/testbench/members.go
+++ b/cmd/testbench/members.go
@@ -65,7 +65,7 @@
 				return err
 			}
 		case <-c.Context().Done():
-			return cli.Status(statusInterrupted, "interrupted")
+			return cli.ExitError(statusInterrupted, "interrupted")
 		}
 		if asJSON {
 			return json.NewEncoder(c.OutOrStdout()).Encode(r)
--- a/cmd/testbench/search.go
+++ b/cmd/testbench/search.go
@@ -102,7 +102,7 @@
 		return err
 	}
 	if broken > 0 {
-		return cli.Status(statusRuleBroken, "a rule was broken in %d runs", broken)
+		return cli.ExitError(statusRuleBroken, "a rule was broken in %d runs", broken)
 	}
 	return nil
 }
--- a/cmd/testbench/simulate.go
+++ b/cmd/testbench/simulate.go
@@ -126,9 +126,9 @@
 func verdict(r *emulator.Record) error {
 	switch {
 	case r.Partial:
-		return cli.Status(statusInterrupted, "interrupted")
+		return cli.ExitError(statusInterrupted, "interrupted")
 	case len(r.ViolationTexts) > 0:
-		return cli.Status(statusRuleBroken, "a rule was broken")
+		return cli.ExitError(statusRuleBroken, "a rule was broken")
 	}
 	return nil
 }
--- a/cmd/testbench/soak.go
+++ b/cmd/testbench/soak.go
@@ -36,7 +36,7 @@
 booking servers that hang, answer twice, reset, refuse or close. Every request is followed
 to its end and checked against the rules (docs/TESTING.md). Everything it starts ends with it.
 
-` + cli.Statuses + `
+` + cli.StatusHelp + `
  3  an invariant was broken`,
 		Example: "  testbench soak --seed 7 --sidecars 16 --for 30s\n  testbench soak --seed 1 --seeds 10 --quiet",
 	}
@@ -112,7 +112,7 @@
 		return e.Encode(reports)
 	})
 	if broken > 0 {
-		err = errors.Join(err, cli.Status(statusRuleBroken, "invariants were broken %d times in %d runs", broken, len(reports)))
+		err = errors.Join(err, cli.ExitError(statusRuleBroken, "invariants were broken %d times in %d runs", broken, len(reports)))
 	}
 	return err
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is what our programs' command lines share: exit statuses, one-line
+// Package cli holds what the programs' command lines share: exit statuses, one-line
 // errors, the version.
 package cli
 
@@ -12,37 +12,37 @@
 	"github.com/spf13/cobra"
 )
 
-// Exit statuses of all our programs. A program may have more of its own.
+// Exit statuses of all programs. A program may have further ones.
 const (
-	Done = iota
-	Failed
-	Wrong // the call was
+	StatusDone = iota
+	StatusFailed
+	StatusWrongCall // the command line was wrong
 )
 
-// Statuses is their part of a program's help.
-const Statuses = `Exit status:
+// StatusHelp is the part of a program's help that lists them.
+const StatusHelp = `Exit status:
  0  done
  1  failed, with one line that says why
  2  wrong call`
 
-// statusError is an error with the exit status that it leads to.
-type statusError struct {
+// exitError is an error with the exit status that follows from it.
+type exitError struct {
 	status int
 	err    error
 }
 
-func (e *statusError) Error() string { return e.err.Error() }
-func (e *statusError) Unwrap() error { return e.err }
+func (e *exitError) Error() string { return e.err.Error() }
+func (e *exitError) Unwrap() error { return e.err }
 
-// Status makes an error that ends the program with a status.
-func Status(status int, format string, args ...any) error {
-	return &statusError{status, fmt.Errorf(format, args...)}
+// ExitError makes an error that ends the program with a status.
+func ExitError(status int, format string, args ...any) error {
+	return &exitError{status, fmt.Errorf(format, args...)}
 }
 
-// WrongCall makes an error of the command line, as against one of the work.
-func WrongCall(format string, args ...any) error { return Status(Wrong, format, args...) }
+// WrongCall makes an error about the command line, as opposed to one of the command's work.
+func WrongCall(format string, args ...any) error { return ExitError(StatusWrongCall, format, args...) }
 
-// Run carries one call out and returns its exit status. Errors are one line.
+// Run executes one command line and returns its exit status. Errors are printed in one line.
 func Run(ctx context.Context, name string, root *cobra.Command, args []string, out, errs io.Writer) int {
 	root.SetArgs(args)
 	root.SetOut(out)
@@ -54,17 +54,17 @@
 	}
 	err := root.ExecuteContext(ctx)
 	if err == nil {
-		return Done
+		return StatusDone
 	}
 	fmt.Fprintf(errs, "%s: %v\n", name, err)
-	var s *statusError
+	var s *exitError
 	if errors.As(err, &s) {
 		return s.status
 	}
-	return Failed
+	return StatusFailed
 }
 
-// checkArgs makes an error about arguments a wrong call.
+// checkArgs turns errors about arguments into wrong calls.
 func checkArgs(c *cobra.Command) {
 	if check := c.Args; check != nil {
 		c.Args = func(c *cobra.Command, args []string) error {
@@ -76,7 +76,7 @@
 	}
 }
 
-// NoArgs lets a command take no arguments.
+// NoArgs rejects all arguments.
 func NoArgs(_ *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return fmt.Errorf("no command %q", args[0])
--- a/internal/configfile/strict.go
+++ b/internal/configfile/configfile.go
@@ -1,5 +1,5 @@
-// Package configfile reads files that people write: a key that is not known, or a value
-// of the wrong type, is an error of one line that names line and field.
+// Package configfile decodes files that people write: an unknown key, or a value
+// of the wrong type, is a one-line error that names line and field.
 package configfile
 
 import (
@@ -12,8 +12,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// TOML reads text into v, which may hold defaults.
-func TOML(text []byte, v any) error {
+// DecodeTOML decodes text into v, which may hold defaults.
+func DecodeTOML(text []byte, v any) error {
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(v)
 	if err == nil {
 		return nil
@@ -37,10 +37,10 @@
 
 func oneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
 
-// AtLine puts the line before an error that begins with a field's path, such as
+// WithLine adds the line number to an error that begins with a field's path, such as
 // 'limits.sockets is 3' or 'classes[1].name is missing', where the text has the field
-// or at least the table that it would stand in.
-func AtLine(text []byte, err error) error {
+// or at least the table that it belongs to.
+func WithLine(text []byte, err error) error {
 	path, _, _ := strings.Cut(strings.TrimRight(err.Error(), " "), " ")
 	path = strings.TrimRight(path, ":,")
 	lines := fieldLines(text)
@@ -57,7 +57,7 @@
 	return err
 }
 
-// fieldLines finds the line of each field and table of a text that is known to be TOML.
+// fieldLines returns the line of each field and table of a valid TOML text.
 func fieldLines(text []byte) map[string]int {
 	lines := make(map[string]int)
 	counts := make(map[string]int) // of the elements of each array of tables
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -17,12 +17,12 @@
 
 // Config is a controller's configuration file, in TOML. docs/LEASES.md describes it.
 type Config struct {
-	Name     string           `toml:"name"`
-	Registry []string         `toml:"registry"` // addresses of the replicas
-	Listen   string           `toml:"listen"`   // for /metrics and /health/ready; empty: neither
-	LeaseMS  int64            `toml:"lease_ms"`
-	MaxActMS int64            `toml:"-"` // the longest timed act of tasks other than those of Tasks; 0: there are none
-	Routes   addressmap.Table `toml:"routes"`
+	Name     string         `toml:"name"`
+	Registry []string       `toml:"registry"` // addresses of the replicas
+	Listen   string         `toml:"listen"`   // for /metrics and /health/ready; empty: neither
+	LeaseMS  int64          `toml:"lease_ms"`
+	MaxActMS int64          `toml:"-"` // the longest timed act of tasks other than those of Tasks; 0: there are none
+	Routes   addressmap.Map `toml:"routes"`
 
 	// A task runs here only if its table is in the file.
 	Drains    *DrainsConfig    `toml:"drains"`
@@ -110,12 +110,12 @@
 // error.
 func ParseConfig(text []byte) (*Config, error) {
 	c := &Config{LeaseMS: defaultLease.Milliseconds()}
-	if err := configfile.TOML(text, c); err != nil {
+	if err := configfile.DecodeTOML(text, c); err != nil {
 		return nil, err
 	}
 	c.setDefaults()
 	if err := c.check(); err != nil {
-		return nil, configfile.AtLine(text, err)
+		return nil, configfile.WithLine(text, err)
 	}
 	return c, nil
 }
--- a/internal/controller/fleetview.go
+++ b/internal/controller/fleetview.go
@@ -42,7 +42,7 @@
 	for _, replica := range config.Registry {
 		views = append(views, "http://"+replica+registry.APIPath+membership.ViewPath)
 	}
-	httpClient := &http.Client{Transport: &http.Transport{DialContext: config.Routes.Dial(dialTimeout), DisableKeepAlives: true}}
+	httpClient := &http.Client{Transport: &http.Transport{DialContext: config.Routes.Dialer(dialTimeout), DisableKeepAlives: true}}
 	var err error
 	f.node, err = gossip.Start(gossip.Options{
 		Config: *config.Membership, WatchProcesses: true, FindSeeds: membership.SeedsFromViews(httpClient, views),
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -23,7 +23,7 @@
 	ProbeMS int64 `toml:"probe_ms" json:"probe_ms,omitempty" unit:"ms" default:"500" doc:"interval between probes of another member, 50 to 60000; half of it is for an answer"`
 	ForgetS int64 `toml:"forget_s" json:"forget_s,omitempty" unit:"s" default:"600" doc:"after which an unreachable member counts as never to come back, 10 to 604800"`
 
-	Routes addressmap.Table `toml:"routes" json:"routes,omitempty" unit:"table" default:"none" doc:"addresses to call instead of others"`
+	Routes addressmap.Map `toml:"routes" json:"routes,omitempty" unit:"table" default:"none" doc:"addresses to call instead of others"`
 }
 
 const (
--- a/internal/membership/gossip/transport.go
+++ b/internal/membership/gossip/transport.go
@@ -31,7 +31,7 @@
 // mappedTransport is memberlist's transport over an address map, with bounds and counts.
 type mappedTransport struct {
 	memberlist.NodeAwareTransport
-	routes   addressmap.Table
+	routes   addressmap.Map
 	traffic  *traffic
 	accepted chan net.Conn
 	slots    chan struct{} // holds one value for each inbound stream
@@ -55,7 +55,7 @@
 	return transport, nil
 }
 
-func newMappedTransport(inner memberlist.NodeAwareTransport, routes addressmap.Table, counts *traffic) *mappedTransport {
+func newMappedTransport(inner memberlist.NodeAwareTransport, routes addressmap.Map, counts *traffic) *mappedTransport {
 	t := &mappedTransport{
 		NodeAwareTransport: inner, routes: routes, traffic: counts,
 		accepted: make(chan net.Conn), slots: make(chan struct{}, maxInboundStreams), stopping: make(chan struct{}),
@@ -73,7 +73,7 @@
 func (t *mappedTransport) WriteToAddress(packet []byte, address memberlist.Address) (time.Time, error) {
 	t.traffic.packets.Add(1)
 	t.traffic.bytes.Add(uint64(len(packet)))
-	address.Addr = t.routes.To(address.Addr)
+	address.Addr = t.routes.Lookup(address.Addr)
 	return t.NodeAwareTransport.WriteToAddress(packet, address)
 }
 
@@ -84,7 +84,7 @@
 
 // DialAddressTimeout opens a connection.
 func (t *mappedTransport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	address.Addr = t.routes.To(address.Addr)
+	address.Addr = t.routes.Lookup(address.Addr)
 	conn, err := t.NodeAwareTransport.DialAddressTimeout(address, timeout)
 	if err != nil {
 		return nil, err
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -57,7 +57,7 @@
 	c := &Client{addrs: addrs, rng: rand.New(rand.NewPCG(seed, 3))}
 	c.http = &http.Client{
 		Transport: &http.Transport{
-			DialContext:        addressmap.Table(nil).Dial(dialTimeout),
+			DialContext:        addressmap.Map(nil).Dialer(dialTimeout),
 			MaxConnsPerHost:    8,
 			IdleConnTimeout:    10 * time.Second,
 			DisableCompression: true,
@@ -70,8 +70,8 @@
 
 // WithAddressMap makes calls go to other addresses instead. It must be called before the
 // client is used, and returns the client.
-func (c *Client) WithAddressMap(routes addressmap.Table) *Client {
-	c.http.Transport.(*http.Transport).DialContext = routes.Dial(dialTimeout)
+func (c *Client) WithAddressMap(routes addressmap.Map) *Client {
+	c.http.Transport.(*http.Transport).DialContext = routes.Dialer(dialTimeout)
 	return c
 }
 
--- a/internal/registry/server/config.go
+++ b/internal/registry/server/config.go
@@ -33,7 +33,7 @@
 	Timing   TimingConfig  `json:"timing"`
 	// Routes maps other replicas' addresses to those to call instead, for example of a
 	// forwarder on the way.
-	Routes addressmap.Table `json:"routes,omitempty"`
+	Routes addressmap.Map `json:"routes,omitempty"`
 	// Membership makes the replica a member of the fleet (docs/MEMBERSHIP.md); nil: it is none.
 	Membership *membership.Config `json:"membership,omitempty"`
 }
--- a/internal/registry/server/replica.go
+++ b/internal/registry/server/replica.go
@@ -110,7 +110,7 @@
 	r.peerClient = &http.Client{
 		Timeout: peerCallTimeout,
 		Transport: &http.Transport{
-			MaxConnsPerHost: maxPeerConnections, DisableCompression: true, DialContext: c.Routes.Dial(peerCallTimeout),
+			MaxConnsPerHost: maxPeerConnections, DisableCompression: true, DialContext: c.Routes.Dialer(peerCallTimeout),
 		},
 	}
 	r.verifier = newLeadershipVerifier(r.confirmLeadership)
--- a/internal/registry/server/stream_layer.go
+++ b/internal/registry/server/stream_layer.go
@@ -37,7 +37,7 @@
 type streamLayer struct {
 	net.Listener
 	localHistory func() (group string, founded uint64)
-	routes       addressmap.Table
+	routes       addressmap.Map
 
 	accepted  chan net.Conn // after their handshakes
 	closed    chan struct{}
@@ -45,7 +45,7 @@
 	closeOnce sync.Once
 }
 
-func newStreamLayer(ln net.Listener, routes addressmap.Table, localHistory func() (string, uint64)) *streamLayer {
+func newStreamLayer(ln net.Listener, routes addressmap.Map, localHistory func() (string, uint64)) *streamLayer {
 	l := &streamLayer{
 		Listener: ln, localHistory: localHistory, routes: routes,
 		accepted: make(chan net.Conn), closed: make(chan struct{}),
@@ -190,7 +190,7 @@
 func (l *streamLayer) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	conn, err := l.routes.Dial(0)(ctx, "tcp", string(to))
+	conn, err := l.routes.Dialer(0)(ctx, "tcp", string(to))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/rollout/compatibility_test.go
+++ b/internal/rollout/compatibility_test.go
@@ -287,7 +287,7 @@
 			t.Errorf("document %d: got\n%s, want\n%s", i, written, x.TOML)
 		}
 		fromTOML := new(Document)
-		if err := configfile.TOML([]byte(x.TOML), fromTOML); err != nil {
+		if err := configfile.DecodeTOML([]byte(x.TOML), fromTOML); err != nil {
 			t.Errorf("document %d: %v", i, err)
 		}
 		// TOML reads an empty list where JSON has null: the checksums differ there.
--- a/internal/sidecar/config/config.go
+++ b/internal/sidecar/config/config.go
@@ -140,7 +140,7 @@
 	c, err := Parse(platform, fixed)
 	if err != nil {
 		if isTOML(path) {
-			err = configfile.AtLine(text, err)
+			err = configfile.WithLine(text, err)
 		}
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
--- a/internal/sidecar/config/file_check.go
+++ b/internal/sidecar/config/file_check.go
@@ -17,14 +17,14 @@
 // seed.
 func platformForm(text []byte, drawSeed func() string) ([]byte, error) {
 	f := file{Settings: settingsTable{Balancers: 1, Capabilities: capabilitiesTable{MaxAttempts: 1}}}
-	if err := configfile.TOML(text, &f); err != nil {
+	if err := configfile.DecodeTOML(text, &f); err != nil {
 		return nil, err
 	}
 	if f.Seed == "" {
 		f.Seed = drawSeed()
 	}
 	if err := f.check(); err != nil {
-		return nil, configfile.AtLine(text, err)
+		return nil, configfile.WithLine(text, err)
 	}
 	return json.Marshal(f)
 }
--- a/internal/sidecar/config/tables.go
+++ b/internal/sidecar/config/tables.go
@@ -127,7 +127,7 @@
 // FleetPolicy is a checked PolicyTable.
 type FleetPolicy struct {
 	PolicyTable
-	AddressMap addressmap.Table // of Routes
+	AddressMap addressmap.Map // of Routes
 }
 
 func (c *Config) readFleetPolicy(text json.RawMessage) error {
@@ -169,7 +169,7 @@
 // Overload is a checked OverloadTable.
 type Overload struct {
 	OverloadTable
-	AddressMap addressmap.Table // of Routes
+	AddressMap addressmap.Map // of Routes
 }
 
 func (c *Config) readOverload(text json.RawMessage) error {
@@ -217,8 +217,8 @@
 }
 
 // parseRoutes reads the addresses to call instead of others.
-func parseRoutes(table string, pairs []string) (addressmap.Table, error) {
-	routes := make(addressmap.Table, len(pairs))
+func parseRoutes(table string, pairs []string) (addressmap.Map, error) {
+	routes := make(addressmap.Map, len(pairs))
 	for _, pair := range pairs {
 		from, to, _ := strings.Cut(pair, "=")
 		routes[from] = to
--- a/internal/sidecar/overloadreporter/reporter.go
+++ b/internal/sidecar/overloadreporter/reporter.go
@@ -59,7 +59,7 @@
 		return nil, err
 	}
 	a := &Reporter{config: c.Overload, name: c.Name, began: time.Now(), tenants: tenants, sidecar: s, client: r.WithAddressMap(c.Overload.AddressMap).WithTimeout(adviceCallIn), taker: overload.AdviceFilter{Fleet: c.Overload.Fleet}}
-	a.http = &http.Client{Timeout: adviceCallIn, Transport: &http.Transport{DialContext: c.Overload.AddressMap.Dial(adviceCallIn), MaxConnsPerHost: 1, DisableCompression: true}}
+	a.http = &http.Client{Timeout: adviceCallIn, Transport: &http.Transport{DialContext: c.Overload.AddressMap.Dialer(adviceCallIn), MaxConnsPerHost: 1, DisableCompression: true}}
 	return a, nil
 }
 
--- a/internal/sidecarcmd/command.go
+++ b/internal/sidecarcmd/command.go
@@ -1,6 +1,6 @@
-// Package sidecarcmd is the sidecar's command line. Two programs have it: one with
-// metrics and one without, as what serves metrics makes a program grow by a quarter
-// whether it serves any or not.
+// Package sidecarcmd is the sidecar's command line. Two programs share it: one with
+// metrics and one without, because serving metrics makes a program a quarter larger
+// whether they are used or not.
 package sidecarcmd
 
 import (
@@ -23,28 +23,28 @@
 	"barleywick/internal/sidecar"
 )
 
-// Parts are what one of the programs has and the other has not, as each takes memory
-// whether a configuration names it or not. nil: it has none.
-type Parts struct {
+// Program describes one of the two programs. Its parts are constructors, because each part takes memory
+// whether a configuration names it or not; nil: the program does not have it.
+type Program struct {
 	Name       string // the program's
 	FormerName string // deprecated; a link of this name still starts the program
 
-	Meter  func() sidecar.MetricsExporter           // makes what serves metrics
-	Enlist func(*config.Config) sidecar.FleetMember // makes a sidecar a member of the fleet
+	NewExporter func() sidecar.MetricsExporter           // makes what serves metrics
+	NewMember   func(*config.Config) sidecar.FleetMember // makes a sidecar a member of the fleet
 }
 
 // Main runs the program with its command line and exits with the status that follows.
-func Main(parts Parts) {
+func Main(parts Program) {
 	cli.WarnFormerProgram(os.Stderr, os.Args[0], parts.FormerName, parts.Name)
 	os.Exit(run(parts, os.Args[1:], os.Getenv, os.Stdout, os.Stderr))
 }
 
-func run(parts Parts, args []string, getenv func(string) string, out, errs io.Writer) int {
+func run(parts Program, args []string, getenv func(string) string, out, errs io.Writer) int {
 	return cli.Run(context.Background(), "sidecar", newRoot(parts, getenv, out, errs), args, out, errs)
 }
 
-// newRoot makes the command tree. Without a command it serves, as the platform starts it.
-func newRoot(parts Parts, getenv func(string) string, out, errs io.Writer) *cobra.Command {
+// newRoot makes the command tree. Without a command the program serves, as the platform starts it.
+func newRoot(parts Program, getenv func(string) string, out, errs io.Writer) *cobra.Command {
 	var logs logFlags
 	serve := func(*cobra.Command, []string) error { return serve(parts, getenv, logs, errs) }
 	root := &cobra.Command{
@@ -55,7 +55,7 @@
 Without a command it does what serve does. ROUTER_CONFIG names the configuration
 file; ROUTER_NAME, ROUTER_LISTEN and ROUTER_DISCOVERY go before what it says.
 
-` + cli.Statuses,
+` + cli.StatusHelp,
 		Example: `  ROUTER_CONFIG=sidecar.json sidecar
   sidecar check sidecar.json
   sidecar completion bash > /etc/bash_completion.d/sidecar`,
@@ -81,15 +81,16 @@
 	return root
 }
 
-// logFlags say how the program's own log is written.
+// logFlags are the flags for the program's log.
 type logFlags struct{ level, format string }
 
+// add adds the flags to a command and its subcommands.
 func (f *logFlags) add(c *cobra.Command) {
 	c.PersistentFlags().StringVar(&f.level, "log-level", "", "least level of the log: debug, info, warn or error (default: the configuration's, or info)")
 	c.PersistentFlags().StringVar(&f.format, "log-format", "", "form of the log: text or json (default: the configuration's, or text)")
 }
 
-// logger makes the log that the flags describe, and the file where they say nothing.
+// logger makes the logger that the flags describe, or else the configuration file.
 func (f logFlags) logger(w io.Writer, file config.Log) (*slog.Logger, error) {
 	var level slog.Level
 	if text := cmp.Or(f.level, file.Level, "info"); level.UnmarshalText([]byte(text)) != nil {
@@ -106,15 +107,15 @@
 	}
 }
 
-func serve(parts Parts, getenv func(string) string, logs logFlags, errs io.Writer) error {
-	log, err := logs.logger(errs, config.Log{}) // for what there is to say of the file
+func serve(parts Program, getenv func(string) string, logs logFlags, errs io.Writer) error {
+	log, err := logs.logger(errs, config.Log{}) // until the configuration is read
 	if err != nil {
 		return err
 	}
 	slog.SetDefault(log)
 	stop, done := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer done()
-	// Unhandled, the signal that says 'read your configuration again' would end the program.
+	// Without a handler SIGHUP would end the program.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	c, err := config.Load(getenv)
@@ -125,20 +126,20 @@
 		return err
 	}
 	slog.SetDefault(log)
-	fit(c.Limits)
-	options := []sidecar.Option{sidecar.WithMembership(parts.Enlist)}
+	applyLimits(c.Limits)
+	options := []sidecar.Option{sidecar.WithMembership(parts.NewMember)}
 	if c.Metrics.Listen != "" {
-		if parts.Meter == nil {
+		if parts.NewExporter == nil {
 			return errors.New("metrics.listen is set, and this program serves none: start sidecar-metrics, which does")
 		}
-		options = append(options, sidecar.WithMetrics(parts.Meter()))
+		options = append(options, sidecar.WithMetrics(parts.NewExporter()))
 	}
 	return sidecar.Run(stop, reload, c, options...)
 }
 
-// fit keeps the runtime within the platform's limits. The heap is small, so it
+// applyLimits keeps the runtime within the platform's limits. The heap is small, so it
 // is collected rarely, but the memory limit is kept to with a quarter to spare.
-func fit(l config.Limits) {
+func applyLimits(l config.Limits) {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(l.Cores)))
 	}
@@ -148,7 +149,7 @@
 	}
 }
 
-// check explains a configuration.
+// check reads a configuration and prints what follows from it.
 func check(getenv func(string) string, args []string, out io.Writer) error {
 	env := getenv
 	if len(args) == 1 {
--- a/internal/sidecarcmd/command_test.go
+++ b/internal/sidecarcmd/command_test.go
@@ -13,7 +13,7 @@
 // call runs a call that ends by itself.
 func call(env map[string]string, args ...string) (status int, out, errs string) {
 	var o, e bytes.Buffer
-	status = run(Parts{}, args, func(name string) string { return env[name] }, &o, &e)
+	status = run(Program{}, args, func(name string) string { return env[name] }, &o, &e)
 	return status, o.String(), e.String()
 }
 
@@ -23,19 +23,19 @@
 		status int
 		says   string
 	}{
-		{[]string{"version"}, cli.Done, ""},
-		{[]string{"--help"}, cli.Done, ""},
-		{[]string{"completion", "bash"}, cli.Done, ""},
-		{[]string{"swerve"}, cli.Wrong, "swerve"},
-		{[]string{"serve", "--fast"}, cli.Wrong, "--fast"},
-		{[]string{"serve", "--log-level", "loud"}, cli.Wrong, "loud"},
-		{[]string{"serve", "--log-format", "xml"}, cli.Wrong, "xml"},
-		{[]string{"check", "a", "b"}, cli.Wrong, "at most 1"},
-		{[]string{"check", "/nonexistent/config.json"}, cli.Failed, "/nonexistent/config.json"},
-		{[]string{"check"}, cli.Failed, "ROUTER_CONFIG"},
+		{[]string{"version"}, cli.StatusDone, ""},
+		{[]string{"--help"}, cli.StatusDone, ""},
+		{[]string{"completion", "bash"}, cli.StatusDone, ""},
+		{[]string{"swerve"}, cli.StatusWrongCall, "swerve"},
+		{[]string{"serve", "--fast"}, cli.StatusWrongCall, "--fast"},
+		{[]string{"serve", "--log-level", "loud"}, cli.StatusWrongCall, "loud"},
+		{[]string{"serve", "--log-format", "xml"}, cli.StatusWrongCall, "xml"},
+		{[]string{"check", "a", "b"}, cli.StatusWrongCall, "at most 1"},
+		{[]string{"check", "/nonexistent/config.json"}, cli.StatusFailed, "/nonexistent/config.json"},
+		{[]string{"check"}, cli.StatusFailed, "ROUTER_CONFIG"},
 	} {
 		status, _, errs := call(nil, c.args...)
-		if status != c.status || !strings.Contains(errs, c.says) || (c.status != cli.Done && strings.Count(errs, "\n") != 1) {
+		if status != c.status || !strings.Contains(errs, c.says) || (c.status != cli.StatusDone && strings.Count(errs, "\n") != 1) {
 			t.Errorf("%v: status %d, says %q; want %d and one line that names %q", c.args, status, errs, c.status, c.says)
 		}
 	}
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	status, out, errs := call(map[string]string{"ROUTER_DISCOVERY": "127.0.0.1:9"}, "check", path)
-	if status != cli.Done || errs != "" {
+	if status != cli.StatusDone || errs != "" {
 		t.Fatalf("status %d, %s", status, errs)
 	}
 	for _, want := range []string{"127.0.0.1:9", "must never run twice", "124; 124 of one address", "bulkhead acme"} {
--- a/internal/sidecarmember/member.go
+++ b/internal/sidecarmember/member.go
@@ -31,7 +31,7 @@
 	for _, address := range append([]string{c.Discovery}, c.DiscoveryReplicas...) { // they may be replicas of our registry
 		urls = append(urls, "http://"+address+registry.APIPath+membership.ViewPath)
 	}
-	client := &http.Client{Transport: &http.Transport{DialContext: c.Membership.Routes.Dial(dialTimeout), DisableKeepAlives: true}}
+	client := &http.Client{Transport: &http.Transport{DialContext: c.Membership.Routes.Dialer(dialTimeout), DisableKeepAlives: true}}
 	return &member{options: gossip.Options{
 		Config: *c.Membership, FindSeeds: membership.SeedsFromViews(client, urls),
 		Self: membership.Info{Name: c.Name, Role: membership.RoleSidecar, HTTPAddr: c.Listen},
--- a/internal/simulation/emulator/scenariofile.go
+++ b/internal/simulation/emulator/scenariofile.go
@@ -41,7 +41,7 @@
 		return nil, fmt.Errorf("scenario: more than %d bytes", maxFile)
 	}
 	s := DefaultScenario()
-	if err := configfile.TOML(text, s); err != nil {
+	if err := configfile.DecodeTOML(text, s); err != nil {
 		return nil, fmt.Errorf("scenario: %w", err)
 	}
 	return s, s.Check()
--- a/internal/simulation/experiment/experiment.go
+++ b/internal/simulation/experiment/experiment.go
@@ -75,7 +75,7 @@
 // Parse reads an experiment; the paths of scenario files are relative to folder.
 func Parse(text []byte, folder string) (*Plan, error) {
 	p := &Plan{Sidecars: emulator.DefaultScenario().Sidecars, Servers: emulator.DefaultScenario().Servers}
-	if err := configfile.TOML(text, p); err != nil {
+	if err := configfile.DecodeTOML(text, p); err != nil {
 		return nil, err
 	}
 	switch {
@@ -151,7 +151,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := configfile.TOML(changes, changed); err != nil {
+	if err := configfile.DecodeTOML(changes, changed); err != nil {
 		return nil, fmt.Errorf("set: %w", err)
 	}
 	return changed, changed.Check()
--- a/internal/testing/chaostest/fleet.go
+++ b/internal/testing/chaostest/fleet.go
@@ -71,7 +71,7 @@
 	sidecars []string
 	gossip   map[string]string
 	listens  map[string]string // where each is asked
-	routes   map[string]addressmap.Table
+	routes   map[string]addressmap.Map
 	clients  map[string]*loadgen.Client // of sidecars
 }
 
@@ -102,7 +102,7 @@
 	f = &fleet{
 		Injector: &faultinjection.Injector{Network: faultinjection.NewNetwork(o.Seed), Processes: make(map[string]*faultinjection.Process)}, o: o, folder: folder,
 		keepers: names("k", o.Controllers), sidecars: names("n", o.Sidecars),
-		gossip: make(map[string]string), listens: make(map[string]string), routes: make(map[string]addressmap.Table), clients: make(map[string]*loadgen.Client),
+		gossip: make(map[string]string), listens: make(map[string]string), routes: make(map[string]addressmap.Map), clients: make(map[string]*loadgen.Client),
 	}
 	defer func() {
 		if err != nil {
@@ -138,7 +138,7 @@
 		return nil, err
 	}
 	for _, from := range members {
-		f.routes[from] = make(addressmap.Table)
+		f.routes[from] = make(addressmap.Map)
 		for _, to := range members {
 			if from == to {
 				continue
@@ -197,7 +197,7 @@
 
 // membership is a process's table of that name.
 func (f *fleet) membership(name string) map[string]any {
-	routes := make(addressmap.Table)
+	routes := make(addressmap.Map)
 	var seeds []string
 	for other, at := range f.gossip {
 		if other == name {
@@ -253,7 +253,7 @@
 	if err != nil {
 		return err
 	}
-	routes := make(addressmap.Table)
+	routes := make(addressmap.Map)
 	for _, at := range f.addrs() {
 		routes[at] = f.routes[name][at]
 	}
--- a/internal/testing/integration/rig_test.go
+++ b/internal/testing/integration/rig_test.go
@@ -51,11 +51,11 @@
 	*faultinjection.Injector
 	members []registry.ReplicaInfo
 	keepers []string
-	routes  map[string]addressmap.Table // by process
-	env     map[string][]string         // of keepers
-	gossip  map[string]string           // where members listen, by process; empty: there is no membership
-	listens map[string]string           // where keepers that are members serve
-	files   map[string]string           // the replicas' configurations
+	routes  map[string]addressmap.Map // by process
+	env     map[string][]string       // of keepers
+	gossip  map[string]string         // where members listen, by process; empty: there is no membership
+	listens map[string]string         // where keepers that are members serve
+	files   map[string]string         // the replicas' configurations
 }
 
 // fleet makes every process of these names a member, with a link to each other.
@@ -84,7 +84,7 @@
 	if r.gossip[name] == "" {
 		return nil
 	}
-	c := &membership.Config{Fleet: "test", Listen: r.gossip[name], ProbeMS: gossipMS, Routes: make(addressmap.Table), StateDir: r.t.TempDir()}
+	c := &membership.Config{Fleet: "test", Listen: r.gossip[name], ProbeMS: gossipMS, Routes: make(addressmap.Map), StateDir: r.t.TempDir()}
 	for other, at := range r.gossip {
 		if other != name {
 			c.Routes[at] = r.routes[name][at]
@@ -110,7 +110,7 @@
 
 func (r *rig) route(from, address string, l *faultinjection.Link) {
 	if r.routes[from] == nil {
-		r.routes[from] = make(addressmap.Table)
+		r.routes[from] = make(addressmap.Map)
 	}
 	r.routes[from][address] = l.Addr()
 }
@@ -144,7 +144,7 @@
 	t := r.t
 	t.Helper()
 	r.Injector = &faultinjection.Injector{Network: faultinjection.NewNetwork(seed), Processes: make(map[string]*faultinjection.Process)}
-	r.routes, r.env = make(map[string]addressmap.Table), make(map[string][]string)
+	r.routes, r.env = make(map[string]addressmap.Map), make(map[string][]string)
 	t.Cleanup(func() {
 		for _, p := range r.Processes {
 			p.Kill()
--- a/internal/testing/localfleet/localfleet.go
+++ b/internal/testing/localfleet/localfleet.go
@@ -228,7 +228,7 @@
 	}
 	ended := make(chan error, len(members))
 	for _, m := range members {
-		routes := make(addressmap.Table)
+		routes := make(addressmap.Map)
 		for _, to := range members {
 			if to == m {
 				continue
