--- a/internal/sidecar/client_conn_test.go
+++ b/internal/sidecar/client_conn_test.go
@@ -9,7 +9,10 @@
 	"testing"
 	"time"
 
+	"barleywick/internal/sidecar/gate"
 	"barleywick/internal/sidecar/sidecartest"
+	"barleywick/internal/sidecar/upstream"
+	"barleywick/policy"
 )
 
 // Half a request that gives way is refused before its connection ends, also where many do.
@@ -169,3 +172,32 @@
 		t.Error("not closed once it rests")
 	}
 }
+
+// The client's socket is looked at in the moment of the write: net/http may tell later.
+func TestNothingIsWrittenForAClientThatHasLeft(t *testing.T) {
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	far, near := connected(t)
+	r := &upstream.Request{ID: "left", Method: "POST", URL: sidecartest.MustURL("/"), Host: "x", Header: http.Header{}}
+	sendGate := gate.New()
+	transport := testTransport(1, sendGate)
+	defer transport.Pool().Close()
+	to := upstream.NewServer(u.Addr)
+	try := func() policy.Ending {
+		deadline := time.Now().Add(time.Hour)
+		a := &upstream.Attempt{Request: r, Client: near, Server: to, Deadline: deadline}
+		a.Begin(t.Context(), deadline)
+		ending, _ := transport.Do(a)
+		return ending
+	}
+	if got := try(); got != policy.Served {
+		t.Errorf("while it is there: ending %v", got)
+	}
+	far.Close()
+	sidecartest.Eventually(t, "the close has come", near.ClosedByClient)
+	if got := try(); got != policy.NotSent || len(u.Requests) != 1 {
+		t.Errorf("ending %v with %d requests written, want not sent", got, len(u.Requests))
+	}
+	if n := sendGate.Counters().Decided["send: client left"]; n != 1 {
+		t.Errorf("%d denials for a client that left, want 1", n)
+	}
+}
--- a/internal/sidecar/client_request.go
+++ b/internal/sidecar/client_request.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"barleywick/internal/sidecar/httpmessage"
+	"barleywick/internal/sidecar/upstream"
 	"barleywick/policy"
 )
 
@@ -77,7 +78,7 @@
 		h["User-Agent"] = []string{""} // or net/http would add its own
 	}
 	return &request{
-		Request: Request{ID: meta.id, Method: hr.Method, URL: hr.URL, Host: hr.Host, Header: h, Body: body},
+		Request: upstream.Request{ID: meta.id, Method: hr.Method, URL: hr.URL, Host: hr.Host, Header: h, Body: body},
 		class:   meta.class, tenant: meta.tenant,
 		clientRetry:     h.Get("Client-Retry") == "1",
 		expectedWork:    parseWorkHint(h),
--- a/internal/sidecar/client_test.go
+++ b/internal/sidecar/client_test.go
@@ -16,6 +16,7 @@
 	"barleywick/internal/sidecar/httpmessage"
 	"barleywick/internal/sidecar/sidecartest"
 	"barleywick/internal/sidecar/socket"
+	"barleywick/internal/sidecar/upstream"
 )
 
 func TestServesTheWholeBodyUnchanged(t *testing.T) {
@@ -442,7 +443,7 @@
 
 // A client that takes no more of its answer than fits into buffers must not hold it for ever.
 func TestAnswerIsNotHeldForAClientThatDoesNotRead(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse(strings.Repeat("x", MaxResponseBody))))
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse(strings.Repeat("x", upstream.MaxResponseBody))))
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	go l.run(t.Context())
 	ln, served := sidecartest.ListenLoopback(t), make(chan struct{})
@@ -477,3 +478,36 @@
 		t.Error("no key has a hash")
 	}
 }
+
+func TestRequestGoesOnUnchanged(t *testing.T) {
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
+	body := strings.Repeat("h", maxBody)
+	got := call{class: "keyed", body: body, timeout: "3.25", header: http.Header{
+		"Connection": {"X-Hop"}, "X-Hop": {"1"}, "X-Trace": {"a", "b"},
+	}}.do(t, addr)
+	if got.status != 200 || got.body != "ok" {
+		t.Fatalf("got %+v", got)
+	}
+	r := sidecartest.Await(t, "the request", u.Requests)
+	if r.Method != "POST" || r.RequestURI != "/api/a%2Fb?q=1&r=%20" || r.Body != body ||
+		r.Header.Get("Request-Id") != t.Name() || r.Header.Get("Idempotency-Key") != "5c0f6e1a" {
+		t.Errorf("the upstream read %s %s %v, %d bytes", r.Method, r.RequestURI, r.Header, len(r.Body))
+	}
+	if r.Header.Get("X-Hop") != "" || len(r.Header["X-Trace"]) != 2 {
+		t.Errorf("header %v: a hop's own field went on, or another did not", r.Header)
+	}
+	if wait, ok := parseTimeout(r.Header.Get("Request-Timeout")); !ok || wait > 3250*time.Millisecond || wait < 2*time.Second {
+		t.Errorf("Request-Timeout %q, want what is left of 3.25", r.Header.Get("Request-Timeout"))
+	}
+}
+
+// A request is answered by its client's deadline or by the shutdown deadline, whichever is earlier.
+func TestRequestDeadlineIsTheEarlierOne(t *testing.T) {
+	now := time.Now()
+	shutdown := now.Add(2 * time.Second)
+	r := &request{clientDeadline: now.Add(time.Hour), processDeadline: shutdown}
+	if r.deadline() != shutdown || r.processTimeLeft() <= 0 {
+		t.Errorf("got %v, in %v, want %v", r.deadline(), r.processTimeLeft(), shutdown)
+	}
+}
--- a/internal/sidecar/compatibility_test.go
+++ b/internal/sidecar/compatibility_test.go
@@ -10,6 +10,7 @@
 	"strings"
 	"testing"
 
+	"barleywick/internal/sidecar/upstream"
 	"barleywick/policy"
 )
 
@@ -29,7 +30,7 @@
 // The fields' names of these structs are label values of metrics.
 func TestCounterNamesAreThoseOf396a775(t *testing.T) {
 	var got strings.Builder
-	for _, counts := range []any{clientCounters{}, listenerState{}, PoolCounters{}, PoolState{}, policy.Counters{}} {
+	for _, counts := range []any{clientCounters{}, listenerState{}, upstream.Counters{}, upstream.State{}, policy.Counters{}} {
 		text, err := json.Marshal(slices.Sorted(maps.Keys(fieldValues(counts))))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/sidecar/connections_test.go
+++ b/internal/sidecar/connections_test.go
@@ -20,6 +20,7 @@
 	"barleywick/internal/registry/registrytest"
 	"barleywick/internal/sidecar/config"
 	"barleywick/internal/sidecar/sidecartest"
+	"barleywick/internal/sidecar/upstream"
 )
 
 // dialFrom opens a connection from a loopback address of its own.
@@ -311,7 +312,7 @@
 		t.Fatal(err)
 	}
 	named := make(map[string]bool)
-	for _, of := range []reflect.Type{reflect.TypeFor[clientCounters](), reflect.TypeFor[PoolCounters]()} {
+	for _, of := range []reflect.Type{reflect.TypeFor[clientCounters](), reflect.TypeFor[upstream.Counters]()} {
 		for i := range of.NumField() {
 			named[of.Field(i).Name] = false
 		}
--- a/internal/sidecar/counters_test.go
+++ b/internal/sidecar/counters_test.go
@@ -7,6 +7,8 @@
 	"slices"
 	"strings"
 	"testing"
+
+	"barleywick/internal/sidecar/upstream"
 )
 
 // The names of the counters are label values of metrics and stand in the log: operators' dashboards
@@ -18,8 +20,8 @@
 	}{
 		{clientCounters{}, "Accepted Admitted Waited Refused GivenUpIdle GivenUpSilent OverIdle Silent Vanished Drained Dismissed"},
 		{listenerState{}, "Open HalfOpen Idle Waiting"},
-		{PoolCounters{}, "Reused Opened DialFailed Waited LeftWaiting Evicted Expired Unneeded Stale Distrusted Retired Drained Excess Repeated ShortRest Local"},
-		{PoolState{}, "Open Idle Resting Handshakes Waiting"},
+		{upstream.Counters{}, "Reused Opened DialFailed Waited LeftWaiting Evicted Expired Unneeded Stale Distrusted Retired Drained Excess Repeated ShortRest Local"},
+		{upstream.State{}, "Open Idle Resting Handshakes Waiting"},
 	} {
 		names := strings.Fields(c.names)
 		logged, encoded := make([]string, len(names)), make([]string, len(names))
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -41,7 +41,7 @@
 func newTestLoop(t *testing.T, hosts ...string) *eventLoop {
 	t.Helper()
 	c := testConfig(t, options{}, "127.0.0.1:1", hosts...)
-	l, err := newEventLoop(c, newTestTransport(testPool(4)), gate.New())
+	l, err := newEventLoop(c, testTransport(4, gate.New()), gate.New())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -15,52 +15,10 @@
 	"barleywick/internal/registry/client"
 	"barleywick/internal/registry/registrytest"
 	"barleywick/internal/sidecar/sidecartest"
+	"barleywick/internal/sidecar/upstream"
 	"barleywick/policy"
 )
 
-// A server that drains gets nothing new from the moment on that the sidecar is
-// told, not even what has chosen it already; what runs there ends, idle connections
-// are closed, and if the drain is called off it is used again.
-func TestServerThatDrains(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
-	p, to := testPool(4), NewServer(u.Addr)
-	defer p.Close()
-	conns := connections(t, p, to, 3)
-	p.Release(conns[0])
-	p.Drain(to)
-	sidecartest.Await(t, "the idle connection's end", u.Closed)
-	ups := newTestTransport(p)
-	req := &http.Request{Method: "GET", URL: sidecartest.MustURL("/"), Host: "x", Header: http.Header{"Request-Id": {"late"}}}
-	if x, err := ups.exchange(t.Context(), sendPermit{writeCtx: t.Context()}, conns[1], req); err != errServerDraining || x.written() {
-		t.Errorf("on a connection that was acquired before: got written %v, error %v", x.writtenAt, err)
-	}
-	if got, _ := runOneAttempt(t.Context(), p, to); got != policy.NotSent {
-		t.Errorf("an attempt that had chosen it: ending %v, want not sent", got)
-	}
-	p.Release(conns[2]) // what ran has ended
-	if n, now := p.Counters(); now.Open != 0 || n.Drained != 2 || len(u.Requests) > 0 {
-		t.Errorf("%d connections are open, %d were drained, %d requests came; want 0, 2, 0", now.Open, n.Drained, len(u.Requests))
-	}
-	p.Resume(to)
-	if got, _ := runOneAttempt(t.Context(), p, to); got != policy.Served {
-		t.Errorf("after the drain was called off: ending %v", got)
-	}
-}
-
-// A drain that is told while an attempt waits for its connection ends the wait.
-func TestDrainToldDuringAHandshake(t *testing.T) {
-	p, to := testPool(4), NewServer(sidecartest.NewBlackHole(t))
-	p.dialTimeout = sidecartest.Patience
-	defer p.Close()
-	ending := make(chan policy.Ending, 1)
-	go func() { e, _ := runOneAttempt(t.Context(), p, to); ending <- e }()
-	sidecartest.Eventually(t, "it waits", func() bool { return waiters(p) == 1 })
-	p.Drain(to)
-	if got := sidecartest.Await(t, "its end", ending); got != policy.NotSent {
-		t.Errorf("ending %v, want not sent", got)
-	}
-}
-
 // Through the loop: requests under way are counted to their end, a drain called off
 // and one of a server replaced at its address leave nothing behind, and where all
 // servers drain a client is told to come back.
@@ -115,19 +73,20 @@
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0))
 	h := l.endpoints["s-1"]
 	h.inFlight = 1
+	drains := func() bool { return l.transport.Pool().ServerState(h.peer) == policy.Draining }
 	change := func(health string) {
 		l.applyListing(policy.ListDelta, client.ListUpdate{Endpoints: []client.Endpoint{{Host: "s-1", Dial: "127.0.0.1:7", Site: "a", Health: health, Share: 1}}})
 	}
 	l.now = time.Second
 	change("draining")
-	if h.drainingSince != time.Second || !h.peer.draining {
-		t.Errorf("drains since %v, peer %v", h.drainingSince, h.peer.draining)
+	if h.drainingSince != time.Second || !drains() {
+		t.Errorf("got draining since %v, in the pool %v; want 1s and true", h.drainingSince, drains())
 	}
 	l.now = 2 * time.Second
 	if change("draining"); h.drainingSince != time.Second {
 		t.Error("told again, the drain began anew")
 	}
-	if change("up"); h.drainingSince != 0 || h.peer.draining {
+	if change("up"); h.drainingSince != 0 || drains() {
 		t.Error("the drain was not called off")
 	}
 }
@@ -213,7 +172,7 @@
 	})
 	t.Run("a client that never reads", func(t *testing.T) {
 		t.Parallel()
-		big := make([]byte, MaxResponseBody)
+		big := make([]byte, upstream.MaxResponseBody)
 		u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse(string(big))))
 		addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 		c := dialFrom(t, "127.0.0.1", addr)
--- a/internal/sidecar/fleet_policy.go
+++ b/internal/sidecar/fleet_policy.go
@@ -7,6 +7,7 @@
 
 	"barleywick/internal/rollout"
 	"barleywick/internal/sidecar/config"
+	"barleywick/internal/sidecar/upstream"
 	"barleywick/policy"
 )
 
@@ -56,7 +57,7 @@
 	config   *config.Config
 	loop     *eventLoop
 	listener *limitedListener
-	pool     *Pool
+	pool     *upstream.Pool
 
 	mu       sync.Mutex
 	document *rollout.Document // in force; nil: the configuration counts alone
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -19,23 +19,24 @@
 	"barleywick/internal/sidecar/outcome"
 	"barleywick/internal/sidecar/overloadreporter"
 	"barleywick/internal/sidecar/policyfollower"
+	"barleywick/internal/sidecar/upstream"
 	"barleywick/policy"
 )
 
 // request is a client's request while it is held. The fields that go to an
 // upstream are fixed before the loop sees it; the rest belongs to the loop.
 type request struct {
-	Request         // as it goes to a server
-	class           int
-	tenant          int
-	clientRetry     bool
-	expectedWork    time.Duration // a guess at it; 0 where there is none
-	affinityKey     uint64        // a hash of what it concerns; 0 where that is not said
-	conn            *clientConn   // it came on; nil: none, as in tests
-	receivedAt      time.Time     // when it came
-	clientDeadline  time.Time     // when the client gives up
-	processDeadline time.Time     // the process has to have answered it by then; zero: it serves on
-	result          chan response // takes the one answer; never blocks
+	upstream.Request // as it goes to a server
+	class            int
+	tenant           int
+	clientRetry      bool
+	expectedWork     time.Duration // a guess at it; 0 where there is none
+	affinityKey      uint64        // a hash of what it concerns; 0 where that is not said
+	conn             *clientConn   // it came on; nil: none, as in tests
+	receivedAt       time.Time     // when it came
+	clientDeadline   time.Time     // when the client gives up
+	processDeadline  time.Time     // the process has to have answered it by then; zero: it serves on
+	result           chan response // takes the one answer; never blocks
 
 	id           policy.RequestID
 	closed       bool // answered, or the client has gone
@@ -67,7 +68,7 @@
 	attemptEnded       struct {
 		attempt *attempt
 		ending  policy.Ending
-		answer  *Response // with Served
+		answer  *upstream.Response // with Served
 	}
 	probeCompleted struct {
 		probe *pendingProbe
@@ -94,7 +95,7 @@
 type endpoint struct {
 	id                policy.ServerID
 	entry             client.Endpoint
-	peer              *Server
+	peer              *upstream.Server
 	startedAt         time.Duration
 	probes            []*pendingProbe // in the order the module asked for them
 	inFlight          int             // attempts under way
@@ -143,7 +144,7 @@
 type eventLoop struct {
 	config       *config.Config
 	balancer     *policy.Balancer
-	transport    *Transport
+	transport    *upstream.Transport
 	gate         *gate.Gate
 	events       chan any
 	queued       []any // events that the loop makes itself
@@ -193,7 +194,7 @@
 )
 
 // newEventLoop makes a loop that lives from now on until run has ended.
-func newEventLoop(c *config.Config, up *Transport, g *gate.Gate) (*eventLoop, error) {
+func newEventLoop(c *config.Config, up *upstream.Transport, g *gate.Gate) (*eventLoop, error) {
 	life, end := context.WithCancel(context.Background())
 	l := &eventLoop{
 		lifetime: life, endLifetime: end,
@@ -535,11 +536,11 @@
 	}
 	if h == nil {
 		l.lastEndpointID++
-		h = &endpoint{id: l.lastEndpointID, peer: NewServer(e.Dial)}
+		h = &endpoint{id: l.lastEndpointID, peer: upstream.NewServer(e.Dial)}
 		l.endpoints[e.Host], l.endpointsByID[h.id] = h, h
 	} else if h.entry.Dial != e.Dial || h.entry.BornMS != e.BornMS { // what was open to it leads nowhere now
 		l.transport.Pool().Retire(h.peer)
-		h.peer, h.drainingSince = NewServer(e.Dial), 0
+		h.peer, h.drainingSince = upstream.NewServer(e.Dial), 0
 	}
 	// A start ahead of this machine's clock would keep an upstream cold for too
 	// long; it is taken for now, and stays so while the entry names the same start.
@@ -568,7 +569,7 @@
 
 // attempt is an attempt of a request, with what the loop keeps of it.
 type attempt struct {
-	Attempt
+	upstream.Attempt
 	req       *request
 	number    int
 	host      *endpoint // nil: it was never sent
@@ -579,7 +580,7 @@
 // is not zero, its request is written before that or not at all.
 func newAttempt(ctx context.Context, r *request, giveUpAt, repeatDeadline time.Time) *attempt {
 	a := &attempt{
-		Attempt: Attempt{Request: &r.Request, Deadline: r.deadline(), RepeatDeadline: repeatDeadline},
+		Attempt: upstream.Attempt{Request: &r.Request, Deadline: r.deadline(), RepeatDeadline: repeatDeadline},
 		req:     r, number: len(r.attempts), startedAt: time.Now(),
 	}
 	if r.conn != nil {
--- a/internal/sidecar/meter.go
+++ b/internal/sidecar/meter.go
@@ -14,6 +14,7 @@
 	"barleywick/internal/sidecar/outcome"
 	"barleywick/internal/sidecar/overloadreporter"
 	"barleywick/internal/sidecar/policyfollower"
+	"barleywick/internal/sidecar/upstream"
 	"barleywick/policy"
 )
 
@@ -160,7 +161,7 @@
 }
 
 // serveMetrics serves metrics where the configuration names an address for them.
-func serveMetrics(ctx context.Context, c *config.Config, l *eventLoop, listener *limitedListener, p *Pool) (run func(), err error) {
+func serveMetrics(ctx context.Context, c *config.Config, l *eventLoop, listener *limitedListener, p *upstream.Pool) (run func(), err error) {
 	if l.exporter == nil {
 		return nil, nil
 	}
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/peers_test.go
@@ -17,7 +17,7 @@
 	"barleywick/internal/sidecar/config"
 	"barleywick/internal/sidecar/gate"
 	"barleywick/internal/sidecar/sidecartest"
-	"barleywick/policy"
+	"barleywick/internal/sidecar/upstream"
 )
 
 // testSettings has one class of each effect and two tenants.
@@ -182,23 +182,6 @@
 	}
 }
 
-// runOneAttempt carries one attempt out over a pool of its own.
-func runOneAttempt(ctx context.Context, p *Pool, to *Server) (policy.Ending, *Response) {
-	r := &Request{Method: "POST", URL: sidecartest.MustURL("/api"), Host: "service.internal", Header: http.Header{"Request-Id": {"x"}}, Body: []byte("{}")}
-	return newTestTransport(p).Do(newTestAttempt(ctx, r, to, time.Time{}, time.Time{}))
-}
-
-// newTestTransport returns a transport without load reports.
-func newTestTransport(p *Pool) *Transport { return NewTransport(p, gate.New(), "/health/live", nil) }
-
-// newTestAttempt returns an attempt that has an hour, unless its client's deadline or the one for a
-// repeat is earlier; zero times are none.
-func newTestAttempt(ctx context.Context, r *Request, to *Server, deadline, repeatDeadline time.Time) *Attempt {
-	a := &Attempt{Request: r, Server: to, Deadline: deadline, RepeatDeadline: repeatDeadline}
-	a.Begin(ctx, time.Now().Add(time.Hour))
-	return a
-}
-
 // valid says whether a text is JSON, so that a test's own list cannot be wrong by a slip.
 func valid(t testing.TB, text string) string {
 	t.Helper()
@@ -228,3 +211,9 @@
 	defer c.mu.Unlock()
 	return c.state == connBusy && !c.responseWritten.Load()
 }
+
+// testTransport returns a transport for so many connections, without load reports.
+func testTransport(connections int, sendGate upstream.Gate) *upstream.Transport {
+	limits := config.UpstreamLimits{Total: connections, PerServer: connections, Handshakes: connections, HandshakesPerServer: connections}
+	return upstream.NewTransport(upstream.NewPool(time.Second, 30*time.Second, limits, 1), sendGate, "/health/live", nil)
+}
--- a/internal/sidecar/races_test.go
+++ b/internal/sidecar/races_test.go
@@ -15,51 +15,12 @@
 	"time"
 
 	"barleywick/internal/registry/registrytest"
+	"barleywick/internal/sidecar/gate"
 	"barleywick/internal/sidecar/sidecartest"
+	"barleywick/internal/sidecar/upstream"
 	"barleywick/policy"
 )
 
-// The time in which a request may be sent again is over while it waits for a connection.
-func TestRepeatKeepsToItsWindowAtTheWrite(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
-	p, to := testPool(1), NewServer(u.Addr)
-	ups := newTestTransport(p)
-	out := connections(t, p, to, 1)[0]
-	r := &Request{Method: "POST", URL: sidecartest.MustURL("/api"), Host: "x", Header: map[string][]string{"Request-Id": {"x"}}}
-	a := newTestAttempt(t.Context(), r, to, time.Time{}, time.Now().Add(20*time.Millisecond))
-	if got, _ := ups.Do(a); got != policy.NotSent {
-		t.Errorf("waiting for a connection: ending %v, want not sent", got)
-	}
-	p.Release(out)
-	a = newTestAttempt(t.Context(), r, to, time.Time{}, time.Now().Add(-time.Millisecond))
-	if got, _ := ups.Do(a); got != policy.NotSent {
-		t.Errorf("with a connection: ending %v, want not sent", got)
-	}
-	a = newTestAttempt(t.Context(), r, to, time.Time{}, time.Now().Add(time.Hour))
-	if got, _ := ups.Do(a); got != policy.Served {
-		t.Errorf("in time: ending %v, want served", got)
-	}
-	if len(u.Requests) != 1 {
-		t.Errorf("%d requests were written, want 1", len(u.Requests))
-	}
-}
-
-// The window is checked between the choice of a connection and the write, too.
-func TestRepeatIsNotWrittenAfterItsWindow(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
-	p, to := testPool(1), NewServer(u.Addr)
-	ups := newTestTransport(p)
-	c := connections(t, p, to, 1)[0]
-	r := &Request{Method: "POST", URL: sidecartest.MustURL("/api"), Host: "x", Header: map[string][]string{"Request-Id": {"x"}}}
-	a := newTestAttempt(t.Context(), r, to, time.Time{}, time.Now().Add(-time.Millisecond))
-	if x, err := ups.exchange(a.ctx, a.permit(), c, r.outgoing(a.ctx)); err == nil || x.written() {
-		t.Errorf("got written %v, error %v; want an error before the write", x.writtenAt, err)
-	}
-	if len(u.Requests) > 0 {
-		t.Error("it was written")
-	}
-}
-
 // A client leaves while its attempt waits for a connection. Where attempts may not be called
 // off, one that has not begun is still not to begin.
 func TestAttemptDoesNotBeginOnceItsClientHasGone(t *testing.T) {
@@ -74,25 +35,30 @@
 	l.balancer = b
 	b.Start(l.clock())
 	l.applyListing(policy.ListFull, *l.config.KnownEndpoints)
-	pool := testPool(1)
+	l.transport = testTransport(1, gate.New())
+	pool := l.transport.Pool()
 	defer pool.Close()
-	l.transport = newTestTransport(pool)
 	to := l.endpoints["s-1"].peer
-	out := connections(t, pool, to, 1)[0]
+	out, err := pool.Acquire(t.Context(), to)
+	if err != nil {
+		t.Fatal(err)
+	}
 	go l.run(t.Context())
 	r := &request{
-		Request: Request{ID: "leaves", Method: "POST", URL: sidecartest.MustURL("/api"), Host: "x", Header: map[string][]string{"Request-Id": {"leaves"}}},
+		Request: upstream.Request{ID: "leaves", Method: "POST", URL: sidecartest.MustURL("/api"), Host: "x", Header: map[string][]string{"Request-Id": {"leaves"}}},
 		class:   2, clientDeadline: time.Now().Add(4 * time.Second), result: make(chan response, 1),
 	}
 	l.post(requestArrived{r})
-	sidecartest.Eventually(t, "the attempt waits", func() bool { return waiters(pool) == 1 })
+	sidecartest.Eventually(t, "the attempt waits", func() bool { _, now := pool.Counters(); return now.Waiting == 1 })
 	l.post(clientDisconnected{r})
 	handled := make(chan struct{})
 	l.post(fleetPolicyReceived{done: handled})
 	sidecartest.Await(t, "the loop", handled)
 	pool.Release(out) // the attempt's turn, if it still waits
 	// The pool's one connection serves one after the other: the next request comes behind.
-	if got, _ := runOneAttempt(t.Context(), pool, to); got != policy.Served {
+	next := &upstream.Attempt{Request: &upstream.Request{Method: "POST", URL: sidecartest.MustURL("/api"), Host: "x", Header: http.Header{"Request-Id": {"next"}}}, Server: to}
+	next.Begin(t.Context(), time.Now().Add(time.Hour))
+	if got, _ := l.transport.Do(next); got != policy.Served {
 		t.Errorf("the next attempt: ending %v", got)
 	}
 	if first := sidecartest.Await(t, "a request", u.Requests); first.Header.Get("Request-Id") == "leaves" {
@@ -139,18 +105,6 @@
 	}
 }
 
-// An answer without a length ends with its connection, but not with a reset.
-func TestResetIsNoEndOfAnAnswer(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
-		io.WriteString(r.Conn, "HTTP/1.1 200 OK\r\n\r\nhoney")
-		r.Conn.(*net.TCPConn).SetLinger(0) // its close is a reset
-		return "", true
-	})
-	if got, a := runOneAttempt(t.Context(), testPool(2), NewServer(u.Addr)); got != policy.Broken {
-		t.Errorf("ending %v, answer %+v, want broken", got, a)
-	}
-}
-
 // A client may leave long before its request is read, where that waited for a place. The
 // request is not sent on, although net/http has not noticed yet that nobody is there.
 func TestRequestOfAClientThatLeftUnreadIsNotSent(t *testing.T) {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -20,6 +20,7 @@
 	"barleywick/internal/sidecar/handover"
 	"barleywick/internal/sidecar/overloadreporter"
 	"barleywick/internal/sidecar/policyfollower"
+	"barleywick/internal/sidecar/upstream"
 	"barleywick/policy"
 )
 
@@ -79,10 +80,10 @@
 // serve runs a sidecar on a listener, and in the place of an old process if there is one.
 func serve(stop context.Context, reload <-chan os.Signal, c *config.Config, o runOptions, ln net.Listener, old *handover.Predecessor) error {
 	defer ln.Close()
-	pool := NewPool(c.DialTimeout, c.UpstreamIdleTimeout, c.Connections.Servers, c.Seed)
+	pool := upstream.NewPool(c.DialTimeout, c.UpstreamIdleTimeout, c.Connections.Servers, c.Seed)
 	defer pool.Close()
 	sendGate := gate.New()
-	transport := NewTransport(pool, sendGate, probePath(c), c.LoadReportColumns)
+	transport := upstream.NewTransport(pool, sendGate, probePath(c), c.LoadReportColumns)
 	l, err := newEventLoop(c, transport, sendGate)
 	if err != nil {
 		return err
@@ -273,7 +274,7 @@
 }
 
 // sweep closes idle upstream connections in time.
-func sweep(ctx context.Context, p *Pool) {
+func sweep(ctx context.Context, p *upstream.Pool) {
 	t := time.NewTicker(sweepEvery)
 	defer t.Stop()
 	for {
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -13,6 +13,7 @@
 
 	"barleywick/internal/registry/registrytest"
 	"barleywick/internal/sidecar/sidecartest"
+	"barleywick/internal/sidecar/upstream"
 	"barleywick/policy"
 )
 
@@ -91,37 +92,10 @@
 	}
 }
 
-// Nothing is sent again behind the module's back, not even a request that may be
-// repeated, when a kept connection breaks under it.
-func TestNoHiddenAttempts(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
-		if r.Header.Get("Request-Id") == "breaks" {
-			return "", true
-		}
-		return sidecartest.OKResponse("ok"), false
-	})
-	p, to := testPool(4), NewServer(u.Addr)
-	try := func(id string) policy.Ending {
-		r := &Request{Method: "GET", URL: sidecartest.MustURL("/"), Host: "x", Header: http.Header{"Request-Id": {id}, "Idempotency-Key": {"k"}}}
-		ending, _ := newTestTransport(p).Do(newTestAttempt(t.Context(), r, to, time.Time{}, time.Time{}))
-		return ending
-	}
-	if got := try("first"); got != policy.Served {
-		t.Fatalf("first: ending %v", got)
-	}
-	endAllQuarantines(p)
-	if got := try("breaks"); got != policy.Broken {
-		t.Errorf("on a breaking connection: ending %v, want broken", got)
-	}
-	if len(u.Requests) != 2 || len(u.Accepted) != 1 {
-		t.Errorf("%d requests on %d connections, want 2 on 1", len(u.Requests), len(u.Accepted))
-	}
-}
-
 func TestConnectionsAreReused(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{probes: true}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
-	const requests, apart = 12, MaxQuarantine + 20*time.Millisecond // each connection has rested by the next request
+	const requests, apart = 12, upstream.MaxQuarantine + 20*time.Millisecond // each connection has rested by the next request
 	for i := range requests {
 		if got := (call{class: "keyed", id: fmt.Sprint(i)}).do(t, addr); got.status != 200 {
 			t.Fatalf("got %+v", got)
@@ -171,7 +145,7 @@
 
 func TestExactlyOneAnswer(t *testing.T) {
 	l := newTestLoop(t)
-	r := &request{Request: Request{ID: "x"}, id: 7, result: make(chan response, 1)}
+	r := &request{Request: upstream.Request{ID: "x"}, id: 7, result: make(chan response, 1)}
 	l.requests[r.id] = r
 	l.requestNames.reserve(r.ID)
 	l.Fail(r.id)
@@ -193,7 +167,7 @@
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	r := call{class: "once"}.request(t, u.Addr)
 	held := &request{
-		Request: Request{ID: "x", Method: r.Method, URL: r.URL, Host: r.Host, Header: r.Header},
+		Request: upstream.Request{ID: "x", Method: r.Method, URL: r.URL, Host: r.Host, Header: r.Header},
 		class:   2, clientDeadline: time.Now().Add(sidecartest.Patience),
 		result: make(chan response, 1),
 	}
@@ -201,7 +175,7 @@
 	l.handle(requestArrived{held})
 	sidecartest.Await(t, "the attempt", u.Requests)
 	l.handle(clientDisconnected{held})
-	l.handle(attemptEnded{held.attempts[0], policy.Served, &Response{}})
+	l.handle(attemptEnded{held.attempts[0], policy.Served, &upstream.Response{}})
 	if len(l.requests) > 0 || len(held.result) > 0 {
 		t.Errorf("%d requests are still held, %d answers given", len(l.requests), len(held.result))
 	}
@@ -212,8 +186,8 @@
 func TestTimeOutIsToldWhoeverNoticesFirst(t *testing.T) {
 	l := newTestLoop(t)
 	for want, r := range map[int]*request{
-		http.StatusGatewayTimeout: {Request: Request{ID: "out"}, id: 7, inFlight: 1, result: make(chan response, 1)},
-		http.StatusBadGateway:     {Request: Request{ID: "broken"}, id: 8, result: make(chan response, 1)},
+		http.StatusGatewayTimeout: {Request: upstream.Request{ID: "out"}, id: 7, inFlight: 1, result: make(chan response, 1)},
+		http.StatusBadGateway:     {Request: upstream.Request{ID: "broken"}, id: 8, result: make(chan response, 1)},
 	} {
 		l.requests[r.id] = r
 		l.Fail(r.id)
--- a/internal/sidecar/pool_counters.go
+++ b/internal/sidecar/upstream/counters.go
@@ -1,10 +1,10 @@
-package sidecar
+package upstream
 
 import "log/slog"
 
-// PoolCounters count what became of upstream connections. The tags are the names in the log and in
+// Counters count what became of upstream connections. The tags are the names in the log and in
 // metrics; docs/CONNECTIONS.md explains them.
-type PoolCounters struct {
+type Counters struct {
 	Reused      uint64 `json:"Reused"`      // requests that got an idle connection
 	Opened      uint64 `json:"Opened"`      // handshakes that succeeded
 	DialFailed  uint64 `json:"DialFailed"`  // handshakes that failed because of the server
@@ -23,8 +23,8 @@
 	Local       uint64 `json:"Local"`       // handshakes that failed because of this machine
 }
 
-// PoolState counts the connections and callers at one moment, under the same rule for the tags.
-type PoolState struct {
+// State counts the connections and callers at one moment, under the same rule for the tags.
+type State struct {
 	Open       int `json:"Open"` // handshakes in progress included
 	Idle       int `json:"Idle"`
 	Resting    int `json:"Resting"` // in quarantine
@@ -33,10 +33,10 @@
 }
 
 // Counters returns what was counted so far, and the state now.
-func (p *Pool) Counters() (PoolCounters, PoolState) {
+func (p *Pool) Counters() (Counters, State) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.count, PoolState{p.open, p.idle.Len(), len(p.quarantined), p.dialing, p.waiting}
+	return p.count, State{p.open, p.idle.Len(), len(p.quarantined), p.dialing, p.waiting}
 }
 
 // LogCounters logs what counters returns.
--- a/internal/sidecar/pool_dial_test.go
+++ b/internal/sidecar/upstream/dial_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package upstream
 
 import (
 	"context"
@@ -132,8 +132,6 @@
 	}
 }
 
-func waiters(p *Pool) int { _, now := p.Counters(); return now.Waiting }
-
 // Limits of our own are no word against an upstream.
 func TestOwnLimitsAreNoFailureOfTheUpstream(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/upstream/pool.go
@@ -1,4 +1,4 @@
-package sidecar
+package upstream
 
 import (
 	"cmp"
@@ -56,7 +56,7 @@
 	duplicates      duplicateDetector
 	blocked         queue.List[*Server] // whose next handshake waits for a limit on the total
 	waiting         int                 // callers
-	count           PoolCounters
+	count           Counters
 }
 
 // waiter is a caller of acquire that waits for a connection.
--- a/internal/sidecar/pool_test.go
+++ b/internal/sidecar/upstream/pool_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package upstream
 
 import (
 	"context"
@@ -122,41 +122,6 @@
 	}
 }
 
-func testPool(most int) *Pool { return poolOf(time.Second, 30*time.Second, most) }
-
-// poolOf bounds connections in all and nothing else.
-func poolOf(dialTimeout, connIdle time.Duration, most int) *Pool {
-	return NewPool(dialTimeout, connIdle, config.UpstreamLimits{Total: most, PerServer: most, Handshakes: most, HandshakesPerServer: most}, 1)
-}
-
-// endAllQuarantines takes all connections that rest back into use, as if they had rested.
-func endAllQuarantines(p *Pool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for len(p.quarantined) > 0 {
-		p.endQuarantineLocked(p.quarantined[0])
-	}
-}
-
-// connections takes n connections to an upstream out of a pool.
-func connections(t testing.TB, p *Pool, to *Server, n int) (conns []*Conn) {
-	t.Helper()
-	for range n {
-		c, err := p.Acquire(t.Context(), to)
-		if err != nil {
-			t.Fatal(err)
-		}
-		conns = append(conns, c)
-	}
-	return conns
-}
-
-// opened is how many connections of a pool are open or being opened.
-func (p *Pool) opened() int {
-	_, now := p.Counters()
-	return now.Open
-}
-
 func TestPoolReusesTheMostRecentConnection(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, to := testPool(4), NewServer(u.Addr)
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream/response_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package upstream
 
 import (
 	"context"
@@ -8,7 +8,6 @@
 	"testing"
 	"time"
 
-	"barleywick/internal/registry/registrytest"
 	"barleywick/internal/settings"
 	"barleywick/internal/sidecar/gate"
 	"barleywick/internal/sidecar/httpmessage"
@@ -167,29 +166,6 @@
 	}
 }
 
-func TestRequestGoesOnUnchanged(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
-	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
-	body := strings.Repeat("h", maxBody)
-	got := call{class: "keyed", body: body, timeout: "3.25", header: http.Header{
-		"Connection": {"X-Hop"}, "X-Hop": {"1"}, "X-Trace": {"a", "b"},
-	}}.do(t, addr)
-	if got.status != 200 || got.body != "ok" {
-		t.Fatalf("got %+v", got)
-	}
-	r := sidecartest.Await(t, "the request", u.Requests)
-	if r.Method != "POST" || r.RequestURI != "/api/a%2Fb?q=1&r=%20" || r.Body != body ||
-		r.Header.Get("Request-Id") != t.Name() || r.Header.Get("Idempotency-Key") != "5c0f6e1a" {
-		t.Errorf("the upstream read %s %s %v, %d bytes", r.Method, r.RequestURI, r.Header, len(r.Body))
-	}
-	if r.Header.Get("X-Hop") != "" || len(r.Header["X-Trace"]) != 2 {
-		t.Errorf("header %v: a hop's own field went on, or another did not", r.Header)
-	}
-	if wait, ok := parseTimeout(r.Header.Get("Request-Timeout")); !ok || wait > 3250*time.Millisecond || wait < 2*time.Second {
-		t.Errorf("Request-Timeout %q, want what is left of 3.25", r.Header.Get("Request-Timeout"))
-	}
-}
-
 func TestProbeReadsTheReport(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
--- /dev/null
+++ b/internal/sidecar/upstream/transport_test.go
@@ -0,0 +1,92 @@
+package upstream
+
+import (
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"barleywick/internal/sidecar/sidecartest"
+	"barleywick/policy"
+)
+
+// The time in which a request may be sent again is over while it waits for a connection.
+func TestRepeatKeepsToItsWindowAtTheWrite(t *testing.T) {
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	p, to := testPool(1), NewServer(u.Addr)
+	ups := newTestTransport(p)
+	out := connections(t, p, to, 1)[0]
+	r := &Request{Method: "POST", URL: sidecartest.MustURL("/api"), Host: "x", Header: map[string][]string{"Request-Id": {"x"}}}
+	a := newTestAttempt(t.Context(), r, to, time.Time{}, time.Now().Add(20*time.Millisecond))
+	if got, _ := ups.Do(a); got != policy.NotSent {
+		t.Errorf("waiting for a connection: ending %v, want not sent", got)
+	}
+	p.Release(out)
+	a = newTestAttempt(t.Context(), r, to, time.Time{}, time.Now().Add(-time.Millisecond))
+	if got, _ := ups.Do(a); got != policy.NotSent {
+		t.Errorf("with a connection: ending %v, want not sent", got)
+	}
+	a = newTestAttempt(t.Context(), r, to, time.Time{}, time.Now().Add(time.Hour))
+	if got, _ := ups.Do(a); got != policy.Served {
+		t.Errorf("in time: ending %v, want served", got)
+	}
+	if len(u.Requests) != 1 {
+		t.Errorf("%d requests were written, want 1", len(u.Requests))
+	}
+}
+
+// The window is checked between the choice of a connection and the write, too.
+func TestRepeatIsNotWrittenAfterItsWindow(t *testing.T) {
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	p, to := testPool(1), NewServer(u.Addr)
+	ups := newTestTransport(p)
+	c := connections(t, p, to, 1)[0]
+	r := &Request{Method: "POST", URL: sidecartest.MustURL("/api"), Host: "x", Header: map[string][]string{"Request-Id": {"x"}}}
+	a := newTestAttempt(t.Context(), r, to, time.Time{}, time.Now().Add(-time.Millisecond))
+	if x, err := ups.exchange(a.ctx, a.permit(), c, r.outgoing(a.ctx)); err == nil || x.written() {
+		t.Errorf("got written %v, error %v; want an error before the write", x.writtenAt, err)
+	}
+	if len(u.Requests) > 0 {
+		t.Error("it was written")
+	}
+}
+
+// An answer without a length ends with its connection, but not with a reset.
+func TestResetIsNoEndOfAnAnswer(t *testing.T) {
+	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
+		io.WriteString(r.Conn, "HTTP/1.1 200 OK\r\n\r\nhoney")
+		r.Conn.(*net.TCPConn).SetLinger(0) // its close is a reset
+		return "", true
+	})
+	if got, a := runOneAttempt(t.Context(), testPool(2), NewServer(u.Addr)); got != policy.Broken {
+		t.Errorf("ending %v, answer %+v, want broken", got, a)
+	}
+}
+
+// Nothing is sent again behind the module's back, not even a request that may be
+// repeated, when a kept connection breaks under it.
+func TestNoHiddenAttempts(t *testing.T) {
+	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
+		if r.Header.Get("Request-Id") == "breaks" {
+			return "", true
+		}
+		return sidecartest.OKResponse("ok"), false
+	})
+	p, to := testPool(4), NewServer(u.Addr)
+	try := func(id string) policy.Ending {
+		r := &Request{Method: "GET", URL: sidecartest.MustURL("/"), Host: "x", Header: http.Header{"Request-Id": {id}, "Idempotency-Key": {"k"}}}
+		ending, _ := newTestTransport(p).Do(newTestAttempt(t.Context(), r, to, time.Time{}, time.Time{}))
+		return ending
+	}
+	if got := try("first"); got != policy.Served {
+		t.Fatalf("first: ending %v", got)
+	}
+	endAllQuarantines(p)
+	if got := try("breaks"); got != policy.Broken {
+		t.Errorf("on a breaking connection: ending %v, want broken", got)
+	}
+	if len(u.Requests) != 2 || len(u.Accepted) != 1 {
+		t.Errorf("%d requests on %d connections, want 2 on 1", len(u.Requests), len(u.Accepted))
+	}
+}
--- a/internal/sidecar/upstream_write_test.go
+++ b/internal/sidecar/upstream/write_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package upstream
 
 import (
 	"context"
@@ -10,7 +10,6 @@
 	"testing"
 	"time"
 
-	"barleywick/internal/sidecar/gate"
 	"barleywick/internal/sidecar/sidecartest"
 	"barleywick/policy"
 )
@@ -78,34 +77,6 @@
 	}
 }
 
-// The client's socket is looked at in the moment of the write: net/http may tell later.
-func TestNothingIsWrittenForAClientThatHasLeft(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
-	p, to := testPool(1), NewServer(u.Addr)
-	defer p.Close()
-	far, near := connected(t)
-	r := &Request{ID: "left", Method: "POST", URL: sidecartest.MustURL("/"), Host: "x", Header: http.Header{}}
-	sendGate := gate.New()
-	ups := NewTransport(p, sendGate, "/health/live", nil)
-	try := func() policy.Ending {
-		a := newTestAttempt(t.Context(), r, to, time.Now().Add(time.Hour), time.Time{})
-		a.Client = near
-		ending, _ := ups.Do(a)
-		return ending
-	}
-	if got := try(); got != policy.Served {
-		t.Errorf("while it is there: ending %v", got)
-	}
-	far.Close()
-	sidecartest.Eventually(t, "the close has come", near.ClosedByClient)
-	if got := try(); got != policy.NotSent || len(u.Requests) != 1 {
-		t.Errorf("ending %v with %d requests written, want not sent", got, len(u.Requests))
-	}
-	if n := sendGate.Counters().Decided["send: client left"]; n != 1 {
-		t.Errorf("%d denials for a client that left, want 1", n)
-	}
-}
-
 // A server is told less than its client has left.
 func TestDeadlineToldLeavesTimeForTheWrite(t *testing.T) {
 	for _, left := range []time.Duration{time.Second, 40 * time.Millisecond} {
@@ -118,13 +89,3 @@
 		}
 	}
 }
-
-// A request is answered by its client's deadline or by the shutdown deadline, whichever is earlier.
-func TestRequestDeadlineIsTheEarlierOne(t *testing.T) {
-	now := time.Now()
-	shutdown := now.Add(2 * time.Second)
-	r := &request{clientDeadline: now.Add(time.Hour), processDeadline: shutdown}
-	if r.deadline() != shutdown || r.processTimeLeft() <= 0 {
-		t.Errorf("got %v, in %v, want %v", r.deadline(), r.processTimeLeft(), shutdown)
-	}
-}
