--- a/internal/testing/modelcheck/explore.go
+++ b/internal/testing/modelcheck/explore.go
@@ -54,12 +54,12 @@
 
 // node is one state met, and how.
 type node[W any] struct {
-	w      W
+	world  W
 	parent *node[W]
 	step   Step[W]
 }
 
-func (n *node[W]) trail() (steps []string) {
+func (n *node[W]) path() (steps []string) {
 	for ; n.parent != nil; n = n.parent {
 		steps = append(steps, n.step.String())
 	}
@@ -83,18 +83,18 @@
 		return !known
 	}
 	fresh(first)
-	layer := []*node[W]{{w: first}}
+	layer := []*node[W]{{world: first}}
 	for full < depth && len(layer) > 0 {
 		var next []*node[W]
 		for _, n := range layer {
-			for _, step := range n.w.Steps() {
-				w := n.w.Clone()
+			for _, step := range n.world.Steps() {
+				w := n.world.Clone()
 				err := step.Do(w)
 				if seen != nil {
 					seen(w)
 				}
 				if err != nil {
-					return len(met), full, &Violation{err, append(n.trail(), step.String())}
+					return len(met), full, &Violation{err, append(n.path(), step.String())}
 				}
 				if fresh(w) {
 					next = append(next, &node[W]{w, n, step})
@@ -104,7 +104,7 @@
 				}
 			}
 			var none W
-			n.w = none // only the trail is wanted any more
+			n.world = none // only the trail is wanted any more
 		}
 		layer = next
 		full++
@@ -136,8 +136,8 @@
 	return f
 }
 
-// mostSilent is for how many steps somebody may say nothing, at most.
-const mostSilent = 40
+// maxSilentSteps is for how many steps somebody may say nothing, at most.
+const maxSilentSteps = 40
 
 // Walk takes so many steps, drawn by their weights. Of those whose steps there are, of
 // in number, one at a time may say nothing for a while, as one that is stopped or cut off.
@@ -145,7 +145,7 @@
 	silent, until := -1, 0
 	for i := range steps {
 		if i >= until {
-			silent, until = rng.IntN(2*of)-of, i+rng.IntN(mostSilent)
+			silent, until = rng.IntN(2*of)-of, i+rng.IntN(maxSilentSteps)
 		}
 		all := k.World.Steps()
 		if len(all) == 0 {
@@ -155,15 +155,15 @@
 		if len(all) == 0 {
 			continue
 		}
-		if f := k.Take(choose(rng, all)); f != nil {
+		if f := k.Take(drawStep(rng, all)); f != nil {
 			return f
 		}
 	}
 	return nil
 }
 
-// choose draws a step.
-func choose[W any](rng *rand.Rand, steps []Step[W]) Step[W] {
+// drawStep draws a step.
+func drawStep[W any](rng *rand.Rand, steps []Step[W]) Step[W] {
 	total := 0
 	for _, s := range steps {
 		total += s.Weight
--- a/internal/testing/modelcheck/system/client.go
+++ b/internal/testing/modelcheck/system/client.go
@@ -11,42 +11,42 @@
 )
 
 const (
-	// callIn is for one call, tries how often one is made: each may be carried out.
-	callIn = 400 * time.Millisecond
-	tries  = 4
+	// callTimeout is for one call, tries how often one is made: each may be carried out.
+	callTimeout = 400 * time.Millisecond
+	maxAttempts = 4
 )
 
 // client is a task's way to the registry.
 type client struct {
 	*task
-	w     *world
-	fence func() *registry.Fence // of the lease that it writes under; nil: none
-	guess int                    // which replica it asks first
+	w         *world
+	fence     func() *registry.Fence // of the lease that it writes under; nil: none
+	preferred int                    // which replica it asks first
 }
 
-func (w *world) client(t *task) *client { return &client{task: t, w: w, guess: w.rng.IntN(3)} }
+func (w *world) newClient(t *task) *client { return &client{task: t, w: w, preferred: w.rng.IntN(3)} }
 
-// each asks one replica after the other until one has answered something other than that
+// callReplicas asks one replica after the other until one has answered something other than that
 // it does not lead.
-func (c *client) each(ask func(r *replica, reply func(error))) error {
-	last := errSilent
-	for n := range tries * len(c.w.group.replicas) {
-		r := c.w.group.replicas[c.guess]
+func (c *client) callReplicas(ask func(r *replica, reply func(error))) error {
+	last := errUnresponsive
+	for n := range maxAttempts * len(c.w.raft.replicas) {
+		r := c.w.raft.replicas[c.preferred]
 		var err error
-		if !c.call(&r.process, callIn, func(reply func(take func())) {
+		if !c.call(&r.process, callTimeout, func(reply func(take func())) {
 			ask(r, func(e error) { reply(func() { err = e }) })
 		}) {
-			err = errSilent
+			err = errUnresponsive
 		}
-		if err == nil || !errors.Is(err, errSilent) && !errors.Is(err, errNotLeader) {
+		if err == nil || !errors.Is(err, errUnresponsive) && !errors.Is(err, errNotLeader) {
 			return err
 		}
 		last = err
-		c.guess = (c.guess + 1) % len(c.w.group.replicas)
-		if n >= tries && !errors.Is(err, errNotLeader) {
+		c.preferred = (c.preferred + 1) % len(c.w.raft.replicas)
+		if n >= maxAttempts && !errors.Is(err, errNotLeader) {
 			break
 		}
-		c.sleep(c.spread(20 * time.Millisecond))
+		c.sleep(c.jitter(20 * time.Millisecond))
 	}
 	return fmt.Errorf("the registry is out of reach: %w", last)
 }
@@ -56,8 +56,8 @@
 	if c.fence != nil && cmd.Fence == nil && cmd.Lease == nil {
 		cmd.Fence = c.fence()
 	}
-	err = c.each(func(r *replica, reply func(error)) {
-		c.w.group.take(r, cmd, func(got registry.Result, err error) {
+	err = c.callReplicas(func(r *replica, reply func(error)) {
+		c.w.raft.write(r, cmd, func(got registry.Result, err error) {
 			res = got
 			reply(err)
 		})
@@ -65,19 +65,19 @@
 	return res, err
 }
 
-// read looks at the state as it is once the leader has made sure that it is one.
-func (c *client) read(look func(s *registry.State)) error {
-	return c.each(func(r *replica, reply func(error)) {
-		c.w.group.sure(r, func() {
+// readVerified looks at the state as it is once the leader has made sure that it is one.
+func (c *client) readVerified(look func(s *registry.State)) error {
+	return c.callReplicas(func(r *replica, reply func(error)) {
+		c.w.raft.verifyLeadership(r, func() {
 			look(r.state)
 			reply(nil)
 		}, reply)
 	})
 }
 
-// peek looks at any replica's state, which may be behind.
-func (c *client) peek(look func(s *registry.State)) error {
-	return c.each(func(r *replica, reply func(error)) {
+// readStale looks at any replica's state, which may be behind.
+func (c *client) readStale(look func(s *registry.State)) error {
+	return c.callReplicas(func(r *replica, reply func(error)) {
 		look(r.state)
 		reply(nil)
 	})
@@ -87,7 +87,7 @@
 
 // Registrations is the list with what it does not show.
 func (c *client) Registrations(context.Context) (a registry.RegistrationsResponse, err error) {
-	err = c.read(func(s *registry.State) {
+	err = c.readVerified(func(s *registry.State) {
 		a = registry.RegistrationsResponse{Group: s.Group(), Seq: s.Seq(), Registrations: s.Registrations(), Marks: s.Marks()}
 	})
 	return a, err
@@ -96,7 +96,7 @@
 // Record reads a record.
 func (c *client) Record(_ context.Context, key string) (rec registry.Record, err error) {
 	found := false
-	if err = c.read(func(s *registry.State) { rec, found = s.Record(key) }); err == nil && !found {
+	if err = c.readVerified(func(s *registry.State) { rec, found = s.Record(key) }); err == nil && !found {
 		err = registry.ErrNotFound
 	}
 	return rec, err
--- a/internal/testing/modelcheck/system/explore.go
+++ b/internal/testing/modelcheck/system/explore.go
@@ -28,7 +28,7 @@
 	ClockDrift    FaultKind = "drift" // its clock runs a twentieth off
 )
 
-var kinds = []FaultKind{Crash, Pause, Partition, BlockOutbound, BlockInbound, Delay, DiskFull, ClockDrift}
+var faultKinds = []FaultKind{Crash, Pause, Partition, BlockOutbound, BlockInbound, Delay, DiskFull, ClockDrift}
 
 // Fault falls on a process as a step is taken for the nth time, for a time. The process is
 // named by what it is then: leader, follower, holder:LEASE, or s0, k1, r2.
@@ -55,8 +55,8 @@
 		what, at, ok := strings.Cut(part, " at ")
 		words := strings.Fields(what)
 		cut := strings.LastIndexByte(at, '#')
-		if !ok || len(words) != 4 || words[2] != "for" || cut < 0 || !slices.Contains(kinds, FaultKind(words[0])) {
-			return nil, fmt.Errorf("fault %q: it has to be like 'kill leader for 2s at policy in force#1', with one of %v", part, kinds)
+		if !ok || len(words) != 4 || words[2] != "for" || cut < 0 || !slices.Contains(faultKinds, FaultKind(words[0])) {
+			return nil, fmt.Errorf("fault %q: it has to be like 'kill leader for 2s at policy in force#1', with one of %v", part, faultKinds)
 		}
 		f := Fault{Step: at[:cut], Kind: FaultKind(words[0]), Target: words[1]}
 		if f.Duration, err = time.ParseDuration(words[3]); err != nil {
@@ -76,37 +76,37 @@
 	Step string
 }
 
-// step notes one, and lets the faults fall that wait for it.
-func (w *world) step(name string) {
-	w.nth[name]++
-	for _, f := range w.active {
+// recordStep notes one, and lets the faults fall that wait for it.
+func (w *world) recordStep(name string) {
+	w.stepCounts[name]++
+	for _, f := range w.activeFaults {
 		w.pairs[Pair{f.Kind, name}]++
 	}
 	for i, f := range w.plan {
-		if !w.fell[i] && f.Step == name && f.Occurrence == w.nth[name] {
-			w.fell[i] = true
-			w.after(0, func() { w.fall(i) })
+		if !w.injected[i] && f.Step == name && f.Occurrence == w.stepCounts[name] {
+			w.injected[i] = true
+			w.after(0, func() { w.injectFault(i) })
 		}
 	}
 }
 
-// whom is the process that a fault falls on now.
-func (w *world) whom(f Fault) *process {
+// faultTarget is the process that a fault falls on now.
+func (w *world) faultTarget(f Fault) *process {
 	if lease, ok := strings.CutPrefix(f.Target, "holder:"); ok {
-		for _, k := range w.keepers {
-			if t := k.tenures[lease]; k.up && t != nil && t.Held(k.reads()) {
+		for _, k := range w.controllers {
+			if t := k.sessions[lease]; k.up && t != nil && t.Held(k.monotonic()) {
 				return &k.process
 			}
 		}
-		return &w.keepers[0].process
+		return &w.controllers[0].process
 	}
 	switch f.Target {
 	case "leader":
-		return &w.group.replicas[max(0, w.group.leader)].process
+		return &w.raft.replicas[max(0, w.raft.leader)].process
 	case "follower":
-		return &w.group.replicas[(max(0, w.group.leader)+1)%len(w.group.replicas)].process
+		return &w.raft.replicas[(max(0, w.raft.leader)+1)%len(w.raft.replicas)].process
 	}
-	for _, k := range w.keepers {
+	for _, k := range w.controllers {
 		if k.name == f.Target {
 			return &k.process
 		}
@@ -116,7 +116,7 @@
 			return &x.process
 		}
 	}
-	for _, r := range w.group.replicas {
+	for _, r := range w.raft.replicas {
 		if r.name == f.Target {
 			return &r.process
 		}
@@ -124,14 +124,14 @@
 	return nil
 }
 
-// fall lets a fault of the plan begin, and end after its time.
-func (w *world) fall(i int) {
+// injectFault lets a fault of the plan begin, and end after its time.
+func (w *world) injectFault(i int) {
 	f := w.plan[i]
-	p := w.whom(f)
-	if p == nil || w.quiet {
+	p := w.faultTarget(f)
+	if p == nil || w.settling {
 		return
 	}
-	w.active[i] = f
+	w.activeFaults[i] = f
 	set := func(on bool) {
 		switch f.Kind {
 		case Crash:
@@ -139,22 +139,22 @@
 				p.start()
 			}
 		case Pause:
-			if p.stop(); !on {
-				p.cont()
-				w.group.wakes(p)
+			if p.pause(); !on {
+				p.unpause()
+				w.raft.resumed(p)
 			}
 		case Partition:
-			p.mute, p.deaf = on, on
+			p.outboundBlocked, p.inboundBlocked = on, on
 		case BlockOutbound:
-			p.mute = on
+			p.outboundBlocked = on
 		case BlockInbound:
-			p.deaf = on
+			p.inboundBlocked = on
 		case Delay:
-			p.late = on
+			p.delayed = on
 		case DiskFull:
-			for _, r := range w.group.replicas {
+			for _, r := range w.raft.replicas {
 				if &r.process == p {
-					r.full = on
+					r.diskFull = on
 				}
 			}
 		case ClockDrift:
@@ -162,49 +162,49 @@
 			if on {
 				rate = []int64{950, 1050}[i%2]
 			}
-			p.drift(rate)
+			p.setClockRate(rate)
 		}
 	}
 	set(true)
 	w.after(f.Duration, func() {
-		if _, on := w.active[i]; on {
-			delete(w.active, i)
+		if _, on := w.activeFaults[i]; on {
+			delete(w.activeFaults, i)
 			set(false)
 		}
 	})
 }
 
-// heal ends all faults, and starts what is down.
-func (w *world) heal() {
-	w.quiet = true
-	clear(w.active)
+// endFaults ends all faults, and starts what is down.
+func (w *world) endFaults() {
+	w.settling = true
+	clear(w.activeFaults)
 	all := []*process{w.operator}
-	for _, r := range w.group.replicas {
-		r.full = false
+	for _, r := range w.raft.replicas {
+		r.diskFull = false
 		all = append(all, &r.process)
 	}
-	for _, k := range w.keepers {
+	for _, k := range w.controllers {
 		all = append(all, &k.process)
 	}
 	for _, x := range w.sidecars {
 		all = append(all, &x.process)
 	}
 	for _, p := range all {
-		p.mute, p.deaf, p.late = false, false, false
-		p.drift(1000)
-		p.cont()
+		p.outboundBlocked, p.inboundBlocked, p.delayed = false, false, false
+		p.setClockRate(1000)
+		p.unpause()
 		p.start()
 	}
 }
 
 const (
-	// troubled is for how long faults may fall, settling how long all has afterwards to come
+	// faultPeriod is for how long faults may fall, settling how long all has afterwards to come
 	// to rest: a change and a drain have their time-outs within it.
-	troubled = 12 * time.Second
-	settling = 13 * time.Second
-	// historyEvery: of so many schedules one has its history of calls checked, which costs
+	faultPeriod  = 12 * time.Second
+	settlePeriod = 13 * time.Second
+	// linearizabilityEvery: of so many schedules one has its history of calls checked, which costs
 	// as much as the others together.
-	historyEvery = 8
+	linearizabilityEvery = 8
 )
 
 // Coverage is what schedules went through, and what was judged in them.
@@ -245,23 +245,23 @@
 func Run(seed uint64, plan []Fault) (Coverage, error) {
 	w := newWorld(seed, plan)
 	stop := func() bool { return w.err != nil }
-	w.run(troubled, stop)
+	w.run(faultPeriod, stop)
 	if w.err == nil {
-		w.heal()
-		w.run(troubled+settling, stop)
+		w.endFaults()
+		w.run(faultPeriod+settlePeriod, stop)
 	}
 	if w.err == nil {
-		w.judge.ends(w, seed%historyEvery == 0)
+		w.checker.checkFinalState(w, seed%linearizabilityEvery == 0)
 	}
-	w.end()
+	w.stopAll()
 	s := Coverage{
-		Schedules: 1, Events: w.events, TimedActs: w.judge.acted, Advice: w.judge.words, Policies: w.judge.commits, ServerStops: w.judge.stops,
-		Lists: w.judge.checked, Requests: w.judge.requests, JointPolicies: w.judge.jointly, FencedWrites: w.judge.fenced, Steps: w.nth, Pairs: w.pairs,
+		Schedules: 1, Events: w.processed, TimedActs: w.checker.timedActs, Advice: w.checker.advice, Policies: w.checker.policies, ServerStops: w.checker.serverStops,
+		Lists: w.checker.lists, Requests: w.checker.requests, JointPolicies: w.checker.jointPolicies, FencedWrites: w.checker.fencedWrites, Steps: w.stepCounts, Pairs: w.pairs,
 	}
-	for _, a := range w.judge.acked {
+	for _, a := range w.checker.acknowledged {
 		s.AcknowledgedWrites += len(a)
 	}
-	for _, fell := range w.fell {
+	for _, fell := range w.injected {
 		if fell {
 			s.Faults++
 		}
@@ -269,10 +269,10 @@
 	return s, w.err
 }
 
-// end ends all that runs.
-func (w *world) end() {
+// stopAll ends all that runs.
+func (w *world) stopAll() {
 	w.operator.kill()
-	for _, k := range w.keepers {
+	for _, k := range w.controllers {
 		k.kill()
 	}
 	for _, x := range w.sidecars {
@@ -298,29 +298,29 @@
 }
 
 const (
-	mostFaults = 6
-	mostNth    = 12
-	// batch is how many schedules are planned at once: from what was seen before them, so
+	maxFaults     = 6
+	maxOccurrence = 12
+	// batchSize is how many schedules are planned at once: from what was seen before them, so
 	// that they are the same however many run side by side.
-	batch = 128
+	batchSize = 128
 )
 
-var targets = []string{"leader", "follower", "holder:" + policyLease, "holder:" + drainsLease, "holder:" + wordLease, "holder:" + timedLease, "s0", "s1", "k0", "k1", "r0", "r1"}
+var faultTargets = []string{"leader", "follower", "holder:" + policyLease, "holder:" + drainsLease, "holder:" + overloadLease, "holder:" + timedLease, "s0", "s1", "k0", "k1", "r0", "r1"}
 
-// draw makes a plan. With steering, the first fault is one of a pair that was seen the
+// drawPlan makes a plan. With steering, the first fault is one of a pair that was seen the
 // least so far.
-func draw(seed uint64, seen *Coverage, steer bool) (plan []Fault) {
+func drawPlan(seed uint64, seen *Coverage, steer bool) (plan []Fault) {
 	rng := rand.New(rand.NewPCG(seed, 222))
 	steps := slices.Sorted(maps.Keys(seen.Steps))
 	if len(steps) == 0 {
 		steps = []string{"leader elected"}
 	}
-	for n := range 1 + rng.IntN(mostFaults) {
-		f := Fault{Step: steps[rng.IntN(len(steps))], Kind: kinds[rng.IntN(len(kinds))], Target: targets[rng.IntN(len(targets))]}
+	for n := range 1 + rng.IntN(maxFaults) {
+		f := Fault{Step: steps[rng.IntN(len(steps))], Kind: faultKinds[rng.IntN(len(faultKinds))], Target: faultTargets[rng.IntN(len(faultTargets))]}
 		if steer && n == 0 {
 			least := -1
 			for range 8 { // of some pairs, the one seen least
-				k, s := kinds[rng.IntN(len(kinds))], steps[rng.IntN(len(steps))]
+				k, s := faultKinds[rng.IntN(len(faultKinds))], steps[rng.IntN(len(steps))]
 				if at := seen.Pairs[Pair{k, s}]; least < 0 || at < least {
 					least, f.Kind, f.Step = at, k, s
 				}
@@ -330,7 +330,7 @@
 			f.Target = []string{"leader", "follower", "r0", "r1"}[rng.IntN(4)]
 		}
 		// One that is taken once in a play has to be hit the first time.
-		f.Occurrence = 1 + rng.IntN(max(1, min(mostNth, seen.Steps[f.Step]/max(1, seen.Schedules))))
+		f.Occurrence = 1 + rng.IntN(max(1, min(maxOccurrence, seen.Steps[f.Step]/max(1, seen.Schedules))))
 		f.Duration = time.Duration(50+rng.IntN(5000)) * time.Millisecond
 		plan = append(plan, f)
 	}
@@ -347,11 +347,11 @@
 		return s, &Failure{first, nil, err, 1}
 	}
 	all.add(s)
-	for done := 0; done < schedules; done += batch {
-		n := min(batch, schedules-done)
+	for done := 0; done < schedules; done += batchSize {
+		n := min(batchSize, schedules-done)
 		plans := make([][]Fault, n)
 		for i := range plans {
-			plans[i] = draw(first+uint64(done+i), &all, steer)
+			plans[i] = drawPlan(first+uint64(done+i), &all, steer)
 		}
 		seen, errs := make([]Coverage, n), make([]error, n)
 		var workers sync.WaitGroup
@@ -400,11 +400,11 @@
 }
 
 // MaxPairs is how many pairs there could be of the steps that were seen.
-func (s *Coverage) MaxPairs() int { return len(kinds) * len(s.Steps) }
+func (s *Coverage) MaxPairs() int { return len(faultKinds) * len(s.Steps) }
 
 // RarestPairs are all pairs of the steps that were seen, the one seen least first.
 func (s *Coverage) RarestPairs() (all []Pair) {
-	for _, k := range kinds {
+	for _, k := range faultKinds {
 		for _, step := range sortedKeys(s.Steps) {
 			all = append(all, Pair{k, step})
 		}
--- a/internal/testing/modelcheck/system/keeper.go
+++ b/internal/testing/modelcheck/system/keeper.go
@@ -14,65 +14,65 @@
 	"barleywick/internal/rollout"
 )
 
-// keeper is a process that holds tasks: the real holder's count of its leases, and the
+// controller is a process that holds tasks: the real holder's count of its leases, and the
 // tasks' real decisions.
-type keeper struct {
+type controller struct {
 	process
-	w       *world
-	of      registry.Holder
-	tenures map[string]*lease.Session
-	woken   map[string]func() // who waits for news of a tenure
-	desk    *overload.Planner // while it holds the task
-	desked  *lease.Session
+	w              *world
+	holder         registry.Holder
+	sessions       map[string]*lease.Session
+	wakeups        map[string]func() // who waits for news of a tenure
+	planner        *overload.Planner // while it holds the task
+	plannerSession *lease.Session
 }
 
 // The leases, and the task of each.
 const (
-	policyLease = "policy"
-	drainsLease = "drains"
-	wordLease   = overload.LeaseName
-	timedLease  = "timed"
+	policyLease   = "policy"
+	drainsLease   = "drains"
+	overloadLease = overload.LeaseName
+	timedLease    = "timed"
 )
 
 const (
-	renewEvery = leaseTTL / 6
-	actTakes   = 40 * time.Millisecond
+	renewInterval = leaseTTL / 6
+	actDuration   = 40 * time.Millisecond
 )
 
-func (w *world) addKeeper(i int) *keeper {
-	k := &keeper{w: w, process: w.process(fmt.Sprint("k", i))}
-	k.boot = func() {
-		k.of = registry.Holder{Name: k.name, Incarnation: k.starts}
-		k.tenures = make(map[string]*lease.Session)
-		k.woken = make(map[string]func())
-		k.desk, k.desked = nil, nil
-		k.spawn(k.renews)
-		k.claim(policyLease, k.policy)
-		k.claim(drainsLease, k.drains)
-		k.claim(wordLease, k.word)
-		k.claim(timedLease, k.timed)
+func (w *world) newController(i int) *controller {
+	k := &controller{w: w, process: w.process(fmt.Sprint("k", i))}
+	k.onStart = func() {
+		k.holder = registry.Holder{Name: k.name, Incarnation: k.incarnation}
+		k.sessions = make(map[string]*lease.Session)
+		k.wakeups = make(map[string]func())
+		k.planner, k.plannerSession = nil, nil
+		k.spawn(k.renewClaims)
+		k.keepClaiming(policyLease, k.rolloutTask)
+		k.keepClaiming(drainsLease, k.drainTask)
+		k.keepClaiming(overloadLease, k.overloadTask)
+		k.keepClaiming(timedLease, k.timedTask)
 	}
 	return k
 }
 
-// claim asks for a lease again and again, and runs its task while it is held.
-func (k *keeper) claim(name string, do func(*task, *client, *lease.Session)) {
+// keepClaiming asks for a lease again and again, and runs its task while it is held.
+func (k *controller) keepClaiming(name string, do func(*task, *client, *lease.Session)) {
 	k.spawn(func(t *task) {
-		c := k.w.client(t)
+		c := k.w.newClient(t)
 		for {
-			k.once(t, c, name, do)
-			t.sleep(t.spread(renewEvery))
+			k.claimOnce(t, c, name, do)
+			t.sleep(t.jitter(renewInterval))
 		}
 	})
 }
 
-// once is one claim, from its asking to its end, as lease.Member has it.
-func (k *keeper) once(t *task, c *client, name string, do func(*task, *client, *lease.Session)) {
-	k.w.claims++
-	n := &lease.Session{LeaseName: name, ClaimID: fmt.Sprintf("claim-%06d", k.w.claims), Holder: k.of, TTL: leaseTTL}
-	k.tenures[name] = n
-	claim := registry.Claim{ID: n.ClaimID, Holder: k.of, TTLMS: leaseTTL.Milliseconds()}
-	n.AcquireSent(k.reads())
+// claimOnce is one claim, from its asking to its end, as lease.Member has it.
+func (k *controller) claimOnce(t *task, c *client, name string, do func(*task, *client, *lease.Session)) {
+	k.w.claimCount++
+	n := &lease.Session{LeaseName: name, ClaimID: fmt.Sprintf("claim-%06d", k.w.claimCount), Holder: k.holder, TTL: leaseTTL}
+	k.sessions[name] = n
+	claim := registry.Claim{ID: n.ClaimID, Holder: k.holder, TTLMS: leaseTTL.Milliseconds()}
+	n.AcquireSent(k.monotonic())
 	res, err := c.apply(registry.Command{Op: registry.OpAcquireLease, Lease: &registry.LeaseCommand{Name: name, Claim: claim, Wait: true}})
 	var running *task
 	defer func() {
@@ -81,18 +81,18 @@
 		}
 	}()
 	if err == nil {
-		n.Acquired(registry.ClaimStatus{Lease: name, ClaimID: n.ClaimID, Token: res.Token, QueuePosition: res.QueuePosition}, k.reads())
-		for !n.Ended(k.reads()) {
-			if n.Held(k.reads()) && running == nil {
-				k.w.step("lease granted: " + name)
-				running = k.run(n, do)
+		n.Acquired(registry.ClaimStatus{Lease: name, ClaimID: n.ClaimID, Token: res.Token, QueuePosition: res.QueuePosition}, k.monotonic())
+		for !n.Ended(k.monotonic()) {
+			if n.Held(k.monotonic()) && running == nil {
+				k.w.recordStep("lease granted: " + name)
+				running = k.startTask(n, do)
 			}
-			if running != nil && running.over {
+			if running != nil && running.ended {
 				break
 			}
 			t.await(func(wake func()) {
-				k.woken[name] = wake
-				t.after(min(renewEvery, max(time.Millisecond, k.left(n))), wake)
+				k.wakeups[name] = wake
+				t.after(min(renewInterval, max(time.Millisecond, k.remaining(n))), wake)
 			})
 			if _, leave := n.YieldRequested(); leave {
 				break
@@ -102,28 +102,28 @@
 			running.kill()
 		}
 		if n.Token() != 0 {
-			k.w.step("lease given up: " + name)
+			k.w.recordStep("lease given up: " + name)
 		}
 	}
 	n.Resign()
 	_, _ = c.apply(registry.Command{Op: registry.OpReleaseLease, Lease: &registry.LeaseCommand{Name: name, Claim: claim}})
 }
 
-// renews gives a sign of life for all claims, in one call.
-func (k *keeper) renews(t *task) {
-	c := k.w.client(t)
+// renewClaims gives a sign of life for all claims, in one call.
+func (k *controller) renewClaims(t *task) {
+	c := k.w.newClient(t)
 	for {
-		t.sleep(t.spread(renewEvery))
+		t.sleep(t.jitter(renewInterval))
 		var claims []registry.ClaimRef
-		for _, name := range sortedKeys(k.tenures) {
-			if n := k.tenures[name]; !n.Ended(k.reads()) {
+		for _, name := range sortedKeys(k.sessions) {
+			if n := k.sessions[name]; !n.Ended(k.monotonic()) {
 				claims = append(claims, registry.ClaimRef{Lease: name, ClaimID: n.ClaimID})
 			}
 		}
-		sent := k.reads()
+		sent := k.monotonic()
 		var answers []registry.ClaimStatus
-		if c.each(func(r *replica, reply func(error)) {
-			k.w.group.renew(r, k.of, claims, func(a []registry.ClaimStatus, err error) {
+		if c.callReplicas(func(r *replica, reply func(error)) {
+			k.w.raft.renewClaims(r, k.holder, claims, func(a []registry.ClaimStatus, err error) {
 				answers = a
 				reply(err)
 			})
@@ -131,9 +131,9 @@
 			continue
 		}
 		for _, a := range answers {
-			if n := k.tenures[a.Lease]; n != nil && n.ClaimID == a.ClaimID {
-				n.Renewed(a, sent, k.reads())
-				if wake := k.woken[a.Lease]; wake != nil {
+			if n := k.sessions[a.Lease]; n != nil && n.ClaimID == a.ClaimID {
+				n.Renewed(a, sent, k.monotonic())
+				if wake := k.wakeups[a.Lease]; wake != nil {
 					k.after(0, wake)
 				}
 			}
@@ -141,57 +141,57 @@
 	}
 }
 
-// left is how long a lease is held still by this process's clock, in the world's time.
-func (k *keeper) left(n *lease.Session) time.Duration {
+// remaining is how long a lease is held still by this process's clock, in the world's time.
+func (k *controller) remaining(n *lease.Session) time.Duration {
 	if n.Token() == 0 {
 		return time.Hour
 	}
-	return time.Duration(int64(n.Deadline()-k.reads()) * 1000 / k.rate)
+	return time.Duration(int64(n.Deadline()-k.monotonic()) * 1000 / k.clockRate)
 }
 
-// run runs a task under a lease: it ends where the lease does.
-func (k *keeper) run(n *lease.Session, do func(*task, *client, *lease.Session)) *task {
+// startTask runs a task under a lease: it ends where the lease does.
+func (k *controller) startTask(n *lease.Session, do func(*task, *client, *lease.Session)) *task {
 	t := k.spawn(func(t *task) {
-		c := k.w.client(t)
+		c := k.w.newClient(t)
 		c.fence = func() *registry.Fence { return &registry.Fence{Lease: n.LeaseName, Token: n.Token()} }
 		do(t, c, n)
 	})
-	t.lapsed = func() bool { return !n.Held(k.reads()) }
+	t.contextEnded = func() bool { return !n.Held(k.monotonic()) }
 	return t
 }
 
-// policy leads changes of policy.
-func (k *keeper) policy(t *task, c *client, n *lease.Session) {
+// rolloutTask leads changes of rolloutTask.
+func (k *controller) rolloutTask(t *task, c *client, n *lease.Session) {
 	for {
 		var st rollout.Status
-		if c.peek(func(s *registry.State) { st = s.Rollout().Status() }) == nil {
+		if c.readStale(func(s *registry.State) { st = s.Rollout().Status() }) == nil {
 			if step, any := rollout.Decide(st, k.time().UnixMilli()); any {
-				k.w.step("policy " + string(step.Op) + " from " + string(st.Stage))
+				k.w.recordStep("policy " + string(step.Op) + " from " + string(st.Stage))
 				if _, err := c.apply(registry.Command{Op: registry.OpPolicyStep, PolicyStep: &step}); errors.Is(err, registry.ErrFenced) {
 					return
 				}
 				continue
 			}
 		}
-		t.sleep(t.spread(200 * time.Millisecond))
+		t.sleep(t.jitter(200 * time.Millisecond))
 	}
 }
 
-// site is the servers and sidecars, as a drain's workflow sees them.
-type site struct {
-	t *task
-	w *world
-	n *lease.Session
+// drainFleet is the servers and sidecars, as a drain's workflow sees them.
+type drainFleet struct {
+	task    *task
+	world   *world
+	session *lease.Session
 }
 
 // Notified says whether all sidecars hold a version of the list.
-func (s site) Notified(_ context.Context, seq uint64, since time.Time) (bool, error) {
-	s.t.sleep(s.t.spread(hop))
-	if s.t.time().Sub(since) >= toldWithin {
+func (s drainFleet) Notified(_ context.Context, seq uint64, since time.Time) (bool, error) {
+	s.task.sleep(s.task.jitter(messageLatency))
+	if s.task.time().Sub(since) >= notificationDeadline {
 		return true, nil
 	}
-	for _, x := range s.w.sidecars {
-		if !x.up || x.seq < seq {
+	for _, x := range s.world.sidecars {
+		if !x.up || x.listVersion < seq {
 			return false, nil
 		}
 	}
@@ -199,48 +199,48 @@
 }
 
 // Idle asks a server for its load.
-func (s site) Idle(_ context.Context, e registry.Registration, _ time.Time) (bool, error) {
-	s.t.sleep(s.t.spread(hop))
-	return s.w.server(e.Host).work() == 0, nil
+func (s drainFleet) Idle(_ context.Context, e registry.Registration, _ time.Time) (bool, error) {
+	s.task.sleep(s.task.jitter(messageLatency))
+	return s.world.serverByHost(e.Host).load() == 0, nil
 }
 
 // RemainingMembers are none here.
-func (s site) RemainingMembers(context.Context, string) ([]string, bool, error) {
+func (s drainFleet) RemainingMembers(context.Context, string) ([]string, bool, error) {
 	return nil, false, nil
 }
 
 // Stop stops a server, only while the lease is held.
-func (s site) Stop(_ context.Context, _, host string) error {
-	if s.n != nil {
-		if err := s.n.CheckAct(s.t.reads(), actTakes); err != nil {
+func (s drainFleet) Stop(_ context.Context, _, host string) error {
+	if s.session != nil {
+		if err := s.session.CheckAct(s.task.monotonic(), actDuration); err != nil {
 			return err
 		}
 	}
-	s.t.sleep(s.t.spread(hop))
-	s.w.stopServer(host)
+	s.task.sleep(s.task.jitter(messageLatency))
+	s.world.stopServer(host)
 	return nil
 }
 
-// workflow is the real one, over the world.
-func (w *world) workflow(t *task, c *client, owner string, n *lease.Session) *drain.Workflow {
+// newWorkflow is the real one, over the world.
+func (w *world) newWorkflow(t *task, c *client, owner string, n *lease.Session) *drain.Workflow {
 	return &drain.Workflow{
-		Registry: c, Fleet: site{t, w, n}, Floor: drain.Floor{Default: 1}, Owner: owner, ClaimTTL: 5 * time.Second, PollInterval: 100 * time.Millisecond,
+		Registry: c, Fleet: drainFleet{t, w, n}, Floor: drain.Floor{Default: 1}, Owner: owner, ClaimTTL: 5 * time.Second, PollInterval: 100 * time.Millisecond,
 		Now:   t.time,
-		Sleep: func(_ context.Context, d time.Duration) error { t.sleep(t.spread(d)); return nil },
+		Sleep: func(_ context.Context, d time.Duration) error { t.sleep(t.jitter(d)); return nil },
 		OnEvent: func(e drain.Event) {
 			if e.Kind == drain.EventUndone {
-				w.step("drain undone")
+				w.recordStep("drain undone")
 				return
 			}
-			w.step("drain " + string(e.Step))
+			w.recordStep("drain " + string(e.Step))
 		},
 	}
 }
 
-// drains runs those that operators handed over.
-func (k *keeper) drains(t *task, c *client, n *lease.Session) {
+// drainTask runs those that operators handed over.
+func (k *controller) drainTask(t *task, c *client, n *lease.Session) {
 	for {
-		w := k.w.workflow(t, c, drain.OwnerControllers, n)
+		w := k.w.newWorkflow(t, c, drain.OwnerControllers, n)
 		handed, err := w.HandedOver(context.Background())
 		if err == nil {
 			for _, d := range handed {
@@ -249,16 +249,16 @@
 				}
 			}
 		}
-		t.sleep(t.spread(400 * time.Millisecond))
+		t.sleep(t.jitter(400 * time.Millisecond))
 	}
 }
 
-// word gives the fleet's word on an overload to who asks.
-func (k *keeper) word(t *task, c *client, n *lease.Session) {
-	k.desk, k.desked = overload.NewPlanner(fleetName, n.Token()), n
-	defer func() { k.desk, k.desked = nil, nil }()
+// overloadTask gives the fleet's overloadTask on an overload to who asks.
+func (k *controller) overloadTask(t *task, c *client, n *lease.Session) {
+	k.planner, k.plannerSession = overload.NewPlanner(fleetName, n.Token()), n
+	defer func() { k.planner, k.plannerSession = nil, nil }()
 	var was registry.Record
-	err := c.read(func(s *registry.State) { was, _ = s.Record(overload.RecordKey) })
+	err := c.readVerified(func(s *registry.State) { was, _ = s.Record(overload.RecordKey) })
 	if err == nil {
 		text, _ := json.Marshal(overload.Location{Address: k.name, Token: n.Token()})
 		_, err = c.Put(context.Background(), overload.RecordKey, text, &was.Version)
@@ -271,30 +271,30 @@
 	}
 }
 
-// exchange is a digest that came to this keeper, answered only while it holds the task.
-func (k *keeper) exchange(d overload.Digest, reply func(overload.Advice)) {
-	if k.desk == nil || k.desk.AddDigest(k.reads(), d) != nil {
+// exchangeDigest is a digest that came to this keeper, answered only while it holds the task.
+func (k *controller) exchangeDigest(d overload.Digest, reply func(overload.Advice)) {
+	if k.planner == nil || k.planner.AddDigest(k.monotonic(), d) != nil {
 		return
 	}
-	word := k.desk.Plan(k.reads())
-	if !k.desked.Held(k.reads()) {
+	word := k.planner.Plan(k.monotonic())
+	if !k.plannerSession.Held(k.monotonic()) {
 		return
 	}
-	k.w.judge.word(k.w)
+	k.w.checker.checkAdvisers(k.w)
 	reply(word)
 }
 
-// timed acts on what knows no token.
-func (k *keeper) timed(t *task, _ *client, n *lease.Session) {
+// timedTask acts on what knows no token.
+func (k *controller) timedTask(t *task, _ *client, n *lease.Session) {
 	for {
-		if n.CheckAct(k.reads(), actTakes) != nil {
+		if n.CheckAct(k.monotonic(), actDuration) != nil {
 			return
 		}
 		// Its context ends with the lease, whatever becomes of the process.
-		until := k.now + time.Duration(int64(n.Deadline()-k.reads())*1000/k.rate)
-		act := k.w.judge.begin(k.w, k, n.ClaimID, until)
-		t.sleep(t.spread(actTakes))
+		until := k.now + time.Duration(int64(n.Deadline()-k.monotonic())*1000/k.clockRate)
+		act := k.w.checker.beginAct(k.w, k, n.ClaimID, until)
+		t.sleep(t.jitter(actDuration))
 		act.end = min(k.now, act.end)
-		t.sleep(t.spread(2 * actTakes))
+		t.sleep(t.jitter(2 * actDuration))
 	}
 }
--- a/internal/testing/modelcheck/system/sched.go
+++ b/internal/testing/modelcheck/system/sched.go
@@ -22,52 +22,52 @@
 	do  func()
 }
 
-type events []event
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
 	old := *e
 	last := old[len(old)-1]
 	*e = old[:len(old)-1]
 	return last
 }
 
-// clock is the time of a world, and what is to happen in it.
-type clock struct {
-	now    time.Duration
-	queue  events
-	seq    uint64
-	rng    *rand.Rand
-	events int
+// scheduler is the time of a world, and what is to happen in it.
+type scheduler struct {
+	now       time.Duration
+	queue     eventQueue
+	seq       uint64
+	rng       *rand.Rand
+	processed int
 }
 
-// begin is what the world's clocks say at its start: in a time to come, so that no
+// startTime is what the world's clocks say at its start: in a time to come, so that no
 // deadline that real code derives from it is over in true time.
-var begin = time.Date(2100, 1, 1, 0, 0, 0, 0, time.UTC)
+var startTime = time.Date(2100, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func (c *clock) after(d time.Duration, do func()) {
+func (c *scheduler) after(d time.Duration, do func()) {
 	c.seq++
 	heap.Push(&c.queue, event{c.now + max(0, d), c.seq, do})
 }
 
-// spread is a time drawn around a mean, from half of it to half as much again.
-func (c *clock) spread(d time.Duration) time.Duration {
+// jitter is a time drawn around a mean, from half of it to half as much again.
+func (c *scheduler) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(c.rng.Int64N(int64(d)))
 }
 
-func (c *clock) time() time.Time { return begin.Add(c.now) }
+func (c *scheduler) time() time.Time { return startTime.Add(c.now) }
 
 // run lets everything happen up to a time, or until stop says so.
-func (c *clock) run(until time.Duration, stop func() bool) {
+func (c *scheduler) run(until time.Duration, stop func() bool) {
 	for len(c.queue) > 0 && c.queue[0].at <= until && !stop() {
 		e := heap.Pop(&c.queue).(event)
 		c.now = e.at
-		c.events++
+		c.processed++
 		e.do()
 	}
 	c.now = max(c.now, until)
@@ -76,68 +76,68 @@
 // process is one of the operating system's: it can be killed, stopped, cut off and started
 // again.
 type process struct {
-	*clock
-	name    string
-	up      bool
-	stopped bool
-	mute    bool // what it sends does not arrive
-	deaf    bool // what others send it does not
-	late    bool
-	rate    int64         // of its clock, in thousandths
-	ahead   time.Duration // what it is ahead of true time, from earlier rates
-	starts  uint64
-	tasks   []*task
-	held    []func() // what is to go on when it is no longer stopped
-	boot    func()   // starts its tasks
-	end     func()   // tells that it has ended; may be nil
+	*scheduler
+	name            string
+	up              bool
+	paused          bool
+	outboundBlocked bool // what it sends does not arrive
+	inboundBlocked  bool // what others send it does not
+	delayed         bool
+	clockRate       int64         // of its clock, in thousandths
+	clockOffset     time.Duration // what it is ahead of true time, from earlier rates
+	incarnation     uint64
+	tasks           []*task
+	deferred        []func() // what is to go on when it is no longer stopped
+	onStart         func()   // starts its tasks
+	onEnd           func()   // tells that it has ended; may be nil
 }
 
 func (p *process) start() {
 	if p.up {
 		return
 	}
-	p.up, p.stopped, p.held = true, false, nil
-	p.starts++
-	p.boot()
+	p.up, p.paused, p.deferred = true, false, nil
+	p.incarnation++
+	p.onStart()
 }
 
 func (p *process) kill() {
 	if !p.up {
 		return
 	}
-	p.up, p.stopped, p.held = false, false, nil
+	p.up, p.paused, p.deferred = false, false, nil
 	for _, t := range p.tasks {
 		t.kill()
 	}
 	p.tasks = nil
-	if p.end != nil {
-		p.end()
+	if p.onEnd != nil {
+		p.onEnd()
 	}
 }
 
-func (p *process) stop() { p.stopped = p.up }
+func (p *process) pause() { p.paused = p.up }
 
-func (p *process) cont() {
-	if !p.stopped {
+func (p *process) unpause() {
+	if !p.paused {
 		return
 	}
-	p.stopped = false
-	held := p.held
-	p.held = nil
+	p.paused = false
+	held := p.deferred
+	p.deferred = nil
 	for _, do := range held {
-		p.after(0, p.alive(do))
+		p.after(0, p.whileAlive(do))
 	}
 }
 
-// alive makes what happens within this start of the process, when it is not stopped.
-func (p *process) alive(do func()) func() {
-	of := p.starts
+// whileAlive makes what happens within this start of the process, when it is not stopped.
+func (p *process) whileAlive(do func()) func() {
+	of := p.incarnation
 	var in func()
 	in = func() {
 		switch {
-		case !p.up || p.starts != of:
-		case p.stopped:
-			p.held = append(p.held, in)
+		case !p.up || p.incarnation != of:
+		case p.paused:
+			p.deferred = append(p.deferred, in)
 		default:
 			do()
 		}
@@ -145,27 +145,27 @@
 	return in
 }
 
-// reads is what the process's own monotonic clock says.
-func (p *process) reads() time.Duration {
-	return time.Duration(int64(p.now)*p.rate/1000) + p.ahead + time.Hour
+// monotonic is what the process's own monotonic clock says.
+func (p *process) monotonic() time.Duration {
+	return time.Duration(int64(p.now)*p.clockRate/1000) + p.clockOffset + time.Hour
 }
 
-// drift lets its clock run at another rate from now on.
-func (p *process) drift(rate int64) {
-	was := p.reads()
-	p.rate = rate
-	p.ahead += was - p.reads()
+// setClockRate lets its clock run at another rate from now on.
+func (p *process) setClockRate(rate int64) {
+	was := p.monotonic()
+	p.clockRate = rate
+	p.clockOffset += was - p.monotonic()
 }
 
 // task is a part of a process that runs by itself, one at a time in the world.
 type task struct {
 	*process
-	next   func() (struct{}, bool)
-	stopIt func()
-	yield  func(struct{}) bool
-	turn   int
-	over   bool
-	lapsed func() bool // its context has ended; nil: it has none
+	next          func() (struct{}, bool)
+	stopCoroutine func()
+	yield         func(struct{}) bool
+	wakeups       int
+	ended         bool
+	contextEnded  func() bool // its context has ended; nil: it has none
 }
 
 // errKilled ends a task from within; it never leaves this file.
@@ -174,9 +174,9 @@
 // spawn starts a task.
 func (p *process) spawn(body func(t *task)) *task {
 	t := &task{process: p}
-	t.next, t.stopIt = iter.Pull(func(yield func(struct{}) bool) {
+	t.next, t.stopCoroutine = iter.Pull(func(yield func(struct{}) bool) {
 		defer func() {
-			t.over = true
+			t.ended = true
 			if r := recover(); r != nil && r != any(errKilled) {
 				panic(fmt.Sprintf("together: %s: %v", p.name, r))
 			}
@@ -185,34 +185,34 @@
 		body(t)
 	})
 	p.tasks = append(p.tasks, t)
-	p.after(0, p.alive(func() { t.resume() }))
+	p.after(0, p.whileAlive(func() { t.resume() }))
 	return t
 }
 
 func (t *task) resume() {
-	if !t.over {
+	if !t.ended {
 		t.next()
 	}
 }
 
 func (t *task) kill() {
-	if !t.over {
-		t.over = true
-		t.stopIt()
+	if !t.ended {
+		t.ended = true
+		t.stopCoroutine()
 	}
 }
 
 // await begins something that wakes the task, and waits for the first wake.
 func (t *task) await(begin func(wake func())) {
-	t.turn++
-	mine := t.turn
-	begin(t.alive(func() {
-		if t.turn == mine && !t.over {
-			t.turn++
+	t.wakeups++
+	mine := t.wakeups
+	begin(t.whileAlive(func() {
+		if t.wakeups == mine && !t.ended {
+			t.wakeups++
 			t.resume()
 		}
 	}))
-	if !t.yield(struct{}{}) || t.lapsed != nil && t.lapsed() {
+	if !t.yield(struct{}{}) || t.contextEnded != nil && t.contextEnded() {
 		panic(errKilled)
 	}
 }
@@ -222,19 +222,19 @@
 }
 
 const (
-	// hop is what a message takes, lateHop one from or to a process that is late.
-	hop     = time.Millisecond
-	lateHop = 600 * time.Millisecond
+	// messageLatency is what a message takes, lateHop one from or to a process that is late.
+	messageLatency = time.Millisecond
+	delayedLatency = 600 * time.Millisecond
 )
 
-// way is how long a message takes from one process to another; lost: it does not come.
-func way(from, to *process) (takes time.Duration, lost bool) {
-	if from.mute || to.deaf {
+// transit is how long a message takes from one process to another; lost: it does not come.
+func transit(from, to *process) (takes time.Duration, lost bool) {
+	if from.outboundBlocked || to.inboundBlocked {
 		return 0, true
 	}
-	takes = from.spread(hop)
-	if from.late || to.late {
-		takes += from.spread(lateHop)
+	takes = from.jitter(messageLatency)
+	if from.delayed || to.delayed {
+		takes += from.jitter(delayedLatency)
 	}
 	return takes, false
 }
@@ -244,19 +244,19 @@
 func (t *task) call(to *process, within time.Duration, do func(reply func(take func()))) (answered bool) {
 	t.await(func(wake func()) {
 		t.after(within, wake)
-		takes, lost := way(t.process, to)
+		takes, lost := transit(t.process, to)
 		if lost {
 			return
 		}
 		var deliver func()
 		deliver = func() {
 			do(func(take func()) {
-				back, lost := way(to, t.process)
+				back, lost := transit(to, t.process)
 				if lost {
 					return
 				}
-				t.after(back, t.alive(func() {
-					if !answered && t.turn >= 0 {
+				t.after(back, t.whileAlive(func() {
+					if !answered && t.wakeups >= 0 {
 						answered = true
 						take()
 						wake()
@@ -265,10 +265,10 @@
 			})
 		}
 		t.after(takes, func() {
-			if to.up && !to.stopped {
+			if to.up && !to.paused {
 				deliver()
 			} else if to.up {
-				to.held = append(to.held, deliver)
+				to.deferred = append(to.deferred, deliver)
 			}
 		})
 	})
--- a/internal/testing/modelcheck/system/together_test.go
+++ b/internal/testing/modelcheck/system/together_test.go
@@ -32,8 +32,8 @@
 // A schedule is its seed and its faults: played again it is the same to the last event,
 // also from its text.
 func TestScheduleIsPlayedAgain(t *testing.T) {
-	all, _ := Explore(50, batch, true)
-	plan := draw(51, &all, true)
+	all, _ := Explore(50, batchSize, true)
+	plan := drawPlan(51, &all, true)
 	again, err := ParsePlan(FormatPlan(plan))
 	if err != nil {
 		t.Fatal(err)
@@ -54,25 +54,25 @@
 func TestJudgeFinds(t *testing.T) {
 	for want, wrong := range map[string]func(w *world){
 		"acts under": func(w *world) {
-			w.judge.begin(w, w.keepers[0], "a", w.now+time.Second)
-			w.judge.begin(w, w.keepers[1], "b", w.now+time.Second)
+			w.checker.beginAct(w, w.controllers[0], "a", w.now+time.Second)
+			w.checker.beginAct(w, w.controllers[1], "b", w.now+time.Second)
 		},
 		"old and new at once": func(w *world) {
 			for i, x := range w.sidecars {
-				x.acting, x.acts.Epoch, x.acts.JointChange = true, uint64(1+i%2), 0
+				x.acting, x.active.Epoch, x.active.JointChange = true, uint64(1+i%2), 0
 			}
-			w.judge.acting(w)
+			w.checker.checkActivePolicies(w)
 		},
 		"takes a word under token": func(w *world) {
-			w.judge.takes(w, w.sidecars[0], 5)
-			w.judge.takes(w, w.sidecars[0], 3)
+			w.checker.checkAdviceToken(w, w.sidecars[0], 5)
+			w.checker.checkAdviceToken(w, w.sidecars[0], 3)
 		},
 		"which knew of its drain": func(w *world) {
 			x := w.sidecars[0]
 			i := x.list["h0-0"]
 			i.Health = "draining"
 			x.list["h0-0"] = i
-			x.seen["h0-0"] = 1
+			x.requests["h0-0"] = 1
 			w.stopServer("h0-0")
 		},
 		"last server of z0": func(w *world) {
@@ -80,13 +80,13 @@
 				w.stopServer(host)
 			}
 		},
-		"is lost": func(w *world) { w.judge.acknowledged("record-0", "x", 1<<62) },
+		"is lost": func(w *world) { w.checker.recordAcknowledged("record-0", "x", 1<<62) },
 		"differ": func(w *world) {
-			r := w.group.replicas[(w.group.leader+1)%3]
-			w.group.catchUp(r)
+			r := w.raft.replicas[(w.raft.leader+1)%3]
+			w.raft.catchUp(r)
 			r.state.Apply(w.first())
 		},
-		"it was": func(w *world) { clear(w.sidecars[0].list); w.judge.holds(w, w.sidecars[0]) },
+		"it was": func(w *world) { clear(w.sidecars[0].list); w.checker.checkList(w, w.sidecars[0]) },
 	} {
 		w := newWorld(1, nil)
 		w.run(3*time.Second, func() bool { return w.err != nil })
@@ -94,14 +94,14 @@
 			t.Fatal(w.err)
 		}
 		wrong(w)
-		w.quiet = true
+		w.settling = true
 		if w.err == nil {
-			w.judge.ends(w, true)
+			w.checker.checkFinalState(w, true)
 		}
 		if w.err == nil || !strings.Contains(w.err.Error(), want) {
 			t.Errorf("want %q, it found: %v", want, w.err)
 		}
-		w.end()
+		w.stopAll()
 	}
 }
 
