--- a/internal/testing/modelcheck/system/checker.go
+++ b/internal/testing/modelcheck/system/checker.go
@@ -55,27 +55,27 @@
 }
 
 // beginAct notes that a timed act begins, and looks whether another one goes on.
-func (j *checker) beginAct(w *world, k *controller, claim string, until time.Duration) *timedAct {
-	now := k.now
-	j.acts = slices.DeleteFunc(j.acts, func(a *timedAct) bool { return a.end <= now || !a.process.up || a.process.incarnation != a.incarnation })
-	for _, a := range j.acts {
+func (c *checker) beginAct(w *world, ctl *controller, claim string, until time.Duration) *timedAct {
+	now := ctl.now
+	c.acts = slices.DeleteFunc(c.acts, func(a *timedAct) bool { return a.end <= now || !a.process.up || a.process.incarnation != a.incarnation })
+	for _, a := range c.acts {
 		if a.claim != claim {
-			w.violated("%s acts under %s while %s does under %s, until %v at the latest", k.name, claim, a.process.name, a.claim, a.end)
+			w.violated("%s acts under %s while %s does under %s, until %v at the latest", ctl.name, claim, a.process.name, a.claim, a.end)
 		}
 	}
-	a := &timedAct{claim, &k.process, k.incarnation, now, until}
-	j.acts = append(j.acts, a)
-	j.timedActs++
+	a := &timedAct{claim, &ctl.process, ctl.incarnation, now, until}
+	c.acts = append(c.acts, a)
+	c.timedActs++
 	return a
 }
 
 // checkAdvisers looks, as one is given, whether two may.
-func (j *checker) checkAdvisers(w *world) {
-	j.advice++
+func (c *checker) checkAdvisers(w *world) {
+	c.advice++
 	var may []string
-	for _, k := range w.controllers {
-		if k.up && !k.paused && k.plannerSession != nil && k.plannerSession.Held(k.monotonic()) {
-			may = append(may, k.name)
+	for _, ctl := range w.controllers {
+		if ctl.up && !ctl.paused && ctl.plannerSession != nil && ctl.plannerSession.Held(ctl.monotonic()) {
+			may = append(may, ctl.name)
 		}
 	}
 	if len(may) > 1 {
@@ -84,31 +84,31 @@
 }
 
 // checkAdviceToken looks at the token of a word that a sidecar checkAdviceToken.
-func (j *checker) checkAdviceToken(w *world, x *sidecar, token uint64) {
-	if token < x.adviceToken {
-		w.violated("%s takes a word under token %d after one under %d", x.name, token, x.adviceToken)
+func (c *checker) checkAdviceToken(w *world, sc *sidecar, token uint64) {
+	if token < sc.adviceToken {
+		w.violated("%s takes a word under token %d after one under %d", sc.name, token, sc.adviceToken)
 	}
-	x.adviceToken = token
+	sc.adviceToken = token
 }
 
 // checkWrite looks at a write that has taken checkWrite under a grant: no later one may have been
 // given by then.
-func (j *checker) checkWrite(w *world, s *registry.State, f *registry.Fence, err error) {
+func (c *checker) checkWrite(w *world, s *registry.State, f *registry.Fence, err error) {
 	all, _ := s.Leases().List()
 	for _, l := range all {
 		if l.Grant == nil {
 			continue
 		}
-		if l.Grant.Token < j.newestTokens[l.Name] {
-			w.violated("%s is granted with token %d after %d", l.Name, l.Grant.Token, j.newestTokens[l.Name])
+		if l.Grant.Token < c.newestTokens[l.Name] {
+			w.violated("%s is granted with token %d after %d", l.Name, l.Grant.Token, c.newestTokens[l.Name])
 		}
-		j.newestTokens[l.Name] = l.Grant.Token
+		c.newestTokens[l.Name] = l.Grant.Token
 	}
 	if f == nil || err != nil {
 		return
 	}
-	if j.fencedWrites++; f.Token < j.newestTokens[f.Lease] {
-		w.violated("a write under %s with token %d took effect when %d had been given", f.Lease, f.Token, j.newestTokens[f.Lease])
+	if c.fencedWrites++; f.Token < c.newestTokens[f.Lease] {
+		w.violated("a write under %s with token %d took effect when %d had been given", f.Lease, f.Token, c.newestTokens[f.Lease])
 	}
 }
 
@@ -123,64 +123,64 @@
 
 // checkList compares a sidecar's list with what the list was at its version: a watch without
 // a gap.
-func (j *checker) checkList(w *world, x *sidecar) {
-	j.lists++
+func (c *checker) checkList(w *world, sc *sidecar) {
+	c.lists++
 	var hosts []registry.Instance
-	for _, i := range x.list {
+	for _, i := range sc.list {
 		hosts = append(hosts, i)
 	}
-	if text, want := listText(hosts), j.listByVersion[x.listVersion]; text != want {
-		w.violated("%s holds version %d of the list as %q, it was %q", x.name, x.listVersion, text, want)
+	if text, want := listText(hosts), c.listByVersion[sc.listVersion]; text != want {
+		w.violated("%s holds version %d of the list as %q, it was %q", sc.name, sc.listVersion, text, want)
 	}
 }
 
 // checkCommitted looks at what the group has just agreed on.
-func (j *checker) checkCommitted(w *world) {
+func (c *checker) checkCommitted(w *world) {
 	if w.raft.leader < 0 {
 		return
 	}
 	state := w.raft.replicas[w.raft.leader].state
-	if seq := state.Seq(); j.listByVersion[seq] == "" {
-		j.listByVersion[seq] = listText(state.FullList().Instances)
+	if seq := state.Seq(); c.listByVersion[seq] == "" {
+		c.listByVersion[seq] = listText(state.FullList().Instances)
 	}
-	if v := state.Rollout().Version(); v != j.policyVersion {
-		j.policyVersion = v
+	if v := state.Rollout().Version(); v != c.policyVersion {
+		c.policyVersion = v
 	} else {
 		return
 	}
 	status := state.Rollout().Status()
-	if status.Epoch == j.policyEpoch {
+	if status.Epoch == c.policyEpoch {
 		return
 	}
-	j.policyEpoch = status.Epoch
-	j.policies++
+	c.policyEpoch = status.Epoch
+	c.policies++
 	w.recordStep("policy in force")
 	for _, seat := range status.Roster {
-		for _, x := range w.sidecars {
-			if x.up && x.member == seat.Member && (!x.acting || x.active.JointChange != j.policyEpoch) {
-				w.violated("epoch %d is in force, and %s, which has a seat, never acted by it and the old one", j.policyEpoch, x.name)
+		for _, sc := range w.sidecars {
+			if sc.up && sc.member == seat.Member && (!sc.acting || sc.active.JointChange != c.policyEpoch) {
+				w.violated("epoch %d is in force, and %s, which has a seat, never acted by it and the old one", c.policyEpoch, sc.name)
 			}
 		}
 	}
-	j.checkActivePolicies(w)
+	c.checkActivePolicies(w)
 }
 
 // checkActivePolicies looks, after each change, at what each sidecar acts by: all of it is by one
 // policy, or by both the old and the new.
-func (j *checker) checkActivePolicies(w *world) {
+func (c *checker) checkActivePolicies(w *world) {
 	var common []uint64
 	first := true
 	text := ""
-	for _, x := range w.sidecars {
-		if !x.up || !x.acting {
+	for _, sc := range w.sidecars {
+		if !sc.up || !sc.acting {
 			continue
 		}
-		by := []uint64{x.active.Epoch}
-		if x.active.JointChange != 0 {
-			by = append(by, x.active.JointChange)
-			j.jointPolicies++
+		by := []uint64{sc.active.Epoch}
+		if sc.active.JointChange != 0 {
+			by = append(by, sc.active.JointChange)
+			c.jointPolicies++
 		}
-		text += fmt.Sprintf(" %s by %v", x.name, by)
+		text += fmt.Sprintf(" %s by %v", sc.name, by)
 		if first {
 			common, first = by, false
 		} else {
@@ -193,11 +193,11 @@
 }
 
 // checkServerStop looks, as a drain stops a server, at whose work it was doing and what is left.
-func (j *checker) checkServerStop(w *world, s *server) {
-	j.serverStops++
-	for _, x := range w.sidecars {
-		if i, listed := x.list[s.host]; x.up && x.requests[s.host] > 0 && listed && i.Health != registry.HealthUp {
-			w.violated("%s is stopped with %d requests of %s, which knew of its drain", s.host, x.requests[s.host], x.name)
+func (c *checker) checkServerStop(w *world, s *server) {
+	c.serverStops++
+	for _, sc := range w.sidecars {
+		if i, listed := sc.list[s.host]; sc.up && sc.requests[s.host] > 0 && listed && i.Health != registry.HealthUp {
+			w.violated("%s is stopped with %d requests of %s, which knew of its drain", s.host, sc.requests[s.host], sc.name)
 		}
 	}
 	for _, other := range w.servers {
@@ -209,17 +209,17 @@
 }
 
 // beginCall notes that a record is about to be read, or written.
-func (j *checker) beginCall(w *world, key, value string) *recordCall {
+func (c *checker) beginCall(w *world, key, value string) *recordCall {
 	o := &recordCall{key: key, value: value, started: w.now}
-	j.ops = append(j.ops, o)
+	c.ops = append(c.ops, o)
 	return o
 }
 
-func (o *recordCall) complete(w *world, got string, ok bool) {
-	o.ended, o.completed, o.succeeded, o.read = w.now, true, ok, got
+func (r *recordCall) complete(w *world, got string, ok bool) {
+	r.ended, r.completed, r.succeeded, r.read = w.now, true, ok, got
 }
 
 // recordAcknowledged notes a write that the group has said to keep.
-func (j *checker) recordAcknowledged(key, value string, version uint64) {
-	j.acknowledged[key] = append(j.acknowledged[key], acknowledgedWrite{value, version})
+func (c *checker) recordAcknowledged(key, value string, version uint64) {
+	c.acknowledged[key] = append(c.acknowledged[key], acknowledgedWrite{value, version})
 }
--- a/internal/testing/modelcheck/system/controller.go
+++ b/internal/testing/modelcheck/system/controller.go
@@ -40,39 +40,39 @@
 )
 
 func (w *world) newController(i int) *controller {
-	k := &controller{w: w, process: w.process(fmt.Sprint("k", i))}
-	k.onStart = func() {
-		k.holder = registry.Holder{Name: k.name, Incarnation: k.incarnation}
-		k.sessions = make(map[string]*lease.Session)
-		k.wakeups = make(map[string]func())
-		k.planner, k.plannerSession = nil, nil
-		k.spawn(k.renewClaims)
-		k.keepClaiming(policyLease, k.rolloutTask)
-		k.keepClaiming(drainsLease, k.drainTask)
-		k.keepClaiming(overloadLease, k.overloadTask)
-		k.keepClaiming(timedLease, k.timedTask)
+	ctl := &controller{w: w, process: w.process(fmt.Sprint("k", i))}
+	ctl.onStart = func() {
+		ctl.holder = registry.Holder{Name: ctl.name, Incarnation: ctl.incarnation}
+		ctl.sessions = make(map[string]*lease.Session)
+		ctl.wakeups = make(map[string]func())
+		ctl.planner, ctl.plannerSession = nil, nil
+		ctl.spawn(ctl.renewClaims)
+		ctl.keepClaiming(policyLease, ctl.rolloutTask)
+		ctl.keepClaiming(drainsLease, ctl.drainTask)
+		ctl.keepClaiming(overloadLease, ctl.overloadTask)
+		ctl.keepClaiming(timedLease, ctl.timedTask)
 	}
-	return k
+	return ctl
 }
 
 // keepClaiming asks for a lease again and again, and runs its task while it is held.
-func (k *controller) keepClaiming(name string, do func(*task, *client, *lease.Session)) {
-	k.spawn(func(t *task) {
-		c := k.w.newClient(t)
+func (ctl *controller) keepClaiming(name string, do func(*task, *client, *lease.Session)) {
+	ctl.spawn(func(t *task) {
+		c := ctl.w.newClient(t)
 		for {
-			k.claimOnce(t, c, name, do)
+			ctl.claimOnce(t, c, name, do)
 			t.sleep(t.jitter(renewInterval))
 		}
 	})
 }
 
 // claimOnce is one claim, from its asking to its end, as lease.Member has it.
-func (k *controller) claimOnce(t *task, c *client, name string, do func(*task, *client, *lease.Session)) {
-	k.w.claimCount++
-	n := &lease.Session{LeaseName: name, ClaimID: fmt.Sprintf("claim-%06d", k.w.claimCount), Holder: k.holder, TTL: leaseTTL}
-	k.sessions[name] = n
-	claim := registry.Claim{ID: n.ClaimID, Holder: k.holder, TTLMS: leaseTTL.Milliseconds()}
-	n.AcquireSent(k.monotonic())
+func (ctl *controller) claimOnce(t *task, c *client, name string, do func(*task, *client, *lease.Session)) {
+	ctl.w.claimCount++
+	session := &lease.Session{LeaseName: name, ClaimID: fmt.Sprintf("claim-%06d", ctl.w.claimCount), Holder: ctl.holder, TTL: leaseTTL}
+	ctl.sessions[name] = session
+	claim := registry.Claim{ID: session.ClaimID, Holder: ctl.holder, TTLMS: leaseTTL.Milliseconds()}
+	session.AcquireSent(ctl.monotonic())
 	res, err := c.apply(registry.Command{Op: registry.OpAcquireLease, Lease: &registry.LeaseCommand{Name: name, Claim: claim, Wait: true}})
 	var running *task
 	defer func() {
@@ -81,49 +81,49 @@
 		}
 	}()
 	if err == nil {
-		n.Acquired(registry.ClaimStatus{Lease: name, ClaimID: n.ClaimID, Token: res.Token, QueuePosition: res.QueuePosition}, k.monotonic())
-		for !n.Ended(k.monotonic()) {
-			if n.Held(k.monotonic()) && running == nil {
-				k.w.recordStep("lease granted: " + name)
-				running = k.startTask(n, do)
+		session.Acquired(registry.ClaimStatus{Lease: name, ClaimID: session.ClaimID, Token: res.Token, QueuePosition: res.QueuePosition}, ctl.monotonic())
+		for !session.Ended(ctl.monotonic()) {
+			if session.Held(ctl.monotonic()) && running == nil {
+				ctl.w.recordStep("lease granted: " + name)
+				running = ctl.startTask(session, do)
 			}
 			if running != nil && running.ended {
 				break
 			}
 			t.await(func(wake func()) {
-				k.wakeups[name] = wake
-				t.after(min(renewInterval, max(time.Millisecond, k.remaining(n))), wake)
+				ctl.wakeups[name] = wake
+				t.after(min(renewInterval, max(time.Millisecond, ctl.remaining(session))), wake)
 			})
-			if _, leave := n.YieldRequested(); leave {
+			if _, leave := session.YieldRequested(); leave {
 				break
 			}
 		}
 		if running != nil {
 			running.kill()
 		}
-		if n.Token() != 0 {
-			k.w.recordStep("lease given up: " + name)
+		if session.Token() != 0 {
+			ctl.w.recordStep("lease given up: " + name)
 		}
 	}
-	n.Resign()
+	session.Resign()
 	_, _ = c.apply(registry.Command{Op: registry.OpReleaseLease, Lease: &registry.LeaseCommand{Name: name, Claim: claim}})
 }
 
 // renewClaims gives a sign of life for all claims, in one call.
-func (k *controller) renewClaims(t *task) {
-	c := k.w.newClient(t)
+func (ctl *controller) renewClaims(t *task) {
+	c := ctl.w.newClient(t)
 	for {
 		t.sleep(t.jitter(renewInterval))
 		var claims []registry.ClaimRef
-		for _, name := range sortedKeys(k.sessions) {
-			if n := k.sessions[name]; !n.Ended(k.monotonic()) {
-				claims = append(claims, registry.ClaimRef{Lease: name, ClaimID: n.ClaimID})
+		for _, name := range sortedKeys(ctl.sessions) {
+			if session := ctl.sessions[name]; !session.Ended(ctl.monotonic()) {
+				claims = append(claims, registry.ClaimRef{Lease: name, ClaimID: session.ClaimID})
 			}
 		}
-		sent := k.monotonic()
+		sent := ctl.monotonic()
 		var answers []registry.ClaimStatus
 		if c.callReplicas(func(r *replica, reply func(error)) {
-			k.w.raft.renewClaims(r, k.holder, claims, func(a []registry.ClaimStatus, err error) {
+			ctl.w.raft.renewClaims(r, ctl.holder, claims, func(a []registry.ClaimStatus, err error) {
 				answers = a
 				reply(err)
 			})
@@ -131,10 +131,10 @@
 			continue
 		}
 		for _, a := range answers {
-			if n := k.sessions[a.Lease]; n != nil && n.ClaimID == a.ClaimID {
-				n.Renewed(a, sent, k.monotonic())
-				if wake := k.wakeups[a.Lease]; wake != nil {
-					k.after(0, wake)
+			if session := ctl.sessions[a.Lease]; session != nil && session.ClaimID == a.ClaimID {
+				session.Renewed(a, sent, ctl.monotonic())
+				if wake := ctl.wakeups[a.Lease]; wake != nil {
+					ctl.after(0, wake)
 				}
 			}
 		}
@@ -142,31 +142,31 @@
 }
 
 // remaining is how long a lease is held still by this process's clock, in the world's time.
-func (k *controller) remaining(n *lease.Session) time.Duration {
-	if n.Token() == 0 {
+func (ctl *controller) remaining(session *lease.Session) time.Duration {
+	if session.Token() == 0 {
 		return time.Hour
 	}
-	return time.Duration(int64(n.Deadline()-k.monotonic()) * 1000 / k.clockRate)
+	return time.Duration(int64(session.Deadline()-ctl.monotonic()) * 1000 / ctl.clockRate)
 }
 
 // startTask runs a task under a lease: it ends where the lease does.
-func (k *controller) startTask(n *lease.Session, do func(*task, *client, *lease.Session)) *task {
-	t := k.spawn(func(t *task) {
-		c := k.w.newClient(t)
-		c.fence = func() *registry.Fence { return &registry.Fence{Lease: n.LeaseName, Token: n.Token()} }
-		do(t, c, n)
+func (ctl *controller) startTask(session *lease.Session, do func(*task, *client, *lease.Session)) *task {
+	t := ctl.spawn(func(t *task) {
+		c := ctl.w.newClient(t)
+		c.fence = func() *registry.Fence { return &registry.Fence{Lease: session.LeaseName, Token: session.Token()} }
+		do(t, c, session)
 	})
-	t.contextEnded = func() bool { return !n.Held(k.monotonic()) }
+	t.contextEnded = func() bool { return !session.Held(ctl.monotonic()) }
 	return t
 }
 
 // rolloutTask leads changes of rolloutTask.
-func (k *controller) rolloutTask(t *task, c *client, n *lease.Session) {
+func (ctl *controller) rolloutTask(t *task, c *client, session *lease.Session) {
 	for {
 		var st rollout.Status
 		if c.readStale(func(s *registry.State) { st = s.Rollout().Status() }) == nil {
-			if step, any := rollout.Decide(st, k.time().UnixMilli()); any {
-				k.w.recordStep("policy " + string(step.Op) + " from " + string(st.Stage))
+			if step, any := rollout.Decide(st, ctl.time().UnixMilli()); any {
+				ctl.w.recordStep("policy " + string(step.Op) + " from " + string(st.Stage))
 				if _, err := c.apply(registry.Command{Op: registry.OpPolicyStep, PolicyStep: &step}); errors.Is(err, registry.ErrFenced) {
 					return
 				}
@@ -178,9 +178,9 @@
 }
 
 // drainTask runs those that operators handed over.
-func (k *controller) drainTask(t *task, c *client, n *lease.Session) {
+func (ctl *controller) drainTask(t *task, c *client, session *lease.Session) {
 	for {
-		w := k.w.newWorkflow(t, c, drain.OwnerControllers, n)
+		w := ctl.w.newWorkflow(t, c, drain.OwnerControllers, session)
 		handed, err := w.HandedOver(context.Background())
 		if err == nil {
 			for _, d := range handed {
@@ -194,13 +194,13 @@
 }
 
 // overloadTask gives the fleet's overloadTask on an overload to who asks.
-func (k *controller) overloadTask(t *task, c *client, n *lease.Session) {
-	k.planner, k.plannerSession = overload.NewPlanner(fleetName, n.Token()), n
-	defer func() { k.planner, k.plannerSession = nil, nil }()
+func (ctl *controller) overloadTask(t *task, c *client, session *lease.Session) {
+	ctl.planner, ctl.plannerSession = overload.NewPlanner(fleetName, session.Token()), session
+	defer func() { ctl.planner, ctl.plannerSession = nil, nil }()
 	var was registry.Record
 	err := c.readVerified(func(s *registry.State) { was, _ = s.Record(overload.RecordKey) })
 	if err == nil {
-		text, _ := json.Marshal(overload.Location{Address: k.name, Token: n.Token()})
+		text, _ := json.Marshal(overload.Location{Address: ctl.name, Token: session.Token()})
 		_, err = c.Put(context.Background(), overload.RecordKey, text, &was.Version)
 	}
 	if err != nil {
@@ -212,29 +212,29 @@
 }
 
 // exchangeDigest is a digest that came to this keeper, answered only while it holds the task.
-func (k *controller) exchangeDigest(d overload.Digest, reply func(overload.Advice)) {
-	if k.planner == nil || k.planner.AddDigest(k.monotonic(), d) != nil {
+func (ctl *controller) exchangeDigest(d overload.Digest, reply func(overload.Advice)) {
+	if ctl.planner == nil || ctl.planner.AddDigest(ctl.monotonic(), d) != nil {
 		return
 	}
-	word := k.planner.Plan(k.monotonic())
-	if !k.plannerSession.Held(k.monotonic()) {
+	advice := ctl.planner.Plan(ctl.monotonic())
+	if !ctl.plannerSession.Held(ctl.monotonic()) {
 		return
 	}
-	k.w.checker.checkAdvisers(k.w)
-	reply(word)
+	ctl.w.checker.checkAdvisers(ctl.w)
+	reply(advice)
 }
 
 // timedTask acts on what knows no token.
-func (k *controller) timedTask(t *task, _ *client, n *lease.Session) {
+func (ctl *controller) timedTask(t *task, _ *client, session *lease.Session) {
 	for {
-		if n.CheckAct(k.monotonic(), actDuration) != nil {
+		if session.CheckAct(ctl.monotonic(), actDuration) != nil {
 			return
 		}
 		// Its context ends with the lease, whatever becomes of the process.
-		until := k.now + time.Duration(int64(n.Deadline()-k.monotonic())*1000/k.clockRate)
-		act := k.w.checker.beginAct(k.w, k, n.ClaimID, until)
+		until := ctl.now + time.Duration(int64(session.Deadline()-ctl.monotonic())*1000/ctl.clockRate)
+		act := ctl.w.checker.beginAct(ctl.w, ctl, session.ClaimID, until)
 		t.sleep(t.jitter(actDuration))
-		act.end = min(k.now, act.end)
+		act.end = min(ctl.now, act.end)
 		t.sleep(t.jitter(2 * actDuration))
 	}
 }
--- a/internal/testing/modelcheck/system/coverage.go
+++ b/internal/testing/modelcheck/system/coverage.go
@@ -21,41 +21,41 @@
 	Pairs                                  map[Pair]int
 }
 
-func (s *Coverage) add(o Coverage) {
-	s.Schedules += o.Schedules
-	s.Events += o.Events
-	s.Faults += o.Faults
-	s.TimedActs += o.TimedActs
-	s.Advice += o.Advice
-	s.Policies += o.Policies
-	s.ServerStops += o.ServerStops
-	s.Lists += o.Lists
-	s.AcknowledgedWrites += o.AcknowledgedWrites
-	s.Requests += o.Requests
-	s.JointPolicies += o.JointPolicies
-	s.FencedWrites += o.FencedWrites
-	if s.Steps == nil {
-		s.Steps, s.Pairs = make(map[string]int), make(map[Pair]int)
+func (c *Coverage) add(o Coverage) {
+	c.Schedules += o.Schedules
+	c.Events += o.Events
+	c.Faults += o.Faults
+	c.TimedActs += o.TimedActs
+	c.Advice += o.Advice
+	c.Policies += o.Policies
+	c.ServerStops += o.ServerStops
+	c.Lists += o.Lists
+	c.AcknowledgedWrites += o.AcknowledgedWrites
+	c.Requests += o.Requests
+	c.JointPolicies += o.JointPolicies
+	c.FencedWrites += o.FencedWrites
+	if c.Steps == nil {
+		c.Steps, c.Pairs = make(map[string]int), make(map[Pair]int)
 	}
 	for k, n := range o.Steps {
-		s.Steps[k] += n
+		c.Steps[k] += n
 	}
 	for k, n := range o.Pairs {
-		s.Pairs[k] += n
+		c.Pairs[k] += n
 	}
 }
 
 // MaxPairs is how many pairs there could be of the steps that were seen.
-func (s *Coverage) MaxPairs() int { return len(faultKinds) * len(s.Steps) }
+func (c *Coverage) MaxPairs() int { return len(faultKinds) * len(c.Steps) }
 
 // RarestPairs are all pairs of the steps that were seen, the one seen least first.
-func (s *Coverage) RarestPairs() (all []Pair) {
+func (c *Coverage) RarestPairs() (all []Pair) {
 	for _, k := range faultKinds {
-		for _, step := range sortedKeys(s.Steps) {
+		for _, step := range sortedKeys(c.Steps) {
 			all = append(all, Pair{k, step})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b Pair) int { return cmp.Compare(s.Pairs[a], s.Pairs[b]) })
+	slices.SortStableFunc(all, func(a, b Pair) int { return cmp.Compare(c.Pairs[a], c.Pairs[b]) })
 	return all
 }
 
--- a/internal/testing/modelcheck/system/drainfleet.go
+++ b/internal/testing/modelcheck/system/drainfleet.go
@@ -16,13 +16,13 @@
 }
 
 // Notified says whether all sidecars hold a version of the list.
-func (s drainFleet) Notified(_ context.Context, seq uint64, since time.Time) (bool, error) {
-	s.task.sleep(s.task.jitter(messageLatency))
-	if s.task.time().Sub(since) >= notificationDeadline {
+func (f drainFleet) Notified(_ context.Context, seq uint64, since time.Time) (bool, error) {
+	f.task.sleep(f.task.jitter(messageLatency))
+	if f.task.time().Sub(since) >= notificationDeadline {
 		return true, nil
 	}
-	for _, x := range s.world.sidecars {
-		if !x.up || x.listVersion < seq {
+	for _, sc := range f.world.sidecars {
+		if !sc.up || sc.listVersion < seq {
 			return false, nil
 		}
 	}
@@ -30,32 +30,32 @@
 }
 
 // Idle asks a server for its load.
-func (s drainFleet) Idle(_ context.Context, e registry.Registration, _ time.Time) (bool, error) {
-	s.task.sleep(s.task.jitter(messageLatency))
-	return s.world.serverByHost(e.Host).load() == 0, nil
+func (f drainFleet) Idle(_ context.Context, e registry.Registration, _ time.Time) (bool, error) {
+	f.task.sleep(f.task.jitter(messageLatency))
+	return f.world.serverByHost(e.Host).load() == 0, nil
 }
 
 // RemainingMembers are none here.
-func (s drainFleet) RemainingMembers(context.Context, string) ([]string, bool, error) {
+func (f drainFleet) RemainingMembers(context.Context, string) ([]string, bool, error) {
 	return nil, false, nil
 }
 
 // Stop stops a server, only while the lease is held.
-func (s drainFleet) Stop(_ context.Context, _, host string) error {
-	if s.session != nil {
-		if err := s.session.CheckAct(s.task.monotonic(), actDuration); err != nil {
+func (f drainFleet) Stop(_ context.Context, _, host string) error {
+	if f.session != nil {
+		if err := f.session.CheckAct(f.task.monotonic(), actDuration); err != nil {
 			return err
 		}
 	}
-	s.task.sleep(s.task.jitter(messageLatency))
-	s.world.stopServer(host)
+	f.task.sleep(f.task.jitter(messageLatency))
+	f.world.stopServer(host)
 	return nil
 }
 
 // newWorkflow is the real one, over the world.
-func (w *world) newWorkflow(t *task, c *client, owner string, n *lease.Session) *drain.Workflow {
+func (w *world) newWorkflow(t *task, c *client, owner string, session *lease.Session) *drain.Workflow {
 	return &drain.Workflow{
-		Registry: c, Fleet: drainFleet{t, w, n}, Floor: drain.Floor{Default: 1}, Owner: owner, ClaimTTL: 5 * time.Second, PollInterval: 100 * time.Millisecond,
+		Registry: c, Fleet: drainFleet{t, w, session}, Floor: drain.Floor{Default: 1}, Owner: owner, ClaimTTL: 5 * time.Second, PollInterval: 100 * time.Millisecond,
 		Now:   t.time,
 		Sleep: func(_ context.Context, d time.Duration) error { t.sleep(t.jitter(d)); return nil },
 		OnEvent: func(e drain.Event) {
--- a/internal/testing/modelcheck/system/explore.go
+++ b/internal/testing/modelcheck/system/explore.go
@@ -51,11 +51,11 @@
 // stopAll ends all that runs.
 func (w *world) stopAll() {
 	w.operator.kill()
-	for _, k := range w.controllers {
-		k.kill()
+	for _, ctl := range w.controllers {
+		ctl.kill()
 	}
-	for _, x := range w.sidecars {
-		x.kill()
+	for _, sc := range w.sidecars {
+		sc.kill()
 	}
 }
 
--- a/internal/testing/modelcheck/system/fault.go
+++ b/internal/testing/modelcheck/system/fault.go
@@ -77,9 +77,9 @@
 // faultTarget is the process that a fault falls on now.
 func (w *world) faultTarget(f Fault) *process {
 	if lease, ok := strings.CutPrefix(f.Target, "holder:"); ok {
-		for _, k := range w.controllers {
-			if t := k.sessions[lease]; k.up && t != nil && t.Held(k.monotonic()) {
-				return &k.process
+		for _, ctl := range w.controllers {
+			if session := ctl.sessions[lease]; ctl.up && session != nil && session.Held(ctl.monotonic()) {
+				return &ctl.process
 			}
 		}
 		return &w.controllers[0].process
@@ -90,14 +90,14 @@
 	case "follower":
 		return &w.raft.replicas[(max(0, w.raft.leader)+1)%len(w.raft.replicas)].process
 	}
-	for _, k := range w.controllers {
-		if k.name == f.Target {
-			return &k.process
+	for _, ctl := range w.controllers {
+		if ctl.name == f.Target {
+			return &ctl.process
 		}
 	}
-	for _, x := range w.sidecars {
-		if x.name == f.Target {
-			return &x.process
+	for _, sc := range w.sidecars {
+		if sc.name == f.Target {
+			return &sc.process
 		}
 	}
 	for _, r := range w.raft.replicas {
@@ -167,11 +167,11 @@
 		r.diskFull = false
 		all = append(all, &r.process)
 	}
-	for _, k := range w.controllers {
-		all = append(all, &k.process)
+	for _, ctl := range w.controllers {
+		all = append(all, &ctl.process)
 	}
-	for _, x := range w.sidecars {
-		all = append(all, &x.process)
+	for _, sc := range w.sidecars {
+		all = append(all, &sc.process)
 	}
 	for _, p := range all {
 		p.outboundBlocked, p.inboundBlocked, p.delayed = false, false, false
--- a/internal/testing/modelcheck/system/finalcheck.go
+++ b/internal/testing/modelcheck/system/finalcheck.go
@@ -12,7 +12,7 @@
 )
 
 // checkFinalState looks at everything when all faults are long over.
-func (j *checker) checkFinalState(w *world, porcupineToo bool) {
+func (c *checker) checkFinalState(w *world, porcupineToo bool) {
 	leader := w.raft.replicas[w.raft.leader]
 	var first []byte
 	for _, r := range w.raft.replicas {
@@ -28,9 +28,9 @@
 			w.violated("%s and %s have applied the same log and differ", w.raft.replicas[0].name, r.name)
 		}
 	}
-	for _, key := range sortedKeys(j.acknowledged) {
+	for _, key := range sortedKeys(c.acknowledged) {
 		rec, _ := leader.state.Record(key)
-		for _, a := range j.acknowledged[key] {
+		for _, a := range c.acknowledged[key] {
 			if a.version > rec.Version || a.version == rec.Version && a.value != string(rec.Value) {
 				w.violated("%s: the write of %q was acknowledged as version %d and is lost: there is %q, version %d", key, a.value, a.version, rec.Value, rec.Version)
 			}
@@ -40,13 +40,13 @@
 	if st.Stage != rollout.StageSettled {
 		w.violated("change %d is still %s, it waits for %v", st.Change.Number, st.Stage, st.WaitingFor)
 	}
-	for _, x := range w.sidecars {
-		cannot := st.Document != nil && st.Document.Tenants[0].Slots > maxFirstSlots && x == w.sidecars[0]
-		if !cannot && (!x.acting || x.active.Epoch != st.Epoch || x.active.JointChange != 0) {
-			w.violated("%s acts by epoch %d (joint with %d, acting %v) when epoch %d has settled", x.name, x.active.Epoch, x.active.JointChange, x.acting, st.Epoch)
+	for _, sc := range w.sidecars {
+		cannot := st.Document != nil && st.Document.Tenants[0].Slots > maxFirstSlots && sc == w.sidecars[0]
+		if !cannot && (!sc.acting || sc.active.Epoch != st.Epoch || sc.active.JointChange != 0) {
+			w.violated("%s acts by epoch %d (joint with %d, acting %v) when epoch %d has settled", sc.name, sc.active.Epoch, sc.active.JointChange, sc.acting, st.Epoch)
 		}
-		if x.listVersion != leader.state.Seq() {
-			w.violated("%s holds version %d of the list, which is at %d", x.name, x.listVersion, leader.state.Seq())
+		if sc.listVersion != leader.state.Seq() {
+			w.violated("%s holds version %d of the list, which is at %d", sc.name, sc.listVersion, leader.state.Seq())
 		}
 	}
 	var drains map[string]drain.Drain
@@ -59,8 +59,8 @@
 	}
 	for _, name := range []string{policyLease, drainsLease, overloadLease, timedLease} {
 		holders := 0
-		for _, k := range w.controllers {
-			if t := k.sessions[name]; t != nil && t.Held(k.monotonic()) {
+		for _, ctl := range w.controllers {
+			if session := ctl.sessions[name]; session != nil && session.Held(ctl.monotonic()) {
 				holders++
 			}
 		}
@@ -69,14 +69,14 @@
 		}
 	}
 	if porcupineToo {
-		j.checkLinearizability(w)
+		c.checkLinearizability(w)
 	}
 }
 
 // checkLinearizability holds the history of each record against a register.
-func (j *checker) checkLinearizability(w *world) {
-	calls := make([]linearizability.Operation, len(j.ops))
-	for i, o := range j.ops {
+func (c *checker) checkLinearizability(w *world) {
+	calls := make([]linearizability.Operation, len(c.ops))
+	for i, o := range c.ops {
 		calls[i] = linearizability.Operation{Key: o.key, Written: o.value, Read: o.read, Start: o.started, End: o.ended, Completed: o.completed && o.succeeded}
 	}
 	byKey := linearizability.GroupByKey(calls)
--- a/internal/testing/modelcheck/system/raft.go
+++ b/internal/testing/modelcheck/system/raft.go
@@ -52,139 +52,139 @@
 )
 
 func newRaftModel(w *world) *raftModel {
-	g := &raftModel{w: w, leader: -1, staleUntil: make(map[int]time.Duration)}
+	m := &raftModel{w: w, leader: -1, staleUntil: make(map[int]time.Duration)}
 	for i := range 3 {
 		r := &replica{process: w.process(fmt.Sprint("r", i)), id: i, state: registry.NewState()}
-		r.onStart = func() { g.restart(r) }
-		g.replicas = append(g.replicas, r)
+		r.onStart = func() { m.restart(r) }
+		m.replicas = append(m.replicas, r)
 	}
-	return g
+	return m
 }
 
 // restart is a start on the replica's own folder.
-func (g *raftModel) restart(r *replica) {
+func (m *raftModel) restart(r *replica) {
 	r.state, r.applied = registry.NewState(), 0
 	if r.snapshot != nil {
 		if err := json.Unmarshal(r.snapshot, r.state); err != nil {
-			g.w.violated("r%d: its own snapshot cannot be read: %v", r.id, err)
+			m.w.violated("r%d: its own snapshot cannot be read: %v", r.id, err)
 			return
 		}
 		r.applied = r.snapshotIndex
 	}
-	g.catchUp(r)
+	m.catchUp(r)
 	if r.incarnation > 1 {
-		g.w.recordStep("replica restarts")
+		m.w.recordStep("replica restarts")
 	}
 }
 
 // reaches says whether two replicas hear each other.
-func (g *raftModel) reaches(a, b *replica) bool {
+func (m *raftModel) reaches(a, b *replica) bool {
 	ok := func(r *replica) bool { return r.up && !r.paused && !r.outboundBlocked && !r.inboundBlocked }
 	return ok(a) && (a == b || ok(b))
 }
 
 // countReachable is how many replicas hear one; writing: and can write.
-func (g *raftModel) countReachable(a *replica, writing bool) (n int) {
-	for _, b := range g.replicas {
-		if g.reaches(a, b) && !(writing && b.diskFull) {
+func (m *raftModel) countReachable(a *replica, writing bool) (n int) {
+	for _, b := range m.replicas {
+		if m.reaches(a, b) && !(writing && b.diskFull) {
 			n++
 		}
 	}
 	return n
 }
 
-func (g *raftModel) hasMajority(a *replica, writing bool) bool {
-	return a.up && !a.paused && g.countReachable(a, writing) > len(g.replicas)/2
+func (m *raftModel) hasMajority(a *replica, writing bool) bool {
+	return a.up && !a.paused && m.countReachable(a, writing) > len(m.replicas)/2
 }
 
 // isLeader says whether a replica is the leader, whatever else believes so.
-func (g *raftModel) isLeader(r *replica) bool { return g.leader == r.id && g.ready }
+func (m *raftModel) isLeader(r *replica) bool { return m.leader == r.id && m.ready }
 
 // tick is the group's own time: elections, and what a leader has to do.
-func (g *raftModel) tick() {
-	now := g.w.now
-	for id, until := range g.staleUntil {
-		if r := g.replicas[id]; now > until && !r.paused || id == g.leader || !r.up {
-			delete(g.staleUntil, id)
+func (m *raftModel) tick() {
+	now := m.w.now
+	for id, until := range m.staleUntil {
+		if r := m.replicas[id]; now > until && !r.paused || id == m.leader || !r.up {
+			delete(m.staleUntil, id)
 		}
 	}
-	for _, r := range g.replicas {
-		if r.up && !r.paused && g.leader >= 0 && g.reaches(g.replicas[g.leader], r) {
-			g.replicate(r)
+	for _, r := range m.replicas {
+		if r.up && !r.paused && m.leader >= 0 && m.reaches(m.replicas[m.leader], r) {
+			m.replicate(r)
 		}
 	}
 	switch {
-	case g.leader >= 0 && g.hasMajority(g.replicas[g.leader], true):
-		g.quorumLostAt = 0
-		g.leaderTick()
-	case g.quorumLostAt == 0:
-		g.quorumLostAt = now
-	case now-g.quorumLostAt > electionTimeout:
-		g.elect()
+	case m.leader >= 0 && m.hasMajority(m.replicas[m.leader], true):
+		m.quorumLostAt = 0
+		m.leaderTick()
+	case m.quorumLostAt == 0:
+		m.quorumLostAt = now
+	case now-m.quorumLostAt > electionTimeout:
+		m.elect()
 	}
-	g.w.after(raftTick, g.tick)
+	m.w.after(raftTick, m.tick)
 }
 
 // elect makes one of those the leader that have all that a majority has.
-func (g *raftModel) elect() {
+func (m *raftModel) elect() {
 	var able []*replica
-	for _, r := range g.replicas {
-		if r.id != g.leader && !r.diskFull && r.persisted == len(g.log) && g.hasMajority(r, true) {
+	for _, r := range m.replicas {
+		if r.id != m.leader && !r.diskFull && r.persisted == len(m.log) && m.hasMajority(r, true) {
 			able = append(able, r)
 		}
 	}
-	if old := g.leader; old >= 0 {
-		if g.replicas[old].up {
-			g.staleUntil[old] = g.w.now + staleLeaderPeriod
+	if old := m.leader; old >= 0 {
+		if m.replicas[old].up {
+			m.staleUntil[old] = m.w.now + staleLeaderPeriod
 		}
-		if r := g.replicas[old]; len(able) == 0 && !r.diskFull && r.persisted == len(g.log) && g.hasMajority(r, true) {
+		if r := m.replicas[old]; len(able) == 0 && !r.diskFull && r.persisted == len(m.log) && m.hasMajority(r, true) {
 			able = append(able, r)
 		}
 	}
 	if len(able) == 0 {
 		return
 	}
-	r := able[g.w.rng.IntN(len(able))]
-	g.term++
-	g.leader, g.quorumLostAt = r.id, 0
+	r := able[m.w.rng.IntN(len(able))]
+	m.term++
+	m.leader, m.quorumLostAt = r.id, 0
 	// What the last leader took and this one has comes to be now; the rest never does.
-	for _, l := range g.uncommitted {
+	for _, l := range m.uncommitted {
 		if l.replicaID == r.id {
-			g.log = append(g.log, l.logEntry)
+			m.log = append(m.log, l.logEntry)
 		}
 	}
-	g.uncommitted = nil
-	r.persisted = len(g.log)
-	g.catchUp(r)
-	g.claims = registry.NewClaimTracker(leaseTTL)
-	g.claims.Sync(r.state.Leases(), g.leaderTime())
-	g.ready = true
-	g.w.recordStep("leader elected")
+	m.uncommitted = nil
+	r.persisted = len(m.log)
+	m.catchUp(r)
+	m.claims = registry.NewClaimTracker(leaseTTL)
+	m.claims.Sync(r.state.Leases(), m.leaderTime())
+	m.ready = true
+	m.w.recordStep("leader elected")
 }
 
 // leaderTime is what the leader's clock says: leases are counted on it.
-func (g *raftModel) leaderTime() time.Time { return startTime.Add(g.replicas[g.leader].monotonic()) }
+func (m *raftModel) leaderTime() time.Time { return startTime.Add(m.replicas[m.leader].monotonic()) }
 
 // leaderTick does what a leader does by itself.
-func (g *raftModel) leaderTick() {
-	r := g.replicas[g.leader]
-	g.catchUp(r)
-	g.claims.Sync(r.state.Leases(), g.leaderTime())
-	ended, open := g.claims.TakeExpired(g.leaderTime())
+func (m *raftModel) leaderTick() {
+	r := m.replicas[m.leader]
+	m.catchUp(r)
+	m.claims.Sync(r.state.Leases(), m.leaderTime())
+	ended, open := m.claims.TakeExpired(m.leaderTime())
 	if open {
-		g.commit(r, registry.Command{Op: registry.OpOpenGrants, Lease: new(registry.LeaseCommand), Term: g.term})
+		m.commit(r, registry.Command{Op: registry.OpOpenGrants, Lease: new(registry.LeaseCommand), Term: m.term})
 	}
 	if len(ended) > 0 {
-		g.w.recordStep("lease ended")
-		g.commit(r, registry.Command{Op: registry.OpExpireClaims, Lease: &registry.LeaseCommand{Expired: ended}, Term: g.term})
+		m.w.recordStep("lease ended")
+		m.commit(r, registry.Command{Op: registry.OpExpireClaims, Lease: &registry.LeaseCommand{Expired: ended}, Term: m.term})
 	}
 }
 
 // resumed notes that a replica that was stopped goes on: it may believe that it leads still.
-func (g *raftModel) resumed(p *process) {
-	for _, r := range g.replicas {
-		if &r.process == p && r.id != g.leader && g.staleUntil[r.id] != 0 {
-			g.staleUntil[r.id] = g.w.now + staleLeaderPeriod
+func (m *raftModel) resumed(p *process) {
+	for _, r := range m.replicas {
+		if &r.process == p && r.id != m.leader && m.staleUntil[r.id] != 0 {
+			m.staleUntil[r.id] = m.w.now + staleLeaderPeriod
 		}
 	}
 }
--- a/internal/testing/modelcheck/system/scheduler.go
+++ b/internal/testing/modelcheck/system/scheduler.go
@@ -47,25 +47,25 @@
 // deadline that real code derives from it is over in true time.
 var startTime = time.Date(2100, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func (c *scheduler) after(d time.Duration, do func()) {
-	c.seq++
-	heap.Push(&c.queue, event{c.now + max(0, d), c.seq, do})
+func (s *scheduler) after(d time.Duration, do func()) {
+	s.seq++
+	heap.Push(&s.queue, event{s.now + max(0, d), s.seq, do})
 }
 
 // jitter is a time drawn around a mean, from half of it to half as much again.
-func (c *scheduler) jitter(d time.Duration) time.Duration {
-	return d/2 + time.Duration(c.rng.Int64N(int64(d)))
+func (s *scheduler) jitter(d time.Duration) time.Duration {
+	return d/2 + time.Duration(s.rng.Int64N(int64(d)))
 }
 
-func (c *scheduler) time() time.Time { return startTime.Add(c.now) }
+func (s *scheduler) time() time.Time { return startTime.Add(s.now) }
 
 // run lets everything happen up to a time, or until stop says so.
-func (c *scheduler) run(until time.Duration, stop func() bool) {
-	for len(c.queue) > 0 && c.queue[0].at <= until && !stop() {
-		e := heap.Pop(&c.queue).(event)
-		c.now = e.at
-		c.processed++
+func (s *scheduler) run(until time.Duration, stop func() bool) {
+	for len(s.queue) > 0 && s.queue[0].at <= until && !stop() {
+		e := heap.Pop(&s.queue).(event)
+		s.now = e.at
+		s.processed++
 		e.do()
 	}
-	c.now = max(c.now, until)
+	s.now = max(s.now, until)
 }
--- a/internal/testing/modelcheck/system/server.go
+++ b/internal/testing/modelcheck/system/server.go
@@ -21,16 +21,16 @@
 }
 
 // sendRequest is one that a sidecar sends to a server.
-func (w *world) sendRequest(x *sidecar, s *server) {
-	if s.stopped || x.outboundBlocked {
+func (w *world) sendRequest(sc *sidecar, s *server) {
+	if s.stopped || sc.outboundBlocked {
 		return // it cannot be reached
 	}
 	s.running++
-	x.requests[s.host]++
+	sc.requests[s.host]++
 	w.checker.requests++
-	w.after(w.jitter(200*time.Millisecond), x.whileAlive(func() {
+	w.after(w.jitter(200*time.Millisecond), sc.whileAlive(func() {
 		s.running--
-		x.requests[s.host]--
+		sc.requests[s.host]--
 	}))
 }
 
--- a/internal/testing/modelcheck/system/system_test.go
+++ b/internal/testing/modelcheck/system/system_test.go
@@ -58,8 +58,8 @@
 			w.checker.beginAct(w, w.controllers[1], "b", w.now+time.Second)
 		},
 		"old and new at once": func(w *world) {
-			for i, x := range w.sidecars {
-				x.acting, x.active.Epoch, x.active.JointChange = true, uint64(1+i%2), 0
+			for i, sc := range w.sidecars {
+				sc.acting, sc.active.Epoch, sc.active.JointChange = true, uint64(1+i%2), 0
 			}
 			w.checker.checkActivePolicies(w)
 		},
@@ -68,11 +68,11 @@
 			w.checker.checkAdviceToken(w, w.sidecars[0], 3)
 		},
 		"which knew of its drain": func(w *world) {
-			x := w.sidecars[0]
-			i := x.list["h0-0"]
+			sc := w.sidecars[0]
+			i := sc.list["h0-0"]
 			i.Health = "draining"
-			x.list["h0-0"] = i
-			x.requests["h0-0"] = 1
+			sc.list["h0-0"] = i
+			sc.requests["h0-0"] = 1
 			w.stopServer("h0-0")
 		},
 		"last server of z0": func(w *world) {
--- a/internal/testing/modelcheck/system/world.go
+++ b/internal/testing/modelcheck/system/world.go
@@ -81,11 +81,11 @@
 		}
 	}
 	w.raft.tick()
-	for _, k := range w.controllers {
-		k.start()
+	for _, ctl := range w.controllers {
+		ctl.start()
 	}
-	for _, x := range w.sidecars {
-		x.start()
+	for _, sc := range w.sidecars {
+		sc.start()
 	}
 	w.operator.start()
 	return w
