--- a/internal/testing/modelcheck/system/coverage.go
+++ b/internal/testing/modelcheck/system/coverage.go
@@ -5,22 +5,31 @@
 	"slices"
 )
 
-// Pair is a step that was taken while a fault went on.
+// Pair is a step that was taken while a fault was in effect.
 type Pair struct {
 	Kind FaultKind
 	Step string
 }
 
-// Coverage is what schedules went through, and what was judged in them.
+// Coverage counts what schedules went through and what was checked in them.
 type Coverage struct {
-	Schedules, Events, Faults              int
-	TimedActs, Advice, Policies            int
-	ServerStops, Lists, AcknowledgedWrites int
-	Requests, JointPolicies, FencedWrites  int
-	Steps                                  map[string]int
-	Pairs                                  map[Pair]int
+	Schedules          int
+	Events             int
+	Faults             int
+	TimedActs          int // acts that only the lease's remaining time protects
+	Advice             int // overload advice that was given
+	Policies           int // policies that came into force
+	ServerStops        int // servers stopped by a drain
+	Lists              int // endpoint lists compared
+	AcknowledgedWrites int
+	Requests           int
+	JointPolicies      int // looks at a sidecar that acted by two policies at once
+	FencedWrites       int
+	Steps              map[string]int
+	Pairs              map[Pair]int
 }
 
+// add adds the counts of other schedules.
 func (c *Coverage) add(o Coverage) {
 	c.Schedules += o.Schedules
 	c.Events += o.Events
@@ -45,10 +54,10 @@
 	}
 }
 
-// MaxPairs is how many pairs there could be of the steps that were seen.
+// MaxPairs returns how many pairs the steps that were taken could form.
 func (c *Coverage) MaxPairs() int { return len(faultKinds) * len(c.Steps) }
 
-// RarestPairs are all pairs of the steps that were seen, the one seen least first.
+// RarestPairs returns all pairs of the steps that were taken, the rarest first.
 func (c *Coverage) RarestPairs() (all []Pair) {
 	for _, k := range faultKinds {
 		for _, step := range sortedKeys(c.Steps) {
@@ -59,7 +68,25 @@
 	return all
 }
 
-// recordStep notes one, and lets the faults fall that wait for it.
+// coverage returns what the schedule covered.
+func (w *world) coverage() Coverage {
+	c := w.checker
+	covered := Coverage{
+		Schedules: 1, Events: w.processed, TimedActs: c.timedActs, Advice: c.advice, Policies: c.policies, ServerStops: c.serverStops,
+		Lists: c.lists, Requests: c.requests, JointPolicies: c.jointPolicies, FencedWrites: c.fencedWrites, Steps: w.stepCounts, Pairs: w.pairs,
+	}
+	for _, writes := range c.acknowledged {
+		covered.AcknowledgedWrites += len(writes)
+	}
+	for _, injected := range w.injected {
+		if injected {
+			covered.Faults++
+		}
+	}
+	return covered
+}
+
+// recordStep counts a step, and injects the faults that are planned for this occurrence.
 func (w *world) recordStep(name string) {
 	w.stepCounts[name]++
 	for _, f := range w.activeFaults {
--- a/internal/testing/modelcheck/system/failure.go
+++ b/internal/testing/modelcheck/system/failure.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// Failure is a schedule that breaks a promise.
+// Failure is a schedule that violates an invariant.
 type Failure struct {
 	Seed      uint64
 	Plan      []Fault
 	Err       error
-	Schedules int // until it was found
+	Schedules int // how many were run until it was found
 }
 
-// ReplayText says what was found, and how to play it again.
+// ReplayText describes the violation and names the command that replays it.
 func (f *Failure) ReplayText() string {
-	return fmt.Sprintf("after %d schedules: %v; to play it again: testbench modelcheck --replay --seed %d --faults '%s'", f.Schedules, f.Err, f.Seed, FormatPlan(f.Plan))
+	return fmt.Sprintf("after %d schedules: %v; to replay it: testbench modelcheck --replay --seed %d --faults '%s'", f.Schedules, f.Err, f.Seed, FormatPlan(f.Plan))
 }
 
-// Shrink leaves out the faults that a broken promise does not need.
+// Shrink returns a failure without the faults that the violation does not need.
 func (f *Failure) Shrink() *Failure {
 	small := *f
 	for i := 0; i < len(small.Plan); {
