--- a/cmd/testbench/modelcheck.go
+++ b/cmd/testbench/modelcheck.go
@@ -70,7 +70,7 @@
 func printCoverage(w io.Writer, s system.Coverage, took time.Duration, pairs bool) {
 	fmt.Fprintf(w, "%d schedules, %.0f a second: %d events, %d faults; %d of %d pairs of a fault and a step\n",
 		s.Schedules, float64(s.Schedules)/took.Seconds(), s.Events, s.Faults, len(s.Pairs), s.MaxPairs())
-	fmt.Fprintf(w, "judged: %d timed acts, %d fenced writes, %d words, %d lists, %d acknowledged writes, %d policies in force, %d stops of servers, %d requests\n",
+	fmt.Fprintf(w, "checked: %d timed acts, %d fenced writes, %d overload advice, %d lists, %d acknowledged writes, %d policies in force, %d stops of servers, %d requests\n",
 		s.TimedActs, s.FencedWrites, s.Advice, s.Lists, s.AcknowledgedWrites, s.Policies, s.ServerStops, s.Requests)
 	if !pairs {
 		return
--- a/internal/testing/modelcheck/system/checker.go
+++ b/internal/testing/modelcheck/system/checker.go
@@ -9,28 +9,29 @@
 	"barleywick/internal/registry"
 )
 
-// checker knows what was promised and not how it is kept: it is told what is done, asks
-// nobody, and shares no code with what it judges.
+// checker checks the invariants. It is notified of everything that is done, knows nothing of
+// how the invariants are kept, and shares no code with what it checks.
 type checker struct {
 	policyEpoch   uint64
-	policyVersion uint64            // the version of the policy that was looked at last
-	listByVersion map[uint64]string // the list at each version
+	policyVersion uint64            // of the rollout state that was checked last
+	listByVersion map[uint64]string // the endpoint list at each version
 	acts          []*timedAct
-	ops           []*recordCall
+	calls         []*recordCall
 	acknowledged  map[string][]acknowledgedWrite // by key
-	newestTokens  map[string]uint64              // by lease: the token of the grant seen last
+	newestTokens  map[string]uint64              // by lease: the token of the latest grant
+
+	// What was checked, as in Coverage.
 	fencedWrites  int
 	timedActs     int
 	advice        int
 	policies      int
 	serverStops   int
-	lists         int // lists
+	lists         int
 	jointPolicies int
-
-	requests int
+	requests      int
 }
 
-// timedAct is a timed one: from its begin until it ended, or its context did.
+// timedAct lasts from its begin until it ended or its context did.
 type timedAct struct {
 	claim       string
 	process     *process
@@ -38,12 +39,13 @@
 	begin, end  time.Duration
 }
 
+// acknowledgedWrite is a write that a client was told has been done.
 type acknowledgedWrite struct {
 	value   string
 	version uint64
 }
 
-// recordCall is a call on a record, for a check of the history.
+// recordCall is a call that reads or writes a record.
 type recordCall struct {
 	key, value, read     string
 	started, ended       time.Duration
@@ -51,10 +53,14 @@
 }
 
 func newChecker() *checker {
-	return &checker{listByVersion: make(map[uint64]string), acknowledged: make(map[string][]acknowledgedWrite), newestTokens: make(map[string]uint64)}
+	return &checker{
+		listByVersion: make(map[uint64]string),
+		acknowledged:  make(map[string][]acknowledgedWrite),
+		newestTokens:  make(map[string]uint64),
+	}
 }
 
-// beginAct notes that a timed act begins, and looks whether another one goes on.
+// beginAct records a timed act, and checks that none under another claim goes on.
 func (c *checker) beginAct(w *world, ctl *controller, claim string, until time.Duration) *timedAct {
 	now := ctl.now
 	c.acts = slices.DeleteFunc(c.acts, func(a *timedAct) bool { return a.end <= now || !a.process.up || a.process.incarnation != a.incarnation })
@@ -69,30 +75,30 @@
 	return a
 }
 
-// checkAdvisers looks, as one is given, whether two may.
+// checkAdvisers is called as overload advice is given, and checks that only one controller may.
 func (c *checker) checkAdvisers(w *world) {
 	c.advice++
-	var may []string
+	var holders []string
 	for _, ctl := range w.controllers {
 		if ctl.up && !ctl.paused && ctl.plannerSession != nil && ctl.plannerSession.Held(ctl.monotonic()) {
-			may = append(may, ctl.name)
+			holders = append(holders, ctl.name)
 		}
 	}
-	if len(may) > 1 {
-		w.violated("%s give the fleet's word at once", strings.Join(may, " and "))
+	if len(holders) > 1 {
+		w.violated("%s give overload advice at once", strings.Join(holders, " and "))
 	}
 }
 
-// checkAdviceToken looks at the token of a word that a sidecar checkAdviceToken.
+// checkAdviceToken checks that the tokens of the advice that a sidecar takes never decrease.
 func (c *checker) checkAdviceToken(w *world, sc *sidecar, token uint64) {
 	if token < sc.adviceToken {
-		w.violated("%s takes a word under token %d after one under %d", sc.name, token, sc.adviceToken)
+		w.violated("%s takes advice under token %d after advice under %d", sc.name, token, sc.adviceToken)
 	}
 	sc.adviceToken = token
 }
 
-// checkWrite looks at a write that has taken checkWrite under a grant: no later one may have been
-// given by then.
+// checkWrite checks that tokens never decrease, and that a write that has taken effect was
+// made under the newest grant.
 func (c *checker) checkWrite(w *world, s *registry.State, f *registry.Fence, err error) {
 	all, _ := s.Leases().List()
 	for _, l := range all {
@@ -112,6 +118,7 @@
 	}
 }
 
+// listText formats an endpoint list for comparison.
 func listText(hosts []registry.Instance) string {
 	lines := make([]string, 0, len(hosts))
 	for _, i := range hosts {
@@ -121,8 +128,8 @@
 	return strings.Join(lines, ", ")
 }
 
-// checkList compares a sidecar's list with what the list was at its version: a watch without
-// a gap.
+// checkList compares a sidecar's endpoint list with the registry's at that version. They differ
+// if the watch has lost a change.
 func (c *checker) checkList(w *world, sc *sidecar) {
 	c.lists++
 	var hosts []registry.Instance
@@ -134,7 +141,7 @@
 	}
 }
 
-// checkCommitted looks at what the group has just agreed on.
+// checkCommitted checks the state after a commit.
 func (c *checker) checkCommitted(w *world) {
 	if w.raft.leader < 0 {
 		return
@@ -143,11 +150,11 @@
 	if seq := state.Seq(); c.listByVersion[seq] == "" {
 		c.listByVersion[seq] = listText(state.FullList().Instances)
 	}
-	if v := state.Rollout().Version(); v != c.policyVersion {
-		c.policyVersion = v
-	} else {
+	version := state.Rollout().Version()
+	if version == c.policyVersion {
 		return
 	}
+	c.policyVersion = version
 	status := state.Rollout().Status()
 	if status.Epoch == c.policyEpoch {
 		return
@@ -155,18 +162,18 @@
 	c.policyEpoch = status.Epoch
 	c.policies++
 	w.recordStep("policy in force")
-	for _, seat := range status.Roster {
+	for _, entry := range status.Roster {
 		for _, sc := range w.sidecars {
-			if sc.up && sc.member == seat.Member && (!sc.acting || sc.active.JointChange != c.policyEpoch) {
-				w.violated("epoch %d is in force, and %s, which has a seat, never acted by it and the old one", c.policyEpoch, sc.name)
+			if sc.up && sc.member == entry.Member && (!sc.acting || sc.active.JointChange != c.policyEpoch) {
+				w.violated("epoch %d is in force, and %s, which is in the roster, never acted by it and the old one", c.policyEpoch, sc.name)
 			}
 		}
 	}
 	c.checkActivePolicies(w)
 }
 
-// checkActivePolicies looks, after each change, at what each sidecar acts by: all of it is by one
-// policy, or by both the old and the new.
+// checkActivePolicies checks that all sidecars act by one policy, or by both the old and the
+// new one: there is a policy that each of them keeps to.
 func (c *checker) checkActivePolicies(w *world) {
 	var common []uint64
 	first := true
@@ -192,7 +199,8 @@
 	}
 }
 
-// checkServerStop looks, as a drain stops a server, at whose work it was doing and what is left.
+// checkServerStop is called as a drain stops a server. It checks that the server had no work of
+// a sidecar that knew of the drain, and was not the last one of its zone.
 func (c *checker) checkServerStop(w *world, s *server) {
 	c.serverStops++
 	for _, sc := range w.sidecars {
@@ -208,18 +216,19 @@
 	w.violated("with %s the last server of %s is stopped", s.host, s.zone)
 }
 
-// beginCall notes that a record is about to be read, or written.
+// beginCall records that a record is about to be read or written.
 func (c *checker) beginCall(w *world, key, value string) *recordCall {
 	o := &recordCall{key: key, value: value, started: w.now}
-	c.ops = append(c.ops, o)
+	c.calls = append(c.calls, o)
 	return o
 }
 
+// complete records that the call has returned.
 func (r *recordCall) complete(w *world, got string, ok bool) {
 	r.ended, r.completed, r.succeeded, r.read = w.now, true, ok, got
 }
 
-// recordAcknowledged notes a write that the group has said to keep.
+// recordAcknowledged records a write that the registry has acknowledged.
 func (c *checker) recordAcknowledged(key, value string, version uint64) {
 	c.acknowledged[key] = append(c.acknowledged[key], acknowledgedWrite{value, version})
 }
--- a/internal/testing/modelcheck/system/controller.go
+++ b/internal/testing/modelcheck/system/controller.go
@@ -14,19 +14,19 @@
 	"barleywick/internal/rollout"
 )
 
-// controller is a process that holds tasks: the real holder's count of its leases, and the
-// tasks' real decisions.
+// controller is a process that holds leases by the real lease.Session, and decides by the real
+// code what the tasks under them do.
 type controller struct {
 	process
 	w              *world
 	holder         registry.Holder
 	sessions       map[string]*lease.Session
-	wakeups        map[string]func() // who waits for news of a tenure
-	planner        *overload.Planner // while it holds the task
+	wakeups        map[string]func() // by lease: wakes the task that waits for a renewal
+	planner        *overload.Planner // nil unless it holds the overload lease
 	plannerSession *lease.Session
 }
 
-// The leases, and the task of each.
+// The leases, each of which has a task.
 const (
 	policyLease   = "policy"
 	drainsLease   = "drains"
@@ -39,6 +39,10 @@
 	actDuration   = 40 * time.Millisecond
 )
 
+// leaseTask is what a controller does while it holds a lease.
+type leaseTask func(*task, *client, *lease.Session)
+
+// newController returns a controller that does not run yet.
 func (w *world) newController(i int) *controller {
 	ctl := &controller{w: w, process: w.process(fmt.Sprint("k", i))}
 	ctl.onStart = func() {
@@ -55,19 +59,19 @@
 	return ctl
 }
 
-// keepClaiming asks for a lease again and again, and runs its task while it is held.
-func (ctl *controller) keepClaiming(name string, do func(*task, *client, *lease.Session)) {
+// keepClaiming claims a lease again and again, and runs its task while the lease is held.
+func (ctl *controller) keepClaiming(name string, run leaseTask) {
 	ctl.spawn(func(t *task) {
 		c := ctl.w.newClient(t)
 		for {
-			ctl.claimOnce(t, c, name, do)
+			ctl.claimOnce(t, c, name, run)
 			t.sleep(t.jitter(renewInterval))
 		}
 	})
 }
 
-// claimOnce is one claim, from its asking to its end, as lease.Member has it.
-func (ctl *controller) claimOnce(t *task, c *client, name string, do func(*task, *client, *lease.Session)) {
+// claimOnce makes one claim and keeps it until it ends, as lease.Manager does.
+func (ctl *controller) claimOnce(t *task, c *client, name string, run leaseTask) {
 	ctl.w.claimCount++
 	session := &lease.Session{LeaseName: name, ClaimID: fmt.Sprintf("claim-%06d", ctl.w.claimCount), Holder: ctl.holder, TTL: leaseTTL}
 	ctl.sessions[name] = session
@@ -85,7 +89,7 @@
 		for !session.Ended(ctl.monotonic()) {
 			if session.Held(ctl.monotonic()) && running == nil {
 				ctl.w.recordStep("lease granted: " + name)
-				running = ctl.startTask(session, do)
+				running = ctl.startTask(session, run)
 			}
 			if running != nil && running.ended {
 				break
@@ -109,7 +113,7 @@
 	_, _ = c.apply(registry.Command{Op: registry.OpReleaseLease, Lease: &registry.LeaseCommand{Name: name, Claim: claim}})
 }
 
-// renewClaims gives a sign of life for all claims, in one call.
+// renewClaims renews all claims, in one call.
 func (ctl *controller) renewClaims(t *task) {
 	c := ctl.w.newClient(t)
 	for {
@@ -141,26 +145,26 @@
 	}
 }
 
-// remaining is how long a lease is held still by this process's clock, in the world's time.
+// remaining returns for how much of the world's time a lease is still held by this process's clock.
 func (ctl *controller) remaining(session *lease.Session) time.Duration {
 	if session.Token() == 0 {
 		return time.Hour
 	}
-	return time.Duration(int64(session.Deadline()-ctl.monotonic()) * 1000 / ctl.clockRate)
+	return time.Duration(int64(session.Deadline()-ctl.monotonic()) * normalClockRate / ctl.clockRate)
 }
 
-// startTask runs a task under a lease: it ends where the lease does.
-func (ctl *controller) startTask(session *lease.Session, do func(*task, *client, *lease.Session)) *task {
+// startTask starts a task whose context ends with the lease.
+func (ctl *controller) startTask(session *lease.Session, run leaseTask) *task {
 	t := ctl.spawn(func(t *task) {
 		c := ctl.w.newClient(t)
 		c.fence = func() *registry.Fence { return &registry.Fence{Lease: session.LeaseName, Token: session.Token()} }
-		do(t, c, session)
+		run(t, c, session)
 	})
 	t.contextEnded = func() bool { return !session.Held(ctl.monotonic()) }
 	return t
 }
 
-// rolloutTask leads changes of rolloutTask.
+// rolloutTask leads rollouts.
 func (ctl *controller) rolloutTask(t *task, c *client, session *lease.Session) {
 	for {
 		var st rollout.Status
@@ -177,7 +181,7 @@
 	}
 }
 
-// drainTask runs those that operators handed over.
+// drainTask runs the drains that operators handed over.
 func (ctl *controller) drainTask(t *task, c *client, session *lease.Session) {
 	for {
 		w := ctl.w.newWorkflow(t, c, drain.OwnerControllers, session)
@@ -193,15 +197,15 @@
 	}
 }
 
-// overloadTask gives the fleet's overloadTask on an overload to who asks.
+// overloadTask announces where overload advice is given, and stands by to give it.
 func (ctl *controller) overloadTask(t *task, c *client, session *lease.Session) {
 	ctl.planner, ctl.plannerSession = overload.NewPlanner(fleetName, session.Token()), session
 	defer func() { ctl.planner, ctl.plannerSession = nil, nil }()
-	var was registry.Record
-	err := c.readVerified(func(s *registry.State) { was, _ = s.Record(overload.RecordKey) })
+	var current registry.Record
+	err := c.readVerified(func(s *registry.State) { current, _ = s.Record(overload.RecordKey) })
 	if err == nil {
 		text, _ := json.Marshal(overload.Location{Address: ctl.name, Token: session.Token()})
-		_, err = c.Put(context.Background(), overload.RecordKey, text, &was.Version)
+		_, err = c.Put(context.Background(), overload.RecordKey, text, &current.Version)
 	}
 	if err != nil {
 		return
@@ -211,7 +215,7 @@
 	}
 }
 
-// exchangeDigest is a digest that came to this keeper, answered only while it holds the task.
+// exchangeDigest handles a load digest. It replies only while the controller holds the overload lease.
 func (ctl *controller) exchangeDigest(d overload.Digest, reply func(overload.Advice)) {
 	if ctl.planner == nil || ctl.planner.AddDigest(ctl.monotonic(), d) != nil {
 		return
@@ -224,14 +228,14 @@
 	reply(advice)
 }
 
-// timedTask acts on what knows no token.
+// timedTask does timed acts: their only protection is the lease's remaining time, as they carry no token.
 func (ctl *controller) timedTask(t *task, _ *client, session *lease.Session) {
 	for {
 		if session.CheckAct(ctl.monotonic(), actDuration) != nil {
 			return
 		}
-		// Its context ends with the lease, whatever becomes of the process.
-		until := ctl.now + time.Duration(int64(session.Deadline()-ctl.monotonic())*1000/ctl.clockRate)
+		// The context of the act ends with the lease, also while the process is paused.
+		until := ctl.now + time.Duration(int64(session.Deadline()-ctl.monotonic())*normalClockRate/ctl.clockRate)
 		act := ctl.w.checker.beginAct(ctl.w, ctl, session.ClaimID, until)
 		t.sleep(t.jitter(actDuration))
 		act.end = min(ctl.now, act.end)
--- a/internal/testing/modelcheck/system/drainfleet.go
+++ b/internal/testing/modelcheck/system/drainfleet.go
@@ -1,21 +1,22 @@
 package system
 
 import (
+	"context"
+	"time"
+
 	"barleywick/internal/drain"
 	"barleywick/internal/lease"
 	"barleywick/internal/registry"
-	"context"
-	"time"
 )
 
-// drainFleet is the servers and sidecars, as a drain's workflow sees them.
+// drainFleet is what a drain's workflow sees of servers and sidecars.
 type drainFleet struct {
 	task    *task
 	world   *world
 	session *lease.Session
 }
 
-// Notified says whether all sidecars hold a version of the list.
+// Notified reports whether all sidecars hold a version of the list, or count as notified.
 func (f drainFleet) Notified(_ context.Context, seq uint64, since time.Time) (bool, error) {
 	f.task.sleep(f.task.jitter(messageLatency))
 	if f.task.time().Sub(since) >= notificationDeadline {
@@ -29,18 +30,18 @@
 	return true, nil
 }
 
-// Idle asks a server for its load.
+// Idle reports whether a server has no requests.
 func (f drainFleet) Idle(_ context.Context, e registry.Registration, _ time.Time) (bool, error) {
 	f.task.sleep(f.task.jitter(messageLatency))
-	return f.world.serverByHost(e.Host).load() == 0, nil
+	return f.world.serverByHost(e.Host).running == 0, nil
 }
 
-// RemainingMembers are none here.
+// RemainingMembers returns nothing: there is no membership in this world.
 func (f drainFleet) RemainingMembers(context.Context, string) ([]string, bool, error) {
 	return nil, false, nil
 }
 
-// Stop stops a server, only while the lease is held.
+// Stop stops a server, under a lease only while that is held.
 func (f drainFleet) Stop(_ context.Context, _, host string) error {
 	if f.session != nil {
 		if err := f.session.CheckAct(f.task.monotonic(), actDuration); err != nil {
@@ -52,7 +53,7 @@
 	return nil
 }
 
-// newWorkflow is the real one, over the world.
+// newWorkflow returns the real drain workflow over the simulated fleet.
 func (w *world) newWorkflow(t *task, c *client, owner string, session *lease.Session) *drain.Workflow {
 	return &drain.Workflow{
 		Registry: c, Fleet: drainFleet{t, w, session}, Floor: drain.Floor{Default: 1}, Owner: owner, ClaimTTL: 5 * time.Second, PollInterval: 100 * time.Millisecond,
--- a/internal/testing/modelcheck/system/operators.go
+++ b/internal/testing/modelcheck/system/operators.go
@@ -1,14 +1,15 @@
 package system
 
 import (
-	"barleywick/internal/registry"
-	"barleywick/internal/rollout"
 	"context"
 	"fmt"
 	"time"
+
+	"barleywick/internal/registry"
+	"barleywick/internal/rollout"
 )
 
-// proposePolicies is an operator who proposes changes of policy, and aborts some.
+// proposePolicies is an operator who proposes policies and aborts some of the rollouts.
 func (w *world) proposePolicies(t *task) {
 	c := w.newClient(t)
 	for {
@@ -30,14 +31,14 @@
 			Document: &rollout.Document{FormatVersion: 1, Mode: rollout.ModeCarry, Tenants: []rollout.Tenant{{Name: "t", Slots: slots, QueuePlaces: 1}}},
 		}
 		if st.Change != nil && w.rng.IntN(3) == 0 {
-			step = rollout.Command{Op: rollout.OpAbort, ChangeNumber: st.Change.Number, By: "operator", Reason: "an operator's word"}
+			step = rollout.Command{Op: rollout.OpAbort, ChangeNumber: st.Change.Number, By: "operator", Reason: "request of the operator"}
 		}
 		w.recordStep("operator: " + string(step.Op))
 		_, _ = c.apply(registry.Command{Op: registry.OpPolicyStep, PolicyStep: &step})
 	}
 }
 
-// drainMachines is an operator who hands drains over, and takes drainMachines back into service.
+// drainMachines is an operator who hands over drains of machines, and takes machines back into service.
 func (w *world) drainMachines(t *task) {
 	c := w.newClient(t)
 	for {
@@ -45,21 +46,21 @@
 		if w.settling {
 			continue
 		}
-		flow := w.newWorkflow(t, c, "operator", nil)
+		workflow := w.newWorkflow(t, c, "operator", nil)
 		machine := fmt.Sprint("m", w.rng.IntN(3))
 		if w.rng.IntN(3) > 0 {
 			w.recordStep("operator: drain")
-			_ = flow.HandOver(context.Background(), machine, t.time().Add(20*time.Second))
+			_ = workflow.HandOver(context.Background(), machine, t.time().Add(20*time.Second))
 			continue
 		}
 		w.recordStep("operator: undrain")
-		if flow.Undrain(context.Background(), machine) == nil {
+		if workflow.Undrain(context.Background(), machine) == nil {
 			w.startServers(machine)
 		}
 	}
 }
 
-// startServers starts what a drain has stopped.
+// startServers starts the servers of a machine that a drain has stopped.
 func (w *world) startServers(machine string) {
 	for _, s := range w.servers {
 		if s.machine == machine {
@@ -68,7 +69,7 @@
 	}
 }
 
-// writeRecords is a user who keeps records and reads them.
+// writeRecords is a user who writes and reads records.
 func (w *world) writeRecords(t *task) {
 	c := w.newClient(t)
 	for n := 1; ; n++ {
@@ -78,24 +79,24 @@
 		}
 		key := fmt.Sprint("record-", w.rng.IntN(recordKeys))
 		if w.rng.IntN(3) == 0 {
-			op := w.checker.beginCall(w, key, "")
+			call := w.checker.beginCall(w, key, "")
 			var got registry.Record
 			if c.readVerified(func(s *registry.State) { got, _ = s.Record(key) }) == nil {
-				op.complete(w, string(got.Value), true)
+				call.complete(w, string(got.Value), true)
 			}
 			continue
 		}
-		// Each names the version that it replaces: one that comes twice does nothing then.
-		var was registry.Record
-		if c.readVerified(func(s *registry.State) { was, _ = s.Record(key) }) != nil {
+		// Each write names the version that it replaces, so a repetition has no effect.
+		var current registry.Record
+		if c.readVerified(func(s *registry.State) { current, _ = s.Record(key) }) != nil {
 			continue
 		}
 		value := fmt.Sprint(n)
-		op := w.checker.beginCall(w, key, value)
-		v, err := c.Put(context.Background(), key, []byte(value), &was.Version)
-		op.complete(w, "", err == nil)
+		call := w.checker.beginCall(w, key, value)
+		version, err := c.Put(context.Background(), key, []byte(value), &current.Version)
+		call.complete(w, "", err == nil)
 		if err == nil {
-			w.checker.recordAcknowledged(key, value, v)
+			w.checker.recordAcknowledged(key, value, version)
 		}
 	}
 }
--- a/internal/testing/modelcheck/system/process.go
+++ b/internal/testing/modelcheck/system/process.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// process is one of the operating system's: it can be killed, stopped, cut off and started
+// process is a process of the operating system: it can be killed, paused, cut off and started
 // again.
 type process struct {
 	*scheduler
 	name            string
 	up              bool
 	paused          bool
-	outboundBlocked bool // what it sends does not arrive
-	inboundBlocked  bool // what others send it does not
-	delayed         bool
-	clockRate       int64         // of its clock, in thousandths
-	clockOffset     time.Duration // what it is ahead of true time, from earlier rates
+	outboundBlocked bool          // messages from it are lost
+	inboundBlocked  bool          // messages to it are lost
+	delayed         bool          // messages from and to it are late
+	clockRate       int64         // in thousandths of the true rate
+	clockOffset     time.Duration // from the true time, caused by earlier rates
 	incarnation     uint64
 	tasks           []*task
-	deferred        []func() // what is to go on when it is no longer stopped
+	deferred        []func() // what happens when it is no longer paused
 	onStart         func()   // starts its tasks
-	onEnd           func()   // tells that it has ended; may be nil
+	onEnd           func()   // called when it has ended; may be nil
 }
 
+// start starts the process, as a new incarnation, if it is down.
 func (p *process) start() {
 	if p.up {
 		return
@@ -30,6 +31,7 @@
 	p.onStart()
 }
 
+// kill ends the process and its tasks.
 func (p *process) kill() {
 	if !p.up {
 		return
@@ -44,44 +46,47 @@
 	}
 }
 
+// pause stops the process until unpause.
 func (p *process) pause() { p.paused = p.up }
 
+// unpause lets a paused process go on.
 func (p *process) unpause() {
 	if !p.paused {
 		return
 	}
 	p.paused = false
-	held := p.deferred
+	deferred := p.deferred
 	p.deferred = nil
-	for _, do := range held {
+	for _, do := range deferred {
 		p.after(0, p.whileAlive(do))
 	}
 }
 
-// whileAlive makes what happens within this start of the process, when it is not stopped.
+// whileAlive wraps a function so that it does nothing once this incarnation has ended, and is
+// deferred while the process is paused.
 func (p *process) whileAlive(do func()) func() {
-	of := p.incarnation
-	var in func()
-	in = func() {
+	incarnation := p.incarnation
+	var guarded func()
+	guarded = func() {
 		switch {
-		case !p.up || p.incarnation != of:
+		case !p.up || p.incarnation != incarnation:
 		case p.paused:
-			p.deferred = append(p.deferred, in)
+			p.deferred = append(p.deferred, guarded)
 		default:
 			do()
 		}
 	}
-	return in
+	return guarded
 }
 
-// monotonic is what the process's own monotonic clock says.
+// monotonic returns the reading of the process's own monotonic clock.
 func (p *process) monotonic() time.Duration {
-	return time.Duration(int64(p.now)*p.clockRate/1000) + p.clockOffset + time.Hour
+	return time.Duration(int64(p.now)*p.clockRate/normalClockRate) + p.clockOffset + time.Hour
 }
 
-// setClockRate lets its clock run at another rate from now on.
+// setClockRate lets the clock run at another rate from now on, without a jump.
 func (p *process) setClockRate(rate int64) {
-	was := p.monotonic()
+	before := p.monotonic()
 	p.clockRate = rate
-	p.clockOffset += was - p.monotonic()
+	p.clockOffset += before - p.monotonic()
 }
--- a/internal/testing/modelcheck/system/raft.go
+++ b/internal/testing/modelcheck/system/raft.go
@@ -9,21 +9,21 @@
 	"barleywick/internal/registry"
 )
 
-// replica is one of the registry's: a real state machine over a log of which it has a part.
+// replica is a replica of the registry: the real state machine over the part of the log that it has.
 type replica struct {
 	process
 	id            int
 	state         *registry.State
-	applied       int // how much of the log it has applied
-	persisted     int // how much of it is on its disk
+	applied       int // how many entries of the log it has applied
+	persisted     int // how many are on its disk
 	snapshot      []byte
 	snapshotIndex int
-	diskFull      bool // its disk takes nothing more
+	diskFull      bool // its disk takes no more writes
 }
 
-// raftModel is Raft, as far as what rests on it can tell: one leader a term, entries that a
-// majority has on disk stay, what no majority has may come to be or not, and a leader that
-// was cut off or stopped believes for a while.
+// raftModel has the properties of Raft that the registry relies on: one leader a term; an entry
+// that a majority has on disk stays; one that no majority has may be committed later or never;
+// and a leader that was cut off or paused believes for a while that it still leads.
 type raftModel struct {
 	w            *world
 	replicas     []*replica
@@ -32,9 +32,9 @@
 	term         uint64
 	leader       int // -1: none
 	ready        bool
-	quorumLostAt time.Duration // when the leader lost its majority; 0: it has one
+	quorumLostAt time.Duration // when the leader lost its quorum; 0: it has one
 	claims       *registry.ClaimTracker
-	staleUntil   map[int]time.Duration // until when a replica believes that it leads still
+	staleUntil   map[int]time.Duration // until when a former leader believes that it still leads
 }
 
 const (
@@ -43,7 +43,7 @@
 	raftTick          = 100 * time.Millisecond
 	commitLatency     = 2 * time.Millisecond
 	leaseTTL          = 2 * time.Second
-	snapshotInterval  = 60 // entries, about
+	snapshotInterval  = 60 // entries between two snapshots, about
 )
 
 var (
@@ -61,7 +61,7 @@
 	return m
 }
 
-// restart is a start on the replica's own folder.
+// restart restores a replica from its own snapshot and log.
 func (m *raftModel) restart(r *replica) {
 	r.state, r.applied = registry.NewState(), 0
 	if r.snapshot != nil {
@@ -77,13 +77,14 @@
 	}
 }
 
-// reaches says whether two replicas hear each other.
+// reaches reports whether two replicas can exchange messages.
 func (m *raftModel) reaches(a, b *replica) bool {
 	ok := func(r *replica) bool { return r.up && !r.paused && !r.outboundBlocked && !r.inboundBlocked }
 	return ok(a) && (a == b || ok(b))
 }
 
-// countReachable is how many replicas hear one; writing: and can write.
+// countReachable returns how many replicas one reaches, itself included; with writing, only
+// those whose disk takes writes.
 func (m *raftModel) countReachable(a *replica, writing bool) (n int) {
 	for _, b := range m.replicas {
 		if m.reaches(a, b) && !(writing && b.diskFull) {
@@ -93,14 +94,15 @@
 	return n
 }
 
+// hasMajority reports whether a replica reaches a quorum.
 func (m *raftModel) hasMajority(a *replica, writing bool) bool {
 	return a.up && !a.paused && m.countReachable(a, writing) > len(m.replicas)/2
 }
 
-// isLeader says whether a replica is the leader, whatever else believes so.
+// isLeader reports whether a replica leads, whichever others believe that they do.
 func (m *raftModel) isLeader(r *replica) bool { return m.leader == r.id && m.ready }
 
-// tick is the group's own time: elections, and what a leader has to do.
+// tick runs the periodic work: replication, elections, and what a leader does by itself.
 func (m *raftModel) tick() {
 	now := m.w.now
 	for id, until := range m.staleUntil {
@@ -125,7 +127,7 @@
 	m.w.after(raftTick, m.tick)
 }
 
-// elect makes one of those the leader that have all that a majority has.
+// elect makes a replica the leader that has every committed entry.
 func (m *raftModel) elect() {
 	var able []*replica
 	for _, r := range m.replicas {
@@ -147,13 +149,8 @@
 	r := able[m.w.rng.IntN(len(able))]
 	m.term++
 	m.leader, m.quorumLostAt = r.id, 0
-	// What the last leader took and this one has comes to be now; the rest never does.
-	for _, l := range m.uncommitted {
-		if l.replicaID == r.id {
-			m.log = append(m.log, l.logEntry)
-		}
-	}
-	m.uncommitted = nil
+	// Entries of the last leader that the new one has are committed now; the others never are.
+	m.commitOwnEntries(r)
 	r.persisted = len(m.log)
 	m.catchUp(r)
 	m.claims = registry.NewClaimTracker(leaseTTL)
@@ -162,10 +159,10 @@
 	m.w.recordStep("leader elected")
 }
 
-// leaderTime is what the leader's clock says: leases are counted on it.
+// leaderTime returns the time on the leader's clock, by which leases expire.
 func (m *raftModel) leaderTime() time.Time { return startTime.Add(m.replicas[m.leader].monotonic()) }
 
-// leaderTick does what a leader does by itself.
+// leaderTick opens grants and expires claims, as a leader does.
 func (m *raftModel) leaderTick() {
 	r := m.replicas[m.leader]
 	m.catchUp(r)
@@ -180,7 +177,8 @@
 	}
 }
 
-// resumed notes that a replica that was stopped goes on: it may believe that it leads still.
+// resumed is called when a paused process goes on. A former leader believes for a while from
+// then on that it still leads.
 func (m *raftModel) resumed(p *process) {
 	for _, r := range m.replicas {
 		if &r.process == p && r.id != m.leader && m.staleUntil[r.id] != 0 {
--- a/internal/testing/modelcheck/system/raftlog.go
+++ b/internal/testing/modelcheck/system/raftlog.go
@@ -1,24 +1,25 @@
 package system
 
 import (
-	"barleywick/internal/registry"
 	"encoding/json"
+
+	"barleywick/internal/registry"
 )
 
-// logEntry is one of the group's log.
+// logEntry is an entry of the Raft log: a command in its JSON form.
 type logEntry struct {
 	data []byte
 	term uint64
 }
 
-// uncommittedEntry is a command that a leader took and no majority has: a later leader may have it
-// committed all the same, if it is one that has it.
+// uncommittedEntry is an entry that a replica has and no majority: it is committed if this replica
+// becomes the leader.
 type uncommittedEntry struct {
 	logEntry
 	replicaID int
 }
 
-// replicate gives a replica what it has not got of the log.
+// replicate sends a replica the entries that it lacks.
 func (m *raftModel) replicate(r *replica) {
 	if r.diskFull {
 		return
@@ -29,7 +30,7 @@
 	}
 }
 
-// catchUp applies what a replica has, and keeps a snapshot now and then.
+// catchUp applies the entries that a replica has, and takes a snapshot now and then.
 func (m *raftModel) catchUp(r *replica) {
 	for r.applied < r.persisted {
 		m.apply(r)
@@ -45,7 +46,7 @@
 	}
 }
 
-// apply applies the next entry: of bytes, as all replicas read the same.
+// apply applies the next entry. It decodes the entry first, as each replica does with what it received.
 func (m *raftModel) apply(r *replica) registry.Result {
 	e := m.log[r.applied]
 	r.applied++
@@ -60,7 +61,8 @@
 	return r.state.Apply(c)
 }
 
-// commit has a command carried out by the leader, if a majority takes it; else it is in limbo.
+// commit appends a command to the log and applies it at the leader, if the leader has a quorum;
+// otherwise the entry stays uncommitted at the replicas that received it.
 func (m *raftModel) commit(r *replica, c registry.Command) (res registry.Result, ok bool) {
 	c.AtMS = startTime.Add(r.now).UnixMilli()
 	text, err := json.Marshal(c)
@@ -72,25 +74,10 @@
 		return res, false
 	}
 	if !m.hasMajority(r, true) {
-		some := []int{r.id}
-		for _, b := range m.replicas {
-			if b != r && m.reaches(r, b) && !b.diskFull {
-				some = append(some, b.id)
-			}
-		}
-		for _, at := range some {
-			m.uncommitted = append(m.uncommitted, uncommittedEntry{logEntry{text, m.term}, at})
-		}
+		m.keepUncommitted(r, logEntry{text, m.term})
 		return res, false
 	}
-	if len(m.uncommitted) > 0 { // its own, from before it had its majority back: they come first
-		for _, l := range m.uncommitted {
-			if l.replicaID == r.id {
-				m.log = append(m.log, l.logEntry)
-			}
-		}
-		m.uncommitted = nil
-	}
+	m.commitOwnEntries(r) // from before it had its quorum back: they come first
 	m.log = append(m.log, logEntry{text, m.term})
 	for _, b := range m.replicas {
 		if m.reaches(r, b) && !b.diskFull {
@@ -102,15 +89,35 @@
 		res = m.apply(r)
 	}
 	m.w.checker.checkWrite(m.w, r.state, c.Fence, res.Err)
-	m.w.looked()
+	m.w.checker.checkCommitted(m.w)
 	return res, true
 }
 
-// write is a write that came to a replica.
+// keepUncommitted leaves an entry at the replicas that a leader without a quorum reaches.
+func (m *raftModel) keepUncommitted(leader *replica, e logEntry) {
+	m.uncommitted = append(m.uncommitted, uncommittedEntry{e, leader.id})
+	for _, r := range m.replicas {
+		if r != leader && m.reaches(leader, r) && !r.diskFull {
+			m.uncommitted = append(m.uncommitted, uncommittedEntry{e, r.id})
+		}
+	}
+}
+
+// commitOwnEntries commits the uncommitted entries that a leader has, and drops the others.
+func (m *raftModel) commitOwnEntries(leader *replica) {
+	for _, e := range m.uncommitted {
+		if e.replicaID == leader.id {
+			m.log = append(m.log, e.logEntry)
+		}
+	}
+	m.uncommitted = nil
+}
+
+// write handles a command that a client sent to a replica. A leader without a quorum does not reply.
 func (m *raftModel) write(r *replica, c registry.Command, reply func(registry.Result, error)) {
 	if !m.isLeader(r) {
 		if m.w.now <= m.staleUntil[r.id] {
-			return // it believes that it leads, and nobody takes what it has
+			return // it believes that it leads, and waits in vain for a quorum
 		}
 		reply(registry.Result{}, errNotLeader)
 		return
@@ -120,7 +127,8 @@
 	}
 }
 
-// verifyLeadership calls back once a replica has made verifyLeadership, from now on, that it leads.
+// verifyLeadership calls then once a quorum has confirmed that the replica leads. A replica that
+// knows that it does not lead replies with an error.
 func (m *raftModel) verifyLeadership(r *replica, then func(), reply func(error)) {
 	if !m.isLeader(r) {
 		if m.w.now > m.staleUntil[r.id] {
@@ -136,7 +144,7 @@
 	}))
 }
 
-// renewClaims is a sign of life that came to a replica.
+// renewClaims handles a renewal that a controller sent to a replica.
 func (m *raftModel) renewClaims(r *replica, of registry.Holder, claims []registry.ClaimRef, reply func([]registry.ClaimStatus, error)) {
 	if !m.isLeader(r) {
 		m.verifyLeadership(r, nil, func(err error) { reply(nil, err) })
--- a/internal/testing/modelcheck/system/registryclient.go
+++ b/internal/testing/modelcheck/system/registryclient.go
@@ -11,30 +11,31 @@
 )
 
 const (
-	// callTimeout is for one call, tries how often one is made: each may be carried out.
+	// callTimeout is for one attempt of a call. maxAttempts bounds the attempts for each replica;
+	// each of them may be carried out.
 	callTimeout = 400 * time.Millisecond
 	maxAttempts = 4
 )
 
-// client is a task's way to the registry.
+// client is a task's client of the registry.
 type client struct {
 	*task
 	w         *world
-	fence     func() *registry.Fence // of the lease that it writes under; nil: none
-	preferred int                    // which replica it asks first
+	fence     func() *registry.Fence // of the lease that the task writes under; nil: none
+	preferred int                    // index of the replica that is asked first
 }
 
 func (w *world) newClient(t *task) *client { return &client{task: t, w: w, preferred: w.rng.IntN(3)} }
 
-// callReplicas asks one replica after the other until one has answered something other than that
-// it does not lead.
-func (c *client) callReplicas(ask func(r *replica, reply func(error))) error {
+// callReplicas sends a call to one replica after the other until one of them has answered, other
+// than by saying that it does not lead.
+func (c *client) callReplicas(send func(r *replica, reply func(error))) error {
 	last := errUnresponsive
 	for n := range maxAttempts * len(c.w.raft.replicas) {
 		r := c.w.raft.replicas[c.preferred]
 		var err error
-		if !c.call(&r.process, callTimeout, func(reply func(take func())) {
-			ask(r, func(e error) { reply(func() { err = e }) })
+		if !c.call(&r.process, callTimeout, func(reply func(accept func())) {
+			send(r, func(e error) { reply(func() { err = e }) })
 		}) {
 			err = errUnresponsive
 		}
@@ -51,7 +52,7 @@
 	return fmt.Errorf("the registry is out of reach: %w", last)
 }
 
-// apply has a command carried out. It may be, also where an error says that nobody answered.
+// apply has a command carried out. After an error it may have been carried out nevertheless.
 func (c *client) apply(cmd registry.Command) (res registry.Result, err error) {
 	if c.fence != nil && cmd.Fence == nil && cmd.Lease == nil {
 		cmd.Fence = c.fence()
@@ -65,27 +66,27 @@
 	return res, err
 }
 
-// readVerified looks at the state as it is once the leader has made sure that it is one.
-func (c *client) readVerified(look func(s *registry.State)) error {
+// readVerified reads the state of a leader that has verified its leadership.
+func (c *client) readVerified(read func(s *registry.State)) error {
 	return c.callReplicas(func(r *replica, reply func(error)) {
 		c.w.raft.verifyLeadership(r, func() {
-			look(r.state)
+			read(r.state)
 			reply(nil)
 		}, reply)
 	})
 }
 
-// readStale looks at any replica's state, which may be behind.
-func (c *client) readStale(look func(s *registry.State)) error {
+// readStale reads the state of any replica, which may be out of date.
+func (c *client) readStale(read func(s *registry.State)) error {
 	return c.callReplicas(func(r *replica, reply func(error)) {
-		look(r.state)
+		read(r.state)
 		reply(nil)
 	})
 }
 
-// The registry as a drain's workflow needs it.
+// The methods below are what a drain's workflow needs of the registry.
 
-// Registrations is the list with what it does not show.
+// Registrations returns the endpoint list with the registrations' details and the drain marks.
 func (c *client) Registrations(context.Context) (a registry.RegistrationsResponse, err error) {
 	err = c.readVerified(func(s *registry.State) {
 		a = registry.RegistrationsResponse{Group: s.Group(), Seq: s.Seq(), Registrations: s.Registrations(), Marks: s.Marks()}
@@ -108,7 +109,7 @@
 	return res.Version, err
 }
 
-// Mark marks hosts.
+// Mark sets or clears the drain marks of hosts.
 func (c *client) Mark(_ context.Context, m registry.MarkRequest) (registry.WriteResponse, error) {
 	res, err := c.apply(registry.Command{Op: registry.OpMark, Hosts: m.Hosts, MarkedBy: m.MarkedBy, Draining: m.Draining, IfVersion: m.IfVersion, IfRecord: m.IfRecord, IfRecordVersion: m.IfRecordVersion})
 	return registry.WriteResponse{Version: res.Version, Seq: res.Seq}, err
--- a/internal/testing/modelcheck/system/scheduler.go
+++ b/internal/testing/modelcheck/system/scheduler.go
@@ -1,9 +1,3 @@
-// Package system runs the fleet's state machines as one: replicas of the registry,
-// keepers that hold leases and run the real drains and the real decisions of a change of
-// policy and of the fleet's word, sidecars that follow the list, the policy and the word,
-// and operators. There is one goroutine at a time, a clock, a network and disks of its
-// own, and faults that fall on chosen steps. What happens follows from the seed and the
-// faults alone, so each schedule can be played again, and cut to the faults it needs.
 package system
 
 import (
@@ -12,15 +6,18 @@
 	"time"
 )
 
-// event is something that happens at a time; of two at one time the earlier made goes first.
+// event is something that happens at a time. Of two at one time, the one that was scheduled
+// first happens first.
 type event struct {
 	at  time.Duration
 	seq uint64
 	do  func()
 }
 
+// eventQueue is a heap of events, the next one first.
 type eventQueue []event
 
+// Len is of heap.Interface, as are the methods below.
 func (e eventQueue) Len() int { return len(e) }
 func (e eventQueue) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
@@ -34,32 +31,34 @@
 	return last
 }
 
-// scheduler is the time of a world, and what is to happen in it.
+// scheduler holds the time of a world and the events that are to happen.
 type scheduler struct {
 	now       time.Duration
 	queue     eventQueue
 	seq       uint64
 	rng       *rand.Rand
-	processed int
+	processed int // how many events have happened
 }
 
-// startTime is what the world's clocks say at its start: in a time to come, so that no
-// deadline that real code derives from it is over in true time.
+// startTime is what the world's clocks say at its start. It lies in the future, so that no
+// deadline that real code derives from it has passed in real time.
 var startTime = time.Date(2100, 1, 1, 0, 0, 0, 0, time.UTC)
 
+// after schedules an event.
 func (s *scheduler) after(d time.Duration, do func()) {
 	s.seq++
 	heap.Push(&s.queue, event{s.now + max(0, d), s.seq, do})
 }
 
-// jitter is a time drawn around a mean, from half of it to half as much again.
+// jitter draws a duration between half of a mean and half as much again.
 func (s *scheduler) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(s.rng.Int64N(int64(d)))
 }
 
+// time returns the true time.
 func (s *scheduler) time() time.Time { return startTime.Add(s.now) }
 
-// run lets everything happen up to a time, or until stop says so.
+// run processes events up to a time, or until stop reports true.
 func (s *scheduler) run(until time.Duration, stop func() bool) {
 	for len(s.queue) > 0 && s.queue[0].at <= until && !stop() {
 		e := heap.Pop(&s.queue).(event)
--- a/internal/testing/modelcheck/system/server.go
+++ b/internal/testing/modelcheck/system/server.go
@@ -2,15 +2,14 @@
 
 import "time"
 
-// server is a booking server: it works on what it was sent, and is stopped by a drain.
+// server is a booking server, which a drain may stop.
 type server struct {
 	host, machine, zone string
-	running             int
+	running             int // requests in flight
 	stopped             bool
 }
 
-func (s *server) load() int { return s.running }
-
+// serverByHost returns the server of a name, or an unused one if there is none.
 func (w *world) serverByHost(host string) *server {
 	for _, s := range w.servers {
 		if s.host == host {
@@ -20,10 +19,10 @@
 	return &server{}
 }
 
-// sendRequest is one that a sidecar sends to a server.
+// sendRequest has a sidecar send a request to a server.
 func (w *world) sendRequest(sc *sidecar, s *server) {
 	if s.stopped || sc.outboundBlocked {
-		return // it cannot be reached
+		return // the server cannot be reached
 	}
 	s.running++
 	sc.requests[s.host]++
@@ -34,7 +33,7 @@
 	}))
 }
 
-// stopServer is the end of a server's processes.
+// stopServer stops a server.
 func (w *world) stopServer(host string) {
 	s := w.serverByHost(host)
 	if s.stopped {
--- a/internal/testing/modelcheck/system/sidecar.go
+++ b/internal/testing/modelcheck/system/sidecar.go
@@ -17,8 +17,8 @@
 	watchInterval        = 250 * time.Millisecond
 )
 
-// sidecar follows the list, the policy and the fleet's word by the real code, and sends
-// requests to the servers that its list has as up.
+// sidecar follows the endpoint list, the fleet policy and overload advice by the real code, and
+// sends requests to the servers that are up by its list.
 type sidecar struct {
 	process
 	w        *world
@@ -27,14 +27,15 @@
 	active   rollout.ActivePolicy
 	acting   bool
 
-	listVersion uint64 // of the list that it holds; 0: none
+	listVersion uint64 // 0: it has no list yet
 	list        map[string]registry.Instance
 
 	adviceFilter overload.AdviceFilter
-	adviceToken  uint64         // of the word that it took last
-	requests     map[string]int // requests of its own at each server
+	adviceToken  uint64         // of the advice that it took last
+	requests     map[string]int // by server: its requests in flight
 }
 
+// newSidecar returns a sidecar that does not run yet.
 func (w *world) newSidecar(i int) *sidecar {
 	sc := &sidecar{w: w, process: w.process(fmt.Sprint("s", i))}
 	sc.onStart = func() {
@@ -54,7 +55,7 @@
 	}
 	sc.onEnd = func() {
 		sc.acting = false
-		for host, n := range sc.requests { // its requests end with it
+		for host, n := range sc.requests { // the requests in flight end with it
 			w.serverByHost(host).running -= n
 		}
 		sc.requests = nil
@@ -62,12 +63,12 @@
 	return sc
 }
 
-// maxFirstSlots is more slots than the first sidecar can act by.
+// maxFirstSlots is the most slots that the first sidecar supports.
 const maxFirstSlots = 100
 
-var errTooManySlots = errors.New("tenants[0].slots is more than this process bears")
+var errTooManySlots = errors.New("tenants[0].slots is more than this process supports")
 
-// applyPolicy puts in force what is to be acted by.
+// applyPolicy acts from now on by the policy that the follower has.
 func (sc *sidecar) applyPolicy() {
 	acts, acting := sc.follower.Active()
 	if !acting && sc.acting || acting && !sc.acting {
@@ -79,31 +80,31 @@
 	}
 }
 
-// followPolicy keeps to the fleet's followPolicy, as the sidecar's governor does.
+// followPolicy follows the fleet policy, as the sidecar's policy follower does.
 func (sc *sidecar) followPolicy(t *task) {
 	c := sc.w.newClient(t)
 	for {
 		sc.applyPolicy()
-		if sc.follower.Fatal() != nil { // it cannot act by what is in force: it ends
+		if sc.follower.Fatal() != nil { // the policy in force is not supported: the process ends
 			_, _ = c.apply(registry.Command{Op: registry.OpPolicyStep, PolicyStep: &rollout.Command{Op: rollout.OpLeave, Member: sc.member}})
 			sc.w.after(time.Second, sc.whileAlive(func() { sc.kill(); sc.w.after(3*time.Second, sc.start) }))
 			t.sleep(time.Hour)
 		}
 		step, any := sc.follower.NextCommand()
 		var view rollout.View
-		look := func(s *registry.State) { view = s.Rollout().View(sc.member) }
+		readView := func(s *registry.State) { view = s.Rollout().View(sc.member) }
 		var err error
 		if any {
 			sc.w.recordStep("sidecar says " + string(step.Op))
 			err = c.callReplicas(func(r *replica, reply func(error)) {
 				sc.w.raft.write(r, registry.Command{Op: registry.OpPolicyStep, PolicyStep: &step}, func(_ registry.Result, err error) {
-					look(r.state)
+					readView(r.state)
 					reply(err)
 				})
 			})
 		} else {
 			t.sleep(t.jitter(watchInterval))
-			err = c.readStale(look)
+			err = c.readStale(readView)
 		}
 		switch {
 		case err == nil:
@@ -114,8 +115,8 @@
 		case errors.Is(err, registry.ErrConflict) && step.Op == rollout.OpJoin:
 			sc.follower.LostMembership()
 			t.sleep(t.jitter(time.Second))
-		case errors.Is(err, registry.ErrConflict): // what it has is out of date
-			if c.readStale(look) == nil {
+		case errors.Is(err, registry.ErrConflict): // its view is out of date
+			if c.readStale(readView) == nil {
 				sc.follower.HandleView(view)
 			}
 		default:
@@ -124,7 +125,7 @@
 	}
 }
 
-// watchList follows the list: what changed after the version that it holds.
+// watchList follows the endpoint list by its changes.
 func (sc *sidecar) watchList(t *task) {
 	c := sc.w.newClient(t)
 	for {
@@ -150,7 +151,7 @@
 	}
 }
 
-// sendRequests sends requests to servers that the list has as up.
+// sendRequests sends requests to servers that are up by the list.
 func (sc *sidecar) sendRequests(t *task) {
 	for {
 		t.sleep(t.jitter(300 * time.Millisecond))
@@ -162,10 +163,9 @@
 	}
 }
 
-// reportOverload exchanges a digest for the fleet's word, once a second.
+// reportOverload reports load digests and takes overload advice.
 func (sc *sidecar) reportOverload(t *task) {
 	c := sc.w.newClient(t)
-	var d overload.Digest
 	for seq := uint64(1); ; seq++ {
 		t.sleep(t.jitter(overload.ReportInterval))
 		var at overload.Location
@@ -176,7 +176,7 @@
 		}) != nil || !found {
 			continue
 		}
-		d = overload.Digest{Fleet: fleetName, Name: sc.name, Incarnation: sc.incarnation, Seq: seq, PeriodMS: 1000, Congestion: 0.5, Tenants: []overload.TenantCounts{{Tenant: "t", Quota: 1, Requests: 100, InTime: 50}, {Tenant: "u", Quota: 1, Requests: 10, InTime: 10}}}
+		d := sc.loadDigest(seq)
 		for _, ctl := range sc.w.controllers {
 			if ctl.name != at.Address {
 				continue
@@ -191,3 +191,14 @@
 		}
 	}
 }
+
+// loadDigest returns a digest that reports congestion: half of one tenant's requests are late.
+func (sc *sidecar) loadDigest(seq uint64) overload.Digest {
+	return overload.Digest{
+		Fleet: fleetName, Name: sc.name, Incarnation: sc.incarnation, Seq: seq, PeriodMS: 1000, Congestion: 0.5,
+		Tenants: []overload.TenantCounts{
+			{Tenant: "t", Quota: 1, Requests: 100, InTime: 50},
+			{Tenant: "u", Quota: 1, Requests: 10, InTime: 10},
+		},
+	}
+}
--- a/internal/testing/modelcheck/system/system_test.go
+++ b/internal/testing/modelcheck/system/system_test.go
@@ -9,29 +9,28 @@
 	"barleywick/internal/registry"
 )
 
-// A share of the schedules, the same each time: nothing that was promised is broken, and
-// what was judged is enough to say so.
+// Some schedules, the same ones each time, violate no invariant, and enough is checked in them.
 func TestSchedules(t *testing.T) {
 	const schedules = 250
 	seen, found := Explore(1, schedules, true)
 	if found != nil {
 		t.Fatal(found.Shrink().ReplayText())
 	}
-	t.Logf("%d schedules: %d events, %d faults, %d of %d pairs, %d acts, %d fenced writes, %d words, %d lists, %d writes, %d commits, %d stops",
+	t.Logf("%d schedules: %d events, %d faults, %d of %d pairs, %d acts, %d fenced writes, %d advice, %d lists, %d writes, %d commits, %d stops",
 		seen.Schedules, seen.Events, seen.Faults, len(seen.Pairs), seen.MaxPairs(), seen.TimedActs, seen.FencedWrites, seen.Advice, seen.Lists, seen.AcknowledgedWrites, seen.Policies, seen.ServerStops)
 	for what, n := range map[string]int{
-		"faults": seen.Faults / 2, "acts": seen.TimedActs / 100, "fenced writes": seen.FencedWrites / 20, "words": seen.Advice / 30, "lists": seen.Lists / 5,
+		"faults": seen.Faults / 2, "acts": seen.TimedActs / 100, "fenced writes": seen.FencedWrites / 20, "advice": seen.Advice / 30, "lists": seen.Lists / 5,
 		"writes": seen.AcknowledgedWrites / 10, "commits": seen.Policies, "stops": seen.ServerStops, "pairs of a fault and a step": schedules * len(seen.Pairs) / seen.MaxPairs() * 10 / 9,
 	} {
 		if n < schedules {
-			t.Errorf("too little was seen of %s: %d a schedule are wanted at least", what, n/schedules)
+			t.Errorf("%s: too few were checked, want at least %d a schedule", what, n/schedules)
 		}
 	}
 }
 
-// A schedule is its seed and its faults: played again it is the same to the last event,
-// also from its text.
-func TestScheduleIsPlayedAgain(t *testing.T) {
+// A schedule follows from its seed and faults: a replay, also of the plan's text, is the same to
+// the last event.
+func TestScheduleIsReplayed(t *testing.T) {
 	all, _ := Explore(50, batchSize, true)
 	plan := drawPlan(51, &all, true)
 	again, err := ParsePlan(FormatPlan(plan))
@@ -45,13 +44,13 @@
 	}
 	for _, bad := range []string{"kill", "kill leader for 1s", "kill leader for x at a#1", "kill leader for 1s at a#0", "bite leader for 1s at a#1"} {
 		if _, err := ParsePlan(bad); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q is read: %v", bad, err)
+			t.Errorf("ParsePlan(%q) returned error %v, want an error of one line", bad, err)
 		}
 	}
 }
 
-// The judge finds what is wrong, by itself.
-func TestJudgeFinds(t *testing.T) {
+// The checker reports each violation that is forced.
+func TestCheckerFindsViolations(t *testing.T) {
 	for want, wrong := range map[string]func(w *world){
 		"acts under": func(w *world) {
 			w.checker.beginAct(w, w.controllers[0], "a", w.now+time.Second)
@@ -63,7 +62,7 @@
 			}
 			w.checker.checkActivePolicies(w)
 		},
-		"takes a word under token": func(w *world) {
+		"takes advice under token": func(w *world) {
 			w.checker.checkAdviceToken(w, w.sidecars[0], 5)
 			w.checker.checkAdviceToken(w, w.sidecars[0], 3)
 		},
@@ -84,7 +83,7 @@
 		"differ": func(w *world) {
 			r := w.raft.replicas[(w.raft.leader+1)%3]
 			w.raft.catchUp(r)
-			r.state.Apply(w.first())
+			r.state.Apply(anyCommand())
 		},
 		"it was": func(w *world) { clear(w.sidecars[0].list); w.checker.checkList(w, w.sidecars[0]) },
 	} {
@@ -99,13 +98,13 @@
 			w.checker.checkFinalState(w, true)
 		}
 		if w.err == nil || !strings.Contains(w.err.Error(), want) {
-			t.Errorf("want %q, it found: %v", want, w.err)
+			t.Errorf("got violation %v, want one that contains %q", w.err, want)
 		}
 		w.stopAll()
 	}
 }
 
-// first is a command that changes a state.
-func (w *world) first() registry.Command {
+// anyCommand returns a command that changes a state.
+func anyCommand() registry.Command {
 	return registry.Command{Op: registry.OpPutRecord, Key: "beside", Value: []byte("x")}
 }
--- a/internal/testing/modelcheck/system/task.go
+++ b/internal/testing/modelcheck/system/task.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// task is a part of a process that runs by itself, one at a time in the world.
+// task is a coroutine of a process. One task runs at a time in the whole world.
 type task struct {
 	*process
 	next          func() (struct{}, bool)
 	stopCoroutine func()
 	yield         func(struct{}) bool
-	wakeups       int
+	wakeups       int // counts waits and wakes, so that a late wake is recognized
 	ended         bool
-	contextEnded  func() bool // its context has ended; nil: it has none
+	contextEnded  func() bool // reports whether its context has ended; nil: it has none
 }
 
-// errKilled ends a task from within; it never leaves this file.
+// errKilled is the value of the panic that ends a task from within. spawn recovers it.
 var errKilled = errors.New("killed")
 
 // spawn starts a task.
@@ -28,7 +28,7 @@
 		defer func() {
 			t.ended = true
 			if r := recover(); r != nil && r != any(errKilled) {
-				panic(fmt.Sprintf("together: %s: %v", p.name, r))
+				panic(fmt.Sprintf("system: %s: %v", p.name, r))
 			}
 		}()
 		t.yield = yield
@@ -39,12 +39,14 @@
 	return t
 }
 
+// resume lets the task run until it waits again.
 func (t *task) resume() {
 	if !t.ended {
 		t.next()
 	}
 }
 
+// kill ends the task at the point where it waits.
 func (t *task) kill() {
 	if !t.ended {
 		t.ended = true
@@ -52,12 +54,12 @@
 	}
 }
 
-// await begins something that wakes the task, and waits for the first wake.
+// await calls begin, which arranges for wake to be called, and waits for the first wake.
 func (t *task) await(begin func(wake func())) {
 	t.wakeups++
-	mine := t.wakeups
+	waiting := t.wakeups
 	begin(t.whileAlive(func() {
-		if t.wakeups == mine && !t.ended {
+		if t.wakeups == waiting && !t.ended {
 			t.wakeups++
 			t.resume()
 		}
@@ -67,17 +69,19 @@
 	}
 }
 
+// sleep waits for a duration.
 func (t *task) sleep(d time.Duration) {
 	t.await(func(wake func()) { t.after(d, wake) })
 }
 
 const (
-	// messageLatency is what a message takes, lateHop one from or to a process that is late.
+	// messageLatency is the mean latency of a message. delayedLatency comes on top of it at a process
+	// that is delayed.
 	messageLatency = time.Millisecond
 	delayedLatency = 600 * time.Millisecond
 )
 
-// transit is how long a message takes from one process to another; lost: it does not come.
+// transit draws how long a message takes from one process to another, or reports it lost.
 func transit(from, to *process) (takes time.Duration, lost bool) {
 	if from.outboundBlocked || to.inboundBlocked {
 		return 0, true
@@ -89,18 +93,17 @@
 	return takes, false
 }
 
-// call asks another process, and says whether it was answered in time. What was asked is
-// carried out whether the answer comes or not.
-func (t *task) call(to *process, within time.Duration, do func(reply func(take func()))) (answered bool) {
+// call sends a request to another process, and reports whether the answer came in time. The
+// request may be carried out also if it did not.
+func (t *task) call(to *process, within time.Duration, handle func(reply func(accept func()))) (answered bool) {
 	t.await(func(wake func()) {
 		t.after(within, wake)
 		takes, lost := transit(t.process, to)
 		if lost {
 			return
 		}
-		var deliver func()
-		deliver = func() {
-			do(func(take func()) {
+		deliver := func() {
+			handle(func(accept func()) {
 				back, lost := transit(to, t.process)
 				if lost {
 					return
@@ -108,7 +111,7 @@
 				t.after(back, t.whileAlive(func() {
 					if !answered && t.wakeups >= 0 {
 						answered = true
-						take()
+						accept()
 						wake()
 					}
 				}))
