--- a/internal/sidecar/client_admission.go
+++ b/internal/sidecar/client_admission.go
@@ -135,8 +135,8 @@
 		l.table.FirstByteRead(victim, now) // awaitFirstByte has not noticed it yet
 		return nil, false
 	}
-	if counter = &l.count.GivenUpSilent; victim.Idle() {
-		counter = &l.count.GivenUpIdle
+	if counter = &l.count.EvictedUnfinished; victim.Idle() {
+		counter = &l.count.EvictedIdle
 	}
 	state, refusalOwed := c.closeIdle(!victim.Idle())
 	switch state {
@@ -173,9 +173,9 @@
 	if err != nil {
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			l.count.Silent++
+			l.count.SilentTimeouts++
 		case errors.Is(err, errClientVanished):
-			l.count.Vanished++
+			l.count.ClosedByClient++
 		}
 		c.closeIdle(true)
 		l.removeLocked(c)
@@ -232,7 +232,7 @@
 	}
 	l.refuseInBackgroundLocked(func() {
 		if c.CloseWrite() == nil {
-			io.CopyN(io.Discard, c.TCPConn, maxBody)
+			discard(c.TCPConn, maxBody)
 		}
 		c.Close()
 	})
@@ -241,7 +241,7 @@
 // refusePartialLocked answers and closes a connection that closeIdle has marked as closed over a
 // partial request.
 func (l *limitedListener) refusePartialLocked(c *clientConn) {
-	l.count.Dismissed++
+	l.count.PartialRefused++
 	if l.refusing >= l.limits.Refusing {
 		c.refusePartial(true)
 		return
--- a/internal/sidecar/client_conn.go
+++ b/internal/sidecar/client_conn.go
@@ -195,7 +195,7 @@
 	closed := false
 	return c.raw != nil && c.raw.Control(func(fd uintptr) {
 		n, err := socket.Peek(fd)
-		closed = err == nil && n == 0 || err == syscall.ECONNRESET || socket.HungUp(fd)
+		closed = err == nil && n == 0 || errors.Is(err, syscall.ECONNRESET) || socket.HungUp(fd)
 	}) == nil && closed
 }
 
@@ -246,7 +246,7 @@
 	var peekErr error
 	waited := false
 	err := c.raw.Read(func(fd uintptr) bool {
-		if n, peekErr = socket.Peek(fd); peekErr == syscall.EAGAIN {
+		if n, peekErr = socket.Peek(fd); errors.Is(peekErr, syscall.EAGAIN) {
 			waited = true
 			return false
 		}
--- a/internal/sidecar/client_conn_close.go
+++ b/internal/sidecar/client_conn_close.go
@@ -68,10 +68,13 @@
 func (c *clientConn) lingerBeforeClose() {
 	if c.CloseWrite() == nil {
 		c.TCPConn.SetReadDeadline(time.Now().Add(lingerTimeout))
-		io.CopyN(io.Discard, c.TCPConn, maxBody)
+		discard(c.TCPConn, maxBody)
 	}
 }
 
+// discard reads up to limit bytes and drops them.
+func discard(r io.Reader, limit int64) { io.CopyN(io.Discard, r, limit) }
+
 // closeIdle closes the connection unless a request is in progress or, without evenPartial, a part of
 // the next one has been read. It returns the state that the connection has then. If refusalOwed, the
 // connection is marked as closed, and the caller has to call refusePartial, which closes it.
@@ -106,11 +109,10 @@
 	c.TCPConn.Close()
 }
 
-// discardUnread reads what has arrived, without waiting for more: a close over unread bytes resets
-// the connection, which can destroy a response on its way.
+// discardUnread drops what has arrived, without waiting for more: a close over unread bytes resets the
+// connection, which can destroy a response on its way.
 func (c *clientConn) discardUnread() {
 	c.raw.Control(func(fd uintptr) {
-		b := make([]byte, maxDiscard)
-		syscall.Recvfrom(int(fd), b, syscall.MSG_DONTWAIT)
+		syscall.Recvfrom(int(fd), make([]byte, maxDiscard), syscall.MSG_DONTWAIT)
 	})
 }
--- a/internal/sidecar/client_counters.go
+++ b/internal/sidecar/client_counters.go
@@ -3,22 +3,24 @@
 import (
 	"log/slog"
 	"time"
+
+	"barleywick/internal/sidecar/counters"
 )
 
 // clientCounters count what became of client connections. The tags are the names in the log and in
 // metrics; docs/CONNECTIONS.md explains them.
 type clientCounters struct {
-	Accepted      uint64 `json:"Accepted"`      // accepted from the kernel's backlog
-	Admitted      uint64 `json:"Admitted"`      // admitted by the limits
-	Waited        uint64 `json:"Waited"`        // of the admitted: after a wait
-	Refused       uint64 `json:"Refused"`       // answered 503 and closed without admission
-	GivenUpIdle   uint64 `json:"GivenUpIdle"`   // evicted while idle
-	GivenUpSilent uint64 `json:"GivenUpSilent"` // evicted without a whole request in the grace period
-	OverIdle      uint64 `json:"OverIdle"`      // closed because of the limit on idle connections
-	Silent        uint64 `json:"Silent"`        // closed without a byte within the header timeout
-	Vanished      uint64 `json:"Vanished"`      // closed by the client before its first byte
-	Drained       uint64 `json:"Drained"`       // closed by a graceful shutdown while idle
-	Dismissed     uint64 `json:"Dismissed"`     // of those closed here: over a partial request, refused before
+	Accepted          uint64 `json:"Accepted"`      // accepted from the kernel's backlog
+	Admitted          uint64 `json:"Admitted"`      // admitted by the limits
+	Waited            uint64 `json:"Waited"`        // of the admitted: after a wait
+	Refused           uint64 `json:"Refused"`       // answered 503 and closed without admission
+	EvictedIdle       uint64 `json:"GivenUpIdle"`   // evicted while idle
+	EvictedUnfinished uint64 `json:"GivenUpSilent"` // evicted without a whole request in the grace period
+	IdleOverLimit     uint64 `json:"OverIdle"`      // closed because of the limit on idle connections
+	SilentTimeouts    uint64 `json:"Silent"`        // closed without a byte within the header timeout
+	ClosedByClient    uint64 `json:"Vanished"`      // closed by the client before its first byte
+	Drained           uint64 `json:"Drained"`       // closed by a graceful shutdown while idle
+	PartialRefused    uint64 `json:"Dismissed"`     // of those closed here: over a partial request, refused before
 }
 
 // listenerState counts the connections at one moment, under the same rule for the tags.
@@ -29,6 +31,12 @@
 	Waiting  int `json:"Waiting"`
 }
 
+// String returns the text of a log line.
+func (c clientCounters) String() string { return counters.Format(c) }
+
+// String returns the text of a log line.
+func (s listenerState) String() string { return counters.Format(s) }
+
 // counters returns what was counted so far, and the connections now.
 func (l *limitedListener) counters() (clientCounters, listenerState) {
 	l.mu.Lock()
--- a/internal/sidecar/client_response.go
+++ b/internal/sidecar/client_response.go
@@ -55,7 +55,7 @@
 	rc := http.NewResponseController(w)
 	rc.Flush()
 	rc.SetReadDeadline(time.Now().Add(lingerTimeout))
-	io.CopyN(io.Discard, hr.Body, maxBody)
+	discard(hr.Body, maxBody)
 }
 
 // hopByHopFields concern one connection only, with those that the field Connection names.
--- a/internal/sidecar/client_states.go
+++ b/internal/sidecar/client_states.go
@@ -68,7 +68,7 @@
 func (l *limitedListener) closeIdleOverLimitLocked(now time.Time) {
 	for entry := l.table.ExcessIdle(); entry != nil; entry = l.table.ExcessIdle() {
 		if _, evicted := l.evictLocked(entry, now); evicted {
-			l.count.OverIdle++
+			l.count.IdleOverLimit++
 		}
 	}
 }
--- a/internal/sidecar/client_test.go
+++ b/internal/sidecar/client_test.go
@@ -471,8 +471,9 @@
 // Guards against this: two sidecars, or two requests, see another key in the same field.
 func TestKeyHash(t *testing.T) {
 	of := func(key string) uint64 { return affinityKeyHash(http.Header{"Affinity-Key": {key}}) }
-	if of("7f3a") != of("7f3a") || of("7f3a") == of("7f3b") || of("7f3a") == 0 {
-		t.Errorf("hashes %x, %x", of("7f3a"), of("7f3b"))
+	first, again, other := of("7f3a"), of("7f3a"), of("7f3b")
+	if first != again || first == other || first == 0 {
+		t.Errorf("got hashes %x, %x of one key and %x of another", first, again, other)
 	}
 	if of("") != 0 || affinityKeyHash(http.Header{}) != 0 {
 		t.Error("no key has a hash")
--- a/internal/sidecar/compatibility_test.go
+++ b/internal/sidecar/compatibility_test.go
@@ -10,6 +10,7 @@
 	"strings"
 	"testing"
 
+	"barleywick/internal/sidecar/counters"
 	"barleywick/internal/sidecar/upstream"
 	"barleywick/policy"
 )
@@ -31,7 +32,7 @@
 func TestCounterNamesAreThoseOf396a775(t *testing.T) {
 	var got strings.Builder
 	for _, counts := range []any{clientCounters{}, listenerState{}, upstream.Counters{}, upstream.State{}, policy.Counters{}} {
-		text, err := json.Marshal(slices.Sorted(maps.Keys(fieldValues(counts))))
+		text, err := json.Marshal(slices.Sorted(maps.Keys(counters.Values(counts))))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sidecar/connections_test.go
+++ b/internal/sidecar/connections_test.go
@@ -8,7 +8,6 @@
 	"net"
 	"net/http"
 	"os"
-	"reflect"
 	"regexp"
 	"runtime"
 	"strings"
@@ -19,6 +18,7 @@
 
 	"barleywick/internal/registry/registrytest"
 	"barleywick/internal/sidecar/config"
+	"barleywick/internal/sidecar/counters"
 	"barleywick/internal/sidecar/sidecartest"
 	"barleywick/internal/sidecar/upstream"
 )
@@ -300,7 +300,7 @@
 	sidecartest.Eventually(t, "both have ended", func() bool {
 		return l.openConns() == 0 && func() bool { n, _ := l.counters(); return n.Accepted == 2 }()
 	})
-	if n, _ := l.counters(); n.Silent != 1 || n.Vanished != 1 || n.Admitted != 2 {
+	if n, _ := l.counters(); n.SilentTimeouts != 1 || n.ClosedByClient != 1 || n.Admitted != 2 {
 		t.Errorf("counted %+v, want one silent and one vanished", n)
 	}
 }
@@ -312,9 +312,9 @@
 		t.Fatal(err)
 	}
 	named := make(map[string]bool)
-	for _, of := range []reflect.Type{reflect.TypeFor[clientCounters](), reflect.TypeFor[upstream.Counters]()} {
-		for i := range of.NumField() {
-			named[of.Field(i).Name] = false
+	for _, c := range []any{clientCounters{}, upstream.Counters{}} {
+		for name := range counters.Values(c) {
+			named[name] = false
 		}
 	}
 	for _, m := range regexp.MustCompile("`([A-Z][A-Za-z]+)`").FindAllSubmatch(page, -1) {
--- a/internal/sidecar/counters_test.go
+++ b/internal/sidecar/counters_test.go
@@ -8,6 +8,7 @@
 	"strings"
 	"testing"
 
+	"barleywick/internal/sidecar/counters"
 	"barleywick/internal/sidecar/upstream"
 )
 
@@ -36,7 +37,7 @@
 			t.Errorf("%T in the JSON log: got %s, %v, want %s", c.counters, text, err, want)
 		}
 		slices.Sort(names)
-		if got := slices.Sorted(maps.Keys(fieldValues(c.counters))); !slices.Equal(got, names) {
+		if got := slices.Sorted(maps.Keys(counters.Values(c.counters))); !slices.Equal(got, names) {
 			t.Errorf("%T as labels: got %v, want %v", c.counters, got, names)
 		}
 	}
--- a/internal/sidecar/meter.go
+++ b/internal/sidecar/meter.go
@@ -6,10 +6,10 @@
 	"fmt"
 	"log/slog"
 	"net"
-	"reflect"
 	"time"
 
 	"barleywick/internal/sidecar/config"
+	"barleywick/internal/sidecar/counters"
 	"barleywick/internal/sidecar/gate"
 	"barleywick/internal/sidecar/outcome"
 	"barleywick/internal/sidecar/overloadreporter"
@@ -145,21 +145,6 @@
 	policy.NoConnection: "no connection", policy.Broken: "broken", policy.Cancelled: "called off", policy.NotSent: "not sent",
 }
 
-// fieldValues turns a struct of counts into a map by the fields' names.
-func fieldValues(counts any) map[string]float64 {
-	v := reflect.ValueOf(counts)
-	m := make(map[string]float64, v.NumField())
-	for i := range v.NumField() {
-		f := v.Field(i)
-		if f.CanUint() {
-			m[v.Type().Field(i).Name] = float64(f.Uint())
-		} else {
-			m[v.Type().Field(i).Name] = float64(f.Int())
-		}
-	}
-	return m
-}
-
 // serveMetrics serves metrics where the configuration names an address for them.
 func serveMetrics(ctx context.Context, c *config.Config, l *eventLoop, listener *limitedListener, p *upstream.Pool) (run func(), err error) {
 	if l.exporter == nil {
@@ -175,9 +160,9 @@
 			return s, err
 		}
 		count, now := listener.counters()
-		s.ClientConnectionEvents, s.ClientConnections = fieldValues(count), fieldValues(now)
+		s.ClientConnectionEvents, s.ClientConnections = counters.Values(count), counters.Values(now)
 		poolCount, poolNow := p.Counters()
-		s.UpstreamConnectionEvents, s.UpstreamConnections = fieldValues(poolCount), fieldValues(poolNow)
+		s.UpstreamConnectionEvents, s.UpstreamConnections = counters.Values(poolCount), counters.Values(poolNow)
 		return s, nil
 	}
 	return func() {
@@ -188,4 +173,4 @@
 }
 
 // DecisionCounts are the module's counters by name.
-func (s Status) DecisionCounts() map[string]float64 { return fieldValues(s.Decided) }
+func (s Status) DecisionCounts() map[string]float64 { return counters.Values(s.Decided) }
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/peers_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -175,7 +176,10 @@
 	t.Cleanup(func() { limited.Close() })
 	s := newClientHandler(l.config, l, testDrain(limited))
 	return func(c *clientConn) (aborted bool) {
-		defer func() { aborted = recover() == http.ErrAbortHandler }()
+		defer func() {
+			err, _ := recover().(error)
+			aborted = errors.Is(err, http.ErrAbortHandler)
+		}()
 		req := call{class: "once"}.request(t, "127.0.0.1:1")
 		s.ServeHTTP(httptest.NewRecorder(), req.WithContext(contextWithConn(t.Context(), c)))
 		return false
--- a/internal/sidecar/upstream/dial.go
+++ b/internal/sidecar/upstream/dial.go
@@ -79,7 +79,7 @@
 	p.open--
 	server.open--
 	if isLocalError(err) { // says nothing about the server
-		p.count.Local++
+		p.count.LocalFailures++
 		err = errLimitReached
 	} else {
 		p.count.DialFailed++
--- a/internal/sidecar/upstream/dial_test.go
+++ b/internal/sidecar/upstream/dial_test.go
@@ -63,7 +63,7 @@
 	}
 	cancel()
 	callers.Wait()
-	if n, now := p.Counters(); now.Waiting != 0 || n.LeftWaiting != 24 || a.waiting.Len()+b.waiting.Len()+c.waiting.Len() != 0 {
+	if n, now := p.Counters(); now.Waiting != 0 || n.WaitsAbandoned != 24 || a.waiting.Len()+b.waiting.Len()+c.waiting.Len() != 0 {
 		t.Errorf("%+v, %+v: waiters are left that have gone", n, now)
 	}
 }
--- a/internal/sidecar/upstream/duplicates.go
+++ b/internal/sidecar/upstream/duplicates.go
@@ -83,7 +83,7 @@
 	if !p.duplicates.observe(p.duplicates.hash(body), &c.recent) {
 		return false
 	}
-	p.count.Repeated++
+	p.count.DuplicateResponses++
 	p.noteSurplusLocked(c)
 	return true
 }
--- a/internal/sidecar/upstream/pool.go
+++ b/internal/sidecar/upstream/pool.go
@@ -1,3 +1,5 @@
+// Package upstream is the sidecar's side towards the booking servers: a pool of connections with
+// limits, and a transport that carries out attempts and probes over them.
 package upstream
 
 import (
@@ -24,7 +26,7 @@
 	demandWindow = 10 * time.Second
 )
 
-// Errors of acquire, other than that of a failed handshake.
+// Errors of Acquire, other than that of a failed handshake.
 var (
 	errServerRemoved  = errors.New("the server was removed from the endpoint list")
 	errServerDraining = errors.New("the server is draining")
@@ -37,7 +39,7 @@
 // and the request time. It limits the connections and the handshakes in progress, in total and for
 // each server, and serves waiting callers in their order.
 //
-// Each operation takes constant time in the number of connections, except for sweep and releasedSoon.
+// Each operation takes constant time in the number of connections, except for Sweep and releasedSoon.
 type Pool struct {
 	dialTimeout time.Duration
 	maxIdle     time.Duration // the idle limit of a connection, before its jitter
@@ -59,7 +61,7 @@
 	count           Counters
 }
 
-// waiter is a caller of acquire that waits for a connection.
+// waiter is a caller of Acquire that waits for a connection.
 type waiter struct {
 	since   time.Time
 	granted chan grant // takes one value; never blocks
@@ -117,7 +119,7 @@
 }
 
 // Acquire returns the most recently used idle connection to a server, or waits for a handshake or for
-// another request to end. The caller gives it back with release or discard.
+// another request to end. The caller gives it back with Release or Discard.
 func (p *Pool) Acquire(ctx context.Context, server *Server) (*Conn, error) {
 	for {
 		c, err := p.acquireOrWait(ctx, server)
@@ -132,7 +134,7 @@
 	}
 }
 
-// acquireOrWait is acquire without a check of the connection.
+// acquireOrWait is Acquire without a check of the connection.
 func (p *Pool) acquireOrWait(ctx context.Context, server *Server) (*Conn, error) {
 	p.mu.Lock()
 	if n := server.idle.Back(); n != nil && server.unavailable() == nil {
@@ -183,7 +185,7 @@
 	}
 	w.node.Remove()
 	p.waiting--
-	p.count.LeftWaiting++
+	p.count.WaitsAbandoned++
 	switch {
 	case time.Since(w.since) < p.dialTimeout:
 		return nil, errCallerTimeout
@@ -227,10 +229,10 @@
 	c.idleLimit = time.Duration(float64(p.maxIdle) * (1 - idleJitter*p.rng.Float64()))
 	switch {
 	case server.removed:
-		p.count.Retired++
+		p.count.ServerRemoved++
 		p.closeLocked(c)
 	case server.draining:
-		p.count.Drained++
+		p.count.ServerDraining++
 		p.closeLocked(c)
 	case p.ctx.Err() != nil || p.open > p.limits.Total || server.open > p.limits.PerServer: // the limits were lowered
 		p.count.Evicted++
--- a/internal/sidecar/upstream/pool_test.go
+++ b/internal/sidecar/upstream/pool_test.go
@@ -47,8 +47,8 @@
 			}
 			endAllQuarantines(p)
 			n, now := p.Counters()
-			if want := map[bool]int{false: 0, true: 2}[heard]; now.Idle != want || int(n.Distrusted) != 2-want {
-				t.Errorf("%d idle connections are kept and %d distrusted, want %d kept", now.Idle, n.Distrusted, want)
+			if want := map[bool]int{false: 0, true: 2}[heard]; now.Idle != want || int(n.Unresponsive) != 2-want {
+				t.Errorf("%d idle connections are kept and %d distrusted, want %d kept", now.Idle, n.Unresponsive, want)
 			}
 		})
 	}
--- a/internal/sidecar/upstream/quarantine.go
+++ b/internal/sidecar/upstream/quarantine.go
@@ -88,7 +88,7 @@
 	if scarcity <= 0 {
 		return MaxQuarantine
 	}
-	p.count.ShortRest++
+	p.count.ShortQuarantines++
 	return MaxQuarantine - time.Duration(scarcity*float64(MaxQuarantine-minQuarantine))
 }
 
@@ -143,6 +143,6 @@
 }
 
 func (p *Pool) noteSurplusLocked(c *Conn) {
-	p.count.Excess++
+	p.count.SurplusResponses++
 	c.server.surplusAt = time.Now()
 }
--- a/internal/sidecar/upstream/quarantine_test.go
+++ b/internal/sidecar/upstream/quarantine_test.go
@@ -51,8 +51,8 @@
 				}
 				endAllQuarantines(p)
 			}
-			if n, _ := p.Counters(); (n.Repeated > 0) == alike {
-				t.Errorf("%d answers were passed over", n.Repeated)
+			if n, _ := p.Counters(); (n.DuplicateResponses > 0) == alike {
+				t.Errorf("%d answers were passed over", n.DuplicateResponses)
 			}
 		})
 	}
@@ -123,7 +123,7 @@
 	if c := get(); c == second {
 		t.Errorf("a connection is used %v after its last answer", time.Since(c.idleSince))
 	}
-	sidecartest.Eventually(t, "the rest is over", func() bool { _, now := p.Counters(); return now.Resting == 0 })
+	sidecartest.Eventually(t, "the rest is over", func() bool { _, now := p.Counters(); return now.Quarantined == 0 })
 	if c := get(); c != second || time.Since(c.idleSince) < minQuarantine {
 		t.Errorf("a connection is used %v after its last answer", time.Since(c.idleSince))
 	}
--- a/internal/sidecar/upstream/server_states.go
+++ b/internal/sidecar/upstream/server_states.go
@@ -29,7 +29,7 @@
 // that one request was slow, and the connections are kept.
 func (p *Pool) closeUnresponsiveLocked(server *Server, since time.Time) {
 	if !server.heardAt.After(since) {
-		p.closeUnusedLocked(server, &p.count.Distrusted)
+		p.closeUnusedLocked(server, &p.count.Unresponsive)
 	}
 }
 
@@ -48,13 +48,13 @@
 }
 
 // Drain closes the unused connections to a server, and from now on every other when it is released;
-// waiting callers get an error at once. resume takes it back.
+// waiting callers get an error at once. Resume takes it back.
 func (p *Pool) Drain(server *Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !server.draining {
 		server.draining = true
-		p.shutOffLocked(server, errServerDraining, &p.count.Drained)
+		p.shutOffLocked(server, errServerDraining, &p.count.ServerDraining)
 	}
 }
 
@@ -66,12 +66,12 @@
 }
 
 // Retire does what drain does for a server that was removed, for good. Another server may come to the
-// same address: it is another upstreamServer, with connections of its own.
+// same address: it is another Server, with connections of its own.
 func (p *Pool) Retire(server *Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	server.removed = true
-	p.shutOffLocked(server, errServerRemoved, &p.count.Retired)
+	p.shutOffLocked(server, errServerRemoved, &p.count.ServerRemoved)
 }
 
 // shutOffLocked closes the unused connections to a server and fails the callers that wait for one.
--- a/internal/sidecar/upstream/server_states_test.go
+++ b/internal/sidecar/upstream/server_states_test.go
@@ -1,6 +1,7 @@
 package upstream
 
 import (
+	"errors"
 	"net/http"
 	"testing"
 
@@ -21,15 +22,15 @@
 	sidecartest.Await(t, "the idle connection's end", u.Closed)
 	ups := newTestTransport(p)
 	req := &http.Request{Method: "GET", URL: sidecartest.MustURL("/"), Host: "x", Header: http.Header{"Request-Id": {"late"}}}
-	if x, err := ups.exchange(t.Context(), sendPermit{writeCtx: t.Context()}, conns[1], req); err != errServerDraining || x.written() {
+	if x, err := ups.exchange(t.Context(), sendPermit{writeCtx: t.Context()}, conns[1], req); !errors.Is(err, errServerDraining) || x.written() {
 		t.Errorf("on a connection that was acquired before: got written %v, error %v", x.writtenAt, err)
 	}
 	if got, _ := runOneAttempt(t.Context(), p, to); got != policy.NotSent {
 		t.Errorf("an attempt that had chosen it: ending %v, want not sent", got)
 	}
 	p.Release(conns[2]) // what ran has ended
-	if n, now := p.Counters(); now.Open != 0 || n.Drained != 2 || len(u.Requests) > 0 {
-		t.Errorf("%d connections are open, %d were drained, %d requests came; want 0, 2, 0", now.Open, n.Drained, len(u.Requests))
+	if n, now := p.Counters(); now.Open != 0 || n.ServerDraining != 2 || len(u.Requests) > 0 {
+		t.Errorf("%d connections are open, %d were drained, %d requests came; want 0, 2, 0", now.Open, n.ServerDraining, len(u.Requests))
 	}
 	p.Resume(to)
 	if got, _ := runOneAttempt(t.Context(), p, to); got != policy.Served {
