--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -11,7 +11,6 @@
 	"sync/atomic"
 	"time"
 
-	"barleywick/internal/overload"
 	"barleywick/internal/registry/client"
 	"barleywick/internal/settings"
 	"barleywick/internal/sidecar/config"
@@ -160,7 +159,7 @@
 
 	adviceStatus   func() overloadreporter.Status // the fleet's on an overload; nil: it has none
 	policyStatus   func() policyfollower.Status   // how it stands towards the fleet's policy; nil: there is none
-	overloadCounts []overload.TenantCounts        // what came of requests since the last digest, by tenant; nil: nobody is told
+	overloadCounts *overloadreporter.Counts       // of requests since the last digest; nil: nobody is told
 	recordOutcome  func(outcome.Outcome)          // counts the end of a request; may be nil
 	// activeConnections is how many client connections are open that may have something to say; nil: none.
 	activeConnections func() int
@@ -371,7 +370,7 @@
 	r.id = l.lastID
 	l.requests[r.id] = r
 	if l.overloadCounts != nil {
-		l.overloadCounts[r.tenant].Requests++
+		l.overloadCounts.RequestArrived(r.tenant)
 	}
 	if !l.admitting() {
 		l.Refuse(r.id, time.Duration(float64(noPolicyRetryAfter)*(0.5+rand.Float64())))
@@ -408,7 +407,7 @@
 			l.recordOutcome(o)
 		}
 		if l.overloadCounts != nil {
-			l.countOverload(r, o)
+			l.overloadCounts.RequestEnded(r.tenant, o)
 		}
 		l.recordEnd(r, o)
 	}
--- a/internal/sidecar/overload.go
+++ b/internal/sidecar/overload.go
@@ -4,49 +4,30 @@
 	"context"
 
 	"barleywick/internal/overload"
-	"barleywick/internal/sidecar/outcome"
+	"barleywick/internal/sidecar/overloadreporter"
 	"barleywick/policy"
 )
 
-// digestRequested asks the loop for what came to it since it was asked last.
+// digestRequested asks the loop for what it counted since it was asked last.
 type digestRequested struct{ digest chan<- overload.Digest }
 
-// adviceReceived is the event of a word that is to be in force.
+// adviceReceived has the loop put advice into force.
 type adviceReceived struct{ advice policy.OverloadAdvice }
 
 // countForOverload begins to count requests for the overload reporter.
-func (l *eventLoop) countForOverload(tenants []string) {
-	l.overloadCounts = make([]overload.TenantCounts, len(tenants))
-	for i := range l.overloadCounts {
-		l.overloadCounts[i] = overload.TenantCounts{Tenant: tenants[i], Quota: 1}
-		if i < len(l.config.Policy.Tenants) {
-			l.overloadCounts[i].Quota = l.config.Policy.Tenants[i].Share
+func (l *eventLoop) countForOverload() {
+	l.overloadCounts = overloadreporter.NewCounts(l.tenantNames(), func(tenant int) (share float64, ok bool) {
+		tenants := l.config.Policy.Tenants
+		if tenant >= len(tenants) {
+			return 0, false
 		}
-	}
+		return tenants[tenant].Share, true
+	})
 }
 
-// countOverload notes what became of a request.
-func (l *eventLoop) countOverload(r *request, o outcome.Outcome) {
-	c := &l.overloadCounts[r.tenant]
-	switch o {
-	case outcome.Refused:
-		c.Refused++
-	case outcome.Failed:
-		c.Failed++
-	case outcome.Late:
-		c.Late++
-	case outcome.InTime:
-		c.InTime++
-	}
-}
-
-// digest tells what was counted, and counts anew.
+// digest returns what was counted, and counts anew.
 func (l *eventLoop) digest() overload.Digest {
-	d := overload.Digest{Congestion: min(1, l.balancer.Congestion(l.now)), Tenants: append([]overload.TenantCounts(nil), l.overloadCounts...)}
-	for i, c := range l.overloadCounts {
-		l.overloadCounts[i] = overload.TenantCounts{Tenant: c.Tenant, Quota: c.Quota}
-	}
-	return d
+	return overload.Digest{Congestion: min(1, l.balancer.Congestion(l.now)), Tenants: l.overloadCounts.Take()}
 }
 
 // OverloadDigest has the loop return its counts, and counts anew.
--- /dev/null
+++ b/internal/sidecar/overloadreporter/counts.go
@@ -0,0 +1,51 @@
+package overloadreporter
+
+import (
+	"slices"
+
+	"barleywick/internal/overload"
+	"barleywick/internal/sidecar/outcome"
+)
+
+// Counts count requests by tenant, for digests. They are not safe for concurrent use.
+type Counts struct{ tenants []overload.TenantCounts }
+
+// NewCounts makes counts of tenants by their names; quotas are their shares of the service, where
+// they have one.
+func NewCounts(tenants []string, quota func(tenant int) (share float64, ok bool)) *Counts {
+	c := &Counts{tenants: make([]overload.TenantCounts, len(tenants))}
+	for i, name := range tenants {
+		c.tenants[i] = overload.TenantCounts{Tenant: name, Quota: 1}
+		if share, ok := quota(i); ok {
+			c.tenants[i].Quota = share
+		}
+	}
+	return c
+}
+
+// RequestArrived counts a request of a tenant.
+func (c *Counts) RequestArrived(tenant int) { c.tenants[tenant].Requests++ }
+
+// RequestEnded counts how a request of a tenant ended.
+func (c *Counts) RequestEnded(tenant int, o outcome.Outcome) {
+	t := &c.tenants[tenant]
+	switch o {
+	case outcome.InTime:
+		t.InTime++
+	case outcome.Late:
+		t.Late++
+	case outcome.Refused:
+		t.Refused++
+	case outcome.Failed:
+		t.Failed++
+	}
+}
+
+// Take returns what was counted since the last call.
+func (c *Counts) Take() []overload.TenantCounts {
+	taken := slices.Clone(c.tenants)
+	for i, t := range c.tenants {
+		c.tenants[i] = overload.TenantCounts{Tenant: t.Tenant, Quota: t.Quota}
+	}
+	return taken
+}
--- a/internal/sidecar/overloadreporter/reporter.go
+++ b/internal/sidecar/overloadreporter/reporter.go
@@ -1,3 +1,5 @@
+// Package overloadreporter is the sidecar's part that reports its requests to the fleet's overload
+// controller and takes shedding advice from it. docs/OVERLOAD.md describes both.
 package overloadreporter
 
 import (
@@ -19,29 +21,8 @@
 	"barleywick/policy"
 )
 
-// adviceCallIn is for one digest and its answer: the next is due a little later.
-const adviceCallIn = 800 * time.Millisecond
-
-// Reporter tells the fleet's task once a second what came to this sidecar, and puts its
-// word in force. Whatever fails, the sidecar goes on by what it sees itself: the word
-// that it has fades.
-type Reporter struct {
-	config  *config.Overload
-	name    string
-	began   time.Time
-	tenants []string // of tenants
-	sidecar Sidecar
-	client  *client.Client
-	http    *http.Client
-	address string // where the task listens; empty: not known
-	seq     uint64
-	taker   overload.AdviceFilter
-
-	mu         sync.Mutex
-	advice     overload.Advice
-	receivedAt time.Time // when it was taken
-	lastError  error     // the last exchange; nil: it went well
-}
+// callTimeout is for one digest and the advice that answers it: the next digest is due soon after.
+const callTimeout = 800 * time.Millisecond
 
 // Sidecar is what the reporter needs of the sidecar that it reports for.
 type Sidecar interface {
@@ -52,150 +33,168 @@
 	ApplyAdvice(policy.OverloadAdvice)
 }
 
+// Reporter exchanges digests for advice once a second. Whatever fails, the sidecar goes on by what
+// it sees itself: the advice that it has fades. Its methods may be called concurrently, Run once.
+type Reporter struct {
+	fleet       string
+	name        string
+	incarnation uint64
+	startedAt   time.Time
+	tenants     []string
+	sidecar     Sidecar
+	registry    *client.Client
+	controller  *http.Client
+	address     string // of the controller; empty: not known
+	sequence    uint64 // of the last digest
+	filter      overload.AdviceFilter
+
+	mu         sync.Mutex
+	advice     overload.Advice
+	receivedAt time.Time // when the advice came
+	lastError  error     // of the last exchange; nil: it succeeded
+}
+
 // New makes the reporter of a sidecar whose configuration names where overload advice comes from.
 func New(c *config.Config, tenants []string, s Sidecar) (*Reporter, error) {
-	r, err := client.New(c.Overload.Registry, c.Seed)
+	registryClient, err := client.New(c.Overload.Registry, c.Seed)
 	if err != nil {
 		return nil, err
 	}
-	a := &Reporter{config: c.Overload, name: c.Name, began: time.Now(), tenants: tenants, sidecar: s, client: r.WithAddressMap(c.Overload.AddressMap).WithTimeout(adviceCallIn), taker: overload.AdviceFilter{Fleet: c.Overload.Fleet}}
-	a.http = &http.Client{Timeout: adviceCallIn, Transport: &http.Transport{DialContext: c.Overload.AddressMap.Dialer(adviceCallIn), MaxConnsPerHost: 1, DisableCompression: true}}
-	return a, nil
+	startedAt := time.Now()
+	return &Reporter{
+		fleet: c.Overload.Fleet, name: c.Name, incarnation: uint64(startedAt.UnixMicro()), startedAt: startedAt,
+		tenants: tenants, sidecar: s,
+		registry: registryClient.WithAddressMap(c.Overload.AddressMap).WithTimeout(callTimeout),
+		controller: &http.Client{Timeout: callTimeout, Transport: &http.Transport{
+			DialContext: c.Overload.AddressMap.Dialer(callTimeout), MaxConnsPerHost: 1, DisableCompression: true,
+		}},
+		filter: overload.AdviceFilter{Fleet: c.Overload.Fleet},
+	}, nil
 }
 
-// Run exchanges digests for words until ctx ends.
-func (a *Reporter) Run(ctx context.Context) {
-	defer a.client.Close()
-	defer a.http.CloseIdleConnections()
-	last := a.began
+// Run exchanges digests for advice until ctx ends.
+func (r *Reporter) Run(ctx context.Context) {
+	defer r.registry.Close()
+	defer r.controller.CloseIdleConnections()
+	last := r.startedAt
 	for {
-		select { // spread: the task must not hear of all at once
-		case <-time.After(time.Duration(float64(overload.ReportInterval) * (0.9 + 0.2*rand.Float64()))):
+		select {
+		case <-time.After(jittered(overload.ReportInterval)):
 		case <-ctx.Done():
 			return
 		}
-		d, err := a.sidecar.OverloadDigest(ctx)
+		digest, err := r.sidecar.OverloadDigest(ctx)
 		if err != nil {
 			return
 		}
 		now := time.Now()
-		a.seq++
-		d.Fleet, d.Name, d.Incarnation, d.Seq, d.PeriodMS = a.config.Fleet, a.name, uint64(a.began.UnixMicro()), a.seq, max(1, now.Sub(last).Milliseconds())
+		r.complete(&digest, now.Sub(last))
 		last = now
-		err = a.exchange(ctx, d)
-		a.mu.Lock()
-		was := a.lastError
-		a.lastError = err
-		a.mu.Unlock()
+		err = r.exchange(ctx, digest)
+		previous := r.setLastError(err)
 		switch {
 		case ctx.Err() != nil:
 			return
-		case err != nil && was == nil:
-			slog.Warn("overload: no word from the fleet: this sidecar goes on by what it sees itself", "err", err)
-		case err == nil && was != nil:
-			slog.Info("overload: the fleet's word is heard again")
+		case err != nil && previous == nil:
+			slog.Warn("overload: advice lost, shedding by own congestion alone", "err", err)
+		case err == nil && previous != nil:
+			slog.Info("overload: advice received again")
 		}
 	}
 }
 
-// exchange tells a digest, and takes the word that it is answered with.
-func (a *Reporter) exchange(ctx context.Context, d overload.Digest) error {
-	if a.address == "" {
-		r, err := a.client.Record(ctx, overload.RecordKey)
+// jittered spreads an interval: the controller must not be called by all sidecars at once.
+func jittered(interval time.Duration) time.Duration {
+	return time.Duration(float64(interval) * (0.9 + 0.2*rand.Float64()))
+}
+
+// complete fills in whose digest it is, and over which time.
+func (r *Reporter) complete(d *overload.Digest, period time.Duration) {
+	r.sequence++
+	d.Fleet, d.Name, d.Incarnation, d.Seq = r.fleet, r.name, r.incarnation, r.sequence
+	d.PeriodMS = max(1, period.Milliseconds())
+}
+
+func (r *Reporter) setLastError(err error) (previous error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	previous, r.lastError = r.lastError, err
+	return previous
+}
+
+// exchange sends a digest and puts the advice that answers it into force.
+func (r *Reporter) exchange(ctx context.Context, d overload.Digest) error {
+	if r.address == "" {
+		address, err := r.findController(ctx)
 		if err != nil {
 			return fmt.Errorf("where the task listens: %w", err)
 		}
-		var place overload.Location
-		if err := json.Unmarshal(r.Value, &place); err != nil {
-			return fmt.Errorf("where the task listens: %w", err)
-		}
-		if host, _, err := net.SplitHostPort(place.Address); err != nil || !net.ParseIP(host).IsLoopback() {
-			return fmt.Errorf("where the task listens: %.64q is no loopback address with a port", place.Address)
-		}
-		a.address = place.Address
+		r.address = address
 	}
-	word, err := a.post(ctx, d)
+	advice, err := r.post(ctx, d)
 	if err != nil {
-		a.address = "" // another may hold it by now
+		r.address = "" // another process may hold the lease by now
 		return err
 	}
-	if err := a.taker.Accept(word); err != nil {
+	if err := r.filter.Accept(advice); err != nil {
 		return err
 	}
-	parts := make([]float64, len(a.tenants))
-	for i, name := range a.tenants {
-		parts[i] = word.FractionFor(name)
-	}
-	a.mu.Lock()
-	a.advice, a.receivedAt = word, time.Now()
-	a.mu.Unlock()
-	a.sidecar.ApplyAdvice(policy.OverloadAdvice{AdmittedShares: parts, ValidFor: time.Duration(word.ValidMS) * time.Millisecond})
+	r.mu.Lock()
+	r.advice, r.receivedAt = advice, time.Now()
+	r.mu.Unlock()
+	r.sidecar.ApplyAdvice(r.forBalancer(advice))
 	return nil
 }
 
-func (a *Reporter) post(ctx context.Context, d overload.Digest) (word overload.Advice, err error) {
+// findController reads from the registry where the controller listens.
+func (r *Reporter) findController(ctx context.Context) (string, error) {
+	record, err := r.registry.Record(ctx, overload.RecordKey)
+	if err != nil {
+		return "", err
+	}
+	var location overload.Location
+	if err := json.Unmarshal(record.Value, &location); err != nil {
+		return "", err
+	}
+	if host, _, err := net.SplitHostPort(location.Address); err != nil || !net.ParseIP(host).IsLoopback() {
+		return "", fmt.Errorf("%.64q is no loopback address with a port", location.Address)
+	}
+	return location.Address, nil
+}
+
+// post sends a digest to the controller.
+func (r *Reporter) post(ctx context.Context, d overload.Digest) (advice overload.Advice, err error) {
 	text, err := json.Marshal(d)
 	if err != nil {
-		return word, fmt.Errorf("write digest: %w", err)
+		return advice, fmt.Errorf("write digest: %w", err)
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.address+overload.Path, bytes.NewReader(text))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.address+overload.Path, bytes.NewReader(text))
 	if err != nil {
-		return word, err
+		return advice, err
 	}
-	resp, err := a.http.Do(req)
+	resp, err := r.controller.Do(req)
 	if err != nil {
-		return word, err
+		return advice, err
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, overload.MaxMessageBytes))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, overload.MaxMessageBytes))
 	switch {
 	case err != nil:
-		return word, err
+		return advice, err
 	case resp.StatusCode != http.StatusOK:
-		return word, fmt.Errorf("%s answers %d: %.200s", a.address, resp.StatusCode, bytes.TrimSpace(answer))
+		return advice, fmt.Errorf("%s answers %d: %.200s", r.address, resp.StatusCode, bytes.TrimSpace(body))
 	}
-	if err := json.Unmarshal(answer, &word); err != nil {
-		return word, fmt.Errorf("%s: %w", a.address, err)
+	if err := json.Unmarshal(body, &advice); err != nil {
+		return advice, fmt.Errorf("%s: %w", r.address, err)
 	}
-	return word, nil
+	return advice, nil
 }
 
-// Status tells how a sidecar stands towards the fleet's word on an overload.
-type Status struct {
-	Advice    overload.Advice
-	Age       time.Duration // of it; 0: none came yet
-	LastError error         // why the last exchange failed
-}
-
-// InForce says whether the word is in force.
-func (w Status) InForce() bool { return w.Age > 0 && w.Age < overload.AdviceTTL }
-
-func (a *Reporter) Status() Status {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	w := Status{Advice: a.advice, LastError: a.lastError}
-	if !a.receivedAt.IsZero() {
-		w.Age = max(1, time.Since(a.receivedAt))
-	}
-	return w
-}
-
-// String is a line for people.
-func (w Status) String() string {
-	text := "no word yet"
-	if w.Age > 0 {
-		text = fmt.Sprintf("word %d under token %d, %.1f s ago", w.Advice.Number, w.Advice.Token, w.Age.Seconds())
-		if !w.InForce() {
-			text += ", it counts no more"
-		}
-		for _, p := range w.Advice.Tenants {
-			if p.AdmitFraction < 1 {
-				text += fmt.Sprintf(", %s %.3f", p.Tenant, p.AdmitFraction)
-			}
-		}
-	}
-	if w.LastError != nil {
-		text += "; " + w.LastError.Error()
+// forBalancer turns advice into that for this sidecar's tenants.
+func (r *Reporter) forBalancer(a overload.Advice) policy.OverloadAdvice {
+	shares := make([]float64, len(r.tenants))
+	for i, name := range r.tenants {
+		shares[i] = a.FractionFor(name)
 	}
-	return text
+	return policy.OverloadAdvice{AdmittedShares: shares, ValidFor: time.Duration(a.ValidMS) * time.Millisecond}
 }
--- a/internal/sidecar/policyfollower/compatibility_test.go
+++ b/internal/sidecar/policyfollower/compatibility_test.go
@@ -11,7 +11,6 @@
 	"time"
 
 	"barleywick/internal/rollout"
-	"barleywick/internal/sidecar/config"
 )
 
 // The files in testdata/396a775 were written by the code of that commit, the last one before names
@@ -29,8 +28,8 @@
 
 func (f enforcerFunc) EnforcePolicy(ctx context.Context, d *rollout.Document) error { return f(ctx, d) }
 
-// storedActs are what 396a775 wrote to its policy folder, by the name of the file.
-func storedActs() map[string]rollout.ActivePolicy {
+// storedPolicies are what 396a775 wrote to its policy folder, by the name of the file.
+func storedPolicies() map[string]rollout.ActivePolicy {
 	document := func(mode rollout.Mode) *rollout.Document {
 		return &rollout.Document{
 			FormatVersion: 1, Mode: mode, MaxAttempts: 2, NoProbes: true, MaxClientConnections: 100, MaxServerConnections: 50,
@@ -48,12 +47,12 @@
 }
 
 func TestPolicyFolderIsWrittenAsBy396a775(t *testing.T) {
-	for name, acts := range storedActs() {
-		g := &Follower{config: &config.FleetPolicy{PolicyTable: config.PolicyTable{Folder: t.TempDir()}}}
-		if err := g.save(acts); err != nil {
+	for name, active := range storedPolicies() {
+		s := store{t.TempDir()}
+		if err := s.save(active); err != nil {
 			t.Fatal(err)
 		}
-		got, err := os.ReadFile(g.storePath())
+		got, err := os.ReadFile(s.path())
 		if want := fixture(t, name+".json"); err != nil || string(got) != want {
 			t.Errorf("%s is stored as\n%s, error %v; want\n%s", name, got, err, want)
 		}
@@ -61,28 +60,28 @@
 }
 
 func TestPolicyFolderOf396a775IsRead(t *testing.T) {
-	acts := storedActs()
+	policies := storedPolicies()
 	for _, name := range []string{"none", "carry", "refuse", "joint", "first", "torn", "changed"} {
 		folder := t.TempDir()
 		if err := os.WriteFile(filepath.Join(folder, "policy.json"), []byte(fixture(t, name+".json")), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		var enforced []*rollout.Document
-		g := &Follower{
-			config: &config.FleetPolicy{PolicyTable: config.PolicyTable{Folder: folder}}, tenants: []string{"acme", "zeta"},
-			follower: &rollout.Follower{}, startedAt: time.Now().Add(-2 * askFirst),
+		f := &Follower{
+			store: store{folder}, tenants: []string{"acme", "zeta"},
+			state: &rollout.Follower{}, startedAt: time.Now().Add(-2 * storeAfter),
 			enforcer: enforcerFunc(func(_ context.Context, d *rollout.Document) error { enforced = append(enforced, d); return nil }),
 		}
-		g.applyStored(t.Context())
-		want, usable := acts[name], name != "refuse" && name != "torn" && name != "changed"
+		f.applyStored(t.Context())
+		want, usable := policies[name], name != "refuse" && name != "torn" && name != "changed"
 		if !usable {
-			if len(enforced) != 0 || g.Admitting() {
-				t.Errorf("%s: enforced %v, admitting %v; want neither", name, enforced, g.Admitting())
+			if len(enforced) != 0 || f.Admitting() {
+				t.Errorf("%s: enforced %v, admitting %v; want neither", name, enforced, f.Admitting())
 			}
 			continue
 		}
-		if len(enforced) != 1 || !reflect.DeepEqual(enforced[0], want.Effective()) || !reflect.DeepEqual(g.acting, want) || !g.Admitting() {
-			t.Errorf("%s: enforced %+v, acts by %+v, admitting %v; want %+v", name, enforced, g.acting, g.Admitting(), want)
+		if len(enforced) != 1 || !reflect.DeepEqual(enforced[0], want.Effective()) || !reflect.DeepEqual(f.active, want) || !f.Admitting() {
+			t.Errorf("%s: enforced %+v, acts by %+v, admitting %v; want %+v", name, enforced, f.active, f.Admitting(), want)
 		}
 	}
 }
--- a/internal/sidecar/policyfollower/follower.go
+++ b/internal/sidecar/policyfollower/follower.go
@@ -1,14 +1,15 @@
+// Package policyfollower is the sidecar's part that follows the fleet policy: it is a member of the
+// roster that rollouts wait for, puts into force what the registry says, and reports that it did.
+// docs/POLICY.md describes rollouts; the decisions are internal/rollout's.
 package policyfollower
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
 	"os"
-	"path/filepath"
 	"slices"
 	"sync"
 	"sync/atomic"
@@ -23,382 +24,232 @@
 )
 
 const (
-	// policyCallIn is for one call, an election's length included.
-	policyCallIn = 5 * time.Second
-	policyWatch  = 4 * time.Second
-	// reportEvery is how often counts are reported while a few go ahead with a change.
-	reportEvery = time.Second
-	// policyAgain is the pause after a call that failed.
-	policyAgain = 200 * time.Millisecond
-	// askFirst is how long a start asks the registry before it serves by its folder.
-	askFirst = 5 * time.Second
+	// callTimeout is for one call of the registry, the length of an election included.
+	callTimeout = 5 * time.Second
+	watchWait   = 4 * time.Second
+	// countsInterval is how often counts are reported while canaries are compared with the rest.
+	countsInterval = time.Second
+	// retryBackoff is the mean pause after a call that failed.
+	retryBackoff = 200 * time.Millisecond
+	// storeAfter is how long a start tries to reach the registry before it serves by its store.
+	storeAfter = 5 * time.Second
 )
 
-// Follower keeps a sidecar to the fleet's policy: it holds the sidecar's seat, puts in
-// force what is to be acted by, and says so. What the sidecar's own file says stays the
-// most that it may: the stricter of both counts.
+// Enforcer puts a policy into force at a sidecar; nil means that its own configuration counts alone.
+type Enforcer interface {
+	EnforcePolicy(ctx context.Context, d *rollout.Document) error
+}
+
+// Follower keeps a sidecar to the fleet policy. The sidecar's own configuration remains the most
+// that it may do: the stricter of both counts. Its methods may be called concurrently, Run once.
 type Follower struct {
-	config    *config.FleetPolicy
 	tenants   []string
 	client    *client.Client
 	leases    *lease.Manager
+	store     store
 	enforcer  Enforcer
 	startedAt time.Time
 
-	requests, refused, failed, late atomic.Uint64 // requests since the start
-	reportedAt                      time.Time
+	requests, refused, failed, late atomic.Uint64 // since the start
+	reportedAt                      time.Time     // when these were reported last
 
-	admitting     atomic.Bool // it has what to act by
-	leaseRequired atomic.Bool // and only while it holds its lease
-	leaseTerm     atomic.Pointer[lease.Handle]
+	admitting     atomic.Bool // there is a policy to act by
+	leaseRequired atomic.Bool // and requests are admitted only while the roster lease is held
+	lease         atomic.Pointer[lease.Handle]
+	stopLease     context.CancelFunc // ends holding the lease; nil: it is not held
 
 	mu          sync.Mutex
-	follower    *rollout.Follower
-	acting      rollout.ActivePolicy
-	actingSince time.Time
-	fromStore   bool // it acts by its folder
-}
-
-// Enforcer puts a policy into force at a sidecar; nil means that its own configuration counts alone.
-type Enforcer interface {
-	EnforcePolicy(ctx context.Context, d *rollout.Document) error
+	state       *rollout.Follower
+	active      rollout.ActivePolicy // what is in force
+	activeSince time.Time
+	fromStore   bool // active comes from the store
 }
 
 // New makes the follower of a sidecar whose configuration names a fleet policy.
-func New(c *config.Config, enforce Enforcer) (*Follower, error) {
-	r, err := client.New(c.FleetPolicy.Registry, c.Seed)
+func New(c *config.Config, e Enforcer) (*Follower, error) {
+	registryClient, err := client.New(c.FleetPolicy.Registry, c.Seed)
 	if err != nil {
 		return nil, err
 	}
-	g := &Follower{config: c.FleetPolicy, tenants: c.Tenants, client: r.WithAddressMap(c.FleetPolicy.AddressMap), enforcer: enforce, startedAt: time.Now()}
-	me := rollout.Member{Name: c.Name, Incarnation: uint64(g.startedAt.UnixMicro())}
-	g.follower = &rollout.Follower{Self: me, Supports: g.checkSupported}
+	f := &Follower{
+		tenants: c.Tenants, client: registryClient.WithAddressMap(c.FleetPolicy.AddressMap),
+		store: store{c.FleetPolicy.Folder}, enforcer: e, startedAt: time.Now(),
+	}
+	self := rollout.Member{Name: c.Name, Incarnation: uint64(f.startedAt.UnixMicro())}
+	f.state = &rollout.Follower{Self: self, Supports: f.checkSupported}
 	if c.FleetPolicy.Machine != "" {
-		g.follower.Process = rollout.Process{Machine: c.FleetPolicy.Machine, PID: os.Getpid(), StartTicks: rollout.ProcessStartTicks(os.Getpid())}
+		f.state.Process = rollout.Process{
+			Machine: c.FleetPolicy.Machine, PID: os.Getpid(), StartTicks: rollout.ProcessStartTicks(os.Getpid()),
+		}
 	}
-	g.leases = lease.NewManager(lease.Options{
-		Registry: r, TTL: time.Duration(c.FleetPolicy.LeaseMS) * time.Millisecond, Holder: registry.Holder{Name: me.Name, Incarnation: me.Incarnation},
+	f.leases = lease.NewManager(lease.Options{
+		Registry: registryClient, TTL: time.Duration(c.FleetPolicy.LeaseMS) * time.Millisecond,
+		Holder: registry.Holder{Name: self.Name, Incarnation: self.Incarnation},
 	})
-	return g, nil
+	return f, nil
 }
 
 // checkSupported says whether this sidecar could act by a document.
-func (g *Follower) checkSupported(d *rollout.Document) error {
+func (f *Follower) checkSupported(d *rollout.Document) error {
 	if err := d.Check(); err != nil {
 		return err
 	}
 	for i, t := range d.Tenants {
-		if !slices.Contains(g.tenants, t.Name) && !(len(g.tenants) == 0 && t.Name == "") {
+		onlyTenant := len(f.tenants) == 0 && t.Name == ""
+		if !slices.Contains(f.tenants, t.Name) && !onlyTenant {
 			return fmt.Errorf("tenants[%d].name %q is not in this sidecar's settings", i, t.Name)
 		}
 	}
 	return nil
 }
 
-// RecordRequest counts the end of a request, for the comparison of those that go ahead.
-func (g *Follower) RecordRequest(o outcome.Outcome) {
-	g.requests.Add(1)
+// RecordRequest counts the end of a request, for the comparison of canaries with the rest.
+func (f *Follower) RecordRequest(o outcome.Outcome) {
+	f.requests.Add(1)
 	switch o {
 	case outcome.Refused:
-		g.refused.Add(1)
+		f.refused.Add(1)
 	case outcome.Failed:
-		g.failed.Add(1)
+		f.failed.Add(1)
 	case outcome.Late:
-		g.late.Add(1)
+		f.late.Add(1)
 	}
 }
 
-func (g *Follower) counts() rollout.RequestCounts {
-	return rollout.RequestCounts{Requests: g.requests.Load(), Refused: g.refused.Load(), Failed: g.failed.Load(), Late: g.late.Load()}
+func (f *Follower) counts() rollout.RequestCounts {
+	return rollout.RequestCounts{Requests: f.requests.Load(), Refused: f.refused.Load(), Failed: f.failed.Load(), Late: f.late.Load()}
 }
 
-// Admitting says whether a new request Admitting be taken now.
-func (g *Follower) Admitting() bool {
-	if !g.admitting.Load() {
+// Admitting says whether the fleet policy lets new requests be admitted now.
+func (f *Follower) Admitting() bool {
+	if !f.admitting.Load() {
 		return false
 	}
-	if !g.leaseRequired.Load() {
+	if !f.leaseRequired.Load() {
 		return true
 	}
-	t := g.leaseTerm.Load()
-	return t != nil && t.Held()
+	held := f.lease.Load()
+	return held != nil && held.Held()
 }
 
-// Run keeps to the policy until ctx ends, and gives the seat up then. It returns an
-// error where this sidecar cannot act by the policy in force.
-func (g *Follower) Run(ctx context.Context) error {
-	defer g.client.Close()
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	var beside sync.WaitGroup
-	defer beside.Wait()
-	defer end()
-	beside.Go(func() { g.leases.Run(life) })
-	var hold context.CancelFunc = func() {}
-	defer func() { hold() }()
-	holding := false
+// Run follows the policy until ctx ends, and leaves the roster then. It returns an error if this
+// sidecar cannot act by the policy in force.
+func (f *Follower) Run(ctx context.Context) error {
+	defer f.client.Close()
+	leasesCtx, endLeases := context.WithCancel(context.WithoutCancel(ctx))
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
+	defer endLeases()
+	tasks.Go(func() { f.leases.Run(leasesCtx) })
+	defer f.releaseLease()
 	for ctx.Err() == nil {
-		g.mu.Lock()
-		fatal := g.follower.Fatal()
-		acts, may := g.follower.Active()
-		g.mu.Unlock()
-		if fatal != nil {
-			g.leaveRoster(ctx)
-			return fmt.Errorf("policy: epoch %d cannot be acted by here: %w", acts.Epoch, fatal)
-		}
-		if err := g.apply(ctx, acts, may); err != nil {
+		if err := f.applyActive(ctx); err != nil {
 			return err
 		}
-		if want := g.leaseRequired.Load(); want != holding {
-			if hold(); want {
-				in, cancel := context.WithCancel(ctx)
-				hold = cancel
-				beside.Go(func() { g.holdRosterLease(in) })
-			}
-			holding = want
+		if f.leaseRequired.Load() {
+			f.acquireLease(ctx, &tasks)
+		} else {
+			f.releaseLease()
 		}
-		if err := g.synchronize(ctx); err != nil && ctx.Err() == nil {
-			slog.Warn("policy: the registry is out of reach", "err", err)
-			g.applyStored(ctx)
+		if err := f.synchronize(ctx); err != nil && ctx.Err() == nil {
+			slog.Warn("policy: registry unreachable", "err", err)
+			f.applyStored(ctx)
 			select {
-			case <-time.After(policyAgain/2 + rand.N(policyAgain)):
+			case <-time.After(retryBackoff/2 + rand.N(retryBackoff)):
 			case <-ctx.Done():
 			}
 		}
 	}
-	g.leaveRoster(ctx)
+	f.leaveRoster(ctx)
 	return nil
 }
 
-// apply puts in force what is to be acted by, keeps it in the folder, and only then counts.
-func (g *Follower) apply(ctx context.Context, acts rollout.ActivePolicy, may bool) error {
-	g.mu.Lock()
-	same := g.admitting.Load() && may && acts.Epoch == g.acting.Epoch && acts.JointChange == g.acting.JointChange && !g.fromStore
-	by := g.fromStore
-	g.mu.Unlock()
-	if same {
-		return nil
+// applyActive puts into force what the registry's latest view says.
+func (f *Follower) applyActive(ctx context.Context) error {
+	f.mu.Lock()
+	unsupported := f.state.Fatal()
+	active, ok := f.state.Active()
+	f.mu.Unlock()
+	if unsupported != nil {
+		f.leaveRoster(ctx)
+		return fmt.Errorf("policy: epoch %d cannot be acted by here: %w", active.Epoch, unsupported)
 	}
-	if !may {
-		if !by && g.admitting.Swap(false) {
-			slog.Error("policy: this sidecar has no seat any more and refuses new requests")
-		}
+	if !ok {
+		f.stopAdmitting()
 		return nil
 	}
-	d := acts.Effective()
-	if err := g.save(acts); err != nil {
-		slog.Error("policy: the folder cannot be written", "err", err)
-		if acts.JointChange != 0 { // there is a way back still
-			g.mu.Lock()
-			g.follower.Refuse(err)
-			g.mu.Unlock()
-			return nil
-		}
-	}
-	if err := g.enforcer.EnforcePolicy(ctx, d); err != nil {
-		return err
-	}
-	g.mu.Lock()
-	g.acting, g.actingSince, g.fromStore = acts, time.Now(), false
-	g.mu.Unlock()
-	g.leaseRequired.Store(d != nil && d.Mode == rollout.ModeRefuse)
-	g.admitting.Store(true)
-	slog.Info("policy: in force", "epoch", acts.Epoch, "joint_with", acts.JointChange)
-	return nil
+	return f.apply(ctx, active)
 }
 
-// synchronize says what is to be said, or waits for news.
-func (g *Follower) synchronize(ctx context.Context) error {
-	g.mu.Lock()
-	step, any := g.follower.NextCommand()
-	me, version := g.follower.Self, g.follower.Version()
-	wait := policyWatch
-	if number, wanted := g.follower.ReportsWanted(); wanted && !any {
-		if wait = reportEvery - time.Since(g.reportedAt); wait <= 0 {
-			step, any, g.reportedAt = rollout.Command{Op: rollout.OpReport, Member: me, ChangeNumber: number, Counts: g.counts()}, true, time.Now()
-		}
-	}
-	g.mu.Unlock()
-	var v rollout.View
-	var err error
-	if any {
-		in, cancel := context.WithTimeout(ctx, policyCallIn)
-		defer cancel()
-		v, err = g.client.ApplyPolicyStep(in, step, nil)
-	} else {
-		in, cancel := context.WithTimeout(ctx, policyWatch+policyCallIn)
-		defer cancel()
-		v, err = g.client.PolicyView(in, me, version, wait)
-	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	switch {
-	case err == nil:
-		g.follower.HandleResult(step, nil)
-		if step.Refusal != "" {
-			slog.Warn("policy: refused here", "change", step.ChangeNumber, "why", step.Refusal)
-		}
-		g.follower.HandleView(v)
-	case errors.Is(err, registry.ErrNotFound):
-		g.follower.HandleResult(step, rollout.ErrNotFound)
-		return nil
-	case errors.Is(err, registry.ErrConflict) && step.Op == rollout.OpJoin: // evicted, or a later process has the name
-		g.follower.LostMembership()
-	case errors.Is(err, registry.ErrConflict): // what it has is out of date
-		g.mu.Unlock()
-		v, err = g.client.PolicyView(ctx, me, 0, 0)
-		g.mu.Lock()
-		if err == nil {
-			g.follower.HandleView(v)
-		}
-	}
-	return err
-}
-
-// holdRosterLease holds the lease under which this sidecar serves, where the policy says so.
-func (g *Follower) holdRosterLease(ctx context.Context) {
-	name := registry.RosterLeasePrefix + g.follower.Self.Name
-	err := g.leases.Hold(ctx, name, func(ctx context.Context, t *lease.Handle) error {
-		g.leaseTerm.Store(t)
-		defer g.leaseTerm.Store(nil)
-		<-ctx.Done()
-		return ctx.Err()
-	})
-	if ctx.Err() == nil {
-		slog.Error("policy: the seat's lease cannot be held", "lease", name, "err", err)
+// stopAdmitting takes that there is no policy to act by, unless this sidecar serves by its store.
+func (f *Follower) stopAdmitting() {
+	f.mu.Lock()
+	fromStore := f.fromStore
+	f.mu.Unlock()
+	if !fromStore && f.admitting.Swap(false) {
+		slog.Error("policy: no longer in the roster, refusing new requests")
 	}
 }
 
-// leaveRoster gives the seat up: no change waits for this sidecar, and what it held must
-// not be served by any more.
-func (g *Follower) leaveRoster(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), policyCallIn/2)
-	defer cancel()
-	if _, err := g.client.ApplyPolicyStep(ctx, rollout.Command{Op: rollout.OpLeave, Member: g.follower.Self}, nil); err != nil {
-		slog.Warn("policy: the seat is not given up: a change waits for this name until it starts again or is evicted", "err", err)
-		return
-	}
-	if g.config.Folder != "" {
-		if err := os.Remove(g.storePath()); err != nil && !errors.Is(err, os.ErrNotExist) {
-			slog.Warn("policy: the folder keeps what was held", "err", err)
-		}
-	}
-}
-
-// storedPolicy is what the folder holds: what was acted by last.
-type storedPolicy struct {
-	Checksum string          `json:"sum"` // of acts
-	Acting   json.RawMessage `json:"acts"`
-}
-
-func (g *Follower) storePath() string { return filepath.Join(g.config.Folder, "policy.json") }
-
-// save keeps what is about to be acted by. It is written before the registry is told:
-// a process that starts again holds no less than this one has confirmed.
-func (g *Follower) save(acts rollout.ActivePolicy) error {
-	if g.config.Folder == "" {
+// apply stores a policy, puts it into force, and only then acts by it.
+func (f *Follower) apply(ctx context.Context, p rollout.ActivePolicy) error {
+	if f.isInForce(p) {
 		return nil
 	}
-	text, err := json.Marshal(acts)
-	if err != nil {
-		return fmt.Errorf("policy: %w", err)
-	}
-	if text, err = json.Marshal(storedPolicy{rollout.Checksum(text), text}); err == nil {
-		err = writeAtomic(g.storePath(), text)
+	if err := f.store.save(p); err != nil {
+		slog.Error("policy: store cannot be written", "err", err)
+		if p.JointChange != 0 { // the change can still be aborted
+			f.mu.Lock()
+			f.state.Refuse(err)
+			f.mu.Unlock()
+			return nil
+		}
 	}
-	if err != nil {
-		return fmt.Errorf("policy: keep what is held: %w", err)
+	document := p.Effective()
+	if err := f.enforcer.EnforcePolicy(ctx, document); err != nil {
+		return err
 	}
+	f.setActive(p, false)
+	f.leaseRequired.Store(document != nil && document.Mode == rollout.ModeRefuse)
+	f.admitting.Store(true)
+	slog.Info("policy: in force", "epoch", p.Epoch, "joint_with", p.JointChange)
 	return nil
 }
 
-// writeAtomic writes a file whole or not at all.
-func writeAtomic(path string, text []byte) error {
-	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
-	if err != nil {
-		return err
-	}
-	_, err = f.Write(text)
-	if err = errors.Join(err, f.Sync(), f.Close()); err == nil {
-		err = os.Rename(f.Name(), path)
-	}
-	if err != nil {
-		os.Remove(f.Name())
-	}
-	return err
+func (f *Follower) isInForce(p rollout.ActivePolicy) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.admitting.Load() && p.Epoch == f.active.Epoch && p.JointChange == f.active.JointChange && !f.fromStore
+}
+
+func (f *Follower) setActive(p rollout.ActivePolicy, fromStore bool) {
+	f.mu.Lock()
+	f.active, f.activeSince, f.fromStore = p, time.Now(), fromStore
+	f.mu.Unlock()
 }
 
-// applyStored serves by the folder while nobody can be asked: only a start does, and only
+// applyStored serves by the store while the registry cannot be reached: only a start does, and only
 // under a policy that lets sidecars carry on.
-func (g *Follower) applyStored(ctx context.Context) {
-	if g.admitting.Load() || g.config.Folder == "" || time.Since(g.startedAt) < askFirst || g.follower.Version() != 0 {
+func (f *Follower) applyStored(ctx context.Context) {
+	if f.admitting.Load() || !f.store.enabled() || time.Since(f.startedAt) < storeAfter || f.state.Version() != 0 {
 		return
 	}
-	var k storedPolicy
-	var acts rollout.ActivePolicy
-	text, err := os.ReadFile(g.storePath())
+	p, err := f.store.load()
 	if errors.Is(err, os.ErrNotExist) {
 		return
 	}
-	if err == nil {
-		err = json.Unmarshal(text, &k)
-	}
-	if err == nil && rollout.Checksum(k.Acting) != k.Checksum {
-		err = errors.New("its checksum is wrong")
-	}
-	if err == nil {
-		err = json.Unmarshal(k.Acting, &acts)
-	}
 	if err != nil {
-		slog.Error("policy: what the folder holds is of no use", "file", g.storePath(), "err", err)
+		slog.Error("policy: store unusable", "file", f.store.path(), "err", err)
 		return
 	}
-	d := acts.Effective()
-	if d != nil && (d.Mode == rollout.ModeRefuse || g.checkSupported(d) != nil) {
+	document := p.Effective()
+	if document != nil && (document.Mode == rollout.ModeRefuse || f.checkSupported(document) != nil) {
 		return // not enough to serve by
 	}
-	if err := g.enforcer.EnforcePolicy(ctx, d); err != nil {
+	if err := f.enforcer.EnforcePolicy(ctx, document); err != nil {
 		return
 	}
-	g.mu.Lock()
-	g.acting, g.actingSince, g.fromStore = acts, time.Now(), true
-	g.mu.Unlock()
-	g.admitting.Store(true)
-	slog.Error("policy: nobody can be asked: serving by what the folder holds", "epoch", acts.Epoch, "joint_with", acts.JointChange)
-}
-
-// Status tells how a sidecar stands towards the fleet's policy.
-type Status struct {
-	Epoch, JointChange uint64
-	Stage              rollout.Stage
-	Since              time.Time
-	Admitting          bool // new requests are taken
-	FromStore          bool // it serves by its folder
-	RefusalReason      string
-}
-
-func (g *Follower) Status() Status {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	_, stage, refused := g.follower.Summary()
-	return Status{Epoch: g.acting.Epoch, JointChange: g.acting.JointChange, Stage: stage, Since: g.actingSince, Admitting: g.Admitting(), FromStore: g.fromStore, RefusalReason: refused}
-}
-
-func (s Status) String() string {
-	text := fmt.Sprintf("epoch %d, %s", s.Epoch, s.Stage)
-	if s.JointChange != 0 {
-		text += fmt.Sprintf(", joint with %d", s.JointChange)
-	}
-	if !s.Since.IsZero() {
-		text += ", since " + s.Since.UTC().Format(time.RFC3339)
-	}
-	if s.FromStore {
-		text += ", by the folder: nobody can be asked"
-	}
-	if !s.Admitting {
-		text += ", refusing new requests"
-	}
-	if s.RefusalReason != "" {
-		text += ", refused the change: " + s.RefusalReason
-	}
-	return text
+	f.setActive(p, true)
+	f.admitting.Store(true)
+	slog.Error("policy: registry unreachable, serving by the policy store", "epoch", p.Epoch, "joint_with", p.JointChange)
 }
--- /dev/null
+++ b/internal/sidecar/policyfollower/roster.go
@@ -0,0 +1,125 @@
+package policyfollower
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"os"
+	"sync"
+	"time"
+
+	"barleywick/internal/lease"
+	"barleywick/internal/registry"
+	"barleywick/internal/rollout"
+)
+
+// synchronize tells the registry what is to be told, or waits for a change of its view.
+func (f *Follower) synchronize(ctx context.Context) error {
+	command, pending, wait := f.nextCommand()
+	f.mu.Lock()
+	self, version := f.state.Self, f.state.Version()
+	f.mu.Unlock()
+	var view rollout.View
+	var err error
+	if pending {
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		defer cancel()
+		view, err = f.client.ApplyPolicyStep(callCtx, command, nil)
+	} else {
+		callCtx, cancel := context.WithTimeout(ctx, watchWait+callTimeout)
+		defer cancel()
+		view, err = f.client.PolicyView(callCtx, self, version, wait)
+	}
+	return f.handleAnswer(ctx, command, view, err)
+}
+
+// nextCommand returns what is to be told now, if anything, or else how long to wait for a change.
+func (f *Follower) nextCommand() (command rollout.Command, pending bool, wait time.Duration) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if command, pending = f.state.NextCommand(); pending {
+		return command, true, 0
+	}
+	change, wanted := f.state.ReportsWanted()
+	if !wanted {
+		return command, false, watchWait
+	}
+	if wait = countsInterval - time.Since(f.reportedAt); wait > 0 {
+		return command, false, wait
+	}
+	f.reportedAt = time.Now()
+	return rollout.Command{Op: rollout.OpReport, Member: f.state.Self, ChangeNumber: change, Counts: f.counts()}, true, 0
+}
+
+// handleAnswer takes what the registry answered to a command, or to a call for its view.
+func (f *Follower) handleAnswer(ctx context.Context, command rollout.Command, view rollout.View, err error) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	switch {
+	case err == nil:
+		f.state.HandleResult(command, nil)
+		if command.Refusal != "" {
+			slog.Warn("policy: rollout refused by this sidecar", "change", command.ChangeNumber, "why", command.Refusal)
+		}
+		f.state.HandleView(view)
+	case errors.Is(err, registry.ErrNotFound):
+		f.state.HandleResult(command, rollout.ErrNotFound)
+		return nil
+	case errors.Is(err, registry.ErrConflict) && command.Op == rollout.OpJoin: // evicted, or a later process has the name
+		f.state.LostMembership()
+	case errors.Is(err, registry.ErrConflict): // the view here is out of date
+		self := f.state.Self
+		f.mu.Unlock()
+		view, err = f.client.PolicyView(ctx, self, 0, 0)
+		f.mu.Lock()
+		if err == nil {
+			f.state.HandleView(view)
+		}
+	}
+	return err
+}
+
+// acquireLease begins to hold the roster lease, which the policy requires for serving.
+func (f *Follower) acquireLease(ctx context.Context, tasks *sync.WaitGroup) {
+	if f.stopLease != nil {
+		return
+	}
+	ctx, f.stopLease = context.WithCancel(ctx)
+	tasks.Go(func() { f.holdLease(ctx) })
+}
+
+// releaseLease gives the roster lease up.
+func (f *Follower) releaseLease() {
+	if f.stopLease != nil {
+		f.stopLease()
+		f.stopLease = nil
+	}
+}
+
+// holdLease holds the roster lease until ctx ends.
+func (f *Follower) holdLease(ctx context.Context) {
+	name := registry.RosterLeasePrefix + f.state.Self.Name
+	err := f.leases.Hold(ctx, name, func(ctx context.Context, held *lease.Handle) error {
+		f.lease.Store(held)
+		defer f.lease.Store(nil)
+		<-ctx.Done()
+		return ctx.Err()
+	})
+	if ctx.Err() == nil {
+		slog.Error("policy: roster lease cannot be held", "lease", name, "err", err)
+	}
+}
+
+// leaveRoster takes this sidecar out of the roster: no rollout waits for it any more, and its store
+// must not be served by.
+func (f *Follower) leaveRoster(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout/2)
+	defer cancel()
+	if _, err := f.client.ApplyPolicyStep(ctx, rollout.Command{Op: rollout.OpLeave, Member: f.state.Self}, nil); err != nil {
+		slog.Warn("policy: leaving the roster failed, rollouts wait until this name starts again or is evicted", "err", err)
+		return
+	}
+	if err := f.store.remove(); err != nil && !errors.Is(err, os.ErrNotExist) {
+		slog.Warn("policy: store cannot be removed", "err", err)
+	}
+}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -135,7 +135,7 @@
 		if adv, err = overloadreporter.New(c, l.tenantNames(), l); err != nil {
 			return err
 		}
-		l.countForOverload(l.tenantNames())
+		l.countForOverload()
 		l.adviceStatus = adv.Status
 		loops.Go(func() { adv.Run(run) })
 	}
--- a/internal/testing/integration/policy_test.go
+++ b/internal/testing/integration/policy_test.go
@@ -518,7 +518,7 @@
 	if err := g.Processes["n1"].Start(); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "n1 says that it acts by its folder", func() bool { return strings.Contains(g.Processes["n1"].Output(), "serving by what the folder holds") })
+	eventually(t, "n1 says that it acts by its policy store", func() bool { return strings.Contains(g.Processes["n1"].Output(), "serving by the policy store") })
 	if !g.serves("n0") {
 		t.Error("n0 does not carry on")
 	}
