--- a/internal/rollout/active.go
+++ b/internal/rollout/active.go
@@ -1,14 +1,15 @@
 package rollout
 
-// ActivePolicy is what a sidecar acts by.
+// ActivePolicy is what a sidecar acts by. A sidecar's policy store has it as JSON.
 type ActivePolicy struct {
-	Epoch        uint64    `json:"Epoch"` // of the policy in force as far as it knows; 0: its own configuration
-	Document     *Document `json:"Doc"`   // that policy; nil with epoch 0
-	JointChange  uint64    `json:"Joint"` // the change with which it acts by the stricter of both; 0: none
-	NextDocument *Document `json:"Next"`  // what that change would put in force
+	Epoch        uint64    `json:"Epoch"` // of the policy in force; 0: the sidecar's own configuration
+	Document     *Document `json:"Doc"`   // the policy in force; nil if Epoch is 0
+	JointChange  uint64    `json:"Joint"` // the change that limits the policy in force; 0: none
+	NextDocument *Document `json:"Next"`  // the policy of that change
 }
 
-// Effective is the one document to act by; nil: its own configuration counts alone.
+// Effective returns the document to act by, or nil if the sidecar acts by its own
+// configuration alone.
 func (a ActivePolicy) Effective() *Document {
 	switch {
 	case a.JointChange == 0:
--- a/internal/rollout/canary_test.go
+++ b/internal/rollout/canary_test.go
@@ -8,56 +8,57 @@
 func TestCanary(t *testing.T) {
 	for _, x := range []struct {
 		name    string
-		refused uint64
-		ends    Stage
+		refused uint64 // by each canary
+		want    Stage
 	}{{"as good", 20, StageJoint}, {"worse", 200, StageSettled}} {
 		t.Run(x.name, func(t *testing.T) {
-			w := newWorld(t, 10)
-			w.propose(document(4), 0.25)
-			w.sayAll(10)
-			w.advance()
-			ahead := w.s.change.Canaries
-			if len(ahead) != 3 || w.s.stage != StageCanary {
-				t.Fatalf("%v go ahead, %s", ahead, w.s.stage)
+			const members = 10
+			h := newHarness(t, members)
+			h.propose(document(4), 0.25)
+			h.ackAll(members)
+			h.advance()
+			change := h.state.change
+			if len(change.Canaries) != 3 || h.state.stage != StageCanary {
+				t.Fatalf("got canaries %v, %s, want 3, %s", change.Canaries, h.state.stage, StageCanary)
 			}
-			for i := range 10 {
-				m := w.member(i)
+			isCanary := func(m Member) bool { return slices.Contains(change.Canaries, m.Name) }
+			for i := range members {
+				m := h.member(i)
 				want := StagePreparing
-				if slices.Contains(ahead, m.Name) {
+				if isCanary(m) {
 					want = StageJoint
 				}
-				if v := w.s.View(m); v.Stage != want || !v.ReportCounts {
-					t.Errorf("%s sees %s", m.Name, v.Stage)
+				if v := h.state.View(m); v.Stage != want || !v.ReportCounts {
+					t.Errorf("view of %s: got %s, reports %v, want %s, reports true", m.Name, v.Stage, v.ReportCounts, want)
 				}
 			}
-			w.sayAll(10)
-			number := w.s.change.Number
-			report := func(i int, c RequestCounts) {
-				w.must(Command{Op: OpReport, Member: w.member(i), ChangeNumber: number, Counts: c})
+			h.ackAll(members)
+			report := func(m Member, c RequestCounts) {
+				h.mustApply(Command{Op: OpReport, Member: m, ChangeNumber: change.Number, Counts: c})
 			}
-			for i := range 10 {
-				report(i, RequestCounts{Requests: 5000, Refused: 4000}) // before it began
+			for i := range members {
+				report(h.member(i), RequestCounts{Requests: 5000, Refused: 4000}) // before the change
 			}
-			if _, any := Decide(w.s.Status(), w.at+20); any {
-				t.Error("decided on nothing")
+			if c, any := Decide(h.state.Status(), h.nowMS+20); any {
+				t.Errorf("without requests: got %+v, want no decision", c)
 			}
-			for i := range 10 {
-				c := RequestCounts{Requests: 6000, Refused: 4020}
-				if slices.Contains(ahead, w.member(i).Name) {
-					c.Refused = 4000 + x.refused
+			for i := range members {
+				counts := RequestCounts{Requests: 6000, Refused: 4020}
+				if isCanary(h.member(i)) {
+					counts.Refused = 4000 + x.refused
 				}
-				report(i, c)
+				report(h.member(i), counts)
 			}
-			if _, any := Decide(w.s.Status(), w.s.change.CanarySinceMS+5); any {
-				t.Error("decided before the time is over")
+			if c, any := Decide(h.state.Status(), change.CanarySinceMS+5); any {
+				t.Errorf("before the time is over: got %+v, want no decision", c)
 			}
-			c, any := Decide(w.s.Status(), w.s.change.CanarySinceMS+10)
+			c, any := Decide(h.state.Status(), change.CanarySinceMS+10)
 			if !any {
-				t.Fatal("not decided")
+				t.Fatal("after the time: got no decision")
 			}
-			w.must(c)
-			if w.s.stage != x.ends {
-				t.Errorf("it is %s", w.s.stage)
+			h.mustApply(c)
+			if h.state.stage != x.want {
+				t.Errorf("got %s, want %s", h.state.stage, x.want)
 			}
 		})
 	}
--- a/internal/rollout/change.go
+++ b/internal/rollout/change.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// Change is a proposed policy on its way.
+// Change is a proposed policy.
 type Change struct {
 	Number     uint64   `json:"number"` // the epoch that it becomes
 	Document   Document `json:"document"`
 	By         string   `json:"by"`
 	Reason     string   `json:"reason"`
 	StartedMS  int64    `json:"began_ms"`
-	DeadlineMS int64    `json:"until_ms"` // aborted if it is not committed by then
+	DeadlineMS int64    `json:"until_ms"` // it is aborted if it is not committed by then
 
-	CanaryFraction float64  `json:"first,omitempty"`    // the part of the roster that goes ahead
-	CanaryWatchMS  int64    `json:"watch_ms,omitempty"` // for how long it is compared with the rest
-	CanarySinceMS  int64    `json:"since_ms,omitempty"` // when it began to
-	Canaries       []string `json:"canaries,omitempty"` // who goes ahead
+	CanaryFraction float64  `json:"first,omitempty"`    // of the roster; 0: there are no canaries
+	CanaryWatchMS  int64    `json:"watch_ms,omitempty"` // how long the canaries are compared with the others
+	CanarySinceMS  int64    `json:"since_ms,omitempty"` // when the canaries were chosen
+	Canaries       []string `json:"canaries,omitempty"`
 }
 
-// stageOf is the stage of the change for one member: those that go ahead are at joint,
-// while for the others it is as if it were being prepared still.
+// stageOf returns the stage of the change for one member. While there are canaries, they
+// are at StageJoint and the others still at StagePreparing.
 func (s *State) stageOf(name string) Stage {
 	switch {
 	case s.stage != StageCanary:
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -2,41 +2,41 @@
 
 import "errors"
 
-// Op says what a command does.
+// Op is the operation of a command.
 type Op string
 
-// The commands.
+// The operations.
 const (
-	OpJoin    Op = "join"    // a sidecar takes a seat, before it is ready
-	OpLeave   Op = "leave"   // it gives it up, or its lease has ended
-	OpAck     Op = "say"     // it confirms a stage, or refuses a change
-	OpEvict   Op = "evict"   // an operator's word that it has gone
-	OpPropose Op = "propose" // an operator's
-	OpAbort   Op = "abort"   // an operator's, or the leader's whose time is up
-	OpAdvance Op = "advance" // the leader's: the next stage, if everybody is there
-	OpReport  Op = "report"  // a sidecar's counts, while a few go ahead
+	OpJoin    Op = "join"    // a sidecar joins the roster, before it is ready
+	OpLeave   Op = "leave"   // a sidecar leaves, or its roster lease has ended
+	OpAck     Op = "say"     // a member acknowledges a stage, or refuses a change
+	OpEvict   Op = "evict"   // an operator states that a member's process has ended
+	OpPropose Op = "propose" // an operator proposes a policy
+	OpAbort   Op = "abort"   // an operator, or the leader at the deadline, aborts a change
+	OpAdvance Op = "advance" // the leader asks for the next stage
+	OpReport  Op = "report"  // a member reports its counts while there are canaries
 )
 
-// Command is one change of the state.
+// Command is one change of the state. Which fields count depends on the operation.
 type Command struct {
 	Op             Op            `json:"verb"`
 	AtMS           int64         `json:"at_ms,omitempty"`
 	Member         Member        `json:"member,omitzero"`
-	ChangeNumber   uint64        `json:"number,omitempty"` // of the change that is meant
+	ChangeNumber   uint64        `json:"number,omitempty"`
 	Stage          Stage         `json:"stage,omitempty"`
-	Refusal        string        `json:"no,omitempty"` // of Say: why it cannot
+	Refusal        string        `json:"no,omitempty"` // of OpAck: why the member cannot act by the change
 	Document       *Document     `json:"document,omitempty"`
-	BaseEpoch      uint64        `json:"base,omitempty"` // of Propose: the epoch that it was compared with
+	BaseEpoch      uint64        `json:"base,omitempty"` // of OpPropose: the epoch that the document was compared with
 	By             string        `json:"by,omitempty"`
 	Reason         string        `json:"reason,omitempty"`
-	WithinMS       int64         `json:"within_ms,omitempty"`
-	CanaryFraction float64       `json:"first,omitempty"`    // of Propose
-	CanaryWatchMS  int64         `json:"watch_ms,omitempty"` // of Propose
-	Process        Process       `json:"where,omitzero"`     // of Join
-	Counts         RequestCounts `json:"counts,omitzero"`    // of Report
+	WithinMS       int64         `json:"within_ms,omitempty"` // of OpPropose: the time that the change may take
+	CanaryFraction float64       `json:"first,omitempty"`     // of OpPropose
+	CanaryWatchMS  int64         `json:"watch_ms,omitempty"`  // of OpPropose
+	Process        Process       `json:"where,omitzero"`      // of OpJoin
+	Counts         RequestCounts `json:"counts,omitzero"`     // of OpReport
 }
 
-// Why a command was not carried out.
+// The reasons why a command was not carried out.
 var (
 	ErrInvalid      = errors.New("bad command")
 	ErrConflict     = errors.New("conflict")
--- a/internal/rollout/commit.go
+++ b/internal/rollout/commit.go
@@ -6,24 +6,18 @@
 	"barleywick/internal/mutation"
 )
 
-// advance takes a change to its next stage if everybody in the roster, those that have
-// joined since among them, has confirmed the one it is at.
+// advance takes a change to its next stage, if all members of the roster have acknowledged
+// the present one, those that joined during the change included.
 func (s *State) advance(c Command) error {
 	if s.change == nil || c.ChangeNumber != s.change.Number || c.Stage != s.stage {
-		return nil // it has been done
+		return nil // a repeated call
 	}
-	if who := s.waitingFor(); len(who) > 0 && s.stage != StageCommitted && !mutation.LooseStep {
-		return fmt.Errorf("%w: change %d waits for %d, %s among them", ErrConflict, c.ChangeNumber, len(who), who[0])
+	if names := s.waitingFor(); len(names) > 0 && s.stage != StageCommitted && !mutation.LooseStep {
+		return fmt.Errorf("%w: change %d waits for %d, %s among them", ErrConflict, c.ChangeNumber, len(names), names[0])
 	}
 	switch s.stage {
 	case StagePreparing:
-		if s.change.CanaryFraction > 0 {
-			s.stage, s.change.CanarySinceMS, s.change.Canaries = StageCanary, c.AtMS, s.chooseCanaries()
-			break
-		}
-		if s.stage = StageJoint; mutation.NoJoint {
-			s.commit(c.AtMS)
-		}
+		s.afterPreparing(c.AtMS)
 	case StageCanary:
 		s.stage = StageJoint
 	case StageJoint:
@@ -34,13 +28,25 @@
 	return nil
 }
 
-// commit puts the new policy in force: one write.
-func (s *State) commit(at int64) {
+// afterPreparing goes on to the canaries, if there are to be any, or to StageJoint.
+func (s *State) afterPreparing(atMS int64) {
+	if s.change.CanaryFraction > 0 {
+		s.stage, s.change.CanarySinceMS, s.change.Canaries = StageCanary, atMS, s.chooseCanaries()
+		return
+	}
+	s.stage = StageJoint
+	if mutation.NoJoint {
+		s.commit(atMS)
+	}
+}
+
+// commit puts the new policy in force.
+func (s *State) commit(atMS int64) {
 	s.epoch, s.document, s.stage = s.change.Number, s.change.Document, StageCommitted
-	s.record("committed", at)
+	s.record(OutcomeCommitted, atMS)
 }
 
-// settleIfConfirmed ends a change that is in force once everybody has confirmed it.
+// settleIfConfirmed ends a committed change when all members act by it.
 func (s *State) settleIfConfirmed() {
 	if s.stage == StageCommitted && s.waitingFor() == nil {
 		s.change, s.stage = nil, StageSettled
--- a/internal/rollout/diff.go
+++ b/internal/rollout/diff.go
@@ -1,46 +1,47 @@
 package rollout
 
-import (
-	"fmt"
-	"slices"
-)
+import "fmt"
 
-// Diff tells in words and figures what a change changes, a line each.
+// Diff describes what a change changes, one difference a line.
 func Diff(from, to *Document) (lines []string) {
-	say := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
+	add := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
 	if from.Mode != to.Mode {
-		say("mode: %s, was %s", to.Mode, from.Mode)
+		add("mode: %s, was %s", to.Mode, from.Mode)
 	}
-	number := func(name string, was, is int) {
-		word := func(n int) string {
-			if n == 0 {
-				return "as configured"
-			}
-			return fmt.Sprint(n)
-		}
-		if was != is {
-			say("%s: %s, was %s", name, word(is), word(was))
+	for _, limit := range []struct {
+		field    string
+		old, new int
+	}{
+		{"most_tries", from.MaxAttempts, to.MaxAttempts},
+		{"client_connections", from.MaxClientConnections, to.MaxClientConnections},
+		{"server_connections", from.MaxServerConnections, to.MaxServerConnections},
+	} {
+		if limit.old != limit.new {
+			add("%s: %s, was %s", limit.field, limitText(limit.new), limitText(limit.old))
 		}
 	}
-	number("most_tries", from.MaxAttempts, to.MaxAttempts)
-	number("client_connections", from.MaxClientConnections, to.MaxClientConnections)
-	number("server_connections", from.MaxServerConnections, to.MaxServerConnections)
 	if from.NoProbes != to.NoProbes {
-		say("no_probes: %v, was %v", to.NoProbes, from.NoProbes)
+		add("no_probes: %v, was %v", to.NoProbes, from.NoProbes)
 	}
-	for _, t := range from.Tenants {
-		o := to.Tenant(t.Name)
-		switch gone := !slices.ContainsFunc(to.Tenants, func(o Tenant) bool { return o.Name == t.Name }); {
-		case gone:
-			say("tenant %s: removed, had %d slots and %d places at each sidecar", t.Name, t.Slots, t.QueuePlaces)
-		case o != t:
-			say("tenant %s: %d slots and %d places at each sidecar, was %d and %d", t.Name, o.Slots, o.QueuePlaces, t.Slots, t.QueuePlaces)
+	for _, old := range from.Tenants {
+		switch t, kept := to.findTenant(old.Name); {
+		case !kept:
+			add("tenant %s: removed, had %d slots and %d places at each sidecar", old.Name, old.Slots, old.QueuePlaces)
+		case t != old:
+			add("tenant %s: %d slots and %d places at each sidecar, was %d and %d", old.Name, t.Slots, t.QueuePlaces, old.Slots, old.QueuePlaces)
 		}
 	}
 	for _, t := range to.Tenants {
-		if !slices.ContainsFunc(from.Tenants, func(o Tenant) bool { return o.Name == t.Name }) {
-			say("tenant %s: new, %d slots and %d places at each sidecar", t.Name, t.Slots, t.QueuePlaces)
+		if _, existed := from.findTenant(t.Name); !existed {
+			add("tenant %s: new, %d slots and %d places at each sidecar", t.Name, t.Slots, t.QueuePlaces)
 		}
 	}
 	return lines
 }
+
+func limitText(limit int) string {
+	if limit == 0 {
+		return "as configured"
+	}
+	return fmt.Sprint(limit)
+}
--- a/internal/rollout/document.go
+++ b/internal/rollout/document.go
@@ -1,7 +1,3 @@
-// Package rollout is a change of policy that takes hold at all sidecars or at none:
-// the document, and the workflow as a state machine without I/O and without a clock.
-// It is part of the registry's state and moves by Raft; docs/POLICY.md tells how it
-// is used.
 package rollout
 
 import (
@@ -9,54 +5,62 @@
 	"crypto/sha256"
 	"encoding/hex"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"slices"
 	"strings"
 )
 
-// Mode says what a sidecar does that is cut off from the registry.
+const (
+	formatVersion = 1
+	maxTenants    = 256
+	maxSlots      = 1 << 16 // and queue places, and connections
+	maxAttempts   = 16
+	maxName       = 128 // bytes
+)
+
+// Mode is what a sidecar does that is cut off from the registry.
 type Mode string
 
 // The modes.
 const (
-	ModeCarry  Mode = "carry"  // it serves on by what it holds, and a change waits for it
-	ModeRefuse Mode = "refuse" // it refuses new requests, and a change waits for its lease at most
+	ModeCarry  Mode = "carry"  // it goes on serving by the policy that it has, and a change waits for it
+	ModeRefuse Mode = "refuse" // it refuses new requests, and a change waits until its roster lease ends at most
 )
 
-// Document is a policy: what each sidecar acts by.
+// Document is a fleet policy: what each sidecar acts by.
 type Document struct {
-	FormatVersion int      `json:"form" toml:"form"` // of the document itself
+	FormatVersion int      `json:"form" toml:"form"`
 	Mode          Mode     `json:"mode" toml:"mode"`
 	Tenants       []Tenant `json:"tenants" toml:"tenants"`
-	// MaxAttempts bounds the attempts for a request, the first among them; 0: as configured.
+	// MaxAttempts limits the attempts of a request, the first included; 0: as configured.
 	MaxAttempts int `json:"most_tries,omitempty" toml:"most_tries"`
 	// NoProbes keeps sidecars from probing servers.
 	NoProbes bool `json:"no_probes,omitempty" toml:"no_probes"`
-	// MaxClientConnections and Servers bound a sidecar's connections on both sides; 0: as configured.
+	// MaxClientConnections and MaxServerConnections limit the connections of a sidecar; 0:
+	// as configured.
 	MaxClientConnections int `json:"client_connections,omitempty" toml:"client_connections"`
 	MaxServerConnections int `json:"server_connections,omitempty" toml:"server_connections"`
 
-	unknownField string // what this build does not know of it
+	unknownField string // says which field this build does not know
 }
 
-// Tenant is one tenant's walls at each sidecar.
+// Tenant is the bulkhead capacity of one tenant at each sidecar.
 type Tenant struct {
 	Name        string `json:"name" toml:"name"`
-	Slots       int    `json:"slots" toml:"slots"`   // requests at servers at once; 0: it is served no more
-	QueuePlaces int    `json:"places" toml:"places"` // and that wait
+	Slots       int    `json:"slots" toml:"slots"` // requests in flight; 0: the tenant is not served
+	QueuePlaces int    `json:"places" toml:"places"`
 }
 
-const (
-	formatVersion = 1
-	maxTenants    = 256
-	maxSlots      = 1 << 16
-	maxAttempts   = 16
-	maxName       = 128
-	maxDocument   = 32 << 10
-)
-
-// Check returns an error that begins with the first field that cannot be.
+// Check returns an error that begins with the name of the first invalid field.
 func (d *Document) Check() error {
+	if err := d.checkFields(); err != nil {
+		return err
+	}
+	return d.checkTenants()
+}
+
+func (d *Document) checkFields() error {
 	switch {
 	case d.unknownField != "":
 		return fmt.Errorf("%s: this build does not know it", d.unknownField)
@@ -66,66 +70,108 @@
 		return fmt.Errorf("mode is %.32q; there are carry and refuse", d.Mode)
 	case len(d.Tenants) == 0 || len(d.Tenants) > maxTenants:
 		return fmt.Errorf("tenants: %d are named, 1 to %d are needed", len(d.Tenants), maxTenants)
-	case d.MaxAttempts < 0 || d.MaxAttempts > maxAttempts:
-		return fmt.Errorf("most_tries is %d, it must lie between 0 and %d", d.MaxAttempts, maxAttempts)
-	case d.MaxClientConnections < 0 || d.MaxClientConnections > maxSlots:
-		return fmt.Errorf("client_connections is %d, it must lie between 0 and %d", d.MaxClientConnections, maxSlots)
-	case d.MaxServerConnections < 0 || d.MaxServerConnections > maxSlots:
-		return fmt.Errorf("server_connections is %d, it must lie between 0 and %d", d.MaxServerConnections, maxSlots)
 	}
+	return checkRanges([]numberRange{
+		{"most_tries", d.MaxAttempts, maxAttempts},
+		{"client_connections", d.MaxClientConnections, maxSlots},
+		{"server_connections", d.MaxServerConnections, maxSlots},
+	})
+}
+
+func (d *Document) checkTenants() error {
 	seen := make(map[string]bool)
-	any := false
+	served := false
 	for i, t := range d.Tenants {
+		field := fmt.Sprintf("tenants[%d]", i)
 		switch {
 		case t.Name == "" && len(d.Tenants) > 1, len(t.Name) > maxName:
-			return fmt.Errorf("tenants[%d].name is missing or longer than %d", i, maxName)
+			return fmt.Errorf("%s.name is missing or longer than %d", field, maxName)
 		case seen[t.Name]:
-			return fmt.Errorf("tenants[%d].name %q is there twice", i, t.Name)
-		case t.Slots < 0 || t.Slots > maxSlots:
-			return fmt.Errorf("tenants[%d].slots is %d, it must lie between 0 and %d", i, t.Slots, maxSlots)
-		case t.QueuePlaces < 0 || t.QueuePlaces > maxSlots:
-			return fmt.Errorf("tenants[%d].places is %d, it must lie between 0 and %d", i, t.QueuePlaces, maxSlots)
-		case t.Slots > 0 && t.QueuePlaces == 0:
-			return fmt.Errorf("tenants[%d].places is 0, a tenant with slots needs at least one", i)
+			return fmt.Errorf("%s.name %q is there twice", field, t.Name)
+		}
+		if err := t.checkCapacity(field); err != nil {
+			return err
 		}
 		seen[t.Name] = true
-		any = any || t.Slots > 0
+		served = served || t.Slots > 0
+	}
+	if !served {
+		return errors.New("tenants: none has slots, nobody would be served")
 	}
-	if !any {
-		return fmt.Errorf("tenants: none has slots, nobody would be served")
+	return nil
+}
+
+func (t Tenant) checkCapacity(field string) error {
+	if err := checkRanges([]numberRange{
+		{field + ".slots", t.Slots, maxSlots},
+		{field + ".places", t.QueuePlaces, maxSlots},
+	}); err != nil {
+		return err
+	}
+	if t.Slots > 0 && t.QueuePlaces == 0 {
+		return fmt.Errorf("%s.places is 0, a tenant with slots needs at least one", field)
+	}
+	return nil
+}
+
+// numberRange is a field whose value lies between 0 and a maximum.
+type numberRange struct {
+	field      string
+	value, max int
+}
+
+func checkRanges(ranges []numberRange) error {
+	for _, r := range ranges {
+		if r.value < 0 || r.value > r.max {
+			return fmt.Errorf("%s is %d, it must lie between 0 and %d", r.field, r.value, r.max)
+		}
 	}
 	return nil
 }
 
-// Tenant returns a tenant's walls; one that the document does not name has none.
+// Tenant returns the capacity of a tenant. One that the document does not name has none.
 func (d *Document) Tenant(name string) Tenant {
-	if i := slices.IndexFunc(d.Tenants, func(t Tenant) bool { return t.Name == name }); i >= 0 {
-		return d.Tenants[i]
+	if t, ok := d.findTenant(name); ok {
+		return t
 	}
 	return Tenant{Name: name}
 }
 
-// Stricter is the policy that allows what both allow, field by field. Whoever acts by
-// it takes no more than either alone would.
+func (d *Document) findTenant(name string) (Tenant, bool) {
+	i := slices.IndexFunc(d.Tenants, func(t Tenant) bool { return t.Name == name })
+	if i < 0 {
+		return Tenant{}, false
+	}
+	return d.Tenants[i], true
+}
+
+// Stricter returns the policy that allows what both allow, field by field. Whoever acts by
+// it takes no more than by either one.
 func Stricter(a, b *Document) *Document {
-	j := &Document{FormatVersion: formatVersion, Mode: a.Mode, MaxAttempts: stricterLimit(a.MaxAttempts, b.MaxAttempts), NoProbes: a.NoProbes || b.NoProbes,
-		MaxClientConnections: stricterLimit(a.MaxClientConnections, b.MaxClientConnections), MaxServerConnections: stricterLimit(a.MaxServerConnections, b.MaxServerConnections)}
+	j := &Document{
+		FormatVersion:        formatVersion,
+		Mode:                 a.Mode,
+		MaxAttempts:          stricterLimit(a.MaxAttempts, b.MaxAttempts),
+		NoProbes:             a.NoProbes || b.NoProbes,
+		MaxClientConnections: stricterLimit(a.MaxClientConnections, b.MaxClientConnections),
+		MaxServerConnections: stricterLimit(a.MaxServerConnections, b.MaxServerConnections),
+	}
 	if b.Mode == ModeRefuse {
 		j.Mode = ModeRefuse
 	}
 	for _, t := range a.Tenants {
-		o := b.Tenant(t.Name)
-		j.Tenants = append(j.Tenants, Tenant{t.Name, min(t.Slots, o.Slots), min(t.QueuePlaces, o.QueuePlaces)})
+		other := b.Tenant(t.Name)
+		j.Tenants = append(j.Tenants, Tenant{t.Name, min(t.Slots, other.Slots), min(t.QueuePlaces, other.QueuePlaces)})
 	}
-	for _, t := range b.Tenants { // those that the other does not name have nothing yet
-		if !slices.ContainsFunc(a.Tenants, func(o Tenant) bool { return o.Name == t.Name }) {
+	for _, t := range b.Tenants {
+		if _, both := a.findTenant(t.Name); !both {
 			j.Tenants = append(j.Tenants, Tenant{Name: t.Name})
 		}
 	}
 	return j
 }
 
-// stricterLimit is the lower of two bounds, of which 0 is none.
+// stricterLimit returns the lower of two limits, of which 0 means none.
 func stricterLimit(a, b int) int {
 	if a == 0 || b != 0 && b < a {
 		return b
@@ -133,25 +179,26 @@
 	return a
 }
 
-// Checksum is the document's checksum.
+// Checksum returns the checksum of the document as JSON.
 func (d *Document) Checksum() string {
 	text, err := json.Marshal(d)
 	if err != nil {
-		panic(fmt.Sprintf("rollout: a document that cannot be written: %v", err)) // texts and numbers can
+		panic(fmt.Sprintf("rollout: a document that cannot be written: %v", err)) // strings and numbers always can
 	}
 	return Checksum(text)
 }
 
-// Checksum is short, and tells texts apart that were not made to be alike.
+// Checksum returns a short checksum, which protects against accidents but not against
+// texts that were made to agree.
 func Checksum(text []byte) string {
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:8])
 }
 
-// UnmarshalJSON reads a document. One with fields that this build does not know is read
-// as far as it can be: Check refuses it, with their name.
+// UnmarshalJSON reads a document. A field that this build does not know is no error here,
+// but Check refuses the document and names the field.
 func (d *Document) UnmarshalJSON(text []byte) error {
-	type plain Document
+	type plain Document // without this method
 	var p plain
 	if err := json.Unmarshal(text, &p); err != nil {
 		return err
--- a/internal/rollout/follower.go
+++ b/internal/rollout/follower.go
@@ -7,51 +7,57 @@
 	"barleywick/internal/mutation"
 )
 
-// Follower is one sidecar's part: a state machine without I/O and without a clock. It
-// says what to act by, and what to say to the registry. It is not safe for concurrent
-// use.
+// Follower is a sidecar's part in rollouts. It decides what to act by and what to tell the
+// registry, from the views that the registry sends. It is a state machine without I/O and
+// without a clock, and is not safe for concurrent use.
 type Follower struct {
 	Self     Member
-	Process  Process                 // where its process is; may be nowhere
-	Supports func(d *Document) error // whether this sidecar could act by a document
+	Process  Process                 // sent when it joins; may be empty
+	Supports func(d *Document) error // why the sidecar cannot act by a document, or nil
 
 	view            View
-	inRoster        bool // a view of a seat of its own
+	inRoster        bool // by the view, and not refused since
 	ackedStage      Stage
-	ackedChange     uint64 // the change that it said it of
-	supportedChange uint64 // the change that it said it can act by
+	ackedChange     uint64 // the change of ackedStage
+	supportedChange uint64 // the change or epoch that the sidecar can act by
 	refusedChange   uint64
-	refusal         string
+	refusal         string // why it refused that change
 	fatal           error
 }
 
-// Fatal says why this process cannot act by the policy in force, if it cannot: one that
-// starts is to give its seat up again and to end. One that acts has said that it can.
+// Fatal returns why this sidecar cannot act by the policy in force, or nil. It is to leave
+// the roster and end. This concerns sidecars that start: one that acts already has
+// acknowledged that it can.
 func (f *Follower) Fatal() error { return f.fatal }
 
-// HandleView takes news of the registry in. News that are older than those it has change
-// nothing: they come late.
+// HandleView handles a view from the registry. A view that is older than the present one
+// is ignored.
 func (f *Follower) HandleView(v View) {
 	if f.inRoster && v.Version < f.view.Version {
 		return
 	}
-	if f.view.ChangeNumber != v.ChangeNumber {
+	if f.view.ChangeNumber != v.ChangeNumber || !v.InRoster {
 		f.ackedStage, f.ackedChange = "", 0
 	}
 	f.view, f.inRoster = v, v.InRoster
+	f.checkInForce()
+}
+
+// checkInForce checks whether the sidecar can act by the policy in force.
+func (f *Follower) checkInForce() {
 	f.fatal = nil
-	if v.InRoster && v.Document != nil && f.supportedChange != v.Epoch {
-		if f.fatal = f.Supports(v.Document); f.fatal == nil && v.ChangeNumber != f.supportedChange {
-			f.supportedChange = v.Epoch
-		}
+	v := f.view
+	if !v.InRoster || v.Document == nil || f.supportedChange == v.Epoch {
+		return
 	}
-	if !v.InRoster {
-		f.ackedStage, f.ackedChange = "", 0
+	f.fatal = f.Supports(v.Document)
+	if f.fatal == nil && v.ChangeNumber != f.supportedChange {
+		f.supportedChange = v.Epoch
 	}
 }
 
-// Active says whether it may act at all, and by what. Without a seat it does not: a
-// change may pass that does not wait for it.
+// Active returns what the sidecar is to act by, and whether it may act at all. Without a
+// place in the roster it may not: a change may pass that does not wait for it.
 func (f *Follower) Active() (ActivePolicy, bool) {
 	if !f.inRoster {
 		return ActivePolicy{}, mutation.LateRoster
@@ -66,66 +72,79 @@
 	return a, true
 }
 
-// Version is that of the news it has; 0: it has none.
+// Version returns the version of the present view; 0: there is none.
 func (f *Follower) Version() uint64 { return f.view.Version }
 
-// LostMembership takes that the registry refuses this process: it was evicted, or a later one has
-// its name. It acts no more.
+// LostMembership records that the registry refuses this process: it was evicted, or a
+// later process has its name. It acts no more.
 func (f *Follower) LostMembership() { f.inRoster, f.ackedStage, f.ackedChange = false, "", 0 }
 
-// NextCommand is what to say to the registry now, if anything. What it says of a stage it has
-// to act by already: whoever calls puts Acting in force before.
+// NextCommand returns the command to send to the registry now, if any. An acknowledged
+// stage has to be in force already: the caller acts by Active before it sends the command.
 func (f *Follower) NextCommand() (Command, bool) {
-	v := f.view
 	switch {
 	case !f.inRoster:
 		return Command{Op: OpJoin, Member: f.Self, Process: f.Process}, true
-	case v.Stage == StageSettled || f.ackedChange == v.ChangeNumber && stageOrder(f.ackedStage) >= stageOrder(v.Stage) && !f.refusesPending():
+	case f.view.Stage == StageSettled || f.acked() && !f.refuses():
 		return Command{}, false
 	}
-	c := Command{Op: OpAck, Member: f.Self, ChangeNumber: v.ChangeNumber, Stage: v.Stage}
-	if v.NextDocument != nil && f.supportedChange != v.ChangeNumber && f.refusedChange != v.ChangeNumber {
-		if err := f.Supports(v.NextDocument); err != nil {
-			f.Refuse(err)
-		} else {
-			f.supportedChange = v.ChangeNumber
-		}
-	}
-	if f.refusesPending() {
+	f.checkNext()
+	c := Command{Op: OpAck, Member: f.Self, ChangeNumber: f.view.ChangeNumber, Stage: f.view.Stage}
+	if f.refuses() {
 		c.Refusal = f.refusal
 	}
 	return c, true
 }
 
-// refusesPending says whether it refusesPending the change under way, while that can be ended still.
-func (f *Follower) refusesPending() bool {
+// acked reports whether the present stage has been acknowledged.
+func (f *Follower) acked() bool {
+	return f.ackedChange == f.view.ChangeNumber && f.ackedStage.reached(f.view.Stage)
+}
+
+// refuses reports whether the sidecar refuses the change while it can still be aborted.
+func (f *Follower) refuses() bool {
 	return f.view.NextDocument != nil && f.refusedChange == f.view.ChangeNumber
 }
 
-// Refuse takes that this sidecar cannot act by the change under way, whatever it has
-// said of it. Before the change is in force that ends it everywhere.
+// checkNext checks once whether the sidecar can act by the change.
+func (f *Follower) checkNext() {
+	number, next := f.view.ChangeNumber, f.view.NextDocument
+	if next == nil || f.supportedChange == number || f.refusedChange == number {
+		return
+	}
+	if err := f.Supports(next); err != nil {
+		f.Refuse(err)
+		return
+	}
+	f.supportedChange = number
+}
+
+// Refuse refuses the change, whatever was acknowledged before. This aborts a change that
+// is not committed.
 func (f *Follower) Refuse(err error) {
 	if f.view.NextDocument != nil {
 		f.refusedChange, f.refusal = f.view.ChangeNumber, err.Error()
 	}
 }
 
-// ReportsWanted is the change for which counts are to be reported from time to time, if any.
-func (f *Follower) ReportsWanted() (number uint64, wanted bool) {
+// ReportsWanted returns the change for which counts are to be reported from time to time,
+// if any.
+func (f *Follower) ReportsWanted() (changeNumber uint64, wanted bool) {
 	return f.view.ChangeNumber, f.inRoster && f.view.ReportCounts
 }
 
-// HandleResult takes what became of what was said.
+// HandleResult handles the registry's answer to a command of NextCommand.
 func (f *Follower) HandleResult(c Command, err error) {
 	switch {
-	case c.Op == OpAck && err == nil && c.Refusal == "":
+	case c.Op != OpAck:
+	case err == nil && c.Refusal == "":
 		f.ackedStage, f.ackedChange = c.Stage, c.ChangeNumber
-	case c.Op == OpAck && errors.Is(err, ErrNotFound): // it has no seat any more
+	case errors.Is(err, ErrNotFound):
 		f.LostMembership()
 	}
 }
 
-// Summary is a line for people: what it refused, if anything.
+// Summary returns epoch and stage, and why the sidecar refused the change, if it did.
 func (f *Follower) Summary() (epoch uint64, stage Stage, refused string) {
 	if f.refusedChange != 0 && f.refusedChange == f.view.ChangeNumber {
 		refused = f.refusal
@@ -133,7 +152,7 @@
 	return f.view.Epoch, f.view.Stage, refused
 }
 
-// Key appends what tells the follower's state from others.
+// Key appends what tells the follower's state from others, for the model.
 func (f *Follower) Key(text []byte) []byte {
 	return fmt.Append(text, f.inRoster, f.ackedStage, f.ackedChange, f.supportedChange, f.view.Epoch, f.view.Stage, f.view.ChangeNumber, f.view.Version)
 }
--- a/internal/rollout/harness_test.go
+++ b/internal/rollout/harness_test.go
@@ -1,6 +1,7 @@
 package rollout
 
 import (
+	"errors"
 	"fmt"
 	"testing"
 )
@@ -9,55 +10,72 @@
 	return &Document{FormatVersion: 1, Mode: ModeCarry, Tenants: []Tenant{{"a", slots, 1}, {"b", 2, 1}}}
 }
 
-// world is a state with members, told things in order.
-type world struct {
-	t  *testing.T
-	s  *State
-	at int64
+// harness applies commands to a state, one a millisecond.
+type harness struct {
+	t     *testing.T
+	state *State
+	nowMS int64
 }
 
-func (w *world) do(c Command) error {
-	w.at++
-	c.AtMS = w.at
-	return w.s.Apply(c)
+// newHarness makes a state with members n0, n1 and so on.
+func newHarness(t *testing.T, members int) *harness {
+	h := &harness{t: t, state: New(100)}
+	for i := range members {
+		h.mustApply(Command{Op: OpJoin, Member: h.member(i)})
+	}
+	return h
 }
 
-func (w *world) must(c Command) {
-	w.t.Helper()
-	if err := w.do(c); err != nil {
-		w.t.Fatalf("%s: %v", c.Op, err)
-	}
+func (h *harness) member(i int) Member { return Member{fmt.Sprint("n", i), 1} }
+
+func (h *harness) apply(c Command) error {
+	h.nowMS++
+	c.AtMS = h.nowMS
+	return h.state.Apply(c)
 }
 
-func (w *world) member(i int) Member { return Member{fmt.Sprint("n", i), 1} }
+func (h *harness) mustApply(c Command) {
+	h.t.Helper()
+	if err := h.apply(c); err != nil {
+		h.t.Fatalf("%s: %v", c.Op, err)
+	}
+}
 
-func (w *world) propose(d *Document, first float64) {
-	w.t.Helper()
-	c := Command{Op: OpPropose, Document: d, BaseEpoch: w.s.epoch, By: "op", Reason: fmt.Sprint(w.at), WithinMS: 1000}
-	if first > 0 {
-		c.CanaryFraction, c.CanaryWatchMS = first, 10
+func (h *harness) propose(d *Document, canaryFraction float64) {
+	h.t.Helper()
+	c := Command{Op: OpPropose, Document: d, BaseEpoch: h.state.epoch, By: "op", Reason: fmt.Sprint(h.nowMS), WithinMS: 1000}
+	if canaryFraction > 0 {
+		c.CanaryFraction, c.CanaryWatchMS = canaryFraction, 10
 	}
-	w.must(c)
+	h.mustApply(c)
 }
 
-// sayAll has all members say what their views ask for.
-func (w *world) sayAll(n int) {
-	w.t.Helper()
+// ackAll has the first n members acknowledge the stage that their views show.
+func (h *harness) ackAll(n int) {
+	h.t.Helper()
 	for i := range n {
-		v := w.s.View(w.member(i))
-		w.must(Command{Op: OpAck, Member: w.member(i), ChangeNumber: v.ChangeNumber, Stage: v.Stage})
+		v := h.state.View(h.member(i))
+		h.mustApply(Command{Op: OpAck, Member: h.member(i), ChangeNumber: v.ChangeNumber, Stage: v.Stage})
 	}
 }
 
-func (w *world) advance() {
-	w.t.Helper()
-	w.must(Command{Op: OpAdvance, ChangeNumber: w.s.change.Number, Stage: w.s.stage})
+func (h *harness) advance() {
+	h.t.Helper()
+	h.mustApply(Command{Op: OpAdvance, ChangeNumber: h.state.change.Number, Stage: h.state.stage})
 }
 
-func newWorld(t *testing.T, members int) *world {
-	w := &world{t: t, s: New(100)}
-	for i := range members {
-		w.must(Command{Op: OpJoin, Member: w.member(i)})
+// wantError checks that a command fails with an error.
+func (h *harness) wantError(what string, c Command, want error) {
+	h.t.Helper()
+	if err := h.apply(c); !errors.Is(err, want) {
+		h.t.Errorf("%s: got %v, want %v", what, err, want)
+	}
+}
+
+// wantStage checks the state's epoch and stage.
+func (h *harness) wantStage(epoch uint64, stage Stage) {
+	h.t.Helper()
+	if h.state.epoch != epoch || h.state.stage != stage {
+		h.t.Errorf("got epoch %d, %s, want epoch %d, %s", h.state.epoch, h.state.stage, epoch, stage)
 	}
-	return w
 }
--- a/internal/rollout/history.go
+++ b/internal/rollout/history.go
@@ -1,18 +1,25 @@
 package rollout
 
-// HistoryEntry is a policy that was proposed: in force, or refused.
+import "slices"
+
+// maxHistory is how many changes are remembered.
+const maxHistory = 64
+
+// OutcomeCommitted is the outcome of a change that came into force.
+const OutcomeCommitted = "committed"
+
+// HistoryEntry is a change that has come into force or was aborted.
 type HistoryEntry struct {
 	Change
 	Checksum string `json:"sum"`
-	Outcome  string `json:"outcome"` // committed, or why not
+	Outcome  string `json:"outcome"` // OutcomeCommitted, or why the change was aborted
 	EndedMS  int64  `json:"ended_ms"`
 }
 
-const (
-	maxRoster  = 4096
-	maxHistory = 64
-	maxEvicted = 1024
-	maxReason  = 512
-	// MaxWithinMS is the longest time that a change may take, in ms.
-	MaxWithinMS = 7 * 24 * 3600 * 1000
-)
+// record adds the present change to the history.
+func (s *State) record(outcome string, atMS int64) {
+	s.history = append(s.history, HistoryEntry{*s.change, s.change.Document.Checksum(), outcome, atMS})
+	if excess := len(s.history) - maxHistory; excess > 0 {
+		s.history = slices.Delete(s.history, 0, excess)
+	}
+}
--- a/internal/rollout/leader.go
+++ b/internal/rollout/leader.go
@@ -1,54 +1,82 @@
 package rollout
 
-import "barleywick/internal/mutation"
+import (
+	"strings"
 
-// Decide is the leader's part: what to do of a change as it stands, if anything. It
-// decides on what it has read, which may be old by now: the state machine looks again.
+	"barleywick/internal/mutation"
+)
+
+// The leader's names in the outcome of a change that it aborts.
+const (
+	byCanaries = "those that went ahead"
+	byDeadline = "its time-out"
+)
+
+// maxNamesInReason is how many members the reason of an abort names.
+const maxNamesInReason = 5
+
+// Decide is the leader's part: it returns the command that takes a change on, if any. The
+// status may be out of date, because the state checks each command itself.
 func Decide(s Status, nowMS int64) (Command, bool) {
 	c := s.Change
+	if c == nil {
+		return Command{}, false
+	}
+	confirmed := len(s.WaitingFor) == 0
+	expired := nowMS >= c.DeadlineMS
 	switch {
-	case c == nil:
-	case len(s.WaitingFor) == 0 && s.Stage == StageCanary && nowMS < c.DeadlineMS:
-		if nowMS < c.CanarySinceMS+c.CanaryWatchMS {
-			break
-		}
-		worse, enough := CompareCanaries(s)
-		if worse != "" {
-			return Command{Op: OpAbort, ChangeNumber: c.Number, By: "those that went ahead", Reason: worse}, true
-		}
-		if enough {
-			return Command{Op: OpAdvance, ChangeNumber: c.Number, Stage: s.Stage}, true
-		}
-	case len(s.WaitingFor) == 0 && s.Stage != StageCommitted && s.Stage != StageCanary:
-		return Command{Op: OpAdvance, ChangeNumber: c.Number, Stage: s.Stage}, true
-	case mutation.SilentLeave && nowMS >= (c.StartedMS+c.DeadlineMS)/2 && len(s.WaitingFor) > 0:
-		for _, seat := range s.Roster {
-			if seat.Name == s.WaitingFor[0] {
-				return Command{Op: OpLeave, Member: seat.Member}, true
-			}
-		}
-	case s.Stage != StageCommitted && nowMS >= c.DeadlineMS:
-		why := "not confirmed by " + joinNames(s.WaitingFor)
-		if len(s.WaitingFor) == 0 {
-			why = "too few requests at those that went ahead to compare them"
-		}
-		return Command{Op: OpAbort, ChangeNumber: c.Number, By: "its time-out", Reason: why}, true
+	case confirmed && s.Stage == StageCanary && !expired:
+		return decideCanary(s, nowMS)
+	case confirmed && s.Stage != StageCommitted && s.Stage != StageCanary:
+		return advanceCommand(s), true
+	case mutation.SilentLeave && nowMS >= (c.StartedMS+c.DeadlineMS)/2 && !confirmed:
+		return leaveOfSilentMember(s)
+	case s.Stage != StageCommitted && expired:
+		return abortAtDeadline(s), true
 	}
 	return Command{}, false
 }
 
-// joinNames names some.
-func joinNames(names []string) string {
-	const few = 5
-	text := ""
-	for i, n := range names {
-		if i == few {
-			return text + " and others"
-		}
-		if i > 0 {
-			text += ", "
+// decideCanary ends the canary stage when its time is over and there were enough requests.
+func decideCanary(s Status, nowMS int64) (Command, bool) {
+	if nowMS < s.Change.CanarySinceMS+s.Change.CanaryWatchMS {
+		return Command{}, false
+	}
+	worse, enough := CompareCanaries(s)
+	switch {
+	case worse != "":
+		return Command{Op: OpAbort, ChangeNumber: s.Change.Number, By: byCanaries, Reason: worse}, true
+	case enough:
+		return advanceCommand(s), true
+	}
+	return Command{}, false
+}
+
+func advanceCommand(s Status) Command {
+	return Command{Op: OpAdvance, ChangeNumber: s.Change.Number, Stage: s.Stage}
+}
+
+func abortAtDeadline(s Status) Command {
+	reason := "not confirmed by " + listNames(s.WaitingFor)
+	if len(s.WaitingFor) == 0 {
+		reason = "too few requests at those that went ahead to compare them"
+	}
+	return Command{Op: OpAbort, ChangeNumber: s.Change.Number, By: byDeadline, Reason: reason}
+}
+
+// leaveOfSilentMember takes silence for leaving, which no build but a mutation does.
+func leaveOfSilentMember(s Status) (Command, bool) {
+	for _, m := range s.Roster {
+		if m.Name == s.WaitingFor[0] {
+			return Command{Op: OpLeave, Member: m.Member}, true
 		}
-		text += n
 	}
-	return text
+	return Command{}, false
+}
+
+func listNames(names []string) string {
+	if len(names) > maxNamesInReason {
+		return strings.Join(names[:maxNamesInReason], ", ") + " and others"
+	}
+	return strings.Join(names, ", ")
 }
--- a/internal/rollout/process.go
+++ b/internal/rollout/process.go
@@ -7,8 +7,22 @@
 	"strings"
 )
 
-// ProcessStartTicks is when a process of this machine was started, by the kernel's count; 0
-// where there is none of that id. A later process of the id has another.
+// Process identifies a sidecar's process to a controller on the same machine, which can
+// see when it has ended.
+type Process struct {
+	Machine    string `json:"machine"`
+	PID        int    `json:"pid"`
+	StartTicks uint64 `json:"started"` // by the kernel's count: a later process of the same id has another
+}
+
+// Fields of /proc/PID/stat after the name in parentheses.
+const (
+	statState     = 0
+	statStartTime = 19
+)
+
+// ProcessStartTicks returns when a process of this machine started, by the kernel's count,
+// or 0 if there is none of that id or it has ended and nobody has waited for it yet.
 func ProcessStartTicks(pid int) uint64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -16,25 +30,25 @@
 	}
 	// The name in parentheses may hold anything; the fields after it are plain.
 	fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
-	const state, started = 0, 19 // of the fields after the name
-	if len(fields) <= started || fields[state] == "Z" || fields[state] == "X" {
-		return 0 // it has ended, though nobody has waited for it yet
+	if len(fields) <= statStartTime || fields[statState] == "Z" || fields[statState] == "X" {
+		return 0
 	}
-	n, _ := strconv.ParseUint(fields[started], 10, 64)
-	return n
-}
-
-// ProcessGone says whether the process of a seat on this machine has ended for sure. Where the
-// processes of the machine cannot be seen at all, none has.
-func (s RosterMember) ProcessGone(machine string) bool {
-	return s.Process.Machine == machine && machine != "" && s.Process.PID > 0 && s.Process.StartTicks > 0 &&
-		ProcessStartTicks(os.Getpid()) != 0 && ProcessStartTicks(s.Process.PID) != s.Process.StartTicks
+	ticks, err := strconv.ParseUint(fields[statStartTime], 10, 64)
+	if err != nil {
+		return 0
+	}
+	return ticks
 }
 
-// Process is where a sidecar's process is, for a keeper on the same machine: it can see
-// when the process has gone.
-type Process struct {
-	Machine    string `json:"machine"`
-	PID        int    `json:"pid"`
-	StartTicks uint64 `json:"started"` // by the kernel's count: no two processes of one id have the same
+// ProcessGone reports whether the member's process ran on this machine and has certainly
+// ended. It reports false if the machine's processes cannot be seen at all.
+func (m RosterMember) ProcessGone(machine string) bool {
+	p := m.Process
+	if machine == "" || p.Machine != machine || p.PID <= 0 || p.StartTicks == 0 {
+		return false
+	}
+	if ProcessStartTicks(os.Getpid()) == 0 {
+		return false
+	}
+	return ProcessStartTicks(p.PID) != p.StartTicks
 }
--- a/internal/rollout/process_test.go
+++ b/internal/rollout/process_test.go
@@ -6,22 +6,25 @@
 	"testing"
 )
 
-func TestGone(t *testing.T) {
+func TestProcessGone(t *testing.T) {
 	cmd := exec.Command("sleep", "1000")
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	seat := RosterMember{Process: Process{"m", cmd.Process.Pid, ProcessStartTicks(cmd.Process.Pid)}}
-	if seat.ProcessGone("m") || seat.Process.StartTicks == 0 {
-		t.Errorf("a process that lives has gone: %+v", seat.Process)
+	m := RosterMember{Process: Process{"m", cmd.Process.Pid, ProcessStartTicks(cmd.Process.Pid)}}
+	if m.ProcessGone("m") || m.Process.StartTicks == 0 {
+		t.Errorf("a running process: got gone %v for %+v", m.ProcessGone("m"), m.Process)
 	}
 	cmd.Process.Kill()
 	cmd.Wait()
-	if !seat.ProcessGone("m") || seat.ProcessGone("other") {
-		t.Errorf("gone here: %v, on another machine: %v", seat.ProcessGone("m"), seat.ProcessGone("other"))
+	if !m.ProcessGone("m") || m.ProcessGone("other") {
+		t.Errorf("an ended process: got gone %v here, %v on another machine, want true, false", m.ProcessGone("m"), m.ProcessGone("other"))
 	}
-	other := RosterMember{Process: Process{"m", os.Getpid(), 1}} // its id is another process's by now
-	if !other.ProcessGone("m") || (RosterMember{}).ProcessGone("") {
-		t.Error("a process whose id another has lives on, or one that is nowhere has gone")
+	reused := RosterMember{Process: Process{"m", os.Getpid(), 1}} // another process has the id now
+	if !reused.ProcessGone("m") {
+		t.Error("a process whose id another one has: got not gone")
+	}
+	if (RosterMember{}).ProcessGone("") {
+		t.Error("a member without a process: got gone")
 	}
 }
--- a/internal/rollout/roster.go
+++ b/internal/rollout/roster.go
@@ -2,74 +2,107 @@
 
 import (
 	"fmt"
+	"slices"
 
 	"barleywick/internal/mutation"
 )
 
-// Member is one sidecar in the roster. Of two with one name the one with the higher
+const (
+	maxRoster  = 4096
+	maxEvicted = 1024
+)
+
+// Member is one incarnation of a sidecar. Of two with one name, the one with the higher
 // incarnation started later.
 type Member struct {
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// RosterMember is a member's place in the roster, and what it has said.
+// RosterMember is a sidecar that a rollout waits for, and what it has acknowledged.
 type RosterMember struct {
 	Member
 	JoinedMS    int64   `json:"joined_ms"`
-	AckedChange uint64  `json:"change,omitempty"` // the change that it spoke of last
-	AckedStage  Stage   `json:"said,omitempty"`   // the stage that it confirmed of that
+	AckedChange uint64  `json:"change,omitempty"` // the change that it acknowledged last
+	AckedStage  Stage   `json:"said,omitempty"`   // and the stage of it
 	Process     Process `json:"where,omitzero"`
-	// What it reported first and last while a few went ahead with a change.
-	ReportedChange uint64        `json:"reported,omitempty"` // the change
+
+	// The first and the last counts that it reported while there were canaries.
+	ReportedChange uint64        `json:"reported,omitempty"`
 	FirstReport    RequestCounts `json:"from,omitzero"`
 	LastReport     RequestCounts `json:"to,omitzero"`
 }
 
-// join gives a sidecar a seat. One that starts again has said nothing yet, whatever
-// the process before it said.
+// join adds a sidecar to the roster. A later incarnation takes its predecessor's place and
+// has acknowledged nothing yet.
 func (s *State) join(c Command) error {
-	was := s.roster[c.Member.Name]
+	previous := s.roster[c.Member.Name]
+	evicted := s.evicted[c.Member.Name]
 	switch {
-	case c.Member.Incarnation <= s.evicted[c.Member.Name] && s.evicted[c.Member.Name] > 0:
+	case evicted > 0 && c.Member.Incarnation <= evicted:
 		return fmt.Errorf("%w: %s was evicted, its process has to start again", ErrConflict, c.Member.Name)
-	case was != nil && was.Incarnation > c.Member.Incarnation:
+	case previous != nil && previous.Incarnation > c.Member.Incarnation:
 		return fmt.Errorf("%w: a later process named %s is in the roster", ErrConflict, c.Member.Name)
-	case was != nil && was.Incarnation == c.Member.Incarnation:
-		return nil // it asks again
-	case was == nil && len(s.roster) >= maxRoster:
+	case previous != nil && previous.Incarnation == c.Member.Incarnation:
+		return nil // a repeated call
+	case previous == nil && len(s.roster) >= maxRoster:
 		return fmt.Errorf("%w: %d are in the roster", ErrLimitReached, len(s.roster))
 	}
-	seat := &RosterMember{Member: c.Member, JoinedMS: c.AtMS, Process: c.Process}
-	if mutation.KeptPromise && was != nil {
-		seat.AckedChange, seat.AckedStage = was.AckedChange, was.AckedStage
+	m := &RosterMember{Member: c.Member, JoinedMS: c.AtMS, Process: c.Process}
+	if mutation.KeptPromise && previous != nil {
+		m.AckedChange, m.AckedStage = previous.AckedChange, previous.AckedStage
 	}
-	s.roster[c.Member.Name] = seat
+	s.roster[c.Member.Name] = m
 	s.version++
 	return nil
 }
 
-// leave takes a seat away by evidence that its process acts no more.
-func (s *State) leave(m Member) error {
-	was := s.roster[m.Name]
-	if was == nil || was.Incarnation != m.Incarnation {
-		return nil // it has gone, or a later one has its seat
+// leave removes a member on evidence that its process acts no more. It does nothing if the
+// member has left already or a later incarnation has its place.
+func (s *State) leave(m Member) {
+	current := s.roster[m.Name]
+	if current == nil || current.Incarnation != m.Incarnation {
+		return
 	}
 	delete(s.roster, m.Name)
 	s.version++
 	s.settleIfConfirmed()
-	return nil
 }
 
-// evict takes a seat away by an operator's word. That process is refused from now on.
+// evict removes a member because an operator states that its process has ended. That
+// process may not join again.
 func (s *State) evict(c Command) error {
-	was := s.roster[c.Member.Name]
-	if was == nil {
+	m := s.roster[c.Member.Name]
+	if m == nil {
 		return fmt.Errorf("%w: %s is not in the roster", ErrNotFound, c.Member.Name)
 	}
 	if len(s.evicted) >= maxEvicted {
 		return fmt.Errorf("%w: %d were evicted", ErrLimitReached, len(s.evicted))
 	}
-	s.evicted[c.Member.Name] = max(1, was.Incarnation)
-	return s.leave(was.Member)
+	s.evicted[c.Member.Name] = max(1, m.Incarnation)
+	s.leave(m.Member)
+	return nil
+}
+
+// rosterMember returns a member of the roster; ErrNotFound tells a sidecar to join.
+func (s *State) rosterMember(m Member) (*RosterMember, error) {
+	current := s.roster[m.Name]
+	if current == nil || current.Incarnation != m.Incarnation {
+		return nil, fmt.Errorf("%w: %s has no seat: join first", ErrNotFound, m.Name)
+	}
+	return current, nil
+}
+
+// waitingFor returns the members that have not acknowledged the stage of the change.
+func (s *State) waitingFor() (names []string) {
+	if s.change == nil {
+		return nil
+	}
+	for name, m := range s.roster {
+		if m.AckedChange != s.change.Number || !m.AckedStage.reached(s.stageOf(name)) {
+			names = append(names, name)
+		}
+	}
+	slices.Sort(names)
+	return names
 }
--- a/internal/rollout/snapshot.go
+++ b/internal/rollout/snapshot.go
@@ -7,6 +7,7 @@
 	"slices"
 )
 
+// snapshot is the state as it is stored.
 type snapshot struct {
 	Epoch      uint64                   `json:"epoch"`
 	LastNumber uint64                   `json:"last"`
@@ -21,43 +22,63 @@
 
 // MarshalJSON writes the state for a snapshot.
 func (s *State) MarshalJSON() ([]byte, error) {
-	i := snapshot{s.epoch, s.lastNumber, nil, s.stage, s.change, s.roster, s.evicted, s.history, s.version}
+	image := snapshot{
+		Epoch: s.epoch, LastNumber: s.lastNumber, Stage: s.stage, Change: s.change,
+		Roster: s.roster, Evicted: s.evicted, History: s.history, Version: s.version,
+	}
 	if s.epoch != 0 {
-		i.Document = &s.document
+		image.Document = &s.document
 	}
-	return json.Marshal(i)
+	return json.Marshal(image)
 }
 
-// UnmarshalJSON reads a snapshot. What cannot be right is refused.
+// UnmarshalJSON reads a snapshot, and returns an error if it contradicts itself.
 func (s *State) UnmarshalJSON(text []byte) error {
-	var i snapshot
-	if err := json.Unmarshal(text, &i); err != nil {
+	var image snapshot
+	if err := json.Unmarshal(text, &image); err != nil {
 		return fmt.Errorf("policy: %w", err)
 	}
-	switch {
-	case (i.Epoch == 0) != (i.Document == nil), i.Epoch > i.LastNumber, (i.Change == nil) != (i.Stage == StageSettled),
-		i.Change != nil && i.Change.Number > i.LastNumber, !slices.Contains([]Stage{StageSettled, StagePreparing, StageCanary, StageJoint, StageCommitted}, i.Stage):
-		return fmt.Errorf("policy: epoch %d at stage %.32q, last number %d", i.Epoch, i.Stage, i.LastNumber)
-	}
-	fresh := New(i.LastNumber)
-	fresh.epoch, fresh.stage, fresh.change, fresh.history, fresh.version = i.Epoch, i.Stage, i.Change, i.History, i.Version
-	if i.Document != nil {
-		fresh.document = *i.Document
+	if !image.consistent() {
+		return fmt.Errorf("policy: epoch %d at stage %.32q, last number %d", image.Epoch, image.Stage, image.LastNumber)
 	}
-	for name, seat := range i.Roster {
-		if seat == nil || seat.Name != name {
-			return fmt.Errorf("policy: seat %.64q is broken", name)
+	for name, m := range image.Roster {
+		if m == nil || m.Name != name {
+			return fmt.Errorf("policy: roster member %.64q is malformed", name)
 		}
-		fresh.roster[name] = seat
 	}
-	maps.Copy(fresh.evicted, i.Evicted)
+	fresh := New(image.LastNumber)
+	fresh.epoch, fresh.stage, fresh.change = image.Epoch, image.Stage, image.Change
+	fresh.history, fresh.version = image.History, image.Version
+	if image.Document != nil {
+		fresh.document = *image.Document
+	}
+	maps.Copy(fresh.roster, image.Roster)
+	maps.Copy(fresh.evicted, image.Evicted)
 	*s = *fresh
 	return nil
 }
 
-// Restore brings the state over a restore of the registry: policy, roster and a change
-// under way are about processes that act now, and stay. Numbers go on above the
-// backup's. A group that has no policy takes the backup's over, as a proposal would.
+// consistent reports whether epoch, stage, change and numbers go together.
+func (i snapshot) consistent() bool {
+	switch {
+	case !i.Stage.valid():
+		return false
+	case (i.Epoch == 0) != (i.Document == nil):
+		return false
+	case (i.Change == nil) != (i.Stage == StageSettled):
+		return false
+	case i.Epoch > i.LastNumber:
+		return false
+	case i.Change != nil && i.Change.Number > i.LastNumber:
+		return false
+	}
+	return true
+}
+
+// Restore keeps the state when the registry is restored from a backup: policy, roster and
+// change belong to processes that act now. Numbers and versions go on above the backup's.
+// Only a group that has no policy, no change and no roster takes the backup's policy over,
+// as if it had been proposed again.
 func (s *State) Restore(backup *State) {
 	s.lastNumber = max(s.lastNumber, backup.lastNumber) + 1
 	s.version = max(s.version, backup.version) + 1
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -6,41 +6,45 @@
 	"slices"
 )
 
-// State is the workflow's state.
+// State is the fleet policy with its roster, and the change on its way, if any.
 type State struct {
 	epoch      uint64 // of the policy in force; 0: there is none yet
-	lastNumber uint64 // the number given last
+	lastNumber uint64 // the number of the last change
 	document   Document
 	stage      Stage
-	change     *Change // unless settled; after commit it is what is in force
+	change     *Change // nil if settled; after the commit it is the policy in force
 	roster     map[string]*RosterMember
-	evicted    map[string]uint64 // the highest incarnation that may not come back
+	evicted    map[string]uint64 // by name: the highest incarnation that may not join again
 	history    []HistoryEntry
-	version    uint64 // of the last change of anything
+	version    uint64 // grows with each change of the state
 }
 
-// New makes an empty state whose numbers begin after one.
+// New makes an empty state whose numbers and versions begin above the given one.
 func New(after uint64) *State {
-	return &State{stage: StageSettled, roster: make(map[string]*RosterMember), evicted: make(map[string]uint64), lastNumber: after, version: after}
+	return &State{
+		stage: StageSettled, roster: make(map[string]*RosterMember), evicted: make(map[string]uint64),
+		lastNumber: after, version: after,
+	}
 }
 
 // Clone returns a copy that shares nothing that changes.
 func (s *State) Clone() *State {
 	c := *s
 	if s.change != nil {
-		one := *s.change
-		c.change = &one
+		change := *s.change
+		c.change = &change
 	}
 	c.roster = make(map[string]*RosterMember, len(s.roster))
 	for name, m := range s.roster {
-		one := *m
-		c.roster[name] = &one
+		member := *m
+		c.roster[name] = &member
 	}
 	c.evicted, c.history = maps.Clone(s.evicted), slices.Clone(s.history)
 	return &c
 }
 
-// Apply carries one command out.
+// Apply carries out one command. Its error wraps one of the package's errors. A command
+// that is repeated, or is out of date, changes nothing.
 func (s *State) Apply(c Command) error {
 	switch c.Op {
 	case OpJoin, OpLeave, OpAck, OpEvict, OpReport:
@@ -52,7 +56,8 @@
 	case OpJoin:
 		return s.join(c)
 	case OpLeave:
-		return s.leave(c.Member)
+		s.leave(c.Member)
+		return nil
 	case OpAck:
 		return s.ack(c)
 	case OpEvict:
@@ -69,5 +74,5 @@
 	return fmt.Errorf("%w: verb %.32q", ErrInvalid, c.Op)
 }
 
-// Version returns the version of the last change.
+// Version returns the version of the last change of the state.
 func (s *State) Version() uint64 { return s.version }
