--- a/internal/rollout/model/checker.go
+++ b/internal/rollout/model/checker.go
@@ -3,10 +3,16 @@
 import (
 	"fmt"
 	"slices"
+	"strings"
+
+	"barleywick/internal/rollout"
 )
 
-// Counts is what the judge has seen.
-type Counts struct{ Steps, Faults, Commits, Acting, Joint int }
+// Counts are what the checker has seen. Acting and Joint count sidecars after each step.
+type Counts struct {
+	Steps, Faults, Commits, Acting, Joint int
+	Refused                               int // commands of operators and leaders
+}
 
 func (c *Counts) add(d Counts) {
 	c.Steps += d.Steps
@@ -14,28 +20,43 @@
 	c.Commits += d.Commits
 	c.Acting += d.Acting
 	c.Joint += d.Joint
+	c.Refused += d.Refused
 }
 
 type checker struct {
 	Counts
-	epoch uint64
+	epoch uint64 // of the last commit that was seen
 }
 
-// checkInvariants is what the judge sees after each step: which policies each sidecar's acts keep
-// to. Two that keep to no common one act by the old and by the new at once.
+// checkInvariants looks at the world after a step.
 func (w *World) checkInvariants() error {
-	st := w.state.Status()
-	if st.Epoch != w.checker.epoch {
-		w.checker.epoch = st.Epoch
-		w.checker.Commits++
-		for _, seat := range st.Roster {
-			i := slices.IndexFunc(w.sidecars, func(s *sidecar) bool { return s.up && s.self == seat.Member })
-			if i >= 0 && (!w.sidecars[i].acting || w.sidecars[i].active.JointChange != st.Epoch) {
-				return fmt.Errorf("epoch %d is in force, and n%d, which has a seat, never acted by it and the old one", st.Epoch, i)
-			}
+	if err := w.checkCommit(w.state.Status()); err != nil {
+		return err
+	}
+	return w.checkCommonPolicy()
+}
+
+// checkCommit checks, when a policy comes into force, that each running member of the
+// roster acts by the stricter of old and new.
+func (w *World) checkCommit(status rollout.Status) error {
+	if status.Epoch == w.checker.epoch {
+		return nil
+	}
+	w.checker.epoch = status.Epoch
+	w.checker.Commits++
+	for _, m := range status.Roster {
+		i := slices.IndexFunc(w.sidecars, func(s *sidecar) bool { return s.up && s.self == m.Member })
+		if i >= 0 && (!w.sidecars[i].acting || w.sidecars[i].active.JointChange != status.Epoch) {
+			return fmt.Errorf("epoch %d is in force, and n%d, which is in the roster, never acted by it and the old one", status.Epoch, i)
 		}
 	}
-	common := map[uint64]int{}
+	return nil
+}
+
+// checkCommonPolicy checks that there is one policy which all acting sidecars keep to. If
+// there is none, some act by the old policy and some by the new at the same time.
+func (w *World) checkCommonPolicy() error {
+	keeping := make(map[uint64]int) // by epoch: how many sidecars keep to it
 	acting := 0
 	for i, s := range w.sidecars {
 		if !s.up || !s.acting {
@@ -43,28 +64,35 @@
 		}
 		acting++
 		w.checker.Acting++
-		common[s.active.Epoch]++
+		keeping[s.active.Epoch]++
 		if s.active.JointChange != 0 {
-			common[s.active.JointChange]++
+			keeping[s.active.JointChange]++
 			w.checker.Joint++
 		}
-		if s.limited && s.active.Document != nil && s.active.Document.Tenants[0].Slots > 100 {
+		if s.limited && exceedsLimit(s.active.Document) {
 			return fmt.Errorf("n%d is to act by epoch %d, which it cannot", i, s.active.Epoch)
 		}
 	}
-	for _, n := range common {
+	if acting == 0 {
+		return nil
+	}
+	for _, n := range keeping {
 		if n == acting {
 			return nil
 		}
 	}
-	if acting == 0 {
-		return nil
-	}
-	text := ""
+	return fmt.Errorf("old and new at once: %s", w.describeActing())
+}
+
+// exceedsLimit reports whether a limited sidecar does not support a document.
+func exceedsLimit(d *rollout.Document) bool { return d != nil && d.Tenants[0].Slots > slotLimit }
+
+func (w *World) describeActing() string {
+	var parts []string
 	for i, s := range w.sidecars {
 		if s.up && s.acting {
-			text += fmt.Sprintf(" n%d by epoch %d (joint with %d)", i, s.active.Epoch, s.active.JointChange)
+			parts = append(parts, fmt.Sprintf("n%d by epoch %d (joint with %d)", i, s.active.Epoch, s.active.JointChange))
 		}
 	}
-	return fmt.Errorf("old and new at once:%s", text)
+	return strings.Join(parts, " ")
 }
--- a/internal/rollout/model/key.go
+++ b/internal/rollout/model/key.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// Key tells states apart.
+// Key tells states apart: two with the same key have the same future. The history decides
+// nothing, and the order of messages does not matter.
 func (w *World) Key(text []byte) []byte {
-	st := w.state.Status()
-	st.History = nil
-	text = fmt.Append(text, w.now, w.counts, st.Epoch, st.Stage, st.Roster)
-	if st.Change != nil {
-		text = fmt.Append(text, st.Change.Number, st.Change.DeadlineMS)
+	status := w.state.Status()
+	text = fmt.Append(text, w.nowMS, w.counts, status.Epoch, status.Stage, status.Roster)
+	if status.Change != nil {
+		text = fmt.Append(text, status.Change.Number, status.Change.DeadlineMS)
 	}
 	for _, s := range w.sidecars {
 		text = fmt.Append(text, "|", s.up, s.acting, s.limited, s.calling, s.self.Incarnation, s.active.Epoch, s.active.JointChange)
@@ -24,7 +24,10 @@
 	}
 	lines := make([]string, 0, len(w.network))
 	for _, m := range w.network {
-		lines = append(lines, fmt.Sprint(m.kind, m.sender, m.self, m.command.Op, m.command.ChangeNumber, m.command.Stage, m.command.Refusal != "", m.view.Epoch, m.view.Stage, m.view.ChangeNumber, m.view.InRoster, st.Version-m.view.Version, m.err != nil))
+		lines = append(lines, fmt.Sprint(
+			int(m.kind), m.process, m.member, m.command.Op, m.command.ChangeNumber, m.command.Stage, m.command.Refusal != "",
+			m.view.Epoch, m.view.Stage, m.view.ChangeNumber, m.view.InRoster, status.Version-m.view.Version, m.err != nil,
+		))
 	}
 	slices.Sort(lines)
 	return fmt.Append(text, lines)
--- a/internal/rollout/model/model_test.go
+++ b/internal/rollout/model/model_test.go
@@ -7,41 +7,44 @@
 	"barleywick/internal/testing/modelcheck"
 )
 
+// long is set for the modes that take minutes; the README names the command.
 var long = os.Getenv("BARLEYWICK_LONG") != ""
 
-// searchSetups are the worlds that are searched through.
+// searchSetups are the worlds that are searched.
 var searchSetups = map[string]Setup{
-	"a change":        {Sidecars: 2, MaxProposals: 1, MaxInFlight: 3, Leaders: 1, MaxLosses: 1},
-	"one comes":       {Sidecars: 2, MaxProposals: 1, MaxInFlight: 3, Leaders: 1, MaxRestarts: 1},
-	"one cannot":      {Sidecars: 1, MaxUnsupported: 1, MaxInFlight: 2, Leaders: 1, MaxRestarts: 1},
-	"one is cut off":  {Sidecars: 2, MaxProposals: 1, MaxInFlight: 2, Leaders: 1, MaxTicks: 2},
-	"a few ahead":     {Sidecars: 2, MaxProposals: 1, MaxInFlight: 2, Leaders: 1, MaxTicks: 1, Canaries: 1},
-	"an early return": {Sidecars: 3, MaxProposals: 1, MaxInFlight: 3, Leaders: 2, MaxLeaves: 1},
+	"a change":    {Sidecars: 2, MaxProposals: 1, MaxInFlight: 3, Leaders: 1, MaxLosses: 1},
+	"a restart":   {Sidecars: 2, MaxProposals: 1, MaxInFlight: 3, Leaders: 1, MaxRestarts: 1},
+	"one refuses": {Sidecars: 1, MaxUnsupported: 1, MaxInFlight: 2, Leaders: 1, MaxRestarts: 1},
+	"a deadline":  {Sidecars: 2, MaxProposals: 1, MaxInFlight: 2, Leaders: 1, MaxTicks: 2},
+	"canaries":    {Sidecars: 2, MaxProposals: 1, MaxInFlight: 2, Leaders: 1, MaxTicks: 1, Canaries: 1},
+	"one leaves":  {Sidecars: 3, MaxProposals: 1, MaxInFlight: 3, Leaders: 2, MaxLeaves: 1},
 }
 
+// TestProofBySearch tries every order of events to a depth.
 func TestProofBySearch(t *testing.T) {
-	depth, most := 40, 60_000
+	depth, maxStates := 40, 60_000
 	if long {
-		depth, most = 60, 2_000_000
+		depth, maxStates = 60, 2_000_000
 	}
 	for name, s := range searchSetups {
 		t.Run(name, func(t *testing.T) {
 			var seen Counts
-			states, full, found := modelcheck.Search(New(s), depth, most, func(w *World) {
+			states, fullDepth, violation := modelcheck.Search(New(s), depth, maxStates, func(w *World) {
 				seen.add(w.checker.Counts)
 				w.checker.Counts = Counts{}
 			})
-			if found != nil {
-				t.Fatal(found)
+			if violation != nil {
+				t.Fatal(violation)
 			}
-			t.Logf("%d states, all to depth %d; judged: %+v", states, full, seen)
-			if states < 1000 || seen.Acting == 0 || seen.Joint == 0 && full < 14 {
-				t.Errorf("too little was judged: %d states to depth %d, %+v", states, full, seen)
+			t.Logf("%d states, all to depth %d; checked: %+v", states, fullDepth, seen)
+			if states < 1000 || seen.Acting == 0 || seen.Joint == 0 && fullDepth < 14 {
+				t.Errorf("too little was checked: got %d states to depth %d, %+v", states, fullDepth, seen)
 			}
 		})
 	}
 }
 
+// TestProofBySchedules draws long histories from seeds.
 func TestProofBySchedules(t *testing.T) {
 	walks := 2000
 	if long {
@@ -53,14 +56,14 @@
 			Sidecars: 3, MaxProposals: 4, MaxInFlight: 6, MaxLosses: 10, MaxRestarts: 3, MaxLeaves: 2, MaxAborts: 1, MaxEvictions: 1, MaxUnsupported: int(seed % 2), MaxTicks: 6,
 			MaxRestores: int(seed % 3 / 2), Leaders: 2, Canaries: int(seed % 3),
 		}
-		seen, found := Walk(s, seed, 200)
-		if found != nil {
-			t.Fatalf("seed %d: %v", seed, found)
+		seen, violation := Walk(s, seed, 200)
+		if violation != nil {
+			t.Fatalf("seed %d: %v", seed, violation)
 		}
 		all.add(seen)
 	}
-	t.Logf("%d schedules; judged: %+v", walks, all)
+	t.Logf("%d schedules; checked: %+v", walks, all)
 	if all.Commits < walks/8 || all.Joint < 5*walks || all.Acting < 50*walks || all.Faults < 5*walks {
-		t.Errorf("too little was judged: %+v", all)
+		t.Errorf("too little was checked: %+v", all)
 	}
 }
--- a/internal/rollout/model/setup.go
+++ b/internal/rollout/model/setup.go
@@ -1,18 +1,19 @@
 package model
 
-// Setup is the size of a world.
+// Setup is the size of a world and what may go wrong in it.
 type Setup struct {
-	Sidecars       int
-	MaxProposals   int // proposals
-	MaxInFlight    int // under way at once
-	MaxLosses      int
-	MaxRestarts    int // of sidecars
-	MaxLeaves      int // sidecars that end in order
+	Sidecars int
+	Leaders  int // processes that believe that they lead the change
+	Canaries int // of two proposals, how many have canaries
+
+	MaxInFlight    int // messages on their way at once
+	MaxProposals   int // that all sidecars support
+	MaxUnsupported int // proposals that one sidecar does not support
+	MaxLosses      int // messages that are lost
+	MaxRestarts    int // crashes of sidecars
+	MaxLeaves      int // sidecars that leave the roster and end
 	MaxAborts      int // by an operator
 	MaxEvictions   int // of sidecars that are down
-	MaxUnsupported int // proposals that one process cannot act by
 	MaxTicks       int // of time, of which a change has two
 	MaxRestores    int // of an old backup
-	Canaries       int // of two proposals, so many go ahead with a part
-	Leaders        int // processes that believe they lead the change
 }
--- a/internal/rollout/model/steps.go
+++ b/internal/rollout/model/steps.go
@@ -1,7 +1,6 @@
 package model
 
 import (
-	"fmt"
 	"slices"
 
 	"barleywick/internal/rollout"
@@ -11,86 +10,110 @@
 // Step is one thing that may happen next.
 type Step = modelcheck.Step[*World]
 
+// nobody is the actor of steps that no sidecar takes.
+const nobody = -1
+
+// stepList collects steps. The order and the weights of steps decide what a seed draws.
+type stepList struct {
+	world *World
+	steps []Step
+}
+
+func (l *stepList) add(weight, actor int, do func(w *World), format string, name any) {
+	l.steps = append(l.steps, Step{Format: format, A: name, Weight: weight, Actor: actor, Do: func(w *World) error {
+		w.checker.Steps++
+		do(w)
+		return w.checkInvariants()
+	}})
+}
+
+// addLimited adds a step that may happen a number of times, and counts as a fault.
+func (l *stepList) addLimited(kind event, limit, weight, actor int, do func(w *World), format string, name any) {
+	if l.world.counts[kind] >= limit {
+		return
+	}
+	l.add(weight, actor, func(w *World) {
+		w.counts[kind]++
+		w.checker.Faults++
+		do(w)
+	}, format, name)
+}
+
 // Steps lists what may happen next.
 func (w *World) Steps() []Step {
-	all := make([]Step, 0, 32)
-	add := func(weight, of int, format string, a any, do func(w *World)) {
-		all = append(all, Step{Format: format, A: a, Weight: weight, Actor: of, Do: func(w *World) error {
-			w.checker.Steps++
-			do(w)
-			return w.checkInvariants()
-		}})
-	}
-	// limited is what may happen so many times.
-	limited := func(what string, most int, may bool, weight, of int, format string, a any, do func(w *World)) {
-		if may && w.counts[what] < most {
-			add(weight, of, format, a, func(w *World) {
-				w.counts[what]++
-				w.checker.Faults++
-				do(w)
-			})
-		}
-	}
-	room := len(w.network) < w.MaxInFlight
-	st := w.state.Status()
+	l := &stepList{world: w, steps: make([]Step, 0, 32)}
+	status := w.state.Status()
 	for i, s := range w.sidecars {
-		if !s.up {
-			add(4, i, "n%d starts", i, func(w *World) { w.start(i) })
-			limited("evict", w.MaxEvictions, slices.ContainsFunc(st.Roster, func(m rollout.RosterMember) bool { return m.Name == s.self.Name }), 1, -1, "n%d is evicted", i, func(w *World) {
-				w.state.Apply(rollout.Command{Op: rollout.OpEvict, Member: w.sidecars[i].self})
-			})
-			continue
-		}
-		if room && !s.calling {
-			add(8, i, "n%d speaks", i, func(w *World) { w.call(i) })
+		if s.up {
+			w.runningSteps(l, i)
+		} else {
+			w.downSteps(l, i, status)
 		}
-		limited("restart", w.MaxRestarts, true, 1, i, "n%d is killed", i, func(w *World) { w.sidecars[i].up, w.sidecars[i].acting = false, false })
-		limited("goodbye", w.MaxLeaves, room, 1, i, "n%d says goodbye and ends", i, func(w *World) {
-			s := w.sidecars[i]
-			s.up, s.acting = false, false
-			w.network = append(w.network, message{kind: request, sender: i, self: s.self, command: rollout.Command{Op: rollout.OpLeave, Member: s.self}})
-		})
 	}
+	w.networkSteps(l)
+	w.leaderSteps(l)
+	w.operatorSteps(l, status)
+	l.addLimited(eventRestore, w.MaxRestores, 1, nobody, func(w *World) {
+		w.state.Restore(w.backup)
+		w.checker.epoch = w.state.Status().Epoch
+	}, "an old backup is restored", nil)
+	l.addLimited(eventTick, w.MaxTicks, 3, nobody, func(w *World) { w.nowMS += tickMS }, "time passes", nil)
+	return l.steps
+}
+
+// canSend reports whether another message may be sent.
+func (w *World) canSend() bool { return len(w.network) < w.MaxInFlight }
+
+func (w *World) runningSteps(l *stepList, i int) {
+	if w.canSend() && !w.sidecars[i].calling {
+		l.add(8, i, func(w *World) { w.call(i) }, "n%d calls", i)
+	}
+	l.addLimited(eventRestart, w.MaxRestarts, 1, i, func(w *World) { w.sidecars[i].stop() }, "n%d crashes", i)
+	if w.canSend() {
+		l.addLimited(eventLeave, w.MaxLeaves, 1, i, func(w *World) {
+			w.sidecars[i].stop()
+			w.sendLeave(i)
+		}, "n%d leaves and ends", i)
+	}
+}
+
+func (w *World) downSteps(l *stepList, i int, status rollout.Status) {
+	l.add(4, i, func(w *World) { w.start(i) }, "n%d starts", i)
+	name := w.sidecars[i].self.Name
+	if slices.ContainsFunc(status.Roster, func(m rollout.RosterMember) bool { return m.Name == name }) {
+		l.addLimited(eventEviction, w.MaxEvictions, 1, nobody, func(w *World) {
+			w.apply(rollout.Command{Op: rollout.OpEvict, Member: w.sidecars[i].self})
+		}, "n%d is evicted", i)
+	}
+}
+
+func (w *World) networkSteps(l *stepList) {
 	for i, m := range w.network {
-		add(10, -1, "a message (%v) comes", m.kind, func(w *World) { w.deliver(i) })
-		limited("loss", w.MaxLosses, true, 2, -1, "a message (%v) is lost", m.kind, func(w *World) {
-			m := w.network[i]
-			w.network = slices.Delete(w.network, i, i+1)
-			if s := w.sidecars[min(m.sender, len(w.sidecars)-1)]; m.kind != leaderCommand && s.self == m.self {
-				s.calling = false
-			}
-		})
+		l.add(10, nobody, func(w *World) { w.deliver(i) }, "a message (%v) arrives", m.kind)
+		l.addLimited(eventLoss, w.MaxLosses, 2, nobody, func(w *World) { w.lose(i) }, "a message (%v) is lost", m.kind)
 	}
-	for i := range w.leaders {
-		add(5, -1, "leader %d reads", i, func(w *World) { w.leaders[i] = w.state.Status() })
-		if _, any := rollout.Decide(w.leaders[i], w.now); any && room {
-			add(5, -1, "leader %d steps", i, func(w *World) {
-				c, _ := rollout.Decide(w.leaders[i], w.now)
-				w.network = append(w.network, message{kind: leaderCommand, sender: i, command: c})
-			})
+}
+
+func (w *World) leaderSteps(l *stepList) {
+	for i, status := range w.leaders {
+		l.add(5, nobody, func(w *World) { w.leaders[i] = w.state.Status() }, "leader %d reads", i)
+		if _, any := rollout.Decide(status, w.nowMS); any && w.canSend() {
+			l.add(5, nobody, func(w *World) {
+				c, _ := rollout.Decide(w.leaders[i], w.nowMS)
+				w.network = append(w.network, message{kind: leaderCommand, process: i, command: c})
+			}, "leader %d decides", i)
 		}
 	}
-	limited("change", w.MaxProposals, true, 3, -1, "a change is proposed", nil, func(w *World) { w.propose(false) })
-	limited("cannot", w.MaxUnsupported, true, 2, -1, "a change that not all bear is proposed", nil, func(w *World) { w.propose(true) })
-	limited("abort", w.MaxAborts, st.Change != nil, 1, -1, "the change is aborted", nil, func(w *World) {
-		if c := w.state.Status().Change; c != nil {
-			w.state.Apply(rollout.Command{Op: rollout.OpAbort, ChangeNumber: c.Number, By: "operator"})
-		}
-	})
-	limited("restore", w.MaxRestores, true, 1, -1, "an old backup is restored", nil, func(w *World) {
-		w.state.Restore(w.backup)
-		w.checker.epoch = w.state.Status().Epoch
-	})
-	limited("tick", w.MaxTicks, true, 3, -1, "time passes", nil, func(w *World) { w.now += tick })
-	return all
 }
 
-func (w *World) propose(hard bool) {
-	st := w.state.Status()
-	n := w.counts["change"] + w.counts["cannot"]
-	c := rollout.Command{Op: rollout.OpPropose, Document: document(n, hard), BaseEpoch: st.Epoch, By: "operator", Reason: fmt.Sprint(n), WithinMS: within, AtMS: w.now}
-	if n%2 < w.Canaries {
-		c.CanaryFraction, c.CanaryWatchMS = 0.3, tick/2
+func (w *World) operatorSteps(l *stepList, status rollout.Status) {
+	l.addLimited(eventProposal, w.MaxProposals, 3, nobody, func(w *World) { w.propose(true) }, "a change is proposed", nil)
+	l.addLimited(eventUnsupported, w.MaxUnsupported, 2, nobody, func(w *World) { w.propose(false) }, "a change is proposed that not all support", nil)
+	if status.Change != nil {
+		l.addLimited(eventAbort, w.MaxAborts, 1, nobody, func(w *World) {
+			if c := w.state.Status().Change; c != nil {
+				w.apply(rollout.Command{Op: rollout.OpAbort, ChangeNumber: c.Number, By: "operator"})
+			}
+		}, "the change is aborted", nil)
 	}
-	w.state.Apply(c)
 }
--- a/internal/rollout/model/world.go
+++ b/internal/rollout/model/world.go
@@ -1,6 +1,3 @@
-// Package model is a small world in which the real state machine of a change of
-// policy, the real followers and the real leader's decision run together, chosen step
-// by step. A judge that knows no stages looks at what each sidecar acts by.
 package model
 
 import (
@@ -11,48 +8,59 @@
 	"barleywick/internal/rollout"
 )
 
+const (
+	tickMS   = 1000
+	withinMS = 2 * tickMS // the time that a change has
+	// slotLimit is the number of slots above which one sidecar does not support a document.
+	slotLimit = 100
+)
+
+var errUnsupported = errors.New("tenants[0].slots is more than this process bears")
+
 // sidecar is one process, or none while it is down.
 type sidecar struct {
 	self     rollout.Member
 	up       bool
 	follower *rollout.Follower
-	calling  bool // a call of its is under way
+	calling  bool // a call is on its way
 	active   rollout.ActivePolicy
 	acting   bool
-	limited  bool // it cannot act by documents that name too much
+	limited  bool // it does not support documents above slotLimit
 }
 
-// World is one state of everything.
+// event is something of which a Setup limits the number.
+type event int
+
+const (
+	eventProposal event = iota
+	eventUnsupported
+	eventLoss
+	eventRestart
+	eventLeave
+	eventAbort
+	eventEviction
+	eventTick
+	eventRestore
+	eventKinds // number of kinds
+)
+
+// World is one state of all processes and of the network between them.
 type World struct {
 	Setup
-	now      int64 // ms
+	nowMS    int64
 	state    *rollout.State
 	backup   *rollout.State
 	sidecars []*sidecar
-	leaders  []rollout.Status // what each has read last
+	leaders  []rollout.Status // what each leader has read last
 	network  []message
-	starts   uint64
-	counts   map[string]int
+	starts   uint64 // of sidecars so far
+	counts   [eventKinds]int
 	checker  checker
 }
 
-const (
-	tick   = 1000
-	within = 2 * tick
-)
-
-// document is the n-th to be proposed; those beyond hard are too much for some.
-func document(n int, hard bool) *rollout.Document {
-	d := &rollout.Document{FormatVersion: 1, Mode: rollout.ModeCarry, Tenants: []rollout.Tenant{{Name: "t", Slots: n + 1, QueuePlaces: 1}}}
-	if hard {
-		d.Tenants[0].Slots += 100
-	}
-	return d
-}
-
-// New makes a world whose sidecars are about to start.
+// New makes a world whose sidecars have just started.
 func New(s Setup) *World {
-	w := &World{Setup: s, state: rollout.New(10), counts: make(map[string]int)}
+	w := &World{Setup: s, state: rollout.New(10)}
 	w.backup = w.state.Clone()
 	for i := range s.Sidecars {
 		w.sidecars = append(w.sidecars, &sidecar{self: rollout.Member{Name: fmt.Sprint("n", i)}})
@@ -68,34 +76,65 @@
 	c.state = w.state.Clone()
 	c.sidecars = make([]*sidecar, len(w.sidecars))
 	for i, s := range w.sidecars {
-		one := *s
-		if s.follower != nil {
-			f := *s.follower
-			one.follower = &f
-		}
-		c.sidecars[i] = &one
+		c.sidecars[i] = s.clone()
 	}
 	c.network, c.leaders = slices.Clone(w.network), slices.Clone(w.leaders)
-	c.counts = make(map[string]int, len(w.counts))
-	for k, v := range w.counts {
-		c.counts[k] = v
-	}
 	return &c
 }
 
-var errCannot = errors.New("tenants[0].slots is more than this process bears")
+func (s *sidecar) clone() *sidecar {
+	c := *s
+	if s.follower != nil {
+		follower := *s.follower
+		c.follower = &follower
+	}
+	return &c
+}
 
+// start starts a sidecar, which knows nothing of earlier runs. After a proposal that is
+// not supported by all, the first sidecar starts as the one that does not support it.
 func (w *World) start(i int) {
 	s := w.sidecars[i]
 	w.starts++
 	s.self.Incarnation = w.starts
 	s.up, s.calling, s.acting = true, false, false
-	s.limited = w.counts["cannot"] > 0 && i == 0
-	cannot := s.limited
+	limited := w.counts[eventUnsupported] > 0 && i == 0
+	s.limited = limited
 	s.follower = &rollout.Follower{Self: s.self, Supports: func(d *rollout.Document) error {
-		if cannot && d.Tenants[0].Slots > 100 {
-			return errCannot
+		if limited && d.Tenants[0].Slots > slotLimit {
+			return errUnsupported
 		}
 		return nil
 	}}
 }
+
+func (s *sidecar) stop() { s.up, s.acting = false, false }
+
+// document returns the n-th document that is proposed.
+func document(n int, supported bool) *rollout.Document {
+	d := &rollout.Document{FormatVersion: 1, Mode: rollout.ModeCarry, Tenants: []rollout.Tenant{{Name: "t", Slots: n + 1, QueuePlaces: 1}}}
+	if !supported {
+		d.Tenants[0].Slots += slotLimit
+	}
+	return d
+}
+
+// propose proposes a document; a proposal during another change is refused.
+func (w *World) propose(supported bool) {
+	n := w.counts[eventProposal] + w.counts[eventUnsupported]
+	c := rollout.Command{
+		Op: rollout.OpPropose, Document: document(n, supported), BaseEpoch: w.state.Status().Epoch,
+		By: "operator", Reason: fmt.Sprint(n), WithinMS: withinMS, AtMS: w.nowMS,
+	}
+	if n%2 < w.Canaries {
+		c.CanaryFraction, c.CanaryWatchMS = 0.3, tickMS/2
+	}
+	w.apply(c)
+}
+
+// apply applies a command of an operator or a leader, who do not look at the answer.
+func (w *World) apply(c rollout.Command) {
+	if err := w.state.Apply(c); err != nil {
+		w.checker.Refused++
+	}
+}
