--- a/internal/sidecar/client_conn_test.go
+++ b/internal/sidecar/client_conn_test.go
@@ -16,9 +16,9 @@
 )
 
 // Half a request that gives way is refused before its connection ends, also where many do.
-func TestHalfARequestIsRefusedBeforeItsConnectionEnds(t *testing.T) {
+func TestPartialRequestIsRefusedBeforeTheClose(t *testing.T) {
 	for _, haste := range []bool{false, true} {
-		far, c := connected(t)
+		far, c := newConnPair(t)
 		io.WriteString(far, "POST /api HTT")
 		if _, err := c.Read(make([]byte, 100)); err != nil {
 			t.Fatal(err)
@@ -38,9 +38,9 @@
 }
 
 // A connection that net/http closes over what it has read has a refusal before that.
-func TestReadRequestIsAnsweredAsItsConnectionEnds(t *testing.T) {
+func TestRequestReadIsAnsweredBeforeTheClose(t *testing.T) {
 	for want, taken := range map[int]bool{http.StatusServiceUnavailable: false, http.StatusBadGateway: true} {
-		far, c := connected(t)
+		far, c := newConnPair(t)
 		io.WriteString(far, "POST /api HTT")
 		if _, err := c.Read(make([]byte, 100)); err != nil {
 			t.Fatal(err)
@@ -59,9 +59,9 @@
 
 // A request that lay in the kernel while its connection waited counts from then, one that was
 // waited for from when it came.
-func TestRequestCountsFromWhenItCame(t *testing.T) {
+func TestRequestArrivalTime(t *testing.T) {
 	const late = 80 * time.Millisecond
-	far, c := connected(t)
+	far, c := newConnPair(t)
 	io.WriteString(far, "G")
 	time.Sleep(late)
 	read := func() {
@@ -91,8 +91,8 @@
 	}
 }
 
-// connected returns a client's end of a connection, and ours.
-func connected(t *testing.T) (net.Conn, *clientConn) {
+// newConnPair returns a client's end of a connection, and ours.
+func newConnPair(t *testing.T) (net.Conn, *clientConn) {
 	t.Helper()
 	ln := sidecartest.ListenLoopback(t)
 	far, err := net.Dial("tcp", ln.Addr().String())
@@ -111,7 +111,7 @@
 // A request that is being read in the moment in which its connection is to be closed as
 // idle is lost if the close goes through: its client takes it to be in work.
 func TestConnectionIsNotClosedOverWhatIsBeingRead(t *testing.T) {
-	far, c := connected(t)
+	far, c := newConnPair(t)
 	reading, goOn := make(chan struct{}), make(chan struct{})
 	c.readHook = func() {
 		close(reading)
@@ -125,7 +125,7 @@
 	far.Write([]byte("P"))
 	sidecartest.Await(t, "the middle of the read", reading)
 	state := make(chan connState, 1)
-	go func() { state <- closeIdle(c, false) }()
+	go func() { state <- closeIdleConn(c, false) }()
 	close(goOn)
 	if got := sidecartest.Await(t, "the close", state); got != connIdle {
 		t.Errorf("the connection is in state %d, want left alone", got)
@@ -133,17 +133,17 @@
 	if err := sidecartest.Await(t, "the read", read); err != nil {
 		t.Errorf("what was read is lost: %v", err)
 	}
-	if closeIdle(c, false) != connIdle {
+	if closeIdleConn(c, false) != connIdle {
 		t.Error("closed as idle with half a request read")
 	}
-	if c.headerRead(); closeIdle(c, false) != connClosed {
+	if c.headerRead(); closeIdleConn(c, false) != connClosed {
 		t.Error("not closed once that was answered")
 	}
 }
 
 // The other way round nothing is read any more: the client sends its request once more.
 func TestNothingIsReadFromAClosedConnection(t *testing.T) {
-	far, c := connected(t)
+	far, c := newConnPair(t)
 	c.mu.Lock()
 	c.state = connClosed // the moment before its close
 	c.mu.Unlock()
@@ -154,29 +154,29 @@
 }
 
 // Half a request gives way to others that wait, whole ones and those in work do not.
-func TestHalfARequestGivesWay(t *testing.T) {
-	far, c := connected(t)
+func TestPartialRequestIsEvicted(t *testing.T) {
+	far, c := newConnPair(t)
 	far.Write([]byte("P"))
 	if _, err := c.Read(make([]byte, 10)); err != nil {
 		t.Fatal(err)
 	}
-	if got := closeIdle(c, true); got != connClosed {
+	if got := closeIdleConn(c, true); got != connClosed {
 		t.Errorf("state %d with half a request, want closed", got)
 	}
-	_, busy := connected(t)
+	_, busy := newConnPair(t)
 	busy.beginRequest()
-	if got := closeIdle(busy, true); got != connBusy {
+	if got := closeIdleConn(busy, true); got != connBusy {
 		t.Errorf("state %d with a request in work", got)
 	}
-	if busy.endRequest(); closeIdle(busy, false) != connClosed {
+	if busy.endRequest(); closeIdleConn(busy, false) != connClosed {
 		t.Error("not closed once it rests")
 	}
 }
 
 // The client's socket is looked at in the moment of the write: net/http may tell later.
-func TestNothingIsWrittenForAClientThatHasLeft(t *testing.T) {
+func TestNothingIsSentForAClientThatHasLeft(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
-	far, near := connected(t)
+	far, near := newConnPair(t)
 	r := &upstream.Request{ID: "left", Method: "POST", URL: sidecartest.MustURL("/"), Host: "x", Header: http.Header{}}
 	sendGate := gate.New()
 	transport := testTransport(1, sendGate)
--- a/internal/sidecar/client_test.go
+++ b/internal/sidecar/client_test.go
@@ -30,7 +30,7 @@
 }
 
 // A failure is never worded 429 or 503: these promise that a retry is harmless.
-func TestFailureIsNoRefusal(t *testing.T) {
+func TestFailureIsNotAnsweredAsRefusal(t *testing.T) {
 	for _, status := range []int{500, 503, 504, 429, 400, 302} {
 		u := sidecartest.NewFakeServer(t, sidecartest.Always(fmt.Sprintf("HTTP/1.1 %d x\r\nContent-Length: 4\r\n\r\nlate", status)))
 		addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
+func TestRefusalHasRetryAfter(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always("HTTP/1.1 503 x\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"))
 	// The module refuses once an answer would be late for the aim of 0.2 s.
 	c := testConfig(t, options{aim: 200 * time.Millisecond}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestSilenceIsAnsweredBeforeTheDeadline(t *testing.T) {
+func TestUnresponsiveServerIsAnsweredBeforeTheDeadline(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	start := time.Now()
@@ -155,7 +155,7 @@
 }
 
 // Two requests under one id might run one effect twice.
-func TestIdThatIsHeldIsNotTakenAgain(t *testing.T) {
+func TestRequestIDInUseIsRejected(t *testing.T) {
 	go1 := make(chan struct{})
 	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-go1; return sidecartest.OKResponse("ok"), false })
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
@@ -170,7 +170,7 @@
 	}
 }
 
-func TestReadyOnceAListIsHeld(t *testing.T) {
+func TestReadyWithTheFirstEndpointList(t *testing.T) {
 	g := registrytest.NewServer(t)
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, g.Addr))
 	ready := func() int {
@@ -198,7 +198,7 @@
 }
 
 // The bound on client connections: idle ones make way, and a waiting one is served in the end.
-func TestClientConnectionsAreBounded(t *testing.T) {
+func TestClientConnectionsAreLimited(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	c := testConfig(t, options{sockets: config.MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
@@ -237,8 +237,8 @@
 	return config.ClientLimits{Limits: admission.Limits{Total: most, PerAddress: most, HalfOpen: most, Idle: most}, Waiting: 2, Refusing: 2}
 }
 
-// raw sends text over a connection of its own and reads until it is closed.
-func raw(t *testing.T, addr, text string) string {
+// exchangeRaw sends text over a connection of its own and reads until it is closed.
+func exchangeRaw(t *testing.T, addr, text string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -254,8 +254,8 @@
 	return string(got)
 }
 
-// rawHead is the header of a good request up to its framing.
-func rawHead(id string) string {
+// requestHead is the header of a good request up to its framing.
+func requestHead(id string) string {
 	return "POST /api HTTP/1.1\r\nHost: x\r\nRequest-Id: " + id + "\r\nRequest-Class: once\r\nTenant: acme\r\nRequest-Timeout: 4\r\n"
 }
 
@@ -264,28 +264,28 @@
 func TestHiddenRequestIsNotServed(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
-	hidden := rawHead("hidden") + "Content-Length: 0\r\n\r\n"
+	hidden := requestHead("hidden") + "Content-Length: 0\r\n\r\n"
 	chunk := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(hidden), hidden)
 	health := "GET /health/ready HTTP/1.1\r\nHost: x\r\n"
 	for name, text := range map[string]string{
-		"behind the chunks":    rawHead("a") + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
-		"inside the chunks":    rawHead("a") + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk,
-		"a length below":       rawHead("a") + "Transfer-Encoding: chunked\r\ncOntent-length:5\r\n\r\n0\r\n\r\n" + hidden,
-		"chunks far above":     rawHead("a") + "Transfer-Encoding: chunked\r\nX: " + strings.Repeat("x", httpmessage.MaxRecordedHead) + "\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + hidden,
-		"a list of encodings":  rawHead("a") + "Transfer-Encoding: gzip, chunked\r\n\r\n" + chunk,
-		"two encodings":        rawHead("a") + "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n" + chunk,
-		"HTTP/1.0":             strings.Replace(rawHead("a"), "1.1", "1.0", 1) + "Transfer-Encoding: chunked\r\nConnection: keep-alive\r\n\r\n" + chunk,
+		"behind the chunks":    requestHead("a") + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
+		"inside the chunks":    requestHead("a") + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk,
+		"a length below":       requestHead("a") + "Transfer-Encoding: chunked\r\ncOntent-length:5\r\n\r\n0\r\n\r\n" + hidden,
+		"chunks far above":     requestHead("a") + "Transfer-Encoding: chunked\r\nX: " + strings.Repeat("x", httpmessage.MaxRecordedHead) + "\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + hidden,
+		"a list of encodings":  requestHead("a") + "Transfer-Encoding: gzip, chunked\r\n\r\n" + chunk,
+		"two encodings":        requestHead("a") + "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n" + chunk,
+		"HTTP/1.0":             strings.Replace(requestHead("a"), "1.1", "1.0", 1) + "Transfer-Encoding: chunked\r\nConnection: keep-alive\r\n\r\n" + chunk,
 		"a health check":       health + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
-		"two lengths":          rawHead("a") + "Content-Length: 0\r\nContent-Length: 5\r\n\r\n" + hidden,
-		"a list of lengths":    rawHead("a") + "Content-Length: 0, 0\r\n\r\n" + hidden,
-		"a signed length":      rawHead("a") + "Content-Length: +0\r\n\r\n" + hidden,
-		"a negative length":    rawHead("a") + "Content-Length: -1\r\n\r\n" + hidden,
-		"no length":            rawHead("a") + "Content-Length:\r\n\r\n" + hidden,
-		"a huge length":        rawHead("a") + "Content-Length: 99999999999999999999\r\n\r\n" + hidden,
-		"behind a refused one": strings.Replace(rawHead("a"), "once", "many", 1) + "Content-Length: 0\r\n\r\n" + hidden,
-		"as a refused body":    strings.Replace(rawHead("a"), "once", "many", 1) + fmt.Sprintf("Content-Length: %d\r\n\r\n", len(hidden)) + hidden,
+		"two lengths":          requestHead("a") + "Content-Length: 0\r\nContent-Length: 5\r\n\r\n" + hidden,
+		"a list of lengths":    requestHead("a") + "Content-Length: 0, 0\r\n\r\n" + hidden,
+		"a signed length":      requestHead("a") + "Content-Length: +0\r\n\r\n" + hidden,
+		"a negative length":    requestHead("a") + "Content-Length: -1\r\n\r\n" + hidden,
+		"no length":            requestHead("a") + "Content-Length:\r\n\r\n" + hidden,
+		"a huge length":        requestHead("a") + "Content-Length: 99999999999999999999\r\n\r\n" + hidden,
+		"behind a refused one": strings.Replace(requestHead("a"), "once", "many", 1) + "Content-Length: 0\r\n\r\n" + hidden,
+		"as a refused body":    strings.Replace(requestHead("a"), "once", "many", 1) + fmt.Sprintf("Content-Length: %d\r\n\r\n", len(hidden)) + hidden,
 	} {
-		got := raw(t, addr, text)
+		got := exchangeRaw(t, addr, text)
 		if strings.Count(got, "HTTP/1.") != 1 || got[len("HTTP/1.1 ")] == '2' {
 			t.Errorf("%s: got %q, want one error and a close", name, got)
 		}
@@ -302,11 +302,11 @@
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	texts := map[string]string{
 		"nothing":           "",
-		"half a header":     rawHead("a"),
-		"half a body":       rawHead("b") + "Content-Length: 10\r\n\r\nhalf",
-		"a body to come":    rawHead("c") + "Content-Length: 100000\r\n\r\n",
-		"a body refused":    strings.Replace(rawHead("d"), "once", "many", 1) + "Content-Length: 10\r\n\r\nhalf",
-		"a chunk to come":   rawHead("e") + "Transfer-Encoding: chunked\r\n\r\n5\r\n",
+		"half a header":     requestHead("a"),
+		"half a body":       requestHead("b") + "Content-Length: 10\r\n\r\nhalf",
+		"a body to come":    requestHead("c") + "Content-Length: 100000\r\n\r\n",
+		"a body refused":    strings.Replace(requestHead("d"), "once", "many", 1) + "Content-Length: 10\r\n\r\nhalf",
+		"a chunk to come":   requestHead("e") + "Transfer-Encoding: chunked\r\n\r\n5\r\n",
 		"an endless header": "GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 2*maxHeaderBytes),
 	}
 	type end struct {
@@ -347,11 +347,11 @@
 	first := call{class: "once", id: "held"}.start(t, addr)
 	sidecartest.Await(t, "the first", u.Requests)
 	for status, text := range map[int]string{
-		http.StatusBadRequest:            strings.Replace(rawHead("a"), "once", "many", 1) + "Content-Length: 10\r\n\r\n",
-		http.StatusConflict:              rawHead("held") + "Content-Length: 10\r\n\r\n",
-		http.StatusRequestEntityTooLarge: rawHead("a") + "Content-Length: 3000000000\r\n\r\n",
+		http.StatusBadRequest:            strings.Replace(requestHead("a"), "once", "many", 1) + "Content-Length: 10\r\n\r\n",
+		http.StatusConflict:              requestHead("held") + "Content-Length: 10\r\n\r\n",
+		http.StatusRequestEntityTooLarge: requestHead("a") + "Content-Length: 3000000000\r\n\r\n",
 	} {
-		if got := raw(t, addr, text); !strings.HasPrefix(got, fmt.Sprintf("HTTP/1.1 %d ", status)) {
+		if got := exchangeRaw(t, addr, text); !strings.HasPrefix(got, fmt.Sprintf("HTTP/1.1 %d ", status)) {
 			t.Errorf("got %q, want %d", got, status)
 		}
 	}
@@ -363,15 +363,15 @@
 
 // Connections that say nothing, or half a request, give way to clients that ask,
 // before those that are kept.
-func TestUselessConnectionsGiveWay(t *testing.T) {
+func TestUselessConnectionsAreEvicted(t *testing.T) {
 	for name, text := range map[string]string{
-		"silent": "", "half a header": rawHead("half"), "half a body": rawHead("half") + "Content-Length: 10\r\n\r\nhalf",
+		"silent": "", "half a header": requestHead("half"), "half a body": requestHead("half") + "Content-Length: 10\r\n\r\nhalf",
 	} {
-		t.Run(name, func(t *testing.T) { testGivesWay(t, text) })
+		t.Run(name, func(t *testing.T) { testIsEvicted(t, text) })
 	}
 }
 
-func testGivesWay(t *testing.T, useless string) {
+func testIsEvicted(t *testing.T, useless string) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	c := testConfig(t, options{sockets: config.MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
@@ -384,7 +384,7 @@
 	in := bufio.NewReader(kept)
 	ask := func(id string) {
 		t.Helper()
-		io.WriteString(kept, rawHead(id)+"Content-Length: 0\r\n\r\n")
+		io.WriteString(kept, requestHead(id)+"Content-Length: 0\r\n\r\n")
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != 200 {
 			t.Fatalf("on the kept connection: %v, error %v", resp, err)
@@ -412,7 +412,7 @@
 
 // Clients that ask once and stay hold connections that count as theirs: unless
 // some are closed, long before the sidecar's own bound, they can open no more.
-func TestIdleConnectionsAreFew(t *testing.T) {
+func TestIdleConnectionsAreLimited(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	c := testConfig(t, options{sockets: config.MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
@@ -425,7 +425,7 @@
 		}
 		defer nc.Close()
 		nc.SetDeadline(time.Now().Add(sidecartest.Patience))
-		io.WriteString(nc, rawHead(fmt.Sprint(i))+"Content-Length: 0\r\n\r\n")
+		io.WriteString(nc, requestHead(fmt.Sprint(i))+"Content-Length: 0\r\n\r\n")
 		in := bufio.NewReader(nc)
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != 200 {
@@ -442,14 +442,14 @@
 }
 
 // A client that takes no more of its answer than fits into buffers must not hold it for ever.
-func TestAnswerIsNotHeldForAClientThatDoesNotRead(t *testing.T) {
+func TestResponseIsNotKeptForAClientThatDoesNotRead(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse(strings.Repeat("x", upstream.MaxResponseBody))))
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	go l.run(t.Context())
 	ln, served := sidecartest.ListenLoopback(t), make(chan struct{})
 	limited := newLimitedListener(ln, testLimits(4))
 	limited.start()
-	s := newClientHandler(l.config, l, testDrain(limited))
+	s := newClientHandler(l.config, l, testShutdown(limited))
 	server := s.newServer()
 	server.Handler = http.HandlerFunc(func(w http.ResponseWriter, hr *http.Request) {
 		hr.Context().Value(connKey{}).(*clientConn).SetWriteBuffer(4 << 10)
@@ -469,7 +469,7 @@
 }
 
 // Guards against this: two sidecars, or two requests, see another key in the same field.
-func TestKeyHash(t *testing.T) {
+func TestAffinityKeyHash(t *testing.T) {
 	of := func(key string) uint64 { return affinityKeyHash(http.Header{"Affinity-Key": {key}}) }
 	first, again, other := of("7f3a"), of("7f3a"), of("7f3b")
 	if first != again || first == other || first == 0 {
@@ -480,7 +480,7 @@
 	}
 }
 
-func TestRequestGoesOnUnchanged(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	body := strings.Repeat("h", maxBody)
--- a/internal/sidecar/connections_test.go
+++ b/internal/sidecar/connections_test.go
@@ -36,14 +36,14 @@
 	return c
 }
 
-// ask sends a good request on a connection and returns the answer's status, or 0
+// requestOn sends a good request on a connection and returns the answer's status, or 0
 // where the connection ended before one.
-func ask(c net.Conn, id string) int {
-	io.WriteString(c, rawHead(id)+"Content-Length: 0\r\n\r\n")
-	return answerOn(c)
+func requestOn(c net.Conn, id string) int {
+	io.WriteString(c, requestHead(id)+"Content-Length: 0\r\n\r\n")
+	return statusOn(c)
 }
 
-func answerOn(c net.Conn) int {
+func statusOn(c net.Conn) int {
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return 0
@@ -62,29 +62,29 @@
 
 // A greedy client that keeps all connections it can get leaves each modest one
 // its part, to the last one, and is told so on one that it opens beyond.
-func TestGreedyClientLeavesOthersTheirPart(t *testing.T) {
+func TestLargestHolderLeavesOthersTheirShare(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	addr, _, _ := startLimited(t, u, testLimits(12))
 	for i := range 30 {
-		if got := ask(dialFrom(t, "127.0.0.2", addr), fmt.Sprint("greedy", i)); got != 200 {
+		if got := requestOn(dialFrom(t, "127.0.0.2", addr), fmt.Sprint("greedy", i)); got != 200 {
 			t.Fatalf("greedy request %d: status %d", i, got)
 		}
 	}
 	var kept []net.Conn
 	for i := range 9 { // three modest clients: with the greedy one, three places each
 		c := dialFrom(t, fmt.Sprintf("127.0.0.%d", 3+i%3), addr)
-		if got := ask(c, fmt.Sprint("modest", i)); got != 200 {
+		if got := requestOn(c, fmt.Sprint("modest", i)); got != 200 {
 			t.Fatalf("modest connection %d: status %d", i, got)
 		}
 		kept = append(kept, c)
 	}
 	for i := range 6 {
-		if got := ask(dialFrom(t, "127.0.0.2", addr), fmt.Sprint("again", i)); got != 200 {
+		if got := requestOn(dialFrom(t, "127.0.0.2", addr), fmt.Sprint("again", i)); got != 200 {
 			t.Errorf("the greedy one's own place, connection %d: status %d", i, got)
 		}
 	}
 	for i, c := range kept {
-		if got := ask(c, fmt.Sprint("kept", i)); got != 200 {
+		if got := requestOn(c, fmt.Sprint("kept", i)); got != 200 {
 			t.Errorf("modest connection %d was given up for the greedy client", i)
 		}
 	}
@@ -92,7 +92,7 @@
 
 // Where all places hold requests, who comes is refused with a whole 503 that says
 // when to come back, whether it had sent its request or not; then there is room again.
-func TestFullPlacesRefuseInWords(t *testing.T) {
+func TestConnectionsOverTheLimitAreAnswered503(t *testing.T) {
 	release := make(chan struct{})
 	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-release; return sidecartest.OKResponse("ok"), false })
 	addr, _, _ := startLimited(t, u, testLimits(3))
@@ -105,7 +105,7 @@
 	for i := range 6 {
 		c := dialFrom(t, "127.0.0.1", addr)
 		if i%2 == 0 {
-			io.WriteString(c, rawHead(fmt.Sprint("late", i))+"Content-Length: 4\r\n\r\nbody")
+			io.WriteString(c, requestHead(fmt.Sprint("late", i))+"Content-Length: 4\r\n\r\nbody")
 		}
 		told.Go(func() {
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -132,7 +132,7 @@
 func TestUnreadHealthChecksEnd(t *testing.T) {
 	t.Parallel() // it takes a write's whole time
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
-	_, limited, _ := parts(t, u, nil)
+	_, limited, _ := newClientSide(t, u, nil)
 	c := dialFrom(t, "127.0.0.1", limited.Addr().String())
 	c.(*net.TCPConn).SetReadBuffer(4 << 10)
 	check := strings.Repeat("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n", 1000)
@@ -191,8 +191,8 @@
 	addr := ln.Addr().String()
 	var clients sync.WaitGroup
 	for _, text := range []string{
-		"", rawHead("half"), rawHead("x") + "Content-Length: 9\r\n\r\nhalf", "\x00\xff\r\n\r\n", "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n",
-		rawHead("good") + "Content-Length: 0\r\n\r\n",
+		"", requestHead("half"), requestHead("x") + "Content-Length: 9\r\n\r\nhalf", "\x00\xff\r\n\r\n", "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n",
+		requestHead("good") + "Content-Length: 0\r\n\r\n",
 	} {
 		for j := range 20 {
 			clients.Go(func() {
@@ -231,7 +231,7 @@
 }
 
 // Giving a connection up and taking its request exclude each other, whoever is first.
-func TestGivingUpAgainstTaking(t *testing.T) {
+func TestEvictionExcludesBeginningARequest(t *testing.T) {
 	ln := sidecartest.ListenLoopback(t)
 	l := newLimitedListener(ln, testLimits(1))
 	l.start()
@@ -271,7 +271,7 @@
 
 // What is taken when a planned restart begins is answered, however long its
 // client has given it: a class may have more time than any bound made up here.
-func TestPlannedRestartWaitsForTheLongestRequest(t *testing.T) {
+func TestGracefulShutdownWaitsForTheLongestRequest(t *testing.T) {
 	t.Parallel() // it takes longer than the protocol's 3 s
 	release := make(chan struct{})
 	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-release; return sidecartest.OKResponse("ok"), false })
@@ -289,7 +289,7 @@
 }
 
 // Each connection that comes to nothing is counted for what it was.
-func TestConnectionsThatComeToNothing(t *testing.T) {
+func TestSilentAndVanishedConnectionsAreCounted(t *testing.T) {
 	t.Parallel() // it takes the time for a header
 	ln := sidecartest.ListenLoopback(t)
 	l := newLimitedListener(ln, testLimits(4))
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -50,7 +50,7 @@
 
 func TestWrongEntriesArePassedOver(t *testing.T) {
 	good := registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0)
-	text := valid(t, registrytest.ListJSON(1, true, `{"host":7,"dial":"127.0.0.1:7","health":"up"}`, `"nonsense"`, `{"dial":"127.0.0.1:7","health":"up"}`,
+	text := validJSON(t, registrytest.ListJSON(1, true, `{"host":7,"dial":"127.0.0.1:7","health":"up"}`, `"nonsense"`, `{"dial":"127.0.0.1:7","health":"up"}`,
 		registrytest.EndpointJSON("s-2", "nowhere", "up", 0), good, `{"host":"s-3","dial":"127.0.0.1:8","health":"up","later":{"x":1}}`))
 	var known client.ListUpdate
 	if err := json.Unmarshal([]byte(text), &known); err != nil {
@@ -69,7 +69,7 @@
 	drains := registrytest.EndpointJSON("s-2", "127.0.0.1:8", "draining", 0)
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0), drains, registrytest.EndpointJSON("s-3", "127.0.0.1:9", "up", 0))
 	var news client.ListUpdate
-	text := valid(t, registrytest.ListJSON(2, true, `{"host":"s-1","dial":7,"health":"up"}`, `{"host":"s-2","dial":"127.0.0.1:8","health":"up","share":"x"}`,
+	text := validJSON(t, registrytest.ListJSON(2, true, `{"host":"s-1","dial":7,"health":"up"}`, `{"host":"s-2","dial":"127.0.0.1:8","health":"up","share":"x"}`,
 		`{"host":"s-9","dial":7,"health":"up"}`, registrytest.EndpointJSON("s-4", "nowhere", "up", 0)))
 	if err := json.Unmarshal([]byte(text), &news); err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/limits_test.go
+++ b/internal/sidecar/limits_test.go
@@ -21,7 +21,7 @@
 	write := func(connections string) {
 		t.Helper()
 		text := fmt.Sprintf(`{"discovery":"127.0.0.1:1","seed":"1","connections":%s,"settings":%s}`, connections, fmt.Sprintf(testSettings, false, 500, "push"))
-		if err := os.WriteFile(c.Path, []byte(valid(t, text)), 0o600); err != nil {
+		if err := os.WriteFile(c.Path, []byte(validJSON(t, text)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -30,7 +30,7 @@
 	var kept []net.Conn
 	for i := range 4 {
 		k := dialFrom(t, "127.0.0.1", addr)
-		if got := ask(k, fmt.Sprint("kept", i)); got != 200 {
+		if got := requestOn(k, fmt.Sprint("kept", i)); got != 200 {
 			t.Fatalf("status %d", got)
 		}
 		kept = append(kept, k)
@@ -40,7 +40,7 @@
 		reload <- syscall.SIGHUP
 	}
 	for i, k := range kept {
-		if got := ask(k, fmt.Sprint("again", i)); got != 200 {
+		if got := requestOn(k, fmt.Sprint("again", i)); got != 200 {
 			t.Errorf("connection %d after wrong limits: status %d", i, got)
 		}
 	}
@@ -49,7 +49,7 @@
 	reload <- syscall.SIGHUP // taken once the first has been acted on
 	open := 0
 	for i, k := range kept {
-		if ask(k, fmt.Sprint("then", i)) == 200 {
+		if requestOn(k, fmt.Sprint("then", i)) == 200 {
 			open++
 		}
 	}
--- a/internal/sidecar/load_test.go
+++ b/internal/sidecar/load_test.go
@@ -23,8 +23,8 @@
 
 const loadSockets = 4096
 
-// loaded runs a sidecar whose upstream answers when release is closed.
-func loaded(b *testing.B, release <-chan struct{}) (addr string) {
+// startLoadedSidecar runs a sidecar whose upstream answers when release is closed.
+func startLoadedSidecar(b *testing.B, release <-chan struct{}) (addr string) {
 	b.Helper()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	ln := sidecartest.ListenLoopback(b)
@@ -57,7 +57,7 @@
 	return addr
 }
 
-func open() <-chan struct{} {
+func alwaysOpen() <-chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
@@ -111,7 +111,7 @@
 
 // BenchmarkLoadRequest is a request on a kept connection.
 func BenchmarkLoadRequest(b *testing.B) {
-	addr := loaded(b, open())
+	addr := startLoadedSidecar(b, alwaysOpen())
 	b.ReportAllocs()
 	b.SetParallelism(loadClients)
 	b.RunParallel(func(pb *testing.PB) {
@@ -128,7 +128,7 @@
 
 // BenchmarkLoadConnect is a connection with one request on it.
 func BenchmarkLoadConnect(b *testing.B) {
-	addr := loaded(b, open())
+	addr := startLoadedSidecar(b, alwaysOpen())
 	b.ReportAllocs()
 	b.SetParallelism(loadClients)
 	b.RunParallel(func(pb *testing.PB) {
@@ -154,15 +154,15 @@
 				release := make(chan struct{})
 				answers := (<-chan struct{})(release)
 				if kind != "busy" {
-					answers = open()
+					answers = alwaysOpen()
 				}
-				addr := loaded(b, answers)
+				addr := startLoadedSidecar(b, answers)
 				first := newLoadClient(b, addr) // what every sidecar has
 				if kind == "idle" {
 					first.send(loadIDs.Add(1))
 					first.read()
 				}
-				memory, files := held(b)
+				memory, files := resourcesHeld(b)
 				clients := make([]*loadClient, conns)
 				for i := range clients {
 					clients[i] = newLoadClient(b, addr)
@@ -179,7 +179,7 @@
 					}
 				}
 				time.Sleep(100 * time.Millisecond) // what was sent is on its way; the figure is a mean and no verdict
-				nowMemory, nowFiles := held(b)
+				nowMemory, nowFiles := resourcesHeld(b)
 				bytes += (nowMemory - memory) / conns
 				fds += (nowFiles - files) / conns
 				close(release)
@@ -194,8 +194,8 @@
 	}
 }
 
-// held is what this process holds of heap and stacks, and of descriptors.
-func held(b *testing.B) (memory, files float64) {
+// resourcesHeld is what this process holds of heap and stacks, and of descriptors.
+func resourcesHeld(b *testing.B) (memory, files float64) {
 	runtime.GC()
 	runtime.GC() // the second lets go of what pools kept
 	var m runtime.MemStats
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/peers_test.go
@@ -165,16 +165,16 @@
 	return out
 }
 
-// handled gives a request to the client side's handler as one that was read from a
+// newHandlerTest gives a request to the client side's handler as one that was read from a
 // connection, and says whether it was left alone.
-func handled(t *testing.T, u *sidecartest.FakeServer) func(c *clientConn) (aborted bool) {
+func newHandlerTest(t *testing.T, u *sidecartest.FakeServer) func(c *clientConn) (aborted bool) {
 	t.Helper()
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	go l.run(t.Context())
 	limited := newLimitedListener(sidecartest.ListenLoopback(t), testLimits(4))
 	limited.start()
 	t.Cleanup(func() { limited.Close() })
-	s := newClientHandler(l.config, l, testDrain(limited))
+	s := newClientHandler(l.config, l, testShutdown(limited))
 	return func(c *clientConn) (aborted bool) {
 		defer func() {
 			err, _ := recover().(error)
@@ -186,8 +186,8 @@
 	}
 }
 
-// valid says whether a text is JSON, so that a test's own list cannot be wrong by a slip.
-func valid(t testing.TB, text string) string {
+// validJSON says whether a text is JSON, so that a test's own list cannot be wrong by a slip.
+func validJSON(t testing.TB, text string) string {
 	t.Helper()
 	if !json.Valid([]byte(text)) {
 		t.Fatalf("not JSON: %s", text)
@@ -195,8 +195,8 @@
 	return text
 }
 
-// closeIdle closes a connection as its owner does: what was read of it is refused first.
-func closeIdle(c *clientConn, half bool) connState {
+// closeIdleConn closes a connection as its owner does: what was read of it is refused first.
+func closeIdleConn(c *clientConn, half bool) connState {
 	state, owed := c.closeIdle(half)
 	if owed {
 		c.refusePartial(true)
@@ -204,8 +204,8 @@
 	return state
 }
 
-// testDrain is a planned end without a bound in sight.
-func testDrain(l *limitedListener) *gracefulShutdown {
+// testShutdown is a planned end without a bound in sight.
+func testShutdown(l *limitedListener) *gracefulShutdown {
 	return newGracefulShutdown(l, gate.New(), time.Hour)
 }
 
--- a/internal/sidecar/races_test.go
+++ b/internal/sidecar/races_test.go
@@ -68,7 +68,7 @@
 
 // A request in chunks that names no length beside them has a certain end, on a new
 // connection as on a kept one, and whatever comes in one piece or byte by byte.
-func TestRequestInChunksIsServed(t *testing.T) {
+func TestChunkedRequestIsServed(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	c, err := net.Dial("tcp", addr)
@@ -85,7 +85,7 @@
 		} else {
 			io.Copy(io.Discard, resp.Body)
 		}
-		text := rawHead(fmt.Sprint("c-", i)) + "Transfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n4;x=y\r\n pot\r\n0\r\n\r\n"
+		text := requestHead(fmt.Sprint("c-", i)) + "Transfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n4;x=y\r\n pot\r\n0\r\n\r\n"
 		for part := range slices.Chunk([]byte(text), piece) {
 			if _, err := c.Write(part); err != nil {
 				t.Fatal(err)
@@ -107,14 +107,14 @@
 
 // A client may leave long before its request is read, where that waited for a place. The
 // request is not sent on, although net/http has not noticed yet that nobody is there.
-func TestRequestOfAClientThatLeftUnreadIsNotSent(t *testing.T) {
+func TestRequestOfAClientThatLeftUnreadIsNotForwarded(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
-	serve := handled(t, u)
+	serve := newHandlerTest(t, u)
 	for name, leave := range map[string]func(net.Conn){
 		"closed": func(far net.Conn) { far.Close() },
 		"reset":  func(far net.Conn) { far.(*net.TCPConn).SetLinger(0); far.Close() },
 	} {
-		far, c := connected(t)
+		far, c := newConnPair(t)
 		if c.ClosedByClient() {
 			t.Fatal("it left before it did")
 		}
@@ -123,21 +123,21 @@
 			t.Errorf("%s: the request was taken or closed over, %d went upstream", name, len(u.Requests))
 		}
 	}
-	far, c := connected(t)
+	far, c := newConnPair(t)
 	far.Write([]byte("more")) // what stands behind a request is no close
 	if serve(c) || len(u.Requests) != 1 {
 		t.Error("the request of a client that is there was not taken")
 	}
 }
 
-// parts runs a sidecar's client side and its loop, whose parts a test needs at hand. onRead is
+// newClientSide runs a sidecar's client side and its loop, whose newClientSide a test needs at hand. onRead is
 // called in the middle of each read from a client.
-func parts(t *testing.T, u *sidecartest.FakeServer, onRead func()) (*eventLoop, *limitedListener, *gracefulShutdown) {
+func newClientSide(t *testing.T, u *sidecartest.FakeServer, onRead func()) (*eventLoop, *limitedListener, *gracefulShutdown) {
 	t.Helper()
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	limited := newLimitedListener(sidecartest.ListenLoopback(t), testLimits(4))
 	l.activeConnections = limited.possiblyActive
-	ending := testDrain(limited)
+	ending := testShutdown(limited)
 	server := newClientHandler(l.config, l, ending).newServer()
 	withRequest := server.ConnContext
 	server.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
@@ -158,7 +158,7 @@
 
 // What a client has sent behind its request stays unread while that is in work, and hides
 // neither the client's end nor, at the end of this process, the answer: a close over it would be a reset.
-func TestClientIsWatchedBehindWhatItSentAhead(t *testing.T) {
+func TestClientCloseIsSeenBehindPipelinedBytes(t *testing.T) {
 	const ahead = 3 * maxHeaderBytes // more than is read with the first request
 	begin := func(t *testing.T) (u *sidecartest.FakeServer, goOn chan struct{}, limited *limitedListener, ending *gracefulShutdown, c *net.TCPConn) {
 		goOn = make(chan struct{})
@@ -166,16 +166,16 @@
 			<-goOn
 			return sidecartest.OKResponse("ok"), false
 		})
-		_, limited, ending = parts(t, u, nil)
+		_, limited, ending = newClientSide(t, u, nil)
 		nc, err := net.Dial("tcp", limited.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { nc.Close() })
 		nc.SetDeadline(time.Now().Add(sidecartest.Patience))
-		io.WriteString(nc, rawHead("first")+"Content-Length: 0\r\n\r\n")
+		io.WriteString(nc, requestHead("first")+"Content-Length: 0\r\n\r\n")
 		sidecartest.Await(t, "the first request", u.Requests)
-		if _, err := io.WriteString(nc, rawHead("second")+strings.Repeat("x", ahead)); err != nil {
+		if _, err := io.WriteString(nc, requestHead("second")+strings.Repeat("x", ahead)); err != nil {
 			t.Fatal(err)
 		}
 		return u, goOn, limited, ending, nc.(*net.TCPConn)
@@ -213,16 +213,16 @@
 
 // A request is half read as another process takes this one's place. It is this one's still, and
 // has its slot here: it is served, and not refused for slots that were given away under it.
-func TestRequestHalfReadAsTheListenerIsGivenAwayIsServed(t *testing.T) {
+func TestRequestHalfReadAtHandoverIsServed(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
-	l, limited, ending := parts(t, u, nil)
+	l, limited, ending := newClientSide(t, u, nil)
 	c, err := net.Dial("tcp", limited.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(sidecartest.Patience))
-	io.WriteString(c, rawHead("half")+"Content-Length: 4\r\n\r\nho")
+	io.WriteString(c, requestHead("half")+"Content-Length: 4\r\n\r\nho")
 	sidecartest.Eventually(t, "its header is read", func() bool {
 		_, now := limited.counters()
 		return now.Open == 1 && now.HalfOpen == 0
@@ -247,11 +247,11 @@
 
 // A request is being read on a resting connection as the end begins: it is answered, and its
 // answer closes the connection.
-func TestRequestReadAsTheEndBeginsIsAnswered(t *testing.T) {
+func TestRequestReadAsShutdownBeginsIsAnswered(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	var reads atomic.Int32
 	reading, goOn := make(chan struct{}), make(chan struct{})
-	_, limited, ending := parts(t, u, func() {
+	_, limited, ending := newClientSide(t, u, func() {
 		if reads.Add(1) == 2 { // the first one is the first request's
 			close(reading)
 			<-goOn
@@ -264,7 +264,7 @@
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(sidecartest.Patience))
 	answers := bufio.NewReader(c)
-	ask := func(id string) { io.WriteString(c, rawHead(id)+"Content-Length: 0\r\n\r\n") }
+	ask := func(id string) { io.WriteString(c, requestHead(id)+"Content-Length: 0\r\n\r\n") }
 	answer := func() *http.Response {
 		t.Helper()
 		resp, err := http.ReadResponse(answers, nil)
@@ -305,7 +305,7 @@
 
 // Wherever the answer to an unsafe request breaks off, it was sent once, and its client is
 // not told that it may try again.
-func TestUnsafeIsSentOnceWhereverItsAnswerBreaksOff(t *testing.T) {
+func TestNonIdempotentIsSentOnceWhereverItsResponseBreaksOff(t *testing.T) {
 	whole := sidecartest.OKResponse("ok")
 	var most atomic.Int32
 	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -22,7 +22,7 @@
 // Through the loop: requests under way are counted to their end, a drain called off
 // and one of a server replaced at its address leave nothing behind, and where all
 // servers drain a client is told to come back.
-func TestDrainsThroughTheList(t *testing.T) {
+func TestServerDrainThroughTheEndpointList(t *testing.T) {
 	g := registrytest.NewServer(t)
 	release := make(chan struct{})
 	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
@@ -69,7 +69,7 @@
 }
 
 // The loop counts what runs at a server that drains.
-func TestDrainIsCountedToItsEnd(t *testing.T) {
+func TestServerDrainFollowsTheEndpointList(t *testing.T) {
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0))
 	h := l.endpoints["s-1"]
 	h.inFlight = 1
@@ -93,14 +93,14 @@
 
 // The phases of a planned end, and what a second signal, a new configuration and a
 // client without end do meanwhile.
-func TestPhasesOfThePlannedEnd(t *testing.T) {
+func TestPhasesOfAGracefulShutdown(t *testing.T) {
 	release := make(chan struct{})
 	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-release; return sidecartest.OKResponse("ok"), false })
 	old, fresh := registrytest.NewServer(t), registrytest.NewServer(t)
 	c := testConfig(t, options{}, old.Addr, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	c.Path = filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"discovery":%q,"seed":"1","settings":%s}`, fresh.Addr, fmt.Sprintf(testSettings, false, 500, "push"))
-	if err := os.WriteFile(c.Path, []byte(valid(t, text)), 0o600); err != nil {
+	if err := os.WriteFile(c.Path, []byte(validJSON(t, text)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	reload := make(chan os.Signal)
@@ -148,7 +148,7 @@
 
 // A signal before the sidecar has a list, an attempt that never ends, and a client
 // that never reads: each comes to an end by its own deadline.
-func TestPlannedEndUnderTrouble(t *testing.T) {
+func TestGracefulShutdownUnderFaults(t *testing.T) {
 	t.Run("before it is ready", func(t *testing.T) {
 		_, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1"))
 		stop()
@@ -187,11 +187,11 @@
 }
 
 // begin acts once, whatever comes later.
-func TestDrainBeginsOnce(t *testing.T) {
+func TestShutdownBeginsOnce(t *testing.T) {
 	l := newLimitedListener(sidecartest.ListenLoopback(t), testLimits(1))
 	l.start()
 	defer l.Close()
-	d := testDrain(l)
+	d := testShutdown(l)
 	d.begin()
 	begun := d.begunAt
 	d.begin()
@@ -209,9 +209,9 @@
 
 // Connections that wait in the kernel's queue as the listener ends are served: the machine has
 // accepted them, and requests were written to them.
-func TestBacklogIsServedAsTheListenerEnds(t *testing.T) {
+func TestBacklogIsServedAtShutdown(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
-	_, limited, ending := parts(t, u, nil)
+	_, limited, ending := newClientSide(t, u, nil)
 	ending.begin()
 	var conns []net.Conn
 	for range 3 {
@@ -220,7 +220,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		io.WriteString(c, rawHead(fmt.Sprint("b", len(conns)))+"Content-Length: 0\r\n\r\n")
+		io.WriteString(c, requestHead(fmt.Sprint("b", len(conns)))+"Content-Length: 0\r\n\r\n")
 		conns = append(conns, c)
 	}
 	limited.acceptBacklog()
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -78,7 +78,7 @@
 // client sends it once more.
 func TestRequestOnAConnectionClosedAsIdleIsLeftAlone(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
-	serve := handled(t, u)
+	serve := newHandlerTest(t, u)
 	closed, open := newClientConn(&net.TCPConn{}), newClientConn(&net.TCPConn{})
 	closed.closeIdle(false)
 	if !serve(closed) || len(u.Requests) > 0 {
@@ -87,7 +87,7 @@
 	if serve(open) || len(u.Requests) != 1 {
 		t.Error("a request of an open connection was not taken")
 	}
-	if closeIdle(open, true) != connBusy {
+	if closeIdleConn(open, true) != connBusy {
 		t.Error("a connection was closed under a request that had been taken")
 	}
 }
@@ -219,7 +219,7 @@
 		}
 	}
 	good := func(discovery string) string {
-		return valid(t, fmt.Sprintf(`{"discovery":%q,"seed":"1","settings":%s}`, discovery, fmt.Sprintf(testSettings, false, 500, "push")))
+		return validJSON(t, fmt.Sprintf(`{"discovery":%q,"seed":"1","settings":%s}`, discovery, fmt.Sprintf(testSettings, false, 500, "push")))
 	}
 	reload := make(chan os.Signal)
 	addr, _, _ := startReloadable(t, c, reload)
--- a/internal/sidecar/upstream/dial_test.go
+++ b/internal/sidecar/upstream/dial_test.go
@@ -32,7 +32,7 @@
 }
 
 // Handshakes to one upstream and to all are bounded, and who waits is served in turn.
-func TestHandshakesAreBounded(t *testing.T) {
+func TestHandshakesAreLimited(t *testing.T) {
 	// A full backlog leaves handshakes hanging, as a machine does that was cut off.
 	silent, again := sidecartest.NewBlackHole(t), sidecartest.NewBlackHole(t)
 	p := NewPool(sidecartest.Patience, 30*time.Second, config.UpstreamLimits{Total: 20, PerServer: 10, Handshakes: 5, HandshakesPerServer: 3}, 1)
@@ -69,7 +69,7 @@
 }
 
 // An upstream that was out of reach gets one handshake at a time until one succeeds.
-func TestHandshakesBeginSlowly(t *testing.T) {
+func TestDialWindowGrows(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p := testPool(20)
 	defer p.Close()
@@ -92,7 +92,7 @@
 
 // Who waits is served in the order of arrival, by a connection that comes back
 // as by one that comes up; who has left is passed over.
-func TestWaitersAreServedInTurn(t *testing.T) {
+func TestWaitersAreServedInOrder(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, to := testPool(1), NewServer(u.Addr)
 	p.dialTimeout = sidecartest.Patience
@@ -133,7 +133,7 @@
 }
 
 // Limits of our own are no word against an upstream.
-func TestOwnLimitsAreNoFailureOfTheUpstream(t *testing.T) {
+func TestLocalLimitsAreNotTheServersFailure(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, to := poolOf(20*time.Millisecond, 30*time.Second, 1), NewServer(u.Addr)
 	defer p.Close()
--- a/internal/sidecar/upstream/pool_test.go
+++ b/internal/sidecar/upstream/pool_test.go
@@ -15,7 +15,7 @@
 // After silence on one connection no idle one to that upstream is used again: a
 // machine that was cut off would swallow a request that may never be repeated.
 // Where something else was heard meanwhile, only that request was slow.
-func TestSilenceMakesIdleConnectionsSuspect(t *testing.T) {
+func TestUnresponsiveServersIdleConnectionsAreClosed(t *testing.T) {
 	for name, heard := range map[string]bool{"silent": false, "one slow request": true} {
 		t.Run(name, func(t *testing.T) {
 			u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
@@ -56,7 +56,7 @@
 
 // Connections beyond what was in use at once lately are closed long before an
 // upstream would; the last one is not.
-func TestIdleConnectionsAreKeptByNeed(t *testing.T) {
+func TestIdleConnectionsAreKeptByDemand(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, to := poolOf(time.Second, time.Minute, 8), NewServer(u.Addr)
 	defer p.Close()
@@ -87,7 +87,7 @@
 }
 
 // Attempts that wait for a connection to a host that leaves are told at once.
-func TestWaitersOfAHostThatLeaves(t *testing.T) {
+func TestWaitersOfARemovedServer(t *testing.T) {
 	p, to := testPool(4), NewServer(sidecartest.NewBlackHole(t))
 	p.dialTimeout = sidecartest.Patience
 	defer p.Close()
@@ -104,7 +104,7 @@
 }
 
 // New limits act on what is open.
-func TestLimitsChangeUnderWay(t *testing.T) {
+func TestSetLimits(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, to := testPool(8), NewServer(u.Addr)
 	defer p.Close()
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestPoolDropsWhatThePeerClosed(t *testing.T) {
+func TestPoolDiscardsWhatTheServerClosed(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, to := testPool(4), NewServer(u.Addr)
 	c, err := p.Acquire(context.Background(), to)
@@ -171,7 +171,7 @@
 	}
 }
 
-func TestPoolClosesBeforeTheUpstreamDoes(t *testing.T) {
+func TestPoolClosesBeforeTheServerDoes(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, to := poolOf(time.Second, 10*time.Second, 4), NewServer(u.Addr)
 	c, err := p.Acquire(context.Background(), to)
@@ -195,7 +195,7 @@
 }
 
 // At the bound an idle connection makes way, to whatever upstream it goes.
-func TestPoolKeepsToItsBound(t *testing.T) {
+func TestPoolKeepsToItsLimit(t *testing.T) {
 	a, b := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse(""))), sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, toA, toB := testPool(2), NewServer(a.Addr), NewServer(b.Addr)
 	first, err := p.Acquire(context.Background(), toA)
@@ -228,7 +228,7 @@
 
 // Another host may come to the address of one that has gone, and an attempt at
 // the old one may still be out by then: its connection is not the new one's.
-func TestConnectionsBelongToTheirHost(t *testing.T) {
+func TestConnectionsBelongToTheirServer(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, old := testPool(4), NewServer(u.Addr)
 	idle, err := p.Acquire(t.Context(), old)
--- a/internal/sidecar/upstream/quarantine_test.go
+++ b/internal/sidecar/upstream/quarantine_test.go
@@ -20,7 +20,7 @@
 
 // A second answer that comes after the rest, in front of the next request's, is that request's to
 // nobody; where all servers answer alike, equality says nothing.
-func TestSecondAnswerIsNotTheNextRequests(t *testing.T) {
+func TestDuplicateResponseIsNotTheNextRequests(t *testing.T) {
 	for name, alike := range map[string]bool{"answers differ": false, "answers are alike": true} {
 		t.Run(name, func(t *testing.T) {
 			last := ""
@@ -59,7 +59,7 @@
 }
 
 // A server that has sent an excess gets long rests, and so does any until answers are told apart.
-func TestRestsAreLongWhereAnswersMayBeTakenForOthers(t *testing.T) {
+func TestQuarantineIsLongWhileDuplicatesCannotBeFound(t *testing.T) {
 	p := testPool(100)
 	defer p.Close()
 	c := &Conn{server: new(Server), idleSince: time.Now()}
@@ -79,7 +79,7 @@
 
 // What comes behind a good answer and belongs to no request, even a little
 // later, must not be taken for the next one's answer.
-func TestExcessIsNoAnswer(t *testing.T) {
+func TestSurplusBytesAreNoResponse(t *testing.T) {
 	for name, behind := range map[string]string{"in the same write": sidecartest.OKResponse("stale"), "later": ""} {
 		t.Run(name, func(t *testing.T) {
 			u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) { return sidecartest.OKResponse("good") + behind, false })
@@ -102,7 +102,7 @@
 
 // A second answer may come some milliseconds behind the first. A connection that has not rested for so
 // long is not used while there is one that has, nor before it has.
-func TestConnectionRestsBeforeTheNextRequest(t *testing.T) {
+func TestConnectionIsQuarantinedBeforeTheNextRequest(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	p, to := testPool(4), NewServer(u.Addr)
 	get := func() *Conn {
--- a/internal/sidecar/upstream/response_test.go
+++ b/internal/sidecar/upstream/response_test.go
@@ -16,7 +16,7 @@
 )
 
 // The protocol's table: what comes back, and whether it may have run.
-func TestOutcomes(t *testing.T) {
+func TestEndings(t *testing.T) {
 	const none = "Content-Length: 0\r\n\r\n"
 	for name, c := range map[string]struct {
 		text string
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestSilenceTimesOutAndClosesTheConnection(t *testing.T) {
+func TestUnresponsiveServerTimesOutAndItsConnectionIsClosed(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
@@ -98,7 +98,7 @@
 }
 
 // An answer that is too large ends its attempt when that is seen, not when the rest has come.
-func TestTooLargeAnswerIsNotWaitedFor(t *testing.T) {
+func TestTooLargeResponseIsNotWaitedFor(t *testing.T) {
 	text := sidecartest.OKResponse(strings.Repeat("x", MaxResponseBody+2))
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(text[:len(text)-1])) // the last byte never comes
 	if got, _ := runOneAttempt(t.Context(), testPool(2), NewServer(u.Addr)); got != policy.Broken {
@@ -116,7 +116,7 @@
 }
 
 // An attempt that is given up while it waits for a connection writes nothing.
-func TestEndedWhileQueuedWritesNothing(t *testing.T) {
+func TestAttemptGivenUpWhileWaitingWritesNothing(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, to := testPool(1), NewServer(u.Addr)
 	held, err := p.Acquire(context.Background(), to)
@@ -195,7 +195,7 @@
 	}
 }
 
-func TestSilentProbeEnds(t *testing.T) {
+func TestUnresponsiveProbeEnds(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
 	ups := newTestTransport(poolOf(500*time.Millisecond, time.Second, 1))
 	if ok, load := ups.Probe(context.Background(), NewServer(u.Addr)); ok || load.InFlight >= 0 {
--- a/internal/sidecar/upstream/server_states_test.go
+++ b/internal/sidecar/upstream/server_states_test.go
@@ -12,7 +12,7 @@
 // A server that drains gets nothing new from the moment on that the sidecar is
 // told, not even what has chosen it already; what runs there ends, idle connections
 // are closed, and if the drain is called off it is used again.
-func TestServerThatDrains(t *testing.T) {
+func TestDrainingServer(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, to := testPool(4), NewServer(u.Addr)
 	defer p.Close()
@@ -39,7 +39,7 @@
 }
 
 // A drain that is told while an attempt waits for its connection ends the wait.
-func TestDrainToldDuringAHandshake(t *testing.T) {
+func TestDrainDuringAHandshake(t *testing.T) {
 	p, to := testPool(4), NewServer(sidecartest.NewBlackHole(t))
 	p.dialTimeout = sidecartest.Patience
 	defer p.Close()
--- a/internal/sidecar/upstream/transport_test.go
+++ b/internal/sidecar/upstream/transport_test.go
@@ -12,7 +12,7 @@
 )
 
 // The time in which a request may be sent again is over while it waits for a connection.
-func TestRepeatKeepsToItsWindowAtTheWrite(t *testing.T) {
+func TestRepeatKeepsToItsWindow(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	p, to := testPool(1), NewServer(u.Addr)
 	ups := newTestTransport(p)
@@ -53,7 +53,7 @@
 }
 
 // An answer without a length ends with its connection, but not with a reset.
-func TestResetIsNoEndOfAnAnswer(t *testing.T) {
+func TestResetIsNoEndOfAResponse(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
 		io.WriteString(r.Conn, "HTTP/1.1 200 OK\r\n\r\nhoney")
 		r.Conn.(*net.TCPConn).SetLinger(0) // its close is a reset
--- a/internal/sidecar/upstream/write_test.go
+++ b/internal/sidecar/upstream/write_test.go
@@ -16,7 +16,7 @@
 
 // A write that is not done when its permission ends is cut off: what is not whole never runs. Attempts
 // that may not be cancelled are no exception.
-func TestLongWriteEndsWithItsPermission(t *testing.T) {
+func TestLongWriteEndsWithItsPermit(t *testing.T) {
 	ln := sidecartest.ListenLoopback(t)
 	begun := make(chan net.Conn, 1)
 	go func() { // it reads the first byte, and nothing more
@@ -78,7 +78,7 @@
 }
 
 // A server is told less than its client has left.
-func TestDeadlineToldLeavesTimeForTheWrite(t *testing.T) {
+func TestRequestTimeoutLeavesTimeForTheWrite(t *testing.T) {
 	for _, left := range []time.Duration{time.Second, 40 * time.Millisecond} {
 		ctx, cancel := context.WithTimeout(t.Context(), left)
 		r := &Request{Method: "GET", URL: sidecartest.MustURL("/"), Header: http.Header{}}
