--- a/internal/sidecar/upstream/dial_test.go
+++ b/internal/sidecar/upstream/dial_test.go
@@ -15,7 +15,7 @@
 	"barleywick/policy"
 )
 
-// Want of something on this machine is no word against the server.
+// A handshake that fails because of this machine says nothing about the server.
 func TestLocalFailuresAreNotTheServers(t *testing.T) {
 	for errno, local := range map[syscall.Errno]bool{
 		syscall.EMFILE: true, syscall.ENFILE: true, syscall.ENOBUFS: true, syscall.EADDRNOTAVAIL: true,
@@ -23,15 +23,15 @@
 	} {
 		err := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
 		if isLocalError(err) != local {
-			t.Errorf("%v: local %v, want %v", errno, !local, local)
+			t.Errorf("%v: got local %v, want %v", errno, !local, local)
 		}
 	}
 	if isLocalError(errors.New("other")) {
-		t.Error("an unknown error is taken for one of this machine")
+		t.Error("an unknown error counts as one of this machine")
 	}
 }
 
-// Handshakes to one upstream and to all are bounded, and who waits is served in turn.
+// The handshakes in progress are limited, for each server and in total.
 func TestHandshakesAreLimited(t *testing.T) {
 	// A full backlog leaves handshakes hanging, as a machine does that was cut off.
 	silent, again := sidecartest.NewBlackHole(t), sidecartest.NewBlackHole(t)
@@ -43,7 +43,7 @@
 		for range n {
 			callers.Go(func() {
 				if _, err := p.Acquire(ctx, to); err == nil {
-					t.Error("a connection to where none comes up")
+					t.Error("got a connection to a server that establishes none")
 				}
 			})
 		}
@@ -51,24 +51,24 @@
 	a, b, c := NewServer(silent), NewServer(again), NewServer(again)
 	a.dialWindow, b.dialWindow = 10, 10
 	ask(a, 8)
-	sidecartest.Eventually(t, "the first handshakes are under way", func() bool { _, now := p.Counters(); return now.Waiting == 8 })
+	sidecartest.Eventually(t, "the first handshakes are in progress", func() bool { _, now := p.Counters(); return now.Waiting == 8 })
 	if _, now := p.Counters(); now.Handshakes != 3 {
-		t.Errorf("%d handshakes to one upstream, want 3", now.Handshakes)
+		t.Errorf("got %d handshakes with one server, want 3", now.Handshakes)
 	}
 	ask(b, 8)
 	ask(c, 8)
 	sidecartest.Eventually(t, "all wait", func() bool { _, now := p.Counters(); return now.Waiting == 24 })
 	if _, now := p.Counters(); now.Handshakes != 5 || now.Open != 5 {
-		t.Errorf("%d handshakes and %d open in all, want 5", now.Handshakes, now.Open)
+		t.Errorf("got %d handshakes and %d open in total, want 5", now.Handshakes, now.Open)
 	}
 	cancel()
 	callers.Wait()
 	if n, now := p.Counters(); now.Waiting != 0 || n.WaitsAbandoned != 24 || a.waiting.Len()+b.waiting.Len()+c.waiting.Len() != 0 {
-		t.Errorf("%+v, %+v: waiters are left that have gone", n, now)
+		t.Errorf("got %+v, %+v, want no waiter left", n, now)
 	}
 }
 
-// An upstream that was out of reach gets one handshake at a time until one succeeds.
+// The dial window grows with each handshake that succeeds, and is 1 after one that failed.
 func TestDialWindowGrows(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p := testPool(20)
@@ -81,17 +81,17 @@
 		}
 		p.Discard(c)
 		if to.dialWindow != want {
-			t.Errorf("window %d, want %d", to.dialWindow, want)
+			t.Errorf("got window %d, want %d", to.dialWindow, want)
 		}
 	}
 	to.addr = "127.0.0.1:1"
 	if _, err := p.Acquire(t.Context(), to); err == nil || to.dialWindow != 1 {
-		t.Errorf("error %v, window %d; want an error and 1", err, to.dialWindow)
+		t.Errorf("got error %v, window %d; want an error and 1", err, to.dialWindow)
 	}
 }
 
-// Who waits is served in the order of arrival, by a connection that comes back
-// as by one that comes up; who has left is passed over.
+// Waiting callers get connections in the order of their arrival, released ones as well as new ones;
+// one that has given up is skipped.
 func TestWaitersAreServedInOrder(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, to := testPool(1), NewServer(u.Addr)
@@ -115,24 +115,24 @@
 				p.Release(c)
 			}
 		}()
-		sidecartest.Eventually(t, "it waits", func() bool { return waiters(p) == i+1 })
+		sidecartest.Eventually(t, "the caller waits", func() bool { return waiters(p) == i+1 })
 	}
 	left()
-	if got := sidecartest.Await(t, "the one that leaves", served); got != 2 {
-		t.Fatalf("%d left", got)
+	if got := sidecartest.Await(t, "the caller that gives up", served); got != 2 {
+		t.Fatalf("caller %d gave up, want 2", got)
 	}
 	p.Release(c)
 	for _, want := range []int{0, 1, 3, 4} {
-		if got := sidecartest.Await(t, "the next", served); got != want {
-			t.Errorf("%d was served, want %d", got, want)
+		if got := sidecartest.Await(t, "the next caller", served); got != want {
+			t.Errorf("got a connection for caller %d, want %d", got, want)
 		}
 	}
 	if len(u.Accepted) != 1 {
-		t.Errorf("%d connections, want the one", len(u.Accepted))
+		t.Errorf("got %d connections, want 1", len(u.Accepted))
 	}
 }
 
-// Limits of our own are no word against an upstream.
+// A wait that the limits here cause says nothing about the server.
 func TestLocalLimitsAreNotTheServersFailure(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, to := poolOf(20*time.Millisecond, 30*time.Second, 1), NewServer(u.Addr)
@@ -141,9 +141,9 @@
 		t.Fatal(err)
 	}
 	if got, _ := runOneAttempt(t.Context(), p, NewServer(u.Addr)); got != policy.NotSent {
-		t.Errorf("ending %v, want not sent", got)
+		t.Errorf("got ending %v, want not sent", got)
 	}
 	if got, _ := runOneAttempt(t.Context(), poolOf(20*time.Millisecond, time.Second, 1), NewServer(sidecartest.NewBlackHole(t))); got != policy.NoConnection {
-		t.Errorf("an upstream that says nothing: ending %v, want no connection", got)
+		t.Errorf("unresponsive server: got ending %v, want no connection", got)
 	}
 }
--- a/internal/sidecar/upstream/helpers_test.go
+++ b/internal/sidecar/upstream/helpers_test.go
@@ -12,7 +12,7 @@
 	"barleywick/policy"
 )
 
-// runOneAttempt carries one attempt out over a pool of its own.
+// runOneAttempt carries out an attempt over a transport of its own.
 func runOneAttempt(ctx context.Context, p *Pool, to *Server) (policy.Ending, *Response) {
 	r := &Request{Method: "POST", URL: sidecartest.MustURL("/api"), Host: "service.internal", Header: http.Header{"Request-Id": {"x"}}, Body: []byte("{}")}
 	return newTestTransport(p).Do(newTestAttempt(ctx, r, to, time.Time{}, time.Time{}))
@@ -29,14 +29,15 @@
 	return a
 }
 
+// testPool returns a pool whose limits are all the same.
 func testPool(most int) *Pool { return poolOf(time.Second, 30*time.Second, most) }
 
-// poolOf bounds connections in all and nothing else.
+// poolOf returns such a pool with its own times.
 func poolOf(dialTimeout, connIdle time.Duration, most int) *Pool {
 	return NewPool(dialTimeout, connIdle, config.UpstreamLimits{Total: most, PerServer: most, Handshakes: most, HandshakesPerServer: most}, 1)
 }
 
-// endAllQuarantines takes all connections that rest back into use, as if they had rested.
+// endAllQuarantines releases all quarantined connections, as if their time were over.
 func endAllQuarantines(p *Pool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -45,7 +46,7 @@
 	}
 }
 
-// connections takes n connections to an upstream out of a pool.
+// connections acquires n connections.
 func connections(t testing.TB, p *Pool, to *Server, n int) (conns []*Conn) {
 	t.Helper()
 	for range n {
@@ -58,10 +59,11 @@
 	return conns
 }
 
-// opened is how many connections of a pool are open or being opened.
+// opened returns how many connections are open, handshakes in progress included.
 func (p *Pool) opened() int {
 	_, now := p.Counters()
 	return now.Open
 }
 
+// waiters returns how many callers wait for a connection.
 func waiters(p *Pool) int { _, now := p.Counters(); return now.Waiting }
--- a/internal/sidecar/upstream/quarantine_test.go
+++ b/internal/sidecar/upstream/quarantine_test.go
@@ -11,17 +11,17 @@
 	"barleywick/policy"
 )
 
-// makeDuplicatesConclusive lets a pool see as many different answers as it takes to tell them apart.
+// makeDuplicatesConclusive shows the pool as many distinct responses as it needs to find duplicates.
 func makeDuplicatesConclusive(p *Pool) {
 	for i := range distinctRunNeeded {
 		p.duplicates.observe(p.duplicates.hash([]byte(fmt.Sprint("other ", i))), new(recentResponses))
 	}
 }
 
-// A second answer that comes after the rest, in front of the next request's, is that request's to
-// nobody; where all servers answer alike, equality says nothing.
+// A second response that arrives after the quarantine, before the next request's own, is dropped; if
+// all responses are alike, equality says nothing.
 func TestDuplicateResponseIsNotTheNextRequests(t *testing.T) {
-	for name, alike := range map[string]bool{"answers differ": false, "answers are alike": true} {
+	for name, alike := range map[string]bool{"distinct responses": false, "equal responses": true} {
 		t.Run(name, func(t *testing.T) {
 			last := ""
 			u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
@@ -47,38 +47,37 @@
 					want = "done"
 				}
 				if ending != policy.Served || string(got.Body) != want {
-					t.Fatalf("request %d: ending %v, answer %+v", i, ending, got)
+					t.Fatalf("request %d: got ending %v, response %+v", i, ending, got)
 				}
 				endAllQuarantines(p)
 			}
 			if n, _ := p.Counters(); (n.DuplicateResponses > 0) == alike {
-				t.Errorf("%d answers were passed over", n.DuplicateResponses)
+				t.Errorf("got %d duplicates dropped, with equal responses %v", n.DuplicateResponses, alike)
 			}
 		})
 	}
 }
 
-// A server that has sent an excess gets long rests, and so does any until answers are told apart.
+// Quarantines are long after a surplus response, and for every server until duplicates can be found.
 func TestQuarantineIsLongWhileDuplicatesCannotBeFound(t *testing.T) {
 	p := testPool(100)
 	defer p.Close()
 	c := &Conn{server: new(Server), idleSince: time.Now()}
 	if got := p.quarantineTime(c); got != MaxQuarantine {
-		t.Errorf("before answers are told apart: %v", got)
+		t.Errorf("before duplicates are conclusive: got %v, want %v", got, MaxQuarantine)
 	}
 	if makeDuplicatesConclusive(p); p.quarantineTime(c) != minQuarantine {
-		t.Errorf("once they are: %v", p.quarantineTime(c))
+		t.Errorf("once they are: got %v, want %v", p.quarantineTime(c), minQuarantine)
 	}
 	if p.noteSurplus(c); p.quarantineTime(c) != MaxQuarantine {
-		t.Errorf("after an excess: %v", p.quarantineTime(c))
+		t.Errorf("after a surplus response: got %v, want %v", p.quarantineTime(c), MaxQuarantine)
 	}
 	if p.open = 100; p.quarantineTime(c) != minQuarantine {
-		t.Errorf("with no connection to spare: %v", p.quarantineTime(c))
+		t.Errorf("with all connections used: got %v, want %v", p.quarantineTime(c), minQuarantine)
 	}
 }
 
-// What comes behind a good answer and belongs to no request, even a little
-// later, must not be taken for the next one's answer.
+// Surplus bytes behind a response, even a little later, must not count as the next request's response.
 func TestSurplusBytesAreNoResponse(t *testing.T) {
 	for name, behind := range map[string]string{"in the same write": sidecartest.OKResponse("stale"), "later": ""} {
 		t.Run(name, func(t *testing.T) {
@@ -87,21 +86,21 @@
 			for i := range 20 {
 				ending, a := runOneAttempt(t.Context(), p, to)
 				if ending != policy.Served || string(a.Body) != "good" {
-					t.Fatalf("attempt %d: ending %v, answer %+v", i, ending, a)
+					t.Fatalf("attempt %d: got ending %v, response %+v", i, ending, a)
 				}
 				if r := sidecartest.Await(t, "the request", u.Requests); behind == "" {
 					io.WriteString(r.Conn, sidecartest.OKResponse("stale"))
 				}
 			}
 			if len(u.Accepted) != 20 {
-				t.Errorf("%d connections for 20 answers with an excess, want one each", len(u.Accepted))
+				t.Errorf("got %d connections for 20 responses with surplus bytes, want 20", len(u.Accepted))
 			}
 		})
 	}
 }
 
-// A second answer may come some milliseconds behind the first. A connection that has not rested for so
-// long is not used while there is one that has, nor before it has.
+// A second response may come some milliseconds after the first: a connection is not used before its
+// quarantine is over, whether there is another or not.
 func TestConnectionIsQuarantinedBeforeTheNextRequest(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	p, to := testPool(4), NewServer(u.Addr)
@@ -118,13 +117,13 @@
 	endAllQuarantines(p)
 	p.Release(second)
 	if c := get(); c != first {
-		t.Error("a connection is used that had its answer a moment ago, beside one that has rested")
+		t.Error("got a quarantined connection although another was idle")
 	}
 	if c := get(); c == second {
-		t.Errorf("a connection is used %v after its last answer", time.Since(c.idleSince))
+		t.Errorf("got a connection %v after its last response", time.Since(c.idleSince))
 	}
-	sidecartest.Eventually(t, "the rest is over", func() bool { _, now := p.Counters(); return now.Quarantined == 0 })
+	sidecartest.Eventually(t, "the quarantine is over", func() bool { _, now := p.Counters(); return now.Quarantined == 0 })
 	if c := get(); c != second || time.Since(c.idleSince) < minQuarantine {
-		t.Errorf("a connection is used %v after its last answer", time.Since(c.idleSince))
+		t.Errorf("got a connection %v after its last response", time.Since(c.idleSince))
 	}
 }
--- a/internal/sidecar/upstream/response_test.go
+++ b/internal/sidecar/upstream/response_test.go
@@ -15,7 +15,7 @@
 	"barleywick/policy"
 )
 
-// The protocol's table: what comes back, and whether it may have run.
+// The protocol's table: which ending follows from what the server sends.
 func TestEndings(t *testing.T) {
 	const none = "Content-Length: 0\r\n\r\n"
 	for name, c := range map[string]struct {
@@ -26,10 +26,10 @@
 		"served":                  {text: sidecartest.OKResponse("honey"), want: policy.Served},
 		"twice the same length":   {text: "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 5\r\n\r\nhoney", want: policy.Served},
 		"more than belongs to it": {text: sidecartest.OKResponse("honey") + sidecartest.OKResponse("again"), want: policy.Served},
-		"two interim answers":     {text: "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + sidecartest.OKResponse("honey"), want: policy.Served},
+		"two informational":       {text: "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + sidecartest.OKResponse("honey"), want: policy.Served},
 		"chunked":                 {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n0\r\n\r\n", want: policy.Served},
 		"chunked, in small ones":  {text: "HTTP/1.1 200 OK\r\ntransfer-encoding: Chunked\r\n\r\n1\r\nh\r\n3;x=y\r\none\r\n1\r\ny\r\n0\r\nTrailer: x\r\n\r\n", want: policy.Served},
-		"chunked behind interim":  {text: "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n0\r\n\r\n", want: policy.Served},
+		"chunked after those":     {text: "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n0\r\n\r\n", want: policy.Served},
 		"chunks, a length behind": {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\ncontent-length : 5\r\n\r\n5\r\nhoney\r\n0\r\n\r\n", want: policy.Broken},
 		"chunks below much else":  {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX: " + strings.Repeat("x", httpmessage.MaxRecordedHead) + "\r\nContent-Length: 5\r\n\r\n5\r\nhoney\r\n0\r\n\r\n", want: policy.Broken},
 		"chunks without an end":   {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1\r\nx\r\n", maxResponseWire/6+4<<10), want: policy.Broken},
@@ -43,15 +43,15 @@
 		"another protocol":        {text: "ICY 200 OK\r\nContent-Length: 5\r\n\r\nhoney", want: policy.Broken},
 		"line without a colon":    {text: "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 5\r\n\r\nhoney", want: policy.Broken},
 		"said to have 3 GB":       {text: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhoney", want: policy.Broken},
-		"after an interim answer": {text: "HTTP/1.1 100 Continue\r\n\r\n" + sidecartest.OKResponse("honey"), want: policy.Served},
+		"after an informational":  {text: "HTTP/1.1 100 Continue\r\n\r\n" + sidecartest.OKResponse("honey"), want: policy.Served},
 		"error":                   {text: "HTTP/1.1 500 x\r\n" + none, want: policy.Errored},
-		"turned away 503":         {text: "HTTP/1.1 503 x\r\nNot-Started: 1\r\n" + none, want: policy.Rejected},
-		"turned away 504":         {text: "HTTP/1.1 504 x\r\nNot-Started: 1\r\n" + none, want: policy.Rejected},
+		"rejected 503":            {text: "HTTP/1.1 503 x\r\nNot-Started: 1\r\n" + none, want: policy.Rejected},
+		"rejected 504":            {text: "HTTP/1.1 504 x\r\nNot-Started: 1\r\n" + none, want: policy.Rejected},
 		"503 may have run":        {text: "HTTP/1.1 503 x\r\n" + none, want: policy.Errored},
 		"504 not said":            {text: "HTTP/1.1 504 x\r\nNot-Started: 0\r\n" + none, want: policy.Errored},
 		"500 with the mark":       {text: "HTTP/1.1 500 x\r\nNot-Started: 1\r\n" + none, want: policy.Errored},
 		"429 may have run":        {text: "HTTP/1.1 429 x\r\n" + none, want: policy.Errored},
-		"no answer at all":        {end: true, want: policy.Broken},
+		"no response at all":      {end: true, want: policy.Broken},
 		"cut body":                {text: "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhoney", end: true, want: policy.Broken},
 		"cut chunk":               {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n", end: true, want: policy.Broken},
 		"no HTTP":                 {text: "hello\r\n\r\n", end: true, want: policy.Broken},
@@ -62,13 +62,13 @@
 			u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { return c.text, c.end })
 			got, a := runOneAttempt(context.Background(), testPool(2), NewServer(u.Addr))
 			if got != c.want {
-				t.Errorf("ending %v, want %v", got, c.want)
+				t.Errorf("got ending %v, want %v", got, c.want)
 			}
 			if (a != nil) != (c.want == policy.Served) || (a != nil && string(a.Body) != "honey") {
-				t.Errorf("answer %+v", a)
+				t.Errorf("got response %+v", a)
 			}
 			if r := sidecartest.Await(t, "the request", u.Requests); r.Body != "{}" || r.Header.Get("Request-Id") != "x" {
-				t.Errorf("the upstream read %v %q", r.Header, r.Body)
+				t.Errorf("the server read %v %q", r.Header, r.Body)
 			}
 		})
 	}
@@ -79,9 +79,9 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
 	if got, _ := runOneAttempt(ctx, testPool(2), NewServer(u.Addr)); got != policy.TimedOut {
-		t.Errorf("ending %v, want timed out", got)
+		t.Errorf("got ending %v, want timed out", got)
 	}
-	sidecartest.Await(t, "the connection's end", u.Closed)
+	sidecartest.Await(t, "the connection's close", u.Closed)
 }
 
 func TestCancelClosesTheConnection(t *testing.T) {
@@ -92,26 +92,26 @@
 		cancel()
 	}()
 	if got, _ := runOneAttempt(ctx, testPool(2), NewServer(u.Addr)); got != policy.Cancelled {
-		t.Errorf("ending %v, want cancelled", got)
+		t.Errorf("got ending %v, want cancelled", got)
 	}
-	sidecartest.Await(t, "the connection's end", u.Closed)
+	sidecartest.Await(t, "the connection's close", u.Closed)
 }
 
-// An answer that is too large ends its attempt when that is seen, not when the rest has come.
+// A response that is too large ends its attempt when that is seen, and not when all of it has arrived.
 func TestTooLargeResponseIsNotWaitedFor(t *testing.T) {
 	text := sidecartest.OKResponse(strings.Repeat("x", MaxResponseBody+2))
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(text[:len(text)-1])) // the last byte never comes
 	if got, _ := runOneAttempt(t.Context(), testPool(2), NewServer(u.Addr)); got != policy.Broken {
-		t.Errorf("ending %v, want broken", got)
+		t.Errorf("got ending %v, want broken", got)
 	}
-	sidecartest.Await(t, "the connection's end", u.Closed)
+	sidecartest.Await(t, "the connection's close", u.Closed)
 }
 
 func TestRefusedConnectionNeverRan(t *testing.T) {
 	ln := sidecartest.ListenLoopback(t)
 	ln.Close()
 	if got, _ := runOneAttempt(context.Background(), testPool(2), NewServer(ln.Addr().String())); got != policy.NoConnection {
-		t.Errorf("ending %v, want no connection", got)
+		t.Errorf("got ending %v, want no connection", got)
 	}
 }
 
@@ -126,12 +126,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if got, _ := runOneAttempt(ctx, p, to); got != policy.NotSent {
-		t.Errorf("cancelled: ending %v, want not sent", got)
+		t.Errorf("cancelled: got ending %v, want not sent", got)
 	}
 	late, done := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer done()
 	if got, _ := runOneAttempt(late, p, to); got != policy.NotSent {
-		t.Errorf("timed out: ending %v, want not sent: the wait was for a connection of our own", got)
+		t.Errorf("timed out: got ending %v, want not sent: the limits here caused the wait", got)
 	}
 	p.Discard(held)
 	if len(u.Requests) > 0 {
@@ -139,7 +139,7 @@
 	}
 }
 
-// A request whose last byte could not be written never ran, however much of it went out.
+// A request whose last byte could not be written never ran, however much of it was sent.
 func TestUnfinishedWriteNeverRan(t *testing.T) {
 	ln := sidecartest.ListenLoopback(t)
 	go func() {
@@ -179,17 +179,17 @@
 		"negative":      {sidecartest.OKResponse("TEXT busy_reqs=-2"), true, -1},
 		"infinite":      {sidecartest.OKResponse("TEXT busy_reqs=+Inf"), true, -1},
 		"garbage":       {sidecartest.OKResponse("\x00=,,=busy_reqs"), true, -1},
-		"unwell":        {"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", false, -1},
+		"unhealthy":     {"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", false, -1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := sidecartest.NewFakeServer(t, sidecartest.Always(c.text))
 			ups := NewTransport(testPool(1), gate.New(), "/stats", settings.LoadColumns{"busy_reqs", "pending"})
 			ok, load := ups.Probe(context.Background(), NewServer(u.Addr))
 			if ok != c.ok || load.InFlight != c.load {
-				t.Errorf("probe: %v, %v; want %v, %v", ok, load.InFlight, c.ok, c.load)
+				t.Errorf("got %v, %v; want %v, %v", ok, load.InFlight, c.ok, c.load)
 			}
 			if r := sidecartest.Await(t, "the probe", u.Requests); r.URL.Path != "/stats" || r.Header.Get("Request-Id") != "" {
-				t.Errorf("asked for %s with %v", r.URL, r.Header)
+				t.Errorf("got a probe of %s with %v", r.URL, r.Header)
 			}
 		})
 	}
@@ -199,7 +199,7 @@
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
 	ups := newTestTransport(poolOf(500*time.Millisecond, time.Second, 1))
 	if ok, load := ups.Probe(context.Background(), NewServer(u.Addr)); ok || load.InFlight >= 0 {
-		t.Errorf("probe of a silent upstream: %v, %v", ok, load)
+		t.Errorf("got %v, %v; want false and an unknown load", ok, load)
 	}
-	sidecartest.Await(t, "the connection's end", u.Closed)
+	sidecartest.Await(t, "the connection's close", u.Closed)
 }
--- a/internal/sidecar/upstream/transport_test.go
+++ b/internal/sidecar/upstream/transport_test.go
@@ -11,7 +11,7 @@
 	"barleywick/policy"
 )
 
-// The time in which a request may be sent again is over while it waits for a connection.
+// A repeat is not sent if its deadline passes while it waits for a connection.
 func TestRepeatKeepsToItsWindow(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	p, to := testPool(1), NewServer(u.Addr)
@@ -20,23 +20,23 @@
 	r := &Request{Method: "POST", URL: sidecartest.MustURL("/api"), Host: "x", Header: map[string][]string{"Request-Id": {"x"}}}
 	a := newTestAttempt(t.Context(), r, to, time.Time{}, time.Now().Add(20*time.Millisecond))
 	if got, _ := ups.Do(a); got != policy.NotSent {
-		t.Errorf("waiting for a connection: ending %v, want not sent", got)
+		t.Errorf("waiting for a connection: got ending %v, want not sent", got)
 	}
 	p.Release(out)
 	a = newTestAttempt(t.Context(), r, to, time.Time{}, time.Now().Add(-time.Millisecond))
 	if got, _ := ups.Do(a); got != policy.NotSent {
-		t.Errorf("with a connection: ending %v, want not sent", got)
+		t.Errorf("with a connection: got ending %v, want not sent", got)
 	}
 	a = newTestAttempt(t.Context(), r, to, time.Time{}, time.Now().Add(time.Hour))
 	if got, _ := ups.Do(a); got != policy.Served {
-		t.Errorf("in time: ending %v, want served", got)
+		t.Errorf("in time: got ending %v, want served", got)
 	}
 	if len(u.Requests) != 1 {
-		t.Errorf("%d requests were written, want 1", len(u.Requests))
+		t.Errorf("got %d requests, want 1", len(u.Requests))
 	}
 }
 
-// The window is checked between the choice of a connection and the write, too.
+// The deadline of a repeat is also checked after a connection was acquired.
 func TestRepeatIsNotWrittenAfterItsWindow(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	p, to := testPool(1), NewServer(u.Addr)
@@ -48,11 +48,11 @@
 		t.Errorf("got written %v, error %v; want an error before the write", x.writtenAt, err)
 	}
 	if len(u.Requests) > 0 {
-		t.Error("it was written")
+		t.Error("the request was written")
 	}
 }
 
-// An answer without a length ends with its connection, but not with a reset.
+// A response without a length ends with the close of its connection, but not with a reset.
 func TestResetIsNoEndOfAResponse(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
 		io.WriteString(r.Conn, "HTTP/1.1 200 OK\r\n\r\nhoney")
@@ -60,12 +60,12 @@
 		return "", true
 	})
 	if got, a := runOneAttempt(t.Context(), testPool(2), NewServer(u.Addr)); got != policy.Broken {
-		t.Errorf("ending %v, answer %+v, want broken", got, a)
+		t.Errorf("got ending %v, response %+v, want broken", got, a)
 	}
 }
 
-// Nothing is sent again behind the module's back, not even a request that may be
-// repeated, when a kept connection breaks under it.
+// The transport repeats nothing by itself, not even an idempotent request whose reused connection
+// breaks.
 func TestNoHiddenAttempts(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
 		if r.Header.Get("Request-Id") == "breaks" {
@@ -80,13 +80,13 @@
 		return ending
 	}
 	if got := try("first"); got != policy.Served {
-		t.Fatalf("first: ending %v", got)
+		t.Fatalf("first: got ending %v, want served", got)
 	}
 	endAllQuarantines(p)
 	if got := try("breaks"); got != policy.Broken {
-		t.Errorf("on a breaking connection: ending %v, want broken", got)
+		t.Errorf("on a breaking connection: got ending %v, want broken", got)
 	}
 	if len(u.Requests) != 2 || len(u.Accepted) != 1 {
-		t.Errorf("%d requests on %d connections, want 2 on 1", len(u.Requests), len(u.Accepted))
+		t.Errorf("got %d requests on %d connections, want 2 on 1", len(u.Requests), len(u.Accepted))
 	}
 }
--- a/internal/sidecar/upstream/write_test.go
+++ b/internal/sidecar/upstream/write_test.go
@@ -14,12 +14,12 @@
 	"barleywick/policy"
 )
 
-// A write that is not done when its permission ends is cut off: what is not whole never runs. Attempts
-// that may not be cancelled are no exception.
+// A write that is not complete when its permission ends is cut off: a request that is not whole never
+// runs. That holds also if attempts may not be cancelled.
 func TestLongWriteEndsWithItsPermit(t *testing.T) {
 	ln := sidecartest.ListenLoopback(t)
 	begun := make(chan net.Conn, 1)
-	go func() { // it reads the first byte, and nothing more
+	go func() { // it reads the first byte only
 		c, err := ln.Accept()
 		if err != nil {
 			return
@@ -40,15 +40,15 @@
 	ending := make(chan policy.Ending, 1)
 	go func() { e, _ := newTestTransport(p).Do(a); ending <- e }()
 	defer sidecartest.Await(t, "the first byte", begun).Close()
-	a.CancelWrite() // the client has left in the middle of the write; ctx lasts
-	if got := sidecartest.Await(t, "its end", ending); got != policy.NotSent {
-		t.Errorf("ending %v, want not sent", got)
+	a.CancelWrite() // as if the client had left in the middle of the write; the attempt is not cancelled
+	if got := sidecartest.Await(t, "the ending", ending); got != policy.NotSent {
+		t.Errorf("got ending %v, want not sent", got)
 	}
 }
 
-// What lies unsent in the kernel as an attempt is given up never reaches its server.
+// What the kernel has not sent when an attempt is given up never reaches its server.
 func TestGivenUpWriteIsNotSentLater(t *testing.T) {
-	const body = 60 << 10 // it fits the buffer of the sender, and not the receiver's
+	const body = 60 << 10 // fits the sender's buffer, but not the receiver's
 	listen := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
 	}}
@@ -68,16 +68,16 @@
 	defer near.Close()
 	c := &Conn{Conn: far, server: new(Server)}
 	if n, err := c.Write(make([]byte, body)); n != body || err != nil || c.unsentBytes() == 0 {
-		t.Fatalf("wrote %d, %v, unsent %d", n, err, c.unsentBytes())
+		t.Fatalf("got %d bytes written, %v, %d unsent; want all written and some unsent", n, err, c.unsentBytes())
 	}
 	c.Close()
 	near.SetReadDeadline(time.Now().Add(sidecartest.Patience))
 	if n, err := io.Copy(io.Discard, near); n >= body || err == nil {
-		t.Errorf("%d bytes came and %v, want a part and a reset", n, err)
+		t.Errorf("got %d bytes and %v, want a part and a reset", n, err)
 	}
 }
 
-// A server is told less than its client has left.
+// Request-Timeout is shorter than the time that the client has left.
 func TestRequestTimeoutLeavesTimeForTheWrite(t *testing.T) {
 	for _, left := range []time.Duration{time.Second, 40 * time.Millisecond} {
 		ctx, cancel := context.WithTimeout(t.Context(), left)
@@ -85,7 +85,7 @@
 		told, err := strconv.ParseFloat(r.outgoing(ctx).Header.Get("Request-Timeout"), 64)
 		cancel()
 		if most := left - min(timeoutMargin, left/4) + time.Millisecond; err != nil || told <= 0 || told > most.Seconds() {
-			t.Errorf("%v left: told %v s, %v", left, told, err)
+			t.Errorf("%v left: got Request-Timeout %v s, %v", left, told, err)
 		}
 	}
 }
