--- a/internal/sidecar/client_conn_test.go
+++ b/internal/sidecar/client_conn_test.go
@@ -15,7 +15,7 @@
 	"barleywick/policy"
 )
 
-// Half a request that gives way is refused before its connection ends, also where many do.
+// A partial request on an evicted connection is refused before the close, with or without lingering.
 func TestPartialRequestIsRefusedBeforeTheClose(t *testing.T) {
 	for _, haste := range []bool{false, true} {
 		far, c := newConnPair(t)
@@ -25,19 +25,19 @@
 		}
 		state, owed := c.closeIdle(true)
 		if state != connClosed || !owed {
-			t.Fatalf("state %d, owed %v", state, owed)
+			t.Fatalf("got state %d, refusal owed %v; want closed and true", state, owed)
 		}
 		go c.refusePartial(haste)
 		resp, err := http.ReadResponse(bufio.NewReader(far), nil)
 		if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
-			t.Errorf("answered %+v, %v; want 503 and the end", resp, err)
+			t.Errorf("got %+v, %v; want 503 and the close", resp, err)
 		}
 		far.Close()
-		c.Close() // net/http's, which waits for it
+		c.Close() // as net/http does; it waits for the refusal
 	}
 }
 
-// A connection that net/http closes over what it has read has a refusal before that.
+// If net/http closes a connection over a request that was read, a response is written before.
 func TestRequestReadIsAnsweredBeforeTheClose(t *testing.T) {
 	for want, taken := range map[int]bool{http.StatusServiceUnavailable: false, http.StatusBadGateway: true} {
 		far, c := newConnPair(t)
@@ -51,14 +51,14 @@
 		go c.Close()
 		resp, err := http.ReadResponse(bufio.NewReader(far), nil)
 		if err != nil || resp.StatusCode != want {
-			t.Errorf("taken %v: answered %+v, %v; want %d", taken, resp, err, want)
+			t.Errorf("in progress %v: got %+v, %v; want %d", taken, resp, err, want)
 		}
 		far.Close()
 	}
 }
 
-// A request that lay in the kernel while its connection waited counts from then, one that was
-// waited for from when it came.
+// A request that was in the kernel while its connection waited counts from the accept; one that the
+// read waited for counts from its arrival.
 func TestRequestArrivalTime(t *testing.T) {
 	const late = 80 * time.Millisecond
 	far, c := newConnPair(t)
@@ -71,7 +71,7 @@
 		}
 	}
 	if read(); c.requestArrivedAt().Sub(c.acceptedAt) >= late {
-		t.Errorf("it came %v after the connection, as if it had come when it was read", c.requestArrivedAt().Sub(c.acceptedAt))
+		t.Errorf("got arrival %v after the accept, want earlier than its read", c.requestArrivedAt().Sub(c.acceptedAt))
 	}
 	sent := make(chan time.Time, 1)
 	time.AfterFunc(late, func() {
@@ -79,7 +79,7 @@
 		io.WriteString(far, "E")
 	})
 	if read(); c.requestArrivedAt().Before(<-sent) {
-		t.Error("what was waited for counts from before it was sent")
+		t.Error("got an arrival before the request was sent")
 	}
 	c.beginRequest()
 	c.endRequest()
@@ -87,11 +87,11 @@
 	io.WriteString(far, "T")
 	time.Sleep(late)
 	if read(); c.requestArrivedAt().Before(rested.Add(-late/2)) || c.requestArrivedAt().After(rested.Add(late/2)) {
-		t.Errorf("the next request counts from %v after the answer", c.requestArrivedAt().Sub(rested))
+		t.Errorf("got arrival %v after the response, want about 0", c.requestArrivedAt().Sub(rested))
 	}
 }
 
-// newConnPair returns a client's end of a connection, and ours.
+// newConnPair returns both ends of a connection.
 func newConnPair(t *testing.T) (net.Conn, *clientConn) {
 	t.Helper()
 	ln := sidecartest.ListenLoopback(t)
@@ -108,8 +108,8 @@
 	return far, c
 }
 
-// A request that is being read in the moment in which its connection is to be closed as
-// idle is lost if the close goes through: its client takes it to be in work.
+// A request that is being read while its connection is to be closed as idle would be lost with the
+// close: its client believes it to be in progress.
 func TestConnectionIsNotClosedOverWhatIsBeingRead(t *testing.T) {
 	far, c := newConnPair(t)
 	reading, goOn := make(chan struct{}), make(chan struct{})
@@ -128,32 +128,32 @@
 	go func() { state <- closeIdleConn(c, false) }()
 	close(goOn)
 	if got := sidecartest.Await(t, "the close", state); got != connIdle {
-		t.Errorf("the connection is in state %d, want left alone", got)
+		t.Errorf("got state %d, want idle", got)
 	}
 	if err := sidecartest.Await(t, "the read", read); err != nil {
-		t.Errorf("what was read is lost: %v", err)
+		t.Errorf("got error %v from the read", err)
 	}
 	if closeIdleConn(c, false) != connIdle {
-		t.Error("closed as idle with half a request read")
+		t.Error("closed as idle with a partial request read")
 	}
 	if c.headerRead(); closeIdleConn(c, false) != connClosed {
-		t.Error("not closed once that was answered")
+		t.Error("not closed after its header was handled")
 	}
 }
 
-// The other way round nothing is read any more: the client sends its request once more.
+// Nothing is read from a connection that was closed as idle: the client sends its request again.
 func TestNothingIsReadFromAClosedConnection(t *testing.T) {
 	far, c := newConnPair(t)
 	c.mu.Lock()
-	c.state = connClosed // the moment before its close
+	c.state = connClosed // as in the moment before its close
 	c.mu.Unlock()
 	far.Write([]byte("P"))
 	if n, err := c.Read(make([]byte, 10)); n != 0 || !errors.Is(err, net.ErrClosed) {
-		t.Errorf("read %d bytes and %v", n, err)
+		t.Errorf("got %d bytes and %v, want net.ErrClosed", n, err)
 	}
 }
 
-// Half a request gives way to others that wait, whole ones and those in work do not.
+// A connection with a partial request can be evicted, one with a request in progress cannot.
 func TestPartialRequestIsEvicted(t *testing.T) {
 	far, c := newConnPair(t)
 	far.Write([]byte("P"))
@@ -161,19 +161,19 @@
 		t.Fatal(err)
 	}
 	if got := closeIdleConn(c, true); got != connClosed {
-		t.Errorf("state %d with half a request, want closed", got)
+		t.Errorf("with a partial request: got state %d, want closed", got)
 	}
 	_, busy := newConnPair(t)
 	busy.beginRequest()
 	if got := closeIdleConn(busy, true); got != connBusy {
-		t.Errorf("state %d with a request in work", got)
+		t.Errorf("with a request in progress: got state %d, want busy", got)
 	}
 	if busy.endRequest(); closeIdleConn(busy, false) != connClosed {
-		t.Error("not closed once it rests")
+		t.Error("not closed when idle")
 	}
 }
 
-// The client's socket is looked at in the moment of the write: net/http may tell later.
+// The client's socket is checked in the moment of the write: net/http may notice a close later.
 func TestNothingIsSentForAClientThatHasLeft(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	far, near := newConnPair(t)
@@ -190,14 +190,14 @@
 		return ending
 	}
 	if got := try(); got != policy.Served {
-		t.Errorf("while it is there: ending %v", got)
+		t.Errorf("while the client is there: got ending %v, want served", got)
 	}
 	far.Close()
-	sidecartest.Eventually(t, "the close has come", near.ClosedByClient)
+	sidecartest.Eventually(t, "the close has arrived", near.ClosedByClient)
 	if got := try(); got != policy.NotSent || len(u.Requests) != 1 {
-		t.Errorf("ending %v with %d requests written, want not sent", got, len(u.Requests))
+		t.Errorf("got ending %v and %d requests written, want not sent and 1", got, len(u.Requests))
 	}
 	if n := sendGate.Counters().Decided["send: client left"]; n != 1 {
-		t.Errorf("%d denials for a client that left, want 1", n)
+		t.Errorf("got %d denials for a client that left, want 1", n)
 	}
 }
--- a/internal/sidecar/client_listener_test.go
+++ b/internal/sidecar/client_listener_test.go
@@ -36,13 +36,14 @@
 	return c
 }
 
-// requestOn sends a good request on a connection and returns the answer's status, or 0
-// where the connection ended before one.
+// requestOn sends a good request on a connection and returns the response's status, or 0 if the
+// connection was closed before.
 func requestOn(c net.Conn, id string) int {
 	io.WriteString(c, requestHead(id)+"Content-Length: 0\r\n\r\n")
 	return statusOn(c)
 }
 
+// statusOn reads a response and returns its status, or 0 if there is none.
 func statusOn(c net.Conn) int {
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -60,38 +61,38 @@
 	return startSidecar(t, c)
 }
 
-// A greedy client that keeps all connections it can get leaves each modest one
-// its part, to the last one, and is told so on one that it opens beyond.
+// A client that keeps all connections it can get leaves each modest client its fair share, and gets
+// responses on what remains.
 func TestLargestHolderLeavesOthersTheirShare(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	addr, _, _ := startLimited(t, u, testLimits(12))
 	for i := range 30 {
 		if got := requestOn(dialFrom(t, "127.0.0.2", addr), fmt.Sprint("greedy", i)); got != 200 {
-			t.Fatalf("greedy request %d: status %d", i, got)
+			t.Fatalf("greedy request %d: got status %d, want 200", i, got)
 		}
 	}
 	var kept []net.Conn
-	for i := range 9 { // three modest clients: with the greedy one, three places each
+	for i := range 9 { // three modest clients: with the greedy one, three connections each
 		c := dialFrom(t, fmt.Sprintf("127.0.0.%d", 3+i%3), addr)
 		if got := requestOn(c, fmt.Sprint("modest", i)); got != 200 {
-			t.Fatalf("modest connection %d: status %d", i, got)
+			t.Fatalf("modest connection %d: got status %d, want 200", i, got)
 		}
 		kept = append(kept, c)
 	}
 	for i := range 6 {
 		if got := requestOn(dialFrom(t, "127.0.0.2", addr), fmt.Sprint("again", i)); got != 200 {
-			t.Errorf("the greedy one's own place, connection %d: status %d", i, got)
+			t.Errorf("the greedy client's own share, connection %d: got status %d, want 200", i, got)
 		}
 	}
 	for i, c := range kept {
 		if got := requestOn(c, fmt.Sprint("kept", i)); got != 200 {
-			t.Errorf("modest connection %d was given up for the greedy client", i)
+			t.Errorf("modest connection %d was evicted for the greedy client: got status %d, want 200", i, got)
 		}
 	}
 }
 
-// Where all places hold requests, who comes is refused with a whole 503 that says
-// when to come back, whether it had sent its request or not; then there is room again.
+// While all connections have requests in progress, another one is answered with a complete 503 and
+// Retry-After, whether it has sent a request or not; afterwards there is capacity again.
 func TestConnectionsOverTheLimitAreAnswered503(t *testing.T) {
 	release := make(chan struct{})
 	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-release; return sidecartest.OKResponse("ok"), false })
@@ -99,7 +100,7 @@
 	var held []<-chan result
 	for i := range 3 {
 		held = append(held, call{class: "once", id: fmt.Sprint(i)}.start(t, addr))
-		sidecartest.Await(t, "a held one", u.Requests)
+		sidecartest.Await(t, "a request", u.Requests)
 	}
 	var told sync.WaitGroup
 	for i := range 6 {
@@ -110,27 +111,26 @@
 		told.Go(func() {
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") != "1" || !resp.Close {
-				t.Errorf("connection %d: %v, error %v; want 503, a Retry-After and close", i, resp, err)
+				t.Errorf("connection %d: got %v, error %v; want 503, Retry-After and the close", i, resp, err)
 			}
 		})
 	}
 	told.Wait()
 	close(release)
 	for _, h := range held {
-		if got := sidecartest.Await(t, "a held one's answer", h); got.status != 200 {
-			t.Errorf("a request that was taken: %+v", got)
+		if got := sidecartest.Await(t, "a response", h); got.status != 200 {
+			t.Errorf("a request in progress: got %+v, want 200", got)
 		}
 	}
 	if got := (call{class: "once", id: "after"}).do(t, addr); got.status != 200 {
-		t.Errorf("afterwards: %+v", got)
+		t.Errorf("afterwards: got %+v, want 200", got)
 	}
 }
 
-// The connection of a client that sends one health check after the other and reads no answer
-// ends here. What the client sees of that is its kernel's: one whose window is shut may drop
-// the word of it.
+// The connection of a client that sends health checks and reads no response is closed here. What the
+// client sees of that depends on its kernel: with a closed window it may drop the reset.
 func TestUnreadHealthChecksEnd(t *testing.T) {
-	t.Parallel() // it takes a write's whole time
+	t.Parallel() // it takes the whole timeout of a write
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	_, limited, _ := newClientSide(t, u, nil)
 	c := dialFrom(t, "127.0.0.1", limited.Addr().String())
@@ -142,32 +142,32 @@
 		defer close(stopped)
 		for {
 			n, err := io.WriteString(c, check)
-			if sent.Add(int64(n)); err != nil { // it was ended there, or at last here
+			if sent.Add(int64(n)); err != nil { // closed by the sidecar, or at last by the test
 				return
 			}
 		}
 	}()
-	sidecartest.Eventually(t, "the checks come", func() bool { return sent.Load() >= int64(len(check)) && limited.openConns() == 1 })
-	// What the buffers on the way take is only filled as fast as this machine answers, so patience
-	// begins anew with what goes through: a connection that stands still has to end.
+	sidecartest.Eventually(t, "the checks arrive", func() bool { return sent.Load() >= int64(len(check)) && limited.openConns() == 1 })
+	// The buffers on the way fill only as fast as this machine answers, so the wait begins anew with each
+	// byte that is sent: a connection without progress has to be closed.
 	at, since := int64(0), time.Now()
 	for limited.openConns() > 0 {
 		if now := sent.Load(); now != at {
 			at, since = now, time.Now()
 		}
 		if time.Since(since) > sidecartest.Patience {
-			t.Fatalf("the connection is held for a client that reads nothing, after %d bytes of checks", at)
+			t.Fatalf("the connection of a client that reads nothing is still open, after %d bytes of checks", at)
 		}
 		if at > 1000*int64(len(check)) {
-			t.Fatal("a million answers went to a client that reads nothing")
+			t.Fatal("a million responses were sent to a client that reads nothing")
 		}
 		runtime.Gosched()
 	}
 	c.Close()
-	sidecartest.Await(t, "the client", stopped)
+	sidecartest.Await(t, "the end of the client", stopped)
 }
 
-// descriptors is how many this process holds open.
+// descriptors returns how many descriptors this process has.
 func descriptors(t *testing.T) int {
 	t.Helper()
 	names, err := os.ReadDir("/proc/self/fd")
@@ -177,8 +177,7 @@
 	return len(names)
 }
 
-// A surge of clients of every bad kind leaves nothing behind: no descriptor, no
-// goroutine, and no place.
+// A surge of misbehaving clients of every kind leaves no descriptor, no goroutine and no connection.
 func TestSurgeLeavesNothingBehind(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	ln := sidecartest.ListenLoopback(t)
@@ -205,8 +204,8 @@
 				nc.SetDeadline(time.Now().Add(sidecartest.Patience))
 				io.WriteString(nc, text)
 				switch j % 3 {
-				case 0: // vanishes
-				case 1: // says no more, and waits for the end
+				case 0: // closes at once
+				case 1: // sends no more, and waits for the close
 					nc.(*net.TCPConn).CloseWrite()
 					fallthrough
 				case 2:
@@ -217,7 +216,7 @@
 	}
 	clients.Wait()
 	if got := (call{class: "once", id: "after"}).do(t, addr); got.status != 200 {
-		t.Errorf("after the surge: %+v", got)
+		t.Errorf("after the surge: got %+v, want 200", got)
 	}
 	cancel()
 	if err := sidecartest.Await(t, "the end", ended); err != nil {
@@ -230,7 +229,7 @@
 	sidecartest.Eventually(t, "all goroutines have ended", func() bool { return runtime.NumGoroutine() <= goroutines })
 }
 
-// Giving a connection up and taking its request exclude each other, whoever is first.
+// The eviction of a connection and the begin of a request on it exclude each other, whichever is first.
 func TestEvictionExcludesBeginningARequest(t *testing.T) {
 	ln := sidecartest.ListenLoopback(t)
 	l := newLimitedListener(ln, testLimits(1))
@@ -258,54 +257,54 @@
 		})
 		both.Wait()
 		if took == gaveUp {
-			t.Fatalf("taken %v, given up %v", took, gaveUp)
+			t.Fatalf("got request begun %v and evicted %v, want exactly one", took, gaveUp)
 		}
 		c.Close()
 		l.connStateChanged(c, http.StateClosed)
 		nc.Close()
 		if _, now := l.counters(); now.Open != 0 {
-			t.Fatalf("%+v after the end", now)
+			t.Fatalf("got %+v after the close, want none open", now)
 		}
 	}
 }
 
-// What is taken when a planned restart begins is answered, however long its
-// client has given it: a class may have more time than any bound made up here.
+// A request in progress when a graceful shutdown begins is answered, however long its client waits: a
+// class may allow more time than any constant here.
 func TestGracefulShutdownWaitsForTheLongestRequest(t *testing.T) {
 	t.Parallel() // it takes longer than the protocol's 3 s
 	release := make(chan struct{})
 	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-release; return sidecartest.OKResponse("ok"), false })
 	addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	held := call{class: "once", id: "held"}.start(t, addr)
-	sidecartest.Await(t, "the held one", u.Requests)
+	sidecartest.Await(t, "the request", u.Requests)
 	stop()
 	time.AfterFunc(lateArrivalTime+3200*time.Millisecond, func() { close(release) })
-	if got := sidecartest.Await(t, "the held one's answer", held); got.status != 200 {
-		t.Errorf("a request that was taken: %+v", got)
+	if got := sidecartest.Await(t, "the response", held); got.status != 200 {
+		t.Errorf("a request in progress: got %+v, want 200", got)
 	}
 	if err := sidecartest.Await(t, "the end", ended); err != nil {
 		t.Error(err)
 	}
 }
 
-// Each connection that comes to nothing is counted for what it was.
+// A connection that ends without a byte is counted by the reason.
 func TestSilentAndVanishedConnectionsAreCounted(t *testing.T) {
-	t.Parallel() // it takes the time for a header
+	t.Parallel() // it takes the timeout for a header
 	ln := sidecartest.ListenLoopback(t)
 	l := newLimitedListener(ln, testLimits(4))
 	l.start()
 	defer l.Close()
 	dialFrom(t, "127.0.0.1", ln.Addr().String())
 	dialFrom(t, "127.0.0.1", ln.Addr().String()).Close()
-	sidecartest.Eventually(t, "both have ended", func() bool {
+	sidecartest.Eventually(t, "both are closed", func() bool {
 		return l.openConns() == 0 && func() bool { n, _ := l.counters(); return n.Accepted == 2 }()
 	})
 	if n, _ := l.counters(); n.SilentTimeouts != 1 || n.ClosedByClient != 1 || n.Admitted != 2 {
-		t.Errorf("counted %+v, want one silent and one vanished", n)
+		t.Errorf("got %+v, want one silent and one vanished", n)
 	}
 }
 
-// The page names each counter of both sides, and none that there is not.
+// The page names each counter of both sides, and no other.
 func TestPageNamesTheCounters(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CONNECTIONS.md")
 	if err != nil {
--- a/internal/sidecar/client_races_test.go
+++ b/internal/sidecar/client_races_test.go
@@ -21,8 +21,8 @@
 	"barleywick/policy"
 )
 
-// A client leaves while its attempt waits for a connection. Where attempts may not be called
-// off, one that has not begun is still not to begin.
+// A client leaves while its attempt waits for a connection. Even if attempts may not be cancelled, one
+// that has not begun must not begin.
 func TestAttemptDoesNotBeginOnceItsClientHasGone(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
@@ -54,20 +54,20 @@
 	handled := make(chan struct{})
 	l.post(fleetPolicyReceived{done: handled})
 	sidecartest.Await(t, "the loop", handled)
-	pool.Release(out) // the attempt's turn, if it still waits
-	// The pool's one connection serves one after the other: the next request comes behind.
+	pool.Release(out) // for the attempt, if it still waits
+	// The pool has one connection: the next request would follow on it.
 	next := &upstream.Attempt{Request: &upstream.Request{Method: "POST", URL: sidecartest.MustURL("/api"), Host: "x", Header: http.Header{"Request-Id": {"next"}}}, Server: to}
 	next.Begin(t.Context(), time.Now().Add(time.Hour))
 	if got, _ := l.transport.Do(next); got != policy.Served {
-		t.Errorf("the next attempt: ending %v", got)
+		t.Errorf("the next attempt: got ending %v, want served", got)
 	}
 	if first := sidecartest.Await(t, "a request", u.Requests); first.Header.Get("Request-Id") == "leaves" {
-		t.Error("the attempt began although its client had gone")
+		t.Error("the attempt began although its client had left")
 	}
 }
 
-// A request in chunks that names no length beside them has a certain end, on a new
-// connection as on a kept one, and whatever comes in one piece or byte by byte.
+// The end of a chunked request without a Content-Length is certain, on a new connection as on a kept
+// one, whether it arrives in one piece or byte by byte.
 func TestChunkedRequestIsServed(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
@@ -79,9 +79,9 @@
 	c.SetDeadline(time.Now().Add(sidecartest.Patience))
 	answers := bufio.NewReader(c)
 	for i, piece := range []int{1 << 10, 1, 7} {
-		fmt.Fprintf(c, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") // it leaves nothing behind
+		fmt.Fprintf(c, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") // leaves nothing unread
 		if resp, err := http.ReadResponse(answers, nil); err != nil || resp.StatusCode != 200 {
-			t.Fatalf("health check: %v, %v", resp, err)
+			t.Fatalf("health check: got %v, %v; want 200", resp, err)
 		} else {
 			io.Copy(io.Discard, resp.Body)
 		}
@@ -100,13 +100,13 @@
 			t.Errorf("request %d: got %d %q", i, resp.StatusCode, body)
 		}
 		if r := sidecartest.Await(t, "the request", u.Requests); r.Body != "honey pot" || r.ContentLength != 9 || len(r.TransferEncoding) > 0 {
-			t.Errorf("request %d: the upstream read %q, length %d, encoding %v", i, r.Body, r.ContentLength, r.TransferEncoding)
+			t.Errorf("request %d: the server read %q, length %d, encoding %v", i, r.Body, r.ContentLength, r.TransferEncoding)
 		}
 	}
 }
 
-// A client may leave long before its request is read, where that waited for a place. The
-// request is not sent on, although net/http has not noticed yet that nobody is there.
+// A client may leave long before its request is read, if its connection waited for admission. The
+// request is not forwarded, although net/http has not noticed the close yet.
 func TestRequestOfAClientThatLeftUnreadIsNotForwarded(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	serve := newHandlerTest(t, u)
@@ -116,22 +116,22 @@
 	} {
 		far, c := newConnPair(t)
 		if c.ClosedByClient() {
-			t.Fatal("it left before it did")
+			t.Fatal("it counts as closed before the client has closed it")
 		}
 		leave(far)
-		if sidecartest.Eventually(t, "the close has come", c.ClosedByClient); serve(c) || isBusy(c) || len(u.Requests) > 0 {
-			t.Errorf("%s: the request was taken or closed over, %d went upstream", name, len(u.Requests))
+		if sidecartest.Eventually(t, "the close has arrived", c.ClosedByClient); serve(c) || isBusy(c) || len(u.Requests) > 0 {
+			t.Errorf("%s: the request was begun or aborted, %d reached the server", name, len(u.Requests))
 		}
 	}
 	far, c := newConnPair(t)
-	far.Write([]byte("more")) // what stands behind a request is no close
+	far.Write([]byte("more")) // bytes behind a request are no close
 	if serve(c) || len(u.Requests) != 1 {
-		t.Error("the request of a client that is there was not taken")
+		t.Error("the request of a client that is there was not forwarded")
 	}
 }
 
-// newClientSide runs a sidecar's client side and its loop, whose newClientSide a test needs at hand. onRead is
-// called in the middle of each read from a client.
+// newClientSide runs the client side and the event loop of a sidecar, for tests that need these parts.
+// onRead is called in the middle of each read from a client.
 func newClientSide(t *testing.T, u *sidecartest.FakeServer, onRead func()) (*eventLoop, *limitedListener, *gracefulShutdown) {
 	t.Helper()
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
@@ -148,7 +148,7 @@
 	tasks.Go(func() { l.run(t.Context()) })
 	tasks.Go(func() { server.Serve(limited) })
 	limited.start()
-	t.Cleanup(func() { // the loop's context has ended by now
+	t.Cleanup(func() { // the test's context has ended by now
 		server.Close()
 		limited.Close()
 		tasks.Wait()
@@ -156,8 +156,8 @@
 	return l, limited, ending
 }
 
-// What a client has sent behind its request stays unread while that is in work, and hides
-// neither the client's end nor, at the end of this process, the answer: a close over it would be a reset.
+// What a client sends behind its request stays unread while that is in progress. It hides neither the
+// client's close nor, at a shutdown, the response, which a close over unread bytes would destroy.
 func TestClientCloseIsSeenBehindPipelinedBytes(t *testing.T) {
 	const ahead = 3 * maxHeaderBytes // more than is read with the first request
 	begin := func(t *testing.T) (u *sidecartest.FakeServer, goOn chan struct{}, limited *limitedListener, ending *gracefulShutdown, c *net.TCPConn) {
@@ -180,39 +180,39 @@
 		}
 		return u, goOn, limited, ending, nc.(*net.TCPConn)
 	}
-	t.Run("it leaves", func(t *testing.T) {
+	t.Run("the client leaves", func(t *testing.T) {
 		_, goOn, limited, _, c := begin(t)
 		c.CloseWrite()
-		// It may read still: its answer makes no promise, as the request is in work. The connection's end
-		// may be a reset, over what the client had sent ahead.
+		// The client may still read: it gets 502, as the request is in progress. The connection may end in a
+		// reset because of the pipelined bytes.
 		if got, _ := io.ReadAll(c); strings.Count(string(got), "HTTP/1.1 ") > 1 || !strings.HasPrefix(string(got), "HTTP/1.1 502 ") {
-			t.Errorf("its end was not seen with its request in work: it was answered %q", got)
+			t.Errorf("got %q, want one 502: the close was not seen", got)
 		}
-		sidecartest.Eventually(t, "the connection has ended", func() bool { return limited.openConns() == 0 })
+		sidecartest.Eventually(t, "the connection is closed", func() bool { return limited.openConns() == 0 })
 		close(goOn)
 	})
-	t.Run("this process ends", func(t *testing.T) {
+	t.Run("this process shuts down", func(t *testing.T) {
 		u, goOn, limited, ending, c := begin(t)
 		ending.begin()
 		close(goOn)
 		in := bufio.NewReader(c)
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != http.StatusOK || !resp.Close {
-			t.Fatalf("answered %+v, error %v; want 200 and the end", resp, err)
+			t.Fatalf("got %+v, error %v; want 200 and the close", resp, err)
 		}
 		if rest, err := io.ReadAll(in); err != nil || string(rest) != "ok" {
-			t.Errorf("behind the answer's head came %q, error %v; want its body and an orderly end", rest, err)
+			t.Errorf("got %q, error %v behind the head; want ok and an orderly close", rest, err)
 		}
 		c.Close()
-		sidecartest.Eventually(t, "the connection has ended", func() bool { return limited.openConns() == 0 })
+		sidecartest.Eventually(t, "the connection is closed", func() bool { return limited.openConns() == 0 })
 		if n := len(u.Requests); n > 0 {
-			t.Errorf("%d requests went upstream that were read after the end", n)
+			t.Errorf("got %d requests at the server that were read after the shutdown", n)
 		}
 	})
 }
 
-// A request is half read as another process takes this one's place. It is this one's still, and
-// has its slot here: it is served, and not refused for slots that were given away under it.
+// A request is half read when a new process takes over. It stays with this process and keeps its slot
+// here: it is served, and not refused because its slot was given away.
 func TestRequestHalfReadAtHandoverIsServed(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	l, limited, ending := newClientSide(t, u, nil)
@@ -231,28 +231,28 @@
 		t.Fatal(err)
 	}
 	if held := l.releaseCapacity(); len(held) == 0 || held[0].Slots != 1 {
-		t.Errorf("it keeps %v, want a slot for what is being read", held)
+		t.Errorf("got %v kept, want a slot for the request that is being read", held)
 	}
 	io.WriteString(c, "ld")
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != http.StatusOK || !resp.Close {
-		t.Fatalf("answered %+v, error %v; want 200 and the end", resp, err)
+		t.Fatalf("got %+v, error %v; want 200 and the close", resp, err)
 	}
 	io.Copy(io.Discard, resp.Body)
-	sidecartest.Await(t, "the end of its connection", limited.allEnded)
+	sidecartest.Await(t, "the close of its connection", limited.allEnded)
 	if held := l.releaseCapacity(); len(held) == 0 || held[0] != (policy.BulkheadCapacity{}) {
-		t.Errorf("it keeps %v at the end", held)
+		t.Errorf("got %v kept at the end, want none", held)
 	}
 }
 
-// A request is being read on a resting connection as the end begins: it is answered, and its
-// answer closes the connection.
+// A request is being read on an idle connection when a shutdown begins: it is answered, and the
+// connection is closed with the response.
 func TestRequestReadAsShutdownBeginsIsAnswered(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	var reads atomic.Int32
 	reading, goOn := make(chan struct{}), make(chan struct{})
 	_, limited, ending := newClientSide(t, u, func() {
-		if reads.Add(1) == 2 { // the first one is the first request's
+		if reads.Add(1) == 2 { // the first read is the first request's
 			close(reading)
 			<-goOn
 		}
@@ -276,9 +276,9 @@
 	}
 	ask("first")
 	if got := answer(); got.StatusCode != 200 || got.Close {
-		t.Fatalf("before the end: %d, close %v", got.StatusCode, got.Close)
+		t.Fatalf("before the shutdown: got %d, close %v; want 200, false", got.StatusCode, got.Close)
 	}
-	sidecartest.Eventually(t, "it rests", func() bool { _, now := limited.counters(); return now.Idle == 1 })
+	sidecartest.Eventually(t, "it is idle", func() bool { _, now := limited.counters(); return now.Idle == 1 })
 	ask("second")
 	sidecartest.Await(t, "the middle of its read", reading)
 	begun := make(chan struct{})
@@ -286,8 +286,8 @@
 		ending.begin()
 		close(begun)
 	}()
-	sidecartest.Eventually(t, "the end holds the listener and waits for the read", func() bool {
-		free := limited.mu.TryLock() // nobody else wants it now
+	sidecartest.Eventually(t, "the shutdown holds the listener's lock and waits for the read", func() bool {
+		free := limited.mu.TryLock() // nobody else takes it now
 		if free {
 			limited.mu.Unlock()
 		}
@@ -295,16 +295,16 @@
 	})
 	close(goOn)
 	if got := answer(); got.StatusCode != 200 || !got.Close {
-		t.Errorf("as the end begins: %d, close %v", got.StatusCode, got.Close)
+		t.Errorf("as the shutdown begins: got %d, close %v; want 200, true", got.StatusCode, got.Close)
 	}
-	sidecartest.Await(t, "the end's beginning", begun)
+	sidecartest.Await(t, "the begin of the shutdown", begun)
 	if len(u.Requests) != 2 {
-		t.Errorf("%d requests went upstream", len(u.Requests))
+		t.Errorf("got %d requests at the server, want 2", len(u.Requests))
 	}
 }
 
-// Wherever the answer to an unsafe request breaks off, it was sent once, and its client is
-// not told that it may try again.
+// Wherever the response to a non-idempotent request breaks off, the request was sent once, and its
+// client is not told that it may try again.
 func TestNonIdempotentIsSentOnceWhereverItsResponseBreaksOff(t *testing.T) {
 	whole := sidecartest.OKResponse("ok")
 	var most atomic.Int32
@@ -323,18 +323,18 @@
 			want = http.StatusOK
 		}
 		if got.status != want {
-			// A server that was broken lately gets no turn: that is no answer to what it would have cut.
+			// A server that failed lately gets no request: such a refusal tests nothing.
 			if got.status != http.StatusServiceUnavailable || len(u.Requests) > 0 {
-				t.Errorf("cut after %d bytes: %+v with %d attempts", n, got, len(u.Requests))
+				t.Errorf("cut after %d bytes: got %+v and %d attempts", n, got, len(u.Requests))
 			}
 			continue
 		}
 		if r := sidecartest.Await(t, "the attempt", u.Requests); r.Header.Get("Request-Id") != fmt.Sprint("cut-", n) || len(u.Requests) > 0 {
-			t.Errorf("cut after %d bytes: %s and %d more attempts", n, r.Header.Get("Request-Id"), len(u.Requests))
+			t.Errorf("cut after %d bytes: got request %s and %d more attempts", n, r.Header.Get("Request-Id"), len(u.Requests))
 		}
 		tried++
 	}
 	if tried < len(whole)/2 {
-		t.Errorf("%d of %d places were tried", tried, len(whole)+1)
+		t.Errorf("got %d of %d places tested", tried, len(whole)+1)
 	}
 }
--- a/internal/sidecar/client_test.go
+++ b/internal/sidecar/client_test.go
@@ -20,42 +20,42 @@
 )
 
 func TestServesTheWholeBodyUnchanged(t *testing.T) {
-	body := strings.Repeat("\x00honey\r\n", 60000) // upstreams do send that much
+	body := strings.Repeat("\x00honey\r\n", 60000) // servers do send that much
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\nServer-Load: TEXT busy_reqs=1\r\nX-Ledger: 4\r\n\r\n%s", len(body), body)))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	got := call{class: "once", body: "{}"}.do(t, addr)
 	if got.status != 200 || got.body != body || got.header.Get("X-Ledger") != "4" || got.header.Get("Server-Load") != "" {
-		t.Errorf("status %d, %d bytes, header %v, error %v", got.status, len(got.body), got.header, got.err)
+		t.Errorf("got status %d, %d bytes, header %v, error %v", got.status, len(got.body), got.header, got.err)
 	}
 }
 
-// A failure is never worded 429 or 503: these promise that a retry is harmless.
+// A failure is never answered 429 or 503, which promise that a retry is harmless.
 func TestFailureIsNotAnsweredAsRefusal(t *testing.T) {
 	for _, status := range []int{500, 503, 504, 429, 400, 302} {
 		u := sidecartest.NewFakeServer(t, sidecartest.Always(fmt.Sprintf("HTTP/1.1 %d x\r\nContent-Length: 4\r\n\r\nlate", status)))
 		addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 		if got := (call{class: "once"}).do(t, addr); got.status != http.StatusBadGateway || got.body != "" || got.header.Get("Retry-After") != "" {
-			t.Errorf("upstream's %d: got %+v, want a plain 502", status, got)
+			t.Errorf("server's %d: got %+v, want a plain 502", status, got)
 		}
 		if len(u.Requests) != 1 {
-			t.Errorf("upstream's %d: %d attempts of a request that may have run", status, len(u.Requests))
+			t.Errorf("server's %d: got %d attempts of a request that may have run, want 1", status, len(u.Requests))
 		}
 	}
 }
 
 func TestRefusalHasRetryAfter(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always("HTTP/1.1 503 x\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"))
-	// The module refuses once an answer would be late for the aim of 0.2 s.
+	// The policy refuses when a response would miss the latency objective of 0.2 s.
 	c := testConfig(t, options{aim: 200 * time.Millisecond}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
 	start := time.Now()
 	got := call{class: "once"}.do(t, addr)
 	pause, ok := parseTimeout(got.header.Get("Retry-After"))
 	if got.status != http.StatusServiceUnavailable || !ok || pause > 1200*time.Millisecond {
-		t.Errorf("got %+v, want 503 with a pause in decimals", got)
+		t.Errorf("got %+v, want 503 with Retry-After in decimals", got)
 	}
 	if took := time.Since(start); took > 2*time.Second {
-		t.Errorf("refused after %v of the 4.5 s that the client waits, not at once", took)
+		t.Errorf("refused after %v, want at once and not after the client's 4.5 s", took)
 	}
 }
 
@@ -67,7 +67,7 @@
 	if took := time.Since(start); got.status != http.StatusGatewayTimeout || took > 450*time.Millisecond {
 		t.Errorf("got %+v after %v, want 504 within 0.45 s", got, took)
 	}
-	sidecartest.Await(t, "the end of the attempt's connection", u.Closed)
+	sidecartest.Await(t, "the close of the attempt's connection", u.Closed)
 }
 
 func TestClientThatLeavesEndsItsAttempt(t *testing.T) {
@@ -80,8 +80,8 @@
 	call{class: "once", body: "{}"}.request(t, addr).Write(c)
 	sidecartest.Await(t, "the attempt", u.Requests)
 	c.Close()
-	sidecartest.Await(t, "the end of the attempt's connection", u.Closed)
-	// Its id is free again, and nothing more of it goes out.
+	sidecartest.Await(t, "the close of the attempt's connection", u.Closed)
+	// Its id is free again, and nothing more of the request is sent.
 	again := call{class: "once", timeout: "0.6"}.do(t, addr)
 	if again.status != http.StatusGatewayTimeout || len(u.Requests) != 1 {
 		t.Errorf("got %+v and %d more attempts, want 504 and one", again, len(u.Requests))
@@ -147,26 +147,26 @@
 		c.Close()
 	}
 	if len(u.Requests) > 0 {
-		t.Errorf("%d requests went upstream", len(u.Requests))
+		t.Errorf("got %d requests at the server, want none", len(u.Requests))
 	}
 	if got := (call{class: "once"}).do(t, addr); got.status != 200 {
-		t.Errorf("a good request afterwards: %+v", got)
+		t.Errorf("a good request afterwards: got %+v, want 200", got)
 	}
 }
 
-// Two requests under one id might run one effect twice.
+// Two requests with one id might run one effect twice.
 func TestRequestIDInUseIsRejected(t *testing.T) {
 	go1 := make(chan struct{})
 	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-go1; return sidecartest.OKResponse("ok"), false })
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	first := call{class: "once"}.start(t, addr)
-	sidecartest.Await(t, "the first", u.Requests)
+	sidecartest.Await(t, "the first request", u.Requests)
 	if got := (call{class: "once"}).do(t, addr); got.status != http.StatusConflict {
-		t.Errorf("the second: %+v, want 409", got)
+		t.Errorf("the second: got %+v, want 409", got)
 	}
 	close(go1)
-	if got := sidecartest.Await(t, "the first's answer", first); got.status != 200 || len(u.Requests) > 0 {
-		t.Errorf("the first: %+v, %d more attempts", got, len(u.Requests))
+	if got := sidecartest.Await(t, "the first response", first); got.status != 200 || len(u.Requests) > 0 {
+		t.Errorf("the first: got %+v and %d more attempts, want 200 and none", got, len(u.Requests))
 	}
 }
 
@@ -183,12 +183,12 @@
 	}
 	sidecartest.Await(t, "the call for the list", g.ListCalls)
 	if got := ready(); got != http.StatusServiceUnavailable {
-		t.Errorf("ready is %d without a list", got)
+		t.Errorf("without a list: got %d, want 503", got)
 	}
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	g.FullLists <- registrytest.ListJSON(5, true, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	if w := sidecartest.Await(t, "the watch", g.Watches); w.From != "5" {
-		t.Errorf("the watch begins from %s, want 5", w.From)
+		t.Errorf("got a watch from %s, want 5", w.From)
 	}
 	for deadline := time.Now().Add(sidecartest.Patience); ready() != http.StatusOK; {
 		if time.Now().After(deadline) {
@@ -197,7 +197,7 @@
 	}
 }
 
-// The bound on client connections: idle ones make way, and a waiting one is served in the end.
+// The limit on client connections: idle ones are evicted, and a waiting one is served in the end.
 func TestClientConnectionsAreLimited(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	c := testConfig(t, options{sockets: config.MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
@@ -214,30 +214,30 @@
 		call{class: "once", id: fmt.Sprint(i)}.request(t, addr).Write(nc)
 		resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("connection %d: %v, error %v", i, resp, err)
+			t.Fatalf("connection %d: got %v, error %v; want 200", i, resp, err)
 		}
 		if body, err := io.ReadAll(resp.Body); err != nil || string(body) != "ok" {
-			t.Fatalf("connection %d: body %q, error %v", i, body, err)
+			t.Fatalf("connection %d: got body %q, error %v; want ok", i, body, err)
 		}
 		conns = append(conns, nc)
 	}
-	// The last ones were accepted only after as many older ones had been closed.
+	// The last ones were admitted only after as many older ones had been closed.
 	for _, nc := range conns {
 		if !socket.IsIdle(nc) {
 			closed++
 		}
 	}
 	if most, _ := c.Limits.SplitSockets(); len(conns)-closed > most {
-		t.Errorf("%d connections are open, at most %d may be", len(conns)-closed, most)
+		t.Errorf("got %d open connections, want at most %d", len(conns)-closed, most)
 	}
 }
 
-// testLimits are client limits with room for so many connections.
+// testLimits returns limits for so many client connections.
 func testLimits(most int) config.ClientLimits {
 	return config.ClientLimits{Limits: admission.Limits{Total: most, PerAddress: most, HalfOpen: most, Idle: most}, Waiting: 2, Refusing: 2}
 }
 
-// exchangeRaw sends text over a connection of its own and reads until it is closed.
+// exchangeRaw sends text over a connection of its own and returns what it reads until the close.
 func exchangeRaw(t *testing.T, addr, text string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -249,18 +249,17 @@
 	go io.WriteString(c, text)
 	got, err := io.ReadAll(c)
 	if err != nil && len(got) == 0 {
-		t.Errorf("no answer before the close: %v", err)
+		t.Errorf("no response before the close: %v", err)
 	}
 	return string(got)
 }
 
-// requestHead is the header of a good request up to its framing.
+// requestHead returns the header of a good request without its framing fields.
 func requestHead(id string) string {
 	return "POST /api HTTP/1.1\r\nHost: x\r\nRequest-Id: " + id + "\r\nRequest-Class: once\r\nTenant: acme\r\nRequest-Timeout: 4\r\n"
 }
 
-// What stands inside or behind a request whose length is not certain is nobody's
-// request, wherever its connection leads.
+// What is inside or behind a request whose length is not certain is never served as a request.
 func TestHiddenRequestIsNotServed(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
@@ -291,12 +290,12 @@
 		}
 	}
 	if len(u.Requests) > 0 {
-		t.Errorf("%d requests went upstream", len(u.Requests))
+		t.Errorf("got %d requests at the server, want none", len(u.Requests))
 	}
 }
 
-// A word is owed soon to whoever connects, and whoever sends nothing more must
-// not hold a connection for longer.
+// A client gets an answer soon after it has connected, and one that stops sending does not hold its
+// connection for longer.
 func TestUnfinishedRequestsEndSoon(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
@@ -329,23 +328,22 @@
 		}()
 	}
 	for range texts {
-		if e := sidecartest.Await(t, "an end", ends); e.took > 3*time.Second {
-			t.Errorf("%s: ended after %v, want 3 s at the most", e.name, e.took)
+		if e := sidecartest.Await(t, "the close of a connection", ends); e.took > 3*time.Second {
+			t.Errorf("%s: closed after %v, want at most 3s", e.name, e.took)
 		}
 	}
 	if len(u.Requests) > 0 {
-		t.Errorf("%d requests went upstream", len(u.Requests))
+		t.Errorf("got %d requests at the server, want none", len(u.Requests))
 	}
 }
 
-// The body of a request that is refused for its header is not waited for, and
-// neither is one under an id that is held.
+// The body of a request that is rejected for its header, or for an id in use, is not waited for.
 func TestRefusedHeaderNeedsNoBody(t *testing.T) {
 	release := make(chan struct{})
 	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-release; return sidecartest.OKResponse("ok"), false })
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	first := call{class: "once", id: "held"}.start(t, addr)
-	sidecartest.Await(t, "the first", u.Requests)
+	sidecartest.Await(t, "the first request", u.Requests)
 	for status, text := range map[int]string{
 		http.StatusBadRequest:            strings.Replace(requestHead("a"), "once", "many", 1) + "Content-Length: 10\r\n\r\n",
 		http.StatusConflict:              requestHead("held") + "Content-Length: 10\r\n\r\n",
@@ -356,13 +354,13 @@
 		}
 	}
 	close(release)
-	if got := sidecartest.Await(t, "the first's answer", first); got.status != 200 {
-		t.Errorf("the first: %+v", got)
+	if got := sidecartest.Await(t, "the first response", first); got.status != 200 {
+		t.Errorf("the first: got %+v, want 200", got)
 	}
 }
 
-// Connections that say nothing, or half a request, give way to clients that ask,
-// before those that are kept.
+// Connections that are silent or carry a partial request are evicted for clients that send requests,
+// before idle ones that are in use.
 func TestUselessConnectionsAreEvicted(t *testing.T) {
 	for name, text := range map[string]string{
 		"silent": "", "half a header": requestHead("half"), "half a body": requestHead("half") + "Content-Length: 10\r\n\r\nhalf",
@@ -387,12 +385,12 @@
 		io.WriteString(kept, requestHead(id)+"Content-Length: 0\r\n\r\n")
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("on the kept connection: %v, error %v", resp, err)
+			t.Fatalf("on the kept connection: got %v, error %v; want 200", resp, err)
 		}
 		io.Copy(io.Discard, resp.Body)
 	}
 	ask("first")
-	for range 2 * config.MinSockets { // far over the bound
+	for range 2 * config.MinSockets { // far over the limit
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -402,16 +400,16 @@
 	}
 	start := time.Now()
 	if got := (call{class: "once", id: "fresh"}).do(t, addr); got.status != 200 {
-		t.Errorf("on a new connection: %+v", got)
+		t.Errorf("on a new connection: got %+v, want 200", got)
 	}
 	if took := time.Since(start); took > readHeaderTimeout {
-		t.Errorf("a new connection was served after %v: it waited for useless ones to time out", took)
+		t.Errorf("a new connection was served after %v, want before the useless ones time out", took)
 	}
 	ask("again")
 }
 
-// Clients that ask once and stay hold connections that count as theirs: unless
-// some are closed, long before the sidecar's own bound, they can open no more.
+// Clients that send one request and keep the connection soon reach their own limits: idle connections
+// are closed long before the sidecar's limit is reached.
 func TestIdleConnectionsAreLimited(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	c := testConfig(t, options{sockets: config.MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
@@ -429,7 +427,7 @@
 		in := bufio.NewReader(nc)
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("connection %d: %v, error %v", i, resp, err)
+			t.Fatalf("connection %d: got %v, error %v; want 200", i, resp, err)
 		}
 		io.Copy(io.Discard, resp.Body)
 		if first == nil {
@@ -437,11 +435,11 @@
 		}
 	}
 	if _, err := first.Peek(1); err != io.EOF || time.Since(start) > idleTimeout-time.Second/2 {
-		t.Errorf("the longest idle one: %v after %v, want it closed well before it was idle too long", err, time.Since(start))
+		t.Errorf("the longest idle one: got %v after %v, want it closed well before the idle timeout", err, time.Since(start))
 	}
 }
 
-// A client that takes no more of its answer than fits into buffers must not hold it for ever.
+// A client that reads no more of its response than fits into buffers does not hold it for ever.
 func TestResponseIsNotKeptForAClientThatDoesNotRead(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse(strings.Repeat("x", upstream.MaxResponseBody))))
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
@@ -465,10 +463,10 @@
 	defer c.Close()
 	c.(*net.TCPConn).SetReadBuffer(4 << 10)
 	call{class: "once", timeout: "0.5"}.request(t, "x").Write(c)
-	sidecartest.Await(t, "the end of the answer", served)
+	sidecartest.Await(t, "the end of the response", served)
 }
 
-// Guards against this: two sidecars, or two requests, see another key in the same field.
+// All sidecars get the same hash from the same key, whichever request it comes with.
 func TestAffinityKeyHash(t *testing.T) {
 	of := func(key string) uint64 { return affinityKeyHash(http.Header{"Affinity-Key": {key}}) }
 	first, again, other := of("7f3a"), of("7f3a"), of("7f3b")
@@ -476,7 +474,7 @@
 		t.Errorf("got hashes %x, %x of one key and %x of another", first, again, other)
 	}
 	if of("") != 0 || affinityKeyHash(http.Header{}) != 0 {
-		t.Error("no key has a hash")
+		t.Error("got a hash without a key")
 	}
 }
 
@@ -493,13 +491,13 @@
 	r := sidecartest.Await(t, "the request", u.Requests)
 	if r.Method != "POST" || r.RequestURI != "/api/a%2Fb?q=1&r=%20" || r.Body != body ||
 		r.Header.Get("Request-Id") != t.Name() || r.Header.Get("Idempotency-Key") != "5c0f6e1a" {
-		t.Errorf("the upstream read %s %s %v, %d bytes", r.Method, r.RequestURI, r.Header, len(r.Body))
+		t.Errorf("the server read %s %s %v, %d bytes", r.Method, r.RequestURI, r.Header, len(r.Body))
 	}
 	if r.Header.Get("X-Hop") != "" || len(r.Header["X-Trace"]) != 2 {
-		t.Errorf("header %v: a hop's own field went on, or another did not", r.Header)
+		t.Errorf("got header %v: a hop-by-hop field was forwarded, or another was not", r.Header)
 	}
 	if wait, ok := parseTimeout(r.Header.Get("Request-Timeout")); !ok || wait > 3250*time.Millisecond || wait < 2*time.Second {
-		t.Errorf("Request-Timeout %q, want what is left of 3.25", r.Header.Get("Request-Timeout"))
+		t.Errorf("got Request-Timeout %q, want what is left of 3.25", r.Header.Get("Request-Timeout"))
 	}
 }
 
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -21,7 +21,7 @@
 	"barleywick/internal/sidecar/upstream"
 )
 
-// testSettings has one class of each effect and two tenants.
+// testSettings has one class for each kind of idempotency, and two tenants.
 const testSettings = `{"balancers":1,"caps":{"may_cancel":true,"probes":%v,"most_tries":3,"dial_timeout_ms":250,
 	"conn_idle_ms":30000,"max_retry_after_ms":1200,"a_later_key":[null,{"x":1}]},
 	"classes":[{"name":"read","semantics":"free","aim_ms":%d,"hard_limit_ms":5000,"worth":1},
@@ -30,7 +30,7 @@
 	"discovery":%[3]q,"orgs":[{"name":"acme","share":0.8},{"name":"zeta","share":0.2}],
 	"telemetry":{"columns":["failed_ps","busy_reqs"],"how":"pull"},"zones":["a"],"rules":{"cold_from":0.3,"cold_ms":8000,"fall_multiple":2.5}}`
 
-// options are what tests vary of a sidecar.
+// options are what tests vary in a configuration.
 type options struct {
 	aim     time.Duration
 	probes  bool
@@ -64,14 +64,13 @@
 	return c
 }
 
-// startSidecar runs a sidecar until the test ends and returns its address and a
-// function that stops it as a planned restart does.
+// startSidecar runs a sidecar until the test ends. stop begins a graceful shutdown.
 func startSidecar(t testing.TB, c *config.Config, opts ...Option) (addr string, stop func(), ended <-chan error) {
 	t.Helper()
 	return startReloadable(t, c, nil, opts...)
 }
 
-// startReloadable does the same for one that reads its configuration again.
+// startReloadable does the same for a sidecar that reads its configuration again at a value of reload.
 func startReloadable(t testing.TB, c *config.Config, reload <-chan os.Signal, opts ...Option) (addr string, stop func(), ended <-chan error) {
 	t.Helper()
 	ln := sidecartest.ListenLoopback(t)
@@ -94,7 +93,7 @@
 	return ln.Addr().String(), cancel, done
 }
 
-// call is a client's request in the making.
+// call describes a client's request; zero fields have defaults.
 type call struct {
 	class   string
 	timeout string
@@ -139,7 +138,7 @@
 	err    error
 }
 
-// do sends a request over a connection of its own.
+// do sends the request over a connection of its own.
 func (c call) do(t testing.TB, addr string) result {
 	t.Helper()
 	return roundTrip(c.request(t, addr))
@@ -157,7 +156,7 @@
 	return result{resp.StatusCode, resp.Header, string(body), err}
 }
 
-// start sends a request in the background.
+// start sends the request in the background.
 func (c call) start(t testing.TB, addr string) <-chan result {
 	t.Helper()
 	req, out := c.request(t, addr), make(chan result, 1)
@@ -165,8 +164,8 @@
 	return out
 }
 
-// newHandlerTest gives a request to the client side's handler as one that was read from a
-// connection, and says whether it was left alone.
+// newHandlerTest returns a function that gives a request to the client handler as if it had been read
+// from the connection, and reports whether the handler aborted it.
 func newHandlerTest(t *testing.T, u *sidecartest.FakeServer) func(c *clientConn) (aborted bool) {
 	t.Helper()
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
@@ -186,7 +185,7 @@
 	}
 }
 
-// validJSON says whether a text is JSON, so that a test's own list cannot be wrong by a slip.
+// validJSON returns a text that has to be JSON, so that a slip in a test is noticed.
 func validJSON(t testing.TB, text string) string {
 	t.Helper()
 	if !json.Valid([]byte(text)) {
@@ -195,7 +194,7 @@
 	return text
 }
 
-// closeIdleConn closes a connection as its owner does: what was read of it is refused first.
+// closeIdleConn closes a connection as the listener does, which refuses a partial request.
 func closeIdleConn(c *clientConn, half bool) connState {
 	state, owed := c.closeIdle(half)
 	if owed {
@@ -204,12 +203,12 @@
 	return state
 }
 
-// testShutdown is a planned end without a bound in sight.
+// testShutdown returns a graceful shutdown with a distant deadline.
 func testShutdown(l *limitedListener) *gracefulShutdown {
 	return newGracefulShutdown(l, gate.New(), time.Hour)
 }
 
-// isBusy says whether a request of a connection has been taken and not been answered.
+// isBusy reports whether a request on a connection is in progress and not answered.
 func isBusy(c *clientConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/sidecar/limits_test.go
+++ b/internal/sidecar/limits_test.go
@@ -12,8 +12,7 @@
 	"barleywick/internal/sidecar/sidecartest"
 )
 
-// SIGHUP puts new limits in force; limits that cannot be keep the old ones, and
-// what else the file says too.
+// SIGHUP applies new limits. A file with impossible limits changes nothing, whatever else it says.
 func TestReloadChangesLimits(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
@@ -31,7 +30,7 @@
 	for i := range 4 {
 		k := dialFrom(t, "127.0.0.1", addr)
 		if got := requestOn(k, fmt.Sprint("kept", i)); got != 200 {
-			t.Fatalf("status %d", got)
+			t.Fatalf("got status %d, want 200", got)
 		}
 		kept = append(kept, k)
 	}
@@ -41,12 +40,12 @@
 	}
 	for i, k := range kept {
 		if got := requestOn(k, fmt.Sprint("again", i)); got != 200 {
-			t.Errorf("connection %d after wrong limits: status %d", i, got)
+			t.Errorf("connection %d after wrong limits: got status %d, want 200", i, got)
 		}
 	}
 	write(`{"clients":{"idle":1}}`)
 	reload <- syscall.SIGHUP
-	reload <- syscall.SIGHUP // taken once the first has been acted on
+	reload <- syscall.SIGHUP // received after the first has been handled
 	open := 0
 	for i, k := range kept {
 		if requestOn(k, fmt.Sprint("then", i)) == 200 {
@@ -54,6 +53,6 @@
 		}
 	}
 	if open != 1 {
-		t.Errorf("%d idle connections were kept, want 1", open)
+		t.Errorf("got %d idle connections kept, want 1", open)
 	}
 }
--- a/internal/sidecar/load_test.go
+++ b/internal/sidecar/load_test.go
@@ -17,13 +17,15 @@
 	"barleywick/internal/sidecar/sidecartest"
 )
 
-// The load on client connections, for before and after: go test -run xxx -bench
-// Load ./internal/sidecar. Clients and the upstream are in the same process: what
-// they cost stands in both figures of a pair.
+// Benchmarks of the load on client connections, to be compared before and after a change:
+//
+//	go test -run xxx -bench Load ./internal/sidecar
+//
+// Clients and booking server run in the same process: both figures of a pair contain their cost.
 
 const loadSockets = 4096
 
-// startLoadedSidecar runs a sidecar whose upstream answers when release is closed.
+// startLoadedSidecar runs a sidecar whose booking server responds when release is closed.
 func startLoadedSidecar(b *testing.B, release <-chan struct{}) (addr string) {
 	b.Helper()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
@@ -52,7 +54,7 @@
 		}
 	}()
 	c := testConfig(b, options{sockets: loadSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", ln.Addr().String(), "up", 0))
-	c.Policy.Slots = loadSockets // walls are not what is measured
+	c.Policy.Slots = loadSockets // bulkheads are not what is measured
 	addr, _, _ = startSidecar(b, c)
 	return addr
 }
@@ -63,7 +65,7 @@
 	return c
 }
 
-// loadClient is a connection that asks and reads with as little as may be.
+// loadClient is a client connection with as little overhead as possible.
 type loadClient struct {
 	net.Conn
 	buf [512]byte
@@ -104,12 +106,11 @@
 	return c.read()
 }
 
-// loadClients is how many clients at once, times GOMAXPROCS: a kept upstream
-// connection rests a moment between two requests, and one client alone would
-// measure that.
+// loadClients is the number of clients for each processor: an upstream connection is quarantined
+// between two requests, and a single client would measure that.
 const loadClients = 16
 
-// BenchmarkLoadRequest is a request on a kept connection.
+// BenchmarkLoadRequest measures a request on a kept connection.
 func BenchmarkLoadRequest(b *testing.B) {
 	addr := startLoadedSidecar(b, alwaysOpen())
 	b.ReportAllocs()
@@ -126,7 +127,7 @@
 	})
 }
 
-// BenchmarkLoadConnect is a connection with one request on it.
+// BenchmarkLoadConnect measures a connection with one request.
 func BenchmarkLoadConnect(b *testing.B) {
 	addr := startLoadedSidecar(b, alwaysOpen())
 	b.ReportAllocs()
@@ -143,8 +144,8 @@
 	})
 }
 
-// BenchmarkLoadMemory tells what a connection at rest holds: one that never said
-// a thing, one between requests, and one whose request is with an upstream.
+// BenchmarkLoadMemory measures what a connection holds: a silent one, an idle one, and one whose
+// request is at a booking server.
 func BenchmarkLoadMemory(b *testing.B) {
 	const conns = 400
 	for _, kind := range []string{"silent", "idle", "busy"} {
@@ -157,7 +158,7 @@
 					answers = alwaysOpen()
 				}
 				addr := startLoadedSidecar(b, answers)
-				first := newLoadClient(b, addr) // what every sidecar has
+				first := newLoadClient(b, addr) // allocates what every sidecar has
 				if kind == "idle" {
 					first.send(loadIDs.Add(1))
 					first.read()
@@ -178,7 +179,7 @@
 						}
 					}
 				}
-				time.Sleep(100 * time.Millisecond) // what was sent is on its way; the figure is a mean and no verdict
+				time.Sleep(100 * time.Millisecond) // the requests are on their way; the figure is a mean and not a check
 				nowMemory, nowFiles := resourcesHeld(b)
 				bytes += (nowMemory - memory) / conns
 				fds += (nowFiles - files) / conns
@@ -194,10 +195,10 @@
 	}
 }
 
-// resourcesHeld is what this process holds of heap and stacks, and of descriptors.
+// resourcesHeld returns the bytes of heap and stacks, and the descriptors, of this process.
 func resourcesHeld(b *testing.B) (memory, files float64) {
 	runtime.GC()
-	runtime.GC() // the second lets go of what pools kept
+	runtime.GC() // the second collection empties the pools
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	names, err := os.ReadDir("/proc/self/fd")
@@ -207,9 +208,8 @@
 	return float64(m.HeapAlloc + m.StackInuse), float64(len(names))
 }
 
-// BenchmarkLoadDrain tells how long a planned end takes, in parts of what the
-// longest request that runs still needs. A part of it is the protocol's: connections
-// come for 0.4 s.
+// BenchmarkLoadDrain measures how long a graceful shutdown takes, as a multiple of what the longest
+// request still needs. The protocol lets connections arrive for 0.4 s of it.
 func BenchmarkLoadDrain(b *testing.B) {
 	for _, rest := range []time.Duration{time.Second, 3 * time.Second} {
 		b.Run(rest.String(), func(b *testing.B) {
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -19,9 +19,9 @@
 	"barleywick/policy"
 )
 
-// Through the loop: requests under way are counted to their end, a drain called off
-// and one of a server replaced at its address leave nothing behind, and where all
-// servers drain a client is told to come back.
+// Through the event loop: attempts in flight at a draining server end, a drain that is called off and
+// one of a server that is replaced at its address leave nothing behind, and a client is refused with
+// Retry-After while all servers drain.
 func TestServerDrainThroughTheEndpointList(t *testing.T) {
 	g := registrytest.NewServer(t)
 	release := make(chan struct{})
@@ -34,31 +34,31 @@
 	addr, _, _ := startSidecar(t, testConfig(t, options{aim: time.Second}, g.Addr, registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	w := sidecartest.Await(t, "the watch", g.Watches)
 	held := call{class: "once", id: "held"}.start(t, addr)
-	sidecartest.Await(t, "the held one", u.Requests)
+	sidecartest.Await(t, "the request", u.Requests)
 	tell := func(seq int, host, health string) {
 		t.Helper()
 		w.Lines <- registrytest.ListJSON(seq, false, registrytest.EndpointJSON(host, u.Addr, health, 0))
-		w.Lines <- "" // taken once the one before has been read
+		w.Lines <- "" // received after the line before has been read
 	}
 	tell(2, "s-1", "draining")
-	for i := 0; ; i++ { // the news is on its way to the loop
+	for i := 0; ; i++ { // the watch event is on its way to the loop
 		got := call{class: "once", id: fmt.Sprint("late-", i)}.do(t, addr)
 		if got.status == http.StatusServiceUnavailable {
 			if got.header.Get("Retry-After") == "" {
-				t.Error("refused without a word on when to come back")
+				t.Error("refused without Retry-After")
 			}
 			break
 		}
 		if i == 1000 {
-			t.Fatalf("a server that drains gets requests: %+v", got)
+			t.Fatalf("a draining server gets requests: %+v", got)
 		}
 	}
 	for len(u.Requests) > 0 {
 		<-u.Requests
 	}
 	close(release)
-	if got := sidecartest.Await(t, "the held one's answer", held); got.status != 200 {
-		t.Errorf("what ran: %+v", got)
+	if got := sidecartest.Await(t, "the response", held); got.status != 200 {
+		t.Errorf("the attempt in flight: got %+v, want 200", got)
 	}
 	tell(3, "s-1", "up")
 	serveSoon(t, addr)
@@ -68,7 +68,7 @@
 	serveSoon(t, addr)
 }
 
-// The loop counts what runs at a server that drains.
+// The loop passes a drain to the pool once, and its end.
 func TestServerDrainFollowsTheEndpointList(t *testing.T) {
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0))
 	h := l.endpoints["s-1"]
@@ -84,15 +84,14 @@
 	}
 	l.now = 2 * time.Second
 	if change("draining"); h.drainingSince != time.Second {
-		t.Error("told again, the drain began anew")
+		t.Error("the drain began anew when it was notified again")
 	}
 	if change("up"); h.drainingSince != 0 || drains() {
 		t.Error("the drain was not called off")
 	}
 }
 
-// The phases of a planned end, and what a second signal, a new configuration and a
-// client without end do meanwhile.
+// The phases of a graceful shutdown, with a second signal, a reload and a long request meanwhile.
 func TestPhasesOfAGracefulShutdown(t *testing.T) {
 	release := make(chan struct{})
 	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-release; return sidecartest.OKResponse("ok"), false })
@@ -116,15 +115,15 @@
 		return fmt.Sprint(resp.StatusCode, " ", string(text))
 	}
 	if got := phase(); got != "200 serving\n" {
-		t.Errorf("before: %q", got)
+		t.Errorf("before the shutdown: got %q, want 200 serving", got)
 	}
 	held := call{class: "once", id: "held"}.start(t, addr)
-	sidecartest.Await(t, "the held one", u.Requests)
+	sidecartest.Await(t, "the request", u.Requests)
 	stop()
 	sidecartest.Eventually(t, "it drains", func() bool { return phase() == "503 draining\n" })
 	stop()
 	reload <- syscall.SIGHUP
-	sidecartest.Await(t, "the call at the new address", fresh.ListCalls)
+	sidecartest.Await(t, "the list call at the new address", fresh.ListCalls)
 	sidecartest.Eventually(t, "the listener is closed", func() bool { c, err := net.Dial("tcp", addr); closeIf(c, err); return err != nil })
 	select {
 	case err := <-ended:
@@ -132,8 +131,8 @@
 	default:
 	}
 	close(release)
-	if got := sidecartest.Await(t, "the held one's answer", held); got.status != 200 {
-		t.Errorf("the held one: %+v", got)
+	if got := sidecartest.Await(t, "the response", held); got.status != 200 {
+		t.Errorf("the request: got %+v", got)
 	}
 	if err := sidecartest.Await(t, "the end", ended); err != nil {
 		t.Error(err)
@@ -146,8 +145,8 @@
 	}
 }
 
-// A signal before the sidecar has a list, an attempt that never ends, and a client
-// that never reads: each comes to an end by its own deadline.
+// A signal before the sidecar has a list, a server that never answers, and a client that never reads:
+// the shutdown ends by the deadline of each.
 func TestGracefulShutdownUnderFaults(t *testing.T) {
 	t.Run("before it is ready", func(t *testing.T) {
 		_, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1"))
@@ -156,15 +155,15 @@
 			t.Error(err)
 		}
 	})
-	t.Run("an attempt that never ends", func(t *testing.T) {
-		t.Parallel() // it takes the request's whole time
+	t.Run("a server that never answers", func(t *testing.T) {
+		t.Parallel() // it takes the request's whole timeout
 		u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
 		addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 		held := call{class: "once", id: "held", timeout: "1.5"}.start(t, addr)
-		sidecartest.Await(t, "the held one", u.Requests)
+		sidecartest.Await(t, "the request", u.Requests)
 		stop()
-		if got := sidecartest.Await(t, "its answer", held); got.status != http.StatusGatewayTimeout {
-			t.Errorf("the held one: %+v", got)
+		if got := sidecartest.Await(t, "the response", held); got.status != http.StatusGatewayTimeout {
+			t.Errorf("the request: got %+v", got)
 		}
 		if err := sidecartest.Await(t, "the end", ended); err != nil {
 			t.Error(err)
@@ -186,7 +185,7 @@
 	})
 }
 
-// begin acts once, whatever comes later.
+// begin acts once, whatever is called later.
 func TestShutdownBeginsOnce(t *testing.T) {
 	l := newLimitedListener(sidecartest.ListenLoopback(t), testLimits(1))
 	l.start()
@@ -196,19 +195,19 @@
 	begun := d.begunAt
 	d.begin()
 	if d.begunAt != begun || d.phase() != phaseDraining {
-		t.Errorf("begun at %v and again at %v, phase %v", begun, d.begunAt, d.phase())
+		t.Errorf("got begun at %v and again at %v, phase %v; want once, draining", begun, d.begunAt, d.phase())
 	}
 	if done, err := d.advance(); done || err != nil || d.phase() != phaseFinishing {
-		t.Errorf("then: done %v, error %v, phase %v", done, err, d.phase())
+		t.Errorf("advance: got %v, error %v, phase %v; want false, nil, finishing", done, err, d.phase())
 	}
-	sidecartest.Await(t, "the last connection's end", d.phaseDue())
+	sidecartest.Await(t, "the close of the last connection", d.phaseDue())
 	if done, err := d.advance(); !done || err != nil || d.phase() != phaseEnded {
-		t.Errorf("at the end: done %v, error %v, phase %v", done, err, d.phase())
+		t.Errorf("advance again: got %v, error %v, phase %v; want true, nil, ended", done, err, d.phase())
 	}
 }
 
-// Connections that wait in the kernel's queue as the listener ends are served: the machine has
-// accepted them, and requests were written to them.
+// Connections in the listener's backlog at a shutdown are served: the kernel has established them, and
+// requests were sent on them.
 func TestBacklogIsServedAtShutdown(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	_, limited, ending := newClientSide(t, u, nil)
@@ -228,7 +227,7 @@
 	for i, c := range conns {
 		c.SetDeadline(time.Now().Add(sidecartest.Patience))
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode >= 500 && resp.StatusCode != http.StatusServiceUnavailable {
-			t.Errorf("connection %d: %+v, %v", i, resp, err)
+			t.Errorf("connection %d: got %+v, %v", i, resp, err)
 		}
 	}
 }
