--- a/internal/testing/chaostest/promises.go
+++ b/internal/testing/chaostest/promises.go
@@ -24,19 +24,19 @@
 )
 
 const (
-	askIn = 2 * time.Second
-	endIn = 20 * time.Second // for a process that was told to end
-	// growth is by how much a process's memory may grow over a run, beyond a half: caches
+	callTimeout = 2 * time.Second
+	stopTimeout = 20 * time.Second // for a process that was told to end
+	// allowedMemoryGrowth is by how much a process's memory may grow over a run, beyond a half: caches
 	// and buffers that are bounded fill up. Descriptors may by moreOpen.
-	growth   = 24 << 20
-	moreOpen = 64
+	allowedMemoryGrowth     = 24 << 20
+	allowedDescriptorGrowth = 64
 )
 
-// says is what a sidecar answers for people.
-func (r *run) says(name, what string) string {
-	ctx, cancel := context.WithTimeout(context.Background(), askIn)
+// readHealth is what a sidecar answers for people.
+func (r *run) readHealth(name, what string) string {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.listens[name]+"/health/"+what, nil)
+	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.httpAddrs[name]+"/health/"+what, nil)
 	if err != nil {
 		return ""
 	}
@@ -49,31 +49,31 @@
 	return string(text)
 }
 
-// watch looks at the registry again and again: which servers drain, and who holds what.
+// watchRegistry looks at the registry again and again: which servers drain, and who holds what.
 // A token is one holder's.
-func (r *run) watch(ctx context.Context) {
+func (r *run) watchRegistry(ctx context.Context) {
 	owner := make(map[uint64]string)
-	for pause(ctx, lookEach) {
-		in, cancel := context.WithTimeout(ctx, askIn)
+	for sleep(ctx, pollInterval) {
+		in, cancel := context.WithTimeout(ctx, callTimeout)
 		asked := time.Now()
-		if list, err := r.client.Registrations(in); err == nil {
+		if list, err := r.registry.Registrations(in); err == nil {
 			for _, s := range r.servers {
 				_, marked := list.Marks[s.host]
-				s.mark(marked, asked)
+				s.setDraining(marked, asked)
 			}
-			r.saw("looks at the list", 1)
+			r.count("looks at the list", 1)
 		}
-		if all, err := r.client.Leases(in, 0, 0); err == nil {
+		if all, err := r.registry.Leases(in, 0, 0); err == nil {
 			for _, l := range all.Leases {
 				if l.Grant == nil {
 					continue
 				}
 				who := fmt.Sprintf("%s/%d for %s", l.Grant.Name, l.Grant.Incarnation, l.Name)
 				if was, known := owner[l.Grant.Token]; known && was != who {
-					r.broken("token %d was given to %s and to %s", l.Grant.Token, was, who)
+					r.violated("token %d was given to %s and to %s", l.Grant.Token, was, who)
 				} else if !known {
 					owner[l.Grant.Token] = who
-					r.saw("grants", 1)
+					r.count("grants", 1)
 				}
 			}
 		}
@@ -81,32 +81,32 @@
 	}
 }
 
-// promised waits until something holds, or says that it never did.
-func (r *run) promised(ctx context.Context, what string, holds func() (why string)) {
+// checkEventually waits until something holds, or says that it never did.
+func (r *run) checkEventually(ctx context.Context, what string, holds func() (why string)) {
 	why := ""
 	began := time.Now()
-	if err := until(ctx, settleIn, func() bool { why = holds(); return why == "" }); err != nil {
-		r.broken("%s, %v after the last fault: %s", what, settleIn, why)
+	if err := waitUntil(ctx, settleTimeout, func() bool { why = holds(); return why == "" }); err != nil {
+		r.violated("%s, %v after the last fault: %s", what, settleTimeout, why)
 		return
 	}
-	r.line("promise", "%s: after %v", what, time.Since(began).Round(10*time.Millisecond))
-	r.saw("promises at rest", 1)
+	r.recordEvent("promise", "%s: after %v", what, time.Since(began).Round(10*time.Millisecond))
+	r.count("promises at rest", 1)
 }
 
-// settled looks at everything when the last fault is over and operators rest.
-func (r *run) settled(ctx context.Context) {
+// checkSettled looks at everything when the last fault is over and operators rest.
+func (r *run) checkSettled(ctx context.Context) {
 	var st rollout.Status
 	asks := func(do func(in context.Context) error) string {
-		in, cancel := context.WithTimeout(ctx, askIn)
+		in, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		if err := do(in); err != nil {
 			return err.Error()
 		}
 		return ""
 	}
-	r.promised(ctx, "all see all", func() string {
+	r.checkEventually(ctx, "all see all", func() string {
 		digest := ""
-		for _, name := range r.all() {
+		for _, name := range r.processNames() {
 			var v membership.ViewResponse
 			if why := asks(func(in context.Context) (err error) {
 				v, err = membership.FetchView(in, http.DefaultClient, r.viewURL(name))
@@ -121,8 +121,8 @@
 		}
 		return ""
 	})
-	r.promised(ctx, "the last change of policy has settled", func() string {
-		if why := asks(func(in context.Context) (err error) { st, err = r.client.PolicyStatus(in, 0, 0); return err }); why != "" {
+	r.checkEventually(ctx, "the last change of policy has settled", func() string {
+		if why := asks(func(in context.Context) (err error) { st, err = r.registry.PolicyStatus(in, 0, 0); return err }); why != "" {
 			return why
 		}
 		if st.Stage != rollout.StageSettled {
@@ -130,10 +130,10 @@
 		}
 		return ""
 	})
-	r.promised(ctx, "all act by one policy", func() string {
+	r.checkEventually(ctx, "all act by one policy", func() string {
 		said := make(map[string][]string)
 		for _, name := range r.sidecars {
-			epoch, _, _ := strings.Cut(r.says(name, "policy"), ",")
+			epoch, _, _ := strings.Cut(r.readHealth(name, "policy"), ",")
 			said[strings.TrimSpace(epoch)] = append(said[strings.TrimSpace(epoch)], name)
 		}
 		if len(said) != 1 || said[""] != nil {
@@ -141,9 +141,9 @@
 		}
 		return ""
 	})
-	r.promised(ctx, "no drain hangs", func() string {
+	r.checkEventually(ctx, "no drain hangs", func() string {
 		var all []drain.Drain
-		if why := asks(func(in context.Context) (err error) { all, err = r.flow().Status(in); return err }); why != "" {
+		if why := asks(func(in context.Context) (err error) { all, err = r.drainWorkflow().Status(in); return err }); why != "" {
 			return why
 		}
 		for _, d := range all {
@@ -153,10 +153,10 @@
 		}
 		return ""
 	})
-	r.promised(ctx, "each task is somebody's", func() string {
+	r.checkEventually(ctx, "each task is somebody's", func() string {
 		held := make(map[string]bool)
 		if why := asks(func(in context.Context) error {
-			all, err := r.client.Leases(in, 0, 0)
+			all, err := r.registry.Leases(in, 0, 0)
 			for _, l := range all.Leases {
 				held[l.Name] = l.Grant != nil
 			}
@@ -171,13 +171,13 @@
 		}
 		return ""
 	})
-	r.promised(ctx, "nothing acknowledged is lost", func() string {
+	r.checkEventually(ctx, "nothing acknowledged is lost", func() string {
 		r.mu.Lock()
-		acked := maps.Clone(r.acked)
+		acked := maps.Clone(r.acknowledged)
 		r.mu.Unlock()
 		for key, all := range acked {
 			if why := asks(func(in context.Context) error {
-				rec, err := r.client.Record(in, key)
+				rec, err := r.registry.Record(in, key)
 				if err != nil {
 					return fmt.Errorf("%s: %w", key, err)
 				}
@@ -193,8 +193,8 @@
 		}
 		return ""
 	})
-	r.promised(ctx, "copies of the registry are whole", func() string {
-		c := &controller.ListCache{Dir: filepath.Join(r.folder, "copies"), Keep: 1}
+	r.checkEventually(ctx, "copies of the registry are whole", func() string {
+		c := &controller.ListCache{Dir: filepath.Join(r.dir, "copies"), Keep: 1}
 		all, err := c.Paths()
 		if err != nil || len(all) == 0 {
 			return fmt.Sprint("there are ", len(all), ": ", err)
@@ -206,18 +206,18 @@
 	})
 }
 
-// size is what a process takes.
-type size struct {
+// processSize is what a process takes.
+type processSize struct {
 	start uint64
 	rss   int64
 	fds   int
 }
 
-func (r *run) sizes() map[string]size {
-	all := make(map[string]size)
+func (r *run) processSizes() map[string]processSize {
+	all := make(map[string]processSize)
 	for name, p := range r.Processes {
 		pid := strconv.Itoa(p.PID())
-		s := size{start: rollout.ProcessStartTicks(p.PID())}
+		s := processSize{start: rollout.ProcessStartTicks(p.PID())}
 		text, err := os.ReadFile(filepath.Join("/proc", pid, "statm"))
 		fields := strings.Fields(string(text))
 		if err != nil || len(fields) < 2 {
@@ -235,98 +235,98 @@
 	return all
 }
 
-// grown compares what processes take with what they took at the start.
-func (r *run) grown(was map[string]size) {
-	now := r.sizes()
+// checkGrowth compares what processes take with what they took at the start.
+func (r *run) checkGrowth(was map[string]processSize) {
+	now := r.processSizes()
 	var most int64
 	for name, s := range now {
 		w, ok := was[name]
 		if !ok {
 			continue
 		}
-		r.saw("sizes compared", 1)
+		r.count("sizes compared", 1)
 		most = max(most, s.rss)
-		if s.rss > w.rss*3/2+growth {
-			r.broken("%s takes %d KiB of memory, %d at the start", name, s.rss>>10, w.rss>>10)
+		if s.rss > w.rss*3/2+allowedMemoryGrowth {
+			r.violated("%s takes %d KiB of memory, %d at the start", name, s.rss>>10, w.rss>>10)
 		}
-		if s.fds > w.fds+moreOpen {
-			r.broken("%s has %d descriptors open, %d at the start", name, s.fds, w.fds)
+		if s.fds > w.fds+allowedDescriptorGrowth {
+			r.violated("%s has %d descriptors open, %d at the start", name, s.fds, w.fds)
 		}
 	}
-	r.line("promise", "no process has grown: the largest takes %d MiB", most>>20)
+	r.recordEvent("promise", "no process has grown: the largest takes %d MiB", most>>20)
 }
 
-// judge looks at what ran, and at the history of the records.
-func (r *run) judge() {
+// checkRequests looks at what ran, and at the history of the records.
+func (r *run) checkRequests() {
 	r.mu.Lock()
-	once, ops := maps.Clone(r.once), slices.Clone(r.ops)
+	once, ops := maps.Clone(r.nonIdempotent), slices.Clone(r.calls)
 	r.mu.Unlock()
 	ran := make(map[string]int)
 	for _, s := range r.servers {
 		s.mu.Lock()
-		for id, n := range s.ran {
+		for id, n := range s.runCounts {
 			ran[id] += n
 		}
-		for name, after := range s.late {
-			r.broken("a request of %s began at %s, which had been draining for %v", name, s.host, after.Round(time.Millisecond))
-			r.keepLog(name)
+		for name, after := range s.lateRequests {
+			r.violated("a request of %s began at %s, which had been draining for %v", name, s.host, after.Round(time.Millisecond))
+			r.keepLogTail(name)
 		}
 		s.mu.Unlock()
 	}
 	for id, n := range ran {
-		r.saw("requests that ran", 1)
+		r.count("requests that ran", 1)
 		if n > 1 && once[id] {
-			r.broken("%s, which must never run twice, ran %d times", id, n)
+			r.violated("%s, which must never run twice, ran %d times", id, n)
 		}
 	}
-	for what, n := range map[string]uint64{"requests": r.asked.Load(), "served": r.served.Load(), "refused": r.refused.Load(), "failed": r.failed.Load(), "lost": r.lost.Load()} {
-		r.saw(what, n)
+	for what, n := range map[string]uint64{"requests": r.sent.Load(), "served": r.served.Load(), "refused": r.refused.Load(), "failed": r.failed.Load(), "lost": r.lost.Load()} {
+		r.count(what, n)
 	}
-	r.linearizable(ops)
+	r.checkLinearizability(ops)
 }
 
-// linearizable holds the history of each record against a register.
-func (r *run) linearizable(ops []*operation) {
+// checkLinearizability holds the history of each record against a register.
+func (r *run) checkLinearizability(ops []*recordCall) {
 	calls := make([]linearizability.Operation, len(ops))
 	for i, o := range ops {
-		calls[i] = linearizability.Operation{Key: o.key, Written: o.value, Read: o.got, Start: o.call, End: o.ret, Completed: o.done}
+		calls[i] = linearizability.Operation{Key: o.key, Written: o.value, Read: o.read, Start: o.started, End: o.ended, Completed: o.completed}
 	}
 	for key, of := range linearizability.GroupByKey(calls) {
-		r.saw("calls on records", uint64(len(of)))
+		r.count("calls on records", uint64(len(of)))
 		switch linearizability.Check(of, 30*time.Second) {
 		case porcupine.Illegal:
-			r.broken("%s: the history of %d calls is not linearizable", key, len(of))
+			r.violated("%s: the history of %d calls is not linearizable", key, len(of))
 		case porcupine.Unknown:
-			r.line("promise", "%s: a history of %d calls is too long to be judged", key, len(of))
-			r.saw("histories not judged", 1)
+			r.recordEvent("promise", "%s: a history of %d calls is too long to be judged", key, len(of))
+			r.count("histories not judged", 1)
 		}
 	}
 }
 
-// endOf has a process end in order. One that does not tells what it is at.
-func (r *run) endOf(name string) error {
+// stopProcess has a process end in order. One that does not tells what it is at.
+func (r *run) stopProcess(name string) error {
 	p := r.Processes[name]
 	_ = p.Signal(syscall.SIGCONT)
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		return fmt.Errorf("%s has ended before: %w", name, err)
 	}
-	for deadline := time.Now().Add(endIn); p.Running(); time.Sleep(lookEach / 10) {
+	for deadline := time.Now().Add(stopTimeout); p.Running(); time.Sleep(pollInterval / 10) {
 		if time.Now().After(deadline) {
 			_ = p.Signal(syscall.SIGQUIT)
-			time.Sleep(4 * lookEach)
-			r.keepLog(name)
+			time.Sleep(4 * pollInterval)
+			r.keepLogTail(name)
 			p.Kill()
-			return fmt.Errorf("%s did not end within %v", name, endIn)
+			return fmt.Errorf("%s did not end within %v", name, stopTimeout)
 		}
 	}
 	return nil
 }
 
-// keptLog is how much of a log a report keeps.
-const keptLog = 64 << 10
+// maxLogTail is how much of a log a report keeps.
+const maxLogTail = 64 << 10
 
-// keepLog keeps the end of a process's log for the report.
-func (r *run) keepLog(name string) {
+// keepLogTail keeps the end of a process's log for the report.
+func (r *run) keepLogTail(name string) {
 	p := r.Processes[name]
 	if p == nil {
 		return
@@ -337,27 +337,27 @@
 	if r.report.Logs == nil {
 		r.report.Logs = make(map[string]string)
 	}
-	r.report.Logs[name] = text[max(0, len(text)-keptLog):]
+	r.report.Logs[name] = text[max(0, len(text)-maxLogTail):]
 }
 
-// leave asks every process to end, and looks whether it does.
-func (r *run) leave() {
-	for _, names := range [][]string{r.sidecars, r.keepers, {"r0", "r1", "r2"}} {
+// stopAll asks every process to end, and looks whether it does.
+func (r *run) stopAll() {
+	for _, names := range [][]string{r.sidecars, r.controllers, {"r0", "r1", "r2"}} {
 		ended := make(chan error, len(names))
 		for _, name := range names {
-			go func() { ended <- r.endOf(name) }() // awaited below
+			go func() { ended <- r.stopProcess(name) }() // awaited below
 		}
 		for range names {
 			if err := <-ended; err != nil {
-				r.broken("a process did not end as it should: %v", err)
+				r.violated("a process did not end as it should: %v", err)
 			}
 		}
 	}
-	r.saw("processes that ended in order", uint64(len(r.Processes)))
+	r.count("processes that ended in order", uint64(len(r.Processes)))
 	for name, p := range r.Processes {
 		if p.Running() {
-			r.broken("%s is left", name)
+			r.violated("%s is left", name)
 		}
 	}
-	r.line("fleet", "all have ended")
+	r.recordEvent("fleet", "all have ended")
 }
--- a/internal/testing/chaostest/servers.go
+++ b/internal/testing/chaostest/servers.go
@@ -21,24 +21,24 @@
 	host, machine, zone string
 	ln                  net.Listener
 	http                *http.Server
-	leave               context.CancelFunc
+	unregister          context.CancelFunc
 	tasks               sync.WaitGroup
 
-	mu      sync.Mutex
-	ran     map[string]int
-	running int
-	marked  time.Time                // when the list's owner marked it draining; zero: it is not
-	maybe   map[string]time.Time     // by sidecar: a request that began too late, if the drain went on
-	late    map[string]time.Duration // by sidecar: how long after that one of its requests began, at most
+	mu            sync.Mutex
+	runCounts     map[string]int
+	inFlight      int
+	drainingSince time.Time                // when the list's owner marked it draining; zero: it is not
+	suspected     map[string]time.Time     // by sidecar: a request that began too late, if the drain went on
+	lateRequests  map[string]time.Duration // by sidecar: how long after that one of its requests began, at most
 }
 
 const (
-	work       = 20 * time.Millisecond
-	sessionTTL = 5 * time.Second
-	headIn     = 2 * time.Second
-	// lateAfter is when nothing new may come to a server that drains: what discovery has to
+	workTime      = 20 * time.Millisecond
+	sessionTTL    = 5 * time.Second
+	headerTimeout = 2 * time.Second
+	// drainGrace is when nothing new may come to a server that drains: what discovery has to
 	// tell counts as told after 6 s, and requests may go there for 3 s more.
-	lateAfter = 9 * time.Second
+	drainGrace = 9 * time.Second
 )
 
 func startServer(i int, c *client.Client) (*server, error) {
@@ -46,11 +46,11 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &server{host: fmt.Sprint("b", i), machine: fmt.Sprint("m", i/2), zone: string("ab"[i%2]), ln: ln, ran: make(map[string]int), late: make(map[string]time.Duration), maybe: make(map[string]time.Time)}
-	s.http = &http.Server{Handler: s, ReadHeaderTimeout: headIn}
+	s := &server{host: fmt.Sprint("b", i), machine: fmt.Sprint("m", i/2), zone: string("ab"[i%2]), ln: ln, runCounts: make(map[string]int), lateRequests: make(map[string]time.Duration), suspected: make(map[string]time.Time)}
+	s.http = &http.Server{Handler: s, ReadHeaderTimeout: headerTimeout}
 	s.tasks.Go(func() { _ = s.http.Serve(ln) }) // ends with close
 	life, leave := context.WithCancel(context.Background())
-	s.leave = leave
+	s.unregister = leave
 	block := i
 	r := registry.RegisterRequest{
 		Instance: registry.Instance{Host: s.host, Dial: ln.Addr().String(), Site: s.zone, Class: "m", Block: &block, Health: registry.HealthUp, Share: 1},
@@ -61,27 +61,27 @@
 }
 
 func (s *server) close() {
-	s.leave()
+	s.unregister()
 	_ = s.http.Close()
 	s.tasks.Wait()
 }
 
-// mark notes what the registry said of its drain when it was asked after a time. What
+// setDraining notes what the registry said of its drain when it was asked after a time. What
 // began since may have been told already that the drain is called off.
-func (s *server) mark(draining bool, asked time.Time) {
+func (s *server) setDraining(draining bool, asked time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case !draining:
-		s.marked = time.Time{}
-		clear(s.maybe)
-	case s.marked.IsZero():
-		s.marked = time.Now()
+		s.drainingSince = time.Time{}
+		clear(s.suspected)
+	case s.drainingSince.IsZero():
+		s.drainingSince = time.Now()
 	}
-	for name, began := range s.maybe {
+	for name, began := range s.suspected {
 		if began.Before(asked) {
-			s.late[name] = max(s.late[name], began.Sub(s.marked))
-			delete(s.maybe, name)
+			s.lateRequests[name] = max(s.lateRequests[name], began.Sub(s.drainingSince))
+			delete(s.suspected, name)
 		}
 	}
 }
@@ -90,7 +90,7 @@
 func (s *server) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	id := q.Header.Get("Request-Id")
 	s.mu.Lock()
-	running := s.running
+	running := s.inFlight
 	s.mu.Unlock()
 	switch {
 	case q.URL.Path == "/stats":
@@ -104,17 +104,17 @@
 	}
 	_, _ = io.Copy(io.Discard, io.LimitReader(q.Body, 1<<16))
 	s.mu.Lock()
-	s.ran[id]++
-	s.running++
-	if !s.marked.IsZero() && time.Since(s.marked) > lateAfter {
-		if name, _, _ := strings.Cut(id, "-"); s.maybe[name].IsZero() {
-			s.maybe[name] = time.Now()
+	s.runCounts[id]++
+	s.inFlight++
+	if !s.drainingSince.IsZero() && time.Since(s.drainingSince) > drainGrace {
+		if name, _, _ := strings.Cut(id, "-"); s.suspected[name].IsZero() {
+			s.suspected[name] = time.Now()
 		}
 	}
 	s.mu.Unlock()
-	time.Sleep(work)
+	time.Sleep(workTime)
 	s.mu.Lock()
-	s.running--
+	s.inFlight--
 	s.mu.Unlock()
 	text := "done " + id
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
--- a/internal/testing/chaostest/torture.go
+++ b/internal/testing/chaostest/torture.go
@@ -37,31 +37,31 @@
 // run is one under way.
 type run struct {
 	*fleet
-	began   time.Time
-	servers []*server
-	client  *client.Client // the rig's own, which no fault touches
-	tasks   sync.WaitGroup
-	rng     *rand.Rand // the operators'
+	startedAt  time.Time
+	servers    []*server
+	registry   *client.Client // the rig's own, which no fault touches
+	background sync.WaitGroup
+	rng        *rand.Rand // the operators'
 
-	asked, served, refused, failed, lost atomic.Uint64
+	sent, served, refused, failed, lost atomic.Uint64
 
-	mu     sync.Mutex
-	report Report
-	once   map[string]bool // ids that may not run twice
-	away   map[string]time.Time
-	ops    []*operation
-	acked  map[string][]written
-	next   uint64
+	mu            sync.Mutex
+	report        Report
+	nonIdempotent map[string]bool // ids that may not run twice
+	unavailable   map[string]time.Time
+	calls         []*recordCall
+	acknowledged  map[string][]acknowledgedWrite
+	next          uint64
 }
 
 const (
-	// startIn and settleIn bound the fleet's start, and its rest after the last fault: a
+	// startTimeout and settleIn bound the fleet's start, and its rest after the last fault: a
 	// change and a drain have their time-outs within it.
-	startIn  = time.Minute
-	settleIn = 90 * time.Second
-	lookEach = 250 * time.Millisecond
-	// mostLines bounds the time line.
-	mostLines = 100_000
+	startTimeout  = time.Minute
+	settleTimeout = 90 * time.Second
+	pollInterval  = 250 * time.Millisecond
+	// maxEvents bounds the time line.
+	maxEvents = 100_000
 )
 
 // FaultSchedule draws the faults of a run.
@@ -70,8 +70,8 @@
 		return o.Schedule
 	}
 	const every = 1500 * time.Millisecond
-	quorum := names("r", 3)
-	all := append(append(quorum, names("k", o.Controllers)...), names("n", o.Sidecars)...)
+	quorum := numberedNames("r", 3)
+	all := append(append(quorum, numberedNames("k", o.Controllers)...), numberedNames("n", o.Sidecars)...)
 	p := faultinjection.Plan{
 		Targets: all, Kinds: []faultinjection.FaultKind{faultinjection.Partition, faultinjection.BlockInbound, faultinjection.BlockOutbound, faultinjection.Delay, faultinjection.ResetConnections, faultinjection.HalfOpen, faultinjection.RefuseConnections, faultinjection.DropResponses, faultinjection.Pause, faultinjection.Crash},
 		Count: max(1, int(o.Duration/every)), MeanInterval: every, MinDuration: 300 * time.Millisecond, MaxDuration: 6 * time.Second, MaxConcurrent: 3, QuorumGroup: quorum, MaxQuorumFaults: 2,
@@ -105,84 +105,84 @@
 	if err != nil {
 		return nil, fmt.Errorf("torture: %w", err)
 	}
-	r := &run{fleet: f, began: time.Now(), rng: rand.New(rand.NewPCG(o.Seed, 77)), once: make(map[string]bool), away: make(map[string]time.Time), acked: make(map[string][]written)}
+	r := &run{fleet: f, startedAt: time.Now(), rng: rand.New(rand.NewPCG(o.Seed, 77)), nonIdempotent: make(map[string]bool), unavailable: make(map[string]time.Time), acknowledged: make(map[string][]acknowledgedWrite)}
 	r.report = Report{Seed: o.Seed, Counts: make(map[string]uint64)}
 	life, end := context.WithCancel(ctx)
 	defer func() {
 		end()
-		r.tasks.Wait()
+		r.background.Wait()
 		for _, s := range r.servers {
 			s.close()
 		}
-		if r.client != nil {
-			r.client.Close()
+		if r.registry != nil {
+			r.registry.Close()
 		}
 		f.close()
 	}()
-	if r.client, err = client.New(f.addrs(), o.Seed); err != nil {
+	if r.registry, err = client.New(f.registryAddrs(), o.Seed); err != nil {
 		return nil, err
 	}
 	if err := r.start(ctx); err != nil {
 		return nil, fmt.Errorf("torture: the fleet does not start: %w", err)
 	}
-	r.line("fleet", "all serve")
-	sized := r.sizes()
+	r.recordEvent("fleet", "all serve")
+	sized := r.processSizes()
 	plan := o.FaultSchedule()
 	r.report.Schedule = plan.String()
 	calm, quiet := context.WithCancel(life)
 	defer quiet()
 	for _, name := range f.sidecars {
 		for i := range 2 {
-			r.tasks.Go(func() { r.load(life, name, i) })
+			r.background.Go(func() { r.sendRequests(life, name, i) })
 		}
 	}
-	r.tasks.Go(func() { r.watch(life) })
+	r.background.Go(func() { r.watchRegistry(life) })
 	var operators sync.WaitGroup
-	for _, act := range []func(context.Context){r.policies, r.machines, r.writes, r.handovers} {
+	for _, act := range []func(context.Context){r.proposePolicies, r.drainMachines, r.writeRecords, r.requestYields} {
 		operators.Go(func() { act(calm) })
 	}
-	err = r.play(life, plan)
-	r.line("fleet", "the last fault is over")
+	err = r.injectFaults(life, plan)
+	r.recordEvent("fleet", "the last fault is over")
 	time.Sleep(2 * time.Second)
 	quiet()
 	operators.Wait()
 	if err != nil || ctx.Err() != nil {
 		return &r.report, errors.Join(err, ctx.Err())
 	}
-	r.settled(ctx)
-	r.grown(sized)
+	r.checkSettled(ctx)
+	r.checkGrowth(sized)
 	end()
-	r.tasks.Wait()
-	r.judge()
-	r.leave()
-	r.report.Took = time.Since(r.began)
+	r.background.Wait()
+	r.checkRequests()
+	r.stopAll()
+	r.report.Took = time.Since(r.startedAt)
 	return &r.report, nil
 }
 
-// line adds to the time line.
-func (r *run) line(kind, format string, args ...any) {
-	l := Event{time.Since(r.began).Round(time.Millisecond), kind, fmt.Sprintf(format, args...)}
+// recordEvent adds to the time recordEvent.
+func (r *run) recordEvent(kind, format string, args ...any) {
+	l := Event{time.Since(r.startedAt).Round(time.Millisecond), kind, fmt.Sprintf(format, args...)}
 	r.mu.Lock()
-	if len(r.report.Timeline) < mostLines {
+	if len(r.report.Timeline) < maxEvents {
 		r.report.Timeline = append(r.report.Timeline, l)
 	}
 	r.mu.Unlock()
-	if r.o.OnEvent != nil {
-		r.o.OnEvent(fmt.Sprintf("%9.3f %-8s %s", l.At.Seconds(), l.Kind, l.Text))
+	if r.options.OnEvent != nil {
+		r.options.OnEvent(fmt.Sprintf("%9.3f %-8s %s", l.At.Seconds(), l.Kind, l.Text))
 	}
 }
 
-// broken notes a promise that is broken.
-func (r *run) broken(format string, args ...any) {
+// violated notes a promise that is violated.
+func (r *run) violated(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	r.mu.Lock()
 	r.report.Violations = append(r.report.Violations, text)
 	r.mu.Unlock()
-	r.line("promise", "BROKEN: %s", text)
+	r.recordEvent("promise", "BROKEN: %s", text)
 }
 
-// saw counts what was judged.
-func (r *run) saw(what string, n uint64) {
+// count counts what was judged.
+func (r *run) count(what string, n uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.Counts[what] += n
@@ -195,20 +195,20 @@
 			return err
 		}
 	}
-	for i := range r.o.Servers {
-		s, err := startServer(i, r.client)
+	for i := range r.options.Servers {
+		s, err := startServer(i, r.registry)
 		if err != nil {
 			return err
 		}
 		r.servers = append(r.servers, s)
 	}
-	for _, name := range append(append([]string{}, r.keepers...), r.sidecars...) {
+	for _, name := range append(append([]string{}, r.controllers...), r.sidecars...) {
 		if err := r.Processes[name].Start(); err != nil {
 			return err
 		}
 	}
 	for _, name := range r.sidecars {
-		if err := until(ctx, startIn, func() bool { return strings.HasPrefix(r.says(name, "ready"), "serving") }); err != nil {
+		if err := waitUntil(ctx, startTimeout, func() bool { return strings.HasPrefix(r.readHealth(name, "ready"), "serving") }); err != nil {
 			text := r.Processes[name].Output()
 			return fmt.Errorf("%s is not ready: %w; its log ends with: %s", name, err, text[max(0, len(text)-500):])
 		}
@@ -216,8 +216,8 @@
 	return nil
 }
 
-// until waits for something that no event tells of.
-func until(ctx context.Context, within time.Duration, holds func() bool) error {
+// waitUntil waits for something that no event tells of.
+func waitUntil(ctx context.Context, within time.Duration, holds func() bool) error {
 	for deadline := time.Now().Add(within); !holds(); {
 		switch {
 		case ctx.Err() != nil:
@@ -225,19 +225,19 @@
 		case time.Now().After(deadline):
 			return fmt.Errorf("not within %v", within)
 		}
-		time.Sleep(lookEach)
+		time.Sleep(pollInterval)
 	}
 	return nil
 }
 
-// play plays the faults, and notes when each process was away.
-func (r *run) play(ctx context.Context, plan faultinjection.Schedule) error {
+// injectFaults plays the faults, and notes when each process was away.
+func (r *run) injectFaults(ctx context.Context, plan faultinjection.Schedule) error {
 	began := time.Now()
 	var all sync.WaitGroup
 	errs := make([]error, len(plan))
 	for i, f := range plan {
 		all.Go(func() {
-			if !pause(ctx, f.Start-time.Since(began)) {
+			if !sleep(ctx, f.Start-time.Since(began)) {
 				return
 			}
 			end, err := r.Inject(f)
@@ -245,33 +245,33 @@
 				errs[i] = err
 				return
 			}
-			r.line("fault", "%s %s for %v", f.Kind, f.Target, f.Duration)
-			r.gone(f, true)
-			pause(ctx, f.Duration)
+			r.recordEvent("fault", "%s %s for %v", f.Kind, f.Target, f.Duration)
+			r.setUnavailable(f, true)
+			sleep(ctx, f.Duration)
 			if err := end(); err != nil {
 				errs[i] = fmt.Errorf("end of %v: %w", f, err)
 			}
-			r.gone(f, false)
-			r.line("fault", "%s %s is over", f.Kind, f.Target)
-			r.saw("faults", 1)
+			r.setUnavailable(f, false)
+			r.recordEvent("fault", "%s %s is over", f.Kind, f.Target)
+			r.count("faults", 1)
 		})
 	}
 	all.Wait()
 	return errors.Join(errs...)
 }
 
-// gone notes that a sidecar's clients cannot be answered, or can again: who is stopped
+// setUnavailable notes that a sidecar's clients cannot be answered, or can again: who is stopped
 // or killed keeps no promise towards them. A client goes and comes with its sidecar.
-func (r *run) gone(f faultinjection.Fault, now bool) {
+func (r *run) setUnavailable(f faultinjection.Fault, now bool) {
 	if f.Kind != faultinjection.Pause && f.Kind != faultinjection.Crash {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if now {
-		r.away[f.Target] = time.Time{}
+		r.unavailable[f.Target] = time.Time{}
 	} else {
-		r.away[f.Target] = time.Now()
+		r.unavailable[f.Target] = time.Now()
 	}
 }
 
@@ -279,16 +279,16 @@
 func (r *run) excused(name string, began time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	back, was := r.away[name]
-	return was && (back.IsZero() || began.Before(back.Add(graceAfter)))
+	back, was := r.unavailable[name]
+	return was && (back.IsZero() || began.Before(back.Add(recoveryGrace)))
 }
 
-// graceAfter is how long a process that was stopped or started again needs for what it
+// recoveryGrace is how long a process that was stopped or started again needs for what it
 // had in its hands, and until it serves.
-const graceAfter = 3 * time.Second
+const recoveryGrace = 3 * time.Second
 
-// load is one client of a sidecar.
-func (r *run) load(ctx context.Context, name string, index int) {
+// sendRequests is one client of a sidecar.
+func (r *run) sendRequests(ctx context.Context, name string, index int) {
 	c := r.clients[name]
 	for n := 0; ctx.Err() == nil; n++ {
 		class, effect := "read", loadgen.Idempotent
@@ -298,17 +298,17 @@
 		id := fmt.Sprintf("%s-%d-%d", name, index, n)
 		r.mu.Lock()
 		if effect == loadgen.NonIdempotent {
-			r.once[id] = true
+			r.nonIdempotent[id] = true
 		}
 		r.mu.Unlock()
 		began := time.Now()
-		in, cancel := context.WithTimeout(context.Background(), waits+time.Second) // it is beside the sidecar: what is late is the sidecar's
-		a := c.Do(in, loadgen.Request{ID: id, Class: class, Idempotency: effect, Tenant: "t", Timeout: waits}, nil)
+		in, cancel := context.WithTimeout(context.Background(), requestTimeout+time.Second) // it is beside the sidecar: what is late is the sidecar's
+		a := c.Do(in, loadgen.Request{ID: id, Class: class, Idempotency: effect, Tenant: "t", Timeout: requestTimeout}, nil)
 		cancel()
-		r.asked.Add(1)
+		r.sent.Add(1)
 		switch {
 		case a.Outcome == loadgen.Served && string(a.Body) != "done "+id:
-			r.broken("%s was answered with %.60q", id, a.Body)
+			r.violated("%s was answered with %.60q", id, a.Body)
 		case a.Outcome == loadgen.Served:
 			r.served.Add(1)
 		case a.Outcome == loadgen.Refused:
@@ -316,21 +316,21 @@
 		case a.Outcome == loadgen.Failed:
 			r.failed.Add(1)
 		case r.excused(name, began):
-			r.saw("tries at a sidecar that was killed or stopped", 1)
+			r.count("tries at a sidecar that was killed or stopped", 1)
 		default:
 			r.lost.Add(1)
-			r.broken("%s has no answer after %v, and %s was neither killed nor stopped: %v", id, time.Since(began).Round(time.Millisecond), name, a.Err)
+			r.violated("%s has no answer after %v, and %s was neither killed nor stopped: %v", id, time.Since(began).Round(time.Millisecond), name, a.Err)
 		}
 		wait := 40 * time.Millisecond
 		if a.Outcome != loadgen.Served {
 			wait = max(200*time.Millisecond, a.RetryAfter)
 		}
-		pause(ctx, wait)
+		sleep(ctx, wait)
 	}
 }
 
-// pause waits, and says whether ctx has let it.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits, and says whether ctx has let it.
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return ctx.Err() == nil
