--- a/internal/testing/chaostest/checks.go
+++ b/internal/testing/chaostest/checks.go
@@ -2,11 +2,11 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"maps"
 	"net/http"
-	"path/filepath"
 	"slices"
 	"strings"
 	"time"
@@ -14,202 +14,246 @@
 	"barleywick/internal/controller"
 	"barleywick/internal/drain"
 	"barleywick/internal/membership"
+	"barleywick/internal/registry"
 	"barleywick/internal/rollout"
 )
 
 const (
+	// callTimeout bounds one call of a check, and one poll of the watch.
 	callTimeout = 2 * time.Second
-	stopTimeout = 20 * time.Second // for a process that was told to end
-	// allowedMemoryGrowth is by how much a process's memory may grow over a run, beyond a half: caches
-	// and buffers that are bounded fill up. Descriptors may by moreOpen.
-	allowedMemoryGrowth     = 24 << 20
-	allowedDescriptorGrowth = 64
+	// maxHealthText bounds what is read of a sidecar's answer.
+	maxHealthText = 4 << 10
 )
 
-// readHealth is what a sidecar answers for people.
-func (r *run) readHealth(name, what string) string {
+// readHealth returns the text of a sidecar's page under /health/, or nothing if it does not answer.
+func (r *run) readHealth(name, page string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.httpAddrs[name]+"/health/"+what, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.httpAddrs[name]+"/health/"+page, nil)
 	if err != nil {
 		return ""
 	}
-	resp, err := http.DefaultClient.Do(q)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return ""
 	}
-	defer resp.Body.Close()
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, 4<<10))
+	defer response.Body.Close()
+	text, _ := io.ReadAll(io.LimitReader(response.Body, maxHealthText)) // what was read of an answer is shown also if the rest is missing
 	return string(text)
 }
 
-// watchRegistry looks at the registry again and again: which servers drain, and who holds what.
-// A token is one holder's.
+// watchRegistry polls the registry for drain marks, which the servers need to know, and for
+// grants: a token belongs to one holder.
 func (r *run) watchRegistry(ctx context.Context) {
-	owner := make(map[uint64]string)
+	owners := make(map[uint64]string) // by token
 	for sleep(ctx, pollInterval) {
-		in, cancel := context.WithTimeout(ctx, callTimeout)
-		asked := time.Now()
-		if list, err := r.registry.Registrations(in); err == nil {
-			for _, s := range r.servers {
-				_, marked := list.Marks[s.host]
-				s.setDraining(marked, asked)
-			}
-			r.count("looks at the list", 1)
-		}
-		if all, err := r.registry.Leases(in, 0, 0); err == nil {
-			for _, l := range all.Leases {
-				if l.Grant == nil {
-					continue
-				}
-				who := fmt.Sprintf("%s/%d for %s", l.Grant.Name, l.Grant.Incarnation, l.Name)
-				if was, known := owner[l.Grant.Token]; known && was != who {
-					r.violated("token %d was given to %s and to %s", l.Grant.Token, was, who)
-				} else if !known {
-					owner[l.Grant.Token] = who
-					r.count("grants", 1)
-				}
-			}
-		}
+		poll, cancel := context.WithTimeout(ctx, callTimeout)
+		r.readDrainMarks(poll)
+		r.checkTokens(poll, owners)
 		cancel()
 	}
 }
 
-// checkEventually waits until something holds, or says that it never did.
-func (r *run) checkEventually(ctx context.Context, what string, holds func() (why string)) {
-	why := ""
-	began := time.Now()
-	if err := waitUntil(ctx, settleTimeout, func() bool { why = holds(); return why == "" }); err != nil {
-		r.violated("%s, %v after the last fault: %s", what, settleTimeout, why)
+// readDrainMarks passes the drain marks on to the servers.
+func (r *run) readDrainMarks(ctx context.Context) {
+	sent := time.Now()
+	list, err := r.registry.Registrations(ctx)
+	if err != nil {
 		return
 	}
-	r.recordEvent("promise", "%s: after %v", what, time.Since(began).Round(10*time.Millisecond))
-	r.count("promises at rest", 1)
+	for _, s := range r.servers {
+		_, marked := list.Marks[s.host]
+		s.setDraining(marked, sent)
+	}
+	r.count("looks at the list", 1)
 }
 
-// checkSettled looks at everything when the last fault is over and operators rest.
-func (r *run) checkSettled(ctx context.Context) {
-	var st rollout.Status
-	asks := func(do func(in context.Context) error) string {
-		in, cancel := context.WithTimeout(ctx, callTimeout)
-		defer cancel()
-		if err := do(in); err != nil {
-			return err.Error()
-		}
-		return ""
+// checkTokens checks that no token was granted to two holders. owners is what was seen before.
+func (r *run) checkTokens(ctx context.Context, owners map[uint64]string) {
+	list, err := r.registry.Leases(ctx, 0, 0)
+	if err != nil {
+		return
 	}
-	r.checkEventually(ctx, "all see all", func() string {
-		digest := ""
-		for _, name := range r.processNames() {
-			var v membership.ViewResponse
-			if why := asks(func(in context.Context) (err error) {
-				v, err = membership.FetchView(in, http.DefaultClient, r.viewURL(name))
-				return err
-			}); why != "" {
-				return name + ": " + why
-			}
-			if v.Present != len(r.Processes) || digest != "" && v.Digest != digest {
-				return fmt.Sprintf("%s sees %d of %d", name, v.Present, len(r.Processes))
-			}
-			digest = v.Digest
-		}
-		return ""
-	})
-	r.checkEventually(ctx, "the last change of policy has settled", func() string {
-		if why := asks(func(in context.Context) (err error) { st, err = r.registry.PolicyStatus(in, 0, 0); return err }); why != "" {
-			return why
-		}
-		if st.Stage != rollout.StageSettled {
-			return fmt.Sprintf("change %d is %s, it waits for %v", st.Change.Number, st.Stage, st.WaitingFor)
+	for _, l := range list.Leases {
+		if l.Grant == nil {
+			continue
 		}
-		return ""
-	})
-	r.checkEventually(ctx, "all act by one policy", func() string {
-		said := make(map[string][]string)
-		for _, name := range r.sidecars {
-			epoch, _, _ := strings.Cut(r.readHealth(name, "policy"), ",")
-			said[strings.TrimSpace(epoch)] = append(said[strings.TrimSpace(epoch)], name)
-		}
-		if len(said) != 1 || said[""] != nil {
-			return fmt.Sprint(said)
+		owner := fmt.Sprintf("%s/%d for %s", l.Grant.Name, l.Grant.Incarnation, l.Name)
+		if earlier, known := owners[l.Grant.Token]; !known {
+			owners[l.Grant.Token] = owner
+			r.count("grants", 1)
+		} else if earlier != owner {
+			r.violated("token %d was given to %s and to %s", l.Grant.Token, earlier, owner)
 		}
-		return ""
-	})
-	r.checkEventually(ctx, "no drain hangs", func() string {
-		var all []drain.Drain
-		if why := asks(func(in context.Context) (err error) { all, err = r.drainWorkflow().Status(in); return err }); why != "" {
-			return why
-		}
-		for _, d := range all {
-			if d.Step != drain.Done && d.Owner == drain.OwnerControllers {
-				return fmt.Sprintf("%s is %s: %s", d.Machine, d.Step, d.Note)
-			}
+	}
+}
+
+// checkSettled checks what has to hold some time after the last fault, when operators have stopped.
+func (r *run) checkSettled(ctx context.Context) {
+	r.checkEventually(ctx, "all see all", r.checkViews)
+	r.checkEventually(ctx, "the last change of policy has settled", r.checkRolloutSettled)
+	r.checkEventually(ctx, "all act by one policy", r.checkActivePolicies)
+	r.checkEventually(ctx, "no drain hangs", r.checkDrainsDone)
+	r.checkEventually(ctx, "each task is somebody's", r.checkTasksHeld)
+	r.checkEventually(ctx, "nothing acknowledged is lost", r.checkNoWriteLost)
+	r.checkEventually(ctx, "copies of the registry are whole", r.checkListCache)
+}
+
+// checkEventually polls until a check succeeds, or records a violation.
+func (r *run) checkEventually(ctx context.Context, invariant string, check func(context.Context) error) {
+	var violation error
+	began := time.Now()
+	holds := func() bool {
+		violation = check(ctx)
+		return violation == nil
+	}
+	if err := waitUntil(ctx, settleTimeout, holds); err != nil {
+		r.violated("%s, %v after the last fault: %v", invariant, settleTimeout, violation)
+		return
+	}
+	r.recordEvent(InvariantEvent, "%s: after %v", invariant, time.Since(began).Round(10*time.Millisecond))
+	r.count("promises at rest", 1)
+}
+
+// checkViews checks that every process sees all others, and the same of them.
+func (r *run) checkViews(ctx context.Context) error {
+	digest := ""
+	for _, name := range r.processNames() {
+		view, err := r.fetchView(ctx, name)
+		if err != nil {
+			return fmt.Errorf("%s: %w", name, err)
 		}
-		return ""
-	})
-	r.checkEventually(ctx, "each task is somebody's", func() string {
-		held := make(map[string]bool)
-		if why := asks(func(in context.Context) error {
-			all, err := r.registry.Leases(in, 0, 0)
-			for _, l := range all.Leases {
-				held[l.Name] = l.Grant != nil
-			}
-			return err
-		}); why != "" {
-			return why
+		if view.Present != len(r.Processes) || digest != "" && view.Digest != digest {
+			return fmt.Errorf("%s sees %d of %d", name, view.Present, len(r.Processes))
 		}
-		for _, task := range []string{controller.DrainsLease, controller.PolicyLease, "copies", "overload", "health-0", "health-7"} {
-			if !held[task] {
-				return task + " is nobody's"
-			}
+		digest = view.Digest
+	}
+	return nil
+}
+
+// fetchView returns a process's view of the membership.
+func (r *run) fetchView(ctx context.Context, name string) (membership.ViewResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	return membership.FetchView(ctx, http.DefaultClient, r.viewURL(name))
+}
+
+// checkRolloutSettled checks that no rollout is in progress.
+func (r *run) checkRolloutSettled(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	st, err := r.registry.PolicyStatus(ctx, 0, 0)
+	if err != nil {
+		return err
+	}
+	if st.Stage != rollout.StageSettled {
+		return fmt.Errorf("change %d is %s, it waits for %v", st.Change.Number, st.Stage, st.WaitingFor)
+	}
+	return nil
+}
+
+// checkActivePolicies checks that all sidecars act by the same policy.
+func (r *run) checkActivePolicies(context.Context) error {
+	byEpoch := make(map[string][]string)
+	for _, name := range r.sidecars {
+		epoch, _, _ := strings.Cut(r.readHealth(name, "policy"), ",")
+		epoch = strings.TrimSpace(epoch)
+		byEpoch[epoch] = append(byEpoch[epoch], name)
+	}
+	if len(byEpoch) != 1 || byEpoch[""] != nil {
+		return errors.New(fmt.Sprint(byEpoch))
+	}
+	return nil
+}
+
+// checkDrainsDone checks that each drain that was handed over is done.
+func (r *run) checkDrainsDone(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	drains, err := r.drainWorkflow().Status(ctx)
+	if err != nil {
+		return err
+	}
+	for _, d := range drains {
+		if d.Step != drain.Done && d.Owner == drain.OwnerControllers {
+			return fmt.Errorf("%s is %s: %s", d.Machine, d.Step, d.Note)
 		}
-		return ""
-	})
-	r.checkEventually(ctx, "nothing acknowledged is lost", func() string {
-		r.mu.Lock()
-		acked := maps.Clone(r.acknowledged)
-		r.mu.Unlock()
-		for key, all := range acked {
-			if why := asks(func(in context.Context) error {
-				rec, err := r.registry.Record(in, key)
-				if err != nil {
-					return fmt.Errorf("%s: %w", key, err)
-				}
-				for _, a := range all {
-					if a.version > rec.Version || a.version == rec.Version && a.value != string(rec.Value) {
-						return fmt.Errorf("%s: version %d, %q, was acknowledged; there is version %d, %q", key, a.version, a.value, rec.Version, rec.Value)
-					}
-				}
-				return nil
-			}); why != "" {
-				return why
-			}
+	}
+	return nil
+}
+
+// heldTasks are leases that some controller has to hold; of the health checks, the first and the last.
+var heldTasks = []string{controller.DrainsLease, controller.PolicyLease, "copies", "overload", "health-0", "health-7"}
+
+// checkTasksHeld checks that each task has a holder.
+func (r *run) checkTasksHeld(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	list, err := r.registry.Leases(ctx, 0, 0)
+	if err != nil {
+		return err
+	}
+	for _, task := range heldTasks {
+		if !slices.ContainsFunc(list.Leases, func(l registry.Lease) bool { return l.Name == task && l.Grant != nil }) {
+			return fmt.Errorf("%s has no holder", task)
 		}
-		return ""
-	})
-	r.checkEventually(ctx, "copies of the registry are whole", func() string {
-		c := &controller.ListCache{Dir: filepath.Join(r.dir, "copies"), Keep: 1}
-		all, err := c.Paths()
-		if err != nil || len(all) == 0 {
-			return fmt.Sprint("there are ", len(all), ": ", err)
+	}
+	return nil
+}
+
+// checkNoWriteLost checks that every acknowledged write is there, or was replaced by a later one.
+func (r *run) checkNoWriteLost(ctx context.Context) error {
+	r.mu.Lock()
+	acknowledged := maps.Clone(r.acknowledged)
+	r.mu.Unlock()
+	for key, writes := range acknowledged {
+		if err := r.checkRecord(ctx, key, writes); err != nil {
+			return fmt.Errorf("%s: %w", key, err)
 		}
-		if _, err := controller.ReadCachedList(all[len(all)-1]); err != nil {
-			return err.Error()
+	}
+	return nil
+}
+
+// checkRecord checks that none of a record's acknowledged writes is lost.
+func (r *run) checkRecord(ctx context.Context, key string, writes []acknowledgedWrite) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	rec, err := r.registry.Record(ctx, key)
+	if err != nil {
+		return err
+	}
+	for _, w := range writes {
+		if w.version > rec.Version || w.version == rec.Version && w.value != string(rec.Value) {
+			return fmt.Errorf("version %d, %q, was acknowledged; there is version %d, %q", w.version, w.value, rec.Version, rec.Value)
 		}
-		return ""
-	})
+	}
+	return nil
+}
+
+// checkListCache checks that the newest copy of the list that controllers saved can be read.
+func (r *run) checkListCache(context.Context) error {
+	cache := &controller.ListCache{Dir: r.listCacheDir(), Keep: 1}
+	paths, err := cache.Paths()
+	if err != nil {
+		return err
+	}
+	if len(paths) == 0 {
+		return errors.New("there is no copy")
+	}
+	_, err = controller.ReadCachedList(paths[len(paths)-1])
+	return err
 }
 
-// checkRequests looks at what ran, and at the history of the records.
+// checkRequests checks what ran at the servers, and the records' histories.
 func (r *run) checkRequests() {
 	r.mu.Lock()
-	once, ops := maps.Clone(r.nonIdempotent), slices.Clone(r.calls)
+	nonIdempotent, calls := maps.Clone(r.nonIdempotent), slices.Clone(r.calls)
 	r.mu.Unlock()
-	ran := make(map[string]int)
+	runCounts := make(map[string]int)
 	for _, s := range r.servers {
 		s.mu.Lock()
 		for id, n := range s.runCounts {
-			ran[id] += n
+			runCounts[id] += n
 		}
 		for name, after := range s.lateRequests {
 			r.violated("a request of %s began at %s, which had been draining for %v", name, s.host, after.Round(time.Millisecond))
@@ -217,14 +261,16 @@
 		}
 		s.mu.Unlock()
 	}
-	for id, n := range ran {
+	for id, n := range runCounts {
 		r.count("requests that ran", 1)
-		if n > 1 && once[id] {
+		if n > 1 && nonIdempotent[id] {
 			r.violated("%s, which must never run twice, ran %d times", id, n)
 		}
 	}
-	for what, n := range map[string]uint64{"requests": r.sent.Load(), "served": r.served.Load(), "refused": r.refused.Load(), "failed": r.failed.Load(), "lost": r.lost.Load()} {
-		r.count(what, n)
-	}
-	r.checkLinearizability(ops)
+	r.count("requests", r.sent.Load())
+	r.count("served", r.served.Load())
+	r.count("refused", r.refused.Load())
+	r.count("failed", r.failed.Load())
+	r.count("lost", r.lost.Load())
+	r.checkLinearizability(calls)
 }
--- a/internal/testing/chaostest/faults.go
+++ b/internal/testing/chaostest/faults.go
@@ -1,82 +1,114 @@
 package chaostest
 
 import (
-	"barleywick/internal/testing/faultinjection"
 	"context"
 	"errors"
 	"fmt"
+	"slices"
 	"sync"
 	"time"
+
+	"barleywick/internal/testing/faultinjection"
+)
+
+const (
+	meanFaultInterval = 1500 * time.Millisecond
+	minFaultDuration  = 300 * time.Millisecond
+	maxFaultDuration  = 6 * time.Second
+	maxFaultsAtOnce   = 3
+	maxReplicaFaults  = 2 // at once
 )
 
-// FaultSchedule draws the faults of a run.
+var faultKinds = []faultinjection.FaultKind{
+	faultinjection.Partition,
+	faultinjection.BlockInbound,
+	faultinjection.BlockOutbound,
+	faultinjection.Delay,
+	faultinjection.ResetConnections,
+	faultinjection.HalfOpen,
+	faultinjection.RefuseConnections,
+	faultinjection.DropResponses,
+	faultinjection.Pause,
+	faultinjection.Crash,
+}
+
+// FaultSchedule returns the faults of a run: the schedule that was given, or one drawn from the seed.
 func (o Options) FaultSchedule() faultinjection.Schedule {
 	if len(o.Schedule) > 0 {
 		return o.Schedule
 	}
-	const every = 1500 * time.Millisecond
-	quorum := numberedNames("r", 3)
-	all := append(append(quorum, numberedNames("k", o.Controllers)...), numberedNames("n", o.Sidecars)...)
+	replicas := numberedNames("r", replicaCount)
 	p := faultinjection.Plan{
-		Targets: all, Kinds: []faultinjection.FaultKind{faultinjection.Partition, faultinjection.BlockInbound, faultinjection.BlockOutbound, faultinjection.Delay, faultinjection.ResetConnections, faultinjection.HalfOpen, faultinjection.RefuseConnections, faultinjection.DropResponses, faultinjection.Pause, faultinjection.Crash},
-		Count: max(1, int(o.Duration/every)), MeanInterval: every, MinDuration: 300 * time.Millisecond, MaxDuration: 6 * time.Second, MaxConcurrent: 3, QuorumGroup: quorum, MaxQuorumFaults: 2,
+		Targets:         slices.Concat(replicas, numberedNames("k", o.Controllers), numberedNames("n", o.Sidecars)),
+		Kinds:           faultKinds,
+		Count:           max(1, int(o.Duration/meanFaultInterval)),
+		MeanInterval:    meanFaultInterval,
+		MinDuration:     minFaultDuration,
+		MaxDuration:     maxFaultDuration,
+		MaxConcurrent:   maxFaultsAtOnce,
+		QuorumGroup:     replicas,
+		MaxQuorumFaults: maxReplicaFaults,
 	}
 	return p.Draw(o.Seed)
 }
 
-// injectFaults plays the faults, and notes when each process was away.
-func (r *run) injectFaults(ctx context.Context, plan faultinjection.Schedule) error {
+// injectFaults injects the faults of a schedule, and returns when the last one is over.
+func (r *run) injectFaults(ctx context.Context, schedule faultinjection.Schedule) error {
 	began := time.Now()
 	var all sync.WaitGroup
-	errs := make([]error, len(plan))
-	for i, f := range plan {
+	errs := make([]error, len(schedule))
+	for i, f := range schedule {
 		all.Go(func() {
-			if !sleep(ctx, f.Start-time.Since(began)) {
-				return
-			}
-			end, err := r.Inject(f)
-			if err != nil {
-				errs[i] = err
-				return
-			}
-			r.recordEvent("fault", "%s %s for %v", f.Kind, f.Target, f.Duration)
-			r.setUnavailable(f, true)
-			sleep(ctx, f.Duration)
-			if err := end(); err != nil {
-				errs[i] = fmt.Errorf("end of %v: %w", f, err)
+			if sleep(ctx, f.Start-time.Since(began)) {
+				errs[i] = r.injectFault(ctx, f)
 			}
-			r.setUnavailable(f, false)
-			r.recordEvent("fault", "%s %s is over", f.Kind, f.Target)
-			r.count("faults", 1)
 		})
 	}
 	all.Wait()
 	return errors.Join(errs...)
 }
 
-// setUnavailable notes that a sidecar's clients cannot be answered, or can again: who is stopped
-// or killed keeps no promise towards them. A client goes and comes with its sidecar.
-func (r *run) setUnavailable(f faultinjection.Fault, now bool) {
+// injectFault injects a fault and ends it after its duration.
+func (r *run) injectFault(ctx context.Context, f faultinjection.Fault) error {
+	end, err := r.Inject(f)
+	if err != nil {
+		return err
+	}
+	r.recordEvent(FaultEvent, "%s %s for %v", f.Kind, f.Target, f.Duration)
+	r.setUnavailable(f, true)
+	sleep(ctx, f.Duration)
+	if err = end(); err != nil {
+		err = fmt.Errorf("end of %v: %w", f, err)
+	}
+	r.setUnavailable(f, false)
+	r.recordEvent(FaultEvent, "%s %s is over", f.Kind, f.Target)
+	r.count("faults", 1)
+	return err
+}
+
+// setUnavailable records that a process is paused or killed, or is back: while it is
+// unavailable it may leave its clients without an answer.
+func (r *run) setUnavailable(f faultinjection.Fault, unavailable bool) {
 	if f.Kind != faultinjection.Pause && f.Kind != faultinjection.Crash {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now {
+	if unavailable {
 		r.unavailable[f.Target] = time.Time{}
 	} else {
 		r.unavailable[f.Target] = time.Now()
 	}
 }
 
-// excused says whether a try that began at a time met a sidecar that was stopped or killed.
-func (r *run) excused(name string, began time.Time) bool {
+// recoveryGrace is how long a process that was paused or started again needs until it serves
+// and has answered what it had in flight.
+const recoveryGrace = 3 * time.Second
+
+// excused reports whether a request that was sent at a time met a sidecar that was paused or killed.
+func (r *run) excused(name string, sent time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	back, was := r.unavailable[name]
-	return was && (back.IsZero() || began.Before(back.Add(recoveryGrace)))
+	back, unavailable := r.unavailable[name]
+	return unavailable && (back.IsZero() || sent.Before(back.Add(recoveryGrace)))
 }
-
-// recoveryGrace is how long a process that was stopped or started again needs for what it
-// had in its hands, and until it serves.
-const recoveryGrace = 3 * time.Second
--- a/internal/testing/chaostest/fleet.go
+++ b/internal/testing/chaostest/fleet.go
@@ -1,20 +1,13 @@
-// Package chaostest runs a whole fleet of real processes under load (replicas of the
-// registry, keepers with all their tasks, sidecars) and breaks it for as long as is
-// wanted: faults of processes and between them, up to three at once, while operators
-// change policies, drain machines and hand tasks over. What was promised is checked on the
-// way and at the end, by what shares no code with what it checks.
 package chaostest
 
 import (
 	"fmt"
 	"net"
 	"os"
-	"os/exec"
 	"slices"
 	"strconv"
 	"strings"
 	"sync/atomic"
-	"time"
 
 	"barleywick/internal/addressmap"
 	"barleywick/internal/membership"
@@ -23,58 +16,31 @@
 	"barleywick/internal/testing/loadgen"
 )
 
-// Program is one of ours.
-type Program string
+// replicaCount is how many replicas the registry has.
+const replicaCount = 3
 
-// The programs.
-const (
-	Replica    Program = "registry"
-	Controller Program = "controller"
-	Sidecar    Program = "sidecar-metrics"
-)
-
-// Options are what a run needs.
-type Options struct {
-	Command     func(p Program, config string) *exec.Cmd // starts a program on its configuration
-	Duration    time.Duration                            // of faults; what comes before and after is beside
-	Seed        uint64
-	Schedule    faultinjection.Schedule // the faults; none: drawn from the seed
-	Controllers int
-	Sidecars    int
-	Servers     int
-	OnEvent     func(line string) // the time line as it comes; may be nil
-}
-
-const (
-	fleetName     = "torture"
-	leaseMS       = 2000
-	gossipProbeMS = 300
-	electionMS    = 200
-	maxSockets    = 256
-	memoryMB      = 192
-	// requestTimeout is a client's whole wait, aims what its class aims at.
-	requestTimeout   = 2 * time.Second
-	latencyObjective = 500 * time.Millisecond
-)
-
-// fleet is the processes, and the links between them.
+// fleet is the processes of a run and the links between them. A process's name begins with r
+// (a replica of the registry), k (a controller) or n (a sidecar).
 type fleet struct {
 	*faultinjection.Injector
-	options     Options
-	dir         string
-	replicas    []registry.ReplicaInfo
-	controllers []string
-	sidecars    []string
-	gossipAddrs map[string]string
-	httpAddrs   map[string]string // where each is asked
-	addressMaps map[string]addressmap.Map
-	clients     map[string]*loadgen.Client // of sidecars
+	options       Options
+	dir           string
+	replicas      []registry.ReplicaInfo
+	controllers   []string
+	sidecars      []string
+	gossipAddrs   map[string]string          // by process
+	httpAddrs     map[string]string          // by process
+	overloadAddrs map[string]string          // by controller
+	addressMaps   map[string]addressmap.Map  // by process: the link to use instead of an address
+	clients       map[string]*loadgen.Client // by sidecar
 }
 
-// addressesGiven counts hosts of the loopback that were addressesGiven out: each process has its own, so
-// that no port that the system gives to somebody is in the way when it starts again.
+// addressesGiven counts the addresses that freeAddr has returned.
 var addressesGiven atomic.Int64
 
+// freeAddr returns a loopback address that nobody else is given. The host differs each time, so
+// the port cannot be taken by a connection or another listener before its process uses it or
+// when the process starts again.
 func freeAddr() (string, error) {
 	n := addressesGiven.Add(1)
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+os.Getpid()%250, 1+n/250, 1+n%250))
@@ -85,101 +51,97 @@
 	return ln.Addr().String(), nil
 }
 
-// numberedNames are those of so many processes of a kind.
-func numberedNames(kind string, n int) (all []string) {
+// numberedNames returns n names that begin with a prefix.
+func numberedNames(prefix string, n int) (names []string) {
 	for i := range n {
-		all = append(all, kind+strconv.Itoa(i))
+		names = append(names, prefix+strconv.Itoa(i))
 	}
-	return all
+	return names
 }
 
-// newFleet makes the fleet in a folder; none of it runs yet.
-func newFleet(o Options, folder string) (f *fleet, err error) {
-	f = &fleet{
-		Injector: &faultinjection.Injector{Network: faultinjection.NewNetwork(o.Seed), Processes: make(map[string]*faultinjection.Process)}, options: o, dir: folder,
-		controllers: numberedNames("k", o.Controllers), sidecars: numberedNames("n", o.Sidecars),
-		gossipAddrs: make(map[string]string), httpAddrs: make(map[string]string), addressMaps: make(map[string]addressmap.Map), clients: make(map[string]*loadgen.Client),
-	}
-	defer func() {
-		if err != nil {
+// newFleet makes a fleet whose files are in a directory. None of its processes runs yet.
+func newFleet(o Options, dir string) (*fleet, error) {
+	f := &fleet{
+		Injector:      &faultinjection.Injector{Network: faultinjection.NewNetwork(o.Seed), Processes: make(map[string]*faultinjection.Process)},
+		options:       o,
+		dir:           dir,
+		controllers:   numberedNames("k", o.Controllers),
+		sidecars:      numberedNames("n", o.Sidecars),
+		gossipAddrs:   make(map[string]string),
+		httpAddrs:     make(map[string]string),
+		overloadAddrs: make(map[string]string),
+		addressMaps:   make(map[string]addressmap.Map),
+		clients:       make(map[string]*loadgen.Client),
+	}
+	for _, step := range []func() error{f.assignAddresses, f.addLinks, f.addProcesses} {
+		if err := step(); err != nil {
 			f.Network.Close()
+			return nil, err
 		}
-	}()
+	}
+	return f, nil
+}
+
+// assignAddresses gives each process the addresses that it listens on.
+func (f *fleet) assignAddresses() (err error) {
 	addr := func() (a string) {
 		if err == nil {
 			a, err = freeAddr()
 		}
 		return a
 	}
-	for _, id := range numberedNames("r", 3) {
+	for _, id := range numberedNames("r", replicaCount) {
 		f.replicas = append(f.replicas, registry.ReplicaInfo{ID: id, HTTP: addr(), Raft: addr()})
 	}
-	var members []string
 	for _, m := range f.replicas {
 		f.httpAddrs[m.ID] = m.HTTP
-		members = append(members, m.ID)
 	}
 	for _, name := range slices.Concat(f.controllers, f.sidecars) {
 		f.httpAddrs[name] = addr()
-		members = append(members, name)
 	}
-	desks := make(map[string]string)
-	for _, k := range f.controllers {
-		desks[k] = addr()
+	for _, name := range f.controllers {
+		f.overloadAddrs[name] = addr()
 	}
-	for _, name := range members {
+	for _, name := range f.processNames() {
 		f.gossipAddrs[name] = addr()
 	}
-	if err != nil {
-		return nil, err
-	}
-	for _, from := range members {
+	return err
+}
+
+// addLinks makes a link from each process to each address of another that it uses.
+func (f *fleet) addLinks() error {
+	for _, from := range f.processNames() {
 		f.addressMaps[from] = make(addressmap.Map)
-		for _, to := range members {
+		for _, to := range f.processNames() {
 			if from == to {
 				continue
 			}
 			l, _, err := f.Network.AddTCPAndUDP(from+">"+to+":gossip", f.gossipAddrs[to])
 			if err != nil {
-				return nil, err
+				return err
 			}
 			f.addressMaps[from][f.gossipAddrs[to]] = l.Addr()
 		}
 		for _, m := range f.replicas {
 			if err := f.addLink(from, m.ID+":http", m.HTTP); err != nil {
-				return nil, err
+				return err
 			}
-			if strings.HasPrefix(from, "r") {
+			if isReplica(from) {
 				if err := f.addLink(from, m.ID+":raft", m.Raft); err != nil {
-					return nil, err
+					return err
 				}
 			}
 		}
-		for k, desk := range desks {
-			if err := f.addLink(from, k+":word", desk); err != nil {
-				return nil, err
+		for _, name := range f.controllers {
+			if err := f.addLink(from, name+":overload", f.overloadAddrs[name]); err != nil {
+				return err
 			}
 		}
 	}
-	for _, m := range f.replicas {
-		if err := f.addReplica(m); err != nil {
-			return nil, err
-		}
-	}
-	for _, k := range f.controllers {
-		if err := f.addController(k, desks[k]); err != nil {
-			return nil, err
-		}
-	}
-	for i, n := range f.sidecars {
-		if err := f.addSidecar(n, i); err != nil {
-			return nil, err
-		}
-	}
-	return f, nil
+	return nil
 }
 
-// addLink makes the link from a process to an address of another.
+// addLink makes a link from a process to an address of another, which is named PROCESS:USE.
 func (f *fleet) addLink(from, to, address string) error {
 	if strings.HasPrefix(to, from+":") {
 		return nil
@@ -191,14 +153,38 @@
 	return err
 }
 
-func (f *fleet) registryAddrs() (all []string) {
+// addProcesses writes the configurations and makes the processes.
+func (f *fleet) addProcesses() error {
 	for _, m := range f.replicas {
-		all = append(all, m.HTTP)
+		if err := f.addReplica(m); err != nil {
+			return err
+		}
 	}
-	return all
+	for _, name := range f.controllers {
+		if err := f.addController(name); err != nil {
+			return err
+		}
+	}
+	for i, name := range f.sidecars {
+		if err := f.addSidecar(name, i); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// isReplica reports whether a process is a replica of the registry, by its name.
+func isReplica(name string) bool { return strings.HasPrefix(name, "r") }
+
+// registryAddrs returns the addresses that the replicas serve HTTP on.
+func (f *fleet) registryAddrs() (addrs []string) {
+	for _, m := range f.replicas {
+		addrs = append(addrs, m.HTTP)
+	}
+	return addrs
 }
 
-// viewURL is where a process tells whom it sees.
+// viewURL returns the URL of a process's view of the membership.
 func (f *fleet) viewURL(name string) string {
 	switch name[0] {
 	case 'r':
@@ -209,15 +195,20 @@
 	return "http://" + f.httpAddrs[name] + "/health/" + membership.ViewPath
 }
 
-// processNames are the names of processNames processes.
-func (f *fleet) processNames() (names []string) {
+// processNames returns the names of all processes.
+func (f *fleet) processNames() []string {
+	return slices.Concat(f.replicaIDs(), f.controllers, f.sidecars)
+}
+
+// replicaIDs returns the names of the replicas.
+func (f *fleet) replicaIDs() (ids []string) {
 	for _, m := range f.replicas {
-		names = append(names, m.ID)
+		ids = append(ids, m.ID)
 	}
-	return slices.Concat(names, f.controllers, f.sidecars)
+	return ids
 }
 
-// close ends whatever runs.
+// close kills all processes and closes the links.
 func (f *fleet) close() {
 	for _, p := range f.Processes {
 		p.Kill()
--- a/internal/testing/chaostest/load.go
+++ b/internal/testing/chaostest/load.go
@@ -1,60 +1,61 @@
 package chaostest
 
 import (
-	"barleywick/internal/testing/loadgen"
 	"context"
 	"fmt"
 	"time"
+
+	"barleywick/internal/testing/loadgen"
+)
+
+const (
+	// answerGrace is how much later than its time-out a request may be answered.
+	answerGrace = time.Second
+	// pauseAfterServed and minPauseAfterRefused lie between two requests of a client.
+	pauseAfterServed     = 40 * time.Millisecond
+	minPauseAfterRefused = 200 * time.Millisecond
 )
 
-// sendRequests is one client of a sidecar.
-func (r *run) sendRequests(ctx context.Context, name string, index int) {
-	c := r.clients[name]
+// sendRequests sends one request after the other to a sidecar, and checks the answers. Every
+// second one must not run twice.
+func (r *run) sendRequests(ctx context.Context, name string, client int) {
 	for n := 0; ctx.Err() == nil; n++ {
-		class, effect := "read", loadgen.Idempotent
+		request := loadgen.Request{ID: fmt.Sprintf("%s-%d-%d", name, client, n), Class: "read", Idempotency: loadgen.Idempotent, Tenant: "t", Timeout: requestTimeout}
 		if n%2 == 1 {
-			class, effect = "once", loadgen.NonIdempotent
+			request.Class, request.Idempotency = "once", loadgen.NonIdempotent
+			r.mu.Lock()
+			r.nonIdempotent[request.ID] = true
+			r.mu.Unlock()
 		}
-		id := fmt.Sprintf("%s-%d-%d", name, index, n)
-		r.mu.Lock()
-		if effect == loadgen.NonIdempotent {
-			r.nonIdempotent[id] = true
-		}
-		r.mu.Unlock()
-		began := time.Now()
-		in, cancel := context.WithTimeout(context.Background(), requestTimeout+time.Second) // it is beside the sidecar: what is late is the sidecar's
-		a := c.Do(in, loadgen.Request{ID: id, Class: class, Idempotency: effect, Tenant: "t", Timeout: requestTimeout}, nil)
-		cancel()
-		r.sent.Add(1)
-		switch {
-		case a.Outcome == loadgen.Served && string(a.Body) != "done "+id:
-			r.violated("%s was answered with %.60q", id, a.Body)
-		case a.Outcome == loadgen.Served:
-			r.served.Add(1)
-		case a.Outcome == loadgen.Refused:
-			r.refused.Add(1)
-		case a.Outcome == loadgen.Failed:
-			r.failed.Add(1)
-		case r.excused(name, began):
-			r.count("tries at a sidecar that was killed or stopped", 1)
-		default:
-			r.lost.Add(1)
-			r.violated("%s has no answer after %v, and %s was neither killed nor stopped: %v", id, time.Since(began).Round(time.Millisecond), name, a.Err)
-		}
-		wait := 40 * time.Millisecond
-		if a.Outcome != loadgen.Served {
-			wait = max(200*time.Millisecond, a.RetryAfter)
-		}
-		sleep(ctx, wait)
+		sleep(ctx, r.sendRequest(name, request))
 	}
 }
 
-// sleep waits, and says whether ctx has let it.
-func sleep(ctx context.Context, d time.Duration) bool {
-	select {
-	case <-time.After(d):
-		return ctx.Err() == nil
-	case <-ctx.Done():
-		return false
+// sendRequest sends one request and checks its answer. It returns the pause before the next one.
+func (r *run) sendRequest(name string, request loadgen.Request) time.Duration {
+	sent := time.Now()
+	// Not bound to the run's context: each request is to be answered, also as the run ends.
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout+answerGrace)
+	answer := r.clients[name].Do(ctx, request, nil)
+	cancel()
+	r.sent.Add(1)
+	switch {
+	case answer.Outcome == loadgen.Served && string(answer.Body) != responseBody(request.ID):
+		r.violated("%s was answered with %.60q", request.ID, answer.Body)
+	case answer.Outcome == loadgen.Served:
+		r.served.Add(1)
+	case answer.Outcome == loadgen.Refused:
+		r.refused.Add(1)
+	case answer.Outcome == loadgen.Failed:
+		r.failed.Add(1)
+	case r.excused(name, sent):
+		r.count("tries at a sidecar that was killed or stopped", 1)
+	default:
+		r.lost.Add(1)
+		r.violated("%s has no answer after %v, and %s was neither killed nor paused: %v", request.ID, time.Since(sent).Round(time.Millisecond), name, answer.Err)
+	}
+	if answer.Outcome != loadgen.Served {
+		return max(minPauseAfterRefused, answer.RetryAfter)
 	}
+	return pauseAfterServed
 }
--- a/internal/testing/chaostest/operators.go
+++ b/internal/testing/chaostest/operators.go
@@ -11,82 +11,113 @@
 )
 
 const (
-	actionTimeout  = 10 * time.Second // for one action
+	// actionTimeout bounds one action of an operator.
+	actionTimeout  = 10 * time.Second
 	drainTimeout   = 20 * time.Second
 	rolloutTimeout = 15 * time.Second
-	recordKeys     = 8
+
+	// The mean intervals between an operator's actions.
+	policyInterval = 5 * time.Second
+	drainInterval  = 6 * time.Second
+	yieldInterval  = 8 * time.Second
+
+	drainClaimMS      = 5000
+	drainPollInterval = 200 * time.Millisecond
+	operatorName      = "operator"
 )
 
-// randomInt is the operators' luck.
+// randomInt draws a number below n for an operator.
 func (r *run) randomInt(n int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rng.IntN(n)
 }
 
+// jitter draws a duration between half of a mean and half as much again.
 func (r *run) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(r.randomInt(int(d)))
 }
 
-// proposePolicies proposes changes of policy, and aborts some.
+// proposePolicies is an operator who proposes policies and aborts some of the rollouts.
 func (r *run) proposePolicies(ctx context.Context) {
-	for n := 1; sleep(ctx, r.jitter(5*time.Second)); n++ {
-		in, cancel := context.WithTimeout(ctx, actionTimeout)
-		st, err := r.registry.PolicyStatus(in, 0, 0)
-		if err == nil {
-			step := rollout.Command{
-				Op: rollout.OpPropose, BaseEpoch: st.Epoch, By: "operator", Reason: fmt.Sprint("change ", n), WithinMS: rolloutTimeout.Milliseconds(),
-				Document: &rollout.Document{FormatVersion: 1, Mode: rollout.ModeCarry, Tenants: []rollout.Tenant{{Name: "t", Slots: 8 + n%8, QueuePlaces: 2}}},
-			}
-			if st.Change != nil && r.randomInt(3) == 0 {
-				step = rollout.Command{Op: rollout.OpAbort, ChangeNumber: st.Change.Number, By: "operator", Reason: "an operator's word"}
-			}
-			if _, err = r.registry.ApplyPolicyStep(in, step, nil); err == nil {
-				r.recordEvent("operator", "%s a policy", step.Op)
-				r.count("policies "+string(step.Op), 1)
-			}
-		}
-		cancel()
+	for n := 1; sleep(ctx, r.jitter(policyInterval)); n++ {
+		r.proposePolicy(ctx, n)
 	}
 }
 
-// drainWorkflow is the drain's workflow of an operator, whose drains keepers run.
+// proposePolicy proposes a policy, or aborts the rollout that is in progress.
+func (r *run) proposePolicy(ctx context.Context, n int) {
+	ctx, cancel := context.WithTimeout(ctx, actionTimeout)
+	defer cancel()
+	st, err := r.registry.PolicyStatus(ctx, 0, 0)
+	if err != nil {
+		return
+	}
+	step := rollout.Command{
+		Op: rollout.OpPropose, BaseEpoch: st.Epoch, By: operatorName, Reason: fmt.Sprint("change ", n), WithinMS: rolloutTimeout.Milliseconds(),
+		Document: &rollout.Document{FormatVersion: 1, Mode: rollout.ModeCarry, Tenants: []rollout.Tenant{{Name: "t", Slots: 8 + n%8, QueuePlaces: 2}}},
+	}
+	if st.Change != nil && r.randomInt(3) == 0 {
+		step = rollout.Command{Op: rollout.OpAbort, ChangeNumber: st.Change.Number, By: operatorName, Reason: "request of the operator"}
+	}
+	if _, err = r.registry.ApplyPolicyStep(ctx, step, nil); err == nil {
+		r.recordEvent(OperatorEvent, "%s a policy", step.Op)
+		r.count("policies "+string(step.Op), 1)
+	}
+}
+
+// drainWorkflow returns the workflow of an operator whose drains controllers run.
 func (r *run) drainWorkflow() *drain.Workflow {
-	c := &drain.Config{Registry: r.registryAddrs(), Floor: drain.Floor{Default: 1}, Sidecars: len(r.sidecars), MaxRequestMS: requestTimeout.Milliseconds(), LeaseMS: 5000}
-	return c.WorkflowWith(r.registry, "operator", 200*time.Millisecond, func(drain.Event) {})
+	c := &drain.Config{
+		Registry: r.registryAddrs(), Floor: drain.Floor{Default: 1}, Sidecars: len(r.sidecars),
+		MaxRequestMS: requestTimeout.Milliseconds(), LeaseMS: drainClaimMS,
+	}
+	return c.WorkflowWith(r.registry, operatorName, drainPollInterval, func(drain.Event) {})
 }
 
-// drainMachines hands drains over and takes them back.
+// drainMachines is an operator who hands over drains of machines, and takes machines back into service.
 func (r *run) drainMachines(ctx context.Context) {
-	for sleep(ctx, r.jitter(6*time.Second)) {
-		machine := fmt.Sprint("m", r.randomInt((r.options.Servers+1)/2))
-		in, cancel := context.WithTimeout(ctx, actionTimeout)
-		what, err := "drain", error(nil)
-		if r.randomInt(2) == 0 {
-			err = r.drainWorkflow().HandOver(in, machine, time.Now().Add(drainTimeout))
-		} else {
-			what, err = "undrain", r.drainWorkflow().Undrain(in, machine)
-		}
-		cancel()
+	for sleep(ctx, r.jitter(drainInterval)) {
+		machine := machineName(r.randomInt((r.options.Servers + 1) / serversAMachine))
+		action, err := r.drainOrUndrain(ctx, machine)
 		if err == nil {
-			r.recordEvent("operator", "%s %s", what, machine)
-			r.count(what+"s", 1)
+			r.recordEvent(OperatorEvent, "%s %s", action, machine)
+			r.count(action+"s", 1)
 		}
 	}
 }
 
-// requestYields asks holders of tasks to leave.
+// drainOrUndrain hands over a machine's drain or takes the machine back, and says which.
+func (r *run) drainOrUndrain(ctx context.Context, machine string) (action string, err error) {
+	ctx, cancel := context.WithTimeout(ctx, actionTimeout)
+	defer cancel()
+	if r.randomInt(2) == 0 {
+		return "drain", r.drainWorkflow().HandOver(ctx, machine, time.Now().Add(drainTimeout))
+	}
+	return "undrain", r.drainWorkflow().Undrain(ctx, machine)
+}
+
+// requestYields is an operator who asks holders to release leases that others wait for.
 func (r *run) requestYields(ctx context.Context) {
-	for sleep(ctx, r.jitter(8*time.Second)) {
-		in, cancel := context.WithTimeout(ctx, actionTimeout)
-		all, err := r.registry.Leases(in, 0, 0)
-		if err == nil && len(all.Leases) > 0 {
-			l := all.Leases[r.randomInt(len(all.Leases))]
-			if l.Grant != nil && len(l.Queue) > 0 && r.registry.RequestYield(in, l.Name, registry.YieldRequest{Yield: true}) == nil {
-				r.recordEvent("operator", "%s is to leave %s", l.Grant.Name, l.Name)
-				r.count("hand-overs", 1)
-			}
-		}
-		cancel()
+	for sleep(ctx, r.jitter(yieldInterval)) {
+		r.requestYield(ctx)
+	}
+}
+
+// requestYield asks the holder of a lease to release it, if another one waits for it.
+func (r *run) requestYield(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, actionTimeout)
+	defer cancel()
+	list, err := r.registry.Leases(ctx, 0, 0)
+	if err != nil || len(list.Leases) == 0 {
+		return
+	}
+	l := list.Leases[r.randomInt(len(list.Leases))]
+	if l.Grant == nil || len(l.Queue) == 0 {
+		return
+	}
+	if r.registry.RequestYield(ctx, l.Name, registry.YieldRequest{Yield: true}) == nil {
+		r.recordEvent(OperatorEvent, "%s is to leave %s", l.Grant.Name, l.Name)
+		r.count("hand-overs", 1)
 	}
 }
--- a/internal/testing/chaostest/processes.go
+++ b/internal/testing/chaostest/processes.go
@@ -1,7 +1,6 @@
 package chaostest
 
 import (
-	"barleywick/internal/rollout"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -11,67 +10,87 @@
 	"time"
 )
 
-// processSize is what a process takes.
+const (
+	// stopTimeout bounds how long a process takes to end after SIGTERM.
+	stopTimeout      = 20 * time.Second
+	stopPollInterval = pollInterval / 10
+	// dumpTime is how long a process is given to log its goroutines.
+	dumpTime = 4 * pollInterval
+	// allowedMemoryGrowth is by how much a process's memory may grow over a run, beyond a half:
+	// bounded caches and buffers fill up.
+	allowedMemoryGrowth     = 24 << 20
+	allowedDescriptorGrowth = 64
+)
+
+// processSize is the resources that a process uses.
 type processSize struct {
-	start uint64
-	rss   int64
-	fds   int
+	memory      int64 // resident, in bytes
+	descriptors int
 }
 
+// processSizes returns the resources that each running process uses.
 func (r *run) processSizes() map[string]processSize {
-	all := make(map[string]processSize)
+	sizes := make(map[string]processSize)
 	for name, p := range r.Processes {
-		pid := strconv.Itoa(p.PID())
-		s := processSize{start: rollout.ProcessStartTicks(p.PID())}
-		text, err := os.ReadFile(filepath.Join("/proc", pid, "statm"))
-		fields := strings.Fields(string(text))
-		if err != nil || len(fields) < 2 {
-			continue
-		}
-		pages, _ := strconv.ParseInt(fields[1], 10, 64)
-		s.rss = pages * int64(os.Getpagesize())
-		open, err := os.ReadDir(filepath.Join("/proc", pid, "fd"))
-		if err != nil {
-			continue
+		if size, ok := readProcessSize(p.PID()); ok {
+			sizes[name] = size
 		}
-		s.fds = len(open)
-		all[name] = s
 	}
-	return all
+	return sizes
+}
+
+// readProcessSize reads a process's resources from /proc.
+func readProcessSize(pid int) (size processSize, ok bool) {
+	dir := filepath.Join("/proc", strconv.Itoa(pid))
+	text, err := os.ReadFile(filepath.Join(dir, "statm"))
+	fields := strings.Fields(string(text))
+	if err != nil || len(fields) < 2 {
+		return size, false
+	}
+	pages, err := strconv.ParseInt(fields[1], 10, 64)
+	if err != nil {
+		return size, false
+	}
+	size.memory = pages * int64(os.Getpagesize())
+	descriptors, err := os.ReadDir(filepath.Join(dir, "fd"))
+	if err != nil {
+		return size, false
+	}
+	size.descriptors = len(descriptors)
+	return size, true
 }
 
-// checkGrowth compares what processes take with what they took at the start.
-func (r *run) checkGrowth(was map[string]processSize) {
-	now := r.processSizes()
-	var most int64
-	for name, s := range now {
-		w, ok := was[name]
+// checkGrowth compares the processes' resources with those at the start.
+func (r *run) checkGrowth(atStart map[string]processSize) {
+	var largest int64
+	for name, now := range r.processSizes() {
+		before, ok := atStart[name]
 		if !ok {
 			continue
 		}
 		r.count("sizes compared", 1)
-		most = max(most, s.rss)
-		if s.rss > w.rss*3/2+allowedMemoryGrowth {
-			r.violated("%s takes %d KiB of memory, %d at the start", name, s.rss>>10, w.rss>>10)
+		largest = max(largest, now.memory)
+		if now.memory > before.memory*3/2+allowedMemoryGrowth {
+			r.violated("%s takes %d KiB of memory, %d at the start", name, now.memory>>10, before.memory>>10)
 		}
-		if s.fds > w.fds+allowedDescriptorGrowth {
-			r.violated("%s has %d descriptors open, %d at the start", name, s.fds, w.fds)
+		if now.descriptors > before.descriptors+allowedDescriptorGrowth {
+			r.violated("%s has %d descriptors open, %d at the start", name, now.descriptors, before.descriptors)
 		}
 	}
-	r.recordEvent("promise", "no process has grown: the largest takes %d MiB", most>>20)
+	r.recordEvent(InvariantEvent, "no process has grown: the largest takes %d MiB", largest>>20)
 }
 
-// stopProcess has a process end in order. One that does not tells what it is at.
+// stopProcess ends a process with SIGTERM. One that does not end is made to log its goroutines.
 func (r *run) stopProcess(name string) error {
 	p := r.Processes[name]
-	_ = p.Signal(syscall.SIGCONT)
+	_ = p.Signal(syscall.SIGCONT) // it fails if the process has ended, and so does SIGTERM then
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		return fmt.Errorf("%s has ended before: %w", name, err)
 	}
-	for deadline := time.Now().Add(stopTimeout); p.Running(); time.Sleep(pollInterval / 10) {
+	for deadline := time.Now().Add(stopTimeout); p.Running(); time.Sleep(stopPollInterval) {
 		if time.Now().After(deadline) {
-			_ = p.Signal(syscall.SIGQUIT)
-			time.Sleep(4 * pollInterval)
+			_ = p.Signal(syscall.SIGQUIT) // it fails if the process has just ended
+			time.Sleep(dumpTime)
 			r.keepLogTail(name)
 			p.Kill()
 			return fmt.Errorf("%s did not end within %v", name, stopTimeout)
@@ -80,9 +99,9 @@
 	return nil
 }
 
-// stopAll asks every process to end, and looks whether it does.
+// stopAll ends all processes, the replicas last, and checks that each of them does end.
 func (r *run) stopAll() {
-	for _, names := range [][]string{r.sidecars, r.controllers, {"r0", "r1", "r2"}} {
+	for _, names := range [][]string{r.sidecars, r.controllers, r.replicaIDs()} {
 		ended := make(chan error, len(names))
 		for _, name := range names {
 			go func() { ended <- r.stopProcess(name) }() // awaited below
@@ -99,5 +118,5 @@
 			r.violated("%s is left", name)
 		}
 	}
-	r.recordEvent("fleet", "all have ended")
+	r.recordEvent(FleetEvent, "all have ended")
 }
--- a/internal/testing/chaostest/records.go
+++ b/internal/testing/chaostest/records.go
@@ -1,81 +1,97 @@
 package chaostest
 
 import (
-	"barleywick/internal/registry"
-	"barleywick/internal/testing/linearizability"
 	"context"
 	"errors"
 	"fmt"
 	"time"
 
 	"github.com/anishathalye/porcupine"
+
+	"barleywick/internal/registry"
+	"barleywick/internal/testing/linearizability"
+)
+
+const (
+	recordKeys          = 8
+	recordWriteInterval = 150 * time.Millisecond
+	// historyTimeout bounds the check of one record's history.
+	historyTimeout = 30 * time.Second
 )
 
-// recordCall is a call on a record.
+// recordCall is a call that reads or writes a record.
 type recordCall struct {
 	key, value, read string
 	started, ended   time.Duration
 	completed        bool
 }
 
-// acknowledgedWrite is a write that was acknowledged.
+// acknowledgedWrite is a write that the registry has acknowledged.
 type acknowledgedWrite struct {
 	value   string
 	version uint64
 }
 
-// writeRecords keeps records and reads them, each write naming the version that it replaces.
+// writeRecords is a user who reads and writes records. Each write names the version that it replaces.
 func (r *run) writeRecords(ctx context.Context) {
-	for n := 1; sleep(ctx, r.jitter(150*time.Millisecond)); n++ {
-		key := fmt.Sprint("torture-", r.randomInt(recordKeys))
-		in, cancel := context.WithTimeout(ctx, actionTimeout)
-		read := r.beginCall(key, "")
-		was, err := r.registry.Record(in, key)
-		if errors.Is(err, registry.ErrNotFound) {
-			was, err = registry.Record{}, nil
-		}
-		if err == nil {
-			r.completeCall(read, string(was.Value))
-			value := fmt.Sprint(n)
-			write := r.beginCall(key, value)
-			if v, err := r.registry.Put(in, key, []byte(value), &was.Version); err == nil {
-				r.completeCall(write, "")
-				r.mu.Lock()
-				r.acknowledged[key] = append(r.acknowledged[key], acknowledgedWrite{value, v})
-				r.mu.Unlock()
-			}
-		}
-		cancel()
+	for n := 1; sleep(ctx, r.jitter(recordWriteInterval)); n++ {
+		r.writeRecord(ctx, fmt.Sprint("chaos-", r.randomInt(recordKeys)), fmt.Sprint(n))
+	}
+}
+
+// writeRecord reads a record and writes a value in its place.
+func (r *run) writeRecord(ctx context.Context, key, value string) {
+	ctx, cancel := context.WithTimeout(ctx, actionTimeout)
+	defer cancel()
+	read := r.beginCall(key, "")
+	current, err := r.registry.Record(ctx, key)
+	if errors.Is(err, registry.ErrNotFound) {
+		current, err = registry.Record{}, nil
 	}
+	if err != nil {
+		return
+	}
+	r.completeCall(read, string(current.Value))
+	write := r.beginCall(key, value)
+	version, err := r.registry.Put(ctx, key, []byte(value), &current.Version)
+	if err != nil {
+		return
+	}
+	r.completeCall(write, "")
+	r.mu.Lock()
+	r.acknowledged[key] = append(r.acknowledged[key], acknowledgedWrite{value, version})
+	r.mu.Unlock()
 }
 
+// beginCall records that a call begins.
 func (r *run) beginCall(key, value string) *recordCall {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	o := &recordCall{key: key, value: value, started: time.Since(r.startedAt)}
-	r.calls = append(r.calls, o)
-	return o
+	c := &recordCall{key: key, value: value, started: time.Since(r.startedAt)}
+	r.calls = append(r.calls, c)
+	return c
 }
 
-func (r *run) completeCall(o *recordCall, got string) {
+// completeCall records that a call has succeeded.
+func (r *run) completeCall(c *recordCall, read string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	o.read, o.ended, o.completed = got, time.Since(r.startedAt), true
+	c.read, c.ended, c.completed = read, time.Since(r.startedAt), true
 }
 
-// checkLinearizability holds the history of each record against a register.
-func (r *run) checkLinearizability(ops []*recordCall) {
-	calls := make([]linearizability.Operation, len(ops))
-	for i, o := range ops {
-		calls[i] = linearizability.Operation{Key: o.key, Written: o.value, Read: o.read, Start: o.started, End: o.ended, Completed: o.completed}
+// checkLinearizability checks each record's history of calls against a register.
+func (r *run) checkLinearizability(calls []*recordCall) {
+	operations := make([]linearizability.Operation, len(calls))
+	for i, c := range calls {
+		operations[i] = linearizability.Operation{Key: c.key, Written: c.value, Read: c.read, Start: c.started, End: c.ended, Completed: c.completed}
 	}
-	for key, of := range linearizability.GroupByKey(calls) {
-		r.count("calls on records", uint64(len(of)))
-		switch linearizability.Check(of, 30*time.Second) {
+	for key, history := range linearizability.GroupByKey(operations) {
+		r.count("calls on records", uint64(len(history)))
+		switch linearizability.Check(history, historyTimeout) {
 		case porcupine.Illegal:
-			r.violated("%s: the history of %d calls is not linearizable", key, len(of))
+			r.violated("%s: the history of %d calls is not linearizable", key, len(history))
 		case porcupine.Unknown:
-			r.recordEvent("promise", "%s: a history of %d calls is too long to be judged", key, len(of))
+			r.recordEvent(InvariantEvent, "%s: a history of %d calls is too long to be checked", key, len(history))
 			r.count("histories not judged", 1)
 		}
 	}
--- a/internal/testing/chaostest/servers.go
+++ b/internal/testing/chaostest/servers.go
@@ -15,60 +15,76 @@
 	"barleywick/internal/registry/client"
 )
 
-// server is a stand-in for a booking server: it takes a moment over each request, and
-// notes how often it began each id.
+const (
+	workTime        = 20 * time.Millisecond
+	sessionTTL      = 5 * time.Second
+	headerTimeout   = 2 * time.Second
+	maxRequestBody  = 1 << 16
+	serversAMachine = 2 // each in another zone
+	// drainGrace is how long after its drain mark a server may still get new requests: sidecars
+	// count as notified after 6 s, and may send requests for 3 s more.
+	drainGrace = 9 * time.Second
+)
+
+// server is a stand-in for a booking server. It takes a moment for each request, and counts
+// how often each one ran.
 type server struct {
 	host, machine, zone string
-	ln                  net.Listener
 	http                *http.Server
 	unregister          context.CancelFunc
-	tasks               sync.WaitGroup
+	background          sync.WaitGroup
 
 	mu            sync.Mutex
-	runCounts     map[string]int
+	runCounts     map[string]int // by request id
 	inFlight      int
-	drainingSince time.Time                // when the list's owner marked it draining; zero: it is not
-	suspected     map[string]time.Time     // by sidecar: a request that began too late, if the drain went on
-	lateRequests  map[string]time.Duration // by sidecar: how long after that one of its requests began, at most
+	drainingSince time.Time                // when its drain mark was seen; zero: it is not draining
+	suspected     map[string]time.Time     // by sidecar: when a request began too late, unless the drain was called off by then
+	lateRequests  map[string]time.Duration // by sidecar: how long after the drain mark its latest request began
 }
 
-const (
-	workTime      = 20 * time.Millisecond
-	sessionTTL    = 5 * time.Second
-	headerTimeout = 2 * time.Second
-	// drainGrace is when nothing new may come to a server that drains: what discovery has to
-	// tell counts as told after 6 s, and requests may go there for 3 s more.
-	drainGrace = 9 * time.Second
-)
+// machineName returns the name of a machine.
+func machineName(i int) string { return fmt.Sprint("m", i) }
+
+// responseBody returns what a server answers to a request.
+func responseBody(id string) string { return "done " + id }
 
+// startServer starts a server and registers it until close.
 func startServer(i int, c *client.Client) (*server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &server{host: fmt.Sprint("b", i), machine: fmt.Sprint("m", i/2), zone: string("ab"[i%2]), ln: ln, runCounts: make(map[string]int), lateRequests: make(map[string]time.Duration), suspected: make(map[string]time.Time)}
+	s := &server{
+		host:         fmt.Sprint("b", i),
+		machine:      machineName(i / serversAMachine),
+		zone:         string("ab"[i%2]),
+		runCounts:    make(map[string]int),
+		lateRequests: make(map[string]time.Duration),
+		suspected:    make(map[string]time.Time),
+	}
 	s.http = &http.Server{Handler: s, ReadHeaderTimeout: headerTimeout}
-	s.tasks.Go(func() { _ = s.http.Serve(ln) }) // ends with close
-	life, leave := context.WithCancel(context.Background())
-	s.unregister = leave
-	block := i
+	s.background.Go(func() { _ = s.http.Serve(ln) }) // it returns an error when the server is closed
+	registered, unregister := context.WithCancel(context.Background())
+	s.unregister = unregister
 	r := registry.RegisterRequest{
-		Instance: registry.Instance{Host: s.host, Dial: ln.Addr().String(), Site: s.zone, Class: "m", Block: &block, Health: registry.HealthUp, Share: 1},
+		Instance: registry.Instance{Host: s.host, Dial: ln.Addr().String(), Site: s.zone, Class: "m", Block: &i, Health: registry.HealthUp, Share: 1},
 		Session:  s.host + "-1", TTLMS: sessionTTL.Milliseconds(), Machine: s.machine,
 	}
-	s.tasks.Go(func() { _ = c.KeepRegistered(life, r, nil) })
+	s.background.Go(func() { _ = c.KeepRegistered(registered, r, nil) }) // it returns an error when the context ends
 	return s, nil
 }
 
+// close unregisters the server and stops it.
 func (s *server) close() {
 	s.unregister()
 	_ = s.http.Close()
-	s.tasks.Wait()
+	s.background.Wait()
 }
 
-// setDraining notes what the registry said of its drain when it was asked after a time. What
-// began since may have been told already that the drain is called off.
-func (s *server) setDraining(draining bool, asked time.Time) {
+// setDraining sets what the registry answered to a poll that was sent at a time: whether the
+// server is draining. A suspected request that began before that was late. One that began after it
+// may have come from a sidecar that already knew that the drain was called off.
+func (s *server) setDraining(draining bool, pollSent time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -79,22 +95,22 @@
 		s.drainingSince = time.Now()
 	}
 	for name, began := range s.suspected {
-		if began.Before(asked) {
+		if began.Before(pollSent) {
 			s.lateRequests[name] = max(s.lateRequests[name], began.Sub(s.drainingSince))
 			delete(s.suspected, name)
 		}
 	}
 }
 
-// ServeHTTP does the work of one request.
+// ServeHTTP runs one request.
 func (s *server) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	id := q.Header.Get("Request-Id")
-	s.mu.Lock()
-	running := s.inFlight
-	s.mu.Unlock()
 	switch {
 	case q.URL.Path == "/stats":
-		fmt.Fprintf(w, "TEXT inflight=%d, queue=0", running)
+		s.mu.Lock()
+		inFlight := s.inFlight
+		s.mu.Unlock()
+		fmt.Fprintf(w, "TEXT inflight=%d, queue=0", inFlight)
 		return
 	case q.URL.Path == "/health/live":
 		return
@@ -102,21 +118,32 @@
 		http.NotFound(w, q)
 		return
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(q.Body, 1<<16))
+	_, _ = io.Copy(io.Discard, io.LimitReader(q.Body, maxRequestBody)) // the body has no meaning
+	s.begin(id)
+	time.Sleep(workTime)
+	s.end()
+	text := responseBody(id)
+	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
+	_, _ = io.WriteString(w, text) // a sidecar that has gone gets no answer
+}
+
+// begin counts a request that begins to run. Its id begins with the sidecar's name.
+func (s *server) begin(id string) {
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.runCounts[id]++
 	s.inFlight++
-	if !s.drainingSince.IsZero() && time.Since(s.drainingSince) > drainGrace {
-		if name, _, _ := strings.Cut(id, "-"); s.suspected[name].IsZero() {
-			s.suspected[name] = time.Now()
-		}
+	if s.drainingSince.IsZero() || time.Since(s.drainingSince) <= drainGrace {
+		return
 	}
-	s.mu.Unlock()
-	time.Sleep(workTime)
+	if sidecar, _, _ := strings.Cut(id, "-"); s.suspected[sidecar].IsZero() {
+		s.suspected[sidecar] = time.Now()
+	}
+}
+
+// end counts a request that has run.
+func (s *server) end() {
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.inFlight--
-	s.mu.Unlock()
-	text := "done " + id
-	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	_, _ = io.WriteString(w, text)
 }
