--- a/policy/govern.go
+++ b/policy/fleetlimits.go
@@ -37,23 +37,10 @@
 // SetFleetSize takes another count of the balancers in. One below what is configured is not believed.
 func (b *Balancer) SetFleetSize(n int) { b.cfg.Balancers = max(b.configuredBalancers, n) }
 
-const (
-	// maxAdviceAge is how long advice counts at most, and adviceFadeOut the end of that, in
-	// which it counts less and less: who has lost its task goes back without a step.
-	maxAdviceAge, adviceFadeOut = 3 * time.Second, time.Second
-	adviceFullCongestion        = 0.2 // advice counts in full from this jam on, and not at all where nothing jams
-)
-
-// Advise takes the fleet's word on an overload.
-func (b *Balancer) Advise(now time.Duration, a OverloadAdvice) {
-	b.admittedShares, b.adviceUntil = a.AdmittedShares, now+min(a.ValidFor, maxAdviceAge)
-}
-
-// adviceRejects is the part of a tenant's requests that is not to be tried.
-func (b *Balancer) adviceRejects(now time.Duration, tenant int) float64 {
-	if now >= b.adviceUntil || tenant >= len(b.admittedShares) {
-		return 0
-	}
-	counts := min(1, float64(b.adviceUntil-now)/float64(adviceFadeOut)) * min(1, b.congestion(now)/adviceFullCongestion)
-	return counts * (1 - max(0, min(1, b.admittedShares[tenant])))
+// FleetLimits is the fleet's word on what this sidecar may do, within what it was configured
+// for: each figure only tightens, and what is left out stays as configured.
+type FleetLimits struct {
+	Bulkheads   []BulkheadCapacity // by tenant
+	MaxAttempts int
+	NoProbes    bool
 }
--- a/policy/permit.go
+++ b/policy/permit.go
@@ -143,11 +143,3 @@
 	}
 	return min(longest, maxCountedDeadline) + killDelay - killMargin
 }
-
-// boundByShutdown bounds what a request may wait for by the time by which the process has to be done.
-func (r *request) boundByShutdown(by time.Duration) {
-	r.shutdownDeadline = by
-	r.deadline = min(r.deadline, by)
-	r.usefulUntil = min(r.usefulUntil, r.deadline)
-	r.objectiveAt = min(r.objectiveAt, r.deadline)
-}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -3,8 +3,6 @@
 package policy
 
 import (
-	"cmp"
-	"math"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -51,28 +49,6 @@
 	return b, nil
 }
 
-// sizeBulkheads sizes the walls, once, by Little's law: the quotas times a small share of the mean aim. As
-// traffic is uneven each balancer gets a multiple of its even part, and two standard deviations (Poisson).
-func (b *Balancer) sizeBulkheads() {
-	shares := 0.0
-	for _, t := range b.cfg.Tenants {
-		shares += t.Share
-		b.totalQuota += t.Quota
-	}
-	b.expectedInFlight = cmp.Or(
-		b.totalQuota*b.averageObjective*slotObjectiveShare, slotsPerServer*float64(len(b.servers)))
-	total, room := b.expectedInFlight*min(1, maxTrafficMultiple/float64(b.cfg.Balancers)), slotDeviations
-	if b.cfg.Slots > 0 {
-		total, room = float64(b.cfg.Slots), 0
-	}
-	for i, t := range b.cfg.Tenants {
-		mean := total * t.Share / shares
-		slots := max(1, int(math.Ceil(mean+room*math.Sqrt(mean))))
-		b.configuredBulkheads[i] = BulkheadCapacity{slots, int(math.Ceil(float64(slots) * queuePlacesPerSlot))}
-	}
-	b.applyFleetLimits()
-}
-
 // Start begins the Balancer's life; it must be the first event.
 func (b *Balancer) Start(now time.Duration) {
 	if b.cfg.PollList {
@@ -134,20 +110,6 @@
 	}
 }
 
-// hasUnusualTimeLeft says whether a request has another time left than most of its class lately: retries have
-// what is left of the whole, less than a first one or, where tries are cut short, more.
-func (c *class) hasUnusualTimeLeft(left time.Duration) bool {
-	if c.usualVotes == 0 {
-		c.usualTimeLeft = left
-	}
-	if (left - c.usualTimeLeft).Abs() > 2*busyTick {
-		c.usualVotes-- // a majority vote
-		return true
-	}
-	c.usualVotes = min(c.usualVotes+1, maxVotes)
-	return false
-}
-
 // Outcome takes the end of an attempt. What is unknown or came before is passed over.
 func (b *Balancer) Outcome(now time.Duration, o Outcome) {
 	r := b.requests[o.ID]
@@ -215,20 +177,6 @@
 	b.scheduleWake(now, idleTick)
 }
 
-// latestSend is when a wait stops being worth it: servers would work for answers that come late.
-func (r *request) latestSend() time.Duration {
-	return r.objectiveAt - min(2*r.class.usualLatency, r.class.LatencyObjective/2)
-}
-
-// dispatch sends a request if a slot of its compartment and a server are free.
-func (b *Balancer) dispatch(now time.Duration, r *request) bool {
-	if r.bulkhead.full() {
-		return false
-	}
-	s := b.pick(now, r)
-	return s != nil && b.send(now, r, s)
-}
-
 // Probed takes the result of a probe.
 func (b *Balancer) Probed(now time.Duration, id ServerID, ok bool, l LoadReport) {
 	s := b.server(id)
@@ -254,171 +202,62 @@
 	b.dispatchQueued(now)
 }
 
-// retryOrFinish gives a request whose attempts have all failed another one, or ends it.
-func (b *Balancer) retryOrFinish(now time.Duration, r *request) {
-	switch {
-	case len(r.attempts) >= b.cfg.MaxAttempts || !r.mayRepeat(now, nil) || now >= r.latestSend():
-		b.finish(r)
-	case !b.dispatch(now, r):
-		r.bulkhead.queue = slices.Insert(r.bulkhead.queue, 0, r) // it has waited already: to the front
-	}
-}
-
-// dispatchQueued gives free slots to what waits, one compartment after the other.
-func (b *Balancer) dispatchQueued(now time.Duration) {
-	b.nextBulkhead = (b.nextBulkhead + 1) % len(b.bulkheads)
-	for i := range b.bulkheads {
-		c := &b.bulkheads[(b.nextBulkhead+i)%len(b.bulkheads)]
-		for n := 0; n < len(c.queue) && !c.full(); {
-			switch r := c.queue[n]; {
-			case now >= r.latestSend():
-				b.finish(r) // which takes it out of the queue
-			case b.dispatch(now, r):
-				c.queue = slices.Delete(c.queue, n, n+1)
-			default:
-				n++ // it may be bound to where it has been: it must not hold up the others
-			}
-		}
-	}
-}
-
-// mayRepeat says whether the class allows an attempt now, on a server or (nil)
-// on some server: what may have run must be dropped there if it comes again.
-func (r *request) mayRepeat(now time.Duration, s *server) bool {
-	first := r.firstPossibleRun()
-	switch {
-	case first == nil || r.class.Idempotency == Idempotent:
-		return true
-	case r.class.Idempotency == NonIdempotent || now >= r.repeatDeadline(first):
-		return false
-	case s == nil || r.class.DedupScope == ScopeAll:
-		return true
-	}
-	return s.Zone == first.server.Zone && (r.class.DedupScope == ScopeZone || s.Cell == first.server.Cell)
-}
-
-// repeatDeadline is until when a keyed request may be sent again. A margin is kept to the window's end:
-// the sender may be held up between this decision and its write.
-func (r *request) repeatDeadline(first *attempt) time.Duration {
-	return first.sentAt + r.class.DedupWindow - min(repeatMargin, r.class.DedupWindow/4)
-}
-
-// maySend says whether the rules let a request go to a server now.
-func (b *Balancer) maySend(now time.Duration, r *request, s *server) bool {
-	sending := SendFacts{
-		Now: now, ClientDeadline: r.deadline, ShutdownDeadline: r.shutdownDeadline, RepeatDeadline: NoLimit,
-		Answered: r.ended || r.streaming, ServerState: s.State, MayHaveRun: r.firstPossibleRun() != nil,
-		Attempts: len(r.attempts), MaxAttempts: b.cfg.MaxAttempts, InFlight: r.inFlight,
-		SlowStartExhausted: !b.slowStartAllows(now, r, s),
-	}
-	if sending.MayHaveRun {
-		sending.Repeatable = r.mayRepeat(now, s)
-	}
-	return sending.Decide() == Allowed
-}
-
-// send is the one place that sends.
-func (b *Balancer) send(now time.Duration, r *request, s *server) bool {
-	if !b.maySend(now, r, s) {
-		return false
-	}
-	b.chargeSlowStart(now, r, s)
-	start := time.Duration(0)
-	if first := r.firstPossibleRun(); first != nil && r.class.Idempotency == IdempotentByKey {
-		start = r.repeatDeadline(first) - now
-	}
-	r.attempts = append(r.attempts, attempt{server: s, sentAt: now})
-	r.inFlight++
-	s.inFlight++
-	r.bulkhead.used++
-	if len(r.attempts) > 1 {
-		b.counters.Retries++
-	}
-	b.host.Send(r.id, s.ID, r.usefulUntil-now, start)
-	return true
-}
-
-// List takes news of the server list.
-func (b *Balancer) List(now time.Duration, kind ListKind, entries []Endpoint) {
-	if kind == ListFailed {
-		b.ListLost(now, ListLoss{Unresponsive: true})
-		return
-	}
-	if kind != ListCached && b.cfg.PollList {
-		b.pollAt, b.pollFailures = 0, 0
-	}
-	if kind != ListDelta {
-		for _, s := range b.servers {
-			s.State = Removed // until the list names it
-		}
-	}
-	for _, e := range entries {
-		b.updateEndpoint(now, e)
-	}
-	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool { return s.State == Removed })
-	if b.expectedInFlight == 0 {
-		b.sizeBulkheads() // no quotas: the first list is all there is to go by
-	}
-	b.forgetZones()
-	b.updateWeights(now)
-	rate := cmp.Or(b.totalQuota/float64(max(1, len(b.servers))), 8/b.averageObjective) / float64(b.cfg.Balancers)
-	b.lowTraffic = b.cfg.MayProbe && rate < lowTrafficRate
-	b.chooseSubset(rate / lowTrafficRate)
-	b.dispatchQueued(now)
-}
-
-// updateEndpoint takes over one line of the list.
-func (b *Balancer) updateEndpoint(now time.Duration, e Endpoint) {
-	if !(e.Weight > 0) || math.IsInf(e.Weight, 0) {
-		e.Weight = 1 // no weights, even turns
-	}
-	s := b.server(e.ID)
-	if s == nil {
-		s = &server{currentWeight: b.rng.Float64() * e.Weight} // balancers must not begin in step
-		b.servers = append(b.servers, s)
-	}
-	fresh := e.Started > s.Started
-	if b.zones[e.Zone] == nil {
-		b.zones[e.Zone] = new(zone)
-	}
-	s.Endpoint, s.zone = e, b.zones[e.Zone]
-	s.capacity = b.capacityOf(e.Weight)
-	if fresh { // cold, and nothing known of it holds any more
-		s.warmAt = max(s.warmAt, e.Started+b.cfg.SlowStartWindow)
-		s.outlier, s.consecutiveFailures, s.suspected, s.answeredAt = false, 0, false, now
-		s.consecutiveSlow, s.ejectedUntil = 0, 0
-		b.heardFrom(now, s)
-		// All balancers are told at once: their first sends together would push it over.
-		s.nextSlowStartSend = now + time.Duration(b.rng.Float64()*float64(b.slowStartInterval(now, s)))
-	}
-}
+// Counters returns what was done so far.
+func (b *Balancer) Counters() Counters { return b.counters }
 
-// finish is the one place that answers: refused where that is true, failed where it is not.
-func (b *Balancer) finish(r *request) {
-	byKeyAnywhere := r.class.Idempotency == IdempotentByKey && r.class.DedupScope == ScopeAll
-	if r.firstPossibleRun() == nil || r.class.Idempotency == Idempotent || byKeyAnywhere {
-		b.counters.Refused++
-		pause := time.Duration((1 + b.rng.Float64()) * float64(b.usualLatency)) // spread: not all at once
-		b.host.Refuse(r.id, min(b.cfg.MaxRetryAfter, pause))
-	} else {
-		b.counters.Failed++
-		b.host.Fail(r.id)
-	}
-	b.closeRequest(r)
+// Balancer makes the decisions of one sidecar.
+type Balancer struct {
+	cfg                 Config
+	host                Host
+	rng                 *rand.Rand
+	subsetSalt          uint64  // of its own order of servers
+	subsetShare         float64 // the part of the balancers that keep to a server
+	classes             []class
+	bulkheads           []bulkhead
+	requests            map[RequestID]*request
+	openRequests        []*request         // in order of arrival; ended ones are swept out by Wake
+	servers             []*server          // in the order in which the list named them
+	totalSlots          int                // of all compartments
+	configuredBulkheads []BulkheadCapacity // as configured, by tenant
+	configuredAttempts  int                // at most, as configured
+	configuredBalancers int                // as configured
+	configuredProbing   bool               // as configured
+	fleetLimits         FleetLimits        // the fleet's word
+	handedOver          bool               // another process takes this one's place
+	admittedShares      []float64          // the fleet's word on an overload, by tenant
+	adviceUntil         time.Duration      // until when it counts
+	expectedInFlight    float64            // what the slots of all balancers hold while traffic is at the quotas
+	totalQuota          float64            // of all tenants together
+	readyWeight         float64            // of all ready servers
+	peakWeight          float64            // the most of it that there was, followed down
+	peakAt              time.Duration
+	healthyWeight       float64       // of those not judged unwell
+	usualLatency        time.Duration // usual time of an answer, over all classes
+	averageWork         float64       // expected of a request, on average
+	averageObjective    float64       // mean aim, in seconds
+	wakeAt              time.Duration
+	pollAt              time.Duration // when to ask for the list next; 0: no need
+	pollFailures        int
+	staleSince          time.Duration // since when changes of the list may have been missed
+	nextBulkhead        int
+	twoProcesses        bool // another process of this sidecar lives
+	lowTraffic          bool // own traffic tells too little of a server's load
+	requestCount        int
+	congestionSum       float64 // what answers took of their aims, added up over those of late
+	congestionWeight    float64 // and how many they are
+	congestionAt        time.Duration
+	zones               map[int]*zone
+	probeFrom           int           // where listen begins
+	anyUnresponsive     bool          // a server or zone may be silent: listen looks at each
+	cells               []cell        // of the pick under way
+	weightClasses       []weightClass // what servers can do, by their listed weight
+	counters            Counters
 }
 
-// closeRequest closes a request that has its answer: out of the queue, attempts called off.
-func (b *Balancer) closeRequest(r *request) {
-	r.ended = true
-	if i := slices.Index(r.bulkhead.queue, r); i >= 0 {
-		r.bulkhead.queue = slices.Delete(r.bulkhead.queue, i, i+1)
-	}
-	for i := range r.attempts {
-		if r.attempts[i].state == inFlight && b.cfg.MayCancel {
-			b.host.Cancel(r.id, i)
-		}
-	}
-	if r.inFlight == 0 {
-		delete(b.requests, r.id)
+// scheduleWake sees to it that Wake comes after d at the latest.
+func (b *Balancer) scheduleWake(now, d time.Duration) {
+	if b.wakeAt == 0 || now+d < b.wakeAt {
+		b.wakeAt = now + d
+		b.host.Wake(d)
 	}
 }
--- a/policy/takeover.go
+++ b/policy/takeover.go
@@ -36,6 +36,3 @@
 	b.twoProcesses = len(held) > 0
 	b.dispatchQueued(now)
 }
-
-// full says whether a compartment has no slot for another request.
-func (c *bulkhead) full() bool { return c.used+c.reserved.Slots >= c.slots }
