--- a/policy/advice.go
+++ b/policy/advice.go
@@ -3,29 +3,40 @@
 import "time"
 
 const (
-	// maxAdviceAge is how long advice counts at most, and adviceFadeOut the end of that, in
-	// which it counts less and less: who has lost its task goes back without a step.
-	maxAdviceAge, adviceFadeOut = 3 * time.Second, time.Second
-	adviceFullCongestion        = 0.2 // advice counts in full from this jam on, and not at all where nothing jams
+	// maxAdviceAge is how long advice counts at most.
+	maxAdviceAge = 3 * time.Second
+	// adviceFadeOut is the last part of that time, in which advice counts less and less: a balancer that
+	// has lost the overload controller returns to its own decisions without a step.
+	adviceFadeOut = time.Second
+	// adviceFullCongestion is the congestion from which on advice counts in full. Without any congestion
+	// it does not count.
+	adviceFullCongestion = 0.2
 )
 
-// Advise takes the fleet's word on an overload.
+// OverloadAdvice is which part of each tenant's new requests may be tried. It can only make a balancer
+// stricter, and only for a while.
+type OverloadAdvice struct {
+	AdmittedShares []float64 // by tenant
+	ValidFor       time.Duration
+}
+
+// adviceInForce is the last overload advice.
+type adviceInForce struct {
+	admittedShares []float64 // by tenant
+	until          time.Duration
+}
+
+// Advise takes overload advice.
 func (b *Balancer) Advise(now time.Duration, a OverloadAdvice) {
-	b.admittedShares, b.adviceUntil = a.AdmittedShares, now+min(a.ValidFor, maxAdviceAge)
+	b.advice = adviceInForce{a.AdmittedShares, now + min(a.ValidFor, maxAdviceAge)}
 }
 
 // adviceRejects is the part of a tenant's requests that is not to be tried.
 func (b *Balancer) adviceRejects(now time.Duration, tenant int) float64 {
-	if now >= b.adviceUntil || tenant >= len(b.admittedShares) {
+	if now >= b.advice.until || tenant >= len(b.advice.admittedShares) {
 		return 0
 	}
-	counts := min(1, float64(b.adviceUntil-now)/float64(adviceFadeOut)) * min(1, b.congestion(now)/adviceFullCongestion)
-	return counts * (1 - max(0, min(1, b.admittedShares[tenant])))
-}
-
-// OverloadAdvice is the fleet's word on an overload: what part of each tenant's new requests may
-// be tried, by tenant. It only tightens, and only for a while.
-type OverloadAdvice struct {
-	AdmittedShares []float64
-	ValidFor       time.Duration
+	freshness := min(1, float64(b.advice.until-now)/float64(adviceFadeOut))
+	relevance := min(1, b.congestion.level(now)/adviceFullCongestion)
+	return freshness * relevance * (1 - max(0, min(1, b.advice.admittedShares[tenant])))
 }
--- a/policy/advice_test.go
+++ b/policy/advice_test.go
@@ -13,7 +13,7 @@
 		b.Advise(10*time.Second, a)
 		now := 10*time.Second + after
 		for id := range RequestID(200) {
-			b.congestionSum, b.congestionWeight, b.congestionAt = 1000*jam, 1000, now
+			b.congestion = congestionEstimate{shares: 1000 * jam, answers: 1000, at: now}
 			ask(b, now, id, idempotentClass)
 			end(b, now, id, 0, Served)
 		}
--- a/policy/affinity_test.go
+++ b/policy/affinity_test.go
@@ -87,7 +87,7 @@
 		second[key+1] = c
 	}
 	b, h = start(t, affinityConfig(), cells(5))
-	for _, s := range b.servers {
+	for _, s := range b.endpoints.servers {
 		if s.Cell == 4 {
 			s.unresponsive = true
 		}
@@ -107,7 +107,7 @@
 		ask(b, 0, id, idempotentClass)
 		end(b, 0, id, 0, Served)
 	}
-	for _, s := range b.servers {
+	for _, s := range b.endpoints.servers {
 		if n := h.sentTo(s.ID); n != 10 {
 			t.Errorf("%d of 90 to server %d, want 10", n, s.ID)
 		}
--- a/policy/bulkhead_test.go
+++ b/policy/bulkhead_test.go
@@ -40,8 +40,8 @@
 		cfg.Balancers = balancers
 		b, _ := start(t, cfg, ready(1))
 		whole := 100*1*slotObjectiveShare + 2*slotDeviations*math.Sqrt(100*slotObjectiveShare) + 2
-		if b.totalSlots < 2 || float64(b.totalSlots) > whole {
-			t.Errorf("%d balancers: %d slots, want 2 to %.0f", balancers, b.totalSlots, whole)
+		if b.bulkheads.totalSlots < 2 || float64(b.bulkheads.totalSlots) > whole {
+			t.Errorf("%d balancers: %d slots, want 2 to %.0f", balancers, b.bulkheads.totalSlots, whole)
 		}
 		if b.SlotsFree(0) < b.SlotsFree(1) || b.QueueFree(1) < 1 {
 			t.Errorf("%d balancers: compartments %d and %d", balancers, b.SlotsFree(0), b.SlotsFree(1))
@@ -50,8 +50,8 @@
 	cfg.Tenants, cfg.Balancers = nil, 4 // no tenants and no quota: one compartment, sized by the first list
 	b, h := start(t, cfg, ready(1, 2))
 	b.Request(0, Request{ID: 1, TimeLeft: time.Second})
-	if len(b.bulkheads) != 1 || b.totalSlots != 11 || len(h.sends) != 1 {
-		t.Fatalf("without tenants: %d compartments, %d slots, %d sends", len(b.bulkheads), b.totalSlots, len(h.sends))
+	if len(b.bulkheads.byTenant) != 1 || b.bulkheads.totalSlots != 11 || len(h.sends) != 1 {
+		t.Fatalf("without tenants: %d compartments, %d slots, %d sends", len(b.bulkheads.byTenant), b.bulkheads.totalSlots, len(h.sends))
 	}
 }
 
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -1,98 +1,121 @@
 package policy
 
-// What servers can do, learnt from load reports: by listed weights, which are rough, one kind of server may be
-// overrun while another idles. A server is met too seldom to be measured, but all of one listed weight are not.
+import "time"
+
+// Capacity estimates: listed weights are rough, and with them alone one kind of server may be
+// overloaded while another is idle. A balancer meets a single server too seldom to measure it, but
+// the load reports of all servers with the same listed weight are enough.
 
 const (
-	minUtilization = 0.2  // so busy a server must be for its rate to tell its capacity
-	capacityPrior  = 2.0  // busy reports that the listed weights count for
-	capacityMemory = 60.0 // busy reports that are remembered: about a minute of them
-	// probeInterval is how many requests there are for each report that is asked for. Every one
-	// has a price, and those of all balancers add up.
+	minUtilization = 0.2  // at a lower utilization the rate says nothing about the capacity
+	capacityPrior  = 2.0  // number of busy reports that the listed weight counts for
+	capacityMemory = 60.0 // number of busy reports that are remembered: those of about a minute
+	// probeInterval is the number of requests for each load probe. A probe has a cost, and those of all
+	// balancers add up.
 	probeInterval = 16
-	// Nothing is known at the start: the first reports come thicker, a few: each balancer asks for them.
+	// At the start nothing is known, so the first requests bring more probes.
 	firstRequests, firstProbeInterval = 16, 4
-	// maxWeightClasses bounds the weights that are told apart: all different, they are measurements.
+	// maxWeightClasses bounds the weights that are distinguished. More would be measurements.
 	maxWeightClasses = 8
+	// minLatencySeconds avoids a division by zero.
+	minLatencySeconds = 1e-3
 )
 
-// weightClass adds up the reports of all servers that one weight is listed for.
+// weightClass sums the load reports of all servers with one listed weight.
 type weightClass struct {
 	weight      float64
-	servedRate  float64 // requests a second, added up
-	utilization float64 // share of the cores in use, added up
+	servedRate  float64 // requests a second
+	utilization float64 // shares of the cores in use
 }
 
-// learnCapacity learns from a load report what servers of one listed weight can do.
-func (b *Balancer) learnCapacity(s *server, l LoadReport) {
-	if l.Utilization < minUtilization || l.ServedPerSecond <= 0 {
-		return
-	}
-	z := b.weightClass(s.Weight)
-	if z == nil {
-		return
+// capacityModel estimates what servers can do by their listed weight.
+type capacityModel struct {
+	classes  []weightClass
+	requests int // since the start, which decide when a probe is due
+}
+
+// learn takes a load report of a server with a listed weight, and says whether it changed the model.
+func (m *capacityModel) learn(weight float64, report LoadReport) bool {
+	if report.Utilization < minUtilization || report.ServedPerSecond <= 0 {
+		return false
 	}
-	z.servedRate += l.ServedPerSecond
-	if z.utilization += l.Utilization; z.utilization > capacityMemory {
-		z.servedRate, z.utilization = z.servedRate/2, z.utilization/2
+	c := m.class(weight)
+	if c == nil {
+		return false
 	}
-	for _, s := range b.servers {
-		s.capacity = b.capacityOf(s.Weight)
+	c.servedRate += report.ServedPerSecond
+	c.utilization += report.Utilization
+	if c.utilization > capacityMemory {
+		c.servedRate, c.utilization = c.servedRate/2, c.utilization/2
 	}
+	return true
 }
 
-// weightClass returns the entry of a listed weight, or nil where there are too many.
-func (b *Balancer) weightClass(weight float64) *weightClass {
-	for i := range b.weightClasses {
-		if b.weightClasses[i].weight == weight {
-			return &b.weightClasses[i]
+// class returns the class of a listed weight, or nil if there are too many.
+func (m *capacityModel) class(weight float64) *weightClass {
+	for i := range m.classes {
+		if m.classes[i].weight == weight {
+			return &m.classes[i]
 		}
 	}
-	if len(b.weightClasses) == maxWeightClasses {
+	if len(m.classes) == maxWeightClasses {
 		return nil
 	}
-	b.weightClasses = append(b.weightClasses, weightClass{weight: weight})
-	return &b.weightClasses[len(b.weightClasses)-1]
+	m.classes = append(m.classes, weightClass{weight: weight})
+	return &m.classes[len(m.classes)-1]
 }
 
-// requestsPerWeight is how many requests a second servers answer for each requestsPerWeight of weight.
-func (b *Balancer) requestsPerWeight() float64 {
+// ratePerWeight is how many requests a second servers answer for each unit of weight. Before the
+// first report it is assumed that a server answers one request after the other.
+func (m *capacityModel) ratePerWeight(usualLatency time.Duration) float64 {
 	rate, busy := 0.0, 0.0
-	for _, z := range b.weightClasses {
-		rate += z.servedRate
-		busy += z.utilization * z.weight
+	for _, c := range m.classes {
+		rate += c.servedRate
+		busy += c.utilization * c.weight
 	}
 	if rate == 0 {
-		return 1 / max(b.usualLatency.Seconds(), 1e-3) // no report yet: one at a time
+		return 1 / max(usualLatency.Seconds(), minLatencySeconds)
 	}
 	return rate / busy
 }
 
-// capacityOf is what servers of a listed weight can do, on the scale of the weights.
-func (b *Balancer) capacityOf(weight float64) float64 {
-	mean := b.requestsPerWeight()
-	for _, z := range b.weightClasses {
-		if z.weight == weight {
-			return (z.servedRate + capacityPrior*weight*mean) / (z.utilization + capacityPrior) / mean
+// of is the capacity of servers with a listed weight, on the scale of the weights.
+func (m *capacityModel) of(weight float64, usualLatency time.Duration) float64 {
+	mean := m.ratePerWeight(usualLatency)
+	for _, c := range m.classes {
+		if c.weight == weight {
+			return (c.servedRate + capacityPrior*weight*mean) / (c.utilization + capacityPrior) / mean
 		}
 	}
 	return weight
 }
 
-// probeForLoad asks a server for a load report, as often as requests pay for it. Where
-// traffic is thin it asks any server at random, so that balancers don't go round in step.
+// learnCapacity takes a server's load report and updates the capacities of all servers.
+func (b *Balancer) learnCapacity(s *server, report LoadReport) {
+	if !b.capacities.learn(s.Weight, report) {
+		return
+	}
+	for _, s := range b.endpoints.servers {
+		s.capacity = b.capacities.of(s.Weight, b.traffic.usualLatency)
+	}
+}
+
+// probeForLoad asks a server for a load report if enough requests have come since the last time. With
+// low traffic the server is random, so that balancers do not probe in step.
 func (b *Balancer) probeForLoad() {
-	n := len(b.servers)
-	if b.requestCount++; !b.cfg.LoadReports || n == 0 {
+	b.capacities.requests++
+	servers := b.endpoints.servers
+	if !b.cfg.LoadReports || len(servers) == 0 {
 		return
 	}
-	every, next := probeInterval, b.requestCount/probeInterval%n
-	if b.lowTraffic {
-		if next = b.rng.IntN(n); b.requestCount <= firstRequests {
-			every = firstProbeInterval
+	interval, next := probeInterval, b.capacities.requests/probeInterval%len(servers)
+	if b.traffic.low {
+		next = b.rng.IntN(len(servers))
+		if b.capacities.requests <= firstRequests {
+			interval = firstProbeInterval
 		}
 	}
-	if s := b.servers[next]; b.requestCount%every == 0 && s.State == Ready {
+	if s := servers[next]; b.capacities.requests%interval == 0 && s.State == Ready {
 		b.host.Probe(s.ID)
 	}
 }
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -12,8 +12,8 @@
 	list := ready(1, 2)
 	list[1].Weight = 2
 	b, h := start(t, lowTrafficConfig(), list)
-	if b.server(1).capacity != 1 || b.server(2).capacity != 2 {
-		t.Fatalf("sizes %v and %v before any report", b.server(1).capacity, b.server(2).capacity)
+	if b.endpoints.find(1).capacity != 1 || b.endpoints.find(2).capacity != 2 {
+		t.Fatalf("sizes %v and %v before any report", b.endpoints.find(1).capacity, b.endpoints.find(2).capacity)
 	}
 	for range 50 {
 		b.Probed(ms, 1, true, LoadReport{InFlight: -1, Queued: 0, Utilization: 0.5, ServedPerSecond: 15}) // 30 a second
@@ -21,8 +21,8 @@
 		b.Probed(ms, 1, true, LoadReport{InFlight: -1, Queued: 0, Utilization: 0.1, ServedPerSecond: 40}) // too idle to tell
 		b.Probed(ms, 1, true, UnknownLoad)
 	}
-	if got := b.server(2).capacity / b.server(1).capacity; math.Abs(got-4.0/3) > 0.05 {
-		t.Fatalf("sizes %v and %v, want a third more for the second", b.server(1).capacity, b.server(2).capacity)
+	if got := b.endpoints.find(2).capacity / b.endpoints.find(1).capacity; math.Abs(got-4.0/3) > 0.05 {
+		t.Fatalf("sizes %v and %v, want a third more for the second", b.endpoints.find(1).capacity, b.endpoints.find(2).capacity)
 	}
 	for id := range RequestID(70) {
 		ask(b, ms, id, idempotentClass)
@@ -35,11 +35,11 @@
 		list = append(list, Endpoint{ID: ServerID(10 + i), State: Ready, Weight: 1 + float64(i)/100})
 	}
 	b.List(ms, ListFull, list)
-	for _, s := range b.servers {
+	for _, s := range b.endpoints.servers {
 		b.Probed(ms, s.ID, true, LoadReport{InFlight: -1, Queued: 0, Utilization: 1, ServedPerSecond: 20})
 	}
-	if len(b.weightClasses) > maxWeightClasses {
-		t.Fatalf("%d listed sizes are told apart, at most %d", len(b.weightClasses), maxWeightClasses)
+	if len(b.capacities.classes) > maxWeightClasses {
+		t.Fatalf("%d listed sizes are told apart, at most %d", len(b.capacities.classes), maxWeightClasses)
 	}
 }
 
--- a/policy/congestion_test.go
+++ b/policy/congestion_test.go
@@ -9,9 +9,9 @@
 func TestLateGivesWayToRests(t *testing.T) {
 	sent := func(jam bool) int {
 		b, h := start(t, lowTrafficConfig(), ready(1, 2, 3, 4))
-		for _, s := range b.servers[:2] {
+		for _, s := range b.endpoints.servers[:2] {
 			if s.outsideSubset = false; jam {
-				s.ejectedUntil = time.Hour
+				s.ejection.until = time.Hour
 			}
 		}
 		firstAttempts(b, 3*time.Second)
--- a/policy/ejection.go
+++ b/policy/ejection.go
@@ -1,64 +1,78 @@
 package policy
 
-import (
-	"time"
-)
+import "time"
 
-// Rests: a server that answers from behind a queue is passed over for a while, as in outlier ejection.
-// Where traffic is thin one answer alone tells of a queue, which all balancers together, going on in turn,
-// would keep up. Each slow answer makes the rest longer, the first quick one ends it. So a jam moves traffic
-// to other servers, first to those near and then to other zones, and what all of them cannot bear is shed.
+// Latency-based ejection: a server that answers from behind a queue gets nothing for a while. With
+// low traffic a single slow answer has to be enough, as all balancers together would keep the queue
+// up. Each slow answer prolongs the next ejection, each quick one shortens it. So congestion moves
+// traffic to other servers, first to near ones and then to other zones; the rest is shed.
 
 const (
-	slowObjectiveShare    = 0.3             // of the aim, after which an answer shows a queue: most take a tenth without one
-	slowWorkFactor        = 2.0             // the multiple of a request's own expected work that is no queue
-	initialEjection       = time.Second     // a few times what working off such a queue takes, as others come too
-	ejectionLatencyFactor = 4               // times an answer's own time the server rests at least: all sent there wait so long
-	maxEjection           = 4 * time.Second // bounds how long a server that has recovered goes unused
-	lateSheddingRange     = 0.3             // the share of servers at rest at which nothing late, which earns less, is sent any more
-	// sheddingThreshold is where a jam begins to be shed, and sheddingRange above it all of it is: where
-	// the mean answer takes so much of its aim, that of a queue a little longer is late.
-	sheddingThreshold, sheddingRange = 0.45, 0.2
-	congestionMemory                 = 2 * time.Second // an answer tells of the whole so long: a queue and a half
-	zoneSpillThreshold               = 0.1             // the share of near servers at rest up to which crossing zones is not worth its price
+	// slowObjectiveShare is the share of the objective from which an answer shows a queue. Without a
+	// queue most answers take a tenth.
+	slowObjectiveShare = 0.3
+	// slowWorkFactor is the multiple of its expected work that a request may take without a queue.
+	slowWorkFactor = 2.0
+	// initialEjection is a few times what it takes to work off such a queue, as others send too.
+	initialEjection = time.Second
+	// ejectionLatencyFactor is the shortest ejection as a multiple of the answer's time, which is what
+	// every request takes that is sent there now.
+	ejectionLatencyFactor = 4
+	// maxEjection bounds how long a server that has recovered is not used.
+	maxEjection = 4 * time.Second
+	// zoneSpillThreshold is the share of ejected near servers up to which crossing zones costs more than
+	// it brings.
+	zoneSpillThreshold = 0.1
 )
 
-// observeLatency learns from an attempt's end whether its server has a queue.
-func (b *Balancer) observeLatency(now time.Duration, r *request, s *server, took time.Duration, end Ending) {
-	part := (float64(took) - slowWorkFactor*float64(r.expectedWork)) / float64(r.class.LatencyObjective)
+// ejection is the state of a server's latency-based ejection.
+type ejection struct {
+	consecutiveSlow int
+	until           time.Duration
+}
+
+// observeQueueing learns from the end of an attempt whether its server has a queue.
+func (b *Balancer) observeQueueing(now time.Duration, r *request, s *server, took time.Duration, end Ending) {
+	share := (float64(took) - slowWorkFactor*float64(r.expectedWork)) / float64(r.class.LatencyObjective)
 	switch end {
 	case Rejected:
-		part = 1
+		share = 1
 	case Served, TimedOut:
 	default:
-		return // it tells of no queue
+		return // the ending says nothing about a queue
 	}
-	b.congestion(now)
-	b.congestionSum, b.congestionWeight = b.congestionSum+max(0, min(1, part)), b.congestionWeight+1
-	if part > slowObjectiveShare {
-		pause := min(max(initialEjection<<min(s.consecutiveSlow, 16), ejectionLatencyFactor*took), maxEjection) // spread: balancers must not come back as one
-		s.ejectedUntil = now + time.Duration(float64(pause)*(0.5+b.rng.Float64()))
-		s.consecutiveSlow++
-	} else if end == Served {
-		s.consecutiveSlow = max(0, s.consecutiveSlow-1)
+	b.congestion.add(now, max(0, min(1, share)))
+	switch {
+	case share > slowObjectiveShare:
+		b.eject(now, s, took)
+	case end == Served:
+		s.ejection.consecutiveSlow = max(0, s.ejection.consecutiveSlow-1)
 	}
 }
 
-// ejected says whether a server is passed over for its queue.
+// eject ejects a server. The time is random so that balancers do not return together.
+func (b *Balancer) eject(now time.Duration, s *server, took time.Duration) {
+	byCount := initialEjection << min(s.ejection.consecutiveSlow, maxBackoffDoublings)
+	pause := min(max(byCount, ejectionLatencyFactor*took), maxEjection)
+	s.ejection.until = now + time.Duration(float64(pause)*(0.5+b.rng.Float64()))
+	s.ejection.consecutiveSlow++
+}
+
+// ejected says whether a server gets nothing because of its queue.
 func (b *Balancer) ejected(now time.Duration, s *server) bool {
-	return b.lowTraffic && now < s.ejectedUntil
+	return b.traffic.low && now < s.ejection.until
 }
 
-// ejectedShare is the share of the ready servers, near ones or all, that get no turn for
-// their queues or for what is held against them.
+// ejectedShare is the part of the capacity of the preferred ready servers, of the near ones or all,
+// that is ejected, an outlier or in a zone that is suspected.
 func (b *Balancer) ejectedShare(now time.Duration, near bool) float64 {
 	all, idle := 0.0, 0.0
-	for _, s := range b.servers {
+	for _, s := range b.endpoints.servers {
 		if s.State != Ready || s.outsideSubset || (near && s.Zone != b.cfg.Zone) {
 			continue
 		}
 		all += s.capacity
-		if s.outlier || b.ejected(now, s) || s.zone.suspected {
+		if s.health.outlier || b.ejected(now, s) || s.zone.suspected {
 			idle += s.capacity
 		}
 	}
--- a/policy/ejection_test.go
+++ b/policy/ejection_test.go
@@ -24,7 +24,7 @@
 			ask(b, now, id, idempotentClass)
 			if h.sends[len(h.sends)-1].to == 1 {
 				end(b, now+slowTook, id, 0, Served)
-				return b.server(1).ejectedUntil - now - slowTook
+				return b.endpoints.find(1).ejection.until - now - slowTook
 			}
 			end(b, now+ms, id, 0, Served)
 		}
@@ -41,14 +41,14 @@
 	if h.sentTo(1) != before {
 		t.Fatal("a server at rest got a turn though another is well")
 	}
-	if more := rest(5*time.Second, 200); more < initialEjection || b.server(1).consecutiveSlow != 2 {
+	if more := rest(5*time.Second, 200); more < initialEjection || b.endpoints.find(1).ejection.consecutiveSlow != 2 {
 		t.Fatalf("a second slow answer brings a rest of %v after %v, want a longer one", more, pause)
 	}
 	for id := RequestID(300); id < 310; id++ { // quick ones
 		ask(b, 10*time.Second, id, idempotentClass)
 		end(b, 10*time.Second+ms, id, 0, Served)
 	}
-	if b.server(1).consecutiveSlow != 0 {
+	if b.endpoints.find(1).ejection.consecutiveSlow != 0 {
 		t.Fatal("quick answers do not end what was held against the server")
 	}
 }
@@ -73,7 +73,7 @@
 		b, _ := start(t, lowTrafficConfig(), ready(1))
 		b.Request(0, Request{ID: 1, Class: nonIdempotentClass, TimeLeft: 3 * time.Second, ExpectedWork: tt.work})
 		end(b, tt.took, 1, 0, tt.end)
-		if got := b.ejected(tt.took, b.server(1)); got != tt.rest {
+		if got := b.ejected(tt.took, b.endpoints.find(1)); got != tt.rest {
 			t.Errorf("%s: at rest %v, want %v", name, got, tt.rest)
 		}
 	}
@@ -117,9 +117,9 @@
 	}
 	far := func(resting int) int {
 		b, h := start(t, cfg, list)
-		for _, s := range b.servers {
+		for _, s := range b.endpoints.servers {
 			if s.Zone == 0 && !s.outsideSubset && resting > 0 {
-				s.ejectedUntil = time.Hour
+				s.ejection.until = time.Hour
 				resting--
 			}
 		}
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -7,115 +7,181 @@
 	"time"
 )
 
-// List takes news of the server list.
+const (
+	// lowTrafficRate is the rate of own requests a second for each server below which traffic is low.
+	lowTrafficRate = 1.0
+	// assumedPerObjective is the number of requests within one objective that are assumed for each
+	// server if no quota is known.
+	assumedPerObjective = 8
+	// peakWeightMemory is longer than servers are away because of a fault or a deployment.
+	peakWeightMemory = time.Minute
+)
+
+// server is an endpoint with what this balancer knows of it.
+type server struct {
+	Endpoint
+	zone          *zone
+	inFlight      int           // attempts of this balancer
+	capacity      float64       // estimated, on the scale of the weights
+	answeredAt    time.Duration // the last good answer, or the start
+	outsideSubset bool
+	unresponsive  bool // gets probes instead of requests
+
+	// meanSquareShare is the mean square of the share of their objective that its recent answers took.
+	meanSquareShare float64
+
+	health    health
+	ejection  ejection
+	load      reportedLoad
+	rotation  rotation
+	slowStart slowStart
+}
+
+// reportedLoad is the part of a server's last load report that does not come from this balancer.
+type reportedLoad struct {
+	at            time.Duration // 0: there was none
+	otherInFlight float64
+}
+
+// learnLoad takes a server's load report.
+func (s *server) learnLoad(now time.Duration, report LoadReport) {
+	if total := s.reportedInFlight(report); total >= 0 {
+		s.load = reportedLoad{at: now, otherInFlight: max(0, total-float64(s.inFlight))}
+	}
+}
+
+// reportedInFlight is how many requests a server holds by its report, or negative. If the report
+// contains only the queued ones, the running ones follow from the utilization: a server of weight 1
+// has about one core.
+func (s *server) reportedInFlight(report LoadReport) float64 {
+	if report.InFlight >= 0 || report.Queued < 0 {
+		return report.InFlight
+	}
+	return report.Queued + max(0, report.Utilization)*s.Weight
+}
+
+// endpointList holds the servers that the endpoint list names.
+type endpointList struct {
+	servers []*server     // in the order in which the list named them
+	zones   map[int]*zone // those that have a server
+
+	readyWeight   float64 // of all servers that are ready
+	healthyWeight float64 // of those that are not outliers
+	peakWeight    float64 // highest readyWeight, which decays towards the present one
+	peakAt        time.Duration
+}
+
+// find returns the server with an id, or nil.
+func (l *endpointList) find(id ServerID) *server {
+	if i := slices.IndexFunc(l.servers, func(s *server) bool { return s.ID == id }); i >= 0 {
+		return l.servers[i]
+	}
+	return nil
+}
+
+// zone returns the state of a zone.
+func (l *endpointList) zone(number int) *zone {
+	if l.zones[number] == nil {
+		l.zones[number] = new(zone)
+	}
+	return l.zones[number]
+}
+
+// markRemoved marks every server as removed until the list names it.
+func (l *endpointList) markRemoved() {
+	for _, s := range l.servers {
+		s.State = Removed
+	}
+}
+
+// dropRemoved forgets the servers that are removed.
+func (l *endpointList) dropRemoved() {
+	l.servers = slices.DeleteFunc(l.servers, func(s *server) bool { return s.State == Removed })
+}
+
+// updateWeights adds up the weights. The peak decays slowly: while replacements overlap with what
+// they replace, the sum is too high.
+func (l *endpointList) updateWeights(now time.Duration) {
+	decay := math.Exp(-float64(now-l.peakAt) / float64(peakWeightMemory))
+	l.peakWeight = l.readyWeight + (l.peakWeight-l.readyWeight)*decay
+	l.peakAt = now
+	l.readyWeight, l.healthyWeight = 0, 0
+	for _, s := range l.servers {
+		if s.State == Ready {
+			l.readyWeight += s.Weight
+			if !s.health.outlier {
+				l.healthyWeight += s.Weight
+			}
+		}
+	}
+	l.peakWeight = max(l.peakWeight, l.readyWeight)
+}
+
+// weightShare is a server's part of a total by its weight in the largest recent list.
+func (l *endpointList) weightShare(total float64, s *server) float64 {
+	return total * s.Weight / max(l.peakWeight, s.Weight)
+}
+
+// List takes a message about the endpoint list.
 func (b *Balancer) List(now time.Duration, kind ListKind, entries []Endpoint) {
 	if kind == ListFailed {
 		b.ListLost(now, ListLoss{Unresponsive: true})
 		return
 	}
 	if kind != ListCached && b.cfg.PollList {
-		b.pollAt, b.pollFailures = 0, 0
+		b.poll.stop()
 	}
 	if kind != ListDelta {
-		for _, s := range b.servers {
-			s.State = Removed // until the list names it
-		}
+		b.endpoints.markRemoved()
 	}
 	for _, e := range entries {
 		b.updateEndpoint(now, e)
 	}
-	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool { return s.State == Removed })
-	if b.expectedInFlight == 0 {
+	b.endpoints.dropRemoved()
+	if b.bulkheads.expectedInFlight == 0 {
 		b.sizeBulkheads() // no quotas: the first list is all there is to go by
 	}
-	b.forgetZones()
-	b.updateWeights(now)
-	rate := cmp.Or(b.totalQuota/float64(max(1, len(b.servers))), 8/b.averageObjective) / float64(b.cfg.Balancers)
-	b.lowTraffic = b.cfg.MayProbe && rate < lowTrafficRate
-	b.chooseSubset(rate / lowTrafficRate)
+	b.endpoints.forgetZones()
+	b.endpoints.updateWeights(now)
+	b.classifyTraffic()
 	b.dispatchQueued(now)
 }
 
-// updateEndpoint takes over one line of the list.
+// classifyTraffic decides whether traffic is low, and chooses the subset of servers for that case.
+func (b *Balancer) classifyTraffic() {
+	servers := float64(max(1, len(b.endpoints.servers)))
+	rate := cmp.Or(b.traffic.quota/servers, assumedPerObjective/b.traffic.averageObjective) / float64(b.cfg.Balancers)
+	b.traffic.low = b.cfg.MayProbe && rate < lowTrafficRate
+	b.chooseSubset(rate / lowTrafficRate)
+}
+
+// updateEndpoint takes one entry of the list.
 func (b *Balancer) updateEndpoint(now time.Duration, e Endpoint) {
 	if !(e.Weight > 0) || math.IsInf(e.Weight, 0) {
-		e.Weight = 1 // no weights, even turns
+		e.Weight = 1 // without weights all servers count alike
 	}
-	s := b.server(e.ID)
+	s := b.endpoints.find(e.ID)
 	if s == nil {
-		s = &server{currentWeight: b.rng.Float64() * e.Weight} // balancers must not begin in step
-		b.servers = append(b.servers, s)
-	}
-	fresh := e.Started > s.Started
-	if b.zones[e.Zone] == nil {
-		b.zones[e.Zone] = new(zone)
+		s = new(server)
+		s.rotation.current = b.rng.Float64() * e.Weight // balancers must not rotate in step
+		b.endpoints.servers = append(b.endpoints.servers, s)
 	}
-	s.Endpoint, s.zone = e, b.zones[e.Zone]
-	s.capacity = b.capacityOf(e.Weight)
-	if fresh { // cold, and nothing known of it holds any more
-		s.warmAt = max(s.warmAt, e.Started+b.cfg.SlowStartWindow)
-		s.outlier, s.consecutiveFailures, s.suspected, s.answeredAt = false, 0, false, now
-		s.consecutiveSlow, s.ejectedUntil = 0, 0
-		b.heardFrom(now, s)
-		// All balancers are told at once: their first sends together would push it over.
-		s.nextSlowStartSend = now + time.Duration(b.rng.Float64()*float64(b.slowStartInterval(now, s)))
-	}
-}
-
-type server struct {
-	Endpoint
-	inFlight            int           // this balancer's attempts there
-	capacity            float64       // what it can do, on the scale of the weights
-	effectiveWeight     float64       // in the pick under way: its weight, 0 where it can't take the request
-	eligible            bool          // and whether it has a turn to give
-	currentWeight       float64       // smooth weighted round robin: how much its turn is due
-	answeredAt          time.Duration // its last answer, or restart
-	reportedAt          time.Duration // it last reported its load; 0: never
-	otherInFlight       float64       // and then held this many requests that are not ours
-	objectiveUse        float64       // mean square of the share of the aim that its answers take, lately
-	outsideSubset       bool          // not among this balancer's first choice
-	unresponsive        bool          // it said nothing where it should have: probes, no requests
-	zone                *zone         // what is known of its zone
-	outlier             bool          // evidence was against it; it gets trials only
-	consecutiveSlow     int           // answers from behind a queue since the last quick one
-	ejectedUntil        time.Duration // and until then it gets no turn for them
-	consecutiveFailures int           // evidence against it since its last answer
-	suspected           bool          // and one failure that may be chance
-	lastFailureAt       time.Duration // when it failed last
-	recoveryAt          time.Duration // next trial
-	warmAt              time.Duration // cold until then, by the list
-	nextSlowStartSend   time.Duration // while cold: nothing more before this
-}
-
-// server returns the listed server of that name, or nil.
-func (b *Balancer) server(id ServerID) *server {
-	if i := slices.IndexFunc(b.servers, func(s *server) bool { return s.ID == id }); i >= 0 {
-		return b.servers[i]
-	}
-	return nil
-}
-
-// peakWeightMemory is longer than servers are out for a trouble or a deploy.
-const peakWeightMemory = time.Minute
-
-// updateWeights adds up the weights of the ready servers and of those that are well. The most there was
-// is forgotten slowly: while replacements overlap with what they replace there is too much.
-func (b *Balancer) updateWeights(now time.Duration) {
-	b.peakWeight = b.readyWeight + (b.peakWeight-b.readyWeight)*math.Exp(-float64(now-b.peakAt)/float64(peakWeightMemory))
-	b.peakAt = now
-	b.readyWeight, b.healthyWeight = 0, 0
-	for _, s := range b.servers {
-		if s.State == Ready {
-			b.readyWeight += s.Weight
-			if !s.outlier {
-				b.healthyWeight += s.Weight
-			}
-		}
+	restarted := e.Started > s.Started
+	s.Endpoint, s.zone = e, b.endpoints.zone(e.Zone)
+	s.capacity = b.capacities.of(e.Weight, b.traffic.usualLatency)
+	if restarted {
+		b.resetServer(now, s)
 	}
-	b.peakWeight = max(b.peakWeight, b.readyWeight)
 }
 
-// weightShare is a server's weightShare of a total by its weight in the fullest list there was.
-func (b *Balancer) weightShare(total float64, s *server) float64 {
-	return total * s.Weight / max(b.peakWeight, s.Weight)
+// resetServer takes that a server has started: it warms up, and what was known of it is void.
+func (b *Balancer) resetServer(now time.Duration, s *server) {
+	s.slowStart.warmAt = max(s.slowStart.warmAt, s.Started+b.cfg.SlowStartWindow)
+	s.health.recovered()
+	s.answeredAt = now
+	s.ejection = ejection{}
+	s.heardFrom(now)
+	// All balancers are notified at once, and their first sends together would overload it.
+	firstSend := time.Duration(b.rng.Float64() * float64(b.slowStartInterval(now, s)))
+	s.slowStart.nextSend = now + firstSend
 }
--- a/policy/fleetlimits.go
+++ b/policy/fleetlimits.go
@@ -2,45 +2,51 @@
 
 import "time"
 
-// SetFleetLimits puts another Rule in force. What is under way ends under the walls that took
-// it; a queue keeps all it has, unless its tenant is to be served no more.
-func (b *Balancer) SetFleetLimits(now time.Duration, r FleetLimits) {
-	b.fleetLimits = r
+// FleetLimits is what the fleet policy leaves of the configured limits. Each limit can only become
+// stricter, and one that is left out stays as it is configured.
+type FleetLimits struct {
+	Bulkheads   []BulkheadCapacity // by tenant
+	MaxAttempts int                // 0: as configured
+	NoProbes    bool
+}
+
+// fleetLimits are the fleet limits in force, and the configured values that they limit.
+type fleetLimits struct {
+	fleet       FleetLimits
+	maxAttempts int
+	mayProbe    bool
+	balancers   int
+}
+
+func configuredLimits(cfg Config) fleetLimits {
+	return fleetLimits{maxAttempts: cfg.MaxAttempts, mayProbe: cfg.MayProbe, balancers: cfg.Balancers}
+}
+
+// SetFleetLimits puts other fleet limits in force. Attempts in flight end under the limits that they
+// began under. A queue keeps its requests unless its tenant is not to be served any more.
+func (b *Balancer) SetFleetLimits(now time.Duration, limits FleetLimits) {
+	b.limits.fleet = limits
 	b.applyFleetLimits()
-	for i := range b.bulkheads {
-		for c := &b.bulkheads[i]; c.slots == 0 && len(c.queue) > 0; {
-			b.finish(c.queue[0])
+	for i := range b.bulkheads.byTenant {
+		for bh := &b.bulkheads.byTenant[i]; bh.capacity.Slots == 0 && len(bh.queue) > 0; {
+			b.finish(bh.queue[0])
 		}
 	}
 	b.dispatchQueued(now)
 }
 
-// applyFleetLimits sizes what the rule and the configuration both size: the stricter counts.
+// applyFleetLimits puts the stricter of the configured and the fleet's limits in force. A process that
+// has handed over keeps the bulkheads that it needs to end.
 func (b *Balancer) applyFleetLimits() {
-	b.cfg.MaxAttempts, b.cfg.MayProbe = b.configuredAttempts, b.configuredProbing && !b.fleetLimits.NoProbes
-	if n := b.fleetLimits.MaxAttempts; n > 0 {
-		b.cfg.MaxAttempts = min(n, b.configuredAttempts)
-	}
-	if b.handedOver {
-		return // it keeps what it needs to end, and no more
+	b.cfg.MayProbe = b.limits.mayProbe && !b.limits.fleet.NoProbes
+	b.cfg.MaxAttempts = b.limits.maxAttempts
+	if n := b.limits.fleet.MaxAttempts; n > 0 {
+		b.cfg.MaxAttempts = min(n, b.limits.maxAttempts)
 	}
-	b.totalSlots = 0
-	for i, w := range b.configuredBulkheads {
-		if i < len(b.fleetLimits.Bulkheads) {
-			w = BulkheadCapacity{min(w.Slots, b.fleetLimits.Bulkheads[i].Slots), min(w.Places, b.fleetLimits.Bulkheads[i].Places)}
-		}
-		b.bulkheads[i].slots, b.bulkheads[i].queuePlaces = w.Slots, w.Places
-		b.totalSlots += w.Slots
+	if !b.takeover.handedOver {
+		b.bulkheads.limit(b.limits.fleet.Bulkheads)
 	}
 }
 
-// SetFleetSize takes another count of the balancers in. One below what is configured is not believed.
-func (b *Balancer) SetFleetSize(n int) { b.cfg.Balancers = max(b.configuredBalancers, n) }
-
-// FleetLimits is the fleet's word on what this sidecar may do, within what it was configured
-// for: each figure only tightens, and what is left out stays as configured.
-type FleetLimits struct {
-	Bulkheads   []BulkheadCapacity // by tenant
-	MaxAttempts int
-	NoProbes    bool
-}
+// SetFleetSize takes another number of balancers. One below the configured number is not believed.
+func (b *Balancer) SetFleetSize(n int) { b.cfg.Balancers = max(b.limits.balancers, n) }
--- a/policy/listpoll_test.go
+++ b/policy/listpoll_test.go
@@ -119,7 +119,7 @@
 	if len(gaps) < 4 || slices.Max(gaps) >= cfg.PollDeadline || gaps[0] >= gaps[len(gaps)-1] {
 		t.Fatalf("gaps between calls %v: want them to grow, and none to reach %v", gaps, cfg.PollDeadline)
 	}
-	if b.server(1) == nil {
+	if b.endpoints.find(1) == nil {
 		t.Fatal("a failed call dropped the old list")
 	}
 	b.List(40*time.Second, ListFull, ready(1))
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -52,7 +52,7 @@
 		end(b, now, id, 0, map[bool]Ending{true: NoConnection, false: Served}[h.sends[len(h.sends)-1].to == 1])
 		end(b, now, id, 1, Served)
 	}
-	if !b.server(1).outlier {
+	if !b.endpoints.find(1).health.outlier {
 		t.Fatal("no connection, and still held to be well")
 	}
 	before := h.sentTo(1)
@@ -62,8 +62,8 @@
 		ask(b, now, id, idempotentClass)
 		end(b, now+5*ms, id, 0, Served)
 	}
-	if b.server(1).outlier || h.sentTo(1) < before+10 {
-		t.Fatalf("unwell %v, sends since %d", b.server(1).outlier, h.sentTo(1)-before)
+	if b.endpoints.find(1).health.outlier || h.sentTo(1) < before+10 {
+		t.Fatalf("unwell %v, sends since %d", b.endpoints.find(1).health.outlier, h.sentTo(1)-before)
 	}
 }
 
@@ -72,7 +72,7 @@
 	ask(b, 0, 1, idempotentClass)
 	end(b, 0, 1, 0, NoConnection)
 	end(b, 0, 1, 1, NoConnection)
-	if b.healthyWeight != 0 {
+	if b.endpoints.healthyWeight != 0 {
 		t.Fatal("set-up: a server is still held to be well")
 	}
 	n := len(h.sends)
@@ -89,20 +89,20 @@
 	b, h := start(t, testConfig(), ready(1))
 	ask(b, 0, 1, nonIdempotentClass)
 	end(b, ms, 1, 0, Broken)
-	if b.server(1).outlier {
+	if b.endpoints.find(1).health.outlier {
 		t.Error("unwell by one broken connection")
 	}
 	ask(b, 2*ms, 2, idempotentClass)
 	end(b, 3*ms, 2, 0, Served)
 	ask(b, 4*ms, 3, nonIdempotentClass)
 	end(b, 5*ms, 3, 0, Broken)
-	if b.server(1).outlier {
+	if b.endpoints.find(1).health.outlier {
 		t.Error("unwell though it answered between two broken connections")
 	}
 	ask(b, 6*ms, 4, nonIdempotentClass)
 	end(b, 7*ms, 4, 0, Broken)
-	if !b.server(1).outlier || len(h.sends) != 4 {
-		t.Errorf("after two in a row: unwell %v, %d sends", b.server(1).outlier, len(h.sends))
+	if !b.endpoints.find(1).health.outlier || len(h.sends) != 4 {
+		t.Errorf("after two in a row: unwell %v, %d sends", b.endpoints.find(1).health.outlier, len(h.sends))
 	}
 }
 
@@ -115,12 +115,12 @@
 	for id := range RequestID(3) {
 		end(b, ms+time.Duration(id)*100*time.Microsecond, id, 0, Broken)
 	}
-	if len(h.sends) != 3 || b.server(1).outlier {
-		t.Errorf("%d were out as the connections broke, unwell %v", len(h.sends), b.server(1).outlier)
+	if len(h.sends) != 3 || b.endpoints.find(1).health.outlier {
+		t.Errorf("%d were out as the connections broke, unwell %v", len(h.sends), b.endpoints.find(1).health.outlier)
 	}
 	ask(b, 2*ms, 9, nonIdempotentClass)
 	end(b, 3*ms, 9, 0, Broken)
-	if !b.server(1).outlier {
+	if !b.endpoints.find(1).health.outlier {
 		t.Error("well, though the next one broke too")
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,4 +1,4 @@
-// The interface is api.go.
+// The types of the interface are in api.go.
 
 package policy
 
@@ -9,22 +9,81 @@
 )
 
 const (
-	busyTick = 10 * time.Millisecond  // how often open requests are looked at
-	idleTick = 100 * time.Millisecond // and the rest when none is open
+	busyTick = 10 * time.Millisecond  // period of the checks while requests are open
+	idleTick = 100 * time.Millisecond // period of the checks while none is open
 
-	slotObjectiveShare = 0.12 // slots hold a quota's traffic for this share of the aim (deriveSlots)
-	slotDeviations     = 2.0  // and this many standard deviations of such a count more
-	maxTrafficMultiple = 5.0  // one balancer may carry this multiple of an even part of the traffic
-	slotsPerServer     = 3.0  // slots for each server first listed, where no quota is known
-	queuePlacesPerSlot = 0.15 // queue places for each slot: short, just enough to keep slots fed
+	// initialLatencyDivisor makes an answer's usual time from the objective before any is known.
+	initialLatencyDivisor = 8
+	// A new value counts for one part in so many in these moving averages.
+	classLatencyWindow   = 16
+	overallLatencyWindow = 32
+	averageWorkWindow    = 64
 
-	maxVotes = 64 // for what is usual: so much is remembered
-
-	lowTrafficRate        = 1.0 // own requests a second for each server; below, traffic is thin
-	crowdedObjectiveShare = 0.3 // a server whose answers take this share of the aim is crowded
+	maxTimeLeft = time.Hour // bounds the time left that a host may give
 )
 
-// New makes a Balancer, or returns an error that names the unusable field.
+// Balancer makes the decisions of one sidecar.
+type Balancer struct {
+	cfg      Config // with what the fleet limits leave of it: MaxAttempts, MayProbe and Balancers
+	host     Host
+	rng      *rand.Rand
+	classes  []class
+	counters Counters
+
+	requests     map[RequestID]*request
+	openRequests []*request // in the order of arrival; Wake removes those that have ended
+
+	endpoints  endpointList
+	bulkheads  bulkheads
+	limits     fleetLimits
+	takeover   takeoverState
+	advice     adviceInForce
+	subset     subset
+	traffic    traffic
+	capacities capacityModel
+	congestion congestionEstimate
+	probes     unresponsiveProbes
+	poll       listPoll
+
+	cells  []cell        // of the selection under way; kept to save allocations
+	wakeAt time.Duration // when the next call of Wake is due; 0: none was asked for
+}
+
+// traffic is what the Balancer knows about its traffic as a whole.
+type traffic struct {
+	quota            float64       // quotas of all tenants together, in requests a second
+	averageObjective float64       // of all classes, in seconds
+	usualLatency     time.Duration // moving average of an answer's time, over all classes
+	averageWork      float64       // moving average of the expected work, in nanoseconds; 0: unknown
+	low              bool          // too low to learn enough about each server
+}
+
+// observeLatency learns the time of a good answer.
+func (t *traffic) observeLatency(c *class, took time.Duration) {
+	c.usualLatency += (took - c.usualLatency) / classLatencyWindow
+	t.usualLatency += (took - t.usualLatency) / overallLatencyWindow
+}
+
+// observeWork learns the work that requests are expected to need.
+func (t *traffic) observeWork(work time.Duration) {
+	switch {
+	case work <= 0:
+	case t.averageWork == 0:
+		t.averageWork = float64(work)
+	default:
+		t.averageWork += (float64(work) - t.averageWork) / averageWorkWindow
+	}
+}
+
+// relativeWork is a request's expected work relative to the average; 1 if one of them is unknown.
+func (t *traffic) relativeWork(r *request) float64 {
+	if r.expectedWork <= 0 || t.averageWork <= 0 {
+		return 1
+	}
+	return float64(r.expectedWork) / t.averageWork
+}
+
+// New makes a Balancer. An error names the unusable field of the configuration.
 func New(cfg Config, seed uint64, host Host) (*Balancer, error) {
 	if err := validate(cfg); err != nil {
 		return nil, err
@@ -32,24 +91,31 @@
 	if len(cfg.Tenants) == 0 {
 		cfg.Tenants = []Tenant{{Share: 1}}
 	}
-	b := &Balancer{cfg: cfg, host: host}
-	b.requests, b.zones = make(map[RequestID]*request), make(map[int]*zone)
-	b.bulkheads = make([]bulkhead, len(cfg.Tenants))
-	b.configuredBulkheads = make([]BulkheadCapacity, len(cfg.Tenants))
-	b.configuredAttempts, b.configuredProbing = cfg.MaxAttempts, cfg.MayProbe
-	b.configuredBalancers = cfg.Balancers
-	b.rng = rand.New(rand.NewPCG(seed, 0))
-	b.subsetSalt = b.rng.Uint64()
+	b := &Balancer{
+		cfg: cfg, host: host, rng: rand.New(rand.NewPCG(seed, 0)),
+		requests:  make(map[RequestID]*request),
+		endpoints: endpointList{zones: make(map[int]*zone)},
+		bulkheads: newBulkheads(len(cfg.Tenants)),
+		limits:    configuredLimits(cfg),
+	}
+	b.subset.salt = b.rng.Uint64()
 	for _, c := range cfg.Classes {
-		b.classes = append(b.classes, class{Class: c, usualLatency: c.LatencyObjective / 8})
-		b.averageObjective += c.LatencyObjective.Seconds() / float64(len(cfg.Classes))
+		b.classes = append(b.classes, class{Class: c, usualLatency: c.LatencyObjective / initialLatencyDivisor})
+		b.traffic.averageObjective += c.LatencyObjective.Seconds() / float64(len(cfg.Classes))
+	}
+	initialLatency := b.traffic.averageObjective / initialLatencyDivisor
+	b.traffic.usualLatency = time.Duration(initialLatency * float64(time.Second))
+	for _, t := range cfg.Tenants {
+		b.traffic.quota += t.Quota
 	}
-	b.usualLatency = time.Duration(b.averageObjective / 8 * float64(time.Second))
 	b.sizeBulkheads()
 	return b, nil
 }
 
-// Start begins the Balancer's life; it must be the first event.
+// Counters returns what was done so far.
+func (b *Balancer) Counters() Counters { return b.counters }
+
+// Start must be the first event.
 func (b *Balancer) Start(now time.Duration) {
 	if b.cfg.PollList {
 		b.pollList(now)
@@ -57,43 +123,22 @@
 	b.scheduleWake(now, idleTick)
 }
 
-// Request takes a request on. It is answered once, by an Outcome that settles it or through the Host, in its
-// time. An id that is still held is passed over; an unknown class or tenant, or no time left, is refused.
+// Request accepts a request. It is answered exactly once and in time, by an Outcome that settles it
+// or through the Host. A request whose id is still in use is ignored; one of an unknown class or
+// tenant, or without any time left, is refused.
 func (b *Balancer) Request(now time.Duration, q Request) {
-	if _, held := b.requests[q.ID]; held {
+	if _, inUse := b.requests[q.ID]; inUse {
 		return
 	}
-	unknown := q.Class < 0 || q.Class >= len(b.classes) || q.Tenant < 0 || q.Tenant >= len(b.bulkheads)
-	if unknown || q.TimeLeft <= 0 {
+	if !b.valid(q) {
 		b.counters.Refused++
 		b.host.Refuse(q.ID, 0)
 		return
 	}
-	r := &request{
-		id: q.ID, class: &b.classes[q.Class], bulkhead: &b.bulkheads[q.Tenant],
-		expectedWork: q.ExpectedWork, affinityKey: q.AffinityKey,
-	}
-	r.deadline = now + min(q.TimeLeft, time.Hour)
-	begun := now // of the client's first try
-	if r.class.hasUnusualTimeLeft(q.TimeLeft) && (q.ClientRetry || !b.cfg.ClientsMarkRetries) {
-		begun = min(now, r.deadline-r.class.Deadline)
-	}
-	stretch := time.Duration(r.class.ObjectiveWorkFactor * float64(q.ExpectedWork))
-	r.objectiveAt = min(r.deadline, begun+r.class.LatencyObjective+stretch)
-	r.usefulUntil = r.objectiveAt
-	if r.class.LateShare > 0 || (r.class.ObjectiveWorkFactor > 0 && q.ExpectedWork == 0) {
-		r.usefulUntil = r.deadline
-	}
-	if r.shutdownDeadline = NoLimit; q.ShutdownIn > 0 {
-		r.boundByShutdown(now + q.ShutdownIn)
-	}
-	b.learnWork(q.ExpectedWork)
-	b.requests[r.id] = r
-	b.openRequests = append(b.openRequests, r)
-	b.scheduleWake(now, busyTick)
+	r := b.open(now, q)
 	b.probeForLoad()
-	late := now > r.latestSend() // or as good as: it takes nothing from others
-	if late {
+	late := now > r.latestSend()
+	if late { // it takes nothing from requests that are in time, but may use all of its own
 		r.usefulUntil, r.objectiveAt = r.deadline, r.deadline
 	}
 	if b.shouldShed(now, late, b.adviceRejects(now, q.Tenant)) {
@@ -103,25 +148,37 @@
 	}
 	switch {
 	case b.dispatch(now, r):
-	case late || len(r.bulkhead.queue)+r.bulkhead.reserved.Places >= r.bulkhead.queuePlaces:
-		b.finish(r) // full: refuse promptly
+	case late || !r.bulkhead.hasQueuePlace():
+		b.finish(r) // refuse promptly
 	default:
 		r.bulkhead.queue = append(r.bulkhead.queue, r)
 	}
 }
 
-// Outcome takes the end of an attempt. What is unknown or came before is passed over.
+// valid says whether a request names a class and a tenant and has any time left.
+func (b *Balancer) valid(q Request) bool {
+	classKnown := q.Class >= 0 && q.Class < len(b.classes)
+	return classKnown && b.bulkheads.has(q.Tenant) && q.TimeLeft > 0
+}
+
+// open makes the record of a request.
+func (b *Balancer) open(now time.Duration, q Request) *request {
+	r := newRequest(now, q, &b.classes[q.Class], &b.bulkheads.byTenant[q.Tenant], b.cfg.ClientsMarkRetries)
+	b.traffic.observeWork(q.ExpectedWork)
+	b.requests[r.id] = r
+	b.openRequests = append(b.openRequests, r)
+	b.scheduleWake(now, busyTick)
+	return r
+}
+
+// Outcome takes the end of an attempt. One that is unknown or has already ended is ignored.
 func (b *Balancer) Outcome(now time.Duration, o Outcome) {
 	r := b.requests[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].state != inFlight {
 		return
 	}
 	a := &r.attempts[o.Attempt]
-	a.state = mayHaveRun
-	if o.Ending == Rejected || o.Ending == NoConnection || o.Ending == NotSent {
-		a.state = neverRan
-	}
-	a.server.inFlight--
+	a.end(o.Ending)
 	r.inFlight--
 	r.bulkhead.used--
 	b.observeOutcome(now, r, a, o.Ending)
@@ -136,7 +193,7 @@
 	b.dispatchQueued(now)
 }
 
-// ClientGone takes that a client quit: nothing more is owed for the request.
+// ClientGone takes that a client has left: its request needs no answer any more.
 func (b *Balancer) ClientGone(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil && !r.ended {
 		b.closeRequest(r)
@@ -144,7 +201,8 @@
 	}
 }
 
-// StreamBegun takes that a request's answer has begun to stream: the client owns it now.
+// StreamBegun takes that an answer has begun to stream. From then on it belongs to the client, and
+// the request is neither retried nor answered.
 func (b *Balancer) StreamBegun(id RequestID) {
 	if r := b.requests[id]; r != nil {
 		r.streaming = true
@@ -156,17 +214,11 @@
 	if now < b.wakeAt {
 		return // an older timer
 	}
-	if b.cfg.PollList && b.pollAt > 0 && now >= b.pollAt {
+	if b.cfg.PollList && b.poll.due(now) {
 		b.pollList(now)
 	}
 	b.dispatchQueued(now)
-	soon := now + 2*max(busyTick, b.cfg.EventPeriod)
-	for _, r := range b.openRequests {
-		waited := r.inFlight == 0 && (soon > r.deadline || now >= r.latestSend() || !r.mayRepeat(now, nil))
-		if !r.ended && !r.streaming && (waited || now >= r.deadline) {
-			b.finish(r)
-		}
-	}
+	b.finishOverdue(now)
 	b.suspectZones(now)
 	b.probeUnresponsive(now)
 	b.openRequests = slices.DeleteFunc(b.openRequests, func(r *request) bool { return r.ended })
@@ -177,84 +229,44 @@
 	b.scheduleWake(now, idleTick)
 }
 
+// finishOverdue answers the requests whose time is over, and those for which waiting is of no use.
+func (b *Balancer) finishOverdue(now time.Duration) {
+	nextCheck := now + 2*max(busyTick, b.cfg.EventPeriod)
+	for _, r := range b.openRequests {
+		if r.ended || r.streaming {
+			continue
+		}
+		hopeless := r.inFlight == 0 &&
+			(nextCheck > r.deadline || now >= r.latestSend() || !r.mayRepeat(now, nil))
+		if hopeless || now >= r.deadline {
+			b.finish(r)
+		}
+	}
+}
+
 // Probed takes the result of a probe.
-func (b *Balancer) Probed(now time.Duration, id ServerID, ok bool, l LoadReport) {
-	s := b.server(id)
+func (b *Balancer) Probed(now time.Duration, id ServerID, ok bool, report LoadReport) {
+	s := b.endpoints.find(id)
 	if s == nil {
 		return
 	}
 	if !ok {
-		s.unresponsive, b.anyUnresponsive = true, true
-		b.recordFailure(now, s)
+		b.markUnresponsive(now, s)
 		b.dispatchQueued(now)
 		return
 	}
-	if s.unresponsive { // anything else that is held against it only an answer to a request takes back
+	if s.unresponsive { // only an answer to a request takes back any other evidence
 		b.markHealthy(now, s)
 	}
-	b.heardFrom(now, s)
-	if held := s.reportedInFlight(l); held >= 0 {
-		s.reportedAt, s.otherInFlight = now, max(0, held-float64(s.inFlight))
-	}
-	if now >= s.warmAt {
-		b.learnCapacity(s, l)
+	s.heardFrom(now)
+	s.learnLoad(now, report)
+	if now >= s.slowStart.warmAt {
+		b.learnCapacity(s, report)
 	}
 	b.dispatchQueued(now)
 }
 
-// Counters returns what was done so far.
-func (b *Balancer) Counters() Counters { return b.counters }
-
-// Balancer makes the decisions of one sidecar.
-type Balancer struct {
-	cfg                 Config
-	host                Host
-	rng                 *rand.Rand
-	subsetSalt          uint64  // of its own order of servers
-	subsetShare         float64 // the part of the balancers that keep to a server
-	classes             []class
-	bulkheads           []bulkhead
-	requests            map[RequestID]*request
-	openRequests        []*request         // in order of arrival; ended ones are swept out by Wake
-	servers             []*server          // in the order in which the list named them
-	totalSlots          int                // of all compartments
-	configuredBulkheads []BulkheadCapacity // as configured, by tenant
-	configuredAttempts  int                // at most, as configured
-	configuredBalancers int                // as configured
-	configuredProbing   bool               // as configured
-	fleetLimits         FleetLimits        // the fleet's word
-	handedOver          bool               // another process takes this one's place
-	admittedShares      []float64          // the fleet's word on an overload, by tenant
-	adviceUntil         time.Duration      // until when it counts
-	expectedInFlight    float64            // what the slots of all balancers hold while traffic is at the quotas
-	totalQuota          float64            // of all tenants together
-	readyWeight         float64            // of all ready servers
-	peakWeight          float64            // the most of it that there was, followed down
-	peakAt              time.Duration
-	healthyWeight       float64       // of those not judged unwell
-	usualLatency        time.Duration // usual time of an answer, over all classes
-	averageWork         float64       // expected of a request, on average
-	averageObjective    float64       // mean aim, in seconds
-	wakeAt              time.Duration
-	pollAt              time.Duration // when to ask for the list next; 0: no need
-	pollFailures        int
-	staleSince          time.Duration // since when changes of the list may have been missed
-	nextBulkhead        int
-	twoProcesses        bool // another process of this sidecar lives
-	lowTraffic          bool // own traffic tells too little of a server's load
-	requestCount        int
-	congestionSum       float64 // what answers took of their aims, added up over those of late
-	congestionWeight    float64 // and how many they are
-	congestionAt        time.Duration
-	zones               map[int]*zone
-	probeFrom           int           // where listen begins
-	anyUnresponsive     bool          // a server or zone may be silent: listen looks at each
-	cells               []cell        // of the pick under way
-	weightClasses       []weightClass // what servers can do, by their listed weight
-	counters            Counters
-}
-
-// scheduleWake sees to it that Wake comes after d at the latest.
+// scheduleWake makes sure that Wake is called after d at the latest.
 func (b *Balancer) scheduleWake(now, d time.Duration) {
 	if b.wakeAt == 0 || now+d < b.wakeAt {
 		b.wakeAt = now + d
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -83,8 +83,8 @@
 		b.Wake(now + 3*ms)
 	}
 	b.Wake(time.Hour)
-	if len(b.requests) > 3 || len(b.openRequests) > 3 || len(b.servers) != 2 || cap(b.openRequests) > 100 {
+	if len(b.requests) > 3 || len(b.openRequests) > 3 || len(b.endpoints.servers) != 2 || cap(b.openRequests) > 100 {
 		t.Fatalf("held: %d requests, %d open (room for %d), %d servers",
-			len(b.requests), len(b.openRequests), cap(b.openRequests), len(b.servers))
+			len(b.requests), len(b.openRequests), cap(b.openRequests), len(b.endpoints.servers))
 	}
 }
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -18,8 +18,8 @@
 	list := ready(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)
 	for balancers, thin := range map[int]bool{1: false, 6: false, 300: true} {
 		b, _ := start(t, withoutQuotas(balancers), list)
-		if b.lowTraffic != thin {
-			t.Errorf("%d balancers without quotas: thin %v, want %v", balancers, b.lowTraffic, thin)
+		if b.traffic.low != thin {
+			t.Errorf("%d balancers without quotas: thin %v, want %v", balancers, b.traffic.low, thin)
 		}
 	}
 	b, h := start(t, withoutQuotas(6), list)
@@ -48,8 +48,8 @@
 		cfg.SlowStartWindow = time.Hour // it does not warm meanwhile
 		b, _ := start(t, cfg, ready(1, 2, 3, 4, 5, 6, 7, 8))
 		b.List(time.Second, ListDelta, []Endpoint{{ID: 1, State: Ready, Weight: 1, Started: time.Second}})
-		b.lowTraffic = false // all of them use it
-		return float64(balancers) / b.slowStartInterval(time.Second, b.server(1)).Seconds()
+		b.traffic.low = false // all of them use it
+		return float64(balancers) / b.slowStartInterval(time.Second, b.endpoints.find(1)).Seconds()
 	}
 	few, many := sum(8), sum(80) // of 8 servers
 	if many > few*1.3 || few <= 0 {
--- a/policy/roundrobin.go
+++ b/policy/roundrobin.go
@@ -5,90 +5,139 @@
 	"time"
 )
 
-// remoteZoneShare is how much of its turns a server of another zone gets. Where crossing has a price that is
-// none; where traffic is thin, until servers of the own zone rest.
-func (b *Balancer) remoteZoneShare(now time.Duration) float64 {
-	if b.cfg.CrossZoneCost <= 0 {
-		return 1
-	}
-	if rest := b.ejectedShare(now, true); b.lowTraffic && rest > zoneSpillThreshold {
-		return rest
-	}
-	return 0
+// Smooth weighted round robin: in each round every eligible server's current weight grows by its
+// effective weight, the highest is chosen, and the sum of the round is taken off it.
+
+const (
+	// crowdedObjectiveShare is the share of their objective from which a server's answers show that it
+	// is crowded.
+	crowdedObjectiveShare = 0.3
+	// minMeanSquareShare avoids a division by zero at a server without any answer yet.
+	minMeanSquareShare = 1e-4
+	// objectiveShareWindow is the window of the moving average of the square of that share.
+	objectiveShareWindow = 8
+	// reportLifetime is how long a load report counts.
+	reportLifetime = time.Second
+	// reportTolerance is how many requests a server may report above its usual number, as a report is
+	// older than most requests take.
+	reportTolerance = 2
+)
+
+// rotation is a server's state in the round robin.
+type rotation struct {
+	current   float64 // current weight
+	effective float64 // effective weight in the selection under way; 0: the request may not go there
+	eligible  bool    // in the selection under way
 }
 
-// pick is smooth weighted round robin over the ready servers of the cell that has the request's key warm, or of
-// the next one; first over those that this balancer keeps to, then over all. A server loses its turn while it
-// holds its portion of our attempts, rests, is silent or unwell (but for trials), or if the request was there.
-func (b *Balancer) pick(now time.Duration, r *request) *server {
-	far := b.remoteZoneShare(now)
-	for near := true; ; near = false {
-		b.cells = b.cells[:0]
-		for _, s := range b.servers {
-			s.eligible, s.effectiveWeight = false, 0
-			part := 1.0 // of its turns
-			if near && s.Zone != b.cfg.Zone {
-				part = far
-			}
-			if part == 0 || near && b.outsideSubset(s) || r.triedAt(s) || !b.maySend(now, r, s) {
-				continue
-			}
-			s.effectiveWeight = s.capacity * b.warmUpShare(now, s) * part
-			s.eligible = b.eligible(now, s)
-			b.addCell(r, s)
-		}
+// observeObjectiveShare learns which share of its objective an answer took.
+func (s *server) observeObjectiveShare(share float64) {
+	s.meanSquareShare += (share*share - s.meanSquareShare) / objectiveShareWindow
+}
+
+// selectServer chooses a server for a request, or nil: in the cell that probably has the request's
+// key warm, or the next one; first within the subset and the near zone, then among all servers.
+func (b *Balancer) selectServer(now time.Duration, r *request) *server {
+	remoteShare := b.remoteZoneShare(now)
+	for _, preferred := range []bool{true, false} {
+		b.collectCells(now, r, preferred, remoteShare)
 		if c := b.preferredCell(r); c != nil {
 			return b.nextInRotation(now, r, c.number)
 		}
-		if !near {
-			return nil
+	}
+	return nil
+}
+
+// collectCells prepares the servers that may get a request, and their cells. With preferred only
+// those within the subset count, and servers of other zones with a share of their weight.
+func (b *Balancer) collectCells(now time.Duration, r *request, preferred bool, remoteShare float64) {
+	b.cells = b.cells[:0]
+	for _, s := range b.endpoints.servers {
+		s.rotation.eligible, s.rotation.effective = false, 0
+		share := 1.0
+		if preferred && s.Zone != b.cfg.Zone {
+			share = remoteShare
+		}
+		if share == 0 || preferred && b.outsideSubset(s) || r.triedAt(s) || !b.maySend(now, r, s) {
+			continue
 		}
+		s.rotation.effective = s.capacity * b.warmUpShare(now, s) * share
+		s.rotation.eligible = b.eligible(now, s)
+		b.addCell(r, s)
 	}
 }
 
-// eligible says whether nothing is held against a server at the moment.
+// remoteZoneShare is the share of their weight with which servers of other zones count. If crossing
+// zones has a cost it is 0 or, with low traffic, the share of near servers that are ejected.
+func (b *Balancer) remoteZoneShare(now time.Duration) float64 {
+	if b.cfg.CrossZoneCost <= 0 {
+		return 1
+	}
+	if ejected := b.ejectedShare(now, true); b.traffic.low && ejected > zoneSpillThreshold {
+		return ejected
+	}
+	return 0
+}
+
+// eligible says whether a server may be chosen at the moment.
 func (b *Balancer) eligible(now time.Duration, s *server) bool {
+	othersHealthy := b.endpoints.healthyWeight > 0
 	switch {
-	case b.ejected(now, s), b.cfg.MayProbe && (s.unresponsive && b.healthyWeight > 0 || s.zone.suspected),
-		b.healthyWeight > 0 && s.outlier && (now < s.recoveryAt || s.inFlight > 0), float64(s.inFlight) >= b.inFlightLimit(s),
-		now-s.reportedAt < time.Second && s.otherInFlight+float64(s.inFlight) >= 2+b.weightShare(b.expectedInFlight, s): // reported full
+	case b.ejected(now, s):
+	case b.cfg.MayProbe && (s.unresponsive && othersHealthy || s.zone.suspected):
+	case othersHealthy && s.health.outlier && (now < s.health.recoveryAt || s.inFlight > 0):
+	case float64(s.inFlight) >= b.inFlightLimit(s):
+	case b.reportedFull(now, s):
+	default:
+		return true
+	}
+	return false
+}
+
+// reportedFull says whether a server holds more requests than it usually does, by its last report.
+func (b *Balancer) reportedFull(now time.Duration, s *server) bool {
+	if now-s.load.at >= reportLifetime {
 		return false
 	}
-	return true
+	usual := b.endpoints.weightShare(b.bulkheads.expectedInFlight, s)
+	return s.load.otherInFlight+float64(s.inFlight) >= reportTolerance+usual
 }
 
-// nextInRotation gives the next nextInRotation among the servers of a cell.
+// inFlightLimit is how many attempts of this balancer a server may hold: its part of all slots, and
+// less if its answers take much of their objective. It does not grow when other servers leave or
+// fail, as the remaining ones would be overloaded.
+func (b *Balancer) inFlightLimit(s *server) float64 {
+	crowding := min(1, crowdedObjectiveShare*crowdedObjectiveShare/max(s.meanSquareShare, minMeanSquareShare))
+	return max(1, b.endpoints.weightShare(float64(b.bulkheads.totalSlots), s)*crowding)
+}
+
+// nextInRotation chooses among the eligible servers of a cell, of which there is at least one.
 func (b *Balancer) nextInRotation(now time.Duration, r *request, cell int) *server {
 	var best *server
-	total, lost := 0.0, math.Inf(-1)
-	for _, s := range b.servers {
+	total, bestIneligible := 0.0, math.Inf(-1)
+	for _, s := range b.endpoints.servers {
+		turn := &s.rotation
 		switch {
-		case s.effectiveWeight == 0 || b.cellOf(r, s) != cell:
-		case !s.eligible:
-			lost = max(lost, s.currentWeight+s.effectiveWeight)
+		case turn.effective == 0 || b.cellOf(r, s) != cell:
+		case !turn.eligible:
+			bestIneligible = max(bestIneligible, turn.current+turn.effective)
 		default:
-			s.currentWeight += s.effectiveWeight
-			total += s.effectiveWeight
-			if best == nil || s.currentWeight > best.currentWeight {
+			turn.current += turn.effective
+			total += turn.effective
+			if best == nil || turn.current > best.rotation.current {
 				best = s
 			}
 		}
 	}
 	switch {
-	case best.outlier:
+	case best.health.outlier:
 		b.counters.Trials++
-		best.recoveryAt = now + b.backoff(best.consecutiveFailures)
-	case best.currentWeight >= lost:
+		best.health.recoveryAt = now + b.backoff(best.health.consecutiveFailures)
+	case best.rotation.current >= bestIneligible:
 		b.counters.Ordinary++
 	default:
 		b.counters.Passed++
 	}
-	best.currentWeight -= total
+	best.rotation.current -= total
 	return best
 }
-
-// inFlightLimit is how many of our attempts a server may hold: its part of all our slots, less the more
-// of the aim its answers take. It does not grow when others leave or fail: the last would be overrun.
-func (b *Balancer) inFlightLimit(s *server) float64 {
-	return max(1, b.weightShare(float64(b.totalSlots), s)*min(1, crowdedObjectiveShare*crowdedObjectiveShare/max(s.objectiveUse, 1e-4)))
-}
--- a/policy/roundrobin_test.go
+++ b/policy/roundrobin_test.go
@@ -61,9 +61,9 @@
 func TestSlowServerHoldsLess(t *testing.T) {
 	b, _ := start(t, testConfig(), ready(1, 2))
 	for range 50 {
-		b.server(1).objectiveUse += (0.8*0.8 - b.server(1).objectiveUse) / 8
+		b.endpoints.find(1).meanSquareShare += (0.8*0.8 - b.endpoints.find(1).meanSquareShare) / 8
 	}
-	if slow, well := b.inFlightLimit(b.server(1)), b.inFlightLimit(b.server(2)); slow != 1 || well != 4 {
+	if slow, well := b.inFlightLimit(b.endpoints.find(1)), b.inFlightLimit(b.endpoints.find(2)); slow != 1 || well != 4 {
 		t.Fatalf("portions %v and %v, want 1 and 4", slow, well)
 	}
 }
@@ -100,7 +100,7 @@
 	cfg := testConfig()
 	cfg.MayProbe, cfg.LoadReports = true, true
 	b, h := start(t, cfg, ready(1, 2))
-	room := b.weightShare(b.expectedInFlight, b.server(1))
+	room := b.endpoints.weightShare(b.bulkheads.expectedInFlight, b.endpoints.find(1))
 	for _, id := range []ServerID{1, 2} {
 		b.Probed(0, id, true, LoadReport{InFlight: room + 1})
 	}
@@ -142,7 +142,7 @@
 // forgotten at once, servers that are out for a moment would leave the others overrun.
 func TestOverlapOfReplacementsIsForgotten(t *testing.T) {
 	b, _ := start(t, testConfig(), ready(1, 2))
-	portion := func() float64 { return b.inFlightLimit(b.server(1)) }
+	portion := func() float64 { return b.inFlightLimit(b.endpoints.find(1)) }
 	alone := portion()
 	b.List(time.Second, ListFull, ready(1, 2, 3, 4))
 	overlap := portion()
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -37,12 +37,12 @@
 		// Half as much again as the quota, as in a jam: all of it would go to the one
 		// server if the turns were not.
 		for now := time.Duration(0); now < restart+9*time.Second; now += time.Duration(rng.ExpFloat64() * balancers / quota / 1.5 * float64(time.Second)) {
-			if now >= restart && b.server(1).Started == 0 {
+			if now >= restart && b.endpoints.find(1).Started == 0 {
 				b.List(now, ListDelta, []Endpoint{{ID: 1, State: Ready, Weight: 1, Started: restart}})
-				for _, s := range b.servers {
+				for _, s := range b.endpoints.servers {
 					s.outsideSubset = s.outsideSubset && s.ID == 1
 					if s.ID != 1 {
-						s.ejectedUntil = time.Hour // the others are jammed: the cold one is wanted by all
+						s.ejection.until = time.Hour // the others are jammed: the cold one is wanted by all
 					}
 				}
 			}
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -5,28 +5,46 @@
 	"slices"
 )
 
-// minSubsetShare and maxSubsetShare bound the part of the servers that a balancer keeps to: with fewer,
-// those with much traffic overrun theirs, and cells may be large or not known.
-const minSubsetShare, maxSubsetShare = 1.0 / 6, 0.5
+// Subsetting: with low traffic a balancer prefers a part of the servers, as each connection has a cost.
 
-// chooseSubset chooses the servers that this balancer keeps to where traffic is thin, as each connection costs: of
-// every cell the first in an order of its own, so that each key finds its cell, and as many as traffic fills.
-func (b *Balancer) chooseSubset(part float64) {
-	ready := slices.DeleteFunc(slices.Clone(b.servers), func(s *server) bool { return s.State != Ready })
-	order := func(s *server) uint64 { return mix(b.subsetSalt ^ mix(uint64(s.ID))) }
+const (
+	// minSubsetShare and maxSubsetShare bound the subset: with fewer servers balancers with much traffic
+	// would overload theirs, and cells may be large or unknown.
+	minSubsetShare, maxSubsetShare = 1.0 / 6, 0.5
+	// subsetShareMargin is the part of the balancers by which the number of those that prefer a server may
+	// exceed the mean by chance.
+	subsetShareMargin = 0.05
+)
+
+// subset is how a balancer chooses the servers that it prefers.
+type subset struct {
+	salt  uint64  // of this balancer's order of the servers
+	share float64 // expected part of the balancers that prefer a given server
+}
+
+// rank orders the servers of a cell, differently at each balancer.
+func (p *subset) rank(id ServerID) uint64 { return mix(p.salt ^ mix(uint64(id))) }
+
+// chooseSubset chooses the subset: the first server of each cell, so that each key finds its cell,
+// and as many others as the given share of the servers needs.
+func (b *Balancer) chooseSubset(share float64) {
+	ready := slices.DeleteFunc(slices.Clone(b.endpoints.servers), func(s *server) bool { return s.State != Ready })
 	slices.SortFunc(ready, func(x, y *server) int {
-		return cmp.Or(cmp.Compare(x.Zone, y.Zone), cmp.Compare(x.Cell, y.Cell), cmp.Compare(order(x), order(y)))
+		return cmp.Or(
+			cmp.Compare(x.Zone, y.Zone), cmp.Compare(x.Cell, y.Cell),
+			cmp.Compare(b.subset.rank(x.ID), b.subset.rank(y.ID)))
 	})
-	kept, due := 0, 0.0
+	chosen, due := 0, 0.0
 	for i, s := range ready {
-		due += max(minSubsetShare, min(maxSubsetShare, part))
-		first := i == 0 || s.Zone != ready[i-1].Zone || s.Cell != ready[i-1].Cell
-		if s.outsideSubset = !first && due < 1; !s.outsideSubset {
-			kept, due = kept+1, max(0, due-1)
+		due += max(minSubsetShare, min(maxSubsetShare, share))
+		firstOfCell := i == 0 || s.Zone != ready[i-1].Zone || s.Cell != ready[i-1].Cell
+		s.outsideSubset = !firstOfCell && due < 1
+		if !s.outsideSubset {
+			chosen, due = chosen+1, max(0, due-1)
 		}
 	}
-	b.subsetShare = min(1, float64(kept)/float64(max(1, len(ready)))+subsetShareMargin)
+	b.subset.share = min(1, float64(chosen)/float64(max(1, len(ready)))+subsetShareMargin)
 }
 
-// outsideSubset says whether a server is not among those that this balancer keeps to.
-func (b *Balancer) outsideSubset(s *server) bool { return b.lowTraffic && s.outsideSubset }
+// outsideSubset says whether subsetting is in force and a server is not among the preferred ones.
+func (b *Balancer) outsideSubset(s *server) bool { return b.traffic.low && s.outsideSubset }
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -16,7 +16,7 @@
 		}
 		b, h := start(t, cfg, list)
 		cells := map[int]bool{}
-		for _, s := range b.servers {
+		for _, s := range b.endpoints.servers {
 			if !b.outsideSubset(s) {
 				cells[s.Cell] = true
 			}
--- a/policy/takeover.go
+++ b/policy/takeover.go
@@ -2,37 +2,45 @@
 
 import "time"
 
-// Take-over: a new process takes a sidecar's place while the old one still has requests. Both
-// are one balancer to the servers: its slots, queue places and part of a cold server's budget.
+// Take-over: a new process takes a sidecar's place while the old one still has requests. To the
+// servers both are one balancer, with one set of slots, queue places and slow start budgets.
 
-// HandOver gives up what this Balancer does not need for what it has and for so many requests that may be coming
-// still. It returns what it keeps, by tenant; that never grows. Cold servers' budget is the other's.
+// takeoverState is how a process stands towards the other one of its sidecar.
+type takeoverState struct {
+	otherProcess bool // another process of this sidecar is running
+	handedOver   bool // it takes this one's place
+}
+
+// HandOver gives up what this process needs neither for the requests that it has nor for a number
+// that may still be coming. It returns what it keeps, by tenant, which never grows again. The
+// budgets of servers that warm up belong to the other process.
 func (b *Balancer) HandOver(coming int) []BulkheadCapacity {
-	b.twoProcesses, b.handedOver = true, true
-	held := make([]BulkheadCapacity, len(b.bulkheads))
-	for i := range b.bulkheads {
-		c := &b.bulkheads[i]
-		c.slots = min(c.slots, c.used+len(c.queue)+coming)
-		c.queuePlaces = min(c.queuePlaces, len(c.queue)+coming)
-		held[i] = BulkheadCapacity{c.slots, c.queuePlaces}
+	b.takeover = takeoverState{otherProcess: true, handedOver: true}
+	kept := make([]BulkheadCapacity, len(b.bulkheads.byTenant))
+	for i := range b.bulkheads.byTenant {
+		bh := &b.bulkheads.byTenant[i]
+		bh.capacity.Slots = min(bh.capacity.Slots, bh.used+len(bh.queue)+coming)
+		bh.capacity.Places = min(bh.capacity.Places, len(bh.queue)+coming)
+		kept[i] = bh.capacity
 	}
-	return held
+	return kept
 }
 
-// ReserveForPredecessor takes what the other process keeps, by tenant; nothing where it has ended.
-// Until then cold servers get nothing: it may have spent their budget a moment ago.
-func (b *Balancer) ReserveForPredecessor(now time.Duration, held []BulkheadCapacity) {
-	for i := range b.bulkheads {
-		b.bulkheads[i].reserved = BulkheadCapacity{}
-		if i < len(held) {
-			b.bulkheads[i].reserved = held[i]
+// ReserveForPredecessor takes what the old process keeps, by tenant; nothing if it has ended. Until
+// then servers that warm up get nothing, as the old process may have just used their budget.
+func (b *Balancer) ReserveForPredecessor(now time.Duration, kept []BulkheadCapacity) {
+	for i := range b.bulkheads.byTenant {
+		reserved := BulkheadCapacity{}
+		if i < len(kept) {
+			reserved = kept[i]
 		}
+		b.bulkheads.byTenant[i].reserved = reserved
 	}
-	if b.twoProcesses && len(held) == 0 {
-		for _, s := range b.servers {
-			s.nextSlowStartSend = max(s.nextSlowStartSend, now+b.slowStartInterval(now, s))
+	if b.takeover.otherProcess && len(kept) == 0 {
+		for _, s := range b.endpoints.servers {
+			s.slowStart.nextSend = max(s.slowStart.nextSend, now+b.slowStartInterval(now, s))
 		}
 	}
-	b.twoProcesses = len(held) > 0
+	b.takeover.otherProcess = len(kept) > 0
 	b.dispatchQueued(now)
 }
--- a/policy/takeover_test.go
+++ b/policy/takeover_test.go
@@ -68,19 +68,19 @@
 			}
 			collect(old, oldHost)
 			collect(fresh, freshHost)
-			for i := range old.bulkheads {
-				a, b := &old.bulkheads[i], &fresh.bulkheads[i]
-				if total := b.slots; a.used+b.used > total {
+			for i := range old.bulkheads.byTenant {
+				a, b := &old.bulkheads.byTenant[i], &fresh.bulkheads.byTenant[i]
+				if total := b.capacity.Slots; a.used+b.used > total {
 					t.Fatalf("seed %d: tenant %d holds %d and %d of %d slots", seed, i, a.used, b.used, total)
 				}
-				if total := b.queuePlaces; seed%2 == 0 && len(a.queue)+len(b.queue) > total { // retries wait beyond the places
+				if total := b.capacity.Places; seed%2 == 0 && len(a.queue)+len(b.queue) > total { // retries wait beyond the places
 					t.Fatalf("seed %d: tenant %d has %d and %d in %d places", seed, i, len(a.queue), len(b.queue), total)
 				}
 			}
 		}
 		fresh.ReserveForPredecessor(now, nil)
-		for i := range fresh.bulkheads {
-			if fresh.SlotsFree(i) != fresh.bulkheads[i].slots-fresh.bulkheads[i].used {
+		for i := range fresh.bulkheads.byTenant {
+			if fresh.SlotsFree(i) != fresh.bulkheads.byTenant[i].capacity.Slots-fresh.bulkheads.byTenant[i].used {
 				t.Errorf("seed %d: slots are lent to a process that has ended", seed)
 			}
 		}
@@ -91,8 +91,8 @@
 // more than there were; the new one does without.
 func TestWhatIsComingKeepsItsSlot(t *testing.T) {
 	old, h := start(t, testConfig(), ready(1, 2, 3))
-	had := old.bulkheads[0].slots
-	if held := old.HandOver(2); held[0] != (BulkheadCapacity{2, min(2, old.configuredBulkheads[0].Places)}) {
+	had := old.bulkheads.byTenant[0].capacity.Slots
+	if held := old.HandOver(2); held[0] != (BulkheadCapacity{2, min(2, old.bulkheads.configured[0].Places)}) {
 		t.Errorf("it keeps %v for two that are coming", held[0])
 	}
 	ask(old, 0, 1, idempotentClass)
@@ -130,8 +130,8 @@
 		now += ms
 	}
 	fresh.ReserveForPredecessor(now, nil)
-	gap := fresh.slowStartInterval(now, fresh.server(1))
-	if at := fresh.server(1).nextSlowStartSend; at < now+gap/2 {
+	gap := fresh.slowStartInterval(now, fresh.endpoints.find(1))
+	if at := fresh.endpoints.find(1).slowStart.nextSend; at < now+gap/2 {
 		t.Errorf("the first send may come %v after the old one's end, want about a gap of %v", at-now, gap)
 	}
 	if freshHost.sentTo(1) > 0 {
--- a/policy/unresponsive_test.go
+++ b/policy/unresponsive_test.go
@@ -138,8 +138,8 @@
 		ask(b, 0, RequestID(z), idempotentClass)
 		end(b, 0, RequestID(z), 0, Served)
 	}
-	if len(b.zones) > 2 {
-		t.Fatalf("%d zones are kept, one is listed", len(b.zones))
+	if len(b.endpoints.zones) > 2 {
+		t.Fatalf("%d zones are kept, one is listed", len(b.endpoints.zones))
 	}
 }
 
