--- a/policy/affinity_test.go
+++ b/policy/affinity_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// affinityConfig is that of one of many balancers, where servers remember keys.
+// affinityConfig is a configuration with key affinity.
 func affinityConfig() Config {
 	cfg := testConfig()
 	cfg.KeyAffinity, cfg.Slots = true, 100
@@ -24,7 +24,7 @@
 	return list
 }
 
-// cellFor asks for a key and returns the cell that its request went to.
+// cellFor sends a request with a key and returns the cell that it went to.
 func cellFor(b *Balancer, h *fakeHost, now time.Duration, key uint64) int {
 	id := RequestID(len(h.sends) + 1000)
 	b.Request(now, Request{ID: id, Class: idempotentClass, TimeLeft: 3 * time.Second, AffinityKey: key})
@@ -33,7 +33,7 @@
 	return int(to / 10)
 }
 
-// Guards against this: every balancer shows every key to every cell, and none remembers many.
+// Otherwise every balancer would send every key to every cell, and each cell remembers only some keys.
 func TestBalancersAgreeOnTheCellOfAKey(t *testing.T) {
 	list := cells(5)
 	b1, h1 := start(t, affinityConfig(), list)
@@ -45,44 +45,44 @@
 	for key := range uint64(1000) {
 		first := cellFor(b1, h1, 0, key+1)
 		if again := cellFor(b1, h1, 0, key+1); again != first {
-			t.Fatalf("key %d goes to cell %d and then to %d", key+1, first, again)
+			t.Fatalf("key %d: got cell %d and then %d", key+1, first, again)
 		}
 		if other := cellFor(b2, h2, 0, key+1); other != first {
-			t.Fatalf("key %d goes to cell %d here and to %d there", key+1, first, other)
+			t.Fatalf("key %d: got cell %d at one balancer and %d at the other", key+1, first, other)
 		}
 		count[first]++
 	}
 	for c, n := range count {
 		if n < 150 || n > 250 {
-			t.Errorf("cell %d has %d of 1000 keys, want about 200", c, n)
+			t.Errorf("cell %d: got %d of 1000 keys, want about 200", c, n)
 		}
 	}
-	turns := map[ServerID]int{}
+	requests := map[ServerID]int{}
 	for _, s := range h1.sends {
-		turns[s.to]++
+		requests[s.to]++
 	}
 	for c := range 5 {
 		for i := range 3 {
-			if id := ServerID(10*c + i); math.Abs(float64(turns[id])-float64(2*count[c])/3) > 2 {
-				t.Errorf("server %d got %d of its cell's %d, want even turns", id, turns[id], 2*count[c])
+			if id := ServerID(10*c + i); math.Abs(float64(requests[id])-float64(2*count[c])/3) > 2 {
+				t.Errorf("server %d got %d of its cell's %d, want an even part", id, requests[id], 2*count[c])
 			}
 		}
 	}
 }
 
-// Guards against this: a cell that rests or leaves takes the other cells' keys apart.
-func TestKeysOfAnotherCellStay(t *testing.T) {
+// A cell that is unavailable or leaves must not move the keys of other cells.
+func TestKeysOfOtherCellsStay(t *testing.T) {
 	b, h := start(t, affinityConfig(), cells(5))
 	before := map[uint64]int{}
 	for key := range uint64(300) {
 		before[key+1] = cellFor(b, h, 0, key+1)
 	}
-	b.List(0, ListFull, cells(4)) // the last one leaves
+	b.List(0, ListFull, cells(4)) // the last one is removed
 	second := map[uint64]int{}
 	for key := range uint64(300) {
 		c := cellFor(b, h, 0, key+1)
 		if before[key+1] != 4 && c != before[key+1] {
-			t.Fatalf("key %d moved from cell %d to %d", key+1, before[key+1], c)
+			t.Fatalf("key %d moved from cell %d to %d though its cell stays", key+1, before[key+1], c)
 		}
 		second[key+1] = c
 	}
@@ -95,21 +95,21 @@
 	b.cfg.MayProbe = true
 	for key := range uint64(300) {
 		if c := cellFor(b, h, 0, key+1); c != second[key+1] {
-			t.Fatalf("key %d goes to cell %d, its second is %d", key+1, c, second[key+1])
+			t.Fatalf("key %d: got cell %d, want its second one, %d", key+1, c, second[key+1])
 		}
 	}
 }
 
-// Guards against this: requests without a key all go to one cell.
-func TestWithoutAKeyAllServersTakeTurns(t *testing.T) {
+// Requests without a key must not all go to one cell.
+func TestWithoutAKeyAllServersRotate(t *testing.T) {
 	b, h := start(t, affinityConfig(), cells(3))
 	for id := range RequestID(90) {
-		ask(b, 0, id, idempotentClass)
+		submit(b, 0, id, idempotentClass)
 		end(b, 0, id, 0, Served)
 	}
 	for _, s := range b.endpoints.servers {
 		if n := h.sentTo(s.ID); n != 10 {
-			t.Errorf("%d of 90 to server %d, want 10", n, s.ID)
+			t.Errorf("got %d of 90 requests at server %d, want 10", n, s.ID)
 		}
 	}
 }
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -6,30 +6,29 @@
 	"time"
 )
 
-// Guards against this: a kind listed at twice the size of another does a third more,
-// and all balancers together overrun it.
-func TestReportsTellWhatListedSizesCanDo(t *testing.T) {
+// If servers listed at twice the weight can do only a third more, the listed weights overload them.
+func TestLoadReportsCorrectListedWeights(t *testing.T) {
 	list := ready(1, 2)
 	list[1].Weight = 2
 	b, h := start(t, lowTrafficConfig(), list)
 	if b.endpoints.find(1).capacity != 1 || b.endpoints.find(2).capacity != 2 {
-		t.Fatalf("sizes %v and %v before any report", b.endpoints.find(1).capacity, b.endpoints.find(2).capacity)
+		t.Fatalf("capacities %v and %v before any report, want 1 and 2", b.endpoints.find(1).capacity, b.endpoints.find(2).capacity)
 	}
 	for range 50 {
-		b.Probed(ms, 1, true, LoadReport{InFlight: -1, Queued: 0, Utilization: 0.5, ServedPerSecond: 15}) // 30 a second
-		b.Probed(ms, 2, true, LoadReport{InFlight: -1, Queued: 3, Utilization: 1, ServedPerSecond: 40})   // 40
-		b.Probed(ms, 1, true, LoadReport{InFlight: -1, Queued: 0, Utilization: 0.1, ServedPerSecond: 40}) // too idle to tell
+		b.Probed(ms, 1, true, LoadReport{InFlight: -1, Queued: 0, Utilization: 0.5, ServedPerSecond: 15}) // capacity 30 a second
+		b.Probed(ms, 2, true, LoadReport{InFlight: -1, Queued: 3, Utilization: 1, ServedPerSecond: 40})   // capacity 40 a second
+		b.Probed(ms, 1, true, LoadReport{InFlight: -1, Queued: 0, Utilization: 0.1, ServedPerSecond: 40}) // utilization too low to count
 		b.Probed(ms, 1, true, UnknownLoad)
 	}
 	if got := b.endpoints.find(2).capacity / b.endpoints.find(1).capacity; math.Abs(got-4.0/3) > 0.05 {
-		t.Fatalf("sizes %v and %v, want a third more for the second", b.endpoints.find(1).capacity, b.endpoints.find(2).capacity)
+		t.Fatalf("capacities %v and %v, want a third more for the second", b.endpoints.find(1).capacity, b.endpoints.find(2).capacity)
 	}
 	for id := range RequestID(70) {
-		ask(b, ms, id, idempotentClass)
+		submit(b, ms, id, idempotentClass)
 		end(b, ms, id, 0, Served)
 	}
 	if n := h.sentTo(2); n < 38 || n > 42 {
-		t.Fatalf("%d of 70 to the larger server, want 40", n)
+		t.Fatalf("got %d of 70 requests at the larger server, want 40", n)
 	}
 	for i := range 2 * maxWeightClasses {
 		list = append(list, Endpoint{ID: ServerID(10 + i), State: Ready, Weight: 1 + float64(i)/100})
@@ -39,21 +38,21 @@
 		b.Probed(ms, s.ID, true, LoadReport{InFlight: -1, Queued: 0, Utilization: 1, ServedPerSecond: 20})
 	}
 	if len(b.capacities.classes) > maxWeightClasses {
-		t.Fatalf("%d listed sizes are told apart, at most %d", len(b.capacities.classes), maxWeightClasses)
+		t.Fatalf("got %d weight classes, want at most %d", len(b.capacities.classes), maxWeightClasses)
 	}
 }
 
-// Guards against this: probes that are cheap for one balancer cost the fleet more than they tell.
-func TestThinTrafficProbesSeldom(t *testing.T) {
+// Probes that are cheap for one balancer would cost a large fleet more than they are worth.
+func TestLowTrafficProbesSeldom(t *testing.T) {
 	cfg := lowTrafficConfig()
 	cfg.LoadReports = true
 	b, h := start(t, cfg, ready(1, 2, 3, 4))
 	for id := range RequestID(firstRequests + 160) {
 		now := time.Duration(id) * 50 * ms
-		ask(b, now, id, idempotentClass)
+		submit(b, now, id, idempotentClass)
 		end(b, now+ms, id, 0, Served)
 	}
 	if want := firstRequests/firstProbeInterval + 160/probeInterval; len(h.probes) != want {
-		t.Fatalf("%d probes, want %d", len(h.probes), want)
+		t.Fatalf("got %d probes, want %d", len(h.probes), want)
 	}
 }
--- a/policy/config_test.go
+++ b/policy/config_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestNewNamesTheUnusableField(t *testing.T) {
-	for field, spoil := range map[string]func(*Config){
+	for field, invalidate := range map[string]func(*Config){
 		"Balancers":        func(c *Config) { c.Balancers = 0 },
 		"Classes":          func(c *Config) { c.Classes = nil },
 		"MaxAttempts":      func(c *Config) { c.MaxAttempts = 0 },
@@ -28,9 +28,9 @@
 		"MaxRetryAfter":    func(c *Config) { c.MaxRetryAfter = -1 },
 	} {
 		cfg := testConfig()
-		spoil(&cfg)
+		invalidate(&cfg)
 		if _, err := New(cfg, 1, newFakeHost()); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: error %v does not name it", field, err)
+			t.Errorf("%s: got error %v, want one that names it", field, err)
 		}
 	}
 }
--- a/policy/dispatch_test.go
+++ b/policy/dispatch_test.go
@@ -5,118 +5,118 @@
 	"time"
 )
 
-func TestFurtherAttempts(t *testing.T) {
+func TestRetries(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		class int
 		ends  Ending
-		again bool
-		fails bool // where it is not sent again
+		retry bool
+		fails bool // if it is not retried
 	}{
-		{"safe after an error", idempotentClass, Errored, true, false},
-		{"keyed after a reset", keyedAllClass, Broken, true, false},
-		{"unsafe turned away", nonIdempotentClass, Rejected, true, false},
-		{"unsafe without a connection", nonIdempotentClass, NoConnection, true, false},
-		{"unsafe never sent", nonIdempotentClass, NotSent, true, false},
-		{"unsafe after an error", nonIdempotentClass, Errored, false, true},
-		{"unsafe after a reset", nonIdempotentClass, Broken, false, true},
-		{"unsafe after a time-out", nonIdempotentClass, TimedOut, false, true},
-		{"unsafe after an unknown end", nonIdempotentClass, Ending(99), false, true},
+		{"idempotent after an error", idempotentClass, Errored, true, false},
+		{"idempotent by key after a reset", keyedAllClass, Broken, true, false},
+		{"non-idempotent rejected", nonIdempotentClass, Rejected, true, false},
+		{"non-idempotent without a connection", nonIdempotentClass, NoConnection, true, false},
+		{"non-idempotent never sent", nonIdempotentClass, NotSent, true, false},
+		{"non-idempotent after an error", nonIdempotentClass, Errored, false, true},
+		{"non-idempotent after a reset", nonIdempotentClass, Broken, false, true},
+		{"non-idempotent after a timeout", nonIdempotentClass, TimedOut, false, true},
+		{"non-idempotent after an unknown ending", nonIdempotentClass, Ending(99), false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b, h := start(t, testConfig(), ready(1, 2, 3))
-			ask(b, 0, 1, c.class)
+			submit(b, 0, 1, c.class)
 			end(b, 30*ms, 1, 0, c.ends)
-			if again := len(h.sends) == 2; again != c.again {
-				t.Fatalf("sent again: %v, want %v", again, c.again)
+			if retried := len(h.sends) == 2; retried != c.retry {
+				t.Fatalf("got retried %v, want %v", retried, c.retry)
 			}
-			if !c.again && h.failed[1] != c.fails {
-				t.Fatalf("failed: %v, want %v (refused: %v)", h.failed[1], c.fails, h.refused)
+			if !c.retry && h.failed[1] != c.fails {
+				t.Fatalf("got failed %v, want %v (refused: %v)", h.failed[1], c.fails, h.refused)
 			}
-			if c.again && h.sends[1].to == h.sends[0].to {
-				t.Fatal("sent again to the same server")
+			if c.retry && h.sends[1].to == h.sends[0].to {
+				t.Fatal("retried at the same server")
 			}
 		})
 	}
 }
 
-func TestAttemptsLimitThenRefusal(t *testing.T) {
+func TestRefusedAfterMaxAttempts(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5))
-	ask(b, 0, 1, nonIdempotentClass)
+	submit(b, 0, 1, nonIdempotentClass)
 	for i := range 3 {
 		end(b, time.Duration(i+1)*ms, 1, i, NoConnection)
 	}
 	if _, ok := h.refused[1]; len(h.sends) != 3 || !ok {
-		t.Fatalf("sends %d, refused %v; want 3 and a refusal: it provably never ran", len(h.sends), ok)
+		t.Fatalf("got %d sends, refused %v; want 3 and a refusal, as it never ran", len(h.sends), ok)
 	}
 }
 
-func TestKeyedStaysInItsGroup(t *testing.T) {
+func TestKeyedRetryStaysInDedupScope(t *testing.T) {
 	list := []Endpoint{
 		{ID: 1, State: Ready, Weight: 1, Zone: 0, Cell: 10}, {ID: 2, State: Ready, Weight: 1, Zone: 0, Cell: 11},
 		{ID: 3, State: Ready, Weight: 1, Zone: 1, Cell: 12}, {ID: 4, State: Ready, Weight: 1, Zone: 1, Cell: 12},
 	}
 	byID := func(id ServerID) Endpoint { return list[id-1] }
-	for id := range RequestID(8) { // the turns make the first attempt meet every server
+	for id := range RequestID(8) { // the rotation makes the first attempt meet every server
 		for _, class := range []int{keyedZoneClass, keyedCellClass} {
 			b, h := start(t, testConfig(), list)
 			for warm := range id {
-				ask(b, 0, 100+warm, idempotentClass)
+				submit(b, 0, 100+warm, idempotentClass)
 				end(b, ms, 100+warm, 0, Served)
 			}
 			h.sends = nil
-			ask(b, 2*ms, 1, class)
+			submit(b, 2*ms, 1, class)
 			first := byID(h.sends[0].to)
 			end(b, 30*ms, 1, 0, Broken)
 			if len(h.sends) < 2 {
 				if class == keyedZoneClass || first.Zone == 1 {
-					t.Fatalf("class %d from server %d was not sent again", class, first.ID)
+					t.Fatalf("class %d from server %d was not retried", class, first.ID)
 				}
 				continue // alone in its cell
 			}
 			second := byID(h.sends[1].to)
 			if second.Zone != first.Zone || (class == keyedCellClass && second.Cell != first.Cell) {
-				t.Fatalf("class %d went from server %d to %d, outside its group", class, first.ID, second.ID)
+				t.Fatalf("class %d was retried from server %d at %d, outside its scope", class, first.ID, second.ID)
 			}
 		}
 	}
 }
 
-func TestKeyedGroupCountsFromTheAttemptThatMayHaveRun(t *testing.T) {
+func TestDedupScopeFollowsTheAttemptThatMayHaveRun(t *testing.T) {
 	list := []Endpoint{{ID: 1, State: Ready, Weight: 1, Zone: 0}, {ID: 2, State: Ready, Weight: 1, Zone: 1},
 		{ID: 3, State: Ready, Weight: 1, Zone: 1}}
 	b, h := start(t, testConfig(), list)
 	for h.sentTo(1) == 0 || len(h.sends) == 0 || h.sends[len(h.sends)-1].to != 1 {
 		id := RequestID(100 + len(h.sends))
-		ask(b, 0, id, idempotentClass)
+		submit(b, 0, id, idempotentClass)
 		end(b, ms, id, 0, Served)
 	}
 	b.List(ms, ListDelta, []Endpoint{{ID: 3, State: Removed}})
 	h.sends = nil
-	ask(b, 2*ms, 1, keyedZoneClass) // it is the turn of server 2, in zone 1
+	submit(b, 2*ms, 1, keyedZoneClass) // server 2, in zone 1, is next
 	if h.sends[0].to != 2 {
-		t.Fatalf("set-up: first attempt went to %d", h.sends[0].to)
+		t.Fatalf("setup: first attempt at server %d, want 2", h.sends[0].to)
 	}
-	end(b, 3*ms, 1, 0, Rejected) // it never ran there, so zone 1 does not bind
+	end(b, 3*ms, 1, 0, Rejected) // it never ran there, so it is not bound to zone 1
 	if len(h.sends) != 2 || h.sends[1].to != 1 {
 		t.Fatalf("sends %v, want a second attempt at server 1", h.sends)
 	}
-	end(b, 4*ms, 1, 1, Broken) // may have run in zone 0: server 2 is barred now
+	end(b, 4*ms, 1, 1, Broken) // it may have run in zone 0, so server 2 may not get it
 	if len(h.sends) != 2 {
-		t.Fatalf("sent outside the group: %v", h.sends)
+		t.Fatalf("sends %v, want none outside the scope", h.sends)
 	}
 }
 
-func TestKeyedWindowAndRefusal(t *testing.T) {
+func TestDedupWindowAndRefusal(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2, 3))
-	ask(b, 0, 1, keyedAllClass)
+	submit(b, 0, 1, keyedAllClass)
 	end(b, 700*ms, 1, 0, Errored) // the window of 700 ms since its send is over
 	if _, refused := h.refused[1]; len(h.sends) != 1 || !refused {
-		t.Fatalf("sends %d, refused %v; want 1 and a refusal, as all servers drop repeats", len(h.sends), refused)
+		t.Fatalf("got %d sends, refused %v; want 1 and a refusal, as all servers drop repeats", len(h.sends), refused)
 	}
-	ask(b, 800*ms, 2, keyedZoneClass)
+	submit(b, 800*ms, 2, keyedZoneClass)
 	end(b, 1500*ms, 2, 0, Errored)
 	if !h.failed[2] {
-		t.Fatal("a keyed request that may have run, with a group of one zone, must be failed and not refused")
+		t.Fatal("a request idempotent by key within its zone that may have run was not failed")
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"barleywick/policy"
 )
 
-// sidecar is the program that embeds the module: it carries out its decisions.
+// sidecar stands for the program that embeds the package and carries out its decisions.
 type sidecar struct{}
 
 func (sidecar) Send(id policy.RequestID, to policy.ServerID, timeout, start time.Duration) {
@@ -36,7 +36,7 @@
 	now := time.Duration(0) // since any moment the program picks
 	b.Start(now)
 	b.List(now, policy.ListFull, []policy.Endpoint{{ID: 7, State: policy.Ready, Weight: 1}})
-	for id := range policy.RequestID(3) { // one slot, one queue place: the third is refused
+	for id := range policy.RequestID(3) { // one slot and one queue place: the third is refused
 		b.Request(now, policy.Request{ID: id, TimeLeft: 2 * time.Second})
 	}
 	now += 80 * time.Millisecond
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -8,8 +8,8 @@
 
 const ms = time.Millisecond
 
-// sent is one attempt that a test host was asked to start.
-type sent struct {
+// sentAttempt is an attempt that a test host was asked to start.
+type sentAttempt struct {
 	id      RequestID
 	to      ServerID
 	timeout time.Duration
@@ -17,7 +17,7 @@
 
 // fakeHost records the actions of a Balancer.
 type fakeHost struct {
-	sends     []sent
+	sends     []sentAttempt
 	refused   map[RequestID]time.Duration
 	failed    map[RequestID]bool
 	cancelled []RequestID
@@ -36,7 +36,7 @@
 }
 
 func (h *fakeHost) Send(id RequestID, to ServerID, timeout, start time.Duration) {
-	h.sends = append(h.sends, sent{id, to, timeout})
+	h.sends = append(h.sends, sentAttempt{id, to, timeout})
 	h.note("send %d %d %v", id, to, timeout)
 }
 
@@ -70,7 +70,7 @@
 	h.note("watch")
 }
 
-// sentTo counts the attempts sent to a server.
+// sentTo counts the attempts at a server.
 func (h *fakeHost) sentTo(id ServerID) int {
 	n := 0
 	for _, s := range h.sends {
@@ -117,12 +117,12 @@
 func ready(ids ...ServerID) []Endpoint {
 	var list []Endpoint
 	for _, id := range ids {
-		list = append(list, Endpoint{ID: id, Cell: -int(id), State: Ready, Weight: 1}) // no two in one cell, as where none are listed
+		list = append(list, Endpoint{ID: id, Cell: -int(id), State: Ready, Weight: 1}) // each in its own cell, as without listed cells
 	}
 	return list
 }
 
-// start makes a Balancer that holds a list of servers.
+// start makes a Balancer with an endpoint list.
 func start(t testing.TB, cfg Config, list []Endpoint) (*Balancer, *fakeHost) {
 	t.Helper()
 	h := newFakeHost()
@@ -135,8 +135,8 @@
 	return b, h
 }
 
-// ask hands in a request of tenant 0.
-func ask(b *Balancer, now time.Duration, id RequestID, class int) {
+// submit sends a request of tenant 0.
+func submit(b *Balancer, now time.Duration, id RequestID, class int) {
 	b.Request(now, Request{ID: id, Class: class, TimeLeft: 2 * time.Second})
 }
 
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -7,7 +7,7 @@
 	"unicode/utf8"
 )
 
-// The module is read by an auditor who charges by the page.
+// The main file of the module stays short enough to be read at once.
 func TestModuleStaysWithinItsLimits(t *testing.T) {
 	const mostLines, mostColumns = 550, 110
 	text, err := os.ReadFile("policy.go")
@@ -24,9 +24,9 @@
 		}
 	}
 	if lines > mostLines {
-		t.Errorf("%d lines that are not blank, at most %d", lines, mostLines)
+		t.Errorf("got %d lines that are not blank, want at most %d", lines, mostLines)
 	}
 	if head, _, _ := strings.Cut(string(text), "\npackage "); !strings.Contains(head, "api.go") {
-		t.Error("the top of the module does not name api.go")
+		t.Error("the head of the file does not name api.go")
 	}
 }
--- a/policy/pages_test.go
+++ b/policy/pages_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-// The page on decisions may name no counter that does not exist, and must name every one.
+// The page on decisions names every counter, and none that does not exist.
 func TestPageNamesTheCounters(t *testing.T) {
 	page, err := os.ReadFile("../docs/DECISIONS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	known := map[string]bool{"SlotsFree": true, "QueueFree": true, "Share": true, "Slots": true, "ColdTime": true}
+	known := map[string]bool{"SlotsFree": true, "QueueFree": true, "Share": true, "Slots": true, "SlowStartWindow": true}
 	counters := reflect.TypeFor[Counters]()
 	for i := range counters.NumField() {
 		known[counters.Field(i).Name] = false
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestOddEventsArePassedOver(t *testing.T) {
+func TestInvalidEventsAreIgnored(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
 	b.Request(0, Request{ID: 1, Class: 99, TimeLeft: time.Second})
 	b.Request(0, Request{ID: 2, Class: -1, TimeLeft: time.Second})
@@ -13,51 +13,51 @@
 	b.Request(0, Request{ID: 4, TimeLeft: 0})
 	b.Request(0, Request{ID: 5, TimeLeft: -time.Second})
 	if len(h.refused) != 5 || len(h.sends) != 0 {
-		t.Fatalf("refused %d, sent %d; want 5 and 0", len(h.refused), len(h.sends))
+		t.Fatalf("got %d refused and %d sent, want 5 and 0", len(h.refused), len(h.sends))
 	}
-	ask(b, 0, 6, idempotentClass)
-	ask(b, 0, 6, idempotentClass) // held already
+	submit(b, 0, 6, idempotentClass)
+	submit(b, 0, 6, idempotentClass) // id in use
 	end(b, 0, 6, 3, Served)
 	end(b, 0, 6, -1, Served)
 	end(b, 0, 77, 0, Served)
 	b.ClientGone(0, 77)
 	b.StreamBegun(77)
 	if len(h.sends) != 1 || b.SlotsFree(0) != 5 {
-		t.Fatalf("sends %d, slots free %d; want 1 and 5", len(h.sends), b.SlotsFree(0))
+		t.Fatalf("got %d sends and %d free slots, want 1 and 5", len(h.sends), b.SlotsFree(0))
 	}
 	end(b, ms, 6, 0, Served)
 	end(b, ms, 6, 0, Served) // twice
 	if b.SlotsFree(0) != 6 {
-		t.Fatalf("slots free %d after a repeated outcome, want 6", b.SlotsFree(0))
+		t.Fatalf("got %d free slots after a repeated outcome, want 6", b.SlotsFree(0))
 	}
 }
 
-func TestClientGoneFreesAndForgets(t *testing.T) {
+func TestRequestIsForgottenWhenItsClientLeaves(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1))
-	ask(b, 0, 1, idempotentClass)
+	submit(b, 0, 1, idempotentClass)
 	b.ClientGone(ms, 1)
 	if len(h.cancelled) != 1 || b.SlotsFree(0) != 5 {
-		t.Fatal("the attempt was not called off, or its slot freed before it ended")
+		t.Fatal("the attempt was not cancelled, or its slot became free before it ended")
 	}
 	end(b, 2*ms, 1, 0, Cancelled)
 	if len(h.refused)+len(h.failed) != 0 || len(b.requests) != 0 || b.SlotsFree(0) != 6 {
-		t.Fatalf("answers %d, held %d", len(h.refused)+len(h.failed), len(b.requests))
+		t.Fatalf("got %d answers and %d requests kept, want none", len(h.refused)+len(h.failed), len(b.requests))
 	}
 }
 
 func TestStreamIsLeftAlone(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
-	ask(b, 0, 1, idempotentClass)
+	submit(b, 0, 1, idempotentClass)
 	b.StreamBegun(1)
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * ms {
 		b.Wake(now)
 	}
 	if len(h.refused)+len(h.failed)+len(h.cancelled) != 0 || len(h.sends) != 1 {
-		t.Fatal("a stream that had begun was answered, called off or sent again")
+		t.Fatal("a stream that had begun was answered, cancelled or retried")
 	}
 	b.Outcome(11*time.Second, Outcome{ID: 1, Ending: Broken, Settled: true})
 	if len(b.requests) != 0 {
-		t.Fatal("the ended stream is still held")
+		t.Fatal("the ended stream is still kept")
 	}
 }
 
@@ -65,7 +65,7 @@
 	b, _ := start(t, testConfig(), ready(1, 2))
 	for id := range RequestID(20000) {
 		now := time.Duration(id) * 5 * ms
-		ask(b, now, id, idempotentClass)
+		submit(b, now, id, idempotentClass)
 		switch id % 3 {
 		case 0:
 			end(b, now+ms, id, 0, Served)
@@ -84,7 +84,7 @@
 	}
 	b.Wake(time.Hour)
 	if len(b.requests) > 3 || len(b.openRequests) > 3 || len(b.endpoints.servers) != 2 || cap(b.openRequests) > 100 {
-		t.Fatalf("held: %d requests, %d open (room for %d), %d servers",
+		t.Fatalf("kept: %d requests, %d open (capacity %d), %d servers",
 			len(b.requests), len(b.openRequests), cap(b.openRequests), len(b.endpoints.servers))
 	}
 }
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -5,29 +5,28 @@
 	"time"
 )
 
-// withoutQuotas is a deployment that names no tenants: nobody says how much traffic there is.
+// withoutQuotas is a configuration without tenants, from which the traffic is unknown.
 func withoutQuotas(balancers int) Config {
 	cfg := testConfig()
 	cfg.Tenants, cfg.Slots, cfg.MayProbe, cfg.LoadReports, cfg.Balancers = nil, 0, true, true, balancers
 	return cfg
 }
 
-// Guards against this: where no quota is known traffic passes for none at all, and a handful
-// of balancers rest servers, spare most of them and shed as hundreds have to.
-func TestUnknownTrafficIsNotThin(t *testing.T) {
+// Without quotas, a few balancers must not eject, use a subset and shed as hundreds have to.
+func TestUnknownTrafficIsNotLow(t *testing.T) {
 	list := ready(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)
-	for balancers, thin := range map[int]bool{1: false, 6: false, 300: true} {
+	for balancers, low := range map[int]bool{1: false, 6: false, 300: true} {
 		b, _ := start(t, withoutQuotas(balancers), list)
-		if b.traffic.low != thin {
-			t.Errorf("%d balancers without quotas: thin %v, want %v", balancers, b.traffic.low, thin)
+		if b.traffic.low != low {
+			t.Errorf("%d balancers without quotas: got low traffic %v, want %v", balancers, b.traffic.low, low)
 		}
 	}
 	b, h := start(t, withoutQuotas(6), list)
-	for id := range RequestID(400) { // answers that take much of the aim
+	for id := range RequestID(400) { // answers that take much of the objective
 		now := time.Duration(id) * 50 * ms
-		ask(b, now, id, nonIdempotentClass)
+		submit(b, now, id, nonIdempotentClass)
 		if n := len(h.sends); n == 0 || h.sends[n-1].id != id {
-			t.Fatalf("request %d was not sent though nothing else is under way", id)
+			t.Fatalf("request %d was not sent although nothing else is in flight", id)
 		}
 		end(b, now+40*ms, id, 0, Served)
 	}
@@ -36,16 +35,16 @@
 		used[s.to] = true
 	}
 	if len(used) != len(list) {
-		t.Errorf("%d servers of %d were used", len(used), len(list))
+		t.Errorf("got %d servers of %d used, want all", len(used), len(list))
 	}
 }
 
-// Guards against this: without quotas each balancer keeps to a pace of its own towards a cold
-// server, and the sum of all grows with their number.
-func TestColdServersBudgetIsTheFleetsWithoutQuotas(t *testing.T) {
+// Without quotas, the sum of what all balancers send to a server that warms up must not grow with
+// their number.
+func TestSlowStartBudgetIsSharedWithoutQuotas(t *testing.T) {
 	sum := func(balancers int) float64 {
 		cfg := withoutQuotas(balancers)
-		cfg.SlowStartWindow = time.Hour // it does not warm meanwhile
+		cfg.SlowStartWindow = time.Hour // it does not warm up meanwhile
 		b, _ := start(t, cfg, ready(1, 2, 3, 4, 5, 6, 7, 8))
 		b.List(time.Second, ListDelta, []Endpoint{{ID: 1, State: Ready, Weight: 1, Started: time.Second}})
 		b.traffic.low = false // all of them use it
@@ -53,9 +52,9 @@
 	}
 	few, many := sum(8), sum(80) // of 8 servers
 	if many > few*1.3 || few <= 0 {
-		t.Errorf("80 balancers send %.1f a second to a cold server, 8 send %.1f", many, few)
+		t.Errorf("80 balancers send %.1f a second to a server that warms up, 8 send %.1f, want about the same", many, few)
 	}
 	if alone := sum(1); alone > few {
-		t.Errorf("one balancer alone sends %.1f a second to a cold server, 8 send %.1f", alone, few)
+		t.Errorf("one balancer sends %.1f a second to a server that warms up, 8 send %.1f, want no more", alone, few)
 	}
 }
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -9,44 +9,45 @@
 	"time"
 )
 
-// world drives a Balancer with legal events in arbitrary order and checks the
-// rules at every action. It models no server timing: it picks what happens.
+// world drives a Balancer with legal events in random order and checks the rules at every action. It
+// does not model the time that servers take: it chooses what happens.
 type world struct {
-	t       testing.TB
-	cfg     Config
-	b       *Balancer
-	now     time.Duration
-	next    RequestID
-	held    map[RequestID]*heldRequest
-	order   []RequestID // ids of held, in order, so that a run can be repeated
-	listed  map[ServerID]Endpoint
-	trace   []string
-	watches int
-	cold    map[ServerID][]time.Duration // sends to each cold server in the last second
-	timers  []time.Duration
-	probed  []ServerID // not answered yet
-	slots   []int      // of each compartment
+	t              testing.TB
+	cfg            Config
+	b              *Balancer
+	now            time.Duration
+	lastID         RequestID
+	requests       map[RequestID]*trackedRequest
+	order          []RequestID // ids of requests, in order, so that a run can be repeated
+	endpoints      map[ServerID]Endpoint
+	trace          []string
+	watches        int
+	slowStartSends map[ServerID][]time.Duration // sends in the last second to each server that warms up
+	timers         []time.Duration
+	probed         []ServerID // not answered yet
+	slots          []int      // of each bulkhead
 }
 
-// heldRequest is what the world knows of one request.
-type heldRequest struct {
+// trackedRequest is what the world knows of a request.
+type trackedRequest struct {
 	q        Request
 	deadline time.Duration
-	tries    []worldAttempt
+	attempts []trackedAttempt
 	answered bool
 }
 
-type worldAttempt struct {
-	to   Endpoint
-	sent time.Duration
-	end  Ending
-	out  bool
+// trackedAttempt is what the world knows of an attempt.
+type trackedAttempt struct {
+	endpoint Endpoint
+	sentAt   time.Duration
+	ending   Ending
+	inFlight bool
 }
 
-func (a *heldRequest) mayHaveRun() *worldAttempt {
-	for i := range a.tries {
-		if e := a.tries[i].end; a.tries[i].out || (e != Rejected && e != NoConnection && e != NotSent) {
-			return &a.tries[i]
+func (a *trackedRequest) mayHaveRun() *trackedAttempt {
+	for i := range a.attempts {
+		if e := a.attempts[i].ending; a.attempts[i].inFlight || (e != Rejected && e != NoConnection && e != NotSent) {
+			return &a.attempts[i]
 		}
 	}
 	return nil
@@ -58,40 +59,40 @@
 
 func (w *world) Send(id RequestID, to ServerID, timeout, start time.Duration) {
 	w.note("send %d %d %v", id, to, timeout)
-	a, s := w.held[id], w.listed[to]
+	a, s := w.requests[id], w.endpoints[to]
 	switch {
 	case a == nil || a.answered:
-		w.t.Fatalf("rule 1: attempt for request %d, which is over", id)
+		w.t.Fatalf("rule 1: attempt for request %d, which has its answer", id)
 	case s.State != Ready:
 		w.t.Fatalf("rule 3: attempt at server %d in state %d", to, s.State)
 	case timeout <= 0 || w.now+timeout > a.deadline:
-		w.t.Fatalf("rule 1: time-out %v at %v runs past the deadline %v", timeout, w.now, a.deadline)
+		w.t.Fatalf("rule 1: timeout %v at %v exceeds the deadline %v", timeout, w.now, a.deadline)
 	case start < 0:
 		w.t.Fatalf("rule 2: attempt that is to begin %v before now", -start)
-	case len(a.tries) >= w.cfg.MaxAttempts:
-		w.t.Fatalf("attempt %d of at most %d", len(a.tries)+1, w.cfg.MaxAttempts)
+	case len(a.attempts) >= w.cfg.MaxAttempts:
+		w.t.Fatalf("attempt %d of at most %d", len(a.attempts)+1, w.cfg.MaxAttempts)
 	}
 	class := w.cfg.Classes[a.q.Class]
 	if first := a.mayHaveRun(); first != nil {
 		switch {
 		case class.Idempotency == NonIdempotent:
-			w.t.Fatalf("rule 2: unsafe request %d sent again though it may have run", id)
-		case class.Idempotency == IdempotentByKey && w.now-first.sent >= class.DedupWindow:
-			w.t.Fatalf("rule 2: keyed request %d sent again %v after the first send", id, w.now-first.sent)
-		case class.Idempotency == IdempotentByKey && (start == 0 || w.now+start > first.sent+class.DedupWindow):
-			w.t.Fatalf("rule 2: keyed request %d may begin again within %v, %v after the first send", id, start, w.now-first.sent)
-		case class.Idempotency == IdempotentByKey && class.DedupScope == ScopeZone && s.Zone != first.to.Zone,
-			class.Idempotency == IdempotentByKey && class.DedupScope == ScopeCell && s.Cell != first.to.Cell:
-			w.t.Fatalf("rule 2: keyed request %d sent outside its group", id)
+			w.t.Fatalf("rule 2: non-idempotent request %d retried although it may have run", id)
+		case class.Idempotency == IdempotentByKey && w.now-first.sentAt >= class.DedupWindow:
+			w.t.Fatalf("rule 2: request %d, idempotent by key, retried %v after the first send", id, w.now-first.sentAt)
+		case class.Idempotency == IdempotentByKey && (start == 0 || w.now+start > first.sentAt+class.DedupWindow):
+			w.t.Fatalf("rule 2: request %d, idempotent by key, may start again within %v, %v after the first send", id, start, w.now-first.sentAt)
+		case class.Idempotency == IdempotentByKey && class.DedupScope == ScopeZone && s.Zone != first.endpoint.Zone,
+			class.Idempotency == IdempotentByKey && class.DedupScope == ScopeCell && s.Cell != first.endpoint.Cell:
+			w.t.Fatalf("rule 2: request %d, idempotent by key, retried outside its scope", id)
 		}
 	}
-	w.watchCold(s)
-	a.tries = append(a.tries, worldAttempt{to: s, sent: w.now, out: true})
+	w.checkSlowStart(s)
+	a.attempts = append(a.attempts, trackedAttempt{endpoint: s, sentAt: w.now, inFlight: true})
 }
 
-// watchCold checks that this balancer keeps to its even part of a cold server's budget in any
-// second, with one send of slack at each end of it.
-func (w *world) watchCold(s Endpoint) {
+// checkSlowStart checks that this balancer keeps to its even part of the slow start budget in any second,
+// with a tolerance of one send at each end of it.
+func (w *world) checkSlowStart(s Endpoint) {
 	if s.Started == 0 || w.now >= s.Started+w.cfg.SlowStartWindow {
 		return
 	}
@@ -100,24 +101,24 @@
 	for _, t := range w.cfg.Tenants {
 		quota += t.Quota
 	}
-	for _, o := range w.listed {
+	for _, o := range w.endpoints {
 		if o.State == Ready {
 			total += weight(o)
 		}
 	}
 	warm := w.cfg.SlowStartFloor + (1-w.cfg.SlowStartFloor)*float64(w.now-s.Started)/float64(w.cfg.SlowStartWindow)
 	budget := 2 + w.cfg.OverloadFactor*warm*quota/float64(w.cfg.Balancers)*weight(s)/total
-	recent := slices.DeleteFunc(w.cold[s.ID], func(at time.Duration) bool { return at <= w.now-time.Second })
-	w.cold[s.ID] = append(recent, w.now)
-	if n := float64(len(w.cold[s.ID])); n > budget {
-		w.t.Fatalf("rule 4: %v sends within a second to cold server %d, the budget is %.1f", n, s.ID, budget)
+	recent := slices.DeleteFunc(w.slowStartSends[s.ID], func(at time.Duration) bool { return at <= w.now-time.Second })
+	w.slowStartSends[s.ID] = append(recent, w.now)
+	if n := float64(len(w.slowStartSends[s.ID])); n > budget {
+		w.t.Fatalf("rule 4: %v sends within a second to server %d, which warms up; the budget is %.1f", n, s.ID, budget)
 	}
 }
 
-func (w *world) answer(id RequestID) *heldRequest {
-	a := w.held[id]
+func (w *world) answer(id RequestID) *trackedRequest {
+	a := w.requests[id]
 	if a == nil || a.answered {
-		w.t.Fatalf("rule 1: second answer for request %d, or one for a request not held", id)
+		w.t.Fatalf("rule 1: second answer to request %d, or one to an unknown request", id)
 	}
 	if w.now > a.deadline+20*ms {
 		w.t.Fatalf("rule 1: answered %v after the deadline", w.now-a.deadline)
@@ -131,10 +132,10 @@
 	a := w.answer(id)
 	class := w.cfg.Classes[a.q.Class]
 	if a.mayHaveRun() != nil && (class.Idempotency == NonIdempotent || class.Idempotency == IdempotentByKey && class.DedupScope != ScopeAll) {
-		w.t.Fatalf("rule 2: request %d refused though it may have run", id)
+		w.t.Fatalf("rule 2: request %d refused although it may have run", id)
 	}
 	if pause < 0 || pause > w.cfg.MaxRetryAfter {
-		w.t.Fatalf("pause %v", pause)
+		w.t.Fatalf("got a pause of %v, want 0 to %v", pause, w.cfg.MaxRetryAfter)
 	}
 }
 
@@ -144,14 +145,14 @@
 func (w *world) Probe(to ServerID)                { w.note("probe %d", to); w.probed = append(w.probed, to) }
 func (w *world) WatchList()                       { w.note("watch"); w.watches++ }
 
-// drive runs a world; pick(n) chooses among n possibilities.
+// drive runs a world. pick(n) chooses among n possibilities.
 func drive(t testing.TB, steps int, pick func(n int) int) []string {
 	cfg := testConfig()
 	cfg.PollList, cfg.MayProbe, cfg.LoadReports = true, true, pick(2) == 0
-	cfg.Balancers = []int{2, 1000}[pick(2)] // many: traffic too thin to know servers by
+	cfg.Balancers = []int{2, 1000}[pick(2)] // with many balancers traffic is low
 	cfg.CrossZoneCost = float64(pick(2)) * 0.02
-	w := &world{t: t, cfg: cfg, held: map[RequestID]*heldRequest{}, listed: map[ServerID]Endpoint{}, now: time.Hour}
-	w.cold = map[ServerID][]time.Duration{}
+	w := &world{t: t, cfg: cfg, requests: map[RequestID]*trackedRequest{}, endpoints: map[ServerID]Endpoint{}, now: time.Hour}
+	w.slowStartSends = map[ServerID][]time.Duration{}
 	b, err := New(cfg, uint64(pick(1000)), w)
 	if err != nil {
 		t.Fatal(err)
@@ -165,19 +166,19 @@
 		w.step(pick)
 		w.account()
 	}
-	for range 600 { // everything left is answered in time
+	for range 600 { // all that is left is answered in time
 		w.now += 5 * ms
 		w.timeouts()
 		w.account()
 	}
-	for id, a := range w.held {
+	for id, a := range w.requests {
 		if !a.answered {
 			t.Fatalf("rule 1: request %d was never answered", id)
 		}
 	}
 	for i, slots := range w.slots {
 		if free := b.SlotsFree(i); free != slots {
-			t.Fatalf("compartment %d: %d of %d slots free after all has ended", i, free, slots)
+			t.Fatalf("bulkhead %d: %d of %d slots free after all requests ended", i, free, slots)
 		}
 	}
 	return w.trace
@@ -188,23 +189,23 @@
 	w.timeouts()
 	switch pick(10) {
 	case 0, 1, 2:
-		w.next++
-		q := Request{ID: w.next, Class: pick(len(w.cfg.Classes)), Tenant: pick(2)}
+		w.lastID++
+		q := Request{ID: w.lastID, Class: pick(len(w.cfg.Classes)), Tenant: pick(2)}
 		q.TimeLeft = time.Duration(1+pick(2000)) * ms
 		if pick(8) == 0 {
-			q.TimeLeft /= 1000 // as good as none left
+			q.TimeLeft /= 1000 // almost none left
 		}
-		w.held[q.ID] = &heldRequest{q: q, deadline: w.now + q.TimeLeft}
+		w.requests[q.ID] = &trackedRequest{q: q, deadline: w.now + q.TimeLeft}
 		w.order = append(w.order, q.ID)
 		w.b.Request(w.now, q)
 	case 3, 4, 5:
 		w.finish(pick)
 	case 6:
-		w.b.Wake(w.now) // one that nobody asked for
+		w.b.Wake(w.now) // a wake-up that was not asked for
 	case 7:
 		w.list(pick)
 	case 8:
-		id := ServerID(pick(8)) // not asked for, now and then
+		id := ServerID(pick(8)) // sometimes a result that was not asked for
 		if n := len(w.probed); n > 0 && pick(8) > 0 {
 			k := pick(n)
 			id = w.probed[k]
@@ -215,23 +216,23 @@
 		})
 	case 9:
 		if len(w.order) > 0 {
-			if id := w.order[pick(len(w.order))]; !w.held[id].answered {
-				w.held[id].answered = true
+			if id := w.order[pick(len(w.order))]; !w.requests[id].answered {
+				w.requests[id].answered = true
 				w.b.ClientGone(w.now, id)
 			}
 		}
 	}
 }
 
-// finish ends one attempt that is out.
+// finish ends one attempt in flight.
 func (w *world) finish(pick func(int) int) {
 	for range 4 {
 		if len(w.order) == 0 {
 			return
 		}
 		id := w.order[pick(len(w.order))]
-		for i := range w.held[id].tries {
-			if w.held[id].tries[i].out {
+		for i := range w.requests[id].attempts {
+			if w.requests[id].attempts[i].inFlight {
 				w.end(id, i, []Ending{Served, Errored, Rejected, NoConnection, Broken, Cancelled, NotSent}[pick(7)])
 				return
 			}
@@ -240,14 +241,14 @@
 }
 
 func (w *world) end(id RequestID, i int, e Ending) {
-	a := w.held[id]
-	a.tries[i].out, a.tries[i].end = false, e
+	a := w.requests[id]
+	a.attempts[i].inFlight, a.attempts[i].ending = false, e
 	settled := a.answered || e == Served
 	a.answered = settled
 	w.b.Outcome(w.now, Outcome{ID: id, Attempt: i, Ending: e, Settled: settled})
 }
 
-// wake calls the Balancer as often as its timers have come due, and no more.
+// wake calls the Balancer once for each of its timers that is due.
 func (w *world) wake() {
 	due := len(w.timers)
 	w.timers = slices.DeleteFunc(w.timers, func(at time.Duration) bool { return at <= w.now })
@@ -256,13 +257,13 @@
 	}
 }
 
-// timeouts ends the attempts whose request's deadline has come, and wakes the
-// Balancer as its timers would.
+// timeouts wakes the Balancer as its timers would, and ends the attempts whose request's deadline has
+// passed.
 func (w *world) timeouts() {
 	w.wake()
 	for _, id := range w.order {
-		for i := range w.held[id].tries {
-			if a := w.held[id]; a.tries[i].out && w.now >= a.deadline {
+		for i := range w.requests[id].attempts {
+			if a := w.requests[id]; a.attempts[i].inFlight && w.now >= a.deadline {
 				w.end(id, i, TimedOut)
 			}
 		}
@@ -286,7 +287,7 @@
 	}
 	var entries []Endpoint
 	if kind != ListDelta {
-		clear(w.listed)
+		clear(w.endpoints)
 	}
 	for range pick(8) {
 		s := entry()
@@ -294,34 +295,35 @@
 			continue
 		}
 		entries = append(entries, s)
-		w.listed[s.ID] = s
+		w.endpoints[s.ID] = s
 	}
 	w.b.List(w.now, kind, entries)
 }
 
-// account checks that no compartment has more attempts out than slots, and forgets what is over.
+// account checks that no bulkhead has more attempts in flight than slots, and drops requests that have
+// ended.
 func (w *world) account() {
 	used := make([]int, len(w.cfg.Tenants))
-	for _, a := range w.held {
-		for _, tr := range a.tries {
-			if tr.out {
+	for _, a := range w.requests {
+		for _, tr := range a.attempts {
+			if tr.inFlight {
 				used[a.q.Tenant]++
 			}
 		}
 	}
 	for i := range used {
 		if free := w.b.SlotsFree(i); free < 0 || used[i] > w.slots[i]-free {
-			w.t.Fatalf("compartment %d: %d attempts out, %d of %d slots free", i, used[i], free, w.slots[i])
+			w.t.Fatalf("bulkhead %d: %d attempts in flight, %d of %d slots free", i, used[i], free, w.slots[i])
 		}
 	}
-	if len(w.order) > 60 { // forget what is over
+	if len(w.order) > 60 {
 		w.order = slices.DeleteFunc(w.order, func(id RequestID) bool {
-			a := w.held[id]
-			over := a.answered && !slices.ContainsFunc(a.tries, func(tr worldAttempt) bool { return tr.out })
-			if over {
-				delete(w.held, id)
+			a := w.requests[id]
+			ended := a.answered && !slices.ContainsFunc(a.attempts, func(tr trackedAttempt) bool { return tr.inFlight })
+			if ended {
+				delete(w.requests, id)
 			}
-			return over
+			return ended
 		})
 	}
 }
@@ -359,19 +361,19 @@
 	})
 }
 
-// caught is a testing.TB that stops at the first failure it is told of.
-type caught struct {
+// violationCatcher is a testing.TB that stops at the first failure.
+type violationCatcher struct {
 	testing.TB
-	what string
+	message string
 }
 
-func (c *caught) Fatalf(format string, args ...any) {
-	c.what = fmt.Sprintf(format, args...)
+func (c *violationCatcher) Fatalf(format string, args ...any) {
+	c.message = fmt.Sprintf(format, args...)
 	panic(c)
 }
 
-// The watch over the rules is worth nothing unless it sees a rule broken.
-func TestTheWatchSeesPlantedViolations(t *testing.T) {
+// The checks of the rules prove something only if they find a broken rule.
+func TestWorldFindsViolations(t *testing.T) {
 	tests := []struct {
 		name, want string
 		act        func(w *world)
@@ -379,16 +381,16 @@
 		{"a second answer", "rule 1", func(w *world) { w.Fail(1); w.Fail(1) }},
 		{"a send after the answer", "rule 1", func(w *world) { w.Fail(1); w.Send(1, 1, ms, 0) }},
 		{"an answer far too late", "rule 1", func(w *world) { w.now += 3 * time.Second; w.Fail(1) }},
-		{"an unsafe request twice", "rule 2", func(w *world) { w.Send(1, 1, ms, 0); w.Send(1, 1, ms, 0) }},
-		{"a keyed request again after its window", "rule 2", func(w *world) {
-			w.held[1].q.Class = keyedAllClass
+		{"a non-idempotent request twice", "rule 2", func(w *world) { w.Send(1, 1, ms, 0); w.Send(1, 1, ms, 0) }},
+		{"a request idempotent by key after its window", "rule 2", func(w *world) {
+			w.requests[1].q.Class = keyedAllClass
 			w.Send(1, 1, ms, 0)
 			w.Send(1, 1, ms, w.cfg.Classes[keyedAllClass].DedupWindow+ms)
 		}},
-		{"a refusal of what may have run", "rule 2", func(w *world) { w.Send(1, 1, ms, 0); w.Refuse(1, 0) }},
-		{"a burst to a cold server", "rule 4", func(w *world) {
+		{"a refusal of a request that may have run", "rule 2", func(w *world) { w.Send(1, 1, ms, 0); w.Refuse(1, 0) }},
+		{"a burst at a server that warms up", "rule 4", func(w *world) {
 			for id := RequestID(10); id < 60; id++ {
-				w.held[id] = &heldRequest{q: Request{ID: id}, deadline: w.now + time.Second}
+				w.requests[id] = &trackedRequest{q: Request{ID: id}, deadline: w.now + time.Second}
 				w.Send(id, 3, ms, 0)
 			}
 		}},
@@ -396,18 +398,18 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			c := &caught{TB: t}
-			w := &world{t: c, cfg: testConfig(), held: map[RequestID]*heldRequest{}, listed: map[ServerID]Endpoint{}}
-			w.now, w.cold = time.Minute, map[ServerID][]time.Duration{}
-			w.listed[3] = Endpoint{ID: 3, State: Ready, Started: w.now}
-			w.listed[1], w.listed[2] = Endpoint{ID: 1, State: Ready}, Endpoint{ID: 2, State: Draining}
-			w.held[1] = &heldRequest{q: Request{ID: 1, Class: nonIdempotentClass}, deadline: w.now + 2*time.Second}
+			c := &violationCatcher{TB: t}
+			w := &world{t: c, cfg: testConfig(), requests: map[RequestID]*trackedRequest{}, endpoints: map[ServerID]Endpoint{}}
+			w.now, w.slowStartSends = time.Minute, map[ServerID][]time.Duration{}
+			w.endpoints[3] = Endpoint{ID: 3, State: Ready, Started: w.now}
+			w.endpoints[1], w.endpoints[2] = Endpoint{ID: 1, State: Ready}, Endpoint{ID: 2, State: Draining}
+			w.requests[1] = &trackedRequest{q: Request{ID: 1, Class: nonIdempotentClass}, deadline: w.now + 2*time.Second}
 			defer func() {
 				if p := recover(); p != nil && p != any(c) {
 					panic(p)
 				}
-				if !strings.HasPrefix(c.what, tt.want) {
-					t.Fatalf("caught %q, want a breach of %s", c.what, tt.want)
+				if !strings.HasPrefix(c.message, tt.want) {
+					t.Fatalf("got %q, want a violation of %s", c.message, tt.want)
 				}
 			}()
 			tt.act(w)
--- a/policy/roundrobin.go
+++ b/policy/roundrobin.go
@@ -116,15 +116,15 @@
 	var best *server
 	total, bestIneligible := 0.0, math.Inf(-1)
 	for _, s := range b.endpoints.servers {
-		turn := &s.rotation
+		rot := &s.rotation
 		switch {
-		case turn.effective == 0 || b.cellOf(r, s) != cell:
-		case !turn.eligible:
-			bestIneligible = max(bestIneligible, turn.current+turn.effective)
+		case rot.effective == 0 || b.cellOf(r, s) != cell:
+		case !rot.eligible:
+			bestIneligible = max(bestIneligible, rot.current+rot.effective)
 		default:
-			turn.current += turn.effective
-			total += turn.effective
-			if best == nil || turn.current > best.rotation.current {
+			rot.current += rot.effective
+			total += rot.effective
+			if best == nil || rot.current > best.rotation.current {
 				best = s
 			}
 		}
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Guards against this: a thousand balancers keep a connection to every server each, which
-// fills the servers' tables, and open most of them anew for each request.
-func TestThinTrafficKeepsToFewOfEachCell(t *testing.T) {
-	reached := func(cfg Config, price float64) int {
-		cfg.CrossZoneCost = price
+// Otherwise a thousand balancers would each keep a connection to every server, which fills the servers'
+// tables, and would open most of them anew for each request.
+func TestLowTrafficUsesASubsetOfEachCell(t *testing.T) {
+	serversUsed := func(cfg Config, cost float64) int {
+		cfg.CrossZoneCost = cost
 		var list []Endpoint
 		for id := range ServerID(20) {
 			list = append(list, Endpoint{ID: id, Cell: int(id / 5), State: Ready, Weight: 1})
@@ -22,26 +22,26 @@
 			}
 		}
 		if len(cells) != 4 {
-			t.Errorf("servers of %d cells are kept to, want one of each of the 4", len(cells))
+			t.Errorf("got servers of %d cells in the subset, want one of each of the 4", len(cells))
 		}
-		to := map[ServerID]bool{}
+		used := map[ServerID]bool{}
 		for id := range RequestID(100) {
 			now := time.Duration(id) * 100 * ms
-			ask(b, now, id, idempotentClass)
+			submit(b, now, id, idempotentClass)
 			end(b, now+20*ms, id, 0, Served)
-			to[h.sends[len(h.sends)-1].to] = true
+			used[h.sends[len(h.sends)-1].to] = true
 		}
-		return len(to)
+		return len(used)
 	}
-	for _, price := range []float64{0.02, 0} { // of crossing zones: there may be one zone, or it may be free
-		if n := reached(lowTrafficConfig(), price); n < 4 || n > 10 {
-			t.Errorf("price %v: %d of 20 servers used where traffic is thin, want one of each cell and half at most", price, n)
+	for _, cost := range []float64{0.02, 0} { // of crossing zones
+		if n := serversUsed(lowTrafficConfig(), cost); n < 4 || n > 10 {
+			t.Errorf("cost %v: got %d of 20 servers used with low traffic, want one of each cell and half at most", cost, n)
 		}
 	}
-	full := testConfig()
-	full.Balancers = 1
-	full.Tenants[0].Quota, full.Tenants[1].Quota = 750, 250
-	if n := reached(full, 0.02); n != 20 {
-		t.Errorf("%d of 20 servers used where traffic is not thin", n)
+	highTraffic := testConfig()
+	highTraffic.Balancers = 1
+	highTraffic.Tenants[0].Quota, highTraffic.Tenants[1].Quota = 750, 250
+	if n := serversUsed(highTraffic, 0.02); n != 20 {
+		t.Errorf("got %d of 20 servers used with high traffic, want all", n)
 	}
 }
--- a/policy/unresponsive_test.go
+++ b/policy/unresponsive_test.go
@@ -14,138 +14,137 @@
 	return list
 }
 
-// probingConfig is a configuration with probes and a price for crossing zones.
+// probingConfig is a configuration with probes and a cost for crossing zones.
 func probingConfig() Config {
 	cfg := testConfig()
 	cfg.MayProbe, cfg.CrossZoneCost, cfg.Slots = true, 0.02, 100
 	return cfg
 }
 
-// Guards against this: each balancer finds out with requests of its own, again and
-// again, that a server is not there.
-func TestSilentServerGetsProbesAndNoRequests(t *testing.T) {
+// Otherwise each balancer would find out with its own requests, again and again, that a server is gone.
+func TestUnresponsiveServerGetsProbesAndNoRequests(t *testing.T) {
 	b, h := start(t, probingConfig(), ready(1, 2))
-	ask(b, 0, 1, idempotentClass)
-	silent := h.sends[0].to
+	submit(b, 0, 1, idempotentClass)
+	unresponsive := h.sends[0].to
 	end(b, 250*ms, 1, 0, NoConnection)
-	before := h.sentTo(silent)
+	before := h.sentTo(unresponsive)
 	now := 250 * ms
 	for id := RequestID(2); id < 500; id++ {
 		now += 20 * ms
 		b.Wake(now)
-		ask(b, now, id, idempotentClass)
+		submit(b, now, id, idempotentClass)
 		end(b, now, id, 0, Served)
-		if n := len(h.probes); n > 0 && h.probes[n-1] == silent {
+		if n := len(h.probes); n > 0 && h.probes[n-1] == unresponsive {
 			h.probes = h.probes[:n-1]
 			h.probes = append(h.probes, 0) // seen
-			b.Probed(now, silent, false, UnknownLoad)
+			b.Probed(now, unresponsive, false, UnknownLoad)
 		}
 	}
-	if n := h.sentTo(silent); n != before {
-		t.Fatalf("%d requests to a server that says nothing", n-before)
+	if n := h.sentTo(unresponsive); n != before {
+		t.Fatalf("got %d requests at an unresponsive server, want none", n-before)
 	}
 	if n := len(h.probes); n < 3 || n > 20 {
-		t.Fatalf("%d probes in 10 s, want a few", n)
+		t.Fatalf("got %d probes in 10 s, want 3 to 20", n)
 	}
-	b.Probed(now, silent, true, UnknownLoad)
+	b.Probed(now, unresponsive, true, UnknownLoad)
 	for id := RequestID(500); id < 504; id++ {
-		ask(b, now, id, idempotentClass)
+		submit(b, now, id, idempotentClass)
 		end(b, now, id, 0, Served)
 	}
-	if h.sentTo(silent) == before {
-		t.Fatal("a server that answers its probe again gets no requests")
+	if h.sentTo(unresponsive) == before {
+		t.Fatal("a server that answers a probe again gets no requests")
 	}
 }
 
-// Guards against this: a zone is cut off without a word, and each server of it costs
-// each balancer a request and a slot until the time-out.
-func TestZoneThatSaysNothingIsDoubted(t *testing.T) {
+// If a zone is cut off, each of its servers would cost each balancer a request and a slot until the
+// timeout.
+func TestZoneWithoutAnswersIsSuspected(t *testing.T) {
 	b, h := start(t, probingConfig(), twoZones(8))
 	for id := range RequestID(suspicionSends) {
-		ask(b, 0, id, idempotentClass)
+		submit(b, 0, id, idempotentClass)
 	}
 	wait := time.Duration(suspicionObjectiveShare * float64(time.Second))
 	b.Wake(wait - 10*ms)
-	ask(b, wait-10*ms, 10, idempotentClass)
+	submit(b, wait-10*ms, 10, idempotentClass)
 	if h.sends[suspicionSends].to%2 != 0 {
-		t.Fatal("the near zone is given up before it is due")
+		t.Fatal("the near zone is suspected too early")
 	}
 	b.Wake(wait)
 	if len(h.probes) != 1 || h.probes[0]%2 != 0 {
-		t.Fatalf("probes %v, want one into the doubted zone", h.probes)
+		t.Fatalf("probes %v, want one into the suspected zone", h.probes)
 	}
 	for id := RequestID(20); id < 40; id++ {
-		ask(b, wait, id, idempotentClass)
+		submit(b, wait, id, idempotentClass)
 		end(b, wait, id, 0, Served)
 		if to := h.sends[len(h.sends)-1].to; to%2 != 1 {
-			t.Fatalf("a request to server %d of a zone that says nothing", to)
+			t.Fatalf("got a request at server %d of a suspected zone, want none", to)
 		}
 	}
 	for now := wait; now < wait+2*time.Second; now += 10 * ms {
 		b.Wake(now)
 	}
 	if n := len(h.probes); n < 3 || n > 10 {
-		t.Fatalf("%d probes in 2 s, want one each %v or so", n, suspicionProbeInterval)
+		t.Fatalf("got %d probes in 2 s, want one about every %v", n, suspicionProbeInterval)
 	}
 	now := wait + 2*time.Second
 	b.Probed(now, h.probes[0], true, UnknownLoad)
-	ask(b, now, 50, idempotentClass)
+	submit(b, now, 50, idempotentClass)
 	if to := h.sends[len(h.sends)-1].to; to%2 != 0 {
-		t.Fatal("the zone spoke again and gets nothing")
+		t.Fatal("the zone answered again and gets nothing")
 	}
 }
 
-// Guards against this: a few slow servers pass for a zone that is cut off.
-func TestZoneThatSpeaksIsNotDoubted(t *testing.T) {
+// A few slow servers must not count as a zone that is cut off.
+func TestZoneWithAnAnswerIsNotSuspected(t *testing.T) {
 	b, h := start(t, probingConfig(), twoZones(8))
 	for id := range RequestID(suspicionSends + 1) {
-		ask(b, 0, id, idempotentClass)
+		submit(b, 0, id, idempotentClass)
 	}
 	end(b, 200*ms, 0, 0, Served)
 	b.Wake(time.Second)
-	ask(b, time.Second, 10, idempotentClass)
+	submit(b, time.Second, 10, idempotentClass)
 	if h.sends[len(h.sends)-1].to%2 != 0 || len(h.probes) != 0 {
-		t.Fatal("the zone is doubted though one of its servers answered meanwhile")
+		t.Fatal("the zone is suspected although one of its servers answered meanwhile")
 	}
 }
 
-// Guards against this: a balancer that was cut off itself holds all servers to be
-// silent, and sends nothing for seconds after it is back.
-func TestAllSilentStillServes(t *testing.T) {
+// A balancer that was cut off itself finds all servers unresponsive. It must not stop sending for
+// seconds after it is back.
+func TestRequestsAreSentWhileAllServersAreUnresponsive(t *testing.T) {
 	b, h := start(t, probingConfig(), ready(1, 2))
 	for id := range ServerID(2) {
 		b.Probed(0, id+1, false, UnknownLoad)
 	}
-	ask(b, ms, 1, nonIdempotentClass)
+	submit(b, ms, 1, nonIdempotentClass)
 	if len(h.sends) != 1 {
-		t.Fatal("nothing is sent while all servers are held to be silent")
+		t.Fatal("nothing is sent while all servers are unresponsive")
 	}
 	end(b, 2*ms, 1, 0, Served)
-	for id := RequestID(2); id < 6; id++ { // one has answered: the other has to speak first
-		ask(b, 3*ms, id, nonIdempotentClass)
+	for id := RequestID(2); id < 6; id++ { // one has answered: the other is still unresponsive
+		submit(b, 3*ms, id, nonIdempotentClass)
 		end(b, 4*ms, id, 0, Served)
 		if to := h.sends[len(h.sends)-1].to; to != h.sends[0].to {
-			t.Fatalf("a request to server %d, which is still silent", to)
+			t.Fatalf("got a request at server %d, which is still unresponsive", to)
 		}
 	}
 }
 
-// Guards against this: zones come and go with the servers, and their states pile up.
+// Zones come and go with the servers, and their states must not accumulate.
 func TestZonesAreForgotten(t *testing.T) {
 	b, _ := start(t, probingConfig(), nil)
 	for z := range 100 {
 		b.List(0, ListFull, []Endpoint{{ID: 1, Zone: z, State: Ready, Weight: 1}})
-		ask(b, 0, RequestID(z), idempotentClass)
+		submit(b, 0, RequestID(z), idempotentClass)
 		end(b, 0, RequestID(z), 0, Served)
 	}
 	if len(b.endpoints.zones) > 2 {
-		t.Fatalf("%d zones are kept, one is listed", len(b.endpoints.zones))
+		t.Fatalf("got %d zones, want at most 2: one is listed", len(b.endpoints.zones))
 	}
 }
 
-// Guards against this: a silent server drains, is not looked at any more, and stays
-// without requests for ever when its drain is called off.
-func TestSilentServerIsProbedAgainAfterADrain(t *testing.T) {
+// An unresponsive server that drains must be probed again when its drain is cancelled, or it would stay
+// without requests for ever.
+func TestUnresponsiveServerIsProbedAgainAfterADrain(t *testing.T) {
 	b, h := start(t, probingConfig(), ready(1, 2))
 	b.Probed(0, 1, false, UnknownLoad)
 	now := ms
@@ -155,7 +154,7 @@
 			b.Wake(now)
 		}
 		if probed := len(h.probes) > 0; probed != (state == Ready) {
-			t.Fatalf("state %v: probes %v", state, h.probes)
+			t.Fatalf("state %v: got probes %v, want some only if it is ready", state, h.probes)
 		}
 	}
 }
