--- a/internal/sidecar/balancer_host.go
+++ b/internal/sidecar/balancer_host.go
@@ -9,12 +9,15 @@
 	"barleywick/policy"
 )
 
-// attempt is an attempt of a request, with what the loop keeps of it.
+// The event loop is the balancer's policy.Host: it carries out what the balancer decides.
+var _ policy.Host = (*eventLoop)(nil)
+
+// attempt is an attempt of a request, with what the event loop needs of it.
 type attempt struct {
 	upstream.Attempt
-	req       *request
+	request   *request
 	number    int
-	host      *endpoint // nil: it was never sent
+	endpoint  *endpoint // nil: it was never sent
 	startedAt time.Time
 }
 
@@ -23,7 +26,7 @@
 func newAttempt(ctx context.Context, r *request, giveUpAt, repeatDeadline time.Time) *attempt {
 	a := &attempt{
 		Attempt: upstream.Attempt{Request: &r.Request, Deadline: r.deadline(), RepeatDeadline: repeatDeadline},
-		req:     r, number: len(r.attempts), startedAt: time.Now(),
+		request: r, number: len(r.attempts), startedAt: time.Now(),
 	}
 	if r.conn != nil {
 		a.Client = r.conn
@@ -34,82 +37,79 @@
 
 // Send starts an attempt.
 func (l *eventLoop) Send(id policy.RequestID, to policy.ServerID, timeout, start time.Duration) {
-	r, h := l.requests[id], l.endpointsByID[to]
+	r, e := l.requests.byID[id], l.endpoints.byID[to]
 	if r == nil {
 		return
 	}
-	until, startBy := r.deadline(), time.Time{}
+	giveUpAt, repeatDeadline := r.deadline(), time.Time{}
 	if timeout != 0 {
-		if cut := time.Now().Add(timeout); cut.Before(until) {
-			until = cut
+		if timeoutAt := time.Now().Add(timeout); timeoutAt.Before(giveUpAt) {
+			giveUpAt = timeoutAt
 		}
 	}
-	if start != 0 { // of the module's clock, which stands still in an event
-		startBy = l.startedAt.Add(l.now + start - time.Duration(l.startedAt.UnixNano()))
+	if start != 0 {
+		repeatDeadline = l.clock.at(l.clock.now + start)
 	}
-	a := newAttempt(l.lifetime, r, until, startBy)
+	a := newAttempt(l.lifetime, r, giveUpAt, repeatDeadline)
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
-	if h == nil || r.closed {
+	if e == nil || r.closed {
 		a.CancelWrite()
 		a.Cancel()
 		l.queued = append(l.queued, attemptEnded{attempt: a, ending: policy.NotSent})
 		return
 	}
-	a.Server, a.host = h.peer, h
-	h.inFlight++
+	a.Server, a.endpoint = e.server, e
+	e.inFlight++
 	l.tasks.Go(func() {
-		ending, ans := l.transport.Do(&a.Attempt)
-		l.post(attemptEnded{a, ending, ans})
+		ending, answer := l.transport.Do(&a.Attempt)
+		l.post(attemptEnded{a, ending, answer})
 	})
 }
 
-// Refuse answers 503: trying again is harmless.
+// Refuse answers a request with 503: a retry is harmless.
 func (l *eventLoop) Refuse(id policy.RequestID, pause time.Duration) {
 	l.answerRequest(id, response{status: http.StatusServiceUnavailable, retryAfter: pause})
 }
 
-// Fail answers without a promise: never with 429 or 503, which are refusals.
+// Fail answers a request with 502 or 504, which promise nothing; 429 and 503 would be refusals.
 func (l *eventLoop) Fail(id policy.RequestID) {
 	status := http.StatusBadGateway
-	if r := l.requests[id]; r != nil && (r.lastTimedOut || r.inFlight > 0) { // time ran out, whoever noticed first
+	if r := l.requests.byID[id]; r != nil && (r.lastTimedOut || r.inFlight > 0) { // time ran out, whoever noticed first
 		status = http.StatusGatewayTimeout
 	}
 	l.answerRequest(id, response{status: status})
 }
 
-// Cancel gives an attempt up, which closes its connection.
+// Cancel cancels an attempt, which closes its connection.
 func (l *eventLoop) Cancel(id policy.RequestID, number int) {
-	if r := l.requests[id]; r != nil && number >= 0 && number < len(r.attempts) {
+	if r := l.requests.byID[id]; r != nil && number >= 0 && number < len(r.attempts) {
 		r.attempts[number].Cancel()
 	}
 }
 
-// Wake arms the one timer. The module asks again only for an earlier time.
-func (l *eventLoop) Wake(d time.Duration) {
-	l.wakeAt = l.now + d
-	l.timer.Reset(d)
-}
+// Wake arms the balancer's timer.
+func (l *eventLoop) Wake(after time.Duration) { l.wakeTimer.arm(l.clock.now, after) }
 
-// Probe asks an upstream for its load.
+// Probe asks a booking server for its load.
 func (l *eventLoop) Probe(to policy.ServerID) {
-	h := l.endpointsByID[to]
-	if h == nil {
+	e := l.endpoints.byID[to]
+	if e == nil {
 		return
 	}
-	p := &pendingProbe{endpoint: h}
-	h.probes = append(h.probes, p)
-	peer := h.peer
+	p := &pendingProbe{endpoint: e}
+	e.probes = append(e.probes, p)
+	server := e.server
 	l.tasks.Go(func() {
-		ok, load := l.transport.Probe(l.lifetime, peer)
+		ok, load := l.transport.Probe(l.lifetime, server)
 		l.post(probeCompleted{p, ok, load})
 	})
 }
 
-// WatchList subscribes to the list, where that is the module's to ask.
+// WatchList has the endpoint list polled, if the balancer decides when.
 func (l *eventLoop) WatchList() {
 	select {
 	case l.pollRequests <- struct{}{}:
-	default: // one is waiting already
+	default: // a poll is waiting already
 	}
 }
--- a/internal/sidecar/client_counters.go
+++ b/internal/sidecar/client_counters.go
@@ -44,8 +44,8 @@
 	return l.count, listenerState{l.table.Open(), l.table.HalfOpen(), l.table.Idle(), len(l.waiting)}
 }
 
-// logCounters logs what counters returns.
-func (l *limitedListener) logCounters() {
+// LogCounters logs what counters returns.
+func (l *limitedListener) LogCounters() {
 	count, now := l.counters()
 	slog.Info("client: connections", "now", now, "counters", count)
 }
--- a/internal/sidecar/client_handler.go
+++ b/internal/sidecar/client_handler.go
@@ -33,14 +33,14 @@
 
 // clientHandler serves the requests of the application.
 type clientHandler struct {
-	loop        *eventLoop
-	classIndex  map[string]int
-	tenantIndex map[string]int // empty: there is one tenant, which requests need not name
-	listener    *limitedListener
-	shutdown    *gracefulShutdown
-	governor    *policyfollower.Follower   // nil: no fleet policy is followed
-	adviser     *overloadreporter.Reporter // nil: no overload advice is taken
-	member      FleetMember                // nil: the sidecar is not a member of the fleet
+	loop             *eventLoop
+	classIndex       map[string]int
+	tenantIndex      map[string]int // empty: there is one tenant, which requests need not name
+	listener         *limitedListener
+	shutdown         *gracefulShutdown
+	policyFollower   *policyfollower.Follower   // nil: no fleet policy is followed
+	overloadReporter *overloadreporter.Reporter // nil: no overload advice is taken
+	member           FleetMember                // nil: the sidecar is not a member of the fleet
 }
 
 func newClientHandler(c *config.Config, l *eventLoop, shutdown *gracefulShutdown) *clientHandler {
@@ -138,10 +138,10 @@
 		return false
 	case endpoint == "ready":
 		s.serveReady(w)
-	case endpoint == "policy" && s.governor != nil:
-		io.WriteString(w, s.governor.Status().String()+"\n")
-	case endpoint == "overload" && s.adviser != nil:
-		io.WriteString(w, s.adviser.Status().String()+"\n")
+	case endpoint == "policy" && s.policyFollower != nil:
+		io.WriteString(w, s.policyFollower.Status().String()+"\n")
+	case endpoint == "overload" && s.overloadReporter != nil:
+		io.WriteString(w, s.overloadReporter.Status().String()+"\n")
 	case endpoint == membership.ViewPath && s.member != nil:
 		s.member.ServeHTTP(w, hr)
 	default:
@@ -165,7 +165,7 @@
 	if p := s.shutdown.phase(); p != phaseServing {
 		return p
 	}
-	if !s.loop.ready.Load() {
+	if !s.loop.endpointsKnown.Load() {
 		return phaseStarting
 	}
 	if !s.loop.admitting() {
--- a/internal/sidecar/client_races_test.go
+++ b/internal/sidecar/client_races_test.go
@@ -33,12 +33,12 @@
 		t.Fatal(err)
 	}
 	l.balancer = b
-	b.Start(l.clock())
+	b.Start(l.clock.read())
 	l.applyListing(policy.ListFull, *l.config.KnownEndpoints)
 	l.transport = testTransport(1, gate.New())
 	pool := l.transport.Pool()
 	defer pool.Close()
-	to := l.endpoints["s-1"].peer
+	to := l.endpoints.byName["s-1"].server
 	out, err := pool.Acquire(t.Context(), to)
 	if err != nil {
 		t.Fatal(err)
@@ -136,7 +136,7 @@
 	t.Helper()
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	limited := newLimitedListener(sidecartest.ListenLoopback(t), testLimits(4))
-	l.activeConnections = limited.possiblyActive
+	l.connections = limited
 	ending := testShutdown(limited)
 	server := newClientHandler(l.config, l, ending).newServer()
 	withRequest := server.ConnContext
--- a/internal/sidecar/client_request.go
+++ b/internal/sidecar/client_request.go
@@ -61,7 +61,7 @@
 	if status := methodStatus(hr, meta.idempotency); status != 0 {
 		return nil, status
 	}
-	if s.loop.requestNames.isInUse(meta.id) {
+	if s.loop.requests.ids.isInUse(meta.id) {
 		return nil, http.StatusConflict
 	}
 	body, err := readRequestBody(w, hr, c.bodyDeadline(startedAt))
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -58,8 +58,8 @@
 	}
 	l := newTestLoop(t)
 	l.applyListing(policy.ListFull, known)
-	if len(l.endpoints) != 2 || l.endpoints["s-1"] == nil || l.endpoints["s-3"] == nil {
-		t.Errorf("hosts %v, want s-1 and s-3", l.endpoints)
+	if len(l.endpoints.byName) != 2 || l.endpoints.byName["s-1"] == nil || l.endpoints.byName["s-3"] == nil {
+		t.Errorf("hosts %v, want s-1 and s-3", l.endpoints.byName)
 	}
 }
 
@@ -75,14 +75,14 @@
 		t.Fatal(err)
 	}
 	l.applyListing(policy.ListFull, news)
-	if h := l.endpoints["s-1"]; h == nil || h.entry.Dial != "127.0.0.1:7" || h.drainingSince != 0 {
+	if h := l.endpoints.byName["s-1"]; h == nil || h.entry.Dial != "127.0.0.1:7" || h.drainingSince != 0 {
 		t.Errorf("s-1 is %+v", h)
 	}
-	if h := l.endpoints["s-2"]; h == nil || h.drainingSince == 0 {
+	if h := l.endpoints.byName["s-2"]; h == nil || h.drainingSince == 0 {
 		t.Errorf("s-2 is %+v, want it to drain still", h)
 	}
-	if l.endpoints["s-3"] != nil || l.endpoints["s-4"] != nil || l.endpoints["s-9"] != nil || len(l.endpoints) != 2 {
-		t.Errorf("hosts %v", l.endpoints)
+	if l.endpoints.byName["s-3"] != nil || l.endpoints.byName["s-4"] != nil || l.endpoints.byName["s-9"] != nil || len(l.endpoints.byName) != 2 {
+		t.Errorf("hosts %v", l.endpoints.byName)
 	}
 }
 
@@ -102,7 +102,7 @@
 		t.Errorf("server %+v", s)
 	}
 	e.Dial, e.Health = "127.0.0.1:8", "draining"
-	if d := enter(e); d.ID != s.ID || d.State != policy.Draining || l.endpoints["s-1"].entry.Dial != e.Dial {
+	if d := enter(e); d.ID != s.ID || d.State != policy.Draining || l.endpoints.byName["s-1"].entry.Dial != e.Dial {
 		t.Errorf("at another address it is %+v, was %+v", d, s)
 	}
 	e.Health = "a later word"
@@ -126,13 +126,13 @@
 	l := newTestLoop(t)
 	born := time.Now().Add(-2 * time.Second).UnixMilli()
 	s, ok := l.enterEndpoint(client.Endpoint{Host: "s-1", Dial: "127.0.0.1:7", Health: "up", BornMS: float64(born)})
-	if age := l.clock() - s.Started; !ok || s.Started <= 0 || age < time.Second || age > sidecartest.Patience {
+	if age := l.clock.read() - s.Started; !ok || s.Started <= 0 || age < time.Second || age > sidecartest.Patience {
 		t.Errorf("started at %v, %v ago by the module's clock", s.Started, age)
 	}
 	ahead := client.Endpoint{Host: "s-2", Dial: "127.0.0.1:7", Health: "up", BornMS: float64(time.Now().Add(time.Hour).UnixMilli())}
 	first, _ := l.enterEndpoint(ahead)
-	l.now = l.clock() + time.Second
-	if again, _ := l.enterEndpoint(ahead); first.Started > l.now || again.Started != first.Started {
+	l.clock.now = l.clock.read() + time.Second
+	if again, _ := l.enterEndpoint(ahead); first.Started > l.clock.now || again.Started != first.Started {
 		t.Errorf("a start ahead of the clock is %v and then %v", first.Started, again.Started)
 	}
 }
@@ -165,11 +165,11 @@
 func TestStartAfterAStepOfTheWallClock(t *testing.T) {
 	l := newTestLoop(t)
 	const step = time.Hour
-	l.wallNow = func() time.Time { return time.Now().Add(step) }
-	l.now = l.clock()
+	l.clock.wallNow = func() time.Time { return time.Now().Add(step) }
+	l.clock.now = l.clock.read()
 	born := float64(time.Now().Add(step - time.Second).UnixMilli())
 	s, ok := l.enterEndpoint(client.Endpoint{Host: "s-1", Dial: "127.0.0.1:7", Site: "a", Health: "up", Share: 1, BornMS: born})
-	if age := l.now - s.Started; !ok || age < 500*time.Millisecond || age > 1500*time.Millisecond {
+	if age := l.clock.now - s.Started; !ok || age < 500*time.Millisecond || age > 1500*time.Millisecond {
 		t.Errorf("a server that started 1 s ago is %v old", age)
 	}
 }
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -12,7 +12,25 @@
 	"barleywick/policy"
 )
 
-// pendingProbe is one pendingProbe that was asked for; its result waits for those before it.
+// What the endpoint list says of an endpoint's health. Any other word means draining.
+const (
+	healthUp      = "up"
+	healthRemoved = "removed"
+)
+
+// endpoint is a booking server of the endpoint list.
+type endpoint struct {
+	id            policy.ServerID
+	entry         client.Endpoint // as the list has it
+	server        *upstream.Server
+	startedAt     time.Duration   // on the balancer's clock
+	probes        []*pendingProbe // in the order in which the balancer asked for them
+	inFlight      int             // attempts
+	silentInARow  int             // attempts that ended without a sign of life, since one got a response
+	drainingSince time.Duration   // 0: it does not drain
+}
+
+// pendingProbe is a probe that was asked for. Its result waits for those before it.
 type pendingProbe struct {
 	endpoint *endpoint
 	done     bool
@@ -20,147 +38,192 @@
 	load     policy.LoadReport
 }
 
-// endpoint is an upstream of the list.
-type endpoint struct {
-	id                policy.ServerID
-	entry             client.Endpoint
-	peer              *upstream.Server
-	startedAt         time.Duration
-	probes            []*pendingProbe // in the order the module asked for them
-	inFlight          int             // attempts under way
-	consecutiveSilent int             // that ended in silence, since one was answered
-	drainingSince     time.Duration   // since when it drains; 0: it does not
-}
-
-// deliverProbes hands a host's probe results over in the order they were asked
-// for, as the module matches them: a later one may be back first.
-func (l *eventLoop) deliverProbes(h *endpoint) {
-	for len(h.probes) > 0 && h.probes[0].done {
-		p := h.probes[0]
-		h.probes = h.probes[1:]
-		if p.ok || h.drainingSince == 0 { // a probe that was not sent for the drain is no word against the host
-			l.balancer.Probed(l.now, h.id, p.ok, p.load)
+// endpointTable holds the endpoint list.
+type endpointTable struct {
+	byName    map[string]*endpoint
+	byID      map[policy.ServerID]*endpoint
+	lastID    policy.ServerID
+	updatedAt time.Duration // of the last watch event or poll; 0: none yet
+	zones     zoneTable
+}
+
+func newEndpointTable(zones []string) endpointTable {
+	return endpointTable{
+		byName: make(map[string]*endpoint), byID: make(map[policy.ServerID]*endpoint), zones: newZoneTable(zones),
+	}
+}
+
+// add makes a new endpoint of an entry.
+func (t *endpointTable) add(entry client.Endpoint) *endpoint {
+	t.lastID++
+	e := &endpoint{id: t.lastID, server: upstream.NewServer(entry.Dial)}
+	t.byName[entry.Host], t.byID[e.id] = e, e
+	return e
+}
+
+func (t *endpointTable) remove(e *endpoint) {
+	delete(t.byName, e.entry.Host)
+	delete(t.byID, e.id)
+}
+
+// zoneTable numbers zones: first the configured ones, in their order.
+type zoneTable struct {
+	configured int
+	numbers    map[string]int
+	next       int
+}
+
+func newZoneTable(configured []string) zoneTable {
+	t := zoneTable{configured: len(configured), numbers: make(map[string]int), next: len(configured)}
+	for i, name := range configured {
+		t.numbers[name] = i
+	}
+	return t
+}
+
+// number returns a zone's number, a new one for a zone that has none.
+func (t *zoneTable) number(name string) int {
+	n, ok := t.numbers[name]
+	if !ok {
+		n = t.next
+		t.next++
+		t.numbers[name] = n
+	}
+	return n
+}
+
+// forgetUnused forgets the zones that are neither configured nor any endpoint's.
+func (t *zoneTable) forgetUnused(endpoints map[string]*endpoint) {
+	if len(t.numbers) <= t.configured+len(endpoints) {
+		return
+	}
+	used := make(map[string]bool, len(endpoints))
+	for _, e := range endpoints {
+		used[e.entry.Site] = true
+	}
+	maps.DeleteFunc(t.numbers, func(name string, number int) bool {
+		return number >= t.configured && !used[name]
+	})
+}
+
+// applyListing applies a list message and passes it to the balancer.
+func (l *eventLoop) applyListing(kind policy.ListKind, update client.ListUpdate) {
+	listed, named := l.enterEndpoints(kind, update.Endpoints)
+	l.balancer.List(l.clock.now, kind, listed)
+	for _, e := range l.endpoints.byName {
+		l.updateDrain(e)
+	}
+	for name, e := range l.endpoints.byName {
+		if e.entry.Health == healthRemoved || (kind != policy.ListDelta && !named[name]) {
+			l.endpoints.remove(e)
+			l.transport.Pool().Retire(e.server)
 		}
 	}
+	l.endpoints.zones.forgetUnused(l.endpoints.byName)
+	if len(l.endpoints.byName) > 0 || kind != policy.ListCached {
+		l.endpointsKnown.Store(true)
+	}
 }
 
-// applyListing takes news of the applyListing over and passes them to the module.
-func (l *eventLoop) applyListing(kind policy.ListKind, news client.ListUpdate) {
-	servers := make([]policy.Endpoint, 0, len(news.Endpoints))
-	named := make(map[string]bool, len(news.Endpoints))
-	for _, e := range news.Endpoints {
-		if named[e.Host] && kind != policy.ListDelta {
-			slog.Warn("discovery: host listed twice", "host", e.Host)
+// enterEndpoints enters the entries of a list message, and returns them as the balancer's endpoints
+// and by their names. An entry that cannot be read leaves its endpoint as it was.
+func (l *eventLoop) enterEndpoints(kind policy.ListKind, entries []client.Endpoint) (listed []policy.Endpoint, named map[string]bool) {
+	listed = make([]policy.Endpoint, 0, len(entries))
+	named = make(map[string]bool, len(entries))
+	for _, entry := range entries {
+		if named[entry.Host] && kind != policy.ListDelta {
+			slog.Warn("discovery: endpoint listed twice", "host", entry.Host)
 		}
-		s, ok := l.enterEndpoint(e)
-		if !ok && e.Health != "removed" {
-			slog.Warn("discovery: entry passed over", "host", e.Host, "dial", e.Dial, "health", e.Health, "spoilt", e.Malformed)
-			if h := l.endpoints[e.Host]; h != nil {
-				s, ok = l.enterEndpoint(h.entry) // it stays as it was known
+		p, ok := l.enterEndpoint(entry)
+		if !ok && entry.Health != healthRemoved {
+			slog.Warn("discovery: endpoint ignored", "host", entry.Host, "dial", entry.Dial, "health", entry.Health, "malformed", entry.Malformed)
+			if e := l.endpoints.byName[entry.Host]; e != nil {
+				p, ok = l.enterEndpoint(e.entry)
 			}
 		}
 		if ok {
-			named[e.Host] = true
-			servers = append(servers, s)
+			named[entry.Host] = true
+			listed = append(listed, p)
 		}
 	}
-	l.balancer.List(l.now, kind, servers)
-	for _, h := range l.endpoints {
-		l.updateDrain(h)
+	return listed, named
+}
+
+// enterEndpoint enters one entry of the list.
+func (l *eventLoop) enterEndpoint(entry client.Endpoint) (policy.Endpoint, bool) {
+	if entry.Host == "" || entry.Malformed {
+		return policy.Endpoint{}, false
 	}
-	for name, h := range l.endpoints {
-		if h.entry.Health == "removed" || (kind != policy.ListDelta && !named[name]) {
-			delete(l.endpoints, name)
-			delete(l.endpointsByID, h.id)
-			l.transport.Pool().Retire(h.peer)
+	e := l.endpoints.byName[entry.Host]
+	if _, err := netip.ParseAddrPort(entry.Dial); err != nil {
+		if e == nil || entry.Health == healthUp {
+			return policy.Endpoint{}, false
 		}
+		entry.Dial = e.entry.Dial // it gets nothing new: its address does not matter
+	}
+	if e == nil {
+		e = l.endpoints.add(entry)
+	} else if e.entry.Dial != entry.Dial || e.entry.BornMS != entry.BornMS { // open connections lead nowhere now
+		l.transport.Pool().Retire(e.server)
+		e.server, e.drainingSince = upstream.NewServer(entry.Dial), 0
 	}
-	l.forgetUnusedZones()
-	if len(l.endpoints) > 0 || kind != policy.ListCached {
-		l.ready.Store(true)
+	// A start ahead of this machine's clock would keep the server warming up for too long: it is
+	// taken for now, and stays so while the entry names the same start.
+	if e.entry.BornMS != entry.BornMS || e.startedAt == 0 {
+		e.startedAt = policy.StartedAt(settings.DurationFromMillis(entry.BornMS), l.clock.now, l.clock.wallStep())
 	}
+	e.entry = entry
+	return e.forBalancer(l.endpoints.zones.number(entry.Site)), true
 }
 
-// updateDrain puts into force what the list says of a host's updateDrain: nothing new goes
-// there, what runs ends, and idle connections are closed; or all that is taken back.
-func (l *eventLoop) updateDrain(h *endpoint) {
-	drains := h.entry.Health != "up"
-	switch {
-	case drains && h.drainingSince == 0:
-		h.drainingSince = l.now
-		l.transport.Pool().Drain(h.peer)
-		slog.Info("upstream drains", "host", h.entry.Host, "running", h.inFlight)
-		l.logDrained(h)
-	case !drains && h.drainingSince != 0:
-		h.drainingSince = 0
-		l.transport.Pool().Resume(h.peer)
-		slog.Info("upstream's drain is called off", "host", h.entry.Host)
-	}
+// forBalancer returns the endpoint as the balancer takes it.
+func (e *endpoint) forBalancer(zone int) policy.Endpoint {
+	p := policy.Endpoint{ID: e.id, Zone: zone, Weight: e.entry.Share, Started: e.startedAt, State: policy.Draining}
+	p.Cell = -int(e.id) // without a cell it shares its keys with no other
+	if e.entry.Block != nil {
+		p.Cell = *e.entry.Block
+	}
+	switch e.entry.Health {
+	case healthUp:
+		p.State = policy.Ready
+	case healthRemoved:
+		p.State = policy.Removed
+	}
+	return p
 }
 
-// logDrained says when a host that drains has nothing of ours any more.
-func (l *eventLoop) logDrained(h *endpoint) {
-	if h.drainingSince != 0 && h.inFlight == 0 {
-		slog.Info("upstream drained", "host", h.entry.Host, "after", l.now-h.drainingSince)
+// updateDrain applies what the list says of an endpoint's drain: it gets nothing new, its attempts
+// end, and its idle connections are closed. A drain that is cancelled takes all of that back.
+func (l *eventLoop) updateDrain(e *endpoint) {
+	draining := e.entry.Health != healthUp
+	switch {
+	case draining && e.drainingSince == 0:
+		e.drainingSince = l.clock.now
+		l.transport.Pool().Drain(e.server)
+		slog.Info("upstream: draining", "host", e.entry.Host, "running", e.inFlight)
+		l.logDrained(e)
+	case !draining && e.drainingSince != 0:
+		e.drainingSince = 0
+		l.transport.Pool().Resume(e.server)
+		slog.Info("upstream: drain cancelled", "host", e.entry.Host)
 	}
 }
 
-// forgetUnusedZones lets go of the sites that the settings do not name and no host is at any more.
-func (l *eventLoop) forgetUnusedZones() {
-	if len(l.zoneNumbers) <= len(l.config.Zones)+len(l.endpoints) {
-		return
-	}
-	used := make(map[string]bool, len(l.endpoints))
-	for _, h := range l.endpoints {
-		used[h.entry.Site] = true
+// logDrained says when a draining endpoint has no attempt of this sidecar any more.
+func (l *eventLoop) logDrained(e *endpoint) {
+	if e.drainingSince != 0 && e.inFlight == 0 {
+		slog.Info("upstream: drained", "host", e.entry.Host, "after", l.clock.now-e.drainingSince)
 	}
-	maps.DeleteFunc(l.zoneNumbers, func(name string, number int) bool {
-		return number >= len(l.config.Zones) && !used[name]
-	})
 }
 
-// enterEndpoint takes one entry of the list over. A word for its health that is not
-// known means nothing new, as draining does.
-func (l *eventLoop) enterEndpoint(e client.Endpoint) (policy.Endpoint, bool) {
-	if e.Host == "" || e.Malformed {
-		return policy.Endpoint{}, false
-	}
-	h := l.endpoints[e.Host]
-	if _, err := netip.ParseAddrPort(e.Dial); err != nil {
-		if h == nil || e.Health == "up" {
-			return policy.Endpoint{}, false
+// deliverProbes passes an endpoint's probe results on in the order in which they were asked for, as
+// the balancer matches them: a later one may be back first.
+func (l *eventLoop) deliverProbes(e *endpoint) {
+	for len(e.probes) > 0 && e.probes[0].done {
+		p := e.probes[0]
+		e.probes = e.probes[1:]
+		if p.ok || e.drainingSince == 0 { // a probe that was not sent because of the drain says nothing of the server
+			l.balancer.Probed(l.clock.now, e.id, p.ok, p.load)
 		}
-		e.Dial = h.entry.Dial // it is to get nothing new: its address does not matter
-	}
-	if h == nil {
-		l.lastEndpointID++
-		h = &endpoint{id: l.lastEndpointID, peer: upstream.NewServer(e.Dial)}
-		l.endpoints[e.Host], l.endpointsByID[h.id] = h, h
-	} else if h.entry.Dial != e.Dial || h.entry.BornMS != e.BornMS { // what was open to it leads nowhere now
-		l.transport.Pool().Retire(h.peer)
-		h.peer, h.drainingSince = upstream.NewServer(e.Dial), 0
-	}
-	// A start ahead of this machine's clock would keep an upstream cold for too
-	// long; it is taken for now, and stays so while the entry names the same start.
-	if h.entry.BornMS != e.BornMS || h.startedAt == 0 {
-		h.startedAt = policy.StartedAt(settings.DurationFromMillis(e.BornMS), l.now, l.wallClockStep())
-	}
-	h.entry = e
-	site, ok := l.zoneNumbers[e.Site]
-	if !ok {
-		site = l.nextZone
-		l.nextZone++
-		l.zoneNumbers[e.Site] = site
-	}
-	s := policy.Endpoint{ID: h.id, Zone: site, Weight: e.Share, Started: h.startedAt, State: policy.Draining}
-	if s.Cell = -int(h.id); e.Block != nil { // without a cell it shares its keys with no other
-		s.Cell = *e.Block
-	}
-	switch e.Health {
-	case "up":
-		s.State = policy.Ready
-	case "removed":
-		s.State = policy.Removed
 	}
-	return s, true
 }
--- a/internal/sidecar/events.go
+++ b/internal/sidecar/events.go
@@ -1,20 +1,33 @@
 package sidecar
 
 import (
+	"barleywick/internal/overload"
 	"barleywick/internal/registry/client"
+	"barleywick/internal/sidecar/outcome"
 	"barleywick/internal/sidecar/upstream"
 	"barleywick/policy"
 )
 
-// The events that I/O goroutines send to the loop.
+// event is something that other goroutines have the event loop handle. Only this file's types are
+// events.
+type event interface {
+	// handle is called by the event loop, in the order in which events were posted.
+	handle(l *eventLoop)
+}
+
+// Events of requests and attempts.
 type (
 	requestArrived     struct{ request *request }
-	clientDisconnected struct{ request *request } // the client has gone
+	clientDisconnected struct{ request *request }
 	attemptEnded       struct {
 		attempt *attempt
 		ending  policy.Ending
-		answer  *upstream.Response // with Served
+		answer  *upstream.Response // with policy.Served
 	}
+)
+
+// Events of booking servers.
+type (
 	probeCompleted struct {
 		probe *pendingProbe
 		ok    bool
@@ -22,8 +35,81 @@
 	}
 	endpointsListed struct{ listing client.ListUpdate }
 	listingLost     struct{ loss client.ListLoss }
+)
+
+// Events of a hand-over, at the old process and at the new one.
+type (
 	handoverStarted struct {
-		held chan<- []policy.BulkheadCapacity
-	} // a new process takes this one's place
-	predecessorReported struct{ held []policy.BulkheadCapacity } // what the old one still holds
+		reserved chan<- []policy.BulkheadCapacity // takes what this process keeps
+	}
+	predecessorReported struct{ reserved []policy.BulkheadCapacity }
+)
+
+// Events of the fleet.
+type (
+	fleetPolicyReceived struct {
+		limits policy.FleetLimits
+		done   chan<- struct{} // closed when the limits are in force
+	}
+	adviceReceived      struct{ advice policy.OverloadAdvice }
+	sidecarCountChanged struct{ sidecars int }
+)
+
+// Questions to the event loop.
+type (
+	statusRequested struct{ status chan<- Status }
+	// digestRequested asks for what was counted since the last one.
+	digestRequested struct{ digest chan<- overload.Digest }
 )
+
+func (e requestArrived) handle(l *eventLoop) { l.admitRequest(e.request) }
+
+func (e clientDisconnected) handle(l *eventLoop) {
+	r := e.request
+	if r.id == 0 || r.closed {
+		return
+	}
+	l.closeRequest(r)
+	l.observers.requestEnded(r, outcome.ClientVanished)
+	l.balancer.ClientGone(l.clock.now, r.id)
+}
+
+func (e attemptEnded) handle(l *eventLoop) { l.endAttempt(e.attempt, e.ending, e.answer) }
+
+func (e probeCompleted) handle(l *eventLoop) {
+	p := e.probe
+	p.done, p.ok, p.load = true, e.ok, e.load
+	l.deliverProbes(p.endpoint)
+}
+
+func (e endpointsListed) handle(l *eventLoop) {
+	l.endpoints.updatedAt = l.clock.now
+	kind := policy.ListDelta
+	if e.listing.Full {
+		kind = policy.ListFull
+	}
+	l.applyListing(kind, e.listing)
+}
+
+func (e listingLost) handle(l *eventLoop) { l.balancer.ListLost(l.clock.now, policy.ListLoss(e.loss)) }
+
+func (e handoverStarted) handle(l *eventLoop) {
+	e.reserved <- l.balancer.HandOver(l.expectedRequests())
+}
+
+func (e predecessorReported) handle(l *eventLoop) {
+	l.balancer.ReserveForPredecessor(l.clock.now, e.reserved)
+}
+
+func (e fleetPolicyReceived) handle(l *eventLoop) {
+	l.balancer.SetFleetLimits(l.clock.now, e.limits)
+	close(e.done)
+}
+
+func (e adviceReceived) handle(l *eventLoop) { l.balancer.Advise(l.clock.now, e.advice) }
+
+func (e sidecarCountChanged) handle(l *eventLoop) { l.balancer.SetFleetSize(e.sidecars) }
+
+func (e statusRequested) handle(l *eventLoop) { e.status <- l.status() }
+
+func (e digestRequested) handle(l *eventLoop) { e.digest <- l.digest() }
--- a/internal/sidecar/fleet_policy.go
+++ b/internal/sidecar/fleet_policy.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"sync"
-	"time"
 
 	"barleywick/internal/rollout"
 	"barleywick/internal/sidecar/config"
@@ -11,34 +10,24 @@
 	"barleywick/policy"
 )
 
-const (
-	// noPolicyRetryAfter is the Retry-After of a sidecar that may not act, spread.
-	noPolicyRetryAfter = time.Second
-)
-
-// fleetPolicyReceived is the event of a policy that is to be in force.
-type fleetPolicyReceived struct {
-	rule policy.FleetLimits
-	done chan<- struct{}
-}
-
-// fleetLimits is what a document says to the decision module.
-func (l *eventLoop) fleetLimits(d *rollout.Document) (r policy.FleetLimits) {
+// fleetLimits returns what a policy document says to the balancer.
+func fleetLimits(d *rollout.Document, tenants []string) policy.FleetLimits {
+	var limits policy.FleetLimits
 	if d == nil {
-		return r
+		return limits
 	}
-	for _, name := range l.tenantNames() {
+	for _, name := range tenants {
 		t := d.Tenant(name)
-		r.Bulkheads = append(r.Bulkheads, policy.BulkheadCapacity{Slots: t.Slots, Places: t.QueuePlaces})
+		limits.Bulkheads = append(limits.Bulkheads, policy.BulkheadCapacity{Slots: t.Slots, Places: t.QueuePlaces})
 	}
-	r.MaxAttempts, r.NoProbes = d.MaxAttempts, d.NoProbes
-	return r
+	limits.MaxAttempts, limits.NoProbes = d.MaxAttempts, d.NoProbes
+	return limits
 }
 
-// applyFleetPolicy has the loop put a policy in force, and returns when it has.
+// applyFleetPolicy has the loop put a policy into force, and returns when it is.
 func (l *eventLoop) applyFleetPolicy(ctx context.Context, d *rollout.Document) error {
 	done := make(chan struct{})
-	if !l.post(fleetPolicyReceived{l.fleetLimits(d), done}) {
+	if !l.post(fleetPolicyReceived{fleetLimits(d, tenantNames(l.config)), done}) {
 		return errEnded
 	}
 	select {
--- a/internal/sidecar/membership.go
+++ b/internal/sidecar/membership.go
@@ -8,39 +8,44 @@
 	"barleywick/policy"
 )
 
-// FleetMember is this sidecar as a member of the fleet (docs/MEMBERSHIP.md). Nothing that it does
-// may wait for it, and nothing of it is needed to serve.
+// FleetMember is this sidecar as a member of the fleet (docs/MEMBERSHIP.md). Nothing of it is needed
+// to serve, and its methods must not wait.
 type FleetMember interface {
-	http.Handler
+	http.Handler // serves what this member sees
+	// Run is a member until ctx ends.
 	Run(ctx context.Context)
-	Announce(phase string, epoch uint64) // what this sidecar says of itself
-	ReportUnresponsive(host string)      // a booking server does not answer
-	SidecarCount() int                   // how many are seen; 0: none is
+	// Announce tells the others the phase of this sidecar, empty while it serves, and the epoch of
+	// the fleet policy that it acts by.
+	Announce(phase string, epoch uint64)
+	// ReportUnresponsive tells the others of a booking server that does not answer.
+	ReportUnresponsive(host string)
+	// SidecarCount returns how many sidecars are seen; 0: none.
+	SidecarCount() int
 }
 
 const (
-	// announceInterval is between two looks at what has changed on either side.
+	// announceInterval is how often the phase and the number of sidecars are exchanged.
 	announceInterval = time.Second
-	// unresponsiveAfter are as many in a row that a server left unanswered before the fleet is
-	// told: one may be the request's, or the way's.
+	// unresponsiveAfter is how many attempts in a row a server leaves unanswered before the fleet
+	// is told: one may be the request's fault, or the network's.
 	unresponsiveAfter = 3
 )
 
-// sidecarCountChanged is the event of another number of sidecars.
-type sidecarCountChanged struct{ sidecars int }
+// announcement is what a sidecar tells the fleet of itself.
+type announcement func() (phase string, epoch uint64)
 
-// runMembership passes on what the fleet and this sidecar tell each other, until ctx ends.
-func runMembership(ctx context.Context, m FleetMember, l *eventLoop, stand func() (phase string, epoch uint64)) {
-	tick := time.NewTicker(announceInterval)
-	defer tick.Stop()
+// runMembership exchanges what the sidecar and its fleet tell each other, until ctx ends.
+func runMembership(ctx context.Context, m FleetMember, l *eventLoop, announce announcement) {
+	interval := time.NewTicker(announceInterval)
+	defer interval.Stop()
 	known := 0
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-interval.C:
 		}
-		m.Announce(stand())
+		m.Announce(announce())
 		if n := m.SidecarCount(); n != known {
 			known = n
 			l.post(sidecarCountChanged{n})
@@ -48,18 +53,19 @@
 	}
 }
 
-// noteSilence notes how an attempt at a host ended, and tells the fleet of one that is silent.
-func (l *eventLoop) noteSilence(h *endpoint, ending policy.Ending) {
+// noteSilence notes how an attempt at an endpoint ended, and tells the fleet of an endpoint that is
+// unresponsive.
+func (l *eventLoop) noteSilence(e *endpoint, ending policy.Ending) {
 	switch ending {
-	case policy.Cancelled, policy.NotSent: // says nothing of the host
+	case policy.Cancelled, policy.NotSent: // says nothing of the server
 		return
 	case policy.TimedOut, policy.NoConnection:
-		h.consecutiveSilent++
+		e.silentInARow++
 	default:
-		h.consecutiveSilent = 0
+		e.silentInARow = 0
 	}
-	if h.consecutiveSilent == unresponsiveAfter && l.reportUnresponsive != nil {
-		l.reportUnresponsive(h.entry.Host)
-		h.consecutiveSilent = 0 // and again after as many more
+	if e.silentInARow == unresponsiveAfter && l.fleet.member != nil {
+		l.fleet.member.ReportUnresponsive(e.entry.Host)
+		e.silentInARow = 0 // it is told again after as many more
 	}
 }
--- /dev/null
+++ b/internal/sidecar/observers.go
@@ -0,0 +1,81 @@
+package sidecar
+
+import (
+	"log/slog"
+	"time"
+
+	"barleywick/internal/sidecar/outcome"
+	"barleywick/internal/sidecar/overloadreporter"
+	"barleywick/policy"
+)
+
+// requestObservers are told of each request and attempt: the fleet policy's comparison of canaries,
+// the overload digests, metrics and the log.
+type requestObservers struct {
+	classes    []string
+	tenants    []string
+	objectives []policy.Class
+
+	policy   requestRecorder          // nil: there is no fleet policy
+	overload *overloadreporter.Counts // nil: no digests are reported
+	exporter MetricsExporter          // nil: nothing is measured
+	trace    bool                     // each attempt and response is logged
+}
+
+// requestRecorder counts how requests end.
+type requestRecorder interface{ RecordRequest(o outcome.Outcome) }
+
+func (o *requestObservers) requestArrived(r *request) {
+	if o.overload != nil {
+		o.overload.RequestArrived(r.tenant)
+	}
+}
+
+// requestAnswered is told of a request that its client was given a response to.
+func (o *requestObservers) requestAnswered(r *request, status int) {
+	if o.policy == nil && o.overload == nil && o.exporter == nil && !o.trace {
+		return
+	}
+	result := outcome.Of(status, time.Since(r.receivedAt), o.objectives[r.class].LatencyObjective)
+	if o.policy != nil {
+		o.policy.RecordRequest(result)
+	}
+	if o.overload != nil {
+		o.overload.RequestEnded(r.tenant, result)
+	}
+	o.requestEnded(r, result)
+}
+
+// requestEnded is told of each request that ended, also without a response.
+func (o *requestObservers) requestEnded(r *request, result outcome.Outcome) {
+	if o.exporter == nil && !o.trace {
+		return
+	}
+	took := time.Since(r.receivedAt)
+	class, tenant := o.classes[r.class], o.tenants[r.tenant]
+	if o.exporter != nil {
+		o.exporter.RecordRequest(class, tenant, result.Label(), took)
+	}
+	if o.trace {
+		slog.Debug("client: request ended", "request", r.ID, "class", class, "tenant", tenant,
+			"outcome", result.Label(), "attempts", len(r.attempts), "took", took)
+	}
+}
+
+func (o *requestObservers) attemptEnded(a *attempt, ending policy.Ending) {
+	if !o.trace {
+		return
+	}
+	host := ""
+	if a.endpoint != nil {
+		host = a.endpoint.entry.Host
+	}
+	slog.Debug("upstream: attempt ended", "request", a.request.ID, "attempt", a.number, "host", host,
+		"ending", endingNames[ending], "took", time.Since(a.startedAt))
+}
+
+// endingNames name in the log how an attempt ended.
+var endingNames = map[policy.Ending]string{
+	policy.Served: "served", policy.Errored: "error", policy.Rejected: "rejected", policy.TimedOut: "timed out",
+	policy.NoConnection: "no connection", policy.Broken: "broken", policy.Cancelled: "cancelled", policy.NotSent: "not sent",
+}
--- a/internal/sidecar/overload.go
+++ b/internal/sidecar/overload.go
@@ -8,15 +8,9 @@
 	"barleywick/policy"
 )
 
-// digestRequested asks the loop for what it counted since it was asked last.
-type digestRequested struct{ digest chan<- overload.Digest }
-
-// adviceReceived has the loop put advice into force.
-type adviceReceived struct{ advice policy.OverloadAdvice }
-
-// countForOverload begins to count requests for the overload reporter.
-func (l *eventLoop) countForOverload() {
-	l.overloadCounts = overloadreporter.NewCounts(l.tenantNames(), func(tenant int) (share float64, ok bool) {
+// newOverloadCounts makes the counts for overload digests.
+func (l *eventLoop) newOverloadCounts() *overloadreporter.Counts {
+	return overloadreporter.NewCounts(tenantNames(l.config), func(tenant int) (share float64, ok bool) {
 		tenants := l.config.Policy.Tenants
 		if tenant >= len(tenants) {
 			return 0, false
@@ -27,10 +21,10 @@
 
 // digest returns what was counted, and counts anew.
 func (l *eventLoop) digest() overload.Digest {
-	return overload.Digest{Congestion: min(1, l.balancer.Congestion(l.now)), Tenants: l.overloadCounts.Take()}
+	return overload.Digest{Congestion: min(1, l.balancer.Congestion(l.clock.now)), Tenants: l.observers.overload.Take()}
 }
 
-// OverloadDigest has the loop return its counts, and counts anew.
+// OverloadDigest has the loop return its counts, and count anew.
 func (l *eventLoop) OverloadDigest(ctx context.Context) (overload.Digest, error) {
 	digest := make(chan overload.Digest, 1)
 	if !l.post(digestRequested{digest}) {
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -71,18 +71,18 @@
 // The loop passes a drain to the pool once, and its end.
 func TestServerDrainFollowsTheEndpointList(t *testing.T) {
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0))
-	h := l.endpoints["s-1"]
+	h := l.endpoints.byName["s-1"]
 	h.inFlight = 1
-	drains := func() bool { return l.transport.Pool().ServerState(h.peer) == policy.Draining }
+	drains := func() bool { return l.transport.Pool().ServerState(h.server) == policy.Draining }
 	change := func(health string) {
 		l.applyListing(policy.ListDelta, client.ListUpdate{Endpoints: []client.Endpoint{{Host: "s-1", Dial: "127.0.0.1:7", Site: "a", Health: health, Share: 1}}})
 	}
-	l.now = time.Second
+	l.clock.now = time.Second
 	change("draining")
 	if h.drainingSince != time.Second || !drains() {
 		t.Errorf("got draining since %v, in the pool %v; want 1s and true", h.drainingSince, drains())
 	}
-	l.now = 2 * time.Second
+	l.clock.now = 2 * time.Second
 	if change("draining"); h.drainingSince != time.Second {
 		t.Error("the drain began anew when it was notified again")
 	}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -110,14 +110,14 @@
 // The module matches a server's probe results to its calls by their order.
 func TestProbeResultsKeepTheirOrder(t *testing.T) {
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0))
-	h := l.endpoints["s-1"]
+	h := l.endpoints.byName["s-1"]
 	first, second := &pendingProbe{endpoint: h}, &pendingProbe{endpoint: h}
 	h.probes = []*pendingProbe{first, second}
-	l.handle(probeCompleted{second, true, policy.LoadReport{InFlight: 1}})
+	probeCompleted{second, true, policy.LoadReport{InFlight: 1}}.handle(l)
 	if len(h.probes) != 2 {
 		t.Fatal("the second result went before the first")
 	}
-	l.handle(probeCompleted{first, false, policy.UnknownLoad})
+	probeCompleted{first, false, policy.UnknownLoad}.handle(l)
 	if len(h.probes) != 0 {
 		t.Errorf("%d results are held back", len(h.probes))
 	}
@@ -127,18 +127,18 @@
 // never ask again.
 func TestEarlyTimerIsArmedAgain(t *testing.T) {
 	l := newTestLoop(t)
-	due := l.wakeAt // as the module asked at its start
-	l.now = due - time.Millisecond
+	due := l.wakeTimer.due // as the module asked at its start
+	l.clock.now = due - time.Millisecond
 	l.wake()
-	if due == 0 || l.wakeAt != due {
+	if due == 0 || l.wakeTimer.due != due {
 		t.Fatal("an early timer disarmed the alarm")
 	}
-	for l.now < due { // it is armed for what was left at the made-up time, and so early again
-		sidecartest.Await(t, "the timer", l.timer.C)
-		l.now = l.clock()
+	for l.clock.now < due { // it is armed for what was left at the made-up time, and so early again
+		sidecartest.Await(t, "the timer", l.wakeTimer.timer.C)
+		l.clock.now = l.clock.read()
 		l.wake()
 	}
-	if l.wakeAt <= due {
+	if l.wakeTimer.due <= due {
 		t.Error("the module was not woken: it would have asked for a later time")
 	}
 }
@@ -146,17 +146,17 @@
 func TestExactlyOneAnswer(t *testing.T) {
 	l := newTestLoop(t)
 	r := &request{Request: upstream.Request{ID: "x"}, id: 7, result: make(chan response, 1)}
-	l.requests[r.id] = r
-	l.requestNames.reserve(r.ID)
+	l.requests.byID[r.id] = r
+	l.requests.ids.reserve(r.ID)
 	l.Fail(r.id)
 	l.Fail(r.id)
 	l.Refuse(r.id, 0)
-	l.handle(clientDisconnected{r})
+	clientDisconnected{r}.handle(l)
 	if a := sidecartest.Await(t, "the answer", r.result); a.status != http.StatusBadGateway || len(r.result) > 0 {
 		t.Errorf("answered %d, and %d times more", a.status, len(r.result))
 	}
-	if len(l.requests) > 0 || l.requestNames.isInUse(r.ID) {
-		t.Errorf("%d requests are still held, name held: %v", len(l.requests), l.requestNames.isInUse(r.ID))
+	if len(l.requests.byID) > 0 || l.requests.ids.isInUse(r.ID) {
+		t.Errorf("%d requests are still held, name held: %v", len(l.requests.byID), l.requests.ids.isInUse(r.ID))
 	}
 }
 
@@ -171,13 +171,13 @@
 		class:   2, clientDeadline: time.Now().Add(sidecartest.Patience),
 		result: make(chan response, 1),
 	}
-	l.now = l.clock()
-	l.handle(requestArrived{held})
+	l.clock.now = l.clock.read()
+	requestArrived{held}.handle(l)
 	sidecartest.Await(t, "the attempt", u.Requests)
-	l.handle(clientDisconnected{held})
-	l.handle(attemptEnded{held.attempts[0], policy.Served, &upstream.Response{}})
-	if len(l.requests) > 0 || len(held.result) > 0 {
-		t.Errorf("%d requests are still held, %d answers given", len(l.requests), len(held.result))
+	clientDisconnected{held}.handle(l)
+	attemptEnded{held.attempts[0], policy.Served, &upstream.Response{}}.handle(l)
+	if len(l.requests.byID) > 0 || len(held.result) > 0 {
+		t.Errorf("%d requests are still held, %d answers given", len(l.requests.byID), len(held.result))
 	}
 }
 
@@ -189,7 +189,7 @@
 		http.StatusGatewayTimeout: {Request: upstream.Request{ID: "out"}, id: 7, inFlight: 1, result: make(chan response, 1)},
 		http.StatusBadGateway:     {Request: upstream.Request{ID: "broken"}, id: 8, result: make(chan response, 1)},
 	} {
-		l.requests[r.id] = r
+		l.requests.byID[r.id] = r
 		l.Fail(r.id)
 		if a := sidecartest.Await(t, "the answer", r.result); a.status != want {
 			t.Errorf("%s: answered %d, want %d", r.ID, a.status, want)
--- a/internal/sidecar/status.go
+++ b/internal/sidecar/status.go
@@ -3,71 +3,71 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"log/slog"
 	"net"
 	"time"
 
-	"barleywick/internal/sidecar/config"
 	"barleywick/internal/sidecar/counters"
 	"barleywick/internal/sidecar/gate"
-	"barleywick/internal/sidecar/outcome"
 	"barleywick/internal/sidecar/overloadreporter"
 	"barleywick/internal/sidecar/policyfollower"
 	"barleywick/internal/sidecar/upstream"
 	"barleywick/policy"
 )
 
-// MetricsExporter takes what is measured of a sidecar and serves it. Its methods may be called
-// concurrently; Answered is called by the loop and must not wait.
+// MetricsExporter measures a sidecar and serves its metrics. Its methods may be called concurrently.
 type MetricsExporter interface {
-	// RecordRequest takes a request's end.
+	// RecordRequest records the end of a request. The event loop calls it: it must not wait.
 	RecordRequest(class, tenant, outcome string, took time.Duration)
-	// Serve answers for metrics on ln until ctx ends, taking the state at each
-	// scrape from state.
-	Serve(ctx context.Context, ln net.Listener, state func(context.Context) (Status, error)) error
+	// Serve serves metrics on ln until ctx ends, and reads the status at each scrape.
+	Serve(ctx context.Context, ln net.Listener, status func(context.Context) (Status, error)) error
 }
 
 // Status is how a sidecar stands at a moment.
 type Status struct {
-	OpenRequests             int // requests
-	Bulkheads                []Bulkhead
-	Endpoints                map[string]map[string]int // by zone and health: how many are listed
-	EndpointListAge          time.Duration             // since the last news of the list
-	Decided                  policy.Counters
-	ClientConnections        map[string]float64 // connections, by state
+	OpenRequests    int
+	Bulkheads       []Bulkhead
+	Endpoints       map[string]map[string]int // how many are listed, by zone and health
+	EndpointListAge time.Duration             // since the last list message; 0: none came yet
+	Decided         policy.Counters
+	Congestion      float64 // the share of their objective that responses took lately
+
+	// The connections now, by state, and what was counted of them so far.
+	ClientConnections        map[string]float64
 	UpstreamConnections      map[string]float64
-	ClientConnectionEvents   map[string]float64 // what was counted of connections so far
+	ClientConnectionEvents   map[string]float64
 	UpstreamConnectionEvents map[string]float64
-	Gate                     gate.Counters            // what may be done now, and what was done past it
-	FleetPolicy              *policyfollower.Status   // nil where the configuration names none
-	Congestion               float64                  // what answers took of their aims lately
-	OverloadAdvice           *overloadreporter.Status // the fleet's on an overload; nil where the configuration names none
+
+	Gate           gate.Counters
+	FleetPolicy    *policyfollower.Status   // nil: the configuration names no fleet policy
+	OverloadAdvice *overloadreporter.Status // nil: the configuration names no overload advice
 }
 
-// Bulkhead is the state of one tenant's.
+// Bulkhead is what is free of one tenant's bulkhead.
 type Bulkhead struct {
-	Tenant               string
-	SlotsFree, QueueFree int
+	Tenant    string
+	SlotsFree int
+	QueueFree int
 }
 
-// statusRequested is the event that asks the loop for its part of the state.
-type statusRequested struct{ state chan<- Status }
+// DecisionCounts returns the balancer's counters by name.
+func (s Status) DecisionCounts() map[string]float64 { return counters.Values(s.Decided) }
 
+// errEnded says that the event loop has ended.
 var errEnded = errors.New("the sidecar has ended")
 
-// requestStatus asks the loop how things stand.
+// requestStatus has the loop return its part of the status.
 func (l *eventLoop) requestStatus(ctx context.Context) (Status, error) {
-	answer := make(chan Status, 1)
+	status := make(chan Status, 1)
 	select {
-	case l.events <- statusRequested{answer}:
+	case l.events <- statusRequested{status}:
 	case <-l.lifetime.Done():
 		return Status{}, errEnded
 	case <-ctx.Done():
 		return Status{}, ctx.Err()
 	}
 	select {
-	case s := <-answer:
+	case s := <-status:
 		return s, nil
 	case <-l.lifetime.Done():
 		return Status{}, errEnded
@@ -76,101 +76,65 @@
 	}
 }
 
-// status is the loop's part of the state.
+// status returns the loop's part of the status.
 func (l *eventLoop) status() Status {
-	s := Status{OpenRequests: len(l.requests), Gate: l.gate.Counters(), Congestion: l.balancer.Congestion(l.now), Decided: l.balancer.Counters(), Endpoints: make(map[string]map[string]int)}
-	if l.listUpdatedAt > 0 {
-		s.EndpointListAge = l.now - l.listUpdatedAt
+	s := Status{
+		OpenRequests: len(l.requests.byID), Endpoints: l.endpoints.countByHealth(),
+		Decided: l.balancer.Counters(), Congestion: l.balancer.Congestion(l.clock.now), Gate: l.gate.Counters(),
+	}
+	if l.endpoints.updatedAt > 0 {
+		s.EndpointListAge = l.clock.now - l.endpoints.updatedAt
 	}
-	if l.policyStatus != nil {
-		p := l.policyStatus()
+	if l.fleet.policy != nil {
+		p := l.fleet.policy.Status()
 		s.FleetPolicy = &p
 	}
-	if l.adviceStatus != nil {
-		w := l.adviceStatus()
-		s.OverloadAdvice = &w
+	if l.fleet.overload != nil {
+		a := l.fleet.overload.Status()
+		s.OverloadAdvice = &a
 	}
-	for i, name := range l.tenantNames() {
-		s.Bulkheads = append(s.Bulkheads, Bulkhead{name, l.balancer.SlotsFree(i), l.balancer.QueueFree(i)})
-	}
-	for _, h := range l.endpoints {
-		zone := s.Endpoints[h.entry.Site]
-		if zone == nil {
-			zone = make(map[string]int)
-			s.Endpoints[h.entry.Site] = zone
-		}
-		zone[h.entry.Health]++
+	for i, name := range tenantNames(l.config) {
+		s.Bulkheads = append(s.Bulkheads, Bulkhead{Tenant: name, SlotsFree: l.balancer.SlotsFree(i), QueueFree: l.balancer.QueueFree(i)})
 	}
 	return s
 }
 
-// tenantNames are the names of the compartments.
-func (l *eventLoop) tenantNames() []string {
-	if len(l.config.Tenants) == 0 {
-		return []string{""}
+// countByHealth counts the endpoints by zone and health.
+func (t *endpointTable) countByHealth() map[string]map[string]int {
+	counts := make(map[string]map[string]int)
+	for _, e := range t.byName {
+		zone := counts[e.entry.Site]
+		if zone == nil {
+			zone = make(map[string]int)
+			counts[e.entry.Site] = zone
+		}
+		zone[e.entry.Health]++
 	}
-	return l.config.Tenants
+	return counts
 }
 
-// recordEnd tells meter and log of a request's end.
-func (l *eventLoop) recordEnd(r *request, o outcome.Outcome) {
-	if l.exporter == nil && !l.traceRequests {
-		return
-	}
-	took := time.Since(r.receivedAt)
-	class, tenant := l.config.Classes[r.class], l.tenantNames()[r.tenant]
-	if l.exporter != nil {
-		l.exporter.RecordRequest(class, tenant, o.Label(), took)
-	}
-	if l.traceRequests {
-		slog.Debug("request ended", "request", r.ID, "class", class, "tenant", tenant, "outcome", o.Label(), "attempts", len(r.attempts), "took", took)
-	}
+// statusReader reads the status of all parts.
+type statusReader struct {
+	loop     *eventLoop
+	listener *limitedListener
+	pool     *upstream.Pool
 }
 
-// traceAttempt logs the end of an attempt, with its request's id.
-func (l *eventLoop) traceAttempt(a *attempt, end policy.Ending) {
-	if !l.traceRequests {
-		return
-	}
-	host := ""
-	if a.host != nil {
-		host = a.host.entry.Host
+func (r *statusReader) read(ctx context.Context) (Status, error) {
+	s, err := r.loop.requestStatus(ctx)
+	if err != nil {
+		return s, err
 	}
-	slog.Debug("attempt ended", "request", a.req.ID, "attempt", a.number, "host", host, "ending", endingNames[end], "took", time.Since(a.startedAt))
+	clientEvents, clientState := r.listener.counters()
+	s.ClientConnectionEvents, s.ClientConnections = counters.Values(clientEvents), counters.Values(clientState)
+	upstreamEvents, upstreamState := r.pool.Counters()
+	s.UpstreamConnectionEvents, s.UpstreamConnections = counters.Values(upstreamEvents), counters.Values(upstreamState)
+	return s, nil
 }
 
-// endingNames are the module's endings in words.
-var endingNames = map[policy.Ending]string{
-	policy.Served: "served", policy.Errored: "error", policy.Rejected: "turned away", policy.TimedOut: "timed out",
-	policy.NoConnection: "no connection", policy.Broken: "broken", policy.Cancelled: "called off", policy.NotSent: "not sent",
-}
-
-// serveMetrics serves metrics where the configuration names an address for them.
-func serveMetrics(ctx context.Context, c *config.Config, l *eventLoop, listener *limitedListener, p *upstream.Pool) (run func(), err error) {
-	if l.exporter == nil {
-		return nil, nil
-	}
-	ln, err := net.Listen("tcp", c.Metrics.Listen)
-	if err != nil {
-		return nil, fmt.Errorf("metrics: %w", err)
+// serveMetrics serves metrics on a listener until ctx ends.
+func serveMetrics(ctx context.Context, e MetricsExporter, ln net.Listener, status *statusReader) {
+	if err := e.Serve(ctx, ln, status.read); err != nil {
+		slog.Error("metrics: serving failed", "err", err)
 	}
-	state := func(ctx context.Context) (Status, error) {
-		s, err := l.requestStatus(ctx)
-		if err != nil {
-			return s, err
-		}
-		count, now := listener.counters()
-		s.ClientConnectionEvents, s.ClientConnections = counters.Values(count), counters.Values(now)
-		poolCount, poolNow := p.Counters()
-		s.UpstreamConnectionEvents, s.UpstreamConnections = counters.Values(poolCount), counters.Values(poolNow)
-		return s, nil
-	}
-	return func() {
-		if err := l.exporter.Serve(ctx, ln, state); err != nil {
-			slog.Error("metrics", "err", err)
-		}
-	}, nil
 }
-
-// DecisionCounts are the module's counters by name.
-func (s Status) DecisionCounts() map[string]float64 { return counters.Values(s.Decided) }
