--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -34,27 +34,27 @@
 	return string(text)
 }
 
-func TestScrapeTellsWhatIsKnown(t *testing.T) {
+func TestScrapeServesTheStatus(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var busy sync.Mutex
-	wrong := error(nil)
-	state := func(context.Context) (sidecar.Status, error) {
-		busy.Lock()
-		defer busy.Unlock()
+	var mu sync.Mutex
+	var statusErr error
+	status := func(context.Context) (sidecar.Status, error) {
+		mu.Lock()
+		defer mu.Unlock()
 		return sidecar.Status{
 			OpenRequests: 3, EndpointListAge: 2 * time.Second, Bulkheads: []sidecar.Bulkhead{{Tenant: "acme", SlotsFree: 4, QueueFree: 1}},
 			Endpoints: map[string]map[string]int{"a": {"up": 5, "draining": 1}}, Decided: policy.Counters{Shed: 9},
 			ClientConnections: map[string]float64{"Open": 8}, UpstreamConnectionEvents: map[string]float64{"Reused": 7},
 			Congestion: 0.25, OverloadAdvice: &overloadreporter.Status{Advice: overload.Advice{Token: 7, Tenants: []overload.TenantAdvice{{Tenant: "acme", AdmitFraction: 0.5}}}, Age: time.Second},
-		}, wrong
+		}, statusErr
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	m := New()
 	ended := make(chan error, 1)
-	go func() { ended <- m.Serve(ctx, ln, state) }()
+	go func() { ended <- m.Serve(ctx, ln, status) }()
 	m.RecordRequest("hold", "acme", "served", 3*time.Millisecond)
 	m.RecordRequest("hold", "acme", "refused", time.Millisecond)
 	text := scrape(t, ln.Addr().String())
@@ -72,9 +72,9 @@
 			t.Errorf("no %s in\n%s", want, text)
 		}
 	}
-	busy.Lock()
-	wrong = errors.New("too busy")
-	busy.Unlock()
+	mu.Lock()
+	statusErr = errors.New("too busy")
+	mu.Unlock()
 	if text := scrape(t, ln.Addr().String()); !strings.Contains(text, "barleywick_state_read 0") || strings.Contains(text, "barleywick_requests_open") || !strings.Contains(text, "barleywick_requests_total{") {
 		t.Errorf("while the sidecar is too busy:\n%s", text)
 	}
