--- a/cmd/fleetctl/propose.go
+++ b/cmd/fleetctl/propose.go
@@ -128,7 +128,7 @@
 func (a *app) outcome(st rollout.Status, sum string, before uint64) error {
 	for i := len(st.History) - 1; i >= 0; i-- {
 		if h := st.History[i]; h.Checksum == sum && h.Number > before {
-			if h.Outcome == "committed" {
+			if h.Outcome == rollout.OutcomeCommitted {
 				fmt.Fprintf(a.out, "epoch %d is in force everywhere\n", h.Number)
 				return nil
 			}
@@ -185,7 +185,7 @@
 		if len(args) > 0 {
 			wanted = fmt.Sprint(h.Number) == args[0]
 		}
-		if wanted && h.Outcome == "committed" {
+		if wanted && h.Outcome == rollout.OutcomeCommitted {
 			return h, true
 		}
 	}
