--- a/internal/settings/loadreport.go
+++ b/internal/settings/loadreport.go
@@ -1,22 +1,22 @@
 package settings
 
 import (
-	"barleywick/policy"
 	"math"
 	"slices"
 	"strconv"
 	"strings"
+
+	"barleywick/policy"
 )
 
 // LoadColumns are the names of the values in a load report, in their order.
 type LoadColumns []string
 
-// LoadColumns returns the names of what load reports hold.
+// LoadColumns returns the names of what load reports contain.
 func (s *Settings) LoadColumns() LoadColumns { return s.Values("telemetry.columns") }
 
-// ParseLoadReport reads a load report of the form 'TEXT name=value, name=value': the values
-// of the names given. What it lacks, and what is no number, has none; it may hold any
-// number of others.
+// ParseLoadReport reads a load report of the form 'TEXT name=value, name=value' and returns the values
+// of the given names. A name that is missing or has no number gets no value. Other names are ignored.
 func ParseLoadReport(text string, names ...string) map[string]float64 {
 	values := make(map[string]float64, len(names))
 	text, _ = strings.CutPrefix(strings.TrimSpace(text), "TEXT ")
@@ -32,10 +32,10 @@
 	return values
 }
 
-// LoadReport turns a report into the module's own. value gives the number in a column
-// and whether there is one; what is no number or negative is unknown.
+// LoadReport converts a report. value returns the number in a column and whether there is one. A number
+// that is negative, infinite or NaN is unknown.
 func (c LoadColumns) LoadReport(value func(column int) (float64, bool)) policy.LoadReport {
-	load := policy.UnknownLoad
+	report := policy.UnknownLoad
 	for i, name := range c {
 		v, ok := value(i)
 		if !ok || !(v >= 0) || math.IsInf(v, 0) {
@@ -43,14 +43,14 @@
 		}
 		switch name {
 		case "busy_reqs":
-			load.InFlight = v
+			report.InFlight = v
 		case "pending":
-			load.Queued = v
+			report.Queued = v
 		case "cpu_share":
-			load.Utilization = v
+			report.Utilization = v
 		case "served_ps":
-			load.ServedPerSecond = v
+			report.ServedPerSecond = v
 		}
 	}
-	return load
+	return report
 }
--- a/internal/settings/loadreport_test.go
+++ b/internal/settings/loadreport_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Guards against this: the servers report what waits and not what they hold, and all their reports say nothing.
-func TestLoadTakesEveryKnownColumn(t *testing.T) {
+// Servers may report the queued requests and not those in flight. Such a report must not be ignored.
+func TestLoadReportTakesEveryKnownColumn(t *testing.T) {
 	columns := LoadColumns{"pending", "cpu_share", "served_ps", "svc_ms"}
 	for _, tt := range []struct {
 		name   string
@@ -25,7 +25,7 @@
 			return tt.values[i], true
 		})
 		if got != tt.want {
-			t.Errorf("%s: %+v, want %+v", tt.name, got, tt.want)
+			t.Errorf("%s: got %+v, want %+v", tt.name, got, tt.want)
 		}
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the settings that an instance starts with, in the
-// simulator's form (path=value lines) and in a real sidecar's (JSON), and turns
-// them into the decision module's own.
+// Package settings reads the settings that an instance starts with, in the simulator's form
+// (path=value lines) and in a sidecar's (JSON), and converts them to the configuration of package
+// policy.
 package settings
 
 import (
@@ -15,33 +15,47 @@
 	"time"
 )
 
-// DurationFromMillis turns milliseconds on the wire into a duration. What no duration can
-// hold is cut to the ends, and a NaN is 0.
+const (
+	maxDuration  = 1 << 62 // nanoseconds; leaves room for additions
+	nanosInMilli = 1e6
+	// maxCount is far above any real list and guards against a corrupt number.
+	maxCount = 1 << 16
+	// typicalValues is the usual number of values.
+	typicalValues = 128
+)
+
+// DurationFromMillis converts milliseconds to a duration. A value that no duration can hold becomes
+// the nearest one that it can, and NaN becomes 0.
 func DurationFromMillis(ms float64) time.Duration {
-	const most = 1 << 62
-	ns := math.Round(ms * 1e6)
+	ns := math.Round(ms * nanosInMilli)
 	switch {
-	case ns != ns:
+	case math.IsNaN(ns):
 		return 0
-	case ns > most:
-		return most
-	case ns < -most:
-		return -most
+	case ns > maxDuration:
+		return maxDuration
+	case ns < -maxDuration:
+		return -maxDuration
 	}
 	return time.Duration(ns)
 }
 
-// Settings are the start-up settings of an instance, by path.
+// Settings are the settings of an instance. Each value has a path: the keys and indexes that lead to
+// it, joined by dots.
 type Settings struct {
 	values map[string]string
-	err    error // the first value that could not be read
+	err    error // the first value that is unusable
+}
+
+func newSettings() *Settings {
+	return &Settings{values: make(map[string]string, typicalValues)}
 }
 
-// ParseLines reads path=value lines. Unknown keys are kept and passed over.
+// ParseLines reads path=value lines. Unknown keys are kept and have no effect.
 func ParseLines(info []byte) (*Settings, error) {
-	s := &Settings{values: make(map[string]string, 128)}
+	s := newSettings()
 	for n, line := range bytes.Split(info, []byte{'\n'}) {
-		if line = bytes.TrimSpace(line); len(line) == 0 {
+		line = bytes.TrimSpace(line)
+		if len(line) == 0 {
 			continue
 		}
 		key, value, ok := strings.Cut(string(line), "=")
@@ -53,25 +67,24 @@
 	return s, nil
 }
 
-// ParseJSON reads the same settings from a JSON object: the path of a value is
-// the keys that lead to it, a list of plain values is joined by commas, and a
-// list of objects gives its length under .count. Nulls are passed over.
+// ParseJSON reads the same settings from a JSON object. A list of plain values is joined by commas, and
+// a list of objects has its length at the path with .count. Nulls are ignored.
 func ParseJSON(text []byte) (*Settings, error) {
 	var root map[string]any
 	d := json.NewDecoder(bytes.NewReader(text))
-	d.UseNumber() // a number stays as it was written
+	d.UseNumber() // keeps each number as it was written
 	if err := d.Decode(&root); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	s := &Settings{values: make(map[string]string, 128)}
+	s := newSettings()
 	for key, v := range root {
 		s.flatten(key, v)
 	}
 	return s, nil
 }
 
-// Text is the settings in the simulator's form, sorted: what Parse reads. Spaces
-// and commas inside a value cannot be told apart from those between values.
+// Text returns the settings in the form that ParseLines reads, sorted by path. Spaces inside a value
+// become underscores, and commas cannot be told from those between values.
 func (s *Settings) Text() []byte {
 	var out bytes.Buffer
 	for _, key := range slices.Sorted(maps.Keys(s.values)) {
@@ -80,34 +93,39 @@
 	return out.Bytes()
 }
 
-func (s *Settings) flatten(path string, v any) {
-	switch v := v.(type) {
+// flatten stores a JSON value, and those inside it, under their paths.
+func (s *Settings) flatten(path string, value any) {
+	switch value := value.(type) {
 	case nil:
 	case map[string]any:
-		for key, inner := range v {
+		for key, inner := range value {
 			s.flatten(path+"."+key, inner)
 		}
 	case []any:
-		objects := false
-		plain := make([]string, 0, len(v))
-		for i, inner := range v {
-			if _, ok := inner.(map[string]any); ok {
-				objects = true
-				s.flatten(path+"."+strconv.Itoa(i), inner)
-				continue
-			}
-			plain = append(plain, fmt.Sprint(inner))
-		}
-		if objects || len(v) == 0 {
-			s.values[path+".count"] = strconv.Itoa(len(v))
-		}
-		s.values[path] = strings.Join(plain, ",")
+		s.flattenList(path, value)
 	default:
-		s.values[path] = fmt.Sprint(v)
+		s.values[path] = fmt.Sprint(value)
+	}
+}
+
+func (s *Settings) flattenList(path string, list []any) {
+	hasObjects := false
+	plain := make([]string, 0, len(list))
+	for i, inner := range list {
+		if _, ok := inner.(map[string]any); ok {
+			hasObjects = true
+			s.flatten(path+"."+strconv.Itoa(i), inner)
+			continue
+		}
+		plain = append(plain, fmt.Sprint(inner))
 	}
+	if hasObjects || len(list) == 0 {
+		s.values[path+".count"] = strconv.Itoa(len(list))
+	}
+	s.values[path] = strings.Join(plain, ",")
 }
 
-// Names lists the names of the objects in a list, in their order.
+// Names returns the names of the objects in a list, in their order.
 func (s *Settings) Names(list string) []string {
 	names := make([]string, s.count(list+".count"))
 	for i := range names {
@@ -116,7 +134,7 @@
 	return names
 }
 
-// Values lists the plain values of a list.
+// Values returns the plain values of a list.
 func (s *Settings) Values(list string) []string {
 	if s.text(list) == "" {
 		return nil
@@ -124,16 +142,24 @@
 	return strings.Split(s.text(list), ",")
 }
 
-// Duration reads a value in milliseconds; a missing one, and one that is not above 0, is absent.
+// Duration returns a value in milliseconds. If it is missing or not above 0, absent is returned.
 func (s *Settings) Duration(key string, absent time.Duration) time.Duration {
-	if d := DurationFromMillis(s.number(key, 0)); d > 0 {
+	if d := DurationFromMillis(s.number(key)); d > 0 {
 		return d
 	}
 	return absent
 }
 
+// fail records that a value is unusable. The first one is reported.
+func (s *Settings) fail(format string, args ...any) {
+	if s.err == nil {
+		s.err = fmt.Errorf("settings: "+format, args...)
+	}
+}
+
 func (s *Settings) text(key string) string { return s.values[key] }
 
+// flag returns a truth value; a missing one is false.
 func (s *Settings) flag(key string) bool {
 	v := s.values[key]
 	if v != "" && v != "true" && v != "false" {
@@ -142,17 +168,11 @@
 	return v == "true"
 }
 
-// fail notes the first value that cannot be.
-func (s *Settings) fail(format string, args ...any) {
-	if s.err == nil {
-		s.err = fmt.Errorf("settings: "+format, args...)
-	}
-}
-
-func (s *Settings) number(key string, absent float64) float64 {
-	v, ok := s.values[key]
-	if !ok || v == "" {
-		return absent
+// number returns a number; a missing one is 0.
+func (s *Settings) number(key string) float64 {
+	v := s.values[key]
+	if v == "" {
+		return 0
 	}
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil {
@@ -161,19 +181,22 @@
 	return f
 }
 
-// nonNegative reads a number that is none below 0; a missing one is 0.
+// nonNegative returns a finite number that is not negative; a missing one is 0.
 func (s *Settings) nonNegative(key string) float64 {
-	f := s.number(key, 0)
+	f := s.number(key)
 	if !(f >= 0) || math.IsInf(f, 1) {
 		s.fail("%s is %v, a number that is not negative is needed", key, f)
 	}
 	return f
 }
 
+// millis returns a duration in milliseconds that is not negative; a missing one is 0.
+func (s *Settings) millis(key string) time.Duration { return DurationFromMillis(s.nonNegative(key)) }
+
+// count returns a whole number from 0 to maxCount; a missing one is 0.
 func (s *Settings) count(key string) int {
-	const most = 1 << 16 // far above any real list; a guard against a broken figure
-	n := s.number(key, 0)
-	if n < 0 || n > most || n != float64(int(n)) {
+	n := s.number(key)
+	if n < 0 || n > maxCount || n != float64(int(n)) {
 		s.fail("%s: %v is not a count", key, n)
 		return 0
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,14 +10,14 @@
 	"barleywick/policy"
 )
 
-func TestMillis(t *testing.T) {
+func TestDurationFromMillis(t *testing.T) {
 	for _, d := range []time.Duration{0, time.Microsecond, 123456 * time.Microsecond, -time.Second, time.Hour} {
 		if got := DurationFromMillis(float64(d) / 1e6); got != d {
-			t.Errorf("%v comes back as %v", d, got)
+			t.Errorf("got %v, want %v", got, d)
 		}
 	}
 	if DurationFromMillis(math.NaN()) != 0 || DurationFromMillis(math.Inf(1)) <= 0 || DurationFromMillis(math.Inf(-1)) >= 0 {
-		t.Error("what is no number, or infinite, is not cut to a safe duration")
+		t.Error("NaN or an infinite number did not become a usable duration")
 	}
 }
 
@@ -60,22 +60,22 @@
 	}
 	if c.Balancers != 3 || c.Zone != 2 || c.MaxAttempts != 3 || !c.MayCancel || !c.MayProbe ||
 		!c.PollList || c.SlowStartFloor != 0.32 || c.CrossZoneCost != 0.03 {
-		t.Errorf("config %+v", c)
+		t.Errorf("got config %+v", c)
 	}
 	if k := c.Classes[0]; k.Idempotency != policy.IdempotentByKey || k.DedupScope != policy.ScopeCell || k.DedupWindow != 600*time.Millisecond {
-		t.Errorf("class 0 %+v", k)
+		t.Errorf("got class 0 %+v", k)
 	}
 	if c.Classes[1].Idempotency != policy.NonIdempotent {
-		t.Error("an unknown effect is not taken for the strictest")
+		t.Error("unknown semantics are not taken for the strictest")
 	}
 	if c.Tenants[0].Quota != 342 || c.Tenants[0].Share != 0.79 {
-		t.Errorf("tenant %+v", c.Tenants[0])
+		t.Errorf("got tenant %+v", c.Tenants[0])
 	}
 	if !c.KeyAffinity {
-		t.Error("that servers remember keys is not read")
+		t.Error("warm_keys is not read")
 	}
 	if got := s.LoadColumns(); len(got) != 4 || got[3] != "busy_reqs" {
-		t.Errorf("columns %+v", got)
+		t.Errorf("got columns %+v", got)
 	}
 	for _, bad := range []string{"balancers=three", "classes.count=-1", "classes.count=1e9", "orgs.count=1.5"} {
 		s, err := ParseLines([]byte(bad))
@@ -83,16 +83,16 @@
 			t.Fatal(err)
 		}
 		if _, err := s.PolicyConfig(); err == nil {
-			t.Errorf("%s: no error", bad)
+			t.Errorf("%s: got no error", bad)
 		}
 	}
 	if _, err := ParseLines([]byte("no equals sign")); err == nil {
-		t.Error("a line without '=': no error")
+		t.Error("a line without '=': got no error")
 	}
 }
 
 // Both forms of the same settings give the same configuration.
-func TestJSONGivesTheSame(t *testing.T) {
+func TestJSONAndLinesAgree(t *testing.T) {
 	s, err := ParseJSON([]byte(`{"balancers":3,"family_info":{"warm_keys":true},"caps":{"may_cancel":true,"most_tries":3,"probes":true,"retry_after":false},
 		"charges":{"cross_zone":0.03},"classes":[{"name":"a b","aim_ms":500.0,"dedup_scope":"cell","hard_limit_ms":1000.0,
 		"semantics":"guarded","window_ms":600.0,"worth":5.0},{"name":"c","aim_ms":600.0,"hard_limit_ms":2500.0,
@@ -115,17 +115,17 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("JSON gives %+v, lines give %+v", got, want)
+		t.Errorf("got %+v from JSON, want %+v as from lines", got, want)
 	}
 	if names := s.Names("classes"); !slices.Equal(names, []string{"a b", "c"}) {
-		t.Errorf("classes %q", names)
+		t.Errorf("got classes %q", names)
 	}
 	if c := s.LoadColumns(); !slices.Equal(c, lines.LoadColumns()) || s.Values("none") != nil {
-		t.Errorf("columns %q in JSON, %q in lines", c, lines.LoadColumns())
+		t.Errorf("got columns %q from JSON, want %q as from lines", c, lines.LoadColumns())
 	}
 	for _, bad := range []string{"", "[]", `{"balancers":`, "7"} {
 		if _, err := ParseJSON([]byte(bad)); err == nil {
-			t.Errorf("%q: no error", bad)
+			t.Errorf("%q: got no error", bad)
 		}
 	}
 }
