--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -20,8 +20,8 @@
 
 func addr(n int) netip.Addr { return netip.AddrFrom4([4]byte{127, 0, byte(n >> 8), byte(n)}) }
 
-// open asks for a place as the owner does, closing what it is told to, and says
-// whether there was one.
+// open opens a connection as the owner does, closing those that are to be evicted. It returns nil if
+// the connection has to wait.
 func open(t *table, from int, now time.Time) *conn {
 	for {
 		switch verdict, victim := t.Decide(addr(from), now); verdict {
@@ -37,8 +37,8 @@
 	}
 }
 
-// rest takes a connection through one request.
-func rest(t *table, c *conn, now time.Time) {
+// serveRequest takes a connection through one request, after which it is idle.
+func serveRequest(t *table, c *conn, now time.Time) {
 	t.FirstByteRead(c, now)
 	t.HeaderRead(c)
 	t.RequestStarted(c, now)
@@ -49,54 +49,54 @@
 	return Limits{Total: total, PerAddress: total, HalfOpen: total, Idle: total}
 }
 
-// One client may take all places while nobody else wants any. Modest ones get
-// theirs back from it to the last one of an even part, and it gets none of those.
-func TestLentPlacesAreTakenBack(t *testing.T) {
-	const total, modest = 100, 9
+// A single client may use the whole capacity. When others come, each gets an even share of it, and the
+// first one cannot take that back.
+func TestCapacityBeyondTheShareIsTakenBack(t *testing.T) {
+	const total, others = 100, 9
 	tb := New[int](limits(total), grace)
 	for range 3 * total {
 		if c := open(tb, 0, start); c != nil {
-			rest(tb, c, start)
+			serveRequest(tb, c, start)
 		}
 	}
 	if got := tb.OpenFrom(addr(0)); got != total {
-		t.Fatalf("alone, the greedy one holds %d, want all %d", got, total)
+		t.Fatalf("a single client: got %d connections, want all %d", got, total)
 	}
 	for round := range 20 {
-		for m := 1; m <= modest; m++ {
+		for m := 1; m <= others; m++ {
 			if c := open(tb, m, start); c != nil {
-				rest(tb, c, start)
-			} else if tb.OpenFrom(addr(m)) < total/(modest+1) {
-				t.Fatalf("round %d: client %d is turned away with %d", round, m, tb.OpenFrom(addr(m)))
+				serveRequest(tb, c, start)
+			} else if tb.OpenFrom(addr(m)) < total/(others+1) {
+				t.Fatalf("round %d: client %d has to wait with %d connections", round, m, tb.OpenFrom(addr(m)))
 			}
 		}
 		if c := open(tb, 0, start); c != nil {
-			rest(tb, c, start)
+			serveRequest(tb, c, start)
 		}
 	}
-	for m := range modest + 1 {
-		if got := tb.OpenFrom(addr(m)); got != total/(modest+1) {
-			t.Errorf("client %d holds %d, want %d", m, got, total/(modest+1))
+	for m := range others + 1 {
+		if got := tb.OpenFrom(addr(m)); got != total/(others+1) {
+			t.Errorf("client %d: got %d connections, want %d", m, got, total/(others+1))
 		}
 	}
 }
 
-// A client that wants less than its share leaves the rest to be lent.
-func TestUnusedSharesAreLent(t *testing.T) {
+// What a client does not use of its share is available to others.
+func TestUnusedSharesAreAvailable(t *testing.T) {
 	tb := New[int](limits(30), grace)
 	for _, want := range []struct{ from, n int }{{1, 2}, {2, 5}, {3, 100}} {
 		for range want.n {
 			if c := open(tb, want.from, start); c != nil {
-				rest(tb, c, start)
+				serveRequest(tb, c, start)
 			}
 		}
 	}
 	if a, b, c := tb.OpenFrom(addr(1)), tb.OpenFrom(addr(2)), tb.OpenFrom(addr(3)); a != 2 || b != 5 || c != 23 {
-		t.Errorf("held %d, %d and %d, want 2, 5 and 23", a, b, c)
+		t.Errorf("got %d, %d and %d connections, want 2, 5 and 23", a, b, c)
 	}
 }
 
-func TestTakenRequestsKeepTheirPlace(t *testing.T) {
+func TestConnectionsInUseAreNotEvicted(t *testing.T) {
 	tb := New[int](limits(4), grace)
 	var held []*conn
 	for range 4 {
@@ -106,38 +106,38 @@
 		held = append(held, c)
 	}
 	if c := open(tb, 1, start.Add(time.Hour)); c != nil {
-		t.Fatal("a place was found where all requests are taken")
+		t.Fatal("a connection was admitted while all others are in use")
 	}
 	tb.BecameIdle(held[2], start)
 	if c := open(tb, 1, start); c == nil || held[2].state != absent {
-		t.Error("the idle connection of the client with the most was not given up")
+		t.Error("the idle connection of the largest holder was not evicted")
 	}
 }
 
-// Who says nothing, or stops in the middle, loses the place after a grace, whosever
-// it is; before, no idle connection of the same client makes way for a newcomer.
-func TestGraces(t *testing.T) {
+// A connection that stays silent, or stops within a request, is evicted after its grace, whoever its
+// client is. Until then no idle connection of the same client is evicted for a new one.
+func TestGrace(t *testing.T) {
 	for name, c := range map[string]struct {
-		speaks bool
-		after  time.Duration
+		receives bool
+		after    time.Duration
 	}{"silent": {false, grace.FirstByte}, "half a request": {true, grace.WholeRequest}} {
 		t.Run(name, func(t *testing.T) {
 			tb := New[int](limits(2), grace)
 			kept := open(tb, 0, start)
-			rest(tb, kept, start)
+			serveRequest(tb, kept, start)
 			late := open(tb, 0, start)
-			if c.speaks {
+			if c.receives {
 				tb.FirstByteRead(late, start)
 				tb.HeaderRead(late)
 			}
 			if got := tb.NextOverdue(); !got.Equal(start.Add(c.after)) {
-				t.Errorf("overdue at %v, want after %v", got, c.after)
+				t.Errorf("got overdue at %v, want %v after the start", got, c.after)
 			}
 			if open(tb, 0, start.Add(c.after-1)) != nil {
-				t.Error("a place was found within the grace")
+				t.Error("a connection was admitted within the grace")
 			}
 			if open(tb, 0, start.Add(c.after)) == nil || late.state != absent || kept.state != idle {
-				t.Error("the late one did not make way, or the kept one did")
+				t.Error("the overdue connection was not evicted, or the idle one was")
 			}
 		})
 	}
@@ -151,177 +151,217 @@
 	}
 	first := own[0]
 	if open(tb, 0, start) != nil {
-		t.Error("an address got more than its limit")
+		t.Error("a connection was admitted beyond the limit of its address")
 	}
 	if open(tb, 1, start) == nil || open(tb, 1, start) != nil || tb.HalfOpen() != 4 {
-		t.Errorf("%d are half open, want 4", tb.HalfOpen())
+		t.Errorf("got %d half-open connections, want 4", tb.HalfOpen())
 	}
 	tb.FirstByteRead(first, start)
 	tb.HeaderRead(first) // its body may be to come, but it is not half open
 	if open(tb, 1, start) == nil {
-		t.Error("a whole header left no room")
+		t.Error("no connection was admitted after a header was complete")
 	}
-	rest(tb, first, start)
+	serveRequest(tb, first, start)
 	if v, _ := tb.Decide(addr(0), start); v != Wait {
-		t.Errorf("verdict %v, want it to wait while its own have just come", v)
+		t.Errorf("got verdict %v, want it to wait while others of its address are new", v)
 	}
-	rest(tb, own[1], start)
-	rest(tb, own[2], start)
+	serveRequest(tb, own[1], start)
+	serveRequest(tb, own[2], start)
 	if v, victim := tb.Decide(addr(0), start); v != Evict || victim != first {
-		t.Errorf("verdict %v, want its own idle connection to make way at its limit", v)
+		t.Errorf("got verdict %v, want an idle connection of its own address evicted at its limit", v)
 	}
 }
 
-func TestExcess(t *testing.T) {
+func TestExcessIdle(t *testing.T) {
 	tb := New[int](Limits{Total: 10, PerAddress: 10, HalfOpen: 10, Idle: 3}, grace)
 	var conns []*conn
 	for _, from := range []int{0, 1, 1, 1} {
 		c := open(tb, from, start)
-		rest(tb, c, start)
+		serveRequest(tb, c, start)
 		conns = append(conns, c)
 	}
 	if got := tb.ExcessIdle(); got != conns[1] {
-		t.Error("not the longest idle of the client with the most")
+		t.Error("got a connection that is not the longest idle one of the largest holder")
 	}
 	tb.Remove(conns[1])
 	if tb.ExcessIdle() != nil {
-		t.Error("an excess at the limit")
+		t.Error("got an excess at the limit")
 	}
 	tb.SetLimits(Limits{Total: 1, PerAddress: 1, HalfOpen: 1, Idle: 1})
 	for tb.ExcessIdle() != nil {
 		tb.Remove(tb.ExcessIdle())
 	}
 	if tb.Open() != 1 {
-		t.Errorf("%d are open at a new limit of 1", tb.Open())
+		t.Errorf("got %d open connections at a new limit of 1", tb.Open())
 	}
 }
 
-// Whatever happens, the table agrees with a plain count, keeps its limits and
-// the two promises: no taken request loses its place, and no client below an
-// even share is turned away while one above it has an idle connection.
+// tableModel does to a Table what an owner does at random, and counts the connections itself.
+type tableModel struct {
+	t       *testing.T
+	rng     *rand.Rand
+	limits  Limits
+	table   *table
+	clients int
+	states  map[*conn]state
+	now     time.Time
+}
+
+func newTableModel(t *testing.T, seed uint64) *tableModel {
+	rng := rand.New(rand.NewPCG(seed, 0))
+	limits := Limits{Total: 5 + rng.IntN(80)}
+	limits.PerAddress, limits.HalfOpen, limits.Idle = 1+rng.IntN(limits.Total), 1+rng.IntN(limits.Total), 1+rng.IntN(limits.Total)
+	return &tableModel{
+		t: t, rng: rng, limits: limits, table: New[int](limits, grace), clients: 1 + rng.IntN(12),
+		states: make(map[*conn]state), now: start,
+	}
+}
+
+// pick returns any connection in a state, or nil.
+func (m *tableModel) pick(in state) *conn {
+	for c, s := range m.states { // the order does not matter to what is checked
+		if s == in {
+			return c
+		}
+	}
+	return nil
+}
+
+// step lets one random event happen.
+func (m *tableModel) step() {
+	m.now = m.now.Add(time.Duration(m.rng.IntN(20)) * time.Millisecond)
+	switch m.rng.IntN(8) {
+	case 0, 1, 2:
+		m.connect(m.rng.IntN(m.clients))
+	case 3:
+		m.receive(m.pick(silent))
+	case 4:
+		if c := m.pick(readingRequest); c != nil {
+			m.table.HeaderRead(c)
+			m.table.RequestStarted(c, m.now)
+			m.states[c] = serving
+		}
+	case 5:
+		if c := m.pick(serving); c != nil {
+			m.table.BecameIdle(c, m.now)
+			m.states[c] = idle
+		}
+		for c := m.table.ExcessIdle(); c != nil; c = m.table.ExcessIdle() {
+			m.remove(c)
+		}
+	case 6:
+		m.receive(m.pick(idle))
+	case 7:
+		if c := m.pick(state(1 + m.rng.IntN(4))); c != nil {
+			m.remove(c)
+			m.table.Remove(c) // the second time has no effect
+		}
+	}
+}
+
+// connect opens a connection if the table admits it, after evictions if necessary.
+func (m *tableModel) connect(from int) {
+	for {
+		switch verdict, victim := m.table.Decide(addr(from), m.now); verdict {
+		case Evict:
+			if m.states[victim] == serving || m.states[victim] == absent {
+				m.t.Fatal("a connection in use, or an unknown one, is to be evicted")
+			}
+			m.remove(victim)
+		case Admit:
+			c := &conn{Owner: from}
+			m.table.Add(c, addr(from), m.now)
+			m.states[c] = silent
+			return
+		case Wait:
+			m.checkWait(from)
+			return
+		}
+	}
+}
+
+// checkWait checks that a client below its even share waits only if no larger holder has an idle
+// connection.
+func (m *tableModel) checkWait(from int) {
+	held := make(map[int]int)
+	for c := range m.states {
+		held[c.Owner]++
+	}
+	largest := 0
+	for c, s := range m.states {
+		if s == idle {
+			largest = max(largest, held[c.Owner])
+		}
+	}
+	own := held[from]
+	if own < m.limits.PerAddress && len(m.states) >= m.limits.Total && largest >= own+2 {
+		m.t.Fatalf("a client with %d connections has to wait while one with %d has an idle connection", own, largest)
+	}
+}
+
+func (m *tableModel) receive(c *conn) {
+	if c != nil {
+		m.table.FirstByteRead(c, m.now)
+		m.states[c] = readingRequest
+	}
+}
+
+func (m *tableModel) remove(c *conn) {
+	delete(m.states, c)
+	m.table.Remove(c)
+}
+
+// check compares the table with the model, and both with the limits.
+func (m *tableModel) check() {
+	counts := make(map[state]int)
+	for c, s := range m.states {
+		counts[s]++
+		if c.state != s {
+			m.t.Fatalf("got state %v, want %v", c.state, s)
+		}
+	}
+	halfOpen := counts[silent] + counts[readingRequest]
+	if m.table.Open() != len(m.states) || m.table.Idle() != counts[idle] || m.table.HalfOpen() != halfOpen {
+		m.t.Fatalf("got %d open, %d idle, %d half open; want %d, %d, %d", m.table.Open(), m.table.Idle(), m.table.HalfOpen(),
+			len(m.states), counts[idle], halfOpen)
+	}
+	if len(m.states) > m.limits.Total || counts[idle] > m.limits.Idle {
+		m.t.Fatalf("%d open and %d idle exceed the limits %+v", len(m.states), counts[idle], m.limits)
+	}
+}
+
+// Whatever happens, the table agrees with a simple model and keeps its limits, no connection in use is
+// evicted, and no client below an even share waits while a larger holder has an idle connection.
 func TestRandomEventsAgainstAModel(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			rng := rand.New(rand.NewPCG(seed, 0))
-			lim := Limits{Total: 5 + rng.IntN(80), PerAddress: 0, HalfOpen: 0, Idle: 0}
-			lim.PerAddress, lim.HalfOpen, lim.Idle = 1+rng.IntN(lim.Total), 1+rng.IntN(lim.Total), 1+rng.IntN(lim.Total)
-			tb, clients := New[int](lim, grace), 1+rng.IntN(12)
-			model := make(map[*conn]state)
-			now := start
-			pick := func(in state) *conn {
-				for c, s := range model { // the order does not matter to what is checked
-					if s == in {
-						return c
-					}
-				}
-				return nil
-			}
+			m := newTableModel(t, seed)
 			for range 4000 {
-				now = now.Add(time.Duration(rng.IntN(20)) * time.Millisecond)
-				switch rng.IntN(8) {
-				case 0, 1, 2:
-					from := rng.IntN(clients)
-					for done := false; !done; {
-						v, victim := tb.Decide(addr(from), now)
-						switch v {
-						case Evict:
-							if model[victim] == serving || model[victim] == absent {
-								t.Fatal("a taken or unknown connection is to be given up")
-							}
-							delete(model, victim)
-							tb.Remove(victim)
-						case Admit:
-							c := &conn{Owner: from}
-							tb.Add(c, addr(from), now)
-							model[c] = silent
-							done = true
-						case Wait:
-							done = true
-							richest, mine := 0, 0
-							held := make(map[int]int)
-							for c := range model {
-								held[c.Owner]++
-							}
-							for c, s := range model {
-								if s == idle {
-									richest = max(richest, held[c.Owner])
-								}
-							}
-							mine = held[from]
-							if mine < lim.PerAddress && len(model) >= lim.Total && richest >= mine+2 {
-								t.Fatalf("turned away with %d while one with %d has an idle connection", mine, richest)
-							}
-						}
-					}
-				case 3:
-					if c := pick(silent); c != nil {
-						tb.FirstByteRead(c, now)
-						model[c] = readingRequest
-					}
-				case 4:
-					if c := pick(readingRequest); c != nil {
-						tb.HeaderRead(c)
-						tb.RequestStarted(c, now)
-						model[c] = serving
-					}
-				case 5:
-					if c := pick(serving); c != nil {
-						tb.BecameIdle(c, now)
-						model[c] = idle
-					}
-					for c := tb.ExcessIdle(); c != nil; c = tb.ExcessIdle() {
-						delete(model, c)
-						tb.Remove(c)
-					}
-				case 6:
-					if c := pick(idle); c != nil {
-						tb.FirstByteRead(c, now)
-						model[c] = readingRequest
-					}
-				case 7:
-					if c := pick(state(1 + rng.IntN(4))); c != nil {
-						tb.Remove(c)
-						tb.Remove(c)
-						delete(model, c)
-					}
-				}
-				counts := make(map[state]int)
-				for c, s := range model {
-					counts[s]++
-					if c.state != s {
-						t.Fatalf("state %v, want %v", c.state, s)
-					}
-				}
-				if tb.Open() != len(model) || tb.Idle() != counts[idle] || tb.HalfOpen() != counts[silent]+counts[readingRequest] {
-					t.Fatalf("open %d, idle %d, half open %d; want %d, %d, %d", tb.Open(), tb.Idle(), tb.HalfOpen(),
-						len(model), counts[idle], counts[silent]+counts[readingRequest])
-				}
-				if len(model) > lim.Total || counts[idle] > lim.Idle {
-					t.Fatalf("%d open and %d idle, over the limits %+v", len(model), counts[idle], lim)
-				}
+				m.step()
+				m.check()
 			}
-			for c := range model {
-				tb.Remove(c)
+			for c := range m.states {
+				m.table.Remove(c)
 			}
-			if len(tb.clients) != 0 || tb.Open() != 0 || tb.holders.largest() != nil {
-				t.Error("something is left of connections that have ended")
+			if len(m.table.clients) != 0 || m.table.Open() != 0 || m.table.holders.largest() != nil {
+				t.Error("the table keeps state of connections that have ended")
 			}
 		})
 	}
 }
 
 // The time of an operation does not grow with the number of connections.
-func BenchmarkReplace(b *testing.B) {
+func BenchmarkEvict(b *testing.B) {
 	for _, n := range []int{100, 10_000, 200_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			tb := New[int](limits(n), grace)
 			for i := range n {
-				rest(tb, open(tb, i%200, start), start)
+				serveRequest(tb, open(tb, i%200, start), start)
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				if c := open(tb, 200+i%100, start); c != nil {
-					rest(tb, c, start)
+					serveRequest(tb, c, start)
 				}
 			}
 		})
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,21 +1,20 @@
-// Package queue holds an intrusive doubly linked list. A connection stands in
-// several orders at once (by age, by client, by server), and each of them must
-// give it up from the middle in constant time and without an allocation for
-// each request, which container/list does not offer.
+// Package queue provides an intrusive doubly linked list. A connection is in several lists at once (by
+// age, by client, by server), and each of them has to remove it from the middle in constant time and
+// without an allocation for each request, which container/list does not offer.
 package queue
 
-// Node is an element's place in one List. It is embedded in the element, once
-// for each list that the element may stand in, and its zero value is in none.
+// Node links an element into one List. It is a field of the element, once for each list that the
+// element may be in. Its zero value is in no list.
 type Node[T any] struct {
-	Value      T // set once, by the element's owner
+	Value      T // set once by the element's owner
 	prev, next *Node[T]
 	list       *List[T]
 }
 
-// Linked says whether the node stands in a list.
+// Linked says whether the node is in a list.
 func (n *Node[T]) Linked() bool { return n.list != nil }
 
-// Remove takes the node out of the list it stands in, if any.
+// Remove removes the node from its list, if it is in one.
 func (n *Node[T]) Remove() {
 	l := n.list
 	if l == nil {
@@ -35,17 +34,17 @@
 	l.len--
 }
 
-// Next returns the node behind this one, or nil.
+// Next returns the node after this one, or nil.
 func (n *Node[T]) Next() *Node[T] { return n.next }
 
-// List is a queue of nodes. Its zero value is empty and ready for use; it must
-// not be copied once a node stands in it.
+// List is a list of nodes. Its zero value is empty and ready for use. It must not be copied while it
+// has nodes.
 type List[T any] struct {
 	front, back *Node[T]
 	len         int
 }
 
-// Len returns how many nodes stand in the list.
+// Len returns the number of nodes.
 func (l *List[T]) Len() int { return l.len }
 
 // Front returns the first node, or nil.
@@ -54,7 +53,7 @@
 // Back returns the last node, or nil.
 func (l *List[T]) Back() *Node[T] { return l.back }
 
-// PushBack puts the node at the back, taking it out of the list it stood in before.
+// PushBack adds the node at the back, after removing it from the list that it was in.
 func (l *List[T]) PushBack(n *Node[T]) {
 	n.Remove()
 	n.list, n.prev = l, l.back
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Whatever is pushed and removed, two lists that share nodes hold what slices would.
+// Two lists that share nodes always contain the same as two slices.
 func TestListsAgreeWithSlices(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 0))
 	var lists [2]List[int]
@@ -30,15 +30,15 @@
 			var got []int
 			for n := lists[w].Front(); n != nil; n = n.Next() {
 				if !n.Linked() {
-					t.Fatal("a listed node says that it is in no list")
+					t.Fatal("a node in a list is not linked")
 				}
 				got = append(got, n.Value)
 			}
 			if !slices.Equal(got, want[w]) || lists[w].Len() != len(got) {
-				t.Fatalf("list %d holds %v (length %d), want %v", w, got, lists[w].Len(), want[w])
+				t.Fatalf("list %d: got %v (length %d), want %v", w, got, lists[w].Len(), want[w])
 			}
 			if b := lists[w].Back(); (b == nil) != (len(got) == 0) || (b != nil && b.Value != got[len(got)-1]) {
-				t.Fatalf("list %d: the last is not %v", w, got)
+				t.Fatalf("list %d: got another last node than that of %v", w, got)
 			}
 		}
 	}
