--- a/internal/sidecar/client_listener_test.go
+++ b/internal/sidecar/client_listener_test.go
@@ -304,14 +304,14 @@
 	}
 }
 
-// The page names each counter of both sides, and no other.
+// The page names each counter and state of both sides, and no other.
 func TestPageNamesTheCounters(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CONNECTIONS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	named := make(map[string]bool)
-	for _, c := range []any{clientCounters{}, upstream.Counters{}} {
+	for _, c := range []any{clientCounters{}, listenerState{}, upstream.Counters{}, upstream.State{}} {
 		for name := range counters.Values(c) {
 			named[name] = false
 		}
