--- a/internal/registry/server/compat_data_test.go
+++ b/internal/registry/server/compat_data_test.go
@@ -192,15 +192,7 @@
 	}
 	ln, peers := listen(t, "127.0.0.1:0"), listen(t, "127.0.0.1:0")
 	m := registry.ReplicaInfo{ID: "r0", HTTP: ln.Addr().String(), Raft: peers.Addr().String()}
-	text, err := json.Marshal(singleReplica(m, unpackData(t), longLeases))
-	if err != nil {
-		t.Fatal(err)
-	}
-	config, err := ParseConfig(text)
-	if err != nil {
-		t.Fatal(err)
-	}
-	n := &node{t: t, config: config, member: m}
+	n := &node{t: t, config: parseSettings(t, singleReplica(m, unpackData(t), longLeases)), member: m}
 	n.serve(ln, peers)
 	defer n.stop()
 	if first, err := n.storage.log.FirstIndex(); err != nil || first <= 1 {
@@ -235,8 +227,8 @@
 			t.Errorf("the lease's next grant is %+v, want k1's with a token over %d", l.Grant, before.Leases().LastToken())
 		}
 	})
-	status, answer, text2 := do(t, "PUT", base+"instances/s-6", `{"instance":{"host":"s-6","dial":"127.0.0.1:7006","site":"a","health":"up","share":1,"born_ms":0},"session":"","ttl_ms":0}`)
+	status, answer, text := do(t, "PUT", base+"instances/s-6", `{"instance":{"host":"s-6","dial":"127.0.0.1:7006","site":"a","health":"up","share":1,"born_ms":0},"session":"","ttl_ms":0}`)
 	if status != 200 || answer.Seq <= before.Seq() {
-		t.Errorf("a write: got %d %s, want a version after %d", status, text2, before.Seq())
+		t.Errorf("a write: got %d %s, want a version after %d", status, text, before.Seq())
 	}
 }
--- a/internal/registry/server/compat_group_test.go
+++ b/internal/registry/server/compat_group_test.go
@@ -38,16 +38,8 @@
 			"group": "test", "id": m.ID, "data": filepath.Join(t.TempDir(), "data"), "replicas": g.members,
 			"timing": map[string]any{"election_ms": 500}, "leases": map[string]any{"most_ttl_ms": 5000},
 		}
-		text, err := json.Marshal(settings)
-		if err != nil {
-			t.Fatal(err)
-		}
-		config, err := ParseConfig(text)
-		if err != nil {
-			t.Fatal(err)
-		}
 		g.paths = append(g.paths, writeConfig(t, settings))
-		g.nodes = append(g.nodes, &node{t: t, config: config, member: m})
+		g.nodes = append(g.nodes, &node{t: t, config: parseSettings(t, settings), member: m})
 	}
 	t.Cleanup(func() {
 		for _, n := range g.nodes {
--- a/internal/registry/server/compat_peers_test.go
+++ b/internal/registry/server/compat_peers_test.go
@@ -183,15 +183,7 @@
 	ln, peers := listen(t, "127.0.0.1:0"), listenAlike(t, r.Follower)
 	members := newMembers(t, "r0")
 	m := registry.ReplicaInfo{ID: "r1", HTTP: ln.Addr().String(), Raft: peers.Addr().String()}
-	text, err := json.Marshal(joiningReplica(members[0], m, filepath.Join(t.TempDir(), "data")))
-	if err != nil {
-		t.Fatal(err)
-	}
-	config, err := ParseConfig(text)
-	if err != nil {
-		t.Fatal(err)
-	}
-	n := &node{t: t, config: config, member: m}
+	n := &node{t: t, config: parseSettings(t, joiningReplica(members[0], m, filepath.Join(t.TempDir(), "data"))), member: m}
 	n.serve(ln, peers)
 	defer n.stop()
 
@@ -199,6 +191,7 @@
 	for _, chunk := range r.Chunks {
 		c := connections[chunk.Connection]
 		if c == nil {
+			var err error
 			if c, err = net.Dial("tcp", m.Raft); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/registry/server/harness_test.go
+++ b/internal/registry/server/harness_test.go
@@ -93,6 +93,20 @@
 	}
 }
 
+// parseSettings returns the configuration with these settings.
+func parseSettings(t testing.TB, settings map[string]any) *Config {
+	t.Helper()
+	text, err := json.Marshal(settings)
+	if err != nil {
+		t.Fatal(err)
+	}
+	c, err := ParseConfig(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
+
 // group is a group of replicas that run in the test's process.
 type group struct {
 	t     testing.TB
@@ -110,18 +124,11 @@
 		members = append(members, registry.ReplicaInfo{ID: fmt.Sprint("r", i), HTTP: https[i].Addr().String(), Raft: rafts[i].Addr().String()})
 	}
 	for _, m := range members {
-		text, err := json.Marshal(map[string]any{
+		config := parseSettings(t, map[string]any{
 			"group": "test", "id": m.ID, "data": t.TempDir(), "replicas": members,
 			"timing": map[string]any{"election_ms": 200}, "sessions": map[string]any{"floor": 0.5, "within_ms": 60000},
 		})
-		if err != nil {
-			t.Fatal(err)
-		}
-		c, err := ParseConfig(text)
-		if err != nil {
-			t.Fatal(err)
-		}
-		g.nodes = append(g.nodes, &node{t: t, config: c, member: m})
+		g.nodes = append(g.nodes, &node{t: t, config: config, member: m})
 	}
 	for i, n := range g.nodes {
 		n.serve(https[i], rafts[i])
