--- a/internal/controller/listcache.go
+++ b/internal/controller/backup.go
@@ -20,23 +20,23 @@
 	"barleywick/internal/registry"
 )
 
-// ListCache is a folder of copies of the registry's contents, which several processes may write
+// BackupFolder is a folder of backups of the registry, which several processes may write
 // to. A file in it holds the highest fencing token that has written; under its lock, a lower one
-// is rejected. A copy can be restored as it is. Beside each is its checksum, as sha256sum
-// writes it; a copy without one is incomplete.
-type ListCache struct {
+// is rejected. A backup can be restored as it is. Beside each is its checksum, as sha256sum
+// writes it; a backup without one is incomplete.
+type BackupFolder struct {
 	Dir  string
-	Keep int // how many copies stay
+	Keep int // how many backups stay
 }
 
 // Names of the files in the folder.
 const (
-	fenceFile      = "fence"
-	copyPrefix     = "registry-"
-	copySuffix     = ".json"
-	checksumSuffix = ".sha256"
-	copyTimeFormat = "20060102T150405.000000Z"
-	copyPattern    = copyPrefix + "*" + copySuffix
+	fenceFile        = "fence"
+	backupPrefix     = "registry-"
+	backupSuffix     = ".json"
+	checksumSuffix   = ".sha256"
+	backupTimeFormat = "20060102T150405.000000Z"
+	backupPattern    = backupPrefix + "*" + backupSuffix
 )
 
 const (
@@ -44,25 +44,25 @@
 	maxFenceBytes     = 64
 )
 
-// Save writes a copy under a fencing token, and removes the oldest copies beyond those to keep.
-func (c *ListCache) Save(ctx context.Context, token uint64, at time.Time, text []byte) (path string, err error) {
+// Save writes a backup under a fencing token, and removes the oldest ones beyond those to keep.
+func (c *BackupFolder) Save(ctx context.Context, token uint64, at time.Time, text []byte) (path string, err error) {
 	if err := os.MkdirAll(c.Dir, 0o700); err != nil {
-		return "", fmt.Errorf("list cache: %w", err)
+		return "", fmt.Errorf("backup: %w", err)
 	}
 	unlock, err := c.lock(ctx, token)
 	if err != nil {
 		return "", err
 	}
 	defer unlock()
-	path = filepath.Join(c.Dir, copyPrefix+at.UTC().Format(copyTimeFormat)+copySuffix)
-	if err := writeCopy(path, text); err != nil {
-		return "", fmt.Errorf("list cache: %w", err)
+	path = filepath.Join(c.Dir, backupPrefix+at.UTC().Format(backupTimeFormat)+backupSuffix)
+	if err := writeBackup(path, text); err != nil {
+		return "", fmt.Errorf("backup: %w", err)
 	}
 	return path, c.removeOldest()
 }
 
-// writeCopy writes a copy, and then its checksum, which makes it complete.
-func writeCopy(path string, text []byte) error {
+// writeBackup writes a backup, and then its checksum, which makes it complete.
+func writeBackup(path string, text []byte) error {
 	if err := renameio.WriteFile(path, text, 0o600); err != nil {
 		return err
 	}
@@ -75,15 +75,15 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// removeOldest removes the oldest copies beyond those to keep, the checksum first.
-func (c *ListCache) removeOldest() error {
+// removeOldest removes the oldest backups beyond those to keep, the checksum first.
+func (c *BackupFolder) removeOldest() error {
 	paths, err := c.Paths()
 	if err != nil {
 		return err
 	}
 	for _, path := range paths[:max(0, len(paths)-c.Keep)] {
 		if err := errors.Join(os.Remove(path+checksumSuffix), os.Remove(path)); err != nil {
-			return fmt.Errorf("list cache: %w", err)
+			return fmt.Errorf("backup: %w", err)
 		}
 	}
 	return nil
@@ -91,17 +91,17 @@
 
 // lock locks the folder for a fencing token. It returns registry.ErrFenced if a higher one has
 // written.
-func (c *ListCache) lock(ctx context.Context, token uint64) (unlock func(), err error) {
+func (c *BackupFolder) lock(ctx context.Context, token uint64) (unlock func(), err error) {
 	f, err := os.OpenFile(filepath.Join(c.Dir, fenceFile), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("list cache: %w", err)
+		return nil, fmt.Errorf("backup: %w", err)
 	}
 	if err = lockFile(ctx, f); err == nil {
 		err = raiseFence(f, token)
 	}
 	if err != nil {
 		f.Close()
-		return nil, fmt.Errorf("list cache: %w", err)
+		return nil, fmt.Errorf("backup: %w", err)
 	}
 	return func() { f.Close() }, nil // which unlocks it
 }
@@ -154,11 +154,11 @@
 	return token, nil
 }
 
-// Paths returns the paths of all complete copies, the oldest first.
-func (c *ListCache) Paths() ([]string, error) {
-	paths, err := filepath.Glob(filepath.Join(c.Dir, copyPattern))
+// Paths returns the paths of all complete backups, the oldest first.
+func (c *BackupFolder) Paths() ([]string, error) {
+	paths, err := filepath.Glob(filepath.Join(c.Dir, backupPattern))
 	if err != nil {
-		return nil, fmt.Errorf("list cache: %w", err)
+		return nil, fmt.Errorf("backup: %w", err)
 	}
 	paths = slices.DeleteFunc(paths, func(path string) bool {
 		_, err := os.Stat(path + checksumSuffix)
@@ -168,18 +168,18 @@
 	return paths, nil
 }
 
-// ReadCachedList reads a copy and verifies its checksum.
-func ReadCachedList(path string) ([]byte, error) {
+// ReadBackup reads a backup and verifies its checksum.
+func ReadBackup(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("list cache: %w", err)
+		return nil, fmt.Errorf("backup: %w", err)
 	}
 	line, err := os.ReadFile(path + checksumSuffix)
 	if err != nil {
-		return nil, fmt.Errorf("list cache: %s is incomplete: %w", path, err)
+		return nil, fmt.Errorf("backup: %s is incomplete: %w", path, err)
 	}
 	if want, _, _ := strings.Cut(string(line), " "); checksum(text) != want {
-		return nil, fmt.Errorf("list cache: %s is corrupt: its checksum is not that of %s", path, filepath.Base(path)+checksumSuffix)
+		return nil, fmt.Errorf("backup: %s is corrupt: its checksum is not that of %s", path, filepath.Base(path)+checksumSuffix)
 	}
 	return text, nil
 }
--- a/internal/controller/listcache_test.go
+++ b/internal/controller/backup_test.go
@@ -13,74 +13,74 @@
 	"barleywick/internal/registry"
 )
 
-// savedCache is a list cache with the last three of five copies under token 7, and one under 9.
-func savedCache(t *testing.T) (cache *ListCache, paths []string) {
+// savedBackups is a folder of backups with the last three of five copies under token 7, and one under 9.
+func savedBackups(t *testing.T) (folder *BackupFolder, paths []string) {
 	t.Helper()
-	cache = &ListCache{Dir: filepath.Join(t.TempDir(), "copies"), Keep: 3}
+	folder = &BackupFolder{Dir: filepath.Join(t.TempDir(), "copies"), Keep: 3}
 	for i, text := range []string{"0", "1", "2", "3", "4", "newer"} {
 		token := uint64(7)
 		if text == "newer" {
 			token = 9
 		}
-		if _, err := cache.Save(t.Context(), token, copyTime(i), []byte(text)); err != nil {
+		if _, err := folder.Save(t.Context(), token, copyTime(i), []byte(text)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	paths, err := cache.Paths()
+	paths, err := folder.Paths()
 	if err != nil || len(paths) != 3 {
 		t.Fatalf("got %d copies, %v, want 3", len(paths), err)
 	}
-	return cache, paths
+	return folder, paths
 }
 
 func copyTime(i int) time.Time { return time.UnixMilli(1_700_000_000_000 + int64(i)*1000) }
 
-func TestListCacheIsFenced(t *testing.T) {
-	cache, paths := savedCache(t)
-	if _, err := cache.Save(t.Context(), 8, copyTime(9), []byte("older")); !errors.Is(err, registry.ErrFenced) {
+func TestBackupIsFenced(t *testing.T) {
+	folder, paths := savedBackups(t)
+	if _, err := folder.Save(t.Context(), 8, copyTime(9), []byte("older")); !errors.Is(err, registry.ErrFenced) {
 		t.Errorf("a lower token: got %v, want %v", err, registry.ErrFenced)
 	}
-	if text, err := ReadCachedList(paths[2]); err != nil || string(text) != "newer" {
+	if text, err := ReadBackup(paths[2]); err != nil || string(text) != "newer" {
 		t.Errorf("the last copy: got %q, %v, want newer", text, err)
 	}
-	if err := os.WriteFile(filepath.Join(cache.Dir, fenceFile), []byte("what"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(folder.Dir, fenceFile), []byte("what"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := cache.Save(t.Context(), 10, copyTime(10), []byte("x")); err == nil || !strings.Contains(err.Error(), "corrupt") {
+	if _, err := folder.Save(t.Context(), 10, copyTime(10), []byte("x")); err == nil || !strings.Contains(err.Error(), "corrupt") {
 		t.Errorf("a corrupt fence: got %v, want an error that says so", err)
 	}
 }
 
 func TestBrokenCopiesAreNotRead(t *testing.T) {
-	cache, paths := savedCache(t)
+	folder, paths := savedBackups(t)
 	if err := os.WriteFile(paths[1], []byte("other"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ReadCachedList(paths[1]); err == nil || !strings.Contains(err.Error(), "corrupt") {
+	if _, err := ReadBackup(paths[1]); err == nil || !strings.Contains(err.Error(), "corrupt") {
 		t.Errorf("a corrupt copy: got %v, want an error that says so", err)
 	}
 	if err := os.Remove(paths[0] + checksumSuffix); err != nil { // as if the process had ended between the two writes
 		t.Fatal(err)
 	}
-	if _, err := ReadCachedList(paths[0]); err == nil || !strings.Contains(err.Error(), "incomplete") {
+	if _, err := ReadBackup(paths[0]); err == nil || !strings.Contains(err.Error(), "incomplete") {
 		t.Errorf("an incomplete copy: got %v, want an error that says so", err)
 	}
-	if complete, _ := cache.Paths(); len(complete) != 2 {
+	if complete, _ := folder.Paths(); len(complete) != 2 {
 		t.Errorf("got %d complete copies, want 2", len(complete))
 	}
 }
 
 // A process that was stopped has locked the folder: another one waits until its context ends.
-func TestListCacheWaitsForLock(t *testing.T) {
-	cache, _ := savedCache(t)
-	unlock, err := cache.lock(t.Context(), 9)
+func TestBackupWaitsForLock(t *testing.T) {
+	folder, _ := savedBackups(t)
+	unlock, err := folder.lock(t.Context(), 9)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer unlock()
 	ctx, cancel := context.WithTimeout(t.Context(), 3*lockRetryInterval)
 	defer cancel()
-	if _, err := cache.Save(ctx, 9, copyTime(9), nil); !errors.Is(err, context.DeadlineExceeded) {
+	if _, err := folder.Save(ctx, 9, copyTime(9), nil); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("got %v, want %v", err, context.DeadlineExceeded)
 	}
 }
@@ -92,11 +92,11 @@
 	if _, err := c.Register(t.Context(), registry.RegisterRequest{Instance: instance}); err != nil {
 		t.Fatal(err)
 	}
-	cache := &ListCache{Dir: t.TempDir()}
-	startController(t, "k1", addr, fmt.Sprintf("[copies]\nfolder = %q\nevery_ms = 1000\n", cache.Dir))
+	folder := &BackupFolder{Dir: t.TempDir()}
+	startController(t, "k1", addr, fmt.Sprintf("[copies]\nfolder = %q\nevery_ms = 1000\n", folder.Dir))
 	var paths []string
-	eventually(t, "there is a copy", func() bool { paths, _ = cache.Paths(); return len(paths) > 0 })
-	text, err := ReadCachedList(paths[0])
+	eventually(t, "there is a copy", func() bool { paths, _ = folder.Paths(); return len(paths) > 0 })
+	text, err := ReadBackup(paths[0])
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controller/compat_test.go
+++ b/internal/controller/compat_test.go
@@ -70,14 +70,14 @@
 }
 
 // The folder of revision 396a775 is read, fenced by the token that it holds, and gone on with.
-func TestListCacheOf396a775(t *testing.T) {
+func TestBackupOf396a775(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS(filepath.Join(fixtures, "copies"))); err != nil {
 		t.Fatal(err)
 	}
-	cache := &ListCache{Dir: dir, Keep: 2}
+	folder := &BackupFolder{Dir: dir, Keep: 2}
 	names := func() (names []string) {
-		paths, err := cache.Paths()
+		paths, err := folder.Paths()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -90,15 +90,15 @@
 	if got := names(); !slices.Equal(got, before) {
 		t.Fatalf("got %v, want %v", got, before)
 	}
-	backup, err := ReadCachedList(filepath.Join(dir, before[1]))
+	backup, err := ReadBackup(filepath.Join(dir, before[1]))
 	if err != nil {
 		t.Fatal(err)
 	}
 	at := time.UnixMilli(1_800_000_900_000)
-	if _, err := cache.Save(t.Context(), 8, at, backup); !errors.Is(err, registry.ErrFenced) {
+	if _, err := folder.Save(t.Context(), 8, at, backup); !errors.Is(err, registry.ErrFenced) {
 		t.Errorf("a lower token: %v, want %v", err, registry.ErrFenced)
 	}
-	if _, err := cache.Save(t.Context(), 9, at, backup); err != nil {
+	if _, err := folder.Save(t.Context(), 9, at, backup); err != nil {
 		t.Errorf("the token of the last copy: %v", err)
 	}
 	after := []string{before[1], "registry-20270115T081500.000000Z.json"}
@@ -118,7 +118,7 @@
 
 // A copy of revision 396a775 is restored into a new group.
 func TestCopyOf396a775IsRestored(t *testing.T) {
-	backup, err := ReadCachedList(filepath.Join(fixtures, "copies", "registry-20270115T081000.000000Z.json"))
+	backup, err := ReadBackup(filepath.Join(fixtures, "copies", "registry-20270115T081000.000000Z.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -25,11 +25,11 @@
 	Routes   addressmap.Map `toml:"routes"`
 
 	// A task runs here only if its table is in the file.
-	Drains    *DrainsConfig    `toml:"drains"`
-	Health    *HealthConfig    `toml:"health"`
-	ListCache *ListCacheConfig `toml:"copies"`
-	Policy    *PolicyConfig    `toml:"policy"`
-	Overload  *OverloadConfig  `toml:"overload"`
+	Drains   *DrainsConfig   `toml:"drains"`
+	Health   *HealthConfig   `toml:"health"`
+	Backup   *BackupConfig   `toml:"copies"`
+	Policy   *PolicyConfig   `toml:"policy"`
+	Overload *OverloadConfig `toml:"overload"`
 
 	Membership *membership.Config `toml:"membership"`
 
@@ -59,11 +59,11 @@
 	Failures   int   `toml:"failures"` // consecutive failures from which on a server is named
 }
 
-// ListCacheConfig configures the task that saves copies of the registry's contents.
-type ListCacheConfig struct {
+// BackupConfig configures the task that saves backups of the registry.
+type BackupConfig struct {
 	Dir        string `toml:"folder"` // a folder that all controllers share
 	IntervalMS int64  `toml:"every_ms"`
-	Keep       int    `toml:"keep"` // how many copies stay
+	Keep       int    `toml:"keep"` // how many backups stay
 }
 
 const (
@@ -126,7 +126,7 @@
 		h.TimeoutMS = cmp.Or(h.TimeoutMS, min(defaultProbeTimeout.Milliseconds(), h.IntervalMS))
 		h.Failures = cmp.Or(h.Failures, defaultFailures)
 	}
-	if l := c.ListCache; l != nil {
+	if l := c.Backup; l != nil {
 		l.IntervalMS = cmp.Or(l.IntervalMS, defaultCacheInterval.Milliseconds())
 		l.Keep = cmp.Or(l.Keep, defaultKeep)
 	}
@@ -142,7 +142,7 @@
 		c.Overload.check(),
 		c.checkMembership(),
 		c.Health.check(c.leaseTTL()),
-		c.ListCache.check(),
+		c.Backup.check(),
 	)
 }
 
@@ -197,7 +197,7 @@
 	)
 }
 
-func (l *ListCacheConfig) check() error {
+func (l *BackupConfig) check() error {
 	if l == nil {
 		return nil
 	}
--- a/internal/controller/tasks.go
+++ b/internal/controller/tasks.go
@@ -13,9 +13,9 @@
 // Leases of the tasks; that of the overload task is overload.LeaseName, those of the health
 // checks are health-0 and so on.
 const (
-	DrainsLease    = "drains"
-	PolicyLease    = "policy"
-	ListCacheLease = "copies"
+	DrainsLease = "drains"
+	PolicyLease = "policy"
+	BackupLease = "copies"
 )
 
 // Task is work that one controller does at a time.
@@ -49,9 +49,9 @@
 		t := &overloadTask{config: *c.Overload, client: controller.client, fleet: controller.fleet}
 		tasks = append(tasks, Task{LeaseName: overload.LeaseName, Run: t.run, Timed: true})
 	}
-	if c.ListCache != nil {
-		t := &listCacheTask{config: *c.ListCache, client: controller.client}
-		tasks = append(tasks, Task{LeaseName: ListCacheLease, Run: t.run})
+	if c.Backup != nil {
+		t := &backupTask{config: *c.Backup, client: controller.client}
+		tasks = append(tasks, Task{LeaseName: BackupLease, Run: t.run})
 	}
 	return slices.Clip(tasks)
 }
--- a/internal/testing/chaostest/checks.go
+++ b/internal/testing/chaostest/checks.go
@@ -96,7 +96,7 @@
 	r.checkEventually(ctx, "no drain hangs", r.checkDrainsDone)
 	r.checkEventually(ctx, "each task is somebody's", r.checkTasksHeld)
 	r.checkEventually(ctx, "nothing acknowledged is lost", r.checkNoWriteLost)
-	r.checkEventually(ctx, "copies of the registry are whole", r.checkListCache)
+	r.checkEventually(ctx, "copies of the registry are whole", r.checkBackups)
 }
 
 // checkEventually polls until a check succeeds, or records a violation.
@@ -230,17 +230,17 @@
 	return nil
 }
 
-// checkListCache checks that the newest copy of the list that controllers saved can be read.
-func (r *run) checkListCache(context.Context) error {
-	cache := &controller.ListCache{Dir: r.listCacheDir(), Keep: 1}
-	paths, err := cache.Paths()
+// checkBackups checks that the newest backup that controllers saved can be read.
+func (r *run) checkBackups(context.Context) error {
+	folder := &controller.BackupFolder{Dir: r.backupDir(), Keep: 1}
+	paths, err := folder.Paths()
 	if err != nil {
 		return err
 	}
 	if len(paths) == 0 {
 		return errors.New("there is no copy")
 	}
-	_, err = controller.ReadCachedList(paths[len(paths)-1])
+	_, err = controller.ReadBackup(paths[len(paths)-1])
 	return err
 }
 
--- a/internal/testing/chaostest/config.go
+++ b/internal/testing/chaostest/config.go
@@ -99,7 +99,7 @@
 		"membership": f.membershipConfig(name),
 		"drains":     table{"config": drainConfig},
 		"health":     table{"every_ms": 1000, "timeout_ms": 300},
-		"copies":     table{"folder": f.listCacheDir(), "every_ms": 2000, "keep": 5},
+		"copies":     table{"folder": f.backupDir(), "every_ms": 2000, "keep": 5},
 		"policy":     table{},
 		"overload":   table{"fleet": fleetName, "listen": f.overloadAddrs[name]},
 	})
@@ -109,8 +109,8 @@
 	return f.addProcess(name, Controller, ".toml", config)
 }
 
-// listCacheDir returns the directory of the controllers' list cache.
-func (f *fleet) listCacheDir() string { return filepath.Join(f.dir, "copies") }
+// backupDir returns the directory of the controllers' backups.
+func (f *fleet) backupDir() string { return filepath.Join(f.dir, "copies") }
 
 // writeDrainConfig writes the configuration that the controllers' drains read.
 func (f *fleet) writeDrainConfig() (path string, err error) {
