--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/endpoints_test.go
@@ -3,51 +3,15 @@
 import (
 	"encoding/json"
 	"fmt"
-	"net/http"
 	"testing"
 	"time"
 
 	"barleywick/internal/registry/client"
 	"barleywick/internal/registry/registrytest"
-	"barleywick/internal/sidecar/gate"
 	"barleywick/internal/sidecar/sidecartest"
 	"barleywick/policy"
 )
 
-// A module that asks gets its watch again after a failure, through the whole program.
-func TestAskingSidecarWatches(t *testing.T) {
-	g := registrytest.NewServer(t)
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
-	addr, _, _ := startSidecar(t, testConfig(t, options{ask: true}, g.Addr, registrytest.EndpointJSON("s-0", "127.0.0.1:1", "draining", 0)))
-	close(sidecartest.Await(t, "the watch", g.Watches).Lines)
-	w := sidecartest.Await(t, "the next watch", g.Watches)
-	w.Lines <- registrytest.ListJSON(2, false, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
-	serveSoon(t, addr)
-}
-
-// serveSoon sends requests until one is served: news of the list is on its way.
-func serveSoon(t *testing.T, addr string) {
-	t.Helper()
-	for i, deadline := 0, time.Now().Add(sidecartest.Patience); ; i++ {
-		if got := (call{class: "once", id: fmt.Sprint("soon-", i)}).do(t, addr); got.status == http.StatusOK {
-			return
-		}
-		if time.Now().After(deadline) {
-			t.Fatal("never served")
-		}
-	}
-}
-
-func newTestLoop(t *testing.T, hosts ...string) *eventLoop {
-	t.Helper()
-	c := testConfig(t, options{}, "127.0.0.1:1", hosts...)
-	l, err := newEventLoop(c, testTransport(4, gate.New()), gate.New())
-	if err != nil {
-		t.Fatal(err)
-	}
-	return l
-}
-
 func TestWrongEntriesArePassedOver(t *testing.T) {
 	good := registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0)
 	text := validJSON(t, registrytest.ListJSON(1, true, `{"host":7,"dial":"127.0.0.1:7","health":"up"}`, `"nonsense"`, `{"dial":"127.0.0.1:7","health":"up"}`,
@@ -137,6 +101,35 @@
 	}
 }
 
+// The wall clock is set ahead under a running process: a server that starts then is cold.
+func TestStartAfterAStepOfTheWallClock(t *testing.T) {
+	l := newTestLoop(t)
+	const step = time.Hour
+	l.clock.wallNow = func() time.Time { return time.Now().Add(step) }
+	l.clock.now = l.clock.read()
+	born := float64(time.Now().Add(step - time.Second).UnixMilli())
+	s, ok := l.enterEndpoint(client.Endpoint{Host: "s-1", Dial: "127.0.0.1:7", Site: "a", Health: "up", Share: 1, BornMS: born})
+	if age := l.clock.now - s.Started; !ok || age < 500*time.Millisecond || age > 1500*time.Millisecond {
+		t.Errorf("a server that started 1 s ago is %v old", age)
+	}
+}
+
+// The module matches a server's probe results to its calls by their order.
+func TestProbeResultsKeepTheirOrder(t *testing.T) {
+	l := newTestLoop(t, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0))
+	h := l.endpoints.byName["s-1"]
+	first, second := &pendingProbe{endpoint: h}, &pendingProbe{endpoint: h}
+	h.probes = []*pendingProbe{first, second}
+	probeCompleted{second, true, policy.LoadReport{InFlight: 1}}.handle(l)
+	if len(h.probes) != 2 {
+		t.Fatal("the second result went before the first")
+	}
+	probeCompleted{first, false, policy.UnknownLoad}.handle(l)
+	if len(h.probes) != 0 {
+		t.Errorf("%d results are held back", len(h.probes))
+	}
+}
+
 func TestDrainActsAtOnce(t *testing.T) {
 	g := registrytest.NewServer(t)
 	a, b := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("a"))), sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("b")))
@@ -160,16 +153,3 @@
 		t.Error("a request went to a draining upstream")
 	}
 }
-
-// The wall clock is set ahead under a running process: a server that starts then is cold.
-func TestStartAfterAStepOfTheWallClock(t *testing.T) {
-	l := newTestLoop(t)
-	const step = time.Hour
-	l.clock.wallNow = func() time.Time { return time.Now().Add(step) }
-	l.clock.now = l.clock.read()
-	born := float64(time.Now().Add(step - time.Second).UnixMilli())
-	s, ok := l.enterEndpoint(client.Endpoint{Host: "s-1", Dial: "127.0.0.1:7", Site: "a", Health: "up", Share: 1, BornMS: born})
-	if age := l.clock.now - s.Started; !ok || age < 500*time.Millisecond || age > 1500*time.Millisecond {
-		t.Errorf("a server that started 1 s ago is %v old", age)
-	}
-}
--- /dev/null
+++ b/internal/sidecar/loop_test.go
@@ -0,0 +1,97 @@
+package sidecar
+
+import (
+	"net/http"
+	"testing"
+	"time"
+
+	"barleywick/internal/registry/registrytest"
+	"barleywick/internal/sidecar/gate"
+	"barleywick/internal/sidecar/sidecartest"
+	"barleywick/internal/sidecar/upstream"
+	"barleywick/policy"
+)
+
+func newTestLoop(t *testing.T, hosts ...string) *eventLoop {
+	t.Helper()
+	c := testConfig(t, options{}, "127.0.0.1:1", hosts...)
+	l, err := newEventLoop(c, testTransport(4, gate.New()), gate.New())
+	if err != nil {
+		t.Fatal(err)
+	}
+	return l
+}
+
+// A timer that fires early must not be lost: the module would pass it over and
+// never ask again.
+func TestEarlyTimerIsArmedAgain(t *testing.T) {
+	l := newTestLoop(t)
+	due := l.wakeTimer.due // as the module asked at its start
+	l.clock.now = due - time.Millisecond
+	l.wake()
+	if due == 0 || l.wakeTimer.due != due {
+		t.Fatal("an early timer disarmed the alarm")
+	}
+	for l.clock.now < due { // it is armed for what was left at the made-up time, and so early again
+		sidecartest.Await(t, "the timer", l.wakeTimer.timer.C)
+		l.clock.now = l.clock.read()
+		l.wake()
+	}
+	if l.wakeTimer.due <= due {
+		t.Error("the module was not woken: it would have asked for a later time")
+	}
+}
+
+func TestExactlyOneAnswer(t *testing.T) {
+	l := newTestLoop(t)
+	r := &request{Request: upstream.Request{ID: "x"}, id: 7, result: make(chan response, 1)}
+	l.requests.byID[r.id] = r
+	l.requests.ids.reserve(r.ID)
+	l.Fail(r.id)
+	l.Fail(r.id)
+	l.Refuse(r.id, 0)
+	clientDisconnected{r}.handle(l)
+	if a := sidecartest.Await(t, "the answer", r.result); a.status != http.StatusBadGateway || len(r.result) > 0 {
+		t.Errorf("answered %d, and %d times more", a.status, len(r.result))
+	}
+	if len(l.requests.byID) > 0 || l.requests.ids.isInUse(r.ID) {
+		t.Errorf("%d requests are still held, name held: %v", len(l.requests.byID), l.requests.ids.isInUse(r.ID))
+	}
+}
+
+// An answer that comes when its client has left finds nobody, but must not
+// leave the request behind.
+func TestLateAnswerLeavesNothingBehind(t *testing.T) {
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
+	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
+	r := call{class: "once"}.request(t, u.Addr)
+	held := &request{
+		Request: upstream.Request{ID: "x", Method: r.Method, URL: r.URL, Host: r.Host, Header: r.Header},
+		class:   2, clientDeadline: time.Now().Add(sidecartest.Patience),
+		result: make(chan response, 1),
+	}
+	l.clock.now = l.clock.read()
+	requestArrived{held}.handle(l)
+	sidecartest.Await(t, "the attempt", u.Requests)
+	clientDisconnected{held}.handle(l)
+	attemptEnded{held.attempts[0], policy.Served, &upstream.Response{}}.handle(l)
+	if len(l.requests.byID) > 0 || len(held.result) > 0 {
+		t.Errorf("%d requests are still held, %d answers given", len(l.requests.byID), len(held.result))
+	}
+}
+
+// At the deadline the module may give up before the attempt's own time-out
+// comes in: the client is told of a time-out either way.
+func TestTimeOutIsToldWhoeverNoticesFirst(t *testing.T) {
+	l := newTestLoop(t)
+	for want, r := range map[int]*request{
+		http.StatusGatewayTimeout: {Request: upstream.Request{ID: "out"}, id: 7, inFlight: 1, result: make(chan response, 1)},
+		http.StatusBadGateway:     {Request: upstream.Request{ID: "broken"}, id: 8, result: make(chan response, 1)},
+	} {
+		l.requests.byID[r.id] = r
+		l.Fail(r.id)
+		if a := sidecartest.Await(t, "the answer", r.result); a.status != want {
+			t.Errorf("%s: answered %d, want %d", r.ID, a.status, want)
+		}
+	}
+}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/service_test.go
@@ -14,7 +14,6 @@
 	"barleywick/internal/registry/registrytest"
 	"barleywick/internal/sidecar/sidecartest"
 	"barleywick/internal/sidecar/upstream"
-	"barleywick/policy"
 )
 
 // A planned restart: what was taken is answered, connections that still come are
@@ -73,126 +72,26 @@
 	}
 }
 
-// net/http counts a connection as idle until it has read a request's header. A
-// connection closed as idle in that moment must not have its request taken: the
-// client sends it once more.
-func TestRequestOnAConnectionClosedAsIdleIsLeftAlone(t *testing.T) {
+// A module that asks gets its watch again after a failure, through the whole program.
+func TestAskingSidecarWatches(t *testing.T) {
+	g := registrytest.NewServer(t)
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
-	serve := newHandlerTest(t, u)
-	closed, open := newClientConn(&net.TCPConn{}), newClientConn(&net.TCPConn{})
-	closed.closeIdle(false)
-	if !serve(closed) || len(u.Requests) > 0 {
-		t.Error("a request of a connection that was closed as idle was taken")
-	}
-	if serve(open) || len(u.Requests) != 1 {
-		t.Error("a request of an open connection was not taken")
-	}
-	if closeIdleConn(open, true) != connBusy {
-		t.Error("a connection was closed under a request that had been taken")
-	}
+	addr, _, _ := startSidecar(t, testConfig(t, options{ask: true}, g.Addr, registrytest.EndpointJSON("s-0", "127.0.0.1:1", "draining", 0)))
+	close(sidecartest.Await(t, "the watch", g.Watches).Lines)
+	w := sidecartest.Await(t, "the next watch", g.Watches)
+	w.Lines <- registrytest.ListJSON(2, false, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
+	serveSoon(t, addr)
 }
 
-func TestConnectionsAreReused(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
-	addr, _, _ := startSidecar(t, testConfig(t, options{probes: true}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
-	const requests, apart = 12, upstream.MaxQuarantine + 20*time.Millisecond // each connection has rested by the next request
-	for i := range requests {
-		if got := (call{class: "keyed", id: fmt.Sprint(i)}).do(t, addr); got.status != 200 {
-			t.Fatalf("got %+v", got)
+// serveSoon sends requests until one is served: news of the list is on its way.
+func serveSoon(t *testing.T, addr string) {
+	t.Helper()
+	for i, deadline := 0, time.Now().Add(sidecartest.Patience); ; i++ {
+		if got := (call{class: "once", id: fmt.Sprint("soon-", i)}).do(t, addr); got.status == http.StatusOK {
+			return
 		}
-		time.Sleep(apart)
-	}
-	if n := len(u.Accepted); n > 4 { // one, and one more for each probe that may be out meanwhile
-		t.Errorf("%d connections for %d requests in turn", n, requests)
-	}
-}
-
-// The module matches a server's probe results to its calls by their order.
-func TestProbeResultsKeepTheirOrder(t *testing.T) {
-	l := newTestLoop(t, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0))
-	h := l.endpoints.byName["s-1"]
-	first, second := &pendingProbe{endpoint: h}, &pendingProbe{endpoint: h}
-	h.probes = []*pendingProbe{first, second}
-	probeCompleted{second, true, policy.LoadReport{InFlight: 1}}.handle(l)
-	if len(h.probes) != 2 {
-		t.Fatal("the second result went before the first")
-	}
-	probeCompleted{first, false, policy.UnknownLoad}.handle(l)
-	if len(h.probes) != 0 {
-		t.Errorf("%d results are held back", len(h.probes))
-	}
-}
-
-// A timer that fires early must not be lost: the module would pass it over and
-// never ask again.
-func TestEarlyTimerIsArmedAgain(t *testing.T) {
-	l := newTestLoop(t)
-	due := l.wakeTimer.due // as the module asked at its start
-	l.clock.now = due - time.Millisecond
-	l.wake()
-	if due == 0 || l.wakeTimer.due != due {
-		t.Fatal("an early timer disarmed the alarm")
-	}
-	for l.clock.now < due { // it is armed for what was left at the made-up time, and so early again
-		sidecartest.Await(t, "the timer", l.wakeTimer.timer.C)
-		l.clock.now = l.clock.read()
-		l.wake()
-	}
-	if l.wakeTimer.due <= due {
-		t.Error("the module was not woken: it would have asked for a later time")
-	}
-}
-
-func TestExactlyOneAnswer(t *testing.T) {
-	l := newTestLoop(t)
-	r := &request{Request: upstream.Request{ID: "x"}, id: 7, result: make(chan response, 1)}
-	l.requests.byID[r.id] = r
-	l.requests.ids.reserve(r.ID)
-	l.Fail(r.id)
-	l.Fail(r.id)
-	l.Refuse(r.id, 0)
-	clientDisconnected{r}.handle(l)
-	if a := sidecartest.Await(t, "the answer", r.result); a.status != http.StatusBadGateway || len(r.result) > 0 {
-		t.Errorf("answered %d, and %d times more", a.status, len(r.result))
-	}
-	if len(l.requests.byID) > 0 || l.requests.ids.isInUse(r.ID) {
-		t.Errorf("%d requests are still held, name held: %v", len(l.requests.byID), l.requests.ids.isInUse(r.ID))
-	}
-}
-
-// An answer that comes when its client has left finds nobody, but must not
-// leave the request behind.
-func TestLateAnswerLeavesNothingBehind(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
-	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
-	r := call{class: "once"}.request(t, u.Addr)
-	held := &request{
-		Request: upstream.Request{ID: "x", Method: r.Method, URL: r.URL, Host: r.Host, Header: r.Header},
-		class:   2, clientDeadline: time.Now().Add(sidecartest.Patience),
-		result: make(chan response, 1),
-	}
-	l.clock.now = l.clock.read()
-	requestArrived{held}.handle(l)
-	sidecartest.Await(t, "the attempt", u.Requests)
-	clientDisconnected{held}.handle(l)
-	attemptEnded{held.attempts[0], policy.Served, &upstream.Response{}}.handle(l)
-	if len(l.requests.byID) > 0 || len(held.result) > 0 {
-		t.Errorf("%d requests are still held, %d answers given", len(l.requests.byID), len(held.result))
-	}
-}
-
-// At the deadline the module may give up before the attempt's own time-out
-// comes in: the client is told of a time-out either way.
-func TestTimeOutIsToldWhoeverNoticesFirst(t *testing.T) {
-	l := newTestLoop(t)
-	for want, r := range map[int]*request{
-		http.StatusGatewayTimeout: {Request: upstream.Request{ID: "out"}, id: 7, inFlight: 1, result: make(chan response, 1)},
-		http.StatusBadGateway:     {Request: upstream.Request{ID: "broken"}, id: 8, result: make(chan response, 1)},
-	} {
-		l.requests.byID[r.id] = r
-		l.Fail(r.id)
-		if a := sidecartest.Await(t, "the answer", r.result); a.status != want {
-			t.Errorf("%s: answered %d, want %d", r.ID, a.status, want)
+		if time.Now().After(deadline) {
+			t.Fatal("never served")
 		}
 	}
 }
@@ -255,3 +154,82 @@
 		t.Errorf("the held one: %+v", got)
 	}
 }
+
+// SIGHUP applies new limits. A file with impossible limits changes nothing, whatever else it says.
+func TestReloadChangesLimits(t *testing.T) {
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
+	c.Path = filepath.Join(t.TempDir(), "config.json")
+	write := func(connections string) {
+		t.Helper()
+		text := fmt.Sprintf(`{"discovery":"127.0.0.1:1","seed":"1","connections":%s,"settings":%s}`, connections, fmt.Sprintf(testSettings, false, 500, "push"))
+		if err := os.WriteFile(c.Path, []byte(validJSON(t, text)), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	reload := make(chan os.Signal)
+	addr, _, _ := startReloadable(t, c, reload)
+	var kept []net.Conn
+	for i := range 4 {
+		k := dialFrom(t, "127.0.0.1", addr)
+		if got := requestOn(k, fmt.Sprint("kept", i)); got != 200 {
+			t.Fatalf("got status %d, want 200", got)
+		}
+		kept = append(kept, k)
+	}
+	for _, wrong := range []string{`{"clients":{"idle":-1}}`, `{"clients":{"total":5000}}`, `{"clint":{}}`} {
+		write(wrong)
+		reload <- syscall.SIGHUP
+	}
+	for i, k := range kept {
+		if got := requestOn(k, fmt.Sprint("again", i)); got != 200 {
+			t.Errorf("connection %d after wrong limits: got status %d, want 200", i, got)
+		}
+	}
+	write(`{"clients":{"idle":1}}`)
+	reload <- syscall.SIGHUP
+	reload <- syscall.SIGHUP // received after the first has been handled
+	open := 0
+	for i, k := range kept {
+		if requestOn(k, fmt.Sprint("then", i)) == 200 {
+			open++
+		}
+	}
+	if open != 1 {
+		t.Errorf("got %d idle connections kept, want 1", open)
+	}
+}
+
+// net/http counts a connection as idle until it has read a request's header. A
+// connection closed as idle in that moment must not have its request taken: the
+// client sends it once more.
+func TestRequestOnAConnectionClosedAsIdleIsLeftAlone(t *testing.T) {
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	serve := newHandlerTest(t, u)
+	closed, open := newClientConn(&net.TCPConn{}), newClientConn(&net.TCPConn{})
+	closed.closeIdle(false)
+	if !serve(closed) || len(u.Requests) > 0 {
+		t.Error("a request of a connection that was closed as idle was taken")
+	}
+	if serve(open) || len(u.Requests) != 1 {
+		t.Error("a request of an open connection was not taken")
+	}
+	if closeIdleConn(open, true) != connBusy {
+		t.Error("a connection was closed under a request that had been taken")
+	}
+}
+
+func TestConnectionsAreReused(t *testing.T) {
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	addr, _, _ := startSidecar(t, testConfig(t, options{probes: true}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
+	const requests, apart = 12, upstream.MaxQuarantine + 20*time.Millisecond // each connection has rested by the next request
+	for i := range requests {
+		if got := (call{class: "keyed", id: fmt.Sprint(i)}).do(t, addr); got.status != 200 {
+			t.Fatalf("got %+v", got)
+		}
+		time.Sleep(apart)
+	}
+	if n := len(u.Accepted); n > 4 { // one, and one more for each probe that may be out meanwhile
+		t.Errorf("%d connections for %d requests in turn", n, requests)
+	}
+}
