--- a/internal/sidecar/endpoints_test.go
+++ b/internal/sidecar/endpoints_test.go
@@ -12,7 +12,7 @@
 	"barleywick/policy"
 )
 
-func TestWrongEntriesArePassedOver(t *testing.T) {
+func TestMalformedEndpointsAreIgnored(t *testing.T) {
 	good := registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0)
 	text := validJSON(t, registrytest.ListJSON(1, true, `{"host":7,"dial":"127.0.0.1:7","health":"up"}`, `"nonsense"`, `{"dial":"127.0.0.1:7","health":"up"}`,
 		registrytest.EndpointJSON("s-2", "nowhere", "up", 0), good, `{"host":"s-3","dial":"127.0.0.1:8","health":"up","later":{"x":1}}`))
@@ -23,39 +23,39 @@
 	l := newTestLoop(t)
 	l.applyListing(policy.ListFull, known)
 	if len(l.endpoints.byName) != 2 || l.endpoints.byName["s-1"] == nil || l.endpoints.byName["s-3"] == nil {
-		t.Errorf("hosts %v, want s-1 and s-3", l.endpoints.byName)
+		t.Errorf("endpoints %v, want s-1 and s-3", l.endpoints.byName)
 	}
 }
 
-// A host whose entry cannot be read is still named: it stays as it was known, also in a
-// whole list, where what is not named has gone.
-func TestSpoiltEntryLeavesItsHostAsItWas(t *testing.T) {
-	drains := registrytest.EndpointJSON("s-2", "127.0.0.1:8", "draining", 0)
-	l := newTestLoop(t, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0), drains, registrytest.EndpointJSON("s-3", "127.0.0.1:9", "up", 0))
-	var news client.ListUpdate
+// An endpoint whose entry cannot be read is still listed: it stays as it was, also in a full list,
+// which removes what it does not name.
+func TestMalformedEntryLeavesItsEndpointUnchanged(t *testing.T) {
+	draining := registrytest.EndpointJSON("s-2", "127.0.0.1:8", "draining", 0)
+	l := newTestLoop(t, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0), draining, registrytest.EndpointJSON("s-3", "127.0.0.1:9", "up", 0))
+	var update client.ListUpdate
 	text := validJSON(t, registrytest.ListJSON(2, true, `{"host":"s-1","dial":7,"health":"up"}`, `{"host":"s-2","dial":"127.0.0.1:8","health":"up","share":"x"}`,
 		`{"host":"s-9","dial":7,"health":"up"}`, registrytest.EndpointJSON("s-4", "nowhere", "up", 0)))
-	if err := json.Unmarshal([]byte(text), &news); err != nil {
+	if err := json.Unmarshal([]byte(text), &update); err != nil {
 		t.Fatal(err)
 	}
-	l.applyListing(policy.ListFull, news)
+	l.applyListing(policy.ListFull, update)
 	if h := l.endpoints.byName["s-1"]; h == nil || h.entry.Dial != "127.0.0.1:7" || h.drainingSince != 0 {
-		t.Errorf("s-1 is %+v", h)
+		t.Errorf("s-1 is %+v, want it unchanged", h)
 	}
 	if h := l.endpoints.byName["s-2"]; h == nil || h.drainingSince == 0 {
-		t.Errorf("s-2 is %+v, want it to drain still", h)
+		t.Errorf("s-2 is %+v, want it still draining", h)
 	}
 	if l.endpoints.byName["s-3"] != nil || l.endpoints.byName["s-4"] != nil || l.endpoints.byName["s-9"] != nil || len(l.endpoints.byName) != 2 {
-		t.Errorf("hosts %v", l.endpoints.byName)
+		t.Errorf("endpoints %v, want s-1 and s-2", l.endpoints.byName)
 	}
 }
 
-func TestEntriesBecomeServers(t *testing.T) {
+func TestEntriesBecomeEndpoints(t *testing.T) {
 	l := newTestLoop(t)
 	enter := func(e client.Endpoint) policy.Endpoint {
 		s, ok := l.enterEndpoint(e)
 		if !ok {
-			t.Fatalf("%+v was passed over", e)
+			t.Fatalf("%+v was ignored", e)
 		}
 		return s
 	}
@@ -63,13 +63,13 @@
 	e := client.Endpoint{Host: "s-1", Dial: "127.0.0.1:7", Site: "a", Block: &cell, Health: "up", Share: 1.5}
 	s := enter(e)
 	if s.State != policy.Ready || s.Weight != 1.5 || s.Cell != 3 || s.Zone != 0 || s.Started != 0 {
-		t.Errorf("server %+v", s)
+		t.Errorf("endpoint %+v", s)
 	}
 	e.Dial, e.Health = "127.0.0.1:8", "draining"
 	if d := enter(e); d.ID != s.ID || d.State != policy.Draining || l.endpoints.byName["s-1"].entry.Dial != e.Dial {
 		t.Errorf("at another address it is %+v, was %+v", d, s)
 	}
-	e.Health = "a later word"
+	e.Health = "a later state"
 	if d := enter(e); d.State != policy.Draining {
 		t.Errorf("unknown health gives %v", d.State)
 	}
@@ -80,18 +80,18 @@
 	other := enter(client.Endpoint{Host: "s-2", Dial: "127.0.0.1:9", Site: "elsewhere", Health: "up"})
 	third := enter(client.Endpoint{Host: "s-3", Dial: "127.0.0.1:9", Site: "elsewhere", Health: "up"})
 	if other.ID == s.ID || other.Zone == 0 || other.Zone != third.Zone || other.Cell == third.Cell {
-		t.Errorf("servers %+v and %+v", other, third)
+		t.Errorf("endpoints %+v and %+v", other, third)
 	}
 }
 
-// An upstream that started shortly before this process is cold: its start must
-// be a positive time on the module's clock, whatever the module's clock is at.
+// A server that started shortly before this process is warming up: its start must be a positive time
+// on the balancer's clock.
 func TestEarlierStartIsNotLongAgo(t *testing.T) {
 	l := newTestLoop(t)
 	born := time.Now().Add(-2 * time.Second).UnixMilli()
 	s, ok := l.enterEndpoint(client.Endpoint{Host: "s-1", Dial: "127.0.0.1:7", Health: "up", BornMS: float64(born)})
 	if age := l.clock.read() - s.Started; !ok || s.Started <= 0 || age < time.Second || age > sidecartest.Patience {
-		t.Errorf("started at %v, %v ago by the module's clock", s.Started, age)
+		t.Errorf("started at %v, %v ago by the balancer's clock", s.Started, age)
 	}
 	ahead := client.Endpoint{Host: "s-2", Dial: "127.0.0.1:7", Health: "up", BornMS: float64(time.Now().Add(time.Hour).UnixMilli())}
 	first, _ := l.enterEndpoint(ahead)
@@ -101,7 +101,7 @@
 	}
 }
 
-// The wall clock is set ahead under a running process: a server that starts then is cold.
+// The wall clock is set ahead while the process runs: a server that starts then is warming up.
 func TestStartAfterAStepOfTheWallClock(t *testing.T) {
 	l := newTestLoop(t)
 	const step = time.Hour
@@ -114,7 +114,7 @@
 	}
 }
 
-// The module matches a server's probe results to its calls by their order.
+// The balancer matches a server's probe results to its calls by their order.
 func TestProbeResultsKeepTheirOrder(t *testing.T) {
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0))
 	h := l.endpoints.byName["s-1"]
@@ -126,10 +126,11 @@
 	}
 	probeCompleted{first, false, policy.UnknownLoad}.handle(l)
 	if len(h.probes) != 0 {
-		t.Errorf("%d results are held back", len(h.probes))
+		t.Errorf("%d results are kept back", len(h.probes))
 	}
 }
 
+// From the watch event on everything goes to the other server.
 func TestDrainActsAtOnce(t *testing.T) {
 	g := registrytest.NewServer(t)
 	a, b := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("a"))), sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("b")))
@@ -138,18 +139,18 @@
 	serveSoon(t, addr)
 	sidecartest.Await(t, "a request", a.Requests)
 	w.Lines <- registrytest.ListJSON(2, false, registrytest.EndpointJSON("s-1", a.Addr, "draining", 0), registrytest.EndpointJSON("s-2", b.Addr, "up", 0))
-	for i := range 1000 { // until the news has arrived; from then on everything goes to the other
+	for i := range 1000 { // until the watch event has arrived
 		if got := (call{class: "once", id: fmt.Sprint(i)}).do(t, addr); got.body == "b" {
 			break
 		}
 	}
-	clear := len(a.Requests)
+	before := len(a.Requests)
 	for i := range 20 {
 		if got := (call{class: "once", id: fmt.Sprint("later-", i)}).do(t, addr); got.body != "b" {
 			t.Errorf("got %+v", got)
 		}
 	}
-	if len(a.Requests) != clear {
-		t.Error("a request went to a draining upstream")
+	if len(a.Requests) != before {
+		t.Error("a request was forwarded to a draining server")
 	}
 }
--- a/internal/sidecar/loop_test.go
+++ b/internal/sidecar/loop_test.go
@@ -22,27 +22,26 @@
 	return l
 }
 
-// A timer that fires early must not be lost: the module would pass it over and
-// never ask again.
+// A timer that fires early must not be lost: the balancer would ignore it and never ask again.
 func TestEarlyTimerIsArmedAgain(t *testing.T) {
 	l := newTestLoop(t)
-	due := l.wakeTimer.due // as the module asked at its start
+	due := l.wakeTimer.due // as the balancer asked at its start
 	l.clock.now = due - time.Millisecond
 	l.wake()
 	if due == 0 || l.wakeTimer.due != due {
-		t.Fatal("an early timer disarmed the alarm")
+		t.Fatal("an early timer was disarmed")
 	}
-	for l.clock.now < due { // it is armed for what was left at the made-up time, and so early again
+	for l.clock.now < due { // it is armed for the rest of the made-up time, and so early again
 		sidecartest.Await(t, "the timer", l.wakeTimer.timer.C)
 		l.clock.now = l.clock.read()
 		l.wake()
 	}
 	if l.wakeTimer.due <= due {
-		t.Error("the module was not woken: it would have asked for a later time")
+		t.Error("the balancer was not woken: it would have asked for a later time")
 	}
 }
 
-func TestExactlyOneAnswer(t *testing.T) {
+func TestExactlyOneResponse(t *testing.T) {
 	l := newTestLoop(t)
 	r := &request{Request: upstream.Request{ID: "x"}, id: 7, result: make(chan response, 1)}
 	l.requests.byID[r.id] = r
@@ -51,17 +50,16 @@
 	l.Fail(r.id)
 	l.Refuse(r.id, 0)
 	clientDisconnected{r}.handle(l)
-	if a := sidecartest.Await(t, "the answer", r.result); a.status != http.StatusBadGateway || len(r.result) > 0 {
+	if a := sidecartest.Await(t, "the response", r.result); a.status != http.StatusBadGateway || len(r.result) > 0 {
 		t.Errorf("answered %d, and %d times more", a.status, len(r.result))
 	}
 	if len(l.requests.byID) > 0 || l.requests.ids.isInUse(r.ID) {
-		t.Errorf("%d requests are still held, name held: %v", len(l.requests.byID), l.requests.ids.isInUse(r.ID))
+		t.Errorf("%d requests are still in progress, id in use: %v", len(l.requests.byID), l.requests.ids.isInUse(r.ID))
 	}
 }
 
-// An answer that comes when its client has left finds nobody, but must not
-// leave the request behind.
-func TestLateAnswerLeavesNothingBehind(t *testing.T) {
+// A response that comes when its client has gone must not leave the request behind.
+func TestLateResponseLeavesNothingBehind(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	r := call{class: "once"}.request(t, u.Addr)
@@ -76,13 +74,13 @@
 	clientDisconnected{held}.handle(l)
 	attemptEnded{held.attempts[0], policy.Served, &upstream.Response{}}.handle(l)
 	if len(l.requests.byID) > 0 || len(held.result) > 0 {
-		t.Errorf("%d requests are still held, %d answers given", len(l.requests.byID), len(held.result))
+		t.Errorf("%d requests are still in progress, %d responses given", len(l.requests.byID), len(held.result))
 	}
 }
 
-// At the deadline the module may give up before the attempt's own time-out
-// comes in: the client is told of a time-out either way.
-func TestTimeOutIsToldWhoeverNoticesFirst(t *testing.T) {
+// At the deadline the balancer may give up before the attempt's own timeout: the client is answered
+// 504 either way.
+func TestTimeoutIsAnsweredWhoeverNoticesFirst(t *testing.T) {
 	l := newTestLoop(t)
 	for want, r := range map[int]*request{
 		http.StatusGatewayTimeout: {Request: upstream.Request{ID: "out"}, id: 7, inFlight: 1, result: make(chan response, 1)},
@@ -90,7 +88,7 @@
 	} {
 		l.requests.byID[r.id] = r
 		l.Fail(r.id)
-		if a := sidecartest.Await(t, "the answer", r.result); a.status != want {
+		if a := sidecartest.Await(t, "the response", r.result); a.status != want {
 			t.Errorf("%s: answered %d, want %d", r.ID, a.status, want)
 		}
 	}
--- a/internal/sidecar/service_test.go
+++ b/internal/sidecar/service_test.go
@@ -16,9 +16,9 @@
 	"barleywick/internal/sidecar/upstream"
 )
 
-// A planned restart: what was taken is answered, connections that still come are
-// served and told to close, and idle ones are closed before the listener goes.
-func TestPlannedRestartLosesNothing(t *testing.T) {
+// A graceful shutdown answers what was taken, serves connections that still come and tells them to
+// close, and closes idle ones before it stops listening.
+func TestGracefulShutdownLosesNoRequest(t *testing.T) {
 	release := make(chan struct{})
 	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
 		if r.Header.Get("Request-Id") == "held" {
@@ -36,7 +36,7 @@
 	call{class: "once", id: "first"}.request(t, addr).Write(idle)
 	in := bufio.NewReader(idle)
 	if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 200 || resp.Close {
-		t.Fatalf("before the restart: %+v, error %v", resp, err)
+		t.Fatalf("before the shutdown: %+v, error %v", resp, err)
 	} else {
 		in.Discard(int(resp.ContentLength))
 	}
@@ -47,10 +47,10 @@
 	if _, err := in.Peek(1); err == nil { // returns when the idle connection is closed
 		t.Error("bytes nobody asked for")
 	}
-	// A kept connection would be closed under a later request: the answer must tell.
+	// A connection that stays open would be closed under a later request: the response must say so.
 	fresh, err := net.Dial("tcp", addr)
 	if err != nil {
-		t.Fatalf("a new connection after the announcement: %v", err)
+		t.Fatalf("a new connection after the shutdown began: %v", err)
 	}
 	defer fresh.Close()
 	fresh.SetDeadline(time.Now().Add(sidecartest.Patience))
@@ -61,10 +61,10 @@
 	select {
 	case err := <-ended:
 		t.Fatalf("ended with a request unanswered: %v", err)
-	case <-time.After(lateArrivalTime): // the listener has gone or is about to
+	case <-time.After(lateArrivalTime): // it has stopped listening or is about to
 	}
 	close(release)
-	if got := sidecartest.Await(t, "the held one's answer", held); got.status != 200 || got.body != "ok" {
+	if got := sidecartest.Await(t, "the held one's response", held); got.status != 200 || got.body != "ok" {
 		t.Errorf("the held one: %+v", got)
 	}
 	if err := sidecartest.Await(t, "the end", ended); err != nil {
@@ -72,8 +72,8 @@
 	}
 }
 
-// A module that asks gets its watch again after a failure, through the whole program.
-func TestAskingSidecarWatches(t *testing.T) {
+// A sidecar that polls opens its watch again after a failure.
+func TestPollingSidecarWatches(t *testing.T) {
 	g := registrytest.NewServer(t)
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{ask: true}, g.Addr, registrytest.EndpointJSON("s-0", "127.0.0.1:1", "draining", 0)))
@@ -83,7 +83,7 @@
 	serveSoon(t, addr)
 }
 
-// serveSoon sends requests until one is served: news of the list is on its way.
+// serveSoon sends requests until one is served: a watch event is on its way.
 func serveSoon(t *testing.T, addr string) {
 	t.Helper()
 	for i, deadline := 0, time.Now().Add(sidecartest.Patience); ; i++ {
@@ -96,9 +96,8 @@
 	}
 }
 
-// A new configuration under way: requests that are held are answered, the held
-// list stays in force until the new address has brought another, and a file
-// that cannot be used changes nothing.
+// A reload: requests in progress are answered, the endpoint list stays in force until the new address
+// has brought another, and a file with a mistake changes nothing.
 func TestReloadMovesDiscovery(t *testing.T) {
 	old, fresh := registrytest.NewServer(t), registrytest.NewServer(t)
 	release := make(chan struct{})
@@ -132,7 +131,7 @@
 	select {
 	case w.Lines <- registrytest.ListJSON(2, false): // the old watch is still read
 	case <-w.Ended:
-		t.Fatal("a wrong file ended the watch")
+		t.Fatal("a file with a mistake ended the watch")
 	}
 	write(good(fresh.Addr))
 	reload <- syscall.SIGHUP
@@ -150,7 +149,7 @@
 		}
 	}
 	close(release)
-	if got := sidecartest.Await(t, "the held one's answer", held); got.body != "a" {
+	if got := sidecartest.Await(t, "the held one's response", held); got.body != "a" {
 		t.Errorf("the held one: %+v", got)
 	}
 }
@@ -200,9 +199,8 @@
 	}
 }
 
-// net/http counts a connection as idle until it has read a request's header. A
-// connection closed as idle in that moment must not have its request taken: the
-// client sends it once more.
+// net/http counts a connection as idle until it has read a request's header. If a connection is closed
+// as idle in that moment its request must not be taken: the client sends it once more.
 func TestRequestOnAConnectionClosedAsIdleIsLeftAlone(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	serve := newHandlerTest(t, u)
@@ -222,7 +220,7 @@
 func TestConnectionsAreReused(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{probes: true}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
-	const requests, apart = 12, upstream.MaxQuarantine + 20*time.Millisecond // each connection has rested by the next request
+	const requests, apart = 12, upstream.MaxQuarantine + 20*time.Millisecond // each connection is out of quarantine by the next request
 	for i := range requests {
 		if got := (call{class: "keyed", id: fmt.Sprint(i)}).do(t, addr); got.status != 200 {
 			t.Fatalf("got %+v", got)
@@ -230,6 +228,6 @@
 		time.Sleep(apart)
 	}
 	if n := len(u.Accepted); n > 4 { // one, and one more for each probe that may be out meanwhile
-		t.Errorf("%d connections for %d requests in turn", n, requests)
+		t.Errorf("%d connections for %d requests in a row", n, requests)
 	}
 }
--- a/internal/sidecar/status_test.go
+++ b/internal/sidecar/status_test.go
@@ -14,14 +14,14 @@
 	"barleywick/internal/sidecar/sidecartest"
 )
 
-// fakeMeter notes what it is told.
-type fakeMeter struct {
-	mu    sync.Mutex
-	ended []string
-	state chan func(context.Context) (Status, error)
+// fakeExporter records what it is told.
+type fakeExporter struct {
+	mu     sync.Mutex
+	ended  []string
+	status chan func(context.Context) (Status, error)
 }
 
-func (m *fakeMeter) RecordRequest(class, tenant, outcome string, took time.Duration) {
+func (m *fakeExporter) RecordRequest(class, tenant, outcome string, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if took <= 0 {
@@ -30,28 +30,28 @@
 	m.ended = append(m.ended, class+" "+tenant+" "+outcome)
 }
 
-func (m *fakeMeter) Serve(ctx context.Context, ln net.Listener, state func(context.Context) (Status, error)) error {
-	m.state <- state
+func (m *fakeExporter) Serve(ctx context.Context, ln net.Listener, status func(context.Context) (Status, error)) error {
+	m.status <- status
 	<-ctx.Done()
 	return ln.Close()
 }
 
-func TestMeterIsToldOfEachRequestOnce(t *testing.T) {
+func TestExporterRecordsEachRequestOnce(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
 		if r.Header.Get("Request-Id") == "breaks" {
 			return "", true
 		}
 		return sidecartest.OKResponse("ok"), false
 	})
-	m := &fakeMeter{state: make(chan func(context.Context) (Status, error), 1)}
+	m := &fakeExporter{status: make(chan func(context.Context) (Status, error), 1)}
 	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	c.Metrics.Listen = "127.0.0.1:0"
 	addr, stop, ended := startSidecar(t, c, WithMetrics(m))
-	state := sidecartest.Await(t, "the meter", m.state)
+	status := sidecartest.Await(t, "the exporter", m.status)
 	for _, id := range []string{"one", "two", "breaks"} {
 		call{class: "once", id: id}.do(t, addr)
 	}
-	s, err := state(t.Context())
+	s, err := status(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,13 +69,13 @@
 	if err := sidecartest.Await(t, "the end", ended); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := state(t.Context()); err == nil {
-		t.Error("a sidecar that has ended tells its state")
+	if _, err := status(t.Context()); err == nil {
+		t.Error("a sidecar that has ended returns its status")
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if got := strings.Join(m.ended, ", "); !strings.HasPrefix(got, "once ") || strings.Count(got, "served") != 2 || strings.Count(got, "failed") != 1 || len(m.ended) != 3 || strings.Contains(got, "no time") {
-		t.Errorf("told of: %s", got)
+		t.Errorf("recorded: %s", got)
 	}
 }
 
@@ -97,7 +97,7 @@
 	return b.text.String()
 }
 
-// A request can be followed through the log by its id, where the log is that fine.
+// At level debug a request can be followed through the log by its id.
 func TestEachLineAboutARequestHasItsID(t *testing.T) {
 	old := slog.Default()
 	defer slog.SetDefault(old)
