--- a/internal/simulation/simwire/world.go
+++ b/internal/simulation/simwire/batchwriter.go
@@ -2,13 +2,8 @@
 
 import (
 	"encoding/binary"
-	"errors"
-	"fmt"
-	"io"
 	"math"
 	"time"
-
-	"barleywick/internal/settings"
 )
 
 // The simulator's end of the wire: events are written and actions read.
@@ -116,71 +111,3 @@
 		e.u32(math.Float32bits(v))
 	}
 }
-
-// Reply is one frame of actions.
-type Reply struct {
-	Number  uint32
-	Records uint32
-	Body    []byte // valid until the next ReadAnswer
-}
-
-// ReadReply reads the next frame of actions.
-func (r *Reader) ReadReply() (Reply, error) {
-	head := r.head[:replyHeaderSize]
-	if _, err := io.ReadFull(r.r, head); err != nil {
-		if errors.Is(err, io.EOF) {
-			return Reply{}, io.EOF
-		}
-		return Reply{}, fmt.Errorf("read reply header: %w", err)
-	}
-	le := binary.LittleEndian
-	a := Reply{Number: le.Uint32(head), Records: le.Uint32(head[8:])}
-	size := le.Uint32(head[4:])
-	if size > maxFrameSize || uint64(a.Records)*recordHeaderSize > uint64(size) {
-		return Reply{}, fmt.Errorf("reply %d: %d records in %d bytes cannot be", a.Number, a.Records, size)
-	}
-	body, err := r.body(int(size))
-	if err != nil {
-		return Reply{}, fmt.Errorf("reply %d: %w", a.Number, err)
-	}
-	a.Body = body
-	return a, nil
-}
-
-// Action is one action; which fields it has follows from its code.
-type Action struct {
-	Code   uint16
-	Inst   uint32
-	Job    uint32
-	Hop    uint8
-	To     Upstream
-	Time   time.Duration // a time-out, pause or delay
-	Cookie uint64
-	On     bool
-	Text   string
-}
-
-// Action reads a record as an action. One of a code that is not known has its code alone.
-func (r Record) Action() (Action, error) {
-	c := fieldReader{b: r.Fields}
-	a := Action{Code: r.Code, Inst: c.u32()}
-	switch r.Code {
-	case ActionCallOut:
-		a.Job, a.To, a.Time = c.u32(), c.addr(), settings.DurationFromMillis(c.f64())
-	case ActionPushBack:
-		a.Job, a.Time = c.u32(), settings.DurationFromMillis(c.f64())
-	case ActionLose:
-		a.Job = c.u32()
-	case ActionRecall:
-		a.Job, a.Hop = c.u32(), c.u8()
-	case ActionSetAlarm:
-		a.Time, a.Cookie = settings.DurationFromMillis(c.f64()), c.u64()
-	case ActionInspect:
-		a.To = c.addr()
-	case ActionTail:
-		a.On = c.u8() != 0
-	case ActionWriteLog, ActionDie:
-		a.Text = string(c.take(int(c.u16())))
-	}
-	return a, c.done(r.Code)
-}
