--- a/internal/simulation/remoteadapter/adapter_test.go
+++ b/internal/simulation/remoteadapter/adapter_test.go
@@ -13,7 +13,8 @@
 	"barleywick/internal/simulation/simwire"
 )
 
-func day(t *testing.T, name string) *emulator.Scenario {
+// scenario returns a short scenario run.
+func scenario(t *testing.T, name string) *emulator.Scenario {
 	t.Helper()
 	sc, err := emulator.Preset(name, 8, 10)
 	if err != nil {
@@ -23,7 +24,8 @@
 	return sc
 }
 
-func play(t *testing.T, sc *emulator.Scenario, decide emulator.DeciderFactory) string {
+// run runs a scenario and returns its record as JSON.
+func run(t *testing.T, sc *emulator.Scenario, decide emulator.DeciderFactory) string {
 	t.Helper()
 	s, err := emulator.NewSim(sc, 5, decide)
 	if err != nil {
@@ -43,8 +45,8 @@
 	return string(text)
 }
 
-// beside runs an adapter in this process, at the other end of two pipes.
-func beside(t *testing.T, serve func(io.Reader, io.Writer) error) *Adapter {
+// startServer runs an adapter in this process, at the other end of two pipes.
+func startServer(t *testing.T, serve func(io.Reader, io.Writer) error) *Adapter {
 	t.Helper()
 	events, toAdapter := io.Pipe()
 	fromAdapter, actions := io.Pipe()
@@ -59,31 +61,31 @@
 	t.Cleanup(func() {
 		toAdapter.Close()
 		if err := <-served; err != nil {
-			t.Errorf("the adapter: %v", err)
+			t.Errorf("the server: %v", err)
 		}
 	})
 	return a
 }
 
-// The module gives the same day to the last digit on the wire and in this process:
-// what is compared between builds is their decisions and nothing else.
-func TestTheWireChangesNothing(t *testing.T) {
+// A scenario run gives the same record to the last digit over the wire and in this process: what is
+// compared between builds is their decisions and nothing else.
+func TestWireDoesNotChangeDecisions(t *testing.T) {
 	for _, name := range []string{"herd", "join", "split", "blind", "overload"} {
 		t.Run(name, func(t *testing.T) {
-			a := beside(t, simadapter.Serve)
-			over := play(t, day(t, name), a.NewDecider)
+			a := startServer(t, simadapter.Serve)
+			remote := run(t, scenario(t, name), a.NewDecider)
 			if a.Err() != nil {
 				t.Fatal(a.Err())
 			}
-			if here := play(t, day(t, name), emulator.NewBalancer); here != over {
-				t.Error("the day differs on the wire")
+			if local := run(t, scenario(t, name), emulator.NewBalancer); local != remote {
+				t.Error("the record over the wire differs from the local one")
 			}
 		})
 	}
 }
 
-func TestWhatAnAdapterDoesWrongIsSaid(t *testing.T) {
-	reply := func(number uint32, write func(*simwire.ReplyWriter)) func(io.Reader, io.Writer) error {
+func TestErrorsOfAnAdapterAreReported(t *testing.T) {
+	replyWith := func(offset uint32, write func(*simwire.ReplyWriter)) func(io.Reader, io.Writer) error {
 		return func(in io.Reader, out io.Writer) error {
 			r := simwire.NewReader(in)
 			var p simwire.ReplyWriter
@@ -92,7 +94,7 @@
 				if err != nil {
 					return nil
 				}
-				p.Begin(b.Number + number)
+				p.Begin(b.Number + offset)
 				write(&p)
 				if _, err := out.Write(p.Bytes()); err != nil {
 					return err
@@ -105,10 +107,10 @@
 			_, err := simwire.NewReader(in).ReadBatch()
 			return err
 		},
-		"with the number":  reply(1, func(*simwire.ReplyWriter) {}),
-		"has failed: oops": reply(0, func(p *simwire.ReplyWriter) { p.Die(0, "oops") }),
-		"instance 77":      reply(0, func(p *simwire.ReplyWriter) { p.Tail(77, true) }),
-		"not known":        reply(0, func(p *simwire.ReplyWriter) { p.CallOut(0, 9, 1, 0) }),
+		"with the number":  replyWith(1, func(*simwire.ReplyWriter) {}),
+		"has failed: oops": replyWith(0, func(p *simwire.ReplyWriter) { p.Die(0, "oops") }),
+		"instance 77":      replyWith(0, func(p *simwire.ReplyWriter) { p.Tail(77, true) }),
+		"not known":        replyWith(0, func(p *simwire.ReplyWriter) { p.CallOut(0, 9, 1, 0) }),
 		"cannot be": func(in io.Reader, out io.Writer) error {
 			if _, err := simwire.NewReader(in).ReadBatch(); err != nil {
 				return err
@@ -117,46 +119,44 @@
 			return err
 		},
 	} {
-		a := beside(t, serve)
-		s, err := emulator.NewSim(day(t, "calm"), 1, a.NewDecider)
+		a := startServer(t, serve)
+		s, err := emulator.NewSim(scenario(t, "calm"), 1, a.NewDecider)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := s.Run(context.Background()); err == nil {
-			err = a.Err()
-		}
+		_, runErr := s.Run(context.Background())
 		if a.Err() == nil || !strings.Contains(a.Err().Error(), want) {
-			t.Errorf("%v, want %q", a.Err(), want)
+			t.Errorf("got error %v, want one with %q; the run returned %v", a.Err(), want, runErr)
 		}
 	}
 }
 
-func TestSlotsCannotBeSaid(t *testing.T) {
-	sc := day(t, "calm")
+func TestSlotsAreRejected(t *testing.T) {
+	sc := scenario(t, "calm")
 	sc.Slots = 5
 	s, err := emulator.NewSim(sc, 1, New(io.Discard, strings.NewReader("")).NewDecider)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := s.Run(context.Background()); err == nil || !strings.Contains(err.Error(), "slots cannot be said") {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want one that names the slots", err)
 	}
 }
 
-func TestProgramThatIsNoAdapter(t *testing.T) {
+func TestProgramThatIsNotAnAdapter(t *testing.T) {
 	if _, err := Start(t.Context(), "/nonexistent/adapter"); err == nil || !strings.Contains(err.Error(), "/nonexistent/adapter") {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want one that names the program", err)
 	}
 	a, err := Start(t.Context(), "/bin/false")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := emulator.NewSim(day(t, "calm"), 1, a.NewDecider)
+	s, err := emulator.NewSim(scenario(t, "calm"), 1, a.NewDecider)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = s.Run(context.Background())
+	_, runErr := s.Run(context.Background())
 	if err := a.Close(); err == nil || !strings.Contains(err.Error(), "adapter: ") {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want one of the adapter; the run returned %v", err, runErr)
 	}
 }
--- a/internal/simulation/remoteadapter/fixtures_test.go
+++ b/internal/simulation/remoteadapter/fixtures_test.go
@@ -33,25 +33,25 @@
 
 // An adapter of another build gets the events byte for byte as 396a775 wrote them.
 func TestEventsAreWrittenAsBefore(t *testing.T) {
-	for _, run := range []struct {
+	for _, tt := range []struct {
 		preset            string
 		sidecars, servers int
 	}{{"overload", 20, 6}, {"join", 4, 6}, {"split", 8, 6}} {
-		t.Run(run.preset, func(t *testing.T) {
-			sc, err := emulator.Preset(run.preset, run.sidecars, run.servers)
+		t.Run(tt.preset, func(t *testing.T) {
+			sc, err := emulator.Preset(tt.preset, tt.sidecars, tt.servers)
 			if err != nil {
 				t.Fatal(err)
 			}
 			sc.Stretch(10 * time.Second)
 			var written bytes.Buffer
-			a := beside(t, func(in io.Reader, out io.Writer) error {
+			a := startServer(t, func(in io.Reader, out io.Writer) error {
 				return simadapter.Serve(io.TeeReader(in, &written), out)
 			})
-			play(t, sc, a.NewDecider)
+			run(t, sc, a.NewDecider)
 			if a.Err() != nil {
 				t.Fatal(a.Err())
 			}
-			if want := recordedInput(t, run.preset); !bytes.Equal(written.Bytes(), want) {
+			if want := recordedInput(t, tt.preset); !bytes.Equal(written.Bytes(), want) {
 				t.Errorf("%d bytes of events differ from the %d recorded ones", written.Len(), len(want))
 			}
 		})
--- /dev/null
+++ b/internal/simulation/remoteadapter/perform.go
@@ -0,0 +1,99 @@
+package remoteadapter
+
+import (
+	"fmt"
+	"time"
+
+	"barleywick/internal/simulation/simwire"
+	"barleywick/policy"
+)
+
+// unlimitedPatience is the timeout of an attempt without one: until the client gives up.
+const unlimitedPatience = time.Hour
+
+// performAll carries out the actions of a reply.
+func (i *instance) performAll(now time.Duration, reply simwire.Reply) error {
+	body := reply.Body
+	for range reply.Records {
+		record, rest, err := simwire.NextRecord(body)
+		if err != nil {
+			return err
+		}
+		body = rest
+		action, err := record.Action()
+		if err != nil {
+			return err
+		}
+		if err := i.perform(now, action); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// perform carries out an action. A log line, or an action of a later version, has no effect.
+func (i *instance) perform(now time.Duration, a simwire.Action) error {
+	if a.Instance != i.number {
+		return fmt.Errorf("an action for instance %d without an event for it", a.Instance)
+	}
+	switch a.Code {
+	case simwire.ActionCallOut:
+		return i.callOut(now, a)
+	case simwire.ActionRecall:
+		return i.recall(a)
+	case simwire.ActionPushBack:
+		i.answer(a.Job, func() { i.host.Refuse(policy.RequestID(a.Job), a.Duration) })
+	case simwire.ActionLose:
+		i.answer(a.Job, func() { i.host.Fail(policy.RequestID(a.Job)) })
+	case simwire.ActionSetAlarm:
+		i.host.Wake(a.Duration)
+	case simwire.ActionInspect:
+		i.host.Probe(policy.ServerID(a.To))
+	case simwire.ActionTail:
+		if a.On {
+			i.host.WatchList()
+		}
+	case simwire.ActionDie:
+		return fmt.Errorf("the decision code has failed: %.200s", a.Text)
+	}
+	return nil
+}
+
+// callOut starts an attempt.
+func (i *instance) callOut(now time.Duration, a simwire.Action) error {
+	r := i.requests[a.Job]
+	if r == nil {
+		return unknownRequest(a)
+	}
+	r.attempts = append(r.attempts, attempt{server: a.To, sentAt: now})
+	patience := a.Duration
+	if patience == 0 {
+		patience = unlimitedPatience
+	}
+	i.host.Send(policy.RequestID(a.Job), policy.ServerID(a.To), patience, 0)
+	return nil
+}
+
+// recall cancels an attempt.
+func (i *instance) recall(a simwire.Action) error {
+	if i.requests[a.Job] == nil {
+		return unknownRequest(a)
+	}
+	i.host.Cancel(policy.RequestID(a.Job), int(a.Hop))
+	return nil
+}
+
+// answer ends a request. The wire allows an answer to a request that has just ended.
+func (i *instance) answer(job uint32, end func()) {
+	r := i.requests[job]
+	if r == nil {
+		return
+	}
+	r.over = true
+	end()
+	i.forget(job)
+}
+
+func unknownRequest(a simwire.Action) error {
+	return fmt.Errorf("action %d for request %d, which is not known", a.Code, a.Job)
+}
--- a/internal/simulation/simadapter/convert.go
+++ b/internal/simulation/simadapter/convert.go
@@ -5,7 +5,17 @@
 	"barleywick/policy"
 )
 
-func ending(code uint16) policy.Ending {
+// listKinds are the kinds of list events by the kinds of Fleet events.
+var listKinds = map[uint8]policy.ListKind{
+	simwire.FleetFull:   policy.ListFull,
+	simwire.FleetDelta:  policy.ListDelta,
+	simwire.FleetCached: policy.ListCached,
+	simwire.FleetFailed: policy.ListFailed,
+}
+
+// endingOf converts an outcome code. After an unknown outcome the request may have run, as after an
+// error.
+func endingOf(code uint16) policy.Ending {
 	switch code {
 	case simwire.OutcomeServed:
 		return policy.Served
@@ -22,22 +32,27 @@
 	case simwire.OutcomeNotSent:
 		return policy.NotSent
 	}
-	return policy.Errored // it may have run, as may whatever is not known
+	return policy.Errored
+}
+
+// stateOf converts the status of a list entry. A server with an unknown status gets nothing new.
+func stateOf(status uint8) policy.EndpointState {
+	switch status {
+	case simwire.StatusReady:
+		return policy.Ready
+	case simwire.StatusGone:
+		return policy.Removed
+	}
+	return policy.Draining
 }
 
-func servers(entries []simwire.Entry) []policy.Endpoint {
+// endpoints converts an endpoint list.
+func endpoints(entries []simwire.Entry) []policy.Endpoint {
 	list := make([]policy.Endpoint, len(entries))
 	for i, e := range entries {
 		list[i] = policy.Endpoint{
-			ID: policy.ServerID(e.Upstream), Zone: int(e.Area), Cell: int(e.Cohort), Weight: e.Rating, Started: e.Boot,
-		}
-		switch e.Status {
-		case simwire.StatusReady:
-			list[i].State = policy.Ready
-		case simwire.StatusGone:
-			list[i].State = policy.Removed
-		default:
-			list[i].State = policy.Draining // nothing new, whatever it is
+			ID: policy.ServerID(e.Upstream), Zone: int(e.Area), Cell: int(e.Cohort), State: stateOf(e.Status),
+			Weight: e.Rating, Started: e.Boot,
 		}
 	}
 	return list
--- a/internal/simulation/simadapter/instance.go
+++ b/internal/simulation/simadapter/instance.go
@@ -1,137 +1,177 @@
 package simadapter
 
 import (
+	"fmt"
+	"time"
+
 	"barleywick/internal/settings"
 	"barleywick/internal/simulation/simwire"
 	"barleywick/policy"
-	"fmt"
-	"time"
 )
 
-// instance is one sidecar; it carries out its Balancer's decisions.
+// counterLogInterval is how often an instance's counters are logged.
+const counterLogInterval = 10 * time.Second
+
+// instance is an emulated sidecar. It is the policy.Host of its Balancer.
 type instance struct {
-	host        *process
+	process     *process
 	number      uint32
 	loadColumns settings.LoadColumns
-	balancer    *policy.Balancer
-	logAt       time.Duration // when the counters are written next
+	balancer    *policy.Balancer // nil after a panic
+	nextLogAt   time.Duration    // 0 before the first event
 }
 
-// counterLogInterval is how often an instance's counters go to the log.
-const counterLogInterval = 10 * time.Second
+// start makes the Balancer.
+func (i *instance) start(now time.Duration, config policy.Config, seed uint64) error {
+	b, err := policy.New(config, seed, i)
+	if err != nil {
+		return fmt.Errorf("instance %d: %w", i.number, err)
+	}
+	i.balancer = b
+	b.Start(now)
+	return nil
+}
 
+// Send starts an attempt. The wire knows no bound on its start.
 func (i *instance) Send(id policy.RequestID, to policy.ServerID, timeout, _ time.Duration) {
-	i.host.reply.CallOut(i.number, uint32(id), simwire.Upstream(to), timeout)
+	i.process.reply.CallOut(i.number, uint32(id), simwire.Upstream(to), timeout)
 }
 
+// Refuse refuses a request.
 func (i *instance) Refuse(id policy.RequestID, pause time.Duration) {
-	i.host.reply.PushBack(i.number, uint32(id), pause)
+	i.process.reply.PushBack(i.number, uint32(id), pause)
 }
 
-func (i *instance) Fail(id policy.RequestID) { i.host.reply.Lose(i.number, uint32(id)) }
+// Fail fails a request.
+func (i *instance) Fail(id policy.RequestID) { i.process.reply.Lose(i.number, uint32(id)) }
 
+// Cancel cancels an attempt.
 func (i *instance) Cancel(id policy.RequestID, attempt int) {
-	i.host.reply.Recall(i.number, uint32(id), uint8(attempt))
+	i.process.reply.Recall(i.number, uint32(id), uint8(attempt))
 }
 
-func (i *instance) Wake(d time.Duration) { i.host.reply.SetAlarm(i.number, d, 0) }
+// Wake sets a timer.
+func (i *instance) Wake(d time.Duration) { i.process.reply.SetAlarm(i.number, d, 0) }
 
-func (i *instance) Probe(to policy.ServerID) { i.host.reply.Inspect(i.number, simwire.Upstream(to)) }
+// Probe probes a server.
+func (i *instance) Probe(to policy.ServerID) { i.process.reply.Inspect(i.number, simwire.Upstream(to)) }
 
-func (i *instance) WatchList() { i.host.reply.Tail(i.number, true) }
+// WatchList subscribes to the endpoint list.
+func (i *instance) WatchList() { i.process.reply.Tail(i.number, true) }
 
-// reportPanic reports a panic in the module with the wire's own fault action.
-func (i *instance) reportPanic(f func() error) (err error) {
+// reportPanic calls f and reports a panic in it to the simulator.
+func (i *instance) reportPanic(f func() error) error {
 	defer func() {
 		if p := recover(); p != nil {
-			i.host.reply.Die(i.number, fmt.Sprintf("panic: %v", p))
+			i.process.reply.Die(i.number, fmt.Sprintf("panic: %v", p))
 			i.balancer = nil
 		}
 	}()
 	return f()
 }
 
-// event hands one event to the instance's Balancer.
-func (i *instance) event(now time.Duration, rec simwire.Record) error {
-	if now >= i.logAt {
-		if i.logAt > 0 { // not at the first event: there is nothing to tell yet
-			i.host.reply.WriteLog(i.number, fmt.Sprintf("counters %+v", i.balancer.Counters()))
+// event passes an event to its handler, and logs the counters if that is due.
+func (i *instance) event(now time.Duration, record simwire.Record, handle handler) error {
+	if now >= i.nextLogAt {
+		if i.nextLogAt > 0 { // the first event has nothing to log yet
+			i.process.reply.WriteLog(i.number, fmt.Sprintf("counters %+v", i.balancer.Counters()))
 		}
-		i.logAt = now + counterLogInterval
+		i.nextLogAt = now + counterLogInterval
 	}
-	return i.reportPanic(func() error { return i.dispatch(now, rec) })
+	return i.reportPanic(func() error { return handle(i, now, record) })
 }
 
-func (i *instance) dispatch(now time.Duration, rec simwire.Record) error {
-	switch rec.Code {
-	case simwire.EventAsk:
-		a, err := rec.Ask()
-		if err != nil {
-			return err
-		}
-		r := policy.Request{ID: policy.RequestID(a.Job), Class: int(a.Kind), Tenant: int(a.Tenant), TimeLeft: a.Left, AffinityKey: a.Key}
-		r.ClientRetry = a.Bits&simwire.AskBitRepeat != 0
-		if a.Bits&simwire.AskBitHint != 0 {
-			r.ExpectedWork = a.Hint
-		}
-		i.balancer.Request(now, r)
-	case simwire.EventFinished:
-		f, err := rec.Finished()
-		if err != nil {
-			return err
-		}
-		i.balancer.Outcome(now, policy.Outcome{
-			ID: policy.RequestID(f.Job), Attempt: int(f.Hop), Ending: ending(f.Ending), Settled: f.Settled,
-		})
-	case simwire.EventWake:
-		i.balancer.Wake(now)
-	case simwire.EventClientLeft:
-		job, err := rec.Job()
-		if err != nil {
-			return err
-		}
-		i.balancer.ClientGone(now, policy.RequestID(job))
-	case simwire.EventHeaders:
-		job, err := rec.Job()
-		if err != nil {
-			return err
-		}
-		i.balancer.StreamBegun(policy.RequestID(job))
-	case simwire.EventCheckResult:
-		up, end, report, err := rec.CheckResult()
-		if err != nil {
-			return err
-		}
-		i.balancer.Probed(now, policy.ServerID(up), end == simwire.OutcomeServed, i.loadColumns.LoadReport(report.Value))
-	case simwire.EventFleet:
-		kind, _, page, err := rec.Fleet()
-		if err != nil {
-			return err
-		}
-		return i.fleet(now, kind, page)
+// handler passes an event to an instance's Balancer.
+type handler func(i *instance, now time.Duration, record simwire.Record) error
+
+// handlers are the handlers by the event's code.
+var handlers = map[uint16]handler{
+	simwire.EventAsk:         (*instance).ask,
+	simwire.EventFinished:    (*instance).finished,
+	simwire.EventWake:        (*instance).wake,
+	simwire.EventClientLeft:  (*instance).clientLeft,
+	simwire.EventHeaders:     (*instance).headers,
+	simwire.EventCheckResult: (*instance).checkResult,
+	simwire.EventFleet:       (*instance).fleet,
+}
+
+func (i *instance) ask(now time.Duration, record simwire.Record) error {
+	a, err := record.Ask()
+	if err != nil {
+		return err
+	}
+	r := policy.Request{
+		ID: policy.RequestID(a.Job), Class: int(a.Kind), Tenant: int(a.Tenant), TimeLeft: a.Left, AffinityKey: a.Key,
+		ClientRetry: a.Bits&simwire.AskBitRepeat != 0,
 	}
+	if a.Bits&simwire.AskBitHint != 0 {
+		r.ExpectedWork = a.Hint
+	}
+	i.balancer.Request(now, r)
+	return nil
+}
+
+func (i *instance) finished(now time.Duration, record simwire.Record) error {
+	f, err := record.Finished()
+	if err != nil {
+		return err
+	}
+	i.balancer.Outcome(now, policy.Outcome{
+		ID: policy.RequestID(f.Job), Attempt: int(f.Hop), Ending: endingOf(f.Ending), Settled: f.Settled,
+	})
+	return nil
+}
+
+func (i *instance) wake(now time.Duration, _ simwire.Record) error {
+	i.balancer.Wake(now)
+	return nil
+}
+
+func (i *instance) clientLeft(now time.Duration, record simwire.Record) error {
+	job, err := record.Job()
+	if err != nil {
+		return err
+	}
+	i.balancer.ClientGone(now, policy.RequestID(job))
+	return nil
+}
+
+func (i *instance) headers(_ time.Duration, record simwire.Record) error {
+	job, err := record.Job()
+	if err != nil {
+		return err
+	}
+	i.balancer.StreamBegun(policy.RequestID(job))
 	return nil
 }
 
-func (i *instance) fleet(now time.Duration, kind uint8, page uint16) error {
-	var k policy.ListKind
-	switch kind {
-	case simwire.FleetFull:
-		k = policy.ListFull
-	case simwire.FleetDelta:
-		k = policy.ListDelta
-	case simwire.FleetCached:
-		k = policy.ListCached
-	case simwire.FleetFailed:
-		i.balancer.List(now, policy.ListFailed, nil)
+func (i *instance) checkResult(now time.Duration, record simwire.Record) error {
+	server, outcome, report, err := record.CheckResult()
+	if err != nil {
+		return err
+	}
+	ok := outcome == simwire.OutcomeServed
+	i.balancer.Probed(now, policy.ServerID(server), ok, i.loadColumns.LoadReport(report.Value))
+	return nil
+}
+
+func (i *instance) fleet(now time.Duration, record simwire.Record) error {
+	kind, _, page, err := record.Fleet()
+	if err != nil {
+		return err
+	}
+	listKind, known := listKinds[kind]
+	if !known {
+		return nil // of a later version
+	}
+	if listKind == policy.ListFailed {
+		i.balancer.List(now, listKind, nil)
 		return nil
-	default:
-		return nil // a kind of a later version
 	}
-	list, ok := i.host.lists[page]
+	list, ok := i.process.lists[page]
 	if !ok {
 		return fmt.Errorf("instance %d: list %d was never sent", i.number, page)
 	}
-	i.balancer.List(now, k, list)
+	i.balancer.List(now, listKind, list)
 	return nil
 }
--- a/internal/simulation/simadapter/serve.go
+++ b/internal/simulation/simadapter/serve.go
@@ -1,5 +1,5 @@
-// Package simadapter plays the decision module on the simulator's wire: it hosts many
-// instances, each a policy.Balancer of its own. It decides nothing itself.
+// Package simadapter connects the decisions of package policy to the simulator's wire: a process hosts
+// many instances, each with a policy.Balancer of its own. It decides nothing itself.
 package simadapter
 
 import (
@@ -14,10 +14,12 @@
 	"barleywick/policy"
 )
 
-// Serve answers batches until the input ends.
+const inputBuffer = 1 << 16 // bytes
+
+// Serve replies to batches of events until the input ends.
 func Serve(in io.Reader, out io.Writer) error {
-	h := newHost()
-	r := simwire.NewReader(bufio.NewReaderSize(in, 1<<16))
+	p := newProcess()
+	r := simwire.NewReader(bufio.NewReaderSize(in, inputBuffer))
 	for {
 		b, err := r.ReadBatch()
 		if errors.Is(err, io.EOF) {
@@ -26,38 +28,37 @@
 		if err != nil {
 			return err
 		}
-		h.reply.Begin(b.Number)
-		if err := h.batch(b); err != nil {
+		p.reply.Begin(b.Number)
+		if err := p.batch(b); err != nil {
 			return fmt.Errorf("batch %d: %w", b.Number, err)
 		}
-		if _, err := out.Write(h.reply.Bytes()); err != nil {
+		if _, err := out.Write(p.reply.Bytes()); err != nil {
 			return fmt.Errorf("write reply: %w", err)
 		}
 	}
 }
 
-// process holds the instances of this process and what they share: the numbered
-// lists of the wire and the reply under way.
+// process holds the instances and what they share.
 type process struct {
 	reply     simwire.ReplyWriter
-	lists     map[uint16][]policy.Endpoint
+	lists     map[uint16][]policy.Endpoint // by page
 	instances map[uint32]*instance
 }
 
-func newHost() *process {
+func newProcess() *process {
 	return &process{lists: make(map[uint16][]policy.Endpoint), instances: make(map[uint32]*instance)}
 }
 
-// batch hands the events of one batch to their instances, in order.
-func (h *process) batch(b simwire.Batch) error {
+// batch handles the events of a batch in their order.
+func (p *process) batch(b simwire.Batch) error {
 	body := b.Body
 	for range b.Records {
-		rec, rest, err := simwire.NextRecord(body)
+		record, rest, err := simwire.NextRecord(body)
 		if err != nil {
 			return err
 		}
 		body = rest
-		if err := h.record(b.Clock, rec); err != nil {
+		if err := p.event(b.Clock, record); err != nil {
 			return err
 		}
 	}
@@ -67,41 +68,53 @@
 	return nil
 }
 
-func (h *process) record(now time.Duration, rec simwire.Record) error {
-	switch rec.Code {
+// event handles an event. One with the code of a later version, or without use here, is ignored, and
+// so is one for an instance that does not run.
+func (p *process) event(now time.Duration, record simwire.Record) error {
+	switch record.Code {
 	case simwire.EventManifest:
-		page, entries, err := rec.Manifest()
-		if err != nil {
-			return err
+		return p.manifest(record)
+	case simwire.EventOpenInstance:
+		return p.open(now, record)
+	case simwire.EventCrashNow:
+		number, err := record.Instance()
+		if err == nil {
+			delete(p.instances, number)
 		}
-		h.lists[page] = servers(entries)
+		return err
+	}
+	handle := handlers[record.Code]
+	if handle == nil {
 		return nil
-	case simwire.EventOpenInstance, simwire.EventCrashNow, simwire.EventFleet, simwire.EventAsk, simwire.EventFinished, simwire.EventWake,
-		simwire.EventClientLeft, simwire.EventHeaders, simwire.EventCheckResult:
-	default:
-		return nil // a code of a later version, or one that the module has no use for
 	}
-	number, err := rec.Instance()
+	number, err := record.Instance()
 	if err != nil {
 		return err
 	}
-	switch rec.Code {
-	case simwire.EventOpenInstance:
-		return h.open(now, number, rec)
-	case simwire.EventCrashNow:
-		delete(h.instances, number)
+	i := p.instances[number]
+	if i == nil || i.balancer == nil {
 		return nil
 	}
-	i := h.instances[number]
-	if i == nil || i.balancer == nil {
-		return nil // not running: nothing may be done for it
+	return i.event(now, record, handle)
+}
+
+// manifest takes a numbered endpoint list.
+func (p *process) manifest(record simwire.Record) error {
+	page, entries, err := record.Manifest()
+	if err != nil {
+		return err
 	}
-	return i.event(now, rec)
+	p.lists[page] = endpoints(entries)
+	return nil
 }
 
-// open starts an instance anew.
-func (h *process) open(now time.Duration, number uint32, rec simwire.Record) error {
-	seed, info, err := rec.OpenInstance()
+// open starts an instance. One that runs under its number is replaced.
+func (p *process) open(now time.Duration, record simwire.Record) error {
+	number, err := record.Instance()
+	if err != nil {
+		return err
+	}
+	seed, info, err := record.OpenInstance()
 	if err != nil {
 		return err
 	}
@@ -113,15 +126,7 @@
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", number, err)
 	}
-	i := &instance{host: h, number: number, loadColumns: s.LoadColumns()}
-	h.instances[number] = i
-	return i.reportPanic(func() error {
-		b, err := policy.New(config, seed, i)
-		if err != nil {
-			return fmt.Errorf("instance %d: %w", number, err)
-		}
-		i.balancer = b
-		b.Start(now)
-		return nil
-	})
+	i := &instance{process: p, number: number, loadColumns: s.LoadColumns()}
+	p.instances[number] = i
+	return i.reportPanic(func() error { return i.start(now, config, seed) })
 }
--- a/internal/simulation/simadapter/serve_test.go
+++ b/internal/simulation/simadapter/serve_test.go
@@ -111,7 +111,7 @@
 func TestEmptyBatchesAndEndOfInput(t *testing.T) {
 	var out bytes.Buffer
 	if err := Serve(bytes.NewReader(slices.Concat(batch(1, 0), batch(2, 5))), &out); err != nil || out.Len() != 24 {
-		t.Fatalf("%d bytes, error %v; want two empty replies", out.Len(), err)
+		t.Fatalf("got %d bytes, error %v; want two empty replies", out.Len(), err)
 	}
 }
 
@@ -122,10 +122,10 @@
 	for inst, want := range map[uint32]byte{1: 77, 2: 88} {
 		sends := only(all, simwire.ActionCallOut, inst)
 		if len(sends) != 1 || sends[0].rest[7] != want {
-			t.Errorf("instance %d: sends %v, want one to .%d", inst, sends, want)
+			t.Errorf("instance %d: got sends %v, want one to .%d", inst, sends, want)
 		}
 		if len(only(all, simwire.ActionTail, inst)) != 1 {
-			t.Errorf("instance %d did not ask for its list", inst)
+			t.Errorf("instance %d did not subscribe to its list", inst)
 		}
 	}
 }
@@ -139,11 +139,11 @@
 		batch(4, 15, record(simwire.EventCrashNow, uint32(1)), ask(1, 103))))
 	sends := only(all, simwire.ActionCallOut, 1)
 	if len(sends) != 2 {
-		t.Fatalf("%d sends, want one before and one after the restart, none while it was down", len(sends))
+		t.Fatalf("got %d sends, want one before and one after the restart, and none while it was down", len(sends))
 	}
 }
 
-func TestInstancesTogetherAndApartActAlike(t *testing.T) {
+func TestInstancesAreIndependent(t *testing.T) {
 	build := func(insts ...uint32) []byte {
 		var in []byte
 		for n := range uint32(60) {
@@ -166,16 +166,16 @@
 		apart := actions(t, build(i))
 		mine := slices.DeleteFunc(slices.Clone(together), func(a action) bool { return a.inst != i })
 		if !slices.Equal(apart, mine) || len(mine) < 60 {
-			t.Fatalf("instance %d: %d actions together, %d apart, or they differ", i, len(mine), len(apart))
+			t.Fatalf("instance %d: got %d actions together with the other one and %d apart, want the same", i, len(mine), len(apart))
 		}
 	}
 }
 
-func TestUnknownRecordsArePassedOver(t *testing.T) {
+func TestUnknownRecordsAreIgnored(t *testing.T) {
 	all := actions(t, batch(1, 0, record(4711, uint32(9), "anything"), open(1, 5), record(simwire.EventHeard, uint32(1), uint32(2), uint16(0)),
 		manifest(0, 7), fleet(1, 99, 0), fleet(1, simwire.FleetCached, 0), ask(1, 100), ask(44, 100)))
 	if len(only(all, simwire.ActionCallOut, 1)) != 1 || slices.ContainsFunc(all, func(a action) bool { return a.inst == 44 }) {
-		t.Fatalf("actions %v", all)
+		t.Fatalf("got actions %v, want one send of instance 1 and none of instance 44", all)
 	}
 }
 
@@ -190,21 +190,21 @@
 	} {
 		err := Serve(bytes.NewReader(in), io.Discard)
 		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want one plain line", name, err)
+			t.Errorf("%s: got error %v, want one plain line", name, err)
 		}
 	}
 }
 
-func TestPanicIsReportedAsAFault(t *testing.T) {
-	h := newHost()
-	h.reply.Begin(1)
-	i := &instance{host: h, number: 4}
+func TestPanicIsReported(t *testing.T) {
+	p := newProcess()
+	p.reply.Begin(1)
+	i := &instance{process: p, number: 4}
 	if err := i.reportPanic(func() error { panic("index out of range") }); err != nil {
 		t.Fatal(err)
 	}
-	rec, _, err := simwire.NextRecord(h.reply.Bytes()[12:])
+	rec, _, err := simwire.NextRecord(p.reply.Bytes()[12:])
 	if err != nil || rec.Code != simwire.ActionDie || !strings.Contains(string(rec.Fields), "index out of range") {
-		t.Fatalf("record %+v, error %v", rec, err)
+		t.Fatalf("got record %+v, error %v", rec, err)
 	}
 }
 
@@ -214,19 +214,19 @@
 		simwire.OutcomeTimedOut: policy.TimedOut, simwire.OutcomeNoConnection: policy.NoConnection, simwire.OutcomeBroken: policy.Broken,
 		simwire.OutcomeCancelled: policy.Cancelled, simwire.OutcomeNotSent: policy.NotSent, 999: policy.Errored,
 	} {
-		if got := ending(code); got != want {
-			t.Errorf("ending %d becomes %v, want %v", code, got, want)
+		if got := endingOf(code); got != want {
+			t.Errorf("code %d: got %v, want %v", code, got, want)
 		}
 	}
 }
 
-func TestServers(t *testing.T) {
-	got := servers([]simwire.Entry{
+func TestEndpoints(t *testing.T) {
+	got := endpoints([]simwire.Entry{
 		{Upstream: 9, Area: 1, Cohort: 3, Status: simwire.StatusReady, Rating: 2.5, Boot: time.Second},
 		{Status: simwire.StatusGone}, {Status: simwire.StatusDraining}, {Status: 77},
 	})
 	if got[0] != (policy.Endpoint{ID: 9, Zone: 1, Cell: 3, State: policy.Ready, Weight: 2.5, Started: time.Second}) ||
 		got[1].State != policy.Removed || got[2].State != policy.Draining || got[3].State != policy.Draining {
-		t.Fatalf("servers %+v", got)
+		t.Fatalf("got endpoints %+v", got)
 	}
 }
--- a/internal/simulation/simwire/actions.go
+++ b/internal/simulation/simwire/actions.go
@@ -1,44 +1,41 @@
 package simwire
 
-import (
-	"barleywick/internal/settings"
-	"time"
-)
+import "time"
 
-// Action is one action; which fields it has follows from its code.
+// Action is an action. Its code decides which fields it has.
 type Action struct {
-	Code   uint16
-	Inst   uint32
-	Job    uint32
-	Hop    uint8
-	To     Upstream
-	Time   time.Duration // a time-out, pause or delay
-	Cookie uint64
-	On     bool
-	Text   string
+	Code     uint16
+	Instance uint32
+	Job      uint32
+	Hop      uint8
+	To       Upstream
+	Duration time.Duration // a timeout, a pause or a delay
+	Cookie   uint64
+	On       bool
+	Text     string
 }
 
-// Action reads a record as an action. One of a code that is not known has its code alone.
+// Action reads a record as an action. One with an unknown code has only its code and its instance.
 func (r Record) Action() (Action, error) {
-	c := fieldReader{b: r.Fields}
-	a := Action{Code: r.Code, Inst: c.u32()}
+	f := r.reader()
+	a := Action{Code: r.Code, Instance: f.u32()}
 	switch r.Code {
 	case ActionCallOut:
-		a.Job, a.To, a.Time = c.u32(), c.addr(), settings.DurationFromMillis(c.f64())
+		a.Job, a.To, a.Duration = f.u32(), f.upstream(), f.millis()
 	case ActionPushBack:
-		a.Job, a.Time = c.u32(), settings.DurationFromMillis(c.f64())
+		a.Job, a.Duration = f.u32(), f.millis()
 	case ActionLose:
-		a.Job = c.u32()
+		a.Job = f.u32()
 	case ActionRecall:
-		a.Job, a.Hop = c.u32(), c.u8()
+		a.Job, a.Hop = f.u32(), f.u8()
 	case ActionSetAlarm:
-		a.Time, a.Cookie = settings.DurationFromMillis(c.f64()), c.u64()
+		a.Duration, a.Cookie = f.millis(), f.u64()
 	case ActionInspect:
-		a.To = c.addr()
+		a.To = f.upstream()
 	case ActionTail:
-		a.On = c.u8() != 0
+		a.On = f.flag()
 	case ActionWriteLog, ActionDie:
-		a.Text = string(c.take(int(c.u16())))
+		a.Text = string(f.bytes(int(f.u16())))
 	}
-	return a, c.done(r.Code)
+	return a, f.err()
 }
--- a/internal/simulation/simwire/codes.go
+++ b/internal/simulation/simwire/codes.go
@@ -1,40 +1,41 @@
-// Package simwire speaks the simulator's binary protocol: frames, records,
-// server lists and the settings that come with each instance.
+// Package simwire implements the simulator's binary protocol: frames, the records in them, and the
+// endpoint lists. The simulator sends batches of events and gets a reply with actions to each.
+//
+// Events, actions and their fields have the names of the protocol's description; package simadapter
+// translates them into those of package policy.
 package simwire
 
-import (
-	"time"
-)
+import "time"
 
-// Event codes.
+// Codes of events.
 const (
-	EventCheckResult  = 1000
-	EventManifest     = 1010
-	EventCrashNow     = 1020
-	EventHeaders      = 1030
-	EventHeard        = 1040
-	EventFleet        = 1050
-	EventFinished     = 1060
-	EventWake         = 1070
-	EventAsk          = 1080
-	EventClientLeft   = 1090
-	EventOpenInstance = 1100
+	EventCheckResult  = 1000 // the result of a probe
+	EventManifest     = 1010 // a numbered endpoint list
+	EventCrashNow     = 1020 // the end of an instance
+	EventHeaders      = 1030 // a response has begun to stream
+	EventHeard        = 1040 // a message of another instance
+	EventFleet        = 1050 // a message about the endpoint list
+	EventFinished     = 1060 // the end of an attempt
+	EventWake         = 1070 // a timer is due
+	EventAsk          = 1080 // a client's request
+	EventClientLeft   = 1090 // a client has left
+	EventOpenInstance = 1100 // the start of an instance
 )
 
-// Action codes.
+// Codes of actions.
 const (
-	ActionCallOut  = 1000
-	ActionPushBack = 1010
-	ActionLose     = 1020
-	ActionRecall   = 1030
-	ActionSetAlarm = 1040
-	ActionInspect  = 1050
-	ActionWriteLog = 1080
-	ActionDie      = 1090
-	ActionTail     = 1100
+	ActionCallOut  = 1000 // start an attempt
+	ActionPushBack = 1010 // refuse a request
+	ActionLose     = 1020 // fail a request
+	ActionRecall   = 1030 // cancel an attempt
+	ActionSetAlarm = 1040 // set a timer
+	ActionInspect  = 1050 // probe a server
+	ActionWriteLog = 1080 // write a line for the report
+	ActionDie      = 1090 // report that the decision code has failed
+	ActionTail     = 1100 // subscribe to the endpoint list
 )
 
-// Outcome codes.
+// Codes of outcomes.
 const (
 	OutcomeServed       = 100
 	OutcomeErrored      = 301
@@ -56,11 +57,11 @@
 
 // Bits of an Ask event.
 const (
-	AskBitHint   = 1
-	AskBitRepeat = 2
+	AskBitHint   = 1 // the hint is valid
+	AskBitRepeat = 2 // known to be the client's own retry
 )
 
-// States of a list entry.
+// Status values of a list entry.
 const (
 	StatusGone     = 0
 	StatusReady    = 1
@@ -68,16 +69,13 @@
 )
 
 const (
+	nanosInMilli = 1e6
+
 	batchHeaderSize  = 20
 	replyHeaderSize  = 12
 	recordHeaderSize = 6
 	entrySize        = 23
-	// maxFrameSize bounds what one frame may claim to hold. Real batches run to
-	// megabytes; a claim beyond this is a broken stream, not a batch.
-	maxFrameSize = 1 << 28
-	// readChunk is how much of a claimed length is taken on trust at a time.
-	readChunk = 1 << 20
 )
 
-// ToMillis is the inverse of settings.Millis.
-func ToMillis(d time.Duration) float64 { return float64(d) / 1e6 }
+// ToMillis converts a duration to milliseconds. It is the inverse of settings.DurationFromMillis.
+func ToMillis(d time.Duration) float64 { return float64(d) / nanosInMilli }
--- a/internal/simulation/simwire/events.go
+++ b/internal/simulation/simwire/events.go
@@ -1,16 +1,17 @@
 package simwire
 
 import (
-	"barleywick/internal/settings"
 	"fmt"
-	"math"
 	"time"
 )
 
-// Upstream is an address and port: the six bytes of the wire, first byte lowest.
+// upstreamSize is the size of a server's address on the wire.
+const upstreamSize = 6
+
+// Upstream is a server's address and port: the six bytes of the wire, the first byte lowest.
 type Upstream uint64
 
-// LoadReport is a load report: up to four values in the order of the settings.
+// LoadReport is a server's load report: up to four values in the order that the settings name.
 type LoadReport struct {
 	Count  int
 	Values [4]float32
@@ -24,121 +25,124 @@
 	return float64(r.Values[column]), true
 }
 
-// Entry is one line of a server list.
+// Entry is an entry of an endpoint list.
 type Entry struct {
 	Upstream Upstream
-	Area     uint8
-	Family   uint8
-	Cohort   uint16
+	Area     uint8  // zone
+	Family   uint8  // kind of machine
+	Cohort   uint16 // cell
 	Status   uint8
-	Rating   float64
-	Boot     time.Duration
+	Rating   float64       // weight
+	Boot     time.Duration // time of the last start; 0: long ago
+}
+
+// Ask is a client's request.
+type Ask struct {
+	Job    uint32 // id of the request
+	Bits   uint16
+	Key    uint64 // 0: none
+	Tenant uint32
+	Left   time.Duration // until the client gives up
+	Hint   time.Duration // expected work, valid with AskBitHint
+	Kind   uint8         // class
 }
 
-// Instance reads the instance that a record is for; a Manifest has none.
+// Finished is the end of an attempt.
+type Finished struct {
+	Job      uint32
+	Hop      uint8 // number of the attempt
+	Upstream Upstream
+	Ending   uint16 // an outcome code
+	Took     time.Duration
+	Settled  bool // the request has its answer, or its client has left
+	Pressure LoadReport
+}
+
+// Instance reads the instance that a record is for. A Manifest has none.
 func (r Record) Instance() (uint32, error) {
-	c := fieldReader{b: r.Fields}
-	i := c.u32()
-	return i, c.done(r.Code)
+	f := r.reader()
+	instance := f.u32()
+	return instance, f.err()
+}
+
+// afterInstance returns a reader of the fields that follow the instance.
+func (r Record) afterInstance() fieldReader {
+	f := r.reader()
+	f.u32()
+	return f
 }
 
-// Manifest reads a numbered server list.
+// Manifest reads a numbered endpoint list.
 func (r Record) Manifest() (page uint16, entries []Entry, err error) {
-	c := fieldReader{b: r.Fields}
-	page = c.u16()
-	n := c.u32()
-	if c.short || uint64(n)*entrySize > uint64(len(c.b)) {
-		return 0, nil, fmt.Errorf("record %d: %d list lines claimed, %d bytes left", r.Code, n, len(c.b))
+	f := r.reader()
+	page = f.u16()
+	n := f.u32()
+	if f.short || uint64(n)*entrySize > uint64(len(f.left)) {
+		return 0, nil, fmt.Errorf("record %d: %d list lines claimed, %d bytes left", r.Code, n, len(f.left))
 	}
 	entries = make([]Entry, n)
 	for i := range entries {
-		e := Entry{Upstream: c.addr(), Area: c.u8(), Family: c.u8(), Cohort: c.u16(), Status: c.u8()}
-		e.Rating = float64(math.Float32frombits(c.u32()))
-		e.Boot = settings.DurationFromMillis(c.f64())
-		entries[i] = e
+		entries[i] = Entry{
+			Upstream: f.upstream(), Area: f.u8(), Family: f.u8(), Cohort: f.u16(), Status: f.u8(),
+			Rating: float64(f.f32()), Boot: f.millis(),
+		}
 	}
-	return page, entries, c.done(r.Code)
+	return page, entries, f.err()
 }
 
-// OpenInstance reads the start of an instance; info is only valid as long as the batch.
+// OpenInstance reads the start of an instance. info is valid as long as the batch.
 func (r Record) OpenInstance() (seed uint64, info []byte, err error) {
-	c := fieldReader{b: r.Fields}
-	c.u32()
-	seed = c.u64()
-	info = c.take(int(c.u32()))
-	return seed, info, c.done(r.Code)
+	f := r.afterInstance()
+	seed = f.u64()
+	info = f.bytes(int(f.u32()))
+	return seed, info, f.err()
 }
 
-// Fleet reads the news about a server list.
+// Fleet reads a message about the endpoint list.
 func (r Record) Fleet() (kind uint8, version uint32, page uint16, err error) {
-	c := fieldReader{b: r.Fields}
-	c.u32()
-	kind, version, page = c.u8(), c.u32(), c.u16()
-	return kind, version, page, c.done(r.Code)
+	f := r.afterInstance()
+	kind, version, page = f.u8(), f.u32(), f.u16()
+	return kind, version, page, f.err()
 }
 
-// Ask is a client request.
-type Ask struct {
-	Job    uint32
-	Bits   uint16
-	Key    uint64
-	Tenant uint32
-	Left   time.Duration
-	Hint   time.Duration
-	Kind   uint8
-}
-
-// Ask reads a client request.
+// Ask reads a client's request.
 func (r Record) Ask() (Ask, error) {
-	c := fieldReader{b: r.Fields}
-	c.u32()
-	a := Ask{Job: c.u32(), Bits: c.u16(), Key: c.u64(), Tenant: c.u32()}
-	a.Left, a.Hint, a.Kind = settings.DurationFromMillis(c.f64()), settings.DurationFromMillis(c.f64()), c.u8()
-	return a, c.done(r.Code)
-}
-
-// Finished is the outcome of an attempt.
-type Finished struct {
-	Job      uint32
-	Hop      uint8
-	Upstream Upstream
-	Ending   uint16
-	Took     time.Duration
-	Settled  bool
-	Pressure LoadReport
+	f := r.afterInstance()
+	a := Ask{
+		Job: f.u32(), Bits: f.u16(), Key: f.u64(), Tenant: f.u32(), Left: f.millis(), Hint: f.millis(), Kind: f.u8(),
+	}
+	return a, f.err()
 }
 
-// Finished reads the outcome of an attempt.
+// Finished reads the end of an attempt.
 func (r Record) Finished() (Finished, error) {
-	c := fieldReader{b: r.Fields}
-	c.u32()
-	f := Finished{Job: c.u32(), Hop: c.u8(), Upstream: c.addr(), Ending: c.u16()}
-	f.Took, f.Settled, f.Pressure = settings.DurationFromMillis(c.f64()), c.u8() != 0, c.report()
-	return f, c.done(r.Code)
+	f := r.afterInstance()
+	finished := Finished{
+		Job: f.u32(), Hop: f.u8(), Upstream: f.upstream(), Ending: f.u16(), Took: f.millis(), Settled: f.flag(),
+		Pressure: f.loadReport(),
+	}
+	return finished, f.err()
 }
 
 // CheckResult reads the result of a probe.
-func (r Record) CheckResult() (up Upstream, ending uint16, report LoadReport, err error) {
-	c := fieldReader{b: r.Fields}
-	c.u32()
-	up, ending = c.addr(), c.u16()
-	c.f64()
-	report = c.report()
-	return up, ending, report, c.done(r.Code)
+func (r Record) CheckResult() (server Upstream, ending uint16, report LoadReport, err error) {
+	f := r.afterInstance()
+	server, ending = f.upstream(), f.u16()
+	f.millis() // the time that it took
+	report = f.loadReport()
+	return server, ending, report, f.err()
 }
 
 // Job reads the request that a ClientLeft or Headers record names.
 func (r Record) Job() (uint32, error) {
-	c := fieldReader{b: r.Fields}
-	c.u32()
-	job := c.u32()
-	return job, c.done(r.Code)
+	f := r.afterInstance()
+	job := f.u32()
+	return job, f.err()
 }
 
 // Cookie reads the cookie of a Wake record.
 func (r Record) Cookie() (uint64, error) {
-	c := fieldReader{b: r.Fields}
-	c.u32()
-	v := c.u64()
-	return v, c.done(r.Code)
+	f := r.afterInstance()
+	cookie := f.u64()
+	return cookie, f.err()
 }
--- a/internal/simulation/simwire/fixtures_test.go
+++ b/internal/simulation/simwire/fixtures_test.go
@@ -191,43 +191,43 @@
 		"none": {func(*ReplyWriter) {}, nil},
 		"CallOut": {
 			func(w *ReplyWriter) { w.CallOut(fixtureInstance, fixtureJob, fixtureServer, 80*time.Millisecond) },
-			[]Action{{Code: ActionCallOut, Inst: fixtureInstance, Job: fixtureJob, To: fixtureServer, Time: 80 * time.Millisecond}},
+			[]Action{{Code: ActionCallOut, Instance: fixtureInstance, Job: fixtureJob, To: fixtureServer, Duration: 80 * time.Millisecond}},
 		},
 		"PushBack": {
 			func(w *ReplyWriter) { w.PushBack(fixtureInstance, 0x0e6f2b19, 250*time.Millisecond) },
-			[]Action{{Code: ActionPushBack, Inst: fixtureInstance, Job: 0x0e6f2b19, Time: 250 * time.Millisecond}},
+			[]Action{{Code: ActionPushBack, Instance: fixtureInstance, Job: 0x0e6f2b19, Duration: 250 * time.Millisecond}},
 		},
 		"Lose": {
 			func(w *ReplyWriter) { w.Lose(fixtureInstance, 0x0e6f2b19) },
-			[]Action{{Code: ActionLose, Inst: fixtureInstance, Job: 0x0e6f2b19}},
+			[]Action{{Code: ActionLose, Instance: fixtureInstance, Job: 0x0e6f2b19}},
 		},
 		"Recall": {
 			func(w *ReplyWriter) { w.Recall(fixtureInstance, fixtureJob, 1) },
-			[]Action{{Code: ActionRecall, Inst: fixtureInstance, Job: fixtureJob, Hop: 1}},
+			[]Action{{Code: ActionRecall, Instance: fixtureInstance, Job: fixtureJob, Hop: 1}},
 		},
 		"SetAlarm": {
 			func(w *ReplyWriter) { w.SetAlarm(fixtureInstance, 500*time.Millisecond, 77) },
-			[]Action{{Code: ActionSetAlarm, Inst: fixtureInstance, Time: 500 * time.Millisecond, Cookie: 77}},
+			[]Action{{Code: ActionSetAlarm, Instance: fixtureInstance, Duration: 500 * time.Millisecond, Cookie: 77}},
 		},
 		"Inspect": {
 			func(w *ReplyWriter) { w.Inspect(fixtureInstance, fixtureServer) },
-			[]Action{{Code: ActionInspect, Inst: fixtureInstance, To: fixtureServer}},
+			[]Action{{Code: ActionInspect, Instance: fixtureInstance, To: fixtureServer}},
 		},
 		"Tail-on": {
 			func(w *ReplyWriter) { w.Tail(fixtureInstance, true) },
-			[]Action{{Code: ActionTail, Inst: fixtureInstance, On: true}},
+			[]Action{{Code: ActionTail, Instance: fixtureInstance, On: true}},
 		},
 		"Tail-off": {
 			func(w *ReplyWriter) { w.Tail(fixtureInstance, false) },
-			[]Action{{Code: ActionTail, Inst: fixtureInstance}},
+			[]Action{{Code: ActionTail, Instance: fixtureInstance}},
 		},
 		"WriteLog": {
 			func(w *ReplyWriter) { w.WriteLog(fixtureInstance, "two servers known") },
-			[]Action{{Code: ActionWriteLog, Inst: fixtureInstance, Text: "two servers known"}},
+			[]Action{{Code: ActionWriteLog, Instance: fixtureInstance, Text: "two servers known"}},
 		},
 		"Die": {
 			func(w *ReplyWriter) { w.Die(fixtureInstance, "index out of range") },
-			[]Action{{Code: ActionDie, Inst: fixtureInstance, Text: "index out of range"}},
+			[]Action{{Code: ActionDie, Instance: fixtureInstance, Text: "index out of range"}},
 		},
 		"several": {
 			func(w *ReplyWriter) {
@@ -236,8 +236,8 @@
 				w.SetAlarm(fixtureInstance, time.Second, 0)
 			},
 			[]Action{
-				{Code: ActionTail, Inst: fixtureInstance, On: true}, {Code: ActionLose, Inst: fixtureInstance, Job: 9},
-				{Code: ActionSetAlarm, Inst: fixtureInstance, Time: time.Second},
+				{Code: ActionTail, Instance: fixtureInstance, On: true}, {Code: ActionLose, Instance: fixtureInstance, Job: 9},
+				{Code: ActionSetAlarm, Instance: fixtureInstance, Duration: time.Second},
 			},
 		},
 	} {
--- a/internal/simulation/simwire/frames.go
+++ b/internal/simulation/simwire/frames.go
@@ -1,16 +1,25 @@
 package simwire
 
 import (
-	"barleywick/internal/settings"
 	"encoding/binary"
 	"errors"
 	"fmt"
 	"io"
 	"math"
 	"time"
+
+	"barleywick/internal/settings"
 )
 
-// Batch is one frame of events.
+const (
+	// maxFrameSize bounds the size that a frame may state. Real batches have some megabytes; more is a
+	// corrupt stream.
+	maxFrameSize = 1 << 28
+	// readChunk bounds the memory that is allocated before its content has arrived.
+	readChunk = 1 << 20
+)
+
+// Batch is a frame of events.
 type Batch struct {
 	Number  uint32
 	Records uint32
@@ -18,28 +27,32 @@
 	Body    []byte // valid until the next ReadBatch
 }
 
-// Reader reads batches from a stream.
+// Reply is a frame of actions, the answer to a batch.
+type Reply struct {
+	Number  uint32 // of the batch
+	Records uint32
+	Body    []byte // valid until the next ReadReply
+}
+
+// Reader reads frames from a stream.
 type Reader struct {
 	r    io.Reader
-	head [batchHeaderSize]byte
+	head [batchHeaderSize]byte // the larger of the two headers
 	buf  []byte
 }
 
 // NewReader returns a Reader of r, which should be buffered.
 func NewReader(r io.Reader) *Reader { return &Reader{r: r} }
 
-// ReadBatch reads the next frame. It returns io.EOF at a clean end of input.
+// ReadBatch reads the next batch. It returns io.EOF at the end of the input.
 func (r *Reader) ReadBatch() (Batch, error) {
-	if _, err := io.ReadFull(r.r, r.head[:]); err != nil {
-		if errors.Is(err, io.EOF) {
-			return Batch{}, io.EOF
-		}
-		return Batch{}, fmt.Errorf("read batch header: %w", err)
+	head, err := r.header(batchHeaderSize, "batch")
+	if err != nil {
+		return Batch{}, err
 	}
-	le := binary.LittleEndian
-	b := Batch{Number: le.Uint32(r.head[0:]), Records: le.Uint32(r.head[4:])}
-	size := le.Uint32(r.head[8:])
-	clock := math.Float64frombits(le.Uint64(r.head[12:]))
+	b := Batch{Number: binary.LittleEndian.Uint32(head), Records: binary.LittleEndian.Uint32(head[4:])}
+	size := binary.LittleEndian.Uint32(head[8:])
+	clock := math.Float64frombits(binary.LittleEndian.Uint64(head[12:]))
 	if math.IsNaN(clock) || math.IsInf(clock, 0) {
 		return Batch{}, fmt.Errorf("batch %d: clock is not a number", b.Number)
 	}
@@ -47,19 +60,49 @@
 	if size > maxFrameSize {
 		return Batch{}, fmt.Errorf("batch %d: %d bytes claimed, at most %d are taken", b.Number, size, maxFrameSize)
 	}
-	if uint64(b.Records)*recordHeaderSize > uint64(size) {
+	if !fits(b.Records, size) {
 		return Batch{}, fmt.Errorf("batch %d: %d records cannot fit into %d bytes", b.Number, b.Records, size)
 	}
-	body, err := r.body(int(size))
-	if err != nil {
+	if b.Body, err = r.body(int(size)); err != nil {
 		return Batch{}, fmt.Errorf("batch %d: %w", b.Number, err)
 	}
-	b.Body = body
 	return b, nil
 }
 
-// body reads the rest of a frame. The buffer grows with what really arrives, so that
-// a wrong length in a short stream does not make a large allocation.
+// ReadReply reads the next reply. It returns io.EOF at the end of the input.
+func (r *Reader) ReadReply() (Reply, error) {
+	head, err := r.header(replyHeaderSize, "reply")
+	if err != nil {
+		return Reply{}, err
+	}
+	p := Reply{Number: binary.LittleEndian.Uint32(head), Records: binary.LittleEndian.Uint32(head[8:])}
+	size := binary.LittleEndian.Uint32(head[4:])
+	if size > maxFrameSize || !fits(p.Records, size) {
+		return Reply{}, fmt.Errorf("reply %d: %d records in %d bytes cannot be", p.Number, p.Records, size)
+	}
+	if p.Body, err = r.body(int(size)); err != nil {
+		return Reply{}, fmt.Errorf("reply %d: %w", p.Number, err)
+	}
+	return p, nil
+}
+
+// header reads a frame's header.
+func (r *Reader) header(size int, frame string) ([]byte, error) {
+	head := r.head[:size]
+	if _, err := io.ReadFull(r.r, head); err != nil {
+		if errors.Is(err, io.EOF) {
+			return nil, io.EOF
+		}
+		return nil, fmt.Errorf("read %s header: %w", frame, err)
+	}
+	return head, nil
+}
+
+// fits says whether a number of records fits into a number of bytes.
+func fits(records, size uint32) bool { return uint64(records)*recordHeaderSize <= uint64(size) }
+
+// body reads the rest of a frame. The buffer grows with what arrives, so that a wrong size in a short
+// stream does not cause a large allocation.
 func (r *Reader) body(size int) ([]byte, error) {
 	r.buf = r.buf[:0]
 	for left := size; left > 0; {
@@ -80,33 +123,3 @@
 	}
 	return r.buf, nil
 }
-
-// Reply is one frame of actions.
-type Reply struct {
-	Number  uint32
-	Records uint32
-	Body    []byte // valid until the next ReadAnswer
-}
-
-// ReadReply reads the next frame of actions.
-func (r *Reader) ReadReply() (Reply, error) {
-	head := r.head[:replyHeaderSize]
-	if _, err := io.ReadFull(r.r, head); err != nil {
-		if errors.Is(err, io.EOF) {
-			return Reply{}, io.EOF
-		}
-		return Reply{}, fmt.Errorf("read reply header: %w", err)
-	}
-	le := binary.LittleEndian
-	a := Reply{Number: le.Uint32(head), Records: le.Uint32(head[8:])}
-	size := le.Uint32(head[4:])
-	if size > maxFrameSize || uint64(a.Records)*recordHeaderSize > uint64(size) {
-		return Reply{}, fmt.Errorf("reply %d: %d records in %d bytes cannot be", a.Number, a.Records, size)
-	}
-	body, err := r.body(int(size))
-	if err != nil {
-		return Reply{}, fmt.Errorf("reply %d: %w", a.Number, err)
-	}
-	a.Body = body
-	return a, nil
-}
--- a/internal/simulation/simwire/records.go
+++ b/internal/simulation/simwire/records.go
@@ -4,104 +4,189 @@
 	"encoding/binary"
 	"fmt"
 	"math"
+	"time"
+
+	"barleywick/internal/settings"
 )
 
-// Record is one record of a batch: its code and its fields.
+// Record is a record of a frame: an event or an action.
 type Record struct {
 	Code   uint16
 	Fields []byte
 }
 
-// NextRecord cuts the next record off body and returns the rest.
+// NextRecord returns the first record of a frame's body and the rest of the body.
 func NextRecord(body []byte) (Record, []byte, error) {
 	if len(body) < recordHeaderSize {
 		return Record{}, nil, fmt.Errorf("record header cut off: %d bytes left", len(body))
 	}
-	n := binary.LittleEndian.Uint32(body[2:])
-	rec := Record{Code: binary.LittleEndian.Uint16(body)}
+	size := binary.LittleEndian.Uint32(body[2:])
+	record := Record{Code: binary.LittleEndian.Uint16(body)}
 	body = body[recordHeaderSize:]
-	if uint64(n) > uint64(len(body)) {
-		return Record{}, nil, fmt.Errorf("record %d: %d bytes claimed, %d left", rec.Code, n, len(body))
+	if uint64(size) > uint64(len(body)) {
+		return Record{}, nil, fmt.Errorf("record %d: %d bytes claimed, %d left", record.Code, size, len(body))
 	}
-	rec.Fields = body[:n]
-	return rec, body[n:], nil
+	record.Fields = body[:size]
+	return record, body[size:], nil
 }
 
-// fieldReader takes fields off a record. After a short read bad is set and every
-// further field is zero. Bytes left over are allowed: fields may be added.
+// reader returns a reader of the record's fields.
+func (r Record) reader() fieldReader { return fieldReader{code: r.Code, left: r.Fields} }
+
+// fieldReader reads the fields of a record in their order. If the record is too short, that field and
+// all further ones are zero, and err returns an error. Bytes that are left over are allowed, as later
+// versions may add fields.
 type fieldReader struct {
-	b     []byte
-	at    int // where the next field begins in its record, as the protocol counts, less the record's head
-	short bool
+	code   uint16
+	left   []byte
+	offset int // of left in the fields
+	short  bool
 }
 
-func (c *fieldReader) take(n int) []byte {
-	if c.short || n < 0 || n > len(c.b) {
-		c.short = true
+// err returns an error if the record was too short.
+func (f *fieldReader) err() error {
+	if f.short {
+		return fmt.Errorf("record %d: the field at byte %d is cut off", f.code, recordHeaderSize+f.offset)
+	}
+	return nil
+}
+
+func (f *fieldReader) bytes(n int) []byte {
+	if f.short || n < 0 || n > len(f.left) {
+		f.short = true
 		return nil
 	}
-	f := c.b[:n]
-	c.b, c.at = c.b[n:], c.at+n
-	return f
+	field := f.left[:n]
+	f.left, f.offset = f.left[n:], f.offset+n
+	return field
 }
 
-func (c *fieldReader) u8() uint8 {
-	if f := c.take(1); f != nil {
-		return f[0]
+func (f *fieldReader) u8() uint8 {
+	if b := f.bytes(1); b != nil {
+		return b[0]
 	}
 	return 0
 }
 
-func (c *fieldReader) u16() uint16 {
-	if f := c.take(2); f != nil {
-		return binary.LittleEndian.Uint16(f)
+func (f *fieldReader) u16() uint16 {
+	if b := f.bytes(2); b != nil {
+		return binary.LittleEndian.Uint16(b)
 	}
 	return 0
 }
 
-func (c *fieldReader) u32() uint32 {
-	if f := c.take(4); f != nil {
-		return binary.LittleEndian.Uint32(f)
+func (f *fieldReader) u32() uint32 {
+	if b := f.bytes(4); b != nil {
+		return binary.LittleEndian.Uint32(b)
 	}
 	return 0
 }
 
-func (c *fieldReader) u64() uint64 {
-	if f := c.take(8); f != nil {
-		return binary.LittleEndian.Uint64(f)
+func (f *fieldReader) u64() uint64 {
+	if b := f.bytes(8); b != nil {
+		return binary.LittleEndian.Uint64(b)
 	}
 	return 0
 }
 
-func (c *fieldReader) f64() float64 { return math.Float64frombits(c.u64()) }
+func (f *fieldReader) f32() float32 { return math.Float32frombits(f.u32()) }
+
+func (f *fieldReader) f64() float64 { return math.Float64frombits(f.u64()) }
+
+func (f *fieldReader) flag() bool { return f.u8() != 0 }
+
+// millis reads a time in milliseconds.
+func (f *fieldReader) millis() time.Duration { return settings.DurationFromMillis(f.f64()) }
 
-func (c *fieldReader) addr() Upstream {
-	f := c.take(6)
-	if f == nil {
+func (f *fieldReader) upstream() Upstream {
+	field := f.bytes(upstreamSize)
+	if field == nil {
 		return 0
 	}
 	var b [8]byte
-	copy(b[:], f)
+	copy(b[:], field)
 	return Upstream(binary.LittleEndian.Uint64(b[:]))
 }
 
-func (c *fieldReader) report() LoadReport {
-	var r LoadReport
-	n := int(c.u8())
-	f := c.take(4 * n)
-	if f == nil {
-		return r
+func (f *fieldReader) loadReport() LoadReport {
+	var report LoadReport
+	n := int(f.u8())
+	values := f.bytes(4 * n)
+	if values == nil {
+		return report
 	}
-	r.Count = min(n, len(r.Values))
-	for i := range r.Count {
-		r.Values[i] = math.Float32frombits(binary.LittleEndian.Uint32(f[4*i:]))
+	report.Count = min(n, len(report.Values))
+	for i := range report.Count {
+		report.Values[i] = math.Float32frombits(binary.LittleEndian.Uint32(values[4*i:]))
 	}
-	return r
+	return report
+}
+
+// recordWriter collects the records of a frame. Each begins with begin or beginShared and ends with end.
+type recordWriter struct {
+	buf     []byte
+	records uint32
+	start   int // of the fields of the record under way
+}
+
+// begin begins a record for an instance.
+func (w *recordWriter) begin(code uint16, instance uint32) {
+	w.beginShared(code)
+	w.u32(instance)
+}
+
+// beginShared begins a record that is for no particular instance.
+func (w *recordWriter) beginShared(code uint16) {
+	w.records++
+	w.u16(code)
+	w.u32(0) // the size, which end sets
+	w.start = len(w.buf)
+}
+
+func (w *recordWriter) end() {
+	size := len(w.buf) - w.start
+	binary.LittleEndian.PutUint32(w.buf[w.start-4:], uint32(size))
 }
 
-func (c *fieldReader) done(code uint16) error {
-	if c.short {
-		return fmt.Errorf("record %d: the field at byte %d is cut off", code, recordHeaderSize+c.at)
+func (w *recordWriter) u8(v uint8) { w.buf = append(w.buf, v) }
+
+func (w *recordWriter) u16(v uint16) { w.buf = binary.LittleEndian.AppendUint16(w.buf, v) }
+
+func (w *recordWriter) u32(v uint32) { w.buf = binary.LittleEndian.AppendUint32(w.buf, v) }
+
+func (w *recordWriter) u64(v uint64) { w.buf = binary.LittleEndian.AppendUint64(w.buf, v) }
+
+func (w *recordWriter) f32(v float32) { w.u32(math.Float32bits(v)) }
+
+func (w *recordWriter) f64(v float64) { w.u64(math.Float64bits(v)) }
+
+func (w *recordWriter) millis(d time.Duration) { w.f64(ToMillis(d)) }
+
+func (w *recordWriter) flag(on bool) {
+	if on {
+		w.u8(1)
+	} else {
+		w.u8(0)
 	}
-	return nil
+}
+
+func (w *recordWriter) upstream(u Upstream) {
+	for range upstreamSize {
+		w.u8(byte(u))
+		u >>= 8
+	}
+}
+
+func (w *recordWriter) loadReport(report LoadReport) {
+	w.u8(uint8(report.Count))
+	for _, v := range report.Values[:report.Count] {
+		w.f32(v)
+	}
+}
+
+// text writes a text with its length; what exceeds the largest length is cut off.
+func (w *recordWriter) text(s string) {
+	s = s[:min(len(s), math.MaxUint16)]
+	w.u16(uint16(len(s)))
+	w.buf = append(w.buf, s...)
 }
--- a/internal/simulation/simwire/replywriter.go
+++ b/internal/simulation/simwire/replywriter.go
@@ -5,72 +5,87 @@
 	"time"
 )
 
-// ReplyWriter gathers the actions that answer one batch.
+// ReplyWriter writes a frame of actions.
 type ReplyWriter struct{ recordWriter }
 
-// Begin empties the reply and starts one for the batch of that number.
-func (p *ReplyWriter) Begin(number uint32) {
-	p.buf = append(p.buf[:0], make([]byte, replyHeaderSize)...)
-	binary.LittleEndian.PutUint32(p.buf, number)
-	p.count = 0
+// Begin begins the reply to a batch.
+func (w *ReplyWriter) Begin(batch uint32) {
+	w.buf = append(w.buf[:0], make([]byte, replyHeaderSize)...)
+	binary.LittleEndian.PutUint32(w.buf, batch)
+	w.records = 0
 }
 
-// Bytes completes the frame; it stays valid until the next Begin.
-func (p *ReplyWriter) Bytes() []byte {
-	binary.LittleEndian.PutUint32(p.buf[4:], uint32(len(p.buf)-replyHeaderSize))
-	binary.LittleEndian.PutUint32(p.buf[8:], p.count)
-	return p.buf
+// Bytes returns the finished frame, which is valid until the next Begin.
+func (w *ReplyWriter) Bytes() []byte {
+	binary.LittleEndian.PutUint32(w.buf[4:], uint32(len(w.buf)-replyHeaderSize))
+	binary.LittleEndian.PutUint32(w.buf[8:], w.records)
+	return w.buf
 }
 
-// CallOut starts an attempt.
-func (p *ReplyWriter) CallOut(inst, job uint32, to Upstream, patience time.Duration) {
-	p.head(ActionCallOut, 22, inst)
-	p.u32(job)
-	p.addr(to)
-	p.f64(ToMillis(patience))
+// CallOut starts an attempt. A patience of 0 lasts until the client gives up.
+func (w *ReplyWriter) CallOut(instance, job uint32, to Upstream, patience time.Duration) {
+	w.begin(ActionCallOut, instance)
+	w.u32(job)
+	w.upstream(to)
+	w.millis(patience)
+	w.end()
 }
 
-// SetAlarm asks for a Wake.
-func (p *ReplyWriter) SetAlarm(inst uint32, after time.Duration, cookie uint64) {
-	p.head(ActionSetAlarm, 20, inst)
-	p.f64(ToMillis(after))
-	p.u64(cookie)
+// SetAlarm asks for a Wake with the cookie.
+func (w *ReplyWriter) SetAlarm(instance uint32, after time.Duration, cookie uint64) {
+	w.begin(ActionSetAlarm, instance)
+	w.millis(after)
+	w.u64(cookie)
+	w.end()
 }
 
-// Inspect probes an upstream.
-func (p *ReplyWriter) Inspect(inst uint32, to Upstream) {
-	p.head(ActionInspect, 10, inst)
-	p.addr(to)
+// Inspect probes a server.
+func (w *ReplyWriter) Inspect(instance uint32, to Upstream) {
+	w.begin(ActionInspect, instance)
+	w.upstream(to)
+	w.end()
 }
 
 // PushBack refuses a request.
-func (p *ReplyWriter) PushBack(inst, job uint32, pause time.Duration) {
-	p.head(ActionPushBack, 16, inst)
-	p.u32(job)
-	p.f64(ToMillis(pause))
+func (w *ReplyWriter) PushBack(instance, job uint32, pause time.Duration) {
+	w.begin(ActionPushBack, instance)
+	w.u32(job)
+	w.millis(pause)
+	w.end()
 }
 
 // Lose fails a request.
-func (p *ReplyWriter) Lose(inst, job uint32) {
-	p.head(ActionLose, 8, inst)
-	p.u32(job)
+func (w *ReplyWriter) Lose(instance, job uint32) {
+	w.begin(ActionLose, instance)
+	w.u32(job)
+	w.end()
 }
 
-// Recall calls an attempt off.
-func (p *ReplyWriter) Recall(inst, job uint32, hop uint8) {
-	p.head(ActionRecall, 9, inst)
-	p.u32(job)
-	p.u8(hop)
+// Recall cancels an attempt.
+func (w *ReplyWriter) Recall(instance, job uint32, hop uint8) {
+	w.begin(ActionRecall, instance)
+	w.u32(job)
+	w.u8(hop)
+	w.end()
 }
 
-// Tail subscribes to the server list, or ends the subscription.
-func (p *ReplyWriter) Tail(inst uint32, on bool) {
-	p.head(ActionTail, 5, inst)
-	p.flag(on)
+// Tail subscribes to the endpoint list, or ends the subscription.
+func (w *ReplyWriter) Tail(instance uint32, on bool) {
+	w.begin(ActionTail, instance)
+	w.flag(on)
+	w.end()
 }
 
-// WriteLog writes a line for the report.
-func (p *ReplyWriter) WriteLog(inst uint32, line string) { p.text(ActionWriteLog, inst, line) }
+// WriteLog writes a line for the simulator's report.
+func (w *ReplyWriter) WriteLog(instance uint32, line string) {
+	w.begin(ActionWriteLog, instance)
+	w.text(line)
+	w.end()
+}
 
-// Die says that the decision code has failed.
-func (p *ReplyWriter) Die(inst uint32, note string) { p.text(ActionDie, inst, note) }
+// Die reports that the decision code has failed.
+func (w *ReplyWriter) Die(instance uint32, note string) {
+	w.begin(ActionDie, instance)
+	w.text(note)
+	w.end()
+}
--- a/internal/simulation/simwire/simwire_test.go
+++ b/internal/simulation/simwire/simwire_test.go
@@ -21,7 +21,7 @@
 	return b
 }
 
-// The records are examples of the protocol page.
+// The records are examples of the protocol's description.
 func TestReadsABatch(t *testing.T) {
 	frame := unhex(t, `0c000000 03000000 4d000000 00000000206ec040
 		3804 27000000 03000000 c4913a5d 0100 640ad2557c3bf091 00000000 0000000000006e40 0000000000002840 00
@@ -30,7 +30,7 @@
 	r := NewReader(bytes.NewReader(frame))
 	b, err := r.ReadBatch()
 	if err != nil || b.Number != 12 || b.Records != 3 || b.Clock != 8412250*time.Microsecond {
-		t.Fatalf("batch %+v, error %v", b, err)
+		t.Fatalf("got batch %+v, error %v", b, err)
 	}
 	rec, rest, err := NextRecord(b.Body)
 	if err != nil {
@@ -39,19 +39,19 @@
 	a, err := rec.Ask()
 	want := Ask{Job: 0x5d3a91c4, Bits: 1, Key: 0x91f03b7c55d20a64, Left: 240 * time.Millisecond, Hint: 12 * time.Millisecond}
 	if err != nil || a != want {
-		t.Fatalf("ask %+v, error %v, want %+v", a, err, want)
+		t.Fatalf("got ask %+v, error %v, want %+v", a, err, want)
 	}
 	rec, rest, _ = NextRecord(rest)
 	if c, err := rec.Cookie(); err != nil || c != 77 {
-		t.Fatalf("cookie %d, error %v", c, err)
+		t.Fatalf("got cookie %d, error %v, want 77", c, err)
 	}
 	rec, rest, _ = NextRecord(rest)
 	job, err := rec.Job()
 	if inst, _ := rec.Instance(); err != nil || job != 0x0e6f2b19 || inst != 5 || len(rest) != 0 {
-		t.Fatalf("job %x of instance %d, error %v, %d bytes left", job, inst, err, len(rest))
+		t.Fatalf("got job %x of instance %d, error %v, %d bytes left", job, inst, err, len(rest))
 	}
 	if _, err := r.ReadBatch(); !errors.Is(err, io.EOF) {
-		t.Fatalf("end of input gives %v", err)
+		t.Fatalf("got error %v at the end of the input, want EOF", err)
 	}
 }
 
@@ -64,24 +64,24 @@
 	}
 	page, entries, err := rec.Manifest()
 	if err != nil || page != 0 || len(entries) != 2 {
-		t.Fatalf("page %d, %d entries, error %v", page, len(entries), err)
+		t.Fatalf("got page %d, %d entries, error %v; want 0 and 2", page, len(entries), err)
 	}
 	if e := entries[1]; e.Status != StatusReady || e.Rating != 1.5 || e.Boot != 6100*time.Millisecond {
-		t.Fatalf("entry %+v", e)
+		t.Fatalf("got entry %+v", e)
 	}
 	rec, _, _ = NextRecord(unhex(t, "2404 1b000000 03000000 c4913a5d 00 0a124a07 931f 6400 0000000000803240 01 00"))
 	f, err := rec.Finished()
 	if err != nil || f.Ending != OutcomeServed || !f.Settled || f.Took != 18500*time.Microsecond || f.Upstream != entries[0].Upstream {
-		t.Fatalf("outcome %+v, error %v", f, err)
+		t.Fatalf("got outcome %+v, error %v", f, err)
 	}
 	rec, _, _ = NextRecord(unhex(t, `e803 25000000 03000000 0a9011f2 bc1f 6400 666666666666f63f
 		04 0000003f0000684100000c430000e040`))
 	up, end, report, err := rec.CheckResult()
 	if err != nil || up != entries[1].Upstream || end != OutcomeServed || report.Count != 4 || report.Values[3] != 7 {
-		t.Fatalf("probe of %x: %d, report %+v, error %v", up, end, report, err)
+		t.Fatalf("got probe of %x with outcome %d, report %+v, error %v", up, end, report, err)
 	}
 	if v, ok := report.Value(3); v != 7 || !ok {
-		t.Fatalf("column 3 holds %v, %v", v, ok)
+		t.Fatalf("got %v, %v in column 3, want 7, true", v, ok)
 	}
 	if _, ok := report.Value(-1); ok {
 		t.Fatal("there is no column -1")
@@ -91,15 +91,15 @@
 	}
 	rec, _, _ = NextRecord(unhex(t, "1a04 0b000000 03000000 03 29000000 0700"))
 	if kind, version, page, err := rec.Fleet(); err != nil || kind != FleetCached || version != 41 || page != 7 {
-		t.Fatalf("fleet: kind %d version %d page %d, error %v", kind, version, page, err)
+		t.Fatalf("got kind %d, version %d, page %d, error %v", kind, version, page, err)
 	}
 }
 
 func TestWritesActions(t *testing.T) {
 	var to Upstream
 	rec, _, _ := NextRecord(unhex(t, "1a04 0a000000 03000000 0a124a07 931f"))
-	c := fieldReader{b: rec.Fields[4:]}
-	to = c.addr()
+	fields := fieldReader{left: rec.Fields[4:]}
+	to = fields.upstream()
 	var p ReplyWriter
 	p.Begin(12)
 	p.CallOut(3, 0x5d3a91c4, to, 80*time.Millisecond)
@@ -122,11 +122,11 @@
 		1a04 0a000000 03000000 0a124a07 931f
 		4204 18000000 03000000 1200 696e646578206f7574206f662072616e6765`)
 	if got := p.Bytes(); !bytes.Equal(got, want) {
-		t.Fatalf("reply\n%x\nwant\n%x", got, want)
+		t.Fatalf("got reply\n%x\nwant\n%x", got, want)
 	}
 	p.Begin(1)
 	if got := p.Bytes(); !bytes.Equal(got, unhex(t, "01000000 00000000 00000000")) {
-		t.Fatalf("empty reply %x", got)
+		t.Fatalf("got empty reply %x", got)
 	}
 }
 
@@ -148,7 +148,7 @@
 		"clock not a number":    frame(0, 0, math.NaN(), ""),
 	} {
 		if _, err := NewReader(bytes.NewReader(in)).ReadBatch(); err == nil || errors.Is(err, io.EOF) {
-			t.Errorf("%s: error %v", name, err)
+			t.Errorf("%s: got error %v, want another than EOF", name, err)
 		}
 	}
 	for name, in := range map[string]string{
@@ -156,20 +156,20 @@
 		"record longer than it": "e803 ff000000 03000000",
 	} {
 		if _, _, err := NextRecord(unhex(t, in)); err == nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("%s: got no error", name)
 		}
 	}
 	short := Record{Code: EventAsk, Fields: []byte{1, 0, 0, 0, 9}}
 	if _, err := short.Ask(); err == nil {
-		t.Error("fields cut off: no error")
+		t.Error("fields cut off: got no error")
 	}
 	huge := Record{Code: EventManifest, Fields: []byte{0, 0, 255, 255, 255, 255}}
 	if _, _, err := huge.Manifest(); err == nil {
-		t.Error("list of four thousand million lines: no error")
+		t.Error("list of four thousand million lines: got no error")
 	}
 	longer := Record{Code: EventWake, Fields: append(make([]byte, 12), "a field of a later version"...)}
 	if _, err := longer.Cookie(); err != nil {
-		t.Errorf("added fields: %v", err)
+		t.Errorf("added fields: got error %v", err)
 	}
 }
 
@@ -204,7 +204,7 @@
 	for fields, want := range map[int]string{2: "byte 6 ", 6: "byte 10 ", 9: "byte 14 "} {
 		_, err := Record{Code: EventAsk, Fields: make([]byte, fields)}.Ask()
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%d bytes of fields: error %v, want it to name %q", fields, err, want)
+			t.Errorf("%d bytes of fields: got error %v, want one that names %q", fields, err, want)
 		}
 	}
 }
