--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -1,21 +1,13 @@
 package policy
 
 import (
-	"cmp"
 	"math"
 	"slices"
 	"time"
 )
 
-const (
-	// lowTrafficRate is the rate of own requests a second for each server below which traffic is low.
-	lowTrafficRate = 1.0
-	// assumedPerObjective is the number of requests within one objective that are assumed for each
-	// server if no quota is known.
-	assumedPerObjective = 8
-	// peakWeightMemory is longer than servers are away because of a fault or a deployment.
-	peakWeightMemory = time.Minute
-)
+// peakWeightMemory is longer than servers are away because of a fault or a deployment.
+const peakWeightMemory = time.Minute
 
 // server is an endpoint with what this balancer knows of it.
 type server struct {
@@ -147,14 +139,6 @@
 	b.dispatchQueued(now)
 }
 
-// classifyTraffic decides whether traffic is low, and chooses the subset of servers for that case.
-func (b *Balancer) classifyTraffic() {
-	servers := float64(max(1, len(b.endpoints.servers)))
-	rate := cmp.Or(b.traffic.quota/servers, assumedPerObjective/b.traffic.averageObjective) / float64(b.cfg.Balancers)
-	b.traffic.low = b.cfg.MayProbe && rate < lowTrafficRate
-	b.chooseSubset(rate / lowTrafficRate)
-}
-
 // updateEndpoint takes one entry of the list.
 func (b *Balancer) updateEndpoint(now time.Duration, e Endpoint) {
 	if !(e.Weight > 0) || math.IsInf(e.Weight, 0) {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -14,12 +14,7 @@
 
 	// initialLatencyDivisor makes an answer's usual time from the objective before any is known.
 	initialLatencyDivisor = 8
-	// A new value counts for one part in so many in these moving averages.
-	classLatencyWindow   = 16
-	overallLatencyWindow = 32
-	averageWorkWindow    = 64
-
-	maxTimeLeft = time.Hour // bounds the time left that a host may give
+	maxTimeLeft           = time.Hour // bounds the time left that a host may give
 )
 
 // Balancer makes the decisions of one sidecar.
@@ -49,40 +44,6 @@
 	wakeAt time.Duration // when the next call of Wake is due; 0: none was asked for
 }
 
-// traffic is what the Balancer knows about its traffic as a whole.
-type traffic struct {
-	quota            float64       // quotas of all tenants together, in requests a second
-	averageObjective float64       // of all classes, in seconds
-	usualLatency     time.Duration // moving average of an answer's time, over all classes
-	averageWork      float64       // moving average of the expected work, in nanoseconds; 0: unknown
-	low              bool          // too low to learn enough about each server
-}
-
-// observeLatency learns the time of a good answer.
-func (t *traffic) observeLatency(c *class, took time.Duration) {
-	c.usualLatency += (took - c.usualLatency) / classLatencyWindow
-	t.usualLatency += (took - t.usualLatency) / overallLatencyWindow
-}
-
-// observeWork learns the work that requests are expected to need.
-func (t *traffic) observeWork(work time.Duration) {
-	switch {
-	case work <= 0:
-	case t.averageWork == 0:
-		t.averageWork = float64(work)
-	default:
-		t.averageWork += (float64(work) - t.averageWork) / averageWorkWindow
-	}
-}
-
-// relativeWork is a request's expected work relative to the average; 1 if one of them is unknown.
-func (t *traffic) relativeWork(r *request) float64 {
-	if r.expectedWork <= 0 || t.averageWork <= 0 {
-		return 1
-	}
-	return float64(r.expectedWork) / t.averageWork
-}
-
 // New makes a Balancer. An error names the unusable field of the configuration.
 func New(cfg Config, seed uint64, host Host) (*Balancer, error) {
 	if err := validate(cfg); err != nil {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -155,3 +155,23 @@
 		}
 	}
 }
+
+// Without quotas, the sum of what all balancers send to a server that warms up must not grow with
+// their number.
+func TestSlowStartBudgetIsSharedWithoutQuotas(t *testing.T) {
+	sum := func(balancers int) float64 {
+		cfg := withoutQuotas(balancers)
+		cfg.SlowStartWindow = time.Hour // it does not warm up meanwhile
+		b, _ := start(t, cfg, ready(1, 2, 3, 4, 5, 6, 7, 8))
+		b.List(time.Second, ListDelta, []Endpoint{{ID: 1, State: Ready, Weight: 1, Started: time.Second}})
+		b.traffic.low = false // all of them use it
+		return float64(balancers) / b.slowStartInterval(time.Second, b.endpoints.find(1)).Seconds()
+	}
+	few, many := sum(8), sum(80) // of 8 servers
+	if many > few*1.3 || few <= 0 {
+		t.Errorf("80 balancers send %.1f a second to a server that warms up, 8 send %.1f, want about the same", many, few)
+	}
+	if alone := sum(1); alone > few {
+		t.Errorf("one balancer sends %.1f a second to a server that warms up, 8 send %.1f, want no more", alone, few)
+	}
+}
