--- a/internal/sidecar/config/config.go
+++ b/internal/sidecar/config/config.go
@@ -21,7 +21,7 @@
 	"barleywick/policy"
 )
 
-// Config is what one sidecar is told at its start.
+// Config is the configuration of one sidecar.
 type Config struct {
 	Name              string
 	Listen            string // the one address to listen on
--- a/internal/sidecar/handover/predecessor.go
+++ b/internal/sidecar/handover/predecessor.go
@@ -32,7 +32,7 @@
 	Ready() bool
 	// StartAccepting is called once, when the place is this process's.
 	StartAccepting()
-	// ReserveForPredecessor is told of the capacity, by tenant, that the predecessor still
+	// ReserveForPredecessor receives the capacity, by tenant, that the predecessor still
 	// uses; nil when it has ended.
 	ReserveForPredecessor([]policy.BulkheadCapacity)
 }
--- a/internal/sidecar/handover/protocol.go
+++ b/internal/sidecar/handover/protocol.go
@@ -35,7 +35,7 @@
 	// messageTimeout is for one message between two processes on one machine.
 	messageTimeout = 2 * time.Second
 	// reservedInterval is how often the old process reports what it still uses. The new one does
-	// without a slot that has come free until it is told.
+	// without a slot that has come free until the next report.
 	reservedInterval  = 20 * time.Millisecond
 	readyPollInterval = 5 * time.Millisecond // an endpoint list takes some milliseconds to come
 	maxMessageBytes   = 64 << 10
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -150,7 +150,7 @@
 	}
 }
 
-// releaseCapacity gives up what this process does not need any more, and returns the capacity that
+// releaseCapacity releases what this process does not need any more, and returns the capacity that
 // it keeps; nothing once the loop has ended. It may be called by any goroutine.
 func (l *eventLoop) releaseCapacity() []policy.BulkheadCapacity {
 	reserved := make(chan []policy.BulkheadCapacity, 1)
--- a/internal/sidecar/membership.go
+++ b/internal/sidecar/membership.go
@@ -27,7 +27,7 @@
 	// announceInterval is how often the phase and the number of sidecars are exchanged.
 	announceInterval = time.Second
 	// unresponsiveAfter is how many attempts in a row a server leaves unanswered before the fleet
-	// is told: one may be the request's fault, or the network's.
+	// is notified: one may be the request's fault, or the network's.
 	unresponsiveAfter = 3
 )
 
@@ -66,6 +66,6 @@
 	}
 	if e.silentInARow == unresponsiveAfter && l.fleet.member != nil {
 		l.fleet.member.ReportUnresponsive(e.entry.Host)
-		e.silentInARow = 0 // it is told again after as many more
+		e.silentInARow = 0 // the fleet is notified again after as many more
 	}
 }
--- a/internal/sidecar/observers.go
+++ b/internal/sidecar/observers.go
@@ -9,7 +9,7 @@
 	"barleywick/policy"
 )
 
-// requestObservers are told of each request and attempt: the fleet policy's comparison of canaries,
+// requestObservers are notified of each request and attempt: the fleet policy's comparison of canaries,
 // the overload digests, metrics and the log.
 type requestObservers struct {
 	classes    []string
@@ -31,7 +31,7 @@
 	}
 }
 
-// requestAnswered is told of a request that its client was given a response to.
+// requestAnswered is called when a client was given a response.
 func (o *requestObservers) requestAnswered(r *request, status int) {
 	if o.policy == nil && o.overload == nil && o.exporter == nil && !o.trace {
 		return
@@ -46,7 +46,7 @@
 	o.requestEnded(r, result)
 }
 
-// requestEnded is told of each request that ended, also without a response.
+// requestEnded is called for each request that ended, also without a response.
 func (o *requestObservers) requestEnded(r *request, result outcome.Outcome) {
 	if o.exporter == nil && !o.trace {
 		return
--- a/internal/sidecar/policyfollower/roster.go
+++ b/internal/sidecar/policyfollower/roster.go
@@ -13,7 +13,7 @@
 	"barleywick/internal/rollout"
 )
 
-// synchronize tells the registry what is to be told, or waits for a change of its view.
+// synchronize sends the registry the next command, or waits for a change of its view.
 func (f *Follower) synchronize(ctx context.Context) error {
 	command, pending, wait := f.nextCommand()
 	f.mu.Lock()
@@ -33,7 +33,7 @@
 	return f.handleAnswer(ctx, command, view, err)
 }
 
-// nextCommand returns what is to be told now, if anything, or else how long to wait for a change.
+// nextCommand returns the command to send now, if there is one, or else how long to wait for a change.
 func (f *Follower) nextCommand() (command rollout.Command, pending bool, wait time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
