--- a/internal/membership/gossip/compatibility_test.go
+++ b/internal/membership/gossip/compatibility_test.go
@@ -17,23 +17,15 @@
 	"github.com/hashicorp/memberlist"
 
 	"barleywick/internal/membership"
+	"barleywick/internal/testing/fixture"
 )
 
 // The files in testdata/396a775 were written by that version: what members send each other,
 // what they answer over HTTP, and the file that they keep for their next start.
 
-func fixture(t *testing.T, name string) []byte {
-	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", "396a775", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return text
-}
-
 func equalBytes(t *testing.T, name string, got []byte) {
 	t.Helper()
-	if want := fixture(t, name); !bytes.Equal(got, want) {
+	if want := fixture.Read(t, name); !bytes.Equal(got, want) {
 		t.Errorf("%s: got %q, want %q", name, got, want)
 	}
 }
@@ -111,11 +103,11 @@
 			}
 			equalBytes(t, c.file, sent[0])
 			n.broadcasts.Reset()
-			(&delegate{n}).NotifyMsg(fixture(t, c.file))
+			(&delegate{n}).NotifyMsg(fixture.Read(t, c.file))
 			if !c.holds(n) {
 				t.Errorf("%s has no effect: got %+v", c.file, n.Members())
 			}
-			if sent := n.broadcasts.GetBroadcasts(0, 1000); len(sent) != 1 || !bytes.Equal(sent[0], fixture(t, c.file)) {
+			if sent := n.broadcasts.GetBroadcasts(0, 1000); len(sent) != 1 || !bytes.Equal(sent[0], fixture.Read(t, c.file)) {
 				t.Errorf("%s is passed on as %q", c.file, sent)
 			}
 		})
@@ -134,7 +126,7 @@
 		equalBytes(t, "message_digest.json", text)
 		time.Sleep(time.Second)
 		since := n.now()
-		(&delegate{n}).NotifyMsg(fixture(t, "message_digest.json"))
+		(&delegate{n}).NotifyMsg(fixture.Read(t, "message_digest.json"))
 		if agree, known := n.view.Agreement(since); agree != 1 || known != 1 {
 			t.Errorf("%d of %d digests agree, want 1 of 1", agree, known)
 		}
@@ -145,7 +137,7 @@
 func TestPushPullStateOfEarlierVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newOfflineNode("")
-		(&delegate{n}).MergeRemoteState(fixture(t, "push_pull.json"), false)
+		(&delegate{n}).MergeRemoteState(fixture.Read(t, "push_pull.json"), false)
 		for key, want := range map[string]membership.Status{"s3/13": membership.StatusPresent, "s4/14": membership.StatusLeft, "s5/15": membership.StatusEnded} {
 			if s, _ := n.Get(key); s.Status != want {
 				t.Errorf("%s: got %s, want %s", key, s.Status, want)
@@ -159,7 +151,7 @@
 
 // The view that the earlier version serves is read whole, and served with the same bytes.
 func TestViewOfEarlierVersion(t *testing.T) {
-	served := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(fixture(t, "view.json")) }))
+	served := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(fixture.Read(t, "view.json")) }))
 	defer served.Close()
 	got, err := membership.FetchView(t.Context(), served.Client(), served.URL)
 	if err != nil {
@@ -186,7 +178,7 @@
 func TestCacheOfEarlierVersion(t *testing.T) {
 	const name = "members-k1.json"
 	folder := t.TempDir()
-	if err := os.WriteFile(filepath.Join(folder, name), fixture(t, name), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(folder, name), fixture.Read(t, name), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	n := newOfflineNode(folder)
@@ -283,7 +275,7 @@
 	if err := far.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	text := make([]byte, len(fixture(t, "push_pull_stream.bin")))
+	text := make([]byte, len(fixture.Read(t, "push_pull_stream.bin")))
 	if _, err := io.ReadFull(far, text); err != nil {
 		t.Fatal(err)
 	}
@@ -299,7 +291,7 @@
 	if err := far.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := far.Write(fixture(t, "push_pull_stream.bin")); err != nil {
+	if _, err := far.Write(fixture.Read(t, "push_pull_stream.bin")); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.ReadAll(far); err != nil { // its own views, until it closes
@@ -308,7 +300,7 @@
 	if got, ok := other.Get("s1/11"); !ok || got.Info != s1 || got.Status != membership.StatusPresent {
 		t.Errorf("s1 is known as %+v", got)
 	}
-	w.packets <- &memberlist.Packet{Buf: fixture(t, "datagram.bin"), From: &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 9601}, Timestamp: time.Now()}
+	w.packets <- &memberlist.Packet{Buf: fixture.Read(t, "datagram.bin"), From: &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 9601}, Timestamp: time.Now()}
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		other.mu.Lock()
 		_, known := other.view.Agreement(0)
--- a/internal/registry/client/compatibility_test.go
+++ b/internal/registry/client/compatibility_test.go
@@ -10,8 +10,6 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
@@ -20,21 +18,13 @@
 	"barleywick/internal/registry"
 	"barleywick/internal/registry/registrytest"
 	"barleywick/internal/rollout"
+	"barleywick/internal/testing/fixture"
 )
 
 // The files of testdata/396a775 are what the client and the registry of that commit
 // said to each other: exchanges.jsonl the requests and responses, outcomes.jsonl what
 // the client's caller got, watch.txt the lines of a watch.
 
-func fixture(t *testing.T, name string) string {
-	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", "396a775", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return string(text)
-}
-
 func decodeLines[T any](t *testing.T, text string) (all []T) {
 	t.Helper()
 	for line := range strings.Lines(text) {
@@ -166,9 +156,9 @@
 
 // Every call sends what it sent, and returns what it returned.
 func TestRecordedExchanges(t *testing.T) {
-	replica := &recordedReplica{t: t, exchanges: decodeLines[recordedExchange](t, fixture(t, "exchanges.jsonl"))}
+	replica := &recordedReplica{t: t, exchanges: decodeLines[recordedExchange](t, fixture.ReadString(t, "exchanges.jsonl"))}
 	c := newClient(t, startReplica(t, replica))
-	o := &outcomes{t: t, want: decodeLines[recordedOutcome](t, fixture(t, "outcomes.jsonl"))}
+	o := &outcomes{t: t, want: decodeLines[recordedOutcome](t, fixture.ReadString(t, "outcomes.jsonl"))}
 	checkInstanceCalls(t, c, o)
 	checkRecordCalls(t, c, o)
 	checkLeaseCalls(t, c, o)
@@ -301,7 +291,7 @@
 
 // A recorded watch: the full list, an endpoint more, both draining, an empty line, one removed.
 func TestRecordedWatch(t *testing.T) {
-	lines := strings.Split(strings.TrimSuffix(fixture(t, "watch.txt"), "\n"), "\n")
+	lines := strings.Split(strings.TrimSuffix(fixture.ReadString(t, "watch.txt"), "\n"), "\n")
 	if len(lines) != 5 || lines[3] != "" {
 		t.Fatalf("the recorded watch has %d lines", len(lines))
 	}
--- a/internal/settings/fixtures_test.go
+++ b/internal/settings/fixtures_test.go
@@ -3,22 +3,12 @@
 import (
 	"bytes"
 	"fmt"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
-)
 
-// fixture reads a file that commit 396a775 read or wrote.
-func fixture(t *testing.T, name string) []byte {
-	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return text
-}
+	"barleywick/internal/testing/fixture"
+)
 
 // checkReading compares what settings mean with what they meant to 396a775.
 func checkReading(t *testing.T, s *Settings, name string) {
@@ -28,10 +18,10 @@
 		t.Fatal(err)
 	}
 	// The values in the order of the fields: names of fields are not part of the fixture.
-	if got, want := fmt.Sprintf("%v\n", config), string(fixture(t, name+"-config.txt")); got != want {
+	if got, want := fmt.Sprintf("%v\n", config), string(fixture.Read(t, name+"-config.txt")); got != want {
 		t.Errorf("config: got %s, want %s", got, want)
 	}
-	if got, want := []string(s.LoadColumns()), strings.Fields(string(fixture(t, name+"-columns.txt"))); !slices.Equal(got, want) {
+	if got, want := []string(s.LoadColumns()), strings.Fields(string(fixture.Read(t, name+"-columns.txt"))); !slices.Equal(got, want) {
 		t.Errorf("columns: got %q, want %q", got, want)
 	}
 }
@@ -39,7 +29,7 @@
 func TestLinesAreReadAndWrittenAsBefore(t *testing.T) {
 	for _, name := range []string{"page", "emulator"} {
 		t.Run(name, func(t *testing.T) {
-			text := fixture(t, name+".txt")
+			text := fixture.Read(t, name+".txt")
 			s, err := ParseLines(text)
 			if err != nil {
 				t.Fatal(err)
@@ -53,11 +43,11 @@
 }
 
 func TestJSONIsReadAsBefore(t *testing.T) {
-	s, err := ParseJSON(fixture(t, "emulator.json"))
+	s, err := ParseJSON(fixture.Read(t, "emulator.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := s.Text(), fixture(t, "emulator.txt"); !bytes.Equal(got, want) {
+	if got, want := s.Text(), fixture.Read(t, "emulator.txt"); !bytes.Equal(got, want) {
 		t.Errorf("got\n%s\nwant\n%s", got, want)
 	}
 	checkReading(t, s, "emulator")
@@ -66,7 +56,7 @@
 // The fixture has a report and what 396a775 read from it on alternate lines.
 func TestLoadReportsAreReadAsBefore(t *testing.T) {
 	columns := LoadColumns{"busy_reqs", "pending", "cpu_share", "served_ps", "failed_ps"}
-	lines := strings.Split(strings.TrimSuffix(string(fixture(t, "loads.txt")), "\n"), "\n")
+	lines := strings.Split(strings.TrimSuffix(string(fixture.Read(t, "loads.txt")), "\n"), "\n")
 	for i := 0; i+1 < len(lines); i += 2 {
 		values := ParseLoadReport(lines[i], columns...)
 		load := columns.LoadReport(func(column int) (float64, bool) {
--- a/policy/fixtures_test.go
+++ b/policy/fixtures_test.go
@@ -4,25 +4,15 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
-	"os"
-	"path/filepath"
 	"reflect"
 	"testing"
-)
 
-// fixture reads a file that commit 396a775 wrote.
-func fixture(t *testing.T, name string) []byte {
-	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return text
-}
+	"barleywick/internal/testing/fixture"
+)
 
 // Two processes of different versions exchange bulkhead capacities during a take-over.
 func TestBulkheadCapacitiesReadAndWrittenAsBefore(t *testing.T) {
-	text := fixture(t, "bulkheads.json")
+	text := fixture.Read(t, "bulkheads.json")
 	want := []BulkheadCapacity{{Slots: 3, Places: 1}, {}, {Slots: 12, Places: 2}}
 	var got []BulkheadCapacity
 	if err := json.Unmarshal(text, &got); err != nil {
@@ -47,10 +37,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := fixture(t, "counters.json"); !bytes.Equal(append(written, '\n'), want) {
+	if want := fixture.Read(t, "counters.json"); !bytes.Equal(append(written, '\n'), want) {
 		t.Errorf("JSON: got %s, want %s", written, want)
 	}
-	if got, want := fmt.Sprintf("%+v\n", c), string(fixture(t, "counters.txt")); got != want {
+	if got, want := fmt.Sprintf("%+v\n", c), string(fixture.Read(t, "counters.txt")); got != want {
 		t.Errorf("text: got %s, want %s", got, want)
 	}
 }
@@ -61,7 +51,7 @@
 	for d := range NumDenials + 1 {
 		got += d.String() + "\n"
 	}
-	if want := string(fixture(t, "denials.txt")); got != want {
+	if want := string(fixture.Read(t, "denials.txt")); got != want {
 		t.Errorf("got\n%s\nwant\n%s", got, want)
 	}
 }
