--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -50,6 +50,48 @@
 	}
 }
 
+// Every test that a page names exists, but for the history, which keeps the names of its time.
+func TestNamedTestsExist(t *testing.T) {
+	declared := make(map[string]bool)
+	declaration := regexp.MustCompile(`(?m)^func ((?:Test|Fuzz|Benchmark)\w+)\(`)
+	err := filepath.WalkDir("..", func(path string, d fs.DirEntry, err error) error {
+		if err != nil || d.IsDir() || !strings.HasSuffix(path, "_test.go") {
+			return err
+		}
+		text, err := os.ReadFile(path)
+		for _, m := range declaration.FindAllStringSubmatch(string(text), -1) {
+			declared[m[1]] = true
+		}
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	incidents, err := filepath.Glob("incidents/*.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	pages, err := filepath.Glob("*.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	named := regexp.MustCompile("`((?:Test|Fuzz|Benchmark)[A-Z]\\w+)`")
+	for _, page := range append(pages, incidents...) {
+		if page == "HISTORY.md" {
+			continue
+		}
+		text, err := os.ReadFile(page)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, m := range named.FindAllStringSubmatch(string(text), -1) {
+			if !declared[m[1]] {
+				t.Errorf("%s names %s, which does not exist", page, m[1])
+			}
+		}
+	}
+}
+
 // logPackages are the folders whose programs run in production.
 var logPackages = []string{
 	"admission", "controller", "drain", "lease", "membership", "metrics", "overload", "registry", "rollout", "sidecar", "sidecarcmd", "sidecarmember",
