--- a/internal/sidecar/compatibility_test.go
+++ b/internal/sidecar/compatibility_test.go
@@ -4,14 +4,13 @@
 	"encoding/json"
 	"fmt"
 	"maps"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
 
 	"barleywick/internal/sidecar/counters"
 	"barleywick/internal/sidecar/upstream"
+	"barleywick/internal/testing/fixture"
 	"barleywick/policy"
 )
 
@@ -19,15 +18,6 @@
 // names changed. What it stored and sent has to be read, and what is stored and sent now has to
 // be the same byte for byte.
 
-func fixture(t *testing.T, name string) string {
-	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", "396a775", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return string(text)
-}
-
 // The fields' names of these structs are label values of metrics.
 func TestCounterNamesAreThoseOf396a775(t *testing.T) {
 	var got strings.Builder
@@ -38,7 +28,7 @@
 		}
 		fmt.Fprintf(&got, "%s\n", text)
 	}
-	if want := fixture(t, "metrics/counters.jsonl"); got.String() != want {
+	if want := fixture.ReadString(t, "metrics/counters.jsonl"); got.String() != want {
 		t.Errorf("got\n%s\nwant\n%s", got.String(), want)
 	}
 }
@@ -49,7 +39,7 @@
 	for _, p := range []phase{phaseStarting, phaseServing, phaseDraining, phaseFinishing, phaseEnded, phaseWithoutPolicy} {
 		fmt.Fprintln(&got, p)
 	}
-	if want := fixture(t, "health/phases.txt"); got.String() != want {
+	if want := fixture.ReadString(t, "health/phases.txt"); got.String() != want {
 		t.Errorf("got\n%s\nwant\n%s", got.String(), want)
 	}
 }
--- a/internal/sidecar/config/compatibility_test.go
+++ b/internal/sidecar/config/compatibility_test.go
@@ -8,19 +8,12 @@
 	"regexp"
 	"strings"
 	"testing"
+
+	"barleywick/internal/testing/fixture"
 )
 
 // The files in testdata/396a775 were written for and by the code of that commit, the last one before
 // names changed: what they mean, and what is said of mistakes in them, has to stay.
-func fixture(t *testing.T, name string) string {
-	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", "396a775", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return string(text)
-}
-
 // reworded turns what 396a775 said of a configuration into today's words.
 var reworded = strings.NewReplacer(
 	"aim 500ms", "latency objective 500ms",
@@ -59,8 +52,8 @@
 	for _, name := range []string{"short.toml", "full.toml", "takeover.toml", "platform.json"} {
 		path := filepath.Join("testdata", "396a775", name)
 		if isTOML(path) {
-			form, err := platformForm([]byte(fixture(t, name)), drawSeed)
-			if want := fixture(t, name+".platform.json"); err != nil || string(form)+"\n" != want {
+			form, err := platformForm([]byte(fixture.ReadString(t, name)), drawSeed)
+			if want := fixture.ReadString(t, name+".platform.json"); err != nil || string(form)+"\n" != want {
 				t.Errorf("the platform's form of %s is\n%s, error %v; want\n%s", name, form, err, want)
 			}
 		}
@@ -74,7 +67,7 @@
 			t.Fatal(err)
 		}
 		columns := regexp.MustCompile(`  +`) // their width follows from the words
-		want := columns.ReplaceAllString(reworded.Replace(fixture(t, name+".explained.txt")), "  ")
+		want := columns.ReplaceAllString(reworded.Replace(fixture.ReadString(t, name+".explained.txt")), "  ")
 		if text := columns.ReplaceAllString(got.String(), "  "); text != want {
 			t.Errorf("%s is explained as\n%s\nwant\n%s", name, text, want)
 		}
@@ -84,16 +77,16 @@
 // Each line of mutations.txt is a mistake in a configuration file, and the same line of
 // mutations.golden is what 396a775 said of it.
 func TestMistakesInConfigurationFilesAreNamedAsBy396a775(t *testing.T) {
-	golden := strings.Split(strings.TrimSuffix(fixture(t, "mutations.golden"), "\n"), "\n")
+	golden := strings.Split(strings.TrimSuffix(fixture.ReadString(t, "mutations.golden"), "\n"), "\n")
 	checked := 0
-	for line := range strings.Lines(fixture(t, "mutations.txt")) {
+	for line := range strings.Lines(fixture.ReadString(t, "mutations.txt")) {
 		line = strings.TrimSuffix(line, "\n")
 		if strings.HasPrefix(line, "#") {
 			continue
 		}
 		file, change, _ := strings.Cut(line, ": ")
 		from, to, _ := strings.Cut(change, " => ")
-		text := strings.Replace(fixture(t, file), from, strings.ReplaceAll(to, "|", "\n"), 1)
+		text := strings.Replace(fixture.ReadString(t, file), from, strings.ReplaceAll(to, "|", "\n"), 1)
 		dir := t.TempDir()
 		path := filepath.Join(dir, file)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
--- a/internal/sidecar/overloadreporter/compatibility_test.go
+++ b/internal/sidecar/overloadreporter/compatibility_test.go
@@ -3,26 +3,16 @@
 import (
 	"errors"
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
 	"barleywick/internal/overload"
+	"barleywick/internal/testing/fixture"
 )
 
 // The files in testdata/396a775 were written by the code of that commit, the last one before names
 // changed: they have to be read, and what is written now has to be the same byte for byte.
-func fixture(t *testing.T, name string) string {
-	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", "396a775", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return string(text)
-}
-
 // Programs and people read what /health/overload serves.
 func TestStatusTextsAreThoseOf396a775(t *testing.T) {
 	advice := overload.Advice{Number: 12, Token: 7, Tenants: []overload.TenantAdvice{{Tenant: "acme", AdmitFraction: 0.25}, {Tenant: "zeta", AdmitFraction: 1}}}
@@ -35,7 +25,7 @@
 	} {
 		fmt.Fprintln(&got, s)
 	}
-	if want := fixture(t, "status.txt"); got.String() != want {
+	if want := fixture.ReadString(t, "status.txt"); got.String() != want {
 		t.Errorf("got\n%s\nwant\n%s", got.String(), want)
 	}
 }
--- a/internal/sidecar/policyfollower/compatibility_test.go
+++ b/internal/sidecar/policyfollower/compatibility_test.go
@@ -11,19 +11,11 @@
 	"time"
 
 	"barleywick/internal/rollout"
+	"barleywick/internal/testing/fixture"
 )
 
 // The files in testdata/396a775 were written by the code of that commit, the last one before names
 // changed: they have to be read, and what is written now has to be the same byte for byte.
-func fixture(t *testing.T, name string) string {
-	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", "396a775", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return string(text)
-}
-
 type enforcerFunc func(ctx context.Context, d *rollout.Document) error
 
 func (f enforcerFunc) EnforcePolicy(ctx context.Context, d *rollout.Document) error { return f(ctx, d) }
@@ -53,7 +45,7 @@
 			t.Fatal(err)
 		}
 		got, err := os.ReadFile(s.path())
-		if want := fixture(t, name+".json"); err != nil || string(got) != want {
+		if want := fixture.ReadString(t, name+".json"); err != nil || string(got) != want {
 			t.Errorf("%s is stored as\n%s, error %v; want\n%s", name, got, err, want)
 		}
 	}
@@ -63,7 +55,7 @@
 	policies := storedPolicies()
 	for _, name := range []string{"none", "carry", "refuse", "joint", "first", "torn", "changed"} {
 		folder := t.TempDir()
-		if err := os.WriteFile(filepath.Join(folder, "policy.json"), []byte(fixture(t, name+".json")), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(folder, "policy.json"), []byte(fixture.ReadString(t, name+".json")), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		var enforced []*rollout.Document
@@ -99,7 +91,7 @@
 	} {
 		fmt.Fprintln(&got, s)
 	}
-	if want := fixture(t, "status.txt"); got.String() != want {
+	if want := fixture.ReadString(t, "status.txt"); got.String() != want {
 		t.Errorf("got\n%s\nwant\n%s", got.String(), want)
 	}
 }
