--- a/cmd/testbench/chaos.go
+++ b/cmd/testbench/chaos.go
@@ -73,32 +73,39 @@
 		if !quiet {
 			o.OnEvent = func(line string) { fmt.Fprintln(c.OutOrStdout(), line) }
 		}
-		rep, err := chaostest.Run(c.Context(), o)
-		if rep != nil {
-			printChaosReport(c.OutOrStdout(), rep)
-			if out != "" {
-				text, merr := json.MarshalIndent(rep, "", " ")
-				if merr == nil {
-					merr = os.WriteFile(out, text, 0o644)
-				}
-				err = errors.Join(err, merr)
+		return runChaos(c, o, out, shrink)
+	}
+	return c
+}
+
+// runChaos runs a chaos test, writes its report, and shrinks the schedule of one that broke an invariant.
+func runChaos(c *cobra.Command, o chaostest.Options, out string, shrink int) error {
+	report, err := chaostest.Run(c.Context(), o)
+	if report != nil {
+		printChaosReport(c.OutOrStdout(), report)
+		err = errors.Join(err, write(out, func(w io.Writer) error {
+			text, err := json.MarshalIndent(report, "", " ")
+			if err != nil {
+				return err
 			}
-		}
-		if err != nil || len(rep.Violations) == 0 {
+			_, err = w.Write(text)
 			return err
-		}
-		small := o.FaultSchedule()
-		if shrink > 0 {
-			small = faultinjection.Shrink(small, shrink, func(part faultinjection.Schedule) bool {
-				less := o
-				less.Schedule, less.OnEvent = part, nil
-				again, err := chaostest.Run(c.Context(), less)
-				return len(part) > 0 && err == nil && len(again.Violations) > 0
-			})
-		}
-		return cli.ExitError(statusRuleBroken, "%d invariants were broken, the first: %s; to replay it: testbench chaos --seed %d --schedule '%v'", len(rep.Violations), rep.Violations[0], o.Seed, small)
+		}))
 	}
-	return c
+	if err != nil || len(report.Violations) == 0 {
+		return err
+	}
+	small := o.FaultSchedule()
+	if shrink > 0 {
+		small = faultinjection.Shrink(small, shrink, func(part faultinjection.Schedule) bool {
+			less := o
+			less.Schedule, less.OnEvent = part, nil
+			again, err := chaostest.Run(c.Context(), less)
+			return len(part) > 0 && err == nil && len(again.Violations) > 0
+		})
+	}
+	return cli.ExitError(statusRuleBroken, "%d invariants were broken, the first: %s; to replay it: testbench chaos --seed %d --schedule '%v'",
+		len(report.Violations), report.Violations[0], o.Seed, small)
 }
 
 // command makes the command line of a program with its configuration.
--- a/cmd/testbench/load.go
+++ b/cmd/testbench/load.go
@@ -54,23 +54,8 @@
 	f.StringVar(&out.json, "json", "", "write all figures to `FILE`")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		p.Targets = args
-		for _, text := range classes {
-			class, err := parseClass(text)
-			if err != nil {
-				return err
-			}
-			p.Classes = append(p.Classes, class)
-		}
-		if recorded != "" {
-			file, err := os.Open(recorded)
-			if err != nil {
-				return err
-			}
-			p.Recorded, err = loadgen.ReadArrivals(file)
-			file.Close()
-			if err != nil {
-				return fmt.Errorf("%s: %w", recorded, err)
-			}
+		if err := readPlan(p, classes, recorded); err != nil {
+			return err
 		}
 		if err := p.Check(); err != nil {
 			return cli.WrongCall("%w", err)
@@ -102,6 +87,29 @@
 	return c
 }
 
+// readPlan adds the classes and the recorded arrivals to a plan.
+func readPlan(p *loadgen.Plan, classes []string, recorded string) error {
+	for _, text := range classes {
+		class, err := parseClass(text)
+		if err != nil {
+			return err
+		}
+		p.Classes = append(p.Classes, class)
+	}
+	if recorded == "" {
+		return nil
+	}
+	file, err := os.Open(recorded)
+	if err != nil {
+		return err
+	}
+	defer file.Close()
+	if p.Recorded, err = loadgen.ReadArrivals(file); err != nil {
+		return fmt.Errorf("%s: %w", recorded, err)
+	}
+	return nil
+}
+
 // parseClass reads NAME:EFFECT[:SHARE].
 func parseClass(text string) (loadgen.Class, error) {
 	parts := strings.Split(text, ":")
--- a/cmd/testbench/localfleet.go
+++ b/cmd/testbench/localfleet.go
@@ -63,15 +63,9 @@
 		if filepath.Ext(name) != ".toml" {
 			sc.Stretch(length)
 		}
-		if o.Scenario = sc; o.Program == "" {
-			self, err := os.Executable()
-			if err != nil {
-				return fmt.Errorf("find the sidecar: %w", err)
-			}
-			o.Program = filepath.Join(filepath.Dir(self), "sidecar")
-		}
-		if _, err := os.Stat(o.Program); err != nil {
-			return fmt.Errorf("the sidecar's program: %w; --sidecar names it", err)
+		o.Scenario = sc
+		if o.Program, err = sidecarProgram(o.Program); err != nil {
+			return err
 		}
 		if o.Logs != "" {
 			if err := os.MkdirAll(o.Logs, 0o755); err != nil {
@@ -103,3 +97,18 @@
 	}
 	return c
 }
+
+// sidecarProgram returns the path of the sidecar's program: the named one, or the one beside this program.
+func sidecarProgram(path string) (string, error) {
+	if path == "" {
+		self, err := os.Executable()
+		if err != nil {
+			return "", fmt.Errorf("find the sidecar: %w", err)
+		}
+		path = filepath.Join(filepath.Dir(self), "sidecar")
+	}
+	if _, err := os.Stat(path); err != nil {
+		return "", fmt.Errorf("the sidecar's program: %w; --sidecar names it", err)
+	}
+	return path, nil
+}
--- a/cmd/testbench/members.go
+++ b/cmd/testbench/members.go
@@ -42,15 +42,8 @@
 	c.Flags().DurationVar(&p.PartitionDuration, "apart", 30*time.Second, "for how long")
 	c.Flags().BoolVar(&asJSON, "json", false, "one JSON object")
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		switch {
-		case p.Members < 2 || p.Members > maxMembers:
-			return cli.WrongCall("--members is %d, it must lie between 2 and %d", p.Members, maxMembers)
-		case !(p.PacketLoss >= 0 && p.PacketLoss < 1) || !(p.KillFraction >= 0 && p.KillFraction < 1):
-			return cli.WrongCall("--loss and --kill are parts of at least 0, below 1")
-		case p.Partitions < 1 || p.Partitions > maxPartitions || p.Partitions > p.Members/2:
-			return cli.WrongCall("--parts is %d, it must lie between 1 and %d, and each part needs two members", p.Partitions, maxPartitions)
-		case p.ProbeInterval < 50*time.Millisecond || p.Delay < 0 || p.Baseline < 0 || p.PartitionDuration < 0:
-			return cli.WrongCall("--probe is 50ms at least, no time is negative")
+		if err := checkMembers(p); err != nil {
+			return err
 		}
 		var r membershiptest.Result
 		done := make(chan error, 1)
@@ -76,6 +69,21 @@
 	return c
 }
 
+// checkMembers checks the flags of the command members.
+func checkMembers(p membershiptest.Scenario) error {
+	switch {
+	case p.Members < 2 || p.Members > maxMembers:
+		return cli.WrongCall("--members is %d, it must lie between 2 and %d", p.Members, maxMembers)
+	case !(p.PacketLoss >= 0 && p.PacketLoss < 1) || !(p.KillFraction >= 0 && p.KillFraction < 1):
+		return cli.WrongCall("--loss and --kill are parts of at least 0, below 1")
+	case p.Partitions < 1 || p.Partitions > maxPartitions || p.Partitions > p.Members/2:
+		return cli.WrongCall("--parts is %d, it must lie between 1 and %d, and each part needs two members", p.Partitions, maxPartitions)
+	case p.ProbeInterval < 50*time.Millisecond || p.Delay < 0 || p.Baseline < 0 || p.PartitionDuration < 0:
+		return cli.WrongCall("--probe is 50ms at least, no time is negative")
+	}
+	return nil
+}
+
 // printMembershipResult prints the measured times and costs.
 func printMembershipResult(w io.Writer, r membershiptest.Result) {
 	ms := func(d time.Duration) time.Duration { return d.Round(10 * time.Millisecond) }
--- a/internal/registry/instance.go
+++ b/internal/registry/instance.go
@@ -72,6 +72,11 @@
 			return err
 		}
 	}
+	return i.checkFigures()
+}
+
+// checkFigures checks the fields that are no names.
+func (i Instance) checkFigures() error {
 	switch {
 	case i.Block != nil && (*i.Block < 0 || *i.Block > maxBlock):
 		return fmt.Errorf("block is %d, it must lie between 0 and %d", *i.Block, maxBlock)
--- a/internal/simulation/emulator/attempt.go
+++ b/internal/simulation/emulator/attempt.go
@@ -189,13 +189,7 @@
 	}
 	a.ended, a.ending = true, end
 	s, r := n.sim, a.request
-	if a.connected {
-		if end == policy.Served || end == policy.Errored || end == policy.Rejected {
-			n.idle[a.to.Index] = append(n.idle[a.to.Index], s.now)
-		} else {
-			a.to.OpenConnections = max(0, a.to.OpenConnections-1)
-		}
-	}
+	n.releaseConnection(a)
 	if end != policy.Rejected && end != policy.NoConnection && end != policy.NotSent {
 		s.checker.AttemptEnded(r.id, a.number, true)
 	}
@@ -214,6 +208,19 @@
 	}
 }
 
+// releaseConnection makes the connection of an attempt idle after an answer, and closes it otherwise.
+func (n *node) releaseConnection(a *attempt) {
+	if !a.connected {
+		return
+	}
+	switch a.ending {
+	case policy.Served, policy.Errored, policy.Rejected:
+		n.idle[a.to.Index] = append(n.idle[a.to.Index], n.sim.now)
+	default:
+		a.to.OpenConnections = max(0, a.to.OpenConnections-1)
+	}
+}
+
 // forget drops a request that is closed and has no attempt in flight.
 func (n *node) forget(r *request) {
 	for _, a := range r.attempts {
--- a/internal/simulation/emulator/fault.go
+++ b/internal/simulation/emulator/fault.go
@@ -61,20 +61,21 @@
 	return names, what
 }
 
+// check checks a fault of a scenario.
 func (t Fault) check(s *Scenario) error {
-	k, known := faultKinds[t.Name]
-	names, _ := FaultNames()
-	switch {
-	case !known:
+	kind, known := faultKinds[t.Name]
+	if !known {
+		names, _ := FaultNames()
 		return fmt.Errorf("name: there is no fault %q; there are %s", t.Name, strings.Join(names, ", "))
-	case t.Start < 0 || t.Duration < 0 || t.Extra < 0:
-		return fmt.Errorf("%s: at, for and extra must not be negative", t.Name)
-	case time.Duration(t.Start) > maxLength || time.Duration(t.Duration) > maxLength || time.Duration(t.Extra) > maxLength:
-		return fmt.Errorf("%s: at, for or extra is more than %v", t.Name, maxLength)
+	}
+	if err := t.checkTimes(); err != nil {
+		return err
+	}
+	switch {
 	case !(t.Part >= 0 && t.Part <= 1):
 		return fmt.Errorf("%s: part is %g, it must lie between 0 and 1", t.Name, t.Part)
-	case !(t.Size >= k.least && t.Size <= k.most) && k.most > 0:
-		return fmt.Errorf("%s: size is %g, it must lie between %g and %g", t.Name, t.Size, k.least, k.most)
+	case !(t.Size >= kind.least && t.Size <= kind.most) && kind.most > 0:
+		return fmt.Errorf("%s: size is %g, it must lie between %g and %g", t.Name, t.Size, kind.least, kind.most)
 	case t.Tenant != "" && s.tenant(t.Tenant) < 0:
 		return fmt.Errorf("%s: there is no tenant %q", t.Name, t.Tenant)
 	case t.Name == "no_advice" && !s.OverloadAdvice:
@@ -85,6 +86,17 @@
 	return nil
 }
 
+// checkTimes checks the times of a fault.
+func (t Fault) checkTimes() error {
+	switch {
+	case t.Start < 0 || t.Duration < 0 || t.Extra < 0:
+		return fmt.Errorf("%s: at, for and extra must not be negative", t.Name)
+	case time.Duration(t.Start) > maxLength || time.Duration(t.Duration) > maxLength || time.Duration(t.Extra) > maxLength:
+		return fmt.Errorf("%s: at, for or extra is more than %v", t.Name, maxLength)
+	}
+	return nil
+}
+
 // selectServers picks the servers that a fault affects.
 func (s *Sim) selectServers(t *Fault) (some []*Server) {
 	live := s.Live()
--- a/internal/simulation/experiment/experiment.go
+++ b/internal/simulation/experiment/experiment.go
@@ -78,43 +78,60 @@
 	if err := configfile.DecodeTOML(text, p); err != nil {
 		return nil, err
 	}
+	if err := p.check(); err != nil {
+		return nil, err
+	}
+	for i := range p.Variants {
+		if v := &p.Variants[i]; v.Adapter != "" && !filepath.IsAbs(v.Adapter) {
+			v.Adapter = filepath.Join(folder, v.Adapter)
+		}
+	}
+	if err := p.loadScenarios(folder); err != nil {
+		return nil, err
+	}
+	return p, nil
+}
+
+// check checks what can be checked without reading further files.
+func (p *Plan) check() error {
 	switch {
 	case len(p.Scenarios) == 0:
-		return nil, errors.New("scenarios: at least one is needed")
+		return errors.New("scenarios: at least one is needed")
 	case len(p.Seeds) == 0 || len(p.Seeds) > maxSeeds:
-		return nil, fmt.Errorf("seeds: %d are given, 1 to %d are needed", len(p.Seeds), maxSeeds)
+		return fmt.Errorf("seeds: %d are given, 1 to %d are needed", len(p.Seeds), maxSeeds)
 	case len(p.Variants) < 2 || len(p.Variants) > maxVariants:
-		return nil, fmt.Errorf("variants: %d are given, 2 to %d are needed", len(p.Variants), maxVariants)
+		return fmt.Errorf("variants: %d are given, 2 to %d are needed", len(p.Variants), maxVariants)
 	case p.Length < 0:
-		return nil, errors.New("length must not be negative")
+		return errors.New("length must not be negative")
 	}
 	for i, seed := range p.Seeds {
 		if slices.Contains(p.Seeds[:i], seed) {
-			return nil, fmt.Errorf("seeds: %d is given twice, which would count one day twice", seed)
+			return fmt.Errorf("seeds: %d is given twice, which would count one run twice", seed)
 		}
 	}
 	for i, v := range p.Variants {
 		if v.Name == "" || slices.ContainsFunc(p.Variants[:i], func(o Variant) bool { return o.Name == v.Name }) {
-			return nil, fmt.Errorf("variants[%d]: a name of its own is needed", i)
+			return fmt.Errorf("variants[%d]: a name of its own is needed", i)
 		}
 	}
+	return nil
+}
+
+// loadScenarios loads the scenarios and checks that each variant can be applied to each of them.
+func (p *Plan) loadScenarios(folder string) error {
 	for _, name := range p.Scenarios {
 		sc, err := p.scenario(name, folder)
 		if err != nil {
-			return nil, fmt.Errorf("scenarios: %s: %w", name, err)
+			return fmt.Errorf("scenarios: %s: %w", name, err)
 		}
 		p.scenarios = append(p.scenarios, sc)
-		for i := range p.Variants {
-			v := &p.Variants[i]
-			if v.Adapter != "" && !filepath.IsAbs(v.Adapter) {
-				v.Adapter = filepath.Join(folder, v.Adapter)
-			}
+		for _, v := range p.Variants {
 			if _, err := v.apply(sc); err != nil {
-				return nil, fmt.Errorf("variants: %s: %w", v.Name, err)
+				return fmt.Errorf("variants: %s: %w", v.Name, err)
 			}
 		}
 	}
-	return p, nil
+	return nil
 }
 
 func (p *Plan) scenario(name, folder string) (*emulator.Scenario, error) {
--- a/internal/testing/loadgen/load.go
+++ b/internal/testing/loadgen/load.go
@@ -49,6 +49,30 @@
 
 // Check returns an error that names the first field that is out of range.
 func (p *Plan) Check() error {
+	if err := p.checkClasses(); err != nil {
+		return err
+	}
+	if len(p.Targets) == 0 {
+		return errors.New("targets: at least one address is needed")
+	}
+	if err := p.checkArrivals(); err != nil {
+		return err
+	}
+	switch {
+	case p.Length <= 0 || p.Length > maxLength:
+		return fmt.Errorf("length is %v, it must be above 0 and at most %v", p.Length, maxLength)
+	case p.Timeout <= 0 || p.Timeout > time.Hour:
+		return fmt.Errorf("timeout is %v, it must be above 0 and at most an hour", p.Timeout)
+	case p.Keys < 0 || p.Body < 0 || p.Body > maxBody:
+		return fmt.Errorf("keys is %d and body %d; keys must not be negative, a body has at most %d bytes", p.Keys, p.Body, maxBody)
+	case p.MaxOpen < 1 || p.MaxOpen > maxOpen:
+		return fmt.Errorf("open is %d, it must lie between 1 and %d", p.MaxOpen, maxOpen)
+	}
+	return nil
+}
+
+// checkClasses checks each class and that their shares add up to something.
+func (p *Plan) checkClasses() error {
 	shares := 0.0
 	for _, c := range p.Classes {
 		if c.Name == "" || !(c.Share >= 0) {
@@ -59,25 +83,21 @@
 		}
 		shares += c.Share
 	}
+	if !(shares > 0) || math.IsInf(shares, 0) {
+		return errors.New("classes: the shares add up to nothing")
+	}
+	return nil
+}
+
+// checkArrivals checks how the times of the requests are drawn.
+func (p *Plan) checkArrivals() error {
 	switch {
-	case len(p.Targets) == 0:
-		return errors.New("targets: at least one address is needed")
 	case p.Arrivals != "poisson" && p.Arrivals != "constant" && p.Arrivals != "recorded":
 		return fmt.Errorf("arrivals: %q; there are poisson, constant and recorded", p.Arrivals)
 	case p.Arrivals == "recorded" && len(p.Recorded) == 0:
 		return errors.New("arrivals: nothing is recorded")
 	case p.Arrivals != "recorded" && !(p.Rate > 0 && p.Rate <= maxRate):
 		return fmt.Errorf("rate is %g, it must be above 0 and at most %g a second", p.Rate, maxRate)
-	case p.Length <= 0 || p.Length > maxLength:
-		return fmt.Errorf("length is %v, it must be above 0 and at most %v", p.Length, maxLength)
-	case p.Timeout <= 0 || p.Timeout > time.Hour:
-		return fmt.Errorf("timeout is %v, it must be above 0 and at most an hour", p.Timeout)
-	case !(shares > 0) || math.IsInf(shares, 0):
-		return errors.New("classes: the shares add up to nothing")
-	case p.Keys < 0 || p.Body < 0 || p.Body > maxBody:
-		return fmt.Errorf("keys is %d and body %d; keys must not be negative, a body has at most %d bytes", p.Keys, p.Body, maxBody)
-	case p.MaxOpen < 1 || p.MaxOpen > maxOpen:
-		return fmt.Errorf("open is %d, it must lie between 1 and %d", p.MaxOpen, maxOpen)
 	}
 	return nil
 }
@@ -198,21 +218,11 @@
 	body := make([]byte, p.Body)
 	var last time.Duration
 	for n := 0; ; n++ {
-		due := last
-		switch {
-		case p.Arrivals == "recorded" && n >= len(p.Recorded):
+		due, more := p.dueTime(n, last, rng)
+		if !more || due >= p.Length {
 			return true
-		case p.Arrivals == "recorded":
-			due = p.Recorded[n]
-		case p.Arrivals == "constant":
-			due = time.Duration(float64(n) / p.Rate * float64(time.Second))
-		default:
-			due += time.Duration(distuv.Exponential{Rate: p.Rate, Src: rng}.Rand() * float64(time.Second))
 		}
 		last = due
-		if due >= p.Length {
-			return true
-		}
 		if wait := due - time.Since(r.started); wait > 0 {
 			timer.Reset(wait)
 			select {
@@ -237,6 +247,21 @@
 	}
 }
 
+// dueTime returns when the nth request is due, after the one before; false where there is none.
+func (p *Plan) dueTime(n int, last time.Duration, rng *rand.Rand) (time.Duration, bool) {
+	switch p.Arrivals {
+	case "recorded":
+		if n >= len(p.Recorded) {
+			return 0, false
+		}
+		return p.Recorded[n], true
+	case "constant":
+		return time.Duration(float64(n) / p.Rate * float64(time.Second)), true
+	}
+	interval := distuv.Exponential{Rate: p.Rate, Src: rng}.Rand()
+	return last + time.Duration(interval*float64(time.Second)), true
+}
+
 // admit counts a request that is due and reports whether it may be sent.
 func (r *run) admit() bool {
 	r.mu.Lock()
--- a/internal/testing/localfleet/bookingserver.go
+++ b/internal/testing/localfleet/bookingserver.go
@@ -225,24 +225,11 @@
 		http.Error(w, "no client sent this id", http.StatusBadRequest)
 		return
 	}
-	v := &pendingRequest{make(chan *emulator.Job, 1)}
-	j := &emulator.Job{Work: try.call.Work, Key: try.call.Key, Deadline: try.deadline, Owner: v}
-	if c := b.owner.scenario.Classes[try.call.Class]; c.Idempotency == "keyed" {
-		j.Repeat, j.Window = uint64(try.id), time.Duration(c.DedupWindow)
-	}
-	b.mu.Lock()
-	silent := b.model.Unreachable
-	now := b.owner.now()
-	n := b.owner.attemptSent(try, b.model, now)
-	verdict := emulator.Accepted
-	if !silent {
-		b.deliver(b.model.Advance(now))
-		verdict = b.model.Arrive(now, j)
-	}
-	b.mu.Unlock()
-	b.notifyChanged()
+	pending := &pendingRequest{make(chan *emulator.Job, 1)}
+	job := b.newJob(try, pending)
+	n, verdict, reachable := b.arrive(try, job)
 	switch {
-	case silent:
+	case !reachable:
 		<-b.ended // no answer, and the connection stays open
 		return
 	case verdict == emulator.Rejected:
@@ -253,28 +240,51 @@
 	case verdict == emulator.NotRunning:
 		panic(http.ErrAbortHandler) // overloaded: the connection is reset
 	}
-	spoilt, reset := b.owner.drawFault()
+	malformed, reset := b.owner.drawFault()
 	if reset {
 		panic(http.ErrAbortHandler) // the request still runs; its end is not reported
 	}
 	select {
-	case <-v.done:
+	case <-pending.done:
 	case <-b.ended:
 		panic(http.ErrAbortHandler)
 	}
 	switch {
-	case spoilt:
+	case malformed:
 		writeMalformed(w)
-	case j.Dropped:
+	case job.Dropped:
 		b.owner.attemptEnded(try, n, false)
 		b.reject(w)
-	case j.Failed:
+	case job.Failed:
 		http.Error(w, "failed", http.StatusInternalServerError)
 	default:
 		text := responseTo(id)
 		w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-		_, _ = io.WriteString(w, text) // the sidecar may have ended
+		io.WriteString(w, text)
+	}
+}
+
+// newJob makes the model's job for an attempt.
+func (b *bookingServer) newJob(try *openAttempt, owner *pendingRequest) *emulator.Job {
+	job := &emulator.Job{Work: try.call.Work, Key: try.call.Key, Deadline: try.deadline, Owner: owner}
+	if c := b.owner.scenario.Classes[try.call.Class]; c.Idempotency == "keyed" {
+		job.Repeat, job.Window = uint64(try.id), time.Duration(c.DedupWindow)
+	}
+	return job
+}
+
+// arrive delivers a job to the model, if the server can be reached, and returns the number of the attempt.
+func (b *bookingServer) arrive(try *openAttempt, job *emulator.Job) (n int, verdict emulator.Verdict, reachable bool) {
+	defer b.notifyChanged()
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	now := b.owner.now()
+	n = b.owner.attemptSent(try, b.model, now)
+	if b.model.Unreachable {
+		return n, emulator.Accepted, false
 	}
+	b.deliver(b.model.Advance(now))
+	return n, b.model.Arrive(now, job), true
 }
 
 // writeMalformed sends a malformed response; the connection stays open for a while.
--- a/internal/testing/localfleet/faults.go
+++ b/internal/testing/localfleet/faults.go
@@ -69,30 +69,41 @@
 	return some
 }
 
-// beginFault begins a fault and returns the function that ends it.
-func (l *localFleet) beginFault(ctx context.Context, t emulator.Fault) (undo func() error, err error) {
-	set := func(change func(sv *emulator.Server, on bool)) (func() error, error) {
-		some := l.pickServers(t.Part)
-		each := func(on bool) {
-			for _, b := range some {
-				b.updateModel(func(sv *emulator.Server) { change(sv, on) })
-			}
-		}
-		each(true)
-		return func() error {
-			each(false)
-			return nil
-		}, nil
-	}
+// serverChange returns what a fault changes at a server while it is on; nil: it is not a fault of that kind.
+func serverChange(t emulator.Fault) func(sv *emulator.Server, on bool) {
 	switch t.Name {
 	case "slow":
-		return set(func(sv *emulator.Server, on bool) { sv.Slowdown = choose(on, t.Size, 1) })
+		return func(sv *emulator.Server, on bool) { sv.Slowdown = choose(on, t.Size, 1) }
 	case "fast_errors":
-		return set(func(sv *emulator.Server, on bool) { sv.FailureShare = choose(on, t.Size, 0) })
+		return func(sv *emulator.Server, on bool) { sv.FailureShare = choose(on, t.Size, 0) }
 	case "neighbour":
-		return set(func(sv *emulator.Server, on bool) { sv.NeighbourShare = choose(on, t.Size, 0) })
+		return func(sv *emulator.Server, on bool) { sv.NeighbourShare = choose(on, t.Size, 0) }
 	case "vanish":
-		return set(func(sv *emulator.Server, on bool) { sv.Unreachable = on })
+		return func(sv *emulator.Server, on bool) { sv.Unreachable = on }
+	}
+	return nil
+}
+
+// changeServers changes servers until it is undone.
+func (l *localFleet) changeServers(some []*bookingServer, change func(sv *emulator.Server, on bool)) (undo func() error) {
+	set := func(on bool) {
+		for _, b := range some {
+			b.updateModel(func(sv *emulator.Server) { change(sv, on) })
+		}
+	}
+	set(true)
+	return func() error {
+		set(false)
+		return nil
+	}
+}
+
+// beginFault begins a fault and returns the function that ends it.
+func (l *localFleet) beginFault(ctx context.Context, t emulator.Fault) (undo func() error, err error) {
+	if change := serverChange(t); change != nil {
+		return l.changeServers(l.pickServers(t.Part), change), nil
+	}
+	switch t.Name {
 	case "kill":
 		return l.killServers(l.pickServers(t.Part)), nil
 	case "zone_lost":
--- a/internal/testing/localfleet/localfleet.go
+++ b/internal/testing/localfleet/localfleet.go
@@ -228,47 +228,70 @@
 	}
 	ended := make(chan error, len(members))
 	for _, m := range members {
-		routes := make(addressmap.Map)
-		for _, to := range members {
-			if to == m {
-				continue
-			}
-			for what, addr := range map[string]string{"raft": to.Raft, "http": to.HTTP} {
-				link, err := l.links.net.AddTCP(m.ID+">"+to.ID+":"+what, addr)
-				if err != nil {
-					return nil, err
-				}
-				routes[addr] = link.Addr()
-			}
-		}
-		data := filepath.Join(l.dir, m.ID)
-		if err := os.Mkdir(data, 0o700); err != nil {
-			return nil, fmt.Errorf("localfleet: %w", err)
-		}
-		text, err := json.Marshal(map[string]any{"group": "localfleet", "id": m.ID, "data": data, "replicas": members, "routes": routes})
+		path, err := l.writeReplicaConfig(m, members)
 		if err != nil {
 			return nil, err
 		}
-		path := filepath.Join(l.dir, m.ID+".json")
-		if err := os.WriteFile(path, text, 0o600); err != nil {
-			return nil, fmt.Errorf("localfleet: %w", err)
-		}
 		l.tasks.Go(func() { ended <- server.Run(life, nil, path) })
 	}
 	if l.registry, err = client.New(discovery, l.seed); err != nil {
 		return nil, err
 	}
+	return discovery, l.awaitRegistry(ctx, ended)
+}
+
+// writeReplicaConfig writes the configuration of one replica and returns its path.
+func (l *localFleet) writeReplicaConfig(m registry.ReplicaInfo, members []registry.ReplicaInfo) (path string, err error) {
+	routes, err := l.linkReplica(m, members)
+	if err != nil {
+		return "", err
+	}
+	data := filepath.Join(l.dir, m.ID)
+	if err := os.Mkdir(data, 0o700); err != nil {
+		return "", fmt.Errorf("localfleet: %w", err)
+	}
+	text, err := json.Marshal(map[string]any{"group": "localfleet", "id": m.ID, "data": data, "replicas": members, "routes": routes})
+	if err != nil {
+		return "", err
+	}
+	path = filepath.Join(l.dir, m.ID+".json")
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		return "", fmt.Errorf("localfleet: %w", err)
+	}
+	return path, nil
+}
+
+// linkReplica adds a link from one replica to each address of the others.
+func (l *localFleet) linkReplica(from registry.ReplicaInfo, members []registry.ReplicaInfo) (addressmap.Map, error) {
+	routes := make(addressmap.Map)
+	for _, to := range members {
+		if to == from {
+			continue
+		}
+		for what, addr := range map[string]string{"raft": to.Raft, "http": to.HTTP} {
+			link, err := l.links.net.AddTCP(from.ID+">"+to.ID+":"+what, addr)
+			if err != nil {
+				return nil, err
+			}
+			routes[addr] = link.Addr()
+		}
+	}
+	return routes, nil
+}
+
+// awaitRegistry waits until all replicas are ready.
+func (l *localFleet) awaitRegistry(ctx context.Context, ended <-chan error) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
-		if got, all := l.registry.Statuses(ctx); all && len(got) == len(members) {
-			return discovery, nil
+		if got, all := l.registry.Statuses(ctx); all && len(got) == l.replicas {
+			return nil
 		}
 		select {
 		case err := <-ended:
-			return nil, fmt.Errorf("localfleet: a replica of the registry ended: %w", err)
+			return fmt.Errorf("localfleet: a replica of the registry ended: %w", err)
 		case <-ctx.Done():
-			return nil, fmt.Errorf("localfleet: the registry is not ready: %w", ctx.Err())
+			return fmt.Errorf("localfleet: the registry is not ready: %w", ctx.Err())
 		case <-time.After(pollInterval):
 		}
 	}
--- a/internal/testing/localfleet/localfleet_test.go
+++ b/internal/testing/localfleet/localfleet_test.go
@@ -1,7 +1,6 @@
 package localfleet
 
 import (
-	"barleywick/internal/sidecar/config"
 	"context"
 	"errors"
 	"fmt"
@@ -14,6 +13,8 @@
 	"testing"
 	"time"
 
+	"barleywick/internal/sidecar/config"
+
 	"barleywick/internal/sidecar"
 	"barleywick/internal/simulation/emulator"
 )
--- a/internal/testing/soaktest/ledger.go
+++ b/internal/testing/soaktest/ledger.go
@@ -232,6 +232,22 @@
 	if r.resent {
 		l.counts["requests sent once more"]++
 	}
+	l.checkAnswered(r)
+	if r.status == 200 && r.body != "done "+r.id {
+		l.addViolationLocked(InvariantOwnResponse, "%s of %s got %q", r.id, r.class, r.body)
+	}
+	if r.status != 503 && r.status != 429 {
+		return
+	}
+	for _, a := range r.attempts {
+		if a.result != neverRan && r.class == "once" {
+			l.addViolationLocked(InvariantRefusal, "%s was refused, and %s had it", r.id, a.server)
+		}
+	}
+}
+
+// checkAnswered checks that a complete request had its answer in time.
+func (l *ledger) checkAnswered(r *request) {
 	killed := r.sidecar.killedSince(r.complete)
 	switch {
 	case r.status == 0 && !r.clientGone.IsZero():
@@ -245,16 +261,6 @@
 	default:
 		l.counts[fmt.Sprint("answers ", r.status)]++
 	}
-	if r.status == 200 && r.body != "done "+r.id {
-		l.addViolationLocked(InvariantOwnResponse, "%s of %s got %q", r.id, r.class, r.body)
-	}
-	if r.status == 503 || r.status == 429 {
-		for _, a := range r.attempts {
-			if a.result != neverRan && r.class == "once" {
-				l.addViolationLocked(InvariantRefusal, "%s was refused, and %s had it", r.id, a.server)
-			}
-		}
-	}
 }
 
 // checkAttempts checks what booking servers received.
