--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -12,6 +12,7 @@
 	"os/signal"
 	"syscall"
 
+	"barleywick/internal/cli"
 	"barleywick/internal/registry/server"
 )
 
@@ -22,14 +23,12 @@
 SIGTERM and SIGINT hand leadership over and end it; SIGHUP reads the file again
 (limits and sessions may change). docs/REGISTRY.md describes the file.
 
+` + cli.StatusHelp + `
+
 `
 
 func main() {
-	err := run(os.Args[1:], os.Stderr)
-	if err != nil && !errors.Is(err, flag.ErrHelp) {
-		fmt.Fprintln(os.Stderr, "registry:", err)
-		os.Exit(1)
-	}
+	os.Exit(cli.Report("registry", run(os.Args[1:], os.Stderr), os.Stderr))
 }
 
 // options are what the command line says.
@@ -41,6 +40,9 @@
 // run serves one replica until it is asked to end.
 func run(args []string, out io.Writer) error {
 	o, err := parseArguments(args, out)
+	if errors.Is(err, flag.ErrHelp) {
+		return nil
+	}
 	if err != nil {
 		return err
 	}
@@ -53,21 +55,24 @@
 	return server.Run(stop, reload, o.configPath)
 }
 
+// parseArguments reads the command line; for -help it prints the usage and returns flag.ErrHelp.
 func parseArguments(args []string, out io.Writer) (options, error) {
 	flags := flag.NewFlagSet("registry", flag.ContinueOnError)
-	flags.SetOutput(out)
+	flags.SetOutput(io.Discard) // errors are printed in one line, by main
 	path := flags.String("config", "", "the configuration `FILE`")
 	verbose := flags.Bool("v", false, "log what the replicas say to each other")
-	flags.Usage = func() {
-		fmt.Fprint(out, usage)
-		flags.PrintDefaults()
-	}
+	flags.Usage = func() {} // printed below, for -help alone
 	if err := flags.Parse(args); err != nil {
-		return options{}, err
+		if errors.Is(err, flag.ErrHelp) {
+			fmt.Fprint(out, usage)
+			flags.SetOutput(out)
+			flags.PrintDefaults()
+			return options{}, err
+		}
+		return options{}, cli.WrongCall("%w; see registry -help", err)
 	}
 	if *path == "" || flags.NArg() > 0 {
-		flags.Usage()
-		return options{}, errors.New("-config FILE is needed, and nothing else")
+		return options{}, cli.WrongCall("-config FILE is needed, and nothing else; see registry -help")
 	}
 	o := options{configPath: *path, logLevel: slog.LevelInfo}
 	if *verbose {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -52,14 +52,18 @@
 	for _, c := range append(root.Commands(), root) {
 		checkArgs(c)
 	}
-	err := root.ExecuteContext(ctx)
+	return Report(name, root.ExecuteContext(ctx), errs)
+}
+
+// Report prints an error in one line and returns the exit status that follows from it.
+func Report(name string, err error, errs io.Writer) int {
 	if err == nil {
 		return StatusDone
 	}
 	fmt.Fprintf(errs, "%s: %v\n", name, err)
-	var s *exitError
-	if errors.As(err, &s) {
-		return s.status
+	var e *exitError
+	if errors.As(err, &e) {
+		return e.status
 	}
 	return StatusFailed
 }
