--- a/internal/controller/fleetview.go
+++ b/internal/controller/fleetview.go
@@ -114,7 +114,7 @@
 // sawProcessEnd reports whether this process itself has seen a member's process end. No lease
 // may end because another member says so.
 func sawProcessEnd(m membership.Member, self string) bool {
-	if mutation.GossipRemoves && m.Status == membership.StatusUnreachable {
+	if mutation.EndLeasesOfUnreachable && m.Status == membership.StatusUnreachable {
 		return true
 	}
 	return m.Status == membership.StatusEnded && m.By == self
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -74,7 +74,7 @@
 	case status.YieldRequested:
 		s.RequestYield(status.NextHolder)
 	case status.Token != 0:
-		if mutation.FromAnswer {
+		if mutation.CountLeaseFromResponse {
 			sentAt = now
 		}
 		s.extend(status.Token, sentAt, now)
@@ -100,7 +100,7 @@
 // checkDeadline ends the session if its time is up. A session that has lapsed stays
 // ended: its task has to stop before another session may begin.
 func (s *Session) checkDeadline(now time.Duration) {
-	if s.token != 0 && s.deadline != 0 && now >= s.deadline && !mutation.UncheckedPause {
+	if s.token != 0 && s.deadline != 0 && now >= s.deadline && !mutation.SkipClockCheck {
 		s.ended = true
 	}
 }
@@ -139,7 +139,7 @@
 	switch {
 	case !s.Held(now):
 		return fmt.Errorf("%w: %s", ErrLapsed, s.LeaseName)
-	case now+takes > s.deadline && !mutation.UncheckedPause:
+	case now+takes > s.deadline && !mutation.SkipClockCheck:
 		return fmt.Errorf("%w: %s has another %v, the act may take %v", ErrInsufficientTime, s.LeaseName, s.deadline-now, takes)
 	}
 	return nil
--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -125,7 +125,7 @@
 	if n.self.Incarnation <= lastIncarnation {
 		n.self.Incarnation = lastIncarnation + 1
 	}
-	if mutation.SameIncarnation {
+	if mutation.ReuseIncarnation {
 		n.self.Incarnation = 1
 	}
 }
--- a/internal/membership/partition.go
+++ b/internal/membership/partition.go
@@ -16,7 +16,7 @@
 }
 
 // Partitioned reports whether a member is unreachable.
-func (p PartitionState) Partitioned() bool { return p.Unreachable > 0 && !mutation.SilentPartition }
+func (p PartitionState) Partitioned() bool { return p.Unreachable > 0 && !mutation.HidePartition }
 
 // Minority reports whether more than half of the fleet is unreachable: what depends on the
 // number of members must not be relied on here.
--- /dev/null
+++ b/internal/mutation/serve_before_join_off.go
@@ -0,0 +1,6 @@
+//go:build !mutation_serve_before_join
+
+package mutation
+
+// ServeBeforeJoin lets a sidecar that starts serve by its stored policy before it is in the roster.
+const ServeBeforeJoin = false
--- /dev/null
+++ b/internal/mutation/skip_clock_check_off.go
@@ -0,0 +1,6 @@
+//go:build !mutation_skip_clock_check
+
+package mutation
+
+// SkipClockCheck lets a holder act without checking that its lease has not run out.
+const SkipClockCheck = false
--- /dev/null
+++ b/internal/mutation/take_silence_for_leave_on.go
@@ -0,0 +1,6 @@
+//go:build mutation_take_silence_for_leave
+
+package mutation
+
+// TakeSilenceForLeave lets the leader of a rollout remove a member that has not answered, as if it had left.
+const TakeSilenceForLeave = true
--- a/internal/mutation/unchecked_pause_off.go
+++ /dev/null
@@ -1,6 +0,0 @@
-//go:build !planted_unchecked_pause
-
-package mutation
-
-// UncheckedPause lets a holder act without a look at the clock.
-const UncheckedPause = false
--- a/internal/registry/claim_tracker.go
+++ b/internal/registry/claim_tracker.go
@@ -78,7 +78,7 @@
 	}
 	ttl := time.Duration(claim.TTLMS) * time.Millisecond
 	renewedAt := now
-	if mutation.ForgetfulLeader && !t.synced {
+	if mutation.ShortenLeasesOnElection && !t.synced {
 		renewedAt = now.Add(-ttl * 3 / 4)
 	}
 	t.claims[ref] = trackedClaim{ttl: ttl, renewedAt: renewedAt, granted: granted}
--- a/internal/registry/lease_snapshot.go
+++ b/internal/registry/lease_snapshot.go
@@ -64,7 +64,7 @@
 // group of the same name. Leases of that group may not have run out, which is why a group
 // that was founded to restore into does not grant any yet (grantsClosed).
 func (ls *Leases) keepOverRestore(backup *Leases) {
-	if mutation.RestoredToken {
+	if mutation.RestoreLowerToken {
 		ls.lastToken = backup.lastToken
 		return
 	}
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -168,7 +168,7 @@
 // changes nothing.
 func (ls *Leases) release(c *LeaseCommand) (Result, error) {
 	l := ls.leases[c.Name]
-	if mutation.LooseRelease && l != nil && l.Grant != nil {
+	if mutation.ReleaseAnyGrant && l != nil && l.Grant != nil {
 		c.Claim = l.Grant.Claim
 	}
 	if l == nil || ls.hasEnded(c.Claim.ID) {
@@ -301,7 +301,7 @@
 
 // checkFence returns an error if a command with this fence must be rejected.
 func (ls *Leases) checkFence(f *Fence) error {
-	if f == nil || mutation.FenceOff {
+	if f == nil || mutation.SkipFenceCheck {
 		return nil
 	}
 	l := ls.leases[f.Lease]
@@ -330,7 +330,7 @@
 	if l == nil {
 		return claimStanding{}, reject(ErrClaimEnded, "claim %.64s on %.64s", c.ID, name)
 	}
-	if g := l.Grant; mutation.OldIncarnation && g != nil && g.Name == c.Name {
+	if g := l.Grant; mutation.RenewByOlderIncarnation && g != nil && g.Name == c.Name {
 		return claimStanding{token: g.Token, claimID: g.ID}, nil
 	}
 	r, known, err := l.position(c)
--- a/internal/rollout/commit.go
+++ b/internal/rollout/commit.go
@@ -12,7 +12,7 @@
 	if s.change == nil || c.ChangeNumber != s.change.Number || c.Stage != s.stage {
 		return nil // a repeated call
 	}
-	if names := s.waitingFor(); len(names) > 0 && s.stage != StageCommitted && !mutation.LooseStep {
+	if names := s.waitingFor(); len(names) > 0 && s.stage != StageCommitted && !mutation.AdvanceWithoutAcks {
 		return fmt.Errorf("%w: change %d waits for %d, %s among them", ErrConflict, c.ChangeNumber, len(names), names[0])
 	}
 	switch s.stage {
@@ -35,7 +35,7 @@
 		return
 	}
 	s.stage = StageJoint
-	if mutation.NoJoint {
+	if mutation.SkipJointStage {
 		s.commit(atMS)
 	}
 }
--- a/internal/rollout/follower.go
+++ b/internal/rollout/follower.go
@@ -60,7 +60,7 @@
 // place in the roster it may not: a change may pass that does not wait for it.
 func (f *Follower) Active() (ActivePolicy, bool) {
 	if !f.inRoster {
-		return ActivePolicy{}, mutation.LateRoster
+		return ActivePolicy{}, mutation.ServeBeforeJoin
 	}
 	if f.fatal != nil {
 		return ActivePolicy{}, false
--- a/internal/rollout/leader.go
+++ b/internal/rollout/leader.go
@@ -29,7 +29,7 @@
 		return decideCanary(s, nowMS)
 	case confirmed && s.Stage != StageCommitted && s.Stage != StageCanary:
 		return advanceCommand(s), true
-	case mutation.SilentLeave && nowMS >= (c.StartedMS+c.DeadlineMS)/2 && !confirmed:
+	case mutation.TakeSilenceForLeave && nowMS >= (c.StartedMS+c.DeadlineMS)/2 && !confirmed:
 		return leaveOfSilentMember(s)
 	case s.Stage != StageCommitted && expired:
 		return abortAtDeadline(s), true
--- a/internal/rollout/roster.go
+++ b/internal/rollout/roster.go
@@ -49,7 +49,7 @@
 		return fmt.Errorf("%w: %d are in the roster", ErrLimitReached, len(s.roster))
 	}
 	m := &RosterMember{Member: c.Member, JoinedMS: c.AtMS, Process: c.Process}
-	if mutation.KeptPromise && previous != nil {
+	if mutation.KeepAckOverRestart && previous != nil {
 		m.AckedChange, m.AckedStage = previous.AckedChange, previous.AckedStage
 	}
 	s.roster[c.Member.Name] = m
