--- a/internal/testing/integration/policy_test.go
+++ b/internal/testing/integration/policy_test.go
@@ -116,9 +116,6 @@
 	times []time.Duration // of requests served, since they were asked for last
 }
 
-// ownSlots is what each sidecar's own file lets it have: more than any policy here.
-const ownSlots = 12
-
 func startGoverned(t testing.TB, seed uint64, sidecars int, folder bool, machine string) *governed {
 	t.Helper()
 	o := startObserver(t)
