--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -27,8 +27,8 @@
 
 // Grace is how long a connection is kept while others wait for capacity.
 type Grace struct {
-	FirstByte    time.Duration // from the start until its first byte
-	WholeRequest time.Duration // from a request's first byte until the request is complete
+	FirstByte       time.Duration // from the start until its first byte
+	CompleteRequest time.Duration // from a request's first byte until the request is complete
 }
 
 // Table holds the open connections. It is not safe for concurrent use.
@@ -115,7 +115,7 @@
 	if n := t.silent.Front(); n != nil && now.Sub(n.Value.since) >= t.grace.FirstByte {
 		return n.Value
 	}
-	if n := t.reading.Front(); n != nil && now.Sub(n.Value.since) >= t.grace.WholeRequest {
+	if n := t.reading.Front(); n != nil && now.Sub(n.Value.since) >= t.grace.CompleteRequest {
 		return n.Value
 	}
 	return nil
@@ -128,16 +128,16 @@
 		at = n.Value.since.Add(t.grace.FirstByte)
 	}
 	if n := t.reading.Front(); n != nil {
-		if by := n.Value.since.Add(t.grace.WholeRequest); at.IsZero() || by.Before(at) {
+		if by := n.Value.since.Add(t.grace.CompleteRequest); at.IsZero() || by.Before(at) {
 			at = by
 		}
 	}
 	return at
 }
 
-// SilentOverdue returns how many connections have sent nothing although their grace has ended. It
+// OverdueWithoutByte returns how many connections have sent nothing although their grace has ended. It
 // takes time in proportion to their number.
-func (t *Table[T]) SilentOverdue(now time.Time) (overdue int) {
+func (t *Table[T]) OverdueWithoutByte(now time.Time) (overdue int) {
 	for n := t.silent.Front(); n != nil && now.Sub(n.Value.since) >= t.grace.FirstByte; n = n.Next() {
 		overdue++
 	}
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -15,7 +15,7 @@
 
 var (
 	start = time.Unix(1_700_000_000, 0)
-	grace = Grace{FirstByte: 50 * time.Millisecond, WholeRequest: 200 * time.Millisecond}
+	grace = Grace{FirstByte: 50 * time.Millisecond, CompleteRequest: 200 * time.Millisecond}
 )
 
 func addr(n int) netip.Addr { return netip.AddrFrom4([4]byte{127, 0, byte(n >> 8), byte(n)}) }
@@ -120,7 +120,7 @@
 	for name, c := range map[string]struct {
 		receives bool
 		after    time.Duration
-	}{"silent": {false, grace.FirstByte}, "half a request": {true, grace.WholeRequest}} {
+	}{"silent": {false, grace.FirstByte}, "half a request": {true, grace.CompleteRequest}} {
 		t.Run(name, func(t *testing.T) {
 			tb := New[int](limits(2), grace)
 			kept := open(tb, 0, start)
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -56,14 +56,14 @@
 func (t *healthTask) run(ctx context.Context, handle *lease.Handle) error {
 	timeout := time.Duration(t.config.TimeoutMS) * time.Millisecond
 	p := &prober{
-		healthTask:      t,
-		handle:          handle,
-		registry:        fencedRegistry{t.client, handle},
-		http:            &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true}},
-		timeout:         timeout,
-		interval:        time.Duration(t.config.IntervalMS) * time.Millisecond,
-		failing:         make(map[string]HealthAdvice),
-		probedOutOfTurn: make(map[string]bool),
+		healthTask:  t,
+		handle:      handle,
+		registry:    fencedRegistry{t.client, handle},
+		http:        &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true}},
+		timeout:     timeout,
+		interval:    time.Duration(t.config.IntervalMS) * time.Millisecond,
+		failing:     make(map[string]HealthAdvice),
+		probedEarly: make(map[string]bool),
 	}
 	if err := p.readVersion(ctx); err != nil {
 		return err
@@ -83,11 +83,11 @@
 	http              *http.Client
 	timeout, interval time.Duration
 
-	failing         map[string]HealthAdvice // by host: servers whose last probe failed
-	probedOutOfTurn map[string]bool         // by host: while the suspicion lasts
-	version         uint64                  // of the record
-	published       []string                // the hosts that the record names
-	hasPublished    bool
+	failing      map[string]HealthAdvice // by host: servers whose last probe failed
+	probedEarly  map[string]bool         // by host: while the suspicion lasts
+	version      uint64                  // of the record
+	published    []string                // the hosts that the record names
+	hasPublished bool
 }
 
 // readVersion reads which version the first write replaces. Each write names that version, since
@@ -157,12 +157,12 @@
 			return err
 		}
 		suspected := p.fleet.suspectedServers()
-		maps.DeleteFunc(p.probedOutOfTurn, func(host string, _ bool) bool { return !slices.Contains(suspected, host) })
+		maps.DeleteFunc(p.probedEarly, func(host string, _ bool) bool { return !slices.Contains(suspected, host) })
 		for _, host := range suspected {
-			if !p.ownsServer(host) || p.probedOutOfTurn[host] {
+			if !p.ownsServer(host) || p.probedEarly[host] {
 				continue
 			}
-			p.probedOutOfTurn[host] = true
+			p.probedEarly[host] = true
 			var err error
 			if servers, err = p.probeSuspected(ctx, host, servers); err != nil {
 				return err
--- a/internal/registry/client/watch.go
+++ b/internal/registry/client/watch.go
@@ -22,9 +22,9 @@
 	maxUpdateBytes = 4 << 20
 )
 
-// watch opens a watch at the current address and delivers its updates until it ends; heard
+// watch opens a watch at the current address and delivers its updates until it ends; received
 // reports whether anything arrived. If the watcher has no list it fetches the full one first.
-func (w *Watcher) watch(ctx context.Context, acceptStale bool) (heard bool, err error) {
+func (w *Watcher) watch(ctx context.Context, acceptStale bool) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	timeout := time.AfterFunc(watchTimeout, func() { cancel(errUnresponsive) })
@@ -38,30 +38,30 @@
 		if err := w.fetchFullList(ctx, acceptStale); err != nil {
 			return false, err
 		}
-		heard = true
+		received = true
 		timeout.Stop()
 		if err := w.stagger(ctx); err != nil {
-			return heard, err
+			return received, err
 		}
 		timeout.Reset(watchTimeout) // the watch has its own time, however long the call took
 	}
 	body, err := w.open(ctx, w.url()+"?watch=1&from="+strconv.FormatUint(w.seq, 10), acceptStale)
 	if err != nil {
-		return heard, err
+		return received, err
 	}
 	defer body.Close()
-	return w.readUpdates(body, heard, func() { timeout.Reset(watchTimeout) })
+	return w.readUpdates(body, received, func() { timeout.Reset(watchTimeout) })
 }
 
 // readUpdates delivers the updates of an open watch until it ends. It returns whether
 // anything arrived, now or before; keepAlive is called for each sign of life.
-func (w *Watcher) readUpdates(body io.Reader, heardBefore bool, keepAlive func()) (heard bool, err error) {
-	heard = heardBefore
+func (w *Watcher) readUpdates(body io.Reader, receivedBefore bool, keepAlive func()) (received bool, err error) {
+	received = receivedBefore
 	reader := &watchReader{body: body, budget: maxUpdateBytes, onHeartbeat: func(idle bool) {
 		keepAlive()
 		w.lastMessage = time.Now()
-		if idle && !heard {
-			heard = true
+		if idle && !received {
+			received = true
 			// The watch is open and nothing has changed: the owner learns that its call succeeded.
 			w.options.Deliver(ListUpdate{Seq: w.seq})
 		}
@@ -75,15 +75,15 @@
 				err = fmt.Errorf("%w: %w", errGap, err)
 			}
 			w.hasList = w.hasList && !errors.Is(err, errGap)
-			return heard, err
+			return received, err
 		}
 		if err := w.handleUpdate(text); err != nil {
 			w.hasList = false
-			return heard, err
+			return received, err
 		}
-		heard = true
+		received = true
 		if err := reader.updateDone(updates.Buffered()); err != nil {
-			return heard, err
+			return received, err
 		}
 	}
 }
--- a/internal/registry/server/stream_layer.go
+++ b/internal/registry/server/stream_layer.go
@@ -19,9 +19,9 @@
 const (
 	// handshakeProtocol is the first word on each connection between replicas.
 	handshakeProtocol = "barleywick-registry/1"
-	// An accepted handshake is answered with acceptWord and a handshake line, another one
-	// with refuseWord and the reason.
-	acceptWord, refuseWord = "ok ", "no "
+	// An accepted handshake is answered with acceptPrefix and a handshake line, another one
+	// with refusePrefix and the reason.
+	acceptPrefix, refusePrefix = "ok ", "no "
 
 	handshakeTimeout = time.Second
 	maxHandshakeLine = 512 // bytes
@@ -101,10 +101,10 @@
 		return err
 	}
 	if err := l.checkHandshake(line); err != nil {
-		fmt.Fprintf(conn, "%s%v\n", refuseWord, err)
+		fmt.Fprintf(conn, "%s%v\n", refusePrefix, err)
 		return err
 	}
-	if _, err := fmt.Fprintf(conn, "%s%s\n", acceptWord, l.handshakeLine()); err != nil {
+	if _, err := fmt.Fprintf(conn, "%s%s\n", acceptPrefix, l.handshakeLine()); err != nil {
 		return err
 	}
 	return conn.SetDeadline(time.Time{})
@@ -120,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	line, ok := strings.CutPrefix(answer, acceptWord)
+	line, ok := strings.CutPrefix(answer, acceptPrefix)
 	if !ok {
 		return fmt.Errorf("replica at %s: %s", to, answer)
 	}
--- a/internal/rollout/leader.go
+++ b/internal/rollout/leader.go
@@ -30,7 +30,7 @@
 	case confirmed && s.Stage != StageCommitted && s.Stage != StageCanary:
 		return advanceCommand(s), true
 	case mutation.TakeSilenceForLeave && nowMS >= (c.StartedMS+c.DeadlineMS)/2 && !confirmed:
-		return leaveOfSilentMember(s)
+		return leaveOfUnresponsiveMember(s)
 	case s.Stage != StageCommitted && expired:
 		return abortAtDeadline(s), true
 	}
@@ -64,8 +64,8 @@
 	return Command{Op: OpAbort, ChangeNumber: s.Change.Number, By: byDeadline, Reason: reason}
 }
 
-// leaveOfSilentMember takes silence for leaving, which no build but a mutation does.
-func leaveOfSilentMember(s Status) (Command, bool) {
+// leaveOfUnresponsiveMember takes silence for leaving, which no build but a mutation does.
+func leaveOfUnresponsiveMember(s Status) (Command, bool) {
 	for _, m := range s.Roster {
 		if m.Name == s.WaitingFor[0] {
 			return Command{Op: OpLeave, Member: m.Member}, true
--- a/internal/sidecar/client_admission.go
+++ b/internal/sidecar/client_admission.go
@@ -17,8 +17,8 @@
 	// firstByteGrace is how long a new connection does not count as silent: its first bytes may be
 	// on their way.
 	firstByteGrace = 50 * time.Millisecond
-	// wholeRequestGrace is how long a request may take to arrive whole while others wait for admission.
-	wholeRequestGrace = 200 * time.Millisecond
+	// completeRequestGrace is how long a request may take to arrive whole while others wait for admission.
+	completeRequestGrace = 200 * time.Millisecond
 	// maxAdmissionWait is how long a connection may wait for admission before it is refused: longer
 	// than any grace period, and short compared with a client's timeout.
 	maxAdmissionWait = 500 * time.Millisecond
@@ -173,7 +173,7 @@
 	if err != nil {
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			l.count.SilentTimeouts++
+			l.count.HeaderTimeouts++
 		case errors.Is(err, errClientVanished):
 			l.count.ClosedByClient++
 		}
--- a/internal/sidecar/client_counters.go
+++ b/internal/sidecar/client_counters.go
@@ -17,7 +17,7 @@
 	EvictedIdle       uint64 `json:"GivenUpIdle"`   // evicted while idle
 	EvictedUnfinished uint64 `json:"GivenUpSilent"` // evicted without a whole request in the grace period
 	IdleOverLimit     uint64 `json:"OverIdle"`      // closed because of the limit on idle connections
-	SilentTimeouts    uint64 `json:"Silent"`        // closed without a byte within the header timeout
+	HeaderTimeouts    uint64 `json:"Silent"`        // closed without a byte within the header timeout
 	ClosedByClient    uint64 `json:"Vanished"`      // closed by the client before its first byte
 	Drained           uint64 `json:"Drained"`       // closed by a graceful shutdown while idle
 	PartialRefused    uint64 `json:"Dismissed"`     // of those closed here: over a partial request, refused before
@@ -62,5 +62,5 @@
 func (l *limitedListener) possiblyActive() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.alive - l.table.SilentOverdue(time.Now())
+	return l.alive - l.table.OverdueWithoutByte(time.Now())
 }
--- a/internal/sidecar/client_listener.go
+++ b/internal/sidecar/client_listener.go
@@ -53,7 +53,7 @@
 }
 
 func newLimitedListener(inner net.Listener, limits config.ClientLimits) *limitedListener {
-	grace := admission.Grace{FirstByte: firstByteGrace, WholeRequest: wholeRequestGrace}
+	grace := admission.Grace{FirstByte: firstByteGrace, CompleteRequest: completeRequestGrace}
 	l := &limitedListener{
 		inner:       inner,
 		ready:       make(chan *clientConn),
--- a/internal/sidecar/client_listener_test.go
+++ b/internal/sidecar/client_listener_test.go
@@ -299,7 +299,7 @@
 	sidecartest.Eventually(t, "both are closed", func() bool {
 		return l.openConns() == 0 && func() bool { n, _ := l.counters(); return n.Accepted == 2 }()
 	})
-	if n, _ := l.counters(); n.SilentTimeouts != 1 || n.ClosedByClient != 1 || n.Admitted != 2 {
+	if n, _ := l.counters(); n.HeaderTimeouts != 1 || n.ClosedByClient != 1 || n.Admitted != 2 {
 		t.Errorf("got %+v, want one silent and one vanished", n)
 	}
 }
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -20,14 +20,14 @@
 
 // endpoint is a booking server of the endpoint list.
 type endpoint struct {
-	id            policy.ServerID
-	entry         client.Endpoint // as the list has it
-	server        *upstream.Server
-	startedAt     time.Duration   // on the balancer's clock
-	probes        []*pendingProbe // in the order in which the balancer asked for them
-	inFlight      int             // attempts
-	silentInARow  int             // attempts that ended without a sign of life, since one got a response
-	drainingSince time.Duration   // 0: it does not drain
+	id                  policy.ServerID
+	entry               client.Endpoint // as the list has it
+	server              *upstream.Server
+	startedAt           time.Duration   // on the balancer's clock
+	probes              []*pendingProbe // in the order in which the balancer asked for them
+	inFlight            int             // attempts
+	consecutiveTimeouts int             // attempts that ended without a sign of life, since one got a response
+	drainingSince       time.Duration   // 0: it does not drain
 }
 
 // pendingProbe is a probe that was asked for. Its result waits for those before it.
--- a/internal/sidecar/membership.go
+++ b/internal/sidecar/membership.go
@@ -53,19 +53,19 @@
 	}
 }
 
-// noteSilence notes how an attempt at an endpoint ended, and tells the fleet of an endpoint that is
+// recordAttemptEnd notes how an attempt at an endpoint ended, and tells the fleet of an endpoint that is
 // unresponsive.
-func (l *eventLoop) noteSilence(e *endpoint, ending policy.Ending) {
+func (l *eventLoop) recordAttemptEnd(e *endpoint, ending policy.Ending) {
 	switch ending {
 	case policy.Cancelled, policy.NotSent: // says nothing of the server
 		return
 	case policy.TimedOut, policy.NoConnection:
-		e.silentInARow++
+		e.consecutiveTimeouts++
 	default:
-		e.silentInARow = 0
+		e.consecutiveTimeouts = 0
 	}
-	if e.silentInARow == unresponsiveAfter && l.fleet.member != nil {
+	if e.consecutiveTimeouts == unresponsiveAfter && l.fleet.member != nil {
 		l.fleet.member.ReportUnresponsive(e.entry.Host)
-		e.silentInARow = 0 // the fleet is notified again after as many more
+		e.consecutiveTimeouts = 0 // the fleet is notified again after as many more
 	}
 }
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -162,7 +162,7 @@
 	r.inFlight--
 	if e := a.endpoint; e != nil {
 		e.inFlight--
-		l.noteSilence(e, ending)
+		l.recordAttemptEnd(e, ending)
 		l.logDrained(e)
 	}
 	r.lastTimedOut = ending == policy.TimedOut
--- a/internal/sidecar/upstream/dial.go
+++ b/internal/sidecar/upstream/dial.go
@@ -67,7 +67,7 @@
 	}
 	p.count.Opened++
 	server.growDialWindow()
-	server.connectedAt, server.heardAt = now, now
+	server.connectedAt, server.lastResponseAt = now, now
 	c := &Conn{Conn: nc, server: server, idleSince: now}
 	c.inServer.Value, c.inPool.Value = c, c
 	server.noteInUse(now)
--- a/internal/sidecar/upstream/duplicates.go
+++ b/internal/sidecar/upstream/duplicates.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// responsesKept is how many responses of all connections are compared with a new one.
-	responsesKept = 64
+	// comparedResponses is how many responses of all connections are compared with a new one.
+	comparedResponses = 64
 	// distinctRunNeeded is how many responses in a row must differ from those of other connections
 	// before equal ones count as duplicates.
 	distinctRunNeeded = 8
@@ -21,10 +21,10 @@
 // an earlier one of its own connection is that response once more, and answers no request.
 type duplicateDetector struct {
 	seed        maphash.Seed
-	ring        [responsesKept]uint64 // hashes of the last responses
-	next        int                   // index in ring
-	occurrences map[uint64]int        // of each hash in ring
-	distinctRun int                   // responses since the last that equalled another connection's
+	ring        [comparedResponses]uint64 // hashes of the last responses
+	next        int                       // index in ring
+	occurrences map[uint64]int            // of each hash in ring
+	distinctRun int                       // responses since the last that equalled another connection's
 }
 
 // recentResponses are the hashes of a connection's last responses; 0 is none.
@@ -44,7 +44,7 @@
 		return 0
 	}
 	if d.occurrences == nil {
-		d.seed, d.occurrences = maphash.MakeSeed(), make(map[uint64]int, responsesKept)
+		d.seed, d.occurrences = maphash.MakeSeed(), make(map[uint64]int, comparedResponses)
 	}
 	return max(1, maphash.Bytes(d.seed, body))
 }
@@ -72,7 +72,7 @@
 	}
 	d.ring[d.next] = hash
 	d.occurrences[hash]++
-	d.next = (d.next + 1) % responsesKept
+	d.next = (d.next + 1) % comparedResponses
 	return false
 }
 
--- a/internal/sidecar/upstream/server.go
+++ b/internal/sidecar/upstream/server.go
@@ -28,9 +28,9 @@
 	dialing     int                 // handshakes in progress
 	dialWindow  int                 // how many handshakes may be in progress: see growDialWindow
 
-	connectedAt time.Time // of the last connection
-	heardAt     time.Time // of the last complete response or new connection
-	surplusAt   time.Time // of the last surplus response
+	connectedAt    time.Time // of the last connection
+	lastResponseAt time.Time // of the last complete response or new connection
+	surplusAt      time.Time // of the last surplus response
 
 	peak         int // most connections in use at once, in the current demand window
 	previousPeak int // and in the one before
--- a/internal/sidecar/upstream/server_states.go
+++ b/internal/sidecar/upstream/server_states.go
@@ -10,7 +10,7 @@
 // noteResponse records that a complete response came from a server.
 func (p *Pool) noteResponse(server *Server) {
 	p.mu.Lock()
-	server.heardAt = time.Now()
+	server.lastResponseAt = time.Now()
 	p.mu.Unlock()
 }
 
@@ -28,7 +28,7 @@
 // good, and a request written to it may never be repeated. If another response came meanwhile, only
 // that one request was slow, and the connections are kept.
 func (p *Pool) closeUnresponsiveLocked(server *Server, since time.Time) {
-	if !server.heardAt.After(since) {
+	if !server.lastResponseAt.After(since) {
 		p.closeUnusedLocked(server, &p.count.Unresponsive)
 	}
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -164,7 +164,7 @@
 	s.health.recovered()
 	s.answeredAt = now
 	s.ejection = ejection{}
-	s.heardFrom(now)
+	s.recordArrival(now)
 	// All balancers are notified at once, and their first sends together would overload it.
 	firstSend := time.Duration(b.rng.Float64() * float64(b.slowStartInterval(now, s)))
 	s.slowStart.nextSend = now + firstSend
--- a/policy/listpoll.go
+++ b/policy/listpoll.go
@@ -21,8 +21,8 @@
 	movedNotificationDeadline = 4 * time.Second
 	// pollDuration is the time that a call and a tick take.
 	pollDuration = 1100 * time.Millisecond
-	// silenceNoticeTime is how long it takes to notice that a watch or a call is unresponsive.
-	silenceNoticeTime = 3 * time.Second
+	// unresponsiveAfter is how long it takes to notice that a watch or a call is unresponsive.
+	unresponsiveAfter = 3 * time.Second
 	// firstPollWithin bounds the first call after a subscription was broken off: changes that it did not
 	// deliver count as notified 2 s later, unless a call was rejected by then.
 	firstPollWithin = 1700 * time.Millisecond
@@ -69,7 +69,7 @@
 	staleSince := now
 	switch {
 	case loss.Unresponsive:
-		staleSince -= silenceNoticeTime
+		staleSince -= unresponsiveAfter
 	case loss.Moved:
 		staleSince -= notificationDeadline - movedNotificationDeadline
 	case loss.Reached:
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -39,7 +39,7 @@
 	}
 	b.observeQueueing(now, r, s, took, end)
 	if end == Served || end == Errored || end == Rejected {
-		s.heardFrom(now)
+		s.recordArrival(now)
 	}
 	switch end {
 	case Served:
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -219,7 +219,7 @@
 	if s.unresponsive { // only an answer to a request takes back any other evidence
 		b.markHealthy(now, s)
 	}
-	s.heardFrom(now)
+	s.recordArrival(now)
 	s.learnLoad(now, report)
 	if now >= s.slowStart.warmAt {
 		b.learnCapacity(s, report)
--- a/policy/unresponsive.go
+++ b/policy/unresponsive.go
@@ -21,10 +21,10 @@
 
 // zone is what is known of the servers of a zone together.
 type zone struct {
-	heardAt    time.Duration // when something last came from one of them
-	suspected  bool          // nothing arrives any more
-	probeAt    time.Duration // when the next probe is due while suspected
-	unanswered int           // attempts that have waited too long; used by suspectZones
+	lastArrivalAt time.Duration // when something last came from one of them
+	suspected     bool          // nothing arrives any more
+	probeAt       time.Duration // when the next probe is due while suspected
+	unanswered    int           // attempts that have waited too long; used by suspectZones
 }
 
 // unresponsiveProbes is the state of the probes at unresponsive servers.
@@ -40,9 +40,9 @@
 	})
 }
 
-// heardFrom takes that anything arrived from a server.
-func (s *server) heardFrom(now time.Duration) {
-	s.zone.heardAt, s.zone.suspected = now, false
+// recordArrival takes that anything arrived from a server.
+func (s *server) recordArrival(now time.Duration) {
+	s.zone.lastArrivalAt, s.zone.suspected = now, false
 	s.unresponsive = false
 }
 
@@ -66,7 +66,7 @@
 		for i := range r.attempts {
 			a := &r.attempts[i]
 			z := a.server.zone
-			if a.state != inFlight || z.heardAt > a.sentAt || now-a.sentAt < wait {
+			if a.state != inFlight || z.lastArrivalAt > a.sentAt || now-a.sentAt < wait {
 				continue
 			}
 			z.unanswered++
