--- a/internal/testing/integration/torture_test.go
+++ b/internal/testing/integration/torture_test.go
@@ -38,6 +38,9 @@
 		for _, l := range rep.Timeline {
 			t.Logf("%9.3f %s %s", l.At.Seconds(), l.Kind, l.Text)
 		}
+		for name, log := range rep.Logs {
+			t.Logf("the end of %s's log:\n%s", name, log)
+		}
 	}
 	for what, least := range map[string]uint64{"faults": 2, "grants": 10, "requests that ran": 300, "calls on records": 30, "promises at rest": 7, "processes that ended in order": 9} {
 		if rep.Counts[what] < least {
