--- a/internal/lease/model/model_test.go
+++ b/internal/lease/model/model_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// long is set for the modes that take minutes; the README names the command.
+// long is set for the modes that take minutes; docs/TESTING.md names the command.
 var long = os.Getenv("BARLEYWICK_LONG") != ""
 
 // searchSetups are the worlds that are searched. A time to live of two ticks is the
--- a/internal/rollout/model/model_test.go
+++ b/internal/rollout/model/model_test.go
@@ -7,7 +7,7 @@
 	"barleywick/internal/testing/modelcheck"
 )
 
-// long is set for the modes that take minutes; the README names the command.
+// long is set for the modes that take minutes; docs/TESTING.md names the command.
 var long = os.Getenv("BARLEYWICK_LONG") != ""
 
 // searchSetups are the worlds that are searched.
--- a/internal/testing/integration/lease_test.go
+++ b/internal/testing/integration/lease_test.go
@@ -77,7 +77,7 @@
 		}
 		t.Logf("seed %d: %d faults %v; judged: %+v", seed, len(s), r.Injected, j)
 		if t.Failed() {
-			t.Fatalf("to play it again: %s='%v' go test -run '^%s$' ./internal/systemtest", scheduleVariable, shrunk(t, s), t.Name())
+			t.Fatalf("to play it again: %s='%v' go test -run '^%s$' ./internal/testing/integration", scheduleVariable, shrunk(t, s), t.Name())
 		}
 		for _, p := range r.Processes {
 			p.Kill()
--- a/internal/testing/integration/rig_test.go
+++ b/internal/testing/integration/rig_test.go
@@ -33,7 +33,7 @@
 	"barleywick/internal/testing/linearizability"
 )
 
-// long is set for the modes that take minutes; the README names the command.
+// long is set for the modes that take minutes; docs/TESTING.md names the command.
 var long = os.Getenv("BARLEYWICK_LONG") != ""
 
 const (
