--- a/internal/testing/localfleet/bookingserver.go
+++ b/internal/testing/localfleet/bookingserver.go
@@ -316,10 +316,30 @@
 
 // freeAddr returns an address that nothing listens on.
 func freeAddr() (string, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	addrs, err := freeAddrs(1)
 	if err != nil {
-		return "", fmt.Errorf("no free port was found: %w", err)
+		return "", err
+	}
+	return addrs[0], nil
+}
+
+// freeAddrs returns n different addresses that nothing listens on. Each is held until
+// all are picked: the kernel may give out again a port that was let go.
+func freeAddrs(n int) ([]string, error) {
+	var held []net.Listener
+	defer func() {
+		for _, ln := range held {
+			_ = ln.Close()
+		}
+	}()
+	addrs := make([]string, n)
+	for i := range addrs {
+		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			return nil, fmt.Errorf("no free port was found: %w", err)
+		}
+		held = append(held, ln)
+		addrs[i] = ln.Addr().String()
 	}
-	defer ln.Close()
-	return ln.Addr().String(), nil
+	return addrs, nil
 }
--- a/internal/testing/localfleet/localfleet.go
+++ b/internal/testing/localfleet/localfleet.go
@@ -215,15 +215,14 @@
 // they serve. Their own connections go over links.
 func (l *localFleet) startRegistry(ctx, life context.Context) (discovery []string, err error) {
 	members := make([]registry.ReplicaInfo, l.replicas)
+	addrs, err := freeAddrs(2 * len(members)) // one for HTTP and one for Raft
+	if err != nil {
+		return nil, err
+	}
 	for i := range members {
 		m := &members[i]
 		m.ID = fmt.Sprint("r", i)
-		if m.HTTP, err = freeAddr(); err != nil {
-			return nil, err
-		}
-		if m.Raft, err = freeAddr(); err != nil {
-			return nil, err
-		}
+		m.HTTP, m.Raft = addrs[2*i], addrs[2*i+1]
 		discovery = append(discovery, m.HTTP)
 	}
 	ended := make(chan error, len(members))
