--- a/internal/controller/compat_test.go
+++ b/internal/controller/compat_test.go
@@ -14,28 +14,17 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"barleywick/internal/registry"
+	"barleywick/internal/testing/fixture"
 )
 
-// fixtures holds files that revision 396a775 wrote and read.
-const fixtures = "testdata/396a775"
-
-func fixture(t *testing.T, name string) []byte {
-	t.Helper()
-	text, err := os.ReadFile(filepath.Join(fixtures, name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return text
-}
-
 // A configuration file is read to the values that revision 396a775 read.
 func TestConfigurationsOf396a775(t *testing.T) {
 	for _, name := range []string{"example", "all-keys", "minimal"} {
-		c, err := ParseConfig(fixture(t, name+".toml"))
+		c, err := ParseConfig(fixture.Read(t, name+".toml"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		want := fixture(t, name+".read.toml")
+		want := fixture.Read(t, name+".read.toml")
 		if got, err := toml.Marshal(c); err != nil || string(got) != string(want) {
 			t.Errorf("%s: got %s, %v, want %s", name, got, err, want)
 		}
@@ -44,7 +33,7 @@
 
 // Tasks keep the names of their leases, which other processes of the fleet claim too.
 func TestLeasesOf396a775(t *testing.T) {
-	c, err := LoadConfig(filepath.Join(fixtures, "all-keys.toml"))
+	c, err := LoadConfig(filepath.Join(fixture.Folder, "all-keys.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +44,7 @@
 }
 
 func TestHealthAdviceOf396a775(t *testing.T) {
-	text := fixture(t, "health-advice.json")
+	text := fixture.Read(t, "health-advice.json")
 	var got map[string]HealthAdvice
 	if err := json.Unmarshal(text, &got); err != nil {
 		t.Fatal(err)
@@ -72,7 +61,7 @@
 // The folder of revision 396a775 is read, fenced by the token that it holds, and gone on with.
 func TestBackupOf396a775(t *testing.T) {
 	dir := t.TempDir()
-	if err := os.CopyFS(dir, os.DirFS(filepath.Join(fixtures, "copies"))); err != nil {
+	if err := os.CopyFS(dir, os.DirFS(filepath.Join(fixture.Folder, "copies"))); err != nil {
 		t.Fatal(err)
 	}
 	folder := &BackupFolder{Dir: dir, Keep: 2}
@@ -107,7 +96,7 @@
 	}
 	for _, file := range []struct{ was, is string }{{before[1], after[1]}, {before[1] + ".sha256", after[1] + ".sha256"}} {
 		text, err := os.ReadFile(filepath.Join(dir, file.is))
-		if want := strings.ReplaceAll(string(fixture(t, filepath.Join("copies", file.was))), before[1], after[1]); err != nil || string(text) != want {
+		if want := strings.ReplaceAll(string(fixture.Read(t, filepath.Join("copies", file.was))), before[1], after[1]); err != nil || string(text) != want {
 			t.Errorf("%s: got %q, %v, want %q", file.is, text, err, want)
 		}
 	}
@@ -118,7 +107,7 @@
 
 // A copy of revision 396a775 is restored into a new group.
 func TestCopyOf396a775IsRestored(t *testing.T) {
-	backup, err := ReadBackup(filepath.Join(fixtures, "copies", "registry-20270115T081000.000000Z.json"))
+	backup, err := ReadBackup(filepath.Join(fixture.Folder, "copies", "registry-20270115T081000.000000Z.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/drain/compat_test.go
+++ b/internal/drain/compat_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"os"
 	"path/filepath"
 	"reflect"
 	"strings"
@@ -13,20 +12,9 @@
 	"time"
 
 	"barleywick/internal/registry"
+	"barleywick/internal/testing/fixture"
 )
 
-// fixtures holds records and configuration files that revision 396a775 wrote and read.
-const fixtures = "testdata/396a775"
-
-func fixture(t *testing.T, name string) []byte {
-	t.Helper()
-	text, err := os.ReadFile(filepath.Join(fixtures, name+".json"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return text
-}
-
 const (
 	fixtureStartMS = 1_800_000_000_000
 	fixtureSeq     = 1_843_200_000_000_007
@@ -82,7 +70,7 @@
 		},
 	}
 	for name, want := range want {
-		text := fixture(t, name)
+		text := fixture.Read(t, name+".json")
 		var got map[string]Drain
 		if err := json.Unmarshal(text, &got); err != nil {
 			t.Fatal(err)
@@ -100,7 +88,7 @@
 func worldOf396a775(t *testing.T, name string, d Drain) *world {
 	t.Helper()
 	w := newWorld(t)
-	w.apply(registry.Command{Op: registry.OpPutRecord, Key: RecordKey, Value: fixture(t, name)})
+	w.apply(registry.Command{Op: registry.OpPutRecord, Key: RecordKey, Value: fixture.Read(t, name+".json")})
 	for draining := true; w.state.Seq() < d.Seq; draining = !draining {
 		w.apply(registry.Command{Op: registry.OpMark, Hosts: d.Hosts, MarkedBy: "drain:m-1", Draining: draining})
 	}
@@ -168,11 +156,11 @@
 // A configuration file of fleetctl is read to the values that revision 396a775 read.
 func TestConfigurationsOf396a775(t *testing.T) {
 	for _, name := range []string{"fleetctl", "fleetctl-minimal"} {
-		c, err := LoadConfig(filepath.Join(fixtures, name+".json"))
+		c, err := LoadConfig(filepath.Join(fixture.Folder, name+".json"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		want := fixture(t, name+".read")
+		want := fixture.Read(t, name+".read.json")
 		if got, err := json.Marshal(c); err != nil || string(got) != string(want) {
 			t.Errorf("%s: got %s, %v, want %s", name, got, err, want)
 		}
--- a/internal/lease/compatibility_test.go
+++ b/internal/lease/compatibility_test.go
@@ -5,13 +5,13 @@
 	"bytes"
 	"encoding/json"
 	"errors"
-	"os"
 	"reflect"
 	"strings"
 	"testing"
 	"time"
 
 	"barleywick/internal/registry"
+	"barleywick/internal/testing/fixture"
 )
 
 // The files in testdata/396a775 were written by the code of that commit.
@@ -71,10 +71,7 @@
 }
 
 func TestSessionsDecideAsEarlierVersion(t *testing.T) {
-	text, err := os.ReadFile("testdata/396a775/sessions.jsonl")
-	if err != nil {
-		t.Fatal(err)
-	}
+	text := fixture.Read(t, "sessions.jsonl")
 	var s *Session
 	claim, steps := -1, 0
 	for lines := bufio.NewScanner(bytes.NewReader(text)); lines.Scan(); steps++ {
@@ -98,10 +95,7 @@
 }
 
 func TestMessagesOfEarlierVersion(t *testing.T) {
-	text, err := os.ReadFile("testdata/396a775/messages.json")
-	if err != nil {
-		t.Fatal(err)
-	}
+	text := fixture.Read(t, "messages.json")
 	var messages map[string]json.RawMessage
 	if err := json.Unmarshal(text, &messages); err != nil {
 		t.Fatal(err)
--- a/internal/membership/compatibility_test.go
+++ b/internal/membership/compatibility_test.go
@@ -1,9 +1,9 @@
 package membership
 
 import (
-	"os"
-	"path/filepath"
 	"testing"
+
+	"barleywick/internal/testing/fixture"
 )
 
 // Node metadata as version 396a775 writes it is read, and written with the same bytes.
@@ -15,10 +15,7 @@
 		},
 		"node_meta_minimal.json": {Name: "s1", Incarnation: 11, Role: RoleSidecar},
 	} {
-		text, err := os.ReadFile(filepath.Join("testdata", "396a775", file))
-		if err != nil {
-			t.Fatal(err)
-		}
+		text := fixture.Read(t, file)
 		if got, err := DecodeInfo(text); err != nil || got != want {
 			t.Errorf("%s: got %+v (%v), want %+v", file, got, err, want)
 		}
--- a/internal/overload/compat_test.go
+++ b/internal/overload/compat_test.go
@@ -2,22 +2,16 @@
 
 import (
 	"encoding/json"
-	"os"
-	"path/filepath"
 	"reflect"
 	"testing"
-)
 
-// fixtures holds messages that revision 396a775 wrote.
-const fixtures = "testdata/396a775"
+	"barleywick/internal/testing/fixture"
+)
 
 // readFixture decodes a message into got, and checks that it is encoded as it was.
 func readFixture(t *testing.T, name string, got any) {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(fixtures, name+".json"))
-	if err != nil {
-		t.Fatal(err)
-	}
+	text := fixture.Read(t, name+".json")
 	if err := json.Unmarshal(text, got); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/registry/compatibility_test.go
+++ b/internal/registry/compatibility_test.go
@@ -3,33 +3,28 @@
 import (
 	"bytes"
 	"encoding/json"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
 	"time"
 
 	"barleywick/internal/rollout"
+	"barleywick/internal/testing/fixture"
 )
 
 // The files of testdata/396a775 were written by the code of that commit: the
 // commands of a Raft log, what each came to, snapshots of the state between them,
 // and a body of each message of the API. What is stored and sent has to stay so.
 
-// fixture reads a file of that commit, without its line break.
-func fixture(t testing.TB, name string) []byte {
+// readTrimmed reads a file of that commit, without its line break.
+func readTrimmed(t testing.TB, name string) []byte {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", "396a775", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return bytes.TrimSuffix(text, []byte("\n"))
+	return bytes.TrimSuffix(fixture.Read(t, name), []byte("\n"))
 }
 
-func fixtureLines(t testing.TB, name string) []string {
+func readLines(t testing.TB, name string) []string {
 	t.Helper()
-	return strings.Split(string(fixture(t, name)), "\n")
+	return strings.Split(string(readTrimmed(t, name)), "\n")
 }
 
 // recordedResult is what a command came to. Change is what a watcher was told of it.
@@ -48,8 +43,8 @@
 func replay(t testing.TB, stop func(Command) bool) *State {
 	t.Helper()
 	s := NewState()
-	results := fixtureLines(t, "results.jsonl")
-	for i, line := range fixtureLines(t, "commands.jsonl") {
+	results := readLines(t, "results.jsonl")
+	for i, line := range readLines(t, "commands.jsonl") {
 		var c Command
 		if err := json.Unmarshal([]byte(line), &c); err != nil {
 			t.Fatalf("command %d: %v", i, err)
@@ -91,7 +86,7 @@
 
 func TestRecordedCommandsAreReadAndWritten(t *testing.T) {
 	seen := make(map[Op]bool)
-	for i, line := range fixtureLines(t, "commands.jsonl") {
+	for i, line := range readLines(t, "commands.jsonl") {
 		var c Command
 		if err := json.Unmarshal([]byte(line), &c); err != nil {
 			t.Fatalf("command %d: %v", i, err)
@@ -119,18 +114,18 @@
 		"state_restored.json": nil,
 	} {
 		s := replay(t, stop)
-		if got, want := marshal(t, s), fixture(t, name); !bytes.Equal(got, want) {
+		if got, want := marshal(t, s), readTrimmed(t, name); !bytes.Equal(got, want) {
 			t.Errorf("%s:\ngot  %s\nwant %s", name, got, want)
 		}
 	}
-	if got, want := marshal(t, replay(t, nil).FullList()), fixture(t, "list.json"); !bytes.Equal(got, want) {
+	if got, want := marshal(t, replay(t, nil).FullList()), readTrimmed(t, "list.json"); !bytes.Equal(got, want) {
 		t.Errorf("the list:\ngot  %s\nwant %s", got, want)
 	}
 }
 
 func TestRecordedSnapshotsAreReadAndWritten(t *testing.T) {
 	for _, name := range []string{"backup.json", "state.json", "state_restored.json", "state_without_leases.json"} {
-		text := fixture(t, name)
+		text := readTrimmed(t, name)
 		s := NewState()
 		if err := json.Unmarshal(text, s); err != nil {
 			t.Errorf("%s: %v", name, err)
@@ -148,7 +143,7 @@
 // A snapshot from before there were leases and a policy is read as one with none.
 func TestSnapshotWithoutLeasesIsRead(t *testing.T) {
 	var parts map[string]json.RawMessage
-	if err := json.Unmarshal(fixture(t, "state.json"), &parts); err != nil {
+	if err := json.Unmarshal(readTrimmed(t, "state.json"), &parts); err != nil {
 		t.Fatal(err)
 	}
 	delete(parts, "leases")
@@ -157,7 +152,7 @@
 	if err := json.Unmarshal(marshal(t, parts), s); err != nil {
 		t.Fatal(err)
 	}
-	if got, want := marshal(t, s), fixture(t, "state_without_leases.json"); !bytes.Equal(got, want) {
+	if got, want := marshal(t, s), readTrimmed(t, "state_without_leases.json"); !bytes.Equal(got, want) {
 		t.Errorf("got  %s\nwant %s", got, want)
 	}
 }
@@ -166,7 +161,7 @@
 // inverse of writing.
 func TestContentsOfARecordedSnapshot(t *testing.T) {
 	s := NewState()
-	if err := json.Unmarshal(fixture(t, "state.json"), s); err != nil {
+	if err := json.Unmarshal(readTrimmed(t, "state.json"), s); err != nil {
 		t.Fatal(err)
 	}
 	if s.Group() != "prenota-nord" || s.FirstVersion() != 1843200002048000 || s.Seq() != 1843200002048014 {
@@ -253,7 +248,7 @@
 		"leases": func() any { return new(LeasesResponse) }, "member": func() any { return new(ReplicaInfo) }, "status": func() any { return new(StatusResponse) },
 	}
 	seen := make(map[string]bool)
-	for _, line := range fixtureLines(t, "api.jsonl") {
+	for _, line := range readLines(t, "api.jsonl") {
 		var x struct {
 			Name string          `json:"name"`
 			Body json.RawMessage `json:"body"`
--- a/internal/registry/server/compat_api_test.go
+++ b/internal/registry/server/compat_api_test.go
@@ -14,6 +14,7 @@
 	"testing"
 
 	"barleywick/internal/registry"
+	"barleywick/internal/testing/fixture"
 )
 
 // foundedAt is the version at which the group of a replica was founded.
@@ -360,7 +361,7 @@
 	if *record {
 		writeFixture(t, "answers.txt", []byte(answersOfVersion(t, *earlierProgram)))
 	}
-	want := strings.SplitAfter(string(readFixture(t, "answers.txt")), "=== ")
+	want := strings.SplitAfter(fixture.ReadString(t, "answers.txt"), "=== ")
 	got := strings.SplitAfter(answersOfVersion(t, ""), "=== ")
 	if len(got) != len(want) {
 		t.Errorf("%d answers, want %d", len(got), len(want))
--- a/internal/registry/server/compat_data_test.go
+++ b/internal/registry/server/compat_data_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"barleywick/internal/registry"
+	"barleywick/internal/testing/fixture"
 )
 
 const (
@@ -151,7 +152,7 @@
 func unpackData(t testing.TB) (data string) {
 	t.Helper()
 	data = filepath.Join(t.TempDir(), "data")
-	packed := filepath.Join(fixtures, "data")
+	packed := filepath.Join(fixture.Folder, "data")
 	err := filepath.WalkDir(packed, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -206,7 +207,7 @@
 		t.Errorf("it leads in term %d, want one after %d", term, earlierTerm)
 	}
 	base := "http://" + m.HTTP + registry.APIPath
-	want := string(readFixture(t, "backup.json"))
+	want := fixture.ReadString(t, "backup.json")
 	if _, _, got := get(t, base+"backup?linearizable=1"); got != want {
 		t.Errorf("the state:\n%s\nwant\n%s", got, want)
 	}
--- a/internal/registry/server/compat_peers_test.go
+++ b/internal/registry/server/compat_peers_test.go
@@ -17,6 +17,7 @@
 	"github.com/hashicorp/raft"
 
 	"barleywick/internal/registry"
+	"barleywick/internal/testing/fixture"
 )
 
 // peerRecord is what an earlier leader and an earlier replica that joined it said to each other.
@@ -167,7 +168,7 @@
 
 func readPeers(t testing.TB) (r peerRecord) {
 	t.Helper()
-	if err := json.Unmarshal(readFixture(t, "peers.json"), &r); err != nil {
+	if err := json.Unmarshal(fixture.Read(t, "peers.json"), &r); err != nil {
 		t.Fatal(err)
 	}
 	return r
--- a/internal/registry/server/compat_test.go
+++ b/internal/registry/server/compat_test.go
@@ -15,6 +15,7 @@
 	"testing"
 
 	"barleywick/internal/registry"
+	"barleywick/internal/testing/fixture"
 )
 
 // Data and messages of an earlier version have to stay readable. What stands in
@@ -28,11 +29,8 @@
 	record         = flag.Bool("record", false, "write the fixtures anew with that program")
 )
 
-const (
-	fixtures = "testdata/396a775"
-	// processVariable makes the test binary a replica: it names the configuration.
-	processVariable = "REGISTRY_TEST_CONFIG"
-)
+// processVariable makes the test binary a replica: it names the configuration.
+const processVariable = "REGISTRY_TEST_CONFIG"
 
 // runReplica is what cmd/registry does.
 func runReplica(config string) error {
@@ -146,19 +144,9 @@
 	})
 }
 
-// readFixture reads a file that the earlier version wrote.
-func readFixture(t testing.TB, name string) []byte {
-	t.Helper()
-	text, err := os.ReadFile(filepath.Join(fixtures, name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return text
-}
-
 func writeFixture(t testing.TB, name string, text []byte) {
 	t.Helper()
-	path := filepath.Join(fixtures, name)
+	path := filepath.Join(fixture.Folder, name)
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rollout/compatibility_test.go
+++ b/internal/rollout/compatibility_test.go
@@ -3,12 +3,10 @@
 import (
 	"bufio"
 	"bytes"
-	"compress/gzip"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"maps"
-	"os"
 	"reflect"
 	"slices"
 	"strconv"
@@ -18,6 +16,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"barleywick/internal/configfile"
+	"barleywick/internal/testing/fixture"
 )
 
 // The files in testdata/396a775 were written by the code of that commit.
@@ -47,16 +46,7 @@
 
 func readTranscript(t *testing.T) (lines []transcriptLine) {
 	t.Helper()
-	file, err := os.Open("testdata/396a775/transcript.jsonl.gz")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer file.Close()
-	plain, err := gzip.NewReader(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	scanner := bufio.NewScanner(plain)
+	scanner := bufio.NewScanner(bytes.NewReader(fixture.ReadGzip(t, fixture.Folder+"/transcript.jsonl.gz")))
 	scanner.Buffer(nil, 1<<20)
 	for scanner.Scan() {
 		var l transcriptLine
@@ -222,10 +212,7 @@
 }
 
 func TestRestoreAsEarlierVersion(t *testing.T) {
-	text, err := os.ReadFile("testdata/396a775/restored.json")
-	if err != nil {
-		t.Fatal(err)
-	}
+	text := fixture.Read(t, "restored.json")
 	var states map[string]json.RawMessage
 	if err := json.Unmarshal(text, &states); err != nil {
 		t.Fatal(err)
@@ -239,10 +226,7 @@
 }
 
 func TestDocumentsOfEarlierVersion(t *testing.T) {
-	text, err := os.ReadFile("testdata/396a775/documents.json")
-	if err != nil {
-		t.Fatal(err)
-	}
+	text := fixture.Read(t, "documents.json")
 	var file struct {
 		Documents []struct {
 			JSON     json.RawMessage `json:"json"`
--- a/internal/sidecar/handover/handover_test.go
+++ b/internal/sidecar/handover/handover_test.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"barleywick/internal/sidecar/sidecartest"
+	"barleywick/internal/testing/fixture"
 	"barleywick/policy"
 )
 
@@ -221,10 +222,7 @@
 
 // What the code of 396a775 sent has to be read, and what is sent now has to be the same byte for byte.
 func TestTakeoverMessagesAreThoseOf396a775(t *testing.T) {
-	fixture, err := os.ReadFile("testdata/396a775/messages.jsonl")
-	if err != nil {
-		t.Fatal(err)
-	}
+	recorded := fixture.ReadString(t, "messages.jsonl")
 	messages := []message{
 		{Kind: messageHello, Name: "n7", Listen: "127.0.0.1:7070"},
 		{Kind: messageSocket},
@@ -251,7 +249,7 @@
 		}
 		return c.(*net.UnixConn), to
 	}
-	for i, line := range strings.SplitAfter(strings.TrimSuffix(string(fixture), "\n"), "\n") {
+	for i, line := range strings.SplitAfter(strings.TrimSuffix(recorded, "\n"), "\n") {
 		want := messages[i]
 		from, to := pair()
 		if err := send(from, want, nil); err != nil {
--- a/internal/simulation/remoteadapter/fixtures_test.go
+++ b/internal/simulation/remoteadapter/fixtures_test.go
@@ -2,33 +2,19 @@
 
 import (
 	"bytes"
-	"compress/gzip"
 	"io"
-	"os"
 	"testing"
 	"time"
 
 	"barleywick/internal/simulation/emulator"
 	"barleywick/internal/simulation/simadapter"
+	"barleywick/internal/testing/fixture"
 )
 
 // recordedInput reads the events of a scenario run that commit 396a775 recorded.
 func recordedInput(t *testing.T, name string) []byte {
 	t.Helper()
-	file, err := os.Open("../simadapter/testdata/" + name + "-in.bin.gz")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer file.Close()
-	z, err := gzip.NewReader(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	all, err := io.ReadAll(z)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return all
+	return fixture.ReadGzip(t, "../simadapter/testdata/"+name+"-in.bin.gz")
 }
 
 // An adapter of another build gets the events byte for byte as 396a775 wrote them.
--- a/internal/simulation/simadapter/fixtures_test.go
+++ b/internal/simulation/simadapter/fixtures_test.go
@@ -2,30 +2,16 @@
 
 import (
 	"bytes"
-	"compress/gzip"
-	"io"
-	"os"
 	"path/filepath"
 	"testing"
+
+	"barleywick/internal/testing/fixture"
 )
 
 // recording reads one direction of a conversation that commit 396a775 recorded.
 func recording(t *testing.T, name string) []byte {
 	t.Helper()
-	file, err := os.Open(filepath.Join("testdata", name+".bin.gz"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer file.Close()
-	z, err := gzip.NewReader(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	all, err := io.ReadAll(z)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return all
+	return fixture.ReadGzip(t, filepath.Join("testdata", name+".bin.gz"))
 }
 
 // Each decision and each byte on the wire is as it was in 396a775: overload and its shedding,
--- a/internal/testing/faultinjection/compatibility_test.go
+++ b/internal/testing/faultinjection/compatibility_test.go
@@ -2,10 +2,10 @@
 
 import (
 	"fmt"
-	"os"
-	"path/filepath"
 	"testing"
 	"time"
+
+	"barleywick/internal/testing/fixture"
 )
 
 // The schedules in testdata/396a775 were drawn and written by that version: a plan and a seed
@@ -22,14 +22,11 @@
 		},
 	} {
 		for _, seed := range []uint64{7, 8} {
-			text, err := os.ReadFile(filepath.Join("testdata", "396a775", fmt.Sprintf("schedule_%s_%d.txt", name, seed)))
-			if err != nil {
-				t.Fatal(err)
-			}
-			if got := plan.Draw(seed).String(); got != string(text) {
+			text := fixture.ReadString(t, fmt.Sprintf("schedule_%s_%d.txt", name, seed))
+			if got := plan.Draw(seed).String(); got != text {
 				t.Errorf("plan %s, seed %d: got %s, want %s", name, seed, got, text)
 			}
-			if got, err := ParseSchedule(string(text)); err != nil || got.String() != string(text) {
+			if got, err := ParseSchedule(text); err != nil || got.String() != text {
 				t.Errorf("plan %s, seed %d: read as %v (%v), want %s", name, seed, got, err, text)
 			}
 		}
