--- a/internal/testing/chaostest/chaos.go
+++ b/internal/testing/chaostest/chaos.go
@@ -170,7 +170,7 @@
 	for _, operator := range []func(context.Context){r.proposePolicies, r.drainMachines, r.writeRecords, r.requestYields} {
 		operators.Go(func() { operator(working) })
 	}
-	err := r.injectFaults(ctx, schedule)
+	err := schedule.Run(ctx, r.injectFault)
 	r.recordEvent(FleetEvent, "the last fault is over")
 	time.Sleep(operatorsContinue)
 	stopOperators()
@@ -233,13 +233,3 @@
 	}
 	return nil
 }
-
-// sleep waits, and reports whether ctx has not ended.
-func sleep(ctx context.Context, d time.Duration) bool {
-	select {
-	case <-time.After(d):
-		return ctx.Err() == nil
-	case <-ctx.Done():
-		return false
-	}
-}
--- a/internal/testing/chaostest/checks.go
+++ b/internal/testing/chaostest/checks.go
@@ -16,6 +16,7 @@
 	"barleywick/internal/membership"
 	"barleywick/internal/registry"
 	"barleywick/internal/rollout"
+	"barleywick/internal/testing/wait"
 )
 
 const (
@@ -46,7 +47,7 @@
 // grants: a token belongs to one holder.
 func (r *run) watchRegistry(ctx context.Context) {
 	owners := make(map[uint64]string) // by token
-	for sleep(ctx, pollInterval) {
+	for wait.Sleep(ctx, pollInterval) {
 		poll, cancel := context.WithTimeout(ctx, callTimeout)
 		r.readDrainMarks(poll)
 		r.checkTokens(poll, owners)
--- a/internal/testing/chaostest/faults.go
+++ b/internal/testing/chaostest/faults.go
@@ -2,13 +2,12 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"slices"
-	"sync"
 	"time"
 
 	"barleywick/internal/testing/faultinjection"
+	"barleywick/internal/testing/wait"
 )
 
 const (
@@ -52,22 +51,6 @@
 	return p.Draw(o.Seed)
 }
 
-// injectFaults injects the faults of a schedule, and returns when the last one is over.
-func (r *run) injectFaults(ctx context.Context, schedule faultinjection.Schedule) error {
-	began := time.Now()
-	var all sync.WaitGroup
-	errs := make([]error, len(schedule))
-	for i, f := range schedule {
-		all.Go(func() {
-			if sleep(ctx, f.Start-time.Since(began)) {
-				errs[i] = r.injectFault(ctx, f)
-			}
-		})
-	}
-	all.Wait()
-	return errors.Join(errs...)
-}
-
 // injectFault injects a fault and ends it after its duration.
 func (r *run) injectFault(ctx context.Context, f faultinjection.Fault) error {
 	end, err := r.Inject(f)
@@ -76,7 +59,7 @@
 	}
 	r.recordEvent(FaultEvent, "%s %s for %v", f.Kind, f.Target, f.Duration)
 	r.setUnavailable(f, true)
-	sleep(ctx, f.Duration)
+	wait.Sleep(ctx, f.Duration)
 	if err = end(); err != nil {
 		err = fmt.Errorf("end of %v: %w", f, err)
 	}
--- a/internal/testing/chaostest/load.go
+++ b/internal/testing/chaostest/load.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"barleywick/internal/testing/loadgen"
+	"barleywick/internal/testing/wait"
 )
 
 const (
@@ -27,7 +28,7 @@
 			r.nonIdempotent[request.ID] = true
 			r.mu.Unlock()
 		}
-		sleep(ctx, r.sendRequest(name, request))
+		wait.Sleep(ctx, r.sendRequest(name, request))
 	}
 }
 
--- a/internal/testing/chaostest/operators.go
+++ b/internal/testing/chaostest/operators.go
@@ -8,6 +8,7 @@
 	"barleywick/internal/drain"
 	"barleywick/internal/registry"
 	"barleywick/internal/rollout"
+	"barleywick/internal/testing/wait"
 )
 
 const (
@@ -40,7 +41,7 @@
 
 // proposePolicies is an operator who proposes policies and aborts some of the rollouts.
 func (r *run) proposePolicies(ctx context.Context) {
-	for n := 1; sleep(ctx, r.jitter(policyInterval)); n++ {
+	for n := 1; wait.Sleep(ctx, r.jitter(policyInterval)); n++ {
 		r.proposePolicy(ctx, n)
 	}
 }
@@ -77,7 +78,7 @@
 
 // drainMachines is an operator who hands over drains of machines, and takes machines back into service.
 func (r *run) drainMachines(ctx context.Context) {
-	for sleep(ctx, r.jitter(drainInterval)) {
+	for wait.Sleep(ctx, r.jitter(drainInterval)) {
 		machine := machineName(r.randomInt((r.options.Servers + 1) / serversAMachine))
 		action, err := r.drainOrUndrain(ctx, machine)
 		if err == nil {
@@ -99,7 +100,7 @@
 
 // requestYields is an operator who asks holders to release leases that others wait for.
 func (r *run) requestYields(ctx context.Context) {
-	for sleep(ctx, r.jitter(yieldInterval)) {
+	for wait.Sleep(ctx, r.jitter(yieldInterval)) {
 		r.requestYield(ctx)
 	}
 }
--- a/internal/testing/chaostest/records.go
+++ b/internal/testing/chaostest/records.go
@@ -10,6 +10,7 @@
 
 	"barleywick/internal/registry"
 	"barleywick/internal/testing/linearizability"
+	"barleywick/internal/testing/wait"
 )
 
 const (
@@ -34,7 +35,7 @@
 
 // writeRecords is a user who reads and writes records. Each write names the version that it replaces.
 func (r *run) writeRecords(ctx context.Context) {
-	for n := 1; sleep(ctx, r.jitter(recordWriteInterval)); n++ {
+	for n := 1; wait.Sleep(ctx, r.jitter(recordWriteInterval)); n++ {
 		r.writeRecord(ctx, fmt.Sprint("chaos-", r.randomInt(recordKeys)), fmt.Sprint(n))
 	}
 }
--- a/internal/testing/faultinjection/injector.go
+++ b/internal/testing/faultinjection/injector.go
@@ -1,13 +1,15 @@
 package faultinjection
 
 import (
-	"cmp"
 	"context"
+	"errors"
 	"fmt"
 	"strings"
 	"sync"
 	"syscall"
 	"time"
+
+	"barleywick/internal/testing/wait"
 )
 
 const (
@@ -159,18 +161,24 @@
 // Run injects the faults of a schedule at their times, and returns when all have ended.
 // When ctx ends, those that have started are ended early.
 func (i *Injector) Run(ctx context.Context, schedule Schedule) error {
+	return schedule.Run(ctx, i.runFault)
+}
+
+// Run calls inject at the start of each fault, and returns when all calls have returned. A
+// fault that has not started when ctx ends is left out.
+func (s Schedule) Run(ctx context.Context, inject func(context.Context, Fault) error) error {
 	start := time.Now()
 	var faults sync.WaitGroup
-	errs := make([]error, len(schedule))
-	for index, f := range schedule {
+	errs := make([]error, len(s))
+	for index, f := range s {
 		faults.Go(func() {
-			if sleep(ctx, f.Start-time.Since(start)) {
-				errs[index] = i.runFault(ctx, f)
+			if wait.Sleep(ctx, f.Start-time.Since(start)) {
+				errs[index] = inject(ctx, f)
 			}
 		})
 	}
 	faults.Wait()
-	return cmp.Or(errs...)
+	return errors.Join(errs...)
 }
 
 func (i *Injector) runFault(ctx context.Context, f Fault) error {
@@ -178,19 +186,9 @@
 	if err != nil {
 		return err
 	}
-	sleep(ctx, f.Duration)
+	wait.Sleep(ctx, f.Duration)
 	if err := end(); err != nil {
 		return fmt.Errorf("end of %v: %w", f, err)
 	}
 	return nil
 }
-
-// sleep waits, and reports whether ctx has not ended meanwhile.
-func sleep(ctx context.Context, d time.Duration) bool {
-	select {
-	case <-time.After(d):
-		return ctx.Err() == nil
-	case <-ctx.Done():
-		return false
-	}
-}
--- a/internal/testing/localfleet/faults.go
+++ b/internal/testing/localfleet/faults.go
@@ -8,6 +8,7 @@
 
 	"barleywick/internal/registry"
 	"barleywick/internal/simulation/emulator"
+	"barleywick/internal/testing/wait"
 )
 
 // injectFaults injects the scenario's faults, each in a goroutine, until ctx
@@ -17,7 +18,7 @@
 	for i := range l.scenario.Faults {
 		t := l.scenario.Faults[i]
 		all.Go(func() {
-			if !sleep(ctx, time.Duration(t.Start)) {
+			if !wait.Sleep(ctx, time.Duration(t.Start)) {
 				return
 			}
 			undo, err := l.beginFault(ctx, t)
@@ -25,7 +26,7 @@
 				l.fail(fmt.Errorf("fault %s: %w", t.Name, err))
 				return
 			}
-			sleep(ctx, time.Duration(t.Duration))
+			wait.Sleep(ctx, time.Duration(t.Duration))
 			if undo != nil && ctx.Err() == nil {
 				if err := undo(); err != nil {
 					l.fail(fmt.Errorf("end of fault %s: %w", t.Name, err))
@@ -36,16 +37,6 @@
 	all.Wait()
 }
 
-// sleep waits and reports whether ctx is still active.
-func sleep(ctx context.Context, d time.Duration) bool {
-	select {
-	case <-time.After(d):
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
-
 // liveServers returns the servers that run and do not drain.
 func (l *localFleet) liveServers() (live []*bookingServer) {
 	for _, b := range l.allServers() {
@@ -179,7 +170,7 @@
 	some := l.pickServers(t.Part)
 	began := time.Now()
 	for n, b := range some {
-		if !sleep(ctx, t.StepTime(n, len(some))-time.Since(began)) {
+		if !wait.Sleep(ctx, t.StepTime(n, len(some))-time.Since(began)) {
 			return nil
 		}
 		if _, err := l.registry.Mark(ctx, registry.MarkRequest{Hosts: []string{b.name}, MarkedBy: "localfleet", Draining: true}); err != nil {
@@ -190,7 +181,7 @@
 		}
 		l.notifyDraining(b.model)
 		l.tasks.Go(func() {
-			if !sleep(ctx, emulator.SuccessorDelay) {
+			if !wait.Sleep(ctx, emulator.SuccessorDelay) {
 				return
 			}
 			l.mu.Lock()
@@ -201,7 +192,7 @@
 			}
 		})
 		l.tasks.Go(func() {
-			if sleep(ctx, time.Duration(t.Extra)) {
+			if wait.Sleep(ctx, time.Duration(t.Extra)) {
 				b.deregister()
 				b.kill()
 			}
@@ -231,7 +222,7 @@
 	for n, i := range some {
 		s := l.sidecars[i]
 		all.Go(func() {
-			if !sleep(ctx, time.Duration(float64(over)*float64(n)/float64(len(some)))) {
+			if !wait.Sleep(ctx, time.Duration(float64(over)*float64(n)/float64(len(some)))) {
 				return
 			}
 			errs[n] = l.restartSidecar(ctx, s, time.Duration(t.Extra), end)
@@ -258,7 +249,7 @@
 	l.mu.Lock()
 	l.checker.SidecarKilled(s.index)
 	l.mu.Unlock()
-	if !sleep(ctx, down) {
+	if !wait.Sleep(ctx, down) {
 		return nil
 	}
 	if err := s.start(ctx); err != nil {
--- a/internal/testing/localfleet/malformed.go
+++ b/internal/testing/localfleet/malformed.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"barleywick/internal/simulation/emulator"
+	"barleywick/internal/testing/wait"
 )
 
 // malformedTimeout is how soon a malformed request has to get an error or a close.
@@ -40,7 +41,7 @@
 	var all sync.WaitGroup
 	defer all.Wait()
 	every := time.Duration(float64(time.Second) / (t.Size * float64(len(l.sidecars))))
-	for n := 0; sleep(ctx, every); n++ {
+	for n := 0; wait.Sleep(ctx, every); n++ {
 		s := l.sidecars[n%len(l.sidecars)]
 		text := malformedRequests[n/len(l.sidecars)%len(malformedRequests)]
 		all.Go(func() { l.malformedClient(s, text) })
--- a/internal/testing/soaktest/faults.go
+++ b/internal/testing/soaktest/faults.go
@@ -5,6 +5,8 @@
 	"math/rand/v2"
 	"syscall"
 	"time"
+
+	"barleywick/internal/testing/wait"
 )
 
 // faultKind is a kind of fault.
@@ -77,7 +79,7 @@
 			f.logEvent("discovery goes down for %v", lasts)
 			f.ledger.increment("faults: discovery down")
 			f.discovery.setDown(true)
-			sleep(ctx, lasts)
+			wait.Sleep(ctx, lasts)
 			f.discovery.setDown(false)
 			f.ledger.discoveryReturned()
 		})
@@ -98,7 +100,7 @@
 			f.ledger.increment("faults: kill")
 			s.process.Kill()
 		}
-		sleep(ctx, restartDelay)
+		wait.Sleep(ctx, restartDelay)
 		if err := s.process.Start(); err != nil {
 			f.ledger.addViolation(InvariantProcess, "%v", err)
 			return
@@ -121,7 +123,7 @@
 		f.ledger.addViolation(InvariantProcess, "%s has ended by itself: %v", s.name, err)
 	}
 	for s.process.Running() && time.Since(began) < killDelay {
-		if !sleep(ctx, 5*time.Millisecond) {
+		if !wait.Sleep(ctx, 5*time.Millisecond) {
 			break
 		}
 	}
@@ -152,7 +154,7 @@
 		for i := range count {
 			f.servers[(from+i)%len(f.servers)].setMode(m)
 		}
-		sleep(ctx, lasts)
+		wait.Sleep(ctx, lasts)
 		for i := range count {
 			f.servers[(from+i)%len(f.servers)].setMode(modeNormal)
 		}
@@ -176,13 +178,3 @@
 	f.logEvent("%s drains: %v", s.name, drained[s.name])
 	f.ledger.increment("faults: drain")
 }
-
-// sleep waits and reports whether ctx is still active.
-func sleep(ctx context.Context, d time.Duration) bool {
-	select {
-	case <-time.After(d):
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
