--- a/internal/registry/client/watcher.go
+++ b/internal/registry/client/watcher.go
@@ -141,7 +141,7 @@
 // the owner's to decide.
 func (w *Watcher) followOnce(ctx context.Context, s *followState) {
 	begin := time.Now()
-	heard, addrs, err := w.watchUntilMoved(ctx)
+	received, addrs, err := w.watchUntilMoved(ctx)
 	if ctx.Err() != nil {
 		return
 	}
@@ -150,7 +150,7 @@
 		s.delay, s.failed, s.moved = minReopenDelay, false, true
 		return
 	}
-	if heard {
+	if received {
 		s.delay, s.failed, s.moved = minReopenDelay, false, false
 	}
 	w.logEnd(err, s.failed, time.Since(begin))
@@ -217,7 +217,7 @@
 
 // watchUntilMoved watches until the watch ends or SetAddrs names other addresses, which it
 // returns. When it has returned, no update comes from the old ones any more.
-func (w *Watcher) watchUntilMoved(ctx context.Context) (heard bool, addrs []string, err error) {
+func (w *Watcher) watchUntilMoved(ctx context.Context) (received bool, addrs []string, err error) {
 	ctx, leave := context.WithCancelCause(ctx)
 	defer leave(nil)
 	ended, moved := make(chan struct{}), make(chan []string, 1)
@@ -230,22 +230,22 @@
 		case <-ended:
 		}
 	}()
-	heard, err = w.watchAnyReplica(ctx)
+	received, err = w.watchAnyReplica(ctx)
 	close(ended)
-	return heard, <-moved, err
+	return received, <-moved, err
 }
 
 // watchAnyReplica watches at the first replica, from the current one on, that accepts the
 // watch. A replica that says it is stale is watched only if all others are stale, too, or
 // cannot be reached.
-func (w *Watcher) watchAnyReplica(ctx context.Context) (heard bool, err error) {
+func (w *Watcher) watchAnyReplica(ctx context.Context) (received bool, err error) {
 	if len(w.addrs) == 1 {
 		return w.watch(ctx, true)
 	}
 	stale := -1
 	for range w.addrs {
-		if heard, err = w.watch(ctx, false); heard || ctx.Err() != nil {
-			return heard, err
+		if received, err = w.watch(ctx, false); received || ctx.Err() != nil {
+			return received, err
 		}
 		if errors.Is(err, errStale) {
 			stale = w.current
--- a/internal/simulation/emulator/fault.go
+++ b/internal/simulation/emulator/fault.go
@@ -144,18 +144,18 @@
 // neighbour takes capacity from the same machines periodically.
 func (s *Sim) neighbour(t *Fault) func() {
 	some, on, over := s.selectServers(t), false, false
-	var turn func()
-	turn = func() {
+	var toggle func()
+	toggle = func() {
 		on = !on && !over
 		s.updateServers(some, func(sv *Server) { sv.NeighbourShare = choose(on, t.Size, 0) })
 		if !over {
-			s.after(max(time.Duration(t.Extra), minNeighbourPeriod), turn)
+			s.after(max(time.Duration(t.Extra), minNeighbourPeriod), toggle)
 		}
 	}
-	turn()
+	toggle()
 	return func() {
 		over = true
-		turn()
+		toggle()
 	}
 }
 
