--- a/internal/registry/server/failover_test.go
+++ b/internal/registry/server/failover_test.go
@@ -57,12 +57,7 @@
 	if len(want) != 4+6 {
 		t.Errorf("got %d instances, want 10: %v", len(want), want)
 	}
-	for i, f := range followers {
-		eventually(t, fmt.Sprintf("watcher %d holds the list", i), func() bool { return f.holds(want) })
-		if f.wentBack > 0 {
-			t.Errorf("watcher %d: the version went back %d times", i, f.wentBack)
-		}
-	}
+	checkWatchers(t, followers, want)
 	cancel()
 	kept.Wait()
 	eventually(t, "the instances that left are removed", func() bool { return len(g.leader().wantedList()) == 6 })
@@ -151,13 +146,7 @@
 			t.Errorf("%d of 10 instances are left though all sessions expired at once, want all", len(got))
 		}
 	}
-	want := g.leader().wantedList()
-	for i, f := range f {
-		eventually(t, fmt.Sprintf("watcher %d holds the list", i), func() bool { return f.holds(want) })
-		if f.wentBack > 0 {
-			t.Errorf("watcher %d: the version went back %d times", i, f.wentBack)
-		}
-	}
+	checkWatchers(t, f, g.leader().wantedList())
 }
 
 // An instance that stops renewing is removed after its time to live; those that renew stay.
--- a/internal/registry/server/harness_test.go
+++ b/internal/registry/server/harness_test.go
@@ -234,6 +234,17 @@
 	return maps.Equal(f.list, want)
 }
 
+// checkWatchers waits until all watchers hold a list, and checks that the version never went back.
+func checkWatchers(t testing.TB, watchers []*testWatcher, want map[string]string) {
+	t.Helper()
+	for i, f := range watchers {
+		eventually(t, fmt.Sprintf("watcher %d holds the list", i), func() bool { return f.holds(want) })
+		if f.wentBack > 0 {
+			t.Errorf("watcher %d: the version went back %d times", i, f.wentBack)
+		}
+	}
+}
+
 // wantedList is what watchers have to hold.
 func (n *node) wantedList() map[string]string {
 	want := make(map[string]string)
--- a/internal/registry/server/watch_test.go
+++ b/internal/registry/server/watch_test.go
@@ -107,13 +107,7 @@
 			g.nodes[rng.IntN(3)].broadcaster.endWatches()
 		}
 	}
-	want := g.leader().wantedList()
-	for i, f := range followers {
-		eventually(t, fmt.Sprintf("watcher %d holds the list", i), func() bool { return f.holds(want) })
-		if f.wentBack > 0 {
-			t.Errorf("watcher %d: the version went back %d times", i, f.wentBack)
-		}
-	}
+	checkWatchers(t, followers, g.leader().wantedList())
 }
 
 // A watcher that does not read is cut, and delays nobody.
--- a/internal/sidecar/upstream/pool_test.go
+++ b/internal/sidecar/upstream/pool_test.go
@@ -86,14 +86,22 @@
 	}
 }
 
-// Attempts that wait for a connection to a server that is removed end at once.
-func TestWaitersOfARemovedServer(t *testing.T) {
-	p, to := testPool(4), NewServer(sidecartest.NewBlackHole(t))
+// startWaitingAttempt starts an attempt to a server that accepts no connection, and returns when it
+// waits for one.
+func startWaitingAttempt(t *testing.T) (p *Pool, to *Server, ending <-chan policy.Ending) {
+	t.Helper()
+	p, to = testPool(4), NewServer(sidecartest.NewBlackHole(t))
 	p.dialTimeout = sidecartest.Patience
-	defer p.Close()
-	ending := make(chan policy.Ending, 1)
-	go func() { e, _ := runOneAttempt(t.Context(), p, to); ending <- e }()
+	t.Cleanup(p.Close)
+	ended := make(chan policy.Ending, 1)
+	go func() { e, _ := runOneAttempt(t.Context(), p, to); ended <- e }()
 	sidecartest.Eventually(t, "the attempt waits", func() bool { return waiters(p) == 1 })
+	return p, to, ended
+}
+
+// Attempts that wait for a connection to a server that is removed end at once.
+func TestWaitersOfARemovedServer(t *testing.T) {
+	p, to, ending := startWaitingAttempt(t)
 	p.Retire(to)
 	if got := sidecartest.Await(t, "the ending", ending); got != policy.NotSent {
 		t.Errorf("got ending %v, want not sent", got)
--- a/internal/sidecar/upstream/server_states_test.go
+++ b/internal/sidecar/upstream/server_states_test.go
@@ -40,12 +40,7 @@
 
 // A drain ends the wait of an attempt for its connection.
 func TestDrainDuringAHandshake(t *testing.T) {
-	p, to := testPool(4), NewServer(sidecartest.NewBlackHole(t))
-	p.dialTimeout = sidecartest.Patience
-	defer p.Close()
-	ending := make(chan policy.Ending, 1)
-	go func() { e, _ := runOneAttempt(t.Context(), p, to); ending <- e }()
-	sidecartest.Eventually(t, "the attempt waits", func() bool { return waiters(p) == 1 })
+	p, to, ending := startWaitingAttempt(t)
 	p.Drain(to)
 	if got := sidecartest.Await(t, "the ending", ending); got != policy.NotSent {
 		t.Errorf("got ending %v, want not sent", got)
