--- a/internal/sidecar/counters/counters.go
+++ b/internal/sidecar/counters/counters.go
@@ -1,5 +1,5 @@
-// Package counters reads structs of counters. A counter's name, in the log and as a label of metrics,
-// is the json tag of its field: the field itself may be renamed.
+// Package counters reads structs of counters. The name of a counter in the log and in metric labels is
+// the json tag of its field, so the Go field can be renamed.
 package counters
 
 import (
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Values returns the counters of a struct by their names.
+// Values returns the counters of a struct, keyed by name.
 func Values(counters any) map[string]float64 {
 	values := make(map[string]float64)
 	each(counters, func(name string, field reflect.Value) {
@@ -21,8 +21,8 @@
 	return values
 }
 
-// Format formats a struct of counters for the text log, as fmt's %+v does if fields and counters have
-// the same names.
+// Format formats a struct of counters for the text log. The format is that of fmt's %+v, with the
+// counter names in place of the field names.
 func Format(counters any) string {
 	var parts []string
 	each(counters, func(name string, field reflect.Value) {
@@ -31,7 +31,7 @@
 	return "{" + strings.Join(parts, " ") + "}"
 }
 
-// each calls visit for each field, in their order.
+// each calls visit for each field in declaration order.
 func each(counters any, visit func(name string, field reflect.Value)) {
 	v := reflect.ValueOf(counters)
 	for i := range v.NumField() {
--- a/internal/sidecar/counters/counters_test.go
+++ b/internal/sidecar/counters/counters_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestNamesAreTheTags(t *testing.T) {
+func TestCounterNamesComeFromJSONTags(t *testing.T) {
 	c := struct {
 		Renamed  uint64 `json:"Old"`
 		Untagged int
--- a/internal/sidecar/gate/counters.go
+++ b/internal/sidecar/gate/counters.go
@@ -7,14 +7,14 @@
 	"barleywick/policy"
 )
 
-// Counters are the decisions and violations counted so far; those never counted have no entry. The
-// keys are label values of metrics.
+// Counters holds the numbers of decisions and violations so far. Zero counts have no entry. The keys
+// are metric label values.
 type Counters struct {
 	Decided  map[string]uint64 // by "action: denial"
 	Violated map[string]uint64 // by rule
 }
 
-// Counters returns what was counted so far.
+// Counters returns a snapshot of the counters.
 func (g *Gate) Counters() Counters {
 	c := Counters{Decided: make(map[string]uint64), Violated: make(map[string]uint64)}
 	for a := range actionCount {
@@ -32,7 +32,7 @@
 	return c
 }
 
-// LogCounters logs what was counted so far.
+// LogCounters logs a snapshot of the counters.
 func (g *Gate) LogCounters() {
 	c := g.Counters()
 	slog.Info("gate: counters", "decided", c.Decided, "violated", c.Violated)
--- a/internal/sidecar/gate/gate_test.go
+++ b/internal/sidecar/gate/gate_test.go
@@ -12,8 +12,8 @@
 	"barleywick/policy"
 )
 
-// An attempt sent after its deadline, a response after the shutdown deadline and a close over an unanswered
-// request are counted.
+// An attempt sent after its deadline, a response after the shutdown deadline and the close of a connection
+// with an unanswered request count as violations.
 func TestViolationsAreCounted(t *testing.T) {
 	g, now := New(), time.Now()
 	fine := policy.SendFacts{ClientDeadline: g.SinceStart(now.Add(time.Second)), ShutdownDeadline: policy.NoLimit, RepeatDeadline: policy.NoLimit, ServerState: policy.Ready}
@@ -32,9 +32,9 @@
 	}
 }
 
-// A request that arrives late in a graceful shutdown is bound to the shutdown deadline, one that came
-// before has its client's whole time.
-func TestLateRequestsAreBoundToTheShutdownDeadline(t *testing.T) {
+// A request that arrives late in a graceful shutdown is subject to the shutdown deadline; an earlier one
+// can use its whole client deadline.
+func TestLateRequestsGetTheShutdownDeadline(t *testing.T) {
 	g := New()
 	if deadline := g.DeadlineFor(time.Now().Add(time.Hour)); !deadline.IsZero() {
 		t.Errorf("before the shutdown: got deadline %v, want none", deadline)
@@ -42,18 +42,18 @@
 	g.Shutdown(2 * time.Second)
 	now := time.Now()
 	if deadline := g.DeadlineFor(now); !deadline.IsZero() {
-		t.Errorf("with the signal: got deadline %v, want none", deadline)
+		t.Errorf("arrival with the signal: got deadline %v, want none", deadline)
 	}
 	deadline := g.DeadlineFor(now.Add(lateRequestAfter))
 	if left := deadline.Sub(now); left <= 0 || left > 2*time.Second {
-		t.Errorf("late: got a deadline %v after the signal, want at most 2s", left)
+		t.Errorf("late arrival: got a deadline %v after the signal, want at most 2s", left)
 	}
 	if g.MayStart(time.Second) != policy.Allowed || g.MayStart(3*time.Second) != policy.DeniedShutdown {
-		t.Error("may start what takes longer than is left, or may not start what fits")
+		t.Error("MayStart allowed a probe of 3s or denied one of 1s, with 2s left until the shutdown deadline")
 	}
 }
 
-// The names of decisions and rules are label values of metrics.
+// The names of decisions and rules are metric label values and must not change.
 func TestCounterNamesAreStable(t *testing.T) {
 	g := New()
 	for a := range actionCount {
@@ -84,10 +84,9 @@
 	}
 }
 
-// What happens: where the log's format is JSON, a broken rule is logged with the numbers of the
-// rule and of the reason, which mean nothing to who is on call. Why: the JSON handler of the
-// standard library does not ask a value for its text.
-func TestViolationIsLoggedInWords(t *testing.T) {
+// With the JSON log format a violation must be logged with the names of the rule and of the reason, not
+// with their numbers: slog's JSON handler does not call String on attribute values.
+func TestViolationIsLoggedByName(t *testing.T) {
 	var log bytes.Buffer
 	defer slog.SetDefault(slog.Default())
 	slog.SetDefault(slog.New(slog.NewJSONHandler(&log, nil)))
@@ -95,7 +94,7 @@
 	New().CheckAnswered(now, now.Add(2*stallAllowance), "late")
 	for _, want := range []string{`"rule":"not done in time"`, `"why":"`} {
 		if !strings.Contains(log.String(), want) {
-			t.Errorf("the log is %s, want %s in it", log.String(), want)
+			t.Errorf("got log %s, want it to contain %s", log.String(), want)
 		}
 	}
 }
--- a/internal/sidecar/handover/handover_test.go
+++ b/internal/sidecar/handover/handover_test.go
@@ -20,7 +20,7 @@
 	"barleywick/policy"
 )
 
-// Whatever comes over the socket is a message of the kind that is expected, or an error.
+// For any input, receive returns a message of the expected kind or an error.
 func FuzzTakeoverMessage(f *testing.F) {
 	f.Add([]byte(`{"kind":"hello","name":"n"}` + "\n"))
 	f.Add([]byte(`{"kind":"held","held":[{"Slots":-1,"Places":99999999999}]}` + "\n"))
@@ -46,14 +46,14 @@
 		defer c.Close()
 		m, err := receive(c, bufio.NewReaderSize(c, maxMessageBytes), messageHello, sidecartest.Patience)
 		if err == nil && m.Kind != messageHello {
-			t.Errorf("%q was taken for a hello", text)
+			t.Errorf("%q was accepted as a hello message", text)
 		}
 	})
 }
 
-// A process that sends another message than the server waits for gets an error and no socket, and
-// the next one is served.
-func TestServerRejectsWrongSuccessors(t *testing.T) {
+// A process that sends another message than the server expects gets an error and no socket, and the
+// next process is served.
+func TestServerRejectsUnexpectedMessages(t *testing.T) {
 	c := Config{Name: "n", Listen: "127.0.0.1:1", Socket: filepath.Join(t.TempDir(), "s"), ReadyTimeout: sidecartest.Patience}
 	server, err := Listen(c, sidecartest.ListenLoopback(t))
 	if err != nil {
@@ -68,7 +68,7 @@
 		json.NewEncoder(nc).Encode(first)
 		text, err := io.ReadAll(nc)
 		if err != nil || strings.Contains(string(text), `"`+string(messageSocket)+`"`) {
-			t.Errorf("%+v is answered %q, error %v", first, text, err)
+			t.Errorf("%+v: got response %q, error %v; want an error message and no socket", first, text, err)
 		}
 		nc.Close()
 	}
@@ -78,31 +78,31 @@
 	}
 	p := connect()
 	if p.Listener().Addr().Network() != "tcp" {
-		t.Errorf("a listener of %v came", p.Listener().Addr())
+		t.Errorf("got a listener of %v, want TCP", p.Listener().Addr())
 	}
 	p.Listener().Close()
-	p.Close() // before it is ready
+	p.Close() // before it has reported that it is ready
 	p = connect()
 	p.Listener().Close()
 	done := make(chan error, 1)
-	go func() { _, err := p.awaitPlace(); done <- err }()
+	go func() { _, err := p.awaitHandOver(); done <- err }()
 	s := sidecartest.Await(t, "the successor", server.Successors())
-	close(s.done) // this process ends instead
-	if err := sidecartest.Await(t, "the end of its wait", done); err == nil {
-		t.Error("a place that nobody gave up was handed over")
+	close(s.done) // the old process ends instead of handing over
+	if err := sidecartest.Await(t, "the end of the wait for the hand-over", done); err == nil {
+		t.Error("awaitHandOver succeeded although the old process did not hand over")
 	}
 	p.Close()
 	server.Close()
 	if p, err := Connect(t.Context(), c); p != nil || !errors.Is(err, ErrNoPredecessor) {
-		t.Errorf("after the end: %v, error %v; want ErrNoPredecessor", p, err)
+		t.Errorf("after Close: got %v, error %v; want ErrNoPredecessor", p, err)
 	}
 	if _, err := os.Stat(c.Socket); !errors.Is(err, os.ErrNotExist) && !server.handedOver {
-		t.Errorf("the socket is left behind: %v", err)
+		t.Errorf("the socket file was not removed: error %v", err)
 	}
 }
 
-// oldProcess plays the old process up to where the new one is ready, and returns its connection.
-func oldProcess(t *testing.T) (p *Predecessor, old *net.UnixConn) {
+// fakePredecessor acts as the old process up to the socket message, and returns both ends of the connection.
+func fakePredecessor(t *testing.T) (p *Predecessor, old *net.UnixConn) {
 	t.Helper()
 	c := Config{Name: "n", Listen: "127.0.0.1:1", Socket: filepath.Join(t.TempDir(), "s"), ReadyTimeout: sidecartest.Patience}
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: c.Socket, Net: "unix"})
@@ -124,7 +124,7 @@
 			err = raw.Control(func(fd uintptr) { err = send(old, message{Kind: messageSocket}, syscall.UnixRights(int(fd))) })
 		}
 		if err != nil {
-			t.Errorf("the old process: %v", err)
+			t.Errorf("old process: %v", err)
 		}
 		accepted <- old
 	}()
@@ -140,56 +140,56 @@
 	return p, old
 }
 
-// A new process that is ready does not miss a place that is handed over to it: neither if the message
-// is late, as the old process may be stopped for a while, nor if the old process dies instead of sending it.
-func TestNewProcessWaitsForItsPlace(t *testing.T) {
+// A new process that is ready takes over even if the hand-over message is late, as the old process may be
+// stopped for a while, and if the old process dies instead of sending it.
+func TestNewProcessWaitsForHandOver(t *testing.T) {
 	for name, tt := range map[string]struct {
 		old  func(old *net.UnixConn)
 		want []policy.BulkheadCapacity
 		err  string
 	}{
 		"late": {func(old *net.UnixConn) {
-			time.Sleep(messageTimeout + 100*time.Millisecond) // what is tested: no timeout ends the wait
-			send(old, message{Kind: messageYours}, nil)
+			time.Sleep(messageTimeout + 100*time.Millisecond) // longer than messageTimeout: the wait must not time out
+			send(old, message{Kind: messageHandedOver}, nil)
 			send(old, message{Kind: messageReserved, Reserved: []policy.BulkheadCapacity{{Slots: 3, Places: 1}}}, nil)
 		}, []policy.BulkheadCapacity{{Slots: 3, Places: 1}}, ""},
 		"dies before the message": {func(old *net.UnixConn) { old.Close() }, nil, ""},
 		"dies after the message": {func(old *net.UnixConn) {
-			send(old, message{Kind: messageYours}, nil)
+			send(old, message{Kind: messageHandedOver}, nil)
 			old.Close()
 		}, nil, ""},
 		"ends after the message": {func(old *net.UnixConn) {
-			send(old, message{Kind: messageYours}, nil)
+			send(old, message{Kind: messageHandedOver}, nil)
 			closeWithError(old, errShuttingDown)
 		}, nil, ""},
 		"shuts down instead": {func(old *net.UnixConn) { closeWithError(old, errShuttingDown) }, nil, errShuttingDown.Error()},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, old := oldProcess(t)
+			p, old := fakePredecessor(t)
 			type result struct {
 				reserved []policy.BulkheadCapacity
 				err      error
 			}
 			got := make(chan result, 1)
 			go func() {
-				reserved, err := p.awaitPlace()
+				reserved, err := p.awaitHandOver()
 				got <- result{reserved, err}
 			}()
 			if _, err := receive(old, bufio.NewReader(old), messageReady, sidecartest.Patience); err != nil {
 				t.Fatal(err)
 			}
 			tt.old(old)
-			r := sidecartest.Await(t, "the new process's decision", got)
+			r := sidecartest.Await(t, "the result of awaitHandOver", got)
 			if !slices.Equal(r.reserved, tt.want) || (r.err == nil) != (tt.err == "") || r.err != nil && !strings.Contains(r.err.Error(), tt.err) {
-				t.Errorf("got %v, error %v; want %v and %q", r.reserved, r.err, tt.want, tt.err)
+				t.Errorf("got reserved %v, error %v; want %v and error %q", r.reserved, r.err, tt.want, tt.err)
 			}
 		})
 	}
 }
 
-// If a new process dies after it has reported that it is ready, the old one keeps its place and waits
-// for the next.
-func TestPlaceIsKeptIfSuccessorDied(t *testing.T) {
+// If a new process dies after it has reported that it is ready, the old one continues to serve and
+// accepts the next.
+func TestOldProcessKeepsServingIfSuccessorDies(t *testing.T) {
 	c := Config{Name: "n", Listen: "127.0.0.1:1", Socket: filepath.Join(t.TempDir(), "s"), ReadyTimeout: sidecartest.Patience}
 	server, err := Listen(c, sidecartest.ListenLoopback(t))
 	if err != nil {
@@ -207,7 +207,7 @@
 	s := sidecartest.Await(t, "the successor", server.Successors())
 	p.Close()
 	if err := server.HandOver(s); err == nil || server.handedOver {
-		t.Errorf("the place was handed over to a process that has died: error %v", err)
+		t.Errorf("handed over to a process that has died: error %v", err)
 	}
 	sidecartest.Eventually(t, "the server is free again", func() bool {
 		again, err := Connect(t.Context(), c)
@@ -220,14 +220,14 @@
 	})
 }
 
-// What the code of 396a775 sent has to be read, and what is sent now has to be the same byte for byte.
-func TestTakeoverMessagesAreThoseOf396a775(t *testing.T) {
+// The messages recorded at commit 396a775 must be readable, and messages sent now must equal them byte for byte.
+func TestMessagesMatchCommit396a775(t *testing.T) {
 	recorded := fixture.ReadString(t, "messages.jsonl")
 	messages := []message{
 		{Kind: messageHello, Name: "n7", Listen: "127.0.0.1:7070"},
 		{Kind: messageSocket},
 		{Kind: messageReady},
-		{Kind: messageYours},
+		{Kind: messageHandedOver},
 		{Kind: messageReserved, Reserved: []policy.BulkheadCapacity{{Slots: 3, Places: 1}, {Slots: 0, Places: 0}, {Slots: 17, Places: 250}}},
 		{Kind: messageReserved},
 		{Kind: messageReserved, Reserved: []policy.BulkheadCapacity{{}}},
@@ -257,7 +257,7 @@
 		}
 		from.Close()
 		if text, err := io.ReadAll(to); err != nil || strings.TrimSpace(string(text)) != strings.TrimSpace(line) {
-			t.Errorf("message %d is sent as %q, error %v; want %q", i, text, err, line)
+			t.Errorf("message %d: sent %q, error %v; want %q", i, text, err, line)
 		}
 		to.Close()
 		from, to = pair()
@@ -265,10 +265,10 @@
 		got, err := receive(to, bufio.NewReader(to), want.Kind, sidecartest.Patience)
 		if want.Kind == messageError {
 			if err == nil || !strings.HasSuffix(err.Error(), want.Error) {
-				t.Errorf("message %d is received as error %v, want one that ends with %q", i, err, want.Error)
+				t.Errorf("message %d: received error %v, want one that ends with %q", i, err, want.Error)
 			}
 		} else if err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("message %d is received as %+v, error %v; want %+v", i, got, err, want)
+			t.Errorf("message %d: received %+v, error %v; want %+v", i, got, err, want)
 		}
 		from.Close()
 		to.Close()
--- a/internal/sidecar/handover/predecessor.go
+++ b/internal/sidecar/handover/predecessor.go
@@ -15,10 +15,10 @@
 	"barleywick/policy"
 )
 
-// ErrNoPredecessor says that no process serves at the socket, or none does any more.
-var ErrNoPredecessor = errors.New("takeover: no process serves at the socket")
+// ErrNoPredecessor is returned if no process is listening on the hand-over socket.
+var ErrNoPredecessor = errors.New("takeover: no process is listening on the hand-over socket")
 
-// Predecessor is the process whose place this one takes.
+// Predecessor is the running sidecar process that this one replaces.
 type Predecessor struct {
 	conn         *net.UnixConn
 	in           *bufio.Reader
@@ -26,19 +26,19 @@
 	readyTimeout time.Duration
 }
 
-// NewProcess is the process that takes a predecessor's place, as TakeOver needs it.
+// NewProcess is what TakeOver needs of the process that replaces a predecessor.
 type NewProcess interface {
-	// Ready says whether it could serve.
+	// Ready reports whether the process could serve requests.
 	Ready() bool
-	// StartAccepting is called once, when the place is this process's.
+	// StartAccepting is called once, when the predecessor has handed over or has died.
 	StartAccepting()
-	// ReserveForPredecessor receives the capacity, by tenant, that the predecessor still
-	// uses; nil when it has ended.
+	// ReserveForPredecessor sets the capacity, by tenant, that the predecessor still uses; nil once the
+	// predecessor has ended.
 	ReserveForPredecessor([]policy.BulkheadCapacity)
 }
 
-// Connect asks the process that serves now for its listening socket, until ctx ends. It returns
-// ErrNoPredecessor where there is none.
+// Connect requests the listening socket from the running process. It is cancelled when ctx ends, and
+// returns ErrNoPredecessor if no process is running.
 func Connect(ctx context.Context, c Config) (*Predecessor, error) {
 	d := net.Dialer{Timeout: messageTimeout}
 	conn, err := d.DialContext(ctx, "unix", c.Socket)
@@ -58,18 +58,18 @@
 	return p, nil
 }
 
-// Listener is the listening socket that the predecessor passed on. The caller closes it.
+// Listener returns the listening socket received from the predecessor. The caller closes it.
 func (p *Predecessor) Listener() net.Listener { return p.listener }
 
 // Close closes the connection to the predecessor.
 func (p *Predecessor) Close() { p.conn.Close() }
 
-// receiveListener says who this process is and receives the listening socket.
+// receiveListener sends the hello message and receives the listening socket.
 func (p *Predecessor) receiveListener(c Config) error {
 	if err := send(p.conn, message{Kind: messageHello, Name: c.Name, Listen: c.Listen}, nil); err != nil {
 		return err
 	}
-	// The socket comes with the message's first byte, and with no other.
+	// The descriptor is attached to the first byte of the message.
 	p.conn.SetReadDeadline(time.Now().Add(messageTimeout))
 	text, rights := make([]byte, maxMessageBytes), make([]byte, syscall.CmsgSpace(4))
 	n, rightsLen, _, _, err := p.conn.ReadMsgUnix(text, rights)
@@ -78,7 +78,7 @@
 	}
 	fd, err := parseSocketRights(rights[:rightsLen])
 	if messageErr := checkSocketMessage(text[:n]); messageErr != nil {
-		err = messageErr // it says why no socket came
+		err = messageErr // it gives the reason for the missing descriptor
 	}
 	if err != nil {
 		if fd >= 0 {
@@ -92,7 +92,7 @@
 	return err
 }
 
-// checkSocketMessage checks the message that the listening socket comes with.
+// checkSocketMessage checks the message to which the listening socket is attached.
 func checkSocketMessage(text []byte) error {
 	var m message
 	if err := json.Unmarshal(text, &m); err != nil {
@@ -101,14 +101,15 @@
 	return m.expect(messageSocket)
 }
 
-// parseSocketRights returns the one descriptor that comes with a message, or -1.
+// parseSocketRights returns the first descriptor that is attached to a message, or -1, and closes any
+// others.
 func parseSocketRights(rights []byte) (int, error) {
 	messages, err := syscall.ParseSocketControlMessage(rights)
 	if err != nil {
 		return -1, err
 	}
 	if len(messages) != 1 {
-		return -1, fmt.Errorf("%d control messages, one is needed", len(messages))
+		return -1, fmt.Errorf("got %d control messages, want 1", len(messages))
 	}
 	fds, err := syscall.ParseUnixRights(&messages[0])
 	if err != nil {
@@ -118,21 +119,22 @@
 		syscall.Close(fd)
 	}
 	if len(fds) == 0 {
-		return -1, errors.New("no socket came")
+		return -1, errors.New("control message contains no socket")
 	}
 	syscall.CloseOnExec(fds[0])
 	return fds[0], nil
 }
 
-// TakeOver waits until the new process is ready, takes the predecessor's place for it, and reports
-// what the predecessor still uses until that ends. It fails if the new process is not ready in time,
-// or if the predecessor keeps its place.
+// TakeOver waits until the new process is ready and the predecessor has handed over to it. Then it
+// starts the new process's accepting, and passes on what capacity the predecessor still uses until the
+// predecessor ends. It fails if the new process is not ready before the timeout, or if the predecessor
+// does not hand over.
 func (p *Predecessor) TakeOver(ctx context.Context, to NewProcess) error {
 	defer context.AfterFunc(ctx, p.Close)()
 	if err := awaitReady(ctx, p.readyTimeout, to); err != nil {
 		return err
 	}
-	reserved, err := p.awaitPlace()
+	reserved, err := p.awaitHandOver()
 	if err != nil {
 		return err
 	}
@@ -142,7 +144,7 @@
 	return nil
 }
 
-// awaitReady waits until the new process could serve.
+// awaitReady waits until the new process is ready to serve.
 func awaitReady(ctx context.Context, timeout time.Duration, to NewProcess) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -158,26 +160,26 @@
 	return nil
 }
 
-// awaitPlace tells the predecessor that this process is ready, waits until the place is this
-// process's, and returns what the predecessor still uses: nothing if it has died.
-func (p *Predecessor) awaitPlace() ([]policy.BulkheadCapacity, error) {
+// awaitHandOver notifies the predecessor that this process is ready, waits until the predecessor hands
+// over or dies, and returns the capacity that it still uses: nil if it has ended.
+func (p *Predecessor) awaitHandOver() ([]policy.BulkheadCapacity, error) {
 	if err := send(p.conn, message{Kind: messageReady}, nil); err != nil && !isDisconnect(err) {
 		return nil, fmt.Errorf("takeover: %w", err)
 	}
-	if _, err := receive(p.conn, p.in, messageYours, 0); isDisconnect(err) {
-		slog.Warn("takeover: predecessor died, its place is taken")
+	if _, err := receive(p.conn, p.in, messageHandedOver, 0); isDisconnect(err) {
+		slog.Warn("takeover: predecessor died before handing over; taking over anyway")
 		return nil, nil
 	} else if err != nil {
 		return nil, err
 	}
 	m, err := receive(p.conn, p.in, messageReserved, 0)
 	if err != nil {
-		return nil, nil // it has ended already, as one without a connection does at once
+		return nil, nil // the predecessor has ended already: without a connection it ends at once
 	}
 	return m.Reserved, nil
 }
 
-// followReserved passes on what the predecessor still uses, until that ends.
+// followReserved passes on the predecessor's reports of the capacity that it still uses, until it ends.
 func (p *Predecessor) followReserved(to NewProcess) {
 	defer to.ReserveForPredecessor(nil)
 	for {
--- a/internal/sidecar/handover/protocol.go
+++ b/internal/sidecar/handover/protocol.go
@@ -1,20 +1,20 @@
-// Package handover lets a new sidecar process take the place of one that serves, without a gap.
+// Package handover replaces a running sidecar process by a new one without interrupting service.
 //
-// The old process passes its listening socket on over a Unix socket that the configuration
-// names, so that connections that wait to be accepted are never refused or reset. Whoever starts
-// sidecars starts the new process, with limits and a configuration of its own; nothing is forked.
-// If the new process fails at any point before it is ready, the old one goes on serving.
+// The old process passes its listening socket to the new one over a Unix socket whose path is in the
+// configuration, so that connections in the accept queue are never refused or reset. The new process is
+// started by the platform, with limits and a configuration of its own; the old process does not fork it.
+// If the new process fails before it is ready, the old one continues to serve.
 //
-//	new -> old   hello: who it is
-//	old -> new   socket: the listening socket comes with this message
-//	new -> old   ready: it has an endpoint list, and waits
-//	old -> new   yours: the old process accepts no more from now on
+//	new -> old   hello: name and listen address of the new process
+//	old -> new   socket: the listening socket is attached to this message
+//	new -> old   ready: the new process has an endpoint list and waits for the hand-over
+//	old -> new   yours: the old process has stopped accepting connections
 //	old -> new   held: the capacity that the old process still uses, repeated until it ends
 //
-// Messages may be late, as either process may be stopped for a while, and either may die at any
-// point. An old process whose message does not go out keeps its place. A new process that is ready
-// waits for as long as the old one lives, because the place may be on its way to it. If the old
-// process dies without another message, the place belongs to the new one.
+// Messages may be delayed, as either process may be stopped for a while, and either may die at any
+// point. If the old process cannot send "yours", it continues to serve. A new process that is ready
+// waits for as long as the old one lives, because "yours" may be on its way. If the old process dies
+// without sending an error, the new one takes over.
 package handover
 
 import (
@@ -32,32 +32,32 @@
 )
 
 const (
-	// messageTimeout is for one message between two processes on one machine.
+	// messageTimeout limits the sending and receiving of one message between processes on one machine.
 	messageTimeout = 2 * time.Second
-	// reservedInterval is how often the old process reports what it still uses. The new one does
-	// without a slot that has come free until the next report.
+	// reservedInterval is the interval of the old process's reports of the capacity that it still uses.
+	// The new process cannot use a freed slot until the next report.
 	reservedInterval  = 20 * time.Millisecond
-	readyPollInterval = 5 * time.Millisecond // an endpoint list takes some milliseconds to come
+	readyPollInterval = 5 * time.Millisecond // an endpoint list arrives within some milliseconds
 	maxMessageBytes   = 64 << 10
 
-	// maxUnixPath is the longest path that the kernel takes for a Unix socket.
+	// maxUnixPath is the longest path that the kernel accepts for a Unix socket.
 	maxUnixPath = 107
-	// MaxSocketPath bounds the path of the socket that the configuration names.
+	// MaxSocketPath is the longest path of the hand-over socket that the configuration may have.
 	MaxSocketPath = maxUnixPath - len(newSocketSuffix)
-	// newSocketSuffix names the socket while it is being made: it gets its name when
-	// connections to it will be accepted.
+	// newSocketSuffix is the suffix of the socket's path while it is created: the socket is renamed to
+	// its final path once it accepts connections.
 	newSocketSuffix = ".new"
 )
 
-// Config says which sidecar hands over, and where.
+// Config identifies the sidecar and its hand-over socket.
 type Config struct {
-	Name         string // of the sidecar: both processes have to be the same one
-	Listen       string // the address that it listens on
+	Name         string // of the sidecar; must be the same in both processes
+	Listen       string // the address on which it listens for clients
 	Socket       string // the path of the Unix socket
 	ReadyTimeout time.Duration
 }
 
-// message is one line between the two processes.
+// message is one message between the two processes, sent as a line of JSON.
 type message struct {
 	Kind     messageKind               `json:"kind"`
 	Name     string                    `json:"name,omitempty"`
@@ -69,21 +69,21 @@
 type messageKind string
 
 const (
-	messageHello    messageKind = "hello"
-	messageSocket   messageKind = "socket"
-	messageReady    messageKind = "ready"
-	messageYours    messageKind = "yours"
-	messageReserved messageKind = "held"
-	messageError    messageKind = "error"
+	messageHello      messageKind = "hello"
+	messageSocket     messageKind = "socket"
+	messageReady      messageKind = "ready"
+	messageHandedOver messageKind = "yours"
+	messageReserved   messageKind = "held"
+	messageError      messageKind = "error"
 )
 
-// What one process tells the other before it closes the connection.
+// Reasons that one process sends to the other before it closes the connection.
 var (
 	errShuttingDown = errors.New("this process is ending by itself")
 	errBusy         = errors.New("another process is taking over")
 )
 
-// send writes a message, with the rights to a socket if there are any.
+// send writes a message, with rights attached if there are any.
 func send(c *net.UnixConn, m message, rights []byte) error {
 	text, err := json.Marshal(m)
 	if err != nil {
@@ -94,8 +94,8 @@
 	return err
 }
 
-// receive reads the next message, which has to be of the kind given. Without a timeout it waits
-// for as long as the other process lives.
+// receive reads the next message and returns an error unless it is of the kind given. With a timeout
+// of 0 it waits for as long as the other process lives.
 func receive(c *net.UnixConn, in *bufio.Reader, kind messageKind, timeout time.Duration) (message, error) {
 	var m message
 	deadline := time.Time{}
@@ -116,7 +116,8 @@
 	return m, nil
 }
 
-// expect returns an error unless the message is of the kind given and no error itself.
+// expect returns an error unless the message is of the kind given. An error message becomes an error
+// with its text.
 func (m message) expect(kind messageKind) error {
 	switch m.Kind {
 	case messageError:
@@ -124,11 +125,11 @@
 	case kind:
 		return nil
 	}
-	return fmt.Errorf("%.32q came, not %q", m.Kind, kind)
+	return fmt.Errorf("got message %.32q, want %q", m.Kind, kind)
 }
 
-// isDisconnect says whether an error means that the other process has ended without a message: one
-// that lives sends its reason before it closes the connection.
+// isDisconnect reports whether an error means that the other process has died: a live process sends a
+// reason before it closes the connection.
 func isDisconnect(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
@@ -136,7 +137,7 @@
 // closeWithError sends the reason and closes the connection.
 func closeWithError(c *net.UnixConn, reason error) {
 	if err := send(c, message{Kind: messageError, Error: reason.Error()}, nil); err != nil {
-		slog.Debug("takeover: reason not sent", "err", err)
+		slog.Debug("takeover: cannot send reason for closing", "err", err)
 	}
 	c.Close()
 }
--- a/internal/sidecar/handover/server.go
+++ b/internal/sidecar/handover/server.go
@@ -16,7 +16,7 @@
 	"barleywick/policy"
 )
 
-// Server is the old process's side: it waits for a new process, one at a time.
+// Server is the old process's side of the hand-over. It serves one new process at a time.
 type Server struct {
 	config     Config
 	socket     *net.UnixListener
@@ -24,23 +24,23 @@
 	successors chan *Successor
 	tasks      sync.WaitGroup
 
-	mu         sync.Mutex
-	current    *net.UnixConn // the process that is trying
-	closed     bool
-	handedOver bool // the path of the socket is the new process's
+	mu            sync.Mutex
+	successorConn *net.UnixConn // to the new process that is attempting a hand-over
+	closed        bool
+	handedOver    bool // the file at the socket's path belongs to the new process
 }
 
-// Successor is a new process that is ready.
+// Successor is a new process that is ready for the hand-over.
 type Successor struct {
 	conn *net.UnixConn
-	done chan struct{} // closed when nothing more is to be reported
+	done chan struct{} // closed when no more messages will be sent
 }
 
-// Listen lets new processes take this one's place on a listening socket.
+// Listen starts a server that can hand ln over to a new process.
 func Listen(c Config, ln net.Listener) (*Server, error) {
 	tcp, ok := ln.(*net.TCPListener)
 	if !ok {
-		return nil, fmt.Errorf("takeover: a listener of kind %T, TCP is needed", ln)
+		return nil, fmt.Errorf("takeover: got listener of type %T, want TCP", ln)
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
@@ -55,29 +55,30 @@
 	return s, nil
 }
 
-// listenUnix listens at a path that another process may have listened at until now.
+// listenUnix listens at a path, replacing the socket of another process there.
 func listenUnix(path string) (*net.UnixListener, error) {
-	fresh := path + newSocketSuffix
-	os.Remove(fresh) // left by a process that was killed
-	socket, err := net.ListenUnix("unix", &net.UnixAddr{Name: fresh, Net: "unix"})
+	tempPath := path + newSocketSuffix
+	os.Remove(tempPath) // left by a process that was killed
+	socket, err := net.ListenUnix("unix", &net.UnixAddr{Name: tempPath, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
-	socket.SetUnlinkOnClose(false) // by then it may be the next process's
-	if err := errors.Join(os.Chmod(fresh, 0o600), os.Rename(fresh, path)); err != nil {
+	socket.SetUnlinkOnClose(false) // by then the file may belong to the next process
+	if err := errors.Join(os.Chmod(tempPath, 0o600), os.Rename(tempPath, path)); err != nil {
 		socket.Close()
 		return nil, err
 	}
 	return socket, nil
 }
 
-// Successors receives a process that is ready to take this one's place. The receiver answers it
-// by HandOver, once this process accepts no more.
+// Successors returns the channel on which a process arrives that is ready to replace this one. The
+// receiver calls HandOver once this process has stopped accepting connections.
 func (s *Server) Successors() <-chan *Successor { return s.successors }
 
-// HandOver tells a new process that the place is its. On an error the place stays this process's.
+// HandOver notifies a new process that it may start accepting connections. On an error this process
+// continues to serve.
 func (s *Server) HandOver(to *Successor) error {
-	if err := send(to.conn, message{Kind: messageYours}, nil); err != nil {
+	if err := send(to.conn, message{Kind: messageHandedOver}, nil); err != nil {
 		close(to.done)
 		return fmt.Errorf("takeover: %w", err)
 	}
@@ -87,7 +88,7 @@
 	return nil
 }
 
-// Close stops waiting, and ends what a new process has begun.
+// Close stops accepting new processes and aborts a hand-over in progress.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -95,8 +96,8 @@
 	if !s.handedOver {
 		os.Remove(s.config.Socket)
 	}
-	if s.current != nil {
-		closeWithError(s.current, errShuttingDown)
+	if s.successorConn != nil {
+		closeWithError(s.successorConn, errShuttingDown)
 	}
 	s.mu.Unlock()
 	s.tasks.Wait()
@@ -108,11 +109,11 @@
 		conn, err := s.socket.AcceptUnix()
 		if err != nil {
 			if !errors.Is(err, net.ErrClosed) {
-				slog.Error("takeover: accept failed, no successor can come", "err", err)
+				slog.Error("takeover: accept failed; no hand-over is possible any more", "err", err)
 			}
 			return
 		}
-		if !s.claim(conn) {
+		if !s.trySetSuccessor(conn) {
 			closeWithError(conn, errBusy)
 			continue
 		}
@@ -120,33 +121,35 @@
 	}
 }
 
-// claim makes a connection the current one, unless another process is trying.
-func (s *Server) claim(conn *net.UnixConn) bool {
+// trySetSuccessor sets the connection of the current hand-over. It returns false if another hand-over
+// is in progress or the server is closed.
+func (s *Server) trySetSuccessor(conn *net.UnixConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.current != nil || s.closed {
+	if s.successorConn != nil || s.closed {
 		return false
 	}
-	s.current = conn
+	s.successorConn = conn
 	return true
 }
 
-// serveSuccessor goes through the hand-over with one new process.
+// serveSuccessor carries out the hand-over with one new process.
 func (s *Server) serveSuccessor(conn *net.UnixConn) {
 	err := s.negotiate(conn)
 	s.mu.Lock()
-	s.current = nil
+	s.successorConn = nil
 	closed := s.closed
 	s.mu.Unlock()
 	if err != nil && !closed {
-		slog.Warn("takeover: successor failed, still serving", "err", err)
+		slog.Warn("takeover: hand-over to successor failed; still serving", "err", err)
 	}
-	// Only now, when another may be current: whoever sees the end of its connection may come at once.
+	// Closed after successorConn is cleared: a process may connect again as soon as it sees the close.
 	closeWithError(conn, cmp.Or(err, errShuttingDown))
 }
 
-// negotiate gives a new process the socket, and tells the owner when it is ready. It returns when
-// the new process has failed, or when nothing more is to be reported to it.
+// negotiate sends the listening socket to a new process, and passes the process to the receiver of
+// Successors when it is ready. It returns when the new process has failed, or when no more messages
+// will be sent to it.
 func (s *Server) negotiate(conn *net.UnixConn) error {
 	in := bufio.NewReaderSize(conn, maxMessageBytes)
 	hello, err := receive(conn, in, messageHello, messageTimeout)
@@ -160,7 +163,7 @@
 		return err
 	}
 	if _, err := receive(conn, in, messageReady, s.config.ReadyTimeout); err != nil {
-		return fmt.Errorf("it is not ready: %w", err)
+		return fmt.Errorf("successor did not report ready: %w", err)
 	}
 	successor := &Successor{conn: conn, done: make(chan struct{})}
 	select {
@@ -172,8 +175,8 @@
 	return nil
 }
 
-// sendListener passes the listening socket on. It does not use File, which would make the socket
-// block for both processes.
+// sendListener sends the listening socket. It does not use File, which would switch the socket to
+// blocking mode for both processes.
 func (s *Server) sendListener(conn *net.UnixConn) error {
 	var sendErr error
 	err := s.listener.Control(func(fd uintptr) {
@@ -189,8 +192,8 @@
 	defer interval.Stop()
 	for {
 		if err := send(s.conn, message{Kind: messageReserved, Reserved: reserved()}, nil); err != nil {
-			if !errors.Is(err, net.ErrClosed) { // which means that this process has ended what it had
-				slog.Warn("takeover: successor cannot be reached", "err", err)
+			if !errors.Is(err, net.ErrClosed) { // ErrClosed: this process has closed the connection itself
+				slog.Warn("takeover: cannot report reserved capacity to successor", "err", err)
 			}
 			return
 		}
--- a/internal/sidecar/httpmessage/body.go
+++ b/internal/sidecar/httpmessage/body.go
@@ -1,4 +1,4 @@
-// Package httpmessage reads HTTP messages whose end has to be certain.
+// Package httpmessage helps to read HTTP messages whose end must be unambiguous.
 package httpmessage
 
 import (
@@ -8,13 +8,14 @@
 	"time"
 )
 
-// trustedLength is how many bytes are allocated for a body because of its stated length alone.
-const trustedLength = 8 << 10
+// maxInitialAlloc is how many bytes are allocated for a body on the strength of its Content-Length alone,
+// before any of it has arrived.
+const maxInitialAlloc = 8 << 10
 
-// ErrTooLarge is the error for a body over its limit.
+// ErrTooLarge is returned for a body that exceeds its limit.
 var ErrTooLarge = errors.New("body too large")
 
-// ReadToEnd reads a body that has no stated length, if it has at most limit bytes.
+// ReadToEnd reads a body of unknown length and at most limit bytes.
 func ReadToEnd(r io.Reader, limit int64) ([]byte, error) {
 	b, err := io.ReadAll(io.LimitReader(r, limit+1))
 	if err == nil && int64(len(b)) > limit {
@@ -23,17 +24,17 @@
 	return b, err
 }
 
-// ReadExactly reads a body of n bytes. A stated length takes little memory before bytes have arrived;
-// then the rest is allocated at once, as growing step by step would copy a large body again and again.
+// ReadExactly reads a body of n bytes. It allocates little memory before bytes have arrived. Then it
+// allocates the rest at once, as growing step by step would copy a large body repeatedly.
 func ReadExactly(r io.Reader, n int64) ([]byte, error) {
-	b := make([]byte, min(n, trustedLength))
-	if _, err := io.ReadFull(r, b); err != nil || n <= trustedLength {
+	b := make([]byte, min(n, maxInitialAlloc))
+	if _, err := io.ReadFull(r, b); err != nil || n <= maxInitialAlloc {
 		return b, err
 	}
 	b = append(make([]byte, 0, n), b...)[:n]
-	_, err := io.ReadFull(r, b[trustedLength:])
+	_, err := io.ReadFull(r, b[maxInitialAlloc:])
 	return b, err
 }
 
-// FormatSeconds formats a duration for a header: as seconds with three decimals.
+// FormatSeconds formats a duration for a header, in seconds with three decimals.
 func FormatSeconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
--- a/internal/sidecar/httpmessage/head_recorder.go
+++ b/internal/sidecar/httpmessage/head_recorder.go
@@ -5,16 +5,17 @@
 	"io"
 )
 
-// MaxRecordedHead is how much of a message HeadRecorder keeps. A longer head is not checked.
+// MaxRecordedHead is how many bytes of a message HeadRecorder keeps. For a longer head,
+// ChunkedWithoutLength returns false.
 const MaxRecordedHead = 4 << 10
 
 var contentLength = []byte("content-length")
 
-// HeadRecorder keeps the first bytes of a message as they arrived. A message may state its length or
-// be chunked; if it does both, net/http drops the length silently. Two readers may then see the end of
-// the message in two places, and a request may hide between them in what one of them takes for the body.
+// HeadRecorder keeps the first bytes of a message as they arrived. If a message has both a Content-Length
+// and chunked encoding, net/http drops the length silently. Two parsers may then disagree on where the
+// message ends, which allows request smuggling.
 type HeadRecorder struct {
-	Source   io.Reader // what Read reads
+	Source   io.Reader // Read reads from it
 	recorded []byte
 }
 
@@ -25,14 +26,14 @@
 	return n, err
 }
 
-// Record records bytes that were read from somewhere else than Source.
+// Record records bytes that were not read through Read.
 func (h *HeadRecorder) Record(b []byte) {
 	if free := MaxRecordedHead - len(h.recorded); free > 0 {
 		h.recorded = append(h.recorded, b[:min(free, len(b))]...)
 	}
 }
 
-// Reset begins with another message. A buffer that is larger than usual heads need is released.
+// Reset prepares for another message. It releases a buffer that is larger than usual heads need.
 func (h *HeadRecorder) Reset() {
 	h.recorded = h.recorded[:0]
 	if cap(h.recorded) > MaxRecordedHead/4 {
@@ -40,12 +41,12 @@
 	}
 }
 
-// ChunkedWithoutLength reports whether the first heads, so many of them, were recorded whole and have
-// no Content-Length.
+// ChunkedWithoutLength reports whether the first heads were recorded completely and have no
+// Content-Length. heads is their number: informational responses have a head each.
 func (h *HeadRecorder) ChunkedWithoutLength(heads int) bool {
 	for line := range bytes.Lines(h.recorded) {
 		if line[len(line)-1] != '\n' {
-			return false // the head goes on
+			return false // the recording ends within the head
 		}
 		line = bytes.TrimSpace(line)
 		if len(line) == 0 {
@@ -62,5 +63,5 @@
 	return false
 }
 
-// HasPrefix reports whether the message begins with text.
+// HasPrefix reports whether the recorded bytes begin with text.
 func (h *HeadRecorder) HasPrefix(text string) bool { return bytes.HasPrefix(h.recorded, []byte(text)) }
--- a/internal/sidecar/outcome/outcome.go
+++ b/internal/sidecar/outcome/outcome.go
@@ -1,5 +1,5 @@
-// Package outcome classifies how requests end, for metrics, for the comparison of canaries and for
-// the overload controller.
+// Package outcome classifies the results of requests for metrics, canary comparison and the overload
+// controller.
 package outcome
 
 import (
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Outcome is how a request ended for its client.
+// Outcome is the result of a request as its client sees it.
 type Outcome int
 
-// The outcomes.
+// Outcomes of requests.
 const (
 	InTime         Outcome = iota // served within the latency objective
-	Late                          // served after it
-	Refused                       // a retry is harmless
-	Failed                        // with no promise about its effect
-	ClientVanished                // nobody waits for the response any more
+	Late                          // served after the latency objective
+	Refused                       // a retry is safe
+	Failed                        // without a guarantee about its effect
+	ClientVanished                // the client no longer waits for the response
 )
 
-// Of classifies a response by its status and by the time that it took.
+// Of classifies a response by its status and its latency.
 func Of(status int, took, objective time.Duration) Outcome {
 	switch status {
 	case http.StatusOK:
@@ -33,7 +33,7 @@
 	return Failed
 }
 
-// Label names the outcome as metrics and the log do, which don't tell late responses apart.
+// Label returns the name of the outcome in metrics and logs, which count late responses as served.
 func (o Outcome) Label() string {
 	switch o {
 	case InTime, Late:
--- a/internal/sidecar/outcome/outcome_test.go
+++ b/internal/sidecar/outcome/outcome_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestOutcomes(t *testing.T) {
+func TestClassification(t *testing.T) {
 	const objective = time.Second
 	for _, tt := range []struct {
 		status int
--- a/internal/sidecar/sidecartest/blackhole.go
+++ b/internal/sidecar/sidecartest/blackhole.go
@@ -27,13 +27,13 @@
 		t.Fatal(err)
 	}
 	addr := fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
-	for range 8 { // nobody accepts: the backlog fills, and further connections hang
+	for range 8 { // nothing is accepted: the backlog fills up, and further connection attempts hang
 		c, err := net.DialTimeout("tcp", addr, 50*time.Millisecond)
 		if err != nil {
 			return addr
 		}
 		t.Cleanup(func() { c.Close() })
 	}
-	t.Skip("this kernel does not let a backlog fill")
+	t.Skip("the backlog of a listening socket does not fill up on this kernel")
 	return ""
 }
--- a/internal/sidecar/sidecartest/fakeserver.go
+++ b/internal/sidecar/sidecartest/fakeserver.go
@@ -10,23 +10,23 @@
 	"testing"
 )
 
-// Received is a request that a FakeServer has read, with its connection.
+// Received is a request that a FakeServer has read, and the connection it came on.
 type Received struct {
 	*http.Request
 	Body string
 	Conn net.Conn
 }
 
-// FakeServer is a booking server that speaks raw HTTP: it hands every request to the test, and writes
-// what its Respond returns.
+// FakeServer is a booking server for tests. It passes each request to the test, and writes the raw text
+// that its Respond returns.
 type FakeServer struct {
 	Addr     string
-	Requests chan Received // read so far, and not yet received by the test
-	Accepted chan net.Conn // likewise
-	Closed   chan net.Conn // whose other end has closed them
+	Requests chan Received // read by the server and not yet received by the test
+	Accepted chan net.Conn // accepted and not yet received by the test
+	Closed   chan net.Conn // closed by the peer, or failed
 }
 
-// Respond returns what to write for a request, and whether to close the connection after it.
+// Respond returns the raw response to a request, and whether to close the connection after it.
 type Respond func(r Received) (text string, end bool)
 
 // OKResponse is a complete response with status 200.
@@ -37,7 +37,7 @@
 // Always returns a Respond that writes the same text for every request.
 func Always(text string) Respond { return func(Received) (string, bool) { return text, false } }
 
-// NewFakeServer starts a server that ends with the test.
+// NewFakeServer starts a server that is closed at the end of the test.
 func NewFakeServer(t testing.TB, respond Respond) *FakeServer {
 	t.Helper()
 	ln := ListenLoopback(t)
@@ -79,7 +79,7 @@
 	}
 }
 
-// MustURL parses a URL, and panics if it is not one.
+// MustURL parses a URL, and panics if it is malformed.
 func MustURL(s string) *url.URL {
 	u, err := url.Parse(s)
 	if err != nil {
--- a/internal/sidecar/sidecartest/sidecartest.go
+++ b/internal/sidecar/sidecartest/sidecartest.go
@@ -1,4 +1,4 @@
-// Package sidecartest holds what the tests of the sidecar's packages share.
+// Package sidecartest contains helpers that are shared by the tests of the sidecar's packages.
 package sidecartest
 
 import (
@@ -8,32 +8,33 @@
 	"time"
 )
 
-// Patience is how long a test waits for an event; it never has to in a good run.
+// Patience is the longest time that a test waits for an event. A passing test does not take this long.
 const Patience = 10 * time.Second
 
-// Await returns the next value of a channel, and fails the test if none comes.
+// Await returns the next value of a channel, and fails the test if none arrives within Patience.
 func Await[T any](t testing.TB, what string, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
 	case <-time.After(Patience):
-		t.Fatalf("waited in vain for %s", what)
+		t.Fatalf("timed out waiting for %s", what)
 		panic("unreachable")
 	}
 }
 
-// Eventually waits until a condition holds that no event tells of.
+// Eventually polls until a condition holds, and fails the test if it does not hold within Patience. It is
+// for conditions without an event to wait for.
 func Eventually(t testing.TB, what string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(Patience); !holds(); runtime.Gosched() {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited in vain until %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// ListenLoopback opens a listener that ends with the test.
+// ListenLoopback opens a listener that is closed at the end of the test.
 func ListenLoopback(t testing.TB) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/sidecar/socket/socket.go
+++ b/internal/sidecar/socket/socket.go
@@ -1,4 +1,4 @@
-// Package socket looks at TCP sockets without reading from them and without blocking.
+// Package socket inspects TCP sockets without consuming data and without blocking.
 package socket
 
 import (
@@ -9,7 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Peek looks for a byte to read without taking it and without blocking.
+// Peek checks for a byte to read, without consuming it and without blocking. It returns 0 bytes at the
+// end of the stream, and EAGAIN if there is nothing to read.
 func Peek(fd uintptr) (n int, err error) {
 	var b [1]byte
 	for {
@@ -19,7 +20,7 @@
 	}
 }
 
-// HungUp reports whether the other end has closed its side, even if there is something left to read.
+// HungUp reports whether the peer has closed its side, even if there is unread data.
 func HungUp(fd uintptr) bool {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	n, err := unix.Poll(fds, 0)
@@ -29,17 +30,18 @@
 	return err == nil && n == 1 && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// State is what an idle probe finds.
+// State is the state of a socket as found by Probe.
 type State int
 
 // The states of a socket.
 const (
 	Idle     State = iota // open, with nothing to read
-	Readable              // there is something to read
-	Closed                // closed by the other end, or broken
+	Readable              // there is unread data
+	Closed                // closed by the peer, or failed
 )
 
-// Probe looks at a socket without reading or blocking. It does not wait for a read in progress.
+// Probe returns the state of a socket without consuming data and without blocking. It does not wait for
+// a read in progress.
 func Probe(nc net.Conn) State {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
--- a/internal/sidecar/upstream/attempt.go
+++ b/internal/sidecar/upstream/attempt.go
@@ -15,11 +15,12 @@
 	"barleywick/policy"
 )
 
-// timeoutMargin is by how much a server's Request-Timeout is shorter than the time left: the request
-// was read a moment after its client had sent it, and this process may be stalled before the write.
+// timeoutMargin is the difference between the time left and the Request-Timeout sent to a server. It
+// covers the delay between the client's sending and the reading of the request, and a stall of this
+// process before the write.
 const timeoutMargin = 50 * time.Millisecond
 
-// Request is a client's request as it goes to a server. It must not change while attempts use it.
+// Request is a client's request as it is forwarded to a server. It must not change while attempts use it.
 type Request struct {
 	ID     string // the client's Request-Id
 	Method string
@@ -29,7 +30,7 @@
 	Body   []byte
 }
 
-// outgoing returns the request as it is written: unchanged except for Request-Timeout, which follows
+// outgoing returns the request as it is written: unchanged except for Request-Timeout, which is computed
 // from the deadline of ctx.
 func (r *Request) outgoing(ctx context.Context) *http.Request {
 	out := &http.Request{
@@ -47,29 +48,30 @@
 	return out
 }
 
-// ClientConn is the client connection on which a request came.
+// ClientConn is the client connection on which a request arrived.
 type ClientConn interface {
-	// ClosedByClient reports whether the client has closed it.
+	// ClosedByClient reports whether the client has closed the connection.
 	ClosedByClient() bool
 }
 
-// Attempt is one attempt of a request at one server. Begin comes first, then Do.
+// Attempt is one attempt of a request at one server. Call Begin before Transport.Do.
 type Attempt struct {
 	Request        *Request
-	Client         ClientConn // nil: there is none
+	Client         ClientConn // nil if there is none
 	Server         *Server
-	Deadline       time.Time // until then the client waits; zero: no limit
-	RepeatDeadline time.Time // what may have run may be repeated until then; zero: nothing has run
+	Deadline       time.Time // the client's deadline; zero: no limit
+	RepeatDeadline time.Time // deadline for repeating a request that may have run; zero: no earlier attempt can have run
 
-	ctx         context.Context // ends when the attempt is given up
+	ctx         context.Context // ends when the attempt is cancelled or times out
 	cancel      context.CancelFunc
-	writeCtx    context.Context // derived from ctx; ends when nothing may be written any more
+	writeCtx    context.Context // derived from ctx; after its end nothing may be written
 	cancelWrite context.CancelFunc
 }
 
-// Begin starts the attempt's time: it is given up when ctx ends, and at giveUpAt.
-func (a *Attempt) Begin(ctx context.Context, giveUpAt time.Time) {
-	a.ctx, a.cancel = context.WithDeadline(ctx, giveUpAt)
+// Begin creates the attempt's contexts: the attempt is cancelled when ctx ends, and times out at
+// attemptDeadline.
+func (a *Attempt) Begin(ctx context.Context, attemptDeadline time.Time) {
+	a.ctx, a.cancel = context.WithDeadline(ctx, attemptDeadline)
 	if a.RepeatDeadline.IsZero() {
 		a.writeCtx, a.cancelWrite = context.WithCancel(a.ctx)
 	} else {
@@ -77,26 +79,27 @@
 	}
 }
 
-// Cancel gives the attempt up, which closes its connection.
+// Cancel cancels the attempt, which closes its connection.
 func (a *Attempt) Cancel() { a.cancel() }
 
-// CancelWrite ends the permission to write: an attempt that has not been written whole is not sent.
+// CancelWrite withdraws the permission to write: if the request has not been written completely, it is
+// not sent.
 func (a *Attempt) CancelWrite() { a.cancelWrite() }
 
 func (a *Attempt) permit() sendPermit {
 	return sendPermit{requestID: a.Request.ID, writeCtx: a.writeCtx, deadline: a.Deadline, repeatDeadline: a.RepeatDeadline, client: a.Client}
 }
 
-// sendPermit holds what decides whether a request may be written.
+// sendPermit holds the conditions under which a request may be written.
 type sendPermit struct {
 	requestID      string
-	writeCtx       context.Context // ends when nothing may be written any more
+	writeCtx       context.Context // after its end nothing may be written
 	deadline       time.Time       // see Attempt
 	repeatDeadline time.Time
 	client         ClientConn
 }
 
-// facts returns what is known now of a write to a server in the state given.
+// facts returns the facts for the gate's decision on a write to a server in the given state.
 func (p sendPermit) facts(gate Gate, state policy.EndpointState) policy.SendFacts {
 	f := policy.SendFacts{
 		ClientDeadline: gate.SinceStart(p.deadline), ShutdownDeadline: policy.NoLimit, RepeatDeadline: gate.SinceStart(p.repeatDeadline),
@@ -104,14 +107,14 @@
 		ServerState: state,
 		MayHaveRun:  !p.repeatDeadline.IsZero(), Repeatable: true,
 	}
-	if deadline, ok := p.writeCtx.Deadline(); ok { // the timer that ends the context may be late, the clock is not
+	if deadline, ok := p.writeCtx.Deadline(); ok { // the context's timer may fire late, so the clock is compared, too
 		f.ClientDeadline = min(f.ClientDeadline, gate.SinceStart(deadline))
 	}
 	f.ClientGone = p.client != nil && p.client.ClosedByClient() && !mutation.IgnoreClientEnd
 	return f
 }
 
-// denialError returns the error for a write that the gate denied.
+// denialError returns the error for a write that the gate has denied.
 func denialError(denial policy.Denial, state policy.EndpointState) error {
 	switch {
 	case denial != policy.DeniedServerNotReady:
--- a/internal/sidecar/upstream/buffers.go
+++ b/internal/sidecar/upstream/buffers.go
@@ -9,15 +9,15 @@
 	"barleywick/internal/sidecar/httpmessage"
 )
 
-// maxPooledRequest is the largest capacity of a request buffer that bufferPool takes back.
+// maxPooledRequest is the largest capacity of a request buffer that is returned to bufferPool.
 const maxPooledRequest = 8 << 10
 
-// exchangeBuffers are what a connection needs while it carries a request, and not while it is idle.
+// exchangeBuffers holds the buffers that a connection needs only while it carries a request.
 type exchangeBuffers struct {
-	limited io.LimitedReader         // limits what one response may take
+	limited io.LimitedReader         // limits the size of one response
 	head    httpmessage.HeadRecorder // reads from limited
 	reader  *bufio.Reader            // reads from head
-	request bytes.Buffer             // the request, so that it is written at once
+	request bytes.Buffer             // the request, which is written in one write
 }
 
 var bufferPool = sync.Pool{New: func() any {
@@ -26,7 +26,7 @@
 	return b
 }}
 
-// borrowBuffers gives the connection buffers for one exchange.
+// borrowBuffers takes buffers for one exchange from the pool.
 func (c *Conn) borrowBuffers() *exchangeBuffers {
 	b := bufferPool.Get().(*exchangeBuffers)
 	b.limited.R, b.head.Source = c.Conn, &b.limited
@@ -37,7 +37,7 @@
 	return b
 }
 
-// returnBuffers ends the exchange. It reports whether everything that arrived had been read.
+// returnBuffers returns the buffers to the pool. It reports whether all buffered input had been read.
 func (c *Conn) returnBuffers() (allRead bool) {
 	b := c.buffers
 	c.buffers = nil
--- a/internal/sidecar/upstream/conn.go
+++ b/internal/sidecar/upstream/conn.go
@@ -17,17 +17,17 @@
 	net.Conn
 	server    *Server
 	idleSince time.Time
-	idleLimit time.Duration   // from idleSince on; 0: it is new
+	idleLimit time.Duration   // counted from idleSince; 0: the connection is new
 	releaseAt time.Time       // the end of its quarantine
-	heapIndex int             // in the quarantineHeap, plus one; 0: it is not quarantined
+	heapIndex int             // index in the quarantineHeap plus one; 0: not quarantined
 	recent    recentResponses // for duplicateDetector
 	inServer  queue.Node[*Conn]
 	inPool    queue.Node[*Conn]
 	buffers   *exchangeBuffers // while it carries a request
 }
 
-// Close closes the connection and discards what the server has not received. A plain close would let
-// the kernel send that later, and a server would begin a request that had been given up.
+// Close closes the connection and discards the data that the server has not received. With a plain close
+// the kernel would send that data later, and the server would run a request whose attempt was cancelled.
 func (c *Conn) Close() error {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok && c.unsentBytes() > 0 {
 		tcp.SetLinger(0)
@@ -35,8 +35,7 @@
 	return c.Conn.Close()
 }
 
-// unsentBytes returns how many bytes were written that the server has not received, or 0 if that is
-// not known.
+// unsentBytes returns how many of the bytes written the server has not received, or 0 if that is unknown.
 func (c *Conn) unsentBytes() int {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -54,18 +53,18 @@
 	return unsent
 }
 
-// sentPollInterval is the time between two looks at unsentBytes.
+// sentPollInterval is the interval at which awaitSent polls unsentBytes.
 const sentPollInterval = 2 * time.Millisecond
 
-// awaitSent waits until the server has received all that was written, or ctx ends.
+// awaitSent waits until the server has received all bytes written, or ctx ends.
 func (c *Conn) awaitSent(ctx context.Context) {
 	for ctx.Err() == nil && c.unsentBytes() > 0 {
 		time.Sleep(sentPollInterval)
 	}
 }
 
-// check probes an idle connection: it is usable if it has not reached its idle limit, is open, and has
-// nothing to read. surplus reports whether there was something to read.
+// check probes an idle connection. It is usable if it has not reached its idle limit, is open, and has
+// nothing to read. surplus reports whether there was unread data.
 func (c *Conn) check(now time.Time) (usable, surplus bool) {
 	state := socket.Probe(c.Conn)
 	return now.Sub(c.idleSince) < c.idleLimit && state == socket.Idle, state == socket.Readable
--- a/internal/sidecar/upstream/dial.go
+++ b/internal/sidecar/upstream/dial.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// startDialsLocked starts handshakes with a server while more callers wait for it than connections
-// are about to come up or to leave quarantine, and the limits allow.
+// startDialsLocked starts handshakes with a server as long as more callers wait for it than connections
+// are being established or about to leave quarantine, and the limits allow it.
 func (p *Pool) startDialsLocked(server *Server) {
-	soon := 0
+	releasedSoon := 0
 	if server.waiting.Len() > 0 {
-		soon = server.releasedSoon(time.Now())
+		releasedSoon = server.releasedSoon(time.Now())
 	}
-	for p.mayDialLocked(server, soon) {
+	for p.mayDialLocked(server, releasedSoon) {
 		if p.dialing >= p.limits.Handshakes || (p.open >= p.limits.Total && !p.evictLocked()) {
 			if server.blocked.Value = server; !server.blocked.Linked() {
 				p.blocked.PushBack(&server.blocked)
@@ -31,7 +31,7 @@
 	server.blocked.Remove()
 }
 
-// mayDialLocked reports whether another handshake with a server is needed and its own limits allow it.
+// mayDialLocked reports whether another handshake with a server is needed and within the limits per server.
 func (p *Pool) mayDialLocked(server *Server, releasedSoon int) bool {
 	return server.unavailable() == nil && p.ctx.Err() == nil &&
 		server.waiting.Len() > server.dialing+releasedSoon &&
@@ -39,7 +39,8 @@
 		server.dialing < min(max(server.dialWindow, initialDialWindow), p.limits.HandshakesPerServer)
 }
 
-// resumeBlockedLocked starts the handshakes that waited for a limit on the total, in their order.
+// resumeBlockedLocked starts handshakes with the servers that are blocked by a limit on the total, in
+// first-in, first-out order.
 func (p *Pool) resumeBlockedLocked() {
 	for n := p.blocked.Front(); n != nil; n = p.blocked.Front() {
 		p.startDialsLocked(n.Value)
@@ -49,7 +50,7 @@
 	}
 }
 
-// dial establishes a connection for the caller that waits longest when it is done.
+// dial establishes a connection, which goes to the server's longest-waiting caller at that time.
 func (p *Pool) dial(server *Server) {
 	ctx, cancel := context.WithTimeout(p.ctx, p.dialTimeout)
 	defer cancel()
@@ -70,15 +71,15 @@
 	server.connectedAt, server.lastResponseAt = now, now
 	c := &Conn{Conn: nc, server: server, idleSince: now}
 	c.inServer.Value, c.inPool.Value = c, c
-	server.noteInUse(now)
+	server.recordInUse(now)
 	p.releaseLocked(c)
 }
 
-// dialFailedLocked records a handshake that failed, because of its timeout or otherwise.
+// dialFailedLocked handles a failed handshake. timedOut reports whether it failed because of its timeout.
 func (p *Pool) dialFailedLocked(server *Server, err error, timedOut bool, startedAt time.Time) {
 	p.open--
 	server.open--
-	if isLocalError(err) { // says nothing about the server
+	if isLocalError(err) { // not the server's failure
 		p.count.LocalFailures++
 		err = errLimitReached
 	} else {
@@ -93,12 +94,12 @@
 	p.resumeBlockedLocked()
 }
 
-// localErrors are failures of a handshake for want of descriptors, buffers or ports of this machine.
+// localErrors are the errors of a handshake for which this machine lacks descriptors, buffers or ports.
 var localErrors = []error{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN,
 }
 
-// isLocalError reports whether a handshake failed because of this machine and not of the server.
+// isLocalError reports whether a handshake failed because of this machine and not because of the server.
 func isLocalError(err error) bool {
 	for _, local := range localErrors {
 		if errors.Is(err, local) {
--- a/internal/sidecar/upstream/duplicates.go
+++ b/internal/sidecar/upstream/duplicates.go
@@ -6,28 +6,29 @@
 )
 
 const (
-	// comparedResponses is how many responses of all connections are compared with a new one.
+	// comparedResponses is how many earlier responses on all connections a new one is compared with.
 	comparedResponses = 64
-	// distinctRunNeeded is how many responses in a row must differ from those of other connections
-	// before equal ones count as duplicates.
+	// distinctRunNeeded is how many consecutive responses must differ from those on other connections
+	// before equal responses on one connection count as duplicates.
 	distinctRunNeeded = 8
-	// responsesPerConn is how many responses of its own connection a new one is compared with. With
-	// their quarantines they reach back for longer than a second response is late.
+	// responsesPerConn is how many earlier responses on its own connection a new one is compared with.
+	// As each is followed by a quarantine, they span more time than the delay of a duplicate response.
 	responsesPerConn = 8
 )
 
-// duplicateDetector finds responses that a server sent twice. While none of the last responses was
-// equal to one on another connection, a response tells its request apart from others: one that equals
-// an earlier one of its own connection is that response once more, and answers no request.
+// duplicateDetector finds responses that a server sent twice. As long as none of the last responses was
+// equal to one on another connection, responses are assumed to be unique to their requests. Then a
+// response that equals an earlier one on its own connection is a duplicate of that, not the response to
+// the current request.
 type duplicateDetector struct {
 	seed        maphash.Seed
 	ring        [comparedResponses]uint64 // hashes of the last responses
 	next        int                       // index in ring
 	occurrences map[uint64]int            // of each hash in ring
-	distinctRun int                       // responses since the last that equalled another connection's
+	distinctRun int                       // consecutive responses that differed from those on other connections
 }
 
-// recentResponses are the hashes of a connection's last responses; 0 is none.
+// recentResponses holds the hashes of a connection's last responses; 0 marks an unused entry.
 type recentResponses struct {
 	hashes [responsesPerConn]uint64
 	next   int
@@ -38,7 +39,7 @@
 	r.next = (r.next + 1) % responsesPerConn
 }
 
-// hash returns a body's hash, which is 0 for an empty body and no other.
+// hash returns the hash of a body. It is 0 only for an empty body.
 func (d *duplicateDetector) hash(body []byte) uint64 {
 	if len(body) == 0 {
 		return 0
@@ -52,7 +53,7 @@
 // conclusive reports whether an equal response counts as a duplicate.
 func (d *duplicateDetector) conclusive() bool { return d.distinctRun >= distinctRunNeeded }
 
-// observe records a response, and reports whether it is a duplicate on its connection.
+// observe records a response and reports whether it is a duplicate on its connection.
 func (d *duplicateDetector) observe(hash uint64, recent *recentResponses) (duplicate bool) {
 	if hash == 0 {
 		return false
@@ -76,7 +77,7 @@
 	return false
 }
 
-// isDuplicate records a response, and reports whether it is a duplicate that must be dropped.
+// isDuplicate records a response and reports whether it is a duplicate that must be dropped.
 func (p *Pool) isDuplicate(c *Conn, body []byte) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,6 +85,6 @@
 		return false
 	}
 	p.count.DuplicateResponses++
-	p.noteSurplusLocked(c)
+	p.recordSurplusLocked(c)
 	return true
 }
--- a/internal/sidecar/upstream/helpers_test.go
+++ b/internal/sidecar/upstream/helpers_test.go
@@ -12,32 +12,32 @@
 	"barleywick/policy"
 )
 
-// runOneAttempt carries out an attempt over a transport of its own.
+// runOneAttempt carries out one attempt over a new transport.
 func runOneAttempt(ctx context.Context, p *Pool, to *Server) (policy.Ending, *Response) {
 	r := &Request{Method: "POST", URL: sidecartest.MustURL("/api"), Host: "service.internal", Header: http.Header{"Request-Id": {"x"}}, Body: []byte("{}")}
 	return newTestTransport(p).Do(newTestAttempt(ctx, r, to, time.Time{}, time.Time{}))
 }
 
-// newTestTransport returns a transport without load reports.
+// newTestTransport returns a transport that does not read load reports.
 func newTestTransport(p *Pool) *Transport { return NewTransport(p, gate.New(), "/health/live", nil) }
 
-// newTestAttempt returns an attempt that has an hour, unless its client's deadline or the one for a
-// repeat is earlier; zero times are none.
+// newTestAttempt returns an attempt with a timeout of an hour, the client deadline and the repeat
+// deadline given; a zero time is no deadline.
 func newTestAttempt(ctx context.Context, r *Request, to *Server, deadline, repeatDeadline time.Time) *Attempt {
 	a := &Attempt{Request: r, Server: to, Deadline: deadline, RepeatDeadline: repeatDeadline}
 	a.Begin(ctx, time.Now().Add(time.Hour))
 	return a
 }
 
-// testPool returns a pool whose limits are all the same.
-func testPool(most int) *Pool { return poolOf(time.Second, 30*time.Second, most) }
+// testPool returns a pool with all its limits set to limit.
+func testPool(limit int) *Pool { return testPoolWithTimeouts(time.Second, 30*time.Second, limit) }
 
-// poolOf returns such a pool with its own times.
-func poolOf(dialTimeout, connIdle time.Duration, most int) *Pool {
-	return NewPool(dialTimeout, connIdle, config.UpstreamLimits{Total: most, PerServer: most, Handshakes: most, HandshakesPerServer: most}, 1)
+// testPoolWithTimeouts is testPool with other timeouts.
+func testPoolWithTimeouts(dialTimeout, connIdle time.Duration, limit int) *Pool {
+	return NewPool(dialTimeout, connIdle, config.UpstreamLimits{Total: limit, PerServer: limit, Handshakes: limit, HandshakesPerServer: limit}, 1)
 }
 
-// endAllQuarantines releases all quarantined connections, as if their time were over.
+// endAllQuarantines ends the quarantines of all connections at once.
 func endAllQuarantines(p *Pool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -46,8 +46,8 @@
 	}
 }
 
-// connections acquires n connections.
-func connections(t testing.TB, p *Pool, to *Server, n int) (conns []*Conn) {
+// acquireConns acquires n connections.
+func acquireConns(t testing.TB, p *Pool, to *Server, n int) (conns []*Conn) {
 	t.Helper()
 	for range n {
 		c, err := p.Acquire(t.Context(), to)
@@ -59,11 +59,11 @@
 	return conns
 }
 
-// opened returns how many connections are open, handshakes in progress included.
-func (p *Pool) opened() int {
+// openConns returns the number of open connections, including handshakes in progress.
+func (p *Pool) openConns() int {
 	_, now := p.Counters()
 	return now.Open
 }
 
-// waiters returns how many callers wait for a connection.
-func waiters(p *Pool) int { _, now := p.Counters(); return now.Waiting }
+// waitingCallers returns the number of callers waiting for a connection.
+func waitingCallers(p *Pool) int { _, now := p.Counters(); return now.Waiting }
--- a/internal/sidecar/upstream/idle.go
+++ b/internal/sidecar/upstream/idle.go
@@ -7,8 +7,8 @@
 	"barleywick/internal/sidecar/socket"
 )
 
-// evictLocked closes the connection that has been idle longest, or else the one whose quarantine ends
-// first. It reports whether there was one.
+// evictLocked closes the connection that has been idle longest or, if none is idle, the one whose
+// quarantine ends first. It reports whether there was one.
 func (p *Pool) evictLocked() bool {
 	var c *Conn
 	if n := p.idle.Front(); n != nil {
@@ -23,8 +23,8 @@
 	return true
 }
 
-// Sweep closes the idle connections that have reached their idle limit, are not needed, were closed
-// by the server, or on which surplus bytes have arrived.
+// Sweep closes the idle connections that have reached their idle limit, exceed their server's recent
+// demand, were closed by the server, or have received surplus bytes.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -37,7 +37,7 @@
 			p.closeLocked(c)
 		case p.isStaleLocked(c):
 			p.closeLocked(c)
-		case now.Sub(c.idleSince) >= 2*demandWindow && c.server.open-c.server.dialing > c.server.needed(now):
+		case now.Sub(c.idleSince) >= 2*demandWindow && c.server.open-c.server.dialing > c.server.neededConns(now):
 			p.count.Unneeded++
 			p.closeLocked(c)
 		}
@@ -45,13 +45,13 @@
 	p.resumeBlockedLocked()
 }
 
-// isStaleLocked probes an idle connection, and counts what makes it unusable.
+// isStaleLocked probes an idle connection, and counts it if it is unusable.
 func (p *Pool) isStaleLocked(c *Conn) bool {
 	switch socket.Probe(c.Conn) {
 	case socket.Idle:
 		return false
 	case socket.Readable:
-		p.noteSurplusLocked(c)
+		p.recordSurplusLocked(c)
 	}
 	p.count.Stale++
 	return true
--- a/internal/sidecar/upstream/pool.go
+++ b/internal/sidecar/upstream/pool.go
@@ -1,5 +1,5 @@
-// Package upstream is the sidecar's side towards the booking servers: a pool of connections with
-// limits, and a transport that carries out attempts and probes over them.
+// Package upstream connects the sidecar to the booking servers. It has a connection pool with limits, and
+// a transport that carries out attempts and probes over the pool's connections.
 package upstream
 
 import (
@@ -15,31 +15,31 @@
 )
 
 const (
-	// idleMargin is how long before a server closes an idle connection the pool stops to use it: a
-	// request that is written to a connection being closed ends in a reset, and may not be repeated.
+	// idleMargin is how long before a server's idle timeout the pool stops using a connection. A request
+	// that is written while the server closes the connection ends in a reset, and may not be repeated.
 	idleMargin = 2 * time.Second
-	// idleJitter is the largest part of the idle limit by which a connection's own limit is shorter.
-	// Connections that all sidecars opened together must not be closed and opened again together.
+	// idleJitter is the largest fraction by which a connection's idle limit is shortened at random, so
+	// that connections that all sidecars opened at once are not closed and reopened at once.
 	idleJitter = 0.1
-	// demandWindow is the length of the windows in which a server's demand for connections is
-	// measured. Two windows are well under the time for which servers keep an idle connection.
+	// demandWindow is the length of the windows over which a server's demand for connections is measured.
+	// Two windows are well below the idle timeout of servers.
 	demandWindow = 10 * time.Second
 )
 
-// Errors of Acquire, other than that of a failed handshake.
+// Errors of Acquire other than failed handshakes.
 var (
 	errServerRemoved  = errors.New("the server was removed from the endpoint list")
 	errServerDraining = errors.New("the server is draining")
-	errLimitReached   = errors.New("no connection within the limits in time")
-	errCallerTimeout  = errors.New("the caller's time was up before a connection was established")
-	errConnectTimeout = errors.New("no connection was established in time")
+	errLimitReached   = errors.New("no connection became available within the limits before the timeout")
+	errCallerTimeout  = errors.New("the caller's context ended before the request was written")
+	errConnectTimeout = errors.New("no connection was established before the timeout")
 )
 
-// Pool keeps connections to booking servers for further requests: a handshake costs the server work
-// and the request time. It limits the connections and the handshakes in progress, in total and for
-// each server, and serves waiting callers in their order.
+// Pool keeps connections to booking servers for reuse, since a handshake costs the server work and delays
+// the request. It limits the numbers of connections and of handshakes in progress, in total and per
+// server, and serves the callers waiting for a server in first-in, first-out order.
 //
-// Each operation takes constant time in the number of connections, except for Sweep and releasedSoon.
+// Operations take constant time in the number of connections, except for Sweep and releasedSoon.
 type Pool struct {
 	dialTimeout time.Duration
 	maxIdle     time.Duration // the idle limit of a connection, before its jitter
@@ -52,29 +52,29 @@
 	limits          config.UpstreamLimits
 	open            int               // connections, and handshakes in progress
 	dialing         int               // handshakes in progress
-	idle            queue.List[*Conn] // the longest idle first
+	idle            queue.List[*Conn] // longest idle first
 	quarantined     quarantineHeap
 	quarantineTimer *time.Timer // fires when the first quarantine ends
 	duplicates      duplicateDetector
-	blocked         queue.List[*Server] // whose next handshake waits for a limit on the total
-	waiting         int                 // callers
+	blocked         queue.List[*Server] // servers whose next handshake is blocked by a limit on the total, first-in, first-out
+	waiting         int                 // number of waiting callers
 	count           Counters
 }
 
-// waiter is a caller of Acquire that waits for a connection.
+// waiter is a caller of Acquire that is waiting for a connection.
 type waiter struct {
 	since   time.Time
-	granted chan grant // takes one value; never blocks
+	granted chan grant // receives one value; has a buffer, so sending never blocks
 	node    queue.Node[*waiter]
 }
 
-// grant ends a caller's wait.
+// grant is the result of a caller's wait: a connection or an error.
 type grant struct {
 	conn *Conn
 	err  error
 }
 
-// NewPool returns a pool for servers that close a connection after connIdle without a request.
+// NewPool returns a pool for servers that close a connection that has been idle for connIdle.
 func NewPool(dialTimeout, connIdle time.Duration, limits config.UpstreamLimits, seed uint64) *Pool {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &Pool{
@@ -89,11 +89,11 @@
 	return p
 }
 
-// Close ends the handshakes in progress and closes all connections that are not in use. Those in use
-// have to be given back.
+// Close cancels the handshakes in progress and closes all unused connections. Callers must still release
+// or discard the connections in use, which closes them.
 func (p *Pool) Close() {
 	p.mu.Lock()
-	p.cancel() // with the lock held: no handshake begins after it
+	p.cancel() // with the lock held, so that no handshake starts afterwards
 	p.mu.Unlock()
 	p.dials.Wait()
 	p.mu.Lock()
@@ -107,8 +107,8 @@
 	p.quarantineTimer.Stop()
 }
 
-// SetLimits applies other limits. Idle connections over the total are closed now, others when they
-// are released.
+// SetLimits replaces the limits. Unused connections above the limit on the total are closed at once,
+// connections in use when they are released.
 func (p *Pool) SetLimits(limits config.UpstreamLimits) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,8 +118,8 @@
 	p.resumeBlockedLocked()
 }
 
-// Acquire returns the most recently used idle connection to a server, or waits for a handshake or for
-// another request to end. The caller gives it back with Release or Discard.
+// Acquire returns the most recently used idle connection to a server. If there is none, it waits for a
+// handshake or for the release of a connection. The caller must call Release or Discard.
 func (p *Pool) Acquire(ctx context.Context, server *Server) (*Conn, error) {
 	for {
 		c, err := p.acquireOrWait(ctx, server)
@@ -134,7 +134,7 @@
 	}
 }
 
-// acquireOrWait is Acquire without a check of the connection.
+// acquireOrWait is Acquire without the check that the connection is usable.
 func (p *Pool) acquireOrWait(ctx context.Context, server *Server) (*Conn, error) {
 	p.mu.Lock()
 	if n := server.idle.Back(); n != nil && server.unavailable() == nil {
@@ -157,7 +157,7 @@
 	return p.wait(ctx, server, w)
 }
 
-// enqueueLocked makes the caller wait for a connection, and starts a handshake if one is needed.
+// enqueueLocked adds the caller to the server's wait queue, and starts a handshake if one is needed.
 func (p *Pool) enqueueLocked(server *Server) *waiter {
 	w := &waiter{since: time.Now(), granted: make(chan grant, 1)}
 	w.node.Value = w
@@ -168,7 +168,7 @@
 	return w
 }
 
-// wait waits for a grant, at most until ctx or dialTimeout ends.
+// wait waits for a grant until ctx ends or dialTimeout has passed.
 func (p *Pool) wait(ctx context.Context, server *Server, w *waiter) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.dialTimeout)
 	defer cancel()
@@ -179,7 +179,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !w.node.Linked() { // granted a moment ago
+	if !w.node.Linked() { // granted in the meantime
 		g := <-w.granted
 		return g.conn, g.err
 	}
@@ -195,14 +195,14 @@
 	return nil, errLimitReached
 }
 
-// checkOutLocked takes an idle connection for use.
+// checkOutLocked removes a connection from the idle lists for use.
 func (p *Pool) checkOutLocked(c *Conn) {
 	c.inServer.Remove()
 	c.inPool.Remove()
-	c.server.noteInUse(time.Now())
+	c.server.recordInUse(time.Now())
 }
 
-// grantLocked ends the wait of the server's longest waiting caller, and reports whether there is one.
+// grantLocked ends the wait of the server's longest-waiting caller, and reports whether there was one.
 func (p *Pool) grantLocked(server *Server, g grant) bool {
 	n := server.waiting.Front()
 	if n == nil {
@@ -214,8 +214,8 @@
 	return true
 }
 
-// Release gives a connection back whose last response was read to its end. It is closed if the server
-// gets nothing new any more.
+// Release returns a connection, whose last response has been read completely, to the pool. The connection
+// is closed if its server drains or was removed, or if a limit is exceeded.
 func (p *Pool) Release(c *Conn) {
 	c.idleSince = time.Now()
 	p.mu.Lock()
@@ -223,7 +223,7 @@
 	p.releaseLocked(c)
 }
 
-// releaseLocked adds a connection without a request to the pool, a new one or one that was in use.
+// releaseLocked adds a connection to the pool: a new one, or one that was in use.
 func (p *Pool) releaseLocked(c *Conn) {
 	server, isNew := c.server, c.idleLimit == 0
 	c.idleLimit = time.Duration(float64(p.maxIdle) * (1 - idleJitter*p.rng.Float64()))
@@ -234,10 +234,10 @@
 	case server.draining:
 		p.count.ServerDraining++
 		p.closeLocked(c)
-	case p.ctx.Err() != nil || p.open > p.limits.Total || server.open > p.limits.PerServer: // the limits were lowered
+	case p.ctx.Err() != nil || p.open > p.limits.Total || server.open > p.limits.PerServer: // the pool was closed or the limits were lowered
 		p.count.Evicted++
 		p.closeLocked(c)
-	case isNew: // no response can have been left on it
+	case isNew: // no late response can arrive on it
 		p.offerLocked(c)
 	default:
 		p.quarantineLocked(c)
@@ -246,7 +246,7 @@
 	p.resumeBlockedLocked()
 }
 
-// offerLocked grants a connection to the server's longest waiting caller, or keeps it idle.
+// offerLocked grants a connection to the server's longest-waiting caller, or keeps it idle if none waits.
 func (p *Pool) offerLocked(c *Conn) {
 	if p.grantLocked(c.server, grant{conn: c}) {
 		return
@@ -255,7 +255,7 @@
 	p.idle.PushBack(&c.inPool)
 }
 
-// Discard closes a connection that was acquired.
+// Discard closes an acquired connection.
 func (p *Pool) Discard(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -264,18 +264,18 @@
 	p.resumeBlockedLocked()
 }
 
-// discardStale closes a connection that was acquired and proved to be unusable.
+// discardStale closes an acquired connection that check found unusable.
 func (p *Pool) discardStale(c *Conn, surplus bool) {
 	p.mu.Lock()
 	p.count.Stale++
 	if surplus {
-		p.noteSurplusLocked(c)
+		p.recordSurplusLocked(c)
 	}
 	p.mu.Unlock()
 	p.Discard(c)
 }
 
-// closeLocked closes a connection, in use or not.
+// closeLocked closes a connection, whether in use or not, and removes it from the pool.
 func (p *Pool) closeLocked(c *Conn) {
 	c.inServer.Remove()
 	c.inPool.Remove()
--- a/internal/sidecar/upstream/pool_test.go
+++ b/internal/sidecar/upstream/pool_test.go
@@ -12,10 +12,10 @@
 	"barleywick/policy"
 )
 
-// After a request without a response no idle connection to that server is used again: a request that
-// is written to a machine that was cut off is lost, and may never be repeated. If another response came
-// meanwhile, only that request was slow.
-func TestUnresponsiveServersIdleConnectionsAreClosed(t *testing.T) {
+// After a request times out, no idle connection to its server is used again: a request that is written to
+// a machine that is cut off from the network is lost, and may not be repeated. If another response has
+// arrived in the meantime, only that request was slow, and the connections are kept.
+func TestIdleConnectionsToUnresponsiveServerAreClosed(t *testing.T) {
 	for name, answered := range map[string]bool{"unresponsive": false, "one slow request": true} {
 		t.Run(name, func(t *testing.T) {
 			u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
@@ -26,7 +26,7 @@
 			})
 			p, to := testPool(8), NewServer(u.Addr)
 			defer p.Close()
-			conns := connections(t, p, to, 3)
+			conns := acquireConns(t, p, to, 3)
 			for _, c := range conns {
 				p.Release(c)
 			}
@@ -54,13 +54,13 @@
 	}
 }
 
-// Connections beyond what was in use at once lately are closed long before the server would close
-// them; the last one is not.
-func TestIdleConnectionsAreKeptByDemand(t *testing.T) {
+// Idle connections in excess of the recent peak use are closed long before the server would close them,
+// except for the last one.
+func TestSweepClosesConnectionsAboveDemand(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
-	p, to := poolOf(time.Second, time.Minute, 8), NewServer(u.Addr)
+	p, to := testPoolWithTimeouts(time.Second, time.Minute, 8), NewServer(u.Addr)
 	defer p.Close()
-	conns := connections(t, p, to, 5)
+	conns := acquireConns(t, p, to, 5)
 	for _, c := range conns {
 		p.Release(c)
 	}
@@ -68,13 +68,13 @@
 	now := conns[4].idleSince
 	p.Sweep(now.Add(2*demandWindow - time.Millisecond))
 	if p.idle.Len() != 5 {
-		t.Fatalf("got %d idle connections while the burst may come again, want 5", p.idle.Len())
+		t.Fatalf("got %d idle connections within two demand windows after the burst, want 5", p.idle.Len())
 	}
 	p.mu.Lock()
-	for _, c := range conns[:2] { // two in use at once, all the time
+	for _, c := range conns[:2] { // two connections were in use at once all the time
 		c.idleSince = now.Add(2 * demandWindow)
 	}
-	to.peak, to.previousPeak, to.peakSince = 2, 2, now.Add(2*demandWindow)
+	to.peak, to.previousPeak, to.peakWindowStart = 2, 2, now.Add(2*demandWindow)
 	p.mu.Unlock()
 	p.Sweep(now.Add(2 * demandWindow))
 	if n, _ := p.Counters(); p.idle.Len() != 2 || n.Unneeded != 3 {
@@ -86,8 +86,8 @@
 	}
 }
 
-// startWaitingAttempt starts an attempt to a server that accepts no connection, and returns when it
-// waits for one.
+// startWaitingAttempt starts an attempt to a server that does not complete handshakes, and returns once
+// the attempt is waiting for a connection.
 func startWaitingAttempt(t *testing.T) (p *Pool, to *Server, ending <-chan policy.Ending) {
 	t.Helper()
 	p, to = testPool(4), NewServer(sidecartest.NewBlackHole(t))
@@ -95,12 +95,12 @@
 	t.Cleanup(p.Close)
 	ended := make(chan policy.Ending, 1)
 	go func() { e, _ := runOneAttempt(t.Context(), p, to); ended <- e }()
-	sidecartest.Eventually(t, "the attempt waits", func() bool { return waiters(p) == 1 })
+	sidecartest.Eventually(t, "the attempt waits", func() bool { return waitingCallers(p) == 1 })
 	return p, to, ended
 }
 
-// Attempts that wait for a connection to a server that is removed end at once.
-func TestWaitersOfARemovedServer(t *testing.T) {
+// Attempts waiting for a connection fail at once when their server is removed.
+func TestAttemptsWaitingForRemovedServerFail(t *testing.T) {
 	p, to, ending := startWaitingAttempt(t)
 	p.Retire(to)
 	if got := sidecartest.Await(t, "the ending", ending); got != policy.NotSent {
@@ -111,22 +111,22 @@
 	}
 }
 
-// Other limits apply to the connections that are open.
+// SetLimits applies to open connections, too.
 func TestSetLimits(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, to := testPool(8), NewServer(u.Addr)
 	defer p.Close()
-	conns := connections(t, p, to, 4)
+	conns := acquireConns(t, p, to, 4)
 	for _, c := range conns[1:] {
 		p.Release(c)
 	}
 	p.SetLimits(config.UpstreamLimits{Total: 2, PerServer: 1, Handshakes: 1, HandshakesPerServer: 1})
-	if p.opened() != 2 {
-		t.Errorf("got %d connections, want 2", p.opened())
+	if p.openConns() != 2 {
+		t.Errorf("got %d connections, want 2", p.openConns())
 	}
 	p.Release(conns[0])
-	if p.opened() != 1 {
-		t.Errorf("got %d connections to one server, want 1", p.opened())
+	if p.openConns() != 1 {
+		t.Errorf("got %d connections to one server, want 1", p.openConns())
 	}
 }
 
@@ -149,12 +149,12 @@
 			t.Errorf("got %p, want %p", got, want)
 		}
 	}
-	if n := p.opened(); n != 2 {
+	if n := p.openConns(); n != 2 {
 		t.Errorf("got %d connections, want 2", n)
 	}
 }
 
-func TestPoolDiscardsWhatTheServerClosed(t *testing.T) {
+func TestPoolDiscardsConnectionsClosedByServer(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, to := testPool(4), NewServer(u.Addr)
 	c, err := p.Acquire(context.Background(), to)
@@ -163,25 +163,25 @@
 	}
 	peer := sidecartest.Await(t, "the connection", u.Accepted)
 	if !socket.IsIdle(c.Conn) {
-		t.Error("an open idle connection counts as closed")
+		t.Error("an open idle connection was not reported as idle")
 	}
 	p.Release(c)
 	endAllQuarantines(p)
 	peer.Close()
 	if _, err := c.Read(make([]byte, 1)); err == nil { // returns once the close has arrived
-		t.Fatal("the server did not close")
+		t.Fatal("the server did not close the connection")
 	}
 	if got, _ := p.Acquire(context.Background(), to); got == c {
 		t.Error("got a closed connection")
 	}
-	if n := p.opened(); n != 1 {
+	if n := p.openConns(); n != 1 {
 		t.Errorf("got %d connections, want 1", n)
 	}
 }
 
 func TestPoolClosesBeforeTheServerDoes(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
-	p, to := poolOf(time.Second, 10*time.Second, 4), NewServer(u.Addr)
+	p, to := testPoolWithTimeouts(time.Second, 10*time.Second, 4), NewServer(u.Addr)
 	c, err := p.Acquire(context.Background(), to)
 	if err != nil {
 		t.Fatal(err)
@@ -189,21 +189,21 @@
 	p.Release(c)
 	endAllQuarantines(p)
 	p.Sweep(c.idleSince.Add(c.idleLimit - time.Millisecond))
-	if p.opened() != 1 {
-		t.Error("closed before its idle limit")
+	if p.openConns() != 1 {
+		t.Error("the connection was closed before its idle limit")
 	}
 	if least := time.Duration(float64(p.maxIdle) * (1 - idleJitter)); p.maxIdle >= 10*time.Second || c.idleLimit > p.maxIdle || c.idleLimit < least {
 		t.Errorf("got idle limit %v, want %v to %v", c.idleLimit, least, p.maxIdle)
 	}
 	p.Sweep(c.idleSince.Add(c.idleLimit))
 	sidecartest.Await(t, "the connection's close", u.Closed)
-	if p.opened() != 0 {
-		t.Error("the connection still counts")
+	if p.openConns() != 0 {
+		t.Error("the closed connection is still counted as open")
 	}
 }
 
-// At the limit on the total an idle connection is evicted, to whatever server it goes.
-func TestPoolKeepsToItsLimit(t *testing.T) {
+// At the limit on the total an idle connection is evicted, even if it is to another server.
+func TestPoolEvictsIdleConnectionAtTotalLimit(t *testing.T) {
 	a, b := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse(""))), sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, toA, toB := testPool(2), NewServer(a.Addr), NewServer(b.Addr)
 	first, err := p.Acquire(context.Background(), toA)
@@ -219,31 +219,31 @@
 		t.Fatalf("nothing was evicted: %v", err)
 	}
 	sidecartest.Await(t, "the idle connection's close", a.Closed)
-	waits := make(chan error, 1)
+	acquired := make(chan error, 1)
 	go func() {
 		_, err := p.Acquire(context.Background(), toB)
-		waits <- err
+		acquired <- err
 	}()
-	sidecartest.Await(t, "the second connection", a.Accepted) // both were accepted by now
-	p.Release(second)                                         // whether the other caller waits already or not, there is a connection for it
-	if err := sidecartest.Await(t, "a connection", waits); err != nil {
-		t.Errorf("got error %v for the waiting caller", err)
+	sidecartest.Await(t, "the second connection", a.Accepted) // the server has now accepted both
+	p.Release(second)                                         // the other caller can get a connection, whether it is already waiting or not
+	if err := sidecartest.Await(t, "a connection", acquired); err != nil {
+		t.Errorf("waiting caller: got error %v, want a connection", err)
 	}
-	if n := p.opened(); n != 2 {
+	if n := p.openConns(); n != 2 {
 		t.Errorf("got %d connections, want 2", n)
 	}
 }
 
-// Another server may come to the address of one that was removed while an attempt at the old one is
-// still in flight: that connection is not the new server's.
-func TestConnectionsBelongToTheirServer(t *testing.T) {
+// A new server may use the address of a removed one while an attempt to the old one is in flight. It must
+// not get the old server's connections.
+func TestNewServerAtSameAddressGetsNoOldConnections(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, old := testPool(4), NewServer(u.Addr)
 	idle, err := p.Acquire(t.Context(), old)
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, err := p.Acquire(t.Context(), old)
+	inUse, err := p.Acquire(t.Context(), old)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -254,12 +254,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if fresh == idle || fresh == out {
+	if fresh == idle || fresh == inUse {
 		t.Error("the new server got a connection of the old one")
 	}
-	p.Release(out)
-	sidecartest.Await(t, "the close of the one that was in use", u.Closed)
-	if p.opened() != 1 || p.idle.Len() != 0 {
-		t.Errorf("got %d connections and %d idle, want 1 and 0", p.opened(), p.idle.Len())
+	p.Release(inUse)
+	sidecartest.Await(t, "the close of the connection in use", u.Closed)
+	if p.openConns() != 1 || p.idle.Len() != 0 {
+		t.Errorf("got %d connections and %d idle, want 1 and 0", p.openConns(), p.idle.Len())
 	}
 }
--- a/internal/sidecar/upstream/probe.go
+++ b/internal/sidecar/upstream/probe.go
@@ -12,8 +12,8 @@
 // maxLoadReport is how much of a probe's response body is parsed.
 const maxLoadReport = 4 << 10
 
-// Probe checks a server's health and asks for its load. It fails without a response within the time
-// that a connection may take to be established.
+// Probe checks a server's health and reads its load report. It fails if there is no response within the
+// pool's dial timeout.
 func (t *Transport) Probe(ctx context.Context, server *Server) (ok bool, load policy.LoadReport) {
 	ctx, cancel := context.WithTimeout(ctx, t.pool.dialTimeout)
 	defer cancel()
@@ -30,7 +30,7 @@
 	}
 	x, err := t.exchange(ctx, sendPermit{requestID: "probe", writeCtx: ctx}, c, req)
 	if ctx.Err() != nil && x.written() {
-		t.pool.noteUnresponsive(server, x.writtenAt)
+		t.pool.handleUnresponsive(server, x.writtenAt)
 	}
 	if err != nil || x.resp.StatusCode != http.StatusOK {
 		return false, policy.UnknownLoad
@@ -42,8 +42,8 @@
 	return true, t.parseLoad(report)
 }
 
-// parseLoad parses a load report, 'TEXT name=value, name=value'. A field that is missing or is not a
-// number is unknown.
+// parseLoad parses a load report of the form 'TEXT name=value, name=value'. Fields that are missing or
+// not numbers are unknown.
 func (t *Transport) parseLoad(report string) policy.LoadReport {
 	values := settings.ParseLoadReport(report, t.loadFields...)
 	return t.loadFields.LoadReport(func(column int) (float64, bool) {
--- a/internal/sidecar/upstream/quarantine.go
+++ b/internal/sidecar/upstream/quarantine.go
@@ -7,28 +7,28 @@
 	"barleywick/internal/sidecar/socket"
 )
 
-// A server may send a second response to a request some milliseconds after the first, and nothing in
-// it tells that it does not answer the connection's next request. Therefore a connection is quarantined
-// after each response: if something arrives meanwhile, it is a surplus response, and the connection is
-// closed. A duplicate that arrives later is found by duplicateDetector, once that is conclusive. Until
+// A server may send a second response to a request some milliseconds after the first, and it cannot be
+// distinguished from the response to the connection's next request. Therefore a connection is quarantined
+// after each response: data that arrives during the quarantine is a surplus response, and the connection
+// is closed. A duplicate that arrives later is found by duplicateDetector, once that is conclusive. Until
 // then, and after a surplus response from the same server, quarantines are longer. A long quarantine
-// costs handshakes: each request that finds all connections quarantined needs one more.
+// costs handshakes, as a request that finds all connections quarantined needs a new one.
 
 const (
 	// minQuarantine is the shortest quarantine.
 	minQuarantine = 10 * time.Millisecond
-	// MaxQuarantine covers a second response that is some milliseconds late, and a process or a network
-	// that is stalled for 0.15 s.
+	// MaxQuarantine covers a second response that is some milliseconds late, plus a stall of a process or
+	// the network of 0.15 s.
 	MaxQuarantine = 200 * time.Millisecond
-	// A long quarantine is shortened when more than shortenFrom of a limit on connections is used, and
-	// shortened to minQuarantine from shortenFull on.
+	// Long quarantines are shortened when more than the fraction shortenFrom of a limit on connections is
+	// used, down to minQuarantine at shortenFull.
 	shortenFrom, shortenFull = 0.5, 0.9
-	// surplusSuspicion is how long quarantines are long for a server after a surplus response.
-	surplusSuspicion = 30 * time.Second
+	// longQuarantinePeriod is how long after a surplus response its server's quarantines are long.
+	longQuarantinePeriod = 30 * time.Second
 )
 
-// quarantineHeap is a heap of the quarantined connections, the one to be released first on top. A
-// connection's heapIndex is its index plus one.
+// quarantineHeap is a min-heap of the quarantined connections, ordered by releaseAt. A connection's
+// heapIndex is its index in the heap plus one.
 type quarantineHeap []*Conn
 
 // Len implements heap.Interface.
@@ -67,7 +67,7 @@
 	}
 }
 
-// quarantineLocked begins the quarantine of a connection.
+// quarantineLocked starts the quarantine of a connection.
 func (p *Pool) quarantineLocked(c *Conn) {
 	c.releaseAt = c.idleSince.Add(p.quarantineTime(c))
 	heap.Push(&p.quarantined, c)
@@ -77,9 +77,9 @@
 	}
 }
 
-// quarantineTime returns how long a connection is quarantined.
+// quarantineTime returns the length of a connection's quarantine.
 func (p *Pool) quarantineTime(c *Conn) time.Duration {
-	if p.duplicates.conclusive() && c.idleSince.Sub(c.server.surplusAt) >= surplusSuspicion {
+	if p.duplicates.conclusive() && c.idleSince.Sub(c.server.surplusAt) >= longQuarantinePeriod {
 		return minQuarantine
 	}
 	usedInTotal := float64(p.open) / float64(max(1, p.limits.Total))
@@ -92,16 +92,16 @@
 	return MaxQuarantine - time.Duration(scarcity*float64(MaxQuarantine-minQuarantine))
 }
 
-// releasedSoon returns how many of a server's connections leave quarantine within minQuarantine: to
-// wait for one costs less than a handshake, which takes as long and is work for the server.
-func (s *Server) releasedSoon(now time.Time) (soon int) {
+// releasedSoon returns how many of a server's connections leave quarantine within minQuarantine. Waiting
+// for one is cheaper than a handshake, which takes as long and costs the server work.
+func (s *Server) releasedSoon(now time.Time) (count int) {
 	limit := now.Add(minQuarantine)
 	for n := s.quarantined.Front(); n != nil; n = n.Next() {
 		if !n.Value.releaseAt.After(limit) {
-			soon++
+			count++
 		}
 	}
-	return soon
+	return count
 }
 
 // endQuarantines releases the connections whose quarantine has ended.
@@ -118,13 +118,13 @@
 	p.resumeBlockedLocked()
 }
 
-// endQuarantineLocked offers a quarantined connection for use, or closes it if it proves unusable.
+// endQuarantineLocked makes a quarantined connection available, or closes it if it is unusable.
 func (p *Pool) endQuarantineLocked(c *Conn) {
 	p.quarantined.remove(c)
 	c.inServer.Remove()
 	switch socket.Probe(c.Conn) {
 	case socket.Readable:
-		p.noteSurplusLocked(c)
+		p.recordSurplusLocked(c)
 		p.closeLocked(c)
 	case socket.Closed:
 		p.count.Stale++
@@ -135,14 +135,14 @@
 	p.startDialsLocked(c.server)
 }
 
-// noteSurplus records that bytes arrived on a connection that belong to no request.
-func (p *Pool) noteSurplus(c *Conn) {
+// recordSurplus records that bytes arrived on a connection that are not part of the response to a request.
+func (p *Pool) recordSurplus(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.noteSurplusLocked(c)
+	p.recordSurplusLocked(c)
 }
 
-func (p *Pool) noteSurplusLocked(c *Conn) {
+func (p *Pool) recordSurplusLocked(c *Conn) {
 	p.count.SurplusResponses++
 	c.server.surplusAt = time.Now()
 }
--- a/internal/sidecar/upstream/quarantine_test.go
+++ b/internal/sidecar/upstream/quarantine_test.go
@@ -11,39 +11,39 @@
 	"barleywick/policy"
 )
 
-// makeDuplicatesConclusive shows the pool as many distinct responses as it needs to find duplicates.
+// makeDuplicatesConclusive records as many distinct responses as the pool needs to detect duplicates.
 func makeDuplicatesConclusive(p *Pool) {
 	for i := range distinctRunNeeded {
 		p.duplicates.observe(p.duplicates.hash([]byte(fmt.Sprint("other ", i))), new(recentResponses))
 	}
 }
 
-// A second response that arrives after the quarantine, before the next request's own, is dropped; if
-// all responses are alike, equality says nothing.
-func TestDuplicateResponseIsNotTheNextRequests(t *testing.T) {
-	for name, alike := range map[string]bool{"distinct responses": false, "equal responses": true} {
+// A duplicate response that arrives after the quarantine, ahead of the response to the next request, is
+// dropped. If all responses are equal, none is dropped, as duplicates cannot be detected.
+func TestDuplicateResponseIsNotTakenForNextResponse(t *testing.T) {
+	for name, equal := range map[string]bool{"distinct responses": false, "equal responses": true} {
 		t.Run(name, func(t *testing.T) {
 			last := ""
 			u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
 				first := last
-				if last = sidecartest.OKResponse("done " + r.Header.Get("Request-Id")); alike {
+				if last = sidecartest.OKResponse("done " + r.Header.Get("Request-Id")); equal {
 					last = sidecartest.OKResponse("done")
 				}
-				if first == "" || alike {
+				if first == "" || equal {
 					return last, false
 				}
 				return first + last, false
 			})
 			p, to := testPool(1), NewServer(u.Addr)
 			defer p.Close()
-			if !alike {
+			if !equal {
 				makeDuplicatesConclusive(p)
 			}
 			for i := range distinctRunNeeded + 4 {
 				r := &Request{ID: fmt.Sprint(i), Method: "POST", URL: sidecartest.MustURL("/"), Host: "x", Header: http.Header{"Request-Id": {fmt.Sprint(i)}}}
 				ending, got := newTestTransport(p).Do(newTestAttempt(t.Context(), r, to, time.Now().Add(time.Hour), time.Time{}))
 				want := fmt.Sprint("done ", i)
-				if alike {
+				if equal {
 					want = "done"
 				}
 				if ending != policy.Served || string(got.Body) != want {
@@ -51,14 +51,14 @@
 				}
 				endAllQuarantines(p)
 			}
-			if n, _ := p.Counters(); (n.DuplicateResponses > 0) == alike {
-				t.Errorf("got %d duplicates dropped, with equal responses %v", n.DuplicateResponses, alike)
+			if n, _ := p.Counters(); (n.DuplicateResponses > 0) == equal {
+				t.Errorf("got %d duplicates dropped (all responses equal: %v)", n.DuplicateResponses, equal)
 			}
 		})
 	}
 }
 
-// Quarantines are long after a surplus response, and for every server until duplicates can be found.
+// Quarantines are long after a surplus response, and for every server until duplicates can be detected.
 func TestQuarantineIsLongWhileDuplicatesCannotBeFound(t *testing.T) {
 	p := testPool(100)
 	defer p.Close()
@@ -67,9 +67,9 @@
 		t.Errorf("before duplicates are conclusive: got %v, want %v", got, MaxQuarantine)
 	}
 	if makeDuplicatesConclusive(p); p.quarantineTime(c) != minQuarantine {
-		t.Errorf("once they are: got %v, want %v", p.quarantineTime(c), minQuarantine)
+		t.Errorf("once duplicates are conclusive: got %v, want %v", p.quarantineTime(c), minQuarantine)
 	}
-	if p.noteSurplus(c); p.quarantineTime(c) != MaxQuarantine {
+	if p.recordSurplus(c); p.quarantineTime(c) != MaxQuarantine {
 		t.Errorf("after a surplus response: got %v, want %v", p.quarantineTime(c), MaxQuarantine)
 	}
 	if p.open = 100; p.quarantineTime(c) != minQuarantine {
@@ -77,18 +77,18 @@
 	}
 }
 
-// Surplus bytes behind a response, even a little later, must not count as the next request's response.
-func TestSurplusBytesAreNoResponse(t *testing.T) {
-	for name, behind := range map[string]string{"in the same write": sidecartest.OKResponse("stale"), "later": ""} {
+// Surplus bytes after a response, even with a short delay, must not be taken for the next request's response.
+func TestSurplusBytesAreNotTakenForNextResponse(t *testing.T) {
+	for name, surplus := range map[string]string{"in the same write": sidecartest.OKResponse("stale"), "later": ""} {
 		t.Run(name, func(t *testing.T) {
-			u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) { return sidecartest.OKResponse("good") + behind, false })
+			u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) { return sidecartest.OKResponse("good") + surplus, false })
 			p, to := testPool(4), NewServer(u.Addr)
 			for i := range 20 {
 				ending, a := runOneAttempt(t.Context(), p, to)
 				if ending != policy.Served || string(a.Body) != "good" {
 					t.Fatalf("attempt %d: got ending %v, response %+v", i, ending, a)
 				}
-				if r := sidecartest.Await(t, "the request", u.Requests); behind == "" {
+				if r := sidecartest.Await(t, "the request", u.Requests); surplus == "" {
 					io.WriteString(r.Conn, sidecartest.OKResponse("stale"))
 				}
 			}
@@ -99,8 +99,8 @@
 	}
 }
 
-// A second response may come some milliseconds after the first: a connection is not used before its
-// quarantine is over, whether there is another or not.
+// A second response may arrive some milliseconds after the first, so a connection is not reused before
+// its quarantine has ended, whether another connection is idle or not.
 func TestConnectionIsQuarantinedBeforeTheNextRequest(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	p, to := testPool(4), NewServer(u.Addr)
@@ -120,10 +120,10 @@
 		t.Error("got a quarantined connection although another was idle")
 	}
 	if c := get(); c == second {
-		t.Errorf("got a connection %v after its last response", time.Since(c.idleSince))
+		t.Errorf("got a quarantined connection %v after its last response", time.Since(c.idleSince))
 	}
 	sidecartest.Eventually(t, "the quarantine is over", func() bool { _, now := p.Counters(); return now.Quarantined == 0 })
 	if c := get(); c != second || time.Since(c.idleSince) < minQuarantine {
-		t.Errorf("got a connection %v after its last response", time.Since(c.idleSince))
+		t.Errorf("got another connection, or one %v after its last response", time.Since(c.idleSince))
 	}
 }
--- a/internal/sidecar/upstream/response.go
+++ b/internal/sidecar/upstream/response.go
@@ -8,18 +8,18 @@
 	"barleywick/internal/sidecar/httpmessage"
 )
 
-// What is read for one response is limited. Servers send bodies of several times the size that the
-// protocol names; 1 MiB can be held for each attempt in flight.
+// Limits on the bytes read for one response. Servers send bodies of several times the size given in the
+// protocol; there is enough memory for 1 MiB per attempt in flight.
 const (
-	maxResponseHead = 128 << 10 // with the heads of informational responses
+	maxResponseHead = 128 << 10 // including the heads of informational responses
 	MaxResponseBody = 1 << 20
-	maxResponseWire = 2 * MaxResponseBody // the framing of chunks included
+	maxResponseWire = 2 * MaxResponseBody // including chunk framing
 )
 
-// maxInformational is how many informational responses are skipped.
+// maxInformational is how many informational responses are skipped before the final one.
 const maxInformational = 5
 
-var errUncertainLength = errors.New("a chunked response that may have a Content-Length too")
+var errUncertainLength = errors.New("chunked response may also have a Content-Length")
 
 // readResponse reads one complete response.
 func (b *exchangeBuffers) readResponse(req *http.Request) (resp *http.Response, body []byte, err error) {
@@ -32,27 +32,28 @@
 			break
 		}
 		if informational == maxInformational || resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, nil, fmt.Errorf("unexpected status %d", resp.StatusCode)
+			return nil, nil, fmt.Errorf("unexpected informational status %d", resp.StatusCode)
 		}
 	}
 	if len(resp.TransferEncoding) > 0 && !b.head.ChunkedWithoutLength(informational+1) {
 		return nil, nil, errUncertainLength
 	}
 	b.limited.N = maxResponseWire
-	// The body is not closed: that would read on in one that is too large. A body that was not read to
-	// its end ends with its connection.
+	// The body is not closed, since Close would continue to read a body that is too large. If the body was
+	// not read completely, the connection is closed.
 	body, err = readResponseBody(resp)
 	return resp, body, err
 }
 
-// nextResponse prepares to read another response on the same connection.
-func (b *exchangeBuffers) nextResponse() {
+// prepareNextResponse resets the limit and the recorded head for another response on the connection.
+func (b *exchangeBuffers) prepareNextResponse() {
 	b.limited.N = maxResponseHead
 	b.head.Reset()
 }
 
-// readResponseBody reads a body if it proves to be complete: by its length, by its last chunk, or, if
-// it has neither, by the orderly close of its connection. A reset and the limit are no end.
+// readResponseBody reads a body and returns an error unless it is complete. The end of the body is given
+// by its length, by its last chunk or, without either, by an orderly close of the connection, but not by
+// a reset or by reaching the limit.
 func readResponseBody(resp *http.Response) ([]byte, error) {
 	if resp.ContentLength > MaxResponseBody {
 		return nil, httpmessage.ErrTooLarge
--- a/internal/sidecar/upstream/response_test.go
+++ b/internal/sidecar/upstream/response_test.go
@@ -15,8 +15,8 @@
 	"barleywick/policy"
 )
 
-// The protocol's table: which ending follows from what the server sends.
-func TestEndings(t *testing.T) {
+// The ending of an attempt for each kind of response that the protocol's table distinguishes.
+func TestEndingsByServerResponse(t *testing.T) {
 	const none = "Content-Length: 0\r\n\r\n"
 	for name, c := range map[string]struct {
 		text string
@@ -68,7 +68,7 @@
 				t.Errorf("got response %+v", a)
 			}
 			if r := sidecartest.Await(t, "the request", u.Requests); r.Body != "{}" || r.Header.Get("Request-Id") != "x" {
-				t.Errorf("the server read %v %q", r.Header, r.Body)
+				t.Errorf("the server received header %v, body %q", r.Header, r.Body)
 			}
 		})
 	}
@@ -97,10 +97,11 @@
 	sidecartest.Await(t, "the connection's close", u.Closed)
 }
 
-// A response that is too large ends its attempt when that is seen, and not when all of it has arrived.
-func TestTooLargeResponseIsNotWaitedFor(t *testing.T) {
+// A response that is too large fails its attempt as soon as its size is known, and not when all of it has
+// arrived.
+func TestOversizedResponseFailsBeforeItsEnd(t *testing.T) {
 	text := sidecartest.OKResponse(strings.Repeat("x", MaxResponseBody+2))
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(text[:len(text)-1])) // the last byte never comes
+	u := sidecartest.NewFakeServer(t, sidecartest.Always(text[:len(text)-1])) // the last byte is never sent
 	if got, _ := runOneAttempt(t.Context(), testPool(2), NewServer(u.Addr)); got != policy.Broken {
 		t.Errorf("got ending %v, want broken", got)
 	}
@@ -115,8 +116,8 @@
 	}
 }
 
-// An attempt that is given up while it waits for a connection writes nothing.
-func TestAttemptGivenUpWhileWaitingWritesNothing(t *testing.T) {
+// An attempt that is cancelled or times out while waiting for a connection writes nothing.
+func TestAttemptCancelledWhileWaitingWritesNothing(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	p, to := testPool(1), NewServer(u.Addr)
 	held, err := p.Acquire(context.Background(), to)
@@ -128,9 +129,9 @@
 	if got, _ := runOneAttempt(ctx, p, to); got != policy.NotSent {
 		t.Errorf("cancelled: got ending %v, want not sent", got)
 	}
-	late, done := context.WithTimeout(context.Background(), 20*time.Millisecond)
-	defer done()
-	if got, _ := runOneAttempt(late, p, to); got != policy.NotSent {
+	timeoutCtx, cancelTimeout := context.WithTimeout(context.Background(), 20*time.Millisecond)
+	defer cancelTimeout()
+	if got, _ := runOneAttempt(timeoutCtx, p, to); got != policy.NotSent {
 		t.Errorf("timed out: got ending %v, want not sent: the limits here caused the wait", got)
 	}
 	p.Discard(held)
@@ -139,7 +140,7 @@
 	}
 }
 
-// A request whose last byte could not be written never ran, however much of it was sent.
+// A request whose last byte could not be written counts as not run, however much of it was sent.
 func TestUnfinishedWriteNeverRan(t *testing.T) {
 	ln := sidecartest.ListenLoopback(t)
 	go func() {
@@ -148,7 +149,7 @@
 			if err != nil {
 				return
 			}
-			c.(*net.TCPConn).SetReadBuffer(4 << 10) // and nobody reads
+			c.(*net.TCPConn).SetReadBuffer(4 << 10) // and never reads
 			t.Cleanup(func() { c.Close() })
 		}
 	}()
@@ -166,7 +167,7 @@
 	}
 }
 
-func TestProbeReadsTheReport(t *testing.T) {
+func TestProbeParsesLoadReport(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
 		ok   bool
@@ -189,15 +190,15 @@
 				t.Errorf("got %v, %v; want %v, %v", ok, load.InFlight, c.ok, c.load)
 			}
 			if r := sidecartest.Await(t, "the probe", u.Requests); r.URL.Path != "/stats" || r.Header.Get("Request-Id") != "" {
-				t.Errorf("got a probe of %s with %v", r.URL, r.Header)
+				t.Errorf("got a probe of %s with header %v; want /stats without a Request-Id", r.URL, r.Header)
 			}
 		})
 	}
 }
 
-func TestUnresponsiveProbeEnds(t *testing.T) {
+func TestProbeOfUnresponsiveServerTimesOut(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
-	ups := newTestTransport(poolOf(500*time.Millisecond, time.Second, 1))
+	ups := newTestTransport(testPoolWithTimeouts(500*time.Millisecond, time.Second, 1))
 	if ok, load := ups.Probe(context.Background(), NewServer(u.Addr)); ok || load.InFlight >= 0 {
 		t.Errorf("got %v, %v; want false and an unknown load", ok, load)
 	}
--- a/internal/sidecar/upstream/server.go
+++ b/internal/sidecar/upstream/server.go
@@ -7,40 +7,40 @@
 )
 
 const (
-	// initialDialWindow is how many handshakes a server gets at once before the first has succeeded.
+	// initialDialWindow is how many handshakes with a server may be in progress before one has succeeded.
 	initialDialWindow = 2
-	// maxDialWindow is above any sensible limit on the handshakes with one server.
+	// maxDialWindow is higher than any reasonable limit on the handshakes with one server.
 	maxDialWindow = 64
 )
 
-// Server is the pool's part for one booking server: for an endpoint and not for its address,
-// which may be another server's later. The pool's lock guards it.
+// Server is the pool's state for one booking server. It belongs to an endpoint and not to an address,
+// as another server may use the same address later. The pool's lock guards it.
 type Server struct {
 	addr     string
 	removed  bool
-	draining bool // gets no request any more, unless the drain is called off
+	draining bool // gets no new requests until Resume
 
-	idle        queue.List[*Conn]   // the most recently used last
-	quarantined queue.List[*Conn]   // in the order of their release to quarantine
-	waiting     queue.List[*waiter] // the longest waiting first
-	blocked     queue.Node[*Server] // in the pool's list of that name
-	open        int                 // connections, and handshakes in progress
+	idle        queue.List[*Conn]   // most recently used last
+	quarantined queue.List[*Conn]   // in the order in which their quarantines began
+	waiting     queue.List[*waiter] // longest waiting first
+	blocked     queue.Node[*Server] // in Pool.blocked
+	open        int                 // connections and handshakes in progress
 	dialing     int                 // handshakes in progress
-	dialWindow  int                 // how many handshakes may be in progress: see growDialWindow
+	dialWindow  int                 // maximum of dialing: see growDialWindow
 
-	connectedAt    time.Time // of the last connection
-	lastResponseAt time.Time // of the last complete response or new connection
-	surplusAt      time.Time // of the last surplus response
+	connectedAt    time.Time // when the last connection was established
+	lastResponseAt time.Time // when the last complete response was read or connection established
+	surplusAt      time.Time // when the last surplus response was found
 
-	peak         int // most connections in use at once, in the current demand window
-	previousPeak int // and in the one before
-	peakSince    time.Time
+	peak            int // maximum of connections in use at once in the current demand window
+	previousPeak    int // the same for the previous window
+	peakWindowStart time.Time
 }
 
-// NewServer returns a server without connections, at an address.
+// NewServer returns a server at an address, without connections.
 func NewServer(addr string) *Server { return &Server{addr: addr} }
 
-// unavailable returns an error if the server gets nothing new.
+// unavailable returns an error if the server must not get new requests.
 func (s *Server) unavailable() error {
 	switch {
 	case s.removed:
@@ -51,20 +51,20 @@
 	return nil
 }
 
-// noteInUse records how many connections are in use at once.
-func (s *Server) noteInUse(now time.Time) {
-	if age := now.Sub(s.peakSince); age >= 2*demandWindow {
-		s.peak, s.previousPeak, s.peakSince = 0, 0, now
+// recordInUse updates the peak number of connections in use at once.
+func (s *Server) recordInUse(now time.Time) {
+	if age := now.Sub(s.peakWindowStart); age >= 2*demandWindow {
+		s.peak, s.previousPeak, s.peakWindowStart = 0, 0, now
 	} else if age >= demandWindow {
-		s.peak, s.previousPeak, s.peakSince = 0, s.peak, now
+		s.peak, s.previousPeak, s.peakWindowStart = 0, s.peak, now
 	}
 	s.peak = max(s.peak, s.open-s.dialing-s.idle.Len())
 }
 
-// needed returns how many connections were in use at once lately, and at least one: a handshake costs
-// more than to keep a connection.
-func (s *Server) needed(now time.Time) int {
-	switch age := now.Sub(s.peakSince); {
+// neededConns returns the recent peak number of connections in use at once, but at least 1, since keeping
+// one connection is cheaper than a handshake.
+func (s *Server) neededConns(now time.Time) int {
+	switch age := now.Sub(s.peakWindowStart); {
 	case age >= 2*demandWindow:
 		return 1
 	case age >= demandWindow:
@@ -73,8 +73,8 @@
 	return max(1, s.peak, s.previousPeak)
 }
 
-// growDialWindow allows one more handshake at once after one that succeeded. After a failed one the
-// window is 1: a server that was out of reach returns to all sidecars at the same moment, and cold.
+// growDialWindow increases the dial window by one after a successful handshake. After a failed one the
+// window is 1, since a server that was unreachable becomes reachable for all sidecars at once, and is cold.
 func (s *Server) growDialWindow() {
 	s.dialWindow = min(max(s.dialWindow, initialDialWindow-1)+1, maxDialWindow)
 }
--- a/internal/sidecar/upstream/server_states.go
+++ b/internal/sidecar/upstream/server_states.go
@@ -7,15 +7,15 @@
 	"barleywick/policy"
 )
 
-// noteResponse records that a complete response came from a server.
-func (p *Pool) noteResponse(server *Server) {
+// recordResponse records that a server sent a complete response.
+func (p *Pool) recordResponse(server *Server) {
 	p.mu.Lock()
 	server.lastResponseAt = time.Now()
 	p.mu.Unlock()
 }
 
-// noteUnresponsive records that a request, written at writtenAt, got no response.
-func (p *Pool) noteUnresponsive(server *Server, writtenAt time.Time) {
+// handleUnresponsive closes unused connections to a server after a request, written at writtenAt, timed out.
+func (p *Pool) handleUnresponsive(server *Server, writtenAt time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeUnresponsiveLocked(server, writtenAt)
@@ -23,17 +23,17 @@
 	p.resumeBlockedLocked()
 }
 
-// closeUnresponsiveLocked closes the unused connections to a server from which nothing has come since
-// a time. A machine that has vanished or was cut off breaks no connection: an idle one to it looks
-// good, and a request written to it may never be repeated. If another response came meanwhile, only
-// that one request was slow, and the connections are kept.
+// closeUnresponsiveLocked closes the unused connections to a server if there was no response from it since
+// the given time. A machine that crashed or was cut off from the network does not close its connections:
+// they look idle and usable, but a request written to one of them is lost and may not be repeated. If
+// another response has arrived since, only that one request was slow, and the connections are kept.
 func (p *Pool) closeUnresponsiveLocked(server *Server, since time.Time) {
 	if !server.lastResponseAt.After(since) {
 		p.closeUnusedLocked(server, &p.count.Unresponsive)
 	}
 }
 
-// ServerState returns what the endpoint list says of a server now: it may have changed since the
+// ServerState returns the current state of a server by the endpoint list. It may have changed since the
 // server was chosen, as a handshake takes time.
 func (p *Pool) ServerState(server *Server) policy.EndpointState {
 	p.mu.Lock()
@@ -47,14 +47,14 @@
 	return policy.Ready
 }
 
-// Drain closes the unused connections to a server, and from now on every other when it is released;
-// waiting callers get an error at once. Resume takes it back.
+// Drain closes the unused connections to a server at once and the others when they are released. Waiting
+// callers get an error at once. Resume undoes it.
 func (p *Pool) Drain(server *Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !server.draining {
 		server.draining = true
-		p.shutOffLocked(server, errServerDraining, &p.count.ServerDraining)
+		p.disableServerLocked(server, errServerDraining, &p.count.ServerDraining)
 	}
 }
 
@@ -65,17 +65,17 @@
 	server.draining = false
 }
 
-// Retire does what drain does for a server that was removed, for good. Another server may come to the
-// same address: it is another Server, with connections of its own.
+// Retire is like Drain, but permanent, for a server that was removed. A later server at the same address
+// is another Server with connections of its own.
 func (p *Pool) Retire(server *Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	server.removed = true
-	p.shutOffLocked(server, errServerRemoved, &p.count.ServerRemoved)
+	p.disableServerLocked(server, errServerRemoved, &p.count.ServerRemoved)
 }
 
-// shutOffLocked closes the unused connections to a server and fails the callers that wait for one.
-func (p *Pool) shutOffLocked(server *Server, err error, counter *uint64) {
+// disableServerLocked closes the unused connections to a server and fails the callers waiting for one.
+func (p *Pool) disableServerLocked(server *Server, err error, counter *uint64) {
 	server.blocked.Remove()
 	p.closeUnusedLocked(server, counter)
 	for p.grantLocked(server, grant{err: err}) {
@@ -83,7 +83,7 @@
 	p.resumeBlockedLocked()
 }
 
-// closeUnusedLocked closes the idle and the quarantined connections to a server, and counts them.
+// closeUnusedLocked closes the idle and quarantined connections to a server, and adds them to counter.
 func (p *Pool) closeUnusedLocked(server *Server, counter *uint64) {
 	for _, list := range []*queue.List[*Conn]{&server.idle, &server.quarantined} {
 		for n := list.Front(); n != nil; n = list.Front() {
--- a/internal/sidecar/upstream/transport.go
+++ b/internal/sidecar/upstream/transport.go
@@ -13,10 +13,11 @@
 	"barleywick/policy"
 )
 
-// maxPromptWrite is how many bytes always fit the send buffer of an idle connection.
-const maxPromptWrite = 4 << 10
+// maxBufferedWrite is how many bytes always fit into the send buffer of an idle connection.
+const maxBufferedWrite = 4 << 10
 
-// Gate decides in the moment of the act whether it may be done, and checks it afterwards.
+// Gate decides, immediately before the operation, whether a request may be sent or a probe started, and
+// checks afterwards that the rules were kept.
 type Gate interface {
 	SinceStart(t time.Time) time.Duration
 	MaySend(facts policy.SendFacts, now time.Time) policy.Denial
@@ -32,8 +33,8 @@
 	loadFields settings.LoadColumns
 }
 
-// NewTransport returns a transport that probes servers at probePath and reads the fields given of
-// their load reports.
+// NewTransport returns a transport that probes servers at probePath and reads loadFields from their load
+// reports.
 func NewTransport(p *Pool, gate Gate, probePath string, loadFields settings.LoadColumns) *Transport {
 	return &Transport{pool: p, gate: gate, probePath: probePath, loadFields: loadFields}
 }
@@ -47,8 +48,8 @@
 	Body   []byte
 }
 
-// Do carries out an attempt that has begun. The ending follows the protocol's table; a request whose
-// last byte was not written has never run. The response is nil unless the ending is Served.
+// Do carries out an attempt after Begin. The ending is determined by the table in the protocol. A request
+// whose last byte was not written has not run. The response is nil unless the ending is Served.
 func (t *Transport) Do(a *Attempt) (policy.Ending, *Response) {
 	defer a.cancel()
 	defer a.cancelWrite()
@@ -67,7 +68,7 @@
 	return ending, &Response{Header: x.resp.Header, Body: x.body}
 }
 
-// failure returns how an attempt ended that got no complete response.
+// failure returns the ending of an attempt without a complete response.
 func (t *Transport) failure(a *Attempt, x exchange, err error) policy.Ending {
 	switch written := x.written(); {
 	case !written && isNotSent(a.writeCtx, err):
@@ -77,20 +78,20 @@
 	case errors.Is(a.ctx.Err(), context.Canceled):
 		return policy.Cancelled
 	case errors.Is(a.ctx.Err(), context.DeadlineExceeded):
-		t.pool.noteUnresponsive(a.Server, x.writtenAt)
+		t.pool.handleUnresponsive(a.Server, x.writtenAt)
 		return policy.TimedOut
 	}
 	return policy.Broken
 }
 
-// isNotSent reports whether the failure to write an attempt says nothing about the server: the attempt
-// was given up, the server gets nothing new, or the limits here allowed no connection.
+// isNotSent reports whether an attempt was not written for a reason other than a failure of the server:
+// the attempt was cancelled, the server is draining or removed, or the pool's limits allowed no connection.
 func isNotSent(writeCtx context.Context, err error) bool {
 	return errors.Is(writeCtx.Err(), context.Canceled) || errors.Is(err, errCallerTimeout) || errors.Is(err, errLimitReached) ||
 		errors.Is(err, errServerRemoved) || errors.Is(err, errServerDraining)
 }
 
-// endingOf returns how an attempt ended that got a complete response.
+// endingOf returns the ending of an attempt with a complete response.
 func endingOf(resp *http.Response) policy.Ending {
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -103,17 +104,17 @@
 	return policy.Errored
 }
 
-// exchange is a request's way over a connection: as far as it came.
+// exchange is the progress of a request on a connection.
 type exchange struct {
-	writtenAt time.Time // when the write began; zero: the request was not written whole, and never ran
+	writtenAt time.Time // when the write began; zero: the request was not written completely, and did not run
 	resp      *http.Response
 	body      []byte
 }
 
 func (x exchange) written() bool { return !x.writtenAt.IsZero() }
 
-// exchange writes a request, if the permit allows it, and reads the complete response. It takes over
-// the connection, gives it back to the pool, and closes it at once when ctx ends.
+// exchange writes a request, if the permit allows it, and reads the complete response. Afterwards it
+// releases or discards the connection. It closes the connection at once when ctx ends.
 func (t *Transport) exchange(ctx context.Context, permit sendPermit, c *Conn, req *http.Request) (x exchange, err error) {
 	b := c.borrowBuffers()
 	b.limited.N = maxResponseHead
@@ -121,12 +122,12 @@
 	defer func() {
 		allRead := c.returnBuffers()
 		if err == nil {
-			t.pool.noteResponse(c.server)
+			t.pool.recordResponse(c.server)
 			if !allRead {
-				t.pool.noteSurplus(c)
+				t.pool.recordSurplus(c)
 			}
 		}
-		// If stop is too late the connection has been closed, or is about to be.
+		// If stop returns false, the connection has been closed or is about to be.
 		if stop() && err == nil && !x.resp.Close && allRead {
 			t.pool.Release(c)
 		} else {
@@ -148,12 +149,13 @@
 		if x.resp.StatusCode != http.StatusOK || mutation.AcceptDuplicateResponses || !t.pool.isDuplicate(c, x.body) {
 			return x, nil
 		}
-		b.nextResponse() // it was an earlier request's: this one's is still to come
+		b.prepareNextResponse() // a duplicate of an earlier response: the response to this request is yet to arrive
 	}
 }
 
-// writeRequest writes a request in one write, if the gate allows it, and returns when that began. A
-// long write is cut off when the permission ends: a request that is not written whole never runs.
+// writeRequest writes a request in one write, if the gate allows it, and returns the time at which the
+// write began. A long write is cut off when the permit ends, since a server does not run a request that
+// it has not received completely.
 func (t *Transport) writeRequest(permit sendPermit, c *Conn, text []byte) (startedAt time.Time, err error) {
 	state := t.pool.ServerState(c.server)
 	facts := permit.facts(t.gate, state)
@@ -162,7 +164,7 @@
 		slog.Debug("gate: attempt not sent", "request", permit.requestID, "upstream", c.server.addr, "why", denial)
 		return startedAt, denialError(denial, state)
 	}
-	long := len(text) > maxPromptWrite
+	long := len(text) > maxBufferedWrite
 	if long {
 		defer context.AfterFunc(permit.writeCtx, func() { c.Close() })()
 	}
--- a/internal/sidecar/upstream/transport_test.go
+++ b/internal/sidecar/upstream/transport_test.go
@@ -11,52 +11,52 @@
 	"barleywick/policy"
 )
 
-// A repeat is not sent if its deadline passes while it waits for a connection.
-func TestRepeatKeepsToItsWindow(t *testing.T) {
+// A repeat is not sent if its deadline has passed or passes while it waits for a connection.
+func TestRepeatIsNotSentAfterItsDeadline(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	p, to := testPool(1), NewServer(u.Addr)
 	ups := newTestTransport(p)
-	out := connections(t, p, to, 1)[0]
+	inUse := acquireConns(t, p, to, 1)[0]
 	r := &Request{Method: "POST", URL: sidecartest.MustURL("/api"), Host: "x", Header: map[string][]string{"Request-Id": {"x"}}}
 	a := newTestAttempt(t.Context(), r, to, time.Time{}, time.Now().Add(20*time.Millisecond))
 	if got, _ := ups.Do(a); got != policy.NotSent {
 		t.Errorf("waiting for a connection: got ending %v, want not sent", got)
 	}
-	p.Release(out)
+	p.Release(inUse)
 	a = newTestAttempt(t.Context(), r, to, time.Time{}, time.Now().Add(-time.Millisecond))
 	if got, _ := ups.Do(a); got != policy.NotSent {
 		t.Errorf("with a connection: got ending %v, want not sent", got)
 	}
 	a = newTestAttempt(t.Context(), r, to, time.Time{}, time.Now().Add(time.Hour))
 	if got, _ := ups.Do(a); got != policy.Served {
-		t.Errorf("in time: got ending %v, want served", got)
+		t.Errorf("before the deadline: got ending %v, want served", got)
 	}
 	if len(u.Requests) != 1 {
 		t.Errorf("got %d requests, want 1", len(u.Requests))
 	}
 }
 
-// The deadline of a repeat is also checked after a connection was acquired.
-func TestRepeatIsNotWrittenAfterItsWindow(t *testing.T) {
+// The deadline of a repeat is checked again after a connection has been acquired.
+func TestRepeatDeadlineIsCheckedBeforeWrite(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	p, to := testPool(1), NewServer(u.Addr)
 	ups := newTestTransport(p)
-	c := connections(t, p, to, 1)[0]
+	c := acquireConns(t, p, to, 1)[0]
 	r := &Request{Method: "POST", URL: sidecartest.MustURL("/api"), Host: "x", Header: map[string][]string{"Request-Id": {"x"}}}
 	a := newTestAttempt(t.Context(), r, to, time.Time{}, time.Now().Add(-time.Millisecond))
 	if x, err := ups.exchange(a.ctx, a.permit(), c, r.outgoing(a.ctx)); err == nil || x.written() {
 		t.Errorf("got written %v, error %v; want an error before the write", x.writtenAt, err)
 	}
 	if len(u.Requests) > 0 {
-		t.Error("the request was written")
+		t.Error("the request was written after its repeat deadline")
 	}
 }
 
-// A response without a length ends with the close of its connection, but not with a reset.
-func TestResetIsNoEndOfAResponse(t *testing.T) {
+// A response without a length is completed by an orderly close of its connection, but not by a reset.
+func TestResetDoesNotCompleteAResponse(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
 		io.WriteString(r.Conn, "HTTP/1.1 200 OK\r\n\r\nhoney")
-		r.Conn.(*net.TCPConn).SetLinger(0) // its close is a reset
+		r.Conn.(*net.TCPConn).SetLinger(0) // makes Close send a reset
 		return "", true
 	})
 	if got, a := runOneAttempt(t.Context(), testPool(2), NewServer(u.Addr)); got != policy.Broken {
@@ -64,9 +64,8 @@
 	}
 }
 
-// The transport repeats nothing by itself, not even an idempotent request whose reused connection
-// breaks.
-func TestNoHiddenAttempts(t *testing.T) {
+// The transport does not retry on its own, not even an idempotent request whose reused connection breaks.
+func TestTransportDoesNotRetry(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
 		if r.Header.Get("Request-Id") == "breaks" {
 			return "", true
--- a/internal/sidecar/upstream/write_test.go
+++ b/internal/sidecar/upstream/write_test.go
@@ -14,24 +14,24 @@
 	"barleywick/policy"
 )
 
-// A write that is not complete when its permission ends is cut off: a request that is not whole never
-// runs. That holds also if attempts may not be cancelled.
-func TestLongWriteEndsWithItsPermit(t *testing.T) {
+// A write that is incomplete when its permit ends is cut off, as a server does not run an incomplete
+// request. This also applies if the attempt is not cancelled.
+func TestLongWriteIsCutOffWhenPermitEnds(t *testing.T) {
 	ln := sidecartest.ListenLoopback(t)
-	begun := make(chan net.Conn, 1)
-	go func() { // it reads the first byte only
+	firstByteRead := make(chan net.Conn, 1)
+	go func() { // the server reads the first byte only
 		c, err := ln.Accept()
 		if err != nil {
 			return
 		}
 		c.(*net.TCPConn).SetReadBuffer(4 << 10)
 		if _, err := io.ReadFull(c, make([]byte, 1)); err == nil {
-			begun <- c
+			firstByteRead <- c
 		}
 	}()
 	p, to := testPool(1), NewServer(ln.Addr().String())
 	defer p.Close()
-	c := connections(t, p, to, 1)[0]
+	c := acquireConns(t, p, to, 1)[0]
 	c.Conn.(*net.TCPConn).SetWriteBuffer(4 << 10)
 	p.Release(c)
 	endAllQuarantines(p)
@@ -39,16 +39,16 @@
 	a := newTestAttempt(t.Context(), r, to, time.Now().Add(time.Hour), time.Time{})
 	ending := make(chan policy.Ending, 1)
 	go func() { e, _ := newTestTransport(p).Do(a); ending <- e }()
-	defer sidecartest.Await(t, "the first byte", begun).Close()
-	a.CancelWrite() // as if the client had left in the middle of the write; the attempt is not cancelled
+	defer sidecartest.Await(t, "the first byte", firstByteRead).Close()
+	a.CancelWrite() // as if the client had disconnected during the write; the attempt is not cancelled
 	if got := sidecartest.Await(t, "the ending", ending); got != policy.NotSent {
 		t.Errorf("got ending %v, want not sent", got)
 	}
 }
 
-// What the kernel has not sent when an attempt is given up never reaches its server.
-func TestGivenUpWriteIsNotSentLater(t *testing.T) {
-	const body = 60 << 10 // fits the sender's buffer, but not the receiver's
+// Bytes that the kernel has not sent when an attempt is cancelled must never reach the server.
+func TestUnsentBytesAreDiscardedOnClose(t *testing.T) {
+	const body = 60 << 10 // fits into the sender's buffer, but not into the receiver's
 	listen := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
 	}}
@@ -57,35 +57,35 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	far, err := net.Dial("tcp", ln.Addr().String())
+	clientSide, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	near, err := ln.Accept()
+	serverSide, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer near.Close()
-	c := &Conn{Conn: far, server: new(Server)}
+	defer serverSide.Close()
+	c := &Conn{Conn: clientSide, server: new(Server)}
 	if n, err := c.Write(make([]byte, body)); n != body || err != nil || c.unsentBytes() == 0 {
 		t.Fatalf("got %d bytes written, %v, %d unsent; want all written and some unsent", n, err, c.unsentBytes())
 	}
 	c.Close()
-	near.SetReadDeadline(time.Now().Add(sidecartest.Patience))
-	if n, err := io.Copy(io.Discard, near); n >= body || err == nil {
-		t.Errorf("got %d bytes and %v, want a part and a reset", n, err)
+	serverSide.SetReadDeadline(time.Now().Add(sidecartest.Patience))
+	if n, err := io.Copy(io.Discard, serverSide); n >= body || err == nil {
+		t.Errorf("received %d bytes, error %v; want fewer than all bytes and a reset", n, err)
 	}
 }
 
-// Request-Timeout is shorter than the time that the client has left.
-func TestRequestTimeoutLeavesTimeForTheWrite(t *testing.T) {
+// The Request-Timeout sent to a server is shorter than the time left until the client's deadline.
+func TestRequestTimeoutIsShorterThanTimeLeft(t *testing.T) {
 	for _, left := range []time.Duration{time.Second, 40 * time.Millisecond} {
 		ctx, cancel := context.WithTimeout(t.Context(), left)
 		r := &Request{Method: "GET", URL: sidecartest.MustURL("/"), Header: http.Header{}}
-		told, err := strconv.ParseFloat(r.outgoing(ctx).Header.Get("Request-Timeout"), 64)
+		sent, err := strconv.ParseFloat(r.outgoing(ctx).Header.Get("Request-Timeout"), 64)
 		cancel()
-		if most := left - min(timeoutMargin, left/4) + time.Millisecond; err != nil || told <= 0 || told > most.Seconds() {
-			t.Errorf("%v left: got Request-Timeout %v s, %v", left, told, err)
+		if most := left - min(timeoutMargin, left/4) + time.Millisecond; err != nil || sent <= 0 || sent > most.Seconds() {
+			t.Errorf("%v left: got Request-Timeout %v s, error %v", left, sent, err)
 		}
 	}
 }
