--- a/internal/sidecar/gate/gate.go
+++ b/internal/sidecar/gate/gate.go
@@ -130,7 +130,7 @@
 	return g.record(actionClose, facts.Decide())
 }
 
-// CheckClosed records a violation if a client connection should not have been closed.
+// CheckClosed records a violation if the facts do not allow the close of a client connection.
 func (g *Gate) CheckClosed(facts policy.CloseFacts, client string) {
 	if denial := facts.Decide(); denial != policy.Allowed {
 		g.recordViolation(violationUnanswered, client, denial)
--- a/internal/sidecar/handover/handover_test.go
+++ b/internal/sidecar/handover/handover_test.go
@@ -220,7 +220,8 @@
 	})
 }
 
-// The messages recorded at commit 396a775 must be readable, and messages sent now must equal them byte for byte.
+// The messages recorded at commit 396a775 must be readable, and messages sent now must equal them byte for
+// byte.
 func TestMessagesMatchCommit396a775(t *testing.T) {
 	recorded := fixture.ReadString(t, "messages.jsonl")
 	messages := []message{
--- a/internal/sidecar/upstream/attempt.go
+++ b/internal/sidecar/upstream/attempt.go
@@ -60,7 +60,7 @@
 	Client         ClientConn // nil if there is none
 	Server         *Server
 	Deadline       time.Time // the client's deadline; zero: no limit
-	RepeatDeadline time.Time // deadline for repeating a request that may have run; zero: no earlier attempt can have run
+	RepeatDeadline time.Time // for repeating a request that may have run; zero: it cannot have run
 
 	ctx         context.Context // ends when the attempt is cancelled or times out
 	cancel      context.CancelFunc
@@ -107,7 +107,7 @@
 		ServerState: state,
 		MayHaveRun:  !p.repeatDeadline.IsZero(), Repeatable: true,
 	}
-	if deadline, ok := p.writeCtx.Deadline(); ok { // the context's timer may fire late, so the clock is compared, too
+	if deadline, ok := p.writeCtx.Deadline(); ok { // checked as well, since the timer may fire late
 		f.ClientDeadline = min(f.ClientDeadline, gate.SinceStart(deadline))
 	}
 	f.ClientGone = p.client != nil && p.client.ClosedByClient() && !mutation.IgnoreClientEnd
--- a/internal/sidecar/upstream/counters.go
+++ b/internal/sidecar/upstream/counters.go
@@ -13,7 +13,7 @@
 	Opened             uint64 `json:"Opened"`      // handshakes that succeeded
 	DialFailed         uint64 `json:"DialFailed"`  // handshakes that failed because of the server
 	Waited             uint64 `json:"Waited"`      // requests that found no idle connection
-	WaitsAbandoned     uint64 `json:"LeftWaiting"` // of Waited: cancelled or timed out before a connection was available
+	WaitsAbandoned     uint64 `json:"LeftWaiting"` // of Waited: cancelled or timed out without a connection
 	Evicted            uint64 `json:"Evicted"`     // connections closed because of the limits
 	Expired            uint64 `json:"Expired"`     // closed at their idle limit
 	Unneeded           uint64 `json:"Unneeded"`    // closed because fewer connections were in use at once lately
--- a/internal/sidecar/upstream/dial.go
+++ b/internal/sidecar/upstream/dial.go
@@ -39,8 +39,8 @@
 		server.dialing < min(max(server.dialWindow, initialDialWindow), p.limits.HandshakesPerServer)
 }
 
-// resumeBlockedLocked starts handshakes with the servers that are blocked by a limit on the total, in
-// first-in, first-out order.
+// resumeBlockedLocked starts handshakes with the servers that are blocked by a limit on the total, in the
+// order in which they were blocked.
 func (p *Pool) resumeBlockedLocked() {
 	for n := p.blocked.Front(); n != nil; n = p.blocked.Front() {
 		p.startDialsLocked(n.Value)
--- a/internal/sidecar/upstream/pool.go
+++ b/internal/sidecar/upstream/pool.go
@@ -56,7 +56,7 @@
 	quarantined     quarantineHeap
 	quarantineTimer *time.Timer // fires when the first quarantine ends
 	duplicates      duplicateDetector
-	blocked         queue.List[*Server] // servers whose next handshake is blocked by a limit on the total, first-in, first-out
+	blocked         queue.List[*Server] // whose next handshake is blocked by a limit on the total
 	waiting         int                 // number of waiting callers
 	count           Counters
 }
@@ -215,7 +215,7 @@
 }
 
 // Release returns a connection, whose last response has been read completely, to the pool. The connection
-// is closed if its server drains or was removed, or if a limit is exceeded.
+// is closed if its server drains or was removed, if a limit is exceeded, or if the pool is closed.
 func (p *Pool) Release(c *Conn) {
 	c.idleSince = time.Now()
 	p.mu.Lock()
@@ -234,7 +234,7 @@
 	case server.draining:
 		p.count.ServerDraining++
 		p.closeLocked(c)
-	case p.ctx.Err() != nil || p.open > p.limits.Total || server.open > p.limits.PerServer: // the pool was closed or the limits were lowered
+	case p.ctx.Err() != nil || p.open > p.limits.Total || server.open > p.limits.PerServer: // pool closed, or limits lowered
 		p.count.Evicted++
 		p.closeLocked(c)
 	case isNew: // no late response can arrive on it
--- a/internal/sidecar/upstream/pool_test.go
+++ b/internal/sidecar/upstream/pool_test.go
@@ -225,7 +225,7 @@
 		acquired <- err
 	}()
 	sidecartest.Await(t, "the second connection", a.Accepted) // the server has now accepted both
-	p.Release(second)                                         // the other caller can get a connection, whether it is already waiting or not
+	p.Release(second)                                         // serves the other caller, whether it is already waiting or not
 	if err := sidecartest.Await(t, "a connection", acquired); err != nil {
 		t.Errorf("waiting caller: got error %v, want a connection", err)
 	}
--- a/internal/sidecar/upstream/write_test.go
+++ b/internal/sidecar/upstream/write_test.go
@@ -15,7 +15,7 @@
 )
 
 // A write that is incomplete when its permit ends is cut off, as a server does not run an incomplete
-// request. This also applies if the attempt is not cancelled.
+// request. This also applies to classes whose attempts must not be cancelled.
 func TestLongWriteIsCutOffWhenPermitEnds(t *testing.T) {
 	ln := sidecartest.ListenLoopback(t)
 	firstByteRead := make(chan net.Conn, 1)
