--- a/internal/sidecar/sidecartest/fakeserver.go
+++ b/internal/sidecar/sidecartest/fakeserver.go
@@ -18,7 +18,7 @@
 }
 
 // FakeServer is a booking server for tests. It passes each request to the test, and writes the raw text
-// that its Respond returns.
+// that its ResponseFunc returns.
 type FakeServer struct {
 	Addr     string
 	Requests chan Received // read by the server and not yet received by the test
@@ -26,19 +26,19 @@
 	Closed   chan net.Conn // closed by the peer, or failed
 }
 
-// Respond returns the raw response to a request, and whether to close the connection after it.
-type Respond func(r Received) (text string, end bool)
+// ResponseFunc returns the raw response to a request, and whether to close the connection after it.
+type ResponseFunc func(r Received) (text string, end bool)
 
 // OKResponse is a complete response with status 200.
 func OKResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// Always returns a Respond that writes the same text for every request.
-func Always(text string) Respond { return func(Received) (string, bool) { return text, false } }
+// Always returns a ResponseFunc that writes the same text for every request.
+func Always(text string) ResponseFunc { return func(Received) (string, bool) { return text, false } }
 
 // NewFakeServer starts a server that is closed at the end of the test.
-func NewFakeServer(t testing.TB, respond Respond) *FakeServer {
+func NewFakeServer(t testing.TB, respond ResponseFunc) *FakeServer {
 	t.Helper()
 	ln := ListenLoopback(t)
 	u := &FakeServer{
@@ -59,7 +59,7 @@
 	return u
 }
 
-func (u *FakeServer) serve(c net.Conn, respond Respond) {
+func (u *FakeServer) serve(c net.Conn, respond ResponseFunc) {
 	in := bufio.NewReader(c)
 	for {
 		req, err := http.ReadRequest(in)
