--- a/internal/sidecar/sidecartest/fakeserver.go
+++ b/internal/sidecar/sidecartest/fakeserver.go
@@ -10,35 +10,35 @@
 	"testing"
 )
 
-// Received is a request that a FakeServer has read, with its connection.
+// Received is a request that a FakeServer has read, and the connection it came on.
 type Received struct {
 	*http.Request
 	Body string
 	Conn net.Conn
 }
 
-// FakeServer is a booking server that speaks raw HTTP: it hands every request to the test, and writes
-// what its Respond returns.
+// FakeServer is a booking server for tests. It passes each request to the test, and writes the raw text
+// that its ResponseFunc returns.
 type FakeServer struct {
 	Addr     string
-	Requests chan Received // read so far, and not yet received by the test
-	Accepted chan net.Conn // likewise
-	Closed   chan net.Conn // whose other end has closed them
+	Requests chan Received // read by the server and not yet received by the test
+	Accepted chan net.Conn // accepted and not yet received by the test
+	Closed   chan net.Conn // closed by the peer, or failed
 }
 
-// Respond returns what to write for a request, and whether to close the connection after it.
-type Respond func(r Received) (text string, end bool)
+// ResponseFunc returns the raw response to a request, and whether to close the connection after it.
+type ResponseFunc func(r Received) (text string, end bool)
 
 // OKResponse is a complete response with status 200.
 func OKResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// Always returns a Respond that writes the same text for every request.
-func Always(text string) Respond { return func(Received) (string, bool) { return text, false } }
+// Always returns a ResponseFunc that writes the same text for every request.
+func Always(text string) ResponseFunc { return func(Received) (string, bool) { return text, false } }
 
-// NewFakeServer starts a server that ends with the test.
-func NewFakeServer(t testing.TB, respond Respond) *FakeServer {
+// NewFakeServer starts a server that is closed at the end of the test.
+func NewFakeServer(t testing.TB, respond ResponseFunc) *FakeServer {
 	t.Helper()
 	ln := ListenLoopback(t)
 	u := &FakeServer{
@@ -59,7 +59,7 @@
 	return u
 }
 
-func (u *FakeServer) serve(c net.Conn, respond Respond) {
+func (u *FakeServer) serve(c net.Conn, respond ResponseFunc) {
 	in := bufio.NewReader(c)
 	for {
 		req, err := http.ReadRequest(in)
@@ -79,7 +79,7 @@
 	}
 }
 
-// MustURL parses a URL, and panics if it is not one.
+// MustURL parses a URL, and panics if it is malformed.
 func MustURL(s string) *url.URL {
 	u, err := url.Parse(s)
 	if err != nil {
