--- a/internal/addressmap/addressmap.go
+++ b/internal/addressmap/addressmap.go
@@ -13,8 +13,8 @@
 type Map map[string]string
 
 // Check returns an error where an address has no port.
-func (t Map) Check() error {
-	for from, to := range t {
+func (m Map) Check() error {
+	for from, to := range m {
 		for _, a := range []string{from, to} {
 			if _, _, err := net.SplitHostPort(a); err != nil {
 				return fmt.Errorf("%.64q is not an address with a port", a)
@@ -25,8 +25,8 @@
 }
 
 // Lookup returns the address to dial in place of one.
-func (t Map) Lookup(address string) string {
-	if to, ok := t[address]; ok {
+func (m Map) Lookup(address string) string {
+	if to, ok := m[address]; ok {
 		return to
 	}
 	return address
@@ -34,9 +34,9 @@
 
 // Dialer returns a dial function that uses the map, with a timeout for each connection; 0:
 // the context alone bounds it.
-func (t Map) Dialer(within time.Duration) func(ctx context.Context, network, address string) (net.Conn, error) {
-	d := &net.Dialer{Timeout: within, KeepAlive: -1}
+func (m Map) Dialer(timeout time.Duration) func(ctx context.Context, network, address string) (net.Conn, error) {
+	d := &net.Dialer{Timeout: timeout, KeepAlive: -1}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		return d.DialContext(ctx, network, t.Lookup(address))
+		return d.DialContext(ctx, network, m.Lookup(address))
 	}
 }
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,13 +1,13 @@
-// Package admission decides which client connections may be open. It alone knows the limits on them.
-// It does no I/O and reads no clock: its owner reports what happens to a connection and closes the
-// connections that it names.
+// Package admission decides which client connections may be open, and enforces all limits on them.
+// It does no I/O and reads no clock: the caller reports the events of each connection and closes the
+// connections that are to be evicted.
 //
-// Client addresses share the capacity by max-min fairness. An address may hold more than its share
-// while others leave theirs unused; what it holds beyond the share is taken back from its idle
-// connections as soon as an address with fewer connections needs capacity. A connection with a
-// request in progress is never evicted.
+// Client addresses share the capacity by max-min fairness. An address may exceed its fair share while
+// other addresses don't use theirs. When an address with fewer connections needs capacity, idle
+// connections of the address above its share are evicted. A connection with a request in progress is
+// never evicted.
 //
-// Every operation takes constant time in the number of connections, except SilentOverdue.
+// Every operation takes constant time in the number of connections, except OverdueWithoutByte.
 package admission
 
 import (
@@ -19,15 +19,16 @@
 
 // Limits bound the connections that are open at once.
 type Limits struct {
-	Total      int // of all clients
-	PerAddress int // of one client address
-	HalfOpen   int // that have not sent a complete header yet
-	Idle       int // between requests
+	Total      int // connections of all clients
+	PerAddress int // connections of one client address
+	HalfOpen   int // connections that have not sent a complete header yet
+	Idle       int // connections between requests
 }
 
-// Grace is how long a connection is kept while others wait for capacity.
+// Grace holds how long an unfinished request protects its connection from eviction while others wait for
+// capacity.
 type Grace struct {
-	FirstByte       time.Duration // from the start until its first byte
+	FirstByte       time.Duration // from accepting the connection until its first byte
 	CompleteRequest time.Duration // from a request's first byte until the request is complete
 }
 
@@ -37,29 +38,29 @@
 	grace    Grace
 	open     int
 	halfOpen int
-	silent   queue.List[*Conn[T]] // the oldest first, like the next two
+	silent   queue.List[*Conn[T]] // oldest first, like reading and idle
 	reading  queue.List[*Conn[T]]
 	idle     queue.List[*Conn[T]]
 	clients  map[netip.Addr]*client[T]
-	holders  holderRanks[T] // clients with idle connections, by the number of connections that they have
+	holders  holderRanks[T] // clients with idle connections, ranked by their number of open connections
 }
 
-// New makes an empty Table.
+// New returns an empty Table.
 func New[T any](limits Limits, grace Grace) *Table[T] {
 	return &Table[T]{limits: limits, grace: grace, clients: make(map[netip.Addr]*client[T])}
 }
 
-// SetLimits puts other limits in force. Connections beyond them stay open until they are idle: see
-// ExcessIdle.
+// SetLimits replaces the limits. Connections above the new limits stay open until they are idle and
+// ExcessIdle returns them.
 func (t *Table[T]) SetLimits(l Limits) { t.limits = l }
 
 // Open returns the number of open connections.
 func (t *Table[T]) Open() int { return t.open }
 
-// HalfOpen returns how many of them have not sent a complete header.
+// HalfOpen returns the number of open connections that have not sent a complete header.
 func (t *Table[T]) HalfOpen() int { return t.halfOpen }
 
-// Idle returns how many of them are between requests.
+// Idle returns the number of open connections that are between requests.
 func (t *Table[T]) Idle() int { return t.idle.Len() }
 
 // OpenFrom returns the number of open connections of an address.
@@ -70,19 +71,19 @@
 	return 0
 }
 
-// Verdict is what may happen to a new connection.
+// Verdict is the decision on a new connection.
 type Verdict int
 
 // The verdicts.
 const (
-	Admit Verdict = iota // it may be opened
-	Evict                // it may be opened after the named connection was closed
-	Wait                 // no connection can be evicted now
+	Admit Verdict = iota // may be opened
+	Evict                // may be opened after the returned connection was closed
+	Wait                 // there is no capacity, and no connection can be evicted now
 )
 
-// Decide says whether a connection from addr may be opened. With Evict comes the connection to close.
-// If that turns out to have a request in progress, or to have sent something, the owner reports so
-// to the Table and asks again.
+// Decide decides whether a connection from addr may be opened. With Evict it also returns the connection
+// to close. If that connection has received data or started a request in the meantime, the caller reports
+// this to the Table and calls Decide again.
 func (t *Table[T]) Decide(addr netip.Addr, now time.Time) (Verdict, *Conn[T]) {
 	own := t.clients[addr]
 	held := t.OpenFrom(addr)
@@ -91,26 +92,26 @@
 		return Admit, nil
 	}
 	if c := t.overdue(now); c != nil && (withinAddressLimit || c.client == own) {
-		return Evict, c // whoever its client is
+		return Evict, c // regardless of its client
 	}
 	if withinAddressLimit {
 		if t.open < t.limits.Total {
-			return Wait, nil // too many are half open, which evicting an idle one would not change
+			return Wait, nil // the half-open limit is reached; evicting an idle connection would not help
 		}
-		// With a difference of one, eviction would only exchange the two addresses.
+		// With a difference of one, eviction would only swap the counts of the two addresses.
 		if largest := t.holders.largest(); largest != nil && largest.open >= held+2 {
 			return Evict, largest.idle.Front().Value
 		}
 	}
-	// The address may replace an idle connection of its own, but not while another new one of its own may
-	// stay silent: a client's silent connections must not evict those that it uses.
+	// The address may replace one of its own idle connections, but not while it has an unfinished connection:
+	// a client's silent connections must not evict the ones that it uses.
 	if own != nil && own.unfinished == 0 && own.idle.Len() > 0 {
 		return Evict, own.idle.Front().Value
 	}
 	return Wait, nil
 }
 
-// overdue returns a connection whose grace has ended, or nil.
+// overdue returns a connection whose grace period has expired, or nil.
 func (t *Table[T]) overdue(now time.Time) *Conn[T] {
 	if n := t.silent.Front(); n != nil && now.Sub(n.Value.since) >= t.grace.FirstByte {
 		return n.Value
@@ -121,7 +122,7 @@
 	return nil
 }
 
-// NextOverdue returns when the next connection's grace ends; the zero time if none has one.
+// NextOverdue returns when the next grace period expires, or the zero time if there is none.
 func (t *Table[T]) NextOverdue() time.Time {
 	var at time.Time
 	if n := t.silent.Front(); n != nil {
@@ -135,8 +136,8 @@
 	return at
 }
 
-// OverdueWithoutByte returns how many connections have sent nothing although their grace has ended. It
-// takes time in proportion to their number.
+// OverdueWithoutByte returns the number of connections that have sent nothing and whose grace period has
+// expired. It takes time in proportion to that number.
 func (t *Table[T]) OverdueWithoutByte(now time.Time) (overdue int) {
 	for n := t.silent.Front(); n != nil && now.Sub(n.Value.since) >= t.grace.FirstByte; n = n.Next() {
 		overdue++
@@ -144,8 +145,8 @@
 	return overdue
 }
 
-// ExcessIdle returns an idle connection to close because there are too many connections, or nil: the
-// longest idle one of the largest holder.
+// ExcessIdle returns an idle connection to close because a limit is exceeded, or nil. It is the longest
+// idle connection of the client with the most connections.
 func (t *Table[T]) ExcessIdle() *Conn[T] {
 	tooManyIdle := t.idle.Len() > t.limits.Idle
 	tooManyOpen := t.open > t.limits.Total && t.idle.Len() > 0
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -20,8 +20,8 @@
 
 func addr(n int) netip.Addr { return netip.AddrFrom4([4]byte{127, 0, byte(n >> 8), byte(n)}) }
 
-// open opens a connection as the owner does, closing those that are to be evicted. It returns nil if
-// the connection has to wait.
+// open opens a connection as the table's caller does, closing the connections to evict. It returns nil
+// if the connection has to wait.
 func open(t *table, from int, now time.Time) *conn {
 	for {
 		switch verdict, victim := t.Decide(addr(from), now); verdict {
@@ -49,9 +49,9 @@
 	return Limits{Total: total, PerAddress: total, HalfOpen: total, Idle: total}
 }
 
-// A single client may use the whole capacity. When others come, each gets an even share of it, and the
-// first one cannot take that back.
-func TestCapacityBeyondTheShareIsTakenBack(t *testing.T) {
+// A single client may use the whole capacity. When others connect, each gets an even share, and the first
+// client cannot evict their connections.
+func TestCapacityAboveFairShareIsReclaimed(t *testing.T) {
 	const total, others = 100, 9
 	tb := New[int](limits(total), grace)
 	for range 3 * total {
@@ -60,14 +60,14 @@
 		}
 	}
 	if got := tb.OpenFrom(addr(0)); got != total {
-		t.Fatalf("a single client: got %d connections, want all %d", got, total)
+		t.Fatalf("single client: got %d connections, want all %d", got, total)
 	}
 	for round := range 20 {
 		for m := 1; m <= others; m++ {
 			if c := open(tb, m, start); c != nil {
 				serveRequest(tb, c, start)
 			} else if tb.OpenFrom(addr(m)) < total/(others+1) {
-				t.Fatalf("round %d: client %d has to wait with %d connections", round, m, tb.OpenFrom(addr(m)))
+				t.Fatalf("round %d: client %d waits with only %d connections", round, m, tb.OpenFrom(addr(m)))
 			}
 		}
 		if c := open(tb, 0, start); c != nil {
@@ -81,7 +81,7 @@
 	}
 }
 
-// What a client does not use of its share is available to others.
+// The unused part of a client's share is available to others.
 func TestUnusedSharesAreAvailable(t *testing.T) {
 	tb := New[int](limits(30), grace)
 	for _, want := range []struct{ from, n int }{{1, 2}, {2, 5}, {3, 100}} {
@@ -109,13 +109,13 @@
 		t.Fatal("a connection was admitted while all others are in use")
 	}
 	tb.BecameIdle(held[2], start)
-	if c := open(tb, 1, start); c == nil || held[2].state != absent {
+	if c := open(tb, 1, start); c == nil || held[2].state != notInTable {
 		t.Error("the idle connection of the largest holder was not evicted")
 	}
 }
 
-// A connection that stays silent, or stops within a request, is evicted after its grace, whoever its
-// client is. Until then no idle connection of the same client is evicted for a new one.
+// A connection that stays silent, or stops within a request, is evicted after its grace period, regardless
+// of its client. Until then no idle connection of the same client is evicted for a new one.
 func TestGrace(t *testing.T) {
 	for name, c := range map[string]struct {
 		receives bool
@@ -136,7 +136,7 @@
 			if open(tb, 0, start.Add(c.after-1)) != nil {
 				t.Error("a connection was admitted within the grace")
 			}
-			if open(tb, 0, start.Add(c.after)) == nil || late.state != absent || kept.state != idle {
+			if open(tb, 0, start.Add(c.after)) == nil || late.state != notInTable || kept.state != idle {
 				t.Error("the overdue connection was not evicted, or the idle one was")
 			}
 		})
@@ -157,18 +157,18 @@
 		t.Errorf("got %d half-open connections, want 4", tb.HalfOpen())
 	}
 	tb.FirstByteRead(first, start)
-	tb.HeaderRead(first) // its body may be to come, but it is not half open
+	tb.HeaderRead(first) // its body may be incomplete, but it is no longer half open
 	if open(tb, 1, start) == nil {
 		t.Error("no connection was admitted after a header was complete")
 	}
 	serveRequest(tb, first, start)
 	if v, _ := tb.Decide(addr(0), start); v != Wait {
-		t.Errorf("got verdict %v, want it to wait while others of its address are new", v)
+		t.Errorf("got verdict %v, want Wait while other connections of its address are new", v)
 	}
 	serveRequest(tb, own[1], start)
 	serveRequest(tb, own[2], start)
 	if v, victim := tb.Decide(addr(0), start); v != Evict || victim != first {
-		t.Errorf("got verdict %v, want an idle connection of its own address evicted at its limit", v)
+		t.Errorf("got verdict %v, want eviction of an idle connection of its own address at the limit", v)
 	}
 }
 
@@ -185,7 +185,7 @@
 	}
 	tb.Remove(conns[1])
 	if tb.ExcessIdle() != nil {
-		t.Error("got an excess at the limit")
+		t.Error("got an excess connection at the limit")
 	}
 	tb.SetLimits(Limits{Total: 1, PerAddress: 1, HalfOpen: 1, Idle: 1})
 	for tb.ExcessIdle() != nil {
@@ -196,7 +196,7 @@
 	}
 }
 
-// tableModel does to a Table what an owner does at random, and counts the connections itself.
+// tableModel performs random operations on a Table and tracks the expected states of the connections.
 type tableModel struct {
 	t       *testing.T
 	rng     *rand.Rand
@@ -217,9 +217,9 @@
 	}
 }
 
-// pick returns any connection in a state, or nil.
+// pick returns a connection in the given state, or nil.
 func (m *tableModel) pick(in state) *conn {
-	for c, s := range m.states { // the order does not matter to what is checked
+	for c, s := range m.states { // the checks don't depend on the map's order
 		if s == in {
 			return c
 		}
@@ -227,7 +227,7 @@
 	return nil
 }
 
-// step lets one random event happen.
+// step performs one random operation.
 func (m *tableModel) step() {
 	m.now = m.now.Add(time.Duration(m.rng.IntN(20)) * time.Millisecond)
 	switch m.rng.IntN(8) {
@@ -254,7 +254,7 @@
 	case 7:
 		if c := m.pick(state(1 + m.rng.IntN(4))); c != nil {
 			m.remove(c)
-			m.table.Remove(c) // the second time has no effect
+			m.table.Remove(c) // removing it again has no effect
 		}
 	}
 }
@@ -264,8 +264,8 @@
 	for {
 		switch verdict, victim := m.table.Decide(addr(from), m.now); verdict {
 		case Evict:
-			if m.states[victim] == serving || m.states[victim] == absent {
-				m.t.Fatal("a connection in use, or an unknown one, is to be evicted")
+			if m.states[victim] == serving || m.states[victim] == notInTable {
+				m.t.Fatal("the table evicts a connection that is in use or unknown")
 			}
 			m.remove(victim)
 		case Admit:
@@ -280,8 +280,8 @@
 	}
 }
 
-// checkWait checks that a client below its even share waits only if no larger holder has an idle
-// connection.
+// checkWait checks that a client below its even share waits only if no client with more connections has an
+// idle one.
 func (m *tableModel) checkWait(from int) {
 	held := make(map[int]int)
 	for c := range m.states {
@@ -295,7 +295,7 @@
 	}
 	own := held[from]
 	if own < m.limits.PerAddress && len(m.states) >= m.limits.Total && largest >= own+2 {
-		m.t.Fatalf("a client with %d connections has to wait while one with %d has an idle connection", own, largest)
+		m.t.Fatalf("a client with %d connections waits while one with %d has an idle connection", own, largest)
 	}
 }
 
@@ -330,8 +330,9 @@
 	}
 }
 
-// Whatever happens, the table agrees with a simple model and keeps its limits, no connection in use is
-// evicted, and no client below an even share waits while a larger holder has an idle connection.
+// After any sequence of operations the table agrees with a simple model and keeps its limits, no connection
+// in use is evicted, and no client below its even share waits while a client with more connections has an
+// idle one.
 func TestRandomEventsAgainstAModel(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -344,7 +345,7 @@
 				m.table.Remove(c)
 			}
 			if len(m.table.clients) != 0 || m.table.Open() != 0 || m.table.holders.largest() != nil {
-				t.Error("the table keeps state of connections that have ended")
+				t.Error("the table keeps state of removed connections")
 			}
 		})
 	}
--- a/internal/admission/conn.go
+++ b/internal/admission/conn.go
@@ -11,18 +11,18 @@
 type state uint8
 
 const (
-	absent         state = iota // not in the table
-	silent                      // nothing was received yet
-	readingRequest              // a part of a request was received
+	notInTable     state = iota // not in the table
+	silent                      // nothing received yet
+	readingRequest              // a request was received in part
 	serving                     // a request is in progress
 	idle                        // between requests
 )
 
-// unfinished says whether a request may be on its way that is not complete.
+// unfinished reports whether the connection may be in the middle of receiving a request.
 func (s state) unfinished() bool { return s == silent || s == readingRequest }
 
-// Conn is a connection's entry in the Table. It is embedded in the owner's connection, and Owner
-// leads back to that.
+// Conn is a connection's entry in the Table. It is embedded in the caller's connection type, and Owner
+// refers back to that connection.
 type Conn[T any] struct {
 	Owner T
 
@@ -31,26 +31,26 @@
 	since    time.Time // when state began
 	client   *client[T]
 	inTable  queue.Node[*Conn[T]] // in the table's list for its state
-	inClient queue.Node[*Conn[T]] // in the client's list of idle ones
+	inClient queue.Node[*Conn[T]] // in the client's list of idle connections
 }
 
-// Silent says whether nothing was received on the connection so far.
+// Silent reports whether nothing has been received on the connection.
 func (c *Conn[T]) Silent() bool { return c.state == silent }
 
-// Idle says whether the connection is between requests.
+// Idle reports whether the connection is between requests.
 func (c *Conn[T]) Idle() bool { return c.state == idle }
 
-// client is a client address. It is kept while it has a connection.
+// client is the state of a client address. It exists while the address has a connection.
 type client[T any] struct {
 	addr       netip.Addr
 	open       int
 	unfinished int                    // connections in an unfinished state
-	idle       queue.List[*Conn[T]]   // the longest idle first
+	idle       queue.List[*Conn[T]]   // longest idle first
 	rank       queue.Node[*client[T]] // in holderRanks while it has idle connections
-	rankedAt   int                    // the number of connections by which it is ranked
+	rankedAt   int                    // the count under which it is ranked
 }
 
-// Add adds a connection that was admitted. It is silent and half open.
+// Add adds an admitted connection, which starts silent and half open.
 func (t *Table[T]) Add(c *Conn[T], addr netip.Addr, now time.Time) {
 	own := t.clients[addr]
 	if own == nil {
@@ -73,30 +73,30 @@
 	}
 }
 
-// HeaderRead reports that a request's header is complete. Its body may still be to come.
+// HeaderRead reports that a request's header is complete. Its body may still be incomplete.
 func (t *Table[T]) HeaderRead(c *Conn[T]) { t.setHalfOpen(c, false) }
 
-// RequestStarted reports that a request is in progress: from now on the connection is not evicted.
+// RequestStarted reports that a request is in progress. The connection is not evicted until BecameIdle.
 func (t *Table[T]) RequestStarted(c *Conn[T], now time.Time) {
-	if c.state != absent {
+	if c.state != notInTable {
 		t.move(c, serving, false, now)
 	}
 }
 
 // BecameIdle reports that the connection waits for the next request.
 func (t *Table[T]) BecameIdle(c *Conn[T], now time.Time) {
-	if c.state != absent {
+	if c.state != notInTable {
 		t.move(c, idle, false, now)
 	}
 }
 
-// Remove reports that the connection is closed. One that is not in the table is ignored.
+// Remove reports that the connection is closed. It does nothing if the connection is not in the table.
 func (t *Table[T]) Remove(c *Conn[T]) {
-	if c.state == absent {
+	if c.state == notInTable {
 		return
 	}
 	own := c.client
-	t.move(c, absent, false, time.Time{})
+	t.move(c, notInTable, false, time.Time{})
 	t.open--
 	own.open--
 	if own.open == 0 {
--- a/internal/admission/holders.go
+++ b/internal/admission/holders.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	wordBits = 6 // 1<<wordBits bits are in a word
+	wordBits = 6 // a word has 1<<wordBits bits
 	levels   = 3
-	// maxRank is the highest count that is distinguished: 262,143, more than a process has descriptors.
+	// maxRank is 262,143, the highest count with a list of its own: more than a process has file descriptors.
 	maxRank = 1<<(levels*wordBits) - 1
 )
 
-// holderRanks ranks clients by how many connections they have, and finds one with the most in
-// constant time: it has a list for each count, and a bitmap of the lists that are not empty. Each
-// further level is a bitmap of the words of the level below that are not zero.
+// holderRanks ranks clients by their number of connections and finds a client with the most in constant
+// time. It has a list for each count and a hierarchical bitmap: level 0 marks the lists that are not
+// empty, and each further level marks the non-zero words of the level below.
 type holderRanks[T any] struct {
 	lists   []*queue.List[*client[T]] // by count
 	bitmaps [levels][]uint64
 }
 
-// set ranks a client by a count, whatever its rank was before.
+// set ranks a client by a count, replacing its previous rank.
 func (r *holderRanks[T]) set(c *client[T], count int) {
 	r.remove(c)
 	count = min(count, maxRank)
@@ -33,7 +33,7 @@
 	r.updateBits(count)
 }
 
-// remove takes a client out of the ranks.
+// remove removes a client from the ranking.
 func (r *holderRanks[T]) remove(c *client[T]) {
 	if c.rank.Linked() {
 		c.rank.Remove()
@@ -41,7 +41,7 @@
 	}
 }
 
-// updateBits sets or clears the bit for one list at each level.
+// updateBits updates the bits for one list at all levels.
 func (r *holderRanks[T]) updateBits(count int) {
 	isSet := r.lists[count].Len() > 0
 	for i := range r.bitmaps {
--- a/internal/cli/deprecated_test.go
+++ b/internal/cli/deprecated_test.go
@@ -7,7 +7,7 @@
 	"github.com/spf13/cobra"
 )
 
-func TestFormerProgramNameIsWarnedOf(t *testing.T) {
+func TestFormerProgramNamePrintsWarning(t *testing.T) {
 	for argv0, want := range map[string]string{
 		"/opt/bin/old": "old: this name is deprecated, use new\n",
 		"old":          "old: this name is deprecated, use new\n",
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestFormerEnvironmentVariableIsReadAfterTheNewOne(t *testing.T) {
+func TestFormerEnvironmentVariableIsFallback(t *testing.T) {
 	const warning = "OLD is deprecated, use NEW\n"
 	for _, c := range []struct {
 		env           map[string]string
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestFormerCommandNameIsWarnedOf(t *testing.T) {
+func TestFormerCommandNamePrintsWarning(t *testing.T) {
 	for called, warned := range map[string]string{"new": "", "old": "the command old is deprecated, use new\n"} {
 		var out, errs bytes.Buffer
 		ran := false
--- a/internal/settings/fixtures_test.go
+++ b/internal/settings/fixtures_test.go
@@ -11,7 +11,7 @@
 )
 
 // checkReading compares what settings mean with what they meant to 396a775.
-func checkReading(t *testing.T, s *Settings, name string) {
+func checkAgainstFixture(t *testing.T, s *Settings, name string) {
 	t.Helper()
 	config, err := s.PolicyConfig()
 	if err != nil {
@@ -37,7 +37,7 @@
 			if got := s.Text(); !bytes.Equal(got, text) {
 				t.Errorf("got\n%s\nwant\n%s", got, text)
 			}
-			checkReading(t, s, name)
+			checkAgainstFixture(t, s, name)
 		})
 	}
 }
@@ -50,7 +50,7 @@
 	if got, want := s.Text(), fixture.Read(t, "emulator.txt"); !bytes.Equal(got, want) {
 		t.Errorf("got\n%s\nwant\n%s", got, want)
 	}
-	checkReading(t, s, "emulator")
+	checkAgainstFixture(t, s, "emulator")
 }
 
 // The fixture has a report and what 396a775 read from it on alternate lines.
--- a/internal/settings/policyconfig.go
+++ b/internal/settings/policyconfig.go
@@ -79,8 +79,8 @@
 	if c.MaxAttempts < 1 {
 		s.fail("caps.most_tries is %d, at least 1 is needed", c.MaxAttempts)
 	}
-	if how := s.text("discovery"); how != "" && how != "ask" && how != "push" {
-		s.fail("discovery is %.40q; there are push and ask", how)
+	if mode := s.text("discovery"); mode != "" && mode != "ask" && mode != "push" {
+		s.fail("discovery is %.40q; there are push and ask", mode)
 	}
 	s.validateClasses(c.Classes)
 	if c.SlowStartFloor > 1 {
--- a/internal/settings/policyconfig_test.go
+++ b/internal/settings/policyconfig_test.go
@@ -6,7 +6,7 @@
 )
 
 // An unusable value is named by its path in the settings.
-func TestUnusableSettingsAreNamed(t *testing.T) {
+func TestInvalidSettingsAreNamedByPath(t *testing.T) {
 	const good = `{"balancers":3,"caps":{"may_cancel":true,"most_tries":3},"discovery":"ask",
 		"rules":{"cold_from":0.3,"cold_ms":9000,"fall_multiple":3,"stop_sending_within_ms":500,"ask_within_ms":4000},
 		"orgs":[{"name":"x","share":0.4,"quota_per_s":7},{"name":"y","share":0.6,"quota_per_s":9}],"charges":{"cross_zone":0.02},
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -148,11 +148,11 @@
 }
 
 // Duration returns a value in milliseconds. If it is missing or not above 0, absent is returned.
-func (s *Settings) Duration(key string, absent time.Duration) time.Duration {
+func (s *Settings) Duration(key string, fallback time.Duration) time.Duration {
 	if d := DurationFromMillis(s.number(key)); d > 0 {
 		return d
 	}
-	return absent
+	return fallback
 }
 
 // fail records that a value is unusable. The first one is reported.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -132,7 +132,7 @@
 
 // What happens: a file whose settings are followed by something else, such as a second object
 // after a merge, is taken as if that were not there. Why: only the first JSON value was read.
-func TestWhatFollowsTheSettingsIsRefused(t *testing.T) {
+func TestDataAfterTheSettingsIsRejected(t *testing.T) {
 	for _, text := range []string{`{"zones":["a"]}{"zones":["b"]}`, `{"zones":["a"]} x`, `{"zones":["a"]}]`} {
 		if _, err := ParseJSON([]byte(text)); err == nil {
 			t.Errorf("%s was accepted", text)
--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -25,13 +25,13 @@
 
 // Sequence is the end of a process: steps, one after the other, within a bound.
 type Sequence struct {
-	program string
-	bound   time.Duration
-	begun   time.Time
-	timer   *time.Timer
-	exit    func(status int)
-	exited  chan struct{} // closed after exit, which returns in tests alone
-	ended   atomic.Bool
+	program   string
+	timeout   time.Duration
+	startedAt time.Time
+	timer     *time.Timer
+	exit      func(status int)
+	exited    chan struct{} // closed after exit, which returns in tests alone
+	ended     atomic.Bool
 
 	mu   sync.Mutex
 	step string // that is under way; empty between two
@@ -46,11 +46,11 @@
 // Guard bounds the end of a program that is to end once ctx is done. The caller calls ended
 // when it has.
 func Guard(ctx context.Context, program string, bound time.Duration) (ended func()) {
-	begun := make(chan *Sequence, 1)
-	stop := context.AfterFunc(ctx, func() { begun <- Begin(program, bound) })
+	begunSequence := make(chan *Sequence, 1)
+	stop := context.AfterFunc(ctx, func() { begunSequence <- Begin(program, bound) })
 	return func() {
 		if !stop() {
-			(<-begun).End()
+			(<-begunSequence).End()
 		}
 	}
 }
@@ -71,13 +71,13 @@
 	case r := <-returned:
 		return r.value, r.err
 	case <-stop.Done():
-		var none T
-		return none, stop.Err()
+		var zero T
+		return zero, stop.Err()
 	}
 }
 
 func begin(program string, bound time.Duration, exit func(status int)) *Sequence {
-	s := &Sequence{program: program, bound: bound, begun: time.Now(), exit: exit, exited: make(chan struct{})}
+	s := &Sequence{program: program, timeout: bound, startedAt: time.Now(), exit: exit, exited: make(chan struct{})}
 	s.timer = time.AfterFunc(bound, s.cutOff)
 	return s
 }
@@ -85,9 +85,9 @@
 // Step runs one step, and logs how long it took.
 func (s *Sequence) Step(name string, run func() error) error {
 	s.setStep(name)
-	begun := time.Now()
+	startedAt := time.Now()
 	err := run()
-	slog.Info("shutdown: step ended", "program", s.program, "step", name, "took", time.Since(begun).Round(time.Millisecond), "err", err)
+	slog.Info("shutdown: step ended", "program", s.program, "step", name, "took", time.Since(startedAt).Round(time.Millisecond), "err", err)
 	s.setStep("")
 	return err
 }
@@ -98,7 +98,7 @@
 	if s.ended.Swap(true) {
 		return
 	}
-	slog.Info("shutdown: ended", "program", s.program, "took", time.Since(s.begun).Round(time.Millisecond))
+	slog.Info("shutdown: ended", "program", s.program, "took", time.Since(s.startedAt).Round(time.Millisecond))
 	if !s.timer.Stop() { // last: the log may be stuck
 		<-s.exited
 	}
@@ -112,14 +112,14 @@
 
 // cutOff ends the process at the bound.
 func (s *Sequence) cutOff() {
-	lastResort := time.AfterFunc(cutOffLogTime, func() { s.exit(statusCutOff) })
+	forcedExit := time.AfterFunc(cutOffLogTime, func() { s.exit(statusCutOff) })
 	s.mu.Lock()
 	step := s.step
 	s.mu.Unlock()
-	slog.Error("shutdown: cut off", "program", s.program, "step", step, "bound", s.bound)
+	slog.Error("shutdown: cut off", "program", s.program, "step", step, "bound", s.timeout)
 	stacks := make([]byte, maxStacks)
 	_, _ = os.Stderr.Write(stacks[:runtime.Stack(stacks, true)]) // nobody can be told if it fails
-	lastResort.Stop()
+	forcedExit.Stop()
 	s.exit(statusCutOff)
 	close(s.exited)
 }
--- a/internal/shutdown/shutdown_test.go
+++ b/internal/shutdown/shutdown_test.go
@@ -12,10 +12,10 @@
 
 // An end that takes longer than its bound is cut off, and the log names the step in which
 // it hung; one that ends in time is not.
-func TestEndIsCutOffAtItsBound(t *testing.T) {
+func TestShutdownIsCutOffAtItsTimeout(t *testing.T) {
 	for name, x := range map[string]struct {
-		hangs time.Duration
-		want  bool
+		duration time.Duration
+		cutOff   bool
 	}{"in time": {9 * time.Second, false}, "too late": {11 * time.Second, true}} {
 		synctest.Test(t, func(t *testing.T) {
 			var log bytes.Buffer
@@ -28,16 +28,16 @@
 				t.Errorf("%s: the step's error is %v, want %v", name, err, failed)
 			}
 			_ = s.Step("second", func() error {
-				time.Sleep(x.hangs)
+				time.Sleep(x.duration)
 				return nil
 			})
 			s.End()
 			synctest.Wait()
-			if got := len(statuses) > 0; got != x.want {
-				t.Errorf("%s: cut off: got %v want %v", name, got, x.want)
+			if got := len(statuses) > 0; got != x.cutOff {
+				t.Errorf("%s: cut off: got %v want %v", name, got, x.cutOff)
 			}
-			if cut := strings.Contains(log.String(), `msg="shutdown: cut off" program=registry step=second`); cut != x.want {
-				t.Errorf("%s: the log names the step: got %v want %v:\n%s", name, cut, x.want, log.String())
+			if cut := strings.Contains(log.String(), `msg="shutdown: cut off" program=registry step=second`); cut != x.cutOff {
+				t.Errorf("%s: the log names the step: got %v want %v:\n%s", name, cut, x.cutOff, log.String())
 			}
 		})
 	}
@@ -45,7 +45,7 @@
 
 // An end that is over just after its bound does not overtake the cut-off, which writes the stacks
 // and exits with its status: the caller would exit with 0.
-func TestLateEndWaitsForCutOff(t *testing.T) {
+func TestLateEndWaitsForCutOffToExit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		defer slog.SetDefault(slog.Default())
 		slog.SetDefault(slog.New(slog.DiscardHandler))
--- a/internal/sidecar/config/compatibility_test.go
+++ b/internal/sidecar/config/compatibility_test.go
@@ -15,7 +15,7 @@
 // The files in testdata/396a775 were written for and by the code of that commit, the last one before
 // names changed: what they mean, and what is said of mistakes in them, has to stay.
 // reworded turns what 396a775 said of a configuration into today's words.
-var reworded = strings.NewReplacer(
+var currentWording = strings.NewReplacer(
 	"aim 500ms", "latency objective 500ms",
 	"aim 400ms", "latency objective 400ms",
 	"aim 300ms", "latency objective 300ms",
@@ -37,7 +37,7 @@
 )
 
 // fieldOfStruct is where the TOML library's messages name a Go type.
-var fieldOfStruct = regexp.MustCompile(`struct field \S+ of type`)
+var structFieldName = regexp.MustCompile(`struct field \S+ of type`)
 
 func loadFile(path string) (*Config, error) {
 	return Load(func(name string) string {
@@ -48,11 +48,11 @@
 	})
 }
 
-func TestConfigurationFilesMeanWhatTheyMeantTo396a775(t *testing.T) {
+func TestConfigurationFilesAreReadAsBy396a775(t *testing.T) {
 	for _, name := range []string{"short.toml", "full.toml", "takeover.toml", "platform.json"} {
 		path := filepath.Join("testdata", "396a775", name)
 		if isTOML(path) {
-			form, err := platformForm([]byte(fixture.ReadString(t, name)), drawSeed)
+			form, err := toPlatformJSON([]byte(fixture.ReadString(t, name)), randomSeed)
 			if want := fixture.ReadString(t, name+".platform.json"); err != nil || string(form)+"\n" != want {
 				t.Errorf("the platform's form of %s is\n%s, error %v; want\n%s", name, form, err, want)
 			}
@@ -67,7 +67,7 @@
 			t.Fatal(err)
 		}
 		columns := regexp.MustCompile(`  +`) // their width follows from the words
-		want := columns.ReplaceAllString(reworded.Replace(fixture.ReadString(t, name+".explained.txt")), "  ")
+		want := columns.ReplaceAllString(currentWording.Replace(fixture.ReadString(t, name+".explained.txt")), "  ")
 		if text := columns.ReplaceAllString(got.String(), "  "); text != want {
 			t.Errorf("%s is explained as\n%s\nwant\n%s", name, text, want)
 		}
@@ -76,7 +76,7 @@
 
 // Each line of mutations.txt is a mistake in a configuration file, and the same line of
 // mutations.golden is what 396a775 said of it.
-func TestMistakesInConfigurationFilesAreNamedAsBy396a775(t *testing.T) {
+func TestConfigurationErrorsMatch396a775(t *testing.T) {
 	golden := strings.Split(strings.TrimSuffix(fixture.ReadString(t, "mutations.golden"), "\n"), "\n")
 	checked := 0
 	for line := range strings.Lines(fixture.ReadString(t, "mutations.txt")) {
@@ -93,8 +93,8 @@
 			t.Fatal(err)
 		}
 		_, err := loadFile(path)
-		got := fieldOfStruct.ReplaceAllString(strings.ReplaceAll(fmt.Sprint(err), dir+"/", ""), "struct field of type")
-		want := fieldOfStruct.ReplaceAllString(reworded.Replace(golden[checked]), "struct field of type")
+		got := structFieldName.ReplaceAllString(strings.ReplaceAll(fmt.Sprint(err), dir+"/", ""), "struct field of type")
+		want := structFieldName.ReplaceAllString(currentWording.Replace(golden[checked]), "struct field of type")
 		if got != want {
 			t.Errorf("%s:\ngot  %s\nwant %s", line, got, want)
 		}
--- a/internal/sidecar/config/config.go
+++ b/internal/sidecar/config/config.go
@@ -134,7 +134,7 @@
 	}
 	platform := text
 	if isTOML(path) {
-		if platform, err = platformForm(text, drawSeed); err != nil {
+		if platform, err = toPlatformJSON(text, randomSeed); err != nil {
 			return nil, fmt.Errorf("configuration %s: %w", path, err)
 		}
 	}
@@ -149,7 +149,7 @@
 }
 
 // drawSeed draws the seed of a sidecar that was given none.
-func drawSeed() string { return strconv.FormatUint(rand.Uint64(), 16) }
+func randomSeed() string { return strconv.FormatUint(rand.Uint64(), 16) }
 
 // platformFile is the platform's JSON. Keys that are not listed are ignored, as the platform adds
 // some; the tables that are read strictly stay raw here.
@@ -230,20 +230,20 @@
 // readKnownEndpoints reads the endpoint list as last known. One that cannot be read is ignored:
 // discovery brings another.
 func (c *Config) readKnownEndpoints(text json.RawMessage) error {
-	c.KnownEndpoints = parseKnown(text)
+	c.KnownEndpoints = parseKnownEndpoints(text)
 	return nil
 }
 
-func parseKnown(text json.RawMessage) *client.ListUpdate {
+func parseKnownEndpoints(text json.RawMessage) *client.ListUpdate {
 	if len(text) == 0 || string(text) == "null" {
 		return nil
 	}
-	known := new(client.ListUpdate)
-	if err := json.Unmarshal(text, known); err != nil {
+	update := new(client.ListUpdate)
+	if err := json.Unmarshal(text, update); err != nil {
 		slog.Warn("configuration: known endpoint list ignored", "err", err)
 		return nil
 	}
-	return known
+	return update
 }
 
 func (c *Config) readSeed(text string) (err error) {
--- a/internal/sidecar/config/config_test.go
+++ b/internal/sidecar/config/config_test.go
@@ -48,11 +48,11 @@
 }
 
 // The endpoint list as last known is used if it can be read: discovery brings another.
-func TestUnreadableKnownEndpointsArePassedOver(t *testing.T) {
-	if parseKnown([]byte(`{"seq":"x"}`)) != nil || parseKnown([]byte("null")) != nil {
+func TestUnreadableKnownEndpointsAreIgnored(t *testing.T) {
+	if parseKnownEndpoints([]byte(`{"seq":"x"}`)) != nil || parseKnownEndpoints([]byte("null")) != nil {
 		t.Error("an unreadable list is held")
 	}
-	if known := parseKnown([]byte(`{"seq":1,"whole":true,"hosts":[{"host":7},{"host":"s-1","dial":"127.0.0.1:7","health":"up"}]}`)); known == nil || len(known.Endpoints) != 2 {
+	if known := parseKnownEndpoints([]byte(`{"seq":1,"whole":true,"hosts":[{"host":7},{"host":"s-1","dial":"127.0.0.1:7","health":"up"}]}`)); known == nil || len(known.Endpoints) != 2 {
 		t.Errorf("a list with a wrong entry is read as %+v", known)
 	}
 }
--- a/internal/sidecar/config/file_check.go
+++ b/internal/sidecar/config/file_check.go
@@ -15,13 +15,13 @@
 
 // platformForm turns a person's file into the platform's JSON. drawSeed is for files that name no
 // seed.
-func platformForm(text []byte, drawSeed func() string) ([]byte, error) {
+func toPlatformJSON(text []byte, newSeed func() string) ([]byte, error) {
 	f := file{Settings: settingsTable{Balancers: 1, Capabilities: capabilitiesTable{MaxAttempts: 1}}}
 	if err := configfile.DecodeTOML(text, &f); err != nil {
 		return nil, err
 	}
 	if f.Seed == "" {
-		f.Seed = drawSeed()
+		f.Seed = newSeed()
 	}
 	if err := f.check(); err != nil {
 		return nil, configfile.WithLine(text, err)
--- a/internal/sidecar/config/file_test.go
+++ b/internal/sidecar/config/file_test.go
@@ -60,7 +60,7 @@
 	return readConfig(path, nil)
 }
 
-func TestTOMLAndJSONMeanTheSame(t *testing.T) {
+func TestTOMLAndJSONGiveTheSameConfiguration(t *testing.T) {
 	a, err := readText(t, "c.toml", tomlText)
 	if err != nil {
 		t.Fatal(err)
@@ -147,9 +147,9 @@
 	return lines
 }
 
-func orText(text, absent string) string {
+func orText(text, fallback string) string {
 	if text == "" {
-		return absent
+		return fallback
 	}
 	return text
 }
@@ -182,7 +182,7 @@
 	f.Add([]byte(tomlText))
 	f.Add([]byte("[[settings.classes]]\n[settings.classes.x]\na.b = 1\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		platform, err := platformForm(text, func() string { return "1" })
+		platform, err := toPlatformJSON(text, func() string { return "1" })
 		if err != nil {
 			if strings.Contains(err.Error(), "\n") {
 				t.Errorf("more than one line: %v", err)
--- a/internal/sidecar/config/limits.go
+++ b/internal/sidecar/config/limits.go
@@ -99,11 +99,11 @@
 // check returns an error that names the first limit that is wrong.
 func (l *ConnectionLimits) check(sockets int) error {
 	type limit struct {
-		name       string
-		value      int
-		least      int
-		most       int
-		mostSource string
+		name          string
+		value         int
+		lowest        int
+		highest       int
+		highestSource string
 	}
 	c, s := l.Clients, l.Servers
 	for _, f := range []limit{
@@ -117,11 +117,11 @@
 		{"servers.handshakes", s.Handshakes, 1, s.Total, "connections.servers.total"},
 		{"servers.handshakes_per_server", s.HandshakesPerServer, 1, min(s.Handshakes, s.PerServer), "connections.servers.handshakes or per_server"},
 	} {
-		if f.value < f.least {
-			return fmt.Errorf("connections.%s is %d, at least %d is needed", f.name, f.value, f.least)
+		if f.value < f.lowest {
+			return fmt.Errorf("connections.%s is %d, at least %d is needed", f.name, f.value, f.lowest)
 		}
-		if f.value > f.most {
-			return fmt.Errorf("connections.%s is %d, more than the %d of %s", f.name, f.value, f.most, f.mostSource)
+		if f.value > f.highest {
+			return fmt.Errorf("connections.%s is %d, more than the %d of %s", f.name, f.value, f.highest, f.highestSource)
 		}
 	}
 	return l.checkSum(sockets)
@@ -130,13 +130,13 @@
 // checkSum returns an error if all limits together need more sockets than there are.
 func (l *ConnectionLimits) checkSum(sockets int) error {
 	c, s := l.Clients, l.Servers
-	rest := c.Refusing + 1 + reservedSockets + discoverySockets
-	needed := c.Total + c.Waiting + s.Total + rest
+	otherSockets := c.Refusing + 1 + reservedSockets + discoverySockets
+	needed := c.Total + c.Waiting + s.Total + otherSockets
 	if needed <= sockets {
 		return nil
 	}
 	return fmt.Errorf("connections: the limits add up to %d sockets (clients.total %d, clients.waiting %d, servers.total %d, "+
-		"%d for the rest), limits.sockets allows %d", needed, c.Total, c.Waiting, s.Total, rest, sockets)
+		"%d for the rest), limits.sockets allows %d", needed, c.Total, c.Waiting, s.Total, otherSockets, sockets)
 }
 
 // WithinPolicy returns what a fleet policy leaves of the limits.
@@ -162,11 +162,11 @@
 	if len(text) == 0 {
 		return table, nil
 	}
-	var sides map[string]json.RawMessage
-	if err := json.Unmarshal(text, &sides); err != nil {
+	var tables map[string]json.RawMessage
+	if err := json.Unmarshal(text, &tables); err != nil {
 		return table, fmt.Errorf("connections: an object is needed: %w", err)
 	}
-	for name, side := range sides {
+	for name, side := range tables {
 		var err error
 		switch name {
 		case "clients":
@@ -184,10 +184,10 @@
 }
 
 // decodeLimits reads one side's limits.
-func decodeLimits(name string, text json.RawMessage, into any) error {
+func decodeLimits(name string, text json.RawMessage, target any) error {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
-	err := d.Decode(into)
+	err := d.Decode(target)
 	var wrongType *json.UnmarshalTypeError
 	switch {
 	case err == nil:
--- a/internal/sidecar/config/tables.go
+++ b/internal/sidecar/config/tables.go
@@ -28,10 +28,10 @@
 )
 
 // decodeTable reads a table strictly and checks it.
-func decodeTable(name string, text json.RawMessage, into any, check func() error) error {
+func decodeTable(name string, text json.RawMessage, target any, check func() error) error {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
-	if err := d.Decode(into); err != nil {
+	if err := d.Decode(target); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	return check()
--- a/internal/sidecar/overloadreporter/compatibility_test.go
+++ b/internal/sidecar/overloadreporter/compatibility_test.go
@@ -11,10 +11,9 @@
 	"barleywick/internal/testing/fixture"
 )
 
-// The files in testdata/396a775 were written by the code of that commit, the last one before names
-// changed: they have to be read, and what is written now has to be the same byte for byte.
-// Programs and people read what /health/overload serves.
-func TestStatusTextsAreThoseOf396a775(t *testing.T) {
+// The files in testdata/396a775 were written by the code of that commit, the last one before identifiers
+// were renamed. The text of /health/overload is parsed by programs, so it must stay the same byte for byte.
+func TestStatusTextsMatch396a775(t *testing.T) {
 	advice := overload.Advice{Number: 12, Token: 7, Tenants: []overload.TenantAdvice{{Tenant: "acme", AdmitFraction: 0.25}, {Tenant: "zeta", AdmitFraction: 1}}}
 	var got strings.Builder
 	for _, s := range []Status{
--- a/internal/sidecar/overloadreporter/counts.go
+++ b/internal/sidecar/overloadreporter/counts.go
@@ -7,11 +7,11 @@
 	"barleywick/internal/sidecar/outcome"
 )
 
-// Counts count requests by tenant, for digests. They are not safe for concurrent use.
+// Counts holds the request counts of each tenant for the next digest. It is not safe for concurrent use.
 type Counts struct{ tenants []overload.TenantCounts }
 
-// NewCounts makes counts of tenants by their names; quotas are their shares of the service, where
-// they have one.
+// NewCounts returns zero counts for the named tenants. quota returns a tenant's share of the service, if
+// it has one; without one it is 1.
 func NewCounts(tenants []string, quota func(tenant int) (share float64, ok bool)) *Counts {
 	c := &Counts{tenants: make([]overload.TenantCounts, len(tenants))}
 	for i, name := range tenants {
@@ -23,10 +23,10 @@
 	return c
 }
 
-// RequestArrived counts a request of a tenant.
+// RequestArrived counts a new request of a tenant.
 func (c *Counts) RequestArrived(tenant int) { c.tenants[tenant].Requests++ }
 
-// RequestEnded counts how a request of a tenant ended.
+// RequestEnded counts the outcome of a request of a tenant.
 func (c *Counts) RequestEnded(tenant int, o outcome.Outcome) {
 	t := &c.tenants[tenant]
 	switch o {
@@ -41,7 +41,7 @@
 	}
 }
 
-// Take returns what was counted since the last call.
+// Take returns the counts since the previous call and resets them.
 func (c *Counts) Take() []overload.TenantCounts {
 	taken := slices.Clone(c.tenants)
 	for i, t := range c.tenants {
--- a/internal/sidecar/overloadreporter/counts_test.go
+++ b/internal/sidecar/overloadreporter/counts_test.go
@@ -8,7 +8,7 @@
 	"barleywick/internal/sidecar/outcome"
 )
 
-func TestCountsAreTakenOnce(t *testing.T) {
+func TestTakeResetsCounts(t *testing.T) {
 	c := NewCounts([]string{"acme", "zeta"}, func(tenant int) (float64, bool) { return 0.25, tenant == 0 })
 	for _, o := range []outcome.Outcome{outcome.InTime, outcome.Late, outcome.Refused, outcome.Failed, outcome.ClientVanished} {
 		c.RequestArrived(0)
@@ -24,6 +24,6 @@
 	}
 	want = []overload.TenantCounts{{Tenant: "acme", Quota: 0.25}, {Tenant: "zeta", Quota: 1}}
 	if got := c.Take(); !reflect.DeepEqual(got, want) {
-		t.Errorf("taken again: got %+v, want %+v", got, want)
+		t.Errorf("second call: got %+v, want %+v", got, want)
 	}
 }
--- a/internal/sidecar/overloadreporter/reporter.go
+++ b/internal/sidecar/overloadreporter/reporter.go
@@ -1,5 +1,5 @@
-// Package overloadreporter is the sidecar's part that reports its requests to the fleet's overload
-// controller and takes shedding advice from it. docs/OVERLOAD.md describes both.
+// Package overloadreporter reports a sidecar's request counts to the fleet's overload controller and
+// receives overload advice from it. docs/OVERLOAD.md describes both.
 package overloadreporter
 
 import (
@@ -21,20 +21,21 @@
 	"barleywick/policy"
 )
 
-// callTimeout is for one digest and the advice that answers it: the next digest is due soon after.
+// callTimeout bounds the exchange of one digest for advice. It is shorter than the interval between digests.
 const callTimeout = 800 * time.Millisecond
 
-// Sidecar is what the reporter needs of the sidecar that it reports for.
+// Sidecar is the interface to the sidecar whose requests are reported.
 type Sidecar interface {
-	// OverloadDigest returns the congestion and what was counted since the last call. It fails
-	// if the sidecar or ctx ends.
+	// OverloadDigest returns the congestion and the request counts since the previous call. It returns
+	// an error if the sidecar stops or ctx is done.
 	OverloadDigest(ctx context.Context) (overload.Digest, error)
-	// ApplyAdvice puts advice into force.
+	// ApplyAdvice makes the sidecar shed according to the advice.
 	ApplyAdvice(policy.OverloadAdvice)
 }
 
-// Reporter exchanges digests for advice once a second. Whatever fails, the sidecar goes on by what
-// it sees itself: the advice that it has fades. Its methods may be called concurrently, Run once.
+// Reporter sends a digest about once a second and receives advice in response. If that fails, the last
+// advice expires and the sidecar sheds according to its local congestion only. Its methods may be
+// called concurrently, except Run, which is called once.
 type Reporter struct {
 	fleet       string
 	name        string
@@ -44,17 +45,17 @@
 	sidecar     Sidecar
 	registry    *client.Client
 	controller  *http.Client
-	address     string // of the controller; empty: not known
+	address     string // of the controller; empty: unknown
 	sequence    uint64 // of the last digest
 	filter      overload.AdviceFilter
 
 	mu         sync.Mutex
 	advice     overload.Advice
-	receivedAt time.Time // when the advice came
-	lastError  error     // of the last exchange; nil: it succeeded
+	receivedAt time.Time // when the advice was received
+	lastError  error     // of the last exchange; nil if it succeeded
 }
 
-// New makes the reporter of a sidecar whose configuration names where overload advice comes from.
+// New returns a Reporter for a sidecar whose configuration has an overload table.
 func New(c *config.Config, tenants []string, s Sidecar) (*Reporter, error) {
 	registryClient, err := client.New(c.Overload.Registry, c.Seed)
 	if err != nil {
@@ -72,7 +73,7 @@
 	}, nil
 }
 
-// Run exchanges digests for advice until ctx ends.
+// Run sends digests and applies the advice received until ctx is done.
 func (r *Reporter) Run(ctx context.Context) {
 	defer r.registry.Close()
 	defer r.controller.CloseIdleConnections()
@@ -88,7 +89,7 @@
 			return
 		}
 		now := time.Now()
-		r.complete(&digest, now.Sub(last))
+		r.setMetadata(&digest, now.Sub(last))
 		last = now
 		err = r.exchange(ctx, digest)
 		previous := r.setLastError(err)
@@ -96,20 +97,20 @@
 		case ctx.Err() != nil:
 			return
 		case err != nil && previous == nil:
-			slog.Warn("overload: advice lost, shedding by own congestion alone", "err", err)
+			slog.Warn("overload: advice unavailable, shedding by local congestion only", "err", err)
 		case err == nil && previous != nil:
 			slog.Info("overload: advice received again")
 		}
 	}
 }
 
-// jittered spreads an interval: the controller must not be called by all sidecars at once.
+// jittered varies an interval by up to 10 % so that the sidecars do not call the controller simultaneously.
 func jittered(interval time.Duration) time.Duration {
 	return time.Duration(float64(interval) * (0.9 + 0.2*rand.Float64()))
 }
 
-// complete fills in whose digest it is, and over which time.
-func (r *Reporter) complete(d *overload.Digest, period time.Duration) {
+// setMetadata sets the digest's fleet, sidecar, sequence number and period.
+func (r *Reporter) setMetadata(d *overload.Digest, period time.Duration) {
 	r.sequence++
 	d.Fleet, d.Name, d.Incarnation, d.Seq = r.fleet, r.name, r.incarnation, r.sequence
 	d.PeriodMS = max(1, period.Milliseconds())
@@ -122,18 +123,18 @@
 	return previous
 }
 
-// exchange sends a digest and puts the advice that answers it into force.
+// exchange sends a digest and applies the advice in the response.
 func (r *Reporter) exchange(ctx context.Context, d overload.Digest) error {
 	if r.address == "" {
 		address, err := r.findController(ctx)
 		if err != nil {
-			return fmt.Errorf("where the task listens: %w", err)
+			return fmt.Errorf("find the overload controller: %w", err)
 		}
 		r.address = address
 	}
 	advice, err := r.post(ctx, d)
 	if err != nil {
-		r.address = "" // another process may hold the lease by now
+		r.address = "" // another controller may hold the lease by now
 		return err
 	}
 	if err := r.filter.Accept(advice); err != nil {
@@ -142,11 +143,11 @@
 	r.mu.Lock()
 	r.advice, r.receivedAt = advice, time.Now()
 	r.mu.Unlock()
-	r.sidecar.ApplyAdvice(r.forBalancer(advice))
+	r.sidecar.ApplyAdvice(r.balancerAdvice(advice))
 	return nil
 }
 
-// findController reads from the registry where the controller listens.
+// findController looks up the controller's address in the registry.
 func (r *Reporter) findController(ctx context.Context) (string, error) {
 	record, err := r.registry.Record(ctx, overload.RecordKey)
 	if err != nil {
@@ -157,12 +158,12 @@
 		return "", err
 	}
 	if host, _, err := net.SplitHostPort(location.Address); err != nil || !net.ParseIP(host).IsLoopback() {
-		return "", fmt.Errorf("%.64q is no loopback address with a port", location.Address)
+		return "", fmt.Errorf("%.64q is not a loopback address with a port", location.Address)
 	}
 	return location.Address, nil
 }
 
-// post sends a digest to the controller.
+// post sends a digest to the controller and returns the advice in its response.
 func (r *Reporter) post(ctx context.Context, d overload.Digest) (advice overload.Advice, err error) {
 	text, err := json.Marshal(d)
 	if err != nil {
@@ -182,7 +183,7 @@
 	case err != nil:
 		return advice, err
 	case resp.StatusCode != http.StatusOK:
-		return advice, fmt.Errorf("%s answers %d: %.200s", r.address, resp.StatusCode, bytes.TrimSpace(body))
+		return advice, fmt.Errorf("%s responded with status %d: %.200s", r.address, resp.StatusCode, bytes.TrimSpace(body))
 	}
 	if err := json.Unmarshal(body, &advice); err != nil {
 		return advice, fmt.Errorf("%s: %w", r.address, err)
@@ -190,8 +191,8 @@
 	return advice, nil
 }
 
-// forBalancer turns advice into that for this sidecar's tenants.
-func (r *Reporter) forBalancer(a overload.Advice) policy.OverloadAdvice {
+// balancerAdvice converts advice to the balancer's form, by this sidecar's tenant indexes.
+func (r *Reporter) balancerAdvice(a overload.Advice) policy.OverloadAdvice {
 	shares := make([]float64, len(r.tenants))
 	for i, name := range r.tenants {
 		shares[i] = a.FractionFor(name)
--- a/internal/sidecar/overloadreporter/status.go
+++ b/internal/sidecar/overloadreporter/status.go
@@ -7,14 +7,14 @@
 	"barleywick/internal/overload"
 )
 
-// Status is how a sidecar stands towards overload advice.
+// Status is the state of a sidecar's exchange with the overload controller.
 type Status struct {
-	Advice    overload.Advice // the last that came
-	Age       time.Duration   // of the advice; 0: none came yet
-	LastError error           // why the last exchange failed; nil: it succeeded
+	Advice    overload.Advice // the last advice received
+	Age       time.Duration   // of the advice; 0: none received yet
+	LastError error           // of the last exchange; nil if it succeeded
 }
 
-// Status returns how the sidecar stands now.
+// Status returns the current status.
 func (r *Reporter) Status() Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -25,10 +25,10 @@
 	return s
 }
 
-// InForce says whether the advice is in force.
+// InForce reports whether there is advice that has not expired.
 func (s Status) InForce() bool { return s.Age > 0 && s.Age < overload.AdviceTTL }
 
-// String is the text of /health/overload, which programs read: its words stay.
+// String returns the text of /health/overload. Programs parse it, so the wording must not change.
 func (s Status) String() string {
 	text := "no word yet"
 	if s.Age > 0 {
--- a/internal/sidecar/policyfollower/compatibility_test.go
+++ b/internal/sidecar/policyfollower/compatibility_test.go
@@ -14,13 +14,14 @@
 	"barleywick/internal/testing/fixture"
 )
 
-// The files in testdata/396a775 were written by the code of that commit, the last one before names
-// changed: they have to be read, and what is written now has to be the same byte for byte.
+// The files in testdata/396a775 were written by the code of that commit, the last one before identifiers
+// were renamed. They must stay readable, and the current code must write the same bytes.
+
 type enforcerFunc func(ctx context.Context, d *rollout.Document) error
 
 func (f enforcerFunc) EnforcePolicy(ctx context.Context, d *rollout.Document) error { return f(ctx, d) }
 
-// storedPolicies are what 396a775 wrote to its policy folder, by the name of the file.
+// storedPolicies returns the policies that 396a775 wrote to its policy store, by file name.
 func storedPolicies() map[string]rollout.ActivePolicy {
 	document := func(mode rollout.Mode) *rollout.Document {
 		return &rollout.Document{
@@ -38,7 +39,7 @@
 	}
 }
 
-func TestPolicyFolderIsWrittenAsBy396a775(t *testing.T) {
+func TestPolicyStoreIsWrittenAsBy396a775(t *testing.T) {
 	for name, active := range storedPolicies() {
 		s := store{t.TempDir()}
 		if err := s.save(active); err != nil {
@@ -51,7 +52,7 @@
 	}
 }
 
-func TestPolicyFolderOf396a775IsRead(t *testing.T) {
+func TestPolicyStoreOf396a775IsRead(t *testing.T) {
 	policies := storedPolicies()
 	for _, name := range []string{"none", "carry", "refuse", "joint", "first", "torn", "changed"} {
 		folder := t.TempDir()
@@ -61,7 +62,7 @@
 		var enforced []*rollout.Document
 		f := &Follower{
 			store: store{folder}, tenants: []string{"acme", "zeta"},
-			state: &rollout.Follower{}, startedAt: time.Now().Add(-2 * storeAfter),
+			state: &rollout.Follower{}, startedAt: time.Now().Add(-2 * storeFallbackDelay),
 			enforcer: enforcerFunc(func(_ context.Context, d *rollout.Document) error { enforced = append(enforced, d); return nil }),
 		}
 		f.applyStored(t.Context())
@@ -73,13 +74,13 @@
 			continue
 		}
 		if len(enforced) != 1 || !reflect.DeepEqual(enforced[0], want.Effective()) || !reflect.DeepEqual(f.active, want) || !f.Admitting() {
-			t.Errorf("%s: enforced %+v, acts by %+v, admitting %v; want %+v", name, enforced, f.active, f.Admitting(), want)
+			t.Errorf("%s: enforced %+v, active %+v, admitting %v; want %+v", name, enforced, f.active, f.Admitting(), want)
 		}
 	}
 }
 
-// Programs and people read what /health/policy serves.
-func TestStatusTextsAreThoseOf396a775(t *testing.T) {
+// The text of /health/policy is parsed by programs, so it must not change.
+func TestStatusTextsMatch396a775(t *testing.T) {
 	since := time.Unix(1764000000, 0)
 	var got strings.Builder
 	for _, s := range []Status{
--- a/internal/sidecar/policyfollower/follower.go
+++ b/internal/sidecar/policyfollower/follower.go
@@ -1,6 +1,6 @@
-// Package policyfollower is the sidecar's part that follows the fleet policy: it is a member of the
-// roster that rollouts wait for, puts into force what the registry says, and reports that it did.
-// docs/POLICY.md describes rollouts; the decisions are internal/rollout's.
+// Package policyfollower keeps a sidecar on the current fleet policy: it joins the roster that rollouts
+// wait for, applies the policy that the registry publishes, and acknowledges it. docs/POLICY.md
+// describes rollouts; the decisions are made in internal/rollout.
 package policyfollower
 
 import (
@@ -25,24 +25,25 @@
 )
 
 const (
-	// callTimeout is for one call of the registry, the length of an election included.
-	callTimeout = 5 * time.Second
-	watchWait   = 4 * time.Second
-	// countsInterval is how often counts are reported while canaries are compared with the rest.
+	// callTimeout bounds one call to the registry. It allows for a leader election during the call.
+	callTimeout  = 5 * time.Second
+	longPollWait = 4 * time.Second // how long the registry may hold a request for a newer view
+	// countsInterval is how often request counts are reported while canaries are compared with the other sidecars.
 	countsInterval = time.Second
 	// retryBackoff is the mean pause after a call that failed.
 	retryBackoff = 200 * time.Millisecond
-	// storeAfter is how long a start tries to reach the registry before it serves by its store.
-	storeAfter = 5 * time.Second
+	// storeFallbackDelay is how long a starting sidecar tries to reach the registry before it falls back to
+	// its policy store.
+	storeFallbackDelay = 5 * time.Second
 )
 
-// Enforcer puts a policy into force at a sidecar; nil means that its own configuration counts alone.
+// Enforcer applies a policy to a sidecar; a nil document means that only the sidecar's own configuration applies.
 type Enforcer interface {
 	EnforcePolicy(ctx context.Context, d *rollout.Document) error
 }
 
-// Follower keeps a sidecar to the fleet policy. The sidecar's own configuration remains the most
-// that it may do: the stricter of both counts. Its methods may be called concurrently, Run once.
+// Follower applies the fleet policy to a sidecar. The sidecar's own configuration remains an upper limit:
+// the stricter of the two applies. Its methods may be called concurrently, except Run, which is called once.
 type Follower struct {
 	tenants   []string
 	client    *client.Client
@@ -51,22 +52,22 @@
 	enforcer  Enforcer
 	startedAt time.Time
 
-	requests, refused, failed, late atomic.Uint64 // since the start
-	reportedAt                      time.Time     // when these were reported last
+	requests, refused, failed, late atomic.Uint64 // totals since the start
+	reportedAt                      time.Time     // when the totals were last reported
 
-	admitting     atomic.Bool // there is a policy to act by
-	leaseRequired atomic.Bool // and requests are admitted only while the roster lease is held
+	admitting     atomic.Bool // a policy is in force
+	leaseRequired atomic.Bool // requests are admitted only while the roster lease is held
 	lease         atomic.Pointer[lease.Handle]
-	stopLease     context.CancelFunc // ends holding the lease; nil: it is not held
+	cancelLease   context.CancelFunc // stops holding the lease; nil: not being held
 
 	mu          sync.Mutex
 	state       *rollout.Follower
-	active      rollout.ActivePolicy // what is in force
+	active      rollout.ActivePolicy // the policy in force
 	activeSince time.Time
-	fromStore   bool // active comes from the store
+	fromStore   bool // active was loaded from the store
 }
 
-// New makes the follower of a sidecar whose configuration names a fleet policy.
+// New returns a Follower for a sidecar whose configuration has a policy table.
 func New(c *config.Config, e Enforcer) (*Follower, error) {
 	registryClient, err := client.New(c.FleetPolicy.Registry, c.Seed)
 	if err != nil {
@@ -90,7 +91,7 @@
 	return f, nil
 }
 
-// checkSupported says whether this sidecar could act by a document.
+// checkSupported returns an error if this sidecar cannot apply a document.
 func (f *Follower) checkSupported(d *rollout.Document) error {
 	if err := d.Check(); err != nil {
 		return err
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// RecordRequest counts the end of a request, for the comparison of canaries with the rest.
+// RecordRequest counts a finished request for the comparison of canaries with the other sidecars.
 func (f *Follower) RecordRequest(o outcome.Outcome) {
 	f.requests.Add(1)
 	switch o {
@@ -121,7 +122,7 @@
 	return rollout.RequestCounts{Requests: f.requests.Load(), Refused: f.refused.Load(), Failed: f.failed.Load(), Late: f.late.Load()}
 }
 
-// Admitting says whether the fleet policy lets new requests be admitted now.
+// Admitting reports whether the fleet policy currently allows new requests to be admitted.
 func (f *Follower) Admitting() bool {
 	if !f.admitting.Load() {
 		return false
@@ -133,8 +134,8 @@
 	return held != nil && held.Held()
 }
 
-// Run follows the policy until ctx ends, and leaves the roster then. It returns an error if this
-// sidecar cannot act by the policy in force.
+// Run follows the policy until ctx is done, and then leaves the roster. It returns an error if this
+// sidecar does not support the policy in force.
 func (f *Follower) Run(ctx context.Context) error {
 	defer f.client.Close()
 	leasesCtx, endLeases := context.WithCancel(context.WithoutCancel(ctx))
@@ -165,7 +166,7 @@
 	return nil
 }
 
-// applyActive puts into force what the registry's latest view says.
+// applyActive applies the policy of the registry's latest view.
 func (f *Follower) applyActive(ctx context.Context) error {
 	f.mu.Lock()
 	unsupported := f.state.Fatal()
@@ -174,7 +175,7 @@
 	f.mu.Unlock()
 	if unsupported != nil {
 		f.leaveRoster(ctx)
-		return fmt.Errorf("policy: epoch %d cannot be acted by here: %w", epoch, unsupported)
+		return fmt.Errorf("policy: epoch %d is not supported by this sidecar: %w", epoch, unsupported)
 	}
 	if !ok {
 		f.stopAdmitting()
@@ -183,7 +184,8 @@
 	return f.apply(ctx, active)
 }
 
-// stopAdmitting takes that there is no policy to act by, unless this sidecar serves by its store.
+// stopAdmitting refuses new requests because there is no policy to apply, unless the policy in force was
+// loaded from the store.
 func (f *Follower) stopAdmitting() {
 	f.mu.Lock()
 	fromStore := f.fromStore
@@ -193,14 +195,14 @@
 	}
 }
 
-// apply stores a policy, puts it into force, and only then acts by it.
+// apply stores a policy, enforces it, and only then marks it active.
 func (f *Follower) apply(ctx context.Context, p rollout.ActivePolicy) error {
 	if f.isInForce(p) {
 		return nil
 	}
 	if err := f.store.save(p); err != nil {
-		slog.Error("policy: store cannot be written", "err", err)
-		if p.JointChange != 0 { // the change can still be aborted
+		slog.Error("policy: cannot write the policy store", "err", err)
+		if p.JointChange != 0 { // refusing it aborts the change, which is still possible in this stage
 			f.mu.Lock()
 			f.state.Refuse(err)
 			f.mu.Unlock()
@@ -230,10 +232,10 @@
 	f.mu.Unlock()
 }
 
-// applyStored serves by the store while the registry cannot be reached: only a start does, and only
-// under a policy that lets sidecars carry on.
+// applyStored applies the stored policy while the registry is unreachable. It does so only before the
+// first view was received, and only for a policy whose mode allows serving without the registry.
 func (f *Follower) applyStored(ctx context.Context) {
-	if f.admitting.Load() || !f.store.enabled() || time.Since(f.startedAt) < storeAfter || f.state.Version() != 0 {
+	if f.admitting.Load() || !f.store.enabled() || time.Since(f.startedAt) < storeFallbackDelay || f.state.Version() != 0 {
 		return
 	}
 	p, err := shutdown.Await(ctx, f.store.load)
@@ -241,12 +243,12 @@
 		return
 	}
 	if err != nil {
-		slog.Error("policy: store unusable", "file", f.store.path(), "err", err)
+		slog.Error("policy: cannot read the policy store", "file", f.store.path(), "err", err)
 		return
 	}
 	document := p.Effective()
 	if document != nil && (document.Mode == rollout.ModeRefuse || f.checkSupported(document) != nil) {
-		return // not enough to serve by
+		return // requires the registry, or is not supported by this sidecar
 	}
 	if err := f.enforcer.EnforcePolicy(ctx, document); err != nil {
 		return
--- a/internal/sidecar/policyfollower/roster.go
+++ b/internal/sidecar/policyfollower/roster.go
@@ -13,7 +13,7 @@
 	"barleywick/internal/rollout"
 )
 
-// synchronize sends the registry the next command, or waits for a change of its view.
+// synchronize sends the next command to the registry or, if there is none, waits for a newer view.
 func (f *Follower) synchronize(ctx context.Context) error {
 	command, pending, wait := f.nextCommand()
 	f.mu.Lock()
@@ -26,23 +26,23 @@
 		defer cancel()
 		view, err = f.client.ApplyPolicyStep(callCtx, command, nil)
 	} else {
-		callCtx, cancel := context.WithTimeout(ctx, watchWait+callTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, longPollWait+callTimeout)
 		defer cancel()
 		view, err = f.client.PolicyView(callCtx, self, version, wait)
 	}
-	return f.handleAnswer(ctx, command, view, err)
+	return f.handleResponse(ctx, command, view, err)
 }
 
-// nextCommand returns the command to send now, if there is one, or else how long to wait for a change.
+// nextCommand returns the command to send now. If none is pending, it returns how long to wait for a newer view.
 func (f *Follower) nextCommand() (command rollout.Command, pending bool, wait time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if command, pending = f.state.NextCommand(); pending {
 		return command, true, 0
 	}
-	change, wanted := f.state.ReportsWanted()
-	if !wanted {
-		return command, false, watchWait
+	change, due := f.state.ReportsWanted()
+	if !due {
+		return command, false, longPollWait
 	}
 	if wait = countsInterval - time.Since(f.reportedAt); wait > 0 {
 		return command, false, wait
@@ -51,8 +51,8 @@
 	return rollout.Command{Op: rollout.OpReport, Member: f.state.Self, ChangeNumber: change, Counts: f.counts()}, true, 0
 }
 
-// handleAnswer takes what the registry answered to a command, or to a call for its view.
-func (f *Follower) handleAnswer(ctx context.Context, command rollout.Command, view rollout.View, err error) error {
+// handleResponse processes the registry's response to a command or to a request for its view.
+func (f *Follower) handleResponse(ctx context.Context, command rollout.Command, view rollout.View, err error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
@@ -65,9 +65,9 @@
 	case errors.Is(err, registry.ErrNotFound):
 		f.state.HandleResult(command, rollout.ErrNotFound)
 		return nil
-	case errors.Is(err, registry.ErrConflict) && command.Op == rollout.OpJoin: // evicted, or a later process has the name
+	case errors.Is(err, registry.ErrConflict) && command.Op == rollout.OpJoin: // evicted, or a newer process joined under the same name
 		f.state.LostMembership()
-	case errors.Is(err, registry.ErrConflict): // the view here is out of date
+	case errors.Is(err, registry.ErrConflict): // the local view is out of date: fetch the current one
 		self := f.state.Self
 		f.mu.Unlock()
 		view, err = f.client.PolicyView(ctx, self, 0, 0)
@@ -79,24 +79,24 @@
 	return err
 }
 
-// acquireLease begins to hold the roster lease, which the policy requires for serving.
+// acquireLease starts holding the roster lease, which the policy requires for serving.
 func (f *Follower) acquireLease(ctx context.Context, tasks *sync.WaitGroup) {
-	if f.stopLease != nil {
+	if f.cancelLease != nil {
 		return
 	}
-	ctx, f.stopLease = context.WithCancel(ctx)
+	ctx, f.cancelLease = context.WithCancel(ctx)
 	tasks.Go(func() { f.holdLease(ctx) })
 }
 
-// releaseLease gives the roster lease up.
+// releaseLease stops holding the roster lease.
 func (f *Follower) releaseLease() {
-	if f.stopLease != nil {
-		f.stopLease()
-		f.stopLease = nil
+	if f.cancelLease != nil {
+		f.cancelLease()
+		f.cancelLease = nil
 	}
 }
 
-// holdLease holds the roster lease until ctx ends.
+// holdLease holds the roster lease until ctx is done.
 func (f *Follower) holdLease(ctx context.Context) {
 	name := registry.RosterLeasePrefix + f.state.Self.Name
 	err := f.leases.Hold(ctx, name, func(ctx context.Context, held *lease.Handle) error {
@@ -106,20 +106,20 @@
 		return ctx.Err()
 	})
 	if ctx.Err() == nil {
-		slog.Error("policy: roster lease cannot be held", "lease", name, "err", err)
+		slog.Error("policy: cannot hold the roster lease", "lease", name, "err", err)
 	}
 }
 
-// leaveRoster takes this sidecar out of the roster: no rollout waits for it any more, and its store
-// must not be served by.
+// leaveRoster removes this sidecar from the roster, so that rollouts no longer wait for it. The policy
+// store is removed as well, because it may become outdated from then on.
 func (f *Follower) leaveRoster(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout/2)
 	defer cancel()
 	if _, err := f.client.ApplyPolicyStep(ctx, rollout.Command{Op: rollout.OpLeave, Member: f.state.Self}, nil); err != nil {
-		slog.Warn("policy: leaving the roster failed, rollouts wait until this name starts again or is evicted", "err", err)
+		slog.Warn("policy: cannot leave the roster, rollouts wait until a sidecar of this name starts or is evicted", "err", err)
 		return
 	}
 	if err := f.store.remove(); err != nil && !errors.Is(err, os.ErrNotExist) {
-		slog.Warn("policy: store cannot be removed", "err", err)
+		slog.Warn("policy: cannot remove the policy store", "err", err)
 	}
 }
--- a/internal/sidecar/policyfollower/status.go
+++ b/internal/sidecar/policyfollower/status.go
@@ -7,18 +7,18 @@
 	"barleywick/internal/rollout"
 )
 
-// Status is how a sidecar stands towards the fleet policy.
+// Status is the state of a sidecar with respect to the fleet policy.
 type Status struct {
-	Epoch         uint64 // of the policy in force; 0: its own configuration counts
-	JointChange   uint64 // the rollout that it acts by jointly; 0: none
+	Epoch         uint64 // of the policy in force; 0: only the sidecar's own configuration applies
+	JointChange   uint64 // number of the rollout in its joint stage, both of whose policies apply; 0: none
 	Stage         rollout.Stage
-	Since         time.Time // when it was put into force
-	Admitting     bool      // new requests are admitted
-	FromStore     bool      // it serves by its store
-	RefusalReason string    // why it refused the rollout under way; empty: it did not
+	Since         time.Time // when the policy came into force
+	Admitting     bool      // whether new requests are admitted
+	FromStore     bool      // whether the policy was loaded from the store
+	RefusalReason string    // why it refused the rollout in progress; empty: not refused
 }
 
-// Status returns how the sidecar stands now.
+// Status returns the current status.
 func (f *Follower) Status() Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -29,7 +29,7 @@
 	}
 }
 
-// String is the text of /health/policy, which programs read: its words stay.
+// String returns the text of /health/policy. Programs parse it, so the wording must not change.
 func (s Status) String() string {
 	text := fmt.Sprintf("epoch %d, %s", s.Epoch, s.Stage)
 	if s.JointChange != 0 {
--- a/internal/sidecar/policyfollower/store.go
+++ b/internal/sidecar/policyfollower/store.go
@@ -10,11 +10,10 @@
 	"barleywick/internal/rollout"
 )
 
-// store is the folder that holds the policy which a sidecar acted by last. The zero store holds
-// nothing.
+// store is the folder that persists the last policy that the sidecar applied. The zero store is disabled.
 type store struct{ folder string }
 
-// storedPolicy is the content of the store's file.
+// storedPolicy is the content of the store's file, policy.json.
 type storedPolicy struct {
 	Checksum string          `json:"sum"` // of Active
 	Active   json.RawMessage `json:"acts"`
@@ -24,8 +23,8 @@
 
 func (s store) path() string { return filepath.Join(s.folder, "policy.json") }
 
-// save stores what is about to be acted by. It is written before the registry is told: a process
-// that starts again has no less than this one has confirmed.
+// save persists a policy before it is acknowledged to the registry, so that a restarted process never has
+// an older policy than its predecessor acknowledged.
 func (s store) save(p rollout.ActivePolicy) error {
 	if !s.enabled() {
 		return nil
@@ -44,7 +43,7 @@
 	return nil
 }
 
-// load reads what was stored. It fails with os.ErrNotExist if nothing was.
+// load returns the stored policy. It returns os.ErrNotExist if there is none.
 func (s store) load() (rollout.ActivePolicy, error) {
 	var p rollout.ActivePolicy
 	text, err := os.ReadFile(s.path())
@@ -56,12 +55,12 @@
 		return p, err
 	}
 	if rollout.Checksum(stored.Active) != stored.Checksum {
-		return p, errors.New("its checksum is wrong")
+		return p, errors.New("checksum mismatch")
 	}
 	return p, json.Unmarshal(stored.Active, &p)
 }
 
-// remove removes what was stored.
+// remove deletes the stored policy.
 func (s store) remove() error {
 	if !s.enabled() {
 		return nil
@@ -69,7 +68,7 @@
 	return os.Remove(s.path())
 }
 
-// writeAtomic writes a complete file or none.
+// writeAtomic replaces a file by writing a temporary file and renaming it.
 func writeAtomic(path string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
--- a/internal/sidecarcmd/command.go
+++ b/internal/sidecarcmd/command.go
@@ -38,32 +38,32 @@
 
 // farewellTime is for what a sidecar does once every request is answered: it leaves the roster and
 // the fleet, and ends its calls of the registry. A platform that kills it earlier cuts off no request.
-const farewellTime = 10 * time.Second
+const cleanupTimeout = 10 * time.Second
 
 // endBound is how long a sidecar may take to end. A request that it has taken has its client's whole
 // time, however long that is.
-func endBound(classes []policy.Class) time.Duration {
+func shutdownTimeout(classes []policy.Class) time.Duration {
 	bound := policy.ShutdownTimeout(classes)
 	for _, class := range classes {
 		bound = max(bound, class.Deadline)
 	}
-	return bound + farewellTime
+	return bound + cleanupTimeout
 }
 
 // Main runs the program with its command line and exits with the status that follows.
-func Main(parts Program) {
-	cli.WarnFormerProgram(os.Stderr, os.Args[0], parts.FormerName, parts.Name)
-	os.Exit(run(parts, os.Args[1:], os.Getenv, os.Stdout, os.Stderr))
+func Main(program Program) {
+	cli.WarnFormerProgram(os.Stderr, os.Args[0], program.FormerName, program.Name)
+	os.Exit(run(program, os.Args[1:], os.Getenv, os.Stdout, os.Stderr))
 }
 
-func run(parts Program, args []string, getenv func(string) string, out, errs io.Writer) int {
-	return cli.Run(context.Background(), "sidecar", newRoot(parts, getenv, out, errs), args, out, errs)
+func run(program Program, args []string, getenv func(string) string, out, errs io.Writer) int {
+	return cli.Run(context.Background(), "sidecar", newRoot(program, getenv, out, errs), args, out, errs)
 }
 
 // newRoot makes the command tree. Without a command the program serves, as the platform starts it.
-func newRoot(parts Program, getenv func(string) string, out, errs io.Writer) *cobra.Command {
+func newRoot(program Program, getenv func(string) string, out, errs io.Writer) *cobra.Command {
 	var logs logFlags
-	serve := func(*cobra.Command, []string) error { return serve(parts, getenv, logs, errs) }
+	serve := func(*cobra.Command, []string) error { return serve(program, getenv, logs, errs) }
 	root := &cobra.Command{
 		Use:   "sidecar",
 		Short: "A client-side load balancer that runs beside one client",
@@ -113,30 +113,30 @@
 	if text := cmp.Or(f.level, file.Level, "info"); level.UnmarshalText([]byte(text)) != nil {
 		return nil, cli.WrongCall("log level is %q; there are debug, info, warn and error", text)
 	}
-	o := &slog.HandlerOptions{Level: level}
+	options := &slog.HandlerOptions{Level: level}
 	switch format := cmp.Or(f.format, file.Format, "text"); format {
 	case "text":
-		return slog.New(slog.NewTextHandler(w, o)), nil
+		return slog.New(slog.NewTextHandler(w, options)), nil
 	case "json":
-		return slog.New(slog.NewJSONHandler(w, o)), nil
+		return slog.New(slog.NewJSONHandler(w, options)), nil
 	default:
 		return nil, cli.WrongCall("log format is %q; there are text and json", format)
 	}
 }
 
-func serve(parts Program, getenv func(string) string, logs logFlags, errs io.Writer) error {
+func serve(program Program, getenv func(string) string, logs logFlags, errs io.Writer) error {
 	log, err := logs.logger(errs, config.Log{}) // until the configuration is read
 	if err != nil {
 		return err
 	}
 	slog.SetDefault(log)
-	stop, done := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	defer done()
+	stopCtx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer cancel()
 	// Without a handler SIGHUP would end the program.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	c, err := shutdown.Await(stop, func() (*config.Config, error) { return config.Load(getenv) })
-	if stop.Err() != nil {
+	c, err := shutdown.Await(stopCtx, func() (*config.Config, error) { return config.Load(getenv) })
+	if stopCtx.Err() != nil {
 		return nil // nothing has started
 	}
 	if err != nil {
@@ -147,15 +147,15 @@
 	}
 	slog.SetDefault(log)
 	applyLimits(c.Limits)
-	options := []sidecar.Option{sidecar.WithMembership(parts.NewMember)}
+	options := []sidecar.Option{sidecar.WithMembership(program.NewMember)}
 	if c.Metrics.Listen != "" {
-		if parts.NewExporter == nil {
+		if program.NewExporter == nil {
 			return errors.New("metrics.listen is set, and this program serves none: start sidecar-metrics, which does")
 		}
-		options = append(options, sidecar.WithMetrics(parts.NewExporter()))
+		options = append(options, sidecar.WithMetrics(program.NewExporter()))
 	}
-	defer shutdown.Guard(stop, "sidecar", endBound(c.Policy.Classes))()
-	return sidecar.Run(stop, reload, c, options...)
+	defer shutdown.Guard(stopCtx, "sidecar", shutdownTimeout(c.Policy.Classes))()
+	return sidecar.Run(stopCtx, reload, c, options...)
 }
 
 // applyLimits keeps the runtime within the platform's limits. The heap is small, so it
--- a/internal/sidecarcmd/command_test.go
+++ b/internal/sidecarcmd/command_test.go
@@ -17,11 +17,11 @@
 	return status, o.String(), e.String()
 }
 
-func TestExitStatusTellsWrongCallsFromFailures(t *testing.T) {
+func TestExitStatusDistinguishesUsageErrorsFromFailures(t *testing.T) {
 	for _, c := range []struct {
-		args   []string
-		status int
-		says   string
+		args     []string
+		status   int
+		mentions string
 	}{
 		{[]string{"version"}, cli.StatusDone, ""},
 		{[]string{"--help"}, cli.StatusDone, ""},
@@ -35,13 +35,13 @@
 		{[]string{"check"}, cli.StatusFailed, "ROUTER_CONFIG"},
 	} {
 		status, _, errs := call(nil, c.args...)
-		if status != c.status || !strings.Contains(errs, c.says) || (c.status != cli.StatusDone && strings.Count(errs, "\n") != 1) {
-			t.Errorf("%v: status %d, says %q; want %d and one line that names %q", c.args, status, errs, c.status, c.says)
+		if status != c.status || !strings.Contains(errs, c.mentions) || (c.status != cli.StatusDone && strings.Count(errs, "\n") != 1) {
+			t.Errorf("%v: status %d, says %q; want %d and one line that names %q", c.args, status, errs, c.status, c.mentions)
 		}
 	}
 }
 
-func TestCheckExplainsWhatFollows(t *testing.T) {
+func TestCheckPrintsDerivedValues(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	text := `{"name":"n0","listen":"127.0.0.1:7070","discovery":"127.0.0.1:8500","seed":"ff","limits":{"sockets":256},
 		"settings":{"balancers":3,"caps":{"most_tries":3},"orgs":[{"name":"acme","share":1,"quota_per_s":100}],
