--- a/internal/addressmap/addressmap.go
+++ b/internal/addressmap/addressmap.go
@@ -1,5 +1,5 @@
-// Package addressmap dials addresses over other ones, where the way there leads
-// through a forwarder of the site, or through relays that inject faults.
+// Package addressmap replaces addresses when dialing, for sites that reach a service through a forwarder
+// and for tests that reach it through fault-injecting relays.
 package addressmap
 
 import (
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// Map holds the address to dial in place of each address.
+// Map maps an address to the address to dial instead.
 type Map map[string]string
 
-// Check returns an error where an address has no port.
+// Check returns an error if an address has no port.
 func (m Map) Check() error {
 	for from, to := range m {
 		for _, a := range []string{from, to} {
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// Lookup returns the address to dial in place of one.
+// Lookup returns the address to dial for an address: the address itself if the map does not contain it.
 func (m Map) Lookup(address string) string {
 	if to, ok := m[address]; ok {
 		return to
@@ -32,8 +32,8 @@
 	return address
 }
 
-// Dialer returns a dial function that uses the map, with a timeout for each connection; 0:
-// the context alone bounds it.
+// Dialer returns a dial function that uses the map, with a timeout for each connection. With a timeout of
+// 0 only the context limits it.
 func (m Map) Dialer(timeout time.Duration) func(ctx context.Context, network, address string) (net.Conn, error) {
 	d := &net.Dialer{Timeout: timeout, KeepAlive: -1}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli holds what the programs' command lines share: exit statuses, one-line
-// errors, the version.
+// Package cli contains what the programs' command lines have in common: exit statuses, one-line errors
+// and the version command.
 package cli
 
 import (
@@ -12,20 +12,20 @@
 	"github.com/spf13/cobra"
 )
 
-// Exit statuses of all programs. A program may have further ones.
+// Exit statuses common to all programs. A program may define more.
 const (
 	StatusDone = iota
 	StatusFailed
-	StatusWrongCall // the command line was wrong
+	StatusWrongCall // the command line was invalid
 )
 
-// StatusHelp is the part of a program's help that lists them.
+// StatusHelp describes the exit statuses in a program's help.
 const StatusHelp = `Exit status:
  0  done
- 1  failed, with one line that says why
- 2  wrong call`
+ 1  failed; the error is printed on one line
+ 2  usage error`
 
-// exitError is an error with the exit status that follows from it.
+// exitError is an error with the program's exit status.
 type exitError struct {
 	status int
 	err    error
@@ -34,15 +34,15 @@
 func (e *exitError) Error() string { return e.err.Error() }
 func (e *exitError) Unwrap() error { return e.err }
 
-// ExitError makes an error that ends the program with a status.
+// ExitError returns an error that makes the program exit with the given status.
 func ExitError(status int, format string, args ...any) error {
 	return &exitError{status, fmt.Errorf(format, args...)}
 }
 
-// WrongCall makes an error about the command line, as opposed to one of the command's work.
+// WrongCall returns a usage error: the command line is invalid and the command was not run.
 func WrongCall(format string, args ...any) error { return ExitError(StatusWrongCall, format, args...) }
 
-// Run executes one command line and returns its exit status. Errors are printed in one line.
+// Run executes a command line and returns the exit status. An error is printed on one line.
 func Run(ctx context.Context, name string, root *cobra.Command, args []string, out, errs io.Writer) int {
 	root.SetArgs(args)
 	root.SetOut(out)
@@ -55,7 +55,7 @@
 	return Report(name, root.ExecuteContext(ctx), errs)
 }
 
-// Report prints an error in one line and returns the exit status that follows from it.
+// Report prints an error on one line and returns its exit status.
 func Report(name string, err error, errs io.Writer) int {
 	if err == nil {
 		return StatusDone
@@ -68,7 +68,7 @@
 	return StatusFailed
 }
 
-// checkArgs turns errors about arguments into wrong calls.
+// checkArgs turns a command's argument errors into usage errors.
 func checkArgs(c *cobra.Command) {
 	if check := c.Args; check != nil {
 		c.Args = func(c *cobra.Command, args []string) error {
@@ -83,19 +83,19 @@
 // NoArgs rejects all arguments.
 func NoArgs(_ *cobra.Command, args []string) error {
 	if len(args) > 0 {
-		return fmt.Errorf("no command %q", args[0])
+		return fmt.Errorf("unknown command %q", args[0])
 	}
 	return nil
 }
 
-// VersionCommand prints what was built, from which source, with which Go.
+// VersionCommand returns the command that prints the module version, source revision and Go version.
 func VersionCommand(name string) *cobra.Command {
 	return &cobra.Command{
-		Use: "version", Short: "Print what was built, from which source, with which Go", Args: NoArgs,
+		Use: "version", Short: "Print the version, source revision and Go version", Args: NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			info, ok := debug.ReadBuildInfo()
 			if !ok {
-				return errors.New("the binary holds no build information")
+				return errors.New("the binary contains no build information")
 			}
 			revision, modified := "unknown", ""
 			for _, s := range info.Settings {
--- a/internal/cli/deprecated.go
+++ b/internal/cli/deprecated.go
@@ -8,15 +8,15 @@
 	"github.com/spf13/cobra"
 )
 
-// WarnFormerProgram prints one line where the program was started by a link of its former name.
+// WarnFormerProgram prints a deprecation warning if the program was started by its former name.
 func WarnFormerProgram(errs io.Writer, argv0, former, name string) {
 	if filepath.Base(argv0) == former {
 		fmt.Fprintf(errs, "%s: this name is deprecated, use %s\n", former, name)
 	}
 }
 
-// LookupEnv returns the value of an environment variable, or of the deprecated one that it replaces,
-// with one line that says so.
+// LookupEnv returns the value of an environment variable. If it is not set, it returns the value of the
+// deprecated variable that it replaces and prints a deprecation warning.
 func LookupEnv(getenv func(string) string, errs io.Writer, name, former string) string {
 	if value := getenv(name); value != "" {
 		return value
@@ -28,7 +28,7 @@
 	return value
 }
 
-// WithFormerName lets a command be called by the name that it had before, with one line that says so.
+// WithFormerName adds a command's former name as an alias that prints a deprecation warning.
 func WithFormerName(c *cobra.Command, former string) *cobra.Command {
 	c.Aliases = append(c.Aliases, former)
 	run := c.RunE
--- a/internal/configfile/configfile.go
+++ b/internal/configfile/configfile.go
@@ -1,5 +1,5 @@
-// Package configfile decodes files that people write: an unknown key, or a value
-// of the wrong type, is a one-line error that names line and field.
+// Package configfile decodes configuration files strictly: an unknown key or a value of the wrong type is
+// a one-line error with the line number and the field.
 package configfile
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// DecodeTOML decodes text into v, which may hold defaults.
+// DecodeTOML decodes text into v, which may contain defaults.
 func DecodeTOML(text []byte, v any) error {
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(v)
 	if err == nil {
@@ -38,8 +38,8 @@
 func oneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
 
 // WithLine adds the line number to an error that begins with a field's path, such as
-// 'limits.sockets is 3' or 'classes[1].name is missing', where the text has the field
-// or at least the table that it belongs to.
+// 'limits.sockets is 3' or 'classes[1].name is missing'. If the text does not contain the field,
+// the line is that of the innermost enclosing table; if there is none, the error is unchanged.
 func WithLine(text []byte, err error) error {
 	path, _, _ := strings.Cut(strings.TrimRight(err.Error(), " "), " ")
 	path = strings.TrimRight(path, ":,")
@@ -57,10 +57,10 @@
 	return err
 }
 
-// fieldLines returns the line of each field and table of a valid TOML text.
+// fieldLines returns the line number of each field and table of a valid TOML text, by path.
 func fieldLines(text []byte) map[string]int {
 	lines := make(map[string]int)
-	counts := make(map[string]int) // of the elements of each array of tables
+	counts := make(map[string]int) // number of elements seen of each array of tables
 	var parser unstable.Parser
 	parser.Reset(text)
 	prefix := ""
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,17 +1,17 @@
 // Package queue provides an intrusive doubly linked list. A connection is in several lists at once (by
-// age, by client, by server), and each of them has to remove it from the middle in constant time and
-// without an allocation for each request, which container/list does not offer.
+// age, by client, by server) and must be removable from the middle of each in constant time. Unlike
+// container/list, it does so without an allocation for each request.
 package queue
 
-// Node links an element into one List. It is a field of the element, once for each list that the
-// element may be in. Its zero value is in no list.
+// Node links an element into one List. An element has one Node field for each list that it may be in.
+// The zero Node is in no list.
 type Node[T any] struct {
-	Value      T // set once by the element's owner
+	Value      T // the element; set once, before the node is added to a list
 	prev, next *Node[T]
 	list       *List[T]
 }
 
-// Linked says whether the node is in a list.
+// Linked reports whether the node is in a list.
 func (n *Node[T]) Linked() bool { return n.list != nil }
 
 // Remove removes the node from its list, if it is in one.
@@ -37,8 +37,8 @@
 // Next returns the node after this one, or nil.
 func (n *Node[T]) Next() *Node[T] { return n.next }
 
-// List is a list of nodes. Its zero value is empty and ready for use. It must not be copied while it
-// has nodes.
+// List is a list of nodes. The zero List is empty and ready to use. A List must not be copied while it
+// contains nodes.
 type List[T any] struct {
 	front, back *Node[T]
 	len         int
@@ -53,7 +53,7 @@
 // Back returns the last node, or nil.
 func (l *List[T]) Back() *Node[T] { return l.back }
 
-// PushBack adds the node at the back, after removing it from the list that it was in.
+// PushBack moves the node to the back of the list, removing it from its current list, if any.
 func (l *List[T]) PushBack(n *Node[T]) {
 	n.Remove()
 	n.list, n.prev = l, l.back
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Two lists that share nodes always contain the same as two slices.
+// Two lists that share nodes always have the same contents as two slices used as a model.
 func TestListsAgreeWithSlices(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 0))
 	var lists [2]List[int]
@@ -38,7 +38,7 @@
 				t.Fatalf("list %d: got %v (length %d), want %v", w, got, lists[w].Len(), want[w])
 			}
 			if b := lists[w].Back(); (b == nil) != (len(got) == 0) || (b != nil && b.Value != got[len(got)-1]) {
-				t.Fatalf("list %d: got another last node than that of %v", w, got)
+				t.Fatalf("list %d: Back does not return the last node of %v", w, got)
 			}
 		}
 	}
--- a/internal/settings/fixtures_test.go
+++ b/internal/settings/fixtures_test.go
@@ -10,14 +10,14 @@
 	"barleywick/internal/testing/fixture"
 )
 
-// checkReading compares what settings mean with what they meant to 396a775.
+// checkAgainstFixture compares the configuration that settings give with the one that commit 396a775 gave.
 func checkAgainstFixture(t *testing.T, s *Settings, name string) {
 	t.Helper()
 	config, err := s.PolicyConfig()
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The values in the order of the fields: names of fields are not part of the fixture.
+	// Values in field order, since field names are not part of the fixture.
 	if got, want := fmt.Sprintf("%v\n", config), string(fixture.Read(t, name+"-config.txt")); got != want {
 		t.Errorf("config: got %s, want %s", got, want)
 	}
@@ -53,7 +53,7 @@
 	checkAgainstFixture(t, s, "emulator")
 }
 
-// The fixture has a report and what 396a775 read from it on alternate lines.
+// The fixture alternates between a report and the load that 396a775 parsed from it.
 func TestLoadReportsAreReadAsBefore(t *testing.T) {
 	columns := LoadColumns{"busy_reqs", "pending", "cpu_share", "served_ps", "failed_ps"}
 	lines := strings.Split(strings.TrimSuffix(string(fixture.Read(t, "loads.txt")), "\n"), "\n")
--- a/internal/settings/loadreport.go
+++ b/internal/settings/loadreport.go
@@ -9,14 +9,15 @@
 	"barleywick/policy"
 )
 
-// LoadColumns are the names of the values in a load report, in their order.
+// LoadColumns are the names of the values in a load report, in order.
 type LoadColumns []string
 
-// LoadColumns returns the names of what load reports contain.
+// LoadColumns returns the names of the values in load reports.
 func (s *Settings) LoadColumns() LoadColumns { return s.Values("telemetry.columns") }
 
 // ParseLoadReport reads a load report of the form 'TEXT name=value, name=value' and returns the values
-// of the given names. A name that is missing or has no number gets no value. Other names are ignored.
+// of the given names. A name that is missing, or whose value is not a number, is absent from the result.
+// Other names are ignored.
 func ParseLoadReport(text string, names ...string) map[string]float64 {
 	values := make(map[string]float64, len(names))
 	text, _ = strings.CutPrefix(strings.TrimSpace(text), "TEXT ")
@@ -32,8 +33,8 @@
 	return values
 }
 
-// LoadReport converts a report. value returns the number in a column and whether there is one. A number
-// that is negative, infinite or NaN is unknown.
+// LoadReport converts a report. value returns the number in a column and whether the column has one. A
+// negative or infinite number or NaN counts as unknown.
 func (c LoadColumns) LoadReport(value func(column int) (float64, bool)) policy.LoadReport {
 	report := policy.UnknownLoad
 	for i, name := range c {
--- a/internal/settings/loadreport_test.go
+++ b/internal/settings/loadreport_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Servers may report the queued requests and not those in flight. Such a report must not be ignored.
+// Servers may report queued requests but not requests in flight. Such a report must not be ignored.
 func TestLoadReportTakesEveryKnownColumn(t *testing.T) {
 	columns := LoadColumns{"pending", "cpu_share", "served_ps", "svc_ms"}
 	for _, tt := range []struct {
--- a/internal/settings/policyconfig.go
+++ b/internal/settings/policyconfig.go
@@ -8,8 +8,8 @@
 	"barleywick/policy"
 )
 
-// PolicyConfig converts the settings to the configuration of package policy. An error names the first
-// unusable value by its path.
+// PolicyConfig converts the settings to the configuration of package policy. The error, if any, names the
+// first invalid value by its path.
 func (s *Settings) PolicyConfig() (policy.Config, error) {
 	c := policy.Config{
 		Balancers:          s.count("balancers"),
@@ -44,7 +44,7 @@
 	return c, s.err
 }
 
-// class reads a class of requests. Unknown words mean the strictest of the possibilities.
+// class reads a class of requests. An unknown value of semantics or dedup_scope counts as the strictest one.
 func (s *Settings) class(path string) policy.Class {
 	c := policy.Class{
 		LatencyObjective:    s.millis(path + "aim_ms"),
@@ -71,7 +71,7 @@
 	return c
 }
 
-// validate reports values that package policy cannot work with, by their paths in the settings.
+// validate records the first value that package policy cannot use, by its path in the settings.
 func (s *Settings) validate(c policy.Config) {
 	if c.Balancers < 1 {
 		s.fail("balancers is %d, at least 1 is needed", c.Balancers)
@@ -80,11 +80,11 @@
 		s.fail("caps.most_tries is %d, at least 1 is needed", c.MaxAttempts)
 	}
 	if mode := s.text("discovery"); mode != "" && mode != "ask" && mode != "push" {
-		s.fail("discovery is %.40q; there are push and ask", mode)
+		s.fail("discovery is %.40q, want push or ask", mode)
 	}
 	s.validateClasses(c.Classes)
 	if c.SlowStartFloor > 1 {
-		s.fail("rules.cold_from is %g, a share is needed", c.SlowStartFloor)
+		s.fail("rules.cold_from is %g, want at most 1", c.SlowStartFloor)
 	}
 	s.validateShares(c.Tenants)
 	s.validateNames("classes")
@@ -111,16 +111,16 @@
 		sum += t.Share
 	}
 	if len(tenants) > 0 && !(sum > 0) || math.IsInf(sum, 1) {
-		s.fail("orgs: the share of all adds up to %g, it must be above 0", sum)
+		s.fail("orgs: the shares add up to %g, want a finite sum above 0", sum)
 	}
 }
 
-// validateNames reports a name that stands twice in a list.
+// validateNames records an error if a list has two objects of the same name.
 func (s *Settings) validateNames(list string) {
 	names := s.Names(list)
 	for i, name := range names {
 		if name != "" && slices.Contains(names[:i], name) {
-			s.fail("%s.%d.name: %.40q is named twice", list, i, name)
+			s.fail("%s.%d.name: duplicate name %.40q", list, i, name)
 		}
 	}
 }
--- a/internal/settings/policyconfig_test.go
+++ b/internal/settings/policyconfig_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// An unusable value is named by its path in the settings.
+// The error about an invalid value names its path in the settings.
 func TestInvalidSettingsAreNamedByPath(t *testing.T) {
 	const good = `{"balancers":3,"caps":{"may_cancel":true,"most_tries":3},"discovery":"ask",
 		"rules":{"cold_from":0.3,"cold_ms":9000,"fall_multiple":3,"stop_sending_within_ms":500,"ask_within_ms":4000},
@@ -50,7 +50,7 @@
 	} {
 		text := strings.Replace(good, c.old, c.new, 1)
 		if text == good {
-			t.Fatalf("setup: %s is not in the settings", c.old)
+			t.Fatalf("test setup: %s is not in the settings", c.old)
 		}
 		if err := read(text); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: got error %v, want one that names %s", c.new, err, c.want)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings reads the settings that an instance starts with, in the simulator's form
-// (path=value lines) and in a sidecar's (JSON), and converts them to the configuration of package
-// policy.
+// Package settings reads the settings of an instance, either in the simulator's format (path=value lines)
+// or in the sidecar's (JSON), and converts them to the configuration of package policy.
 package settings
 
 import (
@@ -18,16 +17,16 @@
 )
 
 const (
-	maxDuration  = 1 << 62 // nanoseconds; leaves room for additions
+	maxDuration  = 1 << 62 // nanoseconds; half the range, so that sums don't overflow
 	nanosInMilli = 1e6
-	// maxCount is far above any real list and guards against a corrupt number.
+	// maxCount is far above the length of any real list. It guards against allocating for a corrupt count.
 	maxCount = 1 << 16
-	// typicalValues is the usual number of values.
+	// typicalValues is the initial capacity of the map of values.
 	typicalValues = 128
 )
 
-// DurationFromMillis converts milliseconds to a duration. A value that no duration can hold becomes
-// the nearest one that it can, and NaN becomes 0.
+// DurationFromMillis converts milliseconds to a duration. Values out of range are clamped to ±maxDuration,
+// and NaN becomes 0.
 func DurationFromMillis(ms float64) time.Duration {
 	ns := math.Round(ms * nanosInMilli)
 	switch {
@@ -41,18 +40,18 @@
 	return time.Duration(ns)
 }
 
-// Settings are the settings of an instance. Each value has a path: the keys and indexes that lead to
-// it, joined by dots.
+// Settings holds the settings of an instance. The path of a value consists of the keys and indexes that
+// lead to it, joined by dots.
 type Settings struct {
 	values map[string]string
-	err    error // the first value that is unusable
+	err    error // about the first invalid value
 }
 
 func newSettings() *Settings {
 	return &Settings{values: make(map[string]string, typicalValues)}
 }
 
-// ParseLines reads path=value lines. Unknown keys are kept and have no effect.
+// ParseLines reads path=value lines. Unknown paths are kept but have no effect.
 func ParseLines(info []byte) (*Settings, error) {
 	s := newSettings()
 	for n, line := range bytes.Split(info, []byte{'\n'}) {
@@ -69,17 +68,17 @@
 	return s, nil
 }
 
-// ParseJSON reads the same settings from a JSON object. A list of plain values is joined by commas, and
-// a list of objects has its length at the path with .count. Nulls are ignored.
+// ParseJSON reads the same settings from a JSON object. A list of plain values is joined by commas. The
+// length of a list of objects is stored under the list's path plus .count. Nulls are ignored.
 func ParseJSON(text []byte) (*Settings, error) {
 	var root map[string]any
 	d := json.NewDecoder(bytes.NewReader(text))
-	d.UseNumber() // keeps each number as it was written
+	d.UseNumber() // keeps the notation of each number
 	if err := d.Decode(&root); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return nil, errors.New("settings: something follows the object")
+		return nil, errors.New("settings: unexpected data after the JSON object")
 	}
 	s := newSettings()
 	for key, v := range root {
@@ -88,8 +87,8 @@
 	return s, nil
 }
 
-// Text returns the settings in the form that ParseLines reads, sorted by path. Spaces inside a value
-// become underscores, and commas cannot be told from those between values.
+// Text returns the settings in the format of ParseLines, sorted by path. Spaces inside a value become
+// underscores, and commas inside a value are not distinguished from separators.
 func (s *Settings) Text() []byte {
 	var out bytes.Buffer
 	for _, key := range slices.Sorted(maps.Keys(s.values)) {
@@ -98,7 +97,7 @@
 	return out.Bytes()
 }
 
-// flatten stores a JSON value, and those inside it, under their paths.
+// flatten stores a JSON value and the values nested in it under their paths.
 func (s *Settings) flatten(path string, value any) {
 	switch value := value.(type) {
 	case nil:
@@ -130,7 +129,7 @@
 	s.values[path] = strings.Join(plain, ",")
 }
 
-// Names returns the names of the objects in a list, in their order.
+// Names returns the names of the objects in a list, in order.
 func (s *Settings) Names(list string) []string {
 	names := make([]string, s.count(list+".count"))
 	for i := range names {
@@ -139,7 +138,7 @@
 	return names
 }
 
-// Values returns the plain values of a list.
+// Values returns the values of a list of plain values.
 func (s *Settings) Values(list string) []string {
 	if s.text(list) == "" {
 		return nil
@@ -147,7 +146,7 @@
 	return strings.Split(s.text(list), ",")
 }
 
-// Duration returns a value in milliseconds. If it is missing or not above 0, absent is returned.
+// Duration returns a value that is given in milliseconds, or fallback if it is missing or not above 0.
 func (s *Settings) Duration(key string, fallback time.Duration) time.Duration {
 	if d := DurationFromMillis(s.number(key)); d > 0 {
 		return d
@@ -155,7 +154,7 @@
 	return fallback
 }
 
-// fail records that a value is unusable. The first one is reported.
+// fail records an error about an invalid value, unless one is recorded already.
 func (s *Settings) fail(format string, args ...any) {
 	if s.err == nil {
 		s.err = fmt.Errorf("settings: "+format, args...)
@@ -164,11 +163,11 @@
 
 func (s *Settings) text(key string) string { return s.values[key] }
 
-// flag returns a truth value; a missing one is false.
+// flag returns a boolean; a missing one is false.
 func (s *Settings) flag(key string) bool {
 	v := s.values[key]
 	if v != "" && v != "true" && v != "false" {
-		s.fail("%s is %.40q, true or false is needed", key, v)
+		s.fail("%s is %.40q, want true or false", key, v)
 	}
 	return v == "true"
 }
@@ -190,19 +189,19 @@
 func (s *Settings) nonNegative(key string) float64 {
 	f := s.number(key)
 	if !(f >= 0) || math.IsInf(f, 1) {
-		s.fail("%s is %v, a number that is not negative is needed", key, f)
+		s.fail("%s is %v, want a finite number of at least 0", key, f)
 	}
 	return f
 }
 
-// millis returns a duration in milliseconds that is not negative; a missing one is 0.
+// millis returns a non-negative duration that is given in milliseconds; a missing one is 0.
 func (s *Settings) millis(key string) time.Duration { return DurationFromMillis(s.nonNegative(key)) }
 
 // count returns a whole number from 0 to maxCount; a missing one is 0.
 func (s *Settings) count(key string) int {
 	n := s.number(key)
 	if n < 0 || n > maxCount || n != float64(int(n)) {
-		s.fail("%s: %v is not a count", key, n)
+		s.fail("%s: %v is not a whole number in the allowed range", key, n)
 		return 0
 	}
 	return int(n)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -66,7 +66,7 @@
 		t.Errorf("got class 0 %+v", k)
 	}
 	if c.Classes[1].Idempotency != policy.NonIdempotent {
-		t.Error("unknown semantics are not taken for the strictest")
+		t.Error("unknown semantics are not treated as the strictest")
 	}
 	if c.Tenants[0].Quota != 342 || c.Tenants[0].Share != 0.79 {
 		t.Errorf("got tenant %+v", c.Tenants[0])
@@ -91,7 +91,7 @@
 	}
 }
 
-// Both forms of the same settings give the same configuration.
+// The same settings give the same configuration in both formats.
 func TestJSONAndLinesAgree(t *testing.T) {
 	s, err := ParseJSON([]byte(`{"balancers":3,"family_info":{"warm_keys":true},"caps":{"may_cancel":true,"most_tries":3,"probes":true,"retry_after":false},
 		"charges":{"cross_zone":0.03},"classes":[{"name":"a b","aim_ms":500.0,"dedup_scope":"cell","hard_limit_ms":1000.0,
@@ -130,8 +130,8 @@
 	}
 }
 
-// What happens: a file whose settings are followed by something else, such as a second object
-// after a merge, is taken as if that were not there. Why: only the first JSON value was read.
+// Guards against ignoring data after the settings, such as a second object left by a merge: only the first
+// JSON value was read.
 func TestDataAfterTheSettingsIsRejected(t *testing.T) {
 	for _, text := range []string{`{"zones":["a"]}{"zones":["b"]}`, `{"zones":["a"]} x`, `{"zones":["a"]}]`} {
 		if _, err := ParseJSON([]byte(text)); err == nil {
--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -1,6 +1,6 @@
-// Package shutdown bounds the end of a process and logs its steps. A process that was told
-// to end and hangs is worse than one that is cut off: its platform kills it some time later,
-// and nobody knows in what it hung.
+// Package shutdown limits the time that a process takes to shut down, and logs the steps. A process that
+// hangs in its shutdown is killed by its platform later without a trace of the cause. This package exits
+// earlier and logs the step in which the process hung.
 package shutdown
 
 import (
@@ -13,50 +13,49 @@
 	"time"
 )
 
-// statusCutOff is the exit status of a process whose end was cut off: it has failed.
+// statusCutOff is the exit status of a process whose shutdown timed out.
 const statusCutOff = 1
 
-// cutOffLogTime is how long a cut-off may take to write its lines: whoever reads the log may
-// take no more of it.
+// cutOffLogTime is how long logging may take after the timeout. The process then exits without the log
+// lines, because writing them blocks if the reader of the log has stopped reading.
 const cutOffLogTime = time.Second
 
-// maxStacks bounds the goroutines' stacks that are logged when an end is cut off, in bytes.
+// maxStacks limits the goroutine stacks that are logged after the timeout, in bytes.
 const maxStacks = 1 << 20
 
-// Sequence is the end of a process: steps, one after the other, within a bound.
+// Sequence is the shutdown of a process: consecutive steps that together are limited by a timeout.
 type Sequence struct {
 	program   string
 	timeout   time.Duration
 	startedAt time.Time
 	timer     *time.Timer
 	exit      func(status int)
-	exited    chan struct{} // closed after exit, which returns in tests alone
+	exited    chan struct{} // closed after exit returns, which it does only in tests
 	ended     atomic.Bool
 
 	mu   sync.Mutex
-	step string // that is under way; empty between two
+	step string // in progress; empty between two steps
 }
 
-// Begin starts the end of a program. If End is not called within the bound, the step that
-// is under way is logged with the stacks of all goroutines, and the process exits.
-func Begin(program string, bound time.Duration) *Sequence {
-	return begin(program, bound, os.Exit)
+// Begin starts the shutdown of a program. If End is not called within the timeout, the step in progress is
+// logged with the stacks of all goroutines, and the process exits with status 1.
+func Begin(program string, timeout time.Duration) *Sequence {
+	return begin(program, timeout, os.Exit)
 }
 
-// Guard bounds the end of a program that is to end once ctx is done. The caller calls ended
-// when it has.
-func Guard(ctx context.Context, program string, bound time.Duration) (ended func()) {
-	begunSequence := make(chan *Sequence, 1)
-	stop := context.AfterFunc(ctx, func() { begunSequence <- Begin(program, bound) })
+// Guard calls Begin once ctx is done. The caller calls the returned function when the program has ended.
+func Guard(ctx context.Context, program string, timeout time.Duration) (ended func()) {
+	begun := make(chan *Sequence, 1)
+	stop := context.AfterFunc(ctx, func() { begun <- Begin(program, timeout) })
 	return func() {
 		if !stop() {
-			(<-begunSequence).End()
+			(<-begun).End()
 		}
 	}
 }
 
-// Await runs a call that cannot be cancelled, such as a read from a disk that may hang, and
-// returns its result. Once stop is done it returns stop's error, and the call goes on by itself.
+// Await returns the result of a call that cannot be cancelled, such as a read from a disk that may hang.
+// If stop is done first, Await returns stop's error and leaves the call running in its goroutine.
 func Await[T any](stop context.Context, call func() (T, error)) (T, error) {
 	type result struct {
 		value T
@@ -76,13 +75,13 @@
 	}
 }
 
-func begin(program string, bound time.Duration, exit func(status int)) *Sequence {
-	s := &Sequence{program: program, timeout: bound, startedAt: time.Now(), exit: exit, exited: make(chan struct{})}
-	s.timer = time.AfterFunc(bound, s.cutOff)
+func begin(program string, timeout time.Duration, exit func(status int)) *Sequence {
+	s := &Sequence{program: program, timeout: timeout, startedAt: time.Now(), exit: exit, exited: make(chan struct{})}
+	s.timer = time.AfterFunc(timeout, s.cutOff)
 	return s
 }
 
-// Step runs one step, and logs how long it took.
+// Step runs one step and logs how long it took.
 func (s *Sequence) Step(name string, run func() error) error {
 	s.setStep(name)
 	startedAt := time.Now()
@@ -92,14 +91,14 @@
 	return err
 }
 
-// End says that the last step has ended. If the end is being cut off it does not return, so that
-// the process does not exit with another status.
+// End reports that the shutdown is complete. If the timeout has already fired it does not return, so that
+// the process does not exit with a different status.
 func (s *Sequence) End() {
 	if s.ended.Swap(true) {
 		return
 	}
 	slog.Info("shutdown: ended", "program", s.program, "took", time.Since(s.startedAt).Round(time.Millisecond))
-	if !s.timer.Stop() { // last: the log may be stuck
+	if !s.timer.Stop() { // after logging, because writing to the log may block
 		<-s.exited
 	}
 }
@@ -110,7 +109,7 @@
 	s.step = name
 }
 
-// cutOff ends the process at the bound.
+// cutOff exits the process when the timeout fires.
 func (s *Sequence) cutOff() {
 	forcedExit := time.AfterFunc(cutOffLogTime, func() { s.exit(statusCutOff) })
 	s.mu.Lock()
@@ -118,7 +117,7 @@
 	s.mu.Unlock()
 	slog.Error("shutdown: cut off", "program", s.program, "step", step, "bound", s.timeout)
 	stacks := make([]byte, maxStacks)
-	_, _ = os.Stderr.Write(stacks[:runtime.Stack(stacks, true)]) // nobody can be told if it fails
+	_, _ = os.Stderr.Write(stacks[:runtime.Stack(stacks, true)]) // there is no other place to report a failure
 	forcedExit.Stop()
 	s.exit(statusCutOff)
 	close(s.exited)
--- a/internal/shutdown/shutdown_test.go
+++ b/internal/shutdown/shutdown_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// An end that takes longer than its bound is cut off, and the log names the step in which
-// it hung; one that ends in time is not.
+// A shutdown that takes longer than its timeout is cut off, and the log names the step in which it hung. A
+// shutdown that completes within the timeout is not cut off.
 func TestShutdownIsCutOffAtItsTimeout(t *testing.T) {
 	for name, x := range map[string]struct {
 		duration time.Duration
@@ -43,15 +43,15 @@
 	}
 }
 
-// An end that is over just after its bound does not overtake the cut-off, which writes the stacks
-// and exits with its status: the caller would exit with 0.
+// A shutdown that completes just after its timeout must not return before cutOff has written the stacks and
+// exited with its status: otherwise the caller would exit with status 0.
 func TestLateEndWaitsForCutOffToExit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		defer slog.SetDefault(slog.Default())
 		slog.SetDefault(slog.New(slog.DiscardHandler))
 		exited := make(chan struct{})
 		s := begin("registry", 10*time.Second, func(int) {
-			time.Sleep(5 * time.Second) // stands for what comes before the exit
+			time.Sleep(5 * time.Second) // simulates the logging before the exit
 			close(exited)
 		})
 		time.Sleep(11 * time.Second)
@@ -59,13 +59,13 @@
 		select {
 		case <-exited:
 		default:
-			t.Error("the end returned while it was being cut off")
+			t.Error("End returned while the shutdown was being cut off")
 			<-exited
 		}
 	})
 }
 
-// stuckLog is a log whose reader takes nothing, as a full pipe or a disk that hangs.
+// stuckLog is a log writer that blocks, like a full pipe or a hanging disk.
 type stuckLog struct{ released chan struct{} }
 
 func (l stuckLog) Write(text []byte) (int, error) {
@@ -73,7 +73,7 @@
 	return len(text), nil
 }
 
-// A process whose log takes nothing any more is cut off at its bound all the same.
+// A process whose log blocks is nevertheless cut off at its timeout.
 func TestCutOffDoesNotWaitForTheLog(t *testing.T) {
 	log := stuckLog{make(chan struct{})}
 	defer slog.SetDefault(slog.Default())
@@ -81,10 +81,10 @@
 	defer close(log.released)
 	exited := make(chan struct{}, 1)
 	s := begin("registry", 100*time.Millisecond, func(int) { exited <- struct{}{} })
-	go func() { _ = s.Step("first", func() error { return nil }) }() // waits for the log
+	go func() { _ = s.Step("first", func() error { return nil }) }() // blocks on the log
 	select {
 	case <-exited:
 	case <-time.After(10 * time.Second):
-		t.Error("the process has not exited 10 s after a bound of 100 ms")
+		t.Error("the process has not exited within 10 s, want 100 ms")
 	}
 }
--- a/internal/sidecar/config/compatibility_test.go
+++ b/internal/sidecar/config/compatibility_test.go
@@ -13,8 +13,10 @@
 )
 
 // The files in testdata/396a775 were written for and by the code of that commit, the last one before
-// names changed: what they mean, and what is said of mistakes in them, has to stay.
-// reworded turns what 396a775 said of a configuration into today's words.
+// identifiers were renamed. Their meaning, and the errors about mistakes in them, must not change except
+// for the wording below.
+
+// currentWording replaces the wording of 396a775 by the current wording.
 var currentWording = strings.NewReplacer(
 	"aim 500ms", "latency objective 500ms",
 	"aim 400ms", "latency objective 400ms",
@@ -29,14 +31,30 @@
 	"a change of the list counts as told after", "a change of the endpoint list counts as notified after",
 	"sends to a server that drains stop within", "forwarding to a draining server stops within",
 	"a cold server", "a server that warms up",
+	"begins at", "starts at",
 	"is warm after", "has all of it after",
+	"falls over at", "fails at",
+	"what it can do", "its capacity",
+	"no time is set", "not set",
+	"a new process may take this one's place at", "a successor process requests the hand-over at",
 	"connecting is given up after", "connect timeout",
 	"a whole header", "a complete header",
 	"barleywick-metered", "sidecar-metrics",
-	"as the keepers have it", "as the controllers have it",
+	"as the keepers have it", "as in the controllers' configuration",
+	"; there are free, guarded and single_shot", ", want free, guarded or single_shot",
+	"; there are all, zone and cell", ", want all, zone or cell",
+	"; there are push and ask", ", want push or ask",
+	"; there are silent, pull and piggyback", ", want silent, pull or piggyback",
+	"a part between 0 and 1 is needed", "want a fraction from 0 to 1",
+	", and dedup_scope and window_ms are for guarded alone", ", but dedup_scope and window_ms apply only to guarded",
+	", zones has 2", ", want an index into zones, whose length is 2",
+	"39 for the rest", "39 for other purposes",
+	"unknown, there are clients and servers", "unknown table, want clients or servers",
+	"it cannot be named beside takeover: two processes of one sidecar have one seat",
+	"cannot be combined with takeover: both processes of a sidecar would use the same roster entry",
 )
 
-// fieldOfStruct is where the TOML library's messages name a Go type.
+// structFieldName matches the part of the TOML library's messages that names a Go type.
 var structFieldName = regexp.MustCompile(`struct field \S+ of type`)
 
 func loadFile(path string) (*Config, error) {
@@ -54,7 +72,7 @@
 		if isTOML(path) {
 			form, err := toPlatformJSON([]byte(fixture.ReadString(t, name)), randomSeed)
 			if want := fixture.ReadString(t, name+".platform.json"); err != nil || string(form)+"\n" != want {
-				t.Errorf("the platform's form of %s is\n%s, error %v; want\n%s", name, form, err, want)
+				t.Errorf("the platform's JSON of %s is\n%s, error %v; want\n%s", name, form, err, want)
 			}
 		}
 		c, err := loadFile(path)
@@ -66,7 +84,7 @@
 		if err := c.Explain(&got); err != nil {
 			t.Fatal(err)
 		}
-		columns := regexp.MustCompile(`  +`) // their width follows from the words
+		columns := regexp.MustCompile(`  +`) // column widths depend on the wording
 		want := columns.ReplaceAllString(currentWording.Replace(fixture.ReadString(t, name+".explained.txt")), "  ")
 		if text := columns.ReplaceAllString(got.String(), "  "); text != want {
 			t.Errorf("%s is explained as\n%s\nwant\n%s", name, text, want)
@@ -74,8 +92,8 @@
 	}
 }
 
-// Each line of mutations.txt is a mistake in a configuration file, and the same line of
-// mutations.golden is what 396a775 said of it.
+// Each line of mutations.txt changes a configuration file into an invalid one. The same line of
+// mutations.golden is the error that 396a775 returned for it.
 func TestConfigurationErrorsMatch396a775(t *testing.T) {
 	golden := strings.Split(strings.TrimSuffix(fixture.ReadString(t, "mutations.golden"), "\n"), "\n")
 	checked := 0
@@ -101,6 +119,6 @@
 		checked++
 	}
 	if checked != len(golden) {
-		t.Errorf("%d mistakes tried, %d are in the golden file", checked, len(golden))
+		t.Errorf("tried %d mistakes, the golden file has %d", checked, len(golden))
 	}
 }
--- a/internal/sidecar/config/config.go
+++ b/internal/sidecar/config/config.go
@@ -1,5 +1,6 @@
-// Package config is the configuration of one sidecar: the files that people and the platform write,
-// what is checked of them, the limits that follow, and an explanation of each figure.
+// Package config reads and checks the configuration of a sidecar, which is a TOML file written by a person
+// or a JSON file written by the platform. It also derives the limits on connections, and explains each
+// value.
 package config
 
 import (
@@ -24,45 +25,45 @@
 // Config is the configuration of one sidecar.
 type Config struct {
 	Name              string
-	Listen            string // the one address to listen on
+	Listen            string // the only address to listen on
 	Discovery         string
-	DiscoveryReplicas []string // further addresses of the same discovery service
+	DiscoveryReplicas []string // other addresses of the same discovery service
 	Seed              uint64
-	KnownEndpoints    *client.ListUpdate // the endpoint list as last known; nil where there is none
+	KnownEndpoints    *client.ListUpdate // the last known endpoint list; nil if there is none
 	Limits            Limits
-	Path              string // of the file it was read from
+	Path              string // of the file that it was read from
 
 	Policy              policy.Config
 	Classes             []string
-	Tenants             []string // empty: there is one, and requests need not name it
+	Tenants             []string // empty: there is a single tenant, which requests need not name
 	Zones               []string
 	LoadReportColumns   settings.LoadColumns // the names in a load report
 	DialTimeout         time.Duration
-	UpstreamIdleTimeout time.Duration      // booking servers close a connection that was idle for this long
-	Connections         ConnectionLimits   // on both sides
-	Takeover            *Takeover          // how a new process takes this one's place; nil: none can
-	FleetPolicy         *FleetPolicy       // where the fleet policy comes from; nil: there is none
-	Overload            *Overload          // where overload advice comes from; nil: there is none
-	Membership          *membership.Config // how it is a member of the fleet; nil: it is none
+	UpstreamIdleTimeout time.Duration      // booking servers close connections that are idle for this long
+	Connections         ConnectionLimits   // to clients and to booking servers
+	Takeover            *Takeover          // hand-over to a successor process; nil: disabled
+	FleetPolicy         *FleetPolicy       // source of the fleet policy; nil: there is none
+	Overload            *Overload          // source of overload advice; nil: there is none
+	Membership          *membership.Config // in the fleet; nil: it is not a member
 	Log                 Log
 	Metrics             Metrics
 }
 
 const (
-	// MinSockets is the least number of sockets that a sidecar can serve with: below, neither
-	// side could hold a handful of connections.
+	// MinSockets is the minimum number of sockets of a sidecar. With fewer, each side could have only a few
+	// connections.
 	MinSockets     = 64
 	defaultSockets = 1024
 
 	defaultDialTimeout  = 250 * time.Millisecond
 	defaultUpstreamIdle = 15 * time.Second
 
-	// maxDiscoveryReplicas is more than a group of replicas has.
+	// maxDiscoveryReplicas is above the size of any replica group.
 	maxDiscoveryReplicas = 16
 )
 
 // Load reads the configuration file that ROUTER_CONFIG names. ROUTER_NAME, ROUTER_LISTEN and
-// ROUTER_DISCOVERY override what the file says.
+// ROUTER_DISCOVERY override the file's values.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
@@ -86,8 +87,8 @@
 	return c, c.checkDiscovery()
 }
 
-// ReadAgain reads the file again, which takes as long as its disk takes. The platform's limits are
-// those of the start. The environment is that of the start too, so here the file alone counts.
+// ReadAgain reads the file again, which may block on its disk. The platform's limits remain those read at
+// startup. Environment variables are not applied, since they still have their values of the startup.
 func (c *Config) ReadAgain() (*Config, error) {
 	fresh, err := readConfig(c.Path, &c.Limits)
 	if err != nil {
@@ -96,13 +97,13 @@
 	return fresh, fresh.checkDiscovery()
 }
 
-// Adopt takes over from a configuration that was read again what may change under way: the
-// discovery addresses and the limits on connections.
+// Adopt copies from a reloaded configuration the values that may change at run time: the discovery
+// addresses and the limits on connections.
 func (c *Config) Adopt(fresh *Config) {
 	c.Discovery, c.DiscoveryReplicas, c.Connections = fresh.Discovery, fresh.DiscoveryReplicas, fresh.Connections
 }
 
-// DiscoveryAddrs returns all addresses of discovery, each once.
+// DiscoveryAddrs returns the distinct addresses of the discovery service.
 func (c *Config) DiscoveryAddrs() []string {
 	addrs := []string{c.Discovery}
 	for _, addr := range c.DiscoveryReplicas {
@@ -115,7 +116,7 @@
 
 func (c *Config) checkDiscovery() error {
 	if len(c.DiscoveryReplicas) > maxDiscoveryReplicas {
-		return fmt.Errorf("discovery_replicas: %d addresses, %d at most", len(c.DiscoveryReplicas), maxDiscoveryReplicas)
+		return fmt.Errorf("discovery_replicas: got %d addresses, want at most %d", len(c.DiscoveryReplicas), maxDiscoveryReplicas)
 	}
 	for _, addr := range c.DiscoveryAddrs() {
 		if _, err := netip.ParseAddrPort(addr); err != nil {
@@ -125,8 +126,7 @@
 	return nil
 }
 
-// readConfig reads a file. The limits of the process count instead of the file's if they are fixed
-// already.
+// readConfig reads a configuration file. If fixed is not nil, it replaces the file's limits on the process.
 func readConfig(path string, fixed *Limits) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -148,11 +148,11 @@
 	return c, nil
 }
 
-// drawSeed draws the seed of a sidecar that was given none.
+// randomSeed returns a random seed for a sidecar whose configuration has none.
 func randomSeed() string { return strconv.FormatUint(rand.Uint64(), 16) }
 
-// platformFile is the platform's JSON. Keys that are not listed are ignored, as the platform adds
-// some; the tables that are read strictly stay raw here.
+// platformFile is the platform's JSON file. Unknown keys at the top level are ignored, because the platform
+// adds some. Tables whose keys are checked strictly stay raw here.
 type platformFile struct {
 	Name              string          `json:"name"`
 	Listen            string          `json:"listen"`
@@ -172,8 +172,7 @@
 	Metrics     Metrics         `json:"metrics"`
 }
 
-// Parse reads the platform's JSON. The limits of the process count instead of the text's if they
-// are fixed already.
+// Parse reads the platform's JSON. If fixed is not nil, it replaces the limits on the process in the text.
 func Parse(text []byte, fixed *Limits) (*Config, error) {
 	var f platformFile
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -206,7 +205,7 @@
 	return c, nil
 }
 
-// readSettings reads the settings of the site.
+// readSettings reads the settings that are common to a site.
 func (c *Config) readSettings(text json.RawMessage) error {
 	if text == nil {
 		return errors.New("settings are missing")
@@ -227,8 +226,8 @@
 	return nil
 }
 
-// readKnownEndpoints reads the endpoint list as last known. One that cannot be read is ignored:
-// discovery brings another.
+// readKnownEndpoints reads the last known endpoint list. An unreadable list is ignored, because discovery
+// provides a new one.
 func (c *Config) readKnownEndpoints(text json.RawMessage) error {
 	c.KnownEndpoints = parseKnownEndpoints(text)
 	return nil
--- a/internal/sidecar/config/config_test.go
+++ b/internal/sidecar/config/config_test.go
@@ -47,12 +47,12 @@
 	}
 }
 
-// The endpoint list as last known is used if it can be read: discovery brings another.
+// A last known endpoint list that cannot be read is ignored, because discovery provides a new one.
 func TestUnreadableKnownEndpointsAreIgnored(t *testing.T) {
 	if parseKnownEndpoints([]byte(`{"seq":"x"}`)) != nil || parseKnownEndpoints([]byte("null")) != nil {
-		t.Error("an unreadable list is held")
+		t.Error("an unreadable list was kept")
 	}
 	if known := parseKnownEndpoints([]byte(`{"seq":1,"whole":true,"hosts":[{"host":7},{"host":"s-1","dial":"127.0.0.1:7","health":"up"}]}`)); known == nil || len(known.Endpoints) != 2 {
-		t.Errorf("a list with a wrong entry is read as %+v", known)
+		t.Errorf("a list with an invalid entry was read as %+v, want 2 endpoints", known)
 	}
 }
--- a/internal/sidecar/config/explain.go
+++ b/internal/sidecar/config/explain.go
@@ -10,10 +10,10 @@
 	"barleywick/policy"
 )
 
-// Explain writes each figure that follows from the configuration, with the keys it comes from. It
-// starts nothing.
+// Explain writes a table of the values that the configuration results in, with the keys that they are
+// derived from. It starts nothing.
 func (c *Config) Explain(w io.Writer) error {
-	balancer, err := policy.New(c.Policy, c.Seed, nil) // it is not started, so it needs no host
+	balancer, err := policy.New(c.Policy, c.Seed, nil) // no host is needed, since it is not started
 	if err != nil {
 		return err
 	}
@@ -27,13 +27,13 @@
 	return errors.Join(e.err, e.w.Flush())
 }
 
-// explainer writes a table of three columns.
+// explainer writes a table with the columns name, value and keys.
 type explainer struct {
 	w   *tabwriter.Writer
 	err error
 }
 
-// line adds a line: what is explained, the keys that it follows from, and its value.
+// line adds a line: the name of a value, the keys that it is derived from, and the value itself.
 func (e *explainer) line(name, keys, format string, args ...any) {
 	_, err := fmt.Fprintf(e.w, "%s\t%s\t%s\n", name, fmt.Sprintf(format, args...), keys)
 	e.err = errors.Join(e.err, err)
@@ -80,7 +80,7 @@
 	p := c.Policy
 	e.line("a change of the endpoint list counts as notified after", "settings.rules.ask_within_ms", "%s", durationOrNone(p.PollDeadline))
 	e.line("forwarding to a draining server stops within", "settings.rules.stop_sending_within_ms", "%s", durationOrNone(p.DrainGrace))
-	e.line("a server that warms up", "settings.rules.cold_*, fall_multiple", "begins at %g of its capacity, has all of it after %v, falls over at %g times what it can do",
+	e.line("a server that warms up", "settings.rules.cold_*, fall_multiple", "starts at %g of its capacity, has all of it after %v, fails at %g times its capacity",
 		p.SlowStartFloor, p.SlowStartWindow, p.OverloadFactor)
 }
 
@@ -99,11 +99,11 @@
 		e.line("metrics", "metrics.listen", "http://%s/metrics, by sidecar-metrics", c.Metrics.Listen)
 	}
 	if c.Takeover != nil {
-		e.line("take-over", "takeover", "a new process may take this one's place at %s", c.Takeover.Socket)
+		e.line("take-over", "takeover", "a successor process requests the hand-over at %s", c.Takeover.Socket)
 	}
 }
 
-// describeIdempotency says in words what repeating a request of a class may do.
+// describeIdempotency describes whether requests of a class may be repeated.
 func describeIdempotency(class policy.Class) string {
 	switch class.Idempotency {
 	case policy.Idempotent:
@@ -119,7 +119,7 @@
 
 func durationOrNone(d time.Duration) string {
 	if d <= 0 {
-		return "no time is set"
+		return "not set"
 	}
 	return d.String()
 }
--- a/internal/sidecar/config/file_check.go
+++ b/internal/sidecar/config/file_check.go
@@ -10,11 +10,11 @@
 	"barleywick/internal/configfile"
 )
 
-// isTOML says whether a file is one that a person writes.
+// isTOML reports whether a file is in the format for people, TOML, rather than the platform's JSON.
 func isTOML(path string) bool { return filepath.Ext(path) == ".toml" }
 
-// platformForm turns a person's file into the platform's JSON. drawSeed is for files that name no
-// seed.
+// toPlatformJSON converts a TOML file to the platform's JSON. newSeed provides the seed if the file has
+// none.
 func toPlatformJSON(text []byte, newSeed func() string) ([]byte, error) {
 	f := file{Settings: settingsTable{Balancers: 1, Capabilities: capabilitiesTable{MaxAttempts: 1}}}
 	if err := configfile.DecodeTOML(text, &f); err != nil {
@@ -29,7 +29,7 @@
 	return json.Marshal(f)
 }
 
-// check returns an error that begins with the first field that is wrong.
+// check returns an error that begins with the path of the first invalid field, as configfile.WithLine expects.
 func (f *file) check() error {
 	if f.Name == "" {
 		return errors.New("name is missing")
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// check is written so that a number that is none fails too.
+// check negates its comparisons so that NaN is rejected too.
 func (c *classTable) check(prefix string) error {
 	switch {
 	case c.Name == "":
@@ -66,15 +66,15 @@
 	case !(c.DeadlineMS >= c.LatencyObjectiveMS):
 		return fmt.Errorf("%shard_limit_ms is %g, under the %g of aim_ms", prefix, c.DeadlineMS, c.LatencyObjectiveMS)
 	case !isFraction(c.LateShare):
-		return fmt.Errorf("%slate_share is %g, a part between 0 and 1 is needed", prefix, c.LateShare)
+		return fmt.Errorf("%slate_share is %g, want a fraction from 0 to 1", prefix, c.LateShare)
 	case !slices.Contains([]string{"free", "guarded", "single_shot", ""}, c.Semantics):
-		return fmt.Errorf("%ssemantics is %q; there are free, guarded and single_shot", prefix, c.Semantics)
+		return fmt.Errorf("%ssemantics is %q, want free, guarded or single_shot", prefix, c.Semantics)
 	case !slices.Contains([]string{"all", "zone", "cell", ""}, c.DedupScope):
-		return fmt.Errorf("%sdedup_scope is %q; there are all, zone and cell", prefix, c.DedupScope)
+		return fmt.Errorf("%sdedup_scope is %q, want all, zone or cell", prefix, c.DedupScope)
 	case c.Semantics == "guarded" && !(c.DedupWindowMS > 0):
 		return fmt.Errorf("%swindow_ms is %g, a guarded class needs one above 0", prefix, c.DedupWindowMS)
 	case c.Semantics != "guarded" && (c.DedupScope != "" || c.DedupWindowMS != 0):
-		return fmt.Errorf("%ssemantics is %q, and dedup_scope and window_ms are for guarded alone", prefix, c.Semantics)
+		return fmt.Errorf("%ssemantics is %q, but dedup_scope and window_ms apply only to guarded", prefix, c.Semantics)
 	}
 	return nil
 }
@@ -93,15 +93,15 @@
 	case s.Balancers < 1:
 		return fmt.Errorf("settings.balancers is %d, at least 1 is needed", s.Balancers)
 	case s.Zone < 0 || s.Zone >= max(1, len(s.Zones)):
-		return fmt.Errorf("settings.zone is %d, zones has %d", s.Zone, len(s.Zones))
+		return fmt.Errorf("settings.zone is %d, want an index into zones, whose length is %d", s.Zone, len(s.Zones))
 	case !slices.Contains([]string{"push", "ask", ""}, s.Discovery):
-		return fmt.Errorf("settings.discovery is %q; there are push and ask", s.Discovery)
+		return fmt.Errorf("settings.discovery is %q, want push or ask", s.Discovery)
 	case s.Capabilities.MaxAttempts < 1:
 		return fmt.Errorf("settings.caps.most_tries is %d, at least 1 is needed", s.Capabilities.MaxAttempts)
 	case !isFraction(s.Rules.SlowStartFloor):
-		return fmt.Errorf("settings.rules.cold_from is %g, a part between 0 and 1 is needed", s.Rules.SlowStartFloor)
+		return fmt.Errorf("settings.rules.cold_from is %g, want a fraction from 0 to 1", s.Rules.SlowStartFloor)
 	case !slices.Contains([]string{"silent", "pull", "piggyback", ""}, s.Telemetry.How):
-		return fmt.Errorf("settings.telemetry.how is %q; there are silent, pull and piggyback", s.Telemetry.How)
+		return fmt.Errorf("settings.telemetry.how is %q, want silent, pull or piggyback", s.Telemetry.How)
 	}
 	return nil
 }
--- a/internal/sidecar/config/file_test.go
+++ b/internal/sidecar/config/file_test.go
@@ -78,11 +78,11 @@
 	c, err := readText(t, "c.toml", strings.Replace(tomlText, `seed = "ff"`, "", 1))
 	d, err2 := readText(t, "c.toml", strings.Replace(tomlText, `seed = "ff"`, "", 1))
 	if err != nil || err2 != nil || c.Seed == d.Seed {
-		t.Errorf("two sidecars without a seed act in step: %v %v", err, err2)
+		t.Errorf("two files without a seed got the same seed, or errors: %v, %v", err, err2)
 	}
 }
 
-// A mistake in a TOML file is refused in one line that names file, line and field.
+// The error about an invalid TOML file is one line with the file, the line number and the field.
 func TestTOMLIsReadStrictly(t *testing.T) {
 	for from, c := range map[string][2]string{
 		`name = "n0"`:            {`nam = "n0"`, "line 1: there is no field nam"},
@@ -109,7 +109,7 @@
 	}
 }
 
-// The page lists each field of the schema, with the code's words, and no other.
+// The page lists exactly the fields of the schema, with the text of the code's tags.
 func TestConfigurationPageAgreesWithTheCode(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/CONFIGURATION.md")
 	if err != nil {
@@ -127,7 +127,7 @@
 	}
 }
 
-// fields are the page's lines of a part of the schema.
+// fields returns the page's lines for a part of the schema.
 func fields(of reflect.Type, prefix string) (lines []string) {
 	for i := range of.NumField() {
 		f := of.Field(i)
@@ -154,7 +154,7 @@
 	return text
 }
 
-// Each field of the schema's settings has an effect on the decisions.
+// Each field of the settings changes the configuration of package policy.
 func TestEachSettingIsRead(t *testing.T) {
 	for _, path := range []string{
 		"balancers=2", "zone=1", "discovery=ask", "caps.most_tries=9", "caps.may_cancel=true", "caps.probes=true", "caps.max_retry_after_ms=9",
@@ -190,12 +190,12 @@
 			return
 		}
 		if _, err := Parse(platform, nil); err != nil && strings.Contains(err.Error(), "unmarshal") {
-			t.Errorf("the platform's form cannot be read: %v", err)
+			t.Errorf("the platform's JSON cannot be parsed: %v", err)
 		}
 	})
 }
 
-// The configuration of a take-over is checked at load.
+// The takeover table is checked when the configuration is loaded.
 func TestTakeoverConfiguration(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"socket":"/run/x.sock"}`:                "",
--- a/internal/sidecar/config/limits.go
+++ b/internal/sidecar/config/limits.go
@@ -11,66 +11,66 @@
 )
 
 const (
-	reservedSockets  = 32 // standard streams, the listener, the poller and what the runtime opens
+	reservedSockets  = 32 // standard streams, listener, poller and descriptors that the runtime opens
 	discoverySockets = 2
 
-	// clientSocketTenths is how many tenths of the sockets are for clients: silent connections use
-	// some, until they are closed.
+	// clientSocketTenths is how many tenths of the sockets are for clients. Clients get the larger part
+	// because silent connections use some sockets until they are closed.
 	clientSocketTenths = 6
 	// idleSocketTenths is how many tenths of the clients' sockets may be idle. Clients count idle
-	// connections against their own limits: if each sent one request and stayed, they could soon
-	// open no more.
+	// connections against their own limits, and could not open new ones if each connection stayed open
+	// after one request.
 	idleSocketTenths = 3
-	// waitingDivisor is which part of the clients' sockets may wait to be admitted, and which part
-	// may be in the middle of being refused. They are few: a longer queue serves nobody sooner, and
-	// each socket in it is one less for clearing a flood.
+	// One in waitingDivisor of the clients' sockets may wait to be admitted, and one in waitingDivisor may be
+	// in the process of being refused, up to maxWaiting each. A longer queue would not serve requests
+	// sooner, and its sockets would not be available for clearing a flood of connections.
 	waitingDivisor = 32
 	maxWaiting     = 8
 
-	// perServerDivisor is which part of the upstream sockets one server may hold: a slow one must
-	// leave some to the others.
+	// One in perServerDivisor of the upstream sockets may be connected to the same server, so that a slow
+	// server cannot use all of them.
 	perServerDivisor = 2
-	// handshakeDivisor is which part of the upstream sockets may be in a handshake at once, and
-	// minHandshakes how many in any case. Requests find idle connections except in the first
-	// moments and after a failure; then all sidecars open new ones to the same servers.
+	// One in handshakeDivisor of the upstream sockets, and at least minHandshakes, may be in a handshake at
+	// the same time. Requests reuse idle connections except at startup and after a failure, when all
+	// sidecars open new connections to the same servers.
 	handshakeDivisor = 8
 	minHandshakes    = 8
-	// maxHandshakesPerServer may be under way to one server. A handshake costs it a twentieth of a
-	// request, and one sidecar's traffic needs few new connections at a time.
+	// maxHandshakesPerServer is how many handshakes with one server may be in progress. A handshake costs the
+	// server a twentieth of a request, and the traffic of one sidecar needs few new connections at a time.
 	maxHandshakesPerServer = 4
 )
 
-// ClientLimits bound the connections to clients. Together they bound sockets: admitted connections,
-// those that wait, the one just accepted and those that are being refused.
+// ClientLimits are the limits on connections to clients. Total, Waiting, Refusing and one more socket, for the
+// connection just accepted, are the maximum number of sockets in use.
 type ClientLimits struct {
 	admission.Limits
-	Waiting  int // may wait to be admitted
-	Refusing int // may be in the middle of being refused
+	Waiting  int // connections that wait to be admitted
+	Refusing int // connections in the process of being refused
 }
 
-// UpstreamLimits bound the connections to booking servers.
+// UpstreamLimits are the limits on connections to booking servers.
 type UpstreamLimits struct {
 	Total               int // to all servers
 	PerServer           int
-	Handshakes          int // at once, with all servers
+	Handshakes          int // in progress at once, with all servers
 	HandshakesPerServer int
 }
 
-// ConnectionLimits are the limits of both sides.
+// ConnectionLimits are the limits on connections to clients and to booking servers.
 type ConnectionLimits struct {
 	Clients ClientLimits
 	Servers UpstreamLimits
 }
 
-// SplitSockets divides the sockets between the two sides.
+// SplitSockets divides the available sockets between clients and booking servers.
 func (l *Limits) SplitSockets() (clients, upstreams int) {
 	available := l.Sockets - reservedSockets - discoverySockets
 	clients = available * clientSocketTenths / 10
 	return clients, available - clients
 }
 
-// deriveConnectionLimits returns the limits that follow from the sockets, except where the table
-// says something else.
+// deriveConnectionLimits returns the limits of the table, with those that it leaves out derived from the
+// number of sockets.
 func deriveConnectionLimits(sockets Limits, table connectionsTable) (ConnectionLimits, error) {
 	forClients, forServers := sockets.SplitSockets()
 	waiting := min(forClients/waitingDivisor, maxWaiting)
@@ -80,7 +80,7 @@
 	c.Waiting = valueOr(table.Clients.Waiting, waiting)
 	c.Total = valueOr(table.Clients.Total, max(1, forClients-c.Waiting-c.Refusing-1))
 	c.PerAddress = valueOr(table.Clients.PerAddress, c.Total)
-	c.HalfOpen = valueOr(table.Clients.HalfOpen, c.Total) // less would only slow down the clearing of a flood
+	c.HalfOpen = valueOr(table.Clients.HalfOpen, c.Total) // a lower limit would only slow down the clearing of a flood
 	c.Idle = valueOr(table.Clients.Idle, min(c.Total, forClients*idleSocketTenths/10))
 	s.Total = valueOr(table.Servers.Total, forServers)
 	s.PerServer = valueOr(table.Servers.PerServer, max(1, s.Total/perServerDivisor))
@@ -96,7 +96,7 @@
 	return derived
 }
 
-// check returns an error that names the first limit that is wrong.
+// check returns an error that names the first limit out of range.
 func (l *ConnectionLimits) check(sockets int) error {
 	type limit struct {
 		name          string
@@ -127,7 +127,7 @@
 	return l.checkSum(sockets)
 }
 
-// checkSum returns an error if all limits together need more sockets than there are.
+// checkSum returns an error if the limits together need more sockets than the process has.
 func (l *ConnectionLimits) checkSum(sockets int) error {
 	c, s := l.Clients, l.Servers
 	otherSockets := c.Refusing + 1 + reservedSockets + discoverySockets
@@ -136,10 +136,10 @@
 		return nil
 	}
 	return fmt.Errorf("connections: the limits add up to %d sockets (clients.total %d, clients.waiting %d, servers.total %d, "+
-		"%d for the rest), limits.sockets allows %d", needed, c.Total, c.Waiting, s.Total, otherSockets, sockets)
+		"%d for other purposes), limits.sockets allows %d", needed, c.Total, c.Waiting, s.Total, otherSockets, sockets)
 }
 
-// WithinPolicy returns what a fleet policy leaves of the limits.
+// WithinPolicy returns the limits lowered to those of a fleet policy, if it has any.
 func (l ConnectionLimits) WithinPolicy(d *rollout.Document) ConnectionLimits {
 	if d != nil && d.MaxClientConnections > 0 {
 		c := &l.Clients
@@ -155,8 +155,8 @@
 	return l
 }
 
-// parseConnections reads the table of connections. A key that is not known is an error: a limit
-// that is misspelt would not be in force.
+// parseConnections reads the connections table. Unknown keys are an error, because a misspelt limit would
+// otherwise be ignored.
 func parseConnections(text json.RawMessage) (connectionsTable, error) {
 	var table connectionsTable
 	if len(text) == 0 {
@@ -174,7 +174,7 @@
 		case "servers":
 			err = decodeLimits(name, side, &table.Servers)
 		default:
-			err = fmt.Errorf("connections.%s: unknown, there are clients and servers", name)
+			err = fmt.Errorf("connections.%s: unknown table, want clients or servers", name)
 		}
 		if err != nil {
 			return table, err
--- a/internal/sidecar/config/limits_test.go
+++ b/internal/sidecar/config/limits_test.go
@@ -33,14 +33,14 @@
 			t.Errorf("%s: error %v, want one with %q", name, err, c.want)
 		}
 	}
-	for n := MinSockets; n < 5000; n += 7 { // any number of sockets can be divided
+	for n := MinSockets; n < 5000; n += 7 { // the derived limits are valid for any number of sockets
 		if l, err := deriveConnectionLimits(Limits{Sockets: n}, connectionsTable{}); err != nil {
 			t.Errorf("%d sockets: %v, %+v", n, err, l)
 		}
 	}
 }
 
-// Limits are accepted complete and consistent, or refused.
+// Accepted limits are complete and fit the sockets; all others are rejected.
 func FuzzConnections(f *testing.F) {
 	f.Add([]byte(`{"clients":{"total":60,"per_address":20,"half_open":30,"idle":10,"waiting":4},"servers":{"total":80}}`), 256)
 	f.Add([]byte(`{"servers":{"handshakes":-1}}`), 64)
--- a/internal/sidecar/config/tables.go
+++ b/internal/sidecar/config/tables.go
@@ -17,17 +17,17 @@
 	"barleywick/internal/sidecar/handover"
 )
 
-// The tables that a configuration may leave out, and what is checked of them.
+// The optional tables of a configuration and their checks.
 
 const (
-	// defaultReadyTimeout is as long as a platform waits for a sidecar at the start of a run.
+	// defaultReadyTimeout is how long the platform waits for a sidecar to start.
 	defaultReadyTimeout = 30 * time.Second
 
 	defaultRosterLease = 5 * time.Second
 	minRosterLease     = time.Second
 )
 
-// decodeTable reads a table strictly and checks it.
+// decodeTable decodes a table, rejecting unknown keys, and checks it.
 func decodeTable(name string, text json.RawMessage, target any, check func() error) error {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
@@ -44,7 +44,7 @@
 	Sockets  int     `toml:"sockets" json:"sockets" default:"1024" doc:"descriptors; 64 at least. The limits on connections follow from it"`
 }
 
-// check fills in what is left out and returns an error for too few sockets.
+// check sets the default number of sockets and returns an error if there are too few.
 func (l *Limits) check() error {
 	if l.Sockets == 0 {
 		l.Sockets = defaultSockets
@@ -55,13 +55,13 @@
 	return nil
 }
 
-// Log says how the program's own log is written.
+// Log configures the program's own log.
 type Log struct {
 	Level  string `toml:"level" json:"level,omitempty" default:"info" doc:"lowest level: debug (a line for each attempt and response), info, warn, error"`
 	Format string `toml:"format" json:"format,omitempty" default:"text" doc:"text or json"`
 }
 
-// Metrics says where metrics are served; nowhere unless it names an address.
+// Metrics configures where metrics are served. With an empty address they are not served.
 type Metrics struct {
 	Listen string `toml:"listen" json:"listen,omitempty" unit:"address:port" default:"no metrics" doc:"a loopback address of their own for Prometheus, path /metrics"`
 }
@@ -76,9 +76,9 @@
 	return nil
 }
 
-// Takeover lets a new process take this one's place.
+// Takeover configures the hand-over from a running process to its successor.
 type Takeover struct {
-	Socket  string `toml:"socket" json:"socket" unit:"path" default:"no take-over" doc:"the Unix socket at which a new process asks for this one's place; the operator protects its folder"`
+	Socket  string `toml:"socket" json:"socket" unit:"path" default:"no take-over" doc:"the Unix socket at which a successor process requests the hand-over; the operator protects its folder"`
 	ReadyMS int64  `toml:"ready_ms" json:"ready_ms,omitempty" unit:"ms" default:"30000" doc:"how long a new process may take to be ready"`
 }
 
@@ -95,14 +95,14 @@
 	case !filepath.IsAbs(t.Socket):
 		return fmt.Errorf("takeover.socket is %q, an absolute path is needed", t.Socket)
 	case len(t.Socket) > handover.MaxSocketPath:
-		return fmt.Errorf("takeover.socket has %d bytes, %d at most", len(t.Socket), handover.MaxSocketPath)
+		return fmt.Errorf("takeover.socket has %d bytes, want at most %d", len(t.Socket), handover.MaxSocketPath)
 	case t.ReadyMS < 0:
 		return fmt.Errorf("takeover.ready_ms is %d, it must not be negative", t.ReadyMS)
 	}
 	return nil
 }
 
-// ReadyTimeout returns how long a new process may take to be ready.
+// ReadyTimeout returns how long a successor process may take to become ready.
 func (t *Takeover) ReadyTimeout() time.Duration {
 	if t.ReadyMS == 0 {
 		return defaultReadyTimeout
@@ -110,12 +110,12 @@
 	return time.Duration(t.ReadyMS) * time.Millisecond
 }
 
-// Handover returns what the hand-over needs of the configuration, which has to name a take-over.
+// Handover returns the configuration of the hand-over. Takeover must not be nil.
 func (c *Config) Handover() handover.Config {
 	return handover.Config{Name: c.Name, Listen: c.Listen, Socket: c.Takeover.Socket, ReadyTimeout: c.Takeover.ReadyTimeout()}
 }
 
-// PolicyTable names where the fleet policy comes from.
+// PolicyTable configures the source of the fleet policy.
 type PolicyTable struct {
 	Registry []string `toml:"registry" json:"registry" unit:"address:port" default:"no policy" doc:"the registry's replicas; this sidecar is ready when it is a member of the roster there (docs/POLICY.md)"`
 	Folder   string   `toml:"folder" json:"folder,omitempty" unit:"path" default:"nothing is kept" doc:"the policy store: where it keeps the policy it acts by, for a start when the registry cannot be reached"`
@@ -127,7 +127,7 @@
 // FleetPolicy is a checked PolicyTable.
 type FleetPolicy struct {
 	PolicyTable
-	AddressMap addressmap.Map // of Routes
+	AddressMap addressmap.Map // parsed Routes
 }
 
 func (c *Config) readFleetPolicy(text json.RawMessage) error {
@@ -139,7 +139,7 @@
 		return err
 	}
 	if c.Takeover != nil {
-		return errors.New("policy: it cannot be named beside takeover: two processes of one sidecar have one seat")
+		return errors.New("policy: cannot be combined with takeover: both processes of a sidecar would use the same roster entry")
 	}
 	return nil
 }
@@ -159,7 +159,7 @@
 	return err
 }
 
-// OverloadTable names where overload advice comes from.
+// OverloadTable configures the source of overload advice.
 type OverloadTable struct {
 	Registry []string `toml:"registry" json:"registry" unit:"address:port" default:"no advice" doc:"the registry's replicas, which say where the overload controller listens (docs/OVERLOAD.md)"`
 	Fleet    string   `toml:"fleet" json:"fleet" default:"-" doc:"the fleet's name, as the controllers have it: advice of another fleet's controller is ignored"`
@@ -169,7 +169,7 @@
 // Overload is a checked OverloadTable.
 type Overload struct {
 	OverloadTable
-	AddressMap addressmap.Map // of Routes
+	AddressMap addressmap.Map // parsed Routes
 }
 
 func (c *Config) readOverload(text json.RawMessage) error {
@@ -182,7 +182,7 @@
 
 func (o *Overload) check() error {
 	if o.Fleet == "" {
-		return errors.New("overload.fleet is missing: the fleet's name, as the controllers have it")
+		return errors.New("overload.fleet is missing: the fleet's name, as in the controllers' configuration")
 	}
 	if err := registry.CheckName("overload.fleet", o.Fleet); err != nil {
 		return err
@@ -203,7 +203,7 @@
 	return decodeTable("membership", text, c.Membership, c.Membership.Check)
 }
 
-// checkReplicas checks the addresses of the registry that a table names.
+// checkReplicas checks a table's addresses of the registry's replicas.
 func checkReplicas(table string, addrs []string) error {
 	if len(addrs) == 0 {
 		return fmt.Errorf("%s.registry is missing: the addresses of its replicas", table)
@@ -216,7 +216,7 @@
 	return nil
 }
 
-// parseRoutes reads the addresses to call instead of others.
+// parseRoutes parses pairs of an address and the address to call instead, in the form from=to.
 func parseRoutes(table string, pairs []string) (addressmap.Map, error) {
 	routes := make(addressmap.Map, len(pairs))
 	for _, pair := range pairs {
--- a/internal/sidecarcmd/command.go
+++ b/internal/sidecarcmd/command.go
@@ -1,6 +1,5 @@
-// Package sidecarcmd is the sidecar's command line. Two programs share it: one with
-// metrics and one without, because serving metrics makes a program a quarter larger
-// whether they are used or not.
+// Package sidecarcmd is the sidecar's command line. Two programs share it, one with metrics and one
+// without, because linking the metrics server makes a program a quarter larger even if it is not used.
 package sidecarcmd
 
 import (
@@ -26,22 +25,22 @@
 	"barleywick/policy"
 )
 
-// Program describes one of the two programs. Its parts are constructors, because each part takes memory
-// whether a configuration names it or not; nil: the program does not have it.
+// Program describes one of the two programs. Its optional parts are constructors, so that a part that the
+// configuration does not use takes no memory. A nil constructor means that the program lacks the part.
 type Program struct {
-	Name       string // the program's
+	Name       string // of the program
 	FormerName string // deprecated; a link of this name still starts the program
 
-	NewExporter func() sidecar.MetricsExporter           // makes what serves metrics
-	NewMember   func(*config.Config) sidecar.FleetMember // makes a sidecar a member of the fleet
+	NewExporter func() sidecar.MetricsExporter           // returns the server of metrics
+	NewMember   func(*config.Config) sidecar.FleetMember // returns the sidecar's membership of the fleet
 }
 
-// farewellTime is for what a sidecar does once every request is answered: it leaves the roster and
-// the fleet, and ends its calls of the registry. A platform that kills it earlier cuts off no request.
+// cleanupTimeout is for the steps after the last response: leaving the roster and the fleet, and ending
+// calls to the registry. If the platform kills the process during them, no request is lost.
 const cleanupTimeout = 10 * time.Second
 
-// endBound is how long a sidecar may take to end. A request that it has taken has its client's whole
-// time, however long that is.
+// shutdownTimeout returns how long a sidecar may take to shut down. A request that was accepted may use its
+// class's whole deadline, even if that is longer than policy.ShutdownTimeout.
 func shutdownTimeout(classes []policy.Class) time.Duration {
 	bound := policy.ShutdownTimeout(classes)
 	for _, class := range classes {
@@ -50,7 +49,7 @@
 	return bound + cleanupTimeout
 }
 
-// Main runs the program with its command line and exits with the status that follows.
+// Main runs the program with the process's command line and exits with the resulting status.
 func Main(program Program) {
 	cli.WarnFormerProgram(os.Stderr, os.Args[0], program.FormerName, program.Name)
 	os.Exit(run(program, os.Args[1:], os.Getenv, os.Stdout, os.Stderr))
@@ -60,17 +59,18 @@
 	return cli.Run(context.Background(), "sidecar", newRoot(program, getenv, out, errs), args, out, errs)
 }
 
-// newRoot makes the command tree. Without a command the program serves, as the platform starts it.
+// newRoot returns the command tree. Without a subcommand the program serves, because the platform starts it
+// that way.
 func newRoot(program Program, getenv func(string) string, out, errs io.Writer) *cobra.Command {
 	var logs logFlags
 	serve := func(*cobra.Command, []string) error { return serve(program, getenv, logs, errs) }
 	root := &cobra.Command{
 		Use:   "sidecar",
 		Short: "A client-side load balancer that runs beside one client",
-		Long: `sidecar carries the requests of the client beside it to booking servers.
+		Long: `sidecar forwards the requests of the client beside it to booking servers.
 
-Without a command it does what serve does. ROUTER_CONFIG names the configuration
-file; ROUTER_NAME, ROUTER_LISTEN and ROUTER_DISCOVERY go before what it says.
+Without a command it runs serve. ROUTER_CONFIG names the configuration file;
+ROUTER_NAME, ROUTER_LISTEN and ROUTER_DISCOVERY override its values.
 
 ` + cli.StatusHelp,
 		Example: `  ROUTER_CONFIG=sidecar.json sidecar
@@ -82,14 +82,14 @@
 	root.AddCommand(
 		&cobra.Command{
 			Use: "serve", Short: "Serve until SIGTERM", Args: cli.NoArgs, RunE: serve,
-			Long: `serve carries requests until SIGTERM, then finishes what it has taken and ends.
-SIGHUP reads the configuration again: discovery, the limits on connections.`,
+			Long: `serve forwards requests until SIGTERM, then completes the accepted ones and exits.
+SIGHUP reloads discovery and the limits on connections from the configuration.`,
 			Example: "  ROUTER_CONFIG=sidecar.json ROUTER_LISTEN=127.0.0.1:7070 sidecar serve --log-format json",
 		},
 		&cobra.Command{
-			Use: "check [FILE]", Short: "Read a configuration and explain what follows from it", Args: cobra.MaximumNArgs(1),
-			Long: `check reads a configuration as serve does, starts nothing, and prints each figure
-that follows from it. FILE is the one that ROUTER_CONFIG names where it is left out.`,
+			Use: "check [FILE]", Short: "Check a configuration and print the values derived from it", Args: cobra.MaximumNArgs(1),
+			Long: `check reads a configuration like serve, but starts nothing. It prints each value
+derived from the configuration. FILE defaults to the file that ROUTER_CONFIG names.`,
 			Example: "  sidecar check sidecar.json",
 			RunE:    func(_ *cobra.Command, args []string) error { return check(getenv, args, out) },
 		},
@@ -98,20 +98,20 @@
 	return root
 }
 
-// logFlags are the flags for the program's log.
+// logFlags holds the flags that configure the program's log.
 type logFlags struct{ level, format string }
 
 // add adds the flags to a command and its subcommands.
 func (f *logFlags) add(c *cobra.Command) {
-	c.PersistentFlags().StringVar(&f.level, "log-level", "", "least level of the log: debug, info, warn or error (default: the configuration's, or info)")
-	c.PersistentFlags().StringVar(&f.format, "log-format", "", "form of the log: text or json (default: the configuration's, or text)")
+	c.PersistentFlags().StringVar(&f.level, "log-level", "", "lowest log level: debug, info, warn or error (default: the configuration's, or info)")
+	c.PersistentFlags().StringVar(&f.format, "log-format", "", "log format: text or json (default: the configuration's, or text)")
 }
 
-// logger makes the logger that the flags describe, or else the configuration file.
+// logger returns a logger. The flags take precedence over the configuration file.
 func (f logFlags) logger(w io.Writer, file config.Log) (*slog.Logger, error) {
 	var level slog.Level
 	if text := cmp.Or(f.level, file.Level, "info"); level.UnmarshalText([]byte(text)) != nil {
-		return nil, cli.WrongCall("log level is %q; there are debug, info, warn and error", text)
+		return nil, cli.WrongCall("log level is %q, want debug, info, warn or error", text)
 	}
 	options := &slog.HandlerOptions{Level: level}
 	switch format := cmp.Or(f.format, file.Format, "text"); format {
@@ -120,7 +120,7 @@
 	case "json":
 		return slog.New(slog.NewJSONHandler(w, options)), nil
 	default:
-		return nil, cli.WrongCall("log format is %q; there are text and json", format)
+		return nil, cli.WrongCall("log format is %q, want text or json", format)
 	}
 }
 
@@ -132,12 +132,12 @@
 	slog.SetDefault(log)
 	stopCtx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	// Without a handler SIGHUP would end the program.
+	// Registered before the configuration is read, because an unhandled SIGHUP would end the program.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	c, err := shutdown.Await(stopCtx, func() (*config.Config, error) { return config.Load(getenv) })
 	if stopCtx.Err() != nil {
-		return nil // nothing has started
+		return nil // stopped before anything was started
 	}
 	if err != nil {
 		return err
@@ -150,7 +150,7 @@
 	options := []sidecar.Option{sidecar.WithMembership(program.NewMember)}
 	if c.Metrics.Listen != "" {
 		if program.NewExporter == nil {
-			return errors.New("metrics.listen is set, and this program serves none: start sidecar-metrics, which does")
+			return errors.New("metrics.listen is set, but this program does not serve metrics: use sidecar-metrics")
 		}
 		options = append(options, sidecar.WithMetrics(program.NewExporter()))
 	}
@@ -158,8 +158,8 @@
 	return sidecar.Run(stopCtx, reload, c, options...)
 }
 
-// applyLimits keeps the runtime within the platform's limits. The heap is small, so it
-// is collected rarely, but the memory limit is kept to with a quarter to spare.
+// applyLimits configures the runtime for the platform's limits. The heap is small, so it is collected
+// rarely. The runtime's memory limit is three quarters of the platform's, which leaves a margin.
 func applyLimits(l config.Limits) {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(l.Cores)))
@@ -170,7 +170,7 @@
 	}
 }
 
-// check reads a configuration and prints what follows from it.
+// check reads a configuration and prints the values derived from it.
 func check(getenv func(string) string, args []string, out io.Writer) error {
 	env := getenv
 	if len(args) == 1 {
--- a/internal/sidecarcmd/command_test.go
+++ b/internal/sidecarcmd/command_test.go
@@ -10,7 +10,7 @@
 	"barleywick/internal/cli"
 )
 
-// call runs a call that ends by itself.
+// call runs a command line that does not serve, and returns its exit status and output.
 func call(env map[string]string, args ...string) (status int, out, errs string) {
 	var o, e bytes.Buffer
 	status = run(Program{}, args, func(name string) string { return env[name] }, &o, &e)
--- a/internal/sidecarmember/member.go
+++ b/internal/sidecarmember/member.go
@@ -1,6 +1,5 @@
-// Package sidecarmember makes a sidecar a member of the fleet. It is apart from package
-// sidecar because it links the gossip library, which takes memory whether a configuration
-// names a membership or not.
+// Package sidecarmember makes a sidecar a member of the fleet. It is separate from package sidecar because
+// it links the gossip library, which takes memory even if the configuration has no membership.
 package sidecarmember
 
 import (
@@ -20,16 +19,16 @@
 )
 
 const (
-	// retryInterval is the time between two attempts to become a member. The predecessor may
-	// still use the address while this process takes over from it.
+	// retryInterval is the time between two attempts to become a member. An attempt fails while the
+	// predecessor process still uses the address during a hand-over.
 	retryInterval = time.Second
 	dialTimeout   = time.Second
 )
 
-// New makes the member that a configuration describes. Its Run has to be called.
+// New returns the member that a configuration describes. The caller has to call its Run.
 func New(c *config.Config) sidecar.FleetMember {
 	var urls []string
-	for _, address := range append([]string{c.Discovery}, c.DiscoveryReplicas...) { // they may be replicas of our registry
+	for _, address := range append([]string{c.Discovery}, c.DiscoveryReplicas...) { // they may be replicas of the registry, which serves a membership view
 		urls = append(urls, "http://"+address+registry.APIPath+membership.ViewPath)
 	}
 	client := &http.Client{Transport: &http.Transport{DialContext: c.Membership.Routes.Dialer(dialTimeout), DisableKeepAlives: true}}
@@ -39,17 +38,17 @@
 	}}
 }
 
-// member is a sidecar as a member of the fleet.
+// member implements sidecar.FleetMember.
 type member struct {
 	options gossip.Options
-	node    atomic.Pointer[gossip.Node] // nil: it is not a member yet
+	node    atomic.Pointer[gossip.Node] // nil: not a member yet
 }
 
-// Run keeps the sidecar a member until ctx ends. No failure ends the sidecar: it is tried
-// again.
+// Run keeps the sidecar a member until ctx is done. Failures are logged and retried and never stop the
+// sidecar.
 func (m *member) Run(ctx context.Context) {
 	for {
-		node, err := shutdown.Await(ctx, func() (*gossip.Node, error) { return gossip.Start(m.options) }) // it reads a file
+		node, err := shutdown.Await(ctx, func() (*gossip.Node, error) { return gossip.Start(m.options) }) // reads a file, which cannot be cancelled
 		if ctx.Err() != nil {
 			return
 		}
@@ -75,15 +74,15 @@
 	}
 }
 
-// ReportUnresponsive tells the fleet that a booking server does not answer.
+// ReportUnresponsive informs the fleet that a booking server does not respond.
 func (m *member) ReportUnresponsive(endpoint string) {
 	if node := m.node.Load(); node != nil {
 		node.ReportUnresponsive(endpoint)
 	}
 }
 
-// SidecarCount returns how many sidecars count as present in this one's view; 0: it is not
-// a member yet.
+// SidecarCount returns the number of sidecars that are present in this sidecar's view, or 0 if it is not a
+// member yet.
 func (m *member) SidecarCount() int {
 	node := m.node.Load()
 	if node == nil {
@@ -96,7 +95,7 @@
 func (m *member) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	node := m.node.Load()
 	if node == nil {
-		http.Error(w, "this sidecar is no member yet", http.StatusServiceUnavailable)
+		http.Error(w, "this sidecar is not a member yet", http.StatusServiceUnavailable)
 		return
 	}
 	node.ServeHTTP(w, r)
