--- a/internal/shutdown/shutdown_test.go
+++ b/internal/shutdown/shutdown_test.go
@@ -16,7 +16,7 @@
 	for name, x := range map[string]struct {
 		duration time.Duration
 		cutOff   bool
-	}{"in time": {9 * time.Second, false}, "too late": {11 * time.Second, true}} {
+	}{"within the timeout": {9 * time.Second, false}, "after the timeout": {11 * time.Second, true}} {
 		synctest.Test(t, func(t *testing.T) {
 			var log bytes.Buffer
 			defer slog.SetDefault(slog.Default())
--- a/internal/sidecar/config/compatibility_test.go
+++ b/internal/sidecar/config/compatibility_test.go
@@ -34,7 +34,7 @@
 	"begins at", "starts at",
 	"is warm after", "has all of it after",
 	"falls over at", "fails at",
-	"what it can do", "its capacity",
+	"what it can do", "its present capacity",
 	"no time is set", "not set",
 	"a new process may take this one's place at", "a successor process requests the hand-over at",
 	"connecting is given up after", "connect timeout",
--- a/internal/sidecar/config/explain.go
+++ b/internal/sidecar/config/explain.go
@@ -80,7 +80,7 @@
 	p := c.Policy
 	e.line("a change of the endpoint list counts as notified after", "settings.rules.ask_within_ms", "%s", durationOrNone(p.PollDeadline))
 	e.line("forwarding to a draining server stops within", "settings.rules.stop_sending_within_ms", "%s", durationOrNone(p.DrainGrace))
-	e.line("a server that warms up", "settings.rules.cold_*, fall_multiple", "starts at %g of its capacity, has all of it after %v, fails at %g times its capacity",
+	e.line("a server that warms up", "settings.rules.cold_*, fall_multiple", "starts at %g of its capacity, has all of it after %v, fails at %g times its present capacity",
 		p.SlowStartFloor, p.SlowStartWindow, p.OverloadFactor)
 }
 
--- a/internal/sidecar/config/limits_test.go
+++ b/internal/sidecar/config/limits_test.go
@@ -13,7 +13,7 @@
 		"no object":        {`7`, "connections: an object"},
 		"unknown side":     {`{"peers":{}}`, "connections.peers"},
 		"unknown key":      {`{"clients":{"totl":1}}`, `connections.clients: json: unknown field "totl"`},
-		"a word":           {`{"servers":{"total":"many"}}`, "connections.servers.total: a whole number"},
+		"a string":         {`{"servers":{"total":"many"}}`, "connections.servers.total: a whole number"},
 		"half a number":    {`{"servers":{"total":1.5}}`, "connections.servers.total: a whole number"},
 		"negative":         {`{"clients":{"idle":-1}}`, "connections.clients.idle is -1"},
 		"none":             {`{"clients":{"total":0}}`, "connections.clients.total is 0"},
--- a/internal/sidecar/overloadreporter/reporter.go
+++ b/internal/sidecar/overloadreporter/reporter.go
@@ -167,7 +167,7 @@
 func (r *Reporter) post(ctx context.Context, d overload.Digest) (advice overload.Advice, err error) {
 	text, err := json.Marshal(d)
 	if err != nil {
-		return advice, fmt.Errorf("write digest: %w", err)
+		return advice, fmt.Errorf("encode digest: %w", err)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.address+overload.Path, bytes.NewReader(text))
 	if err != nil {
