--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -1,6 +1,6 @@
 // Package shutdown limits the time that a process takes to shut down, and logs the steps. A process that
-// hangs in its shutdown is killed by its platform later without a trace of the cause. This package exits
-// earlier and logs the step in which the process hung.
+// hangs in its shutdown is killed by its platform later without a trace of the cause. This package ends
+// the process earlier and logs the step in which it hung.
 package shutdown
 
 import (
--- a/internal/sidecarcmd/command.go
+++ b/internal/sidecarcmd/command.go
@@ -28,11 +28,11 @@
 // Program describes one of the two programs. Its optional parts are constructors, so that a part that the
 // configuration does not use takes no memory. A nil constructor means that the program lacks the part.
 type Program struct {
-	Name       string // of the program
+	Name       string
 	FormerName string // deprecated; a link of this name still starts the program
 
-	NewExporter func() sidecar.MetricsExporter           // returns the server of metrics
-	NewMember   func(*config.Config) sidecar.FleetMember // returns the sidecar's membership of the fleet
+	NewExporter func() sidecar.MetricsExporter           // constructs the metrics exporter
+	NewMember   func(*config.Config) sidecar.FleetMember // constructs the sidecar's fleet member
 }
 
 // cleanupTimeout is for the steps after the last response: leaving the roster and the fleet, and ending
--- a/internal/sidecarmember/member.go
+++ b/internal/sidecarmember/member.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// retryInterval is the time between two attempts to become a member. An attempt fails while the
-	// predecessor process still uses the address during a hand-over.
+	// retryInterval is the time between two attempts to become a member. An attempt may fail
+	// because the predecessor process still uses the address during a hand-over.
 	retryInterval = time.Second
 	dialTimeout   = time.Second
 )
