--- a/policy/advice_test.go
+++ b/policy/advice_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Without these bounds an overload controller that has failed, or is wrong, would keep rejecting
-// requests, or would let more through than the sidecar itself would.
-func TestAdviceOnlyTightensAndFadesOut(t *testing.T) {
+// Without these limits, advice of a failed or faulty overload controller would remain in effect, or would
+// admit requests that the sidecar would shed without advice.
+func TestAdviceOnlyRejectsMoreAndFadesOut(t *testing.T) {
 	refused := func(a OverloadAdvice, congestion float64, after time.Duration) int {
 		b, h := start(t, lowTrafficConfig(), ready(1, 2, 3, 4, 5, 6))
 		b.Advise(10*time.Second, a)
 		now := 10*time.Second + after
 		for id := range RequestID(200) {
-			b.congestion = congestionEstimate{shares: 1000 * congestion, answers: 1000, at: now}
+			b.congestion = congestionEstimate{shares: 1000 * congestion, responses: 1000, at: now}
 			submit(b, now, id, idempotentClass)
 			end(b, now, id, 0, Served)
 		}
--- a/policy/affinity_test.go
+++ b/policy/affinity_test.go
@@ -24,7 +24,7 @@
 	return list
 }
 
-// cellFor sends a request with a key and returns the cell that it went to.
+// cellFor submits a request with a key and returns the cell of the server that received it.
 func cellFor(b *Balancer, h *fakeHost, now time.Duration, key uint64) int {
 	id := RequestID(len(h.sends) + 1000)
 	b.Request(now, Request{ID: id, Class: idempotentClass, TimeLeft: 3 * time.Second, AffinityKey: key})
@@ -33,11 +33,12 @@
 	return int(to / 10)
 }
 
-// Otherwise every balancer would send every key to every cell, and each cell remembers only some keys.
+// If balancers chose different cells for a key, every cell would receive all keys, but each cell caches only
+// a limited number of them.
 func TestBalancersAgreeOnTheCellOfAKey(t *testing.T) {
 	list := cells(5)
 	b1, h1 := start(t, affinityConfig(), list)
-	for i, j := 0, len(list)-1; i < j; i, j = i+1, j-1 { // in another order
+	for i, j := 0, len(list)-1; i < j; i, j = i+1, j-1 { // reversed
 		list[i], list[j] = list[j], list[i]
 	}
 	b2, h2 := start(t, affinityConfig(), list)
@@ -45,10 +46,10 @@
 	for key := range uint64(1000) {
 		first := cellFor(b1, h1, 0, key+1)
 		if again := cellFor(b1, h1, 0, key+1); again != first {
-			t.Fatalf("key %d: got cell %d and then %d", key+1, first, again)
+			t.Fatalf("key %d: got cell %d, then cell %d, want the same cell", key+1, first, again)
 		}
 		if other := cellFor(b2, h2, 0, key+1); other != first {
-			t.Fatalf("key %d: got cell %d at one balancer and %d at the other", key+1, first, other)
+			t.Fatalf("key %d: got cell %d at the first balancer and %d at the second, want the same cell", key+1, first, other)
 		}
 		count[first]++
 	}
@@ -64,25 +65,25 @@
 	for c := range 5 {
 		for i := range 3 {
 			if id := ServerID(10*c + i); math.Abs(float64(requests[id])-float64(2*count[c])/3) > 2 {
-				t.Errorf("server %d got %d of its cell's %d, want an even part", id, requests[id], 2*count[c])
+				t.Errorf("server %d: got %d of %d requests of its cell, want an even share", id, requests[id], 2*count[c])
 			}
 		}
 	}
 }
 
-// A cell that is unavailable or leaves must not move the keys of other cells.
-func TestKeysOfOtherCellsStay(t *testing.T) {
+// Removing a cell, or its servers becoming unresponsive, must not move the keys of other cells.
+func TestCellLossMovesOnlyItsKeys(t *testing.T) {
 	b, h := start(t, affinityConfig(), cells(5))
 	before := map[uint64]int{}
 	for key := range uint64(300) {
 		before[key+1] = cellFor(b, h, 0, key+1)
 	}
-	b.List(0, ListFull, cells(4)) // the last one is removed
+	b.List(0, ListFull, cells(4)) // without the last cell
 	second := map[uint64]int{}
 	for key := range uint64(300) {
 		c := cellFor(b, h, 0, key+1)
 		if before[key+1] != 4 && c != before[key+1] {
-			t.Fatalf("key %d moved from cell %d to %d though its cell stays", key+1, before[key+1], c)
+			t.Fatalf("key %d: moved from cell %d to %d although its cell is still listed", key+1, before[key+1], c)
 		}
 		second[key+1] = c
 	}
@@ -95,13 +96,13 @@
 	b.cfg.MayProbe = true
 	for key := range uint64(300) {
 		if c := cellFor(b, h, 0, key+1); c != second[key+1] {
-			t.Fatalf("key %d: got cell %d, want its second one, %d", key+1, c, second[key+1])
+			t.Fatalf("key %d: got cell %d, want its second-ranked cell %d", key+1, c, second[key+1])
 		}
 	}
 }
 
-// Requests without a key must not all go to one cell.
-func TestWithoutAKeyAllServersRotate(t *testing.T) {
+// Requests without a key must not all be sent to one cell.
+func TestRequestsWithoutAKeyUseAllServers(t *testing.T) {
 	b, h := start(t, affinityConfig(), cells(3))
 	for id := range RequestID(90) {
 		submit(b, 0, id, idempotentClass)
--- a/policy/bulkhead.go
+++ b/policy/bulkhead.go
@@ -7,22 +7,23 @@
 	"time"
 )
 
-// Bulkheads: each tenant has its own slots and queue places, so that none can take another's.
+// Bulkheads: each tenant has its own slots and queue places, so that tenants cannot exhaust each other's
+// capacity.
 
 const (
-	// slotObjectiveShare is the share of the objective for which the slots hold a quota's traffic.
+	// slotObjectiveShare is the assumed time in flight of a request, as a share of its latency objective.
 	slotObjectiveShare = 0.12
-	// slotDeviations is how many standard deviations of the number in flight are added.
+	// slotDeviations is the number of standard deviations added to the mean number of requests in flight.
 	slotDeviations = 2.0
-	// maxTrafficMultiple is by how much one balancer's traffic may exceed an even part of it.
+	// maxTrafficMultiple is the largest multiple of an even share of the traffic that a balancer may receive.
 	maxTrafficMultiple = 5.0
-	// slotsPerServer is the number of slots for each server of the first list, if no quota is known.
+	// slotsPerServer is the number of slots per server of the first endpoint list if no quota is known.
 	slotsPerServer = 3.0
-	// queuePlacesPerSlot keeps queues just long enough for the slots not to run empty.
+	// queuePlacesPerSlot makes queues just long enough to keep the slots in use.
 	queuePlacesPerSlot = 0.15
 )
 
-// BulkheadCapacity is how many slots and queue places a bulkhead has.
+// BulkheadCapacity is the number of slots and queue places of a bulkhead.
 type BulkheadCapacity struct {
 	Slots  int `json:"Slots"`
 	Places int `json:"Places"`
@@ -31,15 +32,15 @@
 // bulkhead holds the slots and the queue of one tenant.
 type bulkhead struct {
 	capacity BulkheadCapacity // in force
-	reserved BulkheadCapacity // part of the capacity that another process of this sidecar uses
-	used     int              // slots
+	reserved BulkheadCapacity // part of the capacity that the predecessor process may still use
+	used     int              // slots in use
 	queue    []*request
 }
 
-// hasSlot says whether a slot is free.
+// hasSlot reports whether a slot is free.
 func (bh *bulkhead) hasSlot() bool { return bh.used+bh.reserved.Slots < bh.capacity.Slots }
 
-// hasQueuePlace says whether a queue place is free.
+// hasQueuePlace reports whether a queue place is free.
 func (bh *bulkhead) hasQueuePlace() bool {
 	return len(bh.queue)+bh.reserved.Places < bh.capacity.Places
 }
@@ -52,23 +53,23 @@
 	}
 }
 
-// bulkheads are those of all tenants.
+// bulkheads holds the bulkheads of all tenants.
 type bulkheads struct {
 	byTenant   []bulkhead
 	configured []BulkheadCapacity // by tenant, before fleet limits
 	totalSlots int                // in force
-	// expectedInFlight is how many requests of all balancers are in flight when traffic is at its quotas.
+	// expectedInFlight is the number of requests of all balancers in flight if each tenant uses its quota.
 	expectedInFlight float64
-	next             int // whose queue is served first
+	firstTenant      int // index of the tenant whose queue is served first
 }
 
 func newBulkheads(tenants int) bulkheads {
 	return bulkheads{byTenant: make([]bulkhead, tenants), configured: make([]BulkheadCapacity, tenants)}
 }
 
-func (bs *bulkheads) has(tenant int) bool { return tenant >= 0 && tenant < len(bs.byTenant) }
+func (bs *bulkheads) hasTenant(tenant int) bool { return tenant >= 0 && tenant < len(bs.byTenant) }
 
-// limit puts the stricter of the configured and the given capacities in force.
+// limit applies the lower of the configured and the fleet's capacities.
 func (bs *bulkheads) limit(fleet []BulkheadCapacity) {
 	bs.totalSlots = 0
 	for i, c := range bs.configured {
@@ -80,8 +81,8 @@
 	}
 }
 
-// sizeBulkheads derives the configured capacities by Little's law from the quotas and a small share
-// of the average objective. Traffic is uneven, so each balancer gets a multiple of its even part and
+// sizeBulkheads derives the configured capacities from the quotas and a share of the average latency
+// objective by Little's law. Since traffic is uneven, each balancer gets a multiple of its even share plus
 // two standard deviations of a Poisson distribution.
 func (b *Balancer) sizeBulkheads() {
 	shares := 0.0
@@ -105,22 +106,22 @@
 	b.applyFleetLimits()
 }
 
-// dispatchQueued gives free slots to queued requests, one tenant after the other.
+// dispatchQueued gives free slots to queued requests. It starts at another tenant in each call.
 func (b *Balancer) dispatchQueued(now time.Duration) {
 	bs := &b.bulkheads
-	bs.next = (bs.next + 1) % len(bs.byTenant)
+	bs.firstTenant = (bs.firstTenant + 1) % len(bs.byTenant)
 	for i := range bs.byTenant {
-		b.dispatchQueue(now, &bs.byTenant[(bs.next+i)%len(bs.byTenant)])
+		b.dispatchQueue(now, &bs.byTenant[(bs.firstTenant+i)%len(bs.byTenant)])
 	}
 }
 
-// dispatchQueue gives the free slots of one bulkhead to its queue. A request that no server can take
-// now, as it is bound to certain servers, does not hold up those behind it.
+// dispatchQueue gives the free slots of one bulkhead to its queued requests. A request that no permitted
+// server can accept now does not block the requests behind it.
 func (b *Balancer) dispatchQueue(now time.Duration, bh *bulkhead) {
 	for n := 0; n < len(bh.queue) && bh.hasSlot(); {
 		switch r := bh.queue[n]; {
 		case now >= r.latestSend():
-			b.finish(r) // and removes it from the queue
+			b.finish(r) // also removes it from the queue
 		case b.dispatch(now, r):
 			bh.queue = slices.Delete(bh.queue, n, n+1)
 		default:
@@ -129,17 +130,17 @@
 	}
 }
 
-// SlotsFree returns the number of free slots of a tenant; 0 for a tenant that does not exist.
+// SlotsFree returns the number of free slots of a tenant; 0 for an unknown tenant.
 func (b *Balancer) SlotsFree(tenant int) int {
-	if !b.bulkheads.has(tenant) {
+	if !b.bulkheads.hasTenant(tenant) {
 		return 0
 	}
 	return b.bulkheads.byTenant[tenant].free().Slots
 }
 
-// QueueFree returns the number of free queue places of a tenant; 0 for a tenant that does not exist.
+// QueueFree returns the number of free queue places of a tenant; 0 for an unknown tenant.
 func (b *Balancer) QueueFree(tenant int) int {
-	if !b.bulkheads.has(tenant) {
+	if !b.bulkheads.hasTenant(tenant) {
 		return 0
 	}
 	return b.bulkheads.byTenant[tenant].free().Places
--- a/policy/bulkhead_test.go
+++ b/policy/bulkhead_test.go
@@ -18,18 +18,18 @@
 		t.Fatalf("got %d sends and %d free queue places, want 6 and 0", len(h.sends), b.QueueFree(0))
 	}
 	if pause, ok := h.refused[9]; !ok || pause <= 0 || pause > time.Second {
-		t.Fatalf("tenth request: refused %v with pause %v, want a prompt refusal with a pause", ok, pause)
+		t.Fatalf("tenth request: got refused %v with pause %v, want an immediate refusal with a pause of at most 1 s", ok, pause)
 	}
 	if b.SlotsFree(1) != 2 {
-		t.Fatalf("tenant 0 has taken slots of tenant 1")
+		t.Fatalf("requests of tenant 0 occupy slots of tenant 1")
 	}
 	b.Request(0, Request{ID: 20, Class: idempotentClass, Tenant: 1, TimeLeft: 2 * time.Second})
 	if len(h.sends) != 7 {
-		t.Fatalf("tenant 1's request was not sent while tenant 0's bulkhead is full")
+		t.Fatalf("the request of tenant 1 was not sent while the bulkhead of tenant 0 is full")
 	}
 	end(b, 50*ms, 0, 0, Served)
 	if len(h.sends) != 8 || h.sends[7].id != 6 {
-		t.Fatalf("sends %v, want the first in the queue sent with the slot that became free", h.sends)
+		t.Fatalf("got sends %v, want the first queued request sent in the released slot", h.sends)
 	}
 }
 
@@ -44,10 +44,10 @@
 			t.Errorf("%d balancers: got %d slots, want 2 to %.0f", balancers, b.bulkheads.totalSlots, upperBound)
 		}
 		if b.SlotsFree(0) < b.SlotsFree(1) || b.QueueFree(1) < 1 {
-			t.Errorf("%d balancers: got %d and %d slots, want more for the larger share and at least one queue place", balancers, b.SlotsFree(0), b.SlotsFree(1))
+			t.Errorf("%d balancers: got %d and %d slots, want more for the larger share, and at least one queue place", balancers, b.SlotsFree(0), b.SlotsFree(1))
 		}
 	}
-	cfg.Tenants, cfg.Balancers = nil, 4 // no tenants and no quota: one bulkhead, sized by the first list
+	cfg.Tenants, cfg.Balancers = nil, 4 // no tenants and no quota: one bulkhead, sized from the first list
 	b, h := start(t, cfg, ready(1, 2))
 	b.Request(0, Request{ID: 1, TimeLeft: time.Second})
 	if len(b.bulkheads.byTenant) != 1 || b.bulkheads.totalSlots != 11 || len(h.sends) != 1 {
@@ -59,10 +59,10 @@
 	b, _ := start(t, testConfig(), ready(1))
 	for _, tenant := range []int{-1, 2, 1 << 30} {
 		if s, q := b.SlotsFree(tenant), b.QueueFree(tenant); s != 0 || q != 0 {
-			t.Errorf("tenant %d: got %d free slots and %d free places, want none", tenant, s, q)
+			t.Errorf("tenant %d: got %d free slots and %d free queue places, want none", tenant, s, q)
 		}
 	}
 	if b.SlotsFree(0) == 0 || b.QueueFree(0) == 0 {
-		t.Error("nothing is free in an idle bulkhead")
+		t.Error("got no free slots or no free queue places in an idle bulkhead")
 	}
 }
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -2,39 +2,40 @@
 
 import "time"
 
-// Capacity estimates: listed weights are rough, and with them alone one kind of server may be
-// overloaded while another is idle. A balancer meets a single server too seldom to measure it, but
-// the load reports of all servers with the same listed weight are enough.
+// Capacity estimates: listed weights are inaccurate, so that weighting by them alone may overload one type
+// of server while another is idle. A balancer contacts a single server too rarely to measure its capacity,
+// but the load reports of all servers with the same listed weight are sufficient.
 
 const (
-	minUtilization = 0.2  // at a lower utilization the rate says nothing about the capacity
-	capacityPrior  = 2.0  // number of busy reports that the listed weight counts for
-	capacityMemory = 60.0 // number of busy reports that are remembered: those of about a minute
-	// probeInterval is the number of requests for each load probe. A probe has a cost, and those of all
-	// balancers add up.
+	minUtilization       = 0.2  // at a lower utilization the served rate does not indicate the capacity
+	capacityPrior        = 2.0  // number of busy reports that the listed weight counts for
+	capacityReportWindow = 60.0 // sum of utilization above which the sums are halved: about a minute
+	// probeInterval is the number of requests per load probe. Probes are rare since each has a cost, which
+	// adds up over all balancers.
 	probeInterval = 16
-	// At the start nothing is known, so the first requests bring more probes.
+	// During the first requests no capacity is known, so probes are more frequent.
 	firstRequests, firstProbeInterval = 16, 4
-	// maxWeightClasses bounds the weights that are distinguished. More would be measurements.
+	// maxWeightClasses limits the number of distinct listed weights. If there are more, the weights are
+	// individual measurements rather than types of servers.
 	maxWeightClasses = 8
 	// minLatencySeconds avoids a division by zero.
 	minLatencySeconds = 1e-3
 )
 
-// weightClass sums the load reports of all servers with one listed weight.
+// weightClass is the sum of the load reports of all servers with the same listed weight.
 type weightClass struct {
 	weight      float64
-	servedRate  float64 // requests a second
-	utilization float64 // shares of the cores in use
+	servedRate  float64 // sum of the requests served per second
+	utilization float64 // sum of the shares of cores in use
 }
 
-// capacityModel estimates what servers can do by their listed weight.
+// capacityModel estimates the capacity of servers by their listed weight.
 type capacityModel struct {
 	classes  []weightClass
-	requests int // since the start, which decide when a probe is due
+	requests int // since the start; determines when a probe is due
 }
 
-// learn takes a load report of a server with a listed weight, and says whether it changed the model.
+// learn adds the load report of a server with the given listed weight, and reports whether the model changed.
 func (m *capacityModel) learn(weight float64, report LoadReport) bool {
 	if report.Utilization < minUtilization || report.ServedPerSecond <= 0 {
 		return false
@@ -45,13 +46,13 @@
 	}
 	c.servedRate += report.ServedPerSecond
 	c.utilization += report.Utilization
-	if c.utilization > capacityMemory {
+	if c.utilization > capacityReportWindow {
 		c.servedRate, c.utilization = c.servedRate/2, c.utilization/2
 	}
 	return true
 }
 
-// class returns the class of a listed weight, or nil if there are too many.
+// class returns the class of a listed weight, or nil if there are already maxWeightClasses others.
 func (m *capacityModel) class(weight float64) *weightClass {
 	for i := range m.classes {
 		if m.classes[i].weight == weight {
@@ -65,22 +66,22 @@
 	return &m.classes[len(m.classes)-1]
 }
 
-// ratePerWeight is how many requests a second servers answer for each unit of weight. Before the
-// first report it is assumed that a server answers one request after the other.
+// ratePerWeight returns the requests per second that servers complete per unit of weight. Before the first
+// report a server is assumed to serve requests one at a time.
 func (m *capacityModel) ratePerWeight(usualLatency time.Duration) float64 {
-	rate, busy := 0.0, 0.0
+	rate, utilizedWeight := 0.0, 0.0
 	for _, c := range m.classes {
 		rate += c.servedRate
-		busy += c.utilization * c.weight
+		utilizedWeight += c.utilization * c.weight
 	}
 	if rate == 0 {
 		return 1 / max(usualLatency.Seconds(), minLatencySeconds)
 	}
-	return rate / busy
+	return rate / utilizedWeight
 }
 
-// of is the capacity of servers with a listed weight, on the scale of the weights.
-func (m *capacityModel) of(weight float64, usualLatency time.Duration) float64 {
+// estimate returns the capacity of servers with the given listed weight, on the scale of listed weights.
+func (m *capacityModel) estimate(weight float64, usualLatency time.Duration) float64 {
 	mean := m.ratePerWeight(usualLatency)
 	for _, c := range m.classes {
 		if c.weight == weight {
@@ -90,18 +91,18 @@
 	return weight
 }
 
-// learnCapacity takes a server's load report and updates the capacities of all servers.
+// learnCapacity adds a server's load report to the model and updates the capacities of all servers.
 func (b *Balancer) learnCapacity(s *server, report LoadReport) {
 	if !b.capacities.learn(s.Weight, report) {
 		return
 	}
 	for _, s := range b.endpoints.servers {
-		s.capacity = b.capacities.of(s.Weight, b.traffic.usualLatency)
+		s.capacity = b.capacities.estimate(s.Weight, b.traffic.averageLatency)
 	}
 }
 
-// probeForLoad asks a server for a load report if enough requests have come since the last time. With
-// low traffic the server is random, so that balancers do not probe in step.
+// probeForLoad requests a load report from a server once per probe interval. With low traffic the server is
+// chosen at random, so that balancers do not probe in lockstep.
 func (b *Balancer) probeForLoad() {
 	b.capacities.requests++
 	servers := b.endpoints.servers
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// If servers listed at twice the weight can do only a third more, the listed weights overload them.
+// If servers listed at twice the weight have only a third more capacity, the listed weights overload them.
 func TestLoadReportsCorrectListedWeights(t *testing.T) {
 	list := ready(1, 2)
 	list[1].Weight = 2
 	b, h := start(t, lowTrafficConfig(), list)
 	if b.endpoints.find(1).capacity != 1 || b.endpoints.find(2).capacity != 2 {
-		t.Fatalf("capacities %v and %v before any report, want 1 and 2", b.endpoints.find(1).capacity, b.endpoints.find(2).capacity)
+		t.Fatalf("before any report: got capacities %v and %v, want 1 and 2", b.endpoints.find(1).capacity, b.endpoints.find(2).capacity)
 	}
 	for range 50 {
-		b.Probed(ms, 1, true, LoadReport{InFlight: -1, Queued: 0, Utilization: 0.5, ServedPerSecond: 15}) // capacity 30 a second
-		b.Probed(ms, 2, true, LoadReport{InFlight: -1, Queued: 3, Utilization: 1, ServedPerSecond: 40})   // capacity 40 a second
+		b.Probed(ms, 1, true, LoadReport{InFlight: -1, Queued: 0, Utilization: 0.5, ServedPerSecond: 15}) // capacity 30 per second
+		b.Probed(ms, 2, true, LoadReport{InFlight: -1, Queued: 3, Utilization: 1, ServedPerSecond: 40})   // capacity 40 per second
 		b.Probed(ms, 1, true, LoadReport{InFlight: -1, Queued: 0, Utilization: 0.1, ServedPerSecond: 40}) // utilization too low to count
 		b.Probed(ms, 1, true, UnknownLoad)
 	}
 	if got := b.endpoints.find(2).capacity / b.endpoints.find(1).capacity; math.Abs(got-4.0/3) > 0.05 {
-		t.Fatalf("capacities %v and %v, want a third more for the second", b.endpoints.find(1).capacity, b.endpoints.find(2).capacity)
+		t.Fatalf("got capacities %v and %v, want a third more for the second server", b.endpoints.find(1).capacity, b.endpoints.find(2).capacity)
 	}
 	for id := range RequestID(70) {
 		submit(b, ms, id, idempotentClass)
@@ -42,8 +42,8 @@
 	}
 }
 
-// Probes that are cheap for one balancer would cost a large fleet more than they are worth.
-func TestLowTrafficProbesSeldom(t *testing.T) {
+// The probes of a large fleet add up, so each balancer with low traffic must send few of them.
+func TestLowTrafficLimitsLoadProbes(t *testing.T) {
 	cfg := lowTrafficConfig()
 	cfg.LoadReports = true
 	b, h := start(t, cfg, ready(1, 2, 3, 4))
--- a/policy/config_test.go
+++ b/policy/config_test.go
@@ -30,7 +30,7 @@
 		cfg := testConfig()
 		invalidate(&cfg)
 		if _, err := New(cfg, 1, newFakeHost()); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: got error %v, want one that names it", field, err)
+			t.Errorf("%s: got error %v, want one that contains it", field, err)
 		}
 	}
 }
--- a/policy/congestion.go
+++ b/policy/congestion.go
@@ -6,50 +6,52 @@
 )
 
 const (
-	// Load shedding begins at sheddingThreshold and includes all requests sheddingRange above it. If the
-	// average answer takes so much of its objective, an answer from a slightly longer queue is late.
+	// Load shedding starts at sheddingThreshold and covers all requests at sheddingRange above it. When the
+	// average response takes that share of its objective, slightly longer queues make responses late.
 	sheddingThreshold, sheddingRange = 0.45, 0.2
-	// lateSheddingRange is the share of ejected servers at which no late request, which earns less, is
-	// sent any more.
+	// lateSheddingRange is the share of ejected servers at which all late requests are shed, since their
+	// responses have less value.
 	lateSheddingRange = 0.3
-	// congestionMemory is how long an answer counts: as long as one and a half queues.
-	congestionMemory = 2 * time.Second
+	// congestionTimeConstant is the time constant of the estimate's exponential decay, about the time to work
+	// off one and a half queues.
+	congestionTimeConstant = 2 * time.Second
 )
 
-// congestionEstimate is the average share of their objective that recent answers took, over all
-// servers. A balancer that meets each server seldom sees few ejections; this shows the whole.
+// congestionEstimate is the average share of their objective that recent responses took, over all servers. A
+// balancer that contacts each server rarely sees few ejections, so it also needs this overall estimate.
 type congestionEstimate struct {
-	shares  float64 // sum, which decays with time
-	answers float64 // number of answers, which decays likewise
-	at      time.Duration
+	shares    float64 // sum, which decays with time
+	responses float64 // number of answers, which decays likewise
+	at        time.Duration
 }
 
-// level is the congestion now. One more answer that took no time counts, so that few answers say little.
+// level returns the congestion now. It includes one virtual response that took no time, so that a few
+// responses have little influence.
 func (c *congestionEstimate) level(now time.Duration) float64 {
 	c.decay(now)
-	return c.shares / (c.answers + 1)
+	return c.shares / (c.responses + 1)
 }
 
-// add takes the share of its objective that an answer took.
+// add records the share of its objective that a response took.
 func (c *congestionEstimate) add(now time.Duration, share float64) {
 	c.decay(now)
 	c.shares += share
-	c.answers++
+	c.responses++
 }
 
 func (c *congestionEstimate) decay(now time.Duration) {
-	factor := math.Exp(-float64(now-c.at) / float64(congestionMemory))
+	factor := math.Exp(-float64(now-c.at) / float64(congestionTimeConstant))
 	c.shares *= factor
-	c.answers *= factor
+	c.responses *= factor
 	c.at = now
 }
 
-// Congestion returns the share of their objective that recent answers took.
+// Congestion returns the average share of their objective that recent responses took.
 func (b *Balancer) Congestion(now time.Duration) float64 { return b.congestion.level(now) }
 
-// shouldShed says whether a request is refused at once: any request because of congestion or
-// overload advice, a late one also because servers are ejected. Each balancer sheds by what it
-// sees, and the sum is what the servers can bear.
+// shouldShed reports whether to refuse a request on arrival: any request because of congestion or overload
+// advice, and a late one also because of ejected servers. Each balancer sheds by its own observations, which
+// together keep the load within the capacity of the servers.
 func (b *Balancer) shouldShed(now time.Duration, late bool, rejectedShare float64) bool {
 	level := b.congestion.level(now)
 	draw := b.rng.Float64()
--- a/policy/congestion_test.go
+++ b/policy/congestion_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Late requests must not take the places of requests that are in time.
+// Late requests must not use capacity that other requests need while servers are ejected.
 func TestLateRequestsAreShedWhileServersAreEjected(t *testing.T) {
 	sent := func(ejected bool) int {
 		b, h := start(t, lowTrafficConfig(), ready(1, 2, 3, 4))
@@ -15,7 +15,7 @@
 				s.ejection.until = time.Hour
 			}
 		}
-		firstAttempts(b, 3*time.Second)
+		learnUsualTimeLeft(b, 3*time.Second)
 		before := len(h.sends)
 		for id := range RequestID(10) {
 			b.Request(ms, Request{ID: id, Class: idempotentClass, TimeLeft: time.Second})
@@ -31,8 +31,8 @@
 	}
 }
 
-// One of a thousand balancers meets a server twice a minute and sees few ejections, while all
-// together send into queues in which everything is late.
+// One of a thousand balancers contacts a server twice a minute and thus observes few ejections, while all
+// balancers together keep queues so long that every response is late.
 func TestLoadIsShedByOverallCongestion(t *testing.T) {
 	var list []Endpoint
 	for id := range ServerID(60) {
@@ -55,12 +55,12 @@
 		return len(h.sends) - before
 	}
 	if n := sent(40, 0.1, 50*ms, time.Second); n != 40 {
-		t.Errorf("got %d of 40 sent while answers are quick, want all", n)
+		t.Errorf("got %d of 40 sent while responses are fast, want all", n)
 	}
 	if n := sent(60, 0.9, 50*ms, 4*time.Second); n < 5 || n > 35 {
-		t.Errorf("got %d of 60 sent while each answer takes 0.9 of its objective, want 5 to 35", n)
+		t.Errorf("got %d of 60 sent while each response takes 0.9 of its objective, want 5 to 35", n)
 	}
 	if n := sent(10, 0.1, 500*ms, 15*time.Second); n != 10 {
-		t.Errorf("got %d of 10 sent after a while without slow answers, want all", n)
+		t.Errorf("got %d of 10 sent some time after the last slow response, want all", n)
 	}
 }
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// dispatch sends a request if its tenant has a free slot and a server can take it.
+// dispatch sends a request if its tenant has a free slot and a server is eligible, and reports whether it
+// did.
 func (b *Balancer) dispatch(now time.Duration, r *request) bool {
 	if !r.bulkhead.hasSlot() {
 		return false
@@ -14,17 +15,17 @@
 	return s != nil && b.send(now, r, s)
 }
 
-// retryOrFinish continues with a request whose attempts have all failed.
+// retryOrFinish retries, queues or finishes a request whose attempts have all failed.
 func (b *Balancer) retryOrFinish(now time.Duration, r *request) {
 	switch {
 	case len(r.attempts) >= b.cfg.MaxAttempts || !r.mayRepeat(now, nil) || now >= r.latestSend():
 		b.finish(r)
 	case !b.dispatch(now, r):
-		r.bulkhead.queue = slices.Insert(r.bulkhead.queue, 0, r) // it has waited longest
+		r.bulkhead.queue = slices.Insert(r.bulkhead.queue, 0, r) // the oldest request is served first
 	}
 }
 
-// maySend says whether a request may be sent to a server now.
+// maySend reports whether a request may be sent to a server now.
 func (b *Balancer) maySend(now time.Duration, r *request, s *server) bool {
 	facts := SendFacts{
 		Now: now, ClientDeadline: r.deadline, ShutdownDeadline: r.shutdownDeadline, RepeatDeadline: NoLimit,
@@ -38,7 +39,7 @@
 	return facts.Decide() == Allowed
 }
 
-// send starts an attempt. No other method does.
+// send starts an attempt if maySend permits it. It is the only method that calls Host.Send.
 func (b *Balancer) send(now time.Duration, r *request, s *server) bool {
 	if !b.maySend(now, r, s) {
 		return false
@@ -59,13 +60,13 @@
 	return true
 }
 
-// finish answers a request: with a refusal where that is true, otherwise with a failure. No other
-// method answers an accepted request.
+// finish refuses a request if the client may safely repeat it, and fails it otherwise. It is the only method
+// that answers an accepted request.
 func (b *Balancer) finish(r *request) {
 	if r.mayBeRefused() {
 		b.counters.Refused++
-		// The pause is random so that refused clients do not return together.
-		pause := time.Duration((1 + b.rng.Float64()) * float64(b.traffic.usualLatency))
+		// The pause is random so that refused clients do not retry simultaneously.
+		pause := time.Duration((1 + b.rng.Float64()) * float64(b.traffic.averageLatency))
 		b.host.Refuse(r.id, min(b.cfg.MaxRetryAfter, pause))
 	} else {
 		b.counters.Failed++
@@ -74,7 +75,8 @@
 	b.closeRequest(r)
 }
 
-// closeRequest removes a request that needs no answer any more from its queue and cancels its attempts.
+// closeRequest marks a request that needs no response any more as ended, removes it from its queue and
+// cancels its attempts.
 func (b *Balancer) closeRequest(r *request) {
 	r.ended = true
 	if i := slices.Index(r.bulkhead.queue, r); i >= 0 {
--- a/policy/dispatch_test.go
+++ b/policy/dispatch_test.go
@@ -34,7 +34,7 @@
 				t.Fatalf("got failed %v, want %v (refused: %v)", h.failed[1], c.fails, h.refused)
 			}
 			if c.retry && h.sends[1].to == h.sends[0].to {
-				t.Fatal("retried at the same server")
+				t.Fatal("the request was retried at the same server")
 			}
 		})
 	}
@@ -47,7 +47,7 @@
 		end(b, time.Duration(i+1)*ms, 1, i, NoConnection)
 	}
 	if _, ok := h.refused[1]; len(h.sends) != 3 || !ok {
-		t.Fatalf("got %d sends, refused %v; want 3 and a refusal, as it never ran", len(h.sends), ok)
+		t.Fatalf("got %d sends, refused %v; want 3 and a refusal, since the request never ran", len(h.sends), ok)
 	}
 }
 
@@ -57,7 +57,7 @@
 		{ID: 3, State: Ready, Weight: 1, Zone: 1, Cell: 12}, {ID: 4, State: Ready, Weight: 1, Zone: 1, Cell: 12},
 	}
 	byID := func(id ServerID) Endpoint { return list[id-1] }
-	for id := range RequestID(8) { // the rotation makes the first attempt meet every server
+	for id := range RequestID(8) { // vary the server of the first attempt by advancing the rotation
 		for _, class := range []int{keyedZoneClass, keyedCellClass} {
 			b, h := start(t, testConfig(), list)
 			for warm := range id {
@@ -70,13 +70,13 @@
 			end(b, 30*ms, 1, 0, Broken)
 			if len(h.sends) < 2 {
 				if class == keyedZoneClass || first.Zone == 1 {
-					t.Fatalf("class %d from server %d was not retried", class, first.ID)
+					t.Fatalf("class %d: the attempt at server %d was not retried", class, first.ID)
 				}
-				continue // alone in its cell
+				continue // the only server of its cell
 			}
 			second := byID(h.sends[1].to)
 			if second.Zone != first.Zone || (class == keyedCellClass && second.Cell != first.Cell) {
-				t.Fatalf("class %d was retried from server %d at %d, outside its scope", class, first.ID, second.ID)
+				t.Fatalf("class %d: the attempt at server %d was retried at %d, outside the deduplication scope", class, first.ID, second.ID)
 			}
 		}
 	}
@@ -97,26 +97,26 @@
 	if h.sends[0].to != 2 {
 		t.Fatalf("setup: first attempt at server %d, want 2", h.sends[0].to)
 	}
-	end(b, 3*ms, 1, 0, Rejected) // it never ran there, so it is not bound to zone 1
+	end(b, 3*ms, 1, 0, Rejected) // it never ran there, so it may be sent to another zone
 	if len(h.sends) != 2 || h.sends[1].to != 1 {
-		t.Fatalf("sends %v, want a second attempt at server 1", h.sends)
+		t.Fatalf("got sends %v, want a second attempt at server 1", h.sends)
 	}
-	end(b, 4*ms, 1, 1, Broken) // it may have run in zone 0, so server 2 may not get it
+	end(b, 4*ms, 1, 1, Broken) // it may have run in zone 0, so it must not be sent to server 2
 	if len(h.sends) != 2 {
-		t.Fatalf("sends %v, want none outside the scope", h.sends)
+		t.Fatalf("got sends %v, want none outside the deduplication scope", h.sends)
 	}
 }
 
 func TestDedupWindowAndRefusal(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2, 3))
 	submit(b, 0, 1, keyedAllClass)
-	end(b, 700*ms, 1, 0, Errored) // the window of 700 ms since its send is over
+	end(b, 700*ms, 1, 0, Errored) // the deduplication window of 700 ms since its first send has passed
 	if _, refused := h.refused[1]; len(h.sends) != 1 || !refused {
-		t.Fatalf("got %d sends, refused %v; want 1 and a refusal, as all servers drop repeats", len(h.sends), refused)
+		t.Fatalf("got %d sends, refused %v; want 1 and a refusal, since all servers drop repeats", len(h.sends), refused)
 	}
 	submit(b, 800*ms, 2, keyedZoneClass)
 	end(b, 1500*ms, 2, 0, Errored)
 	if !h.failed[2] {
-		t.Fatal("a request idempotent by key within its zone that may have run was not failed")
+		t.Fatal("a request that may have run and is idempotent by key only within a zone was not failed")
 	}
 }
--- a/policy/ejection_test.go
+++ b/policy/ejection_test.go
@@ -5,110 +5,111 @@
 	"time"
 )
 
-// lowTrafficConfig is a configuration with many balancers and little traffic of each to a server.
+// lowTrafficConfig returns a configuration with many balancers, each with little traffic per server.
 func lowTrafficConfig() Config {
 	cfg := testConfig()
 	cfg.Balancers, cfg.MayProbe, cfg.Slots = 1000, true, 8
 	return cfg
 }
 
-// slowTook is long enough to show a queue if the objective is a second.
-const slowTook = 320 * ms
+// slowLatency indicates a queue if the objective is a second.
+const slowLatency = 320 * ms
 
-// Otherwise every balancer would keep sending to a server with a queue, as none of them has more
-// than one request there.
+// Without ejection every balancer would keep sending to a server with a queue, since none of them has more
+// than one request in flight there.
 func TestServerWithQueueIsEjected(t *testing.T) {
 	b, h := start(t, lowTrafficConfig(), ready(1, 2))
 	ejectionTime := func(now time.Duration, id RequestID) time.Duration {
-		for ; ; id++ { // until server 1 is chosen
+		for ; ; id++ { // until server 1 is selected
 			submit(b, now, id, idempotentClass)
 			if h.sends[len(h.sends)-1].to == 1 {
-				end(b, now+slowTook, id, 0, Served)
-				return b.endpoints.find(1).ejection.until - now - slowTook
+				end(b, now+slowLatency, id, 0, Served)
+				return b.endpoints.find(1).ejection.until - now - slowLatency
 			}
 			end(b, now+ms, id, 0, Served)
 		}
 	}
 	pause := ejectionTime(0, 0)
-	if pause < ejectionLatencyFactor*slowTook/2 || pause > ejectionLatencyFactor*slowTook*3/2 {
-		t.Fatalf("ejected for %v, want about %v", pause, ejectionLatencyFactor*slowTook)
+	if pause < ejectionLatencyFactor*slowLatency/2 || pause > ejectionLatencyFactor*slowLatency*3/2 {
+		t.Fatalf("got an ejection of %v, want about %v", pause, ejectionLatencyFactor*slowLatency)
 	}
 	before := h.sentTo(1)
 	for id := RequestID(100); id < 110; id++ {
-		submit(b, slowTook+ms, id, idempotentClass)
-		end(b, slowTook+2*ms, id, 0, Served)
+		submit(b, slowLatency+ms, id, idempotentClass)
+		end(b, slowLatency+2*ms, id, 0, Served)
 	}
 	if h.sentTo(1) != before {
-		t.Fatal("an ejected server was chosen although another is healthy")
+		t.Fatal("an ejected server was selected although another one is healthy")
 	}
 	if more := ejectionTime(5*time.Second, 200); more < initialEjection || b.endpoints.find(1).ejection.consecutiveSlow != 2 {
-		t.Fatalf("ejected for %v after a second slow answer, %v after the first, want longer", more, pause)
+		t.Fatalf("got an ejection of %v after the second slow response and of %v after the first, want a longer one after the second", more, pause)
 	}
-	for id := RequestID(300); id < 310; id++ { // quick ones
+	for id := RequestID(300); id < 310; id++ { // fast responses
 		submit(b, 10*time.Second, id, idempotentClass)
 		end(b, 10*time.Second+ms, id, 0, Served)
 	}
 	if b.endpoints.find(1).ejection.consecutiveSlow != 0 {
-		t.Fatal("quick answers do not reset the count of slow ones")
+		t.Fatal("the count of slow responses was not reset by fast ones")
 	}
 }
 
-// Neither a failure without a queue nor a heavy request is evidence of a queue.
+// Neither failures without a queue nor heavy requests may cause an ejection.
 func TestOnlyQueuesCauseEjection(t *testing.T) {
 	for name, tt := range map[string]struct {
-		took    time.Duration
+		elapsed time.Duration
 		work    time.Duration
 		end     Ending
 		ejected bool
 	}{
 		"quick":     {100 * ms, 0, Served, false},
-		"slow":      {slowTook, 0, Served, true},
-		"heavy":     {slowTook, 200 * ms, Served, false},
-		"timed out": {slowTook, 0, TimedOut, true},
+		"slow":      {slowLatency, 0, Served, true},
+		"heavy":     {slowLatency, 200 * ms, Served, false},
+		"timed out": {slowLatency, 0, TimedOut, true},
 		"rejected":  {ms, 0, Rejected, true},
-		"error":     {slowTook, 0, Errored, false},
-		"broken":    {slowTook, 0, Broken, false},
-		"cancelled": {slowTook, 0, Cancelled, false},
+		"error":     {slowLatency, 0, Errored, false},
+		"broken":    {slowLatency, 0, Broken, false},
+		"cancelled": {slowLatency, 0, Cancelled, false},
 	} {
 		b, _ := start(t, lowTrafficConfig(), ready(1))
 		b.Request(0, Request{ID: 1, Class: nonIdempotentClass, TimeLeft: 3 * time.Second, ExpectedWork: tt.work})
-		end(b, tt.took, 1, 0, tt.end)
-		if got := b.ejected(tt.took, b.endpoints.find(1)); got != tt.ejected {
+		end(b, tt.elapsed, 1, 0, tt.end)
+		if got := b.ejected(tt.elapsed, b.endpoints.find(1)); got != tt.ejected {
 			t.Errorf("%s: got ejected %v, want %v", name, got, tt.ejected)
 		}
 	}
 }
 
-// With all servers congested, sending on would make every answer late, and requests would be queued
-// that no server can serve in time.
+// If a balancer kept sending while all servers are congested, every response would be late, and requests
+// would be queued that no server can serve before their deadline.
 func TestNothingIsSentWhileAllAreEjected(t *testing.T) {
 	b, h := start(t, lowTrafficConfig(), ready(1, 2))
 	for id := range RequestID(2) {
 		submit(b, 0, id, nonIdempotentClass)
 	}
 	for id := range RequestID(2) {
-		end(b, slowTook, id, 0, Served)
+		end(b, slowLatency, id, 0, Served)
 	}
-	if len(h.sends) != 2 || b.ejectedShare(slowTook, false) != 1 {
-		t.Fatalf("setup: sends %v, ejected share %v", h.sends, b.ejectedShare(slowTook, false))
+	if len(h.sends) != 2 || b.ejectedShare(slowLatency, false) != 1 {
+		t.Fatalf("setup: got sends %v and ejected share %v, want 2 sends and 1", h.sends, b.ejectedShare(slowLatency, false))
 	}
 	for id := RequestID(10); id < 40; id++ {
-		submit(b, slowTook, id, nonIdempotentClass)
+		submit(b, slowLatency, id, nonIdempotentClass)
 	}
 	if len(h.sends) != 2 || len(h.refused) < 20 {
-		t.Fatalf("got %d sends and %d of 30 refused at once, want none and at least 20", len(h.sends)-2, len(h.refused))
+		t.Fatalf("got %d sends and %d of 30 refused immediately, want none and at least 20", len(h.sends)-2, len(h.refused))
 	}
-	for now := slowTook; now < 4*time.Second; now += 10 * ms {
+	for now := slowLatency; now < 4*time.Second; now += 10 * ms {
 		b.Wake(now)
 	}
-	before := len(h.sends) // a queued one may have been sent when the first ejection ended
+	before := len(h.sends) // a queued request may have been sent when the first ejection ended
 	if submit(b, 4*time.Second, 50, nonIdempotentClass); len(h.sends) != before+1 {
-		t.Fatal("nothing is sent after the ejection")
+		t.Fatal("the request was not sent after the ejections ended")
 	}
 }
 
-// Otherwise a zone's own balancers would overload it while servers of the other zone are idle.
-func TestEjectionsSpillToTheOtherZone(t *testing.T) {
+// Without spillover the balancers of a congested zone would overload it while servers of the other zone are
+// idle.
+func TestEjectionsSpillOverToTheOtherZone(t *testing.T) {
 	cfg := lowTrafficConfig()
 	cfg.CrossZoneCost = 0.02
 	var list []Endpoint
@@ -134,13 +135,13 @@
 		return n
 	}
 	if n := crossings(0); n != 0 {
-		t.Errorf("got %d of 100 in the other zone while all near servers are healthy, want none", n)
+		t.Errorf("got %d of 100 in the other zone while all servers of the local zone are healthy, want none", n)
 	}
 	some := crossings(2)
 	if some == 0 || some > 50 {
-		t.Errorf("got %d of 100 in the other zone while some near servers are ejected, want 1 to 50", some)
+		t.Errorf("got %d of 100 in the other zone while some servers of the local zone are ejected, want 1 to 50", some)
 	}
 	if n := crossings(40); n != 100 {
-		t.Errorf("got %d of 100 in the other zone while all near servers are ejected, want all", n)
+		t.Errorf("got %d of 100 in the other zone while all servers of the local zone are ejected, want all", n)
 	}
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// peakWeightMemory is longer than servers are away because of a fault or a deployment.
-const peakWeightMemory = time.Minute
+// peakWeightTimeConstant is longer than a server is absent because of a fault or a deployment.
+const peakWeightTimeConstant = time.Minute
 
-// server is an endpoint with what this balancer knows of it.
+// server is an endpoint and this balancer's state for it.
 type server struct {
 	Endpoint
 	zone          *zone
-	inFlight      int           // attempts of this balancer
+	inFlight      int           // attempts of this balancer in flight
 	capacity      float64       // estimated, on the scale of the weights
-	answeredAt    time.Duration // the last good answer, or the start
+	lastSuccessAt time.Duration // time of the last successful response or of the detected restart
 	outsideSubset bool
-	unresponsive  bool // gets probes instead of requests
+	unresponsive  bool // receives probes instead of requests
 
-	// meanSquareShare is the mean square of the share of their objective that its recent answers took.
+	// meanSquareShare is the moving average of the squared share of their objective that its responses took.
 	meanSquareShare float64
 
 	health    health
@@ -29,22 +29,22 @@
 	slowStart slowStart
 }
 
-// reportedLoad is the part of a server's last load report that does not come from this balancer.
+// reportedLoad is the load of a server from other balancers by its last load report.
 type reportedLoad struct {
-	at            time.Duration // 0: there was none
+	at            time.Duration // time of the report; 0: there was none
 	otherInFlight float64
 }
 
-// learnLoad takes a server's load report.
+// learnLoad records a server's load report.
 func (s *server) learnLoad(now time.Duration, report LoadReport) {
 	if total := s.reportedInFlight(report); total >= 0 {
 		s.load = reportedLoad{at: now, otherInFlight: max(0, total-float64(s.inFlight))}
 	}
 }
 
-// reportedInFlight is how many requests a server holds by its report, or negative. If the report
-// contains only the queued ones, the running ones follow from the utilization: a server of weight 1
-// has about one core.
+// reportedInFlight returns the number of requests in flight at a server by its report; negative: unknown. If
+// the report contains only queued requests, the running ones are derived from the utilization: a server of
+// weight 1 has about one core.
 func (s *server) reportedInFlight(report LoadReport) float64 {
 	if report.InFlight >= 0 || report.Queued < 0 {
 		return report.InFlight
@@ -52,14 +52,14 @@
 	return report.Queued + max(0, report.Utilization)*s.Weight
 }
 
-// endpointList holds the servers that the endpoint list names.
+// endpointList holds the servers of the endpoint list.
 type endpointList struct {
-	servers []*server     // in the order in which the list named them
-	zones   map[int]*zone // those that have a server
+	servers []*server     // in the order in which they were first listed
+	zones   map[int]*zone // by number; zones that have a listed server
 
-	readyWeight   float64 // of all servers that are ready
-	healthyWeight float64 // of those that are not outliers
-	peakWeight    float64 // highest readyWeight, which decays towards the present one
+	readyWeight   float64 // of all ready servers
+	healthyWeight float64 // of the ready servers that are not outliers
+	peakWeight    float64 // highest readyWeight, which decays towards the current one
 	peakAt        time.Duration
 }
 
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// zone returns the state of a zone.
+// zone returns the state of a zone, which it creates if it does not exist.
 func (l *endpointList) zone(number int) *zone {
 	if l.zones[number] == nil {
 		l.zones[number] = new(zone)
@@ -79,22 +79,22 @@
 	return l.zones[number]
 }
 
-// markRemoved marks every server as removed until the list names it.
+// markRemoved marks all servers as removed; the entries of a complete list then restore the listed ones.
 func (l *endpointList) markRemoved() {
 	for _, s := range l.servers {
 		s.State = Removed
 	}
 }
 
-// dropRemoved forgets the servers that are removed.
+// dropRemoved deletes the servers that are marked as removed.
 func (l *endpointList) dropRemoved() {
 	l.servers = slices.DeleteFunc(l.servers, func(s *server) bool { return s.State == Removed })
 }
 
-// updateWeights adds up the weights. The peak decays slowly: while replacements overlap with what
-// they replace, the sum is too high.
+// updateWeights recalculates the sums of the weights. The peak decays slowly because the sum is too high
+// while replacement servers overlap with those they replace.
 func (l *endpointList) updateWeights(now time.Duration) {
-	decay := math.Exp(-float64(now-l.peakAt) / float64(peakWeightMemory))
+	decay := math.Exp(-float64(now-l.peakAt) / float64(peakWeightTimeConstant))
 	l.peakWeight = l.readyWeight + (l.peakWeight-l.readyWeight)*decay
 	l.peakAt = now
 	l.readyWeight, l.healthyWeight = 0, 0
@@ -109,12 +109,12 @@
 	l.peakWeight = max(l.peakWeight, l.readyWeight)
 }
 
-// weightShare is a server's part of a total by its weight in the largest recent list.
+// weightShare returns a server's share of a total, by its weight relative to the peak weight.
 func (l *endpointList) weightShare(total float64, s *server) float64 {
 	return total * s.Weight / max(l.peakWeight, s.Weight)
 }
 
-// List takes a message about the endpoint list.
+// List applies a list event.
 func (b *Balancer) List(now time.Duration, kind ListKind, entries []Endpoint) {
 	if kind == ListFailed {
 		b.ListLost(now, ListLoss{Unresponsive: true})
@@ -131,41 +131,41 @@
 	}
 	b.endpoints.dropRemoved()
 	if b.bulkheads.expectedInFlight == 0 {
-		b.sizeBulkheads() // no quotas: the first list is all there is to go by
+		b.sizeBulkheads() // without quotas the size depends on the first list
 	}
-	b.endpoints.forgetZones()
+	b.endpoints.dropUnlistedZones()
 	b.endpoints.updateWeights(now)
 	b.classifyTraffic()
 	b.dispatchQueued(now)
 }
 
-// updateEndpoint takes one entry of the list.
+// updateEndpoint adds or updates the server of one list entry.
 func (b *Balancer) updateEndpoint(now time.Duration, e Endpoint) {
 	if !(e.Weight > 0) || math.IsInf(e.Weight, 0) {
-		e.Weight = 1 // without weights all servers count alike
+		e.Weight = 1 // servers without a valid weight are weighted equally
 	}
 	s := b.endpoints.find(e.ID)
 	if s == nil {
 		s = new(server)
-		s.rotation.current = b.rng.Float64() * e.Weight // balancers must not rotate in step
+		s.rotation.current = b.rng.Float64() * e.Weight // balancers must not rotate in lockstep
 		b.endpoints.servers = append(b.endpoints.servers, s)
 	}
 	restarted := e.Started > s.Started
 	s.Endpoint, s.zone = e, b.endpoints.zone(e.Zone)
-	s.capacity = b.capacities.of(e.Weight, b.traffic.usualLatency)
+	s.capacity = b.capacities.estimate(e.Weight, b.traffic.averageLatency)
 	if restarted {
 		b.resetServer(now, s)
 	}
 }
 
-// resetServer takes that a server has started: it warms up, and what was known of it is void.
+// resetServer resets the state of a server that has restarted and begins its slow start.
 func (b *Balancer) resetServer(now time.Duration, s *server) {
 	s.slowStart.warmAt = max(s.slowStart.warmAt, s.Started+b.cfg.SlowStartWindow)
-	s.health.recovered()
-	s.answeredAt = now
+	s.health.reset()
+	s.lastSuccessAt = now
 	s.ejection = ejection{}
 	s.recordArrival(now)
-	// All balancers are notified at once, and their first sends together would overload it.
+	// All balancers are notified at the same time, and simultaneous first sends would overload the server.
 	firstSend := time.Duration(b.rng.Float64() * float64(b.slowStartInterval(now, s)))
-	s.slowStart.nextSend = now + firstSend
+	s.slowStart.nextSendAt = now + firstSend
 }
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestDrainingServerGetsNothingNew(t *testing.T) {
+func TestDrainingServerGetsNoNewRequests(t *testing.T) {
 	for _, state := range []EndpointState{Draining, Removed} {
 		b, h := start(t, testConfig(), ready(1, 2))
 		b.List(10*ms, ListDelta, []Endpoint{{ID: 1, State: state, Weight: 1}})
@@ -20,6 +20,6 @@
 		submit(b, 10*ms, id, idempotentClass)
 	}
 	if h.sentTo(1) != 0 {
-		t.Fatal("sent to a server that is absent from the full list")
+		t.Fatal("a request was sent to a server that is absent from the full list")
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"barleywick/policy"
 )
 
-// sidecar stands for the program that embeds the package and carries out its decisions.
+// sidecar represents the program that embeds the package and executes its decisions.
 type sidecar struct{}
 
 func (sidecar) Send(id policy.RequestID, to policy.ServerID, timeout, start time.Duration) {
@@ -33,7 +33,7 @@
 		fmt.Println(err)
 		return
 	}
-	now := time.Duration(0) // since any moment the program picks
+	now := time.Duration(0) // the time origin is arbitrary
 	b.Start(now)
 	b.List(now, policy.ListFull, []policy.Endpoint{{ID: 7, State: policy.Ready, Weight: 1}})
 	for id := range policy.RequestID(3) { // one slot and one queue place: the third is refused
--- a/policy/fixtures_test.go
+++ b/policy/fixtures_test.go
@@ -10,8 +10,9 @@
 	"barleywick/internal/testing/fixture"
 )
 
-// Two processes of different versions exchange bulkhead capacities during a take-over.
-func TestBulkheadCapacitiesReadAndWrittenAsBefore(t *testing.T) {
+// Processes of different versions exchange bulkhead capacities during a take-over, so their JSON must not
+// change.
+func TestBulkheadCapacityJSONIsUnchanged(t *testing.T) {
 	text := fixture.Read(t, "bulkheads.json")
 	want := []BulkheadCapacity{{Slots: 3, Places: 1}, {}, {Slots: 12, Places: 2}}
 	var got []BulkheadCapacity
@@ -30,8 +31,9 @@
 	}
 }
 
-// The counters appear in the JSON log, in the text log and in the simulator's log.
-func TestCountersAreLoggedAsBefore(t *testing.T) {
+// The counters appear in the JSON log, in the text log and in the simulator's log, whose readers depend on
+// the names.
+func TestCounterLogFormatIsUnchanged(t *testing.T) {
 	c := Counters{Ordinary: 1, Passed: 2, Trials: 3, Shed: 4, Retries: 5, Refused: 6, Failed: 7}
 	written, err := json.Marshal(c)
 	if err != nil {
@@ -45,8 +47,8 @@
 	}
 }
 
-// The texts of denials are labels of a metric.
-func TestDenialTextsAreAsBefore(t *testing.T) {
+// The texts of denials are metric labels.
+func TestDenialTextsAreUnchanged(t *testing.T) {
 	got := ""
 	for d := range NumDenials + 1 {
 		got += d.String() + "\n"
--- a/policy/fleetlimits.go
+++ b/policy/fleetlimits.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// FleetLimits is what the fleet policy leaves of the configured limits. Each limit can only become
-// stricter, and one that is left out stays as it is configured.
+// FleetLimits are the limits set by the fleet policy. They can only be stricter than the configured limits; a
+// limit that is not set stays as configured.
 type FleetLimits struct {
 	Bulkheads   []BulkheadCapacity // by tenant
 	MaxAttempts int                // 0: as configured
 	NoProbes    bool
 }
 
-// fleetLimits are the fleet limits in force, and the configured values that they limit.
+// fleetLimits are the fleet limits in force and the configured values that they restrict.
 type fleetLimits struct {
 	fleet       FleetLimits
 	maxAttempts int
@@ -22,8 +22,8 @@
 	return fleetLimits{maxAttempts: cfg.MaxAttempts, mayProbe: cfg.MayProbe, balancers: cfg.Balancers}
 }
 
-// SetFleetLimits puts other fleet limits in force. Attempts in flight end under the limits that they
-// began under. A queue keeps its requests unless its tenant is not to be served any more.
+// SetFleetLimits replaces the fleet limits. Attempts in flight are not affected. Queued requests stay in the
+// queue, unless their tenant has no slots any more: those are finished immediately.
 func (b *Balancer) SetFleetLimits(now time.Duration, limits FleetLimits) {
 	b.limits.fleet = limits
 	b.applyFleetLimits()
@@ -35,8 +35,8 @@
 	b.dispatchQueued(now)
 }
 
-// applyFleetLimits puts the stricter of the configured and the fleet's limits in force. A process that
-// has handed over keeps the bulkheads that it needs to end.
+// applyFleetLimits applies the stricter of the configured and the fleet's limits. A process that has handed
+// over keeps the bulkhead capacity that it needs for its remaining requests.
 func (b *Balancer) applyFleetLimits() {
 	b.cfg.MayProbe = b.limits.mayProbe && !b.limits.fleet.NoProbes
 	b.cfg.MaxAttempts = b.limits.maxAttempts
@@ -48,5 +48,6 @@
 	}
 }
 
-// SetFleetSize takes another number of balancers. One below the configured number is not believed.
+// SetFleetSize sets the number of balancers. Values below the configured number are raised to it, since a low
+// count would increase this balancer's share of budgets.
 func (b *Balancer) SetFleetSize(n int) { b.cfg.Balancers = max(b.limits.balancers, n) }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -8,14 +8,14 @@
 
 const ms = time.Millisecond
 
-// sentAttempt is an attempt that a test host was asked to start.
+// sentAttempt is an attempt that was passed to fakeHost.Send.
 type sentAttempt struct {
 	id      RequestID
 	to      ServerID
 	timeout time.Duration
 }
 
-// fakeHost records the actions of a Balancer.
+// fakeHost is a Host that records the actions of a Balancer.
 type fakeHost struct {
 	sends     []sentAttempt
 	refused   map[RequestID]time.Duration
@@ -31,43 +31,43 @@
 	return &fakeHost{refused: map[RequestID]time.Duration{}, failed: map[RequestID]bool{}}
 }
 
-func (h *fakeHost) note(format string, args ...any) {
+func (h *fakeHost) recordAction(format string, args ...any) {
 	h.trace = append(h.trace, fmt.Sprintf(format, args...))
 }
 
 func (h *fakeHost) Send(id RequestID, to ServerID, timeout, start time.Duration) {
 	h.sends = append(h.sends, sentAttempt{id, to, timeout})
-	h.note("send %d %d %v", id, to, timeout)
+	h.recordAction("send %d %d %v", id, to, timeout)
 }
 
 func (h *fakeHost) Refuse(id RequestID, pause time.Duration) {
 	h.refused[id] = pause
-	h.note("refuse %d %v", id, pause)
+	h.recordAction("refuse %d %v", id, pause)
 }
 
 func (h *fakeHost) Fail(id RequestID) {
 	h.failed[id] = true
-	h.note("fail %d", id)
+	h.recordAction("fail %d", id)
 }
 
 func (h *fakeHost) Cancel(id RequestID, attempt int) {
 	h.cancelled = append(h.cancelled, id)
-	h.note("cancel %d %d", id, attempt)
+	h.recordAction("cancel %d %d", id, attempt)
 }
 
 func (h *fakeHost) Wake(d time.Duration) {
 	h.wakes = append(h.wakes, d)
-	h.note("wake %v", d)
+	h.recordAction("wake %v", d)
 }
 
 func (h *fakeHost) Probe(to ServerID) {
 	h.probes = append(h.probes, to)
-	h.note("probe %d", to)
+	h.recordAction("probe %d", to)
 }
 
 func (h *fakeHost) WatchList() {
 	h.watches++
-	h.note("watch")
+	h.recordAction("watch")
 }
 
 // sentTo counts the attempts at a server.
@@ -117,12 +117,12 @@
 func ready(ids ...ServerID) []Endpoint {
 	var list []Endpoint
 	for _, id := range ids {
-		list = append(list, Endpoint{ID: id, Cell: -int(id), State: Ready, Weight: 1}) // each in its own cell, as without listed cells
+		list = append(list, Endpoint{ID: id, Cell: -int(id), State: Ready, Weight: 1}) // each in a cell of its own
 	}
 	return list
 }
 
-// start makes a Balancer with an endpoint list.
+// start returns a started Balancer with an endpoint list.
 func start(t testing.TB, cfg Config, list []Endpoint) (*Balancer, *fakeHost) {
 	t.Helper()
 	h := newFakeHost()
@@ -135,12 +135,12 @@
 	return b, h
 }
 
-// submit sends a request of tenant 0.
+// submit passes a request of tenant 0 with 2 s left to a Balancer.
 func submit(b *Balancer, now time.Duration, id RequestID, class int) {
 	b.Request(now, Request{ID: id, Class: class, TimeLeft: 2 * time.Second})
 }
 
-// end ends an attempt of a request.
+// end reports the end of an attempt to a Balancer.
 func end(b *Balancer, now time.Duration, id RequestID, attempt int, e Ending) {
 	b.Outcome(now, Outcome{ID: id, Attempt: attempt, Ending: e, Settled: e == Served})
 }
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -7,8 +7,8 @@
 	"unicode/utf8"
 )
 
-// The main file of the module stays short enough to be read at once.
-func TestModuleStaysWithinItsLimits(t *testing.T) {
+// The main file of the package must stay short enough to be read in one go.
+func TestMainFileStaysWithinItsSizeLimits(t *testing.T) {
 	const mostLines, mostColumns = 550, 110
 	text, err := os.ReadFile("policy.go")
 	if err != nil {
@@ -20,13 +20,13 @@
 			lines++
 		}
 		if utf8.RuneCountInString(line) > mostColumns {
-			t.Errorf("line %d has more than %d characters", n+1, mostColumns)
+			t.Errorf("policy.go: line %d has more than %d characters", n+1, mostColumns)
 		}
 	}
 	if lines > mostLines {
-		t.Errorf("got %d lines that are not blank, want at most %d", lines, mostLines)
+		t.Errorf("policy.go: got %d non-blank lines, want at most %d", lines, mostLines)
 	}
 	if head, _, _ := strings.Cut(string(text), "\npackage "); !strings.Contains(head, "api.go") {
-		t.Error("the head of the file does not name api.go")
+		t.Error("policy.go: the text before the package clause does not refer to api.go")
 	}
 }
--- a/policy/listpoll_test.go
+++ b/policy/listpoll_test.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// If all balancers lose the list together, their calls must not keep the service from answering any.
+// If all balancers lose the list together, their calls must not overload the service so that all of them
+// fail.
 func TestPollsOfManyBalancersAreSpread(t *testing.T) {
 	const many = 80
 	cfg := testConfig()
 	cfg.PollList, cfg.Balancers = true, many
-	calls := make([]int, 20) // in each half second
+	calls := make([]int, 20) // number of polls in each half second
 	for seed := range uint64(many) {
 		h := newFakeHost()
 		b, err := New(cfg, seed, h)
@@ -32,21 +33,21 @@
 	sum := 0
 	for i, n := range calls {
 		if sum += n; n > many/4 {
-			t.Errorf("got %d of %d balancers polling within half a second, %v after they all lost the list", n, many, time.Duration(i)*500*ms)
+			t.Errorf("got %d of %d balancers polling within half a second, %v after all lost the list, want at most a fourth", n, many, time.Duration(i)*500*ms)
 		}
 	}
 	if sum < many {
-		t.Errorf("got %d polls in 10 s, want at least one of each balancer", sum)
+		t.Errorf("got %d polls in 10 s, want at least one per balancer", sum)
 	}
 }
 
-// After a watch became unresponsive or a call failed, the next poll must come early enough not to
-// send to a draining server after the drain grace.
-func TestPollsComeInTimeForDrainingServers(t *testing.T) {
+// After a watch became unresponsive or a call failed, a late poll would let the balancer send to a draining
+// server after the drain grace.
+func TestPollsComeBeforeTheDrainGraceEnds(t *testing.T) {
 	const (
-		notified = 6 * time.Second // after the watch became unresponsive, or discovery was back
-		noticed  = 3 * time.Second // after the watch became unresponsive
-		takes    = time.Second     // a call that is answered, at most
+		notifiedAfter   = 6 * time.Second // after the watch became unresponsive, or discovery recovered
+		detectedAfter   = 3 * time.Second // after the watch became unresponsive
+		maxCallDuration = time.Second     // of a successful call
 	)
 	for _, grace := range []time.Duration{300 * ms, 500 * ms, 1500 * ms, 3 * time.Second} {
 		for seed := range uint64(200) {
@@ -58,24 +59,24 @@
 				t.Fatal(err)
 			}
 			b.Start(0)
-			now := noticed // the watch was unresponsive from the start
+			now := detectedAfter // the watch is unresponsive from the start
 			for call := range 4 {
 				b.List(now, ListFailed, nil)
-				before, from := h.watches, now-noticed // the call was unresponsive, like the watch
+				before, from := h.watches, now-detectedAfter // the call is unresponsive, like the watch
 				for ; h.watches == before && now < from+time.Minute; now += 10 * ms {
 					b.Wake(now)
 				}
-				if now-from > notified+grace-takes {
-					t.Fatalf("grace %v, seed %d: poll %d comes %v after the change that it asks for", grace, seed, call, now-from)
+				if now-from > notifiedAfter+grace-maxCallDuration {
+					t.Fatalf("grace %v, seed %d: poll %d comes %v after the change, too late to act on it within the drain grace", grace, seed, call, now-from)
 				}
 			}
 		}
 	}
 }
 
-// A few balancers cost the service little, so a failed poll is repeated soon enough for another
-// failure.
-func TestFewBalancersPollAgainSoon(t *testing.T) {
+// The calls of a few balancers cost the service little, so a failed poll is repeated early enough for another
+// retry.
+func TestSmallFleetRetriesFailedPollsSoon(t *testing.T) {
 	cfg := testConfig()
 	cfg.PollList, cfg.PollDeadline, cfg.Balancers, cfg.DrainGrace = true, 10*time.Second, 5, 500*ms
 	h := newFakeHost()
@@ -92,7 +93,7 @@
 			b.Wake(now)
 		}
 		if now-from > 1600*ms {
-			t.Fatalf("poll %d comes %v after a failed one, want at most 1.6 s", call, now-from)
+			t.Fatalf("poll %d: got a delay of %v after a failed one, want at most 1.6 s", call, now-from)
 		}
 	}
 }
@@ -116,17 +117,17 @@
 		}
 	}
 	if len(gaps) < 4 || slices.Max(gaps) >= cfg.PollDeadline || gaps[0] >= gaps[len(gaps)-1] {
-		t.Fatalf("gaps between polls %v, want them to grow and none to reach %v", gaps, cfg.PollDeadline)
+		t.Fatalf("got intervals between polls %v, want them to grow and none to reach %v", gaps, cfg.PollDeadline)
 	}
 	if b.endpoints.find(1) == nil {
-		t.Fatal("a failed poll dropped the old list")
+		t.Fatal("the previous list was dropped after a failed poll")
 	}
 	b.List(40*time.Second, ListFull, ready(1))
 	for now := 40 * time.Second; now < 60*time.Second; now += 10 * ms {
 		b.Wake(now)
 	}
 	if h.watches != polls {
-		t.Fatal("polls although it is subscribed")
+		t.Fatal("the balancer polled although it is subscribed")
 	}
 }
 
@@ -140,11 +141,11 @@
 		b.Wake(now)
 	}
 	if h.watches < 2 {
-		t.Fatal("no second poll before a change would have counted as notified")
+		t.Fatal("got no second poll before a change would have counted as notified")
 	}
 }
 
-// Without a known deadline the balancer must neither poll at every Wake nor never again.
+// Without a known poll deadline the balancer must neither poll at every Wake nor stop polling.
 func TestUnansweredPollIsRepeatedWithoutADeadline(t *testing.T) {
 	cfg := testConfig()
 	cfg.PollList, cfg.PollDeadline = true, 0
@@ -159,11 +160,11 @@
 	}
 }
 
-// If subscriptions were broken off, each balancer of a large fleet polls soon, as missed changes would
-// count as notified otherwise. Those whose calls are rejected use all of the time that is left.
-func TestPollsOfALargeFleetUseTheTimeLeft(t *testing.T) {
-	const fleet, due = 300, notificationDeadline + 3*time.Second
-	second := make([]int, due/time.Second+1) // second polls, by the second in which they come
+// After subscriptions ended, each balancer of a large fleet must poll soon, before missed changes count as
+// notified. Balancers whose calls are rejected must spread their next polls over all of the time left.
+func TestPollsOfALargeFleetUseTheRemainingTime(t *testing.T) {
+	const fleet, endOfTimeLeft = 300, notificationDeadline + 3*time.Second
+	secondPolls := make([]int, endOfTimeLeft/time.Second+1) // number of second polls in each second
 	for seed := range uint64(fleet) {
 		cfg := testConfig()
 		cfg.PollList, cfg.Balancers, cfg.DrainGrace = true, fleet, 3*time.Second
@@ -175,26 +176,26 @@
 		b.Start(0)
 		b.ListLost(0, ListLoss{Reached: true})
 		var calls []time.Duration
-		for now := 10 * ms; now < due; now += 10 * ms {
+		for now := 10 * ms; now < endOfTimeLeft; now += 10 * ms {
 			before := h.watches
 			if b.Wake(now); h.watches > before {
 				calls = append(calls, now)
 				b.ListLost(now, ListLoss{Reached: true})
 			}
 		}
-		if len(calls) < 2 || calls[0] > firstPollWithin+20*ms || calls[len(calls)-1] < due-3*time.Second {
-			t.Fatalf("seed %d: got polls at %v, want the first by %v and the last near %v", seed, calls, firstPollWithin, due)
+		if len(calls) < 2 || calls[0] > maxFirstPollDelay+20*ms || calls[len(calls)-1] < endOfTimeLeft-3*time.Second {
+			t.Fatalf("seed %d: got polls at %v, want the first by %v and the last close to %v", seed, calls, maxFirstPollDelay, endOfTimeLeft)
 		}
-		second[calls[1]/time.Second]++
+		secondPolls[calls[1]/time.Second]++
 	}
-	for at, n := range second {
+	for at, n := range secondPolls {
 		if n > fleet/4 {
-			t.Errorf("got %d of %d balancers polling again in second %d, want at most a fourth", n, fleet, at)
+			t.Errorf("got %d of %d balancers making their second poll in second %d, want at most a fourth", n, fleet, at)
 		}
 	}
 }
 
-// A few balancers subscribe at once, many one after the other and all in time.
+// Watches of a large fleet must not open simultaneously, nor later than maxStagger.
 func TestSubscriptionsOfALargeFleetAreStaggered(t *testing.T) {
 	for balancers, want := range map[int]time.Duration{5: 0, 25: 0, 80: 2200 * ms, 300: maxStagger, 900: maxStagger} {
 		if got := SubscribeDelay(balancers); got != want {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -2,55 +2,55 @@
 
 import "time"
 
-// Outlier detection: a server that fails gets nothing but a recovery attempt after each pause.
+// Outlier detection: a server that fails gets only recovery attempts, one after each backoff.
 
 const (
 	initialBackoff = 250 * time.Millisecond // before the first recovery attempt
-	maxBackoff     = 4 * time.Second        // the pause doubles after each failure up to this
-	// maxBackoffDoublings keeps a shift from overflowing; the maximum is reached long before.
+	maxBackoff     = 4 * time.Second        // the backoff doubles after each failure up to this
+	// maxBackoffDoublings prevents a shift from overflowing; the maximum is reached long before.
 	maxBackoffDoublings = 16
 )
 
-// health is the evidence for and against a server.
+// health is the failure state of a server.
 type health struct {
-	outlier             bool          // gets only recovery attempts
-	suspected           bool          // after one failure that may be chance
-	consecutiveFailures int           // since the last good answer
-	lastFailureAt       time.Duration // of an error or a broken connection
-	recoveryAt          time.Duration // when the next recovery attempt or probe is due
+	outlier             bool          // receives only recovery attempts
+	suspected           bool          // after one failure, which may be accidental
+	consecutiveFailures int           // since the last served response
+	lastFailureAt       time.Duration // time of the last error or broken connection
+	recoveryAt          time.Duration // time of the next recovery attempt or probe
 }
 
-// recovered takes back all evidence against a server.
-func (h *health) recovered() {
+// reset clears the failure state of a server, apart from its times.
+func (h *health) reset() {
 	h.outlier, h.suspected, h.consecutiveFailures = false, false, 0
 }
 
-// backoff is the pause after a number of failures. It is random so that balancers do not act together.
+// backoff returns the delay after a number of failures. It is random so that balancers do not act together.
 func (b *Balancer) backoff(failures int) time.Duration {
 	pause := min(initialBackoff<<min(failures, maxBackoffDoublings), maxBackoff)
 	return time.Duration(float64(pause) * (0.5 + b.rng.Float64()))
 }
 
-// observeOutcome learns from the end of an attempt.
-func (b *Balancer) observeOutcome(now time.Duration, r *request, a *attempt, end Ending) {
-	s, took := a.server, now-a.sentAt
-	if end == Served || end == TimedOut {
-		s.observeObjectiveShare(float64(took) / float64(r.class.LatencyObjective))
+// observeOutcome updates the server's health, the traffic averages and the congestion after an attempt.
+func (b *Balancer) observeOutcome(now time.Duration, r *request, a *attempt, ending Ending) {
+	s, elapsed := a.server, now-a.sentAt
+	if ending == Served || ending == TimedOut {
+		s.observeObjectiveShare(float64(elapsed) / float64(r.class.LatencyObjective))
 	}
-	b.observeQueueing(now, r, s, took, end)
-	if end == Served || end == Errored || end == Rejected {
+	b.observeQueueing(now, r, s, elapsed, ending)
+	if ending == Served || ending == Errored || ending == Rejected {
 		s.recordArrival(now)
 	}
-	switch end {
+	switch ending {
 	case Served:
-		b.traffic.observeLatency(r.class, took)
+		b.traffic.observeLatency(r.class, elapsed)
 		b.markHealthy(now, s)
 	case TimedOut:
-		if s.answeredAt <= a.sentAt { // nothing at all came from it meanwhile
+		if s.lastSuccessAt <= a.sentAt { // no response from the server since the attempt was sent
 			b.markUnresponsive(now, s)
 		}
 	case Errored, Broken:
-		b.observeError(now, a, end)
+		b.observeError(now, a, ending)
 	case NoConnection:
 		b.markUnresponsive(now, s)
 	case Rejected:
@@ -58,11 +58,11 @@
 	}
 }
 
-// observeError takes an error or a broken connection. A single one may be chance; two without a good
-// answer between them are evidence. Connections that break together count once.
-func (b *Balancer) observeError(now time.Duration, a *attempt, end Ending) {
+// observeError handles an error or a broken connection. A single one may be accidental; a second without a
+// served response in between makes the server an outlier. Connections that break together count once.
+func (b *Balancer) observeError(now time.Duration, a *attempt, ending Ending) {
 	s := a.server
-	if end == Broken && a.sentAt < s.health.lastFailureAt {
+	if ending == Broken && a.sentAt < s.health.lastFailureAt {
 		return
 	}
 	s.health.lastFailureAt = now
@@ -72,17 +72,17 @@
 	s.health.suspected = true
 }
 
-// markHealthy takes a good answer, after which nothing counts against the server any more.
+// markHealthy resets a server's health after a successful response.
 func (b *Balancer) markHealthy(now time.Duration, s *server) {
 	wasOutlier := s.health.outlier
-	s.answeredAt = now
-	s.health.recovered()
+	s.lastSuccessAt = now
+	s.health.reset()
 	if wasOutlier {
 		b.endpoints.updateWeights(now)
 	}
 }
 
-// recordFailure takes evidence against a server, which makes it an outlier.
+// recordFailure makes a server an outlier and schedules its next recovery attempt.
 func (b *Balancer) recordFailure(now time.Duration, s *server) {
 	s.health.recoveryAt = now + b.backoff(s.health.consecutiveFailures)
 	s.health.consecutiveFailures++
--- a/policy/pages_test.go
+++ b/policy/pages_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// The page on decisions names every counter, and none that does not exist.
-func TestPageNamesTheCounters(t *testing.T) {
+// The page on decisions must list every counter and no unknown ones.
+func TestPageListsEveryCounter(t *testing.T) {
 	page, err := os.ReadFile("../docs/DECISIONS.md")
 	if err != nil {
 		t.Fatal(err)
@@ -20,13 +20,13 @@
 	}
 	for _, m := range regexp.MustCompile("`([A-Z][A-Za-z]+)`").FindAllSubmatch(page, -1) {
 		if _, ok := known[string(m[1])]; !ok {
-			t.Errorf("the page names %s, which does not exist", m[1])
+			t.Errorf("DECISIONS.md names %s, which does not exist", m[1])
 		}
 		known[string(m[1])] = true
 	}
 	for name, named := range known {
 		if !named {
-			t.Errorf("the page does not name %s", name)
+			t.Errorf("DECISIONS.md does not name %s", name)
 		}
 	}
 }
--- a/policy/permit_test.go
+++ b/policy/permit_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Each fact alone denies a send, and the first one is the reason given.
+// Each fact alone must deny a send. If several apply, the first one is returned.
 func TestEachFactDeniesASend(t *testing.T) {
 	allowed := SendFacts{Now: 10, ClientDeadline: 20, ShutdownDeadline: NoLimit, RepeatDeadline: NoLimit, ServerState: Ready, MaxAttempts: 3}
 	if got := allowed.Decide(); got != Allowed {
@@ -35,19 +35,19 @@
 	another := allowed
 	another.InFlight = 1
 	if got := another.Decide(); got != DeniedAttemptLimit {
-		t.Errorf("one is in flight: got %v, want %v", got, DeniedAttemptLimit)
+		t.Errorf("one attempt in flight: got %v, want %v", got, DeniedAttemptLimit)
 	}
 	for d := range NumDenials {
 		if d.String() == "" || d.String() == "unknown" {
-			t.Errorf("denial %d has no name", int(d))
+			t.Errorf("denial %d has no text", int(d))
 		}
 	}
 }
 
-func TestCloseIsDeniedWhileAResponseIsOwed(t *testing.T) {
+func TestCloseIsDeniedWhileAResponseIsOutstanding(t *testing.T) {
 	for want, all := range map[Denial][]CloseFacts{
-		Allowed:            {{}, {Answered: true}, {RequestRead: true, Answered: true}},
-		DeniedResponseOwed: {{RequestRead: true}, {InProgress: true}, {InProgress: true, RequestRead: true, Answered: true}},
+		Allowed:                   {{}, {Answered: true}, {RequestRead: true, Answered: true}},
+		DeniedResponseOutstanding: {{RequestRead: true}, {InProgress: true}, {InProgress: true, RequestRead: true, Answered: true}},
 	} {
 		for _, c := range all {
 			if got := c.Decide(); got != want {
@@ -57,10 +57,10 @@
 	}
 }
 
-func TestStartLeavesTimeToEnd(t *testing.T) {
-	for takes, want := range map[time.Duration]Denial{5: Allowed, 6: DeniedShutdown} {
-		if got := (StartFacts{Now: 10, ShutdownDeadline: 15, MaxDuration: takes}).Decide(); got != want {
-			t.Errorf("duration %d of 5: got %v, want %v", takes, got, want)
+func TestStartIsDeniedIfItMayOutlastTheShutdown(t *testing.T) {
+	for maxDuration, want := range map[time.Duration]Denial{5: Allowed, 6: DeniedShutdown} {
+		if got := (StartFacts{Now: 10, ShutdownDeadline: 15, MaxDuration: maxDuration}).Decide(); got != want {
+			t.Errorf("duration %d with 5 left: got %v, want %v", maxDuration, got, want)
 		}
 	}
 	if got := (StartFacts{Now: 10, ShutdownDeadline: NoLimit, MaxDuration: time.Hour}).Decide(); got != Allowed {
@@ -68,14 +68,15 @@
 	}
 }
 
-// A process has to be done before the platform kills it, the longest deadline and 0.7 s after the signal.
+// A process must finish before the platform kills it, which happens 0.7 s plus the longest deadline after the
+// termination signal.
 func TestShutdownEndsBeforeTheKill(t *testing.T) {
 	for longest, kill := range map[time.Duration]time.Duration{
 		500 * ms: 1200 * ms, 1900 * ms: 2600 * ms, 3 * time.Second: 3700 * ms, 6 * time.Second: 3700 * ms, 0: 3700 * ms,
 	} {
 		got := ShutdownTimeout([]Class{{Deadline: longest}, {Deadline: longest / 2}})
 		if got <= 0 || got > kill-200*ms {
-			t.Errorf("longest deadline %v: got a timeout of %v, the kill comes after %v", longest, got, kill)
+			t.Errorf("longest deadline %v: got a timeout of %v, want a positive one at least 200 ms before the kill after %v", longest, got, kill)
 		}
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -10,29 +10,29 @@
 
 const (
 	busyTick = 10 * time.Millisecond  // period of the checks while requests are open
-	idleTick = 100 * time.Millisecond // period of the checks while none is open
+	idleTick = 100 * time.Millisecond // period of the checks while no request is open
 
-	// initialLatencyDivisor makes an answer's usual time from the objective before any is known.
+	// initialLatencyDivisor divides the objective to give the initial average latency.
 	initialLatencyDivisor = 8
-	maxTimeLeft           = time.Hour // bounds the time left that a host may give
+	maxTimeLeft           = time.Hour // limits the time left that a host passes
 )
 
 // Balancer makes the decisions of one sidecar.
 type Balancer struct {
-	cfg      Config // with what the fleet limits leave of it: MaxAttempts, MayProbe and Balancers
+	cfg      Config // MaxAttempts, MayProbe and Balancers as restricted by the fleet limits
 	host     Host
 	rng      *rand.Rand
 	classes  []class
 	counters Counters
 
 	requests     map[RequestID]*request
-	openRequests []*request // in the order of arrival; Wake removes those that have ended
+	openRequests []*request // in order of arrival; Wake removes the ended ones
 
 	endpoints  endpointList
 	bulkheads  bulkheads
 	limits     fleetLimits
 	takeover   takeoverState
-	advice     adviceInForce
+	advice     activeAdvice
 	subset     subset
 	traffic    traffic
 	capacities capacityModel
@@ -40,11 +40,11 @@
 	probes     unresponsiveProbes
 	poll       listPoll
 
-	cells  []cell        // of the selection under way; kept to save allocations
-	wakeAt time.Duration // when the next call of Wake is due; 0: none was asked for
+	cells  []cell        // of the current selection; reused to save allocations
+	wakeAt time.Duration // time of the next scheduled call of Wake; 0: none
 }
 
-// New makes a Balancer. An error names the unusable field of the configuration.
+// New returns a Balancer. An error names the invalid field of the configuration.
 func New(cfg Config, seed uint64, host Host) (*Balancer, error) {
 	if err := validate(cfg); err != nil {
 		return nil, err
@@ -61,11 +61,11 @@
 	}
 	b.subset.salt = b.rng.Uint64()
 	for _, c := range cfg.Classes {
-		b.classes = append(b.classes, class{Class: c, usualLatency: c.LatencyObjective / initialLatencyDivisor})
+		b.classes = append(b.classes, class{Class: c, averageLatency: c.LatencyObjective / initialLatencyDivisor})
 		b.traffic.averageObjective += c.LatencyObjective.Seconds() / float64(len(cfg.Classes))
 	}
 	initialLatency := b.traffic.averageObjective / initialLatencyDivisor
-	b.traffic.usualLatency = time.Duration(initialLatency * float64(time.Second))
+	b.traffic.averageLatency = time.Duration(initialLatency * float64(time.Second))
 	for _, t := range cfg.Tenants {
 		b.traffic.quota += t.Quota
 	}
@@ -73,10 +73,10 @@
 	return b, nil
 }
 
-// Counters returns what was done so far.
+// Counters returns the numbers of decisions so far.
 func (b *Balancer) Counters() Counters { return b.counters }
 
-// Start must be the first event.
+// Start must be the first event. It subscribes to the endpoint list if the balancer polls it.
 func (b *Balancer) Start(now time.Duration) {
 	if b.cfg.PollList {
 		b.pollList(now)
@@ -84,9 +84,9 @@
 	b.scheduleWake(now, idleTick)
 }
 
-// Request accepts a request. It is answered exactly once and in time, by an Outcome that settles it
-// or through the Host. A request whose id is still in use is ignored; one of an unknown class or
-// tenant, or without any time left, is refused.
+// Request accepts a request. It is answered exactly once before its deadline, by an Outcome that settles it
+// or through the Host. A request whose id is still in use is ignored. One with an unknown class or tenant, or
+// without any time left, is refused.
 func (b *Balancer) Request(now time.Duration, q Request) {
 	if _, inUse := b.requests[q.ID]; inUse {
 		return
@@ -96,13 +96,13 @@
 		b.host.Refuse(q.ID, 0)
 		return
 	}
-	r := b.open(now, q)
+	r := b.openRequest(now, q)
 	b.probeForLoad()
 	late := now > r.latestSend()
-	if late { // it takes nothing from requests that are in time, but may use all of its own
+	if late { // it has a lower priority than other requests, but may use all of its time left
 		r.usefulUntil, r.objectiveAt = r.deadline, r.deadline
 	}
-	if b.shouldShed(now, late, b.adviceRejects(now, q.Tenant)) {
+	if b.shouldShed(now, late, b.adviceRejectedShare(now, q.Tenant)) {
 		b.counters.Shed++
 		b.finish(r)
 		return
@@ -110,20 +110,20 @@
 	switch {
 	case b.dispatch(now, r):
 	case late || !r.bulkhead.hasQueuePlace():
-		b.finish(r) // refuse promptly
+		b.finish(r) // refuse immediately
 	default:
 		r.bulkhead.queue = append(r.bulkhead.queue, r)
 	}
 }
 
-// valid says whether a request names a class and a tenant and has any time left.
+// valid reports whether a request has a known class, a known tenant and any time left.
 func (b *Balancer) valid(q Request) bool {
 	classKnown := q.Class >= 0 && q.Class < len(b.classes)
-	return classKnown && b.bulkheads.has(q.Tenant) && q.TimeLeft > 0
+	return classKnown && b.bulkheads.hasTenant(q.Tenant) && q.TimeLeft > 0
 }
 
-// open makes the record of a request.
-func (b *Balancer) open(now time.Duration, q Request) *request {
+// openRequest creates and registers the state of a request.
+func (b *Balancer) openRequest(now time.Duration, q Request) *request {
 	r := newRequest(now, q, &b.classes[q.Class], &b.bulkheads.byTenant[q.Tenant], b.cfg.ClientsMarkRetries)
 	b.traffic.observeWork(q.ExpectedWork)
 	b.requests[r.id] = r
@@ -132,7 +132,7 @@
 	return r
 }
 
-// Outcome takes the end of an attempt. One that is unknown or has already ended is ignored.
+// Outcome handles the end of an attempt. Unknown attempts and those that have already ended are ignored.
 func (b *Balancer) Outcome(now time.Duration, o Outcome) {
 	r := b.requests[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].state != inFlight {
@@ -154,7 +154,7 @@
 	b.dispatchQueued(now)
 }
 
-// ClientGone takes that a client has left: its request needs no answer any more.
+// ClientGone handles the disconnection of a client, whose request needs no response any more.
 func (b *Balancer) ClientGone(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil && !r.ended {
 		b.closeRequest(r)
@@ -162,18 +162,18 @@
 	}
 }
 
-// StreamBegun takes that an answer has begun to stream. From then on it belongs to the client, and
-// the request is neither retried nor answered.
+// StreamBegun records that a response is being streamed to the client. From then on the request is neither
+// retried nor answered.
 func (b *Balancer) StreamBegun(id RequestID) {
 	if r := b.requests[id]; r != nil {
 		r.streaming = true
 	}
 }
 
-// Wake takes that a time asked for with Host.Wake has come.
+// Wake handles the expiry of a timer that was set with Host.Wake.
 func (b *Balancer) Wake(now time.Duration) {
 	if now < b.wakeAt {
-		return // an older timer
+		return // a timer that has been superseded
 	}
 	if b.cfg.PollList && b.poll.due(now) {
 		b.pollList(now)
@@ -190,22 +190,22 @@
 	b.scheduleWake(now, idleTick)
 }
 
-// finishOverdue answers the requests whose time is over, and those for which waiting is of no use.
+// finishOverdue finishes the requests whose deadline has passed, and those that cannot be sent any more.
 func (b *Balancer) finishOverdue(now time.Duration) {
 	nextCheck := now + 2*max(busyTick, b.cfg.EventPeriod)
 	for _, r := range b.openRequests {
 		if r.ended || r.streaming {
 			continue
 		}
-		hopeless := r.inFlight == 0 &&
+		noFurtherAttempt := r.inFlight == 0 &&
 			(nextCheck > r.deadline || now >= r.latestSend() || !r.mayRepeat(now, nil))
-		if hopeless || now >= r.deadline {
+		if noFurtherAttempt || now >= r.deadline {
 			b.finish(r)
 		}
 	}
 }
 
-// Probed takes the result of a probe.
+// Probed handles the result of a probe.
 func (b *Balancer) Probed(now time.Duration, id ServerID, ok bool, report LoadReport) {
 	s := b.endpoints.find(id)
 	if s == nil {
@@ -216,7 +216,7 @@
 		b.dispatchQueued(now)
 		return
 	}
-	if s.unresponsive { // only an answer to a request takes back any other evidence
+	if s.unresponsive { // only a served request resets the health after other failures
 		b.markHealthy(now, s)
 	}
 	s.recordArrival(now)
@@ -227,7 +227,7 @@
 	b.dispatchQueued(now)
 }
 
-// scheduleWake makes sure that Wake is called after d at the latest.
+// scheduleWake ensures that Wake is called after d at the latest.
 func (b *Balancer) scheduleWake(now, d time.Duration) {
 	if b.wakeAt == 0 || now+d < b.wakeAt {
 		b.wakeAt = now + d
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -16,7 +16,7 @@
 		t.Fatalf("got %d refused and %d sent, want 5 and 0", len(h.refused), len(h.sends))
 	}
 	submit(b, 0, 6, idempotentClass)
-	submit(b, 0, 6, idempotentClass) // id in use
+	submit(b, 0, 6, idempotentClass) // the id is in use
 	end(b, 0, 6, 3, Served)
 	end(b, 0, 6, -1, Served)
 	end(b, 0, 77, 0, Served)
@@ -32,20 +32,20 @@
 	}
 }
 
-func TestRequestIsForgottenWhenItsClientLeaves(t *testing.T) {
+func TestRequestIsDroppedWhenItsClientDisconnects(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1))
 	submit(b, 0, 1, idempotentClass)
 	b.ClientGone(ms, 1)
 	if len(h.cancelled) != 1 || b.SlotsFree(0) != 5 {
-		t.Fatal("the attempt was not cancelled, or its slot became free before it ended")
+		t.Fatal("the attempt was not cancelled, or its slot was released before it ended")
 	}
 	end(b, 2*ms, 1, 0, Cancelled)
 	if len(h.refused)+len(h.failed) != 0 || len(b.requests) != 0 || b.SlotsFree(0) != 6 {
-		t.Fatalf("got %d answers and %d requests kept, want none", len(h.refused)+len(h.failed), len(b.requests))
+		t.Fatalf("got %d responses and %d requests kept, want none", len(h.refused)+len(h.failed), len(b.requests))
 	}
 }
 
-func TestStreamIsLeftAlone(t *testing.T) {
+func TestStartedStreamIsNotAnsweredCancelledOrRetried(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
 	submit(b, 0, 1, idempotentClass)
 	b.StreamBegun(1)
@@ -53,11 +53,11 @@
 		b.Wake(now)
 	}
 	if len(h.refused)+len(h.failed)+len(h.cancelled) != 0 || len(h.sends) != 1 {
-		t.Fatal("a stream that had begun was answered, cancelled or retried")
+		t.Fatal("a request whose response is being streamed was answered, cancelled or retried")
 	}
 	b.Outcome(11*time.Second, Outcome{ID: 1, Ending: Broken, Settled: true})
 	if len(b.requests) != 0 {
-		t.Fatal("the ended stream is still kept")
+		t.Fatal("the request is still kept after its stream ended")
 	}
 }
 
@@ -84,7 +84,7 @@
 	}
 	b.Wake(time.Hour)
 	if len(b.requests) > 3 || len(b.openRequests) > 3 || len(b.endpoints.servers) != 2 || cap(b.openRequests) > 100 {
-		t.Fatalf("kept: %d requests, %d open (capacity %d), %d servers",
+		t.Fatalf("got %d requests, %d open (capacity %d), %d servers; want at most 3, 3 (100) and 2",
 			len(b.requests), len(b.openRequests), cap(b.openRequests), len(b.endpoints.servers))
 	}
 }
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// world drives a Balancer with legal events in random order and checks the rules at every action. It
-// does not model the time that servers take: it chooses what happens.
-type world struct {
+// randomHarness is a Host that sends valid events in random order to a Balancer and checks the rules at every
+// action. It does not model response times: the results of attempts and their order are random.
+type randomHarness struct {
 	t              testing.TB
 	cfg            Config
 	b              *Balancer
 	now            time.Duration
 	lastID         RequestID
 	requests       map[RequestID]*trackedRequest
-	order          []RequestID // ids of requests, in order, so that a run can be repeated
+	order          []RequestID // ids of requests, in order, so that runs are reproducible
 	endpoints      map[ServerID]Endpoint
 	trace          []string
 	watches        int
-	slowStartSends map[ServerID][]time.Duration // sends in the last second to each server that warms up
+	slowStartSends map[ServerID][]time.Duration // sends in the last second to each server that is warming up
 	timers         []time.Duration
-	probed         []ServerID // not answered yet
-	slots          []int      // of each bulkhead
+	probed         []ServerID // probes without a result yet
+	slots          []int      // number of slots of each bulkhead
 }
 
-// trackedRequest is what the world knows of a request.
+// trackedRequest is the harness's record of a request.
 type trackedRequest struct {
 	q        Request
 	deadline time.Duration
@@ -36,7 +36,7 @@
 	answered bool
 }
 
-// trackedAttempt is what the world knows of an attempt.
+// trackedAttempt is the harness's record of an attempt.
 type trackedAttempt struct {
 	endpoint Endpoint
 	sentAt   time.Duration
@@ -53,24 +53,24 @@
 	return nil
 }
 
-func (w *world) note(format string, args ...any) {
+func (w *randomHarness) recordAction(format string, args ...any) {
 	w.trace = append(w.trace, fmt.Sprintf(format, args...))
 }
 
-func (w *world) Send(id RequestID, to ServerID, timeout, start time.Duration) {
-	w.note("send %d %d %v", id, to, timeout)
+func (w *randomHarness) Send(id RequestID, to ServerID, timeout, start time.Duration) {
+	w.recordAction("send %d %d %v", id, to, timeout)
 	a, s := w.requests[id], w.endpoints[to]
 	switch {
 	case a == nil || a.answered:
-		w.t.Fatalf("rule 1: attempt for request %d, which has its answer", id)
+		w.t.Fatalf("rule 1: attempt for request %d, which is unknown or has been answered", id)
 	case s.State != Ready:
 		w.t.Fatalf("rule 3: attempt at server %d in state %d", to, s.State)
 	case timeout <= 0 || w.now+timeout > a.deadline:
 		w.t.Fatalf("rule 1: timeout %v at %v exceeds the deadline %v", timeout, w.now, a.deadline)
 	case start < 0:
-		w.t.Fatalf("rule 2: attempt that is to begin %v before now", -start)
+		w.t.Fatalf("rule 2: attempt with a start limit %v before now", -start)
 	case len(a.attempts) >= w.cfg.MaxAttempts:
-		w.t.Fatalf("attempt %d of at most %d", len(a.attempts)+1, w.cfg.MaxAttempts)
+		w.t.Fatalf("got attempt %d, want at most %d", len(a.attempts)+1, w.cfg.MaxAttempts)
 	}
 	class := w.cfg.Classes[a.q.Class]
 	if first := a.mayHaveRun(); first != nil {
@@ -80,7 +80,7 @@
 		case class.Idempotency == IdempotentByKey && w.now-first.sentAt >= class.DedupWindow:
 			w.t.Fatalf("rule 2: request %d, idempotent by key, retried %v after the first send", id, w.now-first.sentAt)
 		case class.Idempotency == IdempotentByKey && (start == 0 || w.now+start > first.sentAt+class.DedupWindow):
-			w.t.Fatalf("rule 2: request %d, idempotent by key, may start again within %v, %v after the first send", id, start, w.now-first.sentAt)
+			w.t.Fatalf("rule 2: request %d, idempotent by key, may be repeated within %v, %v after the first send, want only within its window", id, start, w.now-first.sentAt)
 		case class.Idempotency == IdempotentByKey && class.DedupScope == ScopeZone && s.Zone != first.endpoint.Zone,
 			class.Idempotency == IdempotentByKey && class.DedupScope == ScopeCell && s.Cell != first.endpoint.Cell:
 			w.t.Fatalf("rule 2: request %d, idempotent by key, retried outside its scope", id)
@@ -90,13 +90,13 @@
 	a.attempts = append(a.attempts, trackedAttempt{endpoint: s, sentAt: w.now, inFlight: true})
 }
 
-// checkSlowStart checks that this balancer keeps to its even part of the slow start budget in any second,
-// with a tolerance of one send at each end of it.
-func (w *world) checkSlowStart(s Endpoint) {
+// checkSlowStart checks that this balancer does not exceed its even share of the slow start budget in any
+// second, with a tolerance of one send at each end of it.
+func (w *randomHarness) checkSlowStart(s Endpoint) {
 	if s.Started == 0 || w.now >= s.Started+w.cfg.SlowStartWindow {
 		return
 	}
-	weight := func(s Endpoint) float64 { return max(s.Weight, 1) } // no weight counts as 1
+	weight := func(s Endpoint) float64 { return max(s.Weight, 1) } // a missing weight counts as 1
 	quota, total := 0.0, 0.0
 	for _, t := range w.cfg.Tenants {
 		quota += t.Quota
@@ -111,14 +111,14 @@
 	recent := slices.DeleteFunc(w.slowStartSends[s.ID], func(at time.Duration) bool { return at <= w.now-time.Second })
 	w.slowStartSends[s.ID] = append(recent, w.now)
 	if n := float64(len(w.slowStartSends[s.ID])); n > budget {
-		w.t.Fatalf("rule 4: %v sends within a second to server %d, which warms up; the budget is %.1f", n, s.ID, budget)
+		w.t.Fatalf("rule 4: got %v sends within a second to server %d, which is warming up, want at most %.1f", n, s.ID, budget)
 	}
 }
 
-func (w *world) answer(id RequestID) *trackedRequest {
+func (w *randomHarness) recordResponse(id RequestID) *trackedRequest {
 	a := w.requests[id]
 	if a == nil || a.answered {
-		w.t.Fatalf("rule 1: second answer to request %d, or one to an unknown request", id)
+		w.t.Fatalf("rule 1: second response to request %d, or a response to an unknown request", id)
 	}
 	if w.now > a.deadline+20*ms {
 		w.t.Fatalf("rule 1: answered %v after the deadline", w.now-a.deadline)
@@ -127,31 +127,40 @@
 	return a
 }
 
-func (w *world) Refuse(id RequestID, pause time.Duration) {
-	w.note("refuse %d %v", id, pause)
-	a := w.answer(id)
+func (w *randomHarness) Refuse(id RequestID, pause time.Duration) {
+	w.recordAction("refuse %d %v", id, pause)
+	a := w.recordResponse(id)
 	class := w.cfg.Classes[a.q.Class]
 	if a.mayHaveRun() != nil && (class.Idempotency == NonIdempotent || class.Idempotency == IdempotentByKey && class.DedupScope != ScopeAll) {
 		w.t.Fatalf("rule 2: request %d refused although it may have run", id)
 	}
 	if pause < 0 || pause > w.cfg.MaxRetryAfter {
-		w.t.Fatalf("got a pause of %v, want 0 to %v", pause, w.cfg.MaxRetryAfter)
+		w.t.Fatalf("got a pause of %v for a refusal, want 0 to %v", pause, w.cfg.MaxRetryAfter)
 	}
 }
 
-func (w *world) Fail(id RequestID)                { w.note("fail %d", id); w.answer(id) }
-func (w *world) Cancel(id RequestID, attempt int) { w.note("cancel %d %d", id, attempt) }
-func (w *world) Wake(d time.Duration)             { w.note("wake %v", d); w.timers = append(w.timers, w.now+d) }
-func (w *world) Probe(to ServerID)                { w.note("probe %d", to); w.probed = append(w.probed, to) }
-func (w *world) WatchList()                       { w.note("watch"); w.watches++ }
+func (w *randomHarness) Fail(id RequestID) { w.recordAction("fail %d", id); w.recordResponse(id) }
+func (w *randomHarness) Cancel(id RequestID, attempt int) {
+	w.recordAction("cancel %d %d", id, attempt)
+}
+func (w *randomHarness) Wake(d time.Duration) {
+	w.recordAction("wake %v", d)
+	w.timers = append(w.timers, w.now+d)
+}
+func (w *randomHarness) Probe(to ServerID) {
+	w.recordAction("probe %d", to)
+	w.probed = append(w.probed, to)
+}
+func (w *randomHarness) WatchList() { w.recordAction("watch"); w.watches++ }
 
-// drive runs a world. pick(n) chooses among n possibilities.
-func drive(t testing.TB, steps int, pick func(n int) int) []string {
+// runRandomEvents runs a Balancer with a randomHarness and returns the trace of its actions. pick(n) returns
+// a random number below n.
+func runRandomEvents(t testing.TB, steps int, pick func(n int) int) []string {
 	cfg := testConfig()
 	cfg.PollList, cfg.MayProbe, cfg.LoadReports = true, true, pick(2) == 0
 	cfg.Balancers = []int{2, 1000}[pick(2)] // with many balancers traffic is low
 	cfg.CrossZoneCost = float64(pick(2)) * 0.02
-	w := &world{t: t, cfg: cfg, requests: map[RequestID]*trackedRequest{}, endpoints: map[ServerID]Endpoint{}, now: time.Hour}
+	w := &randomHarness{t: t, cfg: cfg, requests: map[RequestID]*trackedRequest{}, endpoints: map[ServerID]Endpoint{}, now: time.Hour}
 	w.slowStartSends = map[ServerID][]time.Duration{}
 	b, err := New(cfg, uint64(pick(1000)), w)
 	if err != nil {
@@ -164,12 +173,12 @@
 	}
 	for range steps {
 		w.step(pick)
-		w.account()
+		w.checkSlots()
 	}
-	for range 600 { // all that is left is answered in time
+	for range 600 { // all open requests must be answered by their deadlines
 		w.now += 5 * ms
-		w.timeouts()
-		w.account()
+		w.endOverdueAttempts()
+		w.checkSlots()
 	}
 	for id, a := range w.requests {
 		if !a.answered {
@@ -178,34 +187,34 @@
 	}
 	for i, slots := range w.slots {
 		if free := b.SlotsFree(i); free != slots {
-			t.Fatalf("bulkhead %d: %d of %d slots free after all requests ended", i, free, slots)
+			t.Fatalf("bulkhead %d: got %d of %d slots free after all requests ended, want all", i, free, slots)
 		}
 	}
 	return w.trace
 }
 
-func (w *world) step(pick func(int) int) {
+func (w *randomHarness) step(pick func(int) int) {
 	w.now += time.Duration(pick(8)) * ms
-	w.timeouts()
+	w.endOverdueAttempts()
 	switch pick(10) {
 	case 0, 1, 2:
 		w.lastID++
 		q := Request{ID: w.lastID, Class: pick(len(w.cfg.Classes)), Tenant: pick(2)}
 		q.TimeLeft = time.Duration(1+pick(2000)) * ms
 		if pick(8) == 0 {
-			q.TimeLeft /= 1000 // almost none left
+			q.TimeLeft /= 1000 // almost no time left
 		}
 		w.requests[q.ID] = &trackedRequest{q: q, deadline: w.now + q.TimeLeft}
 		w.order = append(w.order, q.ID)
 		w.b.Request(w.now, q)
 	case 3, 4, 5:
-		w.finish(pick)
+		w.endOneAttempt(pick)
 	case 6:
-		w.b.Wake(w.now) // a wake-up that was not asked for
+		w.b.Wake(w.now) // an unrequested wake-up
 	case 7:
-		w.list(pick)
+		w.changeList(pick)
 	case 8:
-		id := ServerID(pick(8)) // sometimes a result that was not asked for
+		id := ServerID(pick(8)) // sometimes an unrequested result
 		if n := len(w.probed); n > 0 && pick(8) > 0 {
 			k := pick(n)
 			id = w.probed[k]
@@ -224,8 +233,8 @@
 	}
 }
 
-// finish ends one attempt in flight.
-func (w *world) finish(pick func(int) int) {
+// endOneAttempt reports a random ending for one attempt in flight, if it finds one.
+func (w *randomHarness) endOneAttempt(pick func(int) int) {
 	for range 4 {
 		if len(w.order) == 0 {
 			return
@@ -240,7 +249,7 @@
 	}
 }
 
-func (w *world) end(id RequestID, i int, e Ending) {
+func (w *randomHarness) end(id RequestID, i int, e Ending) {
 	a := w.requests[id]
 	a.attempts[i].inFlight, a.attempts[i].ending = false, e
 	settled := a.answered || e == Served
@@ -248,8 +257,8 @@
 	w.b.Outcome(w.now, Outcome{ID: id, Attempt: i, Ending: e, Settled: settled})
 }
 
-// wake calls the Balancer once for each of its timers that is due.
-func (w *world) wake() {
+// fireTimers calls Balancer.Wake once for each due timer.
+func (w *randomHarness) fireTimers() {
 	due := len(w.timers)
 	w.timers = slices.DeleteFunc(w.timers, func(at time.Duration) bool { return at <= w.now })
 	for range due - len(w.timers) {
@@ -257,10 +266,9 @@
 	}
 }
 
-// timeouts wakes the Balancer as its timers would, and ends the attempts whose request's deadline has
-// passed.
-func (w *world) timeouts() {
-	w.wake()
+// endOverdueAttempts fires the due timers and ends the attempts of requests whose deadline has passed.
+func (w *randomHarness) endOverdueAttempts() {
+	w.fireTimers()
 	for _, id := range w.order {
 		for i := range w.requests[id].attempts {
 			if a := w.requests[id]; a.attempts[i].inFlight && w.now >= a.deadline {
@@ -270,7 +278,7 @@
 	}
 }
 
-func (w *world) list(pick func(int) int) {
+func (w *randomHarness) changeList(pick func(int) int) {
 	entry := func() Endpoint {
 		id := ServerID(pick(8))
 		s := Endpoint{ID: id, Zone: int(id) % 2, Cell: int(id) / 2 % 2 * 2, State: EndpointState(pick(3)), Weight: float64(pick(4))}
@@ -300,9 +308,8 @@
 	w.b.List(w.now, kind, entries)
 }
 
-// account checks that no bulkhead has more attempts in flight than slots, and drops requests that have
-// ended.
-func (w *world) account() {
+// checkSlots checks that no bulkhead has more attempts in flight than slots, and drops ended requests.
+func (w *randomHarness) checkSlots() {
 	used := make([]int, len(w.cfg.Tenants))
 	for _, a := range w.requests {
 		for _, tr := range a.attempts {
@@ -313,7 +320,7 @@
 	}
 	for i := range used {
 		if free := w.b.SlotsFree(i); free < 0 || used[i] > w.slots[i]-free {
-			w.t.Fatalf("bulkhead %d: %d attempts in flight, %d of %d slots free", i, used[i], free, w.slots[i])
+			w.t.Fatalf("bulkhead %d: got %d attempts in flight with %d of %d slots free, want no more than the slots in use", i, used[i], free, w.slots[i])
 		}
 	}
 	if len(w.order) > 60 {
@@ -331,16 +338,16 @@
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(150) {
 		rng := rand.New(rand.NewPCG(seed, 7))
-		drive(t, 600, rng.IntN)
+		runRandomEvents(t, 600, rng.IntN)
 	}
 }
 
-func TestSameEventsSameActions(t *testing.T) {
+func TestSameEventsCauseSameActions(t *testing.T) {
 	for seed := range uint64(5) {
-		a := drive(t, 800, rand.New(rand.NewPCG(seed, 3)).IntN)
-		b := drive(t, 800, rand.New(rand.NewPCG(seed, 3)).IntN)
+		a := runRandomEvents(t, 800, rand.New(rand.NewPCG(seed, 3)).IntN)
+		b := runRandomEvents(t, 800, rand.New(rand.NewPCG(seed, 3)).IntN)
 		if !slices.Equal(a, b) {
-			t.Fatalf("seed %d: two runs over the same events differ", seed)
+			t.Fatalf("seed %d: two runs with the same events have different actions", seed)
 		}
 	}
 }
@@ -350,7 +357,7 @@
 	f.Add([]byte{0, 1, 7, 7, 7, 7, 0, 0, 0, 3, 3, 3, 9, 9})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		at := 0
-		drive(t, min(len(data)/2, 400), func(n int) int {
+		runRandomEvents(t, min(len(data)/2, 400), func(n int) int {
 			if len(data) == 0 {
 				return 0
 			}
@@ -361,7 +368,7 @@
 	})
 }
 
-// violationCatcher is a testing.TB that stops at the first failure.
+// violationCatcher is a testing.TB that records the first failure and panics.
 type violationCatcher struct {
 	testing.TB
 	message string
@@ -372,34 +379,34 @@
 	panic(c)
 }
 
-// The checks of the rules prove something only if they find a broken rule.
-func TestWorldFindsViolations(t *testing.T) {
+// The harness must detect each kind of violation, or its checks would pass without effect.
+func TestHarnessDetectsViolations(t *testing.T) {
 	tests := []struct {
 		name, want string
-		act        func(w *world)
+		act        func(w *randomHarness)
 	}{
-		{"a second answer", "rule 1", func(w *world) { w.Fail(1); w.Fail(1) }},
-		{"a send after the answer", "rule 1", func(w *world) { w.Fail(1); w.Send(1, 1, ms, 0) }},
-		{"an answer far too late", "rule 1", func(w *world) { w.now += 3 * time.Second; w.Fail(1) }},
-		{"a non-idempotent request twice", "rule 2", func(w *world) { w.Send(1, 1, ms, 0); w.Send(1, 1, ms, 0) }},
-		{"a request idempotent by key after its window", "rule 2", func(w *world) {
+		{"a second response", "rule 1", func(w *randomHarness) { w.Fail(1); w.Fail(1) }},
+		{"a send after the response", "rule 1", func(w *randomHarness) { w.Fail(1); w.Send(1, 1, ms, 0) }},
+		{"a response long after the deadline", "rule 1", func(w *randomHarness) { w.now += 3 * time.Second; w.Fail(1) }},
+		{"a non-idempotent request sent twice", "rule 2", func(w *randomHarness) { w.Send(1, 1, ms, 0); w.Send(1, 1, ms, 0) }},
+		{"a request idempotent by key repeated after its window", "rule 2", func(w *randomHarness) {
 			w.requests[1].q.Class = keyedAllClass
 			w.Send(1, 1, ms, 0)
 			w.Send(1, 1, ms, w.cfg.Classes[keyedAllClass].DedupWindow+ms)
 		}},
-		{"a refusal of a request that may have run", "rule 2", func(w *world) { w.Send(1, 1, ms, 0); w.Refuse(1, 0) }},
-		{"a burst at a server that warms up", "rule 4", func(w *world) {
+		{"a refusal of a request that may have run", "rule 2", func(w *randomHarness) { w.Send(1, 1, ms, 0); w.Refuse(1, 0) }},
+		{"a burst at a server that is warming up", "rule 4", func(w *randomHarness) {
 			for id := RequestID(10); id < 60; id++ {
 				w.requests[id] = &trackedRequest{q: Request{ID: id}, deadline: w.now + time.Second}
 				w.Send(id, 3, ms, 0)
 			}
 		}},
-		{"a send to a draining server", "rule 3", func(w *world) { w.Send(1, 2, ms, 0) }},
+		{"a send to a draining server", "rule 3", func(w *randomHarness) { w.Send(1, 2, ms, 0) }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := &violationCatcher{TB: t}
-			w := &world{t: c, cfg: testConfig(), requests: map[RequestID]*trackedRequest{}, endpoints: map[ServerID]Endpoint{}}
+			w := &randomHarness{t: c, cfg: testConfig(), requests: map[RequestID]*trackedRequest{}, endpoints: map[ServerID]Endpoint{}}
 			w.now, w.slowStartSends = time.Minute, map[ServerID][]time.Duration{}
 			w.endpoints[3] = Endpoint{ID: 3, State: Ready, Started: w.now}
 			w.endpoints[1], w.endpoints[2] = Endpoint{ID: 1, State: Ready}, Endpoint{ID: 2, State: Draining}
--- a/policy/request.go
+++ b/policy/request.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// request is a request that was accepted and has not ended, or whose attempts have not.
+// request is an accepted request. It is kept until the request and all of its attempts have ended.
 type request struct {
 	id           RequestID
 	class        *class
@@ -13,15 +13,15 @@
 	affinityKey  uint64        // 0: none
 	expectedWork time.Duration // 0: unknown
 
-	deadline         time.Duration // when the client gives up
-	shutdownDeadline time.Duration // when the process has to be done; NoLimit: it is not shutting down
-	objectiveAt      time.Duration // an answer after this earns less
-	usefulUntil      time.Duration // an answer after this earns nothing
+	deadline         time.Duration // when the client's timeout expires
+	shutdownDeadline time.Duration // when the process must have finished; NoLimit: it is not shutting down
+	objectiveAt      time.Duration // a response after this has less value
+	usefulUntil      time.Duration // a response after this has no value
 
 	attempts  []attempt
 	inFlight  int
-	streaming bool // the answer has begun to stream to the client
-	ended     bool // no answer is owed any more; kept until its attempts have ended too
+	streaming bool // the response is being streamed to the client
+	ended     bool // no response is needed any more; attempts may still be in flight
 }
 
 // attempt is one attempt of a request.
@@ -39,24 +39,24 @@
 	neverRan
 )
 
-// class is what is known of the requests of one class.
+// class is a request class and its observed statistics.
 type class struct {
 	Class
-	usualLatency time.Duration // moving average of an answer's time
+	averageLatency time.Duration // moving average of the latency of served requests
 
-	// The time left that most requests arrive with, by a majority vote.
+	// The time left with which most requests arrive, by majority vote.
 	usualTimeLeft time.Duration
 	usualVotes    int
 }
 
 const (
-	// maxVotes bounds the votes for the usual time left, so that it can change within as many requests.
+	// maxVotes limits the votes for the usual time left, so that it can change within that many requests.
 	maxVotes = 64
-	// timeLeftTolerance is by how much the time left of a class's requests varies by chance.
+	// timeLeftTolerance is the random variation of the time left among a class's requests.
 	timeLeftTolerance = 2 * busyTick
 )
 
-// newRequest makes the record of a request that has just arrived.
+// newRequest returns the state of a request that has just arrived.
 func newRequest(now time.Duration, q Request, c *class, tenant *bulkhead, clientsMarkRetries bool) *request {
 	r := &request{
 		id: q.ID, class: c, bulkhead: tenant, affinityKey: q.AffinityKey, expectedWork: q.ExpectedWork,
@@ -79,9 +79,9 @@
 	return r
 }
 
-// observeTimeLeft learns the time left that requests of a class arrive with, and says whether this
-// one is unusual. A client's retry has what remains of the whole: less than its first attempt or,
-// where clients cut their attempts short, more.
+// observeTimeLeft updates the usual time left of a class and reports whether this one is unusual. A client's
+// retry has the remainder of the whole deadline: less than its first attempt had or, if clients shorten their
+// first attempts, more.
 func (c *class) observeTimeLeft(left time.Duration) (unusual bool) {
 	if c.usualVotes == 0 {
 		c.usualTimeLeft = left
@@ -94,21 +94,21 @@
 	return false
 }
 
-// boundByShutdown bounds all times of a request by the time when the process has to be done.
-func (r *request) boundByShutdown(by time.Duration) {
-	r.shutdownDeadline = by
-	r.deadline = min(r.deadline, by)
+// boundByShutdown limits all times of a request to the shutdown deadline of the process.
+func (r *request) boundByShutdown(shutdownDeadline time.Duration) {
+	r.shutdownDeadline = shutdownDeadline
+	r.deadline = min(r.deadline, shutdownDeadline)
 	r.usefulUntil = min(r.usefulUntil, r.deadline)
 	r.objectiveAt = min(r.objectiveAt, r.deadline)
 }
 
-// latestSend is the time after which an answer would probably be late. Sending later would load
-// servers for answers that earn little.
+// latestSend returns the time after which the response to a new attempt would probably be late. Sending later
+// would load servers for responses of little value.
 func (r *request) latestSend() time.Duration {
-	return r.objectiveAt - min(2*r.class.usualLatency, r.class.LatencyObjective/2)
+	return r.objectiveAt - min(2*r.class.averageLatency, r.class.LatencyObjective/2)
 }
 
-// firstPossibleRun returns the first attempt that has run or may still run, or nil.
+// firstPossibleRun returns the first attempt that may have run or may still run, or nil.
 func (r *request) firstPossibleRun() *attempt {
 	if i := slices.IndexFunc(r.attempts, func(a attempt) bool { return a.state != neverRan }); i >= 0 {
 		return &r.attempts[i]
@@ -116,13 +116,14 @@
 	return nil
 }
 
-// triedAt says whether an attempt of the request was sent to a server.
+// triedAt reports whether an attempt of the request was sent to a server.
 func (r *request) triedAt(s *server) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.server == s })
 }
 
-// mayRepeat says whether the class allows another attempt now, at a server or, if s is nil, at any
-// server: a request that may have run has to be dropped there when it arrives again.
+// mayRepeat reports whether the class permits another attempt now, at a server or, if s is nil, at any
+// server. A request that may have run may be repeated only where the server drops repeats, unless it is
+// idempotent.
 func (r *request) mayRepeat(now time.Duration, s *server) bool {
 	first := r.firstPossibleRun()
 	switch {
@@ -136,13 +137,14 @@
 	return s.Zone == first.server.Zone && (r.class.DedupScope == ScopeZone || s.Cell == first.server.Cell)
 }
 
-// repeatDeadline is until when a request that is idempotent by key may be repeated. It keeps a margin
-// to the end of the window, as the sender may be delayed between this decision and its write.
+// repeatDeadline returns the time until which a request that is idempotent by key may be repeated. It is
+// earlier than the end of the deduplication window by a margin, since the sender may be delayed between this
+// decision and its write.
 func (r *request) repeatDeadline(first *attempt) time.Duration {
 	return first.sentAt + r.class.DedupWindow - min(repeatMargin, r.class.DedupWindow/4)
 }
 
-// mayBeRefused says whether a refusal, which tells the client that it may repeat the request, is true.
+// mayBeRefused reports whether the client may safely repeat the request, as a refusal states.
 func (r *request) mayBeRefused() bool {
 	if r.firstPossibleRun() == nil {
 		return true
@@ -151,7 +153,7 @@
 	return r.class.Idempotency == Idempotent || droppedEverywhere
 }
 
-// end records how an attempt ended.
+// end records the ending of an attempt.
 func (a *attempt) end(e Ending) {
 	a.state = mayHaveRun
 	if e == Rejected || e == NoConnection || e == NotSent {
--- a/policy/roundrobin.go
+++ b/policy/roundrobin.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// Smooth weighted round robin: in each round every eligible server's current weight grows by its
-// effective weight, the highest is chosen, and the sum of the round is taken off it.
+// Smooth weighted round robin: each selection increases the current weight of every eligible server by its
+// effective weight, selects the server with the highest current weight, and subtracts the sum of the
+// effective weights from it.
 
 const (
-	// crowdedObjectiveShare is the share of their objective from which a server's answers show that it
-	// is crowded.
+	// crowdedObjectiveShare is the share of their objective above which a server's responses indicate that the
+	// server is crowded.
 	crowdedObjectiveShare = 0.3
-	// minMeanSquareShare avoids a division by zero at a server without any answer yet.
+	// minMeanSquareShare avoids a division by zero for a server without any response yet.
 	minMeanSquareShare = 1e-4
-	// objectiveShareWindow is the window of the moving average of the square of that share.
+	// objectiveShareWindow is the window of the moving average of the squared share, in responses.
 	objectiveShareWindow = 8
-	// reportLifetime is how long a load report counts.
+	// reportLifetime is the time after which a load report is ignored.
 	reportLifetime = time.Second
-	// reportTolerance is how many requests a server may report above its usual number, as a report is
-	// older than most requests take.
+	// reportTolerance is the number of requests that a server may report above its expected number, since a
+	// report is usually older than the duration of most requests.
 	reportTolerance = 2
 )
 
 // rotation is a server's state in the round robin.
 type rotation struct {
 	current   float64 // current weight
-	effective float64 // effective weight in the selection under way; 0: the request may not go there
-	eligible  bool    // in the selection under way
+	effective float64 // effective weight in the current selection; 0: the request must not be sent there
+	eligible  bool    // in the current selection
 }
 
-// observeObjectiveShare learns which share of its objective an answer took.
+// observeObjectiveShare updates the mean square with the share of its objective that a response took.
 func (s *server) observeObjectiveShare(share float64) {
 	s.meanSquareShare += (share*share - s.meanSquareShare) / objectiveShareWindow
 }
 
-// selectServer chooses a server for a request, or nil: in the cell that probably has the request's
-// key warm, or the next one; first within the subset and the near zone, then among all servers.
+// selectServer selects a server for a request, or returns nil. It prefers the cell that probably has the
+// request's key cached. It first considers the subset and the local zone, then all servers.
 func (b *Balancer) selectServer(now time.Duration, r *request) *server {
 	remoteShare := b.remoteZoneShare(now)
 	for _, preferred := range []bool{true, false} {
@@ -48,8 +49,9 @@
 	return nil
 }
 
-// collectCells prepares the servers that may get a request, and their cells. With preferred only
-// those within the subset count, and servers of other zones with a share of their weight.
+// collectCells sets the effective weights of the servers to which a request may be sent, and collects their
+// cells. With preferred it includes only servers of the subset, and those of other zones with remoteShare of
+// their weight.
 func (b *Balancer) collectCells(now time.Duration, r *request, preferred bool, remoteShare float64) {
 	b.cells = b.cells[:0]
 	for _, s := range b.endpoints.servers {
@@ -67,8 +69,8 @@
 	}
 }
 
-// remoteZoneShare is the share of their weight with which servers of other zones count. If crossing
-// zones has a cost it is 0 or, with low traffic, the share of near servers that are ejected.
+// remoteZoneShare returns the share of their weight that servers of other zones get. If crossing zones has a
+// cost it is 0 or, with low traffic and enough ejections, the ejected share of the local zone.
 func (b *Balancer) remoteZoneShare(now time.Duration) float64 {
 	if b.cfg.CrossZoneCost <= 0 {
 		return 1
@@ -79,7 +81,7 @@
 	return 0
 }
 
-// eligible says whether a server may be chosen at the moment.
+// eligible reports whether a server may be selected now.
 func (b *Balancer) eligible(now time.Duration, s *server) bool {
 	othersHealthy := b.endpoints.healthyWeight > 0
 	switch {
@@ -94,7 +96,7 @@
 	return false
 }
 
-// reportedFull says whether a server holds more requests than it usually does, by its last report.
+// reportedFull reports whether a server has more requests in flight than expected, by its last load report.
 func (b *Balancer) reportedFull(now time.Duration, s *server) bool {
 	if now-s.load.at >= reportLifetime {
 		return false
@@ -103,15 +105,15 @@
 	return s.load.otherInFlight+float64(s.inFlight) >= reportTolerance+usual
 }
 
-// inFlightLimit is how many attempts of this balancer a server may hold: its part of all slots, and
-// less if its answers take much of their objective. It does not grow when other servers leave or
-// fail, as the remaining ones would be overloaded.
+// inFlightLimit returns the maximum number of attempts of this balancer in flight at a server: its share of
+// all slots, reduced if its responses take much of their objective. It does not increase when other servers
+// leave or fail, since that would overload the remaining ones.
 func (b *Balancer) inFlightLimit(s *server) float64 {
 	crowding := min(1, crowdedObjectiveShare*crowdedObjectiveShare/max(s.meanSquareShare, minMeanSquareShare))
 	return max(1, b.endpoints.weightShare(float64(b.bulkheads.totalSlots), s)*crowding)
 }
 
-// nextInRotation chooses among the eligible servers of a cell, of which there is at least one.
+// nextInRotation selects one of the eligible servers of a cell, of which there must be at least one.
 func (b *Balancer) nextInRotation(now time.Duration, r *request, cell int) *server {
 	var best *server
 	total, bestIneligible := 0.0, math.Inf(-1)
--- a/policy/roundrobin_test.go
+++ b/policy/roundrobin_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestMissingWeightsCountAlike(t *testing.T) {
+func TestMissingWeightsCountAsEqual(t *testing.T) {
 	list := []Endpoint{{ID: 1, State: Ready}, {ID: 2, State: Ready, Weight: math.NaN()}}
 	b, h := start(t, testConfig(), list)
 	for id := range RequestID(10) {
@@ -36,8 +36,8 @@
 	}
 }
 
-// Zones must not be crossed on every request if that has a cost.
-func TestNearServersFirst(t *testing.T) {
+// If crossing zones has a cost, requests must use the local zone while it has capacity.
+func TestLocalZoneIsPreferred(t *testing.T) {
 	cfg := testConfig()
 	cfg.CrossZoneCost, cfg.Zone = 0.02, 1
 	list := ready(1, 2, 3)
@@ -46,18 +46,18 @@
 	submit(b, 0, 1, idempotentClass)
 	submit(b, 0, 2, idempotentClass)
 	if h.sentTo(3) != 2 {
-		t.Fatalf("sends %v, want both in the near zone", h.sends)
+		t.Fatalf("got sends %v, want both in the local zone", h.sends)
 	}
 	for id := RequestID(3); id < 8; id++ {
 		submit(b, 0, id, idempotentClass)
 	}
 	if h.sentTo(1)+h.sentTo(2) == 0 {
-		t.Fatal("nothing was sent to the other zone although the near server is at its limit")
+		t.Fatal("no request was sent to the other zone although the server of the local zone is at its limit")
 	}
 }
 
-// Servers that answer late, because they are slow or crowded by others, must not keep an even part of
-// the attempts.
+// Servers that respond late, because they are slow or loaded by other balancers, must not get an even share
+// of the attempts.
 func TestSlowServerGetsASmallerInFlightLimit(t *testing.T) {
 	b, _ := start(t, testConfig(), ready(1, 2))
 	for range 50 {
@@ -68,7 +68,8 @@
 	}
 }
 
-// The in-flight limits of all balancers together must not let servers become overloaded.
+// The sum of the in-flight limits of all balancers could overload a server, so its reported load must also
+// limit the requests that it gets.
 func TestReportedLoadBoundsTheFleet(t *testing.T) {
 	cfg := testConfig()
 	cfg.MayProbe, cfg.LoadReports = true, true
@@ -84,18 +85,18 @@
 	if len(h.probes) != 2 {
 		t.Fatalf("got %d probes for %d requests, want 2", len(h.probes), 2*probeInterval)
 	}
-	b.Probed(2*ms, 9, true, LoadReport{InFlight: 1}) // a server not listed
-	b.Probed(2*ms, 9, false, UnknownLoad)            // and one whose probe failed
+	b.Probed(2*ms, 9, true, LoadReport{InFlight: 1}) // an unlisted server
+	b.Probed(2*ms, 9, false, UnknownLoad)            // and a failed probe of one
 	for id := RequestID(10); id < 12; id++ {
-		submit(b, 2*time.Second, id, idempotentClass) // the report is old by now
+		submit(b, 2*time.Second, id, idempotentClass) // the report has expired
 	}
 	if h.sentTo(1) == 0 {
-		t.Fatal("an old report still excludes the server")
+		t.Fatal("the server is still excluded because of an expired report")
 	}
 }
 
-// A load report is older than most requests take: with one request more than the other balancers
-// usually have there, the server is not full.
+// A load report is usually older than the duration of most requests. A server that reports one request more
+// than expected from the other balancers must not count as full.
 func TestReportedLoadToleratesOldReports(t *testing.T) {
 	cfg := testConfig()
 	cfg.MayProbe, cfg.LoadReports = true, true
@@ -106,18 +107,18 @@
 	}
 	submit(b, ms, 1, idempotentClass)
 	if len(h.sends) != 1 {
-		t.Error("nothing is sent although no server is full")
+		t.Error("no request was sent although no server is full")
 	}
 	for _, id := range []ServerID{1, 2} {
 		b.Probed(2*ms, id, true, LoadReport{InFlight: usual + 4})
 	}
 	submit(b, 3*ms, 2, idempotentClass)
 	if len(h.sends) != 1 {
-		t.Error("sent to servers that are full by their report")
+		t.Error("a request was sent to a server that is full by its report")
 	}
 }
 
-// When servers leave, the remaining ones must not get their parts too.
+// When servers leave, the remaining ones must not get their share of the attempts.
 func TestInFlightLimitsDoNotGrowWhenServersLeave(t *testing.T) {
 	cfg := testConfig()
 	cfg.MayProbe = true
@@ -129,17 +130,17 @@
 	if h.sentTo(1) != 2 {
 		t.Fatalf("got %d of 8 slots at the last of four servers, want 2", h.sentTo(1))
 	}
-	b.Probed(2*ms, 1, true, LoadReport{InFlight: 6}) // 12 when traffic is at its quotas, a fourth of them at one server
+	b.Probed(2*ms, 1, true, LoadReport{InFlight: 6}) // expected at quota: a fourth of 12 per server
 	end(b, 3*ms, h.sends[0].id, 0, Served)
 	submit(b, 3*ms, 10, idempotentClass)
 	if h.sentTo(1) != 2 {
-		t.Fatal("the last of four servers gets more than a fourth of the fleet's attempts and two")
+		t.Fatal("the last of four servers got more than a fourth of the expected requests plus two")
 	}
 }
 
-// While replacements overlap with what they replace, the sum of the weights is too high. If it were
-// kept, each server's limit would be too low for good; if it were dropped at once, servers that are
-// away for a moment would leave the others overloaded.
+// The sum of the weights is too high while replacement servers overlap with those they replace. If the peak
+// were kept, the limit of each server would stay too low; if it were dropped immediately, a short absence of
+// some servers would overload the others.
 func TestPeakWeightDecays(t *testing.T) {
 	b, _ := start(t, testConfig(), ready(1, 2))
 	limit := func() float64 { return b.inFlightLimit(b.endpoints.find(1)) }
@@ -150,6 +151,6 @@
 	after := limit()
 	b.List(10*time.Minute, ListDelta, nil)
 	if late := limit(); overlap > alone*0.6 || after > overlap*1.1 || late < alone*0.99 {
-		t.Errorf("limits: %v, during the overlap %v, right after it %v, much later %v", alone, overlap, after, late)
+		t.Errorf("got limits %v before, %v during, %v right after and %v long after the overlap, want a lower one during and right after it, and the first one at the end", alone, overlap, after, late)
 	}
 }
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -5,28 +5,27 @@
 	"slices"
 )
 
-// Subsetting: with low traffic a balancer prefers a part of the servers, as each connection has a cost.
+// Subsetting: with low traffic a balancer prefers a subset of the servers, since each connection has a cost.
 
 const (
-	// minSubsetShare and maxSubsetShare bound the subset: with fewer servers balancers with much traffic
-	// would overload theirs, and cells may be large or unknown.
+	// minSubsetShare and maxSubsetShare limit the share of servers in the subset. With fewer servers, balancers
+	// with much traffic would overload theirs, and cells may be large or unknown.
 	minSubsetShare, maxSubsetShare = 1.0 / 6, 0.5
-	// subsetShareMargin is the part of the balancers by which the number of those that prefer a server may
-	// exceed the mean by chance.
+	// subsetShareMargin allows for the random variation of the share of balancers that prefer a server.
 	subsetShareMargin = 0.05
 )
 
-// subset is how a balancer chooses the servers that it prefers.
+// subset is the state by which a balancer chooses its preferred servers.
 type subset struct {
-	salt  uint64  // of this balancer's order of the servers
-	share float64 // expected part of the balancers that prefer a given server
+	salt  uint64  // makes this balancer's order of servers differ from that of others
+	share float64 // expected share of the balancers that prefer a given server
 }
 
-// rank orders the servers of a cell, differently at each balancer.
+// rank returns the position value of a server in the order of its cell, which differs between balancers.
 func (p *subset) rank(id ServerID) uint64 { return mix(p.salt ^ mix(uint64(id))) }
 
-// chooseSubset chooses the subset: the first server of each cell, so that each key finds its cell,
-// and as many others as the given share of the servers needs.
+// chooseSubset selects the subset: the first server of each cell, so that every cell is available for its
+// keys, and as many others as needed to reach the given share of the servers.
 func (b *Balancer) chooseSubset(share float64) {
 	ready := slices.DeleteFunc(slices.Clone(b.endpoints.servers), func(s *server) bool { return s.State != Ready })
 	slices.SortFunc(ready, func(x, y *server) int {
@@ -34,17 +33,17 @@
 			cmp.Compare(x.Zone, y.Zone), cmp.Compare(x.Cell, y.Cell),
 			cmp.Compare(b.subset.rank(x.ID), b.subset.rank(y.ID)))
 	})
-	chosen, due := 0, 0.0
+	chosen, credit := 0, 0.0
 	for i, s := range ready {
-		due += max(minSubsetShare, min(maxSubsetShare, share))
+		credit += max(minSubsetShare, min(maxSubsetShare, share))
 		firstOfCell := i == 0 || s.Zone != ready[i-1].Zone || s.Cell != ready[i-1].Cell
-		s.outsideSubset = !firstOfCell && due < 1
+		s.outsideSubset = !firstOfCell && credit < 1
 		if !s.outsideSubset {
-			chosen, due = chosen+1, max(0, due-1)
+			chosen, credit = chosen+1, max(0, credit-1)
 		}
 	}
 	b.subset.share = min(1, float64(chosen)/float64(max(1, len(ready)))+subsetShareMargin)
 }
 
-// outsideSubset says whether subsetting is in force and a server is not among the preferred ones.
+// outsideSubset reports whether subsetting applies and a server is not in the subset.
 func (b *Balancer) outsideSubset(s *server) bool { return b.traffic.low && s.outsideSubset }
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Otherwise a thousand balancers would each keep a connection to every server, which fills the servers'
-// tables, and would open most of them anew for each request.
+// Without subsetting, a thousand balancers would each keep a connection to every server, which fills the
+// servers' connection tables, and would have to open a new connection for most requests.
 func TestLowTrafficUsesASubsetOfEachCell(t *testing.T) {
 	serversUsed := func(cfg Config, cost float64) int {
 		cfg.CrossZoneCost = cost
@@ -22,7 +22,7 @@
 			}
 		}
 		if len(cells) != 4 {
-			t.Errorf("got servers of %d cells in the subset, want one of each of the 4", len(cells))
+			t.Errorf("got servers of %d cells in the subset, want servers of all 4", len(cells))
 		}
 		used := map[ServerID]bool{}
 		for id := range RequestID(100) {
@@ -33,9 +33,9 @@
 		}
 		return len(used)
 	}
-	for _, cost := range []float64{0.02, 0} { // of crossing zones
+	for _, cost := range []float64{0.02, 0} { // cost of crossing zones
 		if n := serversUsed(lowTrafficConfig(), cost); n < 4 || n > 10 {
-			t.Errorf("cost %v: got %d of 20 servers used with low traffic, want one of each cell and half at most", cost, n)
+			t.Errorf("cost %v: got %d of 20 servers used with low traffic, want 4 to 10", cost, n)
 		}
 	}
 	highTraffic := testConfig()
--- a/policy/takeover.go
+++ b/policy/takeover.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// Take-over: a new process takes a sidecar's place while the old one still has requests. To the
-// servers both are one balancer, with one set of slots, queue places and slow start budgets.
+// Take-over: a successor process replaces a sidecar's predecessor process while the predecessor still has
+// requests. Together they must not exceed the slots, queue places and slow start budgets of one balancer.
 
-// takeoverState is how a process stands towards the other one of its sidecar.
+// takeoverState is the state of a take-over in one of the two processes.
 type takeoverState struct {
-	otherProcess bool // another process of this sidecar is running
-	handedOver   bool // it takes this one's place
+	otherProcessRunning bool // another process of this sidecar is running
+	handedOver          bool // this process has handed over to its successor
 }
 
-// HandOver gives up what this process needs neither for the requests that it has nor for a number
-// that may still be coming. It returns what it keeps, by tenant, which never grows again. The
-// budgets of servers that warm up belong to the other process.
-func (b *Balancer) HandOver(coming int) []BulkheadCapacity {
-	b.takeover = takeoverState{otherProcess: true, handedOver: true}
+// HandOver releases the capacity that this process needs neither for its open requests nor for the given
+// number of requests that may still arrive. It returns the capacity that it keeps, by tenant, which never
+// grows again. The slow start budgets pass to the successor.
+func (b *Balancer) HandOver(incoming int) []BulkheadCapacity {
+	b.takeover = takeoverState{otherProcessRunning: true, handedOver: true}
 	kept := make([]BulkheadCapacity, len(b.bulkheads.byTenant))
 	for i := range b.bulkheads.byTenant {
 		bh := &b.bulkheads.byTenant[i]
-		bh.capacity.Slots = min(bh.capacity.Slots, bh.used+len(bh.queue)+coming)
-		bh.capacity.Places = min(bh.capacity.Places, len(bh.queue)+coming)
+		bh.capacity.Slots = min(bh.capacity.Slots, bh.used+len(bh.queue)+incoming)
+		bh.capacity.Places = min(bh.capacity.Places, len(bh.queue)+incoming)
 		kept[i] = bh.capacity
 	}
 	return kept
 }
 
-// ReserveForPredecessor takes what the old process keeps, by tenant; nothing if it has ended. Until
-// then servers that warm up get nothing, as the old process may have just used their budget.
+// ReserveForPredecessor reserves the capacity that the predecessor keeps, by tenant; kept is empty once the
+// predecessor has ended. Until then this process sends nothing to servers that are warming up, since the
+// predecessor may have just used their budget.
 func (b *Balancer) ReserveForPredecessor(now time.Duration, kept []BulkheadCapacity) {
 	for i := range b.bulkheads.byTenant {
 		reserved := BulkheadCapacity{}
@@ -36,11 +37,11 @@
 		}
 		b.bulkheads.byTenant[i].reserved = reserved
 	}
-	if b.takeover.otherProcess && len(kept) == 0 {
+	if b.takeover.otherProcessRunning && len(kept) == 0 {
 		for _, s := range b.endpoints.servers {
-			s.slowStart.nextSend = max(s.slowStart.nextSend, now+b.slowStartInterval(now, s))
+			s.slowStart.nextSendAt = max(s.slowStart.nextSendAt, now+b.slowStartInterval(now, s))
 		}
 	}
-	b.takeover.otherProcess = len(kept) > 0
+	b.takeover.otherProcessRunning = len(kept) > 0
 	b.dispatchQueued(now)
 }
--- a/policy/takeover_test.go
+++ b/policy/takeover_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// While two processes of a sidecar run, they never exceed its slots and queue places together, whatever
-// happens at either of them and however late the new one hears from the old one. When the old one
-// has ended, the new one has all of them.
-func TestTwoProcessesKeepToOneSetOfSlots(t *testing.T) {
+// While two processes of a sidecar run, they must together never exceed its slots and queue places,
+// regardless of their events and of the delay of messages from the predecessor. After the predecessor has
+// ended, the successor has all of them.
+func TestTwoProcessesShareOneSetOfSlots(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		cfg := testConfig()
@@ -41,7 +41,7 @@
 		}
 		collect(predecessor, predecessorHost)
 		successor.ReserveForPredecessor(now, predecessor.HandOver(rng.IntN(3)))
-		var underway [][]BulkheadCapacity // messages from the old process to the new one
+		var undelivered [][]BulkheadCapacity // messages from the predecessor to the successor
 		for range 300 {
 			now += ms
 			switch rng.IntN(5) {
@@ -61,10 +61,10 @@
 					end(f.b, now, f.id, f.attempt, ending)
 				}
 			case 4:
-				underway = append(underway, predecessor.HandOver(rng.IntN(3)))
+				undelivered = append(undelivered, predecessor.HandOver(rng.IntN(3)))
 				if rng.IntN(2) == 0 {
-					successor.ReserveForPredecessor(now, underway[0])
-					underway = underway[1:]
+					successor.ReserveForPredecessor(now, undelivered[0])
+					undelivered = undelivered[1:]
 				}
 			}
 			collect(predecessor, predecessorHost)
@@ -74,7 +74,7 @@
 				if total := b.capacity.Slots; a.used+b.used > total {
 					t.Fatalf("seed %d, tenant %d: got %d and %d slots in use, want at most %d together", seed, i, a.used, b.used, total)
 				}
-				if total := b.capacity.Places; seed%2 == 0 && len(a.queue)+len(b.queue) > total { // retries may be queued beyond the places
+				if total := b.capacity.Places; seed%2 == 0 && len(a.queue)+len(b.queue) > total { // retries may exceed it
 					t.Fatalf("seed %d, tenant %d: got %d and %d requests queued, want at most %d together", seed, i, len(a.queue), len(b.queue), total)
 				}
 			}
@@ -83,33 +83,33 @@
 		for i := range successor.bulkheads.byTenant {
 			own := &successor.bulkheads.byTenant[i]
 			if successor.SlotsFree(i) != own.capacity.Slots-own.used {
-				t.Errorf("seed %d: slots are reserved for a process that has ended", seed)
+				t.Errorf("seed %d: slots are still reserved for a predecessor that has ended", seed)
 			}
 		}
 	}
 }
 
-// Requests that are still coming to the old process keep a slot there, or a queue place if there is no
-// slot, but never more than there were. The new process does without them.
-func TestComingRequestsKeepTheirSlots(t *testing.T) {
+// Requests that are about to arrive at the predecessor keep a slot there, or a queue place if no slot is
+// left, but never more than it had. This capacity is not available to the successor.
+func TestIncomingRequestsKeepTheirSlots(t *testing.T) {
 	predecessor, h := start(t, testConfig(), ready(1, 2, 3))
 	configured := predecessor.bulkheads.byTenant[0].capacity.Slots
 	if kept := predecessor.HandOver(2); kept[0] != (BulkheadCapacity{2, min(2, predecessor.bulkheads.configured[0].Places)}) {
-		t.Errorf("got %v kept for two coming requests, want 2 slots", kept[0])
+		t.Errorf("got %v kept for two incoming requests, want 2 slots", kept[0])
 	}
 	submit(predecessor, 0, 1, idempotentClass)
 	submit(predecessor, 0, 2, idempotentClass)
 	if len(h.sends) != 2 || len(h.refused) != 0 {
-		t.Errorf("got %d sent and %d refused of two coming requests, want 2 and 0", len(h.sends), len(h.refused))
+		t.Errorf("got %d sent and %d refused of two incoming requests, want 2 and 0", len(h.sends), len(h.refused))
 	}
 	if kept := predecessor.HandOver(1000); kept[0].Slots != 2 {
-		t.Errorf("got %v kept of %d, want the 2 slots kept before", kept[0], configured)
+		t.Errorf("got %v kept of %d slots, want the 2 slots kept before", kept[0], configured)
 	}
 }
 
-// A server that warms up gets nothing from either process while both run, and no more than its budget
-// afterwards, whatever the old process sent last.
-func TestTwoProcessesKeepToOneSlowStartBudget(t *testing.T) {
+// A server that is warming up must get no requests from either process while both run, and no more than its
+// budget afterwards, regardless of the predecessor's last sends.
+func TestTwoProcessesShareOneSlowStartBudget(t *testing.T) {
 	now := 100 * time.Second
 	warmingUp := ready(1, 2)
 	warmingUp[0].Started = now
@@ -123,7 +123,7 @@
 		for b, h := range map[*Balancer]*fakeHost{predecessor: predecessorHost, successor: successorHost} {
 			submit(b, now, id, idempotentClass)
 			if h.sentTo(1) > 0 {
-				t.Fatal("a server that warms up gets requests while both processes run")
+				t.Fatal("a server that is warming up got a request while both processes run")
 			}
 			if n := len(h.sends); n > 0 && h.sends[n-1].id == id {
 				end(b, now, id, 0, Served)
@@ -133,10 +133,10 @@
 	}
 	successor.ReserveForPredecessor(now, nil)
 	interval := successor.slowStartInterval(now, successor.endpoints.find(1))
-	if at := successor.endpoints.find(1).slowStart.nextSend; at < now+interval/2 {
-		t.Errorf("the first send may come %v after the old process ended, want about %v", at-now, interval)
+	if at := successor.endpoints.find(1).slowStart.nextSendAt; at < now+interval/2 {
+		t.Errorf("got the first possible send %v after the predecessor ended, want about %v", at-now, interval)
 	}
 	if successorHost.sentTo(1) > 0 {
-		t.Error("a server that warms up gets a request at once")
+		t.Error("a server that is warming up got a request immediately after the predecessor ended")
 	}
 }
--- a/policy/traffic.go
+++ b/policy/traffic.go
@@ -6,34 +6,34 @@
 )
 
 const (
-	// lowTrafficRate is the rate of own requests a second for each server below which traffic is low.
+	// lowTrafficRate is the rate of this balancer's requests per server and second below which traffic is low.
 	lowTrafficRate = 1.0
-	// assumedPerObjective is the number of requests within one objective that are assumed for each
-	// server if no quota is known.
-	assumedPerObjective = 8
+	// assumedRequestsPerObjective is the assumed number of requests per server within one latency objective if
+	// no quota is known.
+	assumedRequestsPerObjective = 8
 
-	// A new value counts for one part in so many in these moving averages.
+	// Windows of the moving averages, in samples.
 	classLatencyWindow   = 16
 	overallLatencyWindow = 32
 	averageWorkWindow    = 64
 )
 
-// traffic is what the Balancer knows about its traffic as a whole.
+// traffic holds the statistics of a Balancer's traffic over all classes and tenants.
 type traffic struct {
-	quota            float64       // quotas of all tenants together, in requests a second
-	averageObjective float64       // of all classes, in seconds
-	usualLatency     time.Duration // moving average of an answer's time, over all classes
+	quota            float64       // sum of the quotas of all tenants, in requests per second
+	averageObjective float64       // mean latency objective of the classes, in seconds
+	averageLatency   time.Duration // moving average of the latency of served requests
 	averageWork      float64       // moving average of the expected work, in nanoseconds; 0: unknown
-	low              bool          // too low to learn enough about each server
+	low              bool          // too low to measure each server
 }
 
-// observeLatency learns the time of a good answer.
-func (t *traffic) observeLatency(c *class, took time.Duration) {
-	c.usualLatency += (took - c.usualLatency) / classLatencyWindow
-	t.usualLatency += (took - t.usualLatency) / overallLatencyWindow
+// observeLatency updates the averages with the latency of a served request.
+func (t *traffic) observeLatency(c *class, latency time.Duration) {
+	c.averageLatency += (latency - c.averageLatency) / classLatencyWindow
+	t.averageLatency += (latency - t.averageLatency) / overallLatencyWindow
 }
 
-// observeWork learns the work that requests are expected to need.
+// observeWork updates the average expected work of requests.
 func (t *traffic) observeWork(work time.Duration) {
 	switch {
 	case work <= 0:
@@ -44,7 +44,7 @@
 	}
 }
 
-// relativeWork is a request's expected work relative to the average; 1 if one of them is unknown.
+// relativeWork returns a request's expected work relative to the average; 1 if either is unknown.
 func (t *traffic) relativeWork(r *request) float64 {
 	if r.expectedWork <= 0 || t.averageWork <= 0 {
 		return 1
@@ -52,10 +52,10 @@
 	return float64(r.expectedWork) / t.averageWork
 }
 
-// classifyTraffic decides whether traffic is low, and chooses the subset of servers for that case.
+// classifyTraffic determines whether traffic is low, and selects the subset of servers for that case.
 func (b *Balancer) classifyTraffic() {
 	servers := float64(max(1, len(b.endpoints.servers)))
-	rate := cmp.Or(b.traffic.quota/servers, assumedPerObjective/b.traffic.averageObjective) / float64(b.cfg.Balancers)
+	rate := cmp.Or(b.traffic.quota/servers, assumedRequestsPerObjective/b.traffic.averageObjective) / float64(b.cfg.Balancers)
 	b.traffic.low = b.cfg.MayProbe && rate < lowTrafficRate
 	b.chooseSubset(rate / lowTrafficRate)
 }
--- a/policy/traffic_test.go
+++ b/policy/traffic_test.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// withoutQuotas is a configuration without tenants, from which the traffic is unknown.
+// withoutQuotas returns a configuration without tenants, for which the traffic is unknown.
 func withoutQuotas(balancers int) Config {
 	cfg := testConfig()
 	cfg.Tenants, cfg.Slots, cfg.MayProbe, cfg.LoadReports, cfg.Balancers = nil, 0, true, true, balancers
 	return cfg
 }
 
-// Without quotas, a few balancers must not eject, use a subset and shed as hundreds have to.
+// Without quotas, a small fleet must not use the ejection, subsetting and shedding that only large fleets
+// need.
 func TestUnknownTrafficIsNotLow(t *testing.T) {
 	list := ready(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)
 	for balancers, low := range map[int]bool{1: false, 6: false, 300: true} {
@@ -22,11 +23,11 @@
 		}
 	}
 	b, h := start(t, withoutQuotas(6), list)
-	for id := range RequestID(400) { // answers that take much of the objective
+	for id := range RequestID(400) { // responses that take much of the objective
 		now := time.Duration(id) * 50 * ms
 		submit(b, now, id, nonIdempotentClass)
 		if n := len(h.sends); n == 0 || h.sends[n-1].id != id {
-			t.Fatalf("request %d was not sent although nothing else is in flight", id)
+			t.Fatalf("request %d was not sent although no other request is in flight", id)
 		}
 		end(b, now+40*ms, id, 0, Served)
 	}
@@ -35,6 +36,6 @@
 		used[s.to] = true
 	}
 	if len(used) != len(list) {
-		t.Errorf("got %d servers of %d used, want all", len(used), len(list))
+		t.Errorf("got %d of %d servers used, want all", len(used), len(list))
 	}
 }
--- a/policy/unresponsive.go
+++ b/policy/unresponsive.go
@@ -6,54 +6,55 @@
 	"time"
 )
 
-// Unresponsive servers neither answer nor break a connection, like a machine that has vanished or a
-// zone that is cut off. They get probes instead of requests until something arrives from them. A
-// zone from which nothing arrives any more is suspected as a whole.
+// Unresponsive servers neither respond nor close connections, for example because of a machine failure or a
+// network partition. They receive probes instead of requests until any response arrives from them. A zone
+// from which no responses arrive any more is suspected as a whole.
 
 const (
-	// A zone is suspected if suspicionSends attempts have been in flight for suspicionObjectiveShare of
-	// the objective while nothing came from it. A single one may be a heavy request or a slow server.
-	suspicionSends          = 3
+	// A zone is suspected if suspicionAttempts attempts have been in flight for suspicionObjectiveShare of the
+	// average objective without any response from the zone. A single one may be due to a heavy request or a
+	// slow server.
+	suspicionAttempts       = 3
 	suspicionObjectiveShare = 0.3
-	// suspicionProbeInterval is the pause between two probes into a suspected zone.
+	// suspicionProbeInterval is the average interval between two probes of a suspected zone.
 	suspicionProbeInterval = 500 * time.Millisecond
 )
 
-// zone is what is known of the servers of a zone together.
+// zone is the combined state of the servers of a zone.
 type zone struct {
-	lastArrivalAt time.Duration // when something last came from one of them
-	suspected     bool          // nothing arrives any more
-	probeAt       time.Duration // when the next probe is due while suspected
-	unanswered    int           // attempts that have waited too long; used by suspectZones
+	lastArrivalAt time.Duration // time of the last response from one of them
+	suspected     bool          // no responses arrive any more
+	probeAt       time.Duration // time of the next probe while suspected
+	unanswered    int           // attempts in flight for too long; used only by suspectZones
 }
 
-// unresponsiveProbes is the state of the probes at unresponsive servers.
+// unresponsiveProbes is the state of the probes of unresponsive servers.
 type unresponsiveProbes struct {
-	needed bool // a server or a zone may be unresponsive
-	first  int  // index of the server at which the next round begins
+	needed      bool // a server or a zone may be unresponsive
+	firstServer int  // index of the server at which the next round starts
 }
 
-// forgetZones drops the zones without a listed server.
-func (l *endpointList) forgetZones() {
+// dropUnlistedZones deletes the zones without a listed server.
+func (l *endpointList) dropUnlistedZones() {
 	maps.DeleteFunc(l.zones, func(number int, _ *zone) bool {
 		return !slices.ContainsFunc(l.servers, func(s *server) bool { return s.Zone == number })
 	})
 }
 
-// recordArrival takes that anything arrived from a server.
+// recordArrival records that a response of any kind arrived from a server.
 func (s *server) recordArrival(now time.Duration) {
 	s.zone.lastArrivalAt, s.zone.suspected = now, false
 	s.unresponsive = false
 }
 
-// markUnresponsive takes that nothing arrived from a server although something should have.
+// markUnresponsive records that an expected response from a server did not arrive.
 func (b *Balancer) markUnresponsive(now time.Duration, s *server) {
 	s.unresponsive = true
 	b.probes.needed = true
 	b.recordFailure(now, s)
 }
 
-// suspectZones looks for zones from which nothing arrives any more.
+// suspectZones marks zones from which no responses arrive any more as suspected.
 func (b *Balancer) suspectZones(now time.Duration) {
 	if !b.cfg.MayProbe {
 		return
@@ -70,7 +71,7 @@
 				continue
 			}
 			z.unanswered++
-			if z.unanswered >= suspicionSends && !z.suspected {
+			if z.unanswered >= suspicionAttempts && !z.suspected {
 				z.suspected, z.probeAt = true, now
 				b.probes.needed = true
 			}
@@ -78,8 +79,8 @@
 	}
 }
 
-// probeUnresponsive sends the probes that are due. Each round begins at a random server, so that the
-// probes into a zone reach all of its servers.
+// probeUnresponsive sends the probes that are due. Each round starts at a random server, so that the probes
+// of a zone cover all of its servers.
 func (b *Balancer) probeUnresponsive(now time.Duration) {
 	if !b.cfg.MayProbe {
 		return
@@ -88,7 +89,7 @@
 	if b.probes.needed {
 		b.probes.needed = false
 		for i := range servers {
-			s := servers[(i+b.probes.first)%len(servers)]
+			s := servers[(i+b.probes.firstServer)%len(servers)]
 			if s.zone.suspected || s.unresponsive {
 				b.probes.needed = true
 				b.probeIfDue(now, s)
@@ -96,12 +97,12 @@
 		}
 	}
 	if len(servers) > 0 {
-		b.probes.first = b.rng.IntN(len(servers))
+		b.probes.firstServer = b.rng.IntN(len(servers))
 	}
 }
 
-// probeIfDue probes an unresponsive server or one of a suspected zone: one server of the zone after
-// each interval, and elsewhere each server within the subset whose recovery attempt is due.
+// probeIfDue probes a server if a probe is due: in a suspected zone one server per interval, and otherwise
+// each unresponsive server of the subset whose recovery attempt is due.
 func (b *Balancer) probeIfDue(now time.Duration, s *server) {
 	z := s.zone
 	switch {
--- a/policy/unresponsive_test.go
+++ b/policy/unresponsive_test.go
@@ -21,7 +21,7 @@
 	return cfg
 }
 
-// Otherwise each balancer would find out with its own requests, again and again, that a server is gone.
+// Without probes each balancer would repeatedly detect an unresponsive server by failing its own requests.
 func TestUnresponsiveServerGetsProbesAndNoRequests(t *testing.T) {
 	b, h := start(t, probingConfig(), ready(1, 2))
 	submit(b, 0, 1, idempotentClass)
@@ -52,26 +52,26 @@
 		end(b, now, id, 0, Served)
 	}
 	if h.sentTo(unresponsive) == before {
-		t.Fatal("a server that answers a probe again gets no requests")
+		t.Fatal("a server that responds to probes again got no requests")
 	}
 }
 
-// If a zone is cut off, each of its servers would cost each balancer a request and a slot until the
-// timeout.
+// If a partitioned zone were not suspected as a whole, each of its servers would cost each balancer a
+// request and a slot until the timeout.
 func TestZoneWithoutAnswersIsSuspected(t *testing.T) {
 	b, h := start(t, probingConfig(), twoZones(8))
-	for id := range RequestID(suspicionSends) {
+	for id := range RequestID(suspicionAttempts) {
 		submit(b, 0, id, idempotentClass)
 	}
 	wait := time.Duration(suspicionObjectiveShare * float64(time.Second))
 	b.Wake(wait - 10*ms)
 	submit(b, wait-10*ms, 10, idempotentClass)
-	if h.sends[suspicionSends].to%2 != 0 {
-		t.Fatal("the near zone is suspected too early")
+	if h.sends[suspicionAttempts].to%2 != 0 {
+		t.Fatal("the local zone is suspected too early")
 	}
 	b.Wake(wait)
 	if len(h.probes) != 1 || h.probes[0]%2 != 0 {
-		t.Fatalf("probes %v, want one into the suspected zone", h.probes)
+		t.Fatalf("got probes %v, want one of the suspected zone", h.probes)
 	}
 	for id := RequestID(20); id < 40; id++ {
 		submit(b, wait, id, idempotentClass)
@@ -90,26 +90,26 @@
 	b.Probed(now, h.probes[0], true, UnknownLoad)
 	submit(b, now, 50, idempotentClass)
 	if to := h.sends[len(h.sends)-1].to; to%2 != 0 {
-		t.Fatal("the zone answered again and gets nothing")
+		t.Fatal("the zone got no request although it responded again")
 	}
 }
 
-// A few slow servers must not count as a zone that is cut off.
+// A few slow servers must not make their zone suspected.
 func TestZoneWithAnAnswerIsNotSuspected(t *testing.T) {
 	b, h := start(t, probingConfig(), twoZones(8))
-	for id := range RequestID(suspicionSends + 1) {
+	for id := range RequestID(suspicionAttempts + 1) {
 		submit(b, 0, id, idempotentClass)
 	}
 	end(b, 200*ms, 0, 0, Served)
 	b.Wake(time.Second)
 	submit(b, time.Second, 10, idempotentClass)
 	if h.sends[len(h.sends)-1].to%2 != 0 || len(h.probes) != 0 {
-		t.Fatal("the zone is suspected although one of its servers answered meanwhile")
+		t.Fatal("the zone is suspected although one of its servers responded meanwhile")
 	}
 }
 
-// A balancer that was cut off itself finds all servers unresponsive. It must not stop sending for
-// seconds after it is back.
+// A balancer that was partitioned itself finds all servers unresponsive. It must not stop sending for seconds
+// after the partition ends.
 func TestRequestsAreSentWhileAllServersAreUnresponsive(t *testing.T) {
 	b, h := start(t, probingConfig(), ready(1, 2))
 	for id := range ServerID(2) {
@@ -117,10 +117,10 @@
 	}
 	submit(b, ms, 1, nonIdempotentClass)
 	if len(h.sends) != 1 {
-		t.Fatal("nothing is sent while all servers are unresponsive")
+		t.Fatal("no request was sent while all servers are unresponsive")
 	}
 	end(b, 2*ms, 1, 0, Served)
-	for id := RequestID(2); id < 6; id++ { // one has answered: the other is still unresponsive
+	for id := RequestID(2); id < 6; id++ { // one server has responded: the other is still unresponsive
 		submit(b, 3*ms, id, nonIdempotentClass)
 		end(b, 4*ms, id, 0, Served)
 		if to := h.sends[len(h.sends)-1].to; to != h.sends[0].to {
@@ -129,8 +129,8 @@
 	}
 }
 
-// Zones come and go with the servers, and their states must not accumulate.
-func TestZonesAreForgotten(t *testing.T) {
+// The states of zones without listed servers must not accumulate.
+func TestUnlistedZonesAreDropped(t *testing.T) {
 	b, _ := start(t, probingConfig(), nil)
 	for z := range 100 {
 		b.List(0, ListFull, []Endpoint{{ID: 1, Zone: z, State: Ready, Weight: 1}})
@@ -142,8 +142,8 @@
 	}
 }
 
-// An unresponsive server that drains must be probed again when its drain is cancelled, or it would stay
-// without requests for ever.
+// An unresponsive server that drains must be probed again when its drain is cancelled; otherwise it would
+// never receive requests again.
 func TestUnresponsiveServerIsProbedAgainAfterADrain(t *testing.T) {
 	b, h := start(t, probingConfig(), ready(1, 2))
 	b.Probed(0, 1, false, UnknownLoad)
