--- a/policy/api.go
+++ b/policy/api.go
@@ -44,7 +44,7 @@
 	PriorityWeight      float64       // value of a response relative to other classes
 	Idempotency         Idempotency
 	DedupScope          DedupScope    // only for IdempotentByKey
-	DedupWindow         time.Duration // only for IdempotentByKey: time from the first send
+	DedupWindow         time.Duration // for IdempotentByKey: how long after the first send repeats are dropped
 }
 
 // Tenant configures a customer's share of the service.
@@ -70,7 +70,7 @@
 	KeyAffinity        bool          // a server that has recently served a key needs less work for it
 	ClientsMarkRetries bool          // clients mark their own retries: Request.ClientRetry
 
-	EventPeriod time.Duration // minimum period at which events are delivered
+	EventPeriod time.Duration // minimum interval between deliveries of events
 
 	PollList     bool          // the balancer must request the endpoint list itself
 	PollDeadline time.Duration // after this time without a poll a change counts as notified; 0: unknown
--- a/policy/bulkhead_test.go
+++ b/policy/bulkhead_test.go
@@ -7,9 +7,9 @@
 )
 
 func TestSlotsAndQueuePlaces(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5, 6, 7, 8)) // tenant 0: 6 slots and 1 place
+	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5, 6, 7, 8)) // tenant 0: 6 slots and 1 queue place
 	if b.SlotsFree(0) != 6 || b.SlotsFree(1) != 2 || b.QueueFree(0) != 1 || b.QueueFree(1) != 1 {
-		t.Fatalf("got free slots %d and %d, free places %d and %d; want 6 and 2, 1 and 1", b.SlotsFree(0), b.SlotsFree(1), b.QueueFree(0), b.QueueFree(1))
+		t.Fatalf("got free slots %d and %d, free queue places %d and %d; want 6 and 2, 1 and 1", b.SlotsFree(0), b.SlotsFree(1), b.QueueFree(0), b.QueueFree(1))
 	}
 	for id := range RequestID(10) {
 		submit(b, 0, id, idempotentClass)
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -8,8 +8,8 @@
 
 const (
 	minUtilization       = 0.2  // at a lower utilization the served rate does not indicate the capacity
-	capacityPrior        = 2.0  // number of busy reports that the listed weight counts for
-	capacityReportWindow = 60.0 // sum of utilization above which the sums are halved: about a minute
+	capacityPrior        = 2.0  // influence of the listed weight, in reports at full utilization
+	capacityReportWindow = 60.0 // utilization sum above which the sums are halved: about a minute of reports
 	// probeInterval is the number of requests per load probe. Probes are rare since each has a cost, which
 	// adds up over all balancers.
 	probeInterval = 16
--- a/policy/congestion.go
+++ b/policy/congestion.go
@@ -21,7 +21,7 @@
 // balancer that contacts each server rarely sees few ejections, so it also needs this overall estimate.
 type congestionEstimate struct {
 	shares    float64 // sum, which decays with time
-	responses float64 // number of answers, which decays likewise
+	responses float64 // number of responses, which decays likewise
 	at        time.Duration
 }
 
--- a/policy/listpoll.go
+++ b/policy/listpoll.go
@@ -6,7 +6,7 @@
 )
 
 // Polls for the endpoint list. One service handles the calls of all balancers sequentially, and calls that
-// wait too long fail. Watches often break at many balancers simultaneously. If all of them called again
+// wait too long fail. Watches may break at many balancers simultaneously. If all of them called again
 // within the time that the service needs for all calls, each call would wait behind others that are going to
 // fail. The backoff after a failure therefore grows with the number of balancers, limited by the time until
 // the balancer must act on a change that it may have missed.
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -385,17 +385,17 @@
 		name, want string
 		act        func(w *randomHarness)
 	}{
-		{"a second response", "rule 1", func(w *randomHarness) { w.Fail(1); w.Fail(1) }},
-		{"a send after the response", "rule 1", func(w *randomHarness) { w.Fail(1); w.Send(1, 1, ms, 0) }},
-		{"a response long after the deadline", "rule 1", func(w *randomHarness) { w.now += 3 * time.Second; w.Fail(1) }},
-		{"a non-idempotent request sent twice", "rule 2", func(w *randomHarness) { w.Send(1, 1, ms, 0); w.Send(1, 1, ms, 0) }},
-		{"a request idempotent by key repeated after its window", "rule 2", func(w *randomHarness) {
+		{"a second answer", "rule 1", func(w *randomHarness) { w.Fail(1); w.Fail(1) }},
+		{"a send after the answer", "rule 1", func(w *randomHarness) { w.Fail(1); w.Send(1, 1, ms, 0) }},
+		{"an answer far too late", "rule 1", func(w *randomHarness) { w.now += 3 * time.Second; w.Fail(1) }},
+		{"a non-idempotent request twice", "rule 2", func(w *randomHarness) { w.Send(1, 1, ms, 0); w.Send(1, 1, ms, 0) }},
+		{"a request idempotent by key after its window", "rule 2", func(w *randomHarness) {
 			w.requests[1].q.Class = keyedAllClass
 			w.Send(1, 1, ms, 0)
 			w.Send(1, 1, ms, w.cfg.Classes[keyedAllClass].DedupWindow+ms)
 		}},
 		{"a refusal of a request that may have run", "rule 2", func(w *randomHarness) { w.Send(1, 1, ms, 0); w.Refuse(1, 0) }},
-		{"a burst at a server that is warming up", "rule 4", func(w *randomHarness) {
+		{"a burst at a server that warms up", "rule 4", func(w *randomHarness) {
 			for id := RequestID(10); id < 60; id++ {
 				w.requests[id] = &trackedRequest{q: Request{ID: id}, deadline: w.now + time.Second}
 				w.Send(id, 3, ms, 0)
--- a/policy/roundrobin.go
+++ b/policy/roundrobin.go
@@ -101,8 +101,8 @@
 	if now-s.load.at >= reportLifetime {
 		return false
 	}
-	usual := b.endpoints.weightShare(b.bulkheads.expectedInFlight, s)
-	return s.load.otherInFlight+float64(s.inFlight) >= reportTolerance+usual
+	expected := b.endpoints.weightShare(b.bulkheads.expectedInFlight, s)
+	return s.load.otherInFlight+float64(s.inFlight) >= reportTolerance+expected
 }
 
 // inFlightLimit returns the maximum number of attempts of this balancer in flight at a server: its share of
--- a/policy/roundrobin_test.go
+++ b/policy/roundrobin_test.go
@@ -63,8 +63,8 @@
 	for range 50 {
 		b.endpoints.find(1).meanSquareShare += (0.8*0.8 - b.endpoints.find(1).meanSquareShare) / 8
 	}
-	if slow, quick := b.inFlightLimit(b.endpoints.find(1)), b.inFlightLimit(b.endpoints.find(2)); slow != 1 || quick != 4 {
-		t.Fatalf("got limits of %v and %v, want 1 and 4", slow, quick)
+	if slow, fast := b.inFlightLimit(b.endpoints.find(1)), b.inFlightLimit(b.endpoints.find(2)); slow != 1 || fast != 4 {
+		t.Fatalf("got limits of %v and %v, want 1 and 4", slow, fast)
 	}
 }
 
@@ -101,16 +101,16 @@
 	cfg := testConfig()
 	cfg.MayProbe, cfg.LoadReports = true, true
 	b, h := start(t, cfg, ready(1, 2))
-	usual := b.endpoints.weightShare(b.bulkheads.expectedInFlight, b.endpoints.find(1))
+	expected := b.endpoints.weightShare(b.bulkheads.expectedInFlight, b.endpoints.find(1))
 	for _, id := range []ServerID{1, 2} {
-		b.Probed(0, id, true, LoadReport{InFlight: usual + 1})
+		b.Probed(0, id, true, LoadReport{InFlight: expected + 1})
 	}
 	submit(b, ms, 1, idempotentClass)
 	if len(h.sends) != 1 {
 		t.Error("no request was sent although no server is full")
 	}
 	for _, id := range []ServerID{1, 2} {
-		b.Probed(2*ms, id, true, LoadReport{InFlight: usual + 4})
+		b.Probed(2*ms, id, true, LoadReport{InFlight: expected + 4})
 	}
 	submit(b, 3*ms, 2, idempotentClass)
 	if len(h.sends) != 1 {
--- a/policy/takeover.go
+++ b/policy/takeover.go
@@ -7,8 +7,8 @@
 
 // takeoverState is the state of a take-over in one of the two processes.
 type takeoverState struct {
-	otherProcessRunning bool // another process of this sidecar is running
-	handedOver          bool // this process has handed over to its successor
+	otherProcessRunning bool
+	handedOver          bool // to a successor
 }
 
 // HandOver releases the capacity that this process needs neither for its open requests nor for the given
