--- a/internal/registry/changes.go
+++ b/internal/registry/changes.go
@@ -6,25 +6,26 @@
 	"slices"
 )
 
-// ListUpdate is a message of the endpoint list: the full list, or what has changed since
-// the version that was asked for.
+// ListUpdate is a message of the endpoint list: the full list, or the changes since the
+// requested version.
 type ListUpdate struct {
 	Seq       uint64     `json:"seq"`
 	Full      bool       `json:"whole"`
 	Instances []Instance `json:"hosts"`
 }
 
-// listChange says that a host's entry changed with a version of the list. How it is now
-// stands in the host's registration.
+// listChange records that a host's entry changed in a version of the list. The current
+// entry is in the host's registration.
 type listChange struct {
 	Seq  uint64 `json:"seq"`
 	Host string `json:"host"`
 }
 
-// compareSeq orders changes by their version.
+// compareSeq orders changes by version.
 func (c listChange) compareSeq(d listChange) int { return cmp.Compare(c.Seq, d.Seq) }
 
-// bumpVersion gives the list its next version, in which these hosts have changed.
+// bumpVersion advances the list's version and records that the hosts changed in it. Without
+// hosts it does nothing.
 func (s *State) bumpVersion(hosts ...string) {
 	if len(hosts) == 0 {
 		return
@@ -39,7 +40,7 @@
 	s.trimChanges()
 }
 
-// trimChanges bounds the log of changes. It drops all changes of a version or none.
+// trimChanges bounds the log of changes. It never drops only some of a version's changes.
 func (s *State) trimChanges() {
 	excess := len(s.changes) - maxListChanges
 	if excess <= 0 {
@@ -61,8 +62,8 @@
 	return u
 }
 
-// ChangesSince returns each host that has changed after a version, as it is now. It
-// returns the full list if the log of changes does not cover the version: one that is
+// ChangesSince returns the current entries of the hosts that changed after a version. It
+// returns the full list if the log of changes does not cover the version, which is then
 // too old, newer than the list, or of another history.
 func (s *State) ChangesSince(version uint64) ListUpdate {
 	if version < s.changesAfter || version > s.seq {
--- a/internal/registry/changes_test.go
+++ b/internal/registry/changes_test.go
@@ -26,7 +26,7 @@
 
 // Versions that the log of changes does not cover get the full list: older than the log,
 // newer than the state, or of another group's history.
-func TestUncoveredVersionsGetTheFullList(t *testing.T) {
+func TestUncoveredVersionGetsFullList(t *testing.T) {
 	s := newFoundedState(t)
 	for i := range maxListChanges + 10 {
 		c := newInstance("s-1")
--- a/internal/registry/claim_tracker.go
+++ b/internal/registry/claim_tracker.go
@@ -10,43 +10,44 @@
 	"barleywick/internal/mutation"
 )
 
-// ClaimTracker measures how long ago each claim was renewed. Like a SessionTracker it
-// belongs to the leader and is not replicated: a new leader begins with a new one, in
-// which every claim has its full time to live. It is told the time and reads no clock.
+// ClaimTracker measures the time since each claim's last renewal. Like a SessionTracker it
+// belongs to the leader and is not replicated: a new leader starts with a new tracker, in
+// which every claim has its full time to live. The caller passes the current time; the
+// tracker reads no clock.
 type ClaimTracker struct {
-	synced         bool          // it has followed the leases once
-	syncedVersion  uint64        // the leases' version that it followed last
-	maxTTL         time.Duration // the longest time to live that a claim may have
+	synced         bool          // Sync has been called at least once
+	syncedVersion  uint64        // the leases' version at the last Sync
+	maxTTL         time.Duration // the maximum time to live of a claim
 	claims         map[ClaimRef]trackedClaim
-	grantsClosedAt time.Time // when it first saw that no leases are granted yet; zero: they are
+	grantsClosedAt time.Time // when Sync first found the grants closed; zero: they are open
 }
 
-// trackedClaim is when a claim was renewed last, and for how long.
+// trackedClaim is a claim's time to live and its last renewal.
 type trackedClaim struct {
 	ttl       time.Duration
 	renewedAt time.Time
 	granted   bool
-	expired   bool // its end is on its way through the log: it can no longer be renewed
+	expired   bool // the command that ends it is being committed: it can no longer be renewed
 }
 
-// NewClaimTracker makes a tracker for a group in which no claim lives longer than maxTTL
-// without a renewal.
+// NewClaimTracker returns a tracker for a group in which no claim's time to live exceeds
+// maxTTL.
 func NewClaimTracker(maxTTL time.Duration) *ClaimTracker {
 	return &ClaimTracker{maxTTL: maxTTL, claims: make(map[ClaimRef]trackedClaim)}
 }
 
-// Clone returns a copy.
+// Clone returns an independent copy of the tracker.
 func (t *ClaimTracker) Clone() *ClaimTracker {
 	c := *t
 	c.claims = maps.Clone(t.claims)
 	return &c
 }
 
-// Len returns how many claims are tracked.
+// Len returns the number of tracked claims.
 func (t *ClaimTracker) Len() int { return len(t.claims) }
 
-// Sync follows the claims of the state. A claim that is new, or has been granted its
-// lease since the last call, has its full time to live from now on.
+// Sync updates the tracked claims from the state. A claim that is new, or was granted its
+// lease since the last call, has its full time to live starting now.
 func (t *ClaimTracker) Sync(leases *Leases, now time.Time) {
 	if t.synced && t.syncedVersion == leases.version {
 		return
@@ -70,10 +71,10 @@
 	t.synced = true
 }
 
-// track follows one claim of the state.
+// track starts or continues to track one claim of the state.
 func (t *ClaimTracker) track(lease string, claim Claim, granted bool, now time.Time) ClaimRef {
 	ref := ClaimRef{lease, claim.ID}
-	if known, ok := t.claims[ref]; ok && known.granted == granted {
+	if tracked, ok := t.claims[ref]; ok && tracked.granted == granted {
 		return ref
 	}
 	ttl := time.Duration(claim.TTLMS) * time.Millisecond
@@ -85,8 +86,8 @@
 	return ref
 }
 
-// renew records that a claim was renewed. It returns false if the claim is not tracked,
-// or has expired already.
+// renew records a renewal. It returns false if the claim is not tracked or has already
+// expired.
 func (t *ClaimTracker) renew(lease, claimID string, at time.Time) bool {
 	ref := ClaimRef{lease, claimID}
 	claim, ok := t.claims[ref]
@@ -100,9 +101,10 @@
 	return true
 }
 
-// RenewClaims renews claims of one holder as of a time, and returns how each stands. Only
-// a leader may call it, after it has verified its leadership later than that time: a
-// replica that leads afterwards begins later, and gives every claim its full time.
+// RenewClaims renews claims of one holder as of a time, and returns their statuses. Only
+// a leader may call it, and only after it has verified its leadership at a moment later
+// than that time: any later leader then starts its tracker after the renewal and gives
+// every claim its full time to live.
 func (t *ClaimTracker) RenewClaims(leases *Leases, holder Holder, claims []ClaimRef, at time.Time) []ClaimStatus {
 	t.Sync(leases, at)
 	statuses := make([]ClaimStatus, len(claims))
@@ -114,22 +116,22 @@
 
 func (t *ClaimTracker) renewClaim(leases *Leases, holder Holder, ref ClaimRef, at time.Time) ClaimStatus {
 	status := ClaimStatus{Lease: ref.Lease, ClaimID: ref.ClaimID}
-	standing, err := leases.standing(ref.Lease, Claim{ID: ref.ClaimID, Holder: holder})
+	state, err := leases.claimState(ref.Lease, Claim{ID: ref.ClaimID, Holder: holder})
 	switch {
 	case err != nil:
 		status.Ended = true
-	case standing.yieldRequested: // not renewed
-		status.YieldRequested, status.NextHolder = true, standing.nextHolder
-	case !t.renew(ref.Lease, standing.claimID, at):
+	case state.yieldRequested: // not renewed
+		status.YieldRequested, status.NextHolder = true, state.nextHolder
+	case !t.renew(ref.Lease, state.claimID, at):
 		status.Ended = true
 	default:
-		status.Token, status.QueuePosition = standing.token, standing.queuePosition
+		status.Token, status.QueuePosition = state.token, state.queuePosition
 	}
 	return status
 }
 
-// TakeExpired returns the claims whose time to live is over, in order, and whether the
-// group may open its grants. The caller ends these claims: they can no longer be renewed.
+// TakeExpired returns the expired claims, sorted, and whether the group may start to grant
+// leases. The caller has to end these claims: they can no longer be renewed.
 func (t *ClaimTracker) TakeExpired(now time.Time) (expired []ClaimRef, openGrants bool) {
 	for ref, claim := range t.claims {
 		if now.Sub(claim.renewedAt) >= claim.ttl {
@@ -143,8 +145,8 @@
 	return expired, openGrants
 }
 
-// Visit calls visit for every claim, in order, with a text that tells claims apart which
-// will fare differently, and no others.
+// Visit calls visit for every claim, in order, with a text that differs between two claims
+// if and only if the tracker may treat them differently.
 func (t *ClaimTracker) Visit(now time.Time, visit func(ref ClaimRef, state string)) {
 	for _, ref := range slices.SortedFunc(maps.Keys(t.claims), compareClaimRefs) {
 		claim := t.claims[ref]
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -22,34 +22,34 @@
 )
 
 const (
-	// callTimeout is for a call to one replica, the length of an election included.
+	// callTimeout limits a call to one replica. It is long enough for an election.
 	callTimeout = 5 * time.Second
 	dialTimeout = time.Second
 	// minBackoff and maxBackoff bound the pause between two rounds over all replicas.
 	minBackoff       = 50 * time.Millisecond
 	maxBackoff       = time.Second
 	maxResponseBytes = 16 << 20
-	maxMessageBytes  = 200 // of a response that is not the registry's
-	maxRedirects     = 3   // from a replica to the one that leads
+	maxMessageBytes  = 200 // kept of an error response that is not in the registry's format
+	maxRedirects     = 3   // of one call, from replica to replica
 )
 
-// Client makes calls to all replicas of a registry: to the one that leads, and to others
-// while that one cannot be reached. It is safe for concurrent use.
+// Client makes calls to the replicas of a registry: to the leader, and to the others while
+// the leader cannot be reached. It is safe for concurrent use.
 type Client struct {
 	http    *http.Client
 	addrs   []string
-	timeout time.Duration // of a call over all replicas; 0: as long as its context lasts
+	timeout time.Duration // of a call, including all replicas; 0: limited by the context only
 
 	mu        sync.Mutex
 	rng       *rand.Rand
-	preferred string // the replica that answered last
+	preferred string // the replica that responded last
 }
 
-// New makes a client of a registry whose replicas have these addresses. The seed spreads
-// clients over replicas and in time.
+// New returns a client of a registry whose replicas have these addresses. The seed spreads
+// clients over the replicas, and their calls in time.
 func New(addrs []string, seed uint64) (*Client, error) {
 	if len(addrs) == 0 {
-		return nil, errors.New("no address of a registry")
+		return nil, errors.New("registry: no replica addresses given")
 	}
 	for _, addr := range addrs {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
@@ -64,21 +64,21 @@
 			IdleConnTimeout:    10 * time.Second,
 			DisableCompression: true,
 		},
-		// The client follows redirects itself: it has to learn which replica leads.
+		// The client follows redirects itself, to find out which replica is the leader.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 	return c, nil
 }
 
-// WithAddressMap makes calls go to other addresses instead. It must be called before the
-// client is used, and returns the client.
+// WithAddressMap redirects connections to the mapped addresses. It must be called before
+// the client is used, and returns the client.
 func (c *Client) WithAddressMap(routes addressmap.Map) *Client {
 	c.http.Transport.(*http.Transport).DialContext = routes.Dialer(dialTimeout)
 	return c
 }
 
-// WithTimeout bounds every call, its attempts at all replicas included. It must be called
-// before the client is used, and returns the client.
+// WithTimeout limits the duration of every call, including its attempts at all replicas. It
+// must be called before the client is used, and returns the client.
 func (c *Client) WithTimeout(timeout time.Duration) *Client {
 	c.timeout = timeout
 	return c
@@ -87,23 +87,23 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// apiCall is one call, as it is made at every replica that is tried.
+// apiCall is one call, as sent to each replica that is tried.
 type apiCall struct {
 	method   string
 	path     string // below registry.APIPath
 	body     []byte
-	response any // where the response is decoded to; nil: it is not needed
+	response any // target of the decoded response; nil: the response is discarded
 }
 
-// request makes a call and returns its response.
+// request makes a call and returns its decoded response.
 func request[T any](ctx context.Context, c *Client, method, path string, body any) (T, error) {
 	var response T
 	err := c.call(ctx, method, path, body, &response)
 	return response, err
 }
 
-// call makes a call at one replica after the other until one carries it out or refuses it
-// for good, and again until ctx ends.
+// call tries one replica after another until one executes the call or rejects it with a
+// final error. It repeats this, with a growing backoff, until ctx ends.
 func (c *Client) call(ctx context.Context, method, path string, body, response any) error {
 	call := apiCall{method: method, path: path, response: response}
 	if body != nil {
@@ -113,7 +113,7 @@
 		}
 	}
 	if err := ctx.Err(); err != nil {
-		return fmt.Errorf("registry: not asked: %w", err) // that no replica answers would mislead
+		return fmt.Errorf("registry: not asked: %w", err) // ErrUnreachable would be misleading: no replica was tried
 	}
 	if c.timeout > 0 {
 		var cancel context.CancelFunc
@@ -122,26 +122,26 @@
 	}
 	var lastErr error
 	for backoff := minBackoff; ; backoff = min(2*backoff, maxBackoff) {
-		var kept *staleAnswer
+		var freshest *staleResponse
 		for _, addr := range c.replicaOrder() {
-			answered, err := c.callReplica(ctx, addr, call)
-			var stale *staleAnswer
+			responder, err := c.callReplica(ctx, addr, call)
+			var stale *staleResponse
 			if errors.As(err, &stale) {
-				kept = stale.fresher(kept)
-				continue // another replica may know more
+				freshest = stale.fresher(freshest)
+				continue // another replica may have a more recent state
 			}
-			var refusal *Error
-			if err == nil || errors.As(err, &refusal) {
-				c.prefer(answered)
+			var final *Error
+			if err == nil || errors.As(err, &final) {
+				c.prefer(responder)
 				return err
 			}
-			if ctx.Err() == nil || lastErr == nil { // what comes after ctx has ended tells nothing
+			if ctx.Err() == nil || lastErr == nil { // an error after the end of ctx does not explain the failure
 				lastErr = err
 			}
 		}
 		c.prefer("")
-		if kept != nil {
-			return call.decode(kept.addr, kept.text)
+		if freshest != nil {
+			return call.decode(freshest.addr, freshest.text)
 		}
 		select {
 		case <-time.After(c.jitter(backoff)):
@@ -151,8 +151,8 @@
 	}
 }
 
-// replicaOrder returns the order in which replicas are tried: the one that answered last,
-// then the others at random, so that clients spread over them.
+// replicaOrder returns the order in which replicas are tried: the one that responded last,
+// then the others in random order, so that clients spread over them.
 func (c *Client) replicaOrder() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -168,7 +168,7 @@
 	return order
 }
 
-// prefer makes a replica the first that is tried; empty: none is.
+// prefer sets the replica that is tried first; empty: none is preferred.
 func (c *Client) prefer(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -181,9 +181,9 @@
 	return jitter(c.rng, d)
 }
 
-// callReplica makes a call at one replica, or at the one that it redirects to, and returns
-// which one answered.
-func (c *Client) callReplica(ctx context.Context, addr string, call apiCall) (answered string, err error) {
+// callReplica makes a call to one replica, or to the one that it redirects to, and returns
+// the address that responded last.
+func (c *Client) callReplica(ctx context.Context, addr string, call apiCall) (responder string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	for range maxRedirects {
@@ -192,7 +192,7 @@
 		case err != nil:
 			return addr, err
 		case resp.StatusCode == http.StatusOK && isStale(resp):
-			return addr, &staleAnswer{addr, text, staleAge(resp)}
+			return addr, &staleResponse{addr, text, staleAge(resp)}
 		case resp.StatusCode == http.StatusOK:
 			return addr, call.decode(addr, text)
 		case resp.StatusCode != http.StatusTemporaryRedirect:
@@ -207,25 +207,26 @@
 	return addr, fmt.Errorf("%s: more than %d redirects", addr, maxRedirects)
 }
 
-// staleAnswer is a good answer of a replica that says it may be of any age.
-type staleAnswer struct {
+// staleResponse is a successful response that the replica declared stale. It implements
+// error, so that the call tries other replicas first.
+type staleResponse struct {
 	addr string
 	text []byte
-	age  time.Duration // how old it may be
+	age  time.Duration // how old the state may be
 }
 
-// fresher returns the less stale of two answers; the other may be nil.
-func (a *staleAnswer) fresher(other *staleAnswer) *staleAnswer {
+// fresher returns the response with the lower age; the other may be nil.
+func (a *staleResponse) fresher(other *staleResponse) *staleResponse {
 	if other != nil && other.age <= a.age {
 		return other
 	}
 	return a
 }
 
-// unknownAge is the age of a stale answer from a replica that has never caught up.
+// unknownAge is the age of a stale response from a replica that has never caught up.
 const unknownAge = time.Duration(math.MaxInt64)
 
-// staleAge returns how old a stale response says that it may be.
+// staleAge returns the age that a stale response declares.
 func staleAge(resp *http.Response) time.Duration {
 	_, text, _ := strings.Cut(resp.Header.Get(registry.ReadHeader), "age_ms=")
 	ageMS, err := strconv.ParseInt(text, 10, 64)
@@ -235,15 +236,15 @@
 	return time.Duration(ageMS) * time.Millisecond
 }
 
-// Error says which replica's answer it is.
-func (a *staleAnswer) Error() string { return a.addr + ": the answer is stale" }
+// Error returns a text that names the replica.
+func (a *staleResponse) Error() string { return a.addr + ": the answer is stale" }
 
-// isStale reports whether a response says that it may be of any age.
+// isStale reports whether a response declares itself stale.
 func isStale(resp *http.Response) bool {
 	return strings.HasPrefix(resp.Header.Get(registry.ReadHeader), registry.ReadStale)
 }
 
-// send sends one request and reads its response whole.
+// send sends one request and reads the whole response body.
 func (c *Client) send(ctx context.Context, addr string, call apiCall) (*http.Response, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, call.method, "http://"+addr+registry.APIPath+call.path, bytes.NewReader(call.body))
 	if err != nil {
@@ -271,8 +272,8 @@
 	return nil
 }
 
-// responseError returns the error that a response stands for: an *Error if the registry
-// refuses the call for good, another error if a repetition may help.
+// responseError returns the error for a response: an *Error if the registry's rejection is
+// final, another error if a retry may succeed.
 func responseError(addr string, status int, text []byte) error {
 	var w registry.WriteResponse
 	if json.Unmarshal(text, &w) != nil || w.Error == "" {
--- a/internal/registry/client/compatibility_test.go
+++ b/internal/registry/client/compatibility_test.go
@@ -335,7 +335,7 @@
 }
 
 // A call goes to the replica that leads, and the next one there at once.
-func TestCallFollowsARedirect(t *testing.T) {
+func TestCallFollowsRedirect(t *testing.T) {
 	calls := make(chan string, 10)
 	leader := startReplica(t, http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		body, _ := io.ReadAll(q.Body)
@@ -372,7 +372,7 @@
 
 // A replica that cannot do what is asked is passed over, also where all the others
 // could not either: the call ends with its time alone.
-func TestCallGoesOnToOtherReplicas(t *testing.T) {
+func TestCallTriesOtherReplicas(t *testing.T) {
 	unable := startReplica(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		io.WriteString(w, `{"version":0,"seq":0,"error":"no leader is known"}`)
--- a/internal/registry/client/doc.go
+++ b/internal/registry/client/doc.go
@@ -1,7 +1,7 @@
-// Package client follows the endpoint list and makes calls to the registry. A Watcher
-// speaks the discovery protocol's list and watch, with the project's registry and with
-// any other discovery service; a Client speaks the registry's API.
+// Package client watches the endpoint list and makes calls to the registry. A Watcher
+// implements the list and watch calls of the discovery protocol, against the project's
+// registry or any other discovery service; a Client implements the registry's API.
 //
-// The package does not link the implementation of the registry's replicas (Raft and its
-// storage), so that a sidecar carries none of it.
+// The package does not import the implementation of the registry's replicas (Raft and its
+// storage), which is therefore not linked into a sidecar.
 package client
--- a/internal/registry/client/errors.go
+++ b/internal/registry/client/errors.go
@@ -7,17 +7,17 @@
 	"barleywick/internal/registry"
 )
 
-// Error is a refusal by the registry. It is final: the same call gets it again.
+// Error is a final rejection by the registry: retrying the same call is useless.
 type Error struct {
-	Status  int    // of the HTTP response
+	Status  int    // status code of the HTTP response
 	Message string // one line
 }
 
 // Error returns the registry's message.
 func (e *Error) Error() string { return e.Message }
 
-// Is lets callers ask with errors.Is for the errors of package registry. A status tells
-// less than they do: 409 is both ErrConflict and ErrHostTaken.
+// Is makes errors.Is work with the errors of package registry. It compares statuses, which
+// are ambiguous: 409 matches both ErrConflict and ErrHostTaken.
 func (e *Error) Is(target error) bool {
 	status, ok := registry.HTTPStatus(target)
 	if !ok {
@@ -29,6 +29,6 @@
 	return e.Status == status
 }
 
-// ErrUnreachable says that no replica could do what was asked in time. What was
-// written may have been done; every write can be sent again.
+// ErrUnreachable means that no replica executed the call before its context or timeout
+// ended. A write may have been applied nevertheless; every write can safely be retried.
 var ErrUnreachable = errors.New("no replica of the registry answers")
--- a/internal/registry/client/group.go
+++ b/internal/registry/client/group.go
@@ -7,13 +7,13 @@
 	"barleywick/internal/registry"
 )
 
-// Status returns the status of one replica: of the first that answers.
+// Status returns the status of the first replica that responds.
 func (c *Client) Status(ctx context.Context) (registry.StatusResponse, error) {
 	return request[registry.StatusResponse](ctx, c, http.MethodGet, "status", nil)
 }
 
-// Statuses returns the status of every replica that the group has now. Replicas that do
-// not answer, or are not ready, are left out; all reports whether none was.
+// Statuses returns the status of every current replica of the group. Replicas that do not
+// respond or are not ready are omitted; all reports whether none was omitted.
 func (c *Client) Statuses(ctx context.Context) (statuses []registry.StatusResponse, all bool) {
 	first, err := c.Status(ctx)
 	if err != nil {
@@ -37,18 +37,18 @@
 	return request[rawJSON](ctx, c, http.MethodGet, "backup?linearizable=1", nil)
 }
 
-// Restore replaces the registry's contents by those of a backup.
+// Restore replaces the registry's contents with those of a backup.
 func (c *Client) Restore(ctx context.Context, backup []byte) error {
 	return c.call(ctx, http.MethodPost, "restore", rawJSON(backup), nil)
 }
 
-// rawJSON is JSON that is sent and received as it is.
+// rawJSON is JSON text that is sent and received unchanged.
 type rawJSON []byte
 
-// MarshalJSON returns the text.
+// MarshalJSON returns the text unchanged.
 func (r rawJSON) MarshalJSON() ([]byte, error) { return r, nil }
 
-// UnmarshalJSON keeps a copy of the text.
+// UnmarshalJSON stores a copy of the text.
 func (r *rawJSON) UnmarshalJSON(text []byte) error {
 	*r = append((*r)[:0], text...)
 	return nil
--- a/internal/registry/client/instances.go
+++ b/internal/registry/client/instances.go
@@ -8,22 +8,22 @@
 	"barleywick/internal/registry"
 )
 
-// Register registers an instance, or changes its registration.
+// Register registers an instance or changes its registration.
 func (c *Client) Register(ctx context.Context, r registry.RegisterRequest) (registry.WriteResponse, error) {
 	return request[registry.WriteResponse](ctx, c, http.MethodPut, "instances/"+url.PathEscape(r.Instance.Host), r)
 }
 
-// RenewSession keeps a session alive.
+// RenewSession renews an instance's session.
 func (c *Client) RenewSession(ctx context.Context, host, session string) error {
 	return c.call(ctx, http.MethodPost, "instances/"+url.PathEscape(host)+"/renew", registry.RenewRequest{Session: session}, nil)
 }
 
-// Remove removes an instance; with a session, only while it is that session's.
+// Remove removes an instance; if a session is given, only if the instance has that session.
 func (c *Client) Remove(ctx context.Context, host, session string) error {
 	return c.call(ctx, http.MethodDelete, "instances/"+url.PathEscape(host)+"?session="+url.QueryEscape(session), nil, nil)
 }
 
-// Mark sets the drain marks of hosts, or clears them: all or none.
+// Mark sets or clears the drain marks of hosts, of all or none of them.
 func (c *Client) Mark(ctx context.Context, m registry.MarkRequest) (registry.WriteResponse, error) {
 	return request[registry.WriteResponse](ctx, c, http.MethodPost, "marks", m)
 }
--- a/internal/registry/client/keep_registered.go
+++ b/internal/registry/client/keep_registered.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// renewalsPerTTL is how many renewals fall into a time to live: two may be lost, or an
-	// election may take place, before the session expires.
+	// renewalsPerTTL is the number of renewals per time to live, so that a session survives
+	// two lost renewals or an election.
 	renewalsPerTTL = 4
-	// deregisterTimeout is how long an instance that ends tries to remove itself.
+	// deregisterTimeout limits the removal of an instance that shuts down.
 	deregisterTimeout = 2 * time.Second
 )
 
 // KeepRegistered registers an instance, keeps it registered until ctx ends, and then
-// removes it. It survives the loss of any replica, of the leader, and of all of them for a
-// while: the registry gives every session its full time afterwards. The function
-// registered, if not nil, is called after each registration. The returned error is a
-// refusal by the registry; everything else is tried again.
+// removes it. The registration survives the failure of any replica including the leader,
+// and a temporary failure of all of them, since a new leader gives every session its full
+// time to live. The function registered, if not nil, is called after each registration. The
+// returned error is a rejection by the registry; all other failures are retried.
 func (c *Client) KeepRegistered(ctx context.Context, r registry.RegisterRequest, registered func(registry.WriteResponse)) error {
 	ttl := time.Duration(r.TTLMS) * time.Millisecond
 	for {
@@ -47,7 +47,7 @@
 	}
 }
 
-// renewUntilError keeps the session alive until a renewal fails or ctx ends.
+// renewUntilError renews the session until a renewal fails or ctx ends.
 func (c *Client) renewUntilError(ctx context.Context, r registry.RegisterRequest, interval time.Duration) error {
 	for {
 		select {
@@ -61,13 +61,13 @@
 	}
 }
 
-// deregister removes the instance if that can be done in a short time. Its session expires
-// otherwise.
+// deregister tries to remove the instance within deregisterTimeout. If that fails, the
+// instance is removed when its session expires.
 func (c *Client) deregister(ctx context.Context, r registry.RegisterRequest) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), deregisterTimeout)
 	defer cancel()
 	err := c.Remove(ctx, r.Instance.Host, r.Session)
-	if errors.Is(err, registry.ErrHostTaken) { // another session has the host by now
+	if errors.Is(err, registry.ErrHostTaken) { // the host is registered by another session by now
 		return nil
 	}
 	return err
--- a/internal/registry/client/list_loss.go
+++ b/internal/registry/client/list_loss.go
@@ -8,37 +8,37 @@
 	"time"
 )
 
-// ListLoss says how a call for the list failed, or how a watch ended.
+// ListLoss describes how a call for the list failed, or how a watch ended.
 type ListLoss struct {
-	Unresponsive bool // nothing arrived for a while
-	Reached      bool // the service was there, and refused the call or broke it off
+	Unresponsive bool // nothing arrived before the timeout
+	Reached      bool // the service was reached, and rejected or aborted the call
 	Moved        bool // the addresses have changed, and nothing has arrived from the new ones
-	// SinceLastMessage is how long ago the last message arrived: an update or a heartbeat.
+	// SinceLastMessage is the time since the last message, which is an update or a heartbeat.
 	SinceLastMessage time.Duration
 }
 
-// lossOf returns how a call failed or a watch ended, by its error.
-func lossOf(err error, moved bool, sinceLastMessage time.Duration) ListLoss {
+// classifyLoss describes how a call failed or a watch ended, given its error.
+func classifyLoss(err error, addrsChanged bool, sinceLastMessage time.Duration) ListLoss {
 	var network *net.OpError
-	refused := errors.As(err, &network) && network.Op == "dial"
+	dialFailed := errors.As(err, &network) && network.Op == "dial"
 	unresponsive := errors.Is(err, errUnresponsive) || errors.Is(err, os.ErrDeadlineExceeded)
 	return ListLoss{
 		Unresponsive:     unresponsive,
-		Reached:          !refused && !unresponsive,
-		Moved:            moved,
+		Reached:          !dialFailed && !unresponsive,
+		Moved:            addrsChanged,
 		SinceLastMessage: sinceLastMessage,
 	}
 }
 
 var (
-	// errUnresponsive ends a watch or a call on which nothing arrives any more.
+	// errUnresponsive ends a watch or a call on which nothing arrives before the timeout.
 	errUnresponsive = errors.New("no message within " + watchTimeout.String())
-	// errGap says that an update was missed or cannot be read: the full list is needed.
+	// errGap means that an update was missed or is malformed: the full list is needed.
 	errGap = errors.New("gap in the list")
-	// errUpdateTooLong says that an update is longer than any list is.
-	errUpdateTooLong = fmt.Errorf("%w: over %d bytes", errGap, maxUpdateBytes)
-	// errStale says that the replica's list is stale: another one may know more.
+	// errUpdateTooLong means that an update exceeds maxUpdateBytes.
+	errUpdateTooLong = fmt.Errorf("%w: update exceeds %d bytes", errGap, maxUpdateBytes)
+	// errStale means that the replica's list is stale: another replica may have a later one.
 	errStale = errors.New("the replica's list is stale")
-	// errAddrsChanged ends a watch at addresses that are no longer the service's.
+	// errAddrsChanged ends a watch when the addresses of the service change.
 	errAddrsChanged = errors.New("addresses changed")
 )
--- a/internal/registry/client/list_update.go
+++ b/internal/registry/client/list_update.go
@@ -5,15 +5,15 @@
 	"fmt"
 )
 
-// ListUpdate is a message of the endpoint list: the full list, or what has changed.
+// ListUpdate is a message of the endpoint list: the full list, or changes.
 type ListUpdate struct {
 	Seq       uint64     `json:"seq"`
 	Full      bool       `json:"whole"`
 	Endpoints []Endpoint `json:"hosts"`
 }
 
-// Endpoint is one entry of the list, read tolerantly: a field of the wrong type makes this
-// endpoint malformed, and no other.
+// Endpoint is one entry of the list. It is decoded leniently: a field of the wrong type
+// makes only this endpoint malformed, not the whole update.
 type Endpoint struct {
 	Host      string  `json:"host"`
 	Dial      string  `json:"dial"`
@@ -22,24 +22,25 @@
 	Health    string  `json:"health"`
 	Share     float64 `json:"share"`
 	BornMS    float64 `json:"born_ms"`
-	Malformed bool    `json:"-"` // only the host, at most, could be read
+	Malformed bool    `json:"-"` // at most the host could be decoded
 }
 
-// UnmarshalJSON reads an endpoint. It accepts a malformed one and keeps its host, if that
-// can be read: a host that a full list names has not been removed.
+// UnmarshalJSON decodes an endpoint. It accepts a malformed one and keeps its host, if that
+// can be decoded: a host that is in a full list has not been removed.
 func (e *Endpoint) UnmarshalJSON(text []byte) error {
 	type plain Endpoint
 	var p plain
 	if err := json.Unmarshal(text, &p); err != nil {
-		*e = Endpoint{Host: hostOf(text), Malformed: true}
+		*e = Endpoint{Host: decodeHost(text), Malformed: true}
 		return nil
 	}
 	*e = Endpoint(p)
 	return nil
 }
 
-// hostOf returns the host of an endpoint that is malformed; empty if it cannot be read.
-func hostOf(text []byte) string {
+// decodeHost returns the host of a malformed endpoint, or an empty string if it cannot be
+// decoded.
+func decodeHost(text []byte) string {
 	var named struct {
 		Host string `json:"host"`
 	}
@@ -49,8 +50,8 @@
 	return named.Host
 }
 
-// parseUpdate reads a list update strictly: one that leaves out its version or its
-// endpoints would pass for an empty list. Its errors are errGap.
+// parseUpdate decodes a list update. It rejects one without a version or endpoints, which
+// would otherwise be taken for an empty list. Its errors wrap errGap.
 func parseUpdate(text []byte) (ListUpdate, error) {
 	var fields struct {
 		Seq   *uint64         `json:"seq"`
@@ -61,7 +62,7 @@
 		return ListUpdate{}, fmt.Errorf("%w: %w", errGap, err)
 	}
 	if fields.Seq == nil || fields.Hosts == nil {
-		return ListUpdate{}, fmt.Errorf("%w: without seq or hosts", errGap)
+		return ListUpdate{}, fmt.Errorf("%w: seq or hosts is missing", errGap)
 	}
 	u := ListUpdate{Seq: *fields.Seq, Full: fields.Whole}
 	if err := json.Unmarshal(fields.Hosts, &u.Endpoints); err != nil {
--- a/internal/registry/client/stale_answer_test.go
+++ b/internal/registry/client/stale_answer_test.go
@@ -18,7 +18,7 @@
 // least stale: a replica whose disk was full until a moment ago lacks more than the others. What
 // showed it: TestProofOfFullDisks beside load read grants of 3 s before, while a majority's disks
 // were full and all replicas said stale.
-func TestStaleAnswersAreTheLastResort(t *testing.T) {
+func TestStaleResponseIsUsedOnlyAsLastResort(t *testing.T) {
 	serve := func(read string, version int) string {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(registry.ReadHeader, read)
@@ -59,7 +59,7 @@
 // What happens: a log says `no replica of the registry answers`, and they all do. Why: the
 // caller's time was over before the call, so that nobody was asked; the error named the
 // replicas all the same.
-func TestCallWithoutTimeNamesItsContext(t *testing.T) {
+func TestCallWithEndedContextReturnsContextError(t *testing.T) {
 	asked := make(chan struct{}, 10)
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { asked <- struct{}{} }))
 	defer server.Close()
--- a/internal/registry/client/watch.go
+++ b/internal/registry/client/watch.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// watchTimeout ends a watch on which nothing arrives: without changes an empty line is
-	// due every 2 s.
+	// watchTimeout ends a watch on which nothing arrives. While there are no changes, the
+	// service sends an empty line every 2 s.
 	watchTimeout   = 3 * time.Second
 	maxUpdateBytes = 4 << 20
 )
 
 // watch opens a watch at the current address and delivers its updates until it ends; received
-// reports whether anything arrived. If the watcher has no list it fetches the full one first.
+// reports whether anything arrived. If the watcher has no list, it fetches the full list first.
 func (w *Watcher) watch(ctx context.Context, acceptStale bool) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -41,7 +41,7 @@
 		if err := w.stagger(ctx); err != nil {
 			return received, err
 		}
-		timeout.Reset(watchTimeout) // the watch has its own time, however long the call took
+		timeout.Reset(watchTimeout) // the full timeout for the watch, however long the call took
 	}
 	body, stale, err := w.open(ctx, w.url()+"?watch=1&from="+strconv.FormatUint(w.seq, 10), acceptStale)
 	if err != nil {
@@ -49,22 +49,24 @@
 	}
 	defer body.Close()
 	if stale && len(w.addrs) > 1 {
-		// The other replicas are asked again, as often as if this one did not answer either.
+		// The other replicas are tried again, as often as if this one did not respond either.
 		defer time.AfterFunc(w.maxDelay(), func() { cancel(errStale) }).Stop()
 	}
 	return w.readUpdates(body, received, func() { timeout.Reset(watchTimeout) })
 }
 
-// readUpdates delivers the updates of an open watch until it ends. It returns whether
-// anything arrived, now or before; keepAlive is called for each sign of life.
+// readUpdates delivers the updates of an open watch until it ends. It reports whether
+// anything arrived, now or before; keepAlive is called whenever data arrives that proves
+// the watch alive.
 func (w *Watcher) readUpdates(body io.Reader, receivedBefore bool, keepAlive func()) (received bool, err error) {
 	received = receivedBefore
-	reader := &watchReader{body: body, budget: maxUpdateBytes, onHeartbeat: func(idle bool) {
+	reader := &watchReader{body: body, bytesLeft: maxUpdateBytes, onHeartbeat: func(idle bool) {
 		keepAlive()
 		w.lastMessage = time.Now()
 		if idle && !received {
 			received = true
-			// The watch is open and nothing has changed: the owner learns that its call succeeded.
+			// The watch is open and nothing has changed: an empty update notifies the owner that
+			// the call succeeded.
 			w.options.Deliver(ListUpdate{Seq: w.seq})
 		}
 	}}
@@ -84,13 +86,13 @@
 			return received, err
 		}
 		received = true
-		if err := reader.updateDone(updates.Buffered()); err != nil {
+		if err := reader.endUpdate(updates.Buffered()); err != nil {
 			return received, err
 		}
 	}
 }
 
-// stagger waits for a random time between a half and the whole of MaxStagger.
+// stagger waits for a random time between half of MaxStagger and MaxStagger.
 func (w *Watcher) stagger(ctx context.Context) error {
 	if w.options.MaxStagger <= 0 {
 		return nil
@@ -103,7 +105,7 @@
 	}
 }
 
-// fetchFullList calls for the full list and delivers it.
+// fetchFullList requests the full list and delivers it.
 func (w *Watcher) fetchFullList(ctx context.Context, acceptStale bool) error {
 	body, _, err := w.open(ctx, w.url(), acceptStale)
 	if err != nil {
@@ -117,7 +119,7 @@
 	return w.handleUpdate(text)
 }
 
-// open makes a call and returns the body of its response, and whether that is stale.
+// open makes a call and returns the body of its response and whether the response is stale.
 func (w *Watcher) open(ctx context.Context, url string, acceptStale bool) (body io.ReadCloser, stale bool, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -136,15 +138,15 @@
 		resp.Body.Close()
 		return nil, true, errStale
 	}
-	w.readsStale = stale
+	w.sourceStale = stale
 	return resp.Body, stale, nil
 }
 
 // handleUpdate delivers one update. Changes apply in order, and only to the list that they
-// follow; of a version that the watcher has already, the changes are left out. A stale list
-// does not take the place of a later one, whichever addresses that came from: what it told
-// must not be forgotten. No two groups of replicas share versions, and a later group's are
-// later.
+// follow; changes to the version that the watcher already has are delivered empty. A stale
+// list does not replace a later one, from whichever addresses that came, since the changes
+// that it contained must not be undone. This is valid across addresses because no two groups
+// of replicas share versions, and a later group has later versions.
 func (w *Watcher) handleUpdate(text []byte) error {
 	u, err := parseUpdate(text)
 	if err != nil {
@@ -153,11 +155,11 @@
 	switch {
 	case mutation.IgnoreListChanges && w.seq != 0:
 		return nil
-	case u.Full && w.readsStale && u.Seq < w.seq && !mutation.TakeStaleLists:
-		return fmt.Errorf("%w: it is of version %d, held is %d", errStale, u.Seq, w.seq)
+	case u.Full && w.sourceStale && u.Seq < w.seq && !mutation.TakeStaleLists:
+		return fmt.Errorf("%w: got version %d, current version is %d", errStale, u.Seq, w.seq)
 	case u.Full:
 	case !w.hasList || u.Seq < w.seq:
-		return fmt.Errorf("%w: change to version %d, held is %d", errGap, u.Seq, w.seq)
+		return fmt.Errorf("%w: got change to version %d, current version is %d", errGap, u.Seq, w.seq)
 	case u.Seq == w.seq:
 		u.Endpoints = nil
 	}
--- a/internal/registry/client/watch_reader.go
+++ b/internal/registry/client/watch_reader.go
@@ -6,20 +6,20 @@
 	"io"
 )
 
-// watchReader reads the body of a watch. An update may stand on one line or on several,
-// and arrive in pieces; between updates there are empty lines. Both are signs that the
-// watch is alive. An empty line inside an update that does not go on is not: a watch that
-// stops in the middle of an update would never be opened again.
+// watchReader reads the body of a watch. An update may span several lines and arrive in
+// pieces; between updates there are empty lines. Both count as heartbeats. Empty lines
+// inside an unfinished update do not, so that a watch that stalls in the middle of an
+// update times out and is opened again.
 type watchReader struct {
-	body     io.Reader
-	inUpdate bool // an update has begun
-	budget   int  // bytes that the update may still have
-	// onHeartbeat is called for each sign of life; idle says that it was an empty line
+	body      io.Reader
+	inUpdate  bool // an update has begun
+	bytesLeft int  // number of bytes that the update may still have
+	// onHeartbeat is called for each heartbeat; idle reports that it was an empty line
 	// between updates.
 	onHeartbeat func(idle bool)
 }
 
-// Read reads from the body and reports signs of life.
+// Read reads from the body and reports heartbeats.
 func (r *watchReader) Read(b []byte) (int, error) {
 	n, err := r.body.Read(b)
 	if n == 0 {
@@ -27,7 +27,7 @@
 	}
 	blank := len(bytes.TrimSpace(b[:n])) == 0
 	if !blank {
-		if r.budget -= n; r.budget < 0 {
+		if r.bytesLeft -= n; r.bytesLeft < 0 {
 			return 0, errUpdateTooLong
 		}
 		r.inUpdate = true
@@ -38,13 +38,14 @@
 	return n, err
 }
 
-// updateDone says that an update is complete. What was read beyond it belongs to the next.
-func (r *watchReader) updateDone(beyond io.Reader) error {
-	rest, err := io.ReadAll(beyond)
+// endUpdate records that an update is complete. The bytes buffered after it belong to the
+// next update.
+func (r *watchReader) endUpdate(buffered io.Reader) error {
+	next, err := io.ReadAll(buffered)
 	if err != nil {
 		return fmt.Errorf("read watch: %w", err)
 	}
-	r.inUpdate = len(bytes.TrimSpace(rest)) > 0
-	r.budget = maxUpdateBytes - len(rest)
+	r.inUpdate = len(bytes.TrimSpace(next)) > 0
+	r.bytesLeft = maxUpdateBytes - len(next)
 	return nil
 }
--- a/internal/registry/client/watch_reader_test.go
+++ b/internal/registry/client/watch_reader_test.go
@@ -11,7 +11,7 @@
 )
 
 // An update may stand on several lines, and arrive in pieces with time between them.
-func TestUpdateOverSeveralLines(t *testing.T) {
+func TestUpdateSpansSeveralLines(t *testing.T) {
 	g := registrytest.NewServer(t)
 	updates := startWatcher(t, g, &ListUpdate{Seq: 41, Full: true})
 	w := await(t, "the watch", g.Watches)
@@ -38,7 +38,7 @@
 }
 
 // Empty lines inside an update that does not go on do not keep the watch alive.
-func TestEmptyLinesInsideAnUpdateAreNoHeartbeats(t *testing.T) {
+func TestEmptyLinesInsideUpdateAreNotHeartbeats(t *testing.T) {
 	g := registrytest.NewServer(t)
 	startWatcher(t, g, &ListUpdate{Seq: 41, Full: true})
 	w := await(t, "the watch", g.Watches)
@@ -58,7 +58,7 @@
 				t.Errorf("next watch: got from=%s after %d empty lines, want 41 after at least one", again.From, n)
 			}
 			return
-		case <-time.After(patience):
+		case <-time.After(eventTimeout):
 			t.Fatalf("the watch is still open after %d empty lines", n)
 		}
 	}
--- a/internal/registry/client/watcher.go
+++ b/internal/registry/client/watcher.go
@@ -15,49 +15,48 @@
 )
 
 const (
-	// minReopenDelay and maxReopenDelay bound the pause before a watch is opened again. With
-	// jitter a pause is between a half and one and a half of its length, so that watchers do
-	// not call in step.
+	// minReopenDelay and maxReopenDelay bound the delay before a watch is opened again. Jitter
+	// multiplies a delay by a factor between 0.5 and 1.5, so that watchers do not call in step.
 	minReopenDelay = 100 * time.Millisecond
 	maxReopenDelay = time.Second
-	// maxConnsPerAddr leaves room for a watch and a call for the full list.
+	// maxConnsPerAddr allows for a watch and a call for the full list.
 	maxConnsPerAddr = 2
 )
 
-// WatcherOptions configure a Watcher.
+// WatcherOptions are the options of a Watcher.
 type WatcherOptions struct {
-	Addrs     []string         // of one service: replicas that share their versions
-	LastKnown *ListUpdate      // the list as last held; nil if there is none
-	Deliver   func(ListUpdate) // is called with each update, in order
+	Addrs     []string         // replicas of one service, which share its versions
+	LastKnown *ListUpdate      // the last list received earlier; nil if there is none
+	Deliver   func(ListUpdate) // called with each update, in order
 	Seed      uint64           // spreads watchers over replicas and in time
-	Grace     time.Duration    // in which the owner has to act on a change; 0: not known
-	// MaxStagger is how long after a call for the full list the watch is opened at the
-	// latest. Where many watchers call at once, those without a list go first.
+	Grace     time.Duration    // time within which the owner has to act on a change; 0: unknown
+	// MaxStagger is the maximum delay between the call for the full list and the opening of
+	// the watch. If many watchers call at once, those without a list are served first.
 	MaxStagger time.Duration
 
-	// Polls delivers the owner's calls, if the owner decides when to poll for the list. If it
-	// is nil, the watch is opened again whenever it ends.
+	// Polls delivers the owner's requests to call the service, if the owner decides when to do
+	// so. If it is nil, the watch is opened again whenever it ends.
 	Polls <-chan struct{}
-	// OnLoss is called when such a call has failed, or its watch has ended.
+	// OnLoss is called when a call requested by Polls has failed, or its watch has ended.
 	OnLoss func(ListLoss)
 }
 
-// Watcher follows the endpoint list.
+// Watcher watches the endpoint list.
 type Watcher struct {
 	options     WatcherOptions
 	client      *http.Client
 	rng         *rand.Rand
 	addrs       []string
-	current     int       // the address in use
+	current     int       // index of the address in use
 	lastMessage time.Time // when the last update or heartbeat arrived
-	hasList     bool      // changes may apply to a list that was delivered
-	seq         uint64    // the version of that list
-	readsStale  bool      // the answer that is read says that it is stale
+	hasList     bool      // a list was delivered to which changes may apply
+	seq         uint64    // version of that list
+	sourceStale bool      // the response being read is declared stale
 
-	addrChanges chan []string // new addresses that Follow has not taken yet: the latest only
+	addrChanges chan []string // the latest addresses that Follow has not received yet
 }
 
-// NewWatcher makes a watcher. Follow runs it.
+// NewWatcher returns a watcher. Follow runs it.
 func NewWatcher(o WatcherOptions) *Watcher {
 	w := &Watcher{
 		options:     o,
@@ -79,46 +78,46 @@
 	return w
 }
 
-// SetAddrs makes Follow go on at other addresses, at once. It must not be called
+// SetAddrs makes Follow switch to other addresses immediately. It must not be called
 // concurrently.
 func (w *Watcher) SetAddrs(addrs []string) {
 	select {
-	case <-w.addrChanges: // not taken yet, and out of date
+	case <-w.addrChanges: // not received yet, and outdated
 	default:
 	}
 	w.addrChanges <- addrs
 }
 
-// useAddrs changes to other addresses. Their versions may have nothing to do with the
-// versions so far, so the watcher needs their full list first.
+// useAddrs switches to other addresses. Their versions may be unrelated to the previous
+// ones, so the watcher needs the full list from them first.
 func (w *Watcher) useAddrs(addrs []string) {
 	slog.Info("discovery: addresses changed", "addrs", strings.Join(addrs, " "))
 	w.client.CloseIdleConnections()
 	w.addrs, w.current, w.hasList = addrs, w.rng.IntN(len(addrs)), false
 }
 
-// useNextReplica changes to the next replica, which shares its versions with the last one.
+// useNextReplica switches to the next replica of the service, which has the same versions.
 func (w *Watcher) useNextReplica() { w.current = (w.current + 1) % len(w.addrs) }
 
 func (w *Watcher) url() string { return "http://" + w.addrs[w.current] + registry.ListPath }
 
-// followState is what Follow remembers from one watch to the next.
+// followState is the state that Follow keeps between watches.
 type followState struct {
-	delay   time.Duration // before the next watch is opened
-	failed  bool          // nothing has arrived since the last watch ended
-	callNow bool          // the next call is not to wait
-	refetch bool          // the last call was made to fill a gap
-	moved   bool          // the addresses have changed, and nothing has arrived from the new ones
+	delay        time.Duration // before the next watch is opened
+	failed       bool          // the last watch has ended, and nothing has arrived since
+	skipWait     bool          // the next call is made immediately
+	refetching   bool          // the next call, or the last one, fetches the full list after a gap
+	addrsChanged bool          // the addresses have changed, and nothing has arrived from the new ones
 }
 
-// Follow watches the list until ctx ends. When a watch ends, or nothing arrives any more,
-// it opens the next one soon, at the next address, or when the owner polls. The list that
-// was delivered last stays valid until there is another.
+// Follow watches the list until ctx ends. When a watch ends or times out, it opens the next
+// one at the next address, after a short delay or when the owner polls. The list that was
+// delivered last remains valid until the next one.
 func (w *Watcher) Follow(ctx context.Context) {
 	defer w.client.CloseIdleConnections()
 	s := followState{delay: minReopenDelay}
 	for ctx.Err() == nil {
-		if w.options.Polls != nil && !s.callNow {
+		if w.options.Polls != nil && !s.skipWait {
 			w.awaitPoll(ctx, &s)
 		}
 		if ctx.Err() != nil {
@@ -128,39 +127,39 @@
 	}
 }
 
-// awaitPoll waits for the owner's next call. A change of addresses needs none.
+// awaitPoll waits for the owner's next poll or for a change of addresses.
 func (w *Watcher) awaitPoll(ctx context.Context, s *followState) {
 	select {
 	case <-w.options.Polls:
 	case addrs := <-w.addrChanges:
 		w.useAddrs(addrs)
-		s.moved = true
+		s.addrsChanged = true
 	case <-ctx.Done():
 	}
 }
 
-// followOnce follows one watch, and waits until the next one may be opened if that is not
-// the owner's to decide.
+// followOnce runs one watch. Unless the owner decides when to poll, it then waits until the
+// next watch may be opened.
 func (w *Watcher) followOnce(ctx context.Context, s *followState) {
 	begin := time.Now()
-	received, addrs, err := w.watchUntilMoved(ctx)
+	received, addrs, err := w.watchUntilAddrsChange(ctx)
 	if ctx.Err() != nil {
 		return
 	}
-	if s.callNow = addrs != nil; s.callNow {
+	if s.skipWait = addrs != nil; s.skipWait {
 		w.useAddrs(addrs)
-		s.delay, s.failed, s.moved = minReopenDelay, false, true
+		s.delay, s.failed, s.addrsChanged = minReopenDelay, false, true
 		return
 	}
 	if received {
-		s.delay, s.failed, s.moved = minReopenDelay, false, false
+		s.delay, s.failed, s.addrsChanged = minReopenDelay, false, false
 	}
 	w.logEnd(err, s.failed, time.Since(begin))
 	s.failed = true
-	// Changes that were missed count as notified, so the full list is fetched at once, but
-	// not over and over.
-	if s.refetch = errors.Is(err, errGap) && !s.refetch; s.refetch {
-		s.callNow = true
+	// By the protocol, missed changes count as notified, so the full list is fetched
+	// immediately, but only once in a row.
+	if s.refetching = errors.Is(err, errGap) && !s.refetching; s.refetching {
+		s.skipWait = true
 		return
 	}
 	if mutation.StayOnEndedWatch {
@@ -169,14 +168,14 @@
 	}
 	w.useNextReplica()
 	if w.options.Polls != nil {
-		w.reportLoss(err, s.moved)
+		w.reportLoss(err, s.addrsChanged)
 		return
 	}
 	w.awaitReopening(ctx, s)
 }
 
-// logEnd logs each end of a watch and each failed call: how the last one failed decides
-// when the next may come.
+// logEnd logs each end of a watch and each failed call, since the kind of failure determines
+// when the next call may be made.
 func (w *Watcher) logEnd(err error, failedBefore bool, took time.Duration) {
 	event := "discovery: watch ended"
 	if failedBefore {
@@ -185,13 +184,13 @@
 	slog.Warn(event, "at", w.addrs[w.current], "err", err, "seq", w.seq, "took", took)
 }
 
-// reportLoss tells the owner how its call failed or its watch ended.
-func (w *Watcher) reportLoss(err error, moved bool) {
+// reportLoss notifies the owner how its call failed or its watch ended.
+func (w *Watcher) reportLoss(err error, addrsChanged bool) {
 	select {
-	case <-w.options.Polls: // a call that was meant for the watch that has ended
+	case <-w.options.Polls: // a poll that was requested while the ended watch was open
 	default:
 	}
-	w.options.OnLoss(lossOf(err, moved, time.Since(w.lastMessage)))
+	w.options.OnLoss(classifyLoss(err, addrsChanged, time.Since(w.lastMessage)))
 }
 
 // awaitReopening waits until the next watch may be opened.
@@ -206,9 +205,10 @@
 	}
 }
 
-// maxDelay returns the longest delay before a watch is opened again. All changes that the
-// service had meanwhile count as notified once it is back. A third of the grace is for the
-// longest delay, which jitter makes half as long again, and the rest is for the call.
+// maxDelay returns the longest delay before a watch is opened again. Once the service is
+// reachable again, all changes that it had meanwhile count as notified, and the grace starts.
+// The delay may take a third of the grace, half of it with jitter; the remainder is for the
+// call.
 func (w *Watcher) maxDelay() time.Duration {
 	if w.options.Grace <= 0 {
 		return maxReopenDelay
@@ -216,34 +216,34 @@
 	return max(minReopenDelay, min(maxReopenDelay, w.options.Grace/3))
 }
 
-// jitter returns a random duration around d, so that callers do not act in step.
+// jitter returns a random duration between 0.5 d and 1.5 d, so that callers do not act in step.
 func jitter(rng *rand.Rand, d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.5 + rng.Float64()))
 }
 
-// watchUntilMoved watches until the watch ends or SetAddrs names other addresses, which it
-// returns. When it has returned, no update comes from the old ones any more.
-func (w *Watcher) watchUntilMoved(ctx context.Context) (received bool, addrs []string, err error) {
-	ctx, leave := context.WithCancelCause(ctx)
-	defer leave(nil)
-	ended, moved := make(chan struct{}), make(chan []string, 1)
+// watchUntilAddrsChange watches until the watch ends or SetAddrs provides other addresses,
+// which it returns. After it has returned, no update from the old addresses is delivered.
+func (w *Watcher) watchUntilAddrsChange(ctx context.Context) (received bool, addrs []string, err error) {
+	ctx, stop := context.WithCancelCause(ctx)
+	defer stop(nil)
+	ended, newAddrs := make(chan struct{}), make(chan []string, 1)
 	go func() {
-		defer close(moved)
+		defer close(newAddrs)
 		select {
 		case addrs := <-w.addrChanges:
-			leave(errAddrsChanged)
-			moved <- addrs
+			stop(errAddrsChanged)
+			newAddrs <- addrs
 		case <-ended:
 		}
 	}()
 	received, err = w.watchAnyReplica(ctx)
 	close(ended)
-	return received, <-moved, err
+	return received, <-newAddrs, err
 }
 
-// watchAnyReplica watches at the first replica, from the current one on, that accepts the
-// watch. A replica that says it is stale is watched only if all others are stale, too, or
-// cannot be reached.
+// watchAnyReplica watches at the first replica, starting with the current one, that accepts
+// the watch. A replica that declares itself stale is used only if all others are stale as
+// well or cannot be reached.
 func (w *Watcher) watchAnyReplica(ctx context.Context) (received bool, err error) {
 	if len(w.addrs) == 1 {
 		return w.watch(ctx, true)
--- a/internal/registry/client/watcher_test.go
+++ b/internal/registry/client/watcher_test.go
@@ -15,7 +15,7 @@
 	"barleywick/internal/registry/registrytest"
 )
 
-const patience = 10 * time.Second // how long a test waits for an event; it never has to in a good run
+const eventTimeout = 10 * time.Second // how long a test waits for an event; it never has to in a good run
 
 // await takes the next value of a channel.
 func await[T any](t *testing.T, what string, c <-chan T) T {
@@ -23,7 +23,7 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(patience):
+	case <-time.After(eventTimeout):
 		t.Fatalf("timed out waiting for %s", what)
 		panic("unreachable")
 	}
@@ -38,7 +38,7 @@
 	return updates
 }
 
-func TestWatchBringsChangesInOrder(t *testing.T) {
+func TestWatchDeliversChangesInOrder(t *testing.T) {
 	g := registrytest.NewServer(t)
 	updates := startWatcher(t, g, &ListUpdate{Seq: 41, Full: true})
 	w := await(t, "the watch", g.Watches)
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestGapBringsTheFullList(t *testing.T) {
+func TestGapTriggersFullList(t *testing.T) {
 	for name, line := range map[string]string{
 		"unreadable": `{"seq":42,"whole":false,"hosts":[{"ho`, "backwards": registrytest.ListJSON(30, false), "no list": `{"seq":42,"hosts":7}`,
 		"whole and without hosts": `{"seq":42,"whole":true}`, "whole and without a version": `{"whole":true,"hosts":[]}`, "no object": `42`,
@@ -153,7 +153,7 @@
 }
 
 // If the owner polls for the list, it decides when, and learns of success and failure.
-func TestPollingIsTheOwners(t *testing.T) {
+func TestOwnerDecidesWhenToPoll(t *testing.T) {
 	g := registrytest.NewServer(t)
 	polls, losses, updates := make(chan struct{}, 1), make(chan struct{}, 1), make(chan ListUpdate, 10)
 	d := NewWatcher(WatcherOptions{Addrs: []string{g.Addr}, LastKnown: &ListUpdate{Seq: 3, Full: true}, Deliver: func(l ListUpdate) { updates <- l }})
@@ -201,7 +201,7 @@
 
 // A replica that says it is stale is skipped while another is better, and followed if none
 // is. One that cannot be reached is skipped, too.
-func TestStaleReplicasAreTheLastResort(t *testing.T) {
+func TestStaleReplicaIsUsedOnlyAsLastResort(t *testing.T) {
 	stale, _ := serveAs(t, registry.ReadStale+"; age_ms=9000", 7)
 	other, _ := serveAs(t, registry.ReadStale+"; age_ms=8000", 7)
 	current, _ := serveAs(t, registry.ReadCurrent+"; age_ms=1", 9)
@@ -232,7 +232,7 @@
 
 // A change that cannot be read counts as notified: the full list is fetched without the
 // owner's poll. If that does not help, the owner decides when to poll.
-func TestGapIsFilledWithoutAPoll(t *testing.T) {
+func TestGapIsFilledWithoutPoll(t *testing.T) {
 	g := registrytest.NewServer(t)
 	polls, losses, updates := make(chan struct{}, 1), make(chan struct{}, 10), make(chan ListUpdate, 10)
 	d := NewWatcher(WatcherOptions{
@@ -259,7 +259,7 @@
 }
 
 // If the grace is short, a watch is opened again within a part of it.
-func TestMaxDelayKeepsToTheGrace(t *testing.T) {
+func TestMaxDelayIsBoundedByGrace(t *testing.T) {
 	for grace, want := range map[time.Duration]time.Duration{
 		0: maxReopenDelay, 10 * time.Second: maxReopenDelay, 900 * time.Millisecond: 300 * time.Millisecond, time.Millisecond: minReopenDelay,
 	} {
@@ -271,7 +271,7 @@
 
 // If many call at once the watch comes some time after the full list, and a change of
 // addresses ends the wait.
-func TestWatchIsStaggeredAfterTheFullList(t *testing.T) {
+func TestWatchIsStaggeredAfterFullList(t *testing.T) {
 	old, fresh := registrytest.NewServer(t), registrytest.NewServer(t)
 	updates := make(chan ListUpdate, 10)
 	d := NewWatcher(WatcherOptions{Addrs: []string{old.Addr}, MaxStagger: time.Hour, Deliver: func(l ListUpdate) { updates <- l }})
@@ -292,7 +292,7 @@
 // heartbeat every 2 s, and the watcher stays with it although the others are back: a server
 // that drains goes on getting requests. By the protocol all that discovery knows counts as
 // told 6 s after it can be reached.
-func TestStaleReplicaIsLeftOnceAnotherIsBack(t *testing.T) {
+func TestWatcherLeavesStaleReplicaWhenAnotherRecovers(t *testing.T) {
 	const toldBound = 6 * time.Second
 	var back atomic.Bool
 	serve := func(read string, seq int, reachable func() bool) *httptest.Server {
@@ -342,7 +342,7 @@
 // is one whose disk has been full since before the drain. Its list, older than the one that
 // the sidecar has, took that one's place. The soak showed it at seed 1: `addresses changed`,
 // then `list update seq=1` after `seq=2` had brought the drain.
-func TestStaleListDoesNotReplaceALaterOne(t *testing.T) {
+func TestStaleListDoesNotReplaceLaterList(t *testing.T) {
 	current, _ := serveAs(t, registry.ReadCurrent+"; age_ms=1", 9)
 	older, calls := serveAs(t, registry.ReadStale+"; age_ms=60000", 7)
 	later, _ := serveAs(t, registry.ReadStale+"; age_ms=60000", 12)
--- a/internal/registry/compatibility_test.go
+++ b/internal/registry/compatibility_test.go
@@ -84,7 +84,7 @@
 	return text
 }
 
-func TestRecordedCommandsAreReadAndWritten(t *testing.T) {
+func TestRecordedCommandsRoundTrip(t *testing.T) {
 	seen := make(map[Op]bool)
 	for i, line := range readLines(t, "commands.jsonl") {
 		var c Command
@@ -107,7 +107,7 @@
 }
 
 // The same log leads to the same state, and every command to the same result.
-func TestRecordedLogLeadsToTheSameState(t *testing.T) {
+func TestRecordedLogYieldsRecordedState(t *testing.T) {
 	for name, stop := range map[string]func(Command) bool{
 		"backup.json":         func(c Command) bool { return c.Op == OpAcquireLease },
 		"state.json":          func(c Command) bool { return c.Op == OpExpireClaims && c.Term == 4 },
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestRecordedSnapshotsAreReadAndWritten(t *testing.T) {
+func TestRecordedSnapshotsRoundTrip(t *testing.T) {
 	for _, name := range []string{"backup.json", "state.json", "state_restored.json", "state_without_leases.json"} {
 		text := readTrimmed(t, name)
 		s := NewState()
@@ -159,7 +159,7 @@
 
 // The contents of a recorded snapshot, part by part: reading must not only be the
 // inverse of writing.
-func TestContentsOfARecordedSnapshot(t *testing.T) {
+func TestRecordedSnapshotContents(t *testing.T) {
 	s := NewState()
 	if err := json.Unmarshal(readTrimmed(t, "state.json"), s); err != nil {
 		t.Fatal(err)
@@ -238,7 +238,7 @@
 }
 
 // Each message of the API is read strictly, as the server does, and written alike.
-func TestRecordedMessagesAreReadAndWritten(t *testing.T) {
+func TestRecordedMessagesRoundTrip(t *testing.T) {
 	types := map[string]func() any{
 		"register": func() any { return new(RegisterRequest) }, "renew": func() any { return new(RenewRequest) }, "mark": func() any { return new(MarkRequest) },
 		"put": func() any { return new(PutRequest) }, "acquire": func() any { return new(AcquireRequest) }, "release": func() any { return new(ReleaseRequest) },
--- a/internal/registry/doc.go
+++ b/internal/registry/doc.go
@@ -1,11 +1,11 @@
-// Package registry holds the endpoint list as a replicated state machine: registered
-// instances, a bounded log of list changes, drain marks, records, leases and the fleet
-// policy's rollout. Commands go in; results and list updates come out. It does no I/O,
-// starts no goroutine and reads no clock. Time enters only as a field of a command, so
-// every replica that applies the same commands holds the same state.
+// Package registry implements the replicated state machine behind the endpoint list:
+// registered instances, a bounded log of list changes, drain marks, records, leases and
+// the fleet policy's rollout. It applies commands and returns results and list updates.
+// It does no I/O, starts no goroutine and reads no clock. A command carries its own time,
+// so every replica that applies the same commands has the same state.
 //
-// The package also defines the messages and paths of the registry's HTTP API, which the
-// server and the client share.
+// The package also defines the messages and paths of the registry's HTTP API, which are
+// used by both the server and the client.
 //
-// Nothing here is safe for concurrent use.
+// Unless stated otherwise, types in this package are not safe for concurrent use.
 package registry
--- a/internal/registry/freshness_tracker.go
+++ b/internal/registry/freshness_tracker.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// FreshnessTracker holds the evidence for how old a replica's reads may be. Evidence is a
-// moment at which the replica asked the leader for its commit index, once it has applied
-// the log up to that index: all that was acknowledged before that moment is in its state.
-// That a leader was heard of is no evidence, since heartbeats carry no entries.
+// FreshnessTracker bounds the age of a replica's reads. The bound is the time at which the
+// replica last requested the leader's commit index, counted once the log is applied up to
+// that index: every write acknowledged before the request is then in the replica's state.
+// Raft heartbeats from a leader confirm nothing, since they carry no entries.
 //
-// The zero value has no evidence. The methods may be called concurrently.
+// The zero value has no confirmation. The methods may be called concurrently.
 type FreshnessTracker struct {
 	mu          sync.Mutex
 	confirmedAt time.Time
 }
 
-// Confirm records that all that was acknowledged before asked is in the replica's state.
-// It reports whether this is the first evidence.
-func (t *FreshnessTracker) Confirm(asked time.Time) (first bool) {
+// Confirm records that every write acknowledged before askedAt is in the replica's state.
+// It reports whether this is the first confirmation.
+func (t *FreshnessTracker) Confirm(askedAt time.Time) (first bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	first = t.confirmedAt.IsZero()
-	if asked.After(t.confirmedAt) {
-		t.confirmedAt = asked
+	if askedAt.After(t.confirmedAt) {
+		t.confirmedAt = askedAt
 	}
 	return first
 }
 
-// At returns how fresh a read at a time is: ReadCurrent if the evidence is not older than
-// maxAge, and ReadStale otherwise; and the age of the evidence, 0 if there is none.
+// At returns the freshness of a read at a time, which is ReadCurrent if the last
+// confirmation is not older than maxAge and ReadStale otherwise, and the confirmation's
+// age, 0 if there is none.
 func (t *FreshnessTracker) At(now time.Time, maxAge time.Duration) (freshness string, age time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.confirmedAt.IsZero() {
 		return ReadStale, 0
 	}
-	age = max(0, now.Sub(t.confirmedAt)) // evidence may have come since now was read
+	age = max(0, now.Sub(t.confirmedAt)) // a confirmation may have arrived since now was read
 	if age > maxAge {
 		return ReadStale, age
 	}
--- a/internal/registry/http_status.go
+++ b/internal/registry/http_status.go
@@ -5,8 +5,8 @@
 	"net/http"
 )
 
-// errorStatuses says with which HTTP status the API answers an error. ErrLeaseHeld and
-// ErrFenced wrap ErrConflict, so they come before it.
+// errorStatuses maps errors to the HTTP statuses of the API. ErrLeaseHeld and ErrFenced
+// wrap ErrConflict, so they precede it.
 var errorStatuses = []struct {
 	err    error
 	status int
@@ -21,9 +21,9 @@
 	{ErrLimitReached, http.StatusInsufficientStorage},
 }
 
-// HTTPStatus returns the status with which the API answers an error that says why a
-// command was not carried out, and whether err is such an error. The client reads the
-// same table the other way round.
+// HTTPStatus returns the HTTP status of the API for an error by which a command was
+// rejected; ok reports whether err is such an error. The client uses the same table to
+// map statuses to errors.
 func HTTPStatus(err error) (status int, ok bool) {
 	for _, e := range errorStatuses {
 		if errors.Is(err, e.err) {
--- a/internal/registry/instance.go
+++ b/internal/registry/instance.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// Health is what the list says of an instance.
+// Health is the state of an instance in the list.
 type Health string
 
-// The health values of the protocol.
+// Health values of the discovery protocol.
 const (
 	HealthUp       Health = "up"
 	HealthDraining Health = "draining"
-	HealthRemoved  Health = "removed" // only in changes of the list
+	HealthRemoved  Health = "removed" // used only in changes of the list
 )
 
-// Instance is one entry of the endpoint list, in the protocol's form.
+// Instance is one entry of the endpoint list, as encoded in the discovery protocol.
 type Instance struct {
 	Host   string  `json:"host"` // the same name at every sidecar
 	Dial   string  `json:"dial"`
@@ -26,7 +26,7 @@
 	Block  *int    `json:"block,omitempty"`
 	Health Health  `json:"health"`
 	Share  float64 `json:"share"`
-	BornMS int64   `json:"born_ms"` // the last start, in milliseconds since 1970; 0: long ago
+	BornMS int64   `json:"born_ms"` // time of the last start, in milliseconds since 1970; 0: long ago
 }
 
 const (
@@ -34,29 +34,28 @@
 	maxInstances  = 4096
 	maxShare      = 1e6
 	maxBlock      = 1 << 30
-	// MaxVersion is the highest version that JSON readers can represent exactly if they keep
-	// numbers as floating point.
+	// MaxVersion is the highest version that JSON decoders represent exactly if they store
+	// numbers as 64-bit floating point.
 	MaxVersion = 1<<53 - 1
 )
 
-// CheckName returns an error unless name can stand in a path, a log line and a list. The
-// error begins with what.
-func CheckName(what, name string) error {
+// CheckName returns an error if name is unsuitable for a path, a log line or a list. The
+// error text begins with field.
+func CheckName(field, name string) error {
 	switch {
 	case name == "":
-		return fmt.Errorf("%s is missing", what)
+		return fmt.Errorf("%s is missing", field)
 	case len(name) > maxNameLength:
-		return fmt.Errorf("%s has %d bytes, %d at most", what, len(name), maxNameLength)
-	case strings.ContainsFunc(name, notInNames):
-		return fmt.Errorf("%s %q holds more than letters, digits and plain signs", what, name)
+		return fmt.Errorf("%s has %d bytes, %d at most", field, len(name), maxNameLength)
+	case strings.ContainsFunc(name, isInvalidInName):
+		return fmt.Errorf("%s %q holds more than letters, digits and plain signs", field, name)
 	}
 	return nil
 }
 
-func notInNames(r rune) bool { return r <= ' ' || r > '~' || strings.ContainsRune("/?#%", r) }
+func isInvalidInName(r rune) bool { return r <= ' ' || r > '~' || strings.ContainsRune("/?#%", r) }
 
-// Check returns an error that says in one line what is wrong with an instance that is to
-// be registered.
+// Check returns a one-line error if the instance may not be registered.
 func (i Instance) Check() error {
 	if err := CheckName("host", i.Host); err != nil {
 		return err
@@ -72,11 +71,11 @@
 			return err
 		}
 	}
-	return i.checkFigures()
+	return i.checkValues()
 }
 
-// checkFigures checks the fields that are no names.
-func (i Instance) checkFigures() error {
+// checkValues checks the fields that are neither names nor addresses.
+func (i Instance) checkValues() error {
 	switch {
 	case i.Block != nil && (*i.Block < 0 || *i.Block > maxBlock):
 		return fmt.Errorf("block is %d, it must lie between 0 and %d", *i.Block, maxBlock)
@@ -103,7 +102,7 @@
 	return nil
 }
 
-// equal compares two instances by their contents.
+// equal compares two instances field by field, following Block.
 func (i Instance) equal(j Instance) bool {
 	a, b := i.Block, j.Block
 	i.Block, j.Block = nil, nil
--- a/internal/registry/lease_snapshot.go
+++ b/internal/registry/lease_snapshot.go
@@ -8,7 +8,7 @@
 	"barleywick/internal/mutation"
 )
 
-// leasesSnapshot is the leases as a snapshot holds them.
+// leasesSnapshot is the JSON encoding of Leases in a snapshot.
 type leasesSnapshot struct {
 	LastToken    uint64            `json:"token"`
 	Version      uint64            `json:"version"`
@@ -17,7 +17,7 @@
 	EndedClaims  []string          `json:"ended,omitempty"`
 }
 
-// MarshalJSON writes the leases for a snapshot.
+// MarshalJSON encodes the leases for a snapshot.
 func (ls *Leases) MarshalJSON() ([]byte, error) {
 	return json.Marshal(leasesSnapshot{
 		LastToken:    ls.lastToken,
@@ -28,8 +28,8 @@
 	})
 }
 
-// UnmarshalJSON reads a snapshot. It returns an error, and leaves ls unchanged, if the
-// contents are inconsistent.
+// UnmarshalJSON decodes a snapshot. If the contents are inconsistent, it returns an error
+// and leaves ls unchanged.
 func (ls *Leases) UnmarshalJSON(text []byte) error {
 	var snapshot leasesSnapshot
 	if err := json.Unmarshal(text, &snapshot); err != nil {
@@ -46,24 +46,24 @@
 	return nil
 }
 
-// check returns an error if the snapshot cannot be that of leases.
+// check returns an error if the contents are inconsistent or exceed a limit.
 func (s *leasesSnapshot) check() error {
 	if s.LastToken > MaxVersion || len(s.EndedClaims) > maxEndedClaims || len(s.Leases) > maxLeases {
-		return fmt.Errorf("token %d, %d leases, %d that ended", s.LastToken, len(s.Leases), len(s.EndedClaims))
+		return fmt.Errorf("limit exceeded: last token is %d, with %d leases and %d ended claims", s.LastToken, len(s.Leases), len(s.EndedClaims))
 	}
 	for name, l := range s.Leases {
 		if l == nil || l.Name != name || l.Version > s.Version || len(l.Queue) > maxQueue || l.Grant != nil && l.Grant.Token > s.LastToken {
-			return fmt.Errorf("%.64q is broken", name)
+			return fmt.Errorf("lease %.64q is inconsistent", name)
 		}
 	}
 	return nil
 }
 
-// keepOverRestore keeps the leases when a backup is restored: they concern processes that
-// run now. Tokens and versions go on above the backup's, which may be that of an earlier
-// group of the same name. Leases of that group may not have run out, which is why a group
-// that was founded to restore into does not grant any yet (grantsClosed).
-func (ls *Leases) keepOverRestore(backup *Leases) {
+// preserveOnRestore keeps the current leases when a backup is restored, since they belong to
+// running processes. Tokens and versions continue above those of the backup, which may come
+// from an earlier group of the same name. That group's leases may not have expired yet, so a
+// group that was founded for the restore does not grant leases at first (grantsClosed).
+func (ls *Leases) preserveOnRestore(backup *Leases) {
 	if mutation.RestoreLowerToken {
 		ls.lastToken = backup.lastToken
 		return
--- a/internal/registry/lease_snapshot_test.go
+++ b/internal/registry/lease_snapshot_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestLeasesOverRestoreAndSnapshot(t *testing.T) {
+func TestLeasesSurviveRestoreAndSnapshot(t *testing.T) {
 	s := newOpenState(t)
 	backup, _ := s.MarshalJSON()
 	a := claim("a", "k1", 1)
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -8,31 +8,30 @@
 )
 
 const (
-	maxLeases      = 4096
-	maxQueue       = 64   // claims that wait for one lease
-	maxEndedClaims = 1024 // ended claims that are remembered, so that a late call does not begin one again
-	minClaimID     = 8    // characters of a claim's ID, which has to be unlike all others
+	maxLeases        = 4096
+	maxQueue         = 64   // claims queued for one lease
+	maxEndedClaims   = 1024 // IDs of ended claims that are kept, so that a delayed call does not make the claim again
+	minClaimIDLength = 8    // bytes of a claim's ID, which has to be unique
 )
 
-// Leases is the part of the state machine that concerns leases. It does not know when the
-// time to live of a claim is over: the leader does (ClaimTracker) and ends it with
-// OpExpireClaims.
+// Leases is the part of the state machine for leases. It does not measure the time to live
+// of claims: the leader does (ClaimTracker), and ends expired claims with OpExpireClaims.
 type Leases struct {
 	leases    map[string]*Lease
-	lastToken uint64 // the last fencing token that was given
-	version   uint64 // counts the changes of all leases
-	// grantsClosed holds grants back in a new group: leases that an earlier group of the
-	// same name granted may not have run out.
+	lastToken uint64 // the last fencing token issued
+	version   uint64 // incremented with every change of a lease
+	// grantsClosed suspends grants in a new group: leases granted by an earlier group of the
+	// same name may not have expired yet.
 	grantsClosed bool
-	endedClaims  []string // the IDs of the claims that ended last, the newest last
+	endedClaims  []string // IDs of the claims that ended most recently, the latest at the end
 }
 
-// newLeases returns no leases; tokens and versions begin after a number.
-func newLeases(after uint64) *Leases {
-	return &Leases{leases: make(map[string]*Lease), lastToken: after, version: after}
+// newLeases returns an empty set of leases, whose tokens and versions start after initial.
+func newLeases(initial uint64) *Leases {
+	return &Leases{leases: make(map[string]*Lease), lastToken: initial, version: initial}
 }
 
-// Clone returns a copy that shares nothing that changes.
+// Clone returns a copy that shares no mutable data.
 func (ls *Leases) Clone() *Leases {
 	c := *ls
 	c.leases = make(map[string]*Lease, len(ls.leases))
@@ -52,7 +51,7 @@
 	return all, ls.version
 }
 
-// Lease returns one lease.
+// Lease returns the lease with a name.
 func (ls *Leases) Lease(name string) (Lease, bool) {
 	if l := ls.leases[name]; l != nil {
 		return *l.clone(), true
@@ -60,16 +59,16 @@
 	return Lease{}, false
 }
 
-// Version returns the version of the last change.
+// Version returns the version of the leases, which every change increments.
 func (ls *Leases) Version() uint64 { return ls.version }
 
-// LastToken returns the last fencing token that was given.
+// LastToken returns the last fencing token issued.
 func (ls *Leases) LastToken() uint64 { return ls.lastToken }
 
-// GrantsClosed reports whether the group does not grant leases yet.
+// GrantsClosed reports whether the group, being new, does not grant leases yet.
 func (ls *Leases) GrantsClosed() bool { return ls.grantsClosed }
 
-// apply carries out one command.
+// apply applies one command.
 func (ls *Leases) apply(op Op, c *LeaseCommand) (Result, error) {
 	if c == nil {
 		return Result{}, invalid("no lease is named")
@@ -96,18 +95,19 @@
 	return Result{}, invalid("operation %.32q", op)
 }
 
-// leaseOrNew returns a lease, or a new one that does not belong to the state yet.
+// leaseOrNew returns the lease with a name, or a new one that is not part of the state yet.
 func (ls *Leases) leaseOrNew(name string) (*Lease, error) {
 	if l := ls.leases[name]; l != nil {
 		return l, nil
 	}
 	if len(ls.leases) >= maxLeases {
-		return nil, limitReached("there are %d leases", len(ls.leases))
+		return nil, limitReached("%d leases exist, no more can be added", len(ls.leases))
 	}
 	return &Lease{Name: name}, nil
 }
 
-// acquire adds a claim. If it is there already, the result says how it stands.
+// acquire adds a claim. If the claim exists already, the result has its token or its
+// queue position.
 func (ls *Leases) acquire(c *LeaseCommand) (Result, error) {
 	if err := c.Claim.check(); err != nil {
 		return Result{}, invalid("%w", err)
@@ -119,14 +119,13 @@
 	if err != nil {
 		return Result{}, err
 	}
-	if r, known, err := l.position(c.Claim); known {
+	if r, found, err := l.position(c.Claim); found {
 		return r, err
 	}
 	if err := ls.checkAcquire(l, c); err != nil {
 		return Result{}, err
 	}
-	// A process that has started again replaces the claims of its earlier incarnation in
-	// the queue.
+	// A restarted process replaces the claims of its earlier incarnation in the queue.
 	for _, other := range slices.Clone(l.Queue) {
 		if other.Name == c.Claim.Name {
 			ls.removeClaim(l, other.ID)
@@ -136,11 +135,11 @@
 		return Result{}, limitReached("%d wait for %s", len(l.Queue), l.Name)
 	}
 	if ls.grantable(l) && ls.lastToken >= MaxVersion {
-		return Result{}, limitReached("the tokens are used up")
+		return Result{}, limitReached("no fencing token is left")
 	}
 	ls.leases[c.Name] = l
 	l.Queue = append(l.Queue, c.Claim)
-	ls.touch(l)
+	ls.bumpVersion(l)
 	ls.grantNext(l)
 	r, _, err := l.position(c.Claim)
 	return r, err
@@ -148,8 +147,9 @@
 
 // checkAcquire returns an error if a new claim may not be added to the lease.
 func (ls *Leases) checkAcquire(l *Lease, c *LeaseCommand) error {
-	// Of two processes with the same name the newer one counts. It gets no lease before the
-	// claim of the older one expires: that process may still act.
+	// Of two processes with the same name the later one takes precedence. It is not granted
+	// the lease before the claim of the earlier one expires, since that process may still
+	// be running.
 	for _, other := range l.claims() {
 		if other.Name == c.Claim.Name && other.Incarnation > c.Claim.Incarnation {
 			return conflict("a later process named %s has a claim on %s", other.Name, c.Name)
@@ -164,8 +164,8 @@
 	return nil
 }
 
-// release ends a claim and no other: a call that comes late finds its claim ended and
-// changes nothing.
+// release ends the claim with the given ID and no other, so a delayed call for a claim that
+// has already ended changes nothing.
 func (ls *Leases) release(c *LeaseCommand) (Result, error) {
 	l := ls.leases[c.Name]
 	if mutation.ReleaseAnyGrant && l != nil && l.Grant != nil {
@@ -174,9 +174,9 @@
 	if l == nil || ls.hasEnded(c.Claim.ID) {
 		return Result{Version: ls.version}, nil
 	}
-	r, known, err := l.position(c.Claim)
+	r, found, err := l.position(c.Claim)
 	switch {
-	case !known:
+	case !found:
 		return Result{}, notFound("no claim %.64s on %s", c.Claim.ID, c.Name)
 	case err != nil:
 		return r, err
@@ -190,12 +190,12 @@
 	return Result{Version: ls.version}, nil
 }
 
-// requestYield records what an operator wants of a lease. It takes nothing from the
-// holder, who learns of it at the next renewal. That renewal does not extend the
-// holder's time.
+// requestYield records an operator's request to yield, pause or resume a lease. It does not
+// revoke the grant: the holder receives the request in response to its next renewal, which
+// does not extend the claim.
 func (ls *Leases) requestYield(c *LeaseCommand) (Result, error) {
-	pauses := c.Pause != nil && *c.Pause
-	if ls.leases[c.Name] == nil && !pauses {
+	pause := c.Pause != nil && *c.Pause
+	if ls.leases[c.Name] == nil && !pause {
 		return Result{}, notFound("lease %s", c.Name)
 	}
 	l, err := ls.leaseOrNew(c.Name)
@@ -206,26 +206,26 @@
 	case c.NextHolder != "" && !l.hasQueued(c.NextHolder):
 		return Result{Version: l.Version}, notFound("%.64s does not wait for %s", c.NextHolder, c.Name)
 	case c.Yield && l.Grant == nil:
-		return Result{Version: l.Version}, notFound("nobody holds %s", c.Name)
+		return Result{Version: l.Version}, notFound("lease %s has no holder", c.Name)
 	}
 	ls.leases[c.Name] = l
 	before := *l
 	if c.Pause != nil {
-		l.Paused = pauses
-		l.YieldRequested = pauses && l.Grant != nil
+		l.Paused = pause
+		l.YieldRequested = pause && l.Grant != nil
 	}
 	if c.Yield {
 		l.YieldRequested, l.NextHolder = true, c.NextHolder
 	}
 	if before.Paused != l.Paused || before.YieldRequested != l.YieldRequested || before.NextHolder != l.NextHolder {
-		ls.touch(l)
+		ls.bumpVersion(l)
 	}
 	version := l.Version
 	ls.grantNext(l)
 	return Result{Version: version}, nil
 }
 
-// openGrants lets a new group begin to grant leases.
+// openGrants ends the time in which a new group grants no leases.
 func (ls *Leases) openGrants() {
 	if !ls.grantsClosed {
 		return
@@ -237,7 +237,7 @@
 	}
 }
 
-// expireClaims ends claims, and grants their leases to the next.
+// expireClaims ends expired claims and grants their leases to the next in the queue.
 func (ls *Leases) expireClaims(expired []ClaimRef) {
 	for _, ref := range expired {
 		if l := ls.leases[ref.Lease]; l != nil {
@@ -246,14 +246,14 @@
 	}
 }
 
-// endClaim ends a claim, and grants the lease to the next.
+// endClaim ends a claim and grants the lease to the next in the queue.
 func (ls *Leases) endClaim(l *Lease, id string) {
 	if ls.removeClaim(l, id) {
 		ls.grantNext(l)
 	}
 }
 
-// removeClaim removes a claim from the lease and remembers that it has ended. It reports
+// removeClaim removes a claim from the lease and adds its ID to the ended claims. It reports
 // whether the lease had that claim.
 func (ls *Leases) removeClaim(l *Lease, id string) bool {
 	if l.Grant != nil && l.Grant.ID == id {
@@ -267,18 +267,18 @@
 	if excess := len(ls.endedClaims) - maxEndedClaims; excess > 0 {
 		ls.endedClaims = slices.Delete(ls.endedClaims, 0, excess)
 	}
-	ls.touch(l)
+	ls.bumpVersion(l)
 	return true
 }
 
-// hasEnded reports whether a claim is remembered as ended.
+// hasEnded reports whether a claim is among the recently ended ones.
 func (ls *Leases) hasEnded(claimID string) bool { return slices.Contains(ls.endedClaims, claimID) }
 
-// grantable reports whether the next claim in the queue may have the lease.
+// grantable reports whether the lease can be granted to a queued claim.
 func (ls *Leases) grantable(l *Lease) bool { return l.Grant == nil && !l.Paused && !ls.grantsClosed }
 
-// grantNext grants a free lease to the holder that was named, or else to the claim that
-// has waited longest. It removes a lease that nobody claims.
+// grantNext grants a free lease to the queued claim of NextHolder, or else to the claim that
+// has been queued longest. It removes a lease that has no claims, unless it is paused.
 func (ls *Leases) grantNext(l *Lease) {
 	if ls.grantable(l) && len(l.Queue) > 0 && ls.lastToken < MaxVersion {
 		i := max(0, slices.IndexFunc(l.Queue, func(c Claim) bool { return c.Name == l.NextHolder }))
@@ -286,20 +286,20 @@
 		l.Grant = &Grant{Claim: l.Queue[i], Token: ls.lastToken}
 		l.Queue = slices.Delete(l.Queue, i, i+1)
 		l.YieldRequested, l.NextHolder = false, ""
-		ls.touch(l)
+		ls.bumpVersion(l)
 	}
 	if l.Grant == nil && len(l.Queue) == 0 && !l.Paused {
 		delete(ls.leases, l.Name)
 	}
 }
 
-// touch gives a lease that has changed the next version.
-func (ls *Leases) touch(l *Lease) {
+// bumpVersion assigns the next version to a lease that has changed.
+func (ls *Leases) bumpVersion(l *Lease) {
 	ls.version++
 	l.Version = ls.version
 }
 
-// checkFence returns an error if a command with this fence must be rejected.
+// checkFence returns an error if the fence's token is not that of the lease's current grant.
 func (ls *Leases) checkFence(f *Fence) error {
 	if f == nil || mutation.SkipFenceCheck {
 		return nil
@@ -314,33 +314,33 @@
 	return nil
 }
 
-// claimStanding is how a claim stands: it holds its lease with a token, or is queued.
-type claimStanding struct {
+// claimState is the state of a claim, which either holds its lease with a token or is queued.
+type claimState struct {
 	token          uint64
 	queuePosition  int
-	yieldRequested bool   // the holder is asked to release the lease
-	nextHolder     string // to this one
+	yieldRequested bool   // the holder is asked to yield the lease
+	nextHolder     string // the holder that the lease is to be yielded to
 	claimID        string
 }
 
-// standing returns how a claim stands. The error is ErrClaimEnded if the claim has ended
+// claimState returns the state of a claim. The error is ErrClaimEnded if the claim has ended
 // or never existed.
-func (ls *Leases) standing(name string, c Claim) (claimStanding, error) {
+func (ls *Leases) claimState(name string, c Claim) (claimState, error) {
 	l := ls.leases[name]
 	if l == nil {
-		return claimStanding{}, reject(ErrClaimEnded, "claim %.64s on %.64s", c.ID, name)
+		return claimState{}, reject(ErrClaimEnded, "claim %.64s on %.64s", c.ID, name)
 	}
 	if g := l.Grant; mutation.RenewByOlderIncarnation && g != nil && g.Name == c.Name {
-		return claimStanding{token: g.Token, claimID: g.ID}, nil
+		return claimState{token: g.Token, claimID: g.ID}, nil
 	}
-	r, known, err := l.position(c)
+	r, found, err := l.position(c)
 	switch {
-	case !known:
-		return claimStanding{}, reject(ErrClaimEnded, "claim %.64s on %.64s", c.ID, name)
+	case !found:
+		return claimState{}, reject(ErrClaimEnded, "claim %.64s on %.64s", c.ID, name)
 	case err != nil:
-		return claimStanding{}, err
+		return claimState{}, err
 	}
-	return claimStanding{
+	return claimState{
 		token:          r.Token,
 		queuePosition:  r.QueuePosition,
 		yieldRequested: r.Token != 0 && l.YieldRequested,
--- a/internal/registry/marks.go
+++ b/internal/registry/marks.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// mark sets the drain marks of hosts, or clears them: all or none. A mark outlasts its
-// instance, so that a server which restarts on a machine that is being drained gets no
-// requests.
+// mark sets or clears the drain marks of hosts, of all or none of them. A mark persists
+// when its instance is removed, so that a server that restarts on a machine that is being
+// drained gets no requests.
 func (s *State) mark(c Command) (Result, error) {
 	hosts := c.Hosts
 	if c.Host != "" {
@@ -37,7 +37,7 @@
 	return Result{Version: last.versionOrZero(), ChangedHosts: changed}, nil
 }
 
-// checkMarkCommand checks what does not depend on a single host.
+// checkMarkCommand checks the parts of a command that do not depend on a single host.
 func (s *State) checkMarkCommand(c Command, hosts []string) error {
 	if len(hosts) == 0 || c.MarkedBy == "" || len(c.MarkedBy) > maxNameLength {
 		return invalid("a mark needs hosts and who sets it")
@@ -66,8 +66,8 @@
 	return Result{}, nil
 }
 
-// checkMarkVersion checks the version that a command with one host expects. A mark that
-// is already as the command wants it needs none: the command is a repetition.
+// checkMarkVersion checks the expected version of a command with one host. The version is
+// ignored if the mark is already in the requested state: the command is a repetition.
 func (s *State) checkMarkVersion(c Command, host string) (Result, error) {
 	current := s.registrations[host]
 	if _, marked := s.marks[host]; c.Draining == marked {
@@ -79,7 +79,7 @@
 	return Result{}, nil
 }
 
-// setMark sets or clears one host's mark and reports whether that changes the list.
+// setMark sets or clears the mark of one host and reports whether that changes the list.
 func (s *State) setMark(host, by string, draining bool) (changed bool) {
 	if draining {
 		s.marks[host] = by
@@ -99,5 +99,5 @@
 	return changed
 }
 
-// Marks returns who marked which hosts as draining.
+// Marks returns the drain marks: by host, who set the mark.
 func (s *State) Marks() map[string]string { return maps.Clone(s.marks) }
--- a/internal/registry/policy.go
+++ b/internal/registry/policy.go
@@ -8,24 +8,24 @@
 	"barleywick/internal/rollout"
 )
 
-// RosterLeasePrefix begins the names of roster leases. A sidecar whose policy tells it to
-// refuse requests when it is cut off from the registry serves under such a lease. The end
-// of the lease is evidence that the sidecar has stopped serving, so the same command
-// removes it from the roster.
+// RosterLeasePrefix is the prefix of the names of roster leases. A sidecar whose policy
+// requires it to refuse requests while it is disconnected from the registry serves only
+// while it holds such a lease. The end of the lease proves that the sidecar has stopped
+// serving, so the command that ends the lease also removes the sidecar from the roster.
 const RosterLeasePrefix = "seat:"
 
-// Rollout returns the fleet policy with its rollout. The caller must not change it.
+// Rollout returns the fleet policy and its rollout. The caller must not change it.
 func (s *State) Rollout() *rollout.State { return s.rollout }
 
-// rolloutErrors says which error of this package an error of the rollout is.
-var rolloutErrors = []struct{ ours, rollout error }{
+// rolloutErrors maps the errors of package rollout to the errors of this package.
+var rolloutErrors = []struct{ registryErr, rolloutErr error }{
 	{ErrInvalid, rollout.ErrInvalid},
 	{ErrConflict, rollout.ErrConflict},
 	{ErrNotFound, rollout.ErrNotFound},
 	{ErrLimitReached, rollout.ErrLimitReached},
 }
 
-// applyPolicyStep carries out a step of a rollout.
+// applyPolicyStep applies a step of a rollout.
 func (s *State) applyPolicyStep(c Command) (Result, error) {
 	if c.PolicyStep == nil {
 		return Result{}, invalid("no step of a change of policy")
@@ -37,23 +37,23 @@
 	}
 	err := s.rollout.Apply(step)
 	for _, e := range rolloutErrors {
-		if errors.Is(err, e.rollout) {
-			err = fmt.Errorf("%w: %w", e.ours, err)
+		if errors.Is(err, e.rolloutErr) {
+			err = fmt.Errorf("%w: %w", e.registryErr, err)
 			break
 		}
 	}
 	return Result{Version: s.rollout.Version()}, err
 }
 
-// applyLeaseCommand carries out a command on leases. Sidecars whose roster leases it ends
-// leave the roster.
+// applyLeaseCommand applies a command on leases and removes sidecars whose roster leases it
+// ends from the roster.
 func (s *State) applyLeaseCommand(c Command) (Result, error) {
-	before := s.rosterLeasesEndedBy(c)
+	grants := s.rosterLeasesEndedBy(c)
 	r, err := s.leases.apply(c.Op, c.Lease)
 	if err != nil {
 		return r, err
 	}
-	return r, s.leaveRoster(before)
+	return r, s.removeFromRoster(grants)
 }
 
 // rosterLeasesEndedBy returns the grants of the roster leases that a command may end.
@@ -73,9 +73,9 @@
 	return grants
 }
 
-// leaveRoster removes those sidecars from the roster that no longer hold their roster
-// leases.
-func (s *State) leaveRoster(grants []Claim) error {
+// removeFromRoster removes the sidecars that no longer hold their roster leases from the
+// roster.
+func (s *State) removeFromRoster(grants []Claim) error {
 	for _, c := range grants {
 		if l := s.leases.leases[RosterLeasePrefix+c.Name]; l != nil && l.Grant != nil && l.Grant.ID == c.ID {
 			continue
--- a/internal/registry/records.go
+++ b/internal/registry/records.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Record is a value that workflows keep in the registry under compare-and-set.
+// Record is a value that workflows store in the registry and update by compare-and-set.
 type Record struct {
 	Value   []byte `json:"value"`
 	Version uint64 `json:"version"`
-	AtMS    int64  `json:"at_ms"` // when it was written, in milliseconds since 1970
+	AtMS    int64  `json:"at_ms"` // time of the write, in milliseconds since 1970
 }
 
-// versionOrZero returns the record's version, and 0 if there is none.
+// versionOrZero returns the record's version, or 0 if there is no record.
 func (r *Record) versionOrZero() uint64 {
 	if r == nil {
 		return 0
@@ -20,8 +20,8 @@
 	return r.Version
 }
 
-// putRecord writes a record. The same value again changes nothing, also where it was
-// written by somebody else.
+// putRecord writes a record. Writing the value that it already has changes nothing,
+// regardless of who wrote it.
 func (s *State) putRecord(c Command) (Result, error) {
 	if err := CheckName("key", c.Key); err != nil {
 		return Result{}, invalid("%w", err)
@@ -42,7 +42,7 @@
 	return Result{Version: s.recordVersion}, nil
 }
 
-// deleteRecord deletes a record. One that does not exist counts as deleted.
+// deleteRecord deletes a record. Deleting one that does not exist succeeds.
 func (s *State) deleteRecord(c Command) (Result, error) {
 	if err := CheckName("key", c.Key); err != nil {
 		return Result{}, invalid("%w", err)
@@ -58,14 +58,15 @@
 	return Result{}, nil
 }
 
-// checkRecordChange checks a command's condition and value against the current record.
+// checkRecordChange checks a command's expected version against the current record, and
+// the size of its value.
 func checkRecordChange(c Command, current *Record) error {
 	version := current.versionOrZero()
 	if c.IfVersion != nil && *c.IfVersion != version {
 		return conflict("the record has version %d, not %d", version, *c.IfVersion)
 	}
-	if len(c.Value) > maxRecordValue {
-		return invalid("a value of %d bytes, %d at most", len(c.Value), maxRecordValue)
+	if len(c.Value) > maxRecordValueBytes {
+		return invalid("a value of %d bytes, %d at most", len(c.Value), maxRecordValueBytes)
 	}
 	return nil
 }
--- a/internal/registry/records_test.go
+++ b/internal/registry/records_test.go
@@ -32,7 +32,7 @@
 	if third := put("c", versionPtr(0)); third.Version <= second.Version {
 		t.Errorf("after a deletion: got version %d, want more than %d", third.Version, second.Version)
 	}
-	if r := put(strings.Repeat("x", maxRecordValue+1), nil); !errors.Is(r.Err, ErrInvalid) {
+	if r := put(strings.Repeat("x", maxRecordValueBytes+1), nil); !errors.Is(r.Err, ErrInvalid) {
 		t.Errorf("value that is too large: got %v, want ErrInvalid", r.Err)
 	}
 }
--- a/internal/registry/registrations.go
+++ b/internal/registry/registrations.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// Registration is an instance with what the list does not show of it.
+// Registration is an instance with the properties that are not part of the list.
 type Registration struct {
 	Instance
 	Session        string `json:"session,omitempty"`
 	TTLMS          int64  `json:"ttl_ms,omitempty"` // 0: no session; the registration does not expire
-	Machine        string `json:"machine"`          // where the instance runs
-	Version        uint64 `json:"version"`          // the list's version at the last change
-	ReportedHealth Health `json:"asked"`            // what the instance says of itself, without a drain mark
+	Machine        string `json:"machine"`          // machine on which the instance runs
+	Version        uint64 `json:"version"`          // version of the list at the last change
+	ReportedHealth Health `json:"asked"`            // health reported by the instance, regardless of a drain mark
 }
 
-// versionOrZero returns the registration's version, and 0 if there is none.
+// versionOrZero returns the registration's version, or 0 if there is no registration.
 func (r *Registration) versionOrZero() uint64 {
 	if r == nil {
 		return 0
@@ -23,28 +23,28 @@
 	return r.Version
 }
 
-// checkVersion returns an error unless the registration has the version that a command
-// wants; nil stands for any.
-func (r *Registration) checkVersion(want *uint64) error {
-	if want != nil && *want != r.versionOrZero() {
-		return conflict("the entry has version %d, not %d", r.versionOrZero(), *want)
+// checkVersion returns an error if the registration does not have the version expected by
+// a command; nil accepts any version.
+func (r *Registration) checkVersion(expected *uint64) error {
+	if expected != nil && *expected != r.versionOrZero() {
+		return conflict("the entry has version %d, not %d", r.versionOrZero(), *expected)
 	}
 	return nil
 }
 
-// sameAs compares two registrations of a host by what was registered.
+// sameAs compares two registrations of a host, apart from their versions.
 func (r *Registration) sameAs(other *Registration) bool {
 	return r.Instance.equal(other.Instance) && r.Session == other.Session && r.TTLMS == other.TTLMS &&
 		r.Machine == other.Machine && r.ReportedHealth == other.ReportedHealth
 }
 
-// blocks reports whether the session of r keeps a registration by another session out,
-// which may take the host over only if its instance started later.
-func (r *Registration) blocks(other *Registration) bool {
+// preventsTakeover reports whether the session of r excludes a registration by another
+// session, which may take over the host only if its instance started later.
+func (r *Registration) preventsTakeover(other *Registration) bool {
 	return r.Session != other.Session && r.Session != "" && other.BornMS <= r.BornMS
 }
 
-// newRegistration returns the registration that a command asks for.
+// newRegistration returns the registration requested by a command.
 func (s *State) newRegistration(c Command) *Registration {
 	r := &Registration{Instance: *c.Instance, Session: c.Session, TTLMS: c.TTLMS, Machine: c.Machine, ReportedHealth: c.Instance.Health}
 	if _, marked := s.marks[r.Host]; marked {
@@ -53,7 +53,7 @@
 	return r
 }
 
-// register adds an instance or changes its registration. The same again changes nothing.
+// register adds an instance or changes its registration. A repetition changes nothing.
 func (s *State) register(c Command) (Result, error) {
 	if c.Instance == nil {
 		return Result{}, invalid("no instance")
@@ -66,7 +66,7 @@
 		if current.sameAs(next) {
 			return Result{Version: current.Version}, nil
 		}
-		if c.IfVersion == nil && current.blocks(next) {
+		if c.IfVersion == nil && current.preventsTakeover(next) {
 			return Result{Version: current.Version}, reject(ErrHostTaken, "host %s", next.Host)
 		}
 	}
@@ -74,15 +74,15 @@
 		return Result{Version: current.versionOrZero()}, err
 	}
 	if current == nil && len(s.registrations) >= maxInstances {
-		return Result{}, limitReached("%d instances are registered", len(s.registrations))
+		return Result{}, limitReached("%d instances are registered, no more can be added", len(s.registrations))
 	}
 	s.registrations[next.Host] = next
-	// The registration's version moves also where the list shows no difference.
+	// The registration's version advances even if the list shows no difference.
 	s.bumpVersion(next.Host)
 	return Result{Version: next.Version, ChangedHosts: []string{next.Host}}, nil
 }
 
-// remove removes an instance. One that is not registered counts as removed.
+// remove removes an instance. Removing one that is not registered succeeds.
 func (s *State) remove(c Command) (Result, error) {
 	if err := CheckName("host", c.Host); err != nil {
 		return Result{}, invalid("%w", err)
@@ -98,14 +98,14 @@
 		return Result{Version: current.Version}, reject(ErrHostTaken, "host %s", c.Host)
 	}
 	delete(s.registrations, c.Host)
-	if c.Session == "" { // an operator removes the host for good; the instance itself may return
+	if c.Session == "" { // an operator removes the host permanently; an instance that removes itself may register again
 		delete(s.marks, c.Host)
 	}
 	s.bumpVersion(c.Host)
 	return Result{ChangedHosts: []string{c.Host}}, nil
 }
 
-// expireSessions removes the instances that still have the session that expired.
+// expireSessions removes the instances that still have one of the expired sessions.
 func (s *State) expireSessions(c Command) Result {
 	var changed []string
 	for _, expired := range c.ExpiredSessions {
@@ -119,7 +119,7 @@
 	return Result{ChangedHosts: changed}
 }
 
-// Len returns how many instances are registered.
+// Len returns the number of registered instances.
 func (s *State) Len() int { return len(s.registrations) }
 
 // Registrations returns all registrations, ordered by host.
--- a/internal/registry/registrytest/server.go
+++ b/internal/registry/registrytest/server.go
@@ -1,5 +1,5 @@
-// Package registrytest has a discovery service for tests: the test writes what the service
-// answers, and sees what it was asked.
+// Package registrytest provides a discovery service for tests: the test supplies its
+// responses and receives the requests.
 package registrytest
 
 import (
@@ -14,26 +14,26 @@
 	"barleywick/internal/registry"
 )
 
-// maxPending is how many calls, watches and full lists wait until they are taken.
+// maxPending is the capacity of each of the Server's channels.
 const maxPending = 10
 
-// Server is a discovery service whose answers the test writes.
+// Server is a discovery service whose responses are supplied by the test.
 type Server struct {
 	Addr      string
 	Watches   chan *Watch // the watches that clients open
-	FullLists chan string // the answers to the next calls for the full list
+	FullLists chan string // the responses to the next calls for the full list
 	ListCalls chan string // the query of each call for the full list
 }
 
-// Watch is a watch that a client holds open. The test writes its lines, and closes Lines
-// to end it. Ended is closed when the watch has ended.
+// Watch is a watch that a client has opened. The test sends its lines to Lines, and closes
+// Lines to end the watch. Ended is closed when the watch has ended.
 type Watch struct {
 	From  string
 	Lines chan string
 	Ended chan struct{}
 }
 
-// NewServer starts a service that ends with the test.
+// NewServer starts a service, which is stopped at the end of the test.
 func NewServer(t testing.TB) *Server {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -56,7 +56,7 @@
 	return s
 }
 
-// ServeHTTP answers calls for the list and for watches.
+// ServeHTTP serves calls for the list and for watches.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != registry.ListPath {
 		http.NotFound(w, r)
@@ -99,12 +99,12 @@
 	}
 }
 
-// EndpointJSON returns an endpoint as a list holds it.
+// EndpointJSON returns an endpoint in the encoding of the list.
 func EndpointJSON(name, dial, health string, born int64) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","block":3,"health":%q,"share":1.0,"born_ms":%d}`, name, dial, health, born)
 }
 
-// ListJSON returns a list update: the full list, or what has changed.
+// ListJSON returns a list update: the full list, or changes.
 func ListJSON(seq int, full bool, endpoints ...string) string {
 	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, full, strings.Join(endpoints, ","))
 }
--- a/internal/registry/session_tracker.go
+++ b/internal/registry/session_tracker.go
@@ -7,49 +7,51 @@
 	"time"
 )
 
-// SessionTracker measures how long ago each session was renewed. It belongs to the leader
-// and is not replicated: a new leader begins with a new one, in which every session has
-// its full time to live. It is told the time and reads no clock.
+// SessionTracker measures the time since each session's last renewal. It belongs to the
+// leader and is not replicated: a new leader starts with a new tracker, in which every
+// session has its full time to live. The caller passes the current time; the tracker
+// reads no clock.
 type SessionTracker struct {
 	floor      float64
 	window     time.Duration
 	sessions   map[string]trackedSession // by host
-	peaks      []sessionCount            // of the window: the counts fall, the newest is last
+	peaks      []sessionCount            // within the window, in order of time, with strictly decreasing counts
 	expiryHeld bool
 }
 
-// trackedSession is when a session was renewed last, and for how long.
+// trackedSession is a session's time to live and its last renewal.
 type trackedSession struct {
 	session   string
 	ttl       time.Duration
 	renewedAt time.Time
 }
 
-// sessionCount is how many sessions there were at a time.
+// sessionCount is the number of sessions at a time.
 type sessionCount struct {
 	at time.Time
 	n  int
 }
 
-// NewSessionTracker makes a tracker. Of the sessions that there were within the window, a
-// part of at least floor never expires: if that many stop renewing at once, the fault is
-// more likely in this group than in all of them.
+// NewSessionTracker returns a tracker. Expiry is suspended while it would leave fewer than
+// the fraction floor of the highest number of sessions within the window: if so many
+// instances stop renewing at once, the fault is more likely in this group than in all of
+// the instances.
 func NewSessionTracker(floor float64, window time.Duration) *SessionTracker {
 	return &SessionTracker{floor: floor, window: window, sessions: make(map[string]trackedSession)}
 }
 
-// SetFloor changes the floor and reports whether it differs from the one before.
+// SetFloor changes the floor and reports whether the new value differs from the old one.
 func (t *SessionTracker) SetFloor(floor float64) (changed bool) {
 	changed = floor != t.floor
 	t.floor = floor
 	return changed
 }
 
-// Len returns how many sessions are tracked.
+// Len returns the number of tracked sessions.
 func (t *SessionTracker) Len() int { return len(t.sessions) }
 
-// Sync follows the registrations of the state. A host that is new, or has another session
-// or time to live, has its full time from now on.
+// Sync updates the tracked sessions from the registrations of the state. A host that is new,
+// or has another session or time to live, has its full time to live starting now.
 func (t *SessionTracker) Sync(registrations []Registration, now time.Time) {
 	present := make(map[string]bool, len(registrations))
 	for _, r := range registrations {
@@ -58,7 +60,7 @@
 		}
 		present[r.Host] = true
 		ttl := time.Duration(r.TTLMS) * time.Millisecond
-		if known, ok := t.sessions[r.Host]; !ok || known.session != r.Session || known.ttl != ttl {
+		if tracked, ok := t.sessions[r.Host]; !ok || tracked.session != r.Session || tracked.ttl != ttl {
 			t.sessions[r.Host] = trackedSession{r.Session, ttl, now}
 		}
 	}
@@ -66,20 +68,19 @@
 	t.recordPeak(now)
 }
 
-// Renew records that a session was renewed. It returns false if the host has no such
-// session.
+// Renew records a renewal. It returns false if the host has no such session.
 func (t *SessionTracker) Renew(host, session string, now time.Time) bool {
-	known, ok := t.sessions[host]
-	if !ok || known.session != session {
+	tracked, ok := t.sessions[host]
+	if !ok || tracked.session != session {
 		return false
 	}
-	known.renewedAt = now
-	t.sessions[host] = known
+	tracked.renewedAt = now
+	t.sessions[host] = tracked
 	return true
 }
 
-// recordPeak keeps the highest count of sessions within the window: a queue whose counts
-// fall from front to back.
+// recordPeak maintains the maximum number of sessions within the window, as a queue whose
+// counts decrease from front to back.
 func (t *SessionTracker) recordPeak(now time.Time) {
 	n := len(t.sessions)
 	for len(t.peaks) > 0 && t.peaks[len(t.peaks)-1].n <= n {
@@ -91,9 +92,9 @@
 	}
 }
 
-// Expired returns the sessions whose instances are to be removed, ordered by host. It
-// returns none, and held is true, while too many have expired at once; changed says that
-// this has just begun or ended.
+// Expired returns the sessions whose instances are to be removed, ordered by host. While
+// too many sessions have expired at once, it returns none and held is true; changed reports
+// whether held differs from the previous call.
 func (t *SessionTracker) Expired(now time.Time) (expired []SessionRef, held, changed bool) {
 	t.recordPeak(now)
 	for host, s := range t.sessions {
--- a/internal/registry/session_tracker_test.go
+++ b/internal/registry/session_tracker_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestSessions(t *testing.T) {
+func TestSessionTracker(t *testing.T) {
 	begin := time.Unix(1_800_000_000, 0)
 	entries := func(n int) []Registration {
 		var all []Registration
--- a/internal/registry/snapshot.go
+++ b/internal/registry/snapshot.go
@@ -10,10 +10,10 @@
 	"barleywick/internal/rollout"
 )
 
-// snapshotForm is the version of the snapshot's format.
-const snapshotForm = 1
+// snapshotFormatVersion is the version of the snapshot's format.
+const snapshotFormatVersion = 1
 
-// stateSnapshot is the state as a snapshot and a backup hold it.
+// stateSnapshot is the JSON encoding of State in a snapshot or a backup.
 type stateSnapshot struct {
 	Form          int                      `json:"form"`
 	Group         string                   `json:"group"`
@@ -25,14 +25,14 @@
 	Marks         map[string]string        `json:"marks"`
 	Records       map[string]*Record       `json:"records"`
 	Changes       []listChange             `json:"log"`
-	Leases        *Leases                  `json:"leases,omitempty"` // left out in snapshots of early versions
+	Leases        *Leases                  `json:"leases,omitempty"` // missing in snapshots of early versions
 	Rollout       *rollout.State           `json:"policy,omitempty"` // likewise
 }
 
-// MarshalJSON writes the state for a snapshot.
+// MarshalJSON encodes the state for a snapshot.
 func (s *State) MarshalJSON() ([]byte, error) {
 	return json.Marshal(stateSnapshot{
-		Form:          snapshotForm,
+		Form:          snapshotFormatVersion,
 		Group:         s.group,
 		FirstVersion:  s.firstVersion,
 		Seq:           s.seq,
@@ -47,8 +47,8 @@
 	})
 }
 
-// UnmarshalJSON reads a snapshot. It returns an error, and leaves s unchanged, if the
-// contents are inconsistent.
+// UnmarshalJSON decodes a snapshot. If the contents are inconsistent, it returns an error
+// and leaves s unchanged.
 func (s *State) UnmarshalJSON(text []byte) error {
 	var snapshot stateSnapshot
 	if err := json.Unmarshal(text, &snapshot); err != nil {
@@ -61,32 +61,32 @@
 	return nil
 }
 
-// check returns an error if the snapshot cannot be that of a state.
+// check returns an error if the contents are inconsistent or of an unsupported format.
 func (s *stateSnapshot) check() error {
-	if s.Form != snapshotForm {
-		return fmt.Errorf("form %d is not known, only %d", s.Form, snapshotForm)
+	if s.Form != snapshotFormatVersion {
+		return fmt.Errorf("form %d is not known, only %d", s.Form, snapshotFormatVersion)
 	}
 	if s.Group == "" && s.Seq != 0 || s.Seq < s.FirstVersion || s.ChangesAfter < s.FirstVersion || s.ChangesAfter > s.Seq {
-		return fmt.Errorf("versions %d to %d of a history from %d", s.ChangesAfter, s.Seq, s.FirstVersion)
+		return fmt.Errorf("inconsistent versions: changes after %d, list version %d, first version %d", s.ChangesAfter, s.Seq, s.FirstVersion)
 	}
 	if !s.changesInOrder() {
-		return errors.New("the log of changes is out of order")
+		return errors.New("log of changes is out of order or out of range")
 	}
 	for host, r := range s.Registrations {
 		if r == nil || r.Host != host || r.Version > s.Seq {
-			return fmt.Errorf("entry %.64q is broken", host)
+			return fmt.Errorf("registration of host %.64q is inconsistent", host)
 		}
 	}
 	for key, r := range s.Records {
 		if r == nil || r.Version > s.RecordVersion {
-			return fmt.Errorf("record %.64q is broken", key)
+			return fmt.Errorf("record %.64q is inconsistent", key)
 		}
 	}
 	return nil
 }
 
-// changesInOrder reports whether the log of changes grows, and lies between the versions
-// that the snapshot names.
+// changesInOrder reports whether the log of changes is sorted and lies between the
+// versions given in the snapshot.
 func (s *stateSnapshot) changesInOrder() bool {
 	if !slices.IsSortedFunc(s.Changes, listChange.compareSeq) {
 		return false
@@ -94,7 +94,7 @@
 	return len(s.Changes) == 0 || s.Changes[0].Seq > s.ChangesAfter && s.Changes[len(s.Changes)-1].Seq <= s.Seq
 }
 
-// state returns the state that the snapshot holds.
+// state returns the decoded state.
 func (s *stateSnapshot) state() *State {
 	state := NewState()
 	state.group, state.firstVersion = s.Group, s.FirstVersion
@@ -112,9 +112,9 @@
 	return state
 }
 
-// restore takes over the contents of a backup, but not its versions: they go on where no
-// version was before, and every watch gets the full list. Leases and the rollout concern
-// processes that run now, so they stay.
+// restore replaces the contents with those of a backup, but not the versions: these
+// continue above all earlier versions, so that every watch gets the full list. Leases and
+// the rollout are kept, since they belong to running processes.
 func (s *State) restore(c Command) (Result, error) {
 	backup := NewState()
 	if err := json.Unmarshal(c.Backup, backup); err != nil {
@@ -137,7 +137,7 @@
 	}
 	backup.firstVersion, backup.seq, backup.recordVersion = s.firstVersion, next, next
 	backup.changesAfter, backup.changes = next, nil
-	s.leases.keepOverRestore(backup.leases)
+	s.leases.preserveOnRestore(backup.leases)
 	backup.leases = s.leases
 	s.rollout.Restore(backup.rollout)
 	backup.rollout = s.rollout
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	maxListChanges = 4096 // entries in the log of changes
-	maxRecords     = 1024
-	maxRecordValue = 32 << 10
-	maxMarks       = maxInstances
-	versionsPerMS  = 1024 // versions that a group has for each millisecond of its life
+	maxListChanges      = 4096 // entries in the log of changes
+	maxRecords          = 1024
+	maxRecordValueBytes = 32 << 10
+	maxMarks            = maxInstances
+	versionsPerMS       = 1024 // version numbers available for each millisecond of a group's lifetime
 )
 
-// State is the replicated state machine.
+// State is the registry's replicated state machine.
 type State struct {
 	group         string
-	firstVersion  uint64 // the first version of this history
-	seq           uint64 // the list's version
+	firstVersion  uint64 // the first version of the group's history
+	seq           uint64 // version of the list
 	registrations map[string]*Registration
-	marks         map[string]string // host -> who marked it
+	marks         map[string]string // by host: who set the drain mark
 	records       map[string]*Record
-	recordVersion uint64 // the last version that a record got
+	recordVersion uint64 // the last version assigned to a record
 	changes       []listChange
-	changesAfter  uint64 // changes has all that came after this version
+	changesAfter  uint64 // changes is complete after this version
 	leases        *Leases
 	rollout       *rollout.State
 }
 
-// NewState makes an empty state that belongs to no group yet.
+// NewState returns an empty state that belongs to no group yet.
 func NewState() *State {
 	return &State{
 		registrations: make(map[string]*Registration),
@@ -41,7 +41,7 @@
 	}
 }
 
-// Clone returns a copy that shares nothing that changes.
+// Clone returns a copy that shares no mutable data.
 func (s *State) Clone() *State {
 	c := *s
 	c.registrations = make(map[string]*Registration, len(s.registrations))
@@ -56,19 +56,19 @@
 	return &c
 }
 
-// Group returns the name of the group whose history this is; empty before it was founded.
+// Group returns the name of the group, empty before it is founded.
 func (s *State) Group() string { return s.group }
 
-// Seq returns the list's version.
+// Seq returns the version of the list.
 func (s *State) Seq() uint64 { return s.seq }
 
-// FirstVersion returns the first version of this history.
+// FirstVersion returns the first version of the group's history.
 func (s *State) FirstVersion() uint64 { return s.firstVersion }
 
 // Leases returns the leases. The caller must not change them.
 func (s *State) Leases() *Leases { return s.leases }
 
-// Apply carries out one command. If the result has an error the state is unchanged.
+// Apply applies one command. If the result has an error, the state is unchanged.
 func (s *State) Apply(c Command) Result {
 	r, err := s.apply(c)
 	r.Seq, r.Err = s.seq, err
@@ -107,9 +107,10 @@
 	return Result{}, invalid("operation %.32q", c.Op)
 }
 
-// foundGroup begins a history. Its versions begin where no other group's can be: a watch
-// that comes with a version of another history is older than this one's log of changes,
-// or newer than its list, and gets the full list either way.
+// foundGroup starts the group's history. The versions start at a number derived from the
+// time, so that the version ranges of two groups do not overlap: a watch from a version of
+// another history is either older than this history's log of changes or newer than its
+// list, and gets the full list in both cases.
 func (s *State) foundGroup(c Command) (Result, error) {
 	if s.group != "" {
 		if s.group != c.Group {
@@ -121,12 +122,12 @@
 		return Result{}, invalid("%w", err)
 	}
 	if c.AtMS <= 0 || c.AtMS > MaxVersion/versionsPerMS/2 {
-		return Result{}, invalid("founded at %d", c.AtMS)
+		return Result{}, invalid("founding time %d is out of range", c.AtMS)
 	}
 	s.group, s.firstVersion = c.Group, uint64(c.AtMS)*versionsPerMS
 	s.seq, s.changesAfter, s.recordVersion = s.firstVersion, s.firstVersion, s.firstVersion
-	// Tokens, too, begin where no earlier group's can be. No lease is granted until those
-	// of an earlier group of this name have run out.
+	// Tokens, too, start above those of any earlier group. No lease is granted until the
+	// leases of an earlier group of this name have expired.
 	s.leases = newLeases(s.firstVersion)
 	s.leases.grantsClosed = true
 	s.rollout = rollout.New(s.firstVersion)
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -29,7 +29,7 @@
 // After any commands the state agrees with the model, its version has grown with each
 // change and only then, and a watcher that reads from any version it has seen, of this
 // replica or of one that was restored from a snapshot, holds the list.
-func TestStateAgainstAModel(t *testing.T) {
+func TestStateAgainstModel(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 0))
@@ -145,7 +145,7 @@
 	}
 }
 
-func TestBounds(t *testing.T) {
+func TestStateLimits(t *testing.T) {
 	s := newFoundedState(t)
 	for i := range maxInstances {
 		if r := s.Apply(Command{Op: OpRegister, Instance: newInstance(fmt.Sprint("s-", i))}); r.Err != nil {
