--- a/internal/registry/changes_test.go
+++ b/internal/registry/changes_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// applyUpdate applies an update to a list as a sidecar does.
+// applyUpdate applies an update to a list in the same way as a sidecar.
 func applyUpdate(held map[string]Instance, l ListUpdate) {
 	if l.Full {
 		clear(held)
@@ -24,8 +24,8 @@
 	return maps.EqualFunc(a, b, func(x, y Instance) bool { return x.equal(y) })
 }
 
-// Versions that the log of changes does not cover get the full list: older than the log,
-// newer than the state, or of another group's history.
+// A version that the log of changes does not cover gets the full list: one that is older
+// than the log, newer than the state, or of another group's history.
 func TestUncoveredVersionGetsFullList(t *testing.T) {
 	s := newFoundedState(t)
 	for i := range maxListChanges + 10 {
@@ -44,7 +44,7 @@
 		}
 	}
 	if l := other.ChangesSince(s.Seq()); !l.Full {
-		t.Error("an older group's version was taken for one of this history")
+		t.Error("version of an earlier group: got changes, want the full list")
 	}
 	for _, from := range []uint64{s.Seq() - maxListChanges, s.Seq() - 1} {
 		if l := s.ChangesSince(from); l.Full || len(l.Instances) != 1 {
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -49,7 +49,7 @@
 // clients over the replicas, and their calls in time.
 func New(addrs []string, seed uint64) (*Client, error) {
 	if len(addrs) == 0 {
-		return nil, errors.New("registry: no replica addresses given")
+		return nil, errors.New("no registry address given")
 	}
 	for _, addr := range addrs {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
@@ -130,8 +130,8 @@
 				freshest = stale.fresher(freshest)
 				continue // another replica may have a more recent state
 			}
-			var final *Error
-			if err == nil || errors.As(err, &final) {
+			var rejection *Error
+			if err == nil || errors.As(err, &rejection) {
 				c.prefer(responder)
 				return err
 			}
@@ -237,7 +237,7 @@
 }
 
 // Error returns a text that names the replica.
-func (a *staleResponse) Error() string { return a.addr + ": the answer is stale" }
+func (a *staleResponse) Error() string { return a.addr + ": the response is stale" }
 
 // isStale reports whether a response declares itself stale.
 func isStale(resp *http.Response) bool {
--- a/internal/registry/client/compatibility_test.go
+++ b/internal/registry/client/compatibility_test.go
@@ -21,9 +21,9 @@
 	"barleywick/internal/testing/fixture"
 )
 
-// The files of testdata/396a775 are what the client and the registry of that commit
-// said to each other: exchanges.jsonl the requests and responses, outcomes.jsonl what
-// the client's caller got, watch.txt the lines of a watch.
+// The files of testdata/396a775 record the traffic between the client and the registry of
+// that commit: exchanges.jsonl has the requests and responses, outcomes.jsonl the results
+// returned to the client's caller, watch.txt the lines of a watch.
 
 func decodeLines[T any](t *testing.T, text string) (all []T) {
 	t.Helper()
@@ -41,7 +41,7 @@
 	Step   string `json:"step"`
 	Method string `json:"method"`
 	URI    string `json:"uri"`
-	Body   string `json:"body"` // of a long one its length and checksum
+	Body   string `json:"body"` // for a long body, its length and checksum
 	Status int    `json:"status"`
 	Answer string `json:"answer"`
 }
@@ -50,11 +50,12 @@
 	Step   string          `json:"step"`
 	Value  json.RawMessage `json:"value"`
 	Error  string          `json:"error"`
-	Status int             `json:"status"` // of a refusal
-	Is     []string        `json:"is"`     // which errors it is
+	Status int             `json:"status"` // of a final rejection
+	Is     []string        `json:"is"`     // names of the errors that it matches
 }
 
-// recordedReplica answers as the recorded one did, and only to the same requests.
+// recordedReplica serves the recorded responses and checks that the requests are the
+// recorded ones.
 type recordedReplica struct {
 	t         *testing.T
 	exchanges []recordedExchange
@@ -71,7 +72,7 @@
 		got.Body = fmt.Sprintf("%d bytes, sha256 %x", len(body), sha256.Sum256(body))
 	}
 	if r.next == len(r.exchanges) {
-		r.t.Errorf("a request beyond those that were recorded: %+v", got)
+		r.t.Errorf("unexpected request after the recorded ones: %+v", got)
 		return
 	}
 	want := r.exchanges[r.next]
@@ -100,7 +101,7 @@
 	return c
 }
 
-// namedErrors are the errors that a caller may ask for, by their names in the records.
+// namedErrors are the errors that a caller may test for, with their names in the recordings.
 var namedErrors = []struct {
 	name string
 	err  error
@@ -110,25 +111,25 @@
 	{"unreachable", ErrUnreachable},
 }
 
-// outcomes checks what calls come to against the recorded outcomes, in order.
-type outcomes struct {
+// outcomeChecker compares the results of calls with the recorded outcomes, in order.
+type outcomeChecker struct {
 	t    *testing.T
 	want []recordedOutcome
 	next int
 }
 
-func (o *outcomes) check(step string, value any, err error) {
+func (o *outcomeChecker) check(step string, value any, err error) {
 	o.t.Helper()
 	want := o.want[o.next]
 	o.next++
 	if want.Step != step {
-		o.t.Fatalf("step %q, recorded is %q", step, want.Step)
+		o.t.Fatalf("got step %q, want the recorded step %q", step, want.Step)
 	}
 	text := []byte("null")
 	if value != nil {
-		var fault error
-		if text, fault = json.Marshal(value); fault != nil {
-			o.t.Fatal(fault)
+		var marshalErr error
+		if text, marshalErr = json.Marshal(value); marshalErr != nil {
+			o.t.Fatal(marshalErr)
 		}
 	}
 	if !bytes.Equal(text, want.Value) {
@@ -144,9 +145,9 @@
 				is = append(is, named.name)
 			}
 		}
-		var refusal *Error
-		if errors.As(err, &refusal) {
-			status = refusal.Status
+		var rejection *Error
+		if errors.As(err, &rejection) {
+			status = rejection.Status
 		}
 	}
 	if message != want.Error || status != want.Status || !slices.Equal(is, want.Is) {
@@ -154,18 +155,18 @@
 	}
 }
 
-// Every call sends what it sent, and returns what it returned.
+// Every call sends the recorded request and returns the recorded result.
 func TestRecordedExchanges(t *testing.T) {
 	replica := &recordedReplica{t: t, exchanges: decodeLines[recordedExchange](t, fixture.ReadString(t, "exchanges.jsonl"))}
 	c := newClient(t, startReplica(t, replica))
-	o := &outcomes{t: t, want: decodeLines[recordedOutcome](t, fixture.ReadString(t, "outcomes.jsonl"))}
+	o := &outcomeChecker{t: t, want: decodeLines[recordedOutcome](t, fixture.ReadString(t, "outcomes.jsonl"))}
 	checkInstanceCalls(t, c, o)
 	checkRecordCalls(t, c, o)
 	checkLeaseCalls(t, c, o)
 	checkPolicyCalls(t, c, o)
 	checkGroupCalls(t, c, o)
 	if replica.next != len(replica.exchanges) || o.next != len(o.want) {
-		t.Errorf("%d requests of %d, %d outcomes of %d", replica.next, len(replica.exchanges), o.next, len(o.want))
+		t.Errorf("got %d of %d requests and %d of %d outcomes", replica.next, len(replica.exchanges), o.next, len(o.want))
 	}
 }
 
@@ -174,7 +175,7 @@
 	return registry.Instance{Host: "s-1+1", Dial: "127.0.0.1:7070", Site: "milano-a", Class: "m2", Block: &block, Health: registry.HealthUp, Share: 1.5, BornMS: 5}
 }
 
-func checkInstanceCalls(t *testing.T, c *Client, o *outcomes) {
+func checkInstanceCalls(t *testing.T, c *Client, o *outcomeChecker) {
 	ctx := t.Context()
 	none := uint64(0)
 	first := registry.RegisterRequest{Instance: recordedInstance(), Session: "session-1", TTLMS: 60000, Machine: "m-1"}
@@ -200,7 +201,7 @@
 	o.check("entries", all, err)
 }
 
-func checkRecordCalls(t *testing.T, c *Client, o *outcomes) {
+func checkRecordCalls(t *testing.T, c *Client, o *outcomeChecker) {
 	ctx := t.Context()
 	none := uint64(0)
 	version, err := c.Put(ctx, "drain:m-1", []byte{0, 1, 254, 255}, &none)
@@ -219,7 +220,7 @@
 	o.check("drop", nil, c.Delete(ctx, "drain:m-1", version))
 }
 
-func checkLeaseCalls(t *testing.T, c *Client, o *outcomes) {
+func checkLeaseCalls(t *testing.T, c *Client, o *outcomeChecker) {
 	ctx := t.Context()
 	holder := registry.Holder{Name: "k1", Incarnation: 7}
 	acquire := func(step, id, name string, wait bool) registry.ClaimStatus {
@@ -253,9 +254,9 @@
 	acquire("acquire gone", "1", "k1", true)
 }
 
-func checkPolicyCalls(t *testing.T, c *Client, o *outcomes) {
+func checkPolicyCalls(t *testing.T, c *Client, o *outcomeChecker) {
 	ctx := t.Context()
-	var token uint64 // of the lease that had ended: as recorded
+	var token uint64 // the recorded token of the expired lease
 	if _, err := fmt.Sscanf(o.want[o.next+3].Error, "fenced off: version conflict: drains has token %d", &token); err != nil {
 		t.Fatal(err)
 	}
@@ -277,7 +278,7 @@
 	o.check("policy status", status, err)
 }
 
-func checkGroupCalls(t *testing.T, c *Client, o *outcomes) {
+func checkGroupCalls(t *testing.T, c *Client, o *outcomeChecker) {
 	ctx := t.Context()
 	status, err := c.Status(ctx)
 	o.check("status", status, err)
@@ -289,11 +290,11 @@
 	o.check("remove", nil, c.Remove(ctx, recordedInstance().Host, ""))
 }
 
-// A recorded watch: the full list, an endpoint more, both draining, an empty line, one removed.
+// A recorded watch: the full list, an added endpoint, both draining, an empty line, one removed.
 func TestRecordedWatch(t *testing.T) {
 	lines := strings.Split(strings.TrimSuffix(fixture.ReadString(t, "watch.txt"), "\n"), "\n")
 	if len(lines) != 5 || lines[3] != "" {
-		t.Fatalf("the recorded watch has %d lines", len(lines))
+		t.Fatalf("recorded watch: got %d lines, want 5 with an empty fourth one", len(lines))
 	}
 	s := registrytest.NewServer(t)
 	updates := startWatcher(t, s, &ListUpdate{Seq: 1, Full: true})
@@ -334,7 +335,7 @@
 	})
 }
 
-// A call goes to the replica that leads, and the next one there at once.
+// A redirected call goes to the leader, and the next call goes there directly.
 func TestCallFollowsRedirect(t *testing.T) {
 	calls := make(chan string, 10)
 	leader := startReplica(t, http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -355,12 +356,12 @@
 	}
 	close(calls)
 	const put = `leader /registry/v1/records/k {"value":"dg=="}`
-	if got, want := slices.Collect(each(calls)), []string{"follower /registry/v1/records/k", put, put}; !slices.Equal(got, want) {
+	if got, want := slices.Collect(receiveAll(calls)), []string{"follower /registry/v1/records/k", put, put}; !slices.Equal(got, want) {
 		t.Errorf("got %q, want %q", got, want)
 	}
 }
 
-func each[T any](c <-chan T) func(yield func(T) bool) {
+func receiveAll[T any](c <-chan T) func(yield func(T) bool) {
 	return func(yield func(T) bool) {
 		for v := range c {
 			if !yield(v) {
@@ -370,14 +371,14 @@
 	}
 }
 
-// A replica that cannot do what is asked is passed over, also where all the others
-// could not either: the call ends with its time alone.
+// A call skips replicas that cannot execute it. If no replica can, it keeps trying until
+// its context or timeout ends.
 func TestCallTriesOtherReplicas(t *testing.T) {
-	unable := startReplica(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	unavailable := startReplica(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		io.WriteString(w, `{"version":0,"seq":0,"error":"no leader is known"}`)
 	}))
-	circle := startReplica(t, http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+	redirectLoop := startReplica(t, http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		w.Header().Set("Location", "http://"+q.Host+q.RequestURI)
 		w.WriteHeader(http.StatusTemporaryRedirect)
 	}))
@@ -385,17 +386,17 @@
 		w.WriteHeader(http.StatusInsufficientStorage)
 		io.WriteString(w, "full:\nno JSON")
 	}))
-	if err := newClient(t, "127.0.0.1:1", unable, circle, full).RenewSession(t.Context(), "s", "x"); !errors.Is(err, registry.ErrLimitReached) || err.Error() != "full:\nno JSON" {
-		t.Errorf("got %v, want the only refusal that is final", err)
+	if err := newClient(t, "127.0.0.1:1", unavailable, redirectLoop, full).RenewSession(t.Context(), "s", "x"); !errors.Is(err, registry.ErrLimitReached) || err.Error() != "full:\nno JSON" {
+		t.Errorf("got %v, want the only final rejection", err)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
-	err := newClient(t, unable, circle).RenewSession(ctx, "s", "x")
-	var refusal *Error
-	if !errors.Is(err, ErrUnreachable) || errors.As(err, &refusal) {
-		t.Errorf("got %v, want that no replica could do it", err)
+	err := newClient(t, unavailable, redirectLoop).RenewSession(ctx, "s", "x")
+	var rejection *Error
+	if !errors.Is(err, ErrUnreachable) || errors.As(err, &rejection) {
+		t.Errorf("got %v, want ErrUnreachable and no final rejection", err)
 	}
-	if err := newClient(t, unable).WithTimeout(50*time.Millisecond).RenewSession(t.Context(), "s", "x"); !errors.Is(err, ErrUnreachable) || !strings.HasSuffix(err.Error(), ": 503: no leader is known") {
-		t.Errorf("got %v, want what the replica said", err)
+	if err := newClient(t, unavailable).WithTimeout(50*time.Millisecond).RenewSession(t.Context(), "s", "x"); !errors.Is(err, ErrUnreachable) || !strings.HasSuffix(err.Error(), ": 503: no leader is known") {
+		t.Errorf("got %v, want ErrUnreachable with the replica's message", err)
 	}
 }
--- a/internal/registry/client/fuzz_test.go
+++ b/internal/registry/client/fuzz_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// FuzzUpdate: what a discovery service may send is accepted or rejected, and changes apply
-// only to the list that they follow.
+// FuzzUpdate checks that any message of a discovery service is either delivered or rejected
+// with an error, and that changes apply only to the list that they follow.
 func FuzzUpdate(f *testing.F) {
 	f.Add([]byte(`{"seq":43,"whole":false,"hosts":[{"host":"s","dial":"127.0.0.1:1","health":"up","share":1,"block":3}]}`))
 	f.Add([]byte(`{"seq":1,"whole":true,"hosts":[{"host":7},{"share":"x"},null]}`))
@@ -17,7 +17,7 @@
 			t.Fatalf("got error %v and %d deliveries", err, len(got))
 		}
 		if err == nil && !got[0].Full && got[0].Seq < 41 {
-			t.Errorf("a change to version %d was applied to version 41", got[0].Seq)
+			t.Errorf("change to version %d was applied to version 41", got[0].Seq)
 		}
 	})
 }
--- a/internal/registry/client/stale_answer_test.go
+++ b/internal/registry/client/stale_response_test.go
@@ -11,13 +11,12 @@
 	"barleywick/internal/registry"
 )
 
-// What happens: a controller, a sidecar's policy follower or fleetctl reads leases and the
-// fleet policy as they were hours ago. Why: the client goes on asking the replica that
-// answered last, and takes an answer that says stale like any other. It has to ask the
-// other replicas first, and take the stale answer only if none has a better one, and then the
-// least stale: a replica whose disk was full until a moment ago lacks more than the others. What
-// showed it: TestProofOfFullDisks beside load read grants of 3 s before, while a majority's disks
-// were full and all replicas said stale.
+// Guards against a controller, a sidecar's policy follower or fleetctl reading leases and the
+// fleet policy in a state of hours ago. The client prefers the replica that responded last, and
+// used to accept a stale response from it. It has to try the other replicas first, accept a stale
+// response only if there is no better one, and then the one with the lowest age: a replica whose
+// disk was full until a moment ago lags behind the others. Under load, TestProofOfFullDisks read
+// grants that were 3 s old while the disks of a majority were full and all replicas were stale.
 func TestStaleResponseIsUsedOnlyAsLastResort(t *testing.T) {
 	serve := func(read string, version int) string {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -40,7 +39,7 @@
 		"the least stale":       {[]string{stale, fresher, unknown}, 8},
 		"of no known age":       {[]string{unknown, unreachable}, 6},
 	} {
-		for seed := range uint64(4) { // each begins at another address
+		for seed := range uint64(4) { // each starts at another address
 			c, err := New(x.addrs, seed)
 			if err != nil {
 				t.Fatal(err)
@@ -56,12 +55,12 @@
 	}
 }
 
-// What happens: a log says `no replica of the registry answers`, and they all do. Why: the
-// caller's time was over before the call, so that nobody was asked; the error named the
-// replicas all the same.
+// Guards against the error `no replica of the registry answers` while all replicas do respond:
+// it was also returned if the caller's context had ended before the call, so that no replica was
+// tried.
 func TestCallWithEndedContextReturnsContextError(t *testing.T) {
-	asked := make(chan struct{}, 10)
-	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { asked <- struct{}{} }))
+	calls := make(chan struct{}, 10)
+	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { calls <- struct{}{} }))
 	defer server.Close()
 	c, err := New([]string{server.Listener.Addr().String()}, 1)
 	if err != nil {
@@ -71,7 +70,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err = c.Leases(ctx, 0, 0)
-	if !errors.Is(err, context.Canceled) || errors.Is(err, ErrUnreachable) || len(asked) > 0 {
-		t.Errorf("got %v after %d calls, want that the context was cancelled, and no call", err, len(asked))
+	if !errors.Is(err, context.Canceled) || errors.Is(err, ErrUnreachable) || len(calls) > 0 {
+		t.Errorf("got %v after %d calls, want context.Canceled and no call", err, len(calls))
 	}
 }
--- a/internal/registry/client/watch_reader_test.go
+++ b/internal/registry/client/watch_reader_test.go
@@ -10,7 +10,7 @@
 	"barleywick/internal/registry/registrytest"
 )
 
-// An update may stand on several lines, and arrive in pieces with time between them.
+// An update may span several lines that arrive one after another.
 func TestUpdateSpansSeveralLines(t *testing.T) {
 	g := registrytest.NewServer(t)
 	updates := startWatcher(t, g, &ListUpdate{Seq: 41, Full: true})
@@ -33,21 +33,21 @@
 		}
 	}
 	if len(g.ListCalls) > 0 {
-		t.Error("the full list was called for")
+		t.Error("unexpected call for the full list")
 	}
 }
 
-// Empty lines inside an update that does not go on do not keep the watch alive.
+// Empty lines inside an unfinished update do not keep the watch alive.
 func TestEmptyLinesInsideUpdateAreNotHeartbeats(t *testing.T) {
 	g := registrytest.NewServer(t)
 	startWatcher(t, g, &ListUpdate{Seq: 41, Full: true})
 	w := await(t, "the watch", g.Watches)
 	w.Lines <- `{"seq":42,"whole":false,"hosts":[`
-	beats := time.NewTicker(watchTimeout / 10)
-	defer beats.Stop()
+	heartbeats := time.NewTicker(watchTimeout / 10)
+	defer heartbeats.Stop()
 	for n := 0; ; {
 		select {
-		case <-beats.C:
+		case <-heartbeats.C:
 			select {
 			case w.Lines <- "":
 				n++
--- a/internal/registry/client/watcher_test.go
+++ b/internal/registry/client/watcher_test.go
@@ -15,9 +15,9 @@
 	"barleywick/internal/registry/registrytest"
 )
 
-const eventTimeout = 10 * time.Second // how long a test waits for an event; it never has to in a good run
+const eventTimeout = 10 * time.Second // far longer than any event takes in a passing run
 
-// await takes the next value of a channel.
+// await receives the next value from a channel. It fails the test after eventTimeout.
 func await[T any](t *testing.T, what string, c <-chan T) T {
 	t.Helper()
 	select {
@@ -29,7 +29,7 @@
 	}
 }
 
-// startWatcher follows a discovery service of the test and returns what is delivered.
+// startWatcher watches a discovery service of the test and returns the delivered updates.
 func startWatcher(t *testing.T, g *registrytest.Server, known *ListUpdate) <-chan ListUpdate {
 	t.Helper()
 	updates := make(chan ListUpdate, 10)
@@ -48,7 +48,7 @@
 	up, drain := registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0), registrytest.EndpointJSON("s-1", "127.0.0.1:7", "draining", 0)
 	w.Lines <- registrytest.ListJSON(43, false, up)
 	w.Lines <- ""
-	w.Lines <- registrytest.ListJSON(43, false, up) // had already
+	w.Lines <- registrytest.ListJSON(43, false, up) // a repetition
 	w.Lines <- registrytest.ListJSON(47, false, drain)
 	for i, want := range []struct {
 		seq    uint64
@@ -100,8 +100,9 @@
 	await(t, "the end of the unresponsive watch", w.Ended)
 }
 
-// A new address is used at once, and its full list comes first: its versions may have
-// nothing to do with the old one's, whose updates must not come after it.
+// A new address is used immediately, and the full list is fetched from it first, since its
+// versions may be unrelated to those of the old address. No update from the old address may
+// be delivered afterwards.
 func TestChangedAddresses(t *testing.T) {
 	for name, held := range map[string]*ListUpdate{"watching": {Seq: 41, Full: true}, "waiting for a list": nil} {
 		t.Run(name, func(t *testing.T) {
@@ -115,7 +116,7 @@
 				w := await(t, "the old watch", old.Watches)
 				defer await(t, "the old watch's end", w.Ended)
 			}
-			d.SetAddrs([]string{"127.0.0.1:1"}) // and at once on: the last one counts
+			d.SetAddrs([]string{"127.0.0.1:1"}) // replaced immediately: the latest addresses apply
 			d.SetAddrs([]string{fresh.Addr})
 			await(t, "the call for the list at the new address", fresh.ListCalls)
 			fresh.FullLists <- registrytest.ListJSON(7, true, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0))
@@ -132,8 +133,8 @@
 	}
 }
 
-// If the owner polls for the list, a change of addresses needs no poll, and the owner
-// learns of a failure at the new address as at any other.
+// If the owner polls for the list, a change of addresses needs no poll, and a failure at the
+// new address is reported to the owner as at any other.
 func TestChangedAddressesWithPolling(t *testing.T) {
 	old, fresh := registrytest.NewServer(t), registrytest.NewServer(t)
 	polls, losses, updates := make(chan struct{}, 1), make(chan struct{}, 1), make(chan ListUpdate, 10)
@@ -152,7 +153,8 @@
 	await(t, "the report of its end", losses)
 }
 
-// If the owner polls for the list, it decides when, and learns of success and failure.
+// If the owner polls for the list, no watch is opened without a poll, and the owner is
+// notified of success and failure.
 func TestOwnerDecidesWhenToPoll(t *testing.T) {
 	g := registrytest.NewServer(t)
 	polls, losses, updates := make(chan struct{}, 1), make(chan struct{}, 1), make(chan ListUpdate, 10)
@@ -161,7 +163,7 @@
 	go d.Follow(t.Context())
 	polls <- struct{}{}
 	w := await(t, "the watch", g.Watches)
-	w.Lines <- "" // nothing has changed: the call went well all the same
+	w.Lines <- "" // nothing has changed, but the call has succeeded
 	if l := await(t, "the report of success", updates); l.Seq != 3 || l.Full || len(l.Endpoints) != 0 {
 		t.Errorf("got update %+v", l)
 	}
@@ -176,8 +178,8 @@
 	await(t, "the second watch", g.Watches)
 }
 
-// serveAs answers every watch with a full list of one version, whose header says that it
-// is as fresh as read, and then holds the watch open.
+// serveAs starts a service that answers every call with a full list of version seq and the
+// freshness read in the header, and keeps watches open.
 func serveAs(t *testing.T, read string, seq int) (addr string, calls <-chan struct{}) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -199,8 +201,8 @@
 	return ln.Addr().String(), c
 }
 
-// A replica that says it is stale is skipped while another is better, and followed if none
-// is. One that cannot be reached is skipped, too.
+// A replica that declares itself stale is skipped while another is current, and used if none
+// is. A replica that cannot be reached is skipped as well.
 func TestStaleReplicaIsUsedOnlyAsLastResort(t *testing.T) {
 	stale, _ := serveAs(t, registry.ReadStale+"; age_ms=9000", 7)
 	other, _ := serveAs(t, registry.ReadStale+"; age_ms=8000", 7)
@@ -215,7 +217,7 @@
 		"one is out of reach":   {[]string{"127.0.0.1:1", current}, 9},
 		"stale or out of reach": {[]string{"127.0.0.1:1", stale}, 7},
 	} {
-		for seed := range uint64(4) { // each begins at another address
+		for seed := range uint64(4) { // each starts at another address
 			updates := make(chan ListUpdate, 100)
 			w := NewWatcher(WatcherOptions{Addrs: x.addrs, Seed: seed, Deliver: func(l ListUpdate) { updates <- l }})
 			ctx, cancel := context.WithCancel(t.Context())
@@ -230,8 +232,8 @@
 	}
 }
 
-// A change that cannot be read counts as notified: the full list is fetched without the
-// owner's poll. If that does not help, the owner decides when to poll.
+// A malformed change counts as notified, so the full list is fetched without a poll by the
+// owner. If the next change is malformed as well, the owner decides when to poll.
 func TestGapIsFilledWithoutPoll(t *testing.T) {
 	g := registrytest.NewServer(t)
 	polls, losses, updates := make(chan struct{}, 1), make(chan struct{}, 10), make(chan ListUpdate, 10)
@@ -249,16 +251,16 @@
 	}
 	w := await(t, "the next watch", g.Watches)
 	if len(losses) > 0 {
-		t.Error("the owner learned of a failure that was repaired")
+		t.Error("got a loss report for a gap that was filled")
 	}
 	w.Lines <- `{"seq":46,"hosts":7}`
 	await(t, "the report that the call failed", losses)
 	if len(g.ListCalls) > 0 {
-		t.Error("the full list was called for again")
+		t.Error("unexpected second call for the full list")
 	}
 }
 
-// If the grace is short, a watch is opened again within a part of it.
+// If the grace is short, a watch is opened again within a third of it.
 func TestMaxDelayIsBoundedByGrace(t *testing.T) {
 	for grace, want := range map[time.Duration]time.Duration{
 		0: maxReopenDelay, 10 * time.Second: maxReopenDelay, 900 * time.Millisecond: 300 * time.Millisecond, time.Millisecond: minReopenDelay,
@@ -269,8 +271,8 @@
 	}
 }
 
-// If many call at once the watch comes some time after the full list, and a change of
-// addresses ends the wait.
+// With MaxStagger set, the watch is opened some time after the call for the full list, and a
+// change of addresses ends the wait.
 func TestWatchIsStaggeredAfterFullList(t *testing.T) {
 	old, fresh := registrytest.NewServer(t), registrytest.NewServer(t)
 	updates := make(chan ListUpdate, 10)
@@ -282,18 +284,18 @@
 	d.SetAddrs([]string{fresh.Addr})
 	await(t, "the call at the new address", fresh.ListCalls)
 	if len(old.Watches) > 0 {
-		t.Error("the watch was opened at once")
+		t.Error("the watch was opened without delay")
 	}
 }
 
-// What happens: a sidecar knows a change of the list only when its process starts again. Why:
-// its watch had to take a replica that says it is stale, as the others could not be reached
-// for a moment. The replica's disk stays full for hours, its watch stays open with a
-// heartbeat every 2 s, and the watcher stays with it although the others are back: a server
-// that drains goes on getting requests. By the protocol all that discovery knows counts as
-// told 6 s after it can be reached.
+// Guards against a sidecar that gets no changes of the list until it restarts, so that a
+// draining server keeps getting requests. The watcher uses a stale replica because the others
+// cannot be reached for a moment. That replica's disk stays full for hours, its watch stays open
+// with a heartbeat every 2 s, and the watcher used to stay with it after the others had
+// recovered. By the protocol, all changes known to discovery count as notified 6 s after it can
+// be reached.
 func TestWatcherLeavesStaleReplicaWhenAnotherRecovers(t *testing.T) {
-	const toldBound = 6 * time.Second
+	const notificationDeadline = 6 * time.Second
 	var back atomic.Bool
 	serve := func(read string, seq int, reachable func() bool) *httptest.Server {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -324,24 +326,23 @@
 		t.Fatalf("got version %d first, want 7", got.Seq)
 	}
 	back.Store(true)
-	for deadline := time.After(toldBound); ; {
+	for deadline := time.After(notificationDeadline); ; {
 		select {
 		case l := <-updates:
 			if l.Seq == 9 {
 				return
 			}
 		case <-deadline:
-			t.Fatalf("%v after the other replica was back, its list has not come", toldBound)
+			t.Fatalf("got no list from the other replica within %v after its recovery", notificationDeadline)
 		}
 	}
 }
 
-// What happens: a sidecar has been told that a server drains, gets a new configuration while
-// discovery is down, and sends to that server again, for as long as discovery stays down. Why:
-// after a change of addresses the watcher needs a full list, and the only replica that answers
-// is one whose disk has been full since before the drain. Its list, older than the one that
-// the sidecar has, took that one's place. The soak showed it at seed 1: `addresses changed`,
-// then `list update seq=1` after `seq=2` had brought the drain.
+// Guards against a sidecar that sends requests to a draining server again. After a new
+// configuration has changed the addresses, the watcher needs a full list. If discovery is down
+// except for a replica whose disk has been full since before the drain, that replica's older
+// list used to replace the sidecar's later one. The soak test found it at seed 1: `addresses
+// changed`, then `list update seq=1` after the drain had arrived with `seq=2`.
 func TestStaleListDoesNotReplaceLaterList(t *testing.T) {
 	current, _ := serveAs(t, registry.ReadCurrent+"; age_ms=1", 9)
 	older, calls := serveAs(t, registry.ReadStale+"; age_ms=60000", 7)
@@ -358,7 +359,7 @@
 		t.Fatalf("got version %d, want 9", got.Seq)
 	}
 	w.SetAddrs([]string{unreachable, older})
-	for range 4 { // it asks again and again, as the last resort, too
+	for range 4 { // it calls repeatedly, also accepting stale responses
 		await(t, "a call at the stale replica", calls)
 	}
 	w.SetAddrs([]string{unreachable, later})
@@ -368,7 +369,7 @@
 			return
 		}
 		if got.Seq != 9 {
-			t.Fatalf("version %d has taken the place of 9", got.Seq)
+			t.Fatalf("got version %d in place of 9", got.Seq)
 		}
 	}
 }
--- a/internal/registry/compatibility_test.go
+++ b/internal/registry/compatibility_test.go
@@ -13,10 +13,10 @@
 )
 
 // The files of testdata/396a775 were written by the code of that commit: the
-// commands of a Raft log, what each came to, snapshots of the state between them,
-// and a body of each message of the API. What is stored and sent has to stay so.
+// commands of a Raft log, the result of each, snapshots of intermediate states, and
+// a body of each API message. Stored and sent data must remain compatible with them.
 
-// readTrimmed reads a file of that commit, without its line break.
+// readTrimmed reads a recorded file without its final line break.
 func readTrimmed(t testing.TB, name string) []byte {
 	t.Helper()
 	return bytes.TrimSuffix(fixture.Read(t, name), []byte("\n"))
@@ -27,7 +27,7 @@
 	return strings.Split(string(readTrimmed(t, name)), "\n")
 }
 
-// recordedResult is what a command came to. Change is what a watcher was told of it.
+// recordedResult is the result of a command. Change is the list update that watchers got.
 type recordedResult struct {
 	Version uint64          `json:"version"`
 	Seq     uint64          `json:"seq"`
@@ -38,8 +38,8 @@
 	Change  json.RawMessage `json:"change"`
 }
 
-// replay applies the recorded log up to, and without, the first command that stop
-// names; all of it where stop is nil.
+// replay applies the recorded log up to, but excluding, the first command for which
+// stop returns true. It applies the whole log if stop is nil.
 func replay(t testing.TB, stop func(Command) bool) *State {
 	t.Helper()
 	s := NewState()
@@ -106,7 +106,8 @@
 	}
 }
 
-// The same log leads to the same state, and every command to the same result.
+// Replaying the recorded log yields the recorded state, and the recorded result of
+// every command.
 func TestRecordedLogYieldsRecordedState(t *testing.T) {
 	for name, stop := range map[string]func(Command) bool{
 		"backup.json":         func(c Command) bool { return c.Op == OpAcquireLease },
@@ -119,7 +120,7 @@
 		}
 	}
 	if got, want := marshal(t, replay(t, nil).FullList()), readTrimmed(t, "list.json"); !bytes.Equal(got, want) {
-		t.Errorf("the list:\ngot  %s\nwant %s", got, want)
+		t.Errorf("list:\ngot  %s\nwant %s", got, want)
 	}
 }
 
@@ -140,7 +141,7 @@
 	}
 }
 
-// A snapshot from before there were leases and a policy is read as one with none.
+// A snapshot from before leases and the policy existed is decoded without any.
 func TestSnapshotWithoutLeasesIsRead(t *testing.T) {
 	var parts map[string]json.RawMessage
 	if err := json.Unmarshal(readTrimmed(t, "state.json"), &parts); err != nil {
@@ -157,22 +158,22 @@
 	}
 }
 
-// The contents of a recorded snapshot, part by part: reading must not only be the
-// inverse of writing.
+// Checks the decoded contents of a recorded snapshot field by field, since a round trip
+// does not detect matching errors in encoding and decoding.
 func TestRecordedSnapshotContents(t *testing.T) {
 	s := NewState()
 	if err := json.Unmarshal(readTrimmed(t, "state.json"), s); err != nil {
 		t.Fatal(err)
 	}
 	if s.Group() != "prenota-nord" || s.FirstVersion() != 1843200002048000 || s.Seq() != 1843200002048014 {
-		t.Errorf("group %q, versions %d to %d", s.Group(), s.FirstVersion(), s.Seq())
+		t.Errorf("got group %q, versions %d to %d", s.Group(), s.FirstVersion(), s.Seq())
 	}
 	hosts := make([]string, 0, s.Len())
 	for _, r := range s.Registrations() {
 		hosts = append(hosts, r.Host)
 	}
 	if want := []string{"s-1", "s-3", "s-4", "s-5", "s-6"}; !slices.Equal(hosts, want) {
-		t.Errorf("hosts %v, want %v", hosts, want)
+		t.Errorf("hosts: got %v, want %v", hosts, want)
 	}
 	block := 3
 	want := Registration{
@@ -189,14 +190,14 @@
 	}
 	for host, by := range map[string]string{"s-1": "ops-a", "s-3": "ops-a", "s-5": "ops-a", "s-6": "drain m-1"} {
 		if got := s.Marks()[host]; got != by {
-			t.Errorf("%s is marked by %q, want %q", host, got, by)
+			t.Errorf("mark of %s: got %q, want %q", host, got, by)
 		}
 	}
 	if r, _ := s.Record("drain:m-1"); string(r.Value) != `{"step":"marked"}` || r.Version != 1843200002048001 || r.AtMS != 1_800_000_031_000 {
-		t.Errorf("the record is %q, version %d, of %d", r.Value, r.Version, r.AtMS)
+		t.Errorf("record drain:m-1: got %q, version %d, written at %d", r.Value, r.Version, r.AtMS)
 	}
 	if keys := s.RecordKeys(); !slices.Equal(keys, []string{"drain:m-1", "fenced", "member:r1"}) {
-		t.Errorf("records %v", keys)
+		t.Errorf("got record keys %v", keys)
 	}
 	checkRecordedLeases(t, s.Leases())
 	checkRecordedRollout(t, s.Rollout().Status())
@@ -205,39 +206,40 @@
 func checkRecordedLeases(t *testing.T, leases *Leases) {
 	t.Helper()
 	if leases.GrantsClosed() || leases.LastToken() != 1843200002048006 || leases.Version() != 1843200002048024 {
-		t.Errorf("closed %v, token %d, version %d", leases.GrantsClosed(), leases.LastToken(), leases.Version())
+		t.Errorf("got grants closed %v, last token %d, version %d", leases.GrantsClosed(), leases.LastToken(), leases.Version())
 	}
 	drains, _ := leases.Lease("drains")
 	if g := drains.Grant; g == nil || g.ID != "claim-k1-drains" || g.Holder != (Holder{"k1", 7}) || g.TTLMS != 4000 || g.Token != 1843200002048001 {
-		t.Errorf("drains is granted to %+v", g)
+		t.Errorf("lease drains: got grant %+v", g)
 	}
 	if !drains.YieldRequested || drains.NextHolder != "k3" || len(drains.Queue) != 2 || drains.Queue[1].ID != "claim-k3-drains-later" || drains.Queue[1].Incarnation != 3 {
-		t.Errorf("drains is %+v", drains)
+		t.Errorf("lease drains: got %+v", drains)
 	}
 	if health, _ := leases.Lease("health"); !health.Paused || health.Grant != nil || len(health.Queue) != 1 {
-		t.Errorf("health is %+v", health)
+		t.Errorf("lease health: got %+v", health)
 	}
 	ended := LeaseCommand{Name: "drains", Claim: Claim{ID: "claim-k3-drains", Holder: Holder{"k3", 2}, TTLMS: 4000}, Wait: true}
 	state := NewState()
 	state.group, state.leases = "g", leases.Clone()
 	if r := state.Apply(Command{Op: OpAcquireLease, Lease: &ended}); r.Err == nil || r.Err.Error() != "the claim has ended: claim claim-k3-drains" {
-		t.Errorf("a claim that had ended: %v", r.Err)
+		t.Errorf("ended claim: got error %v", r.Err)
 	}
 	tracker := NewClaimTracker(time.Minute)
 	tracker.Sync(leases, time.Unix(0, 0))
 	if tracker.Len() != 7 {
-		t.Errorf("%d claims are tracked, want 7", tracker.Len())
+		t.Errorf("got %d tracked claims, want 7", tracker.Len())
 	}
 }
 
 func checkRecordedRollout(t *testing.T, status rollout.Status) {
 	t.Helper()
 	if status.Stage != rollout.StageCanary || status.Change == nil || status.Change.By != "ops-b" || len(status.Roster) != 2 || len(status.History) != 3 {
-		t.Errorf("the rollout is %+v", status)
+		t.Errorf("got rollout %+v", status)
 	}
 }
 
-// Each message of the API is read strictly, as the server does, and written alike.
+// Each recorded API message is decoded strictly, as by the server, and encoded to the
+// same bytes.
 func TestRecordedMessagesRoundTrip(t *testing.T) {
 	types := map[string]func() any{
 		"register": func() any { return new(RegisterRequest) }, "renew": func() any { return new(RenewRequest) }, "mark": func() any { return new(MarkRequest) },
--- a/internal/registry/freshness_tracker_test.go
+++ b/internal/registry/freshness_tracker_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Reads are current as long as their evidence is young enough, whatever order it comes in.
+// Reads are current while the latest confirmation is recent enough, in whichever order
+// confirmations arrive.
 func TestFreshnessTracker(t *testing.T) {
 	const maxAge = 600 * time.Millisecond
 	start := time.Unix(1000, 0)
@@ -18,14 +19,14 @@
 	}
 	expect(start, ReadStale, 0)
 	if !tracker.Confirm(start) {
-		t.Error("the first evidence is not reported as the first")
+		t.Error("first confirmation: got first = false, want true")
 	}
 	expect(start.Add(maxAge), ReadCurrent, maxAge)
 	expect(start.Add(maxAge+1), ReadStale, maxAge+1)
 	if tracker.Confirm(start.Add(time.Second)) {
-		t.Error("the second evidence is reported as the first")
+		t.Error("second confirmation: got first = true, want false")
 	}
-	tracker.Confirm(start.Add(time.Millisecond)) // an answer that was late
+	tracker.Confirm(start.Add(time.Millisecond)) // a delayed response
 	expect(start.Add(time.Second), ReadCurrent, 0)
 	expect(start.Add(time.Second-1), ReadCurrent, 0)
 }
--- a/internal/registry/lease_snapshot_test.go
+++ b/internal/registry/lease_snapshot_test.go
@@ -37,11 +37,11 @@
 		`{"token":1,"version":1,"all":{"l":{"name":"m"}}}`, `{"token":1,"version":1,"all":{"l":{"name":"l","grant":{"token":2}}}}`, `{"token":9007199254740993}`,
 	} {
 		if err := json.Unmarshal([]byte(broken), newLeases(0)); err == nil {
-			t.Errorf("%s is accepted", broken)
+			t.Errorf("%s: got no error, want one", broken)
 		}
 	}
-	// Another group of the name, founded later, has higher tokens, and grants no leases before
-	// those of the first group have run out.
+	// Another group of the same name, founded later, has higher tokens, and grants no leases
+	// until those of the first group have expired.
 	other := NewState()
 	other.Apply(Command{Op: OpFoundGroup, Group: "g", AtMS: 1_700_000_001_000})
 	if other.leases.lastToken <= s.leases.lastToken || !other.Leases().GrantsClosed() {
@@ -54,17 +54,17 @@
 	now := time.Unix(0, 0)
 	tracker.Sync(other.Leases(), now)
 	if _, open := tracker.TakeExpired(now.Add(time.Minute - 1)); open {
-		t.Error("grants open too early")
+		t.Error("grants open before the maximum time to live has passed")
 	}
 	if _, open := tracker.TakeExpired(now.Add(time.Minute)); !open {
-		t.Error("grants never open")
+		t.Error("grants still closed after the maximum time to live")
 	}
 	other.Apply(Command{Op: OpOpenGrants, Lease: new(LeaseCommand)})
 	if l, _ := other.Leases().Lease("l"); l.Grant == nil {
-		t.Error("the queued claim is not granted the lease")
+		t.Error("after opening the grants: got no grant for the queued claim")
 	}
 	tracker.Sync(other.Leases(), now.Add(2*time.Minute))
 	if _, open := tracker.TakeExpired(now.Add(4 * time.Minute)); open {
-		t.Error("grants open twice")
+		t.Error("got a second request to open the grants")
 	}
 }
--- a/internal/registry/leases_test.go
+++ b/internal/registry/leases_test.go
@@ -59,7 +59,7 @@
 	if l.Grant == nil || l.Grant.ID != c.ID || l.Grant.Token != first.Token+1 {
 		t.Fatalf("after the release to k3: got grant %+v, want claim %s with token %d", l.Grant, c.ID, first.Token+1)
 	}
-	if r := release(a, ""); r.Err != nil { // it comes a second time, late
+	if r := release(a, ""); r.Err != nil { // a delayed repetition
 		t.Errorf("repeated release: got error %v", r.Err)
 	}
 	if l, _ := s.Leases().Lease("l"); l.Grant.ID != c.ID {
@@ -187,7 +187,7 @@
 	if r := acquire(s, "one-more", claim("full", "k", 1), true); !errors.Is(r.Err, ErrLimitReached) {
 		t.Errorf("one lease too many: got %v, want ErrLimitReached", r.Err)
 	}
-	// At the highest token there is no further grant, and none with a lower token.
+	// After the highest token no further lease is granted, rather than one with a lower token.
 	s = newOpenState(t)
 	s.leases.lastToken = MaxVersion - 1
 	if r := acquire(s, "l", claim("last", "k", 1), true); r.Token != MaxVersion {
--- a/internal/registry/marks_test.go
+++ b/internal/registry/marks_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A mark outlasts what the instance reports, its removal and its return. Only who set it
-// clears it, and several are set together or not at all.
+// A mark persists when the instance reports its health, expires and registers again. It
+// can be cleared only by its setter, and the marks of several hosts are set all or none.
 func TestMarks(t *testing.T) {
 	s := newFoundedState(t)
 	register := func(host string, born int64) Result {
@@ -30,7 +30,7 @@
 	s.Apply(Command{Op: OpExpireSessions, ExpiredSessions: []SessionRef{{"a", "1"}}})
 	register("a", 2)
 	if health("a") != HealthDraining {
-		t.Error("the mark was lost when the instance registered again")
+		t.Error("after the instance registered again: got no mark, want draining")
 	}
 	if r := s.Apply(Command{Op: OpMark, Host: "a", MarkedBy: "ops-a"}); r.Err != nil || health("a") != HealthUp {
 		t.Errorf("cleared: got %v, health %s", r.Err, health("a"))
--- a/internal/registry/session_tracker_test.go
+++ b/internal/registry/session_tracker_test.go
@@ -27,7 +27,7 @@
 		}
 	}
 	if s.Renew("0", "another", begin) || s.Renew("for ever", "", begin) || s.Renew("nobody", "x", begin) {
-		t.Error("a session was renewed that does not exist")
+		t.Error("unknown session: got a renewal, want none")
 	}
 	at := begin.Add(900 * time.Millisecond)
 	renew(3, 10, at)
@@ -39,8 +39,8 @@
 	if !slices.Equal(ended, []SessionRef{{"0", "x"}, {"1", "x"}, {"2", "x"}}) || held {
 		t.Errorf("got %v, held %v, want the three that were not renewed", ended, held)
 	}
-	s.Sync(entries(10)[3:], at) // and removed
-	// Two more at once would leave 5 of the 10 that there were, which is below the floor.
+	s.Sync(entries(10)[3:], at) // the expired ones are removed
+	// Two more at once would leave 5 of 10 sessions, which is below the floor.
 	renew(3, 8, at.Add(500*time.Millisecond))
 	at = begin.Add(1900 * time.Millisecond)
 	if ended, held, changed := s.Expired(at); len(ended) != 0 || !held || !changed {
@@ -53,7 +53,8 @@
 	if ended, held, changed := s.Expired(at); len(ended) != 1 || held || !changed {
 		t.Errorf("one was renewed: got %v, held %v, changed %v, want one expired", ended, held, changed)
 	}
-	// Peaks outside the window do not count, but a long time without renewals proves nothing.
+	// Peaks outside the window do not count, but a long time in which no session is renewed
+	// does not end the hold.
 	later := at.Add(2 * time.Minute)
 	if ended, held, _ := s.Expired(later); len(ended) != 0 || !held {
 		t.Errorf("none renewed: got %v, held %v, want expiry held", ended, held)
@@ -62,7 +63,7 @@
 	if ended, held, _ := s.Expired(later); len(ended) != 1 || held {
 		t.Errorf("all but one renewed: got %v, held %v, want that one", ended, held)
 	}
-	// A new leader's tracker gives each session its full time.
+	// A new leader's tracker gives each session its full time to live.
 	fresh := NewSessionTracker(floor, time.Minute)
 	fresh.Sync(entries(10), later)
 	if ended, _, _ := fresh.Expired(later.Add(999 * time.Millisecond)); len(ended) != 0 {
--- a/internal/registry/snapshot_test.go
+++ b/internal/registry/snapshot_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzSnapshot: a snapshot that cannot be a state's is rejected and leaves the state
-// unchanged; one that is accepted can be written and read again.
+// FuzzSnapshot checks that an inconsistent snapshot is rejected and leaves the state
+// unchanged, and that an accepted one can be encoded and decoded again.
 func FuzzSnapshot(f *testing.F) {
 	s := newFoundedState(f)
 	s.Apply(Command{Op: OpRegister, Instance: newInstance("a"), Session: "x", TTLMS: 5})
@@ -20,7 +20,7 @@
 		s := NewState()
 		if err := json.Unmarshal(text, s); err != nil {
 			if s.Group() != "" || s.Seq() != 0 {
-				t.Error("a rejected snapshot has changed the state")
+				t.Error("rejected snapshot: the state has changed")
 			}
 			return
 		}
@@ -32,7 +32,7 @@
 			t.Fatal(err)
 		}
 		if err := json.Unmarshal(out, NewState()); err != nil {
-			t.Errorf("the snapshot that it wrote cannot be read: %v", err)
+			t.Errorf("decoding the encoded snapshot: %v", err)
 		}
 	})
 }
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// model holds in maps what the state has to agree with, by the plain rules.
+// model is a simple reference implementation of the list and its drain marks.
 type model struct {
 	entries map[string]Registration
 	marks   map[string]string
@@ -26,9 +26,10 @@
 	return l
 }
 
-// After any commands the state agrees with the model, its version has grown with each
-// change and only then, and a watcher that reads from any version it has seen, of this
-// replica or of one that was restored from a snapshot, holds the list.
+// After random commands the state agrees with the model, its version never decreases and
+// increases by one with each change of the list, and a watcher that applies the changes
+// since its last version has the list. The changes come from this replica or from one that
+// was restored from a snapshot.
 func TestStateAgainstModel(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -108,7 +109,7 @@
 						t.Fatalf("step %d: %s: got %v, want ErrInvalid", step, c.Op, r.Err)
 					}
 				}
-				for h, e := range m.entries { // their versions move with what the list shows
+				for h, e := range m.entries { // versions change with the list
 					if got, ok := s.Registration(h); ok {
 						e.Version = got.Version
 						m.entries[h] = e
@@ -170,7 +171,7 @@
 		t.Errorf("before the group was founded: got %v, want ErrInvalid", r.Err)
 	}
 	if r := s.Apply(Command{Op: OpFoundGroup, Group: "a", AtMS: 0}); r.Err == nil {
-		t.Error("the group was founded without a time")
+		t.Error("founded without a time: got no error, want one")
 	}
 	one := s.Apply(Command{Op: OpFoundGroup, Group: "a", AtMS: 1000})
 	if again := s.Apply(Command{Op: OpFoundGroup, Group: "a", AtMS: 2000}); again.Err != nil || again.Version != one.Version {
@@ -181,7 +182,8 @@
 	}
 }
 
-// FuzzCommand: no command that can be decoded crashes the state or breaks its versions.
+// FuzzCommand checks that no decodable command panics, decreases the version or makes
+// changes inconsistent with the full list.
 func FuzzCommand(f *testing.F) {
 	f.Add([]byte(`{"op":"register","instance":{"host":"a","dial":"127.0.0.1:1","site":"z","health":"up","share":1},"session":"x"}`))
 	f.Add([]byte(`{"op":"mark","hosts":["a","a"],"by":"x","draining":true,"if_version":7}`))
