--- a/internal/registry/api.go
+++ b/internal/registry/api.go
@@ -93,7 +93,7 @@
 type YieldRequest struct {
 	Yield      bool   `json:"leave,omitempty"`
 	NextHolder string `json:"to,omitempty"`    // the queued holder that is granted the lease next
-	Pause      *bool  `json:"pause,omitempty"` // true: the lease is not granted until it is resumed; false: it is resumed
+	Pause      *bool  `json:"pause,omitempty"` // true: ask the holder to yield, and grant the lease to no one until it is resumed; false: resume it
 }
 
 // RenewClaimsRequest is the body of POST renewals, which renews held and queued claims
--- a/internal/registry/client/watch_reader_test.go
+++ b/internal/registry/client/watch_reader_test.go
@@ -17,7 +17,7 @@
 	w := await(t, "the watch", g.Watches)
 	w.Lines <- ""
 	if l := await(t, "the report that the watch is open", updates); l.Seq != 41 || l.Endpoints != nil {
-		t.Errorf("got update %+v", l)
+		t.Errorf("got update %+v, want an empty one at version 41", l)
 	}
 	var indented bytes.Buffer
 	if err := json.Indent(&indented, []byte(registrytest.ListJSON(43, false, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "draining", 0))), "", "  "); err != nil {
--- a/internal/registry/client/watcher_test.go
+++ b/internal/registry/client/watcher_test.go
@@ -15,7 +15,7 @@
 	"barleywick/internal/registry/registrytest"
 )
 
-const eventTimeout = 10 * time.Second // far longer than any event takes in a passing run
+const eventTimeout = 10 * time.Second // longer than any event takes in a passing run
 
 // await receives the next value from a channel. It fails the test after eventTimeout.
 func await[T any](t *testing.T, what string, c <-chan T) T {
@@ -79,7 +79,7 @@
 			await(t, "the call for the full list", g.ListCalls)
 			g.FullLists <- registrytest.ListJSON(45, true, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0))
 			if l := await(t, "the list", updates); l.Seq != 45 || !l.Full || len(l.Endpoints) != 1 {
-				t.Errorf("got update %+v", l)
+				t.Errorf("got update %+v, want the full list of version 45 with one endpoint", l)
 			}
 			if w := await(t, "the next watch", g.Watches); w.From != "45" {
 				t.Errorf("next watch: got from=%s, want 45", w.From)
@@ -121,7 +121,7 @@
 			await(t, "the call for the list at the new address", fresh.ListCalls)
 			fresh.FullLists <- registrytest.ListJSON(7, true, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0))
 			if l := await(t, "the list", updates); l.Seq != 7 || !l.Full || len(l.Endpoints) != 1 {
-				t.Errorf("got update %+v", l)
+				t.Errorf("got update %+v, want the full list of version 7 with one endpoint", l)
 			}
 			if w := await(t, "the new watch", fresh.Watches); w.From != "7" {
 				t.Errorf("new watch: got from=%s, want 7", w.From)
@@ -147,7 +147,7 @@
 	await(t, "the call for the list at the new address", fresh.ListCalls)
 	fresh.FullLists <- registrytest.ListJSON(1, true)
 	if l := await(t, "the list", updates); l.Seq != 1 || !l.Full {
-		t.Errorf("got update %+v", l)
+		t.Errorf("got update %+v, want the full list of version 1", l)
 	}
 	close(await(t, "the new watch", fresh.Watches).Lines)
 	await(t, "the report of its end", losses)
@@ -165,7 +165,7 @@
 	w := await(t, "the watch", g.Watches)
 	w.Lines <- "" // nothing has changed, but the call has succeeded
 	if l := await(t, "the report of success", updates); l.Seq != 3 || l.Full || len(l.Endpoints) != 0 {
-		t.Errorf("got update %+v", l)
+		t.Errorf("got update %+v, want an empty one at version 3", l)
 	}
 	close(w.Lines)
 	await(t, "the report of the failure", losses)
@@ -247,7 +247,7 @@
 	await(t, "the call for the full list", g.ListCalls)
 	g.FullLists <- registrytest.ListJSON(45, true)
 	if l := await(t, "the list", updates); l.Seq != 45 || !l.Full {
-		t.Errorf("got update %+v", l)
+		t.Errorf("got update %+v, want the full list of version 45", l)
 	}
 	w := await(t, "the next watch", g.Watches)
 	if len(losses) > 0 {
--- a/internal/registry/compatibility_test.go
+++ b/internal/registry/compatibility_test.go
@@ -166,7 +166,7 @@
 		t.Fatal(err)
 	}
 	if s.Group() != "prenota-nord" || s.FirstVersion() != 1843200002048000 || s.Seq() != 1843200002048014 {
-		t.Errorf("got group %q, versions %d to %d", s.Group(), s.FirstVersion(), s.Seq())
+		t.Errorf("got group %q, versions %d to %d, want prenota-nord, 1843200002048000 to 1843200002048014", s.Group(), s.FirstVersion(), s.Seq())
 	}
 	hosts := make([]string, 0, s.Len())
 	for _, r := range s.Registrations() {
@@ -206,23 +206,23 @@
 func checkRecordedLeases(t *testing.T, leases *Leases) {
 	t.Helper()
 	if leases.GrantsClosed() || leases.LastToken() != 1843200002048006 || leases.Version() != 1843200002048024 {
-		t.Errorf("got grants closed %v, last token %d, version %d", leases.GrantsClosed(), leases.LastToken(), leases.Version())
+		t.Errorf("got grants closed %v, last token %d, version %d, want open, 1843200002048006, 1843200002048024", leases.GrantsClosed(), leases.LastToken(), leases.Version())
 	}
 	drains, _ := leases.Lease("drains")
 	if g := drains.Grant; g == nil || g.ID != "claim-k1-drains" || g.Holder != (Holder{"k1", 7}) || g.TTLMS != 4000 || g.Token != 1843200002048001 {
-		t.Errorf("lease drains: got grant %+v", g)
+		t.Errorf("lease drains: got grant %+v, want the one of claim-k1-drains with token 1843200002048001", g)
 	}
 	if !drains.YieldRequested || drains.NextHolder != "k3" || len(drains.Queue) != 2 || drains.Queue[1].ID != "claim-k3-drains-later" || drains.Queue[1].Incarnation != 3 {
-		t.Errorf("lease drains: got %+v", drains)
+		t.Errorf("lease drains: got %+v, want a yield request for k3 and two queued claims, claim-k3-drains-later last", drains)
 	}
 	if health, _ := leases.Lease("health"); !health.Paused || health.Grant != nil || len(health.Queue) != 1 {
-		t.Errorf("lease health: got %+v", health)
+		t.Errorf("lease health: got %+v, want it paused, without a grant, with one queued claim", health)
 	}
 	ended := LeaseCommand{Name: "drains", Claim: Claim{ID: "claim-k3-drains", Holder: Holder{"k3", 2}, TTLMS: 4000}, Wait: true}
 	state := NewState()
 	state.group, state.leases = "g", leases.Clone()
 	if r := state.Apply(Command{Op: OpAcquireLease, Lease: &ended}); r.Err == nil || r.Err.Error() != "the claim has ended: claim claim-k3-drains" {
-		t.Errorf("ended claim: got error %v", r.Err)
+		t.Errorf("ended claim: got error %v, want ErrClaimEnded for claim-k3-drains", r.Err)
 	}
 	tracker := NewClaimTracker(time.Minute)
 	tracker.Sync(leases, time.Unix(0, 0))
@@ -234,7 +234,7 @@
 func checkRecordedRollout(t *testing.T, status rollout.Status) {
 	t.Helper()
 	if status.Stage != rollout.StageCanary || status.Change == nil || status.Change.By != "ops-b" || len(status.Roster) != 2 || len(status.History) != 3 {
-		t.Errorf("got rollout %+v", status)
+		t.Errorf("got rollout %+v, want the canary stage of a change by ops-b, 2 in the roster, 3 in the history", status)
 	}
 }
 
--- a/internal/registry/lease.go
+++ b/internal/registry/lease.go
@@ -66,7 +66,7 @@
 	Queue          []Claim `json:"line,omitempty"`    // queued claims, in order of arrival
 	YieldRequested bool    `json:"leave,omitempty"`   // the holder is asked to yield the lease
 	NextHolder     string  `json:"to,omitempty"`      // the queued holder that is granted the lease next; empty: the first
-	Paused         bool    `json:"paused,omitempty"`  // the lease is not granted until it is resumed
+	Paused         bool    `json:"paused,omitempty"`  // the holder is asked to yield, and the lease is not granted until it is resumed
 	Version        uint64  `json:"version,omitempty"` // Leases.version at the last change of this lease
 }
 
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -299,7 +299,8 @@
 	l.Version = ls.version
 }
 
-// checkFence returns an error if the fence's token is not that of the lease's current grant.
+// checkFence returns an error if there is a fence and its token is not that of the lease's
+// current grant.
 func (ls *Leases) checkFence(f *Fence) error {
 	if f == nil || mutation.SkipFenceCheck {
 		return nil
--- a/internal/registry/leases_test.go
+++ b/internal/registry/leases_test.go
@@ -41,10 +41,10 @@
 		t.Errorf("held lease, without waiting: got %v, want ErrLeaseHeld", r.Err)
 	}
 	if r := acquire(s, "l", b, true); r.QueuePosition != 1 {
-		t.Errorf("queue position: got %d, error %v", r.QueuePosition, r.Err)
+		t.Errorf("queue position: got %d, error %v, want 1", r.QueuePosition, r.Err)
 	}
 	if r := acquire(s, "l", c, true); r.QueuePosition != 2 {
-		t.Errorf("queue position: got %d, error %v", r.QueuePosition, r.Err)
+		t.Errorf("queue position: got %d, error %v, want 2", r.QueuePosition, r.Err)
 	}
 	release := func(from Claim, to string) Result {
 		return s.Apply(Command{Op: OpReleaseLease, Lease: &LeaseCommand{Name: "l", Claim: from, NextHolder: to}})
@@ -60,7 +60,7 @@
 		t.Fatalf("after the release to k3: got grant %+v, want claim %s with token %d", l.Grant, c.ID, first.Token+1)
 	}
 	if r := release(a, ""); r.Err != nil { // a delayed repetition
-		t.Errorf("repeated release: got error %v", r.Err)
+		t.Errorf("repeated release: got error %v, want none", r.Err)
 	}
 	if l, _ := s.Leases().Lease("l"); l.Grant.ID != c.ID {
 		t.Errorf("after a late release: got grant %+v, want claim %s", l.Grant, c.ID)
--- a/internal/registry/records_test.go
+++ b/internal/registry/records_test.go
@@ -13,7 +13,7 @@
 	}
 	first := put("a", versionPtr(0))
 	if first.Err != nil || first.Version == 0 {
-		t.Fatalf("first write: got %+v", first)
+		t.Fatalf("first write: got %+v, want a version and no error", first)
 	}
 	if again := put("a", versionPtr(0)); again.Err != nil || again.Version != first.Version {
 		t.Errorf("same value again: got %+v, want version %d", again, first.Version)
