--- a/internal/registry/client/watch_reader_test.go
+++ b/internal/registry/client/watch_reader_test.go
@@ -10,14 +10,14 @@
 	"barleywick/internal/registry/registrytest"
 )
 
-// An update may stand on several lines, and arrive in pieces with time between them.
-func TestUpdateOverSeveralLines(t *testing.T) {
+// An update may span several lines that arrive one after another.
+func TestUpdateSpansSeveralLines(t *testing.T) {
 	g := registrytest.NewServer(t)
 	updates := startWatcher(t, g, &ListUpdate{Seq: 41, Full: true})
 	w := await(t, "the watch", g.Watches)
 	w.Lines <- ""
 	if l := await(t, "the report that the watch is open", updates); l.Seq != 41 || l.Endpoints != nil {
-		t.Errorf("got update %+v", l)
+		t.Errorf("got update %+v, want an empty one at version 41", l)
 	}
 	var indented bytes.Buffer
 	if err := json.Indent(&indented, []byte(registrytest.ListJSON(43, false, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "draining", 0))), "", "  "); err != nil {
@@ -33,21 +33,21 @@
 		}
 	}
 	if len(g.ListCalls) > 0 {
-		t.Error("the full list was called for")
+		t.Error("unexpected call for the full list")
 	}
 }
 
-// Empty lines inside an update that does not go on do not keep the watch alive.
-func TestEmptyLinesInsideAnUpdateAreNoHeartbeats(t *testing.T) {
+// Empty lines inside an unfinished update do not keep the watch alive.
+func TestEmptyLinesInsideUpdateAreNotHeartbeats(t *testing.T) {
 	g := registrytest.NewServer(t)
 	startWatcher(t, g, &ListUpdate{Seq: 41, Full: true})
 	w := await(t, "the watch", g.Watches)
 	w.Lines <- `{"seq":42,"whole":false,"hosts":[`
-	beats := time.NewTicker(watchTimeout / 10)
-	defer beats.Stop()
+	heartbeats := time.NewTicker(watchTimeout / 10)
+	defer heartbeats.Stop()
 	for n := 0; ; {
 		select {
-		case <-beats.C:
+		case <-heartbeats.C:
 			select {
 			case w.Lines <- "":
 				n++
@@ -58,7 +58,7 @@
 				t.Errorf("next watch: got from=%s after %d empty lines, want 41 after at least one", again.From, n)
 			}
 			return
-		case <-time.After(patience):
+		case <-time.After(eventTimeout):
 			t.Fatalf("the watch is still open after %d empty lines", n)
 		}
 	}
--- a/internal/registry/leases_test.go
+++ b/internal/registry/leases_test.go
@@ -41,10 +41,10 @@
 		t.Errorf("held lease, without waiting: got %v, want ErrLeaseHeld", r.Err)
 	}
 	if r := acquire(s, "l", b, true); r.QueuePosition != 1 {
-		t.Errorf("queue position: got %d, error %v", r.QueuePosition, r.Err)
+		t.Errorf("queue position: got %d, error %v, want 1", r.QueuePosition, r.Err)
 	}
 	if r := acquire(s, "l", c, true); r.QueuePosition != 2 {
-		t.Errorf("queue position: got %d, error %v", r.QueuePosition, r.Err)
+		t.Errorf("queue position: got %d, error %v, want 2", r.QueuePosition, r.Err)
 	}
 	release := func(from Claim, to string) Result {
 		return s.Apply(Command{Op: OpReleaseLease, Lease: &LeaseCommand{Name: "l", Claim: from, NextHolder: to}})
@@ -59,8 +59,8 @@
 	if l.Grant == nil || l.Grant.ID != c.ID || l.Grant.Token != first.Token+1 {
 		t.Fatalf("after the release to k3: got grant %+v, want claim %s with token %d", l.Grant, c.ID, first.Token+1)
 	}
-	if r := release(a, ""); r.Err != nil { // it comes a second time, late
-		t.Errorf("repeated release: got error %v", r.Err)
+	if r := release(a, ""); r.Err != nil { // a delayed repetition
+		t.Errorf("repeated release: got error %v, want none", r.Err)
 	}
 	if l, _ := s.Leases().Lease("l"); l.Grant.ID != c.ID {
 		t.Errorf("after a late release: got grant %+v, want claim %s", l.Grant, c.ID)
@@ -187,7 +187,7 @@
 	if r := acquire(s, "one-more", claim("full", "k", 1), true); !errors.Is(r.Err, ErrLimitReached) {
 		t.Errorf("one lease too many: got %v, want ErrLimitReached", r.Err)
 	}
-	// At the highest token there is no further grant, and none with a lower token.
+	// After the highest token no further lease is granted, rather than one with a lower token.
 	s = newOpenState(t)
 	s.leases.lastToken = MaxVersion - 1
 	if r := acquire(s, "l", claim("last", "k", 1), true); r.Token != MaxVersion {
