--- a/internal/sidecar/balancer_host.go
+++ b/internal/sidecar/balancer_host.go
@@ -9,21 +9,21 @@
 	"barleywick/policy"
 )
 
-// The event loop is the balancer's policy.Host: it carries out what the balancer decides.
+// The event loop implements policy.Host: it carries out the balancer's decisions.
 var _ policy.Host = (*eventLoop)(nil)
 
-// attempt is an attempt of a request, with what the event loop needs of it.
+// attempt is one attempt of a request, with the state that the event loop keeps for it.
 type attempt struct {
 	upstream.Attempt
 	request   *request
 	number    int
-	endpoint  *endpoint // nil: it was never sent
+	endpoint  *endpoint // nil if the attempt was never sent
 	startedAt time.Time
 }
 
-// newAttempt returns the next attempt of a request, which is given up at giveUpAt. If repeatDeadline
-// is not zero, its request is written before that or not at all.
-func newAttempt(ctx context.Context, r *request, giveUpAt, repeatDeadline time.Time) *attempt {
+// newAttempt returns the next attempt of a request. The attempt times out at attemptDeadline. If
+// repeatDeadline is not zero, the request is written before that time or not at all.
+func newAttempt(ctx context.Context, r *request, attemptDeadline, repeatDeadline time.Time) *attempt {
 	a := &attempt{
 		Attempt: upstream.Attempt{Request: &r.Request, Deadline: r.deadline(), RepeatDeadline: repeatDeadline},
 		request: r, number: len(r.attempts), startedAt: time.Now(),
@@ -31,7 +31,7 @@
 	if r.conn != nil {
 		a.Client = r.conn
 	}
-	a.Begin(ctx, giveUpAt)
+	a.Begin(ctx, attemptDeadline)
 	return a
 }
 
@@ -41,16 +41,16 @@
 	if r == nil {
 		return
 	}
-	giveUpAt, repeatDeadline := r.deadline(), time.Time{}
+	attemptDeadline, repeatDeadline := r.deadline(), time.Time{}
 	if timeout != 0 {
-		if timeoutAt := time.Now().Add(timeout); timeoutAt.Before(giveUpAt) {
-			giveUpAt = timeoutAt
+		if timeoutAt := time.Now().Add(timeout); timeoutAt.Before(attemptDeadline) {
+			attemptDeadline = timeoutAt
 		}
 	}
 	if start != 0 {
 		repeatDeadline = l.clock.at(l.clock.now + start)
 	}
-	a := newAttempt(l.lifetime, r, giveUpAt, repeatDeadline)
+	a := newAttempt(l.lifetime, r, attemptDeadline, repeatDeadline)
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
 	if e == nil || r.closed {
@@ -62,26 +62,27 @@
 	a.Server, a.endpoint = e.server, e
 	e.inFlight++
 	l.tasks.Go(func() {
-		ending, answer := l.transport.Do(&a.Attempt)
-		l.post(attemptEnded{a, ending, answer})
+		ending, resp := l.transport.Do(&a.Attempt)
+		l.post(attemptEnded{a, ending, resp})
 	})
 }
 
-// Refuse answers a request with 503: a retry is harmless.
+// Refuse answers a request with 503, which tells the client that a retry is safe.
 func (l *eventLoop) Refuse(id policy.RequestID, pause time.Duration) {
 	l.answerRequest(id, response{status: http.StatusServiceUnavailable, retryAfter: pause})
 }
 
-// Fail answers a request with 502 or 504, which promise nothing; 429 and 503 would be refusals.
+// Fail answers a request with 502 or 504: the request may have run. It never uses 429 and 503, which
+// tell the client that a retry is safe.
 func (l *eventLoop) Fail(id policy.RequestID) {
 	status := http.StatusBadGateway
-	if r := l.requests.byID[id]; r != nil && (r.lastTimedOut || r.inFlight > 0) { // time ran out, whoever noticed first
+	if r := l.requests.byID[id]; r != nil && (r.lastAttemptTimedOut || r.inFlight > 0) { // timed out: detected by the attempt or, before it, by the balancer
 		status = http.StatusGatewayTimeout
 	}
 	l.answerRequest(id, response{status: status})
 }
 
-// Cancel cancels an attempt, which closes its connection.
+// Cancel cancels an attempt and closes its connection.
 func (l *eventLoop) Cancel(id policy.RequestID, number int) {
 	if r := l.requests.byID[id]; r != nil && number >= 0 && number < len(r.attempts) {
 		r.attempts[number].Cancel()
@@ -106,10 +107,11 @@
 	})
 }
 
-// WatchList has the endpoint list polled, if the balancer decides when.
+// WatchList requests a poll of the endpoint list. It has an effect only if the configuration lets the
+// balancer schedule polls.
 func (l *eventLoop) WatchList() {
 	select {
 	case l.pollRequests <- struct{}{}:
-	default: // a poll is waiting already
+	default: // a poll is already pending
 	}
 }
--- a/internal/sidecar/client_admission.go
+++ b/internal/sidecar/client_admission.go
@@ -14,10 +14,11 @@
 )
 
 const (
-	// firstByteGrace is how long a new connection does not count as silent: its first bytes may be
-	// on their way.
+	// firstByteGrace is how long a new connection may send nothing without counting as silent: its
+	// first bytes may still be in transit.
 	firstByteGrace = 50 * time.Millisecond
-	// completeRequestGrace is how long a request may take to arrive whole while others wait for admission.
+	// completeRequestGrace is how long a request may take to arrive completely while other connections
+	// wait for admission.
 	completeRequestGrace = 200 * time.Millisecond
 	// maxAdmissionWait is how long a connection may wait for admission before it is refused: longer
 	// than any grace period, and short compared with a client's timeout.
@@ -31,9 +32,9 @@
 	since time.Time
 }
 
-// enqueue admits a new connection or lets it wait. When too many wait, and one that is admitted must
-// come free within a grace period, enqueue blocks, which leaves later connections in the kernel's
-// backlog. Otherwise it refuses one of the largest holder.
+// enqueue admits a new connection or queues it. If the queue is full and an admitted connection can be
+// evicted when its grace period ends, enqueue blocks, so that later connections stay in the kernel's
+// backlog. Otherwise it refuses a waiting connection of the address with the most connections.
 func (l *limitedListener) enqueue(c *clientConn) {
 	addr := c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
 	l.mu.Lock()
@@ -48,7 +49,7 @@
 	l.waiting = append(l.waiting, &waitingConn{conn: c, addr: addr, since: c.acceptedAt})
 	l.admitWaitingLocked(c.acceptedAt)
 	for len(l.waiting) > l.limits.Waiting && !l.closed {
-		largest := l.largestHolderLocked()
+		largest := l.refusalCandidateLocked()
 		if l.atAddressLimitLocked(l.waiting[largest].addr) || l.backlogOnly || l.table.NextOverdue().IsZero() {
 			l.refuseLocked(largest)
 			continue
@@ -57,13 +58,13 @@
 	}
 }
 
-// atAddressLimitLocked reports whether addr has all connections that one address may have.
+// atAddressLimitLocked reports whether addr has reached the limit of open connections for one address.
 func (l *limitedListener) atAddressLimitLocked(addr netip.Addr) bool {
 	return l.limits.PerAddress < l.limits.Total && l.table.OpenFrom(addr) >= l.limits.PerAddress
 }
 
-// admitWaitingLocked admits waiting connections while it can, refuses those that have waited too
-// long, and arms the timer for its next call.
+// admitWaitingLocked admits as many waiting connections as possible, refuses those that have waited for
+// maxAdmissionWait, and arms the timer for its next call.
 func (l *limitedListener) admitWaitingLocked(now time.Time) {
 	if l.closed || len(l.waiting) == 0 {
 		return
@@ -83,13 +84,14 @@
 	if overdue := l.table.NextOverdue(); !overdue.IsZero() && overdue.Before(next) {
 		next = overdue
 	}
-	// A time that has passed is not tried again at once: the overdue connection could not be closed.
+	// If the time has already passed, the overdue connection could not be closed: wait a little before
+	// the next attempt.
 	l.waitTimer.Reset(max(time.Until(next), time.Millisecond))
 }
 
-// nextAdmissibleLocked evicts a connection, if necessary, for one of the waiting ones, and returns the
-// index of that one, or -1 if none can be admitted. It tries the address with the fewest connections
-// first, and of an address the longest waiting.
+// nextAdmissibleLocked returns the index of the next waiting connection to admit, after evicting another
+// connection for it if necessary, or -1 if none can be admitted. Addresses with fewer open connections
+// come first; for each address the connection that has waited longest.
 func (l *limitedListener) nextAdmissibleLocked(now time.Time) int {
 	tried := make(map[netip.Addr]bool, len(l.waiting))
 	for range l.waiting {
@@ -110,8 +112,8 @@
 	return -1
 }
 
-// evictForLocked reports whether a connection from addr may be admitted now, after it has evicted the
-// one that has to make way.
+// evictForLocked reports whether a connection from addr may be admitted now. If the limits require it,
+// it evicts another connection first.
 func (l *limitedListener) evictForLocked(addr netip.Addr, now time.Time) bool {
 	for {
 		verdict, victim := l.table.Decide(addr, now)
@@ -127,34 +129,34 @@
 	}
 }
 
-// evictLocked closes a connection so that another can be admitted. It does not if the connection
-// proves to be in use; the table knows that afterwards. counter is the one for the victim's state.
+// evictLocked closes a connection so that another can be admitted. If the connection turns out to be in
+// use, evictLocked leaves it open and updates the table. counter is the counter for the victim's state.
 func (l *limitedListener) evictLocked(victim *admission.Conn[*clientConn], now time.Time) (counter *uint64, evicted bool) {
 	c := victim.Owner
 	if victim.Silent() && !socket.IsIdle(c.TCPConn) {
-		l.table.FirstByteRead(victim, now) // awaitFirstByte has not noticed it yet
+		l.table.FirstByteRead(victim, now) // bytes have arrived, but awaitFirstByte has not returned yet
 		return nil, false
 	}
 	if counter = &l.count.EvictedUnfinished; victim.Idle() {
 		counter = &l.count.EvictedIdle
 	}
-	state, refusalOwed := c.closeIdle(!victim.Idle())
+	state, refusalPending := c.closeIdle(!victim.Idle())
 	switch state {
 	case connBusy:
-		l.table.RequestStarted(victim, now) // a moment ago
+		l.table.RequestStarted(victim, now) // the table has not been updated yet
 		return nil, false
 	case connIdle:
-		l.table.FirstByteRead(victim, now) // a part of its next request has been read
+		l.table.FirstByteRead(victim, now) // part of its next request has been read
 		return nil, false
 	}
 	l.table.Remove(victim)
-	if refusalOwed {
+	if refusalPending {
 		l.refusePartialLocked(c)
 	}
 	return counter, true
 }
 
-// admitLocked admits a waiting connection.
+// admitLocked admits a waiting connection, and waits in the background for its first byte.
 func (l *limitedListener) admitLocked(w *waitingConn, now time.Time) {
 	c := w.conn
 	l.count.Admitted++
@@ -166,7 +168,7 @@
 	l.tasks.Go(func() { l.deliver(c) })
 }
 
-// deliver hands an admitted connection to Accept when its first byte has arrived.
+// deliver passes an admitted connection to Accept once its first byte has arrived.
 func (l *limitedListener) deliver(c *clientConn) {
 	err := c.awaitFirstByte()
 	l.mu.Lock()
@@ -174,7 +176,7 @@
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			l.count.HeaderTimeouts++
-		case errors.Is(err, errClientVanished):
+		case errors.Is(err, errClosedBeforeFirstByte):
 			l.count.ClosedByClient++
 		}
 		c.closeIdle(true)
@@ -194,9 +196,9 @@
 	}
 }
 
-// largestHolderLocked returns the index of the waiting connection to refuse: the last one of the
-// address with the most connections, waiting ones included.
-func (l *limitedListener) largestHolderLocked() int {
+// refusalCandidateLocked returns the index of the waiting connection to refuse: the last one of the
+// address with the most connections, including waiting ones.
+func (l *limitedListener) refusalCandidateLocked() int {
 	waiting := make(map[netip.Addr]int, len(l.waiting))
 	for _, w := range l.waiting {
 		waiting[w.addr]++
@@ -215,15 +217,16 @@
 	l.waitingChanged.Broadcast()
 }
 
-// refuseLocked answers a waiting connection with 503 and closes it. What its client has sent is
-// unread, and a close over it would reset the connection and could destroy the answer. Therefore the
-// close lingers, on limits.Refusing connections at most; on others only what has arrived is discarded.
+// refuseLocked answers a waiting connection with 503 and closes it. The bytes that its client has sent
+// are unread, and closing a socket with unread bytes resets the connection, so that the client may lose
+// the response. Therefore up to limits.Refusing connections get a lingering close; for others only the
+// bytes that have already arrived are discarded.
 func (l *limitedListener) refuseLocked(i int) {
 	c := l.waiting[i].conn
 	l.removeWaitingLocked(i)
 	l.count.Refused++
 	c.TCPConn.SetDeadline(time.Now().Add(lingerTimeout))
-	_, err := io.WriteString(c.TCPConn, refusedResponse) // the first bytes on it: they fit its buffer
+	_, err := io.WriteString(c.TCPConn, refusedResponse) // does not block: it fits into the empty send buffer
 	if err != nil || l.refusing >= l.limits.Refusing {
 		c.discardUnread()
 		c.Close()
@@ -238,19 +241,19 @@
 	})
 }
 
-// refusePartialLocked answers and closes a connection that closeIdle has marked as closed over a
-// partial request.
+// refusePartialLocked refuses the partial request on a connection that closeIdle has marked as closed,
+// and closes the connection.
 func (l *limitedListener) refusePartialLocked(c *clientConn) {
 	l.count.PartialRefused++
 	if l.refusing >= l.limits.Refusing {
 		c.refusePartial(true)
 		return
 	}
-	l.alive++ // counted once more until the refusal is sent
+	l.alive++ // released by refuseInBackgroundLocked when the refusal has been sent
 	l.refuseInBackgroundLocked(func() { c.refusePartial(false) })
 }
 
-// refuseInBackgroundLocked runs refuse in a goroutine and counts the end of its connection after it.
+// refuseInBackgroundLocked runs refuse in a goroutine, and counts the connection as ended afterwards.
 func (l *limitedListener) refuseInBackgroundLocked(refuse func()) {
 	l.refusing++
 	l.tasks.Go(func() {
--- a/internal/sidecar/client_conn.go
+++ b/internal/sidecar/client_conn.go
@@ -18,50 +18,50 @@
 	"barleywick/internal/sidecar/socket"
 )
 
-// clientConn is a client's connection. Three acts on it exclude each other: closing it between
-// requests, reading from it, and beginning a request. net/http calls a connection idle until it has
-// read a request's header. If the connection were closed over bytes that were read, the request would
-// be lost: its client believes it to be in progress. If a request were begun although the connection
-// was closed before the read, it could run twice: its client sends it again.
+// clientConn is a client's connection. Three operations on it are mutually exclusive: closing it between
+// requests, reading from it, and beginning a request. net/http reports a connection as idle until it has
+// read the whole header of a request. If the connection were closed after a part of a request had been
+// read, the request would be lost: its client assumes that it is in progress. If a request were begun
+// after the connection had been closed, it could run twice: its client sends it again.
 type clientConn struct {
 	*net.TCPConn
-	raw                 syscall.RawConn // nil where there is none, as in tests
+	raw                 syscall.RawConn // nil if the socket has none, as in tests
 	acceptedAt          time.Time
 	awaitingFirstHeader atomic.Bool // the first request's header has not been read
-	responseWritten     atomic.Bool // something was written since endRequest
-	requests            int         // whose headers were read; net/http serves one at a time
+	responseWritten     atomic.Bool // response bytes were written since endRequest
+	requests            int         // number of request headers read; net/http serves one request at a time
 	entry               admission.Conn[*clientConn]
-	gate                *gate.Gate // nil: nothing is counted
+	gate                *gate.Gate // nil: decisions are not counted
 
-	mu           sync.Mutex
-	state        connState
-	partialRead  bool                     // a part of a request was read, and not its whole header
-	responseOwed bool                     // a part of a request was read that has no response
-	refusalSent  chan struct{}            // closed when refusePartial is done; nil: it isn't called
-	emptyAt      time.Time                // when there was last nothing to read
-	arrivedAt    time.Time                // the earliest time at which the bytes read last can have arrived
-	head         httpmessage.HeadRecorder // of the next request
+	mu              sync.Mutex
+	state           connState
+	partialRead     bool                     // part of a request header was read, but not all of it
+	responsePending bool                     // a request was read, at least in part, and has no response yet
+	refusalSent     chan struct{}            // closed when refusePartial has returned; nil: it is not called
+	emptyAt         time.Time                // when the receive buffer was last seen empty
+	arrivedAt       time.Time                // earliest possible arrival of the bytes read last
+	head            httpmessage.HeadRecorder // records the head of the next request
 
-	reading  pendingRead // the call of Read in progress; net/http never makes two
+	reading  pendingRead // state of the Read call in progress; net/http never makes two at a time
 	readFunc func(fd uintptr) bool
-	readHook func() // set by tests: called in the middle of a read
+	readHook func() // set by tests: called during a read
 }
 
-// pendingRead is what a call of Read shares with readAvailable.
+// pendingRead is the state that a call of Read shares with readAvailable.
 type pendingRead struct {
 	buf    []byte
 	n      int
-	waited bool // there was nothing to read at first
+	waited bool // the read had to wait for data
 	err    error
 }
 
-// connState says whether a clientConn may be closed, read from, or begin a request.
+// connState determines which operations on a clientConn are allowed: close, read, begin a request.
 type connState int
 
 const (
 	connIdle   connState = iota // between requests, or before the first
 	connBusy                    // a request is in progress
-	connClosed                  // nothing is read any more, no request is begun
+	connClosed                  // no more reads, and no request is begun
 )
 
 func newClientConn(nc *net.TCPConn) *clientConn {
@@ -74,7 +74,7 @@
 	return c
 }
 
-// Read reads what has arrived. On a connection that closeIdle has closed it reads nothing.
+// Read returns the bytes that have arrived. It fails on a connection that closeIdle has closed.
 func (c *clientConn) Read(b []byte) (int, error) {
 	if len(b) == 0 || c.raw == nil {
 		return c.TCPConn.Read(b)
@@ -94,8 +94,8 @@
 	return r.n, nil
 }
 
-// readAvailable reads without blocking, and reports whether the read is complete: if not, the runtime
-// calls it again when the socket is readable.
+// readAvailable reads without blocking, and reports whether the read is complete. If it is not, the
+// runtime calls readAvailable again when the socket is readable.
 func (c *clientConn) readAvailable(fd uintptr) (complete bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,10 +105,10 @@
 		r.err = net.ErrClosed
 		return true
 	}
-	if c.state == connBusy { // net/http reads only to see whether the client closes its side
+	if c.state == connBusy { // net/http reads only to detect that the client closes its side
 		if n, err := socket.Peek(fd); err == nil && n > 0 {
-			// The next request has begun to arrive. It stays unread until this one is answered, but it
-			// must not hide that the client has closed its side.
+			// The next request has begun to arrive. It stays unread until the current one has been
+			// answered, but a close by the client must still be detected.
 			return socket.HungUp(fd)
 		}
 	}
@@ -128,19 +128,19 @@
 		c.readHook()
 	}
 	r.n = n
-	c.noteReadLocked(r.buf[:max(n, 0)])
+	c.recordReadLocked(r.buf[:max(n, 0)])
 	return true
 }
 
-// noteReadLocked records bytes that were read, none at the end of the stream.
-func (c *clientConn) noteReadLocked(b []byte) {
+// recordReadLocked records bytes that were read; b is empty at the end of the stream.
+func (c *clientConn) recordReadLocked(b []byte) {
 	if c.reading.waited {
-		c.arrivedAt = time.Now() // the read was waiting for them
+		c.arrivedAt = time.Now() // the read waited for these bytes
 	} else if c.arrivedAt.Before(c.emptyAt) {
-		c.arrivedAt = c.emptyAt // they were there already
+		c.arrivedAt = c.emptyAt // the bytes had arrived before the read
 	}
 	c.partialRead = c.partialRead || len(b) > 0
-	c.responseOwed = c.responseOwed || len(b) > 0
+	c.responsePending = c.responsePending || len(b) > 0
 	c.head.Record(b)
 }
 
@@ -149,29 +149,30 @@
 	c.awaitingFirstHeader.Store(false)
 	c.mu.Lock()
 	c.partialRead = false
-	c.head.Reset() // a client that keeps to the protocol sends nothing more before the response
+	c.head.Reset() // a conforming client sends nothing more before it has the response
 	c.mu.Unlock()
 }
 
-// requestArrivedAt returns the earliest time at which the request that was read can have arrived. Its
-// client's timeout has run since then, while this process was busy or the connection waited.
+// requestArrivedAt returns the earliest time at which the request that was read can have arrived. The
+// client's timeout has been running since then, even if the connection waited for admission or this
+// process read it late.
 func (c *clientConn) requestArrivedAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.arrivedAt
 }
 
-// chunkedWithoutLength reports whether a chunked request, whose header was just read, is certain to
-// have no Content-Length beside its chunks.
+// chunkedWithoutLength reports whether a chunked request, whose header has just been read, certainly has
+// no Content-Length field.
 func (c *clientConn) chunkedWithoutLength(hr *http.Request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// A head that was read together with the request before has not been recorded.
+	// The head is not recorded if it was read together with the previous request.
 	return c.head.HasPrefix(hr.Method+" "+hr.RequestURI+" ") && c.head.ChunkedWithoutLength(1)
 }
 
-// SetReadDeadline lets the timeout for the first header count from the accept. net/http counts it
-// from the moment in which it was handed the connection.
+// SetReadDeadline limits the first header's read deadline to readHeaderTimeout after the connection was
+// accepted. net/http counts the timeout from the moment Accept returns the connection.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	if deadline := c.acceptedAt.Add(readHeaderTimeout); c.awaitingFirstHeader.Load() && t.After(deadline) {
 		t = deadline
@@ -179,9 +180,9 @@
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// bodyDeadline returns the time by which the body must have arrived of the request whose header was
-// read at now. The first request's timeout counts from the accept, so that a client that stops in the
-// middle of a request does not hold its connection for longer.
+// bodyDeadline returns the deadline for the body of the request whose header was read at now. The first
+// request's timeout counts from the accept, so that a client that stops in the middle of a request cannot
+// keep its connection for longer.
 func (c *clientConn) bodyDeadline(now time.Time) time.Time {
 	if c.requests == 1 {
 		return c.acceptedAt.Add(readRequestTimeout)
@@ -189,8 +190,8 @@
 	return now.Add(readRequestTimeout)
 }
 
-// ClosedByClient reports whether the client has closed the connection. It may have done so long ago,
-// if its request waited unread.
+// ClosedByClient reports whether the client has closed the connection. The close may have happened long
+// before the client's request is read, if the connection waited for admission.
 func (c *clientConn) ClosedByClient() bool {
 	closed := false
 	return c.raw != nil && c.raw.Control(func(fd uintptr) {
@@ -199,15 +200,15 @@
 	}) == nil && closed
 }
 
-// beginRequest reports whether the request that was read may be acted on: it may not if the
-// connection was closed meanwhile.
+// beginRequest marks the request that was read as in progress. It returns false if the connection was
+// closed in the meantime: the request must not be processed then.
 func (c *clientConn) beginRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.state != connIdle {
 		return false
 	}
-	c.state, c.partialRead, c.responseOwed = connBusy, false, true
+	c.state, c.partialRead, c.responsePending = connBusy, false, true
 	c.head.Reset()
 	return true
 }
@@ -219,12 +220,13 @@
 	if c.state == connBusy {
 		c.state = connIdle
 	}
-	c.responseOwed, c.emptyAt = false, time.Now() // a client sends nothing before it has the response
+	c.responsePending, c.emptyAt = false, time.Now() // a client sends its next request only after the response
 	c.responseWritten.Store(false)
 }
 
-// Write writes a part of a response. If the client does not take it in time, the close discards what
-// is unsent instead of leaving the connection to the kernel until that gives up.
+// Write writes part of a response. If the write fails, as when the client does not read before the write
+// deadline, the close discards unsent data. Otherwise the kernel would keep the connection until its own
+// retransmission timeout.
 func (c *clientConn) Write(b []byte) (int, error) {
 	n, err := c.TCPConn.Write(b)
 	c.responseWritten.Store(err == nil)
@@ -234,8 +236,8 @@
 	return n, err
 }
 
-// errClientVanished is the error for a connection that its client closed before it sent anything.
-var errClientVanished = errors.New("closed by the client before its first byte")
+// errClosedBeforeFirstByte is returned for a connection that its client closed without sending anything.
+var errClosedBeforeFirstByte = errors.New("connection closed by the client before its first byte")
 
 // awaitFirstByte waits, without reading, until there is something to read.
 func (c *clientConn) awaitFirstByte() error {
@@ -252,23 +254,24 @@
 		}
 		if waited {
 			c.mu.Lock()
-			c.emptyAt = time.Now() // it has just arrived
+			c.emptyAt = time.Now() // the first byte has just arrived
 			c.mu.Unlock()
 		}
 		return true
 	})
 	switch {
 	case err != nil:
-		return err // the deadline, or closed here
+		return err // the deadline has passed, or this process closed the connection
 	case peekErr != nil || n == 0:
-		return errClientVanished
+		return errClosedBeforeFirstByte
 	}
 	return nil
 }
 
 type connKey struct{}
 
-// contextWithConn is the HTTP server's ConnContext: it lets the handler find a request's connection.
+// contextWithConn is the HTTP server's ConnContext callback: it makes a request's connection available to
+// the handler.
 func contextWithConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
--- a/internal/sidecar/client_conn_close.go
+++ b/internal/sidecar/client_conn_close.go
@@ -10,16 +10,17 @@
 	"barleywick/policy"
 )
 
-// Responses that are written without the HTTP server, to a connection that is closed behind them.
+// Responses that are written directly to a connection, without the HTTP server; the connection is closed
+// after them.
 const (
 	refusedResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 	failedResponse  = "HTTP/1.1 502 Bad Gateway\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 )
 
-// maxDiscard limits what is discarded of an unread request.
+// maxDiscard is the maximum number of bytes that discardUnread drops.
 const maxDiscard = 16 << 10
 
-// mayClose asks the gate.
+// mayClose reports whether the gate permits closing the connection.
 func (c *clientConn) mayClose(facts policy.CloseFacts) bool {
 	if c.gate == nil {
 		return facts.Decide() == policy.Allowed
@@ -27,26 +28,27 @@
 	return c.gate.MayClose(facts) == policy.Allowed
 }
 
-// Close answers what was read of a request, if it has no response yet, and closes the connection.
-// After a response the close lingers: the next request may be unread or on its way, and a close over
-// it would reset the connection, which can destroy the response.
+// Close closes the connection. If a request was read, at least in part, and has no response yet, Close
+// answers it first. After a response it does a lingering close: the next request may be unread or in
+// transit, and closing a socket with unread bytes resets the connection, so that the client may lose the
+// response.
 func (c *clientConn) Close() error {
 	c.mu.Lock()
 	refusalSent, busy := c.refusalSent, c.state == connBusy
-	facts := policy.CloseFacts{RequestRead: c.responseOwed && c.state != connClosed, Answered: c.responseWritten.Load()}
+	facts := policy.CloseFacts{RequestRead: c.responsePending && c.state != connClosed, Answered: c.responseWritten.Load()}
 	c.mu.Unlock()
 	if refusalSent != nil {
-		<-refusalSent // refusePartial closes it
+		<-refusalSent // refusePartial closes the connection
 		return nil
 	}
 	if facts.Decide() != policy.Allowed && !mutation.CloseWithoutAnswer {
 		response := refusedResponse
 		if busy {
-			response = failedResponse // it may have run
+			response = failedResponse // the request may have run
 		}
 		err := c.writeFinal(response)
 		slog.Debug("client: request answered at connection close", "client", c.RemoteAddr(), "in_progress", busy, "err", err)
-		facts.Answered = err == nil || c.ClosedByClient() // a client that has gone is owed nothing
+		facts.Answered = err == nil || c.ClosedByClient() // no response is needed if the client has disconnected
 	}
 	if c.gate != nil {
 		c.gate.CheckClosed(facts, c.RemoteAddr().String())
@@ -57,15 +59,15 @@
 	return c.TCPConn.Close()
 }
 
-// writeFinal writes the connection's last response.
+// writeFinal writes the last response on the connection.
 func (c *clientConn) writeFinal(response string) error {
 	c.TCPConn.SetWriteDeadline(time.Now().Add(lingerTimeout))
 	_, err := io.WriteString(c, response)
 	return err
 }
 
-// lingerBeforeClose closes the sending side, and reads until the client closes its own, for a while. The
-// caller closes the connection.
+// lingerBeforeClose closes the sending side, then reads until the client closes its side or lingerTimeout
+// has passed. The caller closes the connection.
 func (c *clientConn) lingerBeforeClose() {
 	if c.CloseWrite() == nil {
 		c.TCPConn.SetReadDeadline(time.Now().Add(lingerTimeout))
@@ -76,29 +78,30 @@
 // discard reads up to limit bytes and drops them.
 func discard(r io.Reader, limit int64) { io.CopyN(io.Discard, r, limit) }
 
-// closeIdle closes the connection unless a request is in progress or, without evenPartial, a part of
-// the next one has been read. It returns the state that the connection has then. If refusalOwed, the
-// connection is marked as closed, and the caller has to call refusePartial, which closes it.
-func (c *clientConn) closeIdle(evenPartial bool) (state connState, refusalOwed bool) {
+// closeIdle closes the connection unless a request is in progress. If part of the next request has been
+// read, it closes the connection only if includePartial is set. It returns the resulting state. If
+// refusalPending is true, the connection is only marked as closed, and the caller must call
+// refusePartial, which closes it.
+func (c *clientConn) closeIdle(includePartial bool) (state connState, refusalPending bool) {
 	c.mu.Lock()
-	facts := policy.CloseFacts{InProgress: c.state == connBusy, RequestRead: c.partialRead, Answered: evenPartial}
+	facts := policy.CloseFacts{InProgress: c.state == connBusy, RequestRead: c.partialRead, Answered: includePartial}
 	closing := c.state != connClosed && c.mayClose(facts)
 	if closing {
 		c.state = connClosed
-		if refusalOwed = c.responseOwed; refusalOwed {
+		if refusalPending = c.responsePending; refusalPending {
 			c.refusalSent = make(chan struct{})
 		}
 	}
 	state = c.state
 	c.mu.Unlock()
-	if closing && !refusalOwed {
-		c.TCPConn.Close() // without the lock: it waits for a read in progress
+	if closing && !refusalPending {
+		c.TCPConn.Close() // without the lock: Close waits for a read in progress
 	}
-	return state, refusalOwed
+	return state, refusalPending
 }
 
 // refusePartial refuses the partial request on a connection that closeIdle has marked as closed, and
-// closes it: after lingering, or at once if immediately is set.
+// closes the connection: with a lingering close, or at once if immediately is set.
 func (c *clientConn) refusePartial(immediately bool) {
 	defer close(c.refusalSent)
 	slog.Debug("client: partial request refused", "client", c.RemoteAddr(), "after", time.Since(c.acceptedAt))
@@ -110,8 +113,8 @@
 	c.TCPConn.Close()
 }
 
-// discardUnread drops what has arrived, without waiting for more: a close over unread bytes resets the
-// connection, which can destroy a response on its way.
+// discardUnread drops the bytes that have arrived, without waiting for more. Closing a socket with unread
+// bytes resets the connection, so that the client may lose a response in transit.
 func (c *clientConn) discardUnread() {
 	c.raw.Control(func(fd uintptr) {
 		syscall.Recvfrom(int(fd), make([]byte, maxDiscard), syscall.MSG_DONTWAIT)
--- a/internal/sidecar/client_counters.go
+++ b/internal/sidecar/client_counters.go
@@ -7,23 +7,23 @@
 	"barleywick/internal/sidecar/counters"
 )
 
-// clientCounters count what became of client connections. The tags are the names in the log and in
-// metrics; docs/CONNECTIONS.md explains them.
+// clientCounters counts events of client connections. The tags are the names in the log and in metrics;
+// docs/CONNECTIONS.md explains them.
 type clientCounters struct {
 	Accepted          uint64 `json:"Accepted"`      // accepted from the kernel's backlog
 	Admitted          uint64 `json:"Admitted"`      // admitted by the limits
-	Waited            uint64 `json:"Waited"`        // of the admitted: after a wait
+	Waited            uint64 `json:"Waited"`        // admitted after a wait
 	Refused           uint64 `json:"Refused"`       // answered 503 and closed without admission
 	EvictedIdle       uint64 `json:"GivenUpIdle"`   // evicted while idle
-	EvictedUnfinished uint64 `json:"GivenUpSilent"` // evicted without a whole request in the grace period
-	IdleOverLimit     uint64 `json:"OverIdle"`      // closed because of the limit on idle connections
+	EvictedUnfinished uint64 `json:"GivenUpSilent"` // evicted because no complete request arrived in the grace period
+	IdleOverLimit     uint64 `json:"OverIdle"`      // closed to stay within the limit on idle connections
 	HeaderTimeouts    uint64 `json:"Silent"`        // closed without a byte within the header timeout
 	ClosedByClient    uint64 `json:"Vanished"`      // closed by the client before its first byte
-	Drained           uint64 `json:"Drained"`       // closed by a graceful shutdown while idle
-	PartialRefused    uint64 `json:"Dismissed"`     // of those closed here: over a partial request, refused before
+	Drained           uint64 `json:"Drained"`       // closed by a graceful shutdown without a request in progress
+	PartialRefused    uint64 `json:"Dismissed"`     // closed by the sidecar after refusing a partial request
 }
 
-// listenerState counts the connections at one moment, under the same rule for the tags.
+// listenerState counts the current connections by state. Its tags are the names in the log and in metrics, too.
 type listenerState struct {
 	Open     int `json:"Open"`
 	HalfOpen int `json:"HalfOpen"`
@@ -31,34 +31,34 @@
 	Waiting  int `json:"Waiting"`
 }
 
-// String returns the text of a log line.
+// String formats the counters for the log.
 func (c clientCounters) String() string { return counters.Format(c) }
 
-// String returns the text of a log line.
+// String formats the state for the log.
 func (s listenerState) String() string { return counters.Format(s) }
 
-// counters returns what was counted so far, and the connections now.
+// counters returns the event counters and the current number of connections by state.
 func (l *limitedListener) counters() (clientCounters, listenerState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.count, listenerState{l.table.Open(), l.table.HalfOpen(), l.table.Idle(), len(l.waiting)}
 }
 
-// LogCounters logs what counters returns.
+// LogCounters logs the event counters and the current number of connections by state.
 func (l *limitedListener) LogCounters() {
 	count, now := l.counters()
 	slog.Info("client: connections", "now", now, "counters", count)
 }
 
-// openConns returns how many connections have been accepted and have not ended.
+// openConns returns the number of connections that were accepted and have not ended.
 func (l *limitedListener) openConns() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.alive
 }
 
-// possiblyActive returns how many of them may still bring a request or have one in progress: all but
-// those that have been silent for longer than their grace period.
+// possiblyActive returns the number of open connections on which a request is in progress or may still
+// arrive: all but those without a first byte after their grace period.
 func (l *limitedListener) possiblyActive() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/sidecar/client_handler.go
+++ b/internal/sidecar/client_handler.go
@@ -13,33 +13,34 @@
 	"barleywick/internal/sidecar/policyfollower"
 )
 
-// A client has to get an answer within 3 s of connecting, whatever it sends, and connections are few.
+// Timeouts of client connections. A client must get a response within 3 s of connecting, whatever it
+// sends, and the number of connections is limited.
 const (
 	readHeaderTimeout  = 2 * time.Second
 	readRequestTimeout = 2500 * time.Millisecond // header and body
-	idleTimeout        = 2 * time.Second         // between requests: a client needs the connections back that it leaves idle
-	writeGrace         = time.Second             // from the client's deadline on
+	idleTimeout        = 2 * time.Second         // between requests: clients that keep idle connections would reach their connection limit
+	writeGrace         = time.Second             // after the client's deadline
 	lingerTimeout      = 250 * time.Millisecond  // of a lingering close
-	// localResponseTimeout is for a response of the sidecar's own, such as one to a health check. It
-	// counts from the header and leaves time for the body. Without it a client that sends requests and
-	// reads no response would hold its connection for ever.
+	// localResponseTimeout applies to responses that the sidecar generates itself, as for a health check.
+	// It counts from the header and includes the time for the body. Without it, a client that sends
+	// requests and reads no responses would keep its connection forever.
 	localResponseTimeout = readRequestTimeout + writeGrace
 )
 
 const maxHeaderBytes = 16 << 10
 
-// healthPrefix is the path below which the sidecar answers itself.
+// healthPrefix is the prefix of the paths that the sidecar serves itself.
 const healthPrefix = "/health/"
 
 // clientHandler serves the requests of the application.
 type clientHandler struct {
 	loop             *eventLoop
 	classIndex       map[string]int
-	tenantIndex      map[string]int // empty: there is one tenant, which requests need not name
+	tenantIndex      map[string]int // empty: there is a single tenant, and requests need not name it
 	listener         *limitedListener
 	shutdown         *gracefulShutdown
-	policyFollower   *policyfollower.Follower   // nil: no fleet policy is followed
-	overloadReporter *overloadreporter.Reporter // nil: no overload advice is taken
+	policyFollower   *policyfollower.Follower   // nil: there is no fleet policy
+	overloadReporter *overloadreporter.Reporter // nil: overload advice is not used
 	member           FleetMember                // nil: the sidecar is not a member of the fleet
 }
 
@@ -58,9 +59,9 @@
 	return index
 }
 
-// newServer returns the HTTP server of the client side. It has no ReadTimeout, which would also end
-// net/http's watch for clients that leave, as if they had left. The WriteTimeout begins anew with each
-// header; ServeHTTP sets another deadline for a request that goes to a server.
+// newServer returns the HTTP server for client connections. It sets no ReadTimeout: that would also expire
+// the background read with which net/http detects a client's disconnect, and so report a disconnect. The
+// WriteTimeout restarts with each header; ServeHTTP sets another deadline for a request that is forwarded.
 func (s *clientHandler) newServer() *http.Server {
 	return &http.Server{
 		Handler:           s,
@@ -74,7 +75,7 @@
 	}
 }
 
-// ServeHTTP gives each request exactly one response.
+// ServeHTTP answers each request with exactly one response.
 func (s *clientHandler) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
 	c := hr.Context().Value(connKey{}).(*clientConn)
 	status := framingStatus(hr, c)
@@ -92,35 +93,35 @@
 		rejectRequest(w, hr, status)
 		return
 	}
-	if c.ClosedByClient() { // nobody waits, or only for the response
+	if c.ClosedByClient() { // the client has disconnected, or reads only the response
 		rejectRequest(w, hr, http.StatusServiceUnavailable)
 		return
 	}
 	if !s.listener.beginRequest(c) {
-		panic(http.ErrAbortHandler) // closed meanwhile, and what was read of the request refused
+		panic(http.ErrAbortHandler) // the connection was closed in the meantime, and the partial request refused
 	}
 	s.forward(w, hr, r)
 }
 
-// forward hands a request to the event loop and writes its response.
+// forward passes a request to the event loop and writes its response.
 func (s *clientHandler) forward(w http.ResponseWriter, hr *http.Request, r *request) {
-	s.loop.post(requestArrived{r}) // fails only when the program ends because of an error
+	s.loop.post(requestArrived{r}) // fails only if the event loop has ended because of an error
 	var resp response
 	select {
 	case resp = <-r.result:
 	case <-hr.Context().Done():
-		resp = s.abandon(r)
+		resp = s.abandonRequest(r)
 		w.Header().Set("Connection", "close")
 	}
-	// A client that has not read the response by then has given up.
+	// A client that has not read the response by then has timed out.
 	http.NewResponseController(w).SetWriteDeadline(r.clientDeadline.Add(writeGrace))
 	s.writeResponse(w, resp)
 	s.shutdown.gate.CheckAnswered(r.processDeadline, time.Now(), r.ID)
 }
 
-// abandon gives up a request whose client has closed its side. The client may still read: it gets the
-// response if there is one by now, and otherwise 502, which promises nothing about the effect.
-func (s *clientHandler) abandon(r *request) response {
+// abandonRequest abandons a request whose client has closed its sending side. The client may still read:
+// it gets the response if there already is one, and otherwise 502, as the request may have run.
+func (s *clientHandler) abandonRequest(r *request) response {
 	select {
 	case resp := <-r.result:
 		return resp
@@ -130,7 +131,7 @@
 	}
 }
 
-// serveHealth answers a request to the sidecar itself, and reports whether it was one.
+// serveHealth answers a request for one of the sidecar's own paths, and reports whether it was one.
 func (s *clientHandler) serveHealth(w http.ResponseWriter, hr *http.Request) bool {
 	endpoint, ok := strings.CutPrefix(hr.URL.Path, healthPrefix)
 	switch {
@@ -160,7 +161,7 @@
 	io.WriteString(w, p.String()+"\n")
 }
 
-// phase returns the phase of the sidecar's life.
+// phase returns the current phase of the sidecar.
 func (s *clientHandler) phase() phase {
 	if p := s.shutdown.phase(); p != phaseServing {
 		return p
--- a/internal/sidecar/client_listener.go
+++ b/internal/sidecar/client_listener.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// acceptRetryDelay is the pause after a failed accept, as when the machine has no descriptor left.
+	// acceptRetryDelay is the delay after a failed accept, for example when no file descriptor is left.
 	acceptRetryDelay = 5 * time.Millisecond
-	// acceptLogInterval is the least time between two log lines about failed accepts.
+	// acceptLogInterval is the minimum time between two log lines about failed accepts.
 	acceptLogInterval = time.Second
-	// backlogAcceptTime is how long acceptBacklog accepts. The kernel has established the connections
-	// in the listener's backlog, and their clients may have sent requests already.
+	// backlogAcceptTime is how long acceptBacklog accepts connections. The kernel has already established
+	// the connections in the listener's backlog, and their clients may have sent requests.
 	backlogAcceptTime = 20 * time.Millisecond
 )
 
-// limitedListener is the listener of the HTTP server. It admits connections by the limits, and hands
-// an admitted one to the server when its first byte has arrived: a silent connection costs a small
-// goroutine and none of the server's buffers. A few connections may wait for admission; the client
-// address with the fewest connections goes first. Nothing is accepted before start.
+// limitedListener is the listener of the HTTP server. It admits connections within the limits, and passes
+// an admitted connection to the server once its first byte has arrived: a silent connection costs a small
+// goroutine and none of the server's buffers. A limited number of connections may wait for admission; the
+// client address with the fewest connections has priority. No connection is accepted before start.
 type limitedListener struct {
 	inner       net.Listener
-	gate        *gate.Gate       // of its connections; nil: none counts
-	ready       chan *clientConn // admitted, with something to read
+	gate        *gate.Gate       // of its connections; nil: decisions are not counted
+	ready       chan *clientConn // admitted connections whose first byte has arrived
 	done        chan struct{}    // closed by Close
 	acceptEnded chan struct{}    // closed when acceptLoop has returned
 	tasks       sync.WaitGroup
@@ -37,11 +37,11 @@
 	mu             sync.Mutex
 	table          *admission.Table[*clientConn]
 	limits         config.ClientLimits
-	waiting        []*waitingConn           // the longest waiting first; at most limits.Waiting and one
-	waitingChanged *sync.Cond               // waiting got shorter, or accepting, backlogOnly or limits changed
-	waitTimer      *time.Timer              // fires when a grace period or a wait ends
-	refusing       int                      // connections whose refusal is being sent
-	alive          int                      // accepted and not ended, admitted or not
+	waiting        []*waitingConn           // longest wait first; at most limits.Waiting+1
+	waitingChanged *sync.Cond               // signals a shorter queue, or a change of accepting, backlogOnly or limits
+	waitTimer      *time.Timer              // fires when a grace period or an admission wait ends
+	refusing       int                      // number of connections whose refusal is being sent
+	alive          int                      // connections accepted and not ended, whether admitted or not
 	admitted       map[*clientConn]struct{} // admitted and not ended
 	started        bool                     // start was called
 	backlogOnly    bool                     // acceptBacklog was called
@@ -74,7 +74,7 @@
 	return l
 }
 
-// start begins to accept connections.
+// start begins accepting connections.
 func (l *limitedListener) start() {
 	l.mu.Lock()
 	l.started = true
@@ -85,10 +85,10 @@
 	})
 }
 
-// Addr returns the address that is listened on.
+// Addr returns the address of the listening socket.
 func (l *limitedListener) Addr() net.Addr { return l.inner.Addr() }
 
-// Accept returns the next connection that is ready for the HTTP server.
+// Accept returns the next admitted connection whose first byte has arrived.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.ready:
@@ -98,8 +98,8 @@
 	}
 }
 
-// Close closes the listening socket and the connections that were not handed to the server, and
-// waits for the listener's goroutines.
+// Close closes the listening socket and the connections that were not passed to the server, and waits
+// for the listener's goroutines.
 func (l *limitedListener) Close() error {
 	err := l.stopAccepting()
 	l.mu.Lock()
@@ -118,7 +118,7 @@
 	return err
 }
 
-// acceptBacklog accepts what the kernel's backlog holds, and then nothing more.
+// acceptBacklog accepts the connections in the kernel's backlog, and ends the accept loop.
 func (l *limitedListener) acceptBacklog() {
 	l.mu.Lock()
 	l.backlogOnly = true
@@ -131,7 +131,7 @@
 	}
 }
 
-// stopAccepting closes the listening socket only: accepted connections are served on.
+// stopAccepting closes the listening socket; accepted connections are still served.
 func (l *limitedListener) stopAccepting() error {
 	err := l.inner.Close()
 	if errors.Is(err, net.ErrClosed) {
@@ -155,7 +155,7 @@
 				return
 			}
 			if time.Since(loggedAt) >= acceptLogInterval {
-				slog.Warn("client: accept failed", "err", err) // out of descriptors, or a client that left at once
+				slog.Warn("client: accept failed", "err", err) // out of file descriptors, or the client closed the connection at once
 				loggedAt = time.Now()
 			}
 			time.Sleep(acceptRetryDelay)
--- a/internal/sidecar/client_listener_test.go
+++ b/internal/sidecar/client_listener_test.go
@@ -23,7 +23,7 @@
 	"barleywick/internal/sidecar/upstream"
 )
 
-// dialFrom opens a connection from a loopback address of its own.
+// dialFrom opens a connection from the loopback address given.
 func dialFrom(t testing.TB, from, to string) net.Conn {
 	t.Helper()
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}}
@@ -36,8 +36,8 @@
 	return c
 }
 
-// requestOn sends a good request on a connection and returns the response's status, or 0 if the
-// connection was closed before.
+// requestOn sends a valid request on a connection and returns the response's status, or 0 if the
+// connection was closed without a response.
 func requestOn(c net.Conn, id string) int {
 	io.WriteString(c, requestHead(id)+"Content-Length: 0\r\n\r\n")
 	return statusOn(c)
@@ -53,7 +53,7 @@
 	return resp.StatusCode
 }
 
-// startLimited runs a sidecar with the limits given.
+// startLimited runs a sidecar with the given limits on client connections.
 func startLimited(t *testing.T, u *sidecartest.FakeServer, limits config.ClientLimits) (addr string, stop func(), ended <-chan error) {
 	t.Helper()
 	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
@@ -61,9 +61,9 @@
 	return startSidecar(t, c)
 }
 
-// A client that keeps all connections it can get leaves each modest client its fair share, and gets
-// responses on what remains.
-func TestLargestHolderLeavesOthersTheirShare(t *testing.T) {
+// A client that keeps as many connections as it can get must not take the share of other clients, and
+// still gets responses on its own share.
+func TestAddressWithMostConnectionsDoesNotStarveOthers(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	addr, _, _ := startLimited(t, u, testLimits(12))
 	for i := range 30 {
@@ -91,46 +91,46 @@
 	}
 }
 
-// While all connections have requests in progress, another one is answered with a complete 503 and
-// Retry-After, whether it has sent a request or not; afterwards there is capacity again.
+// While all admitted connections have requests in progress, a further connection gets a complete 503 with
+// Retry-After, whether it has sent a request or not. Later connections are served again.
 func TestConnectionsOverTheLimitAreAnswered503(t *testing.T) {
 	release := make(chan struct{})
 	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-release; return sidecartest.OKResponse("ok"), false })
 	addr, _, _ := startLimited(t, u, testLimits(3))
 	var held []<-chan result
 	for i := range 3 {
-		held = append(held, call{class: "once", id: fmt.Sprint(i)}.start(t, addr))
+		held = append(held, call{class: "once", id: fmt.Sprint(i)}.sendInBackground(t, addr))
 		sidecartest.Await(t, "a request", u.Requests)
 	}
-	var told sync.WaitGroup
+	var refused sync.WaitGroup
 	for i := range 6 {
 		c := dialFrom(t, "127.0.0.1", addr)
 		if i%2 == 0 {
 			io.WriteString(c, requestHead(fmt.Sprint("late", i))+"Content-Length: 4\r\n\r\nbody")
 		}
-		told.Go(func() {
+		refused.Go(func() {
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") != "1" || !resp.Close {
-				t.Errorf("connection %d: got %v, error %v; want 503, Retry-After and the close", i, resp, err)
+				t.Errorf("connection %d: got response %v, error %v; want 503, Retry-After and Connection: close", i, resp, err)
 			}
 		})
 	}
-	told.Wait()
+	refused.Wait()
 	close(release)
 	for _, h := range held {
 		if got := sidecartest.Await(t, "a response", h); got.status != 200 {
 			t.Errorf("a request in progress: got %+v, want 200", got)
 		}
 	}
-	if got := (call{class: "once", id: "after"}).do(t, addr); got.status != 200 {
+	if got := (call{class: "once", id: "after"}).send(t, addr); got.status != 200 {
 		t.Errorf("afterwards: got %+v, want 200", got)
 	}
 }
 
-// The connection of a client that sends health checks and reads no response is closed here. What the
-// client sees of that depends on its kernel: with a closed window it may drop the reset.
-func TestUnreadHealthChecksEnd(t *testing.T) {
-	t.Parallel() // it takes the whole timeout of a write
+// The sidecar closes the connection of a client that sends health checks and reads no responses. Whether
+// the client sees the close depends on its kernel: with a closed window, the kernel may drop the reset.
+func TestClientThatReadsNoResponseIsDisconnected(t *testing.T) {
+	t.Parallel() // the test takes the whole write timeout
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	_, limited, _ := newClientSide(t, u, nil)
 	c := dialFrom(t, "127.0.0.1", limited.Addr().String())
@@ -142,23 +142,23 @@
 		defer close(stopped)
 		for {
 			n, err := io.WriteString(c, check)
-			if sent.Add(int64(n)); err != nil { // closed by the sidecar, or at last by the test
+			if sent.Add(int64(n)); err != nil { // closed by the sidecar, or by the test at its end
 				return
 			}
 		}
 	}()
 	sidecartest.Eventually(t, "the checks arrive", func() bool { return sent.Load() >= int64(len(check)) && limited.openConns() == 1 })
-	// The buffers on the way fill only as fast as this machine answers, so the wait begins anew with each
-	// byte that is sent: a connection without progress has to be closed.
-	at, since := int64(0), time.Now()
+	// The socket buffers fill only as fast as the sidecar responds, so the wait restarts whenever bytes were
+	// sent: only a connection without progress must be closed.
+	lastSent, progressAt := int64(0), time.Now()
 	for limited.openConns() > 0 {
-		if now := sent.Load(); now != at {
-			at, since = now, time.Now()
+		if now := sent.Load(); now != lastSent {
+			lastSent, progressAt = now, time.Now()
 		}
-		if time.Since(since) > sidecartest.Patience {
-			t.Fatalf("the connection of a client that reads nothing is still open, after %d bytes of checks", at)
+		if time.Since(progressAt) > sidecartest.Patience {
+			t.Fatalf("the connection of a client that reads nothing is still open, after %d bytes of checks", lastSent)
 		}
-		if at > 1000*int64(len(check)) {
+		if lastSent > 1000*int64(len(check)) {
 			t.Fatal("a million responses were sent to a client that reads nothing")
 		}
 		runtime.Gosched()
@@ -167,8 +167,8 @@
 	sidecartest.Await(t, "the end of the client", stopped)
 }
 
-// descriptors returns how many descriptors this process has.
-func descriptors(t *testing.T) int {
+// openDescriptors returns the number of file descriptors of this process.
+func openDescriptors(t *testing.T) int {
 	t.Helper()
 	names, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
@@ -177,11 +177,11 @@
 	return len(names)
 }
 
-// A surge of misbehaving clients of every kind leaves no descriptor, no goroutine and no connection.
-func TestSurgeLeavesNothingBehind(t *testing.T) {
+// A surge of clients that misbehave in various ways leaks no descriptors, goroutines or connections.
+func TestConnectionSurgeLeaksNoResources(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	ln := sidecartest.ListenLoopback(t)
-	goroutines, fds := runtime.NumGoroutine(), descriptors(t)
+	goroutines, fds := runtime.NumGoroutine(), openDescriptors(t)
 	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	c.Connections.Clients = testLimits(8)
 	stop, cancel := context.WithCancel(context.Background())
@@ -215,7 +215,7 @@
 		}
 	}
 	clients.Wait()
-	if got := (call{class: "once", id: "after"}).do(t, addr); got.status != 200 {
+	if got := (call{class: "once", id: "after"}).send(t, addr); got.status != 200 {
 		t.Errorf("after the surge: got %+v, want 200", got)
 	}
 	cancel()
@@ -225,11 +225,11 @@
 	for range len(u.Accepted) {
 		(<-u.Accepted).Close()
 	}
-	sidecartest.Eventually(t, "all descriptors but the listener's are closed", func() bool { return descriptors(t) <= fds-1 })
+	sidecartest.Eventually(t, "all descriptors but the listener's are closed", func() bool { return openDescriptors(t) <= fds-1 })
 	sidecartest.Eventually(t, "all goroutines have ended", func() bool { return runtime.NumGoroutine() <= goroutines })
 }
 
-// The eviction of a connection and the begin of a request on it exclude each other, whichever is first.
+// Evicting a connection and beginning a request on it are mutually exclusive, in either order.
 func TestEvictionExcludesBeginningARequest(t *testing.T) {
 	ln := sidecartest.ListenLoopback(t)
 	l := newLimitedListener(ln, testLimits(1))
@@ -247,17 +247,17 @@
 		}
 		c := accepted.(*clientConn)
 		l.connStateChanged(c, http.StateIdle)
-		var took, gaveUp bool
+		var begun, evicted bool
 		var both sync.WaitGroup
-		both.Go(func() { took = l.beginRequest(c) })
+		both.Go(func() { begun = l.beginRequest(c) })
 		both.Go(func() {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			_, gaveUp = l.evictLocked(&c.entry, time.Now())
+			_, evicted = l.evictLocked(&c.entry, time.Now())
 		})
 		both.Wait()
-		if took == gaveUp {
-			t.Fatalf("got request begun %v and evicted %v, want exactly one", took, gaveUp)
+		if begun == evicted {
+			t.Fatalf("got request begun %v and evicted %v, want exactly one", begun, evicted)
 		}
 		c.Close()
 		l.connStateChanged(c, http.StateClosed)
@@ -268,14 +268,14 @@
 	}
 }
 
-// A request in progress when a graceful shutdown begins is answered, however long its client waits: a
-// class may allow more time than any constant here.
+// A request in progress at the start of a graceful shutdown is answered, however long its timeout is: a
+// class may allow more time than any constant in this package.
 func TestGracefulShutdownWaitsForTheLongestRequest(t *testing.T) {
-	t.Parallel() // it takes longer than the protocol's 3 s
+	t.Parallel() // the test takes longer than the protocol's 3 s
 	release := make(chan struct{})
 	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-release; return sidecartest.OKResponse("ok"), false })
 	addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
-	held := call{class: "once", id: "held"}.start(t, addr)
+	held := call{class: "once", id: "held"}.sendInBackground(t, addr)
 	sidecartest.Await(t, "the request", u.Requests)
 	stop()
 	time.AfterFunc(lateArrivalTime+3200*time.Millisecond, func() { close(release) })
@@ -287,9 +287,9 @@
 	}
 }
 
-// A connection that ends without a byte is counted by the reason.
-func TestSilentAndVanishedConnectionsAreCounted(t *testing.T) {
-	t.Parallel() // it takes the timeout for a header
+// Connections that end without a byte are counted separately by reason.
+func TestConnectionsWithoutAByteAreCountedByReason(t *testing.T) {
+	t.Parallel() // the test takes the whole header timeout
 	ln := sidecartest.ListenLoopback(t)
 	l := newLimitedListener(ln, testLimits(4))
 	l.start()
@@ -300,12 +300,12 @@
 		return l.openConns() == 0 && func() bool { n, _ := l.counters(); return n.Accepted == 2 }()
 	})
 	if n, _ := l.counters(); n.HeaderTimeouts != 1 || n.ClosedByClient != 1 || n.Admitted != 2 {
-		t.Errorf("got %+v, want one silent and one vanished", n)
+		t.Errorf("got %+v, want one header timeout and one close by the client", n)
 	}
 }
 
-// The page names each counter and state of both sides, and no other.
-func TestPageNamesTheCounters(t *testing.T) {
+// docs/CONNECTIONS.md names each counter and state of client and upstream connections, and no others.
+func TestDocumentationNamesEachCounter(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CONNECTIONS.md")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/client_request.go
+++ b/internal/sidecar/client_request.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	maxBody           = 64 << 10 // bytes of a request's body
+	maxBody           = 64 << 10 // bytes of a request body
 	maxRequestIDBytes = 256
 	maxTimeout        = time.Hour
-	// responseMargin is how long before a client gives up its response is due. The client's timeout
-	// began when it sent the request, and not when this process read it.
+	// responseMargin is how long before the client's timeout its response is due. The timeout began when
+	// the client sent the request, not when this process read it.
 	responseMargin = 5 * time.Millisecond
 )
 
-// framingStatus returns the status for a request whose end is not certain, or 0. Another request may
-// be hidden in the body of such a request, and no part of it may be forwarded.
+// framingStatus returns the status for a request whose end cannot be determined reliably, or 0. The body
+// of such a request may hide another request (request smuggling), so no part of it is forwarded.
 func framingStatus(hr *http.Request, c *clientConn) int {
 	switch {
 	case !hr.ProtoAtLeast(1, 1): // net/http drops a Transfer-Encoding there silently
@@ -39,7 +39,7 @@
 	return 0
 }
 
-// requestMeta is what a request's header says to the sidecar.
+// requestMeta holds the header fields of a request that the sidecar uses.
 type requestMeta struct {
 	id          string
 	class       int
@@ -48,12 +48,12 @@
 	idempotency policy.Idempotency
 }
 
-// readRequest reads a request, or returns the status to reject it with. It reads the body only if
-// everything else is valid.
+// readRequest reads a request, or returns the status to reject it with. It reads the body only if the
+// header is valid.
 func (s *clientHandler) readRequest(w http.ResponseWriter, hr *http.Request, c *clientConn) (r *request, status int) {
 	startedAt := time.Now()
 	h := hr.Header
-	removeHopByHop(h) // before anything is read: a field that is needed may be named as hop-by-hop
+	removeHopByHop(h) // before any field is read: Connection may name a required field as hop-by-hop
 	meta, ok := s.parseMeta(hr)
 	if !ok {
 		return nil, http.StatusBadRequest
@@ -75,7 +75,7 @@
 	}
 	arrivedAt := c.requestArrivedAt()
 	if _, ok := h["User-Agent"]; !ok {
-		h["User-Agent"] = []string{""} // or net/http would add its own
+		h["User-Agent"] = []string{""} // otherwise net/http adds its own
 	}
 	return &request{
 		Request: upstream.Request{ID: meta.id, Method: hr.Method, URL: hr.URL, Host: hr.Host, Header: h, Body: body},
@@ -91,7 +91,7 @@
 	}, 0
 }
 
-// parseMeta parses the fields of a header that the sidecar needs, and reports whether they are valid.
+// parseMeta parses the header fields that the sidecar uses, and reports whether they are valid.
 func (s *clientHandler) parseMeta(hr *http.Request) (meta requestMeta, ok bool) {
 	h := hr.Header
 	// A target that is not a path cannot be forwarded unchanged.
@@ -123,8 +123,9 @@
 	return meta, ok
 }
 
-// methodStatus returns the status for a request that does not fit its class, or 0. The class fixes the
-// method, and whether there is an Idempotency-Key: without it no server could recognise a repeat.
+// methodStatus returns the status for a request that does not match its class, or 0. The class determines
+// the method, and whether an Idempotency-Key is required: without a key no server could recognise a
+// repeated request.
 func methodStatus(hr *http.Request, idempotency policy.Idempotency) int {
 	method := http.MethodPost
 	if idempotency == policy.Idempotent {
@@ -143,7 +144,7 @@
 	return 0
 }
 
-// singleValue returns the value of a header field that must be there exactly once and not be empty.
+// singleValue returns the value of a header field that must occur exactly once and must not be empty.
 func singleValue(h http.Header, key string) (string, bool) {
 	v := h[key]
 	if len(v) != 1 || v[0] == "" {
@@ -154,7 +155,7 @@
 
 func isUnprintable(r rune) bool { return r <= ' ' || r > '~' }
 
-// parseTimeout parses seconds in plain decimals.
+// parseTimeout parses a number of seconds in plain decimal notation.
 func parseTimeout(s string) (time.Duration, bool) {
 	if strings.Trim(s, "0123456789.") != "" {
 		return 0, false
@@ -166,7 +167,7 @@
 	return time.Duration(min(f, maxTimeout.Seconds()) * float64(time.Second)), true
 }
 
-// parseWorkHint parses the expected work in microseconds; 0 if there is no valid hint.
+// parseWorkHint parses the expected work in microseconds. It returns 0 if there is no valid hint.
 func parseWorkHint(h http.Header) time.Duration {
 	us, err := strconv.ParseFloat(h.Get("Work-Hint"), 64)
 	if err != nil || !(us > 0) {
@@ -175,7 +176,7 @@
 	return time.Duration(min(us, float64(maxTimeout.Microseconds())) * float64(time.Microsecond))
 }
 
-// affinityKeyHash returns a hash of the affinity key, the same at every sidecar; 0 if there is no key.
+// affinityKeyHash returns a hash of the affinity key that is the same at every sidecar, or 0 without a key.
 func affinityKeyHash(h http.Header) uint64 {
 	text := h.Get("Affinity-Key")
 	if text == "" {
@@ -186,7 +187,7 @@
 	return max(sum.Sum64(), 1)
 }
 
-// readRequestBody reads a body whose end is certain.
+// readRequestBody reads a body that has a Content-Length or is chunked.
 func readRequestBody(w http.ResponseWriter, hr *http.Request, deadline time.Time) ([]byte, error) {
 	if hr.ContentLength == 0 {
 		return nil, nil
--- a/internal/sidecar/client_response.go
+++ b/internal/sidecar/client_response.go
@@ -10,12 +10,12 @@
 	"barleywick/internal/sidecar/httpmessage"
 )
 
-// response is what a client gets.
+// response is the response to a client.
 type response struct {
 	status     int
 	header     http.Header
 	body       []byte
-	retryAfter time.Duration // of a refusal
+	retryAfter time.Duration // for refusals
 }
 
 func (s *clientHandler) writeResponse(w http.ResponseWriter, resp response) {
@@ -27,7 +27,7 @@
 			h[name] = v
 		}
 		if _, ok := h["Content-Type"]; !ok {
-			h["Content-Type"] = nil // or net/http would guess it from the body
+			h["Content-Type"] = nil // otherwise net/http guesses it from the body
 		}
 	}
 	if resp.retryAfter > 0 {
@@ -41,9 +41,10 @@
 	w.Write(resp.body)
 }
 
-// rejectRequest answers a request that is not forwarded and closes its connection, as its body may be
-// unread. The body may have any size or never arrive, so the response is sent before a part of it is
-// read. Without that part the close could reset the connection and destroy the response.
+// rejectRequest answers a request that is not forwarded, and closes its connection, as its body may be
+// unread. The body may have any size or never arrive, so the response is sent before part of the body is
+// read. Without reading that part, the close could reset the connection, and the client could lose the
+// response.
 func rejectRequest(w http.ResponseWriter, hr *http.Request, status int) {
 	text := http.StatusText(status)
 	h := w.Header()
@@ -58,7 +59,7 @@
 	discard(hr.Body, maxBody)
 }
 
-// hopByHopFields concern one connection only, with those that the field Connection names.
+// hopByHopFields are the fields that apply to a single connection, besides those that Connection names.
 var hopByHopFields = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect",
--- a/internal/sidecar/client_states.go
+++ b/internal/sidecar/client_states.go
@@ -17,8 +17,8 @@
 	l.mu.Unlock()
 }
 
-// beginRequest reports whether the request that was read may be acted on. If so the connection is
-// not closed before endRequest; if not, it has been closed meanwhile.
+// beginRequest marks the request that was read as in progress: its connection is not closed before
+// endRequest. It returns false if the connection was closed in the meantime.
 func (l *limitedListener) beginRequest(c *clientConn) bool {
 	if !c.beginRequest() {
 		return false
@@ -46,14 +46,14 @@
 		} else {
 			l.closeIdleOverLimitLocked(now)
 		}
-		l.admitWaitingLocked(now) // this one may be evicted now
+		l.admitWaitingLocked(now) // this connection may be evicted now
 	case http.StateClosed, http.StateHijacked:
 		l.removeLocked(c)
 	}
 }
 
-// setLimits applies other limits. Idle connections over the limits are closed now, the others when
-// they become idle.
+// setLimits applies new limits. Idle connections over the limits are closed now, others when they become
+// idle.
 func (l *limitedListener) setLimits(limits config.ClientLimits) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,7 +64,7 @@
 	l.waitingChanged.Broadcast()
 }
 
-// closeIdleOverLimitLocked closes idle connections while there are too many.
+// closeIdleOverLimitLocked closes idle connections until their number is within the limits.
 func (l *limitedListener) closeIdleOverLimitLocked(now time.Time) {
 	for entry := l.table.ExcessIdle(); entry != nil; entry = l.table.ExcessIdle() {
 		if _, evicted := l.evictLocked(entry, now); evicted {
@@ -73,7 +73,7 @@
 	}
 }
 
-// drain closes the idle connections now, and the others when they become idle.
+// drain closes the idle connections now, and other connections when they become idle.
 func (l *limitedListener) drain() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,8 +96,8 @@
 	}
 }
 
-// closeUnused closes every connection without a request in progress, and refuses what was read of
-// one. The others are closed with their responses.
+// closeUnused closes every connection without a request in progress, and refuses partial requests. Other
+// connections are closed with their responses.
 func (l *limitedListener) closeUnused() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,13 +105,13 @@
 		l.refuseLocked(0)
 	}
 	for c := range l.admitted {
-		state, refusalOwed := c.closeIdle(true)
+		state, refusalPending := c.closeIdle(true)
 		if state != connClosed {
 			continue
 		}
 		l.table.Remove(&c.entry)
 		l.count.Drained++
-		if refusalOwed {
+		if refusalPending {
 			l.refusePartialLocked(c)
 		}
 	}
--- a/internal/sidecar/client_test.go
+++ b/internal/sidecar/client_test.go
@@ -19,22 +19,22 @@
 	"barleywick/internal/sidecar/upstream"
 )
 
-func TestServesTheWholeBodyUnchanged(t *testing.T) {
-	body := strings.Repeat("\x00honey\r\n", 60000) // servers do send that much
+func TestResponseBodyIsServedUnchanged(t *testing.T) {
+	body := strings.Repeat("\x00honey\r\n", 60000) // the size of real responses
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\nServer-Load: TEXT busy_reqs=1\r\nX-Ledger: 4\r\n\r\n%s", len(body), body)))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
-	got := call{class: "once", body: "{}"}.do(t, addr)
+	got := call{class: "once", body: "{}"}.send(t, addr)
 	if got.status != 200 || got.body != body || got.header.Get("X-Ledger") != "4" || got.header.Get("Server-Load") != "" {
 		t.Errorf("got status %d, %d bytes, header %v, error %v", got.status, len(got.body), got.header, got.err)
 	}
 }
 
-// A failure is never answered 429 or 503, which promise that a retry is harmless.
+// A failure is never answered with 429 or 503, which tell the client that a retry is safe.
 func TestFailureIsNotAnsweredAsRefusal(t *testing.T) {
 	for _, status := range []int{500, 503, 504, 429, 400, 302} {
 		u := sidecartest.NewFakeServer(t, sidecartest.Always(fmt.Sprintf("HTTP/1.1 %d x\r\nContent-Length: 4\r\n\r\nlate", status)))
 		addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
-		if got := (call{class: "once"}).do(t, addr); got.status != http.StatusBadGateway || got.body != "" || got.header.Get("Retry-After") != "" {
+		if got := (call{class: "once"}).send(t, addr); got.status != http.StatusBadGateway || got.body != "" || got.header.Get("Retry-After") != "" {
 			t.Errorf("server's %d: got %+v, want a plain 502", status, got)
 		}
 		if len(u.Requests) != 1 {
@@ -46,10 +46,10 @@
 func TestRefusalHasRetryAfter(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always("HTTP/1.1 503 x\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"))
 	// The policy refuses when a response would miss the latency objective of 0.2 s.
-	c := testConfig(t, options{aim: 200 * time.Millisecond}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
+	c := testConfig(t, options{latencyObjective: 200 * time.Millisecond}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
 	start := time.Now()
-	got := call{class: "once"}.do(t, addr)
+	got := call{class: "once"}.send(t, addr)
 	pause, ok := parseTimeout(got.header.Get("Retry-After"))
 	if got.status != http.StatusServiceUnavailable || !ok || pause > 1200*time.Millisecond {
 		t.Errorf("got %+v, want 503 with Retry-After in decimals", got)
@@ -63,14 +63,14 @@
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	start := time.Now()
-	got := call{class: "once", timeout: "0.4"}.do(t, addr)
+	got := call{class: "once", timeout: "0.4"}.send(t, addr)
 	if took := time.Since(start); got.status != http.StatusGatewayTimeout || took > 450*time.Millisecond {
 		t.Errorf("got %+v after %v, want 504 within 0.45 s", got, took)
 	}
 	sidecartest.Await(t, "the close of the attempt's connection", u.Closed)
 }
 
-func TestClientThatLeavesEndsItsAttempt(t *testing.T) {
+func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	c, err := net.Dial("tcp", addr)
@@ -81,14 +81,14 @@
 	sidecartest.Await(t, "the attempt", u.Requests)
 	c.Close()
 	sidecartest.Await(t, "the close of the attempt's connection", u.Closed)
-	// Its id is free again, and nothing more of the request is sent.
-	again := call{class: "once", timeout: "0.6"}.do(t, addr)
+	// Its id is free again, and no further attempt of the request is sent.
+	again := call{class: "once", timeout: "0.6"}.send(t, addr)
 	if again.status != http.StatusGatewayTimeout || len(u.Requests) != 1 {
-		t.Errorf("got %+v and %d more attempts, want 504 and one", again, len(u.Requests))
+		t.Errorf("the same id again: got %+v and %d attempts, want 504 and one", again, len(u.Requests))
 	}
 }
 
-func TestBadInput(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	bad := map[string]call{
@@ -121,7 +121,7 @@
 		"large body":      {class: "once", body: strings.Repeat("x", maxBody+1)},
 	}
 	for name, c := range bad {
-		got := c.do(t, addr)
+		got := c.send(t, addr)
 		if got.err != nil || got.status < 400 || got.status > 499 || got.status == http.StatusTooManyRequests {
 			t.Errorf("%s: got %+v, want a plain 4xx", name, got)
 		}
@@ -149,22 +149,22 @@
 	if len(u.Requests) > 0 {
 		t.Errorf("got %d requests at the server, want none", len(u.Requests))
 	}
-	if got := (call{class: "once"}).do(t, addr); got.status != 200 {
+	if got := (call{class: "once"}).send(t, addr); got.status != 200 {
 		t.Errorf("a good request afterwards: got %+v, want 200", got)
 	}
 }
 
-// Two requests with one id might run one effect twice.
+// Two requests with the same id could cause the same effect twice.
 func TestRequestIDInUseIsRejected(t *testing.T) {
-	go1 := make(chan struct{})
-	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-go1; return sidecartest.OKResponse("ok"), false })
+	release := make(chan struct{})
+	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-release; return sidecartest.OKResponse("ok"), false })
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
-	first := call{class: "once"}.start(t, addr)
+	first := call{class: "once"}.sendInBackground(t, addr)
 	sidecartest.Await(t, "the first request", u.Requests)
-	if got := (call{class: "once"}).do(t, addr); got.status != http.StatusConflict {
+	if got := (call{class: "once"}).send(t, addr); got.status != http.StatusConflict {
 		t.Errorf("the second: got %+v, want 409", got)
 	}
-	close(go1)
+	close(release)
 	if got := sidecartest.Await(t, "the first response", first); got.status != 200 || len(u.Requests) > 0 {
 		t.Errorf("the first: got %+v and %d more attempts, want 200 and none", got, len(u.Requests))
 	}
@@ -192,12 +192,12 @@
 	}
 	for deadline := time.Now().Add(sidecartest.Patience); ready() != http.StatusOK; {
 		if time.Now().After(deadline) {
-			t.Fatal("never ready")
+			t.Fatal("the sidecar did not become ready")
 		}
 	}
 }
 
-// The limit on client connections: idle ones are evicted, and a waiting one is served in the end.
+// At the limit of client connections, idle ones are evicted, so that waiting ones are served.
 func TestClientConnectionsAreLimited(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	c := testConfig(t, options{sockets: config.MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
@@ -221,7 +221,7 @@
 		}
 		conns = append(conns, nc)
 	}
-	// The last ones were admitted only after as many older ones had been closed.
+	// The last connections were admitted only after as many older ones had been closed.
 	for _, nc := range conns {
 		if !socket.IsIdle(nc) {
 			closed++
@@ -232,12 +232,12 @@
 	}
 }
 
-// testLimits returns limits for so many client connections.
+// testLimits returns limits that allow the given number of client connections.
 func testLimits(most int) config.ClientLimits {
 	return config.ClientLimits{Limits: admission.Limits{Total: most, PerAddress: most, HalfOpen: most, Idle: most}, Waiting: 2, Refusing: 2}
 }
 
-// exchangeRaw sends text over a connection of its own and returns what it reads until the close.
+// exchangeRaw sends text over a new connection and returns everything that it reads until the close.
 func exchangeRaw(t *testing.T, addr, text string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -254,12 +254,12 @@
 	return string(got)
 }
 
-// requestHead returns the header of a good request without its framing fields.
+// requestHead returns the header of a valid request without its framing fields.
 func requestHead(id string) string {
 	return "POST /api HTTP/1.1\r\nHost: x\r\nRequest-Id: " + id + "\r\nRequest-Class: once\r\nTenant: acme\r\nRequest-Timeout: 4\r\n"
 }
 
-// What is inside or behind a request whose length is not certain is never served as a request.
+// Bytes inside or after a request whose length is ambiguous are never served as a request.
 func TestHiddenRequestIsNotServed(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
@@ -294,9 +294,9 @@
 	}
 }
 
-// A client gets an answer soon after it has connected, and one that stops sending does not hold its
-// connection for longer.
-func TestUnfinishedRequestsEndSoon(t *testing.T) {
+// A client gets a response within 3 s of connecting. A client that stops sending cannot keep its
+// connection for longer than that.
+func TestUnfinishedRequestsTimeOut(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	texts := map[string]string{
@@ -337,12 +337,12 @@
 	}
 }
 
-// The body of a request that is rejected for its header, or for an id in use, is not waited for.
-func TestRefusedHeaderNeedsNoBody(t *testing.T) {
+// The sidecar does not wait for the body of a request that it rejects for its header or for an id in use.
+func TestRejectionDoesNotWaitForBody(t *testing.T) {
 	release := make(chan struct{})
 	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-release; return sidecartest.OKResponse("ok"), false })
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
-	first := call{class: "once", id: "held"}.start(t, addr)
+	first := call{class: "once", id: "held"}.sendInBackground(t, addr)
 	sidecartest.Await(t, "the first request", u.Requests)
 	for status, text := range map[int]string{
 		http.StatusBadRequest:            strings.Replace(requestHead("a"), "once", "many", 1) + "Content-Length: 10\r\n\r\n",
@@ -359,17 +359,17 @@
 	}
 }
 
-// Connections that are silent or carry a partial request are evicted for clients that send requests,
-// before idle ones that are in use.
-func TestUselessConnectionsAreEvicted(t *testing.T) {
+// Connections that are silent or have sent only part of a request are evicted for clients that send whole
+// requests, and before idle connections that have served requests.
+func TestSilentAndPartialConnectionsAreEvicted(t *testing.T) {
 	for name, text := range map[string]string{
 		"silent": "", "half a header": requestHead("half"), "half a body": requestHead("half") + "Content-Length: 10\r\n\r\nhalf",
 	} {
-		t.Run(name, func(t *testing.T) { testIsEvicted(t, text) })
+		t.Run(name, func(t *testing.T) { testConnectionIsEvicted(t, text) })
 	}
 }
 
-func testIsEvicted(t *testing.T, useless string) {
+func testConnectionIsEvicted(t *testing.T, useless string) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	c := testConfig(t, options{sockets: config.MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
@@ -380,7 +380,7 @@
 	defer kept.Close()
 	kept.SetDeadline(time.Now().Add(sidecartest.Patience))
 	in := bufio.NewReader(kept)
-	ask := func(id string) {
+	sendRequest := func(id string) {
 		t.Helper()
 		io.WriteString(kept, requestHead(id)+"Content-Length: 0\r\n\r\n")
 		resp, err := http.ReadResponse(in, nil)
@@ -389,8 +389,8 @@
 		}
 		io.Copy(io.Discard, resp.Body)
 	}
-	ask("first")
-	for range 2 * config.MinSockets { // far over the limit
+	sendRequest("first")
+	for range 2 * config.MinSockets { // well over the limit
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -399,17 +399,17 @@
 		io.WriteString(nc, useless)
 	}
 	start := time.Now()
-	if got := (call{class: "once", id: "fresh"}).do(t, addr); got.status != 200 {
+	if got := (call{class: "once", id: "fresh"}).send(t, addr); got.status != 200 {
 		t.Errorf("on a new connection: got %+v, want 200", got)
 	}
 	if took := time.Since(start); took > readHeaderTimeout {
-		t.Errorf("a new connection was served after %v, want before the useless ones time out", took)
+		t.Errorf("a new connection was served after %v, want before the silent and partial ones time out", took)
 	}
-	ask("again")
+	sendRequest("again")
 }
 
-// Clients that send one request and keep the connection soon reach their own limits: idle connections
-// are closed long before the sidecar's limit is reached.
+// Clients that send one request and keep the connection reach the limit on idle connections, which is well
+// below the limit on all connections: the sidecar closes idle connections beyond it.
 func TestIdleConnectionsAreLimited(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	c := testConfig(t, options{sockets: config.MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
@@ -435,17 +435,18 @@
 			first = in
 		}
 		if i < c.Connections.Clients.Idle {
-			// net/http reports an idle connection some time after the response: the next one could be earlier.
+			// net/http reports an idle connection only some time after its response: wait, or the next connection
+			// could become idle first.
 			sidecartest.Eventually(t, "it is idle", func() bool { _, now := limited.counters(); return now.Idle == i+1 })
 		}
 	}
 	if _, err := first.Peek(1); err != io.EOF || time.Since(start) > idleTimeout-time.Second/2 {
-		t.Errorf("the longest idle one: got %v after %v, want it closed well before the idle timeout", err, time.Since(start))
+		t.Errorf("the longest idle connection: got %v after %v, want it closed well before the idle timeout", err, time.Since(start))
 	}
 }
 
-// A client that reads no more of its response than fits into buffers does not hold it for ever.
-func TestResponseIsNotKeptForAClientThatDoesNotRead(t *testing.T) {
+// A client that does not read its response cannot keep the response in memory forever: the write times out.
+func TestResponseWriteTimesOutIfClientDoesNotRead(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse(strings.Repeat("x", upstream.MaxResponseBody))))
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	go l.run(t.Context())
@@ -471,7 +472,7 @@
 	sidecartest.Await(t, "the end of the response", served)
 }
 
-// All sidecars get the same hash from the same key, whichever request it comes with.
+// The hash of an affinity key depends on the key alone, so that it is the same at all sidecars.
 func TestAffinityKeyHash(t *testing.T) {
 	of := func(key string) uint64 { return affinityKeyHash(http.Header{"Affinity-Key": {key}}) }
 	first, again, other := of("7f3a"), of("7f3a"), of("7f3b")
@@ -479,7 +480,7 @@
 		t.Errorf("got hashes %x, %x of one key and %x of another", first, again, other)
 	}
 	if of("") != 0 || affinityKeyHash(http.Header{}) != 0 {
-		t.Error("got a hash without a key")
+		t.Error("got a hash without a key, want 0")
 	}
 }
 
@@ -489,9 +490,9 @@
 	body := strings.Repeat("h", maxBody)
 	got := call{class: "keyed", body: body, timeout: "3.25", header: http.Header{
 		"Connection": {"X-Hop"}, "X-Hop": {"1"}, "X-Trace": {"a", "b"},
-	}}.do(t, addr)
+	}}.send(t, addr)
 	if got.status != 200 || got.body != "ok" {
-		t.Fatalf("got %+v", got)
+		t.Fatalf("got %+v, want 200 and body ok", got)
 	}
 	r := sidecartest.Await(t, "the request", u.Requests)
 	if r.Method != "POST" || r.RequestURI != "/api/a%2Fb?q=1&r=%20" || r.Body != body ||
@@ -506,7 +507,7 @@
 	}
 }
 
-// A request is answered by its client's deadline or by the shutdown deadline, whichever is earlier.
+// A request's deadline is its client's deadline or the shutdown deadline, whichever is earlier.
 func TestRequestDeadlineIsTheEarlierOne(t *testing.T) {
 	now := time.Now()
 	shutdown := now.Add(2 * time.Second)
--- a/internal/sidecar/clock.go
+++ b/internal/sidecar/clock.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// balancerClock is the balancer's time. It runs monotonically and began at Unix time, so that the
-// earlier start of a booking server is a positive time on it: counted from 0, a server that started
-// before this process would pass for one of long ago, and would get no slow start.
+// balancerClock is the balancer's clock. It is monotonic and starts at the Unix time of the process's
+// start, so that a booking server that started earlier has a positive start time. On a clock that starts
+// at 0, such a server would count as one that started long ago, and would get no slow start.
 type balancerClock struct {
 	startedAt time.Time
-	wallNow   func() time.Time // the machine's clock, which may be set
-	now       time.Duration    // at the event under way
+	wallNow   func() time.Time // the wall clock, which may be set
+	now       time.Duration    // time of the event being handled
 }
 
 func newBalancerClock() balancerClock {
@@ -17,22 +17,22 @@
 	return c
 }
 
-// read returns the time now; the time of the event under way stays.
+// read returns the current time, and does not change the time of the event being handled.
 func (c *balancerClock) read() time.Duration {
 	return time.Duration(c.startedAt.UnixNano()) + time.Since(c.startedAt)
 }
 
-// at turns a time of this clock into a point in time.
+// at converts a time on this clock to a time.Time.
 func (c *balancerClock) at(t time.Duration) time.Time {
 	return c.startedAt.Add(t - time.Duration(c.startedAt.UnixNano()))
 }
 
-// wallStep returns by how much the wall clock has been set ahead since this process began.
+// wallStep returns how far the wall clock has been set ahead since this process started.
 func (c *balancerClock) wallStep() time.Duration {
 	return time.Duration(c.wallNow().UnixNano()) - c.read()
 }
 
-// wakeTimer is the one timer that the balancer asks for.
+// wakeTimer is the balancer's only timer.
 type wakeTimer struct {
 	timer *time.Timer
 	due   time.Duration // on the balancer's clock; 0: not armed
@@ -40,14 +40,14 @@
 
 func newWakeTimer() wakeTimer { return wakeTimer{timer: time.NewTimer(time.Hour)} }
 
-// arm sets the timer. The balancer asks again only for an earlier time.
+// arm sets the timer. While it is armed, the balancer arms it only for an earlier time.
 func (w *wakeTimer) arm(now, after time.Duration) {
 	w.due = now + after
 	w.timer.Reset(after)
 }
 
-// fired says whether the balancer is to be woken now. A timer that fires early is armed for the
-// rest: the balancer would ignore it and not ask again.
+// fired reports whether the balancer is due to be woken. A timer that has fired early is armed again for
+// the remaining time: the balancer would ignore an early call and not arm the timer again.
 func (w *wakeTimer) fired(now time.Duration) bool {
 	if w.due == 0 {
 		return false
--- a/internal/sidecar/compatibility_test.go
+++ b/internal/sidecar/compatibility_test.go
@@ -14,11 +14,11 @@
 	"barleywick/policy"
 )
 
-// The files in testdata/396a775 were written by the code of that commit, the last one before
-// names changed. What it stored and sent has to be read, and what is stored and sent now has to
-// be the same byte for byte.
+// The files in testdata/396a775 were written by the code of that commit, the last one before identifiers
+// were renamed. Data that it stored or sent must still be readable, and data that is stored or sent now
+// must be the same byte for byte.
 
-// The fields' names of these structs are label values of metrics.
+// The names of these counters are label values of metrics.
 func TestCounterNamesAreThoseOf396a775(t *testing.T) {
 	var got strings.Builder
 	for _, counts := range []any{clientCounters{}, listenerState{}, upstream.Counters{}, upstream.State{}, policy.Counters{}} {
@@ -33,7 +33,7 @@
 	}
 }
 
-// Programs and people read what /health/ready serves.
+// Tools and operators read the texts that /health/ready serves.
 func TestPhaseTextsAreThoseOf396a775(t *testing.T) {
 	var got strings.Builder
 	for _, p := range []phase{phaseStarting, phaseServing, phaseDraining, phaseFinishing, phaseEnded, phaseWithoutPolicy} {
--- a/internal/sidecar/counters_test.go
+++ b/internal/sidecar/counters_test.go
@@ -12,8 +12,8 @@
 	"barleywick/internal/sidecar/upstream"
 )
 
-// The names of the counters are label values of metrics and stand in the log: operators' dashboards
-// and searches depend on them, whatever the Go fields are called.
+// The names of the counters are label values of metrics and appear in the log: operators' dashboards and
+// searches depend on them, so they must not change when Go fields are renamed.
 func TestCounterNamesAreStable(t *testing.T) {
 	for _, c := range []struct {
 		counters any
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -12,33 +12,33 @@
 	"barleywick/policy"
 )
 
-// What the endpoint list says of an endpoint's health. Any other word means draining.
+// Values of an endpoint's health in the endpoint list. Any other value means draining.
 const (
 	healthUp      = "up"
 	healthRemoved = "removed"
 )
 
-// endpoint is a booking server of the endpoint list.
+// endpoint is a booking server in the endpoint list.
 type endpoint struct {
 	id                  policy.ServerID
-	entry               client.Endpoint // as the list has it
+	entry               client.Endpoint // the latest entry in the list
 	server              *upstream.Server
 	startedAt           time.Duration   // on the balancer's clock
-	probes              []*pendingProbe // in the order in which the balancer asked for them
-	inFlight            int             // attempts
-	consecutiveTimeouts int             // attempts that ended without a sign of life, since one got a response
-	drainingSince       time.Duration   // 0: it does not drain
+	probes              []*pendingProbe // in the order in which the balancer requested them
+	inFlight            int             // number of attempts in flight
+	consecutiveTimeouts int             // attempts without any response since the last response
+	drainingSince       time.Duration   // 0: not draining
 }
 
-// pendingProbe is a probe that was asked for. Its result waits for those before it.
+// pendingProbe is a requested probe. Its result is held back until the results of earlier probes are in.
 type pendingProbe struct {
 	endpoint *endpoint
 	done     bool
-	ok       bool
+	answered bool
 	load     policy.LoadReport
 }
 
-// endpointTable holds the endpoint list.
+// endpointTable holds the endpoints of the endpoint list.
 type endpointTable struct {
 	byName    map[string]*endpoint
 	byID      map[policy.ServerID]*endpoint
@@ -53,7 +53,7 @@
 	}
 }
 
-// add makes a new endpoint of an entry.
+// add creates an endpoint for a list entry.
 func (t *endpointTable) add(entry client.Endpoint) *endpoint {
 	t.lastID++
 	e := &endpoint{id: t.lastID, server: upstream.NewServer(entry.Dial)}
@@ -66,91 +66,91 @@
 	delete(t.byID, e.id)
 }
 
-// zoneTable numbers zones: first the configured ones, in their order.
+// zoneTable assigns numbers to zones: first to the configured zones, in their order.
 type zoneTable struct {
-	configured int
-	numbers    map[string]int
-	next       int
+	configured   int
+	numberByName map[string]int
+	nextNumber   int
 }
 
 func newZoneTable(configured []string) zoneTable {
-	t := zoneTable{configured: len(configured), numbers: make(map[string]int), next: len(configured)}
+	t := zoneTable{configured: len(configured), numberByName: make(map[string]int), nextNumber: len(configured)}
 	for i, name := range configured {
-		t.numbers[name] = i
+		t.numberByName[name] = i
 	}
 	return t
 }
 
-// number returns a zone's number, a new one for a zone that has none.
+// number returns a zone's number, and assigns one to a new zone.
 func (t *zoneTable) number(name string) int {
-	n, ok := t.numbers[name]
+	n, ok := t.numberByName[name]
 	if !ok {
-		n = t.next
-		t.next++
-		t.numbers[name] = n
+		n = t.nextNumber
+		t.nextNumber++
+		t.numberByName[name] = n
 	}
 	return n
 }
 
-// forgetUnused forgets the zones that are neither configured nor any endpoint's.
-func (t *zoneTable) forgetUnused(endpoints map[string]*endpoint) {
-	if len(t.numbers) <= t.configured+len(endpoints) {
+// removeUnused removes the zones that are not configured and have no endpoint.
+func (t *zoneTable) removeUnused(endpoints map[string]*endpoint) {
+	if len(t.numberByName) <= t.configured+len(endpoints) {
 		return
 	}
 	used := make(map[string]bool, len(endpoints))
 	for _, e := range endpoints {
 		used[e.entry.Site] = true
 	}
-	maps.DeleteFunc(t.numbers, func(name string, number int) bool {
+	maps.DeleteFunc(t.numberByName, func(name string, number int) bool {
 		return number >= t.configured && !used[name]
 	})
 }
 
-// applyListing applies a list message and passes it to the balancer.
+// applyListing applies a message of the endpoint list and passes it to the balancer.
 func (l *eventLoop) applyListing(kind policy.ListKind, update client.ListUpdate) {
-	listed, named := l.enterEndpoints(kind, update.Endpoints)
+	listed, names := l.applyEntries(kind, update.Endpoints)
 	l.balancer.List(l.clock.now, kind, listed)
 	for _, e := range l.endpoints.byName {
 		l.updateDrain(e)
 	}
 	for name, e := range l.endpoints.byName {
-		if e.entry.Health == healthRemoved || (kind != policy.ListDelta && !named[name]) {
+		if e.entry.Health == healthRemoved || (kind != policy.ListDelta && !names[name]) {
 			l.endpoints.remove(e)
 			l.transport.Pool().Retire(e.server)
 		}
 	}
-	l.endpoints.zones.forgetUnused(l.endpoints.byName)
+	l.endpoints.zones.removeUnused(l.endpoints.byName)
 	if len(l.endpoints.byName) > 0 || kind != policy.ListCached {
 		l.endpointsKnown.Store(true)
 	}
 }
 
-// enterEndpoints enters the entries of a list message, and returns them as the balancer's endpoints
-// and by their names. An entry that cannot be read leaves its endpoint as it was.
-func (l *eventLoop) enterEndpoints(kind policy.ListKind, entries []client.Endpoint) (listed []policy.Endpoint, named map[string]bool) {
+// applyEntries applies the entries of a list message. It returns the endpoints for the balancer, and the
+// set of their names. An invalid entry leaves its endpoint unchanged.
+func (l *eventLoop) applyEntries(kind policy.ListKind, entries []client.Endpoint) (listed []policy.Endpoint, names map[string]bool) {
 	listed = make([]policy.Endpoint, 0, len(entries))
-	named = make(map[string]bool, len(entries))
+	names = make(map[string]bool, len(entries))
 	for _, entry := range entries {
-		if named[entry.Host] && kind != policy.ListDelta {
+		if names[entry.Host] && kind != policy.ListDelta {
 			slog.Warn("discovery: endpoint listed twice", "host", entry.Host)
 		}
-		p, ok := l.enterEndpoint(entry)
+		p, ok := l.applyEntry(entry)
 		if !ok && entry.Health != healthRemoved {
 			slog.Warn("discovery: endpoint ignored", "host", entry.Host, "dial", entry.Dial, "health", entry.Health, "malformed", entry.Malformed)
 			if e := l.endpoints.byName[entry.Host]; e != nil {
-				p, ok = l.enterEndpoint(e.entry)
+				p, ok = l.applyEntry(e.entry)
 			}
 		}
 		if ok {
-			named[entry.Host] = true
+			names[entry.Host] = true
 			listed = append(listed, p)
 		}
 	}
-	return listed, named
+	return listed, names
 }
 
-// enterEndpoint enters one entry of the list.
-func (l *eventLoop) enterEndpoint(entry client.Endpoint) (policy.Endpoint, bool) {
+// applyEntry applies one entry of the list, and reports whether the entry is valid.
+func (l *eventLoop) applyEntry(entry client.Endpoint) (policy.Endpoint, bool) {
 	if entry.Host == "" || entry.Malformed {
 		return policy.Endpoint{}, false
 	}
@@ -159,16 +159,16 @@
 		if e == nil || entry.Health == healthUp {
 			return policy.Endpoint{}, false
 		}
-		entry.Dial = e.entry.Dial // it gets nothing new: its address does not matter
+		entry.Dial = e.entry.Dial // the endpoint gets no new requests: its address does not matter
 	}
 	if e == nil {
 		e = l.endpoints.add(entry)
-	} else if e.entry.Dial != entry.Dial || e.entry.BornMS != entry.BornMS { // open connections lead nowhere now
+	} else if e.entry.Dial != entry.Dial || e.entry.BornMS != entry.BornMS { // the server was replaced: its connections are no longer usable
 		l.transport.Pool().Retire(e.server)
 		e.server, e.drainingSince = upstream.NewServer(entry.Dial), 0
 	}
-	// A start ahead of this machine's clock would keep the server warming up for too long: it is
-	// taken for now, and stays so while the entry names the same start.
+	// A start time ahead of this host's clock would prolong the slow start: the current time is used
+	// instead, and kept as long as the entry has the same start time.
 	if e.entry.BornMS != entry.BornMS || e.startedAt == 0 {
 		e.startedAt = policy.StartedAt(settings.DurationFromMillis(entry.BornMS), l.clock.now, l.clock.wallStep())
 	}
@@ -176,10 +176,10 @@
 	return e.forBalancer(l.endpoints.zones.number(entry.Site)), true
 }
 
-// forBalancer returns the endpoint as the balancer takes it.
+// forBalancer converts the endpoint to the balancer's type.
 func (e *endpoint) forBalancer(zone int) policy.Endpoint {
 	p := policy.Endpoint{ID: e.id, Zone: zone, Weight: e.entry.Share, Started: e.startedAt, State: policy.Draining}
-	p.Cell = -int(e.id) // without a cell it shares its keys with no other
+	p.Cell = -int(e.id) // a cell of its own, as the entry names none
 	if e.entry.Block != nil {
 		p.Cell = *e.entry.Block
 	}
@@ -192,8 +192,9 @@
 	return p
 }
 
-// updateDrain applies what the list says of an endpoint's drain: it gets nothing new, its attempts
-// end, and its idle connections are closed. A drain that is cancelled takes all of that back.
+// updateDrain starts or cancels an endpoint's drain according to the list. A draining endpoint gets no new
+// attempts, its attempts in flight finish, and its idle connections are closed. After a cancelled drain
+// it gets attempts again.
 func (l *eventLoop) updateDrain(e *endpoint) {
 	draining := e.entry.Health != healthUp
 	switch {
@@ -209,21 +210,21 @@
 	}
 }
 
-// logDrained says when a draining endpoint has no attempt of this sidecar any more.
+// logDrained logs that a draining endpoint has no attempt of this sidecar left.
 func (l *eventLoop) logDrained(e *endpoint) {
 	if e.drainingSince != 0 && e.inFlight == 0 {
 		slog.Info("upstream: drained", "host", e.entry.Host, "after", l.clock.now-e.drainingSince)
 	}
 }
 
-// deliverProbes passes an endpoint's probe results on in the order in which they were asked for, as
-// the balancer matches them: a later one may be back first.
+// deliverProbes passes an endpoint's probe results to the balancer in the order in which the probes were
+// requested, by which the balancer matches them. Probes may complete in another order.
 func (l *eventLoop) deliverProbes(e *endpoint) {
 	for len(e.probes) > 0 && e.probes[0].done {
 		p := e.probes[0]
 		e.probes = e.probes[1:]
-		if p.ok || e.drainingSince == 0 { // a probe that was not sent because of the drain says nothing of the server
-			l.balancer.Probed(l.clock.now, e.id, p.ok, p.load)
+		if p.answered || e.drainingSince == 0 { // a probe that was not sent because of a drain says nothing about the server
+			l.balancer.Probed(l.clock.now, e.id, p.answered, p.load)
 		}
 	}
 }
--- a/internal/sidecar/endpoints_test.go
+++ b/internal/sidecar/endpoints_test.go
@@ -23,12 +23,12 @@
 	l := newTestLoop(t)
 	l.applyListing(policy.ListFull, known)
 	if len(l.endpoints.byName) != 2 || l.endpoints.byName["s-1"] == nil || l.endpoints.byName["s-3"] == nil {
-		t.Errorf("endpoints %v, want s-1 and s-3", l.endpoints.byName)
+		t.Errorf("got endpoints %v, want s-1 and s-3", l.endpoints.byName)
 	}
 }
 
-// An endpoint whose entry cannot be read is still listed: it stays as it was, also in a full list,
-// which removes what it does not name.
+// An endpoint with an invalid entry is still listed and stays unchanged, even in a full list, which removes
+// the endpoints that it does not name.
 func TestMalformedEntryLeavesItsEndpointUnchanged(t *testing.T) {
 	draining := registrytest.EndpointJSON("s-2", "127.0.0.1:8", "draining", 0)
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0), draining, registrytest.EndpointJSON("s-3", "127.0.0.1:9", "up", 0))
@@ -39,115 +39,115 @@
 		t.Fatal(err)
 	}
 	l.applyListing(policy.ListFull, update)
-	if h := l.endpoints.byName["s-1"]; h == nil || h.entry.Dial != "127.0.0.1:7" || h.drainingSince != 0 {
-		t.Errorf("s-1 is %+v, want it unchanged", h)
+	if e := l.endpoints.byName["s-1"]; e == nil || e.entry.Dial != "127.0.0.1:7" || e.drainingSince != 0 {
+		t.Errorf("s-1: got %+v, want it unchanged", e)
 	}
-	if h := l.endpoints.byName["s-2"]; h == nil || h.drainingSince == 0 {
-		t.Errorf("s-2 is %+v, want it still draining", h)
+	if e := l.endpoints.byName["s-2"]; e == nil || e.drainingSince == 0 {
+		t.Errorf("s-2: got %+v, want it still draining", e)
 	}
 	if l.endpoints.byName["s-3"] != nil || l.endpoints.byName["s-4"] != nil || l.endpoints.byName["s-9"] != nil || len(l.endpoints.byName) != 2 {
-		t.Errorf("endpoints %v, want s-1 and s-2", l.endpoints.byName)
+		t.Errorf("got endpoints %v, want s-1 and s-2", l.endpoints.byName)
 	}
 }
 
-func TestEntriesBecomeEndpoints(t *testing.T) {
+func TestListEntriesBecomeEndpoints(t *testing.T) {
 	l := newTestLoop(t)
-	enter := func(e client.Endpoint) policy.Endpoint {
-		s, ok := l.enterEndpoint(e)
+	apply := func(e client.Endpoint) policy.Endpoint {
+		s, ok := l.applyEntry(e)
 		if !ok {
-			t.Fatalf("%+v was ignored", e)
+			t.Fatalf("entry %+v was ignored", e)
 		}
 		return s
 	}
 	cell := 3
 	e := client.Endpoint{Host: "s-1", Dial: "127.0.0.1:7", Site: "a", Block: &cell, Health: "up", Share: 1.5}
-	s := enter(e)
+	s := apply(e)
 	if s.State != policy.Ready || s.Weight != 1.5 || s.Cell != 3 || s.Zone != 0 || s.Started != 0 {
-		t.Errorf("endpoint %+v", s)
+		t.Errorf("got endpoint %+v, want ready, weight 1.5, cell 3, zone 0 and no start time", s)
 	}
 	e.Dial, e.Health = "127.0.0.1:8", "draining"
-	if d := enter(e); d.ID != s.ID || d.State != policy.Draining || l.endpoints.byName["s-1"].entry.Dial != e.Dial {
-		t.Errorf("at another address it is %+v, was %+v", d, s)
+	if d := apply(e); d.ID != s.ID || d.State != policy.Draining || l.endpoints.byName["s-1"].entry.Dial != e.Dial {
+		t.Errorf("draining at another address: got %+v, was %+v; want the same id, draining, the new address", d, s)
 	}
 	e.Health = "a later state"
-	if d := enter(e); d.State != policy.Draining {
-		t.Errorf("unknown health gives %v", d.State)
+	if d := apply(e); d.State != policy.Draining {
+		t.Errorf("unknown health: got state %v, want draining", d.State)
 	}
 	e.Health, e.Dial = "removed", ""
-	if d := enter(e); d.ID != s.ID || d.State != policy.Removed {
-		t.Errorf("removed without an address gives %+v", d)
+	if d := apply(e); d.ID != s.ID || d.State != policy.Removed {
+		t.Errorf("removed without an address: got %+v, want the same id, removed", d)
 	}
-	other := enter(client.Endpoint{Host: "s-2", Dial: "127.0.0.1:9", Site: "elsewhere", Health: "up"})
-	third := enter(client.Endpoint{Host: "s-3", Dial: "127.0.0.1:9", Site: "elsewhere", Health: "up"})
+	other := apply(client.Endpoint{Host: "s-2", Dial: "127.0.0.1:9", Site: "elsewhere", Health: "up"})
+	third := apply(client.Endpoint{Host: "s-3", Dial: "127.0.0.1:9", Site: "elsewhere", Health: "up"})
 	if other.ID == s.ID || other.Zone == 0 || other.Zone != third.Zone || other.Cell == third.Cell {
-		t.Errorf("endpoints %+v and %+v", other, third)
+		t.Errorf("two endpoints in another zone: got %+v and %+v, want one zone and different cells", other, third)
 	}
 }
 
-// A server that started shortly before this process is warming up: its start must be a positive time
+// A server that started shortly before this process is still in slow start: its start time must be positive
 // on the balancer's clock.
-func TestEarlierStartIsNotLongAgo(t *testing.T) {
+func TestServerStartBeforeProcessStart(t *testing.T) {
 	l := newTestLoop(t)
 	born := time.Now().Add(-2 * time.Second).UnixMilli()
-	s, ok := l.enterEndpoint(client.Endpoint{Host: "s-1", Dial: "127.0.0.1:7", Health: "up", BornMS: float64(born)})
+	s, ok := l.applyEntry(client.Endpoint{Host: "s-1", Dial: "127.0.0.1:7", Health: "up", BornMS: float64(born)})
 	if age := l.clock.read() - s.Started; !ok || s.Started <= 0 || age < time.Second || age > sidecartest.Patience {
-		t.Errorf("started at %v, %v ago by the balancer's clock", s.Started, age)
+		t.Errorf("got start time %v, %v ago on the balancer's clock; want about 2s ago", s.Started, age)
 	}
 	ahead := client.Endpoint{Host: "s-2", Dial: "127.0.0.1:7", Health: "up", BornMS: float64(time.Now().Add(time.Hour).UnixMilli())}
-	first, _ := l.enterEndpoint(ahead)
+	first, _ := l.applyEntry(ahead)
 	l.clock.now = l.clock.read() + time.Second
-	if again, _ := l.enterEndpoint(ahead); first.Started > l.clock.now || again.Started != first.Started {
-		t.Errorf("a start ahead of the clock is %v and then %v", first.Started, again.Started)
+	if again, _ := l.applyEntry(ahead); first.Started > l.clock.now || again.Started != first.Started {
+		t.Errorf("a start time ahead of the clock: got %v and then %v, want the same time in the past", first.Started, again.Started)
 	}
 }
 
-// The wall clock is set ahead while the process runs: a server that starts then is warming up.
-func TestStartAfterAStepOfTheWallClock(t *testing.T) {
+// The wall clock is set ahead while the process runs: a server that starts afterwards is in slow start.
+func TestServerStartAfterWallClockStep(t *testing.T) {
 	l := newTestLoop(t)
 	const step = time.Hour
 	l.clock.wallNow = func() time.Time { return time.Now().Add(step) }
 	l.clock.now = l.clock.read()
 	born := float64(time.Now().Add(step - time.Second).UnixMilli())
-	s, ok := l.enterEndpoint(client.Endpoint{Host: "s-1", Dial: "127.0.0.1:7", Site: "a", Health: "up", Share: 1, BornMS: born})
+	s, ok := l.applyEntry(client.Endpoint{Host: "s-1", Dial: "127.0.0.1:7", Site: "a", Health: "up", Share: 1, BornMS: born})
 	if age := l.clock.now - s.Started; !ok || age < 500*time.Millisecond || age > 1500*time.Millisecond {
-		t.Errorf("a server that started 1 s ago is %v old", age)
+		t.Errorf("got %v since the start of a server that started 1 s ago", age)
 	}
 }
 
-// The balancer matches a server's probe results to its calls by their order.
+// The balancer matches a server's probe results to its probe requests by order.
 func TestProbeResultsKeepTheirOrder(t *testing.T) {
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0))
-	h := l.endpoints.byName["s-1"]
-	first, second := &pendingProbe{endpoint: h}, &pendingProbe{endpoint: h}
-	h.probes = []*pendingProbe{first, second}
+	e := l.endpoints.byName["s-1"]
+	first, second := &pendingProbe{endpoint: e}, &pendingProbe{endpoint: e}
+	e.probes = []*pendingProbe{first, second}
 	probeCompleted{second, true, policy.LoadReport{InFlight: 1}}.handle(l)
-	if len(h.probes) != 2 {
-		t.Fatal("the second result went before the first")
+	if len(e.probes) != 2 {
+		t.Fatal("the second result was delivered before the first")
 	}
 	probeCompleted{first, false, policy.UnknownLoad}.handle(l)
-	if len(h.probes) != 0 {
-		t.Errorf("%d results are kept back", len(h.probes))
+	if len(e.probes) != 0 {
+		t.Errorf("got %d results still held back, want none", len(e.probes))
 	}
 }
 
-// From the watch event on everything goes to the other server.
-func TestDrainActsAtOnce(t *testing.T) {
+// After the watch event of a drain, all requests are forwarded to the other server.
+func TestDrainStopsNewAttemptsAtOnce(t *testing.T) {
 	g := registrytest.NewServer(t)
 	a, b := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("a"))), sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("b")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, g.Addr, registrytest.EndpointJSON("s-1", a.Addr, "up", 0)))
 	w := sidecartest.Await(t, "the watch", g.Watches)
-	serveSoon(t, addr)
+	awaitServed(t, addr)
 	sidecartest.Await(t, "a request", a.Requests)
 	w.Lines <- registrytest.ListJSON(2, false, registrytest.EndpointJSON("s-1", a.Addr, "draining", 0), registrytest.EndpointJSON("s-2", b.Addr, "up", 0))
 	for i := range 1000 { // until the watch event has arrived
-		if got := (call{class: "once", id: fmt.Sprint(i)}).do(t, addr); got.body == "b" {
+		if got := (call{class: "once", id: fmt.Sprint(i)}).send(t, addr); got.body == "b" {
 			break
 		}
 	}
 	before := len(a.Requests)
 	for i := range 20 {
-		if got := (call{class: "once", id: fmt.Sprint("later-", i)}).do(t, addr); got.body != "b" {
-			t.Errorf("got %+v", got)
+		if got := (call{class: "once", id: fmt.Sprint("later-", i)}).send(t, addr); got.body != "b" {
+			t.Errorf("got %+v, want the other server's response", got)
 		}
 	}
 	if len(a.Requests) != before {
--- a/internal/sidecar/events.go
+++ b/internal/sidecar/events.go
@@ -9,10 +9,9 @@
 	"barleywick/policy"
 )
 
-// event is something that other goroutines have the event loop handle. Only this file's types are
-// events.
+// event is a message to the event loop. Only the types in this file implement it.
 type event interface {
-	// handle is called by the event loop, in the order in which events were posted.
+	// handle is called by the event loop, in the order in which the events were posted.
 	handle(l *eventLoop)
 }
 
@@ -21,9 +20,9 @@
 	requestArrived     struct{ request *request }
 	clientDisconnected struct{ request *request }
 	attemptEnded       struct {
-		attempt *attempt
-		ending  policy.Ending
-		answer  *upstream.Response // with policy.Served
+		attempt  *attempt
+		ending   policy.Ending
+		response *upstream.Response // with policy.Served
 	}
 )
 
@@ -38,10 +37,10 @@
 	listingLost     struct{ loss client.ListLoss }
 )
 
-// Events of a hand-over, at the old process and at the new one.
+// Events of a hand-over, in the predecessor and in the successor.
 type (
 	handoverStarted struct {
-		reserved chan<- []policy.BulkheadCapacity // takes what this process keeps
+		reserved chan<- []policy.BulkheadCapacity // receives the capacity that this process keeps
 	}
 	predecessorReported struct{ reserved []policy.BulkheadCapacity }
 )
@@ -50,16 +49,16 @@
 type (
 	fleetPolicyReceived struct {
 		limits policy.FleetLimits
-		done   chan<- struct{} // closed when the limits are in force
+		done   chan<- struct{} // closed when the limits are in effect
 	}
 	adviceReceived      struct{ advice policy.OverloadAdvice }
 	sidecarCountChanged struct{ sidecars int }
 )
 
-// Questions to the event loop.
+// Queries to the event loop.
 type (
 	statusRequested struct{ status chan<- Status }
-	// digestRequested asks for what was counted since the last one.
+	// digestRequested requests the counts since the previous digest.
 	digestRequested struct{ digest chan<- overload.Digest }
 )
 
@@ -78,11 +77,11 @@
 	l.balancer.ClientGone(l.clock.now, r.id)
 }
 
-func (e attemptEnded) handle(l *eventLoop) { l.endAttempt(e.attempt, e.ending, e.answer) }
+func (e attemptEnded) handle(l *eventLoop) { l.endAttempt(e.attempt, e.ending, e.response) }
 
 func (e probeCompleted) handle(l *eventLoop) {
 	p := e.probe
-	p.done, p.ok, p.load = true, e.ok, e.load
+	p.done, p.answered, p.load = true, e.ok, e.load
 	l.deliverProbes(p.endpoint)
 }
 
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -6,24 +6,24 @@
 	"barleywick/internal/sidecar/policyfollower"
 )
 
-// fleetParts are the parts that connect a sidecar to its fleet, as the event loop needs them.
-type fleetParts struct {
+// fleetComponents are the components that connect a sidecar to its fleet, as the event loop uses them.
+type fleetComponents struct {
 	policy   fleetPolicy          // nil: there is no fleet policy
-	overload overloadAdvice       // nil: no overload advice is taken
+	overload overloadStatusSource // nil: overload advice is not used
 	member   unresponsiveReporter // nil: the sidecar is not a member of the fleet
 }
 
-// fleetPolicy is the policy follower.
+// fleetPolicy is implemented by the policy follower.
 type fleetPolicy interface {
 	Admitting() bool
 	RecordRequest(o outcome.Outcome)
 	Status() policyfollower.Status
 }
 
-// overloadAdvice is the overload reporter.
-type overloadAdvice interface {
+// overloadStatusSource is implemented by the overload reporter.
+type overloadStatusSource interface {
 	Status() overloadreporter.Status
 }
 
-// unresponsiveReporter tells the fleet of a booking server that does not answer.
+// unresponsiveReporter reports to the fleet that a booking server does not respond.
 type unresponsiveReporter interface{ ReportUnresponsive(host string) }
--- a/internal/sidecar/fleet_policy.go
+++ b/internal/sidecar/fleet_policy.go
@@ -10,7 +10,7 @@
 	"barleywick/policy"
 )
 
-// fleetLimits returns what a policy document says to the balancer.
+// fleetLimits returns the limits that a policy document sets for the balancer.
 func fleetLimits(d *rollout.Document, tenants []string) policy.FleetLimits {
 	var limits policy.FleetLimits
 	if d == nil {
@@ -24,39 +24,39 @@
 	return limits
 }
 
-// applyFleetPolicy has the loop put a policy into force, and returns when it is.
+// applyFleetPolicy makes the loop apply a policy, and returns when the policy is in effect.
 func (l *eventLoop) applyFleetPolicy(ctx context.Context, d *rollout.Document) error {
 	done := make(chan struct{})
 	if !l.post(fleetPolicyReceived{fleetLimits(d, tenantNames(l.config)), done}) {
-		return errEnded
+		return errLoopEnded
 	}
 	select {
 	case <-done:
 		return nil
 	case <-l.lifetime.Done():
-		return errEnded
+		return errLoopEnded
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
 // policyEnforcer applies the fleet policy to this sidecar: the stricter of policy and configuration
-// counts. The service tells it the configuration's limits, the policy follower the policy.
+// applies. It gets the configured limits from the service, and the policy from the policy follower.
 type policyEnforcer struct {
 	loop     *eventLoop
 	listener *limitedListener
 	pool     *upstream.Pool
 
 	mu         sync.Mutex
-	configured config.ConnectionLimits // of the configuration as it was read last
-	document   *rollout.Document       // in force; nil: the configuration counts alone
+	configured config.ConnectionLimits // limits of the configuration read last
+	document   *rollout.Document       // the policy in effect; nil: only the configuration applies
 }
 
 func newPolicyEnforcer(c *config.Config, l *eventLoop, listener *limitedListener, pool *upstream.Pool) *policyEnforcer {
 	return &policyEnforcer{configured: c.Connections, loop: l, listener: listener, pool: pool}
 }
 
-// EnforcePolicy puts a document into force, and returns when it is.
+// EnforcePolicy applies a policy document, and returns when it is in effect.
 func (e *policyEnforcer) EnforcePolicy(ctx context.Context, d *rollout.Document) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -65,7 +65,7 @@
 	return e.loop.applyFleetPolicy(ctx, d)
 }
 
-// configureLimits puts the limits on connections of a configuration that was read again into force.
+// configureLimits applies the connection limits of a reloaded configuration.
 func (e *policyEnforcer) configureLimits(limits config.ConnectionLimits) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -31,24 +31,24 @@
 	"discovery":%[3]q,"orgs":[{"name":"acme","share":0.8},{"name":"zeta","share":0.2}],
 	"telemetry":{"columns":["failed_ps","busy_reqs"],"how":"pull"},"zones":["a"],"rules":{"cold_from":0.3,"cold_ms":8000,"fall_multiple":2.5}}`
 
-// options are what tests vary in a configuration.
+// options are the settings that tests vary in a configuration.
 type options struct {
-	aim     time.Duration
-	probes  bool
-	ask     bool
-	sockets int
+	latencyObjective time.Duration
+	probes           bool
+	polls            bool
+	sockets          int
 }
 
 func testConfig(t testing.TB, o options, discovery string, hosts ...string) *config.Config {
 	t.Helper()
-	if o.aim == 0 {
-		o.aim = 4 * time.Second
+	if o.latencyObjective == 0 {
+		o.latencyObjective = 4 * time.Second
 	}
 	if o.sockets == 0 {
 		o.sockets = 200
 	}
 	mode := "push"
-	if o.ask {
+	if o.polls {
 		mode = "ask"
 	}
 	known := ""
@@ -57,7 +57,7 @@
 	}
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",%s
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":%d},"settings":%s}`,
-		discovery, known, o.sockets, fmt.Sprintf(testSettings, o.probes, o.aim.Milliseconds(), mode))
+		discovery, known, o.sockets, fmt.Sprintf(testSettings, o.probes, o.latencyObjective.Milliseconds(), mode))
 	c, err := config.Parse([]byte(text), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 	return startReloadable(t, c, nil, opts...)
 }
 
-// startReloadable does the same for a sidecar that reads its configuration again at a value of reload.
+// startReloadable is startSidecar for a sidecar that reloads its configuration at each value from reload.
 func startReloadable(t testing.TB, c *config.Config, reload <-chan os.Signal, opts ...Option) (addr string, stop func(), ended <-chan error) {
 	t.Helper()
 	ln := sidecartest.ListenLoopback(t)
@@ -93,7 +93,7 @@
 		wg.Wait()
 		stalls.Stop()
 		if t.Failed() {
-			t.Logf("the longest time in which this process was not scheduled: %v", stalls.Longest())
+			t.Logf("longest time in which this process was not scheduled: %v", stalls.Longest())
 		}
 	})
 	return ln.Addr().String(), cancel, done
@@ -108,11 +108,11 @@
 	header  http.Header
 }
 
-var methods = map[string]string{"read": "GET", "keyed": "POST", "once": "POST"}
+var methodOfClass = map[string]string{"read": "GET", "keyed": "POST", "once": "POST"}
 
 func (c call) request(t testing.TB, addr string) *http.Request {
 	t.Helper()
-	req, err := http.NewRequest(methods[c.class], "http://"+addr+"/api/a%2Fb?q=1&r=%20", strings.NewReader(c.body))
+	req, err := http.NewRequest(methodOfClass[c.class], "http://"+addr+"/api/a%2Fb?q=1&r=%20", strings.NewReader(c.body))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 	return req
 }
 
-// result is what a client got.
+// result is the response or error that a client got.
 type result struct {
 	status int
 	header http.Header
@@ -144,8 +144,8 @@
 	err    error
 }
 
-// do sends the request over a connection of its own.
-func (c call) do(t testing.TB, addr string) result {
+// send sends the request over a new connection and returns the result.
+func (c call) send(t testing.TB, addr string) result {
 	t.Helper()
 	return roundTrip(c.request(t, addr))
 }
@@ -162,16 +162,16 @@
 	return result{resp.StatusCode, resp.Header, string(body), err}
 }
 
-// start sends the request in the background.
-func (c call) start(t testing.TB, addr string) <-chan result {
+// sendInBackground sends the request like send, in a new goroutine.
+func (c call) sendInBackground(t testing.TB, addr string) <-chan result {
 	t.Helper()
 	req, out := c.request(t, addr), make(chan result, 1)
 	go func() { out <- roundTrip(req) }()
 	return out
 }
 
-// newHandlerTest returns a function that gives a request to the client handler as if it had been read
-// from the connection, and reports whether the handler aborted it.
+// newHandlerTest returns a function that passes a request to the client handler as if it had been read from
+// the connection, and reports whether the handler aborted it.
 func newHandlerTest(t *testing.T, u *sidecartest.FakeServer) func(c *clientConn) (aborted bool) {
 	t.Helper()
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
@@ -191,7 +191,7 @@
 	}
 }
 
-// validJSON returns a text that has to be JSON, so that a slip in a test is noticed.
+// validJSON returns text, and fails the test if it is not JSON: a typo in a test would go unnoticed otherwise.
 func validJSON(t testing.TB, text string) string {
 	t.Helper()
 	if !json.Valid([]byte(text)) {
@@ -200,10 +200,10 @@
 	return text
 }
 
-// closeIdleConn closes a connection as the listener does, which refuses a partial request.
-func closeIdleConn(c *clientConn, half bool) connState {
-	state, owed := c.closeIdle(half)
-	if owed {
+// closeIdleConn closes a connection as the listener does: it refuses a partial request.
+func closeIdleConn(c *clientConn, includePartial bool) connState {
+	state, refusalPending := c.closeIdle(includePartial)
+	if refusalPending {
 		c.refusePartial(true)
 	}
 	return state
@@ -221,7 +221,7 @@
 	return c.state == connBusy && !c.responseWritten.Load()
 }
 
-// testTransport returns a transport for so many connections, without load reports.
+// testTransport returns a transport with at most the given number of connections, without load reports.
 func testTransport(connections int, sendGate upstream.Gate) *upstream.Transport {
 	limits := config.UpstreamLimits{Total: connections, PerServer: connections, Handshakes: connections, HandshakesPerServer: connections}
 	return upstream.NewTransport(upstream.NewPool(time.Second, 30*time.Second, limits, 1), sendGate, "/health/live", nil)
--- a/internal/sidecar/load_test.go
+++ b/internal/sidecar/load_test.go
@@ -17,11 +17,11 @@
 	"barleywick/internal/sidecar/sidecartest"
 )
 
-// Benchmarks of the load on client connections, to be compared before and after a change:
+// Benchmarks of client connections under load, for comparing the figures before and after a change:
 //
 //	go test -run xxx -bench Load ./internal/sidecar
 //
-// Clients and booking server run in the same process: both figures of a pair contain their cost.
+// Clients and booking server run in the same process: the figures include their cost, before and after.
 
 const loadSockets = 4096
 
@@ -54,12 +54,12 @@
 		}
 	}()
 	c := testConfig(b, options{sockets: loadSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", ln.Addr().String(), "up", 0))
-	c.Policy.Slots = loadSockets // bulkheads are not what is measured
+	c.Policy.Slots = loadSockets // so that bulkheads do not limit the load
 	addr, _, _ = startSidecar(b, c)
 	return addr
 }
 
-func alwaysOpen() <-chan struct{} {
+func closedChannel() <-chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
@@ -91,7 +91,7 @@
 		if err != nil {
 			return err
 		}
-		if got += n; string(c.buf[got-2:got]) == "ok" { // the body that ends it
+		if got += n; string(c.buf[got-2:got]) == "ok" { // the end of the response body
 			return nil
 		}
 	}
@@ -99,27 +99,27 @@
 
 var loadIDs atomic.Uint64
 
-func (c *loadClient) ask() error {
+func (c *loadClient) roundTrip() error {
 	if err := c.send(loadIDs.Add(1)); err != nil {
 		return err
 	}
 	return c.read()
 }
 
-// loadClients is the number of clients for each processor: an upstream connection is quarantined
-// between two requests, and a single client would measure that.
+// loadClients is the number of clients per processor: an upstream connection is quarantined between two
+// requests, and a single client would measure the quarantine.
 const loadClients = 16
 
-// BenchmarkLoadRequest measures a request on a kept connection.
+// BenchmarkLoadRequest measures a request on a reused connection.
 func BenchmarkLoadRequest(b *testing.B) {
-	addr := startLoadedSidecar(b, alwaysOpen())
+	addr := startLoadedSidecar(b, closedChannel())
 	b.ReportAllocs()
 	b.SetParallelism(loadClients)
 	b.RunParallel(func(pb *testing.PB) {
 		c := newLoadClient(b, addr)
 		defer c.Close()
 		for pb.Next() {
-			if err := c.ask(); err != nil {
+			if err := c.roundTrip(); err != nil {
 				b.Error(err)
 				return
 			}
@@ -127,15 +127,15 @@
 	})
 }
 
-// BenchmarkLoadConnect measures a connection with one request.
+// BenchmarkLoadConnect measures a connection with a single request.
 func BenchmarkLoadConnect(b *testing.B) {
-	addr := startLoadedSidecar(b, alwaysOpen())
+	addr := startLoadedSidecar(b, closedChannel())
 	b.ReportAllocs()
 	b.SetParallelism(loadClients)
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			c := newLoadClient(b, addr)
-			if err := c.ask(); err != nil {
+			if err := c.roundTrip(); err != nil {
 				b.Error(err)
 				return
 			}
@@ -144,8 +144,8 @@
 	})
 }
 
-// BenchmarkLoadMemory measures what a connection holds: a silent one, an idle one, and one whose
-// request is at a booking server.
+// BenchmarkLoadMemory measures the memory and descriptors of a connection: a silent one, an idle one, and
+// one whose request is in progress at a booking server.
 func BenchmarkLoadMemory(b *testing.B) {
 	const conns = 400
 	for _, kind := range []string{"silent", "idle", "busy"} {
@@ -153,12 +153,12 @@
 			var bytes, fds float64
 			for range b.N {
 				release := make(chan struct{})
-				answers := (<-chan struct{})(release)
+				responses := (<-chan struct{})(release)
 				if kind != "busy" {
-					answers = alwaysOpen()
+					responses = closedChannel()
 				}
-				addr := startLoadedSidecar(b, answers)
-				first := newLoadClient(b, addr) // allocates what every sidecar has
+				addr := startLoadedSidecar(b, responses)
+				first := newLoadClient(b, addr) // causes the allocations that do not depend on the number of connections
 				if kind == "idle" {
 					first.send(loadIDs.Add(1))
 					first.read()
@@ -179,7 +179,7 @@
 						}
 					}
 				}
-				time.Sleep(100 * time.Millisecond) // the requests are on their way; the figure is a mean and not a check
+				time.Sleep(100 * time.Millisecond) // the requests are in transit; the figure is a mean, not a check
 				nowMemory, nowFiles := resourcesHeld(b)
 				bytes += (nowMemory - memory) / conns
 				fds += (nowFiles - files) / conns
@@ -195,7 +195,7 @@
 	}
 }
 
-// resourcesHeld returns the bytes of heap and stacks, and the descriptors, of this process.
+// resourcesHeld returns the bytes of heap and stacks, and the number of descriptors, of this process.
 func resourcesHeld(b *testing.B) (memory, files float64) {
 	runtime.GC()
 	runtime.GC() // the second collection empties the pools
@@ -208,16 +208,16 @@
 	return float64(m.HeapAlloc + m.StackInuse), float64(len(names))
 }
 
-// BenchmarkLoadDrain measures how long a graceful shutdown takes, as a multiple of what the longest
-// request still needs. The protocol lets connections arrive for 0.4 s of it.
+// BenchmarkLoadDrain measures how long a graceful shutdown takes, as a multiple of the remaining time of the
+// longest request. For the first 0.4 s of it, the protocol allows connections to arrive.
 func BenchmarkLoadDrain(b *testing.B) {
-	for _, rest := range []time.Duration{time.Second, 3 * time.Second} {
-		b.Run(rest.String(), func(b *testing.B) {
+	for _, remaining := range []time.Duration{time.Second, 3 * time.Second} {
+		b.Run(remaining.String(), func(b *testing.B) {
 			slog.SetDefault(slog.New(slog.DiscardHandler))
 			var ratio, rounds float64
 			for b.Loop() {
 				u := sidecartest.NewFakeServer(b, func(sidecartest.Received) (string, bool) {
-					time.Sleep(rest)
+					time.Sleep(remaining)
 					return sidecartest.OKResponse("ok"), false
 				})
 				addr, stop, ended := startSidecar(b, testConfig(b, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
@@ -232,7 +232,7 @@
 					b.Fatal(err)
 				}
 				<-ended
-				ratio += float64(time.Since(begun)) / float64(rest)
+				ratio += float64(time.Since(begun)) / float64(remaining)
 				rounds++
 				c.Close()
 			}
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -14,57 +14,57 @@
 )
 
 const (
-	eventBacklog     = 1024
+	eventQueueSize   = 1024
 	countersInterval = time.Minute
 )
 
-// eventLoop owns the balancer: every event comes to it by a channel, and it carries out what the
-// balancer decides without ever waiting for I/O. Its goroutine alone reads and writes its fields,
-// except those that say otherwise.
+// eventLoop owns the balancer. It receives all events through a channel, and carries out the balancer's
+// decisions without ever waiting for I/O. Only its goroutine accesses its fields, unless a field's comment
+// says otherwise.
 type eventLoop struct {
 	config    *config.Config
 	balancer  *policy.Balancer
 	transport *upstream.Transport
 	gate      *gate.Gate
 
-	events chan event // from any goroutine
-	queued []event    // that the loop makes itself
+	events chan event // may be sent by any goroutine
+	queued []event    // created by the loop itself
 
-	lifetime    context.Context // ends with run, and attempts with it
+	lifetime    context.Context // ends when run returns, and cancels the attempts in flight
 	endLifetime context.CancelFunc
-	tasks       sync.WaitGroup // attempts and probes under way
+	tasks       sync.WaitGroup // attempts and probes in progress
 
 	clock     balancerClock
 	wakeTimer wakeTimer
 	requests  requestTable
 	endpoints endpointTable
 
-	// endpointsKnown is read by any goroutine: this sidecar has an endpoint list.
+	// endpointsKnown reports whether this sidecar has an endpoint list. Any goroutine may read it.
 	endpointsKnown atomic.Bool
-	pollRequests   chan struct{} // the balancer wants the endpoint list polled
+	pollRequests   chan struct{} // the balancer requests a poll of the endpoint list
 
-	fleet     fleetParts
+	fleet     fleetComponents
 	observers requestObservers
-	// connections counts the client connections that may bring a request; nil: there are none.
+	// connections counts the client connections on which requests may arrive; nil: there are none.
 	connections connectionCounter
-	counters    []counterLogger // are logged with the balancer's counters
+	counters    []counterLogger // logged together with the balancer's counters
 }
 
 // connectionCounter counts client connections.
 type connectionCounter interface {
-	// possiblyActive returns how many may still bring a request, or have one in progress.
+	// possiblyActive returns the number of connections on which a request is in progress or may still arrive.
 	possiblyActive() int
 }
 
-// counterLogger is a part that logs its counters.
+// counterLogger is a component that logs its counters.
 type counterLogger interface{ LogCounters() }
 
-// newEventLoop makes a loop that lives from now on until run has ended.
+// newEventLoop returns a loop that accepts events from now on until run has returned.
 func newEventLoop(c *config.Config, transport *upstream.Transport, g *gate.Gate) (*eventLoop, error) {
 	lifetime, end := context.WithCancel(context.Background())
 	l := &eventLoop{
 		config: c, transport: transport, gate: g,
-		events: make(chan event, eventBacklog), lifetime: lifetime, endLifetime: end,
+		events: make(chan event, eventQueueSize), lifetime: lifetime, endLifetime: end,
 		clock: newBalancerClock(), wakeTimer: newWakeTimer(),
 		requests: newRequestTable(), endpoints: newEndpointTable(c.Zones), pollRequests: make(chan struct{}, 1),
 		observers: requestObservers{
@@ -86,7 +86,7 @@
 	return l, nil
 }
 
-// tenantNames returns the names of the bulkheads; without tenants there is one without a name.
+// tenantNames returns the tenants' names. Without tenants there is a single, unnamed bulkhead.
 func tenantNames(c *config.Config) []string {
 	if len(c.Tenants) == 0 {
 		return []string{""}
@@ -94,8 +94,8 @@
 	return c.Tenants
 }
 
-// post hands an event to the loop, and says whether the loop is there to handle it. It may be
-// called by any goroutine.
+// post sends an event to the loop, and returns false if the loop has ended. It may be called by any
+// goroutine.
 func (l *eventLoop) post(e event) bool {
 	select {
 	case l.events <- e:
@@ -105,7 +105,7 @@
 	}
 }
 
-// run handles events until ctx ends, and then ends all that is under way.
+// run handles events until ctx ends, then cancels attempts and probes, and waits for them.
 func (l *eventLoop) run(ctx context.Context) {
 	defer l.tasks.Wait()
 	defer l.endLifetime()
@@ -150,8 +150,8 @@
 	}
 }
 
-// releaseCapacity releases what this process does not need any more, and returns the capacity that
-// it keeps; nothing once the loop has ended. It may be called by any goroutine.
+// releaseCapacity releases the capacity that this process no longer needs, and returns the capacity that
+// it keeps, or nil once the loop has ended. It may be called by any goroutine.
 func (l *eventLoop) releaseCapacity() []policy.BulkheadCapacity {
 	reserved := make(chan []policy.BulkheadCapacity, 1)
 	if !l.post(handoverStarted{reserved}) {
@@ -165,8 +165,8 @@
 	}
 }
 
-// expectedRequests is how many requests may still come to this process although a successor has its
-// place: some are being read, or wait for this loop, as the listening socket is passed on.
+// expectedRequests returns how many requests may still arrive at this process after a successor has taken
+// over the listening socket: some are being read then, others wait for this loop.
 func (l *eventLoop) expectedRequests() int {
 	if l.connections == nil {
 		return 0
--- a/internal/sidecar/loop_test.go
+++ b/internal/sidecar/loop_test.go
@@ -22,22 +22,22 @@
 	return l
 }
 
-// A timer that fires early must not be lost: the balancer would ignore it and never ask again.
+// A timer that fires early is armed again: the balancer would ignore the early call and not arm the timer.
 func TestEarlyTimerIsArmedAgain(t *testing.T) {
 	l := newTestLoop(t)
-	due := l.wakeTimer.due // as the balancer asked at its start
+	due := l.wakeTimer.due // set by the balancer at its start
 	l.clock.now = due - time.Millisecond
 	l.wake()
 	if due == 0 || l.wakeTimer.due != due {
 		t.Fatal("an early timer was disarmed")
 	}
-	for l.clock.now < due { // it is armed for the rest of the made-up time, and so early again
+	for l.clock.now < due { // l.clock.now was set ahead: the timer fires early again
 		sidecartest.Await(t, "the timer", l.wakeTimer.timer.C)
 		l.clock.now = l.clock.read()
 		l.wake()
 	}
 	if l.wakeTimer.due <= due {
-		t.Error("the balancer was not woken: it would have asked for a later time")
+		t.Error("the balancer was not woken: it would have armed the timer for a later time")
 	}
 }
 
@@ -51,15 +51,15 @@
 	l.Refuse(r.id, 0)
 	clientDisconnected{r}.handle(l)
 	if a := sidecartest.Await(t, "the response", r.result); a.status != http.StatusBadGateway || len(r.result) > 0 {
-		t.Errorf("answered %d, and %d times more", a.status, len(r.result))
+		t.Errorf("got status %d and %d more responses, want one 502", a.status, len(r.result))
 	}
 	if len(l.requests.byID) > 0 || l.requests.ids.isInUse(r.ID) {
-		t.Errorf("%d requests are still in progress, id in use: %v", len(l.requests.byID), l.requests.ids.isInUse(r.ID))
+		t.Errorf("got %d requests still in progress, id in use %v; want none, false", len(l.requests.byID), l.requests.ids.isInUse(r.ID))
 	}
 }
 
-// A response that comes when its client has gone must not leave the request behind.
-func TestLateResponseLeavesNothingBehind(t *testing.T) {
+// A response that arrives after its client has disconnected must not leak the request.
+func TestResponseAfterClientDisconnectLeaksNoRequest(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	r := call{class: "once"}.request(t, u.Addr)
@@ -74,13 +74,13 @@
 	clientDisconnected{held}.handle(l)
 	attemptEnded{held.attempts[0], policy.Served, &upstream.Response{}}.handle(l)
 	if len(l.requests.byID) > 0 || len(held.result) > 0 {
-		t.Errorf("%d requests are still in progress, %d responses given", len(l.requests.byID), len(held.result))
+		t.Errorf("got %d requests still in progress, %d responses; want none", len(l.requests.byID), len(held.result))
 	}
 }
 
-// At the deadline the balancer may give up before the attempt's own timeout: the client is answered
-// 504 either way.
-func TestTimeoutIsAnsweredWhoeverNoticesFirst(t *testing.T) {
+// At the deadline, the balancer may fail a request before its attempt has timed out: the client gets 504 in
+// either case.
+func TestExpiredDeadlineIsAnswered504(t *testing.T) {
 	l := newTestLoop(t)
 	for want, r := range map[int]*request{
 		http.StatusGatewayTimeout: {Request: upstream.Request{ID: "out"}, id: 7, inFlight: 1, result: make(chan response, 1)},
@@ -89,7 +89,7 @@
 		l.requests.byID[r.id] = r
 		l.Fail(r.id)
 		if a := sidecartest.Await(t, "the response", r.result); a.status != want {
-			t.Errorf("%s: answered %d, want %d", r.ID, a.status, want)
+			t.Errorf("%s: got status %d, want %d", r.ID, a.status, want)
 		}
 	}
 }
--- a/internal/sidecar/membership.go
+++ b/internal/sidecar/membership.go
@@ -8,37 +8,38 @@
 	"barleywick/policy"
 )
 
-// FleetMember is this sidecar as a member of the fleet (docs/MEMBERSHIP.md). Nothing of it is needed
-// to serve, and its methods must not wait.
+// FleetMember represents this sidecar in the fleet's membership (docs/MEMBERSHIP.md). Serving does not
+// depend on it. Its methods other than Run and ServeHTTP must not block.
 type FleetMember interface {
-	http.Handler // serves what this member sees
-	// Run is a member until ctx ends.
+	http.Handler // serves this member's view of the fleet
+	// Run takes part in the membership until ctx ends.
 	Run(ctx context.Context)
-	// Announce tells the others the phase of this sidecar, empty while it serves, and the epoch of
-	// the fleet policy that it acts by.
+	// Announce sends the other members the phase of this sidecar, which is empty while it serves, and the
+	// epoch of the fleet policy that it applies.
 	Announce(phase string, epoch uint64)
-	// ReportUnresponsive tells the others of a booking server that does not answer.
+	// ReportUnresponsive reports to the other members that a booking server does not respond.
 	ReportUnresponsive(host string)
-	// SidecarCount returns how many sidecars are seen; 0: none.
+	// SidecarCount returns the number of sidecars in this member's view, or 0 before it has joined.
 	SidecarCount() int
 }
 
 const (
-	// announceInterval is how often the phase and the number of sidecars are exchanged.
+	// announceInterval is the interval at which the phase is announced and the number of sidecars read.
 	announceInterval = time.Second
-	// unresponsiveAfter is how many attempts in a row a server leaves unanswered before the fleet
-	// is notified: one may be the request's fault, or the network's.
+	// unresponsiveAfter is the number of consecutive attempts without a response after which the fleet is
+	// notified of a server: a single one may be caused by the request or the network.
 	unresponsiveAfter = 3
 )
 
-// announcement is what a sidecar tells the fleet of itself.
-type announcement func() (phase string, epoch uint64)
+// announcementFunc returns what a sidecar announces to the fleet about itself.
+type announcementFunc func() (phase string, epoch uint64)
 
-// runMembership exchanges what the sidecar and its fleet tell each other, until ctx ends.
-func runMembership(ctx context.Context, m FleetMember, l *eventLoop, announce announcement) {
+// runMembership announces the sidecar's phase to the fleet, and notifies the loop when the number of
+// sidecars changes, until ctx ends.
+func runMembership(ctx context.Context, m FleetMember, l *eventLoop, announce announcementFunc) {
 	interval := time.NewTicker(announceInterval)
 	defer interval.Stop()
-	known := 0
+	lastCount := 0
 	for {
 		select {
 		case <-ctx.Done():
@@ -46,18 +47,18 @@
 		case <-interval.C:
 		}
 		m.Announce(announce())
-		if n := m.SidecarCount(); n != known {
-			known = n
+		if n := m.SidecarCount(); n != lastCount {
+			lastCount = n
 			l.post(sidecarCountChanged{n})
 		}
 	}
 }
 
-// recordAttemptEnd notes how an attempt at an endpoint ended, and tells the fleet of an endpoint that is
-// unresponsive.
+// recordAttemptEnd records how an attempt at an endpoint ended, and reports an unresponsive endpoint to the
+// fleet.
 func (l *eventLoop) recordAttemptEnd(e *endpoint, ending policy.Ending) {
 	switch ending {
-	case policy.Cancelled, policy.NotSent: // says nothing of the server
+	case policy.Cancelled, policy.NotSent: // says nothing about the server
 		return
 	case policy.TimedOut, policy.NoConnection:
 		e.consecutiveTimeouts++
@@ -66,6 +67,6 @@
 	}
 	if e.consecutiveTimeouts == unresponsiveAfter && l.fleet.member != nil {
 		l.fleet.member.ReportUnresponsive(e.entry.Host)
-		e.consecutiveTimeouts = 0 // the fleet is notified again after as many more
+		e.consecutiveTimeouts = 0 // report again after as many more
 	}
 }
--- a/internal/sidecar/observers.go
+++ b/internal/sidecar/observers.go
@@ -9,8 +9,8 @@
 	"barleywick/policy"
 )
 
-// requestObservers are notified of each request and attempt: the fleet policy's comparison of canaries,
-// the overload digests, metrics and the log.
+// requestObservers are notified of each request and attempt. They feed the fleet policy's comparison of
+// canaries, the overload digests, metrics and the log.
 type requestObservers struct {
 	classes    []string
 	tenants    []string
@@ -18,8 +18,8 @@
 
 	policy   requestRecorder          // nil: there is no fleet policy
 	overload *overloadreporter.Counts // nil: no digests are reported
-	exporter MetricsExporter          // nil: nothing is measured
-	trace    bool                     // each attempt and response is logged
+	exporter MetricsExporter          // nil: no metrics are exported
+	trace    bool                     // log each attempt and response
 }
 
 // requestRecorder counts how requests end.
@@ -31,7 +31,7 @@
 	}
 }
 
-// requestAnswered is called when a client was given a response.
+// requestAnswered is called when a request was answered.
 func (o *requestObservers) requestAnswered(r *request, status int) {
 	if o.policy == nil && o.overload == nil && o.exporter == nil && !o.trace {
 		return
@@ -46,7 +46,7 @@
 	o.requestEnded(r, result)
 }
 
-// requestEnded is called for each request that ended, also without a response.
+// requestEnded is called for each request that ended, even without a response.
 func (o *requestObservers) requestEnded(r *request, result outcome.Outcome) {
 	if o.exporter == nil && !o.trace {
 		return
@@ -74,7 +74,7 @@
 		"ending", endingNames[ending], "took", time.Since(a.startedAt))
 }
 
-// endingNames name in the log how an attempt ended.
+// endingNames are the names of attempt endings in the log.
 var endingNames = map[policy.Ending]string{
 	policy.Served: "served", policy.Errored: "error", policy.Rejected: "rejected", policy.TimedOut: "timed out",
 	policy.NoConnection: "no connection", policy.Broken: "broken", policy.Cancelled: "cancelled", policy.NotSent: "not sent",
--- a/internal/sidecar/overload.go
+++ b/internal/sidecar/overload.go
@@ -8,7 +8,7 @@
 	"barleywick/policy"
 )
 
-// newOverloadCounts makes the counts for overload digests.
+// newOverloadCounts returns the counts for overload digests.
 func (l *eventLoop) newOverloadCounts() *overloadreporter.Counts {
 	return overloadreporter.NewCounts(tenantNames(l.config), func(tenant int) (share float64, ok bool) {
 		tenants := l.config.Policy.Tenants
@@ -19,16 +19,16 @@
 	})
 }
 
-// digest returns what was counted, and counts anew.
+// digest returns the congestion and the counts since the previous digest, and resets the counts.
 func (l *eventLoop) digest() overload.Digest {
 	return overload.Digest{Congestion: min(1, l.balancer.Congestion(l.clock.now)), Tenants: l.observers.overload.Take()}
 }
 
-// OverloadDigest has the loop return its counts, and count anew.
+// OverloadDigest requests a digest from the loop.
 func (l *eventLoop) OverloadDigest(ctx context.Context) (overload.Digest, error) {
 	digest := make(chan overload.Digest, 1)
 	if !l.post(digestRequested{digest}) {
-		return overload.Digest{}, errEnded
+		return overload.Digest{}, errLoopEnded
 	}
 	select {
 	case d := <-digest:
@@ -38,5 +38,5 @@
 	}
 }
 
-// ApplyAdvice has the loop put advice into force.
+// ApplyAdvice makes the loop apply overload advice.
 func (l *eventLoop) ApplyAdvice(a policy.OverloadAdvice) { l.post(adviceReceived{a}) }
--- a/internal/sidecar/reload_race_test.go
+++ b/internal/sidecar/reload_race_test.go
@@ -15,11 +15,9 @@
 	"barleywick/internal/sidecar/upstream"
 )
 
-// What happens: the race detector reports a sidecar that gets SIGHUP while a fleet policy
-// comes into force, and the limits on connections in force may be mixed of the old file's and
-// the new one's. Why: the service writes the configuration's limits as it reads the file
-// again, and the policy follower's goroutine reads them as it applies a document; only the
-// reader held the lock.
+// A reload while a fleet policy is applied must not cause a data race, or mix the connection limits of the
+// old and the new configuration. The service writes the configured limits at the reload, and the policy
+// follower's goroutine reads them when it applies a document: both must hold the lock.
 func TestReloadWhileThePolicyIsEnforced(t *testing.T) {
 	const rounds = 50
 	c := testConfig(t, options{}, "127.0.0.1:1")
@@ -32,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	loop.endLifetime() // nobody reads its events: only the limits on connections are applied
+	loop.endLifetime() // the loop does not run: only the connection limits are applied
 	ln := sidecartest.ListenLoopback(t)
 	listener := newLimitedListener(ln, c.Connections.Clients)
 	defer listener.Close()
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -10,32 +10,34 @@
 	"barleywick/policy"
 )
 
-// noPolicyRetryAfter is the mean Retry-After of a sidecar that may not act under the fleet policy.
+// noPolicyRetryAfter is the mean Retry-After of refusals while the sidecar may not act under the fleet
+// policy.
 const noPolicyRetryAfter = time.Second
 
-// request is a client's request until its client has its response. The first fields are fixed
-// before the event loop sees it; the rest belongs to the loop.
+// request is a client's request until the client has its response. The fields up to result are set before
+// the event loop receives the request; only the loop accesses the others.
 type request struct {
-	upstream.Request // as it goes to a server
+	upstream.Request // as it is forwarded to a server
 	class            int
 	tenant           int
 	clientRetry      bool
-	expectedWork     time.Duration // 0: not known
-	affinityKey      uint64        // a hash of what it concerns; 0: not known
-	conn             *clientConn   // it came on; nil: none, as in tests
+	expectedWork     time.Duration // 0: unknown
+	affinityKey      uint64        // hash of the Affinity-Key; 0: none
+	conn             *clientConn   // the connection it arrived on; nil in tests
 	receivedAt       time.Time
-	clientDeadline   time.Time     // when the client gives up
-	processDeadline  time.Time     // when the process has to have answered it; zero: the process serves on
-	result           chan response // receives the one response; never blocks
+	clientDeadline   time.Time     // when the client times out
+	processDeadline  time.Time     // when the shutting-down process must have answered it; zero: no shutdown
+	result           chan response // receives exactly one response; sending never blocks
 
-	id           policy.RequestID
-	closed       bool // answered, or the client has gone
-	attempts     []*attempt
-	inFlight     int  // attempts that have not ended
-	lastTimedOut bool // the last attempt did
+	id                  policy.RequestID
+	closed              bool // answered, or the client has disconnected
+	attempts            []*attempt
+	inFlight            int  // attempts that have not ended
+	lastAttemptTimedOut bool // the attempt that ended last timed out
 }
 
-// deadline returns when it has to be answered: the client's or the process's deadline.
+// deadline returns the time by which the request must be answered: the earlier of the client's and the
+// process's deadline.
 func (r *request) deadline() time.Time {
 	if !r.processDeadline.IsZero() && r.processDeadline.Before(r.clientDeadline) {
 		return r.processDeadline
@@ -43,7 +45,7 @@
 	return r.clientDeadline
 }
 
-// processTimeLeft returns how long the process may still take for it; 0: the process serves on.
+// processTimeLeft returns the time left until the process's deadline; 0: the process is not shutting down.
 func (r *request) processTimeLeft() time.Duration {
 	if r.processDeadline.IsZero() {
 		return 0
@@ -62,28 +64,28 @@
 	return requestTable{byID: make(map[policy.RequestID]*request), ids: requestIDs{inUse: make(map[string]bool)}}
 }
 
-// add gives a request its number.
+// add assigns an id to a request and adds it.
 func (t *requestTable) add(r *request) {
 	t.lastID++
 	r.id = t.lastID
 	t.byID[r.id] = r
 }
 
-// removeIfDone forgets a request that is closed and has no attempt in flight.
+// removeIfDone removes a request that is closed and has no attempt in flight.
 func (t *requestTable) removeIfDone(r *request) {
 	if r.closed && r.inFlight == 0 {
 		delete(t.byID, r.id)
 	}
 }
 
-// requestIDs are the Request-Ids in use. The event loop alone changes them. The client side reads
-// them, so that it reads no body of a request that cannot be taken.
+// requestIDs is the set of Request-Ids in use. Only the event loop changes it. The client handler reads
+// it, so that it does not read the body of a request that it must reject.
 type requestIDs struct {
 	mu    sync.Mutex
 	inUse map[string]bool
 }
 
-// reserve says whether an id was free, and takes it.
+// reserve marks an id as in use. It returns false if the id was in use before.
 func (ids *requestIDs) reserve(id string) bool {
 	ids.mu.Lock()
 	defer ids.mu.Unlock()
@@ -112,9 +114,10 @@
 	return ids.inUse[id]
 }
 
-// admitRequest passes a new request to the balancer, or refuses it.
+// admitRequest passes a new request to the balancer. It rejects a duplicate id, and refuses the request
+// while the fleet policy does not allow admitting any.
 func (l *eventLoop) admitRequest(r *request) {
-	// A second request under the same id might run its effect twice.
+	// A second request with the same id could cause its effect twice.
 	if !l.requests.ids.reserve(r.ID) {
 		r.closed = true
 		r.result <- response{status: http.StatusConflict}
@@ -132,20 +135,20 @@
 	})
 }
 
-// admitting says whether new requests may be admitted. It may be called by any goroutine.
+// admitting reports whether new requests may be admitted. It may be called by any goroutine.
 func (l *eventLoop) admitting() bool { return l.fleet.policy == nil || l.fleet.policy.Admitting() }
 
-// closeRequest ends a request towards its client.
+// closeRequest marks a request as finished for its client, and cancels attempts that are not written yet.
 func (l *eventLoop) closeRequest(r *request) {
 	r.closed = true
 	l.requests.ids.release(r.ID)
 	for _, a := range r.attempts {
-		a.CancelWrite() // nobody waits for what was not written yet
+		a.CancelWrite() // the result of an unwritten attempt is not needed any more
 	}
 	l.requests.removeIfDone(r)
 }
 
-// answerRequest gives a request its one response.
+// answerRequest answers a request, unless it is closed already.
 func (l *eventLoop) answerRequest(id policy.RequestID, resp response) {
 	r := l.requests.byID[id]
 	if r == nil || r.closed {
@@ -156,8 +159,8 @@
 	l.observers.requestAnswered(r, resp.status)
 }
 
-// endAttempt takes the end of an attempt; answer comes with policy.Served.
-func (l *eventLoop) endAttempt(a *attempt, ending policy.Ending, answer *upstream.Response) {
+// endAttempt handles the end of an attempt. resp is set if the ending is policy.Served.
+func (l *eventLoop) endAttempt(a *attempt, ending policy.Ending, resp *upstream.Response) {
 	r := a.request
 	r.inFlight--
 	if e := a.endpoint; e != nil {
@@ -165,11 +168,11 @@
 		l.recordAttemptEnd(e, ending)
 		l.logDrained(e)
 	}
-	r.lastTimedOut = ending == policy.TimedOut
+	r.lastAttemptTimedOut = ending == policy.TimedOut
 	l.observers.attemptEnded(a, ending)
 	if ending == policy.Served {
-		l.answerRequest(r.id, response{status: http.StatusOK, header: answer.Header, body: answer.Body})
+		l.answerRequest(r.id, response{status: http.StatusOK, header: resp.Header, body: resp.Body})
 	}
-	l.requests.removeIfDone(r) // whatever the ending: a response may come too late for its client
+	l.requests.removeIfDone(r) // for any ending: the request may have been closed before its response arrived
 	l.balancer.Outcome(l.clock.now, policy.Outcome{ID: r.id, Attempt: a.number, Ending: ending, Settled: r.closed})
 }
--- a/internal/sidecar/service.go
+++ b/internal/sidecar/service.go
@@ -24,17 +24,17 @@
 
 const poolSweepInterval = time.Second
 
-// service is one running sidecar. Its parts are started in the order of start, and stopped in the
-// reverse order.
+// service is a running sidecar. Its components are started in the order given in start, and stopped in
+// the reverse order.
 type service struct {
 	config      *config.Config
 	options     runOptions
 	listener    net.Listener
-	predecessor *handover.Predecessor // whose place it takes; nil: there is none
+	predecessor *handover.Predecessor // the process to take over from; nil: none
 
-	stops []func() // of the parts that were started
+	stopFuncs []func() // of the components that were started
 
-	background context.Context // ends when the background tasks are to end
+	background context.Context // cancelled to end the background tasks
 	tasks      sync.WaitGroup  // the background tasks
 
 	pool           *upstream.Pool
@@ -49,32 +49,32 @@
 	member         FleetMember
 	shutdown       *gracefulShutdown
 	handler        *clientHandler
-	handoverServer *handover.Server // nil: no successor can come
+	handoverServer *handover.Server // nil: no successor can connect
 
-	// What the parts tell the service.
-	served       chan error                 // the HTTP server has ended
-	inPlace      chan error                 // this process may accept, or cannot take the predecessor's place
-	policyFailed chan error                 // this sidecar cannot act by the fleet policy
-	successors   <-chan *handover.Successor // nil: none may come
+	// Messages from the components to the service.
+	serverEnded   chan error                 // the HTTP server's error when it has ended
+	acceptStarted chan error                 // nil when this process accepts connections, or the error of the take-over
+	policyFailed  chan error                 // this sidecar cannot apply the fleet policy
+	successors    <-chan *handover.Successor // nil: no successor is accepted
 
-	accepting bool // it accepts, or did
+	accepting bool // this process has begun to accept connections
 
-	reading   bool              // the configuration is being read again
-	readAgain bool              // and has to be once more afterwards
-	reloaded  chan reloadResult // what was read
+	reloading     bool              // a reload of the configuration is in progress
+	reloadPending bool              // another reload was requested meanwhile
+	reloaded      chan reloadResult // the result of a reload
 }
 
-// reloadResult is a configuration that was read again, or why it cannot be used.
+// reloadResult is a reloaded configuration, or the reason why it cannot be used.
 type reloadResult struct {
-	fresh *config.Config
-	err   error
+	config *config.Config
+	err    error
 }
 
-// serve runs a sidecar on a listener, in the place of a predecessor if there is one.
-func serve(stop context.Context, reload <-chan os.Signal, c *config.Config, o runOptions, ln net.Listener, old *handover.Predecessor) error {
+// serve runs a sidecar on a listener. It takes over from predecessor if that is not nil.
+func serve(stop context.Context, reload <-chan os.Signal, c *config.Config, o runOptions, ln net.Listener, predecessor *handover.Predecessor) error {
 	s := &service{
-		config: c, options: o, listener: ln, predecessor: old,
-		served: make(chan error, 1), inPlace: make(chan error, 1), policyFailed: make(chan error, 1),
+		config: c, options: o, listener: ln, predecessor: predecessor,
+		serverEnded: make(chan error, 1), acceptStarted: make(chan error, 1), policyFailed: make(chan error, 1),
 		reloaded: make(chan reloadResult, 1),
 	}
 	defer s.stop()
@@ -84,9 +84,9 @@
 	return s.run(stop, reload)
 }
 
-// start starts the parts, each after those that it needs.
+// start starts the components, each after those that it depends on.
 func (s *service) start() error {
-	for _, startPart := range []func() error{
+	for _, startComponent := range []func() error{
 		s.startListener,
 		s.startUpstreams,
 		s.createLoop,
@@ -104,25 +104,25 @@
 		s.startServer,
 		s.startAccepting,
 	} {
-		if err := startPart(); err != nil {
+		if err := startComponent(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// onStop has a part stopped before those that were started earlier.
-func (s *service) onStop(stop func()) { s.stops = append(s.stops, stop) }
+// onStop registers a function that stops a component. The functions are called in reverse order.
+func (s *service) onStop(stop func()) { s.stopFuncs = append(s.stopFuncs, stop) }
 
-// stop stops the parts that were started, the last one first.
+// stop stops the components that were started, the last one first.
 func (s *service) stop() {
-	for _, stop := range slices.Backward(s.stops) {
+	for _, stop := range slices.Backward(s.stopFuncs) {
 		stop()
 	}
 }
 
-// goBackground starts a background task.
-func (s *service) goBackground(task func(ctx context.Context)) {
+// startTask starts a background task, which ends when its context is cancelled.
+func (s *service) startTask(task func(ctx context.Context)) {
 	s.tasks.Go(func() { task(s.background) })
 }
 
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// probePath is the path by which booking servers are probed.
+// probePath returns the request path of probes to booking servers.
 func probePath(c *config.Config) string {
 	if c.Policy.LoadReports {
 		return "/stats"
@@ -203,7 +203,7 @@
 		return err
 	}
 	s.loop.observers.overload, s.loop.fleet.overload = s.loop.newOverloadCounts(), s.reporter
-	s.goBackground(s.reporter.Run)
+	s.startTask(s.reporter.Run)
 	return nil
 }
 
@@ -212,7 +212,7 @@
 		return nil
 	}
 	if s.options.newMember == nil {
-		return errors.New("membership is set, and this program has none: start sidecar-metrics, which has")
+		return errors.New("membership is configured, but this program is built without it: run sidecar-metrics instead")
 	}
 	s.member = s.options.newMember(s.config)
 	s.loop.fleet.member = s.member
@@ -225,10 +225,10 @@
 	}
 	ln, err := net.Listen("tcp", s.config.Metrics.Listen)
 	if err != nil {
-		return fmt.Errorf("metrics: %w", err)
+		return fmt.Errorf("listen for metrics: %w", err)
 	}
 	status := &statusReader{loop: s.loop, listener: s.clientListener, pool: s.pool}
-	s.goBackground(func(ctx context.Context) { serveMetrics(ctx, s.options.exporter, ln, status) })
+	s.startTask(func(ctx context.Context) { serveMetrics(ctx, s.options.exporter, ln, status) })
 	return nil
 }
 
@@ -244,21 +244,21 @@
 		options.OnLoss = func(loss client.ListLoss) { s.loop.post(listingLost{loss}) }
 	}
 	s.watcher = client.NewWatcher(options)
-	s.goBackground(s.watcher.Follow)
+	s.startTask(s.watcher.Follow)
 	return nil
 }
 
 func (s *service) startLoop() error {
-	s.goBackground(s.loop.run)
+	s.startTask(s.loop.run)
 	return nil
 }
 
 func (s *service) startPoolSweep() error {
-	s.goBackground(func(ctx context.Context) { sweepPool(ctx, s.pool) })
+	s.startTask(func(ctx context.Context) { sweepPool(ctx, s.pool) })
 	return nil
 }
 
-// sweepPool closes idle upstream connections in time.
+// sweepPool regularly closes upstream connections that have been idle for too long.
 func sweepPool(ctx context.Context, p *upstream.Pool) {
 	interval := time.NewTicker(poolSweepInterval)
 	defer interval.Stop()
@@ -283,12 +283,12 @@
 	if s.member == nil {
 		return nil
 	}
-	s.goBackground(s.member.Run)
-	s.goBackground(func(ctx context.Context) { runMembership(ctx, s.member, s.loop, s.announce) })
+	s.startTask(s.member.Run)
+	s.startTask(func(ctx context.Context) { runMembership(ctx, s.member, s.loop, s.announce) })
 	return nil
 }
 
-// announce returns what the fleet is told of this sidecar.
+// announce returns the phase and the policy epoch that this sidecar announces to the fleet.
 func (s *service) announce() (phase string, epoch uint64) {
 	if s.follower != nil {
 		epoch = s.follower.Status().Epoch
@@ -302,11 +302,11 @@
 func (s *service) startServer() error {
 	server := s.handler.newServer()
 	s.onStop(func() { server.Close() })
-	go func() { s.served <- server.Serve(s.clientListener) }()
+	go func() { s.serverEnded <- server.Serve(s.clientListener) }()
 	return nil
 }
 
-// startAccepting accepts connections, or takes the predecessor's place first.
+// startAccepting starts accepting connections, after the take-over from a predecessor if there is one.
 func (s *service) startAccepting() error {
 	s.onStop(func() {
 		if s.handoverServer != nil {
@@ -318,9 +318,9 @@
 		return nil
 	}
 	slog.Info("takeover: taking over from predecessor", "name", s.config.Name, "listen", s.config.Listen)
-	s.goBackground(func(ctx context.Context) {
+	s.startTask(func(ctx context.Context) {
 		if err := s.predecessor.TakeOver(ctx, s); err != nil {
-			s.inPlace <- err
+			s.acceptStarted <- err
 		}
 	})
 	return nil
@@ -328,31 +328,31 @@
 
 var _ handover.NewProcess = (*service)(nil)
 
-// Ready says whether the service has an endpoint list.
+// Ready reports whether the service has an endpoint list.
 func (s *service) Ready() bool { return s.loop.endpointsKnown.Load() }
 
-// StartAccepting accepts connections from now on.
+// StartAccepting starts accepting connections.
 func (s *service) StartAccepting() {
 	s.clientListener.start()
-	s.inPlace <- nil
+	s.acceptStarted <- nil
 }
 
-// ReserveForPredecessor has the balancer leave capacity to the predecessor.
+// ReserveForPredecessor makes the balancer leave capacity to the predecessor.
 func (s *service) ReserveForPredecessor(reserved []policy.BulkheadCapacity) {
 	s.loop.post(predecessorReported{reserved})
 }
 
-// run handles what the parts and the operator tell the service, until it has ended.
+// run handles messages from the components and signals from the operator until the service has ended.
 func (s *service) run(stop context.Context, reload <-chan os.Signal) error {
 	for {
 		select {
-		case err := <-s.served:
-			return fmt.Errorf("serve: %w", err)
-		case err := <-s.inPlace:
+		case err := <-s.serverEnded:
+			return fmt.Errorf("serve client connections: %w", err)
+		case err := <-s.acceptStarted:
 			if err != nil {
 				return err
 			}
-			s.handleInPlace()
+			s.handleAcceptStarted()
 		case err := <-s.policyFailed:
 			return err
 		case successor := <-s.successors:
@@ -360,10 +360,10 @@
 				return err
 			}
 		case <-stop.Done():
-			if !s.accepting && len(s.inPlace) == 0 {
-				return nil // the predecessor keeps its place
+			if !s.accepting && len(s.acceptStarted) == 0 {
+				return nil // the predecessor keeps serving
 			}
-			stop = context.Background() // once: a second signal changes nothing
+			stop = context.Background() // a second signal has no effect
 			s.handleStop()
 		case <-s.shutdown.phaseDue():
 			if ended, err := s.advanceShutdown(); ended {
@@ -377,19 +377,19 @@
 	}
 }
 
-// advanceShutdown takes the shutdown to its next phase. ended says that it was the last, or
-// has failed.
+// advanceShutdown moves the shutdown to its next phase. ended is true if that phase is the last one, or
+// the shutdown has failed.
 func (s *service) advanceShutdown() (ended bool, err error) {
 	done, err := s.shutdown.advance()
 	if !done && err == nil {
 		return false, nil
 	}
-	s.leaveRoster() // every request is answered
+	s.leaveRoster() // all requests have been answered
 	return true, err
 }
 
-// handleInPlace is called when this process accepts connections.
-func (s *service) handleInPlace() {
+// handleAcceptStarted is called once this process accepts connections.
+func (s *service) handleAcceptStarted() {
 	s.accepting = true
 	slog.Info("serving", "name", s.config.Name, "listen", s.config.Listen, "balancers", s.config.Policy.Balancers)
 	if s.config.Takeover == nil {
@@ -397,13 +397,13 @@
 	}
 	server, err := handover.Listen(s.config.Handover(), s.listener)
 	if err != nil {
-		slog.Error("takeover: no successor possible", "err", err)
+		slog.Error("takeover: cannot listen for a successor", "err", err)
 		return
 	}
 	s.handoverServer, s.successors = server, server.Successors()
 }
 
-// handleSuccessor gives this process's place to a successor.
+// handleSuccessor hands over to a successor, and starts the shutdown of this process.
 func (s *service) handleSuccessor(successor *handover.Successor) error {
 	if err := s.handoverServer.HandOver(successor); err != nil {
 		slog.Warn("takeover: handover failed, still serving", "err", err)
@@ -413,52 +413,50 @@
 	if err := s.shutdown.handOver(); err != nil {
 		return err
 	}
-	s.goBackground(func(ctx context.Context) { successor.ReportReserved(ctx, s.loop.releaseCapacity) })
+	s.startTask(func(ctx context.Context) { successor.ReportReserved(ctx, s.loop.releaseCapacity) })
 	return nil
 }
 
 // handleStop begins the graceful shutdown.
 func (s *service) handleStop() {
-	s.successors = nil // a new process would come too late
-	s.shutdown.begin()
+	s.successors = nil // too late to hand over to a successor
+	s.shutdown.start()
 }
 
-// beginReload begins to read the configuration again. It does so also while the process drains:
-// discovery may move while requests are still to be answered. Nothing waits for the read, whose
-// disk may hang.
+// beginReload starts reading the configuration again, even while the process drains: the discovery address
+// may change while requests are in progress. The read runs in the background, as the disk may hang.
 func (s *service) beginReload() {
 	if mutation.EndOnReloadInShutdown && s.shutdown.signalled.Load() {
 		os.Exit(0)
 	}
-	if s.reading {
-		s.readAgain = true
+	if s.reloading {
+		s.reloadPending = true
 		return
 	}
-	s.reading = true
-	go func() { // not awaited at the end
-		fresh, err := s.config.ReadAgain()
-		s.reloaded <- reloadResult{fresh, err}
+	s.reloading = true
+	go func() { // not awaited when the service stops
+		reread, err := s.config.ReadAgain()
+		s.reloaded <- reloadResult{reread, err}
 	}()
 }
 
-// finishReload takes over what was read, and begins to read once more if that was asked for
-// meanwhile.
+// finishReload applies the result of a reload, and starts another reload if one was requested meanwhile.
 func (s *service) finishReload(result reloadResult) {
-	s.takeOver(result)
-	s.reading = false
-	if s.readAgain {
-		s.readAgain = false
+	s.applyReload(result)
+	s.reloading = false
+	if s.reloadPending {
+		s.reloadPending = false
 		s.beginReload()
 	}
 }
 
-func (s *service) takeOver(result reloadResult) {
+func (s *service) applyReload(result reloadResult) {
 	if result.err != nil {
 		slog.Error("configuration: reload failed, nothing changed", "err", result.err)
 		return
 	}
 	before := s.config.DiscoveryAddrs()
-	s.config.Adopt(result.fresh)
+	s.config.Adopt(result.config)
 	s.enforcer.configureLimits(s.config.Connections)
 	if now := s.config.DiscoveryAddrs(); !slices.Equal(now, before) {
 		s.watcher.SetAddrs(now)
--- a/internal/sidecar/service_test.go
+++ b/internal/sidecar/service_test.go
@@ -16,8 +16,8 @@
 	"barleywick/internal/sidecar/upstream"
 )
 
-// A graceful shutdown answers what was taken, serves connections that still come and tells them to
-// close, and closes idle ones before it stops listening.
+// A graceful shutdown answers the requests in progress, serves connections that still arrive with
+// Connection: close, and closes idle connections before it stops listening.
 func TestGracefulShutdownLosesNoRequest(t *testing.T) {
 	release := make(chan struct{})
 	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
@@ -36,18 +36,19 @@
 	call{class: "once", id: "first"}.request(t, addr).Write(idle)
 	in := bufio.NewReader(idle)
 	if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 200 || resp.Close {
-		t.Fatalf("before the shutdown: %+v, error %v", resp, err)
+		t.Fatalf("before the shutdown: got %+v, error %v; want 200 without a close", resp, err)
 	} else {
 		in.Discard(int(resp.ContentLength))
 	}
 	sidecartest.Await(t, "the first", u.Requests)
-	held := call{class: "once", id: "held"}.start(t, addr)
+	held := call{class: "once", id: "held"}.sendInBackground(t, addr)
 	sidecartest.Await(t, "the held one", u.Requests)
 	stop()
 	if _, err := in.Peek(1); err == nil { // returns when the idle connection is closed
-		t.Error("bytes nobody asked for")
+		t.Error("got unexpected bytes on the idle connection, want a close")
 	}
-	// A connection that stays open would be closed under a later request: the response must say so.
+	// The connection is closed after the response: the response must announce it, or the client would send
+	// a later request on it.
 	fresh, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatalf("a new connection after the shutdown began: %v", err)
@@ -56,48 +57,48 @@
 	fresh.SetDeadline(time.Now().Add(sidecartest.Patience))
 	call{class: "once", id: "fresh"}.request(t, addr).Write(fresh)
 	if resp, err := http.ReadResponse(bufio.NewReader(fresh), nil); err != nil || resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("on a new connection: %+v, error %v; want 200 and close", resp, err)
+		t.Errorf("on a new connection: %+v, error %v; want 200 and Connection: close", resp, err)
 	}
 	select {
 	case err := <-ended:
 		t.Fatalf("ended with a request unanswered: %v", err)
-	case <-time.After(lateArrivalTime): // it has stopped listening or is about to
+	case <-time.After(lateArrivalTime): // the sidecar has stopped listening, or is about to
 	}
 	close(release)
 	if got := sidecartest.Await(t, "the held one's response", held); got.status != 200 || got.body != "ok" {
-		t.Errorf("the held one: %+v", got)
+		t.Errorf("the held one: got %+v, want 200 and ok", got)
 	}
 	if err := sidecartest.Await(t, "the end", ended); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("got error %v at the end, want none", err)
 	}
 }
 
-// A sidecar that polls opens its watch again after a failure.
-func TestPollingSidecarWatches(t *testing.T) {
+// A sidecar that polls the endpoint list reopens its watch after a failure.
+func TestPollingSidecarReopensWatch(t *testing.T) {
 	g := registrytest.NewServer(t)
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
-	addr, _, _ := startSidecar(t, testConfig(t, options{ask: true}, g.Addr, registrytest.EndpointJSON("s-0", "127.0.0.1:1", "draining", 0)))
+	addr, _, _ := startSidecar(t, testConfig(t, options{polls: true}, g.Addr, registrytest.EndpointJSON("s-0", "127.0.0.1:1", "draining", 0)))
 	close(sidecartest.Await(t, "the watch", g.Watches).Lines)
 	w := sidecartest.Await(t, "the next watch", g.Watches)
 	w.Lines <- registrytest.ListJSON(2, false, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
-	serveSoon(t, addr)
+	awaitServed(t, addr)
 }
 
-// serveSoon sends requests until one is served: a watch event is on its way.
-func serveSoon(t *testing.T, addr string) {
+// awaitServed sends requests until one is served, for tests in which a watch event is in transit.
+func awaitServed(t *testing.T, addr string) {
 	t.Helper()
 	for i, deadline := 0, time.Now().Add(sidecartest.Patience); ; i++ {
-		if got := (call{class: "once", id: fmt.Sprint("soon-", i)}).do(t, addr); got.status == http.StatusOK {
+		if got := (call{class: "once", id: fmt.Sprint("soon-", i)}).send(t, addr); got.status == http.StatusOK {
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("never served")
+			t.Fatal("no request was served")
 		}
 	}
 }
 
-// A reload: requests in progress are answered, the endpoint list stays in force until the new address
-// has brought another, and a file with a mistake changes nothing.
+// After a reload with a new discovery address, requests in progress are answered, and the endpoint list stays
+// in effect until the new address has delivered another. An invalid file changes nothing.
 func TestReloadMovesDiscovery(t *testing.T) {
 	old, fresh := registrytest.NewServer(t), registrytest.NewServer(t)
 	release := make(chan struct{})
@@ -122,39 +123,39 @@
 	reload := make(chan os.Signal)
 	addr, _, _ := startReloadable(t, c, reload)
 	w := sidecartest.Await(t, "the watch", old.Watches)
-	held := call{class: "once", id: "held"}.start(t, addr)
+	held := call{class: "once", id: "held"}.sendInBackground(t, addr)
 	sidecartest.Await(t, "the held one", a.Requests)
 	for _, wrong := range []string{"", "{", good("discovery.internal"), `{"discovery":"127.0.0.1:1"}`} {
 		write(wrong)
 		reload <- syscall.SIGHUP
 	}
 	select {
-	case w.Lines <- registrytest.ListJSON(2, false): // the old watch is still read
+	case w.Lines <- registrytest.ListJSON(2, false): // the old watch is still open
 	case <-w.Ended:
-		t.Fatal("a file with a mistake ended the watch")
+		t.Fatal("an invalid file ended the watch")
 	}
 	write(good(fresh.Addr))
 	reload <- syscall.SIGHUP
 	sidecartest.Await(t, "the call for the new list", fresh.ListCalls)
-	if got := (call{class: "once", id: "meanwhile"}).do(t, addr); got.body != "a" {
-		t.Errorf("without a new list: %+v", got)
+	if got := (call{class: "once", id: "meanwhile"}).send(t, addr); got.body != "a" {
+		t.Errorf("before the new list: got %+v, want a response from the old server", got)
 	}
 	fresh.FullLists <- registrytest.ListJSON(1, true, registrytest.EndpointJSON("s-2", b.Addr, "up", 0))
 	sidecartest.Await(t, "the new watch", fresh.Watches)
 	for i, deadline := 0, time.Now().Add(sidecartest.Patience); ; i++ {
-		if got := (call{class: "once", id: fmt.Sprint(i)}).do(t, addr); got.body == "b" {
+		if got := (call{class: "once", id: fmt.Sprint(i)}).send(t, addr); got.body == "b" {
 			break
 		} else if time.Now().After(deadline) {
-			t.Fatalf("the new list is not in force: %+v", got)
+			t.Fatalf("the new list is not in effect: got %+v", got)
 		}
 	}
 	close(release)
 	if got := sidecartest.Await(t, "the held one's response", held); got.body != "a" {
-		t.Errorf("the held one: %+v", got)
+		t.Errorf("the held one: got %+v, want a response from the old server", got)
 	}
 }
 
-// SIGHUP applies new limits. A file with impossible limits changes nothing, whatever else it says.
+// A reload applies new limits. A file with invalid limits changes nothing.
 func TestReloadChangesLimits(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
@@ -199,35 +200,35 @@
 	}
 }
 
-// net/http counts a connection as idle until it has read a request's header. If a connection is closed
-// as idle in that moment its request must not be taken: the client sends it once more.
-func TestRequestOnAConnectionClosedAsIdleIsLeftAlone(t *testing.T) {
+// net/http counts a connection as idle until it has read a request's header. If the connection is closed as
+// idle at that time, the request must not be forwarded: the client sends it again.
+func TestRequestOnConnectionClosedAsIdleIsNotForwarded(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	serve := newHandlerTest(t, u)
 	closed, open := newClientConn(&net.TCPConn{}), newClientConn(&net.TCPConn{})
 	closed.closeIdle(false)
 	if !serve(closed) || len(u.Requests) > 0 {
-		t.Error("a request of a connection that was closed as idle was taken")
+		t.Error("a request on a connection that was closed as idle was forwarded")
 	}
 	if serve(open) || len(u.Requests) != 1 {
-		t.Error("a request of an open connection was not taken")
+		t.Error("a request on an open connection was not forwarded")
 	}
 	if closeIdleConn(open, true) != connBusy {
-		t.Error("a connection was closed under a request that had been taken")
+		t.Error("a connection was closed as idle with a request in progress")
 	}
 }
 
 func TestConnectionsAreReused(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{probes: true}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
-	const requests, apart = 12, upstream.MaxQuarantine + 20*time.Millisecond // each connection is out of quarantine by the next request
+	const requests, interval = 12, upstream.MaxQuarantine + 20*time.Millisecond // each connection has left quarantine before the next request
 	for i := range requests {
-		if got := (call{class: "keyed", id: fmt.Sprint(i)}).do(t, addr); got.status != 200 {
-			t.Fatalf("got %+v", got)
+		if got := (call{class: "keyed", id: fmt.Sprint(i)}).send(t, addr); got.status != 200 {
+			t.Fatalf("got %+v, want 200", got)
 		}
-		time.Sleep(apart)
+		time.Sleep(interval)
 	}
-	if n := len(u.Accepted); n > 4 { // one, and one more for each probe that may be out meanwhile
-		t.Errorf("%d connections for %d requests in a row", n, requests)
+	if n := len(u.Accepted); n > 4 { // one, and one more for each probe that may be in flight meanwhile
+		t.Errorf("got %d connections for %d sequential requests, want at most 4", n, requests)
 	}
 }
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -10,66 +10,65 @@
 	"barleywick/internal/sidecar/gate"
 )
 
-// phase is a phase of a sidecar's life. /health/ready answers with it, and members tell it each other.
+// phase is a phase of a sidecar's life cycle. /health/ready responds with it, and members gossip it.
 type phase int32
 
 const (
-	// phaseStarting: it listens, and has no endpoint list yet.
+	// phaseStarting: the sidecar listens, but has no endpoint list yet.
 	phaseStarting phase = iota
-	// phaseServing: it is ready.
+	// phaseServing: the sidecar is ready.
 	phaseServing
-	// phaseDraining: it was told to end. It is not ready and closes idle connections, and the others
-	// with their responses. It still accepts connections, as some are on their way.
+	// phaseDraining: a shutdown was requested. The sidecar is not ready. It closes idle connections now,
+	// and others with their responses. It still accepts connections, as some are in transit.
 	phaseDraining
-	// phaseFinishing: it accepts no connection any more and answers the requests that it has.
+	// phaseFinishing: the sidecar accepts no more connections, and answers its remaining requests.
 	phaseFinishing
-	// phaseEnded: every connection has ended.
+	// phaseEnded: all connections have ended.
 	phaseEnded
-	// phaseWithoutPolicy: it has no fleet policy to act by, although it has to have one, and refuses
-	// new requests.
+	// phaseWithoutPolicy: the sidecar requires a fleet policy and has none in effect. It refuses new
+	// requests.
 	phaseWithoutPolicy
 )
 
-// String returns the phase as it is served, gossiped and logged.
+// String returns the name under which the phase is served, gossiped and logged.
 func (p phase) String() string {
 	return [...]string{"starting", "serving", "draining", "finishing", "ended", "without a policy"}[p]
 }
 
-// lateArrivalTime is how long connections may still arrive after a graceful shutdown was announced:
-// the protocol says 0.4 s, and half of that again is for those that then wait to be accepted. A
-// connection that arrives after 0.7 s and is not answered counts as lost, so the listener has to be
-// closed before.
+// lateArrivalTime is how long connections may still arrive after the start of a graceful shutdown. The
+// protocol allows 0.4 s; another 0.2 s are for connections that then wait to be accepted. A connection
+// that arrives after 0.7 s and gets no response counts as lost, so the listener must be closed earlier.
 const lateArrivalTime = 600 * time.Millisecond
 
-// gracefulShutdown ends a sidecar phase by phase. It is over as soon as every request is answered and
-// no more can arrive. The platform kills the process some time after the signal: all that is started
-// from the signal on ends before that.
+// gracefulShutdown shuts a sidecar down phase by phase. It ends as soon as all requests are answered and no
+// more can arrive. The platform kills the process some time after the signal: everything that starts
+// after the signal must end before that.
 type gracefulShutdown struct {
 	listener     *limitedListener
 	gate         *gate.Gate
-	timeout      time.Duration // from the signal until every request has to be answered
-	begunAt      time.Time
-	arrivalsOver chan struct{} // closed when no connection arrives any more
-	current      atomic.Int32  // phase
-	signalled    atomic.Bool   // begin was called
+	timeout      time.Duration // from the signal to the deadline for answering all requests
+	startedAt    time.Time
+	arrivalsOver chan struct{} // closed lateArrivalTime after the start
+	currentPhase atomic.Int32  // a phase
+	signalled    atomic.Bool   // start was called
 }
 
 func newGracefulShutdown(l *limitedListener, g *gate.Gate, timeout time.Duration) *gracefulShutdown {
 	s := &gracefulShutdown{listener: l, gate: g, timeout: timeout, arrivalsOver: make(chan struct{})}
-	s.current.Store(int32(phaseServing))
+	s.currentPhase.Store(int32(phaseServing))
 	return s
 }
 
-func (s *gracefulShutdown) phase() phase { return phase(s.current.Load()) }
+func (s *gracefulShutdown) phase() phase { return phase(s.currentPhase.Load()) }
 
-// enter begins a phase. Its log line is the phase's name alone, as programs and people search for it.
-func (s *gracefulShutdown) enter(p phase) {
-	s.current.Store(int32(p))
-	slog.Info(p.String(), "connections", s.listener.openConns(), "after", time.Since(s.begunAt).Round(time.Millisecond))
+// enterPhase begins a phase. The log event is only the phase's name, which tools and operators search for.
+func (s *gracefulShutdown) enterPhase(p phase) {
+	s.currentPhase.Store(int32(p))
+	slog.Info(p.String(), "connections", s.listener.openConns(), "after", time.Since(s.startedAt).Round(time.Millisecond))
 }
 
-// begin starts the shutdown at the signal. Another call does nothing.
-func (s *gracefulShutdown) begin() {
+// start starts the shutdown; the service calls it at the signal. Further calls do nothing.
+func (s *gracefulShutdown) start() {
 	if !s.signalled.CompareAndSwap(false, true) {
 		return
 	}
@@ -79,19 +78,19 @@
 		time.AfterFunc(s.timeout, s.listener.closeUnused)
 	}
 	if s.phase() != phaseServing {
-		return // handOver was called before
+		return // handOver has already started it
 	}
-	s.begunAt = time.Now()
+	s.startedAt = time.Now()
 	if !mutation.KeepIdleAtShutdown {
-		s.listener.drain() // before the listener is closed: no idle connection may get a request after that
+		s.listener.drain() // before the listener is closed: after that no request may arrive on an idle connection
 	}
-	s.enter(phaseDraining)
+	s.enterPhase(phaseDraining)
 	time.AfterFunc(lateArrivalTime, func() { close(s.arrivalsOver) })
 }
 
-// handOver starts the shutdown when a new process accepts all connections from now on.
+// handOver starts the shutdown when a successor has taken over the listening socket.
 func (s *gracefulShutdown) handOver() error {
-	s.begunAt = time.Now()
+	s.startedAt = time.Now()
 	s.listener.drain()
 	return s.stopAccepting()
 }
@@ -99,13 +98,13 @@
 // stopAccepting closes the listening socket.
 func (s *gracefulShutdown) stopAccepting() error {
 	if err := s.listener.stopAccepting(); err != nil {
-		return fmt.Errorf("stop listening: %w", err)
+		return fmt.Errorf("close listening socket: %w", err)
 	}
-	s.enter(phaseFinishing)
+	s.enterPhase(phaseFinishing)
 	return nil
 }
 
-// phaseDue returns a channel that is closed when advance is to be called.
+// phaseDue returns a channel that is closed when advance is due.
 func (s *gracefulShutdown) phaseDue() <-chan struct{} {
 	switch s.phase() {
 	case phaseDraining:
@@ -125,6 +124,6 @@
 		s.listener.acceptBacklog()
 		return false, s.stopAccepting()
 	}
-	s.enter(phaseEnded)
+	s.enterPhase(phaseEnded)
 	return true, nil
 }
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -19,9 +19,8 @@
 	"barleywick/policy"
 )
 
-// Through the event loop: attempts in flight at a draining server end, a drain that is called off and
-// one of a server that is replaced at its address leave nothing behind, and a client is refused with
-// Retry-After while all servers drain.
+// While all servers drain, attempts in flight finish, and new requests are refused with Retry-After. After a
+// cancelled drain, or when a new server replaces the draining one at its address, requests are served again.
 func TestServerDrainThroughTheEndpointList(t *testing.T) {
 	g := registrytest.NewServer(t)
 	release := make(chan struct{})
@@ -31,26 +30,26 @@
 		}
 		return sidecartest.OKResponse("ok"), false
 	})
-	addr, _, _ := startSidecar(t, testConfig(t, options{aim: time.Second}, g.Addr, registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
+	addr, _, _ := startSidecar(t, testConfig(t, options{latencyObjective: time.Second}, g.Addr, registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	w := sidecartest.Await(t, "the watch", g.Watches)
-	held := call{class: "once", id: "held"}.start(t, addr)
+	held := call{class: "once", id: "held"}.sendInBackground(t, addr)
 	sidecartest.Await(t, "the request", u.Requests)
-	tell := func(seq int, host, health string) {
+	sendEntry := func(seq int, host, health string) {
 		t.Helper()
 		w.Lines <- registrytest.ListJSON(seq, false, registrytest.EndpointJSON(host, u.Addr, health, 0))
-		w.Lines <- "" // received after the line before has been read
+		w.Lines <- "" // received once the previous line has been read
 	}
-	tell(2, "s-1", "draining")
-	for i := 0; ; i++ { // the watch event is on its way to the loop
-		got := call{class: "once", id: fmt.Sprint("late-", i)}.do(t, addr)
+	sendEntry(2, "s-1", "draining")
+	for i := 0; ; i++ { // until the watch event has reached the loop
+		got := call{class: "once", id: fmt.Sprint("late-", i)}.send(t, addr)
 		if got.status == http.StatusServiceUnavailable {
 			if got.header.Get("Retry-After") == "" {
-				t.Error("refused without Retry-After")
+				t.Error("got a refusal without Retry-After")
 			}
 			break
 		}
 		if i == 1000 {
-			t.Fatalf("a draining server gets requests: %+v", got)
+			t.Fatalf("a draining server still gets requests: got %+v", got)
 		}
 	}
 	for len(u.Requests) > 0 {
@@ -60,38 +59,38 @@
 	if got := sidecartest.Await(t, "the response", held); got.status != 200 {
 		t.Errorf("the attempt in flight: got %+v, want 200", got)
 	}
-	tell(3, "s-1", "up")
-	serveSoon(t, addr)
-	tell(4, "s-1", "draining")
-	tell(5, "s-1", "removed")
-	tell(6, "s-2", "up") // at the same address
-	serveSoon(t, addr)
+	sendEntry(3, "s-1", "up")
+	awaitServed(t, addr)
+	sendEntry(4, "s-1", "draining")
+	sendEntry(5, "s-1", "removed")
+	sendEntry(6, "s-2", "up") // at the same address
+	awaitServed(t, addr)
 }
 
-// The loop passes a drain to the pool once, and its end.
+// The loop notifies the pool once when a drain starts, and when it is cancelled.
 func TestServerDrainFollowsTheEndpointList(t *testing.T) {
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", "127.0.0.1:7", "up", 0))
-	h := l.endpoints.byName["s-1"]
-	h.inFlight = 1
-	drains := func() bool { return l.transport.Pool().ServerState(h.server) == policy.Draining }
-	change := func(health string) {
+	e := l.endpoints.byName["s-1"]
+	e.inFlight = 1
+	isDraining := func() bool { return l.transport.Pool().ServerState(e.server) == policy.Draining }
+	applyHealth := func(health string) {
 		l.applyListing(policy.ListDelta, client.ListUpdate{Endpoints: []client.Endpoint{{Host: "s-1", Dial: "127.0.0.1:7", Site: "a", Health: health, Share: 1}}})
 	}
 	l.clock.now = time.Second
-	change("draining")
-	if h.drainingSince != time.Second || !drains() {
-		t.Errorf("got draining since %v, in the pool %v; want 1s and true", h.drainingSince, drains())
+	applyHealth("draining")
+	if e.drainingSince != time.Second || !isDraining() {
+		t.Errorf("got draining since %v, in the pool %v; want 1s and true", e.drainingSince, isDraining())
 	}
 	l.clock.now = 2 * time.Second
-	if change("draining"); h.drainingSince != time.Second {
-		t.Error("the drain began anew when it was notified again")
+	if applyHealth("draining"); e.drainingSince != time.Second {
+		t.Error("the drain restarted when it was notified again")
 	}
-	if change("up"); h.drainingSince != 0 || drains() {
-		t.Error("the drain was not called off")
+	if applyHealth("up"); e.drainingSince != 0 || isDraining() {
+		t.Error("the drain was not cancelled")
 	}
 }
 
-// The phases of a graceful shutdown, with a second signal, a reload and a long request meanwhile.
+// A graceful shutdown passes through its phases during a second signal, a reload and a long request.
 func TestPhasesOfAGracefulShutdown(t *testing.T) {
 	release := make(chan struct{})
 	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-release; return sidecartest.OKResponse("ok"), false })
@@ -117,7 +116,7 @@
 	if got := phase(); got != "200 serving\n" {
 		t.Errorf("before the shutdown: got %q, want 200 serving", got)
 	}
-	held := call{class: "once", id: "held"}.start(t, addr)
+	held := call{class: "once", id: "held"}.sendInBackground(t, addr)
 	sidecartest.Await(t, "the request", u.Requests)
 	stop()
 	sidecartest.Eventually(t, "it drains", func() bool { return phase() == "503 draining\n" })
@@ -132,7 +131,7 @@
 	}
 	close(release)
 	if got := sidecartest.Await(t, "the response", held); got.status != 200 {
-		t.Errorf("the request: got %+v", got)
+		t.Errorf("the request: got %+v, want 200", got)
 	}
 	if err := sidecartest.Await(t, "the end", ended); err != nil {
 		t.Error(err)
@@ -145,8 +144,8 @@
 	}
 }
 
-// A signal before the sidecar has a list, a server that never answers, and a client that never reads:
-// the shutdown ends by the deadline of each.
+// A shutdown ends by the applicable deadline: before the sidecar has an endpoint list, with a server that
+// never responds, and with a client that never reads.
 func TestGracefulShutdownUnderFaults(t *testing.T) {
 	t.Run("before it is ready", func(t *testing.T) {
 		_, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1"))
@@ -156,14 +155,14 @@
 		}
 	})
 	t.Run("a server that never answers", func(t *testing.T) {
-		t.Parallel() // it takes the request's whole timeout
+		t.Parallel() // the test takes the request's whole timeout
 		u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
 		addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
-		held := call{class: "once", id: "held", timeout: "1.5"}.start(t, addr)
+		held := call{class: "once", id: "held", timeout: "1.5"}.sendInBackground(t, addr)
 		sidecartest.Await(t, "the request", u.Requests)
 		stop()
 		if got := sidecartest.Await(t, "the response", held); got.status != http.StatusGatewayTimeout {
-			t.Errorf("the request: got %+v", got)
+			t.Errorf("the request: got %+v, want 504", got)
 		}
 		if err := sidecartest.Await(t, "the end", ended); err != nil {
 			t.Error(err)
@@ -185,33 +184,33 @@
 	})
 }
 
-// begin acts once, whatever is called later.
+// Only the first call of start has an effect.
 func TestShutdownBeginsOnce(t *testing.T) {
 	l := newLimitedListener(sidecartest.ListenLoopback(t), testLimits(1))
 	l.start()
 	defer l.Close()
-	d := testShutdown(l)
-	d.begin()
-	begun := d.begunAt
-	d.begin()
-	if d.begunAt != begun || d.phase() != phaseDraining {
-		t.Errorf("got begun at %v and again at %v, phase %v; want once, draining", begun, d.begunAt, d.phase())
+	shutdown := testShutdown(l)
+	shutdown.start()
+	begun := shutdown.startedAt
+	shutdown.start()
+	if shutdown.startedAt != begun || shutdown.phase() != phaseDraining {
+		t.Errorf("start twice: got start times %v and %v, phase %v; want one time, draining", begun, shutdown.startedAt, shutdown.phase())
 	}
-	if done, err := d.advance(); done || err != nil || d.phase() != phaseFinishing {
-		t.Errorf("advance: got %v, error %v, phase %v; want false, nil, finishing", done, err, d.phase())
+	if done, err := shutdown.advance(); done || err != nil || shutdown.phase() != phaseFinishing {
+		t.Errorf("advance: got %v, error %v, phase %v; want false, nil, finishing", done, err, shutdown.phase())
 	}
-	sidecartest.Await(t, "the close of the last connection", d.phaseDue())
-	if done, err := d.advance(); !done || err != nil || d.phase() != phaseEnded {
-		t.Errorf("advance again: got %v, error %v, phase %v; want true, nil, ended", done, err, d.phase())
+	sidecartest.Await(t, "the close of the last connection", shutdown.phaseDue())
+	if done, err := shutdown.advance(); !done || err != nil || shutdown.phase() != phaseEnded {
+		t.Errorf("advance again: got %v, error %v, phase %v; want true, nil, ended", done, err, shutdown.phase())
 	}
 }
 
-// Connections in the listener's backlog at a shutdown are served: the kernel has established them, and
-// requests were sent on them.
+// Connections in the listener's backlog at a shutdown are served: the kernel has established them, and their
+// clients have sent requests.
 func TestBacklogIsServedAtShutdown(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
-	_, limited, ending := newClientSide(t, u, nil)
-	ending.begin()
+	_, limited, shutdown := newClientSide(t, u, nil)
+	shutdown.start()
 	var conns []net.Conn
 	for range 3 {
 		c, err := net.Dial("tcp", limited.Addr().String())
@@ -227,7 +226,7 @@
 	for i, c := range conns {
 		c.SetDeadline(time.Now().Add(sidecartest.Patience))
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode >= 500 && resp.StatusCode != http.StatusServiceUnavailable {
-			t.Errorf("connection %d: got %+v, %v", i, resp, err)
+			t.Errorf("connection %d: got response %+v, error %v; want a status below 500, or 503", i, resp, err)
 		}
 	}
 }
