--- a/internal/sidecar/status.go
+++ b/internal/sidecar/status.go
@@ -15,24 +15,24 @@
 	"barleywick/policy"
 )
 
-// MetricsExporter measures a sidecar and serves its metrics. Its methods may be called concurrently.
+// MetricsExporter records and serves the metrics of a sidecar. Its methods may be called concurrently.
 type MetricsExporter interface {
-	// RecordRequest records the end of a request. The event loop calls it: it must not wait.
+	// RecordRequest records the end of a request. The event loop calls it: it must not block.
 	RecordRequest(class, tenant, outcome string, took time.Duration)
 	// Serve serves metrics on ln until ctx ends, and reads the status at each scrape.
 	Serve(ctx context.Context, ln net.Listener, status func(context.Context) (Status, error)) error
 }
 
-// Status is how a sidecar stands at a moment.
+// Status is a snapshot of a sidecar's state.
 type Status struct {
 	OpenRequests    int
 	Bulkheads       []Bulkhead
-	Endpoints       map[string]map[string]int // how many are listed, by zone and health
-	EndpointListAge time.Duration             // since the last list message; 0: none came yet
+	Endpoints       map[string]map[string]int // number of listed endpoints by zone and health
+	EndpointListAge time.Duration             // since the last list message; 0: none received yet
 	Decided         policy.Counters
-	Congestion      float64 // the share of their objective that responses took lately
+	Congestion      float64 // recent response times as a share of the latency objective
 
-	// The connections now, by state, and what was counted of them so far.
+	// The current number of connections by state, and the event counters.
 	ClientConnections        map[string]float64
 	UpstreamConnections      map[string]float64
 	ClientConnectionEvents   map[string]float64
@@ -43,7 +43,7 @@
 	OverloadAdvice *overloadreporter.Status // nil: the configuration names no overload advice
 }
 
-// Bulkhead is what is free of one tenant's bulkhead.
+// Bulkhead is the free capacity of one tenant's bulkhead.
 type Bulkhead struct {
 	Tenant    string
 	SlotsFree int
@@ -53,16 +53,16 @@
 // DecisionCounts returns the balancer's counters by name.
 func (s Status) DecisionCounts() map[string]float64 { return counters.Values(s.Decided) }
 
-// errEnded says that the event loop has ended.
-var errEnded = errors.New("the sidecar has ended")
+// errLoopEnded is returned when the event loop has ended.
+var errLoopEnded = errors.New("sidecar: event loop has ended")
 
-// requestStatus has the loop return its part of the status.
+// requestStatus requests the loop's part of the status.
 func (l *eventLoop) requestStatus(ctx context.Context) (Status, error) {
 	status := make(chan Status, 1)
 	select {
 	case l.events <- statusRequested{status}:
 	case <-l.lifetime.Done():
-		return Status{}, errEnded
+		return Status{}, errLoopEnded
 	case <-ctx.Done():
 		return Status{}, ctx.Err()
 	}
@@ -70,7 +70,7 @@
 	case s := <-status:
 		return s, nil
 	case <-l.lifetime.Done():
-		return Status{}, errEnded
+		return Status{}, errLoopEnded
 	case <-ctx.Done():
 		return Status{}, ctx.Err()
 	}
@@ -113,7 +113,7 @@
 	return counts
 }
 
-// statusReader reads the status of all parts.
+// statusReader reads the status of all components.
 type statusReader struct {
 	loop     *eventLoop
 	listener *limitedListener
--- a/internal/sidecar/status_test.go
+++ b/internal/sidecar/status_test.go
@@ -14,7 +14,7 @@
 	"barleywick/internal/sidecar/sidecartest"
 )
 
-// fakeExporter records what it is told.
+// fakeExporter keeps the requests that it is asked to record.
 type fakeExporter struct {
 	mu     sync.Mutex
 	ended  []string
@@ -49,7 +49,7 @@
 	addr, stop, ended := startSidecar(t, c, WithMetrics(m))
 	status := sidecartest.Await(t, "the exporter", m.status)
 	for _, id := range []string{"one", "two", "breaks"} {
-		call{class: "once", id: id}.do(t, addr)
+		call{class: "once", id: id}.send(t, addr)
 	}
 	s, err := status(t.Context())
 	if err != nil {
@@ -60,26 +60,26 @@
 		listed += zone["up"]
 	}
 	if s.Gate.Decided["send: allowed"] != 3 || len(s.Gate.Violated) > 0 {
-		t.Errorf("the gate's counters: %+v", s.Gate)
+		t.Errorf("got gate counters %+v, want 3 sends allowed and no violation", s.Gate)
 	}
 	if s.OpenRequests != 0 || len(s.Bulkheads) == 0 || s.Bulkheads[0].SlotsFree == 0 || listed != 1 || s.DecisionCounts()["Ordinary"] != 3 || s.ClientConnectionEvents["Accepted"] == 0 || s.UpstreamConnectionEvents["Opened"] == 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("got status %+v, want no open request, a free slot, one endpoint, 3 ordinary decisions and connection events", s)
 	}
 	stop()
 	if err := sidecartest.Await(t, "the end", ended); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := status(t.Context()); err == nil {
-		t.Error("a sidecar that has ended returns its status")
+		t.Error("got a status after the sidecar had ended, want an error")
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if got := strings.Join(m.ended, ", "); !strings.HasPrefix(got, "once ") || strings.Count(got, "served") != 2 || strings.Count(got, "failed") != 1 || len(m.ended) != 3 || strings.Contains(got, "no time") {
-		t.Errorf("recorded: %s", got)
+		t.Errorf("got recorded requests %s; want 2 served and 1 failed of class once, each with a duration", got)
 	}
 }
 
-// syncBuffer is a log that is written and read at once.
+// syncBuffer is a log buffer that may be written and read concurrently.
 type syncBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -105,7 +105,7 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug})))
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
-	call{class: "once", id: "follow-me"}.do(t, addr)
+	call{class: "once", id: "follow-me"}.send(t, addr)
 	stop()
 	if err := sidecartest.Await(t, "the end", ended); err != nil {
 		t.Fatal(err)
@@ -115,11 +115,11 @@
 		if strings.Contains(line, "request ended") || strings.Contains(line, "attempt ended") {
 			lines++
 			if !strings.Contains(line, "request=follow-me") {
-				t.Errorf("no id: %s", line)
+				t.Errorf("got a line without the request's id: %s", line)
 			}
 		}
 	}
 	if lines != 2 {
-		t.Errorf("%d lines about the request, want one for its attempt and one for its end:\n%s", lines, log)
+		t.Errorf("got %d lines about the request, want one for its attempt and one for its end:\n%s", lines, log)
 	}
 }
