--- a/internal/sidecar/client_conn.go
+++ b/internal/sidecar/client_conn.go
@@ -25,17 +25,17 @@
 // after the connection had been closed, it could run twice: its client sends it again.
 type clientConn struct {
 	*net.TCPConn
-	raw                 syscall.RawConn // nil if the socket has none, as in tests
+	raw                 syscall.RawConn // nil in tests without a socket
 	acceptedAt          time.Time
 	awaitingFirstHeader atomic.Bool // the first request's header has not been read
 	responseWritten     atomic.Bool // response bytes were written since endRequest
-	requests            int         // number of request headers read; net/http serves one request at a time
+	requests            int         // number of requests read, without health checks; net/http serves one at a time
 	entry               admission.Conn[*clientConn]
 	gate                *gate.Gate // nil: decisions are not counted
 
 	mu              sync.Mutex
 	state           connState
-	partialRead     bool                     // part of a request header was read, but not all of it
+	partialRead     bool                     // bytes were read since the last complete header, and no request was begun
 	responsePending bool                     // a request was read, at least in part, and has no response yet
 	refusalSent     chan struct{}            // closed when refusePartial has returned; nil: it is not called
 	emptyAt         time.Time                // when the receive buffer was last seen empty
--- a/internal/sidecar/client_conn_close.go
+++ b/internal/sidecar/client_conn_close.go
@@ -48,7 +48,7 @@
 		}
 		err := c.writeFinal(response)
 		slog.Debug("client: request answered at connection close", "client", c.RemoteAddr(), "in_progress", busy, "err", err)
-		facts.Answered = err == nil || c.ClosedByClient() // no response is needed if the client has disconnected
+		facts.Answered = err == nil || c.ClosedByClient() // a disconnected client needs no response
 	}
 	if c.gate != nil {
 		c.gate.CheckClosed(facts, c.RemoteAddr().String())
--- a/internal/sidecar/client_response.go
+++ b/internal/sidecar/client_response.go
@@ -10,7 +10,7 @@
 	"barleywick/internal/sidecar/httpmessage"
 )
 
-// response is the response to a client.
+// response is what the event loop answers a request with.
 type response struct {
 	status     int
 	header     http.Header
--- a/internal/sidecar/client_test.go
+++ b/internal/sidecar/client_test.go
@@ -150,7 +150,7 @@
 		t.Errorf("got %d requests at the server, want none", len(u.Requests))
 	}
 	if got := (call{class: "once"}).send(t, addr); got.status != 200 {
-		t.Errorf("a good request afterwards: got %+v, want 200", got)
+		t.Errorf("a valid request afterwards: got %+v, want 200", got)
 	}
 }
 
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -26,7 +26,7 @@
 	startedAt           time.Duration   // on the balancer's clock
 	probes              []*pendingProbe // in the order in which the balancer requested them
 	inFlight            int             // number of attempts in flight
-	consecutiveTimeouts int             // attempts without any response since the last response
+	consecutiveTimeouts int             // consecutive attempts that timed out or got no connection
 	drainingSince       time.Duration   // 0: not draining
 }
 
--- a/internal/sidecar/endpoints_test.go
+++ b/internal/sidecar/endpoints_test.go
@@ -97,7 +97,7 @@
 	first, _ := l.applyEntry(ahead)
 	l.clock.now = l.clock.read() + time.Second
 	if again, _ := l.applyEntry(ahead); first.Started > l.clock.now || again.Started != first.Started {
-		t.Errorf("a start time ahead of the clock: got %v and then %v, want the same time in the past", first.Started, again.Started)
+		t.Errorf("a start time ahead of the clock: got %v and then %v, want the same time, not ahead of the clock", first.Started, again.Started)
 	}
 }
 
--- a/internal/sidecar/overload.go
+++ b/internal/sidecar/overload.go
@@ -8,7 +8,7 @@
 	"barleywick/policy"
 )
 
-// newOverloadCounts returns the counts for overload digests.
+// newOverloadCounts returns the counters for overload digests.
 func (l *eventLoop) newOverloadCounts() *overloadreporter.Counts {
 	return overloadreporter.NewCounts(tenantNames(l.config), func(tenant int) (share float64, ok bool) {
 		tenants := l.config.Policy.Tenants
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -26,7 +26,7 @@
 	conn             *clientConn   // the connection it arrived on; nil in tests
 	receivedAt       time.Time
 	clientDeadline   time.Time     // when the client times out
-	processDeadline  time.Time     // when the shutting-down process must have answered it; zero: no shutdown
+	processDeadline  time.Time     // the shutdown deadline if it applies to this request; zero: it does not
 	result           chan response // receives exactly one response; sending never blocks
 
 	id                  policy.RequestID
@@ -45,7 +45,7 @@
 	return r.clientDeadline
 }
 
-// processTimeLeft returns the time left until the process's deadline; 0: the process is not shutting down.
+// processTimeLeft returns the time left until the process's deadline, or 0 if that does not apply.
 func (r *request) processTimeLeft() time.Duration {
 	if r.processDeadline.IsZero() {
 		return 0
--- a/internal/sidecar/service_test.go
+++ b/internal/sidecar/service_test.go
@@ -57,7 +57,7 @@
 	fresh.SetDeadline(time.Now().Add(sidecartest.Patience))
 	call{class: "once", id: "fresh"}.request(t, addr).Write(fresh)
 	if resp, err := http.ReadResponse(bufio.NewReader(fresh), nil); err != nil || resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("on a new connection: %+v, error %v; want 200 and Connection: close", resp, err)
+		t.Errorf("on a new connection: got %+v, error %v; want 200 and Connection: close", resp, err)
 	}
 	select {
 	case err := <-ended:
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -79,7 +79,7 @@
 	l.clock.now = time.Second
 	applyHealth("draining")
 	if e.drainingSince != time.Second || !isDraining() {
-		t.Errorf("got draining since %v, in the pool %v; want 1s and true", e.drainingSince, isDraining())
+		t.Errorf("got draining since %v, draining in the pool %v; want 1s and true", e.drainingSince, isDraining())
 	}
 	l.clock.now = 2 * time.Second
 	if applyHealth("draining"); e.drainingSince != time.Second {
