--- a/internal/controller/backup.go
+++ b/internal/controller/backup.go
@@ -20,16 +20,16 @@
 	"barleywick/internal/registry"
 )
 
-// BackupFolder is a folder of backups of the registry, which several processes may write
-// to. A file in it holds the highest fencing token that has written; under its lock, a lower one
-// is rejected. A backup can be restored as it is. Beside each is its checksum, as sha256sum
-// writes it; a backup without one is incomplete.
+// BackupFolder is a directory of registry backups that several processes may write to. Its fence
+// file holds the highest fencing token under which a backup was written; a write locks that file
+// and fails if its token is lower. Each backup is in the form that a restore takes, with a checksum
+// file beside it in the format of sha256sum. A backup without a checksum file is incomplete.
 type BackupFolder struct {
 	Dir  string
-	Keep int // how many backups stay
+	Keep int // number of backups to keep
 }
 
-// Names of the files in the folder.
+// Names of the files in the directory.
 const (
 	fenceFile        = "fence"
 	backupPrefix     = "registry-"
@@ -44,26 +44,26 @@
 	maxFenceBytes     = 64
 )
 
-// Save writes a backup under a fencing token, and removes the oldest ones beyond those to keep.
-func (c *BackupFolder) Save(ctx context.Context, token uint64, at time.Time, text []byte) (path string, err error) {
-	if err := os.MkdirAll(c.Dir, 0o700); err != nil {
+// Save writes a backup under a fencing token, and deletes all but the newest Keep backups.
+func (b *BackupFolder) Save(ctx context.Context, token uint64, at time.Time, text []byte) (path string, err error) {
+	if err := os.MkdirAll(b.Dir, 0o700); err != nil {
 		return "", fmt.Errorf("backup: %w", err)
 	}
-	unlock, err := c.lock(ctx, token)
+	unlock, err := b.lock(ctx, token)
 	if err != nil {
 		return "", err
 	}
 	defer unlock()
-	path = filepath.Join(c.Dir, backupPrefix+at.UTC().Format(backupTimeFormat)+backupSuffix)
+	path = filepath.Join(b.Dir, backupPrefix+at.UTC().Format(backupTimeFormat)+backupSuffix)
 	if err := writeBackup(path, text); err != nil {
 		return "", fmt.Errorf("backup: %w", err)
 	}
-	return path, c.removeOldest()
+	return path, b.removeOldest()
 }
 
-// writeBackup writes a backup, and then its checksum, which makes it complete.
+// writeBackup writes a backup and then its checksum file, which marks the backup as complete.
 func writeBackup(path string, text []byte) error {
-	inFolder := renameio.WithTempDir(filepath.Dir(path)) // the library tries renames from another one otherwise
+	inFolder := renameio.WithTempDir(filepath.Dir(path)) // otherwise the library tests a rename from another directory
 	if err := renameio.WriteFile(path, text, 0o600, inFolder); err != nil {
 		return err
 	}
@@ -76,13 +76,14 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// removeOldest removes the oldest backups beyond those to keep, the checksum first.
-func (c *BackupFolder) removeOldest() error {
-	paths, err := c.Paths()
+// removeOldest deletes all but the newest Keep backups. The checksum file goes first, so that a backup
+// that is only partly deleted counts as incomplete.
+func (b *BackupFolder) removeOldest() error {
+	paths, err := b.Paths()
 	if err != nil {
 		return err
 	}
-	for _, path := range paths[:max(0, len(paths)-c.Keep)] {
+	for _, path := range paths[:max(0, len(paths)-b.Keep)] {
 		if err := errors.Join(os.Remove(path+checksumSuffix), os.Remove(path)); err != nil {
 			return fmt.Errorf("backup: %w", err)
 		}
@@ -90,10 +91,10 @@
 	return nil
 }
 
-// lock locks the folder for a fencing token. It returns registry.ErrFenced if a higher one has
-// written.
-func (c *BackupFolder) lock(ctx context.Context, token uint64) (unlock func(), err error) {
-	f, err := os.OpenFile(filepath.Join(c.Dir, fenceFile), os.O_RDWR|os.O_CREATE, 0o600)
+// lock takes the directory's lock for a fencing token. It returns an error that wraps
+// registry.ErrFenced if a backup was written under a higher token.
+func (b *BackupFolder) lock(ctx context.Context, token uint64) (unlock func(), err error) {
+	f, err := os.OpenFile(filepath.Join(b.Dir, fenceFile), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("backup: %w", err)
 	}
@@ -104,10 +105,11 @@
 		f.Close()
 		return nil, fmt.Errorf("backup: %w", err)
 	}
-	return func() { f.Close() }, nil // which unlocks it
+	return func() { f.Close() }, nil // closing the file releases the lock
 }
 
-// lockFile waits for the lock until ctx ends, because a process that was stopped may hold it.
+// lockFile polls for the lock until ctx ends. It doesn't block in flock, since a suspended process may
+// hold the lock indefinitely.
 func lockFile(ctx context.Context, f *os.File) error {
 	for {
 		err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB)
@@ -118,31 +120,32 @@
 			return fmt.Errorf("lock: %w", err)
 		}
 		if err := pause(ctx, lockRetryInterval); err != nil {
-			return fmt.Errorf("another process has locked the folder: %w", err)
+			return fmt.Errorf("the folder is locked by another process: %w", err)
 		}
 	}
 }
 
-// raiseFence sets the token in a fence file, unless a higher one is in it.
+// raiseFence writes a token to the fence file. It returns an error that wraps registry.ErrFenced if the
+// file holds a higher one.
 func raiseFence(f *os.File, token uint64) error {
 	highest, err := readFence(f)
 	if err != nil {
 		return err
 	}
 	if token < highest {
-		return fmt.Errorf("%w: token %d, the folder has seen %d", registry.ErrFenced, token, highest)
+		return fmt.Errorf("%w: got token %d, want at least %d, the highest that has written to the folder", registry.ErrFenced, token, highest)
 	}
 	if token == highest {
 		return nil
 	}
-	// All tokens have the same width, so that the write replaces the whole text.
+	// All tokens have the same width, so that the write replaces the whole content.
 	if _, err := f.WriteAt(fmt.Appendf(nil, "%020d\n", token), 0); err != nil {
 		return err
 	}
 	return f.Sync()
 }
 
-// readFence reads the token of a fence file; 0 if the file is new.
+// readFence reads the token from a fence file; it is 0 if the file is empty.
 func readFence(f *os.File) (uint64, error) {
 	text, err := io.ReadAll(io.LimitReader(f, maxFenceBytes))
 	if err != nil || len(text) == 0 {
@@ -150,14 +153,14 @@
 	}
 	token, err := strconv.ParseUint(strings.TrimSpace(string(text)), 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("%s is corrupt: it has to hold the highest token; remove it when no other controller runs", f.Name())
+		return 0, fmt.Errorf("%s is corrupt: want the highest fencing token as a decimal number; remove the file while no other controller runs", f.Name())
 	}
 	return token, nil
 }
 
 // Paths returns the paths of all complete backups, the oldest first.
-func (c *BackupFolder) Paths() ([]string, error) {
-	paths, err := filepath.Glob(filepath.Join(c.Dir, backupPattern))
+func (b *BackupFolder) Paths() ([]string, error) {
+	paths, err := filepath.Glob(filepath.Join(b.Dir, backupPattern))
 	if err != nil {
 		return nil, fmt.Errorf("backup: %w", err)
 	}
@@ -180,7 +183,7 @@
 		return nil, fmt.Errorf("backup: %s is incomplete: %w", path, err)
 	}
 	if want, _, _ := strings.Cut(string(line), " "); checksum(text) != want {
-		return nil, fmt.Errorf("backup: %s is corrupt: its checksum is not that of %s", path, filepath.Base(path)+checksumSuffix)
+		return nil, fmt.Errorf("backup: %s is corrupt: its checksum differs from the one in %s", path, filepath.Base(path)+checksumSuffix)
 	}
 	return text, nil
 }
--- a/internal/controller/backuptask.go
+++ b/internal/controller/backuptask.go
@@ -11,7 +11,7 @@
 	"barleywick/internal/registry/client"
 )
 
-// backupTask saves backups of the registry.
+// backupTask saves a backup of the registry at each interval.
 type backupTask struct {
 	config BackupConfig
 	client *client.Client
--- a/internal/controller/compat_test.go
+++ b/internal/controller/compat_test.go
@@ -17,7 +17,7 @@
 	"barleywick/internal/testing/fixture"
 )
 
-// A configuration file is read to the values that revision 396a775 read.
+// A configuration file is read to the same values as by revision 396a775.
 func TestConfigurationsOf396a775(t *testing.T) {
 	for _, name := range []string{"example", "all-keys", "minimal"} {
 		c, err := ParseConfig(fixture.Read(t, name+".toml"))
@@ -31,7 +31,7 @@
 	}
 }
 
-// Tasks keep the names of their leases, which other processes of the fleet claim too.
+// The names of the tasks' leases are unchanged: controllers of other versions claim them, too.
 func TestLeasesOf396a775(t *testing.T) {
 	c, err := LoadConfig(filepath.Join(fixture.Folder, "all-keys.toml"))
 	if err != nil {
@@ -58,7 +58,8 @@
 	}
 }
 
-// The folder of revision 396a775 is read, fenced by the token that it holds, and gone on with.
+// A backup folder of revision 396a775 is read, its fencing token is enforced, and further backups are
+// saved to it.
 func TestBackupOf396a775(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS(filepath.Join(fixture.Folder, "copies"))); err != nil {
@@ -85,10 +86,10 @@
 	}
 	at := time.UnixMilli(1_800_000_900_000)
 	if _, err := folder.Save(t.Context(), 8, at, backup); !errors.Is(err, registry.ErrFenced) {
-		t.Errorf("a lower token: %v, want %v", err, registry.ErrFenced)
+		t.Errorf("a lower token: got %v, want %v", err, registry.ErrFenced)
 	}
 	if _, err := folder.Save(t.Context(), 9, at, backup); err != nil {
-		t.Errorf("the token of the last copy: %v", err)
+		t.Errorf("the token of the last backup: %v", err)
 	}
 	after := []string{before[1], "registry-20270115T081500.000000Z.json"}
 	if got := names(); !slices.Equal(got, after) {
@@ -105,8 +106,8 @@
 	}
 }
 
-// A copy of revision 396a775 is restored into a new group.
-func TestCopyOf396a775IsRestored(t *testing.T) {
+// A backup of revision 396a775 is restored into a new group.
+func TestBackupOf396a775IsRestored(t *testing.T) {
 	backup, err := ReadBackup(filepath.Join(fixture.Folder, "copies", "registry-20270115T081000.000000Z.json"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -19,12 +19,12 @@
 type Config struct {
 	Name     string         `toml:"name"`
 	Registry []string       `toml:"registry"` // addresses of the replicas
-	Listen   string         `toml:"listen"`   // for /metrics and /health/ready; empty: neither
+	Listen   string         `toml:"listen"`   // address for /metrics and /health/ready; empty: neither is served
 	LeaseMS  int64          `toml:"lease_ms"`
-	MaxActMS int64          `toml:"-"` // the longest timed act of tasks other than those of Tasks; 0: there are none
+	MaxActMS int64          `toml:"-"` // bound on the timed acts of tasks that Tasks doesn't return; 0: there are none
 	Routes   addressmap.Map `toml:"routes"`
 
-	// A task runs here only if its table is in the file.
+	// A task runs in this process only if the file has its table.
 	Drains   *DrainsConfig   `toml:"drains"`
 	Health   *HealthConfig   `toml:"health"`
 	Backup   *BackupConfig   `toml:"copies"`
@@ -33,7 +33,7 @@
 
 	Membership *membership.Config `toml:"membership"`
 
-	drains *drain.Config // the file that Drains names
+	drains *drain.Config // read from the file Drains.Config
 }
 
 // DrainsConfig configures the task that runs drains.
@@ -43,52 +43,52 @@
 
 // PolicyConfig configures the task that leads rollouts of the fleet policy.
 type PolicyConfig struct {
-	Machine string `toml:"machine"` // the machine whose sidecars' processes it watches; empty: none
+	Machine string `toml:"machine"` // machine whose sidecar processes this controller watches; empty: none
 }
 
-// OverloadConfig configures the task that gives overload advice.
+// OverloadConfig configures the task that computes overload advice.
 type OverloadConfig struct {
-	Fleet  string `toml:"fleet"`  // as in the sidecars' configuration
-	Listen string `toml:"listen"` // for the sidecars' digests, while the lease is held
+	Fleet  string `toml:"fleet"`  // the same name as in the sidecars' configuration
+	Listen string `toml:"listen"` // address for the sidecars' digests; open only while the lease is held
 }
 
 // HealthConfig configures the tasks that probe booking servers.
 type HealthConfig struct {
 	IntervalMS int64 `toml:"every_ms"`
 	TimeoutMS  int64 `toml:"timeout_ms"`
-	Failures   int   `toml:"failures"` // consecutive failures from which on a server is named
+	Failures   int   `toml:"failures"` // number of consecutive failed probes from which on the advice lists a server
 }
 
 // BackupConfig configures the task that saves backups of the registry.
 type BackupConfig struct {
-	Dir        string `toml:"folder"` // a folder that all controllers share
+	Dir        string `toml:"folder"` // directory that all controllers share
 	IntervalMS int64  `toml:"every_ms"`
-	Keep       int    `toml:"keep"` // how many backups stay
+	Keep       int    `toml:"keep"` // number of backups to keep
 }
 
 const (
-	defaultLease = 5 * time.Second
-	minLease     = time.Second // several elections of the registry fit into it
-	maxLease     = 10 * time.Minute
+	defaultLeaseTTL = 5 * time.Second
+	minLeaseTTL     = time.Second // long enough for several leader elections of the registry
+	maxLeaseTTL     = 10 * time.Minute
 
-	defaultProbeInterval = 5 * time.Second // a probe costs a server up to 0.2 ms of work: a part in 25,000
+	defaultProbeInterval = 5 * time.Second // a probe costs a server up to 0.2 ms of work, 1/25,000 of the interval
 	minProbeInterval     = 100 * time.Millisecond
 	maxProbeInterval     = time.Hour
 	defaultProbeTimeout  = time.Second
 	defaultFailures      = 3
 	maxFailures          = 1000
 
-	defaultCacheInterval = 5 * time.Minute
-	minCacheInterval     = time.Second
-	maxCacheInterval     = 7 * 24 * time.Hour
-	defaultKeep          = 24
-	maxKeep              = 10000
+	defaultBackupInterval = 5 * time.Minute
+	minBackupInterval     = time.Second
+	maxBackupInterval     = 7 * 24 * time.Hour
+	defaultBackupCount    = 24
+	maxBackupCount        = 10000
 
-	// minLongestAct covers an answer to a digest.
-	minLongestAct = 100 * time.Millisecond
+	// minLongestActTime covers the response to a digest.
+	minLongestActTime = 100 * time.Millisecond
 )
 
-// LoadConfig reads a controller's configuration file and the one that it names.
+// LoadConfig reads a controller's configuration file, and the one of fleetctl that it refers to.
 func LoadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -106,10 +106,10 @@
 	return c, nil
 }
 
-// ParseConfig reads a configuration and fills in what it leaves out. An unknown field is an
-// error.
+// ParseConfig decodes a configuration, sets the defaults of fields that are left out, and validates
+// it. An unknown field is an error.
 func ParseConfig(text []byte) (*Config, error) {
-	c := &Config{LeaseMS: defaultLease.Milliseconds()}
+	c := &Config{LeaseMS: defaultLeaseTTL.Milliseconds()}
 	if err := configfile.DecodeTOML(text, c); err != nil {
 		return nil, err
 	}
@@ -126,18 +126,18 @@
 		h.TimeoutMS = cmp.Or(h.TimeoutMS, min(defaultProbeTimeout.Milliseconds(), h.IntervalMS))
 		h.Failures = cmp.Or(h.Failures, defaultFailures)
 	}
-	if l := c.Backup; l != nil {
-		l.IntervalMS = cmp.Or(l.IntervalMS, defaultCacheInterval.Milliseconds())
-		l.Keep = cmp.Or(l.Keep, defaultKeep)
+	if b := c.Backup; b != nil {
+		b.IntervalMS = cmp.Or(b.IntervalMS, defaultBackupInterval.Milliseconds())
+		b.Keep = cmp.Or(b.Keep, defaultBackupCount)
 	}
 }
 
-// check returns an error that begins with the path of the first wrong field.
+// check returns an error that begins with the path of the first invalid field.
 func (c *Config) check() error {
 	return firstError(
 		registry.CheckName("name", c.Name),
 		c.checkAddresses(),
-		checkDuration("lease_ms", c.LeaseMS, minLease, maxLease),
+		checkDuration("lease_ms", c.LeaseMS, minLeaseTTL, maxLeaseTTL),
 		c.Drains.check(),
 		c.Overload.check(),
 		c.checkMembership(),
@@ -148,7 +148,7 @@
 
 func (c *Config) checkAddresses() error {
 	if len(c.Registry) == 0 {
-		return errors.New("registry is missing: the addresses of its replicas")
+		return errors.New("registry is missing: want the addresses of its replicas")
 	}
 	if c.Listen != "" {
 		if err := checkLoopback("listen", c.Listen); err != nil {
@@ -170,7 +170,7 @@
 
 func (d *DrainsConfig) check() error {
 	if d != nil && d.Config == "" {
-		return errors.New("drains.config is missing: fleetctl's configuration file")
+		return errors.New("drains.config is missing: want the path of fleetctl's configuration file")
 	}
 	return nil
 }
@@ -197,16 +197,16 @@
 	)
 }
 
-func (l *BackupConfig) check() error {
-	if l == nil {
+func (b *BackupConfig) check() error {
+	if b == nil {
 		return nil
 	}
-	if l.Dir == "" {
-		return errors.New("copies.folder is missing: one that all controllers share")
+	if b.Dir == "" {
+		return errors.New("copies.folder is missing: want a directory that all controllers share")
 	}
 	return firstError(
-		checkDuration("copies.every_ms", l.IntervalMS, minCacheInterval, maxCacheInterval),
-		checkRange("copies.keep", int64(l.Keep), 1, maxKeep),
+		checkDuration("copies.every_ms", b.IntervalMS, minBackupInterval, maxBackupInterval),
+		checkRange("copies.keep", int64(b.Keep), 1, maxBackupCount),
 	)
 }
 
@@ -227,31 +227,31 @@
 	return nil
 }
 
-// checkDuration checks a number of milliseconds.
-func checkDuration(field string, ms int64, least, most time.Duration) error {
-	return checkRange(field, ms, least.Milliseconds(), most.Milliseconds())
+// checkDuration checks that a number of milliseconds lies within bounds.
+func checkDuration(field string, ms int64, lowest, highest time.Duration) error {
+	return checkRange(field, ms, lowest.Milliseconds(), highest.Milliseconds())
 }
 
-func checkRange(field string, value, least, most int64) error {
-	if value < least || value > most {
-		return fmt.Errorf("%s is %d, it must lie between %d and %d", field, value, least, most)
+func checkRange(field string, value, lowest, highest int64) error {
+	if value < lowest || value > highest {
+		return fmt.Errorf("%s is %d, it must lie between %d and %d", field, value, lowest, highest)
 	}
 	return nil
 }
 
 func (c *Config) leaseTTL() time.Duration { return time.Duration(c.LeaseMS) * time.Millisecond }
 
-// longestAct returns how long a timed act of this controller may take.
+// longestAct returns an upper bound on the duration of this controller's timed acts.
 func (c *Config) longestAct() time.Duration {
 	if c.MaxActMS > 0 {
 		return time.Duration(c.MaxActMS) * time.Millisecond
 	}
-	longest := minLongestAct
+	longest := minLongestActTime
 	if c.Health != nil {
 		longest = max(longest, time.Duration(c.Health.TimeoutMS)*time.Millisecond)
 	}
 	if c.Drains != nil {
-		longest = max(longest, c.leaseTTL()/stopActPart)
+		longest = max(longest, c.leaseTTL()/stopTimeoutDivisor)
 	}
 	return longest
 }
--- a/internal/controller/config_test.go
+++ b/internal/controller/config_test.go
@@ -23,7 +23,7 @@
 		}
 	}
 	c, err := ParseConfig([]byte(good + "[health]\n[copies]\nfolder = \"x\"\n"))
-	if err != nil || c.Health.Failures != defaultFailures || c.Backup.Keep != defaultKeep || len(c.LeaseNames()) != healthShards+1 {
+	if err != nil || c.Health.Failures != defaultFailures || c.Backup.Keep != defaultBackupCount || len(c.LeaseNames()) != healthShards+1 {
 		t.Errorf("defaults: got %+v, %v", c, err)
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,7 +1,7 @@
-// Package controller runs fleet-wide tasks under leases. Any number of controllers run, and each
-// task is run by one of them at a time: the one that holds the task's lease. Which one should
-// hold it is decided by rendezvous hashing over the controllers that are present; a second one
-// waits for the lease as a standby. docs/LEASES.md describes it for operators.
+// Package controller runs fleet-wide tasks under leases. Any number of controllers may run; each
+// task runs in one of them at a time, the holder of the task's lease. Rendezvous hashing over the
+// present controllers selects the preferred holder of each task, and a standby that queues for the
+// lease. docs/LEASES.md describes it for operators.
 package controller
 
 import (
@@ -17,8 +17,9 @@
 	"barleywick/internal/registry/client"
 )
 
-// presenceLeasePrefix begins the names of the leases by which controllers show that they are
-// present. A controller without its own runs no task, so of two processes with one name one is idle.
+// presenceLeasePrefix is the prefix of the names of presence leases; the controller's name follows. A
+// controller runs tasks only while it holds its presence lease, so of two processes with the same
+// name one stays idle.
 const presenceLeasePrefix = "keeper:"
 
 // Controller is one process that runs tasks.
@@ -27,17 +28,17 @@
 	ttl    time.Duration
 	client *client.Client
 	leases *lease.Manager
-	fleet  *fleetView // nil: it is no member of the fleet
+	fleet  *fleetView // nil: membership is not configured
 	tasks  []Task
 
-	leaseUpdates   chan registry.LeasesResponse // holds the latest state only
+	leaseUpdates   chan registry.LeasesResponse // holds only the latest state
 	membersChanged chan struct{}
 
 	mu   sync.Mutex
-	held map[string]*lease.Handle // by lease
+	held map[string]*lease.Handle // by lease name
 }
 
-// New makes a controller with the given tasks, such as Config.Tasks.
+// New makes a controller that runs the tasks that a function returns, such as Config.Tasks.
 func New(config *Config, tasks func(c *Controller) []Task) (*Controller, error) {
 	r, err := client.New(config.Registry, rand.Uint64())
 	if err != nil {
@@ -53,8 +54,8 @@
 	}
 	c.leases = lease.NewManager(lease.Options{
 		Registry: r, TTL: c.ttl, OnChange: c.onLeases,
-		// Of two processes with one name, the start time tells the later one. It decides nothing
-		// between lease holders: a clock that was set back costs a queue position.
+		// The start time tells which of two processes with the same name is the later one. It does
+		// not decide between lease holders: a clock that was set back only costs a queue position.
 		Holder: registry.Holder{Name: config.Name, Incarnation: uint64(time.Now().UnixMicro())},
 	})
 	if config.Membership != nil {
@@ -66,7 +67,8 @@
 	return c, nil
 }
 
-// onLeases keeps the latest state of the leases for coordinate. It is called by one goroutine.
+// onLeases passes the latest state of the leases to coordinate, in place of one that it has not yet
+// received. Only one goroutine calls it.
 func (c *Controller) onLeases(leases registry.LeasesResponse) {
 	select {
 	case <-c.leaseUpdates:
@@ -122,7 +124,7 @@
 	}
 }
 
-// setHandle notes that a lease is held, or with a nil handle that it is not.
+// setHandle records the handle of a lease that is held; a nil handle removes it.
 func (c *Controller) setHandle(leaseName string, handle *lease.Handle) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,7 +141,7 @@
 	return c.held[leaseName]
 }
 
-// HeldTokens returns the fencing tokens of the tasks' leases that it holds, by lease.
+// HeldTokens returns the fencing tokens of the tasks' leases that this controller holds, by lease name.
 func (c *Controller) HeldTokens() map[string]uint64 {
 	c.mu.Lock()
 	handles := make([]*lease.Handle, 0, len(c.held))
@@ -154,7 +156,7 @@
 	return tokens
 }
 
-// HandOver stops a task and gives its lease to another controller that waits for it.
+// HandOver stops a task and transfers its lease to another controller that is queued for it.
 func (c *Controller) HandOver(leaseName, to string) {
 	if handle := c.handle(leaseName); handle != nil {
 		slog.Info("controller: handing over task", "lease", leaseName, "to", to)
@@ -162,7 +164,7 @@
 	}
 }
 
-// pause waits, or returns ctx's error.
+// pause waits for d. If ctx ends first, it returns ctx's error.
 func pause(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
--- a/internal/controller/coordinator.go
+++ b/internal/controller/coordinator.go
@@ -10,15 +10,15 @@
 	"barleywick/internal/registry"
 )
 
-// settleTTLs is for how many lease times to live a controller has to be present before tasks
-// are handed over to it: twice the time after which the end of a controller is noticed.
+// settleTTLs is how long a controller has to be present before tasks are handed over to it, in lease
+// TTLs: twice the time in which the end of a controller is detected.
 const settleTTLs = 2
 
-// coordinator claims tasks and hands them over while its controller is present.
+// coordinator claims tasks and hands them over while its controller holds its presence lease.
 type coordinator struct {
 	controller *Controller
 	placement  placement
-	stops      map[string]context.CancelFunc // of the tasks that are claimed, by lease
+	cancels    map[string]context.CancelFunc // of the claimed tasks, by lease name
 	running    sync.WaitGroup
 }
 
@@ -26,11 +26,11 @@
 func (c *Controller) coordinate(ctx context.Context) {
 	o := &coordinator{
 		controller: c,
-		placement:  placement{settle: settleTTLs * c.ttl},
-		stops:      make(map[string]context.CancelFunc),
+		placement:  placement{settleTime: settleTTLs * c.ttl},
+		cancels:    make(map[string]context.CancelFunc),
 	}
 	defer o.running.Wait()
-	tick := time.NewTicker(c.ttl / 2) // no update tells that a controller has settled
+	tick := time.NewTicker(c.ttl / 2) // the end of a controller's settle time causes no update
 	defer tick.Stop()
 	var leases registry.LeasesResponse
 	for {
@@ -47,7 +47,7 @@
 	}
 }
 
-// update decides about all tasks by the state of the leases.
+// update claims, releases or hands over each task according to the state of the leases.
 func (o *coordinator) update(ctx context.Context, leases []registry.Lease) {
 	now := lease.BootTime()
 	queues := make(map[string][]registry.Claim, len(leases))
@@ -60,8 +60,8 @@
 	}
 }
 
-// present returns the names of the controllers that hold their presence lease and are not known
-// to have ended.
+// present returns the names of the controllers that hold their presence lease, except those that are
+// known to have ended.
 func (o *coordinator) present(leases []registry.Lease) []string {
 	var names []string
 	for _, l := range leases {
@@ -73,32 +73,32 @@
 	return names
 }
 
-// updateTask begins to claim a task, stops to, or hands it over.
+// updateTask starts or stops claiming a task, or hands it over.
 func (o *coordinator) updateTask(ctx context.Context, task Task, queue []registry.Claim, now time.Duration) {
 	c := o.controller
 	shouldClaim := o.placement.shouldClaim(task.LeaseName, c.name)
 	holds := c.handle(task.LeaseName) != nil
 	if task.Timed && c.fleet.inMinority() {
-		shouldClaim, holds = false, false // so that it is stopped even where it is held
+		shouldClaim, holds = false, false // stops the task even if its lease is held
 	}
-	stop, claimed := o.stops[task.LeaseName]
+	stop, claimed := o.cancels[task.LeaseName]
 	switch {
 	case shouldClaim && !claimed:
 		taskCtx, cancel := context.WithCancel(ctx)
-		o.stops[task.LeaseName] = cancel
+		o.cancels[task.LeaseName] = cancel
 		o.running.Go(func() { c.hold(taskCtx, task) })
 	case !shouldClaim && claimed && !holds:
 		stop()
-		delete(o.stops, task.LeaseName)
+		delete(o.cancels, task.LeaseName)
 	case holds:
-		if to, ok := o.placement.handOverTarget(task.LeaseName, c.name, o.reachable(queue), now); ok {
+		if to, ok := o.placement.handOverTarget(task.LeaseName, c.name, o.handOverCandidates(queue), now); ok {
 			c.HandOver(task.LeaseName, to)
 		}
 	}
 }
 
-// reachable returns the names of the controllers that wait for a lease and may receive it.
-func (o *coordinator) reachable(queue []registry.Claim) []string {
+// handOverCandidates returns the names of the controllers that are queued for a lease and may receive it.
+func (o *coordinator) handOverCandidates(queue []registry.Claim) []string {
 	var names []string
 	for _, claim := range queue {
 		if o.controller.fleet.canReceive(claim.Holder) {
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -15,14 +15,14 @@
 
 const (
 	drainPollInterval   = 500 * time.Millisecond // between two checks for drains that were handed over
-	maxConcurrentDrains = 64                     // each waits most of its time
-	drainRetryDelay     = 5 * time.Second        // after a drain that failed
-	// stopActPart is the part of a lease's time to live that a stop command may take.
-	stopActPart = 4
+	maxConcurrentDrains = 64                     // each is idle most of the time
+	drainRetryDelay     = 5 * time.Second        // after a drain has failed
+	// stopTimeoutDivisor divides a lease's TTL; the result is the timeout of a stop command.
+	stopTimeoutDivisor = 4
 )
 
-// drainTask runs the drains that were handed over to the controllers. Its writes are fenced. To
-// stop a server is a timed act, so the stop command has to be harmless when it runs twice.
+// drainTask runs the drains that were handed over to the controllers. Its writes are fenced. Stopping
+// a server is a timed act without fencing, so the stop command has to be idempotent.
 type drainTask struct {
 	config *drain.Config
 	client *client.Client
@@ -34,9 +34,9 @@
 	handle *lease.Handle
 }
 
-// Stop stops a server as an act under the lease.
+// Stop stops a server as a timed act under the lease.
 func (f leasedFleet) Stop(ctx context.Context, machine, host string) error {
-	return f.handle.Do(ctx, f.handle.TTL()/stopActPart, func(ctx context.Context) error {
+	return f.handle.Do(ctx, f.handle.TTL()/stopTimeoutDivisor, func(ctx context.Context) error {
 		return f.Fleet.Stop(ctx, machine, host)
 	})
 }
@@ -63,17 +63,17 @@
 	}
 }
 
-// drainRunner runs drains concurrently, each machine's at most once at a time.
+// drainRunner runs drains concurrently, at most one for each machine.
 type drainRunner struct {
 	workflow *drain.Workflow
 	handle   *lease.Handle
 	running  sync.WaitGroup
 
 	mu       sync.Mutex
-	machines map[string]bool // whose drains run
+	machines map[string]bool // those with a running drain
 }
 
-// start starts the drains that do not run yet.
+// start starts the drains that are not running yet, up to maxConcurrentDrains.
 func (r *drainRunner) start(ctx context.Context, drains []drain.Drain) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,7 +91,7 @@
 	}
 }
 
-// resume runs a drain until it ends or fails, and delays the next try after a failure.
+// resume runs a drain until it ends or fails, and delays the next attempt after a failure.
 func (r *drainRunner) resume(ctx context.Context, d drain.Drain) {
 	err := r.workflow.Resume(ctx, d)
 	switch {
@@ -100,7 +100,7 @@
 		slog.Info("drain: stopped", "machine", d.Machine, "token", r.handle.Token(), "err", err)
 	default:
 		slog.Warn("drain: failed", "machine", d.Machine, "token", r.handle.Token(), "err", err)
-		_ = pause(ctx, drainRetryDelay) // where ctx ends, the delay does, too
+		_ = pause(ctx, drainRetryDelay) // returns early if ctx ends
 	}
 }
 
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -70,31 +70,31 @@
 	return list.Marks
 }
 
-// A drain that was handed over goes on with another controller when the one that runs it ends.
-func TestDrainGoesOnWithAnotherController(t *testing.T) {
+// When the controller that runs a drain ends, another controller continues the drain.
+func TestDrainContinuesOnAnotherController(t *testing.T) {
 	f := startDrainFleet(t)
 	w := f.workflow
 	var first string
 	eventually(t, "the task is held", func() bool { first = holder(t, f.client, DrainsLease); return first != "" })
-	if err := w.HandOver(t.Context(), "m-1", time.Now().Add(patience)); err != nil {
+	if err := w.HandOver(t.Context(), "m-1", time.Now().Add(waitTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.HandOver(t.Context(), "m-1", time.Now().Add(patience)); err != nil {
+	if err := w.HandOver(t.Context(), "m-1", time.Now().Add(waitTimeout)); err != nil {
 		t.Errorf("handed over again: got %v, want success", err)
 	}
-	if err := w.HandOver(t.Context(), "m-2", time.Now().Add(patience)); !errors.Is(err, drain.ErrRefused) {
+	if err := w.HandOver(t.Context(), "m-2", time.Now().Add(waitTimeout)); !errors.Is(err, drain.ErrRefused) {
 		t.Errorf("below the floor: got %v, want %v", err, drain.ErrRefused)
 	}
 	if err := w.Drain(t.Context(), "m-1"); !errors.Is(err, drain.ErrRefused) || !strings.Contains(err.Error(), "controllers") {
-		t.Errorf("an operator beside the controllers: got %v, want %v that names them", err, drain.ErrRefused)
+		t.Errorf("drained by an operator, too: got %v, want %v that names the controllers", err, drain.ErrRefused)
 	}
 	eventually(t, "its server is marked", func() bool { return f.marks(t)["s-1"] != "" })
-	f.stop[first]() // the sidecars count as notified after 6 s, so the drain is far from done
+	f.stop[first]() // the sidecars count as notified only after 6 s, so the drain is not done yet
 	eventually(t, "the other controller holds the task", func() bool {
 		h := holder(t, f.client, DrainsLease)
 		return h != "" && h != first
 	})
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	if err := w.Follow(ctx, "m-1"); err != nil {
 		t.Fatal(err)
@@ -110,21 +110,21 @@
 	}
 }
 
-// A drain that was handed over is undone by the controllers when its time is up, and by an
+// A drain that was handed over is undone by the controllers when its time limit expires, and by an
 // operator at any time.
 func TestDrainThatWasHandedOverIsUndone(t *testing.T) {
 	f := startDrainFleet(t)
 	w := f.workflow
 	eventually(t, "the task is held", func() bool { return holder(t, f.client, DrainsLease) != "" })
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	if err := w.HandOver(t.Context(), "m-1", time.Now().Add(time.Second)); err != nil {
 		t.Fatal(err)
 	}
 	if err := w.Follow(ctx, "m-1"); !errors.Is(err, drain.ErrTimeout) {
-		t.Errorf("time is up: got %v, want %v", err, drain.ErrTimeout)
+		t.Errorf("time limit expired: got %v, want %v", err, drain.ErrTimeout)
 	}
-	if err := w.HandOver(t.Context(), "m-1", time.Now().Add(patience)); err != nil {
+	if err := w.HandOver(t.Context(), "m-1", time.Now().Add(waitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if err := w.Undrain(t.Context(), "m-1"); err != nil {
--- a/internal/controller/fleetview.go
+++ b/internal/controller/fleetview.go
@@ -16,28 +16,28 @@
 )
 
 const (
-	// releaseTimeout is for the calls that release the claims of one controller.
+	// releaseTimeout bounds the calls that release the claims of one controller.
 	releaseTimeout = 2 * time.Second
-	// actMargin is added to a controller's longest timed act, since what it had sent when it
-	// ended may still be on its way.
+	// actMargin is added to a controller's longest timed act, since requests that it sent just
+	// before its end may still be in transit.
 	actMargin = 50 * time.Millisecond
-	// dialTimeout is for a connection to ask a replica for its view of the fleet.
+	// dialTimeout bounds the dial to a replica whose view of the fleet is fetched.
 	dialTimeout = time.Second
 )
 
-// fleetView is what a controller does with its membership of the fleet. Leases do not rest on
-// it, with one exception: a controller that itself sees the end of another one's process, on
-// its own machine, releases that one's claims. Otherwise the view only makes it more careful.
-// A nil fleetView knows nothing.
+// fleetView is a controller's view of the fleet's members. Leases do not depend on it, with one
+// exception: a controller that itself observes the end of another controller's process, on its own
+// machine, releases that controller's claims. Otherwise the view only makes a controller more
+// conservative. A nil fleetView holds no members.
 type fleetView struct {
-	node    *gossip.Node
-	client  *client.Client
-	changed chan struct{}
+	node          *gossip.Node
+	client        *client.Client
+	memberChanges chan struct{}
 }
 
 // joinFleet makes a controller a member of the fleet.
 func joinFleet(config *Config, c *Controller) (*fleetView, error) {
-	f := &fleetView{client: c.client, changed: make(chan struct{}, 1)}
+	f := &fleetView{client: c.client, memberChanges: make(chan struct{}, 1)}
 	var views []string
 	for _, replica := range config.Registry {
 		views = append(views, "http://"+replica+registry.APIPath+membership.ViewPath)
@@ -51,14 +51,14 @@
 			HTTPAddr: config.Listen, LongestActMS: config.longestAct().Milliseconds(),
 		},
 		OnChange: func() {
-			notify(f.changed)
+			notify(f.memberChanges)
 			notify(c.membersChanged)
 		},
 	})
 	return f, err
 }
 
-// notify leaves a notification in a channel that holds one.
+// notify sends a notification without blocking, to a channel with a buffer of one. A pending one is enough.
 func notify(changed chan<- struct{}) {
 	select {
 	case changed <- struct{}{}:
@@ -66,8 +66,8 @@
 	}
 }
 
-// run is a member of the fleet until ctx ends, and releases the claims of controllers whose
-// processes it sees end.
+// run keeps the controller a member of the fleet until ctx ends, and releases the claims of
+// controllers whose processes it observes to end.
 func (f *fleetView) run(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -76,10 +76,10 @@
 			slog.Error("members: membership ended", "err", err)
 		}
 	})
-	released := make(map[string]bool) // by member
+	released := make(map[string]bool) // by member key
 	for {
 		select {
-		case <-f.changed:
+		case <-f.memberChanges:
 		case <-ctx.Done():
 			return
 		}
@@ -89,8 +89,8 @@
 	}
 }
 
-// endedControllers returns the controllers that were seen to end and are not in released, and
-// notes them there. It forgets those in released that the view does not have any more.
+// endedControllers returns the controllers that this process has observed to end and that are not
+// in released, and adds them to it. It deletes members from released that the view no longer holds.
 func (f *fleetView) endedControllers(released map[string]bool) []membership.Member {
 	self := f.node.Self().Key()
 	known := make(map[string]bool)
@@ -111,8 +111,8 @@
 	return ended
 }
 
-// sawProcessEnd reports whether this process itself has seen a member's process end. No lease
-// may end because another member says so.
+// sawProcessEnd reports whether this process itself observed the end of a member's process. Another
+// member's report is not sufficient to end a lease.
 func sawProcessEnd(m membership.Member, self string) bool {
 	if mutation.EndLeasesOfUnreachable && m.Status == membership.StatusUnreachable {
 		return true
@@ -120,8 +120,9 @@
 	return m.Status == membership.StatusEnded && m.By == self
 }
 
-// releaseClaims releases the claims of a controller whose process has ended, once the acts that
-// it had begun have ended, too. The next controller then need not wait for the leases to expire.
+// releaseClaims releases the claims of a controller whose process has ended, after the time within
+// which its last timed acts have ended, too. The next holders then need not wait for the leases to
+// expire.
 func (f *fleetView) releaseClaims(ctx context.Context, m membership.Member) {
 	if pause(ctx, time.Duration(m.LongestActMS)*time.Millisecond+actMargin) != nil {
 		return
@@ -162,15 +163,15 @@
 	return ids
 }
 
-// hasEnded reports whether a holder is certain to have ended, according to any member. Nothing
-// is handed over to it any more.
+// hasEnded reports whether a holder has left or its process has ended, according to any member. No
+// task is handed over to it then.
 func (f *fleetView) hasEnded(h registry.Holder) bool {
 	m, known := f.member(h)
 	return known && (m.Status == membership.StatusEnded || m.Status == membership.StatusLeft)
 }
 
-// canReceive reports whether a task may be handed over to a holder. One that is not known may
-// receive it.
+// canReceive reports whether a task may be handed over to a holder. A holder that is not in the view
+// may receive one.
 func (f *fleetView) canReceive(h registry.Holder) bool {
 	m, known := f.member(h)
 	return !known || m.Status == membership.StatusPresent
@@ -183,10 +184,10 @@
 	return f.node.Get(membership.Info{Name: h.Name, Incarnation: h.Incarnation}.Key())
 }
 
-// inMinority reports whether more than half of the fleet's members are unreachable from here.
+// inMinority reports whether more than half of the fleet's members are unreachable from this process.
 func (f *fleetView) inMinority() bool { return f != nil && f.node.Partition().Minority() }
 
-// sidecarCount returns how many sidecars are present as seen from here; 0: not known.
+// sidecarCount returns how many sidecars are present in the view; 0: unknown.
 func (f *fleetView) sidecarCount() int {
 	if f == nil {
 		return 0
@@ -194,7 +195,7 @@
 	return f.node.CountRole(membership.RoleSidecar)
 }
 
-// suspectedServers returns the booking servers that some member got no answer from lately.
+// suspectedServers returns the booking servers that members recently reported as unresponsive.
 func (f *fleetView) suspectedServers() []string {
 	if f == nil {
 		return nil
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -19,27 +19,27 @@
 )
 
 const (
-	// healthShards is into how many tasks the health checks of booking servers are divided:
-	// enough that a handful of controllers have even parts.
+	// healthShards is the number of tasks that the health checks of booking servers are divided
+	// into: enough to spread them evenly over a handful of controllers.
 	healthShards = 8
-	// suspicionPollInterval is between two checks for a reason to probe out of turn.
+	// suspicionPollInterval is the time between two checks for servers to probe ahead of schedule.
 	suspicionPollInterval = 250 * time.Millisecond
 )
 
-// HealthAdvice is what the health check says of one booking server. It removes nothing: who
-// reads it decides.
+// HealthAdvice is the result of the health check for one booking server. The health check removes no
+// server itself; readers of the advice decide.
 type HealthAdvice struct {
 	ConsecutiveFailures int    `json:"failures"` // of probes
 	SinceMS             int64  `json:"since_ms"` // the time of the first of them, in Unix milliseconds
 	LastError           string `json:"said"`     // of the last probe
 }
 
-// HealthRecordKey is the registry's record that holds a shard's advice, by host. A server
-// without advice is healthy.
+// HealthRecordKey returns the key of the registry record that holds a shard's advice, by host. A
+// server without advice counts as healthy.
 func HealthRecordKey(shard int) string { return fmt.Sprint("health:", shard) }
 
-// healthTask probes the booking servers of one shard. A probe is a timed act: one too many
-// costs a server a fifth of a millisecond.
+// healthTask probes the booking servers of one shard. A probe is a timed act; a surplus probe costs a
+// server a fifth of a millisecond.
 type healthTask struct {
 	config HealthConfig
 	client *client.Client
@@ -69,13 +69,13 @@
 		return err
 	}
 	for {
-		if err := p.round(ctx); err != nil {
+		if err := p.probeRound(ctx); err != nil {
 			return err
 		}
 	}
 }
 
-// prober is a health task while its lease is held.
+// prober runs a health task under one grant of its lease.
 type prober struct {
 	*healthTask
 	handle            *lease.Handle
@@ -83,26 +83,26 @@
 	http              *http.Client
 	timeout, interval time.Duration
 
-	failing      map[string]HealthAdvice // by host: servers whose last probe failed
-	probedEarly  map[string]bool         // by host: while the suspicion lasts
-	version      uint64                  // of the record
-	published    []string                // the hosts that the record names
-	hasPublished bool
+	failing        map[string]HealthAdvice // by host: servers whose last probe failed
+	probedEarly    map[string]bool         // by host: suspected servers that were probed ahead of schedule
+	recordVersion  uint64                  // of the record
+	publishedHosts []string                // listed in the record
+	hasPublished   bool
 }
 
-// readVersion reads which version the first write replaces. Each write names that version, since
-// one that is repeated late must not replace what came after it.
+// readVersion reads the version of the record that the first write replaces. Each write is
+// conditional on the version, so that a late duplicate of a write can't overwrite a newer one.
 func (p *prober) readVersion(ctx context.Context) error {
 	current, err := p.registry.Record(ctx, HealthRecordKey(p.shard))
 	if err != nil && !errors.Is(err, registry.ErrNotFound) {
 		return fmt.Errorf("advice: %w", err)
 	}
-	p.version = current.Version
+	p.recordVersion = current.Version
 	return nil
 }
 
-// round probes each server of the shard once, and publishes the advice.
-func (p *prober) round(ctx context.Context) error {
+// probeRound probes each server of the shard once, and publishes the advice.
+func (p *prober) probeRound(ctx context.Context) error {
 	began := time.Now()
 	servers, err := p.servers(ctx)
 	if err != nil {
@@ -149,8 +149,8 @@
 	return servers[i], true
 }
 
-// wait waits until a time. Meanwhile it probes servers out of turn that some member of the fleet
-// got no answer from, each once while that suspicion lasts.
+// wait waits until a time. Meanwhile it probes, ahead of schedule, servers that members of the fleet
+// report as unresponsive, each once per suspicion.
 func (p *prober) wait(ctx context.Context, until time.Time, servers []registry.Registration) error {
 	for left := time.Until(until); left > 0; left = time.Until(until) {
 		if err := pause(ctx, min(left, suspicionPollInterval)); err != nil {
@@ -172,8 +172,8 @@
 	return nil
 }
 
-// probeSuspected probes a server out of turn. If it is not among the known servers, it reads
-// them again, and returns them.
+// probeSuspected probes a server ahead of schedule. If the server is not in the given list, it reads
+// the list again. It returns the current list.
 func (p *prober) probeSuspected(ctx context.Context, host string, servers []registry.Registration) ([]registry.Registration, error) {
 	server, found := findServer(servers, host)
 	if !found {
@@ -188,8 +188,8 @@
 	return servers, p.probe(ctx, server)
 }
 
-// probe probes a server, and notes whether it fails. It returns an error if the lease does not
-// allow the probe.
+// probe probes a server and records whether the probe failed. It returns an error if the lease does
+// not allow the probe.
 func (p *prober) probe(ctx context.Context, server registry.Registration) error {
 	var failure error
 	err := p.handle.Do(ctx, p.timeout, func(ctx context.Context) error {
@@ -212,7 +212,7 @@
 	return nil
 }
 
-// checkLive asks a server whether it is alive.
+// checkLive sends a liveness probe to a server, and returns an error if the probe fails.
 func checkLive(ctx context.Context, c *http.Client, address string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/health/live", nil)
 	if err != nil {
@@ -223,29 +223,29 @@
 		return err
 	}
 	resp.Body.Close()
-	if resp.StatusCode >= http.StatusInternalServerError { // 404: its settings allow no probes, but it is alive
+	if resp.StatusCode >= http.StatusInternalServerError { // 404: probes are disabled in its settings, but it is alive
 		return fmt.Errorf("answers %d", resp.StatusCode)
 	}
 	return nil
 }
 
-// publish writes the advice if it names other servers than before. A further failure of the same
-// servers is no reason for a write.
+// publish writes the advice if the set of failing servers has changed. Further failures of the same
+// servers cause no write.
 func (p *prober) publish(ctx context.Context) error {
 	advice := maps.Clone(p.failing)
 	maps.DeleteFunc(advice, func(_ string, a HealthAdvice) bool { return a.ConsecutiveFailures < p.config.Failures })
 	hosts := slices.Sorted(maps.Keys(advice))
-	if p.hasPublished && slices.Equal(hosts, p.published) {
+	if p.hasPublished && slices.Equal(hosts, p.publishedHosts) {
 		return nil
 	}
 	text, err := json.Marshal(advice)
 	if err != nil {
 		return fmt.Errorf("advice: %w", err)
 	}
-	if p.version, err = p.registry.Put(ctx, HealthRecordKey(p.shard), text, &p.version); err != nil {
+	if p.recordVersion, err = p.registry.Put(ctx, HealthRecordKey(p.shard), text, &p.recordVersion); err != nil {
 		return fmt.Errorf("advice: %w", err)
 	}
-	p.published, p.hasPublished = hosts, true
+	p.publishedHosts, p.hasPublished = hosts, true
 	slog.Info("controller: health advice changed", "lease", p.handle.LeaseName(), "token", p.handle.Token(), "failing", hosts)
 	return nil
 }
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -12,7 +12,7 @@
 	"barleywick/internal/registry"
 )
 
-// Each server is probed by one controller, and advice names those that do not answer.
+// All servers are probed, and the advice lists only those whose probes fail.
 func TestHealthAdvice(t *testing.T) {
 	addr, c := startGroup(t, "g")
 	var mu sync.Mutex
--- a/internal/controller/helpers_test.go
+++ b/internal/controller/helpers_test.go
@@ -22,13 +22,13 @@
 	os.Exit(m.Run())
 }
 
-const patience = 40 * time.Second
+const waitTimeout = 40 * time.Second
 
-func eventually(t testing.TB, what string, holds func() bool) {
+func eventually(t testing.TB, description string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); !holds(); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("after %v it does not hold that %s", patience, what)
+			t.Fatalf("not after %v: %s", waitTimeout, description)
 		}
 	}
 }
@@ -90,11 +90,11 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- Serve(ctx, c) }()
+	serveResult := make(chan error, 1)
+	go func() { serveResult <- Serve(ctx, c) }()
 	stop = sync.OnceFunc(func() {
 		cancel()
-		if err := <-ended; err != nil {
+		if err := <-serveResult; err != nil {
 			t.Error(err)
 		}
 	})
@@ -102,7 +102,7 @@
 	return stop
 }
 
-// holder returns the name of a lease's holder, empty if there is none.
+// holder returns the name of a lease's holder, or an empty string if there is none.
 func holder(t *testing.T, c *client.Client, leaseName string) string {
 	t.Helper()
 	leases, err := c.Leases(t.Context(), 0, 0)
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -16,9 +16,9 @@
 	"barleywick/internal/registry/client"
 )
 
-// overloadTask takes load digests of sidecars and answers with overload advice. Its responses
-// are timed acts, given only while the lease is held; by the token in each, sidecars reject
-// what an earlier holder sends late. Where it listens is written under the fence.
+// overloadTask receives load digests from sidecars and responds with overload advice. Its responses
+// are timed acts, sent only while the lease is held. Each contains the fencing token, by which
+// sidecars reject late responses of an earlier holder. The task's address is written under the fence.
 type overloadTask struct {
 	config OverloadConfig
 	client *client.Client
@@ -40,7 +40,7 @@
 	}()
 	defer func() {
 		server.Close()
-		for range served { // until it has returned
+		for range served { // until Serve has returned
 		}
 	}()
 	if err := t.announce(ctx, handle, ln.Addr().String()); err != nil {
@@ -62,7 +62,7 @@
 	}
 }
 
-// announce writes where the task listens into the registry, over what an earlier holder wrote.
+// announce writes the task's address to the registry, in place of an earlier holder's.
 func (t *overloadTask) announce(ctx context.Context, handle *lease.Handle, address string) error {
 	text, err := json.Marshal(overload.Location{Address: address, Token: handle.Token()})
 	if err != nil {
--- a/internal/controller/overloadserver.go
+++ b/internal/controller/overloadserver.go
@@ -14,15 +14,15 @@
 	"barleywick/internal/overload"
 )
 
-// maxConcurrentDigests bounds the digests in work; each takes some microseconds.
+// maxConcurrentDigests bounds the requests that are handled concurrently; each takes some microseconds.
 const maxConcurrentDigests = 64
 
 // overloadServer serves the current overload advice to sidecars, in response to their digests,
 // and to operators.
 type overloadServer struct {
-	handle *lease.Handle
-	began  time.Time
-	slots  chan struct{}
+	handle    *lease.Handle
+	startedAt time.Time
+	slots     chan struct{}
 
 	mu      sync.Mutex
 	planner *overload.Planner
@@ -31,32 +31,32 @@
 
 func newOverloadServer(handle *lease.Handle, fleet string) *overloadServer {
 	return &overloadServer{
-		handle:  handle,
-		began:   time.Now(),
-		slots:   make(chan struct{}, maxConcurrentDigests),
-		planner: overload.NewPlanner(fleet, handle.Token()),
+		handle:    handle,
+		startedAt: time.Now(),
+		slots:     make(chan struct{}, maxConcurrentDigests),
+		planner:   overload.NewPlanner(fleet, handle.Token()),
 	}
 }
 
-// setExpected sets how many sidecars the fleet has; 0: not known.
+// setExpected sets how many sidecars the fleet has; 0: unknown.
 func (s *overloadServer) setExpected(sidecars int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.planner.SetExpected(sidecars)
 }
 
-// plan works out new advice.
+// plan computes new advice.
 func (s *overloadServer) plan() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	limited := len(s.advice.Tenants) > 0
-	s.advice = s.planner.Plan(time.Since(s.began))
+	s.advice = s.planner.Plan(time.Since(s.startedAt))
 	if a := s.advice; (len(a.Tenants) > 0) != limited {
 		slog.Info("overload: advice changed", "limit", a.Limit, "congestion", a.Congestion, "sidecars", a.Sidecars, "tenants", a.Tenants, "token", a.Token)
 	}
 }
 
-// ServeHTTP takes a digest (POST) and responds with the current advice (also to GET).
+// ServeHTTP receives a digest (POST), and responds to POST and GET with the current advice.
 func (s *overloadServer) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	select {
 	case s.slots <- struct{}{}:
@@ -91,7 +91,7 @@
 	http.Error(w, err.Error(), status)
 }
 
-// takeDigest reads a digest, gives it to the planner, and returns the current advice.
+// takeDigest reads a digest, adds it to the planner, and returns the current advice.
 func (s *overloadServer) takeDigest(w http.ResponseWriter, req *http.Request) (overload.Advice, error) {
 	text, err := io.ReadAll(http.MaxBytesReader(w, req.Body, overload.MaxMessageBytes))
 	if err != nil {
@@ -103,7 +103,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.advice, s.planner.AddDigest(time.Since(s.began), digest)
+	return s.advice, s.planner.AddDigest(time.Since(s.startedAt), digest)
 }
 
 func (s *overloadServer) currentAdvice() overload.Advice {
@@ -112,8 +112,8 @@
 	return s.advice
 }
 
-// respond sends advice if the lease is still held. That is checked last, since this process may
-// have been stopped meanwhile.
+// respond sends advice if the lease is still held. It checks that last, since this process may have
+// been suspended in the meantime.
 func (s *overloadServer) respond(w http.ResponseWriter, advice overload.Advice) {
 	if !s.handle.Held() {
 		refuse(w, http.StatusConflict, lease.ErrLapsed)
--- a/internal/controller/placement_test.go
+++ b/internal/controller/placement_test.go
@@ -8,12 +8,12 @@
 )
 
 func placementOf(members ...string) *placement {
-	p := &placement{settle: 10 * time.Second}
+	p := &placement{settleTime: 10 * time.Second}
 	p.update(members, 0)
 	return p
 }
 
-// Tasks are placed evenly. If a member goes, its tasks move to their standbys, and no others move.
+// Tasks are placed evenly. If a member leaves, its tasks move to their standbys, and no others move.
 func TestPlacement(t *testing.T) {
 	members := []string{"k0", "k1", "k2", "k3", "k4"}
 	remaining := slices.DeleteFunc(slices.Clone(members), func(m string) bool { return m == "k2" })
@@ -23,10 +23,10 @@
 		before, after := placementOf(members...).rank(task), placementOf(remaining...).rank(task)
 		counts[before[0]]++
 		if before[0] != "k2" && after[0] != before[0] {
-			t.Errorf("%s: got it moved from %s to %s when k2 goes, want it to stay", task, before[0], after[0])
+			t.Errorf("%s: moved from %s to %s when k2 left, want no move", task, before[0], after[0])
 		}
 		if before[0] == "k2" && after[0] != before[1] {
-			t.Errorf("%s: got it moved from k2 to %s, want the standby %s", task, after[0], before[1])
+			t.Errorf("%s: moved from k2 to %s, want to the standby %s", task, after[0], before[1])
 		}
 		claims := 0
 		for _, m := range members {
@@ -35,7 +35,7 @@
 			}
 		}
 		if claims != 1+standbys {
-			t.Errorf("%s: got %d members that claim it, want %d", task, claims, 1+standbys)
+			t.Errorf("%s: got %d members that should claim it, want %d", task, claims, 1+standbys)
 		}
 	}
 	for _, m := range members {
@@ -45,7 +45,7 @@
 	}
 }
 
-// A member that comes and goes is handed nothing before it has been present for a while.
+// A member that joins and leaves repeatedly is handed no task until it has been present for the settle time.
 func TestHandOverTarget(t *testing.T) {
 	p := placementOf("k0", "k1")
 	const task = "task-0"
@@ -66,9 +66,9 @@
 		t.Errorf("settled: got target %q, %v, want %s", target, ok, first)
 	}
 	if target, ok := p.handOverTarget(task, second, nil, 2*time.Minute); ok {
-		t.Errorf("the other does not wait: got target %s, want none", target)
+		t.Errorf("preferred member not queued: got target %s, want none", target)
 	}
 	if target, ok := p.handOverTarget(task, first, []string{second}, 2*time.Minute); ok {
-		t.Errorf("the right one holds it: got target %s, want none", target)
+		t.Errorf("preferred member is the holder: got target %s, want none", target)
 	}
 }
--- a/internal/controller/policy.go
+++ b/internal/controller/policy.go
@@ -12,16 +12,16 @@
 	"barleywick/internal/rollout"
 )
 
-// policyPollInterval is between two checks of a rollout's time limits. Answers of sidecars are
-// noticed at once.
+// policyPollInterval is the time between two checks of a rollout's time limits. Reports of sidecars
+// are processed immediately.
 const policyPollInterval = 500 * time.Millisecond
 
-// policyTask leads rollouts of the fleet policy. Each step is fenced, and the registry itself
-// checks whether all members of the roster have answered: a leader that lags behind changes nothing.
+// policyTask leads rollouts of the fleet policy. Each step is fenced, and the registry itself checks
+// whether all members of the roster have reported, so the step of an outdated leader has no effect.
 type policyTask struct{ client *client.Client }
 
 func (t *policyTask) run(ctx context.Context, handle *lease.Handle) error {
-	var after uint64 // the version to wait beyond; 0: do not wait
+	var after uint64 // the status is awaited until its version is above this; 0: don't wait
 	for {
 		status, err := t.client.PolicyStatus(ctx, after, policyPollInterval)
 		if ctx.Err() != nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-// takeStep takes one step of a rollout. It returns an error only if the task has to end.
+// takeStep applies one step of a rollout. It returns an error only if the task has to end.
 func (t *policyTask) takeStep(ctx context.Context, step rollout.Command, handle *lease.Handle) error {
 	switch _, err := t.client.ApplyPolicyStep(ctx, step, handle.Fence()); {
 	case ctx.Err() != nil:
@@ -64,12 +64,12 @@
 }
 
 // watchMachine removes sidecars of this machine from the roster when their processes have ended,
-// until ctx ends. That a sidecar does not answer is no reason to. Every controller does it,
-// without a lease.
+// until ctx ends. An unresponsive sidecar whose process is running stays in the roster. Every
+// controller does this, without a lease.
 func watchMachine(ctx context.Context, c *client.Client, machine string) {
 	for {
 		if status, err := c.PolicyStatus(ctx, 0, 0); err == nil {
-			removeEnded(ctx, c, machine, status.Roster)
+			removeEndedSidecars(ctx, c, machine, status.Roster)
 		}
 		if pause(ctx, policyPollInterval) != nil {
 			return
@@ -77,7 +77,7 @@
 	}
 }
 
-func removeEnded(ctx context.Context, c *client.Client, machine string, roster []rollout.RosterMember) {
+func removeEndedSidecars(ctx context.Context, c *client.Client, machine string, roster []rollout.RosterMember) {
 	for _, sidecar := range roster {
 		if !sidecar.ProcessGone(machine) {
 			continue
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -24,11 +24,11 @@
 	maxHeaderBytes       = 8 << 10
 )
 
-// Serve runs a controller by its configuration until ctx ends.
+// Serve runs a controller with a configuration until ctx ends.
 func Serve(ctx context.Context, config *Config) error {
-	c, err := shutdown.Await(ctx, func() (*Controller, error) { return New(config, config.Tasks) }) // it reads a file
+	c, err := shutdown.Await(ctx, func() (*Controller, error) { return New(config, config.Tasks) }) // reads the membership cache from disk, which may hang
 	if ctx.Err() != nil {
-		return nil // no task was held
+		return nil // stopped before any task was held
 	}
 	if err != nil {
 		return err
--- a/internal/controller/tasks.go
+++ b/internal/controller/tasks.go
@@ -10,25 +10,25 @@
 	"barleywick/internal/registry/client"
 )
 
-// Leases of the tasks; that of the overload task is overload.LeaseName, those of the health
-// checks are health-0 and so on.
+// Names of the tasks' leases. The overload task uses overload.LeaseName, and the health checks use
+// health-0 to health-7, one for each shard.
 const (
 	DrainsLease = "drains"
 	PolicyLease = "policy"
 	BackupLease = "copies"
 )
 
-// Task is work that one controller does at a time.
+// Task is work that only one controller does at a time.
 type Task struct {
 	LeaseName string
-	// Run does the work until ctx ends, which it does with the lease.
+	// Run does the work until ctx ends. ctx ends when the lease does.
 	Run func(ctx context.Context, handle *lease.Handle) error
-	// Timed says that its acts reach something that checks no fencing token. A controller that
-	// has lost more than half of the fleet's members gives such a task up.
+	// Timed marks a task that acts on systems which check no fencing token. A controller from which
+	// more than half of the fleet's members are unreachable stops such a task.
 	Timed bool
 }
 
-// Tasks returns the tasks that a configuration names, for a controller.
+// Tasks returns the configured tasks, for a controller.
 func (c *Config) Tasks(controller *Controller) []Task {
 	var tasks []Task
 	if c.Drains != nil {
@@ -56,7 +56,7 @@
 	return slices.Clip(tasks)
 }
 
-// LeaseNames returns the leases of the tasks that a configuration names.
+// LeaseNames returns the names of the configured tasks' leases.
 func (c *Config) LeaseNames() []string {
 	var names []string
 	for _, task := range c.Tasks(new(Controller)) {
@@ -65,8 +65,8 @@
 	return names
 }
 
-// fencedRegistry is the registry as a lease holder writes to it: a write takes effect only while
-// the grant is the lease's.
+// fencedRegistry is a registry client whose writes are fenced: a write takes effect only while the
+// handle's grant is the current one of the lease.
 type fencedRegistry struct {
 	*client.Client
 	handle *lease.Handle
--- a/internal/membership/client.go
+++ b/internal/membership/client.go
@@ -11,17 +11,17 @@
 
 // FetchView returns the view that a member serves at a URL.
 func FetchView(ctx context.Context, client *http.Client, viewURL string) (ViewResponse, error) {
-	return call(ctx, client, http.MethodGet, viewURL)
+	return requestView(ctx, client, http.MethodGet, viewURL)
 }
 
 // ForgetMember has the member that serves its view at a URL take an unreachable member for
 // one that never comes back.
 func ForgetMember(ctx context.Context, client *http.Client, viewURL, name string) error {
-	_, err := call(ctx, client, http.MethodPost, viewURL+"?forget="+url.QueryEscape(name))
+	_, err := requestView(ctx, client, http.MethodPost, viewURL+"?forget="+url.QueryEscape(name))
 	return err
 }
 
-func call(ctx context.Context, client *http.Client, method, viewURL string) (view ViewResponse, err error) {
+func requestView(ctx context.Context, client *http.Client, method, viewURL string) (view ViewResponse, err error) {
 	req, err := http.NewRequestWithContext(ctx, method, viewURL, nil)
 	if err != nil {
 		return view, err
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -87,15 +87,15 @@
 
 func (c *Config) checkDurations() error {
 	for _, field := range []struct {
-		name                   string
-		value                  *int64
-		lowest, highest, unset int64
+		name                          string
+		value                         *int64
+		lowest, highest, defaultValue int64
 	}{
 		{"probe_ms", &c.ProbeMS, minProbeInterval.Milliseconds(), maxProbeInterval.Milliseconds(), defaultProbeInterval.Milliseconds()},
 		{"forget_s", &c.ForgetS, int64(minForgetAfter.Seconds()), int64(maxForgetAfter.Seconds()), int64(defaultForgetAfter.Seconds())},
 	} {
 		if *field.value == 0 {
-			*field.value = field.unset
+			*field.value = field.defaultValue
 		}
 		if *field.value < field.lowest || *field.value > field.highest {
 			return fmt.Errorf("membership.%s is %d, it must lie between %d and %d", field.name, *field.value, field.lowest, field.highest)
--- a/internal/membership/gossip/changes.go
+++ b/internal/membership/gossip/changes.go
@@ -3,7 +3,7 @@
 import "context"
 
 // notifyChanged signals that the view has changed. It never blocks.
-func (n *Node) notifyChanged() { signal(n.changed) }
+func (n *Node) notifyChanged() { signal(n.changedSignal) }
 
 // signal has a channel with one place hold a signal.
 func signal(c chan<- struct{}) {
@@ -17,7 +17,7 @@
 func (n *Node) deliverChanges(ctx context.Context) {
 	for {
 		select {
-		case <-n.changed:
+		case <-n.changedSignal:
 			if n.options.OnChange != nil {
 				n.options.OnChange()
 			}
--- a/internal/membership/gossip/compatibility_test.go
+++ b/internal/membership/gossip/compatibility_test.go
@@ -46,7 +46,7 @@
 func newOfflineNode(folder string) *Node {
 	n := &Node{
 		options: Options{Config: membership.Config{Fleet: "prenota-nord", Listen: "127.0.0.1:9601", StateDir: folder, ForgetS: 600, ProbeMS: 500}, Self: k1},
-		log:     discard, startedAt: time.Now(), self: k1, changed: make(chan struct{}, 1), writeFile: replaceFile,
+		log:     discard, startedAt: time.Now(), self: k1, changedSignal: make(chan struct{}, 1), writeFile: replaceFile,
 		addrs: map[string]string{"s1/11": "127.0.0.1:9611", "s2/12": "127.0.0.1:9612", "s3/13": "127.0.0.1:9613"}, unresponsive: make(map[string]time.Duration),
 	}
 	n.broadcasts = &memberlist.TransmitLimitedQueue{NumNodes: func() int { return 5 }, RetransmitMult: 4}
@@ -59,7 +59,7 @@
 }
 
 // breakMembers has the members of an offline node's view take each status.
-func breakMembers(n *Node) {
+func assignStatuses(n *Node) {
 	time.Sleep(2500 * time.Millisecond)
 	n.view.MarkSuspected("s2/12", n.now(), n.now()+8*time.Second)
 	n.view.MarkUnreachable("s3/13", n.now())
@@ -118,7 +118,7 @@
 func TestDigestOfEarlierVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newOfflineNode("")
-		breakMembers(n)
+		assignStatuses(n)
 		text, err := json.Marshal(message{Kind: messageDigest, Key: "s1/11", Digest: n.view.Digest()})
 		if err != nil {
 			t.Fatal(err)
@@ -144,7 +144,7 @@
 			}
 		}
 		n = newOfflineNode("")
-		breakMembers(n)
+		assignStatuses(n)
 		equalBytes(t, "push_pull.json", (&delegate{n}).LocalState(false))
 	})
 }
@@ -167,7 +167,7 @@
 	}
 	synctest.Test(t, func(t *testing.T) {
 		n := newOfflineNode("")
-		breakMembers(n)
+		assignStatuses(n)
 		w := httptest.NewRecorder()
 		n.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/fleet", nil))
 		equalBytes(t, "view.json", w.Body.Bytes())
@@ -197,26 +197,26 @@
 }
 
 // wire is a transport of which both ends are the test's.
-type wire struct {
+type testTransport struct {
 	sent    chan []byte
 	dialed  chan net.Conn
 	packets chan *memberlist.Packet
 	streams chan net.Conn
 }
 
-func newWire() *wire {
-	return &wire{sent: make(chan []byte, 100), dialed: make(chan net.Conn, 1), packets: make(chan *memberlist.Packet), streams: make(chan net.Conn)}
+func newTestTransport() *testTransport {
+	return &testTransport{sent: make(chan []byte, 100), dialed: make(chan net.Conn, 1), packets: make(chan *memberlist.Packet), streams: make(chan net.Conn)}
 }
 
-func (w *wire) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+func (w *testTransport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return net.IPv4(127, 0, 0, 1).To4(), 9601, nil
 }
 
-func (w *wire) WriteTo(b []byte, to string) (time.Time, error) {
+func (w *testTransport) WriteTo(b []byte, to string) (time.Time, error) {
 	return w.WriteToAddress(b, memberlist.Address{Addr: to})
 }
 
-func (w *wire) WriteToAddress(b []byte, _ memberlist.Address) (time.Time, error) {
+func (w *testTransport) WriteToAddress(b []byte, _ memberlist.Address) (time.Time, error) {
 	select {
 	case w.sent <- bytes.Clone(b):
 	default:
@@ -224,25 +224,25 @@
 	return time.Now(), nil
 }
 
-func (w *wire) PacketCh() <-chan *memberlist.Packet { return w.packets }
-func (w *wire) StreamCh() <-chan net.Conn           { return w.streams }
+func (w *testTransport) PacketCh() <-chan *memberlist.Packet { return w.packets }
+func (w *testTransport) StreamCh() <-chan net.Conn           { return w.streams }
 
-func (w *wire) DialTimeout(to string, within time.Duration) (net.Conn, error) {
+func (w *testTransport) DialTimeout(to string, within time.Duration) (net.Conn, error) {
 	return w.DialAddressTimeout(memberlist.Address{Addr: to}, within)
 }
 
-func (w *wire) DialAddressTimeout(memberlist.Address, time.Duration) (net.Conn, error) {
+func (w *testTransport) DialAddressTimeout(memberlist.Address, time.Duration) (net.Conn, error) {
 	near, far := net.Pipe()
 	w.dialed <- far
 	return near, nil
 }
 
-func (w *wire) Shutdown() error { return nil }
+func (w *testTransport) Shutdown() error { return nil }
 
 // startOnWire starts a member whose network is the test's.
-func startOnWire(t *testing.T, self membership.Info) (*Node, *wire) {
+func startWithTestTransport(t *testing.T, self membership.Info) (*Node, *testTransport) {
 	t.Helper()
-	w := newWire()
+	w := newTestTransport()
 	n, err := Start(Options{Config: membership.Config{Fleet: "prenota-nord", Listen: "127.0.0.1:9601"}, Self: self, Transport: w, Logger: discard})
 	if err != nil {
 		t.Fatal(err)
@@ -260,7 +260,7 @@
 // read, and both are written with the same bytes.
 func TestNetworkBytesOfEarlierVersion(t *testing.T) {
 	s1 := membership.Info{Name: "s1", Incarnation: 11, Role: membership.RoleSidecar}
-	n, w := startOnWire(t, s1)
+	n, w := startWithTestTransport(t, s1)
 	n.mu.Lock()
 	n.addrs["k1/1796175124000001"] = "127.0.0.1:9602"
 	n.mu.Unlock()
@@ -285,7 +285,7 @@
 	}
 	<-joined
 
-	other, w := startOnWire(t, membership.Info{Name: "s2", Incarnation: 12, Role: membership.RoleSidecar})
+	other, w := startWithTestTransport(t, membership.Info{Name: "s2", Incarnation: 12, Role: membership.RoleSidecar})
 	near, far := net.Pipe()
 	w.streams <- near
 	if err := far.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
--- a/internal/membership/gossip/delegate.go
+++ b/internal/membership/gossip/delegate.go
@@ -66,7 +66,7 @@
 	self, _ := n.view.Get(own.Key())
 	n.mu.Unlock()
 	if self.Status == membership.StatusReplaced {
-		signal(n.replaced)
+		signal(n.replacedSignal)
 	}
 	if n.processes != nil && info.MachineID == own.MachineID && info.MachineID != "" && info.Key() != own.Key() {
 		n.processes.add(info)
--- a/internal/membership/gossip/lifecycle.go
+++ b/internal/membership/gossip/lifecycle.go
@@ -21,9 +21,9 @@
 const (
 	// endBound is how long the end of a member takes at most, whatever its folder, its callers
 	// and its peers do.
-	endBound = 4 * time.Second
+	stopTimeout = 4 * time.Second
 	// lastSaveBound is for how long of that the cache's last save is waited for.
-	lastSaveBound = 3 * time.Second
+	lastSaveTimeout = 3 * time.Second
 )
 
 // createMemberlist starts memberlist, with an empty view, as the process of the node's
@@ -78,8 +78,8 @@
 	select {
 	case err := <-ended:
 		return err
-	case <-time.After(endBound):
-		return fmt.Errorf("membership: %s has not left within %v", n.options.Self.Name, endBound)
+	case <-time.After(stopTimeout):
+		return fmt.Errorf("membership: %s has not left within %v", n.options.Self.Name, stopTimeout)
 	}
 }
 
@@ -139,7 +139,7 @@
 		select {
 		case <-ctx.Done():
 			return ""
-		case <-n.replaced:
+		case <-n.replacedSignal:
 			if self, _ := n.Get(n.Self().Key()); self.Status == membership.StatusReplaced {
 				return self.By
 			}
@@ -181,7 +181,7 @@
 
 // leave announces that this process leaves, waits for the cache's last save, and stops.
 func (n *Node) leave(saved <-chan struct{}) error {
-	saveTimer := time.NewTimer(lastSaveBound)
+	saveTimer := time.NewTimer(lastSaveTimeout)
 	defer saveTimer.Stop()
 	n.broadcast(message{Kind: messageLeave, Key: n.Self().Key()})
 	time.Sleep(2 * gossipInterval) // lets the message go out before SWIM's own
@@ -189,7 +189,7 @@
 	select {
 	case <-saved: // before the address is free, where another process may start that reads it
 	case <-saveTimer.C:
-		n.log.Warn("members: cache not saved in time", "bound", lastSaveBound)
+		n.log.Warn("members: cache not saved in time", "bound", lastSaveTimeout)
 	}
 	return errors.Join(err, n.list.Load().Shutdown())
 }
--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -59,17 +59,17 @@
 
 // Node is this process as a member of the fleet.
 type Node struct {
-	options    Options
-	log        *slog.Logger
-	startedAt  time.Time
-	list       atomic.Pointer[memberlist.Memberlist]
-	broadcasts *memberlist.TransmitLimitedQueue
-	traffic    traffic
-	counters   counters
-	processes  *processWatcher // nil: it watches none
-	replaced   chan struct{}   // signals that a later process has this one's name
-	changed    chan struct{}   // signals that the view has changed
-	saveNow    chan struct{}   // signals that the cache is outdated
+	options        Options
+	log            *slog.Logger
+	startedAt      time.Time
+	list           atomic.Pointer[memberlist.Memberlist]
+	broadcasts     *memberlist.TransmitLimitedQueue
+	traffic        traffic
+	counters       counters
+	processes      *processWatcher // nil: it watches none
+	replacedSignal chan struct{}   // signals that a later process has this one's name
+	changedSignal  chan struct{}   // signals that the view has changed
+	saveNow        chan struct{}   // signals that the cache is outdated
 	// writeFile replaces a file and syncs it, which takes as long as the disk takes.
 	writeFile func(path string, text []byte, permissions os.FileMode) error
 
@@ -108,7 +108,7 @@
 func newNode(o Options) *Node {
 	n := &Node{
 		options: o, log: o.Logger, startedAt: time.Now(), self: o.Self,
-		replaced: make(chan struct{}, 1), changed: make(chan struct{}, 1), saveNow: make(chan struct{}, 1),
+		replacedSignal: make(chan struct{}, 1), changedSignal: make(chan struct{}, 1), saveNow: make(chan struct{}, 1),
 		addrs: make(map[string]string), unresponsive: make(map[string]time.Duration), writeFile: replaceFile,
 	}
 	if n.log == nil {
--- a/internal/membership/gossip/end_test.go
+++ b/internal/membership/gossip/stop_test.go
@@ -21,24 +21,24 @@
 )
 
 // deafTransport reaches nobody: a call of another member fails when its time is over.
-type deafTransport struct {
-	*wire
-	heldStream bool // its listener has accepted a connection that nobody has taken yet
-	shutDown   chan struct{}
+type unreachableTransport struct {
+	*testTransport
+	pendingStream bool // its listener has accepted a connection that nobody has taken yet
+	shutDown      chan struct{}
 }
 
-func newDeafTransport() *deafTransport {
-	return &deafTransport{wire: newWire(), shutDown: make(chan struct{})}
+func newUnreachableTransport() *unreachableTransport {
+	return &unreachableTransport{testTransport: newTestTransport(), shutDown: make(chan struct{})}
 }
 
-func (d *deafTransport) DialAddressTimeout(_ memberlist.Address, timeout time.Duration) (net.Conn, error) {
+func (d *unreachableTransport) DialAddressTimeout(_ memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	time.Sleep(timeout)
 	return nil, os.ErrDeadlineExceeded
 }
 
 // Shutdown waits for the listener, as that of memberlist's own transport does.
-func (d *deafTransport) Shutdown() error {
-	if d.heldStream {
+func (d *unreachableTransport) Shutdown() error {
+	if d.pendingStream {
 		near, far := net.Pipe()
 		defer far.Close()
 		d.streams <- near
@@ -66,19 +66,19 @@
 }
 
 // endingMember is a member that a test tells to end.
-type endingMember struct {
+type testMember struct {
 	*Node
-	transport  *deafTransport
-	log        lockedBuffer
-	cancel     context.CancelFunc
-	ended      chan error
-	writesHang atomic.Pointer[chan struct{}] // until it is closed; nil: they don't
+	transport     *unreachableTransport
+	log           lockedBuffer
+	cancel        context.CancelFunc
+	runResult     chan error
+	writesBlocked atomic.Pointer[chan struct{}] // until it is closed; nil: they don't
 }
 
 // newEndingMember makes a member of an incarnation, which does not run yet.
-func newEndingMember(t *testing.T, folder string, incarnation uint64, change func(o *Options)) *endingMember {
+func newTestMember(t *testing.T, folder string, incarnation uint64, change func(o *Options)) *testMember {
 	t.Helper()
-	m := &endingMember{transport: newDeafTransport(), ended: make(chan error, 1)}
+	m := &testMember{transport: newUnreachableTransport(), runResult: make(chan error, 1)}
 	o := Options{
 		Config:    membership.Config{Fleet: "prenota-nord", Listen: "127.0.0.1:9601", StateDir: folder, Seeds: []string{"127.0.0.1:9602", "127.0.0.1:9603", "127.0.0.1:9604", "127.0.0.1:9605"}},
 		Self:      membership.Info{Name: "s1", Incarnation: incarnation, Role: membership.RoleSidecar},
@@ -95,19 +95,19 @@
 	return m
 }
 
-func (m *endingMember) run() {
+func (m *testMember) run() {
 	var ctx context.Context
 	ctx, m.cancel = context.WithCancel(context.Background())
-	go func() { m.ended <- m.Run(ctx) }()
+	go func() { m.runResult <- m.Run(ctx) }()
 }
 
 // end tells the member to end, and returns how long that takes and its result.
-func (m *endingMember) end(t *testing.T) (took time.Duration, err error) {
+func (m *testMember) stop(t *testing.T) (took time.Duration, err error) {
 	t.Helper()
 	begun := time.Now()
 	m.cancel()
 	select {
-	case err = <-m.ended:
+	case err = <-m.runResult:
 		return time.Since(begun), err
 	case <-time.After(time.Hour):
 		t.Errorf("the member has not ended after an hour; its log:\n%s", m.log.String())
@@ -117,14 +117,14 @@
 
 // hangingWrites has the writes of the member's cache hang from now on, until the returned
 // function is called.
-func (m *endingMember) hangingWrites() (release func()) {
+func (m *testMember) blockWrites() (release func()) {
 	released := make(chan struct{})
-	m.writesHang.Store(&released)
+	m.writesBlocked.Store(&released)
 	return func() { close(released) }
 }
 
-func (m *endingMember) write(path string, text []byte, permissions fs.FileMode) error {
-	if released := m.writesHang.Load(); released != nil {
+func (m *testMember) write(path string, text []byte, permissions fs.FileMode) error {
+	if released := m.writesBlocked.Load(); released != nil {
 		<-*released
 		return os.ErrClosed
 	}
@@ -134,18 +134,18 @@
 // A sync of the cache that never returns delays the end by its stated time and no longer, be
 // it the last one or one that is under way: the cache is a hint for the next start. The
 // member leaves in order all the same, and its log says what it has not waited for.
-func TestEndWithHangingSync(t *testing.T) {
+func TestStopWithHangingSync(t *testing.T) {
 	for name, runs := range map[string]time.Duration{"before the first save": 0, "at the last save": time.Second, "with a save under way": 3 * cacheInterval} {
 		t.Run(name, func(t *testing.T) {
 			folder := t.TempDir()
 			synctest.Test(t, func(t *testing.T) {
-				m := newEndingMember(t, folder, 11, nil)
-				release := m.hangingWrites()
+				m := newTestMember(t, folder, 11, nil)
+				release := m.blockWrites()
 				m.run()
 				time.Sleep(runs)
-				took, err := m.end(t)
-				if took > endBound || err != nil {
-					t.Errorf("ended after %v with %v, want %v at most and no error", took, err, endBound)
+				took, err := m.stop(t)
+				if took > stopTimeout || err != nil {
+					t.Errorf("ended after %v with %v, want %v at most and no error", took, err, stopTimeout)
 				}
 				select {
 				case <-m.transport.shutDown:
@@ -164,12 +164,12 @@
 
 // A member that is told to end while it calls seeds that do not answer ends at once: nobody
 // has to be told.
-func TestEndWhileJoining(t *testing.T) {
+func TestStopWhileJoining(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newEndingMember(t, "", 11, nil)
+		m := newTestMember(t, "", 11, nil)
 		m.run()
 		time.Sleep(callTimeout / 2)
-		took, err := m.end(t)
+		took, err := m.stop(t)
 		if took > callTimeout || err != nil {
 			t.Errorf("ended after %v with %v, want %v at most and no error", took, err, callTimeout)
 		}
@@ -179,13 +179,13 @@
 
 // A connection that the listener holds as the member ends has nobody to take it, and the end of
 // memberlist's transport waits for its listener.
-func TestEndWithConnectionInHand(t *testing.T) {
+func TestStopWithPendingConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newEndingMember(t, "", 11, nil)
-		m.transport.heldStream = true
+		m := newTestMember(t, "", 11, nil)
+		m.transport.pendingStream = true
 		m.run()
 		time.Sleep(10 * time.Second)
-		took, err := m.end(t)
+		took, err := m.stop(t)
 		if took > callTimeout || err != nil {
 			t.Errorf("ended after %v with %v, want %v at most and no error", took, err, callTimeout)
 		}
@@ -200,16 +200,16 @@
 }
 
 // Whatever hangs, the end is over at its bound and says that it was not in order.
-func TestEndBound(t *testing.T) {
+func TestStopTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan struct{})
-		m := newEndingMember(t, "", 11, func(o *Options) { o.OnChange = func() { <-release } })
+		m := newTestMember(t, "", 11, func(o *Options) { o.OnChange = func() { <-release } })
 		m.run()
 		m.notifyChanged()
 		time.Sleep(10 * time.Second)
-		took, err := m.end(t)
-		if took != endBound || err == nil {
-			t.Errorf("ended after %v with %v, want %v and an error", took, err, endBound)
+		took, err := m.stop(t)
+		if took != stopTimeout || err == nil {
+			t.Errorf("ended after %v with %v, want %v and an error", took, err, stopTimeout)
 		}
 		close(release)
 		time.Sleep(time.Minute)
@@ -219,20 +219,20 @@
 // The next start's incarnation is above this one's also where this one has ended before its
 // first interval, while it still calls seeds, and without its last save, and the clock was set back. Where members listen
 // is kept while none is present.
-func TestIncarnationAfterHangingEnd(t *testing.T) {
+func TestIncarnationAfterHangingStop(t *testing.T) {
 	folder := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		m := newEndingMember(t, folder, 100, nil)
+		m := newTestMember(t, folder, 100, nil)
 		if err := m.writeCache(memberCache{Fleet: "prenota-nord", Incarnation: 20, Addresses: []string{"127.0.0.1:9607"}}); err != nil {
 			t.Fatal(err)
 		}
 		m.run()
 		time.Sleep(time.Second)
-		release := m.hangingWrites()
-		if _, err := m.end(t); err != nil {
+		release := m.blockWrites()
+		if _, err := m.stop(t); err != nil {
 			t.Error(err)
 		}
-		next := newEndingMember(t, folder, 50, nil)
+		next := newTestMember(t, folder, 50, nil)
 		if got := next.Self().Incarnation; got <= 100 {
 			t.Errorf("the next start has the incarnation %d, want more than 100", got)
 		}
@@ -249,7 +249,7 @@
 
 // Of two processes of one name the later one has the file: the earlier one, which may save
 // after it, does not put its lower incarnation there.
-func TestReplacedProcessLeavesCacheAlone(t *testing.T) {
+func TestReplacedProcessDoesNotWriteCache(t *testing.T) {
 	folder := t.TempDir()
 	n := newOfflineNode(folder)
 	later := k1
--- a/internal/membership/gossip/transport.go
+++ b/internal/membership/gossip/transport.go
@@ -104,7 +104,7 @@
 		case conn := <-t.NodeAwareTransport.StreamCh():
 			select {
 			case t.slots <- struct{}{}:
-				t.pass(conn)
+				t.deliver(conn)
 			default:
 				t.traffic.refused.Add(1)
 				conn.Close()
@@ -115,7 +115,7 @@
 
 // pass hands one connection to memberlist. Its slot is free when it is closed, and when
 // its time is over at the latest.
-func (t *mappedTransport) pass(conn net.Conn) {
+func (t *mappedTransport) deliver(conn net.Conn) {
 	conn.SetDeadline(time.Now().Add(streamTimeout))
 	ctx, cancel := context.WithTimeout(context.Background(), streamTimeout)
 	context.AfterFunc(ctx, func() {
--- a/internal/membership/membershiptest/scenario_test.go
+++ b/internal/membership/membershiptest/scenario_test.go
@@ -76,7 +76,7 @@
 
 // A process that starts again is another member, present in all views before the first is
 // unreachable. Of two that run the later one counts, and the earlier one is no member any more.
-func TestLaterProcessOfAName(t *testing.T) {
+func TestLaterProcessReplacesEarlier(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 6)
 		defer f.stop()
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -144,16 +144,16 @@
 
 // MarkEnded records that the process of a member has ended, and reports whether that
 // changes the view. Only a witness on the process's own machine can have seen its end.
-func (v *View) MarkEnded(key, witnessKey string, now time.Duration) (changed bool) {
-	member, witness := v.members[key], v.members[witnessKey]
-	if member == nil || witness == nil || key == v.selfKey || member.Status.final() {
+func (v *View) MarkEnded(key, observerKey string, now time.Duration) (changed bool) {
+	member, observer := v.members[key], v.members[observerKey]
+	if member == nil || observer == nil || key == v.selfKey || member.Status.final() {
 		return false
 	}
-	if member.MachineID == "" || member.MachineID != witness.MachineID {
+	if member.MachineID == "" || member.MachineID != observer.MachineID {
 		return false
 	}
 	member.setStatus(StatusEnded, now)
-	member.By = witnessKey
+	member.By = observerKey
 	v.recount()
 	return true
 }
--- a/internal/overload/aggregate_test.go
+++ b/internal/overload/aggregate_test.go
@@ -6,10 +6,9 @@
 	"time"
 )
 
-// What happens: two planners that have the same digests, or one that plans twice, give advice
-// that differs in its last digits. Why: floating-point values were added in the order of a map,
-// which is another one each time.
-func TestAggregateDoesNotDependOnTheOrder(t *testing.T) {
+// Equal digests give equal advice. Summing floating-point values in the iteration order of a map made
+// the advice of two planners, or of two plans of one, differ in the last digits.
+func TestAggregateIsDeterministic(t *testing.T) {
 	const sidecars, rounds = 64, 50
 	var first float64
 	for round := range rounds {
@@ -28,7 +27,7 @@
 			first = got
 		}
 		if got != first {
-			t.Fatalf("round %d: the congestion is %v, and was %v of the same digests", round, got, first)
+			t.Fatalf("round %d: got congestion %v, want %v as of the same digests in round 0", round, got, first)
 		}
 	}
 }
--- a/internal/overload/filter.go
+++ b/internal/overload/filter.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// AdviceFilter decides which advice a sidecar puts into force: that of the latest lease holder,
-// in the order in which it was planned. It is not safe for concurrent use.
+// AdviceFilter decides which advice a sidecar puts into force: only that of the latest lease holder,
+// and only in the order in which it was planned. It is not safe for concurrent use.
 type AdviceFilter struct {
 	Fleet string
 
@@ -17,11 +17,11 @@
 	}
 	switch {
 	case a.Fleet != f.Fleet:
-		return fmt.Errorf("%w: it is for fleet %.64q, this is %q", ErrBadMessage, a.Fleet, f.Fleet)
+		return fmt.Errorf("%w: advice is for fleet %.64q, want %q", ErrInvalidMessage, a.Fleet, f.Fleet)
 	case a.Token < f.token:
-		return fmt.Errorf("%w: it is under token %d, an earlier holder's: %d is known", ErrBadMessage, a.Token, f.token)
+		return fmt.Errorf("%w: token %d is an earlier lease holder's, the latest is %d", ErrInvalidMessage, a.Token, f.token)
 	case a.Token == f.token && a.Number <= f.number:
-		return fmt.Errorf("%w: number %d came already", ErrBadMessage, f.number)
+		return fmt.Errorf("%w: number is not above %d, the last one accepted", ErrInvalidMessage, f.number)
 	}
 	f.token, f.number = a.Token, a.Number
 	return nil
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// digest is the digest of a sidecar that got these requests of its tenants in a second.
+// digest returns a sidecar's digest of one second with these numbers of requests by tenant.
 func digest(name string, seq uint64, congestion float64, requests map[string]uint64) Digest {
 	d := Digest{Fleet: "f", Name: name, Incarnation: 1, Seq: seq, PeriodMS: 1000, Congestion: congestion}
 	quotas := map[string]float64{"a": 2, "b": 1, "c": 1}
@@ -20,7 +20,7 @@
 	return d
 }
 
-// planFor lets ten sidecars report the same load for some seconds, and returns the last advice.
+// planFor has ten sidecars report the same load for some seconds, and returns the last advice.
 func planFor(t *testing.T, p *Planner, seconds int, congestion float64, requests map[string]uint64) (a Advice) {
 	t.Helper()
 	for s := range seconds {
@@ -46,21 +46,21 @@
 	}
 	a := planFor(t, p, 10, 0.5, map[string]uint64{"a": 10, "b": 10, "c": 200})
 	if a.FractionFor("a") != 1 || a.FractionFor("b") != 1 || a.FractionFor("c") > 0.6 || a.FractionFor("c") < minAdmitFraction {
-		t.Errorf("c asks for twenty times b's: got %+v, want only c limited", a.Tenants)
+		t.Errorf("c requests 20 times as much as b: got %+v, want only c limited", a.Tenants)
 	}
 	if a = planFor(t, p, 30, 0.02, map[string]uint64{"a": 10, "b": 10, "c": 10}); len(a.Tenants) != 0 {
 		t.Errorf("long after the congestion: got %+v, want no tenant limited", a)
 	}
-	// All ask for more alike, which each sidecar sheds by itself.
+	// Each sidecar sheds an overload by all tenants alike on its own.
 	for _, tenant := range planFor(t, p, 10, 0.5, map[string]uint64{"a": 200, "b": 100, "c": 100}).Tenants {
 		if tenant.AdmitFraction != 1 {
-			t.Errorf("all ask for more: got %+v, want fraction 1", tenant)
+			t.Errorf("overload by all tenants: got %+v, want fraction 1", tenant)
 		}
 	}
-	// Sidecars that no longer report do not count, and without digests there is no advice.
+	// Sidecars that no longer report don't count, and without digests no tenant is limited.
 	now := time.Duration(p.number) * time.Second
 	if a := p.Plan(now + AdviceTTL + time.Second); a.Sidecars != 0 || len(a.Tenants) != 0 || len(p.sidecars) != 0 {
-		t.Errorf("no sidecar reports: got %+v, %d sidecars known, want none", a, len(p.sidecars))
+		t.Errorf("no sidecar reports: got %+v, %d sidecars tracked, want none", a, len(p.sidecars))
 	}
 }
 
@@ -70,11 +70,11 @@
 		asked   []float64
 		allowed []float64
 	}{
-		"enough":           {100, []float64{10, 10, 10}, []float64{10, 10, 10}},
-		"by quotas":        {40, []float64{100, 100, 100}, []float64{20, 10, 10}},
-		"what one leaves":  {40, []float64{4, 100, 100}, []float64{4, 18, 18}},
-		"two leave, twice": {40, []float64{4, 17, 100}, []float64{4, 17, 19}},
-		"nothing asked":    {40, []float64{0, 0, 0}, []float64{0, 0, 0}},
+		"enough":        {100, []float64{10, 10, 10}, []float64{10, 10, 10}},
+		"by quotas":     {40, []float64{100, 100, 100}, []float64{20, 10, 10}},
+		"one uses less": {40, []float64{4, 100, 100}, []float64{4, 18, 18}},
+		"two use less":  {40, []float64{4, 17, 100}, []float64{4, 17, 19}},
+		"no requests":   {40, []float64{0, 0, 0}, []float64{0, 0, 0}},
 	} {
 		var tenants []tenantLoad
 		for i, rate := range tt.asked {
@@ -88,14 +88,14 @@
 	}
 }
 
-func TestBadDigestsAreNotAdded(t *testing.T) {
+func TestInvalidDigestsAreRejected(t *testing.T) {
 	p := NewPlanner("f", 1)
 	good := digest("n", 5, 0.1, map[string]uint64{"a": 1})
 	if err := p.AddDigest(0, good); err != nil {
 		t.Fatal(err)
 	}
 	for want, change := range map[string]func(d *Digest){
-		"later ones":    func(d *Digest) { d.Seq = 5 },
+		"later digest":  func(d *Digest) { d.Seq = 5 },
 		"of fleet":      func(d *Digest) { d.Fleet = "g" },
 		"jam is":        func(d *Digest) { d.Congestion = math.NaN() },
 		"over_ms is":    func(d *Digest) { d.PeriodMS = 0 },
@@ -106,8 +106,8 @@
 		d := good
 		d.Seq++
 		change(&d)
-		if err := p.AddDigest(0, d); !errors.Is(err, ErrBadMessage) || !strings.Contains(err.Error(), want) {
-			t.Errorf("got error %v, want %v with %q", err, ErrBadMessage, want)
+		if err := p.AddDigest(0, d); !errors.Is(err, ErrInvalidMessage) || !strings.Contains(err.Error(), want) {
+			t.Errorf("got error %v, want %v with %q", err, ErrInvalidMessage, want)
 		}
 	}
 	later := good
@@ -154,13 +154,13 @@
 	} {
 		a := advice(5, 1)
 		change(&a)
-		if err := filter.Accept(a); !errors.Is(err, ErrBadMessage) {
-			t.Errorf("%+v: got error %v, want %v", a, err, ErrBadMessage)
+		if err := filter.Accept(a); !errors.Is(err, ErrInvalidMessage) {
+			t.Errorf("%+v: got error %v, want %v", a, err, ErrInvalidMessage)
 		}
 	}
 }
 
-// BenchmarkPlan measures a second's work of the controller for a thousand sidecars.
+// BenchmarkPlan measures the controller's work for one second of digests from a thousand sidecars.
 func BenchmarkPlan(b *testing.B) {
 	p := NewPlanner("f", 1)
 	for seq := uint64(1); b.Loop(); seq++ {
--- a/internal/overload/planner.go
+++ b/internal/overload/planner.go
@@ -9,42 +9,44 @@
 )
 
 const (
-	// targetCongestion is the congestion at which the fleet is kept: servers always have work, and
-	// still answer in time. Sidecars shed load by themselves above it.
+	// targetCongestion is the congestion that plans aim for: servers always have work, and still
+	// respond within the latency objective. Above it, sidecars shed load on their own.
 	targetCongestion = 0.15
-	// correctionGain is the part of a deviation from the target that one plan corrects. A
-	// correction shows only after a queueing time, so correcting the whole of it each second
-	// would oscillate.
+	// correctionGain is the fraction of a deviation from the target that one plan corrects. A
+	// correction takes effect only after a queueing delay, so correcting all of the deviation each
+	// second would cause oscillation.
 	correctionGain = 0.5
-	// minCorrection is the least part of the capacity to which the limit is lowered to drain a queue.
+	// minCorrection is the lowest fraction of the capacity to which the limit is reduced to drain a queue.
 	minCorrection = 0.9
-	// capacityDecay lowers the capacity each second under congestion, as after a loss of servers.
+	// capacityDecay is the factor that lowers the capacity each second under congestion, for example
+	// after a loss of servers.
 	capacityDecay = 0.97
-	// capacityGrowth raises the capacity each second without congestion, until it covers all requests.
+	// capacityGrowth is the factor that raises the capacity each second without congestion, until it
+	// covers all requests.
 	capacityGrowth = 1.05
-	// overQuotaFactor is how many times its quota a tenant has to ask for before it is limited.
+	// overQuotaFactor is the multiple of its quota that a tenant has to request before it is limited.
 	overQuotaFactor = 1.5
-	// unlimitedFactor is how far above the rate of all requests the capacity has to be for the
-	// limit to end.
+	// unlimitedFactor is the ratio of the capacity to the rate of all requests from which on there is no
+	// limit.
 	unlimitedFactor = 1.2
-	// minAdmitFraction is the part of its requests that a tenant may always try. If it could try
-	// none, the sidecars would not see that servers have recovered for it.
+	// minAdmitFraction is the fraction of its requests that a tenant is always admitted. If none were
+	// admitted, sidecars could not detect that servers have recovered.
 	minAdmitFraction = 0.01
-	// minResponseRate is the rate of responses below which the fleet's state is not known.
+	// minResponseRate is the rate of responses per second below which the fleet's capacity is unknown.
 	minResponseRate = 5
-	// minQuota keeps the division by quotas defined where they are 0.
+	// minQuota avoids a division by zero if all quotas are 0.
 	minQuota = 1e-9
 )
 
-// Planner works out advice from digests. The caller tells it the time as a reading of a
-// monotonic clock. It is not safe for concurrent use.
+// Planner computes advice from digests. The caller passes the time as a reading of a monotonic clock.
+// It is not safe for concurrent use.
 type Planner struct {
 	fleet    string
 	token    uint64
-	number   uint64  // of the last plan
-	capacity float64 // requests a second that servers can serve; 0: enough for all requests
-	sidecars map[string]*sidecarReport
-	expected int
+	number   uint64                    // of the last plan
+	capacity float64                   // requests per second that the servers can serve; 0: enough for all requests
+	sidecars map[string]*sidecarReport // by name
+	expected int                       // number of sidecars in the fleet; 0: unknown
 }
 
 // sidecarReport is the latest digest of a sidecar.
@@ -53,37 +55,36 @@
 	receivedAt time.Duration
 }
 
-// NewPlanner makes the Planner of one lease grant, which starts without the state of earlier ones.
+// NewPlanner makes the Planner of one lease grant. It starts without the state of earlier grants.
 func NewPlanner(fleet string, token uint64) *Planner {
 	return &Planner{fleet: fleet, token: token, sidecars: make(map[string]*sidecarReport)}
 }
 
-// SetExpected sets how many sidecars the fleet has, as its membership sees it; 0: not known.
-// While fewer than half of them report, no tenant is limited, since their share of a tenant's
-// requests says too little about the tenant. A number below that of the reporting sidecars
-// changes nothing.
+// SetExpected sets how many sidecars the fleet has according to its membership; 0: unknown. While
+// fewer than half of them report, no tenant is limited, since the requests at the reporting sidecars
+// are not representative of the tenant. A number below that of the reporting sidecars has no effect.
 func (p *Planner) SetExpected(sidecars int) {
 	p.expected = min(max(0, sidecars), MaxSidecars)
 }
 
-// AddDigest takes a digest in. It returns an error that wraps ErrBadMessage if the digest is
+// AddDigest records a digest. It returns an error that wraps ErrBadMessage if the digest is
 // malformed, of another fleet, or older than the sidecar's latest one.
 func (p *Planner) AddDigest(now time.Duration, d Digest) error {
 	if err := d.Check(); err != nil {
 		return err
 	}
 	if d.Fleet != p.fleet {
-		return fmt.Errorf("%w: it is of fleet %.64q, this is %q", ErrBadMessage, d.Fleet, p.fleet)
+		return fmt.Errorf("%w: digest is of fleet %.64q, want %q", ErrInvalidMessage, d.Fleet, p.fleet)
 	}
 	report, known := p.sidecars[d.Name]
 	switch {
 	case !known && len(p.sidecars) >= MaxSidecars:
-		return fmt.Errorf("%w: %d sidecars are known", ErrBadMessage, len(p.sidecars))
+		return fmt.Errorf("%w: too many sidecars: %d others have reported", ErrInvalidMessage, len(p.sidecars))
 	case !known:
 		report = new(sidecarReport)
 		p.sidecars[d.Name] = report
 	case !d.isNewerThan(&report.digest):
-		return fmt.Errorf("%w: %.64s has sent later ones", ErrBadMessage, d.Name)
+		return fmt.Errorf("%w: %.64s has already sent a later digest", ErrInvalidMessage, d.Name)
 	}
 	report.digest, report.receivedAt = d, now
 	return nil
@@ -96,7 +97,7 @@
 	return d.Seq > other.Seq
 }
 
-// fleetLoad is the sum of the sidecars' latest digests, as rates a second.
+// fleetLoad is the sum of the sidecars' latest digests, as rates per second.
 type fleetLoad struct {
 	sidecars     int
 	rates        Rates
@@ -111,8 +112,8 @@
 	requestRate float64
 }
 
-// aggregate adds up the digests that are recent enough, and forgets the others. It adds them in
-// the order of their names: sums of floating-point values depend on the order.
+// aggregate adds up the digests that are recent enough, and drops the others. It adds them in the
+// order of the sidecars' names, since floating-point sums depend on the order.
 func (p *Planner) aggregate(now time.Duration) fleetLoad {
 	var load fleetLoad
 	index := make(map[string]int) // of load.tenants, by name
@@ -131,7 +132,8 @@
 	return load
 }
 
-// add adds a digest. Until all are added, congestion is the sum over responses.
+// add adds a digest. Its congestion is added weighted by the response rate; aggregate then divides the
+// sum by the total rate.
 func (l *fleetLoad) add(d *Digest, index map[string]int) {
 	l.sidecars++
 	perSecond := 1000 / float64(d.PeriodMS)
@@ -168,7 +170,7 @@
 	return &l.tenants[i]
 }
 
-// Plan works out the advice of this moment.
+// Plan computes new advice from the latest digests.
 func (p *Planner) Plan(now time.Duration) Advice {
 	load := p.aggregate(now)
 	p.estimateCapacity(load)
@@ -185,12 +187,12 @@
 	return advice
 }
 
-// estimateCapacity follows the rate that servers can serve.
+// estimateCapacity updates the estimate of the rate that the servers can serve.
 func (p *Planner) estimateCapacity(load fleetLoad) {
 	switch {
 	case load.responseRate < minResponseRate:
 		p.capacity = 0
-	case load.congestion >= targetCongestion: // the servers have queues, so they serve as much as they can
+	case load.congestion >= targetCongestion: // the servers have queues, so the response rate is their capacity
 		p.capacity = max(load.responseRate, p.capacity*capacityDecay)
 	case p.capacity > 0:
 		p.capacity *= capacityGrowth
@@ -200,8 +202,8 @@
 	}
 }
 
-// limitTenants divides the limit, and then lifts it from tenants that are not far above their
-// quota: an overload by all alike is shed by each sidecar itself.
+// limitTenants divides the limit among tenants, and then lifts it from tenants that are not far above
+// their quota: each sidecar sheds an overload by all tenants alike on its own.
 func limitTenants(limit float64, load fleetLoad) []TenantAdvice {
 	advice := divideByQuota(limit, load.tenants)
 	quotas := 0.0
@@ -216,11 +218,11 @@
 	return advice
 }
 
-// divideByQuota divides a limit among tenants by weighted max-min fairness: a tenant that asks
-// for less than its quota leaves the rest to the others.
+// divideByQuota divides a limit among tenants by weighted max-min fairness: what a tenant does not use
+// of its quota is divided among the others.
 func divideByQuota(limit float64, tenants []tenantLoad) []TenantAdvice {
 	advice := make([]TenantAdvice, len(tenants))
-	unsatisfied := make([]int, 0, len(tenants)) // indexes of tenants that have not got all they ask for
+	unsatisfied := make([]int, 0, len(tenants)) // indexes of tenants whose request rate is not granted yet
 	for i, t := range tenants {
 		advice[i] = TenantAdvice{Tenant: t.name, AdmitFraction: 1, RequestRate: t.requestRate}
 		unsatisfied = append(unsatisfied, i)
@@ -231,24 +233,24 @@
 			quotas += max(tenants[i].quota, minQuota)
 		}
 		fairRate := func(i int) float64 { return remaining * max(tenants[i].quota, minQuota) / quotas }
-		var still []int
+		var stillUnsatisfied []int
 		granted := 0.0
 		for _, i := range unsatisfied {
 			if tenants[i].requestRate <= fairRate(i) {
 				advice[i].AllowedRate = tenants[i].requestRate
 				granted += tenants[i].requestRate
 			} else {
-				still = append(still, i)
+				stillUnsatisfied = append(stillUnsatisfied, i)
 			}
 		}
-		if len(still) == len(unsatisfied) {
+		if len(stillUnsatisfied) == len(unsatisfied) {
 			for _, i := range unsatisfied {
 				advice[i].AllowedRate = fairRate(i)
 				advice[i].AdmitFraction = max(minAdmitFraction, min(1, advice[i].AllowedRate/tenants[i].requestRate))
 			}
 			break
 		}
-		unsatisfied, remaining = still, remaining-granted
+		unsatisfied, remaining = stillUnsatisfied, remaining-granted
 	}
 	return advice
 }
