--- a/internal/membership/client.go
+++ b/internal/membership/client.go
@@ -14,8 +14,8 @@
 	return requestView(ctx, client, http.MethodGet, viewURL)
 }
 
-// ForgetMember has the member that serves its view at a URL take an unreachable member for
-// one that never comes back.
+// ForgetMember requests that the member that serves its view at a URL marks the unreachable members
+// of a name as ended for good.
 func ForgetMember(ctx context.Context, client *http.Client, viewURL, name string) error {
 	_, err := requestView(ctx, client, http.MethodPost, viewURL+"?forget="+url.QueryEscape(name))
 	return err
@@ -36,7 +36,7 @@
 		return view, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return view, fmt.Errorf("%s answers %d: %.200s", viewURL, resp.StatusCode, text)
+		return view, fmt.Errorf("%s responded with status %d: %.200s", viewURL, resp.StatusCode, text)
 	}
 	if err := json.Unmarshal(text, &view); err != nil {
 		return view, fmt.Errorf("%s: %w", viewURL, err)
@@ -44,8 +44,8 @@
 	return view, nil
 }
 
-// SeedsFromViews returns a function that finds where members listen: in the view of the
-// first member that answers at one of the URLs.
+// SeedsFromViews returns a function that finds addresses where members listen, in the view of the
+// first URL that responds.
 func SeedsFromViews(client *http.Client, urls []string) func(ctx context.Context) ([]string, error) {
 	return func(ctx context.Context) ([]string, error) {
 		var lastErr error
@@ -61,7 +61,7 @@
 	}
 }
 
-// seeds returns where the view's present members listen, MaxSeeds at most.
+// seeds returns the addresses where the view's present members listen, at most MaxSeeds.
 func (v ViewResponse) seeds() (addresses []string) {
 	for _, member := range v.Members {
 		if member.GossipAddr != "" && member.Status.CountsAsPresent() {
--- a/internal/membership/compatibility_test.go
+++ b/internal/membership/compatibility_test.go
@@ -6,7 +6,7 @@
 	"barleywick/internal/testing/fixture"
 )
 
-// Node metadata as version 396a775 writes it is read, and written with the same bytes.
+// Node metadata written by version 396a775 is read, and written with the same bytes.
 func TestNodeMetaOfEarlierVersion(t *testing.T) {
 	for file, want := range map[string]Info{
 		"node_meta_full.json": {
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -27,12 +27,12 @@
 }
 
 const (
-	// defaultProbeInterval detects a failure in some three seconds, for two packets a second.
+	// defaultProbeInterval detects a failure within about three seconds, for two packets per second.
 	defaultProbeInterval = 500 * time.Millisecond
 	minProbeInterval     = 50 * time.Millisecond
 	maxProbeInterval     = time.Minute
 
-	// defaultForgetAfter is longer than a machine takes to start again.
+	// defaultForgetAfter is longer than a machine takes to reboot.
 	defaultForgetAfter = 10 * time.Minute
 	minForgetAfter     = 10 * time.Second
 	maxForgetAfter     = 7 * 24 * time.Hour
@@ -56,7 +56,7 @@
 
 func (c *Config) checkFleet() error {
 	if c.Fleet == "" {
-		return fmt.Errorf("membership.fleet is missing: the fleet's name, alike in all files")
+		return fmt.Errorf("membership.fleet is missing: want the fleet's name, the same in all configuration files")
 	}
 	return registry.CheckName("membership.fleet", c.Fleet)
 }
@@ -66,7 +66,7 @@
 		return fmt.Errorf("membership.listen is %.64q, it must be a loopback address with a port", c.Listen)
 	}
 	if len(c.Seeds) > MaxSeeds {
-		return fmt.Errorf("membership.seeds: %d are named, %d at most", len(c.Seeds), MaxSeeds)
+		return fmt.Errorf("membership.seeds: got %d addresses, want %d at most", len(c.Seeds), MaxSeeds)
 	}
 	for i, seed := range c.Seeds {
 		if !isLoopbackAddress(seed) {
@@ -79,7 +79,7 @@
 func (c *Config) checkNames() error {
 	for _, field := range []struct{ name, value string }{{"zone", c.Zone}, {"machine", c.MachineName}} {
 		if len(field.value) > maxNameBytes {
-			return fmt.Errorf("membership.%s has %d bytes, %d at most", field.name, len(field.value), maxNameBytes)
+			return fmt.Errorf("membership.%s has %d bytes, want %d at most", field.name, len(field.value), maxNameBytes)
 		}
 	}
 	return nil
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// isLoopbackAddress reports whether text is an IP address of the loopback with a port.
+// isLoopbackAddress reports whether text is a loopback IP address with a port.
 func isLoopbackAddress(text string) bool {
 	address, err := netip.ParseAddrPort(text)
 	return err == nil && address.Addr().Unmap().IsLoopback()
@@ -113,5 +113,5 @@
 // ProbeInterval returns the time between two probes of another member.
 func (c *Config) ProbeInterval() time.Duration { return time.Duration(c.ProbeMS) * time.Millisecond }
 
-// ForgetAfter returns the time after which an unreachable member counts as never to come back.
+// ForgetAfter returns the time after which an unreachable member is dropped from the view.
 func (c *Config) ForgetAfter() time.Duration { return time.Duration(c.ForgetS) * time.Second }
--- a/internal/membership/diff.go
+++ b/internal/membership/diff.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Difference is a member on whose presence views differ.
+// Difference is a member that is present in some views and not in others.
 type Difference struct {
 	Name         string            `json:"name"`
 	Incarnation  uint64            `json:"incarnation"`
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,6 +1,6 @@
-// Package membership is the fleet as one process sees it without asking the registry: what
-// a member announces about itself, the view of all members as a state machine, and the
-// served form of a view. Its only I/O is a call for another member's view; package gossip
-// does the network's part. A view is quick and may be wrong; the registry is certain and
-// may be out of reach. docs/MEMBERSHIP.md says which of them counts for what.
+// Package membership models the fleet as one process sees it without the registry: the metadata that
+// a member announces about itself, the view of all members as a state machine, and the form in which
+// a view is served. Its only I/O is the call for another member's view; package gossip does the
+// networking. A view is updated quickly but may be wrong; the registry is authoritative but may be
+// unreachable. docs/MEMBERSHIP.md describes which of them is used for what.
 package membership
--- a/internal/membership/gossip/cache.go
+++ b/internal/membership/gossip/cache.go
@@ -22,19 +22,19 @@
 	cacheInterval = 10 * time.Second
 )
 
-// memberCache is what a member stores for its next start.
+// memberCache is the state that a member stores for its next start.
 type memberCache struct {
 	Fleet       string   `json:"fleet"`
 	Incarnation uint64   `json:"incarnation"`
-	Addresses   []string `json:"members"` // where members listened
+	Addresses   []string `json:"members"` // addresses where members listened
 }
 
 func (n *Node) cachePath() string {
 	return filepath.Join(n.options.Config.StateDir, "members-"+n.options.Self.Name+".json")
 }
 
-// loadCache reads what the last start has stored. Without a state directory, or before the
-// first start, it is empty.
+// loadCache reads the cache that the previous start has stored. It is empty without a state
+// directory, and before the first start.
 func (n *Node) loadCache() (memberCache, error) {
 	if n.options.Config.StateDir == "" {
 		return memberCache{}, nil
@@ -47,21 +47,21 @@
 		return memberCache{}, err
 	}
 	if len(text) > maxCacheBytes {
-		return memberCache{}, fmt.Errorf("%s has %d bytes, %d at most", n.cachePath(), len(text), maxCacheBytes)
+		return memberCache{}, fmt.Errorf("%s has %d bytes, want %d at most", n.cachePath(), len(text), maxCacheBytes)
 	}
 	var cache memberCache
 	if err := json.Unmarshal(text, &cache); err != nil {
 		return memberCache{}, fmt.Errorf("%s is corrupt: %w", n.cachePath(), err)
 	}
 	if cache.Fleet != n.options.Config.Fleet {
-		return memberCache{}, fmt.Errorf("%s is of fleet %.64q", n.cachePath(), cache.Fleet)
+		return memberCache{}, fmt.Errorf("%s is of another fleet, %.64q", n.cachePath(), cache.Fleet)
 	}
 	return cache, nil
 }
 
-// saveLoop saves the cache until ctx ends, and once more then. The first save is at once, so
-// that this start's incarnation is stored however the process ends. A sync may hang for as
-// long as the disk does, so nothing else waits for this loop without a bound.
+// saveLoop saves the cache at each interval until ctx ends, and once more then. The first save is
+// immediate, so that this start's incarnation is stored even if the process crashes. A sync may hang
+// as long as the disk does, so others wait for this loop only with a timeout.
 func (n *Node) saveLoop(ctx context.Context) {
 	ticker := time.NewTicker(cacheInterval)
 	defer ticker.Stop()
@@ -77,9 +77,9 @@
 	}
 }
 
-// saveCache stores this start's incarnation and where members listen. Of many addresses it
-// takes some at random; where nobody is present it keeps those that it has stored before. Of
-// two processes of one name the later one has the file.
+// saveCache stores this start's incarnation and the addresses where members listen: a random
+// selection of them if there are too many, and the ones stored before if no other member is present.
+// Of two processes with the same name, only the later one writes the file.
 func (n *Node) saveCache() {
 	self, _ := n.Get(n.Self().Key())
 	if n.options.Config.StateDir == "" || self.Status == membership.StatusReplaced {
@@ -87,7 +87,7 @@
 	}
 	addresses := n.addresses(func(member membership.Member) bool { return member.Status.CountsAsPresent() })
 	if len(addresses) == 0 {
-		if last, err := n.loadCache(); err == nil { // Start has said what is wrong with it
+		if last, err := n.loadCache(); err == nil { // Start has logged the error
 			addresses = last.Addresses
 		}
 	}
@@ -114,7 +114,7 @@
 }
 
 func replaceFile(path string, text []byte, permissions os.FileMode) error {
-	// Without a folder for its temporary file the library tries renames between folders at each write,
-	// for which the kernel has one lock in a file system.
+	// Without a given directory for its temporary file, the library tests a rename between directories at
+	// each write, for which the kernel takes a lock of the whole file system.
 	return renameio.WriteFile(path, text, permissions, renameio.WithTempDir(filepath.Dir(path)))
 }
--- a/internal/membership/gossip/changes.go
+++ b/internal/membership/gossip/changes.go
@@ -5,7 +5,7 @@
 // notifyChanged signals that the view has changed. It never blocks.
 func (n *Node) notifyChanged() { signal(n.changedSignal) }
 
-// signal has a channel with one place hold a signal.
+// signal sends a signal without blocking, to a channel with a buffer of one. A pending one is enough.
 func signal(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/internal/membership/gossip/compatibility_test.go
+++ b/internal/membership/gossip/compatibility_test.go
@@ -20,8 +20,8 @@
 	"barleywick/internal/testing/fixture"
 )
 
-// The files in testdata/396a775 were written by that version: what members send each other,
-// what they answer over HTTP, and the file that they keep for their next start.
+// The files in testdata/396a775 were written by that version: messages between members, a view as
+// served over HTTP, and the cache file for the next start.
 
 func equalBytes(t *testing.T, name string, got []byte) {
 	t.Helper()
@@ -32,7 +32,7 @@
 
 var discard = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// k1 is the member by which the fixtures were written.
+// k1 is the member that wrote the fixtures.
 var k1 = membership.Info{
 	Name: "k1", Incarnation: 1796175124000001, Role: membership.RoleController, Zone: "a", Version: "3.1", PolicyEpoch: 14, Phase: "draining",
 	HTTPAddr: "127.0.0.1:9400", RaftAddr: "127.0.0.1:9500", ReplicaID: "r0", MachineName: "m7", MachineID: "1x2y3z", PID: 4711, ProcessStart: 99887766, LongestActMS: 250,
@@ -42,7 +42,7 @@
 	return membership.Info{Name: name, Incarnation: incarnation, Role: membership.RoleSidecar, MachineID: "1x2y3z"}
 }
 
-// newOfflineNode returns k1 without a network, in whose view s1 to s6 are present.
+// newOfflineNode returns the node of k1 without a network. s1 to s6 are present in its view.
 func newOfflineNode(folder string) *Node {
 	n := &Node{
 		options: Options{Config: membership.Config{Fleet: "prenota-nord", Listen: "127.0.0.1:9601", StateDir: folder, ForgetS: 600, ProbeMS: 500}, Self: k1},
@@ -58,7 +58,7 @@
 	return n
 }
 
-// breakMembers has the members of an offline node's view take each status.
+// assignStatuses changes the members of an offline node's view so that each status occurs.
 func assignStatuses(n *Node) {
 	time.Sleep(2500 * time.Millisecond)
 	n.view.MarkSuspected("s2/12", n.now(), n.now()+8*time.Second)
@@ -72,8 +72,8 @@
 	time.Sleep(750 * time.Millisecond)
 }
 
-// Each message of the earlier version has its effect on a view, and each that this version
-// broadcasts has the same bytes.
+// Each message of the earlier version has its effect on the view, and each message that this
+// version broadcasts has the same bytes.
 func TestMessagesOfEarlierVersion(t *testing.T) {
 	status := func(want membership.Status) func(n *Node) bool {
 		return func(n *Node) bool {
@@ -108,13 +108,13 @@
 				t.Errorf("%s has no effect: got %+v", c.file, n.Members())
 			}
 			if sent := n.broadcasts.GetBroadcasts(0, 1000); len(sent) != 1 || !bytes.Equal(sent[0], fixture.Read(t, c.file)) {
-				t.Errorf("%s is passed on as %q", c.file, sent)
+				t.Errorf("%s is broadcast as %q, want the same bytes", c.file, sent)
 			}
 		})
 	}
 }
 
-// A digest of the earlier version is compared, and this version's has the same bytes.
+// A digest message of the earlier version is evaluated, and this version's has the same bytes.
 func TestDigestOfEarlierVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newOfflineNode("")
@@ -133,7 +133,7 @@
 	})
 }
 
-// Ends in the earlier version's exchange of views are taken in, and written with the same bytes.
+// End records in the earlier version's exchange of views are applied, and written with the same bytes.
 func TestPushPullStateOfEarlierVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newOfflineNode("")
@@ -149,7 +149,7 @@
 	})
 }
 
-// The view that the earlier version serves is read whole, and served with the same bytes.
+// The view that the earlier version serves is read without loss, and served with the same bytes.
 func TestViewOfEarlierVersion(t *testing.T) {
 	served := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(fixture.Read(t, "view.json")) }))
 	defer served.Close()
@@ -174,7 +174,7 @@
 	})
 }
 
-// The file that the earlier version kept is read, and written with the same name and bytes.
+// The earlier version's cache file is read, and written with the same name and bytes.
 func TestCacheOfEarlierVersion(t *testing.T) {
 	const name = "members-k1.json"
 	folder := t.TempDir()
@@ -196,7 +196,7 @@
 	equalBytes(t, name, text)
 }
 
-// wire is a transport of which both ends are the test's.
+// testTransport is a transport whose other end is the test.
 type testTransport struct {
 	sent    chan []byte
 	dialed  chan net.Conn
@@ -239,7 +239,7 @@
 
 func (w *testTransport) Shutdown() error { return nil }
 
-// startOnWire starts a member whose network is the test's.
+// startWithTestTransport starts a member whose network is the test.
 func startWithTestTransport(t *testing.T, self membership.Info) (*Node, *testTransport) {
 	t.Helper()
 	w := newTestTransport()
@@ -256,8 +256,8 @@
 	return n, w
 }
 
-// What goes over the network: an exchange of views and a datagram of the earlier version are
-// read, and both are written with the same bytes.
+// An exchange of views and a datagram of the earlier version are read, and both are written with
+// the same bytes.
 func TestNetworkBytesOfEarlierVersion(t *testing.T) {
 	s1 := membership.Info{Name: "s1", Incarnation: 11, Role: membership.RoleSidecar}
 	n, w := startWithTestTransport(t, s1)
@@ -269,7 +269,7 @@
 	joined := make(chan struct{})
 	go func() {
 		defer close(joined)
-		_, _ = n.list.Load().Join([]string{"127.0.0.1:9602"}) // nobody answers
+		_, _ = n.list.Load().Join([]string{"127.0.0.1:9602"}) // not answered
 	}()
 	far := <-w.dialed
 	if err := far.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
@@ -298,7 +298,7 @@
 		t.Fatal(err)
 	}
 	if got, ok := other.Get("s1/11"); !ok || got.Info != s1 || got.Status != membership.StatusPresent {
-		t.Errorf("s1 is known as %+v", got)
+		t.Errorf("got %+v, want s1 as present", got)
 	}
 	w.packets <- &memberlist.Packet{Buf: fixture.Read(t, "datagram.bin"), From: &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 9601}, Timestamp: time.Now()}
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
--- a/internal/membership/gossip/delegate.go
+++ b/internal/membership/gossip/delegate.go
@@ -12,7 +12,7 @@
 	"barleywick/internal/membership"
 )
 
-// delegate receives memberlist's callbacks. memberlist holds locks meanwhile, so no method
+// delegate receives memberlist's callbacks. memberlist holds locks during a callback, so no method
 // may call memberlist.
 type delegate struct{ n *Node }
 
@@ -26,11 +26,11 @@
 	return text
 }
 
-// NotifyAlive rejects a node whose metadata is not a member's, or of another name.
+// NotifyAlive rejects a node whose metadata is invalid, or is that of another name.
 func (d *delegate) NotifyAlive(peer *memberlist.Node) error {
 	info, err := membership.DecodeInfo(peer.Meta)
 	if err == nil && info.Key() != peer.Name {
-		err = fmt.Errorf("it is named %.80q and says %.80q", peer.Name, info.Key())
+		err = fmt.Errorf("node is named %.80q, but its metadata is that of %.80q", peer.Name, info.Key())
 	}
 	if err != nil {
 		d.n.counters.malformed.Add(1)
@@ -57,7 +57,7 @@
 	if _, ok := n.view.Get(info.Key()); ok {
 		n.addrs[info.Key()] = address
 	}
-	for key := range n.addrs { // keeps the addresses as bounded as the view
+	for key := range n.addrs { // bounds the addresses as the view is bounded
 		if _, ok := n.view.Get(key); !ok {
 			delete(n.addrs, key)
 		}
@@ -76,8 +76,8 @@
 	}
 }
 
-// NotifyLeave records a member that no longer answers. memberlist calls it for members
-// that leave, too; their own message has come first.
+// NotifyLeave records a member that no longer answers. memberlist also calls it for members
+// that leave; their leave message has arrived before.
 func (d *delegate) NotifyLeave(peer *memberlist.Node) {
 	n := d.n
 	n.mu.Lock()
@@ -97,10 +97,10 @@
 	d.n.view.MarkResponded(peer.Name, d.n.now())
 }
 
-// AckPayload adds nothing to answers to probes.
+// AckPayload returns no additional data for answers to probes.
 func (d *delegate) AckPayload() []byte { return nil }
 
-// NotifyMsg receives a message. One that changes the view is passed on.
+// NotifyMsg receives a message. It broadcasts a message that changes the view.
 func (d *delegate) NotifyMsg(text []byte) {
 	n := d.n
 	var m message
@@ -114,8 +114,8 @@
 	}
 }
 
-// apply has a message take effect, and reports whether that changes what is known here.
-// A digest changes nothing, so it is never passed on.
+// apply applies a message, and reports whether that changes this node's state. A digest does
+// not count as a change, so it is never broadcast.
 func (n *Node) apply(m message) (changed bool) {
 	now := n.now()
 	n.mu.Lock()
@@ -141,18 +141,18 @@
 	return d.n.broadcasts.GetBroadcasts(overhead, limit)
 }
 
-// maxEndRecords bounds the ends that one exchange of views tells of.
+// maxEndRecords bounds the end records in one exchange of views.
 const maxEndRecords = 64
 
 // endRecord is one member with a final status in an exchange of views.
 type endRecord struct {
 	Key      string `json:"k"`
 	Observer string `json:"b,omitempty"`
-	Left     bool   `json:"g,omitempty"` // by its own message; otherwise Observer saw its process end
+	Left     bool   `json:"g,omitempty"` // it sent a leave message; otherwise Observer saw its process end
 }
 
-// LocalState returns the ends that an exchange of views tells of. Members may have missed
-// the messages.
+// LocalState returns the end records for an exchange of views. The other member may have
+// missed the messages.
 func (d *delegate) LocalState(bool) []byte {
 	var records []endRecord
 	for _, member := range d.n.Members() {
@@ -168,7 +168,7 @@
 	return text
 }
 
-// MergeRemoteState has the ends that another member tells of take effect.
+// MergeRemoteState applies another member's end records.
 func (d *delegate) MergeRemoteState(text []byte, _ bool) {
 	n := d.n
 	var records []endRecord
--- a/internal/membership/gossip/endpoints.go
+++ b/internal/membership/gossip/endpoints.go
@@ -5,12 +5,12 @@
 const (
 	// maxUnresponsive bounds the booking servers that count as unresponsive at one time.
 	maxUnresponsive = 256
-	// unresponsiveLifetime is for how long a report of a booking server counts.
+	// unresponsiveLifetime is how long a report about a booking server is valid.
 	unresponsiveLifetime = 5 * time.Second
 )
 
-// ReportUnresponsive tells the other members that a booking server does not answer this
-// process. That is a reason to probe it, and nothing more.
+// ReportUnresponsive reports to the other members that a booking server does not answer this
+// process. The report only causes an early probe of the server.
 func (n *Node) ReportUnresponsive(endpoint string) {
 	n.mu.Lock()
 	changed := n.recordUnresponsive(endpoint, n.now())
@@ -21,8 +21,8 @@
 	}
 }
 
-// recordUnresponsive records a report of a booking server, and reports whether it is the
-// first in a while. The lock is held.
+// recordUnresponsive records a report about a booking server, and returns whether it is
+// new. The caller holds the lock.
 func (n *Node) recordUnresponsive(endpoint string, now time.Duration) (changed bool) {
 	if n.unresponsive[endpoint] != 0 || len(n.unresponsive) >= maxUnresponsive {
 		return false
@@ -31,7 +31,7 @@
 	return true
 }
 
-// expireUnresponsive drops the reports whose lifetime is over. The lock is held.
+// expireUnresponsive drops the reports that have expired. The caller holds the lock.
 func (n *Node) expireUnresponsive(now time.Duration) {
 	for endpoint, until := range n.unresponsive {
 		if now >= until {
@@ -40,8 +40,8 @@
 	}
 }
 
-// UnresponsiveEndpoints returns the booking servers that a member has reported in the last
-// seconds.
+// UnresponsiveEndpoints returns the booking servers that members have reported as unresponsive in
+// the last seconds.
 func (n *Node) UnresponsiveEndpoints() (endpoints []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/membership/gossip/http.go
+++ b/internal/membership/gossip/http.go
@@ -38,7 +38,7 @@
 	return view
 }
 
-// memberView returns one member of the view as it is served. The lock is held.
+// memberView returns one member of the view as it is served. The caller holds the lock.
 func (n *Node) memberView(member membership.Member, now time.Duration) membership.MemberView {
 	address := n.addrs[member.Key()]
 	if member.Key() == n.self.Key() {
@@ -63,16 +63,16 @@
 	}
 }
 
-// ServeHTTP serves the view. POST with ?forget=NAME first takes the unreachable members of
-// that name for ended.
+// ServeHTTP serves the view. POST with ?forget=NAME first marks the unreachable members of
+// that name as ended.
 func (n *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if name := r.URL.Query().Get("forget"); name != "" {
 		if r.Method != http.MethodPost {
-			http.Error(w, "to forget a member is a POST", http.StatusMethodNotAllowed)
+			http.Error(w, "forget requires the method POST", http.StatusMethodNotAllowed)
 			return
 		}
 		if n.Forget(name) == 0 {
-			http.Error(w, fmt.Sprintf("no member %.64q is lost", name), http.StatusNotFound)
+			http.Error(w, fmt.Sprintf("no lost member is named %.64q", name), http.StatusNotFound)
 			return
 		}
 	}
--- a/internal/membership/gossip/join.go
+++ b/internal/membership/gossip/join.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// joinBatch is how many addresses are tried in one call: one that answers is enough.
+	// joinBatch is how many addresses are tried in one call; one that answers is enough.
 	joinBatch = 4
-	// callersPerRound is about how many members of the fleet call another in one round,
-	// whatever the fleet's size. A call exchanges full views; those of hundreds at once would
-	// take the time in which members have to answer probes.
+	// callersPerRound is about how many members of the fleet call another one in a round,
+	// regardless of the fleet's size. A call exchanges full views; hundreds of calls at once would
+	// keep members from answering probes before the timeout.
 	callersPerRound = 32
 )
 
-// addresses returns where the other members listen for which a filter holds.
+// addresses returns the addresses where the other members listen that match a filter.
 func (n *Node) addresses(filter func(member membership.Member) bool) (addresses []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -77,9 +77,9 @@
 	n.log.Warn("members: no peer found yet, still trying", "name", n.Self().Name)
 }
 
-// reconnectLoop calls members that have missed something, until ctx ends. Unreachable members
-// have to be called: both sides of a partition may have given the other up, and SWIM itself
-// never calls a dead member.
+// reconnectLoop calls unreachable members, and members that have missed messages, until ctx ends.
+// Unreachable members have to be called: both sides of a partition may have declared the other one
+// dead, and SWIM itself never calls a dead member.
 func (n *Node) reconnectLoop(ctx context.Context) {
 	for {
 		select {
@@ -94,15 +94,15 @@
 	}
 }
 
-// reconnect calls the members of one round.
+// reconnect calls the members that are due in one round.
 func (n *Node) reconnect(ctx context.Context) {
 	if addresses := n.reconnectAddresses(ctx); len(addresses) > 0 {
 		n.exchangeViews(addresses)
 	}
 }
 
-// reconnectAddresses returns where to call in this round: an unreachable member, or the
-// seeds where nobody else is present; and a member whose view differs.
+// reconnectAddresses returns the addresses to call in this round: an unreachable member, or the
+// seeds if no other member is present; and a member whose view differs.
 func (n *Node) reconnectAddresses(ctx context.Context) []string {
 	addresses := n.addresses(func(member membership.Member) bool { return member.Status == membership.StatusUnreachable })
 	if len(addresses) > 0 {
@@ -116,9 +116,9 @@
 	return addresses
 }
 
-// differingPeerAddress returns where a member listens whose view differs although no member
-// has come or gone for some rounds; empty: there is none. It has missed a message, and
-// memberlist's next exchange of views with it may be far.
+// differingPeerAddress returns the address of a member whose view differs although the present
+// members have not changed for some rounds; it is empty if there is none. That member has missed a
+// message, and memberlist's next exchange of views with it may be a long way off.
 func (n *Node) differingPeerAddress() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/membership/gossip/lifecycle.go
+++ b/internal/membership/gossip/lifecycle.go
@@ -14,20 +14,20 @@
 	"barleywick/internal/membership"
 )
 
-// labelPrefix begins the label of every packet, which keeps fleets apart; the fleet's name
-// follows.
+// labelPrefix is the prefix of the label of every packet; the fleet's name follows. The label
+// separates fleets from each other.
 const labelPrefix = "barleywick/"
 
 const (
-	// endBound is how long the end of a member takes at most, whatever its folder, its callers
-	// and its peers do.
+	// stopTimeout bounds how long a member takes to stop, even if its disk, its callbacks or its
+	// peers hang.
 	stopTimeout = 4 * time.Second
-	// lastSaveBound is for how long of that the cache's last save is waited for.
+	// lastSaveTimeout bounds the part of that time in which the member waits for the cache's last
+	// save.
 	lastSaveTimeout = 3 * time.Second
 )
 
-// createMemberlist starts memberlist, with an empty view, as the process of the node's
-// present incarnation.
+// createMemberlist starts memberlist with an empty view, under the node's current incarnation.
 func (n *Node) createMemberlist() error {
 	n.mu.Lock()
 	n.view = membership.NewView(n.self, n.options.Config.ForgetAfter(), n.now())
@@ -65,8 +65,8 @@
 }
 
 // Run joins the fleet and keeps this process a member until ctx ends. It then announces
-// that the process leaves. It returns at endBound after ctx has ended at the latest; what
-// hangs then goes on beside the rest of the process.
+// that the process leaves. It returns within stopTimeout after ctx has ended; operations that
+// still hang then continue in the background.
 func (n *Node) Run(ctx context.Context) error {
 	ended := make(chan error, 1)
 	go func() { ended <- n.run(ctx) }()
@@ -93,7 +93,7 @@
 	defer stopTasks()
 	tasks.Go(func() { n.deliverChanges(taskCtx) })
 	saved := make(chan struct{})
-	go func() { // no task: a sync may never return
+	go func() { // not in tasks: a sync may never return
 		defer close(saved)
 		n.saveLoop(taskCtx)
 	}()
@@ -109,14 +109,14 @@
 		if err := n.list.Load().Shutdown(); err != nil {
 			n.log.Debug("members: shutdown failed", "err", err)
 		}
-		<-ctx.Done() // the rest of the process goes on without membership
+		<-ctx.Done() // the rest of the process continues without membership
 		return nil
 	}
 	return n.leave(saved)
 }
 
-// runUntil runs a call that cannot be cancelled, and returns when it has returned or ctx has
-// ended.
+// runUntil runs a call that cannot be cancelled, and returns when the call has returned or ctx
+// has ended.
 func runUntil(ctx context.Context, call func()) {
 	returned := make(chan struct{})
 	go func() {
@@ -129,8 +129,8 @@
 	}
 }
 
-// runRounds runs a round at each interval until ctx ends, or until a later process has this
-// one's name: it returns the key of that one.
+// runRounds runs a round at each interval until ctx ends, or until a later process with the same
+// name replaces this one; then it returns that process's key.
 func (n *Node) runRounds(ctx context.Context) (laterKey string) {
 	lastRound := time.Now()
 	ticker := time.NewTicker(roundInterval)
@@ -151,9 +151,9 @@
 	}
 }
 
-// supersede takes a higher incarnation where a process of this name was there before and
-// has a later one, by its clock: this process has started after it. One that ends already
-// takes none.
+// supersede raises this process's incarnation above that of another process with the same name if
+// that one's is higher because of its clock, since this process has started later. It does nothing
+// if ctx has ended.
 func (n *Node) supersede(ctx context.Context) error {
 	n.mu.Lock()
 	latest, _ := n.view.Latest(n.self.Name)
@@ -162,7 +162,7 @@
 		return nil
 	}
 	if n.options.Transport != nil {
-		return fmt.Errorf("membership: %s is there already, as %s", n.Self().Name, latest.Key())
+		return fmt.Errorf("membership: another process named %s is already a member: %s", n.Self().Name, latest.Key())
 	}
 	n.log.Error("members: taking a higher incarnation than another process of this name", "name", n.Self().Name, "other", latest.Key())
 	if err := n.list.Load().Shutdown(); err != nil {
@@ -187,14 +187,14 @@
 	time.Sleep(2 * gossipInterval) // lets the message go out before SWIM's own
 	err := n.list.Load().Leave(leaveTimeout)
 	select {
-	case <-saved: // before the address is free, where another process may start that reads it
+	case <-saved: // while the address is still in use: another process that starts there reads the cache
 	case <-saveTimer.C:
 		n.log.Warn("members: cache not saved in time", "bound", lastSaveTimeout)
 	}
 	return errors.Join(err, n.list.Load().Shutdown())
 }
 
-// runRound expires what is outdated, and sends this view's digest to some members.
+// runRound expires outdated state, and sends this view's digest to some members.
 func (n *Node) runRound(sinceLast time.Duration) {
 	now := n.now()
 	n.mu.Lock()
@@ -232,7 +232,8 @@
 	n.log.Info("members: no members unreachable", "present", partition.Present)
 }
 
-// digestTargets draws the keys of the members that get this round's digest. The lock is held.
+// digestTargets draws the keys of the members to which this round's digest is sent. The caller holds
+// the lock.
 func (n *Node) digestTargets() (targets []string) {
 	var peers []string
 	for _, member := range n.view.List() {
--- a/internal/membership/gossip/messages.go
+++ b/internal/membership/gossip/messages.go
@@ -9,18 +9,18 @@
 // maxMessageBytes bounds a message: several fit into one datagram.
 const maxMessageBytes = 400
 
-// messageKind says what a message tells. Its values are sent to other members.
+// messageKind is the kind of a message. Its values are sent to other members.
 type messageKind string
 
 const (
-	messageLeave        messageKind = "bye"     // the member Key leaves
+	messageLeave        messageKind = "bye"     // the member Key is leaving
 	messageEnded        messageKind = "gone"    // Observer saw the process of the member Key end
 	messageSuspect      messageKind = "suspect" // the member Key did not answer Observer
 	messageDigest       messageKind = "digest"  // Digest is that of the view of the member Key
 	messageUnresponsive messageKind = "host"    // the booking server Endpoint does not answer the member Key
 )
 
-// message is what members tell each other beside memberlist's own messages.
+// message is a message between members, besides memberlist's own messages.
 type message struct {
 	Kind     messageKind `json:"t"`
 	Key      string      `json:"k"`
@@ -43,7 +43,7 @@
 	}
 }
 
-// targets returns the addresses of members, as far as they are known.
+// targets returns the addresses of members, without those whose address is unknown.
 func (n *Node) targets(keys []string) (targets []memberlist.Address) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -55,7 +55,7 @@
 	return targets
 }
 
-// broadcast has a message reach all members, through gossip.
+// broadcast queues a message that gossip spreads to all members.
 func (n *Node) broadcast(m message) {
 	text, err := json.Marshal(m)
 	if err != nil || len(text) > maxMessageBytes {
@@ -65,8 +65,8 @@
 	n.broadcasts.QueueBroadcast(queuedBroadcast{string(m.Kind) + m.Key + m.Endpoint, text})
 }
 
-// queuedBroadcast is a message in memberlist's queue. A later one of the same name
-// replaces it there.
+// queuedBroadcast is a message in memberlist's queue. A later one of the same name replaces
+// it there.
 type queuedBroadcast struct {
 	name string
 	text []byte
--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -15,19 +15,19 @@
 	"barleywick/internal/mutation"
 )
 
-// Options are what a Node needs.
+// Options configure a Node.
 type Options struct {
 	Config membership.Config
 	Self   membership.Info
-	// FindSeeds finds further addresses where members listen, as the registry knows them;
+	// FindSeeds finds further addresses where members listen, for example in the registry;
 	// nil: there are none.
 	FindSeeds func(ctx context.Context) ([]string, error)
-	// WatchProcesses has the node watch the members' processes on its own machine, for a
-	// file descriptor each.
+	// WatchProcesses makes the node watch the members' processes on its own machine, which takes a
+	// file descriptor for each.
 	WatchProcesses bool
-	// Transport carries the messages instead of sockets; nil: sockets do.
+	// Transport carries the messages; nil: sockets do.
 	Transport memberlist.NodeAwareTransport
-	// OnChange is called after the view has changed, never twice at once. It must not block.
+	// OnChange is called after the view has changed, never concurrently. It must not block.
 	OnChange func()
 	Logger   *slog.Logger // nil: slog's default
 }
@@ -35,29 +35,29 @@
 const (
 	// gossipInterval lets a message reach a thousand members within some ten intervals.
 	gossipInterval = 100 * time.Millisecond
-	// pushPullInterval is the time between two exchanges of full views, which repair what
-	// gossip has lost.
+	// pushPullInterval is the time between two exchanges of full views, which make up for lost
+	// gossip messages.
 	pushPullInterval = 10 * time.Second
-	// roundInterval is the time between two rounds: digests are sent, and unreachable
+	// roundInterval is the time between two rounds, in which digests are sent and unreachable
 	// members are called.
 	roundInterval = time.Second
-	// digestLifetime is for how long a digest is compared. In one round a member receives
+	// digestLifetime is how long a received digest is compared with this view's. In one round a member receives
 	// membership.DigestFanout digests on average.
 	digestLifetime = 10 * time.Second
-	// suspicionMult and suspicionMaxTimeoutMult bound how long a suspicion may last until
-	// the member is unreachable: so many probe intervals times the logarithm of the number
-	// of members, and up to so many times that where this process itself may be the one that
-	// receives badly.
+	// suspicionMult and suspicionMaxTimeoutMult bound how long a suspicion lasts before the
+	// member is unreachable: suspicionMult probe intervals times the logarithm of the number of
+	// members, and up to suspicionMaxTimeoutMult times that if this process itself may be the one
+	// that misses messages.
 	suspicionMult, suspicionMaxTimeoutMult = 4, 4
-	// callTimeout is for one connection to another member.
+	// callTimeout bounds one call to another member.
 	callTimeout = time.Second
-	// pauseThreshold is by how much a round may be late before this process counts as having
-	// been paused: its suspicions are then of its own silence.
+	// pauseThreshold is how late a round may be before this process counts as having been paused.
+	// Its suspicions are then ignored for a while, since the pause may have caused them.
 	pauseThreshold = 2 * roundInterval
 	leaveTimeout   = 2 * time.Second
 )
 
-// Node is this process as a member of the fleet.
+// Node makes this process a member of the fleet.
 type Node struct {
 	options        Options
 	log            *slog.Logger
@@ -66,23 +66,23 @@
 	broadcasts     *memberlist.TransmitLimitedQueue
 	traffic        traffic
 	counters       counters
-	processes      *processWatcher // nil: it watches none
-	replacedSignal chan struct{}   // signals that a later process has this one's name
+	processes      *processWatcher // nil: no processes are watched
+	replacedSignal chan struct{}   // signals that a later process has the same name
 	changedSignal  chan struct{}   // signals that the view has changed
 	saveNow        chan struct{}   // signals that the cache is outdated
-	// writeFile replaces a file and syncs it, which takes as long as the disk takes.
+	// writeFile replaces a file and syncs it, which may block as long as the disk does.
 	writeFile func(path string, text []byte, permissions os.FileMode) error
 
 	mu           sync.Mutex
 	self         membership.Info
 	view         *membership.View
-	addrs        map[string]string        // where members listen, by key
+	addrs        map[string]string        // addresses where members listen, by key
 	unresponsive map[string]time.Duration // until when a booking server counts as unresponsive
 	partitioned  bool                     // as of the last round
-	resumedAt    time.Duration            // when it last found that it had been paused
+	resumedAt    time.Duration            // when it last detected that it had been paused
 }
 
-// Start makes this process a member. Run has to be called next: it joins the fleet.
+// Start creates the member and starts to listen. Run has to be called next; it joins the fleet.
 func Start(o Options) (*Node, error) {
 	if err := o.Config.Check(); err != nil {
 		return nil, err
@@ -118,8 +118,8 @@
 	return n
 }
 
-// identify completes this process's metadata. Its incarnation is above the one of its
-// last start, also where the clock was set back.
+// identify completes this process's metadata. Its incarnation is above that of its last start,
+// even if the clock was set back.
 func (n *Node) identify(lastIncarnation uint64) {
 	n.self.MachineID, n.self.PID, n.self.ProcessStart = membership.CurrentProcess()
 	n.self.MachineName, n.self.Zone = n.options.Config.MachineName, n.options.Config.Zone
@@ -134,7 +134,7 @@
 	}
 }
 
-// now is the view's clock. It is never 0, which stands for no time.
+// now is the view's clock. It is never 0, which means an unset time.
 func (n *Node) now() time.Duration { return time.Since(n.startedAt) + 1 }
 
 // Update changes the metadata that this process announces. Its name and incarnation stay.
@@ -157,7 +157,7 @@
 	if same {
 		return
 	}
-	// The timeout matters when this process leaves meanwhile: nobody takes the update then.
+	// The timeout matters if this process leaves meanwhile: the update may then never be sent.
 	if err := n.list.Load().UpdateNode(callTimeout); err != nil {
 		n.log.Debug("members: update not sent", "err", err)
 	}
@@ -187,7 +187,7 @@
 	return count
 }
 
-// Partition returns how much of the fleet this process reaches.
+// Partition returns which part of the fleet this process can reach.
 func (n *Node) Partition() membership.PartitionState {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -215,7 +215,7 @@
 	return n.view.Latest(name)
 }
 
-// Forget takes the unreachable members of a name for ended, and returns how many there were.
+// Forget marks the unreachable members of a name as ended, and returns how many there were.
 func (n *Node) Forget(name string) int {
 	n.mu.Lock()
 	forgotten := n.view.Forget(name, n.now())
--- a/internal/membership/gossip/processwatcher.go
+++ b/internal/membership/gossip/processwatcher.go
@@ -14,19 +14,19 @@
 const (
 	// maxWatchedProcesses bounds the processes of one machine that are watched.
 	maxWatchedProcesses = 1024
-	// processPollInterval is the time between two polls of all of them.
+	// processPollInterval is the time between two polls of all watched processes.
 	processPollInterval = 20 * time.Millisecond
 )
 
-// processWatcher watches processes of this machine and reports when one has ended. That
-// is evidence of an end, which silence is not. A process is told from a later one with its
-// process id by its start.
+// processWatcher watches processes of this machine and reports when one has ended. Unlike
+// unanswered probes, that proves the end. The start time distinguishes a process from a later
+// one with the same PID.
 type processWatcher struct {
 	onEnd func(key string)
 
 	mu           sync.Mutex
 	pidfds       map[string]int // by the member's key
-	alreadyEnded []string       // keys of those that had ended before they were watched
+	alreadyEnded []string       // keys of members whose process had ended before it was watched
 	closed       bool
 	tasks        sync.WaitGroup
 	stop         chan struct{}
@@ -38,21 +38,21 @@
 	return w
 }
 
-// add begins to watch the process of a member on this machine.
+// add starts to watch the process of a member on this machine.
 func (w *processWatcher) add(info membership.Info) {
 	if info.PID == 0 || info.ProcessStart == 0 || info.PID == os.Getpid() {
 		return
 	}
 	if rollout.ProcessStartTicks(os.Getpid()) == 0 {
-		return // no process can be seen here, so none would be seen to run
+		return // processes are not visible here, so all would be taken for ended
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if _, watched := w.pidfds[info.Key()]; watched || w.closed || len(w.pidfds)+len(w.alreadyEnded) >= maxWatchedProcesses {
 		return
 	}
-	// The descriptor is opened before the process's start is read: it stays with one process,
-	// so what is read afterwards is of that process or of none.
+	// The pidfd is opened before the start time is read. It always refers to the same process, so if
+	// the start time that is read afterwards matches, it refers to the member's process.
 	pidfd, openErr := unix.PidfdOpen(info.PID, 0)
 	if rollout.ProcessStartTicks(info.PID) != info.ProcessStart {
 		if openErr == nil {
@@ -81,8 +81,8 @@
 	}
 }
 
-// poll returns the keys of those that have ended since the last poll. It makes one system
-// call for all of them.
+// poll returns the keys of the members whose process has ended since the last poll. It makes one
+// system call for all of them.
 func (w *processWatcher) poll() (ended []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -107,7 +107,7 @@
 	return ended
 }
 
-// close stops the watcher. It may be called again.
+// close stops the watcher. Further calls have no effect.
 func (w *processWatcher) close() {
 	w.mu.Lock()
 	if w.closed {
@@ -124,8 +124,8 @@
 	w.tasks.Wait()
 }
 
-// processEnded records that the process of a member on this machine has ended, and tells
-// the others.
+// processEnded records that the process of a member on this machine has ended, and broadcasts
+// that.
 func (n *Node) processEnded(key string) {
 	now := n.now()
 	n.mu.Lock()
--- a/internal/membership/gossip/stats.go
+++ b/internal/membership/gossip/stats.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// counters count what a node has seen since its start.
+// counters count a node's events since its start.
 type counters struct {
 	suspicions, unreachable, malformed atomic.Uint64
 	healRounds                         atomic.Uint64 // of the last partition that has healed
--- a/internal/membership/gossip/stop_test.go
+++ b/internal/membership/gossip/stop_test.go
@@ -20,10 +20,10 @@
 	"barleywick/internal/membership"
 )
 
-// deafTransport reaches nobody: a call of another member fails when its time is over.
+// unreachableTransport reaches no other member: a call to one times out.
 type unreachableTransport struct {
 	*testTransport
-	pendingStream bool // its listener has accepted a connection that nobody has taken yet
+	pendingStream bool // its listener has accepted a connection that is not received from StreamCh yet
 	shutDown      chan struct{}
 }
 
@@ -36,7 +36,7 @@
 	return nil, os.ErrDeadlineExceeded
 }
 
-// Shutdown waits for the listener, as that of memberlist's own transport does.
+// Shutdown waits for the listener, like memberlist's own transport.
 func (d *unreachableTransport) Shutdown() error {
 	if d.pendingStream {
 		near, far := net.Pipe()
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// lockedBuffer is a log that goroutines share.
+// lockedBuffer is a log buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -65,17 +65,17 @@
 	return b.text.String()
 }
 
-// endingMember is a member that a test tells to end.
+// testMember is a member that a test stops.
 type testMember struct {
 	*Node
 	transport     *unreachableTransport
 	log           lockedBuffer
 	cancel        context.CancelFunc
 	runResult     chan error
-	writesBlocked atomic.Pointer[chan struct{}] // until it is closed; nil: they don't
+	writesBlocked atomic.Pointer[chan struct{}] // writes block until it is closed; nil: they don't block
 }
 
-// newEndingMember makes a member of an incarnation, which does not run yet.
+// newTestMember makes a member with an incarnation. It is not running yet.
 func newTestMember(t *testing.T, folder string, incarnation uint64, change func(o *Options)) *testMember {
 	t.Helper()
 	m := &testMember{transport: newUnreachableTransport(), runResult: make(chan error, 1)}
@@ -101,7 +101,7 @@
 	go func() { m.runResult <- m.Run(ctx) }()
 }
 
-// end tells the member to end, and returns how long that takes and its result.
+// stop stops the member, and returns how long that took and the result of Run.
 func (m *testMember) stop(t *testing.T) (took time.Duration, err error) {
 	t.Helper()
 	begun := time.Now()
@@ -110,13 +110,12 @@
 	case err = <-m.runResult:
 		return time.Since(begun), err
 	case <-time.After(time.Hour):
-		t.Errorf("the member has not ended after an hour; its log:\n%s", m.log.String())
+		t.Errorf("the member has not stopped after an hour; its log:\n%s", m.log.String())
 		return time.Hour, nil
 	}
 }
 
-// hangingWrites has the writes of the member's cache hang from now on, until the returned
-// function is called.
+// blockWrites blocks the writes of the member's cache until the returned function is called.
 func (m *testMember) blockWrites() (release func()) {
 	released := make(chan struct{})
 	m.writesBlocked.Store(&released)
@@ -131,9 +130,9 @@
 	return replaceFile(path, text, permissions)
 }
 
-// A sync of the cache that never returns delays the end by its stated time and no longer, be
-// it the last one or one that is under way: the cache is a hint for the next start. The
-// member leaves in order all the same, and its log says what it has not waited for.
+// A sync of the cache that never returns, in the last save or in an earlier one, delays the stop
+// by lastSaveTimeout at most: the cache is only a hint for the next start. The member still
+// announces that it leaves, and logs that the cache was not saved.
 func TestStopWithHangingSync(t *testing.T) {
 	for name, runs := range map[string]time.Duration{"before the first save": 0, "at the last save": time.Second, "with a save under way": 3 * cacheInterval} {
 		t.Run(name, func(t *testing.T) {
@@ -145,12 +144,12 @@
 				time.Sleep(runs)
 				took, err := m.stop(t)
 				if took > stopTimeout || err != nil {
-					t.Errorf("ended after %v with %v, want %v at most and no error", took, err, stopTimeout)
+					t.Errorf("stopped after %v with %v, want %v at most and no error", took, err, stopTimeout)
 				}
 				select {
 				case <-m.transport.shutDown:
 				default:
-					t.Error("the member has not left: its transport is open")
+					t.Error("the member has not left: its transport is still open")
 				}
 				if !strings.Contains(m.log.String(), "members: cache not saved in time") {
 					t.Errorf("the log does not say that the cache was not saved:\n%s", m.log.String())
@@ -162,8 +161,8 @@
 	}
 }
 
-// A member that is told to end while it calls seeds that do not answer ends at once: nobody
-// has to be told.
+// A member that is stopped while it calls seeds that do not answer stops at once: there is no member
+// to which it would have to announce that.
 func TestStopWhileJoining(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newTestMember(t, "", 11, nil)
@@ -171,14 +170,14 @@
 		time.Sleep(callTimeout / 2)
 		took, err := m.stop(t)
 		if took > callTimeout || err != nil {
-			t.Errorf("ended after %v with %v, want %v at most and no error", took, err, callTimeout)
+			t.Errorf("stopped after %v with %v, want %v at most and no error", took, err, callTimeout)
 		}
 		time.Sleep(time.Minute)
 	})
 }
 
-// A connection that the listener holds as the member ends has nobody to take it, and the end of
-// memberlist's transport waits for its listener.
+// A connection that the listener has accepted when the member stops does not block the stop: it is
+// no longer received, while the shutdown of memberlist's transport waits for the listener.
 func TestStopWithPendingConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newTestMember(t, "", 11, nil)
@@ -187,19 +186,19 @@
 		time.Sleep(10 * time.Second)
 		took, err := m.stop(t)
 		if took > callTimeout || err != nil {
-			t.Errorf("ended after %v with %v, want %v at most and no error", took, err, callTimeout)
+			t.Errorf("stopped after %v with %v, want %v at most and no error", took, err, callTimeout)
 		}
 		select {
 		case <-m.transport.shutDown:
 		default:
-			t.Error("the transport has not ended")
+			t.Error("the transport has not shut down")
 			<-m.transport.streams
 		}
 		time.Sleep(time.Minute)
 	})
 }
 
-// Whatever hangs, the end is over at its bound and says that it was not in order.
+// If a callback hangs, Run returns at stopTimeout, with an error.
 func TestStopTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan struct{})
@@ -209,16 +208,16 @@
 		time.Sleep(10 * time.Second)
 		took, err := m.stop(t)
 		if took != stopTimeout || err == nil {
-			t.Errorf("ended after %v with %v, want %v and an error", took, err, stopTimeout)
+			t.Errorf("stopped after %v with %v, want %v and an error", took, err, stopTimeout)
 		}
 		close(release)
 		time.Sleep(time.Minute)
 	})
 }
 
-// The next start's incarnation is above this one's also where this one has ended before its
-// first interval, while it still calls seeds, and without its last save, and the clock was set back. Where members listen
-// is kept while none is present.
+// The next start's incarnation is above this one's even if this one stopped before its first
+// cacheInterval, while it still called seeds, and without its last save, and the clock was set back.
+// The cached addresses are kept while no other member is present.
 func TestIncarnationAfterHangingStop(t *testing.T) {
 	folder := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
@@ -234,10 +233,10 @@
 		}
 		next := newTestMember(t, folder, 50, nil)
 		if got := next.Self().Incarnation; got <= 100 {
-			t.Errorf("the next start has the incarnation %d, want more than 100", got)
+			t.Errorf("got incarnation %d of the next start, want more than 100", got)
 		}
 		if cache, err := next.loadCache(); err != nil || fmt.Sprint(cache.Addresses) != "[127.0.0.1:9607]" {
-			t.Errorf("the cache holds %+v (%v), want the address that it held before", cache, err)
+			t.Errorf("got cache %+v (%v), want the address that it held before", cache, err)
 		}
 		release()
 		if err := next.list.Load().Shutdown(); err != nil {
@@ -247,8 +246,8 @@
 	})
 }
 
-// Of two processes of one name the later one has the file: the earlier one, which may save
-// after it, does not put its lower incarnation there.
+// Of two processes with the same name, only the later one writes the cache file: the earlier one,
+// which may save after it, must not replace the incarnation by its lower one.
 func TestReplacedProcessDoesNotWriteCache(t *testing.T) {
 	folder := t.TempDir()
 	n := newOfflineNode(folder)
@@ -260,6 +259,6 @@
 	n.view.MarkPresent(later, n.now())
 	n.saveCache()
 	if cache, err := n.loadCache(); err != nil || cache.Incarnation != later.Incarnation {
-		t.Errorf("the file holds the incarnation %d (%v), want %d", cache.Incarnation, err, later.Incarnation)
+		t.Errorf("got incarnation %d in the file (%v), want %d", cache.Incarnation, err, later.Incarnation)
 	}
 }
--- a/internal/membership/gossip/suspicion.go
+++ b/internal/membership/gossip/suspicion.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// memberlistLog takes memberlist's own log lines and writes them at debug level. One kind
-// of line is also an event: memberlist's interface tells of members that are unreachable,
-// but of a failed probe only its log does.
+// memberlistLog receives memberlist's own log lines and writes them at debug level. It also detects
+// failed probes in them: memberlist has callbacks for unreachable members, but reports failed probes
+// only in its log.
 type memberlistLog struct{ n *Node }
 
-// suspectPrefix begins the log line of a failed probe; the member's key follows.
+// suspectPrefix is the prefix of the log line of a failed probe; the member's key follows.
 const suspectPrefix = "[INFO] memberlist: Suspect "
 
 func (l *memberlistLog) Write(text []byte) (int, error) {
@@ -23,8 +23,8 @@
 	return len(text), nil
 }
 
-// probeFailed records that a member has not answered a probe of this process, and tells
-// the others.
+// probeFailed records that a member has not answered a probe of this process, and broadcasts
+// that.
 func (n *Node) probeFailed(key string) {
 	n.counters.suspicions.Add(1)
 	now := n.now()
@@ -38,14 +38,14 @@
 	}
 }
 
-// recentlyResumed reports whether this process was paused just now: it has then missed the
-// answers that arrived meanwhile. The lock is held.
+// recentlyResumed reports whether this process was paused until a moment ago. It has then missed
+// answers to its probes. The caller holds the lock.
 func (n *Node) recentlyResumed(now time.Duration) bool {
 	return n.resumedAt != 0 && now-n.resumedAt < 2*n.options.Config.ProbeInterval()
 }
 
-// suspicionTimeout returns the longest time that memberlist lets a suspicion last. The lock
-// is held.
+// suspicionTimeout returns the longest time that memberlist lets a suspicion last. The caller
+// holds the lock.
 func (n *Node) suspicionTimeout() time.Duration {
 	scale := 1.0
 	for size := n.view.Partition().Present; size >= 10; size /= 10 {
--- a/internal/membership/gossip/transport.go
+++ b/internal/membership/gossip/transport.go
@@ -19,22 +19,22 @@
 	// maxInboundStreams bounds the open connections from other members. Each is one exchange
 	// of full views.
 	maxInboundStreams = 64
-	// streamTimeout bounds the lifetime of such a connection.
+	// streamTimeout bounds the lifetime of a connection from another member.
 	streamTimeout = 5 * time.Second
 )
 
-// traffic counts what a member sends, and the connections that it refuses.
+// traffic counts the packets and bytes that a member sends, and the connections that it refuses.
 type traffic struct {
 	packets, bytes, refused atomic.Uint64
 }
 
-// mappedTransport is memberlist's transport over an address map, with bounds and counts.
+// mappedTransport adds an address map, limits and counters to a transport of memberlist.
 type mappedTransport struct {
 	memberlist.NodeAwareTransport
 	routes   addressmap.Map
 	traffic  *traffic
 	accepted chan net.Conn
-	slots    chan struct{} // holds one value for each inbound stream
+	slots    chan struct{} // contains one value for each open inbound stream
 	stopping chan struct{}
 	stopOnce sync.Once
 	tasks    sync.WaitGroup
@@ -92,10 +92,10 @@
 	return &countingConn{Conn: conn, traffic: t.traffic}, nil
 }
 
-// StreamCh delivers the connections from other members, but for those that are refused.
+// StreamCh delivers the connections from other members, except those that are refused.
 func (t *mappedTransport) StreamCh() <-chan net.Conn { return t.accepted }
 
-// acceptStreams passes connections on and closes those beyond the limit.
+// acceptStreams delivers connections, and closes those beyond the limit.
 func (t *mappedTransport) acceptStreams() {
 	for {
 		select {
@@ -113,8 +113,8 @@
 	}
 }
 
-// pass hands one connection to memberlist. Its slot is free when it is closed, and when
-// its time is over at the latest.
+// deliver delivers one connection to memberlist. Its slot is released when it is closed, and
+// after streamTimeout at the latest.
 func (t *mappedTransport) deliver(conn net.Conn) {
 	conn.SetDeadline(time.Now().Add(streamTimeout))
 	ctx, cancel := context.WithTimeout(context.Background(), streamTimeout)
@@ -130,8 +130,8 @@
 	}
 }
 
-// Shutdown stops listening. The inner transport waits for its listener, which may hold a
-// connection until somebody takes it.
+// Shutdown stops listening. The inner transport waits for its listener, which may block until a
+// connection that it has accepted is received from its StreamCh.
 func (t *mappedTransport) Shutdown() error {
 	t.stopOnce.Do(func() { close(t.stopping) })
 	t.tasks.Wait()
@@ -161,14 +161,14 @@
 	onClose func() // may be nil
 }
 
-// Write sends and counts.
+// Write sends data and counts the bytes.
 func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.traffic.bytes.Add(uint64(n))
 	return n, err
 }
 
-// Close closes the connection.
+// Close closes the connection and calls onClose.
 func (c *countingConn) Close() error {
 	if c.onClose != nil {
 		c.onClose()
--- a/internal/membership/info.go
+++ b/internal/membership/info.go
@@ -20,23 +20,23 @@
 	RoleSidecar    Role = "sidecar"
 )
 
-// Info is the metadata that a member announces about itself. All of it travels in one
-// datagram, so the values and their JSON keys are short.
+// Info is the metadata that a member announces about itself. It is sent in a single datagram, so the
+// values and their JSON keys are short.
 type Info struct {
 	Name string `json:"n"`
-	// Incarnation is higher with each start of a process of that name: the start's time in
-	// microseconds, or more where the clock was set back.
+	// Incarnation grows with each start of a process of that name: it is the start time in
+	// microseconds, or a higher number if the clock was set back.
 	Incarnation  uint64 `json:"i"`
 	Role         Role   `json:"r"`
 	Zone         string `json:"z,omitempty"`
 	Version      string `json:"v,omitempty"`
-	PolicyEpoch  uint64 `json:"p,omitempty"` // epoch of the fleet policy that it acts by
-	Phase        string `json:"d,omitempty"` // lifecycle state; empty: it serves
-	HTTPAddr     string `json:"h,omitempty"` // where it serves its view; of a replica: where it serves the registry
+	PolicyEpoch  uint64 `json:"p,omitempty"` // epoch of the fleet policy that it applies
+	Phase        string `json:"d,omitempty"` // lifecycle state; empty: serving
+	HTTPAddr     string `json:"h,omitempty"` // where it serves its view; of a replica: the registry's API
 	RaftAddr     string `json:"f,omitempty"` // of a replica: where the other replicas reach it
 	ReplicaID    string `json:"c,omitempty"` // of a replica
 	MachineName  string `json:"w,omitempty"` // its machine's name in the registry
-	MachineID    string `json:"m,omitempty"` // with PID and ProcessStart: its process, for members that can watch it
+	MachineID    string `json:"m,omitempty"` // identifies the process, together with PID and ProcessStart, to members that can watch it
 	PID          int    `json:"o,omitempty"`
 	ProcessStart uint64 `json:"s,omitempty"`
 	LongestActMS int64  `json:"a,omitempty"` // how long its longest timed act may take
@@ -46,24 +46,24 @@
 	maxNameBytes    = 32 // of zones, machines and replicas
 	maxVersionBytes = 24
 	maxPhaseBytes   = 24
-	// maxMetaBytes is what memberlist carries of a member (memberlist.MetaMaxSize).
+	// maxMetaBytes is memberlist's limit on a member's metadata (memberlist.MetaMaxSize).
 	maxMetaBytes = 512
 )
 
-// Key identifies one start of a process.
+// Key returns the key that identifies one start of a process: its name and incarnation.
 func (i Info) Key() string { return memberKey(i.Name, i.Incarnation) }
 
 func memberKey(name string, incarnation uint64) string {
 	return name + "/" + strconv.FormatUint(incarnation, 10)
 }
 
-// Check validates what a member announces.
+// Check validates the metadata.
 func (i Info) Check() error {
 	if err := registry.CheckName("name", i.Name); err != nil {
 		return err
 	}
 	if i.Role != RoleRegistry && i.Role != RoleController && i.Role != RoleSidecar {
-		return fmt.Errorf("role is %.32q; there are %s, %s and %s", i.Role, RoleRegistry, RoleController, RoleSidecar)
+		return fmt.Errorf("role is %.32q, want %s, %s or %s", i.Role, RoleRegistry, RoleController, RoleSidecar)
 	}
 	if err := i.checkTexts(); err != nil {
 		return err
@@ -90,7 +90,7 @@
 		{"id", i.ReplicaID, maxNameBytes},
 	} {
 		if len(field.text) > field.maxBytes || strings.ContainsFunc(field.text, unicode.IsControl) {
-			return fmt.Errorf("%s %.64q has more than %d bytes, or signs that cannot be shown", field.name, field.text, field.maxBytes)
+			return fmt.Errorf("%s %.64q has more than %d bytes, or control characters", field.name, field.text, field.maxBytes)
 		}
 	}
 	return nil
@@ -112,7 +112,7 @@
 	}
 	text, err := json.Marshal(i)
 	if err == nil && len(text) > maxMetaBytes {
-		err = fmt.Errorf("what a member says of itself takes %d bytes, %d at most: a shorter name or zone is needed", len(text), maxMetaBytes)
+		err = fmt.Errorf("metadata has %d bytes, want %d at most: use a shorter name or zone", len(text), maxMetaBytes)
 	}
 	return text, err
 }
@@ -121,7 +121,7 @@
 // ignored.
 func DecodeInfo(text []byte) (i Info, err error) {
 	if len(text) > maxMetaBytes {
-		return i, fmt.Errorf("%d bytes, %d at most", len(text), maxMetaBytes)
+		return i, fmt.Errorf("metadata has %d bytes, want %d at most", len(text), maxMetaBytes)
 	}
 	if err := json.Unmarshal(text, &i); err != nil {
 		return i, err
--- a/internal/membership/membershiptest/fleet.go
+++ b/internal/membership/membershiptest/fleet.go
@@ -11,13 +11,13 @@
 	"barleywick/internal/membership/gossip"
 )
 
-// fleetName is part of every packet, so of the measured bytes.
+// fleetName is part of every packet, so it counts in the measured bytes.
 const fleetName = "trial"
 
-// seedCount is how many members all others know the addresses of.
+// seedCount is the number of members that all members have as seeds.
 const seedCount = 3
 
-// Fleet is members in one process.
+// Fleet is a fleet of members in one process.
 type Fleet struct {
 	Network *Network
 	Members []*Member
@@ -33,7 +33,7 @@
 	stopped bool
 }
 
-// StartFleet starts members that all know the same seeds.
+// StartFleet starts members with the same seeds.
 func StartFleet(network *Network, members int, probeInterval time.Duration, logger *slog.Logger) (*Fleet, error) {
 	f := &Fleet{Network: network}
 	for i := range members {
@@ -45,7 +45,7 @@
 	return f, nil
 }
 
-// Add starts one more member. With incarnation 0 it takes one from its clock.
+// Add starts one more member. With incarnation 0, the member takes one from its clock.
 func (f *Fleet) Add(index int, name string, incarnation uint64, probeInterval time.Duration, logger *slog.Logger) error {
 	config := membership.Config{Fleet: fleetName, Listen: Addr(index), ProbeMS: probeInterval.Milliseconds()}
 	for i := range seedCount {
@@ -74,13 +74,13 @@
 	m.Leave()
 }
 
-// Leave stops a member, which announces that it leaves where the network lets it.
+// Leave stops a member, which announces that it leaves if the network permits.
 func (m *Member) Leave() {
 	m.stopped = true
 	m.cancel()
 }
 
-// Stop kills all members and waits for their end.
+// Stop kills all members and waits until they have ended.
 func (f *Fleet) Stop() {
 	for _, m := range f.Members {
 		m.Kill()
@@ -88,7 +88,7 @@
 	f.tasks.Wait()
 }
 
-// Running returns the members that were neither killed nor have left.
+// Running returns the members that have neither been killed nor left.
 func (f *Fleet) Running() (running []*Member) {
 	for _, m := range f.Members {
 		if !m.stopped {
@@ -98,7 +98,7 @@
 	return running
 }
 
-// Agree reports whether the views of some members are the same, with so many present.
+// Agree reports whether the views of members are equal and have the given number of members present.
 func Agree(members []*Member, present int) bool {
 	var digest string
 	for _, m := range members {
@@ -113,15 +113,16 @@
 	return true
 }
 
-// pollInterval is the time between two evaluations of a condition that is waited for.
+// pollInterval is the time between two evaluations of a condition by WaitUntil.
 const pollInterval = 50 * time.Millisecond
 
-// WaitUntil waits until a condition holds, and returns how long that took.
+// WaitUntil waits until a condition holds, and returns how long that took. It returns an error after a
+// timeout.
 func WaitUntil(timeout time.Duration, condition func() bool) (time.Duration, error) {
 	start := time.Now()
 	for !condition() {
 		if time.Since(start) > timeout {
-			return 0, fmt.Errorf("not within %v", timeout)
+			return 0, fmt.Errorf("condition not met within %v", timeout)
 		}
 		time.Sleep(pollInterval)
 	}
--- a/internal/membership/membershiptest/network.go
+++ b/internal/membership/membershiptest/network.go
@@ -9,8 +9,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Network carries what members send each other: datagrams, which may be lost and delayed,
-// and streams, which are only delayed.
+// Network carries traffic between members: datagrams, which may be lost and delayed, and
+// streams, which are only delayed.
 type Network struct {
 	mu         sync.Mutex
 	rng        *rand.Rand
@@ -26,30 +26,30 @@
 }
 
 // SetConditions sets the fraction of datagrams that is lost, and the delay: each datagram
-// and stream is late by that much, and up to as much again.
+// and stream is delayed by once to twice that time.
 func (n *Network) SetConditions(packetLoss float64, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.packetLoss, n.delay = packetLoss, delay
 }
 
-// Partition lets nothing pass from one member to another for which blocked holds; nil: all
-// passes.
+// Partition blocks all traffic from one member to another for which blocked returns true; nil:
+// nothing is blocked.
 func (n *Network) Partition(blocked func(from, to int) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.blocked = blocked
 }
 
-// port is that of every member; each has an address of its own.
+// port is the port of every member; each has its own IP address.
 const port = 7946
 
-// Addr returns where the member of an index listens.
+// Addr returns the address where the member with an index listens.
 func Addr(index int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", 1+index>>16, index>>8&255, index&255, port)
 }
 
-// Transport makes the network's side of the member of an index.
+// Transport makes the transport of the member with an index.
 func (n *Network) Transport(index int) memberlist.NodeAwareTransport {
 	t := newTransport(n, index)
 	n.mu.Lock()
@@ -58,15 +58,15 @@
 	return t
 }
 
-// close lets nothing more pass to and from the member of an index.
+// close blocks all further traffic to and from the member with an index.
 func (n *Network) close(index int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.transports[Addr(index)].closed = true
 }
 
-// route returns the transport at an address, and the delay on the way there; nil: nothing
-// arrives. Packet loss applies to datagrams alone.
+// route returns the transport at an address, and the delay to it. The transport is nil if the
+// datagram or stream is lost or blocked. Packet loss applies only to datagrams.
 func (n *Network) route(from *transport, address string, datagram bool) (to *transport, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/membership/membershiptest/scenario.go
+++ b/internal/membership/membershiptest/scenario.go
@@ -11,42 +11,42 @@
 	"barleywick/internal/membership"
 )
 
-// Scenario is one measurement: the members join, run for a time without faults, some are
-// killed, and the network is partitioned and healed.
+// Scenario is one measurement: the members join and run for a time without faults, then some are
+// killed, and then the network is partitioned and healed.
 type Scenario struct {
 	Members           int           `json:"Members"`
 	Seed              uint64        `json:"Seed"`
 	ProbeInterval     time.Duration `json:"Probe"`
 	PacketLoss        float64       `json:"Loss"`  // fraction of the datagrams, throughout
-	Delay             time.Duration `json:"Delay"` // of each datagram and stream, and up to as much again
+	Delay             time.Duration `json:"Delay"` // each datagram and stream is delayed by once to twice this
 	Baseline          time.Duration `json:"Quiet"` // time without other faults
-	KillFraction      float64       `json:"Kill"`  // of the members, killed at once after it
-	Partitions        int           `json:"Parts"` // into how many parts the network is then partitioned; below 2: it is not
+	KillFraction      float64       `json:"Kill"`  // of the members, all killed at the end of the baseline
+	Partitions        int           `json:"Parts"` // number of parts into which the network is then partitioned; below 2: no partition
 	PartitionDuration time.Duration `json:"Apart"`
 }
 
-// Result is what a Scenario has measured. What its scenario leaves out is zero.
+// Result holds the measurements of a Scenario. Those of steps that the scenario leaves out are zero.
 type Result struct {
 	Scenario
 	JoinTime time.Duration `json:"Joined"` // until all views hold all members
 
-	FalseSuspicions           uint64  `json:"Suspected"` // of members that run, in the baseline
-	FalselyUnreachable        uint64  `json:"Lost"`      // members that run, in the baseline
-	FalselyUnreachablePerHour float64 `json:"PerHour"`   // of these, for each member
+	FalseSuspicions           uint64  `json:"Suspected"` // of running members, in the baseline
+	FalselyUnreachable        uint64  `json:"Lost"`      // running members that became unreachable, in the baseline
+	FalselyUnreachablePerHour float64 `json:"PerHour"`   // FalselyUnreachable per member and hour
 	BytesPerSecond            float64 `json:"Bytes"`     // sent by each member in the baseline
 	PacketsPerSecond          float64 `json:"Packets"`   // sent by each member in the baseline
 	CoresPerMember            float64 `json:"CPU"`       // used by each member in the baseline
 
 	Killed         int           `json:"Killed"`
-	FirstDetection time.Duration `json:"FirstSeen"` // until one member holds a killed one for unreachable; median over the killed
-	FullDetection  time.Duration `json:"AllSeen"`   // until every member holds all killed ones for unreachable
-	FullAgreement  time.Duration `json:"AllAgree"`  // until all views are the same
+	FirstDetection time.Duration `json:"FirstSeen"` // until the first member considers a killed one unreachable; median over the killed ones
+	FullDetection  time.Duration `json:"AllSeen"`   // until every member considers all killed ones unreachable
+	FullAgreement  time.Duration `json:"AllAgree"`  // until all views are equal
 
-	PresentByPartition []int         `json:"Sides"`  // members present in a view of each part, at the partition's end
+	PresentByPartition []int         `json:"Sides"`  // members present in the view of a member of each part, at the end of the partition
 	ReportedPartition  int           `json:"Told"`   // members that report a partition then
 	ReportedMinority   int           `json:"Minor"`  // members that report that more than half is unreachable
 	HealTime           time.Duration `json:"Healed"` // until all views hold all members again
-	HealRounds         uint64        `json:"Rounds"` // the most that a member has counted
+	HealRounds         uint64        `json:"Rounds"` // the highest count of a member
 }
 
 // maxWait bounds each wait of a scenario.
@@ -60,7 +60,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// Run carries the scenario out.
+// Run runs the scenario and returns its measurements.
 func (s Scenario) Run(logger *slog.Logger) (Result, error) {
 	r := Result{Scenario: s}
 	network := NewNetwork(s.Seed)
@@ -90,7 +90,7 @@
 	return r, nil
 }
 
-// measureBaseline measures the cost and the false detections of a time without faults.
+// measureBaseline measures the cost and the false detections during a time without faults.
 func (r *Result) measureBaseline(fleet *Fleet) {
 	before, cpuBefore := sumStats(fleet.Members), processCPUTime()
 	time.Sleep(r.Baseline)
@@ -107,14 +107,14 @@
 // kill kills members and waits until all others have detected it and agree.
 func (r *Result) kill(fleet *Fleet) error {
 	var killed []string
-	for i := range r.Killed { // spread over the fleet; the seeds come last
+	for i := range r.Killed { // spread over the fleet, from the last member to the seeds
 		member := fleet.Members[len(fleet.Members)-1-i*len(fleet.Members)/r.Killed]
 		killed = append(killed, member.Self().Name)
 		member.Kill()
 	}
 	start := time.Now()
 	running := fleet.Running()
-	firstDetection := make(map[string]time.Duration) // by the name of the killed
+	firstDetection := make(map[string]time.Duration) // by the name of the killed member
 	if _, err := WaitUntil(maxWait, func() bool {
 		undetected := 0
 		for _, member := range running {
@@ -148,7 +148,7 @@
 	return sorted[len(sorted)/2]
 }
 
-// partition partitions the network for a time, and waits until all have healed.
+// partition partitions the network for a time, and waits until all members have counted it as healed.
 func (r *Result) partition(fleet *Fleet) error {
 	running := fleet.Running()
 	fleet.Network.Partition(func(from, to int) bool { return from%r.Partitions != to%r.Partitions })
@@ -176,8 +176,8 @@
 	return nil
 }
 
-// countHealRounds takes the most rounds that a member counted until a partition had healed,
-// and reports whether all have counted.
+// countHealRounds sets HealRounds to the highest number of rounds that a member counted until the
+// partition had healed, and reports whether all members have counted.
 func (r *Result) countHealRounds(members []*Member) bool {
 	r.HealRounds = 0
 	for _, member := range members {
--- a/internal/membership/membershiptest/scenario_test.go
+++ b/internal/membership/membershiptest/scenario_test.go
@@ -32,7 +32,7 @@
 				}
 				running := s.Members - r.Killed
 				if r.Killed != 3 || r.ReportedPartition != running || r.ReportedMinority != running || r.HealRounds == 0 || r.BytesPerSecond == 0 {
-					t.Errorf("too little was detected or reported: %+v", r)
+					t.Errorf("got %+v, want all killed members and the partition detected and reported", r)
 				}
 				for _, present := range r.PresentByPartition {
 					if want := running / s.Partitions; present != want {
@@ -74,8 +74,9 @@
 	time.Sleep(time.Minute) // the goroutines that are left end by their timeouts
 }
 
-// A process that starts again is another member, present in all views before the first is
-// unreachable. Of two that run the later one counts, and the earlier one is no member any more.
+// A process that starts again is another member, and is present in all views before the first process
+// counts as unreachable. Of two running processes with the same name, the later one replaces the earlier
+// one.
 func TestLaterProcessReplacesEarlier(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 6)
@@ -90,10 +91,10 @@
 			}
 			later := f.Members[len(f.Members)-1]
 			if !kill {
-				old.stopped = true // it runs, but is none of those that have to agree
+				old.stopped = true // it runs, but is not among those that have to agree
 			}
 			took := waitUntil(t, "the later process present in all views", func() bool { return Agree(f.Running(), 6) })
-			if took > 5*time.Second { // most by gossip in a fifth of a second, some by a comparison of digests
+			if took > 5*time.Second { // most views learn of it by gossip within 0.2 s, some by a comparison of digests
 				t.Errorf("the later process is present in all views after %v, want 5s at most (the other killed: %v)", took, kill)
 			}
 			if got, _ := f.Members[0].Get(old.Self().Key()); got.Status != membership.StatusReplaced || got.By != later.Self().Key() {
@@ -118,8 +119,8 @@
 	})
 }
 
-// A member that leaves is unreachable for nobody, also one that joins and leaves again and
-// again; and seeds none of which runs are called until one does.
+// No member considers one that has left as unreachable, even if it joins and leaves repeatedly. If
+// no seed is running, the seeds are called until one is.
 func TestLeavesAndDeadSeeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 6)
@@ -150,8 +151,8 @@
 		if late.Size() != 1 {
 			t.Fatalf("got %d members present without a running seed, want 1", late.Size())
 		}
-		// A seed starts again, with the same dead addresses as seeds: the others, for which it
-		// is unreachable, call it.
+		// A seed starts again, with the same dead addresses as seeds. The others, which consider it
+		// unreachable, call it.
 		if err := f.Add(0, "m0", 0, 200*time.Millisecond, discard); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/membership/membershiptest/transport.go
+++ b/internal/membership/membershiptest/transport.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// packetQueueLength bounds the datagrams that wait for a member. Those beyond are lost.
+	// packetQueueLength bounds the datagrams that are queued for a member. Excess datagrams are lost.
 	packetQueueLength = 1024
 	streamQueueLength = 64
 )
 
-// errStreamQueueFull is the failure of a dial to a member that accepts no connections.
-var errStreamQueueFull = errors.New("membershiptest: too many connections wait")
+// errStreamQueueFull is the error of a dial to a member that accepts no connections.
+var errStreamQueueFull = errors.New("membershiptest: too many connections are queued")
 
-// transport is the network's side of one member.
+// transport is the transport of one member.
 type transport struct {
 	network *Network
 	index   int
 	packets chan *memberlist.Packet
 	streams chan net.Conn
-	closed  bool // under the network's lock
+	closed  bool // guarded by the network's lock
 }
 
 func newTransport(network *Network, index int) *transport {
@@ -79,7 +79,7 @@
 	return t.DialAddressTimeout(memberlist.Address{Addr: to}, timeout)
 }
 
-// DialAddressTimeout opens a connection where packets pass in both directions.
+// DialAddressTimeout opens a connection if traffic is possible in both directions.
 func (t *transport) DialAddressTimeout(to memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	target, delay := t.network.route(t, to.Addr, false)
 	reachable := target != nil
@@ -104,6 +104,6 @@
 func (t *transport) Shutdown() error {
 	t.network.mu.Lock()
 	defer t.network.mu.Unlock()
-	t.closed = true // its own alone: a member that starts again has a transport at the same address
+	t.closed = true // only this transport: a member that starts again has another one at the same address
 	return nil
 }
--- a/internal/membership/process.go
+++ b/internal/membership/process.go
@@ -9,8 +9,8 @@
 )
 
 // CurrentProcess identifies this process to members that see the same processes: a hash of
-// its kernel's boot and its PID namespace, its process id, and its start. All are zero
-// where the kernel does not tell.
+// its kernel's boot ID and its PID namespace, its PID, and its start time. All are zero if
+// the kernel does not provide them.
 func CurrentProcess() (machineID string, pid int, processStart uint64) {
 	bootID, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
--- a/internal/membership/response.go
+++ b/internal/membership/response.go
@@ -3,7 +3,7 @@
 // ViewPath is the path of a member's view, below the prefix under which the member serves.
 const ViewPath = "fleet"
 
-// maxResponseBytes bounds a view's response: maxMembers of them, at their longest.
+// maxResponseBytes bounds the response with a view. It allows for maxMembers members of maximum size.
 const maxResponseBytes = 4 << 20
 
 // MemberView is one member in a ViewResponse.
@@ -12,7 +12,7 @@
 	Incarnation uint64 `json:"incarnation"`
 	Role        Role   `json:"role"`
 	Status      Status `json:"status"`
-	StatusAgeMS int64  `json:"for_ms"`       // for how long it has had this status
+	StatusAgeMS int64  `json:"for_ms"`       // how long it has had this status
 	By          string `json:"by,omitempty"` // evidence for the status, as Member.By
 	Zone        string `json:"zone,omitempty"`
 	Version     string `json:"version,omitempty"`
@@ -25,7 +25,7 @@
 	PID         int    `json:"pid,omitempty"`
 }
 
-// ViewResponse is the view of one process, as it serves it.
+// ViewResponse is the view of one process in the form in which it is served.
 type ViewResponse struct {
 	Fleet          string       `json:"fleet"`
 	Name           string       `json:"name"`
@@ -33,7 +33,7 @@
 	Digest         string       `json:"digest"`
 	Present        int          `json:"present"`
 	Unreachable    int          `json:"lost"`
-	PartitionedMS  int64        `json:"apart_ms,omitempty"` // since the first of the unreachable members was
+	PartitionedMS  int64        `json:"apart_ms,omitempty"` // time since the first of the unreachable members became unreachable
 	Minority       bool         `json:"minority,omitempty"` // more than half of the fleet is unreachable
 	HealRounds     uint64       `json:"healed_in,omitempty"`
 	AgreeingPeers  int          `json:"agree"`            // members with a recent digest equal to this one's
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Status is how a member stands in a view.
+// Status is the state of a member in a view.
 type Status string
 
 // The statuses. Their values are served to operators and are metric labels.
 const (
 	StatusPresent     Status = "present"
-	StatusSuspected   Status = "suspected" // it has not answered a probe; it may yet
-	StatusUnreachable Status = "lost"      // it has ended, is stopped, or is cut off
+	StatusSuspected   Status = "suspected" // it has not answered a probe, but is not unreachable yet
+	StatusUnreachable Status = "lost"      // it doesn't answer: it has ended, is suspended, or is partitioned
 	StatusLeft        Status = "left"      // it announced that it leaves
-	StatusEnded       Status = "gone"      // its process was seen to end, on its own machine
+	StatusEnded       Status = "gone"      // its process was observed to end, on its own machine
 	StatusReplaced    Status = "replaced"  // a later process has its name
 
-	// StatusUnknown is that of a member that a view does not hold.
+	// StatusUnknown is the status of a member that a view does not hold.
 	StatusUnknown Status = "unknown"
 )
 
 // CountsAsPresent reports whether a member with this status counts as running.
 func (s Status) CountsAsPresent() bool { return s == StatusPresent || s == StatusSuspected }
 
-// final reports whether the status is for good: that process does not come back.
+// final reports whether the status is permanent: that process does not return.
 func (s Status) final() bool {
 	return s == StatusLeft || s == StatusEnded || s == StatusReplaced
 }
@@ -31,11 +31,11 @@
 	Info
 	Status      Status
 	StatusSince time.Duration // on the view's clock
-	// By is the evidence for a final status: the key of the member that saw the process
+	// By is the evidence for a final status: the key of the member that observed the process's
 	// end, or of the process that replaces it.
 	By string
 
-	suspectedUntil time.Duration // of StatusSuspected: when the suspicion expires
+	suspectedUntil time.Duration // with StatusSuspected: when the suspicion expires
 }
 
 func (m *Member) setStatus(status Status, now time.Duration) {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -11,40 +11,40 @@
 )
 
 const (
-	// maxMembers bounds a view, members that have ended among them.
+	// maxMembers bounds the members in a view, including those that have ended.
 	maxMembers = 4096
-	// endedRetention is for how long a view holds a member with a final status, so that late
-	// messages about it have no effect.
+	// endedRetention is how long a view keeps a member with a final status, so that late messages
+	// about it have no effect.
 	endedRetention = 2 * time.Minute
-	// stableRounds is for how many rounds no member may have come or gone before views are
-	// expected to agree.
+	// stableRounds is the number of rounds without a change of the present members after which views
+	// are expected to agree.
 	stableRounds = 2
-	// operatorEvidence is Member.By of a member that an operator had forgotten.
+	// operatorEvidence is Member.By of a member that was forgotten on an operator's request.
 	operatorEvidence = "an operator"
 	// DigestFanout is the number of members to which a digest is sent each round.
 	DigestFanout = 3
 )
 
-// View is what one process knows of the fleet's members, and how many of them it reaches:
-// a state machine without a clock, whose methods take the time as a monotonic reading. It
-// is not safe for concurrent use.
+// View is one process's view of the fleet's members, and of how many of them it can reach. It is a
+// state machine without a clock: its methods take the time as a reading of a monotonic clock. It is
+// not safe for concurrent use.
 type View struct {
 	selfKey     string
 	forgetAfter time.Duration // after which an unreachable member is dropped
 
 	members           map[string]*Member // by key
 	partition         PartitionState
-	roundsSinceChange int                   // since a member came or went
+	roundsSinceChange int                   // since the present members changed
 	digests           map[string]peerDigest // the latest of each other member, by key
 }
 
-// peerDigest is the digest of another member's view, and when it arrived.
+// peerDigest is the digest of another member's view, and the time at which it arrived.
 type peerDigest struct {
 	digest uint64
 	at     time.Duration
 }
 
-// NewView makes a view that holds this process alone.
+// NewView makes a view that holds only this process.
 func NewView(self Info, forgetAfter, now time.Duration) *View {
 	v := &View{selfKey: self.Key(), forgetAfter: forgetAfter, members: make(map[string]*Member), digests: make(map[string]peerDigest)}
 	v.MarkPresent(self, now)
@@ -63,7 +63,7 @@
 		v.members[info.Key()] = &Member{Info: info, Status: StatusPresent, StatusSince: now}
 		v.markReplaced(info.Name, now)
 	case member.Status.final():
-		return false // a late message of a process that has ended
+		return false // a late message from a process that has ended
 	case member.Status == StatusUnreachable:
 		v.partition.startHealing(now)
 		member.Info = info
@@ -80,8 +80,8 @@
 }
 
 // MarkSuspected records that a member did not answer a probe, and reports whether that
-// changes the view. The suspicion expires at a time: the member has answered or is
-// unreachable by then.
+// changes the view. The suspicion expires at until; by then the member has answered or is
+// unreachable.
 func (v *View) MarkSuspected(key string, now, until time.Duration) (changed bool) {
 	member := v.members[key]
 	if member == nil || key == v.selfKey || !member.Status.CountsAsPresent() {
@@ -102,7 +102,7 @@
 	}
 }
 
-// markReplaced gives the processes of a name, but for the latest, the status StatusReplaced.
+// markReplaced gives StatusReplaced to all processes of a name but the latest one.
 func (v *View) markReplaced(name string, now time.Duration) {
 	latest, _ := v.Latest(name)
 	for _, member := range v.members {
@@ -143,7 +143,7 @@
 }
 
 // MarkEnded records that the process of a member has ended, and reports whether that
-// changes the view. Only a witness on the process's own machine can have seen its end.
+// changes the view. Only an observer on the process's own machine can detect its end.
 func (v *View) MarkEnded(key, observerKey string, now time.Duration) (changed bool) {
 	member, observer := v.members[key], v.members[observerKey]
 	if member == nil || observer == nil || key == v.selfKey || member.Status.final() {
@@ -158,7 +158,7 @@
 	return true
 }
 
-// recount updates the partition state after a member came or went.
+// recount updates the partition state after the present members have changed.
 func (v *View) recount() {
 	v.roundsSinceChange = 0
 	v.countMembers()
@@ -179,8 +179,7 @@
 	}
 }
 
-// evictOldest drops the member that has been gone for longest, and reports whether there
-// was one.
+// evictOldest drops the member that has been absent the longest, and reports whether there was one.
 func (v *View) evictOldest() bool {
 	var oldest *Member
 	for _, member := range v.members {
@@ -195,8 +194,8 @@
 	return true
 }
 
-// Tick is called once a round: members, suspicions and digests expire. It returns how many
-// rounds a partition took to heal, when it has healed in this round.
+// Tick is called once per round. It expires members, suspicions and digests. If a partition has
+// healed in this round, it returns how many rounds that took.
 func (v *View) Tick(now time.Duration) (rounds int, healed bool) {
 	v.expire(now)
 	v.countMembers()
@@ -231,13 +230,13 @@
 }
 
 // agreesSince reports whether enough digests have arrived since a time and all equal this
-// view's. One is not enough: the first member that comes back may be the first of many.
+// view's. One is not enough, since more members may return after the first.
 func (v *View) agreesSince(since time.Duration) bool {
 	agreeing, compared := v.Agreement(since)
 	return agreeing == compared && compared >= min(DigestFanout, v.partition.Present-1)
 }
 
-// Forget takes the unreachable members of a name for ended, on an operator's request, and
+// Forget marks the unreachable members of a name as ended, on an operator's request, and
 // returns how many there were.
 func (v *View) Forget(name string, now time.Duration) (forgotten int) {
 	for _, member := range v.members {
@@ -287,12 +286,12 @@
 	return keys
 }
 
-// Stable reports whether no member has come or gone for some rounds. A peer whose view
-// still differs has missed a message then.
+// Stable reports whether the present members have not changed for some rounds. A peer whose view
+// still differs then has missed a message.
 func (v *View) Stable() bool { return v.roundsSinceChange > stableRounds }
 
-// Digest is equal for views in which the same members count as present. Suspicion is left
-// out of it, as it passes in a moment.
+// Digest returns a hash that is equal for views in which the same members count as present. It leaves
+// out suspicions, since they are short-lived.
 func (v *View) Digest() uint64 {
 	keys := make([]string, 0, len(v.members))
 	for key, member := range v.members {
@@ -304,7 +303,7 @@
 	return xxhash.Sum64String(strings.Join(keys, " "))
 }
 
-// Partition returns how much of the fleet this process reaches.
+// Partition returns which part of the fleet this process can reach.
 func (v *View) Partition() PartitionState { return v.partition }
 
 // Get returns a member by its key.
@@ -325,7 +324,7 @@
 	return latest, ok
 }
 
-// List returns all members by name; of one name the latest process comes first.
+// List returns all members, sorted by name; the latest process of a name comes first.
 func (v *View) List() []Member {
 	all := make([]Member, 0, len(v.members))
 	for _, member := range v.members {
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -54,7 +54,7 @@
 }
 
 // A view reports how many members are unreachable, since when, and how many rounds a
-// partition took to heal; views of the same members have the same digest.
+// partition took to heal. Views of the same members have the same digest.
 func TestViewPartition(t *testing.T) {
 	v := NewView(member("m0", 1, ""), time.Hour, 1)
 	for i := 1; i < 9; i++ {
@@ -68,7 +68,7 @@
 		}
 	}
 	if v.Digest() == complete {
-		t.Error("a view of four members has the digest of nine")
+		t.Error("a view of four members has the same digest as one of nine")
 	}
 	for i := 4; i < 9; i++ {
 		v.MarkPresent(member(fmt.Sprint("m", i), 1, ""), 100)
@@ -85,7 +85,7 @@
 	}
 }
 
-// A view is bounded however many members come and go, and keeps those that are present.
+// The size of a view is bounded however many members join and fail; members that are present stay.
 func TestViewIsBounded(t *testing.T) {
 	v := NewView(member("self", 1, ""), time.Hour, 1)
 	for i := range maxMembers + 300 {
