--- a/internal/controller/fleetview.go
+++ b/internal/controller/fleetview.go
@@ -93,18 +93,18 @@
 // in released, and adds them to it. It deletes members from released that the view no longer holds.
 func (f *fleetView) endedControllers(released map[string]bool) []membership.Member {
 	self := f.node.Self().Key()
-	known := make(map[string]bool)
+	inView := make(map[string]bool)
 	var ended []membership.Member
 	for _, m := range f.node.Members() {
 		key := m.Key()
-		known[key] = true
+		inView[key] = true
 		if m.Role == membership.RoleController && !released[key] && sawProcessEnd(m, self) {
 			released[key] = true
 			ended = append(ended, m)
 		}
 	}
 	for key := range released {
-		if !known[key] {
+		if !inView[key] {
 			delete(released, key)
 		}
 	}
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -103,7 +103,7 @@
 
 // probeRound probes each server of the shard once, and publishes the advice.
 func (p *prober) probeRound(ctx context.Context) error {
-	began := time.Now()
+	start := time.Now()
 	servers, err := p.servers(ctx)
 	if err != nil {
 		if ctx.Err() != nil {
@@ -118,7 +118,7 @@
 	}
 	for i, server := range servers {
 		// Spread over the interval, so that no two servers are probed at once.
-		turn := began.Add(p.interval * time.Duration(i) / time.Duration(len(servers)))
+		turn := start.Add(p.interval * time.Duration(i) / time.Duration(len(servers)))
 		if err := p.wait(ctx, turn, servers); err != nil {
 			return err
 		}
@@ -129,7 +129,7 @@
 	if err := p.publish(ctx); err != nil {
 		return err
 	}
-	return p.wait(ctx, began.Add(p.interval), servers)
+	return p.wait(ctx, start.Add(p.interval), servers)
 }
 
 // servers returns the servers of the shard.
--- a/internal/controller/tasks.go
+++ b/internal/controller/tasks.go
@@ -21,7 +21,7 @@
 // Task is work that only one controller does at a time.
 type Task struct {
 	LeaseName string
-	// Run does the work until ctx ends. ctx ends when the lease does.
+	// Run does the work until ctx ends. ctx ends when the lease ends.
 	Run func(ctx context.Context, handle *lease.Handle) error
 	// Timed marks a task that acts on systems which check no fencing token. A controller from which
 	// more than half of the fleet's members are unreachable stops such a task.
--- a/internal/membership/gossip/cache.go
+++ b/internal/membership/gossip/cache.go
@@ -115,6 +115,6 @@
 
 func replaceFile(path string, text []byte, permissions os.FileMode) error {
 	// Without a given directory for its temporary file, the library tests a rename between directories at
-	// each write, for which the kernel takes a lock of the whole file system.
+	// each write, for which the kernel has a single lock per file system.
 	return renameio.WriteFile(path, text, permissions, renameio.WithTempDir(filepath.Dir(path)))
 }
--- a/internal/membership/gossip/compatibility_test.go
+++ b/internal/membership/gossip/compatibility_test.go
@@ -127,8 +127,8 @@
 		time.Sleep(time.Second)
 		since := n.now()
 		(&delegate{n}).NotifyMsg(fixture.Read(t, "message_digest.json"))
-		if agree, known := n.view.Agreement(since); agree != 1 || known != 1 {
-			t.Errorf("%d of %d digests agree, want 1 of 1", agree, known)
+		if agreeing, compared := n.view.Agreement(since); agreeing != 1 || compared != 1 {
+			t.Errorf("%d of %d digests agree, want 1 of 1", agreeing, compared)
 		}
 	})
 }
@@ -157,11 +157,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := json.Marshal(got)
+	encoded, err := json.Marshal(got)
 	if err != nil {
 		t.Fatal(err)
 	}
-	equalBytes(t, "view.json", append(again, '\n'))
+	equalBytes(t, "view.json", append(encoded, '\n'))
 	if len(got.Members) != 8 || got.Present != 4 || got.Unreachable != 1 || got.PartitionedMS != 750 || got.HealRounds != 3 {
 		t.Errorf("read as %+v", got)
 	}
@@ -303,13 +303,13 @@
 	w.packets <- &memberlist.Packet{Buf: fixture.Read(t, "datagram.bin"), From: &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 9601}, Timestamp: time.Now()}
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		other.mu.Lock()
-		_, known := other.view.Agreement(0)
+		_, compared := other.view.Agreement(0)
 		other.mu.Unlock()
-		if known == 1 {
+		if compared == 1 {
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("the datagram's digest was not recorded")
+			t.Fatal("the digest in the datagram was not recorded")
 		}
 	}
 }
--- a/internal/membership/gossip/delegate.go
+++ b/internal/membership/gossip/delegate.go
@@ -144,11 +144,11 @@
 // maxEndRecords bounds the end records in one exchange of views.
 const maxEndRecords = 64
 
-// endRecord is one member with a final status in an exchange of views.
+// endRecord is a member that has left or ended, in an exchange of views.
 type endRecord struct {
 	Key      string `json:"k"`
 	Observer string `json:"b,omitempty"`
-	Left     bool   `json:"g,omitempty"` // it sent a leave message; otherwise Observer saw its process end
+	Left     bool   `json:"g,omitempty"` // it sent a leave message; otherwise Observer detected the end of its process
 }
 
 // LocalState returns the end records for an exchange of views. The other member may have
--- a/internal/membership/gossip/lifecycle.go
+++ b/internal/membership/gossip/lifecycle.go
@@ -184,7 +184,7 @@
 	saveTimer := time.NewTimer(lastSaveTimeout)
 	defer saveTimer.Stop()
 	n.broadcast(message{Kind: messageLeave, Key: n.Self().Key()})
-	time.Sleep(2 * gossipInterval) // lets the message go out before SWIM's own
+	time.Sleep(2 * gossipInterval) // so that the message is sent before SWIM's own
 	err := n.list.Load().Leave(leaveTimeout)
 	select {
 	case <-saved: // while the address is still in use: another process that starts there reads the cache
--- a/internal/membership/gossip/messages.go
+++ b/internal/membership/gossip/messages.go
@@ -14,7 +14,7 @@
 
 const (
 	messageLeave        messageKind = "bye"     // the member Key is leaving
-	messageEnded        messageKind = "gone"    // Observer saw the process of the member Key end
+	messageEnded        messageKind = "gone"    // Observer detected that the process of the member Key has ended
 	messageSuspect      messageKind = "suspect" // the member Key did not answer Observer
 	messageDigest       messageKind = "digest"  // Digest is that of the view of the member Key
 	messageUnresponsive messageKind = "host"    // the booking server Endpoint does not answer the member Key
--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -33,7 +33,8 @@
 }
 
 const (
-	// gossipInterval lets a message reach a thousand members within some ten intervals.
+	// gossipInterval is the time between two sends of gossip messages. A message reaches a thousand
+	// members within about ten intervals.
 	gossipInterval = 100 * time.Millisecond
 	// pushPullInterval is the time between two exchanges of full views, which make up for lost
 	// gossip messages.
@@ -41,8 +42,8 @@
 	// roundInterval is the time between two rounds, in which digests are sent and unreachable
 	// members are called.
 	roundInterval = time.Second
-	// digestLifetime is how long a received digest is compared with this view's. In one round a member receives
-	// membership.DigestFanout digests on average.
+	// digestLifetime is how long a received digest is compared with this view's. In one round a
+	// member receives membership.DigestFanout digests on average.
 	digestLifetime = 10 * time.Second
 	// suspicionMult and suspicionMaxTimeoutMult bound how long a suspicion lasts before the
 	// member is unreachable: suspicionMult probe intervals times the logarithm of the number of
@@ -138,14 +139,14 @@
 func (n *Node) now() time.Duration { return time.Since(n.startedAt) + 1 }
 
 // Update changes the metadata that this process announces. Its name and incarnation stay.
-func (n *Node) Update(change func(i *membership.Info)) {
+func (n *Node) Update(update func(i *membership.Info)) {
 	n.mu.Lock()
 	next := n.self
-	change(&next)
+	update(&next)
 	next.Name, next.Incarnation = n.self.Name, n.self.Incarnation
 	_, err := next.Encode()
-	same := next == n.self
-	if err == nil && !same {
+	unchanged := next == n.self
+	if err == nil && !unchanged {
 		n.self = next
 		n.view.MarkPresent(next, n.now())
 	}
@@ -154,7 +155,7 @@
 		n.log.Error("members: invalid update of own metadata", "err", err)
 		return
 	}
-	if same {
+	if unchanged {
 		return
 	}
 	// The timeout matters if this process leaves meanwhile: the update may then never be sent.
--- a/internal/membership/gossip/stop_test.go
+++ b/internal/membership/gossip/stop_test.go
@@ -104,11 +104,11 @@
 // stop stops the member, and returns how long that took and the result of Run.
 func (m *testMember) stop(t *testing.T) (took time.Duration, err error) {
 	t.Helper()
-	begun := time.Now()
+	start := time.Now()
 	m.cancel()
 	select {
 	case err = <-m.runResult:
-		return time.Since(begun), err
+		return time.Since(start), err
 	case <-time.After(time.Hour):
 		t.Errorf("the member has not stopped after an hour; its log:\n%s", m.log.String())
 		return time.Hour, nil
@@ -134,14 +134,14 @@
 // by lastSaveTimeout at most: the cache is only a hint for the next start. The member still
 // announces that it leaves, and logs that the cache was not saved.
 func TestStopWithHangingSync(t *testing.T) {
-	for name, runs := range map[string]time.Duration{"before the first save": 0, "at the last save": time.Second, "with a save under way": 3 * cacheInterval} {
+	for name, runTime := range map[string]time.Duration{"before the first save": 0, "at the last save": time.Second, "with a save under way": 3 * cacheInterval} {
 		t.Run(name, func(t *testing.T) {
 			folder := t.TempDir()
 			synctest.Test(t, func(t *testing.T) {
 				m := newTestMember(t, folder, 11, nil)
 				release := m.blockWrites()
 				m.run()
-				time.Sleep(runs)
+				time.Sleep(runTime)
 				took, err := m.stop(t)
 				if took > stopTimeout || err != nil {
 					t.Errorf("stopped after %v with %v, want %v at most and no error", took, err, stopTimeout)
@@ -155,7 +155,7 @@
 					t.Errorf("the log does not say that the cache was not saved:\n%s", m.log.String())
 				}
 				release()
-				time.Sleep(time.Minute) // the goroutines that are left end by their timeouts
+				time.Sleep(time.Minute) // the remaining goroutines end by their timeouts
 			})
 		})
 	}
@@ -176,8 +176,8 @@
 	})
 }
 
-// A connection that the listener has accepted when the member stops does not block the stop: it is
-// no longer received, while the shutdown of memberlist's transport waits for the listener.
+// A connection that the listener has accepted when the member stops must not block the stop:
+// memberlist no longer receives it, but the shutdown of its transport waits for the listener.
 func TestStopWithPendingConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newTestMember(t, "", 11, nil)
--- a/internal/membership/membershiptest/scenario_test.go
+++ b/internal/membership/membershiptest/scenario_test.go
@@ -25,7 +25,7 @@
 					KillFraction: 0.25, Partitions: 3, PartitionDuration: 40 * time.Second,
 				}
 				r, err := s.Run(discard)
-				time.Sleep(time.Minute) // the goroutines that are left end by their timeouts
+				time.Sleep(time.Minute) // the remaining goroutines end by their timeouts
 				t.Logf("%+v", r)
 				if err != nil {
 					t.Fatal(err)
@@ -71,7 +71,7 @@
 // stop stops the fleet within a synctest bubble.
 func (f *Fleet) stop() {
 	f.Stop()
-	time.Sleep(time.Minute) // the goroutines that are left end by their timeouts
+	time.Sleep(time.Minute) // the remaining goroutines end by their timeouts
 }
 
 // A process that starts again is another member, and is present in all views before the first process
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -108,8 +108,8 @@
 func TestInvalidInfoIsRejected(t *testing.T) {
 	good := Info{Name: "k1", Incarnation: 7, Role: RoleController, Zone: "z1", HTTPAddr: "127.0.0.1:80", MachineID: "m", PID: 3, ProcessStart: 4, LongestActMS: 100}
 	text, err := good.Encode()
-	if back, derr := DecodeInfo(text); err != nil || derr != nil || back != good {
-		t.Fatalf("%s is read as %+v: %v, %v", text, back, err, derr)
+	if decoded, decodeErr := DecodeInfo(text); err != nil || decodeErr != nil || decoded != good {
+		t.Fatalf("%s is read as %+v: %v, %v", text, decoded, err, decodeErr)
 	}
 	for _, bad := range []string{``, `{}`, `{"n":"a b","r":"keeper"}`, `{"n":"a","r":"king"}`, `{"n":"a","r":"keeper","h":"10.0.0.1:80"}`,
 		`{"n":"a","r":"keeper","z":"` + string(make([]byte, 40)) + `"}`, `{"n":"a","r":"keeper","a":-1}`, string(make([]byte, 513))} {
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -51,7 +51,7 @@
 	if a = planFor(t, p, 30, 0.02, map[string]uint64{"a": 10, "b": 10, "c": 10}); len(a.Tenants) != 0 {
 		t.Errorf("long after the congestion: got %+v, want no tenant limited", a)
 	}
-	// Each sidecar sheds an overload by all tenants alike on its own.
+	// An overload to which all tenants contribute equally is left to the sidecars.
 	for _, tenant := range planFor(t, p, 10, 0.5, map[string]uint64{"a": 200, "b": 100, "c": 100}).Tenants {
 		if tenant.AdmitFraction != 1 {
 			t.Errorf("overload by all tenants: got %+v, want fraction 1", tenant)
--- a/internal/overload/planner.go
+++ b/internal/overload/planner.go
@@ -203,7 +203,7 @@
 }
 
 // limitTenants divides the limit among tenants, and then lifts it from tenants that are not far above
-// their quota: each sidecar sheds an overload by all tenants alike on its own.
+// their quota: an overload to which all tenants contribute equally is shed by each sidecar on its own.
 func limitTenants(limit float64, load fleetLoad) []TenantAdvice {
 	advice := divideByQuota(limit, load.tenants)
 	quotas := 0.0
