--- a/internal/overload/planner.go
+++ b/internal/overload/planner.go
@@ -67,7 +67,7 @@
 	p.expected = min(max(0, sidecars), MaxSidecars)
 }
 
-// AddDigest records a digest. It returns an error that wraps ErrBadMessage if the digest is
+// AddDigest records a digest. It returns an error that wraps ErrInvalidMessage if the digest is
 // malformed, of another fleet, or older than the sidecar's latest one.
 func (p *Planner) AddDigest(now time.Duration, d Digest) error {
 	if err := d.Check(); err != nil {
