--- a/internal/controller/backup_test.go
+++ b/internal/controller/backup_test.go
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	if _, err := folder.Save(t.Context(), 10, backupTime(10), []byte("x")); err == nil || !strings.Contains(err.Error(), "corrupt") {
-		t.Errorf("a corrupt fence: got %v, want an error that says so", err)
+		t.Errorf("a corrupt fence: got %v, want an error with \"corrupt\"", err)
 	}
 }
 
@@ -58,13 +58,13 @@
 		t.Fatal(err)
 	}
 	if _, err := ReadBackup(paths[1]); err == nil || !strings.Contains(err.Error(), "corrupt") {
-		t.Errorf("a corrupt backup: got %v, want an error that says so", err)
+		t.Errorf("a corrupt backup: got %v, want an error with \"corrupt\"", err)
 	}
 	if err := os.Remove(paths[0] + checksumSuffix); err != nil { // as if the process had ended between the two writes
 		t.Fatal(err)
 	}
 	if _, err := ReadBackup(paths[0]); err == nil || !strings.Contains(err.Error(), "incomplete") {
-		t.Errorf("an incomplete backup: got %v, want an error that says so", err)
+		t.Errorf("an incomplete backup: got %v, want an error with \"incomplete\"", err)
 	}
 	if complete, _ := folder.Paths(); len(complete) != 2 {
 		t.Errorf("got %d complete backups, want 2", len(complete))
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -30,7 +30,7 @@
 // server itself; readers of the advice decide.
 type HealthAdvice struct {
 	ConsecutiveFailures int    `json:"failures"` // of probes
-	SinceMS             int64  `json:"since_ms"` // the time of the first of them, in Unix milliseconds
+	SinceMS             int64  `json:"since_ms"` // time of the first of them, in Unix milliseconds
 	LastError           string `json:"said"`     // of the last probe
 }
 
@@ -85,7 +85,7 @@
 
 	failing        map[string]HealthAdvice // by host: servers whose last probe failed
 	probedEarly    map[string]bool         // by host: suspected servers that were probed ahead of schedule
-	recordVersion  uint64                  // of the record
+	recordVersion  uint64                  // that the next write replaces
 	publishedHosts []string                // listed in the record
 	hasPublished   bool
 }
@@ -95,7 +95,7 @@
 func (p *prober) readVersion(ctx context.Context) error {
 	current, err := p.registry.Record(ctx, HealthRecordKey(p.shard))
 	if err != nil && !errors.Is(err, registry.ErrNotFound) {
-		return fmt.Errorf("advice: %w", err)
+		return fmt.Errorf("health advice: %w", err)
 	}
 	p.recordVersion = current.Version
 	return nil
@@ -240,10 +240,10 @@
 	}
 	text, err := json.Marshal(advice)
 	if err != nil {
-		return fmt.Errorf("advice: %w", err)
+		return fmt.Errorf("health advice: %w", err)
 	}
 	if p.recordVersion, err = p.registry.Put(ctx, HealthRecordKey(p.shard), text, &p.recordVersion); err != nil {
-		return fmt.Errorf("advice: %w", err)
+		return fmt.Errorf("health advice: %w", err)
 	}
 	p.publishedHosts, p.hasPublished = hosts, true
 	slog.Info("controller: health advice changed", "lease", p.handle.LeaseName(), "token", p.handle.Token(), "failing", hosts)
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -26,7 +26,8 @@
 
 // Serve runs a controller with a configuration until ctx ends.
 func Serve(ctx context.Context, config *Config) error {
-	c, err := shutdown.Await(ctx, func() (*Controller, error) { return New(config, config.Tasks) }) // reads the membership cache from disk, which may hang
+	// New reads the membership cache from disk, which may hang.
+	c, err := shutdown.Await(ctx, func() (*Controller, error) { return New(config, config.Tasks) })
 	if ctx.Err() != nil {
 		return nil // stopped before any task was held
 	}
--- a/internal/membership/gossip/compatibility_test.go
+++ b/internal/membership/gossip/compatibility_test.go
@@ -163,7 +163,7 @@
 	}
 	equalBytes(t, "view.json", append(encoded, '\n'))
 	if len(got.Members) != 8 || got.Present != 4 || got.Unreachable != 1 || got.PartitionedMS != 750 || got.HealRounds != 3 {
-		t.Errorf("read as %+v", got)
+		t.Errorf("got %+v, want 8 members, 4 present, 1 lost for 750 ms, healed in 3 rounds", got)
 	}
 	synctest.Test(t, func(t *testing.T) {
 		n := newOfflineNode("")
@@ -184,7 +184,7 @@
 	n := newOfflineNode(folder)
 	cached, err := n.loadCache()
 	if err != nil || cached.Incarnation != k1.Incarnation || len(cached.Addresses) != 1 || cached.Addresses[0] != "127.0.0.1:9611" {
-		t.Errorf("read as %+v: %v", cached, err)
+		t.Errorf("got cache %+v: %v", cached, err)
 	}
 	n.options.Config.StateDir = t.TempDir()
 	n.addrs = map[string]string{"s1/11": "127.0.0.1:9611"}
