--- a/internal/membership/client.go
+++ b/internal/membership/client.go
@@ -11,17 +11,17 @@
 
 // FetchView returns the view that a member serves at a URL.
 func FetchView(ctx context.Context, client *http.Client, viewURL string) (ViewResponse, error) {
-	return call(ctx, client, http.MethodGet, viewURL)
+	return requestView(ctx, client, http.MethodGet, viewURL)
 }
 
-// ForgetMember has the member that serves its view at a URL take an unreachable member for
-// one that never comes back.
+// ForgetMember requests that the member that serves its view at a URL marks the unreachable members
+// of a name as ended for good.
 func ForgetMember(ctx context.Context, client *http.Client, viewURL, name string) error {
-	_, err := call(ctx, client, http.MethodPost, viewURL+"?forget="+url.QueryEscape(name))
+	_, err := requestView(ctx, client, http.MethodPost, viewURL+"?forget="+url.QueryEscape(name))
 	return err
 }
 
-func call(ctx context.Context, client *http.Client, method, viewURL string) (view ViewResponse, err error) {
+func requestView(ctx context.Context, client *http.Client, method, viewURL string) (view ViewResponse, err error) {
 	req, err := http.NewRequestWithContext(ctx, method, viewURL, nil)
 	if err != nil {
 		return view, err
@@ -36,7 +36,7 @@
 		return view, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return view, fmt.Errorf("%s answers %d: %.200s", viewURL, resp.StatusCode, text)
+		return view, fmt.Errorf("%s responded with status %d: %.200s", viewURL, resp.StatusCode, text)
 	}
 	if err := json.Unmarshal(text, &view); err != nil {
 		return view, fmt.Errorf("%s: %w", viewURL, err)
@@ -44,8 +44,8 @@
 	return view, nil
 }
 
-// SeedsFromViews returns a function that finds where members listen: in the view of the
-// first member that answers at one of the URLs.
+// SeedsFromViews returns a function that finds addresses where members listen, in the view of the
+// first URL that responds.
 func SeedsFromViews(client *http.Client, urls []string) func(ctx context.Context) ([]string, error) {
 	return func(ctx context.Context) ([]string, error) {
 		var lastErr error
@@ -61,7 +61,7 @@
 	}
 }
 
-// seeds returns where the view's present members listen, MaxSeeds at most.
+// seeds returns the addresses where the view's present members listen, at most MaxSeeds.
 func (v ViewResponse) seeds() (addresses []string) {
 	for _, member := range v.Members {
 		if member.GossipAddr != "" && member.Status.CountsAsPresent() {
--- a/internal/membership/gossip/compatibility_test.go
+++ b/internal/membership/gossip/compatibility_test.go
@@ -20,8 +20,8 @@
 	"barleywick/internal/testing/fixture"
 )
 
-// The files in testdata/396a775 were written by that version: what members send each other,
-// what they answer over HTTP, and the file that they keep for their next start.
+// The files in testdata/396a775 were written by that version: messages between members, a view as
+// served over HTTP, and the cache file for the next start.
 
 func equalBytes(t *testing.T, name string, got []byte) {
 	t.Helper()
@@ -32,7 +32,7 @@
 
 var discard = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// k1 is the member by which the fixtures were written.
+// k1 is the member that wrote the fixtures.
 var k1 = membership.Info{
 	Name: "k1", Incarnation: 1796175124000001, Role: membership.RoleController, Zone: "a", Version: "3.1", PolicyEpoch: 14, Phase: "draining",
 	HTTPAddr: "127.0.0.1:9400", RaftAddr: "127.0.0.1:9500", ReplicaID: "r0", MachineName: "m7", MachineID: "1x2y3z", PID: 4711, ProcessStart: 99887766, LongestActMS: 250,
@@ -42,11 +42,11 @@
 	return membership.Info{Name: name, Incarnation: incarnation, Role: membership.RoleSidecar, MachineID: "1x2y3z"}
 }
 
-// newOfflineNode returns k1 without a network, in whose view s1 to s6 are present.
+// newOfflineNode returns the node of k1 without a network. s1 to s6 are present in its view.
 func newOfflineNode(folder string) *Node {
 	n := &Node{
 		options: Options{Config: membership.Config{Fleet: "prenota-nord", Listen: "127.0.0.1:9601", StateDir: folder, ForgetS: 600, ProbeMS: 500}, Self: k1},
-		log:     discard, startedAt: time.Now(), self: k1, changed: make(chan struct{}, 1), writeFile: replaceFile,
+		log:     discard, startedAt: time.Now(), self: k1, changedSignal: make(chan struct{}, 1), writeFile: replaceFile,
 		addrs: map[string]string{"s1/11": "127.0.0.1:9611", "s2/12": "127.0.0.1:9612", "s3/13": "127.0.0.1:9613"}, unresponsive: make(map[string]time.Duration),
 	}
 	n.broadcasts = &memberlist.TransmitLimitedQueue{NumNodes: func() int { return 5 }, RetransmitMult: 4}
@@ -58,8 +58,8 @@
 	return n
 }
 
-// breakMembers has the members of an offline node's view take each status.
-func breakMembers(n *Node) {
+// assignStatuses changes the members of an offline node's view so that each status occurs.
+func assignStatuses(n *Node) {
 	time.Sleep(2500 * time.Millisecond)
 	n.view.MarkSuspected("s2/12", n.now(), n.now()+8*time.Second)
 	n.view.MarkUnreachable("s3/13", n.now())
@@ -72,8 +72,8 @@
 	time.Sleep(750 * time.Millisecond)
 }
 
-// Each message of the earlier version has its effect on a view, and each that this version
-// broadcasts has the same bytes.
+// Each message of the earlier version has its effect on the view, and each message that this
+// version broadcasts has the same bytes.
 func TestMessagesOfEarlierVersion(t *testing.T) {
 	status := func(want membership.Status) func(n *Node) bool {
 		return func(n *Node) bool {
@@ -108,17 +108,17 @@
 				t.Errorf("%s has no effect: got %+v", c.file, n.Members())
 			}
 			if sent := n.broadcasts.GetBroadcasts(0, 1000); len(sent) != 1 || !bytes.Equal(sent[0], fixture.Read(t, c.file)) {
-				t.Errorf("%s is passed on as %q", c.file, sent)
+				t.Errorf("%s is broadcast as %q, want the same bytes", c.file, sent)
 			}
 		})
 	}
 }
 
-// A digest of the earlier version is compared, and this version's has the same bytes.
+// A digest message of the earlier version is evaluated, and this version's has the same bytes.
 func TestDigestOfEarlierVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newOfflineNode("")
-		breakMembers(n)
+		assignStatuses(n)
 		text, err := json.Marshal(message{Kind: messageDigest, Key: "s1/11", Digest: n.view.Digest()})
 		if err != nil {
 			t.Fatal(err)
@@ -127,13 +127,13 @@
 		time.Sleep(time.Second)
 		since := n.now()
 		(&delegate{n}).NotifyMsg(fixture.Read(t, "message_digest.json"))
-		if agree, known := n.view.Agreement(since); agree != 1 || known != 1 {
-			t.Errorf("%d of %d digests agree, want 1 of 1", agree, known)
+		if agreeing, compared := n.view.Agreement(since); agreeing != 1 || compared != 1 {
+			t.Errorf("%d of %d digests agree, want 1 of 1", agreeing, compared)
 		}
 	})
 }
 
-// Ends in the earlier version's exchange of views are taken in, and written with the same bytes.
+// End records in the earlier version's exchange of views are applied, and written with the same bytes.
 func TestPushPullStateOfEarlierVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newOfflineNode("")
@@ -144,12 +144,12 @@
 			}
 		}
 		n = newOfflineNode("")
-		breakMembers(n)
+		assignStatuses(n)
 		equalBytes(t, "push_pull.json", (&delegate{n}).LocalState(false))
 	})
 }
 
-// The view that the earlier version serves is read whole, and served with the same bytes.
+// The view that the earlier version serves is read without loss, and served with the same bytes.
 func TestViewOfEarlierVersion(t *testing.T) {
 	served := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(fixture.Read(t, "view.json")) }))
 	defer served.Close()
@@ -157,24 +157,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := json.Marshal(got)
+	encoded, err := json.Marshal(got)
 	if err != nil {
 		t.Fatal(err)
 	}
-	equalBytes(t, "view.json", append(again, '\n'))
+	equalBytes(t, "view.json", append(encoded, '\n'))
 	if len(got.Members) != 8 || got.Present != 4 || got.Unreachable != 1 || got.PartitionedMS != 750 || got.HealRounds != 3 {
-		t.Errorf("read as %+v", got)
+		t.Errorf("got %+v, want 8 members, 4 present, 1 lost for 750 ms, healed in 3 rounds", got)
 	}
 	synctest.Test(t, func(t *testing.T) {
 		n := newOfflineNode("")
-		breakMembers(n)
+		assignStatuses(n)
 		w := httptest.NewRecorder()
 		n.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/fleet", nil))
 		equalBytes(t, "view.json", w.Body.Bytes())
 	})
 }
 
-// The file that the earlier version kept is read, and written with the same name and bytes.
+// The earlier version's cache file is read, and written with the same name and bytes.
 func TestCacheOfEarlierVersion(t *testing.T) {
 	const name = "members-k1.json"
 	folder := t.TempDir()
@@ -184,7 +184,7 @@
 	n := newOfflineNode(folder)
 	cached, err := n.loadCache()
 	if err != nil || cached.Incarnation != k1.Incarnation || len(cached.Addresses) != 1 || cached.Addresses[0] != "127.0.0.1:9611" {
-		t.Errorf("read as %+v: %v", cached, err)
+		t.Errorf("got cache %+v: %v", cached, err)
 	}
 	n.options.Config.StateDir = t.TempDir()
 	n.addrs = map[string]string{"s1/11": "127.0.0.1:9611"}
@@ -196,27 +196,27 @@
 	equalBytes(t, name, text)
 }
 
-// wire is a transport of which both ends are the test's.
-type wire struct {
+// testTransport is a transport whose other end is the test.
+type testTransport struct {
 	sent    chan []byte
 	dialed  chan net.Conn
 	packets chan *memberlist.Packet
 	streams chan net.Conn
 }
 
-func newWire() *wire {
-	return &wire{sent: make(chan []byte, 100), dialed: make(chan net.Conn, 1), packets: make(chan *memberlist.Packet), streams: make(chan net.Conn)}
+func newTestTransport() *testTransport {
+	return &testTransport{sent: make(chan []byte, 100), dialed: make(chan net.Conn, 1), packets: make(chan *memberlist.Packet), streams: make(chan net.Conn)}
 }
 
-func (w *wire) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+func (w *testTransport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return net.IPv4(127, 0, 0, 1).To4(), 9601, nil
 }
 
-func (w *wire) WriteTo(b []byte, to string) (time.Time, error) {
+func (w *testTransport) WriteTo(b []byte, to string) (time.Time, error) {
 	return w.WriteToAddress(b, memberlist.Address{Addr: to})
 }
 
-func (w *wire) WriteToAddress(b []byte, _ memberlist.Address) (time.Time, error) {
+func (w *testTransport) WriteToAddress(b []byte, _ memberlist.Address) (time.Time, error) {
 	select {
 	case w.sent <- bytes.Clone(b):
 	default:
@@ -224,25 +224,25 @@
 	return time.Now(), nil
 }
 
-func (w *wire) PacketCh() <-chan *memberlist.Packet { return w.packets }
-func (w *wire) StreamCh() <-chan net.Conn           { return w.streams }
+func (w *testTransport) PacketCh() <-chan *memberlist.Packet { return w.packets }
+func (w *testTransport) StreamCh() <-chan net.Conn           { return w.streams }
 
-func (w *wire) DialTimeout(to string, within time.Duration) (net.Conn, error) {
+func (w *testTransport) DialTimeout(to string, within time.Duration) (net.Conn, error) {
 	return w.DialAddressTimeout(memberlist.Address{Addr: to}, within)
 }
 
-func (w *wire) DialAddressTimeout(memberlist.Address, time.Duration) (net.Conn, error) {
+func (w *testTransport) DialAddressTimeout(memberlist.Address, time.Duration) (net.Conn, error) {
 	near, far := net.Pipe()
 	w.dialed <- far
 	return near, nil
 }
 
-func (w *wire) Shutdown() error { return nil }
+func (w *testTransport) Shutdown() error { return nil }
 
-// startOnWire starts a member whose network is the test's.
-func startOnWire(t *testing.T, self membership.Info) (*Node, *wire) {
+// startWithTestTransport starts a member whose network is the test.
+func startWithTestTransport(t *testing.T, self membership.Info) (*Node, *testTransport) {
 	t.Helper()
-	w := newWire()
+	w := newTestTransport()
 	n, err := Start(Options{Config: membership.Config{Fleet: "prenota-nord", Listen: "127.0.0.1:9601"}, Self: self, Transport: w, Logger: discard})
 	if err != nil {
 		t.Fatal(err)
@@ -256,11 +256,11 @@
 	return n, w
 }
 
-// What goes over the network: an exchange of views and a datagram of the earlier version are
-// read, and both are written with the same bytes.
+// An exchange of views and a datagram of the earlier version are read, and both are written with
+// the same bytes.
 func TestNetworkBytesOfEarlierVersion(t *testing.T) {
 	s1 := membership.Info{Name: "s1", Incarnation: 11, Role: membership.RoleSidecar}
-	n, w := startOnWire(t, s1)
+	n, w := startWithTestTransport(t, s1)
 	n.mu.Lock()
 	n.addrs["k1/1796175124000001"] = "127.0.0.1:9602"
 	n.mu.Unlock()
@@ -269,7 +269,7 @@
 	joined := make(chan struct{})
 	go func() {
 		defer close(joined)
-		_, _ = n.list.Load().Join([]string{"127.0.0.1:9602"}) // nobody answers
+		_, _ = n.list.Load().Join([]string{"127.0.0.1:9602"}) // not answered
 	}()
 	far := <-w.dialed
 	if err := far.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
@@ -285,7 +285,7 @@
 	}
 	<-joined
 
-	other, w := startOnWire(t, membership.Info{Name: "s2", Incarnation: 12, Role: membership.RoleSidecar})
+	other, w := startWithTestTransport(t, membership.Info{Name: "s2", Incarnation: 12, Role: membership.RoleSidecar})
 	near, far := net.Pipe()
 	w.streams <- near
 	if err := far.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
@@ -298,18 +298,18 @@
 		t.Fatal(err)
 	}
 	if got, ok := other.Get("s1/11"); !ok || got.Info != s1 || got.Status != membership.StatusPresent {
-		t.Errorf("s1 is known as %+v", got)
+		t.Errorf("got %+v, want s1 as present", got)
 	}
 	w.packets <- &memberlist.Packet{Buf: fixture.Read(t, "datagram.bin"), From: &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 9601}, Timestamp: time.Now()}
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		other.mu.Lock()
-		_, known := other.view.Agreement(0)
+		_, compared := other.view.Agreement(0)
 		other.mu.Unlock()
-		if known == 1 {
+		if compared == 1 {
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("the datagram's digest was not recorded")
+			t.Fatal("the digest in the datagram was not recorded")
 		}
 	}
 }
