--- a/internal/drain/config.go
+++ b/internal/drain/config.go
@@ -19,21 +19,21 @@
 type Config struct {
 	Registry     []string `json:"registry"` // addresses of the replicas
 	Floor        Floor    `json:"floor"`
-	Sidecars     int      `json:"sidecars"`   // how many the fleet has; 0: not known
-	MaxRequestMS int64    `json:"longest_ms"` // the longest time that a client gives a request
+	Sidecars     int      `json:"sidecars"`   // number of sidecars in the fleet; 0: unknown
+	MaxRequestMS int64    `json:"longest_ms"` // the longest request timeout of any client
 	LeaseMS      int64    `json:"lease_ms"`   // how long a claim lasts without a renewal
 	StopCommand  []string `json:"stop"`       // the command that stops a server
-	// WaitForMembers says that a drain is done only when the machine's other processes that are
-	// members of the fleet have ended, too. The registry's replicas are asked for them.
+	// WaitForMembers makes a drain wait until the machine's other processes that are members of the
+	// fleet have ended, too. The registry's replicas report these members.
 	WaitForMembers bool `json:"members"`
 }
 
 const (
-	// defaultClaimTTL is several times the interval between renewals, and short enough that
-	// another operator does not wait long after a crash.
+	// defaultClaimTTL is several times the interval between renewals, but short enough that
+	// another operator can soon take over after a crash.
 	defaultClaimTTL = 15 * time.Second
 	minClaimTTL     = 2 * time.Second
-	// registryTimeout is longer than the registry is without a leader after a loss.
+	// registryTimeout exceeds the time that the registry needs to elect a leader after losing one.
 	registryTimeout = 10 * time.Second
 )
 
@@ -58,17 +58,17 @@
 func (c *Config) check() error {
 	switch {
 	case len(c.Registry) == 0:
-		return errors.New("registry: no address of a replica is named")
+		return errors.New("registry is empty: at least one replica address is needed")
 	case c.Floor.Default < 0:
-		return errors.New("floor.others is missing or negative: how many ready servers must remain in a zone that floor.zones does not name")
+		return errors.New("floor.others is missing or negative: the number of ready servers that must remain in a zone that floor.zones does not name")
 	case c.MaxRequestMS < 0:
-		return errors.New("longest_ms is missing or negative: the longest time that a client gives a request")
+		return errors.New("longest_ms is missing or negative: the longest request timeout of any client")
 	case c.Sidecars < 0:
 		return fmt.Errorf("sidecars is %d, it must not be negative", c.Sidecars)
 	case c.LeaseMS < minClaimTTL.Milliseconds():
 		return fmt.Errorf("lease_ms is %d, at least %d is needed", c.LeaseMS, minClaimTTL.Milliseconds())
 	case len(c.StopCommand) > 0 && c.StopCommand[0] == "":
-		return errors.New("stop: the command has no name")
+		return errors.New("stop: the name of the command is empty")
 	}
 	for zone, n := range c.Floor.Zones {
 		if n < 0 {
@@ -78,13 +78,14 @@
 	return nil
 }
 
-// RegistryClient is what the workflow of a live fleet needs of the registry; client.Client is one.
+// RegistryClient is the part of the registry's API that the workflow of a live fleet uses. client.Client
+// implements it.
 type RegistryClient interface {
 	Registry
 	Statuses(ctx context.Context) (got []registry.StatusResponse, all bool)
 }
 
-// Workflow makes the workflow of a live fleet. The caller calls end when it has done with it.
+// Workflow returns the workflow of a live fleet. The caller must call end when it no longer uses it.
 func (c *Config) Workflow(owner string, pollInterval time.Duration, onEvent func(Event)) (w *Workflow, end func(), err error) {
 	r, err := client.New(c.Registry, rand.Uint64())
 	if err != nil {
@@ -94,7 +95,7 @@
 	return c.WorkflowWith(r, owner, pollInterval, onEvent), r.Close, nil
 }
 
-// WorkflowWith makes the workflow of a live fleet with the caller's client of the registry.
+// WorkflowWith returns the workflow of a live fleet, which uses the caller's client of the registry.
 func (c *Config) WorkflowWith(r RegistryClient, owner string, pollInterval time.Duration, onEvent func(Event)) *Workflow {
 	return &Workflow{
 		Registry: r,
@@ -127,7 +128,7 @@
 	return urls
 }
 
-// sleepContext waits, or returns ctx's error.
+// sleepContext waits for d, or returns ctx's error if ctx ends before.
 func sleepContext(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
--- a/internal/drain/event.go
+++ b/internal/drain/event.go
@@ -5,19 +5,19 @@
 	"strings"
 )
 
-// EventKind is what an Event reports.
+// EventKind is the kind of an Event.
 type EventKind int
 
 // The kinds of events.
 const (
-	EventClaimed EventKind = iota // the drain was claimed, and begins or goes on at Step
-	EventStep                     // the drain has come to Step
-	EventWaiting                  // the drain waits for what Note says
-	EventNoted                    // another process has noted in the record what Note says
+	EventClaimed EventKind = iota // the drain was claimed, and starts or resumes at Step
+	EventStep                     // the drain has reached Step
+	EventWaiting                  // the drain is waiting; Note describes what for
+	EventNoted                    // another process has written Note to the record
 	EventUndone                   // the drain was undone
 )
 
-// Event is the progress of a drain.
+// Event reports the progress of a drain.
 type Event struct {
 	Kind    EventKind
 	Machine string
@@ -26,7 +26,7 @@
 	Note    string   // of EventWaiting and EventNoted
 }
 
-// String is the event as a line for the operator.
+// String returns the event as a line for the operator.
 func (e Event) String() string {
 	switch e.Kind {
 	case EventClaimed:
--- a/internal/drain/floor.go
+++ b/internal/drain/floor.go
@@ -9,7 +9,7 @@
 	"barleywick/internal/registry"
 )
 
-// Floor is how many ready servers have to remain in each zone.
+// Floor is the number of ready servers that must remain in each zone.
 type Floor struct {
 	Zones   map[string]int `json:"zones"`
 	Default int            `json:"others"` // for zones that Zones does not name
@@ -22,7 +22,7 @@
 	return f.Default
 }
 
-// Plan is what a drain would do.
+// Plan describes what a drain would do.
 type Plan struct {
 	Machine   string
 	Hosts     []string // the servers that would be drained
@@ -30,14 +30,14 @@
 	ResumesAt Step // the step at which a drain under way would be resumed; empty: a new drain
 }
 
-// ZoneReadiness is how many ready servers a zone has, and how many would remain.
+// ZoneReadiness is the number of ready servers of a zone, and how many would remain after a drain.
 type ZoneReadiness struct {
 	Zone                    string
 	Ready, Remaining, Floor int
 }
 
 // checkFloor plans a new drain. It returns ErrRefused if the machine has no servers, one of them
-// is marked by somebody else, or too few servers would remain beside the other drains.
+// is marked by another owner, or too few servers would remain besides the other drains.
 func (w *Workflow) checkFloor(ctx context.Context, machine string, rec record) (Plan, error) {
 	list, err := w.Registry.Registrations(ctx)
 	if err != nil {
@@ -68,8 +68,8 @@
 	return plan, nil
 }
 
-// zonesAfter counts the ready servers of the machine's zones, by zone. Servers of machines that
-// are being drained do not count.
+// zonesAfter counts the ready servers in each zone of the machine, now and without the machine.
+// Servers of machines that are being drained do not count.
 func zonesAfter(servers []registry.Registration, machine string, rec record) []ZoneReadiness {
 	byZone := make(map[string]ZoneReadiness)
 	for _, server := range servers {
@@ -78,9 +78,9 @@
 		}
 	}
 	for _, server := range servers {
-		zone, concerned := byZone[server.Site]
+		zone, counted := byZone[server.Site]
 		draining := rec.drains[server.Machine].Step != ""
-		if !concerned || server.Health != registry.HealthUp || draining && server.Machine != machine {
+		if !counted || server.Health != registry.HealthUp || draining && server.Machine != machine {
 			continue
 		}
 		zone.Ready++
--- a/internal/drain/handover.go
+++ b/internal/drain/handover.go
@@ -9,13 +9,13 @@
 	"barleywick/internal/registry"
 )
 
-// HandOver claims a machine's drain for the controllers, which run it from then on whether this
-// process lives or not. The floor is checked here. The controllers undo the drain if it has not
-// come to Stopping by the deadline.
+// HandOver claims a machine's drain for the controllers, which run it from then on even if this
+// process ends. The floor is checked here. The controllers undo the drain if it has not reached
+// Stopping by the deadline.
 func (w *Workflow) HandOver(ctx context.Context, machine string, deadline time.Time) error {
 	_, err := w.updateDrain(ctx, machine, func(rec record, current *Drain) (*Drain, error) {
 		if current != nil && current.Owner == OwnerControllers && current.Step != Done && current.Step != Undoing {
-			return current, nil // it has been handed over before
+			return current, nil // it was handed over before
 		}
 		next, err := w.newOrResumable(ctx, machine, rec, current)
 		if err != nil {
@@ -31,7 +31,7 @@
 	return err
 }
 
-// Follow reports how a drain that was handed over goes on, until it has ended. It returns
+// Follow reports the progress of a drain that was handed over, until it has ended. It returns
 // ErrTimeout if the drain was undone.
 func (w *Workflow) Follow(ctx context.Context, machine string) error {
 	var last Drain
@@ -61,17 +61,17 @@
 // HandedOver returns the drains that the controllers have to run, or to undo.
 func (w *Workflow) HandedOver(ctx context.Context) ([]Drain, error) {
 	all, err := w.Status(ctx)
-	var handed []Drain
+	var handedOver []Drain
 	for _, d := range all {
 		if d.Owner == OwnerControllers && d.Step != Done {
-			handed = append(handed, d)
+			handedOver = append(handedOver, d)
 		}
 	}
-	return handed, err
+	return handedOver, err
 }
 
-// Resume goes on with a drain that was handed over, at whatever step it is. It notes in the
-// record why the drain fails.
+// Resume continues a drain that was handed over, at its current step. If the drain fails, its
+// error is stored as the note of the drain.
 func (w *Workflow) Resume(ctx context.Context, d Drain) error {
 	if d.Step == Undoing {
 		return w.Undrain(ctx, d.Machine)
@@ -87,18 +87,18 @@
 	return err
 }
 
-// drainUntil drains the machine within the drain's deadline, where it has one. A drain whose
-// deadline passed while no controller ran is undone at once. The deadline is of the wall clock:
-// it is compared with that once, and the time that is left is measured by the monotonic one.
+// drainUntil drains the machine within the drain's deadline, if it has one. A drain whose
+// deadline passed while no controller ran is undone at once. The deadline is a wall-clock time:
+// it is compared with the wall clock once, and the remaining time is measured by the monotonic clock.
 func (w *Workflow) drainUntil(ctx context.Context, d Drain) error {
 	if !d.Step.canTimeOut() || d.DeadlineMS == 0 {
 		return w.Drain(ctx, d.Machine)
 	}
-	left := time.UnixMilli(d.DeadlineMS).Sub(w.Now())
-	if left <= 0 {
+	remaining := time.UnixMilli(d.DeadlineMS).Sub(w.Now())
+	if remaining <= 0 {
 		return w.undoAfterTimeout(ctx, d.Machine, d.Step)
 	}
-	ctx, cancel := context.WithTimeout(ctx, left)
+	ctx, cancel := context.WithTimeout(ctx, remaining)
 	defer cancel()
 	return w.Drain(ctx, d.Machine)
 }
--- a/internal/drain/livefleet.go
+++ b/internal/drain/livefleet.go
@@ -18,44 +18,44 @@
 )
 
 const (
-	// notificationDeadline is the time after which a sidecar counts as notified of a change of
-	// the endpoint list by the protocol, whether it has received it or not.
+	// notificationDeadline is the time after which, by the protocol, a sidecar counts as notified
+	// of a change of the endpoint list even if it has not received it.
 	notificationDeadline = 6 * time.Second
-	// callTimeout is for one call to a member of the fleet or a server.
+	// callTimeout limits one call to a member of the fleet or to a server.
 	callTimeout    = time.Second
 	maxReportBytes = 4 << 10
-	maxOutputShown = 300 // bytes of a failed command's output
-	// stopOutputDelay is for how long a stop command's output is read after its end. A process that
-	// it has started may hold it open for ever.
+	maxOutputBytes = 300 // of a failed command's output, in its error
+	// stopOutputDelay is how long a stop command's output is read after the command has exited. A
+	// process that it has started may keep the output open indefinitely.
 	stopOutputDelay = time.Second
 )
 
-// ReplicaStatuses asks every replica of the registry for its status. Those that do not answer
-// are missing in got; all says whether none is.
+// ReplicaStatuses asks every replica of the registry for its status. Replicas that do not answer
+// are missing in got; all reports whether every replica has answered.
 type ReplicaStatuses func(ctx context.Context) (got []registry.StatusResponse, all bool)
 
 // LiveFleet is the Fleet of real processes: it uses the registry's watches, the booking
 // servers' load reports, and a command that stops a server.
 type LiveFleet struct {
 	Statuses ReplicaStatuses
-	// Sidecars is how many sidecars the fleet has; 0: not known. If so many watches have a
-	// version of the endpoint list, all sidecars are notified.
+	// Sidecars is the number of sidecars in the fleet; 0: unknown. If at least as many watches have
+	// a version of the endpoint list, all sidecars are notified.
 	Sidecars int
-	// MaxRequestTime is the longest time that a client gives a request. A server without load
-	// reports has no work after that.
+	// MaxRequestTime is the longest request timeout of any client. A server without load reports
+	// counts as idle when this time has passed.
 	MaxRequestTime time.Duration
-	// StopCommand stops a server; {machine} and {host} stand for their names. If it is empty,
-	// the operator stops the server.
+	// StopCommand stops a server; {machine} and {host} are replaced by their names. If it is empty,
+	// the operator has to stop the server.
 	StopCommand []string
 	Now         func() time.Time
-	// MembershipURLs are where a view of the fleet's members can be had. If there are none, the
-	// machine's other processes are not waited for.
+	// MembershipURLs are the URLs that serve a view of the fleet's members. If there are none, the
+	// drain does not wait for the machine's other processes.
 	MembershipURLs []string
 }
 
-// RemainingMembers takes them from the first view of the fleet that it gets. An unreachable member
-// counts, since it may be cut off and still carry traffic: the wait for it ends when it says
-// goodbye, when its end was seen, or when an operator says so.
+// RemainingMembers reads the members from the first URL that answers. An unreachable member
+// counts, since it may be partitioned and still carry traffic: the wait for it ends when it sends
+// a leave message, when its process is seen to have ended, or when an operator reports its end.
 func (f *LiveFleet) RemainingMembers(ctx context.Context, machine string) (names []string, wait bool, err error) {
 	if len(f.MembershipURLs) == 0 {
 		return nil, false, nil
@@ -77,8 +77,8 @@
 	return nil, true, err
 }
 
-// Notified asks the registry which version the sidecars' watches have. A sidecar that does not
-// watch at the moment counts as notified after the notification deadline.
+// Notified asks the registry which version the sidecars' watches have. A sidecar without a watch
+// counts as notified after the notification deadline.
 func (f *LiveFleet) Notified(ctx context.Context, seq uint64, since time.Time) (bool, error) {
 	if f.Now().Sub(since) >= notificationDeadline {
 		return true, nil
@@ -97,8 +97,8 @@
 	return all && f.Sidecars > 0 && watches >= f.Sidecars, nil
 }
 
-// Idle asks the server for its load report. A server that refuses connections has no work; one
-// that does not report has none when no client waits for an answer any more.
+// Idle asks the server for its load report. A server that refuses connections is idle; one
+// without a load report counts as idle when the requests of all clients have timed out.
 func (f *LiveFleet) Idle(ctx context.Context, server registry.Registration, since time.Time) (bool, error) {
 	load, err := fetchLoad(ctx, server.Dial)
 	switch {
@@ -117,7 +117,7 @@
 	errNoReport = errors.New("the server does not report its load")
 )
 
-// fetchLoad returns how much work a server has by its own report.
+// fetchLoad returns the load that a server reports.
 func fetchLoad(ctx context.Context, address string) (float64, error) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -145,17 +145,17 @@
 	return load, nil
 }
 
-// loadReport returns the load report of a response, which stands in a header field or the body.
+// loadReport returns the load report of a response, from the header field or else the body.
 func loadReport(resp *http.Response) string {
 	if report := resp.Header.Get("Server-Load"); report != "" {
 		return report
 	}
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxReportBytes)) // a part that cannot be read is no report
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxReportBytes)) // a truncated body is parsed as far as it was read
 	return string(text)
 }
 
-// parseLoad reads how much work a server has out of its load report: the requests in flight and
-// queued, or how busy its cores are.
+// parseLoad returns the load in a load report: the sum of the requests in flight, the requests
+// queued and the utilization of the cores, as far as the report has them.
 func parseLoad(report string) (load float64, ok bool) {
 	values := settings.ParseLoadReport(report, "inflight", "queue", "util")
 	maps.DeleteFunc(values, func(_ string, v float64) bool { return !(v >= 0) })
@@ -167,8 +167,8 @@
 	return inflight + utilization + values["queue"], true
 }
 
-// Stop runs the stop command for one server. The command has to be harmless where the server is
-// stopped already, because a drain that is resumed runs it again.
+// Stop runs the stop command for one server. The command must have no effect on a server that
+// is already stopped, because a drain that is resumed runs it again.
 func (f *LiveFleet) Stop(ctx context.Context, machine, host string) error {
 	if len(f.StopCommand) == 0 {
 		return nil
@@ -181,9 +181,9 @@
 	cmd := exec.CommandContext(ctx, args[0], args[1:]...)
 	cmd.WaitDelay = stopOutputDelay
 	out, err := cmd.CombinedOutput()
-	if err != nil && !errors.Is(err, exec.ErrWaitDelay) { // which is that of a command that has ended with 0
+	if err != nil && !errors.Is(err, exec.ErrWaitDelay) { // ErrWaitDelay means that the command itself exited with status 0
 		line := strings.Join(strings.Fields(string(out)), " ")
-		return fmt.Errorf("%s: %w: %s", args[0], err, line[:min(len(line), maxOutputShown)])
+		return fmt.Errorf("%s: %w: %s", args[0], err, line[:min(len(line), maxOutputBytes)])
 	}
 	return nil
 }
--- a/internal/drain/record.go
+++ b/internal/drain/record.go
@@ -9,7 +9,7 @@
 	"barleywick/internal/registry"
 )
 
-// record is the state of all drains, at a version of the registry's record.
+// record is the state of all drains, as of one version of the registry's record.
 type record struct {
 	drains  map[string]Drain // by machine
 	version uint64           // 0: there is no record yet
@@ -44,8 +44,8 @@
 	return err
 }
 
-// changeFunc returns the next state of a machine's drain; nil: there is none. Current is nil
-// where there is none now. It is called again if the record has changed meanwhile.
+// changeFunc returns the next state of a machine's drain; nil removes the drain. current is nil if
+// the machine has no drain. It is called again if the record was changed concurrently.
 type changeFunc func(rec record, current *Drain) (next *Drain, err error)
 
 // updateDrain changes one machine's drain in the latest record. It writes nothing if change
@@ -76,12 +76,12 @@
 }
 
 // updateClaimed changes a drain that this workflow's owner has claimed, and renews the claim.
-// It returns ErrClaimLost if another owner has it. A nil change only renews.
+// It returns ErrClaimLost if another owner has the claim. A nil change only renews it.
 func (w *Workflow) updateClaimed(ctx context.Context, machine string, change func(d *Drain)) (Drain, record, error) {
 	var updated Drain
 	rec, err := w.updateDrain(ctx, machine, func(_ record, current *Drain) (*Drain, error) {
 		if current == nil || current.Owner != w.Owner {
-			return nil, fmt.Errorf("%w: the drain of %s is %s by now; nothing more was changed here", ErrClaimLost, machine, describeClaim(current))
+			return nil, fmt.Errorf("%w: the drain of %s is now %s; this call changed nothing more", ErrClaimLost, machine, describeClaim(current))
 		}
 		if change != nil {
 			change(current)
@@ -93,12 +93,12 @@
 	return updated, rec, err
 }
 
-// claimExpiry is when a claim that is renewed now expires, in Unix milliseconds.
+// claimExpiry returns when a claim that is renewed now expires, in Unix milliseconds.
 func (w *Workflow) claimExpiry() int64 { return w.Now().Add(w.ClaimTTL).UnixMilli() }
 
 func describeClaim(d *Drain) string {
 	if d == nil {
-		return "over"
+		return "ended"
 	}
-	return fmt.Sprintf("%s's, at step %s", d.Owner, d.Step)
+	return fmt.Sprintf("claimed by %s, at step %s", d.Owner, d.Step)
 }
--- a/internal/drain/steps.go
+++ b/internal/drain/steps.go
@@ -11,8 +11,8 @@
 	"barleywick/internal/registry"
 )
 
-// takeStep does the work of a drain's step once. It returns the drain at the next step, or at
-// the same one if it has to wait. Each step may be repeated.
+// takeStep runs a drain's current step once. It returns the drain at the next step, or at the
+// same one if it has to wait. Each step may be repeated.
 func (w *Workflow) takeStep(ctx context.Context, d Drain) (Drain, error) {
 	switch d.Step {
 	case Claimed:
@@ -34,7 +34,7 @@
 	return next, err
 }
 
-// waitAndRenew waits until the next check, and renews the claim.
+// waitAndRenew waits for the poll interval, and renews the claim.
 func (w *Workflow) waitAndRenew(ctx context.Context, d Drain, change func(d *Drain)) (Drain, error) {
 	if err := w.Sleep(ctx, w.PollInterval); err != nil {
 		return d, err
@@ -43,8 +43,8 @@
 	return next, err
 }
 
-// markServers marks the machine's servers, including those that came since the drain began. The
-// registry checks the claim in the command that marks.
+// markServers marks the machine's servers, including those registered since the drain began. The
+// registry checks the claim atomically with the marks, by the version of the record.
 func (w *Workflow) markServers(ctx context.Context, d Drain) (Drain, error) {
 	hosts, err := w.serversToMark(ctx, d)
 	if err != nil {
@@ -69,8 +69,8 @@
 	}
 }
 
-// serversToMark returns the machine's servers as they are now, and those of the drain that have
-// a mark although they are not registered any more.
+// serversToMark returns the machine's registered servers, and those of the drain that still have a
+// mark but are no longer registered.
 func (w *Workflow) serversToMark(ctx context.Context, d Drain) ([]string, error) {
 	list, err := w.Registry.Registrations(ctx)
 	if err != nil {
@@ -90,7 +90,7 @@
 }
 
 // tryMark marks a drain's servers if the record still has this version, and returns the version
-// of the endpoint list that has the marks. Where marked is false, it has to be tried again.
+// of the endpoint list that has the marks. If marked is false, the caller has to try again.
 func (w *Workflow) tryMark(ctx context.Context, d Drain, recordVersion uint64) (seq uint64, marked bool, err error) {
 	if len(d.Hosts) > 0 {
 		resp, err := w.Registry.Mark(ctx, registry.MarkRequest{
@@ -101,12 +101,12 @@
 		case err != nil && !conflict:
 			return 0, false, err
 		case conflict && !w.allMarked(ctx, d):
-			// Either another drain has changed the record, or somebody else has marked a server.
+			// Either another drain has changed the record, or another owner has marked a server.
 			return 0, false, w.checkForeignMarks(ctx, d)
 		}
 		seq = resp.Seq
 	}
-	if seq == 0 { // nothing had to be marked, so the current list has the marks
+	if seq == 0 { // no mark was changed, so the current list has all marks
 		list, err := w.Registry.Registrations(ctx)
 		if err != nil {
 			return 0, false, err
@@ -116,7 +116,8 @@
 	return seq, true, nil
 }
 
-// allMarked reports whether all servers of a drain are known to be marked by it.
+// allMarked reports whether all servers of a drain are marked by it. It reports false if the
+// registry cannot be read.
 func (w *Workflow) allMarked(ctx context.Context, d Drain) bool {
 	list, err := w.Registry.Registrations(ctx)
 	if err != nil {
@@ -125,7 +126,7 @@
 	return !slices.ContainsFunc(d.Hosts, func(host string) bool { return list.Marks[host] != markOwner(d.Machine) })
 }
 
-// checkForeignMarks returns an error if somebody else has marked one of a drain's servers.
+// checkForeignMarks returns an error if another owner has marked one of a drain's servers.
 func (w *Workflow) checkForeignMarks(ctx context.Context, d Drain) error {
 	list, err := w.Registry.Registrations(ctx)
 	if err != nil {
@@ -140,7 +141,7 @@
 }
 
 // awaitIdleServers ends the step when the sidecars are notified of the marks and the servers
-// have no work.
+// are idle.
 func (w *Workflow) awaitIdleServers(ctx context.Context, d Drain) (Drain, error) {
 	idle, err := w.serversIdle(ctx, d)
 	if err != nil {
@@ -166,7 +167,7 @@
 		if server.Machine != d.Machine {
 			continue
 		}
-		if list.Marks[server.Host] != markOwner(d.Machine) { // it was registered after the marks, or its mark was changed
+		if list.Marks[server.Host] != markOwner(d.Machine) { // registered after the servers were marked, or its mark was changed
 			_, err := w.markServers(ctx, d)
 			return false, err
 		}
@@ -178,15 +179,15 @@
 	return true, nil
 }
 
-// seenMark is a mark of the record and when this process has first seen it.
+// seenMark is the time of a drain's marks in the record, and when this process first saw them.
 type seenMark struct {
 	markedMS  int64
 	firstSeen time.Time
 }
 
-// markedSince returns when this process has first seen a drain's marks, by its monotonic clock.
-// The record's time is of the wall clock: if that is set ahead by an hour, sidecars would count
-// as notified and servers as idle that are not.
+// markedSince returns when this process first saw a drain's marks, by its monotonic clock. The
+// record has a wall-clock time: if the wall clock were set ahead by an hour, sidecars would count
+// as notified, and servers as idle, too early.
 func (w *Workflow) markedSince(d Drain) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/drain/workflow.go
+++ b/internal/drain/workflow.go
@@ -12,7 +12,7 @@
 	"barleywick/internal/registry"
 )
 
-// Registry is what the workflow needs of the registry.
+// Registry is the part of the registry's API that the workflow uses.
 type Registry interface {
 	Registrations(ctx context.Context) (registry.RegistrationsResponse, error)
 	Record(ctx context.Context, key string) (registry.Record, error)
@@ -20,37 +20,38 @@
 	Mark(ctx context.Context, m registry.MarkRequest) (registry.WriteResponse, error)
 }
 
-// Fleet is what the workflow needs to know of sidecars and servers, and to do with them.
+// Fleet observes sidecars, servers and members of the fleet for the workflow, and stops servers.
 type Fleet interface {
-	// Notified reports whether all sidecars have a version of the endpoint list, which exists since then.
+	// Notified reports whether all sidecars have the version seq of the endpoint list, which exists
+	// since the given time.
 	Notified(ctx context.Context, seq uint64, since time.Time) (bool, error)
-	// Idle reports whether a server, which is marked since then, has no work any more.
+	// Idle reports whether a server, which has been marked since the given time, has no work.
 	Idle(ctx context.Context, server registry.Registration, since time.Time) (bool, error)
 	// Stop stops a server's processes. It may be called again for one that is stopped.
 	Stop(ctx context.Context, machine, host string) error
-	// RemainingMembers names the machine's processes that are members of the fleet and are not
-	// known to have ended. Wait says whether the drain has to wait for them.
+	// RemainingMembers returns the names of the machine's processes that are members of the fleet and
+	// are not known to have ended. wait reports whether the drain has to wait for them.
 	RemainingMembers(ctx context.Context, machine string) (names []string, wait bool, err error)
 }
 
-// Workflow runs drains for one owner. Its fields may not change after the first call. It is
-// safe for concurrent use.
+// Workflow runs drains for one owner. Its exported fields must not change after the first call. It
+// is safe for concurrent use.
 type Workflow struct {
 	Registry     Registry
 	Fleet        Fleet
 	Floor        Floor
 	Owner        string                                           // who claims the drains
 	ClaimTTL     time.Duration                                    // how long a claim lasts without a renewal
-	PollInterval time.Duration                                    // between two checks of what is waited for
+	PollInterval time.Duration                                    // between two checks of a condition that a step waits for
 	Now          func() time.Time                                 // a clock that is the same on all machines
-	Sleep        func(ctx context.Context, d time.Duration) error // waits, or returns ctx's error
-	OnEvent      func(Event)                                      // is told the progress
+	Sleep        func(ctx context.Context, d time.Duration) error // waits for d, or returns ctx's error
+	OnEvent      func(Event)                                      // is called with each event of a drain's progress
 
 	mu        sync.Mutex
 	marksSeen map[string]seenMark // by machine
 }
 
-// Plan says what a drain of the machine would do, and changes nothing.
+// Plan returns what a drain of the machine would do, and changes nothing.
 func (w *Workflow) Plan(ctx context.Context, machine string) (Plan, error) {
 	rec, err := w.readRecord(ctx)
 	if err != nil {
@@ -80,18 +81,18 @@
 // checkUnclaimed returns ErrRefused if another owner has the claim.
 func (w *Workflow) checkUnclaimed(d Drain) error {
 	if d.Owner == OwnerControllers && w.Owner != OwnerControllers {
-		return refusal("machine %s is being drained by the controllers, at step %s; status follows it, undrain takes it back", d.Machine, d.Step)
+		return refusal("machine %s is being drained by the controllers, at step %s; use status to follow it, undrain to undo it", d.Machine, d.Step)
 	}
-	left := time.Duration(d.ExpiresMS-w.Now().UnixMilli()) * time.Millisecond
-	if d.Owner != w.Owner && left > 0 {
+	remaining := time.Duration(d.ExpiresMS-w.Now().UnixMilli()) * time.Millisecond
+	if d.Owner != w.Owner && remaining > 0 {
 		return refusal("machine %s is claimed by %s, at step %s; its claim lasts another %v unless it is renewed",
-			d.Machine, d.Owner, d.Step, left.Round(time.Second))
+			d.Machine, d.Owner, d.Step, remaining.Round(time.Second))
 	}
 	return nil
 }
 
-// Drain drains a machine, or resumes its drain. If ctx ends before the machine's servers are
-// being stopped, the drain is undone.
+// Drain drains a machine, or resumes its drain. If ctx ends before the step Stopping, the drain is
+// undone.
 func (w *Workflow) Drain(ctx context.Context, machine string) error {
 	d, err := w.claim(ctx, machine)
 	if err != nil {
@@ -100,7 +101,7 @@
 	for d.Step != Done {
 		step := d.Step
 		if d, err = w.takeStep(ctx, d); err != nil {
-			if ctx.Err() != nil && step.canTimeOut() && !errors.Is(err, ErrClaimLost) && !w.passesOn(ctx) {
+			if ctx.Err() != nil && step.canTimeOut() && !errors.Is(err, ErrClaimLost) && !w.leftToNextController(ctx) {
 				return w.undoAfterTimeout(ctx, machine, step)
 			}
 			return err
@@ -112,8 +113,9 @@
 	return nil
 }
 
-// passesOn reports whether the drain is left to the next controller, because this one ends.
-func (w *Workflow) passesOn(ctx context.Context) bool {
+// leftToNextController reports whether the drain is left to another controller, because this one
+// ends.
+func (w *Workflow) leftToNextController(ctx context.Context) bool {
 	return w.Owner == OwnerControllers && errors.Is(ctx.Err(), context.Canceled)
 }
 
@@ -153,7 +155,7 @@
 	return Drain{Machine: machine, Step: Claimed, Hosts: plan.Hosts}, nil
 }
 
-// undoAfterTimeout undoes a drain whose time is up.
+// undoAfterTimeout undoes a drain whose deadline has passed.
 func (w *Workflow) undoAfterTimeout(ctx context.Context, machine string, step Step) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), w.ClaimTTL)
 	defer cancel()
@@ -163,8 +165,8 @@
 	return fmt.Errorf("%s: %w at step %s; the drain is undone", machine, ErrTimeout, step)
 }
 
-// Undrain undoes a machine's drain at whatever step it is, so that its servers are used again
-// where they run.
+// Undrain undoes a machine's drain at any step, so that those of its servers that run receive
+// requests again.
 func (w *Workflow) Undrain(ctx context.Context, machine string) error {
 	undone, err := w.claimUndo(ctx, machine)
 	if err != nil {
@@ -180,8 +182,8 @@
 	return nil
 }
 
-// claimUndo claims a drain in order to undo it. One that is done, or that the controllers run,
-// is taken over; another operator's has to be unclaimed.
+// claimUndo claims a drain in order to undo it. A drain that is done, or that the controllers run,
+// is taken over from its owner; the claim of another operator must have expired.
 func (w *Workflow) claimUndo(ctx context.Context, machine string) (Drain, error) {
 	var claimed Drain
 	_, err := w.updateDrain(ctx, machine, func(_ record, current *Drain) (*Drain, error) {
@@ -220,11 +222,11 @@
 	return err
 }
 
-// endUndo removes a drain from the record, unless another owner has it.
+// endUndo removes a drain from the record, unless another owner has claimed it.
 func (w *Workflow) endUndo(ctx context.Context, machine string) error {
 	_, err := w.updateDrain(ctx, machine, func(_ record, current *Drain) (*Drain, error) {
 		if current != nil && (current.Owner != w.Owner || current.Step != Undoing) {
-			return nil, fmt.Errorf("%w: the drain of %s is %s by now", ErrClaimLost, machine, describeClaim(current))
+			return nil, fmt.Errorf("%w: the drain of %s is now %s", ErrClaimLost, machine, describeClaim(current))
 		}
 		return nil, nil
 	})
--- a/internal/lease/fakeregistry_test.go
+++ b/internal/lease/fakeregistry_test.go
@@ -62,12 +62,12 @@
 }
 
 // call makes a holder's call, unless the call or its answer is lost.
-func (r *fakeRegistry) call(ctx context.Context, holder string, do func() error) error {
+func (r *fakeRegistry) call(ctx context.Context, holder string, effect func() error) error {
 	r.mu.Lock()
 	lost := r.lost[holder]
 	var err error
 	if lost != lossOfCalls {
-		err = do()
+		err = effect()
 	}
 	r.mu.Unlock()
 	if lost != lossNone {
@@ -109,12 +109,12 @@
 }
 
 func (r *fakeRegistry) Leases(ctx context.Context, after uint64, wait time.Duration) (registry.LeasesResponse, error) {
-	until := time.Now().Add(wait)
+	deadline := time.Now().Add(wait)
 	for {
 		r.mu.Lock()
 		leases, version := r.state.Leases().List()
 		r.mu.Unlock()
-		if version > after || !time.Now().Before(until) {
+		if version > after || !time.Now().Before(deadline) {
 			return registry.LeasesResponse{Version: version, Leases: leases}, nil
 		}
 		select {
--- a/internal/lease/handle.go
+++ b/internal/lease/handle.go
@@ -7,19 +7,19 @@
 	"barleywick/internal/registry"
 )
 
-// Handle is what a task gets that runs under a lease. It is safe for concurrent use.
+// Handle gives a task access to the lease under which it runs. It is safe for concurrent use.
 type Handle struct {
 	manager *Manager
 	session Session       // guarded by the manager's lock
-	changed chan struct{} // closed and replaced when the session changes; guarded likewise
+	changed chan struct{} // closed and replaced when the session changes; guarded by the manager's lock
 }
 
-// sessionStatus is a session at one moment.
+// sessionStatus is a snapshot of a session.
 type sessionStatus struct {
 	held           bool
 	ended          bool
 	yieldRequested bool
-	remaining      time.Duration   // until acts have to have ended
+	remaining      time.Duration   // until the deadline of acts
 	changed        <-chan struct{} // closed when the session changes
 }
 
@@ -48,9 +48,9 @@
 	return h.session.Held(h.manager.options.Clock())
 }
 
-// BeginAct begins one act. It fails unless the lease is held for as long as the act may
-// take, and returns a context that ends before the lease does. It has to be called right
-// before each act, because the process may have been stopped since the last one.
+// BeginAct begins one act, and returns a context that ends before the lease does. It fails
+// if the lease may end before the act. It has to be called right before each act, because
+// the process may have been suspended since the previous one.
 func (h *Handle) BeginAct(ctx context.Context, takes time.Duration) (context.Context, context.CancelFunc, error) {
 	h.manager.mu.Lock()
 	defer h.manager.mu.Unlock()
@@ -72,7 +72,7 @@
 	return act(actCtx)
 }
 
-// HandOver ends the task that runs under the lease, and releases the lease to another
+// HandOver ends the task that runs under the lease, and releases the lease to the named
 // process in its queue.
 func (h *Handle) HandOver(to string) {
 	h.manager.mu.Lock()
@@ -95,7 +95,7 @@
 	}
 }
 
-// awaitGrant waits in the lease's queue.
+// awaitGrant waits until the queued claim is granted.
 func (h *Handle) awaitGrant(ctx context.Context) error {
 	for {
 		status := h.status()
@@ -113,8 +113,8 @@
 	}
 }
 
-// notifyChanged wakes those who wait for a change of the session. The manager's lock is
-// held.
+// notifyChanged wakes the goroutines that wait for a change of the session. The caller holds
+// the manager's lock.
 func (h *Handle) notifyChanged() {
 	close(h.changed)
 	h.changed = make(chan struct{})
--- a/internal/lease/hold.go
+++ b/internal/lease/hold.go
@@ -12,11 +12,11 @@
 	"barleywick/internal/registry"
 )
 
-// releaseTimeout limits a release call, which only spares the next holder the wait for
-// the end of the time to live.
+// releaseTimeout limits a release call. The call only saves the next holder from waiting
+// until the time to live has passed.
 const releaseTimeout = 2 * time.Second
 
-// errYieldRequested ends a claim whose lease another process is to have.
+// errYieldRequested ends a claim whose lease is to be released to another process.
 var errYieldRequested = errors.New("a yield of the lease was requested")
 
 // Task is work that runs under a lease. Its context ends when the lease does.
@@ -61,7 +61,7 @@
 	return true, h.runTask(ctx, task)
 }
 
-// newHandle makes the handle of a new claim, whose time counts from now on.
+// newHandle returns the handle of a new claim, whose time to live is measured from now on.
 func (m *Manager) newHandle(name string) *Handle {
 	h := &Handle{
 		manager: m,
@@ -74,7 +74,7 @@
 	return h
 }
 
-// acquire sends the acquire call, and has the claim renewed from then on.
+// acquire sends the acquire call, and registers the claim for renewal.
 func (m *Manager) acquire(ctx context.Context, h *Handle) error {
 	callCtx, cancel := context.WithTimeout(ctx, m.options.TTL)
 	defer cancel()
@@ -103,7 +103,7 @@
 	defer cancel(nil)
 	var taskErr error
 	done := make(chan struct{})
-	go func() { // every return below waits for it
+	go func() { // every return below waits for this goroutine
 		defer close(done)
 		taskErr = task(taskCtx, h)
 	}()
@@ -132,8 +132,8 @@
 	}
 }
 
-// release ends the claim after its task has returned. If the process that is to have the
-// lease next no longer waits, the first in the queue gets it.
+// release ends the claim after its task has returned. If the process to which the lease is
+// to be released no longer waits, the first in the queue gets it.
 func (m *Manager) release(ctx context.Context, h *Handle) {
 	m.mu.Lock()
 	delete(m.handles, h.session.ClaimID)
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -33,11 +33,11 @@
 	OnChange func(registry.LeasesResponse) // called when any lease has changed; may be nil
 }
 
-// Manager claims the leases of one process and renews them. Run has to run for as long as
-// any lease is claimed. A Manager is safe for concurrent use.
+// Manager claims the leases of one process and renews them. Run must be running while any
+// lease is claimed. A Manager is safe for concurrent use.
 type Manager struct {
 	options Options
-	wakeup  chan struct{} // asks Run for a renewal at once
+	wakeup  chan struct{} // makes Run renew at once
 
 	mu      sync.Mutex
 	handles map[string]*Handle // by claim id
@@ -45,7 +45,7 @@
 	grants, lapses atomic.Uint64
 }
 
-// NewManager makes a Manager.
+// NewManager returns a Manager, which renews and watches only while Run is running.
 func NewManager(o Options) *Manager {
 	if o.Clock == nil {
 		o.Clock = BootTime
@@ -79,7 +79,7 @@
 	}
 }
 
-// watch watches the leases, so that a grant from the queue or a yield request is known at
+// watch watches the leases, so that a grant from the queue or a yield request is noticed at
 // once instead of at the next renewal. It may be late or fail: safety does not depend on
 // it.
 func (m *Manager) watch(ctx context.Context) {
@@ -106,8 +106,8 @@
 	}
 }
 
-// needsRenewal reports whether a renewal would tell a claim of this process something
-// new: that it is granted, or that its lease is to be released.
+// needsRenewal reports whether a renewal would change a session of this process: its claim
+// was granted, or a yield of its lease was requested.
 func (m *Manager) needsRenewal(leases registry.LeasesResponse) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -146,7 +146,7 @@
 func (m *Manager) renewClaims(ctx context.Context) {
 	for claims := range slices.Chunk(m.claims(), registry.MaxRenewals) {
 		callCtx, cancel := context.WithTimeout(ctx, m.options.TTL/2)
-		sentAt := m.options.Clock() // before the call, so that the leader's count begins later
+		sentAt := m.options.Clock() // before the call, so that the leader measures from a later time
 		response, err := m.options.Registry.RenewClaims(callCtx, registry.RenewClaimsRequest{Holder: m.options.Holder, Claims: claims})
 		cancel()
 		if err != nil {
@@ -159,7 +159,7 @@
 	}
 }
 
-// handleRenewals gives the answers of one renewal call to their sessions.
+// handleRenewals passes the results of one renewal call to their sessions.
 func (m *Manager) handleRenewals(claims []registry.ClaimStatus, sentAt time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/lease/model/checker.go
+++ b/internal/lease/model/checker.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Counts are what a checker has seen.
+// Counts are the numbers of events that the checker has checked.
 type Counts struct {
 	Steps, Grants, Acts, Writes, Refused, Faults int
 }
@@ -20,8 +20,8 @@
 	c.Faults += d.Faults
 }
 
-// checker does not know how leases work. It sees which token was given to which claim,
-// which holders may act at a moment, and which writes took effect.
+// checker checks invariants without any code of leases. It observes which token was granted to
+// which claim, which holders may act at a moment, and which writes took effect.
 type checker struct {
 	Counts
 	claimByToken map[uint64]string
@@ -34,7 +34,7 @@
 	return checker{claimByToken: make(map[uint64]string), highestToken: highestToken, newestToken: make([]uint64, leases)}
 }
 
-// checkInvariants looks at the world after a step.
+// checkInvariants checks the world after a step.
 func (w *World) checkInvariants() error {
 	for j := range w.Leases {
 		if l, _ := w.state.Leases().Lease(leaseName(j)); l.Grant != nil {
@@ -50,7 +50,7 @@
 		acting := w.acting(j)
 		w.checker.Acts += len(acting)
 		if len(acting) > 1 {
-			return fmt.Errorf("two may act under lease %d at %v: %s", j, w.now, strings.Join(acting, ", "))
+			return fmt.Errorf("two holders may act under lease %d at %v: %s", j, w.now, strings.Join(acting, ", "))
 		}
 	}
 	return nil
@@ -62,7 +62,7 @@
 		if h.sessions[lease] == nil {
 			continue
 		}
-		s := *h.sessions[lease] // a copy: to ask may change the session
+		s := *h.sessions[lease] // a copy, because CheckAct may change the session
 		if s.CheckAct(w.holderClock(i), time.Millisecond) == nil {
 			holders = append(holders, fmt.Sprintf("k%d with token %d", i, s.Token()))
 		}
@@ -70,14 +70,14 @@
 	return holders
 }
 
-// checkGrant checks that tokens only grow, and that each belongs to one claim.
+// checkGrant checks that tokens increase, and that each belongs to one claim.
 func (c *checker) checkGrant(lease int, token uint64, claim string) error {
 	switch owner, known := c.claimByToken[token]; {
 	case known && owner != claim:
-		return fmt.Errorf("token %d was given to %s and to %s", token, owner, claim)
+		return fmt.Errorf("token %d was granted to %s and to %s", token, owner, claim)
 	case known:
 	case token <= c.highestToken:
-		return fmt.Errorf("token %d was given after %d", token, c.highestToken)
+		return fmt.Errorf("token %d was granted after %d, want a higher one", token, c.highestToken)
 	default:
 		c.claimByToken[token], c.highestToken, c.newestToken[lease] = claim, token, token
 		c.Grants++
@@ -86,7 +86,7 @@
 }
 
 // checkWrite checks that a write which took effect was made under the newest grant of its
-// lease. With an older token, it took effect after a later holder had begun to act.
+// lease. With an older token, it took effect after the lease was granted again.
 func (c *checker) checkWrite(m message, err error) {
 	switch {
 	case err != nil:
--- a/internal/lease/model/key.go
+++ b/internal/lease/model/key.go
@@ -9,7 +9,7 @@
 )
 
 // keyWriter writes the key of one state. Claims are numbered in the order in which they
-// are met, and tokens stand relative to the last one, so that states meet again.
+// are written, and tokens are relative to the last one, so that equivalent states have equal keys.
 type keyWriter struct {
 	text      []byte
 	claims    map[string]int
@@ -34,8 +34,8 @@
 	return k.lastToken - t + 1
 }
 
-// Key tells states apart: two with the same key have the same future. Times stand
-// relative to now.
+// Key appends a key of the state to text: two states with the same key have the same possible
+// next steps. Times are relative to now.
 func (w *World) Key(text []byte) []byte {
 	k := &keyWriter{text: text, claims: make(map[string]int), lastToken: w.state.Leases().LastToken()}
 	k.line(w.now, w.leader, w.duplicates, w.losses, w.restores, w.restarts)
@@ -85,7 +85,7 @@
 	for _, m := range w.network {
 		age := w.holderClock(m.holder) - m.sentAt
 		if m.kind != renewal && m.kind != answer || m.toAcquire {
-			age = 0 // only the answer to a renewal counts from when the call was sent
+			age = 0 // the send time matters only for a renewal and the answer to one
 		}
 		lines = append(lines, fmt.Sprintln(
 			"m", m.kind, m.holder, m.lease, k.claim(m.claim.ID), m.claim.Incarnation, age, k.token(m.token),
--- a/internal/lease/model/message.go
+++ b/internal/lease/model/message.go
@@ -21,7 +21,7 @@
 
 var kindNames = []string{"acquire", "renewal", "release", "write", "answer"}
 
-// message is one call or answer on its way.
+// message is a call or an answer in flight.
 type message struct {
 	kind       messageKind
 	holder     int
@@ -42,7 +42,7 @@
 	leader     int
 }
 
-// send puts a holder's call on its way.
+// send adds a holder's call to the network.
 func (w *World) send(kind messageKind, holder, lease int) {
 	h := w.holders[holder]
 	s := h.sessions[lease]
@@ -56,7 +56,7 @@
 	})
 }
 
-// deliver lets a message arrive.
+// deliver delivers a message to its receiver.
 func (w *World) deliver(i int) {
 	m := w.network[i]
 	w.network = slices.Delete(w.network, i, i+1)
@@ -93,7 +93,7 @@
 	w.checker.checkWrite(m, r.Err)
 }
 
-// deliverAnswer gives an answer to the session that asked, if the holder still has it.
+// deliverAnswer passes an answer to the session that made the call, if the holder still has it.
 func (w *World) deliverAnswer(m message) {
 	s := w.holders[m.holder].sessions[m.lease]
 	if s == nil || s.ClaimID != m.claim.ID || s.Holder != m.claim.Holder {
--- a/internal/lease/model/setup.go
+++ b/internal/lease/model/setup.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Setup is the size of a world and what may go wrong in it.
+// Setup is the size of a world and the limits of the faults in it.
 type Setup struct {
 	Holders int
 	Leases  int
@@ -10,16 +10,16 @@
 	Tick    time.Duration // of true time
 	EndTime time.Duration // no tick begins at or after it
 
-	MaxInFlight   int // messages on their way at once
-	MaxDuplicates int // messages that arrive twice, and acquire calls that are repeated
+	MaxInFlight   int // messages in flight at once
+	MaxDuplicates int // duplicated messages and repeated acquire calls
 	MaxLosses     int // messages that are lost
 	MaxElections  int // changes of leader
 	MaxRestores   int // of an old backup
 	MaxRestarts   int // of holders
 
-	// SharedName gives the first two holders one name: the second started later.
+	// SharedName gives the first two holders the same name; the second has the later incarnation.
 	SharedName bool
 	// ClockRates are the rates of the processes' clocks in thousandths of true time, the
-	// leader's last. If it is empty, all clocks are true.
+	// leader's last. If it is empty, all clocks run at the rate of true time.
 	ClockRates []int64
 }
--- a/internal/lease/model/steps.go
+++ b/internal/lease/model/steps.go
@@ -7,17 +7,17 @@
 	"barleywick/internal/testing/modelcheck"
 )
 
-// Step is one thing that may happen next.
+// Step is a possible next step of a World.
 type Step = modelcheck.Step[*World]
 
 // stepList collects steps. The order and the weights of steps decide what a seed draws.
 type stepList struct {
 	steps []Step
-	actor int // who makes the steps that are added now; -1: nobody
+	actor int // the holder that takes the steps that are added now; -1: no holder
 }
 
-func (l *stepList) add(weight int, do func(w *World), format string, names ...any) {
-	s := Step{Format: format, Do: checkedStep(do), Weight: weight, Actor: l.actor}
+func (l *stepList) add(weight int, effect func(w *World), format string, names ...any) {
+	s := Step{Format: format, Do: checkedStep(effect), Weight: weight, Actor: l.actor}
 	if len(names) > 0 {
 		s.A = names[0]
 	}
@@ -28,20 +28,20 @@
 }
 
 // addFault adds a step that counts as a fault.
-func (l *stepList) addFault(weight int, do func(w *World), format string, names ...any) {
-	l.add(weight, func(w *World) { w.checker.Faults++; do(w) }, format, names...)
+func (l *stepList) addFault(weight int, effect func(w *World), format string, names ...any) {
+	l.add(weight, func(w *World) { w.checker.Faults++; effect(w) }, format, names...)
 }
 
-// checkedStep makes the act of a step, after which the checker looks at the world.
-func checkedStep(do func(w *World)) func(w *World) error {
+// checkedStep returns the action of a step, which checks the invariants after the effect.
+func checkedStep(effect func(w *World)) func(w *World) error {
 	return func(w *World) error {
 		w.checker.Steps++
-		do(w)
+		effect(w)
 		return w.checkInvariants()
 	}
 }
 
-// Steps lists what may happen next.
+// Steps lists the possible next steps.
 func (w *World) Steps() []Step {
 	l := &stepList{steps: make([]Step, 0, 64), actor: -1}
 	if w.now < w.EndTime {
@@ -69,7 +69,7 @@
 	}
 }
 
-// sessionSteps are the calls that holder i may make for lease j.
+// sessionSteps adds the calls that holder i may make for lease j.
 func (w *World) sessionSteps(l *stepList, i, j int) {
 	s := w.holders[i].sessions[j]
 	now := w.holderClock(i)
@@ -95,7 +95,8 @@
 	}
 }
 
-// networkSteps are what may become of messages, and of renewals that are being verified.
+// networkSteps adds the delivery, loss and duplication of messages, and the end of the
+// verification of renewals.
 func (w *World) networkSteps(l *stepList) {
 	for i, m := range w.network {
 		l.add(12, func(w *World) { w.deliver(i) }, "%s of k%d arrives", kindNames[m.kind], m.holder)
--- a/internal/lease/model/walk.go
+++ b/internal/lease/model/walk.go
@@ -8,12 +8,12 @@
 	"barleywick/internal/testing/modelcheck"
 )
 
-// settleEvery is how many walks there are to one that goes on without faults until all
-// leases are held. That takes several times the steps of the walk.
+// settleEvery is the number of walks to one that continues without faults until all leases
+// are held, since that takes several times the steps of the walk itself.
 const settleEvery = 10
 
-// Walk takes a number of steps that are drawn from a seed. Some walks then go on without
-// faults; at the end of that, each lease has to be held.
+// Walk takes a number of steps that are drawn from a seed. Some walks then continue without
+// faults, after which each lease has to be held.
 func Walk(s Setup, seed uint64, steps int) (Counts, *modelcheck.Violation) {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	if s.ClockRates == nil {
@@ -29,15 +29,14 @@
 	return walker.World.checker.Counts, violation
 }
 
-// settler goes on with a walk without faults.
+// settler continues a walk without faults.
 type settler struct {
 	walker *modelcheck.Walker[*World]
 	world  *World
 }
 
-// settle lets time pass while each call arrives and each holder renews. All leases have
-// to be held after the time to live of the last holder and of each one that waited and is
-// gone.
+// settle advances time while each call arrives and each holder renews. All leases have to be
+// held after the time to live of the last holder and of each queued holder that is gone.
 func (s *settler) settle() *modelcheck.Violation {
 	w := s.world
 	limit := w.TTL * time.Duration(2+w.Holders)
@@ -56,13 +55,13 @@
 	}
 	for lease := range w.Leases {
 		if !w.held(lease) {
-			return s.walker.Violation(fmt.Errorf("lease %d is nobody's %v after the last fault", lease, limit))
+			return s.walker.Violation(fmt.Errorf("lease %d has no holder %v after the last fault", lease, limit))
 		}
 	}
 	return nil
 }
 
-// claimAndRenew has a holder claim a lease, if it has no claim, and renew it.
+// claimAndRenew makes a holder claim a lease, if it has no claim, and renew the claim.
 func (s *settler) claimAndRenew(holder, lease int) *modelcheck.Violation {
 	var violation *modelcheck.Violation
 	switch session := s.world.holders[holder].sessions[lease]; {
@@ -83,23 +82,23 @@
 	return s.deliverAll()
 }
 
-// deliverAll lets all messages arrive, and the answers to them.
+// deliverAll delivers all messages and the answers to them.
 func (s *settler) deliverAll() *modelcheck.Violation {
 	for len(s.world.network) > 0 || len(s.world.verifications) > 0 {
-		do := func(w *World) { w.deliver(0) }
+		effect := func(w *World) { w.deliver(0) }
 		if len(s.world.network) == 0 {
-			do = func(w *World) { w.finishVerification(0) }
+			effect = func(w *World) { w.finishVerification(0) }
 		}
-		if violation := s.take(do, "what is in flight arrives"); violation != nil {
+		if violation := s.take(effect, "a message or verification in flight completes"); violation != nil {
 			return violation
 		}
 	}
 	return nil
 }
 
-func (s *settler) take(do func(w *World), format string, names ...any) *modelcheck.Violation {
+func (s *settler) take(effect func(w *World), format string, names ...any) *modelcheck.Violation {
 	l := &stepList{actor: -1}
-	l.add(0, do, format, names...)
+	l.add(0, effect, format, names...)
 	return s.walker.Take(l.steps[0])
 }
 
--- a/internal/lease/model/world.go
+++ b/internal/lease/model/world.go
@@ -22,18 +22,18 @@
 	sessions []*lease.Session // by lease; nil: no claim
 }
 
-// World is one state of all processes and of the network between them.
+// World is a state of all processes and of the network between them.
 type World struct {
 	Setup
 	now           time.Duration // true time
 	state         *registry.State
 	backup        []byte
-	tracker       *registry.ClaimTracker // of the present leader
+	tracker       *registry.ClaimTracker // of the current leader
 	leader        int                    // number of leaders so far
 	holders       []*holder
 	network       []message
 	verifications []pendingVerification
-	claimCount    int // claim ids given
+	claimCount    int // claim ids issued
 	duplicates    int
 	losses        int
 	restores      int
@@ -41,7 +41,7 @@
 	checker       checker
 }
 
-// New makes a world in which grants have begun.
+// New returns a world in which leases can be granted.
 func New(s Setup) *World {
 	w := &World{Setup: s, state: registry.NewState()}
 	w.mustApply(registry.Command{Op: registry.OpFoundGroup, Group: "g", AtMS: epoch.UnixMilli()})
@@ -68,7 +68,7 @@
 	}
 }
 
-// Clone returns a copy that shares nothing that changes.
+// Clone returns a copy that shares no mutable state.
 func (w *World) Clone() *World {
 	c := *w
 	c.state, c.tracker = w.state.Clone(), w.tracker.Clone()
@@ -100,7 +100,7 @@
 	return w.ClockRates[process]
 }
 
-// holderClock reads a holder's clock. All holders' clocks began at different readings.
+// holderClock reads a holder's clock. The holders' clocks start at different times.
 func (w *World) holderClock(holder int) time.Duration {
 	return time.Duration(int64(w.now)*w.clockRate(holder)/trueClockRate) + time.Duration(holder+1)*time.Hour
 }
@@ -110,14 +110,14 @@
 	return epoch.Add(time.Duration(int64(w.now) * w.clockRate(w.Holders) / trueClockRate))
 }
 
-// elect makes another leader, whose claim tracker gives each claim its full time.
+// elect elects another leader, whose claim tracker gives each claim its full time to live.
 func (w *World) elect() {
 	w.leader++
 	w.tracker = registry.NewClaimTracker(w.TTL)
 	w.syncTracker()
 }
 
-// expire has the leader end the claims whose time is up.
+// expire makes the leader end the claims whose time to live has passed.
 func (w *World) expire() {
 	w.syncTracker()
 	expired, open := w.tracker.TakeExpired(w.leaderClock())
@@ -132,13 +132,13 @@
 
 func (w *World) syncTracker() { w.tracker.Sync(w.state.Leases(), w.leaderClock()) }
 
-// tick lets time pass.
+// tick advances true time by one tick.
 func (w *World) tick() {
 	w.now += w.Tick
 	w.expire()
 }
 
-// acquireNew begins a new claim of a holder.
+// acquireNew starts a new claim of a holder on a lease.
 func (w *World) acquireNew(holder, leaseIndex int) {
 	h := w.holders[holder]
 	w.claimCount++
@@ -148,7 +148,7 @@
 	w.send(acquire, holder, leaseIndex)
 }
 
-// restart starts a holder again, which has forgotten its claims.
+// restart restarts a holder, which loses its claims.
 func (w *World) restart(holder int) {
 	w.restarts++
 	h := w.holders[holder]
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// actFraction is the part of the time to live in which a holder may act. The rest
+	// actFraction is the fraction of the time to live in which a holder may act. The rest
 	// covers clocks that run at different rates and a pause within an act: if one clock
-	// runs a tenth slower than the other, a pause of a sixth of the time to live still
-	// fits (0.75/0.9 + 1/6 = 1).
+	// runs a tenth slower than the other, a pause of a sixth of the time to live is still
+	// safe (0.75/0.9 + 1/6 = 1).
 	actFraction = 0.75
 	// renewalsPerTTL is the number of renewals in a time to live: three may be lost or
 	// late before the holder stops.
@@ -22,7 +22,7 @@
 
 // The reasons why a task may not act.
 var (
-	// ErrLapsed means that the lease's time is up, as far as this process knows.
+	// ErrLapsed means that the lease has ended, as far as this process knows.
 	ErrLapsed = errors.New("the lease has lapsed")
 	// ErrInsufficientTime means that the lease is held, but for less time than the act
 	// may take.
@@ -41,7 +41,7 @@
 	acquireSent    bool
 	firstSentAt    time.Duration // before the first acquire call was sent
 	token          uint64
-	deadline       time.Duration // acts end before this
+	deadline       time.Duration // acts must end before this
 	ended          bool
 	yieldRequested bool
 	yieldTo        string
@@ -55,7 +55,7 @@
 }
 
 // Acquired handles the answer to an acquire call. The call may have been sent several
-// times and granted the first time, so the time to live counts from the first.
+// times and granted the first time, so the time to live is measured from the first.
 func (s *Session) Acquired(status registry.ClaimStatus, now time.Duration) {
 	s.handleAnswer(status, s.firstSentAt, now)
 }
@@ -81,14 +81,14 @@
 	}
 }
 
-// contradictedBy reports whether an answer's token is that of another grant.
+// contradictedBy reports whether an answer's token belongs to another grant.
 func (s *Session) contradictedBy(token uint64) bool {
 	return s.token != 0 && token != 0 && token != s.token
 }
 
-// extend prolongs the time to act. A first grant that is known too late to act is
-// ignored: the claim was granted while it was queued, or the answer was slow, and the next
-// renewal tells.
+// extend extends the deadline of acts. A first grant whose deadline has already passed is
+// ignored: the claim was granted while it was queued, or the answer was slow. The answer to
+// the next renewal has the grant again.
 func (s *Session) extend(token uint64, sentAt, now time.Duration) {
 	deadline := sentAt + time.Duration(actFraction*float64(s.TTL))
 	if s.token == 0 && deadline <= now {
@@ -97,7 +97,7 @@
 	s.token, s.deadline = token, max(s.deadline, deadline)
 }
 
-// checkDeadline ends the session if its time is up. A session that has lapsed stays
+// checkDeadline ends the session if its deadline has passed. A session that has lapsed stays
 // ended: its task has to stop before another session may begin.
 func (s *Session) checkDeadline(now time.Duration) {
 	if s.token != 0 && s.deadline != 0 && now >= s.deadline && !mutation.SkipClockCheck {
@@ -130,7 +130,7 @@
 // Age returns the time since the first acquire call.
 func (s *Session) Age(now time.Duration) time.Duration { return now - s.firstSentAt }
 
-// Deadline returns the time at which acts have to have ended.
+// Deadline returns the time by which acts must have ended.
 func (s *Session) Deadline() time.Duration { return s.deadline }
 
 // CheckAct returns nil if an act of the given length may begin now, or else an error that
@@ -145,5 +145,5 @@
 	return nil
 }
 
-// Resign ends the session from the holder's side.
+// Resign ends the session at the holder's request.
 func (s *Session) Resign() { s.ended = true }
--- a/internal/rollout/abort.go
+++ b/internal/rollout/abort.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// abort goes back to the old policy. A committed change cannot be aborted.
+// abort ends a change and keeps the old policy in force. A committed change cannot be aborted.
 func (s *State) abort(c Command) error {
 	switch {
 	case s.change == nil || c.ChangeNumber != s.change.Number:
@@ -10,11 +10,11 @@
 	case s.stage == StageCommitted:
 		return fmt.Errorf("%w: change %d is in force, the way back is another change", ErrConflict, c.ChangeNumber)
 	}
-	s.endChange(fmt.Sprintf("aborted by %s: %.*s", c.By, maxReason, c.Reason), c.AtMS)
+	s.endChange(fmt.Sprintf("aborted by %s: %.*s", c.By, maxReasonBytes, c.Reason), c.AtMS)
 	return nil
 }
 
-// endChange ends a change that does not come into force.
+// endChange ends a change that is not committed.
 func (s *State) endChange(outcome string, atMS int64) {
 	s.record(outcome, atMS)
 	s.change, s.stage = nil, StageSettled
--- a/internal/rollout/active.go
+++ b/internal/rollout/active.go
@@ -1,15 +1,15 @@
 package rollout
 
-// ActivePolicy is what a sidecar acts by. A sidecar's policy store has it as JSON.
+// ActivePolicy is the policy that a sidecar acts by. A sidecar's policy store keeps it as JSON.
 type ActivePolicy struct {
 	Epoch        uint64    `json:"Epoch"` // of the policy in force; 0: the sidecar's own configuration
 	Document     *Document `json:"Doc"`   // the policy in force; nil if Epoch is 0
-	JointChange  uint64    `json:"Joint"` // the change that limits the policy in force; 0: none
+	JointChange  uint64    `json:"Joint"` // the change whose policy limits the one in force; 0: none
 	NextDocument *Document `json:"Next"`  // the policy of that change
 }
 
 // Effective returns the document to act by, or nil if the sidecar acts by its own
-// configuration alone.
+// configuration only.
 func (a ActivePolicy) Effective() *Document {
 	switch {
 	case a.JointChange == 0:
--- a/internal/rollout/canary.go
+++ b/internal/rollout/canary.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// minCanaryRequests is the number of requests that the canaries need to have had: with
-	// fewer, a difference of some hundredths is chance.
+	// minCanaryRequests is the number of requests that the canaries must have received: with
+	// fewer, a difference of a few hundredths in the failure rate may be chance.
 	minCanaryRequests = 100
-	// maxExcessFailures is how much larger the canaries' part of failed requests may be
-	// than the others', beyond chance.
+	// maxExcessFailures is how much higher the canaries' failure rate may be than the others',
+	// beyond chance.
 	maxExcessFailures = 0.02
-	// chanceDeviations is how many standard deviations count as chance.
+	// chanceDeviations is the number of standard deviations that count as chance.
 	chanceDeviations = 3
 )
 
-// RequestCounts count requests since a sidecar's start.
+// RequestCounts counts the requests since a sidecar's start.
 type RequestCounts struct {
 	Requests uint64 `json:"asked"`
 	Refused  uint64 `json:"refused"`
@@ -37,12 +37,12 @@
 	c.Late += last.Late - first.Late
 }
 
-// failureRate returns the part of requests that were refused, failed or answered late.
+// failureRate returns the fraction of requests that were refused, failed or answered late.
 func (c RequestCounts) failureRate() float64 {
 	return float64(c.Refused+c.Failed+c.Late) / float64(max(1, c.Requests))
 }
 
-// report records a member's counts while there are canaries.
+// report records a member's counts during StageCanary.
 func (s *State) report(c Command) error {
 	m, err := s.rosterMember(c.Member)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// chooseCanaries returns the canaries of the change: at least one, and other ones with
+// chooseCanaries returns the canaries of the change: at least one, and different ones for
 // each change. The order by hash is the same at every replica.
 func (s *State) chooseCanaries() []string {
 	names := slices.Collect(maps.Keys(s.roster))
@@ -69,9 +69,9 @@
 	return slices.Sorted(slices.Values(names[:n]))
 }
 
-// CompareCanaries compares the canaries' part of failed requests with the others'. worse
-// tells by how much it is larger, and is empty if it is not. enough reports whether the
-// canaries have had enough requests to tell.
+// CompareCanaries compares the failure rate of the canaries with that of the others. worse
+// describes the difference if the canaries' rate is too high, and is empty otherwise. enough
+// reports whether the canaries have received enough requests for the comparison.
 func CompareCanaries(s Status) (worse string, enough bool) {
 	canaries, others := sumReports(s)
 	if canaries.Requests < minCanaryRequests {
@@ -87,7 +87,7 @@
 }
 
 // sumReports adds up the requests that were reported during the change. It leaves out
-// members that have not reported, and those whose counts began anew.
+// members that have not reported, and those whose counters were reset.
 func sumReports(s Status) (canaries, others RequestCounts) {
 	for _, m := range s.Roster {
 		if m.ReportedChange != s.Change.Number || m.LastReport.Requests < m.FirstReport.Requests {
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -7,24 +7,24 @@
 
 // The operations.
 const (
-	OpJoin    Op = "join"    // a sidecar joins the roster, before it is ready
-	OpLeave   Op = "leave"   // a sidecar leaves, or its roster lease has ended
+	OpJoin    Op = "join"    // a sidecar joins the roster, before it reports ready
+	OpLeave   Op = "leave"   // a sidecar leaves the roster, or its roster lease has ended
 	OpAck     Op = "say"     // a member acknowledges a stage, or refuses a change
 	OpEvict   Op = "evict"   // an operator states that a member's process has ended
 	OpPropose Op = "propose" // an operator proposes a policy
 	OpAbort   Op = "abort"   // an operator, or the leader at the deadline, aborts a change
-	OpAdvance Op = "advance" // the leader asks for the next stage
-	OpReport  Op = "report"  // a member reports its counts while there are canaries
+	OpAdvance Op = "advance" // the leader advances the change to the next stage
+	OpReport  Op = "report"  // a member reports its counts during StageCanary
 )
 
-// Command is one change of the state. Which fields count depends on the operation.
+// Command is one change of the state. Its operation determines which fields are used.
 type Command struct {
 	Op             Op            `json:"verb"`
 	AtMS           int64         `json:"at_ms,omitempty"`
 	Member         Member        `json:"member,omitzero"`
 	ChangeNumber   uint64        `json:"number,omitempty"`
 	Stage          Stage         `json:"stage,omitempty"`
-	Refusal        string        `json:"no,omitempty"` // of OpAck: why the member cannot act by the change
+	Refusal        string        `json:"no,omitempty"` // of OpAck: why the member does not support the change
 	Document       *Document     `json:"document,omitempty"`
 	BaseEpoch      uint64        `json:"base,omitempty"` // of OpPropose: the epoch that the document was compared with
 	By             string        `json:"by,omitempty"`
@@ -36,7 +36,7 @@
 	Counts         RequestCounts `json:"counts,omitzero"`     // of OpReport
 }
 
-// The reasons why a command was not carried out.
+// The errors of commands that were not applied.
 var (
 	ErrInvalid      = errors.New("bad command")
 	ErrConflict     = errors.New("conflict")
--- a/internal/rollout/commit.go
+++ b/internal/rollout/commit.go
@@ -6,8 +6,8 @@
 	"barleywick/internal/mutation"
 )
 
-// advance takes a change to its next stage, if all members of the roster have acknowledged
-// the present one, those that joined during the change included.
+// advance moves a change to its next stage, if all members of the roster have acknowledged
+// the current one, including those that joined during the change.
 func (s *State) advance(c Command) error {
 	if s.change == nil || c.ChangeNumber != s.change.Number || c.Stage != s.stage {
 		return nil // a repeated call
@@ -17,7 +17,7 @@
 	}
 	switch s.stage {
 	case StagePreparing:
-		s.afterPreparing(c.AtMS)
+		s.finishPreparing(c.AtMS)
 	case StageCanary:
 		s.stage = StageJoint
 	case StageJoint:
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// afterPreparing goes on to the canaries, if there are to be any, or to StageJoint.
-func (s *State) afterPreparing(atMS int64) {
+// finishPreparing moves a change to StageCanary if it has canaries, and to StageJoint otherwise.
+func (s *State) finishPreparing(atMS int64) {
 	if s.change.CanaryFraction > 0 {
 		s.stage, s.change.CanarySinceMS, s.change.Canaries = StageCanary, atMS, s.chooseCanaries()
 		return
@@ -46,7 +46,7 @@
 	s.record(OutcomeCommitted, atMS)
 }
 
-// settleIfConfirmed ends a committed change when all members act by it.
+// settleIfConfirmed ends a committed change when all members have acknowledged it.
 func (s *State) settleIfConfirmed() {
 	if s.stage == StageCommitted && s.waitingFor() == nil {
 		s.change, s.stage = nil, StageSettled
--- a/internal/rollout/diff.go
+++ b/internal/rollout/diff.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Diff describes what a change changes, one difference a line.
+// Diff returns the differences between two documents, one per line.
 func Diff(from, to *Document) (lines []string) {
 	add := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
 	if from.Mode != to.Mode {
--- a/internal/rollout/document.go
+++ b/internal/rollout/document.go
@@ -14,21 +14,21 @@
 const (
 	formatVersion = 1
 	maxTenants    = 256
-	maxSlots      = 1 << 16 // and queue places, and connections
+	maxSlots      = 1 << 16 // also of queue places, and of connections
 	maxAttempts   = 16
-	maxName       = 128 // bytes
+	maxNameBytes  = 128
 )
 
-// Mode is what a sidecar does that is cut off from the registry.
+// Mode is the behaviour of a sidecar that cannot reach the registry.
 type Mode string
 
 // The modes.
 const (
-	ModeCarry  Mode = "carry"  // it goes on serving by the policy that it has, and a change waits for it
-	ModeRefuse Mode = "refuse" // it refuses new requests, and a change waits until its roster lease ends at most
+	ModeCarry  Mode = "carry"  // it continues to serve by its last policy, and a change waits for it
+	ModeRefuse Mode = "refuse" // it refuses new requests, and a change waits for it at most until its roster lease ends
 )
 
-// Document is a fleet policy: what each sidecar acts by.
+// Document is a fleet policy, by which each sidecar acts.
 type Document struct {
 	FormatVersion int      `json:"form" toml:"form"`
 	Mode          Mode     `json:"mode" toml:"mode"`
@@ -42,7 +42,7 @@
 	MaxClientConnections int `json:"client_connections,omitempty" toml:"client_connections"`
 	MaxServerConnections int `json:"server_connections,omitempty" toml:"server_connections"`
 
-	unknownField string // says which field this build does not know
+	unknownField string // names a field that this build does not support
 }
 
 // Tenant is the bulkhead capacity of one tenant at each sidecar.
@@ -84,8 +84,8 @@
 	for i, t := range d.Tenants {
 		field := fmt.Sprintf("tenants[%d]", i)
 		switch {
-		case t.Name == "" && len(d.Tenants) > 1, len(t.Name) > maxName:
-			return fmt.Errorf("%s.name is missing or longer than %d", field, maxName)
+		case t.Name == "" && len(d.Tenants) > 1, len(t.Name) > maxNameBytes:
+			return fmt.Errorf("%s.name is missing or longer than %d", field, maxNameBytes)
 		case seen[t.Name]:
 			return fmt.Errorf("%s.name %q is there twice", field, t.Name)
 		}
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// Tenant returns the capacity of a tenant. One that the document does not name has none.
+// Tenant returns the capacity of a tenant; a tenant that the document does not name has none.
 func (d *Document) Tenant(name string) Tenant {
 	if t, ok := d.findTenant(name); ok {
 		return t
@@ -145,8 +145,8 @@
 	return d.Tenants[i], true
 }
 
-// Stricter returns the policy that allows what both allow, field by field. Whoever acts by
-// it takes no more than by either one.
+// Stricter returns the policy that allows only what both policies allow, field by field. A
+// sidecar that acts by it admits no more than under either of them.
 func Stricter(a, b *Document) *Document {
 	j := &Document{
 		FormatVersion:        formatVersion,
@@ -171,7 +171,7 @@
 	return j
 }
 
-// stricterLimit returns the lower of two limits, of which 0 means none.
+// stricterLimit returns the lower of two limits; 0 means no limit.
 func stricterLimit(a, b int) int {
 	if a == 0 || b != 0 && b < a {
 		return b
@@ -183,22 +183,22 @@
 func (d *Document) Checksum() string {
 	text, err := json.Marshal(d)
 	if err != nil {
-		panic(fmt.Sprintf("rollout: a document that cannot be written: %v", err)) // strings and numbers always can
+		panic(fmt.Sprintf("rollout: cannot encode a document as JSON: %v", err)) // its strings and numbers can always be encoded
 	}
 	return Checksum(text)
 }
 
-// Checksum returns a short checksum, which protects against accidents but not against
-// texts that were made to agree.
+// Checksum returns a short checksum, which detects accidental differences but not deliberate
+// collisions.
 func Checksum(text []byte) string {
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:8])
 }
 
-// UnmarshalJSON reads a document. A field that this build does not know is no error here,
-// but Check refuses the document and names the field.
+// UnmarshalJSON reads a document. A field that this build does not support is not an error
+// here, but Check rejects the document and names the field.
 func (d *Document) UnmarshalJSON(text []byte) error {
-	type plain Document // without this method
+	type plain Document // without the method UnmarshalJSON
 	var p plain
 	if err := json.Unmarshal(text, &p); err != nil {
 		return err
--- a/internal/rollout/follower.go
+++ b/internal/rollout/follower.go
@@ -7,30 +7,30 @@
 	"barleywick/internal/mutation"
 )
 
-// Follower is a sidecar's part in rollouts. It decides what to act by and what to tell the
-// registry, from the views that the registry sends. It is a state machine without I/O and
-// without a clock, and is not safe for concurrent use.
+// Follower is the sidecar's side of rollouts. From the views that the registry sends, it
+// decides by which policy the sidecar acts and which commands it sends. It is a state machine
+// without I/O and without a clock, and is not safe for concurrent use.
 type Follower struct {
 	Self     Member
-	Process  Process                 // sent when it joins; may be empty
-	Supports func(d *Document) error // why the sidecar cannot act by a document, or nil
+	Process  Process                 // sent with OpJoin; may be empty
+	Supports func(d *Document) error // returns why the sidecar cannot act by a document, or nil
 
 	view            View
-	inRoster        bool // by the view, and not refused since
+	inRoster        bool // by the last view, unless the registry has rejected the sidecar since
 	ackedStage      Stage
 	ackedChange     uint64 // the change of ackedStage
-	supportedChange uint64 // the change or epoch that the sidecar can act by
+	supportedChange uint64 // the last change or epoch that the sidecar supports
 	refusedChange   uint64
-	refusal         string // why it refused that change
+	refusal         string // why the sidecar refused refusedChange
 	fatal           error
 }
 
-// Fatal returns why this sidecar cannot act by the policy in force, or nil. It is to leave
-// the roster and end. This concerns sidecars that start: one that acts already has
-// acknowledged that it can.
+// Fatal returns why this sidecar cannot act by the policy in force, or nil. After an error the
+// sidecar must leave the roster and exit. This can only happen to a sidecar that is starting:
+// one that already acts by a policy has acknowledged that it supports it.
 func (f *Follower) Fatal() error { return f.fatal }
 
-// HandleView handles a view from the registry. A view that is older than the present one
+// HandleView handles a view from the registry. A view that is older than the current one
 // is ignored.
 func (f *Follower) HandleView(v View) {
 	if f.inRoster && v.Version < f.view.Version {
@@ -56,8 +56,8 @@
 	}
 }
 
-// Active returns what the sidecar is to act by, and whether it may act at all. Without a
-// place in the roster it may not: a change may pass that does not wait for it.
+// Active returns the policy to act by, and whether the sidecar may act at all. Outside the
+// roster it may not, because changes do not wait for it.
 func (f *Follower) Active() (ActivePolicy, bool) {
 	if !f.inRoster {
 		return ActivePolicy{}, mutation.ServeBeforeJoin
@@ -72,15 +72,15 @@
 	return a, true
 }
 
-// Version returns the version of the present view; 0: there is none.
+// Version returns the version of the current view; 0: there is none.
 func (f *Follower) Version() uint64 { return f.view.Version }
 
-// LostMembership records that the registry refuses this process: it was evicted, or a
-// later process has its name. It acts no more.
+// LostMembership records that the registry has rejected this process, because it was evicted
+// or a later process has its name. The sidecar may no longer act.
 func (f *Follower) LostMembership() { f.inRoster, f.ackedStage, f.ackedChange = false, "", 0 }
 
 // NextCommand returns the command to send to the registry now, if any. An acknowledged
-// stage has to be in force already: the caller acts by Active before it sends the command.
+// stage has to be in force already: the caller must apply Active before it sends the command.
 func (f *Follower) NextCommand() (Command, bool) {
 	switch {
 	case !f.inRoster:
@@ -96,7 +96,7 @@
 	return c, true
 }
 
-// acked reports whether the present stage has been acknowledged.
+// acked reports whether the current stage has been acknowledged.
 func (f *Follower) acked() bool {
 	return f.ackedChange == f.view.ChangeNumber && f.ackedStage.reached(f.view.Stage)
 }
@@ -119,21 +119,21 @@
 	f.supportedChange = number
 }
 
-// Refuse refuses the change, whatever was acknowledged before. This aborts a change that
-// is not committed.
+// Refuse refuses the change, even if the sidecar has acknowledged stages of it. This aborts
+// a change that is not committed.
 func (f *Follower) Refuse(err error) {
 	if f.view.NextDocument != nil {
 		f.refusedChange, f.refusal = f.view.ChangeNumber, err.Error()
 	}
 }
 
-// ReportsWanted returns the change for which counts are to be reported from time to time,
-// if any.
+// ReportsWanted returns the change for which the sidecar has to report its counts from time to
+// time, if any.
 func (f *Follower) ReportsWanted() (changeNumber uint64, wanted bool) {
 	return f.view.ChangeNumber, f.inRoster && f.view.ReportCounts
 }
 
-// HandleResult handles the registry's answer to a command of NextCommand.
+// HandleResult handles the result of a command that NextCommand returned.
 func (f *Follower) HandleResult(c Command, err error) {
 	switch {
 	case c.Op != OpAck:
@@ -152,7 +152,7 @@
 	return f.view.Epoch, f.view.Stage, refused
 }
 
-// Key appends what tells the follower's state from others, for the model.
+// Key appends a key of the follower's state to text, for the model.
 func (f *Follower) Key(text []byte) []byte {
 	return fmt.Append(text, f.inRoster, f.ackedStage, f.ackedChange, f.supportedChange, f.view.Epoch, f.view.Stage, f.view.ChangeNumber, f.view.Version)
 }
--- a/internal/rollout/history.go
+++ b/internal/rollout/history.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// maxHistory is how many changes are remembered.
-const maxHistory = 64
+// maxHistoryEntries is the number of ended changes that are kept.
+const maxHistoryEntries = 64
 
-// OutcomeCommitted is the outcome of a change that came into force.
+// OutcomeCommitted is the outcome of a change that was committed.
 const OutcomeCommitted = "committed"
 
-// HistoryEntry is a change that has come into force or was aborted.
+// HistoryEntry is a change that was committed or aborted.
 type HistoryEntry struct {
 	Change
 	Checksum string `json:"sum"`
@@ -16,10 +16,10 @@
 	EndedMS  int64  `json:"ended_ms"`
 }
 
-// record adds the present change to the history.
+// record adds the current change to the history.
 func (s *State) record(outcome string, atMS int64) {
 	s.history = append(s.history, HistoryEntry{*s.change, s.change.Document.Checksum(), outcome, atMS})
-	if excess := len(s.history) - maxHistory; excess > 0 {
+	if excess := len(s.history) - maxHistoryEntries; excess > 0 {
 		s.history = slices.Delete(s.history, 0, excess)
 	}
 }
--- a/internal/rollout/leader.go
+++ b/internal/rollout/leader.go
@@ -6,17 +6,17 @@
 	"barleywick/internal/mutation"
 )
 
-// The leader's names in the outcome of a change that it aborts.
+// The names in OpAbort commands of the leader, which are stored in the outcome of the change.
 const (
 	byCanaries = "those that went ahead"
 	byDeadline = "its time-out"
 )
 
-// maxNamesInReason is how many members the reason of an abort names.
+// maxNamesInReason is the number of members that the reason of an abort names.
 const maxNamesInReason = 5
 
-// Decide is the leader's part: it returns the command that takes a change on, if any. The
-// status may be out of date, because the state checks each command itself.
+// Decide is the leader's side of rollouts: it returns the next command for the change, if any.
+// The status may be out of date, because the state checks each command itself.
 func Decide(s Status, nowMS int64) (Command, bool) {
 	c := s.Change
 	if c == nil {
@@ -37,7 +37,7 @@
 	return Command{}, false
 }
 
-// decideCanary ends the canary stage when its time is over and there were enough requests.
+// decideCanary ends StageCanary when its time has passed and there were enough requests.
 func decideCanary(s Status, nowMS int64) (Command, bool) {
 	if nowMS < s.Change.CanarySinceMS+s.Change.CanaryWatchMS {
 		return Command{}, false
@@ -56,7 +56,7 @@
 	return Command{Op: OpAdvance, ChangeNumber: s.Change.Number, Stage: s.Stage}
 }
 
-// abortAtDeadline aborts a change whose time is up, and says what it lacked.
+// abortAtDeadline aborts a change whose deadline has passed, and gives the reason.
 func abortAtDeadline(s Status) Command {
 	abort := Command{Op: OpAbort, ChangeNumber: s.Change.Number, By: byDeadline}
 	if len(s.WaitingFor) > 0 {
@@ -74,7 +74,7 @@
 	return abort
 }
 
-// leaveOfUnresponsiveMember takes silence for leaving, which no build but a mutation does.
+// leaveOfUnresponsiveMember treats an unresponsive member as having left. Only a mutation uses it.
 func leaveOfUnresponsiveMember(s Status) (Command, bool) {
 	for _, m := range s.Roster {
 		if m.Name == s.WaitingFor[0] {
--- a/internal/rollout/model/checker.go
+++ b/internal/rollout/model/checker.go
@@ -8,7 +8,8 @@
 	"barleywick/internal/rollout"
 )
 
-// Counts are what the checker has seen. Acting and Joint count sidecars after each step.
+// Counts are the numbers of events that the checker has checked. Acting and Joint count sidecars
+// after each step.
 type Counts struct {
 	Steps, Faults, Commits, Acting, Joint int
 	Refused                               int // commands of operators and leaders
@@ -25,10 +26,10 @@
 
 type checker struct {
 	Counts
-	epoch uint64 // of the last commit that was seen
+	epoch uint64 // of the last commit that was checked
 }
 
-// checkInvariants looks at the world after a step.
+// checkInvariants checks the world after a step.
 func (w *World) checkInvariants() error {
 	if err := w.checkCommit(w.state.Status()); err != nil {
 		return err
@@ -47,16 +48,16 @@
 	for _, m := range status.Roster {
 		i := slices.IndexFunc(w.sidecars, func(s *sidecar) bool { return s.up && s.self == m.Member })
 		if i >= 0 && (!w.sidecars[i].acting || w.sidecars[i].active.JointChange != status.Epoch) {
-			return fmt.Errorf("epoch %d is in force, and n%d, which is in the roster, never acted by it and the old one", status.Epoch, i)
+			return fmt.Errorf("epoch %d is in force, but n%d, which is in the roster, does not act by the stricter of it and the old one", status.Epoch, i)
 		}
 	}
 	return nil
 }
 
-// checkCommonPolicy checks that there is one policy which all acting sidecars keep to. If
+// checkCommonPolicy checks that there is one policy whose limits all acting sidecars keep. If
 // there is none, some act by the old policy and some by the new at the same time.
 func (w *World) checkCommonPolicy() error {
-	keeping := make(map[uint64]int) // by epoch: how many sidecars keep to it
+	sidecarsByEpoch := make(map[uint64]int) // by epoch: the number of sidecars that keep the limits of its policy
 	acting := 0
 	for i, s := range w.sidecars {
 		if !s.up || !s.acting {
@@ -64,24 +65,24 @@
 		}
 		acting++
 		w.checker.Acting++
-		keeping[s.active.Epoch]++
+		sidecarsByEpoch[s.active.Epoch]++
 		if s.active.JointChange != 0 {
-			keeping[s.active.JointChange]++
+			sidecarsByEpoch[s.active.JointChange]++
 			w.checker.Joint++
 		}
 		if s.limited && exceedsLimit(s.active.Document) {
-			return fmt.Errorf("n%d is to act by epoch %d, which it cannot", i, s.active.Epoch)
+			return fmt.Errorf("n%d acts by epoch %d, whose policy it does not support", i, s.active.Epoch)
 		}
 	}
 	if acting == 0 {
 		return nil
 	}
-	for _, n := range keeping {
+	for _, n := range sidecarsByEpoch {
 		if n == acting {
 			return nil
 		}
 	}
-	return fmt.Errorf("old and new at once: %s", w.describeActing())
+	return fmt.Errorf("sidecars act by the old and the new policy at the same time: %s", w.describeActing())
 }
 
 // exceedsLimit reports whether a limited sidecar does not support a document.
--- a/internal/rollout/model/key.go
+++ b/internal/rollout/model/key.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Key tells states apart: two with the same key have the same future. The history decides
-// nothing, and the order of messages does not matter.
+// Key appends a key of the state to text: two states with the same key have the same possible
+// next steps. The key leaves out the history and the order of messages, which do not matter.
 func (w *World) Key(text []byte) []byte {
 	status := w.state.Status()
 	text = fmt.Append(text, w.nowMS, w.counts, status.Epoch, status.Stage, status.Roster)
--- a/internal/rollout/model/message.go
+++ b/internal/rollout/model/message.go
@@ -16,7 +16,7 @@
 
 func (k messageKind) String() string { return []string{"request", "answer", "leader's command"}[k] }
 
-// message is one call or answer on its way.
+// message is a call or an answer in flight.
 type message struct {
 	kind    messageKind
 	process int            // the sidecar or the leader
@@ -26,8 +26,8 @@
 	err     error        // of an answer
 }
 
-// call has a sidecar act by its policy, and send its next command, a report or a call for
-// a view.
+// call makes a sidecar act by its current policy, and send its next command, a report or a
+// request for a view.
 func (w *World) call(i int) {
 	s := w.sidecars[i]
 	s.active, s.acting = s.follower.Active()
@@ -43,14 +43,14 @@
 	w.network = append(w.network, message{kind: request, process: i, member: s.self, command: c})
 }
 
-// sendLeave has a sidecar tell the registry that it ends.
+// sendLeave makes a sidecar send the registry that it leaves the roster.
 func (w *World) sendLeave(i int) {
 	s := w.sidecars[i]
 	c := rollout.Command{Op: rollout.OpLeave, Member: s.self}
 	w.network = append(w.network, message{kind: request, process: i, member: s.self, command: c})
 }
 
-// deliver lets a message arrive.
+// deliver delivers a message to its receiver.
 func (w *World) deliver(i int) {
 	m := w.network[i]
 	w.network = slices.Delete(w.network, i, i+1)
@@ -71,12 +71,12 @@
 		err = w.state.Apply(m.command)
 	}
 	if m.command.Op == rollout.OpLeave {
-		return // nobody waits for the answer
+		return // the sidecar does not wait for the answer
 	}
 	w.network = append(w.network, message{kind: answer, process: m.process, member: m.member, command: m.command, view: w.state.View(m.member), err: err})
 }
 
-// deliverAnswer gives an answer to the sidecar, if it is the same process still. A sidecar
+// deliverAnswer passes an answer to the sidecar, if it is still the same process. A sidecar
 // that cannot act by the policy in force ends.
 func (w *World) deliverAnswer(m message) {
 	s := w.sidecars[m.process]
@@ -93,8 +93,8 @@
 	}
 }
 
-// lose loses a message. A sidecar notices that its call has failed.
-func (w *World) lose(i int) {
+// loseMessage loses a message. The sidecar whose call or answer was lost sees the call fail.
+func (w *World) loseMessage(i int) {
 	m := w.network[i]
 	w.network = slices.Delete(w.network, i, i+1)
 	if m.kind == leaderCommand {
--- a/internal/rollout/model/steps.go
+++ b/internal/rollout/model/steps.go
@@ -7,11 +7,11 @@
 	"barleywick/internal/testing/modelcheck"
 )
 
-// Step is one thing that may happen next.
+// Step is a possible next step of a World.
 type Step = modelcheck.Step[*World]
 
-// nobody is the actor of steps that no sidecar takes.
-const nobody = -1
+// noActor is the actor of steps that no sidecar takes.
+const noActor = -1
 
 // stepList collects steps. The order and the weights of steps decide what a seed draws.
 type stepList struct {
@@ -19,27 +19,27 @@
 	steps []Step
 }
 
-func (l *stepList) add(weight, actor int, do func(w *World), format string, name any) {
+func (l *stepList) add(weight, actor int, effect func(w *World), format string, name any) {
 	l.steps = append(l.steps, Step{Format: format, A: name, Weight: weight, Actor: actor, Do: func(w *World) error {
 		w.checker.Steps++
-		do(w)
+		effect(w)
 		return w.checkInvariants()
 	}})
 }
 
-// addLimited adds a step that may happen a number of times, and counts as a fault.
-func (l *stepList) addLimited(kind event, limit, weight, actor int, do func(w *World), format string, name any) {
+// addLimited adds a step that may be taken at most limit times, and that counts as a fault.
+func (l *stepList) addLimited(kind event, limit, weight, actor int, effect func(w *World), format string, name any) {
 	if l.world.counts[kind] >= limit {
 		return
 	}
 	l.add(weight, actor, func(w *World) {
 		w.counts[kind]++
 		w.checker.Faults++
-		do(w)
+		effect(w)
 	}, format, name)
 }
 
-// Steps lists what may happen next.
+// Steps lists the possible next steps.
 func (w *World) Steps() []Step {
 	l := &stepList{world: w, steps: make([]Step, 0, 32)}
 	status := w.state.Status()
@@ -53,11 +53,11 @@
 	w.networkSteps(l)
 	w.leaderSteps(l)
 	w.operatorSteps(l, status)
-	l.addLimited(eventRestore, w.MaxRestores, 1, nobody, func(w *World) {
+	l.addLimited(eventRestore, w.MaxRestores, 1, noActor, func(w *World) {
 		w.state.Restore(w.backup)
 		w.checker.epoch = w.state.Status().Epoch
 	}, "an old backup is restored", nil)
-	l.addLimited(eventTick, w.MaxTicks, 3, nobody, func(w *World) { w.nowMS += tickMS }, "time passes", nil)
+	l.addLimited(eventTick, w.MaxTicks, 3, noActor, func(w *World) { w.nowMS += tickMS }, "time passes", nil)
 	return l.steps
 }
 
@@ -81,7 +81,7 @@
 	l.add(4, i, func(w *World) { w.start(i) }, "n%d starts", i)
 	name := w.sidecars[i].self.Name
 	if slices.ContainsFunc(status.Roster, func(m rollout.RosterMember) bool { return m.Name == name }) {
-		l.addLimited(eventEviction, w.MaxEvictions, 1, nobody, func(w *World) {
+		l.addLimited(eventEviction, w.MaxEvictions, 1, noActor, func(w *World) {
 			w.apply(rollout.Command{Op: rollout.OpEvict, Member: w.sidecars[i].self})
 		}, "n%d is evicted", i)
 	}
@@ -89,16 +89,16 @@
 
 func (w *World) networkSteps(l *stepList) {
 	for i, m := range w.network {
-		l.add(10, nobody, func(w *World) { w.deliver(i) }, "a message (%v) arrives", m.kind)
-		l.addLimited(eventLoss, w.MaxLosses, 2, nobody, func(w *World) { w.lose(i) }, "a message (%v) is lost", m.kind)
+		l.add(10, noActor, func(w *World) { w.deliver(i) }, "a message (%v) arrives", m.kind)
+		l.addLimited(eventLoss, w.MaxLosses, 2, noActor, func(w *World) { w.loseMessage(i) }, "a message (%v) is lost", m.kind)
 	}
 }
 
 func (w *World) leaderSteps(l *stepList) {
 	for i, status := range w.leaders {
-		l.add(5, nobody, func(w *World) { w.leaders[i] = w.state.Status() }, "leader %d reads", i)
+		l.add(5, noActor, func(w *World) { w.leaders[i] = w.state.Status() }, "leader %d reads", i)
 		if _, any := rollout.Decide(status, w.nowMS); any && w.canSend() {
-			l.add(5, nobody, func(w *World) {
+			l.add(5, noActor, func(w *World) {
 				c, _ := rollout.Decide(w.leaders[i], w.nowMS)
 				w.network = append(w.network, message{kind: leaderCommand, process: i, command: c})
 			}, "leader %d decides", i)
@@ -107,10 +107,10 @@
 }
 
 func (w *World) operatorSteps(l *stepList, status rollout.Status) {
-	l.addLimited(eventProposal, w.MaxProposals, 3, nobody, func(w *World) { w.propose(true) }, "a change is proposed", nil)
-	l.addLimited(eventUnsupported, w.MaxUnsupported, 2, nobody, func(w *World) { w.propose(false) }, "a change is proposed that not all support", nil)
+	l.addLimited(eventProposal, w.MaxProposals, 3, noActor, func(w *World) { w.propose(true) }, "a change is proposed", nil)
+	l.addLimited(eventUnsupported, w.MaxUnsupported, 2, noActor, func(w *World) { w.propose(false) }, "a change is proposed that not all support", nil)
 	if status.Change != nil {
-		l.addLimited(eventAbort, w.MaxAborts, 1, nobody, func(w *World) {
+		l.addLimited(eventAbort, w.MaxAborts, 1, noActor, func(w *World) {
 			if c := w.state.Status().Change; c != nil {
 				w.apply(rollout.Command{Op: rollout.OpAbort, ChangeNumber: c.Number, By: "operator"})
 			}
--- a/internal/rollout/model/walk.go
+++ b/internal/rollout/model/walk.go
@@ -8,11 +8,11 @@
 	"barleywick/internal/testing/modelcheck"
 )
 
-// settleRounds is the number of rounds of calls without faults in which all has to settle.
+// settleRounds is the number of rounds of calls without faults after which the world must have settled.
 const settleRounds = 30
 
 // Walk takes steps drawn from a seed. Then all faults end, and after settleRounds all
-// sidecars have to act by one policy, with no change on its way.
+// sidecars have to act by one policy, with no change in progress.
 func Walk(s Setup, seed uint64, steps int) (Counts, *modelcheck.Violation) {
 	walker := &modelcheck.Walker[*World]{World: New(s)}
 	violation := walker.Walk(rand.New(rand.NewPCG(seed, 6)), steps, s.Sidecars)
@@ -22,7 +22,7 @@
 	return walker.World.checker.Counts, violation
 }
 
-// settler goes on with a walk without faults.
+// settler continues a walk without faults.
 type settler struct {
 	walker *modelcheck.Walker[*World]
 	world  *World
@@ -30,7 +30,7 @@
 
 func (s *settler) settle() *modelcheck.Violation {
 	for range settleRounds {
-		if violation := s.round(); violation != nil {
+		if violation := s.runRound(); violation != nil {
 			return violation
 		}
 		s.world.nowMS += tickMS / 5
@@ -41,17 +41,17 @@
 	return nil
 }
 
-// round has each sidecar call, each message arrive and each leader decide.
-func (s *settler) round() *modelcheck.Violation {
+// runRound makes each sidecar call, each message arrive and each leader decide.
+func (s *settler) runRound() *modelcheck.Violation {
 	w := s.world
 	for i, sidecar := range w.sidecars {
 		if !sidecar.up {
-			if violation := s.take("one that is down starts", func(w *World) { w.start(i) }); violation != nil {
+			if violation := s.take("a sidecar that is down starts", func(w *World) { w.start(i) }); violation != nil {
 				return violation
 			}
 		}
 		if !sidecar.calling {
-			if violation := s.take("one calls", func(w *World) { w.call(i) }); violation != nil {
+			if violation := s.take("a sidecar calls", func(w *World) { w.call(i) }); violation != nil {
 				return violation
 			}
 		}
@@ -62,42 +62,42 @@
 		}
 	}
 	for i := range w.leaders {
-		if violation := s.take("a leader reads and decides", func(w *World) { w.lead(i) }); violation != nil {
+		if violation := s.take("a leader reads and decides", func(w *World) { w.decideAndApply(i) }); violation != nil {
 			return violation
 		}
 	}
 	return nil
 }
 
-// take takes a step, which does not count as one of the walk.
-func (s *settler) take(name string, do func(w *World)) *modelcheck.Violation {
+// take takes a step that is not counted as a step of the walk.
+func (s *settler) take(name string, effect func(w *World)) *modelcheck.Violation {
 	return s.walker.Take(Step{Format: name, Do: func(w *World) error {
-		do(w)
+		effect(w)
 		return w.checkInvariants()
 	}})
 }
 
-// lead has a leader read the status and carry out its decision.
-func (w *World) lead(i int) {
+// decideAndApply makes a leader read the status and apply its decision.
+func (w *World) decideAndApply(i int) {
 	w.leaders[i] = w.state.Status()
 	if c, any := rollout.Decide(w.leaders[i], w.nowMS); any {
 		w.apply(c)
 	}
 }
 
-// checkSettled checks that no change is on its way, and that all sidecars which can start
-// act by the policy in force.
+// checkSettled checks that no change is in progress, and that all sidecars that can start act
+// by the policy in force.
 func (w *World) checkSettled() error {
 	status := w.state.Status()
 	if status.Stage != rollout.StageSettled {
-		return fmt.Errorf("change %d is still %s, it waits for %v", status.Change.Number, status.Stage, status.WaitingFor)
+		return fmt.Errorf("change %d is still %s and waits for %v, want it ended", status.Change.Number, status.Stage, status.WaitingFor)
 	}
 	for i, s := range w.sidecars {
 		if s.limited && exceedsLimit(status.Document) {
 			continue // it cannot start
 		}
 		if !s.acting || s.active.Epoch != status.Epoch || s.active.JointChange != 0 {
-			return fmt.Errorf("n%d acts by epoch %d (joint with %d, acting %v) when epoch %d has settled", i, s.active.Epoch, s.active.JointChange, s.acting, status.Epoch)
+			return fmt.Errorf("n%d acts by epoch %d (joint with %d, acting %v), want the settled epoch %d", i, s.active.Epoch, s.active.JointChange, s.acting, status.Epoch)
 		}
 	}
 	return nil
--- a/internal/rollout/model/world.go
+++ b/internal/rollout/model/world.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	tickMS   = 1000
-	withinMS = 2 * tickMS // the time that a change has
+	tickMS          = 1000
+	changeTimeoutMS = 2 * tickMS // after which a change is aborted
 	// slotLimit is the number of slots above which one sidecar does not support a document.
 	slotLimit = 100
 )
 
 var errUnsupported = errors.New("tenants[0].slots is more than this process bears")
 
-// sidecar is one process, or none while it is down.
+// sidecar is a sidecar, which has a process only while it is up.
 type sidecar struct {
 	self     rollout.Member
 	up       bool
 	follower *rollout.Follower
-	calling  bool // a call is on its way
+	calling  bool // a call or its answer is in flight
 	active   rollout.ActivePolicy
 	acting   bool
 	limited  bool // it does not support documents above slotLimit
 }
 
-// event is something of which a Setup limits the number.
+// event is a kind of step whose number a Setup limits.
 type event int
 
 const (
@@ -44,21 +44,21 @@
 	eventKinds // number of kinds
 )
 
-// World is one state of all processes and of the network between them.
+// World is a state of all processes and of the network between them.
 type World struct {
 	Setup
 	nowMS    int64
 	state    *rollout.State
 	backup   *rollout.State
 	sidecars []*sidecar
-	leaders  []rollout.Status // what each leader has read last
+	leaders  []rollout.Status // the last status that each leader has read
 	network  []message
 	starts   uint64 // of sidecars so far
 	counts   [eventKinds]int
 	checker  checker
 }
 
-// New makes a world whose sidecars have just started.
+// New returns a world whose sidecars have just started.
 func New(s Setup) *World {
 	w := &World{Setup: s, state: rollout.New(10)}
 	w.backup = w.state.Clone()
@@ -70,7 +70,7 @@
 	return w
 }
 
-// Clone returns a copy that shares nothing that changes.
+// Clone returns a copy that shares no mutable state.
 func (w *World) Clone() *World {
 	c := *w
 	c.state = w.state.Clone()
@@ -91,8 +91,8 @@
 	return &c
 }
 
-// start starts a sidecar, which knows nothing of earlier runs. After a proposal that is
-// not supported by all, the first sidecar starts as the one that does not support it.
+// start starts a sidecar, which keeps no state of earlier runs. After a proposal that not all
+// sidecars support, the first sidecar starts as the one that does not support it.
 func (w *World) start(i int) {
 	s := w.sidecars[i]
 	w.starts++
@@ -119,12 +119,12 @@
 	return d
 }
 
-// propose proposes a document; a proposal during another change is refused.
+// propose proposes a document. A proposal during another change is rejected.
 func (w *World) propose(supported bool) {
 	n := w.counts[eventProposal] + w.counts[eventUnsupported]
 	c := rollout.Command{
 		Op: rollout.OpPropose, Document: document(n, supported), BaseEpoch: w.state.Status().Epoch,
-		By: "operator", Reason: fmt.Sprint(n), WithinMS: withinMS, AtMS: w.nowMS,
+		By: "operator", Reason: fmt.Sprint(n), WithinMS: changeTimeoutMS, AtMS: w.nowMS,
 	}
 	if n%2 < w.Canaries {
 		c.CanaryFraction, c.CanaryWatchMS = 0.3, tickMS/2
@@ -132,7 +132,7 @@
 	w.apply(c)
 }
 
-// apply applies a command of an operator or a leader, who do not look at the answer.
+// apply applies a command of an operator or a leader, which ignore its result.
 func (w *World) apply(c rollout.Command) {
 	if err := w.state.Apply(c); err != nil {
 		w.checker.Refused++
--- a/internal/rollout/prepare.go
+++ b/internal/rollout/prepare.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	maxReason = 512 // bytes
-	// MaxWithinMS is the longest time that a change may take, in ms.
+	maxReasonBytes = 512
+	// MaxWithinMS is the longest time that a change may take, in milliseconds.
 	MaxWithinMS = 7 * 24 * 3600 * 1000
 )
 
-// propose begins a change. Before the first policy of all, each sidecar acts by its own
-// configuration, which takes the part of the old policy.
+// propose starts a change. Before the first policy, each sidecar acts by its own configuration,
+// which then serves as the old policy.
 func (s *State) propose(c Command) error {
 	if err := checkProposal(c); err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalid, err)
@@ -36,13 +36,13 @@
 	return nil
 }
 
-// checkProposal checks a proposal by itself.
+// checkProposal checks a proposal independently of the state.
 func checkProposal(c Command) error {
 	switch {
 	case c.Document == nil:
 		return errors.New("no document")
-	case c.By == "" || len(c.By) > maxName || len(c.Reason) > maxReason:
-		return fmt.Errorf("a change needs who proposes it, and a reason of %d bytes at most", maxReason)
+	case c.By == "" || len(c.By) > maxNameBytes || len(c.Reason) > maxReasonBytes:
+		return fmt.Errorf("a change needs the name of its proposer, and a reason of at most %d bytes", maxReasonBytes)
 	case c.WithinMS <= 0 || c.WithinMS > MaxWithinMS:
 		return fmt.Errorf("within_ms is %d, it must lie between 1 and %d", c.WithinMS, MaxWithinMS)
 	}
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// validCanaries reports whether a proposal has no canaries, or some that are watched for a
-// part of its time.
+// validCanaries reports whether a proposal has no canaries, or a fraction of canaries that is
+// watched for less than the time of the change.
 func validCanaries(c Command) bool {
 	if c.CanaryFraction == 0 {
 		return c.CanaryWatchMS == 0
@@ -64,7 +64,7 @@
 	return c.CanaryFraction > 0 && c.CanaryFraction < 1 && c.CanaryWatchMS > 0 && c.CanaryWatchMS < c.WithinMS
 }
 
-// proposedBy reports whether a proposal has begun this change.
+// proposedBy reports whether a proposal is the one that started this change.
 func (ch *Change) proposedBy(c Command) bool {
 	return ch.By == c.By && ch.Reason == c.Reason && ch.Document.Checksum() == c.Document.Checksum()
 }
@@ -78,11 +78,11 @@
 	}
 	switch {
 	case s.change == nil || s.change.Number != c.ChangeNumber:
-		return nil // that change is over
+		return nil // that change has ended
 	case c.Refusal != "" && s.stage == StageCommitted:
 		return fmt.Errorf("%w: change %d is in force", ErrConflict, c.ChangeNumber)
 	case c.Refusal != "":
-		s.endChange(fmt.Sprintf("refused by %s: %.*s", c.Member.Name, maxReason, c.Refusal), c.AtMS)
+		s.endChange(fmt.Sprintf("refused by %s: %.*s", c.Member.Name, maxReasonBytes, c.Refusal), c.AtMS)
 		return nil
 	case !s.stageOf(m.Name).reached(c.Stage):
 		return fmt.Errorf("%w: change %d is %s, not %s yet", ErrConflict, c.ChangeNumber, s.stage, c.Stage)
--- a/internal/rollout/process.go
+++ b/internal/rollout/process.go
@@ -8,11 +8,11 @@
 )
 
 // Process identifies a sidecar's process to a controller on the same machine, which can
-// see when it has ended.
+// observe its end.
 type Process struct {
 	Machine    string `json:"machine"`
 	PID        int    `json:"pid"`
-	StartTicks uint64 `json:"started"` // by the kernel's count: a later process of the same id has another
+	StartTicks uint64 `json:"started"` // start time by the kernel; differs for a later process with the same PID
 }
 
 // Fields of /proc/PID/stat after the name in parentheses.
@@ -21,14 +21,14 @@
 	statStartTime = 19
 )
 
-// ProcessStartTicks returns when a process of this machine started, by the kernel's count,
-// or 0 if there is none of that id or it has ended and nobody has waited for it yet.
+// ProcessStartTicks returns the start time of a process of this machine, in the kernel's clock
+// ticks, or 0 if there is no process with that id or it has exited and was not yet reaped.
 func ProcessStartTicks(pid int) uint64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
 	}
-	// The name in parentheses may hold anything; the fields after it are plain.
+	// The name in parentheses may contain any character, also spaces and parentheses.
 	fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
 	if len(fields) <= statStartTime || fields[statState] == "Z" || fields[statState] == "X" {
 		return 0
@@ -41,7 +41,7 @@
 }
 
 // ProcessGone reports whether the member's process ran on this machine and has certainly
-// ended. It reports false if the machine's processes cannot be seen at all.
+// ended. It reports false if the machine's processes cannot be observed at all.
 func (m RosterMember) ProcessGone(machine string) bool {
 	p := m.Process
 	if machine == "" || p.Machine != machine || p.PID <= 0 || p.StartTicks == 0 {
--- a/internal/rollout/roster.go
+++ b/internal/rollout/roster.go
@@ -21,22 +21,22 @@
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// RosterMember is a sidecar that a rollout waits for, and what it has acknowledged.
+// RosterMember is a sidecar that a rollout waits for, with the stage that it has acknowledged.
 type RosterMember struct {
 	Member
 	JoinedMS    int64   `json:"joined_ms"`
-	AckedChange uint64  `json:"change,omitempty"` // the change that it acknowledged last
-	AckedStage  Stage   `json:"said,omitempty"`   // and the stage of it
+	AckedChange uint64  `json:"change,omitempty"` // the last change that it acknowledged
+	AckedStage  Stage   `json:"said,omitempty"`   // the stage of AckedChange that it acknowledged
 	Process     Process `json:"where,omitzero"`
 
-	// The first and the last counts that it reported while there were canaries.
+	// The first and the last counts that it reported during StageCanary of ReportedChange.
 	ReportedChange uint64        `json:"reported,omitempty"`
 	FirstReport    RequestCounts `json:"from,omitzero"`
 	LastReport     RequestCounts `json:"to,omitzero"`
 }
 
-// join adds a sidecar to the roster. A later incarnation takes its predecessor's place and
-// has acknowledged nothing yet.
+// join adds a sidecar to the roster. A later incarnation replaces its predecessor and has
+// acknowledged nothing yet.
 func (s *State) join(c Command) error {
 	previous := s.roster[c.Member.Name]
 	evicted := s.evicted[c.Member.Name]
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// leave removes a member on evidence that its process acts no more. It does nothing if the
-// member has left already or a later incarnation has its place.
+// leave removes a member on evidence that its process has stopped acting. It does nothing if
+// the member has already left or was replaced by a later incarnation.
 func (s *State) leave(m Member) {
 	current := s.roster[m.Name]
 	if current == nil || current.Incarnation != m.Incarnation {
@@ -86,8 +86,9 @@
 	return nil
 }
 
-// forgetOldestEviction makes room for another eviction. The process that started first is the
-// least likely to be left; every replica chooses the same.
+// forgetOldestEviction makes room for another eviction. It removes the lowest incarnation,
+// because the process that started first is the least likely to be still running. The choice
+// is the same at every replica.
 func (s *State) forgetOldestEviction() {
 	oldest := slices.MinFunc(slices.Collect(maps.Keys(s.evicted)), func(a, b string) int {
 		return cmp.Or(cmp.Compare(s.evicted[a], s.evicted[b]), cmp.Compare(a, b))
@@ -95,7 +96,7 @@
 	delete(s.evicted, oldest)
 }
 
-// rosterMember returns a member of the roster; ErrNotFound tells a sidecar to join.
+// rosterMember returns a member of the roster. ErrNotFound makes a sidecar join.
 func (s *State) rosterMember(m Member) (*RosterMember, error) {
 	current := s.roster[m.Name]
 	if current == nil || current.Incarnation != m.Incarnation {
--- a/internal/rollout/snapshot.go
+++ b/internal/rollout/snapshot.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// snapshot is the state as it is stored.
+// snapshot is the stored form of the state.
 type snapshot struct {
 	Epoch      uint64                   `json:"epoch"`
 	LastNumber uint64                   `json:"last"`
@@ -32,33 +32,33 @@
 	return json.Marshal(image)
 }
 
-// UnmarshalJSON reads a snapshot, and returns an error if it contradicts itself.
+// UnmarshalJSON reads a snapshot, and returns an error if it is inconsistent.
 func (s *State) UnmarshalJSON(text []byte) error {
 	var image snapshot
 	if err := json.Unmarshal(text, &image); err != nil {
 		return fmt.Errorf("policy: %w", err)
 	}
 	if !image.consistent() {
-		return fmt.Errorf("policy: epoch %d at stage %.32q, last number %d", image.Epoch, image.Stage, image.LastNumber)
+		return fmt.Errorf("policy: inconsistent snapshot: epoch %d at stage %.32q, last number %d", image.Epoch, image.Stage, image.LastNumber)
 	}
 	for name, m := range image.Roster {
 		if m == nil || m.Name != name {
 			return fmt.Errorf("policy: roster member %.64q is malformed", name)
 		}
 	}
-	fresh := New(image.LastNumber)
-	fresh.epoch, fresh.stage, fresh.change = image.Epoch, image.Stage, image.Change
-	fresh.history, fresh.version = image.History, image.Version
+	restored := New(image.LastNumber)
+	restored.epoch, restored.stage, restored.change = image.Epoch, image.Stage, image.Change
+	restored.history, restored.version = image.History, image.Version
 	if image.Document != nil {
-		fresh.document = *image.Document
+		restored.document = *image.Document
 	}
-	maps.Copy(fresh.roster, image.Roster)
-	maps.Copy(fresh.evicted, image.Evicted)
-	*s = *fresh
+	maps.Copy(restored.roster, image.Roster)
+	maps.Copy(restored.evicted, image.Evicted)
+	*s = *restored
 	return nil
 }
 
-// consistent reports whether epoch, stage, change and numbers go together.
+// consistent reports whether epoch, document, stage, change and numbers are consistent.
 func (i snapshot) consistent() bool {
 	switch {
 	case !i.Stage.valid():
@@ -75,9 +75,9 @@
 	return true
 }
 
-// Restore keeps the state when the registry is restored from a backup: policy, roster and
-// change belong to processes that act now. Numbers and versions go on above the backup's.
-// Only a group that has no policy, no change and no roster takes the backup's policy over,
+// Restore keeps the state when the registry is restored from a backup, because policy, roster
+// and change belong to processes that are running now. Numbers and versions continue above the
+// backup's. Only a group without a policy, a change and a roster takes over the backup's policy,
 // as if it had been proposed again.
 func (s *State) Restore(backup *State) {
 	s.lastNumber = max(s.lastNumber, backup.lastNumber) + 1
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -6,20 +6,20 @@
 	"slices"
 )
 
-// State is the fleet policy with its roster, and the change on its way, if any.
+// State is the fleet policy with its roster, and the change in progress, if any.
 type State struct {
 	epoch      uint64 // of the policy in force; 0: there is none yet
 	lastNumber uint64 // the number of the last change
 	document   Document
 	stage      Stage
-	change     *Change // nil if settled; after the commit it is the policy in force
+	change     *Change // nil if settled; after the commit, its policy is the one in force
 	roster     map[string]*RosterMember
 	evicted    map[string]uint64 // by name: the highest incarnation that may not join again
 	history    []HistoryEntry
-	version    uint64 // grows with each change of the state
+	version    uint64 // increases with each change of the state
 }
 
-// New makes an empty state whose numbers and versions begin above the given one.
+// New returns an empty state whose numbers and versions begin above the given one.
 func New(after uint64) *State {
 	return &State{
 		stage: StageSettled, roster: make(map[string]*RosterMember), evicted: make(map[string]uint64),
@@ -27,7 +27,7 @@
 	}
 }
 
-// Clone returns a copy that shares nothing that changes.
+// Clone returns a copy that shares no mutable state.
 func (s *State) Clone() *State {
 	c := *s
 	if s.change != nil {
@@ -43,12 +43,12 @@
 	return &c
 }
 
-// Apply carries out one command. Its error wraps one of the package's errors. A command
-// that is repeated, or is out of date, changes nothing.
+// Apply applies one command. Its error wraps one of the package's errors. A command that is
+// repeated or out of date changes nothing.
 func (s *State) Apply(c Command) error {
 	switch c.Op {
 	case OpJoin, OpLeave, OpAck, OpEvict, OpReport:
-		if c.Member.Name == "" || len(c.Member.Name) > maxName {
+		if c.Member.Name == "" || len(c.Member.Name) > maxNameBytes {
 			return fmt.Errorf("%w: no member is named", ErrInvalid)
 		}
 	}
--- a/internal/rollout/state_test.go
+++ b/internal/rollout/state_test.go
@@ -49,12 +49,12 @@
 		t.Errorf("got outcome %q, want n2 in it", last.Outcome)
 	}
 
-	for range 2 * maxHistory {
+	for range 2 * maxHistoryEntries {
 		h.propose(document(5), 0)
 		h.mustApply(Command{Op: OpAbort, ChangeNumber: h.state.change.Number, By: "op"})
 	}
-	if got := len(h.state.history); got != maxHistory {
-		t.Errorf("got a history of %d changes, want %d", got, maxHistory)
+	if got := len(h.state.history); got != maxHistoryEntries {
+		t.Errorf("got a history of %d changes, want %d", got, maxHistoryEntries)
 	}
 	checkSnapshot(t, h.state)
 }
--- a/internal/rollout/view.go
+++ b/internal/rollout/view.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// View is what one member is to act by.
+// View is the state of the policy for one member, which has to act by it.
 type View struct {
 	Version      uint64    `json:"version"`
 	Epoch        uint64    `json:"epoch"` // of the policy in force; 0: there is none, the member acts by its own configuration
@@ -14,10 +14,10 @@
 	ChangeNumber uint64    `json:"number,omitempty"`
 	NextDocument *Document `json:"next,omitempty"` // of the change, before it is committed
 	InRoster     bool      `json:"seated"`
-	ReportCounts bool      `json:"report,omitempty"` // the member is to report its counts from time to time
+	ReportCounts bool      `json:"report,omitempty"` // the member has to report its counts from time to time
 }
 
-// View returns what a member is to act by.
+// View returns the view of a member.
 func (s *State) View(m Member) View {
 	current := s.roster[m.Name]
 	v := View{
