--- a/internal/drain/compat_test.go
+++ b/internal/drain/compat_test.go
@@ -20,8 +20,9 @@
 	fixtureSeq     = 1_843_200_000_000_007
 )
 
-// recordsOf396a775 is what the records of one machine's drain say, by file.
-func recordsOf396a775() map[string]Drain {
+// expectedDrains returns the expected drains of one machine in the records that revision 396a775
+// wrote, by file.
+func expectedDrains() map[string]Drain {
 	operators := Drain{Machine: "m-1", Hosts: []string{"s-1", "s-2"}, Owner: "ops-a", BeganMS: fixtureStartMS}
 	controllers := Drain{
 		Machine: "m-1", Hosts: []string{"s-1", "s-2"}, Owner: OwnerControllers,
@@ -56,14 +57,14 @@
 	}
 }
 
-// A record that revision 396a775 wrote is read in full, and written again byte for byte.
+// A record that revision 396a775 wrote is decoded completely, and encoded again byte for byte.
 func TestRecordsOf396a775(t *testing.T) {
 	want := make(map[string]map[string]Drain)
-	for name, d := range recordsOf396a775() {
+	for name, d := range expectedDrains() {
 		want[name] = map[string]Drain{"m-1": d}
 	}
 	want["two-machines"] = map[string]Drain{
-		"m-1": recordsOf396a775()["handed-over-done"],
+		"m-1": expectedDrains()["handed-over-done"],
 		"m-3": {
 			Machine: "m-3", Step: Claimed, Hosts: []string{"s-5"}, Owner: OwnerControllers,
 			ExpiresMS: fixtureStartMS + 17_000, BeganMS: fixtureStartMS + 7000, DeadlineMS: fixtureStartMS + 307_000,
@@ -84,8 +85,9 @@
 	}
 }
 
-// worldOf396a775 is a registry with a record of revision 396a775, and the marks and stopped servers of its step.
-func worldOf396a775(t *testing.T, name string, d Drain) *world {
+// worldAtStep returns a registry with a record of revision 396a775, and the marks and stopped servers
+// of the drain's step.
+func worldAtStep(t *testing.T, name string, d Drain) *world {
 	t.Helper()
 	w := newWorld(t)
 	w.apply(registry.Command{Op: registry.OpPutRecord, Key: RecordKey, Value: fixture.Read(t, name+".json")})
@@ -108,12 +110,13 @@
 	return w
 }
 
-// A drain that revision 396a775 began is refused to others during its claim, and afterwards resumed, or undone, from each step.
-func TestDrainsOf396a775GoOn(t *testing.T) {
-	for name, d := range recordsOf396a775() {
+// A drain that revision 396a775 started is refused to other operators during its claim, and can then
+// be resumed or undone from each step.
+func TestResumeDrainsOf396a775(t *testing.T) {
+	for name, d := range expectedDrains() {
 		for _, undo := range []bool{false, true} {
 			synctest.Test(t, func(t *testing.T) {
-				w := worldOf396a775(t, name, d)
+				w := worldAtStep(t, name, d)
 				other := w.operator("ops-b").workflow()
 				if d.Owner == "ops-a" && d.Step != Done {
 					if err := other.Undrain(t.Context(), "m-1"); !errors.Is(err, ErrRefused) || !strings.Contains(err.Error(), "claimed by ops-a") {
@@ -137,7 +140,7 @@
 	}
 }
 
-// resume runs a drain to its end, as its owner or, where that is an operator, as another one.
+// resume runs a drain to its end: as the controllers if they own it, and as another operator otherwise.
 func resume(ctx context.Context, w *world, d Drain) error {
 	if d.Step == Done {
 		return nil
@@ -146,14 +149,14 @@
 		return w.operator("ops-b").workflow().Drain(ctx, d.Machine)
 	}
 	controllers := w.operator(OwnerControllers).workflow()
-	handed, err := controllers.HandedOver(ctx)
-	if err != nil || len(handed) != 1 || !reflect.DeepEqual(handed[0], d) {
-		return errors.Join(err, errors.New("the drain that was handed over is not found"))
+	handedOver, err := controllers.HandedOver(ctx)
+	if err != nil || len(handedOver) != 1 || !reflect.DeepEqual(handedOver[0], d) {
+		return errors.Join(err, errors.New("got other drains than the one that was handed over"))
 	}
-	return controllers.Resume(ctx, handed[0])
+	return controllers.Resume(ctx, handedOver[0])
 }
 
-// A configuration file of fleetctl is read to the values that revision 396a775 read.
+// A configuration file of fleetctl is decoded to the values that revision 396a775 decoded.
 func TestConfigurationsOf396a775(t *testing.T) {
 	for _, name := range []string{"fleetctl", "fleetctl-minimal"} {
 		c, err := LoadConfig(filepath.Join(fixture.Folder, name+".json"))
--- a/internal/drain/config.go
+++ b/internal/drain/config.go
@@ -58,11 +58,11 @@
 func (c *Config) check() error {
 	switch {
 	case len(c.Registry) == 0:
-		return errors.New("registry is empty: at least one replica address is needed")
+		return errors.New("registry is empty, want the address of at least one replica")
 	case c.Floor.Default < 0:
-		return errors.New("floor.others is missing or negative: the number of ready servers that must remain in a zone that floor.zones does not name")
+		return errors.New("floor.others is missing or negative, want the number of ready servers that must remain in a zone that floor.zones does not name")
 	case c.MaxRequestMS < 0:
-		return errors.New("longest_ms is missing or negative: the longest request timeout of any client")
+		return errors.New("longest_ms is missing or negative, want the longest request timeout of any client")
 	case c.Sidecars < 0:
 		return fmt.Errorf("sidecars is %d, it must not be negative", c.Sidecars)
 	case c.LeaseMS < minClaimTTL.Milliseconds():
--- a/internal/drain/config_test.go
+++ b/internal/drain/config_test.go
@@ -17,8 +17,8 @@
 		_, err := LoadConfig(path)
 		return err
 	}
-	const good = `{"registry":["127.0.0.1:1"],"floor":{"zones":{"a":2},"others":1},"longest_ms":6000}`
-	if err := load(good); err != nil {
+	const valid = `{"registry":["127.0.0.1:1"],"floor":{"zones":{"a":2},"others":1},"longest_ms":6000}`
+	if err := load(valid); err != nil {
 		t.Error(err)
 	}
 	for name, change := range map[string][2]string{
@@ -30,7 +30,7 @@
 		"a bad floor":   {`"a":2`, `"a":-2`},
 		"a short lease": {`"longest_ms"`, `"lease_ms":1,"longest_ms"`},
 	} {
-		if err := load(strings.Replace(good, change[0], change[1], 1)); err == nil || strings.Contains(err.Error(), "\n") {
+		if err := load(strings.Replace(valid, change[0], change[1], 1)); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: got error %v, want one line", name, err)
 		}
 	}
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// Whichever call the command crashes at, before its effect or after, nobody else can act while
-// its claim lasts; then another operator resumes the drain, or undoes it, to its end. The world
-// checks that servers are stopped only after the sidecars know and the work has ended.
+// The command crashes at each of its calls, before the call takes effect or after. No other
+// operator can act until the claim expires; then another operator resumes the drain or undoes it.
+// The world checks that servers are stopped only when the sidecars are notified and the servers idle.
 func TestCrashAtEveryCall(t *testing.T) {
 	ctx := context.Background()
 	for _, undo := range []bool{false, true} {
@@ -45,7 +45,7 @@
 				first.crashAt, first.afterEffect = at, after
 				if err := first.workflow().Drain(ctx, "m-1"); err == nil {
 					if at < 20 {
-						t.Fatalf("only %d calls were explored", at-1)
+						t.Fatalf("got %d calls, want at least 19", at-1)
 					}
 					break
 				} else if !errors.Is(err, errCrash) {
@@ -58,10 +58,10 @@
 				claimed, ended := len(status) > 0, len(status) > 0 && status[0].Step == Done
 				marks, seq := len(w.state.Marks()), w.state.Seq()
 				if claimed && !ended {
-					for what, do := range map[string]func(context.Context, string) error{
+					for what, run := range map[string]func(context.Context, string) error{
 						"drain": w.operator("ops-b").workflow().Drain, "undrain": w.operator("ops-b").workflow().Undrain,
 					} {
-						if err := do(ctx, "m-1"); !errors.Is(err, ErrRefused) || !strings.Contains(err.Error(), "claimed by ops-a") {
+						if err := run(ctx, "m-1"); !errors.Is(err, ErrRefused) || !strings.Contains(err.Error(), "claimed by ops-a") {
 							t.Errorf("%s: %s during the claim: got %v, want %v", name, what, err, ErrRefused)
 						}
 					}
@@ -88,7 +88,7 @@
 }
 
 // An undo that crashes is completed by another operator.
-func TestCrashOfTheUndo(t *testing.T) {
+func TestCrashDuringUndo(t *testing.T) {
 	ctx := context.Background()
 	for _, after := range []bool{false, true} {
 		for at := 1; ; at++ {
@@ -110,8 +110,8 @@
 	}
 }
 
-// Two concurrent drains never break the floor together, whichever of the first one's calls the
-// second comes between: one of them is refused.
+// A second drain runs before each call of the first one in turn. One of the two has to be refused, so
+// that together they never violate the floor.
 func TestTwoDrainsKeepTheFloor(t *testing.T) {
 	ctx := context.Background()
 	for at := 1; at < 25; at++ {
@@ -144,8 +144,8 @@
 	}
 }
 
-// Random crashes, clocks and operators: the last operator undoes every drain, and the floor
-// holds all the while (the world checks that).
+// Operators drain and undrain random machines, and crash at random calls while the clock advances.
+// The world checks that the floor always holds; at the end, one operator undoes every drain.
 func TestRandomOperators(t *testing.T) {
 	ctx := context.Background()
 	for seed := range uint64(300) {
@@ -181,7 +181,7 @@
 	}
 }
 
-// A drain is done when the machine's members have ended, and reports for whom it waits.
+// A drain is done when the machine's members have ended, and reports the members that it waits for.
 func TestDrainWaitsForMembers(t *testing.T) {
 	o := newWorld(t).operator("ops-a")
 	o.members = [][]string{{"k1", "s7"}, {"s7"}, {"s7"}, {}}
@@ -193,11 +193,11 @@
 	}
 	text := strings.Join(lines, "\n")
 	if len(o.members) != 0 || strings.Count(text, "waits for s7 to end") != 1 || !strings.Contains(text, "waits for k1, s7") || !strings.HasSuffix(text, "done") {
-		t.Errorf("%d checks were not made; it reported:\n%s", len(o.members), text)
+		t.Errorf("%d checks of the members were not made, want 0; the drain reported:\n%s", len(o.members), text)
 	}
 }
 
-// A drain whose time is up is undone.
+// A drain whose deadline has passed is undone.
 func TestDrainIsUndoneAfterTimeout(t *testing.T) {
 	w := newWorld(t)
 	w.watchStuck = true
@@ -215,7 +215,7 @@
 	w.check("out of time", "m-1", false)
 }
 
-// An operator who does not renew its claim in time loses it to another one.
+// An operator that does not renew its claim before it expires loses it to another one.
 func TestClaimIsLost(t *testing.T) {
 	w := newWorld(t)
 	w.watchStuck = true
@@ -235,8 +235,8 @@
 	w.check("taken over", "m-1", true)
 }
 
-// An operator whose command was stopped, at whichever call, changes nothing more of a machine
-// that another operator has brought back meanwhile.
+// A command that stalls at one of its calls, while another operator undoes the drain, changes
+// nothing more when it continues.
 func TestStalledOperatorChangesNothing(t *testing.T) {
 	for at := 2; at < 25; at++ {
 		w := newWorld(t)
@@ -276,7 +276,7 @@
 	w.check("drained", "m-1", true)
 }
 
-// Each refusal is one line that says why and what to do, and changes nothing.
+// Each refusal is one line with the reason, and changes nothing.
 func TestRefusals(t *testing.T) {
 	for name, x := range map[string]struct {
 		machine, want string
--- a/internal/drain/handover_test.go
+++ b/internal/drain/handover_test.go
@@ -10,10 +10,10 @@
 	"barleywick/internal/registry"
 )
 
-// errUnreachable stands for the registry client's error where a call has no time left.
+// errUnreachable is like the registry client's error for a call whose context has ended.
 var errUnreachable = errors.New("no replica of the registry answers")
 
-// timedRegistry makes no call whose context has ended, as the registry's client does.
+// timedRegistry fails calls whose context has ended, as the registry's client does.
 type timedRegistry struct{ Registry }
 
 func (r timedRegistry) Registrations(ctx context.Context) (registry.RegistrationsResponse, error) {
@@ -30,21 +30,21 @@
 	return r.Registry.Record(ctx, key)
 }
 
-// What happens: a drain was handed over, its deadline passes while no controller runs, and it
-// is never undone: its servers stay marked, every 5 s the log says `drain: failed` with `no
-// replica of the registry answers`, which they all do. Why: the controller that comes back
-// gives the drain a context that ends at the deadline, so that it has ended before the first
-// call, and only a drain that was claimed within that context is undone. The deadline is told
-// by another clock than the one the workflow has, too.
+// A drain that was handed over, and whose deadline passes while no controller runs, has to be
+// undone. The fault: the next controller ran the drain with a context that ended at the deadline,
+// so every call failed, but only a drain claimed within that context was undone. The servers
+// stayed marked, and every 5 s the log had `drain: failed` with `no replica of the registry
+// answers` although all replicas answered. The context also measured the deadline by another
+// clock than the workflow's.
 func TestDrainWhoseDeadlineHasPassedIsUndone(t *testing.T) {
 	const deadline = time.Minute
 	for _, late := range []time.Duration{time.Second, time.Hour} {
 		for _, step := range []Step{Claimed, Marked} {
 			name := fmt.Sprintf("%v late, at step %s", late, step)
 			w := newWorld(t)
-			w.watchStuck = true // the drain does not come further than Marked
-			ctx, giveUp := context.WithCancel(t.Context())
-			defer giveUp()
+			w.watchStuck = true // the drain does not get beyond the step Marked
+			ctx, cancel := context.WithCancel(t.Context())
+			defer cancel()
 			operator := w.operator("ops-a").workflow()
 			if err := operator.HandOver(ctx, "m-1", w.now.Add(deadline)); err != nil {
 				t.Fatal(err)
@@ -53,7 +53,7 @@
 				controller := w.operator(OwnerControllers)
 				controller.hook = func(call int) {
 					if call > 100 {
-						giveUp() // it goes on as if there were no deadline
+						cancel() // the drain ignores its deadline
 					}
 				}
 				o := controller.workflow()
@@ -61,17 +61,17 @@
 				return o
 			}
 			if step == Marked {
-				first, stop := context.WithCancel(ctx)
+				first, stopController := context.WithCancel(ctx)
 				o := controllers()
 				o.OnEvent = func(e Event) {
 					if e.Step == Marked {
-						stop() // the last controller ends
+						stopController() // the last controller ends
 					}
 				}
 				resumeHandedOver(first, t, o)
-				stop()
+				stopController()
 			}
-			w.now = w.now.Add(deadline + late) // nobody runs meanwhile, or the wall clock is set ahead
+			w.now = w.now.Add(deadline + late) // no controller runs meanwhile, or the wall clock is set ahead
 			if err := resumeHandedOver(ctx, t, controllers()); !errors.Is(err, ErrTimeout) {
 				t.Errorf("%s: got %v, want %v", name, err, ErrTimeout)
 			}
@@ -83,9 +83,9 @@
 // resumeHandedOver resumes the one drain that was handed over.
 func resumeHandedOver(ctx context.Context, t *testing.T, w *Workflow) error {
 	t.Helper()
-	handed, err := w.HandedOver(context.Background())
-	if err != nil || len(handed) != 1 {
-		t.Fatalf("got %d drains that were handed over, error %v; want one", len(handed), err)
+	handedOver, err := w.HandedOver(context.Background())
+	if err != nil || len(handedOver) != 1 {
+		t.Fatalf("got %d drains that were handed over, error %v; want one", len(handedOver), err)
 	}
-	return w.Resume(ctx, handed[0])
+	return w.Resume(ctx, handedOver[0])
 }
--- a/internal/drain/livefleet.go
+++ b/internal/drain/livefleet.go
@@ -42,7 +42,7 @@
 	// a version of the endpoint list, all sidecars are notified.
 	Sidecars int
 	// MaxRequestTime is the longest request timeout of any client. A server without load reports
-	// counts as idle when this time has passed.
+	// counts as idle when this time has passed after the notification deadline.
 	MaxRequestTime time.Duration
 	// StopCommand stops a server; {machine} and {host} are replaced by their names. If it is empty,
 	// the operator has to stop the server.
--- a/internal/drain/livefleet_test.go
+++ b/internal/drain/livefleet_test.go
@@ -74,7 +74,7 @@
 		check(fmt.Sprintf("report %q", text), want)
 	}
 	report, now = "no report", fleetStart.Add(notificationDeadline+f.MaxRequestTime)
-	check("no client waits any more", true)
+	check("the requests of all clients have timed out", true)
 	report, status, now = "inflight=0", http.StatusNotFound, fleetStart
 	check("an error response", false)
 	server.Close()
@@ -100,8 +100,8 @@
 	}
 }
 
-// A stop command that is interrupted, or has ended, does not hold its caller until the processes
-// end that it has started: they hold its output open.
+// A stop command that is interrupted, or has exited, does not block its caller although processes
+// that it has started keep its output open.
 func TestStopCommandThatLeavesProcesses(t *testing.T) {
 	for name, x := range map[string]struct {
 		then      string
@@ -116,17 +116,17 @@
 			ended := make(chan error, 1)
 			go func() { ended <- f.Stop(ctx, "m", "h") }()
 			pid := awaitPID(t, pidPath)
-			defer func() { _ = syscall.Kill(pid, syscall.SIGKILL) }() // it is the test's
+			defer func() { _ = syscall.Kill(pid, syscall.SIGKILL) }() // started by the stop command of this test
 			if x.interrupt {
 				cancel()
 			}
 			select {
 			case err := <-ended:
 				if (err != nil) != x.interrupt {
-					t.Errorf("got the error %v, want one: %v", err, x.interrupt)
+					t.Errorf("got error %v, want an error: %v", err, x.interrupt)
 				}
 			case <-time.After(10 * time.Second):
-				t.Error("the command holds its caller 10s after it has ended")
+				t.Error("the command blocks its caller 10s after it was interrupted or has exited")
 				_ = syscall.Kill(pid, syscall.SIGKILL)
 				<-ended
 			}
@@ -134,7 +134,7 @@
 	}
 }
 
-// awaitPID reads a process id from a file that is still to be written.
+// awaitPID waits for a file to be written, and returns the process id in it.
 func awaitPID(t *testing.T, path string) (pid int) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
--- a/internal/drain/steps_test.go
+++ b/internal/drain/steps_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// The wall clock is set ahead by an hour after a mark was written: by it, all sidecars would count as
-// notified and no client would wait any more. What counts is for how long this process has known the mark.
+// If the wall clock is set ahead by an hour after the servers were marked, all sidecars would count as
+// notified, and servers as idle, too early. So the time since the marks is measured from when this
+// process first saw them.
 func TestMarkCountsFromWhenItIsFirstSeen(t *testing.T) {
 	w := newWorld(t)
 	flow := w.operator("ops-a").workflow()
--- a/internal/drain/workflow.go
+++ b/internal/drain/workflow.go
@@ -40,12 +40,12 @@
 	Registry     Registry
 	Fleet        Fleet
 	Floor        Floor
-	Owner        string                                           // who claims the drains
+	Owner        string                                           // the name under which drains are claimed
 	ClaimTTL     time.Duration                                    // how long a claim lasts without a renewal
 	PollInterval time.Duration                                    // between two checks of a condition that a step waits for
 	Now          func() time.Time                                 // a clock that is the same on all machines
 	Sleep        func(ctx context.Context, d time.Duration) error // waits for d, or returns ctx's error
-	OnEvent      func(Event)                                      // is called with each event of a drain's progress
+	OnEvent      func(Event)                                      // called with each event of a drain's progress
 
 	mu        sync.Mutex
 	marksSeen map[string]seenMark // by machine
--- a/internal/drain/world_test.go
+++ b/internal/drain/world_test.go
@@ -11,17 +11,17 @@
 
 var errCrash = errors.New("the command crashed")
 
-// world is the registry's real state machine, and a fleet on a fake clock. A command of the test
-// ends at any of its calls as a crash would end it: before the call has an effect, or after.
+// world is the registry's real state machine, and a fleet on a fake clock. An operator's command
+// can crash at any of its calls, before the call takes effect or after.
 type world struct {
 	t          *testing.T
 	state      *registry.State
 	now        time.Time
 	floor      Floor
-	sidecarSeq uint64         // the version that the sidecars have; they get the latest in a sleep
-	work       map[string]int // sleeps until a server has no work, once the sidecars know its mark
+	sidecarSeq uint64         // the version that the sidecars have; each sleep updates it
+	work       map[string]int // the number of sleeps until a server is idle, once it is marked
 	stops      map[string]int // how often a server was stopped
-	watchStuck bool           // sidecars get no new version
+	watchStuck bool           // sidecars get no new version, and servers do not become idle
 }
 
 func newWorld(t *testing.T) *world {
@@ -50,7 +50,7 @@
 	}})
 }
 
-// apply applies a command to the registry, and checks that a mark keeps the floor.
+// apply applies a command to the registry, and checks that the floor holds after a mark.
 func (w *world) apply(c registry.Command) registry.Result {
 	c.AtMS = w.now.UnixMilli()
 	r := w.state.Apply(c)
@@ -109,10 +109,10 @@
 	name        string
 	calls       int
 	crashAt     int            // the call at which it crashes; 0: never
-	afterEffect bool           // the call at which it crashes has its effect
-	hook        func(call int) // is called before each call
+	afterEffect bool           // the call at which it crashes takes effect
+	hook        func(call int) // called before each call
 	crashed     bool
-	members     [][]string // members of the machine that remain, check by check; empty: none are waited for
+	members     [][]string // the members that remain at each check; empty: the drain does not wait for members
 }
 
 func (o *operator) workflow() *Workflow {
@@ -135,7 +135,7 @@
 	return ctx.Err()
 }
 
-// call runs one call's effect, unless the command crashes there.
+// call runs a call's effect, unless the command crashes at this call.
 func (o *operator) call(effect func()) error {
 	if o.crashed {
 		return errCrash
@@ -208,12 +208,12 @@
 	return names, true, nil
 }
 
-// Stop checks that nothing is stopped that is in use.
+// Stop checks that the server is not in use.
 func (o *operator) Stop(_ context.Context, _, host string) error {
 	return o.call(func() {
 		server, _ := o.state.Registration(host)
 		if server.Health != registry.HealthDraining || o.work[host] > 0 || o.sidecarSeq < server.Version {
-			o.t.Errorf("%s is stopped: it is %s, with %d to do, and sidecars have version %d of %d",
+			o.t.Errorf("%s is stopped while %s, with %d sleeps of work left, and sidecars at version %d, want at least %d",
 				host, server.Health, o.work[host], o.sidecarSeq, server.Version)
 		}
 		o.stops[host]++
--- a/internal/lease/compatibility_test.go
+++ b/internal/lease/compatibility_test.go
@@ -16,9 +16,9 @@
 
 // The files in testdata/396a775 were written by the code of that commit.
 
-// sessionStep is one call of a session and what the session said after it.
+// sessionStep is a call of a session and the state of the session after it.
 type sessionStep struct {
-	Claim  int                   `json:"claim"` // each has a session of its own
+	Claim  int                   `json:"claim"` // each claim has its own session
 	Call   string                `json:"call"`
 	Answer *registry.ClaimStatus `json:"answer"`
 	SentMS int64                 `json:"sent_ms"`
@@ -54,7 +54,7 @@
 	}
 }
 
-// observe returns the step with what the session says now.
+// observe returns the step with the current state of the session.
 func (x sessionStep) observe(s *Session, now time.Duration) sessionStep {
 	x.Held, x.Ended, x.Token = s.Held(now), s.Ended(now), s.Token()
 	x.Deadline, x.Age = int64(s.Deadline()), int64(s.Age(now))
--- a/internal/lease/fakeregistry_test.go
+++ b/internal/lease/fakeregistry_test.go
@@ -14,11 +14,11 @@
 
 var errLost = errors.New("lost")
 
-// loss is what becomes of a holder's calls.
-type loss int
+// lossMode selects which messages of a holder's calls are lost.
+type lossMode int
 
 const (
-	lossNone loss = iota
+	lossNone lossMode = iota
 	lossOfCalls
 	lossOfAnswers
 )
@@ -29,12 +29,12 @@
 	mu      sync.Mutex
 	state   *registry.State
 	tracker *registry.ClaimTracker
-	lost    map[string]loss // by holder
+	lost    map[string]lossMode // by holder
 }
 
 func newFakeRegistry(t *testing.T) *fakeRegistry {
 	t.Helper()
-	r := &fakeRegistry{state: registry.NewState(), tracker: registry.NewClaimTracker(ttl), lost: make(map[string]loss)}
+	r := &fakeRegistry{state: registry.NewState(), tracker: registry.NewClaimTracker(ttl), lost: make(map[string]lossMode)}
 	r.apply(registry.Command{Op: registry.OpFoundGroup, Group: "g", AtMS: 1_700_000_000_000})
 	r.apply(registry.Command{Op: registry.OpOpenGrants, Lease: new(registry.LeaseCommand)})
 	return r
@@ -77,7 +77,7 @@
 	return err
 }
 
-func (r *fakeRegistry) setLoss(holder string, l loss) {
+func (r *fakeRegistry) setLoss(holder string, l lossMode) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lost[holder] = l
--- a/internal/lease/handle.go
+++ b/internal/lease/handle.go
@@ -73,7 +73,7 @@
 }
 
 // HandOver ends the task that runs under the lease, and releases the lease to the named
-// process in its queue.
+// process in its queue, or to the first one if the name is empty.
 func (h *Handle) HandOver(to string) {
 	h.manager.mu.Lock()
 	defer h.manager.mu.Unlock()
--- a/internal/lease/manager_test.go
+++ b/internal/lease/manager_test.go
@@ -13,7 +13,7 @@
 	"barleywick/internal/registry"
 )
 
-// harness runs managers in a bubble and records who holds the lease "l" and when.
+// harness runs managers in a synctest bubble and records which holder holds the lease "l" when.
 type harness struct {
 	registry *fakeRegistry
 	ctx      context.Context
@@ -49,9 +49,9 @@
 	})
 }
 
-// join starts a manager that holds the lease for as long as it can, until leave is
-// called. Its clock begins when the bubble's does.
-func (h *harness) join(holder string) (leave context.CancelFunc) {
+// startHolder starts a manager that holds the lease for as long as it can, until leave is
+// called. Its clock reads 0 at the call.
+func (h *harness) startHolder(holder string) (leave context.CancelFunc) {
 	ctx, cancel := context.WithCancel(h.ctx)
 	start := time.Now()
 	m := NewManager(Options{
@@ -77,7 +77,7 @@
 	}
 }
 
-// holder returns who holds the lease, as the registry has it.
+// holder returns the holder of the lease according to the registry.
 func (h *harness) holder() string {
 	h.registry.mu.Lock()
 	defer h.registry.mu.Unlock()
@@ -90,11 +90,11 @@
 
 func TestHandOver(t *testing.T) {
 	run(t, func(h *harness) {
-		leave := h.join("k1")
+		leave := h.startHolder("k1")
 		time.Sleep(time.Second)
-		h.join("k2")
+		h.startHolder("k2")
 		time.Sleep(time.Second)
-		h.join("k3")
+		h.startHolder("k3")
 		time.Sleep(10 * ttl)
 		if got := h.holder(); got != "k1" {
 			t.Fatalf("after ten times the time to live: got holder %q, want k1", got)
@@ -115,26 +115,26 @@
 	})
 }
 
-// A holder that is cut off in one direction or in both stops before another begins,
-// and another begins within the time to live.
+// A holder whose calls or answers are lost stops before another holder begins, and another
+// holder begins within twice the time to live.
 func TestCutOff(t *testing.T) {
-	for name, l := range map[string]loss{"out": lossOfCalls, "back": lossOfAnswers} {
+	for name, l := range map[string]lossMode{"out": lossOfCalls, "back": lossOfAnswers} {
 		t.Run(name, func(t *testing.T) {
 			run(t, func(h *harness) {
-				h.join("k1")
+				h.startHolder("k1")
 				time.Sleep(time.Second)
-				h.join("k2")
+				h.startHolder("k2")
 				time.Sleep(ttl)
 				h.registry.setLoss("k1", l)
 				cut := time.Now()
 				for h.holder() != "k2" {
 					time.Sleep(10 * time.Millisecond)
 					if time.Since(cut) > 3*ttl {
-						t.Fatal("the lease stays with a holder that is cut off")
+						t.Fatal("the lease is still held by the partitioned holder after three times the time to live")
 					}
 				}
-				// Where only answers are lost, the holder's renewals still arrive until it
-				// stops by itself.
+				// If only answers are lost, the holder's renewals still arrive until it stops
+				// by itself.
 				if took := time.Since(cut); took > 2*ttl {
 					t.Errorf("got another holder after %v, want at most %v", took, 2*ttl)
 				}
@@ -148,7 +148,7 @@
 func TestActs(t *testing.T) {
 	run(t, func(h *harness) {
 		start := time.Now()
-		var stopped atomic.Int64 // for how long the process was stopped
+		var stopped atomic.Int64 // for how long the process was suspended
 		m := NewManager(Options{
 			Registry: h.registry, TTL: ttl, Holder: registry.Holder{Name: "k1"},
 			Clock: func() time.Duration { return time.Since(start) + time.Duration(stopped.Load()) },
--- a/internal/lease/model/message.go
+++ b/internal/lease/model/message.go
@@ -30,7 +30,7 @@
 	sentAt     time.Duration // by the holder's clock
 	token      uint64        // of a write
 	answer     registry.ClaimStatus
-	toAcquire  bool // the answer is to an acquire
+	toAcquire  bool // the call was an acquire
 	duplicated bool
 }
 
--- a/internal/lease/model/model_test.go
+++ b/internal/lease/model/model_test.go
@@ -18,12 +18,12 @@
 	},
 	"one name":      {Holders: 2, Leases: 1, TTL: 2 * time.Second, Tick: time.Second, MaxInFlight: 3, EndTime: 4 * time.Second, SharedName: true},
 	"an old backup": {Holders: 2, Leases: 1, TTL: 2 * time.Second, Tick: time.Second, MaxInFlight: 2, MaxRestores: 1, EndTime: 4 * time.Second},
-	// No time passes here, so that orders of calls are searched further.
+	// No time passes here, so that orders of calls are searched to a greater depth.
 	"late calls":        {Holders: 2, Leases: 1, TTL: 2 * time.Second, Tick: time.Second, MaxInFlight: 3, MaxDuplicates: 1},
 	"restarted holders": {Holders: 2, Leases: 1, TTL: 2 * time.Second, Tick: time.Second, MaxInFlight: 2, MaxRestarts: 2, MaxElections: 1, EndTime: 5 * time.Second},
 }
 
-// TestProofBySearch tries every order of events to a depth.
+// TestProofBySearch checks every order of steps to a depth.
 func TestProofBySearch(t *testing.T) {
 	depth, maxStates := 16, 150_000
 	if long {
@@ -37,13 +37,13 @@
 			}
 			t.Logf("%d states, all to depth %d; checked: %+v", states, fullDepth, seen)
 			if fullDepth < 8 || states < 10_000 || seen.Grants == 0 || seen.Acts == 0 || seen.Writes == 0 {
-				t.Errorf("too little was checked: got %d states to depth %d, %+v", states, fullDepth, seen)
+				t.Errorf("too few events were checked: got %d states to depth %d, %+v", states, fullDepth, seen)
 			}
 		})
 	}
 }
 
-// TestProofBySchedules draws long histories from seeds.
+// TestProofBySchedules checks long random schedules, drawn from seeds.
 func TestProofBySchedules(t *testing.T) {
 	walks := 1500
 	if long {
@@ -63,6 +63,6 @@
 	}
 	t.Logf("%d schedules; checked: %+v", walks, all)
 	if all.Grants < 5*walks || all.Acts < 50*walks || all.Writes < 5*walks || all.Refused == 0 || all.Faults < 10*walks {
-		t.Errorf("too little was checked: %+v", all)
+		t.Errorf("too few events were checked: %+v", all)
 	}
 }
--- a/internal/rollout/canary_test.go
+++ b/internal/rollout/canary_test.go
@@ -40,7 +40,7 @@
 			for i := range members {
 				report(h.member(i), RequestCounts{Requests: 5000, Refused: 4000}) // before the change
 			}
-			if c, any := Decide(h.state.Status(), h.nowMS+20); any {
+			if c, ok := Decide(h.state.Status(), h.nowMS+20); ok {
 				t.Errorf("without requests: got %+v, want no decision", c)
 			}
 			for i := range members {
@@ -50,11 +50,11 @@
 				}
 				report(h.member(i), counts)
 			}
-			if c, any := Decide(h.state.Status(), change.CanarySinceMS+5); any {
+			if c, ok := Decide(h.state.Status(), change.CanarySinceMS+5); ok {
 				t.Errorf("before the time is over: got %+v, want no decision", c)
 			}
-			c, any := Decide(h.state.Status(), change.CanarySinceMS+10)
-			if !any {
+			c, ok := Decide(h.state.Status(), change.CanarySinceMS+10)
+			if !ok {
 				t.Fatal("after the time: got no decision")
 			}
 			h.mustApply(c)
@@ -65,11 +65,10 @@
 	}
 }
 
-// What happens: an operator reads that a change was aborted as its canaries had too few requests,
-// and tries again with a longer time, although they had enough. Why: the leader compares them
-// only before the change's deadline; where no controller ran until after it, the abort gave
-// the one reason that it knew.
-func TestAbortOfCanariesAtTheDeadlineSaysWhy(t *testing.T) {
+// The leader compares canaries only before the change's deadline. If no controller ran until
+// after the deadline, the abort always gave the reason that the canaries had too few requests,
+// also when they had enough, so operators proposed the change again with a longer time.
+func TestAbortAtDeadlineGivesReason(t *testing.T) {
 	for name, x := range map[string]struct {
 		requests, refused uint64 // of each canary
 		by, reason        string
@@ -94,17 +93,17 @@
 				h.mustApply(Command{Op: OpReport, Member: h.member(i), ChangeNumber: change.Number, Counts: reported})
 			}
 		}
-		c, any := Decide(h.state.Status(), change.DeadlineMS)
-		if !any || c.Op != OpAbort || c.By != x.by || !strings.Contains(c.Reason, x.reason) {
-			t.Errorf("%s: got %s by %q: %q, want it aborted by %q as %q", name, c.Op, c.By, c.Reason, x.by, x.reason)
+		c, ok := Decide(h.state.Status(), change.DeadlineMS)
+		if !ok || c.Op != OpAbort || c.By != x.by || !strings.Contains(c.Reason, x.reason) {
+			t.Errorf("%s: got %s by %q with reason %q, want an abort by %q with reason %q", name, c.Op, c.By, c.Reason, x.by, x.reason)
 		}
 	}
 }
 
-// What happens: after 1,024 different sidecars were evicted, every further eviction is refused as
-// full, and a rollout waits for ever for a sidecar whose machine is gone. Why: no evicted name
-// is ever forgotten, also where nothing of it is left.
-func TestEvictionsDoNotFillUp(t *testing.T) {
+// The number of evictions that are kept is limited. Without removal of the oldest, every eviction
+// after the first 1,024 sidecars was refused as full, and a rollout waited forever for a sidecar
+// whose machine no longer existed.
+func TestEvictionsBeyondMaximum(t *testing.T) {
 	h := newHarness(t, 0)
 	for i := range maxEvicted + 10 {
 		h.mustApply(Command{Op: OpJoin, Member: h.member(i)})
--- a/internal/rollout/compatibility_test.go
+++ b/internal/rollout/compatibility_test.go
@@ -21,7 +21,7 @@
 
 // The files in testdata/396a775 were written by the code of that commit.
 
-// transcriptLine is one command, and what everybody saw after it.
+// transcriptLine is a command, with the state, the views and the decisions after it.
 type transcriptLine struct {
 	Command   json.RawMessage            `json:"command"`
 	Error     string                     `json:"error"`
@@ -64,7 +64,7 @@
 	return lines
 }
 
-// sameJSON compares what a value is written as with what the earlier version wrote.
+// sameJSON compares the encoding of a value with that of the earlier version.
 func sameJSON(t *testing.T, what string, old json.RawMessage, value any) {
 	t.Helper()
 	text, err := json.Marshal(value)
@@ -160,7 +160,7 @@
 			}
 			if want {
 				decided++
-				sameJSON(t, fmt.Sprintf("decision %d after %d ms", i, after), withTrueReason(t, old, st), next)
+				sameJSON(t, fmt.Sprintf("decision %d after %d ms", i, after), withCorrectedReason(t, old, st), next)
 			}
 		}
 	}
@@ -169,10 +169,10 @@
 	}
 }
 
-// withTrueReason returns a decision of the earlier version as it has to be now. That version
-// gave too few requests as the reason of every abort of confirmed canaries at the deadline,
-// also where there were enough; all else stays as it was.
-func withTrueReason(t *testing.T, old json.RawMessage, st Status) json.RawMessage {
+// withCorrectedReason returns the decision that is expected in place of one of the earlier
+// version. That version gave too few requests as the reason of every abort of confirmed canaries
+// at the deadline, also where there were enough. All other decisions are unchanged.
+func withCorrectedReason(t *testing.T, old json.RawMessage, st Status) json.RawMessage {
 	t.Helper()
 	const tooFew = "too few requests at those that went ahead to compare them"
 	worse, enough := CompareCanaries(st)
@@ -202,7 +202,7 @@
 		strictJSON(t, l.Views["n0/1"], &v)
 		f.HandleView(v)
 		active, acting := f.Active()
-		var stored ActivePolicy // as the policy store has it
+		var stored ActivePolicy // as the policy store encodes it
 		strictJSON(t, l.Follower.Active, &stored)
 		if !reflect.DeepEqual(active, stored) || acting != l.Follower.Acting {
 			t.Errorf("view %d: got %+v, %v, want %+v, %v", i, active, acting, stored, l.Follower.Acting)
@@ -212,10 +212,10 @@
 		if f.Fatal() != nil || l.Follower.Fatal != "" {
 			t.Errorf("view %d: got fatal error %v, want %q", i, f.Fatal(), l.Follower.Fatal)
 		}
-		next, any := f.NextCommand()
-		if want := l.Follower.Next != nil; any != want {
-			t.Errorf("view %d: got a command: %v, want %v", i, any, want)
-		} else if any {
+		next, ok := f.NextCommand()
+		if want := l.Follower.Next != nil; ok != want {
+			t.Errorf("view %d: got a command: %v, want %v", i, ok, want)
+		} else if ok {
 			sameJSON(t, fmt.Sprintf("command %d", i), l.Follower.Next, next)
 		}
 		epoch, stage, refused := f.Summary()
@@ -226,7 +226,7 @@
 		if got := fmt.Sprint(change, " ", wanted); got != l.Follower.Reports {
 			t.Errorf("view %d: got reports %q, want %q", i, got, l.Follower.Reports)
 		}
-		if any && i%2 == 1 {
+		if ok && i%2 == 1 {
 			f.HandleResult(next, nil)
 		}
 	}
@@ -295,7 +295,7 @@
 		if err := configfile.DecodeTOML([]byte(x.TOML), fromTOML); err != nil {
 			t.Errorf("document %d: %v", i, err)
 		}
-		// TOML reads an empty list where JSON has null: the checksums differ there.
+		// TOML decodes an empty list where JSON has null, so the checksums differ there.
 		if got := fromTOML.Checksum(); got != x.Checksum && len(d.Tenants) > 0 {
 			t.Errorf("document %d read from TOML: got checksum %s, want %s", i, got, x.Checksum)
 		}
--- a/internal/rollout/document_test.go
+++ b/internal/rollout/document_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// twoDocuments differ in most fields.
+// twoDocuments returns two documents that differ in most fields.
 func twoDocuments() (a, b *Document) {
 	a, b = document(4), document(6)
 	a.MaxAttempts, b.NoProbes, b.MaxClientConnections = 3, true, 50
--- a/internal/rollout/follower_test.go
+++ b/internal/rollout/follower_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// A sidecar that finds at joint that it cannot act by the change after all refuses it with
-// its next command, and acknowledges it once it is in force.
+// A sidecar that finds at StageJoint that it cannot act by the change refuses it with its next
+// command, and acknowledges the change once it is in force.
 func TestFollowerRefuses(t *testing.T) {
 	f := &Follower{Self: Member{"n0", 1}, Supports: (*Document).Check}
 	wantAck := func(stage Stage, refusal string) Command {
 		t.Helper()
-		c, any := f.NextCommand()
-		if !any || c.Op != OpAck || c.Stage != stage || c.Refusal != refusal {
-			t.Errorf("got %+v, %v, want an acknowledgement of %s with refusal %q", c, any, stage, refusal)
+		c, ok := f.NextCommand()
+		if !ok || c.Op != OpAck || c.Stage != stage || c.Refusal != refusal {
+			t.Errorf("got %+v, %v, want an acknowledgement of %s with refusal %q", c, ok, stage, refusal)
 		}
 		return c
 	}
@@ -26,7 +26,7 @@
 		t.Errorf("got refusal %q, want %q", refused, "no room")
 	}
 
-	f.HandleView(View{Version: 4, Stage: StageSettled, InRoster: true}) // an older view that comes late
+	f.HandleView(View{Version: 4, Stage: StageSettled, InRoster: true}) // an older view that arrives late
 	if active, acting := f.Active(); !acting || active.JointChange != 9 {
 		t.Errorf("after an older view: got %+v, %v, want joint change 9", active, acting)
 	}
@@ -34,13 +34,13 @@
 	f.HandleView(View{Version: 6, Stage: StageCommitted, ChangeNumber: 9, Epoch: 9, Document: document(4), InRoster: true})
 	c = wantAck(StageCommitted, "")
 	f.HandleResult(c, nil)
-	if c, any := f.NextCommand(); any {
+	if c, ok := f.NextCommand(); ok {
 		t.Errorf("after the last acknowledgement: got %+v, want no command", c)
 	}
 
 	f.HandleView(View{Version: 7, Stage: StageSettled, Epoch: 9, Document: document(4)})
 	if active, acting := f.Active(); acting {
-		t.Errorf("outside the roster: got %+v, want not to act", active)
+		t.Errorf("outside the roster: got %+v, want the sidecar not to act", active)
 	}
 	if c, _ := f.NextCommand(); c.Op != OpJoin {
 		t.Errorf("outside the roster: got %+v, want %s", c, OpJoin)
--- a/internal/rollout/harness_test.go
+++ b/internal/rollout/harness_test.go
@@ -10,14 +10,14 @@
 	return &Document{FormatVersion: 1, Mode: ModeCarry, Tenants: []Tenant{{"a", slots, 1}, {"b", 2, 1}}}
 }
 
-// harness applies commands to a state, one a millisecond.
+// harness applies commands to a state, one per millisecond.
 type harness struct {
 	t     *testing.T
 	state *State
 	nowMS int64
 }
 
-// newHarness makes a state with members n0, n1 and so on.
+// newHarness returns a harness whose state has members n0, n1 and so on.
 func newHarness(t *testing.T, members int) *harness {
 	h := &harness{t: t, state: New(100)}
 	for i := range members {
@@ -50,7 +50,7 @@
 	h.mustApply(c)
 }
 
-// ackAll has the first n members acknowledge the stage that their views show.
+// ackAll makes the first n members acknowledge the stage of their views.
 func (h *harness) ackAll(n int) {
 	h.t.Helper()
 	for i := range n {
--- a/internal/rollout/model/message.go
+++ b/internal/rollout/model/message.go
@@ -31,8 +31,8 @@
 func (w *World) call(i int) {
 	s := w.sidecars[i]
 	s.active, s.acting = s.follower.Active()
-	c, any := s.follower.NextCommand()
-	if !any {
+	c, ok := s.follower.NextCommand()
+	if !ok {
 		c = rollout.Command{}
 		if number, wanted := s.follower.ReportsWanted(); wanted {
 			counts := rollout.RequestCounts{Requests: uint64(w.checker.Steps) * 100}
@@ -43,7 +43,7 @@
 	w.network = append(w.network, message{kind: request, process: i, member: s.self, command: c})
 }
 
-// sendLeave makes a sidecar send the registry that it leaves the roster.
+// sendLeave sends the command by which a sidecar leaves the roster.
 func (w *World) sendLeave(i int) {
 	s := w.sidecars[i]
 	c := rollout.Command{Op: rollout.OpLeave, Member: s.self}
--- a/internal/rollout/model/model_test.go
+++ b/internal/rollout/model/model_test.go
@@ -20,7 +20,7 @@
 	"one leaves":  {Sidecars: 3, MaxProposals: 1, MaxInFlight: 3, Leaders: 2, MaxLeaves: 1},
 }
 
-// TestProofBySearch tries every order of events to a depth.
+// TestProofBySearch checks every order of steps to a depth.
 func TestProofBySearch(t *testing.T) {
 	depth, maxStates := 40, 60_000
 	if long {
@@ -38,13 +38,13 @@
 			}
 			t.Logf("%d states, all to depth %d; checked: %+v", states, fullDepth, seen)
 			if states < 1000 || seen.Acting == 0 || seen.Joint == 0 && fullDepth < 14 {
-				t.Errorf("too little was checked: got %d states to depth %d, %+v", states, fullDepth, seen)
+				t.Errorf("too few events were checked: got %d states to depth %d, %+v", states, fullDepth, seen)
 			}
 		})
 	}
 }
 
-// TestProofBySchedules draws long histories from seeds.
+// TestProofBySchedules checks long random schedules, drawn from seeds.
 func TestProofBySchedules(t *testing.T) {
 	walks := 2000
 	if long {
@@ -64,6 +64,6 @@
 	}
 	t.Logf("%d schedules; checked: %+v", walks, all)
 	if all.Commits < walks/8 || all.Joint < 5*walks || all.Acting < 50*walks || all.Faults < 5*walks {
-		t.Errorf("too little was checked: %+v", all)
+		t.Errorf("too few events were checked: %+v", all)
 	}
 }
--- a/internal/rollout/model/steps.go
+++ b/internal/rollout/model/steps.go
@@ -97,7 +97,7 @@
 func (w *World) leaderSteps(l *stepList) {
 	for i, status := range w.leaders {
 		l.add(5, noActor, func(w *World) { w.leaders[i] = w.state.Status() }, "leader %d reads", i)
-		if _, any := rollout.Decide(status, w.nowMS); any && w.canSend() {
+		if _, ok := rollout.Decide(status, w.nowMS); ok && w.canSend() {
 			l.add(5, noActor, func(w *World) {
 				c, _ := rollout.Decide(w.leaders[i], w.nowMS)
 				w.network = append(w.network, message{kind: leaderCommand, process: i, command: c})
--- a/internal/rollout/model/walk.go
+++ b/internal/rollout/model/walk.go
@@ -80,7 +80,7 @@
 // decideAndApply makes a leader read the status and apply its decision.
 func (w *World) decideAndApply(i int) {
 	w.leaders[i] = w.state.Status()
-	if c, any := rollout.Decide(w.leaders[i], w.nowMS); any {
+	if c, ok := rollout.Decide(w.leaders[i], w.nowMS); ok {
 		w.apply(c)
 	}
 }
--- a/internal/rollout/process_test.go
+++ b/internal/rollout/process_test.go
@@ -20,11 +20,11 @@
 	if !m.ProcessGone("m") || m.ProcessGone("other") {
 		t.Errorf("an ended process: got gone %v here, %v on another machine, want true, false", m.ProcessGone("m"), m.ProcessGone("other"))
 	}
-	reused := RosterMember{Process: Process{"m", os.Getpid(), 1}} // another process has the id now
+	reused := RosterMember{Process: Process{"m", os.Getpid(), 1}} // another process has this PID now
 	if !reused.ProcessGone("m") {
-		t.Error("a process whose id another one has: got not gone")
+		t.Error("a process whose PID another one has: got not gone, want gone")
 	}
 	if (RosterMember{}).ProcessGone("") {
-		t.Error("a member without a process: got gone")
+		t.Error("a member without a process: got gone, want not gone")
 	}
 }
--- a/internal/rollout/state_test.go
+++ b/internal/rollout/state_test.go
@@ -19,7 +19,7 @@
 	h.advance()
 	h.ackAll(2)
 
-	// A member that starts again has acknowledged nothing.
+	// A member that restarts has acknowledged nothing.
 	h.mustApply(Command{Op: OpJoin, Member: Member{"n0", 2}})
 	if got, want := h.state.waitingFor(), []string{"n0", "n2"}; !slices.Equal(got, want) {
 		t.Errorf("waits for %v, want %v", got, want)
@@ -35,10 +35,10 @@
 	}
 	h.wantError("to abort a committed change", Command{Op: OpAbort, ChangeNumber: number, By: "op"}, ErrConflict)
 	h.mustApply(Command{Op: OpAck, Member: Member{"n0", 2}, ChangeNumber: number, Stage: StageCommitted})
-	h.mustApply(Command{Op: OpLeave, Member: h.member(1)}) // the last member that the change waits for
+	h.mustApply(Command{Op: OpLeave, Member: h.member(1)}) // the last member for which the change waits
 	h.wantStage(number, StageSettled)
 
-	// A refusal aborts the next change, also that of a member that joined during it.
+	// A refusal aborts the next change, even by a member that joined during it.
 	h.propose(document(5), 0)
 	h.mustApply(Command{Op: OpAck, Member: Member{"n0", 2}, ChangeNumber: h.state.change.Number, Stage: StagePreparing})
 	h.advance()
@@ -59,8 +59,8 @@
 	checkSnapshot(t, h.state)
 }
 
-// checkSnapshot checks that a state survives its snapshot, and that malformed snapshots are
-// refused.
+// checkSnapshot checks that a state can be restored from its snapshot, and that malformed
+// snapshots are rejected.
 func checkSnapshot(t *testing.T, s *State) {
 	t.Helper()
 	text, err := json.Marshal(s)
