--- a/internal/lease/fakeregistry_test.go
+++ b/internal/lease/fakeregistry_test.go
@@ -14,11 +14,11 @@
 
 var errLost = errors.New("lost")
 
-// loss is what becomes of a holder's calls.
-type loss int
+// lossMode selects which messages of a holder's calls are lost.
+type lossMode int
 
 const (
-	lossNone loss = iota
+	lossNone lossMode = iota
 	lossOfCalls
 	lossOfAnswers
 )
@@ -29,12 +29,12 @@
 	mu      sync.Mutex
 	state   *registry.State
 	tracker *registry.ClaimTracker
-	lost    map[string]loss // by holder
+	lost    map[string]lossMode // by holder
 }
 
 func newFakeRegistry(t *testing.T) *fakeRegistry {
 	t.Helper()
-	r := &fakeRegistry{state: registry.NewState(), tracker: registry.NewClaimTracker(ttl), lost: make(map[string]loss)}
+	r := &fakeRegistry{state: registry.NewState(), tracker: registry.NewClaimTracker(ttl), lost: make(map[string]lossMode)}
 	r.apply(registry.Command{Op: registry.OpFoundGroup, Group: "g", AtMS: 1_700_000_000_000})
 	r.apply(registry.Command{Op: registry.OpOpenGrants, Lease: new(registry.LeaseCommand)})
 	return r
@@ -62,12 +62,12 @@
 }
 
 // call makes a holder's call, unless the call or its answer is lost.
-func (r *fakeRegistry) call(ctx context.Context, holder string, do func() error) error {
+func (r *fakeRegistry) call(ctx context.Context, holder string, effect func() error) error {
 	r.mu.Lock()
 	lost := r.lost[holder]
 	var err error
 	if lost != lossOfCalls {
-		err = do()
+		err = effect()
 	}
 	r.mu.Unlock()
 	if lost != lossNone {
@@ -77,7 +77,7 @@
 	return err
 }
 
-func (r *fakeRegistry) setLoss(holder string, l loss) {
+func (r *fakeRegistry) setLoss(holder string, l lossMode) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lost[holder] = l
@@ -109,12 +109,12 @@
 }
 
 func (r *fakeRegistry) Leases(ctx context.Context, after uint64, wait time.Duration) (registry.LeasesResponse, error) {
-	until := time.Now().Add(wait)
+	deadline := time.Now().Add(wait)
 	for {
 		r.mu.Lock()
 		leases, version := r.state.Leases().List()
 		r.mu.Unlock()
-		if version > after || !time.Now().Before(until) {
+		if version > after || !time.Now().Before(deadline) {
 			return registry.LeasesResponse{Version: version, Leases: leases}, nil
 		}
 		select {
