--- a/internal/simulation/emulator/advicetask.go
+++ b/internal/simulation/emulator/advicetask.go
@@ -22,20 +22,20 @@
 const fleetName = "emulator"
 
 // adviceTaker is a Decider that accepts overload advice.
-type adviceTaker interface {
+type adviceReceiver interface {
 	Advise(now time.Duration, a policy.OverloadAdvice)
 	Congestion(now time.Duration) float64
 }
 
 func newAdviceTask(s *Sim) *adviceTask {
 	a := &adviceTask{sim: s, disconnected: make([]int, s.scenario.Sidecars)}
-	a.newHolder()
+	a.moveToNewHolder()
 	a.updateAdvice()
 	return a
 }
 
 // newHolder restarts the task at another lease holder.
-func (a *adviceTask) newHolder() {
+func (a *adviceTask) moveToNewHolder() {
 	a.token++
 	a.planner = overload.NewPlanner(fleetName, a.token)
 }
@@ -51,20 +51,20 @@
 	n.counts = make([]overload.TenantCounts, len(a.sim.scenario.Tenants))
 	n.adviceFilter = overload.AdviceFilter{Fleet: fleetName}
 	n.digests = 0
-	var again func()
-	again = func() {
+	var sendNext func()
+	sendNext = func() {
 		a.exchange(n)
-		n.afterInEpoch(overload.ReportInterval, again)
+		n.afterInEpoch(overload.ReportInterval, sendNext)
 	}
 	// Spread, so that digests do not arrive all at once.
-	n.afterInEpoch(overload.ReportInterval*time.Duration(n.index%97+1)/97, again)
+	n.afterInEpoch(overload.ReportInterval*time.Duration(n.index%97+1)/97, sendNext)
 }
 
 // exchange sends a digest to the task and its advice back.
 func (a *adviceTask) exchange(n *node) {
 	s := a.sim
-	d, takes := n.decider.(adviceTaker)
-	if !takes {
+	d, accepts := n.decider.(adviceReceiver)
+	if !accepts {
 		return
 	}
 	n.digests++
@@ -79,32 +79,32 @@
 	if a.disconnected[n.index] > 0 {
 		return
 	}
-	way := s.delay(n.zone, 0)
-	n.afterInEpoch(way, func() {
+	oneWay := s.delay(n.zone, 0)
+	n.afterInEpoch(oneWay, func() {
 		if a.planner.AddDigest(s.now, digest) != nil {
 			return
 		}
-		word := a.current
-		n.afterInEpoch(way, func() {
-			if n.adviceFilter.Accept(word) != nil {
+		advice := a.current
+		n.afterInEpoch(oneWay, func() {
+			if n.adviceFilter.Accept(advice) != nil {
 				return
 			}
-			parts := make([]float64, len(s.scenario.Tenants))
-			for i := range parts {
-				parts[i] = 1
-				for _, p := range word.Tenants {
+			shares := make([]float64, len(s.scenario.Tenants))
+			for i := range shares {
+				shares[i] = 1
+				for _, p := range advice.Tenants {
 					if p.Tenant == s.scenario.Tenants[i].Name {
-						parts[i] = p.AdmitFraction
+						shares[i] = p.AdmitFraction
 					}
 				}
 			}
-			d.Advise(s.now, policy.OverloadAdvice{AdmittedShares: parts, ValidFor: time.Duration(word.ValidMS) * time.Millisecond})
+			d.Advise(s.now, policy.OverloadAdvice{AdmittedShares: shares, ValidFor: time.Duration(advice.ValidMS) * time.Millisecond})
 		})
 	})
 }
 
 // count counts the outcome of a request for the next digest.
-func (n *node) count(r *request, a Answer) {
+func (n *node) countOutcome(r *request, a Answer) {
 	if n.counts == nil {
 		return
 	}
@@ -123,16 +123,16 @@
 // disconnectAdvice disconnects a fraction of the sidecars from the task; where it is all of them, another
 // holder, without any digests, has the task afterwards.
 func (s *Sim) disconnectAdvice(t *Fault) func() {
-	some := PickShare(s.environment, len(s.nodes), t.Part)
-	for _, i := range some {
+	affected := PickShare(s.environment, len(s.nodes), t.Part)
+	for _, i := range affected {
 		s.advice.disconnected[i]++
 	}
 	return func() {
-		for _, i := range some {
+		for _, i := range affected {
 			s.advice.disconnected[i]--
 		}
-		if len(some) == len(s.nodes) {
-			s.advice.newHolder()
+		if len(affected) == len(s.nodes) {
+			s.advice.moveToNewHolder()
 		}
 	}
 }
--- a/internal/simulation/emulator/advicetask_test.go
+++ b/internal/simulation/emulator/advicetask_test.go
@@ -5,7 +5,7 @@
 )
 
 // others returns the served share of the tenants without a burst.
-func others(r *Record) (share float64) {
+func otherTenantsShare(r *Record) (share float64) {
 	var p WeightShare
 	for _, t := range r.Tenants[:len(r.Tenants)-1] {
 		p.Requested += t.Requested
@@ -18,9 +18,9 @@
 // fleet has overload advice; advice that is lost, or lost for some sidecars, costs no more than none.
 func TestOverloadAdviceProtectsOtherTenants(t *testing.T) {
 	with := func(seed uint64, change func(*Scenario)) *Record {
-		sc := day(t, "greedy", 120, 14)
+		sc := presetScenario(t, "greedy", 120, 14)
 		change(sc)
-		r := play(t, sc, seed, NewBalancer)
+		r := runScenario(t, sc, seed, NewBalancer)
 		if len(r.ViolationTexts) > 0 {
 			t.Errorf("seed %d: %v", seed, r.ViolationTexts)
 		}
@@ -29,11 +29,11 @@
 	var quiet, none, some, half, lost float64
 	const seeds = 2
 	for seed := range uint64(seeds) {
-		quiet += others(with(seed, func(s *Scenario) { s.OverloadAdvice, s.Faults = false, nil })) / seeds
-		none += others(with(seed, func(s *Scenario) { s.OverloadAdvice, s.Faults = false, s.Faults[:1] })) / seeds
-		some += others(with(seed, func(s *Scenario) { s.Faults = s.Faults[:1] })) / seeds
-		half += others(with(seed, func(s *Scenario) { s.Faults[1].Part, s.Faults[1].Duration = 0.5, fromSeconds(20) })) / seeds
-		lost += others(with(seed, func(s *Scenario) { s.Faults[1].Start, s.Faults[1].Duration = fromSeconds(9), fromSeconds(20) })) / seeds
+		quiet += otherTenantsShare(with(seed, func(s *Scenario) { s.OverloadAdvice, s.Faults = false, nil })) / seeds
+		none += otherTenantsShare(with(seed, func(s *Scenario) { s.OverloadAdvice, s.Faults = false, s.Faults[:1] })) / seeds
+		some += otherTenantsShare(with(seed, func(s *Scenario) { s.Faults = s.Faults[:1] })) / seeds
+		half += otherTenantsShare(with(seed, func(s *Scenario) { s.Faults[1].Part, s.Faults[1].Duration = 0.5, fromSeconds(20) })) / seeds
+		lost += otherTenantsShare(with(seed, func(s *Scenario) { s.Faults[1].Start, s.Faults[1].Duration = fromSeconds(9), fromSeconds(20) })) / seeds
 	}
 	t.Logf("share of the other tenants: no burst %.4f, no advice %.4f, advice %.4f, half of the sidecars disconnected %.4f, task lost %.4f", quiet, none, some, half, lost)
 	if some < none+0.005 || half < none-0.005 || lost < none-0.005 {
@@ -44,8 +44,8 @@
 // A surge of which each sidecar of a large fleet sees a small part costs it no more than a small fleet.
 func TestSurgeCostsLargeFleetNoMore(t *testing.T) {
 	goodput := func(sidecars int) (share, sends float64) {
-		sc := day(t, "surge", sidecars, 30)
-		r := play(t, sc, 1, NewBalancer)
+		sc := presetScenario(t, "surge", sidecars, 30)
+		r := runScenario(t, sc, 1, NewBalancer)
 		var p WeightShare
 		for _, w := range r.Windows[10:16] {
 			p.Requested += w.WeightShare.Requested
--- a/internal/simulation/emulator/arrivals.go
+++ b/internal/simulation/emulator/arrivals.go
@@ -27,17 +27,17 @@
 // alone and do not depend on servers or sidecars, so that all variants, and
 // real sockets too, get the same calls.
 type Arrivals struct {
-	scenario     *Scenario
-	next         calls // the next candidate of each sidecar, by time
-	rates        []float64
-	timeSources  []*rand.Rand // by sidecar, of the times
-	contents     *rand.Rand   // of the calls' contents
-	classes      distuv.Categorical
-	tenants      distuv.Categorical
-	keys         distuv.Categorical
-	quota        []tokenBucket // by tenant
-	tenantShares []float64     // each tenant's fraction of the calls without bursts
-	maxRate      float64       // bound of the rate, as a multiple of its mean
+	scenario      *Scenario
+	next          calls // the next candidate of each sidecar, by time
+	rates         []float64
+	timeSources   []*rand.Rand // by sidecar, of the times
+	contentSource *rand.Rand   // of the calls' contents
+	classes       distuv.Categorical
+	tenants       distuv.Categorical
+	keys          distuv.Categorical
+	quota         []tokenBucket // by tenant
+	tenantShares  []float64     // each tenant's fraction of the calls without bursts
+	maxRateFactor float64       // bound of the rate, as a multiple of its mean
 }
 
 type calls []struct {
@@ -56,15 +56,15 @@
 // tokenBucket is a tenant's quota: a call beyond it has little weight.
 type tokenBucket struct {
 	rate, level float64
-	at          time.Duration
+	refilledAt  time.Duration
 }
 
 // burstSeconds is how many seconds of its quota a tenant may accumulate.
 const burstSeconds = 2.0
 
 func (b *tokenBucket) take(now time.Duration) bool {
-	b.level = min(b.rate*burstSeconds, b.level+(now-b.at).Seconds()*b.rate)
-	b.at = now
+	b.level = min(b.rate*burstSeconds, b.level+(now-b.refilledAt).Seconds()*b.rate)
+	b.refilledAt = now
 	if b.level < 1 {
 		return false
 	}
@@ -74,32 +74,32 @@
 
 // NewArrivals makes the arrivals of a run. The scenario must have passed Check.
 func NewArrivals(sc *Scenario, seed uint64) *Arrivals {
-	a := &Arrivals{scenario: sc, contents: source(seed, streamClients, 0), maxRate: 1 + sc.Clients.Swing}
+	a := &Arrivals{scenario: sc, contentSource: source(seed, streamClients, 0), maxRateFactor: 1 + sc.Clients.Swing}
 	var classes, tenants []float64
 	for _, k := range sc.Classes {
 		classes = append(classes, k.Share)
 	}
-	asked := 0.0
+	requested := 0.0
 	for i, t := range sc.Tenants {
 		tenants = append(tenants, t.Share*t.Usage)
-		asked += t.Share * t.Usage
+		requested += t.Share * t.Usage
 		q := sc.quota(i)
 		a.quota = append(a.quota, tokenBucket{rate: q, level: q * burstSeconds})
 	}
-	if asked == 0 {
-		tenants[0], asked = 1, 1 // some tenant has to send requests
+	if requested == 0 {
+		tenants[0], requested = 1, 1 // some tenant has to send requests
 	}
 	for _, t := range tenants {
-		a.tenantShares = append(a.tenantShares, t/asked)
+		a.tenantShares = append(a.tenantShares, t/requested)
 	}
 	keys := make([]float64, sc.Keys.Count)
 	for i := range keys {
 		keys[i] = math.Pow(float64(i+1), -sc.Keys.Zipf)
 	}
-	a.classes, a.tenants, a.keys = distuv.NewCategorical(classes, a.contents), distuv.NewCategorical(tenants, a.contents), distuv.NewCategorical(keys, a.contents)
+	a.classes, a.tenants, a.keys = distuv.NewCategorical(classes, a.contentSource), distuv.NewCategorical(tenants, a.contentSource), distuv.NewCategorical(keys, a.contentSource)
 	for _, t := range sc.Faults {
 		if t.Name == "burst" {
-			a.maxRate *= max(1, a.burstFactor(t))
+			a.maxRateFactor *= max(1, a.burstFactor(t))
 		}
 	}
 	a.divideTraffic()
@@ -118,7 +118,7 @@
 func (a *Arrivals) divideTraffic() {
 	sc, sum := a.scenario, 0.0
 	for i := range sc.Sidecars {
-		rate := lognormal(1, sc.Clients.TrafficCV, a.contents)
+		rate := lognormal(1, sc.Clients.TrafficCV, a.contentSource)
 		if len(sc.Zones) > 1 {
 			rate *= choose(sc.ZoneOf(i) == 0, 1+sc.Clients.ZoneSkew, 1-sc.Clients.ZoneSkew/float64(len(sc.Zones)-1))
 		}
@@ -136,7 +136,7 @@
 // drawInterval draws the time to a sidecar's next candidate at the highest possible rate:
 // candidates are thinned to the rate of their time, which keeps the process Poisson.
 func (a *Arrivals) drawInterval(sidecar int) time.Duration {
-	if rate := a.rates[sidecar] * a.maxRate; rate > 0 {
+	if rate := a.rates[sidecar] * a.maxRateFactor; rate > 0 {
 		return time.Duration(min(distuv.Exponential{Rate: rate, Src: a.timeSources[sidecar]}.Rand(), maxLength.Seconds()*2) * float64(time.Second))
 	}
 	return maxLength * 2
@@ -165,7 +165,7 @@
 func (a *Arrivals) drawTenant(at time.Duration) int {
 	for _, t := range a.scenario.Faults {
 		if i := a.scenario.tenant(t.Tenant); i >= 0 && t.Name == "burst" && t.activeAt(at) {
-			if all := a.burstFactor(t); a.contents.Float64()*all < all-1 {
+			if factor := a.burstFactor(t); a.contentSource.Float64()*factor < factor-1 {
 				return i
 			}
 		}
@@ -189,7 +189,7 @@
 		at, i := a.next[0].at, a.next[0].sidecar
 		a.next[0].at = at + a.drawInterval(i)
 		heap.Fix(a.next, 0)
-		if a.timeSources[i].Float64()*a.maxRate < a.rateAt(at) {
+		if a.timeSources[i].Float64()*a.maxRateFactor < a.rateAt(at) {
 			return a.draw(at, i), true
 		}
 	}
@@ -204,17 +204,17 @@
 	c := Call{At: at, Sidecar: sidecar, Class: int(a.classes.Rand()), Tenant: a.drawTenant(at), Key: uint64(a.keys.Rand()) + 1}
 	class := a.scenario.Classes[c.Class]
 	if class.Tail == "pareto" {
-		c.Work = pareto(class.Work.seconds(), class.WorkCV, a.contents)
+		c.Work = pareto(class.Work.seconds(), class.WorkCV, a.contentSource)
 	} else {
-		c.Work = lognormal(class.Work.seconds(), class.WorkCV, a.contents)
+		c.Work = lognormal(class.Work.seconds(), class.WorkCV, a.contentSource)
 	}
 	for _, t := range a.scenario.Faults {
-		if t.Name == "heavy_tail" && c.Class == 0 && t.activeAt(at) && a.contents.Float64() < t.Part {
+		if t.Name == "heavy_tail" && c.Class == 0 && t.activeAt(at) && a.contentSource.Float64() < t.Part {
 			c.Work *= t.Size
 		}
 	}
 	c.Work = min(c.Work, class.Deadline.seconds()) // more could not be served in time
-	c.Hint = time.Duration(lognormal(c.Work, hintSpread, a.contents) * float64(time.Second))
+	c.Hint = time.Duration(lognormal(c.Work, hintSpread, a.contentSource) * float64(time.Second))
 	c.Weight = class.PriorityWeight * c.Work
 	if c.WithinQuota = a.quota[c.Tenant].take(at); !c.WithinQuota {
 		c.Weight *= a.scenario.Prices.OverShare
--- a/internal/simulation/emulator/attempt.go
+++ b/internal/simulation/emulator/attempt.go
@@ -23,13 +23,13 @@
 type attempt struct {
 	request   *request
 	number    int
-	to        *Server
+	server    *Server
 	ended     bool // the sidecar has its outcome
 	completed bool // the server has completed it
 	work      float64
 	connected bool // a connection is up
 
-	sent      time.Duration
+	sentAt    time.Duration
 	ending    policy.Ending
 	malformed bool
 	job       *Job // at the server; nil: it has not arrived there
@@ -53,7 +53,7 @@
 			s.clients.unanswered(r)
 		}
 	})
-	n.deciding, n.shed = r, shedCount(n.decider)
+	n.deciding, n.shedBefore = r, shedCount(n.decider)
 	n.decider.Request(s.now, policy.Request{
 		ID: r.id, Class: r.call.Class, Tenant: r.call.Tenant, TimeLeft: r.deadline - s.now, ExpectedWork: work, AffinityKey: r.call.Key,
 	})
@@ -69,7 +69,7 @@
 	if r == nil {
 		return // the Checker reports the violation
 	}
-	a := &attempt{request: r, number: len(r.attempts), to: sv, sent: s.now}
+	a := &attempt{request: r, number: len(r.attempts), server: sv, sentAt: s.now}
 	r.attempts = append(r.attempts, a)
 	s.record.Sends++
 	h := s.record.impactAt(s.now)
@@ -87,8 +87,8 @@
 
 // dial takes an idle connection or opens one, and sends the attempt.
 func (n *node) dial(a *attempt) {
-	s, sv := n.sim, a.to
-	way := s.delay(n.zone, sv.Zone)
+	s, sv := n.sim, a.server
+	oneWay := s.delay(n.zone, sv.Zone)
 	idle := n.idle[sv.Index]
 	for len(idle) > 0 { // the one used last; those idle for too long are closed
 		since := idle[len(idle)-1]
@@ -96,7 +96,7 @@
 		if s.now-since <= time.Duration(s.scenario.Network.IdleTimeout) {
 			n.idle[sv.Index] = idle
 			a.connected = true
-			s.after(way, func() { s.arrive(a) })
+			s.after(oneWay, func() { s.arrive(a) })
 			return
 		}
 		sv.OpenConnections = max(0, sv.OpenConnections-1)
@@ -112,10 +112,10 @@
 		n.afterInEpoch(time.Duration(s.scenario.Network.ConnectTimeout), func() { n.fail(a, policy.NoConnection) })
 		return
 	}
-	s.after(way, func() {
+	s.after(oneWay, func() {
 		s.advanceServer(sv)
 		if !sv.Connect(time.Duration(s.scenario.Network.HandshakeWork)) {
-			s.afterForAttempt(a, way, func() { n.fail(a, policy.NoConnection) })
+			s.afterForAttempt(a, oneWay, func() { n.fail(a, policy.NoConnection) })
 			return
 		}
 		if a.ended { // cancelled meanwhile
@@ -123,15 +123,15 @@
 			return
 		}
 		a.connected = true
-		s.after(2*way, func() { s.arrive(a) })
+		s.after(2*oneWay, func() { s.arrive(a) })
 	})
 }
 
 // afterForAttempt schedules an event that is void once the attempt's sidecar has been restarted.
-func (s *Sim) afterForAttempt(a *attempt, d time.Duration, do func()) {
+func (s *Sim) afterForAttempt(a *attempt, d time.Duration, action func()) {
 	s.after(d, func() {
 		if a.request.node.epoch == a.request.epoch {
-			do()
+			action()
 		}
 	})
 }
@@ -144,7 +144,7 @@
 
 // arrive delivers an attempt to its server.
 func (s *Sim) arrive(a *attempt) {
-	sv, n := a.to, a.request.node
+	sv, n := a.server, a.request.node
 	if sv.Unreachable || !s.reachable(n.zone, sv.Zone) {
 		return // lost
 	}
@@ -160,7 +160,7 @@
 	if c := s.scenario.Classes[a.request.call.Class]; c.Idempotency == "keyed" {
 		j.Repeat, j.Window = uint64(a.request.id)+1, time.Duration(c.DedupWindow)
 	}
-	switch fell := sv.Overloaded; sv.Arrive(s.now, j) {
+	switch wasOverloaded := sv.Overloaded; sv.Arrive(s.now, j) {
 	case Accepted:
 		a.job = j
 		if s.resetShare > 0 && s.feedback.Float64() < s.resetShare {
@@ -173,7 +173,7 @@
 		s.record.impactAt(s.now).Rejected++
 		s.reply(sv, a, policy.Rejected)
 	case NotRunning:
-		if sv.Overloaded && !fell {
+		if sv.Overloaded && !wasOverloaded {
 			s.record.OverloadedServers++
 			s.kill(sv)
 		}
@@ -215,9 +215,9 @@
 	}
 	switch a.ending {
 	case policy.Served, policy.Errored, policy.Rejected:
-		n.idle[a.to.Index] = append(n.idle[a.to.Index], n.sim.now)
+		n.idle[a.server.Index] = append(n.idle[a.server.Index], n.sim.now)
 	default:
-		a.to.OpenConnections = max(0, a.to.OpenConnections-1)
+		a.server.OpenConnections = max(0, a.server.OpenConnections-1)
 	}
 }
 
@@ -239,7 +239,7 @@
 		return
 	}
 	r.closed = true
-	n.count(r, a)
+	n.countOutcome(r, a)
 	s.clients.answered(r, a, pause)
 }
 
@@ -256,7 +256,7 @@
 	if r == nil || r.closed {
 		return // it has just ended, which the protocol allows
 	}
-	r.shed = n.deciding == r && shedCount(n.decider) > n.shed
+	r.shed = n.deciding == r && shedCount(n.decider) > n.shedBefore
 	n.answer(r, a, pause)
 	n.forget(r)
 }
--- a/internal/simulation/emulator/checker.go
+++ b/internal/simulation/emulator/checker.go
@@ -37,10 +37,10 @@
 }
 
 type sentAttempt struct {
-	server int
-	at     time.Duration
-	ended  bool
-	ran    bool // it may have run
+	server     int
+	at         time.Duration
+	ended      bool
+	mayHaveRun bool // it may have run
 }
 
 // Answer is a final answer.
@@ -101,11 +101,11 @@
 		c.addViolation(1, "request %d was sent to server %d at %v, after its end", id, server, now)
 		return
 	}
-	if at, told := c.notifiedAt[r.sidecar][server]; told && now > at+time.Duration(c.rules.DrainGrace) {
+	if at, notified := c.notifiedAt[r.sidecar][server]; notified && now > at+time.Duration(c.rules.DrainGrace) {
 		c.addViolation(3, "sidecar %d sent request %d to server %d at %v, %v after it was told that it drains or is gone", r.sidecar, id, server, now, now-at)
 	}
 	for _, t := range r.attempts {
-		if t.ended && !t.ran {
+		if t.ended && !t.mayHaveRun {
 			continue
 		}
 		c.Repeats++
@@ -126,9 +126,9 @@
 }
 
 // AttemptEnded records the end of an attempt and whether it may have run.
-func (c *Checker) AttemptEnded(id policy.RequestID, attempt int, ran bool) {
+func (c *Checker) AttemptEnded(id policy.RequestID, attempt int, mayHaveRun bool) {
 	if r := c.open[id]; r != nil && attempt < len(r.attempts) {
-		r.attempts[attempt].ended, r.attempts[attempt].ran = true, ran
+		r.attempts[attempt].ended, r.attempts[attempt].mayHaveRun = true, mayHaveRun
 	}
 }
 
@@ -148,7 +148,7 @@
 		return
 	}
 	for _, t := range r.attempts {
-		if !t.ended || t.ran {
+		if !t.ended || t.mayHaveRun {
 			c.addViolation(2, "request %d of %s was refused at %v; it may have run at server %d", id, r.class.Name, now, t.server)
 			return
 		}
@@ -170,20 +170,20 @@
 }
 
 // MalformedServed records that a client was served although its request was malformed.
-func (c *Checker) MalformedServed(now time.Duration, said string) {
-	c.addViolation(1, "a client that said %s was served at %v", said, now)
+func (c *Checker) MalformedServed(now time.Duration, sent string) {
+	c.addViolation(1, "a client that said %s was served at %v", sent, now)
 }
 
 // ClientGone records that a client left early: no answer is owed any more.
 func (c *Checker) ClientGone(id policy.RequestID) { delete(c.open, id) }
 
 // EndpointNotified records that a sidecar was notified of a server's state and last start.
-func (c *Checker) EndpointNotified(now time.Duration, sidecar, server int, ready bool, born time.Duration) {
-	c.knownStart[sidecar][server] = born
-	switch _, told := c.notifiedAt[sidecar][server]; {
+func (c *Checker) EndpointNotified(now time.Duration, sidecar, server int, ready bool, startedAt time.Duration) {
+	c.knownStart[sidecar][server] = startedAt
+	switch _, notified := c.notifiedAt[sidecar][server]; {
 	case ready:
 		delete(c.notifiedAt[sidecar], server)
-	case !told:
+	case !notified:
 		c.notifiedAt[sidecar][server] = now
 	}
 }
@@ -211,26 +211,26 @@
 
 // ColdServerReached records work that reached a server that warms up, which started at born and
 // has so much capacity now. More than the allowed multiple of it within the rule's window breaks the rule.
-func (c *Checker) ColdServerReached(now time.Duration, sidecar, server int, born time.Duration, work, capacity float64) {
+func (c *Checker) ColdServerReached(now time.Duration, sidecar, server int, startedAt time.Duration, work, capacity float64) {
 	c.ColdSends++
 	recent := c.coldWork[server]
 	n := 0
 	for n < len(recent) && recent[n].at <= now-time.Duration(c.rules.OverloadWindow) {
 		n++
 	}
-	recent = append(recent[n:], coldArrival{now, work, c.knownStart[sidecar][server] == born || now-born > notificationDeadline})
+	recent = append(recent[n:], coldArrival{now, work, c.knownStart[sidecar][server] == startedAt || now-startedAt > notificationDeadline})
 	c.coldWork[server] = recent
-	sum, told, most := 0.0, 0.0, 0.0
+	sum, notifiedSum, largest := 0.0, 0.0, 0.0
 	for _, a := range recent {
 		sum += a.work
-		most = max(most, a.work)
+		largest = max(largest, a.work)
 		if a.notified {
-			told += a.work
+			notifiedSum += a.work
 		}
 	}
-	if budget := c.rules.OverloadFactor * capacity * c.rules.OverloadWindow.seconds(); sum > overloadSlack*budget && told >= notifiedShare*sum {
+	if budget := c.rules.OverloadFactor * capacity * c.rules.OverloadWindow.seconds(); sum > overloadSlack*budget && notifiedSum >= notifiedShare*sum {
 		c.addViolation(4, "cold server %d was sent %.2f s of work within %v until %v, in %d requests of at most %.2f s, %.2f s by those told of its start; its budget is %.2f",
-			server, sum, time.Duration(c.rules.OverloadWindow), now-StartTime, len(recent), most, told, budget)
+			server, sum, time.Duration(c.rules.OverloadWindow), now-StartTime, len(recent), largest, notifiedSum, budget)
 		c.coldWork[server] = nil
 	}
 }
--- a/internal/simulation/emulator/clients.go
+++ b/internal/simulation/emulator/clients.go
@@ -11,17 +11,17 @@
 // clients are the callers, one group beside each sidecar: their calls are drawn
 // by Arrivals, their reaction to the answers here.
 type clients struct {
-	sim      *Sim
-	arrivals *Arrivals
-	choices  []*rand.Rand // by sidecar
-	ids      policy.RequestID
+	sim           *Sim
+	arrivals      *Arrivals
+	choiceSources []*rand.Rand // by sidecar
+	lastID        policy.RequestID
 }
 
 // call is a Call under way.
 type call struct {
 	Call
 	node        *node
-	began       time.Duration
+	startedAt   time.Duration
 	objectiveAt time.Duration
 	deadline    time.Duration
 	attempts    int
@@ -33,7 +33,7 @@
 func newClients(s *Sim) *clients {
 	c := &clients{sim: s, arrivals: NewArrivals(s.scenario, s.seed)}
 	for i := range s.scenario.Sidecars {
-		c.choices = append(c.choices, source(s.seed, streamClientChoices, i))
+		c.choiceSources = append(c.choiceSources, source(s.seed, streamClientChoices, i))
 	}
 	return c
 }
@@ -58,7 +58,7 @@
 		return
 	}
 	class := s.scenario.Classes[next.Class]
-	k := &call{Call: next, node: n, began: s.now, objectiveAt: s.now + time.Duration(class.LatencyObjective), deadline: s.now + time.Duration(class.Deadline), refusedOnly: true}
+	k := &call{Call: next, node: n, startedAt: s.now, objectiveAt: s.now + time.Duration(class.LatencyObjective), deadline: s.now + time.Duration(class.Deadline), refusedOnly: true}
 	s.record.AddRequest(next)
 	c.attempt(k)
 }
@@ -68,14 +68,14 @@
 	s, n := c.sim, k.node
 	left := time.Duration(float64(k.deadline-s.now) * s.scenario.Clients.AttemptShare)
 	if k.done || left < time.Millisecond {
-		c.giveUp(k)
+		c.endUnserved(k)
 		return
 	}
 	k.attempts++
-	c.ids++
-	r := &request{id: c.ids, call: k, deadline: s.now + left}
-	if mood := c.choices[n.index]; mood.Float64() < s.scenario.Clients.AbandonRate {
-		n.afterInEpoch(time.Duration(mood.Float64()*float64(left)), func() {
+	c.lastID++
+	r := &request{id: c.lastID, call: k, deadline: s.now + left}
+	if rng := c.choiceSources[n.index]; rng.Float64() < s.scenario.Clients.AbandonRate {
+		n.afterInEpoch(time.Duration(rng.Float64()*float64(left)), func() {
 			if !r.closed {
 				r.closed = true
 				s.checker.ClientGone(r.id)
@@ -98,7 +98,7 @@
 	}
 	if a == AnswerServed {
 		k.done = true
-		took, late := s.now-k.began, ""
+		took, late := s.now-k.startedAt, ""
 		if s.now > k.objectiveAt {
 			late = r.latenessCause(s.now)
 		}
@@ -110,11 +110,11 @@
 		k.cause, k.refusedOnly = r.failureCause(), false
 	}
 	if !class.RetriesAfter(a) || k.attempts > s.scenario.Clients.Retries {
-		c.giveUp(k)
+		c.endUnserved(k)
 		return
 	}
 	epoch := k.node.epoch
-	s.after(s.scenario.Clients.RetryDelay(k.attempts, pause, time.Duration(s.scenario.Rules.RetryAfter), c.choices[k.node.index]), func() {
+	s.after(s.scenario.Clients.RetryDelay(k.attempts, pause, time.Duration(s.scenario.Rules.RetryAfter), c.choiceSources[k.node.index]), func() {
 		if k.node.epoch != epoch || k.node.shuttingDown {
 			c.sidecarEnded(k)
 			return
@@ -131,10 +131,10 @@
 
 // RetryDelay draws how long a client waits after its nth attempt: its own backoff, and what
 // the answer asked for if it honours that.
-func (c Clients) RetryDelay(n int, asked, most time.Duration, rng *rand.Rand) time.Duration {
+func (c Clients) RetryDelay(n int, requested, limit time.Duration, rng *rand.Rand) time.Duration {
 	wait := time.Duration(float64(c.Backoff) * math.Pow(2, float64(n-1)) * (0.5 + rng.Float64()))
 	if rng.Float64() < c.HonourRetryAfter {
-		wait = max(wait, min(asked, most))
+		wait = max(wait, min(requested, limit))
 	}
 	return wait
 }
@@ -142,19 +142,19 @@
 // sidecarEnded ends a call whose sidecar, and client with it, has ended.
 func (c *clients) sidecarEnded(k *call) {
 	k.cause, k.refusedOnly = causeKilled, false
-	c.giveUp(k)
+	c.endUnserved(k)
 }
 
 // unanswered ends a call whose attempt had no answer at all.
 func (c *clients) unanswered(r *request) {
 	r.call.refusedOnly, r.call.cause = false, causeNoAnswer
-	c.giveUp(r.call)
+	c.endUnserved(r.call)
 }
 
 // giveUp ends a call that was not served.
-func (c *clients) giveUp(k *call) {
+func (c *clients) endUnserved(k *call) {
 	if !k.done {
 		k.done = true
-		c.sim.record.AddUnserved(k.Call, k.refusedOnly, c.sim.now-k.began, k.cause)
+		c.sim.record.AddUnserved(k.Call, k.refusedOnly, c.sim.now-k.startedAt, k.cause)
 	}
 }
--- a/internal/simulation/emulator/decider.go
+++ b/internal/simulation/emulator/decider.go
@@ -30,4 +30,6 @@
 type DeciderFactory func(DeciderOptions) (Decider, error)
 
 // NewBalancer makes the product's decision module.
-func NewBalancer(b DeciderOptions) (Decider, error) { return policy.New(b.Config, b.Seed, b.Host) }
+func NewBalancer(options DeciderOptions) (Decider, error) {
+	return policy.New(options.Config, options.Seed, options.Host)
+}
--- a/internal/simulation/emulator/events.go
+++ b/internal/simulation/emulator/events.go
@@ -9,15 +9,15 @@
 type events []event
 
 type event struct {
-	at time.Duration
-	n  uint64
-	do func()
+	at  time.Duration
+	seq uint64
+	run func()
 }
 
 func (e events) Len() int { return len(e) }
 
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || (e[i].at == e[j].at && e[i].n < e[j].n)
+	return e[i].at < e[j].at || (e[i].at == e[j].at && e[i].seq < e[j].seq)
 }
 
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
@@ -33,9 +33,9 @@
 }
 
 // schedule adds an event at a time.
-func (s *Sim) schedule(at time.Duration, do func()) {
-	s.count++
-	heap.Push(&s.queue, event{max(at, s.now), s.count, do})
+func (s *Sim) schedule(at time.Duration, run func()) {
+	s.scheduledEvents++
+	heap.Push(&s.queue, event{max(at, s.now), s.scheduledEvents, run})
 }
 
-func (s *Sim) after(d time.Duration, do func()) { s.schedule(s.now+d, do) }
+func (s *Sim) after(d time.Duration, run func()) { s.schedule(s.now+d, run) }
--- a/internal/simulation/emulator/fault.go
+++ b/internal/simulation/emulator/fault.go
@@ -22,9 +22,9 @@
 
 // faultKind describes and implements a fault.
 type faultKind struct {
-	description string
-	least, most float64 // of Size
-	begin       func(*Sim, *Fault) (undo func())
+	description      string
+	minSize, maxSize float64 // of Size
+	begin            func(*Sim, *Fault) (undo func())
 }
 
 // faultKinds has all faults by name. A fault's begin is called at its start
@@ -51,14 +51,14 @@
 }
 
 // FaultNames lists the faults, sorted, with their descriptions.
-func FaultNames() (names []string, what map[string]string) {
-	what = make(map[string]string, len(faultKinds))
+func FaultNames() (names []string, descriptions map[string]string) {
+	descriptions = make(map[string]string, len(faultKinds))
 	for name, k := range faultKinds {
 		names = append(names, name)
-		what[name] = k.description
+		descriptions[name] = k.description
 	}
 	slices.Sort(names)
-	return names, what
+	return names, descriptions
 }
 
 // check checks a fault of a scenario.
@@ -74,8 +74,8 @@
 	switch {
 	case !(t.Part >= 0 && t.Part <= 1):
 		return fmt.Errorf("%s: part is %g, it must lie between 0 and 1", t.Name, t.Part)
-	case !(t.Size >= kind.least && t.Size <= kind.most) && kind.most > 0:
-		return fmt.Errorf("%s: size is %g, it must lie between %g and %g", t.Name, t.Size, kind.least, kind.most)
+	case !(t.Size >= kind.minSize && t.Size <= kind.maxSize) && kind.maxSize > 0:
+		return fmt.Errorf("%s: size is %g, it must lie between %g and %g", t.Name, t.Size, kind.minSize, kind.maxSize)
 	case t.Tenant != "" && s.tenant(t.Tenant) < 0:
 		return fmt.Errorf("%s: there is no tenant %q", t.Name, t.Tenant)
 	case t.Name == "no_advice" && !s.OverloadAdvice:
@@ -98,28 +98,28 @@
 }
 
 // selectServers picks the servers that a fault affects.
-func (s *Sim) selectServers(t *Fault) (some []*Server) {
+func (s *Sim) selectServers(t *Fault) (selected []*Server) {
 	live := s.Live()
 	for _, i := range PickShare(s.environment, len(live), t.Part) {
-		some = append(some, live[i])
+		selected = append(selected, live[i])
 	}
-	return some
+	return selected
 }
 
 // updateServers changes servers after advancing each of them to the present.
-func (s *Sim) updateServers(some []*Server, do func(*Server)) {
-	for _, sv := range some {
+func (s *Sim) updateServers(servers []*Server, update func(*Server)) {
+	for _, sv := range servers {
 		s.advanceServer(sv)
-		do(sv)
+		update(sv)
 		s.advanceServer(sv)
 	}
 }
 
 // updateWhile changes some servers until the returned function is called.
-func (s *Sim) updateWhile(t *Fault, change func(sv *Server, on bool)) func() {
-	some := s.selectServers(t)
-	s.updateServers(some, func(sv *Server) { change(sv, true) })
-	return func() { s.updateServers(some, func(sv *Server) { change(sv, false) }) }
+func (s *Sim) updateWhile(t *Fault, update func(sv *Server, on bool)) func() {
+	affected := s.selectServers(t)
+	s.updateServers(affected, func(sv *Server) { update(sv, true) })
+	return func() { s.updateServers(affected, func(sv *Server) { update(sv, false) }) }
 }
 
 func choose(on bool, yes, no float64) float64 {
@@ -143,18 +143,18 @@
 
 // neighbour takes capacity from the same machines periodically.
 func (s *Sim) neighbour(t *Fault) func() {
-	some, on, over := s.selectServers(t), false, false
+	affected, on, ended := s.selectServers(t), false, false
 	var toggle func()
 	toggle = func() {
-		on = !on && !over
-		s.updateServers(some, func(sv *Server) { sv.NeighbourShare = choose(on, t.Size, 0) })
-		if !over {
+		on = !on && !ended
+		s.updateServers(affected, func(sv *Server) { sv.NeighbourShare = choose(on, t.Size, 0) })
+		if !ended {
 			s.after(max(time.Duration(t.Extra), minNeighbourPeriod), toggle)
 		}
 	}
 	toggle()
 	return func() {
-		over = true
+		ended = true
 		toggle()
 	}
 }
@@ -166,22 +166,22 @@
 func (s *Sim) arrivalsOnly(*Fault) func() { return nil }
 
 func (s *Sim) killServers(t *Fault) func() {
-	dead := s.selectServers(t)
-	for _, sv := range dead {
+	killed := s.selectServers(t)
+	for _, sv := range killed {
 		s.kill(sv)
 	}
-	return func() { s.restartServers(dead) }
+	return func() { s.restartServers(killed) }
 }
 
 func (s *Sim) zoneLost(t *Fault) func() {
-	var dead []*Server
+	var killed []*Server
 	for _, sv := range s.Live() {
 		if sv.Zone == t.Zone {
-			dead = append(dead, sv)
+			killed = append(killed, sv)
 			s.kill(sv)
 		}
 	}
-	return func() { s.restartServers(dead) }
+	return func() { s.restartServers(killed) }
 }
 
 // SuccessorDelay is how long after a server begins to drain its successor runs, as the successor
@@ -190,19 +190,19 @@
 
 // StepTime returns when, since the start of a fault, the nth of so many servers is
 // replaced: in as many steps as its size says, or one by one.
-func (t Fault) StepTime(n, of int) time.Duration {
-	steps := of
+func (t Fault) StepTime(n, total int) time.Duration {
+	steps := total
 	if t.Size >= 1 {
-		steps = min(of, int(t.Size))
+		steps = min(total, int(t.Size))
 	}
-	return time.Duration(float64(t.Duration) * float64(n*steps/of) / float64(steps))
+	return time.Duration(float64(t.Duration) * float64(n*steps/total) / float64(steps))
 }
 
 // replace drains servers step by step; each has a successor of the same zone and kind.
 func (s *Sim) replace(t *Fault) func() {
-	some := s.selectServers(t)
-	for n, sv := range some {
-		s.after(t.StepTime(n, len(some)), func() {
+	replaced := s.selectServers(t)
+	for n, sv := range replaced {
+		s.after(t.StepTime(n, len(replaced)), func() {
 			s.advanceServer(sv)
 			sv.Draining = true
 			s.list.changed(sv)
@@ -246,10 +246,10 @@
 }
 
 func (s *Sim) roll(t *Fault) func() {
-	some := PickShare(s.environment, len(s.nodes), t.Part)
-	for n, i := range some {
+	restarted := PickShare(s.environment, len(s.nodes), t.Part)
+	for n, i := range restarted {
 		node := s.nodes[i]
-		s.after(time.Duration(float64(t.Duration)*float64(n)/float64(len(some))), func() { s.shutDown(node, time.Duration(t.Extra)) })
+		s.after(time.Duration(float64(t.Duration)*float64(n)/float64(len(restarted))), func() { s.shutDown(node, time.Duration(t.Extra)) })
 	}
 	return nil
 }
--- a/internal/simulation/emulator/fleet.go
+++ b/internal/simulation/emulator/fleet.go
@@ -21,24 +21,24 @@
 }
 
 // NewFleet draws the servers that run from the start.
-func NewFleet(sc *Scenario, seed uint64, luck *rand.Rand) *Fleet {
+func NewFleet(sc *Scenario, seed uint64, rng *rand.Rand) *Fleet {
 	f := &Fleet{scenario: sc, seed: seed}
 	kinds := make([]float64, len(sc.Kinds))
 	for i, k := range sc.Kinds {
 		kinds[i] = k.Share
 	}
-	kind := distuv.NewCategorical(kinds, luck)
+	kind := distuv.NewCategorical(kinds, rng)
 	var cell *Cell
 	for z := range sc.Zones {
 		f.zones = append(f.zones, newDedupCache())
-		here := (sc.Servers + len(sc.Zones) - 1 - z) / len(sc.Zones)
-		for n := range here {
+		serversInZone := (sc.Servers + len(sc.Zones) - 1 - z) / len(sc.Zones)
+		for n := range serversInZone {
 			k := sc.Kinds[int(kind.Rand())]
 			if n%sc.Keys.CellSize == 0 {
 				cell = newCell(len(f.cells), f.zones[z], sc.Keys, k.Cores*sc.Keys.CellSize)
 				f.cells = append(f.cells, cell)
 			}
-			f.AddServer(z, k, cell, k.Speed*math.Exp(k.SpeedCV*luck.NormFloat64()), StartTime).Alive = true
+			f.AddServer(z, k, cell, k.Speed*math.Exp(k.SpeedCV*rng.NormFloat64()), StartTime).Alive = true
 		}
 	}
 	return f
@@ -47,8 +47,8 @@
 // AddServer adds a server that does not run yet.
 func (f *Fleet) AddServer(zone int, k MachineKind, cell *Cell, speed float64, now time.Duration) *Server {
 	sv := &Server{
-		Index: len(f.Servers), Zone: zone, Cell: cell, Kind: k, Speed: speed, Slowdown: 1, rules: f.scenario.Rules, connectionsPerCore: f.scenario.Network.ConnectionsPerCore, at: now,
-		rng: source(f.seed, streamServers, len(f.Servers)), reportAt: now,
+		Index: len(f.Servers), Zone: zone, Cell: cell, Kind: k, Speed: speed, Slowdown: 1, rules: f.scenario.Rules, connectionsPerCore: f.scenario.Network.ConnectionsPerCore, advancedTo: now,
+		rng: source(f.seed, streamServers, len(f.Servers)), lastReportAt: now,
 	}
 	f.Servers = append(f.Servers, sv)
 	return sv
@@ -65,8 +65,8 @@
 }
 
 // PickShare picks a fraction of n indexes at random, in order.
-func PickShare(luck *rand.Rand, n int, part float64) []int {
-	picked := luck.Perm(n)[:int(math.Round(part*float64(n)))]
+func PickShare(rng *rand.Rand, n int, share float64) []int {
+	picked := rng.Perm(n)[:int(math.Round(share*float64(n)))]
 	slices.Sort(picked)
 	return picked
 }
--- a/internal/simulation/emulator/idealpolicy.go
+++ b/internal/simulation/emulator/idealpolicy.go
@@ -26,35 +26,35 @@
 }
 
 // informIdeally gives the fact to all sidecars, periodically.
-func (s *Sim) informIdeally() {
+func (s *Sim) sendIdealInformation() {
 	switch s.scenario.IdealPolicy {
 	case idealLoad:
 		for _, sv := range s.Servers {
-			held := float64(len(sv.running) + len(sv.queue))
+			inFlight := float64(len(sv.running) + len(sv.queue))
 			for _, n := range s.nodes {
 				if n.up && sv.Alive && !sv.Unreachable && s.reachable(n.zone, sv.Zone) {
-					n.decider.Probed(s.now, policy.ServerID(sv.Index+1), true, policy.LoadReport{InFlight: held, Queued: -1, Utilization: -1, ServedPerSecond: -1})
+					n.decider.Probed(s.now, policy.ServerID(sv.Index+1), true, policy.LoadReport{InFlight: inFlight, Queued: -1, Utilization: -1, ServedPerSecond: -1})
 				}
 			}
 		}
 	case idealAdmission:
-		bears, asked := 0.0, s.scenario.meanWork()*s.scenario.Rate()*s.clients.arrivals.rateAt(s.now-StartTime)
+		available, requested := 0.0, s.scenario.meanWork()*s.scenario.Rate()*s.clients.arrivals.rateAt(s.now-StartTime)
 		for _, sv := range s.Servers {
 			waiting, capacity := sv.State(s.now)
-			bears += max(0, capacity-float64(waiting)*s.scenario.meanWork()) // queued work is served first
+			available += max(0, capacity-float64(waiting)*s.scenario.meanWork()) // queued work is served first
 		}
-		part := min(1, bears/max(asked, 1e-9))
-		parts := make([]float64, len(s.scenario.Tenants))
-		for i := range parts {
-			parts[i] = part
+		share := min(1, available/max(requested, 1e-9))
+		shares := make([]float64, len(s.scenario.Tenants))
+		for i := range shares {
+			shares[i] = share
 		}
 		for _, n := range s.nodes {
-			if d, takes := n.decider.(adviceTaker); takes && n.up {
-				d.Advise(s.now, policy.OverloadAdvice{AdmittedShares: parts, ValidFor: 2 * time.Second})
+			if d, accepts := n.decider.(adviceReceiver); accepts && n.up {
+				d.Advise(s.now, policy.OverloadAdvice{AdmittedShares: shares, ValidFor: 2 * time.Second})
 			}
 		}
 	default:
 		return
 	}
-	s.after(idealInterval, s.informIdeally)
+	s.after(idealInterval, s.sendIdealInformation)
 }
--- a/internal/simulation/emulator/impact_test.go
+++ b/internal/simulation/emulator/impact_test.go
@@ -7,9 +7,9 @@
 )
 
 // The impacts of the seconds add up to those of the run.
-func TestImpactAddsUp(t *testing.T) {
+func TestImpactWindowsSumToRunTotals(t *testing.T) {
 	for _, name := range []string{"surge", "zone", "blind"} {
-		r := play(t, day(t, name, 40, 12), 1, NewBalancer)
+		r := runScenario(t, presetScenario(t, name, 40, 12), 1, NewBalancer)
 		h := r.Impact()
 		if h.Sends != r.Sends || h.Probes != r.Probes || h.Handshakes != r.Handshakes || h.Rejected != r.Rejected || h.ListCalls != r.ListCalls || h.ListFailed != r.ListFailed {
 			t.Errorf("%s: by second %+v, over the run %d attempts, %d probes, %d handshakes, %d rejected, %d of %d calls failed", name, h, r.Sends, r.Probes, r.Handshakes, r.Rejected, r.ListFailed, r.ListCalls)
@@ -65,13 +65,13 @@
 // An ideal policy breaks no rule, and an unknown one is refused.
 func TestIdealPolicies(t *testing.T) {
 	for _, oracle := range []string{idealLoad, idealAdmission} {
-		sc := day(t, "surge", 40, 12)
+		sc := presetScenario(t, "surge", 40, 12)
 		sc.IdealPolicy = oracle
-		if r := play(t, sc, 1, NewBalancer); len(r.ViolationTexts) > 0 || r.Goodput < 0.5 {
+		if r := runScenario(t, sc, 1, NewBalancer); len(r.ViolationTexts) > 0 || r.Goodput < 0.5 {
 			t.Errorf("%s: %s", oracle, r.Line())
 		}
 	}
-	sc := day(t, "surge", 40, 12)
+	sc := presetScenario(t, "surge", 40, 12)
 	sc.IdealPolicy = "luck"
 	if err := sc.Check(); err == nil {
 		t.Error("an unknown ideal policy was accepted")
--- a/internal/simulation/emulator/listserver.go
+++ b/internal/simulation/emulator/listserver.go
@@ -12,20 +12,20 @@
 // late, sends them to its watchers in batches, and answers polls in order: a poll that
 // has waited too long fails, although it has used the service's time.
 type listServer struct {
-	sim          *Sim
-	entries      []listEntry // by server
-	log          []int       // servers, in the order of their changes
-	down         bool
-	extraDelay   time.Duration // beyond the usual delay
-	busyUntil    time.Duration // when it has answered the polls that it has
-	flushPlanned bool          // a batch of watch events is scheduled
-	notified     int           // the part of the log that has been sent to watches
+	sim            *Sim
+	entries        []listEntry // by server
+	log            []int       // servers, in the order of their changes
+	down           bool
+	extraDelay     time.Duration // beyond the usual delay
+	busyUntil      time.Duration // when it has answered the polls that it has
+	flushScheduled bool          // a batch of watch events is scheduled
+	notifiedUpTo   int           // the part of the log that has been sent to watches
 }
 
 type listEntry struct {
-	known  bool
-	entry  policy.Endpoint
-	change int // counts changes on their way; earlier ones are void
+	known     bool
+	entry     policy.Endpoint
+	changeSeq int // counts changes on their way; earlier ones are void
 }
 
 func newListServer(s *Sim) *listServer { return &listServer{sim: s, busyUntil: s.now} }
@@ -63,33 +63,33 @@
 // changed schedules that the list learns a server's state as it is at that later time.
 func (l *listServer) changed(sv *Server) {
 	spec, at := l.sim.scenario.List, l.entryOf(sv)
-	at.change++
-	n := at.change
-	late := time.Duration(spec.RemovalDelay)
+	at.changeSeq++
+	n := at.changeSeq
+	delay := time.Duration(spec.RemovalDelay)
 	switch {
 	case sv.Unreachable:
-		late *= unreachableDelayFactor
+		delay *= unreachableDelayFactor
 	case sv.Alive && !sv.Draining:
-		late = time.Duration(spec.AdditionDelay)
+		delay = time.Duration(spec.AdditionDelay)
 	}
-	l.sim.after(late+l.extraDelay, func() {
+	l.sim.after(delay+l.extraDelay, func() {
 		at := l.entryOf(sv) // servers may have been added
 		now := l.entry(sv)
-		if at.change != n && at.known {
+		if at.changeSeq != n && at.known {
 			return // a later change brings it
 		}
 		if at.known && at.entry == now || !at.known && now.State == policy.Removed {
 			return
 		}
-		*at = listEntry{known: true, entry: now, change: at.change}
+		*at = listEntry{known: true, entry: now, changeSeq: at.changeSeq}
 		if now.State != policy.Ready {
 			for _, n := range l.sim.nodes {
 				n.afterInEpoch(time.Duration(l.sim.scenario.Rules.PollDeadline), func() { n.checkNotified(sv.Index) })
 			}
 		}
 		l.log = append(l.log, sv.Index)
-		if !l.flushPlanned {
-			l.flushPlanned = true
+		if !l.flushScheduled {
+			l.flushScheduled = true
 			l.sim.after(time.Duration(spec.Period), l.notifyWatches)
 		}
 	})
@@ -97,12 +97,12 @@
 
 // notifyWatches sends the changes to all watches.
 func (l *listServer) notifyWatches() {
-	l.flushPlanned = false
+	l.flushScheduled = false
 	if l.down {
 		return // watches get the full list when they come back
 	}
-	changes := l.since(l.notified)
-	l.notified = len(l.log)
+	changes := l.changesSince(l.notifiedUpTo)
+	l.notifiedUpTo = len(l.log)
 	for _, n := range l.sim.nodes {
 		if n.up && n.watching {
 			n.afterInEpoch(l.sim.delay(n.zone, 0), func() {
@@ -115,7 +115,7 @@
 }
 
 // since returns what changed after a position in the log, each server once.
-func (l *listServer) since(from int) (changes []policy.Endpoint) {
+func (l *listServer) changesSince(from int) (changes []policy.Endpoint) {
 	seen := make(map[int]bool)
 	for _, i := range l.log[from:] {
 		if !seen[i] {
@@ -141,33 +141,33 @@
 	s, spec := l.sim, l.sim.scenario.List
 	s.record.ListCalls++
 	s.record.impactAt(s.now).ListCalls++
-	way := s.delay(n.zone, 0)
+	oneWay := s.delay(n.zone, 0)
 	if l.down {
-		n.afterInEpoch(2*way, func() { l.callFailed(n) })
+		n.afterInEpoch(2*oneWay, func() { l.pollFailed(n) })
 		return
 	}
-	begin := max(l.busyUntil, s.now+way)
-	lines := float64(spec.PerCall)
+	start := max(l.busyUntil, s.now+oneWay)
+	cost := float64(spec.PerCall)
 	if !n.watching {
-		lines += float64(len(l.entries))
+		cost += float64(len(l.entries))
 	}
-	l.busyUntil = begin + time.Duration(lines/spec.PerMS*float64(time.Millisecond))
-	if begin-s.now > time.Duration(spec.MaxWait) {
-		n.afterInEpoch(time.Duration(spec.MaxWait), func() { l.callFailed(n) })
+	l.busyUntil = start + time.Duration(cost/spec.PerMS*float64(time.Millisecond))
+	if start-s.now > time.Duration(spec.MaxWait) {
+		n.afterInEpoch(time.Duration(spec.MaxWait), func() { l.pollFailed(n) })
 		return
 	}
 	n.afterInEpoch(l.busyUntil-s.now, func() {
 		if l.down {
-			l.callFailed(n)
+			l.pollFailed(n)
 			return
 		}
 		n.watching = true
 		all := l.fullList()
-		n.afterInEpoch(way, func() { n.listReceived(policy.ListFull, all) })
+		n.afterInEpoch(oneWay, func() { n.listReceived(policy.ListFull, all) })
 	})
 }
 
-func (l *listServer) callFailed(n *node) {
+func (l *listServer) pollFailed(n *node) {
 	l.sim.record.ListFailed++
 	l.sim.record.impactAt(l.sim.now).ListFailed++
 	n.watching, n.pollFailed = false, true
@@ -179,7 +179,7 @@
 	l.down = true
 	for _, n := range l.sim.nodes {
 		if n.up && n.watching {
-			n.afterInEpoch(l.sim.delay(n.zone, 0), func() { l.callFailed(n) })
+			n.afterInEpoch(l.sim.delay(n.zone, 0), func() { l.pollFailed(n) })
 		}
 	}
 }
--- a/internal/simulation/emulator/losses.go
+++ b/internal/simulation/emulator/losses.go
@@ -54,20 +54,20 @@
 
 // LostShare returns the fraction of the requested weight that was lost to a cause.
 func (r *Record) LostShare(cause string) float64 {
-	asked := 0.0
+	requested := 0.0
 	for _, c := range r.Classes {
-		asked += c.Requested
+		requested += c.Requested
 	}
-	if asked == 0 {
+	if requested == 0 {
 		return 0
 	}
-	return r.LostWeight[cause] / asked
+	return r.LostWeight[cause] / requested
 }
 
 // addLoss adds lost weight to a cause.
-func (r *Record) addLoss(cause string, worth float64) {
-	if worth != 0 {
-		r.LostWeight[cause] += worth
+func (r *Record) addLoss(cause string, weight float64) {
+	if weight != 0 {
+		r.LostWeight[cause] += weight
 	}
 }
 
@@ -127,28 +127,28 @@
 			a = b
 		}
 	}
-	j, way := a.job, now-a.sent
+	job, networkTime := a.job, now-a.sentAt
 	parts := []struct {
 		cause string
 		took  time.Duration
-	}{{causeLateEarlierAttempts, r.receivedAt - r.call.began}, {causeLateQueuedHere, a.sent - r.receivedAt}}
-	if j != nil && j.Started > 0 {
-		service := j.Done - j.Started
-		own := min(service, time.Duration(j.work/a.to.Speed*float64(time.Second)))
+	}{{causeLateEarlierAttempts, r.receivedAt - r.call.startedAt}, {causeLateQueuedHere, a.sentAt - r.receivedAt}}
+	if job != nil && job.Started > 0 {
+		service := job.Done - job.Started
+		own := min(service, time.Duration(job.work/a.server.Speed*float64(time.Second)))
 		extra := causeLateSlow
-		if j.Cold {
+		if job.Cold {
 			extra = causeLateCold
 		}
-		way -= j.Done - j.Arrived
+		networkTime -= job.Done - job.Arrived
 		parts = append(parts, []struct {
 			cause string
 			took  time.Duration
-		}{{causeLateServerQueue, j.Started - j.Arrived}, {causeLateWork, own}, {extra, service - own}}...)
+		}{{causeLateServerQueue, job.Started - job.Arrived}, {causeLateWork, own}, {extra, service - own}}...)
 	}
-	cause, most := causeLateNetwork, way
+	cause, longest := causeLateNetwork, networkTime
 	for _, p := range parts {
-		if p.took > most {
-			cause, most = p.cause, p.took
+		if p.took > longest {
+			cause, longest = p.cause, p.took
 		}
 	}
 	return cause
--- a/internal/simulation/emulator/node.go
+++ b/internal/simulation/emulator/node.go
@@ -31,8 +31,8 @@
 	digests      uint64
 	adviceFilter overload.AdviceFilter
 
-	deciding *request // the request that is being passed to the module
-	shed     uint64   // the module's count of shed requests before that
+	deciding   *request // the request that is being passed to the module
+	shedBefore uint64   // the module's count of shed requests before that
 }
 
 // start starts the sidecar with the endpoint list that it had last.
@@ -73,15 +73,15 @@
 		s.checker.ClientGone(id)
 		for _, a := range r.attempts {
 			if a.connected && !a.ended {
-				a.to.OpenConnections = max(0, a.to.OpenConnections-1)
+				a.server.OpenConnections = max(0, a.server.OpenConnections-1)
 			}
 			a.ended = true
 		}
 	}
 	n.open = nil
 	for i := range s.Servers {
-		if free := n.idle[i]; len(free) > 0 {
-			s.Servers[i].OpenConnections = max(0, s.Servers[i].OpenConnections-len(free))
+		if idle := n.idle[i]; len(idle) > 0 {
+			s.Servers[i].OpenConnections = max(0, s.Servers[i].OpenConnections-len(idle))
 		}
 	}
 	clear(n.idle)
@@ -105,24 +105,24 @@
 		return
 	}
 	n.shuttingDown = true
-	by := s.now + s.longestDeadline() + shutdownGrace
-	var look func()
-	look = func() {
-		if len(n.open) > 0 && s.now < by {
-			n.afterInEpoch(shutdownCheckInterval, look)
+	deadline := s.now + s.longestDeadline() + shutdownGrace
+	var check func()
+	check = func() {
+		if len(n.open) > 0 && s.now < deadline {
+			n.afterInEpoch(shutdownCheckInterval, check)
 			return
 		}
 		s.restart(n, down)
 	}
-	look()
+	check()
 }
 
 // afterInEpoch schedules an event that is void once the sidecar has been restarted.
-func (n *node) afterInEpoch(d time.Duration, do func()) {
+func (n *node) afterInEpoch(d time.Duration, action func()) {
 	epoch := n.epoch
 	n.sim.after(d, func() {
 		if n.epoch == epoch {
-			do()
+			action()
 		}
 	})
 }
@@ -148,16 +148,16 @@
 		n.afterInEpoch(probeTimeout, func() { n.decider.Probed(s.now, to, false, policy.UnknownLoad) })
 		return
 	}
-	way := s.delay(n.zone, sv.Zone)
-	n.afterInEpoch(way, func() {
+	oneWay := s.delay(n.zone, sv.Zone)
+	n.afterInEpoch(oneWay, func() {
 		if !sv.Alive || sv.Overloaded {
-			n.afterInEpoch(way, func() { n.decider.Probed(s.now, to, false, policy.UnknownLoad) })
+			n.afterInEpoch(oneWay, func() { n.decider.Probed(s.now, to, false, policy.UnknownLoad) })
 			return
 		}
 		s.advanceServer(sv)
 		r := sv.Probe(s.now)
 		s.advanceServer(sv)
-		n.afterInEpoch(way, func() {
+		n.afterInEpoch(oneWay, func() {
 			n.decider.Probed(s.now, to, true, policy.LoadReport{InFlight: -1, Queued: r.Queue, Utilization: float64(float32(r.Busy)), ServedPerSecond: float64(float32(r.Rate))})
 		})
 	})
@@ -193,12 +193,12 @@
 	s := n.sim
 	n.pollFailed = false
 	if kind == policy.ListFull {
-		named := make(map[policy.ServerID]bool, len(entries))
+		listed := make(map[policy.ServerID]bool, len(entries))
 		for _, e := range entries {
-			named[e.ID] = true
+			listed[e.ID] = true
 		}
 		for _, e := range n.known {
-			if !named[e.ID] {
+			if !listed[e.ID] {
 				s.checker.EndpointNotified(s.now, n.index, int(e.ID)-1, false, e.Started)
 			}
 		}
--- a/internal/simulation/emulator/presets.go
+++ b/internal/simulation/emulator/presets.go
@@ -11,7 +11,7 @@
 type preset struct {
 	description string
 	faults      []Fault
-	change      func(*Scenario)
+	adjust      func(*Scenario)
 }
 
 // presets are the scenarios that have names. Their figures are those that the
@@ -19,19 +19,19 @@
 var presets = map[string]preset{
 	"calm": {description: "no fault; a burst of half as much again",
 		faults: []Fault{{Name: "burst", Start: fromSeconds(12), Duration: fromSeconds(6), Size: 1.5}},
-		change: func(s *Scenario) { s.Load = 0.6 }},
+		adjust: func(s *Scenario) { s.Load = 0.6 }},
 	"roll": {description: "half of the servers are replaced while all sidecars are restarted",
 		faults: []Fault{{Name: "replace", Start: fromSeconds(4), Duration: fromSeconds(20), Part: 0.5, Size: 5, Extra: fromSeconds(4)}, {Name: "roll", Start: fromSeconds(5), Duration: fromSeconds(18), Part: 1, Extra: fromSeconds(0.3)}}},
 	"herd": {description: "seven in ten sidecars are killed at once, some servers are replaced, the list is short of time",
 		faults: []Fault{{Name: "herd", Start: fromSeconds(11.5), Part: 0.7, Extra: fromSeconds(0.5)}, {Name: "replace", Start: fromSeconds(10), Duration: fromSeconds(5), Part: 0.15, Size: 1, Extra: fromSeconds(4)}, {Name: "slow", Start: fromSeconds(8), Duration: fromSeconds(15), Part: 0.12, Size: 5}},
-		change: func(s *Scenario) { s.List.PerMS *= overloadedListShare }},
+		adjust: func(s *Scenario) { s.List.PerMS *= overloadedListShare }},
 	"zone": {description: "a zone is lost for 5 s and returns cold; some servers fail",
 		faults: []Fault{{Name: "zone_lost", Start: fromSeconds(8), Duration: fromSeconds(5), Zone: 1}, {Name: "fast_errors", Start: fromSeconds(6), Duration: fromSeconds(16), Part: 0.12, Size: 0.6}}},
 	"split": {description: "a zone is cut off for 6 s, lists come late, some connections break",
 		faults: []Fault{{Name: "partition", Start: fromSeconds(10), Duration: fromSeconds(6), Zone: 1}, {Name: "stale_list", Start: fromSeconds(8), Duration: fromSeconds(12), Extra: fromSeconds(2)}, {Name: "reset", Start: fromSeconds(6), Duration: fromSeconds(18), Part: 0.02}}},
 	"join": {description: "six in ten servers are replaced within 7 s; some answers are spoilt",
 		faults: []Fault{{Name: "replace", Start: fromSeconds(8), Duration: fromSeconds(7), Part: 0.6, Size: 2, Extra: fromSeconds(4)}, {Name: "spoilt", Start: fromSeconds(5), Duration: fromSeconds(20), Part: 0.01}},
-		change: func(s *Scenario) { s.Clients.AbandonRate = 0.05 }},
+		adjust: func(s *Scenario) { s.Clients.AbandonRate = 0.05 }},
 	"slow": {description: "a fifth of the servers run five times slower",
 		faults: []Fault{{Name: "slow", Start: fromSeconds(6), Duration: fromSeconds(15), Part: 0.2, Size: 5}}},
 	"errors": {description: "a sixth of the servers fail most requests at once",
@@ -48,9 +48,9 @@
 		faults: []Fault{{Name: "burst", Start: fromSeconds(8), Duration: fromSeconds(8), Size: 4}, {Name: "kill", Start: fromSeconds(12), Duration: fromSeconds(3), Part: 0.3}}},
 	"greedy": {description: "one tenant asks for a hundred times its share for 12 s; a task gives the fleet's word, and is lost for 4 s",
 		faults: []Fault{{Name: "burst", Start: fromSeconds(8), Duration: fromSeconds(12), Size: 100, Tenant: "tenant-7"}, {Name: "no_advice", Start: fromSeconds(12), Duration: fromSeconds(4), Part: 1}},
-		change: func(s *Scenario) { s.OverloadAdvice = true }},
+		adjust: func(s *Scenario) { s.OverloadAdvice = true }},
 	"overload": {description: "more is asked for than all servers can do, to the end",
-		change: func(s *Scenario) { s.Load = 1.4 }},
+		adjust: func(s *Scenario) { s.Load = 1.4 }},
 }
 
 const (
@@ -68,14 +68,14 @@
 func fromSeconds(seconds float64) Duration { return milliseconds(seconds * 1000) }
 
 // PresetNames lists the scenarios that have names, sorted, with their descriptions.
-func PresetNames() (names []string, about map[string]string) {
-	about = make(map[string]string, len(presets))
+func PresetNames() (names []string, descriptions map[string]string) {
+	descriptions = make(map[string]string, len(presets))
 	for name, p := range presets {
 		names = append(names, name)
-		about[name] = p.description
+		descriptions[name] = p.description
 	}
 	slices.Sort(names)
-	return names, about
+	return names, descriptions
 }
 
 // Preset returns the scenario of that name for a fleet of a size.
@@ -90,19 +90,19 @@
 	// The discovery service grows with the fleet, as the operators' does.
 	s.List.PerMS = callsPerSidecar * float64(sidecars) * float64(s.List.PerCall+servers) / 1000
 	s.Keys.Count = keysPerServer * servers
-	if p.change != nil {
-		p.change(s)
+	if p.adjust != nil {
+		p.adjust(s)
 	}
 	return s, s.Check()
 }
 
 // Stretch changes the length of a scenario and scales the times of its faults.
 func (s *Scenario) Stretch(length time.Duration) {
-	f := length.Seconds() / s.Length.seconds()
+	factor := length.Seconds() / s.Length.seconds()
 	s.Length = Duration(length)
 	for i := range s.Faults {
 		t := &s.Faults[i]
-		t.Start, t.Duration = Duration(float64(t.Start)*f), Duration(float64(t.Duration)*f)
+		t.Start, t.Duration = Duration(float64(t.Start)*factor), Duration(float64(t.Duration)*factor)
 	}
 }
 
--- a/internal/simulation/emulator/record.go
+++ b/internal/simulation/emulator/record.go
@@ -179,19 +179,19 @@
 func (r *Record) AddServed(c Call, took time.Duration, late string) {
 	r.ServedRequests++
 	w, i := r.window(c)
-	got, class := c.Weight, r.scenario.Classes[c.Class]
+	weight, class := c.Weight, r.scenario.Classes[c.Class]
 	if took > time.Duration(class.LatencyObjective) {
-		got *= class.LateShare
-		r.lateWeight += c.Weight - got
-		r.addLoss(late, c.Weight-got)
+		weight *= class.LateShare
+		r.lateWeight += c.Weight - weight
+		r.addLoss(late, c.Weight-weight)
 		r.Late++
 		w.Late++
 	}
-	r.Classes[c.Class].Served += got
+	r.Classes[c.Class].Served += weight
 	if c.WithinQuota {
-		r.Tenants[c.Tenant].Served += got
+		r.Tenants[c.Tenant].Served += weight
 	}
-	w.Served += got
+	w.Served += weight
 	if r.perWindow[i] == nil {
 		r.perWindow[i] = hdrhistogram.New(minLatency, maxLatency, significantDigits)
 	}
@@ -234,11 +234,11 @@
 // Finish computes the result of the run, with the Checker's findings.
 func (r *Record) Finish(c *Checker, partial bool) {
 	r.Partial = partial
-	var whole WeightShare
+	var total WeightShare
 	class, tenant, worst := 1.0, 1.0, 1.0
 	for _, p := range r.Classes {
-		whole.Requested += p.Requested
-		whole.Served += p.Served
+		total.Requested += p.Requested
+		total.Served += p.Served
 		class = min(class, p.Share())
 	}
 	for _, p := range r.Tenants {
@@ -258,15 +258,15 @@
 		}
 		worst = min(worst, sum.Share())
 	}
-	r.Goodput = whole.Share()
+	r.Goodput = total.Share()
 	if n := float64(r.Requests); n > 0 {
 		p := r.scenario.Prices
 		r.Costs["crossing zones"], r.Costs["probes"], r.Costs["handshakes"] = p.CrossZone*float64(r.CrossZoneSends)/n, p.Probe*float64(r.Probes)/n, p.Handshake*float64(r.Handshakes)/n
 		if r.offered > 0 {
 			r.Costs["waste"] = p.Waste * r.wasted / r.offered
 		}
-		if whole.Requested > 0 {
-			r.Costs["failing late"] = p.LateFail * r.lateWeight / whole.Requested
+		if total.Requested > 0 {
+			r.Costs["failing late"] = p.LateFail * r.lateWeight / total.Requested
 		}
 		for _, what := range slices.Sorted(maps.Keys(r.Costs)) { // in a fixed order, so that the floating-point sum is reproducible
 			r.TotalCost += r.Costs[what]
--- a/internal/simulation/emulator/scenario_test.go
+++ b/internal/simulation/emulator/scenario_test.go
@@ -41,7 +41,7 @@
 func TestScenarioRoundTrip(t *testing.T) {
 	names, _ := PresetNames()
 	for _, name := range names {
-		text, err := toml.Marshal(day(t, name, 7, 9))
+		text, err := toml.Marshal(presetScenario(t, name, 7, 9))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/simulation/emulator/scenariocheck.go
+++ b/internal/simulation/emulator/scenariocheck.go
@@ -15,26 +15,26 @@
 )
 
 // figure is a number of a scenario with the range that it must lie in.
-type figure struct {
-	name        string
-	value       float64
-	least, most float64
+type rangeCheck struct {
+	name     string
+	value    float64
+	min, max float64
 }
 
 // check returns an error where the figure is outside its range or not a number.
-func (f figure) check() error {
-	if f.value >= f.least && f.value <= f.most {
+func (f rangeCheck) check() error {
+	if f.value >= f.min && f.value <= f.max {
 		return nil
 	}
-	return fmt.Errorf("scenario: %s is %g, it must lie between %g and %g", f.name, f.value, f.least, f.most)
+	return fmt.Errorf("scenario: %s is %g, it must lie between %g and %g", f.name, f.value, f.min, f.max)
 }
 
 // Check returns an error that names the first field that is out of range.
 func (s *Scenario) Check() error {
-	for _, figures := range [][]figure{
-		s.figures(), s.Network.figures(), s.List.figures(), s.Clients.figures(), s.Keys.figures(), s.Rules.figures(), s.Prices.figures(),
+	for _, checks := range [][]rangeCheck{
+		s.rangeChecks(), s.Network.rangeChecks(), s.List.rangeChecks(), s.Clients.rangeChecks(), s.Keys.rangeChecks(), s.Rules.rangeChecks(), s.Prices.rangeChecks(),
 	} {
-		for _, f := range figures {
+		for _, f := range checks {
 			if err := f.check(); err != nil {
 				return err
 			}
@@ -60,8 +60,8 @@
 	return nil
 }
 
-func (s *Scenario) figures() []figure {
-	return []figure{
+func (s *Scenario) rangeChecks() []rangeCheck {
+	return []rangeCheck{
 		{"length", s.Length.seconds(), 0.001, maxLength.Seconds()},
 		{"sidecars", float64(s.Sidecars), 1, maxSidecars},
 		{"servers", float64(s.Servers), 1, maxServers},
@@ -74,8 +74,8 @@
 	}
 }
 
-func (n Network) figures() []figure {
-	return []figure{
+func (n Network) rangeChecks() []rangeCheck {
+	return []rangeCheck{
 		{"network.near", n.NearDelay.seconds(), 0, 10},
 		{"network.far", n.FarDelay.seconds(), 0, 10},
 		{"network.jitter", n.Jitter, 0, 1},
@@ -86,8 +86,8 @@
 	}
 }
 
-func (l ListService) figures() []figure {
-	return []figure{
+func (l ListService) rangeChecks() []rangeCheck {
+	return []rangeCheck{
 		{"list.notice", l.RemovalDelay.seconds(), 0, 3600},
 		{"list.add", l.AdditionDelay.seconds(), 0, 3600},
 		{"list.period", l.Period.seconds(), 0.001, 60},
@@ -97,8 +97,8 @@
 	}
 }
 
-func (c Clients) figures() []figure {
-	return []figure{
+func (c Clients) rangeChecks() []rangeCheck {
+	return []rangeCheck{
 		{"clients.uneven", c.TrafficCV, 0, 10},
 		{"clients.zone_skew", c.ZoneSkew, 0, 1},
 		{"clients.swing", c.Swing, 0, 1},
@@ -111,8 +111,8 @@
 	}
 }
 
-func (k Keys) figures() []figure {
-	return []figure{
+func (k Keys) rangeChecks() []rangeCheck {
+	return []rangeCheck{
 		{"keys.count", float64(k.Count), 1, 1e6},
 		{"keys.zipf", k.Zipf, 0, 5},
 		{"keys.gain", k.WarmSaving, 0, 1},
@@ -122,8 +122,8 @@
 	}
 }
 
-func (r Rules) figures() []figure {
-	return []figure{
+func (r Rules) rangeChecks() []rangeCheck {
+	return []rangeCheck{
 		{"rules.most_tries", float64(r.MaxAttempts), 1, 100},
 		{"rules.fall_multiple", r.OverloadFactor, 1, 1000},
 		{"rules.fall_time", r.OverloadWindow.seconds(), 0.001, 60},
@@ -134,8 +134,8 @@
 	}
 }
 
-func (p Prices) figures() []figure {
-	return []figure{
+func (p Prices) rangeChecks() []rangeCheck {
+	return []rangeCheck{
 		{"prices.cross_zone", p.CrossZone, 0, 10},
 		{"prices.waste", p.Waste, 0, 10},
 		{"prices.probe", p.Probe, 0, 10},
@@ -211,20 +211,20 @@
 }
 
 // check checks one class; at names it in the error.
-func (c Class) check(at string) error {
+func (c Class) check(path string) error {
 	switch {
 	case c.Name == "":
-		return fmt.Errorf("scenario: %s.name is missing", at)
+		return fmt.Errorf("scenario: %s.name is missing", path)
 	case !(c.Share >= 0) || !(c.PriorityWeight >= 0) || !(c.LateShare >= 0 && c.LateShare <= 1) || !(c.WorkCV >= 0):
-		return fmt.Errorf("scenario: %s: share, worth, late_worth or spread is out of range", at)
+		return fmt.Errorf("scenario: %s: share, worth, late_worth or spread is out of range", path)
 	case c.Work <= 0 || c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective || c.DedupWindow < 0:
-		return fmt.Errorf("scenario: %s: work and aim must be above 0, deadline not under aim", at)
+		return fmt.Errorf("scenario: %s: work and aim must be above 0, deadline not under aim", path)
 	case !slices.Contains([]string{"lognormal", "pareto"}, c.Tail):
-		return fmt.Errorf("scenario: %s.tail is %q; there are lognormal and pareto", at, c.Tail)
+		return fmt.Errorf("scenario: %s.tail is %q; there are lognormal and pareto", path, c.Tail)
 	case !slices.Contains([]string{"safe", "keyed", "unsafe"}, c.Idempotency):
-		return fmt.Errorf("scenario: %s.effect is %q; there are safe, keyed and unsafe", at, c.Idempotency)
+		return fmt.Errorf("scenario: %s.effect is %q; there are safe, keyed and unsafe", path, c.Idempotency)
 	case c.Idempotency == "keyed" && !slices.Contains([]string{"all", "zone", "cell"}, c.DedupScope):
-		return fmt.Errorf("scenario: %s.group is %q; there are all, zone and cell", at, c.DedupScope)
+		return fmt.Errorf("scenario: %s.group is %q; there are all, zone and cell", path, c.DedupScope)
 	}
 	return nil
 }
--- a/internal/simulation/emulator/scenariofile.go
+++ b/internal/simulation/emulator/scenariofile.go
@@ -33,12 +33,12 @@
 // ReadScenario reads a scenario file: TOML that changes DefaultScenario. A key that is not
 // known, a wrong type and a figure out of range are errors that name line and field.
 func ReadScenario(r io.Reader) (*Scenario, error) {
-	text, err := io.ReadAll(io.LimitReader(r, maxFile+1))
+	text, err := io.ReadAll(io.LimitReader(r, maxFileSize+1))
 	if err != nil {
 		return nil, fmt.Errorf("read scenario: %w", err)
 	}
-	if len(text) > maxFile {
-		return nil, fmt.Errorf("scenario: more than %d bytes", maxFile)
+	if len(text) > maxFileSize {
+		return nil, fmt.Errorf("scenario: more than %d bytes", maxFileSize)
 	}
 	s := DefaultScenario()
 	if err := configfile.DecodeTOML(text, s); err != nil {
@@ -48,7 +48,7 @@
 }
 
 // maxFile bounds the size of a scenario file.
-const maxFile = 1 << 20
+const maxFileSize = 1 << 20
 
 // LoadScenario reads a scenario file.
 func LoadScenario(path string) (*Scenario, error) {
--- a/internal/simulation/emulator/search.go
+++ b/internal/simulation/emulator/search.go
@@ -22,13 +22,13 @@
 
 // searchFaults are the faults that accompany a surge, with the ranges of their parts and sizes.
 var searchFaults = []struct {
-	name                             string
-	leastPart, mostPart, least, most float64
-	extra                            float64
+	name                               string
+	minPart, maxPart, minSize, maxSize float64
+	extra                              float64
 }{
-	{name: "kill", leastPart: 0.1, mostPart: 0.4}, {name: "vanish", leastPart: 0.1, mostPart: 0.3}, {name: "zone_lost"},
-	{name: "slow", leastPart: 0.1, mostPart: 0.4, least: 2, most: 8}, {name: "fast_errors", leastPart: 0.1, mostPart: 0.4, least: 0.3, most: 0.9},
-	{name: "list_down"}, {name: "herd", leastPart: 0.3, mostPart: 0.8, extra: 0.5}, {name: "partition"}, {name: "reset", leastPart: 0.02, mostPart: 0.2},
+	{name: "kill", minPart: 0.1, maxPart: 0.4}, {name: "vanish", minPart: 0.1, maxPart: 0.3}, {name: "zone_lost"},
+	{name: "slow", minPart: 0.1, maxPart: 0.4, minSize: 2, maxSize: 8}, {name: "fast_errors", minPart: 0.1, maxPart: 0.4, minSize: 0.3, maxSize: 0.9},
+	{name: "list_down"}, {name: "herd", minPart: 0.3, maxPart: 0.8, extra: 0.5}, {name: "partition"}, {name: "reset", minPart: 0.02, maxPart: 0.2},
 }
 
 // SearchScenario draws the scenario of a seed and returns when its faults are over.
@@ -38,19 +38,19 @@
 		return nil, 0, err
 	}
 	rng := rand.New(rand.NewPCG(seed, 17))
-	between := func(least, most float64) float64 { return least + rng.Float64()*(most-least) }
+	between := func(low, high float64) float64 { return low + rng.Float64()*(high-low) }
 	surge := between(2, 15)
-	over := searchFaultStart + surge
+	faultsEnd := searchFaultStart + surge
 	s.Name, s.Load = fmt.Sprintf("hunt-%d", seed), searchLoad
 	s.Faults = []Fault{{Name: "burst", Start: fromSeconds(searchFaultStart), Duration: fromSeconds(surge), Size: between(minSurge, maxSurge)}}
 	if k := rng.IntN(len(searchFaults) + 1); k < len(searchFaults) { // or no further fault
 		x := searchFaults[k]
-		begin, length := searchFaultStart+between(0, surge), between(1, 8)
-		s.Faults = append(s.Faults, Fault{Name: x.name, Start: fromSeconds(begin), Duration: fromSeconds(length), Part: between(x.leastPart, x.mostPart), Size: between(x.least, x.most), Extra: fromSeconds(x.extra), Zone: rng.IntN(len(s.Zones))})
-		over = max(over, begin+length)
+		start, length := searchFaultStart+between(0, surge), between(1, 8)
+		s.Faults = append(s.Faults, Fault{Name: x.name, Start: fromSeconds(start), Duration: fromSeconds(length), Part: between(x.minPart, x.maxPart), Size: between(x.minSize, x.maxSize), Extra: fromSeconds(x.extra), Zone: rng.IntN(len(s.Zones))})
+		faultsEnd = max(faultsEnd, start+length)
 	}
-	s.Length = fromSeconds(over + searchRecoveryLength)
-	return s, fromSeconds(over).timeDuration(), s.Check()
+	s.Length = fromSeconds(faultsEnd + searchRecoveryLength)
+	return s, fromSeconds(faultsEnd).timeDuration(), s.Check()
 }
 
 func (s Duration) timeDuration() time.Duration { return time.Duration(s) }
@@ -69,7 +69,7 @@
 
 // RunSearch runs the scenario of a seed.
 func RunSearch(ctx context.Context, seed uint64, sidecars, servers int, decide DeciderFactory) (*SearchResult, error) {
-	sc, over, err := SearchScenario(seed, sidecars, servers)
+	sc, faultsEnd, err := SearchScenario(seed, sidecars, servers)
 	if err != nil {
 		return nil, err
 	}
@@ -81,10 +81,10 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &SearchResult{Seed: seed, Scenario: sc, FaultsEnd: over, Goodput: r.Goodput, ViolationTexts: r.ViolationTexts, Faults: sc.Faults}
-	var back bool
-	if h.RecoveryTime, back = r.RecoveryTime(over); !back {
-		h.RecoveryTime, h.NotRecovered = fromSeconds(searchRecoveryLength).timeDuration(), true
+	result := &SearchResult{Seed: seed, Scenario: sc, FaultsEnd: faultsEnd, Goodput: r.Goodput, ViolationTexts: r.ViolationTexts, Faults: sc.Faults}
+	var recovered bool
+	if result.RecoveryTime, recovered = r.RecoveryTime(faultsEnd); !recovered {
+		result.RecoveryTime, result.NotRecovered = fromSeconds(searchRecoveryLength).timeDuration(), true
 	}
-	return h, nil
+	return result, nil
 }
--- a/internal/simulation/emulator/server.go
+++ b/internal/simulation/emulator/server.go
@@ -26,7 +26,7 @@
 
 	remaining float64
 	work      float64
-	fails     bool
+	willFail  bool
 }
 
 // Verdict is the server's decision on a request that arrives.
@@ -65,7 +65,7 @@
 
 	rng            *rand.Rand
 	rules          Rules
-	at             time.Duration
+	advancedTo     time.Duration
 	running        []*Job
 	queue          []*Job
 	overheadWork   float64   // work for handshakes and probes, done before requests
@@ -75,10 +75,10 @@
 	coldArrivals   []arrival // while warming up, within the rule's window
 	Overloaded     bool      // overloaded while warming up
 
-	reportAt time.Duration
-	report   LoadReport
-	busy     float64 // core seconds, since the last report
-	served   float64
+	lastReportAt time.Duration
+	report       LoadReport
+	busy         float64 // core seconds, since the last report
+	served       float64
 }
 
 type arrival struct {
@@ -99,23 +99,23 @@
 type dedupCache = lru.Cache[uint64, time.Duration]
 
 // maxRepeats bounds a zone's deduplication cache; it is more than arrive within a window.
-const maxRepeats = 1 << 17
+const maxDedupKeys = 1 << 17
 
 func newDedupCache() *dedupCache {
-	met, err := lru.New[uint64, time.Duration](maxRepeats)
+	cache, err := lru.New[uint64, time.Duration](maxDedupKeys)
 	if err != nil {
 		panic(err) // the size is a constant
 	}
-	return met
+	return cache
 }
 
 // newCell makes a cell whose cache has room for its cores.
-func newCell(number int, zone *dedupCache, spec Keys, cores int) *Cell {
-	keys, err := lru.New[uint64, time.Duration](max(1, spec.PerCore*cores))
+func newCell(number int, zone *dedupCache, settings Keys, cores int) *Cell {
+	keys, err := lru.New[uint64, time.Duration](max(1, settings.PerCore*cores))
 	if err != nil {
 		panic(err) // the size is at least 1
 	}
-	return &Cell{Number: number, keys: keys, zone: zone, keySettings: spec}
+	return &Cell{Number: number, keys: keys, zone: zone, keySettings: settings}
 }
 
 // discount returns the fraction of its work that a request with this key needs, and remembers the key.
@@ -123,16 +123,16 @@
 	if key == 0 {
 		return 1
 	}
-	at, met := c.keys.Get(key)
+	at, seen := c.keys.Get(key)
 	c.keys.Add(key, now)
-	if met && now-at <= time.Duration(c.keySettings.WarmWindow) {
+	if seen && now-at <= time.Duration(c.keySettings.WarmWindow) {
 		return 1 - c.keySettings.WarmSaving
 	}
 	return 1
 }
 
 const (
-	coldInterval    = 50 * time.Millisecond // step in which the capacity of a server that warms up is followed
+	warmUpStep      = 50 * time.Millisecond // step in which the capacity of a server that warms up is followed
 	probeWork       = 0.00014               // seconds of work that a probe costs
 	repeatWork      = 0.001                 // seconds of work that a dropped repeat costs
 	failedWorkShare = 0.05                  // fraction of its work that a request costs when it fails at once
@@ -191,21 +191,21 @@
 	if len(s.running) == 0 {
 		return 0
 	}
-	return s.Speed * s.warmth(s.at) * s.speedFactor() * min(1, float64(s.Kind.Cores)/float64(len(s.running)))
+	return s.Speed * s.warmth(s.advancedTo) * s.speedFactor() * min(1, float64(s.Kind.Cores)/float64(len(s.running)))
 }
 
 // Start starts a process, which begins to warm up.
 func (s *Server) Start(now time.Duration) {
 	s.StartedAt, s.Alive, s.Draining, s.Overloaded = now, true, false, false
-	s.workSinceStart, s.overheadWork, s.coldArrivals, s.at = 0, 0, s.coldArrivals[:0], now
+	s.workSinceStart, s.overheadWork, s.coldArrivals, s.advancedTo = 0, 0, s.coldArrivals[:0], now
 }
 
 // Kill ends the process and returns the requests that it had.
 func (s *Server) Kill(now time.Duration) []*Job {
 	s.Advance(now)
-	held := append(s.running, s.queue...)
+	unfinished := append(s.running, s.queue...)
 	s.running, s.queue, s.Alive, s.OpenConnections = nil, nil, false, 0
-	return held
+	return unfinished
 }
 
 // maxConnections returns how many connections the server accepts.
@@ -266,22 +266,22 @@
 	for len(s.running) < s.slots() && len(s.queue) > 0 {
 		j := s.queue[0]
 		s.queue = s.queue[1:]
-		if s.Kind.DropsLate && s.at >= j.Deadline {
+		if s.Kind.DropsLate && s.advancedTo >= j.Deadline {
 			j.Dropped = true
 			s.ended = append(s.ended, j)
 			continue
 		}
-		j.Started, j.Cold = s.at, s.warmth(s.at) < 1
-		j.remaining = j.Work * s.Cell.discount(s.at, j.Key)
+		j.Started, j.Cold = s.advancedTo, s.warmth(s.advancedTo) < 1
+		j.remaining = j.Work * s.Cell.discount(s.advancedTo, j.Key)
 		if j.Repeat != 0 {
-			if at, met := s.Cell.zone.Get(j.Repeat); met && s.at-at < j.Window {
+			if at, seen := s.Cell.zone.Get(j.Repeat); seen && s.advancedTo-at < j.Window {
 				j.remaining = min(j.remaining, repeatWork)
 			} else {
-				s.Cell.zone.Add(j.Repeat, s.at)
+				s.Cell.zone.Add(j.Repeat, s.advancedTo)
 			}
 		}
 		if s.rng.Float64() < max(s.FailureShare, s.Kind.ErrorRate) {
-			j.fails = true
+			j.willFail = true
 			j.remaining *= failedWorkShare
 		}
 		j.work = j.remaining
@@ -295,21 +295,21 @@
 // slice is valid until the next call.
 func (s *Server) Advance(now time.Duration) []*Job {
 	s.startJobs()
-	for s.at < now {
+	for s.advancedTo < now {
 		until := now
 		rate := s.rate()
-		if s.warmth(s.at) < 1 {
-			until = min(until, s.at+coldInterval)
+		if s.warmth(s.advancedTo) < 1 {
+			until = min(until, s.advancedTo+warmUpStep)
 		}
 		if rate > 0 {
-			until = min(until, s.at+s.timeToFirstEnd(rate))
+			until = min(until, s.advancedTo+s.timeToFirstEnd(rate))
 		}
-		dt := (until - s.at).Seconds()
-		s.at = until
+		dt := (until - s.advancedTo).Seconds()
+		s.advancedTo = until
 		if len(s.running) == 0 {
 			s.overheadWork = max(0, s.overheadWork-dt*s.fullCapacity())
-			if s.warmth(s.at) >= 1 {
-				s.at = now
+			if s.warmth(s.advancedTo) >= 1 {
+				s.advancedTo = now
 			}
 			continue
 		}
@@ -322,7 +322,7 @@
 				kept = append(kept, j)
 				continue
 			}
-			j.Failed, j.Done = j.fails, s.at
+			j.Failed, j.Done = j.willFail, s.advancedTo
 			s.served++
 			s.ended = append(s.ended, j)
 		}
@@ -336,11 +336,11 @@
 
 // timeToFirstEnd returns the time until the first running request ends at a rate, at least a nanosecond.
 func (s *Server) timeToFirstEnd(rate float64) time.Duration {
-	least := math.Inf(1)
+	shortest := math.Inf(1)
 	for _, j := range s.running {
-		least = min(least, j.remaining)
+		shortest = min(shortest, j.remaining)
 	}
-	return max(1, time.Duration(math.Ceil(least/rate*1e9)))
+	return max(1, time.Duration(math.Ceil(shortest/rate*1e9)))
 }
 
 // Never is later than any run.
@@ -349,30 +349,30 @@
 // Next returns when Advance may have something to return.
 func (s *Server) Next() time.Duration {
 	if len(s.ended) > 0 {
-		return s.at
+		return s.advancedTo
 	}
 	rate := s.rate()
 	if rate <= 0 {
 		return Never
 	}
 	d := s.timeToFirstEnd(rate)
-	if s.warmth(s.at) < 1 {
-		d = min(d, coldInterval)
+	if s.warmth(s.advancedTo) < 1 {
+		d = min(d, warmUpStep)
 	}
-	return s.at + d
+	return s.advancedTo + d
 }
 
 // Probe costs a little work and returns the last load report.
 func (s *Server) Probe(now time.Duration) LoadReport {
 	s.overheadWork += probeWork
-	if passed := now - s.reportAt; passed >= time.Duration(s.Kind.ReportInterval) {
+	if elapsed := now - s.lastReportAt; elapsed >= time.Duration(s.Kind.ReportInterval) {
 		noise := func() float64 { return 1 + s.Kind.ReportNoise*s.rng.NormFloat64() }
 		s.report = LoadReport{
 			Queue: math.Max(0, math.Round(float64(len(s.queue))*noise())),
-			Busy:  min(1, max(0, s.busy/passed.Seconds()/float64(s.Kind.Cores)*noise())),
-			Rate:  max(0, s.served/passed.Seconds()*noise()),
+			Busy:  min(1, max(0, s.busy/elapsed.Seconds()/float64(s.Kind.Cores)*noise())),
+			Rate:  max(0, s.served/elapsed.Seconds()*noise()),
 		}
-		s.reportAt, s.busy, s.served = now, 0, 0
+		s.lastReportAt, s.busy, s.served = now, 0, 0
 	}
 	return s.report
 }
--- a/internal/simulation/emulator/server_test.go
+++ b/internal/simulation/emulator/server_test.go
@@ -7,7 +7,7 @@
 )
 
 // bench is a warm server of one core at speed 2 whose queue holds two.
-func bench(change func(*Server)) *Server {
+func newTestServer(change func(*Server)) *Server {
 	keys := Keys{WarmSaving: 0.5, WarmWindow: milliseconds(1000), PerCore: 2, CellSize: 1}
 	sv := &Server{
 		Kind:  MachineKind{Cores: 1, Speed: 2, Slots: 1, QueueCapacity: 2, CrowdedAt: 100, SlowStartFloor: 0.5, SlowStartWindow: milliseconds(4000), ReportInterval: milliseconds(10)},
@@ -21,7 +21,7 @@
 }
 
 // drain lets a server finish and returns when each request ended, in order.
-func drain(sv *Server) (ends []time.Duration, jobs []*Job) {
+func runToEnd(sv *Server) (ends []time.Duration, jobs []*Job) {
 	for at := sv.Next(); at != Never; at = sv.Next() {
 		for _, j := range sv.Advance(at) {
 			ends, jobs = append(ends, at), append(jobs, j)
@@ -33,9 +33,9 @@
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // near reports whether two times are equal but for rounding.
-func near(a, b time.Duration) bool { return max(a-b, b-a) <= 2*time.Microsecond }
+func almostEqual(a, b time.Duration) bool { return max(a-b, b-a) <= 2*time.Microsecond }
 
-func TestServerServesItsQueueAtItsSpeed(t *testing.T) {
+func TestServiceTimes(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*Server)
 		want   []float64 // ends of three requests of a second's work
@@ -49,16 +49,16 @@
 		"full of callers": {func(sv *Server) { sv.Kind.ConnectionCost, sv.OpenConnections = 0.5, 3 }, []float64{1, 2, 3}},
 		"after handshake": {func(sv *Server) { sv.Connect(time.Second) }, []float64{1, 1.5, 2}},
 	} {
-		sv := bench(c.change)
+		sv := newTestServer(c.change)
 		sv.Advance(0)
 		for range 3 {
 			if v := sv.Arrive(0, &Job{Work: 1}); v != Accepted {
 				t.Errorf("%s: verdict %v", name, v)
 			}
 		}
-		ends, _ := drain(sv)
+		ends, _ := runToEnd(sv)
 		for i, want := range c.want {
-			if len(ends) != 3 || !near(ends[i], seconds(want)) {
+			if len(ends) != 3 || !almostEqual(ends[i], seconds(want)) {
 				t.Errorf("%s: ended at %v, want %v", name, ends, c.want)
 				break
 			}
@@ -67,7 +67,7 @@
 }
 
 func TestFullServerRejects(t *testing.T) {
-	sv := bench(nil)
+	sv := newTestServer(nil)
 	sv.Advance(0)
 	for i, want := range []Verdict{Accepted, Accepted, Accepted, Rejected} {
 		if got := sv.Arrive(0, &Job{Work: 1}); got != want {
@@ -93,7 +93,7 @@
 
 // A cold server starts with a fraction of its capacity and warms up with time, or sooner with work.
 func TestServerWarmsUp(t *testing.T) {
-	sv := bench(nil)
+	sv := newTestServer(nil)
 	sv.Start(seconds(1))
 	for at, want := range map[float64]float64{1: 1, 3: 1.5, 5: 2, 9: 2} {
 		if got := sv.Capacity(seconds(at)); got < want-1e-9 || got > want+1e-9 {
@@ -104,31 +104,31 @@
 	if sv.Advance(seconds(3)); sv.Capacity(seconds(3)) <= 1.5 {
 		t.Errorf("work has not warmed it: %v", sv.Capacity(seconds(3)))
 	}
-	if ends, _ := drain(sv); len(ends) != 1 || ends[0] >= seconds(5) || ends[0] <= seconds(3) {
+	if ends, _ := runToEnd(sv); len(ends) != 1 || ends[0] >= seconds(5) || ends[0] <= seconds(3) {
 		t.Errorf("4 s of work ended at %v, which should take more than 2 s and less than 4", ends)
 	}
 }
 
 // A cold server bears a multiple of its capacity and is overloaded above that, permanently and only while cold.
-func TestColdServerIsOverloaded(t *testing.T) {
+func TestColdServerOverload(t *testing.T) {
 	budget := 3 * 1.0 * 2 * overloadSlack // multiple x capacity x seconds
 	for name, c := range map[string]struct {
-		work float64
-		warm bool
-		fell bool
+		work       float64
+		warm       bool
+		overloaded bool
 	}{"within": {budget / 10 * 0.99, false, false}, "above": {budget / 10 * 1.02, false, true}, "warm": {100, true, false}} {
-		sv := bench(func(sv *Server) { sv.Kind.QueueCapacity = 100 })
+		sv := newTestServer(func(sv *Server) { sv.Kind.QueueCapacity = 100 })
 		if !c.warm {
 			sv.Start(1)
 		}
 		for range 10 {
 			sv.Arrive(1, &Job{Work: c.work})
 		}
-		if sv.Overloaded != c.fell {
+		if sv.Overloaded != c.overloaded {
 			t.Errorf("%s: overloaded %v", name, sv.Overloaded)
 		}
 	}
-	sv := bench(nil) // what is rejected presses too
+	sv := newTestServer(nil) // what is rejected presses too
 	sv.Start(1)
 	sv.Draining = true
 	for range 10 {
@@ -140,7 +140,7 @@
 }
 
 func TestKeysAndRepeatsCostLess(t *testing.T) {
-	sv := bench(func(sv *Server) { sv.Kind.QueueCapacity = 100 })
+	sv := newTestServer(func(sv *Server) { sv.Kind.QueueCapacity = 100 })
 	sv.Advance(0)
 	for _, j := range []*Job{
 		{Work: 1, Key: 7}, {Work: 1, Key: 7}, // known at the second time
@@ -149,7 +149,7 @@
 	} {
 		sv.Arrive(0, j)
 	}
-	_, jobs := drain(sv)
+	_, jobs := runToEnd(sv)
 	var spent []float64
 	for _, j := range jobs {
 		spent = append(spent, j.work)
@@ -163,18 +163,18 @@
 }
 
 func TestServerDropsExpiredRequests(t *testing.T) {
-	sv := bench(func(sv *Server) { sv.Kind.DropsLate = true })
+	sv := newTestServer(func(sv *Server) { sv.Kind.DropsLate = true })
 	sv.Advance(0)
 	sv.Arrive(0, &Job{Work: 1, Deadline: time.Hour})
 	sv.Arrive(0, &Job{Work: 1, Deadline: seconds(0.2)})
-	ends, jobs := drain(sv)
-	if len(jobs) != 2 || jobs[0].Dropped || !jobs[1].Dropped || !near(ends[1], seconds(0.5)) {
+	ends, jobs := runToEnd(sv)
+	if len(jobs) != 2 || jobs[0].Dropped || !jobs[1].Dropped || !almostEqual(ends[1], seconds(0.5)) {
 		t.Errorf("%d ended at %v", len(jobs), ends)
 	}
 }
 
-func TestProbeReportsTheLoad(t *testing.T) {
-	sv := bench(nil)
+func TestProbeReportsLoad(t *testing.T) {
+	sv := newTestServer(nil)
 	sv.Advance(0)
 	for range 3 {
 		sv.Arrive(0, &Job{Work: 0.1})
--- a/internal/simulation/emulator/settings.go
+++ b/internal/simulation/emulator/settings.go
@@ -65,7 +65,7 @@
 }
 
 // quotaPart is the fraction of the servers' capacity that is promised to the tenants.
-const quotaPart = 0.82
+const quotaShare = 0.82
 
 // quota returns a tenant's quota in requests per second over all sidecars.
 func (s *Scenario) quota(tenant int) float64 {
@@ -76,7 +76,7 @@
 	if s.Load == 0 {
 		return 0
 	}
-	return s.Tenants[tenant].Share / shares * s.Rate() / s.Load * quotaPart
+	return s.Tenants[tenant].Share / shares * s.Rate() / s.Load * quotaShare
 }
 
 func (c Class) idempotency() policy.Idempotency {
--- a/internal/simulation/emulator/settings_test.go
+++ b/internal/simulation/emulator/settings_test.go
@@ -9,10 +9,10 @@
 )
 
 // A sidecar that reads the emulator's settings is configured as the emulated one is.
-func TestSettingsMatchThePolicyConfig(t *testing.T) {
+func TestSettingsMatchPolicyConfig(t *testing.T) {
 	names, _ := PresetNames()
 	for _, name := range names {
-		sc := day(t, name, 7, 9)
+		sc := presetScenario(t, name, 7, 9)
 		for _, sidecar := range []int{0, 1} {
 			text, err := json.Marshal(sc.Settings(sidecar))
 			if err != nil {
--- a/internal/simulation/emulator/sim.go
+++ b/internal/simulation/emulator/sim.go
@@ -13,19 +13,19 @@
 // Sim runs a scenario in simulated time. All of it runs in the caller's goroutine;
 // the result follows from scenario, seed and Decider alone.
 type Sim struct {
-	newDecider DeciderFactory
-	now        time.Duration
-	queue      events
-	count      uint64 // of events ever scheduled: ties go in this order
+	newDecider      DeciderFactory
+	now             time.Duration
+	queue           events
+	scheduledEvents uint64 // of events ever scheduled: ties go in this order
 
 	*Fleet
-	advice   *adviceTask     // nil: the fleet has no overload advice
-	nextLook []time.Duration // when each server is advanced next
-	nodes    []*node
-	list     *listServer
-	clients  *clients
-	checker  *Checker
-	record   *Record
+	advice      *adviceTask     // nil: the fleet has no overload advice
+	nextAdvance []time.Duration // when each server is advanced next
+	nodes       []*node
+	list        *listServer
+	clients     *clients
+	checker     *Checker
+	record      *Record
 
 	environment *rand.Rand // randomness of faults, servers and network: the same for all variants
 	feedback    *rand.Rand // randomness of what depends on the sidecars' decisions
@@ -68,7 +68,7 @@
 	s.Fleet = NewFleet(sc, seed, s.environment)
 	s.list = newListServer(s)
 	for _, sv := range s.Servers {
-		s.nextLook = append(s.nextLook, Never)
+		s.nextAdvance = append(s.nextAdvance, Never)
 		s.list.addKnown(sv)
 	}
 	for i := range sc.Sidecars {
@@ -93,7 +93,7 @@
 // add starts a new server, which the discovery service lists after its delay.
 func (s *Sim) add(zone int, k MachineKind, cell *Cell, speed float64) {
 	sv := s.AddServer(zone, k, cell, speed, s.now)
-	s.nextLook = append(s.nextLook, Never)
+	s.nextAdvance = append(s.nextAdvance, Never)
 	sv.Start(s.now)
 	s.list.changed(sv)
 }
@@ -109,7 +109,7 @@
 	}
 	s.clients.scheduleNext()
 	s.sample()
-	s.informIdeally()
+	s.sendIdealInformation()
 	end := StartTime + time.Duration(s.scenario.Length) + s.longestDeadline() + 2*time.Duration(s.scenario.Rules.AnswerSlack)
 	for n := 0; len(s.queue) > 0 && s.failure == nil; n++ {
 		if n%cancelCheckInterval == 0 && ctx.Err() != nil {
@@ -121,7 +121,7 @@
 			break
 		}
 		s.now = e.at
-		e.do()
+		e.run()
 	}
 	s.now = end
 	s.checker.Finish(end)
@@ -131,7 +131,7 @@
 
 // finish completes the record.
 func (s *Sim) finish(partial bool) {
-	s.record.Events = int(s.count)
+	s.record.Events = int(s.scheduledEvents)
 	s.record.Finish(s.checker, partial)
 }
 
@@ -197,8 +197,8 @@
 }
 
 // restartServers starts killed servers again; they warm up from the beginning.
-func (s *Sim) restartServers(dead []*Server) {
-	for _, sv := range dead {
+func (s *Sim) restartServers(killed []*Server) {
+	for _, sv := range killed {
 		if !sv.Alive {
 			sv.Start(s.now)
 			s.list.changed(sv)
@@ -218,13 +218,13 @@
 		s.jobEnded(sv, j)
 	}
 	next := sv.Next()
-	if next == Never || (s.nextLook[sv.Index] <= next && s.nextLook[sv.Index] > s.now) {
+	if next == Never || (s.nextAdvance[sv.Index] <= next && s.nextAdvance[sv.Index] > s.now) {
 		return // the scheduled event comes in time
 	}
-	s.nextLook[sv.Index] = next
+	s.nextAdvance[sv.Index] = next
 	s.schedule(next, func() {
-		if s.nextLook[sv.Index] == next {
-			s.nextLook[sv.Index] = Never
+		if s.nextAdvance[sv.Index] == next {
+			s.nextAdvance[sv.Index] = Never
 		}
 		if sv.Alive {
 			s.advanceServer(sv)
--- a/internal/simulation/emulator/sim_test.go
+++ b/internal/simulation/emulator/sim_test.go
@@ -14,7 +14,7 @@
 	"barleywick/policy"
 )
 
-func play(t testing.TB, sc *Scenario, seed uint64, decide DeciderFactory) *Record {
+func runScenario(t testing.TB, sc *Scenario, seed uint64, decide DeciderFactory) *Record {
 	t.Helper()
 	s, err := NewSim(sc, seed, decide)
 	if err != nil {
@@ -27,7 +27,7 @@
 	return r
 }
 
-func day(t testing.TB, name string, sidecars, servers int) *Scenario {
+func presetScenario(t testing.TB, name string, sidecars, servers int) *Scenario {
 	t.Helper()
 	sc, err := Preset(name, sidecars, servers)
 	if err != nil {
@@ -44,7 +44,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			text := func(seed uint64) string {
-				r := play(t, day(t, name, 30, 20), seed, NewBalancer)
+				r := runScenario(t, presetScenario(t, name, 30, 20), seed, NewBalancer)
 				if len(r.ViolationTexts) > 0 {
 					t.Errorf("seed %d: %v %v", seed, r.Violations, r.ViolationTexts)
 				}
@@ -73,64 +73,64 @@
 }
 
 // unsafe is the non-idempotent class; an attempt that never ran may be repeated.
-const unsafe = 1
+const unsafeClass = 1
 
 // checkLosses checks that the causes add up to the weight that was not served.
 func checkLosses(t *testing.T, r *Record) {
 	t.Helper()
-	asked, got, lost, priced := 0.0, 0.0, 0.0, 0.0
+	requested, served, lost, costs := 0.0, 0.0, 0.0, 0.0
 	for _, c := range r.Classes {
-		asked, got = asked+c.Requested, got+c.Served
+		requested, served = requested+c.Requested, served+c.Served
 	}
 	for _, cause := range r.Causes() {
 		lost += r.LostWeight[cause]
 	}
 	for _, p := range r.Costs {
-		priced += p
+		costs += p
 	}
-	if math.Abs(asked-got-lost) > 1e-6*asked || lost <= 0 {
-		t.Errorf("requested %v, served %v, losses add up to %v: %v", asked, got, lost, r.LostWeight)
+	if math.Abs(requested-served-lost) > 1e-6*requested || lost <= 0 {
+		t.Errorf("requested %v, served %v, losses add up to %v: %v", requested, served, lost, r.LostWeight)
 	}
-	if math.Abs(priced-r.TotalCost) > 1e-9 {
+	if math.Abs(costs-r.TotalCost) > 1e-9 {
 		t.Errorf("total cost %v, parts %v", r.TotalCost, r.Costs)
 	}
 }
 
 // The losses of each scenario name its fault.
-func TestLossesNameTheFault(t *testing.T) {
+func TestLossCauseMatchesFault(t *testing.T) {
 	for name, cause := range map[string]string{
 		"herd": causeKilled, "errors": causeError, "vanish": causeUnreachable, "overload": causeShed, "heavy": causeLateWork, "slow": causeLateSlow,
 		"zone": causeBroken, "split": causeUnreachable, "join": causeMalformed,
 	} {
-		if r := play(t, day(t, name, 30, 20), 1, NewBalancer); r.LostWeight[cause] == 0 {
+		if r := runScenario(t, presetScenario(t, name, 30, 20), 1, NewBalancer); r.LostWeight[cause] == 0 {
 			t.Errorf("%s: no loss by %q: %v", name, cause, r.LostWeight)
 		}
 	}
 }
 
 // meddler changes what passes between a module and its host, and between the list and the module.
-type meddler struct {
+type interceptor struct {
 	*policy.Balancer
 	policy.Host
-	classes map[policy.RequestID]int
-	newest  policy.ServerID // where all goes; 0: where the module says
-	send    func(m *meddler, id policy.RequestID, to policy.ServerID, timeout time.Duration)
-	deaf    bool // it never asks for the list
-	refuse  func(m *meddler, id policy.RequestID, pause time.Duration)
-	list    func(kind policy.ListKind, entries []policy.Endpoint) []policy.Endpoint
+	classes      map[policy.RequestID]int
+	unsafeTarget policy.ServerID // where all goes; 0: where the module says
+	send         func(m *interceptor, id policy.RequestID, to policy.ServerID, timeout time.Duration)
+	neverPolls   bool // it never asks for the list
+	refuse       func(m *interceptor, id policy.RequestID, pause time.Duration)
+	list         func(kind policy.ListKind, entries []policy.Endpoint) []policy.Endpoint
 }
 
-func (m *meddler) Wake(d time.Duration) { m.Host.Wake(d) }
+func (m *interceptor) Wake(d time.Duration) { m.Host.Wake(d) }
 
-func (m *meddler) WatchList() {
-	if !m.deaf {
+func (m *interceptor) WatchList() {
+	if !m.neverPolls {
 		m.Host.WatchList()
 	}
 }
 
-func (m *meddler) Send(id policy.RequestID, to policy.ServerID, timeout, start time.Duration) {
-	if class, first := m.classes[id]; m.newest != 0 && first && class == unsafe {
-		to = m.newest
+func (m *interceptor) Send(id policy.RequestID, to policy.ServerID, timeout, start time.Duration) {
+	if class, first := m.classes[id]; m.unsafeTarget != 0 && first && class == unsafeClass {
+		to = m.unsafeTarget
 	}
 	m.Host.Send(id, to, timeout, start)
 	if m.send != nil {
@@ -138,7 +138,7 @@
 	}
 }
 
-func (m *meddler) Refuse(id policy.RequestID, pause time.Duration) {
+func (m *interceptor) Refuse(id policy.RequestID, pause time.Duration) {
 	if m.refuse != nil {
 		m.refuse(m, id, pause)
 		return
@@ -147,16 +147,16 @@
 }
 
 // decider is the meddler as a Decider.
-type decider struct{ *meddler }
+type interceptedDecider struct{ *interceptor }
 
-func (d decider) Wake(now time.Duration) { d.Balancer.Wake(now) }
+func (d interceptedDecider) Wake(now time.Duration) { d.Balancer.Wake(now) }
 
-func (d decider) Request(now time.Duration, q policy.Request) {
+func (d interceptedDecider) Request(now time.Duration, q policy.Request) {
 	d.classes[q.ID] = q.Class
 	d.Balancer.Request(now, q)
 }
 
-func (d decider) List(now time.Duration, kind policy.ListKind, entries []policy.Endpoint) {
+func (d interceptedDecider) List(now time.Duration, kind policy.ListKind, entries []policy.Endpoint) {
 	if d.list != nil {
 		entries = d.list(kind, slices.Clone(entries))
 	}
@@ -164,51 +164,51 @@
 }
 
 // meddling wraps the modules of a run in meddlers.
-func meddling(meddle func(*meddler)) DeciderFactory {
+func intercepting(intercept func(*interceptor)) DeciderFactory {
 	return func(b DeciderOptions) (Decider, error) {
-		m := &meddler{Host: b.Host, classes: make(map[policy.RequestID]int)}
-		meddle(m)
+		m := &interceptor{Host: b.Host, classes: make(map[policy.RequestID]int)}
+		intercept(m)
 		var err error
 		m.Balancer, err = policy.New(b.Config, b.Seed, m)
-		return decider{m}, err
+		return interceptedDecider{m}, err
 	}
 }
 
 // A violation on purpose is found, and no other rule is reported.
-func TestEachViolationIsFound(t *testing.T) {
-	overload := day(t, "overload", 10, 8)
-	join := day(t, "join", 10, 20)
-	drained := day(t, "calm", 10, 20)
+func TestCheckerFindsEachViolation(t *testing.T) {
+	overload := presetScenario(t, "overload", 10, 8)
+	join := presetScenario(t, "join", 10, 20)
+	drained := presetScenario(t, "calm", 10, 20)
 	drained.Faults = []Fault{{Name: "replace", Start: fromSeconds(2), Duration: fromSeconds(2), Part: 0.5, Extra: fromSeconds(28)}}
 	for name, c := range map[string]struct {
 		rule   int
 		sc     *Scenario
-		meddle func(*meddler)
+		meddle func(*interceptor)
 	}{
-		"a refusal that never goes out": {1, overload, func(m *meddler) {
-			m.refuse = func(*meddler, policy.RequestID, time.Duration) {}
+		"a refusal that never goes out": {1, overload, func(m *interceptor) {
+			m.refuse = func(*interceptor, policy.RequestID, time.Duration) {}
 		}},
-		"a send after the end": {1, overload, func(m *meddler) {
-			m.refuse = func(m *meddler, id policy.RequestID, pause time.Duration) {
+		"a send after the end": {1, overload, func(m *interceptor) {
+			m.refuse = func(m *interceptor, id policy.RequestID, pause time.Duration) {
 				m.Host.Refuse(id, pause)
 				m.Host.Send(id, 1, time.Second, 0)
 			}
 		}},
-		"an unsafe request sent twice": {2, day(t, "calm", 10, 8), func(m *meddler) {
-			m.send = func(m *meddler, id policy.RequestID, to policy.ServerID, timeout time.Duration) {
-				if m.classes[id] == unsafe && id%50 == 0 {
+		"an unsafe request sent twice": {2, presetScenario(t, "calm", 10, 8), func(m *interceptor) {
+			m.send = func(m *interceptor, id policy.RequestID, to policy.ServerID, timeout time.Duration) {
+				if m.classes[id] == unsafeClass && id%50 == 0 {
 					m.Host.Send(id, to, timeout, 0)
 				}
 			}
 		}},
-		"a refusal of what is running": {2, day(t, "calm", 10, 8), func(m *meddler) {
-			m.send = func(m *meddler, id policy.RequestID, _ policy.ServerID, _ time.Duration) {
+		"a refusal of what is running": {2, presetScenario(t, "calm", 10, 8), func(m *interceptor) {
+			m.send = func(m *interceptor, id policy.RequestID, _ policy.ServerID, _ time.Duration) {
 				if id%50 == 0 {
 					m.Host.Refuse(id, 0)
 				}
 			}
 		}},
-		"sends to servers that drain": {3, day(t, "roll", 10, 20), func(m *meddler) {
+		"sends to servers that drain": {3, presetScenario(t, "roll", 10, 20), func(m *interceptor) {
 			m.list = func(kind policy.ListKind, entries []policy.Endpoint) []policy.Endpoint {
 				for i := range entries {
 					entries[i].State = policy.Ready
@@ -216,15 +216,15 @@
 				return entries
 			}
 		}},
-		"sends on, and never asks for the list": {3, drained, func(m *meddler) { m.deaf = true }},
-		"a flood at a cold server": {4, join, func(m *meddler) {
+		"sends on, and never asks for the list": {3, drained, func(m *interceptor) { m.neverPolls = true }},
+		"a flood at a cold server": {4, join, func(m *interceptor) {
 			m.list = func(_ policy.ListKind, entries []policy.Endpoint) []policy.Endpoint {
 				for _, e := range entries {
 					switch {
-					case e.State != policy.Ready && e.ID == m.newest:
-						m.newest = 0
+					case e.State != policy.Ready && e.ID == m.unsafeTarget:
+						m.unsafeTarget = 0
 					case e.State == policy.Ready && e.Started > 0:
-						m.newest = e.ID
+						m.unsafeTarget = e.ID
 					}
 				}
 				return entries
@@ -233,7 +233,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := play(t, c.sc, 1, meddling(c.meddle))
+			r := runScenario(t, c.sc, 1, intercepting(c.meddle))
 			for rule, n := range r.Violations {
 				if (n > 0) != (rule == c.rule) {
 					t.Errorf("rule %d: %d violations; want some of rule %d alone", rule, n, c.rule)
@@ -245,7 +245,7 @@
 		})
 	}
 	t.Run("the meddler itself breaks nothing", func(t *testing.T) {
-		if r := play(t, join, 1, meddling(func(*meddler) {})); len(r.ViolationTexts) > 0 {
+		if r := runScenario(t, join, 1, intercepting(func(*interceptor) {})); len(r.ViolationTexts) > 0 {
 			t.Error(r.ViolationTexts)
 		}
 	})
@@ -253,10 +253,10 @@
 
 // A graceful shutdown of all sidecars loses no call that they have accepted.
 func TestGracefulShutdownAnswersAcceptedRequests(t *testing.T) {
-	planned, killed := day(t, "calm", 10, 8), day(t, "calm", 10, 8)
+	planned, killed := presetScenario(t, "calm", 10, 8), presetScenario(t, "calm", 10, 8)
 	planned.Faults = []Fault{{Name: "roll", Start: fromSeconds(5), Duration: fromSeconds(10), Part: 1, Extra: fromSeconds(0.3)}}
 	killed.Faults = []Fault{{Name: "herd", Start: fromSeconds(5), Part: 1, Extra: fromSeconds(0.3)}}
-	a, b := play(t, planned, 1, NewBalancer), play(t, killed, 1, NewBalancer)
+	a, b := runScenario(t, planned, 1, NewBalancer), runScenario(t, killed, 1, NewBalancer)
 	if a.Restarts != 10 || b.Restarts != 10 || len(a.ViolationTexts) > 0 {
 		t.Fatalf("%d and %d restarts, %v", a.Restarts, b.Restarts, a.ViolationTexts)
 	}
@@ -266,7 +266,7 @@
 }
 
 func TestFaultsForRealSocketsAreRefused(t *testing.T) {
-	sc := day(t, "calm", 3, 3)
+	sc := presetScenario(t, "calm", 3, 3)
 	sc.Faults = []Fault{{Name: "bad_clients", Size: 1}}
 	if _, err := NewSim(sc, 1, NewBalancer); err == nil || !strings.Contains(err.Error(), "troubles[0]: bad_clients is for real sockets only") {
 		t.Errorf("%v", err)
@@ -275,15 +275,15 @@
 
 // A run without a request does not pass.
 func TestRunWithoutRequestsFails(t *testing.T) {
-	sc := day(t, "slow", 3, 4)
+	sc := presetScenario(t, "slow", 3, 4)
 	sc.Load = 0
-	if r := play(t, sc, 1, NewBalancer); len(r.ViolationTexts) != 1 || !strings.Contains(r.ViolationTexts[0], "nothing to judge") {
+	if r := runScenario(t, sc, 1, NewBalancer); len(r.ViolationTexts) != 1 || !strings.Contains(r.ViolationTexts[0], "nothing to judge") {
 		t.Errorf("%v", r.ViolationTexts)
 	}
 }
 
 func TestInterruptedRunIsPartial(t *testing.T) {
-	s, err := NewSim(day(t, "calm", 10, 8), 1, NewBalancer)
+	s, err := NewSim(presetScenario(t, "calm", 10, 8), 1, NewBalancer)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -297,9 +297,9 @@
 
 // Two variants get the same calls, however they answer them.
 func TestVariantsGetTheSameCalls(t *testing.T) {
-	wide, narrow := day(t, "slow", 10, 8), day(t, "slow", 10, 8)
+	wide, narrow := presetScenario(t, "slow", 10, 8), presetScenario(t, "slow", 10, 8)
 	narrow.Slots = 7
-	a, b := play(t, wide, 5, NewBalancer), play(t, narrow, 5, NewBalancer)
+	a, b := runScenario(t, wide, 5, NewBalancer), runScenario(t, narrow, 5, NewBalancer)
 	if a.Requests != b.Requests || a.offered != b.offered {
 		t.Errorf("got %d (%v) and %d (%v) calls", a.Requests, a.offered, b.Requests, b.offered)
 	}
@@ -310,7 +310,7 @@
 
 // Memory is bounded under endless overload: only open requests and connections remain.
 func TestOverloadLeavesNoRequestsOrConnections(t *testing.T) {
-	sc := day(t, "overload", 5, 4)
+	sc := presetScenario(t, "overload", 5, 4)
 	s, err := NewSim(sc, 1, NewBalancer)
 	if err != nil {
 		t.Fatal(err)
@@ -341,11 +341,11 @@
 			if size.sidecars > 300 && testing.Short() {
 				b.Skip("it takes minutes")
 			}
-			sc := day(b, "slow", size.sidecars, size.servers)
+			sc := presetScenario(b, "slow", size.sidecars, size.servers)
 			sc.Stretch(10 * time.Second)
 			requests, events := 0, 0
 			for b.Loop() {
-				r := play(b, sc, 1, NewBalancer)
+				r := runScenario(b, sc, 1, NewBalancer)
 				requests, events = requests+r.Requests, events+r.Events
 			}
 			b.ReportMetric(float64(requests)/b.Elapsed().Seconds(), "requests/s")
--- a/internal/simulation/experiment/experiment.go
+++ b/internal/simulation/experiment/experiment.go
@@ -51,7 +51,7 @@
 const (
 	maxSeeds    = 1000
 	maxVariants = 16
-	maxFile     = 1 << 20
+	maxFileSize = 1 << 20
 )
 
 // Load reads an experiment file. The paths of scenario files are relative to it.
@@ -61,7 +61,7 @@
 		return nil, fmt.Errorf("experiment: %w", err)
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, maxFile))
+	text, err := io.ReadAll(io.LimitReader(f, maxFileSize))
 	if err != nil {
 		return nil, fmt.Errorf("experiment %s: %w", path, err)
 	}
@@ -156,7 +156,7 @@
 
 // apply returns a scenario with the variant's changes.
 func (v Variant) apply(sc *emulator.Scenario) (*emulator.Scenario, error) {
-	whole, err := toml.Marshal(sc)
+	text, err := toml.Marshal(sc)
 	if err != nil {
 		return nil, err
 	}
@@ -164,7 +164,7 @@
 	if err != nil {
 		return nil, err
 	}
-	changed, err := emulator.ReadScenario(bytes.NewReader(whole))
+	changed, err := emulator.ReadScenario(bytes.NewReader(text))
 	if err != nil {
 		return nil, err
 	}
@@ -220,8 +220,8 @@
 
 // measures are what variants are compared by.
 var measures = []struct {
-	name string
-	of   func(*emulator.Record) float64
+	name  string
+	value func(*emulator.Record) float64
 }{
 	{"goodput", func(r *emulator.Record) float64 { return r.Goodput }},
 	{"result", func(r *emulator.Record) float64 { return r.Result }},
@@ -229,31 +229,31 @@
 
 // Play plays all days with all variants, several at a time, and tells done of each.
 // If ctx ends, the days that were played to their end count.
-func (p *Plan) Play(ctx context.Context, done func(played, all int, r Run)) (*Outcome, error) {
+func (p *Plan) Play(ctx context.Context, done func(completed, total int, r Run)) (*Outcome, error) {
 	type slot struct {
 		run Run
 		ok  bool
 	}
-	all := len(p.scenarios) * len(p.Seeds) * len(p.Variants)
-	slots := make([]slot, all)
+	total := len(p.scenarios) * len(p.Seeds) * len(p.Variants)
+	slots := make([]slot, total)
 	var mu sync.Mutex
-	played := 0
-	work, inner := errgroup.WithContext(ctx)
-	work.SetLimit(runtime.GOMAXPROCS(0))
-	for i := range all {
+	completed := 0
+	group, groupCtx := errgroup.WithContext(ctx)
+	group.SetLimit(runtime.GOMAXPROCS(0))
+	for i := range total {
 		v := p.Variants[i%len(p.Variants)]
 		seed := p.Seeds[i/len(p.Variants)%len(p.Seeds)]
 		sc := p.scenarios[i/len(p.Variants)/len(p.Seeds)]
-		work.Go(func() error {
-			if inner.Err() != nil {
+		group.Go(func() error {
+			if groupCtx.Err() != nil {
 				return nil // cut short
 			}
 			changed, err := v.apply(sc)
 			if err != nil {
 				return err
 			}
-			r, err := v.play(inner, changed, seed)
-			if inner.Err() != nil {
+			r, err := v.run(groupCtx, changed, seed)
+			if groupCtx.Err() != nil {
 				return nil
 			}
 			if err != nil {
@@ -262,17 +262,17 @@
 			mu.Lock()
 			defer mu.Unlock()
 			slots[i] = slot{Run{v.Name, r}, true}
-			played++
+			completed++
 			if done != nil {
-				done(played, all, slots[i].run)
+				done(completed, total, slots[i].run)
 			}
 			return nil
 		})
 	}
-	if err := work.Wait(); err != nil {
+	if err := group.Wait(); err != nil {
 		return nil, err
 	}
-	o := &Outcome{Name: p.Name, Partial: played < all}
+	o := &Outcome{Name: p.Name, Partial: completed < total}
 	for _, s := range slots {
 		if s.ok {
 			o.Runs = append(o.Runs, s.run)
@@ -283,22 +283,22 @@
 }
 
 // play runs one scenario, with an adapter process where the variant names one.
-func (v Variant) play(ctx context.Context, sc *emulator.Scenario, seed uint64) (*emulator.Record, error) {
+func (v Variant) run(ctx context.Context, sc *emulator.Scenario, seed uint64) (*emulator.Record, error) {
 	if v.Adapter != "" {
 		a, err := remoteadapter.Start(ctx, v.Adapter)
 		if err != nil {
 			return nil, err
 		}
-		r, err := run(ctx, sc, seed, a.NewDecider)
-		if wrong := a.Close(); wrong != nil {
-			return nil, wrong // a run on which an adapter failed does not count
+		r, err := runScenario(ctx, sc, seed, a.NewDecider)
+		if closeErr := a.Close(); closeErr != nil {
+			return nil, closeErr // a run on which an adapter failed does not count
 		}
 		return r, err
 	}
-	return run(ctx, sc, seed, emulator.NewBalancer)
+	return runScenario(ctx, sc, seed, emulator.NewBalancer)
 }
 
-func run(ctx context.Context, sc *emulator.Scenario, seed uint64, decide emulator.DeciderFactory) (*emulator.Record, error) {
+func runScenario(ctx context.Context, sc *emulator.Scenario, seed uint64, decide emulator.DeciderFactory) (*emulator.Record, error) {
 	s, err := emulator.NewSim(sc, seed, decide)
 	if err != nil {
 		return nil, err
@@ -308,27 +308,27 @@
 
 // compare pairs the variants' runs with the first's by scenario and seed.
 func (p *Plan) compare(runs []Run) (differences []Difference) {
-	type day struct {
+	type runKey struct {
 		variant, scenario string
 		seed              uint64
 	}
-	records := make(map[day]*emulator.Record, len(runs))
+	records := make(map[runKey]*emulator.Record, len(runs))
 	for _, r := range runs {
-		records[day{r.Variant, r.Record.Scenario, r.Record.Seed}] = r.Record
+		records[runKey{r.Variant, r.Record.Scenario, r.Record.Seed}] = r.Record
 	}
 	for _, v := range p.Variants[1:] {
 		for _, m := range measures {
 			var all []float64
 			for _, sc := range p.scenarios {
-				var here []float64
+				var scenarioDifferences []float64
 				for _, seed := range p.Seeds {
-					a, b := records[day{p.Variants[0].Name, sc.Name, seed}], records[day{v.Name, sc.Name, seed}]
-					if a != nil && b != nil {
-						here = append(here, m.of(b)-m.of(a))
+					first, other := records[runKey{p.Variants[0].Name, sc.Name, seed}], records[runKey{v.Name, sc.Name, seed}]
+					if first != nil && other != nil {
+						scenarioDifferences = append(scenarioDifferences, m.value(other)-m.value(first))
 					}
 				}
-				all = append(all, here...)
-				differences = append(differences, difference(sc.Name, v.Name, m.name, here))
+				all = append(all, scenarioDifferences...)
+				differences = append(differences, difference(sc.Name, v.Name, m.name, scenarioDifferences))
 			}
 			if len(p.scenarios) > 1 {
 				differences = append(differences, difference("all", v.Name, m.name, all))
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -31,11 +31,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := 0
+	calls := 0
 	o, err := p.Play(context.Background(), func(played, all int, _ Run) {
-		told++
-		if played != told || all != 18 {
-			t.Errorf("%d of %d at call %d", played, all, told)
+		calls++
+		if played != calls || all != 18 {
+			t.Errorf("%d of %d at call %d", played, all, calls)
 		}
 	})
 	if err != nil || len(o.Runs) != 18 || o.Partial {
@@ -109,14 +109,14 @@
 func TestIntervalCoversTheMean(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	held, shown := 0, 0
-	const tries, truth = 200, 0.1
+	const tries, trueMean = 200, 0.1
 	for range tries {
 		d := make([]float64, 20)
 		for i := range d {
-			d[i] = truth + 0.2*rng.NormFloat64()
+			d[i] = trueMean + 0.2*rng.NormFloat64()
 		}
 		got := difference("s", "v", "m", d)
-		if got.Low <= truth && truth <= got.High {
+		if got.Low <= trueMean && trueMean <= got.High {
 			held++
 		}
 		if got.Shown {
--- a/internal/simulation/remoteadapter/adapter.go
+++ b/internal/simulation/remoteadapter/adapter.go
@@ -22,8 +22,8 @@
 
 const (
 	// stopTimeout is how long a program may take to end after its input has ended.
-	stopTimeout = 5 * time.Second
-	inputBuffer = 1 << 16 // bytes
+	stopTimeout     = 5 * time.Second
+	inputBufferSize = 1 << 16 // bytes
 )
 
 // Adapter is a program at the other end of the wire. It can be used for one scenario run at a time and
@@ -68,7 +68,7 @@
 
 // New returns an Adapter at the other end of two streams.
 func New(out io.Writer, in io.Reader) *Adapter {
-	r := simwire.NewReader(bufio.NewReaderSize(in, inputBuffer))
+	r := simwire.NewReader(bufio.NewReaderSize(in, inputBufferSize))
 	return &Adapter{out: out, in: r, running: make(map[uint32]bool)}
 }
 
--- a/internal/simulation/remoteadapter/adapter_test.go
+++ b/internal/simulation/remoteadapter/adapter_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestErrorsOfAnAdapterAreReported(t *testing.T) {
+func TestAdapterErrorsAreReported(t *testing.T) {
 	replyWith := func(offset uint32, write func(*simwire.ReplyWriter)) func(io.Reader, io.Writer) error {
 		return func(in io.Reader, out io.Writer) error {
 			r := simwire.NewReader(in)
--- a/internal/simulation/remoteadapter/instance.go
+++ b/internal/simulation/remoteadapter/instance.go
@@ -21,9 +21,9 @@
 
 // request is what the wire needs to know of a request after its start.
 type request struct {
-	attempts []attempt
-	ended    int  // attempts
-	over     bool // it has its answer, or its client has left
+	attempts      []attempt
+	endedAttempts int  // attempts
+	closed        bool // it has its answer, or its client has left
 }
 
 // attempt is an attempt in flight or ended.
@@ -77,8 +77,8 @@
 	if r := i.requests[job]; r != nil && o.Attempt < len(r.attempts) {
 		a := r.attempts[o.Attempt]
 		finished.Upstream, finished.Took = a.server, now-a.sentAt
-		r.ended++
-		r.over = r.over || o.Settled
+		r.endedAttempts++
+		r.closed = r.closed || o.Settled
 	}
 	i.send(now, func(w *simwire.BatchWriter) { w.Finished(i.number, finished) })
 	i.forget(job)
@@ -88,7 +88,7 @@
 func (i *instance) ClientGone(now time.Duration, id policy.RequestID) {
 	job := uint32(id)
 	if r := i.requests[job]; r != nil {
-		r.over = true
+		r.closed = true
 	}
 	i.send(now, func(w *simwire.BatchWriter) { w.ClientLeft(i.number, job) })
 	i.forget(job)
@@ -121,7 +121,7 @@
 
 // forget drops a request that is over and whose attempts have all ended.
 func (i *instance) forget(job uint32) {
-	if r := i.requests[job]; r != nil && r.over && r.ended == len(r.attempts) {
+	if r := i.requests[job]; r != nil && r.closed && r.endedAttempts == len(r.attempts) {
 		delete(i.requests, job)
 	}
 }
--- a/internal/simulation/remoteadapter/perform.go
+++ b/internal/simulation/remoteadapter/perform.go
@@ -9,7 +9,7 @@
 )
 
 // unlimitedPatience is the timeout of an attempt without one: until the client gives up.
-const unlimitedPatience = time.Hour
+const unlimitedTimeout = time.Hour
 
 // performAll carries out the actions of a reply.
 func (i *instance) performAll(now time.Duration, reply simwire.Reply) error {
@@ -66,11 +66,11 @@
 		return unknownRequest(a)
 	}
 	r.attempts = append(r.attempts, attempt{server: a.To, sentAt: now})
-	patience := a.Duration
-	if patience == 0 {
-		patience = unlimitedPatience
+	timeout := a.Duration
+	if timeout == 0 {
+		timeout = unlimitedTimeout
 	}
-	i.host.Send(policy.RequestID(a.Job), policy.ServerID(a.To), patience, 0)
+	i.host.Send(policy.RequestID(a.Job), policy.ServerID(a.To), timeout, 0)
 	return nil
 }
 
@@ -89,7 +89,7 @@
 	if r == nil {
 		return
 	}
-	r.over = true
+	r.closed = true
 	end()
 	i.forget(job)
 }
--- a/internal/simulation/report/report.go
+++ b/internal/simulation/report/report.go
@@ -92,23 +92,23 @@
 }
 
 // line is one curve of a chart.
-type line struct {
-	name string
-	of   func(w *emulator.Window) float64
+type curve struct {
+	name  string
+	value func(w *emulator.Window) float64
 }
 
 // chartSpec describes one chart.
 type chartSpec struct {
 	title, unit string
-	lines       []line
+	lines       []curve
 }
 
 // chartRun draws the charts of a run.
 func chartRun(name string, r *emulator.Record) (ScenarioRun, error) {
 	run := ScenarioRun{Name: name, Record: r}
-	second := r.Length.Seconds() / float64(max(1, len(r.Windows)))
+	windowSeconds := r.Length.Seconds() / float64(max(1, len(r.Windows)))
 	for _, spec := range append(fleetCharts(), zoneCharts(r)...) {
-		svg, err := chart(r, second, spec.unit, spec.lines)
+		svg, err := chart(r, windowSeconds, spec.unit, spec.lines)
 		if err != nil {
 			return run, fmt.Errorf("chart %s: %w", spec.title, err)
 		}
@@ -120,23 +120,23 @@
 // fleetCharts are the charts of the whole fleet.
 func fleetCharts() []chartSpec {
 	return []chartSpec{
-		{"Weight requested and served", "weight a second", []line{
+		{"Weight requested and served", "weight a second", []curve{
 			{"requested", func(w *emulator.Window) float64 { return w.WeightShare.Requested }},
 			{"served", func(w *emulator.Window) float64 { return w.Served }},
 		}},
-		{"Refused, failed, late", "requests a second", []line{
+		{"Refused, failed, late", "requests a second", []curve{
 			{"refused", func(w *emulator.Window) float64 { return float64(w.Refused) }},
 			{"failed", func(w *emulator.Window) float64 { return float64(w.Failed) }},
 			{"late", func(w *emulator.Window) float64 { return float64(w.Late) }},
 		}},
-		{"Impact of the fleet on itself", "a second", []line{
+		{"Impact of the fleet on itself", "a second", []curve{
 			{"retries", func(w *emulator.Window) float64 { return float64(w.Fleet.TotalRetries()) }},
 			{"rejected", func(w *emulator.Window) float64 { return float64(w.Fleet.Rejected) }},
 			{"probes", func(w *emulator.Window) float64 { return float64(w.Fleet.Probes) }},
 			{"handshakes", func(w *emulator.Window) float64 { return float64(w.Fleet.Handshakes) }},
 			{"polls of the list that failed", func(w *emulator.Window) float64 { return float64(w.Fleet.ListFailed) }},
 		}},
-		{"Latency of served requests", "ms", []line{
+		{"Latency of served requests", "ms", []curve{
 			{"median", func(w *emulator.Window) float64 { return w.P50MS }},
 			{"99th percentile", func(w *emulator.Window) float64 { return w.P99MS }},
 		}},
@@ -145,15 +145,15 @@
 
 // zoneCharts are the charts with a curve for each zone.
 func zoneCharts(r *emulator.Record) []chartSpec {
-	var queue, capacity []line
+	var queue, capacity []curve
 	for z, zone := range r.Zones {
-		queue = append(queue, line{zone, func(w *emulator.Window) float64 {
+		queue = append(queue, curve{zone, func(w *emulator.Window) float64 {
 			if z < len(w.Queue) {
 				return float64(w.Queue[z])
 			}
 			return math.NaN()
 		}})
-		capacity = append(capacity, line{zone, func(w *emulator.Window) float64 {
+		capacity = append(capacity, curve{zone, func(w *emulator.Window) float64 {
 			if z < len(w.Capacity) {
 				return w.Capacity[z]
 			}
@@ -180,36 +180,36 @@
 )
 
 // prolog matches the beginning of an SVG file, which must not stand inside a page.
-var prolog = regexp.MustCompile(`(?s)^.*?<svg`)
+var svgProlog = regexp.MustCompile(`(?s)^.*?<svg`)
 
 // chart draws curves over the run, with the time of each fault shaded.
-func chart(r *emulator.Record, second float64, unit string, lines []line) (template.HTML, error) {
+func chart(r *emulator.Record, windowSeconds float64, unit string, lines []curve) (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "seconds", unit
 	p.X.Min, p.X.Max, p.Y.Min = 0, r.Length.Seconds(), 0
 	p.Legend.Top, p.Legend.Left = true, true
-	most := 1.0
+	maxY := 1.0
 	var curves []*plotter.Line
 	for i, l := range lines {
 		var points plotter.XYs
 		for j := range r.Windows {
-			if y := l.of(&r.Windows[j]); !math.IsNaN(y) && !math.IsInf(y, 0) {
-				points = append(points, plotter.XY{X: float64(j) * second, Y: y})
-				most = max(most, y)
+			if y := l.value(&r.Windows[j]); !math.IsNaN(y) && !math.IsInf(y, 0) {
+				points = append(points, plotter.XY{X: float64(j) * windowSeconds, Y: y})
+				maxY = max(maxY, y)
 			}
 		}
 		if len(points) == 0 {
 			continue
 		}
-		curve, err := plotter.NewLine(points)
+		plotted, err := plotter.NewLine(points)
 		if err != nil {
 			return "", err
 		}
-		curve.Color, curve.Width = colours[i%len(colours)], vg.Points(1.5)
-		curves = append(curves, curve)
-		p.Legend.Add(l.name, curve)
+		plotted.Color, plotted.Width = colours[i%len(colours)], vg.Points(1.5)
+		curves = append(curves, plotted)
+		p.Legend.Add(l.name, plotted)
 	}
-	p.Y.Max = most * 1.3 // space for the legend
+	p.Y.Max = maxY * 1.3 // space for the legend
 	for _, t := range r.Faults {
 		from, to := time.Duration(t.Start).Seconds(), (time.Duration(t.Start) + time.Duration(t.Duration)).Seconds()
 		to = min(max(to, from+r.Length.Seconds()/200), r.Length.Seconds()) // at least a visible line
@@ -233,5 +233,5 @@
 	if _, err := canvas.WriteTo(&out); err != nil {
 		return "", err
 	}
-	return template.HTML(prolog.ReplaceAll(out.Bytes(), []byte("<svg"))), nil // drawn above, from numbers and escaped names
+	return template.HTML(svgProlog.ReplaceAll(out.Bytes(), []byte("<svg"))), nil // drawn above, from numbers and escaped names
 }
--- a/internal/simulation/simadapter/convert.go
+++ b/internal/simulation/simadapter/convert.go
@@ -15,7 +15,7 @@
 
 // endingOf converts an outcome code. After an unknown outcome the request may have run, as after an
 // error.
-func endingOf(code uint16) policy.Ending {
+func endingFromCode(code uint16) policy.Ending {
 	switch code {
 	case simwire.OutcomeServed:
 		return policy.Served
@@ -36,7 +36,7 @@
 }
 
 // stateOf converts the status of a list entry. A server with an unknown status gets nothing new.
-func stateOf(status uint8) policy.EndpointState {
+func endpointState(status uint8) policy.EndpointState {
 	switch status {
 	case simwire.StatusReady:
 		return policy.Ready
@@ -51,7 +51,7 @@
 	list := make([]policy.Endpoint, len(entries))
 	for i, e := range entries {
 		list[i] = policy.Endpoint{
-			ID: policy.ServerID(e.Upstream), Zone: int(e.Area), Cell: int(e.Cohort), State: stateOf(e.Status),
+			ID: policy.ServerID(e.Upstream), Zone: int(e.Area), Cell: int(e.Cohort), State: endpointState(e.Status),
 			Weight: e.Rating, Started: e.Boot,
 		}
 	}
--- a/internal/simulation/simadapter/instance.go
+++ b/internal/simulation/simadapter/instance.go
@@ -117,7 +117,7 @@
 		return err
 	}
 	i.balancer.Outcome(now, policy.Outcome{
-		ID: policy.RequestID(f.Job), Attempt: int(f.Hop), Ending: endingOf(f.Ending), Settled: f.Settled,
+		ID: policy.RequestID(f.Job), Attempt: int(f.Hop), Ending: endingFromCode(f.Ending), Settled: f.Settled,
 	})
 	return nil
 }
--- a/internal/simulation/simadapter/serve.go
+++ b/internal/simulation/simadapter/serve.go
@@ -14,12 +14,12 @@
 	"barleywick/policy"
 )
 
-const inputBuffer = 1 << 16 // bytes
+const inputBufferSize = 1 << 16 // bytes
 
 // Serve replies to batches of events until the input ends.
 func Serve(in io.Reader, out io.Writer) error {
 	p := newProcess()
-	r := simwire.NewReader(bufio.NewReaderSize(in, inputBuffer))
+	r := simwire.NewReader(bufio.NewReaderSize(in, inputBufferSize))
 	for {
 		b, err := r.ReadBatch()
 		if errors.Is(err, io.EOF) {
--- a/internal/simulation/simadapter/serve_test.go
+++ b/internal/simulation/simadapter/serve_test.go
@@ -104,7 +104,7 @@
 	return all
 }
 
-func only(all []action, code uint16, inst uint32) []action {
+func filterActions(all []action, code uint16, inst uint32) []action {
 	return slices.DeleteFunc(slices.Clone(all), func(a action) bool { return a.code != code || a.inst != inst })
 }
 
@@ -115,16 +115,16 @@
 	}
 }
 
-func TestPageIsResolvedInEventOrder(t *testing.T) {
+func TestListPageResolvedInEventOrder(t *testing.T) {
 	all := actions(t, batch(1, 0,
 		open(1, 5), manifest(3, 77), fleet(1, simwire.FleetCached, 3), ask(1, 100),
 		open(2, 6), manifest(3, 88), fleet(2, simwire.FleetCached, 3), ask(2, 200)))
 	for inst, want := range map[uint32]byte{1: 77, 2: 88} {
-		sends := only(all, simwire.ActionCallOut, inst)
+		sends := filterActions(all, simwire.ActionCallOut, inst)
 		if len(sends) != 1 || sends[0].rest[7] != want {
 			t.Errorf("instance %d: got sends %v, want one to .%d", inst, sends, want)
 		}
-		if len(only(all, simwire.ActionTail, inst)) != 1 {
+		if len(filterActions(all, simwire.ActionTail, inst)) != 1 {
 			t.Errorf("instance %d did not subscribe to its list", inst)
 		}
 	}
@@ -137,7 +137,7 @@
 		batch(3, 10, record(simwire.EventFinished, uint32(1), uint32(100), uint8(0), []byte{10, 0, 0, 7, 80, 0}, uint16(simwire.OutcomeServed),
 			float64(5), uint8(1), uint8(0))),
 		batch(4, 15, record(simwire.EventCrashNow, uint32(1)), ask(1, 103))))
-	sends := only(all, simwire.ActionCallOut, 1)
+	sends := filterActions(all, simwire.ActionCallOut, 1)
 	if len(sends) != 2 {
 		t.Fatalf("got %d sends, want one before and one after the restart, and none while it was down", len(sends))
 	}
@@ -174,12 +174,12 @@
 func TestUnknownRecordsAreIgnored(t *testing.T) {
 	all := actions(t, batch(1, 0, record(4711, uint32(9), "anything"), open(1, 5), record(simwire.EventHeard, uint32(1), uint32(2), uint16(0)),
 		manifest(0, 7), fleet(1, 99, 0), fleet(1, simwire.FleetCached, 0), ask(1, 100), ask(44, 100)))
-	if len(only(all, simwire.ActionCallOut, 1)) != 1 || slices.ContainsFunc(all, func(a action) bool { return a.inst == 44 }) {
+	if len(filterActions(all, simwire.ActionCallOut, 1)) != 1 || slices.ContainsFunc(all, func(a action) bool { return a.inst == 44 }) {
 		t.Fatalf("got actions %v, want one send of instance 1 and none of instance 44", all)
 	}
 }
 
-func TestMalformedInputEndsWithAnError(t *testing.T) {
+func TestMalformedInputReturnsError(t *testing.T) {
 	for name, in := range map[string][]byte{
 		"cut off":               batch(1, 0, open(1, 5))[:30],
 		"list never sent":       batch(1, 0, open(1, 5), fleet(1, simwire.FleetFull, 9)),
@@ -214,7 +214,7 @@
 		simwire.OutcomeTimedOut: policy.TimedOut, simwire.OutcomeNoConnection: policy.NoConnection, simwire.OutcomeBroken: policy.Broken,
 		simwire.OutcomeCancelled: policy.Cancelled, simwire.OutcomeNotSent: policy.NotSent, 999: policy.Errored,
 	} {
-		if got := endingOf(code); got != want {
+		if got := endingFromCode(code); got != want {
 			t.Errorf("code %d: got %v, want %v", code, got, want)
 		}
 	}
--- a/internal/simulation/simwire/replywriter.go
+++ b/internal/simulation/simwire/replywriter.go
@@ -23,11 +23,11 @@
 }
 
 // CallOut starts an attempt. A patience of 0 lasts until the client gives up.
-func (w *ReplyWriter) CallOut(instance, job uint32, to Upstream, patience time.Duration) {
+func (w *ReplyWriter) CallOut(instance, job uint32, to Upstream, timeout time.Duration) {
 	w.begin(ActionCallOut, instance)
 	w.u32(job)
 	w.upstream(to)
-	w.millis(patience)
+	w.millis(timeout)
 	w.end()
 }
 
@@ -84,8 +84,8 @@
 }
 
 // Die reports that the decision code has failed.
-func (w *ReplyWriter) Die(instance uint32, note string) {
+func (w *ReplyWriter) Die(instance uint32, reason string) {
 	w.begin(ActionDie, instance)
-	w.text(note)
+	w.text(reason)
 	w.end()
 }
--- a/internal/simulation/simwire/simwire_test.go
+++ b/internal/simulation/simwire/simwire_test.go
@@ -22,7 +22,7 @@
 }
 
 // The records are examples of the protocol's description.
-func TestReadsABatch(t *testing.T) {
+func TestReadBatch(t *testing.T) {
 	frame := unhex(t, `0c000000 03000000 4d000000 00000000206ec040
 		3804 27000000 03000000 c4913a5d 0100 640ad2557c3bf091 00000000 0000000000006e40 0000000000002840 00
 		2e04 0c000000 03000000 4d00000000000000
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestReadsListsAndOutcomes(t *testing.T) {
+func TestReadManifestAndOutcomes(t *testing.T) {
 	rec, _, err := NextRecord(unhex(t, `f203 34000000 0000 02000000
 		0a124a07 931f 00 00 0000 01 0000803f 0000000000000000
 		0a9011f2 bc1f 00 00 0000 01 0000c03f 0000000000d4b740`))
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestWritesActions(t *testing.T) {
+func TestWriteActions(t *testing.T) {
 	var to Upstream
 	rec, _, _ := NextRecord(unhex(t, "1a04 0a000000 03000000 0a124a07 931f"))
 	fields := fieldReader{left: rec.Fields[4:]}
@@ -200,7 +200,7 @@
 	})
 }
 
-func TestCutOffFieldIsNamedByItsPlace(t *testing.T) {
+func TestTruncatedFieldErrorNamesOffset(t *testing.T) {
 	for fields, want := range map[int]string{2: "byte 6 ", 6: "byte 10 ", 9: "byte 14 "} {
 		_, err := Record{Code: EventAsk, Fields: make([]byte, fields)}.Ask()
 		if err == nil || !strings.Contains(err.Error(), want) {
