--- a/internal/simulation/emulator/advicetask.go
+++ b/internal/simulation/emulator/advicetask.go
@@ -8,20 +8,20 @@
 	"barleywick/policy"
 )
 
-// adviceTask is the fleet-wide task that computes overload advice, where the scenario
-// has one, with the messages to it and back.
+// adviceTask models the fleet-wide task that computes overload advice, and its messages with the
+// sidecars. It exists only in scenarios with overload advice.
 type adviceTask struct {
 	sim          *Sim
 	planner      *overload.Planner
 	token        uint64
 	current      overload.Advice
-	disconnected []int // by sidecar: active faults that disconnect it from the task
+	disconnected []int // by sidecar: number of active faults that disconnect it from the task
 }
 
-// fleetName names the emulated fleet in digests and advice.
+// fleetName is the fleet's name in digests and advice.
 const fleetName = "emulator"
 
-// adviceTaker is a Decider that accepts overload advice.
+// adviceReceiver is a Decider that accepts overload advice.
 type adviceReceiver interface {
 	Advise(now time.Duration, a policy.OverloadAdvice)
 	Congestion(now time.Duration) float64
@@ -34,19 +34,19 @@
 	return a
 }
 
-// newHolder restarts the task at another lease holder.
+// moveToNewHolder restarts the task on another lease holder, with a new fencing token and no digests.
 func (a *adviceTask) moveToNewHolder() {
 	a.token++
 	a.planner = overload.NewPlanner(fleetName, a.token)
 }
 
-// updateAdvice computes the advice once a second.
+// updateAdvice recomputes the advice once per report interval.
 func (a *adviceTask) updateAdvice() {
 	a.current = a.planner.Plan(a.sim.now)
 	a.sim.after(overload.ReportInterval, a.updateAdvice)
 }
 
-// startReporting makes a sidecar send a digest once a second from its start on.
+// startReporting makes a sidecar send a digest once per report interval, from its start on.
 func (a *adviceTask) startReporting(n *node) {
 	n.counts = make([]overload.TenantCounts, len(a.sim.scenario.Tenants))
 	n.adviceFilter = overload.AdviceFilter{Fleet: fleetName}
@@ -56,11 +56,11 @@
 		a.exchange(n)
 		n.afterInEpoch(overload.ReportInterval, sendNext)
 	}
-	// Spread, so that digests do not arrive all at once.
+	// The first digests are spread over an interval, so that they do not all arrive at once.
 	n.afterInEpoch(overload.ReportInterval*time.Duration(n.index%97+1)/97, sendNext)
 }
 
-// exchange sends a digest to the task and its advice back.
+// exchange sends a digest to the task and the task's advice back to the sidecar.
 func (a *adviceTask) exchange(n *node) {
 	s := a.sim
 	d, accepts := n.decider.(adviceReceiver)
@@ -103,7 +103,7 @@
 	})
 }
 
-// count counts the outcome of a request for the next digest.
+// countOutcome counts the outcome of a request for the next digest.
 func (n *node) countOutcome(r *request, a Answer) {
 	if n.counts == nil {
 		return
@@ -120,8 +120,8 @@
 	}
 }
 
-// disconnectAdvice disconnects a fraction of the sidecars from the task; where it is all of them, another
-// holder, without any digests, has the task afterwards.
+// disconnectAdvice disconnects a fraction of the sidecars from the task. If all are disconnected, the task
+// moves to another lease holder at the end of the fault, which starts without digests.
 func (s *Sim) disconnectAdvice(t *Fault) func() {
 	affected := PickShare(s.environment, len(s.nodes), t.Part)
 	for _, i := range affected {
--- a/internal/simulation/emulator/arrivals.go
+++ b/internal/simulation/emulator/arrivals.go
@@ -18,48 +18,47 @@
 	Tenant      int
 	Key         uint64
 	Work        float64       // seconds on a core of speed 1
-	Hint        time.Duration // estimate of the work that the client sends along
+	Hint        time.Duration // the client's estimate of the work, sent with the request
 	Weight      float64
-	WithinQuota bool // it lies within its tenant's quota
+	WithinQuota bool // whether the call is within its tenant's quota
 }
 
-// Arrivals draws the calls of a run in order of time. They follow from scenario and seed
-// alone and do not depend on servers or sidecars, so that all variants, and
-// real sockets too, get the same calls.
+// Arrivals draws the calls of a run in order of time. They depend only on the scenario and the seed, not
+// on servers or sidecars, so that all variants, and runs on real sockets, get the same calls.
 type Arrivals struct {
 	scenario      *Scenario
-	next          calls // the next candidate of each sidecar, by time
+	next          callHeap // the next candidate of each sidecar, by time
 	rates         []float64
-	timeSources   []*rand.Rand // by sidecar, of the times
-	contentSource *rand.Rand   // of the calls' contents
+	timeSources   []*rand.Rand // random sources of arrival times, by sidecar
+	contentSource *rand.Rand   // random source of the calls' contents
 	classes       distuv.Categorical
 	tenants       distuv.Categorical
 	keys          distuv.Categorical
 	quota         []tokenBucket // by tenant
 	tenantShares  []float64     // each tenant's fraction of the calls without bursts
-	maxRateFactor float64       // bound of the rate, as a multiple of its mean
+	maxRateFactor float64       // upper bound of the rate, as a multiple of its mean
 }
 
-type calls []struct {
+type callHeap []struct {
 	at      time.Duration
 	sidecar int
 }
 
-func (c calls) Len() int { return len(c) }
-func (c calls) Less(i, j int) bool {
+func (c callHeap) Len() int { return len(c) }
+func (c callHeap) Less(i, j int) bool {
 	return c[i].at < c[j].at || (c[i].at == c[j].at && c[i].sidecar < c[j].sidecar)
 }
-func (c calls) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
-func (c calls) Push(any)      { panic("one call of each sidecar, always") }
-func (c calls) Pop() any      { panic("one call of each sidecar, always") }
+func (c callHeap) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
+func (c callHeap) Push(any)      { panic("arrivals: the heap always holds one call per sidecar") }
+func (c callHeap) Pop() any      { panic("arrivals: the heap always holds one call per sidecar") }
 
-// tokenBucket is a tenant's quota: a call beyond it has little weight.
+// tokenBucket limits a tenant to its quota: a call beyond it has a reduced weight.
 type tokenBucket struct {
 	rate, level float64
 	refilledAt  time.Duration
 }
 
-// burstSeconds is how many seconds of its quota a tenant may accumulate.
+// burstSeconds is the capacity of a tenant's token bucket, in seconds of its quota.
 const burstSeconds = 2.0
 
 func (b *tokenBucket) take(now time.Duration) bool {
@@ -72,7 +71,7 @@
 	return true
 }
 
-// NewArrivals makes the arrivals of a run. The scenario must have passed Check.
+// NewArrivals returns the arrivals of a run. The scenario must have passed Check.
 func NewArrivals(sc *Scenario, seed uint64) *Arrivals {
 	a := &Arrivals{scenario: sc, contentSource: source(seed, streamClients, 0), maxRateFactor: 1 + sc.Clients.Swing}
 	var classes, tenants []float64
@@ -87,7 +86,7 @@
 		a.quota = append(a.quota, tokenBucket{rate: q, level: q * burstSeconds})
 	}
 	if requested == 0 {
-		tenants[0], requested = 1, 1 // some tenant has to send requests
+		tenants[0], requested = 1, 1 // at least one tenant must send requests
 	}
 	for _, t := range tenants {
 		a.tenantShares = append(a.tenantShares, t/requested)
@@ -114,7 +113,7 @@
 	return a
 }
 
-// divideTraffic divides the traffic among the sidecars, as unevenly as the scenario says.
+// divideTraffic divides the traffic among the sidecars, with the scenario's variation and zone skew.
 func (a *Arrivals) divideTraffic() {
 	sc, sum := a.scenario, 0.0
 	for i := range sc.Sidecars {
@@ -133,8 +132,8 @@
 // ZoneOf returns the zone of a sidecar.
 func (s *Scenario) ZoneOf(sidecar int) int { return sidecar % len(s.Zones) }
 
-// drawInterval draws the time to a sidecar's next candidate at the highest possible rate:
-// candidates are thinned to the rate of their time, which keeps the process Poisson.
+// drawInterval draws the time to a sidecar's next candidate at the maximum rate. Next thins the
+// candidates to the current rate, which gives an inhomogeneous Poisson process.
 func (a *Arrivals) drawInterval(sidecar int) time.Duration {
 	if rate := a.rates[sidecar] * a.maxRateFactor; rate > 0 {
 		return time.Duration(min(distuv.Exponential{Rate: rate, Src: a.timeSources[sidecar]}.Rand(), maxLength.Seconds()*2) * float64(time.Second))
@@ -153,7 +152,8 @@
 	return level
 }
 
-// burstFactor returns by how much a burst multiplies the whole traffic: a burst of one tenant counts by its share.
+// burstFactor returns by how much a burst multiplies the total traffic. A burst of one tenant contributes
+// in proportion to the tenant's share.
 func (a *Arrivals) burstFactor(t Fault) float64 {
 	if i := a.scenario.tenant(t.Tenant); i >= 0 {
 		return 1 + a.tenantShares[i]*(t.Size-1)
@@ -161,7 +161,7 @@
 	return t.Size
 }
 
-// drawTenant draws the tenant of a call, one of which may have a burst.
+// drawTenant draws the tenant of a call. A tenant with an active burst is drawn more often.
 func (a *Arrivals) drawTenant(at time.Duration) int {
 	for _, t := range a.scenario.Faults {
 		if i := a.scenario.tenant(t.Tenant); i >= 0 && t.Name == "burst" && t.activeAt(at) {
@@ -183,7 +183,7 @@
 	return at >= time.Duration(t.Start) && at < time.Duration(t.Start)+time.Duration(t.Duration)
 }
 
-// Next returns the next call; there is none after the scenario's length.
+// Next returns the next call, or false after the scenario's length.
 func (a *Arrivals) Next() (Call, bool) {
 	for a.next[0].at < time.Duration(a.scenario.Length) {
 		at, i := a.next[0].at, a.next[0].sidecar
@@ -196,7 +196,7 @@
 	return Call{}, false
 }
 
-// hintSpread is the coefficient of variation of the estimate of a request's work.
+// hintSpread is the coefficient of variation of the clients' estimates of a request's work.
 const hintSpread = 0.3
 
 // draw draws the contents of a call.
@@ -213,7 +213,7 @@
 			c.Work *= t.Size
 		}
 	}
-	c.Work = min(c.Work, class.Deadline.seconds()) // more could not be served in time
+	c.Work = min(c.Work, class.Deadline.seconds()) // more work could not be served before the deadline
 	c.Hint = time.Duration(lognormal(c.Work, hintSpread, a.contentSource) * float64(time.Second))
 	c.Weight = class.PriorityWeight * c.Work
 	if c.WithinQuota = a.quota[c.Tenant].take(at); !c.WithinQuota {
@@ -222,7 +222,7 @@
 	return c
 }
 
-// lognormal draws with a mean and a coefficient of variation.
+// lognormal draws from a log-normal distribution with the given mean and coefficient of variation.
 func lognormal(mean, cv float64, src rand.Source) float64 {
 	if cv == 0 {
 		return mean
@@ -231,7 +231,7 @@
 	return distuv.LogNormal{Mu: math.Log(mean) - sigma2/2, Sigma: math.Sqrt(sigma2), Src: src}.Rand()
 }
 
-// pareto draws with a mean and a coefficient of variation.
+// pareto draws from a Pareto distribution with the given mean and coefficient of variation.
 func pareto(mean, cv float64, src rand.Source) float64 {
 	if cv == 0 {
 		return mean
--- a/internal/simulation/emulator/attempt.go
+++ b/internal/simulation/emulator/attempt.go
@@ -6,7 +6,7 @@
 	"barleywick/policy"
 )
 
-// request is one attempt of a client, at its sidecar.
+// request is one attempt of a client, as seen by its sidecar.
 type request struct {
 	id         policy.RequestID
 	node       *node
@@ -14,9 +14,9 @@
 	call       *call
 	deadline   time.Duration
 	attempts   []*attempt
-	closed     bool
+	closed     bool // answered, or its client has left
 	receivedAt time.Duration
-	shed       bool // the module counted it as shed
+	shed       bool // the decision module counted it as shed
 }
 
 // attempt is one attempt of a sidecar at a server.
@@ -24,18 +24,18 @@
 	request   *request
 	number    int
 	server    *Server
-	ended     bool // the sidecar has its outcome
+	ended     bool // the sidecar has received its outcome
 	completed bool // the server has completed it
 	work      float64
-	connected bool // a connection is up
+	connected bool // it holds a connection
 
 	sentAt    time.Duration
 	ending    policy.Ending
 	malformed bool
-	job       *Job // at the server; nil: it has not arrived there
+	job       *Job // at the server; nil if the attempt was not accepted there
 }
 
-// receive passes a client's request to the sidecar.
+// receive passes a client's request to the sidecar and schedules the check for a missing answer.
 func (n *node) receive(r *request, work time.Duration) {
 	s := n.sim
 	r.node, r.epoch, r.receivedAt = n, n.epoch, s.now
@@ -60,14 +60,14 @@
 	n.deciding = nil
 }
 
-// Send starts the next attempt of a request.
+// Send starts the next attempt of a request. The start limit is not modelled.
 func (n *node) Send(id policy.RequestID, to policy.ServerID, timeout, _ time.Duration) {
 	s := n.sim
 	sv := s.Servers[int(to)-1]
 	s.checker.AttemptSent(s.now, id, sv.Index)
 	r := n.open[id]
 	if r == nil {
-		return // the Checker reports the violation
+		return // sent after the end of the request; the Checker has reported the violation
 	}
 	a := &attempt{request: r, number: len(r.attempts), server: sv, sentAt: s.now}
 	r.attempts = append(r.attempts, a)
@@ -85,12 +85,12 @@
 	n.dial(a)
 }
 
-// dial takes an idle connection or opens one, and sends the attempt.
+// dial sends the attempt on an idle connection, or opens a new one.
 func (n *node) dial(a *attempt) {
 	s, sv := n.sim, a.server
 	oneWay := s.delay(n.zone, sv.Zone)
 	idle := n.idle[sv.Index]
-	for len(idle) > 0 { // the one used last; those idle for too long are closed
+	for len(idle) > 0 { // the most recently used first; connections past the idle timeout are closed
 		since := idle[len(idle)-1]
 		idle = idle[:len(idle)-1]
 		if s.now-since <= time.Duration(s.scenario.Network.IdleTimeout) {
@@ -108,7 +108,7 @@
 	if sv.queueHalfFull() {
 		h.HandshakesToFullQueues++
 	}
-	if sv.Unreachable || !s.reachable(n.zone, sv.Zone) { // nothing comes back
+	if sv.Unreachable || !s.reachable(n.zone, sv.Zone) { // no reply arrives
 		n.afterInEpoch(time.Duration(s.scenario.Network.ConnectTimeout), func() { n.fail(a, policy.NoConnection) })
 		return
 	}
@@ -118,7 +118,7 @@
 			s.afterForAttempt(a, oneWay, func() { n.fail(a, policy.NoConnection) })
 			return
 		}
-		if a.ended { // cancelled meanwhile
+		if a.ended { // cancelled during the handshake
 			sv.OpenConnections = max(0, sv.OpenConnections-1)
 			return
 		}
@@ -127,7 +127,7 @@
 	})
 }
 
-// afterForAttempt schedules an event that is void once the attempt's sidecar has been restarted.
+// afterForAttempt schedules an action that is dropped if the attempt's sidecar restarts before.
 func (s *Sim) afterForAttempt(a *attempt, d time.Duration, action func()) {
 	s.after(d, func() {
 		if a.request.node.epoch == a.request.epoch {
@@ -146,9 +146,9 @@
 func (s *Sim) arrive(a *attempt) {
 	sv, n := a.server, a.request.node
 	if sv.Unreachable || !s.reachable(n.zone, sv.Zone) {
-		return // lost
+		return // the attempt is lost on the network
 	}
-	if a.ended { // cancelled on its way, or its sidecar was killed: it never arrives completely
+	if a.ended { // cancelled, or its sidecar was killed, before all of it arrived
 		return
 	}
 	s.advanceServer(sv)
@@ -182,7 +182,7 @@
 	}
 }
 
-// endAttempt passes the outcome of an attempt to the sidecar, once.
+// endAttempt passes the outcome of an attempt to the sidecar; later outcomes are ignored.
 func (n *node) endAttempt(a *attempt, end policy.Ending) {
 	if a.ended {
 		return
@@ -208,7 +208,7 @@
 	}
 }
 
-// releaseConnection makes the connection of an attempt idle after an answer, and closes it otherwise.
+// releaseConnection keeps the connection of an attempt as idle after a response, and closes it otherwise.
 func (n *node) releaseConnection(a *attempt) {
 	if !a.connected {
 		return
@@ -221,7 +221,7 @@
 	}
 }
 
-// forget drops a request that is closed and has no attempt in flight.
+// forget deletes a closed request that has no attempt in flight.
 func (n *node) forget(r *request) {
 	for _, a := range r.attempts {
 		if !a.ended {
@@ -231,7 +231,7 @@
 	delete(n.open, r.id)
 }
 
-// answer sends the client its one final answer.
+// answer sends the client the final answer. The Checker is notified even if the request is closed.
 func (n *node) answer(r *request, a Answer, pause time.Duration) {
 	s := n.sim
 	s.checker.Answered(s.now, r.id, a)
@@ -248,13 +248,13 @@
 	n.finish(id, AnswerRefused, pause)
 }
 
-// Fail ends a request without a promise about its effect.
+// Fail ends a request that may have run.
 func (n *node) Fail(id policy.RequestID) { n.finish(id, AnswerFailed, 0) }
 
 func (n *node) finish(id policy.RequestID, a Answer, pause time.Duration) {
 	r := n.open[id]
 	if r == nil || r.closed {
-		return // it has just ended, which the protocol allows
+		return // the request has just ended; the protocol allows such a late answer
 	}
 	r.shed = n.deciding == r && shedCount(n.decider) > n.shedBefore
 	n.answer(r, a, pause)
--- a/internal/simulation/emulator/checker.go
+++ b/internal/simulation/emulator/checker.go
@@ -7,28 +7,28 @@
 	"barleywick/policy"
 )
 
-// Checker verifies the four rules. It is notified of what happened, in the order in which it
-// happened, and follows each request by its id to its one answer and each send to
-// its server. It decides nothing and shares no state with what it checks.
+// Checker verifies the four rules. It receives the events of a run in order and tracks each request by
+// its id to its single answer, and each attempt to its server. It makes no decisions and shares no state
+// with the code that it checks.
 type Checker struct {
 	rules      Rules
 	classes    []Class
 	open       map[policy.RequestID]*openRequest
-	notifiedAt []map[int]time.Duration // of each sidecar: when it was notified that a server drains or was removed
-	knownStart []map[int]time.Duration // of each sidecar: the last start of a server that it was notified of
-	coldWork   map[int][]coldArrival   // by server: the work that reached it recently
+	notifiedAt []map[int]time.Duration // by sidecar and server: when it was notified that the server drains or was removed
+	knownStart []map[int]time.Duration // by sidecar and server: the server's last start that it was notified of
+	coldWork   map[int][]coldArrival   // by server: work that arrived during slow start, within the rule's window
 	zones      func(server int) (zone, cell int)
-	sockets    bool
+	sockets    bool // the run is on real sockets
 
-	// ViolationTexts describes the first violations; Violations counts all of them, by rule.
+	// ViolationTexts describes the first maxViolationTexts violations; Violations counts all, by rule.
 	ViolationTexts []string
 	Violations     [5]int
 
-	// What was observed: a check without observations proves nothing.
+	// Numbers of observed events. A run without any proves nothing and counts as a violation.
 	Requests, Answers, Sends, Repeats, ColdSends int
 }
 
-// openRequest is what the Checker knows of an open request.
+// openRequest is the Checker's state of an open request.
 type openRequest struct {
 	sidecar  int
 	class    *Class
@@ -40,10 +40,10 @@
 	server     int
 	at         time.Duration
 	ended      bool
-	mayHaveRun bool // it may have run
+	mayHaveRun bool // valid if ended
 }
 
-// Answer is a final answer.
+// Answer is the kind of a final answer to a client.
 type Answer int
 
 // Final answers.
@@ -53,7 +53,7 @@
 	AnswerFailed
 )
 
-// maxViolationTexts bounds the violations that are described.
+// maxViolationTexts bounds the number of violations that are described.
 const maxViolationTexts = 20
 
 func newChecker(s *Scenario, zones func(int) (int, int)) *Checker {
@@ -64,12 +64,12 @@
 	return c
 }
 
-// SocketSlack is how long past its deadline an answer on real sockets is only late, and
-// not lost: the shared machine may be busy.
+// SocketSlack is how long after its deadline an answer on real sockets may arrive before it counts as
+// missing: scheduling on the shared machine may delay it.
 const SocketSlack = 500 * time.Millisecond
 
-// NewSocketChecker makes a Checker for real sockets. Servers report attempts there, and
-// a cancelled one may reach its server after its request has ended.
+// NewSocketChecker returns a Checker for runs on real sockets. There the servers report attempts, and a
+// cancelled attempt may reach its server after its request has ended.
 func NewSocketChecker(s *Scenario, f *Fleet) *Checker {
 	c := newChecker(s, f.Group)
 	c.sockets = true
@@ -102,7 +102,7 @@
 		return
 	}
 	if at, notified := c.notifiedAt[r.sidecar][server]; notified && now > at+time.Duration(c.rules.DrainGrace) {
-		c.addViolation(3, "sidecar %d sent request %d to server %d at %v, %v after it was told that it drains or is gone", r.sidecar, id, server, now, now-at)
+		c.addViolation(3, "sidecar %d sent request %d to server %d at %v, %v after it was notified that the server drains or was removed", r.sidecar, id, server, now, now-at)
 	}
 	for _, t := range r.attempts {
 		if t.ended && !t.mayHaveRun {
@@ -113,14 +113,14 @@
 		firstZone, firstCell := c.zones(t.server)
 		switch {
 		case r.class.Idempotency == "unsafe":
-			c.addViolation(2, "request %d of %s went to server %d at %v; it may have run at %d", id, r.class.Name, server, now, t.server)
+			c.addViolation(2, "request %d of %s was sent to server %d at %v; it may have run at server %d", id, r.class.Name, server, now, t.server)
 		case r.class.Idempotency == "safe":
 		case now > t.at+time.Duration(r.class.DedupWindow):
-			c.addViolation(2, "request %d of %s went out again %v after its first send, the window is %v", id, r.class.Name, now-t.at, time.Duration(r.class.DedupWindow))
+			c.addViolation(2, "request %d of %s was sent again %v after its first attempt, the deduplication window is %v", id, r.class.Name, now-t.at, time.Duration(r.class.DedupWindow))
 		case r.class.DedupScope == "zone" && zone != firstZone, r.class.DedupScope == "cell" && cell != firstCell:
-			c.addViolation(2, "request %d of %s went to server %d, outside the %s that drops repeats", id, r.class.Name, server, r.class.DedupScope)
+			c.addViolation(2, "request %d of %s was sent to server %d, outside the %s that deduplicates it", id, r.class.Name, server, r.class.DedupScope)
 		}
-		break // the first that may have run starts the window
+		break // the window starts with the first attempt that may have run
 	}
 	r.attempts = append(r.attempts, sentAttempt{server: server, at: now})
 }
@@ -132,7 +132,7 @@
 	}
 }
 
-// Answered records a final answer and checks that it was allowed and in time.
+// Answered records a final answer and checks that it was allowed and not overdue.
 func (c *Checker) Answered(now time.Duration, id policy.RequestID, a Answer) {
 	c.Answers++
 	r := c.open[id]
@@ -155,7 +155,8 @@
 	}
 }
 
-// Overdue records that a client has given up; an open request is lost.
+// Overdue records that a client's deadline and the slack have passed; a request that is still open had
+// no answer.
 func (c *Checker) Overdue(now time.Duration, id policy.RequestID) {
 	if _, open := c.open[id]; open {
 		c.addViolation(1, "request %d had no answer at %v", id, now)
@@ -163,21 +164,21 @@
 	}
 }
 
-// WrongResponse records an answer that no server made for the request: the request is lost.
+// WrongResponse records that a client was served a response that no server sent for its request.
 func (c *Checker) WrongResponse(now time.Duration, id policy.RequestID) {
-	c.addViolation(1, "request %d was served at %v with what no server made for it", id, now)
+	c.addViolation(1, "request %d was served at %v with a response that no server sent for it", id, now)
 	delete(c.open, id)
 }
 
 // MalformedServed records that a client was served although its request was malformed.
 func (c *Checker) MalformedServed(now time.Duration, sent string) {
-	c.addViolation(1, "a client that said %s was served at %v", sent, now)
+	c.addViolation(1, "a client that sent %s was served at %v", sent, now)
 }
 
-// ClientGone records that a client left early: no answer is owed any more.
+// ClientGone records that a client left early and expects no answer.
 func (c *Checker) ClientGone(id policy.RequestID) { delete(c.open, id) }
 
-// EndpointNotified records that a sidecar was notified of a server's state and last start.
+// EndpointNotified records that a sidecar was notified of a server's state and time of last start.
 func (c *Checker) EndpointNotified(now time.Duration, sidecar, server int, ready bool, startedAt time.Duration) {
 	c.knownStart[sidecar][server] = startedAt
 	switch _, notified := c.notifiedAt[sidecar][server]; {
@@ -188,13 +189,14 @@
 	}
 }
 
-// SidecarKilled records that a sidecar ended with all its knowledge.
+// SidecarKilled records that a sidecar was killed and lost its state.
 func (c *Checker) SidecarKilled(sidecar int) {
 	clear(c.notifiedAt[sidecar])
 	clear(c.knownStart[sidecar])
 }
 
-// coldArrival is work at a server that warms up, and whether its sender was notified of the start.
+// coldArrival is work that arrived at a server in slow start, and whether its sidecar had been notified of
+// the server's start.
 type coldArrival struct {
 	at       time.Duration
 	work     float64
@@ -202,15 +204,15 @@
 }
 
 const (
-	// notificationDeadline is how long after a start a sidecar counts as notified in any case.
+	// notificationDeadline is the time after a server's start from which every sidecar counts as notified.
 	notificationDeadline = 6 * time.Second
-	// notifiedShare of the work that overloads a server has to come from sidecars that
-	// were notified of its start: no sidecar can spare a server that looks warm.
+	// notifiedShare is the fraction of the work overloading a server that must come from sidecars that
+	// were notified of its start: the others cannot know that the server is in slow start.
 	notifiedShare = 2.0 / 3
 )
 
-// ColdServerReached records work that reached a server that warms up, which started at born and
-// has so much capacity now. More than the allowed multiple of it within the rule's window breaks the rule.
+// ColdServerReached records work that arrived at a server in slow start, with the time of its start and its
+// current capacity. More than the allowed multiple of the capacity within the rule's window breaks the rule.
 func (c *Checker) ColdServerReached(now time.Duration, sidecar, server int, startedAt time.Duration, work, capacity float64) {
 	c.ColdSends++
 	recent := c.coldWork[server]
@@ -229,18 +231,18 @@
 		}
 	}
 	if budget := c.rules.OverloadFactor * capacity * c.rules.OverloadWindow.seconds(); sum > overloadSlack*budget && notifiedSum >= notifiedShare*sum {
-		c.addViolation(4, "cold server %d was sent %.2f s of work within %v until %v, in %d requests of at most %.2f s, %.2f s by those told of its start; its budget is %.2f",
+		c.addViolation(4, "cold server %d was sent %.2f s of work within %v until %v, in %d requests of at most %.2f s, %.2f s by sidecars that were notified of its start; its budget is %.2f",
 			server, sum, time.Duration(c.rules.OverloadWindow), now-StartTime, len(recent), largest, notifiedSum, budget)
 		c.coldWork[server] = nil
 	}
 }
 
-// Finish ends the run: requests that are still open had no answer. now is after the last deadline.
+// Finish ends the run: requests that are still open had no answer. It must be called after the last deadline.
 func (c *Checker) Finish(now time.Duration) {
 	if n := len(c.open); n > 0 {
 		c.addViolation(1, "%d requests had no answer at the end of the run", n)
 	}
 	if c.Requests == 0 || c.Answers == 0 || c.Sends == 0 {
-		c.ViolationTexts = append(c.ViolationTexts, fmt.Sprintf("nothing to judge: %d requests, %d answers, %d sends", c.Requests, c.Answers, c.Sends))
+		c.ViolationTexts = append(c.ViolationTexts, fmt.Sprintf("nothing to check: %d requests, %d answers, %d sends", c.Requests, c.Answers, c.Sends))
 	}
 }
--- a/internal/simulation/emulator/clients.go
+++ b/internal/simulation/emulator/clients.go
@@ -8,16 +8,16 @@
 	"barleywick/policy"
 )
 
-// clients are the callers, one group beside each sidecar: their calls are drawn
-// by Arrivals, their reaction to the answers here.
+// clients models the clients, one group beside each sidecar. Arrivals draws their calls; clients draws
+// their reactions to the answers.
 type clients struct {
 	sim           *Sim
 	arrivals      *Arrivals
-	choiceSources []*rand.Rand // by sidecar
+	choiceSources []*rand.Rand // random sources of the reactions, by sidecar
 	lastID        policy.RequestID
 }
 
-// call is a Call under way.
+// call is a Call in progress.
 type call struct {
 	Call
 	node        *node
@@ -38,7 +38,7 @@
 	return c
 }
 
-// scheduleNext schedules the next call, and so on to the end of the run.
+// scheduleNext schedules the next call, which schedules its successor, until the end of the run.
 func (c *clients) scheduleNext() {
 	next, more := c.arrivals.Next()
 	if !more {
@@ -50,8 +50,8 @@
 	})
 }
 
-// start makes the first attempt of a call. A client ends and starts with its sidecar: where
-// that is not up there is no call.
+// start makes the first attempt of a call. A client runs only while its sidecar does: without a running
+// sidecar the call is dropped.
 func (c *clients) start(next Call) {
 	s, n := c.sim, c.sim.nodes[next.Sidecar]
 	if !n.up || n.shuttingDown {
@@ -63,7 +63,7 @@
 	c.attempt(k)
 }
 
-// attempt makes an attempt of a call, if there is time.
+// attempt makes an attempt of a call, if enough time is left.
 func (c *clients) attempt(k *call) {
 	s, n := c.sim, k.node
 	left := time.Duration(float64(k.deadline-s.now) * s.scenario.Clients.AttemptShare)
@@ -123,14 +123,14 @@
 	})
 }
 
-// RetriesAfter reports whether a client retries after an answer: after a refusal, and after
-// a failure where every server drops repeats.
+// RetriesAfter reports whether a client retries after an answer: after a refusal, and after a failure if
+// the class is idempotent or every server deduplicates it.
 func (c Class) RetriesAfter(a Answer) bool {
 	return a == AnswerRefused || a == AnswerFailed && (c.Idempotency == "safe" || c.Idempotency == "keyed" && c.DedupScope == "all")
 }
 
-// RetryDelay draws how long a client waits after its nth attempt: its own backoff, and what
-// the answer asked for if it honours that.
+// RetryDelay draws how long a client waits after its nth attempt: its own backoff, and at least the
+// requested Retry-After, up to limit, if the client honours it.
 func (c Clients) RetryDelay(n int, requested, limit time.Duration, rng *rand.Rand) time.Duration {
 	wait := time.Duration(float64(c.Backoff) * math.Pow(2, float64(n-1)) * (0.5 + rng.Float64()))
 	if rng.Float64() < c.HonourRetryAfter {
@@ -139,19 +139,19 @@
 	return wait
 }
 
-// sidecarEnded ends a call whose sidecar, and client with it, has ended.
+// sidecarEnded ends a call whose sidecar, and so its client, has ended.
 func (c *clients) sidecarEnded(k *call) {
 	k.cause, k.refusedOnly = causeKilled, false
 	c.endUnserved(k)
 }
 
-// unanswered ends a call whose attempt had no answer at all.
+// unanswered ends a call whose attempt had no answer.
 func (c *clients) unanswered(r *request) {
 	r.call.refusedOnly, r.call.cause = false, causeNoAnswer
 	c.endUnserved(r.call)
 }
 
-// giveUp ends a call that was not served.
+// endUnserved ends a call that was not served.
 func (c *clients) endUnserved(k *call) {
 	if !k.done {
 		k.done = true
--- a/internal/simulation/emulator/decider.go
+++ b/internal/simulation/emulator/decider.go
@@ -17,7 +17,7 @@
 	List(now time.Duration, kind policy.ListKind, entries []policy.Endpoint)
 }
 
-// DeciderOptions are the arguments for a new Decider, at one start of a sidecar.
+// DeciderOptions holds the arguments for a new Decider.
 type DeciderOptions struct {
 	Scenario *Scenario
 	Sidecar  int
@@ -26,10 +26,8 @@
 	Host     policy.Host
 }
 
-// DeciderFactory makes the Decider for one start of a sidecar.
+// DeciderFactory returns a new Decider; it is called at each start of a sidecar.
 type DeciderFactory func(DeciderOptions) (Decider, error)
 
-// NewBalancer makes the product's decision module.
-func NewBalancer(options DeciderOptions) (Decider, error) {
-	return policy.New(options.Config, options.Seed, options.Host)
-}
+// NewBalancer is the DeciderFactory of the decision module that the sidecar runs.
+func NewBalancer(o DeciderOptions) (Decider, error) { return policy.New(o.Config, o.Seed, o.Host) }
--- a/internal/simulation/emulator/events.go
+++ b/internal/simulation/emulator/events.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// events is a heap of scheduled events, ordered by time.
+// events is a heap of scheduled events, ordered by time and then by sequence number.
 type events []event
 
 type event struct {
@@ -32,7 +32,7 @@
 	return x
 }
 
-// schedule adds an event at a time.
+// schedule adds an event at a time, or at the present if that has passed.
 func (s *Sim) schedule(at time.Duration, run func()) {
 	s.scheduledEvents++
 	heap.Push(&s.queue, event{max(at, s.now), s.scheduledEvents, run})
--- a/internal/simulation/emulator/fault.go
+++ b/internal/simulation/emulator/fault.go
@@ -7,47 +7,47 @@
 	"time"
 )
 
-// Fault is a fault that is injected for a while.
+// Fault is a fault that is injected for a part of a run.
 type Fault struct {
 	Name     string   `toml:"name" json:"Name"`
 	Start    Duration `toml:"at" json:"At"`
 	Duration Duration `toml:"for" json:"For"`
 	Part     float64  `toml:"part" json:"Part"`   // fraction of the servers, sidecars or requests that it affects
 	Size     float64  `toml:"size" json:"Size"`   // severity; see faultKinds
-	Extra    Duration `toml:"extra" json:"Extra"` // a duration that some faults have
-	Zone     int      `toml:"zone" json:"Zone"`   // the zone, for faults of a zone
+	Extra    Duration `toml:"extra" json:"Extra"` // a further duration; see faultKinds
+	Zone     int      `toml:"zone" json:"Zone"`   // for faults that affect one zone
 
-	Tenant string `toml:"tenant,omitempty" json:"Tenant,omitempty"` // of burst: the only tenant whose clients request more
+	Tenant string `toml:"tenant,omitempty" json:"Tenant,omitempty"` // for burst: the only tenant whose traffic increases; empty: all tenants
 }
 
-// faultKind describes and implements a fault.
+// faultKind describes and implements a kind of fault.
 type faultKind struct {
 	description      string
 	minSize, maxSize float64 // of Size
 	begin            func(*Sim, *Fault) (undo func())
 }
 
-// faultKinds has all faults by name. A fault's begin is called at its start
-// and the function that it returns, if any, at its end.
+// faultKinds holds all kinds of faults by name. begin is called at a fault's start, and the function that
+// it returns, if any, at the fault's end. A kind without begin is for real sockets only.
 var faultKinds = map[string]faultKind{
 	"slow":        {"servers run size times slower", 1, 1000, (*Sim).slow},
-	"fast_errors": {"servers fail that share of their requests at once", 0, 1, (*Sim).fastErrors},
-	"neighbour":   {"something else takes that part of the machines, on and off every extra", 0, 0.99, (*Sim).neighbour},
+	"fast_errors": {"servers fail size, a fraction, of their requests at once", 0, 1, (*Sim).fastErrors},
+	"neighbour":   {"another process takes size, a fraction, of the machines, on and off every extra", 0, 0.99, (*Sim).neighbour},
 	"heavy_tail":  {"part of the first class's requests cost size times the usual work", 1, 1000, (*Sim).arrivalsOnly},
-	"burst":       {"clients ask for size times as much, or those of tenant alone", 0, 100, (*Sim).arrivalsOnly},
-	"kill":        {"server processes are killed; they start again, cold, when it is over", 0, 0, (*Sim).killServers},
-	"vanish":      {"machines are cut off from everybody and say nothing", 0, 0, (*Sim).vanish},
+	"burst":       {"clients send size times as many requests, or only those of tenant", 0, 100, (*Sim).arrivalsOnly},
+	"kill":        {"server processes are killed; they start again, cold, at its end", 0, 0, (*Sim).killServers},
+	"vanish":      {"machines are unreachable, without closing connections", 0, 0, (*Sim).vanish},
 	"replace":     {"servers are drained and replaced by new ones, in size steps over its time (0: one by one); each has extra to finish", 0, 10_000, (*Sim).replace},
-	"zone_lost":   {"a zone's servers are killed and come back cold when it is over", 0, 0, (*Sim).zoneLost},
-	"partition":   {"a zone cannot reach the others, nor they it", 0, 0, (*Sim).partition},
-	"list_down":   {"the list service is down", 0, 0, (*Sim).listDown},
-	"stale_list":  {"the list service learns of everything extra later", 0, 0, (*Sim).staleList},
-	"spoilt":      {"answers arrive spoilt: the request has run", 0, 0, (*Sim).malformedResponses},
-	"reset":       {"connections break under requests", 0, 0, (*Sim).resets},
-	"herd":        {"sidecars are killed at once; they are back, knowing only their old lists, after extra", 0, 0, (*Sim).herd},
-	"no_advice":   {"part of the sidecars are cut off from the task that gives advice; all of them: another holds it afterwards", 0, 0, (*Sim).disconnectAdvice},
-	"bad_clients": {"size connections a second to each sidecar say what cannot be read; on real sockets only", 0, 1000, nil},
-	"roll":        {"sidecars are ended in order one after the other over its time; each is back extra after its end", 0, 0, (*Sim).roll},
+	"zone_lost":   {"a zone's servers are killed and start again, cold, at its end", 0, 0, (*Sim).zoneLost},
+	"partition":   {"a zone and the others cannot reach each other", 0, 0, (*Sim).partition},
+	"list_down":   {"the discovery service is down", 0, 0, (*Sim).listDown},
+	"stale_list":  {"the discovery service receives changes extra later", 0, 0, (*Sim).staleList},
+	"spoilt":      {"responses arrive malformed although the request has run", 0, 0, (*Sim).malformedResponses},
+	"reset":       {"connections break while requests are in flight", 0, 0, (*Sim).resets},
+	"herd":        {"sidecars are killed at once; they restart after extra with only their old endpoint lists", 0, 0, (*Sim).herd},
+	"no_advice":   {"part of the sidecars are disconnected from the overload advice task; if all are, another lease holder runs it afterwards", 0, 0, (*Sim).disconnectAdvice},
+	"bad_clients": {"size connections a second to each sidecar send malformed requests; on real sockets only", 0, 1000, nil},
+	"roll":        {"sidecars are shut down gracefully, one after the other over its time; each restarts extra after its end", 0, 0, (*Sim).roll},
 }
 
 // FaultNames lists the faults, sorted, with their descriptions.
@@ -61,12 +61,12 @@
 	return names, descriptions
 }
 
-// check checks a fault of a scenario.
+// check returns an error if the fault is invalid in the scenario.
 func (t Fault) check(s *Scenario) error {
 	kind, known := faultKinds[t.Name]
 	if !known {
 		names, _ := FaultNames()
-		return fmt.Errorf("name: there is no fault %q; there are %s", t.Name, strings.Join(names, ", "))
+		return fmt.Errorf("name: there is no fault %q, want one of %s", t.Name, strings.Join(names, ", "))
 	}
 	if err := t.checkTimes(); err != nil {
 		return err
@@ -79,14 +79,14 @@
 	case t.Tenant != "" && s.tenant(t.Tenant) < 0:
 		return fmt.Errorf("%s: there is no tenant %q", t.Name, t.Tenant)
 	case t.Name == "no_advice" && !s.OverloadAdvice:
-		return fmt.Errorf("%s: this scenario has no advice", t.Name)
+		return fmt.Errorf("%s: the scenario has no overload advice", t.Name)
 	case t.Zone < 0 || t.Zone >= len(s.Zones):
-		return fmt.Errorf("%s: zone is %d, there are %d", t.Name, t.Zone, len(s.Zones))
+		return fmt.Errorf("%s: zone is %d, but there are %d zones", t.Name, t.Zone, len(s.Zones))
 	}
 	return nil
 }
 
-// checkTimes checks the times of a fault.
+// checkTimes returns an error if a time of the fault is out of range.
 func (t Fault) checkTimes() error {
 	switch {
 	case t.Start < 0 || t.Duration < 0 || t.Extra < 0:
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// selectServers picks the servers that a fault affects.
+// selectServers picks the servers that a fault affects at random.
 func (s *Sim) selectServers(t *Fault) (selected []*Server) {
 	live := s.Live()
 	for _, i := range PickShare(s.environment, len(live), t.Part) {
@@ -106,7 +106,7 @@
 	return selected
 }
 
-// updateServers changes servers after advancing each of them to the present.
+// updateServers updates servers. Each is advanced to the present before, and rescheduled after the update.
 func (s *Sim) updateServers(servers []*Server, update func(*Server)) {
 	for _, sv := range servers {
 		s.advanceServer(sv)
@@ -115,7 +115,7 @@
 	}
 }
 
-// updateWhile changes some servers until the returned function is called.
+// updateWhile applies an update to a fault's servers until the returned function is called.
 func (s *Sim) updateWhile(t *Fault, update func(sv *Server, on bool)) func() {
 	affected := s.selectServers(t)
 	s.updateServers(affected, func(sv *Server) { update(sv, true) })
@@ -141,7 +141,7 @@
 	return s.updateWhile(t, func(sv *Server, on bool) { s.disconnect(sv, on) })
 }
 
-// neighbour takes capacity from the same machines periodically.
+// neighbour periodically takes capacity from the same machines.
 func (s *Sim) neighbour(t *Fault) func() {
 	affected, on, ended := s.selectServers(t), false, false
 	var toggle func()
@@ -159,10 +159,10 @@
 	}
 }
 
-// minNeighbourPeriod bounds how often a neighbour changes.
+// minNeighbourPeriod bounds how often the neighbour's load changes.
 const minNeighbourPeriod = 100 * time.Millisecond
 
-// arrivalsOnly begins a fault that Arrivals implements.
+// arrivalsOnly does nothing: the fault is implemented by Arrivals.
 func (s *Sim) arrivalsOnly(*Fault) func() { return nil }
 
 func (s *Sim) killServers(t *Fault) func() {
@@ -184,12 +184,12 @@
 	return func() { s.restartServers(killed) }
 }
 
-// SuccessorDelay is how long after a server begins to drain its successor runs, as the successor
-// has to start.
+// SuccessorDelay is the time from the start of a server's drain until its successor runs, which the
+// successor needs to start.
 const SuccessorDelay = time.Second
 
-// StepTime returns when, since the start of a fault, the nth of so many servers is
-// replaced: in as many steps as its size says, or one by one.
+// StepTime returns the time after the start of a fault at which the nth of total servers is replaced: in
+// Size steps, or one by one if Size is below 1.
 func (t Fault) StepTime(n, total int) time.Duration {
 	steps := total
 	if t.Size >= 1 {
@@ -198,7 +198,7 @@
 	return time.Duration(float64(t.Duration) * float64(n*steps/total) / float64(steps))
 }
 
-// replace drains servers step by step; each has a successor of the same zone and kind.
+// replace drains servers step by step; each gets a successor of the same zone, cell and kind.
 func (s *Sim) replace(t *Fault) func() {
 	replaced := s.selectServers(t)
 	for n, sv := range replaced {
--- a/internal/simulation/emulator/fleet.go
+++ b/internal/simulation/emulator/fleet.go
@@ -9,8 +9,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Fleet holds the servers of a run, with the cells and zones whose caches of keys and
-// repeats they share. Removed servers stay, so that an index always names the same server.
+// Fleet holds the servers of a run, with the cells and zones whose affinity and deduplication caches they
+// share. Removed servers stay in Servers, so that an index always identifies the same server.
 type Fleet struct {
 	Servers []*Server
 
@@ -20,7 +20,7 @@
 	zones    []*dedupCache
 }
 
-// NewFleet draws the servers that run from the start.
+// NewFleet returns a fleet with the servers that run from the start, drawn at random.
 func NewFleet(sc *Scenario, seed uint64, rng *rand.Rand) *Fleet {
 	f := &Fleet{scenario: sc, seed: seed}
 	kinds := make([]float64, len(sc.Kinds))
@@ -44,7 +44,7 @@
 	return f
 }
 
-// AddServer adds a server that does not run yet.
+// AddServer adds a server that is not running yet.
 func (f *Fleet) AddServer(zone int, k MachineKind, cell *Cell, speed float64, now time.Duration) *Server {
 	sv := &Server{
 		Index: len(f.Servers), Zone: zone, Cell: cell, Kind: k, Speed: speed, Slowdown: 1, rules: f.scenario.Rules, connectionsPerCore: f.scenario.Network.ConnectionsPerCore, advancedTo: now,
@@ -54,7 +54,7 @@
 	return sv
 }
 
-// Live returns the servers that run and do not drain, by index.
+// Live returns the running servers that are not draining, by index.
 func (f *Fleet) Live() (live []*Server) {
 	for _, sv := range f.Servers {
 		if sv.Alive && !sv.Draining {
@@ -64,7 +64,7 @@
 	return live
 }
 
-// PickShare picks a fraction of n indexes at random, in order.
+// PickShare picks a fraction of the indexes below n at random and returns them in order.
 func PickShare(rng *rand.Rand, n int, share float64) []int {
 	picked := rng.Perm(n)[:int(math.Round(share*float64(n)))]
 	slices.Sort(picked)
--- a/internal/simulation/emulator/idealpolicy.go
+++ b/internal/simulation/emulator/idealpolicy.go
@@ -7,14 +7,14 @@
 	"barleywick/policy"
 )
 
-// An ideal policy gives each sidecar one fact that it cannot know, at once and at no cost:
-// the result bounds what can be gained by measuring that fact.
+// An ideal policy provides all sidecars with a fact that they could not measure exactly, without delay or
+// cost. The result of such a run bounds what can be gained by measuring the fact.
 const (
-	idealLoad      = "load"      // how many requests are in flight at each server
-	idealAdmission = "admission" // what fraction of the requests the servers can serve
+	idealLoad      = "load"      // number of requests in flight at each server
+	idealAdmission = "admission" // fraction of the requests that the servers can serve
 )
 
-// idealInterval is well under the time in which a queue builds up.
+// idealInterval is much shorter than the time in which a queue builds up.
 const idealInterval = 100 * time.Millisecond
 
 func checkIdealPolicy(name string) error {
@@ -22,10 +22,10 @@
 	case "", idealLoad, idealAdmission:
 		return nil
 	}
-	return fmt.Errorf("scenario: oracle is %q; there are %s and %s", name, idealLoad, idealAdmission)
+	return fmt.Errorf("scenario: oracle is %q, want %s or %s", name, idealLoad, idealAdmission)
 }
 
-// informIdeally gives the fact to all sidecars, periodically.
+// sendIdealInformation periodically sends the ideal policy's fact to all sidecars.
 func (s *Sim) sendIdealInformation() {
 	switch s.scenario.IdealPolicy {
 	case idealLoad:
--- a/internal/simulation/emulator/impact.go
+++ b/internal/simulation/emulator/impact.go
@@ -8,28 +8,28 @@
 	"barleywick/policy"
 )
 
-// Impact counts what a fleet does besides serving, in one second: what is harmless in one
-// sidecar may add up.
+// Impact counts the load that a fleet causes besides serving, in one second. What is harmless in one sidecar
+// may add up over a fleet.
 type Impact struct {
 	Sends                  int            `json:"sends"`
-	Retries                map[string]int `json:"again,omitempty"` // of them, those after a request's first, by how the attempt before ended
+	Retries                map[string]int `json:"again,omitempty"` // attempts after a request's first, by the ending of the previous attempt (endingNames)
 	Rejected               int            `json:"turned_away"`
 	WastedWork             float64        `json:"wasted"` // work that served no client, in seconds on a core of speed 1
 	Probes                 int            `json:"probes"`
-	ProbesToFullQueues     int            `json:"probes_crowded"` // of them, those at servers whose queue was half full
+	ProbesToFullQueues     int            `json:"probes_crowded"` // probes of servers whose queue was at least half full
 	Handshakes             int            `json:"handshakes"`
 	HandshakesToFullQueues int            `json:"handshakes_crowded"`
 	ListCalls              int            `json:"list_calls"`
 	ListFailed             int            `json:"list_failed"`
 }
 
-// impactAt returns the impact of the second that a time lies in.
+// impactAt returns the impact of the second that contains a time.
 func (r *Record) impactAt(now time.Duration) *Impact {
 	i := int((now - StartTime) / time.Second)
 	return &r.Windows[max(0, min(len(r.Windows)-1, i))].Fleet
 }
 
-// endingNames names how an attempt ended, for people.
+// endingNames are the keys of Impact.Retries, by the ending of the previous attempt.
 var endingNames = map[policy.Ending]string{
 	policy.Errored: "an error", policy.Rejected: "turned away", policy.TimedOut: "no answer in time", policy.NoConnection: "no connection",
 	policy.Broken: "the connection broke", policy.Cancelled: "called off", policy.NotSent: "not sent",
@@ -71,19 +71,19 @@
 	return all
 }
 
-// queueHalfFull reports whether a server's queue is half full.
+// queueHalfFull reports whether a server's queue is at least half full.
 func (s *Server) queueHalfFull() bool {
 	return 2*len(s.queue) >= max(1, s.Kind.QueueCapacity*s.Kind.Cores)
 }
 
-// A run has recovered after recoverySeconds in a row with at least recoveredShare served.
+// A run has recovered once at least recoveredShare was served in recoverySeconds consecutive seconds.
 const (
 	recoverySeconds = 3
 	recoveredShare  = 0.95
 )
 
-// RecoveryTime returns how long after a time of the run the first of three seconds in a row starts in
-// which nearly all of the requested weight is served; false where there are none.
+// RecoveryTime returns the time from after until the start of the first recoverySeconds consecutive seconds
+// in which nearly all of the requested weight is served; false if the run does not recover.
 func (r *Record) RecoveryTime(after time.Duration) (time.Duration, bool) {
 	good := 0
 	for i := int(after / time.Second); i < len(r.Windows); i++ {
--- a/internal/simulation/emulator/impact_test.go
+++ b/internal/simulation/emulator/impact_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// The impacts of the seconds add up to those of the run.
+// The impacts of all seconds add up to the totals of the run.
 func TestImpactWindowsSumToRunTotals(t *testing.T) {
 	for _, name := range []string{"surge", "zone", "blind"} {
 		r := runScenario(t, presetScenario(t, name, 40, 12), 1, NewBalancer)
 		h := r.Impact()
 		if h.Sends != r.Sends || h.Probes != r.Probes || h.Handshakes != r.Handshakes || h.Rejected != r.Rejected || h.ListCalls != r.ListCalls || h.ListFailed != r.ListFailed {
-			t.Errorf("%s: by second %+v, over the run %d attempts, %d probes, %d handshakes, %d rejected, %d of %d calls failed", name, h, r.Sends, r.Probes, r.Handshakes, r.Rejected, r.ListFailed, r.ListCalls)
+			t.Errorf("%s: sum over seconds %+v, want the totals of %d attempts, %d probes, %d handshakes, %d rejected, %d of %d polls failed", name, h, r.Sends, r.Probes, r.Handshakes, r.Rejected, r.ListFailed, r.ListCalls)
 		}
 		if d := h.WastedWork - r.wasted; d > 1e-6 || d < -1e-6 || h.TotalRetries() == 0 || h.Sends == 0 {
-			t.Errorf("%s: %+v, %v core seconds were wasted", name, h, r.wasted)
+			t.Errorf("%s: sum over seconds %+v, want %v core seconds wasted, and some retries and sends", name, h, r.wasted)
 		}
 		if name == "blind" && h.ListFailed == 0 {
-			t.Error("the list was down and no call failed")
+			t.Error("the discovery service was down, but no poll failed")
 		}
 	}
 }
@@ -32,11 +32,11 @@
 		t.Errorf("recovered after %v, %v; want 4 s", got, ok)
 	}
 	if _, ok := r.RecoveryTime(8 * time.Second); ok {
-		t.Error("two seconds are not three")
+		t.Error("recovered after two good seconds, want no recovery")
 	}
 }
 
-// The runs of a search follow from their seeds alone, keep the rules, and differ.
+// The runs of a search depend only on their seeds, keep the rules, and have different faults.
 func TestSearch(t *testing.T) {
 	kinds := make(map[string]bool)
 	for seed := range uint64(6) {
@@ -46,29 +46,29 @@
 		}
 		b, err := RunSearch(context.Background(), seed, 20, 8, NewBalancer)
 		if err != nil || a.RecoveryTime != b.RecoveryTime || a.Goodput != b.Goodput || len(a.ViolationTexts) > 0 || a.RecoveryTime < 0 || a.Goodput <= 0.2 {
-			t.Errorf("seed %d: %+v and %+v, %v", seed, a, b, err)
+			t.Errorf("seed %d: got %+v and %+v, error %v; want equal runs that keep the rules", seed, a, b, err)
 		}
 		for _, x := range a.Faults {
 			kinds[x.Name] = true
 		}
 	}
 	if len(kinds) < 3 {
-		t.Errorf("got only %v in six runs", kinds)
+		t.Errorf("got only the faults %v in six runs, want at least 3 kinds", kinds)
 	}
 	for seed := range uint64(500) {
-		if _, over, err := SearchScenario(seed, 300, 200); err != nil || over < 10*time.Second {
-			t.Errorf("seed %d: over at %v, %v", seed, over, err)
+		if _, faultsEnd, err := SearchScenario(seed, 300, 200); err != nil || faultsEnd < 10*time.Second {
+			t.Errorf("seed %d: last fault ends at %v, error %v; want at least 10 s", seed, faultsEnd, err)
 		}
 	}
 }
 
-// An ideal policy breaks no rule, and an unknown one is refused.
+// Runs with an ideal policy keep the rules, and an unknown ideal policy is an error.
 func TestIdealPolicies(t *testing.T) {
-	for _, oracle := range []string{idealLoad, idealAdmission} {
+	for _, idealPolicy := range []string{idealLoad, idealAdmission} {
 		sc := presetScenario(t, "surge", 40, 12)
-		sc.IdealPolicy = oracle
+		sc.IdealPolicy = idealPolicy
 		if r := runScenario(t, sc, 1, NewBalancer); len(r.ViolationTexts) > 0 || r.Goodput < 0.5 {
-			t.Errorf("%s: %s", oracle, r.Line())
+			t.Errorf("%s: %s", idealPolicy, r.Line())
 		}
 	}
 	sc := presetScenario(t, "surge", 40, 12)
--- a/internal/simulation/emulator/listserver.go
+++ b/internal/simulation/emulator/listserver.go
@@ -8,34 +8,34 @@
 	"barleywick/policy"
 )
 
-// listServer is the discovery service. It learns of changes
-// late, sends them to its watchers in batches, and answers polls in order: a poll that
-// has waited too long fails, although it has used the service's time.
+// listServer models the discovery service. It receives changes with a delay, sends them to watches in
+// batches, and answers polls in order. A poll that has waited too long fails, but still uses the service's
+// time.
 type listServer struct {
 	sim            *Sim
 	entries        []listEntry // by server
-	log            []int       // servers, in the order of their changes
+	log            []int       // server indexes, in the order of their changes
 	down           bool
-	extraDelay     time.Duration // beyond the usual delay
-	busyUntil      time.Duration // when it has answered the polls that it has
+	extraDelay     time.Duration // added to the delay of changes by faults
+	busyUntil      time.Duration // when the polls received so far are answered
 	flushScheduled bool          // a batch of watch events is scheduled
-	notifiedUpTo   int           // the part of the log that has been sent to watches
+	notifiedUpTo   int           // length of the part of log that was sent to watches
 }
 
 type listEntry struct {
 	known     bool
 	entry     policy.Endpoint
-	changeSeq int // counts changes on their way; earlier ones are void
+	changeSeq int // number of the last scheduled change; earlier ones are skipped
 }
 
 func newListServer(s *Sim) *listServer { return &listServer{sim: s, busyUntil: s.now} }
 
 // addKnown lists a server from the start of the run.
-func (l *listServer) addKnown(sv *Server) {
+func (l *listServer) addInitial(sv *Server) {
 	*l.entryOf(sv) = listEntry{known: true, entry: l.entry(sv)}
 }
 
-// entryOf returns the entry of a server; the pointer is valid until the next server is added.
+// entryOf returns the entry of a server. The pointer is valid until the next server is added.
 func (l *listServer) entryOf(sv *Server) *listEntry {
 	for len(l.entries) <= sv.Index {
 		l.entries = append(l.entries, listEntry{})
@@ -43,7 +43,7 @@
 	return &l.entries[sv.Index]
 }
 
-// entry returns a server's present state as the list shows it.
+// entry returns a server's present state as an endpoint of the list.
 func (l *listServer) entry(sv *Server) policy.Endpoint {
 	e := policy.Endpoint{
 		ID: policy.ServerID(sv.Index + 1), Zone: sv.Zone, Cell: sv.Cell.Number, State: policy.Ready, Weight: weight(sv), Started: sv.StartedAt,
@@ -57,10 +57,11 @@
 	return e
 }
 
-// unreachableDelayFactor multiplies the delay for a machine that has become unreachable.
+// unreachableDelayFactor multiplies the delay for a machine that became unreachable, which the service
+// detects later than a process that ended.
 const unreachableDelayFactor = 3
 
-// changed schedules that the list learns a server's state as it is at that later time.
+// changed schedules an update of a server's entry. The update takes the server's state at that later time.
 func (l *listServer) changed(sv *Server) {
 	spec, at := l.sim.scenario.List, l.entryOf(sv)
 	at.changeSeq++
@@ -73,10 +74,10 @@
 		delay = time.Duration(spec.AdditionDelay)
 	}
 	l.sim.after(delay+l.extraDelay, func() {
-		at := l.entryOf(sv) // servers may have been added
+		at := l.entryOf(sv) // the earlier pointer is invalid if servers were added
 		now := l.entry(sv)
 		if at.changeSeq != n && at.known {
-			return // a later change brings it
+			return // a later scheduled change updates the entry
 		}
 		if at.known && at.entry == now || !at.known && now.State == policy.Removed {
 			return
@@ -99,7 +100,7 @@
 func (l *listServer) notifyWatches() {
 	l.flushScheduled = false
 	if l.down {
-		return // watches get the full list when they come back
+		return // sidecars poll the full list when the service is back
 	}
 	changes := l.changesSince(l.notifiedUpTo)
 	l.notifiedUpTo = len(l.log)
@@ -114,7 +115,7 @@
 	}
 }
 
-// since returns what changed after a position in the log, each server once.
+// changesSince returns the entries that changed after a position in the log, each server once.
 func (l *listServer) changesSince(from int) (changes []policy.Endpoint) {
 	seen := make(map[int]bool)
 	for _, i := range l.log[from:] {
@@ -126,7 +127,7 @@
 	return changes
 }
 
-// fullList returns all endpoints.
+// fullList returns all endpoints that are not removed.
 func (l *listServer) fullList() (all []policy.Endpoint) {
 	for _, e := range l.entries {
 		if e.known && e.entry.State != policy.Removed {
@@ -174,7 +175,7 @@
 	n.decider.List(l.sim.now, policy.ListFailed, nil)
 }
 
-// takeDown stops the service and ends its watches.
+// takeDown stops the service and fails its watches.
 func (l *listServer) takeDown() {
 	l.down = true
 	for _, n := range l.sim.nodes {
@@ -187,7 +188,7 @@
 // endWatch ends the watch of a sidecar that has ended.
 func (l *listServer) endWatch(n *node) { n.watching = false }
 
-// weight returns a machine's size as the list shows it: rounded, and as precise as the wire.
+// weight returns a machine's capacity as listed: rounded to one decimal, with the precision of the wire.
 func weight(sv *Server) float64 {
 	return float64(float32(cmp.Or(math.Round(sv.Kind.capacity()*10)/10, 1)))
 }
--- a/internal/simulation/emulator/losses.go
+++ b/internal/simulation/emulator/losses.go
@@ -8,10 +8,10 @@
 	"barleywick/policy"
 )
 
-// This file attributes the weight that was requested and not served to causes. Each
-// call's loss has one cause, so that the causes add up to the total.
+// This file attributes the weight that was requested and not served to causes. Each call's loss has exactly
+// one cause, so that the causes add up to the total.
 
-// Causes of a loss.
+// Causes of a loss. The texts are keys of Record.LostWeight in reports and must not change.
 const (
 	causeBulkheadFull  = "refused: the wall was full"
 	causeShed          = "refused: shed as late"
@@ -71,7 +71,7 @@
 	}
 }
 
-// shedCount returns how many requests a module has shed, where it counts them.
+// shedCount returns how many requests a decision module has shed; 0 if it does not count them.
 func shedCount(d Decider) uint64 {
 	if c, ok := d.(interface{ Counters() policy.Counters }); ok {
 		return c.Counters().Shed
@@ -119,10 +119,10 @@
 	return causeServerTimeout
 }
 
-// latenessCause returns what took most of the time of a call that was served late.
+// latenessCause returns the cause that took most of the time of a call that was served late.
 func (r *request) latenessCause(now time.Duration) string {
 	a := r.attempts[len(r.attempts)-1]
-	for _, b := range r.attempts { // the one that was served
+	for _, b := range r.attempts { // prefer the attempt that was served
 		if b.ending == policy.Served {
 			a = b
 		}
--- a/internal/simulation/emulator/network.go
+++ b/internal/simulation/emulator/network.go
@@ -6,11 +6,11 @@
 	"barleywick/policy"
 )
 
-// reply sends an outcome back to the sidecar.
+// reply sends the outcome of an attempt back to its sidecar.
 func (s *Sim) reply(sv *Server, a *attempt, end policy.Ending) {
 	n, epoch := a.request.node, a.request.epoch
 	if !s.reachable(n.zone, sv.Zone) || sv.Unreachable {
-		return // it is lost; the attempt times out
+		return // the reply is lost; the attempt times out
 	}
 	s.after(s.delay(n.zone, sv.Zone), func() {
 		if n.epoch == epoch {
--- a/internal/simulation/emulator/node.go
+++ b/internal/simulation/emulator/node.go
@@ -10,32 +10,32 @@
 	"barleywick/policy"
 )
 
-// node is one sidecar: it executes what its Decider decides. It implements policy.Host.
+// node is one sidecar. It implements policy.Host and executes the decisions of its Decider.
 type node struct {
 	sim     *Sim
 	index   int
 	zone    int
 	up      bool
-	epoch   int // counts its starts: events scheduled for an earlier one are void
+	epoch   int // incremented at each start and kill; events of earlier epochs are dropped
 	decider Decider
 	open    map[policy.RequestID]*request
-	idle    map[int][]time.Duration // by server: since when each connection is idle
+	idle    map[int][]time.Duration // by server: the time since which each idle connection is idle
 
-	known        []policy.Endpoint // the endpoint list as last received
-	shuttingDown bool              // graceful shutdown: no new requests, those in flight are answered
+	endpoints    []policy.Endpoint // the endpoint list as last received
+	shuttingDown bool              // graceful shutdown: no new requests are accepted, open ones are answered
 	watching     bool
-	polledAt     time.Duration // its last poll
-	pollFailed   bool          // and whether that poll failed
+	polledAt     time.Duration // time of the last poll
+	pollFailed   bool          // whether the last poll failed
 
 	counts       []overload.TenantCounts // since the last digest, by tenant; nil: no digests are sent
 	digests      uint64
 	adviceFilter overload.AdviceFilter
 
-	deciding   *request // the request that is being passed to the module
-	shedBefore uint64   // the module's count of shed requests before that
+	deciding   *request // the request that is being passed to the decision module
+	shedBefore uint64   // the module's count of shed requests before the call
 }
 
-// start starts the sidecar with the endpoint list that it had last.
+// start starts the sidecar with the endpoint list that it received last.
 func (n *node) start() {
 	s := n.sim
 	n.epoch++
@@ -46,18 +46,18 @@
 		return
 	}
 	n.decider, n.up, n.shuttingDown, n.watching, n.polledAt = b, true, false, false, s.now
-	if n.known == nil {
-		n.known = s.list.fullList()
+	if n.endpoints == nil {
+		n.endpoints = s.list.fullList()
 	}
 	b.Start(s.now)
-	b.List(s.now, policy.ListCached, n.known)
+	b.List(s.now, policy.ListCached, n.endpoints)
 	if s.advice != nil {
 		s.advice.startReporting(n)
 	}
 }
 
-// restart kills a sidecar and starts it again after a while. Its requests are void, as its
-// client ended with it.
+// restart kills a sidecar and starts it again after a while. Its open requests end without an answer, as
+// its client is killed with it.
 func (s *Sim) restart(n *node, down time.Duration) {
 	if !n.up {
 		return
@@ -91,15 +91,15 @@
 	s.after(down, n.start)
 }
 
-// shutdownGrace is how long a sidecar may take for its answers in a graceful shutdown,
-// beyond the longest deadline; shutdownCheckInterval is how often it is checked meanwhile.
+// shutdownGrace is how long beyond the longest deadline a graceful shutdown may take to answer the open
+// requests; shutdownCheckInterval is how often it checks whether all are answered.
 const (
 	shutdownGrace         = 700 * time.Millisecond
 	shutdownCheckInterval = 20 * time.Millisecond
 )
 
-// shutDown ends a sidecar gracefully: it gets no new requests and ends when all that it has
-// are answered, or the grace is over.
+// shutDown shuts a sidecar down gracefully: it gets no new requests and ends when all open ones are
+// answered, or after the grace period.
 func (s *Sim) shutDown(n *node, down time.Duration) {
 	if !n.up || n.shuttingDown {
 		return
@@ -117,7 +117,7 @@
 	check()
 }
 
-// afterInEpoch schedules an event that is void once the sidecar has been restarted.
+// afterInEpoch schedules an action that is dropped if the sidecar restarts before.
 func (n *node) afterInEpoch(d time.Duration, action func()) {
 	epoch := n.epoch
 	n.sim.after(d, func() {
@@ -132,7 +132,7 @@
 	n.afterInEpoch(max(d, time.Microsecond), func() { n.decider.Wake(n.sim.now) })
 }
 
-// probeTimeout bounds the wait for the answer to a probe.
+// probeTimeout bounds the wait for the response to a probe.
 const probeTimeout = 500 * time.Millisecond
 
 // Probe requests a load report from a server.
@@ -169,8 +169,8 @@
 	n.afterInEpoch(0, func() { n.sim.list.watch(n) })
 }
 
-// checkNotified checks whether a sidecar without a watch has not polled for so
-// long that it counts as notified of a server's removal or drain.
+// checkNotified checks whether a sidecar without a watch is past its poll deadline. From then on it counts
+// as notified of a server's removal or drain, as it should have polled.
 func (n *node) checkNotified(server int) {
 	s, within := n.sim, time.Duration(n.sim.scenario.Rules.PollDeadline)
 	if n.pollFailed {
@@ -185,7 +185,7 @@
 	}
 }
 
-// failedPollFactor multiplies that time for a sidecar whose last poll failed.
+// failedPollFactor multiplies the poll deadline for a sidecar whose last poll failed.
 const failedPollFactor = 4
 
 // listReceived passes a full list or a watch event to the sidecar.
@@ -197,14 +197,14 @@
 		for _, e := range entries {
 			listed[e.ID] = true
 		}
-		for _, e := range n.known {
+		for _, e := range n.endpoints {
 			if !listed[e.ID] {
 				s.checker.EndpointNotified(s.now, n.index, int(e.ID)-1, false, e.Started)
 			}
 		}
-		n.known = entries
+		n.endpoints = entries
 	} else {
-		n.known = mergeChanges(n.known, entries)
+		n.endpoints = mergeChanges(n.endpoints, entries)
 	}
 	for _, e := range entries {
 		s.checker.EndpointNotified(s.now, n.index, int(e.ID)-1, e.State == policy.Ready, e.Started)
@@ -212,7 +212,7 @@
 	n.decider.List(s.now, kind, entries)
 }
 
-// mergeChanges applies changes to a list.
+// mergeChanges returns a list with changes applied and removed endpoints dropped.
 func mergeChanges(list, changes []policy.Endpoint) []policy.Endpoint {
 	merged := append([]policy.Endpoint(nil), list...)
 	for _, c := range changes {
--- a/internal/simulation/emulator/presets.go
+++ b/internal/simulation/emulator/presets.go
@@ -7,67 +7,67 @@
 	"time"
 )
 
-// preset is a scenario that has a name.
+// preset is a named scenario.
 type preset struct {
 	description string
 	faults      []Fault
 	adjust      func(*Scenario)
 }
 
-// presets are the scenarios that have names. Their figures are those that the
-// operators' records give for such faults, in the middle of the range.
+// presets holds the named scenarios. Sizes and times of faults are in the middle of the ranges in the
+// operators' records of such faults.
 var presets = map[string]preset{
-	"calm": {description: "no fault; a burst of half as much again",
+	"calm": {description: "no fault; a burst of 1.5 times the traffic",
 		faults: []Fault{{Name: "burst", Start: fromSeconds(12), Duration: fromSeconds(6), Size: 1.5}},
 		adjust: func(s *Scenario) { s.Load = 0.6 }},
 	"roll": {description: "half of the servers are replaced while all sidecars are restarted",
 		faults: []Fault{{Name: "replace", Start: fromSeconds(4), Duration: fromSeconds(20), Part: 0.5, Size: 5, Extra: fromSeconds(4)}, {Name: "roll", Start: fromSeconds(5), Duration: fromSeconds(18), Part: 1, Extra: fromSeconds(0.3)}}},
-	"herd": {description: "seven in ten sidecars are killed at once, some servers are replaced, the list is short of time",
+	"herd": {description: "seven in ten sidecars are killed at once, some servers are replaced, the discovery service is overloaded",
 		faults: []Fault{{Name: "herd", Start: fromSeconds(11.5), Part: 0.7, Extra: fromSeconds(0.5)}, {Name: "replace", Start: fromSeconds(10), Duration: fromSeconds(5), Part: 0.15, Size: 1, Extra: fromSeconds(4)}, {Name: "slow", Start: fromSeconds(8), Duration: fromSeconds(15), Part: 0.12, Size: 5}},
 		adjust: func(s *Scenario) { s.List.PerMS *= overloadedListShare }},
 	"zone": {description: "a zone is lost for 5 s and returns cold; some servers fail",
 		faults: []Fault{{Name: "zone_lost", Start: fromSeconds(8), Duration: fromSeconds(5), Zone: 1}, {Name: "fast_errors", Start: fromSeconds(6), Duration: fromSeconds(16), Part: 0.12, Size: 0.6}}},
-	"split": {description: "a zone is cut off for 6 s, lists come late, some connections break",
+	"split": {description: "a zone is partitioned for 6 s, endpoint lists are delayed, some connections break",
 		faults: []Fault{{Name: "partition", Start: fromSeconds(10), Duration: fromSeconds(6), Zone: 1}, {Name: "stale_list", Start: fromSeconds(8), Duration: fromSeconds(12), Extra: fromSeconds(2)}, {Name: "reset", Start: fromSeconds(6), Duration: fromSeconds(18), Part: 0.02}}},
-	"join": {description: "six in ten servers are replaced within 7 s; some answers are spoilt",
+	"join": {description: "six in ten servers are replaced within 7 s; some responses are malformed",
 		faults: []Fault{{Name: "replace", Start: fromSeconds(8), Duration: fromSeconds(7), Part: 0.6, Size: 2, Extra: fromSeconds(4)}, {Name: "spoilt", Start: fromSeconds(5), Duration: fromSeconds(20), Part: 0.01}},
 		adjust: func(s *Scenario) { s.Clients.AbandonRate = 0.05 }},
 	"slow": {description: "a fifth of the servers run five times slower",
 		faults: []Fault{{Name: "slow", Start: fromSeconds(6), Duration: fromSeconds(15), Part: 0.2, Size: 5}}},
 	"errors": {description: "a sixth of the servers fail most requests at once",
 		faults: []Fault{{Name: "fast_errors", Start: fromSeconds(6), Duration: fromSeconds(15), Part: 0.16, Size: 0.7}}},
-	"neighbour": {description: "something else takes half of a third of the machines, on and off",
+	"neighbour": {description: "another process takes half of a third of the machines, on and off",
 		faults: []Fault{{Name: "neighbour", Start: fromSeconds(6), Duration: fromSeconds(15), Part: 0.33, Size: 0.5, Extra: fromSeconds(3)}}},
 	"heavy": {description: "one in fifty of one class's requests costs fifteen times the usual work",
 		faults: []Fault{{Name: "heavy_tail", Start: fromSeconds(6), Duration: fromSeconds(15), Part: 0.02, Size: 15}}},
-	"vanish": {description: "a fifth of the servers fall silent for 6 s",
+	"vanish": {description: "a fifth of the servers are unreachable for 6 s",
 		faults: []Fault{{Name: "vanish", Start: fromSeconds(10), Duration: fromSeconds(6), Part: 0.2}}},
-	"blind": {description: "the list is down while servers are killed and come back",
+	"blind": {description: "the discovery service is down while servers are killed and restarted",
 		faults: []Fault{{Name: "list_down", Start: fromSeconds(6), Duration: fromSeconds(10)}, {Name: "kill", Start: fromSeconds(8), Duration: fromSeconds(5), Part: 0.15}}},
-	"surge": {description: "four times as much is asked for 8 s, and three in ten servers are killed meanwhile",
+	"surge": {description: "four times the traffic for 8 s; three in ten servers are killed meanwhile",
 		faults: []Fault{{Name: "burst", Start: fromSeconds(8), Duration: fromSeconds(8), Size: 4}, {Name: "kill", Start: fromSeconds(12), Duration: fromSeconds(3), Part: 0.3}}},
-	"greedy": {description: "one tenant asks for a hundred times its share for 12 s; a task gives the fleet's word, and is lost for 4 s",
+	"greedy": {description: "one tenant sends a hundred times its share for 12 s; the fleet has overload advice, which is lost for 4 s",
 		faults: []Fault{{Name: "burst", Start: fromSeconds(8), Duration: fromSeconds(12), Size: 100, Tenant: "tenant-7"}, {Name: "no_advice", Start: fromSeconds(12), Duration: fromSeconds(4), Part: 1}},
 		adjust: func(s *Scenario) { s.OverloadAdvice = true }},
-	"overload": {description: "more is asked for than all servers can do, to the end",
+	"overload": {description: "more work is requested than all servers can do, until the end of the run",
 		adjust: func(s *Scenario) { s.Load = 1.4 }},
 }
 
 const (
-	// keysPerServer is how many keys there are for each server: the operators state 400 to
-	// 1,000 for 8 to 10. With a fixed number all keys would be warm in a large fleet.
+	// keysPerServer is the number of affinity keys per server: the operators state 400 to 1,000 keys for
+	// 8 to 10 servers. With a fixed number of keys all of them would be warm in a large fleet.
 	keysPerServer = 75
-	// callsPerSidecar is how many polls for the full list the discovery service can answer in a second for
-	// each sidecar. The operators' scenarios state between one and two.
+	// callsPerSidecar is how many polls for the full list the discovery service can answer per second and
+	// sidecar. The operators' scenarios state between one and two.
 	callsPerSidecar = 1.4
-	// overloadedListShare is the fraction that is left where the service has too many callers: a poll takes
-	// some 75 ms for 80 sidecars then.
+	// overloadedListShare is the fraction of that rate that an overloaded discovery service has: a poll
+	// then takes some 75 ms with 80 sidecars.
 	overloadedListShare = 0.12
 )
 
 func fromSeconds(seconds float64) Duration { return milliseconds(seconds * 1000) }
 
-// PresetNames lists the scenarios that have names, sorted, with their descriptions.
+// PresetNames returns the names of the presets, sorted, and their descriptions.
 func PresetNames() (names []string, descriptions map[string]string) {
 	descriptions = make(map[string]string, len(presets))
 	for name, p := range presets {
@@ -78,16 +78,16 @@
 	return names, descriptions
 }
 
-// Preset returns the scenario of that name for a fleet of a size.
+// Preset returns the named scenario for a fleet of the given size.
 func Preset(name string, sidecars, servers int) (*Scenario, error) {
 	p, known := presets[name]
 	if !known {
 		names, _ := PresetNames()
-		return nil, fmt.Errorf("there is no scenario %q; there are %s", name, strings.Join(names, ", "))
+		return nil, fmt.Errorf("there is no scenario %q, want one of %s", name, strings.Join(names, ", "))
 	}
 	s := DefaultScenario()
 	s.Name, s.Sidecars, s.Servers, s.Faults = name, sidecars, servers, slices.Clone(p.faults)
-	// The discovery service grows with the fleet, as the operators' does.
+	// The discovery service's capacity grows with the fleet, as in the operators' deployment.
 	s.List.PerMS = callsPerSidecar * float64(sidecars) * float64(s.List.PerCall+servers) / 1000
 	s.Keys.Count = keysPerServer * servers
 	if p.adjust != nil {
@@ -96,7 +96,7 @@
 	return s, s.Check()
 }
 
-// Stretch changes the length of a scenario and scales the times of its faults.
+// Stretch sets the length of a scenario and scales the times of its faults accordingly.
 func (s *Scenario) Stretch(length time.Duration) {
 	factor := length.Seconds() / s.Length.seconds()
 	s.Length = Duration(length)
@@ -106,7 +106,8 @@
 	}
 }
 
-// DefaultScenario returns a fleet whose figures lie in the middle of what the operators state of theirs.
+// DefaultScenario returns a scenario without faults; its values are in the middle of the ranges that the
+// operators state for their fleet.
 func DefaultScenario() *Scenario {
 	s := &Scenario{
 		Name: "calm", Length: Duration(30 * time.Second), Sidecars: 30, Servers: 20,
--- a/internal/simulation/emulator/record.go
+++ b/internal/simulation/emulator/record.go
@@ -18,20 +18,20 @@
 	Servers  int           `json:"servers"`
 	Zones    []string      `json:"zones"`
 	Length   time.Duration `json:"length_ns"`
-	Partial  bool          `json:"partial,omitempty"` // it was interrupted
+	Partial  bool          `json:"partial,omitempty"` // the run was interrupted
 
-	// Goodput is the weight served as a fraction of the weight requested; Result also
-	// counts the worst 10 s, class and tenant, and the costs.
+	// Goodput is the served weight as a fraction of the requested weight. Result also includes the worst
+	// 10 s, the worst class and tenant, and the costs.
 	Goodput   float64 `json:"goodput"`
 	Result    float64 `json:"result"`
 	TotalCost float64 `json:"prices"`
 
 	Requests            int `json:"asked"` // first attempts
 	ServedRequests      int `json:"served"`
-	Late                int `json:"late"`    // of those, after the latency objective
+	Late                int `json:"late"`    // served after the latency objective
 	Refused             int `json:"refused"` // ended with a refusal
 	Failed              int `json:"failed"`
-	Abandoned           int `json:"left"` // their clients left
+	Abandoned           int `json:"left"` // the client left
 	ClientAttempts      int `json:"tries"`
 	Sends               int `json:"sends"`
 	Rejected            int `json:"turned_away"`
@@ -44,23 +44,23 @@
 	OverloadedServers   int `json:"fell"`
 	Events              int `json:"events"`
 	MalformedClients    int `json:"bad_clients"`         // connections of clients that send malformed requests
-	MalformedUnanswered int `json:"bad_clients_waiting"` // of those, the ones that got neither an error nor a close in time
+	MalformedUnanswered int `json:"bad_clients_waiting"` // of those, connections without an error response or a close before the deadline
 
 	P50MS  float64 `json:"p50_ms"`
 	P99MS  float64 `json:"p99_ms"`
 	P999MS float64 `json:"p999_ms"`
 
-	// LostWeight is the weight that was not served, by cause; it adds up to the requested weight
-	// less the served weight. Costs are the costs by what they are for.
+	// LostWeight is the weight that was not served, by cause; its sum is the requested weight less the
+	// served weight. Costs holds the parts of TotalCost by name.
 	LostWeight map[string]float64 `json:"losses"`
 	Costs      map[string]float64 `json:"priced"`
 
 	Classes []WeightShare `json:"classes"`
 	Tenants []WeightShare `json:"tenants"`
-	Windows []Window      `json:"windows"` // of a second each, by the time of the first attempt
+	Windows []Window      `json:"windows"` // one per second, by the time of a call's first attempt
 
 	Faults         []Fault  `json:"troubles"`
-	Violations     [5]int   `json:"breaches"` // by rule, from 1 on
+	Violations     [5]int   `json:"breaches"` // by number of the rule, from 1 on
 	ViolationTexts []string `json:"broken,omitempty"`
 	Checked        struct {
 		Requests  int `json:"Requests"`
@@ -83,7 +83,7 @@
 	Served    float64 `json:"got"`
 }
 
-// Share returns the fraction that was served; 1 where nothing was requested.
+// Share returns the fraction that was served; 1 if nothing was requested.
 func (p WeightShare) Share() float64 {
 	if p.Requested == 0 {
 		return 1
@@ -102,7 +102,7 @@
 	P99MS    float64   `json:"p99_ms"`
 	Queue    []int     `json:"queue"`    // by zone, at its start: requests queued at servers
 	Capacity []float64 `json:"capacity"` // by zone, at its start: work a second
-	Fleet    Impact    `json:"fleet"`    // what the fleet did in it, whenever the requests arrived
+	Fleet    Impact    `json:"fleet"`    // activity of the fleet in this second, independent of when the requests arrived
 }
 
 const (
@@ -111,7 +111,7 @@
 	significantDigits = 2        // of a latency
 )
 
-// NewRecord makes the record of a run that starts.
+// NewRecord returns the record of a new run.
 func NewRecord(sc *Scenario, seed uint64) *Record {
 	r := &Record{
 		Scenario: sc.Name, Seed: seed, Sidecars: sc.Sidecars, Servers: sc.Servers, Zones: sc.Zones, Length: time.Duration(sc.Length),
@@ -130,7 +130,7 @@
 	return r
 }
 
-// Sample adds a server's state at a time of the run to its zone's.
+// Sample adds a server's state at a time of the run to the values of its zone.
 func (r *Record) Sample(at time.Duration, zone, waiting int, capacity float64) {
 	i := int(at / time.Second)
 	if i < 0 || i >= len(r.Windows) {
@@ -165,7 +165,7 @@
 	w.Requests++
 }
 
-// addRequested adds a call's weight to the requested weight, or subtracts it.
+// addRequested adds a call's weight, multiplied by sign, to the requested weight.
 func (r *Record) addRequested(c Call, sign float64) {
 	r.Classes[c.Class].Requested += sign * c.Weight
 	if c.WithinQuota {
@@ -175,7 +175,8 @@
 	w.WeightShare.Requested += sign * c.Weight
 }
 
-// AddServed adds a call that was served so long after its first attempt; late is the cause if it was late.
+// AddServed adds a call that was served; took is the time since its first attempt. late is the cause of the
+// delay if it was served after the latency objective.
 func (r *Record) AddServed(c Call, took time.Duration, late string) {
 	r.ServedRequests++
 	w, i := r.window(c)
@@ -200,10 +201,11 @@
 	}
 }
 
-// AddUnserved adds a call that its client gave up so long after its first attempt, with the cause.
-func (r *Record) AddUnserved(c Call, refused bool, after time.Duration, cause string) {
+// AddUnserved adds a call that was not served, with the cause; after is the time from its first attempt to
+// its end.
+func (r *Record) AddUnserved(c Call, refused bool, elapsed time.Duration, cause string) {
 	r.addLoss(cause, c.Weight)
-	if after > time.Duration(r.scenario.Classes[c.Class].LatencyObjective) {
+	if elapsed > time.Duration(r.scenario.Classes[c.Class].LatencyObjective) {
 		r.lateWeight += c.Weight
 	}
 	w, _ := r.window(c)
@@ -222,7 +224,7 @@
 	r.addRequested(c, -1)
 }
 
-// Weights of the parts of the result, as the operators set them.
+// Weights of the parts of the result, set by the operators.
 const (
 	weightOverall = 0.45
 	weightWorst   = 0.15
@@ -268,7 +270,7 @@
 		if total.Requested > 0 {
 			r.Costs["failing late"] = p.LateFail * r.lateWeight / total.Requested
 		}
-		for _, what := range slices.Sorted(maps.Keys(r.Costs)) { // in a fixed order, so that the floating-point sum is reproducible
+		for _, what := range slices.Sorted(maps.Keys(r.Costs)) { // in a fixed order, for a reproducible floating-point sum
 			r.TotalCost += r.Costs[what]
 		}
 	}
@@ -280,7 +282,7 @@
 	r.Checked.Requests, r.Checked.Answers, r.Checked.Sends, r.Checked.Repeats, r.Checked.ColdSends = c.Requests, c.Answers, c.Sends, c.Repeats, c.ColdSends
 }
 
-// Line summarises the run in one line.
+// Line returns a one-line summary of the run.
 func (r *Record) Line() string {
 	rules := "rules kept"
 	if len(r.ViolationTexts) > 0 {
--- a/internal/simulation/emulator/scenario_test.go
+++ b/internal/simulation/emulator/scenario_test.go
@@ -12,12 +12,12 @@
 func TestScenarioFileIsReadStrictly(t *testing.T) {
 	s, err := ReadScenario(strings.NewReader("name = \"mine\"\nlength = \"12s\"\nsidecars = 4\n[network]\nfar = \"20ms\"\n[[troubles]]\nname = \"slow\"\nat = \"1s\"\nfor = \"2s\"\npart = 0.5\nsize = 3\n"))
 	if err != nil || s.Name != "mine" || time.Duration(s.Network.FarDelay) != 20*time.Millisecond || s.Servers != DefaultScenario().Servers || len(s.Faults) != 1 {
-		t.Fatalf("%+v, %v", s, err)
+		t.Fatalf("got scenario %+v, error %v", s, err)
 	}
 	for text, want := range map[string]string{
 		"sidecar = 4":                    "line 1: there is no field sidecar",
 		"\nsidecars = \"many\"":          "line 2: sidecars",
-		"[network]\nfar = \"far\"":       "no duration",
+		"[network]\nfar = \"far\"":       "is not a duration",
 		"load = -1":                      "load is -1",
 		"load = nan":                     "load is NaN",
 		"servers = 100000":               "servers is 100000",
@@ -32,12 +32,12 @@
 	} {
 		_, err := ReadScenario(strings.NewReader(text))
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v; want one line with %q", text, err, want)
+			t.Errorf("%q: got error %v, want one line with %q", text, err, want)
 		}
 	}
 }
 
-// A scenario that is written and read again is the same.
+// Marshalling a scenario and reading it again gives the same scenario.
 func TestScenarioRoundTrip(t *testing.T) {
 	names, _ := PresetNames()
 	for _, name := range names {
@@ -51,7 +51,7 @@
 		}
 		again, err := toml.Marshal(s)
 		if err != nil || !bytes.Equal(again, text) {
-			t.Errorf("%s: %v: became\n%s", name, err, again)
+			t.Errorf("%s: error %v, after the round trip:\n%s", name, err, again)
 		}
 	}
 }
@@ -62,10 +62,10 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s, err := ReadScenario(bytes.NewReader(text))
 		if err == nil && s.Check() != nil {
-			t.Error("a file that Check refuses was read")
+			t.Error("ReadScenario accepted a scenario that Check rejects")
 		}
 		if err != nil && !strings.HasPrefix(err.Error(), "scenario: ") {
-			t.Errorf("%v", err)
+			t.Errorf("got error %v, want the prefix \"scenario: \"", err)
 		}
 	})
 }
--- a/internal/simulation/emulator/scenariocheck.go
+++ b/internal/simulation/emulator/scenariocheck.go
@@ -14,14 +14,14 @@
 	maxLength   = 2 * time.Hour
 )
 
-// figure is a number of a scenario with the range that it must lie in.
+// rangeCheck is a number of a scenario with its allowed range.
 type rangeCheck struct {
 	name     string
 	value    float64
 	min, max float64
 }
 
-// check returns an error where the figure is outside its range or not a number.
+// check returns an error if the value is out of range or not a number.
 func (f rangeCheck) check() error {
 	if f.value >= f.min && f.value <= f.max {
 		return nil
@@ -145,7 +145,7 @@
 	}
 }
 
-// checkClasses checks each class and that their shares add up to something.
+// checkClasses checks each class and that the sum of their shares is above 0.
 func (s *Scenario) checkClasses() error {
 	shares := 0.0
 	for i, c := range s.Classes {
@@ -160,24 +160,24 @@
 	return nil
 }
 
-var errNoShares = errors.New("scenario: the shares of classes or kinds add up to nothing")
+var errNoShares = errors.New("scenario: the sum of the shares of classes or kinds is 0, want more than 0")
 
 func (s *Scenario) checkTenants() error {
 	for i, t := range s.Tenants {
 		if t.Name == "" || !(t.Share > 0) || !(t.Usage >= 0) || math.IsInf(t.Share+t.Usage, 0) {
-			return fmt.Errorf("scenario: tenants[%d]: a name, a share above 0 and a usage of 0 or more are needed", i)
+			return fmt.Errorf("scenario: tenants[%d]: want a name, a share above 0 and a usage of at least 0", i)
 		}
 	}
 	return nil
 }
 
-// checkKinds checks each kind of machine and that their shares add up to something.
+// checkKinds checks each kind of machine and that the sum of their shares is above 0.
 func (s *Scenario) checkKinds() error {
 	shares := 0.0
 	for i, k := range s.Kinds {
 		shares += k.Share
 		if !k.valid() {
-			return fmt.Errorf("scenario: kinds[%d] (%s): a figure is missing or out of range", i, k.Name)
+			return fmt.Errorf("scenario: kinds[%d] (%s): a value is missing or out of range", i, k.Name)
 		}
 	}
 	if !(shares > 0) {
@@ -186,7 +186,7 @@
 	return nil
 }
 
-// valid reports whether all figures of a kind of machine are within their ranges.
+// valid reports whether all values of a kind of machine are within their ranges.
 func (k MachineKind) valid() bool {
 	for _, ok := range []bool{
 		k.Cores >= 1,
@@ -210,7 +210,7 @@
 	return true
 }
 
-// check checks one class; at names it in the error.
+// check checks one class; path identifies it in the error.
 func (c Class) check(path string) error {
 	switch {
 	case c.Name == "":
@@ -218,13 +218,13 @@
 	case !(c.Share >= 0) || !(c.PriorityWeight >= 0) || !(c.LateShare >= 0 && c.LateShare <= 1) || !(c.WorkCV >= 0):
 		return fmt.Errorf("scenario: %s: share, worth, late_worth or spread is out of range", path)
 	case c.Work <= 0 || c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective || c.DedupWindow < 0:
-		return fmt.Errorf("scenario: %s: work and aim must be above 0, deadline not under aim", path)
+		return fmt.Errorf("scenario: %s: work and aim must be above 0, window at least 0 and deadline at least aim", path)
 	case !slices.Contains([]string{"lognormal", "pareto"}, c.Tail):
-		return fmt.Errorf("scenario: %s.tail is %q; there are lognormal and pareto", path, c.Tail)
+		return fmt.Errorf("scenario: %s.tail is %q, want lognormal or pareto", path, c.Tail)
 	case !slices.Contains([]string{"safe", "keyed", "unsafe"}, c.Idempotency):
-		return fmt.Errorf("scenario: %s.effect is %q; there are safe, keyed and unsafe", path, c.Idempotency)
+		return fmt.Errorf("scenario: %s.effect is %q, want safe, keyed or unsafe", path, c.Idempotency)
 	case c.Idempotency == "keyed" && !slices.Contains([]string{"all", "zone", "cell"}, c.DedupScope):
-		return fmt.Errorf("scenario: %s.group is %q; there are all, zone and cell", path, c.DedupScope)
+		return fmt.Errorf("scenario: %s.group is %q, want all, zone or cell", path, c.DedupScope)
 	}
 	return nil
 }
--- a/internal/simulation/emulator/search.go
+++ b/internal/simulation/emulator/search.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// The scenarios of a search: a surge and a fault that ends with it or a little later. A fleet
-// that has not recovered some seconds after both are over sustains its own overload.
+// The scenarios of a search have a surge and possibly a further fault that starts during it. A fleet that
+// has not recovered some seconds after both ended sustains its own overload (a metastable failure).
 const (
-	searchFaultStart     = 8.0  // seconds until the surge
-	searchRecoveryLength = 20.0 // that the run goes on after all faults are over
+	searchFaultStart     = 8.0  // seconds until the surge starts
+	searchRecoveryLength = 20.0 // seconds that the run continues after the last fault
 	searchLoad           = 0.7
 	minSurge             = 1.5
 	maxSurge             = 6.0
 )
 
-// RecoveryLimit is how long after its faults a run may take to recover.
+// RecoveryLimit is how long after its last fault a run may take to recover.
 const RecoveryLimit = 5 * time.Second
 
-// searchFaults are the faults that accompany a surge, with the ranges of their parts and sizes.
+// searchFaults are the faults that may accompany a surge, with the ranges of their parts and sizes.
 var searchFaults = []struct {
 	name                               string
 	minPart, maxPart, minSize, maxSize float64
@@ -31,7 +31,7 @@
 	{name: "list_down"}, {name: "herd", minPart: 0.3, maxPart: 0.8, extra: 0.5}, {name: "partition"}, {name: "reset", minPart: 0.02, maxPart: 0.2},
 }
 
-// SearchScenario draws the scenario of a seed and returns when its faults are over.
+// SearchScenario draws the scenario of a seed and returns the time at which its last fault ends.
 func SearchScenario(seed uint64, sidecars, servers int) (*Scenario, time.Duration, error) {
 	s, err := Preset("calm", sidecars, servers)
 	if err != nil {
@@ -43,7 +43,7 @@
 	faultsEnd := searchFaultStart + surge
 	s.Name, s.Load = fmt.Sprintf("hunt-%d", seed), searchLoad
 	s.Faults = []Fault{{Name: "burst", Start: fromSeconds(searchFaultStart), Duration: fromSeconds(surge), Size: between(minSurge, maxSurge)}}
-	if k := rng.IntN(len(searchFaults) + 1); k < len(searchFaults) { // or no further fault
+	if k := rng.IntN(len(searchFaults) + 1); k < len(searchFaults) { // otherwise no further fault
 		x := searchFaults[k]
 		start, length := searchFaultStart+between(0, surge), between(1, 8)
 		s.Faults = append(s.Faults, Fault{Name: x.name, Start: fromSeconds(start), Duration: fromSeconds(length), Part: between(x.minPart, x.maxPart), Size: between(x.minSize, x.maxSize), Extra: fromSeconds(x.extra), Zone: rng.IntN(len(s.Zones))})
@@ -59,8 +59,8 @@
 type SearchResult struct {
 	Seed           uint64        `json:"seed"`
 	Scenario       *Scenario     `json:"-"`
-	FaultsEnd      time.Duration `json:"over_ns"` // end of its faults, since the start of the run
-	RecoveryTime   time.Duration `json:"back_ns"` // after that; the rest of the run where it never recovered
+	FaultsEnd      time.Duration `json:"over_ns"` // end of the last fault, since the start of the run
+	RecoveryTime   time.Duration `json:"back_ns"` // since FaultsEnd; the rest of the run if it did not recover
 	NotRecovered   bool          `json:"never,omitempty"`
 	Goodput        float64       `json:"goodput"`
 	ViolationTexts []string      `json:"broken,omitempty"`
--- a/internal/simulation/emulator/server.go
+++ b/internal/simulation/emulator/server.go
@@ -13,16 +13,16 @@
 	Work     float64       // seconds on a core of speed 1
 	Key      uint64        // affinity key; 0: none
 	Repeat   uint64        // deduplication key; 0: repeats run
-	Window   time.Duration // of the deduplication
-	Deadline time.Duration // its client's
-	Owner    any           // the caller's own
+	Window   time.Duration // deduplication window
+	Deadline time.Duration // the client's deadline
+	Owner    any           // set by the caller, not used by the server
 
 	Arrived time.Duration // at the server
-	Started time.Duration // its service started; 0: it has not
+	Started time.Duration // start of service; 0: not started
 	Done    time.Duration
-	Cold    bool // the server was warming up then
-	Failed  bool // it ended in an error
-	Dropped bool // its deadline had passed then: it never ran
+	Cold    bool // the server was in slow start at the start of service
+	Failed  bool // it ended with an error
+	Dropped bool // it did not run: its deadline had passed when it left the queue
 
 	remaining float64
 	work      float64
@@ -34,51 +34,51 @@
 
 // Verdicts.
 const (
-	Accepted   Verdict = iota // Advance returns it when it has ended
-	Rejected                  // the server is full, or draining
-	NotRunning                // no process is there
+	Accepted   Verdict = iota // Advance returns the request when it has ended
+	Rejected                  // the server is full or draining
+	NotRunning                // no process is running
 )
 
-// LoadReport is a server's report of its load.
+// LoadReport is a server's load: queued requests, fraction of busy cores, and requests served per second.
 type LoadReport struct{ Queue, Busy, Rate float64 }
 
-// Server is a booking server. It has no clock: callers pass the time, which never
-// decreases, and call Advance at the time that Next returns. It is not safe for concurrent use.
+// Server models a booking server. It has no clock: callers pass the time, which must not decrease, and
+// call Advance at the time that Next returns. It is not safe for concurrent use.
 type Server struct {
 	Index     int
 	Zone      int
 	Cell      *Cell
 	Kind      MachineKind
-	StartedAt time.Duration // last start; 0: long ago
+	StartedAt time.Duration // last start; 0: before the run
 	Speed     float64       // of this machine
-	Alive     bool          // its process runs
+	Alive     bool          // its process is running
 	Draining  bool
 
 	// Effects of active faults.
-	Slowdown       float64 // times slower; 1: not
+	Slowdown       float64 // factor by which it is slower; 1: not slowed down
 	NeighbourShare float64 // fraction of the machine that another process takes
 	FailureShare   float64 // fraction of the requests that fail at once
-	Unreachable    bool    // the machine is cut off from the network
+	Unreachable    bool    // the machine is disconnected from the network
 
-	OpenConnections    int // connections
-	connectionsPerCore int // connections for each core
+	OpenConnections    int
+	connectionsPerCore int // limit of open connections, per core
 
 	rng            *rand.Rand
 	rules          Rules
 	advancedTo     time.Duration
 	running        []*Job
 	queue          []*Job
-	overheadWork   float64   // work for handshakes and probes, done before requests
+	overheadWork   float64   // pending work of handshakes and probes, done before requests
 	workSinceStart float64   // work done since the start
-	ended          []*Job    // not returned yet
-	returned       []*Job    // by the last Advance
-	coldArrivals   []arrival // while warming up, within the rule's window
-	Overloaded     bool      // overloaded while warming up
+	ended          []*Job    // ended, not yet returned by Advance
+	returned       []*Job    // returned by the last Advance
+	coldArrivals   []arrival // arrivals during slow start, within the rule's window
+	Overloaded     bool      // failed due to overload during slow start
 
 	lastReportAt time.Duration
 	report       LoadReport
-	busy         float64 // core seconds, since the last report
-	served       float64
+	busy         float64 // core seconds since the last report
+	served       float64 // requests since the last report
 }
 
 type arrival struct {
@@ -86,8 +86,8 @@
 	work float64
 }
 
-// Cell is a group of servers that share a cache of keys. Servers of one cell or
-// zone may be used concurrently: the shared caches have locks.
+// Cell is a group of servers that share an affinity cache. Servers of one cell or zone may be used
+// concurrently, as the shared caches are locked.
 type Cell struct {
 	Number      int
 	keys        *lru.Cache[uint64, time.Duration]
@@ -95,10 +95,10 @@
 	keySettings Keys
 }
 
-// dedupCache holds the deduplication keys that a zone has met, with the time of each.
+// dedupCache holds the deduplication keys that a zone has seen, with the time of each.
 type dedupCache = lru.Cache[uint64, time.Duration]
 
-// maxRepeats bounds a zone's deduplication cache; it is more than arrive within a window.
+// maxDedupKeys bounds a zone's deduplication cache. Fewer keys arrive within a deduplication window.
 const maxDedupKeys = 1 << 17
 
 func newDedupCache() *dedupCache {
@@ -109,7 +109,7 @@
 	return cache
 }
 
-// newCell makes a cell whose cache has room for its cores.
+// newCell returns a cell whose cache is sized for its cores.
 func newCell(number int, zone *dedupCache, settings Keys, cores int) *Cell {
 	keys, err := lru.New[uint64, time.Duration](max(1, settings.PerCore*cores))
 	if err != nil {
@@ -118,7 +118,7 @@
 	return &Cell{Number: number, keys: keys, zone: zone, keySettings: settings}
 }
 
-// discount returns the fraction of its work that a request with this key needs, and remembers the key.
+// discount returns the fraction of the work that a request with this key needs, and caches the key.
 func (c *Cell) discount(now time.Duration, key uint64) float64 {
 	if key == 0 {
 		return 1
@@ -132,15 +132,15 @@
 }
 
 const (
-	warmUpStep      = 50 * time.Millisecond // step in which the capacity of a server that warms up is followed
-	probeWork       = 0.00014               // seconds of work that a probe costs
-	repeatWork      = 0.001                 // seconds of work that a dropped repeat costs
-	failedWorkShare = 0.05                  // fraction of its work that a request costs when it fails at once
-	warmUpWorkShare = 0.6                   // a server is warm after this fraction of the work it could have done meanwhile
-	overloadSlack   = 1.1                   // tolerance on the budget of a server that warms up, for random variation
+	warmUpStep      = 50 * time.Millisecond // step in which the capacity is recomputed during slow start
+	probeWork       = 0.00014               // seconds
+	repeatWork      = 0.001                 // seconds, for a deduplicated repeat
+	failedWorkShare = 0.05                  // fraction of its work that a request costs if it fails at once
+	warmUpWorkShare = 0.6                   // slow start ends after this fraction of the work that full capacity does in the slow start window
+	overloadSlack   = 1.1                   // tolerance on a server's budget during slow start, for random variation
 )
 
-// warmth returns the fraction of its capacity that the server has reached.
+// warmth returns the fraction of its full capacity that the server has reached in slow start; 1: warm.
 func (s *Server) warmth(now time.Duration) float64 {
 	if s.StartedAt == 0 || s.Kind.SlowStartWindow == 0 {
 		return 1
@@ -150,10 +150,10 @@
 	return min(1, s.Kind.SlowStartFloor+(1-s.Kind.SlowStartFloor)*max(byTime, byWork))
 }
 
-// fullCapacity returns what the machine can do when warm: seconds of work a second.
+// fullCapacity returns the capacity of a warm machine, in seconds of work per second.
 func (s *Server) fullCapacity() float64 { return float64(s.Kind.Cores) * s.Speed }
 
-// Capacity returns what the server can do now, with warm-up and faults.
+// Capacity returns the current capacity, including slow start and faults.
 func (s *Server) Capacity(now time.Duration) float64 {
 	if !s.Alive || s.Overloaded {
 		return 0
@@ -161,7 +161,7 @@
 	return s.fullCapacity() * s.warmth(now) * s.speedFactor()
 }
 
-// State returns how many requests are queued, and the capacity that callers can use.
+// State returns the number of queued requests and the capacity that is available to callers.
 func (s *Server) State(now time.Duration) (waiting int, capacity float64) {
 	if !s.Draining && !s.Unreachable {
 		capacity = s.Capacity(now)
@@ -169,7 +169,7 @@
 	return len(s.queue), capacity
 }
 
-// ColdCapacity returns the capacity while warming up, without faults; 0 once the server is warm.
+// ColdCapacity returns the capacity during slow start, without faults; 0 if the server is warm.
 func (s *Server) ColdCapacity(now time.Duration) float64 {
 	if w := s.warmth(now); w < 1 {
 		return s.fullCapacity() * w
@@ -177,7 +177,7 @@
 	return 0
 }
 
-// speedFactor returns the fraction of the speed that faults, crowding and connections leave.
+// speedFactor returns the fraction of the speed that is left after faults, crowding and open connections.
 func (s *Server) speedFactor() float64 {
 	f := (1 - s.NeighbourShare) / max(1, s.Slowdown)
 	if over := float64(len(s.running)+len(s.queue))/float64(s.Kind.Cores) - s.Kind.CrowdedAt; over > 0 && s.Kind.Crowding > 0 {
@@ -194,13 +194,13 @@
 	return s.Speed * s.warmth(s.advancedTo) * s.speedFactor() * min(1, float64(s.Kind.Cores)/float64(len(s.running)))
 }
 
-// Start starts a process, which begins to warm up.
+// Start starts a process, which begins its slow start.
 func (s *Server) Start(now time.Duration) {
 	s.StartedAt, s.Alive, s.Draining, s.Overloaded = now, true, false, false
 	s.workSinceStart, s.overheadWork, s.coldArrivals, s.advancedTo = 0, 0, s.coldArrivals[:0], now
 }
 
-// Kill ends the process and returns the requests that it had.
+// Kill ends the process and returns its unfinished requests.
 func (s *Server) Kill(now time.Duration) []*Job {
 	s.Advance(now)
 	unfinished := append(s.running, s.queue...)
@@ -208,10 +208,10 @@
 	return unfinished
 }
 
-// maxConnections returns how many connections the server accepts.
+// maxConnections returns the limit of open connections.
 func (s *Server) maxConnections() int { return max(1, s.Kind.Cores*s.connectionsPerCore) }
 
-// Connect opens a connection, if the limit allows it.
+// Connect opens a connection and reports whether the server accepted it.
 func (s *Server) Connect(handshake time.Duration) bool {
 	if !s.Alive || s.Overloaded || s.OpenConnections >= s.maxConnections() {
 		return false
@@ -241,7 +241,8 @@
 
 func (s *Server) slots() int { return s.Kind.Slots * s.Kind.Cores }
 
-// recordColdWork counts work that reaches a server that warms up: more than a multiple of its capacity overloads it.
+// recordColdWork records work that arrives during slow start. More than a multiple of the capacity within
+// the rule's window overloads the server.
 func (s *Server) recordColdWork(now time.Duration, work float64) {
 	if s.warmth(now) >= 1 {
 		s.coldArrivals = s.coldArrivals[:0]
@@ -291,8 +292,8 @@
 	}
 }
 
-// Advance advances the server and returns the requests that ended, in order. The
-// slice is valid until the next call.
+// Advance advances the server to a time and returns the requests that ended, in order. The slice is valid
+// until the next call.
 func (s *Server) Advance(now time.Duration) []*Job {
 	s.startJobs()
 	for s.advancedTo < now {
@@ -334,7 +335,7 @@
 	return s.returned
 }
 
-// timeToFirstEnd returns the time until the first running request ends at a rate, at least a nanosecond.
+// timeToFirstEnd returns the time until the first running request ends at this rate; at least a nanosecond.
 func (s *Server) timeToFirstEnd(rate float64) time.Duration {
 	shortest := math.Inf(1)
 	for _, j := range s.running {
@@ -343,10 +344,10 @@
 	return max(1, time.Duration(math.Ceil(shortest/rate*1e9)))
 }
 
-// Never is later than any run.
+// Never is a time after the end of every run.
 const Never = time.Duration(math.MaxInt64)
 
-// Next returns when Advance may have something to return.
+// Next returns the next time at which Advance must be called; Never if nothing is running.
 func (s *Server) Next() time.Duration {
 	if len(s.ended) > 0 {
 		return s.advancedTo
@@ -362,7 +363,7 @@
 	return s.advancedTo + d
 }
 
-// Probe costs a little work and returns the last load report.
+// Probe returns the load report, which is renewed once per ReportInterval. A probe costs some work.
 func (s *Server) Probe(now time.Duration) LoadReport {
 	s.overheadWork += probeWork
 	if elapsed := now - s.lastReportAt; elapsed >= time.Duration(s.Kind.ReportInterval) {
--- a/internal/simulation/emulator/server_test.go
+++ b/internal/simulation/emulator/server_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// bench is a warm server of one core at speed 2 whose queue holds two.
+// newTestServer returns a warm server with one core of speed 2 and a queue of two, after change.
 func newTestServer(change func(*Server)) *Server {
 	keys := Keys{WarmSaving: 0.5, WarmWindow: milliseconds(1000), PerCore: 2, CellSize: 1}
 	sv := &Server{
@@ -20,7 +20,7 @@
 	return sv
 }
 
-// drain lets a server finish and returns when each request ended, in order.
+// runToEnd advances a server until all requests have ended, and returns them with the times of their ends.
 func runToEnd(sv *Server) (ends []time.Duration, jobs []*Job) {
 	for at := sv.Next(); at != Never; at = sv.Next() {
 		for _, j := range sv.Advance(at) {
@@ -32,21 +32,21 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// near reports whether two times are equal but for rounding.
+// almostEqual reports whether two times are equal except for rounding.
 func almostEqual(a, b time.Duration) bool { return max(a-b, b-a) <= 2*time.Microsecond }
 
 func TestServiceTimes(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*Server)
-		want   []float64 // ends of three requests of a second's work
+		want   []float64 // ends of three requests of one second of work each
 	}{
-		"as it is":        {nil, []float64{0.5, 1, 1.5}},
+		"unchanged":       {nil, []float64{0.5, 1, 1.5}},
 		"slow":            {func(sv *Server) { sv.Slowdown = 4 }, []float64{2, 4, 6}},
-		"shared":          {func(sv *Server) { sv.NeighbourShare = 0.5 }, []float64{1, 2, 3}},
+		"neighbour":       {func(sv *Server) { sv.NeighbourShare = 0.5 }, []float64{1, 2, 3}},
 		"two cores":       {func(sv *Server) { sv.Kind.Cores = 2 }, []float64{0.5, 0.5, 1}},
 		"two slots":       {func(sv *Server) { sv.Kind.Slots = 2 }, []float64{1, 1, 1.5}},
 		"crowded":         {func(sv *Server) { sv.Kind.CrowdedAt, sv.Kind.Crowding = 2, 1 }, []float64{1, 1.5, 2}},
-		"full of callers": {func(sv *Server) { sv.Kind.ConnectionCost, sv.OpenConnections = 0.5, 3 }, []float64{1, 2, 3}},
+		"connections":     {func(sv *Server) { sv.Kind.ConnectionCost, sv.OpenConnections = 0.5, 3 }, []float64{1, 2, 3}},
 		"after handshake": {func(sv *Server) { sv.Connect(time.Second) }, []float64{1, 1.5, 2}},
 	} {
 		sv := newTestServer(c.change)
@@ -87,11 +87,11 @@
 	sv.Draining = false
 	sv.Arrive(seconds(10), &Job{Work: 1})
 	if held := sv.Kill(seconds(10)); len(held) != 1 || sv.Connect(0) || sv.Arrive(seconds(11), &Job{}) != NotRunning {
-		t.Errorf("killed: gives %d back and goes on", len(held))
+		t.Errorf("killed: got %d unfinished requests, want 1, and no connection or request accepted", len(held))
 	}
 }
 
-// A cold server starts with a fraction of its capacity and warms up with time, or sooner with work.
+// In slow start the capacity of a server increases with time, and faster with work.
 func TestServerWarmsUp(t *testing.T) {
 	sv := newTestServer(nil)
 	sv.Start(seconds(1))
@@ -102,14 +102,15 @@
 	}
 	sv.Arrive(seconds(1), &Job{Work: 4})
 	if sv.Advance(seconds(3)); sv.Capacity(seconds(3)) <= 1.5 {
-		t.Errorf("work has not warmed it: %v", sv.Capacity(seconds(3)))
+		t.Errorf("after 2 s of work: capacity %v, want more than 1.5", sv.Capacity(seconds(3)))
 	}
 	if ends, _ := runToEnd(sv); len(ends) != 1 || ends[0] >= seconds(5) || ends[0] <= seconds(3) {
-		t.Errorf("4 s of work ended at %v, which should take more than 2 s and less than 4", ends)
+		t.Errorf("4 s of work ended at %v, want one end after more than 2 s and less than 4 s", ends)
 	}
 }
 
-// A cold server bears a multiple of its capacity and is overloaded above that, permanently and only while cold.
+// During slow start a server tolerates a multiple of its capacity; more work than that overloads it. A warm
+// server is not overloaded this way. Rejected requests count as well.
 func TestColdServerOverload(t *testing.T) {
 	budget := 3 * 1.0 * 2 * overloadSlack // multiple x capacity x seconds
 	for name, c := range map[string]struct {
@@ -125,17 +126,17 @@
 			sv.Arrive(1, &Job{Work: c.work})
 		}
 		if sv.Overloaded != c.overloaded {
-			t.Errorf("%s: overloaded %v", name, sv.Overloaded)
+			t.Errorf("%s: got overloaded %v", name, sv.Overloaded)
 		}
 	}
-	sv := newTestServer(nil) // what is rejected presses too
+	sv := newTestServer(nil)
 	sv.Start(1)
 	sv.Draining = true
 	for range 10 {
 		sv.Arrive(1, &Job{Work: 1})
 	}
 	if !sv.Overloaded {
-		t.Error("rejected work does not count")
+		t.Error("rejected requests did not overload the server")
 	}
 }
 
@@ -143,8 +144,8 @@
 	sv := newTestServer(func(sv *Server) { sv.Kind.QueueCapacity = 100 })
 	sv.Advance(0)
 	for _, j := range []*Job{
-		{Work: 1, Key: 7}, {Work: 1, Key: 7}, // known at the second time
-		{Work: 1, Key: 8}, {Work: 1, Key: 9}, {Work: 1, Key: 7}, // forgotten: it remembers two
+		{Work: 1, Key: 7}, {Work: 1, Key: 7}, // the second one is a cache hit
+		{Work: 1, Key: 8}, {Work: 1, Key: 9}, {Work: 1, Key: 7}, // evicted: the cache holds two keys
 		{Work: 1, Repeat: 5, Window: time.Minute}, {Work: 1, Repeat: 5, Window: time.Minute},
 	} {
 		sv.Arrive(0, j)
@@ -169,7 +170,7 @@
 	sv.Arrive(0, &Job{Work: 1, Deadline: seconds(0.2)})
 	ends, jobs := runToEnd(sv)
 	if len(jobs) != 2 || jobs[0].Dropped || !jobs[1].Dropped || !almostEqual(ends[1], seconds(0.5)) {
-		t.Errorf("%d ended at %v", len(jobs), ends)
+		t.Errorf("got %d requests, ended at %v; want 2 with the second dropped at 0.5 s", len(jobs), ends)
 	}
 }
 
@@ -181,6 +182,6 @@
 	}
 	sv.Advance(seconds(0.06))
 	if r := sv.Probe(seconds(0.06)); r.Queue != 1 || r.Busy != 1 || r.Rate < 16 || r.Rate > 17 {
-		t.Errorf("%+v; want one waiting, all cores busy, one served in 60 ms", r)
+		t.Errorf("got report %+v, want one queued, all cores busy, one served in 60 ms", r)
 	}
 }
--- a/internal/simulation/emulator/settings.go
+++ b/internal/simulation/emulator/settings.go
@@ -6,17 +6,17 @@
 	"barleywick/policy"
 )
 
-// Settings returns what a sidecar's configuration file holds in this scenario under
-// 'settings', in the platform's form.
+// Settings returns the section 'settings' of a sidecar's configuration file for this scenario, in the
+// platform's format.
 func (s *Scenario) Settings(sidecar int) map[string]any {
-	ms := func(d Duration) float64 { return float64(d) / float64(time.Millisecond) }
+	toMillis := func(d Duration) float64 { return float64(d) / float64(time.Millisecond) }
 	p := s.Policy(s.ZoneOf(sidecar))
 	semantics := map[string]string{"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
 	var classes, tenants []map[string]any
 	for _, c := range s.Classes {
 		classes = append(classes, map[string]any{
-			"name": c.Name, "aim_ms": ms(c.LatencyObjective), "hard_limit_ms": ms(c.Deadline), "late_share": c.LateShare, "worth": c.PriorityWeight,
-			"semantics": semantics[c.Idempotency], "dedup_scope": c.DedupScope, "window_ms": ms(c.DedupWindow), "stream": false,
+			"name": c.Name, "aim_ms": toMillis(c.LatencyObjective), "hard_limit_ms": toMillis(c.Deadline), "late_share": c.LateShare, "worth": c.PriorityWeight,
+			"semantics": semantics[c.Idempotency], "dedup_scope": c.DedupScope, "window_ms": toMillis(c.DedupWindow), "stream": false,
 		})
 	}
 	for i, t := range s.Tenants {
@@ -29,12 +29,12 @@
 		"telemetry":   map[string]any{"how": "pull", "columns": []string{"pending", "cpu_share", "served_ps"}},
 		"caps": map[string]any{
 			"most_tries": s.Rules.MaxAttempts, "may_cancel": true, "probes": true, "retry_after": true, "second_copies": true,
-			"max_retry_after_ms": ms(s.Rules.RetryAfter), "dial_timeout_ms": ms(s.Network.ConnectTimeout), "conn_idle_ms": ms(s.Network.IdleTimeout),
+			"max_retry_after_ms": toMillis(s.Rules.RetryAfter), "dial_timeout_ms": toMillis(s.Network.ConnectTimeout), "conn_idle_ms": toMillis(s.Network.IdleTimeout),
 		},
 		"charges": map[string]any{"cross_zone": s.Prices.CrossZone, "probe": s.Prices.Probe, "waste": s.Prices.Waste, "handshake": s.Prices.Handshake, "late_fail": s.Prices.LateFail},
 		"rules": map[string]any{
-			"answer_slack_ms": ms(s.Rules.AnswerSlack), "ask_within_ms": ms(s.Rules.PollDeadline), "stop_sending_within_ms": ms(s.Rules.DrainGrace),
-			"fall_multiple": s.Rules.OverloadFactor, "overload_for_ms": ms(s.Rules.OverloadWindow), "cold_from": p.SlowStartFloor, "cold_ms": ms(Duration(p.SlowStartWindow)),
+			"answer_slack_ms": toMillis(s.Rules.AnswerSlack), "ask_within_ms": toMillis(s.Rules.PollDeadline), "stop_sending_within_ms": toMillis(s.Rules.DrainGrace),
+			"fall_multiple": s.Rules.OverloadFactor, "overload_for_ms": toMillis(s.Rules.OverloadWindow), "cold_from": p.SlowStartFloor, "cold_ms": toMillis(Duration(p.SlowStartWindow)),
 		},
 	}
 }
@@ -64,7 +64,7 @@
 	return c
 }
 
-// quotaPart is the fraction of the servers' capacity that is promised to the tenants.
+// quotaShare is the fraction of the servers' capacity that is granted to the tenants as quotas.
 const quotaShare = 0.82
 
 // quota returns a tenant's quota in requests per second over all sidecars.
--- a/internal/simulation/emulator/settings_test.go
+++ b/internal/simulation/emulator/settings_test.go
@@ -8,7 +8,7 @@
 	"barleywick/internal/settings"
 )
 
-// A sidecar that reads the emulator's settings is configured as the emulated one is.
+// A sidecar that parses the settings of a scenario gets the same policy configuration as the simulated one.
 func TestSettingsMatchPolicyConfig(t *testing.T) {
 	names, _ := PresetNames()
 	for _, name := range names {
@@ -28,7 +28,7 @@
 			}
 			want := sc.Policy(sc.ZoneOf(sidecar))
 			for i, c := range want.Classes {
-				if c.Idempotency != 1 { // the group of a class whose repeats nobody drops says nothing
+				if c.Idempotency != 1 { // without deduplication the scope has no meaning
 					want.Classes[i].DedupScope = got.Classes[i].DedupScope
 				}
 			}
--- a/internal/simulation/emulator/sim.go
+++ b/internal/simulation/emulator/sim.go
@@ -10,34 +10,35 @@
 	"barleywick/policy"
 )
 
-// Sim runs a scenario in simulated time. All of it runs in the caller's goroutine;
-// the result follows from scenario, seed and Decider alone.
+// Sim runs a scenario in simulated time. It runs in the caller's goroutine; the result depends only on the
+// scenario, the seed and the Decider.
 type Sim struct {
 	newDecider      DeciderFactory
 	now             time.Duration
 	queue           events
-	scheduledEvents uint64 // of events ever scheduled: ties go in this order
+	scheduledEvents uint64 // number of events scheduled so far; events of the same time run in this order
 
 	*Fleet
-	advice      *adviceTask     // nil: the fleet has no overload advice
-	nextAdvance []time.Duration // when each server is advanced next
+	advice      *adviceTask     // nil: the scenario has no overload advice
+	nextAdvance []time.Duration // by server: time of its next scheduled advance
 	nodes       []*node
 	list        *listServer
 	clients     *clients
 	checker     *Checker
 	record      *Record
 
-	environment *rand.Rand // randomness of faults, servers and network: the same for all variants
-	feedback    *rand.Rand // randomness of what depends on the sidecars' decisions
+	environment *rand.Rand // for faults and servers: the same draws for all variants
+	feedback    *rand.Rand // for draws whose order depends on the sidecars' decisions, such as network delays
 
 	// Effects of active faults on the whole simulation.
 	partitioned                []int // by zone
 	malformedShare, resetShare float64
 
-	failure error
+	failure error // the first error of a sidecar's start, which ends the run
 }
 
-// StartTime is the time at which a run starts: a decision module takes time 0 for long ago.
+// StartTime is the simulated time at which a run starts. It is not 0, as a time of 0 means long ago to the
+// decision module.
 const StartTime = time.Hour
 
 // Stream numbers of the random sources that are derived from a seed.
@@ -50,7 +51,7 @@
 	streamServers
 )
 
-// NewSim prepares a run. The scenario must not be changed afterwards.
+// NewSim prepares a run. The scenario must not be modified afterwards.
 func NewSim(sc *Scenario, seed uint64, decide DeciderFactory) (*Sim, error) {
 	if err := sc.Check(); err != nil {
 		return nil, err
@@ -69,7 +70,7 @@
 	s.list = newListServer(s)
 	for _, sv := range s.Servers {
 		s.nextAdvance = append(s.nextAdvance, Never)
-		s.list.addKnown(sv)
+		s.list.addInitial(sv)
 	}
 	for i := range sc.Sidecars {
 		s.nodes = append(s.nodes, &node{sim: s, index: i, zone: sc.ZoneOf(i), idle: make(map[int][]time.Duration)})
@@ -98,11 +99,10 @@
 	s.list.changed(sv)
 }
 
-// cancelCheckInterval is how many events are processed between two checks for cancellation.
+// cancelCheckInterval is the number of events between two checks of ctx.
 const cancelCheckInterval = 1024
 
-// Run runs the scenario to its end, or until ctx is done: the record then covers the
-// part that was run.
+// Run runs the scenario to its end. If ctx is done before, the record covers the part that was run.
 func (s *Sim) Run(ctx context.Context) (*Record, error) {
 	for _, n := range s.nodes {
 		n.start()
@@ -179,7 +179,7 @@
 	}
 }
 
-// kill ends a server's process and resets its connections.
+// kill ends a server's process. Its connections and the attempts on them break.
 func (s *Sim) kill(sv *Server) {
 	if !sv.Alive {
 		return
@@ -196,7 +196,7 @@
 	s.list.changed(sv)
 }
 
-// restartServers starts killed servers again; they warm up from the beginning.
+// restartServers starts killed servers again; each has a new slow start.
 func (s *Sim) restartServers(killed []*Server) {
 	for _, sv := range killed {
 		if !sv.Alive {
@@ -206,20 +206,21 @@
 	}
 }
 
-// disconnect makes a machine unreachable, or reachable again.
+// disconnect makes a machine unreachable if on is set, and reachable again otherwise.
 func (s *Sim) disconnect(sv *Server, on bool) {
 	sv.Unreachable = on
 	s.list.changed(sv)
 }
 
-// advanceServer advances a server to the present, answers what has ended and schedules its next end.
+// advanceServer advances a server to the present, replies to the requests that ended and schedules its next
+// advance.
 func (s *Sim) advanceServer(sv *Server) {
 	for _, j := range sv.Advance(s.now) {
 		s.jobEnded(sv, j)
 	}
 	next := sv.Next()
 	if next == Never || (s.nextAdvance[sv.Index] <= next && s.nextAdvance[sv.Index] > s.now) {
-		return // the scheduled event comes in time
+		return // an advance is already scheduled early enough
 	}
 	s.nextAdvance[sv.Index] = next
 	s.schedule(next, func() {
--- a/internal/simulation/emulator/sim_test.go
+++ b/internal/simulation/emulator/sim_test.go
@@ -36,23 +36,23 @@
 	return sc
 }
 
-// In every named scenario the real module keeps the rules, there was something to check,
-// and the same seed gives the same run to the last digit.
+// In every preset the decision module keeps the rules with enough requests to check, and the same seed gives
+// exactly the same record.
 func TestEveryScenarioKeepsTheRulesAndIsReproducible(t *testing.T) {
 	names, _ := PresetNames()
 	for _, name := range names {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			text := func(seed uint64) string {
+			recordJSON := func(seed uint64) string {
 				r := runScenario(t, presetScenario(t, name, 30, 20), seed, NewBalancer)
 				if len(r.ViolationTexts) > 0 {
 					t.Errorf("seed %d: %v %v", seed, r.Violations, r.ViolationTexts)
 				}
 				if r.Checked.Answers < 5000 || r.Goodput < 0.5 || r.Goodput > 1 || r.Result > r.Goodput+1e-9 {
-					t.Errorf("seed %d: %+v", seed, r.Line())
+					t.Errorf("seed %d: got %+v, want at least 5000 answers, goodput from 0.5 to 1, and a result not above it", seed, r.Line())
 				}
 				if ended := r.ServedRequests + r.Refused + r.Failed + r.Abandoned; ended > r.Requests || ended < r.Requests*9/10 {
-					t.Errorf("seed %d: %d calls ended of %d", seed, ended, r.Requests)
+					t.Errorf("seed %d: %d of %d calls ended, want at least 9 in 10", seed, ended, r.Requests)
 				}
 				checkLosses(t, r)
 				out, err := json.Marshal(r)
@@ -61,21 +61,21 @@
 				}
 				return string(out)
 			}
-			first := text(3)
-			if text(3) != first {
-				t.Error("the same seed gave another run")
+			first := recordJSON(3)
+			if recordJSON(3) != first {
+				t.Error("the same seed gave a different record")
 			}
-			if text(4) == first {
-				t.Error("another seed gave the same run")
+			if recordJSON(4) == first {
+				t.Error("a different seed gave the same record")
 			}
 		})
 	}
 }
 
-// unsafe is the non-idempotent class; an attempt that never ran may be repeated.
+// unsafeClass is the index of the non-idempotent class. Its attempts may be repeated only if they did not run.
 const unsafeClass = 1
 
-// checkLosses checks that the causes add up to the weight that was not served.
+// checkLosses checks that the losses add up to the weight that was not served, and the costs to TotalCost.
 func checkLosses(t *testing.T, r *Record) {
 	t.Helper()
 	requested, served, lost, costs := 0.0, 0.0, 0.0, 0.0
@@ -89,33 +89,33 @@
 		costs += p
 	}
 	if math.Abs(requested-served-lost) > 1e-6*requested || lost <= 0 {
-		t.Errorf("requested %v, served %v, losses add up to %v: %v", requested, served, lost, r.LostWeight)
+		t.Errorf("requested %v, served %v, but the losses add up to %v: %v", requested, served, lost, r.LostWeight)
 	}
 	if math.Abs(costs-r.TotalCost) > 1e-9 {
-		t.Errorf("total cost %v, parts %v", r.TotalCost, r.Costs)
+		t.Errorf("total cost is %v, but its parts are %v", r.TotalCost, r.Costs)
 	}
 }
 
-// The losses of each scenario name its fault.
+// The losses of each scenario include the cause that its fault leads to.
 func TestLossCauseMatchesFault(t *testing.T) {
 	for name, cause := range map[string]string{
 		"herd": causeKilled, "errors": causeError, "vanish": causeUnreachable, "overload": causeShed, "heavy": causeLateWork, "slow": causeLateSlow,
 		"zone": causeBroken, "split": causeUnreachable, "join": causeMalformed,
 	} {
 		if r := runScenario(t, presetScenario(t, name, 30, 20), 1, NewBalancer); r.LostWeight[cause] == 0 {
-			t.Errorf("%s: no loss by %q: %v", name, cause, r.LostWeight)
+			t.Errorf("%s: no loss with the cause %q: %v", name, cause, r.LostWeight)
 		}
 	}
 }
 
-// meddler changes what passes between a module and its host, and between the list and the module.
+// interceptor sits between a decision module and its host, and modifies actions and endpoint lists.
 type interceptor struct {
 	*policy.Balancer
 	policy.Host
 	classes      map[policy.RequestID]int
-	unsafeTarget policy.ServerID // where all goes; 0: where the module says
+	unsafeTarget policy.ServerID // target of all first attempts of the non-idempotent class; 0: unchanged
 	send         func(m *interceptor, id policy.RequestID, to policy.ServerID, timeout time.Duration)
-	neverPolls   bool // it never asks for the list
+	neverPolls   bool // never polls the endpoint list
 	refuse       func(m *interceptor, id policy.RequestID, pause time.Duration)
 	list         func(kind policy.ListKind, entries []policy.Endpoint) []policy.Endpoint
 }
@@ -146,7 +146,7 @@
 	m.Host.Refuse(id, pause)
 }
 
-// decider is the meddler as a Decider.
+// interceptedDecider is the interceptor as a Decider.
 type interceptedDecider struct{ *interceptor }
 
 func (d interceptedDecider) Wake(now time.Duration) { d.Balancer.Wake(now) }
@@ -163,7 +163,7 @@
 	d.Balancer.List(now, kind, entries)
 }
 
-// meddling wraps the modules of a run in meddlers.
+// intercepting returns a factory that wraps each decision module in an interceptor.
 func intercepting(intercept func(*interceptor)) DeciderFactory {
 	return func(b DeciderOptions) (Decider, error) {
 		m := &interceptor{Host: b.Host, classes: make(map[policy.RequestID]int)}
@@ -174,7 +174,7 @@
 	}
 }
 
-// A violation on purpose is found, and no other rule is reported.
+// The Checker finds a deliberate violation of each rule and reports no other rule.
 func TestCheckerFindsEachViolation(t *testing.T) {
 	overload := presetScenario(t, "overload", 10, 8)
 	join := presetScenario(t, "join", 10, 20)
@@ -185,30 +185,30 @@
 		sc     *Scenario
 		meddle func(*interceptor)
 	}{
-		"a refusal that never goes out": {1, overload, func(m *interceptor) {
+		"refusal that is not sent": {1, overload, func(m *interceptor) {
 			m.refuse = func(*interceptor, policy.RequestID, time.Duration) {}
 		}},
-		"a send after the end": {1, overload, func(m *interceptor) {
+		"attempt after the end of the request": {1, overload, func(m *interceptor) {
 			m.refuse = func(m *interceptor, id policy.RequestID, pause time.Duration) {
 				m.Host.Refuse(id, pause)
 				m.Host.Send(id, 1, time.Second, 0)
 			}
 		}},
-		"an unsafe request sent twice": {2, presetScenario(t, "calm", 10, 8), func(m *interceptor) {
+		"non-idempotent request sent twice": {2, presetScenario(t, "calm", 10, 8), func(m *interceptor) {
 			m.send = func(m *interceptor, id policy.RequestID, to policy.ServerID, timeout time.Duration) {
 				if m.classes[id] == unsafeClass && id%50 == 0 {
 					m.Host.Send(id, to, timeout, 0)
 				}
 			}
 		}},
-		"a refusal of what is running": {2, presetScenario(t, "calm", 10, 8), func(m *interceptor) {
+		"refusal of a running request": {2, presetScenario(t, "calm", 10, 8), func(m *interceptor) {
 			m.send = func(m *interceptor, id policy.RequestID, _ policy.ServerID, _ time.Duration) {
 				if id%50 == 0 {
 					m.Host.Refuse(id, 0)
 				}
 			}
 		}},
-		"sends to servers that drain": {3, presetScenario(t, "roll", 10, 20), func(m *interceptor) {
+		"attempts to draining servers": {3, presetScenario(t, "roll", 10, 20), func(m *interceptor) {
 			m.list = func(kind policy.ListKind, entries []policy.Endpoint) []policy.Endpoint {
 				for i := range entries {
 					entries[i].State = policy.Ready
@@ -216,8 +216,8 @@
 				return entries
 			}
 		}},
-		"sends on, and never asks for the list": {3, drained, func(m *interceptor) { m.neverPolls = true }},
-		"a flood at a cold server": {4, join, func(m *interceptor) {
+		"attempts to draining servers without polls": {3, drained, func(m *interceptor) { m.neverPolls = true }},
+		"overload of a server in slow start": {4, join, func(m *interceptor) {
 			m.list = func(_ policy.ListKind, entries []policy.Endpoint) []policy.Endpoint {
 				for _, e := range entries {
 					switch {
@@ -236,32 +236,32 @@
 			r := runScenario(t, c.sc, 1, intercepting(c.meddle))
 			for rule, n := range r.Violations {
 				if (n > 0) != (rule == c.rule) {
-					t.Errorf("rule %d: %d violations; want some of rule %d alone", rule, n, c.rule)
+					t.Errorf("rule %d: got %d violations, want some of rule %d only", rule, n, c.rule)
 				}
 			}
 			if len(r.ViolationTexts) == 0 || !strings.HasPrefix(r.ViolationTexts[0], "rule ") {
-				t.Errorf("no description: %v", r.ViolationTexts)
+				t.Errorf("got violation texts %v, want at least one", r.ViolationTexts)
 			}
 		})
 	}
-	t.Run("the meddler itself breaks nothing", func(t *testing.T) {
+	t.Run("no modification", func(t *testing.T) {
 		if r := runScenario(t, join, 1, intercepting(func(*interceptor) {})); len(r.ViolationTexts) > 0 {
 			t.Error(r.ViolationTexts)
 		}
 	})
 }
 
-// A graceful shutdown of all sidecars loses no call that they have accepted.
+// A graceful shutdown of all sidecars loses none of their accepted requests; a kill does.
 func TestGracefulShutdownAnswersAcceptedRequests(t *testing.T) {
-	planned, killed := presetScenario(t, "calm", 10, 8), presetScenario(t, "calm", 10, 8)
-	planned.Faults = []Fault{{Name: "roll", Start: fromSeconds(5), Duration: fromSeconds(10), Part: 1, Extra: fromSeconds(0.3)}}
+	graceful, killed := presetScenario(t, "calm", 10, 8), presetScenario(t, "calm", 10, 8)
+	graceful.Faults = []Fault{{Name: "roll", Start: fromSeconds(5), Duration: fromSeconds(10), Part: 1, Extra: fromSeconds(0.3)}}
 	killed.Faults = []Fault{{Name: "herd", Start: fromSeconds(5), Part: 1, Extra: fromSeconds(0.3)}}
-	a, b := runScenario(t, planned, 1, NewBalancer), runScenario(t, killed, 1, NewBalancer)
+	a, b := runScenario(t, graceful, 1, NewBalancer), runScenario(t, killed, 1, NewBalancer)
 	if a.Restarts != 10 || b.Restarts != 10 || len(a.ViolationTexts) > 0 {
-		t.Fatalf("%d and %d restarts, %v", a.Restarts, b.Restarts, a.ViolationTexts)
+		t.Fatalf("got %d and %d restarts, violations %v; want 10 each and none", a.Restarts, b.Restarts, a.ViolationTexts)
 	}
 	if a.LostWeight[causeKilled] > 0 || b.LostWeight[causeKilled] == 0 {
-		t.Errorf("lost with their sidecar: %v in a graceful shutdown, %v in a kill", a.LostWeight[causeKilled], b.LostWeight[causeKilled])
+		t.Errorf("weight lost with a killed sidecar: %v in a graceful shutdown, %v in a kill; want 0 and more than 0", a.LostWeight[causeKilled], b.LostWeight[causeKilled])
 	}
 }
 
@@ -269,16 +269,16 @@
 	sc := presetScenario(t, "calm", 3, 3)
 	sc.Faults = []Fault{{Name: "bad_clients", Size: 1}}
 	if _, err := NewSim(sc, 1, NewBalancer); err == nil || !strings.Contains(err.Error(), "troubles[0]: bad_clients is for real sockets only") {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want one that names the fault", err)
 	}
 }
 
-// A run without a request does not pass.
+// A run without requests proves nothing and must fail.
 func TestRunWithoutRequestsFails(t *testing.T) {
 	sc := presetScenario(t, "slow", 3, 4)
 	sc.Load = 0
-	if r := runScenario(t, sc, 1, NewBalancer); len(r.ViolationTexts) != 1 || !strings.Contains(r.ViolationTexts[0], "nothing to judge") {
-		t.Errorf("%v", r.ViolationTexts)
+	if r := runScenario(t, sc, 1, NewBalancer); len(r.ViolationTexts) != 1 || !strings.Contains(r.ViolationTexts[0], "nothing to check") {
+		t.Errorf("got violations %v, want one that says that nothing was checked", r.ViolationTexts)
 	}
 }
 
@@ -291,24 +291,24 @@
 	s.schedule(StartTime+10*time.Second, cancel)
 	r, err := s.Run(ctx)
 	if !errors.Is(err, context.Canceled) || !r.Partial || r.Requests < 300 || r.ServedRequests == 0 {
-		t.Errorf("error %v, %+v", err, r)
+		t.Errorf("got error %v, record %+v; want a partial record of 10 s", err, r)
 	}
 }
 
-// Two variants get the same calls, however they answer them.
+// Two variants get the same calls even if they answer them differently.
 func TestVariantsGetTheSameCalls(t *testing.T) {
-	wide, narrow := presetScenario(t, "slow", 10, 8), presetScenario(t, "slow", 10, 8)
-	narrow.Slots = 7
-	a, b := runScenario(t, wide, 5, NewBalancer), runScenario(t, narrow, 5, NewBalancer)
+	defaultSlots, fewSlots := presetScenario(t, "slow", 10, 8), presetScenario(t, "slow", 10, 8)
+	fewSlots.Slots = 7
+	a, b := runScenario(t, defaultSlots, 5, NewBalancer), runScenario(t, fewSlots, 5, NewBalancer)
 	if a.Requests != b.Requests || a.offered != b.offered {
-		t.Errorf("got %d (%v) and %d (%v) calls", a.Requests, a.offered, b.Requests, b.offered)
+		t.Errorf("variants got %d calls (%v s of work) and %d (%v s), want the same", a.Requests, a.offered, b.Requests, b.offered)
 	}
 	if a.ServedRequests == b.ServedRequests {
-		t.Error("the variants do not differ: the test proves nothing")
+		t.Error("both variants served the same number of requests, want variants that differ")
 	}
 }
 
-// Memory is bounded under endless overload: only open requests and connections remain.
+// Under overload ended requests and closed connections must be released, or memory grows without bound.
 func TestOverloadLeavesNoRequestsOrConnections(t *testing.T) {
 	sc := presetScenario(t, "overload", 5, 4)
 	s, err := NewSim(sc, 1, NewBalancer)
@@ -329,17 +329,17 @@
 			idle += len(n.idle[sv.Index])
 		}
 		if sv.OpenConnections != idle {
-			t.Errorf("server %d has %d connections, the sidecars hold %d", sv.Index, sv.OpenConnections, idle)
+			t.Errorf("server %d has %d open connections after the run, but the sidecars have %d idle ones", sv.Index, sv.OpenConnections, idle)
 		}
 	}
 }
 
-// BenchmarkRun runs ten seconds with fleets of several sizes. 3,000 sidecars take minutes.
+// BenchmarkRun runs ten simulated seconds with fleets of several sizes. 3,000 sidecars take minutes.
 func BenchmarkRun(b *testing.B) {
 	for _, size := range []struct{ sidecars, servers int }{{30, 20}, {100, 67}, {300, 200}, {1000, 667}, {3000, 2000}} {
 		b.Run(fmt.Sprintf("%dx%d", size.sidecars, size.servers), func(b *testing.B) {
 			if size.sidecars > 300 && testing.Short() {
-				b.Skip("it takes minutes")
+				b.Skip("takes minutes")
 			}
 			sc := presetScenario(b, "slow", size.sidecars, size.servers)
 			sc.Stretch(10 * time.Second)
--- a/internal/simulation/experiment/experiment.go
+++ b/internal/simulation/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment runs scenarios with several variants on the same seeds and
-// estimates the differences between the variants, with confidence intervals.
+// Package experiment runs scenarios with several variants on the same seeds and estimates the differences
+// between the variants, with confidence intervals.
 package experiment
 
 import (
@@ -29,32 +29,32 @@
 // Plan is the contents of an experiment file.
 type Plan struct {
 	Name      string            `toml:"name"`
-	Scenarios []string          `toml:"scenarios"` // names, or files ending in .toml
+	Scenarios []string          `toml:"scenarios"` // names of presets, or files ending in .toml
 	Seeds     []uint64          `toml:"seeds"`
-	Sidecars  int               `toml:"sidecars"` // of the scenarios that have a name
+	Sidecars  int               `toml:"sidecars"` // fleet size for presets
 	Servers   int               `toml:"servers"`
-	Length    emulator.Duration `toml:"length"` // stretches them; 0: as they are
+	Length    emulator.Duration `toml:"length"` // length of all scenarios; 0: unchanged
 	Variants  []Variant         `toml:"variants"`
 
 	scenarios []*emulator.Scenario
 }
 
-// Variant is one of the things compared; the others are compared with the first.
+// Variant is one of the compared settings. All others are compared with the first variant.
 type Variant struct {
 	Name string         `toml:"name"`
-	Set  map[string]any `toml:"set"` // its changes to each scenario, as a scenario file has them
-	// Adapter is the adapter program of another build, which decides in place of this one's module,
-	// on the simulator's wire; empty: this one's.
+	Set  map[string]any `toml:"set"` // changes to each scenario, with the keys of a scenario file
+	// Adapter is the path of an adapter program of another build, which makes the decisions over the
+	// simulator's wire protocol; empty: this build's decision module.
 	Adapter string `toml:"adapter"`
 }
 
 const (
 	maxSeeds    = 1000
 	maxVariants = 16
-	maxFileSize = 1 << 20
+	maxFileSize = 1 << 20 // bytes
 )
 
-// Load reads an experiment file. The paths of scenario files are relative to it.
+// Load reads an experiment file. Paths in it are relative to its folder.
 func Load(path string) (*Plan, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -72,7 +72,7 @@
 	return p, nil
 }
 
-// Parse reads an experiment; the paths of scenario files are relative to folder.
+// Parse parses an experiment file's contents; paths in it are relative to folder.
 func Parse(text []byte, folder string) (*Plan, error) {
 	p := &Plan{Sidecars: emulator.DefaultScenario().Sidecars, Servers: emulator.DefaultScenario().Servers}
 	if err := configfile.DecodeTOML(text, p); err != nil {
@@ -92,26 +92,26 @@
 	return p, nil
 }
 
-// check checks what can be checked without reading further files.
+// check checks the plan without reading further files.
 func (p *Plan) check() error {
 	switch {
 	case len(p.Scenarios) == 0:
-		return errors.New("scenarios: at least one is needed")
+		return errors.New("scenarios: none are given, want at least 1")
 	case len(p.Seeds) == 0 || len(p.Seeds) > maxSeeds:
-		return fmt.Errorf("seeds: %d are given, 1 to %d are needed", len(p.Seeds), maxSeeds)
+		return fmt.Errorf("seeds: %d are given, want 1 to %d", len(p.Seeds), maxSeeds)
 	case len(p.Variants) < 2 || len(p.Variants) > maxVariants:
-		return fmt.Errorf("variants: %d are given, 2 to %d are needed", len(p.Variants), maxVariants)
+		return fmt.Errorf("variants: %d are given, want 2 to %d", len(p.Variants), maxVariants)
 	case p.Length < 0:
 		return errors.New("length must not be negative")
 	}
 	for i, seed := range p.Seeds {
 		if slices.Contains(p.Seeds[:i], seed) {
-			return fmt.Errorf("seeds: %d is given twice, which would count one run twice", seed)
+			return fmt.Errorf("seeds: %d is given twice, want distinct seeds", seed)
 		}
 	}
 	for i, v := range p.Variants {
 		if v.Name == "" || slices.ContainsFunc(p.Variants[:i], func(o Variant) bool { return o.Name == v.Name }) {
-			return fmt.Errorf("variants[%d]: a name of its own is needed", i)
+			return fmt.Errorf("variants[%d]: want a unique name", i)
 		}
 	}
 	return nil
@@ -154,7 +154,7 @@
 	return sc, sc.Check()
 }
 
-// apply returns a scenario with the variant's changes.
+// apply returns a copy of a scenario with the variant's changes.
 func (v Variant) apply(sc *emulator.Scenario) (*emulator.Scenario, error) {
 	text, err := toml.Marshal(sc)
 	if err != nil {
@@ -174,7 +174,7 @@
 	return changed, changed.Check()
 }
 
-// Run is one scenario run with one variant.
+// Run is one run of a scenario with one variant.
 type Run struct {
 	Variant string           `json:"variant"`
 	Record  *emulator.Record `json:"record"`
@@ -183,24 +183,24 @@
 // Outcome is the result of an experiment.
 type Outcome struct {
 	Name        string       `json:"name"`
-	Partial     bool         `json:"partial,omitempty"` // it was interrupted; the runs that were completed count
+	Partial     bool         `json:"partial,omitempty"` // interrupted: only completed runs are included
 	Runs        []Run        `json:"runs"`
 	Differences []Difference `json:"differences"`
 }
 
-// Difference is the difference of a variant from the first, on paired runs.
+// Difference is the difference between a variant and the first one, on paired runs.
 type Difference struct {
-	Scenario string  `json:"scenario"` // "all" for all of them together
+	Scenario string  `json:"scenario"` // "all" for all scenarios together
 	Variant  string  `json:"variant"`
 	Measure  string  `json:"measure"`
 	Pairs    int     `json:"pairs"`
-	Mean     float64 `json:"mean"` // variant less first
-	Low      float64 `json:"low"`  // of the 95 % bootstrap interval of the mean
+	Mean     float64 `json:"mean"` // mean of the variant's value less the first variant's
+	Low      float64 `json:"low"`  // bounds of the 95 % bootstrap interval of the mean
 	High     float64 `json:"high"`
-	Shown    bool    `json:"shown"` // the interval does not hold 0
+	Shown    bool    `json:"shown"` // the interval excludes 0, with enough pairs
 }
 
-// Verdict describes in words what the interval shows.
+// Verdict returns the result of the comparison as text, for reports.
 func (d Difference) Verdict() string {
 	switch {
 	case d.Pairs < minPairs:
@@ -218,7 +218,7 @@
 	return fmt.Sprintf("%-10s %-20s %-8s %+.4f  [%+.4f, %+.4f]  %d pairs: %s", d.Scenario, d.Variant, d.Measure, d.Mean, d.Low, d.High, d.Pairs, d.Verdict())
 }
 
-// measures are what variants are compared by.
+// measures are the values of a run by which variants are compared.
 var measures = []struct {
 	name  string
 	value func(*emulator.Record) float64
@@ -227,8 +227,8 @@
 	{"result", func(r *emulator.Record) float64 { return r.Result }},
 }
 
-// Play plays all days with all variants, several at a time, and tells done of each.
-// If ctx ends, the days that were played to their end count.
+// Play runs all scenarios with all seeds and variants, several at a time, and calls done after each run.
+// If ctx is done, the outcome contains the runs that were completed.
 func (p *Plan) Play(ctx context.Context, done func(completed, total int, r Run)) (*Outcome, error) {
 	type slot struct {
 		run Run
@@ -246,7 +246,7 @@
 		sc := p.scenarios[i/len(p.Variants)/len(p.Seeds)]
 		group.Go(func() error {
 			if groupCtx.Err() != nil {
-				return nil // cut short
+				return nil // interrupted
 			}
 			changed, err := v.apply(sc)
 			if err != nil {
@@ -282,7 +282,7 @@
 	return o, nil
 }
 
-// play runs one scenario, with an adapter process where the variant names one.
+// run runs one scenario, with an adapter process if the variant has one.
 func (v Variant) run(ctx context.Context, sc *emulator.Scenario, seed uint64) (*emulator.Record, error) {
 	if v.Adapter != "" {
 		a, err := remoteadapter.Start(ctx, v.Adapter)
@@ -291,7 +291,7 @@
 		}
 		r, err := runScenario(ctx, sc, seed, a.NewDecider)
 		if closeErr := a.Close(); closeErr != nil {
-			return nil, closeErr // a run on which an adapter failed does not count
+			return nil, closeErr // a run in which the adapter failed is invalid
 		}
 		return r, err
 	}
@@ -306,7 +306,7 @@
 	return s.Run(ctx)
 }
 
-// compare pairs the variants' runs with the first's by scenario and seed.
+// compare pairs the runs of each variant with those of the first variant, by scenario and seed.
 func (p *Plan) compare(runs []Run) (differences []Difference) {
 	type runKey struct {
 		variant, scenario string
@@ -341,13 +341,13 @@
 const (
 	resamples  = 10_000
 	confidence = 0.95
-	// minPairs is how many pairs a bootstrap needs: with less than
-	// five, all of one sign happen by chance more often than one time in twenty.
+	// minPairs is the least number of pairs for a verdict: with fewer than five pairs, all differences have
+	// the same sign by chance more often than one time in twenty.
 	minPairs = 5
 )
 
-// difference returns the mean of paired differences with its bootstrap interval (percentiles).
-// The resampling is seeded: the same runs give the same interval.
+// difference returns the mean of paired differences with its bootstrap percentile interval. The resampling
+// has a fixed seed, so that the same runs give the same interval.
 func difference(scenario, variant, measure string, d []float64) Difference {
 	out := Difference{Scenario: scenario, Variant: variant, Measure: measure, Pairs: len(d)}
 	if len(d) == 0 {
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -10,7 +10,7 @@
 	"barleywick/internal/simulation/emulator"
 )
 
-const small = `name = "walls"
+const smallPlan = `name = "walls"
 scenarios = ["overload"]
 seeds = [1, 2, 3, 4, 5, 6]
 sidecars = 6
@@ -27,7 +27,7 @@
 `
 
 func TestVariantsArePairedAndCompared(t *testing.T) {
-	p, err := Parse([]byte(small), ".")
+	p, err := Parse([]byte(smallPlan), ".")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,22 +35,22 @@
 	o, err := p.Play(context.Background(), func(played, all int, _ Run) {
 		calls++
 		if played != calls || all != 18 {
-			t.Errorf("%d of %d at call %d", played, all, calls)
+			t.Errorf("done reported %d of %d runs at its call %d", played, all, calls)
 		}
 	})
 	if err != nil || len(o.Runs) != 18 || o.Partial {
-		t.Fatalf("%d runs, %v", len(o.Runs), err)
+		t.Fatalf("got %d runs, error %v; want 18", len(o.Runs), err)
 	}
 	for _, d := range o.Differences {
 		switch {
 		case d.Pairs != 6:
-			t.Errorf("%v: pairs are missing", d)
+			t.Errorf("%v: want 6 pairs", d)
 		case d.Variant == "the same" && (d.Mean != 0 || d.Shown || !strings.Contains(d.String(), "no difference is shown")):
-			t.Errorf("%v: the same variant differs", d)
+			t.Errorf("%v: want no difference between equal variants", d)
 		case d.Variant == "heavier" && d.Measure == "goodput" && (!d.Shown || d.Mean >= 0):
-			t.Errorf("%v: more load is served as well", d)
+			t.Errorf("%v: want lower goodput with more load", d)
 		case d.Low > d.Mean || d.High < d.Mean:
-			t.Errorf("%v: the mean is outside its interval", d)
+			t.Errorf("%v: want a mean inside its interval", d)
 		}
 	}
 	again, err := p.Play(context.Background(), nil)
@@ -60,12 +60,12 @@
 	a, _ := json.Marshal(o)
 	b, _ := json.Marshal(again)
 	if string(a) != string(b) {
-		t.Error("the same experiment had another outcome")
+		t.Error("the same experiment gave a different outcome")
 	}
 }
 
 func TestInterruptedExperimentKeepsItsRuns(t *testing.T) {
-	p, err := Parse([]byte(small), ".")
+	p, err := Parse([]byte(smallPlan), ".")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,11 +76,11 @@
 		}
 	})
 	if err != nil || !o.Partial || len(o.Runs) < 2 || len(o.Runs) == 18 {
-		t.Fatalf("%d runs, partial %v, %v", len(o.Runs), o.Partial, err)
+		t.Fatalf("got %d runs, partial %v, error %v; want a partial outcome with at least 2 runs", len(o.Runs), o.Partial, err)
 	}
 	for _, r := range o.Runs {
 		if r.Record.Partial {
-			t.Error("a day that was cut short counts as a whole one")
+			t.Error("the outcome contains an interrupted run")
 		}
 	}
 }
@@ -91,24 +91,23 @@
 		`"overload"`:                 {`"underload"`, `there is no scenario "underload"`},
 		`load = 6`:                   {`laod = 6`, "there is no field laod"},
 		"load = 6\n":                 {"load = -7\n", "load is -7"},
-		`"the same"`:                 {`"as it is"`, "variants[1]: a name of its own"},
+		`"the same"`:                 {`"as it is"`, "variants[1]: want a unique name"},
 		`length = "6s"`:              {`length = 6`, "length"},
 		`sidecars = 6`:               {`sidecars = 0`, "sidecars is 0"},
 		`name = "walls"`:             {`title = "walls"`, "line 1: there is no field title"},
 		`["overload"]`:               {`["nowhere.toml"]`, "nowhere.toml"},
 	} {
-		_, err := Parse([]byte(strings.Replace(small, from, c[0], 1)), ".")
+		_, err := Parse([]byte(strings.Replace(smallPlan, from, c[0], 1)), ".")
 		if err == nil || !strings.Contains(err.Error(), c[1]) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v; want one line with %q", c[0], err, c[1])
+			t.Errorf("%s: got error %v, want one line with %q", c[0], err, c[1])
 		}
 	}
 }
 
-// The interval holds the truth about as often as it says, and says so plainly when
-// there is too little to go by.
+// The 95 % interval covers the true mean about that often, and with too few pairs the verdict says so.
 func TestIntervalCoversTheMean(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	held, shown := 0, 0
+	covered, shown := 0, 0
 	const tries, trueMean = 200, 0.1
 	for range tries {
 		d := make([]float64, 20)
@@ -117,23 +116,23 @@
 		}
 		got := difference("s", "v", "m", d)
 		if got.Low <= trueMean && trueMean <= got.High {
-			held++
+			covered++
 		}
 		if got.Shown {
 			shown++
 		}
 	}
-	if held < tries*85/100 || held == tries {
-		t.Errorf("the 95 %% interval held the truth %d times in %d", held, tries)
+	if covered < tries*85/100 || covered == tries {
+		t.Errorf("the 95 %% interval covered the true mean %d times in %d", covered, tries)
 	}
 	if shown == 0 || shown == tries {
-		t.Errorf("shown %d times in %d", shown, tries)
+		t.Errorf("got a difference from 0 %d times in %d, want some but not all", shown, tries)
 	}
 	if d := difference("s", "v", "m", []float64{1, 1, 1}); d.Shown || !strings.Contains(d.Verdict(), "too few") {
-		t.Errorf("three pairs: %v", d)
+		t.Errorf("three pairs: got %v, want too few pairs", d)
 	}
 	if d := difference("s", "v", "m", nil); d.Shown || d.Pairs != 0 {
-		t.Errorf("no pairs: %v", d)
+		t.Errorf("no pairs: got %v, want no difference", d)
 	}
 }
 
@@ -144,6 +143,6 @@
 	}
 	changed, err := Variant{Set: map[string]any{"list": map[string]any{"per_ms": 2.5}}}.apply(sc)
 	if err != nil || changed.List.PerMS != 2.5 || changed.List.PerCall != sc.List.PerCall || sc.List.PerMS == 2.5 || len(changed.Classes) != len(sc.Classes) {
-		t.Errorf("%+v, %v", changed, err)
+		t.Errorf("got scenario %+v, error %v; want only list.per_ms changed", changed, err)
 	}
 }
--- a/internal/simulation/remoteadapter/adapter.go
+++ b/internal/simulation/remoteadapter/adapter.go
@@ -1,6 +1,6 @@
-// Package remoteadapter lets the emulator use the decisions of another program: a simadapter, of this
-// build or of an earlier one, over the simulator's wire. So two builds can be compared in simulated
-// time on the same scenario runs.
+// Package remoteadapter lets the emulator take its decisions from another program: a simadapter of this
+// or of an earlier build, over the simulator's wire protocol. Two builds can so be compared on the same
+// scenario runs in simulated time.
 package remoteadapter
 
 import (
@@ -21,29 +21,29 @@
 )
 
 const (
-	// stopTimeout is how long a program may take to end after its input has ended.
+	// stopTimeout bounds how long a program may take to exit after its input was closed.
 	stopTimeout     = 5 * time.Second
 	inputBufferSize = 1 << 16 // bytes
 )
 
-// Adapter is a program at the other end of the wire. It can be used for one scenario run at a time and
-// is not safe for concurrent use.
+// Adapter is the client of an adapter program. It can be used for one scenario run at a time and is not
+// safe for concurrent use.
 type Adapter struct {
 	out     io.Writer
 	in      *simwire.Reader
 	events  simwire.BatchWriter
-	batches uint32          // sent so far
-	running map[uint32]bool // by instance
+	batches uint32          // number of batches sent
+	running map[uint32]bool // instances that were started
 	stop    func() error    // nil if there is no program to stop
-	err     error           // the first error, after which nothing is sent any more
+	err     error           // the first error; nothing is sent after it
 }
 
-// Start starts an adapter's program. Close ends it, and so does the end of ctx.
+// Start starts an adapter program. It runs until Close is called or ctx is done.
 func Start(ctx context.Context, program string) (*Adapter, error) {
 	cmd := exec.CommandContext(ctx, program)
 	cmd.Stderr = os.Stderr
 	cmd.WaitDelay = stopTimeout
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it ends with this process
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the program must not outlive this process
 	out, err := cmd.StdinPipe()
 	if err != nil {
 		return nil, fmt.Errorf("adapter %s: %w", program, err)
@@ -66,13 +66,13 @@
 	return a, nil
 }
 
-// New returns an Adapter at the other end of two streams.
+// New returns an Adapter that writes events to out and reads replies from in.
 func New(out io.Writer, in io.Reader) *Adapter {
 	r := simwire.NewReader(bufio.NewReaderSize(in, inputBufferSize))
 	return &Adapter{out: out, in: r, running: make(map[uint32]bool)}
 }
 
-// Close ends the adapter and returns its first error.
+// Close stops the program, if Start started one, and returns the first error.
 func (a *Adapter) Close() error {
 	if a.stop == nil {
 		return a.err
@@ -81,18 +81,18 @@
 	a.stop = nil
 	err := stop()
 	if a.err != nil {
-		return a.err // which may be the cause of the other one
+		return a.err // it may be the cause of the error of stop
 	}
 	return err
 }
 
-// Err returns the first error.
+// Err returns the first error of the conversation with the adapter.
 func (a *Adapter) Err() error { return a.err }
 
-// NewDecider makes a Decider that uses the adapter's decisions.
+// NewDecider returns a Decider that forwards events to the adapter and executes its actions.
 func (a *Adapter) NewDecider(o emulator.DeciderOptions) (emulator.Decider, error) {
 	if o.Config.Slots > 0 {
-		return nil, errors.New("slots cannot be said on the simulator's wire: only a module of this program can be given them")
+		return nil, errors.New("slots cannot be sent to an adapter: the simulator's protocol has no field for them")
 	}
 	text, err := json.Marshal(o.Scenario.Settings(o.Sidecar))
 	if err != nil {
@@ -109,7 +109,7 @@
 	return i, a.err
 }
 
-// exchange sends a batch of events and returns the reply. After an error, which Err returns, there is none.
+// exchange sends a batch of events and returns the reply; ok is false after an error, which Err returns.
 func (a *Adapter) exchange(now time.Duration, write func(*simwire.BatchWriter)) (reply simwire.Reply, ok bool) {
 	if a.err != nil {
 		return reply, false
@@ -124,14 +124,14 @@
 	reply, err := a.in.ReadReply()
 	switch {
 	case errors.Is(err, io.EOF):
-		a.err = errors.New("adapter: it ended")
+		a.err = errors.New("adapter: closed its output before replying")
 	case err != nil:
 		a.fail(err)
 	case reply.Number != a.batches:
-		a.err = fmt.Errorf("adapter: answers batch %d with the number %d", a.batches, reply.Number)
+		a.err = fmt.Errorf("adapter: reply to batch %d has batch number %d", a.batches, reply.Number)
 	}
 	return reply, a.err == nil
 }
 
-// fail records an error.
+// fail records an error, which ends the conversation.
 func (a *Adapter) fail(err error) { a.err = fmt.Errorf("adapter: %w", err) }
--- a/internal/simulation/remoteadapter/adapter_test.go
+++ b/internal/simulation/remoteadapter/adapter_test.go
@@ -13,7 +13,7 @@
 	"barleywick/internal/simulation/simwire"
 )
 
-// scenario returns a short scenario run.
+// scenario returns a scenario shortened to 10 s.
 func scenario(t *testing.T, name string) *emulator.Scenario {
 	t.Helper()
 	sc, err := emulator.Preset(name, 8, 10)
@@ -45,7 +45,7 @@
 	return string(text)
 }
 
-// startServer runs an adapter in this process, at the other end of two pipes.
+// startServer runs serve in a goroutine and returns an Adapter that is connected to it by two pipes.
 func startServer(t *testing.T, serve func(io.Reader, io.Writer) error) *Adapter {
 	t.Helper()
 	events, toAdapter := io.Pipe()
@@ -61,14 +61,14 @@
 	t.Cleanup(func() {
 		toAdapter.Close()
 		if err := <-served; err != nil {
-			t.Errorf("the server: %v", err)
+			t.Errorf("serve returned %v", err)
 		}
 	})
 	return a
 }
 
-// A scenario run gives the same record to the last digit over the wire and in this process: what is
-// compared between builds is their decisions and nothing else.
+// A run over the wire has exactly the same record as a run in this process. Otherwise a comparison of two
+// builds would measure the protocol as well as their decisions.
 func TestWireDoesNotChangeDecisions(t *testing.T) {
 	for _, name := range []string{"herd", "join", "split", "blind", "overload"} {
 		t.Run(name, func(t *testing.T) {
@@ -103,15 +103,15 @@
 		}
 	}
 	for want, serve := range map[string]func(io.Reader, io.Writer) error{
-		"it ended": func(in io.Reader, _ io.Writer) error {
+		"closed its output before replying": func(in io.Reader, _ io.Writer) error {
 			_, err := simwire.NewReader(in).ReadBatch()
 			return err
 		},
-		"with the number":  replyWith(1, func(*simwire.ReplyWriter) {}),
-		"has failed: oops": replyWith(0, func(p *simwire.ReplyWriter) { p.Die(0, "oops") }),
-		"instance 77":      replyWith(0, func(p *simwire.ReplyWriter) { p.Tail(77, true) }),
-		"not known":        replyWith(0, func(p *simwire.ReplyWriter) { p.CallOut(0, 9, 1, 0) }),
-		"cannot be": func(in io.Reader, out io.Writer) error {
+		"has batch number":  replyWith(1, func(*simwire.ReplyWriter) {}),
+		"has failed: oops":  replyWith(0, func(p *simwire.ReplyWriter) { p.Die(0, "oops") }),
+		"instance 77":       replyWith(0, func(p *simwire.ReplyWriter) { p.Tail(77, true) }),
+		"unknown request 9": replyWith(0, func(p *simwire.ReplyWriter) { p.CallOut(0, 9, 1, 0) }),
+		"invalid header: 4294967295 records in 4294967295 bytes": func(in io.Reader, out io.Writer) error {
 			if _, err := simwire.NewReader(in).ReadBatch(); err != nil {
 				return err
 			}
@@ -138,7 +138,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.Run(context.Background()); err == nil || !strings.Contains(err.Error(), "slots cannot be said") {
+	if _, err := s.Run(context.Background()); err == nil || !strings.Contains(err.Error(), "slots cannot be sent") {
 		t.Errorf("got error %v, want one that names the slots", err)
 	}
 }
--- a/internal/simulation/remoteadapter/convert.go
+++ b/internal/simulation/remoteadapter/convert.go
@@ -5,7 +5,7 @@
 	"barleywick/policy"
 )
 
-// outcomes are the outcome codes by the endings of attempts.
+// outcomes maps the endings of attempts to outcome codes.
 var outcomes = map[policy.Ending]uint16{
 	policy.Served:       simwire.OutcomeServed,
 	policy.Errored:      simwire.OutcomeErrored,
@@ -17,7 +17,7 @@
 	policy.NotSent:      simwire.OutcomeNotSent,
 }
 
-// fleetKinds are the kinds of Fleet events by the kinds of list events.
+// fleetKinds maps the kinds of list updates to kinds of Fleet events.
 var fleetKinds = map[policy.ListKind]uint8{
 	policy.ListFull:   simwire.FleetFull,
 	policy.ListDelta:  simwire.FleetDelta,
@@ -25,7 +25,7 @@
 	policy.ListFailed: simwire.FleetFailed,
 }
 
-// statuses are the status values of list entries by the states of endpoints.
+// statuses maps the states of endpoints to status values of list entries.
 var statuses = map[policy.EndpointState]uint8{
 	policy.Removed:  simwire.StatusGone,
 	policy.Draining: simwire.StatusDraining,
@@ -44,7 +44,7 @@
 	return list
 }
 
-// loadReport converts a load report. Its columns are those that the emulator's settings name.
+// loadReport converts a load report; the columns are in the order of the emulator's settings.
 func loadReport(l policy.LoadReport) simwire.LoadReport {
 	return simwire.LoadReport{
 		Count: 3, Values: [4]float32{float32(l.Queued), float32(l.Utilization), float32(l.ServedPerSecond)},
--- a/internal/simulation/remoteadapter/fixtures_test.go
+++ b/internal/simulation/remoteadapter/fixtures_test.go
@@ -11,13 +11,14 @@
 	"barleywick/internal/testing/fixture"
 )
 
-// recordedInput reads the events of a scenario run that commit 396a775 recorded.
+// recordedInput reads the events of a scenario run that was recorded at commit 396a775.
 func recordedInput(t *testing.T, name string) []byte {
 	t.Helper()
 	return fixture.ReadGzip(t, "../simadapter/testdata/"+name+"-in.bin.gz")
 }
 
-// An adapter of another build gets the events byte for byte as 396a775 wrote them.
+// The events of a run are byte for byte those of commit 396a775, so that adapters of other builds can
+// read them.
 func TestEventsAreWrittenAsBefore(t *testing.T) {
 	for _, tt := range []struct {
 		preset            string
--- a/internal/simulation/remoteadapter/instance.go
+++ b/internal/simulation/remoteadapter/instance.go
@@ -7,8 +7,8 @@
 	"barleywick/policy"
 )
 
-// instance is one start of a sidecar. It is an emulator.Decider that sends each event to the adapter
-// and carries out the actions of the reply.
+// instance is one run of a sidecar, from a start to a kill. It implements emulator.Decider: it sends
+// each event to the adapter and executes the actions of the reply.
 type instance struct {
 	adapter     *Adapter
 	number      uint32
@@ -16,23 +16,23 @@
 	seed        uint64
 	settings    []byte
 	listVersion uint32
-	requests    map[uint32]*request // by job
+	requests    map[uint32]*request // by the job id on the wire
 }
 
-// request is what the wire needs to know of a request after its start.
+// request is the state of a request that later messages on the wire need.
 type request struct {
 	attempts      []attempt
 	endedAttempts int  // attempts
 	closed        bool // it has its answer, or its client has left
 }
 
-// attempt is an attempt in flight or ended.
+// attempt is an attempt in flight or completed.
 type attempt struct {
 	server simwire.Upstream
 	sentAt time.Duration
 }
 
-// send sends an event and carries out the actions of the reply.
+// send sends an event and executes the actions of the reply.
 func (i *instance) send(now time.Duration, write func(*simwire.BatchWriter)) {
 	reply, ok := i.adapter.exchange(now, write)
 	if !ok {
@@ -43,7 +43,7 @@
 	}
 }
 
-// Start starts the instance. One that runs under its number has ended.
+// Start starts the instance. If one of the same number was started before, it is ended first.
 func (i *instance) Start(now time.Duration) {
 	i.send(now, func(w *simwire.BatchWriter) {
 		if i.adapter.running[i.number] {
@@ -54,7 +54,7 @@
 	})
 }
 
-// Request sends a request.
+// Request delivers a client's request.
 func (i *instance) Request(now time.Duration, q policy.Request) {
 	job := uint32(q.ID)
 	i.requests[job] = new(request)
@@ -119,7 +119,7 @@
 	})
 }
 
-// forget drops a request that is over and whose attempts have all ended.
+// forget deletes a request that is closed and has no attempt in flight.
 func (i *instance) forget(job uint32) {
 	if r := i.requests[job]; r != nil && r.closed && r.endedAttempts == len(r.attempts) {
 		delete(i.requests, job)
--- a/internal/simulation/remoteadapter/perform.go
+++ b/internal/simulation/remoteadapter/perform.go
@@ -8,10 +8,10 @@
 	"barleywick/policy"
 )
 
-// unlimitedPatience is the timeout of an attempt without one: until the client gives up.
+// unlimitedTimeout replaces a timeout of 0: the client's deadline ends the attempt earlier.
 const unlimitedTimeout = time.Hour
 
-// performAll carries out the actions of a reply.
+// performAll executes the actions of a reply.
 func (i *instance) performAll(now time.Duration, reply simwire.Reply) error {
 	body := reply.Body
 	for range reply.Records {
@@ -31,10 +31,10 @@
 	return nil
 }
 
-// perform carries out an action. A log line, or an action of a later version, has no effect.
+// perform executes an action. Log lines and actions with an unknown code are ignored.
 func (i *instance) perform(now time.Duration, a simwire.Action) error {
 	if a.Instance != i.number {
-		return fmt.Errorf("an action for instance %d without an event for it", a.Instance)
+		return fmt.Errorf("action for instance %d, want an action for the instance that got the event", a.Instance)
 	}
 	switch a.Code {
 	case simwire.ActionCallOut:
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// answer ends a request. The wire allows an answer to a request that has just ended.
+// answer ends a request. The protocol allows an answer to a request that has just ended; it is ignored.
 func (i *instance) answer(job uint32, end func()) {
 	r := i.requests[job]
 	if r == nil {
@@ -95,5 +95,5 @@
 }
 
 func unknownRequest(a simwire.Action) error {
-	return fmt.Errorf("action %d for request %d, which is not known", a.Code, a.Job)
+	return fmt.Errorf("action %d for unknown request %d", a.Code, a.Job)
 }
--- a/internal/simulation/report/report.go
+++ b/internal/simulation/report/report.go
@@ -1,5 +1,5 @@
-// Package report renders the results of simulated or real runs as one HTML page that
-// is self-contained: no network, no script, no other file.
+// Package report renders the results of simulated or real runs as one self-contained HTML page, without
+// scripts or references to other files.
 package report
 
 import (
@@ -33,7 +33,7 @@
 	"inc":     func(i int) int { return i + 1 },
 }).ParseFS(files, "page.html"))
 
-// Page is the contents of a page.
+// Page holds the data of the page template.
 type Page struct {
 	Title       string
 	Made        time.Time
@@ -49,13 +49,13 @@
 	Charts []Chart
 }
 
-// Chart is one timeline.
+// Chart is one timeline of a run.
 type Chart struct {
 	Title string
 	SVG   template.HTML
 }
 
-// maxCharted bounds the runs that get charts of their own; the rest are in the tables.
+// maxCharted bounds the number of runs with charts; further runs are only in the tables.
 const maxCharted = 40
 
 // OfRecord returns the page of one run.
@@ -83,7 +83,7 @@
 	return p, nil
 }
 
-// Write writes the page.
+// Write renders the page as HTML.
 func (p *Page) Write(w io.Writer) error {
 	if err := page.Execute(w, p); err != nil {
 		return fmt.Errorf("write page: %w", err)
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// line is one curve of a chart.
+// curve is one curve of a chart, with a value per second of the run.
 type curve struct {
 	name  string
 	value func(w *emulator.Window) float64
@@ -100,7 +100,7 @@
 // chartSpec describes one chart.
 type chartSpec struct {
 	title, unit string
-	lines       []curve
+	curves      []curve
 }
 
 // chartRun draws the charts of a run.
@@ -108,7 +108,7 @@
 	run := ScenarioRun{Name: name, Record: r}
 	windowSeconds := r.Length.Seconds() / float64(max(1, len(r.Windows)))
 	for _, spec := range append(fleetCharts(), zoneCharts(r)...) {
-		svg, err := chart(r, windowSeconds, spec.unit, spec.lines)
+		svg, err := chart(r, windowSeconds, spec.unit, spec.curves)
 		if err != nil {
 			return run, fmt.Errorf("chart %s: %w", spec.title, err)
 		}
@@ -117,7 +117,7 @@
 	return run, nil
 }
 
-// fleetCharts are the charts of the whole fleet.
+// fleetCharts returns the charts of the whole fleet.
 func fleetCharts() []chartSpec {
 	return []chartSpec{
 		{"Weight requested and served", "weight a second", []curve{
@@ -143,7 +143,7 @@
 	}
 }
 
-// zoneCharts are the charts with a curve for each zone.
+// zoneCharts returns the charts with one curve per zone.
 func zoneCharts(r *emulator.Record) []chartSpec {
 	var queue, capacity []curve
 	for z, zone := range r.Zones {
@@ -166,7 +166,7 @@
 	}
 }
 
-// Colours of the curves, distinguishable with red-green colour blindness.
+// colours of the curves are distinguishable with red-green colour blindness.
 var colours = []color.Color{
 	color.NRGBA{0x00, 0x72, 0xb2, 255}, color.NRGBA{0xd5, 0x5e, 0x00, 255}, color.NRGBA{0x00, 0x9e, 0x73, 255},
 	color.NRGBA{0xcc, 0x79, 0xa7, 255}, color.NRGBA{0x56, 0xb4, 0xe9, 255}, color.NRGBA{0x50, 0x50, 0x50, 255},
@@ -179,18 +179,19 @@
 	chartHeight = 6 * vg.Centimeter
 )
 
-// prolog matches the beginning of an SVG file, which must not stand inside a page.
+// svgProlog matches the start of an SVG file up to the svg element. The XML prolog is not allowed inside an
+// HTML page.
 var svgProlog = regexp.MustCompile(`(?s)^.*?<svg`)
 
-// chart draws curves over the run, with the time of each fault shaded.
-func chart(r *emulator.Record, windowSeconds float64, unit string, lines []curve) (template.HTML, error) {
+// chart draws curves over the time of the run, with the duration of each fault shaded.
+func chart(r *emulator.Record, windowSeconds float64, unit string, curves []curve) (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "seconds", unit
 	p.X.Min, p.X.Max, p.Y.Min = 0, r.Length.Seconds(), 0
 	p.Legend.Top, p.Legend.Left = true, true
 	maxY := 1.0
-	var curves []*plotter.Line
-	for i, l := range lines {
+	var plotLines []*plotter.Line
+	for i, l := range curves {
 		var points plotter.XYs
 		for j := range r.Windows {
 			if y := l.value(&r.Windows[j]); !math.IsNaN(y) && !math.IsInf(y, 0) {
@@ -201,18 +202,18 @@
 		if len(points) == 0 {
 			continue
 		}
-		plotted, err := plotter.NewLine(points)
+		plotLine, err := plotter.NewLine(points)
 		if err != nil {
 			return "", err
 		}
-		plotted.Color, plotted.Width = colours[i%len(colours)], vg.Points(1.5)
-		curves = append(curves, plotted)
-		p.Legend.Add(l.name, plotted)
+		plotLine.Color, plotLine.Width = colours[i%len(colours)], vg.Points(1.5)
+		plotLines = append(plotLines, plotLine)
+		p.Legend.Add(l.name, plotLine)
 	}
 	p.Y.Max = maxY * 1.3 // space for the legend
 	for _, t := range r.Faults {
 		from, to := time.Duration(t.Start).Seconds(), (time.Duration(t.Start) + time.Duration(t.Duration)).Seconds()
-		to = min(max(to, from+r.Length.Seconds()/200), r.Length.Seconds()) // at least a visible line
+		to = min(max(to, from+r.Length.Seconds()/200), r.Length.Seconds()) // at least wide enough to be visible
 		if from >= to {
 			continue
 		}
@@ -223,7 +224,7 @@
 		box.Color, box.LineStyle.Width = shade, 0
 		p.Add(box)
 	}
-	for _, c := range curves {
+	for _, c := range plotLines {
 		p.Add(c)
 	}
 	p.Add(plotter.NewGrid())
@@ -233,5 +234,5 @@
 	if _, err := canvas.WriteTo(&out); err != nil {
 		return "", err
 	}
-	return template.HTML(svgProlog.ReplaceAll(out.Bytes(), []byte("<svg"))), nil // drawn above, from numbers and escaped names
+	return template.HTML(svgProlog.ReplaceAll(out.Bytes(), []byte("<svg"))), nil // the SVG was generated above from numbers and escaped names
 }
--- a/internal/simulation/simadapter/convert.go
+++ b/internal/simulation/simadapter/convert.go
@@ -5,7 +5,7 @@
 	"barleywick/policy"
 )
 
-// listKinds are the kinds of list events by the kinds of Fleet events.
+// listKinds maps the kinds of Fleet events to kinds of list updates.
 var listKinds = map[uint8]policy.ListKind{
 	simwire.FleetFull:   policy.ListFull,
 	simwire.FleetDelta:  policy.ListDelta,
@@ -13,8 +13,8 @@
 	simwire.FleetFailed: policy.ListFailed,
 }
 
-// endingOf converts an outcome code. After an unknown outcome the request may have run, as after an
-// error.
+// endingFromCode converts an outcome code. An unknown code counts as an error, after which the request
+// may have run.
 func endingFromCode(code uint16) policy.Ending {
 	switch code {
 	case simwire.OutcomeServed:
@@ -35,7 +35,8 @@
 	return policy.Errored
 }
 
-// stateOf converts the status of a list entry. A server with an unknown status gets nothing new.
+// endpointState converts the status of a list entry. A server with an unknown status counts as draining:
+// it gets no new requests.
 func endpointState(status uint8) policy.EndpointState {
 	switch status {
 	case simwire.StatusReady:
--- a/internal/simulation/simadapter/fixtures_test.go
+++ b/internal/simulation/simadapter/fixtures_test.go
@@ -8,14 +8,14 @@
 	"barleywick/internal/testing/fixture"
 )
 
-// recording reads one direction of a conversation that commit 396a775 recorded.
+// recording reads one direction of a conversation that was recorded at commit 396a775.
 func recording(t *testing.T, name string) []byte {
 	t.Helper()
 	return fixture.ReadGzip(t, filepath.Join("testdata", name+".bin.gz"))
 }
 
-// Each decision and each byte on the wire is as it was in 396a775: overload and its shedding,
-// servers that join and start slowly, and a zone that is cut off.
+// The replies to recorded events are byte for byte those of commit 396a775. The recordings cover overload
+// with shedding, new servers in slow start, and a partitioned zone.
 func TestRecordedConversationsAreAnsweredAsBefore(t *testing.T) {
 	for _, name := range []string{"overload", "join", "split"} {
 		t.Run(name, func(t *testing.T) {
@@ -27,11 +27,11 @@
 			got := out.Bytes()
 			for i := range min(len(got), len(want)) {
 				if got[i] != want[i] {
-					t.Fatalf("the answers differ from byte %d on", i)
+					t.Fatalf("the replies differ from byte %d on", i)
 				}
 			}
 			if len(got) != len(want) {
-				t.Errorf("%d bytes of answers, want %d", len(got), len(want))
+				t.Errorf("got %d bytes of replies, want %d", len(got), len(want))
 			}
 		})
 	}
--- a/internal/simulation/simadapter/instance.go
+++ b/internal/simulation/simadapter/instance.go
@@ -9,10 +9,10 @@
 	"barleywick/policy"
 )
 
-// counterLogInterval is how often an instance's counters are logged.
+// counterLogInterval is the interval of an instance's counter log lines.
 const counterLogInterval = 10 * time.Second
 
-// instance is an emulated sidecar. It is the policy.Host of its Balancer.
+// instance is one simulated sidecar. It implements policy.Host for its Balancer.
 type instance struct {
 	process     *process
 	number      uint32
@@ -21,7 +21,7 @@
 	nextLogAt   time.Duration    // 0 before the first event
 }
 
-// start makes the Balancer.
+// start creates and starts the Balancer.
 func (i *instance) start(now time.Duration, config policy.Config, seed uint64) error {
 	b, err := policy.New(config, seed, i)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// Send starts an attempt. The wire knows no bound on its start.
+// Send starts an attempt. The protocol has no field for the limit on its start, so that is dropped.
 func (i *instance) Send(id policy.RequestID, to policy.ServerID, timeout, _ time.Duration) {
 	i.process.reply.CallOut(i.number, uint32(id), simwire.Upstream(to), timeout)
 }
@@ -50,7 +50,7 @@
 	i.process.reply.Recall(i.number, uint32(id), uint8(attempt))
 }
 
-// Wake sets a timer.
+// Wake sets a timer; its cookie is always 0, as an instance has one kind of timer.
 func (i *instance) Wake(d time.Duration) { i.process.reply.SetAlarm(i.number, d, 0) }
 
 // Probe probes a server.
@@ -59,7 +59,7 @@
 // WatchList subscribes to the endpoint list.
 func (i *instance) WatchList() { i.process.reply.Tail(i.number, true) }
 
-// reportPanic calls f and reports a panic in it to the simulator.
+// reportPanic calls f. If f panics, it reports the panic to the simulator and disables the instance.
 func (i *instance) reportPanic(f func() error) error {
 	defer func() {
 		if p := recover(); p != nil {
@@ -70,10 +70,10 @@
 	return f()
 }
 
-// event passes an event to its handler, and logs the counters if that is due.
+// event passes an event to its handler. It logs the counters first if the interval has passed.
 func (i *instance) event(now time.Duration, record simwire.Record, handle handler) error {
 	if now >= i.nextLogAt {
-		if i.nextLogAt > 0 { // the first event has nothing to log yet
+		if i.nextLogAt > 0 { // nothing is counted before the first event
 			i.process.reply.WriteLog(i.number, fmt.Sprintf("counters %+v", i.balancer.Counters()))
 		}
 		i.nextLogAt = now + counterLogInterval
@@ -81,10 +81,10 @@
 	return i.reportPanic(func() error { return handle(i, now, record) })
 }
 
-// handler passes an event to an instance's Balancer.
+// handler decodes an event and passes it to an instance's Balancer.
 type handler func(i *instance, now time.Duration, record simwire.Record) error
 
-// handlers are the handlers by the event's code.
+// handlers maps event codes to handlers.
 var handlers = map[uint16]handler{
 	simwire.EventAsk:         (*instance).ask,
 	simwire.EventFinished:    (*instance).finished,
@@ -162,7 +162,7 @@
 	}
 	listKind, known := listKinds[kind]
 	if !known {
-		return nil // of a later version
+		return nil // a kind from a later version of the protocol
 	}
 	if listKind == policy.ListFailed {
 		i.balancer.List(now, listKind, nil)
--- a/internal/simulation/simadapter/serve.go
+++ b/internal/simulation/simadapter/serve.go
@@ -1,5 +1,5 @@
-// Package simadapter connects the decisions of package policy to the simulator's wire: a process hosts
-// many instances, each with a policy.Balancer of its own. It decides nothing itself.
+// Package simadapter connects package policy to the simulator's wire protocol: one process hosts many
+// instances, each with its own policy.Balancer. The package makes no decisions itself.
 package simadapter
 
 import (
@@ -16,7 +16,7 @@
 
 const inputBufferSize = 1 << 16 // bytes
 
-// Serve replies to batches of events until the input ends.
+// Serve replies to batches of events until the end of the input.
 func Serve(in io.Reader, out io.Writer) error {
 	p := newProcess()
 	r := simwire.NewReader(bufio.NewReaderSize(in, inputBufferSize))
@@ -38,10 +38,10 @@
 	}
 }
 
-// process holds the instances and what they share.
+// process holds the instances and the endpoint lists that they share.
 type process struct {
 	reply     simwire.ReplyWriter
-	lists     map[uint16][]policy.Endpoint // by page
+	lists     map[uint16][]policy.Endpoint // by page number
 	instances map[uint32]*instance
 }
 
@@ -49,7 +49,7 @@
 	return &process{lists: make(map[uint16][]policy.Endpoint), instances: make(map[uint32]*instance)}
 }
 
-// batch handles the events of a batch in their order.
+// batch handles the events of a batch in order.
 func (p *process) batch(b simwire.Batch) error {
 	body := b.Body
 	for range b.Records {
@@ -63,13 +63,13 @@
 		}
 	}
 	if len(body) > 0 {
-		return fmt.Errorf("%d bytes behind the last record", len(body))
+		return fmt.Errorf("%d unexpected bytes after the last record", len(body))
 	}
 	return nil
 }
 
-// event handles an event. One with the code of a later version, or without use here, is ignored, and
-// so is one for an instance that does not run.
+// event handles one event. Events with an unknown or unused code and events for an instance that is
+// not running are ignored.
 func (p *process) event(now time.Duration, record simwire.Record) error {
 	switch record.Code {
 	case simwire.EventManifest:
@@ -98,7 +98,7 @@
 	return i.event(now, record, handle)
 }
 
-// manifest takes a numbered endpoint list.
+// manifest stores an endpoint list under its page number.
 func (p *process) manifest(record simwire.Record) error {
 	page, entries, err := record.Manifest()
 	if err != nil {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// open starts an instance. One that runs under its number is replaced.
+// open starts an instance. It replaces a running instance of the same number.
 func (p *process) open(now time.Duration, record simwire.Record) error {
 	number, err := record.Instance()
 	if err != nil {
--- a/internal/simulation/simadapter/serve_test.go
+++ b/internal/simulation/simadapter/serve_test.go
@@ -72,14 +72,14 @@
 	return append(b, body...)
 }
 
-// action is one action of a reply: its code, its instance and what follows.
+// action is one action of a reply; rest holds its fields after the instance.
 type action struct {
 	code uint16
 	inst uint32
 	rest string
 }
 
-// actions serves a stream and splits the replies.
+// actions serves a stream and returns the actions of all replies.
 func actions(t *testing.T, in []byte) []action {
 	t.Helper()
 	var out bytes.Buffer
@@ -163,10 +163,10 @@
 	}
 	together := actions(t, build(1, 2))
 	for _, i := range []uint32{1, 2} {
-		apart := actions(t, build(i))
+		separate := actions(t, build(i))
 		mine := slices.DeleteFunc(slices.Clone(together), func(a action) bool { return a.inst != i })
-		if !slices.Equal(apart, mine) || len(mine) < 60 {
-			t.Fatalf("instance %d: got %d actions together with the other one and %d apart, want the same", i, len(mine), len(apart))
+		if !slices.Equal(separate, mine) || len(mine) < 60 {
+			t.Fatalf("instance %d: got %d actions together with the other one and %d apart, want the same", i, len(mine), len(separate))
 		}
 	}
 }
@@ -181,16 +181,16 @@
 
 func TestMalformedInputReturnsError(t *testing.T) {
 	for name, in := range map[string][]byte{
-		"cut off":               batch(1, 0, open(1, 5))[:30],
-		"list never sent":       batch(1, 0, open(1, 5), fleet(1, simwire.FleetFull, 9)),
-		"record shorter":        batch(1, 0, open(1, 5), record(simwire.EventAsk, uint32(1), uint32(3))),
-		"unusable settings":     batch(1, 0, record(simwire.EventOpenInstance, uint32(1), uint64(1), uint32(11), "balancers=0")),
-		"settings without sign": batch(1, 0, record(simwire.EventOpenInstance, uint32(1), uint64(1), uint32(3), "abc")),
-		"bytes left over":       append(binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, 1), 3), 0, 0, 0, 0, 1, 2, 3),
+		"truncated batch":    batch(1, 0, open(1, 5))[:30],
+		"list never sent":    batch(1, 0, open(1, 5), fleet(1, simwire.FleetFull, 9)),
+		"truncated record":   batch(1, 0, open(1, 5), record(simwire.EventAsk, uint32(1), uint32(3))),
+		"unusable settings":  batch(1, 0, record(simwire.EventOpenInstance, uint32(1), uint64(1), uint32(11), "balancers=0")),
+		"settings without =": batch(1, 0, record(simwire.EventOpenInstance, uint32(1), uint64(1), uint32(3), "abc")),
+		"trailing bytes":     append(binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, 1), 3), 0, 0, 0, 0, 1, 2, 3),
 	} {
 		err := Serve(bytes.NewReader(in), io.Discard)
 		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: got error %v, want one plain line", name, err)
+			t.Errorf("%s: got error %v, want one line", name, err)
 		}
 	}
 }
--- a/internal/simulation/simwire/actions.go
+++ b/internal/simulation/simwire/actions.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Action is an action. Its code decides which fields it has.
+// Action is a decoded action. The code determines which of the fields are set.
 type Action struct {
 	Code     uint16
 	Instance uint32
@@ -15,7 +15,7 @@
 	Text     string
 }
 
-// Action reads a record as an action. One with an unknown code has only its code and its instance.
+// Action decodes a record as an action. For an unknown code only the code and the instance are set.
 func (r Record) Action() (Action, error) {
 	f := r.reader()
 	a := Action{Code: r.Code, Instance: f.u32()}
--- a/internal/simulation/simwire/batchwriter.go
+++ b/internal/simulation/simwire/batchwriter.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// BatchWriter writes a frame of events, as the simulator does.
+// BatchWriter encodes a frame of events, as the simulator does.
 type BatchWriter struct{ recordWriter }
 
-// Begin begins a batch.
+// Begin starts a batch and discards the previous one.
 func (w *BatchWriter) Begin(number uint32, clock time.Duration) {
 	w.buf = append(w.buf[:0], make([]byte, batchHeaderSize)...)
 	binary.LittleEndian.PutUint32(w.buf, number)
@@ -39,7 +39,7 @@
 	w.end()
 }
 
-// Manifest gives an endpoint list a number, for all instances.
+// Manifest stores an endpoint list under a page number, for all instances.
 func (w *BatchWriter) Manifest(page uint16, entries []Entry) {
 	w.beginShared(EventManifest)
 	w.u16(page)
@@ -56,7 +56,7 @@
 	w.end()
 }
 
-// Fleet delivers a message about the endpoint list.
+// Fleet delivers an endpoint list, by its page number, or a failed poll to an instance.
 func (w *BatchWriter) Fleet(instance uint32, kind uint8, version uint32, page uint16) {
 	w.begin(EventFleet, instance)
 	w.u8(kind)
--- a/internal/simulation/simwire/codes.go
+++ b/internal/simulation/simwire/codes.go
@@ -1,19 +1,19 @@
 // Package simwire implements the simulator's binary protocol: frames, the records in them, and the
 // endpoint lists. The simulator sends batches of events and gets a reply with actions to each.
 //
-// Events, actions and their fields have the names of the protocol's description; package simadapter
-// translates them into those of package policy.
+// Events, actions and their fields are named as in the protocol's description; package simadapter
+// translates them to the terms of package policy.
 package simwire
 
 import "time"
 
-// Codes of events.
+// Event codes.
 const (
 	EventCheckResult  = 1000 // the result of a probe
 	EventManifest     = 1010 // a numbered endpoint list
 	EventCrashNow     = 1020 // the end of an instance
-	EventHeaders      = 1030 // a response has begun to stream
-	EventHeard        = 1040 // a message of another instance
+	EventHeaders      = 1030 // a response has started to stream
+	EventHeard        = 1040 // a message from another instance
 	EventFleet        = 1050 // a message about the endpoint list
 	EventFinished     = 1060 // the end of an attempt
 	EventWake         = 1070 // a timer is due
@@ -22,7 +22,7 @@
 	EventOpenInstance = 1100 // the start of an instance
 )
 
-// Codes of actions.
+// Action codes.
 const (
 	ActionCallOut  = 1000 // start an attempt
 	ActionPushBack = 1010 // refuse a request
@@ -35,7 +35,7 @@
 	ActionTail     = 1100 // subscribe to the endpoint list
 )
 
-// Codes of outcomes.
+// Outcome codes.
 const (
 	OutcomeServed       = 100
 	OutcomeErrored      = 301
@@ -57,8 +57,8 @@
 
 // Bits of an Ask event.
 const (
-	AskBitHint   = 1 // the hint is valid
-	AskBitRepeat = 2 // known to be the client's own retry
+	AskBitHint   = 1 // the Hint field is valid
+	AskBitRepeat = 2 // the request is a retry by the client
 )
 
 // Status values of a list entry.
--- a/internal/simulation/simwire/events.go
+++ b/internal/simulation/simwire/events.go
@@ -8,16 +8,16 @@
 // upstreamSize is the size of a server's address on the wire.
 const upstreamSize = 6
 
-// Upstream is a server's address and port: the six bytes of the wire, the first byte lowest.
+// Upstream is a server's address and port: the six bytes on the wire in little-endian order.
 type Upstream uint64
 
-// LoadReport is a server's load report: up to four values in the order that the settings name.
+// LoadReport is a server's load report: up to four values, in the column order given by the settings.
 type LoadReport struct {
 	Count  int
 	Values [4]float32
 }
 
-// Value returns the value in a column, and whether there is one.
+// Value returns the value of a column, and whether the report has that column.
 func (r LoadReport) Value(column int) (float64, bool) {
 	if column < 0 || column >= r.Count {
 		return 0, false
@@ -33,7 +33,7 @@
 	Cohort   uint16 // cell
 	Status   uint8
 	Rating   float64       // weight
-	Boot     time.Duration // time of the last start; 0: long ago
+	Boot     time.Duration // time of the last start; 0: before the run
 }
 
 // Ask is a client's request.
@@ -42,30 +42,30 @@
 	Bits   uint16
 	Key    uint64 // 0: none
 	Tenant uint32
-	Left   time.Duration // until the client gives up
+	Left   time.Duration // time left until the client's deadline
 	Hint   time.Duration // expected work, valid with AskBitHint
 	Kind   uint8         // class
 }
 
-// Finished is the end of an attempt.
+// Finished is the outcome of an attempt.
 type Finished struct {
 	Job      uint32
 	Hop      uint8 // number of the attempt
 	Upstream Upstream
 	Ending   uint16 // an outcome code
 	Took     time.Duration
-	Settled  bool // the request has its answer, or its client has left
+	Settled  bool // the request has been answered, or its client has left
 	Pressure LoadReport
 }
 
-// Instance reads the instance that a record is for. A Manifest has none.
+// Instance reads the instance that a record belongs to. A Manifest has no instance.
 func (r Record) Instance() (uint32, error) {
 	f := r.reader()
 	instance := f.u32()
 	return instance, f.err()
 }
 
-// afterInstance returns a reader of the fields that follow the instance.
+// afterInstance returns a reader positioned behind the instance field.
 func (r Record) afterInstance() fieldReader {
 	f := r.reader()
 	f.u32()
@@ -78,7 +78,7 @@
 	page = f.u16()
 	n := f.u32()
 	if f.short || uint64(n)*entrySize > uint64(len(f.left)) {
-		return 0, nil, fmt.Errorf("record %d: %d list lines claimed, %d bytes left", r.Code, n, len(f.left))
+		return 0, nil, fmt.Errorf("record %d: list length is %d, which exceeds the %d bytes left", r.Code, n, len(f.left))
 	}
 	entries = make([]Entry, n)
 	for i := range entries {
@@ -90,7 +90,7 @@
 	return page, entries, f.err()
 }
 
-// OpenInstance reads the start of an instance. info is valid as long as the batch.
+// OpenInstance reads the start of an instance. info aliases the batch's body.
 func (r Record) OpenInstance() (seed uint64, info []byte, err error) {
 	f := r.afterInstance()
 	seed = f.u64()
@@ -128,19 +128,19 @@
 func (r Record) CheckResult() (server Upstream, ending uint16, report LoadReport, err error) {
 	f := r.afterInstance()
 	server, ending = f.upstream(), f.u16()
-	f.millis() // the time that it took
+	f.millis() // duration of the probe, unused
 	report = f.loadReport()
 	return server, ending, report, f.err()
 }
 
-// Job reads the request that a ClientLeft or Headers record names.
+// Job reads the request id of a ClientLeft or Headers record.
 func (r Record) Job() (uint32, error) {
 	f := r.afterInstance()
 	job := f.u32()
 	return job, f.err()
 }
 
-// Cookie reads the cookie of a Wake record.
+// Cookie reads the timer cookie of a Wake record.
 func (r Record) Cookie() (uint64, error) {
 	f := r.afterInstance()
 	cookie := f.u64()
--- a/internal/simulation/simwire/fixtures_test.go
+++ b/internal/simulation/simwire/fixtures_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// recordedFrames reads the frames that commit 396a775 wrote, by the name of their message.
+// recordedFrames reads the frames that were recorded at commit 396a775, by message name.
 func recordedFrames(t *testing.T) map[string][]byte {
 	t.Helper()
 	text, err := os.ReadFile("testdata/messages.txt")
@@ -46,7 +46,7 @@
 	{Upstream: 1, Area: 255, Family: 255, Cohort: 65535, Status: StatusGone, Boot: 1},
 }
 
-// recordedEvent is one kind of event: how it is written, and what is read from it.
+// recordedEvent is a recorded kind of event: write encodes it, read decodes it, want is the decoded value.
 type recordedEvent struct {
 	write func(*BatchWriter)
 	code  uint16
@@ -177,7 +177,7 @@
 	}
 	for name := range frames {
 		if strings.HasPrefix(name, "event-") {
-			t.Errorf("%s is not checked", name)
+			t.Errorf("recorded frame %s is not checked", name)
 		}
 	}
 }
--- a/internal/simulation/simwire/frames.go
+++ b/internal/simulation/simwire/frames.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// maxFrameSize bounds the size that a frame may state. Real batches have some megabytes; more is a
-	// corrupt stream.
+	// maxFrameSize bounds the body size in a frame's header. Real batches have a few megabytes; a larger
+	// size indicates a corrupt stream.
 	maxFrameSize = 1 << 28
-	// readChunk bounds the memory that is allocated before its content has arrived.
+	// readChunk bounds the memory that is allocated ahead of the data that has arrived.
 	readChunk = 1 << 20
 )
 
-// Batch is a frame of events.
+// Batch is a frame of events, with the simulator's clock.
 type Batch struct {
 	Number  uint32
 	Records uint32
@@ -29,7 +29,7 @@
 
 // Reply is a frame of actions, the answer to a batch.
 type Reply struct {
-	Number  uint32 // of the batch
+	Number  uint32 // number of the batch that it replies to
 	Records uint32
 	Body    []byte // valid until the next ReadReply
 }
@@ -37,7 +37,7 @@
 // Reader reads frames from a stream.
 type Reader struct {
 	r    io.Reader
-	head [batchHeaderSize]byte // the larger of the two headers
+	head [batchHeaderSize]byte // the batch header is the larger one
 	buf  []byte
 }
 
@@ -54,11 +54,11 @@
 	size := binary.LittleEndian.Uint32(head[8:])
 	clock := math.Float64frombits(binary.LittleEndian.Uint64(head[12:]))
 	if math.IsNaN(clock) || math.IsInf(clock, 0) {
-		return Batch{}, fmt.Errorf("batch %d: clock is not a number", b.Number)
+		return Batch{}, fmt.Errorf("batch %d: clock is not a finite number", b.Number)
 	}
 	b.Clock = settings.DurationFromMillis(clock)
 	if size > maxFrameSize {
-		return Batch{}, fmt.Errorf("batch %d: %d bytes claimed, at most %d are taken", b.Number, size, maxFrameSize)
+		return Batch{}, fmt.Errorf("batch %d: body size is %d bytes, want at most %d", b.Number, size, maxFrameSize)
 	}
 	if !fits(b.Records, size) {
 		return Batch{}, fmt.Errorf("batch %d: %d records cannot fit into %d bytes", b.Number, b.Records, size)
@@ -78,7 +78,7 @@
 	p := Reply{Number: binary.LittleEndian.Uint32(head), Records: binary.LittleEndian.Uint32(head[8:])}
 	size := binary.LittleEndian.Uint32(head[4:])
 	if size > maxFrameSize || !fits(p.Records, size) {
-		return Reply{}, fmt.Errorf("reply %d: %d records in %d bytes cannot be", p.Number, p.Records, size)
+		return Reply{}, fmt.Errorf("reply %d: invalid header: %d records in %d bytes", p.Number, p.Records, size)
 	}
 	if p.Body, err = r.body(int(size)); err != nil {
 		return Reply{}, fmt.Errorf("reply %d: %w", p.Number, err)
@@ -98,11 +98,11 @@
 	return head, nil
 }
 
-// fits says whether a number of records fits into a number of bytes.
+// fits reports whether a body of size bytes can hold that many records.
 func fits(records, size uint32) bool { return uint64(records)*recordHeaderSize <= uint64(size) }
 
-// body reads the rest of a frame. The buffer grows with what arrives, so that a wrong size in a short
-// stream does not cause a large allocation.
+// body reads a frame's body. The buffer grows as data arrives, so that a wrong size in a short stream
+// does not cause a large allocation.
 func (r *Reader) body(size int) ([]byte, error) {
 	r.buf = r.buf[:0]
 	for left := size; left > 0; {
--- a/internal/simulation/simwire/records.go
+++ b/internal/simulation/simwire/records.go
@@ -18,13 +18,13 @@
 // NextRecord returns the first record of a frame's body and the rest of the body.
 func NextRecord(body []byte) (Record, []byte, error) {
 	if len(body) < recordHeaderSize {
-		return Record{}, nil, fmt.Errorf("record header cut off: %d bytes left", len(body))
+		return Record{}, nil, fmt.Errorf("truncated record header: %d bytes left", len(body))
 	}
 	size := binary.LittleEndian.Uint32(body[2:])
 	record := Record{Code: binary.LittleEndian.Uint16(body)}
 	body = body[recordHeaderSize:]
 	if uint64(size) > uint64(len(body)) {
-		return Record{}, nil, fmt.Errorf("record %d: %d bytes claimed, %d left", record.Code, size, len(body))
+		return Record{}, nil, fmt.Errorf("record %d: size is %d bytes, %d are left", record.Code, size, len(body))
 	}
 	record.Fields = body[:size]
 	return record, body[size:], nil
@@ -33,20 +33,20 @@
 // reader returns a reader of the record's fields.
 func (r Record) reader() fieldReader { return fieldReader{code: r.Code, left: r.Fields} }
 
-// fieldReader reads the fields of a record in their order. If the record is too short, that field and
-// all further ones are zero, and err returns an error. Bytes that are left over are allowed, as later
-// versions may add fields.
+// fieldReader reads the fields of a record in order. If the record is too short, the truncated field
+// and all later ones are zero, and err returns an error. Unread bytes are allowed, as later versions
+// may add fields.
 type fieldReader struct {
 	code   uint16
 	left   []byte
-	offset int // of left in the fields
+	offset int // of left within the record's fields
 	short  bool
 }
 
 // err returns an error if the record was too short.
 func (f *fieldReader) err() error {
 	if f.short {
-		return fmt.Errorf("record %d: the field at byte %d is cut off", f.code, recordHeaderSize+f.offset)
+		return fmt.Errorf("record %d: field at byte %d is truncated", f.code, recordHeaderSize+f.offset)
 	}
 	return nil
 }
@@ -95,7 +95,7 @@
 
 func (f *fieldReader) flag() bool { return f.u8() != 0 }
 
-// millis reads a time in milliseconds.
+// millis reads a duration in milliseconds.
 func (f *fieldReader) millis() time.Duration { return settings.DurationFromMillis(f.f64()) }
 
 func (f *fieldReader) upstream() Upstream {
@@ -122,24 +122,25 @@
 	return report
 }
 
-// recordWriter collects the records of a frame. Each begins with begin or beginShared and ends with end.
+// recordWriter encodes the records of a frame. Each record starts with begin or beginShared and is
+// completed by end.
 type recordWriter struct {
 	buf     []byte
 	records uint32
-	start   int // of the fields of the record under way
+	start   int // offset of the current record's fields in buf
 }
 
-// begin begins a record for an instance.
+// begin starts a record for an instance.
 func (w *recordWriter) begin(code uint16, instance uint32) {
 	w.beginShared(code)
 	w.u32(instance)
 }
 
-// beginShared begins a record that is for no particular instance.
+// beginShared starts a record that does not belong to one instance.
 func (w *recordWriter) beginShared(code uint16) {
 	w.records++
 	w.u16(code)
-	w.u32(0) // the size, which end sets
+	w.u32(0) // size, set by end
 	w.start = len(w.buf)
 }
 
@@ -184,7 +185,7 @@
 	}
 }
 
-// text writes a text with its length; what exceeds the largest length is cut off.
+// text writes a string with its length, truncated to the largest length that the field can hold.
 func (w *recordWriter) text(s string) {
 	s = s[:min(len(s), math.MaxUint16)]
 	w.u16(uint16(len(s)))
--- a/internal/simulation/simwire/replywriter.go
+++ b/internal/simulation/simwire/replywriter.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// ReplyWriter writes a frame of actions.
+// ReplyWriter encodes a frame of actions.
 type ReplyWriter struct{ recordWriter }
 
-// Begin begins the reply to a batch.
+// Begin starts the reply to a batch and discards the previous one.
 func (w *ReplyWriter) Begin(batch uint32) {
 	w.buf = append(w.buf[:0], make([]byte, replyHeaderSize)...)
 	binary.LittleEndian.PutUint32(w.buf, batch)
@@ -22,7 +22,7 @@
 	return w.buf
 }
 
-// CallOut starts an attempt. A patience of 0 lasts until the client gives up.
+// CallOut starts an attempt. With a timeout of 0 it may take until the client's deadline.
 func (w *ReplyWriter) CallOut(instance, job uint32, to Upstream, timeout time.Duration) {
 	w.begin(ActionCallOut, instance)
 	w.u32(job)
@@ -31,7 +31,7 @@
 	w.end()
 }
 
-// SetAlarm asks for a Wake with the cookie.
+// SetAlarm sets a timer, which causes a Wake event with the cookie.
 func (w *ReplyWriter) SetAlarm(instance uint32, after time.Duration, cookie uint64) {
 	w.begin(ActionSetAlarm, instance)
 	w.millis(after)
