--- a/internal/simulation/simwire/simwire_test.go
+++ b/internal/simulation/simwire/simwire_test.go
@@ -21,7 +21,7 @@
 	return b
 }
 
-// The records are examples of the protocol's description.
+// The frame holds the examples in the protocol's description.
 func TestReadBatch(t *testing.T) {
 	frame := unhex(t, `0c000000 03000000 4d000000 00000000206ec040
 		3804 27000000 03000000 c4913a5d 0100 640ad2557c3bf091 00000000 0000000000006e40 0000000000002840 00
@@ -84,10 +84,10 @@
 		t.Fatalf("got %v, %v in column 3, want 7, true", v, ok)
 	}
 	if _, ok := report.Value(-1); ok {
-		t.Fatal("there is no column -1")
+		t.Fatal("got a value for column -1")
 	}
 	if _, ok := (LoadReport{}).Value(3); ok {
-		t.Fatal("an empty report has no column")
+		t.Fatal("got a value from an empty report")
 	}
 	rec, _, _ = NextRecord(unhex(t, "1a04 0b000000 03000000 03 29000000 0700"))
 	if kind, version, page, err := rec.Fleet(); err != nil || kind != FleetCached || version != 41 || page != 7 {
@@ -140,10 +140,10 @@
 
 func TestMalformedFrames(t *testing.T) {
 	for name, in := range map[string][]byte{
-		"header cut off":        {1, 2, 3},
-		"body cut off":          frame(1, 100, 0, "short"),
+		"truncated header":      {1, 2, 3},
+		"truncated body":        frame(1, 100, 0, "short"),
 		"oversized":             frame(1, 1<<31, 0, ""),
-		"large and cut off":     frame(1, maxFrameSize, 0, "short"),
+		"large and truncated":   frame(1, maxFrameSize, 0, "short"),
 		"more records than fit": frame(100, 6, 0, "abcdef"),
 		"clock not a number":    frame(0, 0, math.NaN(), ""),
 	} {
@@ -152,8 +152,8 @@
 		}
 	}
 	for name, in := range map[string]string{
-		"record header cut off": "e803",
-		"record longer than it": "e803 ff000000 03000000",
+		"truncated record header": "e803",
+		"record longer than body": "e803 ff000000 03000000",
 	} {
 		if _, _, err := NextRecord(unhex(t, in)); err == nil {
 			t.Errorf("%s: got no error", name)
@@ -161,15 +161,15 @@
 	}
 	short := Record{Code: EventAsk, Fields: []byte{1, 0, 0, 0, 9}}
 	if _, err := short.Ask(); err == nil {
-		t.Error("fields cut off: got no error")
+		t.Error("truncated fields: got no error")
 	}
 	huge := Record{Code: EventManifest, Fields: []byte{0, 0, 255, 255, 255, 255}}
 	if _, _, err := huge.Manifest(); err == nil {
-		t.Error("list of four thousand million lines: got no error")
+		t.Error("list of 4294967295 entries: got no error")
 	}
 	longer := Record{Code: EventWake, Fields: append(make([]byte, 12), "a field of a later version"...)}
 	if _, err := longer.Cookie(); err != nil {
-		t.Errorf("added fields: got error %v", err)
+		t.Errorf("additional fields: got error %v", err)
 	}
 }
 
