--- a/internal/simulation/emulator/checker.go
+++ b/internal/simulation/emulator/checker.go
@@ -11,14 +11,14 @@
 // its id to its single answer, and each attempt to its server. It makes no decisions and shares no state
 // with the code that it checks.
 type Checker struct {
-	rules      Rules
-	classes    []Class
-	open       map[policy.RequestID]*openRequest
-	notifiedAt []map[int]time.Duration // by sidecar and server: when it was notified that the server drains or was removed
-	knownStart []map[int]time.Duration // by sidecar and server: the server's last start that it was notified of
-	coldWork   map[int][]coldArrival   // by server: work that arrived during slow start, within the rule's window
-	zones      func(server int) (zone, cell int)
-	sockets    bool // the run is on real sockets
+	rules       Rules
+	classes     []Class
+	open        map[policy.RequestID]*openRequest
+	notifiedAt  []map[int]time.Duration // by sidecar and server: when it was notified that the server drains or was removed
+	knownStart  []map[int]time.Duration // by sidecar and server: the server's last start that it was notified of
+	coldWork    map[int][]coldArrival   // by server: work that arrived during slow start, within the rule's window
+	zoneAndCell func(server int) (zone, cell int)
+	sockets     bool // the run is on real sockets
 
 	// ViolationTexts describes the first maxViolationTexts violations; Violations counts all, by rule.
 	ViolationTexts []string
@@ -56,8 +56,8 @@
 // maxViolationTexts bounds the number of violations that are described.
 const maxViolationTexts = 20
 
-func newChecker(s *Scenario, zones func(int) (int, int)) *Checker {
-	c := &Checker{rules: s.Rules, classes: s.Classes, open: make(map[policy.RequestID]*openRequest), coldWork: make(map[int][]coldArrival), zones: zones}
+func newChecker(s *Scenario, zoneAndCell func(int) (int, int)) *Checker {
+	c := &Checker{rules: s.Rules, classes: s.Classes, open: make(map[policy.RequestID]*openRequest), coldWork: make(map[int][]coldArrival), zoneAndCell: zoneAndCell}
 	for range s.Sidecars {
 		c.notifiedAt, c.knownStart = append(c.notifiedAt, make(map[int]time.Duration)), append(c.knownStart, make(map[int]time.Duration))
 	}
@@ -71,7 +71,7 @@
 // NewSocketChecker returns a Checker for runs on real sockets. There the servers report attempts, and a
 // cancelled attempt may reach its server after its request has ended.
 func NewSocketChecker(s *Scenario, f *Fleet) *Checker {
-	c := newChecker(s, f.Group)
+	c := newChecker(s, f.ZoneAndCell)
 	c.sockets = true
 	c.rules.AnswerSlack = Duration(SocketSlack)
 	return c
@@ -109,8 +109,8 @@
 			continue
 		}
 		c.Repeats++
-		zone, cell := c.zones(server)
-		firstZone, firstCell := c.zones(t.server)
+		zone, cell := c.zoneAndCell(server)
+		firstZone, firstCell := c.zoneAndCell(t.server)
 		switch {
 		case r.class.Idempotency == "unsafe":
 			c.addViolation(2, "request %d of %s was sent to server %d at %v; it may have run at server %d", id, r.class.Name, server, now, t.server)
--- a/internal/simulation/emulator/fault.go
+++ b/internal/simulation/emulator/fault.go
@@ -17,7 +17,7 @@
 	Extra    Duration `toml:"extra" json:"Extra"` // a further duration; see faultKinds
 	Zone     int      `toml:"zone" json:"Zone"`   // for faults that affect one zone
 
-	Tenant string `toml:"tenant,omitempty" json:"Tenant,omitempty"` // for burst: the only tenant whose traffic increases; empty: all tenants
+	Tenant string `toml:"tenant,omitempty" json:"Tenant,omitempty"` // for burst: the tenant that it is limited to
 }
 
 // faultKind describes and implements a kind of fault.
--- a/internal/simulation/emulator/fleet.go
+++ b/internal/simulation/emulator/fleet.go
@@ -71,7 +71,7 @@
 	return picked
 }
 
-// Group returns the zone and the cell of a server.
-func (f *Fleet) Group(server int) (zone, cell int) {
+// ZoneAndCell returns the zone and the cell number of a server.
+func (f *Fleet) ZoneAndCell(server int) (zone, cell int) {
 	return f.Servers[server].Zone, f.Servers[server].Cell.Number
 }
--- a/internal/simulation/emulator/impact.go
+++ b/internal/simulation/emulator/impact.go
@@ -12,7 +12,7 @@
 // may add up over a fleet.
 type Impact struct {
 	Sends                  int            `json:"sends"`
-	Retries                map[string]int `json:"again,omitempty"` // attempts after a request's first, by the ending of the previous attempt (endingNames)
+	Retries                map[string]int `json:"again,omitempty"` // by endingNames of the previous attempt
 	Rejected               int            `json:"turned_away"`
 	WastedWork             float64        `json:"wasted"` // work that served no client, in seconds on a core of speed 1
 	Probes                 int            `json:"probes"`
--- a/internal/simulation/emulator/listserver.go
+++ b/internal/simulation/emulator/listserver.go
@@ -23,16 +23,16 @@
 }
 
 type listEntry struct {
-	known     bool
+	listed    bool
 	entry     policy.Endpoint
 	changeSeq int // number of the last scheduled change; earlier ones are skipped
 }
 
 func newListServer(s *Sim) *listServer { return &listServer{sim: s, busyUntil: s.now} }
 
-// addKnown lists a server from the start of the run.
+// addInitial lists a server from the start of the run.
 func (l *listServer) addInitial(sv *Server) {
-	*l.entryOf(sv) = listEntry{known: true, entry: l.entry(sv)}
+	*l.entryOf(sv) = listEntry{listed: true, entry: l.entry(sv)}
 }
 
 // entryOf returns the entry of a server. The pointer is valid until the next server is added.
@@ -63,9 +63,9 @@
 
 // changed schedules an update of a server's entry. The update takes the server's state at that later time.
 func (l *listServer) changed(sv *Server) {
-	spec, at := l.sim.scenario.List, l.entryOf(sv)
-	at.changeSeq++
-	n := at.changeSeq
+	spec, entry := l.sim.scenario.List, l.entryOf(sv)
+	entry.changeSeq++
+	n := entry.changeSeq
 	delay := time.Duration(spec.RemovalDelay)
 	switch {
 	case sv.Unreachable:
@@ -74,16 +74,16 @@
 		delay = time.Duration(spec.AdditionDelay)
 	}
 	l.sim.after(delay+l.extraDelay, func() {
-		at := l.entryOf(sv) // the earlier pointer is invalid if servers were added
-		now := l.entry(sv)
-		if at.changeSeq != n && at.known {
+		entry := l.entryOf(sv) // the earlier pointer is invalid if servers were added
+		current := l.entry(sv)
+		if entry.changeSeq != n && entry.listed {
 			return // a later scheduled change updates the entry
 		}
-		if at.known && at.entry == now || !at.known && now.State == policy.Removed {
+		if entry.listed && entry.entry == current || !entry.listed && current.State == policy.Removed {
 			return
 		}
-		*at = listEntry{known: true, entry: now, changeSeq: at.changeSeq}
-		if now.State != policy.Ready {
+		*entry = listEntry{listed: true, entry: current, changeSeq: entry.changeSeq}
+		if current.State != policy.Ready {
 			for _, n := range l.sim.nodes {
 				n.afterInEpoch(time.Duration(l.sim.scenario.Rules.PollDeadline), func() { n.checkNotified(sv.Index) })
 			}
@@ -130,7 +130,7 @@
 // fullList returns all endpoints that are not removed.
 func (l *listServer) fullList() (all []policy.Endpoint) {
 	for _, e := range l.entries {
-		if e.known && e.entry.State != policy.Removed {
+		if e.listed && e.entry.State != policy.Removed {
 			all = append(all, e.entry)
 		}
 	}
--- a/internal/simulation/emulator/record.go
+++ b/internal/simulation/emulator/record.go
@@ -44,7 +44,7 @@
 	OverloadedServers   int `json:"fell"`
 	Events              int `json:"events"`
 	MalformedClients    int `json:"bad_clients"`         // connections of clients that send malformed requests
-	MalformedUnanswered int `json:"bad_clients_waiting"` // of those, connections without an error response or a close before the deadline
+	MalformedUnanswered int `json:"bad_clients_waiting"` // of those, neither answered nor closed by the deadline
 
 	P50MS  float64 `json:"p50_ms"`
 	P99MS  float64 `json:"p99_ms"`
--- a/internal/simulation/emulator/server.go
+++ b/internal/simulation/emulator/server.go
@@ -136,7 +136,7 @@
 	probeWork       = 0.00014               // seconds
 	repeatWork      = 0.001                 // seconds, for a deduplicated repeat
 	failedWorkShare = 0.05                  // fraction of its work that a request costs if it fails at once
-	warmUpWorkShare = 0.6                   // slow start ends after this fraction of the work that full capacity does in the slow start window
+	warmUpWorkShare = 0.6                   // share of the slow start window's work at full capacity that ends slow start
 	overloadSlack   = 1.1                   // tolerance on a server's budget during slow start, for random variation
 )
 
--- a/internal/simulation/emulator/server_test.go
+++ b/internal/simulation/emulator/server_test.go
@@ -86,8 +86,8 @@
 	}
 	sv.Draining = false
 	sv.Arrive(seconds(10), &Job{Work: 1})
-	if held := sv.Kill(seconds(10)); len(held) != 1 || sv.Connect(0) || sv.Arrive(seconds(11), &Job{}) != NotRunning {
-		t.Errorf("killed: got %d unfinished requests, want 1, and no connection or request accepted", len(held))
+	if unfinished := sv.Kill(seconds(10)); len(unfinished) != 1 || sv.Connect(0) || sv.Arrive(seconds(11), &Job{}) != NotRunning {
+		t.Errorf("killed: got %d unfinished requests, want 1, and no connection or request accepted", len(unfinished))
 	}
 }
 
--- a/internal/simulation/emulator/sim.go
+++ b/internal/simulation/emulator/sim.go
@@ -64,7 +64,7 @@
 	s := &Sim{newDecider: decide, now: StartTime, partitioned: make([]int, len(sc.Zones))}
 	s.environment = source(seed, streamEnvironment, 0)
 	s.feedback = source(seed, streamFeedback, 0)
-	s.checker = newChecker(sc, func(i int) (int, int) { return s.Group(i) })
+	s.checker = newChecker(sc, func(i int) (int, int) { return s.ZoneAndCell(i) })
 	s.record = NewRecord(sc, seed)
 	s.Fleet = NewFleet(sc, seed, s.environment)
 	s.list = newListServer(s)
--- a/internal/simulation/emulator/sim_test.go
+++ b/internal/simulation/emulator/sim_test.go
@@ -113,7 +113,7 @@
 	*policy.Balancer
 	policy.Host
 	classes      map[policy.RequestID]int
-	unsafeTarget policy.ServerID // target of all first attempts of the non-idempotent class; 0: unchanged
+	unsafeTarget policy.ServerID // target of all attempts of the non-idempotent class; 0: unchanged
 	send         func(m *interceptor, id policy.RequestID, to policy.ServerID, timeout time.Duration)
 	neverPolls   bool // never polls the endpoint list
 	refuse       func(m *interceptor, id policy.RequestID, pause time.Duration)
@@ -129,7 +129,7 @@
 }
 
 func (m *interceptor) Send(id policy.RequestID, to policy.ServerID, timeout, start time.Duration) {
-	if class, first := m.classes[id]; m.unsafeTarget != 0 && first && class == unsafeClass {
+	if class, known := m.classes[id]; m.unsafeTarget != 0 && known && class == unsafeClass {
 		to = m.unsafeTarget
 	}
 	m.Host.Send(id, to, timeout, start)
@@ -183,7 +183,7 @@
 	for name, c := range map[string]struct {
 		rule   int
 		sc     *Scenario
-		meddle func(*interceptor)
+		modify func(*interceptor)
 	}{
 		"refusal that is not sent": {1, overload, func(m *interceptor) {
 			m.refuse = func(*interceptor, policy.RequestID, time.Duration) {}
@@ -233,7 +233,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := runScenario(t, c.sc, 1, intercepting(c.meddle))
+			r := runScenario(t, c.sc, 1, intercepting(c.modify))
 			for rule, n := range r.Violations {
 				if (n > 0) != (rule == c.rule) {
 					t.Errorf("rule %d: got %d violations, want some of rule %d only", rule, n, c.rule)
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -32,10 +32,10 @@
 		t.Fatal(err)
 	}
 	calls := 0
-	o, err := p.Play(context.Background(), func(played, all int, _ Run) {
+	o, err := p.Play(context.Background(), func(completed, total int, _ Run) {
 		calls++
-		if played != calls || all != 18 {
-			t.Errorf("done reported %d of %d runs at its call %d", played, all, calls)
+		if completed != calls || total != 18 {
+			t.Errorf("done reported %d of %d runs at its call %d", completed, total, calls)
 		}
 	})
 	if err != nil || len(o.Runs) != 18 || o.Partial {
@@ -70,8 +70,8 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	o, err := p.Play(ctx, func(played, _ int, _ Run) {
-		if played == 2 {
+	o, err := p.Play(ctx, func(completed, _ int, _ Run) {
+		if completed == 2 {
 			cancel()
 		}
 	})
--- a/internal/simulation/remoteadapter/instance.go
+++ b/internal/simulation/remoteadapter/instance.go
@@ -22,7 +22,7 @@
 // request is the state of a request that later messages on the wire need.
 type request struct {
 	attempts      []attempt
-	endedAttempts int  // attempts
+	endedAttempts int
 	closed        bool // it has its answer, or its client has left
 }
 
