--- a/internal/simulation/simadapter/serve_test.go
+++ b/internal/simulation/simadapter/serve_test.go
@@ -166,7 +166,7 @@
 		separate := actions(t, build(i))
 		mine := slices.DeleteFunc(slices.Clone(together), func(a action) bool { return a.inst != i })
 		if !slices.Equal(separate, mine) || len(mine) < 60 {
-			t.Fatalf("instance %d: got %d actions together with the other one and %d apart, want the same", i, len(mine), len(separate))
+			t.Fatalf("instance %d: got %d actions together with the other one and %d separately, want the same", i, len(mine), len(separate))
 		}
 	}
 }
