--- a/internal/simulation/emulator/attempt.go
+++ b/internal/simulation/emulator/attempt.go
@@ -6,7 +6,7 @@
 	"barleywick/policy"
 )
 
-// request is one attempt of a client, at its sidecar.
+// request is one attempt of a client, as seen by its sidecar.
 type request struct {
 	id         policy.RequestID
 	node       *node
@@ -14,28 +14,28 @@
 	call       *call
 	deadline   time.Duration
 	attempts   []*attempt
-	closed     bool
+	closed     bool // answered, or its client has left
 	receivedAt time.Duration
-	shed       bool // the module counted it as shed
+	shed       bool // the decision module counted it as shed
 }
 
 // attempt is one attempt of a sidecar at a server.
 type attempt struct {
 	request   *request
 	number    int
-	to        *Server
-	ended     bool // the sidecar has its outcome
+	server    *Server
+	ended     bool // the sidecar has received its outcome
 	completed bool // the server has completed it
 	work      float64
-	connected bool // a connection is up
+	connected bool // it holds a connection
 
-	sent      time.Duration
+	sentAt    time.Duration
 	ending    policy.Ending
 	malformed bool
-	job       *Job // at the server; nil: it has not arrived there
+	job       *Job // at the server; nil if the attempt was not accepted there
 }
 
-// receive passes a client's request to the sidecar.
+// receive passes a client's request to the sidecar and schedules the check for a missing answer.
 func (n *node) receive(r *request, work time.Duration) {
 	s := n.sim
 	r.node, r.epoch, r.receivedAt = n, n.epoch, s.now
@@ -53,23 +53,23 @@
 			s.clients.unanswered(r)
 		}
 	})
-	n.deciding, n.shed = r, shedCount(n.decider)
+	n.deciding, n.shedBefore = r, shedCount(n.decider)
 	n.decider.Request(s.now, policy.Request{
 		ID: r.id, Class: r.call.Class, Tenant: r.call.Tenant, TimeLeft: r.deadline - s.now, ExpectedWork: work, AffinityKey: r.call.Key,
 	})
 	n.deciding = nil
 }
 
-// Send starts the next attempt of a request.
+// Send starts the next attempt of a request. The start limit is not modelled.
 func (n *node) Send(id policy.RequestID, to policy.ServerID, timeout, _ time.Duration) {
 	s := n.sim
 	sv := s.Servers[int(to)-1]
 	s.checker.AttemptSent(s.now, id, sv.Index)
 	r := n.open[id]
 	if r == nil {
-		return // the Checker reports the violation
+		return // sent after the end of the request; the Checker has reported the violation
 	}
-	a := &attempt{request: r, number: len(r.attempts), to: sv, sent: s.now}
+	a := &attempt{request: r, number: len(r.attempts), server: sv, sentAt: s.now}
 	r.attempts = append(r.attempts, a)
 	s.record.Sends++
 	h := s.record.impactAt(s.now)
@@ -85,18 +85,18 @@
 	n.dial(a)
 }
 
-// dial takes an idle connection or opens one, and sends the attempt.
+// dial sends the attempt on an idle connection, or opens a new one.
 func (n *node) dial(a *attempt) {
-	s, sv := n.sim, a.to
-	way := s.delay(n.zone, sv.Zone)
+	s, sv := n.sim, a.server
+	oneWay := s.delay(n.zone, sv.Zone)
 	idle := n.idle[sv.Index]
-	for len(idle) > 0 { // the one used last; those idle for too long are closed
+	for len(idle) > 0 { // the most recently used first; connections past the idle timeout are closed
 		since := idle[len(idle)-1]
 		idle = idle[:len(idle)-1]
 		if s.now-since <= time.Duration(s.scenario.Network.IdleTimeout) {
 			n.idle[sv.Index] = idle
 			a.connected = true
-			s.after(way, func() { s.arrive(a) })
+			s.after(oneWay, func() { s.arrive(a) })
 			return
 		}
 		sv.OpenConnections = max(0, sv.OpenConnections-1)
@@ -108,30 +108,30 @@
 	if sv.queueHalfFull() {
 		h.HandshakesToFullQueues++
 	}
-	if sv.Unreachable || !s.reachable(n.zone, sv.Zone) { // nothing comes back
+	if sv.Unreachable || !s.reachable(n.zone, sv.Zone) { // no reply arrives
 		n.afterInEpoch(time.Duration(s.scenario.Network.ConnectTimeout), func() { n.fail(a, policy.NoConnection) })
 		return
 	}
-	s.after(way, func() {
+	s.after(oneWay, func() {
 		s.advanceServer(sv)
 		if !sv.Connect(time.Duration(s.scenario.Network.HandshakeWork)) {
-			s.afterForAttempt(a, way, func() { n.fail(a, policy.NoConnection) })
+			s.afterForAttempt(a, oneWay, func() { n.fail(a, policy.NoConnection) })
 			return
 		}
-		if a.ended { // cancelled meanwhile
+		if a.ended { // cancelled during the handshake
 			sv.OpenConnections = max(0, sv.OpenConnections-1)
 			return
 		}
 		a.connected = true
-		s.after(2*way, func() { s.arrive(a) })
+		s.after(2*oneWay, func() { s.arrive(a) })
 	})
 }
 
-// afterForAttempt schedules an event that is void once the attempt's sidecar has been restarted.
-func (s *Sim) afterForAttempt(a *attempt, d time.Duration, do func()) {
+// afterForAttempt schedules an action that is dropped if the attempt's sidecar restarts before.
+func (s *Sim) afterForAttempt(a *attempt, d time.Duration, action func()) {
 	s.after(d, func() {
 		if a.request.node.epoch == a.request.epoch {
-			do()
+			action()
 		}
 	})
 }
@@ -144,11 +144,11 @@
 
 // arrive delivers an attempt to its server.
 func (s *Sim) arrive(a *attempt) {
-	sv, n := a.to, a.request.node
+	sv, n := a.server, a.request.node
 	if sv.Unreachable || !s.reachable(n.zone, sv.Zone) {
-		return // lost
+		return // the attempt is lost on the network
 	}
-	if a.ended { // cancelled on its way, or its sidecar was killed: it never arrives completely
+	if a.ended { // cancelled, or its sidecar was killed, before all of it arrived
 		return
 	}
 	s.advanceServer(sv)
@@ -160,7 +160,7 @@
 	if c := s.scenario.Classes[a.request.call.Class]; c.Idempotency == "keyed" {
 		j.Repeat, j.Window = uint64(a.request.id)+1, time.Duration(c.DedupWindow)
 	}
-	switch fell := sv.Overloaded; sv.Arrive(s.now, j) {
+	switch wasOverloaded := sv.Overloaded; sv.Arrive(s.now, j) {
 	case Accepted:
 		a.job = j
 		if s.resetShare > 0 && s.feedback.Float64() < s.resetShare {
@@ -173,7 +173,7 @@
 		s.record.impactAt(s.now).Rejected++
 		s.reply(sv, a, policy.Rejected)
 	case NotRunning:
-		if sv.Overloaded && !fell {
+		if sv.Overloaded && !wasOverloaded {
 			s.record.OverloadedServers++
 			s.kill(sv)
 		}
@@ -182,7 +182,7 @@
 	}
 }
 
-// endAttempt passes the outcome of an attempt to the sidecar, once.
+// endAttempt passes the outcome of an attempt to the sidecar; later outcomes are ignored.
 func (n *node) endAttempt(a *attempt, end policy.Ending) {
 	if a.ended {
 		return
@@ -208,20 +208,20 @@
 	}
 }
 
-// releaseConnection makes the connection of an attempt idle after an answer, and closes it otherwise.
+// releaseConnection keeps the connection of an attempt as idle after a response, and closes it otherwise.
 func (n *node) releaseConnection(a *attempt) {
 	if !a.connected {
 		return
 	}
 	switch a.ending {
 	case policy.Served, policy.Errored, policy.Rejected:
-		n.idle[a.to.Index] = append(n.idle[a.to.Index], n.sim.now)
+		n.idle[a.server.Index] = append(n.idle[a.server.Index], n.sim.now)
 	default:
-		a.to.OpenConnections = max(0, a.to.OpenConnections-1)
+		a.server.OpenConnections = max(0, a.server.OpenConnections-1)
 	}
 }
 
-// forget drops a request that is closed and has no attempt in flight.
+// forget deletes a closed request that has no attempt in flight.
 func (n *node) forget(r *request) {
 	for _, a := range r.attempts {
 		if !a.ended {
@@ -231,7 +231,7 @@
 	delete(n.open, r.id)
 }
 
-// answer sends the client its one final answer.
+// answer sends the client the final answer. The Checker is notified even if the request is closed.
 func (n *node) answer(r *request, a Answer, pause time.Duration) {
 	s := n.sim
 	s.checker.Answered(s.now, r.id, a)
@@ -239,7 +239,7 @@
 		return
 	}
 	r.closed = true
-	n.count(r, a)
+	n.countOutcome(r, a)
 	s.clients.answered(r, a, pause)
 }
 
@@ -248,15 +248,15 @@
 	n.finish(id, AnswerRefused, pause)
 }
 
-// Fail ends a request without a promise about its effect.
+// Fail ends a request that may have run.
 func (n *node) Fail(id policy.RequestID) { n.finish(id, AnswerFailed, 0) }
 
 func (n *node) finish(id policy.RequestID, a Answer, pause time.Duration) {
 	r := n.open[id]
 	if r == nil || r.closed {
-		return // it has just ended, which the protocol allows
+		return // the request has just ended; the protocol allows such a late answer
 	}
-	r.shed = n.deciding == r && shedCount(n.decider) > n.shed
+	r.shed = n.deciding == r && shedCount(n.decider) > n.shedBefore
 	n.answer(r, a, pause)
 	n.forget(r)
 }
--- a/internal/simulation/emulator/idealpolicy.go
+++ b/internal/simulation/emulator/idealpolicy.go
@@ -7,14 +7,14 @@
 	"barleywick/policy"
 )
 
-// An ideal policy gives each sidecar one fact that it cannot know, at once and at no cost:
-// the result bounds what can be gained by measuring that fact.
+// An ideal policy provides all sidecars with a fact that they could not measure exactly, without delay or
+// cost. The result of such a run bounds what can be gained by measuring the fact.
 const (
-	idealLoad      = "load"      // how many requests are in flight at each server
-	idealAdmission = "admission" // what fraction of the requests the servers can serve
+	idealLoad      = "load"      // number of requests in flight at each server
+	idealAdmission = "admission" // fraction of the requests that the servers can serve
 )
 
-// idealInterval is well under the time in which a queue builds up.
+// idealInterval is much shorter than the time in which a queue builds up.
 const idealInterval = 100 * time.Millisecond
 
 func checkIdealPolicy(name string) error {
@@ -22,39 +22,39 @@
 	case "", idealLoad, idealAdmission:
 		return nil
 	}
-	return fmt.Errorf("scenario: oracle is %q; there are %s and %s", name, idealLoad, idealAdmission)
+	return fmt.Errorf("scenario: oracle is %q, want %s or %s", name, idealLoad, idealAdmission)
 }
 
-// informIdeally gives the fact to all sidecars, periodically.
-func (s *Sim) informIdeally() {
+// sendIdealInformation periodically sends the ideal policy's fact to all sidecars.
+func (s *Sim) sendIdealInformation() {
 	switch s.scenario.IdealPolicy {
 	case idealLoad:
 		for _, sv := range s.Servers {
-			held := float64(len(sv.running) + len(sv.queue))
+			inFlight := float64(len(sv.running) + len(sv.queue))
 			for _, n := range s.nodes {
 				if n.up && sv.Alive && !sv.Unreachable && s.reachable(n.zone, sv.Zone) {
-					n.decider.Probed(s.now, policy.ServerID(sv.Index+1), true, policy.LoadReport{InFlight: held, Queued: -1, Utilization: -1, ServedPerSecond: -1})
+					n.decider.Probed(s.now, policy.ServerID(sv.Index+1), true, policy.LoadReport{InFlight: inFlight, Queued: -1, Utilization: -1, ServedPerSecond: -1})
 				}
 			}
 		}
 	case idealAdmission:
-		bears, asked := 0.0, s.scenario.meanWork()*s.scenario.Rate()*s.clients.arrivals.rateAt(s.now-StartTime)
+		available, requested := 0.0, s.scenario.meanWork()*s.scenario.Rate()*s.clients.arrivals.rateAt(s.now-StartTime)
 		for _, sv := range s.Servers {
 			waiting, capacity := sv.State(s.now)
-			bears += max(0, capacity-float64(waiting)*s.scenario.meanWork()) // queued work is served first
+			available += max(0, capacity-float64(waiting)*s.scenario.meanWork()) // queued work is served first
 		}
-		part := min(1, bears/max(asked, 1e-9))
-		parts := make([]float64, len(s.scenario.Tenants))
-		for i := range parts {
-			parts[i] = part
+		share := min(1, available/max(requested, 1e-9))
+		shares := make([]float64, len(s.scenario.Tenants))
+		for i := range shares {
+			shares[i] = share
 		}
 		for _, n := range s.nodes {
-			if d, takes := n.decider.(adviceTaker); takes && n.up {
-				d.Advise(s.now, policy.OverloadAdvice{AdmittedShares: parts, ValidFor: 2 * time.Second})
+			if d, accepts := n.decider.(adviceReceiver); accepts && n.up {
+				d.Advise(s.now, policy.OverloadAdvice{AdmittedShares: shares, ValidFor: 2 * time.Second})
 			}
 		}
 	default:
 		return
 	}
-	s.after(idealInterval, s.informIdeally)
+	s.after(idealInterval, s.sendIdealInformation)
 }
--- a/internal/simulation/emulator/listserver.go
+++ b/internal/simulation/emulator/listserver.go
@@ -8,34 +8,34 @@
 	"barleywick/policy"
 )
 
-// listServer is the discovery service. It learns of changes
-// late, sends them to its watchers in batches, and answers polls in order: a poll that
-// has waited too long fails, although it has used the service's time.
+// listServer models the discovery service. It receives changes with a delay, sends them to watches in
+// batches, and answers polls in order. A poll that has waited too long fails, but still uses the service's
+// time.
 type listServer struct {
-	sim          *Sim
-	entries      []listEntry // by server
-	log          []int       // servers, in the order of their changes
-	down         bool
-	extraDelay   time.Duration // beyond the usual delay
-	busyUntil    time.Duration // when it has answered the polls that it has
-	flushPlanned bool          // a batch of watch events is scheduled
-	notified     int           // the part of the log that has been sent to watches
+	sim            *Sim
+	entries        []listEntry // by server
+	log            []int       // server indexes, in the order of their changes
+	down           bool
+	extraDelay     time.Duration // added to the delay of changes by faults
+	busyUntil      time.Duration // when the polls received so far are answered
+	flushScheduled bool          // a batch of watch events is scheduled
+	notifiedUpTo   int           // length of the part of log that was sent to watches
 }
 
 type listEntry struct {
-	known  bool
-	entry  policy.Endpoint
-	change int // counts changes on their way; earlier ones are void
+	listed    bool
+	entry     policy.Endpoint
+	changeSeq int // number of the last scheduled change; earlier ones are skipped
 }
 
 func newListServer(s *Sim) *listServer { return &listServer{sim: s, busyUntil: s.now} }
 
-// addKnown lists a server from the start of the run.
-func (l *listServer) addKnown(sv *Server) {
-	*l.entryOf(sv) = listEntry{known: true, entry: l.entry(sv)}
+// addInitial lists a server from the start of the run.
+func (l *listServer) addInitial(sv *Server) {
+	*l.entryOf(sv) = listEntry{listed: true, entry: l.entry(sv)}
 }
 
-// entryOf returns the entry of a server; the pointer is valid until the next server is added.
+// entryOf returns the entry of a server. The pointer is valid until the next server is added.
 func (l *listServer) entryOf(sv *Server) *listEntry {
 	for len(l.entries) <= sv.Index {
 		l.entries = append(l.entries, listEntry{})
@@ -43,7 +43,7 @@
 	return &l.entries[sv.Index]
 }
 
-// entry returns a server's present state as the list shows it.
+// entry returns a server's present state as an endpoint of the list.
 func (l *listServer) entry(sv *Server) policy.Endpoint {
 	e := policy.Endpoint{
 		ID: policy.ServerID(sv.Index + 1), Zone: sv.Zone, Cell: sv.Cell.Number, State: policy.Ready, Weight: weight(sv), Started: sv.StartedAt,
@@ -57,39 +57,40 @@
 	return e
 }
 
-// unreachableDelayFactor multiplies the delay for a machine that has become unreachable.
+// unreachableDelayFactor multiplies the delay for a machine that became unreachable, which the service
+// detects later than a process that ended.
 const unreachableDelayFactor = 3
 
-// changed schedules that the list learns a server's state as it is at that later time.
+// changed schedules an update of a server's entry. The update takes the server's state at that later time.
 func (l *listServer) changed(sv *Server) {
-	spec, at := l.sim.scenario.List, l.entryOf(sv)
-	at.change++
-	n := at.change
-	late := time.Duration(spec.RemovalDelay)
+	spec, entry := l.sim.scenario.List, l.entryOf(sv)
+	entry.changeSeq++
+	n := entry.changeSeq
+	delay := time.Duration(spec.RemovalDelay)
 	switch {
 	case sv.Unreachable:
-		late *= unreachableDelayFactor
+		delay *= unreachableDelayFactor
 	case sv.Alive && !sv.Draining:
-		late = time.Duration(spec.AdditionDelay)
+		delay = time.Duration(spec.AdditionDelay)
 	}
-	l.sim.after(late+l.extraDelay, func() {
-		at := l.entryOf(sv) // servers may have been added
-		now := l.entry(sv)
-		if at.change != n && at.known {
-			return // a later change brings it
+	l.sim.after(delay+l.extraDelay, func() {
+		entry := l.entryOf(sv) // the earlier pointer is invalid if servers were added
+		current := l.entry(sv)
+		if entry.changeSeq != n && entry.listed {
+			return // a later scheduled change updates the entry
 		}
-		if at.known && at.entry == now || !at.known && now.State == policy.Removed {
+		if entry.listed && entry.entry == current || !entry.listed && current.State == policy.Removed {
 			return
 		}
-		*at = listEntry{known: true, entry: now, change: at.change}
-		if now.State != policy.Ready {
+		*entry = listEntry{listed: true, entry: current, changeSeq: entry.changeSeq}
+		if current.State != policy.Ready {
 			for _, n := range l.sim.nodes {
 				n.afterInEpoch(time.Duration(l.sim.scenario.Rules.PollDeadline), func() { n.checkNotified(sv.Index) })
 			}
 		}
 		l.log = append(l.log, sv.Index)
-		if !l.flushPlanned {
-			l.flushPlanned = true
+		if !l.flushScheduled {
+			l.flushScheduled = true
 			l.sim.after(time.Duration(spec.Period), l.notifyWatches)
 		}
 	})
@@ -97,12 +98,12 @@
 
 // notifyWatches sends the changes to all watches.
 func (l *listServer) notifyWatches() {
-	l.flushPlanned = false
+	l.flushScheduled = false
 	if l.down {
-		return // watches get the full list when they come back
+		return // sidecars poll the full list when the service is back
 	}
-	changes := l.since(l.notified)
-	l.notified = len(l.log)
+	changes := l.changesSince(l.notifiedUpTo)
+	l.notifiedUpTo = len(l.log)
 	for _, n := range l.sim.nodes {
 		if n.up && n.watching {
 			n.afterInEpoch(l.sim.delay(n.zone, 0), func() {
@@ -114,8 +115,8 @@
 	}
 }
 
-// since returns what changed after a position in the log, each server once.
-func (l *listServer) since(from int) (changes []policy.Endpoint) {
+// changesSince returns the entries that changed after a position in the log, each server once.
+func (l *listServer) changesSince(from int) (changes []policy.Endpoint) {
 	seen := make(map[int]bool)
 	for _, i := range l.log[from:] {
 		if !seen[i] {
@@ -126,10 +127,10 @@
 	return changes
 }
 
-// fullList returns all endpoints.
+// fullList returns all endpoints that are not removed.
 func (l *listServer) fullList() (all []policy.Endpoint) {
 	for _, e := range l.entries {
-		if e.known && e.entry.State != policy.Removed {
+		if e.listed && e.entry.State != policy.Removed {
 			all = append(all, e.entry)
 		}
 	}
@@ -141,45 +142,45 @@
 	s, spec := l.sim, l.sim.scenario.List
 	s.record.ListCalls++
 	s.record.impactAt(s.now).ListCalls++
-	way := s.delay(n.zone, 0)
+	oneWay := s.delay(n.zone, 0)
 	if l.down {
-		n.afterInEpoch(2*way, func() { l.callFailed(n) })
+		n.afterInEpoch(2*oneWay, func() { l.pollFailed(n) })
 		return
 	}
-	begin := max(l.busyUntil, s.now+way)
-	lines := float64(spec.PerCall)
+	start := max(l.busyUntil, s.now+oneWay)
+	cost := float64(spec.PerCall)
 	if !n.watching {
-		lines += float64(len(l.entries))
+		cost += float64(len(l.entries))
 	}
-	l.busyUntil = begin + time.Duration(lines/spec.PerMS*float64(time.Millisecond))
-	if begin-s.now > time.Duration(spec.MaxWait) {
-		n.afterInEpoch(time.Duration(spec.MaxWait), func() { l.callFailed(n) })
+	l.busyUntil = start + time.Duration(cost/spec.PerMS*float64(time.Millisecond))
+	if start-s.now > time.Duration(spec.MaxWait) {
+		n.afterInEpoch(time.Duration(spec.MaxWait), func() { l.pollFailed(n) })
 		return
 	}
 	n.afterInEpoch(l.busyUntil-s.now, func() {
 		if l.down {
-			l.callFailed(n)
+			l.pollFailed(n)
 			return
 		}
 		n.watching = true
 		all := l.fullList()
-		n.afterInEpoch(way, func() { n.listReceived(policy.ListFull, all) })
+		n.afterInEpoch(oneWay, func() { n.listReceived(policy.ListFull, all) })
 	})
 }
 
-func (l *listServer) callFailed(n *node) {
+func (l *listServer) pollFailed(n *node) {
 	l.sim.record.ListFailed++
 	l.sim.record.impactAt(l.sim.now).ListFailed++
 	n.watching, n.pollFailed = false, true
 	n.decider.List(l.sim.now, policy.ListFailed, nil)
 }
 
-// takeDown stops the service and ends its watches.
+// takeDown stops the service and fails its watches.
 func (l *listServer) takeDown() {
 	l.down = true
 	for _, n := range l.sim.nodes {
 		if n.up && n.watching {
-			n.afterInEpoch(l.sim.delay(n.zone, 0), func() { l.callFailed(n) })
+			n.afterInEpoch(l.sim.delay(n.zone, 0), func() { l.pollFailed(n) })
 		}
 	}
 }
@@ -187,7 +188,7 @@
 // endWatch ends the watch of a sidecar that has ended.
 func (l *listServer) endWatch(n *node) { n.watching = false }
 
-// weight returns a machine's size as the list shows it: rounded, and as precise as the wire.
+// weight returns a machine's capacity as listed: rounded to one decimal, with the precision of the wire.
 func weight(sv *Server) float64 {
 	return float64(float32(cmp.Or(math.Round(sv.Kind.capacity()*10)/10, 1)))
 }
--- a/internal/simulation/simwire/replywriter.go
+++ b/internal/simulation/simwire/replywriter.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// ReplyWriter writes a frame of actions.
+// ReplyWriter encodes a frame of actions.
 type ReplyWriter struct{ recordWriter }
 
-// Begin begins the reply to a batch.
+// Begin starts the reply to a batch and discards the previous one.
 func (w *ReplyWriter) Begin(batch uint32) {
 	w.buf = append(w.buf[:0], make([]byte, replyHeaderSize)...)
 	binary.LittleEndian.PutUint32(w.buf, batch)
@@ -22,16 +22,16 @@
 	return w.buf
 }
 
-// CallOut starts an attempt. A patience of 0 lasts until the client gives up.
-func (w *ReplyWriter) CallOut(instance, job uint32, to Upstream, patience time.Duration) {
+// CallOut starts an attempt. With a timeout of 0 it may take until the client's deadline.
+func (w *ReplyWriter) CallOut(instance, job uint32, to Upstream, timeout time.Duration) {
 	w.begin(ActionCallOut, instance)
 	w.u32(job)
 	w.upstream(to)
-	w.millis(patience)
+	w.millis(timeout)
 	w.end()
 }
 
-// SetAlarm asks for a Wake with the cookie.
+// SetAlarm sets a timer, which causes a Wake event with the cookie.
 func (w *ReplyWriter) SetAlarm(instance uint32, after time.Duration, cookie uint64) {
 	w.begin(ActionSetAlarm, instance)
 	w.millis(after)
@@ -84,8 +84,8 @@
 }
 
 // Die reports that the decision code has failed.
-func (w *ReplyWriter) Die(instance uint32, note string) {
+func (w *ReplyWriter) Die(instance uint32, reason string) {
 	w.begin(ActionDie, instance)
-	w.text(note)
+	w.text(reason)
 	w.end()
 }
