--- a/internal/registry/server/checked_log.go
+++ b/internal/registry/server/checked_log.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	checksumSize   = 4         // bytes at the end of an entry's data
-	logHeaderBytes = 8 + 8 + 1 // of an entry's index, term and type
+	checksumSize   = 4         // bytes appended to an entry's data
+	logHeaderBytes = 8 + 8 + 1 // index, term and type of an entry
 )
 
-// checkedLog is Raft's log with a checksum for each entry, which BoltDB does not have.
+// checkedLog is Raft's log with a checksum per entry, since BoltDB does not checksum its values.
 type checkedLog struct {
 	*raftboltdb.BoltStore
 	calls          *diskCalls
 	lastWriteError atomic.Pointer[error] // nil if the last write succeeded
 }
 
-// entryChecksum returns the checksum of an entry with some data.
+// entryChecksum returns the checksum over an entry's index, term and type and the given data.
 func entryChecksum(entry *raft.Log, data []byte) uint32 {
 	var header [logHeaderBytes]byte
 	binary.BigEndian.PutUint64(header[:], entry.Index)
@@ -32,7 +32,7 @@
 	return crc32.Update(crc32.ChecksumIEEE(header[:]), crc32.IEEETable, data)
 }
 
-// StoreLog writes one entry.
+// StoreLog writes one entry with its checksum.
 func (l *checkedLog) StoreLog(entry *raft.Log) error { return l.StoreLogs([]*raft.Log{entry}) }
 
 // StoreLogs writes entries, each with its checksum.
@@ -47,12 +47,12 @@
 	return l.write("log entries", func() error { return l.BoltStore.StoreLogs(checked) })
 }
 
-// DeleteRange deletes the entries from one index to another, both included.
+// DeleteRange deletes the entries from index first to index last, inclusive.
 func (l *checkedLog) DeleteRange(first, last uint64) error {
 	return l.write("log compaction", func() error { return l.BoltStore.DeleteRange(first, last) })
 }
 
-// write runs a write, and keeps what became of it.
+// write runs a write of the log file and records its result in lastWriteError.
 func (l *checkedLog) write(name string, write func() error) error {
 	return l.calls.write(name, func() error {
 		err := write()
@@ -65,7 +65,7 @@
 	})
 }
 
-// GetLog reads an entry, and returns an error if it is not what was written.
+// GetLog reads an entry, and returns an error if its index or checksum does not match.
 func (l *checkedLog) GetLog(index uint64, entry *raft.Log) error {
 	if err := l.BoltStore.GetLog(index, entry); err != nil {
 		return err
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// verify reads every entry. The log may have a gap up to the entry that the newest snapshot ends
-// with: a replica that was behind has installed the snapshot, and stores what follows it.
+// verify reads every entry. Entries up to snapshotIndex, the last index of the newest snapshot, may
+// be missing: a replica that lags installs a snapshot and stores only the entries that follow it.
 func (l *checkedLog) verify(snapshotIndex uint64) error {
 	first, err := l.FirstIndex()
 	if err != nil {
--- a/internal/registry/server/compat_api_test.go
+++ b/internal/registry/server/compat_api_test.go
@@ -318,7 +318,7 @@
 func answersOfVersion(t testing.TB, program string) string {
 	t.Helper()
 	m, data := newMembers(t, "r0")[0], filepath.Join(t.TempDir(), "data")
-	grantsEnabled(t, program, m, data)
+	enableGrants(t, program, m, data)
 	settings := singleReplica(m, data, longLeases)
 	settings["limits"] = map[string]any{"watches": 1}
 	p := startProcess(t, program, writeConfig(t, settings))
--- a/internal/registry/server/compat_data_test.go
+++ b/internal/registry/server/compat_data_test.go
@@ -19,15 +19,15 @@
 
 const (
 	earlierGroup = "fixture"
-	// snapshotAfter is more than the entries after which a replica makes a snapshot.
-	snapshotAfter = 4200
-	snapshotWait  = 2 * time.Minute
-	// earlierTerm is the last that the earlier version led in: it was started twice.
+	// writesBeforeSnapshot exceeds snapshotEntries, so that the replica makes a snapshot.
+	writesBeforeSnapshot = 4200
+	snapshotTimeout      = 2 * time.Minute
+	// earlierTerm is the last term in which the earlier version led; it was started twice.
 	earlierTerm = 3
 )
 
-// earlierContents are writes to an empty group, before and after its snapshot.
-var earlierContents = [2][][3]string{
+// earlierWrites are the recorded writes to an empty group, before and after its snapshot.
+var earlierWrites = [2][][3]string{
 	{
 		{"PUT", "instances/s-1", `{"instance":{"host":"s-1","dial":"127.0.0.1:7001","site":"a","class":"m2","block":3,"health":"up","share":1.5,"born_ms":1700000000000},"session":"session-1","ttl_ms":3600000,"machine":"m-1"}`},
 		{"PUT", "instances/s-2", `{"instance":{"host":"s-2","dial":"127.0.0.1:7002","site":"b","class":"","health":"draining","share":1,"born_ms":0},"session":"","ttl_ms":0}`},
@@ -58,6 +58,7 @@
 	},
 }
 
+// singleReplica returns the configuration of a group of one replica, with additional settings.
 func singleReplica(m registry.ReplicaInfo, data string, more map[string]any) map[string]any {
 	settings := map[string]any{
 		"group": earlierGroup, "id": m.ID, "data": data, "replicas": []registry.ReplicaInfo{m}, "timing": map[string]any{"election_ms": 200},
@@ -68,9 +69,9 @@
 	return settings
 }
 
-// grantsEnabled runs a group of one until it grants leases, and ends it: the same
-// folder then does so at once, also under rules that would have it wait for long.
-func grantsEnabled(t testing.TB, program string, m registry.ReplicaInfo, data string) {
+// enableGrants runs a group of one until it grants leases, and ends it. A replica that starts on
+// the same folder then grants leases at once, even if it is configured with a long maximum TTL.
+func enableGrants(t testing.TB, program string, m registry.ReplicaInfo, data string) {
 	t.Helper()
 	p := startProcess(t, program, writeConfig(t, singleReplica(m, data, map[string]any{"leases": map[string]any{"most_ttl_ms": 500}})))
 	awaitReady(t, m)
@@ -80,12 +81,12 @@
 
 var longLeases = map[string]any{"leases": map[string]any{"most_ttl_ms": 600000}}
 
-// recordDataFolder has the earlier version write a data folder whose state needs its
-// snapshot and the log behind it, and in the log a replica that came and went.
+// recordDataFolder makes the earlier version write a data folder whose state is split between a
+// snapshot and the log after it. The log also contains the addition and removal of a replica.
 func recordDataFolder(t *testing.T) {
 	members := newMembers(t, "r0", "r1")
 	m, other, data := members[0], members[1], filepath.Join(t.TempDir(), "data")
-	grantsEnabled(t, *earlierProgram, m, data)
+	enableGrants(t, *earlierProgram, m, data)
 	p := startProcess(t, *earlierProgram, writeConfig(t, singleReplica(m, data, longLeases)))
 	awaitReady(t, m)
 	founded := foundedAt(t, m)
@@ -94,11 +95,11 @@
 			mustDo(t, m, call[0], call[1], expandVersions(call[2], founded))
 		}
 	}
-	write(earlierContents[0])
-	for range snapshotAfter {
+	write(earlierWrites[0])
+	for range writesBeforeSnapshot {
 		mustDo(t, m, "PUT", "records/repeated", `{"value":"eA=="}`)
 	}
-	for deadline := time.Now().Add(snapshotWait); ; time.Sleep(time.Second) {
+	for deadline := time.Now().Add(snapshotTimeout); ; time.Sleep(time.Second) {
 		if found, _ := filepath.Glob(filepath.Join(data, "snapshots", "*[0-9]", "state.bin")); len(found) > 0 {
 			break
 		}
@@ -106,7 +107,7 @@
 			t.Fatal("no snapshot was made")
 		}
 	}
-	write(earlierContents[1])
+	write(earlierWrites[1])
 
 	q := startProcess(t, *earlierProgram, writeConfig(t, map[string]any{
 		"group": earlierGroup, "id": "r1", "data": filepath.Join(t.TempDir(), "data"), "join": true, "replicas": members,
@@ -148,7 +149,7 @@
 	}
 }
 
-// unpackData copies the earlier version's data folder to where it may be changed.
+// unpackData unpacks the earlier version's data folder into a temporary folder.
 func unpackData(t testing.TB) (data string) {
 	t.Helper()
 	data = filepath.Join(t.TempDir(), "data")
@@ -185,8 +186,8 @@
 	return data
 }
 
-// All that the earlier version had acknowledged is there, from its snapshot, its log
-// and its record of terms, and the group goes on at later versions.
+// A replica that starts on the earlier version's data folder has everything that version had
+// acknowledged, from its snapshot, log and stored term, and continues at later list versions.
 func TestDataFolderOfEarlierVersion(t *testing.T) {
 	if *record {
 		recordDataFolder(t)
@@ -197,25 +198,25 @@
 	n.serve(ln, peers)
 	defer n.stop()
 	if first, err := n.storage.log.FirstIndex(); err != nil || first <= 1 {
-		t.Errorf("the log begins at entry %d, error %v; want one whose beginning is in the snapshot alone", first, err)
+		t.Errorf("first log entry: got %d, error %v; want more than 1: earlier entries are in the snapshot only", first, err)
 	}
 	if term := n.raft.CurrentTerm(); term < earlierTerm {
-		t.Errorf("term %d at the start, want at least %d, the earlier version's last", term, earlierTerm)
+		t.Errorf("term at the start: got %d, want at least %d, the last term of the earlier version", term, earlierTerm)
 	}
 	awaitReady(t, m)
 	if term := n.raft.CurrentTerm(); term <= earlierTerm {
-		t.Errorf("it leads in term %d, want one after %d", term, earlierTerm)
+		t.Errorf("term of leadership: got %d, want a term after %d", term, earlierTerm)
 	}
 	base := "http://" + m.HTTP + registry.APIPath
 	want := fixture.ReadString(t, "backup.json")
 	if _, _, got := get(t, base+"backup?linearizable=1"); got != want {
-		t.Errorf("the state:\n%s\nwant\n%s", got, want)
+		t.Errorf("state:\ngot\n%s\nwant\n%s", got, want)
 	}
-	// A session and a claim of before are renewed, and a token goes on counting.
+	// A session and a claim from before can be renewed, and the next token is higher.
 	mustDo(t, m, "POST", "instances/s-1/renew", `{"session":"session-1"}`)
 	_, _, renewed := do(t, "POST", base+"renewals", `{"holder":"k1","incarnation":12,"claims":[{"name":"drains","claim":"claim-k1-drains"}]}`)
 	if want := `{"claims":[{"name":"drains","claim":"claim-k1-drains","place":1}]}`; strings.TrimSpace(renewed) != want {
-		t.Errorf("a claim renewed: got %s want %s", renewed, want)
+		t.Errorf("renewed claim: got %s want %s", renewed, want)
 	}
 	before := registry.NewState()
 	if err := json.Unmarshal([]byte(want), before); err != nil {
@@ -225,7 +226,7 @@
 	n.stateMachine.view(func(s *registry.State) {
 		l, _ := s.Leases().Lease("drains")
 		if l.Grant == nil || l.Grant.Name != "k1" || l.Grant.Token <= before.Leases().LastToken() {
-			t.Errorf("the lease's next grant is %+v, want k1's with a token over %d", l.Grant, before.Leases().LastToken())
+			t.Errorf("next grant of the lease: got %+v, want one of k1 with a token above %d", l.Grant, before.Leases().LastToken())
 		}
 	})
 	status, answer, text := do(t, "PUT", base+"instances/s-6", `{"instance":{"host":"s-6","dial":"127.0.0.1:7006","site":"a","health":"up","share":1,"born_ms":0},"session":"","ttl_ms":0}`)
--- a/internal/registry/server/compat_group_test.go
+++ b/internal/registry/server/compat_group_test.go
@@ -14,15 +14,14 @@
 	"barleywick/internal/registry"
 )
 
-// mixedGroup is a group in which each replica runs either in the test's process, as
-// this version, or in a process of its own, as the earlier version where -earlier names
-// its program.
+// mixedGroup is a group in which each replica runs either in the test process as the current
+// version, or in its own process as the earlier version if -earlier names its program.
 type mixedGroup struct {
 	t         testing.TB
 	members   []registry.ReplicaInfo
-	paths     []string // of the configurations
+	paths     []string // of the configuration files
 	nodes     []*node
-	processes []*process // nil: in the test's process, or not at all
+	processes []*process // nil if the replica runs in the test process or does not run
 }
 
 func newMixedGroup(t testing.TB, n int) *mixedGroup {
@@ -49,26 +48,27 @@
 	return g
 }
 
-// startEarlier starts a replica as the earlier version, startThis as this version.
+// startEarlier starts a replica as the earlier version.
 func (g *mixedGroup) startEarlier(i int) {
 	g.t.Helper()
 	g.processes[i] = startProcess(g.t, *earlierProgram, g.paths[i])
 }
 
-func (g *mixedGroup) startThis(i int) {
+// startCurrent starts a replica as the current version.
+func (g *mixedGroup) startCurrent(i int) {
 	g.t.Helper()
 	g.processes[i] = nil
 	g.nodes[i].start()
 }
 
-func (g *mixedGroup) allReady() {
+func (g *mixedGroup) awaitAllReady() {
 	g.t.Helper()
 	for _, m := range g.members {
 		awaitReady(g.t, m)
 	}
 }
 
-// status is what a replica says of itself.
+// status returns the status that a replica reports.
 func (g *mixedGroup) status(i int) (s registry.StatusResponse) {
 	g.t.Helper()
 	_, _, text := get(g.t, "http://"+g.members[i].HTTP+registry.APIPath+"status")
@@ -78,7 +78,7 @@
 	return s
 }
 
-// makeLeader has one replica lead.
+// makeLeader transfers leadership to a replica, and waits until it accepts writes.
 func (g *mixedGroup) makeLeader(i int) {
 	g.t.Helper()
 	to := g.members[i]
@@ -88,7 +88,7 @@
 			case j == i:
 			case n.up && n.raft.State() == raft.Leader:
 				n.raft.LeadershipTransferToServer(raft.ServerID(to.ID), raft.ServerAddress(to.Raft)).Error()
-			case g.processes[j] != nil && g.status(j).State == "leader": // it hands leadership over as it ends
+			case g.processes[j] != nil && g.status(j).State == "leader": // it transfers leadership when it shuts down
 				g.processes[j].terminate()
 				g.startEarlier(j)
 				awaitReady(g.t, g.members[j])
@@ -96,22 +96,22 @@
 		}
 		return g.status(i).State == "leader"
 	})
-	eventually(g.t, "it takes writes", func() bool {
+	eventually(g.t, "the new leader accepts writes", func() bool {
 		status, _, _ := do(g.t, "GET", "http://"+to.HTTP+registry.APIPath+"instances?linearizable=1", "")
 		return status == http.StatusOK
 	})
 }
 
-// writeThrough registers an instance by way of every replica: the leader accepts it, and
-// the others redirect to the leader. Then a lease is granted and renewed, and all
-// replicas hold the same.
-func (g *mixedGroup) writeThrough(leader int, round string) {
+// writeThroughEachReplica registers an instance at every replica: the leader accepts it, and the
+// others redirect to the leader. Then it acquires and renews a lease, and checks that all replicas
+// have the same state.
+func (g *mixedGroup) writeThroughEachReplica(leader int, round string) {
 	g.t.Helper()
 	for i := range g.members {
-		g.underLeader(leader, func() error { return g.register(i, leader, fmt.Sprintf("%s-%d", round, i)) })
+		g.retryUnderLeader(leader, func() error { return g.register(i, leader, fmt.Sprintf("%s-%d", round, i)) })
 	}
-	g.underLeader(leader, func() error { return g.acquireAndRenew(leader, "lease-"+round) })
-	eventually(g.t, "all replicas hold the same after "+round, func() bool {
+	g.retryUnderLeader(leader, func() error { return g.acquireAndRenew(leader, "lease-"+round) })
+	eventually(g.t, "all replicas have the same state after "+round, func() bool {
 		var states []string
 		for _, m := range g.members {
 			_, _, text := get(g.t, "http://"+m.HTTP+registry.APIPath+"backup")
@@ -121,8 +121,8 @@
 	})
 }
 
-// underLeader makes a try, and again should another replica have been elected meanwhile.
-func (g *mixedGroup) underLeader(leader int, try func() error) {
+// retryUnderLeader runs try until it succeeds, and makes the replica leader again before each retry.
+func (g *mixedGroup) retryUnderLeader(leader int, try func() error) {
 	g.t.Helper()
 	for deadline := time.Now().Add(patience); ; g.makeLeader(leader) {
 		err := try()
@@ -135,7 +135,7 @@
 	}
 }
 
-// register registers an instance by way of a replica.
+// register registers an instance through a replica, and checks that a follower redirects to the leader.
 func (g *mixedGroup) register(via, leader int, host string) error {
 	g.t.Helper()
 	body := fmt.Sprintf(`{"instance":{"host":%q,"dial":"127.0.0.1:7001","site":"a","health":"up","share":1,"born_ms":1},"session":"","ttl_ms":0}`, host)
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// call makes a call and follows no redirect.
+// call makes a call without following redirects.
 func (g *mixedGroup) call(method, url, body string) *http.Response {
 	g.t.Helper()
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
@@ -184,33 +184,33 @@
 	return resp
 }
 
-// A replica of the earlier version works in one group with replicas of this one: either
-// leads, takes writes and names the leader, and either goes on with the other's folder.
+// Replicas of the earlier and of the current version work in one group: either version can lead,
+// accept writes and redirect to the leader, and either can start on the other's data folder.
 func TestGroupWithEarlierVersion(t *testing.T) {
 	g := newMixedGroup(t, 3)
-	g.startThis(1)
-	g.startThis(2)
+	g.startCurrent(1)
+	g.startCurrent(2)
 	awaitReady(t, g.members[1])
 	g.startEarlier(0)
-	g.allReady()
+	g.awaitAllReady()
 	awaitGrantsOpen(t, g.members[1])
 	g.makeLeader(1)
-	g.writeThrough(1, "this-leads")
+	g.writeThroughEachReplica(1, "this-leads")
 	g.makeLeader(0)
-	g.writeThrough(0, "earlier-leads")
+	g.writeThroughEachReplica(0, "earlier-leads")
 
 	g.processes[0].kill()
-	g.startThis(0)
-	g.allReady()
+	g.startCurrent(0)
+	g.awaitAllReady()
 	g.makeLeader(0)
-	g.writeThrough(0, "with-the-folder-of-the-earlier")
+	g.writeThroughEachReplica(0, "with-the-folder-of-the-earlier")
 
 	g.nodes[1].stop()
 	g.startEarlier(1)
-	g.allReady()
-	g.writeThrough(0, "with-the-folder-of-this")
+	g.awaitAllReady()
+	g.writeThroughEachReplica(0, "with-the-folder-of-this")
 	g.processes[1].terminate()
-	g.startThis(1)
-	g.allReady()
-	g.writeThrough(0, "with-the-folder-of-both")
+	g.startCurrent(1)
+	g.awaitAllReady()
+	g.writeThroughEachReplica(0, "with-the-folder-of-both")
 }
--- a/internal/registry/server/compat_peers_test.go
+++ b/internal/registry/server/compat_peers_test.go
@@ -20,37 +20,37 @@
 	"barleywick/internal/testing/fixture"
 )
 
-// peerRecord is what an earlier leader and an earlier replica that joined it said to each other.
+// peerRecord is the recorded traffic between a leader and a joining replica of the earlier version.
 type peerRecord struct {
 	Founded  uint64      `json:"founded"`
 	Leader   string      `json:"leader"`   // its address
 	Follower string      `json:"follower"` // its address
-	Chunks   []peerChunk `json:"chunks"`   // in the order in which they passed
+	Chunks   []peerChunk `json:"chunks"`   // in the order of transmission
 	Refused  []handshake `json:"refused"`
 }
 
-// peerChunk is bytes of one connection in one direction.
+// peerChunk holds consecutive bytes sent on one connection in one direction.
 type peerChunk struct {
 	Connection int    `json:"connection"`
 	FromLeader bool   `json:"from_leader"`
 	Bytes      []byte `json:"bytes"`
 }
 
-// handshake is a first line and the answer to it.
+// handshake is the first line on a connection and its answer.
 type handshake struct {
 	Line   string `json:"line"`
 	Answer string `json:"answer"`
 }
 
-// recorder... conflicts with existing type recorder (http). Named wiretap.
-type wiretap struct {
+// recordingProxy forwards connections and records the bytes that they carry.
+type recordingProxy struct {
 	mu     sync.Mutex
 	chunks []peerChunk
 	next   int
 }
 
-// pass carries connections to an address on and keeps what they carry.
-func (w *wiretap) pass(t testing.TB, to string) (address string) {
+// forward listens on the returned address, and forwards and records connections to another address.
+func (w *recordingProxy) forward(t testing.TB, to string) (address string) {
 	t.Helper()
 	ln := listen(t, "127.0.0.1:0")
 	t.Cleanup(func() { ln.Close() })
@@ -76,7 +76,7 @@
 	return ln.Addr().String()
 }
 
-func (w *wiretap) copy(id int, fromLeader bool, from, to net.Conn) {
+func (w *recordingProxy) copy(id int, fromLeader bool, from, to net.Conn) {
 	defer to.Close()
 	buffer := make([]byte, 64<<10)
 	for {
@@ -99,10 +99,10 @@
 	}
 }
 
-// peerTiming makes heartbeats rare, and lets no replica stand for election meanwhile.
+// peerTiming makes heartbeats rare and prevents elections during the recording.
 var peerTiming = map[string]any{"election_ms": 5000}
 
-// joiningReplica is the configuration of a replica that is added to a group of one.
+// joiningReplica returns the configuration of a replica that joins a group of one.
 func joiningReplica(leader, m registry.ReplicaInfo, data string) map[string]any {
 	return map[string]any{
 		"group": earlierGroup, "id": m.ID, "data": data, "join": true, "replicas": []registry.ReplicaInfo{leader, m},
@@ -110,18 +110,18 @@
 	}
 }
 
-// recordPeers has an earlier leader fill an earlier replica that joins it, and keeps
-// what passes between them.
-func recordPeers(t *testing.T) {
+// recordPeerTraffic records the traffic between a leader of the earlier version and a replica of
+// that version that joins its group.
+func recordPeerTraffic(t *testing.T) {
 	members := newMembers(t, "r0", "r1")
 	leader, follower := members[0], members[1]
-	var tap wiretap
-	through := tap.pass(t, follower.Raft)
+	var tap recordingProxy
+	through := tap.forward(t, follower.Raft)
 	p := startProcess(t, *earlierProgram, writeConfig(t, singleReplica(leader, filepath.Join(t.TempDir(), "data"), map[string]any{
 		"timing": peerTiming, "routes": map[string]string{follower.Raft: through},
 	})))
 	awaitReady(t, leader)
-	for _, call := range earlierContents[0][:9] {
+	for _, call := range earlierWrites[0][:9] {
 		mustDo(t, leader, call[0], call[1], call[2])
 	}
 	q := startProcess(t, *earlierProgram, writeConfig(t, joiningReplica(leader, follower, filepath.Join(t.TempDir(), "data"))))
@@ -150,7 +150,7 @@
 	writeFixture(t, "peers.json", append(text, '\n'))
 }
 
-// sendHandshakeLine sends a first line and returns all that is answered before the connection ends.
+// sendHandshakeLine sends a first line and returns everything received until the connection ends.
 func sendHandshakeLine(t testing.TB, address, line string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -162,11 +162,11 @@
 	if _, err := io.WriteString(c, line); err != nil {
 		t.Fatal(err)
 	}
-	text, _ := io.ReadAll(c) // a reset ends it too: the rest of the line was not read
+	text, _ := io.ReadAll(c) // a connection reset ends it too, if the line was not read completely
 	return string(text)
 }
 
-func readPeers(t testing.TB) (r peerRecord) {
+func readPeerRecord(t testing.TB) (r peerRecord) {
 	t.Helper()
 	if err := json.Unmarshal(fixture.Read(t, "peers.json"), &r); err != nil {
 		t.Fatal(err)
@@ -174,14 +174,14 @@
 	return r
 }
 
-// A replica takes what an earlier leader sends, byte by byte, answers it as the earlier
-// version did, and holds what was sent.
+// A replica accepts the recorded bytes of an earlier leader, gives the same answers as the earlier
+// version byte for byte, and stores the data.
 func TestStreamFromEarlierLeader(t *testing.T) {
 	if *record {
-		recordPeers(t)
+		recordPeerTraffic(t)
 	}
-	r := readPeers(t)
-	ln, peers := listen(t, "127.0.0.1:0"), listenAlike(t, r.Follower)
+	r := readPeerRecord(t)
+	ln, peers := listen(t, "127.0.0.1:0"), listenAtAddressOfSameLength(t, r.Follower)
 	members := newMembers(t, "r0")
 	m := registry.ReplicaInfo{ID: "r1", HTTP: ln.Addr().String(), Raft: peers.Addr().String()}
 	n := &node{t: t, config: parseSettings(t, joiningReplica(members[0], m, filepath.Join(t.TempDir(), "data"))), member: m}
@@ -214,16 +214,16 @@
 			t.Errorf("connection %d: got %q want %q", chunk.Connection, got, want)
 		}
 	}
-	eventually(t, "the replica holds what it was sent", func() bool { return n.wantedList()["s-9"] != "" })
+	eventually(t, "the replica has stored the data", func() bool { return n.wantedList()["s-9"] != "" })
 	want := map[string]string{"s-1": "up 1700000000000", "s-2": "draining 0", "s-3": "draining 5", "s-9": "up 5"}
 	if got := n.wantedList(); !maps.Equal(got, want) {
 		t.Errorf("the replica lists %v, want %v", got, want)
 	}
 }
 
-// listenAlike listens at an address as long as another: it stands in messages whose
-// lengths are compared.
-func listenAlike(t testing.TB, address string) net.Listener {
+// listenAtAddressOfSameLength listens on an address that is as long as another, since the address
+// is part of messages whose lengths are compared.
+func listenAtAddressOfSameLength(t testing.TB, address string) net.Listener {
 	t.Helper()
 	for {
 		ln := listen(t, "127.0.0.1:0")
@@ -234,9 +234,9 @@
 	}
 }
 
-// The first line between replicas, its answer and a refusal are as the earlier version wrote them.
+// The handshake line, its answer and refusals are the same as in the earlier version.
 func TestHandshakeOfEarlierVersion(t *testing.T) {
-	r := readPeers(t)
+	r := readPeerRecord(t)
 	history := func() (string, uint64) { return earlierGroup, r.Founded }
 	l := newStreamLayer(listen(t, "127.0.0.1:0"), nil, history)
 	defer l.Close()
@@ -248,7 +248,7 @@
 
 	hello, answer := firstLine(r, true), firstLine(r, false)
 	if want := fmt.Sprintf("barleywick-registry/1 %s %d\n", earlierGroup, r.Founded); hello != want {
-		t.Errorf("the earlier leader's first line is %q, want %q", hello, want)
+		t.Errorf("first line of the earlier leader: got %q, want %q", hello, want)
 	}
 	earlier := listen(t, "127.0.0.1:0")
 	defer earlier.Close()
@@ -269,15 +269,15 @@
 	}()
 	c, err := l.Dial(raft.ServerAddress(earlier.Addr().String()), patience)
 	if err != nil {
-		t.Fatalf("answered with %q: %v", answer, err)
+		t.Fatalf("dial with the handshake answer %q: %v", answer, err)
 	}
 	c.Close()
 	if line := <-got; line != hello {
-		t.Errorf("this version's first line: got %q want %q", line, hello)
+		t.Errorf("first line of the current version: got %q want %q", line, hello)
 	}
 }
 
-// firstLine is the first line of the first connection, or its answer.
+// firstLine returns the first line that the leader sent, or the first answer to it.
 func firstLine(r peerRecord, fromLeader bool) string {
 	for _, chunk := range r.Chunks {
 		if chunk.FromLeader == fromLeader {
--- a/internal/registry/server/config.go
+++ b/internal/registry/server/config.go
@@ -1,5 +1,5 @@
 // Package server replicates the state of package registry with Raft and serves it over
-// HTTP: the protocol's list and watch, and the API for writes.
+// HTTP: list and watch for sidecars, and the API for writes.
 package server
 
 import (
@@ -21,65 +21,65 @@
 type Config struct {
 	Group   string `json:"group"`
 	ID      string `json:"id"`
-	DataDir string `json:"data"` // the folder of its log and snapshots
-	// Replicas is the group at its founding, this replica among them.
+	DataDir string `json:"data"` // folder of the replica's log and snapshots
+	// Replicas lists the founding members of the group, including this replica.
 	Replicas []registry.ReplicaInfo `json:"replicas"`
-	// Join says that this replica is added to a running group: it does not found one,
-	// and waits until an operator adds it.
+	// Join is true for a replica that joins a running group: it founds no group, and waits until
+	// an operator adds it.
 	Join     bool          `json:"join"`
 	Limits   Limits        `json:"limits"`
 	Sessions SessionConfig `json:"sessions"`
 	Leases   LeaseConfig   `json:"leases"`
 	Timing   TimingConfig  `json:"timing"`
-	// Routes maps other replicas' addresses to those to call instead, for example of a
-	// forwarder on the way.
+	// Routes maps the addresses of other replicas to the addresses to dial instead, for example
+	// that of a forwarding proxy.
 	Routes addressmap.Map `json:"routes,omitempty"`
-	// Membership makes the replica a member of the fleet (docs/MEMBERSHIP.md); nil: it is none.
+	// Membership makes the replica a member of the fleet (docs/MEMBERSHIP.md); nil if it is not one.
 	Membership *membership.Config `json:"membership,omitempty"`
 }
 
-// Limits bound what is served at once.
+// Limits bound the number of concurrent watches and calls.
 type Limits struct {
 	Watches int `json:"watches"` // open watches and long polls
 	Calls   int `json:"calls"`   // other calls
-	Waiting int `json:"waiting"` // calls that wait to be served
+	Waiting int `json:"waiting"` // calls queued for one of the Calls slots
 }
 
-// maxConnections is how many callers can be served or wait at once.
+// maxConnections returns how many connections can be served or queued at once.
 func (l Limits) maxConnections() int { return l.Watches + l.Calls + l.Waiting }
 
-// SessionConfig holds the rules for sessions of instances.
+// SessionConfig configures the sessions of instances.
 type SessionConfig struct {
-	Floor    float64 `json:"floor"`        // the fraction of the recent sessions below which expiry is held back
-	WindowMS int64   `json:"within_ms"`    // how far back sessions count as recent
-	MinTTLMS int64   `json:"least_ttl_ms"` // of what an instance may ask for
+	Floor    float64 `json:"floor"`        // expiry is held back when fewer than this fraction of the recent sessions are live
+	WindowMS int64   `json:"within_ms"`    // time over which Floor counts the recent sessions
+	MinTTLMS int64   `json:"least_ttl_ms"` // bounds of the TTL that an instance may request
 	MaxTTLMS int64   `json:"most_ttl_ms"`
 }
 
-// LeaseConfig holds the rules for leases.
+// LeaseConfig configures leases.
 type LeaseConfig struct {
-	MinTTLMS        int64 `json:"least_ttl_ms"` // of what a claim may ask for
+	MinTTLMS        int64 `json:"least_ttl_ms"` // bounds of the TTL that a claim may request
 	MaxTTLMS        int64 `json:"most_ttl_ms"`
-	WritesPerSecond int64 `json:"writes_per_s"` // commands on leases that a leader applies; renewals are none
+	WritesPerSecond int64 `json:"writes_per_s"` // lease commands that a leader applies per second; renewals are not commands
 }
 
-// TimingConfig holds the times that replicas wait for each other.
+// TimingConfig holds the timeouts between replicas.
 type TimingConfig struct {
-	ElectionMS int64 `json:"election_ms"` // without a leader's heartbeat before a replica stands for election
+	ElectionMS int64 `json:"election_ms"` // time without a heartbeat after which a replica starts an election
 }
 
 const (
-	defaultWatches       = 1024 // several hundred sidecars, and as many again while they are replaced
+	defaultWatches       = 1024 // several hundred sidecars, twice over while they are being replaced
 	defaultCalls         = 16
 	defaultWaiting       = 512
 	defaultFloor         = 0.5
 	defaultSessionWindow = time.Minute
-	defaultMinTTL        = 500 * time.Millisecond // by how much an election may begin late
+	defaultMinTTL        = 500 * time.Millisecond // an election may start that late
 	defaultMaxTTL        = time.Hour
-	defaultElection      = 500 * time.Millisecond // on loopback a message takes under a millisecond
-	defaultMinLeaseTTL   = 500 * time.Millisecond // by how much an election may begin late
-	defaultMaxLeaseTTL   = 15 * time.Second       // for that long a new group grants no lease
-	defaultLeaseWrites   = 1000                   // several times what half of a thousand leases that move in one second need
+	defaultElection      = 500 * time.Millisecond // a message over loopback takes less than a millisecond
+	defaultMinLeaseTTL   = 500 * time.Millisecond // an election may start that late
+	defaultMaxLeaseTTL   = 15 * time.Second       // a new group grants no lease for that long
+	defaultLeaseWrites   = 1000                   // several times the load of 500 leases that change holders in one second
 	minElectionTimeout   = 50 * time.Millisecond
 	maxReplicas          = 7
 )
@@ -97,7 +97,7 @@
 	return c, nil
 }
 
-// ParseConfig reads a configuration and fills in the defaults. An unknown key is an error.
+// ParseConfig parses a configuration, fills in the defaults and validates it. An unknown key is an error.
 func ParseConfig(text []byte) (*Config, error) {
 	c := defaultConfig()
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -129,7 +129,7 @@
 	}
 }
 
-// validate returns an error that says in one line what is wrong first.
+// validate returns the first error found, as one line.
 func (c *Config) validate() error {
 	for _, check := range []func() error{c.validateIdentity, c.validateReplicas, c.validateRanges, c.validateFloor, c.validateRoutes} {
 		if err := check(); err != nil {
@@ -150,19 +150,19 @@
 		return err
 	}
 	if c.DataDir == "" {
-		return errors.New("data is missing: the folder for this replica's log")
+		return errors.New("data is missing, want the folder for this replica's log")
 	}
 	return nil
 }
 
 func (c *Config) validateReplicas() error {
 	if len(c.Replicas) == 0 || len(c.Replicas) > maxReplicas {
-		return fmt.Errorf("replicas: %d are named, 1 to %d may be", len(c.Replicas), maxReplicas)
+		return fmt.Errorf("replicas: got %d, want 1 to %d", len(c.Replicas), maxReplicas)
 	}
 	if !c.Join && len(c.Replicas)%2 == 0 {
-		return fmt.Errorf("replicas: %d are named, an odd number is needed: an even one bears no more losses", len(c.Replicas))
+		return fmt.Errorf("replicas: got %d, want an odd number: one more replica would not tolerate more failures", len(c.Replicas))
 	}
-	owner := make(map[string]string) // of each id and address
+	owner := make(map[string]string) // replica id by each id and address in use
 	for _, replica := range c.Replicas {
 		if err := validateReplica(replica); err != nil {
 			return fmt.Errorf("replicas: %w", err)
@@ -175,7 +175,7 @@
 		}
 	}
 	if _, ok := c.findSelf(); !ok {
-		return fmt.Errorf("replicas: none has the id %q of this one", c.ID)
+		return fmt.Errorf("replicas: this replica's id %q is not in the list", c.ID)
 	}
 	return nil
 }
@@ -197,7 +197,7 @@
 		{"timing.election_ms", c.Timing.ElectionMS, minElectionTimeout.Milliseconds(), time.Minute.Milliseconds()},
 	} {
 		if f.value < f.min || f.value > f.max {
-			return fmt.Errorf("%s is %d, it must lie between %d and %d", f.key, f.value, f.min, f.max)
+			return fmt.Errorf("%s is %d, want %d to %d", f.key, f.value, f.min, f.max)
 		}
 	}
 	return nil
@@ -205,7 +205,7 @@
 
 func (c *Config) validateFloor() error {
 	if !(c.Sessions.Floor >= 0 && c.Sessions.Floor <= 1) { // also false for NaN
-		return fmt.Errorf("sessions.floor is %v, a part between 0 and 1 is needed", c.Sessions.Floor)
+		return fmt.Errorf("sessions.floor is %v, want a fraction between 0 and 1", c.Sessions.Floor)
 	}
 	return nil
 }
@@ -240,7 +240,7 @@
 	return self
 }
 
-// findSelf returns this replica among those of the configuration.
+// findSelf returns this replica's entry in Replicas.
 func (c *Config) findSelf() (registry.ReplicaInfo, bool) {
 	i := slices.IndexFunc(c.Replicas, func(replica registry.ReplicaInfo) bool { return replica.ID == c.ID })
 	if i < 0 {
@@ -249,8 +249,8 @@
 	return c.Replicas[i], true
 }
 
-// reloaded returns this configuration with what may change while a replica runs taken
-// from a fresh one. It returns an error if anything else differs.
+// reloaded returns a copy of this configuration with the reloadable settings of a fresh one. It
+// returns an error if any other setting differs.
 func (c *Config) reloaded(fresh *Config) (*Config, error) {
 	next := *c
 	next.Limits, next.Sessions = fresh.Limits, fresh.Sessions
--- a/internal/registry/server/config_test.go
+++ b/internal/registry/server/config_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestConfigurations(t *testing.T) {
+func TestParseConfig(t *testing.T) {
 	const one = `{"group":"g","id":"r0","data":"/tmp/x","replicas":[{"id":"r0","http":"127.0.0.1:1","raft":"127.0.0.1:2"}]}`
 	if c, err := ParseConfig([]byte(one)); err != nil || c.Limits.Watches != defaultWatches || c.electionTimeout() != defaultElection {
 		t.Errorf("got %+v, error %v; want the defaults", c, err)
@@ -21,9 +21,9 @@
 		"the same address": {`127.0.0.1:2`, `127.0.0.1:1`},
 		"two replicas":     {`"replicas":[`, `"replicas":[{"id":"r1","http":"127.0.0.1:3","raft":"127.0.0.1:4"},`},
 		"no replicas":      {`[{"id":"r0","http":"127.0.0.1:1","raft":"127.0.0.1:2"}]`, `[]`},
-		"a bad floor":      {`{"group"`, `{"sessions":{"floor":2},"group"`},
+		"invalid floor":    {`{"group"`, `{"sessions":{"floor":2},"group"`},
 		"no calls":         {`{"group"`, `{"limits":{"calls":0},"group"`},
-		"a hasty election": {`{"group"`, `{"timing":{"election_ms":1},"group"`},
+		"short election":   {`{"group"`, `{"timing":{"election_ms":1},"group"`},
 	} {
 		if _, err := ParseConfig([]byte(strings.Replace(one, change[0], change[1], 1))); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: got error %v, want one line", name, err)
@@ -31,7 +31,7 @@
 	}
 }
 
-// FuzzConfig: a configuration that is accepted can be used.
+// FuzzConfig checks that a configuration accepted by ParseConfig is usable.
 func FuzzConfig(f *testing.F) {
 	f.Add([]byte(`{"group":"g","id":"r0","data":"/tmp/x","replicas":[{"id":"r0","http":"127.0.0.1:1","raft":"127.0.0.1:2"}]}`))
 	f.Add([]byte(`{"timing":{"election_ms":-1},"sessions":{"floor":1e999}}`))
--- a/internal/registry/server/data_folder.go
+++ b/internal/registry/server/data_folder.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	identityFile = "replica.json"
-	identityForm = 1
-	logFile      = "raft.db"
+	identityFile   = "replica.json"
+	identityFormat = 1
+	logFile        = "raft.db"
 
-	// identityTempPrefix begins the names of identity files that are being written.
+	// identityTempPrefix is the name prefix of temporary identity files.
 	identityTempPrefix = "." + identityFile
 )
 
-// identity is the contents of identityFile: whose data folder it is.
+// identity is the content of identityFile: the replica that owns the data folder.
 type identity struct {
 	Form  int    `json:"form"`
 	Group string `json:"group"`
 	ID    string `json:"id"`
-	// Founder says that the replica was to found its group when it claimed the folder, and not to
-	// join one.
+	// Founder is true if the replica was configured to found its group, not to join one, when it
+	// claimed the folder.
 	Founder bool `json:"founder,omitempty"`
 }
 
-// folderClaim is what a replica finds in its data folder.
+// folderClaim describes a data folder that a replica has claimed.
 type folderClaim struct {
-	isNew   bool // it holds no log yet
-	founder bool // it was claimed by a replica that founds its group
+	isNew   bool // the folder holds no log yet
+	founder bool // the folder was first claimed by a replica that founds its group
 }
 
-// claimDataFolder checks that the data folder is this replica's, and claims an empty one.
+// claimDataFolder checks that the data folder belongs to this replica, and claims it if it is empty.
 func claimDataFolder(c *Config) (folderClaim, error) {
 	path := filepath.Join(c.DataDir, identityFile)
-	want := identity{identityForm, c.Group, c.ID, !c.Join}
+	want := identity{identityFormat, c.Group, c.ID, !c.Join}
 	got, err := readIdentity(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
@@ -46,7 +46,7 @@
 	case err != nil:
 		return folderClaim{}, err
 	case got.Form != want.Form || got.Group != want.Group || got.ID != want.ID:
-		return folderClaim{}, fmt.Errorf("data folder %s: it belongs to replica %q of group %q, this is %q of %q", c.DataDir, got.ID, got.Group, want.ID, want.Group)
+		return folderClaim{}, fmt.Errorf("data folder %s: belongs to replica %q of group %q, this is replica %q of group %q", c.DataDir, got.ID, got.Group, want.ID, want.Group)
 	}
 	_, err = os.Stat(filepath.Join(c.DataDir, logFile))
 	return folderClaim{isNew: errors.Is(err, fs.ErrNotExist), founder: got.Founder}, nil
@@ -63,8 +63,8 @@
 	return i, nil
 }
 
-// claimEmptyFolder writes the identity into a folder that must hold nothing but what an
-// earlier claim has left that was cut short.
+// claimEmptyFolder writes the identity file into a folder. The folder must be empty, except for
+// temporary files of an earlier claim that was interrupted.
 func claimEmptyFolder(dir, path string, i identity) error {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -72,7 +72,7 @@
 	}
 	for _, entry := range entries {
 		if !strings.HasPrefix(entry.Name(), identityTempPrefix) {
-			return fmt.Errorf("data folder %s: it holds %s but no %s: it is not a replica's", dir, entry.Name(), identityFile)
+			return fmt.Errorf("data folder %s: holds %s but no %s, so it is not a replica's data folder", dir, entry.Name(), identityFile)
 		}
 	}
 	for _, entry := range entries {
@@ -83,7 +83,7 @@
 	return writeIdentity(path, i)
 }
 
-// writeIdentity writes the file completely or not at all.
+// writeIdentity writes the identity file atomically.
 func writeIdentity(path string, i identity) error {
 	text, err := json.Marshal(i)
 	if err != nil {
--- a/internal/registry/server/disk_calls.go
+++ b/internal/registry/server/disk_calls.go
@@ -8,48 +8,47 @@
 	"time"
 )
 
-// slowDiskCall is how long a call of the disk takes at least to be logged as slow.
-const slowDiskCall = time.Second
+// slowDiskCallThreshold is the duration from which a disk call is logged as slow.
+const slowDiskCallThreshold = time.Second
 
-// errWritesRefused refuses a write to the disk of a replica that ends.
-var errWritesRefused = errors.New("the replica ends and begins no more writes to its disk")
+// errWritesRefused is returned for disk writes that begin after shutdown has disabled them.
+var errWritesRefused = errors.New("replica is shutting down and starts no more disk writes")
 
-// diskCall is a call of the disk that is under way.
+// diskCall is a disk call in progress.
 type diskCall struct {
-	name    string
-	log     bool // it is a write to the log's file, for which Raft's own goroutine waits
-	started time.Time
+	name       string
+	isLogWrite bool // a write to the log file, which blocks Raft's main goroutine
+	started    time.Time
 }
 
-// diskCalls knows the calls of a replica's disk that are under way, and for how long they
-// have been running. A disk may hang without an error, and Raft's own goroutine hangs with
-// it.
+// diskCalls tracks a replica's disk calls in progress and how long each has been running. A disk
+// may hang without returning an error, and blocks Raft's main goroutine meanwhile.
 type diskCalls struct {
-	writing  sync.Mutex  // BoltDB takes one write at a time
-	refusing atomic.Bool // no write may begin any more
+	writing       sync.Mutex  // held during a write: BoltDB runs one write at a time
+	writesRefused atomic.Bool // no further write may begin
 
 	mu      sync.Mutex
 	next    uint64
 	running map[uint64]diskCall
 }
 
-// write runs a write to the log's file once those before it have returned, unless the
-// replica ends meanwhile.
+// write waits for earlier writes to the log file to return, then runs call. It returns
+// errWritesRefused if writes have been disabled by then.
 func (c *diskCalls) write(name string, call func() error) error {
-	defer c.note(diskCall{name: name, log: true})()
+	defer c.start(diskCall{name: name, isLogWrite: true})()
 	c.writing.Lock()
 	defer c.writing.Unlock()
-	if c.refusing.Load() {
+	if c.writesRefused.Load() {
 		return errWritesRefused
 	}
 	return call()
 }
 
-// begin notes the start of a call that is no write to the log's file. The caller calls end
-// when it has returned.
-func (c *diskCalls) begin(name string) (end func()) { return c.note(diskCall{name: name}) }
+// begin records the start of a disk call other than a write to the log file. The caller calls
+// end when the disk call has returned.
+func (c *diskCalls) begin(name string) (end func()) { return c.start(diskCall{name: name}) }
 
-func (c *diskCalls) note(call diskCall) (end func()) {
+func (c *diskCalls) start(call diskCall) (end func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.running == nil {
@@ -63,16 +62,16 @@
 		c.mu.Lock()
 		delete(c.running, id)
 		c.mu.Unlock()
-		if took := time.Since(call.started); took >= slowDiskCall {
+		if took := time.Since(call.started); took >= slowDiskCallThreshold {
 			slog.Warn("registry: slow disk", "call", call.name, "took", took.Round(time.Millisecond))
 		}
 	}
 }
 
-// refuseWrites refuses writes that have not begun.
-func (c *diskCalls) refuseWrites() { c.refusing.Store(true) }
+// refuseWrites disables all writes that have not begun.
+func (c *diskCalls) refuseWrites() { c.writesRefused.Store(true) }
 
-// oldest returns the call under way that began first, if there is any.
+// oldest returns the longest-running call, if any is in progress.
 func (c *diskCalls) oldest() (oldest diskCall, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,13 +83,13 @@
 	return oldest, ok
 }
 
-// longest returns for how long the oldest write to the log's file that is under way has been
+// longestLogWrite returns for how long the oldest write to the log file in progress has been
 // running; 0 if there is none.
-func (c *diskCalls) longest(now time.Time) (longest time.Duration) {
+func (c *diskCalls) longestLogWrite(now time.Time) (longest time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, call := range c.running {
-		if call.log {
+		if call.isLogWrite {
 			longest = max(longest, now.Sub(call.started))
 		}
 	}
--- a/internal/registry/server/group.go
+++ b/internal/registry/server/group.go
@@ -10,11 +10,11 @@
 	"barleywick/internal/registry"
 )
 
-// memberKeyPrefix begins the keys of the records that hold the addresses of replicas
-// which were added to the group after its founding.
+// memberKeyPrefix is the key prefix of the records that hold the addresses of replicas added to
+// the group after its founding.
 const memberKeyPrefix = "member:"
 
-// voters returns the replicas that count for a quorum.
+// voters returns the replicas in the group's Raft configuration; nil if it cannot be read.
 func (r *Replica) voters() []raft.Server {
 	f := r.raft.GetConfiguration()
 	if f.Error() != nil {
@@ -33,8 +33,8 @@
 	return f.Error() == nil && slices.ContainsFunc(f.Configuration().Servers, func(s raft.Server) bool { return s.ID == id })
 }
 
-// findReplica returns the addresses of a replica: as members of the fleet see them, or
-// else from its record, or else from the configuration.
+// findReplica returns the addresses of a replica: from gossip, otherwise from the replica's
+// record, otherwise from the configuration file.
 func (r *Replica) findReplica(id string) (registry.ReplicaInfo, bool) {
 	if info, ok := r.gossipedAddress(id); ok {
 		return info, true
@@ -49,7 +49,7 @@
 	return registry.ReplicaInfo{}, false
 }
 
-// addedReplica returns the addresses of a replica that was added after the founding.
+// addedReplica returns the addresses of a replica that was added after the group's founding.
 func (r *Replica) addedReplica(id string) (info registry.ReplicaInfo, ok bool) {
 	r.stateMachine.view(func(s *registry.State) {
 		if record, found := s.Record(memberKeyPrefix + id); found {
@@ -59,7 +59,7 @@
 	return info, ok
 }
 
-// leader returns the replica that leads, if one is known.
+// leader returns the current leader, if it is known.
 func (r *Replica) leader() (registry.ReplicaInfo, bool) {
 	_, id := r.raft.LeaderWithID()
 	if id == "" {
@@ -68,7 +68,7 @@
 	return r.findReplica(string(id))
 }
 
-// addReplica adds a replica to the group.
+// addReplica stores a replica's addresses and adds it to the group as a voter.
 func (r *Replica) addReplica(info registry.ReplicaInfo) error {
 	if err := r.requireLeader(); err != nil {
 		return err
@@ -80,12 +80,12 @@
 	if _, err := r.apply(registry.Command{Op: registry.OpPutRecord, Key: memberKeyPrefix + info.ID, Value: text}); err != nil {
 		return err
 	}
-	return r.awaitOrder(func() raft.Future {
+	return r.awaitRaftFuture(func() raft.Future {
 		return r.raft.AddVoter(raft.ServerID(info.ID), raft.ServerAddress(info.Raft), 0, writeTimeout)
 	})
 }
 
-// removeReplica removes a replica from the group.
+// removeReplica removes a replica from the group and deletes its addresses.
 func (r *Replica) removeReplica(id string) error {
 	if err := r.requireLeader(); err != nil {
 		return err
@@ -93,7 +93,7 @@
 	if !slices.ContainsFunc(r.voters(), func(s raft.Server) bool { return string(s.ID) == id }) {
 		return fmt.Errorf("%w: no replica %.64s in the group", registry.ErrNotFound, id)
 	}
-	if err := r.awaitOrder(func() raft.Future { return r.raft.RemoveServer(raft.ServerID(id), 0, writeTimeout) }); err != nil {
+	if err := r.awaitRaftFuture(func() raft.Future { return r.raft.RemoveServer(raft.ServerID(id), 0, writeTimeout) }); err != nil {
 		return err
 	}
 	_, err := r.apply(registry.Command{Op: registry.OpDeleteRecord, Key: memberKeyPrefix + id})
--- a/internal/registry/server/http_longpoll.go
+++ b/internal/registry/server/http_longpoll.go
@@ -39,7 +39,7 @@
 	}
 	ctx, cancel := context.WithTimeout(req.Context(), min(maxLongPoll, time.Duration(wait)*time.Millisecond))
 	defer cancel()
-	defer context.AfterFunc(r.polls, cancel)()
+	defer context.AfterFunc(r.longPollCtx, cancel)()
 	for ctx.Err() == nil {
 		var now uint64
 		var changed <-chan struct{}
--- a/internal/registry/server/hung_leader_test.go
+++ b/internal/registry/server/hung_leader_test.go
@@ -16,7 +16,7 @@
 // answer to the write that was sent to it, 0 if there is none.
 func (g *gatedGroup) hangLeader() (leader registry.ReplicaInfo, since time.Time, answered <-chan int) {
 	g.t.Helper()
-	leader, _ = g.target(true)
+	leader, _ = g.pickTarget(true)
 	if !g.write(leader, "before", patience) {
 		g.t.Fatal("a write failed before the disk hangs")
 	}
@@ -28,7 +28,7 @@
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	g.replicas[leader.ID].Hold(syncs)
+	g.replicas[leader.ID].Hold(isSync)
 	answers := make(chan int, 1)
 	go func() {
 		response, err := http.DefaultTransport.RoundTrip(put)
--- a/internal/registry/server/leadership.go
+++ b/internal/registry/server/leadership.go
@@ -61,7 +61,7 @@
 // removes what has expired, until ctx ends.
 func (r *Replica) lead(ctx context.Context) {
 	term := r.raft.CurrentTerm()
-	if err := r.awaitOrder(func() raft.Future { return r.raft.Barrier(writeTimeout) }); err != nil {
+	if err := r.awaitRaftFuture(func() raft.Future { return r.raft.Barrier(writeTimeout) }); err != nil {
 		return // this replica is no leader any more
 	}
 	if _, err := r.apply(registry.Command{Op: registry.OpFoundGroup, Group: r.config.Load().Group}); err != nil {
@@ -113,13 +113,13 @@
 // in a term. node is nil while it starts.
 func (r *Replica) checkLeadershipClaim(node *raft.Raft, term uint64) error {
 	if node == nil {
-		return errLeadsNoLonger
+		return errNotLeaderInTerm
 	}
 	claim := leadershipClaim{
-		state:     node.State(),
-		term:      node.CurrentTerm(),
-		termWaits: r.storage.terms.waiting.Load() > 0,
-		diskCall:  r.storage.terms.calls.longest(time.Now()),
+		state:       node.State(),
+		term:        node.CurrentTerm(),
+		termPending: r.storage.terms.waiting.Load() > 0,
+		diskCall:    r.storage.terms.calls.longestLogWrite(time.Now()),
 	}
 	return claim.check(term, staleElections*r.config.Load().electionTimeout())
 }
--- a/internal/registry/server/membership.go
+++ b/internal/registry/server/membership.go
@@ -15,12 +15,12 @@
 	"barleywick/internal/registry"
 )
 
-// memberName is a replica's name among the members of the fleet.
+// memberName returns a replica's name as a member of the fleet.
 func memberName(group, id string) string { return group + "-" + id }
 
-// joinMembership makes this replica a member of the fleet if its configuration says so.
-// The replica's own work never waits for that: gossip tells it other replicas' new
-// addresses, and it answers callers that ask what it sees.
+// joinMembership makes this replica a member of the fleet if membership is configured. Serving
+// the registry does not depend on it: membership provides changed addresses of other replicas,
+// and a view of the fleet for callers.
 func (r *Replica) joinMembership() (leave func(), err error) {
 	c := r.config.Load()
 	if c.Membership == nil {
@@ -58,9 +58,9 @@
 	}, nil
 }
 
-// gossipedAddress returns where members of the fleet see a replica of this group, if
-// they do. A connection there begins with a handshake that names the group
-// (streamLayer.checkHandshake), so a wrong address costs a connection and no more.
+// gossipedAddress returns the addresses of a replica of this group as known from gossip. A wrong
+// address costs one connection attempt at most, since each connection begins with a handshake
+// that names the group (streamLayer.checkHandshake).
 func (r *Replica) gossipedAddress(id string) (registry.ReplicaInfo, bool) {
 	node := r.gossip.Load()
 	if node == nil || id == r.self.ID {
@@ -76,21 +76,21 @@
 	return registry.ReplicaInfo{ID: id, HTTP: member.HTTPAddr, Raft: member.RaftAddr}, true
 }
 
-// addressProvider tells Raft where a replica is reached now. Where no member sees the
-// replica, Raft uses the address in the group's configuration.
+// addressProvider gives Raft the gossiped address of a replica. If there is none, Raft uses the
+// address in the group's configuration.
 type addressProvider struct{ replica *Replica }
 
-var errNoMemberAddress = errors.New("no member sees this replica")
+var errAddressUnknown = errors.New("no address of the replica is known from gossip")
 
-// ServerAddr returns a replica's address by its id.
+// ServerAddr returns the gossiped Raft address of the replica with an id.
 func (p addressProvider) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
 	if info, ok := p.replica.gossipedAddress(string(id)); ok {
 		return raft.ServerAddress(info.Raft), nil
 	}
-	return "", errNoMemberAddress
+	return "", errAddressUnknown
 }
 
-// serveMembership answers with this member's view of the fleet.
+// serveMembership serves this member's view of the fleet.
 func (r *Replica) serveMembership(w http.ResponseWriter, req *http.Request) {
 	node := r.gossip.Load()
 	if node == nil {
--- a/internal/registry/server/raft_logger.go
+++ b/internal/registry/server/raft_logger.go
@@ -9,10 +9,10 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// raftLogger writes the Raft library's log lines with slog, one level lower than the
-// library's: each heartbeat that fails is a line, and none of them calls for an operator.
+// raftLogger forwards the Raft library's log lines to slog, one level lower: the library logs
+// each failed heartbeat, for example, which needs no action by an operator.
 type raftLogger struct {
-	hclog.Logger // for the methods that are not used
+	hclog.Logger // implements the methods that the library does not use
 	target       *slog.Logger
 }
 
@@ -22,22 +22,22 @@
 	l.target.Log(context.Background(), level, "raft: "+msg, args...)
 }
 
-// Trace drops the line.
+// Trace discards the line.
 func (l *raftLogger) Trace(string, ...any) {}
 
-// Debug drops the line: it is meant for the library's authors.
+// Debug discards the line: it is meant for developers of the library.
 func (l *raftLogger) Debug(string, ...any) {}
 
-// Info writes elections and snapshots.
+// Info logs the library's info lines, such as elections and snapshots, at debug level.
 func (l *raftLogger) Info(msg string, args ...any) { l.log(slog.LevelDebug, msg, args) }
 
-// Warn writes faults that end by themselves.
+// Warn logs the library's warnings, faults that recover by themselves, at info level.
 func (l *raftLogger) Warn(msg string, args ...any) { l.log(slog.LevelInfo, msg, args) }
 
-// Error writes faults that may call for an operator.
+// Error logs the library's errors, faults that may need an operator, at warn level.
 func (l *raftLogger) Error(msg string, args ...any) { l.log(slog.LevelWarn, msg, args) }
 
-// Log writes a line at the level named.
+// Log logs a line with the method for its level, and discards levels below info.
 func (l *raftLogger) Log(level hclog.Level, msg string, args ...any) {
 	switch {
 	case level >= hclog.Error:
@@ -49,23 +49,23 @@
 	}
 }
 
-// Named returns this logger: its lines have one prefix.
+// Named returns this logger unchanged: all lines have the same prefix.
 func (l *raftLogger) Named(string) hclog.Logger { return l }
 
-// ResetNamed returns this logger.
+// ResetNamed returns this logger unchanged.
 func (l *raftLogger) ResetNamed(string) hclog.Logger { return l }
 
-// With returns a logger with more attributes.
+// With returns a logger that adds attributes to each line.
 func (l *raftLogger) With(args ...any) hclog.Logger {
 	return &raftLogger{l.Logger, l.target.With(args...)}
 }
 
-// StandardLogger returns a logger of the standard library that writes here.
+// StandardLogger returns a standard library logger that logs at debug level.
 func (l *raftLogger) StandardLogger(*hclog.StandardLoggerOptions) *log.Logger {
 	return slog.NewLogLogger(l.target.Handler(), slog.LevelDebug)
 }
 
-// StandardWriter returns a writer whose lines are written here.
+// StandardWriter returns the writer of StandardLogger.
 func (l *raftLogger) StandardWriter(*hclog.StandardLoggerOptions) io.Writer {
 	return l.StandardLogger(nil).Writer()
 }
--- a/internal/registry/server/replica.go
+++ b/internal/registry/server/replica.go
@@ -20,35 +20,35 @@
 )
 
 const (
-	// writeTimeout is how long a write may take until a quorum has it on disk.
+	// writeTimeout is how long a quorum may take to store a write on disk.
 	writeTimeout = 5 * time.Second
 
-	// transferTimeout is how long a replica that ends waits until another leads. The others
-	// elect one by themselves if none does.
+	// transferTimeout bounds the leadership transfer during shutdown. If it fails, the other
+	// replicas elect a leader after their election timeout.
 	transferTimeout = 2 * time.Second
 
-	// diskEndTimeout is how long a replica that ends waits for calls of its disk.
-	diskEndTimeout   = 2 * time.Second
-	endPollInterval  = 10 * time.Millisecond
-	diskPollInterval = 100 * time.Millisecond
-	// hungDiskElections is after how many election timeouts the others have replaced a leader
-	// whose disk hangs: it has led for staleElections of them.
+	// diskShutdownTimeout is how long shutdown waits for disk calls in progress.
+	diskShutdownTimeout  = 2 * time.Second
+	shutdownPollInterval = 10 * time.Millisecond
+	diskPollInterval     = 100 * time.Millisecond
+	// hungDiskElections is the number of election timeouts after which the other replicas have
+	// replaced a leader whose disk hangs. Its heartbeats stop after staleElections of them.
 	hungDiskElections = 2 * staleElections
 
-	raftPoolSize       = 3 // connections kept to each other replica
-	raftTimeout        = 2 * time.Second
-	commitsPerElection = 4 // commit messages at least within an election timeout
-	snapshotCheck      = 30 * time.Second
-	snapshotEntries    = 4096 // log entries after which a snapshot is made, and that are kept behind it
+	raftPoolSize          = 3 // idle connections kept per replica
+	raftTimeout           = 2 * time.Second
+	commitsPerElection    = 4 // minimum number of commit messages per election timeout
+	snapshotCheckInterval = 30 * time.Second
+	snapshotEntries       = 4096 // log entries between snapshots, and entries kept before a snapshot
 
-	peerCallTimeout    = time.Second // for an HTTP call to another replica
-	maxPeerConnections = 4           // to one replica, for such calls
+	peerCallTimeout    = time.Second // timeout of an HTTP call to another replica
+	maxPeerConnections = 4           // HTTP connections per replica
 )
 
-var errTransferTimeout = errors.New("no other replica has taken it in time")
+var errTransferTimeout = errors.New("no other replica took over leadership before the timeout")
 
-// Replica is one replica of the registry: a Raft node, the state machine that its log
-// drives, and the HTTP interface to both.
+// Replica is one replica of the registry: a Raft node, its state machine, and the HTTP interface
+// to both.
 type Replica struct {
 	self   registry.ReplicaInfo
 	config atomic.Pointer[Config]
@@ -60,41 +60,41 @@
 	leadership   leadership
 	verifier     *leadershipVerifier
 
-	peerClient *http.Client                // calls other replicas
+	peerClient *http.Client                // for calls to other replicas
 	gossip     atomic.Pointer[gossip.Node] // nil without membership
 
 	reads             registry.FreshnessTracker
-	heldIndex         atomic.Uint64         // of the log; the state is known to hold all commands up to it
-	readsError        atomic.Pointer[error] // of the latest try to confirm reads
-	ready             atomic.Bool           // it has caught up with the group once since its start
+	heldIndex         atomic.Uint64         // the state is known to include all log entries up to this index
+	readsError        atomic.Pointer[error] // result of the last attempt to confirm reads
+	ready             atomic.Bool           // set once the replica has caught up with the group after its start
 	limiter           *callLimiter
 	leaseWriteLimiter *rate.Limiter
-	maxConnections    int // that its listener accepts at once
+	maxConnections    int // limit of concurrent connections on the HTTP listener, fixed at start
 	broadcaster       *watchBroadcaster
-	openWatches       atomic.Int64 // long polls among them
+	openWatches       atomic.Int64 // includes long polls
 	watchVersions     watchVersions
 	counters          counters
 
-	polls      context.Context // ends when the replica begins to shut down
-	endPolls   context.CancelFunc
-	ctx        context.Context // ends when the replica is closed
-	cancel     context.CancelFunc
-	raftEnded  chan struct{} // closed once Raft has ended, and answers nobody any more
-	background sync.WaitGroup
+	longPollCtx  context.Context // done when the replica begins to shut down
+	endLongPolls context.CancelFunc
+	ctx          context.Context // done when the replica is closed
+	cancel       context.CancelFunc
+	raftEnded    chan struct{} // closed after Raft has stopped; it completes no more futures then
+	background   sync.WaitGroup
 }
 
-// counters are totals since the start, served as metrics.
+// counters are totals since process start, served as metrics.
 type counters struct {
-	refusedCalls     atomic.Uint64 // answered with 503 and Retry-After
-	writes           atomic.Uint64 // commands applied for calls to this replica
+	refusedCalls     atomic.Uint64 // calls answered with 503 and Retry-After
+	writes           atomic.Uint64 // commands applied by this replica as leader
 	expiredInstances atomic.Uint64
 	renewedClaims    atomic.Uint64
 	grantedLeases    atomic.Uint64
 	expiredClaims    atomic.Uint64
 }
 
-// Open starts a replica. It takes over the listener on which other replicas connect,
-// and closes it also when it returns an error.
+// Open starts a replica. It takes ownership of peers, the listener for other replicas, and closes
+// it also when it returns an error.
 func Open(c *Config, peers net.Listener) (*Replica, error) {
 	logger := newRaftLogger()
 	disk, err := openStorage(c, logger)
@@ -137,12 +137,12 @@
 	r.verifier = newLeadershipVerifier(r.confirmLeadership)
 	r.config.Store(c)
 	r.ctx, r.cancel = context.WithCancel(context.Background())
-	r.polls, r.endPolls = context.WithCancel(r.ctx)
+	r.longPollCtx, r.endLongPolls = context.WithCancel(r.ctx)
 	return r
 }
 
-// startRaft starts the Raft node on the replica's storage, and bootstraps the group on
-// an empty one.
+// startRaft starts the Raft node on the replica's storage. On an empty storage it bootstraps the
+// group first, unless the replica joins a running one.
 func (r *Replica) startRaft(c *Config, peers net.Listener, logger *raftLogger) error {
 	settings, err := raftSettings(c, logger)
 	if err != nil {
@@ -161,7 +161,7 @@
 	r.transport = newLeaderTransport(network,
 		func(term uint64) error { return r.checkLeadershipClaim(started.Load(), term) },
 		func(id raft.ServerID) bool { return isVoter(started.Load(), id) })
-	if (r.storage.isNew || r.storage.foundingCutShort) && !c.Join {
+	if (r.storage.isNew || r.storage.foundingInterrupted) && !c.Join {
 		if err := r.bootstrap(c, settings); err != nil {
 			r.transport.Close()
 			return fmt.Errorf("found the group: %w", err)
@@ -170,7 +170,7 @@
 	r.raft, err = raft.NewRaft(settings, r.stateMachine, r.storage.log, r.storage.terms, r.storage.snapshots, r.transport)
 	if err != nil {
 		r.transport.Close()
-		return fmt.Errorf("start on %s: %w", c.DataDir, err)
+		return fmt.Errorf("start Raft on %s: %w", c.DataDir, err)
 	}
 	started.Store(r.raft)
 	return nil
@@ -184,7 +184,7 @@
 	settings.ElectionTimeout = election
 	settings.LeaderLeaseTimeout = election / 2
 	settings.CommitTimeout = min(settings.CommitTimeout, election/commitsPerElection)
-	settings.SnapshotInterval = snapshotCheck
+	settings.SnapshotInterval = snapshotCheckInterval
 	settings.SnapshotThreshold = snapshotEntries
 	settings.TrailingLogs = snapshotEntries
 	settings.Logger = logger
@@ -195,38 +195,38 @@
 	return settings, nil
 }
 
-// bootstrap writes the group's first configuration to an empty log. Every founding
-// replica writes the same. A founding that was cut short is completed.
+// bootstrap writes the group's first configuration to an empty log. Every founding replica writes
+// the same configuration. A bootstrap that was interrupted is completed.
 func (r *Replica) bootstrap(c *Config, settings *raft.Config) error {
 	var group raft.Configuration
 	for _, m := range c.Replicas {
 		group.Servers = append(group.Servers, raft.Server{ID: raft.ServerID(m.ID), Address: raft.ServerAddress(m.Raft)})
 	}
 	err := raft.BootstrapCluster(settings, r.storage.log, r.storage.bolt, r.storage.snapshots, r.transport, group)
-	if errors.Is(err, raft.ErrCantBootstrap) && r.storage.foundingCutShort {
-		// It was ended between the two writes: there is a term, and no entry.
+	if errors.Is(err, raft.ErrCantBootstrap) && r.storage.foundingInterrupted {
+		// The process ended between the two writes: the term is stored, the entry is not.
 		return r.storage.log.StoreLog(&raft.Log{Index: 1, Term: foundingTerm, Type: raft.LogConfiguration, Data: raft.EncodeConfiguration(group)})
 	}
 	return err
 }
 
-// PrepareShutdown hands leadership over and ends the watches and the long polls. Calls are
-// still answered.
+// PrepareShutdown transfers leadership and ends the watches and the long polls. Other calls are
+// still served.
 func (r *Replica) PrepareShutdown() {
 	if r.raft.State() == raft.Leader && len(r.voters()) > 1 {
 		if err := r.transferLeadership(); err != nil {
 			slog.Warn("registry: leadership transfer failed", "err", err)
 		}
 	}
-	r.endPolls()
+	r.endLongPolls()
 	r.broadcaster.close()
 }
 
-// transferLeadership hands leadership over. Raft's own goroutine may be stuck in a call of
-// the disk, so it is not waited for any longer than a transfer may take.
+// transferLeadership transfers leadership to another replica. It waits for transferTimeout at
+// most, since Raft's main goroutine may be blocked in a disk call.
 func (r *Replica) transferLeadership() error {
 	transferred := make(chan error, 1)
-	go func() { transferred <- r.awaitOrder(r.raft.LeadershipTransfer) }() // ends with Raft at the latest
+	go func() { transferred <- r.awaitRaftFuture(r.raft.LeadershipTransfer) }() // returns when Raft stops at the latest
 	select {
 	case err := <-transferred:
 		return err
@@ -235,11 +235,11 @@
 	}
 }
 
-// Close stops the replica. The connections to and from other replicas are closed before
-// Raft ends: it waits for its goroutines, and one of them may read a snapshot from a
-// connection on which nothing arrives any more.
+// Close stops the replica. The connections to and from other replicas are closed before Raft is
+// stopped: Raft waits for its goroutines, and one of them may be reading a snapshot from a
+// stalled connection.
 func (r *Replica) Close() error {
-	r.endPolls()
+	r.endLongPolls()
 	r.broadcaster.close()
 	r.cancel()
 	r.storage.refuseWrites()
@@ -249,20 +249,20 @@
 	r.background.Wait()
 	r.peerClient.CloseIdleConnections()
 	if unfinished {
-		return errors.Join(raftErr, transportErr) // the log is locked until the disk has finished
+		return errors.Join(raftErr, transportErr) // closing the log would block until the disk call returns
 	}
 	return errors.Join(raftErr, transportErr, r.storage.Close())
 }
 
-// shutDownRaft ends Raft, and waits for the calls of the disk, some of which Raft's end does not
-// wait for. It waits for diskEndTimeout at most where there is one: nobody has been told of
-// what such a call stores, and the log takes it whole or not at all, as in a crash. unfinished
-// says that there is one.
+// shutDownRaft stops Raft and waits for the disk calls in progress, some of which Raft itself does
+// not wait for. If a disk call is still running after diskShutdownTimeout, it returns with
+// unfinished set. That is safe: what such a call stores has not been acknowledged, and the log
+// stores it completely or not at all, as in a crash.
 func (r *Replica) shutDownRaft() (unfinished bool, err error) {
 	begun := time.Now()
 	ended := make(chan error, 1)
-	go func() { ended <- r.raft.Shutdown().Error() }() // ends with the process at the latest
-	poll := time.NewTicker(endPollInterval)
+	go func() { ended <- r.raft.Shutdown().Error() }() // returns when the process exits at the latest
+	poll := time.NewTicker(shutdownPollInterval)
 	defer poll.Stop()
 	for raftEnded := false; ; {
 		select {
@@ -272,8 +272,8 @@
 		}
 		call, running := r.storage.terms.calls.oldest()
 		switch {
-		case running && time.Since(begun) >= diskEndTimeout:
-			slog.Warn("registry: ends without a call that its disk has not finished",
+		case running && time.Since(begun) >= diskShutdownTimeout:
+			slog.Warn("registry: shutting down with an unfinished disk call",
 				"call", call.name, "running", time.Since(call.started).Round(time.Millisecond))
 			return true, err
 		case raftEnded && !running:
@@ -282,12 +282,13 @@
 	}
 }
 
-// awaitOrder waits for what becomes of an order to Raft. At its end the library leaves unanswered
-// what its log has committed and its state machine has not applied, and while the disk hangs it
-// takes no order and answers none.
-func (r *Replica) awaitOrder(order func() raft.Future) error {
+// awaitRaftFuture starts a Raft operation and returns its result. It returns raft.ErrRaftShutdown
+// once Raft has stopped, since the library never completes the futures of entries that are
+// committed but not applied at that time. It returns errDiskHangs if the disk hangs, since the
+// library neither accepts nor completes operations meanwhile.
+func (r *Replica) awaitRaftFuture(start func() raft.Future) error {
 	answered := make(chan error, 1)
-	go func() { answered <- order().Error() }() // one that is never answered ends with the process
+	go func() { answered <- start().Error() }() // a future that is never completed blocks until the process exits
 	poll := time.NewTicker(diskPollInterval)
 	defer poll.Stop()
 	for {
@@ -309,27 +310,27 @@
 	}
 }
 
-// diskHangs reports whether a write to the disk has been running for so long that callers do
-// better to try another replica, or again later: the others, if there are any, have elected a
+// diskHangs reports whether a log write has been running for so long that callers should try
+// another replica or retry later: by then the other replicas, if there are any, have elected a
 // leader that can write.
 func (r *Replica) diskHangs() bool {
 	bound := writeTimeout
 	if len(r.voters()) > 1 {
 		bound = min(bound, hungDiskElections*r.config.Load().electionTimeout())
 	}
-	return r.storage.terms.calls.longest(time.Now()) > bound
+	return r.storage.terms.calls.longestLogWrite(time.Now()) > bound
 }
 
-// apply has the group apply a command. When it returns without an error, a quorum has
-// the command on disk.
+// apply replicates a command and returns its result. If it returns without an error, a quorum has
+// stored the command on disk.
 func (r *Replica) apply(c registry.Command) (registry.Result, error) {
 	c.AtMS = time.Now().UnixMilli()
 	text, err := json.Marshal(c)
 	if err != nil {
-		return registry.Result{}, fmt.Errorf("write command: %w", err)
+		return registry.Result{}, fmt.Errorf("encode command: %w", err)
 	}
 	var future raft.ApplyFuture
-	err = r.awaitOrder(func() raft.Future {
+	err = r.awaitRaftFuture(func() raft.Future {
 		future = r.raft.Apply(text, writeTimeout)
 		return future
 	})
@@ -339,20 +340,20 @@
 	r.counters.writes.Add(1)
 	result, ok := future.Response().(registry.Result)
 	if !ok {
-		return registry.Result{}, fmt.Errorf("command %s: answered with %T", c.Op, future.Response())
+		return registry.Result{}, fmt.Errorf("command %s: got result of unexpected type %T", c.Op, future.Response())
 	}
 	return result, result.Err
 }
 
-// Reload puts other limits and session rules in force. Nothing else may differ from the
-// configuration that the replica was started with.
+// Reload applies the limits and session rules of a fresh configuration. All other settings must
+// equal those that the replica was started with.
 func (r *Replica) Reload(fresh *Config) error {
 	next, err := r.config.Load().reloaded(fresh)
 	if err != nil {
 		return err
 	}
 	if n := next.Limits.maxConnections(); n > r.maxConnections {
-		return fmt.Errorf("limits: they add up to %d connections, and this replica was started for %d", n, r.maxConnections)
+		return fmt.Errorf("limits: got %d connections in total, want at most %d, the total at start", n, r.maxConnections)
 	}
 	r.config.Store(next)
 	r.limiter.setLimits(next.Limits)
--- a/internal/registry/server/run.go
+++ b/internal/registry/server/run.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	// shutdownTimeout is how long calls may take to finish at the end; watches end at once.
-	shutdownTimeout = 5 * time.Second
-	// endBound is how long the whole end may take: the start that is under way, the transfer of
-	// leadership, the calls, the farewell to the members of the fleet, calls of the disk.
-	endBound = 15 * time.Second
+	// finishCallsTimeout is how long open calls may take to finish during shutdown; watches end at once.
+	finishCallsTimeout = 5 * time.Second
+	// totalShutdownTimeout bounds the whole shutdown: the startup in progress, the leadership
+	// transfer, open calls, the leave message to the fleet, and disk calls.
+	totalShutdownTimeout = 15 * time.Second
 )
 
-// Run serves one replica by the configuration file at path until stop is done. At each
-// value of reload it reads the file again.
+// Run starts a replica with the configuration file at path and serves it until stop is done. On
+// each signal from reload it reloads the file.
 func Run(stop context.Context, reload <-chan os.Signal, path string) error {
 	s := beginStart(stop, path)
 	select {
-	case <-s.over:
+	case <-s.done:
 	case <-stop.Done():
 	}
 	if stop.Err() != nil {
@@ -45,24 +45,24 @@
 	return errors.Join(err, s.replica.shutDown(sequence, server, s.leave))
 }
 
-// replicaStart is the start of a replica as a process. It may take long: it reads files, and
-// waits for its disk to sync.
+// replicaStart is the startup of a replica, which runs in its own goroutine. It may take long
+// since it reads files and waits for disk syncs.
 type replicaStart struct {
-	over chan struct{} // closed when the start is over; the rest is set then
+	done chan struct{} // closed when startup has finished; the other fields are set by then
 
 	config   *Config
-	listener net.Listener // on which callers connect
-	replica  *Replica     // nil: it was not started
-	leave    func()       // ends its membership of the fleet
+	listener net.Listener // for HTTP callers
+	replica  *Replica     // nil if it was not started
+	leave    func()       // leaves the fleet
 	err      error
 }
 
-// beginStart begins to start a replica by the configuration file at path, until stop is done:
-// it then closes what it has opened, once the call that it is in has returned.
+// beginStart starts a replica with the configuration file at path in the background. If stop is
+// done, startup ends after its current call has returned, and closes what it has opened.
 func beginStart(stop context.Context, path string) *replicaStart {
-	s := &replicaStart{over: make(chan struct{})}
-	go func() { // ends with the process at the latest
-		defer close(s.over)
+	s := &replicaStart{done: make(chan struct{})}
+	go func() { // returns when the process exits at the latest
+		defer close(s.done)
 		s.err = s.start(stop, path)
 	}()
 	return s
@@ -99,19 +99,19 @@
 	return nil
 }
 
-// shutDown waits for a start that was told to end, for as long as calls of the disk are waited for:
-// what it would store is stored whole or not at all, and nobody has been told of it. A start
-// that is over ends in order.
+// shutDown shuts down after stop is done. It waits for startup for diskShutdownTimeout at most,
+// as for other disk calls: what startup stores has not been acknowledged, and is stored
+// completely or not at all. If startup has finished, the replica is shut down step by step.
 func (s *replicaStart) shutDown() error {
 	sequence := beginShutdown()
 	defer sequence.End()
 	over := false
 	_ = sequence.Step("start", func() error {
 		select {
-		case <-s.over:
+		case <-s.done:
 			over = true
-		case <-time.After(diskEndTimeout):
-			slog.Warn("registry: ends before its start is over")
+		case <-time.After(diskShutdownTimeout):
+			slog.Warn("registry: shut down before startup finished")
 		}
 		return nil
 	})
@@ -119,20 +119,20 @@
 	case !over:
 		return nil
 	case s.replica == nil:
-		return s.err // nil if the start has ended because it was told to
+		return s.err // nil if startup ended because stop was done
 	}
 	s.listener.Close()
 	return s.replica.shutDown(sequence, s.replica.HTTPServer(), s.leave)
 }
 
-// beginShutdown begins the end of the process, which has a bound.
+// beginShutdown begins the shutdown of the process, bounded by totalShutdownTimeout.
 func beginShutdown() *shutdown.Sequence {
-	sequence := shutdown.Begin("registry", endBound) // first: the log may be stuck
+	sequence := shutdown.Begin("registry", totalShutdownTimeout) // before logging, which may block
 	slog.Info("registry: shutting down")
 	return sequence
 }
 
-// shutDown ends the replica step by step.
+// shutDown shuts the replica down step by step and logs each step.
 func (r *Replica) shutDown(sequence *shutdown.Sequence, server *http.Server, leave func()) error {
 	steps := []struct {
 		name string
@@ -150,12 +150,12 @@
 	return errors.Join(errs...)
 }
 
-// finishCalls waits until the calls are answered, and cuts those that take too long. From
-// then on nobody has anything to gain from what this replica stores: it begins no further
-// write, as for a vote, while the steps that follow take their time.
+// finishCalls waits for open calls and closes the connections of those that exceed
+// finishCallsTimeout. Afterwards it disables disk writes, for example of votes: no caller depends
+// on them any more, and they would delay the following steps.
 func (r *Replica) finishCalls(server *http.Server) error {
 	defer r.storage.refuseWrites()
-	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), finishCallsTimeout)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		return server.Close()
@@ -163,11 +163,11 @@
 	return nil
 }
 
-// serve answers calls on a listener until stop is done.
+// serve serves HTTP calls on a listener until stop is done.
 func (r *Replica) serve(stop context.Context, reload <-chan os.Signal, server *http.Server, ln net.Listener, path string) error {
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(netutil.LimitListener(ln, r.maxConnections)) }()
-	go r.followReloads(stop, reload, path) // not awaited: a read may never return
+	go r.followReloads(stop, reload, path) // not awaited: reading the file may block for ever
 	select {
 	case err := <-served:
 		return fmt.Errorf("serve: %w", err)
@@ -176,7 +176,7 @@
 	}
 }
 
-// followReloads reads the configuration file again at each value of reload, until stop is done.
+// followReloads reloads the configuration file on each signal from reload, until stop is done.
 func (r *Replica) followReloads(stop context.Context, reload <-chan os.Signal, path string) {
 	for {
 		select {
@@ -188,8 +188,8 @@
 	}
 }
 
-// reloadFile reads the configuration file again. If it cannot be used the old
-// configuration stays in force.
+// reloadFile reloads the configuration file. If the file is invalid, the old configuration stays
+// in effect.
 func (r *Replica) reloadFile(path string) {
 	fresh, err := LoadConfig(path)
 	if err == nil {
--- a/internal/registry/server/disk_end_test.go
+++ b/internal/registry/server/shutdown_disk_test.go
@@ -13,7 +13,7 @@
 	"barleywick/internal/registry/client"
 )
 
-// write registers an instance with one replica, and reports whether that was acknowledged.
+// write registers an instance with one replica, and reports whether the write was acknowledged.
 func (g *gatedGroup) write(m registry.ReplicaInfo, host string, bound time.Duration) bool {
 	c, err := client.New([]string{m.HTTP}, 1)
 	if err != nil {
@@ -27,7 +27,7 @@
 	return err == nil
 }
 
-// startWriting writes through a replica until the caller calls stop or enough is written. stop
+// startWriting registers up to 200 instances with a replica until the caller calls stop. stop
 // returns the instances whose registration was acknowledged.
 func (g *gatedGroup) startWriting(m registry.ReplicaInfo) (stop func() []string) {
 	ending, acknowledged := make(chan struct{}), make(chan []string, 1)
@@ -51,9 +51,9 @@
 	}
 }
 
-// diskEvents are what has Raft's own goroutine write, in a group that is being written to or asked
-// for votes.
-var diskEvents = map[string]func(g *gatedGroup, target, candidate registry.ReplicaInfo) (stop func() []string){
+// diskWriteTriggers make Raft's main goroutine write to the disk of the target: by writes to the
+// group, or by a vote request.
+var diskWriteTriggers = map[string]func(g *gatedGroup, target, candidate registry.ReplicaInfo) (stop func() []string){
 	"entries": func(g *gatedGroup, target, _ registry.ReplicaInfo) func() []string {
 		return g.startWriting(g.leaderAmong(g.members))
 	},
@@ -63,8 +63,8 @@
 	},
 }
 
-// target returns the leader or a follower, and another replica.
-func (g *gatedGroup) target(leads bool) (target, other registry.ReplicaInfo) {
+// pickTarget returns the leader or a follower, and another replica.
+func (g *gatedGroup) pickTarget(leads bool) (target, other registry.ReplicaInfo) {
 	g.t.Helper()
 	leader := g.leaderAmong(g.members)
 	others := g.others(leader.ID)
@@ -74,25 +74,25 @@
 	return others[0], others[1]
 }
 
-// A replica whose disk hangs in a call of Raft's own goroutine ends in time, loses no write that
-// was acknowledged, and starts again on its folder.
-func TestEndWhileRaftWaitsForItsDisk(t *testing.T) {
-	for name, begin := range diskEvents {
+// A replica shuts down within the bound while a disk call of Raft's main goroutine hangs, loses no
+// acknowledged write, and starts again on its data folder.
+func TestShutdownWhileRaftDiskCallHangs(t *testing.T) {
+	for name, begin := range diskWriteTriggers {
 		for _, leads := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s/leader=%v", name, leads), func(t *testing.T) {
 				t.Parallel()
 				g := startGatedGroup(t)
-				target, other := g.target(leads)
+				target, other := g.pickTarget(leads)
 				if !g.write(target, "before", patience) {
 					t.Fatal("a write failed before the disk hangs")
 				}
 				replica := g.replicas[target.ID]
-				replica.Hold(syncs)
+				replica.Hold(isSync)
 				stop := begin(g, target, other)
 				t.Logf("the disk hangs at %v", replica.awaitHeld())
-				told := time.Now()
+				signaledAt := time.Now()
 				replica.sendTerm()
-				replica.endsInTime(told)
+				replica.checkShutdown(signaledAt)
 				acknowledged := append(stop(), "before")
 				replica.killAndWait()
 				g.start(target.ID)
@@ -103,11 +103,11 @@
 	}
 }
 
-// checkListed waits until a replica lists instances.
+// checkListed waits until a replica lists all the given instances.
 func (g *gatedGroup) checkListed(m registry.ReplicaInfo, hosts []string) {
 	g.t.Helper()
 	g.t.Logf("%d writes were acknowledged", len(hosts))
-	eventually(g.t, "the replica lists what was acknowledged", func() bool {
+	eventually(g.t, "the replica lists all acknowledged instances", func() bool {
 		_, _, text := get(g.t, "http://"+m.HTTP+registry.ListPath)
 		for _, host := range hosts {
 			if !strings.Contains(text, `"`+host+`"`) {
@@ -118,26 +118,26 @@
 	})
 }
 
-// Once the end of a replica has begun, its Raft begins no further transaction on the disk: on a
-// slow disk each costs seconds. BoltDB syncs a transaction twice, so one more sync belongs to
-// the transaction that is under way.
-func TestNoTransactionBeginsOnceTheEndHasBegun(t *testing.T) {
-	for name, begin := range diskEvents {
+// After shutdown has begun, Raft starts no further disk transaction: on a slow disk each takes
+// seconds. BoltDB syncs twice per transaction, so one more sync belongs to the transaction in
+// progress.
+func TestNoDiskTransactionStartsAfterShutdownBegins(t *testing.T) {
+	for name, begin := range diskWriteTriggers {
 		for _, leads := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s/leader=%v", name, leads), func(t *testing.T) {
 				t.Parallel()
 				g := startGatedGroup(t)
-				target, other := g.target(leads)
+				target, other := g.pickTarget(leads)
 				replica := g.replicas[target.ID]
-				replica.Hold(syncs)
+				replica.Hold(isSync)
 				defer begin(g, target, other)()
 				allowed := 1
 				if replica.awaitHeld().Name == "fsync" {
-					allowed = 2 // the file grows first
+					allowed = 2 // the file is grown first
 				}
 				replica.sendTerm()
-				// Raft is told to end right after the connections to the other replicas.
-				eventually(t, "the connections to other replicas are closed", func() bool { return !listens(target.Raft) })
+				// Raft is stopped right after the connections to the other replicas are closed.
+				eventually(t, "the connections to other replicas are closed", func() bool { return !acceptsConnections(target.Raft) })
 				before := len(replica.Calls())
 				for !replica.hasEnded() {
 					replica.ReleaseHeld()
@@ -145,57 +145,57 @@
 				}
 				later := replica.Calls()[before:]
 				if n := countSyncs(later); n > allowed {
-					t.Errorf("%d syncs began after the end had begun, want %d at most: %v", n, allowed, later)
+					t.Errorf("%d syncs began after shutdown had begun, want %d at most: %v", n, allowed, later)
 				}
 			})
 		}
 	}
 }
 
-// Asked for its vote on a disk of which each sync takes 3 s, a replica ends in time.
-func TestEndOnASlowDisk(t *testing.T) {
+// A replica that is asked for its vote shuts down within the bound while each disk sync takes 3 s.
+func TestShutdownOnSlowDisk(t *testing.T) {
 	const syncTime = 3 * time.Second
 	for _, leads := range []bool{true, false} {
 		t.Run(fmt.Sprintf("leader=%v", leads), func(t *testing.T) {
 			t.Parallel()
 			g := startGatedGroup(t)
-			target, other := g.target(leads)
+			target, other := g.pickTarget(leads)
 			replica := g.replicas[target.ID]
-			replica.Hold(syncs)
+			replica.Hold(isSync)
 			g.requestVote(target, other)
 			replica.awaitHeld()
-			go func() { // ends with the process
+			go func() { // returns when the process ends
 				for !replica.hasEnded() {
 					time.Sleep(syncTime / 100)
 					replica.ReleaseOlder(syncTime)
 				}
 			}()
-			told := time.Now()
+			signaledAt := time.Now()
 			replica.sendTerm()
-			replica.endsInTime(told)
+			replica.checkShutdown(signaledAt)
 		})
 	}
 }
 
-// While a replica's disk hangs nothing that it has not stored is acknowledged, in particular not
-// as the replica ends: the only one of its group answers no write with success.
-func TestNoWriteIsAcknowledgedThatIsNotOnDisk(t *testing.T) {
-	m, config := replicaWithMembership(t)
+// The only replica of a group does not acknowledge a write that its hanging disk has not stored,
+// in particular not during shutdown.
+func TestUnsyncedWriteIsNotAcknowledged(t *testing.T) {
+	m, config := configWithMembership(t)
 	r := startGated(t, config, nil)
 	awaitReady(t, m)
 	g := &gatedGroup{processGroup: processGroup{t: t, members: []registry.ReplicaInfo{m}}}
-	r.Hold(syncs)
+	r.Hold(isSync)
 	acknowledged := make(chan bool, 1)
-	go func() { acknowledged <- g.write(m, "s-1", endBound) }()
+	go func() { acknowledged <- g.write(m, "s-1", totalShutdownTimeout) }()
 	r.awaitHeld()
 	r.sendTerm()
 	if <-acknowledged {
-		t.Error("a write was acknowledged whose entry was never synced")
+		t.Error("got a write acknowledged whose entry was never synced, want no acknowledgement")
 	}
 }
 
-// sendHeartbeat sends a replica a heartbeat of a leader in a later term. It returns after a second if
-// there is no answer.
+// sendHeartbeat sends a replica a heartbeat of a leader in a later term. It waits for the answer
+// for one second at most.
 func (g *processGroup) sendHeartbeat(to, from registry.ReplicaInfo) {
 	g.t.Helper()
 	layer := newStreamLayer(listen(g.t, "127.0.0.1:0"), nil, func() (string, uint64) { return "test", 0 })
@@ -210,32 +210,31 @@
 	g.t.Logf("the heartbeat: success %v, %v", response.Success, err)
 }
 
-// A replica whose disk hangs while it stores the term of a heartbeat ends in time: a goroutine of the
-// transport stores that one, for which Raft's end does not wait.
-func TestEndWhileTheTermOfAHeartbeatIsStored(t *testing.T) {
+// A replica shuts down within the bound while its disk hangs in storing the term of a heartbeat.
+// That write is made by a goroutine of the transport, which Raft's shutdown does not wait for.
+func TestShutdownWhileHeartbeatTermIsStored(t *testing.T) {
 	t.Parallel()
 	g := startGatedGroup(t)
-	target, other := g.target(false)
+	target, other := g.pickTarget(false)
 	replica := g.replicas[target.ID]
-	replica.Hold(syncs)
+	replica.Hold(isSync)
 	go g.sendHeartbeat(target, other)
 	t.Logf("the disk hangs at %v", replica.awaitHeld())
-	told := time.Now()
+	signaledAt := time.Now()
 	replica.sendTerm()
-	replica.endsInTime(told)
+	replica.checkShutdown(signaledAt)
 }
 
-// A snapshot that takes long to store, while the log is stored as fast as ever, neither ends the leadership
-// nor has a write fail.
+// A snapshot that takes long to store does not end the leadership while log writes are fast.
 func TestSlowSnapshotDoesNotEndLeadership(t *testing.T) {
 	g := startGroup(t, 3)
 	leader := g.leader()
 	term := leader.raft.CurrentTerm()
-	end := leader.storage.terms.calls.begin("snapshot") // what timedSnapshotSink.Close does
+	end := leader.storage.terms.calls.begin("snapshot") // as timedSnapshotSink.Close does
 	defer end()
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		if got := leader.raft.CurrentTerm(); got != term {
-			t.Fatalf("its leadership has ended: it is in term %d, it led in %d", got, term)
+			t.Fatalf("leadership ended: got term %d, want %d", got, term)
 		}
 	}
 }
--- a/internal/registry/server/membership_end_test.go
+++ b/internal/registry/server/shutdown_membership_test.go
@@ -15,57 +15,57 @@
 	"barleywick/internal/testing/diskgate"
 )
 
-// membershipBound is how long the step `membership` of an end may take, by docs/SHUTDOWN.md.
-const membershipBound = 4 * time.Second
+// membershipStepTimeout bounds the step `membership` of a shutdown, by docs/SHUTDOWN.md.
+const membershipStepTimeout = 4 * time.Second
 
 var membershipStep = regexp.MustCompile(`step=membership took=(\S+)`)
 
-// checkMembershipStep checks how long the step took in the end of a replica.
+// checkMembershipStep checks the logged duration of the membership step in a replica's shutdown.
 func (r *gatedReplica) checkMembershipStep() {
 	r.t.Helper()
 	found := membershipStep.FindStringSubmatch(r.log.String())
 	if found == nil {
-		r.t.Error("the step membership did not end")
+		r.t.Error("the log has no end of the step membership")
 		return
 	}
 	took, err := time.ParseDuration(found[1])
-	r.t.Logf("the step membership took %v; %s", took, strings.Join(regexp.MustCompile(`members: membership ended.*`).FindAllString(r.log.String(), -1), ""))
-	if err != nil || took > membershipBound {
-		r.t.Errorf("the step membership took %v (%v), want %v at most", found[1], err, membershipBound)
+	r.t.Logf("membership step took %v; %s", took, strings.Join(regexp.MustCompile(`members: membership ended.*`).FindAllString(r.log.String(), -1), ""))
+	if err != nil || took > membershipStepTimeout {
+		r.t.Errorf("membership step took %v (%v), want %v at most", found[1], err, membershipStepTimeout)
 	}
 }
 
-// savesMembers holds the syncs of the members' cache.
-func savesMembers(c diskgate.Call) bool { return c.IsSync() && strings.Contains(c.Path, "members-") }
+// isCacheSync reports whether a disk call syncs the member cache.
+func isCacheSync(c diskgate.Call) bool { return c.IsSync() && strings.Contains(c.Path, "members-") }
 
-// A replica ends in time though the file of the members' cache cannot be synced: neither at the end
-// nor in a save that is under way as the end begins.
-func TestEndWhileTheMembersCacheIsSaved(t *testing.T) {
+// A replica shuts down within the bound while the sync of the member cache hangs: in the save during
+// shutdown, or in a save that was in progress when shutdown began.
+func TestShutdownWhileMemberCacheSyncHangs(t *testing.T) {
 	for _, when := range []string{"at the end", "before the end"} {
 		t.Run(when, func(t *testing.T) {
 			t.Parallel()
-			m, config := replicaWithMembership(t)
-			r := startGated(t, config, savesMembers)
+			m, config := configWithMembership(t)
+			r := startGated(t, config, isCacheSync)
 			awaitReady(t, m)
 			if when == "before the end" {
 				t.Logf("the disk hangs at %v", r.awaitHeld())
 			}
-			told := time.Now()
+			signaledAt := time.Now()
 			r.sendTerm()
-			r.endsInTime(told)
+			r.checkShutdown(signaledAt)
 			r.checkMembershipStep()
 		})
 	}
 }
 
-// silentAddress is where connections are accepted and nothing is answered. The channel receives
-// each of them.
+// silentAddress returns an address that accepts connections and never answers. The channel
+// receives each connection.
 func silentAddress(t *testing.T) (string, <-chan net.Conn) {
 	t.Helper()
 	listener := listen(t, "127.0.0.1:0")
 	accepted := make(chan net.Conn, 64)
 	t.Cleanup(func() { listener.Close() })
-	go func() { // ends with the listener
+	go func() { // returns when the listener is closed
 		for {
 			connection, err := listener.Accept()
 			if err != nil {
@@ -77,8 +77,8 @@
 	return listener.Addr().String(), accepted
 }
 
-// A replica that is told to end while it calls members that do not answer ends in time.
-func TestEndWhileNoMemberAnswers(t *testing.T) {
+// A replica shuts down within the bound while it calls members that do not answer.
+func TestShutdownWhileNoMemberAnswers(t *testing.T) {
 	m := newMembers(t, "r0")[0]
 	gossip := newMembers(t, "gossip")[0]
 	var seeds []string
@@ -86,7 +86,7 @@
 	for range 8 {
 		address, accepted := silentAddress(t)
 		seeds = append(seeds, address)
-		go func() { // ends with the test's process
+		go func() { // runs until the test process exits
 			for range accepted {
 				called <- struct{}{}
 			}
@@ -98,14 +98,14 @@
 	}))
 	r := startGated(t, config, nil)
 	<-called
-	told := time.Now()
+	signaledAt := time.Now()
 	r.sendTerm()
-	r.endsInTime(told)
+	r.checkShutdown(signaledAt)
 	r.checkMembershipStep()
 }
 
-// startFleet starts a group of replicas that are members of one fleet, and waits until each sees
-// all.
+// startFleet starts a group of replicas that are members of one fleet, and waits until each lists
+// all members as present.
 func startFleet(t *testing.T, n int) (members []registry.ReplicaInfo, replicas []*gatedReplica) {
 	t.Helper()
 	var ids, seeds []string
@@ -125,7 +125,7 @@
 	}
 	for _, m := range members {
 		awaitReady(t, m)
-		eventually(t, "each sees all members", func() bool {
+		eventually(t, "each replica lists all members as present", func() bool {
 			_, _, text := get(t, "http://"+m.HTTP+registry.APIPath+membership.ViewPath)
 			return strings.Count(text, `"present"`) >= n
 		})
@@ -133,9 +133,9 @@
 	return members, replicas
 }
 
-// Replicas that end at the same moment end in time: each one's farewell waits for members that take
-// none any more, and those that remain may be paused.
-func TestEndWithAllMembers(t *testing.T) {
+// A replica shuts down within the bound while no other member can receive its leave message: the
+// others shut down at the same time, are paused, or have been killed.
+func TestShutdownWhileOtherMembersAreUnavailable(t *testing.T) {
 	for _, others := range []string{"end too", "are paused", "have been killed"} {
 		t.Run(others, func(t *testing.T) {
 			t.Parallel()
@@ -153,12 +153,12 @@
 					r.killAndWait()
 				}
 			}
-			told := time.Now()
+			signaledAt := time.Now()
 			for _, r := range ending {
 				r.sendTerm()
 			}
 			for _, r := range ending {
-				r.endsInTime(told)
+				r.checkShutdown(signaledAt)
 				r.checkMembershipStep()
 			}
 		})
--- a/internal/registry/server/start_end_test.go
+++ b/internal/registry/server/shutdown_startup_test.go
@@ -13,39 +13,39 @@
 	"barleywick/internal/testing/diskgate"
 )
 
-// A replica that is told to end while it starts, and whose disk hangs at any sync of the start,
-// ends in time: of the first start on an empty folder, and of a later one.
-func TestEndWhileTheDiskHangsInTheStart(t *testing.T) {
+// A replica that receives SIGTERM during startup shuts down within the bound, whichever sync of the
+// startup hangs. Covers the first start on an empty folder and a later start.
+func TestShutdownWhileDiskHangsDuringStartup(t *testing.T) {
 	for _, start := range []string{"first", "later"} {
-		m, config := replicaWithMembership(t)
-		calls := startCalls(t, m, config)
+		m, config := configWithMembership(t)
+		calls := startupDiskCalls(t, m, config)
 		if start == "later" {
-			calls = startCalls(t, m, config)
+			calls = startupDiskCalls(t, m, config)
 		}
 		for n := 1; n <= countSyncs(calls); n++ {
 			t.Run(fmt.Sprintf("%s/sync%d", start, n), func(t *testing.T) {
 				t.Parallel()
-				m, config := replicaWithMembership(t)
+				m, config := configWithMembership(t)
 				if start == "later" {
-					startCalls(t, m, config)
+					startupDiskCalls(t, m, config)
 				}
-				r := startGated(t, config, hangFrom(n))
+				r := startGated(t, config, hangFromSync(n))
 				call := r.awaitHeld()
 				t.Logf("the disk hangs at %v", call)
-				told := time.Now()
+				signaledAt := time.Now()
 				r.sendTerm()
-				r.endsInTime(told)
+				r.checkShutdown(signaledAt)
 				r.killAndWait()
 				again := startGated(t, config, nil)
-				eventually(t, "the replica is ready on the folder that was left, or has ended", func() bool { return isReady(m) || again.hasEnded() })
+				eventually(t, "the replica is ready on the remaining data folder, or has ended", func() bool { return isReady(m) || again.hasEnded() })
 				again.sendTerm()
-				again.endsInTime(time.Now())
+				again.checkShutdown(time.Now())
 			})
 		}
 	}
 }
 
-// makePipe puts a pipe in the place of a file, on which whoever reads the file waits for ever.
+// makePipe replaces a file with a named pipe, so that reading the file blocks.
 func makePipe(t *testing.T, path string) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
@@ -59,19 +59,19 @@
 	}
 }
 
-// awaitReader waits until somebody reads a pipe, and holds it open until the test ends.
+// awaitReader waits until a process reads the pipe, and keeps the pipe open until the test ends.
 func awaitReader(t *testing.T, pipe string) {
 	t.Helper()
 	var writer *os.File
 	eventually(t, "the replica reads the pipe", func() bool {
 		var err error
-		writer, err = os.OpenFile(pipe, os.O_WRONLY|syscall.O_NONBLOCK, 0) // it fails without a reader
+		writer, err = os.OpenFile(pipe, os.O_WRONLY|syscall.O_NONBLOCK, 0) // fails without a reader
 		return err == nil
 	})
 	t.Cleanup(func() { writer.Close() })
 }
 
-// makeSnapshot makes a replica's folder, with a snapshot in it.
+// makeSnapshot creates a replica's data folder with a snapshot in it.
 func makeSnapshot(t *testing.T, c *Config) {
 	t.Helper()
 	n := &node{t: t, config: c, member: c.Self()}
@@ -83,9 +83,9 @@
 	}
 }
 
-// A replica that is told to end while a read of its start does not return ends in time: of the
-// configuration, of the folder's identity, of a snapshot that Raft restores, of the members' cache.
-func TestEndWhileAReadHangsInTheStart(t *testing.T) {
+// A replica shuts down within the bound while a read during startup hangs: of the configuration,
+// the identity file, a snapshot that Raft restores, or the member cache.
+func TestShutdownWhileReadHangsDuringStartup(t *testing.T) {
 	for name, file := range map[string]func(t *testing.T, c *Config, path string) string{
 		"configuration": func(_ *testing.T, _ *Config, path string) string { return path },
 		"storage":       func(_ *testing.T, c *Config, _ string) string { return filepath.Join(c.DataDir, identityFile) },
@@ -102,7 +102,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			_, path := replicaWithMembership(t)
+			_, path := configWithMembership(t)
 			c, err := LoadConfig(path)
 			if err != nil {
 				t.Fatal(err)
@@ -112,37 +112,36 @@
 			makePipe(t, pipe)
 			r := startGated(t, path, nil)
 			awaitReader(t, pipe)
-			told := time.Now()
+			signaledAt := time.Now()
 			r.sendTerm()
-			r.endsInTime(told)
+			r.checkShutdown(signaledAt)
 		})
 	}
 }
 
-// A replica that is killed at any disk call of its first start starts again on the folder that
-// is left, and takes part.
-func TestStartAfterAKillInTheFirstStart(t *testing.T) {
-	m, config := replicaWithMembership(t)
-	for _, call := range startCalls(t, m, config) {
+// A replica that was killed at any disk call of its first start starts again on the remaining data
+// folder and becomes ready.
+func TestRestartAfterKillDuringFirstStart(t *testing.T) {
+	m, config := configWithMembership(t)
+	for _, call := range startupDiskCalls(t, m, config) {
 		t.Run(fmt.Sprintf("call%d", call.Number), func(t *testing.T) {
 			t.Parallel()
-			m, config := replicaWithMembership(t)
+			m, config := configWithMembership(t)
 			r := startGated(t, config, func(c diskgate.Call) bool { return c.Number >= call.Number })
 			t.Logf("killed before %v", r.awaitHeld())
 			r.killAndWait()
 			again := startGated(t, config, nil)
 			eventually(t, "the replica is ready, or has ended", func() bool { return isReady(m) || again.hasEnded() })
 			again.sendTerm()
-			again.endsInTime(time.Now())
+			again.checkShutdown(time.Now())
 		})
 	}
 }
 
-// A replica that is told to end while it reads its configuration again, which does not return, ends
-// in time.
-func TestEndWhileTheConfigurationIsReadAgain(t *testing.T) {
+// A replica shuts down within the bound while a reload of its configuration hangs.
+func TestShutdownWhileConfigReloadHangs(t *testing.T) {
 	t.Parallel()
-	m, config := replicaWithMembership(t)
+	m, config := configWithMembership(t)
 	r := startGated(t, config, nil)
 	awaitReady(t, m)
 	makePipe(t, config)
@@ -150,14 +149,15 @@
 		t.Fatal(err)
 	}
 	awaitReader(t, config)
-	told := time.Now()
+	signaledAt := time.Now()
 	r.sendTerm()
-	r.endsInTime(told)
+	r.checkShutdown(signaledAt)
 }
 
-// A start that was given up does not go on to run Raft, in a process that runs other things.
+// After Run has returned because its start was aborted, the start does not go on to run Raft: a process
+// that runs other things could not stop it.
 func TestAbandonedStartRunsNoRaft(t *testing.T) {
-	m, config := replicaWithMembership(t)
+	m, config := configWithMembership(t)
 	text, err := os.ReadFile(config)
 	if err != nil {
 		t.Fatal(err)
@@ -171,7 +171,7 @@
 	stop, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- Run(stop, nil, config) }()
-	pipe, err := os.OpenFile(config, os.O_WRONLY, 0) // returns when the replica reads
+	pipe, err := os.OpenFile(config, os.O_WRONLY, 0) // returns when the replica opens the file
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -184,8 +184,8 @@
 	}
 	pipe.Close()
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
-		if listens(m.Raft) {
-			t.Fatal("a replica listens for others, after Run has returned without an error; nobody can end it")
+		if acceptsConnections(m.Raft) {
+			t.Fatal("the Raft address accepts connections after Run has returned, want no replica left running")
 		}
 	}
 }
--- a/internal/registry/server/shutdown_test.go
+++ b/internal/registry/server/shutdown_test.go
@@ -13,8 +13,8 @@
 	"barleywick/internal/registry"
 )
 
-// closesInTime closes a replica, and fails the test if that takes longer than the bound.
-func closesInTime(t *testing.T, n *node) {
+// closeWithinTimeout closes a replica, and fails the test if that exceeds totalShutdownTimeout.
+func closeWithinTimeout(t *testing.T, n *node) {
 	t.Helper()
 	n.up = false
 	n.server.Close()
@@ -24,22 +24,20 @@
 	select {
 	case err := <-closed:
 		t.Logf("closed after %v: %v", time.Since(begin).Round(time.Millisecond), err)
-	case <-time.After(endBound):
-		t.Fatalf("the replica is not closed %v after it was told", endBound)
+	case <-time.After(totalShutdownTimeout):
+		t.Fatalf("the replica is not closed after %v", totalShutdownTimeout)
 	}
 }
 
-// What happens: a replica that is told to end hangs for ever. Why: a write that its log has
-// committed waits to be applied in a channel between two goroutines of the Raft library. At
-// the end the one that reads the channel returns and leaves what is in it, and whoever waits
-// for that write waits for ever: the library answers it no more. The leader's own work
-// (claims and sessions that expire, the barrier of a new leader) waits in Close that way.
-// What showed it: the goroutines of a replica that had not ended 15 s after its end began,
-// all in raft.(*deferError).Error below Replica.apply, and Close in WaitGroup.Wait.
+// Guards against a shutdown that never finishes. Committed writes wait to be applied in a channel
+// between two goroutines of the Raft library. When Raft stops, the reader of the channel returns
+// without completing them, so their futures block for ever. Close waits for the leader's
+// background work (expiry of claims and sessions, the barrier of a new leader), which waits for
+// such futures in raft.(*deferError).Error below Replica.apply.
 //
-// Forced: the state machine is held, writes of the leader's own work are committed behind
-// it, and it is let go as Raft ends.
-func TestEndWithWritesThatAreNotApplied(t *testing.T) {
+// The test locks the state machine, commits background writes that cannot be applied, and
+// unlocks the state machine when Raft stops.
+func TestShutdownWithUnappliedWrites(t *testing.T) {
 	g := startGroup(t, 1)
 	n := g.nodes[0]
 	const writes = 16
@@ -47,9 +45,9 @@
 	n.stateMachine.mu.Lock()
 	for i := range uint64(writes) {
 		n.background.Go(func() {
-			_, _ = n.apply(registry.Command{Op: registry.OpFoundGroup, Group: "test"}) // it may fail: the replica ends
+			_, _ = n.apply(registry.Command{Op: registry.OpFoundGroup, Group: "test"}) // it may fail, since the replica shuts down
 		})
-		// One by one: writes that come together are applied together.
+		// One at a time: concurrent writes would be applied as one batch.
 		eventually(t, "the write is committed", func() bool { return n.raft.CommitIndex() > before+i })
 	}
 	go func() {
@@ -58,7 +56,7 @@
 		}
 		n.stateMachine.mu.Unlock()
 	}()
-	closesInTime(t, n)
+	closeWithinTimeout(t, n)
 }
 
 // stalledReader delivers nothing until it is closed.
@@ -69,18 +67,17 @@
 	return 0, io.EOF
 }
 
-// What happens: a replica that is told to end hangs as long as another replica's
-// connection stays open and silent. Why: the replica installs a snapshot, whose bytes Raft's
-// own goroutine reads from the connection without a deadline; a sender that was paused or cut
-// off sends no more. The connections that the replica has accepted were closed only after
-// that goroutine had returned.
-func TestEndWhileASnapshotStalls(t *testing.T) {
+// Guards against a shutdown that hangs while another replica's connection is stalled. Raft's main
+// goroutine reads the bytes of a snapshot from the connection without a deadline, and a sender
+// that is paused or disconnected sends no more. The replica therefore has to close the accepted
+// connections before it waits for that goroutine.
+func TestShutdownWhileSnapshotTransferStalls(t *testing.T) {
 	g := startGroup(t, 1)
 	n := g.nodes[0]
 	layer := newStreamLayer(listen(t, "127.0.0.1:0"), nil, func() (string, uint64) { return "test", 0 })
 	transport := raft.NewNetworkTransport(layer, 1, time.Minute, nil)
 	stalled := stalledReader{make(chan struct{})}
-	go func() { // ends when the replica has closed the connection, or with the test's process
+	go func() { // returns when the replica closes the connection or the test process exits
 		request := &raft.InstallSnapshotRequest{
 			RPCHeader:       raft.RPCHeader{ProtocolVersion: raft.ProtocolVersionMax, ID: []byte("r9"), Addr: []byte("127.0.0.1:1")},
 			SnapshotVersion: raft.SnapshotVersionMax, Term: 1000, LastLogIndex: 1 << 40, LastLogTerm: 999, Size: 1 << 20,
@@ -90,12 +87,12 @@
 	}()
 	defer close(stalled.closed)
 	eventually(t, "the snapshot is being received", func() bool { return n.raft.CurrentTerm() == 1000 })
-	closesInTime(t, n)
+	closeWithinTimeout(t, n)
 }
 
-// A leader that has given way while its disk is full, and whose term waits for room, ends in
-// time.
-func TestEndWhileATermWaits(t *testing.T) {
+// A leader that stepped down while its disk is full, and whose new term waits for disk space,
+// shuts down within the bound.
+func TestShutdownWhileTermWaitsForDiskSpace(t *testing.T) {
 	t.Parallel()
 	g := startProcessGroup(t)
 	leader := g.leaderAmong(g.members)
@@ -108,16 +105,15 @@
 	}()
 	select {
 	case <-ended:
-	case <-time.After(endBound):
-		t.Errorf("the replica has not ended %v after SIGTERM", endBound)
+	case <-time.After(totalShutdownTimeout):
+		t.Errorf("the replica has not ended %v after SIGTERM", totalShutdownTimeout)
 		g.processes[leader.ID].command.Process.Kill()
 		<-ended
 	}
 }
 
-// A caller that polls and one that watches do not hold the end of a replica: they are
-// answered as soon as it begins.
-func TestEndWithCallersThatWait(t *testing.T) {
+// Long polls and watches do not delay a shutdown: they are answered as soon as it begins.
+func TestShutdownAnswersWaitingCallers(t *testing.T) {
 	t.Parallel()
 	m := newMembers(t, "r0")[0]
 	p := startProcess(t, "", writeConfig(t, singleReplica(m, filepath.Join(t.TempDir(), "data"), nil)))
@@ -133,18 +129,18 @@
 			answered <- err
 		}()
 	}
-	eventually(t, "the callers wait", func() bool {
+	eventually(t, "both callers are waiting", func() bool {
 		_, _, text := get(t, "http://"+m.HTTP+registry.APIPath+"status")
 		return strings.Contains(text, `"watches":2,`)
 	})
 	begin := time.Now()
 	p.terminate()
 	if took := time.Since(begin); took > 2*time.Second {
-		t.Errorf("the replica ended after %v, want 2s at most", took)
+		t.Errorf("shutdown took %v, want 2s at most", took)
 	}
 	for range cap(answered) {
 		if err := <-answered; err != nil {
-			t.Errorf("a caller that waited: %v", err)
+			t.Errorf("waiting caller: %v", err)
 		}
 	}
 }
--- a/internal/registry/server/slow_disk_test.go
+++ b/internal/registry/server/slow_disk_test.go
@@ -21,15 +21,15 @@
 	"barleywick/internal/testing/faultinjection"
 )
 
-// gatedReplica is a replica that runs as a process of its own, whose disk calls a test holds.
+// gatedReplica is a replica in its own process, whose disk calls a test can hold.
 type gatedReplica struct {
 	*process
 	*diskgate.Gate
 	log   lockedBuffer
-	ended chan error // receives the process's exit once
+	ended chan error // receives the exit error of the process once
 }
 
-// lockedBuffer holds what a process writes while it runs.
+// lockedBuffer collects the output of a running process.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -47,7 +47,7 @@
 	return b.text.String()
 }
 
-// startGated starts a replica whose calls are held for which hold is true.
+// startGated starts a replica and holds its disk calls for which hold returns true.
 func startGated(t testing.TB, config string, hold func(diskgate.Call) bool) *gatedReplica {
 	t.Helper()
 	command := exec.Command(os.Args[0])
@@ -61,11 +61,11 @@
 	if err := command.Start(); err != nil {
 		t.Fatal(err)
 	}
-	go func() { r.ended <- command.Wait() }() // ends with the process
+	go func() { r.ended <- command.Wait() }() // returns when the process exits
 	t.Cleanup(func() {
 		r.killAndWait()
 		if t.Failed() {
-			t.Logf("the replica's process wrote:\n%s", withoutStacks(r.log.String()))
+			t.Logf("output of the replica's process:\n%s", keepRelevantStacks(r.log.String()))
 		}
 	})
 	if err := gate.Serve(command); err != nil {
@@ -74,8 +74,8 @@
 	return r
 }
 
-// withoutStacks shortens a log that holds the stacks of all goroutines: those of calls to the disk stay.
-func withoutStacks(log string) string {
+// keepRelevantStacks removes goroutine stacks from a log, except those in system calls, Replica.Close or Run.
+func keepRelevantStacks(log string) string {
 	head, stacks, found := strings.Cut(log, "\ngoroutine ")
 	if !found {
 		return log
@@ -88,22 +88,22 @@
 	return head
 }
 
-// killAndWait ends the process without a warning.
+// killAndWait kills the process and waits for its exit.
 func (r *gatedReplica) killAndWait() {
 	if r.command == nil {
 		return
 	}
-	_ = r.command.Process.Kill() // it fails if the process has ended
+	_ = r.command.Process.Kill() // fails if the process has already exited
 	<-r.Gate.Ended()
 	select {
 	case <-r.ended:
 	case <-time.After(patience):
-		r.t.Error("the process does not end")
+		r.t.Error("the process has not exited after SIGKILL")
 	}
 	r.command = nil
 }
 
-// hasEnded reports whether the process makes no more calls.
+// hasEnded reports whether the process has ended and makes no more disk calls.
 func (r *gatedReplica) hasEnded() bool {
 	select {
 	case <-r.Gate.Ended():
@@ -113,44 +113,45 @@
 	}
 }
 
-// awaitHeld waits until a call is held. It must not be one of the main thread, which the kernel
-// picks for a signal to the process: SIGTERM would not be heard until the call has returned.
+// awaitHeld waits until a disk call is held, and checks that it is not made by the main thread.
+// The kernel delivers signals to the main thread, so SIGTERM would be delayed until the call
+// returns.
 func (r *gatedReplica) awaitHeld() diskgate.Call {
 	r.t.Helper()
-	eventually(r.t, "a call of the disk is held", func() bool { return len(r.Held()) > 0 })
+	eventually(r.t, "a disk call is held", func() bool { return len(r.Held()) > 0 })
 	call := r.Held()[0]
 	if call.Thread == r.command.Process.Pid {
-		r.t.Errorf("the main thread makes a call of the disk: %v", call)
+		r.t.Errorf("the main thread makes a disk call: %v", call)
 	}
 	return call
 }
 
-// sendTerm tells the process to end.
+// sendTerm sends SIGTERM to the process.
 func (r *gatedReplica) sendTerm() {
 	r.t.Helper()
-	if err := r.command.Process.Signal(syscall.SIGTERM); err != nil && !errors.Is(err, os.ErrProcessDone) { // its exit is checked
+	if err := r.command.Process.Signal(syscall.SIGTERM); err != nil && !errors.Is(err, os.ErrProcessDone) { // callers check the exit
 		r.t.Fatal(err)
 	}
 }
 
-// endsInTime checks that the process, which has been told to, ends in order within the bound of
-// docs/SHUTDOWN.md.
-func (r *gatedReplica) endsInTime(told time.Time) {
+// checkShutdown checks that the process, which was sent SIGTERM, shuts down cleanly within the
+// bound of docs/SHUTDOWN.md.
+func (r *gatedReplica) checkShutdown(signaledAt time.Time) {
 	r.t.Helper()
 	select {
 	case err := <-r.ended:
 		r.command = nil
-		r.t.Logf("ended %v after SIGTERM: %v", time.Since(told).Round(time.Millisecond), err)
+		r.t.Logf("ended %v after SIGTERM: %v", time.Since(signaledAt).Round(time.Millisecond), err)
 		if err := faultinjection.CheckEnd(err, r.log.String()); err != nil {
-			r.t.Errorf("the replica's end: %v, want status 0 and no cut-off", err)
+			r.t.Errorf("shutdown of the replica: %v, want status 0 and no cut-off", err)
 		}
-	case <-time.After(time.Until(told.Add(endBound + time.Second))): // a second for the exit
-		r.t.Errorf("the replica has not ended %v after SIGTERM; held: %v; %s", endBound+time.Second, r.Held(), r.signalState())
+	case <-time.After(time.Until(signaledAt.Add(totalShutdownTimeout + time.Second))): // 1 s for the exit
+		r.t.Errorf("the replica has not ended %v after SIGTERM; held disk calls: %v; %s", totalShutdownTimeout+time.Second, r.Held(), r.signalState())
 	}
 }
 
-// signalState tells whether SIGTERM was taken: it waits in the kernel if that has picked a thread
-// for it which is in a call of the disk.
+// signalState describes whether SIGTERM was delivered. It stays pending in the kernel if the
+// chosen thread is blocked in a disk call.
 func (r *gatedReplica) signalState() string {
 	pid := r.command.Process.Pid
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -167,8 +168,8 @@
 	return fmt.Sprintf("SIGTERM still pending: %v, main thread held: %v", signals&(1<<(syscall.SIGTERM-1)) != 0, inMain)
 }
 
-// hangFrom holds all disk calls from the nth sync on, as a disk does that hangs at this sync.
-func hangFrom(n int) func(diskgate.Call) bool {
+// hangFromSync holds all disk calls from the nth sync on, like a disk that hangs at that sync.
+func hangFromSync(n int) func(diskgate.Call) bool {
 	syncs := 0
 	return func(c diskgate.Call) bool {
 		if c.IsSync() {
@@ -178,7 +179,7 @@
 	}
 }
 
-// countSyncs returns how many of some calls are syncs.
+// countSyncs returns the number of syncs among disk calls.
 func countSyncs(calls []diskgate.Call) (n int) {
 	for _, c := range calls {
 		if c.IsSync() {
@@ -188,7 +189,7 @@
 	return n
 }
 
-// isReady reports whether a replica answers that it is ready.
+// isReady reports whether a replica's readiness check succeeds.
 func isReady(m registry.ReplicaInfo) bool {
 	resp, err := http.Get("http://" + m.HTTP + "/health/ready")
 	if err != nil {
@@ -198,8 +199,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// listens reports whether somebody listens at an address.
-func listens(address string) bool {
+// acceptsConnections reports whether a process listens on an address.
+func acceptsConnections(address string) bool {
 	connection, err := net.Dial("tcp", address)
 	if err != nil {
 		return false
@@ -208,8 +209,8 @@
 	return true
 }
 
-// replicaWithMembership is the configuration of a group of one that is a member of a fleet.
-func replicaWithMembership(t *testing.T) (registry.ReplicaInfo, string) {
+// configWithMembership writes the configuration of a group of one replica that is a member of a fleet.
+func configWithMembership(t *testing.T) (registry.ReplicaInfo, string) {
 	t.Helper()
 	m := newMembers(t, "r0")[0]
 	gossip := newMembers(t, "gossip")[0]
@@ -219,22 +220,22 @@
 	}))
 }
 
-// startCalls returns the disk calls that a replica makes until it is ready.
-func startCalls(t *testing.T, m registry.ReplicaInfo, config string) []diskgate.Call {
+// startupDiskCalls returns the disk calls that a replica makes until it is ready.
+func startupDiskCalls(t *testing.T, m registry.ReplicaInfo, config string) []diskgate.Call {
 	t.Helper()
 	r := startGated(t, config, nil)
 	eventually(t, "the replica is ready", func() bool { return isReady(m) })
 	calls := r.Calls()
 	r.sendTerm()
-	r.endsInTime(time.Now())
+	r.checkShutdown(time.Now())
 	return calls
 }
 
-// gatedGroup is a group of three replicas whose disk calls a test holds.
+// gatedGroup is a group of three replicas whose disk calls a test can hold.
 type gatedGroup struct {
 	processGroup
 	replicas map[string]*gatedReplica // by id
-	configs  map[string]string        // paths
+	configs  map[string]string        // configuration paths by id
 }
 
 func startGatedGroup(t *testing.T) *gatedGroup {
@@ -253,12 +254,12 @@
 	return g
 }
 
-// start starts a replica.
+// start starts the replica with an id, without holding its disk calls.
 func (g *gatedGroup) start(id string) {
 	g.t.Helper()
 	g.replicas[id] = startGated(g.t, g.configs[id], nil)
 	g.processes[id] = g.replicas[id].process
 }
 
-// syncs holds the syncs.
-func syncs(c diskgate.Call) bool { return c.IsSync() }
+// isSync reports whether a disk call is a sync.
+func isSync(c diskgate.Call) bool { return c.IsSync() }
--- a/internal/registry/server/snapshot_store.go
+++ b/internal/registry/server/snapshot_store.go
@@ -6,14 +6,13 @@
 	"github.com/hashicorp/raft"
 )
 
-// timedSnapshotStore is a store of snapshots whose calls of the disk are among the replica's
-// diskCalls.
+// timedSnapshotStore is a snapshot store that tracks its disk calls in the replica's diskCalls.
 type timedSnapshotStore struct {
 	raft.SnapshotStore
 	calls *diskCalls
 }
 
-// Create begins a snapshot.
+// Create starts writing a snapshot.
 func (s *timedSnapshotStore) Create(version raft.SnapshotVersion, index, term uint64, members raft.Configuration, membersIndex uint64, transport raft.Transport) (raft.SnapshotSink, error) {
 	defer s.calls.begin("snapshot creation")()
 	sink, err := s.SnapshotStore.Create(version, index, term, members, membersIndex, transport)
@@ -33,7 +32,7 @@
 	return meta, &timedReader{reader, s.calls}, nil
 }
 
-// timedReader reads a snapshot.
+// timedReader reads a snapshot and tracks its disk calls.
 type timedReader struct {
 	io.ReadCloser
 	calls *diskCalls
@@ -45,7 +44,7 @@
 	return r.ReadCloser.Read(part)
 }
 
-// timedSnapshotSink is a snapshot that is being written.
+// timedSnapshotSink writes a snapshot and tracks its disk calls.
 type timedSnapshotSink struct {
 	raft.SnapshotSink
 	calls *diskCalls
@@ -57,13 +56,13 @@
 	return s.SnapshotSink.Write(part)
 }
 
-// Close syncs the snapshot and puts it in place.
+// Close syncs the snapshot to disk and makes it available.
 func (s *timedSnapshotSink) Close() error {
 	defer s.calls.begin("snapshot")()
 	return s.SnapshotSink.Close()
 }
 
-// Cancel drops the snapshot.
+// Cancel discards the snapshot.
 func (s *timedSnapshotSink) Cancel() error {
 	defer s.calls.begin("snapshot removal")()
 	return s.SnapshotSink.Cancel()
--- a/internal/registry/server/snapshot_store_test.go
+++ b/internal/registry/server/snapshot_store_test.go
@@ -12,9 +12,9 @@
 	"barleywick/internal/registry"
 )
 
-// A replica that has installed a snapshot from beyond the end of its own log, and has stored an entry after that,
-// starts again on its folder.
-func TestStartAfterAnInstalledSnapshot(t *testing.T) {
+// A replica that has installed a snapshot beyond the end of its own log, and stored the entry after
+// it, starts again on its data folder.
+func TestRestartAfterInstalledSnapshot(t *testing.T) {
 	g := startGroup(t, 1)
 	n := g.nodes[0]
 	to, at := raft.ServerID(n.member.ID), raft.ServerAddress(n.member.Raft)
@@ -25,7 +25,7 @@
 			t.Fatal(err)
 		}
 	})
-	founded := uint64(0) // it has no history yet
+	founded := uint64(0) // the test's replica has no founding version yet
 	layer := newStreamLayer(listen(t, "127.0.0.1:0"), nil, func() (string, uint64) { return "test", founded })
 	transport := raft.NewNetworkTransport(layer, 1, 10*time.Second, nil)
 	defer transport.Close()
@@ -37,14 +37,14 @@
 		RPCHeader: header, SnapshotVersion: raft.SnapshotVersionMax, Term: 1000, LastLogIndex: last, LastLogTerm: 999, Size: int64(len(text)),
 		Configuration: raft.EncodeConfiguration(group), ConfigurationIndex: 1,
 	}, &installed, bytes.NewReader(text)); err != nil || !installed.Success {
-		t.Fatalf("the snapshot: %v, %v", installed.Success, err)
+		t.Fatalf("install snapshot: success %v, error %v", installed.Success, err)
 	}
 	var appended raft.AppendEntriesResponse
 	if err := transport.AppendEntries(to, at, &raft.AppendEntriesRequest{
 		RPCHeader: header, Term: 1000, PrevLogEntry: last, PrevLogTerm: 999,
 		Entries: []*raft.Log{{Index: last + 1, Term: 1000, Type: raft.LogNoop}},
 	}, &appended); err != nil || !appended.Success {
-		t.Fatalf("the entry: %v, %v", appended.Success, err)
+		t.Fatalf("append entry: success %v, error %v", appended.Success, err)
 	}
 	n.stop()
 	storage, err := openStorage(n.config, newRaftLogger())
@@ -54,21 +54,21 @@
 	storage.Close()
 }
 
-// stopFollower returns the leader, and a follower that has been stopped.
-func (g *group) stopFollower() (leader, away *node) {
+// stopFollower stops a follower, and returns the leader and that follower.
+func (g *group) stopFollower() (leader, stopped *node) {
 	g.t.Helper()
 	leader = g.leader()
 	for _, n := range g.nodes {
 		if n != leader {
-			away = n
+			stopped = n
 		}
 	}
-	away.stop()
-	return leader, away
+	stopped.stop()
+	return leader, stopped
 }
 
-// compact has a replica make a snapshot and keep so many of the entries behind it: 4096 in the
-// product.
+// compact makes a replica take a snapshot and keep this number of entries before it. Outside tests
+// it keeps snapshotEntries.
 func (n *node) compact(kept uint64) {
 	n.t.Helper()
 	settings := n.raft.ReloadableConfig()
@@ -81,35 +81,35 @@
 	}
 }
 
-// A replica that was away while the others compacted their logs, and has caught up by a snapshot and what
-// followed it, starts again on its folder.
-func TestStartAfterCatchingUpBySnapshot(t *testing.T) {
+// A replica that was down while the others compacted their logs, and caught up by a snapshot and
+// the entries after it, starts again on its data folder.
+func TestRestartAfterCatchingUpBySnapshot(t *testing.T) {
 	g := startGroup(t, 3)
-	leader, away := g.stopFollower()
+	leader, stopped := g.stopFollower()
 	for i := range 10 {
 		if _, err := leader.apply(registry.Command{Op: registry.OpPutRecord, Key: "test", Value: []byte{'0' + byte(i)}}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	leader.compact(1)
-	away.start()
-	eventually(t, "it is ready", func() bool { return away.ready.Load() })
+	stopped.start()
+	eventually(t, "the restarted replica is ready", func() bool { return stopped.ready.Load() })
 	if _, err := leader.apply(registry.Command{Op: registry.OpPutRecord, Key: "test", Value: []byte("1")}); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "it has caught up", func() bool { return away.raft.LastIndex() == leader.raft.LastIndex() })
-	away.stop()
-	storage, err := openStorage(away.config, newRaftLogger())
+	eventually(t, "the restarted replica has caught up", func() bool { return stopped.raft.LastIndex() == leader.raft.LastIndex() })
+	stopped.stop()
+	storage, err := openStorage(stopped.config, newRaftLogger())
 	if err != nil {
 		t.Fatalf("the replica cannot start again: %v", err)
 	}
 	storage.Close()
 }
 
-// A leader that ends while a read of the snapshot that it sends does not return ends in time.
-func TestEndWhileASnapshotIsRead(t *testing.T) {
+// A leader shuts down within the bound while its read of a snapshot that it sends hangs.
+func TestShutdownWhileSnapshotReadHangs(t *testing.T) {
 	g := startGroup(t, 3)
-	leader, away := g.stopFollower()
+	leader, stopped := g.stopFollower()
 	if _, err := leader.apply(registry.Command{Op: registry.OpPutRecord, Key: "test", Value: []byte("1")}); err != nil {
 		t.Fatal(err)
 	}
@@ -119,7 +119,7 @@
 		t.Fatalf("got %v, error %v, want one snapshot", found, err)
 	}
 	makePipe(t, found[0])
-	away.start()
+	stopped.start()
 	awaitReader(t, found[0])
-	closesInTime(t, leader)
+	closeWithinTimeout(t, leader)
 }
--- a/internal/registry/server/state_machine.go
+++ b/internal/registry/server/state_machine.go
@@ -12,21 +12,21 @@
 	"barleywick/internal/registry"
 )
 
-// stateMachine is the replicated state machine under Raft. It applies the commands of
-// the log one by one, and publishes each change of the list under the same lock: a watch
-// that reads the state and takes its place among the events at once misses no change and
-// gets none twice.
+// stateMachine is the replicated state machine that Raft drives. It applies the commands of the
+// log one by one, and publishes each change of the list under the same lock. A watch that reads
+// the state and its position in the event stream under that lock misses no change and gets none
+// twice.
 type stateMachine struct {
 	broadcaster *watchBroadcaster
 
-	applied atomic.Uint64 // the index of the last command that was applied
+	applied atomic.Uint64 // index of the last entry passed to Apply
 
 	mu                    sync.RWMutex
 	state                 *registry.State
-	fullListCache         []byte // the full list, encoded once for each version
-	fullListSeq           uint64 // the version that fullListCache is of
+	fullListCache         []byte // the encoded full list of version fullListSeq
+	fullListSeq           uint64
 	listChanged           chan struct{}
-	leasesOrPolicyChanged chan struct{} // closed at the next change of the leases or of the policy
+	leasesOrPolicyChanged chan struct{} // closed at the next change of the leases or the policy
 }
 
 func newStateMachine(broadcaster *watchBroadcaster) *stateMachine {
@@ -38,7 +38,7 @@
 	}
 }
 
-// Apply applies one command of the log.
+// Apply applies one log entry and returns a registry.Result.
 func (m *stateMachine) Apply(entry *raft.Log) any {
 	defer m.applied.Store(entry.Index)
 	if entry.Type != raft.LogCommand {
@@ -46,11 +46,11 @@
 	}
 	var c registry.Command
 	if err := json.Unmarshal(entry.Data, &c); err != nil {
-		// All replicas return the same, as they read the same bytes.
+		// Deterministic: all replicas decode the same bytes.
 		return registry.Result{Err: fmt.Errorf("%w: log entry %d: %w", registry.ErrInvalid, entry.Index, err)}
 	}
 	if c.Term != 0 && c.Term != entry.Term {
-		return registry.Result{Err: fmt.Errorf("%w: decided in term %d, written in %d", registry.ErrConflict, c.Term, entry.Term)}
+		return registry.Result{Err: fmt.Errorf("%w: command decided in term %d, appended in term %d", registry.ErrConflict, c.Term, entry.Term)}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -65,8 +65,8 @@
 	return result
 }
 
-// publishChanges publishes what has changed in the list since a version. With resync the
-// watches have to read it from the state.
+// publishChanges publishes the changes of the list since a version. With resync the event carries
+// no changes, and the watches read them from the state.
 func (m *stateMachine) publishChanges(since uint64, resync bool) {
 	event := watchEvent{seq: m.state.Seq(), resync: resync}
 	if !resync {
@@ -75,29 +75,30 @@
 	m.publish(event)
 }
 
-// notifyLeasesOrPolicy wakes the calls that wait for a change of the leases or of the policy.
+// notifyLeasesOrPolicy wakes the calls that wait for a change of the leases or the policy.
 func (m *stateMachine) notifyLeasesOrPolicy() {
 	close(m.leasesOrPolicyChanged)
 	m.leasesOrPolicyChanged = make(chan struct{})
 }
 
-// publish hands an event to the watches, and wakes the calls that wait for a version.
+// publish sends an event to the watches and wakes the calls that wait for a new list version.
 func (m *stateMachine) publish(event watchEvent) {
 	m.broadcaster.publish(event)
 	close(m.listChanged)
 	m.listChanged = make(chan struct{})
 }
 
-// encodeLine writes a list message as a line. It cannot fail: the numbers were checked.
+// encodeLine encodes a list update as one line of JSON. It cannot fail, since numbers that JSON cannot
+// represent are rejected on input.
 func encodeLine(update registry.ListUpdate) []byte {
 	text, err := json.Marshal(update)
 	if err != nil {
-		panic(fmt.Sprintf("registry: a list that cannot be written: %v", err))
+		panic(fmt.Sprintf("registry: cannot encode list update: %v", err))
 	}
 	return append(text, '\n')
 }
 
-// Snapshot returns the state as it is now, for Raft to write.
+// Snapshot returns the serialized current state, which Raft persists.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -108,7 +109,7 @@
 	return serializedState(text), nil
 }
 
-// Restore replaces the state by a snapshot. Watches continue from the version they have.
+// Restore replaces the state with a snapshot. Watches continue from their current version.
 func (m *stateMachine) Restore(snapshot io.ReadCloser) error {
 	defer snapshot.Close()
 	text, err := io.ReadAll(snapshot)
@@ -127,13 +128,13 @@
 	return nil
 }
 
-// serializedState is a snapshot of the state.
+// serializedState is a snapshot of the state as JSON.
 type serializedState []byte
 
 // Persist writes the snapshot.
 func (s serializedState) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s); err != nil {
-		_ = sink.Cancel() // the write's error tells why
+		_ = sink.Cancel() // the error of the write is returned instead
 		return fmt.Errorf("write snapshot: %w", err)
 	}
 	return sink.Close()
@@ -142,20 +143,20 @@
 // Release does nothing: a snapshot holds no resources.
 func (serializedState) Release() {}
 
-// view calls read with the state, which read must not keep.
+// view calls read with the state under the read lock. read must not retain the state.
 func (m *stateMachine) view(read func(s *registry.State)) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	read(m.state)
 }
 
-// seq returns the list's version.
+// seq returns the current list version.
 func (m *stateMachine) seq() (seq uint64) {
 	m.view(func(s *registry.State) { seq = s.Seq() })
 	return seq
 }
 
-// fullList returns the full list as a line.
+// fullList returns the full list, encoded as a line.
 func (m *stateMachine) fullList() []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -169,16 +170,16 @@
 	return m.fullListCache
 }
 
-// watchPosition is how far a watch has come: the line to send, the list's version after
-// it, and the event that follows.
+// watchPosition is the progress of a watch: the line to send, the list version after that line,
+// and the next event.
 type watchPosition struct {
 	line []byte
 	seq  uint64
 	next *watchEvent
 }
 
-// beginWatch returns the position of a watch that has a version of the list: its line
-// holds what has changed since, or the full list.
+// beginWatch returns the position of a watch that starts from a list version. Its line holds the
+// changes since that version, or the full list if they are not available.
 func (m *stateMachine) beginWatch(from uint64) watchPosition {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -191,7 +192,7 @@
 	return position
 }
 
-// listVersion returns the list's version, and a channel that is closed when it changes.
+// listVersion returns the current list version and a channel that is closed when it changes.
 func (m *stateMachine) listVersion() (seq uint64, changed <-chan struct{}) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
--- a/internal/registry/server/storage.go
+++ b/internal/registry/server/storage.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	lockTimeout       = time.Second // for another process to release the log
-	retainedSnapshots = 2           // one may prove corrupt
-	unfinishedSuffix  = ".new"      // of a log's file that is being made
+	logLockTimeout      = time.Second // wait for another process to release the lock of the log file
+	retainedSnapshots   = 2           // a spare in case one is corrupt
+	unfinishedLogSuffix = ".new"      // name suffix of a log file that is being created
 )
 
-// storage is what a replica has on disk: Raft's log, terms and votes in one BoltDB file,
-// snapshots, and the identity of the folder.
+// storage is a replica's data folder: Raft's log, terms and votes in one BoltDB file, the
+// snapshots, and the identity file.
 type storage struct {
-	bolt             *raftboltdb.BoltStore
-	log              *checkedLog       // in bolt
-	terms            *waitingTermStore // in bolt
-	snapshots        raft.SnapshotStore
-	isNew            bool // the folder held no log
-	foundingCutShort bool // a founder's folder held a log without history
+	bolt                *raftboltdb.BoltStore
+	log                 *checkedLog        // stored in bolt
+	terms               *retryingTermStore // stored in bolt
+	snapshots           raft.SnapshotStore
+	isNew               bool // the folder held no log
+	foundingInterrupted bool // a founder's folder held a log without entries: bootstrap was interrupted
 
 	refuseWritesOnce sync.Once
 }
 
-// openStorage opens the data folder. It refuses one that is another replica's or that
-// cannot be read completely: an acknowledged write must not be lost without notice.
+// openStorage opens the data folder. It returns an error if the folder belongs to another replica
+// or cannot be read completely: an acknowledged write must not be lost silently.
 func openStorage(c *Config, logger *raftLogger) (*storage, error) {
 	if err := os.MkdirAll(c.DataDir, 0o700); err != nil {
 		return nil, fmt.Errorf("data folder: %w", err)
@@ -53,14 +53,14 @@
 	if err != nil {
 		return nil, err
 	}
-	store, err := raftboltdb.New(raftboltdb.Options{Path: path, BoltOptions: &bolt.Options{Timeout: lockTimeout}})
+	store, err := raftboltdb.New(raftboltdb.Options{Path: path, BoltOptions: &bolt.Options{Timeout: logLockTimeout}})
 	if errors.Is(err, bolt.ErrTimeout) {
 		return nil, lockedError(path)
 	} else if err != nil {
 		return nil, fmt.Errorf("log %s: %w", path, err)
 	}
-	_ = os.Remove(path + unfinishedSuffix) // left by a start that was ended; usually there is none
-	s := &storage{bolt: store, terms: newWaitingTermStore(store), isNew: claim.isNew}
+	_ = os.Remove(path + unfinishedLogSuffix) // left by an interrupted start; usually there is none
+	s := &storage{bolt: store, terms: newRetryingTermStore(store), isNew: claim.isNew}
 	s.log = &checkedLog{BoltStore: store, calls: s.terms.calls}
 	snapshots, err := raft.NewFileSnapshotStoreWithLogger(c.DataDir, retainedSnapshots, logger)
 	if err != nil {
@@ -73,7 +73,7 @@
 		return nil, fmt.Errorf("log %s: %w", path, err)
 	}
 	if !claim.isNew && claim.founder {
-		if s.foundingCutShort, err = s.lacksHistory(); err != nil {
+		if s.foundingInterrupted, err = s.lacksHistory(); err != nil {
 			s.Close()
 			return nil, fmt.Errorf("log %s: %w", path, err)
 		}
@@ -81,7 +81,7 @@
 	return s, nil
 }
 
-// verify reads the whole log.
+// verify reads and checks the whole log.
 func (s *storage) verify() error {
 	snapshots, err := s.snapshots.List()
 	if err != nil {
@@ -94,8 +94,8 @@
 	return s.log.verify(snapshotIndex)
 }
 
-// lacksHistory reports whether there is neither an entry nor a snapshot, and no term beyond the
-// one in which a group is founded: a founder was ended before it had founded its group.
+// lacksHistory reports whether there is no entry, no snapshot, and no term beyond foundingTerm. A
+// founder's folder is in this state if the process ended before it had founded its group.
 func (s *storage) lacksHistory() (bool, error) {
 	last, err := s.log.LastIndex()
 	if err != nil || last > 0 {
@@ -109,20 +109,20 @@
 	return len(snapshots) == 0, err
 }
 
-// createLogFile makes an empty log at a path, completely or not at all: a replica that is
-// ended meanwhile begins anew.
+// createLogFile creates an empty log file atomically. A replica that ends meanwhile creates it
+// again at its next start.
 func createLogFile(path string) error {
-	unfinished := path + unfinishedSuffix
+	unfinished := path + unfinishedLogSuffix
 	if err := os.Remove(unfinished); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("log %s: %w", path, err)
 	}
-	store, err := raftboltdb.New(raftboltdb.Options{Path: unfinished, BoltOptions: &bolt.Options{Timeout: lockTimeout}})
+	store, err := raftboltdb.New(raftboltdb.Options{Path: unfinished, BoltOptions: &bolt.Options{Timeout: logLockTimeout}})
 	if err != nil {
 		return fmt.Errorf("log %s: %w", path, err)
 	}
 	err = store.Close()
 	if err == nil {
-		err = os.Link(unfinished, path) // not renamed: the log of another process would be replaced
+		err = os.Link(unfinished, path) // unlike a rename, a link does not replace the log of another process
 	}
 	if errors.Is(err, fs.ErrExist) {
 		return lockedError(path)
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// syncFolder has the disk keep the names of a folder's files.
+// syncFolder syncs a folder's directory entries to disk.
 func syncFolder(path string) error {
 	folder, err := os.Open(path)
 	if err != nil {
@@ -145,8 +145,8 @@
 	return errors.Join(folder.Sync(), folder.Close())
 }
 
-// refuseWrites refuses the log, the terms and the votes that have not begun to be written.
-// Raft takes each of them for one that could not be stored.
+// refuseWrites disables writes of log entries, terms and votes that have not begun. To Raft each
+// of them is a failed write.
 func (s *storage) refuseWrites() {
 	s.refuseWritesOnce.Do(func() {
 		s.terms.calls.refuseWrites()
@@ -154,24 +154,23 @@
 	})
 }
 
-// Close releases the log. The other parts hold no resources.
+// Close closes the BoltDB file. The other parts hold no resources.
 func (s *storage) Close() error { return s.bolt.Close() }
 
 func lockedError(path string) error {
 	return fmt.Errorf("log %s: in use by another process", path)
 }
 
-// checkLogFile reads the log's file completely before it is used: BoltDB maps the file,
-// and one that was truncated or overwritten would crash the process in the middle of its
-// work.
+// checkLogFile reads the log file completely before it is used: BoltDB maps the file into memory,
+// and a truncated or overwritten file would crash the process later.
 func checkLogFile(path string) (err error) {
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a truncated file faults where it is mapped
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // reading the mapping of a truncated file faults
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("log %s: corrupt: %v", path, p)
 		}
 	}()
-	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true, Timeout: lockTimeout})
+	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true, Timeout: logLockTimeout})
 	if errors.Is(err, bolt.ErrTimeout) {
 		return lockedError(path)
 	} else if err != nil {
@@ -181,14 +180,14 @@
 	return db.View(func(tx *bolt.Tx) error { return readBuckets(tx, path) })
 }
 
-// readBuckets reads every entry of the log's file.
+// readBuckets checks the size of the log file and reads every key and value.
 func readBuckets(tx *bolt.Tx, path string) error {
 	info, err := os.Stat(path)
 	if err != nil {
 		return fmt.Errorf("log %s: %w", path, err)
 	}
 	if info.Size() < tx.Size() {
-		return fmt.Errorf("log %s: cut short: %d bytes of %d", path, info.Size(), tx.Size())
+		return fmt.Errorf("log %s: truncated: got %d bytes, want %d", path, info.Size(), tx.Size())
 	}
 	return tx.ForEach(func(_ []byte, bucket *bolt.Bucket) error {
 		return bucket.ForEach(func(_, _ []byte) error { return nil })
--- a/internal/registry/server/storage_test.go
+++ b/internal/registry/server/storage_test.go
@@ -18,8 +18,9 @@
 	"barleywick/internal/registry"
 )
 
-// A folder that is another replica's, or whose log is corrupt, is refused in one line.
-func TestFoldersThatAreRefused(t *testing.T) {
+// A data folder that belongs to another replica, or whose log is corrupt, is refused with an error of one
+// line.
+func TestInvalidDataFolderIsRefused(t *testing.T) {
 	g := startGroup(t, 1)
 	n, c := g.nodes[0], g.client()
 	for i := range 50 {
@@ -36,11 +37,11 @@
 		return err
 	}
 	if err := open(n.config); err == nil || !strings.Contains(err.Error(), "in use") {
-		t.Errorf("while another process has it: got error %v, want that it is in use", err)
+		t.Errorf("folder of a running replica: got error %v, want in use", err)
 	}
 	n.stop()
 	if err := open(n.config); err != nil {
-		t.Fatalf("as the replica left it: %v", err)
+		t.Fatalf("folder of a stopped replica: %v", err)
 	}
 	log, err := os.ReadFile(filepath.Join(n.config.DataDir, logFile))
 	if err != nil {
@@ -70,13 +71,13 @@
 		config *Config
 		want   string
 	}{
-		"another group":      {&other, "belongs to"},
-		"another replica":    {&stranger, "belongs to"},
-		"a folder of others": {&empty, "not a replica's"},
-		"a flipped bit":      {copied(corrupt), "corrupt"},
-		"cut in the middle":  {copied(log[:at]), "log "},
-		"cut at the start":   {copied(log[:100]), "log "},
-		"no log at all":      {copied([]byte(strings.Repeat("noise", 10000))), "log "},
+		"another group":           {&other, "belongs to"},
+		"another replica":         {&stranger, "belongs to"},
+		"a folder of other files": {&empty, "not a replica's"},
+		"a flipped bit":           {copied(corrupt), "corrupt"},
+		"cut in the middle":       {copied(log[:at]), "log "},
+		"cut at the start":        {copied(log[:100]), "log "},
+		"no log at all":           {copied([]byte(strings.Repeat("noise", 10000))), "log "},
 	} {
 		if err := open(x.config); err == nil || !strings.Contains(err.Error(), x.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: got error %v, want one line with %q", name, err, x.want)
@@ -85,12 +86,12 @@
 	file := *n.config
 	file.DataDir = filepath.Join(n.config.DataDir, logFile)
 	if err := open(&file); err == nil {
-		t.Error("a file was accepted as the folder")
+		t.Error("a file was accepted as data folder")
 	}
 }
 
-// An entry of the log that was changed on disk is found when it is read.
-func TestCorruptEntryIsFound(t *testing.T) {
+// A log entry that was changed on disk is detected when it is read.
+func TestCorruptLogEntryIsDetected(t *testing.T) {
 	d, err := openStorage(&Config{Group: "a", ID: "r", DataDir: t.TempDir()}, newRaftLogger())
 	if err != nil {
 		t.Fatal(err)
@@ -116,7 +117,7 @@
 	}
 }
 
-// A replica whose disk is full reports it, and goes on serving.
+// A replica whose disk is full reports that in its errors and continues to serve.
 func TestFullDiskIsReported(t *testing.T) {
 	g := startGroup(t, 1)
 	n, c := g.nodes[0], g.client()
@@ -128,14 +129,14 @@
 	w := httptest.NewRecorder()
 	n.writeError(w, nil, raft.ErrNotLeader)
 	if w.Code != 503 || !strings.Contains(w.Body.String(), "cannot write its log: no space left") {
-		t.Errorf("a write: got %d %s", w.Code, w.Body.String())
+		t.Errorf("a write on a full disk: got %d %s, want 503 with the reason", w.Code, w.Body.String())
 	}
 	if _, err := c.Register(testContext(t), registry.RegisterRequest{Instance: instance("s-2", 1)}); err != nil || n.storage.log.lastWriteError.Load() != nil {
-		t.Errorf("once there is space again: %v", err)
+		t.Errorf("a write once there is disk space again: %v", err)
 	}
 }
 
-// flakyTermStore is a store that stores nothing while it is full.
+// flakyTermStore is a term store whose writes fail while full is set.
 type flakyTermStore struct {
 	raft.StableStore
 	mu     sync.Mutex
@@ -154,11 +155,11 @@
 	return nil
 }
 
-// A term waits for space on the disk, one that waited longer does not overwrite a later
-// one, and one that waits when the replica is closed never counts as stored.
+// A term waits for disk space. A term that has waited longer does not overwrite a later one, and a
+// term that is waiting when the replica is closed never counts as stored.
 func TestTermWaitsForDiskSpace(t *testing.T) {
 	s := &flakyTermStore{full: true}
-	p := newWaitingTermStore(s)
+	p := newRetryingTermStore(s)
 	if err := p.SetUint64([]byte("LastVoteTerm"), 4); err == nil {
 		t.Error("a vote was stored on a full disk")
 	}
@@ -170,13 +171,13 @@
 			}
 		})
 	}
-	eventually(t, "all terms wait", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return p.waiting.Load() == 3 && s.tries > 3 })
+	eventually(t, "all terms are waiting", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return p.waiting.Load() == 3 && s.tries > 3 })
 	s.mu.Lock()
 	s.full = false
 	s.mu.Unlock()
 	waiting.Wait()
 	if !slices.Equal(s.stored, []uint64{7}) {
-		t.Errorf("got %v stored, want the newest term alone", s.stored)
+		t.Errorf("stored terms: got %v, want only the newest term 7", s.stored)
 	}
 	s.full = true
 	returned := false
@@ -184,16 +185,16 @@
 		p.SetUint64([]byte(termKey), 9)
 		returned = true
 	})
-	eventually(t, "the term waits", func() bool { return p.waiting.Load() == 1 })
+	eventually(t, "the term is waiting", func() bool { return p.waiting.Load() == 1 })
 	close(p.closing)
 	if waiting.Wait(); returned {
-		t.Error("SetUint64 returned though the term is not stored")
+		t.Error("SetUint64 returned although the term is not stored")
 	}
 }
 
-// A second process that has found the folder without a log, and is slow, does not replace the log of
-// the first one, which has founded its group meanwhile.
-func TestSecondFirstStartDoesNotReplaceTheLog(t *testing.T) {
+// A process that found the data folder without a log does not replace the log that another process
+// has created meanwhile.
+func TestConcurrentFirstStartKeepsExistingLog(t *testing.T) {
 	c := parseSettings(t, map[string]any{
 		"group": "test", "id": "r0", "data": t.TempDir(),
 		"replicas": []registry.ReplicaInfo{{ID: "r0", HTTP: "127.0.0.1:1", Raft: "127.0.0.1:2"}},
@@ -209,9 +210,9 @@
 	if err := first.log.StoreLog(&raft.Log{Index: 1, Term: 1, Data: []byte("acknowledged")}); err != nil {
 		t.Fatal(err)
 	}
-	// The second process goes on with what it has found.
+	// The second process continues as if there were no log.
 	if err := createLogFile(filepath.Join(c.DataDir, logFile)); err == nil {
-		t.Error("the second process has made a new log over the one that the first has open")
+		t.Error("the second process replaced the log that the first has open")
 	}
 	second, err := openStorage(c, newRaftLogger())
 	if err != nil {
@@ -219,12 +220,12 @@
 	}
 	defer second.Close()
 	last, err := second.log.LastIndex()
-	t.Errorf("two processes have the folder open; the second's log ends at entry %d, error %v, the first has acknowledged 1", last, err)
+	t.Errorf("two processes have the folder open: last entry of the second is %d, error %v, the first has acknowledged entry 1", last, err)
 }
 
-// A replica that waits to be added to a group, and was ended before it was, does not found a group of its own when
-// its configuration no longer says that it joins.
-func TestJoinedReplicaWithoutEntriesFoundsNoGroup(t *testing.T) {
+// A replica that was stopped before it was added to a group does not found a group of its own when
+// it is started again without join in its configuration.
+func TestJoiningReplicaWithoutEntriesFoundsNoGroup(t *testing.T) {
 	m := newMembers(t, "r3")[0]
 	folder := filepath.Join(t.TempDir(), "data")
 	n := &node{t: t, config: parseSettings(t, singleReplica(m, folder, map[string]any{"join": true})), member: m}
@@ -235,15 +236,16 @@
 	defer n.stop()
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		if n.raft.State() == raft.Leader {
-			t.Fatalf("it leads a group of its own, of %d voters", len(n.voters()))
+			t.Fatalf("the replica leads a group of its own with %d voters, want no leader", len(n.voters()))
 		}
 	}
 }
 
-// Two replicas that wait to be added to a group, and were ended before they were, found no group of their own when their
-// configurations no longer say that they join. Each names itself and the others, as the page has it.
-func TestJoinedReplicasFoundNoGroup(t *testing.T) {
-	members := newMembers(t, "r0", "r3", "r4") // r0 leads the group that they join, and is away
+// Two replicas that were stopped before they were added to a group do not found a group of their
+// own when they are started again without join in their configurations, which list both of them
+// and the existing replica.
+func TestJoiningReplicasFoundNoGroup(t *testing.T) {
+	members := newMembers(t, "r0", "r3", "r4") // r0 is the only member of the group to join, and is not running
 	var nodes []*node
 	for _, m := range members[1:] {
 		settings := map[string]any{"group": "test", "id": m.ID, "data": filepath.Join(t.TempDir(), "data"), "replicas": members, "join": true, "timing": map[string]any{"election_ms": 200}}
@@ -261,7 +263,7 @@
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		for _, n := range nodes {
 			if n.raft.State() == raft.Leader {
-				t.Fatalf("%s leads a group of their own, of %d voters", n.member.ID, len(n.voters()))
+				t.Fatalf("%s leads a new group with %d voters, want no leader", n.member.ID, len(n.voters()))
 			}
 		}
 	}
--- a/internal/registry/server/stream_layer.go
+++ b/internal/registry/server/stream_layer.go
@@ -19,73 +19,73 @@
 const (
 	// handshakeProtocol is the first word on each connection between replicas.
 	handshakeProtocol = "barleywick-registry/1"
-	// An accepted handshake is answered with acceptPrefix and a handshake line, another one
-	// with refusePrefix and the reason.
+	// The answer to a handshake is acceptPrefix and a handshake line, or refusePrefix and the
+	// reason.
 	acceptPrefix, refusePrefix = "ok ", "no "
 
 	handshakeTimeout = time.Second
 	maxHandshakeLine = 512 // bytes
-	// maxConcurrentHandshakes bounds the accepted connections whose handshake is not
-	// finished: a group has few replicas.
+	// maxConcurrentHandshakes bounds the accepted connections with an unfinished handshake. A
+	// group has few replicas.
 	maxConcurrentHandshakes = 32
 	acceptRetryInterval     = 10 * time.Millisecond
 )
 
-// streamLayer carries Raft's connections. Each begins with a handshake that names the
-// group and its history: replicas that hold data of different groups must not replicate
-// to each other.
+// streamLayer provides Raft's connections. Each begins with a handshake that names the group and
+// its founding version: replicas with data of different groups must not replicate to each other.
 type streamLayer struct {
 	net.Listener
 	localHistory func() (group string, founded uint64)
 	routes       addressmap.Map
 
-	accepted  chan net.Conn // after their handshakes
+	accepted  chan net.Conn // connections whose handshake has succeeded
 	closed    chan struct{}
 	running   sync.WaitGroup
 	closeOnce sync.Once
 
-	mu   sync.Mutex
-	open map[*layerConn]struct{}
-	over bool // the layer is closed
+	mu       sync.Mutex
+	open     map[*trackedConn]struct{}
+	isClosed bool // set when the layer is closed
 }
 
-// layerConn is a connection to or from another replica, which the layer closes at its end.
-type layerConn struct {
+// trackedConn is a connection to or from another replica that is closed together with the layer.
+type trackedConn struct {
 	net.Conn
 	layer *streamLayer
 }
 
-// Close closes the connection.
-func (c *layerConn) Close() error {
+// Close closes the connection and stops tracking it.
+func (c *trackedConn) Close() error {
 	c.layer.mu.Lock()
 	delete(c.layer.open, c)
 	c.layer.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// track returns a connection that is closed with the layer. It closes one that comes later.
-func (l *streamLayer) track(conn net.Conn) (*layerConn, error) {
+// track registers a connection to be closed with the layer. If the layer is closed already, it closes
+// the connection and returns an error.
+func (l *streamLayer) track(conn net.Conn) (*trackedConn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.over {
+	if l.isClosed {
 		return nil, errors.Join(net.ErrClosed, conn.Close())
 	}
 	if l.open == nil {
-		l.open = make(map[*layerConn]struct{})
+		l.open = make(map[*trackedConn]struct{})
 	}
-	tracked := &layerConn{conn, l}
+	tracked := &trackedConn{conn, l}
 	l.open[tracked] = struct{}{}
 	return tracked, nil
 }
 
-// closeConns closes all connections, and those that come later.
+// closeConns closes all tracked connections, and makes track close later ones.
 func (l *streamLayer) closeConns() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for conn := range l.open {
-		_ = conn.Conn.Close() // whoever uses it gets the error
+		_ = conn.Conn.Close() // the connection's user gets an error from its next call
 	}
-	l.over = true
+	l.isClosed = true
 }
 
 func newStreamLayer(ln net.Listener, routes addressmap.Map, localHistory func() (string, uint64)) *streamLayer {
@@ -97,7 +97,7 @@
 	return l
 }
 
-// acceptLoop accepts connections, and delivers each whose handshake succeeds.
+// acceptLoop accepts connections, runs their handshakes and delivers those that succeed.
 func (l *streamLayer) acceptLoop() {
 	slots := make(chan struct{}, maxConcurrentHandshakes)
 	for {
@@ -122,7 +122,7 @@
 	}
 }
 
-// deliver hands a connection to Accept once its handshake has succeeded.
+// deliver runs the handshake of a connection and passes the connection to Accept.
 func (l *streamLayer) deliver(conn net.Conn) {
 	tracked, err := l.track(conn)
 	if err != nil {
@@ -141,7 +141,7 @@
 	}
 }
 
-// acceptHandshake reads the other replica's handshake line and answers it.
+// acceptHandshake reads the dialing replica's handshake line and answers it.
 func (l *streamLayer) acceptHandshake(conn net.Conn) error {
 	conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	line, err := readHandshakeLine(conn)
@@ -183,8 +183,8 @@
 	return fmt.Sprintf("%s %s %d", handshakeProtocol, group, founded)
 }
 
-// checkHandshake returns an error unless a handshake line is of this group and this
-// history. A replica that has no history yet may join any of its group.
+// checkHandshake returns an error unless a handshake line names this group and the same founding
+// version. A replica that has no founding version yet may connect to any replica of its group.
 func (l *streamLayer) checkHandshake(line string) error {
 	var protocol, group string
 	var founded uint64
@@ -201,7 +201,7 @@
 	return nil
 }
 
-// readHandshakeLine reads one short line byte by byte: what follows it is for Raft.
+// readHandshakeLine reads one short line byte by byte, since the bytes after it belong to Raft.
 func readHandshakeLine(conn net.Conn) (string, error) {
 	var text strings.Builder
 	for b := make([]byte, 1); text.Len() < maxHandshakeLine; {
--- a/internal/registry/server/stream_layer_test.go
+++ b/internal/registry/server/stream_layer_test.go
@@ -10,8 +10,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// Replicas of other groups, and of another history under the same name, are refused.
-func TestOtherGroupsAreRefused(t *testing.T) {
+// Replicas of other groups, and of a group with the same name and another founding version, are refused.
+func TestHandshakeRefusesOtherGroups(t *testing.T) {
 	history := func(group string, founded uint64) func() (string, uint64) {
 		return func() (string, uint64) { return group, founded }
 	}
@@ -31,7 +31,7 @@
 		history func() (string, uint64)
 		ok      bool
 	}{
-		"the same": {history("a", 7), true}, "one that has none yet": {history("a", 0), true},
+		"the same group": {history("a", 7), true}, "no history yet": {history("a", 0), true},
 		"another group": {history("b", 7), false}, "another history": {history("a", 8), false},
 	} {
 		other := &streamLayer{localHistory: x.history}
@@ -52,13 +52,13 @@
 		c.SetDeadline(time.Now().Add(patience))
 		io.WriteString(c, noise)
 		if got, _ := io.ReadAll(c); len(got) > 0 && !strings.HasPrefix(string(got), "no ") {
-			t.Errorf("noise is answered with %q, want a refusal", got)
+			t.Errorf("malformed handshake: got answer %q, want a refusal", got)
 		}
 		c.Close()
 	}
 }
 
-// FuzzHandshake: a handshake line is of this group and history or refused.
+// FuzzHandshake checks that a handshake line of another protocol or group is refused.
 func FuzzHandshake(f *testing.F) {
 	f.Add("barleywick-registry/1 a 7")
 	f.Add("barleywick-registry/1 a 0")
