--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -19,9 +19,9 @@
 	"barleywick/internal/shutdown"
 )
 
-// endBound is how long a controller may take to end: it hands its tasks over, each with a call of the
-// registry, and leaves the fleet.
-const endBound = 20 * time.Second
+// shutdownTimeout limits how long a controller may take to shut down: it hands over its tasks, each with a
+// registry call, and leaves the fleet.
+const shutdownTimeout = 20 * time.Second
 
 func main() {
 	cli.WarnFormerProgram(os.Stderr, os.Args[0], "barleykeeper", "controller")
@@ -31,9 +31,9 @@
 	os.Exit(status)
 }
 
-// refuseReloads says at each SIGHUP that the file is not read again, where the signal would end the
-// process. The returned function stops that.
-func refuseReloads() (stop func()) {
+// ignoreReloads catches SIGHUP, which would otherwise end the process, and logs a warning that the
+// configuration is not reloaded. The returned function stops the warnings.
+func ignoreReloads() (stop func()) {
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	stopped := make(chan struct{})
@@ -41,13 +41,13 @@
 		for {
 			select {
 			case <-reload:
-				slog.Warn("controller: file not read again, start the process anew")
+				slog.Warn("controller: configuration not reloaded, restart the process to apply changes")
 			case <-stopped:
 				return
 			}
 		}
 	}()
-	return func() { close(stopped) } // the signal stays caught until the process has ended
+	return func() { close(stopped) } // SIGHUP stays caught until the process ends
 }
 
 func newRoot(getenv func(string) string, errs io.Writer) *cobra.Command {
@@ -55,15 +55,15 @@
 	path := cli.LookupEnv(getenv, errs, "CONTROLLER_CONFIG", "BARLEYKEEPER_CONFIG")
 	load := func() (*controller.Config, error) {
 		if path == "" {
-			return nil, cli.WrongCall("--config FILE is needed, or CONTROLLER_CONFIG")
+			return nil, cli.WrongCall("--config FILE or CONTROLLER_CONFIG is needed")
 		}
 		return controller.LoadConfig(path)
 	}
 	root := &cobra.Command{
 		Use: "controller", Short: "Runs fleet-wide tasks under leases", Args: cli.NoArgs,
 		Long: `controller runs fleet-wide tasks: drains, health checks of booking servers, copies of the
-registry. Any number may run; each task is held by one controller at a time.
-SIGTERM hands its tasks over and ends it. docs/LEASES.md describes the file.
+registry. Any number of controllers may run; each task is held by one of them at a time.
+On SIGTERM a controller hands over its tasks and exits. docs/LEASES.md describes the file.
 
 ` + cli.StatusHelp,
 		Example: "  controller --config k1.toml\n  controller check --config k1.toml",
@@ -80,15 +80,15 @@
 				return err
 			}
 			slog.SetDefault(slog.New(slog.NewTextHandler(c.ErrOrStderr(), &slog.HandlerOptions{Level: l})))
-			defer shutdown.Guard(c.Context(), "controller", endBound)()
-			defer refuseReloads()()
+			defer shutdown.Guard(c.Context(), "controller", shutdownTimeout)()
+			defer ignoreReloads()()
 			return controller.Serve(c.Context(), cfg)
 		},
 	}
-	root.PersistentFlags().StringVar(&path, "config", path, "the configuration `FILE` (default: what CONTROLLER_CONFIG names)")
-	root.Flags().StringVar(&level, "log-level", "info", "least level of the log: debug, info, warn or error")
+	root.PersistentFlags().StringVar(&path, "config", path, "the configuration `FILE` (default: the file that CONTROLLER_CONFIG names)")
+	root.Flags().StringVar(&level, "log-level", "info", "lowest log level: debug, info, warn or error")
 	root.AddCommand(&cobra.Command{
-		Use: "check", Short: "Read a configuration, start nothing", Args: cli.NoArgs, Example: "  controller check --config k1.toml",
+		Use: "check", Short: "Check a configuration without starting the controller", Args: cli.NoArgs, Example: "  controller check --config k1.toml",
 		RunE: func(c *cobra.Command, _ []string) error {
 			cfg, err := shutdown.Await(c.Context(), load)
 			if err != nil {
--- a/cmd/controller/main_test.go
+++ b/cmd/controller/main_test.go
@@ -15,7 +15,7 @@
 	"barleywick/internal/testing/faultinjection"
 )
 
-// roleVariable makes the test binary a controller.
+// roleVariable is the environment variable that makes the test binary act as a controller.
 const roleVariable = "CONTROLLER_TEST_ROLE"
 
 func TestMain(m *testing.M) {
@@ -26,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-// lockedBuffer keeps what a process writes.
+// lockedBuffer collects the output of a process. It may be used concurrently.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -44,13 +44,11 @@
 	return b.text.String()
 }
 
-// What happens: SIGHUP, by which an operator has the other programs read their files again,
-// kills a controller on the spot: its tasks are nobody's until their leases end, and its log
-// says nothing. Why: nobody had asked for the signal, whose default is the process's end. A
-// controller reads its file at the start only; it has to say so and go on. It ends by SIGTERM
-// in its time, whatever comes before, with and after it, and with no registry to hand its
-// tasks over to.
-func TestSignals(t *testing.T) {
+// Guards against SIGHUP, which reloads the configuration of the other programs, killing a controller without
+// a log line, so that nobody holds its tasks until their leases expire: without a handler the signal ends the
+// process. A controller reads its file only at the start; on SIGHUP it logs that and keeps running. SIGTERM
+// ends it within its shutdown timeout, in any combination with SIGHUP, and without a registry.
+func TestReloadSignalsDoNotDelayShutdown(t *testing.T) {
 	const listen = "127.0.0.1:0"
 	hup, term := syscall.SIGHUP, syscall.SIGTERM
 	for name, signals := range map[string][]syscall.Signal{
@@ -78,32 +76,32 @@
 			for !strings.Contains(log.String(), "controller: serving") {
 				select {
 				case err := <-ended:
-					t.Fatalf("it ended by itself: %v\n%s", err, log.String())
+					t.Fatalf("the controller ended before it served: %v\n%s", err, log.String())
 				case <-time.After(10 * time.Millisecond):
 				}
 			}
 			for _, signal := range signals {
-				_ = cmd.Process.Signal(signal) // it may just have ended
+				_ = cmd.Process.Signal(signal) // the process may have ended already
 			}
 			select {
 			case err := <-ended:
 				if err := faultinjection.CheckEnd(err, log.String()); err != nil {
-					t.Errorf("it ended with %v:\n%s", err, log.String())
+					t.Errorf("the controller ended with %v, want an orderly shutdown:\n%s", err, log.String())
 				}
-			case <-time.After(endBound):
+			case <-time.After(shutdownTimeout):
 				_ = cmd.Process.Kill()
-				t.Errorf("it has not ended after %v:\n%s", endBound, log.String())
+				t.Errorf("the controller has not ended after %v:\n%s", shutdownTimeout, log.String())
 			}
-			if signals[0] == hup && !strings.Contains(log.String(), "controller: file not read again") {
-				t.Errorf("it does not say that its file was not read again:\n%s", log.String())
+			if signals[0] == hup && !strings.Contains(log.String(), "controller: configuration not reloaded") {
+				t.Errorf("the log does not report that the configuration was not reloaded:\n%s", log.String())
 			}
 		})
 	}
 }
 
-// A configuration whose read hangs, as a dead disk's does, does not keep a process from ending by
-// SIGTERM: nothing has started yet.
-func TestEndWhileConfigurationIsRead(t *testing.T) {
+// SIGTERM ends a controller at once while the read of its configuration hangs, as on a failed disk: nothing
+// has started yet.
+func TestShutdownWhileConfigurationReadHangs(t *testing.T) {
 	for name, args := range map[string][]string{"serve": nil, "check": {"check"}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -120,7 +118,7 @@
 			}
 			ended := make(chan error, 1)
 			go func() { ended <- cmd.Wait() }()
-			writer, err := os.OpenFile(path, os.O_WRONLY, 0) // returns when the process reads
+			writer, err := os.OpenFile(path, os.O_WRONLY, 0) // returns when the process opens the pipe for reading
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -131,14 +129,14 @@
 			select {
 			case err := <-ended:
 				if strings.Contains(log.String(), "shutdown: cut off") {
-					t.Errorf("its watchdog had to end it: %v\n%s", err, log.String())
+					t.Errorf("the shutdown timeout had to end the process: %v\n%s", err, log.String())
 				}
-				if name == "serve" && err != nil { // a check that was not made has failed
-					t.Errorf("it ended with %v, want status 0:\n%s", err, log.String())
+				if name == "serve" && err != nil { // an interrupted check may fail
+					t.Errorf("the process ended with %v, want status 0:\n%s", err, log.String())
 				}
-			case <-time.After(endBound):
+			case <-time.After(shutdownTimeout):
 				_ = cmd.Process.Kill()
-				t.Errorf("it has not ended %v after SIGTERM:\n%s", endBound, log.String())
+				t.Errorf("the process has not ended %v after SIGTERM:\n%s", shutdownTimeout, log.String())
 			}
 		})
 	}
--- a/cmd/controller/membership_test.go
+++ b/cmd/controller/membership_test.go
@@ -13,9 +13,9 @@
 	"barleywick/internal/testing/loopback"
 )
 
-// A controller that is told to end while a read of the members' cache hangs, as a dead disk's does, ends in
-// order within its bound.
-func TestEndWhileTheMembersCacheIsRead(t *testing.T) {
+// SIGTERM while a read of the members' cache hangs, as on a failed disk: the controller shuts down in order
+// within its shutdown timeout.
+func TestShutdownWhileMembersCacheReadHangs(t *testing.T) {
 	folder := t.TempDir()
 	path, pipe := filepath.Join(folder, "k1.toml"), filepath.Join(folder, "members-k1.json")
 	listen, err := loopback.FreeAddr()
@@ -39,19 +39,19 @@
 	}
 	defer process.Kill()
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		writer, err := os.OpenFile(pipe, os.O_WRONLY|syscall.O_NONBLOCK, 0) // it fails without a reader
+		writer, err := os.OpenFile(pipe, os.O_WRONLY|syscall.O_NONBLOCK, 0) // fails while there is no reader
 		if err == nil {
 			defer writer.Close()
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("it does not read:\n%s", process.Output())
+			t.Fatalf("the controller does not read the members' cache:\n%s", process.Output())
 		}
 	}
-	begun := time.Now()
-	err = process.Terminate(endBound + 2*time.Second)
-	t.Logf("ended after %v", time.Since(begun).Round(time.Millisecond))
+	began := time.Now()
+	err = process.Terminate(shutdownTimeout + 2*time.Second)
+	t.Logf("ended after %v", time.Since(began).Round(time.Millisecond))
 	if err != nil {
-		t.Errorf("it did not end in order: %v", err)
+		t.Errorf("the controller did not shut down in order: %v", err)
 	}
 }
--- a/cmd/fleetctl/drain.go
+++ b/cmd/fleetctl/drain.go
@@ -14,11 +14,11 @@
 
 // timeoutFlag adds the flag --timeout to a command.
 func timeoutFlag(c *cobra.Command, timeout *time.Duration) {
-	c.Flags().DurationVar(timeout, "timeout", defaultTimeout, "the longest it may take")
+	c.Flags().DurationVar(timeout, "timeout", defaultTimeout, "how long the command may take")
 }
 
-// timed runs a command's work with its timeout.
-func (a *app) timed(ctx context.Context, timeout time.Duration, work func(ctx context.Context, w *drain.Workflow) error) error {
+// runWithTimeout runs a command's work with a drain workflow, under the command's timeout.
+func (a *app) runWithTimeout(ctx context.Context, timeout time.Duration, work func(ctx context.Context, w *drain.Workflow) error) error {
 	if timeout <= 0 {
 		return cli.WrongCall("--timeout must be above 0")
 	}
@@ -29,26 +29,26 @@
 	defer end()
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return exits(work(ctx, w))
+	return withExitStatus(work(ctx, w))
 }
 
 func (a *app) drain() *cobra.Command {
 	var timeout time.Duration
-	var dry, here, detach bool
+	var dryRun, here, detach bool
 	c := &cobra.Command{
-		Use: "drain MACHINE", Short: "Take a machine out of service", Args: machine,
-		Long: `drain claims the machine, checks that what remains bears the load, marks its servers
-as draining, waits until the sidecars know it and the servers' work has ended, and
-stops them. Where a controller holds the task of running drains, the drain is handed
-over to the controllers and followed: it goes on when this command ends. With --here
-this command runs it. An interrupted drain is resumed by drain, by any operator, and
-undone by undrain.`,
+		Use: "drain MACHINE", Short: "Take a machine out of service", Args: exactlyOneMachine,
+		Long: `drain claims the machine, checks that the remaining servers can bear the load, marks the
+machine's servers as draining, waits until all sidecars are notified and the servers' work
+has ended, and stops them. If a controller holds the task that runs drains, the drain is
+handed over to the controllers and followed: it continues after this command has ended.
+With --here this command runs it. Any operator can resume an interrupted drain with drain,
+or undo it with undrain.`,
 		Example: "  fleetctl drain m-1 --timeout 10m\n  fleetctl drain m-1 --here\n  fleetctl drain m-1 --dry-run",
 		RunE: func(c *cobra.Command, args []string) error {
-			return a.timed(c.Context(), timeout, func(ctx context.Context, w *drain.Workflow) error {
+			return a.runWithTimeout(c.Context(), timeout, func(ctx context.Context, w *drain.Workflow) error {
 				switch {
-				case dry:
-					return a.plan(ctx, w, args[0])
+				case dryRun:
+					return a.printPlan(ctx, w, args[0])
 				case here:
 					return w.Drain(ctx, args[0])
 				}
@@ -57,37 +57,37 @@
 		},
 	}
 	timeoutFlag(c, &timeout)
-	c.Flags().BoolVar(&dry, "dry-run", false, "say what it would do, and change nothing")
-	c.Flags().BoolVar(&here, "here", false, "run it in this command, whether there are controllers or not")
-	c.Flags().BoolVar(&detach, "detach", false, "hand it over and do not follow it")
+	c.Flags().BoolVar(&dryRun, "dry-run", false, "print what the drain would do and change nothing")
+	c.Flags().BoolVar(&here, "here", false, "run the drain in this command, even if a controller could run it")
+	c.Flags().BoolVar(&detach, "detach", false, "hand the drain over and exit without following it")
 	return c
 }
 
-// handOver hands a drain over to the controllers and follows it, or runs it here where no controller holds
-// the task. Following may go on for a moment after ctx, so it is bounded by the command's own context.
-func (a *app) handOver(ctx, followed context.Context, w *drain.Workflow, machine string, timeout time.Duration, detach bool) error {
-	held, err := a.holder(ctx, controller.DrainsLease)
+// handOver hands a drain over to the controllers and follows it. If no controller holds the task, it runs
+// the drain here. It uses commandCtx to follow the drain, which takes a little longer than the deadline of ctx.
+func (a *app) handOver(ctx, commandCtx context.Context, w *drain.Workflow, machine string, timeout time.Duration, detach bool) error {
+	holderName, err := a.holder(ctx, controller.DrainsLease)
 	if err != nil {
 		return err
 	}
-	if held == "" {
+	if holderName == "" {
 		if detach {
-			return fmt.Errorf("no controller holds the task %s: start one, or leave --detach out", controller.DrainsLease)
+			return fmt.Errorf("no controller holds the task %s: start a controller or omit --detach", controller.DrainsLease)
 		}
 		return w.Drain(ctx, machine)
 	}
 	if err := w.HandOver(ctx, machine, w.Now().Add(timeout)); err != nil {
 		return err
 	}
-	fmt.Fprintf(a.out, "%s: handed over to the controllers, %s runs it\n", machine, held)
+	fmt.Fprintf(a.out, "%s: handed over to the controllers, %s runs it\n", machine, holderName)
 	if detach {
 		return nil
 	}
-	// The controllers undo it when its time is up, which is seen a moment later.
-	follow, cancel := context.WithTimeout(followed, timeout+callTimeout)
+	// The controllers undo the drain after the timeout; follow it a little longer to see the result.
+	followCtx, cancel := context.WithTimeout(commandCtx, timeout+callTimeout)
 	defer cancel()
-	if err := w.Follow(follow, machine); follow.Err() != nil {
-		return cli.ExitError(outOfTime, "%s: the controllers go on with it; status shows its progress", machine)
+	if err := w.Follow(followCtx, machine); followCtx.Err() != nil {
+		return cli.ExitError(statusTimedOut, "%s: stopped following the drain; the controllers continue it, status shows its progress", machine)
 	} else if err != nil {
 		return err
 	}
@@ -97,11 +97,11 @@
 func (a *app) undrain() *cobra.Command {
 	var timeout time.Duration
 	c := &cobra.Command{
-		Use: "undrain MACHINE", Short: "Take a machine's drain back", Args: machine,
-		Long:    "undrain takes a drain back at whatever step it is, and lets the machine's servers be used again.",
+		Use: "undrain MACHINE", Short: "Undo a machine's drain", Args: exactlyOneMachine,
+		Long:    "undrain undoes a drain at any step and allows the machine's servers to be used again.",
 		Example: "  fleetctl undrain m-1",
 		RunE: func(c *cobra.Command, args []string) error {
-			return a.timed(c.Context(), timeout, func(ctx context.Context, w *drain.Workflow) error { return w.Undrain(ctx, args[0]) })
+			return a.runWithTimeout(c.Context(), timeout, func(ctx context.Context, w *drain.Workflow) error { return w.Undrain(ctx, args[0]) })
 		},
 	}
 	timeoutFlag(c, &timeout)
@@ -110,20 +110,20 @@
 
 func (a *app) status() *cobra.Command {
 	return &cobra.Command{
-		Use: "status [MACHINE]", Short: "Tell how drains stand", Args: cobra.MaximumNArgs(1),
+		Use: "status [MACHINE]", Short: "Show the state of drains", Args: cobra.MaximumNArgs(1),
 		Example: "  fleetctl status",
 		RunE: func(c *cobra.Command, args []string) error {
 			only := ""
 			if len(args) > 0 {
 				only = args[0]
 			}
-			return a.timed(c.Context(), callTimeout, func(ctx context.Context, w *drain.Workflow) error { return a.drains(ctx, w, only) })
+			return a.runWithTimeout(c.Context(), callTimeout, func(ctx context.Context, w *drain.Workflow) error { return a.printDrains(ctx, w, only) })
 		},
 	}
 }
 
-// plan prints what a drain would do.
-func (a *app) plan(ctx context.Context, w *drain.Workflow, machine string) error {
+// printPlan prints what a drain would do.
+func (a *app) printPlan(ctx context.Context, w *drain.Workflow, machine string) error {
 	p, err := w.Plan(ctx, machine)
 	if err != nil {
 		return err
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// drains prints the state of each drain, or of one machine's.
-func (a *app) drains(ctx context.Context, w *drain.Workflow, machine string) error {
+// printDrains prints the state of each drain, or of one machine's drain if machine is not empty.
+func (a *app) printDrains(ctx context.Context, w *drain.Workflow, machine string) error {
 	all, err := w.Status(ctx)
 	if err != nil {
 		return err
--- a/cmd/fleetctl/main.go
+++ b/cmd/fleetctl/main.go
@@ -1,4 +1,4 @@
-// Fleetctl is the operator's command.
+// Fleetctl is the operators' command-line tool: it drains machines, and manages tasks and the fleet policy.
 package main
 
 import (
@@ -23,27 +23,27 @@
 
 // Exit statuses.
 const (
-	done      = cli.StatusDone
-	failed    = cli.StatusFailed
-	wrongCall = cli.StatusWrongCall
-	refused   = 3
-	outOfTime = 4
+	statusDone      = cli.StatusDone
+	statusFailed    = cli.StatusFailed
+	statusWrongCall = cli.StatusWrongCall
+	statusRefused   = 3
+	statusTimedOut  = 4
 )
 
 const (
 	defaultTimeout = 5 * time.Minute
-	pollEvery      = 200 * time.Millisecond
-	// callTimeout bounds a call that reads or writes a single thing.
+	pollInterval   = 200 * time.Millisecond
+	// callTimeout bounds a single read or write.
 	callTimeout = 15 * time.Second
-	// endBound is how long an interrupted command may take to end: it undoes its drain, which
-	// lasts as long as the drain's claim at most.
-	endBound = time.Minute
+	// shutdownTimeout limits how long an interrupted command may take to exit: it first undoes its
+	// drain, which takes at most as long as the drain's claim lasts.
+	shutdownTimeout = time.Minute
 )
 
 func main() {
 	cli.WarnFormerProgram(os.Stderr, os.Args[0], "barleyctl", "fleetctl")
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	ended := shutdown.Guard(stop, "fleetctl", endBound)
+	ended := shutdown.Guard(stop, "fleetctl", shutdownTimeout)
 	status := run(stop, os.Args[1:], os.Getenv, os.Stdout, os.Stderr)
 	ended()
 	cancel()
@@ -61,7 +61,7 @@
 	return cli.Run(ctx, "fleetctl", newRoot(&app{path: cli.LookupEnv(getenv, errs, "FLEETCTL_CONFIG", "BARLEYCTL_CONFIG"), out: out}), args, out, errs)
 }
 
-// app holds what all commands share: the path of the configuration and the output.
+// app holds the path of the configuration and the output, which all commands share.
 type app struct {
 	path string
 	out  io.Writer
@@ -70,21 +70,21 @@
 func newRoot(a *app) *cobra.Command {
 	root := &cobra.Command{
 		Use:   "fleetctl",
-		Short: "The operator's command",
+		Short: "Manages a fleet: drains, tasks, fleet policy and members",
 		Long: `fleetctl takes machines out of service and brings them back, manages the tasks that
-controllers hold, the fleet's policy and the advice on an overload, and lists the members
-of the fleet. Its configuration is named by --config or FLEETCTL_CONFIG;
-docs/DRAINING.md describes it, docs/LEASES.md the tasks.
+controllers hold and the fleet policy, shows the overload advice, and lists the members
+of the fleet. --config or FLEETCTL_CONFIG names its configuration file;
+docs/DRAINING.md describes the file, docs/LEASES.md the tasks.
 
 ` + cli.StatusHelp + `
  3  refused, nothing was changed
- 4  out of time: the message says what that left`,
+ 4  timed out or interrupted; the message describes the resulting state`,
 		Args: cli.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			return cli.WrongCall("drain, undrain or status is needed, or tasks or task; see fleetctl --help")
+			return cli.WrongCall("a command such as drain, undrain or status is needed; see fleetctl --help")
 		},
 	}
-	root.PersistentFlags().StringVar(&a.path, "config", a.path, "the configuration `FILE` (default: what FLEETCTL_CONFIG names)")
+	root.PersistentFlags().StringVar(&a.path, "config", a.path, "the configuration `FILE` (default: the file that FLEETCTL_CONFIG names)")
 	root.AddCommand(a.drain(), a.undrain(), a.status(), a.tasks(), a.task(), a.policy(), a.overload(), a.members(), cli.VersionCommand("fleetctl"))
 	return root
 }
@@ -92,12 +92,12 @@
 // config reads the configuration.
 func (a *app) config() (*drain.Config, error) {
 	if a.path == "" {
-		return nil, cli.WrongCall("-config FILE is needed, or FLEETCTL_CONFIG")
+		return nil, cli.WrongCall("--config FILE or FLEETCTL_CONFIG is needed")
 	}
 	return drain.LoadConfig(a.path)
 }
 
-// client makes a client of the registry for single calls.
+// client creates a registry client whose calls are limited by callTimeout.
 func (a *app) client() (*client.Client, error) {
 	c, err := a.config()
 	if err != nil {
@@ -110,7 +110,7 @@
 	return r.WithTimeout(callTimeout), nil
 }
 
-// workflow makes the workflow for this operator.
+// workflow creates a drain workflow that claims drains under a name unique to this process.
 func (a *app) workflow() (*drain.Workflow, func(), error) {
 	c, err := a.config()
 	if err != nil {
@@ -120,27 +120,27 @@
 	if err != nil {
 		name = "operator"
 	}
-	return c.Workflow(fmt.Sprintf("%s/%d/%s", name, os.Getpid(), rand.Text()[:6]), pollEvery, func(e drain.Event) { fmt.Fprintln(a.out, e) })
+	return c.Workflow(fmt.Sprintf("%s/%d/%s", name, os.Getpid(), rand.Text()[:6]), pollInterval, func(e drain.Event) { fmt.Fprintln(a.out, e) })
 }
 
-// machine checks that a command has one machine as its argument.
-func machine(c *cobra.Command, args []string) error {
+// exactlyOneMachine checks that a command has one argument, the machine.
+func exactlyOneMachine(c *cobra.Command, args []string) error {
 	switch {
 	case len(args) == 0:
 		return cli.WrongCall("%s needs a machine", c.Name())
 	case len(args) > 1:
-		return cli.WrongCall("one machine at a time")
+		return cli.WrongCall("a command takes one machine at a time")
 	}
 	return nil
 }
 
-// exits gives an error of a workflow its exit status.
-func exits(err error) error {
+// withExitStatus adds the exit status to an error of a drain workflow.
+func withExitStatus(err error) error {
 	switch {
 	case errors.Is(err, drain.ErrRefused):
-		return cli.ExitError(refused, "%w", err)
+		return cli.ExitError(statusRefused, "%w", err)
 	case errors.Is(err, drain.ErrTimeout), errors.Is(err, context.Canceled) && !errors.Is(err, client.ErrUnreachable):
-		return cli.ExitError(outOfTime, "%w", err)
+		return cli.ExitError(statusTimedOut, "%w", err)
 	}
 	return err
 }
--- a/cmd/fleetctl/main_test.go
+++ b/cmd/fleetctl/main_test.go
@@ -17,8 +17,8 @@
 	"barleywick/internal/registry/server"
 )
 
-// startRegistry runs a registry with two machines until the test ends, and returns
-// the path of a configuration for the command.
+// startRegistry runs a registry with two machines until the test ends, and returns the path of a fleetctl
+// configuration.
 func startRegistry(t *testing.T) (config string) {
 	t.Helper()
 	listen := func() net.Listener {
@@ -75,7 +75,7 @@
 		Register(context.Context, registry.RegisterRequest) (registry.WriteResponse, error)
 	})
 	for _, s := range [][2]string{{"s-1", "m-1"}, {"s-2", "m-2"}} {
-		i := registry.Instance{Host: s[0], Dial: "127.0.0.1:1", Site: "a", Health: registry.HealthUp, Share: 1} // nobody listens: no work
+		i := registry.Instance{Host: s[0], Dial: "127.0.0.1:1", Site: "a", Health: registry.HealthUp, Share: 1} // no process listens there, so the server has no work
 		if _, err := writer.Register(t.Context(), registry.RegisterRequest{Instance: i, Machine: s[1]}); err != nil {
 			t.Fatal(err)
 		}
@@ -90,7 +90,7 @@
 	return status, o.String(), e.String()
 }
 
-// Each call's exit status, and one line that says what is wrong.
+// Checks the exit status and the message of each kind of call.
 func TestExitStatuses(t *testing.T) {
 	config := startRegistry(t)
 	dead := filepath.Join(t.TempDir(), "dead.json")
@@ -103,39 +103,39 @@
 		status int
 		says   string
 	}{
-		"help":               {config, []string{"--help"}, done, "fleetctl takes machines"},
-		"nothing":            {config, nil, wrongCall, "drain, undrain or status"},
-		"an unknown command": {config, []string{"fetch", "m-1"}, wrongCall, "unknown command"},
-		"no machine":         {config, []string{"drain"}, wrongCall, "needs a machine"},
-		"two machines":       {config, []string{"drain", "m-1", "m-2"}, wrongCall, "one machine"},
-		"an unknown flag":    {config, []string{"drain", "m-1", "--fast"}, wrongCall, "--fast"},
-		"no time":            {config, []string{"drain", "m-1", "--timeout", "0s"}, wrongCall, "above 0"},
-		"no configuration":   {"", []string{"status"}, wrongCall, "-config FILE"},
-		"a missing file":     {"/nonexistent", []string{"status"}, failed, "read configuration"},
-		"no registry":        {dead, []string{"drain", "m-1", "--timeout", "300ms"}, failed, "no replica"},
-		"an unknown machine": {config, []string{"drain", "m-9"}, refused, "it has those of m-1, m-2"},
-		"not drained":        {config, []string{"undrain", "m-1"}, refused, "not drained"},
-		"a dry run":          {config, []string{"drain", "--dry-run", "m-1"}, done, "1 of 2 ready servers would remain, the floor is 1"},
-		"no drains":          {config, []string{"status"}, done, "no machine"},
+		"help":               {config, []string{"--help"}, statusDone, "fleetctl takes machines"},
+		"nothing":            {config, nil, statusWrongCall, "drain, undrain or status"},
+		"an unknown command": {config, []string{"fetch", "m-1"}, statusWrongCall, "unknown command"},
+		"no machine":         {config, []string{"drain"}, statusWrongCall, "needs a machine"},
+		"two machines":       {config, []string{"drain", "m-1", "m-2"}, statusWrongCall, "one machine"},
+		"an unknown flag":    {config, []string{"drain", "m-1", "--fast"}, statusWrongCall, "--fast"},
+		"no time":            {config, []string{"drain", "m-1", "--timeout", "0s"}, statusWrongCall, "above 0"},
+		"no configuration":   {"", []string{"status"}, statusWrongCall, "-config FILE"},
+		"a missing file":     {"/nonexistent", []string{"status"}, statusFailed, "read configuration"},
+		"no registry":        {dead, []string{"drain", "m-1", "--timeout", "300ms"}, statusFailed, "no replica"},
+		"an unknown machine": {config, []string{"drain", "m-9"}, statusRefused, "it has those of m-1, m-2"},
+		"not drained":        {config, []string{"undrain", "m-1"}, statusRefused, "not drained"},
+		"a dry run":          {config, []string{"drain", "--dry-run", "m-1"}, statusDone, "1 of 2 ready servers would remain, the floor is 1"},
+		"no drains":          {config, []string{"status"}, statusDone, "no machine"},
 	} {
 		status, out, errs := ctl(t, x.env, x.args...)
 		if status != x.status || !strings.Contains(strings.ReplaceAll(out+errs, "-fast", "--fast"), x.says) {
 			t.Errorf("%s: status %d, %q %q; want %d and %q", name, status, out, errs, x.status, x.says)
 		}
 	}
-	if status, out, errs := ctl(t, config, "drain", "m-1", "--timeout", "500ms"); status != outOfTime || !strings.Contains(errs, "undone") {
-		t.Errorf("out of time: status %d, %q %q", status, out, errs) // the sidecars count as told after 6 s
+	if status, out, errs := ctl(t, config, "drain", "m-1", "--timeout", "500ms"); status != statusTimedOut || !strings.Contains(errs, "undone") {
+		t.Errorf("timeout: status %d, %q %q", status, out, errs) // the sidecars count as notified only after 6 s
 	}
-	if status, out, errs := ctl(t, config, "drain", "m-1"); status != done || !strings.Contains(out, "m-1: done") {
+	if status, out, errs := ctl(t, config, "drain", "m-1"); status != statusDone || !strings.Contains(out, "m-1: done") {
 		t.Errorf("drain: status %d, %q %q", status, out, errs)
 	}
-	if status, _, errs := ctl(t, config, "drain", "m-2"); status != refused || !strings.Contains(errs, "floor") {
+	if status, _, errs := ctl(t, config, "drain", "m-2"); status != statusRefused || !strings.Contains(errs, "floor") {
 		t.Errorf("below the floor: status %d, %q", status, errs)
 	}
-	if status, out, _ := ctl(t, config, "status", "m-1"); status != done || !strings.Contains(out, "out of service") {
+	if status, out, _ := ctl(t, config, "status", "m-1"); status != statusDone || !strings.Contains(out, "out of service") {
 		t.Errorf("status: %d, %q", status, out)
 	}
-	if status, _, errs := ctl(t, config, "undrain", "m-1"); status != done {
+	if status, _, errs := ctl(t, config, "undrain", "m-1"); status != statusDone {
 		t.Errorf("undrain: status %d, %q", status, errs)
 	}
 }
@@ -154,7 +154,7 @@
 	}
 }
 
-// Files that people wrote set the variable under its former name.
+// Existing scripts may set the variable under its former name.
 func TestFormerEnvironmentVariableNamesTheConfiguration(t *testing.T) {
 	for variable, warned := range map[string]bool{"FLEETCTL_CONFIG": false, "BARLEYCTL_CONFIG": true} {
 		getenv := func(name string) string {
@@ -165,7 +165,7 @@
 		}
 		var out, errs bytes.Buffer
 		status := run(t.Context(), []string{"status"}, getenv, &out, &errs)
-		if status != failed || !strings.Contains(errs.String(), "/nonexistent") {
+		if status != statusFailed || !strings.Contains(errs.String(), "/nonexistent") {
 			t.Errorf("%s: status %d, says %q", variable, status, errs.String())
 		}
 		if got := strings.Contains(errs.String(), "BARLEYCTL_CONFIG is deprecated, use FLEETCTL_CONFIG"); got != warned {
--- a/cmd/fleetctl/members.go
+++ b/cmd/fleetctl/members.go
@@ -17,10 +17,10 @@
 	"barleywick/internal/registry"
 )
 
-// membersEvery is the interval of --watch.
-const membersEvery = time.Second
+// membersInterval is the refresh interval of --watch.
+const membersInterval = time.Second
 
-// maxConcurrentViews bounds how many members are asked at once.
+// maxConcurrentViews limits how many members are queried at once.
 const maxConcurrentViews = 16
 
 func (a *app) members() *cobra.Command {
@@ -30,8 +30,8 @@
 		Use: "members", Short: "List the members of the fleet", Args: cli.NoArgs,
 		Long: `members asks a replica of the registry, or the member that --at names, which members of
 the fleet it sees, and since when (docs/MEMBERSHIP.md). --diff compares the views of all
-members that serve theirs. --forget makes every member forget an unreachable one that
-never comes back.
+members that serve one. --forget makes every member forget an unreachable member that
+will not return.
 
 ` + cli.StatusHelp + `
  3  with --diff: views differ`,
@@ -52,22 +52,22 @@
 					fmt.Fprintln(a.out, err)
 				}
 				select {
-				case <-time.After(membersEvery):
+				case <-time.After(membersInterval):
 				case <-c.Context().Done():
 					return nil
 				}
 			}
 		},
 	}
-	c.Flags().BoolVar(&asJSON, "json", false, "one JSON object a line")
-	c.Flags().BoolVar(&watch, "watch", false, "go on once a second, until interrupted")
-	c.Flags().BoolVar(&diff, "diff", false, "compare the views of all members that can be asked")
-	c.Flags().StringVar(&at, "at", "", "ask the member that serves at this `ADDRESS`")
-	c.Flags().StringVar(&forget, "forget", "", "the `NAME` of an unreachable member that never comes back")
+	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON object per line")
+	c.Flags().BoolVar(&watch, "watch", false, "refresh once a second until interrupted")
+	c.Flags().BoolVar(&diff, "diff", false, "compare the views of all members that serve one")
+	c.Flags().StringVar(&at, "at", "", "query the member that serves its view at this `ADDRESS`")
+	c.Flags().StringVar(&forget, "forget", "", "forget the unreachable member `NAME`, which will not return")
 	return c
 }
 
-// fleetURL returns where a member of a role serves its view.
+// fleetURL returns the URL at which a member serves its view; the path depends on its role.
 func fleetURL(role membership.Role, at string) string {
 	switch role {
 	case membership.RoleRegistry:
@@ -88,7 +88,7 @@
 				return v, nil
 			}
 		}
-		return v, fmt.Errorf("no member tells its view at %s: %w", at, err)
+		return v, fmt.Errorf("no member serves its view at %s: %w", at, err)
 	}
 	c, err := a.config()
 	if err != nil {
@@ -99,10 +99,10 @@
 			return v, nil
 		}
 	}
-	return v, fmt.Errorf("no replica of the registry tells its view: %w", err)
+	return v, fmt.Errorf("no replica of the registry serves its view: %w", err)
 }
 
-// views fetches the views of all members of a view that serve theirs.
+// views fetches the views of all members in from that serve one, and returns the names of those that failed.
 func views(ctx context.Context, from membership.ViewResponse) (all []membership.ViewResponse, failed []string) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -171,13 +171,13 @@
 func (a *app) showDiff(ctx context.Context, from membership.ViewResponse, asJSON bool) error {
 	all, failed := views(ctx, from)
 	if len(all) < 2 {
-		return errors.New("fewer than two members can be asked: their files name no address to listen on for people")
+		return errors.New("fewer than two members returned their view: the others did not answer, or have no HTTP address configured")
 	}
 	different := membership.Diff(all)
 	if asJSON {
 		err := json.NewEncoder(a.out).Encode(map[string]any{"asked": len(all), "silent": failed, "differ": different})
 		if err == nil && len(different) > 0 {
-			err = cli.ExitError(refused, "views differ of %d members", len(different))
+			err = cli.ExitError(statusRefused, "views differ on %d members", len(different))
 		}
 		return err
 	}
@@ -201,10 +201,10 @@
 			}
 		}
 	}
-	return cli.ExitError(refused, "views differ of %d members", len(different))
+	return cli.ExitError(statusRefused, "views differ on %d members", len(different))
 }
 
-// forgetMember makes every member that serves its view forget one.
+// forgetMember asks every live member that serves its view to forget the named member.
 func (a *app) forgetMember(ctx context.Context, at, name string) error {
 	v, err := a.view(ctx, at)
 	if err != nil {
@@ -222,7 +222,7 @@
 		}
 	}
 	if notified == 0 {
-		return fmt.Errorf("no member has an unreachable member named %s", name)
+		return fmt.Errorf("no member lists an unreachable member named %s", name)
 	}
 	fmt.Fprintf(a.out, "%d members have forgotten %s\n", notified, name)
 	return nil
--- a/cmd/fleetctl/overload.go
+++ b/cmd/fleetctl/overload.go
@@ -21,10 +21,10 @@
 func (a *app) overload() *cobra.Command {
 	var asJSON, watch bool
 	c := &cobra.Command{
-		Use: "overload", Short: "Show how much is shed, and why", Args: cli.NoArgs,
-		Long: `overload asks the controller that holds the overload task (docs/OVERLOAD.md): how many
-sidecars report to it, what share of their latency objective answers take, and for each
-tenant how much is requested and what part of it may be tried.`,
+		Use: "overload", Short: "Show how much load is shed, and why", Args: cli.NoArgs,
+		Long: `overload asks the controller that holds the overload task (docs/OVERLOAD.md) for its advice:
+how many sidecars report to it, what share of their latency objective responses take, and
+for each tenant the request rate and which part of it is admitted.`,
 		Example: "  fleetctl overload\n  fleetctl overload --watch --json",
 		RunE: func(c *cobra.Command, _ []string) error {
 			r, err := a.client()
@@ -57,12 +57,12 @@
 			}
 		},
 	}
-	c.Flags().BoolVar(&asJSON, "json", false, "one JSON object a line")
-	c.Flags().BoolVar(&watch, "watch", false, "go on once a second, until interrupted")
+	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON object per line")
+	c.Flags().BoolVar(&watch, "watch", false, "refresh once a second until interrupted")
 	return c
 }
 
-// fetchAdvice asks the holder of the task for its current advice.
+// fetchAdvice requests the current overload advice from the controller that holds the overload task.
 func fetchAdvice(ctx context.Context, r *client.Client) (advice overload.Advice, err error) {
 	rec, err := r.Record(ctx, overload.RecordKey)
 	if errors.Is(err, registry.ErrNotFound) {
@@ -82,15 +82,15 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return advice, fmt.Errorf("the task's holder does not answer: %w", err)
+		return advice, fmt.Errorf("request overload advice: %w", err)
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, overload.MaxMessageBytes))
 	switch {
 	case err != nil:
-		return advice, fmt.Errorf("the task's holder: %w", err)
+		return advice, fmt.Errorf("read overload advice: %w", err)
 	case resp.StatusCode != http.StatusOK:
-		return advice, fmt.Errorf("%s answers %d: %.200s", location.Address, resp.StatusCode, text)
+		return advice, fmt.Errorf("%s responded with status %d: %.200s", location.Address, resp.StatusCode, text)
 	}
 	return advice, json.Unmarshal(text, &advice)
 }
--- a/cmd/fleetctl/policy.go
+++ b/cmd/fleetctl/policy.go
@@ -21,10 +21,10 @@
 
 func (a *app) policy() *cobra.Command {
 	c := &cobra.Command{
-		Use: "policy", Short: "Show the fleet policy, and change it everywhere or nowhere", Args: cli.NoArgs,
-		Long: `policy shows the fleet policy and changes it: every sidecar confirms that it supports the
-new one, acts by the stricter of old and new, and only when all do is the new one in force.
-docs/POLICY.md describes the document and what each failure looks like.`,
+		Use: "policy", Short: "Show the fleet policy, or change it on all sidecars or none", Args: cli.NoArgs,
+		Long: `policy shows and changes the fleet policy. During a change every sidecar confirms that it
+supports the new policy and then applies the stricter of old and new; once all of them do,
+the new policy is in force. docs/POLICY.md describes the document and the possible failures.`,
 		RunE: func(*cobra.Command, []string) error {
 			return cli.WrongCall("get, diff, propose, status, abort, history, revert or evict is needed; see fleetctl policy --help")
 		},
@@ -33,7 +33,7 @@
 	return c
 }
 
-// withStatus calls work with a client and the status of the fleet policy.
+// withStatus calls work with a registry client and the status of the fleet policy.
 func (a *app) withStatus(ctx context.Context, work func(r *client.Client, st rollout.Status) error) error {
 	r, err := a.client()
 	if err != nil {
@@ -44,14 +44,14 @@
 	if err != nil {
 		return err
 	}
-	return refusals(work(r, st))
+	return withRefusedStatus(work(r, st))
 }
 
-// refusals gives a refusal of the registry its exit status.
-func refusals(err error) error {
-	for _, plain := range []error{registry.ErrConflict, registry.ErrNotFound, registry.ErrInvalid, registry.ErrLimitReached} {
-		if errors.Is(err, plain) {
-			return cli.ExitError(refused, "%w", err)
+// withRefusedStatus sets the exit status of an error by which the registry refused a request.
+func withRefusedStatus(err error) error {
+	for _, refusal := range []error{registry.ErrConflict, registry.ErrNotFound, registry.ErrInvalid, registry.ErrLimitReached} {
+		if errors.Is(err, refusal) {
+			return cli.ExitError(statusRefused, "%w", err)
 		}
 	}
 	return err
@@ -65,21 +65,21 @@
 	}
 	d := &rollout.Document{FormatVersion: 1, Mode: rollout.ModeCarry}
 	if err := configfile.DecodeTOML(text, d); err != nil {
-		return nil, cli.ExitError(refused, "policy %s: %w", path, err)
+		return nil, cli.ExitError(statusRefused, "policy %s: %w", path, err)
 	}
 	if err := d.Check(); err != nil {
-		return nil, cli.ExitError(refused, "policy %s: %w", path, configfile.WithLine(text, err))
+		return nil, cli.ExitError(statusRefused, "policy %s: %w", path, configfile.WithLine(text, err))
 	}
 	return d, nil
 }
 
 func (a *app) policyGet() *cobra.Command {
 	return &cobra.Command{
-		Use: "get", Short: "Print the policy in force, as a file to be changed and proposed", Args: cli.NoArgs, Example: "  fleetctl policy get > policy.toml",
+		Use: "get", Short: "Print the policy in force, as a file to edit and propose", Args: cli.NoArgs, Example: "  fleetctl policy get > policy.toml",
 		RunE: func(c *cobra.Command, _ []string) error {
 			return a.withStatus(c.Context(), func(_ *client.Client, st rollout.Status) error {
 				if st.Document == nil {
-					return cli.ExitError(refused, "no policy is in force: each sidecar acts by its own file")
+					return cli.ExitError(statusRefused, "no fleet policy is in force: each sidecar applies its own configuration")
 				}
 				fmt.Fprintf(a.out, "# epoch %d, checksum %s\n", st.Epoch, st.Checksum)
 				return toml.NewEncoder(a.out).Encode(st.Document)
@@ -88,11 +88,11 @@
 	}
 }
 
-// diff prints what a document would change.
-func (a *app) diff(st rollout.Status, d *rollout.Document) {
+// printDiff prints what a document would change.
+func (a *app) printDiff(st rollout.Status, d *rollout.Document) {
 	from := st.Document
 	if from == nil {
-		fmt.Fprintln(a.out, "the first policy: each sidecar acts by its own file until now, and no more than that after")
+		fmt.Fprintln(a.out, "the first fleet policy: until now each sidecar applies its own configuration, from then on the stricter of both")
 		from = &rollout.Document{Mode: d.Mode}
 	}
 	lines := rollout.Diff(from, d)
@@ -113,7 +113,7 @@
 				return err
 			}
 			return a.withStatus(c.Context(), func(_ *client.Client, st rollout.Status) error {
-				a.diff(st, d)
+				a.printDiff(st, d)
 				return nil
 			})
 		},
@@ -123,7 +123,7 @@
 func (a *app) policyStatus() *cobra.Command {
 	var asJSON bool
 	c := &cobra.Command{
-		Use: "status", Short: "Show the policy and the change under way", Args: cli.NoArgs, Example: "  fleetctl policy status --json",
+		Use: "status", Short: "Show the policy and the change in progress", Args: cli.NoArgs, Example: "  fleetctl policy status --json",
 		RunE: func(c *cobra.Command, _ []string) error {
 			return a.withStatus(c.Context(), func(_ *client.Client, st rollout.Status) error {
 				if asJSON {
@@ -137,17 +137,17 @@
 			})
 		},
 	}
-	c.Flags().BoolVar(&asJSON, "json", false, "one JSON object, as the registry has it")
+	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON object, as the registry returns it")
 	return c
 }
 
 func (a *app) policyAbort() *cobra.Command {
 	return &cobra.Command{
-		Use: "abort", Short: "Roll the change under way back", Args: cli.NoArgs, Example: "  fleetctl policy abort",
+		Use: "abort", Short: "Roll back the change in progress", Args: cli.NoArgs, Example: "  fleetctl policy abort",
 		RunE: func(c *cobra.Command, _ []string) error {
 			return a.withStatus(c.Context(), func(r *client.Client, st rollout.Status) error {
 				if st.Change == nil {
-					return cli.ExitError(refused, "no change is under way")
+					return cli.ExitError(statusRefused, "no change is in progress")
 				}
 				_, err := r.ApplyPolicyStep(c.Context(), rollout.Command{Op: rollout.OpAbort, ChangeNumber: st.Change.Number, By: "an operator"}, nil)
 				if err == nil {
@@ -161,7 +161,7 @@
 
 func (a *app) policyHistory() *cobra.Command {
 	return &cobra.Command{
-		Use: "history", Short: "List what was proposed, by whom, and the outcome", Args: cli.NoArgs, Example: "  fleetctl policy history",
+		Use: "history", Short: "List the changes proposed so far, with proposer and outcome", Args: cli.NoArgs, Example: "  fleetctl policy history",
 		RunE: func(c *cobra.Command, _ []string) error {
 			return a.withStatus(c.Context(), func(_ *client.Client, st rollout.Status) error {
 				w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
@@ -179,8 +179,8 @@
 	return &cobra.Command{
 		Use: "evict SIDECAR", Short: "Remove a sidecar whose process has ended from the roster", Args: cobra.ExactArgs(1),
 		Long: `evict removes a sidecar from the roster: changes no longer wait for it. Use it only when
-its process has ended. A process that still runs is refused by the registry from now on, and
-refuses new requests as soon as it is notified; until then it may act by an old policy.`,
+its process has ended. If the process still runs, the registry refuses it from now on, and it
+refuses new requests once it is notified; until then it may apply an old policy.`,
 		Example: "  fleetctl policy evict n17",
 		RunE: func(c *cobra.Command, args []string) error {
 			return a.withStatus(c.Context(), func(r *client.Client, _ rollout.Status) error {
--- a/cmd/fleetctl/propose.go
+++ b/cmd/fleetctl/propose.go
@@ -18,23 +18,23 @@
 	"barleywick/internal/rollout"
 )
 
-const defaultWithin = 2 * time.Minute // for a change to be confirmed by all
+const defaultWithin = 2 * time.Minute // for all sidecars to confirm a change
 
 // proposal holds the flags that the proposing commands share.
 type proposal struct {
-	reason string
-	within time.Duration
-	wait   bool
-	first  string
-	watch  time.Duration
+	reason        string
+	within        time.Duration
+	wait          bool
+	canaryPercent string
+	canaryWatch   time.Duration
 }
 
 func (p *proposal) flags(c *cobra.Command) {
-	c.Flags().StringVar(&p.reason, "reason", "", "why, for the history")
-	c.Flags().DurationVar(&p.within, "within", defaultWithin, "it is rolled back if not every sidecar has confirmed it by then")
-	c.Flags().StringVar(&p.first, "first", "", "a part of the sidecars, such as 5%, that goes ahead and is compared with the rest")
-	c.Flags().DurationVar(&p.watch, "watch", 30*time.Second, "with --first: for how long")
-	c.Flags().BoolVar(&p.wait, "wait", false, "follow it until it is settled or has failed")
+	c.Flags().StringVar(&p.reason, "reason", "", "the reason, for the history")
+	c.Flags().DurationVar(&p.within, "within", defaultWithin, "roll the change back unless every sidecar has confirmed it within this time")
+	c.Flags().StringVar(&p.canaryPercent, "first", "", "the share of the sidecars, such as 5%, that applies the change first and is compared with the others")
+	c.Flags().DurationVar(&p.canaryWatch, "watch", 30*time.Second, "with --first: how long they are compared")
+	c.Flags().BoolVar(&p.wait, "wait", false, "follow the change until it is in force or has failed")
 }
 
 // propose proposes a document and, with --wait, follows the change.
@@ -46,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	a.diff(st, d)
+	a.printDiff(st, d)
 	command := rollout.Command{
 		Op: rollout.OpPropose, Document: d, BaseEpoch: st.Epoch,
 		By: cmp.Or(os.Getenv("USER"), "operator"), Reason: p.reason, WithinMS: p.within.Milliseconds(),
@@ -59,8 +59,8 @@
 	if err != nil {
 		return err
 	}
-	if now.Change == nil { // it is over already, for good or bad
-		return a.outcome(now, d.Checksum(), st.Epoch)
+	if now.Change == nil { // the change has already been committed or rolled back
+		return a.reportOutcome(now, d.Checksum(), st.Epoch)
 	}
 	number := now.Change.Number
 	fmt.Fprintf(a.out, "change %d proposed\n", number)
@@ -70,25 +70,26 @@
 	if now, err = a.follow(ctx, r, now, number); err != nil {
 		return err
 	}
-	return a.outcome(now, d.Checksum(), st.Epoch)
+	return a.reportOutcome(now, d.Checksum(), st.Epoch)
 }
 
-// canary returns the fraction of sidecars that go ahead and for how long they are compared; 0: none do.
+// canary returns the fraction of the sidecars that are canaries and how long they are compared with the
+// others; 0: there are none.
 func (p *proposal) canary() (fraction float64, watch time.Duration, err error) {
-	if p.first == "" {
+	if p.canaryPercent == "" {
 		return 0, 0, nil
 	}
-	percent, err := strconv.ParseFloat(strings.TrimSuffix(p.first, "%"), 64)
-	if err != nil || !strings.HasSuffix(p.first, "%") || percent <= 0 || percent >= 100 {
-		return 0, 0, cli.WrongCall("--first is %q, it must be like 5%%, between 0%% and 100%%", p.first)
+	percent, err := strconv.ParseFloat(strings.TrimSuffix(p.canaryPercent, "%"), 64)
+	if err != nil || !strings.HasSuffix(p.canaryPercent, "%") || percent <= 0 || percent >= 100 {
+		return 0, 0, cli.WrongCall("--first is %q, it must be a percentage between 0%% and 100%%, such as 5%%", p.canaryPercent)
 	}
-	if p.watch <= 0 || p.watch >= p.within {
-		return 0, 0, cli.WrongCall("--watch is %v, it must be above 0 and under the %v of --within", p.watch, p.within)
+	if p.canaryWatch <= 0 || p.canaryWatch >= p.within {
+		return 0, 0, cli.WrongCall("--watch is %v, it must be above 0 and below the %v of --within", p.canaryWatch, p.within)
 	}
-	return percent / 100, p.watch, nil
+	return percent / 100, p.canaryWatch, nil
 }
 
-// follow prints each step of a change until it is over, and returns the status after that.
+// follow prints each step of a change until the change has ended, and returns the status then.
 func (a *app) follow(ctx context.Context, r *client.Client, now rollout.Status, number uint64) (rollout.Status, error) {
 	printed := ""
 	for now.Change != nil && now.Change.Number == number {
@@ -96,9 +97,9 @@
 			fmt.Fprintln(a.out, line)
 			printed = line
 		}
-		next, err := r.PolicyStatus(ctx, now.Version, watchFor)
+		next, err := r.PolicyStatus(ctx, now.Version, maxWatchWait)
 		if ctx.Err() != nil && err != nil {
-			return now, cli.ExitError(outOfTime, "change %d goes on; status tells how it stands", number)
+			return now, cli.ExitError(statusTimedOut, "change %d is still in progress; policy status shows its state", number)
 		}
 		if err != nil {
 			return now, err
@@ -108,34 +109,35 @@
 	return now, nil
 }
 
-// progress returns a line with the stage of a change and who has not confirmed it.
+// progress returns a line with the stage of a change and the sidecars that have not confirmed it.
 func progress(st rollout.Status) string {
-	const few = 6
+	const maxListed = 6
 	line := fmt.Sprintf("change %d: %s, %d of %d have confirmed", st.Change.Number, st.Stage, len(st.Roster)-len(st.WaitingFor), len(st.Roster))
 	if st.Stage == rollout.StageCanary {
 		line += fmt.Sprintf("; %d go ahead", len(st.Change.Canaries))
 	}
 	if n := len(st.WaitingFor); n > 0 {
-		line += "; waits for " + strings.Join(st.WaitingFor[:min(n, few)], " ")
-		if n > few {
-			line += fmt.Sprintf(" and %d others", n-few)
+		line += "; waits for " + strings.Join(st.WaitingFor[:min(n, maxListed)], " ")
+		if n > maxListed {
+			line += fmt.Sprintf(" and %d others", n-maxListed)
 		}
 	}
 	return line
 }
 
-// outcome prints the result of the last change that proposed a document with this checksum.
-func (a *app) outcome(st rollout.Status, sum string, before uint64) error {
+// reportOutcome prints the result of the last change after the epoch before that proposed a document with
+// this checksum, or returns an error if that change was not committed.
+func (a *app) reportOutcome(st rollout.Status, checksum string, before uint64) error {
 	for i := len(st.History) - 1; i >= 0; i-- {
-		if h := st.History[i]; h.Checksum == sum && h.Number > before {
+		if h := st.History[i]; h.Checksum == checksum && h.Number > before {
 			if h.Outcome == rollout.OutcomeCommitted {
 				fmt.Fprintf(a.out, "epoch %d is in force everywhere\n", h.Number)
 				return nil
 			}
-			return cli.ExitError(refused, "change %d took hold nowhere: %s", h.Number, h.Outcome)
+			return cli.ExitError(statusRefused, "change %d is not in force on any sidecar: %s", h.Number, h.Outcome)
 		}
 	}
-	return errors.New("the change is over, and the history does not tell how")
+	return errors.New("the change has ended, but the history does not contain its outcome")
 }
 
 func (a *app) policyPropose() *cobra.Command {
@@ -159,13 +161,13 @@
 	var p proposal
 	c := &cobra.Command{
 		Use: "revert [EPOCH]", Short: "Propose an earlier policy again", Args: cobra.MaximumNArgs(1),
-		Long:    "revert proposes the policy that was in force before this one, or that of EPOCH. It is a change as any.",
+		Long:    "revert proposes the policy that was in force before this one, or that of EPOCH. It starts an ordinary change.",
 		Example: "  fleetctl policy revert --wait",
 		RunE: func(c *cobra.Command, args []string) error {
 			return a.withStatus(c.Context(), func(r *client.Client, st rollout.Status) error {
 				earlier, ok := findCommitted(st, args)
 				if !ok {
-					return cli.ExitError(refused, "the history has no such policy that was in force")
+					return cli.ExitError(statusRefused, "the history contains no such policy that was in force")
 				}
 				if p.reason == "" {
 					p.reason = fmt.Sprintf("revert to epoch %d", earlier.Number)
--- a/cmd/fleetctl/tasks.go
+++ b/cmd/fleetctl/tasks.go
@@ -15,10 +15,10 @@
 	"barleywick/internal/registry"
 )
 
-// watchFor bounds how long one call waits for a change.
-const watchFor = 4 * time.Second
+// maxWatchWait bounds how long one call waits for a change.
+const maxWatchWait = 4 * time.Second
 
-// holder returns the name of the process that holds a lease; empty: nobody.
+// holder returns the name of the process that holds a lease, or an empty string if none does.
 func (a *app) holder(ctx context.Context, name string) (string, error) {
 	r, err := a.client()
 	if err != nil {
@@ -40,9 +40,9 @@
 func (a *app) tasks() *cobra.Command {
 	var asJSON, watch bool
 	c := &cobra.Command{
-		Use: "tasks", Short: "List the tasks and who holds them", Args: cli.NoArgs,
-		Long: `tasks lists the leases: who holds each, with which token, and who waits. Leases whose
-names begin with keeper: show which controllers run.`,
+		Use: "tasks", Short: "List the tasks and their holders", Args: cli.NoArgs,
+		Long: `tasks lists the leases with their holders, fencing tokens and waiting controllers. Leases
+whose names begin with keeper: show which controllers run.`,
 		Example: "  fleetctl tasks\n  fleetctl tasks --watch --json",
 		RunE: func(c *cobra.Command, _ []string) error {
 			r, err := a.client()
@@ -53,12 +53,12 @@
 			for after := uint64(0); ; {
 				wait := time.Duration(0)
 				if watch && after > 0 {
-					wait = watchFor
+					wait = maxWatchWait
 				}
 				all, err := r.Leases(c.Context(), after, wait)
 				switch {
 				case c.Context().Err() != nil && watch:
-					return nil // interrupted, as a watch is meant to end
+					return nil // a watch runs until it is interrupted
 				case err != nil:
 					return err
 				}
@@ -74,8 +74,8 @@
 			}
 		},
 	}
-	c.Flags().BoolVar(&asJSON, "json", false, "one JSON object a line, as the registry has it")
-	c.Flags().BoolVar(&watch, "watch", false, "go on, and tell each change, until interrupted")
+	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON object per line, as the registry returns it")
+	c.Flags().BoolVar(&watch, "watch", false, "print the tasks again at each change until interrupted")
 	return c
 }
 
@@ -85,7 +85,7 @@
 		return json.NewEncoder(a.out).Encode(all)
 	}
 	if all.GrantsClosed {
-		fmt.Fprintln(a.out, "nothing is granted yet: the group was founded a moment ago")
+		fmt.Fprintln(a.out, "no lease is granted yet: the registry group was founded a moment ago")
 	}
 	if len(all.Leases) == 0 {
 		fmt.Fprintln(a.out, "no task is held or waited for")
@@ -113,7 +113,7 @@
 	return w.Flush()
 }
 
-// orDash joins words, or returns a dash where there are none.
+// orDash joins words with spaces, or returns a dash if there are none.
 func orDash(words []string) string {
 	if len(words) == 0 {
 		return "-"
@@ -140,18 +140,18 @@
 			},
 		})
 	}
-	add("release TASK", "Have its holder give it up: whoever waits has it next", 1, func([]string) registry.YieldRequest {
+	add("release TASK", "Ask its holder to release it to the next waiting controller", 1, func([]string) registry.YieldRequest {
 		return registry.YieldRequest{Yield: true}
 	})
-	add("hand-over TASK CONTROLLER", "Have its holder hand it over to a controller that waits for it", 2, func(args []string) registry.YieldRequest {
+	add("hand-over TASK CONTROLLER", "Ask its holder to hand it over to a controller that waits for it", 2, func(args []string) registry.YieldRequest {
 		return registry.YieldRequest{Yield: true, NextHolder: args[1]}
 	})
-	add("pause TASK", "Let nobody hold it", 1, func([]string) registry.YieldRequest { return registry.YieldRequest{Pause: &yes} })
-	add("resume TASK", "Let it be held again", 1, func([]string) registry.YieldRequest { return registry.YieldRequest{Pause: &no} })
+	add("pause TASK", "Ask its holder to release it, and grant it to no controller until it is resumed", 1, func([]string) registry.YieldRequest { return registry.YieldRequest{Pause: &yes} })
+	add("resume TASK", "Allow it to be held again", 1, func([]string) registry.YieldRequest { return registry.YieldRequest{Pause: &no} })
 	return c
 }
 
-// requestYield sends what an operator wants of a lease.
+// requestYield sends an operator's request about a lease to the registry.
 func (a *app) requestYield(ctx context.Context, name string, request registry.YieldRequest) error {
 	r, err := a.client()
 	if err != nil {
@@ -160,7 +160,7 @@
 	defer r.Close()
 	err = r.RequestYield(ctx, name, request)
 	if errors.Is(err, registry.ErrNotFound) || errors.Is(err, registry.ErrConflict) {
-		return cli.ExitError(refused, "%w", err)
+		return cli.ExitError(statusRefused, "%w", err)
 	}
 	return err
 }
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -1,4 +1,4 @@
-// Registry is one replica of the registry of booking servers. docs/REGISTRY.md describes it.
+// Registry runs one replica of the registry of booking servers. docs/REGISTRY.md describes it.
 package main
 
 import (
@@ -21,28 +21,28 @@
 
     registry -config FILE
 
-SIGTERM and SIGINT hand leadership over and end it; SIGHUP reads the file again
-(limits and sessions may change). docs/REGISTRY.md describes the file.
+On SIGTERM or SIGINT it hands over leadership and exits; on SIGHUP it reloads the file
+(only limits and sessions may change). docs/REGISTRY.md describes the file.
 
 ` + cli.StatusHelp + `
 
 `
 
-// The main goroutine keeps the main thread, and only waits. The kernel picks that thread for a
-// signal to the process: in a call of a disk that hangs it would not take SIGTERM.
+// Locks the main goroutine, which only waits, to the main thread. The kernel delivers a signal to the
+// process to that thread: if a hanging disk call blocked it, SIGTERM would not be handled.
 func init() { runtime.LockOSThread() }
 
 func main() {
 	os.Exit(cli.Report("registry", run(os.Args[1:], os.Stderr), os.Stderr))
 }
 
-// options are what the command line says.
+// options holds the parsed command line.
 type options struct {
 	configPath string
 	logLevel   slog.Level
 }
 
-// run serves one replica until it is asked to end.
+// run runs one replica until SIGTERM or SIGINT.
 func run(args []string, out io.Writer) error {
 	o, err := parseArguments(args, out)
 	if errors.Is(err, flag.ErrHelp) {
@@ -63,10 +63,10 @@
 // parseArguments reads the command line; for -help it prints the usage and returns flag.ErrHelp.
 func parseArguments(args []string, out io.Writer) (options, error) {
 	flags := flag.NewFlagSet("registry", flag.ContinueOnError)
-	flags.SetOutput(io.Discard) // errors are printed in one line, by main
+	flags.SetOutput(io.Discard) // main prints errors on one line
 	path := flags.String("config", "", "the configuration `FILE`")
-	verbose := flags.Bool("v", false, "log what the replicas say to each other")
-	flags.Usage = func() {} // printed below, for -help alone
+	verbose := flags.Bool("v", false, "log at level debug, including the communication between replicas")
+	flags.Usage = func() {} // printed below, only for -help
 	if err := flags.Parse(args); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
 			fmt.Fprint(out, usage)
@@ -77,7 +77,7 @@
 		return options{}, cli.WrongCall("%w; see registry -help", err)
 	}
 	if *path == "" || flags.NArg() > 0 {
-		return options{}, cli.WrongCall("-config FILE is needed, and nothing else; see registry -help")
+		return options{}, cli.WrongCall("-config FILE is needed, and no other argument is allowed; see registry -help")
 	}
 	o := options{configPath: *path, logLevel: slog.LevelInfo}
 	if *verbose {
--- a/cmd/sidecar-metrics/folder_test.go
+++ b/cmd/sidecar-metrics/folder_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// A sidecar that is told to end while a read of the members' cache or of the stored policy hangs, as a
-// dead disk's does, ends in order within its bound.
-func TestEndWhileAFolderIsRead(t *testing.T) {
-	const bound = 12 * time.Second // 11.45 s by docs/SHUTDOWN.md, and the exit
+// SIGTERM while a read of the members' cache or of the stored policy hangs, as on a failed disk: the sidecar
+// shuts down in order within its bound.
+func TestShutdownWhileStoredFileReadHangs(t *testing.T) {
+	const bound = 12 * time.Second // 11.45 s according to docs/SHUTDOWN.md, and the exit
 	for name, x := range map[string]struct {
 		file  string
 		table map[string]any
@@ -30,20 +30,20 @@
 			var writer *os.File
 			for deadline := time.Now().Add(20 * time.Second); writer == nil || !strings.Contains(process.Output(), "msg=serving"); time.Sleep(time.Millisecond) {
 				if writer == nil {
-					if opened, err := os.OpenFile(pipe, os.O_WRONLY|syscall.O_NONBLOCK, 0); err == nil { // it fails without a reader
+					if opened, err := os.OpenFile(pipe, os.O_WRONLY|syscall.O_NONBLOCK, 0); err == nil { // fails while there is no reader
 						writer = opened
 						defer writer.Close()
 					}
 				}
 				if time.Now().After(deadline) {
-					t.Fatalf("it does not come so far (reader %v):\n%s", writer != nil, process.Output())
+					t.Fatalf("the sidecar does not read the file and serve (reads the file: %v):\n%s", writer != nil, process.Output())
 				}
 			}
-			begun := time.Now()
+			began := time.Now()
 			err := process.Terminate(bound)
-			t.Logf("ended after %v", time.Since(begun).Round(time.Millisecond))
+			t.Logf("ended after %v", time.Since(began).Round(time.Millisecond))
 			if err != nil {
-				t.Errorf("it did not end in order: %v", err)
+				t.Errorf("the sidecar did not shut down in order: %v", err)
 			}
 		})
 	}
--- a/cmd/sidecar-metrics/main.go
+++ b/cmd/sidecar-metrics/main.go
@@ -1,5 +1,5 @@
-// Sidecar-metrics is the sidecar with Prometheus metrics and with membership of the fleet, each of
-// which its configuration turns on. They take some megabytes more of memory.
+// Sidecar-metrics is the sidecar with Prometheus metrics and fleet membership, each of which is enabled in
+// its configuration. They take some megabytes of additional memory.
 package main
 
 import (
--- a/cmd/sidecar-metrics/main_test.go
+++ b/cmd/sidecar-metrics/main_test.go
@@ -15,7 +15,7 @@
 	"barleywick/internal/testing/loopback"
 )
 
-// TestMain lets the test binary stand in for the program.
+// TestMain lets the test binary act as the program.
 func TestMain(m *testing.M) {
 	if os.Getenv("BARLEYWICK_RUN_MAIN") == "1" {
 		main()
@@ -24,7 +24,7 @@
 	os.Exit(m.Run())
 }
 
-// listenSilently returns the address of somebody who accepts connections and never says anything.
+// listenSilently returns the address of a listener that accepts connections and never sends anything.
 func listenSilently(t *testing.T, network, address string) string {
 	t.Helper()
 	ln, err := net.Listen(network, address)
@@ -51,7 +51,7 @@
 	return address
 }
 
-// startSidecar starts a sidecar whose configuration has one more table, until the test ends.
+// startSidecar runs a sidecar until the test ends. Its configuration has the given table under key.
 func startSidecar(t *testing.T, discovery, key string, table any) *faultinjection.Process {
 	t.Helper()
 	text, err := json.Marshal(map[string]any{
@@ -78,11 +78,11 @@
 	return process
 }
 
-// A sidecar that is told to end while it starts, and waits for something that does not answer, ends
-// in order and soon, not after what it waits for.
-func TestEndWhileStarting(t *testing.T) {
-	// The watchdog's is 11.5 s here. The phases take 0.6 s, then leaving the roster takes 2.5 s at
-	// most, and leaving the fleet 4 s on a slow disk; what is waited for takes 2 to 60 s.
+// SIGTERM while a sidecar starts and waits for a process that does not answer: it shuts down in order within
+// the bound, without waiting for the answer.
+func TestShutdownWhileStarting(t *testing.T) {
+	// The shutdown timeout is 11.5 s here. The phases take 0.6 s, then leaving the roster takes at most
+	// 2.5 s, and leaving the fleet 4 s on a slow disk. The waits at the start take 2 to 60 s.
 	const bound = 10 * time.Second
 	silent := listenSilently(t, "tcp", "127.0.0.1:0")
 	var seeds []string
@@ -93,7 +93,7 @@
 	for name, x := range map[string]struct {
 		table any
 		key   string
-		until string // what its log says then
+		until string // the log contains it when SIGTERM is sent; empty: when a socket is open
 	}{
 		"members do not answer":       {map[string]any{"fleet": "t", "listen": freeAddr(t), "seeds": seeds, "folder": t.TempDir()}, "membership", "msg=serving"},
 		"member address in use":       {map[string]any{"fleet": "t", "listen": silent}, "membership", "not a member yet"},
@@ -105,22 +105,22 @@
 			process := startSidecar(t, silent, x.key, x.table)
 			for deadline := time.Now().Add(20 * time.Second); !strings.Contains(process.Output(), x.until) || !holdsSocket(process.PID(), x.until == ""); time.Sleep(time.Millisecond) {
 				if time.Now().After(deadline) {
-					t.Fatalf("it does not come so far:\n%s", process.Output())
+					t.Fatalf("the sidecar does not reach the state in which SIGTERM is sent:\n%s", process.Output())
 				}
 			}
-			begun := time.Now()
+			began := time.Now()
 			err := process.Terminate(bound)
-			t.Logf("ended after %v", time.Since(begun).Round(time.Millisecond))
+			t.Logf("ended after %v", time.Since(began).Round(time.Millisecond))
 			if err != nil {
-				t.Errorf("it did not end in order: %v\n%s", err, process.Output())
+				t.Errorf("the sidecar did not shut down in order: %v\n%s", err, process.Output())
 			}
 		})
 	}
 }
 
-// holdsSocket reports whether a process has a socket open, if it is asked for.
-func holdsSocket(pid int, asked bool) bool {
-	if !asked {
+// holdsSocket reports whether a process has a socket open. It returns true if none is required.
+func holdsSocket(pid int, required bool) bool {
+	if !required {
 		return true
 	}
 	folder := fmt.Sprintf("/proc/%d/fd", pid)
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -19,7 +19,7 @@
 	"barleywick/internal/testing/loopback"
 )
 
-// TestMain lets the test binary stand in for the program.
+// TestMain lets the test binary act as the program.
 func TestMain(m *testing.M) {
 	if os.Getenv("BARLEYWICK_RUN_MAIN") == "1" {
 		main()
@@ -28,7 +28,7 @@
 	os.Exit(m.Run())
 }
 
-func TestStartUpErrorIsOnePlainLine(t *testing.T) {
+func TestStartupErrorIsOneLine(t *testing.T) {
 	for name, config := range map[string]string{"none": "", "missing file": "/nonexistent/config.json", "no JSON": os.Args[0]} {
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), "BARLEYWICK_RUN_MAIN=1", "ROUTER_CONFIG="+config)
@@ -43,9 +43,9 @@
 	}
 }
 
-// A new configuration is no reason to end. A planned restart is: SIGTERM, and
-// the program ends by itself with 0.
-func TestHangUpIsSurvivedAndTermEndsWithZero(t *testing.T) {
+// SIGHUP reloads the configuration and the sidecar keeps serving. SIGTERM, sent for a planned restart, ends it
+// with status 0.
+func TestHangupReloadsAndTermExitsWithZero(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -80,12 +80,12 @@
 	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	moved := false
-	for !moved && lines.Scan() {
-		moved = strings.Contains(lines.Text(), "addresses changed") && strings.Contains(lines.Text(), "127.0.0.1:2")
+	reloaded := false
+	for !reloaded && lines.Scan() {
+		reloaded = strings.Contains(lines.Text(), "addresses changed") && strings.Contains(lines.Text(), "127.0.0.1:2")
 	}
-	if !moved {
-		t.Error("the program did not go on with the new configuration")
+	if !reloaded {
+		t.Error("the sidecar did not apply the new configuration")
 	}
 	resp, err := http.Get("http://" + addr + "/health/ready")
 	if err != nil || resp.StatusCode != http.StatusOK {
@@ -95,7 +95,7 @@
 		t.Fatal(err)
 	}
 	var log strings.Builder
-	for lines.Scan() { // to the end of its log
+	for lines.Scan() { // reads the log to its end
 		fmt.Fprintln(&log, lines.Text())
 	}
 	if err := faultinjection.CheckEnd(cmd.Wait(), log.String()); err != nil {
@@ -103,10 +103,10 @@
 	}
 }
 
-// A configuration whose read hangs, as a dead disk's does, does not keep a process from ending by
-// SIGTERM: nothing has started yet.
-func TestEndWhileConfigurationIsRead(t *testing.T) {
-	const bound = 10 * time.Second // far below any that docs/SHUTDOWN.md states
+// SIGTERM ends a sidecar at once while the read of its configuration hangs, as on a failed disk: nothing has
+// started yet.
+func TestShutdownWhileConfigurationReadHangs(t *testing.T) {
+	const bound = 10 * time.Second // far below any shutdown timeout in docs/SHUTDOWN.md
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
 		t.Fatal(err)
@@ -118,7 +118,7 @@
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- cmd.Wait() }()
-	writer, err := os.OpenFile(path, os.O_WRONLY, 0) // returns when the process reads
+	writer, err := os.OpenFile(path, os.O_WRONLY, 0) // returns when the process opens the pipe for reading
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -129,17 +129,17 @@
 	select {
 	case err := <-ended:
 		if err != nil {
-			t.Errorf("it ended with %v, want status 0", err)
+			t.Errorf("the sidecar ended with %v, want status 0", err)
 		}
 	case <-time.After(bound):
 		_ = cmd.Process.Kill()
-		t.Errorf("it has not ended %v after SIGTERM", bound)
+		t.Errorf("the sidecar has not ended %v after SIGTERM", bound)
 	}
 }
 
-// A configuration whose read hangs at SIGHUP does not keep a sidecar from ending in order: it
-// hears SIGTERM meanwhile.
-func TestEndWhileConfigurationIsReadAgain(t *testing.T) {
+// A configuration whose read hangs after SIGHUP does not keep a sidecar from an orderly shutdown: it handles
+// SIGTERM meanwhile.
+func TestShutdownWhileReloadHangs(t *testing.T) {
 	const bound = 10 * time.Second
 	addr, err := loopback.FreeAddr()
 	if err != nil {
@@ -162,7 +162,7 @@
 	defer process.Kill()
 	for deadline := time.Now().Add(bound); !strings.Contains(process.Output(), "msg=serving"); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("it does not serve:\n%s", process.Output())
+			t.Fatalf("the sidecar does not serve:\n%s", process.Output())
 		}
 	}
 	if err := os.Remove(path); err != nil {
@@ -174,12 +174,12 @@
 	if err := process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	writer, err := os.OpenFile(path, os.O_WRONLY, 0) // returns when the process reads
+	writer, err := os.OpenFile(path, os.O_WRONLY, 0) // returns when the process opens the pipe for reading
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer writer.Close()
 	if err := process.Terminate(bound); err != nil {
-		t.Errorf("it did not end in order: %v\n%s", err, process.Output())
+		t.Errorf("the sidecar did not shut down in order: %v\n%s", err, process.Output())
 	}
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Simadapter runs the decision module on the simulator's wire, on standard input and
-// output: many instances in one process.
+// Simadapter runs many instances of the decision module in one process and serves them to the simulator
+// over its wire protocol, on standard input and output.
 package main
 
 import (
@@ -12,8 +12,8 @@
 )
 
 func main() {
-	// One batch is answered at a time, so more threads only add cost; the
-	// heap is small, so collecting it rarely is cheap and keeps batches even.
+	// Batches are processed one at a time, so more threads only add cost. The heap is small, so
+	// infrequent garbage collection takes little memory and keeps batch durations even.
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(800)
 	if err := simadapter.Serve(os.Stdin, os.Stdout); err != nil {
--- a/cmd/testbench/experiment.go
+++ b/cmd/testbench/experiment.go
@@ -11,12 +11,12 @@
 	"barleywick/internal/simulation/report"
 )
 
-// experimentCommand makes the command experiment.
+// experimentCommand returns the command experiment.
 func experimentCommand() *cobra.Command {
 	var out output
 	c := &cobra.Command{
 		Use: "experiment FILE", Short: "Compare variants on the same scenario runs", Args: cobra.ExactArgs(1),
-		Long: `experiment runs the scenarios of a file with each of its variants on the same seeds, over
+		Long: `experiment runs the scenarios of a file with each of its variants on the same seeds, on
 all cores, and reports the differences: the mean over paired runs with its 95 % bootstrap
 interval, or that no difference is shown.
 docs/EXPERIMENTS.md describes the file.`,
@@ -29,14 +29,14 @@
 			return err
 		}
 		progress := c.ErrOrStderr()
-		live := terminal(progress)
-		broken := 0
-		o, err := plan.Play(c.Context(), func(played, all int, r experiment.Run) {
+		live := isTerminal(progress)
+		violating := 0
+		o, err := plan.Play(c.Context(), func(finished, total int, r experiment.Run) {
 			if len(r.Record.ViolationTexts) > 0 {
-				broken++
+				violating++
 			}
 			if live {
-				fmt.Fprintf(progress, "\r%d of %d runs", played, all)
+				fmt.Fprintf(progress, "\r%d of %d runs", finished, total)
 			}
 		})
 		if live {
@@ -54,8 +54,8 @@
 		switch {
 		case o.Partial:
 			return cli.ExitError(statusInterrupted, "interrupted after %d runs", len(o.Runs))
-		case broken > 0:
-			return cli.ExitError(statusRuleBroken, "a rule was broken in %d runs", broken)
+		case violating > 0:
+			return cli.ExitError(statusRuleBroken, "a rule was broken in %d runs", violating)
 		}
 		return nil
 	}
--- a/cmd/testbench/load.go
+++ b/cmd/testbench/load.go
@@ -15,16 +15,16 @@
 	"barleywick/internal/testing/loadgen"
 )
 
-// terminal reports whether a writer is a terminal, where a line can be overwritten.
-func terminal(w io.Writer) bool {
+// isTerminal reports whether a writer is a terminal, on which a line can be overwritten.
+func isTerminal(w io.Writer) bool {
 	f, ok := w.(*os.File)
 	return ok && term.IsTerminal(int(f.Fd()))
 }
 
-// defaultOpen is far above what one sidecar admits.
-const defaultOpen = 10_000
+// defaultMaxOpen is far above what one sidecar admits.
+const defaultMaxOpen = 10_000
 
-// loadCommand makes the command load.
+// loadCommand returns the command load.
 func loadCommand() *cobra.Command {
 	p := &loadgen.Plan{}
 	var out output
@@ -40,21 +40,21 @@
   testbench load 127.0.0.1:7070 --class read:safe --arrivals recorded --recorded times.txt --json out.json`,
 	}
 	f := c.Flags()
-	f.Float64Var(&p.Rate, "rate", 100, "requests a `SECOND`, over all addresses")
+	f.Float64Var(&p.Rate, "rate", 100, "`REQUESTS` per second, over all addresses")
 	f.StringVar(&p.Arrivals, "arrivals", "poisson", "poisson, constant or recorded")
 	f.StringVar(&recorded, "recorded", "", "`FILE` of times in seconds, one on each line")
-	f.DurationVar(&p.Length, "length", 10*time.Second, "of the load")
-	f.DurationVar(&p.Timeout, "timeout", 2*time.Second, "how long a client waits")
+	f.DurationVar(&p.Length, "length", 10*time.Second, "duration of the load")
+	f.DurationVar(&p.Timeout, "timeout", 2*time.Second, "how long a client waits for a response")
 	f.StringArrayVar(&classes, "class", nil, "`NAME:EFFECT[:SHARE]`, with safe, keyed or unsafe; at least one")
-	f.StringSliceVar(&p.Tenants, "tenants", nil, "names, evenly distributed")
-	f.IntVar(&p.Keys, "keys", 0, "how many different affinity keys; 0: none")
-	f.IntVar(&p.Body, "body", 0, "`BYTES` of each body")
-	f.IntVar(&p.MaxOpen, "open", defaultOpen, "requests open at once")
-	f.Uint64Var(&p.Seed, "seed", 1, "of times, classes and keys")
+	f.StringSliceVar(&p.Tenants, "tenants", nil, "tenant names, evenly distributed")
+	f.IntVar(&p.Keys, "keys", 0, "number of different affinity keys; 0: none")
+	f.IntVar(&p.Body, "body", 0, "size of each request body in `BYTES`")
+	f.IntVar(&p.MaxOpen, "open", defaultMaxOpen, "maximum number of requests open at once")
+	f.Uint64Var(&p.Seed, "seed", 1, "seed of the arrival times, classes and keys")
 	f.StringVar(&out.json, "json", "", "write all figures to `FILE`")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		p.Targets = args
-		if err := readPlan(p, classes, recorded); err != nil {
+		if err := completePlan(p, classes, recorded); err != nil {
 			return err
 		}
 		if err := p.Check(); err != nil {
@@ -62,11 +62,11 @@
 		}
 		live := c.ErrOrStderr()
 		r, err := loadgen.Run(c.Context(), p, func(r loadgen.Result) {
-			if terminal(live) {
+			if isTerminal(live) {
 				fmt.Fprintf(live, "\r\x1b[K%.0f s: %d due, %d served, %d refused, %d lost, p99 %.0f ms", r.LengthS, r.Due, r.Outcomes["served"], r.Outcomes["refused"], r.Outcomes["lost"], r.Served.P99)
 			}
 		})
-		if terminal(live) {
+		if isTerminal(live) {
 			fmt.Fprintln(live)
 		}
 		if err != nil {
@@ -87,8 +87,8 @@
 	return c
 }
 
-// readPlan adds the classes and the recorded arrivals to a plan.
-func readPlan(p *loadgen.Plan, classes []string, recorded string) error {
+// completePlan adds the classes and the recorded arrivals to a plan.
+func completePlan(p *loadgen.Plan, classes []string, recorded string) error {
 	for _, text := range classes {
 		class, err := parseClass(text)
 		if err != nil {
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// parseClass reads NAME:EFFECT[:SHARE].
+// parseClass parses NAME:EFFECT[:SHARE].
 func parseClass(text string) (loadgen.Class, error) {
 	parts := strings.Split(text, ":")
 	if len(parts) < 2 || len(parts) > 3 {
@@ -120,7 +120,7 @@
 	if len(parts) == 3 {
 		share, err := strconv.ParseFloat(parts[2], 64)
 		if err != nil {
-			return c, cli.WrongCall("--class %q: the share is no number", text)
+			return c, cli.WrongCall("--class %q: the share is not a number", text)
 		}
 		c.Share = share
 	}
--- a/cmd/testbench/main.go
+++ b/cmd/testbench/main.go
@@ -1,5 +1,5 @@
 // Testbench runs fleets in simulated time and on real sockets, injects faults, compares variants
-// and writes reports. It is a program of its own, so that the sidecar stays small.
+// and writes reports. It is a separate program to keep the sidecar small.
 package main
 
 import (
@@ -15,14 +15,14 @@
 	"barleywick/internal/shutdown"
 )
 
-// endBound is how long an interrupted run may take to end: it ends the processes that it has started and
-// writes what it has seen.
-const endBound = 3 * time.Minute
+// shutdownTimeout limits how long an interrupted run may take to exit: it ends the processes that it has
+// started and writes its results.
+const shutdownTimeout = 3 * time.Minute
 
 func main() {
 	cli.WarnFormerProgram(os.Stderr, os.Args[0], "barleylab", "testbench")
 	stop, done := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	ended := shutdown.Guard(stop, "testbench", endBound)
+	ended := shutdown.Guard(stop, "testbench", shutdownTimeout)
 	status := cli.Run(stop, "testbench", newRoot(), os.Args[1:], os.Stdout, os.Stderr)
 	ended()
 	done()
@@ -37,7 +37,7 @@
 
 ` + cli.StatusHelp + `
  3  a rule was broken
- 4  interrupted; what was written covers the part that was run`,
+ 4  interrupted; the results cover the part that was run`,
 		Example: `  testbench localfleet --html fleet.html
   testbench simulate herd --sidecars 60 --servers 40 --html herd.html
   testbench experiment walls.toml --json walls.json --html walls.html
@@ -60,7 +60,7 @@
 	return root
 }
 
-// Exit statuses besides those that all programs have.
+// Exit statuses in addition to those that all programs have.
 const (
 	statusRuleBroken  = 3
 	statusInterrupted = 4
--- a/cmd/testbench/main_test.go
+++ b/cmd/testbench/main_test.go
@@ -18,7 +18,7 @@
 	return status, o.String(), e.String()
 }
 
-func TestRunIsWrittenAsAPage(t *testing.T) {
+func TestSavedRunRendersTheSamePage(t *testing.T) {
 	folder := t.TempDir()
 	kept, page := filepath.Join(folder, "day.json"), filepath.Join(folder, "day.html")
 	status, out, errs := call(t.Context(), "simulate", "zone", "--sidecars", "6", "--servers", "6", "--length", "5s", "--json", kept, "--html", page)
@@ -38,12 +38,12 @@
 	}
 	for _, text := range []string{string(first), string(second)} {
 		if strings.Count(text, "<svg") != 6 || strings.Contains(text, "<?xml") || strings.Contains(text, "src=") || strings.Contains(text, "<script") || strings.Contains(text, "<link") {
-			t.Error("the page is not complete, or needs other files")
+			t.Error("the page is incomplete or refers to other files")
 		}
 	}
 	cut := func(text []byte) string { _, rest, _ := strings.Cut(string(text), "</p>"); return rest }
 	if cut(first) != cut(second) {
-		t.Error("saved results give another page")
+		t.Error("the page of the saved results differs from the first one")
 	}
 }
 
@@ -61,17 +61,17 @@
 	}
 	made, err := os.ReadFile(page)
 	if err != nil || strings.Contains(string(made), "<b>") || !strings.Contains(string(made), "a &lt;b&gt;") {
-		t.Errorf("a name is not escaped, or missing: %v", err)
+		t.Errorf("a variant's name is not escaped or is missing: %v", err)
 	}
 }
 
 func TestErrorsAreOneLineWithTheirStatus(t *testing.T) {
 	folder := t.TempDir()
-	nothing := filepath.Join(folder, "nothing.json")
-	if err := os.WriteFile(nothing, []byte("{}"), 0o600); err != nil {
+	emptyResult := filepath.Join(folder, "nothing.json")
+	if err := os.WriteFile(emptyResult, []byte("{}"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	gone, cancel := context.WithCancel(t.Context())
+	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	for _, c := range []struct {
 		ctx    context.Context
@@ -87,13 +87,13 @@
 		{t.Context(), []string{"simulate", "a", "b"}, cli.StatusWrongCall, "--help"},
 		{t.Context(), []string{"simulate", "calm", "--length", "1s", "--json", filepath.Join(folder, "no", "where.json")}, cli.StatusFailed, "where.json"},
 		{t.Context(), []string{"experiment", filepath.Join(folder, "none.toml")}, cli.StatusFailed, "none.toml"},
-		{t.Context(), []string{"report", nothing}, cli.StatusFailed, "no results"},
+		{t.Context(), []string{"report", emptyResult}, cli.StatusFailed, "no results"},
 		{t.Context(), []string{"lap"}, cli.StatusWrongCall, "lap"},
 		{t.Context(), []string{"load"}, cli.StatusWrongCall, "at least 1"},
 		{t.Context(), []string{"load", "127.0.0.1:1"}, cli.StatusWrongCall, "classes"},
 		{t.Context(), []string{"load", "127.0.0.1:1", "--class", "a:odd"}, cli.StatusWrongCall, "odd"},
 		{t.Context(), []string{"load", "127.0.0.1:1", "--class", "a:safe", "--rate", "-5"}, cli.StatusWrongCall, "rate is -5"},
-		{gone, []string{"simulate", "calm"}, statusInterrupted, "interrupted"},
+		{cancelled, []string{"simulate", "calm"}, statusInterrupted, "interrupted"},
 	} {
 		status, _, errs := call(c.ctx, c.args...)
 		if status != c.status || !strings.Contains(errs, c.says) || strings.Count(errs, "\n") != 1 {
@@ -105,11 +105,11 @@
 	}
 }
 
-// A result that cannot be written leaves nothing behind.
+// A failed write leaves no partial or temporary file.
 func TestFailedWriteLeavesNoFile(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "out.json")
-	err := write(path, func(w io.Writer) error {
+	err := writeFileAtomically(path, func(w io.Writer) error {
 		if _, err := w.Write([]byte("half")); err != nil {
 			return err
 		}
@@ -121,15 +121,15 @@
 	}
 }
 
-func TestSearchReportsAndKeeps(t *testing.T) {
+func TestSearchPrintsAndSavesUnrecoveredRuns(t *testing.T) {
 	kept := filepath.Join(t.TempDir(), "found")
 	status, out, errs := call(t.Context(), "search", "--sidecars", "20", "--servers", "5", "--days", "6", "--keep", kept)
-	if status != cli.StatusDone || !strings.Contains(out, "6 days: back after") {
+	if status != cli.StatusDone || !strings.Contains(out, "6 runs: recovered after") {
 		t.Fatalf("status %d, %s%s", status, out, errs)
 	}
 	found, _ := filepath.Glob(filepath.Join(kept, "hunt-*.toml"))
 	if n := strings.Count(out, "seed "); n != len(found) {
-		t.Errorf("%d days are told and %d kept: %s", n, len(found), out)
+		t.Errorf("printed %d unrecovered runs and saved %d: %s", n, len(found), out)
 	}
 	for _, path := range found {
 		if status, out, errs := call(t.Context(), "simulate", path, "--seed", "1"); status != cli.StatusDone || !strings.Contains(out, "the fleet sent") {
--- a/cmd/testbench/members.go
+++ b/cmd/testbench/members.go
@@ -13,41 +13,41 @@
 	"barleywick/internal/membership/membershiptest"
 )
 
-// Bounds of one run: all members are in this process.
+// Limits of one run: all members run in this process.
 const (
 	maxMembers    = 2000
 	maxPartitions = 8
 )
 
-// membersCommand makes the command members.
+// membersCommand returns the command members.
 func membersCommand() *cobra.Command {
 	p := membershiptest.Scenario{}
 	var asJSON bool
 	c := &cobra.Command{
 		Use: "members", Short: "Measure how members of a fleet detect failures and partitions", Args: cli.NoArgs,
 		Long: `members runs a fleet of members (docs/MEMBERSHIP.md) in this process, in real time, over a
-simulated network that drops datagrams but nothing of a stream. It measures the cost and the
-false detections of a time without faults, then kills a fraction of the members at once and
+simulated network that drops datagrams but no stream data. It measures the cost and the false
+detections of a period without other faults, then kills a fraction of the members at once and
 then partitions the network, and prints how long detection and agreement took.`,
 		Example: "  testbench members --members 300 --loss 0.1 --kill 0.5\n  testbench members --members 30 --parts 3 --apart 30s",
 	}
-	c.Flags().IntVar(&p.Members, "members", 30, "in the fleet")
-	c.Flags().Uint64Var(&p.Seed, "seed", 1, "of what is lost")
-	c.Flags().DurationVar(&p.ProbeInterval, "probe", 500*time.Millisecond, "between two probes of a member")
-	c.Flags().Float64Var(&p.PacketLoss, "loss", 0, "fraction of the datagrams that is dropped")
-	c.Flags().DurationVar(&p.Delay, "delay", time.Millisecond, "each comes so much later, and up to twice")
-	c.Flags().DurationVar(&p.Baseline, "quiet", 20*time.Second, "a time without other faults")
-	c.Flags().Float64Var(&p.KillFraction, "kill", 0.1, "fraction of the members that is then killed at once")
-	c.Flags().IntVar(&p.Partitions, "parts", 1, "into how many parts the network is then partitioned; 1: it is not")
-	c.Flags().DurationVar(&p.PartitionDuration, "apart", 30*time.Second, "for how long")
-	c.Flags().BoolVar(&asJSON, "json", false, "one JSON object")
+	c.Flags().IntVar(&p.Members, "members", 30, "number of members")
+	c.Flags().Uint64Var(&p.Seed, "seed", 1, "seed of the packet loss")
+	c.Flags().DurationVar(&p.ProbeInterval, "probe", 500*time.Millisecond, "interval between two probes by a member")
+	c.Flags().Float64Var(&p.PacketLoss, "loss", 0, "fraction of the datagrams that are dropped")
+	c.Flags().DurationVar(&p.Delay, "delay", time.Millisecond, "minimum delay of each datagram and stream; the maximum is twice that")
+	c.Flags().DurationVar(&p.Baseline, "quiet", 20*time.Second, "duration of the period without other faults")
+	c.Flags().Float64Var(&p.KillFraction, "kill", 0.1, "fraction of the members that are then killed at once")
+	c.Flags().IntVar(&p.Partitions, "parts", 1, "number of parts into which the network is then partitioned; 1: no partition")
+	c.Flags().DurationVar(&p.PartitionDuration, "apart", 30*time.Second, "duration of the partition")
+	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON object")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if err := checkMembers(p); err != nil {
 			return err
 		}
 		var r membershiptest.Result
 		done := make(chan error, 1)
-		go func() { // where the run is interrupted it ends with the process
+		go func() { // if the run is interrupted, this goroutine ends with the process
 			var err error
 			r, err = p.Run(slog.New(slog.NewTextHandler(io.Discard, nil)))
 			done <- err
@@ -75,11 +75,11 @@
 	case p.Members < 2 || p.Members > maxMembers:
 		return cli.WrongCall("--members is %d, it must lie between 2 and %d", p.Members, maxMembers)
 	case !(p.PacketLoss >= 0 && p.PacketLoss < 1) || !(p.KillFraction >= 0 && p.KillFraction < 1):
-		return cli.WrongCall("--loss and --kill are parts of at least 0, below 1")
+		return cli.WrongCall("--loss and --kill must be at least 0 and below 1")
 	case p.Partitions < 1 || p.Partitions > maxPartitions || p.Partitions > p.Members/2:
 		return cli.WrongCall("--parts is %d, it must lie between 1 and %d, and each part needs two members", p.Partitions, maxPartitions)
 	case p.ProbeInterval < 50*time.Millisecond || p.Delay < 0 || p.Baseline < 0 || p.PartitionDuration < 0:
-		return cli.WrongCall("--probe is 50ms at least, no time is negative")
+		return cli.WrongCall("--probe must be at least 50ms, and no duration may be negative")
 	}
 	return nil
 }
@@ -87,17 +87,17 @@
 // printMembershipResult prints the measured times and costs.
 func printMembershipResult(w io.Writer, r membershiptest.Result) {
 	ms := func(d time.Duration) time.Duration { return d.Round(10 * time.Millisecond) }
-	fmt.Fprintf(w, "%d members, a look every %v, %.0f %% of the datagrams lost: all see all after %v\n", r.Members, r.ProbeInterval, 100*r.PacketLoss, ms(r.JoinTime))
+	fmt.Fprintf(w, "%d members, a probe every %v, %.0f %% of the datagrams lost: all see all others after %v\n", r.Members, r.ProbeInterval, 100*r.PacketLoss, ms(r.JoinTime))
 	if r.Baseline > 0 {
-		fmt.Fprintf(w, "%v quiet: %d suspicions, %d lost that live (%.2f a member and hour); each sends %.0f bytes in %.1f datagrams a second, for %.2f %% of a core\n",
+		fmt.Fprintf(w, "%v without other faults: %d false suspicions, %d live members seen as unreachable (%.2f per member and hour); each sends %.0f bytes in %.1f datagrams a second and uses %.2f %% of a core\n",
 			r.Baseline, r.FalseSuspicions, r.FalselyUnreachable, r.FalselyUnreachablePerHour, r.BytesPerSecond, r.PacketsPerSecond, 100*r.CoresPerMember)
 	}
 	if r.Killed > 0 {
-		fmt.Fprintf(w, "%d killed at once: the first sees one after %v (median), all see all losses after %v, all views are the same after %v\n",
+		fmt.Fprintf(w, "%d killed at once: each is first detected after %v (median), all members detect all of them after %v, all views agree after %v\n",
 			r.Killed, ms(r.FirstDetection), ms(r.FullDetection), ms(r.FullAgreement))
 	}
 	if r.Partitions > 1 {
-		fmt.Fprintf(w, "cut in %d for %v: the sides see %v, %d members say so, %d that more than half is lost; whole again after %v, in %d rounds at most\n",
+		fmt.Fprintf(w, "partitioned into %d for %v: the parts see %v members, %d members report the partition, %d that more than half is unreachable; healed after %v, in %d rounds at most\n",
 			r.Partitions, r.PartitionDuration, r.PresentByPartition, r.ReportedPartition, r.ReportedMinority, ms(r.HealTime), r.HealRounds)
 	}
 }
--- a/cmd/testbench/modelcheck.go
+++ b/cmd/testbench/modelcheck.go
@@ -12,10 +12,10 @@
 	"barleywick/internal/testing/modelcheck/system"
 )
 
-// maxSchedules bounds one exploration.
+// maxSchedules limits the schedules of one run.
 const maxSchedules = 100_000_000
 
-// modelCheckCommand makes the command modelcheck.
+// modelCheckCommand returns the command modelcheck.
 func modelCheckCommand() *cobra.Command {
 	var seed uint64
 	var schedules int
@@ -24,16 +24,16 @@
 	c := &cobra.Command{
 		Use: "modelcheck", Short: "Model-check registry, leases, policy, drains and overload advice together, with faults", Args: cli.NoArgs,
 		Long: `modelcheck runs schedules in which the real state machines work together over a simulated
-clock, network and disks, and faults are injected at their steps (docs/TESTING.md). Each
-schedule follows from its seed and faults alone. One that breaks an invariant is reduced to
-the faults that it needs and printed with the command that replays it; the status is 1 then.`,
+clock, network and disks, and faults are injected at their steps (docs/TESTING.md). A
+schedule is determined by its seed and faults. One that breaks an invariant is reduced to the
+faults that it needs and printed with the command that replays it; the exit status is then 1.`,
 		Example: "  testbench modelcheck --schedules 10000\n  testbench modelcheck --replay --seed 7 --faults 'kill leader for 2s at policy in force#1'",
 	}
-	c.Flags().Uint64Var(&seed, "seed", 1, "of the first schedule; each further one has the next")
-	c.Flags().IntVar(&schedules, "schedules", 1000, "how many to run")
-	c.Flags().BoolVar(&steer, "steer", true, "towards the pairs of a fault and a step that were seen least")
+	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the first schedule, incremented for each further one")
+	c.Flags().IntVar(&schedules, "schedules", 1000, "number of schedules")
+	c.Flags().BoolVar(&steer, "steer", true, "prefer the pairs of a fault and a step that were seen least")
 	c.Flags().BoolVar(&pairs, "pairs", false, "list each pair of a fault and a step, and how often it was seen")
-	c.Flags().BoolVar(&replay, "replay", false, "run one schedule, of --seed and --faults")
+	c.Flags().BoolVar(&replay, "replay", false, "run one schedule, given by --seed and --faults")
 	c.Flags().StringVar(&faults, "faults", "", "with --replay: the `FAULTS`, as a failure prints them")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		out := c.OutOrStdout()
@@ -41,25 +41,25 @@
 			return cli.WrongCall("--schedules is %d, it must lie between 1 and %d", schedules, maxSchedules)
 		}
 		if !replay && faults != "" {
-			return cli.WrongCall("--faults goes with --replay")
+			return cli.WrongCall("--faults is only valid with --replay")
 		}
 		began := time.Now()
-		var seen system.Coverage
-		var found *system.Failure
+		var coverage system.Coverage
+		var failure *system.Failure
 		if replay {
 			plan, err := system.ParsePlan(faults)
 			if err != nil {
 				return cli.WrongCall("%v", err)
 			}
-			if seen, err = system.Run(seed, plan); err != nil {
-				found = &system.Failure{Seed: seed, Plan: plan, Err: err, Schedules: 1}
+			if coverage, err = system.Run(seed, plan); err != nil {
+				failure = &system.Failure{Seed: seed, Plan: plan, Err: err, Schedules: 1}
 			}
-		} else if seen, found = system.Explore(seed, schedules, steer); found != nil {
-			found = found.Shrink()
+		} else if coverage, failure = system.Explore(seed, schedules, steer); failure != nil {
+			failure = failure.Shrink()
 		}
-		printCoverage(out, seen, time.Since(began), pairs)
-		if found != nil {
-			return errors.New(found.ReplayText())
+		printCoverage(out, coverage, time.Since(began), pairs)
+		if failure != nil {
+			return errors.New(failure.ReplayText())
 		}
 		return nil
 	}
--- a/cmd/testbench/output.go
+++ b/cmd/testbench/output.go
@@ -12,7 +12,7 @@
 	"barleywick/internal/simulation/report"
 )
 
-// output names the files that results are written to besides the terminal.
+// output holds the paths of the files that results are written to in addition to the terminal.
 type output struct{ json, html string }
 
 // flags adds the flags --json and --html.
@@ -21,8 +21,8 @@
 	c.Flags().StringVar(&o.html, "html", "", "write a page with charts to `FILE`")
 }
 
-// write writes a file completely or not at all.
-func write(path string, render func(io.Writer) error) (err error) {
+// writeFileAtomically writes a file completely or not at all. It does nothing if path is empty.
+func writeFileAtomically(path string, render func(io.Writer) error) (err error) {
 	if path == "" {
 		return nil
 	}
@@ -30,7 +30,7 @@
 	if err != nil {
 		return fmt.Errorf("write %s: %w", path, err)
 	}
-	defer func() { err = errors.Join(err, f.Cleanup()) }() // does nothing once the file is in its place
+	defer func() { err = errors.Join(err, f.Cleanup()) }() // does nothing once the file has been renamed into place
 	if err := render(f); err != nil {
 		return fmt.Errorf("write %s: %w", path, err)
 	}
@@ -40,9 +40,9 @@
 	return nil
 }
 
-// writeAll writes the figures and the page to the files that were named.
+// writeAll writes the figures and the page to those files that have a path.
 func (o output) writeAll(v any, page func() (*report.Page, error)) error {
-	err := write(o.json, func(w io.Writer) error {
+	err := writeFileAtomically(o.json, func(w io.Writer) error {
 		e := json.NewEncoder(w)
 		e.SetIndent("", " ")
 		return e.Encode(v)
@@ -54,5 +54,5 @@
 	if pageErr != nil {
 		return errors.Join(err, pageErr)
 	}
-	return errors.Join(err, write(o.html, rendered.Write))
+	return errors.Join(err, writeFileAtomically(o.html, rendered.Write))
 }
--- a/cmd/testbench/report.go
+++ b/cmd/testbench/report.go
@@ -18,36 +18,36 @@
 	"barleywick/internal/simulation/report"
 )
 
-// maxResult bounds the size of a result file.
-const maxResult = 1 << 30
+// maxResultBytes bounds the size of a result file.
+const maxResultBytes = 1 << 30
 
-// reportCommand makes the command report.
+// reportCommand returns the command report.
 func reportCommand() *cobra.Command {
 	var html string
 	c := &cobra.Command{
-		Use: "report FILE", Short: "Write a page of results that were saved", Args: cobra.ExactArgs(1),
-		Long:    "report reads what simulate or experiment wrote with --json and writes one page that needs nothing else.",
+		Use: "report FILE", Short: "Render saved results as an HTML page", Args: cobra.ExactArgs(1),
+		Long:    "report reads the results that simulate or experiment saved with --json and writes a self-contained HTML page.",
 		Example: "  testbench report walls.json --html walls.html",
 	}
-	c.Flags().StringVar(&html, "html", "", "the page's `FILE`; FILE with .html where it is left out")
+	c.Flags().StringVar(&html, "html", "", "write the page to `FILE` (default: the results' path with the extension .html)")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		f, err := os.Open(args[0])
 		if err != nil {
 			return err
 		}
 		defer f.Close()
-		text, err := io.ReadAll(io.LimitReader(f, maxResult))
+		text, err := io.ReadAll(io.LimitReader(f, maxResultBytes))
 		if err != nil {
 			return fmt.Errorf("read %s: %w", args[0], err)
 		}
-		p, err := pageOf(text)
+		p, err := renderPage(text)
 		if err != nil {
 			return fmt.Errorf("%s: %w", args[0], err)
 		}
 		if html == "" {
 			html = strings.TrimSuffix(args[0], filepath.Ext(args[0])) + ".html"
 		}
-		if err := write(html, p.Write); err != nil {
+		if err := writeFileAtomically(html, p.Write); err != nil {
 			return err
 		}
 		_, err = fmt.Fprintln(c.OutOrStdout(), html)
@@ -56,8 +56,8 @@
 	return c
 }
 
-// pageOf renders the results of an experiment or of a single run.
-func pageOf(text []byte) (*report.Page, error) {
+// renderPage renders the results of an experiment or of a single run.
+func renderPage(text []byte) (*report.Page, error) {
 	var kind struct {
 		Runs    json.RawMessage `json:"runs"`
 		Windows json.RawMessage `json:"windows"`
@@ -87,5 +87,5 @@
 		}
 		return report.OfRecord(r, time.Now())
 	}
-	return nil, errors.New("these are no results of simulate or experiment")
+	return nil, errors.New("the file contains no results of simulate or experiment")
 }
--- a/cmd/testbench/soak.go
+++ b/cmd/testbench/soak.go
@@ -19,10 +19,10 @@
 	"barleywick/internal/testing/soaktest"
 )
 
-// soakProgram is the sidecar's program, beside this one.
+// soakProgram is the file name of the sidecar's program.
 const soakProgram = "sidecar"
 
-// soakCommand makes the command soak.
+// soakCommand returns the command soak.
 func soakCommand() *cobra.Command {
 	var o soaktest.Options
 	var seeds int
@@ -31,31 +31,31 @@
 	c := &cobra.Command{
 		Use: "soak", Short: "Run sidecars under random faults that overlap, and check the rules on every request", Args: cli.NoArgs,
 		Long: `soak starts sidecar processes, booking servers and a discovery service on loopback,
-lets clients send requests, and draws faults from the seed: planned ends with a kill after the
-protocol's time, kills, pauses, new configurations, drains, outages of discovery, and
-booking servers that hang, answer twice, reset, refuse or close. Every request is followed
-to its end and checked against the rules (docs/TESTING.md). Everything it starts ends with it.
+lets clients send requests, and draws faults from the seed: shutdowns with a kill after the
+protocol's deadline, kills, pauses, new configurations, drains, outages of discovery, and
+booking servers that hang, answer twice, reset, refuse or close. Every request is followed to
+its end and checked against the rules (docs/TESTING.md). All processes that it starts end with it.
 
 ` + cli.StatusHelp + `
  3  an invariant was broken`,
 		Example: "  testbench soak --seed 7 --sidecars 16 --for 30s\n  testbench soak --seed 1 --seeds 10 --quiet",
 	}
 	f := c.Flags()
-	f.Uint64Var(&o.Seed, "seed", 1, "of clients, booking servers and faults")
-	f.IntVar(&seeds, "seeds", 1, "how many seeds are run one after the other, from the first on")
-	f.IntVar(&o.Sidecars, "sidecars", 16, "processes")
-	f.IntVar(&o.Clients, "clients", 3, "beside each sidecar")
-	f.IntVar(&o.Servers, "servers", 6, "booking servers")
+	f.Uint64Var(&o.Seed, "seed", 1, "seed of the clients, booking servers and faults")
+	f.IntVar(&seeds, "seeds", 1, "number of seeds to run one after the other, from --seed on")
+	f.IntVar(&o.Sidecars, "sidecars", 16, "number of sidecar processes")
+	f.IntVar(&o.Clients, "clients", 3, "number of clients per sidecar")
+	f.IntVar(&o.Servers, "servers", 6, "number of booking servers")
 	f.DurationVar(&o.Duration, "for", 15*time.Second, "how long faults are injected")
 	f.StringVar(&out, "json", "", "write the reports to `FILE`")
-	f.StringVar(&programs, "programs", "", "the `FOLDER` of the sidecar's program (default: this program's)")
-	f.BoolVar(&quiet, "quiet", false, "print the outcome alone, not the timeline")
+	f.StringVar(&programs, "programs", "", "the `FOLDER` of the sidecar's program (default: testbench's)")
+	f.BoolVar(&quiet, "quiet", false, "print only the outcome, not the timeline")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if err := o.Check(); err != nil {
 			return cli.WrongCall("%v", err)
 		}
 		if seeds < 1 {
-			return cli.WrongCall("seeds is %d, at least 1 is needed", seeds)
+			return cli.WrongCall("--seeds is %d, at least 1 is needed", seeds)
 		}
 		program, err := findProgram(programs, soakProgram)
 		if err != nil {
@@ -74,12 +74,12 @@
 	return c
 }
 
-// findProgram returns the path of a program in a folder, or beside this one.
+// findProgram returns the path of a program in the folder, which defaults to that of this program.
 func findProgram(folder, name string) (string, error) {
 	if folder == "" {
 		self, err := os.Executable()
 		if err != nil {
-			return "", fmt.Errorf("find the programs: %w", err)
+			return "", fmt.Errorf("find the programs' folder: %w", err)
 		}
 		folder = filepath.Dir(self)
 	}
@@ -93,12 +93,12 @@
 // runSoaks runs one seed after the other and prints each report.
 func runSoaks(c *cobra.Command, o soaktest.Options, seeds int, out string) error {
 	var reports []*soaktest.Report
-	broken := 0
+	violations := 0
 	for range seeds {
 		report, err := soaktest.Run(c.Context(), o)
 		if report != nil {
 			reports = append(reports, report)
-			broken += report.ViolationCount
+			violations += report.ViolationCount
 			printSoakReport(c.OutOrStdout(), report)
 		}
 		if err != nil {
@@ -106,25 +106,25 @@
 		}
 		o.Seed++
 	}
-	err := write(out, func(w io.Writer) error {
+	err := writeFileAtomically(out, func(w io.Writer) error {
 		e := json.NewEncoder(w)
 		e.SetIndent("", " ")
 		return e.Encode(reports)
 	})
-	if broken > 0 {
-		err = errors.Join(err, cli.ExitError(statusRuleBroken, "invariants were broken %d times in %d runs", broken, len(reports)))
+	if violations > 0 {
+		err = errors.Join(err, cli.ExitError(statusRuleBroken, "invariants were broken %d times in %d runs", violations, len(reports)))
 	}
 	return err
 }
 
 func printSoakReport(w io.Writer, r *soaktest.Report) {
 	var parts []string
-	for _, what := range slices.Sorted(maps.Keys(r.Counts)) {
-		parts = append(parts, fmt.Sprintf("%d %s", r.Counts[what], what))
+	for _, name := range slices.Sorted(maps.Keys(r.Counts)) {
+		parts = append(parts, fmt.Sprintf("%d %s", r.Counts[name], name))
 	}
 	fmt.Fprintf(w, "seed %d, %v, stalled for %v at most: %s\n", r.Seed, r.Duration.Round(time.Second), r.LongestStall.Round(time.Millisecond), strings.Join(parts, ", "))
-	for _, broken := range r.Violations {
-		fmt.Fprintln(w, "BROKEN:", broken)
+	for _, violation := range r.Violations {
+		fmt.Fprintln(w, "BROKEN:", violation)
 	}
 	fmt.Fprintf(w, "seed %d: %d invariants broken\n", r.Seed, r.ViolationCount)
 }
--- a/deploy/former-names.sh
+++ b/deploy/former-names.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# former-names.sh DIR: links the programs in DIR under their deprecated names.
+# Usage: former-names.sh DIR. Links the deprecated names of the programs to the programs in DIR.
 set -eu
 cd "$1"
 while read -r former name; do
--- a/deploy/former_names_test.go
+++ b/deploy/former_names_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Scripts and unit files that people wrote start the programs under their former names.
-func TestFormerNamesLeadToThePrograms(t *testing.T) {
+// Existing scripts and unit files may start the programs under their former names.
+func TestFormerNamesLinkToPrograms(t *testing.T) {
 	dir := t.TempDir()
 	formerNames := map[string]string{
 		"barleywick": "sidecar", "barleywick-metered": "sidecar-metrics", "barleykeeper": "controller",
@@ -20,14 +20,14 @@
 			t.Fatal(err)
 		}
 	}
-	for range 2 { // a second build finds the links there
+	for range 2 { // the second build finds existing links
 		if out, err := exec.Command("sh", "former-names.sh", dir).CombinedOutput(); err != nil {
 			t.Fatalf("former-names.sh: %v, %s", err, out)
 		}
 	}
 	for former, name := range formerNames {
 		if got, err := os.ReadFile(filepath.Join(dir, former)); err != nil || string(got) != name {
-			t.Errorf("%s leads to %q (%v), want %q", former, got, err, name)
+			t.Errorf("%s links to %q (%v), want %q", former, got, err, name)
 		}
 	}
 	balancer, err := os.ReadFile("balancer.toml")
@@ -35,6 +35,6 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(balancer), "sh deploy/former-names.sh bin") {
-		t.Error("the build of balancer.toml makes no links")
+		t.Error("the build command in balancer.toml does not create the links")
 	}
 }
--- a/internal/metrics/collector.go
+++ b/internal/metrics/collector.go
@@ -11,10 +11,10 @@
 	"barleywick/internal/sidecar/policyfollower"
 )
 
-// namespace is the prefix of the metrics' names.
+// namespace prefixes the metric names.
 const namespace = "barleywick_"
 
-// statusTimeout is how long a scrape waits for the event loop, which has requests to serve.
+// statusTimeout limits how long a scrape waits for the event loop, which may be busy with requests.
 const statusTimeout = time.Second
 
 func newDesc(name, help string, labels ...string) *prometheus.Desc {
@@ -42,16 +42,16 @@
 	descStatusRead     = newDesc("state_read", "1 if the status was read for this scrape, 0 if the sidecar was too busy.")
 )
 
-// descriptions are all metrics that are collected from the status.
+// descriptions lists all metrics that are collected from the status.
 var descriptions = []*prometheus.Desc{
 	descOpenRequests, descSlotsFree, descQueueFree, descEndpoints, descListAge, descDecisions, descConnections, descConnEvents,
 	descGateDecisions, descGateViolations, descPolicyEpoch, descPolicyJoint, descPolicyOpen, descCongestion,
 	descAdviceInForce, descAdviceToken, descAdvicePart, descStatusRead,
 }
 
-// statusCollector collects the metrics of the status at the moment of a scrape.
+// statusCollector reads the sidecar's status at each scrape and collects metrics from it.
 type statusCollector struct {
-	ctx    context.Context // of the server
+	ctx    context.Context // of the metrics server
 	status func(context.Context) (sidecar.Status, error)
 }
 
--- a/internal/metrics/exporter.go
+++ b/internal/metrics/exporter.go
@@ -1,5 +1,4 @@
-// Package metrics exports a sidecar's metrics in the format of Prometheus. docs/METRICS.md lists
-// them.
+// Package metrics exports a sidecar's metrics in the Prometheus format. docs/METRICS.md lists them.
 package metrics
 
 import (
@@ -18,7 +17,7 @@
 )
 
 const (
-	// maxScrapes bounds the scrapes at once: each holds the text of all metrics.
+	// maxScrapes limits concurrent scrapes, each of which holds the text of all metrics in memory.
 	maxScrapes     = 4
 	scrapeTimeout  = 5 * time.Second
 	maxHeaderBytes = 8 << 10
@@ -33,7 +32,7 @@
 
 var _ sidecar.MetricsExporter = (*Exporter)(nil)
 
-// New makes the exporter of a sidecar that starts.
+// New creates the exporter of one sidecar.
 func New() *Exporter {
 	e := &Exporter{
 		registry: prometheus.NewRegistry(),
@@ -57,7 +56,7 @@
 	e.latency.WithLabelValues(class, outcome).Observe(took.Seconds())
 }
 
-// Serve serves metrics on ln until ctx ends, and reads the sidecar's status at each scrape.
+// Serve serves metrics on ln until ctx ends. Each scrape reads the sidecar's status.
 func (e *Exporter) Serve(ctx context.Context, ln net.Listener, status func(context.Context) (sidecar.Status, error)) error {
 	e.registry.MustRegister(&statusCollector{ctx, status})
 	mux := http.NewServeMux()
@@ -68,7 +67,7 @@
 		Handler: mux, MaxHeaderBytes: maxHeaderBytes,
 		ReadTimeout: scrapeTimeout, WriteTimeout: scrapeTimeout, IdleTimeout: scrapeTimeout,
 	}
-	stop := context.AfterFunc(ctx, func() { _ = s.Close() }) // a scrape under way is of no use any more
+	stop := context.AfterFunc(ctx, func() { _ = s.Close() }) // scrapes in progress are aborted
 	defer stop()
 	if err := s.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serve metrics: %w", err)
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -34,7 +34,7 @@
 	return string(text)
 }
 
-func TestScrapeServesTheStatus(t *testing.T) {
+func TestScrapeExportsTheStatus(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 	statusErr = errors.New("too busy")
 	mu.Unlock()
 	if text := scrape(t, ln.Addr().String()); !strings.Contains(text, "barleywick_state_read 0") || strings.Contains(text, "barleywick_requests_open") || !strings.Contains(text, "barleywick_requests_total{") {
-		t.Errorf("while the sidecar is too busy:\n%s", text)
+		t.Errorf("scrape while the status cannot be read:\n%s", text)
 	}
 	cancel()
 	if err := <-ended; err != nil {
@@ -84,9 +84,9 @@
 	}
 }
 
-// The names, types, labels and label values are those that the code of 396a775 served; only the
-// help texts may have other words.
-func TestMetricsAreThoseOf396a775(t *testing.T) {
+// Metric names, types, labels and label values match the scrape recorded with the code of commit 396a775.
+// Help texts may differ.
+func TestMetricsMatchRecordedScrape(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/metrics/pages_test.go
+++ b/internal/metrics/pages_test.go
@@ -9,8 +9,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// docs/METRICS.md lists each metric, and no other.
-func TestPageListsTheMetrics(t *testing.T) {
+// docs/METRICS.md lists each exported metric and no others.
+func TestMetricsPageListsEachMetric(t *testing.T) {
 	page, err := os.ReadFile("../../docs/METRICS.md")
 	if err != nil {
 		t.Fatal(err)
