--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -74,7 +74,7 @@
 			}
 			cfg, err := shutdown.Await(c.Context(), load)
 			if c.Context().Err() != nil {
-				return nil // nothing has started
+				return nil // interrupted before anything has started
 			}
 			if err != nil {
 				return err
--- a/cmd/controller/main_test.go
+++ b/cmd/controller/main_test.go
@@ -48,7 +48,7 @@
 // a log line, so that nobody holds its tasks until their leases expire: without a handler the signal ends the
 // process. A controller reads its file only at the start; on SIGHUP it logs that and keeps running. SIGTERM
 // ends it within its shutdown timeout, in any combination with SIGHUP, and without a registry.
-func TestReloadSignalsDoNotDelayShutdown(t *testing.T) {
+func TestHangupIsIgnoredAndTermShutsDown(t *testing.T) {
 	const listen = "127.0.0.1:0"
 	hup, term := syscall.SIGHUP, syscall.SIGTERM
 	for name, signals := range map[string][]syscall.Signal{
--- a/cmd/fleetctl/main_test.go
+++ b/cmd/fleetctl/main_test.go
@@ -83,7 +83,7 @@
 	return config
 }
 
-func ctl(t *testing.T, env string, args ...string) (status int, out, errs string) {
+func runFleetctl(t *testing.T, env string, args ...string) (status int, out, errs string) {
 	t.Helper()
 	var o, e bytes.Buffer
 	status = run(t.Context(), args, func(string) string { return env }, &o, &e)
@@ -93,15 +93,15 @@
 // Checks the exit status and the message of each kind of call.
 func TestExitStatuses(t *testing.T) {
 	config := startRegistry(t)
-	dead := filepath.Join(t.TempDir(), "dead.json")
-	if err := os.WriteFile(dead, []byte(`{"registry":["127.0.0.1:1"],"floor":{"others":1},"longest_ms":1}`), 0o600); err != nil {
+	unreachable := filepath.Join(t.TempDir(), "dead.json")
+	if err := os.WriteFile(unreachable, []byte(`{"registry":["127.0.0.1:1"],"floor":{"others":1},"longest_ms":1}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for name, x := range map[string]struct {
-		env    string
-		args   []string
-		status int
-		says   string
+		env      string
+		args     []string
+		status   int
+		wantText string
 	}{
 		"help":               {config, []string{"--help"}, statusDone, "fleetctl takes machines"},
 		"nothing":            {config, nil, statusWrongCall, "drain, undrain or status"},
@@ -112,30 +112,30 @@
 		"no time":            {config, []string{"drain", "m-1", "--timeout", "0s"}, statusWrongCall, "above 0"},
 		"no configuration":   {"", []string{"status"}, statusWrongCall, "-config FILE"},
 		"a missing file":     {"/nonexistent", []string{"status"}, statusFailed, "read configuration"},
-		"no registry":        {dead, []string{"drain", "m-1", "--timeout", "300ms"}, statusFailed, "no replica"},
+		"no registry":        {unreachable, []string{"drain", "m-1", "--timeout", "300ms"}, statusFailed, "no replica"},
 		"an unknown machine": {config, []string{"drain", "m-9"}, statusRefused, "it has those of m-1, m-2"},
 		"not drained":        {config, []string{"undrain", "m-1"}, statusRefused, "not drained"},
 		"a dry run":          {config, []string{"drain", "--dry-run", "m-1"}, statusDone, "1 of 2 ready servers would remain, the floor is 1"},
 		"no drains":          {config, []string{"status"}, statusDone, "no machine"},
 	} {
-		status, out, errs := ctl(t, x.env, x.args...)
-		if status != x.status || !strings.Contains(strings.ReplaceAll(out+errs, "-fast", "--fast"), x.says) {
-			t.Errorf("%s: status %d, %q %q; want %d and %q", name, status, out, errs, x.status, x.says)
+		status, out, errs := runFleetctl(t, x.env, x.args...)
+		if status != x.status || !strings.Contains(strings.ReplaceAll(out+errs, "-fast", "--fast"), x.wantText) {
+			t.Errorf("%s: status %d, %q %q; want %d and %q", name, status, out, errs, x.status, x.wantText)
 		}
 	}
-	if status, out, errs := ctl(t, config, "drain", "m-1", "--timeout", "500ms"); status != statusTimedOut || !strings.Contains(errs, "undone") {
+	if status, out, errs := runFleetctl(t, config, "drain", "m-1", "--timeout", "500ms"); status != statusTimedOut || !strings.Contains(errs, "undone") {
 		t.Errorf("timeout: status %d, %q %q", status, out, errs) // the sidecars count as notified only after 6 s
 	}
-	if status, out, errs := ctl(t, config, "drain", "m-1"); status != statusDone || !strings.Contains(out, "m-1: done") {
+	if status, out, errs := runFleetctl(t, config, "drain", "m-1"); status != statusDone || !strings.Contains(out, "m-1: done") {
 		t.Errorf("drain: status %d, %q %q", status, out, errs)
 	}
-	if status, _, errs := ctl(t, config, "drain", "m-2"); status != statusRefused || !strings.Contains(errs, "floor") {
+	if status, _, errs := runFleetctl(t, config, "drain", "m-2"); status != statusRefused || !strings.Contains(errs, "floor") {
 		t.Errorf("below the floor: status %d, %q", status, errs)
 	}
-	if status, out, _ := ctl(t, config, "status", "m-1"); status != statusDone || !strings.Contains(out, "out of service") {
+	if status, out, _ := runFleetctl(t, config, "status", "m-1"); status != statusDone || !strings.Contains(out, "out of service") {
 		t.Errorf("status: %d, %q", status, out)
 	}
-	if status, _, errs := ctl(t, config, "undrain", "m-1"); status != statusDone {
+	if status, _, errs := runFleetctl(t, config, "undrain", "m-1"); status != statusDone {
 		t.Errorf("undrain: status %d, %q", status, errs)
 	}
 }
@@ -166,7 +166,7 @@
 		var out, errs bytes.Buffer
 		status := run(t.Context(), []string{"status"}, getenv, &out, &errs)
 		if status != statusFailed || !strings.Contains(errs.String(), "/nonexistent") {
-			t.Errorf("%s: status %d, says %q", variable, status, errs.String())
+			t.Errorf("%s: status %d, output %q", variable, status, errs.String())
 		}
 		if got := strings.Contains(errs.String(), "BARLEYCTL_CONFIG is deprecated, use FLEETCTL_CONFIG"); got != warned {
 			t.Errorf("%s: warned %v, want %v", variable, got, warned)
--- a/cmd/registry/main_test.go
+++ b/cmd/registry/main_test.go
@@ -16,9 +16,9 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		args   []string
-		status int
-		says   string
+		args     []string
+		status   int
+		wantText string
 	}{
 		{nil, cli.StatusWrongCall, "-config FILE is needed"},
 		{[]string{"-config", "a", "b"}, cli.StatusWrongCall, "-config FILE is needed"},
@@ -30,8 +30,8 @@
 		var errs bytes.Buffer
 		status := cli.Report("registry", run(c.args, &errs), &errs)
 		line := errs.String()
-		if status != c.status || !strings.Contains(line, c.says) || strings.Count(line, "\n") != 1 {
-			t.Errorf("%v: got status %d, %q; want %d and one line with %q", c.args, status, line, c.status, c.says)
+		if status != c.status || !strings.Contains(line, c.wantText) || strings.Count(line, "\n") != 1 {
+			t.Errorf("%v: got status %d, %q; want %d and one line with %q", c.args, status, line, c.status, c.wantText)
 		}
 	}
 	var out bytes.Buffer
--- a/cmd/testbench/main_test.go
+++ b/cmd/testbench/main_test.go
@@ -12,7 +12,7 @@
 	"barleywick/internal/cli"
 )
 
-func call(ctx context.Context, args ...string) (status int, out, errs string) {
+func runTestbench(ctx context.Context, args ...string) (status int, out, errs string) {
 	var o, e bytes.Buffer
 	status = cli.Run(ctx, "testbench", newRoot(), args, &o, &e)
 	return status, o.String(), e.String()
@@ -20,8 +20,8 @@
 
 func TestSavedRunRendersTheSamePage(t *testing.T) {
 	folder := t.TempDir()
-	kept, page := filepath.Join(folder, "day.json"), filepath.Join(folder, "day.html")
-	status, out, errs := call(t.Context(), "simulate", "zone", "--sidecars", "6", "--servers", "6", "--length", "5s", "--json", kept, "--html", page)
+	saved, page := filepath.Join(folder, "day.json"), filepath.Join(folder, "day.html")
+	status, out, errs := runTestbench(t.Context(), "simulate", "zone", "--sidecars", "6", "--servers", "6", "--length", "5s", "--json", saved, "--html", page)
 	if status != cli.StatusDone || !strings.Contains(out, "rules kept") {
 		t.Fatalf("status %d, %s%s", status, out, errs)
 	}
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if status, _, errs := call(t.Context(), "report", kept); status != cli.StatusDone {
+	if status, _, errs := runTestbench(t.Context(), "report", saved); status != cli.StatusDone {
 		t.Fatalf("status %d, %s", status, errs)
 	}
 	second, err := os.ReadFile(page)
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	page := filepath.Join(folder, "e.html")
-	status, out, errs := call(t.Context(), "experiment", path, "--html", page)
+	status, out, errs := runTestbench(t.Context(), "experiment", path, "--html", page)
 	if status != cli.StatusDone || !strings.Contains(out, "too few pairs") {
 		t.Fatalf("status %d, %s%s", status, out, errs)
 	}
@@ -74,10 +74,10 @@
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	for _, c := range []struct {
-		ctx    context.Context
-		args   []string
-		status int
-		says   string
+		ctx      context.Context
+		args     []string
+		status   int
+		wantText string
 	}{
 		{t.Context(), []string{"simulate"}, cli.StatusWrongCall, "--list"},
 		{t.Context(), []string{"simulate", "flood"}, cli.StatusFailed, "flood"},
@@ -95,12 +95,12 @@
 		{t.Context(), []string{"load", "127.0.0.1:1", "--class", "a:safe", "--rate", "-5"}, cli.StatusWrongCall, "rate is -5"},
 		{cancelled, []string{"simulate", "calm"}, statusInterrupted, "interrupted"},
 	} {
-		status, _, errs := call(c.ctx, c.args...)
-		if status != c.status || !strings.Contains(errs, c.says) || strings.Count(errs, "\n") != 1 {
-			t.Errorf("%v: status %d, says %q; want %d and one line with %q", c.args, status, errs, c.status, c.says)
+		status, _, errs := runTestbench(c.ctx, c.args...)
+		if status != c.status || !strings.Contains(errs, c.wantText) || strings.Count(errs, "\n") != 1 {
+			t.Errorf("%v: status %d, output %q; want %d and one line with %q", c.args, status, errs, c.status, c.wantText)
 		}
 	}
-	if status, out, _ := call(t.Context(), "simulate", "--list"); status != cli.StatusDone || !strings.Contains(out, "zone_lost") {
+	if status, out, _ := runTestbench(t.Context(), "simulate", "--list"); status != cli.StatusDone || !strings.Contains(out, "zone_lost") {
 		t.Errorf("--list: %d, %s", status, out)
 	}
 }
@@ -122,37 +122,37 @@
 }
 
 func TestSearchPrintsAndSavesUnrecoveredRuns(t *testing.T) {
-	kept := filepath.Join(t.TempDir(), "found")
-	status, out, errs := call(t.Context(), "search", "--sidecars", "20", "--servers", "5", "--days", "6", "--keep", kept)
+	saveDir := filepath.Join(t.TempDir(), "found")
+	status, out, errs := runTestbench(t.Context(), "search", "--sidecars", "20", "--servers", "5", "--days", "6", "--keep", saveDir)
 	if status != cli.StatusDone || !strings.Contains(out, "6 runs: recovered after") {
 		t.Fatalf("status %d, %s%s", status, out, errs)
 	}
-	found, _ := filepath.Glob(filepath.Join(kept, "hunt-*.toml"))
+	found, _ := filepath.Glob(filepath.Join(saveDir, "hunt-*.toml"))
 	if n := strings.Count(out, "seed "); n != len(found) {
 		t.Errorf("printed %d unrecovered runs and saved %d: %s", n, len(found), out)
 	}
 	for _, path := range found {
-		if status, out, errs := call(t.Context(), "simulate", path, "--seed", "1"); status != cli.StatusDone || !strings.Contains(out, "the fleet sent") {
+		if status, out, errs := runTestbench(t.Context(), "simulate", path, "--seed", "1"); status != cli.StatusDone || !strings.Contains(out, "the fleet sent") {
 			t.Errorf("%s: status %d, %s%s", path, status, out, errs)
 		}
 	}
-	if status, _, errs := call(t.Context(), "search", "--days", "0"); status != cli.StatusWrongCall || !strings.Contains(errs, "--days is 0") {
+	if status, _, errs := runTestbench(t.Context(), "search", "--days", "0"); status != cli.StatusWrongCall || !strings.Contains(errs, "--days is 0") {
 		t.Errorf("status %d, %s", status, errs)
 	}
 }
 
 func TestFormerCommandNamesStillWork(t *testing.T) {
 	for former, name := range map[string]string{"lab": "localfleet", "hunt": "search", "explore": "modelcheck", "torture": "chaos"} {
-		status, out, errs := call(t.Context(), former, "--help")
+		status, out, errs := runTestbench(t.Context(), former, "--help")
 		if status != cli.StatusDone || !strings.Contains(out, "testbench "+name) {
 			t.Errorf("%s --help: status %d, %q, %s", former, status, out, errs)
 		}
 	}
-	if status, out, errs := call(t.Context(), "chaos", "--keepers", "0"); status != cli.StatusWrongCall || !strings.Contains(out, "use --controllers") {
-		t.Errorf("chaos --keepers: status %d, says %q %q", status, out, errs)
+	if status, out, errs := runTestbench(t.Context(), "chaos", "--keepers", "0"); status != cli.StatusWrongCall || !strings.Contains(out, "use --controllers") {
+		t.Errorf("chaos --keepers: status %d, output %q %q", status, out, errs)
 	}
-	status, _, errs := call(t.Context(), "hunt", "--days", "0")
+	status, _, errs := runTestbench(t.Context(), "hunt", "--days", "0")
 	if status != cli.StatusWrongCall || !strings.Contains(errs, "the command hunt is deprecated, use search\n") {
-		t.Errorf("hunt: status %d, says %q", status, errs)
+		t.Errorf("hunt: status %d, output %q", status, errs)
 	}
 }
