--- a/internal/testing/chaostest/chaos.go
+++ b/internal/testing/chaostest/chaos.go
@@ -1,8 +1,8 @@
-// Package chaostest runs a whole fleet of real processes under load (replicas of the
-// registry, controllers with all their tasks, sidecars) and injects faults for as long as is
-// wanted: into processes and links, up to three at once, while operators propose policies,
-// drain machines and request yields. The invariants are checked meanwhile and at the end, by
-// checks that share no code with the fleet.
+// Package chaostest runs a fleet of real processes under load (registry replicas, controllers
+// with all their tasks, sidecars) and injects faults into processes and links for a given
+// duration, up to three at once, while operators propose policies, drain machines and request
+// yields. Invariants are checked during the run and at its end. The checks share no code with
+// the fleet.
 package chaostest
 
 import (
@@ -32,50 +32,50 @@
 	Sidecar    Program = "sidecar-metrics"
 )
 
-// Options are what a run needs.
+// Options configure a run.
 type Options struct {
-	Command     func(p Program, config string) *exec.Cmd // makes the command that runs a program on its configuration
-	Duration    time.Duration                            // of fault injection; start and settling are not included
+	Command     func(p Program, config string) *exec.Cmd // returns the command that runs a program with its configuration file
+	Duration    time.Duration                            // of fault injection, without start-up and settling
 	Seed        uint64
-	Schedule    faultinjection.Schedule // the faults; none: drawn from the seed
+	Schedule    faultinjection.Schedule // the faults; if empty, they are drawn from the seed
 	Controllers int
 	Sidecars    int
 	Servers     int
-	OnEvent     func(line string) // receives each event of the timeline as a line; may be nil
+	OnEvent     func(line string) // receives each timeline event as a line; may be nil
 }
 
-// Bounds of a fleet, whose processes all share one machine.
+// Bounds of the fleet size. All processes run on one machine.
 const (
 	minControllers, maxControllers = 2, 8
 	minSidecars, maxSidecars       = 2, 64
 	minServers, maxServers         = 4, 64
 )
 
-// Check returns an error of one line if the options are invalid.
+// Check returns a one-line error if the options are invalid.
 func (o Options) Check() error {
-	within := func(n, least, most int) bool { return n >= least && n <= most }
+	inRange := func(n, least, most int) bool { return n >= least && n <= most }
 	switch {
 	case o.Duration <= 0:
-		return errors.New("the time must be above 0")
-	case !within(o.Controllers, minControllers, maxControllers) || !within(o.Sidecars, minSidecars, maxSidecars) || !within(o.Servers, minServers, maxServers):
-		return fmt.Errorf("%d to %d controllers, %d to %d sidecars and %d to %d servers share one machine",
+		return errors.New("the duration of fault injection must be above 0")
+	case !inRange(o.Controllers, minControllers, maxControllers) || !inRange(o.Sidecars, minSidecars, maxSidecars) || !inRange(o.Servers, minServers, maxServers):
+		return fmt.Errorf("fleet size: want %d to %d controllers, %d to %d sidecars and %d to %d servers",
 			minControllers, maxControllers, minSidecars, maxSidecars, minServers, maxServers)
 	}
 	return nil
 }
 
 const (
-	// startTimeout bounds the fleet's start, settleTimeout its settling after the last fault: a
-	// rollout's and a drain's time-outs lie within it.
+	// startTimeout bounds the start of the fleet. settleTimeout bounds the settling after the last
+	// fault; it is longer than the time-outs of rollouts and drains.
 	startTimeout  = time.Minute
 	settleTimeout = 90 * time.Second
-	// operatorsContinue is for how long operators go on after the last fault.
+	// operatorsContinue is how long operators continue after the last fault.
 	operatorsContinue = 2 * time.Second
 	pollInterval      = 250 * time.Millisecond
-	clientsASidecar   = 2
-	// operatorStream separates the random numbers of operators from those of faults.
+	clientsPerSidecar = 2
+	// operatorStream is the random stream of operators. It is separate from that of faults.
 	operatorStream = 77
-	// startLogTail is how many bytes of a log are reported when its process does not start.
+	// startLogTail is how many bytes of a process's log are reported when it fails to start.
 	startLogTail = 500
 )
 
@@ -84,22 +84,22 @@
 	*fleet
 	startedAt  time.Time
 	servers    []*server
-	registry   *client.Client // not affected by faults
+	registry   *client.Client // its calls bypass the fault injection
 	background sync.WaitGroup
-	rng        *rand.Rand // of the operators
+	rng        *rand.Rand // for the operators' actions
 
 	sent, served, refused, failed, lost atomic.Uint64
 
-	mu            sync.Mutex
-	report        Report
-	nonIdempotent map[string]bool      // ids of requests that must not run twice
-	unavailable   map[string]time.Time // sidecars that were paused or killed: since when they are back, zero if they are not
-	calls         []*recordCall
-	acknowledged  map[string][]acknowledgedWrite // by key
+	mu               sync.Mutex
+	report           Report
+	nonIdempotentIDs map[string]bool      // ids of non-idempotent requests, which must run at most once
+	unavailable      map[string]time.Time // sidecars that were paused or killed: when they resumed or restarted; zero: not yet
+	calls            []*recordCall
+	acknowledged     map[string][]acknowledgedWrite // by key
 }
 
-// Run starts a fleet, injects faults into it and checks the invariants. Nothing that it
-// started is left when it returns.
+// Run starts a fleet, injects faults into it and checks the invariants. It stops everything
+// that it started before it returns.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -114,13 +114,13 @@
 		return nil, fmt.Errorf("chaos: %w", err)
 	}
 	r := &run{
-		fleet:         f,
-		startedAt:     time.Now(),
-		rng:           rand.New(rand.NewPCG(o.Seed, operatorStream)),
-		report:        Report{Seed: o.Seed, Counts: make(map[string]uint64)},
-		nonIdempotent: make(map[string]bool),
-		unavailable:   make(map[string]time.Time),
-		acknowledged:  make(map[string][]acknowledgedWrite),
+		fleet:            f,
+		startedAt:        time.Now(),
+		rng:              rand.New(rand.NewPCG(o.Seed, operatorStream)),
+		report:           Report{Seed: o.Seed, Counts: make(map[string]uint64)},
+		nonIdempotentIDs: make(map[string]bool),
+		unavailable:      make(map[string]time.Time),
+		acknowledged:     make(map[string][]acknowledgedWrite),
 	}
 	background, stopBackground := context.WithCancel(ctx)
 	defer func() {
@@ -131,9 +131,9 @@
 		return nil, err
 	}
 	if err := r.start(ctx); err != nil {
-		return nil, fmt.Errorf("chaos: the fleet does not start: %w", err)
+		return nil, fmt.Errorf("chaos: start the fleet: %w", err)
 	}
-	r.recordEvent(FleetEvent, "all serve")
+	r.recordEvent(FleetEvent, "all sidecars serve")
 	sizes := r.processSizes()
 	r.startLoad(background)
 	err = r.runFaults(background, o.FaultSchedule())
@@ -150,25 +150,25 @@
 	return &r.report, nil
 }
 
-// startLoad starts the sidecars' clients and the watch of the registry.
+// startLoad starts the sidecars' clients and the polling of the registry.
 func (r *run) startLoad(ctx context.Context) {
 	for _, name := range r.sidecars {
-		for i := range clientsASidecar {
+		for i := range clientsPerSidecar {
 			r.background.Go(func() { r.sendRequests(ctx, name, i) })
 		}
 	}
 	r.background.Go(func() { r.watchRegistry(ctx) })
 }
 
-// runFaults injects the faults of a schedule while operators work, and returns when the last
-// fault is over and the operators have stopped.
+// runFaults injects the faults of a schedule while operators act. It returns when the last
+// fault has ended and the operators have stopped.
 func (r *run) runFaults(ctx context.Context, schedule faultinjection.Schedule) error {
 	r.report.Schedule = schedule.String()
-	working, stopOperators := context.WithCancel(ctx)
+	operatorsCtx, stopOperators := context.WithCancel(ctx)
 	defer stopOperators()
 	var operators sync.WaitGroup
 	for _, operator := range []func(context.Context){r.proposePolicies, r.drainMachines, r.writeRecords, r.requestYields} {
-		operators.Go(func() { operator(working) })
+		operators.Go(func() { operator(operatorsCtx) })
 	}
 	err := schedule.Run(ctx, r.injectFault)
 	r.recordEvent(FleetEvent, "the last fault is over")
@@ -178,7 +178,7 @@
 	return err
 }
 
-// start starts all processes and waits until each sidecar serves.
+// start starts all processes and waits until every sidecar reports that it is serving.
 func (r *run) start(ctx context.Context) error {
 	for _, m := range r.replicas {
 		if err := r.Processes[m.ID].Start(); err != nil {
@@ -207,8 +207,8 @@
 	return nil
 }
 
-// close ends everything that the run has started. The context of what runs in the background
-// has to have ended.
+// close stops everything that the run has started. The context of the background goroutines
+// must have been cancelled before.
 func (r *run) close() {
 	r.background.Wait()
 	for _, s := range r.servers {
@@ -220,14 +220,14 @@
 	r.fleet.close()
 }
 
-// waitUntil polls until a condition holds that no event announces.
-func waitUntil(ctx context.Context, within time.Duration, holds func() bool) error {
-	for deadline := time.Now().Add(within); !holds(); {
+// waitUntil polls until a condition holds. It is for conditions that can only be polled.
+func waitUntil(ctx context.Context, timeout time.Duration, condition func() bool) error {
+	for deadline := time.Now().Add(timeout); !condition(); {
 		switch {
 		case ctx.Err() != nil:
 			return ctx.Err()
 		case time.Now().After(deadline):
-			return fmt.Errorf("not within %v", within)
+			return fmt.Errorf("not within %v", timeout)
 		}
 		time.Sleep(pollInterval)
 	}
--- a/internal/testing/chaostest/checks.go
+++ b/internal/testing/chaostest/checks.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	// callTimeout bounds one call of a check, and one poll of the watch.
+	// callTimeout bounds one call of a check and one poll of the registry.
 	callTimeout = 2 * time.Second
-	// maxHealthText bounds what is read of a sidecar's answer.
+	// maxHealthText bounds how many bytes are read of a sidecar's response.
 	maxHealthText = 4 << 10
 )
 
-// readHealth returns the text of a sidecar's page under /health/, or nothing if it does not answer.
+// readHealth returns the text of a sidecar's page under /health/. It is empty if the sidecar does not respond.
 func (r *run) readHealth(name, page string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -39,18 +39,18 @@
 		return ""
 	}
 	defer response.Body.Close()
-	text, _ := io.ReadAll(io.LimitReader(response.Body, maxHealthText)) // what was read of an answer is shown also if the rest is missing
+	text, _ := io.ReadAll(io.LimitReader(response.Body, maxHealthText)) // an incomplete response is used as far as it was read
 	return string(text)
 }
 
-// watchRegistry polls the registry for drain marks, which the servers need to know, and for
-// grants: a token belongs to one holder.
+// watchRegistry polls the registry. It passes drain marks on to the servers and checks that each
+// fencing token is granted to one holder only.
 func (r *run) watchRegistry(ctx context.Context) {
-	owners := make(map[uint64]string) // by token
+	holders := make(map[uint64]string) // by token
 	for wait.Sleep(ctx, pollInterval) {
-		poll, cancel := context.WithTimeout(ctx, callTimeout)
-		r.readDrainMarks(poll)
-		r.checkTokens(poll, owners)
+		pollCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		r.readDrainMarks(pollCtx)
+		r.checkTokens(pollCtx, holders)
 		cancel()
 	}
 }
@@ -69,8 +69,8 @@
 	r.count("looks at the list", 1)
 }
 
-// checkTokens checks that no token was granted to two holders. owners is what was seen before.
-func (r *run) checkTokens(ctx context.Context, owners map[uint64]string) {
+// checkTokens checks that no fencing token was granted to two holders. holders has the grants of earlier polls.
+func (r *run) checkTokens(ctx context.Context, holders map[uint64]string) {
 	list, err := r.registry.Leases(ctx, 0, 0)
 	if err != nil {
 		return
@@ -79,17 +79,18 @@
 		if l.Grant == nil {
 			continue
 		}
-		owner := fmt.Sprintf("%s/%d for %s", l.Grant.Name, l.Grant.Incarnation, l.Name)
-		if earlier, known := owners[l.Grant.Token]; !known {
-			owners[l.Grant.Token] = owner
+		holder := fmt.Sprintf("%s/%d for %s", l.Grant.Name, l.Grant.Incarnation, l.Name)
+		if earlier, known := holders[l.Grant.Token]; !known {
+			holders[l.Grant.Token] = holder
 			r.count("grants", 1)
-		} else if earlier != owner {
-			r.violated("token %d was given to %s and to %s", l.Grant.Token, earlier, owner)
+		} else if earlier != holder {
+			r.violated("token %d was granted to two holders: %s and %s", l.Grant.Token, earlier, holder)
 		}
 	}
 }
 
-// checkSettled checks what has to hold some time after the last fault, when operators have stopped.
+// checkSettled checks the invariants that must hold within settleTimeout after the last fault and
+// after the operators have stopped.
 func (r *run) checkSettled(ctx context.Context) {
 	r.checkEventually(ctx, "all see all", r.checkViews)
 	r.checkEventually(ctx, "the last change of policy has settled", r.checkRolloutSettled)
@@ -104,19 +105,19 @@
 func (r *run) checkEventually(ctx context.Context, invariant string, check func(context.Context) error) {
 	var violation error
 	began := time.Now()
-	holds := func() bool {
+	condition := func() bool {
 		violation = check(ctx)
 		return violation == nil
 	}
-	if err := waitUntil(ctx, settleTimeout, holds); err != nil {
-		r.violated("%s, %v after the last fault: %v", invariant, settleTimeout, violation)
+	if err := waitUntil(ctx, settleTimeout, condition); err != nil {
+		r.violated("%s: does not hold %v after the last fault: %v", invariant, settleTimeout, violation)
 		return
 	}
 	r.recordEvent(InvariantEvent, "%s: after %v", invariant, time.Since(began).Round(10*time.Millisecond))
 	r.count("promises at rest", 1)
 }
 
-// checkViews checks that every process sees all others, and the same of them.
+// checkViews checks that every process sees all others and that all views are equal.
 func (r *run) checkViews(ctx context.Context) error {
 	digest := ""
 	for _, name := range r.processNames() {
@@ -125,7 +126,7 @@
 			return fmt.Errorf("%s: %w", name, err)
 		}
 		if view.Present != len(r.Processes) || digest != "" && view.Digest != digest {
-			return fmt.Errorf("%s sees %d of %d", name, view.Present, len(r.Processes))
+			return fmt.Errorf("%s sees %d of %d members, or its view differs from another one", name, view.Present, len(r.Processes))
 		}
 		digest = view.Digest
 	}
@@ -148,12 +149,12 @@
 		return err
 	}
 	if st.Stage != rollout.StageSettled {
-		return fmt.Errorf("change %d is %s, it waits for %v", st.Change.Number, st.Stage, st.WaitingFor)
+		return fmt.Errorf("change %d: stage is %s, waiting for %v", st.Change.Number, st.Stage, st.WaitingFor)
 	}
 	return nil
 }
 
-// checkActivePolicies checks that all sidecars act by the same policy.
+// checkActivePolicies checks that all sidecars use the same policy.
 func (r *run) checkActivePolicies(context.Context) error {
 	byEpoch := make(map[string][]string)
 	for _, name := range r.sidecars {
@@ -167,7 +168,7 @@
 	return nil
 }
 
-// checkDrainsDone checks that each drain that was handed over is done.
+// checkDrainsDone checks that every drain that controllers run has finished.
 func (r *run) checkDrainsDone(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -177,16 +178,17 @@
 	}
 	for _, d := range drains {
 		if d.Step != drain.Done && d.Owner == drain.OwnerControllers {
-			return fmt.Errorf("%s is %s: %s", d.Machine, d.Step, d.Note)
+			return fmt.Errorf("drain of %s: step is %s: %s", d.Machine, d.Step, d.Note)
 		}
 	}
 	return nil
 }
 
-// heldTasks are leases that some controller has to hold; of the health checks, the first and the last.
-var heldTasks = []string{controller.DrainsLease, controller.PolicyLease, "copies", "overload", "health-0", "health-7"}
+// requiredLeases are the leases that must be held by a controller. Of the health checks, only the
+// first and the last are listed.
+var requiredLeases = []string{controller.DrainsLease, controller.PolicyLease, "copies", "overload", "health-0", "health-7"}
 
-// checkTasksHeld checks that each task has a holder.
+// checkTasksHeld checks that the lease of each task is held.
 func (r *run) checkTasksHeld(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -194,15 +196,15 @@
 	if err != nil {
 		return err
 	}
-	for _, task := range heldTasks {
+	for _, task := range requiredLeases {
 		if !slices.ContainsFunc(list.Leases, func(l registry.Lease) bool { return l.Name == task && l.Grant != nil }) {
-			return fmt.Errorf("%s has no holder", task)
+			return fmt.Errorf("lease %s has no holder", task)
 		}
 	}
 	return nil
 }
 
-// checkNoWriteLost checks that every acknowledged write is there, or was replaced by a later one.
+// checkNoWriteLost checks that every acknowledged write is present or was replaced by a later one.
 func (r *run) checkNoWriteLost(ctx context.Context) error {
 	r.mu.Lock()
 	acknowledged := maps.Clone(r.acknowledged)
@@ -225,7 +227,7 @@
 	}
 	for _, w := range writes {
 		if w.version > rec.Version || w.version == rec.Version && w.value != string(rec.Value) {
-			return fmt.Errorf("version %d, %q, was acknowledged; there is version %d, %q", w.version, w.value, rec.Version, rec.Value)
+			return fmt.Errorf("acknowledged version %d, %q; the registry has version %d, %q", w.version, w.value, rec.Version, rec.Value)
 		}
 	}
 	return nil
@@ -239,16 +241,16 @@
 		return err
 	}
 	if len(paths) == 0 {
-		return errors.New("there is no copy")
+		return errors.New("no backup of the registry was saved")
 	}
 	_, err = controller.ReadBackup(paths[len(paths)-1])
 	return err
 }
 
-// checkRequests checks what ran at the servers, and the records' histories.
+// checkRequests checks which requests ran at the servers, and the histories of the records.
 func (r *run) checkRequests() {
 	r.mu.Lock()
-	nonIdempotent, calls := maps.Clone(r.nonIdempotent), slices.Clone(r.calls)
+	nonIdempotent, calls := maps.Clone(r.nonIdempotentIDs), slices.Clone(r.calls)
 	r.mu.Unlock()
 	runCounts := make(map[string]int)
 	for _, s := range r.servers {
@@ -257,7 +259,7 @@
 			runCounts[id] += n
 		}
 		for name, after := range s.lateRequests {
-			r.violated("a request of %s began at %s, which had been draining for %v", name, s.host, after.Round(time.Millisecond))
+			r.violated("a request of %s started at %s, which had been draining for %v", name, s.host, after.Round(time.Millisecond))
 			r.keepLogTail(name)
 		}
 		s.mu.Unlock()
@@ -265,7 +267,7 @@
 	for id, n := range runCounts {
 		r.count("requests that ran", 1)
 		if n > 1 && nonIdempotent[id] {
-			r.violated("%s, which must never run twice, ran %d times", id, n)
+			r.violated("non-idempotent request %s ran %d times", id, n)
 		}
 	}
 	r.count("requests", r.sent.Load())
--- a/internal/testing/chaostest/config.go
+++ b/internal/testing/chaostest/config.go
@@ -34,7 +34,7 @@
 // table is a table of a configuration file.
 type table = map[string]any
 
-// addProcess writes a configuration and makes the process that reads it.
+// addProcess writes a configuration file and adds the process that reads it.
 func (f *fleet) addProcess(name string, p Program, extension string, config []byte) error {
 	path := filepath.Join(f.dir, name+extension)
 	if err := os.WriteFile(path, config, 0o600); err != nil {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// membershipConfig returns a process's table "membership".
+// membershipConfig returns the table "membership" of a process's configuration.
 func (f *fleet) membershipConfig(name string) table {
 	routes := make(addressmap.Map)
 	var seeds []string
@@ -64,7 +64,7 @@
 	}
 }
 
-// addReplica makes a replica of the registry.
+// addReplica adds a registry replica.
 func (f *fleet) addReplica(m registry.ReplicaInfo) error {
 	dataDir := filepath.Join(f.dir, m.ID)
 	if err := os.MkdirAll(dataDir, 0o700); err != nil {
@@ -83,7 +83,7 @@
 	return f.addProcess(m.ID, Replica, ".json", config)
 }
 
-// addController makes a controller with all tasks.
+// addController adds a controller that runs all tasks.
 func (f *fleet) addController(name string) error {
 	drainConfig, err := f.writeDrainConfig()
 	if err != nil {
@@ -109,10 +109,10 @@
 	return f.addProcess(name, Controller, ".toml", config)
 }
 
-// backupDir returns the directory of the controllers' backups.
+// backupDir returns the directory to which controllers save backups of the registry.
 func (f *fleet) backupDir() string { return filepath.Join(f.dir, "copies") }
 
-// writeDrainConfig writes the configuration that the controllers' drains read.
+// writeDrainConfig writes the configuration file for drains that controllers run.
 func (f *fleet) writeDrainConfig() (path string, err error) {
 	path = filepath.Join(f.dir, "drains.json")
 	config, err := json.Marshal(table{
@@ -124,7 +124,7 @@
 	return path, os.WriteFile(path, config, 0o600)
 }
 
-// addSidecar makes a sidecar and the client that sends requests to it.
+// addSidecar adds a sidecar and the client that sends requests to it.
 func (f *fleet) addSidecar(name string, i int) error {
 	links := f.addressMaps[name]
 	var routes []string
@@ -132,7 +132,7 @@
 		routes = append(routes, addr+"="+links[addr])
 	}
 	discovery := make([]string, len(f.replicas))
-	for n, m := range f.replicas { // each sidecar begins with another replica
+	for n, m := range f.replicas { // sidecars start with different replicas
 		discovery[(n+i)%len(discovery)] = links[m.HTTP]
 	}
 	config, err := json.Marshal(table{
@@ -151,7 +151,7 @@
 	return f.addProcess(name, Sidecar, ".json", config)
 }
 
-// settings returns a sidecar's table "settings". The sidecars are in two zones by turns.
+// settings returns the table "settings" of a sidecar's configuration. Sidecars alternate between two zones.
 func (f *fleet) settings(i int) table {
 	class := func(name, semantics string) table {
 		return table{"name": name, "semantics": semantics, "aim_ms": latencyObjective.Milliseconds(), "hard_limit_ms": requestTimeout.Milliseconds(), "worth": 1}
--- a/internal/testing/chaostest/faults.go
+++ b/internal/testing/chaostest/faults.go
@@ -31,7 +31,7 @@
 	faultinjection.Crash,
 }
 
-// FaultSchedule returns the faults of a run: the schedule that was given, or one drawn from the seed.
+// FaultSchedule returns the given schedule of faults, or one drawn from the seed if none was given.
 func (o Options) FaultSchedule() faultinjection.Schedule {
 	if len(o.Schedule) > 0 {
 		return o.Schedule
@@ -69,8 +69,8 @@
 	return err
 }
 
-// setUnavailable records that a process is paused or killed, or is back: while it is
-// unavailable it may leave its clients without an answer.
+// setUnavailable records that a process was paused or killed, or that it resumed or restarted.
+// While it is unavailable its clients may get no response.
 func (r *run) setUnavailable(f faultinjection.Fault, unavailable bool) {
 	if f.Kind != faultinjection.Pause && f.Kind != faultinjection.Crash {
 		return
@@ -84,14 +84,14 @@
 	}
 }
 
-// recoveryGrace is how long a process that was paused or started again needs until it serves
-// and has answered what it had in flight.
+// recoveryGrace is how long after a pause or a restart a process may take until it serves and has
+// completed its requests in flight.
 const recoveryGrace = 3 * time.Second
 
-// excused reports whether a request that was sent at a time met a sidecar that was paused or killed.
-func (r *run) excused(name string, sent time.Time) bool {
+// lossAllowed reports whether a request may be lost, since its sidecar was paused or killed when it was sent.
+func (r *run) lossAllowed(name string, sent time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	back, unavailable := r.unavailable[name]
-	return unavailable && (back.IsZero() || sent.Before(back.Add(recoveryGrace)))
+	availableSince, unavailable := r.unavailable[name]
+	return unavailable && (availableSince.IsZero() || sent.Before(availableSince.Add(recoveryGrace)))
 }
--- a/internal/testing/chaostest/fleet.go
+++ b/internal/testing/chaostest/fleet.go
@@ -13,11 +13,11 @@
 	"barleywick/internal/testing/loopback"
 )
 
-// replicaCount is how many replicas the registry has.
+// replicaCount is the number of registry replicas.
 const replicaCount = 3
 
-// fleet is the processes of a run and the links between them. A process's name begins with r
-// (a replica of the registry), k (a controller) or n (a sidecar).
+// fleet holds the processes of a run and the links between them. The first letter of a process's
+// name is its role: r (registry replica), k (controller) or n (sidecar).
 type fleet struct {
 	*faultinjection.Injector
 	options       Options
@@ -28,11 +28,11 @@
 	gossipAddrs   map[string]string          // by process
 	httpAddrs     map[string]string          // by process
 	overloadAddrs map[string]string          // by controller
-	addressMaps   map[string]addressmap.Map  // by process: the link to use instead of an address
+	addressMaps   map[string]addressmap.Map  // by process: maps an address to that of the link to use instead
 	clients       map[string]*loadgen.Client // by sidecar
 }
 
-// numberedNames returns n names that begin with a prefix.
+// numberedNames returns n names: a prefix and a number from 0.
 func numberedNames(prefix string, n int) (names []string) {
 	for i := range n {
 		names = append(names, prefix+strconv.Itoa(i))
@@ -40,7 +40,7 @@
 	return names
 }
 
-// newFleet makes a fleet whose files are in a directory. None of its processes runs yet.
+// newFleet returns a fleet that keeps its files in a directory. It does not start the processes.
 func newFleet(o Options, dir string) (*fleet, error) {
 	f := &fleet{
 		Injector:      &faultinjection.Injector{Network: faultinjection.NewNetwork(o.Seed), Processes: make(map[string]*faultinjection.Process)},
@@ -63,7 +63,7 @@
 	return f, nil
 }
 
-// assignAddresses gives each process the addresses that it listens on.
+// assignAddresses picks the addresses that each process listens on.
 func (f *fleet) assignAddresses() (err error) {
 	addr := func() (a string) {
 		if err == nil {
@@ -89,7 +89,7 @@
 	return err
 }
 
-// addLinks makes a link from each process to each address of another that it uses.
+// addLinks adds a link from each process to each address of another process that it connects to.
 func (f *fleet) addLinks() error {
 	for _, from := range f.processNames() {
 		f.addressMaps[from] = make(addressmap.Map)
@@ -122,7 +122,8 @@
 	return nil
 }
 
-// addLink makes a link from a process to an address of another, which is named PROCESS:USE.
+// addLink adds a link from a process to an address of another one. The parameter to has the form
+// PROCESS:USE. A process gets no link to itself.
 func (f *fleet) addLink(from, to, address string) error {
 	if strings.HasPrefix(to, from+":") {
 		return nil
@@ -134,7 +135,7 @@
 	return err
 }
 
-// addProcesses writes the configurations and makes the processes.
+// addProcesses writes the configuration files and adds the processes.
 func (f *fleet) addProcesses() error {
 	for _, m := range f.replicas {
 		if err := f.addReplica(m); err != nil {
@@ -154,10 +155,10 @@
 	return nil
 }
 
-// isReplica reports whether a process is a replica of the registry, by its name.
+// isReplica reports whether a name is that of a registry replica.
 func isReplica(name string) bool { return strings.HasPrefix(name, "r") }
 
-// registryAddrs returns the addresses that the replicas serve HTTP on.
+// registryAddrs returns the HTTP addresses of the replicas.
 func (f *fleet) registryAddrs() (addrs []string) {
 	for _, m := range f.replicas {
 		addrs = append(addrs, m.HTTP)
@@ -165,7 +166,7 @@
 	return addrs
 }
 
-// viewURL returns the URL of a process's view of the membership.
+// viewURL returns the URL of a process's membership view.
 func (f *fleet) viewURL(name string) string {
 	switch name[0] {
 	case 'r':
@@ -189,7 +190,7 @@
 	return ids
 }
 
-// close kills all processes and closes the links.
+// close kills all processes, and closes the clients and the links.
 func (f *fleet) close() {
 	for _, p := range f.Processes {
 		p.Kill()
--- a/internal/testing/chaostest/operators.go
+++ b/internal/testing/chaostest/operators.go
@@ -27,26 +27,26 @@
 	operatorName      = "operator"
 )
 
-// randomInt draws a number below n for an operator.
+// randomInt draws a number in [0, n) for an operator's action.
 func (r *run) randomInt(n int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rng.IntN(n)
 }
 
-// jitter draws a duration between half of a mean and half as much again.
-func (r *run) jitter(d time.Duration) time.Duration {
-	return d/2 + time.Duration(r.randomInt(int(d)))
+// drawInterval draws a duration between 0.5 and 1.5 times a mean.
+func (r *run) drawInterval(mean time.Duration) time.Duration {
+	return mean/2 + time.Duration(r.randomInt(int(mean)))
 }
 
-// proposePolicies is an operator who proposes policies and aborts some of the rollouts.
+// proposePolicies acts as an operator who proposes policies and aborts some of the rollouts.
 func (r *run) proposePolicies(ctx context.Context) {
-	for n := 1; wait.Sleep(ctx, r.jitter(policyInterval)); n++ {
+	for n := 1; wait.Sleep(ctx, r.drawInterval(policyInterval)); n++ {
 		r.proposePolicy(ctx, n)
 	}
 }
 
-// proposePolicy proposes a policy, or aborts the rollout that is in progress.
+// proposePolicy proposes a policy, or aborts the rollout in progress in one of three cases.
 func (r *run) proposePolicy(ctx context.Context, n int) {
 	ctx, cancel := context.WithTimeout(ctx, actionTimeout)
 	defer cancel()
@@ -67,7 +67,7 @@
 	}
 }
 
-// drainWorkflow returns the workflow of an operator whose drains controllers run.
+// drainWorkflow returns the workflow of an operator who hands drains over to the controllers.
 func (r *run) drainWorkflow() *drain.Workflow {
 	c := &drain.Config{
 		Registry: r.registryAddrs(), Floor: drain.Floor{Default: 1}, Sidecars: len(r.sidecars),
@@ -76,10 +76,11 @@
 	return c.WorkflowWith(r.registry, operatorName, drainPollInterval, func(drain.Event) {})
 }
 
-// drainMachines is an operator who hands over drains of machines, and takes machines back into service.
+// drainMachines acts as an operator who hands drains of machines over to the controllers, and
+// returns machines to service.
 func (r *run) drainMachines(ctx context.Context) {
-	for wait.Sleep(ctx, r.jitter(drainInterval)) {
-		machine := machineName(r.randomInt((r.options.Servers + 1) / serversAMachine))
+	for wait.Sleep(ctx, r.drawInterval(drainInterval)) {
+		machine := machineName(r.randomInt((r.options.Servers + 1) / serversPerMachine))
 		action, err := r.drainOrUndrain(ctx, machine)
 		if err == nil {
 			r.recordEvent(OperatorEvent, "%s %s", action, machine)
@@ -88,7 +89,7 @@
 	}
 }
 
-// drainOrUndrain hands over a machine's drain or takes the machine back, and says which.
+// drainOrUndrain hands over a machine's drain or returns the machine to service. It returns the action's name.
 func (r *run) drainOrUndrain(ctx context.Context, machine string) (action string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, actionTimeout)
 	defer cancel()
@@ -98,14 +99,14 @@
 	return "undrain", r.drainWorkflow().Undrain(ctx, machine)
 }
 
-// requestYields is an operator who asks holders to release leases that others wait for.
+// requestYields acts as an operator who requests that holders release leases for which others wait.
 func (r *run) requestYields(ctx context.Context) {
-	for wait.Sleep(ctx, r.jitter(yieldInterval)) {
+	for wait.Sleep(ctx, r.drawInterval(yieldInterval)) {
 		r.requestYield(ctx)
 	}
 }
 
-// requestYield asks the holder of a lease to release it, if another one waits for it.
+// requestYield requests that the holder of a random lease release it, if there is a queued claim for it.
 func (r *run) requestYield(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, actionTimeout)
 	defer cancel()
@@ -118,7 +119,7 @@
 		return
 	}
 	if r.registry.RequestYield(ctx, l.Name, registry.YieldRequest{Yield: true}) == nil {
-		r.recordEvent(OperatorEvent, "%s is to leave %s", l.Grant.Name, l.Name)
+		r.recordEvent(OperatorEvent, "%s has to release lease %s", l.Grant.Name, l.Name)
 		r.count("hand-overs", 1)
 	}
 }
--- a/internal/testing/chaostest/processes.go
+++ b/internal/testing/chaostest/processes.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// stopTimeout bounds how long a process takes to end after SIGTERM.
+	// stopTimeout is how long a process may take to end after SIGTERM.
 	stopTimeout = 20 * time.Second
-	// dumpTime is how long a process is given to log its goroutines.
-	dumpTime = 4 * pollInterval
-	// allowedMemoryGrowth is by how much a process's memory may grow over a run, beyond a half:
-	// bounded caches and buffers fill up.
-	allowedMemoryGrowth     = 24 << 20
-	allowedDescriptorGrowth = 64
+	// stackDumpTimeout is how long a process may take to log its goroutines.
+	stackDumpTimeout = 4 * pollInterval
+	// maxMemoryGrowth is how many bytes a process's memory may grow over a run, in addition to half of
+	// its size at the start: bounded caches and buffers fill up.
+	maxMemoryGrowth     = 24 << 20
+	maxDescriptorGrowth = 64
 )
 
-// processSize is the resources that a process uses.
+// processSize holds the resources that a process uses.
 type processSize struct {
 	memory      int64 // resident, in bytes
 	descriptors int
@@ -62,7 +62,7 @@
 	return size, true
 }
 
-// checkGrowth compares the processes' resources with those at the start.
+// checkGrowth checks that no process uses much more memory or descriptors than at the start.
 func (r *run) checkGrowth(atStart map[string]processSize) {
 	var largest int64
 	for name, now := range r.processSizes() {
@@ -72,41 +72,41 @@
 		}
 		r.count("sizes compared", 1)
 		largest = max(largest, now.memory)
-		if now.memory > before.memory*3/2+allowedMemoryGrowth {
-			r.violated("%s takes %d KiB of memory, %d at the start", name, now.memory>>10, before.memory>>10)
+		if now.memory > before.memory*3/2+maxMemoryGrowth {
+			r.violated("%s uses %d KiB of memory, %d at the start", name, now.memory>>10, before.memory>>10)
 		}
-		if now.descriptors > before.descriptors+allowedDescriptorGrowth {
+		if now.descriptors > before.descriptors+maxDescriptorGrowth {
 			r.violated("%s has %d descriptors open, %d at the start", name, now.descriptors, before.descriptors)
 		}
 	}
-	r.recordEvent(InvariantEvent, "no process has grown: the largest takes %d MiB", largest>>20)
+	r.recordEvent(InvariantEvent, "checked the sizes of processes: the largest uses %d MiB", largest>>20)
 }
 
-// stopProcess ends a process with SIGTERM. One that does not end is made to log its goroutines.
-// One that ends otherwise than with status 0, as one does whose end is cut off, is an error, too;
-// its log is kept.
+// stopProcess stops a process with SIGTERM. If it does not end, SIGQUIT makes it log its goroutines
+// before it is killed. It is also an error if the process ends with another status than 0, as it does
+// when its own watchdog cuts its shutdown off. On each error the end of its log is kept.
 func (r *run) stopProcess(name string) error {
 	p := r.Processes[name]
-	_ = p.Signal(syscall.SIGCONT) // it fails if the process has ended, and so does SIGTERM then
+	_ = p.Signal(syscall.SIGCONT) // an error means that the process has ended; then SIGTERM fails, too
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		r.keepLogTail(name)
-		return fmt.Errorf("%s has ended before: %w", name, err)
+		return fmt.Errorf("%s has ended before SIGTERM: %w", name, err)
 	}
 	switch err := p.AwaitEnd(stopTimeout); {
 	case errors.Is(err, faultinjection.ErrRunning):
-		_ = p.Signal(syscall.SIGQUIT) // it fails if the process has just ended
-		_ = p.AwaitEnd(dumpTime)      // it may hang
+		_ = p.Signal(syscall.SIGQUIT)    // an error means that the process has just ended
+		_ = p.AwaitEnd(stackDumpTimeout) // it may hang
 		p.Kill()
 		r.keepLogTail(name)
 		return fmt.Errorf("%s did not end within %v", name, stopTimeout)
 	case err != nil:
 		r.keepLogTail(name)
-		return fmt.Errorf("%s was told to end and ended with %w", name, err)
+		return fmt.Errorf("%s ended with an error after SIGTERM: %w", name, err)
 	}
 	return nil
 }
 
-// stopAll ends all processes, the replicas last, and checks that each of them does end.
+// stopAll stops all processes, the replicas last, and checks that each of them ends.
 func (r *run) stopAll() {
 	for _, names := range [][]string{r.sidecars, r.controllers, r.replicaIDs()} {
 		ended := make(chan error, len(names))
@@ -115,7 +115,7 @@
 		}
 		for range names {
 			if err := <-ended; err != nil {
-				r.violated("a process did not end as it should: %v", err)
+				r.violated("a process did not end in order: %v", err)
 				continue
 			}
 			r.count("processes that ended in order", 1)
@@ -123,7 +123,7 @@
 	}
 	for name, p := range r.Processes {
 		if p.Running() {
-			r.violated("%s is left", name)
+			r.violated("%s is still running after the stop", name)
 		}
 	}
 	r.recordEvent(FleetEvent, "all have ended")
--- a/internal/testing/chaostest/processes_test.go
+++ b/internal/testing/chaostest/processes_test.go
@@ -9,13 +9,13 @@
 	"barleywick/internal/testing/faultinjection"
 )
 
-// A process that was told to end and ends with another status than 0, as one whose end is cut off,
-// or that has ended before, is a violation, and its log is kept. One that ends in order is none.
+// A process that ends before SIGTERM, or after it with another status than 0, for instance as its watchdog
+// cuts its shutdown off, is a violation, and its log is kept. A process that ends in order is not.
 func TestProcessThatDoesNotEndInOrderIsAViolation(t *testing.T) {
 	const cutOff = "shutdown: cut off program=registry step=membership"
 	for name, x := range map[string]struct {
 		script string
-		want   string // part of the violation; empty: there is none
+		want   string // part of the violation; empty: no violation
 	}{
 		"in order":     {"trap 'exit 0' TERM; echo up; while :; do sleep 0.01; done", ""},
 		"cut off":      {"trap 'echo " + cutOff + "; exit 1' TERM; echo up; while :; do sleep 0.01; done", "exit status 1"},
@@ -41,7 +41,7 @@
 				t.Errorf("got violations %q, want %q", violations, x.want)
 			}
 			if log := r.report.Logs["r0"]; x.want != "" && !strings.Contains(log, "up") || name == "cut off" && !strings.Contains(log, cutOff) {
-				t.Errorf("got log %q", log)
+				t.Errorf("report has the log %q, want all output of a process that did not end in order", log)
 			}
 		})
 	}
--- a/internal/testing/chaostest/records.go
+++ b/internal/testing/chaostest/records.go
@@ -16,7 +16,7 @@
 const (
 	recordKeys          = 8
 	recordWriteInterval = 150 * time.Millisecond
-	// historyTimeout bounds the check of one record's history.
+	// historyTimeout bounds the linearizability check of one record's history.
 	historyTimeout = 30 * time.Second
 )
 
@@ -33,14 +33,14 @@
 	version uint64
 }
 
-// writeRecords is a user who reads and writes records. Each write names the version that it replaces.
+// writeRecords acts as a user who reads and writes records. Each write is conditional on the version read.
 func (r *run) writeRecords(ctx context.Context) {
-	for n := 1; wait.Sleep(ctx, r.jitter(recordWriteInterval)); n++ {
+	for n := 1; wait.Sleep(ctx, r.drawInterval(recordWriteInterval)); n++ {
 		r.writeRecord(ctx, fmt.Sprint("chaos-", r.randomInt(recordKeys)), fmt.Sprint(n))
 	}
 }
 
-// writeRecord reads a record and writes a value in its place.
+// writeRecord reads a record and replaces it by a value.
 func (r *run) writeRecord(ctx context.Context, key, value string) {
 	ctx, cancel := context.WithTimeout(ctx, actionTimeout)
 	defer cancel()
@@ -64,7 +64,7 @@
 	r.mu.Unlock()
 }
 
-// beginCall records that a call begins.
+// beginCall records the start of a call.
 func (r *run) beginCall(key, value string) *recordCall {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,14 +73,14 @@
 	return c
 }
 
-// completeCall records that a call has succeeded.
+// completeCall records the successful end of a call.
 func (r *run) completeCall(c *recordCall, read string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c.read, c.ended, c.completed = read, time.Since(r.startedAt), true
 }
 
-// checkLinearizability checks each record's history of calls against a register.
+// checkLinearizability checks the calls on each record against a sequential register.
 func (r *run) checkLinearizability(calls []*recordCall) {
 	operations := make([]linearizability.Operation, len(calls))
 	for i, c := range calls {
@@ -92,7 +92,7 @@
 		case porcupine.Illegal:
 			r.violated("%s: the history of %d calls is not linearizable", key, len(history))
 		case porcupine.Unknown:
-			r.recordEvent(InvariantEvent, "%s: a history of %d calls is too long to be checked", key, len(history))
+			r.recordEvent(InvariantEvent, "%s: the check of the history of %d calls timed out", key, len(history))
 			r.count("histories not judged", 1)
 		}
 	}
--- a/internal/testing/chaostest/report.go
+++ b/internal/testing/chaostest/report.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// EventKind tells what an event of the timeline is about.
+// EventKind is the category of a timeline event.
 type EventKind string
 
-// The kinds of events. Their texts stand in reports.
+// The kinds of events. Reports contain their values.
 const (
 	FaultEvent     EventKind = "fault"
 	OperatorEvent  EventKind = "operator"
@@ -33,7 +33,7 @@
 	Timeline   []Event           `json:"lines"`
 	Violations []string          `json:"broken"`         // one line each
 	Counts     map[string]uint64 `json:"saw"`            // what was checked
-	Logs       map[string]string `json:"logs,omitempty"` // the ends of logs of processes that violated an invariant
+	Logs       map[string]string `json:"logs,omitempty"` // the end of the log of each process that violated an invariant
 }
 
 const (
@@ -65,27 +65,28 @@
 	r.recordEvent(InvariantEvent, "BROKEN: %s", text)
 }
 
-// count adds to what was checked.
+// count adds n to a counter of the report.
 func (r *run) count(what string, n uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.Counts[what] += n
 }
 
-// cutOffLine begins the stacks of all goroutines in the log of a process whose end is cut off.
-const cutOffLine = "shutdown: cut off"
+// cutOffMark is in the log line that precedes the stacks of all goroutines, which a process logs when its
+// watchdog cuts its shutdown off.
+const cutOffMark = "shutdown: cut off"
 
-// tail returns the end of a log. Of an end that was cut off it has what stands around the line
-// that says so, as the stacks after it may be long.
-func tail(log string) string {
+// logTail returns the end of a log. If the shutdown was cut off it returns the part around that log
+// line, as the stacks after it may be long.
+func logTail(log string) string {
 	end := len(log)
-	if at := strings.LastIndex(log, cutOffLine); at >= 0 {
+	if at := strings.LastIndex(log, cutOffMark); at >= 0 {
 		end = min(end, at+maxLogTail*3/4)
 	}
 	return log[max(0, end-maxLogTail):end]
 }
 
-// keepLogTail keeps the end of a process's log in the report.
+// keepLogTail adds the end of a process's log to the report.
 func (r *run) keepLogTail(name string) {
 	p := r.Processes[name]
 	if p == nil {
@@ -97,5 +98,5 @@
 	if r.report.Logs == nil {
 		r.report.Logs = make(map[string]string)
 	}
-	r.report.Logs[name] = tail(log)
+	r.report.Logs[name] = logTail(log)
 }
--- a/internal/testing/chaostest/servers.go
+++ b/internal/testing/chaostest/servers.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	workTime        = 20 * time.Millisecond
-	sessionTTL      = 5 * time.Second
-	headerTimeout   = 2 * time.Second
-	maxRequestBody  = 1 << 16
-	serversAMachine = 2 // each in another zone
-	// drainGrace is how long after its drain mark a server may still get new requests: sidecars
-	// count as notified after 6 s, and may send requests for 3 s more.
+	workTime          = 20 * time.Millisecond
+	sessionTTL        = 5 * time.Second
+	headerTimeout     = 2 * time.Second
+	maxRequestBody    = 1 << 16
+	serversPerMachine = 2 // in different zones
+	// drainGrace is how long after its drain mark a server may still get new requests: the
+	// notification deadline of sidecars is 6 s, and they may send requests for 3 s more.
 	drainGrace = 9 * time.Second
 )
 
-// server is a stand-in for a booking server. It takes a moment for each request, and counts
-// how often each one ran.
+// server is a simulated booking server. It takes workTime for each request and counts how often
+// each one ran.
 type server struct {
 	host, machine, zone string
 	http                *http.Server
@@ -37,18 +37,18 @@
 	mu            sync.Mutex
 	runCounts     map[string]int // by request id
 	inFlight      int
-	drainingSince time.Time                // when its drain mark was seen; zero: it is not draining
-	suspected     map[string]time.Time     // by sidecar: when a request began too late, unless the drain was called off by then
-	lateRequests  map[string]time.Duration // by sidecar: how long after the drain mark its latest request began
+	drainingSince time.Time                // when its drain mark was first polled; zero: it is not draining
+	suspected     map[string]time.Time     // by sidecar: start of a request past the grace, a violation unless the drain had been cancelled by then
+	lateRequests  map[string]time.Duration // by sidecar: how long after the drain mark its latest request started
 }
 
-// machineName returns the name of a machine.
+// machineName returns the name of the machine with an index.
 func machineName(i int) string { return fmt.Sprint("m", i) }
 
-// responseBody returns what a server answers to a request.
+// responseBody returns the body of the response to a request.
 func responseBody(id string) string { return "done " + id }
 
-// startServer starts a server and registers it until close.
+// startServer starts a server and keeps it registered until close.
 func startServer(i int, c *client.Client) (*server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -56,21 +56,21 @@
 	}
 	s := &server{
 		host:         fmt.Sprint("b", i),
-		machine:      machineName(i / serversAMachine),
+		machine:      machineName(i / serversPerMachine),
 		zone:         string("ab"[i%2]),
 		runCounts:    make(map[string]int),
 		lateRequests: make(map[string]time.Duration),
 		suspected:    make(map[string]time.Time),
 	}
 	s.http = &http.Server{Handler: s, ReadHeaderTimeout: headerTimeout}
-	s.background.Go(func() { _ = s.http.Serve(ln) }) // it returns an error when the server is closed
+	s.background.Go(func() { _ = s.http.Serve(ln) }) // always returns an error, that the server was closed
 	registered, unregister := context.WithCancel(context.Background())
 	s.unregister = unregister
 	r := registry.RegisterRequest{
 		Instance: registry.Instance{Host: s.host, Dial: ln.Addr().String(), Site: s.zone, Class: "m", Block: &i, Health: registry.HealthUp, Share: 1},
 		Session:  s.host + "-1", TTLMS: sessionTTL.Milliseconds(), Machine: s.machine,
 	}
-	s.background.Go(func() { _ = c.KeepRegistered(registered, r, nil) }) // it returns an error when the context ends
+	s.background.Go(func() { _ = c.KeepRegistered(registered, r, nil) }) // always returns an error, that of the context
 	return s, nil
 }
 
@@ -81,9 +81,9 @@
 	s.background.Wait()
 }
 
-// setDraining sets what the registry answered to a poll that was sent at a time: whether the
-// server is draining. A suspected request that began before that was late. One that began after it
-// may have come from a sidecar that already knew that the drain was called off.
+// setDraining records the result of a poll of the registry: whether the server is draining. If it is,
+// a suspected request that started before the poll was sent was late. One that started after it may
+// come from a sidecar that had already been notified that the drain was cancelled.
 func (s *server) setDraining(draining bool, pollSent time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,16 +118,16 @@
 		http.NotFound(w, q)
 		return
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(q.Body, maxRequestBody)) // the body has no meaning
+	_, _ = io.Copy(io.Discard, io.LimitReader(q.Body, maxRequestBody)) // the body is ignored
 	s.begin(id)
 	time.Sleep(workTime)
 	s.end()
 	text := responseBody(id)
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	_, _ = io.WriteString(w, text) // a sidecar that has gone gets no answer
+	_, _ = io.WriteString(w, text) // fails if the sidecar has disconnected
 }
 
-// begin counts a request that begins to run. Its id begins with the sidecar's name.
+// begin counts a request that starts to run. Its id starts with the sidecar's name.
 func (s *server) begin(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,7 +141,7 @@
 	}
 }
 
-// end counts a request that has run.
+// end records that a request has finished.
 func (s *server) end() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testing/diskgate/diskgate.go
+++ b/internal/testing/diskgate/diskgate.go
@@ -1,10 +1,10 @@
-// Package diskgate holds the disk calls of a process that a test has started: a sync, a write
-// or a rename does not return until the test lets it go. It is a disk that hangs, as far as one
-// process can tell, and shows every order of events without load and without a slow disk.
+// Package diskgate blocks disk calls of a process that a test has started: a sync, a write or a
+// rename does not return until the test releases it. To the process it looks like a hung disk. Tests
+// can produce any order of events this way, without load and without a slow disk.
 //
-// The process hands its disk calls over itself (Enter) by seccomp's user notifications, which
-// need no privilege. As on a disk that hangs, the thread that makes a held call takes no signal
-// but SIGKILL.
+// The process itself installs a seccomp filter (Enter) whose user notifications report its disk
+// calls to the test. This needs no privilege. As with a hung disk, a thread in a held call handles
+// no signal but SIGKILL.
 package diskgate
 
 import (
@@ -20,86 +20,88 @@
 	"golang.org/x/sys/unix"
 )
 
-// socketVariable names the descriptor over which a process hands its disk calls to the test.
-const socketVariable = "BARLEYWICK_DISK_GATE"
+// socketEnvVariable is the environment variable with the number of the socket descriptor over which the
+// process sends its seccomp listener to the test.
+const socketEnvVariable = "BARLEYWICK_DISK_GATE"
 
-// Call is a disk call of the process.
+// Call is a disk-related system call of the process.
 type Call struct {
-	Number int       // of the process's disk calls, from 1
-	Name   string    // fdatasync, for example
-	Path   string    // of the file; empty for calls that take a path themselves
-	Thread int       // that makes it
-	At     time.Time // when it began
+	Number int       // sequence number among the process's disk calls, from 1
+	Name   string    // of the system call, for instance fdatasync
+	Path   string    // of the file; empty for calls whose argument is a path
+	Thread int       // id of the calling thread
+	At     time.Time // when the call was received
 }
 
-// IsSync reports whether the call waits until data is on disk.
+// IsSync reports whether the call flushes data to disk.
 func (c Call) IsSync() bool { return c.Name == "fsync" || c.Name == "fdatasync" }
 
 func (c Call) String() string { return fmt.Sprintf("%d: %s %s", c.Number, c.Name, c.Path) }
 
-// Gate is where the disk calls of one process pass.
+// Gate intercepts the disk calls of one process.
 type Gate struct {
-	ours, theirs int // sockets
+	testSocket, processSocket int // the two ends of a socket pair
 
 	mu    sync.Mutex
-	hold  func(Call) bool // nil: none is held
+	hold  func(Call) bool // nil: no call is held
 	calls []Call
-	held  map[uint64]Call // by the notification's id
+	held  map[uint64]Call // by notification id
 
 	listener int
-	ended    chan struct{} // closed when the process makes no more calls
+	ended    chan struct{} // closed when the process has ended
 }
 
-// New makes a gate for a command that is not started yet. Calls for which hold is true are held;
-// nil: none is.
+// New returns a gate for a command that has not been started yet. It holds the calls for which hold
+// returns true; if hold is nil, it holds none.
 func New(command *exec.Cmd, hold func(Call) bool) (*Gate, error) {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_SEQPACKET|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, fmt.Errorf("disk gate: %w", err)
 	}
-	g := &Gate{ours: pair[0], theirs: pair[1], hold: hold, held: make(map[uint64]Call), ended: make(chan struct{})}
-	const firstExtra = 3 // descriptor of the first of ExtraFiles
+	g := &Gate{testSocket: pair[0], processSocket: pair[1], hold: hold, held: make(map[uint64]Call), ended: make(chan struct{})}
+	const firstExtraFD = 3 // descriptor of the first of ExtraFiles
 	if command.Env == nil {
 		command.Env = os.Environ()
 	}
-	command.Env = append(command.Env, fmt.Sprint(socketVariable, "=", firstExtra+len(command.ExtraFiles)))
-	command.ExtraFiles = append(command.ExtraFiles, os.NewFile(uintptr(g.theirs), "disk gate"))
+	command.Env = append(command.Env, fmt.Sprint(socketEnvVariable, "=", firstExtraFD+len(command.ExtraFiles)))
+	command.ExtraFiles = append(command.ExtraFiles, os.NewFile(uintptr(g.processSocket), "disk gate"))
 	return g, nil
 }
 
-// Serve takes over the calls of the command, which has been started with the gate's environment.
-// It returns once the process has entered the gate.
+// Serve starts to intercept the calls of the command, which must have been started after New. It
+// returns once the process has installed its filter by Enter.
 func (g *Gate) Serve(command *exec.Cmd) error {
 	if err := command.ExtraFiles[len(command.ExtraFiles)-1].Close(); err != nil {
 		return fmt.Errorf("disk gate: %w", err)
 	}
-	defer unix.Close(g.ours)
+	defer unix.Close(g.testSocket)
 	control := make([]byte, unix.CmsgSpace(4))
-	_, n, _, _, err := unix.Recvmsg(g.ours, make([]byte, 1), control, unix.MSG_CMSG_CLOEXEC)
+	_, n, _, _, err := unix.Recvmsg(g.testSocket, make([]byte, 1), control, unix.MSG_CMSG_CLOEXEC)
 	if err != nil {
 		return fmt.Errorf("disk gate: %w", err)
 	}
 	messages, err := unix.ParseSocketControlMessage(control[:n])
 	if err != nil || len(messages) != 1 {
-		return fmt.Errorf("disk gate: the process has not entered it: %d messages, %w", len(messages), err)
+		return fmt.Errorf("disk gate: got %d control messages from the process, want 1: %w", len(messages), err)
 	}
 	rights, err := unix.ParseUnixRights(&messages[0])
 	if err != nil || len(rights) != 1 {
-		return fmt.Errorf("disk gate: %d descriptors: %w", len(rights), err)
+		return fmt.Errorf("disk gate: got %d descriptors from the process, want 1: %w", len(rights), err)
 	}
 	g.listener = rights[0]
 	go g.run() // ends with the process
 	return nil
 }
 
-// Hold has calls held from now on: those for which hold is true. Held ones stay so.
+// Hold sets which calls are held from now on: those for which hold returns true. Calls that are held
+// already stay held.
 func (g *Gate) Hold(hold func(Call) bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.hold = hold
 }
 
-// Release lets all held calls go, and holds no others.
+// Release continues all held calls and holds no further ones.
 func (g *Gate) Release() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -107,20 +109,20 @@
 	g.releaseHeld()
 }
 
-// ReleaseHeld lets the calls go that are held now. Later ones are held as before.
+// ReleaseHeld continues the calls that are held now. Later calls are held as before.
 func (g *Gate) ReleaseHeld() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.releaseHeld()
 }
 
-// ReleaseOlder lets the calls go that have been held for as long as age.
+// ReleaseOlder continues the calls that have been held for at least age.
 func (g *Gate) ReleaseOlder(age time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for id, call := range g.held {
 		if time.Since(call.At) >= age {
-			g.letGo(id)
+			g.continueCall(id)
 			delete(g.held, id)
 		}
 	}
@@ -128,12 +130,12 @@
 
 func (g *Gate) releaseHeld() {
 	for id := range g.held {
-		g.letGo(id)
+		g.continueCall(id)
 	}
 	clear(g.held)
 }
 
-// Held returns the calls that are held.
+// Held returns the calls that are held, in no particular order.
 func (g *Gate) Held() (held []Call) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -143,17 +145,17 @@
 	return held
 }
 
-// Calls returns all calls that the process has begun, held or not.
+// Calls returns all calls of the process so far, held or not, in their order.
 func (g *Gate) Calls() []Call {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return append([]Call(nil), g.calls...)
 }
 
-// Ended is closed when the process has ended.
+// Ended returns a channel that is closed when the process has ended.
 func (g *Gate) Ended() <-chan struct{} { return g.ended }
 
-// run takes the process's calls until it has ended.
+// run receives the notifications of the process's calls until the process has ended.
 func (g *Gate) run() {
 	defer close(g.ended)
 	defer unix.Close(g.listener)
@@ -170,17 +172,17 @@
 		}
 		var n notification
 		if _, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(g.listener), unix.SECCOMP_IOCTL_NOTIF_RECV, uintptr(unsafe.Pointer(&n))); errno != 0 {
-			continue // the thread has been killed, or the call was interrupted
+			continue // the thread was killed, or the call was interrupted
 		}
-		g.take(n)
+		g.handle(n)
 	}
 }
 
-// take holds a call or lets it go.
-func (g *Gate) take(n notification) {
+// handle holds a call or continues it.
+func (g *Gate) handle(n notification) {
 	call := Call{Name: callNames[int(n.number)], Thread: int(n.thread), At: time.Now()}
-	if takesDescriptor[int(n.number)] {
-		call.Path, _ = os.Readlink("/proc/" + strconv.Itoa(call.Thread) + "/fd/" + strconv.FormatUint(n.arguments[0], 10)) // gone with the process
+	if firstArgIsDescriptor[int(n.number)] {
+		call.Path, _ = os.Readlink("/proc/" + strconv.Itoa(call.Thread) + "/fd/" + strconv.FormatUint(n.arguments[0], 10)) // fails if the process has ended
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -190,13 +192,13 @@
 		g.held[n.id] = call
 		return
 	}
-	g.letGo(n.id)
+	g.continueCall(n.id)
 }
 
-// letGo has the kernel make a call.
-func (g *Gate) letGo(id uint64) {
+// continueCall lets the kernel execute a call.
+func (g *Gate) continueCall(id uint64) {
 	answer := response{id: id, flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE}
-	_, _, _ = unix.Syscall(unix.SYS_IOCTL, uintptr(g.listener), unix.SECCOMP_IOCTL_NOTIF_SEND, uintptr(unsafe.Pointer(&answer))) // it fails if the process has ended
+	_, _, _ = unix.Syscall(unix.SYS_IOCTL, uintptr(g.listener), unix.SECCOMP_IOCTL_NOTIF_SEND, uintptr(unsafe.Pointer(&answer))) // fails if the process has ended
 }
 
 // notification is struct seccomp_notif.
--- a/internal/testing/diskgate/enter.go
+++ b/internal/testing/diskgate/enter.go
@@ -10,20 +10,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// callNames are the calls that pass a gate: those that change files or wait for the disk, but
-// write(2), by which a process logs.
+// callNames are the system calls that a gate intercepts: those that change files or wait for the
+// disk, except write(2), which a process uses for its log.
 var callNames = map[int]string{
 	unix.SYS_FSYNC: "fsync", unix.SYS_FDATASYNC: "fdatasync", unix.SYS_PWRITE64: "pwrite64", unix.SYS_FTRUNCATE: "ftruncate",
 	unix.SYS_RENAMEAT: "renameat", unix.SYS_UNLINKAT: "unlinkat", unix.SYS_MKDIRAT: "mkdirat", unix.SYS_OPENAT: "openat",
 }
 
-// takesDescriptor are the calls whose first argument is the file's descriptor.
-var takesDescriptor = map[int]bool{unix.SYS_FSYNC: true, unix.SYS_FDATASYNC: true, unix.SYS_PWRITE64: true, unix.SYS_FTRUNCATE: true}
+// firstArgIsDescriptor has the calls whose first argument is the descriptor of the file.
+var firstArgIsDescriptor = map[int]bool{unix.SYS_FSYNC: true, unix.SYS_FDATASYNC: true, unix.SYS_PWRITE64: true, unix.SYS_FTRUNCATE: true}
 
-// Enter hands the disk calls of this process to the test that has started it through a gate. A
-// process without one goes on as it is.
+// Enter installs a filter that reports the disk calls of this process to the gate of the test that
+// started it. Without a gate it does nothing.
 func Enter() error {
-	text := os.Getenv(socketVariable)
+	text := os.Getenv(socketEnvVariable)
 	if text == "" {
 		return nil
 	}
@@ -52,35 +52,36 @@
 	return nil
 }
 
-// Offsets in struct seccomp_data, of a little-endian machine.
+// Offsets in struct seccomp_data on a little-endian machine.
 const (
-	numberOffset    = 0
-	openFlagsOffset = 16 + 2*8 // the third argument's lower half
+	syscallNumberOffset = 0
+	openFlagsOffset     = 16 + 2*8 // the lower half of the third argument
 )
 
-// callFilter has the calls of a gate reported, of openat those that may create a file.
+// callFilter returns a filter that reports the calls in callNames. Calls of openat are reported only
+// if they may create a file.
 func callFilter() (filter []unix.SockFilter) {
 	load := func(offset uint32) {
 		filter = append(filter, unix.SockFilter{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: offset})
 	}
-	back := func(value uint32) {
+	ret := func(value uint32) {
 		filter = append(filter, unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: value})
 	}
-	test := func(kind uint16, value uint32, skipUnless uint8) {
-		filter = append(filter, unix.SockFilter{Code: unix.BPF_JMP | kind | unix.BPF_K, K: value, Jf: skipUnless})
+	jump := func(kind uint16, value uint32, skipIfFalse uint8) {
+		filter = append(filter, unix.SockFilter{Code: unix.BPF_JMP | kind | unix.BPF_K, K: value, Jf: skipIfFalse})
 	}
-	load(numberOffset)
+	load(syscallNumberOffset)
 	for number := range callNames {
 		if number == unix.SYS_OPENAT {
 			continue
 		}
-		test(unix.BPF_JEQ, uint32(number), 1)
-		back(unix.SECCOMP_RET_USER_NOTIF)
+		jump(unix.BPF_JEQ, uint32(number), 1)
+		ret(unix.SECCOMP_RET_USER_NOTIF)
 	}
-	test(unix.BPF_JEQ, unix.SYS_OPENAT, 3)
+	jump(unix.BPF_JEQ, unix.SYS_OPENAT, 3)
 	load(openFlagsOffset)
-	test(unix.BPF_JSET, unix.O_CREAT, 1)
-	back(unix.SECCOMP_RET_USER_NOTIF)
-	back(unix.SECCOMP_RET_ALLOW)
+	jump(unix.BPF_JSET, unix.O_CREAT, 1)
+	ret(unix.SECCOMP_RET_USER_NOTIF)
+	ret(unix.SECCOMP_RET_ALLOW)
 	return filter
 }
--- a/internal/testing/faultinjection/compatibility_test.go
+++ b/internal/testing/faultinjection/compatibility_test.go
@@ -8,8 +8,8 @@
 	"barleywick/internal/testing/fixture"
 )
 
-// The schedules in testdata/396a775 were drawn and written by that version: a plan and a seed
-// give the same one, and the text is read as the same faults.
+// The schedules in testdata/396a775 were drawn and written by that version. The current version has to
+// draw the same schedule from a plan and a seed, and to parse the text as the same faults.
 func TestSchedulesOfEarlierVersion(t *testing.T) {
 	for name, plan := range map[string]Plan{
 		"all": {
--- a/internal/testing/faultinjection/doc.go
+++ b/internal/testing/faultinjection/doc.go
@@ -1,7 +1,7 @@
-// Package faultinjection injects faults between real processes and into them. Each directed
-// link from one process to another is a relay on loopback, which the first is told to call
-// instead of the second. A link can delay, throttle, block one direction or both, reset or
-// half-close connections, and drop responses whose requests were delivered. Faults of
-// processes are signals and limits, by process id. Schedules of faults are drawn from a
-// seed, written as text, shrunk and run again.
+// Package faultinjection injects faults into real processes and into the links between them. Each
+// directed link is a relay on loopback: the first process is configured with the relay's address in
+// place of the second one's. A link can delay, throttle, block one direction or both, reset
+// connections or one side of them, and drop responses whose requests were delivered. Faults of
+// processes are signals and resource limits. Schedules of faults are drawn from a seed, written as
+// text, shrunk and replayed.
 package faultinjection
--- a/internal/testing/faultinjection/fault.go
+++ b/internal/testing/faultinjection/fault.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// FaultKind is what a fault does.
+// FaultKind is the kind of a fault.
 type FaultKind string
 
-// The kinds of faults. Those of links fall on all links from and to one process. Their
-// values are part of schedules that were written down.
+// The kinds of faults. Link faults affect all links from and to one process. The values are part of
+// recorded schedules.
 const (
-	Partition          FaultKind = "cut"     // nothing passes from and to the process
-	BlockInbound       FaultKind = "deaf"    // nothing passes to it: its requests arrive, responses do not
-	BlockOutbound      FaultKind = "mute"    // nothing passes from it: its requests and responses do not arrive
-	Delay              FaultKind = "late"    // all that passes is late
-	DelayThenPartition FaultKind = "fade"    // responses to it are late, and then it is partitioned
+	Partition          FaultKind = "cut"     // both directions are blocked
+	BlockInbound       FaultKind = "deaf"    // what others send to it is blocked: its requests arrive, the responses do not
+	BlockOutbound      FaultKind = "mute"    // what it sends is blocked: neither its requests nor its responses arrive
+	Delay              FaultKind = "late"    // both directions are delayed
+	DelayThenPartition FaultKind = "fade"    // responses to it are delayed, then it is partitioned
 	ResetConnections   FaultKind = "reset"   // its connections are reset, once
-	HalfOpen           FaultKind = "half"    // the other side of its connections is reset, once
-	RefuseConnections  FaultKind = "refused" // its connections are reset as they are accepted
-	DropResponses      FaultKind = "answers" // some responses to it are dropped
-	Pause              FaultKind = "pause"   // it is stopped by a signal, and continues
-	Crash              FaultKind = "kill"    // it is killed, and starts again
+	HalfOpen           FaultKind = "half"    // the targets' side of connections is reset, once; callers do not notice
+	RefuseConnections  FaultKind = "refused" // its connections are reset, new ones when they are accepted
+	DropResponses      FaultKind = "answers" // some responses to it are dropped after their requests were delivered
+	Pause              FaultKind = "pause"   // it is stopped by SIGSTOP and resumed by SIGCONT
+	Crash              FaultKind = "kill"    // it is killed and started again
 	DiskFull           FaultKind = "full"    // its writes to files fail
 )
 
-// defaultKinds are drawn where a plan names none. DiskFull is for processes that have
+// defaultKinds are the kinds of a plan that names none. DiskFull only applies to processes that write
 // files, so a plan has to name it.
 var defaultKinds = []FaultKind{
 	Partition, BlockInbound, BlockOutbound, Delay, DelayThenPartition, ResetConnections, HalfOpen, RefuseConnections, DropResponses, Pause, Crash,
@@ -46,7 +46,7 @@
 	return fmt.Sprintf("%v %s %s for %v", f.Start, f.Kind, f.Target, f.Duration)
 }
 
-// Schedule is faults in the order of their start.
+// Schedule is a list of faults in the order of their start.
 type Schedule []Fault
 
 // String returns the schedule in the form that ParseSchedule reads.
@@ -58,7 +58,7 @@
 	return strings.Join(faults, "; ")
 }
 
-// ParseSchedule reads what Schedule.String writes.
+// ParseSchedule parses the output of Schedule.String.
 func ParseSchedule(text string) (s Schedule, err error) {
 	for part := range strings.SplitSeq(text, ";") {
 		words := strings.Fields(part)
@@ -74,10 +74,10 @@
 	return s, nil
 }
 
-// parseFault reads the words of START KIND TARGET for DURATION.
+// parseFault parses the words of "START KIND TARGET for DURATION".
 func parseFault(words []string) (f Fault, err error) {
-	if len(words) != 5 || words[3] != "for" || !knownKind(FaultKind(words[1])) {
-		return f, fmt.Errorf("it has to be like '1.5s cut k1 for 3s', with one of %v", defaultKinds)
+	if len(words) != 5 || words[3] != "for" || !isKnownKind(FaultKind(words[1])) {
+		return f, fmt.Errorf("want START KIND TARGET for DURATION, like '1.5s cut k1 for 3s', with one of the kinds %v", defaultKinds)
 	}
 	f.Kind, f.Target = FaultKind(words[1]), words[2]
 	if f.Start, err = time.ParseDuration(words[0]); err != nil {
@@ -87,4 +87,4 @@
 	return f, err
 }
 
-func knownKind(kind FaultKind) bool { return kind == DiskFull || slices.Contains(defaultKinds, kind) }
+func isKnownKind(kind FaultKind) bool { return kind == DiskFull || slices.Contains(defaultKinds, kind) }
--- a/internal/testing/faultinjection/injector.go
+++ b/internal/testing/faultinjection/injector.go
@@ -13,42 +13,42 @@
 )
 
 const (
-	// faultDelay is the longest delay of the fault Delay: longer than an election, and
-	// shorter than the timeout of a call.
-	faultDelay = 700 * time.Millisecond
-	// fadeDelay is the delay of responses before the partition of DelayThenPartition: long
-	// enough to matter to a lease of a second, and not so long that its holder gives up.
-	fadeDelay = 440 * time.Millisecond
-	// droppedResponses is how many responses one fault drops on each link.
+	// maxFaultDelay is the longest delay of the fault Delay. It is longer than an election and shorter
+	// than the timeout of a call.
+	maxFaultDelay = 700 * time.Millisecond
+	// delayBeforePartition is the delay of responses in the first half of DelayThenPartition. It is a
+	// considerable part of a lease of one second, but short enough that the holder keeps the lease.
+	delayBeforePartition = 440 * time.Millisecond
+	// droppedResponses is how many responses the fault DropResponses drops on each link.
 	droppedResponses = 3
 )
 
-// Injector injects faults into processes and the links between them. A link's name is
-// "from>to"; several between the same two are told apart by what follows a colon.
+// Injector injects faults into processes and the links between them. A link's name is "from>to", with
+// a colon and a suffix if there are several links between the same two processes.
 type Injector struct {
 	Network   *Network
 	Processes map[string]*Process // by name
 
-	// ResolveTarget returns the process that has a role when a fault of that role starts, such
-	// as the holder of a lease; nil: targets are names of processes.
+	// ResolveTarget maps the target of a fault that starts to a process, for instance a role such as
+	// the holder of a lease to the process that has it; nil: targets are names of processes.
 	ResolveTarget func(target string) (process string)
 
-	// OnPause is called for each process that was paused and has resumed; nil: nothing is.
+	// OnPause is called when a paused process has resumed; it may be nil.
 	OnPause func(target string, begin, end time.Time)
 
 	mu       sync.Mutex
-	claimed  map[string]bool   // processes that have a fault, where targets are resolved
+	reserved map[string]bool   // processes that have a fault; only used with ResolveTarget
 	Injected map[FaultKind]int // number of faults that were injected
 }
 
-// Inject starts a fault, and returns the function that ends it.
+// Inject starts a fault and returns the function that ends it.
 func (i *Injector) Inject(f Fault) (end func() error, err error) {
 	if i.ResolveTarget != nil {
 		f.Target = i.ResolveTarget(f.Target)
-		if !i.claim(f.Target) {
-			return endNothing, nil // another fault has this process already: it is left out
+		if !i.reserve(f.Target) {
+			return noopEnd, nil // the process already has another fault: skip this one
 		}
-		defer func() { end = i.releasing(f.Target, end) }()
+		defer func() { end = i.releaseAtEnd(f.Target, end) }()
 	}
 	end, err = i.start(f)
 	if err != nil {
@@ -63,27 +63,27 @@
 	return end, nil
 }
 
-// claim marks a process as having a fault, and reports whether it had none.
-func (i *Injector) claim(process string) bool {
+// reserve marks a process as having a fault. It returns false if the process has one already.
+func (i *Injector) reserve(process string) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.claimed[process] {
+	if i.reserved[process] {
 		return false
 	}
-	if i.claimed == nil {
-		i.claimed = make(map[string]bool)
+	if i.reserved == nil {
+		i.reserved = make(map[string]bool)
 	}
-	i.claimed[process] = true
+	i.reserved[process] = true
 	return true
 }
 
-// releasing returns a function that ends a process's fault and lets it have another.
-func (i *Injector) releasing(process string, end func() error) func() error {
+// releaseAtEnd returns a function that calls end and removes the process's reservation.
+func (i *Injector) releaseAtEnd(process string, end func() error) func() error {
 	return func() error {
 		defer func() {
 			i.mu.Lock()
 			defer i.mu.Unlock()
-			delete(i.claimed, process)
+			delete(i.reserved, process)
 		}()
 		if end == nil {
 			return nil
@@ -96,34 +96,34 @@
 	switch f.Kind {
 	case Partition, BlockInbound, BlockOutbound, Delay, RefuseConnections:
 		i.setRules(f.Target, rulesByKind[f.Kind])
-		return i.healer(f.Target), nil
+		return i.endLinkFault(f.Target), nil
 	case DelayThenPartition:
 		return i.delayThenPartition(f), nil
 	case ResetConnections:
 		i.eachLink(f.Target, (*Link).Reset, (*Link).Reset)
-		return endNothing, nil
+		return noopEnd, nil
 	case HalfOpen:
 		i.eachLink(f.Target, (*Link).HalfOpen, (*Link).HalfOpen)
-		return endNothing, nil
+		return noopEnd, nil
 	case DropResponses:
 		i.eachLink(f.Target, func(l *Link) { l.DropResponses(droppedResponses) }, func(*Link) {})
-		return endNothing, nil
+		return noopEnd, nil
 	case Pause, Crash, DiskFull:
 		process := i.Processes[f.Target]
 		if process == nil {
-			return nil, fmt.Errorf("no process %s", f.Target)
+			return nil, fmt.Errorf("unknown process %s", f.Target)
 		}
 		return i.startProcessFault(f, process)
 	}
-	return nil, fmt.Errorf("no fault %q", f.Kind)
+	return nil, fmt.Errorf("unknown kind of fault %q", f.Kind)
 }
 
-// linkRules are the rules of all links of one process.
+// linkRules are the rules for all links of one process.
 type linkRules struct{ fromProcess, toProcess LinkRule }
 
 var (
 	blocked     = Impairment{Blocked: true}
-	delayed     = Impairment{Delay: faultDelay / 2, Jitter: faultDelay / 2}
+	delayed     = Impairment{Delay: maxFaultDelay / 2, Jitter: maxFaultDelay / 2}
 	rulesByKind = map[FaultKind]linkRules{
 		Partition:         {LinkRule{ToTarget: blocked, FromTarget: blocked}, LinkRule{ToTarget: blocked, FromTarget: blocked}},
 		BlockInbound:      {LinkRule{FromTarget: blocked}, LinkRule{ToTarget: blocked}},
@@ -149,17 +149,17 @@
 	}
 }
 
-// linkEnds returns the names of the processes that a link is between.
+// linkEnds returns the names of the two processes of a link.
 func linkEnds(name string) (from, to string) {
 	name, _, _ = strings.Cut(name, ":")
 	from, to, _ = strings.Cut(name, ">")
 	return from, to
 }
 
-func endNothing() error { return nil }
+func noopEnd() error { return nil }
 
-// healer returns the function that lets everything pass on the links of a process.
-func (i *Injector) healer(process string) func() error {
+// endLinkFault returns the function that removes the rules from all links of a process.
+func (i *Injector) endLinkFault(process string) func() error {
 	return func() error {
 		i.setRules(process, linkRules{})
 		return nil
@@ -167,12 +167,12 @@
 }
 
 func (i *Injector) delayThenPartition(f Fault) (end func() error) {
-	i.setRules(f.Target, linkRules{fromProcess: LinkRule{FromTarget: Impairment{Delay: fadeDelay}}})
+	i.setRules(f.Target, linkRules{fromProcess: LinkRule{FromTarget: Impairment{Delay: delayBeforePartition}}})
 	partition := time.AfterFunc(f.Duration/2, func() { i.setRules(f.Target, rulesByKind[Partition]) })
-	heal := i.healer(f.Target)
+	removeRules := i.endLinkFault(f.Target)
 	return func() error {
 		partition.Stop()
-		return heal()
+		return removeRules()
 	}
 }
 
@@ -184,7 +184,7 @@
 		return func() error { return process.setDiskFull(false) }, process.setDiskFull(true)
 	default: // Crash
 		if err := process.Crashed(); err != nil {
-			return nil, fmt.Errorf("%s has failed by itself before: %w", f.Target, err)
+			return nil, fmt.Errorf("%s had failed before the injected crash: %w", f.Target, err)
 		}
 		process.Kill()
 		return process.Start, nil
@@ -202,14 +202,14 @@
 	}, process.Signal(syscall.SIGSTOP)
 }
 
-// Run injects the faults of a schedule at their times, and returns when all have ended.
-// When ctx ends, those that have started are ended early.
+// Run injects the faults of a schedule at their times and returns when all have ended. When ctx ends,
+// active faults end early.
 func (i *Injector) Run(ctx context.Context, schedule Schedule) error {
 	return schedule.Run(ctx, i.runFault)
 }
 
-// Run calls inject at the start of each fault, and returns when all calls have returned. A
-// fault that has not started when ctx ends is left out.
+// Run calls inject at the start of each fault and returns when all calls have returned. Faults that
+// have not started when ctx ends are skipped.
 func (s Schedule) Run(ctx context.Context, inject func(context.Context, Fault) error) error {
 	start := time.Now()
 	var faults sync.WaitGroup
--- a/internal/testing/faultinjection/link.go
+++ b/internal/testing/faultinjection/link.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Link is a relay by which one process calls another: for connections or for datagrams.
+// Link is a relay, for TCP connections or for UDP datagrams, by which one process reaches another.
 type Link struct {
-	Name     string // "from>to", and after a colon what tells it from others between the two
+	Name     string // "from>to", optionally with a colon and a suffix
 	target   string
-	listener net.Listener   // of a link for connections
-	socket   net.PacketConn // of a link for datagrams
+	listener net.Listener   // of a TCP link
+	socket   net.PacketConn // of a UDP link
 
-	ctx    context.Context // until Close
+	ctx    context.Context // cancelled by Close
 	cancel context.CancelFunc
 	tasks  sync.WaitGroup
 
@@ -27,11 +27,11 @@
 	responsesToDrop int
 	rng             *rand.Rand
 
-	// Dropped counts responses and datagrams that were dropped.
+	// Dropped is the number of responses and datagrams that were dropped.
 	Dropped atomic.Int64
 }
 
-// Addr returns the address that the first process has to call.
+// Addr returns the address that the first process has to use in place of the target's.
 func (l *Link) Addr() string {
 	if l.socket != nil {
 		return l.socket.LocalAddr().String()
@@ -39,7 +39,7 @@
 	return l.listener.Addr().String()
 }
 
-// SetRule sets what happens on the link, also to what is on its way.
+// SetRule sets the rule of the link. It also applies to data in transit.
 func (l *Link) SetRule(rule LinkRule) {
 	l.mu.Lock()
 	l.rule = rule
@@ -51,7 +51,7 @@
 	}
 }
 
-// currentRule returns the rule, and a channel that is closed when it changes.
+// currentRule returns the rule and a channel that is closed when it changes.
 func (l *Link) currentRule() (LinkRule, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,8 +74,8 @@
 	return conns
 }
 
-// HalfOpen resets the target's side of the open connections. The caller's side stays open,
-// without any sign of it.
+// HalfOpen resets the target's side of the open connections. The caller's side stays open and does
+// not notice it.
 func (l *Link) HalfOpen() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,17 +84,17 @@
 	}
 }
 
-// DropResponses has the next responses dropped: the request was delivered, and the
-// connection is reset in place of the response's first chunk.
+// DropResponses drops the next count responses: the request is delivered, and the connection is reset
+// in place of the response's first chunk.
 func (l *Link) DropResponses(count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.responsesToDrop = count
 }
 
-// takeDroppedResponse reports whether a response is to be dropped, and counts it. The lock
-// is held.
-func (l *Link) takeDroppedResponse() bool {
+// consumeResponseDrop reports whether to drop a response, and decrements the number of responses to
+// drop. The lock must be held.
+func (l *Link) consumeResponseDrop() bool {
 	if l.responsesToDrop == 0 {
 		return false
 	}
@@ -114,7 +114,7 @@
 	l.tasks.Wait()
 }
 
-// waitUnblocked waits until a direction is not blocked. It is false when the link is closed.
+// waitUnblocked waits until a direction is not blocked. It returns false when the link is closed.
 func (l *Link) waitUnblocked(d direction) bool {
 	for {
 		rule, changed := l.currentRule()
@@ -129,13 +129,13 @@
 	}
 }
 
-// timing is when a chunk or a datagram arrives.
+// timing is by how much the arrival of a chunk or a datagram is delayed.
 type timing struct {
 	delay        time.Duration
-	transmission time.Duration // by the limit of bytes a second
+	transmission time.Duration // from the limit of bytes per second
 }
 
-// drawTiming draws the timing of so many bytes, and returns the impairment that it is by.
+// drawTiming draws the timing of size bytes and returns it with the impairment of the direction.
 func (l *Link) drawTiming(d direction, size int) (timing, Impairment) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testing/faultinjection/link_test.go
+++ b/internal/testing/faultinjection/link_test.go
@@ -11,10 +11,9 @@
 	"time"
 )
 
-const patience = 20 * time.Second
+const eventTimeout = 20 * time.Second
 
-// startEchoServer starts a server that answers each line with the same line, and delivers
-// the lines that it receives.
+// startEchoServer starts a server that echoes each line and delivers the received lines to a channel.
 func startEchoServer(t *testing.T) (addr string, received chan string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,7 +40,7 @@
 	return ln.Addr().String(), received
 }
 
-// lineConn is a connection over a link that sends and receives lines.
+// lineConn is a connection to a link, for requests and responses of one line.
 type lineConn struct {
 	net.Conn
 	lines *bufio.Reader
@@ -57,7 +56,7 @@
 	return &lineConn{c, bufio.NewReader(c)}
 }
 
-// roundTrip sends a request, unless it is empty, and waits for a response.
+// roundTrip sends a request unless it is empty, and waits for a response.
 func (c *lineConn) roundTrip(request string, timeout time.Duration) error {
 	c.SetDeadline(time.Now().Add(timeout))
 	if request != "" {
@@ -69,7 +68,7 @@
 	return err
 }
 
-// shortTimeout is a time in which nothing may arrive.
+// shortTimeout is how long tests check that nothing arrives.
 const shortTimeout = 50 * time.Millisecond
 
 func timedOut(err error) bool {
@@ -92,12 +91,12 @@
 			if got != want {
 				t.Errorf("the target received %q, want %q", got, want)
 			}
-		case <-time.After(patience):
-			t.Fatalf("the target has not received %q", want)
+		case <-time.After(eventTimeout):
+			t.Fatalf("the target did not receive %q before the timeout", want)
 		}
 	}
 	c := dial(t, l)
-	if err := c.roundTrip("plain", patience); err != nil {
+	if err := c.roundTrip("plain", eventTimeout); err != nil {
 		t.Fatal(err)
 	}
 	expectReceived("plain")
@@ -108,7 +107,7 @@
 	}
 	expectReceived("deaf")
 	l.SetRule(LinkRule{})
-	if err := c.roundTrip("", patience); err != nil { // the response arrives late
+	if err := c.roundTrip("", eventTimeout); err != nil { // the response arrives after the block
 		t.Errorf("no response after the block: %v", err)
 	}
 
@@ -117,25 +116,25 @@
 		t.Errorf("requests blocked: got %v, want a timeout", err)
 	}
 	if late := dial(t, l); len(received) > 0 || late.roundTrip("new", shortTimeout) == nil {
-		t.Error("a blocked direction lets something through")
+		t.Error("a request passed a blocked direction")
 	}
-	l.SetRule(LinkRule{}) // now both arrive, on their two connections
+	l.SetRule(LinkRule{}) // now both requests arrive, on two connections
 	if a, b := <-received, <-received; a+b != "mutenew" && a+b != "newmute" {
 		t.Errorf("after the block the target received %q and %q, want mute and new", a, b)
 	}
-	if err := c.roundTrip("", patience); err != nil {
+	if err := c.roundTrip("", eventTimeout); err != nil {
 		t.Error(err)
 	}
 
 	start := time.Now()
 	l.SetRule(LinkRule{ToTarget: Impairment{Delay: 60 * time.Millisecond}, FromTarget: Impairment{BytesPerSecond: 200}})
-	if err := c.roundTrip("0123456789", patience); err != nil || time.Since(start) < 110*time.Millisecond {
-		t.Errorf("60ms delay, and 11 bytes at 200 a second: took %v (%v), want 110ms at least", time.Since(start), err)
+	if err := c.roundTrip("0123456789", eventTimeout); err != nil || time.Since(start) < 110*time.Millisecond {
+		t.Errorf("60ms delay, and 11 bytes at 200 bytes per second: took %v (%v), want at least 110ms", time.Since(start), err)
 	}
 	l.SetRule(LinkRule{})
 
 	l.DropResponses(1)
-	if err := c.roundTrip("answer lost", patience); err == nil || timedOut(err) {
+	if err := c.roundTrip("answer lost", eventTimeout); err == nil || timedOut(err) {
 		t.Errorf("a dropped response: got %v, want a reset", err)
 	}
 	for len(received) > 1 {
@@ -146,17 +145,17 @@
 	}
 
 	c = dial(t, l)
-	if err := c.roundTrip("again", patience); err != nil {
+	if err := c.roundTrip("again", eventTimeout); err != nil {
 		t.Fatal(err)
 	}
 	l.Reset()
-	if err := c.roundTrip("reset", patience); err == nil || timedOut(err) {
+	if err := c.roundTrip("reset", eventTimeout); err == nil || timedOut(err) {
 		t.Errorf("a reset connection: got %v, want a reset", err)
 	}
 	l.SetRule(LinkRule{RefuseConnections: true})
-	if refused, err := net.Dial("tcp", l.Addr()); err == nil { // it may be closed before the call has returned
+	if refused, err := net.Dial("tcp", l.Addr()); err == nil { // the link may close it before Dial returns
 		defer refused.Close()
-		if err := (&lineConn{refused, bufio.NewReader(refused)}).roundTrip("refused", patience); err == nil || timedOut(err) {
+		if err := (&lineConn{refused, bufio.NewReader(refused)}).roundTrip("refused", eventTimeout); err == nil || timedOut(err) {
 			t.Errorf("a refused connection: got %v, want a reset", err)
 		}
 	}
@@ -183,7 +182,7 @@
 		l.SetRule(rule)
 		for i := range count {
 			fmt.Fprint(caller, i)
-			time.Sleep(time.Millisecond) // the socket's queue is short
+			time.Sleep(time.Millisecond) // the socket's receive queue is short
 		}
 		buffer := make([]byte, 100)
 		for {
@@ -199,9 +198,9 @@
 	if got := send(LinkRule{}, 50); len(got) != 50 || !slices.IsSortedFunc(got, func(a, b string) int { return len(a) - len(b) }) {
 		t.Errorf("got %d datagrams, want 50 in order: %v", len(got), got)
 	}
-	caller.SetReadDeadline(time.Now().Add(patience))
+	caller.SetReadDeadline(time.Now().Add(eventTimeout))
 	if _, err := caller.Read(make([]byte, 10)); err != nil {
-		t.Errorf("no response: %v", err)
+		t.Errorf("no response datagram: %v", err)
 	}
 	if got := send(LinkRule{ToTarget: Impairment{LossRate: 0.3}}, 200); len(got) < 100 || len(got) > 180 {
 		t.Errorf("got %d of 200 datagrams at a loss rate of 0.3, want 100 to 180", len(got))
@@ -210,7 +209,7 @@
 		t.Errorf("got %d datagrams of 20 that are all duplicated, want 40", len(got))
 	}
 	if got := send(LinkRule{ToTarget: Impairment{ReorderRate: 0.3}}, 50); len(got) != 50 || slices.IsSortedFunc(got, func(a, b string) int { return len(a)*100 - len(b)*100 + strings.Compare(a, b) }) {
-		t.Errorf("none is reordered: %v", got)
+		t.Errorf("got %v, want 50 datagrams, some of them reordered", got)
 	}
 	if got := send(LinkRule{ToTarget: Impairment{Blocked: true}}, 20); len(got) != 0 {
 		t.Errorf("got %d datagrams through a blocked direction, want none", len(got))
--- a/internal/testing/faultinjection/network.go
+++ b/internal/testing/faultinjection/network.go
@@ -8,7 +8,7 @@
 	"sync"
 )
 
-// anyPort has the system choose a port of the loopback.
+// anyPort is a listen address on loopback whose port is chosen by the kernel.
 const anyPort = "127.0.0.1:0"
 
 // Network holds the links between processes.
@@ -18,7 +18,7 @@
 	seed  uint64
 }
 
-// NewNetwork makes a network without links. Jitter and losses are drawn from the seed.
+// NewNetwork returns a network without links. Jitter and losses are drawn from the seed.
 func NewNetwork(seed uint64) *Network { return &Network{links: make(map[string]*Link), seed: seed} }
 
 func (n *Network) add(name, target string) *Link {
@@ -31,7 +31,7 @@
 	return l
 }
 
-// AddTCP makes a link for connections to an address.
+// AddTCP adds a link for TCP connections to an address.
 func (n *Network) AddTCP(name, target string) (*Link, error) {
 	listener, err := net.Listen("tcp", anyPort)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return l, nil
 }
 
-// AddUDP makes a link for datagrams to an address.
+// AddUDP adds a link for UDP datagrams to an address.
 func (n *Network) AddUDP(name, target string) (*Link, error) {
 	socket, err := net.ListenPacket("udp", anyPort)
 	if err != nil {
@@ -53,8 +53,8 @@
 	return l, nil
 }
 
-// AddTCPAndUDP makes a link for connections and one for datagrams to an address. Both have
-// the same address. The second's name ends in "-udp".
+// AddTCPAndUDP adds a TCP link and a UDP link to an address. Both links listen on the same address.
+// The UDP link has the suffix "-udp" in its name.
 func (n *Network) AddTCPAndUDP(name, target string) (tcp, udp *Link, err error) {
 	listener, socket, err := listenTCPAndUDP()
 	if err != nil {
@@ -66,8 +66,8 @@
 	return tcp, udp, nil
 }
 
-// listenTCPAndUDP listens for both on one port. It tries several, as a port that is free
-// for one may be taken for the other.
+// listenTCPAndUDP listens for TCP and UDP on the same port. It tries several ports, as one that is free
+// for TCP may be in use for UDP.
 func listenTCPAndUDP() (listener net.Listener, socket net.PacketConn, err error) {
 	const attempts = 20
 	for range attempts {
@@ -90,7 +90,7 @@
 	return l, ok
 }
 
-// FindLinks returns the links for whose names match holds.
+// FindLinks returns the links for whose names match returns true.
 func (n *Network) FindLinks(match func(name string) bool) (found []*Link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testing/faultinjection/plan.go
+++ b/internal/testing/faultinjection/plan.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// planStream is the random stream of a seed that plans draw from.
+// planStream is the random stream, of a seed, from which plans draw.
 const planStream = 11
 
-// Plan is what schedules are drawn from.
+// Plan describes the distribution from which schedules are drawn.
 type Plan struct {
 	Targets      []string    // names of processes
-	Kinds        []FaultKind // none: all but DiskFull
+	Kinds        []FaultKind // empty: all but DiskFull
 	Count        int         // of faults
 	MeanInterval time.Duration
-	MinDuration  time.Duration // of one fault
+	MinDuration  time.Duration // of a fault
 	MaxDuration  time.Duration
 
-	MaxConcurrent   int      // processes with a fault at one time
-	QuorumGroup     []string // processes of which a part has to be without a fault
-	MaxQuorumFaults int      // of the group, with a fault at one time; 0: no bound
+	MaxConcurrent   int      // number of processes that may have a fault at the same time
+	QuorumGroup     []string // processes of which only MaxQuorumFaults may have a fault
+	MaxQuorumFaults int      // bound on processes of QuorumGroup with a fault at the same time; 0: none
 }
 
 // Draw draws a schedule from a seed.
@@ -40,7 +40,7 @@
 	return schedule
 }
 
-// drawFault draws a fault that starts at a time.
+// drawFault draws a fault that starts at the given time.
 func (p Plan) drawFault(rng *rand.Rand, at time.Duration) Fault {
 	kinds := p.Kinds
 	if len(kinds) == 0 {
@@ -51,8 +51,8 @@
 	return f
 }
 
-// allows reports whether a fault keeps the plan's bounds beside those that last until
-// certain times.
+// allows reports whether a fault respects the plan's bounds, given until when each process has an
+// earlier fault.
 func (p Plan) allows(f Fault, faultUntil map[string]time.Duration) bool {
 	concurrent, quorumFaults := 0, 0
 	for process, until := range faultUntil {
--- a/internal/testing/faultinjection/process.go
+++ b/internal/testing/faultinjection/process.go
@@ -16,56 +16,56 @@
 )
 
 const (
-	// maxOutputBytes bounds the output of a process that is held. Of more the latest is.
+	// maxOutputBytes bounds the kept output of a process. When it is exceeded, the older half is dropped.
 	maxOutputBytes = 4 << 20
-	// defaultOutputDelay is for how long output is read after a process's end that another process
-	// holds open.
+	// defaultOutputDelay is how long output is still read after a process's end if another process keeps
+	// the pipe open.
 	defaultOutputDelay = 10 * time.Second
 )
 
-// Process is a process that can be killed, stopped and continued by its id, and started
-// again. Its zero value with Name and NewCommand set is ready to start.
+// Process is a process that can be killed, stopped, continued and started again. A zero value with
+// Name and NewCommand set is ready to start.
 type Process struct {
 	Name       string
-	NewCommand func() *exec.Cmd // returns a command that was not started yet
-
-	outputDelay time.Duration // 0: the default
-
-	mu     sync.Mutex
-	cmd    *exec.Cmd     // nil: it does not run
-	ended  chan struct{} // closed when the last start has ended
-	err    error         // of its end
-	killed bool          // by Kill, since the last start
-	output bytes.Buffer
-	begun  int // where the last start's output begins
-	Starts int // number of successful starts
+	NewCommand func() *exec.Cmd // returns a command that has not been started
+
+	outputDelay time.Duration // 0: defaultOutputDelay
+
+	mu              sync.Mutex
+	cmd             *exec.Cmd     // nil: not running
+	ended           chan struct{} // closed when the last started process has ended
+	waitErr         error         // result of exec.Cmd.Wait of the last start
+	killed          bool          // Kill was called since the last start
+	output          bytes.Buffer
+	lastOutputStart int // offset in output where that of the last start begins
+	Starts          int // number of successful starts
 }
 
-// Write takes the process's output.
+// Write appends to the process's output.
 func (p *Process) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.output.Len()+len(b) > maxOutputBytes {
 		dropped := p.output.Len() / 2
 		p.output.Next(dropped)
-		p.begun = max(0, p.begun-dropped)
+		p.lastOutputStart = max(0, p.lastOutputStart-dropped)
 	}
 	return p.output.Write(b)
 }
 
-// Output returns what the process has written, over all its starts.
+// Output returns the latest output of the process over all its starts.
 func (p *Process) Output() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.output.String()
 }
 
-// Start starts the process. The kernel kills it when this process ends.
+// Start starts the process. The kernel kills it when the calling process ends.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		return fmt.Errorf("%s runs already", p.Name)
+		return fmt.Errorf("%s is already running", p.Name)
 	}
 	cmd := p.NewCommand()
 	cmd.Stdout, cmd.Stderr = p, p
@@ -74,22 +74,22 @@
 		cmd.SysProcAttr = new(syscall.SysProcAttr)
 	}
 	cmd.SysProcAttr.Pdeathsig = syscall.SIGKILL
-	p.begun = p.output.Len() // Write waits for the lock
+	p.lastOutputStart = p.output.Len() // Write is blocked by the lock
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("start %s: %w", p.Name, err)
 	}
 	ended := make(chan struct{})
 	p.cmd, p.ended, p.killed = cmd, ended, false
 	p.Starts++
-	go p.wait(cmd, ended) // ends with the process
+	go p.awaitExit(cmd, ended) // ends with the process
 	return nil
 }
 
-// wait waits for the end of a start.
-func (p *Process) wait(cmd *exec.Cmd, ended chan<- struct{}) {
+// awaitExit waits for the end of a started command and records its result.
+func (p *Process) awaitExit(cmd *exec.Cmd, ended chan<- struct{}) {
 	err := cmd.Wait()
 	p.mu.Lock()
-	p.err = err
+	p.waitErr = err
 	if p.cmd == cmd {
 		p.cmd = nil
 	}
@@ -97,10 +97,10 @@
 	close(ended)
 }
 
-// Running reports whether the process runs, stopped by a signal or not.
+// Running reports whether the process exists, also while it is stopped by a signal.
 func (p *Process) Running() bool { return p.PID() != 0 }
 
-// PID returns the process id; 0: it does not run.
+// PID returns the process id, or 0 if the process is not running.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -115,19 +115,19 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
-		return fmt.Errorf("%s does not run", p.Name)
+		return fmt.Errorf("%s is not running", p.Name)
 	}
 	return p.cmd.Process.Signal(signal)
 }
 
-// setDiskFull has the process's writes to files fail beyond their first byte, or succeed
-// again: a full disk, as far as one process can tell. The process has to ignore SIGXFSZ,
-// which it would not get on a disk that is really full.
+// setDiskFull makes the process's writes to files beyond their first byte fail, or succeed again, by
+// a limit of the file size. To the process it looks like a full disk, except that it has to ignore
+// SIGXFSZ, which it would not get from a really full disk.
 func (p *Process) setDiskFull(full bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
-		return nil // it starts again without the limit
+		return nil // the limit does not apply to the next start
 	}
 	pid := p.cmd.Process.Pid
 	var limit unix.Rlimit
@@ -161,12 +161,12 @@
 	}
 }
 
-// Terminate sends the process SIGTERM and waits for its end, until all of its output is read
-// and its exit status is known: the end's error is returned, also where it has ended before.
-// After the timeout it kills it.
+// Terminate sends SIGTERM to the process, and waits until it has ended and its output has been read.
+// It returns the error of EndError, also if the process had ended before. After the timeout it kills
+// the process and returns an error.
 func (p *Process) Terminate(timeout time.Duration) error {
 	for _, signal := range []syscall.Signal{syscall.SIGCONT, syscall.SIGTERM} {
-		_ = p.Signal(signal) // it fails if the process has ended
+		_ = p.Signal(signal) // fails if the process has ended
 	}
 	err := p.AwaitEnd(timeout)
 	if errors.Is(err, ErrRunning) {
@@ -176,11 +176,11 @@
 	return err
 }
 
-// ErrRunning says that a process has not ended.
-var ErrRunning = errors.New("the process runs")
+// ErrRunning is returned by AwaitEnd if the process has not ended before the timeout.
+var ErrRunning = errors.New("the process is still running")
 
-// AwaitEnd waits until the last start has ended and its output is read. It returns how it has
-// ended, as EndError does, and ErrRunning after the timeout.
+// AwaitEnd waits until the last started process has ended and its output has been read. It returns
+// the error of EndError, or ErrRunning after the timeout.
 func (p *Process) AwaitEnd(timeout time.Duration) error {
 	p.mu.Lock()
 	ended := p.ended
@@ -196,21 +196,22 @@
 	}
 }
 
-// EndError returns why the last start has not ended in order; nil: it has, or it runs.
+// EndError returns an error if the last started process did not end in order (see CheckEnd). It
+// returns nil if it did, or if it is running.
 func (p *Process) EndError() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil || p.ended == nil {
 		return nil
 	}
-	return CheckEnd(p.err, string(p.output.Bytes()[p.begun:]))
+	return CheckEnd(p.waitErr, string(p.output.Bytes()[p.lastOutputStart:]))
 }
 
-// Crashed returns an error if the last start has ended neither in order nor by Kill. A process
-// that had failed before it was killed has crashed.
+// Crashed returns an error if the last started process ended neither in order nor by Kill. A process
+// that had failed before Kill was called has crashed.
 func (p *Process) Crashed() error {
 	p.mu.Lock()
-	killed, waitError := p.killed, p.err
+	killed, waitError := p.killed, p.waitErr
 	p.mu.Unlock()
 	if killed && endedBy(waitError, syscall.SIGKILL) {
 		return nil
@@ -218,8 +219,8 @@
 	return p.EndError()
 }
 
-// endedBy reports whether a process was ended by a signal. waitError is what exec.Cmd.Wait
-// returned.
+// endedBy reports whether a process was terminated by a signal. waitError is the result of
+// exec.Cmd.Wait.
 func endedBy(waitError error, signal syscall.Signal) bool {
 	var exit *exec.ExitError
 	if !errors.As(waitError, &exit) {
@@ -229,11 +230,11 @@
 	return ok && status.Signaled() && status.Signal() == signal
 }
 
-// cutOffMark is in the log of a process whose end its own watchdog has cut off (package shutdown).
+// cutOffMark is in the log of a process whose shutdown was cut off by its own watchdog (package shutdown).
 const cutOffMark = "shutdown: cut off"
 
-// CheckEnd returns an error unless a process has ended in order: with status 0, and without
-// its own watchdog. waitError is what exec.Cmd.Wait returned, log what the process wrote.
+// CheckEnd returns an error unless a process ended in order: with status 0, and without being cut off
+// by its own watchdog. waitError is the result of exec.Cmd.Wait, log the output of the process.
 func CheckEnd(waitError error, log string) error {
 	at := strings.Index(log, cutOffMark)
 	if at < 0 {
--- a/internal/testing/faultinjection/process_test.go
+++ b/internal/testing/faultinjection/process_test.go
@@ -14,28 +14,28 @@
 	"barleywick/internal/shutdown"
 )
 
-// endVariable makes the test binary a process that ends in a certain way.
-const endVariable = "FAULTINJECTION_TEST_END"
+// endEnvVariable makes the test binary a process that ends in the given way.
+const endEnvVariable = "FAULTINJECTION_TEST_END"
 
 func TestMain(m *testing.M) {
-	switch os.Getenv(endVariable) {
+	switch os.Getenv(endEnvVariable) {
 	case "":
 		os.Exit(m.Run())
 	case "cut off":
 		shutdown.Begin("p", time.Millisecond)
 		select {}
-	case "cut off, status 0": // its main function ends while the watchdog writes
+	case "cut off, status 0": // main returns while the watchdog writes its log
 		slog.Error(cutOffMark)
 	}
 }
 
-// A process that its watchdog has cut off has not ended in order, whatever its status is; one
-// that is started again afterwards and ends in order has.
-func TestCutOffIsNoEnd(t *testing.T) {
+// A process whose watchdog has cut its shutdown off has not ended in order, whatever its exit status is.
+// This does not affect the next start: if that one ends in order, there is no error.
+func TestCutOffShutdownIsAnError(t *testing.T) {
 	var end string
 	p := &Process{Name: "p", NewCommand: func() *exec.Cmd {
 		cmd := exec.Command(os.Args[0])
-		cmd.Env = append(os.Environ(), endVariable+"="+end)
+		cmd.Env = append(os.Environ(), endEnvVariable+"="+end)
 		return cmd
 	}}
 	for _, x := range []struct {
@@ -46,27 +46,27 @@
 		if err := p.Start(); err != nil {
 			t.Fatal(err)
 		}
-		for deadline := time.Now().Add(patience); p.Running(); time.Sleep(time.Millisecond) {
+		for deadline := time.Now().Add(eventTimeout); p.Running(); time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Fatalf("%s: it has not ended", x.end)
+				t.Fatalf("%s: the process has not ended", x.end)
 			}
 		}
-		for name, err := range map[string]error{"Terminate": p.Terminate(patience), "EndError": p.EndError(), "Crashed": p.Crashed()} {
+		for name, err := range map[string]error{"Terminate": p.Terminate(eventTimeout), "EndError": p.EndError(), "Crashed": p.Crashed()} {
 			if (err == nil) != x.inOrder || !x.inOrder && !strings.Contains(err.Error(), cutOffMark) {
-				t.Errorf("%s: %s: got the error %v, want one that says so: %v", x.end, name, err, !x.inOrder)
+				t.Errorf("%s: %s: got the error %v, want an error with the cut-off line: %v", x.end, name, err, !x.inOrder)
 			}
 		}
 	}
 }
 
-// A crash that is injected does not hide that the process had failed by itself before.
+// An injected crash does not hide that the process had failed before.
 func TestCrashAfterFailure(t *testing.T) {
 	for status, hidden := range map[string]bool{"0": false, "3": true} {
 		p := &Process{Name: "p", NewCommand: func() *exec.Cmd { return exec.Command("sh", "-c", "exit "+status) }}
 		if err := p.Start(); err != nil {
 			t.Fatal(err)
 		}
-		for deadline := time.Now().Add(patience); p.Running(); time.Sleep(time.Millisecond) {
+		for deadline := time.Now().Add(eventTimeout); p.Running(); time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
 				t.Fatal("the process has not ended")
 			}
@@ -100,24 +100,24 @@
 		t.Error("a killed process counts as running")
 	}
 	if p.EndError() == nil || p.Crashed() != nil {
-		t.Errorf("a process that was killed has ended with %v, crashed with %v; want an end that is not in order and no crash", p.EndError(), p.Crashed())
+		t.Errorf("after Kill: EndError is %v, Crashed is %v; want an EndError and no crash", p.EndError(), p.Crashed())
 	}
 	if err := p.Start(); err != nil || p.Starts != 2 {
 		t.Errorf("second start: %v, %d starts", err, p.Starts)
 	}
-	if err := p.Terminate(patience); err == nil { // sleep ends by the signal
-		t.Error("a process that ended by a signal: got no error")
+	if err := p.Terminate(eventTimeout); err == nil { // the signal terminates sleep
+		t.Error("a process that was terminated by the signal: got no error")
 	}
-	if err := p.Terminate(patience); err == nil {
-		t.Error("a process that has ended before, by a signal: got no error")
+	if err := p.Terminate(eventTimeout); err == nil {
+		t.Error("a process that had been terminated by a signal before: got no error")
 	}
-	if err := new(Process).Terminate(patience); err == nil {
+	if err := new(Process).Terminate(eventTimeout); err == nil {
 		t.Error("a process that was never started: got no error")
 	}
 }
 
-// startWithOpenOutput starts a shell that has ended, while its output stays open until the
-// returned function is called; last words are then written.
+// startWithOpenOutput starts a shell and waits until it has ended. A child of the shell keeps the output
+// open until the returned function is called; it then writes "last words" and ends.
 func startWithOpenOutput(t *testing.T, status string, outputDelay time.Duration) (p *Process, closeOutput func()) {
 	t.Helper()
 	reader, writer, err := os.Pipe()
@@ -136,7 +136,7 @@
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
-	for deadline := time.Now().Add(patience); p.Signal(syscall.Signal(0)) == nil; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(eventTimeout); p.Signal(syscall.Signal(0)) == nil; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("the process has not ended")
 		}
@@ -144,31 +144,31 @@
 	return p, func() { writer.Close() }
 }
 
-// A process that has ended just before it is told to is awaited like any other: all that it
-// has written is read, and its exit status counts.
+// Terminate also waits for a process that has ended just before: all of its output is read, and its exit
+// status is reported.
 func TestTerminateAfterTheEnd(t *testing.T) {
 	p, closeOutput := startWithOpenOutput(t, "3", 0)
 	time.AfterFunc(100*time.Millisecond, closeOutput)
-	err := p.Terminate(patience)
+	err := p.Terminate(eventTimeout)
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) || exit.ExitCode() != 3 {
 		t.Errorf("got the error %v, want exit status 3", err)
 	}
 	if !strings.Contains(p.Output(), "last words") {
-		t.Errorf("its output was not read to the end: %q", p.Output())
+		t.Errorf("the output was not read to its end: %q", p.Output())
 	}
 }
 
-// Output that another process holds open does not hold a test for ever, and is an error: it was
-// not read to its end.
+// If another process keeps the output open, Terminate returns after the output delay, with an error as
+// the output was not read to its end.
 func TestOutputThatStaysOpen(t *testing.T) {
 	p, closeOutput := startWithOpenOutput(t, "0", 50*time.Millisecond)
-	watchdog := time.AfterFunc(patience/2, closeOutput)
-	if err := p.Terminate(patience); !errors.Is(err, exec.ErrWaitDelay) {
+	watchdog := time.AfterFunc(eventTimeout/2, closeOutput)
+	if err := p.Terminate(eventTimeout); !errors.Is(err, exec.ErrWaitDelay) {
 		t.Errorf("got the error %v, want %v", err, exec.ErrWaitDelay)
 	}
 	if !watchdog.Stop() {
-		t.Error("its output was waited for until it was closed")
+		t.Error("Terminate waited until the output was closed, want only for the output delay")
 	}
 }
 
--- a/internal/testing/faultinjection/rule.go
+++ b/internal/testing/faultinjection/rule.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Impairment is what happens to the bytes or datagrams that go over a link in one direction.
+// Impairment describes how one direction of a link impairs bytes or datagrams.
 type Impairment struct {
-	// Blocked lets nothing through, without any sign of it. Bytes of a connection arrive
-	// when it ends; datagrams are lost.
+	// Blocked lets nothing through, and neither side notices it. Bytes of a connection arrive once the
+	// direction is unblocked; datagrams are lost.
 	Blocked        bool
 	Delay          time.Duration // of each chunk or datagram
-	Jitter         time.Duration // up to as much is added to the delay
+	Jitter         time.Duration // bound of the random addition to the delay
 	BytesPerSecond int           // 0: no limit
 
-	// The rates are fractions of the datagrams. They do not apply to connections.
+	// The rates are fractions of the datagrams. They do not apply to TCP connections.
 	LossRate      float64
 	DuplicateRate float64
-	ReorderRate   float64 // of those that others overtake
+	ReorderRate   float64 // of datagrams that are delayed so that later ones overtake them
 }
 
-// LinkRule is what happens on a link.
+// LinkRule has the impairments of both directions of a link.
 type LinkRule struct {
 	ToTarget, FromTarget Impairment
-	RefuseConnections    bool // connections are reset, new ones as they are accepted
+	RefuseConnections    bool // open connections are reset, new ones when they are accepted
 }
 
-// direction is one of the two of a link.
+// direction is one of the two directions of a link.
 type direction int
 
 const (
--- a/internal/testing/faultinjection/schedule_test.go
+++ b/internal/testing/faultinjection/schedule_test.go
@@ -14,7 +14,7 @@
 	}
 	s := p.Draw(7)
 	if len(s) != 40 || !slices.Equal(s, p.Draw(7)) || slices.Equal(s, p.Draw(8)) {
-		t.Errorf("got %d faults, want 40 that depend on the seed alone", len(s))
+		t.Errorf("got %d faults, want 40 that depend only on the seed", len(s))
 	}
 	for i, f := range s {
 		concurrent := 0
@@ -24,7 +24,7 @@
 			}
 		}
 		if concurrent > 0 {
-			t.Errorf("%v starts while another replica has a fault", f)
+			t.Errorf("%v starts while another replica has a fault, want one at a time", f)
 		}
 	}
 	again, err := ParseSchedule(s.String())
@@ -36,14 +36,14 @@
 			t.Errorf("%q was parsed, want an error", wrong)
 		}
 	}
-	// The failure needs two faults of forty.
+	// The simulated failure needs two of the forty faults.
 	calls := 0
 	small := Shrink(s, 500, func(part Schedule) bool {
 		calls++
 		return slices.Contains(part, s[3]) && slices.Contains(part, s[29])
 	})
 	if len(small) != 2 || calls > 500 {
-		t.Errorf("shrunk to %v with %d calls, want 2 faults with 500 at most", small, calls)
+		t.Errorf("shrunk to %v with %d calls, want 2 faults with at most 500 calls", small, calls)
 	}
 	injector := &Injector{Network: NewNetwork(1)}
 	if _, err := injector.Inject(Fault{Kind: Pause, Target: "nobody"}); err == nil {
--- a/internal/testing/faultinjection/shrink.go
+++ b/internal/testing/faultinjection/shrink.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// Shrink leaves out faults of a schedule as long as the rest still fails: half of them at
-// first, single ones in the end. It calls fails maxCalls times at most.
+// Shrink removes faults from a schedule while the remaining schedule still fails: half of the faults
+// at first, single ones in the end. It calls fails at most maxCalls times.
 func Shrink(s Schedule, maxCalls int, fails func(Schedule) bool) Schedule {
 	calls := 0
 	for size := (len(s) + 1) / 2; size > 0; {
-		smaller := false
+		reduced := false
 		for i := 0; i+size <= len(s) && calls < maxCalls; {
-			rest := slices.Concat(s[:i], s[i+size:])
+			remaining := slices.Concat(s[:i], s[i+size:])
 			calls++
-			if fails(rest) {
-				s, smaller = rest, true
+			if fails(remaining) {
+				s, reduced = remaining, true
 			} else {
 				i += size
 			}
 		}
-		if !smaller || size > 1 {
+		if !reduced || size > 1 {
 			size /= 2
 		}
 		if calls >= maxCalls {
--- a/internal/testing/faultinjection/tcp.go
+++ b/internal/testing/faultinjection/tcp.go
@@ -16,7 +16,7 @@
 	acceptRetryInterval = 10 * time.Millisecond
 )
 
-// relayedConn is one connection over a link.
+// relayedConn is one connection over a link, with the relay's sockets to both sides.
 type relayedConn struct{ caller, target net.Conn }
 
 func (c *relayedConn) reset() {
@@ -24,7 +24,7 @@
 	resetConn(c.target)
 }
 
-// resetConn closes a connection by a reset.
+// resetConn closes a connection by a TCP reset.
 func resetConn(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
@@ -32,7 +32,7 @@
 	conn.Close()
 }
 
-// startTCP begins to relay connections.
+// startTCP starts to relay connections.
 func (l *Link) startTCP(listener net.Listener) {
 	l.listener = listener
 	l.tasks.Go(l.accept)
@@ -56,7 +56,7 @@
 	}
 }
 
-// relay relays one connection. The target is called when the direction to it is not blocked.
+// relay relays one connection. It connects to the target once the direction to it is not blocked.
 func (l *Link) relay(caller net.Conn) {
 	defer caller.Close()
 	if !l.waitUnblocked(toTarget) {
@@ -71,7 +71,7 @@
 	c := &relayedConn{caller, target}
 	l.track(c)
 	defer l.untrack(c)
-	if l.ctx.Err() != nil { // Close may have missed it
+	if l.ctx.Err() != nil { // the connection may have been added after Close reset all of them
 		return
 	}
 	var directions sync.WaitGroup
@@ -92,13 +92,13 @@
 	delete(l.conns, c)
 }
 
-// delayedChunk is a piece of a connection's bytes that arrives at a time.
+// delayedChunk is a part of a connection's bytes with its time of arrival.
 type delayedChunk struct {
 	data []byte
 	at   time.Time
 }
 
-// copyDirection copies one direction of a connection until its end.
+// copyDirection relays one direction of a connection until its end.
 func (l *Link) copyDirection(c *relayedConn, source, destination net.Conn, d direction) {
 	queue := make(chan delayedChunk, maxQueuedChunks)
 	var reader sync.WaitGroup
@@ -113,14 +113,14 @@
 			break
 		}
 	}
-	for range queue { // lets the reader end
+	for range queue { // unblocks the reader
 	}
 	if tcp, ok := destination.(*net.TCPConn); ok {
 		tcp.CloseWrite()
 	}
 }
 
-// readChunks reads until the source ends, and queues what it reads with its time of arrival.
+// readChunks reads from the source until its end, and queues each chunk with its time of arrival.
 func (l *Link) readChunks(c *relayedConn, source net.Conn, d direction, queue chan<- delayedChunk) {
 	for {
 		data := make([]byte, chunkSize)
@@ -143,7 +143,7 @@
 	}
 }
 
-// deliver writes a chunk at its time. It is false when the connection has to be reset.
+// deliver writes a chunk at its time of arrival. It returns false when the connection has to be reset.
 func (l *Link) deliver(destination net.Conn, chunk delayedChunk, d direction) bool {
 	if !l.waitUnblocked(d) {
 		return false
@@ -167,7 +167,7 @@
 func (l *Link) dropResponse() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	dropped := l.takeDroppedResponse()
+	dropped := l.consumeResponseDrop()
 	if dropped {
 		l.Dropped.Add(1)
 	}
--- a/internal/testing/faultinjection/udp.go
+++ b/internal/testing/faultinjection/udp.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	maxPeers            = 256 // callers of one link
+	maxPeers            = 256 // distinct caller addresses of one link
 	maxDatagramBytes    = 64 << 10
-	maxPendingDatagrams = 1024 // on their way at one time
-	// reorderDelay is the least delay of a datagram that others are to overtake.
+	maxPendingDatagrams = 1024 // delayed at the same time
+	// reorderDelay is the minimum delay of a datagram that later ones should overtake.
 	reorderDelay = 10 * time.Millisecond
 )
 
-// startUDP begins to relay datagrams.
+// startUDP starts to relay datagrams.
 func (l *Link) startUDP(socket net.PacketConn) {
 	l.socket = socket
 	l.tasks.Go(l.relayDatagrams)
 }
 
-// udpRelay relays datagrams. Each caller has a socket of its own to the target, by which
-// responses find their way back.
+// udpRelay relays datagrams. It opens a socket to the target for each caller, so that responses can
+// be relayed to the right caller.
 type udpRelay struct {
 	link    *Link
 	target  *net.UDPAddr
 	peers   map[string]*net.UDPConn // by the caller's address
-	pending chan struct{}           // holds one value for each datagram that is delayed
+	pending chan struct{}           // semaphore: holds one value for each delayed datagram
 	tasks   sync.WaitGroup
 }
 
@@ -63,7 +63,7 @@
 	r.tasks.Wait()
 }
 
-// peer returns the socket of a caller; nil: there are too many, or none can be opened.
+// peer returns the socket of a caller. It is nil if there are too many callers or no socket can be opened.
 func (r *udpRelay) peer(caller net.Addr) *net.UDPConn {
 	if peer := r.peers[caller.String()]; peer != nil {
 		return peer
@@ -88,7 +88,7 @@
 			return
 		}
 		if err != nil {
-			continue // the target does not listen at the moment
+			continue // the target is not listening at the moment
 		}
 		r.forward(fromTarget, buffer[:n], func(datagram []byte) error {
 			_, err := r.link.socket.WriteTo(datagram, caller)
@@ -97,18 +97,17 @@
 	}
 }
 
-// forward sends a datagram on as the link's rule says. While a direction is blocked it is
-// lost.
+// forward relays a datagram according to the link's rule. A datagram in a blocked direction is lost.
 func (r *udpRelay) forward(d direction, datagram []byte, write func([]byte) error) {
-	fate := r.link.drawFate(d, len(datagram))
-	if fate.lost {
+	delivery := r.link.drawDelivery(d, len(datagram))
+	if delivery.lost {
 		r.link.Dropped.Add(1)
 		return
 	}
-	own := bytes.Clone(datagram)
-	for range fate.copies {
-		if fate.delay <= 0 {
-			r.send(own, write)
+	payload := bytes.Clone(datagram)
+	for range delivery.copies {
+		if delivery.delay <= 0 {
+			r.send(payload, write)
 			continue
 		}
 		select {
@@ -120,8 +119,8 @@
 		r.tasks.Go(func() {
 			defer func() { <-r.pending }()
 			select {
-			case <-time.After(fate.delay):
-				r.send(own, write)
+			case <-time.After(delivery.delay):
+				r.send(payload, write)
 			case <-r.link.ctx.Done():
 			}
 		})
@@ -134,27 +133,27 @@
 	}
 }
 
-// datagramFate is what becomes of a datagram.
-type datagramFate struct {
+// datagramDelivery is whether, when and how often a datagram is delivered.
+type datagramDelivery struct {
 	lost   bool
 	delay  time.Duration
 	copies int
 }
 
-func (l *Link) drawFate(d direction, size int) datagramFate {
+func (l *Link) drawDelivery(d direction, size int) datagramDelivery {
 	t, impairment := l.drawTiming(d, size)
-	fate := datagramFate{delay: t.delay + t.transmission, copies: 1}
+	delivery := datagramDelivery{delay: t.delay + t.transmission, copies: 1}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// All three are drawn for each datagram, so that a rate does not shift later draws.
+	// All three are drawn for every datagram, so that the rates do not shift later draws.
 	lost, duplicated, reordered := l.rng.Float64() < impairment.LossRate, l.rng.Float64() < impairment.DuplicateRate, l.rng.Float64() < impairment.ReorderRate
-	dropped := d == fromTarget && l.takeDroppedResponse()
-	fate.lost = impairment.Blocked || lost || dropped
+	dropped := d == fromTarget && l.consumeResponseDrop()
+	delivery.lost = impairment.Blocked || lost || dropped
 	if reordered {
-		fate.delay += 2*(impairment.Delay+impairment.Jitter) + reorderDelay
+		delivery.delay += 2*(impairment.Delay+impairment.Jitter) + reorderDelay
 	}
 	if duplicated {
-		fate.copies = 2
+		delivery.copies = 2
 	}
-	return fate
+	return delivery
 }
--- a/internal/testing/loopback/loopback.go
+++ b/internal/testing/loopback/loopback.go
@@ -14,11 +14,11 @@
 const hostsPerByte = 250
 
 // picked counts the addresses that were picked.
-var picked atomic.Int64
+var pickedAddrs atomic.Int64
 
 // checkSystem has package os find out what the system can do, for which it forks once without
 // ForkLock.
-var checkSystem = sync.OnceFunc(func() {
+var probeOSSupport = sync.OnceFunc(func() {
 	if self, err := os.FindProcess(os.Getpid()); err == nil {
 		_ = self.Release() // it was found for the check alone
 	}
@@ -29,10 +29,10 @@
 // in its way, as little as when a process starts again there. No process is started while it
 // listens: between fork and exec that one would listen, too, and go on when this one has ended.
 func FreeAddr() (string, error) {
-	checkSystem()
+	probeOSSupport()
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
-	n := picked.Add(1)
+	n := pickedAddrs.Add(1)
 	host := fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%hostsPerByte, 1+n/hostsPerByte, 1+n%hostsPerByte)
 	ln, err := net.Listen("tcp", host+":0")
 	if err != nil {
--- a/internal/testing/soaktest/client.go
+++ b/internal/testing/soaktest/client.go
@@ -25,17 +25,17 @@
 	// plain: on the open connection, at once.
 	plain behaviour = iota
 	// silentFirst: on a new connection, after a silence.
-	silentFirst
+	delayedFirst
 	// slowly: in pieces, with pauses.
-	slowly
+	sendSlowly
 	// leaves: closes its connection before the response.
-	leaves
+	disconnectEarly
 	// stops: sends a part and keeps the connection.
-	stops
+	stopMidRequest
 	// halfCloses: closes its side after the request and waits for the response.
-	halfCloses
+	halfClose
 	// rests: leaves its connection idle for long before the request.
-	rests
+	idleFirst
 )
 
 func (m behaviour) String() string {
@@ -45,9 +45,9 @@
 // Timing of clients.
 const (
 	connectTimeout = 2 * time.Second
-	stoppedTimeout = 3 * time.Second // until a client that stopped midway is owed an end
-	maxSilence     = 1700 * time.Millisecond
-	maxPause       = 350 * time.Millisecond
+	incompleteRequestTimeout = 3 * time.Second // until a client that stopped midway is owed an end
+	maxIdleTime     = 1700 * time.Millisecond
+	maxWritePause       = 350 * time.Millisecond
 	maxThinkTime   = 60 * time.Millisecond
 	minTimeout     = 200 * time.Millisecond
 )
@@ -68,7 +68,7 @@
 	name     string
 	conn     *net.TCPConn // nil: none is open
 	reader   *bufio.Reader
-	carried  int // requests that the open connection has carried
+	requestsOnConn  int // requests that the open connection has carried
 	requests int
 }
 
@@ -92,17 +92,17 @@
 	case n < 70:
 		return plain
 	case n < 77:
-		return silentFirst
+		return delayedFirst
 	case n < 85:
-		return slowly
+		return sendSlowly
 	case n < 90:
-		return leaves
+		return disconnectEarly
 	case n < 93:
-		return stops
+		return stopMidRequest
 	case n < 96:
-		return halfCloses
+		return halfClose
 	}
-	return rests
+	return idleFirst
 }
 
 // closeConn closes the open connection.
@@ -126,7 +126,7 @@
 		return err
 	}
 	c.conn = conn.(*net.TCPConn)
-	c.reader, c.carried = bufio.NewReader(conn), 0
+	c.reader, c.requestsOnConn = bufio.NewReader(conn), 0
 	return nil
 }
 
@@ -136,19 +136,19 @@
 // sendRequest hands one request in and follows it to its end.
 func (c *client) sendRequest() {
 	how := c.drawBehaviour()
-	if how == silentFirst {
+	if how == delayedFirst {
 		c.closeConn()
 	}
 	if err := c.connect(); err != nil {
 		time.Sleep(10 * time.Millisecond) // it is being restarted
 		return
 	}
-	if how == silentFirst || how == rests {
-		time.Sleep(c.drawUpTo(maxSilence))
+	if how == delayedFirst || how == idleFirst {
+		time.Sleep(c.drawUpTo(maxIdleTime))
 	}
-	r, text := c.request()
+	r, text := c.newRequest()
 	r.behaviour = how
-	c.ledger.open(r)
+	c.ledger.addRequest(r)
 	c.ledger.increment("clients: " + how.String())
 	if c.closedByPeer() { // nothing was written: use a new connection
 		if c.closeConn(); c.connect() != nil {
@@ -159,7 +159,7 @@
 }
 
 // request draws a new request and returns it with its text.
-func (c *client) request() (*request, string) {
+func (c *client) newRequest() (*request, string) {
 	c.requests++
 	class := []string{"read", "keyed", "once"}[c.rng.IntN(3)]
 	r := &request{
@@ -184,33 +184,33 @@
 
 // exchange writes a request and waits for its end, according to the behaviour.
 func (c *client) exchange(r *request, text string, how behaviour) {
-	if how == stops {
-		c.stopMidway(r, text)
+	if how == stopMidRequest {
+		c.sendIncomplete(r, text)
 		return
 	}
-	if err := c.write(r, text, how == slowly); err != nil {
+	if err := c.write(r, text, how == sendSlowly); err != nil {
 		c.ledger.update(func() { r.err = err })
 		c.closeConn()
 		return
 	}
 	switch how {
-	case leaves:
+	case disconnectEarly:
 		time.Sleep(c.drawUpTo(r.timeout))
-		c.ledger.update(func() { r.clientGone = time.Now() })
+		c.ledger.update(func() { r.clientClosed = time.Now() })
 		c.closeConn()
 		return
-	case halfCloses:
+	case halfClose:
 		_ = c.conn.CloseWrite() // a failure shows in the read below
 	}
 	err := c.read(r)
-	if err != nil && c.closeCrossedRequest(r, err) && how != halfCloses {
+	if err != nil && c.closeCrossedRequest(r, err) && how != halfClose {
 		err = c.resend(r, text)
 	}
 	if err != nil {
 		c.ledger.update(func() { r.err = err })
 		c.closeConn()
 	}
-	if how == halfCloses {
+	if how == halfClose {
 		c.closeConn()
 	}
 }
@@ -224,14 +224,14 @@
 				return err
 			}
 			text = text[n:]
-			time.Sleep(c.drawUpTo(maxPause))
+			time.Sleep(c.drawUpTo(maxWritePause))
 			if c.closedByPeer() {
 				return errClosedEarly
 			}
 		}
 	}
-	c.ledger.update(func() { r.complete, r.freshConn = time.Now(), c.carried == 0 })
-	c.carried++
+	c.ledger.update(func() { r.complete, r.freshConn = time.Now(), c.requestsOnConn == 0 })
+	c.requestsOnConn++
 	if _, err := io.WriteString(c.conn, text); err != nil {
 		c.ledger.update(func() { r.complete = time.Time{} })
 		return err
@@ -241,7 +241,7 @@
 
 // read reads the response.
 func (c *client) read(r *request) error {
-	c.conn.SetReadDeadline(r.complete.Add(r.timeout + answerSlack + pauseSlack + waitSlack))
+	c.conn.SetReadDeadline(r.complete.Add(r.timeout + answerSlack + pauseSlack + clientWaitSlack))
 	resp, err := http.ReadResponse(c.reader, &http.Request{Method: http.MethodPost})
 	if err != nil {
 		return err
@@ -250,7 +250,7 @@
 	if err != nil {
 		return err
 	}
-	c.ledger.update(func() { r.status, r.body, r.answered = resp.StatusCode, string(body), time.Now() })
+	c.ledger.update(func() { r.status, r.body, r.respondedAt = resp.StatusCode, string(body), time.Now() })
 	if resp.Close {
 		c.closeConn()
 	}
@@ -282,13 +282,13 @@
 }
 
 // stopMidway sends a part of a request and waits for the end that it is owed.
-func (c *client) stopMidway(r *request, text string) {
+func (c *client) sendIncomplete(r *request, text string) {
 	defer c.closeConn()
 	if _, err := io.WriteString(c.conn, text[:1+c.rng.IntN(len(text)-2)]); err != nil {
 		return
 	}
 	begun := time.Now()
-	c.conn.SetReadDeadline(begun.Add(stoppedTimeout + pauseSlack + waitSlack))
+	c.conn.SetReadDeadline(begun.Add(incompleteRequestTimeout + pauseSlack + clientWaitSlack))
 	_, err := io.Copy(io.Discard, c.reader)
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() && !c.sidecar.killedSince(begun) {
--- a/internal/testing/soaktest/crowd.go
+++ b/internal/testing/soaktest/crowd.go
@@ -11,29 +11,29 @@
 
 const (
 	// crowdedRuns: one run in so many has a crowd, and crowdedFraction: at one sidecar in so many.
-	crowdedRuns     = 3
-	crowdedFraction = 4
+	idleClientsRunInterval     = 3
+	idleClientsSidecarInterval = 4
 	// crowdSize is more connections than a sidecar has descriptors.
-	crowdSize     = 300
-	crowdInterval = 20 * time.Millisecond
+	idleClientCount     = 300
+	idleCheckInterval = 20 * time.Millisecond
 	// crowdReturns is how many of those that were closed come back in an interval.
-	crowdReturns = 5
+	idleReconnectsPerCheck = 5
 )
 
 // hasCrowd reports whether idle clients fill the descriptors of some sidecars in this run.
-func (f *fleet) hasCrowd() bool { return f.Seed%crowdedRuns == 0 }
+func (f *fleet) hasIdleClients() bool { return f.Seed%idleClientsRunInterval == 0 }
 
 // crowd opens connections to a sidecar and sends nothing on them, until ctx ends. It opens
 // others for those that the sidecar closes.
-func (f *fleet) crowd(ctx context.Context, s *sidecar) {
+func (f *fleet) runIdleClients(ctx context.Context, s *sidecar) {
 	var idle []*net.TCPConn
-	arrivals := crowdSize // at once
+	arrivals := idleClientCount // at once
 	defer func() {
 		for _, conn := range idle {
 			conn.Close()
 		}
 	}()
-	for wait.Sleep(ctx, crowdInterval) {
+	for wait.Sleep(ctx, idleCheckInterval) {
 		kept := idle[:0]
 		for _, conn := range idle {
 			if loadgen.ClosedByPeer(conn) {
@@ -43,14 +43,14 @@
 			kept = append(kept, conn)
 		}
 		idle = kept
-		for ; len(idle) < crowdSize && arrivals > 0 && ctx.Err() == nil; arrivals-- {
-			conn, err := net.DialTimeout("tcp", s.addr, crowdInterval)
+		for ; len(idle) < idleClientCount && arrivals > 0 && ctx.Err() == nil; arrivals-- {
+			conn, err := net.DialTimeout("tcp", s.addr, idleCheckInterval)
 			if err != nil {
 				break // it refuses, or is being restarted
 			}
 			f.ledger.increment("idle clients")
 			idle = append(idle, conn.(*net.TCPConn))
 		}
-		arrivals = crowdReturns
+		arrivals = idleReconnectsPerCheck
 	}
 }
--- a/internal/testing/soaktest/discovery.go
+++ b/internal/testing/soaktest/discovery.go
@@ -42,7 +42,7 @@
 // configuration can move it.
 type discovery struct {
 	addresses []string
-	stale     string // a replica whose disk is full: its list is that of the start
+	staleAddr     string // a replica whose disk is full: its list is that of the start
 	servers   []*http.Server
 
 	mu        sync.Mutex
@@ -93,7 +93,7 @@
 		_ = d.watch(q.Context(), w, out, list, nil) // it ends with its caller
 	})}
 	go func() { _ = h.Serve(ln) }() // ends with close
-	d.stale, d.servers = ln.Addr().String(), append(d.servers, h)
+	d.staleAddr, d.servers = ln.Addr().String(), append(d.servers, h)
 	return nil
 }
 
@@ -104,7 +104,7 @@
 }
 
 // set changes the health of a server.
-func (d *discovery) set(host, to string) {
+func (d *discovery) setHealth(host, to string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i := range d.endpoints {
@@ -156,12 +156,12 @@
 		_ = out.Encode(list) // a caller that has left polls again
 		return
 	}
-	if err := d.watch(q.Context(), w, out, list, changed); errors.Is(err, errDown) {
+	if err := d.watch(q.Context(), w, out, list, changed); errors.Is(err, errDiscoveryDown) {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-var errDown = errors.New("discovery is down")
+var errDiscoveryDown = errors.New("discovery is down")
 
 // watch writes the full list at the start and at each change.
 func (d *discovery) watch(ctx context.Context, w http.ResponseWriter, out *json.Encoder, list listMessage, changed <-chan struct{}) error {
@@ -187,7 +187,7 @@
 		}
 		var down bool
 		if list, changed, down = d.snapshot(); down {
-			return errDown
+			return errDiscoveryDown
 		}
 	}
 }
--- a/internal/testing/soaktest/faults.go
+++ b/internal/testing/soaktest/faults.go
@@ -38,7 +38,7 @@
 
 // injectFaults begins faults, several of them active at once, until their time is over.
 func (f *fleet) injectFaults(ctx context.Context) {
-	rng, details := f.random("faults", 0), f.random("details of faults", 0)
+	rng, details := f.newRand("faults", 0), f.newRand("details of faults", 0)
 	gap := max(meanFaultInterval*referenceFleetSize/time.Duration(max(f.Sidecars, referenceFleetSize)), 10*time.Millisecond)
 	drained := make(map[string]bool)
 	for time.Since(f.startedAt) < f.Duration && ctx.Err() == nil {
@@ -47,8 +47,8 @@
 	}
 	f.activeFaults.Wait()
 	for host := range drained {
-		f.discovery.set(host, healthUp)
-		f.ledger.drain(host, false)
+		f.discovery.setHealth(host, healthUp)
+		f.ledger.recordDrain(host, false)
 	}
 }
 
@@ -60,7 +60,7 @@
 	lasts := time.Duration(rng.Int64N(int64(maxFaultDuration)))
 	switch kind {
 	case faultGracefulRestart:
-		f.restart(ctx, s, drawEnd(details))
+		f.restart(ctx, s, drawGracefulEnd(details))
 	case faultKill:
 		if rng.IntN(3) == 0 { // rarer, as it excuses the requests that it cuts off
 			f.restart(ctx, s, nil)
@@ -83,9 +83,9 @@
 func (f *fleet) failDiscovery(ctx context.Context, lasts time.Duration) {
 	f.logEvent("discovery goes down for %v", lasts)
 	f.ledger.increment("faults: discovery down")
-	f.ledger.discoveryChanged(!f.discovery.setDown(true))
+	f.ledger.recordDiscoveryState(!f.discovery.setDown(true))
 	wait.Sleep(ctx, lasts)
-	f.ledger.discoveryChanged(!f.discovery.setDown(false))
+	f.ledger.recordDiscoveryState(!f.discovery.setDown(false))
 }
 
 // reload has a sidecar read its configuration again, several times in a row. It may name the
@@ -96,7 +96,7 @@
 	}
 	f.logEvent("SIGHUP %s, %d times, discovery at %s", s.name, signals, discovery)
 	f.ledger.increment("faults: reload")
-	if err := s.writeConfig(f.Seed, f.Sidecars, discovery, f.discovery.stale); err != nil {
+	if err := s.writeConfig(f.Seed, f.Sidecars, discovery, f.discovery.staleAddr); err != nil {
 		f.ledger.addViolation(InvariantProcess, "%v", err)
 		return
 	}
@@ -106,15 +106,15 @@
 }
 
 // plannedEnd is how a process is told to end.
-type plannedEnd struct {
+type gracefulEnd struct {
 	signals       []syscall.Signal // within a millisecond; SIGTERM is among them
 	repeats       []time.Duration  // when SIGTERM and SIGHUP come again
 	discoveryDown time.Duration    // for how long discovery fails from then on; 0: it does not
 }
 
 // drawEnd draws how a process is told to end.
-func drawEnd(rng *rand.Rand) *plannedEnd {
-	end := &plannedEnd{signals: []syscall.Signal{syscall.SIGTERM}}
+func drawGracefulEnd(rng *rand.Rand) *gracefulEnd {
+	end := &gracefulEnd{signals: []syscall.Signal{syscall.SIGTERM}}
 	for range rng.IntN(maxSignals) {
 		if rng.IntN(2) == 0 {
 			end.signals = append([]syscall.Signal{syscall.SIGHUP}, end.signals...)
@@ -133,7 +133,7 @@
 }
 
 // restart ends a sidecar, as planned or by SIGKILL if end is nil, and starts it again.
-func (f *fleet) restart(ctx context.Context, s *sidecar, end *plannedEnd) {
+func (f *fleet) restart(ctx context.Context, s *sidecar, end *gracefulEnd) {
 	if s.isDown() {
 		return
 	}
@@ -164,7 +164,7 @@
 }
 
 // gracefulRestart tells a process to end, and sends SIGKILL when the protocol's time is over.
-func (f *fleet) gracefulRestart(ctx context.Context, s *sidecar, end *plannedEnd) {
+func (f *fleet) gracefulRestart(ctx context.Context, s *sidecar, end *gracefulEnd) {
 	f.logEvent("%v %s, again after %v", end.signals, s.name, end.repeats)
 	f.ledger.increment("faults: planned end")
 	if end.discoveryDown > 0 {
@@ -210,7 +210,7 @@
 		f.ledger.increment("faults: pause")
 		time.Sleep(pauseDuration)
 		_ = s.process.Signal(syscall.SIGCONT) // it may have been killed meanwhile
-		s.paused(begun, time.Now())
+		s.recordPause(begun, time.Now())
 	})
 }
 
@@ -234,12 +234,12 @@
 	switch {
 	case drained[s.name]:
 		delete(drained, s.name)
-		f.discovery.set(s.name, healthUp)
-		f.ledger.drain(s.name, false)
+		f.discovery.setHealth(s.name, healthUp)
+		f.ledger.recordDrain(s.name, false)
 	case len(drained) < len(f.servers)/drainedFraction:
 		drained[s.name] = true
-		f.ledger.drain(s.name, true)
-		f.discovery.set(s.name, healthDraining)
+		f.ledger.recordDrain(s.name, true)
+		f.discovery.setHealth(s.name, healthDraining)
 	default:
 		return
 	}
--- a/internal/testing/soaktest/ledger.go
+++ b/internal/testing/soaktest/ledger.go
@@ -41,10 +41,10 @@
 	// pauseSlack is how long a process may be paused between reading its clock and writing.
 	pauseSlack = 150 * time.Millisecond
 	// machineSlack is for the clock times that two of the test's goroutines take of one event.
-	machineSlack = 10 * time.Millisecond
+	clockReadSlack = 10 * time.Millisecond
 	// waitSlack is how much longer than it may take a client waits for its response, so that
 	// one that is late is seen as such.
-	waitSlack = 250 * time.Millisecond
+	clientWaitSlack = 250 * time.Millisecond
 	// clientGoneSlack is the protocol's tolerance after a client's close.
 	clientGoneSlack = 100 * time.Millisecond
 	// deadlineSlack is the protocol's tolerance for the deadline header.
@@ -75,7 +75,7 @@
 	complete  time.Time // time of its last byte
 	deadline  time.Duration
 	// readingTook is how long a slow reader took to read what it had got.
-	readingTook time.Duration
+	slowReadTime time.Duration
 	result      attemptResult
 	finished    time.Time
 }
@@ -95,11 +95,11 @@
 	// complete is when its last byte was written; zero: it was not.
 	complete time.Time
 	// clientGone is when the client closed its connection; zero: it did not.
-	clientGone time.Time
+	clientClosed time.Time
 	attempts   []*attempt
 	status     int // of its response; 0: none
 	body       string
-	answered   time.Time
+	respondedAt   time.Time
 	resent     bool // sent again on a new connection, as a close crossed it
 	freshConn  bool // its connection had carried no request before
 	err        error
@@ -131,7 +131,7 @@
 // excused returns how much later than it was an event between two times may have been seen, or
 // caused, through what the test has measured of itself: its own stalls, and the pauses that
 // it gave the sidecar.
-func (l *ledger) excused(s *sidecar, from, until time.Time) time.Duration {
+func (l *ledger) allowedDelay(s *sidecar, from, until time.Time) time.Duration {
 	return l.stalls.Within(from, until) + s.pausedWithin(from, until)
 }
 
@@ -161,7 +161,7 @@
 }
 
 // open adds a new request.
-func (l *ledger) open(r *request) {
+func (l *ledger) addRequest(r *request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.requests[r.id] = r
@@ -175,21 +175,21 @@
 }
 
 // attempt records a complete request at a server; nil: no client sent it.
-func (l *ledger) attempt(id, server string, began time.Time, told, readingTook time.Duration) *attempt {
+func (l *ledger) recordAttempt(id, server string, began time.Time, told, readingTook time.Duration) *attempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.requests[id]
 	if r == nil {
 		return nil
 	}
-	a := &attempt{ledger: l, id: id, server: server, firstByte: began, complete: time.Now(), deadline: told, readingTook: readingTook}
+	a := &attempt{ledger: l, id: id, server: server, firstByte: began, complete: time.Now(), deadline: told, slowReadTime: readingTook}
 	r.attempts = append(r.attempts, a)
 	l.counts["attempts"]++
 	return a
 }
 
 // drain records that discovery lists a server as draining, or no longer does.
-func (l *ledger) drain(server string, drains bool) {
+func (l *ledger) recordDrain(server string, drains bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if drains {
@@ -204,7 +204,7 @@
 }
 
 // discoveryChanged records that discovery cannot be reached any more, or that it can again.
-func (l *ledger) discoveryChanged(down bool) {
+func (l *ledger) recordDiscoveryState(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	last := len(l.outages) - 1
@@ -287,16 +287,16 @@
 func (l *ledger) checkAnswered(r *request) {
 	killed := r.sidecar.killedSince(r.complete)
 	switch {
-	case r.status == 0 && !r.clientGone.IsZero():
+	case r.status == 0 && !r.clientClosed.IsZero():
 		l.counts["clients that left"]++
 	case r.status == 0 && killed:
 		l.counts["requests of a killed sidecar"]++
-	case r.status == 0 && r.sidecar.crowded && r.freshConn && len(r.attempts) == 0:
+	case r.status == 0 && r.sidecar.descriptorsExhausted && r.freshConn && len(r.attempts) == 0:
 		l.counts["new connections shut unread in a crowd"]++ // as the terms of acceptance allow
 	case r.status == 0:
 		l.addViolationLocked(InvariantAnswered, "%s of %s, %v, %d attempts: %v", r.id, r.class, r.behaviour, len(r.attempts), r.err)
-	case r.answered.Sub(r.complete) > r.timeout+answerSlack+l.excused(r.sidecar, r.complete, r.answered):
-		l.addViolationLocked(InvariantAnswered, "%s: its answer took %v of %v", r.id, r.answered.Sub(r.complete), r.timeout)
+	case r.respondedAt.Sub(r.complete) > r.timeout+answerSlack+l.allowedDelay(r.sidecar, r.complete, r.respondedAt):
+		l.addViolationLocked(InvariantAnswered, "%s: its answer took %v of %v", r.id, r.respondedAt.Sub(r.complete), r.timeout)
 	default:
 		l.counts[fmt.Sprint("answers ", r.status)]++
 	}
@@ -317,7 +317,7 @@
 		case i == 0:
 		case r.class == "once":
 			l.addViolationLocked(InvariantNoDuplicate, "%s came %d times to servers", r.id, len(ran))
-		case r.class == "keyed" && a.complete.Sub(ran[0].complete)-a.readingTook > repeatWindow+protocolSlack+l.excused(r.sidecar, ran[0].complete, a.complete):
+		case r.class == "keyed" && a.complete.Sub(ran[0].complete)-a.slowReadTime > repeatWindow+protocolSlack+l.allowedDelay(r.sidecar, ran[0].complete, a.complete):
 			l.addViolationLocked(InvariantNoDuplicate, "%s was repeated %v after its first attempt", r.id, a.complete.Sub(ran[0].complete))
 		}
 	}
@@ -329,26 +329,26 @@
 // checkAttemptTime checks that an attempt arrived while its client waited.
 func (l *ledger) checkAttemptTime(r *request, a *attempt) {
 	if r.complete.IsZero() {
-		if !r.clientGone.IsZero() || r.err != nil {
+		if !r.clientClosed.IsZero() || r.err != nil {
 			return // a failed write may still have been read completely
 		}
 		l.addViolationLocked(InvariantNothingAfterEnd, "%s was forwarded and never whole", r.id)
 		return
 	}
 	over := r.complete.Add(r.timeout + protocolSlack)
-	if gone := r.clientGone.Add(clientGoneSlack); !r.clientGone.IsZero() && gone.Before(over) {
+	if gone := r.clientClosed.Add(clientGoneSlack); !r.clientClosed.IsZero() && gone.Before(over) {
 		over = gone
 	}
-	if answered := r.answered.Add(protocolSlack); !r.answered.IsZero() && answered.Before(over) {
+	if answered := r.respondedAt.Add(protocolSlack); !r.respondedAt.IsZero() && answered.Before(over) {
 		over = answered
 	}
 	// A slow reader has the last byte later than its machine has.
-	if late := a.complete.Sub(over) - a.readingTook; late > machineSlack+l.excused(r.sidecar, r.complete, a.complete) {
+	if late := a.complete.Sub(over) - a.slowReadTime; late > clockReadSlack+l.allowedDelay(r.sidecar, r.complete, a.complete) {
 		l.addViolationLocked(InvariantNothingAfterEnd, "%s of %s, %v, came to %s %v after it had ended (begun %v after it was whole; status %d, %v given, left %v)",
-			r.id, r.class, r.behaviour, a.server, late, a.firstByte.Sub(r.complete), r.status, r.timeout, !r.clientGone.IsZero())
+			r.id, r.class, r.behaviour, a.server, late, a.firstByte.Sub(r.complete), r.status, r.timeout, !r.clientClosed.IsZero())
 	}
 	left := r.timeout - a.firstByte.Sub(r.complete)
-	if more := a.deadline - left; more > deadlineSlack+machineSlack+l.stalls.Within(r.complete, a.firstByte) {
+	if more := a.deadline - left; more > deadlineSlack+clockReadSlack+l.stalls.Within(r.complete, a.firstByte) {
 		l.addViolationLocked(InvariantDeadlineHeader, "%s: %s was told %v, the client has %v left", r.id, a.server, a.deadline, left)
 	}
 }
@@ -359,13 +359,13 @@
 		if d.server != a.server || !d.until.IsZero() && a.firstByte.After(d.until) {
 			continue
 		}
-		since, reached := l.reachableSince(d.from, r.sidecar.startedBefore(a.firstByte), a.firstByte)
+		since, reached := l.reachableSince(d.from, r.sidecar.lastStartBefore(a.firstByte), a.firstByte)
 		if !reached {
 			l.counts["attempts at draining servers that the process could not know of"]++
 			continue
 		}
 		told := since.Add(notificationDeadline)
-		if late := a.firstByte.Sub(told.Add(drainGrace)); late > machineSlack+l.stalls.Within(told, a.firstByte) {
+		if late := a.firstByte.Sub(told.Add(drainGrace)); late > clockReadSlack+l.stalls.Within(told, a.firstByte) {
 			l.addViolationLocked(InvariantDrain, "%s came to %s %v after the grace", a.id, a.server, late)
 		}
 	}
--- a/internal/testing/soaktest/server.go
+++ b/internal/testing/soaktest/server.go
@@ -30,7 +30,7 @@
 	// modeReset: resets connections under requests, before or in the middle of the response.
 	modeReset
 	// modeRefuse: rejects requests, or fails them.
-	modeRefuse
+	modeReject
 	// modeClose: closes connections shortly after a response.
 	modeClose
 	// modeSlowRead: reads in pieces, with pauses.
@@ -44,9 +44,9 @@
 
 // A slow reader reads a piece at a time, out of a buffer that holds little more.
 const (
-	slowPiece  = 4 << 10
-	slowPause  = 60 * time.Millisecond
-	readBuffer = 4 << 10
+	slowReadChunk  = 4 << 10
+	slowReadPause  = 60 * time.Millisecond
+	receiveBufferSize = 4 << 10
 )
 
 // server is a booking server that writes raw responses and records when each request arrived.
@@ -65,7 +65,7 @@
 }
 
 func startServer(name string, l *ledger, rng *rand.Rand) (*server, error) {
-	listen := net.ListenConfig{Control: smallBuffers}
+	listen := net.ListenConfig{Control: setSmallReceiveBuffer}
 	ln, err := listen.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("booking server %s: %w", name, err)
@@ -76,10 +76,10 @@
 }
 
 // smallBuffers bounds what the kernel buffers for a server; connections inherit it.
-func smallBuffers(_, _ string, raw syscall.RawConn) error {
+func setSmallReceiveBuffer(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, readBuffer)
+		failed = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, receiveBufferSize)
 	})
 	return errors.Join(err, failed)
 }
@@ -147,7 +147,7 @@
 			return
 		}
 		told, _ := strconv.ParseFloat(q.Header.Get("Request-Timeout"), 64)
-		a := s.ledger.attempt(q.Header.Get("Request-Id"), s.name, first, time.Duration(told*float64(time.Second)), slowly)
+		a := s.ledger.recordAttempt(q.Header.Get("Request-Id"), s.name, first, time.Duration(told*float64(time.Second)), slowly)
 		if a == nil {
 			io.WriteString(c, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
 			continue
@@ -169,14 +169,14 @@
 		return 0, err == nil
 	}
 	for {
-		switch _, err := io.CopyN(io.Discard, body, slowPiece); {
+		switch _, err := io.CopyN(io.Discard, body, slowReadChunk); {
 		case errors.Is(err, io.EOF):
 			return paused, true
 		case err != nil:
 			return paused, false
 		}
 		begun := time.Now()
-		time.Sleep(slowPause)
+		time.Sleep(slowReadPause)
 		paused += time.Since(begun)
 	}
 }
@@ -202,11 +202,11 @@
 		c.(*net.TCPConn).SetLinger(0)
 		a.end(mayHaveRun)
 		return false
-	case m == modeRefuse && coin < 2:
+	case m == modeReject && coin < 2:
 		a.end(neverRan)
 		_, err := io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
-	case m == modeRefuse && coin == 2:
+	case m == modeReject && coin == 2:
 		a.end(mayHaveRun)
 		_, err := io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
--- a/internal/testing/soaktest/sidecar.go
+++ b/internal/testing/soaktest/sidecar.go
@@ -25,7 +25,7 @@
 type sidecar struct {
 	name, addr, config string
 	process            *faultinjection.Process
-	crowded            bool // idle clients fill its descriptors
+	descriptorsExhausted            bool // idle clients fill its descriptors
 
 	mu       sync.Mutex
 	killedAt time.Time // the last SIGKILL without a graceful end; zero: none
@@ -121,7 +121,7 @@
 }
 
 // paused records that the process was stopped for a moment.
-func (s *sidecar) paused(from, until time.Time) {
+func (s *sidecar) recordPause(from, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pauses = append(s.pauses, wait.Stall{From: from, Until: until})
@@ -146,7 +146,7 @@
 }
 
 // startedBefore returns when the process that ran at a time was started.
-func (s *sidecar) startedBefore(at time.Time) (started time.Time) {
+func (s *sidecar) lastStartBefore(at time.Time) (started time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, start := range s.starts {
--- a/internal/testing/soaktest/soaktest.go
+++ b/internal/testing/soaktest/soaktest.go
@@ -112,7 +112,7 @@
 		return nil, err
 	}
 	f.ledger.stalls = wait.WatchStalls()
-	f.sendAndInject(ctx)
+	f.runClientsAndFaults(ctx)
 	f.ledger.stalls.Stop()
 	f.ledger.check(f.sidecarLogs())
 	return f.report(f.ledger.stalls.Longest()), ctx.Err()
@@ -121,7 +121,7 @@
 // start starts servers, discovery and sidecars, and waits until all are ready.
 func (f *fleet) start(ctx context.Context) error {
 	for i := range f.Servers {
-		s, err := startServer(fmt.Sprint("s-", i), f.ledger, f.random("server", i))
+		s, err := startServer(fmt.Sprint("s-", i), f.ledger, f.newRand("server", i))
 		if err != nil {
 			return err
 		}
@@ -152,21 +152,21 @@
 }
 
 // sendAndInject runs clients while faults are injected, and returns when the last request has ended.
-func (f *fleet) sendAndInject(ctx context.Context) {
+func (f *fleet) runClientsAndFaults(ctx context.Context) {
 	asking, stop := context.WithCancel(ctx)
 	defer stop()
 	for i, s := range f.sidecars {
 		for j := range f.Clients {
-			c := &client{sidecar: s, ledger: f.ledger, rng: f.random("client", i*maxClients+j), name: fmt.Sprintf("%s-%d", s.name, j)}
+			c := &client{sidecar: s, ledger: f.ledger, rng: f.newRand("client", i*maxClients+j), name: fmt.Sprintf("%s-%d", s.name, j)}
 			f.clientTasks.Go(func() { c.run(asking) })
 		}
 	}
-	if f.hasCrowd() {
+	if f.hasIdleClients() {
 		f.ledger.increment("runs with a crowd")
 		for i, s := range f.sidecars {
-			if i%crowdedFraction == 0 {
-				s.crowded = true
-				f.clientTasks.Go(func() { f.crowd(asking, s) })
+			if i%idleClientsSidecarInterval == 0 {
+				s.descriptorsExhausted = true
+				f.clientTasks.Go(func() { f.runIdleClients(asking, s) })
 			}
 		}
 	}
@@ -174,11 +174,11 @@
 	f.activeFaults.Wait()
 	stop()
 	f.clientTasks.Wait()
-	f.endAll()
+	f.stopAll()
 }
 
 // endAll ends every sidecar by SIGTERM; one that does not end by itself violates an invariant.
-func (f *fleet) endAll() {
+func (f *fleet) stopAll() {
 	var ending sync.WaitGroup
 	for _, s := range f.sidecars {
 		ending.Go(func() {
@@ -197,7 +197,7 @@
 }
 
 // random returns an independent source of randomness for each part of the run.
-func (f *fleet) random(part string, index int) *rand.Rand {
+func (f *fleet) newRand(part string, index int) *rand.Rand {
 	stream := uint64(index)
 	for _, b := range []byte(part) {
 		stream = stream*257 + uint64(b)<<16
@@ -252,7 +252,7 @@
 	}
 	s := &sidecar{name: fmt.Sprint("n", index), addr: address}
 	s.config = filepath.Join(f.dir, s.name+".json")
-	if err := s.writeConfig(f.Seed+uint64(index), f.Sidecars, f.discovery.addresses[0], f.discovery.stale); err != nil {
+	if err := s.writeConfig(f.Seed+uint64(index), f.Sidecars, f.discovery.addresses[0], f.discovery.staleAddr); err != nil {
 		return nil, err
 	}
 	s.process = &faultinjection.Process{Name: s.name, NewCommand: func() *exec.Cmd { return f.Command(s.config) }}
--- a/internal/testing/soaktest/soaktest_test.go
+++ b/internal/testing/soaktest/soaktest_test.go
@@ -16,10 +16,10 @@
 )
 
 // roleVariable makes the test binary act as a sidecar process.
-const roleVariable = "SOAK_ROLE"
+const roleEnvVariable = "SOAK_ROLE"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(roleVariable) == "" {
+	if os.Getenv(roleEnvVariable) == "" {
 		os.Exit(m.Run())
 	}
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil)))
@@ -39,7 +39,7 @@
 // testBinary returns a command that starts this test binary as a sidecar.
 func testBinary(config string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), roleVariable+"=sidecar", "ROUTER_CONFIG="+config)
+	cmd.Env = append(os.Environ(), roleEnvVariable+"=sidecar", "ROUTER_CONFIG="+config)
 	return cmd
 }
 
