--- a/internal/testing/linearizability/linearizability_test.go
+++ b/internal/testing/linearizability/linearizability_test.go
@@ -36,7 +36,8 @@
 	}
 }
 
-// Operations are grouped by record. Those that tell nothing are left out.
+// Operations are grouped by record. Incomplete reads, and incomplete writes whose value was not read, are
+// left out.
 func TestGroupByKey(t *testing.T) {
 	histories := GroupByKey([]Operation{
 		write("a", 1, 2, true),
--- a/internal/testing/loadgen/client.go
+++ b/internal/testing/loadgen/client.go
@@ -1,6 +1,6 @@
-// Package loadgen is the client's side of the protocol: it sends requests to sidecars,
-// one at a time or as an open-loop load whose latencies count from when each
-// request was due, not from when there was time to send it.
+// Package loadgen implements the client side of the protocol. It sends single requests to sidecars, or
+// generates an open-loop load, whose latencies are measured from the time at which each request was due,
+// not from the time at which it was sent.
 package loadgen
 
 import (
@@ -18,7 +18,7 @@
 	"time"
 )
 
-// Idempotency says what repeating a request may do; it determines the HTTP method.
+// Idempotency is whether a request may be repeated. It determines the HTTP method.
 type Idempotency string
 
 // Kinds of idempotency.
@@ -28,7 +28,7 @@
 	NonIdempotent   Idempotency = "unsafe"
 )
 
-// Request is one attempt of a client.
+// Request is one request of a client.
 type Request struct {
 	ID          string
 	Class       string
@@ -36,11 +36,11 @@
 	Tenant      string        // empty: none
 	AffinityKey string        // empty: none
 	Timeout     time.Duration // how long the client waits
-	WorkHint    time.Duration // estimate of its work; 0: none
+	WorkHint    time.Duration // estimated work of the request; 0: none
 	Body        []byte
 }
 
-// Outcome is the outcome of an attempt.
+// Outcome is the outcome of a request.
 type Outcome int
 
 // Outcomes.
@@ -53,33 +53,33 @@
 
 func (o Outcome) String() string { return [...]string{"served", "refused", "failed", "lost"}[o] }
 
-// Response is the outcome of an attempt with the response's contents.
+// Response is the outcome of a request with the contents of the response.
 type Response struct {
 	Outcome    Outcome
 	Status     int
-	RetryAfter time.Duration // Retry-After
+	RetryAfter time.Duration // from the header Retry-After
 	Body       []byte
-	Err        error // why the response was lost
+	Err        error // why there is no complete response
 }
 
 const (
 	// maxBody is the protocol's limit.
 	maxBody = 64 << 10
-	// idleTimeout is shorter than a sidecar keeps an idle connection, so that
-	// closes rarely cross a request.
+	// idleTimeout is shorter than a sidecar's timeout for idle connections, so that a close by the sidecar
+	// rarely crosses a request.
 	idleTimeout = 1500 * time.Millisecond
-	// connectTimeout bounds the handshake.
+	// connectTimeout bounds the opening of a connection.
 	connectTimeout = 2 * time.Second
 )
 
-// Client sends requests to one sidecar. It may be used concurrently; connections are reused and
-// more are opened when all are busy, up to the limit.
+// Client sends requests to one sidecar. It may be used concurrently. It reuses connections and opens
+// more when all are busy, up to its limit.
 type Client struct {
 	url       string
 	transport *http.Transport
 }
 
-// NewClient makes a client of the sidecar at an address with a limit of connections.
+// NewClient returns a client of the sidecar at addr, with a limit on its connections.
 func NewClient(addr string, limit int) *Client {
 	return &Client{
 		url: "http://" + addr + "/api",
@@ -95,24 +95,24 @@
 // Close closes the idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// Do sends a request and waits for its response until ctx ends. A request on a reused connection
-// that turns out to be closed is sent once more on a new one, as the protocol says.
-// written is called at least once when the request may have been written completely; it may be nil.
+// Do sends a request and waits for its response until ctx ends. If a reused connection turns out to be
+// closed, the request is sent once more on a new one, as the protocol requires. written is called, maybe
+// more than once, when the request may have been written completely; it may be nil.
 func (c *Client) Do(ctx context.Context, a Request, written func()) Response {
-	out, again := c.attempt(ctx, a, written)
-	if again && ctx.Err() == nil {
+	out, resend := c.attempt(ctx, a, written)
+	if resend && ctx.Err() == nil {
 		c.transport.CloseIdleConnections()
 		out, _ = c.attempt(ctx, a, written)
 	}
 	return out
 }
 
-// attempt sends a request once and reports whether it may be sent once more.
-func (c *Client) attempt(ctx context.Context, a Request, written func()) (out Response, again bool) {
-	var reused, answered atomic.Bool
+// attempt sends a request once and reports whether it may be resent.
+func (c *Client) attempt(ctx context.Context, a Request, written func()) (out Response, resend bool) {
+	var reused, responded atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn:              func(i httptrace.GotConnInfo) { reused.Store(i.Reused) },
-		GotFirstResponseByte: func() { answered.Store(true) },
+		GotFirstResponseByte: func() { responded.Store(true) },
 		WroteRequest: func(httptrace.WroteRequestInfo) {
 			if written != nil {
 				written()
@@ -125,15 +125,15 @@
 	}
 	resp, err := c.transport.RoundTrip(q)
 	if err != nil {
-		return Response{Outcome: Lost, Err: err}, reused.Load() && !answered.Load()
+		return Response{Outcome: Lost, Err: err}, reused.Load() && !responded.Load()
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBody+1))
 	switch {
 	case err != nil:
-		return Response{Outcome: Lost, Status: resp.StatusCode, Err: fmt.Errorf("read answer: %w", err)}, false
+		return Response{Outcome: Lost, Status: resp.StatusCode, Err: fmt.Errorf("read response body: %w", err)}, false
 	case len(body) > maxBody:
-		return Response{Outcome: Lost, Status: resp.StatusCode, Err: errors.New("the answer is longer than the protocol allows")}, false
+		return Response{Outcome: Lost, Status: resp.StatusCode, Err: errors.New("the response body is longer than the protocol allows")}, false
 	}
 	out = Response{Status: resp.StatusCode, Body: body}
 	switch resp.StatusCode {
@@ -181,7 +181,7 @@
 // maxRetryAfter bounds the Retry-After that is accepted.
 const maxRetryAfter = time.Hour
 
-// parseRetryAfter reads a Retry-After in seconds; 0 where it is missing or malformed.
+// parseRetryAfter parses a Retry-After in seconds. It returns 0 if the value is missing or malformed.
 func parseRetryAfter(text string) time.Duration {
 	s, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || !(s > 0) {
--- a/internal/testing/loadgen/closedbypeer.go
+++ b/internal/testing/loadgen/closedbypeer.go
@@ -12,11 +12,11 @@
 	if err != nil {
 		return true
 	}
-	over := false
+	closed := false
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		over = n == 0 && err == nil || err != nil && err != unix.EAGAIN
+		closed = n == 0 && err == nil || err != nil && err != unix.EAGAIN
 	})
-	return over || err != nil
+	return closed || err != nil
 }
--- a/internal/testing/loadgen/load.go
+++ b/internal/testing/loadgen/load.go
@@ -17,7 +17,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Class is one class of requests of a load.
+// Class is a class of requests and its share of the load.
 type Class struct {
 	Name        string
 	Idempotency Idempotency
@@ -27,16 +27,16 @@
 // Plan describes a load.
 type Plan struct {
 	Targets  []string        // sidecars; requests go to them in turn
-	Rate     float64         // requests a second over all of them
+	Rate     float64         // requests per second, of all targets together
 	Arrivals string          // "poisson", "constant" or "recorded"
-	Recorded []time.Duration // times of the requests, with "recorded"
+	Recorded []time.Duration // times of the requests if Arrivals is "recorded"
 	Length   time.Duration
 	Timeout  time.Duration // how long a client waits
 	Classes  []Class
 	Tenants  []string
-	Keys     int // number of different affinity keys; 0: none
-	Body     int // size in bytes, where the method has a body
-	MaxOpen  int // open requests at once; a request that is due beyond that is not sent and counts as unsent
+	Keys     int // number of distinct affinity keys; 0: none
+	Body     int // size in bytes of the bodies of requests that have one
+	MaxOpen  int // bound on concurrent requests; a request that is due when it is reached counts as unsent
 	Seed     uint64
 }
 
@@ -53,56 +53,56 @@
 		return err
 	}
 	if len(p.Targets) == 0 {
-		return errors.New("targets: at least one address is needed")
+		return errors.New("targets: got none, want at least one address")
 	}
 	if err := p.checkArrivals(); err != nil {
 		return err
 	}
 	switch {
 	case p.Length <= 0 || p.Length > maxLength:
-		return fmt.Errorf("length is %v, it must be above 0 and at most %v", p.Length, maxLength)
+		return fmt.Errorf("length is %v, want more than 0 and at most %v", p.Length, maxLength)
 	case p.Timeout <= 0 || p.Timeout > time.Hour:
-		return fmt.Errorf("timeout is %v, it must be above 0 and at most an hour", p.Timeout)
+		return fmt.Errorf("timeout is %v, want more than 0 and at most an hour", p.Timeout)
 	case p.Keys < 0 || p.Body < 0 || p.Body > maxBody:
-		return fmt.Errorf("keys is %d and body %d; keys must not be negative, a body has at most %d bytes", p.Keys, p.Body, maxBody)
+		return fmt.Errorf("keys is %d and body is %d bytes; want keys of 0 or more, and a body of 0 to %d bytes", p.Keys, p.Body, maxBody)
 	case p.MaxOpen < 1 || p.MaxOpen > maxOpen:
-		return fmt.Errorf("open is %d, it must lie between 1 and %d", p.MaxOpen, maxOpen)
+		return fmt.Errorf("open is %d, want 1 to %d", p.MaxOpen, maxOpen)
 	}
 	return nil
 }
 
-// checkClasses checks each class and that their shares add up to something.
+// checkClasses checks each class, and that the sum of the shares is positive and finite.
 func (p *Plan) checkClasses() error {
 	shares := 0.0
 	for _, c := range p.Classes {
 		if c.Name == "" || !(c.Share >= 0) {
-			return fmt.Errorf("class %q: a name and a share of 0 or more are needed", c.Name)
+			return fmt.Errorf("class %q: want a name and a share of 0 or more", c.Name)
 		}
 		if c.Idempotency != Idempotent && c.Idempotency != IdempotentByKey && c.Idempotency != NonIdempotent {
-			return fmt.Errorf("class %q: effect is %q; there are safe, keyed and unsafe", c.Name, c.Idempotency)
+			return fmt.Errorf("class %q: effect is %q, want safe, keyed or unsafe", c.Name, c.Idempotency)
 		}
 		shares += c.Share
 	}
 	if !(shares > 0) || math.IsInf(shares, 0) {
-		return errors.New("classes: the shares add up to nothing")
+		return errors.New("classes: the sum of the shares is not positive and finite")
 	}
 	return nil
 }
 
-// checkArrivals checks how the times of the requests are drawn.
+// checkArrivals checks the settings of the arrival times.
 func (p *Plan) checkArrivals() error {
 	switch {
 	case p.Arrivals != "poisson" && p.Arrivals != "constant" && p.Arrivals != "recorded":
-		return fmt.Errorf("arrivals: %q; there are poisson, constant and recorded", p.Arrivals)
+		return fmt.Errorf("arrivals: got %q, want poisson, constant or recorded", p.Arrivals)
 	case p.Arrivals == "recorded" && len(p.Recorded) == 0:
-		return errors.New("arrivals: nothing is recorded")
+		return errors.New("arrivals: recorded, but the list of recorded times is empty")
 	case p.Arrivals != "recorded" && !(p.Rate > 0 && p.Rate <= maxRate):
-		return fmt.Errorf("rate is %g, it must be above 0 and at most %g a second", p.Rate, maxRate)
+		return fmt.Errorf("rate is %g, want more than 0 and at most %g per second", p.Rate, maxRate)
 	}
 	return nil
 }
 
-// ReadArrivals reads recorded arrivals: a time in seconds on each line, in order.
+// ReadArrivals reads recorded arrivals: one time in seconds per line, in ascending order.
 func ReadArrivals(r io.Reader) (times []time.Duration, err error) {
 	lines := bufio.NewScanner(io.LimitReader(r, 1<<30))
 	last := 0.0
@@ -113,7 +113,7 @@
 		}
 		s, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(s >= last && s <= maxLength.Seconds()) {
-			return nil, fmt.Errorf("line %d: %.40q is no time in seconds that is not before the one above", n, text)
+			return nil, fmt.Errorf("line %d: got %.40q, want a time in seconds that is not before the previous one", n, text)
 		}
 		last = s
 		times = append(times, time.Duration(s*float64(time.Second)))
@@ -126,17 +126,17 @@
 	Partial  bool           `json:"partial,omitempty"`
 	LengthS  float64        `json:"length_s"`
 	Due      int            `json:"due"`
-	Unsent   int            `json:"unsent"` // not sent because too many were open
+	Unsent   int            `json:"unsent"` // not sent as MaxOpen requests were open
 	Outcomes map[string]int `json:"outcomes"`
 	RateS    float64        `json:"served_per_s"`
 	MaxOpen  int            `json:"max_open"`
 	Served   Latency        `json:"served"`
 	Refused  Latency        `json:"refused"`
-	LagMS    float64        `json:"send_lag_p99_ms"`  // how late requests were sent
-	Errors   []string       `json:"errors,omitempty"` // the first ones
+	LagMS    float64        `json:"send_lag_p99_ms"`  // delay between due and sent
+	Errors   []string       `json:"errors,omitempty"` // the first maxErrors of them
 }
 
-// Latency holds percentiles in milliseconds, from when each request was due.
+// Latency has the percentiles, in milliseconds, of latencies measured from when each request was due.
 type Latency struct {
 	Count int64   `json:"Count"`
 	P50   float64 `json:"P50"`
@@ -154,12 +154,12 @@
 
 const (
 	maxErrors = 5
-	// lateGrace is how long past its timeout a response is still waited for: one that
-	// arrives then is late, and none at all is lost.
+	// lateGrace is how long past its timeout a client still waits for a response: one that arrives then
+	// is late, otherwise it is lost.
 	lateGrace = 500 * time.Millisecond
 )
 
-// run is a load under way.
+// run is a load in progress.
 type run struct {
 	plan    *Plan
 	clients []*Client
@@ -172,8 +172,8 @@
 	lag             *hdrhistogram.Histogram
 }
 
-// Run generates a load until its end, or until ctx ends; open requests are still
-// waited for then. progress is called once a second; it may be nil.
+// Run generates a load until its length has passed or ctx ends, and then waits for open requests.
+// progress is called once a second; it may be nil.
 func Run(ctx context.Context, p *Plan, progress func(Result)) (*Result, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
@@ -190,21 +190,21 @@
 	}
 	var tasks sync.WaitGroup
 	if progress != nil {
-		ticking, stop := context.WithCancel(context.Background())
+		progressCtx, stop := context.WithCancel(context.Background())
 		var ticker sync.WaitGroup
-		ticker.Go(func() { r.reportProgress(ticking, progress) })
+		ticker.Go(func() { r.reportProgress(progressCtx, progress) })
 		defer ticker.Wait()
 		defer stop()
 	}
-	all := r.send(ctx, &tasks)
+	allSent := r.send(ctx, &tasks)
 	tasks.Wait()
 	out := r.result()
-	out.Partial = !all
+	out.Partial = !allSent
 	return &out, nil
 }
 
-// send starts each request when it is due and reports whether
-// all were started. It never waits for a response: that makes the load an open one.
+// send starts each request when it is due, and reports whether all were started. It never waits for a
+// response, so the load is an open loop.
 func (r *run) send(ctx context.Context, tasks *sync.WaitGroup) bool {
 	p := r.plan
 	rng := rand.New(rand.NewPCG(p.Seed, 1))
@@ -247,7 +247,8 @@
 	}
 }
 
-// dueTime returns when the nth request is due, after the one before; false where there is none.
+// dueTime returns when request n, counted from 0, is due. last is when the request before it was due. The
+// result is false if there is no such request.
 func (p *Plan) dueTime(n int, last time.Duration, rng *rand.Rand) (time.Duration, bool) {
 	switch p.Arrivals {
 	case "recorded":
@@ -279,7 +280,7 @@
 // sendOne sends one request and records its outcome.
 func (r *run) sendOne(c *Client, a Request, due time.Duration) {
 	late := time.Since(r.started) - due
-	// Not the caller's context: requests that were sent are waited for.
+	// Not the caller's context: Run waits for all requests that were sent.
 	ctx, cancel := context.WithTimeout(context.Background(), a.Timeout+lateGrace)
 	defer cancel()
 	got := c.Do(ctx, a, nil)
@@ -304,7 +305,7 @@
 	}
 }
 
-// result returns the result so far.
+// result returns a snapshot of the result.
 func (r *run) result() Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testing/loadgen/load_test.go
+++ b/internal/testing/loadgen/load_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// target acts as a sidecar.
+// target starts a simulated sidecar and returns its address.
 func target(t *testing.T, h http.HandlerFunc) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,38 +48,38 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if q.Method != want.method || keyed != want.keyed || len(body) != want.body || h.Get("Request-Timeout") != "2.000" || h.Get("Tenant") != "acme" || h.Get("Affinity-Key") == "" || ids[h.Get("Request-Id")] {
-			t.Errorf("%s %v, %d bytes", q.Method, h, len(body))
+			t.Errorf("unexpected request: %s %v, %d bytes", q.Method, h, len(body))
 		}
 		ids[h.Get("Request-Id")] = true
 		classes[class]++
 	})
 	r, err := Run(t.Context(), plan(addr), nil)
 	if err != nil || r.Due != 100 || r.Outcomes["served"] != 100 || r.Unsent != 0 || r.Partial || r.Served.Count != 100 {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("got %+v, %v, want 100 requests due and served", r, err)
 	}
 	if len(classes) != 3 || len(ids) != 100 {
-		t.Errorf("%v, %d ids", classes, len(ids))
+		t.Errorf("got classes %v and %d ids, want 3 classes and 100 ids", classes, len(ids))
 	}
 }
 
-// While a target stalls, requests that become due wait too, and their wait counts: a
-// closed-loop load would measure a single slow request.
+// While a target stalls, requests that become due have to wait too, and their wait is part of their latency.
+// A closed-loop load would only measure a single slow request.
 func TestLatencyCountsFromWhenARequestWasDue(t *testing.T) {
 	var once sync.Once
-	still := make(chan struct{})
+	stalled := make(chan struct{})
 	addr := target(t, func(http.ResponseWriter, *http.Request) {
-		once.Do(func() { time.AfterFunc(400*time.Millisecond, func() { close(still) }) })
-		<-still
+		once.Do(func() { time.AfterFunc(400*time.Millisecond, func() { close(stalled) }) })
+		<-stalled
 	})
 	p := plan(addr)
 	p.Length = 350 * time.Millisecond
 	r, err := Run(t.Context(), p, nil)
 	if err != nil || r.Outcomes["served"] != r.Due || r.Due != 70 {
-		t.Fatalf("%+v, %v", r, err)
+		t.Fatalf("got %+v, %v, want 70 requests due and served", r, err)
 	}
 	// Due at a constant rate over 350 ms and served at 400 ms or later: half waited 225 ms or more.
 	if r.Served.P50 < 200 || r.Served.Max < 390 {
-		t.Errorf("half within %v ms, all within %v", r.Served.P50, r.Served.Max)
+		t.Errorf("got a median of %v ms and a maximum of %v ms, want at least 200 and 390", r.Served.P50, r.Served.Max)
 	}
 }
 
@@ -103,16 +103,16 @@
 	})
 	r, err := Run(t.Context(), plan(addr), nil)
 	if err != nil || r.Outcomes["refused"] != 40 || r.Outcomes["failed"] != 20 || r.Outcomes["lost"] != 20 || r.Outcomes["served"] != 20 || len(r.Errors) != maxErrors {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("got %+v, %v, want 40 refused, 20 failed, 20 lost and 20 served", r, err)
 	}
 	for text, want := range map[string]time.Duration{"0.25": 250 * time.Millisecond, "2": 2 * time.Second, "": 0, "soon": 0, "-1": 0, "NaN": 0, "1e300": maxRetryAfter} {
 		if got := parseRetryAfter(text); got != want {
-			t.Errorf("Retry-After %q: %v, want %v", text, got, want)
+			t.Errorf("Retry-After %q: got %v, want %v", text, got, want)
 		}
 	}
 }
 
-// Open requests are bounded, and the unsent ones are counted.
+// The number of open requests is bounded, and requests that are not sent for this reason are counted.
 func TestOpenRequestsAreBounded(t *testing.T) {
 	release := make(chan struct{})
 	addr := target(t, func(http.ResponseWriter, *http.Request) { <-release })
@@ -128,11 +128,11 @@
 		done <- r
 	}()
 	if r := <-seen; r.Due != 100 || r.Unsent != 93 {
-		t.Errorf("under way: %+v", r)
+		t.Errorf("progress: got %+v, want 100 requests due and 93 unsent", r)
 	}
 	close(release)
 	if r := <-done; r.MaxOpen != 7 || r.Outcomes["served"] != 7 || r.Unsent != 93 {
-		t.Errorf("%+v", r)
+		t.Errorf("result: got %+v, want 7 requests served and 93 unsent", r)
 	}
 }
 
@@ -148,28 +148,28 @@
 	p.Length = time.Hour
 	r, err := Run(ctx, p, nil)
 	if err != nil || !r.Partial || r.Due < 20 || r.Outcomes["served"] != r.Due {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("got %+v, %v, want a partial load of at least 20 requests, all served", r, err)
 	}
 }
 
 func TestRecordedArrivals(t *testing.T) {
 	times, err := ReadArrivals(strings.NewReader("0\n0.01\n\n0.01\n0.02\n"))
 	if err != nil || len(times) != 4 || times[3] != 20*time.Millisecond {
-		t.Fatalf("%v, %v", times, err)
+		t.Fatalf("got %v, %v, want 4 times, the last of 20ms", times, err)
 	}
 	p := plan(target(t, func(http.ResponseWriter, *http.Request) {}))
 	p.Arrivals, p.Recorded = "recorded", times
 	if r, err := Run(t.Context(), p, nil); err != nil || r.Due != 4 {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("got %+v, %v, want 4 requests due", r, err)
 	}
 	for _, text := range []string{"1\n0.5\n", "soon\n", "-1\n", "NaN\n", "1e9\n"} {
 		if _, err := ReadArrivals(strings.NewReader(text)); err == nil || !strings.Contains(err.Error(), "line ") {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: got the error %v, want one with the line number", text, err)
 		}
 	}
 }
 
-func TestInvalidPlansAreRefused(t *testing.T) {
+func TestInvalidPlansAreAnError(t *testing.T) {
 	for want, change := range map[string]func(*Plan){
 		"targets":  func(p *Plan) { p.Targets = nil },
 		"rate":     func(p *Plan) { p.Rate = -1 },
@@ -185,7 +185,7 @@
 		p := plan("127.0.0.1:1")
 		change(p)
 		if _, err := Run(t.Context(), p, nil); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+			t.Errorf("invalid %s: got the error %v, want one that names it", want, err)
 		}
 	}
 }
--- a/internal/testing/loopback/loopback.go
+++ b/internal/testing/loopback/loopback.go
@@ -1,4 +1,4 @@
-// Package loopback picks addresses for processes that a test starts.
+// Package loopback picks listen addresses for processes that a test starts.
 package loopback
 
 import (
@@ -10,24 +10,25 @@
 	"syscall"
 )
 
-// hostsPerByte is how many values of one byte of a loopback address are used.
+// hostsPerByte is how many values are used of each variable byte of a loopback address.
 const hostsPerByte = 250
 
-// picked counts the addresses that were picked.
+// pickedAddrs counts the addresses that were picked.
 var pickedAddrs atomic.Int64
 
-// checkSystem has package os find out what the system can do, for which it forks once without
+// probeOSSupport makes package os probe what the kernel supports. The probe forks once without holding
 // ForkLock.
 var probeOSSupport = sync.OnceFunc(func() {
 	if self, err := os.FindProcess(os.Getpid()); err == nil {
-		_ = self.Release() // it was found for the check alone
+		_ = self.Release() // the process was looked up only for the probe
 	}
 })
 
-// FreeAddr returns an address on which nothing listens. Its host is of its own among those of
-// the loopback, so no port that the system gives a connection or another listener meanwhile is
-// in its way, as little as when a process starts again there. No process is started while it
-// listens: between fork and exec that one would listen, too, and go on when this one has ended.
+// FreeAddr returns an address on which nothing listens. Each call uses a loopback host of its own, so
+// no ephemeral port that the kernel assigns later to a connection or to another listener can conflict
+// with it, nor when a process is restarted on the address. FreeAddr listens for a moment and holds
+// ForkLock meanwhile: a process that was forked then would inherit the listener until its exec, and
+// keep the address in use after FreeAddr has closed it.
 func FreeAddr() (string, error) {
 	probeOSSupport()
 	syscall.ForkLock.RLock()
@@ -36,7 +37,7 @@
 	host := fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%hostsPerByte, 1+n/hostsPerByte, 1+n%hostsPerByte)
 	ln, err := net.Listen("tcp", host+":0")
 	if err != nil {
-		return "", fmt.Errorf("pick an address: %w", err)
+		return "", fmt.Errorf("pick a loopback address: %w", err)
 	}
 	return ln.Addr().String(), ln.Close()
 }
--- a/internal/testing/loopback/loopback_test.go
+++ b/internal/testing/loopback/loopback_test.go
@@ -8,12 +8,10 @@
 	"testing"
 )
 
-// What happens: a process of a test cannot listen at the address that was picked for it,
-// `bind: address already in use`, and the test waits for it in vain. Why: the address was picked
-// by listening on it for a moment, while another process was being started. Between fork and
-// exec that one has all descriptors of the test, the listener too, and beside load it takes a
-// while to come to exec. Forced: processes are started all the while, and each address that is
-// picked is listened on at once.
+// Guards against a process that cannot listen on the address picked for it (`bind: address already in use`),
+// so that its test times out. FreeAddr listens on the address for a moment. A process that is forked at
+// that time inherits the listener until its exec, which takes longer under load. The test starts processes
+// all the time, and listens on each address as soon as it was picked.
 func TestPickedAddressIsFree(t *testing.T) {
 	const addresses, starters = 2000, 4
 	ctx, cancel := context.WithCancel(t.Context())
@@ -44,6 +42,6 @@
 		ln.Close()
 	}
 	if taken > 0 {
-		t.Errorf("%d of %d addresses could not be listened on", taken, addresses)
+		t.Errorf("%d of %d picked addresses were in use, want none", taken, addresses)
 	}
 }
--- a/internal/testing/soaktest/client.go
+++ b/internal/testing/soaktest/client.go
@@ -18,23 +18,23 @@
 	"barleywick/internal/testing/loadgen"
 )
 
-// behaviour is how a client sends one request.
+// behaviour is the way in which a client sends one request.
 type behaviour int
 
 const (
-	// plain: on the open connection, at once.
+	// plain: sends at once on the open connection.
 	plain behaviour = iota
-	// silentFirst: on a new connection, after a silence.
+	// delayedFirst: opens a new connection and pauses before the request.
 	delayedFirst
-	// slowly: in pieces, with pauses.
+	// sendSlowly: sends the request in pieces, with pauses.
 	sendSlowly
-	// leaves: closes its connection before the response.
+	// disconnectEarly: closes its connection before the response.
 	disconnectEarly
-	// stops: sends a part and keeps the connection.
+	// stopMidRequest: sends a part of the request and keeps the connection open.
 	stopMidRequest
-	// halfCloses: closes its side after the request and waits for the response.
+	// halfClose: closes its side of the connection after the request and waits for the response.
 	halfClose
-	// rests: leaves its connection idle for long before the request.
+	// idleFirst: keeps its connection idle for a long time before the request.
 	idleFirst
 )
 
@@ -44,32 +44,32 @@
 
 // Timing of clients.
 const (
-	connectTimeout = 2 * time.Second
-	incompleteRequestTimeout = 3 * time.Second // until a client that stopped midway is owed an end
-	maxIdleTime     = 1700 * time.Millisecond
-	maxWritePause       = 350 * time.Millisecond
-	maxThinkTime   = 60 * time.Millisecond
-	minTimeout     = 200 * time.Millisecond
+	connectTimeout           = 2 * time.Second
+	incompleteRequestTimeout = 3 * time.Second // the sidecar has to close the connection of an incomplete request within this time
+	maxIdleTime              = 1700 * time.Millisecond
+	maxWritePause            = 350 * time.Millisecond
+	maxThinkTime             = 60 * time.Millisecond
+	minTimeout               = 200 * time.Millisecond
 )
 
-// Bodies of requests: one in longBodyInterval is long.
+// Maximum sizes of request bodies. One in longBodyInterval is long.
 const (
 	shortBody, longBody = 200, 60 << 10
 	longBodyInterval    = 6
 )
 
-var errClosedEarly = errors.New("closed before the request was whole")
+var errClosedEarly = errors.New("the sidecar closed the connection before the request was complete")
 
 // client sends requests to one sidecar, one at a time.
 type client struct {
-	sidecar  *sidecar
-	ledger   *ledger
-	rng      *rand.Rand
-	name     string
-	conn     *net.TCPConn // nil: none is open
-	reader   *bufio.Reader
-	requestsOnConn  int // requests that the open connection has carried
-	requests int
+	sidecar        *sidecar
+	ledger         *ledger
+	rng            *rand.Rand
+	name           string
+	conn           *net.TCPConn // nil: no connection is open
+	reader         *bufio.Reader
+	requestsOnConn int // requests sent on the open connection
+	requests       int
 }
 
 // run sends requests until ctx ends.
@@ -81,7 +81,7 @@
 	}
 }
 
-// drawUpTo draws a duration below a bound.
+// drawUpTo draws a duration between 0 and a bound.
 func (c *client) drawUpTo(most time.Duration) time.Duration {
 	return time.Duration(c.rng.Int64N(int64(most)))
 }
@@ -133,14 +133,14 @@
 // closedByPeer reports whether the sidecar has closed the connection.
 func (c *client) closedByPeer() bool { return loadgen.ClosedByPeer(c.conn) }
 
-// sendRequest hands one request in and follows it to its end.
+// sendRequest sends one request and records its outcome.
 func (c *client) sendRequest() {
 	how := c.drawBehaviour()
 	if how == delayedFirst {
 		c.closeConn()
 	}
 	if err := c.connect(); err != nil {
-		time.Sleep(10 * time.Millisecond) // it is being restarted
+		time.Sleep(10 * time.Millisecond) // the sidecar is being restarted
 		return
 	}
 	if how == delayedFirst || how == idleFirst {
@@ -150,7 +150,7 @@
 	r.behaviour = how
 	c.ledger.addRequest(r)
 	c.ledger.increment("clients: " + how.String())
-	if c.closedByPeer() { // nothing was written: use a new connection
+	if c.closedByPeer() { // nothing was written yet: use a new connection
 		if c.closeConn(); c.connect() != nil {
 			return
 		}
@@ -158,7 +158,7 @@
 	c.exchange(r, text, how)
 }
 
-// request draws a new request and returns it with its text.
+// newRequest draws a new request and returns it with its HTTP text.
 func (c *client) newRequest() (*request, string) {
 	c.requests++
 	class := []string{"read", "keyed", "once"}[c.rng.IntN(3)]
@@ -182,7 +182,7 @@
 	return r, head + body
 }
 
-// exchange writes a request and waits for its end, according to the behaviour.
+// exchange writes a request and waits for its response, according to the behaviour.
 func (c *client) exchange(r *request, text string, how behaviour) {
 	if how == stopMidRequest {
 		c.sendIncomplete(r, text)
@@ -200,7 +200,7 @@
 		c.closeConn()
 		return
 	case halfClose:
-		_ = c.conn.CloseWrite() // a failure shows in the read below
+		_ = c.conn.CloseWrite() // an error also shows in the read below
 	}
 	err := c.read(r)
 	if err != nil && c.closeCrossedRequest(r, err) && how != halfClose {
@@ -215,7 +215,7 @@
 	}
 }
 
-// write writes a request, at once or in pieces.
+// write writes a request, in one piece or slowly in several.
 func (c *client) write(r *request, text string, slow bool) error {
 	if slow {
 		for range 2 {
@@ -241,7 +241,7 @@
 
 // read reads the response.
 func (c *client) read(r *request) error {
-	c.conn.SetReadDeadline(r.complete.Add(r.timeout + answerSlack + pauseSlack + clientWaitSlack))
+	c.conn.SetReadDeadline(r.complete.Add(r.timeout + responseSlack + pauseSlack + clientWaitSlack))
 	resp, err := http.ReadResponse(c.reader, &http.Request{Method: http.MethodPost})
 	if err != nil {
 		return err
@@ -257,8 +257,8 @@
 	return nil
 }
 
-// closeCrossedRequest reports whether a close may have crossed an unread request: the connection
-// ended without a byte, and no booking server has the request.
+// closeCrossedRequest reports whether the sidecar's close may have crossed the request: the connection
+// ended without a byte of a response, and the request reached no booking server.
 func (c *client) closeCrossedRequest(r *request, err error) bool {
 	if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, unix.ECONNRESET) || c.reader.Buffered() > 0 {
 		return false
@@ -268,12 +268,12 @@
 	return !sent
 }
 
-// resend sends a request once more on a new connection.
+// resend sends a request again on a new connection.
 func (c *client) resend(r *request, text string) error {
 	c.closeConn()
 	c.ledger.update(func() { r.resent, r.complete = true, time.Time{} })
 	if err := c.connect(); err != nil {
-		return err // the sidecar accepts no connection: the request was never complete
+		return err // the sidecar accepts no connection: the request counts as incomplete
 	}
 	if err := c.write(r, text, false); err != nil {
 		return err
@@ -281,7 +281,7 @@
 	return c.read(r)
 }
 
-// stopMidway sends a part of a request and waits for the end that it is owed.
+// sendIncomplete sends a part of a request and checks that the sidecar ends the connection.
 func (c *client) sendIncomplete(r *request, text string) {
 	defer c.closeConn()
 	if _, err := io.WriteString(c.conn, text[:1+c.rng.IntN(len(text)-2)]); err != nil {
@@ -292,6 +292,6 @@
 	_, err := io.Copy(io.Discard, c.reader)
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() && !c.sidecar.killedSince(begun) {
-		c.ledger.addViolation(InvariantAnswered, "%s stopped in the middle and was left without an end for %v", r.id, time.Since(begun))
+		c.ledger.addViolation(InvariantAnswered, "%s: the connection of an incomplete request was still open after %v", r.id, time.Since(begun))
 	}
 }
--- a/internal/testing/soaktest/discovery.go
+++ b/internal/testing/soaktest/discovery.go
@@ -20,7 +20,7 @@
 	healthDraining    = "draining"
 )
 
-// endpoint is one booking server as discovery lists it.
+// endpoint is one booking server in the list of discovery.
 type endpoint struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -38,18 +38,18 @@
 	Endpoints []endpoint `json:"hosts"`
 }
 
-// discovery is a simulated discovery service at two addresses, so that a new
-// configuration can move it.
+// discovery is a simulated discovery service. It serves at two addresses, so that a reloaded
+// configuration can use the other one.
 type discovery struct {
 	addresses []string
-	staleAddr     string // a replica whose disk is full: its list is that of the start
+	staleAddr string // address of a replica whose list is that of the start, as if its disk were full
 	servers   []*http.Server
 
 	mu        sync.Mutex
 	seq       int
 	endpoints []endpoint
-	changed   chan struct{} // closed at each change, and when it goes down
-	outages   int           // that last; it is down while there are any
+	changed   chan struct{} // closed at each change of the list and of outages
+	outages   int           // number of active outages; the service is down while it is above 0
 }
 
 func startDiscovery(servers []*server) (*discovery, error) {
@@ -70,8 +70,9 @@
 	return d, d.startStaleReplica()
 }
 
-// startStaleReplica starts a replica that has stored nothing since the start. As the registry's
-// own does, it says so, sends heartbeats, and refuses a watch from a version that it lacks.
+// startStaleReplica starts a replica whose list never changes. Like a stale replica of the registry, it
+// marks its responses as stale, sends heartbeats, and refuses a watch from a version that it does not
+// have.
 func (d *discovery) startStaleReplica() error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -79,7 +80,7 @@
 	}
 	list, _, _ := d.snapshot()
 	h := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		from, _ := strconv.Atoi(q.URL.Query().Get("from")) // none is 0
+		from, _ := strconv.Atoi(q.URL.Query().Get("from")) // a missing value counts as 0
 		if q.URL.Path != registry.ListPath || from > list.Seq {
 			http.Error(w, "not known here", http.StatusServiceUnavailable)
 			return
@@ -87,10 +88,10 @@
 		w.Header().Set(registry.ReadHeader, registry.ReadStale+"; age_ms=60000")
 		out := json.NewEncoder(w)
 		if q.URL.Query().Get("watch") == "" {
-			_ = out.Encode(list) // a caller that has left polls again
+			_ = out.Encode(list) // a disconnected caller polls again
 			return
 		}
-		_ = d.watch(q.Context(), w, out, list, nil) // it ends with its caller
+		_ = d.watch(q.Context(), w, out, list, nil) // it ends when its caller disconnects
 	})}
 	go func() { _ = h.Serve(ln) }() // ends with close
 	d.staleAddr, d.servers = ln.Addr().String(), append(d.servers, h)
@@ -103,22 +104,22 @@
 	}
 }
 
-// set changes the health of a server.
-func (d *discovery) setHealth(host, to string) {
+// setHealth sets the health of a server.
+func (d *discovery) setHealth(host, health string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i := range d.endpoints {
 		if d.endpoints[i].Host == host {
-			d.endpoints[i].Health = to
+			d.endpoints[i].Health = health
 		}
 	}
 	d.seq++
 	d.notifyWatches()
 }
 
-// setDown begins an outage, in which all watches end and calls are refused, or ends one. Outages
-// may overlap; it reports whether discovery serves now.
-func (d *discovery) setDown(down bool) (serves bool) {
+// setDown starts or ends an outage. During an outage all watches end and calls are aborted. Outages may
+// overlap: setDown reports whether the service is up afterwards.
+func (d *discovery) setDown(down bool) (up bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if down {
@@ -153,7 +154,7 @@
 	}
 	out := json.NewEncoder(w)
 	if q.URL.Query().Get("watch") == "" {
-		_ = out.Encode(list) // a caller that has left polls again
+		_ = out.Encode(list) // a disconnected caller polls again
 		return
 	}
 	if err := d.watch(q.Context(), w, out, list, changed); errors.Is(err, errDiscoveryDown) {
@@ -163,20 +164,20 @@
 
 var errDiscoveryDown = errors.New("discovery is down")
 
-// watch writes the full list at the start and at each change.
+// watch writes the full list at first and at each change, and a heartbeat while there is none.
 func (d *discovery) watch(ctx context.Context, w http.ResponseWriter, out *json.Encoder, list listMessage, changed <-chan struct{}) error {
 	flush := http.NewResponseController(w).Flush
 	for {
 		if err := out.Encode(list); err != nil {
 			return err
 		}
-		for idle := true; idle; {
+		for unchanged := true; unchanged; {
 			if err := flush(); err != nil {
 				return err
 			}
 			select {
 			case <-changed:
-				idle = false
+				unchanged = false
 			case <-time.After(keepAliveInterval):
 				if _, err := w.Write([]byte("\n")); err != nil {
 					return err
--- a/internal/testing/soaktest/faults.go
+++ b/internal/testing/soaktest/faults.go
@@ -27,22 +27,23 @@
 
 // Timing of faults.
 const (
-	meanFaultInterval  = 180 * time.Millisecond // between the starts of two faults, in a fleet of referenceFleetSize
+	meanFaultInterval  = 180 * time.Millisecond // between the starts of two faults in a fleet of up to referenceFleetSize; less in larger ones
 	referenceFleetSize = 16
 	maxFaultDuration   = 3500 * time.Millisecond
 	pauseDuration      = pauseSlack
 	restartDelay       = 200 * time.Millisecond
-	drainedFraction    = 3 // at most one in so many servers drains at once
-	maxSignals         = 4 // in one series
+	drainedFraction    = 3 // at most one of this many servers drains at the same time
+	maxSignals         = 4 // bound on the signals of a series
 )
 
-// injectFaults begins faults, several of them active at once, until their time is over.
+// injectFaults starts faults, which may overlap, until the duration of the run has passed, and waits for
+// their end.
 func (f *fleet) injectFaults(ctx context.Context) {
 	rng, details := f.newRand("faults", 0), f.newRand("details of faults", 0)
-	gap := max(meanFaultInterval*referenceFleetSize/time.Duration(max(f.Sidecars, referenceFleetSize)), 10*time.Millisecond)
+	meanInterval := max(meanFaultInterval*referenceFleetSize/time.Duration(max(f.Sidecars, referenceFleetSize)), 10*time.Millisecond)
 	drained := make(map[string]bool)
 	for time.Since(f.startedAt) < f.Duration && ctx.Err() == nil {
-		time.Sleep(time.Duration(rng.Int64N(int64(2 * gap))))
+		time.Sleep(time.Duration(rng.Int64N(int64(2 * meanInterval))))
 		f.beginFault(ctx, faultKind(rng.IntN(int(numFaultKinds))), rng, details, drained)
 	}
 	f.activeFaults.Wait()
@@ -52,17 +53,17 @@
 	}
 }
 
-// beginFault begins one fault. The details are drawn by themselves, so that a seed's faults stay
-// those that it had before there were any.
+// beginFault starts one fault. Details come from a random stream of their own, so that they do not
+// change the faults that a seed gave before details were added.
 func (f *fleet) beginFault(ctx context.Context, kind faultKind, rng, details *rand.Rand, drained map[string]bool) {
 	s := f.sidecars[rng.IntN(len(f.sidecars))]
 	server := f.servers[rng.IntN(len(f.servers))]
-	lasts := time.Duration(rng.Int64N(int64(maxFaultDuration)))
+	duration := time.Duration(rng.Int64N(int64(maxFaultDuration)))
 	switch kind {
 	case faultGracefulRestart:
 		f.restart(ctx, s, drawGracefulEnd(details))
 	case faultKill:
-		if rng.IntN(3) == 0 { // rarer, as it excuses the requests that it cuts off
+		if rng.IntN(3) == 0 { // less frequent, since requests lost by a kill are not checked
 			f.restart(ctx, s, nil)
 		}
 	case faultPause:
@@ -71,25 +72,25 @@
 		f.reload(s, 1+details.IntN(maxSignals), f.discovery.addresses[details.IntN(len(f.discovery.addresses))])
 	case faultServerMode:
 		m := mode(1 + rng.IntN(int(numModes)-1))
-		f.setServerMode(ctx, m, rng.IntN(len(f.servers)), 1+rng.IntN(max(1, len(f.servers)*2/3)), lasts)
+		f.setServerMode(ctx, m, rng.IntN(len(f.servers)), 1+rng.IntN(max(1, len(f.servers)*2/3)), duration)
 	case faultDrain:
 		f.drain(server, drained)
 	case faultDiscovery:
-		f.activeFaults.Go(func() { f.failDiscovery(ctx, lasts) })
+		f.activeFaults.Go(func() { f.failDiscovery(ctx, duration) })
 	}
 }
 
-// failDiscovery takes discovery down for a while.
-func (f *fleet) failDiscovery(ctx context.Context, lasts time.Duration) {
-	f.logEvent("discovery goes down for %v", lasts)
+// failDiscovery makes discovery unreachable for a while.
+func (f *fleet) failDiscovery(ctx context.Context, duration time.Duration) {
+	f.logEvent("discovery goes down for %v", duration)
 	f.ledger.increment("faults: discovery down")
 	f.ledger.recordDiscoveryState(!f.discovery.setDown(true))
-	wait.Sleep(ctx, lasts)
+	wait.Sleep(ctx, duration)
 	f.ledger.recordDiscoveryState(!f.discovery.setDown(false))
 }
 
-// reload has a sidecar read its configuration again, several times in a row. It may name the
-// other address of discovery.
+// reload rewrites a sidecar's configuration, which may then have the other address of discovery, and
+// makes the sidecar reload it several times in a row.
 func (f *fleet) reload(s *sidecar, signals int, discovery string) {
 	if s.isDown() {
 		return
@@ -101,18 +102,18 @@
 		return
 	}
 	for range signals {
-		_ = s.process.Signal(syscall.SIGHUP) // it may just have ended
+		_ = s.process.Signal(syscall.SIGHUP) // fails if the process has just ended
 	}
 }
 
-// plannedEnd is how a process is told to end.
+// gracefulEnd describes the signals of a graceful shutdown.
 type gracefulEnd struct {
-	signals       []syscall.Signal // within a millisecond; SIGTERM is among them
-	repeats       []time.Duration  // when SIGTERM and SIGHUP come again
-	discoveryDown time.Duration    // for how long discovery fails from then on; 0: it does not
+	signals       []syscall.Signal // sent one right after the other; SIGTERM is among them
+	repeats       []time.Duration  // times after the first signals at which SIGTERM and SIGHUP are sent again
+	discoveryDown time.Duration    // length of a discovery outage that starts with the shutdown; 0: no outage
 }
 
-// drawEnd draws how a process is told to end.
+// drawGracefulEnd draws the signals of a graceful shutdown.
 func drawGracefulEnd(rng *rand.Rand) *gracefulEnd {
 	end := &gracefulEnd{signals: []syscall.Signal{syscall.SIGTERM}}
 	for range rng.IntN(maxSignals) {
@@ -132,7 +133,7 @@
 	return end
 }
 
-// restart ends a sidecar, as planned or by SIGKILL if end is nil, and starts it again.
+// restart stops a sidecar, gracefully or by SIGKILL if end is nil, and starts it again.
 func (f *fleet) restart(ctx context.Context, s *sidecar, end *gracefulEnd) {
 	if s.isDown() {
 		return
@@ -145,7 +146,7 @@
 			f.logEvent("SIGKILL %s", s.name)
 			f.ledger.increment("faults: kill")
 			if !s.process.Running() {
-				f.ledger.addViolation(InvariantProcess, "%s has ended by itself before it was killed: %v", s.name, s.process.EndError())
+				f.ledger.addViolation(InvariantProcess, "%s had ended before it was killed: %v", s.name, s.process.EndError())
 			}
 			s.process.Kill()
 		}
@@ -163,7 +164,7 @@
 	})
 }
 
-// gracefulRestart tells a process to end, and sends SIGKILL when the protocol's time is over.
+// gracefulRestart stops a process by SIGTERM, and by SIGKILL if it has not ended after killDelay.
 func (f *fleet) gracefulRestart(ctx context.Context, s *sidecar, end *gracefulEnd) {
 	f.logEvent("%v %s, again after %v", end.signals, s.name, end.repeats)
 	f.ledger.increment("faults: planned end")
@@ -175,14 +176,14 @@
 	for _, signal := range end.signals {
 		f.ledger.increment(fmt.Sprintf("signals: %v with a planned end", signal))
 		if err := s.process.Signal(signal); err != nil {
-			f.ledger.addViolation(InvariantProcess, "%s has ended by itself: %v", s.name, err)
+			f.ledger.addViolation(InvariantProcess, "%s had ended before the signal: %v", s.name, err)
 		}
 	}
 	for repeats := end.repeats; s.process.Running() && time.Since(began) < killDelay; {
 		if len(repeats) > 0 && time.Since(began) > repeats[0] {
 			repeats = repeats[1:]
 			f.ledger.increment("signals: again during the end")
-			_ = s.process.Signal(syscall.SIGTERM) // it may just have ended
+			_ = s.process.Signal(syscall.SIGTERM) // fails if the process has just ended
 			_ = s.process.Signal(syscall.SIGHUP)
 		}
 		if !wait.Sleep(ctx, 5*time.Millisecond) {
@@ -190,7 +191,7 @@
 		}
 	}
 	if s.process.Running() {
-		f.logEvent("SIGKILL %s, which has not ended", s.name)
+		f.logEvent("SIGKILL %s, which did not end after SIGTERM", s.name)
 		f.ledger.increment("planned ends cut off")
 		s.process.Kill()
 		return
@@ -200,36 +201,36 @@
 	}
 }
 
-// pause stops a process for a moment.
+// pause stops a process by SIGSTOP for pauseDuration.
 func (f *fleet) pause(s *sidecar) {
 	f.activeFaults.Go(func() {
 		if s.process.Signal(syscall.SIGSTOP) != nil {
-			return // it is being restarted
+			return // the process is being restarted
 		}
 		begun := time.Now()
 		f.ledger.increment("faults: pause")
 		time.Sleep(pauseDuration)
-		_ = s.process.Signal(syscall.SIGCONT) // it may have been killed meanwhile
+		_ = s.process.Signal(syscall.SIGCONT) // fails if the process was killed meanwhile
 		s.recordPause(begun, time.Now())
 	})
 }
 
-// setServerMode puts some servers into a mode for a while.
-func (f *fleet) setServerMode(ctx context.Context, m mode, from, count int, lasts time.Duration) {
-	f.logEvent("%d servers from %s on: %s for %v", count, f.servers[from].name, m, lasts)
+// setServerMode sets the mode of some servers for a while.
+func (f *fleet) setServerMode(ctx context.Context, m mode, from, count int, duration time.Duration) {
+	f.logEvent("%d servers from %s on: %s for %v", count, f.servers[from].name, m, duration)
 	f.ledger.increment("faults: server " + m.String())
 	f.activeFaults.Go(func() {
 		for i := range count {
 			f.servers[(from+i)%len(f.servers)].setMode(m)
 		}
-		wait.Sleep(ctx, lasts)
+		wait.Sleep(ctx, duration)
 		for i := range count {
 			f.servers[(from+i)%len(f.servers)].setMode(modeNormal)
 		}
 	})
 }
 
-// drain lists a server as draining, or as up again.
+// drain marks a server as draining, or as up if it is draining.
 func (f *fleet) drain(s *server, drained map[string]bool) {
 	switch {
 	case drained[s.name]:
--- a/internal/testing/soaktest/ledger.go
+++ b/internal/testing/soaktest/ledger.go
@@ -10,54 +10,56 @@
 	"barleywick/internal/testing/wait"
 )
 
-// Invariant is one of the rules that are checked.
+// Invariant is the name of an invariant that is checked.
 type Invariant string
 
-// The invariants.
+// The invariants. Reports contain their values.
 const (
-	// InvariantAnswered: each complete request gets one complete response in its time.
+	// InvariantAnswered: each complete request gets one complete response before its timeout.
 	InvariantAnswered Invariant = "answered"
-	// InvariantOwnResponse: a response 200 holds what a booking server made for this request.
+	// InvariantOwnResponse: a response 200 has the body that a booking server returned for this request.
 	InvariantOwnResponse Invariant = "own answer"
-	// InvariantNothingAfterEnd: no attempt begins after its client has left or its deadline.
+	// InvariantNothingAfterEnd: no attempt starts after the client has disconnected or the deadline has passed.
 	InvariantNothingAfterEnd Invariant = "nothing after the end"
-	// InvariantNoDuplicate: a non-idempotent request runs once; one with a key is repeated only within its window.
+	// InvariantNoDuplicate: a non-idempotent request runs at most once; one that is idempotent by key is
+	// repeated only within its window.
 	InvariantNoDuplicate Invariant = "no duplicate"
-	// InvariantRefusal: a refused request has had no effect.
+	// InvariantRefusal: a refused non-idempotent request has not been run.
 	InvariantRefusal Invariant = "true refusal"
-	// InvariantDrain: a draining server gets no new requests once sidecars are notified and the grace is over.
+	// InvariantDrain: a draining server gets no new requests once sidecars are notified and the drain grace
+	// has passed.
 	InvariantDrain Invariant = "drain"
-	// InvariantDeadlineHeader: the deadline sent to a server is no more than the client has left.
+	// InvariantDeadlineHeader: the timeout sent to a server is not longer than the time the client has left.
 	InvariantDeadlineHeader Invariant = "deadline told"
-	// InvariantProcess: a process ends after SIGTERM in time, and not before.
+	// InvariantProcess: a process ends before killDelay after SIGTERM, and never without it.
 	InvariantProcess Invariant = "process"
-	// InvariantOwnChecks: a sidecar's own checks have counted no violation.
+	// InvariantOwnChecks: a sidecar's own checks report no violation.
 	InvariantOwnChecks Invariant = "own checks"
 )
 
-// Tolerances of the checks: what the protocol and the terms of acceptance allow. What the test
-// itself delays is measured and excused case by case (ledger.excused).
+// Tolerances of the checks, as the protocol and the terms of acceptance allow. Delays that the test itself
+// causes are measured, and allowed in addition (ledger.allowedDelay).
 const (
-	// pauseSlack is how long a process may be paused between reading its clock and writing.
+	// pauseSlack is how long a process may be paused between reading its clock and writing to a socket.
 	pauseSlack = 150 * time.Millisecond
-	// machineSlack is for the clock times that two of the test's goroutines take of one event.
+	// clockReadSlack allows for the difference between the clock readings of two goroutines at one event.
 	clockReadSlack = 10 * time.Millisecond
-	// waitSlack is how much longer than it may take a client waits for its response, so that
-	// one that is late is seen as such.
+	// clientWaitSlack is how much longer than allowed a client waits for its response, so that a late
+	// response is distinguished from a missing one.
 	clientWaitSlack = 250 * time.Millisecond
-	// clientGoneSlack is the protocol's tolerance after a client's close.
-	clientGoneSlack = 100 * time.Millisecond
-	// deadlineSlack is the protocol's tolerance for the deadline header.
+	// clientCloseSlack is the protocol's tolerance for attempts after the client's close.
+	clientCloseSlack = 100 * time.Millisecond
+	// deadlineSlack is the protocol's tolerance for the header with the deadline.
 	deadlineSlack = 150 * time.Millisecond
-	// answerSlack is how long past its deadline a response may still arrive.
-	answerSlack = 500 * time.Millisecond
-	// protocolSlack is by how much the protocol has each time limit longer on sockets.
+	// responseSlack is how long past its deadline a response may still arrive.
+	responseSlack = 500 * time.Millisecond
+	// protocolSlack is the protocol's tolerance for each time limit that is measured on sockets.
 	protocolSlack = 50 * time.Millisecond
-	// notificationDeadline is when a change counts as notified at the latest.
+	// notificationDeadline is how long after a change sidecars count as notified of it.
 	notificationDeadline = 6 * time.Second
 )
 
-// attemptResult says whether an attempt may have had an effect.
+// attemptResult is whether an attempt may have had an effect.
 type attemptResult int
 
 const (
@@ -74,63 +76,62 @@
 	firstByte time.Time // time of its first byte
 	complete  time.Time // time of its last byte
 	deadline  time.Duration
-	// readingTook is how long a slow reader took to read what it had got.
+	// slowReadTime is the total length of the pauses of a server that reads slowly.
 	slowReadTime time.Duration
-	result      attemptResult
-	finished    time.Time
+	result       attemptResult
+	finished     time.Time
 }
 
-func (a *attempt) end(t attemptResult) {
+func (a *attempt) end(result attemptResult) {
 	a.ledger.mu.Lock()
 	defer a.ledger.mu.Unlock()
-	a.result, a.finished = t, time.Now()
+	a.result, a.finished = result, time.Now()
 }
 
-// request is one request of a client with everything observed of it.
+// request is one request of a client with all observations of it.
 type request struct {
 	id, class string
 	sidecar   *sidecar
 	timeout   time.Duration
 	behaviour behaviour
-	// complete is when its last byte was written; zero: it was not.
+	// complete is when its last byte was written; zero: it was not written completely.
 	complete time.Time
-	// clientGone is when the client closed its connection; zero: it did not.
+	// clientClosed is when the client closed its connection before a response; zero: it did not.
 	clientClosed time.Time
-	attempts   []*attempt
-	status     int // of its response; 0: none
-	body       string
-	respondedAt   time.Time
-	resent     bool // sent again on a new connection, as a close crossed it
-	freshConn  bool // its connection had carried no request before
-	err        error
+	attempts     []*attempt
+	status       int // of the response; 0: there is none
+	body         string
+	respondedAt  time.Time
+	resent       bool // sent again on a new connection since a close crossed the request
+	freshConn    bool // it was the first request on its connection
+	err          error
 }
 
-// drainPeriod is a time in which a server was listed as draining.
+// drainPeriod is an interval in which a server was listed as draining.
 type drainPeriod struct {
 	server      string
-	from, until time.Time // till is zero while it lasts
+	from, until time.Time // until is zero while the server is draining
 }
 
-// outage is a time in which discovery could not be reached.
+// outage is an interval in which discovery was unreachable.
 type outage struct {
 	from, until time.Time // until is zero while it lasts
 }
 
-// ledger records every request and its outcome.
+// ledger records every request, its attempts and its outcome, and checks the invariants on them.
 type ledger struct {
 	mu             sync.Mutex
 	requests       map[string]*request
 	drains         []drainPeriod
-	outages        []outage // of discovery, in their order
+	outages        []outage // of discovery, in order
 	counts         map[string]int
 	violations     []Violation
 	violationCount int
 	stalls         *wait.Stalls // of the test's process
 }
 
-// excused returns how much later than it was an event between two times may have been seen, or
-// caused, through what the test has measured of itself: its own stalls, and the pauses that
-// it gave the sidecar.
+// allowedDelay returns by how much the test itself may have delayed an event, or its observation, between
+// two times: by stalls of its own process, and by its pauses of the sidecar.
 func (l *ledger) allowedDelay(s *sidecar, from, until time.Time) time.Duration {
 	return l.stalls.Within(from, until) + s.pausedWithin(from, until)
 }
@@ -139,7 +140,7 @@
 	return &ledger{requests: make(map[string]*request), counts: make(map[string]int)}
 }
 
-// increment counts an event.
+// increment adds one to a counter.
 func (l *ledger) increment(what string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -160,35 +161,35 @@
 	}
 }
 
-// open adds a new request.
+// addRequest adds a new request.
 func (l *ledger) addRequest(r *request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.requests[r.id] = r
 }
 
-// update changes a request under the ledger's lock.
+// update calls change, which modifies a request, under the ledger's lock.
 func (l *ledger) update(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change()
 }
 
-// attempt records a complete request at a server; nil: no client sent it.
-func (l *ledger) recordAttempt(id, server string, began time.Time, told, readingTook time.Duration) *attempt {
+// recordAttempt records the arrival of a complete request at a server. It returns nil if no client sent it.
+func (l *ledger) recordAttempt(id, server string, began time.Time, deadline, readingTook time.Duration) *attempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.requests[id]
 	if r == nil {
 		return nil
 	}
-	a := &attempt{ledger: l, id: id, server: server, firstByte: began, complete: time.Now(), deadline: told, slowReadTime: readingTook}
+	a := &attempt{ledger: l, id: id, server: server, firstByte: began, complete: time.Now(), deadline: deadline, slowReadTime: readingTook}
 	r.attempts = append(r.attempts, a)
 	l.counts["attempts"]++
 	return a
 }
 
-// drain records that discovery lists a server as draining, or no longer does.
+// recordDrain records that discovery lists a server as draining, or no longer does.
 func (l *ledger) recordDrain(server string, drains bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -203,7 +204,7 @@
 	}
 }
 
-// discoveryChanged records that discovery cannot be reached any more, or that it can again.
+// recordDiscoveryState records whether discovery is down.
 func (l *ledger) recordDiscoveryState(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -216,10 +217,11 @@
 	}
 }
 
-// reachableSince returns since when discovery, which had a change from one time on, has been reachable
-// without interruption until another, and whether a process that started at a third time could have
-// learned of the change at all: not if discovery was down all the time since both. One that starts while
-// discovery is down has nothing of what the process before it was told.
+// reachableSince returns since when discovery, which has had a change since from, was reachable until
+// another time without interruption, for a process that was started at started. reached reports whether
+// the process could be notified of the change at all: not if discovery was down all the time since both
+// the change and the start. A process that starts while discovery is down does not have the list of the
+// process before it.
 func (l *ledger) reachableSince(from, started, until time.Time) (since time.Time, reached bool) {
 	since = from
 	if started.After(since) {
@@ -236,7 +238,7 @@
 	return since, true
 }
 
-// check checks all invariants on everything that was recorded.
+// check checks the invariants on all recorded requests and on the logs of the sidecars.
 func (l *ledger) check(logs map[string]string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -248,18 +250,18 @@
 		if n := strings.Count(log, violationMark); n > 0 {
 			at := strings.Index(log, violationMark)
 			line, _, _ := strings.Cut(log[at:], "\n")
-			l.addViolationLocked(InvariantOwnChecks, "%s has counted %d: %s", name, n, line)
+			l.addViolationLocked(InvariantOwnChecks, "%s logged %d violations by its own checks, the first: %s", name, n, line)
 		}
 		if strings.Contains(log, "panic:") || strings.Contains(log, "DATA RACE") {
-			l.addViolationLocked(InvariantProcess, "%s has crashed or raced", name)
+			l.addViolationLocked(InvariantProcess, "%s: the log has a panic or a data race", name)
 		}
 	}
 }
 
-// violationMark is the log message of a sidecar whose own check finds a violation.
+// violationMark is the text in the log of a sidecar whose own checks find a violation.
 const violationMark = "rule violated"
 
-// checkResponse checks what the client received.
+// checkResponse checks the response that the client received.
 func (l *ledger) checkResponse(r *request) {
 	if r.complete.IsZero() {
 		l.counts["requests never whole"]++
@@ -271,19 +273,19 @@
 	}
 	l.checkAnswered(r)
 	if r.status == 200 && r.body != "done "+r.id {
-		l.addViolationLocked(InvariantOwnResponse, "%s of %s got %q", r.id, r.class, r.body)
+		l.addViolationLocked(InvariantOwnResponse, "%s of class %s: response has the wrong body %q", r.id, r.class, r.body)
 	}
 	if r.status != 503 && r.status != 429 {
 		return
 	}
 	for _, a := range r.attempts {
 		if a.result != neverRan && r.class == "once" {
-			l.addViolationLocked(InvariantRefusal, "%s was refused, and %s had it", r.id, a.server)
+			l.addViolationLocked(InvariantRefusal, "%s was refused, although %s may have run it", r.id, a.server)
 		}
 	}
 }
 
-// checkAnswered checks that a complete request had its answer in time.
+// checkAnswered checks that a complete request got its response before its timeout.
 func (l *ledger) checkAnswered(r *request) {
 	killed := r.sidecar.killedSince(r.complete)
 	switch {
@@ -294,15 +296,15 @@
 	case r.status == 0 && r.sidecar.descriptorsExhausted && r.freshConn && len(r.attempts) == 0:
 		l.counts["new connections shut unread in a crowd"]++ // as the terms of acceptance allow
 	case r.status == 0:
-		l.addViolationLocked(InvariantAnswered, "%s of %s, %v, %d attempts: %v", r.id, r.class, r.behaviour, len(r.attempts), r.err)
-	case r.respondedAt.Sub(r.complete) > r.timeout+answerSlack+l.allowedDelay(r.sidecar, r.complete, r.respondedAt):
-		l.addViolationLocked(InvariantAnswered, "%s: its answer took %v of %v", r.id, r.respondedAt.Sub(r.complete), r.timeout)
+		l.addViolationLocked(InvariantAnswered, "%s of class %s, %v, %d attempts: no response: %v", r.id, r.class, r.behaviour, len(r.attempts), r.err)
+	case r.respondedAt.Sub(r.complete) > r.timeout+responseSlack+l.allowedDelay(r.sidecar, r.complete, r.respondedAt):
+		l.addViolationLocked(InvariantAnswered, "%s: the response took %v, the timeout is %v", r.id, r.respondedAt.Sub(r.complete), r.timeout)
 	default:
 		l.counts[fmt.Sprint("answers ", r.status)]++
 	}
 }
 
-// checkAttempts checks what booking servers received.
+// checkAttempts checks the attempts that booking servers received.
 func (l *ledger) checkAttempts(r *request) {
 	var ran []*attempt
 	for _, a := range r.attempts {
@@ -316,44 +318,44 @@
 		switch {
 		case i == 0:
 		case r.class == "once":
-			l.addViolationLocked(InvariantNoDuplicate, "%s came %d times to servers", r.id, len(ran))
+			l.addViolationLocked(InvariantNoDuplicate, "%s was sent to servers %d times", r.id, len(ran))
 		case r.class == "keyed" && a.complete.Sub(ran[0].complete)-a.slowReadTime > repeatWindow+protocolSlack+l.allowedDelay(r.sidecar, ran[0].complete, a.complete):
-			l.addViolationLocked(InvariantNoDuplicate, "%s was repeated %v after its first attempt", r.id, a.complete.Sub(ran[0].complete))
+			l.addViolationLocked(InvariantNoDuplicate, "%s was repeated %v after its first attempt, outside its window", r.id, a.complete.Sub(ran[0].complete))
 		}
 	}
 	if len(r.attempts) > maxAttempts {
-		l.addViolationLocked(InvariantNoDuplicate, "%s came %d times to servers", r.id, len(r.attempts))
+		l.addViolationLocked(InvariantNoDuplicate, "%s was sent to servers %d times", r.id, len(r.attempts))
 	}
 }
 
-// checkAttemptTime checks that an attempt arrived while its client waited.
+// checkAttemptTime checks that an attempt arrived while its client waited, and its deadline.
 func (l *ledger) checkAttemptTime(r *request, a *attempt) {
 	if r.complete.IsZero() {
 		if !r.clientClosed.IsZero() || r.err != nil {
-			return // a failed write may still have been read completely
+			return // the sidecar may have read the request completely although the write failed
 		}
-		l.addViolationLocked(InvariantNothingAfterEnd, "%s was forwarded and never whole", r.id)
+		l.addViolationLocked(InvariantNothingAfterEnd, "%s was forwarded although the client never completed it", r.id)
 		return
 	}
-	over := r.complete.Add(r.timeout + protocolSlack)
-	if gone := r.clientClosed.Add(clientGoneSlack); !r.clientClosed.IsZero() && gone.Before(over) {
-		over = gone
+	latest := r.complete.Add(r.timeout + protocolSlack)
+	if clientEnd := r.clientClosed.Add(clientCloseSlack); !r.clientClosed.IsZero() && clientEnd.Before(latest) {
+		latest = clientEnd
 	}
-	if answered := r.respondedAt.Add(protocolSlack); !r.respondedAt.IsZero() && answered.Before(over) {
-		over = answered
+	if responseEnd := r.respondedAt.Add(protocolSlack); !r.respondedAt.IsZero() && responseEnd.Before(latest) {
+		latest = responseEnd
 	}
-	// A slow reader has the last byte later than its machine has.
-	if late := a.complete.Sub(over) - a.slowReadTime; late > clockReadSlack+l.allowedDelay(r.sidecar, r.complete, a.complete) {
-		l.addViolationLocked(InvariantNothingAfterEnd, "%s of %s, %v, came to %s %v after it had ended (begun %v after it was whole; status %d, %v given, left %v)",
+	// A server that reads slowly gets the last byte later than its kernel does.
+	if late := a.complete.Sub(latest) - a.slowReadTime; late > clockReadSlack+l.allowedDelay(r.sidecar, r.complete, a.complete) {
+		l.addViolationLocked(InvariantNothingAfterEnd, "%s of class %s, %v, reached %s %v after the end of the request (first byte %v after the request was complete; status %d, timeout %v, client disconnected %v)",
 			r.id, r.class, r.behaviour, a.server, late, a.firstByte.Sub(r.complete), r.status, r.timeout, !r.clientClosed.IsZero())
 	}
 	left := r.timeout - a.firstByte.Sub(r.complete)
-	if more := a.deadline - left; more > deadlineSlack+clockReadSlack+l.stalls.Within(r.complete, a.firstByte) {
-		l.addViolationLocked(InvariantDeadlineHeader, "%s: %s was told %v, the client has %v left", r.id, a.server, a.deadline, left)
+	if excess := a.deadline - left; excess > deadlineSlack+clockReadSlack+l.stalls.Within(r.complete, a.firstByte) {
+		l.addViolationLocked(InvariantDeadlineHeader, "%s: %s received the timeout %v, the client has %v left", r.id, a.server, a.deadline, left)
 	}
 }
 
-// checkDrain checks that no attempt came to a draining server after the grace.
+// checkDrain checks that no attempt reached a draining server after the drain grace.
 func (l *ledger) checkDrain(r *request, a *attempt) {
 	for _, d := range l.drains {
 		if d.server != a.server || !d.until.IsZero() && a.firstByte.After(d.until) {
@@ -364,15 +366,15 @@
 			l.counts["attempts at draining servers that the process could not know of"]++
 			continue
 		}
-		told := since.Add(notificationDeadline)
-		if late := a.firstByte.Sub(told.Add(drainGrace)); late > clockReadSlack+l.stalls.Within(told, a.firstByte) {
-			l.addViolationLocked(InvariantDrain, "%s came to %s %v after the grace", a.id, a.server, late)
+		notifiedBy := since.Add(notificationDeadline)
+		if late := a.firstByte.Sub(notifiedBy.Add(drainGrace)); late > clockReadSlack+l.stalls.Within(notifiedBy, a.firstByte) {
+			l.addViolationLocked(InvariantDrain, "%s reached %s %v after its drain grace", a.id, a.server, late)
 		}
 	}
 }
 
 // result returns the counts and the violations.
-func (l *ledger) result() (seen map[string]int, cases []Violation, count int) {
+func (l *ledger) result() (counts map[string]int, violations []Violation, count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.counts), append([]Violation(nil), l.violations...), l.violationCount
--- a/internal/testing/soaktest/server.go
+++ b/internal/testing/soaktest/server.go
@@ -17,23 +17,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// mode is how a booking server behaves.
+// mode is the behaviour of a booking server.
 type mode int
 
 const (
-	// modeNormal: answers each request once, in 1 to 40 ms.
+	// modeNormal: responds to each request once, after 1 to 40 ms.
 	modeNormal mode = iota
-	// modeHang: accepts requests and answers none of them until the mode ends.
+	// modeHang: accepts requests and responds to none of them until the mode ends.
 	modeHang
 	// modeDuplicate: sends each response a second time, 1 to 150 ms later.
 	modeDuplicate
-	// modeReset: resets connections under requests, before or in the middle of the response.
+	// modeReset: resets connections with open requests, before or in the middle of the response.
 	modeReset
-	// modeRefuse: rejects requests, or fails them.
+	// modeReject: rejects some requests and fails others.
 	modeReject
-	// modeClose: closes connections shortly after a response.
+	// modeClose: closes some connections shortly after a response.
 	modeClose
-	// modeSlowRead: reads in pieces, with pauses.
+	// modeSlowRead: reads request bodies in pieces, with pauses.
 	modeSlowRead
 	numModes // number of modes
 )
@@ -42,14 +42,15 @@
 	return [...]string{"well", "hangs", "answers twice", "resets", "refuses", "closes", "reads slowly"}[m]
 }
 
-// A slow reader reads a piece at a time, out of a buffer that holds little more.
+// In modeSlowRead a server reads one chunk at a time. The receive buffer is not larger, so that the kernel
+// reads slowly, too.
 const (
-	slowReadChunk  = 4 << 10
-	slowReadPause  = 60 * time.Millisecond
+	slowReadChunk     = 4 << 10
+	slowReadPause     = 60 * time.Millisecond
 	receiveBufferSize = 4 << 10
 )
 
-// server is a booking server that writes raw responses and records when each request arrived.
+// server is a simulated booking server that writes raw responses and records when each request arrived.
 type server struct {
 	name     string
 	listener net.Listener
@@ -75,18 +76,18 @@
 	return s, nil
 }
 
-// smallBuffers bounds what the kernel buffers for a server; connections inherit it.
+// setSmallReceiveBuffer limits the receive buffer of a listener. Its connections inherit the limit.
 func setSmallReceiveBuffer(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var sockoptErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, receiveBufferSize)
+		sockoptErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, receiveBufferSize)
 	})
-	return errors.Join(err, failed)
+	return errors.Join(err, sockoptErr)
 }
 
 func (s *server) address() string { return s.listener.Addr().String() }
 
-// close ends the server and all of its connections.
+// close stops the server and closes all of its connections.
 func (s *server) close() {
 	s.listener.Close()
 	s.setMode(modeNormal)
@@ -99,7 +100,7 @@
 	s.tasks.Wait()
 }
 
-// setMode changes how the server behaves from now on.
+// setMode sets the mode of the server.
 func (s *server) setMode(m mode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,36 +131,36 @@
 	}
 }
 
-// serve answers the requests of one connection.
+// serve responds to the requests of one connection.
 func (s *server) serve(c net.Conn) {
 	in := bufio.NewReader(c)
 	for {
 		if _, err := in.Peek(1); err != nil {
 			return
 		}
-		first := time.Now()
+		firstByte := time.Now()
 		q, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
-		slowly, whole := s.readBody(q.Body)
-		if !whole {
+		paused, complete := s.readBody(q.Body)
+		if !complete {
 			return
 		}
-		told, _ := strconv.ParseFloat(q.Header.Get("Request-Timeout"), 64)
-		a := s.ledger.recordAttempt(q.Header.Get("Request-Id"), s.name, first, time.Duration(told*float64(time.Second)), slowly)
+		timeoutSeconds, _ := strconv.ParseFloat(q.Header.Get("Request-Timeout"), 64)
+		a := s.ledger.recordAttempt(q.Header.Get("Request-Id"), s.name, firstByte, time.Duration(timeoutSeconds*float64(time.Second)), paused)
 		if a == nil {
 			io.WriteString(c, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
 			continue
 		}
-		if !s.answer(c, a) {
+		if !s.respond(c, a) {
 			return
 		}
 	}
 }
 
-// readBody reads a request's body, slowly where the mode says so. It returns how long it paused
-// meanwhile, and reports whether the body was complete.
+// readBody reads a request's body, slowly in modeSlowRead. It returns the total length of its pauses, and
+// whether the body was complete.
 func (s *server) readBody(body io.Reader) (paused time.Duration, complete bool) {
 	s.mu.Lock()
 	slow := s.mode == modeSlowRead
@@ -181,49 +182,49 @@
 	}
 }
 
-// answer responds according to the mode and reports whether the connection stays open.
-func (s *server) answer(c net.Conn, a *attempt) bool {
+// respond responds to a request according to the mode, and reports whether the connection stays open.
+func (s *server) respond(c net.Conn, a *attempt) bool {
 	s.mu.Lock()
 	m, changed := s.mode, s.changed
 	work := time.Duration(1+s.rng.IntN(40)) * time.Millisecond
-	again := time.Duration(1+s.rng.IntN(150)) * time.Millisecond
-	coin := s.rng.IntN(4)
+	duplicateDelay := time.Duration(1+s.rng.IntN(150)) * time.Millisecond
+	choice := s.rng.IntN(4)
 	s.mu.Unlock()
-	text := "done " + a.id
-	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+	body := "done " + a.id
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	if m == modeHang {
-		<-changed // the response comes late, as from a server that was stopped
+		<-changed // respond late, like a server that was stopped for a while
 	} else {
 		time.Sleep(work)
 	}
 	switch {
-	case m == modeReset && coin < 2:
-		io.WriteString(c, whole[:len(whole)*coin/2])
+	case m == modeReset && choice < 2:
+		io.WriteString(c, response[:len(response)*choice/2])
 		c.(*net.TCPConn).SetLinger(0)
 		a.end(mayHaveRun)
 		return false
-	case m == modeReject && coin < 2:
+	case m == modeReject && choice < 2:
 		a.end(neverRan)
 		_, err := io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
-	case m == modeReject && coin == 2:
+	case m == modeReject && choice == 2:
 		a.end(mayHaveRun)
 		_, err := io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	}
 	a.end(mayHaveRun)
-	if _, err := io.WriteString(c, whole); err != nil {
+	if _, err := io.WriteString(c, response); err != nil {
 		return false
 	}
 	switch {
 	case m == modeDuplicate:
 		s.tasks.Go(func() {
-			time.Sleep(again)
-			if _, err := io.WriteString(c, whole); err == nil {
+			time.Sleep(duplicateDelay)
+			if _, err := io.WriteString(c, response); err == nil {
 				s.ledger.increment("second answers written")
 			}
 		})
-	case m == modeClose && coin < 2:
+	case m == modeClose && choice < 2:
 		time.Sleep(work)
 		return false
 	}
--- a/internal/testing/soaktest/sidecar.go
+++ b/internal/testing/soaktest/sidecar.go
@@ -14,7 +14,7 @@
 	"barleywick/internal/testing/wait"
 )
 
-// Figures of the settings that the checks rely on.
+// Values of the settings that the checks depend on.
 const (
 	drainGrace   = 3 * time.Second
 	repeatWindow = 1200 * time.Millisecond
@@ -23,18 +23,18 @@
 
 // sidecar is one process under test.
 type sidecar struct {
-	name, addr, config string
-	process            *faultinjection.Process
-	descriptorsExhausted            bool // idle clients fill its descriptors
+	name, addr, config   string
+	process              *faultinjection.Process
+	descriptorsExhausted bool // idle clients use up its descriptors
 
 	mu       sync.Mutex
-	killedAt time.Time // the last SIGKILL without a graceful end; zero: none
+	killedAt time.Time // time of the last SIGKILL that was sent as a fault; zero: none
 	starts   []time.Time
 	pauses   []wait.Stall
-	downAt   time.Time // since when it is ending or has ended; zero: it serves
+	downAt   time.Time // since when the process is being stopped and restarted; zero: it is up
 }
 
-// classSettings is a class of requests in the form of the settings.
+// classSettings is a class of requests as it is encoded in the settings.
 type classSettings struct {
 	Name        string `json:"name"`
 	Semantics   string `json:"semantics"`
@@ -103,7 +103,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// markDown records that the process is ending, and whether it is being killed.
+// markDown records that the process is being stopped, and if so that it is being killed.
 func (s *sidecar) markDown(killed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,21 +113,21 @@
 	}
 }
 
-// markUp records that the process serves again.
+// markUp records that the process is up again.
 func (s *sidecar) markUp() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.downAt = time.Time{}
 }
 
-// paused records that the process was stopped for a moment.
+// recordPause records an interval in which the process was paused by SIGSTOP.
 func (s *sidecar) recordPause(from, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pauses = append(s.pauses, wait.Stall{From: from, Until: until})
 }
 
-// pausedWithin returns for how long the process was stopped between two times.
+// pausedWithin returns the total time for which the process was paused between two times.
 func (s *sidecar) pausedWithin(from, until time.Time) (total time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,7 +137,7 @@
 	return total
 }
 
-// start starts the process.
+// start starts the process and records when.
 func (s *sidecar) start() error {
 	s.mu.Lock()
 	s.starts = append(s.starts, time.Now())
@@ -145,19 +145,19 @@
 	return s.process.Start()
 }
 
-// startedBefore returns when the process that ran at a time was started.
-func (s *sidecar) lastStartBefore(at time.Time) (started time.Time) {
+// lastStartBefore returns the time of the last start before a time.
+func (s *sidecar) lastStartBefore(before time.Time) (started time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, start := range s.starts {
-		if start.Before(at) {
+		if start.Before(before) {
 			started = start
 		}
 	}
 	return started
 }
 
-// isDown reports whether the process is ending or has ended.
+// isDown reports whether the process is being stopped or restarted.
 func (s *sidecar) isDown() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testing/soaktest/soaktest.go
+++ b/internal/testing/soaktest/soaktest.go
@@ -1,7 +1,7 @@
-// Package soaktest runs a fleet of real sidecar processes on loopback under random faults that
-// overlap in time, and checks the rules of the protocol on every request. Everything that is
-// random follows from one seed: what clients do, what booking servers do, and the schedule of
-// faults. Threads of the operating system are not, so two runs of a seed are alike and not equal.
+// Package soaktest runs a fleet of real sidecar processes on loopback under random faults that may
+// overlap, and checks the protocol's invariants on every request. The behaviour of clients and booking
+// servers and the schedule of faults are drawn from one seed. The scheduling of the operating system is
+// not, so two runs with the same seed are similar but not identical.
 package soaktest
 
 import (
@@ -24,24 +24,24 @@
 type Options struct {
 	Seed     uint64
 	Sidecars int           // processes
-	Clients  int           // beside each sidecar
+	Clients  int           // per sidecar
 	Servers  int           // booking servers
 	Duration time.Duration // how long faults are injected
-	// Command makes the command of a sidecar that reads the configuration file.
+	// Command returns the command that runs a sidecar with a configuration file.
 	Command func(config string) *exec.Cmd
-	// OnEvent is called with each line of the timeline; it may be nil.
+	// OnEvent receives each line of the timeline; it may be nil.
 	OnEvent func(line string)
 }
 
 const (
-	longestDeadline       = 1900 * time.Millisecond // of all classes of the site
+	longestDeadline       = 1900 * time.Millisecond // hard limit of all classes
 	killDelay             = longestDeadline + 700*time.Millisecond
 	readyTimeout          = 20 * time.Second
 	maxSidecars           = 320
 	maxClients            = 16
 	maxServers            = 64
 	maxDuration           = time.Hour
-	maxReportedViolations = 200 // bounds of the report
+	maxReportedViolations = 200 // bounds the report
 	maxTimeline           = 5000
 )
 
@@ -49,13 +49,13 @@
 func (o Options) Check() error {
 	switch {
 	case o.Sidecars < 1 || o.Sidecars > maxSidecars:
-		return fmt.Errorf("sidecars is %d, 1 to %d are possible", o.Sidecars, maxSidecars)
+		return fmt.Errorf("sidecars is %d, want 1 to %d", o.Sidecars, maxSidecars)
 	case o.Clients < 1 || o.Clients > maxClients:
-		return fmt.Errorf("clients is %d, 1 to %d are possible", o.Clients, maxClients)
+		return fmt.Errorf("clients is %d, want 1 to %d", o.Clients, maxClients)
 	case o.Servers < 2 || o.Servers > maxServers:
-		return fmt.Errorf("servers is %d, 2 to %d are possible", o.Servers, maxServers)
+		return fmt.Errorf("servers is %d, want 2 to %d", o.Servers, maxServers)
 	case o.Duration < time.Second || o.Duration > maxDuration:
-		return fmt.Errorf("for is %v, 1 s to %v are possible", o.Duration, maxDuration)
+		return fmt.Errorf("for is %v, want 1 s to %v", o.Duration, maxDuration)
 	}
 	return nil
 }
@@ -65,8 +65,8 @@
 	Seed           uint64         `json:"Seed"`
 	Duration       time.Duration  `json:"Took"`
 	Counts         map[string]int `json:"Seen"`   // how often each event was observed
-	Violations     []Violation    `json:"Broken"` // the first ones
-	ViolationCount int            `json:"Cases"`  // all of them
+	Violations     []Violation    `json:"Broken"` // the first maxReportedViolations of them
+	ViolationCount int            `json:"Cases"`  // number of all violations
 	Timeline       []string       `json:"Timeline"`
 	// LongestStall is the longest time for which this process was not scheduled.
 	LongestStall time.Duration `json:"Stall"`
@@ -80,7 +80,7 @@
 
 func (c Violation) String() string { return fmt.Sprintf("%s: %s", c.Invariant, c.Detail) }
 
-// fleet is a run under way.
+// fleet is a run in progress.
 type fleet struct {
 	Options
 	dir          string
@@ -89,21 +89,21 @@
 	discovery    *discovery
 	servers      []*server
 	sidecars     []*sidecar
-	clientTasks  sync.WaitGroup // clients
-	activeFaults sync.WaitGroup // active faults
+	clientTasks  sync.WaitGroup
+	activeFaults sync.WaitGroup
 
 	mu       sync.Mutex
 	timeline []string
 }
 
-// Run runs a soak test until its faults are over and every request has ended.
+// Run runs a soak test until all faults and requests have ended.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
 	}
 	folder, err := os.MkdirTemp("", "soak-")
 	if err != nil {
-		return nil, fmt.Errorf("make a folder: %w", err)
+		return nil, fmt.Errorf("create a directory: %w", err)
 	}
 	defer os.RemoveAll(folder)
 	f := &fleet{Options: o, dir: folder, startedAt: time.Now(), ledger: newLedger()}
@@ -118,7 +118,7 @@
 	return f.report(f.ledger.stalls.Longest()), ctx.Err()
 }
 
-// start starts servers, discovery and sidecars, and waits until all are ready.
+// start starts servers, discovery and sidecars, and waits until all sidecars are ready.
 func (f *fleet) start(ctx context.Context) error {
 	for i := range f.Servers {
 		s, err := startServer(fmt.Sprint("s-", i), f.ledger, f.newRand("server", i))
@@ -151,14 +151,14 @@
 	return nil
 }
 
-// sendAndInject runs clients while faults are injected, and returns when the last request has ended.
+// runClientsAndFaults runs clients while faults are injected. When both have ended it stops the sidecars.
 func (f *fleet) runClientsAndFaults(ctx context.Context) {
-	asking, stop := context.WithCancel(ctx)
+	clientsCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	for i, s := range f.sidecars {
 		for j := range f.Clients {
 			c := &client{sidecar: s, ledger: f.ledger, rng: f.newRand("client", i*maxClients+j), name: fmt.Sprintf("%s-%d", s.name, j)}
-			f.clientTasks.Go(func() { c.run(asking) })
+			f.clientTasks.Go(func() { c.run(clientsCtx) })
 		}
 	}
 	if f.hasIdleClients() {
@@ -166,24 +166,24 @@
 		for i, s := range f.sidecars {
 			if i%idleClientsSidecarInterval == 0 {
 				s.descriptorsExhausted = true
-				f.clientTasks.Go(func() { f.runIdleClients(asking, s) })
+				f.clientTasks.Go(func() { f.runIdleClients(clientsCtx, s) })
 			}
 		}
 	}
-	f.injectFaults(asking)
+	f.injectFaults(clientsCtx)
 	f.activeFaults.Wait()
 	stop()
 	f.clientTasks.Wait()
 	f.stopAll()
 }
 
-// endAll ends every sidecar by SIGTERM; one that does not end by itself violates an invariant.
+// stopAll stops every sidecar by SIGTERM. One that ends before, or not in order, violates an invariant.
 func (f *fleet) stopAll() {
-	var ending sync.WaitGroup
+	var stops sync.WaitGroup
 	for _, s := range f.sidecars {
-		ending.Go(func() {
+		stops.Go(func() {
 			if !s.process.Running() {
-				f.ledger.addViolation(InvariantProcess, "%s has ended by itself before the end", s.name)
+				f.ledger.addViolation(InvariantProcess, "%s had ended before SIGTERM at the end of the run", s.name)
 				return
 			}
 			if err := s.process.Terminate(killDelay); err != nil {
@@ -193,10 +193,10 @@
 			f.ledger.increment("processes that ended in order")
 		})
 	}
-	ending.Wait()
+	stops.Wait()
 }
 
-// random returns an independent source of randomness for each part of the run.
+// newRand returns a random number generator with a stream of its own for a part of the run.
 func (f *fleet) newRand(part string, index int) *rand.Rand {
 	stream := uint64(index)
 	for _, b := range []byte(part) {
@@ -227,11 +227,11 @@
 }
 
 func (f *fleet) report(stall time.Duration) *Report {
-	seen, broken, cases := f.ledger.result()
-	return &Report{Seed: f.Seed, Duration: time.Since(f.startedAt), Counts: seen, Violations: broken, ViolationCount: cases, Timeline: f.timeline, LongestStall: stall}
+	counts, violations, violationCount := f.ledger.result()
+	return &Report{Seed: f.Seed, Duration: time.Since(f.startedAt), Counts: counts, Violations: violations, ViolationCount: violationCount, Timeline: f.timeline, LongestStall: stall}
 }
 
-// close ends everything that is still running.
+// close stops everything that is still running.
 func (f *fleet) close() {
 	for _, s := range f.sidecars {
 		s.process.Kill()
@@ -244,7 +244,7 @@
 	}
 }
 
-// newSidecar prepares a sidecar process.
+// newSidecar returns a sidecar whose process has not been started, and writes its configuration.
 func (f *fleet) newSidecar(index int) (*sidecar, error) {
 	address, err := loopback.FreeAddr()
 	if err != nil {
--- a/internal/testing/soaktest/soaktest_test.go
+++ b/internal/testing/soaktest/soaktest_test.go
@@ -15,7 +15,7 @@
 	program "barleywick/internal/sidecar"
 )
 
-// roleVariable makes the test binary act as a sidecar process.
+// roleEnvVariable makes the test binary act as a sidecar process.
 const roleEnvVariable = "SOAK_ROLE"
 
 func TestMain(m *testing.M) {
@@ -43,7 +43,7 @@
 	return cmd
 }
 
-// A fleet of real processes under overlapping faults keeps every invariant, on several seeds.
+// No invariant is violated by a fleet of real processes under overlapping faults, with several seeds.
 func TestSoak(t *testing.T) {
 	if testing.Short() {
 		t.Skip("it starts real processes")
@@ -72,14 +72,14 @@
 	}
 }
 
-// What happens: a server drains while discovery is down, discovery can be reached for half a
-// second to 0.9 s and is down again for ten, and sidecars send to that server until it is back.
-// Why: a watcher whose calls fail pauses for up to 1.5 s between two of them, so that it may miss
-// a spell that is shorter. By the terms of acceptance a change counts as told 6 s after
-// discovery had it and could be reached, however short that was. What showed it, at seed 213: s-0
-// drains at 4.738 s, discovery can be reached from 5.297 to 6.143 s, and the sidecar calls at 5.26
-// and 6.69 s. Calls at a shorter interval from a whole fleet would keep a discovery service that
-// is short of time from coming back, so this is not mended.
+// Guards against sidecars that send to a draining server after the drain grace. A server drains while
+// discovery is down, discovery is then reachable for 0.5 to 0.9 s and down again for ten seconds, and
+// sidecars send to the server until discovery is back. A watcher whose calls fail pauses for up to 1.5 s
+// between two calls, so it may miss a shorter period. By the terms of acceptance sidecars count as notified
+// of a change 6 s after discovery had it and was reachable, however short that period was. Seen with seed
+// 213: s-0 drains at 4.738 s, discovery is reachable from 5.297 to 6.143 s, and the sidecar calls at 5.26 and
+// 6.69 s. This is not fixed, since calls of a whole fleet at a shorter interval would keep an overloaded
+// discovery service from recovering.
 func TestSoakWithShortSpellsOfDiscovery(t *testing.T) {
 	if testing.Short() {
 		t.Skip("it starts real processes")
--- a/internal/testing/wait/stalls.go
+++ b/internal/testing/wait/stalls.go
@@ -7,15 +7,15 @@
 
 const (
 	stallCheckInterval = 5 * time.Millisecond
-	// minStall is the shortest stall that is kept: below, a check came as late as any timer.
+	// minStall is the shortest stall that is recorded. Shorter delays are normal for timers.
 	minStall = 5 * time.Millisecond
 )
 
-// Stall is a time in which this process was not scheduled.
+// Stall is an interval in which this process was not scheduled.
 type Stall struct{ From, Until time.Time }
 
-// Stalls measures the times in which this process is not scheduled. Tests that compare
-// clock times have to know them: what they observe then is late.
+// Stalls measures the intervals in which this process is not scheduled. Tests that compare clock
+// times have to allow for them, since observations made during a stall are late.
 type Stalls struct {
 	stop    chan struct{}
 	stopped sync.WaitGroup
@@ -24,7 +24,7 @@
 	stalls []Stall
 }
 
-// WatchStalls measures until Stop is called.
+// WatchStalls starts a measurement, which runs until Stop is called.
 func WatchStalls() *Stalls {
 	s := &Stalls{stop: make(chan struct{})}
 	s.stopped.Go(s.run)
@@ -49,13 +49,13 @@
 	}
 }
 
-// Stop ends the measurement. What was measured stays.
+// Stop ends the measurement. The recorded stalls stay available.
 func (s *Stalls) Stop() {
 	close(s.stop)
 	s.stopped.Wait()
 }
 
-// Within returns for how long the process was not scheduled between two times.
+// Within returns the total time for which the process was not scheduled between two times.
 func (s *Stalls) Within(from, until time.Time) (total time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,7 +65,7 @@
 	return total
 }
 
-// Within returns how much of the stall lies between two times.
+// Within returns the part of the stall that lies between two times.
 func (s Stall) Within(from, until time.Time) time.Duration {
 	if s.From.Before(from) {
 		s.From = from
--- a/internal/testing/wait/wait.go
+++ b/internal/testing/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait holds the waits that the test programs share.
+// Package wait has functions for waiting, and measures scheduling stalls. Test programs share it.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits, and reports whether ctx is still active.
+// Sleep waits until d has passed or ctx ends, and reports whether ctx is still active.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
