--- a/internal/testing/chaostest/chaos.go
+++ b/internal/testing/chaostest/chaos.go
@@ -66,7 +66,7 @@
 
 const (
 	// startTimeout bounds the start of the fleet. settleTimeout bounds the settling after the last
-	// fault; it is longer than the time-outs of rollouts and drains.
+	// fault; it is longer than the timeouts of rollouts and drains.
 	startTimeout  = time.Minute
 	settleTimeout = 90 * time.Second
 	// operatorsContinue is how long operators continue after the last fault.
--- a/internal/testing/chaostest/operators.go
+++ b/internal/testing/chaostest/operators.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// proposePolicy proposes a policy, or aborts the rollout in progress in one of three cases.
+// proposePolicy proposes a policy, or with a probability of 1/3 aborts the rollout in progress, if any.
 func (r *run) proposePolicy(ctx context.Context, n int) {
 	ctx, cancel := context.WithTimeout(ctx, actionTimeout)
 	defer cancel()
--- a/internal/testing/chaostest/servers.go
+++ b/internal/testing/chaostest/servers.go
@@ -38,7 +38,7 @@
 	runCounts     map[string]int // by request id
 	inFlight      int
 	drainingSince time.Time                // when its drain mark was first polled; zero: it is not draining
-	suspected     map[string]time.Time     // by sidecar: start of a request past the grace, a violation unless the drain had been cancelled by then
+	suspected     map[string]time.Time     // by sidecar: start of its first request past the grace that no later poll has confirmed as late
 	lateRequests  map[string]time.Duration // by sidecar: how long after the drain mark its latest request started
 }
 
--- a/internal/testing/faultinjection/process_test.go
+++ b/internal/testing/faultinjection/process_test.go
@@ -61,7 +61,7 @@
 
 // An injected crash does not hide that the process had failed before.
 func TestCrashAfterFailure(t *testing.T) {
-	for status, hidden := range map[string]bool{"0": false, "3": true} {
+	for status, wantError := range map[string]bool{"0": false, "3": true} {
 		p := &Process{Name: "p", NewCommand: func() *exec.Cmd { return exec.Command("sh", "-c", "exit "+status) }}
 		if err := p.Start(); err != nil {
 			t.Fatal(err)
@@ -72,8 +72,8 @@
 			}
 		}
 		i := &Injector{Network: NewNetwork(1), Processes: map[string]*Process{"p": p}}
-		if _, err := i.Inject(Fault{Kind: Crash, Target: "p"}); (err != nil) != hidden {
-			t.Errorf("after status %s: got the error %v, want one: %v", status, err, hidden)
+		if _, err := i.Inject(Fault{Kind: Crash, Target: "p"}); (err != nil) != wantError {
+			t.Errorf("after status %s: got the error %v, want one: %v", status, err, wantError)
 		}
 	}
 }
--- a/internal/testing/soaktest/client.go
+++ b/internal/testing/soaktest/client.go
@@ -45,7 +45,7 @@
 // Timing of clients.
 const (
 	connectTimeout           = 2 * time.Second
-	incompleteRequestTimeout = 3 * time.Second // the sidecar has to close the connection of an incomplete request within this time
+	incompleteRequestTimeout = 3 * time.Second // for the sidecar to close the connection of an incomplete request
 	maxIdleTime              = 1700 * time.Millisecond
 	maxWritePause            = 350 * time.Millisecond
 	maxThinkTime             = 60 * time.Millisecond
--- a/internal/testing/soaktest/faults.go
+++ b/internal/testing/soaktest/faults.go
@@ -27,7 +27,7 @@
 
 // Timing of faults.
 const (
-	meanFaultInterval  = 180 * time.Millisecond // between the starts of two faults in a fleet of up to referenceFleetSize; less in larger ones
+	meanFaultInterval  = 180 * time.Millisecond // between two starts, in a fleet of up to referenceFleetSize
 	referenceFleetSize = 16
 	maxFaultDuration   = 3500 * time.Millisecond
 	pauseDuration      = pauseSlack
--- a/internal/testing/soaktest/ledger.go
+++ b/internal/testing/soaktest/ledger.go
@@ -31,7 +31,7 @@
 	InvariantDrain Invariant = "drain"
 	// InvariantDeadlineHeader: the timeout sent to a server is not longer than the time the client has left.
 	InvariantDeadlineHeader Invariant = "deadline told"
-	// InvariantProcess: a process ends before killDelay after SIGTERM, and never without it.
+	// InvariantProcess: a process ends in order within killDelay of SIGTERM, and never by itself.
 	InvariantProcess Invariant = "process"
 	// InvariantOwnChecks: a sidecar's own checks report no violation.
 	InvariantOwnChecks Invariant = "own checks"
@@ -40,7 +40,7 @@
 // Tolerances of the checks, as the protocol and the terms of acceptance allow. Delays that the test itself
 // causes are measured, and allowed in addition (ledger.allowedDelay).
 const (
-	// pauseSlack is how long a process may be paused between reading its clock and writing to a socket.
+	// pauseSlack is how long a process may be paused between reading its clock and writing.
 	pauseSlack = 150 * time.Millisecond
 	// clockReadSlack allows for the difference between the clock readings of two goroutines at one event.
 	clockReadSlack = 10 * time.Millisecond
@@ -55,7 +55,7 @@
 	responseSlack = 500 * time.Millisecond
 	// protocolSlack is the protocol's tolerance for each time limit that is measured on sockets.
 	protocolSlack = 50 * time.Millisecond
-	// notificationDeadline is how long after a change sidecars count as notified of it.
+	// notificationDeadline is the time after a change from which sidecars count as notified of it.
 	notificationDeadline = 6 * time.Second
 )
 
@@ -176,14 +176,14 @@
 }
 
 // recordAttempt records the arrival of a complete request at a server. It returns nil if no client sent it.
-func (l *ledger) recordAttempt(id, server string, began time.Time, deadline, readingTook time.Duration) *attempt {
+func (l *ledger) recordAttempt(id, server string, began time.Time, deadline, slowReadTime time.Duration) *attempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.requests[id]
 	if r == nil {
 		return nil
 	}
-	a := &attempt{ledger: l, id: id, server: server, firstByte: began, complete: time.Now(), deadline: deadline, slowReadTime: readingTook}
+	a := &attempt{ledger: l, id: id, server: server, firstByte: began, complete: time.Now(), deadline: deadline, slowReadTime: slowReadTime}
 	r.attempts = append(r.attempts, a)
 	l.counts["attempts"]++
 	return a
--- a/internal/testing/soaktest/server.go
+++ b/internal/testing/soaktest/server.go
@@ -42,8 +42,7 @@
 	return [...]string{"well", "hangs", "answers twice", "resets", "refuses", "closes", "reads slowly"}[m]
 }
 
-// In modeSlowRead a server reads one chunk at a time. The receive buffer is not larger, so that the kernel
-// reads slowly, too.
+// In modeSlowRead a server reads one chunk at a time from a socket whose receive buffer holds little more.
 const (
 	slowReadChunk     = 4 << 10
 	slowReadPause     = 60 * time.Millisecond
--- a/internal/testing/soaktest/soaktest_test.go
+++ b/internal/testing/soaktest/soaktest_test.go
@@ -46,7 +46,7 @@
 // No invariant is violated by a fleet of real processes under overlapping faults, with several seeds.
 func TestSoak(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it starts real processes")
+		t.Skip("the test starts real processes")
 	}
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -82,7 +82,7 @@
 // discovery service from recovering.
 func TestSoakWithShortSpellsOfDiscovery(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it starts real processes")
+		t.Skip("the test starts real processes")
 	}
 	report, err := Run(t.Context(), Options{Seed: 213, Sidecars: 16, Clients: 3, Servers: 6, Duration: 15 * time.Second, Command: testBinary})
 	if err != nil {
