--- a/internal/testing/soaktest/client.go
+++ b/internal/testing/soaktest/client.go
@@ -18,24 +18,24 @@
 	"barleywick/internal/testing/loadgen"
 )
 
-// behaviour is how a client sends one request.
+// behaviour is the way in which a client sends one request.
 type behaviour int
 
 const (
-	// plain: on the open connection, at once.
+	// plain: sends at once on the open connection.
 	plain behaviour = iota
-	// silentFirst: on a new connection, after a silence.
-	silentFirst
-	// slowly: in pieces, with pauses.
-	slowly
-	// leaves: closes its connection before the response.
-	leaves
-	// stops: sends a part and keeps the connection.
-	stops
-	// halfCloses: closes its side after the request and waits for the response.
-	halfCloses
-	// rests: leaves its connection idle for long before the request.
-	rests
+	// delayedFirst: opens a new connection and pauses before the request.
+	delayedFirst
+	// sendSlowly: sends the request in pieces, with pauses.
+	sendSlowly
+	// disconnectEarly: closes its connection before the response.
+	disconnectEarly
+	// stopMidRequest: sends a part of the request and keeps the connection open.
+	stopMidRequest
+	// halfClose: closes its side of the connection after the request and waits for the response.
+	halfClose
+	// idleFirst: keeps its connection idle for a long time before the request.
+	idleFirst
 )
 
 func (m behaviour) String() string {
@@ -44,32 +44,32 @@
 
 // Timing of clients.
 const (
-	connectTimeout = 2 * time.Second
-	stoppedTimeout = 3 * time.Second // until a client that stopped midway is owed an end
-	maxSilence     = 1700 * time.Millisecond
-	maxPause       = 350 * time.Millisecond
-	maxThinkTime   = 60 * time.Millisecond
-	minTimeout     = 200 * time.Millisecond
+	connectTimeout           = 2 * time.Second
+	incompleteRequestTimeout = 3 * time.Second // for the sidecar to close the connection of an incomplete request
+	maxIdleTime              = 1700 * time.Millisecond
+	maxWritePause            = 350 * time.Millisecond
+	maxThinkTime             = 60 * time.Millisecond
+	minTimeout               = 200 * time.Millisecond
 )
 
-// Bodies of requests: one in longBodyInterval is long.
+// Maximum sizes of request bodies. One in longBodyInterval is long.
 const (
 	shortBody, longBody = 200, 60 << 10
 	longBodyInterval    = 6
 )
 
-var errClosedEarly = errors.New("closed before the request was whole")
+var errClosedEarly = errors.New("the sidecar closed the connection before the request was complete")
 
 // client sends requests to one sidecar, one at a time.
 type client struct {
-	sidecar  *sidecar
-	ledger   *ledger
-	rng      *rand.Rand
-	name     string
-	conn     *net.TCPConn // nil: none is open
-	reader   *bufio.Reader
-	carried  int // requests that the open connection has carried
-	requests int
+	sidecar        *sidecar
+	ledger         *ledger
+	rng            *rand.Rand
+	name           string
+	conn           *net.TCPConn // nil: no connection is open
+	reader         *bufio.Reader
+	requestsOnConn int // requests sent on the open connection
+	requests       int
 }
 
 // run sends requests until ctx ends.
@@ -81,7 +81,7 @@
 	}
 }
 
-// drawUpTo draws a duration below a bound.
+// drawUpTo draws a duration between 0 and a bound.
 func (c *client) drawUpTo(most time.Duration) time.Duration {
 	return time.Duration(c.rng.Int64N(int64(most)))
 }
@@ -92,17 +92,17 @@
 	case n < 70:
 		return plain
 	case n < 77:
-		return silentFirst
+		return delayedFirst
 	case n < 85:
-		return slowly
+		return sendSlowly
 	case n < 90:
-		return leaves
+		return disconnectEarly
 	case n < 93:
-		return stops
+		return stopMidRequest
 	case n < 96:
-		return halfCloses
+		return halfClose
 	}
-	return rests
+	return idleFirst
 }
 
 // closeConn closes the open connection.
@@ -126,31 +126,31 @@
 		return err
 	}
 	c.conn = conn.(*net.TCPConn)
-	c.reader, c.carried = bufio.NewReader(conn), 0
+	c.reader, c.requestsOnConn = bufio.NewReader(conn), 0
 	return nil
 }
 
 // closedByPeer reports whether the sidecar has closed the connection.
 func (c *client) closedByPeer() bool { return loadgen.ClosedByPeer(c.conn) }
 
-// sendRequest hands one request in and follows it to its end.
+// sendRequest sends one request and records its outcome.
 func (c *client) sendRequest() {
 	how := c.drawBehaviour()
-	if how == silentFirst {
+	if how == delayedFirst {
 		c.closeConn()
 	}
 	if err := c.connect(); err != nil {
-		time.Sleep(10 * time.Millisecond) // it is being restarted
+		time.Sleep(10 * time.Millisecond) // the sidecar is being restarted
 		return
 	}
-	if how == silentFirst || how == rests {
-		time.Sleep(c.drawUpTo(maxSilence))
+	if how == delayedFirst || how == idleFirst {
+		time.Sleep(c.drawUpTo(maxIdleTime))
 	}
-	r, text := c.request()
+	r, text := c.newRequest()
 	r.behaviour = how
-	c.ledger.open(r)
+	c.ledger.addRequest(r)
 	c.ledger.increment("clients: " + how.String())
-	if c.closedByPeer() { // nothing was written: use a new connection
+	if c.closedByPeer() { // nothing was written yet: use a new connection
 		if c.closeConn(); c.connect() != nil {
 			return
 		}
@@ -158,8 +158,8 @@
 	c.exchange(r, text, how)
 }
 
-// request draws a new request and returns it with its text.
-func (c *client) request() (*request, string) {
+// newRequest draws a new request and returns it with its HTTP text.
+func (c *client) newRequest() (*request, string) {
 	c.requests++
 	class := []string{"read", "keyed", "once"}[c.rng.IntN(3)]
 	r := &request{
@@ -182,40 +182,40 @@
 	return r, head + body
 }
 
-// exchange writes a request and waits for its end, according to the behaviour.
+// exchange writes a request and waits for its response, according to the behaviour.
 func (c *client) exchange(r *request, text string, how behaviour) {
-	if how == stops {
-		c.stopMidway(r, text)
+	if how == stopMidRequest {
+		c.sendIncomplete(r, text)
 		return
 	}
-	if err := c.write(r, text, how == slowly); err != nil {
+	if err := c.write(r, text, how == sendSlowly); err != nil {
 		c.ledger.update(func() { r.err = err })
 		c.closeConn()
 		return
 	}
 	switch how {
-	case leaves:
+	case disconnectEarly:
 		time.Sleep(c.drawUpTo(r.timeout))
-		c.ledger.update(func() { r.clientGone = time.Now() })
+		c.ledger.update(func() { r.clientClosed = time.Now() })
 		c.closeConn()
 		return
-	case halfCloses:
-		_ = c.conn.CloseWrite() // a failure shows in the read below
+	case halfClose:
+		_ = c.conn.CloseWrite() // an error also shows in the read below
 	}
 	err := c.read(r)
-	if err != nil && c.closeCrossedRequest(r, err) && how != halfCloses {
+	if err != nil && c.closeCrossedRequest(r, err) && how != halfClose {
 		err = c.resend(r, text)
 	}
 	if err != nil {
 		c.ledger.update(func() { r.err = err })
 		c.closeConn()
 	}
-	if how == halfCloses {
+	if how == halfClose {
 		c.closeConn()
 	}
 }
 
-// write writes a request, at once or in pieces.
+// write writes a request, in one piece or slowly in several.
 func (c *client) write(r *request, text string, slow bool) error {
 	if slow {
 		for range 2 {
@@ -224,14 +224,14 @@
 				return err
 			}
 			text = text[n:]
-			time.Sleep(c.drawUpTo(maxPause))
+			time.Sleep(c.drawUpTo(maxWritePause))
 			if c.closedByPeer() {
 				return errClosedEarly
 			}
 		}
 	}
-	c.ledger.update(func() { r.complete, r.freshConn = time.Now(), c.carried == 0 })
-	c.carried++
+	c.ledger.update(func() { r.complete, r.freshConn = time.Now(), c.requestsOnConn == 0 })
+	c.requestsOnConn++
 	if _, err := io.WriteString(c.conn, text); err != nil {
 		c.ledger.update(func() { r.complete = time.Time{} })
 		return err
@@ -241,7 +241,7 @@
 
 // read reads the response.
 func (c *client) read(r *request) error {
-	c.conn.SetReadDeadline(r.complete.Add(r.timeout + answerSlack + pauseSlack + waitSlack))
+	c.conn.SetReadDeadline(r.complete.Add(r.timeout + responseSlack + pauseSlack + clientWaitSlack))
 	resp, err := http.ReadResponse(c.reader, &http.Request{Method: http.MethodPost})
 	if err != nil {
 		return err
@@ -250,15 +250,15 @@
 	if err != nil {
 		return err
 	}
-	c.ledger.update(func() { r.status, r.body, r.answered = resp.StatusCode, string(body), time.Now() })
+	c.ledger.update(func() { r.status, r.body, r.respondedAt = resp.StatusCode, string(body), time.Now() })
 	if resp.Close {
 		c.closeConn()
 	}
 	return nil
 }
 
-// closeCrossedRequest reports whether a close may have crossed an unread request: the connection
-// ended without a byte, and no booking server has the request.
+// closeCrossedRequest reports whether the sidecar's close may have crossed the request: the connection
+// ended without a byte of a response, and the request reached no booking server.
 func (c *client) closeCrossedRequest(r *request, err error) bool {
 	if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, unix.ECONNRESET) || c.reader.Buffered() > 0 {
 		return false
@@ -268,12 +268,12 @@
 	return !sent
 }
 
-// resend sends a request once more on a new connection.
+// resend sends a request again on a new connection.
 func (c *client) resend(r *request, text string) error {
 	c.closeConn()
 	c.ledger.update(func() { r.resent, r.complete = true, time.Time{} })
 	if err := c.connect(); err != nil {
-		return err // the sidecar accepts no connection: the request was never complete
+		return err // the sidecar accepts no connection: the request counts as incomplete
 	}
 	if err := c.write(r, text, false); err != nil {
 		return err
@@ -281,17 +281,17 @@
 	return c.read(r)
 }
 
-// stopMidway sends a part of a request and waits for the end that it is owed.
-func (c *client) stopMidway(r *request, text string) {
+// sendIncomplete sends a part of a request and checks that the sidecar ends the connection.
+func (c *client) sendIncomplete(r *request, text string) {
 	defer c.closeConn()
 	if _, err := io.WriteString(c.conn, text[:1+c.rng.IntN(len(text)-2)]); err != nil {
 		return
 	}
 	begun := time.Now()
-	c.conn.SetReadDeadline(begun.Add(stoppedTimeout + pauseSlack + waitSlack))
+	c.conn.SetReadDeadline(begun.Add(incompleteRequestTimeout + pauseSlack + clientWaitSlack))
 	_, err := io.Copy(io.Discard, c.reader)
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() && !c.sidecar.killedSince(begun) {
-		c.ledger.addViolation(InvariantAnswered, "%s stopped in the middle and was left without an end for %v", r.id, time.Since(begun))
+		c.ledger.addViolation(InvariantAnswered, "%s: the connection of an incomplete request was still open after %v", r.id, time.Since(begun))
 	}
 }
