--- a/internal/registry/server/benchmark_test.go
+++ b/internal/registry/server/benchmark_test.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	loadWatchers  = 300
-	loadInstances = 200
+	watcherCount  = 300
+	instanceCount = 200
 )
 
-// loadedGroup starts a group of one with loadInstances instances. Watchers are raw
-// connections in this process: their cost is part of the figures.
+// loadedGroup starts a group of one replica with instanceCount instances. The watchers of
+// these benchmarks are raw connections in the same process, so the results include their cost.
 func loadedGroup(b *testing.B) *group {
 	b.Helper()
 	g := startGroup(b, 1)
 	c := g.client()
-	for i := range loadInstances {
+	for i := range instanceCount {
 		if _, err := c.Register(testContext(b), registry.RegisterRequest{Instance: instance(fmt.Sprint("s-", i), 1)}); err != nil {
 			b.Fatal(err)
 		}
@@ -35,8 +35,8 @@
 	return g
 }
 
-// watchRaw opens a watch and calls took for each line that is not empty.
-func watchRaw(b *testing.B, addr string, from uint64, took func()) (end func()) {
+// watchRaw opens a watch and calls onLine for each line that is not empty.
+func watchRaw(b *testing.B, addr string, from uint64, onLine func()) (end func()) {
 	b.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -57,7 +57,7 @@
 				return
 			}
 			if err == nil && len(line) > 1 {
-				took()
+				onLine()
 			}
 		}
 	})
@@ -67,7 +67,7 @@
 	}
 }
 
-func cpu(b *testing.B) time.Duration {
+func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -76,8 +76,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkWatchers measures the cost of a change that goes to all watchers, and the
-// memory of an idle watcher.
+// BenchmarkWatchers measures the cost of sending a change to all watchers, and the memory
+// used per idle watcher.
 func BenchmarkWatchers(b *testing.B) {
 	g := loadedGroup(b)
 	n, c := g.nodes[0], g.client()
@@ -89,15 +89,15 @@
 		return float64(m.HeapAlloc + m.StackInuse)
 	}
 	before := memory()
-	lines := make(chan struct{}, loadWatchers)
-	for range loadWatchers {
+	lines := make(chan struct{}, watcherCount)
+	for range watcherCount {
 		defer watchRaw(b, n.member.HTTP, n.stateMachine.seq(), func() { lines <- struct{}{} })()
 	}
-	for range loadWatchers { // the first line says that nothing has changed
+	for range watcherCount { // the first line reports no change
 		<-lines
 	}
-	perWatcher := (memory() - before) / loadWatchers
-	bytes, frames, used := n.broadcaster.eventBytes.Load(), n.broadcaster.eventCount.Load(), cpu(b)
+	perWatcher := (memory() - before) / watcherCount
+	bytes, frames, used := n.broadcaster.eventBytes.Load(), n.broadcaster.eventCount.Load(), cpuTime(b)
 	b.ResetTimer()
 	i := int64(1)
 	for b.Loop() {
@@ -105,18 +105,18 @@
 		if _, err := c.Register(context.Background(), registry.RegisterRequest{Instance: instance("s-1", i)}); err != nil {
 			b.Fatal(err)
 		}
-		for range loadWatchers {
+		for range watcherCount {
 			<-lines
 		}
 	}
 	changes := float64(n.broadcaster.eventCount.Load() - frames)
 	b.ReportMetric(perWatcher, "B/watcher")
 	b.ReportMetric(float64(n.broadcaster.eventBytes.Load()-bytes)/changes, "B/change")
-	b.ReportMetric(float64(cpu(b)-used)/changes/1e3, "cpu-µs/change")
+	b.ReportMetric(float64(cpuTime(b)-used)/changes/1e3, "cpu-µs/change")
 }
 
-// BenchmarkNewLeader measures how long a group of three is without a leader after its
-// leader crashed, in election timeouts.
+// BenchmarkNewLeader measures how long a group of three accepts no write after its leader
+// crashed, in election timeouts.
 func BenchmarkNewLeader(b *testing.B) {
 	var gap time.Duration
 	rounds := 0
@@ -128,7 +128,7 @@
 		b.StartTimer()
 		begin := time.Now()
 		var stopped sync.WaitGroup
-		stopped.Go(leader.stop) // its stop takes longer than the others' election
+		stopped.Go(leader.stop) // takes longer than the election among the other replicas
 		if _, err := c.Register(testContext(b), registry.RegisterRequest{Instance: instance("s-1", 1)}); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/registry/server/call_limiter.go
+++ b/internal/registry/server/call_limiter.go
@@ -7,19 +7,19 @@
 	"sync"
 )
 
-// errBusy says that a call was refused by a limit on how much is served at once.
+// errBusy is returned for a call that exceeds a limit on concurrent calls, watches or long polls.
 var errBusy = errors.New("too many calls wait for their turn")
 
-// callLimiter bounds the calls that run at once and those that wait, first come first
-// served.
+// callLimiter bounds the number of calls that run concurrently and of those queued. The
+// queue is first in, first out.
 type callLimiter struct {
 	mu      sync.Mutex
 	limits  Limits
 	running int
-	waiting []chan struct{} // in the order of arrival; closed when the call may run
+	waiting []chan struct{} // in the order of arrival; each is closed when its call is admitted
 }
 
-// acquire waits until a call may run. Each success has to be followed by release.
+// acquire waits until a call is admitted. The caller must call release after each success.
 func (l *callLimiter) acquire(ctx context.Context) error {
 	admitted, err := l.enqueue()
 	if admitted == nil || err != nil {
@@ -31,13 +31,13 @@
 	case <-ctx.Done():
 	}
 	if !l.dequeue(admitted) {
-		l.release() // it was admitted a moment ago
+		l.release() // admitted concurrently with the end of ctx
 	}
 	return ctx.Err()
 }
 
-// enqueue returns nil if the call may run at once, or else a channel that is closed when
-// it may.
+// enqueue returns nil if the call is admitted immediately, or else a channel that is closed
+// when it is admitted.
 func (l *callLimiter) enqueue() (admitted chan struct{}, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -53,7 +53,7 @@
 	return admitted, nil
 }
 
-// dequeue removes a call that waits. It returns false if the call does not wait any more.
+// dequeue removes a queued call. It returns false if the call is no longer queued.
 func (l *callLimiter) dequeue(admitted chan struct{}) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,7 +72,7 @@
 	l.admitLocked()
 }
 
-// admitLocked lets waiting calls run as far as the limit allows.
+// admitLocked admits queued calls up to the limit on running calls.
 func (l *callLimiter) admitLocked() {
 	for l.running < l.limits.Calls && len(l.waiting) > 0 {
 		l.running++
@@ -88,7 +88,7 @@
 	l.admitLocked()
 }
 
-// counts returns how many calls run and how many wait.
+// counts returns the numbers of running and of queued calls.
 func (l *callLimiter) counts() (running, waiting int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/registry/server/calls_benchmark_test.go
+++ b/internal/registry/server/calls_benchmark_test.go
@@ -9,7 +9,7 @@
 	"barleywick/internal/registry"
 )
 
-// BenchmarkReads reads the list of 200 instances over and over, from the leader and from a
+// BenchmarkReads reads a list of 200 instances concurrently, from the leader and from a
 // follower of a group of three.
 func BenchmarkReads(b *testing.B) {
 	g := startGroup(b, 3)
@@ -44,7 +44,7 @@
 	}
 }
 
-// BenchmarkWrites writes one record after the other at a group of three.
+// BenchmarkWrites writes records sequentially to a group of three.
 func BenchmarkWrites(b *testing.B) {
 	g := startGroup(b, 3)
 	c := g.client()
--- a/internal/registry/server/claims.go
+++ b/internal/registry/server/claims.go
@@ -7,13 +7,13 @@
 	"barleywick/internal/registry"
 )
 
-// syncClaimsLocked takes claims over that have begun or ended in the state. The caller
-// holds the lock of leadership.
+// syncClaimsLocked updates the claim tracker with claims that were added to or removed from
+// the state. The caller must hold r.leadership.mu.
 func (r *Replica) syncClaimsLocked(now time.Time) {
 	r.stateMachine.view(func(s *registry.State) { r.leadership.claims.Sync(s.Leases(), now) })
 }
 
-// expireClaims opens grants when that is due, and ends the claims that have expired.
+// expireClaims enables the granting of leases when that is due, and ends expired claims.
 func (r *Replica) expireClaims(now time.Time, term uint64) {
 	l := &r.leadership
 	l.mu.Lock()
@@ -31,7 +31,7 @@
 		return
 	}
 	if _, err := r.apply(registry.Command{Op: registry.OpExpireClaims, Lease: &registry.LeaseCommand{Expired: expired}, Term: term}); err != nil {
-		slog.Warn("lease: expired claims not ended", "err", err) // the next tick tries again
+		slog.Warn("lease: expired claims not ended", "err", err) // retried on the next tick
 		return
 	}
 	r.counters.expiredClaims.Add(uint64(len(expired)))
@@ -40,9 +40,9 @@
 	}
 }
 
-// renewClaims renews claims as of the time at. The leader has to verify that it still
-// led after that time: whoever leads next begins later and gives every claim its full
-// time, so no claim can end before its holder counts it as ended.
+// renewClaims renews claims as of the time at. The leader verifies that it was still the
+// leader after that time. The next leader then starts its term later and gives every claim
+// its full TTL, so that no claim expires at the registry before it expires for its holder.
 func (r *Replica) renewClaims(holder registry.Holder, claims []registry.ClaimRef, at time.Time) ([]registry.ClaimStatus, error) {
 	l := &r.leadership
 	l.mu.Lock()
@@ -59,7 +59,7 @@
 	if err := r.requireLeaderLocked(); err != nil {
 		return nil, err
 	}
-	if l.claims != tracker { // leadership was lost and won again: the verification was of an earlier term
+	if l.claims != tracker { // leadership was lost and regained: the verification applies to an earlier term
 		return nil, errNewLeader
 	}
 	var statuses []registry.ClaimStatus
--- a/internal/registry/server/compat_api_test.go
+++ b/internal/registry/server/compat_api_test.go
@@ -17,7 +17,7 @@
 	"barleywick/internal/testing/fixture"
 )
 
-// foundedAt is the version at which the group of a replica was founded.
+// foundedAt returns the version at which the group of a replica was founded.
 func foundedAt(t testing.TB, m registry.ReplicaInfo) uint64 {
 	t.Helper()
 	var backup struct {
@@ -36,13 +36,13 @@
 	timestamp       = regexp.MustCompile(`\b\d{13}\b`)
 	appliedIndex    = regexp.MustCompile(`"applied":\d+`)
 	metricValue     = regexp.MustCompile(`(?m)^(registry_\w+) \d+$`)
-	// The words of encoding/json name the type that was to be read.
+	// Errors of encoding/json contain the name of the Go type that is decoded into.
 	decodedType = regexp.MustCompile(`Go struct field \w+\.`)
-	// A leader counts them every 100 ms, whenever they were made.
-	followed = regexp.MustCompile(`"(sessions|claims)":\d+`)
+	// The leader updates these counts every 100 ms, so they may lag behind the calls.
+	trackedCounts = regexp.MustCompile(`"(sessions|claims)":\d+`)
 )
 
-// expandVersions puts versions in place of FOUNDED+N.
+// expandVersions replaces FOUNDED+N with versions.
 func expandVersions(text string, founded uint64) string {
 	return relativeVersion.ReplaceAllStringFunc(text, func(s string) string {
 		n, _ := strconv.ParseUint(strings.TrimPrefix(s, "FOUNDED+"), 10, 64)
@@ -50,8 +50,8 @@
 	})
 }
 
-// normalize takes out of an answer what differs from one run to the next: times,
-// addresses, and where the versions begin.
+// normalize replaces the parts of a response that differ between runs: times, addresses, and
+// versions, which are written relative to the founding version.
 func normalize(text string, founded uint64, m registry.ReplicaInfo) string {
 	text = absoluteVersion.ReplaceAllStringFunc(text, func(s string) string {
 		if v, _ := strconv.ParseUint(s, 10, 64); v >= founded && v < founded+1<<20 {
@@ -61,16 +61,16 @@
 	})
 	text = timestamp.ReplaceAllString(text, "TIME")
 	text = appliedIndex.ReplaceAllString(text, `"applied":INDEX`)
-	text = followed.ReplaceAllString(text, `"$1":COUNT`)
+	text = trackedCounts.ReplaceAllString(text, `"$1":COUNT`)
 	text = metricValue.ReplaceAllString(text, "$1 VALUE")
 	text = decodedType.ReplaceAllString(text, "Go struct field TYPE.")
 	return strings.NewReplacer(m.HTTP, "HTTP", m.Raft, "RAFT").Replace(text)
 }
 
-// apiCall is one call, below the write interface's path unless its path begins with /.
+// apiCall is one call; its path is relative to registry.APIPath unless it begins with /.
 type apiCall struct {
 	method, path, body string
-	quiet              bool // it prepares another call: its answer is not kept
+	unrecorded         bool // it only prepares another call: its response is not part of the result
 }
 
 const (
@@ -79,7 +79,7 @@
 	goodDocument = `{"form":1,"mode":"carry","tenants":[{"name":"a","slots":10,"places":20}]}`
 )
 
-// leaderCalls are made, in this order, to a group of one whose leases are granted.
+// leaderCalls returns the calls made, in this order, to a group of one that grants leases.
 func leaderCalls() []apiCall {
 	var calls []apiCall
 	add := func(method, path, body string) { calls = append(calls, apiCall{method, path, body, false}) }
@@ -223,7 +223,7 @@
 	return calls
 }
 
-// queueClaims are more claims on one lease than it is held by, or may wait for it.
+// queueClaims returns n claims on one lease: the first is granted, the others are queued.
 func queueClaims(n int) (calls []apiCall) {
 	for i := range n {
 		body := fmt.Sprintf(`{"claim":"claim-queue-%d","holder":"h%d","incarnation":1,"ttl_ms":600000,"wait":true}`, i, i)
@@ -232,8 +232,8 @@
 	return calls
 }
 
-// aloneCalls are made to one replica of three, the others of which do not run.
-var aloneCalls = []apiCall{
+// noQuorumCalls are made to one replica of three while the others are not running.
+var noQuorumCalls = []apiCall{
 	{"GET", "/health/ready", "", false},
 	{"GET", "/registry/instances", "", false},
 	{"GET", "/registry/instances?watch=1", "", false},
@@ -251,12 +251,12 @@
 	{"DELETE", "members/r1", "", false},
 }
 
-// keptHeaders are those that callers read.
-var keptHeaders = []string{"Content-Type", "Location", registry.ReadHeader, "Retry-After"}
+// recordedHeaders are the response headers that callers read.
+var recordedHeaders = []string{"Content-Type", "Location", registry.ReadHeader, "Retry-After"}
 
-// answerTo makes a call and returns its answer as one text: status, headers and body,
+// responseText makes a call and returns its response as one text: status, headers and body,
 // or the first line of a watch.
-func answerTo(t testing.TB, m registry.ReplicaInfo, call apiCall, founded uint64) string {
+func responseText(t testing.TB, m registry.ReplicaInfo, call apiCall, founded uint64) string {
 	t.Helper()
 	path := expandVersions(call.path, founded)
 	if !strings.HasPrefix(path, "/") {
@@ -272,10 +272,10 @@
 	}
 	var text bytes.Buffer
 	fmt.Fprintln(&text, resp.StatusCode)
-	for _, name := range keptHeaders {
+	for _, name := range recordedHeaders {
 		value := resp.Header.Get(name)
 		if name == "Retry-After" && value != "" {
-			value = "SECONDS" // drawn anew for each answer
+			value = "SECONDS" // random for each response
 		}
 		if value != "" {
 			fmt.Fprintf(&text, "%s: %s\n", name, value)
@@ -301,21 +301,21 @@
 	return text.String()
 }
 
-// answersOf makes calls one after the other and returns them with their answers.
-func answersOf(t testing.TB, m registry.ReplicaInfo, calls []apiCall, founded uint64) string {
+// responsesTo makes calls sequentially and returns them with their responses.
+func responsesTo(t testing.TB, m registry.ReplicaInfo, calls []apiCall, founded uint64) string {
 	t.Helper()
 	var all strings.Builder
 	for _, call := range calls {
-		answer := normalize(answerTo(t, m, call, founded), founded, m)
-		if !call.quiet {
+		answer := normalize(responseText(t, m, call, founded), founded, m)
+		if !call.unrecorded {
 			fmt.Fprintf(&all, "=== %s %s %.300s\n%s\n", call.method, call.path, call.body, strings.TrimSuffix(answer, "\n"))
 		}
 	}
 	return all.String()
 }
 
-// answersOfVersion runs replicas of a program and returns what they answer.
-func answersOfVersion(t testing.TB, program string) string {
+// responsesOfVersion runs replicas of a program and returns their responses to all calls.
+func responsesOfVersion(t testing.TB, program string) string {
 	t.Helper()
 	m, data := newMembers(t, "r0")[0], filepath.Join(t.TempDir(), "data")
 	grantsEnabled(t, program, m, data)
@@ -324,13 +324,13 @@
 	p := startProcess(t, program, writeConfig(t, settings))
 	awaitReady(t, m)
 	founded := foundedAt(t, m)
-	all := "##### a leader\n" + answersOf(t, m, leaderCalls(), founded)
+	all := "##### a leader\n" + responsesTo(t, m, leaderCalls(), founded)
 
 	watch, err := http.Get("http://" + m.HTTP + registry.ListPath + "?watch=1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	all += "##### a leader whose watches are all taken\n" + answersOf(t, m, []apiCall{
+	all += "##### a leader whose watches are all taken\n" + responsesTo(t, m, []apiCall{
 		{"GET", "/registry/instances?watch=1", "", false},
 		{"GET", "leases", "", false},
 		{"GET", "status", "", false},
@@ -344,27 +344,27 @@
 		"group": earlierGroup, "id": "r0", "data": filepath.Join(t.TempDir(), "data"),
 		"replicas": members,
 	}))
-	eventually(t, "the replica answers", func() bool {
+	eventually(t, "the replica accepts connections", func() bool {
 		c, err := net.Dial("tcp", alone.HTTP)
 		if err == nil {
 			c.Close()
 		}
 		return err == nil
 	})
-	all += "##### one replica of three alone\n" + answersOf(t, alone, aloneCalls, 1<<62)
+	all += "##### one replica of three alone\n" + responsesTo(t, alone, noQuorumCalls, 1<<62)
 	p.terminate()
 	return all
 }
 
-// The replica answers every call as the earlier version does, errors included.
-func TestAnswersOfEarlierVersion(t *testing.T) {
+// The response to every call, errors included, is the same as in the earlier version.
+func TestResponsesMatchEarlierVersion(t *testing.T) {
 	if *record {
-		writeFixture(t, "answers.txt", []byte(answersOfVersion(t, *earlierProgram)))
+		writeFixture(t, "answers.txt", []byte(responsesOfVersion(t, *earlierProgram)))
 	}
 	want := strings.SplitAfter(fixture.ReadString(t, "answers.txt"), "=== ")
-	got := strings.SplitAfter(answersOfVersion(t, ""), "=== ")
+	got := strings.SplitAfter(responsesOfVersion(t, ""), "=== ")
 	if len(got) != len(want) {
-		t.Errorf("%d answers, want %d", len(got), len(want))
+		t.Errorf("got %d responses, want %d", len(got), len(want))
 	}
 	for i := range min(len(got), len(want)) {
 		if got[i] != want[i] {
--- a/internal/registry/server/compat_test.go
+++ b/internal/registry/server/compat_test.go
@@ -21,21 +21,22 @@
 	"barleywick/internal/testing/loopback"
 )
 
-// Data and messages of an earlier version have to stay readable. What stands in
-// testdata/396a775 was written by that commit's program, by
+// Data and messages of an earlier version must remain readable. The files in
+// testdata/396a775 were written by the program of that commit, with
 //
 //	go test ./internal/registry/server -run 'Earlier' -earlier PROGRAM -record
 //
-// Without -record, -earlier names the program that takes part in TestGroupWithEarlierVersion.
+// Without -record, -earlier names the program that runs as a replica in TestGroupWithEarlierVersion.
 var (
 	earlierProgram = flag.String("earlier", "", "the registry `program` of an earlier version")
 	record         = flag.Bool("record", false, "write the fixtures anew with that program")
 )
 
-// processVariable makes the test binary a replica: it names the configuration.
+// processVariable is the environment variable with the path of a configuration file. If it is
+// set, the test binary runs as a replica with that configuration.
 const processVariable = "REGISTRY_TEST_CONFIG"
 
-// runReplica is what cmd/registry does.
+// runReplica does the same as cmd/registry.
 func runReplica(config string) error {
 	if err := diskgate.Enter(); err != nil {
 		return err
@@ -44,18 +45,18 @@
 	defer done()
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	signal.Ignore(syscall.SIGXFSZ) // a disk that a test has filled
+	signal.Ignore(syscall.SIGXFSZ) // sent when a write exceeds the file size limit that simulates a full disk
 	return Run(stop, reload, config)
 }
 
-// process is a replica that runs as a process of its own.
+// process is a replica that runs as a separate process.
 type process struct {
 	t       testing.TB
 	command *exec.Cmd // nil once it has ended
 	output  bytes.Buffer
 }
 
-// startProcess starts a replica: of the program named, or of this version if none is.
+// startProcess starts a replica of the given program, or of this version if program is empty.
 func startProcess(t testing.TB, program, config string) *process {
 	t.Helper()
 	p := &process{t: t}
@@ -72,13 +73,13 @@
 	t.Cleanup(func() {
 		p.kill()
 		if t.Failed() {
-			t.Logf("a replica's process wrote:\n%s", p.output.String())
+			t.Logf("output of a replica's process:\n%s", p.output.String())
 		}
 	})
 	return p
 }
 
-// kill ends the process without a warning.
+// kill ends the process with SIGKILL.
 func (p *process) kill() {
 	if p.command != nil {
 		p.command.Process.Kill()
@@ -87,19 +88,19 @@
 	}
 }
 
-// terminate asks the process to end, and waits until it has.
+// terminate sends the process SIGTERM, and waits until it has exited.
 func (p *process) terminate() {
 	p.t.Helper()
 	if err := p.command.Process.Signal(syscall.SIGTERM); err != nil {
 		p.t.Fatal(err)
 	}
 	if err := faultinjection.CheckEnd(p.command.Wait(), p.output.String()); err != nil {
-		p.t.Errorf("a replica that was asked to end: %v", err)
+		p.t.Errorf("a replica after SIGTERM: %v", err)
 	}
 	p.command = nil
 }
 
-// newMembers are replicas at addresses that the system picked and nobody uses.
+// newMembers returns replicas with free addresses that the system picked.
 func newMembers(t testing.TB, ids ...string) (members []registry.ReplicaInfo) {
 	t.Helper()
 	addr := func() string {
@@ -141,7 +142,7 @@
 	})
 }
 
-// mustDo makes a call of the write interface that has to succeed.
+// mustDo makes a call of the API and fails the test unless it succeeds.
 func mustDo(t testing.TB, m registry.ReplicaInfo, method, path, body string) {
 	t.Helper()
 	if status, _, text := do(t, method, "http://"+m.HTTP+registry.APIPath+path, body); status != http.StatusOK {
--- a/internal/registry/server/freshness.go
+++ b/internal/registry/server/freshness.go
@@ -18,42 +18,42 @@
 )
 
 const (
-	// staleElections is for how many election timeouts after its last evidence a replica
-	// calls its reads current.
+	// staleElections is the number of election timeouts after the last confirmation for
+	// which a replica reports its reads as current.
 	staleElections = 3
-	// confirmationsPerElection is how often within an election timeout a replica asks the
-	// leader for its commit index.
-	confirmationsPerElection = 4
-	// appliedPollInterval is how often a linearizable read looks whether the log is applied.
+	// confirmationsPerElectionTimeout is the approximate number of times per election timeout
+	// that a replica requests the leader's commit index.
+	confirmationsPerElectionTimeout = 4
+	// appliedPollInterval is the interval at which the applied index is polled.
 	appliedPollInterval = time.Millisecond
-	// maxCommitAnswer bounds the answer to a call for the commit index, in bytes.
-	maxCommitAnswer = 16 << 10
+	// maxCommitResponseBytes bounds the body of another replica's response to commit or status.
+	maxCommitResponseBytes = 16 << 10
 )
 
 var (
 	errNotReady = errors.New("this replica has not caught up with its group yet")
 	errNoLeader = errors.New("no leader is known: this replica has no contact with a quorum")
-	// errAppliedTooSlowly says that entries which the group has committed are not applied
-	// here: they were not received, or not stored, or the state machine is slow.
-	errAppliedTooSlowly = errors.New("the log is applied too slowly")
+	// errApplyTimeout is returned if entries committed by the group are not applied on this
+	// replica in time: they were not received or not stored, or the state machine is slow.
+	errApplyTimeout = errors.New("timed out waiting for committed log entries to be applied")
 )
 
-// maxReadAge is how old the evidence for a read that is called current may be.
+// maxReadAge is the maximum age of the last confirmation for reads to be reported as current.
 func (r *Replica) maxReadAge() time.Duration {
 	return staleElections * r.config.Load().electionTimeout()
 }
 
-// freshness returns how fresh reads from this replica are: registry.ReadCurrent or
-// registry.ReadStale, and for how long there may be writes that they do not show.
+// freshness returns the freshness of reads from this replica, registry.ReadCurrent or
+// registry.ReadStale, and their age: writes acknowledged within that time may be missing.
 func (r *Replica) freshness(now time.Time) (freshness string, age time.Duration) {
 	if r.raft.State() == raft.Leader && len(r.voters()) == 1 {
-		return registry.ReadCurrent, 0 // nobody else can have acknowledged anything
+		return registry.ReadCurrent, 0 // no other replica can have acknowledged a write
 	}
 	return r.reads.At(now, r.maxReadAge())
 }
 
-// linearize returns once this replica is verified to lead and has applied everything
-// that any replica had acknowledged when the call began.
+// linearize returns once this replica is verified to be the leader and has applied every
+// write that any replica had acknowledged before the call.
 func (r *Replica) linearize() error {
 	commit, err := r.verifiedCommitIndex()
 	if err != nil {
@@ -62,8 +62,9 @@
 	return r.awaitApplied(r.ctx, commit, writeTimeout)
 }
 
-// verifiedCommitIndex returns the commit index of this replica once it is verified that
-// it led when the call began or later. It covers all that was acknowledged before the call.
+// verifiedCommitIndex returns the commit index of this replica, after verifying that the
+// replica was the leader at some time after the call began. The index covers every write
+// acknowledged before the call.
 func (r *Replica) verifiedCommitIndex() (uint64, error) {
 	term, err := r.requireLeaderTerm()
 	if err != nil {
@@ -73,38 +74,38 @@
 	if err := r.verifyLeadership(); err != nil {
 		return 0, err
 	}
-	// Leadership may have been lost after the index was read, and won again: entries
-	// that another leader committed in between are not within that index.
-	if now, err := r.requireLeaderTerm(); err != nil || now != term {
+	// Leadership may have been lost and regained after the index was read. The index does
+	// not cover entries that another leader committed in between.
+	if currentTerm, err := r.requireLeaderTerm(); err != nil || currentTerm != term {
 		return 0, errNewLeader
 	}
 	return commit, nil
 }
 
-// awaitApplied waits until the state holds the log up to an index.
+// awaitApplied waits until all commands up to a log index are applied to the state.
 func (r *Replica) awaitApplied(ctx context.Context, index uint64, timeout time.Duration) error {
 	for deadline := time.Now().Add(timeout); !r.stateHolds(index); {
 		if time.Now().After(deadline) || ctx.Err() != nil {
-			return errAppliedTooSlowly
+			return errApplyTimeout
 		}
 		time.Sleep(appliedPollInterval)
 	}
 	return nil
 }
 
-// stateHolds reports whether the state holds all commands of the log up to an index that is
-// committed. Raft's own applied index does not tell: it counts what was handed to the
-// goroutine that applies, which may be behind.
+// stateHolds reports whether all commands up to a committed log index are applied to the
+// state. Raft's applied index is not sufficient: it includes entries that were passed to the
+// goroutine that applies them and may not be applied yet.
 func (r *Replica) stateHolds(index uint64) bool {
 	if r.raft.AppliedIndex() < index {
-		return false // restored snapshots are within this index only once they are in the state
+		return false // the index covers a restored snapshot only once it is loaded into the state
 	}
 	held := max(r.stateMachine.applied.Load(), r.heldIndex.Load())
 	for i := index; i > held; i-- {
 		var entry raft.Log
 		err := r.storage.log.GetLog(i, &entry)
 		if errors.Is(err, raft.ErrLogNotFound) {
-			break // compacted: it is in a snapshot, which was taken of the state or is in it
+			break // compacted: covered by a snapshot that was taken of the state or restored into it
 		}
 		if err != nil || entry.Type == raft.LogCommand && i > r.snapshotIndex() {
 			return false
@@ -114,8 +115,8 @@
 	return true
 }
 
-// snapshotIndex returns the index of the last snapshot that was taken of the state or
-// restored into it; 0 if there is none.
+// snapshotIndex returns the log index of the last snapshot that was taken of the state or
+// restored into it, or 0 if there is none.
 func (r *Replica) snapshotIndex() uint64 {
 	index, err := strconv.ParseUint(r.raft.Stats()["last_snapshot_index"], 10, 64)
 	if err != nil {
@@ -124,14 +125,14 @@
 	return index
 }
 
-// confirmReads gathers evidence for how fresh this replica's reads are, until it is
-// closed. The first evidence makes it ready: before, it would show watchers a list older
-// than the one they have.
+// confirmReads periodically confirms the freshness of this replica's reads until the replica
+// is closed. The first confirmation makes the replica ready: before that, it could serve
+// watchers a list older than the one they already have.
 func (r *Replica) confirmReads() {
 	for r.ctx.Err() == nil {
 		err := r.confirmReadsOnce()
 		r.readsError.Store(&err)
-		interval := r.config.Load().electionTimeout() / confirmationsPerElection
+		interval := r.config.Load().electionTimeout() / confirmationsPerElectionTimeout
 		select {
 		case <-time.After(interval/2 + rand.N(interval)):
 		case <-r.ctx.Done():
@@ -139,10 +140,10 @@
 	}
 }
 
-// confirmReadsOnce asks the leader for its commit index, and waits until the log is
-// applied up to it here.
+// confirmReadsOnce requests the leader's commit index, and waits until this replica has
+// applied the log up to it.
 func (r *Replica) confirmReadsOnce() error {
-	asked := time.Now()
+	requestedAt := time.Now()
 	ctx, cancel := context.WithTimeout(r.ctx, r.config.Load().electionTimeout())
 	defer cancel()
 	commit, err := r.leaderCommitIndex(ctx)
@@ -152,15 +153,15 @@
 	if err := r.awaitApplied(r.ctx, commit, r.maxReadAge()); err != nil {
 		return err
 	}
-	if r.reads.Confirm(asked) {
+	if r.reads.Confirm(requestedAt) {
 		r.ready.Store(true)
 		slog.Info("registry: ready", "seq", r.stateMachine.seq())
 	}
 	return nil
 }
 
-// leaderCommitIndex returns an index of the log that covers all that the group had
-// acknowledged when the call began.
+// leaderCommitIndex returns a log index that covers every write the group had acknowledged
+// before the call.
 func (r *Replica) leaderCommitIndex(ctx context.Context) (uint64, error) {
 	_, id := r.raft.LeaderWithID()
 	if string(id) == r.self.ID {
@@ -171,27 +172,27 @@
 	if status != http.StatusNotFound {
 		return commit.CommitIndex, err
 	}
-	// The leader runs an earlier version, which tells what it has applied.
+	// The leader runs an earlier version without this endpoint; its status has the applied index.
 	var applied registry.StatusResponse
 	_, err = r.callReplica(ctx, string(id), "status?linearizable=1", &applied)
 	return applied.Applied, err
 }
 
-// serveCommit answers with an index that covers all that was acknowledged before the
-// call. The call limiter does not count it: a leader that is busy is still the leader, and
-// its followers must be able to confirm their reads.
+// serveCommit responds with a log index that covers every write acknowledged before the
+// call. It bypasses the call limiter: an overloaded leader is still the leader, and its
+// followers must be able to confirm their reads.
 func (r *Replica) serveCommit(w http.ResponseWriter, req *http.Request) {
 	commit, err := r.verifiedCommitIndex()
 	if err != nil {
 		r.writeError(w, req, err)
 		return
 	}
-	writeAnswer(w, registry.ReadLinearizable, registry.CommitResponse{CommitIndex: commit})
+	writeResponse(w, registry.ReadLinearizable, registry.CommitResponse{CommitIndex: commit})
 }
 
-// callReplica makes a GET call of the API to another replica and reads its answer. The
-// status is 0 if there was no answer.
-func (r *Replica) callReplica(ctx context.Context, id, path string, answer any) (status int, err error) {
+// callReplica sends a GET request of the API to another replica and decodes the response.
+// The status is 0 if there was no response.
+func (r *Replica) callReplica(ctx context.Context, id, path string, response any) (status int, err error) {
 	replica, ok := r.findReplica(id)
 	if !ok {
 		return 0, errNoLeader
@@ -206,12 +207,12 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return resp.StatusCode, fmt.Errorf("the leader answers %d", resp.StatusCode)
+		return resp.StatusCode, fmt.Errorf("the leader responded with status %d", resp.StatusCode)
 	}
-	return resp.StatusCode, json.NewDecoder(io.LimitReader(resp.Body, maxCommitAnswer)).Decode(answer)
+	return resp.StatusCode, json.NewDecoder(io.LimitReader(resp.Body, maxCommitResponseBytes)).Decode(response)
 }
 
-// leaderListVersion returns the list's version at the leader.
+// leaderListVersion returns the version of the leader's list.
 func (r *Replica) leaderListVersion() (uint64, error) {
 	_, id := r.raft.LeaderWithID()
 	if string(id) == r.self.ID {
@@ -225,9 +226,9 @@
 	return status.Seq, err
 }
 
-// endWatchesWhenStale ends the open watches each time this replica becomes stale, so
-// that watchers with another address go there. The others come back and read in the
-// header that the list is stale.
+// endWatchesWhenStale ends the open watches each time this replica becomes stale, so that
+// watchers with another address switch to it. Watchers without one reconnect, and learn from
+// the response header that the list is stale.
 func (r *Replica) endWatchesWhenStale() {
 	tick := time.NewTicker(r.config.Load().electionTimeout() / 2)
 	defer tick.Stop()
@@ -236,7 +237,7 @@
 		select {
 		case <-r.ctx.Done():
 			return
-		case <-tick.C: // its value may be a time from before this process was stopped
+		case <-tick.C: // the received time isn't used: it may predate a suspension of the process
 		}
 		freshness, age := r.freshness(time.Now())
 		switch {
@@ -251,7 +252,7 @@
 	}
 }
 
-// staleReason returns why the latest try to confirm reads failed, as far as it is known.
+// staleReason returns the error of the latest attempt to confirm reads, as far as it is known.
 func (r *Replica) staleReason() error {
 	if failed := r.storage.log.lastWriteError.Load(); failed != nil {
 		return fmt.Errorf("this replica cannot write its log: %w", *failed)
--- a/internal/registry/server/freshness_test.go
+++ b/internal/registry/server/freshness_test.go
@@ -7,11 +7,11 @@
 	"barleywick/internal/registry"
 )
 
-// What happens: a replica calls its reads current, or linearizable, without a command that is
-// within the index it was told. Why: Raft's applied index counts commands that were handed to
-// the goroutine that applies them, which may not have run yet. Forced: the state machine is
-// held while a command is committed.
-func TestStateHoldsWhatIsApplied(t *testing.T) {
+// Guards against reads that are reported as current or linearizable but lack a command within
+// the confirmed commit index. Raft's applied index includes commands that were passed to the
+// goroutine that applies them and may not be applied yet. The test locks the state machine
+// while a command is committed.
+func TestStateHoldsOnlyAppliedCommands(t *testing.T) {
 	g := startGroup(t, 1)
 	n, c := g.nodes[0], g.client()
 	register := func(host string) {
@@ -22,28 +22,28 @@
 	register("s-1")
 	before := n.raft.CommitIndex()
 	if !n.stateHolds(before) {
-		t.Errorf("the state does not hold what was acknowledged, at %d", before)
+		t.Errorf("the state does not hold the acknowledged write at index %d", before)
 	}
 	n.stateMachine.mu.Lock()
 	registered := make(chan struct{})
 	go func() {
 		defer close(registered)
-		_, _ = n.apply(registry.Command{Op: registry.OpFoundGroup, Group: "test"}) // it may change nothing
+		_, _ = n.apply(registry.Command{Op: registry.OpFoundGroup, Group: "test"}) // the command need not change the state
 	}()
-	eventually(t, "the command is handed to the state machine", func() bool { return n.raft.AppliedIndex() > before })
+	eventually(t, "the command is passed to the state machine", func() bool { return n.raft.AppliedIndex() > before })
 	if index := n.raft.AppliedIndex(); n.stateHolds(index) {
-		t.Errorf("the state is said to hold %d, and the state machine is held", index)
+		t.Errorf("stateHolds reports index %d as applied while the state machine is locked", index)
 	}
 	n.stateMachine.mu.Unlock()
 	<-registered
 	if index := n.raft.AppliedIndex(); !n.stateHolds(index) {
-		t.Errorf("the state does not hold %d once it is applied", index)
+		t.Errorf("the state does not hold index %d after the command was applied", index)
 	}
 }
 
-// A replica that starts again from a snapshot and a log knows what its state holds, also
-// where the log ends with entries that are no commands.
-func TestStateHoldsWhatWasRestored(t *testing.T) {
+// After a restart from a snapshot and a log, stateHolds is true for the whole committed log,
+// also if the log ends with entries that are not commands.
+func TestStateHoldsRestoredSnapshotAndLog(t *testing.T) {
 	g := startGroup(t, 1)
 	n, c := g.nodes[0], g.client()
 	for i := range 3 {
--- a/internal/registry/server/handler.go
+++ b/internal/registry/server/handler.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	maxBody       = 64 << 10         // of a write, in bytes
-	maxBackup     = 8 << 20          // bytes
-	maxHeader     = 16 << 10         // bytes
-	callTimeout   = 10 * time.Second // for a whole call, its time in the queue included
-	queueTimeout  = time.Second      // in the call limiter's queue, and for a list version that is on its way
-	headerTimeout = 2 * time.Second
-	idleTimeout   = 30 * time.Second
+	maxBodyBytes   = 64 << 10         // of a write
+	maxBackupBytes = 8 << 20          // of a backup to restore
+	maxHeaderBytes = 16 << 10         // of a request
+	callTimeout    = 10 * time.Second // for a whole call, including its time in the queue
+	queueTimeout   = time.Second      // in the call limiter's queue, and for a list version that is being replicated
+	headerTimeout  = 2 * time.Second
+	idleTimeout    = 30 * time.Second
 )
 
-// apiHandler answers a call. An error that it returns is answered by writeError; it has
-// written nothing then.
+// apiHandler serves a call. If it returns an error it has not written a response, and
+// writeError writes one.
 type apiHandler func(w http.ResponseWriter, req *http.Request) error
 
-// Handler returns the replica's HTTP interface: the protocol's list and watch, the API
-// for writes, health and metrics.
+// Handler returns the replica's HTTP interface: the discovery protocol's list and watch, the
+// registry API, health and metrics.
 func (r *Replica) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+registry.ListPath, r.serveList)
@@ -72,8 +72,8 @@
 	return mux
 }
 
-// HTTPServer returns a server for Handler with limits on everything that a caller may
-// hold.
+// HTTPServer returns a server for Handler with limits on the time and the memory that a
+// caller may use.
 func (r *Replica) HTTPServer() *http.Server {
 	return &http.Server{
 		Handler:           r.Handler(),
@@ -81,22 +81,22 @@
 		ReadTimeout:       callTimeout,
 		WriteTimeout:      callTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeader,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
 }
 
-// limited serves calls as the call limiter admits them.
+// limited returns a handler whose calls are subject to the call limiter.
 func (r *Replica) limited(handler apiHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
-		if err := r.admitted(req, func() error { return handler(w, req) }); err != nil {
+		if err := r.runAdmitted(req, func() error { return handler(w, req) }); err != nil {
 			r.writeError(w, req, err)
 		}
 	}
 }
 
-// admitted runs a call when the call limiter admits it.
-func (r *Replica) admitted(req *http.Request, call func() error) error {
+// runAdmitted runs a call once the call limiter admits it, or returns errBusy.
+func (r *Replica) runAdmitted(req *http.Request, call func() error) error {
 	ctx, cancel := context.WithTimeout(req.Context(), queueTimeout)
 	defer cancel()
 	if err := r.limiter.acquire(ctx); err != nil {
@@ -112,9 +112,9 @@
 	}
 }
 
-// decodeBody reads a call's JSON body, and refuses unknown keys and anything behind it.
+// decodeBody decodes a call's JSON body. Unknown keys and trailing data are errors.
 func decodeBody(w http.ResponseWriter, req *http.Request, into any) error {
-	d := json.NewDecoder(http.MaxBytesReader(w, req.Body, maxBody))
+	d := json.NewDecoder(http.MaxBytesReader(w, req.Body, maxBodyBytes))
 	d.DisallowUnknownFields()
 	err := d.Decode(into)
 	if err == nil {
@@ -127,12 +127,12 @@
 	case err == nil:
 		return nil
 	case errors.As(err, &tooLarge):
-		return statusError{http.StatusRequestEntityTooLarge, fmt.Errorf("a body of more than %d bytes", maxBody)}
+		return statusError{http.StatusRequestEntityTooLarge, fmt.Errorf("a body of more than %d bytes", maxBodyBytes)}
 	}
 	return badRequest("the body cannot be read: %v", err)
 }
 
-// queryUint reads a number of a call's query; 0 where it is left out.
+// queryUint parses a numeric query parameter; it returns 0 if the parameter is absent.
 func queryUint(req *http.Request, name string) (uint64, error) {
 	text := req.URL.Query().Get(name)
 	if text == "" {
@@ -145,7 +145,7 @@
 	return n, nil
 }
 
-// queryIfVersion reads the condition of a call that has no body; nil where it is left out.
+// queryIfVersion parses the query parameter if_version; it returns nil if the parameter is absent.
 func queryIfVersion(req *http.Request) (*uint64, error) {
 	text := req.URL.Query().Get("if_version")
 	if text == "" {
@@ -158,20 +158,20 @@
 	return &version, nil
 }
 
-// writeHeaders begins a good answer; freshness is the value of registry.ReadHeader.
+// writeHeaders sets the headers of a successful response; freshness is the value of registry.ReadHeader.
 func writeHeaders(w http.ResponseWriter, freshness string) {
 	w.Header().Set(registry.ReadHeader, freshness)
 	w.Header().Set("Content-Type", "application/json")
 }
 
-// writeAnswer writes a good answer.
-func writeAnswer(w http.ResponseWriter, freshness string, v any) {
+// writeResponse writes a successful response with a JSON body.
+func writeResponse(w http.ResponseWriter, freshness string, v any) {
 	writeHeaders(w, freshness)
 	writeJSON(w, v)
 }
 
 func writeJSON(w io.Writer, v any) {
 	if err := json.NewEncoder(w).Encode(v); err != nil {
-		slog.Debug("registry: response not written", "err", err) // the caller has gone
+		slog.Debug("registry: response not written", "err", err) // the caller has disconnected
 	}
 }
--- a/internal/registry/server/harness_test.go
+++ b/internal/registry/server/harness_test.go
@@ -20,7 +20,7 @@
 	"barleywick/internal/registry/client"
 )
 
-// The test's process, as a replica, keeps its main thread as cmd/registry does.
+// When the test binary runs as a replica, it locks its main thread as cmd/registry does.
 func init() {
 	if os.Getenv(processVariable) != "" {
 		runtime.LockOSThread()
@@ -39,14 +39,14 @@
 	os.Exit(m.Run())
 }
 
-// patience is how long a test waits for an event before it fails.
+// patience is the timeout after which a test that waits for an event fails.
 const patience = 30 * time.Second
 
 func eventually(t testing.TB, what string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("timed out: want that %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
@@ -87,8 +87,8 @@
 	go n.server.Serve(ln)
 }
 
-// stop ends a replica as a crash does, as far as one process can: leadership is not
-// handed over and connections are cut.
+// stop simulates a crash of the replica as far as is possible within one process:
+// leadership is not transferred, and connections are closed abruptly.
 func (n *node) stop() {
 	n.t.Helper()
 	if !n.up {
@@ -101,7 +101,7 @@
 	}
 }
 
-// parseSettings returns the configuration with these settings.
+// parseSettings returns the configuration parsed from these settings.
 func parseSettings(t testing.TB, settings map[string]any) *Config {
 	t.Helper()
 	text, err := json.Marshal(settings)
@@ -115,7 +115,7 @@
 	return c
 }
 
-// group is a group of replicas that run in the test's process.
+// group is a group of replicas in the test's process.
 type group struct {
 	t     testing.TB
 	nodes []*node
@@ -195,12 +195,12 @@
 	return ctx
 }
 
-// testWatcher holds the list as a sidecar does that follows it by the protocol.
+// testWatcher maintains the list from watch updates, as a sidecar does.
 type testWatcher struct {
-	mu       sync.Mutex
-	list     map[string]string // host: health and start
-	seq      uint64
-	wentBack int // how often the version went back
+	mu               sync.Mutex
+	list             map[string]string // health and start time by host
+	seq              uint64
+	versionDecreases int // how often the version decreased
 }
 
 func startTestWatcher(t testing.TB, addrs []string, seed uint64) *testWatcher {
@@ -221,7 +221,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if l.Seq < f.seq {
-		f.wentBack++
+		f.versionDecreases++
 	}
 	f.seq = l.Seq
 	if l.Full {
@@ -242,18 +242,18 @@
 	return maps.Equal(f.list, want)
 }
 
-// checkWatchers waits until all watchers hold a list, and checks that the version never went back.
+// checkWatchers waits until all watchers hold a list, and checks that their versions never decreased.
 func checkWatchers(t testing.TB, watchers []*testWatcher, want map[string]string) {
 	t.Helper()
 	for i, f := range watchers {
 		eventually(t, fmt.Sprintf("watcher %d holds the list", i), func() bool { return f.holds(want) })
-		if f.wentBack > 0 {
-			t.Errorf("watcher %d: the version went back %d times", i, f.wentBack)
+		if f.versionDecreases > 0 {
+			t.Errorf("watcher %d: the version decreased %d times, want never", i, f.versionDecreases)
 		}
 	}
 }
 
-// wantedList is what watchers have to hold.
+// wantedList returns the list that watchers must hold.
 func (n *node) wantedList() map[string]string {
 	want := make(map[string]string)
 	n.stateMachine.view(func(s *registry.State) {
--- a/internal/registry/server/http_admin.go
+++ b/internal/registry/server/http_admin.go
@@ -17,7 +17,7 @@
 			return err
 		}
 	}
-	writeAnswer(w, freshness, r.Status())
+	writeResponse(w, freshness, r.Status())
 	return nil
 }
 
@@ -39,7 +39,7 @@
 	if err := r.addReplica(info); err != nil {
 		return err
 	}
-	writeAnswer(w, registry.ReadLinearizable, r.Status())
+	writeResponse(w, registry.ReadLinearizable, r.Status())
 	return nil
 }
 
@@ -47,7 +47,7 @@
 	if err := r.removeReplica(req.PathValue("id")); err != nil {
 		return err
 	}
-	writeAnswer(w, registry.ReadLinearizable, r.Status())
+	writeResponse(w, registry.ReadLinearizable, r.Status())
 	return nil
 }
 
@@ -67,9 +67,9 @@
 }
 
 func (r *Replica) serveRestore(w http.ResponseWriter, req *http.Request) error {
-	text, err := io.ReadAll(http.MaxBytesReader(w, req.Body, maxBackup))
+	text, err := io.ReadAll(http.MaxBytesReader(w, req.Body, maxBackupBytes))
 	if err != nil {
-		return statusError{http.StatusRequestEntityTooLarge, fmt.Errorf("a backup of more than %d bytes", maxBackup)}
+		return statusError{http.StatusRequestEntityTooLarge, fmt.Errorf("the backup exceeds %d bytes", maxBackupBytes)}
 	}
 	if err := json.Unmarshal(text, registry.NewState()); err != nil {
 		return badRequest("%v", err)
--- a/internal/registry/server/http_error.go
+++ b/internal/registry/server/http_error.go
@@ -14,11 +14,11 @@
 	"barleywick/internal/registry"
 )
 
-// retryAfterMean is when a refused caller is to try again, on average. Callers are often
-// refused together, and should not come back together.
+// retryAfterMean is the mean time after which a rejected caller is to retry. The time is
+// randomized because many callers are often rejected at once, and would retry at once.
 const retryAfterMean = time.Second
 
-// statusError is an error that names the HTTP status of its answer.
+// statusError is an error with the HTTP status of its response.
 type statusError struct {
 	status int
 	err    error
@@ -32,7 +32,7 @@
 	return statusError{http.StatusBadRequest, fmt.Errorf(format, args...)}
 }
 
-// errorStatus returns the status of an error that another try would meet again.
+// errorStatus returns the HTTP status of an error; final reports whether a retry would fail likewise.
 func errorStatus(err error) (status int, final bool) {
 	var named statusError
 	if errors.As(err, &named) {
@@ -41,8 +41,8 @@
 	return registry.HTTPStatus(err)
 }
 
-// writeError answers with an error in one line. What may succeed later or elsewhere is
-// answered with 503 and Retry-After, or with a redirect to the leader.
+// writeError responds with an error in one line. If the call may succeed later or at another
+// replica, the response is 503 with Retry-After or a redirect to the leader.
 func (r *Replica) writeError(w http.ResponseWriter, req *http.Request, err error) {
 	status, final := errorStatus(err)
 	if !final {
@@ -54,27 +54,27 @@
 	writeJSON(w, registry.WriteResponse{Seq: r.stateMachine.seq(), Error: line})
 }
 
-// retryableError sets the headers of an answer that tells the caller to try again, and
-// returns its status and the error that it reports.
+// retryableError sets the headers of a response that asks the caller to retry, and returns
+// its status and the error to report.
 func (r *Replica) retryableError(w http.ResponseWriter, req *http.Request, err error) (int, error) {
 	switch {
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress):
 		if leader, ok := r.leader(); ok && leader.ID != r.self.ID {
 			w.Header().Set("Location", "http://"+leader.HTTP+req.URL.RequestURI())
-			return http.StatusTemporaryRedirect, fmt.Errorf("replica %s leads", leader.ID)
+			return http.StatusTemporaryRedirect, fmt.Errorf("replica %s is the leader", leader.ID)
 		}
 		err = r.noLeaderError()
 	case errors.Is(err, raft.ErrLeadershipLost), errors.Is(err, raft.ErrEnqueueTimeout), errors.Is(err, raft.ErrRaftShutdown):
-		err = fmt.Errorf("the leader changed: the write may have been done or not, and can be sent again: %w", err)
+		err = fmt.Errorf("the leader changed: the write may or may not have been applied, and can be retried: %w", err)
 	case errors.Is(err, errDiskHangs):
-		err = fmt.Errorf("the write may have been done or not, and can be sent again: %w", err)
+		err = fmt.Errorf("the write may or may not have been applied, and can be retried: %w", err)
 	}
 	r.counters.refusedCalls.Add(1)
 	w.Header().Set("Retry-After", retryAfter())
 	return http.StatusServiceUnavailable, err
 }
 
-// noLeaderError says why there is no leader, as far as this replica knows.
+// noLeaderError returns the reason why there is no leader, as far as this replica can determine it.
 func (r *Replica) noLeaderError() error {
 	if failed := r.storage.log.lastWriteError.Load(); failed != nil {
 		return fmt.Errorf("this replica cannot write its log: %w", *failed)
@@ -82,7 +82,7 @@
 	return errNoLeader
 }
 
-// retryAfter returns a number of seconds about retryAfterMean, another for each call.
+// retryAfter returns a random number of seconds with the mean retryAfterMean.
 func retryAfter() string {
 	return strconv.FormatFloat(retryAfterMean.Seconds()*(0.5+rand.Float64()), 'f', 2, 64)
 }
--- a/internal/registry/server/http_leases.go
+++ b/internal/registry/server/http_leases.go
@@ -9,9 +9,9 @@
 	"barleywick/internal/registry"
 )
 
-var errLeaseRate = errors.New("more commands on leases than leases.writes_per_s")
+var errLeaseRate = errors.New("rate of lease commands exceeds leases.writes_per_s")
 
-// applyLeaseCommand has a command on a lease applied, unless there are too many.
+// applyLeaseCommand applies a lease command, subject to the rate limit on lease commands.
 func (r *Replica) applyLeaseCommand(op registry.Op, c *registry.LeaseCommand) (registry.Result, error) {
 	if err := registry.CheckName("lease", c.Name); err != nil {
 		return registry.Result{}, badRequest("%v", err)
@@ -25,7 +25,7 @@
 	return r.apply(registry.Command{Op: op, Lease: c})
 }
 
-// writeLeaseCommand is applyLeaseCommand, and answers with the result.
+// writeLeaseCommand is applyLeaseCommand, and writes the result as the response.
 func (r *Replica) writeLeaseCommand(w http.ResponseWriter, op registry.Op, c *registry.LeaseCommand) error {
 	result, err := r.applyLeaseCommand(op, c)
 	if err != nil {
@@ -52,7 +52,7 @@
 		r.counters.grantedLeases.Add(1)
 		slog.Info("lease: granted", "lease", lease, "holder", body.Claim.Name, "token", result.Token)
 	}
-	writeAnswer(w, registry.ReadLinearizable, registry.ClaimStatus{
+	writeResponse(w, registry.ReadLinearizable, registry.ClaimStatus{
 		Lease: lease, ClaimID: body.ID, Token: result.Token, QueuePosition: result.QueuePosition,
 	})
 	return nil
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	writeAnswer(w, registry.ReadLinearizable, registry.RenewClaimsResponse{Claims: statuses})
+	writeResponse(w, registry.ReadLinearizable, registry.RenewClaimsResponse{Claims: statuses})
 	return nil
 }
 
@@ -105,11 +105,11 @@
 	if err != nil {
 		return err
 	}
-	var answer registry.LeasesResponse
+	var response registry.LeasesResponse
 	r.stateMachine.view(func(s *registry.State) {
-		answer.Leases, answer.Version = s.Leases().List()
-		answer.GrantsClosed = s.Leases().GrantsClosed()
+		response.Leases, response.Version = s.Leases().List()
+		response.GrantsClosed = s.Leases().GrantsClosed()
 	})
-	writeAnswer(w, freshness, answer)
+	writeResponse(w, freshness, response)
 	return nil
 }
--- a/internal/registry/server/http_longpoll.go
+++ b/internal/registry/server/http_longpoll.go
@@ -8,11 +8,11 @@
 	"barleywick/internal/registry"
 )
 
-// maxLongPoll is how long a call may wait for a change: less than callTimeout.
+// maxLongPoll is the maximum time that a call waits for a change. It must be less than callTimeout.
 const maxLongPoll = 5 * time.Second
 
-// longPoll serves calls that may wait for a change. Their number is limited together
-// with that of the watches.
+// longPoll returns a handler for calls that may wait for a change. They share one limit with
+// the watches.
 func (r *Replica) longPoll(handler apiHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		if !r.acquireWatch() {
@@ -26,8 +26,8 @@
 	}
 }
 
-// awaitChange waits until a version of the leases or of the policy is later than the
-// query's after, for its wait_ms at most. Then it does what prepareRead does.
+// awaitChange waits until a version of the leases or of the policy exceeds the query
+// parameter after, for at most wait_ms. Then it calls prepareRead and returns its result.
 func (r *Replica) awaitChange(req *http.Request, version func(s *registry.State) uint64) (freshness string, err error) {
 	after, err := queryUint(req, "after")
 	if err != nil {
@@ -41,10 +41,10 @@
 	defer cancel()
 	defer context.AfterFunc(r.polls, cancel)()
 	for ctx.Err() == nil {
-		var now uint64
+		var current uint64
 		var changed <-chan struct{}
-		r.stateMachine.view(func(s *registry.State) { now, changed = version(s), r.stateMachine.leasesOrPolicyChanged })
-		if now > after {
+		r.stateMachine.view(func(s *registry.State) { current, changed = version(s), r.stateMachine.leasesOrPolicyChanged })
+		if current > after {
 			break
 		}
 		select {
--- a/internal/registry/server/http_policy.go
+++ b/internal/registry/server/http_policy.go
@@ -9,8 +9,8 @@
 
 func policyVersion(s *registry.State) uint64 { return s.Rollout().Version() }
 
-// servePolicyStep applies a step of a rollout, and answers with what the member that the
-// step names is to act by from then on.
+// servePolicyStep applies a step of a rollout, and responds with the policy view of the
+// member that the step names.
 func (r *Replica) servePolicyStep(w http.ResponseWriter, req *http.Request) error {
 	var body registry.PolicyRequest
 	if err := decodeBody(w, req, &body); err != nil {
@@ -19,15 +19,15 @@
 	if err := r.requireLeader(); err != nil {
 		return err
 	}
-	body.AtMS = 0 // the leader sets it, not the caller
+	body.AtMS = 0 // set by the leader; a value from the caller is ignored
 	if _, err := r.apply(registry.Command{Op: registry.OpPolicyStep, PolicyStep: &body.Command, Fence: body.Fence}); err != nil {
 		return err
 	}
-	writeAnswer(w, registry.ReadLinearizable, r.policyView(body.Member))
+	writeResponse(w, registry.ReadLinearizable, r.policyView(body.Member))
 	return nil
 }
 
-// servePolicyStatus answers with the fleet policy and the state of its rollout.
+// servePolicyStatus responds with the fleet policy and the state of its rollout.
 func (r *Replica) servePolicyStatus(w http.ResponseWriter, req *http.Request) error {
 	freshness, err := r.awaitChange(req, policyVersion)
 	if err != nil {
@@ -35,11 +35,11 @@
 	}
 	var status rollout.Status
 	r.stateMachine.view(func(s *registry.State) { status = s.Rollout().Status() })
-	writeAnswer(w, freshness, status)
+	writeResponse(w, freshness, status)
 	return nil
 }
 
-// servePolicyView answers with what one member is to act by.
+// servePolicyView responds with the policy view of one member.
 func (r *Replica) servePolicyView(w http.ResponseWriter, req *http.Request) error {
 	incarnation, err := queryUint(req, "incarnation")
 	if err != nil {
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	writeAnswer(w, freshness, r.policyView(rollout.Member{Name: name, Incarnation: incarnation}))
+	writeResponse(w, freshness, r.policyView(rollout.Member{Name: name, Incarnation: incarnation}))
 	return nil
 }
 
--- a/internal/registry/server/http_read.go
+++ b/internal/registry/server/http_read.go
@@ -9,8 +9,8 @@
 	"barleywick/internal/registry"
 )
 
-// prepareRead makes a read as fresh as the query asks for, and returns the value of
-// registry.ReadHeader for its answer.
+// prepareRead waits until a read has the freshness that the query requires, and returns the
+// value of registry.ReadHeader for the response.
 func (r *Replica) prepareRead(query url.Values) (freshness string, err error) {
 	switch v := query.Get("linearizable"); v {
 	case "", "0":
@@ -28,14 +28,15 @@
 	return r.freshnessHeader(), nil
 }
 
-// freshnessHeader is the value of registry.ReadHeader for a read that is not linearizable.
-// The age is rounded up: what was acknowledged before it is in the response.
+// freshnessHeader returns the value of registry.ReadHeader for a read that is not
+// linearizable. The age is rounded up, so that the response contains every write that was
+// acknowledged longer ago than the age.
 func (r *Replica) freshnessHeader() string {
 	freshness, age := r.freshness(time.Now())
 	return fmt.Sprintf("%s; age_ms=%d", freshness, (age + time.Millisecond - 1).Milliseconds())
 }
 
-// serveList serves the protocol's list and watch.
+// serveList serves the list and the watch of the discovery protocol.
 func (r *Replica) serveList(w http.ResponseWriter, req *http.Request) {
 	query, err := url.ParseQuery(req.URL.RawQuery)
 	if err != nil {
@@ -67,11 +68,11 @@
 	if err != nil {
 		return err
 	}
-	var answer registry.RegistrationsResponse
+	var response registry.RegistrationsResponse
 	r.stateMachine.view(func(s *registry.State) {
-		answer = registry.RegistrationsResponse{Group: s.Group(), Seq: s.Seq(), Registrations: s.Registrations(), Marks: s.Marks()}
+		response = registry.RegistrationsResponse{Group: s.Group(), Seq: s.Seq(), Registrations: s.Registrations(), Marks: s.Marks()}
 	})
-	writeAnswer(w, freshness, answer)
+	writeResponse(w, freshness, response)
 	return nil
 }
 
@@ -82,7 +83,7 @@
 	}
 	var keys []string
 	r.stateMachine.view(func(s *registry.State) { keys = s.RecordKeys() })
-	writeAnswer(w, freshness, keys)
+	writeResponse(w, freshness, keys)
 	return nil
 }
 
@@ -98,6 +99,6 @@
 	if !found {
 		return fmt.Errorf("%w: record %.64s", registry.ErrNotFound, key)
 	}
-	writeAnswer(w, freshness, record)
+	writeResponse(w, freshness, record)
 	return nil
 }
--- a/internal/registry/server/http_watch.go
+++ b/internal/registry/server/http_watch.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// watchLineTimeout is how long a watcher may take to accept a line: by then the next
-	// heartbeat is due.
+	// watchLineTimeout is the write timeout of a line. It equals the heartbeat interval: when
+	// it expires the next heartbeat is due.
 	watchLineTimeout = 2 * time.Second
-	// watchHeartbeatInterval is the longest time without a line; an empty one is a
-	// heartbeat by the protocol.
+	// watchHeartbeatInterval is the maximum time between two lines; in the protocol an empty
+	// line is a heartbeat.
 	watchHeartbeatInterval = 2 * time.Second
 )
 
-var errWatchTooSlow = errors.New("too far behind")
+var errWatchTooSlow = errors.New("watcher is too many events behind")
 
-// acquireWatch takes one of the limited places for watches and long polls. Each success
-// has to be followed by releaseWatch.
+// acquireWatch counts a watch or long poll against the limit on their number, and returns
+// false if the limit is reached. The caller must call releaseWatch after each success.
 func (r *Replica) acquireWatch() bool {
 	if r.openWatches.Add(1) > int64(r.config.Load().Limits.Watches) {
 		r.openWatches.Add(-1)
@@ -34,7 +34,7 @@
 
 func (r *Replica) releaseWatch() { r.openWatches.Add(-1) }
 
-// serveWatch serves one watch, from its call to its end.
+// serveWatch serves one watch until it ends.
 func (r *Replica) serveWatch(w http.ResponseWriter, req *http.Request, query url.Values) {
 	if !r.acquireWatch() {
 		r.writeError(w, req, fmt.Errorf("%w: all watches are taken", errBusy))
@@ -42,7 +42,7 @@
 	}
 	defer r.releaseWatch()
 	var start watchPosition
-	err := r.admitted(req, func() (err error) {
+	err := r.runAdmitted(req, func() (err error) {
 		start, err = r.startWatch(req.Context(), query)
 		return err
 	})
@@ -55,11 +55,11 @@
 	if err := r.streamWatch(req.Context(), start, out); err != nil {
 		r.broadcaster.cutWatches.Add(1)
 		slog.Info("registry: watch cut", "watcher", req.RemoteAddr, "err", err)
-		panic(http.ErrAbortHandler) // the watcher must not take it for a proper end
+		panic(http.ErrAbortHandler) // aborts the chunked response: the watcher must not see a regular end
 	}
 }
 
-// startWatch returns the position at which the watch of a query begins.
+// startWatch returns the position at which a watch starts, from its query.
 func (r *Replica) startWatch(ctx context.Context, query url.Values) (watchPosition, error) {
 	from := uint64(0)
 	if text := query.Get("from"); text != "" {
@@ -84,7 +84,7 @@
 }
 
 func (o watchWriter) begin(freshness string) {
-	o.control.SetReadDeadline(time.Time{}) // nothing more is read; net/http notices the end of the connection
+	o.control.SetReadDeadline(time.Time{}) // nothing more is read; net/http detects the end of the connection
 	writeHeaders(o.w, freshness)
 }
 
@@ -96,8 +96,8 @@
 	return o.control.Flush()
 }
 
-// streamWatch writes lines until the watch ends. It returns an error if the watch has to
-// be cut.
+// streamWatch writes lines until the watch ends. It returns an error if the watch has to be
+// aborted.
 func (r *Replica) streamWatch(ctx context.Context, at watchPosition, out watchWriter) error {
 	sent := r.watchVersions.add()
 	defer r.watchVersions.remove(sent)
@@ -137,33 +137,34 @@
 	}
 }
 
-// awaitVersion waits for a version that a watcher has seen at another replica. If the
-// leader does not know it either, it is of another history or was lost with the disks of
-// a quorum: the watcher gets the full list then.
+// awaitVersion waits for a list version that a watcher has received from another replica. If
+// the leader does not have it either, the version belongs to another history or was lost
+// with the disks of a quorum; awaitVersion then returns nil, and the watch starts with the
+// full list.
 func (r *Replica) awaitVersion(ctx context.Context, from uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, queueTimeout)
 	defer cancel()
-	leaderHasIt := false
+	leaderHasVersion := false
 	for {
 		seq, changed := r.stateMachine.listVersion()
 		if from <= seq {
 			return nil
 		}
-		if !leaderHasIt {
-			newest, err := r.leaderListVersion()
+		if !leaderHasVersion {
+			leaderVersion, err := r.leaderListVersion()
 			switch {
 			case err != nil:
-				return fmt.Errorf("version %d is not known here, and no leader can be asked: %w", from, err)
-			case newest < from:
+				return fmt.Errorf("version %d is later than this replica's, and the leader's version is unknown: %w", from, err)
+			case leaderVersion < from:
 				return nil
 			}
-			leaderHasIt = true
-			continue // it may have arrived meanwhile
+			leaderHasVersion = true
+			continue // the version may have been applied meanwhile
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return fmt.Errorf("version %d has not come here yet", from)
+			return fmt.Errorf("version %d has not reached this replica yet", from)
 		}
 	}
 }
--- a/internal/registry/server/http_write.go
+++ b/internal/registry/server/http_write.go
@@ -9,7 +9,7 @@
 	"barleywick/internal/registry"
 )
 
-// write has a command applied and answers with its result.
+// write applies a command and responds with its result.
 func (r *Replica) write(w http.ResponseWriter, c registry.Command) error {
 	if err := r.requireLeader(); err != nil {
 		return err
@@ -22,9 +22,9 @@
 	return nil
 }
 
-// writeResult answers with the versions after a write.
+// writeResult responds with the versions after a write.
 func writeResult(w http.ResponseWriter, result registry.Result) {
-	writeAnswer(w, registry.ReadLinearizable, registry.WriteResponse{Version: result.Version, Seq: result.Seq})
+	writeResponse(w, registry.ReadLinearizable, registry.WriteResponse{Version: result.Version, Seq: result.Seq})
 }
 
 func (r *Replica) serveRegister(w http.ResponseWriter, req *http.Request) error {
@@ -39,7 +39,7 @@
 	if body.Machine == "" {
 		body.Machine, _, _ = net.SplitHostPort(body.Instance.Dial)
 	}
-	// Checked here as well as by the state machine, before it costs the log anything.
+	// The state machine checks it as well; checking it first keeps invalid commands out of the log.
 	if err := checkRegistration(host, body, r.config.Load().Sessions); err != nil {
 		return err
 	}
@@ -53,7 +53,7 @@
 	})
 }
 
-// checkRegistration returns an error if an instance cannot be registered as a call asks.
+// checkRegistration returns an error if a register request is invalid.
 func checkRegistration(host string, body registry.RegisterRequest, rules SessionConfig) error {
 	switch {
 	case body.Instance.Host != host:
@@ -85,7 +85,7 @@
 	if err := r.renewSession(req.PathValue("host"), body.Session, time.Now()); err != nil {
 		return err
 	}
-	writeAnswer(w, registry.ReadCurrent, registry.WriteResponse{Seq: r.stateMachine.seq()})
+	writeResponse(w, registry.ReadCurrent, registry.WriteResponse{Seq: r.stateMachine.seq()})
 	return nil
 }
 
@@ -119,7 +119,7 @@
 	})
 }
 
-// writableKey returns the key of a record that callers may write.
+// writableKey returns the record key of a request, or an error if callers must not write that record.
 func writableKey(req *http.Request) (string, error) {
 	key := req.PathValue("key")
 	if strings.HasPrefix(key, memberKeyPrefix) {
--- a/internal/registry/server/hung_leader_test.go
+++ b/internal/registry/server/hung_leader_test.go
@@ -12,8 +12,8 @@
 	"barleywick/internal/registry"
 )
 
-// hangLeader has the leader's disk hang in a write of its log. The channel receives the status of the
-// answer to the write that was sent to it, 0 if there is none.
+// hangLeader makes the leader's disk hang during a write to its log. The channel receives the status of
+// the response to the API write that caused it, or 0 if there is no response.
 func (g *gatedGroup) hangLeader() (leader registry.ReplicaInfo, since time.Time, answered <-chan int) {
 	g.t.Helper()
 	leader, _ = g.target(true)
@@ -33,7 +33,7 @@
 	go func() {
 		response, err := http.DefaultTransport.RoundTrip(put)
 		if err != nil {
-			answers <- 0 // the replica has ended
+			answers <- 0 // the replica has exited
 			return
 		}
 		response.Body.Close()
@@ -42,35 +42,35 @@
 	return leader, g.replicas[leader.ID].awaitHeld().At, answers
 }
 
-// A leader whose log write hangs gives way: the others elect one that can write within a few
-// election timeouts. Meanwhile it does not pass for the leader of a linearizable read, and calls no
-// read current that lacks what was acknowledged before the read's age.
-func TestLeaderWhoseDiskHangsGivesWay(t *testing.T) {
+// If a leader's log write hangs, the other replicas elect a leader that can write within a few
+// election timeouts. Meanwhile the hung replica serves no linearizable read, and reports no read as
+// current that lacks a write acknowledged longer ago than the read's age.
+func TestLeaderWithHungDiskIsReplaced(t *testing.T) {
 	t.Parallel()
 	g := startGatedGroup(t)
 	hung, since, _ := g.hangLeader()
 	next := g.leaderAmong(g.others(hung.ID))
 	if took := time.Since(since); took > electionBound {
-		t.Errorf("another replica leads %v after the disk hung, want %v at most", took, electionBound)
+		t.Errorf("another replica became leader %v after the disk hung, want %v at most", took, electionBound)
 	} else {
-		t.Logf("another replica leads %v after the disk hung", took.Round(time.Millisecond))
+		t.Logf("another replica became leader %v after the disk hung", took.Round(time.Millisecond))
 	}
 	if !g.write(next, "after", electionBound) {
-		t.Error("the next leader takes no write")
+		t.Error("the next leader accepts no write")
 	}
-	g.checkHungReads(hung, since, time.Now())
+	g.checkReadsDuringHang(hung, since, time.Now())
 	_, _, text := get(t, "http://"+hung.HTTP+registry.APIPath+"status")
-	t.Logf("its status %v after the disk hung: %s", time.Since(since).Round(time.Millisecond), text)
+	t.Logf("status of the hung replica %v after the disk hung: %s", time.Since(since).Round(time.Millisecond), text)
 	if status, _, text := get(t, "http://"+hung.HTTP+registry.APIPath+"status?linearizable=1"); status == http.StatusOK {
-		t.Errorf("a linearizable read: got %d %s", status, text)
+		t.Errorf("a linearizable read: got %d %s, want an error", status, text)
 	}
 	g.replicas[hung.ID].Release()
 	g.checkListed(hung, []string{"before", "after"})
 }
 
-// A write that a leader has taken as its disk began to hang is answered within the time of a write:
-// a caller that waits for ever cannot try another replica.
-func TestHungLeaderAnswersWrites(t *testing.T) {
+// A write that a leader receives when its disk begins to hang gets a response within the write timeout:
+// a caller that waits forever cannot try another replica.
+func TestLeaderWithHungDiskRespondsToWrites(t *testing.T) {
 	t.Parallel()
 	g := startGatedGroup(t)
 	_, since, answered := g.hangLeader()
@@ -79,14 +79,14 @@
 		if status == http.StatusOK {
 			t.Error("the hung leader acknowledged a write")
 		}
-		t.Logf("answered with %d after %v", status, time.Since(since).Round(time.Millisecond))
+		t.Logf("got status %d after %v", status, time.Since(since).Round(time.Millisecond))
 	case <-time.After(time.Until(since.Add(writeTimeout + time.Second))):
-		t.Errorf("a write is not answered %v after the disk hung, want %v at most", time.Since(since).Round(time.Millisecond), writeTimeout)
+		t.Errorf("a write got no response %v after the disk hung, want one after %v at most", time.Since(since).Round(time.Millisecond), writeTimeout)
 	}
 }
 
-// A client whose call was sent on to a leader whose disk hangs tries the others in time.
-func TestWritesGoOnWhileTheLeadersDiskHangs(t *testing.T) {
+// A client whose call was redirected to a leader with a hung disk tries the other replicas before its deadline.
+func TestWritesSucceedWhileLeaderDiskHangs(t *testing.T) {
 	t.Parallel()
 	g := startGatedGroup(t)
 	hung, since, _ := g.hangLeader()
@@ -94,30 +94,31 @@
 	t.Logf("the call ended %v after the disk hung", time.Since(since).Round(time.Millisecond))
 }
 
-// checkHungReads reads the list of a replica whose disk hangs for a time after another replica has
-// acknowledged a write, and checks that no read is called current that lacks it.
-func (g *gatedGroup) checkHungReads(hung registry.ReplicaInfo, hangsSince, acknowledged time.Time) {
+// checkReadsDuringHang reads the list of a replica with a hung disk for 3 s after another replica has
+// acknowledged a write, and checks that each read reported as current contains the write unless its age
+// allows it to be missing.
+func (g *gatedGroup) checkReadsDuringHang(hung registry.ReplicaInfo, hangsSince, acknowledged time.Time) {
 	g.t.Helper()
 	var lastCurrent time.Time
 	for time.Since(acknowledged) < 3*time.Second {
-		asked := time.Now()
+		requestedAt := time.Now()
 		_, header, text := get(g.t, "http://"+hung.HTTP+registry.ListPath)
 		kind, age, _ := strings.Cut(header.Get(registry.ReadHeader), "; age_ms=")
 		if kind != registry.ReadCurrent {
 			continue
 		}
-		lastCurrent = asked
+		lastCurrent = requestedAt
 		ms, err := strconv.Atoi(age)
 		if err != nil {
 			g.t.Fatalf("header %q: %v", header.Get(registry.ReadHeader), err)
 		}
-		covered := asked.Add(-time.Duration(ms+1) * time.Millisecond)
+		covered := requestedAt.Add(-time.Duration(ms+1) * time.Millisecond)
 		if covered.After(acknowledged) && !strings.Contains(text, `"after"`) {
-			g.t.Errorf("a read of age %v that is called current lacks a write acknowledged %v before it", age, asked.Sub(acknowledged))
+			g.t.Errorf("a read of age %v that is reported as current lacks a write acknowledged %v before it", age, requestedAt.Sub(acknowledged))
 			return
 		}
 	}
 	if !lastCurrent.IsZero() {
-		g.t.Logf("the last read called current: %v after the disk hung", lastCurrent.Sub(hangsSince).Round(time.Millisecond))
+		g.t.Logf("the last read reported as current: %v after the disk hung", lastCurrent.Sub(hangsSince).Round(time.Millisecond))
 	}
 }
--- a/internal/registry/server/leadership.go
+++ b/internal/registry/server/leadership.go
@@ -12,28 +12,28 @@
 	"barleywick/internal/registry"
 )
 
-// expiryInterval is how often the leader looks for sessions and claims that have
-// expired: a fraction of the shortest time to live.
+// expiryInterval is the interval at which the leader checks for expired sessions and claims:
+// a fraction of the shortest TTL.
 const expiryInterval = 100 * time.Millisecond
 
-// leadership is what the leader keeps in memory for one term: when each session and
-// each claim was renewed last. A term that was lost and won again starts anew, since
-// another leader may have committed entries in between, and may have renewed sessions
-// and claims that this replica knows nothing of.
+// leadership is the leader's in-memory state for one term: the last renewal of each session
+// and each claim. It is reset when leadership is lost and regained, since another leader may
+// have committed entries in between, and may have renewed sessions and claims without this
+// replica being informed.
 type leadership struct {
 	mu              sync.Mutex
 	term            uint64
 	sessions        *registry.SessionTracker // nil unless this replica leads
-	sessionsVersion uint64                   // the list's version that sessions were taken from
-	expiryHeld      bool                     // too many sessions ended at once
+	sessionsVersion uint64                   // list version with which sessions was last synchronized
+	expiryHeld      bool                     // expiry is suspended: too many sessions expired at once
 	claims          *registry.ClaimTracker   // nil unless this replica leads
 }
 
-// errNewLeader says that this replica was elected and is not ready to lead: it has to
-// apply what its predecessors committed, or to found the group.
+// errNewLeader is returned while a newly elected leader is not ready to serve: it still has
+// to apply what its predecessors committed, or to found the group.
 var errNewLeader = errors.New("this replica has just been elected")
 
-// followLeadership runs lead in each term in which this replica is the leader.
+// followLeadership calls runLeaderTerm for each term in which this replica is the leader.
 func (r *Replica) followLeadership() {
 	var leading sync.WaitGroup
 	stop := func() {}
@@ -49,7 +49,7 @@
 			if stop = func() {}; leads {
 				ctx, cancel := context.WithCancel(r.ctx)
 				stop = cancel
-				leading.Go(func() { r.lead(ctx) })
+				leading.Go(func() { r.runLeaderTerm(ctx) })
 			}
 		case <-r.ctx.Done():
 			return
@@ -57,12 +57,12 @@
 	}
 }
 
-// lead does the leader's work for one term: it founds the group if nobody has, and
-// removes what has expired, until ctx ends.
-func (r *Replica) lead(ctx context.Context) {
+// runLeaderTerm does the leader's work for one term: it founds the group if that has not
+// been done, and removes expired sessions and claims until ctx ends.
+func (r *Replica) runLeaderTerm(ctx context.Context) {
 	term := r.raft.CurrentTerm()
 	if err := r.awaitOrder(func() raft.Future { return r.raft.Barrier(writeTimeout) }); err != nil {
-		return // this replica is no leader any more
+		return // this replica is no longer the leader
 	}
 	if _, err := r.apply(registry.Command{Op: registry.OpFoundGroup, Group: r.config.Load().Group}); err != nil {
 		slog.Error("registry: founding the group failed", "err", err)
@@ -76,9 +76,9 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C: // its value may be a time from before this process was stopped
+		case <-tick.C: // the received time isn't used: it may predate a suspension of the process
 			if r.requireLeader() != nil {
-				continue // LeaderCh is about to tell
+				continue // LeaderCh is about to report the loss of leadership
 			}
 			r.expireSessions(time.Now(), term)
 			r.expireClaims(time.Now(), term)
@@ -86,7 +86,8 @@
 	}
 }
 
-// beginTerm gives every session and every claim its full time, whatever the last leader knew.
+// beginTerm gives every session and every claim its full TTL, since renewals by the previous
+// leader are not replicated.
 func (r *Replica) beginTerm(term uint64) {
 	config := r.config.Load()
 	sessions := registry.NewSessionTracker(config.Sessions.Floor, time.Duration(config.Sessions.WindowMS)*time.Millisecond)
@@ -109,8 +110,8 @@
 	slog.Info("registry: lost leadership")
 }
 
-// checkLeadershipClaim returns an error if this replica must not tell others that it leads
-// in a term. node is nil while it starts.
+// checkLeadershipClaim returns an error if this replica must not send messages as the leader
+// of a term. node is nil during startup.
 func (r *Replica) checkLeadershipClaim(node *raft.Raft, term uint64) error {
 	if node == nil {
 		return errLeadsNoLonger
@@ -131,14 +132,14 @@
 	return err
 }
 
-// requireLeaderTerm is requireLeader, and returns the term in which the replica leads.
+// requireLeaderTerm is requireLeader, and also returns the term in which this replica leads.
 func (r *Replica) requireLeaderTerm() (term uint64, err error) {
 	r.leadership.mu.Lock()
 	defer r.leadership.mu.Unlock()
 	return r.leadership.term, r.requireLeaderLocked()
 }
 
-// requireLeaderLocked is requireLeader for a caller that holds the lock of leadership.
+// requireLeaderLocked is requireLeader for a caller that holds r.leadership.mu.
 func (r *Replica) requireLeaderLocked() error {
 	switch {
 	case r.raft.State() != raft.Leader:
--- a/internal/registry/server/leadership_verifier.go
+++ b/internal/registry/server/leadership_verifier.go
@@ -16,28 +16,29 @@
 )
 
 const (
-	// verificationTimeout is how long the other replicas may take to tell their terms: as
-	// long as a leader that is cut off goes on believing that it leads.
-	verificationTimeout = time.Second
-	maxTermAnswer       = 16 << 10 // bytes
+	// verificationTimeout is the timeout for the other replicas to report their terms: as
+	// long as a partitioned leader continues to regard itself as the leader.
+	verificationTimeout  = time.Second
+	maxTermResponseBytes = 16 << 10
 )
 
 // leadershipVerifier runs verifications of leadership, and shares each among the calls
-// that asked for one before it began.
+// that requested one before it began.
 //
-// Raft's own VerifyLeader counts any answer that arrives after it was called: in a
-// process that was stopped and continues, those may be old, and another replica may have
-// been elected since. Here a quorum says, asked after the call began, that it has seen no
-// later term: whoever is elected next is elected after that.
+// Raft's own VerifyLeader counts any response that arrives after it was called. If the
+// process was suspended and resumed, such responses may be old, and another replica may have
+// been elected since. This verification sends its requests after the call began, and
+// succeeds if a quorum responds that it has seen no later term. The next leader is therefore
+// elected after the call began.
 type leadershipVerifier struct {
 	verify    func() error
 	requested chan struct{}
 
 	mu      sync.Mutex
-	pending *verification // the next to begin; nil if nobody waits for one
+	pending *verification // the next to begin; nil if none is requested
 }
 
-// verification is one verification of leadership. err is valid once done is closed.
+// verification is one verification of leadership. err must be read only after done is closed.
 type verification struct {
 	done chan struct{}
 	err  error
@@ -72,7 +73,7 @@
 	return v.pending
 }
 
-// run runs verifications as they are asked for, until ctx ends.
+// run runs the requested verifications one at a time until ctx ends.
 func (v *leadershipVerifier) run(ctx context.Context) {
 	for {
 		select {
@@ -89,11 +90,11 @@
 	}
 }
 
-// verifyLeadership returns nil if this replica led at a moment after the call began.
+// verifyLeadership returns nil if this replica was the leader at some time after the call began.
 func (r *Replica) verifyLeadership() error { return r.verifier.await(r.ctx) }
 
-// confirmLeadership asks the other replicas for their terms, and returns nil if a quorum
-// has seen none later than that in which this replica leads.
+// confirmLeadership requests the terms of the other replicas, and returns nil if a quorum,
+// including this replica, has seen no term later than the one in which this replica leads.
 func (r *Replica) confirmLeadership() error {
 	term := r.raft.CurrentTerm()
 	if r.raft.State() != raft.Leader {
@@ -102,39 +103,39 @@
 	ctx, cancel := context.WithTimeout(r.ctx, verificationTimeout)
 	defer cancel()
 	voters := r.voters()
-	answers := make(chan error, len(voters))
-	asked, agreed := 0, 0
+	results := make(chan error, len(voters))
+	outstanding, confirmed := 0, 0
 	for _, voter := range voters {
 		if string(voter.ID) == r.self.ID {
-			agreed++
+			confirmed++
 			continue
 		}
-		asked++
-		go func() { answers <- r.confirmTerm(ctx, string(voter.ID), term) }() // ends with ctx
+		outstanding++
+		go func() { results <- r.confirmTerm(ctx, string(voter.ID), term) }() // ends with ctx
 	}
 	var lastErr error
-	for ; asked > 0 && agreed <= len(voters)/2; asked-- {
-		if err := <-answers; err != nil {
+	for ; outstanding > 0 && confirmed <= len(voters)/2; outstanding-- {
+		if err := <-results; err != nil {
 			lastErr = err
 		} else {
-			agreed++
+			confirmed++
 		}
 	}
 	switch {
-	case agreed <= len(voters)/2:
-		return fmt.Errorf("no quorum says that this replica still leads: %w", lastErr)
+	case confirmed <= len(voters)/2:
+		return fmt.Errorf("no quorum confirms that this replica is still the leader: %w", lastErr)
 	case r.raft.State() != raft.Leader || r.raft.CurrentTerm() != term:
 		return raft.ErrLeadershipLost
 	}
 	return nil
 }
 
-// confirmTerm asks one replica for its term, and returns an error if it has seen a later
-// one or does not answer.
+// confirmTerm requests the term of one replica, and returns an error if the replica has seen
+// a later term or does not respond.
 func (r *Replica) confirmTerm(ctx context.Context, id string, term uint64) error {
 	info, ok := r.findReplica(id)
 	if !ok {
-		return fmt.Errorf("replica %s: its address is not known", id)
+		return fmt.Errorf("replica %s: address is unknown", id)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+info.HTTP+registry.APIPath+"term", nil)
 	if err != nil {
@@ -145,22 +146,22 @@
 		return err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxTermAnswer))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxTermResponseBytes))
 	if err != nil {
 		return err
 	}
-	theirs, err := strconv.ParseUint(strings.TrimSpace(string(text)), 10, 64)
+	peerTerm, err := strconv.ParseUint(strings.TrimSpace(string(text)), 10, 64)
 	if err != nil || resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("replica %s answers %d", id, resp.StatusCode)
+		return fmt.Errorf("replica %s: got status %d, want 200 with a term", id, resp.StatusCode)
 	}
-	if theirs > term {
-		return fmt.Errorf("replica %s is at term %d, this one leads in %d", id, theirs, term)
+	if peerTerm > term {
+		return fmt.Errorf("replica %s has seen term %d, later than term %d in which this replica leads", id, peerTerm, term)
 	}
 	return nil
 }
 
-// serveTerm answers with the term that this replica has seen. The call limiter does not
-// count it: calls that the limiter admitted wait for this one.
+// serveTerm responds with the latest term that this replica has seen. It bypasses the call
+// limiter: calls that the limiter of another replica has admitted wait for this response.
 func (r *Replica) serveTerm(w http.ResponseWriter, _ *http.Request) {
 	fmt.Fprintln(w, r.raft.CurrentTerm())
 }
--- a/internal/registry/server/metrics.go
+++ b/internal/registry/server/metrics.go
@@ -7,7 +7,7 @@
 	"barleywick/internal/registry"
 )
 
-// metric is one value in the text form that Prometheus reads; its name follows registry_.
+// metric is one sample in the Prometheus text format. Its exported name is registry_ followed by name.
 type metric struct {
 	name, kind, help string
 	value            uint64
@@ -18,7 +18,7 @@
 	counter = "counter"
 )
 
-// serveMetrics serves the replica's metrics in the text form of Prometheus.
+// serveMetrics serves the replica's metrics in the Prometheus text format.
 func (r *Replica) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	for _, m := range r.metrics() {
--- a/internal/registry/server/sessions.go
+++ b/internal/registry/server/sessions.go
@@ -8,14 +8,14 @@
 	"barleywick/internal/registry"
 )
 
-// syncSessionsLocked takes sessions over that have begun or ended in the state. The
-// caller holds the lock of leadership.
+// syncSessionsLocked updates the session tracker with sessions that were added to or removed
+// from the state. The caller must hold r.leadership.mu.
 func (r *Replica) syncSessionsLocked(now time.Time) {
 	l := &r.leadership
 	var registrations []registry.Registration
 	var seq uint64
 	r.stateMachine.view(func(s *registry.State) {
-		if seq = s.Seq(); seq != l.sessionsVersion { // every change of a session changes the list's version
+		if seq = s.Seq(); seq != l.sessionsVersion { // every change of a session increments the list's version
 			registrations = s.Registrations()
 		}
 	})
@@ -26,7 +26,7 @@
 }
 
 // expireSessions removes the instances whose sessions have expired, unless too many
-// have at once.
+// sessions have expired at once.
 func (r *Replica) expireSessions(now time.Time, term uint64) {
 	l := &r.leadership
 	l.mu.Lock()
@@ -48,7 +48,7 @@
 		return
 	}
 	if _, err := r.apply(registry.Command{Op: registry.OpExpireSessions, ExpiredSessions: expired, Term: term}); err != nil {
-		slog.Warn("registry: expired sessions not removed", "err", err) // the next tick tries again
+		slog.Warn("registry: expired sessions not removed", "err", err) // retried on the next tick
 		return
 	}
 	r.counters.expiredInstances.Add(uint64(len(expired)))
@@ -59,8 +59,9 @@
 	slog.Info("registry: expired sessions removed", "hosts", hosts)
 }
 
-// renewSession records that an instance is alive. Only a leader may, and one is a leader
-// no longer than its Raft lease: a replica that was cut off renews nothing.
+// renewSession renews the session of an instance. Only the leader may do so, and a replica
+// remains the leader no longer than its Raft leader lease: a partitioned replica renews no
+// session.
 func (r *Replica) renewSession(host, session string, now time.Time) error {
 	l := &r.leadership
 	l.mu.Lock()
@@ -70,11 +71,11 @@
 	}
 	var registered registry.Registration
 	r.stateMachine.view(func(s *registry.State) { registered, _ = s.Registration(host) })
-	if session == "" || registered.Session != session { // the state may be ahead of the tracked sessions
+	if session == "" || registered.Session != session { // the state is checked as it may be ahead of the tracker
 		return fmt.Errorf("%w: host %.64s has no such session: register again", registry.ErrNotFound, host)
 	}
 	if !l.sessions.Renew(host, session, now) {
-		r.syncSessionsLocked(now) // it was registered a moment ago, and has its full time
+		r.syncSessionsLocked(now) // not tracked yet: it was just registered, and gets its full TTL
 	}
 	return nil
 }
--- a/internal/registry/server/status.go
+++ b/internal/registry/server/status.go
@@ -7,7 +7,7 @@
 	"barleywick/internal/registry"
 )
 
-// Status returns how the replica stands.
+// Status returns the replica's state as the API's status call reports it.
 func (r *Replica) Status() registry.StatusResponse {
 	freshness, _ := r.freshness(time.Now())
 	s := registry.StatusResponse{
--- a/internal/registry/server/stepdown_test.go
+++ b/internal/registry/server/stepdown_test.go
@@ -15,12 +15,12 @@
 	"barleywick/internal/registry/client"
 )
 
-// electionBound is how long a group may take to a new leader: by docs/REGISTRY.md a replica
-// stands for election after two election timeouts of 200 ms without a heartbeat at the
-// latest; ten such times leave room for split votes.
+// electionBound is the maximum time that a group may take to elect a new leader. By
+// docs/REGISTRY.md a replica becomes a candidate at the latest after two election timeouts of
+// 200 ms without a heartbeat; ten times that leaves room for split votes.
 const electionBound = 10 * 2 * 200 * time.Millisecond
 
-// processGroup is a group of replicas that run as processes of their own.
+// processGroup is a group of replicas that run as separate processes.
 type processGroup struct {
 	t         *testing.T
 	members   []registry.ReplicaInfo
@@ -41,7 +41,7 @@
 	return g
 }
 
-// leaderAmong waits until one of some replicas leads.
+// leaderAmong waits until one of the given replicas is the leader, and returns it.
 func (g *processGroup) leaderAmong(members []registry.ReplicaInfo) (leader registry.ReplicaInfo) {
 	g.t.Helper()
 	eventually(g.t, "there is a leader", func() bool {
@@ -57,7 +57,7 @@
 	return leader
 }
 
-// setDiskFull has a replica's writes to files fail beyond their first byte, or succeed again.
+// setDiskFull makes a replica's writes beyond the first byte of a file fail, or succeed again.
 func (g *processGroup) setDiskFull(id string, full bool) {
 	g.t.Helper()
 	pid := g.processes[id].command.Process.Pid
@@ -74,7 +74,7 @@
 	}
 }
 
-// register registers an instance with some replicas, and returns how long that took.
+// register registers an instance at the given replicas, and returns how long that took.
 func (g *processGroup) register(members []registry.ReplicaInfo, host string, bound time.Duration) time.Duration {
 	g.t.Helper()
 	var addrs []string
@@ -90,12 +90,12 @@
 	defer cancel()
 	begin := time.Now()
 	if _, err := c.Register(ctx, registry.RegisterRequest{Instance: instance(host, 1)}); err != nil {
-		g.t.Errorf("%s is not registered within %v: %v", host, bound, err)
+		g.t.Errorf("%s was not registered within %v: %v", host, bound, err)
 	}
 	return time.Since(begin)
 }
 
-// others returns the replicas but one.
+// others returns all replicas except one.
 func (g *processGroup) others(id string) (others []registry.ReplicaInfo) {
 	for _, m := range g.members {
 		if m.ID != id {
@@ -105,8 +105,8 @@
 	return others
 }
 
-// requestVote asks a replica for its vote in a later term as a leadership transfer does,
-// for which the replica gives way even if it leads.
+// requestVote requests a replica's vote in a later term, as in a leadership transfer. The
+// replica then steps down even if it is the leader.
 func (g *processGroup) requestVote(of, candidate registry.ReplicaInfo) {
 	g.t.Helper()
 	layer := newStreamLayer(listen(g.t, "127.0.0.1:0"), nil, func() (string, uint64) { return "test", 0 })
@@ -118,16 +118,16 @@
 	}
 	var response raft.RequestVoteResponse
 	err := transport.RequestVote(raft.ServerID(of.ID), raft.ServerAddress(of.Raft), request, &response)
-	g.t.Logf("the vote: granted %v, %v", response.Granted, err)
+	g.t.Logf("vote: granted %v, error %v", response.Granted, err)
 }
 
-// What happens: a leader whose disk is full has to store a later term. Raft's own goroutine
-// waits for room there, while the goroutines that replicate go on sending heartbeats. To the
-// other replicas it leads, so they elect nobody: one full disk stops every write of the fleet
-// until it has room. What showed it: for 60 s `rejecting pre-vote request since we have a
-// leader` every 0.4 s at one replica, the leader it names answering no vote request, and
-// `no leader is known` to the callers of all three.
-func TestLeaderThatWaitsForItsDiskDoesNotClaimToLead(t *testing.T) {
+// Guards against a leader that continues to send heartbeats while its full disk keeps it from
+// storing a later term. Raft's main goroutine waits for disk space while the replication
+// goroutines continue, so the other replicas still see a leader and elect no other: one full
+// disk stops all writes of the fleet until it has space. Symptoms: for 60 s one replica logs
+// `rejecting pre-vote request since we have a leader` every 0.4 s, that leader responds to no
+// vote request, and the callers of all three replicas get `no leader is known`.
+func TestLeaderWithFullDiskSendsNoHeartbeats(t *testing.T) {
 	t.Parallel()
 	g := startProcessGroup(t)
 	leader := g.leaderAmong(g.members)
@@ -135,16 +135,17 @@
 	others := g.others(leader.ID)
 	g.requestVote(leader, others[0])
 	took := g.register(others, "s-1", electionBound)
-	t.Logf("a write was taken after %v", took)
+	t.Logf("a write succeeded after %v", took)
 }
 
-// What happens: a follower's disk was full for some seconds. It has room again, and the
-// leader gives way. For up to ten seconds more the follower rejects every candidate `since
-// we have a leader`. Why: the leader's goroutine that replicates to that follower sleeps
-// between two tries, up to 10.24 s after a dozen failures, and notices only then that the
-// replica leads no longer. Its heartbeats go on until it returns. So the second of two full
-// disks, one after the other, stops all writes though a quorum has room.
-func TestHeartbeatsEndWithLeadership(t *testing.T) {
+// Guards against heartbeats that continue after loss of leadership. A follower's disk was full
+// for some seconds; it has space again, and the leader steps down. The goroutine that
+// replicates to that follower sleeps between two attempts, up to 10.24 s after a dozen
+// failures, and detects only then that the replica no longer leads. Its heartbeats continue
+// until it returns, so for up to ten seconds more the follower rejects every candidate `since
+// we have a leader`. Two disks that fill up one after the other would thus stop all writes
+// although a quorum has space.
+func TestHeartbeatsStopWithLeadership(t *testing.T) {
 	t.Parallel()
 	g := startProcessGroup(t)
 	leader := g.leaderAmong(g.members)
@@ -158,31 +159,30 @@
 	g.setDiskFull(follower.ID, false)
 	g.setDiskFull(leader.ID, true)
 	took := g.register(others, "s-last", electionBound)
-	t.Logf("a write was taken after %v", took)
+	t.Logf("a write succeeded after %v", took)
 }
 
-// What happens: a follower's disk was full, has room again, and for up to ten seconds more
-// gets nothing of what was written. Why: Raft doubles its pause after each try that fails,
-// up to 10.24 s. A change of the list counts as told to sidecars after 6 s, so the follower
-// has to have it by then.
-func TestReplicationGoesOnOnceThereIsRoom(t *testing.T) {
-	const toldBound = 6 * time.Second
+// Guards against a follower that receives no entries for up to ten seconds after its full disk
+// has space again: Raft doubles its delay after each failed attempt, up to 10.24 s. Sidecars
+// count as notified of a change of the list after 6 s, so the follower must have it by then.
+func TestReplicationResumesAfterDiskFull(t *testing.T) {
+	const maxDelay = 6 * time.Second
 	t.Parallel()
 	g := startProcessGroup(t)
 	leader := g.leaderAmong(g.members)
 	follower := g.others(leader.ID)[0]
 	g.setDiskFull(follower.ID, true)
 	g.register(g.members, "s-1", patience)
-	time.Sleep(12 * time.Second) // the pause of 10.24 s begins after 10.2 s
+	time.Sleep(12 * time.Second) // Raft's delay of 10.24 s begins after 10.2 s
 	g.setDiskFull(follower.ID, false)
 	begin := time.Now()
 	eventually(t, "the follower lists the instance", func() bool {
 		_, header, text := get(t, "http://"+follower.HTTP+registry.ListPath)
 		return strings.Contains(text, "s-1") && strings.HasPrefix(header.Get(registry.ReadHeader), registry.ReadCurrent)
 	})
-	if took := time.Since(begin); took > toldBound {
-		t.Errorf("the follower has the list %v after there was room, want %v at most", took, toldBound)
+	if took := time.Since(begin); took > maxDelay {
+		t.Errorf("the follower has the list %v after the disk had space, want %v at most", took, maxDelay)
 	} else {
-		t.Logf("the follower has the list %v after there was room", took)
+		t.Logf("the follower has the list %v after the disk had space", took)
 	}
 }
--- a/internal/registry/server/watch_broadcaster.go
+++ b/internal/registry/server/watch_broadcaster.go
@@ -5,18 +5,19 @@
 	"sync/atomic"
 )
 
-// maxWatchBacklog is how many events a watch may be behind. A watch whose caller reads is
-// behind by those of a moment; one whose caller does not is cut by its write deadline.
+// maxWatchBacklog is the maximum number of events by which a watch may lag. A watcher that
+// reads lags by few events; one that does not read is disconnected by its write
+// deadline.
 const maxWatchBacklog = 1024
 
-// watchBroadcaster hands each change of the list to all watches. A change is encoded
-// once, and its bytes are shared: each watch stands at its own place in one linked list
-// of events, and an event that all watches have passed is garbage. How far a watch may
-// fall behind is bounded, and so is the list.
+// watchBroadcaster sends each change of the list to all watches. A change is encoded once,
+// and its bytes are shared: each watch keeps its own position in one linked list of events,
+// and an event that all watches have passed is garbage collected. Since the lag of a watch
+// is bounded, so is the length of the list.
 type watchBroadcaster struct {
 	mu        sync.Mutex
 	pending   *watchEvent // the next to be published
-	published uint64      // events so far
+	published uint64      // number of events published so far
 	closed    bool
 
 	eventCount, eventBytes, cutWatches atomic.Uint64
@@ -27,10 +28,10 @@
 type watchEvent struct {
 	published chan struct{}
 	number    uint64
-	line      []byte // with its line break
+	line      []byte // including its newline
 	seq       uint64 // the list's version after the change
-	resync    bool   // more has changed than a line tells: watches have to read the state
-	final     bool   // ends the watches that come to it
+	resync    bool   // the line does not contain the whole change: watches have to read the state
+	final     bool   // ends the watches that reach this event
 	next      *watchEvent
 }
 
@@ -38,7 +39,7 @@
 
 func newWatchBroadcaster() *watchBroadcaster { return &watchBroadcaster{pending: newWatchEvent()} }
 
-// publish hands one event to all watches.
+// publish sends one event to all watches.
 func (b *watchBroadcaster) publish(event watchEvent) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -59,10 +60,10 @@
 	close(current.published)
 }
 
-// endWatches ends the watches that are open; others may begin.
+// endWatches ends the open watches; new ones may start.
 func (b *watchBroadcaster) endWatches() { b.publish(watchEvent{final: true}) }
 
-// close ends all watches, and at once those that begin later.
+// close ends the open watches. A watch that starts later ends immediately.
 func (b *watchBroadcaster) close() {
 	b.endWatches()
 	b.mu.Lock()
@@ -80,7 +81,8 @@
 	return b.pending
 }
 
-// tooFarBehind says whether a watch that comes to an event only now has to be cut.
+// tooFarBehind reports whether a watch that has only now reached an event lags by more than
+// maxWatchBacklog events.
 func (b *watchBroadcaster) tooFarBehind(event *watchEvent) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/registry/server/watch_versions.go
+++ b/internal/registry/server/watch_versions.go
@@ -5,13 +5,13 @@
 	"sync/atomic"
 )
 
-// watchVersions holds, for each open watch, the list's version that it was sent last.
+// watchVersions holds the last sent list version of each open watch.
 type watchVersions struct {
 	mu   sync.Mutex
 	open map[*atomic.Uint64]bool
 }
 
-// add returns the version of a watch that has been sent nothing yet, for its owner to set.
+// add registers a watch and returns its version, which is 0 until the caller sets it.
 func (v *watchVersions) add() *atomic.Uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -29,7 +29,7 @@
 	delete(v.open, version)
 }
 
-// oldest returns the oldest version among the watches, or upTo if none is older.
+// oldest returns the oldest version among the open watches, or upTo if none is older.
 func (v *watchVersions) oldest(upTo uint64) uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
