--- a/internal/registry/server/compat_api_test.go
+++ b/internal/registry/server/compat_api_test.go
@@ -306,9 +306,9 @@
 	t.Helper()
 	var all strings.Builder
 	for _, call := range calls {
-		answer := normalize(responseText(t, m, call, founded), founded, m)
+		response := normalize(responseText(t, m, call, founded), founded, m)
 		if !call.unrecorded {
-			fmt.Fprintf(&all, "=== %s %s %.300s\n%s\n", call.method, call.path, call.body, strings.TrimSuffix(answer, "\n"))
+			fmt.Fprintf(&all, "=== %s %s %.300s\n%s\n", call.method, call.path, call.body, strings.TrimSuffix(response, "\n"))
 		}
 	}
 	return all.String()
--- a/internal/registry/server/failover_test.go
+++ b/internal/registry/server/failover_test.go
@@ -110,9 +110,9 @@
 func TestRestartFromDisk(t *testing.T) {
 	g := startGroup(t, 3)
 	c := g.client()
-	var f []*testWatcher
+	var watchers []*testWatcher
 	for i := range 3 {
-		f = append(f, startTestWatcher(t, g.addrs(), uint64(i)))
+		watchers = append(watchers, startTestWatcher(t, g.addrs(), uint64(i)))
 	}
 	for round := range 2 {
 		for i := range 10 {
@@ -146,7 +146,7 @@
 			t.Errorf("got %d of 10 instances after all sessions expired at once, want all", len(got))
 		}
 	}
-	checkWatchers(t, f, g.leader().wantedList())
+	checkWatchers(t, watchers, g.leader().wantedList())
 }
 
 // An instance whose session is no longer renewed is removed after its TTL; the others stay.
--- a/internal/registry/server/freshness.go
+++ b/internal/registry/server/freshness.go
@@ -237,7 +237,7 @@
 		select {
 		case <-r.ctx.Done():
 			return
-		case <-tick.C: // the received time isn't used: it may predate a suspension of the process
+		case <-tick.C: // the received time is not used: it may predate a suspension of the process
 		}
 		freshness, age := r.freshness(time.Now())
 		switch {
--- a/internal/registry/server/harness_test.go
+++ b/internal/registry/server/harness_test.go
@@ -200,55 +200,55 @@
 	mu               sync.Mutex
 	list             map[string]string // health and start time by host
 	seq              uint64
-	versionDecreases int // how often the version decreased
+	versionDecreases int
 }
 
 func startTestWatcher(t testing.TB, addrs []string, seed uint64) *testWatcher {
 	t.Helper()
-	f := &testWatcher{list: make(map[string]string)}
+	watcher := &testWatcher{list: make(map[string]string)}
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
-	w := client.NewWatcher(client.WatcherOptions{Addrs: addrs, Seed: seed, Deliver: f.handle})
+	w := client.NewWatcher(client.WatcherOptions{Addrs: addrs, Seed: seed, Deliver: watcher.handle})
 	done.Go(func() { w.Follow(ctx) })
 	t.Cleanup(func() {
 		cancel()
 		done.Wait()
 	})
-	return f
+	return watcher
 }
 
-func (f *testWatcher) handle(l client.ListUpdate) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if l.Seq < f.seq {
-		f.versionDecreases++
+func (w *testWatcher) handle(l client.ListUpdate) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if l.Seq < w.seq {
+		w.versionDecreases++
 	}
-	f.seq = l.Seq
+	w.seq = l.Seq
 	if l.Full {
-		clear(f.list)
+		clear(w.list)
 	}
 	for _, e := range l.Endpoints {
 		if e.Health == "removed" {
-			delete(f.list, e.Host)
+			delete(w.list, e.Host)
 		} else {
-			f.list[e.Host] = fmt.Sprint(e.Health, " ", int64(e.BornMS))
+			w.list[e.Host] = fmt.Sprint(e.Health, " ", int64(e.BornMS))
 		}
 	}
 }
 
-func (f *testWatcher) holds(want map[string]string) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return maps.Equal(f.list, want)
+func (w *testWatcher) holds(want map[string]string) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return maps.Equal(w.list, want)
 }
 
 // checkWatchers waits until all watchers hold a list, and checks that their versions never decreased.
 func checkWatchers(t testing.TB, watchers []*testWatcher, want map[string]string) {
 	t.Helper()
-	for i, f := range watchers {
-		eventually(t, fmt.Sprintf("watcher %d holds the list", i), func() bool { return f.holds(want) })
-		if f.versionDecreases > 0 {
-			t.Errorf("watcher %d: the version decreased %d times, want never", i, f.versionDecreases)
+	for i, w := range watchers {
+		eventually(t, fmt.Sprintf("watcher %d holds the list", i), func() bool { return w.holds(want) })
+		if w.versionDecreases > 0 {
+			t.Errorf("watcher %d: the version decreased %d times, want never", i, w.versionDecreases)
 		}
 	}
 }
@@ -278,7 +278,7 @@
 	return resp.StatusCode, resp.Header, string(text)
 }
 
-func do(t testing.TB, method, url, body string) (status int, answer registry.WriteResponse, text string) {
+func do(t testing.TB, method, url, body string) (status int, response registry.WriteResponse, text string) {
 	t.Helper()
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
@@ -293,6 +293,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	json.Unmarshal(got, &answer)
-	return resp.StatusCode, answer, string(got)
+	json.Unmarshal(got, &response)
+	return resp.StatusCode, response, string(got)
 }
--- a/internal/registry/server/http_test.go
+++ b/internal/registry/server/http_test.go
@@ -106,7 +106,7 @@
 func TestBackupAndRestore(t *testing.T) {
 	g := startGroup(t, 1)
 	n, c := g.nodes[0], g.client()
-	f := startTestWatcher(t, g.addrs(), 1)
+	watcher := startTestWatcher(t, g.addrs(), 1)
 	if _, err := c.Register(testContext(t), registry.RegisterRequest{Instance: instance("s-1", 1)}); err != nil {
 		t.Fatal(err)
 	}
@@ -125,7 +125,7 @@
 	if got := n.wantedList(); !maps.Equal(got, want) {
 		t.Errorf("restored list: got %v, want %v", got, want)
 	}
-	eventually(t, "the watcher holds the restored list", func() bool { return f.holds(want) })
+	eventually(t, "the watcher holds the restored list", func() bool { return watcher.holds(want) })
 }
 
 func TestMetricsAndStatus(t *testing.T) {
--- a/internal/registry/server/leadership.go
+++ b/internal/registry/server/leadership.go
@@ -62,7 +62,7 @@
 func (r *Replica) runLeaderTerm(ctx context.Context) {
 	term := r.raft.CurrentTerm()
 	if err := r.awaitOrder(func() raft.Future { return r.raft.Barrier(writeTimeout) }); err != nil {
-		return // this replica is no longer the leader
+		return // this replica is no leader any more
 	}
 	if _, err := r.apply(registry.Command{Op: registry.OpFoundGroup, Group: r.config.Load().Group}); err != nil {
 		slog.Error("registry: founding the group failed", "err", err)
@@ -76,7 +76,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C: // the received time isn't used: it may predate a suspension of the process
+		case <-tick.C: // the received time is not used: it may predate a suspension of the process
 			if r.requireLeader() != nil {
 				continue // LeaderCh is about to report the loss of leadership
 			}
--- a/internal/registry/server/watch_test.go
+++ b/internal/registry/server/watch_test.go
@@ -122,7 +122,7 @@
 	slow.(*net.TCPConn).SetReadBuffer(4 << 10)
 	fmt.Fprintf(slow, "GET %s?watch=1&from=0 HTTP/1.1\r\nHost: x\r\n\r\n", registry.ListPath)
 	eventually(t, "the slow watcher's watch is open", func() bool { return n.openWatches.Load() == 1 })
-	f := startTestWatcher(t, g.addrs(), 1)
+	watcher := startTestWatcher(t, g.addrs(), 1)
 	big := instance("s-1", 1)
 	for i := int64(0); n.broadcaster.cutWatches.Load() == 0; i++ {
 		if i > 1<<20 {
@@ -135,5 +135,5 @@
 	if _, err := c.Register(testContext(t), registry.RegisterRequest{Instance: big}); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the other watcher holds the list", func() bool { return f.holds(n.wantedList()) })
+	eventually(t, "the other watcher holds the list", func() bool { return watcher.holds(n.wantedList()) })
 }
