--- a/internal/mutation/accept_duplicate_responses_on.go
+++ b/internal/mutation/accept_duplicate_responses_on.go
@@ -2,5 +2,5 @@
 
 package mutation
 
-// AcceptDuplicateResponses takes an earlier request's response for this one's.
+// AcceptDuplicateResponses accepts a duplicate of an earlier response as the response to the current request.
 const AcceptDuplicateResponses = true
--- a/internal/mutation/advance_without_acks_off.go
+++ b/internal/mutation/advance_without_acks_off.go
@@ -2,5 +2,5 @@
 
 package mutation
 
-// AdvanceWithoutAcks lets a rollout go on to its next stage before all members have acknowledged the present one.
+// AdvanceWithoutAcks lets a rollout advance to its next stage before all members have acknowledged the current one.
 const AdvanceWithoutAcks = false
--- a/internal/mutation/close_without_answer_on.go
+++ b/internal/mutation/close_without_answer_on.go
@@ -2,5 +2,5 @@
 
 package mutation
 
-// CloseWithoutAnswer closes a client connection without the answer that is owed.
+// CloseWithoutAnswer closes a client connection without sending the outstanding response.
 const CloseWithoutAnswer = true
--- a/internal/mutation/doc.go
+++ b/internal/mutation/doc.go
@@ -1,10 +1,10 @@
-// Package mutation holds faults that can be built into the product, each under a build tag
-// of its own, to show that the tests and the model checker find them:
+// Package mutation declares faults that can be built into the programs, each with its own build
+// tag, to verify that the tests and the model checker detect them:
 //
 //	go test -tags mutation_skip_fence_check ./internal/lease/...
 //
-// A mutation is a constant, which is false unless the program is built with the tag
-// mutation_NAME, NAME being the constant's name in small letters with underscores. No program
-// is released with one. docs/LEASES.md, docs/POLICY.md, docs/MEMBERSHIP.md and
-// docs/TESTING.md list what finds each.
+// A mutation is a constant that is false unless the program is built with the tag
+// mutation_NAME, where NAME is the constant's name in snake case. Released programs contain
+// none. docs/LEASES.md, docs/POLICY.md, docs/MEMBERSHIP.md and docs/TESTING.md list the tests
+// that detect each mutation.
 package mutation
--- a/internal/mutation/end_before_answers_on.go
+++ b/internal/mutation/end_before_answers_on.go
@@ -2,5 +2,5 @@
 
 package mutation
 
-// EndBeforeAnswers lets a sidecar end before its requests are answered.
+// EndBeforeAnswers lets a sidecar exit before its requests are answered.
 const EndBeforeAnswers = true
--- a/internal/mutation/end_leases_of_unreachable_off.go
+++ b/internal/mutation/end_leases_of_unreachable_off.go
@@ -2,5 +2,5 @@
 
 package mutation
 
-// EndLeasesOfUnreachable lets a controller end the leases of a member that it cannot reach.
+// EndLeasesOfUnreachable lets a controller end the leases of an unreachable member.
 const EndLeasesOfUnreachable = false
--- a/internal/mutation/end_on_reload_in_shutdown_off.go
+++ b/internal/mutation/end_on_reload_in_shutdown_off.go
@@ -2,5 +2,5 @@
 
 package mutation
 
-// EndOnReloadInShutdown lets SIGHUP end a sidecar that is shutting down.
+// EndOnReloadInShutdown lets SIGHUP terminate a sidecar that is shutting down.
 const EndOnReloadInShutdown = false
--- a/internal/mutation/hide_partition_off.go
+++ b/internal/mutation/hide_partition_off.go
@@ -2,5 +2,5 @@
 
 package mutation
 
-// HidePartition lets a member not report that it has lost a part of the fleet.
+// HidePartition keeps a member from reporting that part of the fleet is unreachable.
 const HidePartition = false
--- a/internal/mutation/ignore_client_end_off.go
+++ b/internal/mutation/ignore_client_end_off.go
@@ -2,5 +2,5 @@
 
 package mutation
 
-// IgnoreClientEnd lets attempts go on for a client that has left.
+// IgnoreClientEnd lets attempts continue after the client has closed its connection.
 const IgnoreClientEnd = false
--- a/internal/mutation/ignore_list_changes_off.go
+++ b/internal/mutation/ignore_list_changes_off.go
@@ -2,5 +2,5 @@
 
 package mutation
 
-// IgnoreListChanges lets a sidecar keep the first endpoint list that it was told.
+// IgnoreListChanges lets a sidecar keep the first endpoint list that it received and ignore all changes.
 const IgnoreListChanges = false
--- a/internal/mutation/ignore_shutdown_deadline_off.go
+++ b/internal/mutation/ignore_shutdown_deadline_off.go
@@ -2,5 +2,5 @@
 
 package mutation
 
-// IgnoreShutdownDeadline lets a sidecar take requests as if nobody had told it to end.
+// IgnoreShutdownDeadline keeps the gate from recording the shutdown and its deadline, so its decisions ignore them.
 const IgnoreShutdownDeadline = false
--- a/internal/mutation/keep_ack_over_restart_on.go
+++ b/internal/mutation/keep_ack_over_restart_on.go
@@ -2,5 +2,5 @@
 
 package mutation
 
-// KeepAckOverRestart lets a sidecar that starts again count as having acknowledged what the process before it had.
+// KeepAckOverRestart credits a restarted sidecar with the acknowledgements of its predecessor process.
 const KeepAckOverRestart = true
--- a/internal/mutation/keep_idle_at_shutdown_off.go
+++ b/internal/mutation/keep_idle_at_shutdown_off.go
@@ -2,5 +2,5 @@
 
 package mutation
 
-// KeepIdleAtShutdown leaves idle client connections open when a sidecar is told to end.
+// KeepIdleAtShutdown leaves idle client connections open when a sidecar shuts down.
 const KeepIdleAtShutdown = false
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -16,9 +16,9 @@
 	"testing"
 )
 
-// pairFiles returns the names of the mutations by the files *_on.go, and checks that each
-// file of the package belongs to a pair.
-func pairFiles(t *testing.T) (names []string) {
+// mutationNames returns the names of the mutations, taken from the names of the *_on.go files,
+// and checks that each file of the package belongs to a pair.
+func mutationNames(t *testing.T) (names []string) {
 	t.Helper()
 	files, err := filepath.Glob("*.go")
 	if err != nil {
@@ -33,20 +33,20 @@
 		name, off := strings.CutSuffix(file, "_off.go")
 		switch {
 		case off && !slices.Contains(files, name+"_on.go"):
-			t.Errorf("%s has no %s_on.go beside it", file, name)
+			t.Errorf("%s has no matching %s_on.go", file, name)
 		case !off && file != "doc.go" && !strings.HasSuffix(file, "_test.go"):
-			t.Errorf("%s is neither the on nor the off file of a mutation", file)
+			t.Errorf("%s: want a name that ends in _on.go or _off.go", file)
 		}
 	}
 	return names
 }
 
-// mutationFile is what a file of a pair declares.
+// mutationFile is the content of one file of a pair.
 type mutationFile struct {
 	buildTag, constant, value string
 }
 
-// parseMutationFile parses a file, which has to hold a build constraint and one constant.
+// parseMutationFile parses a file that must contain a build constraint and one constant.
 func parseMutationFile(t *testing.T, name string) (m mutationFile) {
 	t.Helper()
 	f, err := os.Open(name)
@@ -83,19 +83,19 @@
 	return m
 }
 
-var wordStart = regexp.MustCompile("([a-z])([A-Z])")
+var wordBoundary = regexp.MustCompile("([a-z])([A-Z])")
 
-// snakeCase returns a Go name in small letters with underscores.
+// snakeCase converts a Go name to snake case.
 func snakeCase(name string) string {
-	return strings.ToLower(wordStart.ReplaceAllString(name, "${1}_${2}"))
+	return strings.ToLower(wordBoundary.ReplaceAllString(name, "${1}_${2}"))
 }
 
-// Each mutation is one constant, true under its build tag and false without it. Constant,
-// tag and files have one name.
+// Each mutation is one constant, true with its build tag and false without it. The constant, the
+// tag and the files have the same name.
 func TestEachPairDeclaresOneConstant(t *testing.T) {
-	names := pairFiles(t)
+	names := mutationNames(t)
 	if len(names) < 15 {
-		t.Errorf("got %d mutations, want 15 at least", len(names))
+		t.Errorf("got %d mutations, want at least 15", len(names))
 	}
 	for _, name := range names {
 		on, off := parseMutationFile(t, name+"_on.go"), parseMutationFile(t, name+"_off.go")
@@ -111,34 +111,34 @@
 	}
 }
 
-// Each constant is used by the product's code, and none is used that no pair declares.
-func TestEachMutationIsBuiltIn(t *testing.T) {
+// Each constant is used in non-test code, and every constant used there is declared by a pair.
+func TestEachMutationIsUsed(t *testing.T) {
 	used := make(map[string]string) // by constant: a file that uses it
 	for _, dir := range []string{"../../cmd", "../../internal", "../../policy"} {
 		err := filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
 			if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
 			}
-			return addUses(used, path)
+			return addUsedConstants(used, path)
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	for _, name := range pairFiles(t) {
+	for _, name := range mutationNames(t) {
 		constant := parseMutationFile(t, name+"_off.go").constant
 		if used[constant] == "" {
-			t.Errorf("no code uses %s", constant)
+			t.Errorf("%s is not used in non-test code", constant)
 		}
 		delete(used, constant)
 	}
 	for constant, file := range used {
-		t.Errorf("%s uses %s, which no pair declares", file, constant)
+		t.Errorf("%s uses mutation.%s, which no pair declares", file, constant)
 	}
 }
 
-// addUses adds the constants of this package that a file uses.
-func addUses(used map[string]string, path string) error {
+// addUsedConstants adds the constants of this package that a file uses.
+func addUsedConstants(used map[string]string, path string) error {
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 	if err != nil {
 		return fmt.Errorf("parse %s: %w", path, err)
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// The pages name only tags that exist, and each tag is named by one of them.
+// The pages name only existing tags, and each tag is named on at least one page.
 func TestPagesNameTheTags(t *testing.T) {
 	named := make(map[string]bool)
 	tag := regexp.MustCompile(`mutation_([a-z_]+)`)
@@ -170,10 +170,10 @@
 			named[m[1]] = true
 		}
 	}
-	names := pairFiles(t)
+	names := mutationNames(t)
 	for _, name := range names {
 		if !named[name] {
-			t.Errorf("no page names mutation_%s", name)
+			t.Errorf("mutation_%s is not named on any page", name)
 		}
 	}
 	for name := range named {
--- a/internal/mutation/renew_by_older_incarnation_on.go
+++ b/internal/mutation/renew_by_older_incarnation_on.go
@@ -2,5 +2,5 @@
 
 package mutation
 
-// RenewByOlderIncarnation lets an older process of a name renew the newer one's lease, as if it held it.
+// RenewByOlderIncarnation lets an older incarnation of a process renew the newer one's lease, as if it held the lease.
 const RenewByOlderIncarnation = true
--- a/internal/mutation/restore_lower_token_off.go
+++ b/internal/mutation/restore_lower_token_off.go
@@ -2,5 +2,5 @@
 
 package mutation
 
-// RestoreLowerToken lets a restore take over the backup's fencing token, which may be lower.
+// RestoreLowerToken lets a restore set the last fencing token to the backup's, which may be lower.
 const RestoreLowerToken = false
--- a/internal/mutation/reuse_incarnation_off.go
+++ b/internal/mutation/reuse_incarnation_off.go
@@ -2,5 +2,5 @@
 
 package mutation
 
-// ReuseIncarnation lets a process that starts again be the member that the process before it was.
+// ReuseIncarnation lets a restarted process join with the same incarnation as its predecessor.
 const ReuseIncarnation = false
--- a/internal/mutation/serve_before_join_off.go
+++ b/internal/mutation/serve_before_join_off.go
@@ -2,5 +2,5 @@
 
 package mutation
 
-// ServeBeforeJoin lets a sidecar that starts serve by its stored policy before it is in the roster.
+// ServeBeforeJoin lets a starting sidecar serve with its stored policy before it is in the roster.
 const ServeBeforeJoin = false
--- a/internal/mutation/skip_clock_check_off.go
+++ b/internal/mutation/skip_clock_check_off.go
@@ -2,5 +2,5 @@
 
 package mutation
 
-// SkipClockCheck lets a holder act without checking that its lease has not run out.
+// SkipClockCheck lets a holder act without checking that its lease has not expired.
 const SkipClockCheck = false
--- a/internal/mutation/skip_close_gate_off.go
+++ b/internal/mutation/skip_close_gate_off.go
@@ -2,5 +2,5 @@
 
 package mutation
 
-// SkipCloseGate lets every client connection be closed, whatever the gate decides.
+// SkipCloseGate closes every client connection regardless of the gate's decision.
 const SkipCloseGate = false
--- a/internal/mutation/skip_close_unused_on.go
+++ b/internal/mutation/skip_close_unused_on.go
@@ -2,5 +2,5 @@
 
 package mutation
 
-// SkipCloseUnused leaves connections without a request open at the end of a shutdown's time.
+// SkipCloseUnused leaves connections without a request open at the shutdown deadline.
 const SkipCloseUnused = true
--- a/internal/mutation/skip_fence_check_off.go
+++ b/internal/mutation/skip_fence_check_off.go
@@ -2,5 +2,5 @@
 
 package mutation
 
-// SkipFenceCheck lets a write through whose fencing token is older than the newest grant's.
+// SkipFenceCheck accepts a write whose fencing token is lower than the newest grant's.
 const SkipFenceCheck = false
--- a/internal/mutation/skip_send_gate_on.go
+++ b/internal/mutation/skip_send_gate_on.go
@@ -2,5 +2,5 @@
 
 package mutation
 
-// SkipSendGate lets every attempt be sent, whatever the gate decides.
+// SkipSendGate sends every attempt regardless of the gate's decision.
 const SkipSendGate = true
--- a/internal/mutation/stay_on_ended_watch_off.go
+++ b/internal/mutation/stay_on_ended_watch_off.go
@@ -2,5 +2,5 @@
 
 package mutation
 
-// StayOnEndedWatch lets a sidecar open no other watch when its watch has ended.
+// StayOnEndedWatch keeps a sidecar from opening a new watch after its watch has ended.
 const StayOnEndedWatch = false
--- a/internal/mutation/take_silence_for_leave_off.go
+++ b/internal/mutation/take_silence_for_leave_off.go
@@ -2,5 +2,5 @@
 
 package mutation
 
-// TakeSilenceForLeave lets the leader of a rollout remove a member that has not answered, as if it had left.
+// TakeSilenceForLeave lets the leader of a rollout remove a member that has not responded, as if it had left.
 const TakeSilenceForLeave = false
--- a/internal/mutation/take_stale_lists_off.go
+++ b/internal/mutation/take_stale_lists_off.go
@@ -2,5 +2,5 @@
 
 package mutation
 
-// TakeStaleLists lets a stale endpoint list take the place of a later one.
+// TakeStaleLists lets a stale endpoint list replace a later one.
 const TakeStaleLists = false
--- a/internal/testing/modelcheck/search.go
+++ b/internal/testing/modelcheck/search.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// node is a state that was reached, and the step that led to it.
+// node is a reached state and the step that led to it.
 type node[W any] struct {
 	world  W
 	parent *node[W]
 	step   Step[W]
 }
 
-// path names the steps from the first state to the node.
+// path returns the names of the steps from the initial state to the node.
 func (n *node[W]) path() (steps []string) {
 	for ; n.parent != nil; n = n.parent {
 		steps = append(steps, n.step.String())
@@ -21,7 +21,7 @@
 	return steps
 }
 
-// stateSet remembers states by two 64-bit hashes of their keys, as one hash alone may collide.
+// stateSet is a set of states. Each is stored as two 64-bit hashes of its key, as a single hash may collide.
 type stateSet[W World[W]] struct {
 	seeds  [2]maphash.Seed
 	hashes map[[2]uint64]struct{}
@@ -39,19 +39,19 @@
 func (s *stateSet[W]) add(w W) bool {
 	s.key = w.Key(s.key[:0])
 	hash := [2]uint64{maphash.Bytes(s.seeds[0], s.key), maphash.Bytes(s.seeds[1], s.key)}
-	_, known := s.hashes[hash]
+	_, seen := s.hashes[hash]
 	s.hashes[hash] = struct{}{}
-	return !known
+	return !seen
 }
 
-// Search tries every step from a state on, breadth first, until it has explored the given
-// depth or met maxStates states. It returns how many states there were, the depth that was
+// Search tries every step from the initial state, breadth first, until it has explored the given
+// depth or visited maxStates states. It returns the number of distinct states, the depth that was
 // explored completely, and the first violation. visit, if not nil, is called with each state
-// that a step led to, new or not.
-func Search[W World[W]](first W, depth, maxStates int, visit func(W)) (states, completed int, found *Violation) {
-	met := newStateSet[W]()
-	met.add(first)
-	layer := []*node[W]{{world: first}}
+// that a step leads to, whether it is new or not.
+func Search[W World[W]](initial W, depth, maxStates int, visit func(W)) (states, completed int, violation *Violation) {
+	visited := newStateSet[W]()
+	visited.add(initial)
+	layer := []*node[W]{{world: initial}}
 	for completed < depth && len(layer) > 0 {
 		var next []*node[W]
 		for _, n := range layer {
@@ -62,20 +62,20 @@
 					visit(w)
 				}
 				if err != nil {
-					return len(met.hashes), completed, &Violation{err, append(n.path(), step.String())}
+					return len(visited.hashes), completed, &Violation{err, append(n.path(), step.String())}
 				}
-				if met.add(w) {
+				if visited.add(w) {
 					next = append(next, &node[W]{w, n, step})
 				}
-				if len(met.hashes) >= maxStates {
-					return len(met.hashes), completed, nil
+				if len(visited.hashes) >= maxStates {
+					return len(visited.hashes), completed, nil
 				}
 			}
-			var none W
-			n.world = none // frees the state: from here on only the path is needed
+			var zero W
+			n.world = zero // frees the state: only the path is needed from here on
 		}
 		layer = next
 		completed++
 	}
-	return len(met.hashes), completed, nil
+	return len(visited.hashes), completed, nil
 }
--- a/internal/testing/modelcheck/system/checker.go
+++ b/internal/testing/modelcheck/system/checker.go
@@ -9,18 +9,18 @@
 	"barleywick/internal/registry"
 )
 
-// checker checks the invariants. It is notified of everything that is done, knows nothing of
-// how the invariants are kept, and shares no code with what it checks.
+// checker checks the invariants. It is notified of each relevant action, does not depend on how
+// the invariants are maintained, and shares no code with the code under test.
 type checker struct {
 	policyEpoch   uint64
-	policyVersion uint64            // of the rollout state that was checked last
+	policyVersion uint64            // of the rollout state that was last checked
 	listByVersion map[uint64]string // the endpoint list at each version
 	acts          []*timedAct
 	calls         []*recordCall
 	acknowledged  map[string][]acknowledgedWrite // by key
 	newestTokens  map[string]uint64              // by lease: the token of the latest grant
 
-	// What was checked, as in Coverage.
+	// Counts as in Coverage.
 	fencedWrites  int
 	timedActs     int
 	advice        int
@@ -31,7 +31,7 @@
 	requests      int
 }
 
-// timedAct lasts from its begin until it ended or its context did.
+// timedAct is an act that lasts from begin until it ends or its context does.
 type timedAct struct {
 	claim       string
 	process     *process
@@ -39,7 +39,7 @@
 	begin, end  time.Duration
 }
 
-// acknowledgedWrite is a write that a client was told has been done.
+// acknowledgedWrite is a write that the registry has confirmed to a client.
 type acknowledgedWrite struct {
 	value   string
 	version uint64
@@ -60,13 +60,13 @@
 	}
 }
 
-// beginAct records a timed act, and checks that none under another claim goes on.
+// beginAct records a timed act, and checks that no act under another claim is in progress.
 func (c *checker) beginAct(w *world, ctl *controller, claim string, until time.Duration) *timedAct {
 	now := ctl.now
 	c.acts = slices.DeleteFunc(c.acts, func(a *timedAct) bool { return a.end <= now || !a.process.up || a.process.incarnation != a.incarnation })
 	for _, a := range c.acts {
 		if a.claim != claim {
-			w.violated("%s acts under %s while %s does under %s, until %v at the latest", ctl.name, claim, a.process.name, a.claim, a.end)
+			w.recordViolation("%s acts under claim %s while %s still acts under claim %s, until %v at the latest", ctl.name, claim, a.process.name, a.claim, a.end)
 		}
 	}
 	a := &timedAct{claim, &ctl.process, ctl.incarnation, now, until}
@@ -75,7 +75,7 @@
 	return a
 }
 
-// checkAdvisers is called as overload advice is given, and checks that only one controller may.
+// checkAdvisers is called when overload advice is given. It checks that only one controller may give it.
 func (c *checker) checkAdvisers(w *world) {
 	c.advice++
 	var holders []string
@@ -85,19 +85,19 @@
 		}
 	}
 	if len(holders) > 1 {
-		w.violated("%s give overload advice at once", strings.Join(holders, " and "))
+		w.recordViolation("%s may give overload advice at the same time", strings.Join(holders, " and "))
 	}
 }
 
-// checkAdviceToken checks that the tokens of the advice that a sidecar takes never decrease.
+// checkAdviceToken checks that the tokens of the advice that a sidecar accepts never decrease.
 func (c *checker) checkAdviceToken(w *world, sc *sidecar, token uint64) {
 	if token < sc.adviceToken {
-		w.violated("%s takes advice under token %d after advice under %d", sc.name, token, sc.adviceToken)
+		w.recordViolation("%s accepts advice under token %d after advice under token %d", sc.name, token, sc.adviceToken)
 	}
 	sc.adviceToken = token
 }
 
-// checkWrite checks that tokens never decrease, and that a write that has taken effect was
+// checkWrite checks that fencing tokens never decrease, and that a fenced write that succeeded was
 // made under the newest grant.
 func (c *checker) checkWrite(w *world, s *registry.State, f *registry.Fence, err error) {
 	all, _ := s.Leases().List()
@@ -106,7 +106,7 @@
 			continue
 		}
 		if l.Grant.Token < c.newestTokens[l.Name] {
-			w.violated("%s is granted with token %d after %d", l.Name, l.Grant.Token, c.newestTokens[l.Name])
+			w.recordViolation("lease %s is granted with token %d after token %d", l.Name, l.Grant.Token, c.newestTokens[l.Name])
 		}
 		c.newestTokens[l.Name] = l.Grant.Token
 	}
@@ -114,7 +114,7 @@
 		return
 	}
 	if c.fencedWrites++; f.Token < c.newestTokens[f.Lease] {
-		w.violated("a write under %s with token %d took effect when %d had been given", f.Lease, f.Token, c.newestTokens[f.Lease])
+		w.recordViolation("a write under lease %s with token %d succeeded after token %d had been granted", f.Lease, f.Token, c.newestTokens[f.Lease])
 	}
 }
 
@@ -128,8 +128,8 @@
 	return strings.Join(lines, ", ")
 }
 
-// checkList compares a sidecar's endpoint list with the registry's at that version. They differ
-// if the watch has lost a change.
+// checkList compares a sidecar's endpoint list with the registry's list at the same version. They
+// differ if the watch has missed a change.
 func (c *checker) checkList(w *world, sc *sidecar) {
 	c.lists++
 	var hosts []registry.Instance
@@ -137,11 +137,11 @@
 		hosts = append(hosts, i)
 	}
 	if text, want := listText(hosts), c.listByVersion[sc.listVersion]; text != want {
-		w.violated("%s holds version %d of the list as %q, it was %q", sc.name, sc.listVersion, text, want)
+		w.recordViolation("%s: endpoint list at version %d: got %q, want %q", sc.name, sc.listVersion, text, want)
 	}
 }
 
-// checkCommitted checks the state after a commit.
+// checkCommitted checks the leader's state after a commit.
 func (c *checker) checkCommitted(w *world) {
 	if w.raft.leader < 0 {
 		return
@@ -165,15 +165,15 @@
 	for _, entry := range status.Roster {
 		for _, sc := range w.sidecars {
 			if sc.up && sc.member == entry.Member && (!sc.acting || sc.active.JointChange != c.policyEpoch) {
-				w.violated("epoch %d is in force, and %s, which is in the roster, never acted by it and the old one", c.policyEpoch, sc.name)
+				w.recordViolation("epoch %d is in force, but %s, which is in the roster, is not in its joint stage", c.policyEpoch, sc.name)
 			}
 		}
 	}
 	c.checkActivePolicies(w)
 }
 
-// checkActivePolicies checks that all sidecars act by one policy, or by both the old and the
-// new one: there is a policy that each of them keeps to.
+// checkActivePolicies checks that at least one policy is common to all sidecars that act. A sidecar
+// acts by one policy or, in the joint stage, by both the old and the new one.
 func (c *checker) checkActivePolicies(w *world) {
 	var common []uint64
 	first := true
@@ -195,17 +195,17 @@
 		}
 	}
 	if !first && len(common) == 0 {
-		w.violated("old and new at once:%s", text)
+		w.recordViolation("no policy is common to all sidecars:%s", text)
 	}
 }
 
-// checkServerStop is called as a drain stops a server. It checks that the server had no work of
-// a sidecar that knew of the drain, and was not the last one of its zone.
+// checkServerStop is called when a drain stops a server. It checks that the server has no requests
+// in flight of a sidecar that has received its drain mark, and is not the last one of its zone.
 func (c *checker) checkServerStop(w *world, s *server) {
 	c.serverStops++
 	for _, sc := range w.sidecars {
 		if i, listed := sc.list[s.host]; sc.up && sc.requests[s.host] > 0 && listed && i.Health != registry.HealthUp {
-			w.violated("%s is stopped with %d requests of %s, which knew of its drain", s.host, sc.requests[s.host], sc.name)
+			w.recordViolation("%s is stopped with %d requests in flight of %s, which has received its drain mark", s.host, sc.requests[s.host], sc.name)
 		}
 	}
 	for _, other := range w.servers {
@@ -213,17 +213,17 @@
 			return
 		}
 	}
-	w.violated("with %s the last server of %s is stopped", s.host, s.zone)
+	w.recordViolation("stopping %s stops the last server of %s", s.host, s.zone)
 }
 
-// beginCall records that a record is about to be read or written.
+// beginCall records the start of a call that reads or writes a record.
 func (c *checker) beginCall(w *world, key, value string) *recordCall {
 	o := &recordCall{key: key, value: value, started: w.now}
 	c.calls = append(c.calls, o)
 	return o
 }
 
-// complete records that the call has returned.
+// complete records the result of the call.
 func (r *recordCall) complete(w *world, got string, ok bool) {
 	r.ended, r.completed, r.succeeded, r.read = w.now, true, ok, got
 }
--- a/internal/testing/modelcheck/system/controller.go
+++ b/internal/testing/modelcheck/system/controller.go
@@ -14,19 +14,19 @@
 	"barleywick/internal/rollout"
 )
 
-// controller is a process that holds leases by the real lease.Session, and decides by the real
-// code what the tasks under them do.
+// controller is a process that holds leases with lease.Session and runs a task under each of them,
+// which makes its decisions with the production code.
 type controller struct {
 	process
 	w              *world
 	holder         registry.Holder
 	sessions       map[string]*lease.Session
 	wakeups        map[string]func() // by lease: wakes the task that waits for a renewal
-	planner        *overload.Planner // nil unless it holds the overload lease
+	planner        *overload.Planner // nil unless the controller holds the overload lease
 	plannerSession *lease.Session
 }
 
-// The leases, each of which has a task.
+// The names of the leases. A controller runs one task under each.
 const (
 	policyLease   = "policy"
 	drainsLease   = "drains"
@@ -39,10 +39,10 @@
 	actDuration   = 40 * time.Millisecond
 )
 
-// leaseTask is what a controller does while it holds a lease.
+// leaseTask runs while a controller holds a lease.
 type leaseTask func(*task, *client, *lease.Session)
 
-// newController returns a controller that does not run yet.
+// newController returns a controller that has not been started.
 func (w *world) newController(i int) *controller {
 	ctl := &controller{w: w, process: w.process(fmt.Sprint("k", i))}
 	ctl.onStart = func() {
@@ -59,7 +59,7 @@
 	return ctl
 }
 
-// keepClaiming claims a lease again and again, and runs its task while the lease is held.
+// keepClaiming claims a lease repeatedly, and runs its task while the lease is held.
 func (ctl *controller) keepClaiming(name string, run leaseTask) {
 	ctl.spawn(func(t *task) {
 		c := ctl.w.newClient(t)
@@ -70,7 +70,7 @@
 	})
 }
 
-// claimOnce makes one claim and keeps it until it ends, as lease.Manager does.
+// claimOnce makes one claim and keeps it until it ends, in the same way as lease.Manager.
 func (ctl *controller) claimOnce(t *task, c *client, name string, run leaseTask) {
 	ctl.w.claimCount++
 	session := &lease.Session{LeaseName: name, ClaimID: fmt.Sprintf("claim-%06d", ctl.w.claimCount), Holder: ctl.holder, TTL: leaseTTL}
@@ -98,7 +98,7 @@
 				ctl.wakeups[name] = wake
 				t.after(min(renewInterval, max(time.Millisecond, ctl.remaining(session))), wake)
 			})
-			if _, leave := session.YieldRequested(); leave {
+			if _, yield := session.YieldRequested(); yield {
 				break
 			}
 		}
@@ -113,7 +113,7 @@
 	_, _ = c.apply(registry.Command{Op: registry.OpReleaseLease, Lease: &registry.LeaseCommand{Name: name, Claim: claim}})
 }
 
-// renewClaims renews all claims, in one call.
+// renewClaims renews all claims periodically, with one call each time.
 func (ctl *controller) renewClaims(t *task) {
 	c := ctl.w.newClient(t)
 	for {
@@ -125,16 +125,16 @@
 			}
 		}
 		sent := ctl.monotonic()
-		var answers []registry.ClaimStatus
+		var statuses []registry.ClaimStatus
 		if c.callReplicas(func(r *replica, reply func(error)) {
 			ctl.w.raft.renewClaims(r, ctl.holder, claims, func(a []registry.ClaimStatus, err error) {
-				answers = a
+				statuses = a
 				reply(err)
 			})
 		}) != nil {
 			continue
 		}
-		for _, a := range answers {
+		for _, a := range statuses {
 			if session := ctl.sessions[a.Lease]; session != nil && session.ClaimID == a.ClaimID {
 				session.Renewed(a, sent, ctl.monotonic())
 				if wake := ctl.wakeups[a.Lease]; wake != nil {
@@ -145,7 +145,7 @@
 	}
 }
 
-// remaining returns for how much of the world's time a lease is still held by this process's clock.
+// remaining returns the true time until the lease ends by this process's clock.
 func (ctl *controller) remaining(session *lease.Session) time.Duration {
 	if session.Token() == 0 {
 		return time.Hour
@@ -153,7 +153,7 @@
 	return time.Duration(int64(session.Deadline()-ctl.monotonic()) * normalClockRate / ctl.clockRate)
 }
 
-// startTask starts a task whose context ends with the lease.
+// startTask starts a task whose context ends when the lease is no longer held.
 func (ctl *controller) startTask(session *lease.Session, run leaseTask) *task {
 	t := ctl.spawn(func(t *task) {
 		c := ctl.w.newClient(t)
@@ -164,12 +164,12 @@
 	return t
 }
 
-// rolloutTask leads rollouts.
+// rolloutTask advances rollouts.
 func (ctl *controller) rolloutTask(t *task, c *client, session *lease.Session) {
 	for {
 		var st rollout.Status
 		if c.readStale(func(s *registry.State) { st = s.Rollout().Status() }) == nil {
-			if step, any := rollout.Decide(st, ctl.time().UnixMilli()); any {
+			if step, ok := rollout.Decide(st, ctl.time().UnixMilli()); ok {
 				ctl.w.recordStep("policy " + string(step.Op) + " from " + string(st.Stage))
 				if _, err := c.apply(registry.Command{Op: registry.OpPolicyStep, PolicyStep: &step}); errors.Is(err, registry.ErrFenced) {
 					return
@@ -181,13 +181,13 @@
 	}
 }
 
-// drainTask runs the drains that operators handed over.
+// drainTask runs the drains that operators have handed over.
 func (ctl *controller) drainTask(t *task, c *client, session *lease.Session) {
 	for {
 		w := ctl.w.newWorkflow(t, c, drain.OwnerControllers, session)
-		handed, err := w.HandedOver(context.Background())
+		drains, err := w.HandedOver(context.Background())
 		if err == nil {
-			for _, d := range handed {
+			for _, d := range drains {
 				if err := w.Resume(context.Background(), d); errors.Is(err, registry.ErrFenced) {
 					return
 				}
@@ -197,7 +197,7 @@
 	}
 }
 
-// overloadTask announces where overload advice is given, and stands by to give it.
+// overloadTask publishes this controller as the source of overload advice, and gives advice while it runs.
 func (ctl *controller) overloadTask(t *task, c *client, session *lease.Session) {
 	ctl.planner, ctl.plannerSession = overload.NewPlanner(fleetName, session.Token()), session
 	defer func() { ctl.planner, ctl.plannerSession = nil, nil }()
@@ -215,7 +215,7 @@
 	}
 }
 
-// exchangeDigest handles a load digest. It replies only while the controller holds the overload lease.
+// exchangeDigest handles a load digest. It replies with advice only while the controller holds the overload lease.
 func (ctl *controller) exchangeDigest(d overload.Digest, reply func(overload.Advice)) {
 	if ctl.planner == nil || ctl.planner.AddDigest(ctl.monotonic(), d) != nil {
 		return
@@ -228,13 +228,13 @@
 	reply(advice)
 }
 
-// timedTask does timed acts: their only protection is the lease's remaining time, as they carry no token.
+// timedTask performs timed acts. They carry no fencing token, so only the lease's remaining time protects them.
 func (ctl *controller) timedTask(t *task, _ *client, session *lease.Session) {
 	for {
 		if session.CheckAct(ctl.monotonic(), actDuration) != nil {
 			return
 		}
-		// The context of the act ends with the lease, also while the process is paused.
+		// The act's context ends with the lease, even while the process is paused.
 		until := ctl.now + time.Duration(int64(session.Deadline()-ctl.monotonic())*normalClockRate/ctl.clockRate)
 		act := ctl.w.checker.beginAct(ctl.w, ctl, session.ClaimID, until)
 		t.sleep(t.jitter(actDuration))
--- a/internal/testing/modelcheck/system/coverage.go
+++ b/internal/testing/modelcheck/system/coverage.go
@@ -5,25 +5,25 @@
 	"slices"
 )
 
-// Pair is a step that was taken while a fault was in effect.
+// Pair is a step taken while a fault of the given kind was in effect.
 type Pair struct {
 	Kind FaultKind
 	Step string
 }
 
-// Coverage counts what schedules went through and what was checked in them.
+// Coverage counts what happened in schedules and what was checked in them.
 type Coverage struct {
 	Schedules          int
 	Events             int
 	Faults             int
-	TimedActs          int // acts that only the lease's remaining time protects
-	Advice             int // overload advice that was given
-	Policies           int // policies that came into force
+	TimedActs          int // acts protected only by the lease's remaining time
+	Advice             int // pieces of overload advice that were given
+	Policies           int // policies that were committed
 	ServerStops        int // servers stopped by a drain
 	Lists              int // endpoint lists compared
 	AcknowledgedWrites int
 	Requests           int
-	JointPolicies      int // looks at a sidecar that acted by two policies at once
+	JointPolicies      int // observations of a sidecar acting by two policies at once
 	FencedWrites       int
 	Steps              map[string]int
 	Pairs              map[Pair]int
@@ -54,10 +54,10 @@
 	}
 }
 
-// MaxPairs returns how many pairs the steps that were taken could form.
+// MaxPairs returns the number of possible pairs of a fault kind and a step that was taken.
 func (c *Coverage) MaxPairs() int { return len(faultKinds) * len(c.Steps) }
 
-// RarestPairs returns all pairs of the steps that were taken, the rarest first.
+// RarestPairs returns all possible pairs of a fault kind and a step that was taken, the least covered first.
 func (c *Coverage) RarestPairs() (all []Pair) {
 	for _, k := range faultKinds {
 		for _, step := range sortedKeys(c.Steps) {
@@ -68,7 +68,7 @@
 	return all
 }
 
-// coverage returns what the schedule covered.
+// coverage returns the schedule's coverage.
 func (w *world) coverage() Coverage {
 	c := w.checker
 	covered := Coverage{
--- a/internal/testing/modelcheck/system/drainfleet.go
+++ b/internal/testing/modelcheck/system/drainfleet.go
@@ -9,14 +9,14 @@
 	"barleywick/internal/registry"
 )
 
-// drainFleet is what a drain's workflow sees of servers and sidecars.
+// drainFleet implements drain.Fleet over the simulated servers and sidecars.
 type drainFleet struct {
 	task    *task
 	world   *world
 	session *lease.Session
 }
 
-// Notified reports whether all sidecars hold a version of the list, or count as notified.
+// Notified reports whether all sidecars have the given version of the list, or the notification deadline has passed.
 func (f drainFleet) Notified(_ context.Context, seq uint64, since time.Time) (bool, error) {
 	f.task.sleep(f.task.jitter(messageLatency))
 	if f.task.time().Sub(since) >= notificationDeadline {
@@ -30,18 +30,18 @@
 	return true, nil
 }
 
-// Idle reports whether a server has no requests.
+// Idle reports whether a server has no requests in flight.
 func (f drainFleet) Idle(_ context.Context, e registry.Registration, _ time.Time) (bool, error) {
 	f.task.sleep(f.task.jitter(messageLatency))
 	return f.world.serverByHost(e.Host).running == 0, nil
 }
 
-// RemainingMembers returns nothing: there is no membership in this world.
+// RemainingMembers returns no members, as membership is not simulated.
 func (f drainFleet) RemainingMembers(context.Context, string) ([]string, bool, error) {
 	return nil, false, nil
 }
 
-// Stop stops a server, under a lease only while that is held.
+// Stop stops a server. If the drain runs under a lease, it does so only while the lease is held.
 func (f drainFleet) Stop(_ context.Context, _, host string) error {
 	if f.session != nil {
 		if err := f.session.CheckAct(f.task.monotonic(), actDuration); err != nil {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// newWorkflow returns the real drain workflow over the simulated fleet.
+// newWorkflow returns the production drain workflow over the simulated fleet.
 func (w *world) newWorkflow(t *task, c *client, owner string, session *lease.Session) *drain.Workflow {
 	return &drain.Workflow{
 		Registry: c, Fleet: drainFleet{t, w, session}, Floor: drain.Floor{Default: 1}, Owner: owner, ClaimTTL: 5 * time.Second, PollInterval: 100 * time.Millisecond,
--- a/internal/testing/modelcheck/system/explore.go
+++ b/internal/testing/modelcheck/system/explore.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// maxFaults bounds the faults of one plan, maxOccurrence which occurrence of a step one is
-	// injected at.
+	// maxFaults bounds the number of faults in one plan, maxOccurrence the occurrence of the step at
+	// which a fault is injected.
 	maxFaults     = 6
 	maxOccurrence = 12
-	// The duration of a fault is drawn between these, in milliseconds.
+	// The duration of a fault in milliseconds is minFaultMS plus a random part below faultRangeMS.
 	minFaultMS, faultRangeMS = 50, 5000
-	// steeringDraws is of how many pairs the rarest is taken.
+	// steeringDraws is the number of pairs drawn, of which the least covered one is used.
 	steeringDraws = 8
-	// batchSize is how many schedules are planned at once, from the coverage before them:
-	// they are the same then however many run in parallel.
+	// batchSize is the number of schedules planned at once from the coverage of all earlier batches,
+	// so that the plans do not depend on how many schedules run in parallel.
 	batchSize = 128
-	// planStream separates the random numbers of plans from those of the schedules.
+	// planStream keeps the random numbers of plans independent of those of schedules.
 	planStream = 222
 )
 
@@ -28,8 +28,8 @@
 	diskTargets  = []string{"leader", "follower", "r0", "r1"}
 )
 
-// drawPlan draws the faults of a schedule. With steering, the first fault is one of a pair
-// that was covered rarely so far.
+// drawPlan draws the faults of a schedule. With steering, the first fault is drawn from the
+// pairs that have been covered rarely so far.
 func drawPlan(seed uint64, covered *Coverage, steer bool) (plan []Fault) {
 	rng := rand.New(rand.NewPCG(seed, planStream))
 	steps := sortedKeys(covered.Steps)
@@ -39,12 +39,12 @@
 	for n := range 1 + rng.IntN(maxFaults) {
 		f := Fault{Step: pick(rng, steps), Kind: pick(rng, faultKinds), Target: pick(rng, faultTargets)}
 		if steer && n == 0 {
-			f.Kind, f.Step = rarePair(rng, covered, steps)
+			f.Kind, f.Step = drawRarePair(rng, covered, steps)
 		}
 		if f.Kind == DiskFull {
 			f.Target = pick(rng, diskTargets)
 		}
-		// A step that is taken once in a schedule has to be met at its first occurrence.
+		// A fault at a later occurrence than a schedule usually reaches would never be injected.
 		perSchedule := covered.Steps[f.Step] / max(1, covered.Schedules)
 		f.Occurrence = 1 + rng.IntN(max(1, min(maxOccurrence, perSchedule)))
 		f.Duration = time.Duration(minFaultMS+rng.IntN(faultRangeMS)) * time.Millisecond
@@ -53,11 +53,11 @@
 	return plan
 }
 
-// pick draws one of some values.
+// pick draws one of the values.
 func pick[T any](rng *rand.Rand, from []T) T { return from[rng.IntN(len(from))] }
 
-// rarePair draws some pairs and returns the one covered least.
-func rarePair(rng *rand.Rand, covered *Coverage, steps []string) (kind FaultKind, step string) {
+// drawRarePair draws several pairs and returns the least covered one.
+func drawRarePair(rng *rand.Rand, covered *Coverage, steps []string) (kind FaultKind, step string) {
 	least := -1
 	for range steeringDraws {
 		k, s := pick(rng, faultKinds), pick(rng, steps)
@@ -68,39 +68,39 @@
 	return kind, step
 }
 
-// Explore runs schedules with seeds from first on, until one violates an invariant. It
-// returns what all of them covered.
-func Explore(first uint64, schedules int, steer bool) (Coverage, *Failure) {
-	var all Coverage
-	// A schedule without faults shows which steps there are.
-	covered, err := Run(first, nil)
+// Explore runs up to the given number of schedules, with consecutive seeds from firstSeed, until
+// one violates an invariant. It returns the coverage of all of them.
+func Explore(firstSeed uint64, schedules int, steer bool) (Coverage, *Failure) {
+	var total Coverage
+	// A schedule without faults discovers which steps exist.
+	covered, err := Run(firstSeed, nil)
 	if err != nil {
-		return covered, &Failure{Seed: first, Err: err, Schedules: 1}
+		return covered, &Failure{Seed: firstSeed, Err: err, Schedules: 1}
 	}
-	all.add(covered)
+	total.add(covered)
 	for done := 0; done < schedules; done += batchSize {
 		plans := make([][]Fault, min(batchSize, schedules-done))
 		for i := range plans {
-			plans[i] = drawPlan(first+uint64(done+i), &all, steer)
+			plans[i] = drawPlan(firstSeed+uint64(done+i), &total, steer)
 		}
-		for i, r := range runBatch(first+uint64(done), plans) {
-			all.add(r.coverage)
+		for i, r := range runBatch(firstSeed+uint64(done), plans) {
+			total.add(r.coverage)
 			if r.err != nil {
-				return all, &Failure{Seed: first + uint64(done+i), Plan: plans[i], Err: r.err, Schedules: done + i + 1}
+				return total, &Failure{Seed: firstSeed + uint64(done+i), Plan: plans[i], Err: r.err, Schedules: done + i + 1}
 			}
 		}
 	}
-	return all, nil
+	return total, nil
 }
 
-// runResult is what Run returned.
+// runResult is the result of Run.
 type runResult struct {
 	coverage Coverage
 	err      error
 }
 
-// runBatch runs schedules in parallel. The seed of each is first plus its index.
-func runBatch(first uint64, plans [][]Fault) []runResult {
+// runBatch runs schedules in parallel. The seed of each is firstSeed plus its index.
+func runBatch(firstSeed uint64, plans [][]Fault) []runResult {
 	results := make([]runResult, len(plans))
 	next := make(chan int, len(plans))
 	for i := range plans {
@@ -111,7 +111,7 @@
 	for range min(len(plans), runtime.GOMAXPROCS(0)) {
 		workers.Go(func() {
 			for i := range next {
-				results[i].coverage, results[i].err = Run(first+uint64(i), plans[i])
+				results[i].coverage, results[i].err = Run(firstSeed+uint64(i), plans[i])
 			}
 		})
 	}
--- a/internal/testing/modelcheck/system/failure.go
+++ b/internal/testing/modelcheck/system/failure.go
@@ -10,7 +10,7 @@
 	Seed      uint64
 	Plan      []Fault
 	Err       error
-	Schedules int // how many were run until it was found
+	Schedules int // number of schedules run until the violation was found, this one included
 }
 
 // ReplayText describes the violation and names the command that replays it.
@@ -18,16 +18,16 @@
 	return fmt.Sprintf("after %d schedules: %v; to replay it: testbench modelcheck --replay --seed %d --faults '%s'", f.Schedules, f.Err, f.Seed, FormatPlan(f.Plan))
 }
 
-// Shrink returns a failure without the faults that the violation does not need.
+// Shrink returns the failure without the faults that are not needed to violate an invariant.
 func (f *Failure) Shrink() *Failure {
-	small := *f
-	for i := 0; i < len(small.Plan); {
-		rest := slices.Concat(small.Plan[:i], small.Plan[i+1:])
-		if _, err := Run(f.Seed, rest); err != nil {
-			small.Plan, small.Err = rest, err
+	reduced := *f
+	for i := 0; i < len(reduced.Plan); {
+		remaining := slices.Concat(reduced.Plan[:i], reduced.Plan[i+1:])
+		if _, err := Run(f.Seed, remaining); err != nil {
+			reduced.Plan, reduced.Err = remaining, err
 		} else {
 			i++
 		}
 	}
-	return &small
+	return &reduced
 }
--- a/internal/testing/modelcheck/system/fault.go
+++ b/internal/testing/modelcheck/system/fault.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// FaultKind is what a fault does to a process. The text is part of a plan's.
+// FaultKind is the effect of a fault on a process. Its text is part of a plan's text form.
 type FaultKind string
 
 // The kinds of faults.
@@ -19,11 +19,11 @@
 	BlockOutbound FaultKind = "mute"
 	BlockInbound  FaultKind = "deaf"
 	Delay         FaultKind = "late"
-	DiskFull      FaultKind = "full"  // a replica's disk takes no more writes
+	DiskFull      FaultKind = "full"  // writes to a replica's disk fail
 	ClockDrift    FaultKind = "drift" // the clock runs 5 % fast or slow
 )
 
-// Clock rates, in thousandths of the true rate.
+// Clock rates, in thousandths of the normal rate.
 const (
 	normalClockRate = 1000
 	slowClockRate   = 950
@@ -32,12 +32,12 @@
 
 var faultKinds = []FaultKind{Crash, Pause, Partition, BlockOutbound, BlockInbound, Delay, DiskFull, ClockDrift}
 
-// Fault is injected when a step is taken for the nth time.
+// Fault is a fault that is injected at the given occurrence of a step.
 type Fault struct {
 	Step       string
-	Occurrence int // of the step, from 1 on
+	Occurrence int // of the step, counted from 1
 	Kind       FaultKind
-	Target     string // a role at that moment (leader, follower, holder:LEASE) or a name (s0, k1, r2)
+	Target     string // a role at the time of injection (leader, follower, holder:LEASE) or a process name (s0, k1, r2)
 	Duration   time.Duration
 }
 
@@ -64,18 +64,18 @@
 
 // parseFault parses KIND TARGET for DURATION at STEP#OCCURRENCE.
 func parseFault(text string) (f Fault, err error) {
-	what, at, ok := strings.Cut(text, " at ")
-	words := strings.Fields(what)
-	number := strings.LastIndexByte(at, '#')
+	effect, step, ok := strings.Cut(text, " at ")
+	words := strings.Fields(effect)
+	number := strings.LastIndexByte(step, '#')
 	if !ok || len(words) != 4 || words[2] != "for" || number < 0 || !slices.Contains(faultKinds, FaultKind(words[0])) {
-		return f, fmt.Errorf("it has to be like 'kill leader for 2s at policy in force#1', with one of %v", faultKinds)
+		return f, fmt.Errorf("want KIND TARGET for DURATION at STEP#OCCURRENCE, such as 'kill leader for 2s at policy in force#1', with one of the kinds %v", faultKinds)
 	}
-	f = Fault{Step: at[:number], Kind: FaultKind(words[0]), Target: words[1]}
+	f = Fault{Step: step[:number], Kind: FaultKind(words[0]), Target: words[1]}
 	if f.Duration, err = time.ParseDuration(words[3]); err != nil {
 		return f, err
 	}
-	if f.Occurrence, err = strconv.Atoi(at[number+1:]); err != nil || f.Occurrence < 1 {
-		return f, fmt.Errorf("%q is not a number from 1 on", at[number+1:])
+	if f.Occurrence, err = strconv.Atoi(step[number+1:]); err != nil || f.Occurrence < 1 {
+		return f, fmt.Errorf("occurrence: got %q, want an integer of at least 1", step[number+1:])
 	}
 	return f, nil
 }
--- a/internal/testing/modelcheck/system/inject.go
+++ b/internal/testing/modelcheck/system/inject.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// faultTarget returns the process that a fault falls on now; nil if there is none of the name.
+// faultTarget returns the process that a fault's target refers to at present, or nil if there is none.
 func (w *world) faultTarget(f Fault) *process {
 	if lease, ok := strings.CutPrefix(f.Target, "holder:"); ok {
 		return w.leaseHolder(lease)
@@ -22,7 +22,7 @@
 	return nil
 }
 
-// leaseHolder returns the controller that holds a lease by its own clock, else the first one.
+// leaseHolder returns a controller that holds the lease according to its own clock, or else the first controller.
 func (w *world) leaseHolder(lease string) *process {
 	for _, ctl := range w.controllers {
 		if session := ctl.sessions[lease]; ctl.up && session != nil && session.Held(ctl.monotonic()) {
@@ -46,7 +46,7 @@
 	return all
 }
 
-// injectFault begins a fault of the plan, and ends it after its duration.
+// injectFault begins a fault of the plan and schedules its end.
 func (w *world) injectFault(i int) {
 	f := w.plan[i]
 	p := w.faultTarget(f)
@@ -64,7 +64,7 @@
 	})
 }
 
-// beginFault puts a fault into effect.
+// beginFault applies a fault to a process.
 func (w *world) beginFault(kind FaultKind, p *process, driftRate int64) {
 	switch kind {
 	case Crash:
@@ -78,8 +78,8 @@
 	}
 }
 
-// endFault ends a fault's effect. A process is killed and paused again before it goes on,
-// in case another fault has started it meanwhile.
+// endFault ends a fault's effect. It kills or pauses the process again before starting or
+// unpausing it, in case another fault has started or unpaused it meanwhile.
 func (w *world) endFault(kind FaultKind, p *process) {
 	switch kind {
 	case Crash:
@@ -88,7 +88,7 @@
 	case Pause:
 		p.pause()
 		p.unpause()
-		w.raft.resumed(p)
+		w.raft.handleUnpause(p)
 	case ClockDrift:
 		p.setClockRate(normalClockRate)
 	default:
@@ -96,7 +96,7 @@
 	}
 }
 
-// setCondition sets what a fault changes on a process's messages or disk.
+// setCondition switches a fault's effect on a process's messages or disk on or off.
 func (w *world) setCondition(kind FaultKind, p *process, on bool) {
 	switch kind {
 	case Partition:
@@ -116,7 +116,7 @@
 	}
 }
 
-// endFaults ends all faults and starts every process that is down.
+// endFaults ends all faults, and starts every process that is not running.
 func (w *world) endFaults() {
 	w.settling = true
 	clear(w.activeFaults)
--- a/internal/testing/modelcheck/system/operators.go
+++ b/internal/testing/modelcheck/system/operators.go
@@ -9,7 +9,7 @@
 	"barleywick/internal/rollout"
 )
 
-// proposePolicies is an operator who proposes policies and aborts some of the rollouts.
+// proposePolicies simulates an operator who proposes policies and aborts some of the rollouts.
 func (w *world) proposePolicies(t *task) {
 	c := w.newClient(t)
 	for {
@@ -22,9 +22,9 @@
 			continue
 		}
 		w.proposals++
-		slots := 1 + w.proposals%maxFirstSlots
+		slots := 1 + w.proposals%firstSidecarMaxSlots
 		if w.rng.IntN(6) == 0 {
-			slots += maxFirstSlots
+			slots += firstSidecarMaxSlots
 		}
 		step := rollout.Command{
 			Op: rollout.OpPropose, BaseEpoch: st.Epoch, By: "operator", Reason: fmt.Sprint(w.proposals), WithinMS: 3000,
@@ -38,7 +38,7 @@
 	}
 }
 
-// drainMachines is an operator who hands over drains of machines, and takes machines back into service.
+// drainMachines simulates an operator who hands over drains of machines, and undrains machines.
 func (w *world) drainMachines(t *task) {
 	c := w.newClient(t)
 	for {
@@ -60,7 +60,7 @@
 	}
 }
 
-// startServers starts the servers of a machine that a drain has stopped.
+// startServers starts all servers of a machine that a drain has stopped.
 func (w *world) startServers(machine string) {
 	for _, s := range w.servers {
 		if s.machine == machine {
@@ -69,7 +69,7 @@
 	}
 }
 
-// writeRecords is a user who writes and reads records.
+// writeRecords simulates a user who writes and reads records.
 func (w *world) writeRecords(t *task) {
 	c := w.newClient(t)
 	for n := 1; ; n++ {
@@ -86,7 +86,7 @@
 			}
 			continue
 		}
-		// Each write names the version that it replaces, so a repetition has no effect.
+		// Each write is conditional on the version that it replaces, so a retry is applied at most once.
 		var current registry.Record
 		if c.readVerified(func(s *registry.State) { current, _ = s.Record(key) }) != nil {
 			continue
--- a/internal/testing/modelcheck/system/process.go
+++ b/internal/testing/modelcheck/system/process.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// process is a process of the operating system: it can be killed, paused, cut off and started
-// again.
+// process simulates an operating system process, which can be killed, paused, partitioned and
+// restarted.
 type process struct {
 	*scheduler
 	name            string
@@ -11,17 +11,17 @@
 	paused          bool
 	outboundBlocked bool          // messages from it are lost
 	inboundBlocked  bool          // messages to it are lost
-	delayed         bool          // messages from and to it are late
-	clockRate       int64         // in thousandths of the true rate
-	clockOffset     time.Duration // from the true time, caused by earlier rates
+	delayed         bool          // messages from and to it are delayed
+	clockRate       int64         // in thousandths of the normal rate
+	clockOffset     time.Duration // offset from the true time that earlier rates have caused
 	incarnation     uint64
 	tasks           []*task
-	deferred        []func() // what happens when it is no longer paused
+	deferred        []func() // callbacks to run once it is unpaused
 	onStart         func()   // starts its tasks
-	onEnd           func()   // called when it has ended; may be nil
+	onEnd           func()   // called after it has ended; may be nil
 }
 
-// start starts the process, as a new incarnation, if it is down.
+// start starts the process as a new incarnation, unless it is running.
 func (p *process) start() {
 	if p.up {
 		return
@@ -49,7 +49,7 @@
 // pause stops the process until unpause.
 func (p *process) pause() { p.paused = p.up }
 
-// unpause lets a paused process go on.
+// unpause resumes a paused process and schedules its deferred callbacks.
 func (p *process) unpause() {
 	if !p.paused {
 		return
@@ -57,14 +57,14 @@
 	p.paused = false
 	deferred := p.deferred
 	p.deferred = nil
-	for _, do := range deferred {
-		p.after(0, p.whileAlive(do))
+	for _, callback := range deferred {
+		p.after(0, p.whileAlive(callback))
 	}
 }
 
 // whileAlive wraps a function so that it does nothing once this incarnation has ended, and is
 // deferred while the process is paused.
-func (p *process) whileAlive(do func()) func() {
+func (p *process) whileAlive(callback func()) func() {
 	incarnation := p.incarnation
 	var guarded func()
 	guarded = func() {
@@ -73,7 +73,7 @@
 		case p.paused:
 			p.deferred = append(p.deferred, guarded)
 		default:
-			do()
+			callback()
 		}
 	}
 	return guarded
@@ -84,7 +84,7 @@
 	return time.Duration(int64(p.now)*p.clockRate/normalClockRate) + p.clockOffset + time.Hour
 }
 
-// setClockRate lets the clock run at another rate from now on, without a jump.
+// setClockRate changes the rate of the clock from now on, without a jump in its reading.
 func (p *process) setClockRate(rate int64) {
 	before := p.monotonic()
 	p.clockRate = rate
--- a/internal/testing/modelcheck/system/raft.go
+++ b/internal/testing/modelcheck/system/raft.go
@@ -9,21 +9,21 @@
 	"barleywick/internal/registry"
 )
 
-// replica is a replica of the registry: the real state machine over the part of the log that it has.
+// replica is a replica of the registry: the production state machine over the part of the log that it has.
 type replica struct {
 	process
 	id            int
 	state         *registry.State
-	applied       int // how many entries of the log it has applied
-	persisted     int // how many are on its disk
+	applied       int // number of log entries applied to its state
+	persisted     int // number of log entries on its disk
 	snapshot      []byte
 	snapshotIndex int
-	diskFull      bool // its disk takes no more writes
+	diskFull      bool // writes to its disk fail
 }
 
-// raftModel has the properties of Raft that the registry relies on: one leader a term; an entry
-// that a majority has on disk stays; one that no majority has may be committed later or never;
-// and a leader that was cut off or paused believes for a while that it still leads.
+// raftModel models the properties of Raft that the registry relies on: there is one leader per term;
+// an entry that a majority has persisted is never lost; an entry without a majority may be committed
+// later or never; and a leader that was partitioned or paused still believes for a while that it leads.
 type raftModel struct {
 	w            *world
 	replicas     []*replica
@@ -32,9 +32,9 @@
 	term         uint64
 	leader       int // -1: none
 	ready        bool
-	quorumLostAt time.Duration // when the leader lost its quorum; 0: it has one
+	quorumLostAt time.Duration // time at which the leader lost its quorum; 0: it has one
 	claims       *registry.ClaimTracker
-	staleUntil   map[int]time.Duration // until when a former leader believes that it still leads
+	staleUntil   map[int]time.Duration // by replica ID: until when a former leader still believes that it leads
 }
 
 const (
@@ -43,12 +43,12 @@
 	raftTick          = 100 * time.Millisecond
 	commitLatency     = 2 * time.Millisecond
 	leaseTTL          = 2 * time.Second
-	snapshotInterval  = 60 // entries between two snapshots, about
+	snapshotInterval  = 60 // approximate number of entries between two snapshots
 )
 
 var (
-	errNotLeader    = errors.New("not the leader")
-	errUnresponsive = errors.New("no answer")
+	errNotLeader    = errors.New("replica is not the leader")
+	errUnresponsive = errors.New("no response before the timeout")
 )
 
 func newRaftModel(w *world) *raftModel {
@@ -61,12 +61,12 @@
 	return m
 }
 
-// restart restores a replica from its own snapshot and log.
+// restart restores a replica's state from its own snapshot and log.
 func (m *raftModel) restart(r *replica) {
 	r.state, r.applied = registry.NewState(), 0
 	if r.snapshot != nil {
 		if err := json.Unmarshal(r.snapshot, r.state); err != nil {
-			m.w.violated("r%d: its own snapshot cannot be read: %v", r.id, err)
+			m.w.recordViolation("r%d: decode its own snapshot: %v", r.id, err)
 			return
 		}
 		r.applied = r.snapshotIndex
@@ -83,26 +83,26 @@
 	return ok(a) && (a == b || ok(b))
 }
 
-// countReachable returns how many replicas one reaches, itself included; with writing, only
-// those whose disk takes writes.
-func (m *raftModel) countReachable(a *replica, writing bool) (n int) {
+// countReachable returns the number of replicas that a replica reaches, itself included. With
+// writable, only replicas whose disk is not full count.
+func (m *raftModel) countReachable(a *replica, writable bool) (n int) {
 	for _, b := range m.replicas {
-		if m.reaches(a, b) && !(writing && b.diskFull) {
+		if m.reaches(a, b) && !(writable && b.diskFull) {
 			n++
 		}
 	}
 	return n
 }
 
-// hasMajority reports whether a replica reaches a quorum.
-func (m *raftModel) hasMajority(a *replica, writing bool) bool {
-	return a.up && !a.paused && m.countReachable(a, writing) > len(m.replicas)/2
+// hasMajority reports whether a replica reaches a quorum; with writable, a quorum of replicas whose disk is not full.
+func (m *raftModel) hasMajority(a *replica, writable bool) bool {
+	return a.up && !a.paused && m.countReachable(a, writable) > len(m.replicas)/2
 }
 
-// isLeader reports whether a replica leads, whichever others believe that they do.
+// isLeader reports whether a replica is the current leader. A former one that still believes that it leads is not.
 func (m *raftModel) isLeader(r *replica) bool { return m.leader == r.id && m.ready }
 
-// tick runs the periodic work: replication, elections, and what a leader does by itself.
+// tick runs the periodic work: replication, elections and the leader's own tasks.
 func (m *raftModel) tick() {
 	now := m.w.now
 	for id, until := range m.staleUntil {
@@ -127,29 +127,29 @@
 	m.w.after(raftTick, m.tick)
 }
 
-// elect makes a replica the leader that has every committed entry.
+// elect makes a random replica that has every committed entry the leader.
 func (m *raftModel) elect() {
-	var able []*replica
+	var candidates []*replica
 	for _, r := range m.replicas {
 		if r.id != m.leader && !r.diskFull && r.persisted == len(m.log) && m.hasMajority(r, true) {
-			able = append(able, r)
+			candidates = append(candidates, r)
 		}
 	}
 	if old := m.leader; old >= 0 {
 		if m.replicas[old].up {
 			m.staleUntil[old] = m.w.now + staleLeaderPeriod
 		}
-		if r := m.replicas[old]; len(able) == 0 && !r.diskFull && r.persisted == len(m.log) && m.hasMajority(r, true) {
-			able = append(able, r)
+		if r := m.replicas[old]; len(candidates) == 0 && !r.diskFull && r.persisted == len(m.log) && m.hasMajority(r, true) {
+			candidates = append(candidates, r)
 		}
 	}
-	if len(able) == 0 {
+	if len(candidates) == 0 {
 		return
 	}
-	r := able[m.w.rng.IntN(len(able))]
+	r := candidates[m.w.rng.IntN(len(candidates))]
 	m.term++
 	m.leader, m.quorumLostAt = r.id, 0
-	// Entries of the last leader that the new one has are committed now; the others never are.
+	// Uncommitted entries of the previous leader are committed now if the new one has them, otherwise never.
 	m.commitOwnEntries(r)
 	r.persisted = len(m.log)
 	m.catchUp(r)
@@ -162,7 +162,7 @@
 // leaderTime returns the time on the leader's clock, by which leases expire.
 func (m *raftModel) leaderTime() time.Time { return startTime.Add(m.replicas[m.leader].monotonic()) }
 
-// leaderTick opens grants and expires claims, as a leader does.
+// leaderTick opens grants and expires claims, which are the leader's tasks.
 func (m *raftModel) leaderTick() {
 	r := m.replicas[m.leader]
 	m.catchUp(r)
@@ -177,9 +177,9 @@
 	}
 }
 
-// resumed is called when a paused process goes on. A former leader believes for a while from
-// then on that it still leads.
-func (m *raftModel) resumed(p *process) {
+// handleUnpause is called when a process is unpaused. A former leader then still believes for a
+// while that it leads.
+func (m *raftModel) handleUnpause(p *process) {
 	for _, r := range m.replicas {
 		if &r.process == p && r.id != m.leader && m.staleUntil[r.id] != 0 {
 			m.staleUntil[r.id] = m.w.now + staleLeaderPeriod
--- a/internal/testing/modelcheck/system/raftlog.go
+++ b/internal/testing/modelcheck/system/raftlog.go
@@ -12,14 +12,14 @@
 	term uint64
 }
 
-// uncommittedEntry is an entry that a replica has and no majority: it is committed if this replica
-// becomes the leader.
+// uncommittedEntry is an entry that a replica has but no majority has. It is committed if that
+// replica becomes the leader.
 type uncommittedEntry struct {
 	logEntry
 	replicaID int
 }
 
-// replicate sends a replica the entries that it lacks.
+// replicate sends a replica the log entries that it is missing.
 func (m *raftModel) replicate(r *replica) {
 	if r.diskFull {
 		return
@@ -30,7 +30,7 @@
 	}
 }
 
-// catchUp applies the entries that a replica has, and takes a snapshot now and then.
+// catchUp applies the entries that a replica has persisted, and takes a snapshot about every snapshotInterval entries.
 func (m *raftModel) catchUp(r *replica) {
 	for r.applied < r.persisted {
 		m.apply(r)
@@ -38,7 +38,7 @@
 	if r.applied-r.snapshotIndex > snapshotInterval && !r.diskFull {
 		text, err := json.Marshal(r.state)
 		if err != nil {
-			m.w.violated("r%d: its state cannot be written: %v", r.id, err)
+			m.w.recordViolation("r%d: encode its state: %v", r.id, err)
 			return
 		}
 		r.snapshot, r.snapshotIndex = text, r.applied
@@ -46,13 +46,13 @@
 	}
 }
 
-// apply applies the next entry. It decodes the entry first, as each replica does with what it received.
+// apply applies the next entry to a replica's state. Each replica decodes the entry itself.
 func (m *raftModel) apply(r *replica) registry.Result {
 	e := m.log[r.applied]
 	r.applied++
 	var c registry.Command
 	if err := json.Unmarshal(e.data, &c); err != nil {
-		m.w.violated("entry %d cannot be read: %v", r.applied, err)
+		m.w.recordViolation("decode log entry %d: %v", r.applied, err)
 		return registry.Result{Err: err}
 	}
 	if c.Term != 0 && c.Term != e.term {
@@ -67,7 +67,7 @@
 	c.AtMS = startTime.Add(r.now).UnixMilli()
 	text, err := json.Marshal(c)
 	if err != nil {
-		m.w.violated("a command cannot be written: %v", err)
+		m.w.recordViolation("encode a command: %v", err)
 		return res, false
 	}
 	if r.diskFull {
@@ -77,7 +77,7 @@
 		m.keepUncommitted(r, logEntry{text, m.term})
 		return res, false
 	}
-	m.commitOwnEntries(r) // from before it had its quorum back: they come first
+	m.commitOwnEntries(r) // entries from before it regained its quorum precede the new one
 	m.log = append(m.log, logEntry{text, m.term})
 	for _, b := range m.replicas {
 		if m.reaches(r, b) && !b.diskFull {
@@ -93,7 +93,7 @@
 	return res, true
 }
 
-// keepUncommitted leaves an entry at the replicas that a leader without a quorum reaches.
+// keepUncommitted stores an entry at a leader without a quorum and at the replicas that it reaches.
 func (m *raftModel) keepUncommitted(leader *replica, e logEntry) {
 	m.uncommitted = append(m.uncommitted, uncommittedEntry{e, leader.id})
 	for _, r := range m.replicas {
@@ -103,7 +103,7 @@
 	}
 }
 
-// commitOwnEntries commits the uncommitted entries that a leader has, and drops the others.
+// commitOwnEntries commits the uncommitted entries that a leader has, and discards the others.
 func (m *raftModel) commitOwnEntries(leader *replica) {
 	for _, e := range m.uncommitted {
 		if e.replicaID == leader.id {
@@ -117,7 +117,7 @@
 func (m *raftModel) write(r *replica, c registry.Command, reply func(registry.Result, error)) {
 	if !m.isLeader(r) {
 		if m.w.now <= m.staleUntil[r.id] {
-			return // it believes that it leads, and waits in vain for a quorum
+			return // a stale leader: it still believes that it leads, and gets no quorum
 		}
 		reply(registry.Result{}, errNotLeader)
 		return
@@ -127,9 +127,9 @@
 	}
 }
 
-// verifyLeadership calls then once a quorum has confirmed that the replica leads. A replica that
-// knows that it does not lead replies with an error.
-func (m *raftModel) verifyLeadership(r *replica, then func(), reply func(error)) {
+// verifyLeadership calls onVerified once a quorum has confirmed that the replica leads. A replica
+// that does not lead replies with an error, unless it still believes that it does: then it does not reply.
+func (m *raftModel) verifyLeadership(r *replica, onVerified func(), reply func(error)) {
 	if !m.isLeader(r) {
 		if m.w.now > m.staleUntil[r.id] {
 			reply(errNotLeader)
@@ -139,17 +139,17 @@
 	term := m.term
 	m.w.after(m.w.jitter(2*messageLatency), r.whileAlive(func() {
 		if m.isLeader(r) && m.term == term && m.hasMajority(r, false) {
-			then()
+			onVerified()
 		}
 	}))
 }
 
 // renewClaims handles a renewal that a controller sent to a replica.
-func (m *raftModel) renewClaims(r *replica, of registry.Holder, claims []registry.ClaimRef, reply func([]registry.ClaimStatus, error)) {
+func (m *raftModel) renewClaims(r *replica, holder registry.Holder, claims []registry.ClaimRef, reply func([]registry.ClaimStatus, error)) {
 	if !m.isLeader(r) {
 		m.verifyLeadership(r, nil, func(err error) { reply(nil, err) })
 		return
 	}
 	at := m.leaderTime()
-	m.verifyLeadership(r, func() { reply(m.claims.RenewClaims(r.state.Leases(), of, claims, at), nil) }, func(err error) { reply(nil, err) })
+	m.verifyLeadership(r, func() { reply(m.claims.RenewClaims(r.state.Leases(), holder, claims, at), nil) }, func(err error) { reply(nil, err) })
 }
--- a/internal/testing/modelcheck/system/registryclient.go
+++ b/internal/testing/modelcheck/system/registryclient.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// callTimeout is for one attempt of a call. maxAttempts bounds the attempts for each replica;
-	// each of them may be carried out.
+	// callTimeout bounds one attempt of a call. maxAttempts bounds the attempts per replica; the
+	// registry may execute each of them.
 	callTimeout = 400 * time.Millisecond
 	maxAttempts = 4
 )
@@ -21,16 +21,16 @@
 type client struct {
 	*task
 	w         *world
-	fence     func() *registry.Fence // of the lease that the task writes under; nil: none
-	preferred int                    // index of the replica that is asked first
+	fence     func() *registry.Fence // returns the fence of the lease that the task writes under; nil: none
+	preferred int                    // index of the replica that is tried first
 }
 
 func (w *world) newClient(t *task) *client { return &client{task: t, w: w, preferred: w.rng.IntN(3)} }
 
-// callReplicas sends a call to one replica after the other until one of them has answered, other
-// than by saying that it does not lead.
+// callReplicas sends a call to one replica after another until one replies with a result other than
+// errNotLeader.
 func (c *client) callReplicas(send func(r *replica, reply func(error))) error {
-	last := errUnresponsive
+	lastErr := errUnresponsive
 	for n := range maxAttempts * len(c.w.raft.replicas) {
 		r := c.w.raft.replicas[c.preferred]
 		var err error
@@ -42,17 +42,17 @@
 		if err == nil || !errors.Is(err, errUnresponsive) && !errors.Is(err, errNotLeader) {
 			return err
 		}
-		last = err
+		lastErr = err
 		c.preferred = (c.preferred + 1) % len(c.w.raft.replicas)
 		if n >= maxAttempts && !errors.Is(err, errNotLeader) {
 			break
 		}
 		c.sleep(c.jitter(20 * time.Millisecond))
 	}
-	return fmt.Errorf("the registry is out of reach: %w", last)
+	return fmt.Errorf("the registry is unreachable: %w", lastErr)
 }
 
-// apply has a command carried out. After an error it may have been carried out nevertheless.
+// apply submits a command to the registry. After an error the command may still have been applied.
 func (c *client) apply(cmd registry.Command) (res registry.Result, err error) {
 	if c.fence != nil && cmd.Fence == nil && cmd.Lease == nil {
 		cmd.Fence = c.fence()
@@ -76,7 +76,7 @@
 	})
 }
 
-// readStale reads the state of any replica, which may be out of date.
+// readStale reads the state of any replica, which may be stale.
 func (c *client) readStale(read func(s *registry.State)) error {
 	return c.callReplicas(func(r *replica, reply func(error)) {
 		read(r.state)
@@ -84,7 +84,7 @@
 	})
 }
 
-// The methods below are what a drain's workflow needs of the registry.
+// The methods below implement drain.Registry.
 
 // Registrations returns the endpoint list with the registrations' details and the drain marks.
 func (c *client) Registrations(context.Context) (a registry.RegistrationsResponse, err error) {
--- a/internal/testing/modelcheck/system/run.go
+++ b/internal/testing/modelcheck/system/run.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// faultPeriod is how long faults are injected. settlePeriod is how long the system then
-	// has to settle; a rollout's and a drain's time-outs lie within it.
+	// Faults are injected during faultPeriod. The system then has settlePeriod to settle, which is
+	// longer than the timeouts of rollouts and drains.
 	faultPeriod  = 12 * time.Second
 	settlePeriod = 13 * time.Second
-	// linearizabilityEvery is how many schedules there are to each one whose history of calls
-	// is checked: that costs as much as all the others together.
+	// The history of calls is checked for linearizability in one of linearizabilityEvery schedules,
+	// since that check takes as long as all the other schedules together.
 	linearizabilityEvery = 8
 )
 
-// Run runs one schedule. It returns what the schedule covered and the first violation.
+// Run runs one schedule. It returns the schedule's coverage and the first violation.
 func Run(seed uint64, plan []Fault) (Coverage, error) {
 	w := newWorld(seed, plan)
 	violated := func() bool { return w.err != nil }
@@ -33,7 +33,7 @@
 	return w.coverage(), w.err
 }
 
-// stopAll ends all processes but the replicas, which run no tasks.
+// stopAll ends all processes except the replicas, which run no tasks.
 func (w *world) stopAll() {
 	w.operator.kill()
 	for _, ctl := range w.controllers {
@@ -44,5 +44,5 @@
 	}
 }
 
-// sortedKeys returns a map's keys in order, so that what follows does not depend on the map's.
+// sortedKeys returns a map's keys in ascending order, as the map's own iteration order is random.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- a/internal/testing/modelcheck/system/server.go
+++ b/internal/testing/modelcheck/system/server.go
@@ -9,7 +9,7 @@
 	stopped             bool
 }
 
-// serverByHost returns the server of a name, or an unused one if there is none.
+// serverByHost returns the server of that name, or an unused server if there is none.
 func (w *world) serverByHost(host string) *server {
 	for _, s := range w.servers {
 		if s.host == host {
@@ -19,10 +19,10 @@
 	return &server{}
 }
 
-// sendRequest has a sidecar send a request to a server.
+// sendRequest sends a request from a sidecar to a server.
 func (w *world) sendRequest(sc *sidecar, s *server) {
 	if s.stopped || sc.outboundBlocked {
-		return // the server cannot be reached
+		return // the server is unreachable
 	}
 	s.running++
 	sc.requests[s.host]++
--- a/internal/testing/modelcheck/system/sidecar.go
+++ b/internal/testing/modelcheck/system/sidecar.go
@@ -17,8 +17,8 @@
 	watchInterval        = 250 * time.Millisecond
 )
 
-// sidecar follows the endpoint list, the fleet policy and overload advice by the real code, and
-// sends requests to the servers that are up by its list.
+// sidecar follows the endpoint list, the fleet policy and overload advice with the production code,
+// and sends requests to the servers that its list reports as up.
 type sidecar struct {
 	process
 	w        *world
@@ -27,21 +27,21 @@
 	active   rollout.ActivePolicy
 	acting   bool
 
-	listVersion uint64 // 0: it has no list yet
+	listVersion uint64 // 0: no list received yet
 	list        map[string]registry.Instance
 
 	adviceFilter overload.AdviceFilter
-	adviceToken  uint64         // of the advice that it took last
-	requests     map[string]int // by server: its requests in flight
+	adviceToken  uint64         // fencing token of the last accepted advice
+	requests     map[string]int // by server: number of requests in flight
 }
 
-// newSidecar returns a sidecar that does not run yet.
+// newSidecar returns a sidecar that has not been started.
 func (w *world) newSidecar(i int) *sidecar {
 	sc := &sidecar{w: w, process: w.process(fmt.Sprint("s", i))}
 	sc.onStart = func() {
 		sc.member = rollout.Member{Name: sc.name, Incarnation: sc.incarnation}
 		sc.follower = &rollout.Follower{Self: sc.member, Supports: func(d *rollout.Document) error {
-			if d.Tenants[0].Slots > maxFirstSlots && sc.name == "s0" {
+			if d.Tenants[0].Slots > firstSidecarMaxSlots && sc.name == "s0" {
 				return errTooManySlots
 			}
 			return nil
@@ -55,7 +55,7 @@
 	}
 	sc.onEnd = func() {
 		sc.acting = false
-		for host, n := range sc.requests { // the requests in flight end with it
+		for host, n := range sc.requests { // the requests in flight end with the process
 			w.serverByHost(host).running -= n
 		}
 		sc.requests = nil
@@ -63,24 +63,24 @@
 	return sc
 }
 
-// maxFirstSlots is the most slots that the first sidecar supports.
-const maxFirstSlots = 100
+// firstSidecarMaxSlots is the largest number of slots that the first sidecar supports.
+const firstSidecarMaxSlots = 100
 
 var errTooManySlots = errors.New("tenants[0].slots is more than this process supports")
 
-// applyPolicy acts from now on by the policy that the follower has.
+// applyPolicy makes the follower's active policy the one that the sidecar acts by.
 func (sc *sidecar) applyPolicy() {
-	acts, acting := sc.follower.Active()
+	active, acting := sc.follower.Active()
 	if !acting && sc.acting || acting && !sc.acting {
 		sc.w.recordStep("sidecar acts or stops")
 	}
-	same := acts.Epoch == sc.active.Epoch && acts.JointChange == sc.active.JointChange && acting == sc.acting
-	if sc.active, sc.acting = acts, acting; !same {
+	same := active.Epoch == sc.active.Epoch && active.JointChange == sc.active.JointChange && acting == sc.acting
+	if sc.active, sc.acting = active, acting; !same {
 		sc.w.checker.checkActivePolicies(sc.w)
 	}
 }
 
-// followPolicy follows the fleet policy, as the sidecar's policy follower does.
+// followPolicy follows the fleet policy in the same way as the sidecar's policy follower.
 func (sc *sidecar) followPolicy(t *task) {
 	c := sc.w.newClient(t)
 	for {
@@ -90,11 +90,11 @@
 			sc.w.after(time.Second, sc.whileAlive(func() { sc.kill(); sc.w.after(3*time.Second, sc.start) }))
 			t.sleep(time.Hour)
 		}
-		step, any := sc.follower.NextCommand()
+		step, pending := sc.follower.NextCommand()
 		var view rollout.View
 		readView := func(s *registry.State) { view = s.Rollout().View(sc.member) }
 		var err error
-		if any {
+		if pending {
 			sc.w.recordStep("sidecar says " + string(step.Op))
 			err = c.callReplicas(func(r *replica, reply func(error)) {
 				sc.w.raft.write(r, registry.Command{Op: registry.OpPolicyStep, PolicyStep: &step}, func(_ registry.Result, err error) {
@@ -115,7 +115,7 @@
 		case errors.Is(err, registry.ErrConflict) && step.Op == rollout.OpJoin:
 			sc.follower.LostMembership()
 			t.sleep(t.jitter(time.Second))
-		case errors.Is(err, registry.ErrConflict): // its view is out of date
+		case errors.Is(err, registry.ErrConflict): // its view is stale
 			if c.readStale(readView) == nil {
 				sc.follower.HandleView(view)
 			}
@@ -125,7 +125,7 @@
 	}
 }
 
-// watchList follows the endpoint list by its changes.
+// watchList polls the registry for changes of the endpoint list and applies them.
 func (sc *sidecar) watchList(t *task) {
 	c := sc.w.newClient(t)
 	for {
@@ -151,7 +151,7 @@
 	}
 }
 
-// sendRequests sends requests to servers that are up by the list.
+// sendRequests sends requests to random servers that the list reports as up.
 func (sc *sidecar) sendRequests(t *task) {
 	for {
 		t.sleep(t.jitter(300 * time.Millisecond))
@@ -163,26 +163,26 @@
 	}
 }
 
-// reportOverload reports load digests and takes overload advice.
+// reportOverload sends load digests to the controller that gives overload advice, and accepts its advice.
 func (sc *sidecar) reportOverload(t *task) {
 	c := sc.w.newClient(t)
 	for seq := uint64(1); ; seq++ {
 		t.sleep(t.jitter(overload.ReportInterval))
-		var at overload.Location
+		var location overload.Location
 		found := false
 		if c.readStale(func(s *registry.State) {
 			rec, ok := s.Record(overload.RecordKey)
-			found = ok && json.Unmarshal(rec.Value, &at) == nil
+			found = ok && json.Unmarshal(rec.Value, &location) == nil
 		}) != nil || !found {
 			continue
 		}
 		d := sc.loadDigest(seq)
 		for _, ctl := range sc.w.controllers {
-			if ctl.name != at.Address {
+			if ctl.name != location.Address {
 				continue
 			}
 			var advice overload.Advice
-			if t.call(&ctl.process, callTimeout, func(reply func(take func())) {
+			if t.call(&ctl.process, callTimeout, func(reply func(accept func())) {
 				ctl.exchangeDigest(d, func(a overload.Advice) { reply(func() { advice = a }) })
 			}) && sc.adviceFilter.Accept(advice) == nil {
 				sc.w.recordStep("sidecar takes a word")
--- a/internal/testing/modelcheck/system/system_test.go
+++ b/internal/testing/modelcheck/system/system_test.go
@@ -9,7 +9,7 @@
 	"barleywick/internal/registry"
 )
 
-// Some schedules, the same ones each time, violate no invariant, and enough is checked in them.
+// A fixed set of schedules violates no invariant, and enough is checked in them.
 func TestSchedules(t *testing.T) {
 	const schedules = 250
 	seen, found := Explore(1, schedules, true)
@@ -23,50 +23,50 @@
 		"writes": seen.AcknowledgedWrites / 10, "commits": seen.Policies, "stops": seen.ServerStops, "pairs of a fault and a step": schedules * len(seen.Pairs) / seen.MaxPairs() * 10 / 9,
 	} {
 		if n < schedules {
-			t.Errorf("%s: too few were checked, want at least %d a schedule", what, n/schedules)
+			t.Errorf("%s: too few were checked, want at least %d per schedule", what, n/schedules)
 		}
 	}
 }
 
-// A schedule follows from its seed and faults: a replay, also of the plan's text, is the same to
-// the last event.
+// A schedule is determined by its seed and faults: a replay from the plan's text form runs the same
+// events.
 func TestScheduleIsReplayed(t *testing.T) {
 	all, _ := Explore(50, batchSize, true)
 	plan := drawPlan(51, &all, true)
-	again, err := ParsePlan(FormatPlan(plan))
+	parsed, err := ParsePlan(FormatPlan(plan))
 	if err != nil {
 		t.Fatal(err)
 	}
 	a, errA := Run(51, plan)
-	b, errB := Run(51, again)
+	b, errB := Run(51, parsed)
 	if errA != nil || errB != nil || a.Events != b.Events || !maps.Equal(a.Steps, b.Steps) || !maps.Equal(a.Pairs, b.Pairs) || a.Faults == 0 {
-		t.Errorf("%s: %d events and %d, %d faults (%v, %v)", FormatPlan(plan), a.Events, b.Events, a.Faults, errA, errB)
+		t.Errorf("%s: got %d and %d events, %d faults, errors %v and %v; want two identical runs with faults", FormatPlan(plan), a.Events, b.Events, a.Faults, errA, errB)
 	}
 	for _, bad := range []string{"kill", "kill leader for 1s", "kill leader for x at a#1", "kill leader for 1s at a#0", "bite leader for 1s at a#1"} {
 		if _, err := ParsePlan(bad); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("ParsePlan(%q) returned error %v, want an error of one line", bad, err)
+			t.Errorf("ParsePlan(%q): got error %v, want a one-line error", bad, err)
 		}
 	}
 }
 
-// The checker reports each violation that is forced.
+// The checker reports each kind of violation when it is provoked.
 func TestCheckerFindsViolations(t *testing.T) {
-	for want, wrong := range map[string]func(w *world){
+	for want, violate := range map[string]func(w *world){
 		"acts under": func(w *world) {
 			w.checker.beginAct(w, w.controllers[0], "a", w.now+time.Second)
 			w.checker.beginAct(w, w.controllers[1], "b", w.now+time.Second)
 		},
-		"old and new at once": func(w *world) {
+		"no policy is common to all sidecars": func(w *world) {
 			for i, sc := range w.sidecars {
 				sc.acting, sc.active.Epoch, sc.active.JointChange = true, uint64(1+i%2), 0
 			}
 			w.checker.checkActivePolicies(w)
 		},
-		"takes advice under token": func(w *world) {
+		"accepts advice under token": func(w *world) {
 			w.checker.checkAdviceToken(w, w.sidecars[0], 5)
 			w.checker.checkAdviceToken(w, w.sidecars[0], 3)
 		},
-		"which knew of its drain": func(w *world) {
+		"which has received its drain mark": func(w *world) {
 			sc := w.sidecars[0]
 			i := sc.list["h0-0"]
 			i.Health = "draining"
@@ -85,14 +85,14 @@
 			w.raft.catchUp(r)
 			r.state.Apply(anyCommand())
 		},
-		"it was": func(w *world) { clear(w.sidecars[0].list); w.checker.checkList(w, w.sidecars[0]) },
+		"endpoint list at version": func(w *world) { clear(w.sidecars[0].list); w.checker.checkList(w, w.sidecars[0]) },
 	} {
 		w := newWorld(1, nil)
 		w.run(3*time.Second, func() bool { return w.err != nil })
 		if w.err != nil {
 			t.Fatal(w.err)
 		}
-		wrong(w)
+		violate(w)
 		w.settling = true
 		if w.err == nil {
 			w.checker.checkFinalState(w, true)
--- a/internal/testing/modelcheck/system/task.go
+++ b/internal/testing/modelcheck/system/task.go
@@ -13,12 +13,12 @@
 	next          func() (struct{}, bool)
 	stopCoroutine func()
 	yield         func(struct{}) bool
-	wakeups       int // counts waits and wakes, so that a late wake is recognized
+	waitSeq       int // changes with each wait and wake, so that a late wake is ignored
 	ended         bool
 	contextEnded  func() bool // reports whether its context has ended; nil: it has none
 }
 
-// errKilled is the value of the panic that ends a task from within. spawn recovers it.
+// errKilled is the panic value that unwinds a killed task. spawn recovers it.
 var errKilled = errors.New("killed")
 
 // spawn starts a task.
@@ -46,7 +46,7 @@
 	}
 }
 
-// kill ends the task at the point where it waits.
+// kill ends the task at the point where it is waiting.
 func (t *task) kill() {
 	if !t.ended {
 		t.ended = true
@@ -54,13 +54,13 @@
 	}
 }
 
-// await calls begin, which arranges for wake to be called, and waits for the first wake.
+// await calls begin, which schedules a call of wake, and suspends the task until wake is first called.
 func (t *task) await(begin func(wake func())) {
-	t.wakeups++
-	waiting := t.wakeups
+	t.waitSeq++
+	seq := t.waitSeq
 	begin(t.whileAlive(func() {
-		if t.wakeups == waiting && !t.ended {
-			t.wakeups++
+		if t.waitSeq == seq && !t.ended {
+			t.waitSeq++
 			t.resume()
 		}
 	}))
@@ -75,49 +75,49 @@
 }
 
 const (
-	// messageLatency is the mean latency of a message. delayedLatency comes on top of it at a process
-	// that is delayed.
+	// messageLatency is the mean latency of a message. delayedLatency is added to it if the sender or
+	// the receiver is delayed.
 	messageLatency = time.Millisecond
 	delayedLatency = 600 * time.Millisecond
 )
 
-// transit draws how long a message takes from one process to another, or reports it lost.
-func transit(from, to *process) (takes time.Duration, lost bool) {
+// transit draws the latency of a message from one process to another, or reports that it is lost.
+func transit(from, to *process) (latency time.Duration, lost bool) {
 	if from.outboundBlocked || to.inboundBlocked {
 		return 0, true
 	}
-	takes = from.jitter(messageLatency)
+	latency = from.jitter(messageLatency)
 	if from.delayed || to.delayed {
-		takes += from.jitter(delayedLatency)
+		latency += from.jitter(delayedLatency)
 	}
-	return takes, false
+	return latency, false
 }
 
-// call sends a request to another process, and reports whether the answer came in time. The
-// request may be carried out also if it did not.
-func (t *task) call(to *process, within time.Duration, handle func(reply func(accept func()))) (answered bool) {
+// call sends a request to another process, and reports whether a reply arrived before the timeout.
+// Without a reply the request may nevertheless have been handled.
+func (t *task) call(to *process, timeout time.Duration, handle func(reply func(accept func()))) (replied bool) {
 	t.await(func(wake func()) {
-		t.after(within, wake)
-		takes, lost := transit(t.process, to)
+		t.after(timeout, wake)
+		latency, lost := transit(t.process, to)
 		if lost {
 			return
 		}
 		deliver := func() {
 			handle(func(accept func()) {
-				back, lost := transit(to, t.process)
+				replyLatency, lost := transit(to, t.process)
 				if lost {
 					return
 				}
-				t.after(back, t.whileAlive(func() {
-					if !answered && t.wakeups >= 0 {
-						answered = true
+				t.after(replyLatency, t.whileAlive(func() {
+					if !replied && t.waitSeq >= 0 {
+						replied = true
 						accept()
 						wake()
 					}
 				}))
 			})
 		}
-		t.after(takes, func() {
+		t.after(latency, func() {
 			if to.up && !to.paused {
 				deliver()
 			} else if to.up {
@@ -125,5 +125,5 @@
 			}
 		})
 	})
-	return answered
+	return replied
 }
--- a/internal/testing/modelcheck/system/world.go
+++ b/internal/testing/modelcheck/system/world.go
@@ -1,9 +1,9 @@
 // Package system model-checks the fleet's state machines together: replicas of the registry,
-// controllers that hold leases and run the real drains, rollouts and overload planner,
-// sidecars that follow the endpoint list, the fleet policy and overload advice, and
+// controllers that hold leases and run the production code of drains, rollouts and the overload
+// planner, sidecars that follow the endpoint list, the fleet policy and overload advice, and
 // operators. One goroutine runs at a time, over a simulated clock, network and disks, and
-// faults are injected at chosen steps. A schedule follows from its seed and faults alone, so
-// it can be replayed and reduced to the faults that it needs.
+// faults are injected at chosen steps. A schedule is determined by its seed and faults alone, so
+// a failing one can be replayed and reduced to the faults that cause the failure.
 package system
 
 import (
@@ -14,7 +14,7 @@
 	"barleywick/internal/registry"
 )
 
-// world is the whole system under test, with the plan of faults and what has become of it.
+// world is the whole system under test, with the plan of faults and the state of their injection.
 type world struct {
 	*scheduler
 	raft        *raftModel
@@ -25,11 +25,11 @@
 	checker     *checker
 	claimCount  int
 	proposals   int
-	settling    bool // faults are over, and operators begin nothing more
+	settling    bool // all faults have ended, and operators start nothing new
 
 	plan         []Fault
-	injected     []bool         // which faults of the plan have begun
-	stepCounts   map[string]int // how often each step was taken
+	injected     []bool         // by index in the plan: whether the fault's step has occurred
+	stepCounts   map[string]int // how many times each step was taken
 	activeFaults map[int]Fault  // faults in effect, by their index in the plan
 	pairs        map[Pair]int
 	err          error // the first violation
@@ -37,23 +37,23 @@
 
 const (
 	controllerCount, sidecarCount = 3, 3
-	recordKeys                    = 8 // the check of a history takes time exponential in its length
+	recordKeys                    = 8 // spreads the calls: checking one key's history takes time exponential in its length
 )
 
-// process returns a process of the world that does not run yet.
+// process returns a process of the world that has not been started.
 func (w *world) process(name string) process {
 	return process{scheduler: w.scheduler, name: name, clockRate: normalClockRate}
 }
 
-// worldStream separates the random numbers of schedules from those of plans.
+// worldStream keeps the random numbers of schedules independent of those of plans.
 const worldStream = 22
 
 const (
-	machines        = 3
-	serversAMachine = 2 // each in another zone
+	machines          = 3
+	serversPerMachine = 2 // in different zones
 )
 
-// newWorld starts a system whose schedule follows from a seed and a plan of faults.
+// newWorld starts a system whose schedule is determined by a seed and a plan of faults.
 func newWorld(seed uint64, plan []Fault) *world {
 	w := &world{
 		scheduler:    &scheduler{rng: rand.New(rand.NewPCG(seed, worldStream))},
@@ -66,7 +66,7 @@
 	}
 	w.raft = newRaftModel(w)
 	for m := range machines {
-		for i := range serversAMachine {
+		for i := range serversPerMachine {
 			w.servers = append(w.servers, &server{host: fmt.Sprintf("h%d-%d", m, i), machine: fmt.Sprint("m", m), zone: fmt.Sprint("z", i)})
 		}
 	}
@@ -87,7 +87,7 @@
 	return w
 }
 
-// startAll starts all processes, on a registry that was founded, lists the servers and grants leases.
+// startAll starts all processes. The registry's group is founded first: it lists the servers and grants leases.
 func (w *world) startAll() {
 	for _, r := range w.raft.replicas {
 		r.start()
@@ -95,7 +95,7 @@
 	w.raft.elect()
 	for _, c := range w.foundingCommands() {
 		if res, ok := w.raft.commit(w.raft.replicas[w.raft.leader], c); !ok || res.Err != nil {
-			w.violated("the group cannot be founded: %v", res.Err)
+			w.recordViolation("founding the registry group failed: %v", res.Err)
 		}
 	}
 	w.raft.tick()
@@ -108,7 +108,7 @@
 	w.operator.start()
 }
 
-// foundingCommands returns the first commands of the registry's log.
+// foundingCommands returns the commands at the start of the registry's log.
 func (w *world) foundingCommands() []registry.Command {
 	commands := []registry.Command{
 		{Op: registry.OpFoundGroup, Group: "g", AtMS: startTime.UnixMilli()},
@@ -124,8 +124,8 @@
 	return commands
 }
 
-// violated records a violation. The first one is kept.
-func (w *world) violated(format string, args ...any) {
+// recordViolation records a violated invariant. Only the first violation is kept.
+func (w *world) recordViolation(format string, args ...any) {
 	if w.err == nil {
 		w.err = fmt.Errorf("at %v: %w", w.now.Round(time.Millisecond), fmt.Errorf(format, args...))
 	}
--- a/internal/testing/modelcheck/walk.go
+++ b/internal/testing/modelcheck/walk.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Walker takes steps in one world and remembers them.
+// Walker takes steps in one world and records them.
 type Walker[W World[W]] struct {
 	World W
 	steps []Step[W]
@@ -29,22 +29,22 @@
 	return v
 }
 
-// maxSilentSteps bounds the number of steps for which an actor is silent.
-const maxSilentSteps = 40
+// maxStalledSteps bounds the number of steps for which an actor is stalled.
+const maxStalledSteps = 40
 
-// Walk takes steps drawn by their weights. Of the actors, which are numbered from 0, one at
-// a time may take no step for a while, as a process that is paused or cut off.
+// Walk takes up to the given number of steps, drawn at random by their weights. At times one of
+// the actors is stalled: it takes no steps for a while, like a paused or partitioned process.
 func (k *Walker[W]) Walk(rng *rand.Rand, steps, actors int) *Violation {
-	silent, until := -1, 0
+	stalledActor, stalledUntil := -1, 0
 	for i := range steps {
-		if i >= until {
-			silent, until = rng.IntN(2*actors)-actors, i+rng.IntN(maxSilentSteps)
+		if i >= stalledUntil {
+			stalledActor, stalledUntil = rng.IntN(2*actors)-actors, i+rng.IntN(maxStalledSteps)
 		}
 		possible := k.World.Steps()
 		if len(possible) == 0 {
 			return nil
 		}
-		possible = slices.DeleteFunc(possible, func(s Step[W]) bool { return silent >= 0 && s.Actor == silent })
+		possible = slices.DeleteFunc(possible, func(s Step[W]) bool { return stalledActor >= 0 && s.Actor == stalledActor })
 		if len(possible) == 0 {
 			continue
 		}
@@ -55,15 +55,15 @@
 	return nil
 }
 
-// drawStep draws a step by the steps' weights.
+// drawStep draws a step at random, with probabilities proportional to the weights.
 func drawStep[W any](rng *rand.Rand, steps []Step[W]) Step[W] {
 	total := 0
 	for _, s := range steps {
 		total += s.Weight
 	}
-	at := rng.IntN(total)
+	remaining := rng.IntN(total)
 	for _, s := range steps {
-		if at -= s.Weight; at < 0 {
+		if remaining -= s.Weight; remaining < 0 {
 			return s
 		}
 	}
--- a/internal/testing/modelcheck/world.go
+++ b/internal/testing/modelcheck/world.go
@@ -1,6 +1,6 @@
-// Package modelcheck searches the states that a small model can reach. A World lists the
-// steps that may happen next; Search tries all of them to a depth, a Walker draws them from
-// a seed. There is one goroutine, no clock and no I/O, so a run can be repeated.
+// Package modelcheck explores the reachable states of a small model. A World lists the steps
+// that are possible next: Search tries all of them up to a depth, a Walker takes random ones.
+// A run uses one goroutine, no clock and no I/O, so it is reproducible.
 package modelcheck
 
 import (
@@ -8,27 +8,27 @@
 	"strings"
 )
 
-// World is a complete state of a model, of type W.
+// World is a complete state of a model. W is the type that implements it.
 type World[W any] interface {
 	// Clone returns a copy that shares no mutable state with the original.
 	Clone() W
-	// Steps lists what may happen next.
+	// Steps lists the steps that are possible in this state.
 	Steps() []Step[W]
-	// Key appends what distinguishes the state from others: two states with the same key
-	// have the same future.
+	// Key appends an encoding of the state to text. Two states with the same key have the
+	// same possible continuations.
 	Key(text []byte) []byte
 }
 
-// Step is one thing that may happen next.
+// Step is one possible transition of a world.
 type Step[W any] struct {
-	Format string          // the step's name, with verbs for A and B
+	Format string          // the step's name, with formatting verbs for A and B
 	A, B   any             // arguments of Format; nil if there are none
 	Do     func(w W) error // performs the step; an error is a violated invariant
-	Weight int             // how likely a walk takes it, relative to the others
-	Actor  int             // which actor's step it is, from 0 on; -1: nobody's
+	Weight int             // relative probability that a walk takes the step
+	Actor  int             // the actor that performs the step, numbered from 0; -1: none
 }
 
-// String returns the step's name. It is formatted only on demand, as most steps are not taken.
+// String returns the step's name. The name is formatted only on demand, as most steps are never taken.
 func (s Step[W]) String() string {
 	switch {
 	case s.B != nil:
@@ -39,7 +39,7 @@
 	return s.Format
 }
 
-// Violation is a violated invariant with the steps that lead to it.
+// Violation is a violated invariant with the steps that led to it.
 type Violation struct {
 	Err   error
 	Steps []string
