--- a/internal/testing/modelcheck/system/checker.go
+++ b/internal/testing/modelcheck/system/checker.go
@@ -21,14 +21,14 @@
 	newestTokens  map[string]uint64              // by lease: the token of the latest grant
 
 	// Counts as in Coverage.
-	fencedWrites  int
-	timedActs     int
-	advice        int
-	policies      int
-	serverStops   int
-	lists         int
-	jointPolicies int
-	requests      int
+	fencedWrites      int
+	timedActs         int
+	advice            int
+	policies          int
+	serverStops       int
+	lists             int
+	jointObservations int
+	requests          int
 }
 
 // timedAct is an act that lasts from begin until it ends or its context does.
@@ -185,7 +185,7 @@
 		by := []uint64{sc.active.Epoch}
 		if sc.active.JointChange != 0 {
 			by = append(by, sc.active.JointChange)
-			c.jointPolicies++
+			c.jointObservations++
 		}
 		text += fmt.Sprintf(" %s by %v", sc.name, by)
 		if first {
--- a/internal/testing/modelcheck/system/controller.go
+++ b/internal/testing/modelcheck/system/controller.go
@@ -21,7 +21,7 @@
 	w              *world
 	holder         registry.Holder
 	sessions       map[string]*lease.Session
-	wakeups        map[string]func() // by lease: wakes the task that waits for a renewal
+	wakeFuncs      map[string]func() // by lease: wakes the task that waits for a renewal
 	planner        *overload.Planner // nil unless the controller holds the overload lease
 	plannerSession *lease.Session
 }
@@ -48,7 +48,7 @@
 	ctl.onStart = func() {
 		ctl.holder = registry.Holder{Name: ctl.name, Incarnation: ctl.incarnation}
 		ctl.sessions = make(map[string]*lease.Session)
-		ctl.wakeups = make(map[string]func())
+		ctl.wakeFuncs = make(map[string]func())
 		ctl.planner, ctl.plannerSession = nil, nil
 		ctl.spawn(ctl.renewClaims)
 		ctl.keepClaiming(policyLease, ctl.rolloutTask)
@@ -95,7 +95,7 @@
 				break
 			}
 			t.await(func(wake func()) {
-				ctl.wakeups[name] = wake
+				ctl.wakeFuncs[name] = wake
 				t.after(min(renewInterval, max(time.Millisecond, ctl.remaining(session))), wake)
 			})
 			if _, yield := session.YieldRequested(); yield {
@@ -137,7 +137,7 @@
 		for _, a := range statuses {
 			if session := ctl.sessions[a.Lease]; session != nil && session.ClaimID == a.ClaimID {
 				session.Renewed(a, sent, ctl.monotonic())
-				if wake := ctl.wakeups[a.Lease]; wake != nil {
+				if wake := ctl.wakeFuncs[a.Lease]; wake != nil {
 					ctl.after(0, wake)
 				}
 			}
--- a/internal/testing/modelcheck/system/coverage.go
+++ b/internal/testing/modelcheck/system/coverage.go
@@ -23,7 +23,7 @@
 	Lists              int // endpoint lists compared
 	AcknowledgedWrites int
 	Requests           int
-	JointPolicies      int // observations of a sidecar acting by two policies at once
+	JointObservations  int // observations of a sidecar acting by two policies at once
 	FencedWrites       int
 	Steps              map[string]int
 	Pairs              map[Pair]int
@@ -41,7 +41,7 @@
 	c.Lists += o.Lists
 	c.AcknowledgedWrites += o.AcknowledgedWrites
 	c.Requests += o.Requests
-	c.JointPolicies += o.JointPolicies
+	c.JointObservations += o.JointObservations
 	c.FencedWrites += o.FencedWrites
 	if c.Steps == nil {
 		c.Steps, c.Pairs = make(map[string]int), make(map[Pair]int)
@@ -73,7 +73,7 @@
 	c := w.checker
 	covered := Coverage{
 		Schedules: 1, Events: w.processed, TimedActs: c.timedActs, Advice: c.advice, Policies: c.policies, ServerStops: c.serverStops,
-		Lists: c.lists, Requests: c.requests, JointPolicies: c.jointPolicies, FencedWrites: c.fencedWrites, Steps: w.stepCounts, Pairs: w.pairs,
+		Lists: c.lists, Requests: c.requests, JointObservations: c.jointObservations, FencedWrites: c.fencedWrites, Steps: w.stepCounts, Pairs: w.pairs,
 	}
 	for _, writes := range c.acknowledged {
 		covered.AcknowledgedWrites += len(writes)
--- a/internal/testing/modelcheck/system/finalcheck.go
+++ b/internal/testing/modelcheck/system/finalcheck.go
@@ -14,14 +14,14 @@
 )
 
 // checkFinalState checks the invariants that hold once the system has settled after the last fault.
-func (c *checker) checkFinalState(w *world, histories bool) {
+func (c *checker) checkFinalState(w *world, withHistories bool) {
 	state := w.raft.replicas[w.raft.leader].state
 	c.checkReplicasAgree(w)
 	c.checkNoWriteLost(w, state)
 	c.checkRolloutSettled(w, state)
 	c.checkDrainsDone(w, state)
 	c.checkLeasesHeld(w)
-	if histories {
+	if withHistories {
 		c.checkLinearizability(w)
 	}
 }
--- a/internal/testing/modelcheck/world.go
+++ b/internal/testing/modelcheck/world.go
@@ -45,7 +45,7 @@
 	Steps []string
 }
 
-// Error returns the violated invariant and the steps, one a line.
+// Error returns the violated invariant and the steps, one per line.
 func (v *Violation) Error() string {
 	return fmt.Sprintf("%v, after %d steps:\n  %s", v.Err, len(v.Steps), strings.Join(v.Steps, "\n  "))
 }
