--- a/internal/testing/localfleet/bookingserver.go
+++ b/internal/testing/localfleet/bookingserver.go
@@ -15,7 +15,7 @@
 	"barleywick/internal/testing/loopback"
 )
 
-// bookingServer is a booking server: the emulator's model of one behind a listener.
+// bookingServer serves the emulator's model of a booking server on a listener.
 type bookingServer struct {
 	owner *localFleet
 	name  string
@@ -35,25 +35,25 @@
 }
 
 const (
-	maxBody       = 64 << 10
+	maxBodyBytes  = 64 << 10
 	headerTimeout = 2 * time.Second
-	// sessionTTL is how long the registry lists a server that does not renew.
+	// sessionTTL is how long the registry lists a server that does not renew its registration.
 	sessionTTL = 3 * time.Second
 )
 
-// start starts the server's process and registers it. cold says that it starts
-// now and warms up, instead of having started long ago.
+// start starts the server's process and registers it. A cold server starts now and has to
+// warm up; the others count as started long ago.
 func (b *bookingServer) start(cold bool) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return fmt.Errorf("%s: %w", b.name, err)
 	}
-	life, end := context.WithCancel(context.Background())
-	session, leave := context.WithCancel(context.Background())
+	processCtx, cancelProcess := context.WithCancel(context.Background())
+	registrationCtx, cancelRegistration := context.WithCancel(context.Background())
 	b.mu.Lock()
 	b.addr = ln.Addr().String()
-	b.cancelProcess, b.ended, b.refusedConns = end, make(chan struct{}), make(map[net.Conn]bool)
-	b.cancelRegistration, b.registrationEnded = leave, make(chan struct{})
+	b.cancelProcess, b.ended, b.refusedConns = cancelProcess, make(chan struct{}), make(map[net.Conn]bool)
+	b.cancelRegistration, b.registrationEnded = cancelRegistration, make(chan struct{})
 	born := int64(0)
 	if cold {
 		b.model.Start(b.owner.now())
@@ -65,12 +65,12 @@
 	mux.HandleFunc("/health/live", b.stats)
 	mux.HandleFunc("/", b.serve)
 	b.http = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, IdleTimeout: time.Duration(b.owner.scenario.Network.IdleTimeout), ConnState: b.connectionState}
-	server, left := b.http, b.registrationEnded
+	server, registrationEnded := b.http, b.registrationEnded
 	b.mu.Unlock()
 	b.goroutines.Go(func() { _ = server.Serve(ln) }) // ends when the server is closed
-	b.goroutines.Go(func() { b.runModel(life) })
+	b.goroutines.Go(func() { b.runModel(processCtx) })
 	block := b.model.Cell.Number
-	r := registry.RegisterRequest{
+	request := registry.RegisterRequest{
 		Instance: registry.Instance{
 			Host: b.name, Dial: ln.Addr().String(), Site: b.owner.scenario.Zones[b.model.Zone], Class: b.model.Kind.Name, Block: &block,
 			Health: registry.HealthUp, Share: b.model.Kind.Speed * float64(b.model.Kind.Cores), BornMS: born,
@@ -78,15 +78,15 @@
 		Session: fmt.Sprintf("%s-%d", b.name, time.Now().UnixNano()), TTLMS: sessionTTL.Milliseconds(), Machine: b.name,
 	}
 	b.owner.tasks.Go(func() {
-		defer close(left)
-		if err := b.owner.registry.KeepRegistered(session, r, nil); err != nil && session.Err() == nil {
+		defer close(registrationEnded)
+		if err := b.owner.registry.KeepRegistered(registrationCtx, request, nil); err != nil && registrationCtx.Err() == nil {
 			b.owner.fail(fmt.Errorf("%s: register: %w", b.name, err))
 		}
 	})
 	return nil
 }
 
-// connectionState counts the connections, which take a part of the model's capacity.
+// connectionState counts the open connections, which use a part of the model's capacity.
 func (b *bookingServer) connectionState(conn net.Conn, state http.ConnState) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -96,7 +96,7 @@
 		b.deliver(b.model.Advance(b.owner.now()))
 		if !b.model.Connect(time.Duration(b.owner.scenario.Network.HandshakeWork)) {
 			b.refusedConns[conn] = true
-			_ = conn.Close() // refused without an answer
+			_ = conn.Close() // refused without a response
 		}
 	case http.StateClosed, http.StateHijacked:
 		if !b.refusedConns[conn] {
@@ -121,34 +121,34 @@
 	b.goroutines.Wait()
 }
 
-// deregister ends the registration and waits for that.
+// deregister ends the registration and waits until it has ended.
 func (b *bookingServer) deregister() {
 	b.mu.Lock()
-	leave, left := b.cancelRegistration, b.registrationEnded
+	cancel, ended := b.cancelRegistration, b.registrationEnded
 	b.mu.Unlock()
-	leave()
-	<-left
+	cancel()
+	<-ended
 }
 
-// deregisterAfter ends the registration after a time, as the registry notices a crash late.
+// deregisterAfter ends the registration after a delay, as the registry detects a crash late.
 func (b *bookingServer) deregisterAfter(d time.Duration) {
 	b.mu.Lock()
-	left, leave := b.registrationEnded, b.cancelRegistration
+	ended, cancel := b.registrationEnded, b.cancelRegistration
 	b.mu.Unlock()
 	b.owner.tasks.Go(func() {
 		select {
 		case <-time.After(d):
-			leave()
-		case <-left:
+			cancel()
+		case <-ended:
 		}
 	})
 }
 
-// updateModel advances the model and changes it.
-func (b *bookingServer) updateModel(do func(*emulator.Server)) {
+// updateModel advances the model to the current time and applies an update.
+func (b *bookingServer) updateModel(update func(*emulator.Server)) {
 	b.mu.Lock()
 	b.deliver(b.model.Advance(b.owner.now()))
-	do(b.model)
+	update(b.model)
 	b.mu.Unlock()
 	b.notifyChanged()
 }
@@ -160,10 +160,11 @@
 	}
 }
 
-// pendingRequest is a request in service; done receives its end and never blocks.
+// pendingRequest is a request in service; done receives the finished job, and its buffer keeps
+// the sender from blocking.
 type pendingRequest struct{ done chan *emulator.Job }
 
-// deliver passes the ends of requests to their handlers.
+// deliver passes finished jobs to the handlers of their requests.
 func (b *bookingServer) deliver(ended []*emulator.Job) {
 	for _, j := range ended {
 		j.Owner.(*pendingRequest).done <- j
@@ -199,16 +200,16 @@
 	b.mu.Lock()
 	b.deliver(b.model.Advance(b.owner.now()))
 	r := b.model.Probe(b.owner.now())
-	silent := b.model.Unreachable
+	unreachable := b.model.Unreachable
 	b.mu.Unlock()
-	if silent {
+	if unreachable {
 		<-b.ended
 		return
 	}
 	b.owner.updateRecord(func(r *emulator.Record) { r.Probes++ })
 	text := fmt.Sprintf("TEXT pending=%g, cpu_share=%g, served_ps=%g", r.Queue, r.Busy, r.Rate)
 	w.Header().Set("Server-Load", text)
-	_, _ = io.WriteString(w, text) // the prober may have left
+	_, _ = io.WriteString(w, text) // the prober may have disconnected
 }
 
 // serve handles a request of the protocol.
@@ -218,32 +219,32 @@
 		http.NotFound(w, q)
 		return
 	}
-	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, q.Body, maxBody)); err != nil {
+	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, q.Body, maxBodyBytes)); err != nil {
 		return
 	}
-	try := b.owner.findAttempt(id)
-	if try == nil {
+	attempt := b.owner.findAttempt(id)
+	if attempt == nil {
 		http.Error(w, "no client sent this id", http.StatusBadRequest)
 		return
 	}
 	pending := &pendingRequest{make(chan *emulator.Job, 1)}
-	job := b.newJob(try, pending)
-	n, verdict, reachable := b.arrive(try, job)
+	job := b.newJob(attempt, pending)
+	n, verdict, reachable := b.arrive(attempt, job)
 	switch {
 	case !reachable:
 		<-b.ended // no answer, and the connection stays open
 		return
 	case verdict == emulator.Rejected:
-		b.owner.attemptEnded(try, n, false)
+		b.owner.attemptEnded(attempt, n, false)
 		b.owner.updateRecord(func(r *emulator.Record) { r.Rejected++ })
 		b.reject(w)
 		return
 	case verdict == emulator.NotRunning:
-		panic(http.ErrAbortHandler) // overloaded: the connection is reset
+		panic(http.ErrAbortHandler) // the server is overloaded and resets the connection
 	}
 	malformed, reset := b.owner.drawFault()
 	if reset {
-		panic(http.ErrAbortHandler) // the request still runs; its end is not reported
+		panic(http.ErrAbortHandler) // the request still runs; its result is not reported
 	}
 	select {
 	case <-pending.done:
@@ -254,7 +255,7 @@
 	case malformed:
 		writeMalformed(w)
 	case job.Dropped:
-		b.owner.attemptEnded(try, n, false)
+		b.owner.attemptEnded(attempt, n, false)
 		b.reject(w)
 	case job.Failed:
 		http.Error(w, "failed", http.StatusInternalServerError)
@@ -265,22 +266,22 @@
 	}
 }
 
-// newJob makes the model's job for an attempt.
-func (b *bookingServer) newJob(try *openAttempt, owner *pendingRequest) *emulator.Job {
-	job := &emulator.Job{Work: try.call.Work, Key: try.call.Key, Deadline: try.deadline, Owner: owner}
-	if c := b.owner.scenario.Classes[try.call.Class]; c.Idempotency == "keyed" {
-		job.Repeat, job.Window = uint64(try.id), time.Duration(c.DedupWindow)
+// newJob returns the model's job for an attempt.
+func (b *bookingServer) newJob(attempt *openAttempt, owner *pendingRequest) *emulator.Job {
+	job := &emulator.Job{Work: attempt.call.Work, Key: attempt.call.Key, Deadline: attempt.deadline, Owner: owner}
+	if c := b.owner.scenario.Classes[attempt.call.Class]; c.Idempotency == "keyed" {
+		job.Repeat, job.Window = uint64(attempt.id), time.Duration(c.DedupWindow)
 	}
 	return job
 }
 
-// arrive delivers a job to the model, if the server can be reached, and returns the number of the attempt.
-func (b *bookingServer) arrive(try *openAttempt, job *emulator.Job) (n int, verdict emulator.Verdict, reachable bool) {
+// arrive passes a job to the model if the server is reachable, and returns the number of the attempt.
+func (b *bookingServer) arrive(attempt *openAttempt, job *emulator.Job) (n int, verdict emulator.Verdict, reachable bool) {
 	defer b.notifyChanged()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.owner.now()
-	n = b.owner.attemptSent(try, b.model, now)
+	n = b.owner.attemptSent(attempt, b.model, now)
 	if b.model.Unreachable {
 		return n, emulator.Accepted, false
 	}
@@ -306,7 +307,7 @@
 // responseTo returns the correct response body for a request.
 func responseTo(id string) string { return "booked " + id }
 
-// stop ends the server after its registration.
+// stop ends the registration, then the process.
 func (b *bookingServer) stop() {
 	if b.cancelRegistration == nil {
 		return // it was never started
--- a/internal/testing/localfleet/faults.go
+++ b/internal/testing/localfleet/faults.go
@@ -37,7 +37,7 @@
 	all.Wait()
 }
 
-// liveServers returns the servers that run and do not drain.
+// liveServers returns the servers that are running and not draining.
 func (l *localFleet) liveServers() (live []*bookingServer) {
 	for _, b := range l.allServers() {
 		b.mu.Lock()
@@ -50,17 +50,18 @@
 }
 
 // pickServers picks a fraction of the live servers.
-func (l *localFleet) pickServers(part float64) (some []*bookingServer) {
+func (l *localFleet) pickServers(part float64) (picked []*bookingServer) {
 	live := l.liveServers()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, i := range emulator.PickShare(l.random, len(live), part) {
-		some = append(some, live[i])
+		picked = append(picked, live[i])
 	}
-	return some
+	return picked
 }
 
-// serverChange returns what a fault changes at a server while it is on; nil: it is not a fault of that kind.
+// serverChange returns the function that sets or clears a fault in the model of a server, or nil if
+// the fault does not change the model of a server.
 func serverChange(t emulator.Fault) func(sv *emulator.Server, on bool) {
 	switch t.Name {
 	case "slow":
@@ -75,10 +76,10 @@
 	return nil
 }
 
-// changeServers changes servers until it is undone.
-func (l *localFleet) changeServers(some []*bookingServer, change func(sv *emulator.Server, on bool)) (undo func() error) {
+// changeServers applies a change to servers and returns the function that reverts it.
+func (l *localFleet) changeServers(servers []*bookingServer, change func(sv *emulator.Server, on bool)) (undo func() error) {
 	set := func(on bool) {
-		for _, b := range some {
+		for _, b := range servers {
 			b.updateModel(func(sv *emulator.Server) { change(sv, on) })
 		}
 	}
@@ -98,13 +99,13 @@
 	case "kill":
 		return l.killServers(l.pickServers(t.Part)), nil
 	case "zone_lost":
-		var there []*bookingServer
+		var inZone []*bookingServer
 		for _, b := range l.liveServers() {
 			if b.model.Zone == t.Zone {
-				there = append(there, b)
+				inZone = append(inZone, b)
 			}
 		}
-		return l.killServers(there), nil
+		return l.killServers(inZone), nil
 	case "partition":
 		return l.links.updateFaults(func(k *linkSet, by int) { k.partitioned[t.Zone] += by }), nil
 	case "list_down":
@@ -124,15 +125,15 @@
 	case "roll":
 		return nil, l.restartSidecars(ctx, t, time.Duration(t.Duration), (*sidecarProcess).stop)
 	}
-	return nil, nil // a fault of the arrivals alone
+	return nil, nil // the fault changes only the arrivals
 }
 
-// setShare sets the fraction of requests that a fault affects, until it is undone.
-func (l *localFleet) setShare(what *float64, part float64) (undo func() error) {
+// setShare sets the fraction of requests that a fault affects and returns the function that resets it.
+func (l *localFleet) setShare(share *float64, part float64) (undo func() error) {
 	set := func(v float64) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		*what = v
+		*share = v
 	}
 	set(part)
 	return func() error {
@@ -148,14 +149,14 @@
 	return no
 }
 
-// killServers kills servers; undo starts them again.
-func (l *localFleet) killServers(some []*bookingServer) (undo func() error) {
-	for _, b := range some {
+// killServers kills servers and returns the function that starts them again.
+func (l *localFleet) killServers(servers []*bookingServer) (undo func() error) {
+	for _, b := range servers {
 		b.kill()
 		b.deregisterAfter(time.Duration(l.scenario.List.RemovalDelay))
 	}
 	return func() error {
-		for _, b := range some {
+		for _, b := range servers {
 			b.deregister()
 			if err := b.start(true); err != nil {
 				return err
@@ -165,12 +166,12 @@
 	}
 }
 
-// replace drains servers step by step; each has a successor of the same kind.
+// replace drains servers one after the other and starts a successor of the same kind for each.
 func (l *localFleet) replace(ctx context.Context, t emulator.Fault) error {
-	some := l.pickServers(t.Part)
+	picked := l.pickServers(t.Part)
 	began := time.Now()
-	for n, b := range some {
-		if !wait.Sleep(ctx, t.StepTime(n, len(some))-time.Since(began)) {
+	for n, b := range picked {
+		if !wait.Sleep(ctx, t.StepTime(n, len(picked))-time.Since(began)) {
 			return nil
 		}
 		if _, err := l.registry.Mark(ctx, registry.MarkRequest{Hosts: []string{b.name}, MarkedBy: "localfleet", Draining: true}); err != nil {
@@ -185,9 +186,9 @@
 				return
 			}
 			l.mu.Lock()
-			next := l.fleet.AddServer(b.model.Zone, b.model.Kind, b.model.Cell, b.model.Speed, l.now())
+			successor := l.fleet.AddServer(b.model.Zone, b.model.Kind, b.model.Cell, b.model.Speed, l.now())
 			l.mu.Unlock()
-			if err := l.addServer(next, true); err != nil {
+			if err := l.addServer(successor, true); err != nil {
 				l.fail(err)
 			}
 		})
@@ -201,8 +202,8 @@
 	return nil
 }
 
-// notifyDraining tells the checker that all sidecars are notified that a server drains. They receive it
-// within moments, so that counting from here is slightly stricter.
+// notifyDraining records in the checker that all sidecars are notified of a server's drain mark. They
+// receive it shortly afterwards, so the check is slightly stricter than the protocol.
 func (l *localFleet) notifyDraining(server *emulator.Server) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -211,18 +212,18 @@
 	}
 }
 
-// restartSidecars ends a fraction of the sidecars, one after the other over a time, each by end;
-// each starts again after the fault's extra.
-func (l *localFleet) restartSidecars(ctx context.Context, t emulator.Fault, over time.Duration, end func(*sidecarProcess) error) error {
+// restartSidecars stops a fraction of the sidecars with end, spread evenly over a duration, and starts
+// each again after the fault's Extra.
+func (l *localFleet) restartSidecars(ctx context.Context, t emulator.Fault, spread time.Duration, end func(*sidecarProcess) error) error {
 	l.mu.Lock()
-	some := emulator.PickShare(l.random, len(l.sidecars), t.Part)
+	picked := emulator.PickShare(l.random, len(l.sidecars), t.Part)
 	l.mu.Unlock()
 	var all sync.WaitGroup
-	errs := make([]error, len(some))
-	for n, i := range some {
+	errs := make([]error, len(picked))
+	for n, i := range picked {
 		s := l.sidecars[i]
 		all.Go(func() {
-			if !wait.Sleep(ctx, time.Duration(float64(over)*float64(n)/float64(len(some)))) {
+			if !wait.Sleep(ctx, time.Duration(float64(spread)*float64(n)/float64(len(picked)))) {
 				return
 			}
 			errs[n] = l.restartSidecar(ctx, s, time.Duration(t.Extra), end)
@@ -237,7 +238,7 @@
 	return nil
 }
 
-// restartSidecar ends one sidecar and starts it again.
+// restartSidecar stops one sidecar with end and starts it again after the given downtime.
 func (l *localFleet) restartSidecar(ctx context.Context, s *sidecarProcess, down time.Duration, end func(*sidecarProcess) error) error {
 	l.mu.Lock()
 	s.up = false
--- a/internal/testing/localfleet/links.go
+++ b/internal/testing/localfleet/links.go
@@ -16,17 +16,17 @@
 	"barleywick/internal/testing/faultinjection"
 )
 
-// linkSet holds the relays between processes: each sidecar polls the list over
-// one, and, in a scenario with a partition, each zone reaches each server over another.
+// linkSet holds the relays between processes. Each sidecar reads the list over relays of its own; in a
+// scenario with a partition, each zone also reaches each server over a relay.
 type linkSet struct {
 	net     *faultinjection.Network
 	owner   *localFleet
-	closers []func() // close the zone views
+	closers []func() // functions that close the zone views
 
 	mu          sync.Mutex
 	partitioned map[int]int         // zones that are partitioned, with the number of active faults
 	listDelay   time.Duration       // additional delay of list messages
-	listDown    int                 // number of active faults that take the list down
+	listDown    int                 // number of active faults that make the list unavailable
 	views       map[int]*zoneView   // by zone
 	zonePairs   map[string][2]int   // source and destination zone, by link name
 	listLinks   map[string]struct{} // links to the registry
@@ -48,12 +48,12 @@
 
 // listAddrs returns the addresses at which a sidecar reaches the registry's replicas.
 func (k *linkSet) listAddrs(sidecar int, replicas []string) (addrs []string, err error) {
-	partitions := false
+	hasPartition := false
 	for _, t := range k.owner.scenario.Faults {
-		partitions = partitions || t.Name == "partition"
+		hasPartition = hasPartition || t.Name == "partition"
 	}
 	for i, r := range replicas {
-		if partitions {
+		if hasPartition {
 			if r, err = k.serveView(k.owner.scenario.ZoneOf(sidecar), r); err != nil {
 				return nil, err
 			}
@@ -71,7 +71,7 @@
 	return addrs, nil
 }
 
-// apply puts the active faults in force on all links.
+// apply sets the rules of all links according to the active faults.
 func (k *linkSet) apply() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -80,24 +80,24 @@
 			l.SetRule(faultinjection.LinkRule{RefuseConnections: k.listDown > 0, FromTarget: faultinjection.Impairment{Delay: k.listDelay}})
 		}
 	}
-	for name, ends := range k.zonePairs {
+	for name, zones := range k.zonePairs {
 		if l, ok := k.net.Link(name); ok {
-			l.SetRule(k.ruleBetween(ends))
+			l.SetRule(k.ruleBetween(zones))
 		}
 	}
 }
 
 // ruleBetween returns the rule for a link between two zones. The caller holds the lock.
-func (k *linkSet) ruleBetween(ends [2]int) faultinjection.LinkRule {
-	way := faultinjection.Impairment{Blocked: ends[0] != ends[1] && (k.partitioned[ends[0]] > 0 || k.partitioned[ends[1]] > 0)}
-	return faultinjection.LinkRule{ToTarget: way, FromTarget: way}
+func (k *linkSet) ruleBetween(zones [2]int) faultinjection.LinkRule {
+	impairment := faultinjection.Impairment{Blocked: zones[0] != zones[1] && (k.partitioned[zones[0]] > 0 || k.partitioned[zones[1]] > 0)}
+	return faultinjection.LinkRule{ToTarget: impairment, FromTarget: impairment}
 }
 
 // updateFaults applies a fault and returns the function that removes it.
-func (k *linkSet) updateFaults(do func(k *linkSet, by int)) (undo func() error) {
+func (k *linkSet) updateFaults(update func(k *linkSet, by int)) (undo func() error) {
 	set := func(by int) {
 		k.mu.Lock()
-		do(k, by)
+		update(k, by)
 		k.mu.Unlock()
 		k.apply()
 	}
@@ -108,8 +108,8 @@
 	}
 }
 
-// zoneView serves the list as one zone sees it: each server at a link from that zone.
-// The protocol lets an instance's address differ from one sidecar to the next.
+// zoneView serves the list to the sidecars of one zone, with the address of each server replaced by a
+// link from that zone. The protocol permits that an instance's address differs between sidecars.
 type zoneView struct {
 	links   *linkSet
 	zone    int
@@ -128,7 +128,7 @@
 	v := &zoneView{links: k, zone: zone, replica: replica, ctx: ctx, http: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
 	s := &http.Server{Handler: v, ReadHeaderTimeout: headerTimeout}
 	served := make(chan struct{})
-	go func() { // ended and awaited by close
+	go func() { // close ends it and waits for it
 		defer close(served)
 		_ = s.Serve(ln)
 	}()
@@ -163,31 +163,31 @@
 		}
 	}
 	w.WriteHeader(resp.StatusCode)
-	flush := http.NewResponseController(w)
+	controller := http.NewResponseController(w)
 	lines := bufio.NewReader(resp.Body)
 	for {
 		line, err := lines.ReadBytes('\n')
-		if _, failed := w.Write(v.rewrite(line)); failed != nil || flush.Flush() != nil {
+		if _, writeError := w.Write(v.rewrite(line)); writeError != nil || controller.Flush() != nil {
 			return
 		}
 		if err == io.EOF {
 			return
 		} else if err != nil {
-			panic(http.ErrAbortHandler) // an interrupted stream must not look complete
+			panic(http.ErrAbortHandler) // an interrupted response must not look complete
 		}
 	}
 }
 
-// rewrite replaces the servers' addresses by this zone's links.
+// rewrite replaces the servers' addresses with this zone's links.
 func (v *zoneView) rewrite(line []byte) []byte {
-	const mark = `"dial":"`
+	const dialKey = `"dial":"`
 	var out []byte
 	for {
-		i := bytes.Index(line, []byte(mark))
+		i := bytes.Index(line, []byte(dialKey))
 		if i < 0 {
 			return append(out, line...)
 		}
-		i += len(mark)
+		i += len(dialKey)
 		end := bytes.IndexByte(line[i:], '"')
 		if end < 0 {
 			return append(out, line...)
@@ -203,20 +203,20 @@
 	if l, ok := k.net.Link(name); ok {
 		return l.Addr()
 	}
-	to := -1
+	serverZone := -1
 	for _, b := range k.owner.allServers() {
 		b.mu.Lock()
 		if b.addr == addr {
-			to = b.model.Zone
+			serverZone = b.model.Zone
 		}
 		b.mu.Unlock()
 	}
-	if to < 0 {
-		return addr // no server of this run is there
+	if serverZone < 0 {
+		return addr // no server of this run has this address
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if l, ok := k.net.Link(name); ok { // added meanwhile for another watch
+	if l, ok := k.net.Link(name); ok { // another watch has added it meanwhile
 		return l.Addr()
 	}
 	l, err := k.net.AddTCP(name, addr)
@@ -224,7 +224,7 @@
 		k.owner.fail(err)
 		return addr
 	}
-	k.zonePairs[name] = [2]int{zone, to}
+	k.zonePairs[name] = [2]int{zone, serverZone}
 	l.SetRule(k.ruleBetween(k.zonePairs[name]))
 	return l.Addr()
 }
--- a/internal/testing/localfleet/localfleet.go
+++ b/internal/testing/localfleet/localfleet.go
@@ -1,6 +1,6 @@
-// Package localfleet runs a scenario on real sockets: the registry of this project as
-// the discovery service, the emulator's servers behind listeners, real sidecar processes, and
-// clients of the protocol. All of it is on loopback and ends with Run.
+// Package localfleet runs a scenario on real sockets: registry replicas as the discovery service,
+// the emulator's servers behind listeners, real sidecar processes, and clients of the protocol. All
+// of it runs on loopback and ends before Run returns.
 package localfleet
 
 import (
@@ -29,13 +29,13 @@
 type Options struct {
 	Scenario *emulator.Scenario
 	Seed     uint64
-	Program  string                 // the sidecar's
-	Registry int                    // replicas of the registry; 0: one
-	Logs     string                 // folder for the sidecars' logs; empty: they are removed at the end
+	Program  string                 // path of the sidecar executable
+	Registry int                    // number of registry replicas; 0 means 1
+	Logs     string                 // folder for the sidecars' logs; if empty, the logs are removed at the end
 	Progress func(*emulator.Record) // called once a second with the record so far; may be nil
 }
 
-// localFleet is a run under way.
+// localFleet is the state of a run.
 type localFleet struct {
 	scenario      *emulator.Scenario
 	seed          uint64
@@ -43,7 +43,7 @@
 	dir           string // temporary, removed at the end
 	logDir        string
 	began         time.Time     // corresponds to emulator.StartTime
-	arrivalsStart time.Duration // when, since then, calls begin
+	arrivalsStart time.Duration // start of the calls, relative to began
 	random        *rand.Rand
 	fleet         *emulator.Fleet
 	links         *linkSet
@@ -52,7 +52,7 @@
 	registry      *client.Client
 	tasks         sync.WaitGroup // background goroutines
 
-	mu             sync.Mutex // guards what follows
+	mu             sync.Mutex // guards the fields below
 	record         *emulator.Record
 	checker        *emulator.Checker
 	servers        []*bookingServer
@@ -63,7 +63,7 @@
 	failure        error   // the first failure of the run itself
 }
 
-// openAttempt is one attempt of a client.
+// openAttempt is an attempt of a client that has no result yet.
 type openAttempt struct {
 	id       policy.RequestID
 	call     emulator.Call
@@ -71,7 +71,7 @@
 	sends    int
 }
 
-// Limits of a run: all of it shares one machine.
+// Limits of a run, since all its processes share one machine.
 const (
 	maxSidecars = 64
 	maxServers  = 256
@@ -83,38 +83,38 @@
 // supportedFaults are the faults that can be injected on real sockets.
 var supportedFaults = []string{"slow", "fast_errors", "neighbour", "heavy_tail", "burst", "kill", "vanish", "zone_lost", "partition", "list_down", "stale_list", "replace", "herd", "roll", "spoilt", "reset", "bad_clients"}
 
-// Check returns an error where a scenario cannot be run on real sockets.
+// Check returns an error if a scenario cannot be run on real sockets.
 func Check(sc *emulator.Scenario) error {
 	if err := sc.Check(); err != nil {
 		return err
 	}
 	switch rate := sc.Rate(); {
 	case sc.Sidecars > maxSidecars:
-		return fmt.Errorf("localfleet: sidecars is %d, %d at most share one machine", sc.Sidecars, maxSidecars)
+		return fmt.Errorf("localfleet: sidecars is %d, want at most %d on one machine", sc.Sidecars, maxSidecars)
 	case sc.Servers > maxServers:
-		return fmt.Errorf("localfleet: servers is %d, %d at most share one machine", sc.Servers, maxServers)
+		return fmt.Errorf("localfleet: servers is %d, want at most %d on one machine", sc.Servers, maxServers)
 	case rate > maxRate:
-		return fmt.Errorf("localfleet: load and servers make %.0f requests a second, %d at most", rate, maxRate)
+		return fmt.Errorf("localfleet: load and servers result in %.0f requests a second, want at most %d", rate, maxRate)
 	}
 	for i, t := range sc.Faults {
 		if t.Name == "stale_list" && time.Duration(t.Extra) > maxListDelay {
-			return fmt.Errorf("localfleet: troubles[%d]: stale_list: extra is %v, %v at most: a watch that is silent for longer is opened again", i, time.Duration(t.Extra), maxListDelay)
+			return fmt.Errorf("localfleet: troubles[%d]: stale_list: extra is %v, %v at most: sidecars reopen a watch that is silent for longer", i, time.Duration(t.Extra), maxListDelay)
 		}
 		if !slices.Contains(supportedFaults, t.Name) {
-			return fmt.Errorf("localfleet: troubles[%d]: %s is for simulated time only; on real sockets there are %v", i, t.Name, supportedFaults)
+			return fmt.Errorf("localfleet: troubles[%d]: fault %s is supported only in simulated time; real sockets support %v", i, t.Name, supportedFaults)
 		}
 	}
 	return nil
 }
 
-// Run runs a scenario to its end, or until ctx ends: the record then covers the
-// part that was run. When it returns, no process, listener or file of it is left.
+// Run runs a scenario to its end, or until ctx ends; the record then covers the part that was run.
+// When Run returns, none of its processes, listeners and temporary files is left.
 func Run(ctx context.Context, o Options) (rec *emulator.Record, err error) {
 	if err := Check(o.Scenario); err != nil {
 		return nil, err
 	}
 	if o.Registry != 0 && o.Registry != 1 && o.Registry != 3 {
-		return nil, fmt.Errorf("localfleet: registry is %d, there may be 1 or 3 replicas", o.Registry)
+		return nil, fmt.Errorf("localfleet: registry has %d replicas, want 1 or 3", o.Registry)
 	}
 	l := &localFleet{replicas: max(1, o.Registry), began: time.Now(), scenario: o.Scenario, seed: o.Seed, program: o.Program, logDir: o.Logs, attempts: make(map[string]*openAttempt)}
 	if l.dir, err = os.MkdirTemp("", "localfleet-"); err != nil {
@@ -130,29 +130,29 @@
 	defer l.links.close()
 	l.record = emulator.NewRecord(o.Scenario, o.Seed)
 	l.checker = emulator.NewSocketChecker(o.Scenario, l.fleet)
-	life, end := context.WithCancel(context.Background())
+	registryCtx, stopRegistry := context.WithCancel(context.Background())
 	defer func() {
 		l.stop()
-		end()
+		stopRegistry()
 		l.tasks.Wait()
 		if err == nil {
 			err = l.failure
 		}
 	}()
-	if err := l.start(ctx, life); err != nil {
+	if err := l.start(ctx, registryCtx); err != nil {
 		if ctx.Err() != nil {
 			return l.finish(true), ctx.Err()
 		}
 		return nil, err
 	}
-	cut := l.sendCalls(ctx, o.Progress)
-	if rec = l.finish(cut); cut {
+	interrupted := l.sendCalls(ctx, o.Progress)
+	if rec = l.finish(interrupted); interrupted {
 		return rec, ctx.Err()
 	}
 	return rec, nil
 }
 
-// now returns the model's time.
+// now returns the time of the emulator's model.
 func (l *localFleet) now() time.Duration { return emulator.StartTime + time.Since(l.began) }
 
 // fail records the first failure of the run itself.
@@ -164,15 +164,15 @@
 	}
 }
 
-func (l *localFleet) updateRecord(do func(*emulator.Record)) {
+func (l *localFleet) updateRecord(update func(*emulator.Record)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	do(l.record)
+	update(l.record)
 }
 
-// start starts registry, servers and sidecars.
-func (l *localFleet) start(ctx, life context.Context) error {
-	discovery, err := l.startRegistry(ctx, life)
+// start starts the registry, the servers and the sidecars.
+func (l *localFleet) start(ctx, registryCtx context.Context) error {
+	discovery, err := l.startRegistry(ctx, registryCtx)
 	if err != nil {
 		return err
 	}
@@ -202,7 +202,7 @@
 	for _, s := range l.sidecars {
 		go func() { starts <- s.start(ctx) }() // received below
 	}
-	for range l.sidecars { // all are received; the first error counts
+	for range l.sidecars { // receives all results and keeps the first error
 		err = cmp.Or(err, <-starts)
 	}
 	for _, s := range l.sidecars {
@@ -211,9 +211,9 @@
 	return err
 }
 
-// startRegistry runs the replicas of the registry in this process and returns the addresses where
-// they serve. Their own connections go over links.
-func (l *localFleet) startRegistry(ctx, life context.Context) (discovery []string, err error) {
+// startRegistry runs the replicas of the registry in this process and returns the addresses on which
+// they serve. The connections between replicas go over links.
+func (l *localFleet) startRegistry(ctx, registryCtx context.Context) (discovery []string, err error) {
 	members := make([]registry.ReplicaInfo, l.replicas)
 	addrs, err := freeAddrs(2 * len(members)) // one for HTTP and one for Raft
 	if err != nil {
@@ -231,7 +231,7 @@
 		if err != nil {
 			return nil, err
 		}
-		l.tasks.Go(func() { ended <- server.Run(life, nil, path) })
+		l.tasks.Go(func() { ended <- server.Run(registryCtx, nil, path) })
 	}
 	if l.registry, err = client.New(discovery, l.seed); err != nil {
 		return nil, err
@@ -267,8 +267,8 @@
 		if to == from {
 			continue
 		}
-		for what, addr := range map[string]string{"raft": to.Raft, "http": to.HTTP} {
-			link, err := l.links.net.AddTCP(from.ID+">"+to.ID+":"+what, addr)
+		for protocol, addr := range map[string]string{"raft": to.Raft, "http": to.HTTP} {
+			link, err := l.links.net.AddTCP(from.ID+">"+to.ID+":"+protocol, addr)
 			if err != nil {
 				return nil, err
 			}
@@ -283,14 +283,14 @@
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
-		if got, all := l.registry.Statuses(ctx); all && len(got) == l.replicas {
+		if statuses, complete := l.registry.Statuses(ctx); complete && len(statuses) == l.replicas {
 			return nil
 		}
 		select {
 		case err := <-ended:
-			return fmt.Errorf("localfleet: a replica of the registry ended: %w", err)
+			return fmt.Errorf("localfleet: a registry replica ended before the registry was ready: %w", err)
 		case <-ctx.Done():
-			return fmt.Errorf("localfleet: the registry is not ready: %w", ctx.Err())
+			return fmt.Errorf("localfleet: the registry did not become ready: %w", ctx.Err())
 		case <-time.After(pollInterval):
 		}
 	}
@@ -312,7 +312,7 @@
 	return slices.Clone(l.servers)
 }
 
-// notifyStarted tells the checker that sidecars may send to a server again.
+// notifyStarted records in the checker that sidecars may send to a server again.
 func (l *localFleet) notifyStarted(server int, born time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -326,19 +326,19 @@
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
-		e, err := l.registry.Registrations(ctx)
-		if err == nil && len(e.Registrations) == len(l.fleet.Servers) {
+		list, err := l.registry.Registrations(ctx)
+		if err == nil && len(list.Registrations) == len(l.fleet.Servers) {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("localfleet: the servers are not listed: %w", errors.Join(ctx.Err(), err))
+			return fmt.Errorf("localfleet: the registry does not list all servers: %w", errors.Join(ctx.Err(), err))
 		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// stop ends everything that was started.
+// stop ends the sidecars, then the servers, and closes the registry client.
 func (l *localFleet) stop() {
 	var ends sync.WaitGroup
 	for _, s := range l.sidecars {
@@ -363,16 +363,16 @@
 }
 
 // sendCalls sends the calls of the scenario and reports whether it was interrupted.
-func (l *localFleet) sendCalls(ctx context.Context, progress func(*emulator.Record)) (cut bool) {
+func (l *localFleet) sendCalls(ctx context.Context, progress func(*emulator.Record)) (interrupted bool) {
 	l.arrivalsStart = time.Since(l.began)
 	begin := l.began.Add(l.arrivalsStart)
 	var calls sync.WaitGroup
-	side, done := context.WithCancel(context.Background())
-	var beside sync.WaitGroup
-	defer beside.Wait()
-	defer done()
-	beside.Go(func() { l.sampleServers(side, progress) })
-	beside.Go(func() { l.injectFaults(side) })
+	backgroundCtx, stopBackground := context.WithCancel(context.Background())
+	var background sync.WaitGroup
+	defer background.Wait()
+	defer stopBackground()
+	background.Go(func() { l.sampleServers(backgroundCtx, progress) })
+	background.Go(func() { l.injectFaults(backgroundCtx) })
 	arrivals := emulator.NewArrivals(l.scenario, l.seed)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -394,7 +394,7 @@
 	return false
 }
 
-// sampleServers samples the servers and reports progress once a second.
+// sampleServers records the state of the servers and reports progress, once a second.
 func (l *localFleet) sampleServers(ctx context.Context, progress func(*emulator.Record)) {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
@@ -448,67 +448,67 @@
 	l.checker.AttemptEnded(t.id, n, ran)
 }
 
-// drawFault draws which active faults affect a request.
-func (l *localFleet) drawFault() (spoilt, reset bool) {
+// drawFault draws whether the active faults make a response malformed or reset its request.
+func (l *localFleet) drawFault() (malformed, reset bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.malformedShare > 0 && l.random.Float64() < l.malformedShare, l.resetShare > 0 && l.random.Float64() < l.resetShare
 }
 
 // finish completes the record.
-func (l *localFleet) finish(cut bool) *emulator.Record {
+func (l *localFleet) finish(interrupted bool) *emulator.Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.checker.Finish(l.now())
-	l.record.Finish(l.checker, cut)
+	l.record.Finish(l.checker, interrupted)
 	return l.record
 }
 
-// call makes a call with its retries.
+// call makes a call, with retries, and records its result.
 func (l *localFleet) call(c emulator.Call) {
 	s, class := l.sidecars[c.Sidecar], l.scenario.Classes[c.Class]
 	began := time.Now()
-	mood := rand.New(rand.NewPCG(l.seed, uint64(c.At)))
+	retryRandom := rand.New(rand.NewPCG(l.seed, uint64(c.At)))
 	l.mu.Lock()
 	if !s.up {
 		l.mu.Unlock()
-		return // a client ends and starts with its sidecar
+		return // clients stop and start with their sidecar
 	}
 	l.record.AddRequest(c)
 	l.mu.Unlock()
 	refusedOnly, cause := true, "failed"
 	for n := 1; ; n++ {
-		left := time.Duration(float64(time.Duration(class.Deadline)-time.Since(began)) * l.scenario.Clients.AttemptShare)
-		if left < time.Millisecond {
+		timeout := time.Duration(float64(time.Duration(class.Deadline)-time.Since(began)) * l.scenario.Clients.AttemptShare)
+		if timeout < time.Millisecond {
 			break
 		}
-		out, gone := l.attempt(s, c, left)
+		out, clientStopped := l.attempt(s, c, timeout)
 		took := time.Since(began)
-		if gone {
+		if clientStopped {
 			l.updateRecord(func(r *emulator.Record) { r.AddAbandoned(c) })
 			return
 		}
-		a := emulator.AnswerFailed
+		answer := emulator.AnswerFailed
 		switch out.Outcome {
 		case loadgen.Served:
 			l.updateRecord(func(r *emulator.Record) { r.AddServed(c, took, "late") })
 			return
 		case loadgen.Refused:
-			a = emulator.AnswerRefused
+			answer = emulator.AnswerRefused
 		}
-		if cause = out.Outcome.String(); a != emulator.AnswerRefused {
+		if cause = out.Outcome.String(); answer != emulator.AnswerRefused {
 			refusedOnly = false
 		}
-		if !class.RetriesAfter(a) || n > l.scenario.Clients.Retries {
+		if !class.RetriesAfter(answer) || n > l.scenario.Clients.Retries {
 			break
 		}
-		time.Sleep(l.scenario.Clients.RetryDelay(n, out.RetryAfter, time.Duration(l.scenario.Rules.RetryAfter), mood))
+		time.Sleep(l.scenario.Clients.RetryDelay(n, out.RetryAfter, time.Duration(l.scenario.Rules.RetryAfter), retryRandom))
 	}
 	l.updateRecord(func(r *emulator.Record) { r.AddUnserved(c, refusedOnly, time.Since(began), cause) })
 }
 
-// attempt makes one attempt and reports whether the client ended with its sidecar.
-func (l *localFleet) attempt(s *sidecarProcess, c emulator.Call, left time.Duration) (out loadgen.Response, gone bool) {
+// attempt makes one attempt and reports whether the client was stopped with its sidecar.
+func (l *localFleet) attempt(s *sidecarProcess, c emulator.Call, timeout time.Duration) (out loadgen.Response, clientStopped bool) {
 	class := l.scenario.Classes[c.Class]
 	l.mu.Lock()
 	if !s.up {
@@ -516,16 +516,16 @@
 		return out, true
 	}
 	l.nextID++
-	t := &openAttempt{id: l.nextID, call: c, deadline: l.now() + left}
-	name := fmt.Sprintf("%016x", uint64(t.id)*0x9e3779b97f4a7c15) // any unique names will do
+	t := &openAttempt{id: l.nextID, call: c, deadline: l.now() + timeout}
+	name := fmt.Sprintf("%016x", uint64(t.id)*0x9e3779b97f4a7c15) // needs only to be unique
 	l.attempts[name] = t
 	l.checker.RequestReceived(t.id, s.index, c.Class, t.deadline)
 	l.record.ClientAttempts++
 	l.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), left+emulator.SocketSlack)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout+emulator.SocketSlack)
 	defer cancel()
 	out = s.client.Do(ctx, loadgen.Request{
-		ID: name, Class: class.Name, Idempotency: loadgen.Idempotency(class.Idempotency), Tenant: l.scenario.Tenants[c.Tenant].Name, AffinityKey: fmt.Sprint(c.Key), Timeout: left, WorkHint: c.Hint,
+		ID: name, Class: class.Name, Idempotency: loadgen.Idempotency(class.Idempotency), Tenant: l.scenario.Tenants[c.Tenant].Name, AffinityKey: fmt.Sprint(c.Key), Timeout: timeout, WorkHint: c.Hint,
 	}, nil)
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testing/localfleet/localfleet_test.go
+++ b/internal/testing/localfleet/localfleet_test.go
@@ -20,10 +20,10 @@
 	"barleywick/internal/simulation/emulator"
 )
 
-// TestMain lets the test binary act as the sidecar's program.
+// TestMain lets the test binary run as the sidecar program.
 func TestMain(m *testing.M) {
 	if os.Getenv("ROUTER_CONFIG") == "" {
-		slog.SetDefault(slog.New(slog.DiscardHandler)) // output of the registry in this process
+		slog.SetDefault(slog.New(slog.DiscardHandler)) // discards the logs of the registry in this process
 		os.Exit(m.Run())
 	}
 	stop, done := signal.NotifyContext(context.Background(), syscall.SIGTERM)
@@ -50,11 +50,11 @@
 	return Options{Scenario: sc, Seed: 1, Program: os.Args[0]}
 }
 
-// nothingLeft checks that a run leaves no files and processes.
-func nothingLeft(t *testing.T) {
+// checkNothingLeft checks that a run has left no temporary files and no child processes.
+func checkNothingLeft(t *testing.T) {
 	t.Helper()
 	if left, err := os.ReadDir(os.Getenv("TMPDIR")); err != nil || len(left) > 0 {
-		t.Errorf("left behind: %v (%v)", left, err)
+		t.Errorf("temporary files after the run: %v (error %v), want none", left, err)
 	}
 	stats, err := filepath.Glob("/proc/[0-9]*/stat")
 	if err != nil {
@@ -63,18 +63,18 @@
 	for _, path := range stats {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			continue // it has ended meanwhile
+			continue // the process has ended meanwhile
 		}
 		fields := strings.Fields(string(text[strings.LastIndex(string(text), ")")+1:]))
 		if len(fields) > 1 && fields[1] == fmt.Sprint(os.Getpid()) {
-			t.Errorf("a child is left: %s", text)
+			t.Errorf("a child process is still there after the run: %s", text)
 		}
 	}
 }
 
-func TestScenariosOnRealSocketsKeepTheRules(t *testing.T) {
+func TestScenariosOnRealSocketsHaveNoViolations(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it starts processes")
+		t.Skip("starts real processes")
 	}
 	for _, name := range []string{"calm", "herd", "join", "zone", "split", "blind"} {
 		t.Run(name, func(t *testing.T) {
@@ -83,7 +83,7 @@
 			switch name {
 			case "blind":
 				o.Registry = 3
-			case "split": // with a cost sidecars cross zones only where near servers are ejected, which may not happen
+			case "split": // with a cost, sidecars cross zones only if servers of their own zone are ejected, which may not happen
 				o.Scenario.Prices.CrossZone = 0
 			}
 			o.Progress = func(*emulator.Record) { reports++ }
@@ -92,26 +92,27 @@
 				t.Fatal(err)
 			}
 			if len(r.ViolationTexts) > 0 || r.Checked.Answers < 100 || r.Checked.Sends < 100 || r.ServedRequests < r.Requests/3 {
-				t.Errorf("%s\n%+v", r.Line(), r.Checked)
+				t.Errorf("want no violations, 100 answers and sends, and a third of the requests served; got %s\n%+v", r.Line(), r.Checked)
 			}
 			if r.Windows[1].Capacity == nil || r.Probes == 0 || r.Handshakes == 0 || reports == 0 {
 				t.Errorf("the record is incomplete: %+v", r)
 			}
 			if name == "split" && r.CrossZoneSends == 0 {
-				t.Error("no request crossed zones: the partition had no effect")
+				t.Error("no request crossed zones, so the partition had no effect")
 			}
 			if name == "herd" && r.Restarts == 0 {
 				t.Error("no sidecar was killed")
 			}
-			nothingLeft(t)
+			checkNothingLeft(t)
 		})
 	}
 }
 
-// Malformed requests get an error or a close in time, and other clients are served.
-func TestMalformedRequestsGetAnAnswerAndOthersAreServed(t *testing.T) {
+// Malformed requests get an error or a closed connection before the deadline, and the requests of
+// other clients are served.
+func TestMalformedRequestsAreAnsweredAndOthersServed(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it starts processes")
+		t.Skip("starts real processes")
 	}
 	o := options(t, "calm", 4*time.Second)
 	o.Scenario.Faults = []emulator.Fault{{Name: "bad_clients", Duration: emulator.Duration(4 * time.Second), Size: 15}}
@@ -120,14 +121,14 @@
 		t.Fatal(err)
 	}
 	if r.MalformedClients < 2*len(malformedRequests) || r.MalformedUnanswered > 0 || len(r.ViolationTexts) > 0 || r.ServedRequests < r.Requests*9/10 {
-		t.Errorf("%d malformed requests, %d unanswered; %s", r.MalformedClients, r.MalformedUnanswered, r.Line())
+		t.Errorf("%d malformed requests, %d unanswered, want none unanswered and the other clients served; %s", r.MalformedClients, r.MalformedUnanswered, r.Line())
 	}
-	nothingLeft(t)
+	checkNothingLeft(t)
 }
 
 func TestInterruptedRunLeavesNothing(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it starts processes")
+		t.Skip("starts real processes")
 	}
 	o := options(t, "slow", time.Minute)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -138,29 +139,29 @@
 	}
 	r, err := Run(ctx, o)
 	if !errors.Is(err, context.Canceled) || r == nil || !r.Partial || r.ServedRequests < 20 {
-		t.Errorf("%v, %+v", err, r)
+		t.Errorf("got error %v, want context.Canceled with a partial record; record: %+v", err, r)
 	}
-	nothingLeft(t)
+	checkNothingLeft(t)
 	gone, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := Run(gone, o); err == nil {
-		t.Error("a cancelled run has run")
+		t.Error("Run with a cancelled context returned no error")
 	}
-	nothingLeft(t)
+	checkNothingLeft(t)
 }
 
-func TestFailedStartIsExplained(t *testing.T) {
+func TestFailedStartReportsReason(t *testing.T) {
 	o := options(t, "calm", time.Second)
 	o.Program = "/bin/false"
 	if _, err := Run(t.Context(), o); err == nil || !strings.Contains(err.Error(), "ended before it was ready") || strings.Contains(err.Error(), "\n") {
 		t.Errorf("%v", err)
 	}
-	nothingLeft(t)
+	checkNothingLeft(t)
 	o.Logs = filepath.Join(t.TempDir(), "none")
 	if _, err := Run(t.Context(), o); err == nil || !strings.Contains(err.Error(), "none") {
 		t.Errorf("%v", err)
 	}
-	nothingLeft(t)
+	checkNothingLeft(t)
 	for want, change := range map[string]func(*emulator.Scenario){
 		"2.5s at most": func(sc *emulator.Scenario) {
 			sc.Faults = []emulator.Fault{{Name: "stale_list", Extra: emulator.Duration(3 * time.Second)}}
@@ -178,11 +179,11 @@
 	}
 }
 
-// A sidecar that has ended before it was told to, or that its watchdog has cut off, has not
-// ended in order, whatever its status is.
-func TestStopReportsEndsOutOfOrder(t *testing.T) {
+// stop reports an error for a sidecar that ended before SIGTERM or was cut off by its watchdog,
+// whatever its exit status is.
+func TestStopReportsUngracefulEnds(t *testing.T) {
 	for script, want := range map[string]string{
-		"exit 0": "before it was told to",
+		"exit 0": "before SIGTERM",
 		"exit 3": "exit status 3",
 		"trap 'echo shutdown: cut off; exit 0' TERM; echo up; while :; do sleep 0.01; done": "shutdown: cut off",
 		"trap 'exit 0' TERM; echo up; while :; do sleep 0.01; done":                         "",
@@ -203,12 +204,12 @@
 			go func() { s.ended <- s.cmd.Wait() }()
 			for deadline := time.Now().Add(readyTimeout); s.lastLine() != "up"; time.Sleep(pollInterval) {
 				if time.Now().After(deadline) {
-					t.Fatal("it does not start")
+					t.Fatal("the process did not start before the deadline")
 				}
 			}
 		}
 		if err := s.stop(); (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: got the error %v, want %q", script, err, want)
+			t.Errorf("%s: got error %v, want %q", script, err, want)
 		}
 	}
 }
--- a/internal/testing/localfleet/malformed.go
+++ b/internal/testing/localfleet/malformed.go
@@ -15,10 +15,11 @@
 	"barleywick/internal/testing/wait"
 )
 
-// malformedTimeout is how soon a malformed request has to get an error or a close.
+// malformedTimeout is how long a sidecar may take to answer a malformed request with an error or to
+// close its connection.
 const malformedTimeout = 3 * time.Second
 
-// malformedRequests are sent in turn. The empty one is a connection without a request.
+// malformedRequests are sent in turn. The empty one stands for a connection without a request.
 var malformedRequests = []string{
 	"",
 	"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03 noise \r\n\r\n",
@@ -31,7 +32,7 @@
 	"POST /api HTTP/1.1\r\nHost: x\r\nRequest-Class: hold-slot\r\nRequest-Timeout: 1\r\nContent-Length: 62914560\r\n\r\n" + strings.Repeat("x", 4096),
 }
 
-// sendMalformed sends malformed requests to each sidecar until the fault is over or ctx ends.
+// sendMalformed sends malformed requests to each sidecar until the fault's duration is over or ctx ends.
 func (l *localFleet) sendMalformed(ctx context.Context, t emulator.Fault) error {
 	if t.Size <= 0 {
 		return nil
@@ -40,8 +41,8 @@
 	defer cancel()
 	var all sync.WaitGroup
 	defer all.Wait()
-	every := time.Duration(float64(time.Second) / (t.Size * float64(len(l.sidecars))))
-	for n := 0; wait.Sleep(ctx, every); n++ {
+	interval := time.Duration(float64(time.Second) / (t.Size * float64(len(l.sidecars))))
+	for n := 0; wait.Sleep(ctx, interval); n++ {
 		s := l.sidecars[n%len(l.sidecars)]
 		text := malformedRequests[n/len(l.sidecars)%len(malformedRequests)]
 		all.Go(func() { l.malformedClient(s, text) })
@@ -49,7 +50,7 @@
 	return nil
 }
 
-// malformedClient sends one malformed request and records the answer.
+// malformedClient sends one malformed request and records the response.
 func (l *localFleet) malformedClient(s *sidecarProcess, text string) {
 	conn, err := net.DialTimeout("tcp", s.addr, malformedTimeout)
 	if err != nil {
@@ -57,8 +58,8 @@
 	}
 	defer conn.Close()
 	_ = conn.SetDeadline(time.Now().Add(malformedTimeout + emulator.SocketSlack))
-	_, _ = io.WriteString(conn, text) // a close meanwhile is one of the permitted answers
-	answer, err := io.ReadAll(io.LimitReader(conn, maxBody))
+	_, _ = io.WriteString(conn, text) // the sidecar may have closed the connection already, which is permitted
+	answer, err := io.ReadAll(io.LimitReader(conn, maxBodyBytes))
 	l.updateRecord(func(r *emulator.Record) {
 		r.MalformedClients++
 		if errors.Is(err, os.ErrDeadlineExceeded) && len(answer) == 0 {
--- a/internal/testing/localfleet/sidecar.go
+++ b/internal/testing/localfleet/sidecar.go
@@ -19,7 +19,7 @@
 	"barleywick/internal/testing/loopback"
 )
 
-// sidecarProcess is one real sidecar process, and its client.
+// sidecarProcess is a real sidecar process, with its client.
 type sidecarProcess struct {
 	owner  *localFleet
 	index  int
@@ -29,8 +29,8 @@
 	log    *os.File
 
 	cmd   *exec.Cmd
-	ended chan error // receives the result of the process
-	up    bool       // guarded by the owner's mu; a client ends and starts with its sidecar
+	ended chan error // receives the result of exec.Cmd.Wait
+	up    bool       // guarded by the owner's mu; clients stop and start with their sidecar
 }
 
 const (
@@ -72,7 +72,7 @@
 	s.cmd = exec.Command(s.owner.program)
 	s.cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+s.config)
 	s.cmd.Stdout, s.cmd.Stderr = s.log, s.log
-	s.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // it ends with this process, which handles Ctrl-C alone
+	s.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // it is killed when this process ends; Ctrl-C reaches only this process
 	if err := s.cmd.Start(); err != nil {
 		return fmt.Errorf("sidecar %d: %w", s.index, err)
 	}
@@ -120,7 +120,7 @@
 	return string(lines[len(lines)-1])
 }
 
-// checkEnd returns an error unless the process has ended in order.
+// checkEnd returns an error unless the process has shut down gracefully.
 func (s *sidecarProcess) checkEnd(waitError error) error {
 	text, err := os.ReadFile(s.log.Name())
 	if err != nil {
@@ -139,14 +139,14 @@
 	s.ended = nil
 }
 
-// killNow is kill with the signature of stop.
+// killNow is kill with the signature that restartSidecars expects.
 func (s *sidecarProcess) killNow() error {
 	s.kill()
 	return nil
 }
 
-// stop ends the process by SIGTERM, which it has to do in order; that it has ended before by
-// itself is an error.
+// stop sends SIGTERM and waits for the process to end. It returns an error unless the process shuts
+// down gracefully, and also if the process had already ended by itself.
 func (s *sidecarProcess) stop() error {
 	if s.ended == nil {
 		return nil
@@ -159,7 +159,7 @@
 	case err := <-s.ended:
 		s.ended = nil
 		if err = s.checkEnd(err); err == nil && signalError != nil {
-			err = errors.New("status 0 before it was told to")
+			err = errors.New("status 0 before SIGTERM")
 		}
 		if err != nil {
 			return fmt.Errorf("sidecar %d ended with %w; its log: %s", s.index, err, s.lastLine())
