--- a/internal/testing/integration/drain_test.go
+++ b/internal/testing/integration/drain_test.go
@@ -72,7 +72,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 4*eventTimeout)
 	defer cancel()
 
-	// told waits until every sidecar has been notified of a version, and returns the time.
+	// awaitNotified waits until every sidecar has been notified of a version, and returns the time.
 	awaitNotified := func(seq uint64) time.Time {
 		t.Helper()
 		live := &drain.LiveFleet{Statuses: c.Statuses, Sidecars: len(sidecars), Now: time.Now}
@@ -106,7 +106,7 @@
 	restart := func(s *sidecarProcess) {
 		t.Helper()
 		s.signal(syscall.SIGTERM)
-		l.awaitSent(t, 40) // clients detect it late
+		l.awaitSent(t, 40) // clients notice the shutdown late
 		l.pause(s)
 		s.wait()
 		s.start()
@@ -199,6 +199,6 @@
 	}
 	a, b := <-errs, <-errs
 	if (a == nil) == (b == nil) || !errors.Is(errors.Join(a, b), drain.ErrRefused) {
-		t.Errorf("got errors %v and %v, want exactly one, for the floor", a, b)
+		t.Errorf("got errors %v and %v, want exactly one drain refused for the floor", a, b)
 	}
 }
--- a/internal/testing/integration/harness_test.go
+++ b/internal/testing/integration/harness_test.go
@@ -80,7 +80,7 @@
 	env      []string
 	cmd      *exec.Cmd
 	log      *processLog
-	logStart int // offset of the last start in the log
+	logStart int // offset of the last start in the log; checkEnd ignores earlier output
 	ended    chan error
 }
 
@@ -103,7 +103,7 @@
 }
 
 // from returns the output from an offset on.
-func (o *processLog) from(begun int) string { return o.String()[begun:] }
+func (o *processLog) from(offset int) string { return o.String()[offset:] }
 
 func (o *processLog) count(what string) int { return strings.Count(o.String(), what) }
 
--- a/internal/testing/integration/handover_test.go
+++ b/internal/testing/integration/lease_handover_test.go
@@ -66,7 +66,7 @@
 						heldTasks = append(heldTasks, name)
 					}
 				}
-				begun := w.now()
+				began := w.now()
 				var end func() error
 				if x.fault != nil {
 					end = x.fault(r, holder)
@@ -79,10 +79,10 @@
 				for _, task := range heldTasks {
 					var first time.Duration
 					eventually(t, "another controller acts for "+task, func() bool {
-						first = w.firstAct(task, holder, begun)
+						first = w.firstAct(task, holder, began)
 						return first > 0
 					})
-					took = append(took, first-begun)
+					took = append(took, first-began)
 				}
 				if err := end(); err != nil {
 					t.Fatal(err)
@@ -116,7 +116,7 @@
 	r := startRig(t, 1, 4, tasks, w.addr)
 	r.awaitActs(w, tasks, 0)
 	for turn := range 3 {
-		begun := w.now()
+		began := w.now()
 		killed := []string{r.controllers[turn], r.controllers[turn+1]}
 		for _, k := range killed {
 			r.Processes[k].Kill()
@@ -124,16 +124,16 @@
 		longest := time.Duration(0)
 		for i := range tasks {
 			task := fmt.Sprint("task-", i)
-			eventually(t, "a controller acts for "+task, func() bool { return w.lastAct(task).begin > begun+50*time.Millisecond })
+			eventually(t, "a controller acts for "+task, func() bool { return w.lastAct(task).begin > began+50*time.Millisecond })
 			w.mu.Lock()
 			first := time.Hour
 			for _, a := range w.acts {
-				if a.task == task && a.begin > begun+50*time.Millisecond {
+				if a.task == task && a.begin > began+50*time.Millisecond {
 					first = min(first, a.begin)
 				}
 			}
 			w.mu.Unlock()
-			longest = max(longest, first-begun)
+			longest = max(longest, first-began)
 		}
 		t.Logf("%d tasks, half of the controllers killed: the last task has a holder after %.2f lease durations", tasks, float64(longest)/float64(leaseMS*time.Millisecond))
 		if longest > 3*leaseMS*time.Millisecond { // the bound for one task, plus the time of some hundred writes
--- a/internal/testing/integration/lease_test.go
+++ b/internal/testing/integration/lease_test.go
@@ -34,7 +34,7 @@
 	const tasks = 3
 	seeds, faults := 1, 14
 	if len(members) > 0 {
-		faults = 8 // TestLeasesUnderRandomFaults injects the others
+		faults = 8 // fewer, since TestLeasesUnderRandomFaults adds its own
 	}
 	if long {
 		seeds, faults = 10, 40
--- a/internal/testing/integration/overload_test.go
+++ b/internal/testing/integration/overload_test.go
@@ -325,7 +325,7 @@
 	const pairs, window = 3, 20 * time.Second
 	for pair := range pairs {
 		for _, withAdvice := range []bool{false, true} {
-			t.Run(fmt.Sprintf("pair %d, word %v", pair, withAdvice), func(t *testing.T) {
+			t.Run(fmt.Sprintf("pair %d, advice %v", pair, withAdvice), func(t *testing.T) {
 				f := startAdvised(t, 16, withAdvice)
 				f.startClients()
 				time.Sleep(window / 2) // the load needs time to take effect
--- a/internal/testing/integration/rig_test.go
+++ b/internal/testing/integration/rig_test.go
@@ -113,12 +113,12 @@
 }
 
 // startRig starts the replicas, and controllers whose tasks act.
-func startRig(t testing.TB, seed uint64, controllers, tasks int, witness string, members ...string) *rig {
+func startRig(t testing.TB, seed uint64, controllers, tasks int, witnessAddr string, members ...string) *rig {
 	t.Helper()
 	r := &rig{t: t}
 	r.prepare(seed, members...)
 	for i := range controllers {
-		r.addController(fmt.Sprint("k", i), "actor", "", witnessVariable+"="+witness, tasksVariable+"="+strconv.Itoa(tasks))
+		r.addController(fmt.Sprint("k", i), "actor", "", witnessVariable+"="+witnessAddr, tasksVariable+"="+strconv.Itoa(tasks))
 	}
 	for _, p := range r.Processes {
 		if err := p.Start(); err != nil {
--- a/internal/testing/integration/takeover_test.go
+++ b/internal/testing/integration/takeover_test.go
@@ -57,8 +57,8 @@
 		b.register(t, g.client(), 10*time.Second)
 		servers = append(servers, b)
 	}
-	p := newSidecarSlot(t, g.addrs(), eventTimeout)
-	current := p.startProcess("sidecar 0")
+	slot := newSidecarSlot(t, g.addrs(), eventTimeout)
+	current := slot.startProcess("sidecar 0")
 	current.ready()
 	l := startLoad(t, 6, current) // the address stays the same for all processes
 	// A client connects all the time, and each connection must be accepted.
@@ -67,7 +67,7 @@
 	go func() {
 		n := 0
 		for ctx.Err() == nil {
-			c, err := net.Dial("tcp", p.addr)
+			c, err := net.Dial("tcp", slot.addr)
 			if err != nil {
 				n++
 				continue
@@ -80,11 +80,11 @@
 	var endTimes []time.Duration
 	for i := range 5 {
 		l.awaitSent(t, 150)
-		successor := p.startProcess(fmt.Sprint("sidecar ", i+1))
+		successor := slot.startProcess(fmt.Sprint("sidecar ", i+1))
 		eventually(t, "the successor serves", func() bool { return successor.logContains("msg=serving") })
-		begun := time.Now()
+		began := time.Now()
 		current.wait()
-		endTimes = append(endTimes, time.Since(begun).Round(time.Millisecond))
+		endTimes = append(endTimes, time.Since(began).Round(time.Millisecond))
 		current = successor
 	}
 	l.awaitSent(t, 150)
@@ -108,19 +108,19 @@
 	g := startRegistryGroup(t, 1)
 	b := startBookingServer(t, "s-0", "m", time.Millisecond)
 	b.register(t, g.client(), 10*time.Second)
-	p := newSidecarSlot(t, g.addrs(), time.Second) // one case waits until this time is over
-	current := p.startProcess("predecessor")
+	slot := newSidecarSlot(t, g.addrs(), time.Second) // one case waits until this time is over
+	current := slot.startProcess("predecessor")
 	current.ready()
 	l := startLoad(t, 2, current)
 	writeConfig := func(change func(c map[string]any)) string {
 		c := make(map[string]any)
-		for k, v := range p.baseConfig {
+		for k, v := range slot.baseConfig {
 			c[k] = v
 		}
 		change(c)
 		return writeFile(t, "changed.json", c)
 	}
-	validConfig := p.config
+	validConfig := slot.config
 	for name, x := range map[string]struct {
 		config  string
 		signal  syscall.Signal
@@ -132,8 +132,8 @@
 		"killed before it is ready":           {writeConfig(func(c map[string]any) { c["discovery"] = freeAddr(t) }), syscall.SIGKILL, ""},
 		"ended before it is ready":            {writeConfig(func(c map[string]any) { c["discovery"] = freeAddr(t) }), syscall.SIGTERM, ""},
 	} {
-		p.config = x.config
-		successor := p.startProcess(name)
+		slot.config = x.config
+		successor := slot.startProcess(name)
 		if x.signal != 0 {
 			eventually(t, "the successor has begun the hand-over", func() bool { return successor.logContains("taking over") })
 			successor.signal(x.signal)
@@ -156,7 +156,7 @@
 	}
 	// Invalid messages on the socket, and a connection without any, do not block a hand-over.
 	for _, noise := range []string{"", "{\n", strings.Repeat("x", 100_000) + "\n", `{"kind":"ready"}` + "\n"} {
-		c, err := net.Dial("unix", p.socket)
+		c, err := net.Dial("unix", slot.socket)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -168,14 +168,14 @@
 		}
 		c.Close()
 	}
-	p.config = validConfig
+	slot.config = validConfig
 	var successor *sidecarProcess
 	eventually(t, "a valid successor serves", func() bool {
 		if successor == nil || !successor.alive() { // the predecessor refused it, so it has to try again
 			if successor != nil {
 				successor.cmd = nil // its end is expected
 			}
-			successor = p.startProcess("successor")
+			successor = slot.startProcess("successor")
 		}
 		return successor.logContains("msg=serving")
 	})
@@ -185,12 +185,12 @@
 	if served, refused, lost := l.checkResults(t, []*bookingServer{b}); refused > 0 || lost > 0 {
 		t.Errorf("%d served, %d refused, %d lost; want none refused or lost", served, refused, lost)
 	}
-	if info, err := os.Stat(p.socket); err != nil || info.Mode().Perm() != 0o600 {
+	if info, err := os.Stat(slot.socket); err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("the hand-over socket: got %v, error %v, want mode 0600", info, err)
 	}
 	successor.signal(syscall.SIGTERM)
 	successor.wait()
-	if _, err := os.Stat(p.socket); !os.IsNotExist(err) {
+	if _, err := os.Stat(slot.socket); !os.IsNotExist(err) {
 		t.Errorf("the hand-over socket still exists after the shutdown (error %v)", err)
 	}
 }
@@ -203,11 +203,11 @@
 	}
 	g := startRegistryGroup(t, 1)
 	startBookingServer(t, "s-0", "m", time.Millisecond).register(t, g.client(), 10*time.Second)
-	p := newSidecarSlot(t, g.addrs(), eventTimeout)
-	current := p.startProcess("predecessor")
+	slot := newSidecarSlot(t, g.addrs(), eventTimeout)
+	current := slot.startProcess("predecessor")
 	current.ready()
 	for i := range 10 {
-		successor := p.startProcess(fmt.Sprint("successor ", i))
+		successor := slot.startProcess(fmt.Sprint("successor ", i))
 		eventually(t, "the successor serves or has ended", func() bool { return successor.logContains("msg=serving") || !successor.alive() })
 		if !successor.alive() {
 			t.Fatalf("hand-over %d: the successor ended:\n%s", i, successor.log)
--- a/internal/testing/localfleet/localfleet_test.go
+++ b/internal/testing/localfleet/localfleet_test.go
@@ -142,9 +142,9 @@
 		t.Errorf("got error %v, want context.Canceled with a partial record; record: %+v", err, r)
 	}
 	checkNothingLeft(t)
-	gone, cancel := context.WithCancel(t.Context())
+	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := Run(gone, o); err == nil {
+	if _, err := Run(cancelled, o); err == nil {
 		t.Error("Run with a cancelled context returned no error")
 	}
 	checkNothingLeft(t)
