--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -55,7 +55,7 @@
 	c.leases = lease.NewManager(lease.Options{
 		Registry: r, TTL: c.ttl, OnChange: c.onLeases,
 		// The start time identifies the later of two processes with the same name. It does
-		// not decide between lease holders: a clock that was set back only costs a queue position.
+		// not decide between lease holders: a process whose clock was set back only loses a queue position.
 		Holder: registry.Holder{Name: config.Name, Incarnation: uint64(time.Now().UnixMicro())},
 	})
 	if config.Membership != nil {
--- a/internal/controller/fleetview.go
+++ b/internal/controller/fleetview.go
@@ -58,7 +58,7 @@
 	return f, err
 }
 
-// notify sends a notification without blocking, to a channel with a buffer of one. A pending one is enough.
+// notify sends a notification without blocking, to a channel with a buffer of one. It does nothing if one is pending.
 func notify(changed chan<- struct{}) {
 	select {
 	case changed <- struct{}{}:
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -30,8 +30,8 @@
 )
 
 // Session is the holder's view of one claim on one lease, from the first call to its end.
-// It is a state machine without a clock: each method is given the time as the reading of
-// a clock that never goes back. It is not safe for concurrent use.
+// It is a state machine without a clock: the caller passes the time as a reading
+// of a monotonic clock. It is not safe for concurrent use.
 type Session struct {
 	LeaseName string
 	ClaimID   string
--- a/internal/membership/gossip/changes.go
+++ b/internal/membership/gossip/changes.go
@@ -5,7 +5,7 @@
 // notifyChanged signals that the view has changed. It never blocks.
 func (n *Node) notifyChanged() { signal(n.changedSignal) }
 
-// signal sends a signal without blocking, to a channel with a buffer of one. A pending one is enough.
+// signal sends a signal without blocking, to a channel with a buffer of one. It does nothing if one is pending.
 func signal(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/internal/membership/gossip/join.go
+++ b/internal/membership/gossip/join.go
@@ -118,7 +118,7 @@
 
 // differingPeerAddress returns the address of a member whose view differs although the present
 // members have not changed for some rounds; it is empty if there is none. That member has missed a
-// message, and memberlist's next exchange of views with it may be a long way off.
+// message, and memberlist's next exchange of views with it may not happen for a long time.
 func (n *Node) differingPeerAddress() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/overload/message.go
+++ b/internal/overload/message.go
@@ -123,8 +123,8 @@
 	return 1
 }
 
-// isFraction also returns false for NaN.
+// isFraction reports whether f lies between 0 and 1. It returns false for NaN.
 func isFraction(f float64) bool { return f >= 0 && f <= 1 }
 
-// isQuota also returns false for NaN.
+// isQuota reports whether f is a finite number of 0 or more. It returns false for NaN.
 func isQuota(f float64) bool { return f >= 0 && !math.IsInf(f, 0) }
--- a/internal/overload/planner.go
+++ b/internal/overload/planner.go
@@ -68,7 +68,8 @@
 }
 
 // AddDigest records a digest. It returns an error that wraps ErrInvalidMessage if the digest is
-// malformed, of another fleet, or older than the sidecar's latest one.
+// malformed, of another fleet, not newer than the sidecar's latest one, or of a new sidecar while
+// MaxSidecars are tracked.
 func (p *Planner) AddDigest(now time.Duration, d Digest) error {
 	if err := d.Check(); err != nil {
 		return err
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -182,7 +182,7 @@
 }
 
 // callReplica makes a call to one replica, or to the one that it redirects to, and returns
-// the address that responded last.
+// the address of the replica that was called last.
 func (c *Client) callReplica(ctx context.Context, addr string, call apiCall) (responder string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/registry/client/instances.go
+++ b/internal/registry/client/instances.go
@@ -23,7 +23,7 @@
 	return c.call(ctx, http.MethodDelete, "instances/"+url.PathEscape(host)+"?session="+url.QueryEscape(session), nil, nil)
 }
 
-// Mark sets or clears the drain marks of hosts, of all or none of them.
+// Mark sets or clears the drain marks of all the hosts or, on an error, of none.
 func (c *Client) Mark(ctx context.Context, m registry.MarkRequest) (registry.WriteResponse, error) {
 	return request[registry.WriteResponse](ctx, c, http.MethodPost, "marks", m)
 }
--- a/internal/registry/client/watch.go
+++ b/internal/registry/client/watch.go
@@ -56,8 +56,8 @@
 }
 
 // readUpdates delivers the updates of an open watch until it ends. It reports whether
-// anything arrived, now or before; keepAlive is called whenever data arrives that proves
-// the watch alive.
+// anything arrived, now or before; keepAlive is called for each heartbeat (see
+// watchReader).
 func (w *Watcher) readUpdates(body io.Reader, receivedBefore bool, keepAlive func()) (received bool, err error) {
 	received = receivedBefore
 	reader := &watchReader{body: body, bytesLeft: maxUpdateBytes, onHeartbeat: func(idle bool) {
@@ -144,7 +144,7 @@
 
 // handleUpdate delivers one update. Changes apply in order, and only to the list that they
 // follow; changes to the version that the watcher already has are delivered empty. A stale
-// list does not replace a later one, from whichever addresses that came, since changes that
+// list does not replace a later one, even if that came from other addresses, since changes that
 // were already delivered must not be undone. Versions can be compared across addresses because
 // no two groups of replicas share versions, and a later group has later versions.
 func (w *Watcher) handleUpdate(text []byte) error {
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -225,7 +225,7 @@
 	return Result{Version: version}, nil
 }
 
-// openGrants ends the time in which a new group grants no leases.
+// openGrants lets a new group start to grant leases.
 func (ls *Leases) openGrants() {
 	if !ls.grantsClosed {
 		return
--- a/internal/registry/marks.go
+++ b/internal/registry/marks.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// mark sets or clears the drain marks of hosts, of all or none of them. A mark persists
+// mark sets or clears the drain marks of all the hosts or, on an error, of none. A mark persists
 // when its instance is removed, so that a server that restarts on a machine that is being
 // drained gets no requests.
 func (s *State) mark(c Command) (Result, error) {
--- a/internal/registry/server/freshness.go
+++ b/internal/registry/server/freshness.go
@@ -34,7 +34,7 @@
 	errNotReady = errors.New("this replica has not caught up with its group yet")
 	errNoLeader = errors.New("no leader is known: this replica has no contact with a quorum")
 	// errApplyTimeout is returned if entries committed by the group are not applied on this
-	// replica in time: they were not received or not stored, or the state machine is slow.
+	// replica before the timeout: they were not received or not stored, or the state machine is slow.
 	errApplyTimeout = errors.New("timed out waiting for committed log entries to be applied")
 )
 
--- a/internal/registry/server/leadership.go
+++ b/internal/registry/server/leadership.go
@@ -62,7 +62,7 @@
 func (r *Replica) runLeaderTerm(ctx context.Context) {
 	term := r.raft.CurrentTerm()
 	if err := r.awaitRaftFuture(func() raft.Future { return r.raft.Barrier(writeTimeout) }); err != nil {
-		return // this replica is no leader any more
+		return // this replica no longer leads
 	}
 	if _, err := r.apply(registry.Command{Op: registry.OpFoundGroup, Group: r.config.Load().Group}); err != nil {
 		slog.Error("registry: founding the group failed", "err", err)
--- a/internal/registry/server/state_machine.go
+++ b/internal/registry/server/state_machine.go
@@ -19,7 +19,7 @@
 type stateMachine struct {
 	broadcaster *watchBroadcaster
 
-	applied atomic.Uint64 // index of the last entry passed to Apply
+	applied atomic.Uint64 // index of the last entry that Apply has processed
 
 	mu                    sync.RWMutex
 	state                 *registry.State
--- a/internal/rollout/follower.go
+++ b/internal/rollout/follower.go
@@ -152,7 +152,7 @@
 	return f.view.Epoch, f.view.Stage, refused
 }
 
-// Key appends a key of the follower's state to text, for the model.
+// Key appends a text that identifies the follower's state, for the model checker.
 func (f *Follower) Key(text []byte) []byte {
 	return fmt.Append(text, f.inRoster, f.ackedStage, f.ackedChange, f.supportedChange, f.view.Epoch, f.view.Stage, f.view.ChangeNumber, f.view.Version)
 }
