--- a/internal/controller/backup_test.go
+++ b/internal/controller/backup_test.go
@@ -107,6 +107,6 @@
 	}
 	got, err := other.Registrations(t.Context())
 	if err != nil || len(got.Registrations) != 1 || got.Registrations[0].Host != "s-1" {
-		t.Errorf("got %+v, %v, want s-1", got.Registrations, err)
+		t.Errorf("after the restore: got %+v, %v, want s-1", got.Registrations, err)
 	}
 }
--- a/internal/controller/compat_test.go
+++ b/internal/controller/compat_test.go
@@ -89,7 +89,7 @@
 		t.Errorf("a lower token: got %v, want %v", err, registry.ErrFenced)
 	}
 	if _, err := folder.Save(t.Context(), 9, at, backup); err != nil {
-		t.Errorf("the token of the last backup: %v", err)
+		t.Errorf("the token of the last backup: got error %v, want none", err)
 	}
 	after := []string{before[1], "registry-20270115T081500.000000Z.json"}
 	if got := names(); !slices.Equal(got, after) {
@@ -102,7 +102,7 @@
 		}
 	}
 	if text, err := os.ReadFile(filepath.Join(dir, "fence")); err != nil || string(text) != "00000000000000000009\n" {
-		t.Errorf("fence: got %q, %v", text, err)
+		t.Errorf("fence: got %q, %v, want token 9 in 20 digits", text, err)
 	}
 }
 
@@ -118,6 +118,6 @@
 	}
 	got, err := c.Registrations(t.Context())
 	if err != nil || len(got.Registrations) != 2 || got.Registrations[0].Host != "s-1" || got.Registrations[1].Machine != "m-1" || got.Marks["s-2"] != "ops-a" {
-		t.Errorf("restored: %+v, %v", got, err)
+		t.Errorf("after the restore: got %+v, %v, want s-1, and a server of m-1 with s-2 marked by ops-a", got, err)
 	}
 }
--- a/internal/controller/config_test.go
+++ b/internal/controller/config_test.go
@@ -24,6 +24,6 @@
 	}
 	c, err := ParseConfig([]byte(good + "[health]\n[copies]\nfolder = \"x\"\n"))
 	if err != nil || c.Health.Failures != defaultFailures || c.Backup.Keep != defaultBackupCount || len(c.LeaseNames()) != healthShards+1 {
-		t.Errorf("defaults: got %+v, %v", c, err)
+		t.Errorf("defaults: got %+v, %v, want the default failures, backup count and number of leases", c, err)
 	}
 }
--- a/internal/controller/helpers_test.go
+++ b/internal/controller/helpers_test.go
@@ -28,7 +28,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(waitTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not after %v: %s", waitTimeout, description)
+			t.Fatalf("timed out after %v waiting until %s", waitTimeout, description)
 		}
 	}
 }
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -126,10 +126,10 @@
 		}
 		err := first.workflow().Drain(ctx, "m-1")
 		if (err == nil) == (other == nil) {
-			t.Errorf("the second at call %d: %v and %v, want one refused", at, err, other)
+			t.Errorf("the second at call %d: got errors %v and %v, want one drain refused", at, err, other)
 		}
 		if left := w.ready("a"); left != 3 {
-			t.Errorf("the second at call %d: %d ready servers are left, want 3", at, left)
+			t.Errorf("the second at call %d: got %d remaining ready servers, want 3", at, left)
 		}
 	}
 	w := newWorld(t)
@@ -307,6 +307,6 @@
 	w := newWorld(t)
 	p, err := w.operator("ops-a").workflow().Plan(t.Context(), "m-1")
 	if err != nil || len(p.Hosts) != 2 || len(p.Zones) != 1 || p.Zones[0] != (ZoneReadiness{"a", 5, 3, 2}) || len(w.state.RecordKeys()) > 0 {
-		t.Errorf("plan: got %+v, %v", p, err)
+		t.Errorf("plan: got %+v, %v, want two hosts, and zone a with 5 ready, 3 remaining and a floor of 2", p, err)
 	}
 }
--- a/internal/drain/handover_test.go
+++ b/internal/drain/handover_test.go
@@ -30,12 +30,12 @@
 	return r.Registry.Record(ctx, key)
 }
 
-// A drain that was handed over, and whose deadline passes while no controller runs, has to be
-// undone. The fault: the next controller ran the drain with a context that ended at the deadline,
-// so every call failed, but only a drain claimed within that context was undone. The servers
-// stayed marked, and every 5 s the log had `drain: failed` with `no replica of the registry
-// answers` although all replicas answered. The context also measured the deadline by another
-// clock than the workflow's.
+// Guards against a drain that was handed over and is never undone, although its deadline passed
+// while no controller ran. The next controller used to run the drain with a context that had ended
+// at the deadline, so every call failed, but only a drain claimed within that context was undone.
+// The servers stayed marked, and every 5 s the log had `drain: failed` with `no replica of the
+// registry answers` although all replicas responded. The context also measured the deadline by
+// another clock than the workflow's.
 func TestDrainWhoseDeadlineHasPassedIsUndone(t *testing.T) {
 	const deadline = time.Minute
 	for _, late := range []time.Duration{time.Second, time.Hour} {
--- a/internal/lease/compatibility_test.go
+++ b/internal/lease/compatibility_test.go
@@ -157,6 +157,6 @@
 	}
 	status := types["renewals answer"].(*registry.RenewClaimsResponse).Claims
 	if len(status) != 2 || !status[0].YieldRequested || status[0].NextHolder != "k3" || !status[1].Ended {
-		t.Errorf("renewals answer: got %+v, want a yield request to k3 and an ended claim", status)
+		t.Errorf("response to renewals: got %+v, want a yield request to k3 and an ended claim", status)
 	}
 }
--- a/internal/membership/gossip/compatibility_test.go
+++ b/internal/membership/gossip/compatibility_test.go
@@ -184,7 +184,7 @@
 	n := newOfflineNode(folder)
 	cached, err := n.loadCache()
 	if err != nil || cached.Incarnation != k1.Incarnation || len(cached.Addresses) != 1 || cached.Addresses[0] != "127.0.0.1:9611" {
-		t.Errorf("got cache %+v: %v", cached, err)
+		t.Errorf("got cache %+v, error %v, want the incarnation of k1 and the address 127.0.0.1:9611", cached, err)
 	}
 	n.options.Config.StateDir = t.TempDir()
 	n.addrs = map[string]string{"s1/11": "127.0.0.1:9611"}
--- a/internal/membership/info.go
+++ b/internal/membership/info.go
@@ -72,7 +72,7 @@
 		return err
 	}
 	if i.LongestActMS < 0 || i.PID < 0 {
-		return fmt.Errorf("acts_ms is %d, pid is %d: neither may be negative", i.LongestActMS, i.PID)
+		return fmt.Errorf("longest act is %d ms, pid is %d: neither may be negative", i.LongestActMS, i.PID)
 	}
 	return nil
 }
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -64,7 +64,7 @@
 	for i := 4; i < 9; i++ {
 		v.MarkUnreachable(fmt.Sprintf("m%d/1", i), time.Duration(10+i))
 		if got := v.Partition(); !got.Partitioned() || got.Since != 14 || got.Minority() != (i == 8) {
-			t.Fatalf("%d of 9 unreachable: got %+v, minority %v", i-3, got, got.Minority())
+			t.Fatalf("%d of 9 unreachable: got %+v, minority %v; want partitioned since 14, a minority only with 5", i-3, got, got.Minority())
 		}
 	}
 	if v.Digest() == complete {
@@ -76,7 +76,7 @@
 	}
 	for i := 1; i < 4; i++ {
 		if _, healed := v.Tick(102); healed {
-			t.Fatal("healed before enough digests arrived")
+			t.Fatal("the partition counts as healed before enough digests have arrived")
 		}
 		v.RecordDigest(fmt.Sprintf("m%d/1", i), complete, 102)
 	}
@@ -109,12 +109,12 @@
 	good := Info{Name: "k1", Incarnation: 7, Role: RoleController, Zone: "z1", HTTPAddr: "127.0.0.1:80", MachineID: "m", PID: 3, ProcessStart: 4, LongestActMS: 100}
 	text, err := good.Encode()
 	if decoded, decodeErr := DecodeInfo(text); err != nil || decodeErr != nil || decoded != good {
-		t.Fatalf("%s is read as %+v: %v, %v", text, decoded, err, decodeErr)
+		t.Fatalf("%s: decoded as %+v, errors %v and %v, want the same metadata", text, decoded, err, decodeErr)
 	}
 	for _, bad := range []string{``, `{}`, `{"n":"a b","r":"keeper"}`, `{"n":"a","r":"king"}`, `{"n":"a","r":"keeper","h":"10.0.0.1:80"}`,
 		`{"n":"a","r":"keeper","z":"` + string(make([]byte, 40)) + `"}`, `{"n":"a","r":"keeper","a":-1}`, string(make([]byte, 513))} {
 		if i, err := DecodeInfo([]byte(bad)); err == nil {
-			t.Errorf("%.40q is read as %+v", bad, i)
+			t.Errorf("%.40q: decoded as %+v, want an error", bad, i)
 		}
 	}
 }
--- a/internal/registry/client/fuzz_test.go
+++ b/internal/registry/client/fuzz_test.go
@@ -14,7 +14,7 @@
 		w := NewWatcher(WatcherOptions{Addrs: []string{"127.0.0.1:1"}, LastKnown: &ListUpdate{Seq: 41}, Deliver: func(l ListUpdate) { got = append(got, l) }})
 		err := w.handleUpdate(text)
 		if (err == nil) != (len(got) == 1) {
-			t.Fatalf("got error %v and %d deliveries", err, len(got))
+			t.Fatalf("got error %v and %d deliveries, want either an error or one delivery", err, len(got))
 		}
 		if err == nil && !got[0].Full && got[0].Seq < 41 {
 			t.Errorf("change to version %d was applied to version 41", got[0].Seq)
--- a/internal/registry/client/stale_response_test.go
+++ b/internal/registry/client/stale_response_test.go
@@ -15,8 +15,8 @@
 // fleet policy in a state of hours ago. The client prefers the replica that responded last, and
 // used to accept a stale response from it. It has to try the other replicas first, accept a stale
 // response only if there is no better one, and then the one with the lowest age: a replica whose
-// disk was full until a moment ago lags behind the others. Under load, TestProofOfFullDisks read
-// grants that were 3 s old while the disks of a majority were full and all replicas were stale.
+// disk was full until a moment ago lags behind the others. Symptom in TestLeasesWithFullDisks
+// under load: grants are read that are 3 s old while the disks of a majority were full and all replicas were stale.
 func TestStaleResponseIsUsedOnlyAsLastResort(t *testing.T) {
 	serve := func(read string, version int) string {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/registry/compatibility_test.go
+++ b/internal/registry/compatibility_test.go
@@ -194,10 +194,10 @@
 		}
 	}
 	if r, _ := s.Record("drain:m-1"); string(r.Value) != `{"step":"marked"}` || r.Version != 1843200002048001 || r.AtMS != 1_800_000_031_000 {
-		t.Errorf("record drain:m-1: got %q, version %d, written at %d", r.Value, r.Version, r.AtMS)
+		t.Errorf("record drain:m-1: got %q, version %d, written at %d; want step marked, version 1843200002048001, written at 1800000031000", r.Value, r.Version, r.AtMS)
 	}
 	if keys := s.RecordKeys(); !slices.Equal(keys, []string{"drain:m-1", "fenced", "member:r1"}) {
-		t.Errorf("got record keys %v", keys)
+		t.Errorf("got record keys %v, want drain:m-1, fenced and member:r1", keys)
 	}
 	checkRecordedLeases(t, s.Leases())
 	checkRecordedRollout(t, s.Rollout().Status())
--- a/internal/registry/lease_snapshot_test.go
+++ b/internal/registry/lease_snapshot_test.go
@@ -54,10 +54,10 @@
 	now := time.Unix(0, 0)
 	tracker.Sync(other.Leases(), now)
 	if _, open := tracker.TakeExpired(now.Add(time.Minute - 1)); open {
-		t.Error("grants open before the maximum time to live has passed")
+		t.Error("before the maximum time to live has passed: got a request to open the grants, want none")
 	}
 	if _, open := tracker.TakeExpired(now.Add(time.Minute)); !open {
-		t.Error("grants still closed after the maximum time to live")
+		t.Error("after the maximum time to live: got no request to open the grants, want one")
 	}
 	other.Apply(Command{Op: OpOpenGrants, Lease: new(LeaseCommand)})
 	if l, _ := other.Leases().Lease("l"); l.Grant == nil {
@@ -65,6 +65,6 @@
 	}
 	tracker.Sync(other.Leases(), now.Add(2*time.Minute))
 	if _, open := tracker.TakeExpired(now.Add(4 * time.Minute)); open {
-		t.Error("got a second request to open the grants")
+		t.Error("after the grants were opened: got another request to open them, want none")
 	}
 }
--- a/internal/registry/marks_test.go
+++ b/internal/registry/marks_test.go
@@ -18,7 +18,7 @@
 	health := func(host string) Health { e, _ := s.Registration(host); return e.Health }
 	register("a", 1)
 	if r := s.Apply(Command{Op: OpMark, Hosts: []string{"a", "b"}, MarkedBy: "ops-a", Draining: true}); !errors.Is(r.Err, ErrNotFound) || health("a") != HealthUp {
-		t.Errorf("one of two hosts unknown: got %v, health of the other %s", r.Err, health("a"))
+		t.Errorf("one of two hosts unknown: got %v, health of the other %s, want ErrNotFound, up", r.Err, health("a"))
 	}
 	register("b", 1)
 	if r := s.Apply(Command{Op: OpMark, Hosts: []string{"a", "b"}, MarkedBy: "ops-a", Draining: true}); r.Err != nil || len(r.ChangedHosts) != 2 || s.Seq() != r.Version {
@@ -33,7 +33,7 @@
 		t.Error("after the instance registered again: got no mark, want draining")
 	}
 	if r := s.Apply(Command{Op: OpMark, Host: "a", MarkedBy: "ops-a"}); r.Err != nil || health("a") != HealthUp {
-		t.Errorf("cleared: got %v, health %s", r.Err, health("a"))
+		t.Errorf("cleared: got %v, health %s, want no error, up", r.Err, health("a"))
 	}
 	put := s.Apply(Command{Op: OpPutRecord, Key: "drain:x", Value: []byte("1")})
 	if put.Err != nil {
--- a/internal/registry/server/config_test.go
+++ b/internal/registry/server/config_test.go
@@ -41,7 +41,7 @@
 			return
 		}
 		if _, ok := c.findSelf(); !ok || c.electionTimeout() <= 0 || c.Limits.Calls < 1 {
-			t.Errorf("accepted: %+v", c)
+			t.Errorf("an unusable configuration was accepted: %+v", c)
 		}
 	})
 }
--- a/internal/registry/server/storage_test.go
+++ b/internal/registry/server/storage_test.go
@@ -200,7 +200,7 @@
 		"replicas": []registry.ReplicaInfo{{ID: "r0", HTTP: "127.0.0.1:1", Raft: "127.0.0.1:2"}},
 	})
 	if claim, err := claimDataFolder(c); !claim.isNew || err != nil {
-		t.Fatalf("the second process: %+v, error %v", claim, err)
+		t.Fatalf("the second process claims the folder: got %+v, error %v; want a new folder", claim, err)
 	}
 	first, err := openStorage(c, newRaftLogger())
 	if err != nil {
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -121,7 +121,7 @@
 					t.Fatalf("step %d, %s: got list %v, want %v", step, c.Op, got, want)
 				}
 				if differs := !sameList(before, want); s.Seq() < seq || (differs && s.Seq() != seq+1) {
-					t.Fatalf("step %d: version %d after %d, changed: %v", step, s.Seq(), seq, differs)
+					t.Fatalf("step %d: got version %d after %d, the list has changed: %v", step, s.Seq(), seq, differs)
 				}
 				source := s
 				if rng.IntN(50) == 0 {
--- a/internal/rollout/canary_test.go
+++ b/internal/rollout/canary_test.go
@@ -65,9 +65,10 @@
 	}
 }
 
-// The leader compares canaries only before the change's deadline. If no controller ran until
-// after the deadline, the abort always gave the reason that the canaries had too few requests,
-// also when they had enough, so operators proposed the change again with a longer time.
+// Guards against an abort with a wrong reason. The leader compares canaries only before the change's
+// deadline. If no controller runs until after the deadline, the abort used to state that the canaries
+// had too few requests, also when they had enough, so operators proposed the change again with a
+// longer time.
 func TestAbortAtDeadlineGivesReason(t *testing.T) {
 	for name, x := range map[string]struct {
 		requests, refused uint64 // of each canary
@@ -101,8 +102,8 @@
 }
 
 // The number of evictions that are kept is limited. Without removal of the oldest, every eviction
-// after the first 1,024 sidecars was refused as full, and a rollout waited forever for a sidecar
-// whose machine no longer existed.
+// after the first 1,024 sidecars would be refused as full, and a rollout would wait forever for a
+// sidecar whose machine no longer exists.
 func TestEvictionsBeyondMaximum(t *testing.T) {
 	h := newHarness(t, 0)
 	for i := range maxEvicted + 10 {
--- a/internal/rollout/document_test.go
+++ b/internal/rollout/document_test.go
@@ -30,7 +30,7 @@
 	}
 	for _, d := range []*Document{document(4), {FormatVersion: 1, Mode: ModeRefuse, Tenants: manyTenants(maxTenants)}} {
 		if err := d.Check(); err != nil {
-			t.Errorf("%d tenants: got %v", len(d.Tenants), err)
+			t.Errorf("%d tenants: got error %v, want none", len(d.Tenants), err)
 		}
 	}
 }
