--- a/internal/drain/livefleet.go
+++ b/internal/drain/livefleet.go
@@ -55,7 +55,7 @@
 
 // RemainingMembers reads the members from the first URL that answers. An unreachable member
 // counts, since it may be partitioned and still carry traffic: the wait for it ends when it sends
-// a leave message, when its process is seen to have ended, or when an operator reports its end.
+// a leave message, when its process is observed to have ended, or when an operator reports its end.
 func (f *LiveFleet) RemainingMembers(ctx context.Context, machine string) (names []string, wait bool, err error) {
 	if len(f.MembershipURLs) == 0 {
 		return nil, false, nil
--- a/internal/registry/client/stale_response_test.go
+++ b/internal/registry/client/stale_response_test.go
@@ -16,7 +16,8 @@
 // used to accept a stale response from it. It has to try the other replicas first, accept a stale
 // response only if there is no better one, and then the one with the lowest age: a replica whose
 // disk was full until a moment ago lags behind the others. Symptom in TestLeasesWithFullDisks
-// under load: grants are read that are 3 s old while the disks of a majority were full and all replicas were stale.
+// under load: grants are read that are 3 s old while the disks of a majority are full and all
+// replicas are stale.
 func TestStaleResponseIsUsedOnlyAsLastResort(t *testing.T) {
 	serve := func(read string, version int) string {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/registry/client/watcher_test.go
+++ b/internal/registry/client/watcher_test.go
@@ -338,11 +338,12 @@
 	}
 }
 
-// Guards against a sidecar that sends requests to a draining server again. After a new
-// configuration has changed the addresses, the watcher needs a full list. If discovery is down
-// except for a replica whose disk has been full since before the drain, that replica's older
-// list used to replace the sidecar's later one. Symptom, in the soak test with seed 1: the log has
-// `addresses changed`, then `list update seq=1` after the drain has arrived with `seq=2`.
+// Guards against a sidecar that sends requests to a draining server again, for as long as discovery
+// is down. After a new configuration has changed the addresses, the watcher needs a full list. If
+// discovery is down except for a replica whose disk has been full since before the drain, that
+// replica's older list used to replace the sidecar's later one. Symptom, in the soak test with seed
+// 1: the log has `addresses changed`, then `list update seq=1` after the drain has arrived with
+// `seq=2`.
 func TestStaleListDoesNotReplaceLaterList(t *testing.T) {
 	current, _ := serveAs(t, registry.ReadCurrent+"; age_ms=1", 9)
 	older, calls := serveAs(t, registry.ReadStale+"; age_ms=60000", 7)
--- a/internal/registry/server/shutdown_test.go
+++ b/internal/registry/server/shutdown_test.go
@@ -33,7 +33,8 @@
 // between two goroutines of the Raft library. When Raft stops, the reader of the channel returns
 // without completing them, so their futures block for ever. Close waits for the leader's
 // background work (expiry of claims and sessions, the barrier of a new leader), which waits for
-// such futures in raft.(*deferError).Error below Replica.apply.
+// such futures in raft.(*deferError).Error below Replica.apply. Symptom: 15 s after shutdown began,
+// the replica still runs, with these goroutines blocked there and Close in WaitGroup.Wait.
 //
 // The test locks the state machine, commits background writes that cannot be applied, and
 // unlocks the state machine when Raft stops.
