--- a/internal/controller/fleetview.go
+++ b/internal/controller/fleetview.go
@@ -58,7 +58,8 @@
 	return f, err
 }
 
-// notify sends a notification without blocking, to a channel with a buffer of one. It does nothing if one is pending.
+// notify sends a notification without blocking, to a channel with a buffer of one. It does nothing if
+// one is pending.
 func notify(changed chan<- struct{}) {
 	select {
 	case changed <- struct{}{}:
--- a/internal/registry/server/config.go
+++ b/internal/registry/server/config.go
@@ -74,10 +74,10 @@
 	defaultWaiting       = 512
 	defaultFloor         = 0.5
 	defaultSessionWindow = time.Minute
-	defaultMinTTL        = 500 * time.Millisecond // an election may start this long after a leader is lost
+	defaultMinTTL        = 500 * time.Millisecond // an election may start late by as much
 	defaultMaxTTL        = time.Hour
 	defaultElection      = 500 * time.Millisecond // a message over loopback takes less than a millisecond
-	defaultMinLeaseTTL   = 500 * time.Millisecond // an election may start this long after a leader is lost
+	defaultMinLeaseTTL   = 500 * time.Millisecond // an election may start late by as much
 	defaultMaxLeaseTTL   = 15 * time.Second       // a new group grants no lease for that long
 	defaultLeaseWrites   = 1000                   // several times the load of 500 leases that change holders in one second
 	minElectionTimeout   = 50 * time.Millisecond
