--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// serveRequest takes a connection through one request, after which it is idle.
+// serveRequest reports one complete request on a connection, which is idle afterwards.
 func serveRequest(t *table, c *conn, now time.Time) {
 	t.FirstByteRead(c, now)
 	t.HeaderRead(c)
@@ -110,7 +110,7 @@
 	}
 	tb.BecameIdle(held[2], start)
 	if c := open(tb, 1, start); c == nil || held[2].state != notInTable {
-		t.Error("the idle connection of the largest holder was not evicted")
+		t.Error("the idle connection of the address with the most connections was not evicted")
 	}
 }
 
@@ -134,7 +134,7 @@
 				t.Errorf("got overdue at %v, want %v after the start", got, c.after)
 			}
 			if open(tb, 0, start.Add(c.after-1)) != nil {
-				t.Error("a connection was admitted within the grace")
+				t.Error("a connection was admitted within the grace period")
 			}
 			if open(tb, 0, start.Add(c.after)) == nil || late.state != notInTable || kept.state != idle {
 				t.Error("the overdue connection was not evicted, or the idle one was")
@@ -181,18 +181,18 @@
 		conns = append(conns, c)
 	}
 	if got := tb.ExcessIdle(); got != conns[1] {
-		t.Error("got a connection that is not the longest idle one of the largest holder")
+		t.Error("got a connection that is not the longest idle one of the address with the most connections")
 	}
 	tb.Remove(conns[1])
 	if tb.ExcessIdle() != nil {
-		t.Error("got an excess connection at the limit")
+		t.Error("got an excess connection at the limit, want none")
 	}
 	tb.SetLimits(Limits{Total: 1, PerAddress: 1, HalfOpen: 1, Idle: 1})
 	for tb.ExcessIdle() != nil {
 		tb.Remove(tb.ExcessIdle())
 	}
 	if tb.Open() != 1 {
-		t.Errorf("got %d open connections at a new limit of 1", tb.Open())
+		t.Errorf("got %d open connections at a new limit of 1, want 1", tb.Open())
 	}
 }
 
--- a/internal/cli/deprecated_test.go
+++ b/internal/cli/deprecated_test.go
@@ -47,7 +47,7 @@
 		root.AddCommand(WithFormerName(&cobra.Command{Use: "new", RunE: func(*cobra.Command, []string) error { ran = true; return nil }}, "old"))
 		status := Run(t.Context(), "program", root, []string{called}, &out, &errs)
 		if status != StatusDone || !ran || errs.String() != warned {
-			t.Errorf("%s: status %d, ran %v, says %q; want %q", called, status, ran, errs.String(), warned)
+			t.Errorf("%s: got status %d, ran %v, errors %q; want status 0, ran true, errors %q", called, status, ran, errs.String(), warned)
 		}
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -201,7 +201,7 @@
 func (s *Settings) count(key string) int {
 	n := s.number(key)
 	if n < 0 || n > maxCount || n != float64(int(n)) {
-		s.fail("%s: %v is not a whole number in the allowed range", key, n)
+		s.fail("%s is %v, want a whole number from 0 to 65536", key, n)
 		return 0
 	}
 	return int(n)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -17,7 +17,7 @@
 		}
 	}
 	if DurationFromMillis(math.NaN()) != 0 || DurationFromMillis(math.Inf(1)) <= 0 || DurationFromMillis(math.Inf(-1)) >= 0 {
-		t.Error("NaN or an infinite number did not become a usable duration")
+		t.Error("got an unusable duration, want 0 for NaN and a duration of the same sign for an infinite number")
 	}
 }
 
@@ -60,22 +60,22 @@
 	}
 	if c.Balancers != 3 || c.Zone != 2 || c.MaxAttempts != 3 || !c.MayCancel || !c.MayProbe ||
 		!c.PollList || c.SlowStartFloor != 0.32 || c.CrossZoneCost != 0.03 {
-		t.Errorf("got config %+v", c)
+		t.Errorf("got config %+v, want the values of the settings above", c)
 	}
 	if k := c.Classes[0]; k.Idempotency != policy.IdempotentByKey || k.DedupScope != policy.ScopeCell || k.DedupWindow != 600*time.Millisecond {
-		t.Errorf("got class 0 %+v", k)
+		t.Errorf("got class 0 %+v, want idempotent by key, scope cell, window 600ms", k)
 	}
 	if c.Classes[1].Idempotency != policy.NonIdempotent {
-		t.Error("unknown semantics are not treated as the strictest")
+		t.Error("unknown semantics: got a class that is not non-idempotent, want the strictest semantics")
 	}
 	if c.Tenants[0].Quota != 342 || c.Tenants[0].Share != 0.79 {
-		t.Errorf("got tenant %+v", c.Tenants[0])
+		t.Errorf("got tenant %+v, want quota 342 and share 0.79", c.Tenants[0])
 	}
 	if !c.KeyAffinity {
-		t.Error("warm_keys is not read")
+		t.Error("got no key affinity, want it as by warm_keys")
 	}
 	if got := s.LoadColumns(); len(got) != 4 || got[3] != "busy_reqs" {
-		t.Errorf("got columns %+v", got)
+		t.Errorf("got columns %+v, want 4 with busy_reqs last", got)
 	}
 	for _, bad := range []string{"balancers=three", "classes.count=-1", "classes.count=1e9", "orgs.count=1.5"} {
 		s, err := ParseLines([]byte(bad))
@@ -83,11 +83,11 @@
 			t.Fatal(err)
 		}
 		if _, err := s.PolicyConfig(); err == nil {
-			t.Errorf("%s: got no error", bad)
+			t.Errorf("%s: got no error, want one", bad)
 		}
 	}
 	if _, err := ParseLines([]byte("no equals sign")); err == nil {
-		t.Error("a line without '=': got no error")
+		t.Error("a line without '=': got no error, want one")
 	}
 }
 
@@ -118,14 +118,14 @@
 		t.Errorf("got %+v from JSON, want %+v as from lines", got, want)
 	}
 	if names := s.Names("classes"); !slices.Equal(names, []string{"a b", "c"}) {
-		t.Errorf("got classes %q", names)
+		t.Errorf("got classes %q, want 'a b' and 'c'", names)
 	}
 	if c := s.LoadColumns(); !slices.Equal(c, lines.LoadColumns()) || s.Values("none") != nil {
 		t.Errorf("got columns %q from JSON, want %q as from lines", c, lines.LoadColumns())
 	}
 	for _, bad := range []string{"", "[]", `{"balancers":`, "7"} {
 		if _, err := ParseJSON([]byte(bad)); err == nil {
-			t.Errorf("%q: got no error", bad)
+			t.Errorf("%q: got no error, want one", bad)
 		}
 	}
 }
@@ -135,10 +135,10 @@
 func TestDataAfterTheSettingsIsRejected(t *testing.T) {
 	for _, text := range []string{`{"zones":["a"]}{"zones":["b"]}`, `{"zones":["a"]} x`, `{"zones":["a"]}]`} {
 		if _, err := ParseJSON([]byte(text)); err == nil {
-			t.Errorf("%s was accepted", text)
+			t.Errorf("%s: got no error, want one about the data after the object", text)
 		}
 	}
 	if _, err := ParseJSON([]byte(`{"zones":["a"]}` + "\n ")); err != nil {
-		t.Errorf("white space at the end: %v", err)
+		t.Errorf("white space at the end: got error %v, want none", err)
 	}
 }
--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -98,7 +98,7 @@
 		return
 	}
 	slog.Info("shutdown: ended", "program", s.program, "took", time.Since(s.startedAt).Round(time.Millisecond))
-	if !s.timer.Stop() { // after logging, because writing to the log may block
+	if !s.timer.Stop() { // after logging: if writing to the log blocks, the timeout still fires
 		<-s.exited
 	}
 }
--- a/internal/shutdown/shutdown_test.go
+++ b/internal/shutdown/shutdown_test.go
@@ -25,7 +25,7 @@
 			s := begin("registry", 10*time.Second, func(status int) { statuses = append(statuses, status) })
 			failed := errors.New("failed")
 			if err := s.Step("first", func() error { return failed }); !errors.Is(err, failed) {
-				t.Errorf("%s: the step's error is %v, want %v", name, err, failed)
+				t.Errorf("%s: Step: got error %v, want %v", name, err, failed)
 			}
 			_ = s.Step("second", func() error {
 				time.Sleep(x.duration)
@@ -34,10 +34,10 @@
 			s.End()
 			synctest.Wait()
 			if got := len(statuses) > 0; got != x.cutOff {
-				t.Errorf("%s: cut off: got %v want %v", name, got, x.cutOff)
+				t.Errorf("%s: got cut off %v, want %v", name, got, x.cutOff)
 			}
 			if cut := strings.Contains(log.String(), `msg="shutdown: cut off" program=registry step=second`); cut != x.cutOff {
-				t.Errorf("%s: the log names the step: got %v want %v:\n%s", name, cut, x.cutOff, log.String())
+				t.Errorf("%s: got the step named in the log %v, want %v:\n%s", name, cut, x.cutOff, log.String())
 			}
 		})
 	}
--- a/internal/sidecar/balancer_host.go
+++ b/internal/sidecar/balancer_host.go
@@ -76,7 +76,7 @@
 // tell the client that a retry is safe.
 func (l *eventLoop) Fail(id policy.RequestID) {
 	status := http.StatusBadGateway
-	if r := l.requests.byID[id]; r != nil && (r.lastAttemptTimedOut || r.inFlight > 0) { // timed out: detected by the attempt or, before it, by the balancer
+	if r := l.requests.byID[id]; r != nil && (r.lastAttemptTimedOut || r.inFlight > 0) { // the attempt timed out, or the balancer failed the request before that
 		status = http.StatusGatewayTimeout
 	}
 	l.answerRequest(id, response{status: status})
--- a/internal/sidecar/client_handler.go
+++ b/internal/sidecar/client_handler.go
@@ -93,7 +93,7 @@
 		rejectRequest(w, hr, status)
 		return
 	}
-	if c.ClosedByClient() { // the client has disconnected, or reads only the response
+	if c.ClosedByClient() { // the client has disconnected, or has closed its sending side and still reads
 		rejectRequest(w, hr, http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/sidecar/client_listener_test.go
+++ b/internal/sidecar/client_listener_test.go
@@ -318,13 +318,13 @@
 	}
 	for _, m := range regexp.MustCompile("`([A-Z][A-Za-z]+)`").FindAllSubmatch(page, -1) {
 		if _, ok := named[string(m[1])]; !ok {
-			t.Errorf("the page names %s, which does not exist", m[1])
+			t.Errorf("docs/CONNECTIONS.md names %s, which does not exist", m[1])
 		}
 		named[string(m[1])] = true
 	}
 	for name, ok := range named {
 		if !ok {
-			t.Errorf("the page does not name %s", name)
+			t.Errorf("docs/CONNECTIONS.md does not name %s", name)
 		}
 	}
 }
--- a/internal/sidecar/client_races_test.go
+++ b/internal/sidecar/client_races_test.go
@@ -97,10 +97,10 @@
 		}
 		body, _ := io.ReadAll(resp.Body)
 		if resp.StatusCode != 200 || string(body) != "ok" {
-			t.Errorf("request %d: got %d %q", i, resp.StatusCode, body)
+			t.Errorf("request %d: got status %d, body %q; want 200 and ok", i, resp.StatusCode, body)
 		}
 		if r := sidecartest.Await(t, "the request", u.Requests); r.Body != "honey pot" || r.ContentLength != 9 || len(r.TransferEncoding) > 0 {
-			t.Errorf("request %d: the server read %q, length %d, encoding %v", i, r.Body, r.ContentLength, r.TransferEncoding)
+			t.Errorf("request %d: the server read %q, length %d, encoding %v; want honey pot, 9, none", i, r.Body, r.ContentLength, r.TransferEncoding)
 		}
 	}
 }
--- a/internal/sidecar/client_test.go
+++ b/internal/sidecar/client_test.go
@@ -25,7 +25,7 @@
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	got := call{class: "once", body: "{}"}.send(t, addr)
 	if got.status != 200 || got.body != body || got.header.Get("X-Ledger") != "4" || got.header.Get("Server-Load") != "" {
-		t.Errorf("got status %d, %d bytes, header %v, error %v", got.status, len(got.body), got.header, got.err)
+		t.Errorf("got status %d, %d bytes, header %v, error %v; want 200, the unchanged body, X-Ledger and no Server-Load", got.status, len(got.body), got.header, got.err)
 	}
 }
 
@@ -408,8 +408,8 @@
 	sendRequest("again")
 }
 
-// Clients that send one request and keep the connection reach the limit on idle connections, which is well
-// below the limit on all connections: the sidecar closes idle connections beyond it.
+// Clients that send one request and keep the connection would soon reach their own connection limits. The
+// sidecar therefore limits idle connections well below its limit on all connections, and closes the excess.
 func TestIdleConnectionsAreLimited(t *testing.T) {
 	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
 	c := testConfig(t, options{sockets: config.MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
@@ -497,13 +497,13 @@
 	r := sidecartest.Await(t, "the request", u.Requests)
 	if r.Method != "POST" || r.RequestURI != "/api/a%2Fb?q=1&r=%20" || r.Body != body ||
 		r.Header.Get("Request-Id") != t.Name() || r.Header.Get("Idempotency-Key") != "5c0f6e1a" {
-		t.Errorf("the server read %s %s %v, %d bytes", r.Method, r.RequestURI, r.Header, len(r.Body))
+		t.Errorf("the server read %s %s %v, %d bytes; want the client's method, target, header and body", r.Method, r.RequestURI, r.Header, len(r.Body))
 	}
 	if r.Header.Get("X-Hop") != "" || len(r.Header["X-Trace"]) != 2 {
 		t.Errorf("got header %v: a hop-by-hop field was forwarded, or another was not", r.Header)
 	}
 	if wait, ok := parseTimeout(r.Header.Get("Request-Timeout")); !ok || wait > 3250*time.Millisecond || wait < 2*time.Second {
-		t.Errorf("got Request-Timeout %q, want what is left of 3.25", r.Header.Get("Request-Timeout"))
+		t.Errorf("got Request-Timeout %q, want 2 to 3.25 seconds", r.Header.Get("Request-Timeout"))
 	}
 }
 
@@ -513,6 +513,6 @@
 	shutdown := now.Add(2 * time.Second)
 	r := &request{clientDeadline: now.Add(time.Hour), processDeadline: shutdown}
 	if r.deadline() != shutdown || r.processTimeLeft() <= 0 {
-		t.Errorf("got %v, in %v, want %v", r.deadline(), r.processTimeLeft(), shutdown)
+		t.Errorf("got deadline %v, process time left %v; want deadline %v and some time left", r.deadline(), r.processTimeLeft(), shutdown)
 	}
 }
--- a/internal/sidecar/clock.go
+++ b/internal/sidecar/clock.go
@@ -40,7 +40,7 @@
 
 func newWakeTimer() wakeTimer { return wakeTimer{timer: time.NewTimer(time.Hour)} }
 
-// arm sets the timer. While it is armed, the balancer arms it only for an earlier time.
+// arm sets the timer. While the timer is armed, the balancer calls arm only for an earlier time.
 func (w *wakeTimer) arm(now, after time.Duration) {
 	w.due = now + after
 	w.timer.Reset(after)
--- a/internal/sidecar/config/compatibility_test.go
+++ b/internal/sidecar/config/compatibility_test.go
@@ -72,7 +72,7 @@
 		if isTOML(path) {
 			form, err := toPlatformJSON([]byte(fixture.ReadString(t, name)), randomSeed)
 			if want := fixture.ReadString(t, name+".platform.json"); err != nil || string(form)+"\n" != want {
-				t.Errorf("the platform's JSON of %s is\n%s, error %v; want\n%s", name, form, err, want)
+				t.Errorf("%s: got the platform's JSON\n%s, error %v; want\n%s", name, form, err, want)
 			}
 		}
 		c, err := loadFile(path)
@@ -87,7 +87,7 @@
 		columns := regexp.MustCompile(`  +`) // column widths depend on the wording
 		want := columns.ReplaceAllString(currentWording.Replace(fixture.ReadString(t, name+".explained.txt")), "  ")
 		if text := columns.ReplaceAllString(got.String(), "  "); text != want {
-			t.Errorf("%s is explained as\n%s\nwant\n%s", name, text, want)
+			t.Errorf("%s: got explanation\n%s\nwant\n%s", name, text, want)
 		}
 	}
 }
@@ -119,6 +119,6 @@
 		checked++
 	}
 	if checked != len(golden) {
-		t.Errorf("tried %d mistakes, the golden file has %d", checked, len(golden))
+		t.Errorf("got %d mistakes in mutations.txt, want %d as in mutations.golden", checked, len(golden))
 	}
 }
--- a/internal/sidecar/config/config.go
+++ b/internal/sidecar/config/config.go
@@ -88,7 +88,7 @@
 }
 
 // ReadAgain reads the file again, which may block on its disk. The platform's limits remain those read at
-// startup. Environment variables are not applied, since they still have their values of the startup.
+// startup. Environment variables do not override the file here, since they still have their values from startup.
 func (c *Config) ReadAgain() (*Config, error) {
 	fresh, err := readConfig(c.Path, &c.Limits)
 	if err != nil {
--- a/internal/sidecar/config/config_test.go
+++ b/internal/sidecar/config/config_test.go
@@ -27,7 +27,7 @@
 	c, err := load(good, map[string]string{"ROUTER_LISTEN": "127.0.0.1:9"})
 	if err != nil || c.Name != "n3" || c.Listen != "127.0.0.1:9" || c.Seed != 255 || c.KnownEndpoints != nil || c.Limits.Sockets != 1024 ||
 		c.DialTimeout != defaultDialTimeout || c.UpstreamIdleTimeout != defaultUpstreamIdle {
-		t.Errorf("configuration %+v, error %v", c, err)
+		t.Errorf("got configuration %+v, error %v; want the values of the file and the environment", c, err)
 	}
 	for name, change := range map[string][2]string{
 		"no JSON":      {"{", "("},
@@ -39,11 +39,11 @@
 		"no name":      {`"name":"a"`, `"name":""`},
 	} {
 		if _, err := load(strings.Replace(good, change[0], change[1], 1), nil); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want one plain line", name, err)
+			t.Errorf("%s: got error %v, want one of a single line", name, err)
 		}
 	}
 	if _, err := Load(func(string) string { return "" }); err == nil {
-		t.Error("without ROUTER_CONFIG: no error")
+		t.Error("without ROUTER_CONFIG: got no error, want one")
 	}
 }
 
--- a/internal/sidecar/config/file.go
+++ b/internal/sidecar/config/file.go
@@ -2,8 +2,8 @@
 
 import "barleywick/internal/membership"
 
-// file is a configuration file in TOML, the format for people. It has the same keys as the platform's JSON
-// and is converted to it, so that both formats share one parser. The unit, default and doc tags are the
+// file is a configuration file in TOML, the format for files written by hand. It has the same keys as the
+// platform's JSON and is converted to it, so that both formats share one parser. The unit, default and doc tags are the
 // text of docs/CONFIGURATION.md.
 type file struct {
 	Name              string             `toml:"name" json:"name" doc:"its name, the same after a restart"`
--- a/internal/sidecar/config/file_check.go
+++ b/internal/sidecar/config/file_check.go
@@ -10,7 +10,7 @@
 	"barleywick/internal/configfile"
 )
 
-// isTOML reports whether a file is in the format for people, TOML, rather than the platform's JSON.
+// isTOML reports whether a file is in TOML, the format for files written by hand, and not the platform's JSON.
 func isTOML(path string) bool { return filepath.Ext(path) == ".toml" }
 
 // toPlatformJSON converts a TOML file to the platform's JSON. newSeed provides the seed if the file has
--- a/internal/sidecar/config/file_test.go
+++ b/internal/sidecar/config/file_test.go
@@ -70,10 +70,10 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(a, b) {
-		t.Errorf("TOML %+v\nJSON %+v", a, b)
+		t.Errorf("got from TOML\n%+v\nwant as from JSON\n%+v", a, b)
 	}
 	if a.Seed != 0xff || a.Connections.Clients.Idle != 7 || a.Policy.Zone != 1 || len(a.Policy.Classes) != 2 {
-		t.Errorf("%+v", a)
+		t.Errorf("got %+v, want seed ff, 7 idle client connections, zone 1 and 2 classes", a)
 	}
 	c, err := readText(t, "c.toml", strings.Replace(tomlText, `seed = "ff"`, "", 1))
 	d, err2 := readText(t, "c.toml", strings.Replace(tomlText, `seed = "ff"`, "", 1))
@@ -104,7 +104,7 @@
 	} {
 		_, err := readText(t, "c.toml", strings.Replace(tomlText, from, c[0], 1))
 		if err == nil || !strings.Contains(err.Error(), "c.toml: "+c[1]) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v; want one line with %q", c[0], err, c[1])
+			t.Errorf("%q: got error %v, want one line with %q", c[0], err, c[1])
 		}
 	}
 }
@@ -185,7 +185,7 @@
 		platform, err := toPlatformJSON(text, func() string { return "1" })
 		if err != nil {
 			if strings.Contains(err.Error(), "\n") {
-				t.Errorf("more than one line: %v", err)
+				t.Errorf("got an error of more than one line: %v", err)
 			}
 			return
 		}
@@ -209,10 +209,10 @@
 		config := `{"seed":"1","takeover":` + text + `,"settings":{"balancers":1,"caps":{"most_tries":3},"classes":[{"name":"a","aim_ms":1,"hard_limit_ms":2}]}}`
 		c, err := Parse([]byte(config), nil)
 		if (err == nil) != (want == "") || (err != nil && !strings.Contains(err.Error(), want)) {
-			t.Errorf("%s: error %v, want %q", text, err, want)
+			t.Errorf("%s: got error %v, want %q", text, err, want)
 		}
 		if err == nil && (c.Takeover == nil || c.Takeover.ReadyTimeout() <= 0) {
-			t.Errorf("%s: %+v", text, c.Takeover)
+			t.Errorf("%s: got takeover %+v, want one with a positive ready timeout", text, c.Takeover)
 		}
 	}
 }
--- a/internal/sidecar/config/limits_test.go
+++ b/internal/sidecar/config/limits_test.go
@@ -30,12 +30,12 @@
 			_, err = deriveConnectionLimits(sockets, table)
 		}
 		if (err == nil) != (c.want == "") || (err != nil && (!strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n"))) {
-			t.Errorf("%s: error %v, want one with %q", name, err, c.want)
+			t.Errorf("%s: got error %v, want one with %q", name, err, c.want)
 		}
 	}
 	for n := MinSockets; n < 5000; n += 7 { // the derived limits are valid for any number of sockets
 		if l, err := deriveConnectionLimits(Limits{Sockets: n}, connectionsTable{}); err != nil {
-			t.Errorf("%d sockets: %v, %+v", n, err, l)
+			t.Errorf("%d sockets: got error %v, limits %+v; want no error", n, err, l)
 		}
 	}
 }
@@ -55,7 +55,7 @@
 		}
 		if l, err := deriveConnectionLimits(Limits{Sockets: sockets}, table); err == nil {
 			if l.Clients.Total+l.Clients.Waiting+l.Clients.Refusing+l.Servers.Total >= sockets || l.Clients.Total < 1 || l.Servers.HandshakesPerServer < 1 {
-				t.Errorf("%s at %d sockets: %+v", text, sockets, l)
+				t.Errorf("%s at %d sockets: got limits %+v, want ones that fit the sockets and are at least 1", text, sockets, l)
 			}
 		}
 	})
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -179,7 +179,7 @@
 // forBalancer converts the endpoint to the balancer's type.
 func (e *endpoint) forBalancer(zone int) policy.Endpoint {
 	p := policy.Endpoint{ID: e.id, Zone: zone, Weight: e.entry.Share, Started: e.startedAt, State: policy.Draining}
-	p.Cell = -int(e.id) // a cell of its own, as the entry names none
+	p.Cell = -int(e.id) // a cell of its own: a server without a listed cell shares cached keys with no other
 	if e.entry.Block != nil {
 		p.Cell = *e.entry.Block
 	}
--- a/internal/sidecar/endpoints_test.go
+++ b/internal/sidecar/endpoints_test.go
@@ -110,7 +110,7 @@
 	born := float64(time.Now().Add(step - time.Second).UnixMilli())
 	s, ok := l.applyEntry(client.Endpoint{Host: "s-1", Dial: "127.0.0.1:7", Site: "a", Health: "up", Share: 1, BornMS: born})
 	if age := l.clock.now - s.Started; !ok || age < 500*time.Millisecond || age > 1500*time.Millisecond {
-		t.Errorf("got %v since the start of a server that started 1 s ago", age)
+		t.Errorf("got %v since the start of a server that started 1 s ago, want 0.5 to 1.5 s", age)
 	}
 }
 
--- a/internal/sidecar/handover/predecessor.go
+++ b/internal/sidecar/handover/predecessor.go
@@ -28,7 +28,7 @@
 
 // NewProcess is what TakeOver needs of the process that replaces a predecessor.
 type NewProcess interface {
-	// Ready reports whether the process could serve requests.
+	// Ready reports whether the process can serve requests.
 	Ready() bool
 	// StartAccepting is called once, when the predecessor has handed over or has died.
 	StartAccepting()
@@ -126,8 +126,8 @@
 }
 
 // TakeOver waits until the new process is ready and the predecessor has handed over to it. Then it
-// starts the new process's accepting, and passes on what capacity the predecessor still uses until the
-// predecessor ends. It fails if the new process is not ready before the timeout, or if the predecessor
+// makes the new process accept connections, and reports to it the capacity that the predecessor still uses
+// until the predecessor ends. It fails if the new process is not ready before the timeout, or if the predecessor
 // does not hand over.
 func (p *Predecessor) TakeOver(ctx context.Context, to NewProcess) error {
 	defer context.AfterFunc(ctx, p.Close)()
--- a/internal/sidecar/overloadreporter/reporter.go
+++ b/internal/sidecar/overloadreporter/reporter.go
@@ -186,7 +186,7 @@
 		return advice, fmt.Errorf("%s responded with status %d: %.200s", r.address, resp.StatusCode, bytes.TrimSpace(body))
 	}
 	if err := json.Unmarshal(body, &advice); err != nil {
-		return advice, fmt.Errorf("%s: %w", r.address, err)
+		return advice, fmt.Errorf("%s responded with malformed advice: %w", r.address, err)
 	}
 	return advice, nil
 }
--- a/internal/sidecar/policyfollower/store.go
+++ b/internal/sidecar/policyfollower/store.go
@@ -68,7 +68,7 @@
 	return os.Remove(s.path())
 }
 
-// writeAtomic replaces a file by writing a temporary file and renaming it.
+// writeAtomic replaces a file by writing a temporary file and renaming it, so that the file is always complete.
 func writeAtomic(path string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -10,8 +10,8 @@
 	"barleywick/policy"
 )
 
-// noPolicyRetryAfter is the mean Retry-After of refusals while the sidecar may not act under the fleet
-// policy.
+// noPolicyRetryAfter is the mean Retry-After of refusals while the fleet policy does not allow admitting
+// requests.
 const noPolicyRetryAfter = time.Second
 
 // request is a client's request until the client has its response. The fields up to result are set before
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -8,7 +8,7 @@
 //     application
 //   - the event loop (loop.go): requests in progress, the endpoint list and the balancer
 //   - package upstream: connections to booking servers and the attempts over them
-//   - package gate: the final check before sending, closing or starting anything
+//   - package gate: the final check before an attempt is sent, a client connection closed or a probe started
 //   - package policyfollower: the fleet policy
 //   - package overloadreporter: overload digests and advice
 //   - package handover: the take-over by a successor process
--- a/internal/sidecar/upstream/attempt.go
+++ b/internal/sidecar/upstream/attempt.go
@@ -59,7 +59,7 @@
 	Request        *Request
 	Client         ClientConn // nil if there is none
 	Server         *Server
-	Deadline       time.Time // the client's deadline; zero: no limit
+	Deadline       time.Time // when the request must be answered; zero: no limit
 	RepeatDeadline time.Time // for repeating a request that may have run; zero: it cannot have run
 
 	ctx         context.Context // ends when the attempt is cancelled or times out
--- a/internal/sidecar/upstream/quarantine_test.go
+++ b/internal/sidecar/upstream/quarantine_test.go
@@ -47,12 +47,12 @@
 					want = "done"
 				}
 				if ending != policy.Served || string(got.Body) != want {
-					t.Fatalf("request %d: got ending %v, response %+v", i, ending, got)
+					t.Fatalf("request %d: got ending %v, response %+v; want served with its own response", i, ending, got)
 				}
 				endAllQuarantines(p)
 			}
 			if n, _ := p.Counters(); (n.DuplicateResponses > 0) == equal {
-				t.Errorf("got %d duplicates dropped (all responses equal: %v)", n.DuplicateResponses, equal)
+				t.Errorf("got %d duplicates dropped with all responses equal: %v; want some only if responses differ", n.DuplicateResponses, equal)
 			}
 		})
 	}
@@ -86,7 +86,7 @@
 			for i := range 20 {
 				ending, a := runOneAttempt(t.Context(), p, to)
 				if ending != policy.Served || string(a.Body) != "good" {
-					t.Fatalf("attempt %d: got ending %v, response %+v", i, ending, a)
+					t.Fatalf("attempt %d: got ending %v, response %+v; want served with body good", i, ending, a)
 				}
 				if r := sidecartest.Await(t, "the request", u.Requests); surplus == "" {
 					io.WriteString(r.Conn, sidecartest.OKResponse("stale"))
--- a/internal/sidecar/upstream/response_test.go
+++ b/internal/sidecar/upstream/response_test.go
@@ -65,10 +65,10 @@
 				t.Errorf("got ending %v, want %v", got, c.want)
 			}
 			if (a != nil) != (c.want == policy.Served) || (a != nil && string(a.Body) != "honey") {
-				t.Errorf("got response %+v", a)
+				t.Errorf("got response %+v, want one with body honey only if the request was served", a)
 			}
 			if r := sidecartest.Await(t, "the request", u.Requests); r.Body != "{}" || r.Header.Get("Request-Id") != "x" {
-				t.Errorf("the server received header %v, body %q", r.Header, r.Body)
+				t.Errorf("the server received header %v, body %q; want Request-Id x and body {}", r.Header, r.Body)
 			}
 		})
 	}
--- a/internal/sidecar/upstream/server_states.go
+++ b/internal/sidecar/upstream/server_states.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// ServerState returns the current state of a server by the endpoint list. It may have changed since the
+// ServerState returns the current state of a server in the endpoint list. It may have changed since the
 // server was chosen, as a handshake takes time.
 func (p *Pool) ServerState(server *Server) policy.EndpointState {
 	p.mu.Lock()
--- a/internal/sidecar/upstream/write_test.go
+++ b/internal/sidecar/upstream/write_test.go
@@ -85,7 +85,7 @@
 		sent, err := strconv.ParseFloat(r.outgoing(ctx).Header.Get("Request-Timeout"), 64)
 		cancel()
 		if most := left - min(timeoutMargin, left/4) + time.Millisecond; err != nil || sent <= 0 || sent > most.Seconds() {
-			t.Errorf("%v left: got Request-Timeout %v s, error %v", left, sent, err)
+			t.Errorf("%v left: got Request-Timeout %v s, error %v; want a positive one that is shorter by the margin", left, sent, err)
 		}
 	}
 }
--- a/internal/sidecarcmd/command_test.go
+++ b/internal/sidecarcmd/command_test.go
@@ -36,7 +36,7 @@
 	} {
 		status, _, errs := call(nil, c.args...)
 		if status != c.status || !strings.Contains(errs, c.mentions) || (c.status != cli.StatusDone && strings.Count(errs, "\n") != 1) {
-			t.Errorf("%v: status %d, says %q; want %d and one line that names %q", c.args, status, errs, c.status, c.mentions)
+			t.Errorf("%v: got status %d, errors %q; want %d and one line that names %q", c.args, status, errs, c.status, c.mentions)
 		}
 	}
 }
@@ -51,14 +51,14 @@
 	}
 	status, out, errs := call(map[string]string{"ROUTER_DISCOVERY": "127.0.0.1:9"}, "check", path)
 	if status != cli.StatusDone || errs != "" {
-		t.Fatalf("status %d, %s", status, errs)
+		t.Fatalf("got status %d, errors %q; want 0 and none", status, errs)
 	}
 	for _, want := range []string{"127.0.0.1:9", "must never run twice", "124; 124 of one address", "bulkhead acme"} {
 		if !strings.Contains(out, want) {
-			t.Errorf("no %q in\n%s", want, out)
+			t.Errorf("want %q in the output, got\n%s", want, out)
 		}
 	}
 	if strings.Contains(out, "bulkhead acme  0 slots") {
-		t.Errorf("no slots in\n%s", out)
+		t.Errorf("want slots for bulkhead acme in the output, got\n%s", out)
 	}
 }
--- a/policy/pages_test.go
+++ b/policy/pages_test.go
@@ -20,13 +20,13 @@
 	}
 	for _, m := range regexp.MustCompile("`([A-Z][A-Za-z]+)`").FindAllSubmatch(page, -1) {
 		if _, ok := known[string(m[1])]; !ok {
-			t.Errorf("DECISIONS.md names %s, which does not exist", m[1])
+			t.Errorf("DECISIONS.md names the counter %s, which does not exist", m[1])
 		}
 		known[string(m[1])] = true
 	}
 	for name, named := range known {
 		if !named {
-			t.Errorf("DECISIONS.md does not name %s", name)
+			t.Errorf("DECISIONS.md does not name the counter %s", name)
 		}
 	}
 }
--- a/policy/roundrobin.go
+++ b/policy/roundrobin.go
@@ -19,8 +19,8 @@
 	objectiveShareWindow = 8
 	// reportLifetime is the time after which a load report is ignored.
 	reportLifetime = time.Second
-	// reportTolerance is the number of requests that a server may report above its expected number, since a
-	// report is usually older than the duration of most requests.
+	// reportTolerance is the number of requests that a server may report above its expected number, since the
+	// age of a report usually exceeds the duration of most requests.
 	reportTolerance = 2
 )
 
--- a/policy/roundrobin_test.go
+++ b/policy/roundrobin_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// A load report is usually older than the duration of most requests. A server that reports one request more
+// The age of a load report usually exceeds the duration of most requests. A server that reports one request more
 // than expected from the other balancers must not count as full.
 func TestReportedLoadToleratesOldReports(t *testing.T) {
 	cfg := testConfig()
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -21,7 +21,7 @@
 	share float64 // expected share of the balancers that prefer a given server
 }
 
-// rank returns the position value of a server in the order of its cell, which differs between balancers.
+// rank returns the sort key of a server within its cell, which differs between balancers.
 func (p *subset) rank(id ServerID) uint64 { return mix(p.salt ^ mix(uint64(id))) }
 
 // chooseSubset selects the subset: the first server of each cell, so that every cell is available for its
