--- a/internal/sidecar/client_listener_test.go
+++ b/internal/sidecar/client_listener_test.go
@@ -147,7 +147,7 @@
 			}
 		}
 	}()
-	sidecartest.Eventually(t, "the checks arrive", func() bool { return sent.Load() >= int64(len(check)) && limited.openConns() == 1 })
+	sidecartest.Eventually(t, "the health checks arrive", func() bool { return sent.Load() >= int64(len(check)) && limited.openConns() == 1 })
 	// The socket buffers fill only as fast as the sidecar responds, so the wait restarts whenever bytes were
 	// sent: only a connection without progress must be closed.
 	lastSent, progressAt := int64(0), time.Now()
@@ -156,7 +156,7 @@
 			lastSent, progressAt = now, time.Now()
 		}
 		if time.Since(progressAt) > sidecartest.Patience {
-			t.Fatalf("the connection of a client that reads nothing is still open, after %d bytes of checks", lastSent)
+			t.Fatalf("the connection of a client that reads nothing is still open, after %d bytes of health checks", lastSent)
 		}
 		if lastSent > 1000*int64(len(check)) {
 			t.Fatal("a million responses were sent to a client that reads nothing")
@@ -219,7 +219,7 @@
 		t.Errorf("after the surge: got %+v, want 200", got)
 	}
 	cancel()
-	if err := sidecartest.Await(t, "the end", ended); err != nil {
+	if err := sidecartest.Await(t, "the end of the sidecar", ended); err != nil {
 		t.Error(err)
 	}
 	for range len(u.Accepted) {
@@ -282,7 +282,7 @@
 	if got := sidecartest.Await(t, "the response", held); got.status != 200 {
 		t.Errorf("a request in progress: got %+v, want 200", got)
 	}
-	if err := sidecartest.Await(t, "the end", ended); err != nil {
+	if err := sidecartest.Await(t, "the end of the sidecar", ended); err != nil {
 		t.Error(err)
 	}
 }
@@ -296,7 +296,7 @@
 	defer l.Close()
 	dialFrom(t, "127.0.0.1", ln.Addr().String())
 	dialFrom(t, "127.0.0.1", ln.Addr().String()).Close()
-	sidecartest.Eventually(t, "both are closed", func() bool {
+	sidecartest.Eventually(t, "both connections are closed", func() bool {
 		return l.openConns() == 0 && func() bool { n, _ := l.counters(); return n.Accepted == 2 }()
 	})
 	if n, _ := l.counters(); n.HeaderTimeouts != 1 || n.ClosedByClient != 1 || n.Admitted != 2 {
--- a/internal/sidecar/client_races_test.go
+++ b/internal/sidecar/client_races_test.go
@@ -53,7 +53,7 @@
 	l.post(clientDisconnected{r})
 	handled := make(chan struct{})
 	l.post(fleetPolicyReceived{done: handled})
-	sidecartest.Await(t, "the loop", handled)
+	sidecartest.Await(t, "the event loop", handled)
 	pool.Release(busyConn) // for the attempt, if it is still waiting
 	// The pool has a single connection, on which the attempt would be written before the next one.
 	next := &upstream.Attempt{Request: &upstream.Request{Method: "POST", URL: sidecartest.MustURL("/api"), Host: "x", Header: http.Header{"Request-Id": {"next"}}}, Server: to}
@@ -224,7 +224,7 @@
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(sidecartest.Patience))
 	io.WriteString(c, requestHead("half")+"Content-Length: 4\r\n\r\nho")
-	sidecartest.Eventually(t, "its header is read", func() bool {
+	sidecartest.Eventually(t, "the request's header is read", func() bool {
 		_, now := limited.counters()
 		return now.Open == 1 && now.HalfOpen == 0
 	})
@@ -240,7 +240,7 @@
 		t.Fatalf("got %+v, error %v; want 200 and Connection: close", resp, err)
 	}
 	io.Copy(io.Discard, resp.Body)
-	sidecartest.Await(t, "the close of its connection", limited.allEnded)
+	sidecartest.Await(t, "the close of the request's connection", limited.allEnded)
 	if reserved := l.releaseCapacity(); len(reserved) == 0 || reserved[0] != (policy.BulkheadCapacity{}) {
 		t.Errorf("got %v kept at the end, want none", reserved)
 	}
@@ -279,9 +279,9 @@
 	if got := readResponse(); got.StatusCode != 200 || got.Close {
 		t.Fatalf("before the shutdown: got %d, close %v; want 200, false", got.StatusCode, got.Close)
 	}
-	sidecartest.Eventually(t, "it is idle", func() bool { _, now := limited.counters(); return now.Idle == 1 })
+	sidecartest.Eventually(t, "the connection is idle", func() bool { _, now := limited.counters(); return now.Idle == 1 })
 	sendRequest("second")
-	sidecartest.Await(t, "the middle of its read", reading)
+	sidecartest.Await(t, "the middle of the request's read", reading)
 	begun := make(chan struct{})
 	go func() {
 		shutdown.start()
--- a/internal/sidecar/client_test.go
+++ b/internal/sidecar/client_test.go
@@ -437,7 +437,7 @@
 		if i < c.Connections.Clients.Idle {
 			// net/http reports an idle connection only some time after its response: wait, or the next connection
 			// could become idle first.
-			sidecartest.Eventually(t, "it is idle", func() bool { _, now := limited.counters(); return now.Idle == i+1 })
+			sidecartest.Eventually(t, "the connection is idle", func() bool { _, now := limited.counters(); return now.Idle == i+1 })
 		}
 	}
 	if _, err := first.Peek(1); err != io.EOF || time.Since(start) > idleTimeout-time.Second/2 {
--- a/internal/sidecar/config/config.go
+++ b/internal/sidecar/config/config.go
@@ -67,7 +67,7 @@
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
-		return nil, errors.New("ROUTER_CONFIG is not set: it names the configuration file")
+		return nil, errors.New("ROUTER_CONFIG is not set: want the path of the configuration file")
 	}
 	c, err := readConfig(path, nil)
 	if err != nil {
--- a/internal/sidecar/config/file.go
+++ b/internal/sidecar/config/file.go
@@ -3,8 +3,8 @@
 import "barleywick/internal/membership"
 
 // file is a configuration file in TOML, the format for files written by hand. It has the same keys as the
-// platform's JSON and is converted to it, so that both formats share one parser. The unit, default and doc tags are the
-// text of docs/CONFIGURATION.md.
+// platform's JSON and is converted to it, so that both formats share one parser. The unit, default and doc
+// tags are the text of docs/CONFIGURATION.md.
 type file struct {
 	Name              string             `toml:"name" json:"name" doc:"its name, the same after a restart"`
 	Listen            string             `toml:"listen" json:"listen" unit:"address:port" doc:"where the clients connect; listens on nothing else"`
--- a/internal/sidecar/handover/predecessor.go
+++ b/internal/sidecar/handover/predecessor.go
@@ -119,7 +119,7 @@
 		syscall.Close(fd)
 	}
 	if len(fds) == 0 {
-		return -1, errors.New("control message contains no socket")
+		return -1, errors.New("control message contains no descriptor, want the listening socket")
 	}
 	syscall.CloseOnExec(fds[0])
 	return fds[0], nil
--- a/internal/sidecar/service_test.go
+++ b/internal/sidecar/service_test.go
@@ -40,9 +40,9 @@
 	} else {
 		in.Discard(int(resp.ContentLength))
 	}
-	sidecartest.Await(t, "the first", u.Requests)
+	sidecartest.Await(t, "the first request", u.Requests)
 	held := call{class: "once", id: "held"}.sendInBackground(t, addr)
-	sidecartest.Await(t, "the held one", u.Requests)
+	sidecartest.Await(t, "the held request", u.Requests)
 	stop()
 	if _, err := in.Peek(1); err == nil { // returns when the idle connection is closed
 		t.Error("got unexpected bytes on the idle connection, want a close")
@@ -61,14 +61,14 @@
 	}
 	select {
 	case err := <-ended:
-		t.Fatalf("ended with a request unanswered: %v", err)
+		t.Fatalf("the sidecar ended with a request unanswered: error %v", err)
 	case <-time.After(lateArrivalTime): // the sidecar has stopped listening, or is about to
 	}
 	close(release)
-	if got := sidecartest.Await(t, "the held one's response", held); got.status != 200 || got.body != "ok" {
-		t.Errorf("the held one: got %+v, want 200 and ok", got)
+	if got := sidecartest.Await(t, "the held request's response", held); got.status != 200 || got.body != "ok" {
+		t.Errorf("the held request: got %+v, want 200 and ok", got)
 	}
-	if err := sidecartest.Await(t, "the end", ended); err != nil {
+	if err := sidecartest.Await(t, "the end of the sidecar", ended); err != nil {
 		t.Errorf("got error %v at the end, want none", err)
 	}
 }
@@ -124,7 +124,7 @@
 	addr, _, _ := startReloadable(t, c, reload)
 	w := sidecartest.Await(t, "the watch", old.Watches)
 	held := call{class: "once", id: "held"}.sendInBackground(t, addr)
-	sidecartest.Await(t, "the held one", a.Requests)
+	sidecartest.Await(t, "the held request", a.Requests)
 	for _, wrong := range []string{"", "{", good("discovery.internal"), `{"discovery":"127.0.0.1:1"}`} {
 		write(wrong)
 		reload <- syscall.SIGHUP
@@ -146,12 +146,12 @@
 		if got := (call{class: "once", id: fmt.Sprint(i)}).send(t, addr); got.body == "b" {
 			break
 		} else if time.Now().After(deadline) {
-			t.Fatalf("the new list is not in effect: got %+v", got)
+			t.Fatalf("the new list is not in effect: got %+v, want a response from the new server", got)
 		}
 	}
 	close(release)
-	if got := sidecartest.Await(t, "the held one's response", held); got.body != "a" {
-		t.Errorf("the held one: got %+v, want a response from the old server", got)
+	if got := sidecartest.Await(t, "the held request's response", held); got.body != "a" {
+		t.Errorf("the held request: got %+v, want a response from the old server", got)
 	}
 }
 
@@ -183,7 +183,7 @@
 	}
 	for i, k := range kept {
 		if got := requestOn(k, fmt.Sprint("again", i)); got != 200 {
-			t.Errorf("connection %d after wrong limits: got status %d, want 200", i, got)
+			t.Errorf("connection %d after invalid limits: got status %d, want 200", i, got)
 		}
 	}
 	write(`{"clients":{"idle":1}}`)
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -119,21 +119,21 @@
 	held := call{class: "once", id: "held"}.sendInBackground(t, addr)
 	sidecartest.Await(t, "the request", u.Requests)
 	stop()
-	sidecartest.Eventually(t, "it drains", func() bool { return phase() == "503 draining\n" })
+	sidecartest.Eventually(t, "the sidecar is draining", func() bool { return phase() == "503 draining\n" })
 	stop()
 	reload <- syscall.SIGHUP
 	sidecartest.Await(t, "the list call at the new address", fresh.ListCalls)
 	sidecartest.Eventually(t, "the listener is closed", func() bool { c, err := net.Dial("tcp", addr); closeIf(c, err); return err != nil })
 	select {
 	case err := <-ended:
-		t.Fatalf("ended with a request unanswered: %v", err)
+		t.Fatalf("the sidecar ended with a request unanswered: error %v", err)
 	default:
 	}
 	close(release)
 	if got := sidecartest.Await(t, "the response", held); got.status != 200 {
 		t.Errorf("the request: got %+v, want 200", got)
 	}
-	if err := sidecartest.Await(t, "the end", ended); err != nil {
+	if err := sidecartest.Await(t, "the end of the sidecar", ended); err != nil {
 		t.Error(err)
 	}
 }
@@ -150,7 +150,7 @@
 	t.Run("before it is ready", func(t *testing.T) {
 		_, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1"))
 		stop()
-		if err := sidecartest.Await(t, "the end", ended); err != nil {
+		if err := sidecartest.Await(t, "the end of the sidecar", ended); err != nil {
 			t.Error(err)
 		}
 	})
@@ -164,7 +164,7 @@
 		if got := sidecartest.Await(t, "the response", held); got.status != http.StatusGatewayTimeout {
 			t.Errorf("the request: got %+v, want 504", got)
 		}
-		if err := sidecartest.Await(t, "the end", ended); err != nil {
+		if err := sidecartest.Await(t, "the end of the sidecar", ended); err != nil {
 			t.Error(err)
 		}
 	})
@@ -178,7 +178,7 @@
 		call{class: "once", id: "unread", timeout: "0.5"}.request(t, addr).Write(c)
 		sidecartest.Await(t, "the request", u.Requests)
 		stop()
-		if err := sidecartest.Await(t, "the end", ended); err != nil {
+		if err := sidecartest.Await(t, "the end of the sidecar", ended); err != nil {
 			t.Error(err)
 		}
 	})
--- a/internal/sidecar/status_test.go
+++ b/internal/sidecar/status_test.go
@@ -47,7 +47,7 @@
 	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	c.Metrics.Listen = "127.0.0.1:0"
 	addr, stop, ended := startSidecar(t, c, WithMetrics(m))
-	status := sidecartest.Await(t, "the exporter", m.status)
+	status := sidecartest.Await(t, "the start of the exporter", m.status)
 	for _, id := range []string{"one", "two", "breaks"} {
 		call{class: "once", id: id}.send(t, addr)
 	}
@@ -66,7 +66,7 @@
 		t.Errorf("got status %+v, want no open request, a free slot, one endpoint, 3 ordinary decisions and connection events", s)
 	}
 	stop()
-	if err := sidecartest.Await(t, "the end", ended); err != nil {
+	if err := sidecartest.Await(t, "the end of the sidecar", ended); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := status(t.Context()); err == nil {
@@ -107,7 +107,7 @@
 	addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	call{class: "once", id: "follow-me"}.send(t, addr)
 	stop()
-	if err := sidecartest.Await(t, "the end", ended); err != nil {
+	if err := sidecartest.Await(t, "the end of the sidecar", ended); err != nil {
 		t.Fatal(err)
 	}
 	lines := 0
--- a/policy/dispatch_test.go
+++ b/policy/dispatch_test.go
@@ -11,7 +11,7 @@
 		class int
 		ends  Ending
 		retry bool
-		fails bool // if it is not retried
+		fails bool // whether the request is failed, and not refused, if it is not retried
 	}{
 		{"idempotent after an error", idempotentClass, Errored, true, false},
 		{"idempotent by key after a reset", keyedAllClass, Broken, true, false},
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -11,6 +11,10 @@
 
 // randomHarness is a Host that sends valid events in random order to a Balancer and checks the rules at every
 // action. It does not model response times: the results of attempts and their order are random.
+//
+// The rules: (1) each request is answered once and by its deadline, and is not sent afterwards; (2) a request
+// that may have run is neither repeated nor refused where that could cause its effect twice; (3) requests are
+// sent only to ready servers; (4) sends to a server that is warming up stay within its slow start budget.
 type randomHarness struct {
 	t              testing.TB
 	cfg            Config
