--- a/internal/sidecar/handover/server.go
+++ b/internal/sidecar/handover/server.go
@@ -157,7 +157,7 @@
 		return err
 	}
 	if hello.Name != s.config.Name || hello.Listen != s.config.Listen {
-		return fmt.Errorf("this sidecar is %s at %s, but the successor is %.64q at %.64q", s.config.Name, s.config.Listen, hello.Name, hello.Listen)
+		return fmt.Errorf("this is %s at %s, not %.64q at %.64q", s.config.Name, s.config.Listen, hello.Name, hello.Listen)
 	}
 	if err := s.sendListener(conn); err != nil {
 		return err
