--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -55,7 +55,7 @@
 	path := cli.LookupEnv(getenv, errs, "CONTROLLER_CONFIG", "BARLEYKEEPER_CONFIG")
 	load := func() (*controller.Config, error) {
 		if path == "" {
-			return nil, cli.WrongCall("--config FILE or CONTROLLER_CONFIG is needed")
+			return nil, cli.UsageError("--config FILE or CONTROLLER_CONFIG is needed")
 		}
 		return controller.LoadConfig(path)
 	}
@@ -70,7 +70,7 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			var l slog.Level
 			if err := l.UnmarshalText([]byte(level)); err != nil {
-				return cli.WrongCall("--log-level is %q, it must be debug, info, warn or error", level)
+				return cli.UsageError("--log-level is %q, it must be debug, info, warn or error", level)
 			}
 			cfg, err := shutdown.Await(c.Context(), load)
 			if c.Context().Err() != nil {
--- a/cmd/fleetctl/drain.go
+++ b/cmd/fleetctl/drain.go
@@ -20,7 +20,7 @@
 // runWithTimeout runs a command's work with a drain workflow, under the command's timeout.
 func (a *app) runWithTimeout(ctx context.Context, timeout time.Duration, work func(ctx context.Context, w *drain.Workflow) error) error {
 	if timeout <= 0 {
-		return cli.WrongCall("--timeout must be above 0")
+		return cli.UsageError("--timeout must be above 0")
 	}
 	w, end, err := a.workflow()
 	if err != nil {
--- a/cmd/fleetctl/main.go
+++ b/cmd/fleetctl/main.go
@@ -23,9 +23,9 @@
 
 // Exit statuses.
 const (
-	statusDone      = cli.StatusDone
+	statusDone      = cli.StatusOK
 	statusFailed    = cli.StatusFailed
-	statusWrongCall = cli.StatusWrongCall
+	statusWrongCall = cli.StatusUsageError
 	statusRefused   = 3
 	statusTimedOut  = 4
 )
@@ -81,7 +81,7 @@
  4  timed out or interrupted; the message describes the resulting state`,
 		Args: cli.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			return cli.WrongCall("a command such as drain, undrain or status is needed; see fleetctl --help")
+			return cli.UsageError("a command such as drain, undrain or status is needed; see fleetctl --help")
 		},
 	}
 	root.PersistentFlags().StringVar(&a.path, "config", a.path, "the configuration `FILE` (default: the file that FLEETCTL_CONFIG names)")
@@ -92,7 +92,7 @@
 // config reads the configuration.
 func (a *app) config() (*drain.Config, error) {
 	if a.path == "" {
-		return nil, cli.WrongCall("--config FILE or FLEETCTL_CONFIG is needed")
+		return nil, cli.UsageError("--config FILE or FLEETCTL_CONFIG is needed")
 	}
 	return drain.LoadConfig(a.path)
 }
@@ -127,9 +127,9 @@
 func exactlyOneMachine(c *cobra.Command, args []string) error {
 	switch {
 	case len(args) == 0:
-		return cli.WrongCall("%s needs a machine", c.Name())
+		return cli.UsageError("%s needs a machine", c.Name())
 	case len(args) > 1:
-		return cli.WrongCall("a command takes one machine at a time")
+		return cli.UsageError("a command takes one machine at a time")
 	}
 	return nil
 }
--- a/cmd/fleetctl/members.go
+++ b/cmd/fleetctl/members.go
@@ -39,7 +39,7 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			if forget != "" {
 				if err := registry.CheckName("--forget", forget); err != nil {
-					return cli.WrongCall("%v", err)
+					return cli.UsageError("%v", err)
 				}
 				return a.forgetMember(c.Context(), at, forget)
 			}
@@ -162,7 +162,7 @@
 	w := tabwriter.NewWriter(a.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tROLE\tSTATUS\tFOR\tZONE\tPHASE\tPOLICY\tAT\tBY")
 	for _, m := range v.Members {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%s\t%s\t%d\t%s\t%s\n", m.Name, m.Role, m.Status, (time.Duration(m.StatusAgeMS) * time.Millisecond).Round(100*time.Millisecond), m.Zone, m.Phase, m.PolicyEpoch, m.GossipAddr, m.By)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%s\t%s\t%d\t%s\t%s\n", m.Name, m.Role, m.Status, (time.Duration(m.StatusAgeMS) * time.Millisecond).Round(100*time.Millisecond), m.Zone, m.Phase, m.PolicyEpoch, m.GossipAddr, m.Evidence)
 	}
 	return w.Flush()
 }
--- a/cmd/fleetctl/policy.go
+++ b/cmd/fleetctl/policy.go
@@ -26,7 +26,7 @@
 supports the new policy and then applies the stricter of old and new; once all of them do,
 the new policy is in force. docs/POLICY.md describes the document and the possible failures.`,
 		RunE: func(*cobra.Command, []string) error {
-			return cli.WrongCall("get, diff, propose, status, abort, history, revert or evict is needed; see fleetctl policy --help")
+			return cli.UsageError("get, diff, propose, status, abort, history, revert or evict is needed; see fleetctl policy --help")
 		},
 	}
 	c.AddCommand(a.policyGet(), a.policyDiff(), a.policyPropose(), a.policyStatus(), a.policyAbort(), a.policyHistory(), a.policyRevert(), a.policyEvict())
--- a/cmd/fleetctl/propose.go
+++ b/cmd/fleetctl/propose.go
@@ -40,7 +40,7 @@
 // propose proposes a document and, with --wait, follows the change.
 func (a *app) propose(ctx context.Context, r *client.Client, st rollout.Status, d *rollout.Document, p proposal) error {
 	if p.within <= 0 {
-		return cli.WrongCall("--within must be above 0")
+		return cli.UsageError("--within must be above 0")
 	}
 	canaryFraction, canaryWatch, err := p.canary()
 	if err != nil {
@@ -81,10 +81,10 @@
 	}
 	percent, err := strconv.ParseFloat(strings.TrimSuffix(p.canaryPercent, "%"), 64)
 	if err != nil || !strings.HasSuffix(p.canaryPercent, "%") || percent <= 0 || percent >= 100 {
-		return 0, 0, cli.WrongCall("--first is %q, it must be a percentage between 0%% and 100%%, such as 5%%", p.canaryPercent)
+		return 0, 0, cli.UsageError("--first is %q, it must be a percentage between 0%% and 100%%, such as 5%%", p.canaryPercent)
 	}
 	if p.canaryWatch <= 0 || p.canaryWatch >= p.within {
-		return 0, 0, cli.WrongCall("--watch is %v, it must be above 0 and below the %v of --within", p.canaryWatch, p.within)
+		return 0, 0, cli.UsageError("--watch is %v, it must be above 0 and below the %v of --within", p.canaryWatch, p.within)
 	}
 	return percent / 100, p.canaryWatch, nil
 }
--- a/cmd/fleetctl/tasks.go
+++ b/cmd/fleetctl/tasks.go
@@ -128,7 +128,7 @@
 stops the task and releases the lease. A holder that does not answer loses the task when
 its lease ends.`,
 		RunE: func(*cobra.Command, []string) error {
-			return cli.WrongCall("release, hand-over, pause or resume is needed; see fleetctl task --help")
+			return cli.UsageError("release, hand-over, pause or resume is needed; see fleetctl task --help")
 		},
 	}
 	yes, no := true, false
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -74,10 +74,10 @@
 			flags.PrintDefaults()
 			return options{}, err
 		}
-		return options{}, cli.WrongCall("%w; see registry -help", err)
+		return options{}, cli.UsageError("%w; see registry -help", err)
 	}
 	if *path == "" || flags.NArg() > 0 {
-		return options{}, cli.WrongCall("-config FILE is needed, and no other argument is allowed; see registry -help")
+		return options{}, cli.UsageError("-config FILE is needed, and no other argument is allowed; see registry -help")
 	}
 	o := options{configPath: *path, logLevel: slog.LevelInfo}
 	if *verbose {
--- a/cmd/registry/main_test.go
+++ b/cmd/registry/main_test.go
@@ -20,9 +20,9 @@
 		status   int
 		wantText string
 	}{
-		{nil, cli.StatusWrongCall, "-config FILE is needed"},
-		{[]string{"-config", "a", "b"}, cli.StatusWrongCall, "-config FILE is needed"},
-		{[]string{"--fast"}, cli.StatusWrongCall, "-fast"},
+		{nil, cli.StatusUsageError, "-config FILE is needed"},
+		{[]string{"-config", "a", "b"}, cli.StatusUsageError, "-config FILE is needed"},
+		{[]string{"--fast"}, cli.StatusUsageError, "-fast"},
 		{[]string{"-config", "/nonexistent"}, cli.StatusFailed, "/nonexistent"},
 		{[]string{"--config", "/nonexistent"}, cli.StatusFailed, "/nonexistent"},
 		{[]string{"-config", unknownKey}, cli.StatusFailed, `"idd"`},
@@ -35,7 +35,7 @@
 		}
 	}
 	var out bytes.Buffer
-	if status := cli.Report("registry", run([]string{"-help"}, &out), &out); status != cli.StatusDone || !strings.Contains(out.String(), "-config FILE") {
+	if status := cli.Report("registry", run([]string{"-help"}, &out), &out); status != cli.StatusOK || !strings.Contains(out.String(), "-config FILE") {
 		t.Errorf("-help: got status %d, %q", status, out.String())
 	}
 }
--- a/cmd/testbench/chaos.go
+++ b/cmd/testbench/chaos.go
@@ -56,11 +56,11 @@
 	f.BoolVar(&quiet, "quiet", false, "print only the outcome, not the timeline")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if err := o.Check(); err != nil {
-			return cli.WrongCall("%v", err)
+			return cli.UsageError("%v", err)
 		}
 		var err error
 		if o.Schedule, err = faultinjection.ParseSchedule(schedule); err != nil {
-			return cli.WrongCall("--schedule: %v", err)
+			return cli.UsageError("--schedule: %v", err)
 		}
 		for _, p := range []chaostest.Program{chaostest.Replica, chaostest.Controller, chaostest.Sidecar} {
 			path, err := findProgram(programs, string(p))
--- a/cmd/testbench/experiment.go
+++ b/cmd/testbench/experiment.go
@@ -31,7 +31,7 @@
 		progress := c.ErrOrStderr()
 		live := isTerminal(progress)
 		violating := 0
-		o, err := plan.Play(c.Context(), func(finished, total int, r experiment.Run) {
+		o, err := plan.Run(c.Context(), func(finished, total int, r experiment.Run) {
 			if len(r.Record.ViolationTexts) > 0 {
 				violating++
 			}
@@ -48,7 +48,7 @@
 		for _, d := range o.Differences {
 			fmt.Fprintln(c.OutOrStdout(), d)
 		}
-		if err := out.writeAll(o, func() (*report.Page, error) { return report.OfOutcome(o, time.Now()) }); err != nil {
+		if err := out.writeAll(o, func() (*report.Page, error) { return report.PageFromOutcome(o, time.Now()) }); err != nil {
 			return err
 		}
 		switch {
--- a/cmd/testbench/load.go
+++ b/cmd/testbench/load.go
@@ -58,7 +58,7 @@
 			return err
 		}
 		if err := p.Check(); err != nil {
-			return cli.WrongCall("%w", err)
+			return cli.UsageError("%w", err)
 		}
 		live := c.ErrOrStderr()
 		r, err := loadgen.Run(c.Context(), p, func(r loadgen.Result) {
@@ -114,13 +114,13 @@
 func parseClass(text string) (loadgen.Class, error) {
 	parts := strings.Split(text, ":")
 	if len(parts) < 2 || len(parts) > 3 {
-		return loadgen.Class{}, cli.WrongCall("--class %q: NAME:EFFECT or NAME:EFFECT:SHARE is needed", text)
+		return loadgen.Class{}, cli.UsageError("--class %q: NAME:EFFECT or NAME:EFFECT:SHARE is needed", text)
 	}
 	c := loadgen.Class{Name: parts[0], Idempotency: loadgen.Idempotency(parts[1]), Share: 1}
 	if len(parts) == 3 {
 		share, err := strconv.ParseFloat(parts[2], 64)
 		if err != nil {
-			return c, cli.WrongCall("--class %q: the share is not a number", text)
+			return c, cli.UsageError("--class %q: the share is not a number", text)
 		}
 		c.Share = share
 	}
--- a/cmd/testbench/localfleet.go
+++ b/cmd/testbench/localfleet.go
@@ -57,7 +57,7 @@
 			return err
 		}
 		if length <= 0 {
-			return cli.WrongCall("--length must be above 0")
+			return cli.UsageError("--length must be above 0")
 		}
 		if filepath.Ext(name) != ".toml" {
 			sc.Stretch(length)
@@ -89,7 +89,7 @@
 		}
 		fmt.Fprintln(c.OutOrStdout(), r.Line())
 		printLosses(c.OutOrStdout(), r)
-		if err := out.writeAll(r, func() (*report.Page, error) { return report.OfRecord(r, time.Now()) }); err != nil {
+		if err := out.writeAll(r, func() (*report.Page, error) { return report.PageFromRecord(r, time.Now()) }); err != nil {
 			return err
 		}
 		return runError(r)
--- a/cmd/testbench/main_test.go
+++ b/cmd/testbench/main_test.go
@@ -22,14 +22,14 @@
 	folder := t.TempDir()
 	saved, page := filepath.Join(folder, "day.json"), filepath.Join(folder, "day.html")
 	status, out, errs := runTestbench(t.Context(), "simulate", "zone", "--sidecars", "6", "--servers", "6", "--length", "5s", "--json", saved, "--html", page)
-	if status != cli.StatusDone || !strings.Contains(out, "rules kept") {
+	if status != cli.StatusOK || !strings.Contains(out, "rules kept") {
 		t.Fatalf("status %d, %s%s", status, out, errs)
 	}
 	first, err := os.ReadFile(page)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if status, _, errs := runTestbench(t.Context(), "report", saved); status != cli.StatusDone {
+	if status, _, errs := runTestbench(t.Context(), "report", saved); status != cli.StatusOK {
 		t.Fatalf("status %d, %s", status, errs)
 	}
 	second, err := os.ReadFile(page)
@@ -56,7 +56,7 @@
 	}
 	page := filepath.Join(folder, "e.html")
 	status, out, errs := runTestbench(t.Context(), "experiment", path, "--html", page)
-	if status != cli.StatusDone || !strings.Contains(out, "too few pairs") {
+	if status != cli.StatusOK || !strings.Contains(out, "too few pairs") {
 		t.Fatalf("status %d, %s%s", status, out, errs)
 	}
 	made, err := os.ReadFile(page)
@@ -79,20 +79,20 @@
 		status   int
 		wantText string
 	}{
-		{t.Context(), []string{"simulate"}, cli.StatusWrongCall, "--list"},
+		{t.Context(), []string{"simulate"}, cli.StatusUsageError, "--list"},
 		{t.Context(), []string{"simulate", "flood"}, cli.StatusFailed, "flood"},
 		{t.Context(), []string{"simulate", "calm", "--servers", "-1"}, cli.StatusFailed, "servers is -1"},
-		{t.Context(), []string{"simulate", "calm", "--seed", "-1"}, cli.StatusWrongCall, "seed"},
-		{t.Context(), []string{"simulate", "calm", "--length", "-1s"}, cli.StatusWrongCall, "--length"},
-		{t.Context(), []string{"simulate", "a", "b"}, cli.StatusWrongCall, "--help"},
+		{t.Context(), []string{"simulate", "calm", "--seed", "-1"}, cli.StatusUsageError, "seed"},
+		{t.Context(), []string{"simulate", "calm", "--length", "-1s"}, cli.StatusUsageError, "--length"},
+		{t.Context(), []string{"simulate", "a", "b"}, cli.StatusUsageError, "--help"},
 		{t.Context(), []string{"simulate", "calm", "--length", "1s", "--json", filepath.Join(folder, "no", "where.json")}, cli.StatusFailed, "where.json"},
 		{t.Context(), []string{"experiment", filepath.Join(folder, "none.toml")}, cli.StatusFailed, "none.toml"},
 		{t.Context(), []string{"report", emptyResult}, cli.StatusFailed, "no results"},
-		{t.Context(), []string{"lap"}, cli.StatusWrongCall, "lap"},
-		{t.Context(), []string{"load"}, cli.StatusWrongCall, "at least 1"},
-		{t.Context(), []string{"load", "127.0.0.1:1"}, cli.StatusWrongCall, "classes"},
-		{t.Context(), []string{"load", "127.0.0.1:1", "--class", "a:odd"}, cli.StatusWrongCall, "odd"},
-		{t.Context(), []string{"load", "127.0.0.1:1", "--class", "a:safe", "--rate", "-5"}, cli.StatusWrongCall, "rate is -5"},
+		{t.Context(), []string{"lap"}, cli.StatusUsageError, "lap"},
+		{t.Context(), []string{"load"}, cli.StatusUsageError, "at least 1"},
+		{t.Context(), []string{"load", "127.0.0.1:1"}, cli.StatusUsageError, "classes"},
+		{t.Context(), []string{"load", "127.0.0.1:1", "--class", "a:odd"}, cli.StatusUsageError, "odd"},
+		{t.Context(), []string{"load", "127.0.0.1:1", "--class", "a:safe", "--rate", "-5"}, cli.StatusUsageError, "rate is -5"},
 		{cancelled, []string{"simulate", "calm"}, statusInterrupted, "interrupted"},
 	} {
 		status, _, errs := runTestbench(c.ctx, c.args...)
@@ -100,7 +100,7 @@
 			t.Errorf("%v: status %d, output %q; want %d and one line with %q", c.args, status, errs, c.status, c.wantText)
 		}
 	}
-	if status, out, _ := runTestbench(t.Context(), "simulate", "--list"); status != cli.StatusDone || !strings.Contains(out, "zone_lost") {
+	if status, out, _ := runTestbench(t.Context(), "simulate", "--list"); status != cli.StatusOK || !strings.Contains(out, "zone_lost") {
 		t.Errorf("--list: %d, %s", status, out)
 	}
 }
@@ -124,7 +124,7 @@
 func TestSearchPrintsAndSavesUnrecoveredRuns(t *testing.T) {
 	saveDir := filepath.Join(t.TempDir(), "found")
 	status, out, errs := runTestbench(t.Context(), "search", "--sidecars", "20", "--servers", "5", "--days", "6", "--keep", saveDir)
-	if status != cli.StatusDone || !strings.Contains(out, "6 runs: recovered after") {
+	if status != cli.StatusOK || !strings.Contains(out, "6 runs: recovered after") {
 		t.Fatalf("status %d, %s%s", status, out, errs)
 	}
 	found, _ := filepath.Glob(filepath.Join(saveDir, "hunt-*.toml"))
@@ -132,11 +132,11 @@
 		t.Errorf("printed %d unrecovered runs and saved %d: %s", n, len(found), out)
 	}
 	for _, path := range found {
-		if status, out, errs := runTestbench(t.Context(), "simulate", path, "--seed", "1"); status != cli.StatusDone || !strings.Contains(out, "the fleet sent") {
+		if status, out, errs := runTestbench(t.Context(), "simulate", path, "--seed", "1"); status != cli.StatusOK || !strings.Contains(out, "the fleet sent") {
 			t.Errorf("%s: status %d, %s%s", path, status, out, errs)
 		}
 	}
-	if status, _, errs := runTestbench(t.Context(), "search", "--days", "0"); status != cli.StatusWrongCall || !strings.Contains(errs, "--days is 0") {
+	if status, _, errs := runTestbench(t.Context(), "search", "--days", "0"); status != cli.StatusUsageError || !strings.Contains(errs, "--days is 0") {
 		t.Errorf("status %d, %s", status, errs)
 	}
 }
@@ -144,15 +144,15 @@
 func TestFormerCommandNamesStillWork(t *testing.T) {
 	for former, name := range map[string]string{"lab": "localfleet", "hunt": "search", "explore": "modelcheck", "torture": "chaos"} {
 		status, out, errs := runTestbench(t.Context(), former, "--help")
-		if status != cli.StatusDone || !strings.Contains(out, "testbench "+name) {
+		if status != cli.StatusOK || !strings.Contains(out, "testbench "+name) {
 			t.Errorf("%s --help: status %d, %q, %s", former, status, out, errs)
 		}
 	}
-	if status, out, errs := runTestbench(t.Context(), "chaos", "--keepers", "0"); status != cli.StatusWrongCall || !strings.Contains(out, "use --controllers") {
+	if status, out, errs := runTestbench(t.Context(), "chaos", "--keepers", "0"); status != cli.StatusUsageError || !strings.Contains(out, "use --controllers") {
 		t.Errorf("chaos --keepers: status %d, output %q %q", status, out, errs)
 	}
 	status, _, errs := runTestbench(t.Context(), "hunt", "--days", "0")
-	if status != cli.StatusWrongCall || !strings.Contains(errs, "the command hunt is deprecated, use search\n") {
+	if status != cli.StatusUsageError || !strings.Contains(errs, "the command hunt is deprecated, use search\n") {
 		t.Errorf("hunt: status %d, output %q", status, errs)
 	}
 }
--- a/cmd/testbench/modelcheck.go
+++ b/cmd/testbench/modelcheck.go
@@ -38,10 +38,10 @@
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		out := c.OutOrStdout()
 		if schedules < 1 || schedules > maxSchedules {
-			return cli.WrongCall("--schedules is %d, it must lie between 1 and %d", schedules, maxSchedules)
+			return cli.UsageError("--schedules is %d, it must lie between 1 and %d", schedules, maxSchedules)
 		}
 		if !replay && faults != "" {
-			return cli.WrongCall("--faults is only valid with --replay")
+			return cli.UsageError("--faults is only valid with --replay")
 		}
 		began := time.Now()
 		var coverage system.Coverage
@@ -49,7 +49,7 @@
 		if replay {
 			plan, err := system.ParsePlan(faults)
 			if err != nil {
-				return cli.WrongCall("%v", err)
+				return cli.UsageError("%v", err)
 			}
 			if coverage, err = system.Run(seed, plan); err != nil {
 				failure = &system.Failure{Seed: seed, Plan: plan, Err: err, Schedules: 1}
@@ -71,7 +71,7 @@
 	fmt.Fprintf(w, "%d schedules, %.0f a second: %d events, %d faults; %d of %d pairs of a fault and a step\n",
 		s.Schedules, float64(s.Schedules)/took.Seconds(), s.Events, s.Faults, len(s.Pairs), s.MaxPairs())
 	fmt.Fprintf(w, "checked: %d timed acts, %d fenced writes, %d overload advice, %d lists, %d acknowledged writes, %d policies in force, %d stops of servers, %d requests\n",
-		s.TimedActs, s.FencedWrites, s.Advice, s.Lists, s.AcknowledgedWrites, s.Policies, s.ServerStops, s.Requests)
+		s.TimedActs, s.FencedWrites, s.Advice, s.ListComparisons, s.AcknowledgedWrites, s.CommittedPolicies, s.ServerStops, s.Requests)
 	if !pairs {
 		return
 	}
--- a/cmd/testbench/report.go
+++ b/cmd/testbench/report.go
@@ -76,7 +76,7 @@
 				return nil, fmt.Errorf("runs[%d] has no record", i)
 			}
 		}
-		return report.OfOutcome(o, time.Now())
+		return report.PageFromOutcome(o, time.Now())
 	case kind.Windows != nil:
 		r := new(emulator.Record)
 		if err := json.Unmarshal(text, r); err != nil {
@@ -85,7 +85,7 @@
 		if math.IsNaN(r.Length.Seconds()) || r.Length <= 0 {
 			return nil, errors.New("length_ns must be above 0")
 		}
-		return report.OfRecord(r, time.Now())
+		return report.PageFromRecord(r, time.Now())
 	}
 	return nil, errors.New("the file contains no results of simulate or experiment")
 }
--- a/cmd/testbench/search.go
+++ b/cmd/testbench/search.go
@@ -43,10 +43,10 @@
 	c.Flags().StringVar(&out.json, "json", "", "write all runs to `FILE`")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if days < 1 || days > maxSearchRuns {
-			return cli.WrongCall("--days is %d, it must lie between 1 and %d", days, maxSearchRuns)
+			return cli.UsageError("--days is %d, it must lie between 1 and %d", days, maxSearchRuns)
 		}
 		if _, _, err := emulator.SearchScenario(seed, sidecars, servers); err != nil {
-			return cli.WrongCall("%v", err)
+			return cli.UsageError("%v", err)
 		}
 		all := make([]*emulator.SearchResult, days)
 		runs, ctx := errgroup.WithContext(c.Context())
--- a/cmd/testbench/simulate.go
+++ b/cmd/testbench/simulate.go
@@ -42,7 +42,7 @@
 			return printCatalogue(c.OutOrStdout())
 		}
 		if len(args) == 0 {
-			return cli.WrongCall("a scenario is needed; see --list")
+			return cli.UsageError("a scenario is needed; see --list")
 		}
 		sc, err := loadScenario(args[0], sidecars, servers)
 		if err != nil {
@@ -50,7 +50,7 @@
 		}
 		if length != 0 {
 			if length < 0 {
-				return cli.WrongCall("--length must not be negative")
+				return cli.UsageError("--length must not be negative")
 			}
 			sc.Stretch(length)
 		}
@@ -68,7 +68,7 @@
 		printLosses(c.OutOrStdout(), r)
 		fmt.Fprintf(c.OutOrStdout(), "simulated in %v: %.0f requests and %.0f events a second\n", took.Round(time.Millisecond),
 			float64(r.Requests)/took.Seconds(), float64(r.Events)/took.Seconds())
-		if err := out.writeAll(r, func() (*report.Page, error) { return report.OfRecord(r, time.Now()) }); err != nil {
+		if err := out.writeAll(r, func() (*report.Page, error) { return report.PageFromRecord(r, time.Now()) }); err != nil {
 			return err
 		}
 		return runError(r)
--- a/cmd/testbench/soak.go
+++ b/cmd/testbench/soak.go
@@ -52,10 +52,10 @@
 	f.BoolVar(&quiet, "quiet", false, "print only the outcome, not the timeline")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if err := o.Check(); err != nil {
-			return cli.WrongCall("%v", err)
+			return cli.UsageError("%v", err)
 		}
 		if seeds < 1 {
-			return cli.WrongCall("--seeds is %d, at least 1 is needed", seeds)
+			return cli.UsageError("--seeds is %d, at least 1 is needed", seeds)
 		}
 		program, err := findProgram(programs, soakProgram)
 		if err != nil {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -14,9 +14,9 @@
 
 // Exit statuses common to all programs. A program may define more.
 const (
-	StatusDone = iota
+	StatusOK = iota
 	StatusFailed
-	StatusWrongCall // the command line was invalid
+	StatusUsageError // the command line was invalid
 )
 
 // StatusHelp describes the exit statuses in a program's help.
@@ -39,8 +39,10 @@
 	return &exitError{status, fmt.Errorf(format, args...)}
 }
 
-// WrongCall returns a usage error: the command line is invalid and the command was not run.
-func WrongCall(format string, args ...any) error { return ExitError(StatusWrongCall, format, args...) }
+// UsageError returns a usage error: the command line is invalid and the command was not run.
+func UsageError(format string, args ...any) error {
+	return ExitError(StatusUsageError, format, args...)
+}
 
 // Run executes a command line and returns the exit status. An error is printed on one line.
 func Run(ctx context.Context, name string, root *cobra.Command, args []string, out, errs io.Writer) int {
@@ -48,7 +50,7 @@
 	root.SetOut(out)
 	root.SetErr(errs)
 	root.SilenceErrors, root.SilenceUsage = true, true
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return WrongCall("%w", err) })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return UsageError("%w", err) })
 	for _, c := range append(root.Commands(), root) {
 		checkArgs(c)
 	}
@@ -58,7 +60,7 @@
 // Report prints an error on one line and returns its exit status.
 func Report(name string, err error, errs io.Writer) int {
 	if err == nil {
-		return StatusDone
+		return StatusOK
 	}
 	fmt.Fprintf(errs, "%s: %v\n", name, err)
 	var e *exitError
@@ -73,7 +75,7 @@
 	if check := c.Args; check != nil {
 		c.Args = func(c *cobra.Command, args []string) error {
 			if err := check(c, args); err != nil {
-				return WrongCall("%w; see %s --help", err, c.CommandPath())
+				return UsageError("%w; see %s --help", err, c.CommandPath())
 			}
 			return nil
 		}
--- a/internal/cli/deprecated_test.go
+++ b/internal/cli/deprecated_test.go
@@ -46,7 +46,7 @@
 		root := &cobra.Command{Use: "program"}
 		root.AddCommand(WithFormerName(&cobra.Command{Use: "new", RunE: func(*cobra.Command, []string) error { ran = true; return nil }}, "old"))
 		status := Run(t.Context(), "program", root, []string{called}, &out, &errs)
-		if status != StatusDone || !ran || errs.String() != warned {
+		if status != StatusOK || !ran || errs.String() != warned {
 			t.Errorf("%s: status %d, ran %v, says %q; want %q", called, status, ran, errs.String(), warned)
 		}
 	}
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -36,7 +36,7 @@
 
 // Stop stops a server as a timed act under the lease.
 func (f leasedFleet) Stop(ctx context.Context, machine, host string) error {
-	return f.handle.Do(ctx, f.handle.TTL()/stopTimeoutDivisor, func(ctx context.Context) error {
+	return f.handle.RunAct(ctx, f.handle.TTL()/stopTimeoutDivisor, func(ctx context.Context) error {
 		return f.Fleet.Stop(ctx, machine, host)
 	})
 }
--- a/internal/controller/fleetview.go
+++ b/internal/controller/fleetview.go
@@ -117,7 +117,7 @@
 	if mutation.EndLeasesOfUnreachable && m.Status == membership.StatusUnreachable {
 		return true
 	}
-	return m.Status == membership.StatusEnded && m.By == self
+	return m.Status == membership.StatusEnded && m.Evidence == self
 }
 
 // releaseClaims releases the claims of a controller whose process has ended, after the time within
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -192,7 +192,7 @@
 // not allow the probe.
 func (p *prober) probe(ctx context.Context, server registry.Registration) error {
 	var failure error
-	err := p.handle.Do(ctx, p.timeout, func(ctx context.Context) error {
+	err := p.handle.RunAct(ctx, p.timeout, func(ctx context.Context) error {
 		failure = checkLive(ctx, p.http, server.Dial)
 		return nil
 	})
--- a/internal/controller/policy.go
+++ b/internal/controller/policy.go
@@ -79,7 +79,7 @@
 
 func removeEndedSidecars(ctx context.Context, c *client.Client, machine string, roster []rollout.RosterMember) {
 	for _, sidecar := range roster {
-		if !sidecar.ProcessGone(machine) {
+		if !sidecar.ProcessEnded(machine) {
 			continue
 		}
 		slog.Warn("policy: sidecar process ended", "sidecar", sidecar.Name, "pid", sidecar.Process.PID)
--- a/internal/lease/handle.go
+++ b/internal/lease/handle.go
@@ -62,8 +62,8 @@
 	return actCtx, cancel, nil
 }
 
-// Do runs one act with the context that BeginAct returns.
-func (h *Handle) Do(ctx context.Context, takes time.Duration, act func(ctx context.Context) error) error {
+// RunAct runs one act with the context that BeginAct returns.
+func (h *Handle) RunAct(ctx context.Context, takes time.Duration, act func(ctx context.Context) error) error {
 	actCtx, cancel, err := h.BeginAct(ctx, takes)
 	if err != nil {
 		return err
--- a/internal/lease/manager_test.go
+++ b/internal/lease/manager_test.go
@@ -158,7 +158,7 @@
 			if stopped.Load() > 0 {
 				return nil // the manager saw that the lease had lapsed before the task ended
 			}
-			if err := handle.Do(ctx, ttl, func(context.Context) error { return nil }); !errors.Is(err, ErrInsufficientTime) {
+			if err := handle.RunAct(ctx, ttl, func(context.Context) error { return nil }); !errors.Is(err, ErrInsufficientTime) {
 				t.Errorf("an act longer than the lease: got %v, want %v", err, ErrInsufficientTime)
 			}
 			actCtx, cancel, err := handle.BeginAct(ctx, time.Second)
--- a/internal/membership/gossip/delegate.go
+++ b/internal/membership/gossip/delegate.go
@@ -157,7 +157,7 @@
 	var records []endRecord
 	for _, member := range d.n.Members() {
 		if (member.Status == membership.StatusLeft || member.Status == membership.StatusEnded) && len(records) < maxEndRecords {
-			records = append(records, endRecord{member.Key(), member.By, member.Status == membership.StatusLeft})
+			records = append(records, endRecord{member.Key(), member.Evidence, member.Status == membership.StatusLeft})
 		}
 	}
 	text, err := json.Marshal(records)
--- a/internal/membership/gossip/http.go
+++ b/internal/membership/gossip/http.go
@@ -50,7 +50,7 @@
 		Role:        member.Role,
 		Status:      member.Status,
 		StatusAgeMS: (now - member.StatusSince).Milliseconds(),
-		By:          member.By,
+		Evidence:    member.Evidence,
 		Zone:        member.Zone,
 		Version:     member.Version,
 		PolicyEpoch: member.PolicyEpoch,
--- a/internal/membership/gossip/lifecycle.go
+++ b/internal/membership/gossip/lifecycle.go
@@ -141,7 +141,7 @@
 			return ""
 		case <-n.replacedSignal:
 			if self, _ := n.Get(n.Self().Key()); self.Status == membership.StatusReplaced {
-				return self.By
+				return self.Evidence
 			}
 		case <-ticker.C:
 			now := time.Now()
--- a/internal/membership/membershiptest/scenario_test.go
+++ b/internal/membership/membershiptest/scenario_test.go
@@ -97,8 +97,8 @@
 			if took > 5*time.Second { // most views learn of it by gossip within 0.2 s, some by a comparison of digests
 				t.Errorf("the later process is present in all views after %v, want 5s at most (the other killed: %v)", took, kill)
 			}
-			if got, _ := f.Members[0].Get(old.Self().Key()); got.Status != membership.StatusReplaced || got.By != later.Self().Key() {
-				t.Errorf("the earlier process: got %s by %s, want replaced by %s", got.Status, got.By, later.Self().Key())
+			if got, _ := f.Members[0].Get(old.Self().Key()); got.Status != membership.StatusReplaced || got.Evidence != later.Self().Key() {
+				t.Errorf("the earlier process: got %s by %s, want replaced by %s", got.Status, got.Evidence, later.Self().Key())
 			}
 			old = later
 		}
--- a/internal/membership/response.go
+++ b/internal/membership/response.go
@@ -13,7 +13,7 @@
 	Role        Role   `json:"role"`
 	Status      Status `json:"status"`
 	StatusAgeMS int64  `json:"for_ms"`       // how long it has had this status
-	By          string `json:"by,omitempty"` // evidence for the status, as Member.By
+	Evidence    string `json:"by,omitempty"` // as Member.Evidence
 	Zone        string `json:"zone,omitempty"`
 	Version     string `json:"version,omitempty"`
 	PolicyEpoch uint64 `json:"policy_epoch,omitempty"`
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -31,9 +31,9 @@
 	Info
 	Status      Status
 	StatusSince time.Duration // on the view's clock
-	// By is the evidence for a final status: the key of the member that observed the process's
+	// Evidence is the reason for a final status: the key of the member that observed the process's
 	// end, or of the process that replaces it.
-	By string
+	Evidence string
 
 	suspectedUntil time.Duration // with StatusSuspected: when the suspicion expires
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -19,7 +19,7 @@
 	// stableRounds is the number of rounds without a change of the present members after which views
 	// are expected to agree.
 	stableRounds = 2
-	// operatorEvidence is Member.By of a member that was forgotten on an operator's request.
+	// operatorEvidence is Member.Evidence of a member that was forgotten on an operator's request.
 	operatorEvidence = "an operator"
 	// DigestFanout is the number of members to which a digest is sent each round.
 	DigestFanout = 3
@@ -108,7 +108,7 @@
 	for _, member := range v.members {
 		if member.Name == name && member.Incarnation < latest.Incarnation && !member.Status.final() {
 			member.setStatus(StatusReplaced, now)
-			member.By = latest.Key()
+			member.Evidence = latest.Key()
 		}
 	}
 }
@@ -153,7 +153,7 @@
 		return false
 	}
 	member.setStatus(StatusEnded, now)
-	member.By = observerKey
+	member.Evidence = observerKey
 	v.recount()
 	return true
 }
@@ -242,7 +242,7 @@
 	for _, member := range v.members {
 		if member.Name == name && member.Status == StatusUnreachable {
 			member.setStatus(StatusEnded, now)
-			member.By = operatorEvidence
+			member.Evidence = operatorEvidence
 			forgotten++
 		}
 	}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -46,7 +46,7 @@
 		defer mu.Unlock()
 		return sidecar.Status{
 			OpenRequests: 3, EndpointListAge: 2 * time.Second, Bulkheads: []sidecar.Bulkhead{{Tenant: "acme", SlotsFree: 4, QueueFree: 1}},
-			Endpoints: map[string]map[string]int{"a": {"up": 5, "draining": 1}}, Decided: policy.Counters{Shed: 9},
+			Endpoints: map[string]map[string]int{"a": {"up": 5, "draining": 1}}, Decisions: policy.Counters{Shed: 9},
 			ClientConnections: map[string]float64{"Open": 8}, UpstreamConnectionEvents: map[string]float64{"Reused": 7},
 			Congestion: 0.25, OverloadAdvice: &overloadreporter.Status{Advice: overload.Advice{Token: 7, Tenants: []overload.TenantAdvice{{Tenant: "acme", AdmitFraction: 0.5}}}, Age: time.Second},
 		}, statusErr
@@ -95,7 +95,7 @@
 		return sidecar.Status{
 			OpenRequests: 3, EndpointListAge: 2 * time.Second, Bulkheads: []sidecar.Bulkhead{{Tenant: "acme", SlotsFree: 4, QueueFree: 1}},
 			Endpoints: map[string]map[string]int{"a": {"up": 5, "draining": 1}},
-			Decided:   policy.Counters{Ordinary: 1, Passed: 2, Trials: 3, Shed: 4, Retries: 5, Refused: 6, Failed: 7},
+			Decisions: policy.Counters{Ordinary: 1, Passed: 2, Trials: 3, Shed: 4, Retries: 5, Refused: 6, Failed: 7},
 
 			ClientConnections: map[string]float64{"Open": 8}, ClientConnectionEvents: map[string]float64{"Accepted": 10},
 			UpstreamConnections: map[string]float64{"Open": 9}, UpstreamConnectionEvents: map[string]float64{"Reused": 11},
--- a/internal/registry/client/list_loss.go
+++ b/internal/registry/client/list_loss.go
@@ -12,7 +12,7 @@
 type ListLoss struct {
 	Unresponsive bool // nothing arrived before the timeout
 	Reached      bool // the service was reached, and rejected or aborted the call
-	Moved        bool // the addresses have changed, and nothing has arrived from the new ones
+	AddrsChanged bool // the addresses have changed, and nothing has arrived from the new ones
 	// SinceLastMessage is the time since the last message, which is an update or a heartbeat.
 	SinceLastMessage time.Duration
 }
@@ -25,7 +25,7 @@
 	return ListLoss{
 		Unresponsive:     unresponsive,
 		Reached:          !dialFailed && !unresponsive,
-		Moved:            addrsChanged,
+		AddrsChanged:     addrsChanged,
 		SinceLastMessage: sinceLastMessage,
 	}
 }
--- a/internal/registry/client/watcher.go
+++ b/internal/registry/client/watcher.go
@@ -25,11 +25,11 @@
 
 // WatcherOptions are the options of a Watcher.
 type WatcherOptions struct {
-	Addrs     []string         // replicas of one service, which share its versions
-	LastKnown *ListUpdate      // the last list received earlier; nil if there is none
-	Deliver   func(ListUpdate) // called with each update, in order
-	Seed      uint64           // spreads watchers over replicas and in time
-	Grace     time.Duration    // time within which the owner has to act on a change; 0: unknown
+	Addrs      []string         // replicas of one service, which share its versions
+	LastKnown  *ListUpdate      // the last list received earlier; nil if there is none
+	Deliver    func(ListUpdate) // called with each update, in order
+	Seed       uint64           // spreads watchers over replicas and in time
+	DrainGrace time.Duration    // time within which the owner has to act on a change; 0: unknown
 	// MaxStagger is the maximum delay between the call for the full list and the opening of
 	// the watch. If many watchers call at once, those without a list are served first.
 	MaxStagger time.Duration
@@ -210,10 +210,10 @@
 // The delay may take a third of the grace, half of it with jitter; the remainder is for the
 // call.
 func (w *Watcher) maxDelay() time.Duration {
-	if w.options.Grace <= 0 {
+	if w.options.DrainGrace <= 0 {
 		return maxReopenDelay
 	}
-	return max(minReopenDelay, min(maxReopenDelay, w.options.Grace/3))
+	return max(minReopenDelay, min(maxReopenDelay, w.options.DrainGrace/3))
 }
 
 // jitter returns a random duration between 0.5 d and 1.5 d, so that callers do not act in step.
--- a/internal/registry/client/watcher_test.go
+++ b/internal/registry/client/watcher_test.go
@@ -261,11 +261,11 @@
 }
 
 // If the grace is short, a watch is opened again within a third of it.
-func TestMaxDelayIsBoundedByGrace(t *testing.T) {
+func TestMaxDelayIsBoundedByDrainGrace(t *testing.T) {
 	for grace, want := range map[time.Duration]time.Duration{
 		0: maxReopenDelay, 10 * time.Second: maxReopenDelay, 900 * time.Millisecond: 300 * time.Millisecond, time.Millisecond: minReopenDelay,
 	} {
-		if got := NewWatcher(WatcherOptions{Addrs: []string{"127.0.0.1:1"}, Grace: grace}).maxDelay(); got != want {
+		if got := NewWatcher(WatcherOptions{Addrs: []string{"127.0.0.1:1"}, DrainGrace: grace}).maxDelay(); got != want {
 			t.Errorf("grace %v: got %v, want %v", grace, got, want)
 		}
 	}
--- a/internal/registry/server/compat_data_test.go
+++ b/internal/registry/server/compat_data_test.go
@@ -92,12 +92,12 @@
 	founded := foundedAt(t, m)
 	write := func(calls [][3]string) {
 		for _, call := range calls {
-			mustDo(t, m, call[0], call[1], expandVersions(call[2], founded))
+			mustCallAPI(t, m, call[0], call[1], expandVersions(call[2], founded))
 		}
 	}
 	write(earlierWrites[0])
 	for range writesBeforeSnapshot {
-		mustDo(t, m, "PUT", "records/repeated", `{"value":"eA=="}`)
+		mustCallAPI(t, m, "PUT", "records/repeated", `{"value":"eA=="}`)
 	}
 	for deadline := time.Now().Add(snapshotTimeout); ; time.Sleep(time.Second) {
 		if found, _ := filepath.Glob(filepath.Join(data, "snapshots", "*[0-9]", "state.bin")); len(found) > 0 {
@@ -113,9 +113,9 @@
 		"group": earlierGroup, "id": "r1", "data": filepath.Join(t.TempDir(), "data"), "join": true, "replicas": members,
 		"timing": map[string]any{"election_ms": 200},
 	}))
-	mustDo(t, m, "PUT", "members/r1", fmt.Sprintf(`{"http":%q,"raft":%q}`, other.HTTP, other.Raft))
+	mustCallAPI(t, m, "PUT", "members/r1", fmt.Sprintf(`{"http":%q,"raft":%q}`, other.HTTP, other.Raft))
 	awaitReady(t, other)
-	mustDo(t, m, "DELETE", "members/r1", "")
+	mustCallAPI(t, m, "DELETE", "members/r1", "")
 	q.kill()
 
 	_, _, backup := get(t, "http://"+m.HTTP+registry.APIPath+"backup?linearizable=1")
@@ -213,8 +213,8 @@
 		t.Errorf("state:\ngot\n%s\nwant\n%s", got, want)
 	}
 	// A session and a claim from before can be renewed, and the next token is higher.
-	mustDo(t, m, "POST", "instances/s-1/renew", `{"session":"session-1"}`)
-	_, _, renewed := do(t, "POST", base+"renewals", `{"holder":"k1","incarnation":12,"claims":[{"name":"drains","claim":"claim-k1-drains"}]}`)
+	mustCallAPI(t, m, "POST", "instances/s-1/renew", `{"session":"session-1"}`)
+	_, _, renewed := callAPI(t, "POST", base+"renewals", `{"holder":"k1","incarnation":12,"claims":[{"name":"drains","claim":"claim-k1-drains"}]}`)
 	if want := `{"claims":[{"name":"drains","claim":"claim-k1-drains","place":1}]}`; strings.TrimSpace(renewed) != want {
 		t.Errorf("renewed claim: got %s want %s", renewed, want)
 	}
@@ -222,14 +222,14 @@
 	if err := json.Unmarshal([]byte(want), before); err != nil {
 		t.Fatal(err)
 	}
-	mustDo(t, m, "POST", "leases/drains/release", `{"claim":"claim-k0-drains","holder":"k0","incarnation":11,"to":"k1"}`)
+	mustCallAPI(t, m, "POST", "leases/drains/release", `{"claim":"claim-k0-drains","holder":"k0","incarnation":11,"to":"k1"}`)
 	n.stateMachine.view(func(s *registry.State) {
 		l, _ := s.Leases().Lease("drains")
 		if l.Grant == nil || l.Grant.Name != "k1" || l.Grant.Token <= before.Leases().LastToken() {
 			t.Errorf("next grant of the lease: got %+v, want one of k1 with a token above %d", l.Grant, before.Leases().LastToken())
 		}
 	})
-	status, answer, text := do(t, "PUT", base+"instances/s-6", `{"instance":{"host":"s-6","dial":"127.0.0.1:7006","site":"a","health":"up","share":1,"born_ms":0},"session":"","ttl_ms":0}`)
+	status, answer, text := callAPI(t, "PUT", base+"instances/s-6", `{"instance":{"host":"s-6","dial":"127.0.0.1:7006","site":"a","health":"up","share":1,"born_ms":0},"session":"","ttl_ms":0}`)
 	if status != 200 || answer.Seq <= before.Seq() {
 		t.Errorf("a write: got %d %s, want a version after %d", status, text, before.Seq())
 	}
--- a/internal/registry/server/compat_group_test.go
+++ b/internal/registry/server/compat_group_test.go
@@ -97,7 +97,7 @@
 		return g.status(i).State == "leader"
 	})
 	eventually(g.t, "the new leader accepts writes", func() bool {
-		status, _, _ := do(g.t, "GET", "http://"+to.HTTP+registry.APIPath+"instances?linearizable=1", "")
+		status, _, _ := callAPI(g.t, "GET", "http://"+to.HTTP+registry.APIPath+"instances?linearizable=1", "")
 		return status == http.StatusOK
 	})
 }
@@ -124,7 +124,7 @@
 // retryUnderLeader runs try until it succeeds, and makes the replica leader again before each retry.
 func (g *mixedGroup) retryUnderLeader(leader int, try func() error) {
 	g.t.Helper()
-	for deadline := time.Now().Add(patience); ; g.makeLeader(leader) {
+	for deadline := time.Now().Add(eventTimeout); ; g.makeLeader(leader) {
 		err := try()
 		if err == nil {
 			return
@@ -159,11 +159,11 @@
 	g.t.Helper()
 	base := "http://" + g.members[leader].HTTP + registry.APIPath
 	claim := fmt.Sprintf(`{"holder":"k0","incarnation":1,"ttl_ms":5000,"claim":"claim-%s"}`, lease)
-	if status, _, text := do(g.t, "POST", base+"leases/"+lease+"/acquire", claim); status != http.StatusOK {
+	if status, _, text := callAPI(g.t, "POST", base+"leases/"+lease+"/acquire", claim); status != http.StatusOK {
 		return fmt.Errorf("acquire %s: got %d %s", lease, status, text)
 	}
 	renewal := fmt.Sprintf(`{"holder":"k0","incarnation":1,"claims":[{"name":%q,"claim":"claim-%s"}]}`, lease, lease)
-	if status, _, text := do(g.t, "POST", base+"renewals", renewal); status != http.StatusOK || !strings.Contains(text, `"token":`) {
+	if status, _, text := callAPI(g.t, "POST", base+"renewals", renewal); status != http.StatusOK || !strings.Contains(text, `"token":`) {
 		return fmt.Errorf("renew %s: got %d %s", lease, status, text)
 	}
 	return nil
--- a/internal/registry/server/compat_peers_test.go
+++ b/internal/registry/server/compat_peers_test.go
@@ -122,12 +122,12 @@
 	})))
 	awaitReady(t, leader)
 	for _, call := range earlierWrites[0][:9] {
-		mustDo(t, leader, call[0], call[1], call[2])
+		mustCallAPI(t, leader, call[0], call[1], call[2])
 	}
 	q := startProcess(t, *earlierProgram, writeConfig(t, joiningReplica(leader, follower, filepath.Join(t.TempDir(), "data"))))
-	mustDo(t, leader, "PUT", "members/r1", fmt.Sprintf(`{"http":%q,"raft":%q}`, follower.HTTP, follower.Raft))
+	mustCallAPI(t, leader, "PUT", "members/r1", fmt.Sprintf(`{"http":%q,"raft":%q}`, follower.HTTP, follower.Raft))
 	awaitReady(t, follower)
-	mustDo(t, leader, "PUT", "instances/s-9", strings.ReplaceAll(goodInstance, "s-1", "s-9"))
+	mustCallAPI(t, leader, "PUT", "instances/s-9", strings.ReplaceAll(goodInstance, "s-1", "s-9"))
 	eventually(t, "the follower has the write", func() bool {
 		_, _, text := get(t, "http://"+follower.HTTP+registry.ListPath)
 		return strings.Contains(text, `"s-9"`)
@@ -158,7 +158,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(eventTimeout))
 	if _, err := io.WriteString(c, line); err != nil {
 		t.Fatal(err)
 	}
@@ -197,7 +197,7 @@
 				t.Fatal(err)
 			}
 			defer c.Close()
-			c.SetDeadline(time.Now().Add(patience))
+			c.SetDeadline(time.Now().Add(eventTimeout))
 			connections[chunk.Connection] = c
 		}
 		if chunk.FromLeader {
@@ -214,9 +214,9 @@
 			t.Errorf("connection %d: got %q want %q", chunk.Connection, got, want)
 		}
 	}
-	eventually(t, "the replica has stored the data", func() bool { return n.wantedList()["s-9"] != "" })
+	eventually(t, "the replica has stored the data", func() bool { return n.expectedList()["s-9"] != "" })
 	want := map[string]string{"s-1": "up 1700000000000", "s-2": "draining 0", "s-3": "draining 5", "s-9": "up 5"}
-	if got := n.wantedList(); !maps.Equal(got, want) {
+	if got := n.expectedList(); !maps.Equal(got, want) {
 		t.Errorf("the replica lists %v, want %v", got, want)
 	}
 }
@@ -267,7 +267,7 @@
 		got <- line
 		io.WriteString(c, answer)
 	}()
-	c, err := l.Dial(raft.ServerAddress(earlier.Addr().String()), patience)
+	c, err := l.Dial(raft.ServerAddress(earlier.Addr().String()), eventTimeout)
 	if err != nil {
 		t.Fatalf("dial with the handshake answer %q: %v", answer, err)
 	}
--- a/internal/registry/server/compat_test.go
+++ b/internal/registry/server/compat_test.go
@@ -32,13 +32,13 @@
 	record         = flag.Bool("record", false, "write the fixtures anew with that program")
 )
 
-// processVariable is the environment variable with the path of a configuration file. If it is
+// configEnvVariable is the environment variable with the path of a configuration file. If it is
 // set, the test binary runs as a replica with that configuration.
-const processVariable = "REGISTRY_TEST_CONFIG"
+const configEnvVariable = "REGISTRY_TEST_CONFIG"
 
 // runReplica does the same as cmd/registry.
 func runReplica(config string) error {
-	if err := diskgate.Enter(); err != nil {
+	if err := diskgate.InstallFilter(); err != nil {
 		return err
 	}
 	stop, done := signal.NotifyContext(context.Background(), syscall.SIGTERM)
@@ -62,7 +62,7 @@
 	p := &process{t: t}
 	if program == "" {
 		p.command = exec.Command(os.Args[0])
-		p.command.Env = append(os.Environ(), processVariable+"="+config)
+		p.command.Env = append(os.Environ(), configEnvVariable+"="+config)
 	} else {
 		p.command = exec.Command(program, "-config", config)
 	}
@@ -142,10 +142,10 @@
 	})
 }
 
-// mustDo makes a call of the API and fails the test unless it succeeds.
-func mustDo(t testing.TB, m registry.ReplicaInfo, method, path, body string) {
+// mustCallAPI makes a call of the API and fails the test unless it succeeds.
+func mustCallAPI(t testing.TB, m registry.ReplicaInfo, method, path, body string) {
 	t.Helper()
-	if status, _, text := do(t, method, "http://"+m.HTTP+registry.APIPath+path, body); status != http.StatusOK {
+	if status, _, text := callAPI(t, method, "http://"+m.HTTP+registry.APIPath+path, body); status != http.StatusOK {
 		t.Fatalf("%s %s %s: got %d %s", method, path, body, status, text)
 	}
 }
--- a/internal/registry/server/failover_test.go
+++ b/internal/registry/server/failover_test.go
@@ -53,14 +53,14 @@
 		old.start()
 		eventually(t, "the replica is ready again", func() bool { return old.ready.Load() })
 	}
-	want := g.leader().wantedList()
+	want := g.leader().expectedList()
 	if len(want) != 4+6 {
 		t.Errorf("got %d instances, want 10: %v", len(want), want)
 	}
 	checkWatchers(t, watchers, want)
 	cancel()
 	registrations.Wait()
-	eventually(t, "the instances that left are removed", func() bool { return len(g.leader().wantedList()) == 6 })
+	eventually(t, "the instances that left are removed", func() bool { return len(g.leader().expectedList()) == 6 })
 }
 
 // A replica without a quorum continues to serve its list as stale, rejects writes with the
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	isolated := g.nodes[0]
-	eventually(t, "the list is replicated", func() bool { return len(isolated.wantedList()) == 1 })
+	eventually(t, "the list is replicated", func() bool { return len(isolated.expectedList()) == 1 })
 	resp, err := http.Get(fmt.Sprintf("http://%s%s?watch=1", isolated.member.HTTP, registry.ListPath))
 	if err != nil {
 		t.Fatal(err)
@@ -88,10 +88,10 @@
 		t.Errorf("the list: got %d %s, header %q; want a stale list", status, text, header.Get(registry.ReadHeader))
 	}
 	good, _ := json.Marshal(registry.RegisterRequest{Instance: instance("s-2", 5)})
-	if status, a, _ := do(t, "PUT", "http://"+isolated.member.HTTP+registry.APIPath+"instances/s-2", string(good)); status != 503 || !strings.Contains(a.Error, "quorum") {
+	if status, a, _ := callAPI(t, "PUT", "http://"+isolated.member.HTTP+registry.APIPath+"instances/s-2", string(good)); status != 503 || !strings.Contains(a.Error, "quorum") {
 		t.Errorf("a write: got %d %q, want 503 with the reason", status, a.Error)
 	}
-	if status, _, _ := do(t, "GET", "http://"+isolated.member.HTTP+registry.APIPath+"instances?linearizable=1", ""); status != 503 {
+	if status, _, _ := callAPI(t, "GET", "http://"+isolated.member.HTTP+registry.APIPath+"instances?linearizable=1", ""); status != 503 {
 		t.Errorf("a linearizable read: got %d, want 503", status)
 	}
 	// Without a leader it is undecidable whether a later version belongs to this history.
@@ -124,7 +124,7 @@
 			}
 		}
 		leader := g.leader()
-		want, seq := leader.wantedList(), leader.stateMachine.seq()
+		want, seq := leader.expectedList(), leader.stateMachine.seq()
 		if round == 0 {
 			if err := leader.raft.Snapshot().Error(); err != nil {
 				t.Fatal(err)
@@ -138,15 +138,15 @@
 		}
 		// The leader gives each session its full TTL. Then all expire at once, so it removes none.
 		leader = g.leader()
-		if got := leader.wantedList(); !maps.Equal(got, want) || leader.stateMachine.seq() < seq {
+		if got := leader.expectedList(); !maps.Equal(got, want) || leader.stateMachine.seq() < seq {
 			t.Errorf("after the restart: got %v at %d, want %v at %d or later", got, leader.stateMachine.seq(), want, seq)
 		}
 		eventually(t, "session expiry is suspended", func() bool { return leader.Status().ExpiryHeld })
-		if got := leader.wantedList(); len(got) != 10 {
+		if got := leader.expectedList(); len(got) != 10 {
 			t.Errorf("got %d of 10 instances after all sessions expired at once, want all", len(got))
 		}
 	}
-	checkWatchers(t, watchers, g.leader().wantedList())
+	checkWatchers(t, watchers, g.leader().expectedList())
 }
 
 // An instance whose session is no longer renewed is removed after its TTL; the others stay.
@@ -170,9 +170,9 @@
 		}()
 	}
 	eventually(t, "the instance that does not renew is removed", func() bool {
-		return !maps.Equal(g.nodes[0].wantedList(), map[string]string{"s-0": "up 1", "s-1": "up 1", "s-2": "up 1"})
+		return !maps.Equal(g.nodes[0].expectedList(), map[string]string{"s-0": "up 1", "s-1": "up 1", "s-2": "up 1"})
 	})
-	if got := g.nodes[0].wantedList(); len(got) != 2 || got["s-2"] != "" {
+	if got := g.nodes[0].expectedList(); len(got) != 2 || got["s-2"] != "" {
 		t.Errorf("got %v, want the instances that renew", got)
 	}
 	if err := c.RenewSession(testContext(t), "s-2", "x"); !errors.Is(err, registry.ErrNotFound) {
@@ -206,14 +206,14 @@
 	defer replacement.stop()
 	text, _ := json.Marshal(m)
 	base := "http://" + leader.member.HTTP + registry.APIPath + "members/"
-	if status, a, _ := do(t, "PUT", base+"r9", string(text)); status != 200 {
+	if status, a, _ := callAPI(t, "PUT", base+"r9", string(text)); status != 200 {
 		t.Fatalf("add a replica: got %d %s, want 200", status, a.Error)
 	}
-	if status, a, _ := do(t, "DELETE", base+removed.member.ID, ""); status != 200 {
+	if status, a, _ := callAPI(t, "DELETE", base+removed.member.ID, ""); status != 200 {
 		t.Fatalf("remove a replica: got %d %s, want 200", status, a.Error)
 	}
 	eventually(t, "the new replica is ready", func() bool { return replacement.ready.Load() })
-	if got := replacement.wantedList(); len(got) != 1 {
+	if got := replacement.expectedList(); len(got) != 1 {
 		t.Errorf("the new replica lists %v, want one instance", got)
 	}
 	s := leader.Status()
--- a/internal/registry/server/freshness.go
+++ b/internal/registry/server/freshness.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// staleElections is the number of election timeouts after the last confirmation for
-	// which a replica reports its reads as current.
-	staleElections = 3
+	// staleAfterElectionTimeouts is the number of election timeouts after the last
+	// confirmation for which a replica reports its reads as current.
+	staleAfterElectionTimeouts = 3
 	// confirmationsPerElectionTimeout is the approximate number of times per election timeout
 	// that a replica requests the leader's commit index.
 	confirmationsPerElectionTimeout = 4
@@ -40,7 +40,7 @@
 
 // maxReadAge is the maximum age of the last confirmation for reads to be reported as current.
 func (r *Replica) maxReadAge() time.Duration {
-	return staleElections * r.config.Load().electionTimeout()
+	return staleAfterElectionTimeouts * r.config.Load().electionTimeout()
 }
 
 // freshness returns the freshness of reads from this replica, registry.ReadCurrent or
--- a/internal/registry/server/harness_test.go
+++ b/internal/registry/server/harness_test.go
@@ -22,13 +22,13 @@
 
 // When the test binary runs as a replica, it locks its main thread as cmd/registry does.
 func init() {
-	if os.Getenv(processVariable) != "" {
+	if os.Getenv(configEnvVariable) != "" {
 		runtime.LockOSThread()
 	}
 }
 
 func TestMain(m *testing.M) {
-	if config := os.Getenv(processVariable); config != "" {
+	if config := os.Getenv(configEnvVariable); config != "" {
 		if err := runReplica(config); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -39,12 +39,12 @@
 	os.Exit(m.Run())
 }
 
-// patience is the timeout after which a test that waits for an event fails.
-const patience = 30 * time.Second
+// eventTimeout is the timeout after which a test that waits for an event fails.
+const eventTimeout = 30 * time.Second
 
 func eventually(t testing.TB, what string, holds func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(eventTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("timed out waiting until %s", what)
 		}
@@ -190,7 +190,7 @@
 }
 
 func testContext(t testing.TB) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), eventTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
@@ -253,8 +253,8 @@
 	}
 }
 
-// wantedList returns the list that watchers must hold.
-func (n *node) wantedList() map[string]string {
+// expectedList returns the list that watchers must hold.
+func (n *node) expectedList() map[string]string {
 	want := make(map[string]string)
 	n.stateMachine.view(func(s *registry.State) {
 		for _, i := range s.FullList().Instances {
@@ -278,7 +278,7 @@
 	return resp.StatusCode, resp.Header, string(text)
 }
 
-func do(t testing.TB, method, url, body string) (status int, response registry.WriteResponse, text string) {
+func callAPI(t testing.TB, method, url, body string) (status int, response registry.WriteResponse, text string) {
 	t.Helper()
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
--- a/internal/registry/server/http_test.go
+++ b/internal/registry/server/http_test.go
@@ -59,7 +59,7 @@
 		"an unknown method":   {"PATCH", "instances/s-1", ``, 405},
 		"an invalid read":     {"GET", "instances?linearizable=maybe", ``, 400},
 	} {
-		status, a, text := do(t, x.method, "http://"+n.member.HTTP+registry.APIPath+x.path, x.body)
+		status, a, text := callAPI(t, x.method, "http://"+n.member.HTTP+registry.APIPath+x.path, x.body)
 		if status != x.status || strings.Count(strings.TrimSpace(text), "\n") > 0 || (x.status < 404 && a.Error == "") {
 			t.Errorf("%s: got %d %q, want %d with one line", name, status, text, x.status)
 		}
@@ -118,11 +118,11 @@
 		t.Fatal(err)
 	}
 	seq := n.stateMachine.seq()
-	if status, a, _ := do(t, "POST", "http://"+n.member.HTTP+registry.APIPath+"restore", backup); status != 200 || a.Seq <= seq {
+	if status, a, _ := callAPI(t, "POST", "http://"+n.member.HTTP+registry.APIPath+"restore", backup); status != 200 || a.Seq <= seq {
 		t.Fatalf("restore: got %d %s at version %d, want 200 at a version after %d", status, a.Error, a.Seq, seq)
 	}
 	want := map[string]string{"s-1": "up 1"}
-	if got := n.wantedList(); !maps.Equal(got, want) {
+	if got := n.expectedList(); !maps.Equal(got, want) {
 		t.Errorf("restored list: got %v, want %v", got, want)
 	}
 	eventually(t, "the watcher holds the restored list", func() bool { return watcher.holds(want) })
--- a/internal/registry/server/hung_leader_test.go
+++ b/internal/registry/server/hung_leader_test.go
@@ -17,7 +17,7 @@
 func (g *gatedGroup) hangLeader() (leader registry.ReplicaInfo, since time.Time, answered <-chan int) {
 	g.t.Helper()
 	leader, _ = g.pickTarget(true)
-	if !g.write(leader, "before", patience) {
+	if !g.write(leader, "before", eventTimeout) {
 		g.t.Fatal("a write failed before the disk hangs")
 	}
 	body, err := json.Marshal(registry.RegisterRequest{Instance: instance("hung", 1)})
--- a/internal/registry/server/leadership.go
+++ b/internal/registry/server/leadership.go
@@ -122,7 +122,7 @@
 		termPending: r.storage.terms.waiting.Load() > 0,
 		diskCall:    r.storage.terms.calls.longestLogWrite(time.Now()),
 	}
-	return claim.check(term, staleElections*r.config.Load().electionTimeout())
+	return claim.check(term, staleAfterElectionTimeouts*r.config.Load().electionTimeout())
 }
 
 // requireLeader returns an error unless this replica leads and has applied what its
--- a/internal/registry/server/replica.go
+++ b/internal/registry/server/replica.go
@@ -32,8 +32,9 @@
 	shutdownPollInterval = 10 * time.Millisecond
 	diskPollInterval     = 100 * time.Millisecond
 	// hungDiskElections is the number of election timeouts after which the other replicas have
-	// replaced a leader whose disk hangs. Its heartbeats stop after staleElections of them.
-	hungDiskElections = 2 * staleElections
+	// replaced a leader whose disk hangs. Its heartbeats stop after
+	// staleAfterElectionTimeouts of them.
+	hungDiskElections = 2 * staleAfterElectionTimeouts
 
 	raftPoolSize          = 3 // idle connections kept per replica
 	raftTimeout           = 2 * time.Second
--- a/internal/registry/server/shutdown_disk_test.go
+++ b/internal/registry/server/shutdown_disk_test.go
@@ -83,7 +83,7 @@
 				t.Parallel()
 				g := startGatedGroup(t)
 				target, other := g.pickTarget(leads)
-				if !g.write(target, "before", patience) {
+				if !g.write(target, "before", eventTimeout) {
 					t.Fatal("a write failed before the disk hangs")
 				}
 				replica := g.replicas[target.ID]
--- a/internal/registry/server/slow_disk_test.go
+++ b/internal/registry/server/slow_disk_test.go
@@ -51,7 +51,7 @@
 func startGated(t testing.TB, config string, hold func(diskgate.Call) bool) *gatedReplica {
 	t.Helper()
 	command := exec.Command(os.Args[0])
-	command.Env = append(os.Environ(), processVariable+"="+config)
+	command.Env = append(os.Environ(), configEnvVariable+"="+config)
 	gate, err := diskgate.New(command, hold)
 	if err != nil {
 		t.Fatal(err)
@@ -97,7 +97,7 @@
 	<-r.Gate.Ended()
 	select {
 	case <-r.ended:
-	case <-time.After(patience):
+	case <-time.After(eventTimeout):
 		r.t.Error("the process has not exited after SIGKILL")
 	}
 	r.command = nil
--- a/internal/registry/server/stepdown_test.go
+++ b/internal/registry/server/stepdown_test.go
@@ -153,7 +153,7 @@
 	follower := others[0]
 	g.setDiskFull(follower.ID, true)
 	for i := range 8 {
-		g.register(g.members, fmt.Sprint("s-", i), patience)
+		g.register(g.members, fmt.Sprint("s-", i), eventTimeout)
 		time.Sleep(time.Second)
 	}
 	g.setDiskFull(follower.ID, false)
@@ -172,7 +172,7 @@
 	leader := g.leaderAmong(g.members)
 	follower := g.others(leader.ID)[0]
 	g.setDiskFull(follower.ID, true)
-	g.register(g.members, "s-1", patience)
+	g.register(g.members, "s-1", eventTimeout)
 	time.Sleep(12 * time.Second) // Raft's delay of 10.24 s begins after 10.2 s
 	g.setDiskFull(follower.ID, false)
 	begin := time.Now()
--- a/internal/registry/server/stream_layer_test.go
+++ b/internal/registry/server/stream_layer_test.go
@@ -35,7 +35,7 @@
 		"another group": {history("b", 7), false}, "another history": {history("a", 8), false},
 	} {
 		other := &streamLayer{localHistory: x.history}
-		c, err := other.Dial(raft.ServerAddress(l.Addr().String()), patience)
+		c, err := other.Dial(raft.ServerAddress(l.Addr().String()), eventTimeout)
 		if (err == nil) != x.ok {
 			t.Errorf("%s: got error %v, want accepted %v", name, err, x.ok)
 		}
@@ -49,7 +49,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(eventTimeout))
 		io.WriteString(c, noise)
 		if got, _ := io.ReadAll(c); len(got) > 0 && !strings.HasPrefix(string(got), "no ") {
 			t.Errorf("malformed handshake: got answer %q, want a refusal", got)
--- a/internal/registry/server/watch_test.go
+++ b/internal/registry/server/watch_test.go
@@ -107,7 +107,7 @@
 			g.nodes[rng.IntN(3)].broadcaster.endWatches()
 		}
 	}
-	checkWatchers(t, watchers, g.leader().wantedList())
+	checkWatchers(t, watchers, g.leader().expectedList())
 }
 
 // A watcher that does not read is disconnected, and does not delay other watchers.
@@ -135,5 +135,5 @@
 	if _, err := c.Register(testContext(t), registry.RegisterRequest{Instance: big}); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the other watcher holds the list", func() bool { return watcher.holds(n.wantedList()) })
+	eventually(t, "the other watcher holds the list", func() bool { return watcher.holds(n.expectedList()) })
 }
--- a/internal/rollout/compatibility_test.go
+++ b/internal/rollout/compatibility_test.go
@@ -222,7 +222,7 @@
 		if epoch != l.Follower.Epoch || string(stage) != l.Follower.Stage || refused != l.Follower.Refused {
 			t.Errorf("view %d: got %d, %s, %q, want %d, %s, %q", i, epoch, stage, refused, l.Follower.Epoch, l.Follower.Stage, l.Follower.Refused)
 		}
-		change, wanted := f.ReportsWanted()
+		change, wanted := f.ReportsRequested()
 		if got := fmt.Sprint(change, " ", wanted); got != l.Follower.Reports {
 			t.Errorf("view %d: got reports %q, want %q", i, got, l.Follower.Reports)
 		}
--- a/internal/rollout/follower.go
+++ b/internal/rollout/follower.go
@@ -127,9 +127,9 @@
 	}
 }
 
-// ReportsWanted returns the change for which the sidecar has to report its counts from time to
-// time, if any.
-func (f *Follower) ReportsWanted() (changeNumber uint64, wanted bool) {
+// ReportsRequested returns the change for which the sidecar has to report its counts
+// periodically, if any.
+func (f *Follower) ReportsRequested() (changeNumber uint64, wanted bool) {
 	return f.view.ChangeNumber, f.inRoster && f.view.ReportCounts
 }
 
--- a/internal/rollout/model/message.go
+++ b/internal/rollout/model/message.go
@@ -34,7 +34,7 @@
 	c, ok := s.follower.NextCommand()
 	if !ok {
 		c = rollout.Command{}
-		if number, wanted := s.follower.ReportsWanted(); wanted {
+		if number, wanted := s.follower.ReportsRequested(); wanted {
 			counts := rollout.RequestCounts{Requests: uint64(w.checker.Steps) * 100}
 			c = rollout.Command{Op: rollout.OpReport, Member: s.self, ChangeNumber: number, Counts: counts}
 		}
--- a/internal/rollout/process.go
+++ b/internal/rollout/process.go
@@ -40,9 +40,9 @@
 	return ticks
 }
 
-// ProcessGone reports whether the member's process ran on this machine and has certainly
+// ProcessEnded reports whether the member's process ran on this machine and has certainly
 // ended. It reports false if the machine's processes cannot be observed at all.
-func (m RosterMember) ProcessGone(machine string) bool {
+func (m RosterMember) ProcessEnded(machine string) bool {
 	p := m.Process
 	if machine == "" || p.Machine != machine || p.PID <= 0 || p.StartTicks == 0 {
 		return false
--- a/internal/sidecar/client_conn.go
+++ b/internal/sidecar/client_conn.go
@@ -109,7 +109,7 @@
 		if n, err := socket.Peek(fd); err == nil && n > 0 {
 			// The next request has begun to arrive. It stays unread until the current one has been
 			// answered, but a close by the client must still be detected.
-			return socket.HungUp(fd)
+			return socket.PeerClosed(fd)
 		}
 	}
 	n, err := syscall.Read(int(fd), r.buf)
@@ -196,7 +196,7 @@
 	closed := false
 	return c.raw != nil && c.raw.Control(func(fd uintptr) {
 		n, err := socket.Peek(fd)
-		closed = err == nil && n == 0 || errors.Is(err, syscall.ECONNRESET) || socket.HungUp(fd)
+		closed = err == nil && n == 0 || errors.Is(err, syscall.ECONNRESET) || socket.PeerClosed(fd)
 	}) == nil && closed
 }
 
--- a/internal/sidecar/client_conn_test.go
+++ b/internal/sidecar/client_conn_test.go
@@ -175,7 +175,7 @@
 
 // The client's socket is checked immediately before an attempt is written: net/http may detect a close later.
 func TestNoAttemptIsSentAfterClientDisconnect(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	peer, accepted := newConnPair(t)
 	r := &upstream.Request{ID: "left", Method: "POST", URL: sidecartest.MustURL("/"), Host: "x", Header: http.Header{}}
 	sendGate := gate.New()
--- a/internal/sidecar/client_listener_test.go
+++ b/internal/sidecar/client_listener_test.go
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(sidecartest.Patience))
+	c.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	return c
 }
 
@@ -64,7 +64,7 @@
 // A client that keeps as many connections as it can get must not take the share of other clients, and
 // still gets responses on its own share.
 func TestAddressWithMostConnectionsDoesNotStarveOthers(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	addr, _, _ := startLimited(t, u, testLimits(12))
 	for i := range 30 {
 		if got := requestOn(dialFrom(t, "127.0.0.2", addr), fmt.Sprint("greedy", i)); got != 200 {
@@ -95,7 +95,10 @@
 // Retry-After, whether it has sent a request or not. Later connections are served again.
 func TestConnectionsOverTheLimitAreAnswered503(t *testing.T) {
 	release := make(chan struct{})
-	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-release; return sidecartest.OKResponse("ok"), false })
+	u := sidecartest.NewFakeServer(t, func(sidecartest.ReceivedRequest) (string, bool) {
+		<-release
+		return sidecartest.OKResponse("ok"), false
+	})
 	addr, _, _ := startLimited(t, u, testLimits(3))
 	var held []<-chan result
 	for i := range 3 {
@@ -131,7 +134,7 @@
 // the client sees the close depends on its kernel: with a closed window, the kernel may drop the reset.
 func TestClientThatReadsNoResponseIsDisconnected(t *testing.T) {
 	t.Parallel() // the test takes the whole write timeout
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	_, limited, _ := newClientSide(t, u, nil)
 	c := dialFrom(t, "127.0.0.1", limited.Addr().String())
 	c.(*net.TCPConn).SetReadBuffer(4 << 10)
@@ -155,7 +158,7 @@
 		if now := sent.Load(); now != lastSent {
 			lastSent, progressAt = now, time.Now()
 		}
-		if time.Since(progressAt) > sidecartest.Patience {
+		if time.Since(progressAt) > sidecartest.WaitTimeout {
 			t.Fatalf("the connection of a client that reads nothing is still open, after %d bytes of checks", lastSent)
 		}
 		if lastSent > 1000*int64(len(check)) {
@@ -179,7 +182,7 @@
 
 // A surge of clients that misbehave in various ways leaks no descriptors, goroutines or connections.
 func TestConnectionSurgeLeaksNoResources(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	ln := sidecartest.ListenLoopback(t)
 	goroutines, fds := runtime.NumGoroutine(), openDescriptors(t)
 	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
@@ -201,7 +204,7 @@
 					return
 				}
 				defer nc.Close()
-				nc.SetDeadline(time.Now().Add(sidecartest.Patience))
+				nc.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 				io.WriteString(nc, text)
 				switch j % 3 {
 				case 0: // closes at once
@@ -273,7 +276,10 @@
 func TestGracefulShutdownWaitsForTheLongestRequest(t *testing.T) {
 	t.Parallel() // the test takes longer than the protocol's 3 s
 	release := make(chan struct{})
-	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-release; return sidecartest.OKResponse("ok"), false })
+	u := sidecartest.NewFakeServer(t, func(sidecartest.ReceivedRequest) (string, bool) {
+		<-release
+		return sidecartest.OKResponse("ok"), false
+	})
 	addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	held := call{class: "once", id: "held"}.sendInBackground(t, addr)
 	sidecartest.Await(t, "the request", u.Requests)
--- a/internal/sidecar/client_races_test.go
+++ b/internal/sidecar/client_races_test.go
@@ -24,7 +24,7 @@
 // A client disconnects while its attempt waits for an upstream connection. Even if attempts must not be
 // cancelled, an attempt that has not been sent must not be sent any more.
 func TestQueuedAttemptIsDroppedOnClientDisconnect(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	config := l.config.Policy
 	config.MayCancel = false
@@ -69,14 +69,14 @@
 // A chunked request without a Content-Length is served, on a new connection and on a reused one, whether it
 // arrives in one piece or byte by byte.
 func TestChunkedRequestIsServed(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(sidecartest.Patience))
+	c.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	responses := bufio.NewReader(c)
 	for i, piece := range []int{1 << 10, 1, 7} {
 		fmt.Fprintf(c, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") // is read completely
@@ -108,7 +108,7 @@
 // A client may disconnect long before its request is read, if its connection waited for admission. The
 // request is not forwarded, although net/http has not detected the close yet.
 func TestRequestReadAfterClientDisconnectIsNotForwarded(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	serve := newHandlerTest(t, u)
 	for name, leave := range map[string]func(net.Conn){
 		"closed": func(peer net.Conn) { peer.Close() },
@@ -163,7 +163,7 @@
 	const pipelinedBytes = 3 * maxHeaderBytes // more than is read with the first request
 	startRequest := func(t *testing.T) (u *sidecartest.FakeServer, proceed chan struct{}, limited *limitedListener, shutdown *gracefulShutdown, c *net.TCPConn) {
 		proceed = make(chan struct{})
-		u = sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) {
+		u = sidecartest.NewFakeServer(t, func(sidecartest.ReceivedRequest) (string, bool) {
 			<-proceed
 			return sidecartest.OKResponse("ok"), false
 		})
@@ -173,7 +173,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { nc.Close() })
-		nc.SetDeadline(time.Now().Add(sidecartest.Patience))
+		nc.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 		io.WriteString(nc, requestHead("first")+"Content-Length: 0\r\n\r\n")
 		sidecartest.Await(t, "the first request", u.Requests)
 		if _, err := io.WriteString(nc, requestHead("second")+strings.Repeat("x", pipelinedBytes)); err != nil {
@@ -215,14 +215,14 @@
 // A request has been read in part when a successor takes over. It stays with this process and keeps its
 // slot: it is served, and not refused because the slot was released.
 func TestPartiallyReadRequestIsServedAfterHandover(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	l, limited, shutdown := newClientSide(t, u, nil)
 	c, err := net.Dial("tcp", limited.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(sidecartest.Patience))
+	c.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	io.WriteString(c, requestHead("half")+"Content-Length: 4\r\n\r\nho")
 	sidecartest.Eventually(t, "its header is read", func() bool {
 		_, now := limited.counters()
@@ -249,7 +249,7 @@
 // A request that is being read on an idle connection when a shutdown begins is answered, and the
 // connection is closed with the response.
 func TestRequestReadAsShutdownBeginsIsAnswered(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	var reads atomic.Int32
 	reading, proceed := make(chan struct{}), make(chan struct{})
 	_, limited, shutdown := newClientSide(t, u, func() {
@@ -263,7 +263,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(sidecartest.Patience))
+	c.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	responses := bufio.NewReader(c)
 	sendRequest := func(id string) { io.WriteString(c, requestHead(id)+"Content-Length: 0\r\n\r\n") }
 	readResponse := func() *http.Response {
@@ -309,7 +309,7 @@
 func TestNonIdempotentIsSentOnceIfResponseIsCutOff(t *testing.T) {
 	whole := sidecartest.OKResponse("ok")
 	var cutAt atomic.Int32
-	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
+	u := sidecartest.NewFakeServer(t, func(r sidecartest.ReceivedRequest) (string, bool) {
 		io.WriteString(r.Conn, whole[:cutAt.Load()])
 		r.Conn.(*net.TCPConn).SetLinger(0) // its close is a reset
 		return "", int(cutAt.Load()) < len(whole)
--- a/internal/sidecar/client_test.go
+++ b/internal/sidecar/client_test.go
@@ -21,7 +21,7 @@
 
 func TestResponseBodyIsServedUnchanged(t *testing.T) {
 	body := strings.Repeat("\x00honey\r\n", 60000) // the size of real responses
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\nServer-Load: TEXT busy_reqs=1\r\nX-Ledger: 4\r\n\r\n%s", len(body), body)))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\nServer-Load: TEXT busy_reqs=1\r\nX-Ledger: 4\r\n\r\n%s", len(body), body)))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	got := call{class: "once", body: "{}"}.send(t, addr)
 	if got.status != 200 || got.body != body || got.header.Get("X-Ledger") != "4" || got.header.Get("Server-Load") != "" {
@@ -32,7 +32,7 @@
 // A failure is never answered with 429 or 503, which tell the client that a retry is safe.
 func TestFailureIsNotAnsweredAsRefusal(t *testing.T) {
 	for _, status := range []int{500, 503, 504, 429, 400, 302} {
-		u := sidecartest.NewFakeServer(t, sidecartest.Always(fmt.Sprintf("HTTP/1.1 %d x\r\nContent-Length: 4\r\n\r\nlate", status)))
+		u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(fmt.Sprintf("HTTP/1.1 %d x\r\nContent-Length: 4\r\n\r\nlate", status)))
 		addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 		if got := (call{class: "once"}).send(t, addr); got.status != http.StatusBadGateway || got.body != "" || got.header.Get("Retry-After") != "" {
 			t.Errorf("server's %d: got %+v, want a plain 502", status, got)
@@ -44,7 +44,7 @@
 }
 
 func TestRefusalHasRetryAfter(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always("HTTP/1.1 503 x\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond("HTTP/1.1 503 x\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"))
 	// The policy refuses when a response would miss the latency objective of 0.2 s.
 	c := testConfig(t, options{latencyObjective: 200 * time.Millisecond}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
@@ -60,7 +60,7 @@
 }
 
 func TestUnresponsiveServerIsAnsweredBeforeTheDeadline(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(""))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	start := time.Now()
 	got := call{class: "once", timeout: "0.4"}.send(t, addr)
@@ -71,7 +71,7 @@
 }
 
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(""))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -89,7 +89,7 @@
 }
 
 func TestInvalidRequestsAreRejected(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	bad := map[string]call{
 		"no id":           {class: "once", header: http.Header{"Request-Id": nil}},
@@ -139,7 +139,7 @@
 			t.Fatal(err)
 		}
 		io.WriteString(c, text)
-		c.SetReadDeadline(time.Now().Add(sidecartest.Patience))
+		c.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || resp.StatusCode < 400 || resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests {
 			t.Errorf("%s: got %v, error %v, want a plain 4xx or 5xx, no refusal", name, resp, err)
@@ -157,7 +157,10 @@
 // Two requests with the same id could cause the same effect twice.
 func TestRequestIDInUseIsRejected(t *testing.T) {
 	release := make(chan struct{})
-	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-release; return sidecartest.OKResponse("ok"), false })
+	u := sidecartest.NewFakeServer(t, func(sidecartest.ReceivedRequest) (string, bool) {
+		<-release
+		return sidecartest.OKResponse("ok"), false
+	})
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	first := call{class: "once"}.sendInBackground(t, addr)
 	sidecartest.Await(t, "the first request", u.Requests)
@@ -185,12 +188,12 @@
 	if got := ready(); got != http.StatusServiceUnavailable {
 		t.Errorf("without a list: got %d, want 503", got)
 	}
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	g.FullLists <- registrytest.ListJSON(5, true, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	if w := sidecartest.Await(t, "the watch", g.Watches); w.From != "5" {
 		t.Errorf("got a watch from %s, want 5", w.From)
 	}
-	for deadline := time.Now().Add(sidecartest.Patience); ready() != http.StatusOK; {
+	for deadline := time.Now().Add(sidecartest.WaitTimeout); ready() != http.StatusOK; {
 		if time.Now().After(deadline) {
 			t.Fatal("the sidecar did not become ready")
 		}
@@ -199,7 +202,7 @@
 
 // At the limit of client connections, idle ones are evicted, so that waiting ones are served.
 func TestClientConnectionsAreLimited(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	c := testConfig(t, options{sockets: config.MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
 	var closed int
@@ -210,7 +213,7 @@
 			t.Fatal(err)
 		}
 		defer nc.Close()
-		nc.SetDeadline(time.Now().Add(sidecartest.Patience))
+		nc.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 		call{class: "once", id: fmt.Sprint(i)}.request(t, addr).Write(nc)
 		resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 		if err != nil || resp.StatusCode != 200 {
@@ -245,7 +248,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(sidecartest.Patience))
+	c.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	go io.WriteString(c, text)
 	got, err := io.ReadAll(c)
 	if err != nil && len(got) == 0 {
@@ -261,7 +264,7 @@
 
 // Bytes inside or after a request whose length is ambiguous are never served as a request.
 func TestHiddenRequestIsNotServed(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	hidden := requestHead("hidden") + "Content-Length: 0\r\n\r\n"
 	chunk := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(hidden), hidden)
@@ -297,7 +300,7 @@
 // A client gets a response within 3 s of connecting. A client that stops sending cannot keep its
 // connection for longer than that.
 func TestUnfinishedRequestsTimeOut(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	texts := map[string]string{
 		"nothing":           "",
@@ -320,7 +323,7 @@
 		}
 		defer c.Close()
 		start := time.Now()
-		c.SetDeadline(start.Add(sidecartest.Patience))
+		c.SetDeadline(start.Add(sidecartest.WaitTimeout))
 		go func() {
 			io.WriteString(c, text)
 			io.Copy(io.Discard, c)
@@ -340,7 +343,10 @@
 // The sidecar does not wait for the body of a request that it rejects for its header or for an id in use.
 func TestRejectionDoesNotWaitForBody(t *testing.T) {
 	release := make(chan struct{})
-	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-release; return sidecartest.OKResponse("ok"), false })
+	u := sidecartest.NewFakeServer(t, func(sidecartest.ReceivedRequest) (string, bool) {
+		<-release
+		return sidecartest.OKResponse("ok"), false
+	})
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	first := call{class: "once", id: "held"}.sendInBackground(t, addr)
 	sidecartest.Await(t, "the first request", u.Requests)
@@ -370,7 +376,7 @@
 }
 
 func testConnectionIsEvicted(t *testing.T, useless string) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	c := testConfig(t, options{sockets: config.MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
 	kept, err := net.Dial("tcp", addr)
@@ -378,7 +384,7 @@
 		t.Fatal(err)
 	}
 	defer kept.Close()
-	kept.SetDeadline(time.Now().Add(sidecartest.Patience))
+	kept.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	in := bufio.NewReader(kept)
 	sendRequest := func(id string) {
 		t.Helper()
@@ -411,7 +417,7 @@
 // Clients that send one request and keep the connection reach the limit on idle connections, which is well
 // below the limit on all connections: the sidecar closes idle connections beyond it.
 func TestIdleConnectionsAreLimited(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	c := testConfig(t, options{sockets: config.MinSockets}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	_, limited, _ := newClientSide(t, u, nil)
 	limited.setLimits(c.Connections.Clients)
@@ -423,7 +429,7 @@
 			t.Fatal(err)
 		}
 		defer nc.Close()
-		nc.SetDeadline(time.Now().Add(sidecartest.Patience))
+		nc.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 		io.WriteString(nc, requestHead(fmt.Sprint(i))+"Content-Length: 0\r\n\r\n")
 		in := bufio.NewReader(nc)
 		resp, err := http.ReadResponse(in, nil)
@@ -447,7 +453,7 @@
 
 // A client that does not read its response cannot keep the response in memory forever: the write times out.
 func TestResponseWriteTimesOutIfClientDoesNotRead(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse(strings.Repeat("x", upstream.MaxResponseBody))))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse(strings.Repeat("x", upstream.MaxResponseBody))))
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	go l.run(t.Context())
 	ln, served := sidecartest.ListenLoopback(t), make(chan struct{})
@@ -485,7 +491,7 @@
 }
 
 func TestRequestIsForwardedUnchanged(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	body := strings.Repeat("h", maxBody)
 	got := call{class: "keyed", body: body, timeout: "3.25", header: http.Header{
--- a/internal/sidecar/config/config.go
+++ b/internal/sidecar/config/config.go
@@ -87,9 +87,9 @@
 	return c, c.checkDiscovery()
 }
 
-// ReadAgain reads the file again, which may block on its disk. The platform's limits remain those read at
+// Reload reads the file again, which may block on its disk. The platform's limits remain those read at
 // startup. Environment variables are not applied, since they still have their values of the startup.
-func (c *Config) ReadAgain() (*Config, error) {
+func (c *Config) Reload() (*Config, error) {
 	fresh, err := readConfig(c.Path, &c.Limits)
 	if err != nil {
 		return nil, err
@@ -97,9 +97,9 @@
 	return fresh, fresh.checkDiscovery()
 }
 
-// Adopt copies from a reloaded configuration the values that may change at run time: the discovery
+// ApplyReloaded copies from a reloaded configuration the values that may change at run time: the discovery
 // addresses and the limits on connections.
-func (c *Config) Adopt(fresh *Config) {
+func (c *Config) ApplyReloaded(fresh *Config) {
 	c.Discovery, c.DiscoveryReplicas, c.Connections = fresh.Discovery, fresh.DiscoveryReplicas, fresh.Connections
 }
 
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -116,7 +116,7 @@
 	for name, e := range l.endpoints.byName {
 		if e.entry.Health == healthRemoved || (kind != policy.ListDelta && !names[name]) {
 			l.endpoints.remove(e)
-			l.transport.Pool().Retire(e.server)
+			l.transport.Pool().RemoveServer(e.server)
 		}
 	}
 	l.endpoints.zones.removeUnused(l.endpoints.byName)
@@ -164,7 +164,7 @@
 	if e == nil {
 		e = l.endpoints.add(entry)
 	} else if e.entry.Dial != entry.Dial || e.entry.BornMS != entry.BornMS { // the server was replaced: its connections are no longer usable
-		l.transport.Pool().Retire(e.server)
+		l.transport.Pool().RemoveServer(e.server)
 		e.server, e.drainingSince = upstream.NewServer(entry.Dial), 0
 	}
 	// A start time ahead of this host's clock would prolong the slow start: the current time is used
--- a/internal/sidecar/endpoints_test.go
+++ b/internal/sidecar/endpoints_test.go
@@ -90,7 +90,7 @@
 	l := newTestLoop(t)
 	born := time.Now().Add(-2 * time.Second).UnixMilli()
 	s, ok := l.applyEntry(client.Endpoint{Host: "s-1", Dial: "127.0.0.1:7", Health: "up", BornMS: float64(born)})
-	if age := l.clock.read() - s.Started; !ok || s.Started <= 0 || age < time.Second || age > sidecartest.Patience {
+	if age := l.clock.read() - s.Started; !ok || s.Started <= 0 || age < time.Second || age > sidecartest.WaitTimeout {
 		t.Errorf("got start time %v, %v ago on the balancer's clock; want about 2s ago", s.Started, age)
 	}
 	ahead := client.Endpoint{Host: "s-2", Dial: "127.0.0.1:7", Health: "up", BornMS: float64(time.Now().Add(time.Hour).UnixMilli())}
@@ -133,7 +133,7 @@
 // After the watch event of a drain, all requests are forwarded to the other server.
 func TestDrainStopsNewAttemptsAtOnce(t *testing.T) {
 	g := registrytest.NewServer(t)
-	a, b := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("a"))), sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("b")))
+	a, b := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("a"))), sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("b")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, g.Addr, registrytest.EndpointJSON("s-1", a.Addr, "up", 0)))
 	w := sidecartest.Await(t, "the watch", g.Watches)
 	awaitServed(t, addr)
--- a/internal/sidecar/events.go
+++ b/internal/sidecar/events.go
@@ -70,7 +70,7 @@
 		return
 	}
 	l.closeRequest(r)
-	l.observers.requestEnded(r, outcome.ClientVanished)
+	l.observers.requestEnded(r, outcome.ClientDisconnected)
 	if mutation.IgnoreClientEnd {
 		return
 	}
--- a/internal/sidecar/handover/handover_test.go
+++ b/internal/sidecar/handover/handover_test.go
@@ -44,7 +44,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		m, err := receive(c, bufio.NewReaderSize(c, maxMessageBytes), messageHello, sidecartest.Patience)
+		m, err := receive(c, bufio.NewReaderSize(c, maxMessageBytes), messageHello, sidecartest.WaitTimeout)
 		if err == nil && m.Kind != messageHello {
 			t.Errorf("%q was accepted as a hello message", text)
 		}
@@ -54,7 +54,7 @@
 // A process that sends another message than the server expects gets an error and no socket, and the
 // next process is served.
 func TestServerRejectsUnexpectedMessages(t *testing.T) {
-	c := Config{Name: "n", Listen: "127.0.0.1:1", Socket: filepath.Join(t.TempDir(), "s"), ReadyTimeout: sidecartest.Patience}
+	c := Config{Name: "n", Listen: "127.0.0.1:1", Socket: filepath.Join(t.TempDir(), "s"), ReadyTimeout: sidecartest.WaitTimeout}
 	server, err := Listen(c, sidecartest.ListenLoopback(t))
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		nc.SetDeadline(time.Now().Add(sidecartest.Patience))
+		nc.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 		json.NewEncoder(nc).Encode(first)
 		text, err := io.ReadAll(nc)
 		if err != nil || strings.Contains(string(text), `"`+string(messageSocket)+`"`) {
@@ -104,7 +104,7 @@
 // fakePredecessor acts as the old process up to the socket message, and returns both ends of the connection.
 func fakePredecessor(t *testing.T) (p *Predecessor, old *net.UnixConn) {
 	t.Helper()
-	c := Config{Name: "n", Listen: "127.0.0.1:1", Socket: filepath.Join(t.TempDir(), "s"), ReadyTimeout: sidecartest.Patience}
+	c := Config{Name: "n", Listen: "127.0.0.1:1", Socket: filepath.Join(t.TempDir(), "s"), ReadyTimeout: sidecartest.WaitTimeout}
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: c.Socket, Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
@@ -118,7 +118,7 @@
 	go func() {
 		old, err := ln.AcceptUnix()
 		if err == nil {
-			_, err = receive(old, bufio.NewReader(old), messageHello, sidecartest.Patience)
+			_, err = receive(old, bufio.NewReader(old), messageHello, sidecartest.WaitTimeout)
 		}
 		if err == nil {
 			err = raw.Control(func(fd uintptr) { err = send(old, message{Kind: messageSocket}, syscall.UnixRights(int(fd))) })
@@ -175,7 +175,7 @@
 				reserved, err := p.awaitHandOver()
 				got <- result{reserved, err}
 			}()
-			if _, err := receive(old, bufio.NewReader(old), messageReady, sidecartest.Patience); err != nil {
+			if _, err := receive(old, bufio.NewReader(old), messageReady, sidecartest.WaitTimeout); err != nil {
 				t.Fatal(err)
 			}
 			tt.old(old)
@@ -190,7 +190,7 @@
 // If a new process dies after it has reported that it is ready, the old one continues to serve and
 // accepts the next.
 func TestOldProcessKeepsServingIfSuccessorDies(t *testing.T) {
-	c := Config{Name: "n", Listen: "127.0.0.1:1", Socket: filepath.Join(t.TempDir(), "s"), ReadyTimeout: sidecartest.Patience}
+	c := Config{Name: "n", Listen: "127.0.0.1:1", Socket: filepath.Join(t.TempDir(), "s"), ReadyTimeout: sidecartest.WaitTimeout}
 	server, err := Listen(c, sidecartest.ListenLoopback(t))
 	if err != nil {
 		t.Fatal(err)
@@ -263,7 +263,7 @@
 		to.Close()
 		from, to = pair()
 		io.WriteString(from, strings.TrimSuffix(line, "\n")+"\n")
-		got, err := receive(to, bufio.NewReader(to), want.Kind, sidecartest.Patience)
+		got, err := receive(to, bufio.NewReader(to), want.Kind, sidecartest.WaitTimeout)
 		if want.Kind == messageError {
 			if err == nil || !strings.HasSuffix(err.Error(), want.Error) {
 				t.Errorf("message %d: received error %v, want one that ends with %q", i, err, want.Error)
--- a/internal/sidecar/handover/predecessor.go
+++ b/internal/sidecar/handover/predecessor.go
@@ -26,8 +26,8 @@
 	readyTimeout time.Duration
 }
 
-// NewProcess is what TakeOver needs of the process that replaces a predecessor.
-type NewProcess interface {
+// SuccessorProcess is what TakeOver needs of the process that replaces a predecessor.
+type SuccessorProcess interface {
 	// Ready reports whether the process could serve requests.
 	Ready() bool
 	// StartAccepting is called once, when the predecessor has handed over or has died.
@@ -129,7 +129,7 @@
 // starts the new process's accepting, and passes on what capacity the predecessor still uses until the
 // predecessor ends. It fails if the new process is not ready before the timeout, or if the predecessor
 // does not hand over.
-func (p *Predecessor) TakeOver(ctx context.Context, to NewProcess) error {
+func (p *Predecessor) TakeOver(ctx context.Context, to SuccessorProcess) error {
 	defer context.AfterFunc(ctx, p.Close)()
 	if err := awaitReady(ctx, p.readyTimeout, to); err != nil {
 		return err
@@ -145,7 +145,7 @@
 }
 
 // awaitReady waits until the new process is ready to serve.
-func awaitReady(ctx context.Context, timeout time.Duration, to NewProcess) error {
+func awaitReady(ctx context.Context, timeout time.Duration, to SuccessorProcess) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	poll := time.NewTicker(readyPollInterval)
@@ -180,7 +180,7 @@
 }
 
 // followReserved passes on the predecessor's reports of the capacity that it still uses, until it ends.
-func (p *Predecessor) followReserved(to NewProcess) {
+func (p *Predecessor) followReserved(to SuccessorProcess) {
 	defer to.ReserveForPredecessor(nil)
 	for {
 		m, err := receive(p.conn, p.in, messageReserved, messageTimeout)
--- a/internal/sidecar/load_test.go
+++ b/internal/sidecar/load_test.go
@@ -216,7 +216,7 @@
 			slog.SetDefault(slog.New(slog.DiscardHandler))
 			var ratio, rounds float64
 			for b.Loop() {
-				u := sidecartest.NewFakeServer(b, func(sidecartest.Received) (string, bool) {
+				u := sidecartest.NewFakeServer(b, func(sidecartest.ReceivedRequest) (string, bool) {
 					time.Sleep(remaining)
 					return sidecartest.OKResponse("ok"), false
 				})
--- a/internal/sidecar/loop_test.go
+++ b/internal/sidecar/loop_test.go
@@ -60,12 +60,12 @@
 
 // A response that arrives after its client has disconnected must not leak the request.
 func TestResponseAfterClientDisconnectLeaksNoRequest(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(""))
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	r := call{class: "once"}.request(t, u.Addr)
 	held := &request{
 		Request: upstream.Request{ID: "x", Method: r.Method, URL: r.URL, Host: r.Host, Header: r.Header},
-		class:   2, clientDeadline: time.Now().Add(sidecartest.Patience),
+		class:   2, clientDeadline: time.Now().Add(sidecartest.WaitTimeout),
 		result: make(chan response, 1),
 	}
 	l.clock.now = l.clock.read()
--- a/internal/sidecar/outcome/outcome.go
+++ b/internal/sidecar/outcome/outcome.go
@@ -12,11 +12,11 @@
 
 // Outcomes of requests.
 const (
-	InTime         Outcome = iota // served within the latency objective
-	Late                          // served after the latency objective
-	Refused                       // a retry is safe
-	Failed                        // without a guarantee about its effect
-	ClientVanished                // the client no longer waits for the response
+	InTime             Outcome = iota // served within the latency objective
+	Late                              // served after the latency objective
+	Refused                           // a retry is safe
+	Failed                            // without a guarantee about its effect
+	ClientDisconnected                // the client no longer waits for the response
 )
 
 // Of classifies a response by its status and its latency.
@@ -40,7 +40,7 @@
 		return "served"
 	case Refused:
 		return "refused"
-	case ClientVanished:
+	case ClientDisconnected:
 		return "left"
 	}
 	return "failed"
--- a/internal/sidecar/outcome/outcome_test.go
+++ b/internal/sidecar/outcome/outcome_test.go
@@ -25,7 +25,7 @@
 			t.Errorf("status %d after %v: got %v %q, want %v %q", tt.status, tt.took, got, got.Label(), tt.want, tt.label)
 		}
 	}
-	if got := ClientVanished.Label(); got != "left" {
+	if got := ClientDisconnected.Label(); got != "left" {
 		t.Errorf("label %q, want left", got)
 	}
 }
--- a/internal/sidecar/overloadreporter/counts_test.go
+++ b/internal/sidecar/overloadreporter/counts_test.go
@@ -10,7 +10,7 @@
 
 func TestTakeResetsCounts(t *testing.T) {
 	c := NewCounts([]string{"acme", "zeta"}, func(tenant int) (float64, bool) { return 0.25, tenant == 0 })
-	for _, o := range []outcome.Outcome{outcome.InTime, outcome.Late, outcome.Refused, outcome.Failed, outcome.ClientVanished} {
+	for _, o := range []outcome.Outcome{outcome.InTime, outcome.Late, outcome.Refused, outcome.Failed, outcome.ClientDisconnected} {
 		c.RequestArrived(0)
 		c.RequestEnded(0, o)
 	}
--- a/internal/sidecar/policyfollower/roster.go
+++ b/internal/sidecar/policyfollower/roster.go
@@ -40,7 +40,7 @@
 	if command, pending = f.state.NextCommand(); pending {
 		return command, true, 0
 	}
-	change, due := f.state.ReportsWanted()
+	change, due := f.state.ReportsRequested()
 	if !due {
 		return command, false, longPollWait
 	}
--- a/internal/sidecar/service.go
+++ b/internal/sidecar/service.go
@@ -235,7 +235,7 @@
 func (s *service) startDiscovery() error {
 	c := s.config
 	options := client.WatcherOptions{
-		Addrs: c.DiscoveryAddrs(), LastKnown: c.KnownEndpoints, Seed: c.Seed, Grace: c.Policy.DrainGrace,
+		Addrs: c.DiscoveryAddrs(), LastKnown: c.KnownEndpoints, Seed: c.Seed, DrainGrace: c.Policy.DrainGrace,
 		Deliver: func(listing client.ListUpdate) { s.loop.post(endpointsListed{listing}) },
 	}
 	if c.Policy.PollList {
@@ -326,7 +326,7 @@
 	return nil
 }
 
-var _ handover.NewProcess = (*service)(nil)
+var _ handover.SuccessorProcess = (*service)(nil)
 
 // Ready reports whether the service has an endpoint list.
 func (s *service) Ready() bool { return s.loop.endpointsKnown.Load() }
@@ -435,7 +435,7 @@
 	}
 	s.reloading = true
 	go func() { // not awaited when the service stops
-		reread, err := s.config.ReadAgain()
+		reread, err := s.config.Reload()
 		s.reloaded <- reloadResult{reread, err}
 	}()
 }
@@ -456,7 +456,7 @@
 		return
 	}
 	before := s.config.DiscoveryAddrs()
-	s.config.Adopt(result.config)
+	s.config.ApplyReloaded(result.config)
 	s.enforcer.configureLimits(s.config.Connections)
 	if now := s.config.DiscoveryAddrs(); !slices.Equal(now, before) {
 		s.watcher.SetAddrs(now)
--- a/internal/sidecar/service_test.go
+++ b/internal/sidecar/service_test.go
@@ -20,7 +20,7 @@
 // Connection: close, and closes idle connections before it stops listening.
 func TestGracefulShutdownLosesNoRequest(t *testing.T) {
 	release := make(chan struct{})
-	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
+	u := sidecartest.NewFakeServer(t, func(r sidecartest.ReceivedRequest) (string, bool) {
 		if r.Header.Get("Request-Id") == "held" {
 			<-release
 		}
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	defer idle.Close()
-	idle.SetDeadline(time.Now().Add(sidecartest.Patience))
+	idle.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	call{class: "once", id: "first"}.request(t, addr).Write(idle)
 	in := bufio.NewReader(idle)
 	if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 200 || resp.Close {
@@ -54,7 +54,7 @@
 		t.Fatalf("a new connection after the shutdown began: %v", err)
 	}
 	defer fresh.Close()
-	fresh.SetDeadline(time.Now().Add(sidecartest.Patience))
+	fresh.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	call{class: "once", id: "fresh"}.request(t, addr).Write(fresh)
 	if resp, err := http.ReadResponse(bufio.NewReader(fresh), nil); err != nil || resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("on a new connection: got %+v, error %v; want 200 and Connection: close", resp, err)
@@ -76,7 +76,7 @@
 // A sidecar that polls the endpoint list reopens its watch after a failure.
 func TestPollingSidecarReopensWatch(t *testing.T) {
 	g := registrytest.NewServer(t)
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{polls: true}, g.Addr, registrytest.EndpointJSON("s-0", "127.0.0.1:1", "draining", 0)))
 	close(sidecartest.Await(t, "the watch", g.Watches).Lines)
 	w := sidecartest.Await(t, "the next watch", g.Watches)
@@ -87,7 +87,7 @@
 // awaitServed sends requests until one is served, for tests in which a watch event is in transit.
 func awaitServed(t *testing.T, addr string) {
 	t.Helper()
-	for i, deadline := 0, time.Now().Add(sidecartest.Patience); ; i++ {
+	for i, deadline := 0, time.Now().Add(sidecartest.WaitTimeout); ; i++ {
 		if got := (call{class: "once", id: fmt.Sprint("soon-", i)}).send(t, addr); got.status == http.StatusOK {
 			return
 		}
@@ -102,13 +102,13 @@
 func TestReloadMovesDiscovery(t *testing.T) {
 	old, fresh := registrytest.NewServer(t), registrytest.NewServer(t)
 	release := make(chan struct{})
-	a := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
+	a := sidecartest.NewFakeServer(t, func(r sidecartest.ReceivedRequest) (string, bool) {
 		if r.Header.Get("Request-Id") == "held" {
 			<-release
 		}
 		return sidecartest.OKResponse("a"), false
 	})
-	b := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("b")))
+	b := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("b")))
 	c := testConfig(t, options{}, old.Addr, registrytest.EndpointJSON("s-1", a.Addr, "up", 0))
 	c.Path = filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
@@ -142,7 +142,7 @@
 	}
 	fresh.FullLists <- registrytest.ListJSON(1, true, registrytest.EndpointJSON("s-2", b.Addr, "up", 0))
 	sidecartest.Await(t, "the new watch", fresh.Watches)
-	for i, deadline := 0, time.Now().Add(sidecartest.Patience); ; i++ {
+	for i, deadline := 0, time.Now().Add(sidecartest.WaitTimeout); ; i++ {
 		if got := (call{class: "once", id: fmt.Sprint(i)}).send(t, addr); got.body == "b" {
 			break
 		} else if time.Now().After(deadline) {
@@ -157,7 +157,7 @@
 
 // A reload applies new limits. A file with invalid limits changes nothing.
 func TestReloadChangesLimits(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	c.Path = filepath.Join(t.TempDir(), "config.json")
 	write := func(connections string) {
@@ -203,7 +203,7 @@
 // net/http counts a connection as idle until it has read a request's header. If the connection is closed as
 // idle at that time, the request must not be forwarded: the client sends it again.
 func TestRequestOnConnectionClosedAsIdleIsNotForwarded(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	serve := newHandlerTest(t, u)
 	closed, open := newClientConn(&net.TCPConn{}), newClientConn(&net.TCPConn{})
 	closed.closeIdle(false)
@@ -219,7 +219,7 @@
 }
 
 func TestConnectionsAreReused(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{probes: true}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	const requests, interval = 12, upstream.MaxQuarantine + 20*time.Millisecond // each connection has left quarantine before the next request
 	for i := range requests {
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -24,7 +24,7 @@
 func TestServerDrainThroughTheEndpointList(t *testing.T) {
 	g := registrytest.NewServer(t)
 	release := make(chan struct{})
-	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
+	u := sidecartest.NewFakeServer(t, func(r sidecartest.ReceivedRequest) (string, bool) {
 		if r.Header.Get("Request-Id") == "held" {
 			<-release
 		}
@@ -93,7 +93,10 @@
 // A graceful shutdown passes through its phases during a second signal, a reload and a long request.
 func TestPhasesOfAGracefulShutdown(t *testing.T) {
 	release := make(chan struct{})
-	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-release; return sidecartest.OKResponse("ok"), false })
+	u := sidecartest.NewFakeServer(t, func(sidecartest.ReceivedRequest) (string, bool) {
+		<-release
+		return sidecartest.OKResponse("ok"), false
+	})
 	old, fresh := registrytest.NewServer(t), registrytest.NewServer(t)
 	c := testConfig(t, options{}, old.Addr, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	c.Path = filepath.Join(t.TempDir(), "config.json")
@@ -156,7 +159,7 @@
 	})
 	t.Run("a server that never answers", func(t *testing.T) {
 		t.Parallel() // the test takes the request's whole timeout
-		u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
+		u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(""))
 		addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 		held := call{class: "once", id: "held", timeout: "1.5"}.sendInBackground(t, addr)
 		sidecartest.Await(t, "the request", u.Requests)
@@ -171,7 +174,7 @@
 	t.Run("a client that never reads", func(t *testing.T) {
 		t.Parallel()
 		big := make([]byte, upstream.MaxResponseBody)
-		u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse(string(big))))
+		u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse(string(big))))
 		addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 		c := dialFrom(t, "127.0.0.1", addr)
 		c.(*net.TCPConn).SetReadBuffer(4 << 10)
@@ -208,7 +211,7 @@
 // Connections in the listener's backlog at a shutdown are served: the kernel has established them, and their
 // clients have sent requests.
 func TestBacklogIsServedAtShutdown(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	_, limited, shutdown := newClientSide(t, u, nil)
 	shutdown.start()
 	var conns []net.Conn
@@ -224,7 +227,7 @@
 	limited.acceptBacklog()
 	limited.stopAccepting()
 	for i, c := range conns {
-		c.SetDeadline(time.Now().Add(sidecartest.Patience))
+		c.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode >= 500 && resp.StatusCode != http.StatusServiceUnavailable {
 			t.Errorf("connection %d: got response %+v, error %v; want a status below 500, or 503", i, resp, err)
 		}
--- a/internal/sidecar/sidecartest/fakeserver.go
+++ b/internal/sidecar/sidecartest/fakeserver.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// Received is a request that a FakeServer has read, and the connection it came on.
-type Received struct {
+// ReceivedRequest is a request that a FakeServer has read, and the connection it came on.
+type ReceivedRequest struct {
 	*http.Request
 	Body string
 	Conn net.Conn
@@ -21,28 +21,30 @@
 // that its ResponseFunc returns.
 type FakeServer struct {
 	Addr     string
-	Requests chan Received // read by the server and not yet received by the test
-	Accepted chan net.Conn // accepted and not yet received by the test
-	Closed   chan net.Conn // closed by the peer, or failed
+	Requests chan ReceivedRequest // read by the server and not yet received by the test
+	Accepted chan net.Conn        // accepted and not yet received by the test
+	Closed   chan net.Conn        // closed by the peer, or failed
 }
 
 // ResponseFunc returns the raw response to a request, and whether to close the connection after it.
-type ResponseFunc func(r Received) (text string, end bool)
+type ResponseFunc func(r ReceivedRequest) (text string, end bool)
 
 // OKResponse is a complete response with status 200.
 func OKResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// Always returns a ResponseFunc that writes the same text for every request.
-func Always(text string) ResponseFunc { return func(Received) (string, bool) { return text, false } }
+// AlwaysRespond returns a ResponseFunc that writes the same text for every request.
+func AlwaysRespond(text string) ResponseFunc {
+	return func(ReceivedRequest) (string, bool) { return text, false }
+}
 
 // NewFakeServer starts a server that is closed at the end of the test.
 func NewFakeServer(t testing.TB, respond ResponseFunc) *FakeServer {
 	t.Helper()
 	ln := ListenLoopback(t)
 	u := &FakeServer{
-		Addr: ln.Addr().String(), Requests: make(chan Received, 100),
+		Addr: ln.Addr().String(), Requests: make(chan ReceivedRequest, 100),
 		Accepted: make(chan net.Conn, 100), Closed: make(chan net.Conn, 100),
 	}
 	go func() {
@@ -68,7 +70,7 @@
 			return
 		}
 		body, _ := io.ReadAll(req.Body)
-		r := Received{req, string(body), c}
+		r := ReceivedRequest{req, string(body), c}
 		u.Requests <- r
 		text, end := respond(r)
 		io.WriteString(c, text)
--- a/internal/sidecar/socket/socket.go
+++ b/internal/sidecar/socket/socket.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// HungUp reports whether the peer has closed its side, even if there is unread data.
-func HungUp(fd uintptr) bool {
+// PeerClosed reports whether the peer has closed its side, even if there is unread data.
+func PeerClosed(fd uintptr) bool {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	n, err := unix.Poll(fds, 0)
 	for err == unix.EINTR {
--- a/internal/sidecar/status.go
+++ b/internal/sidecar/status.go
@@ -29,7 +29,7 @@
 	Bulkheads       []Bulkhead
 	Endpoints       map[string]map[string]int // number of listed endpoints by zone and health
 	EndpointListAge time.Duration             // since the last list message; 0: none received yet
-	Decided         policy.Counters
+	Decisions       policy.Counters
 	Congestion      float64 // recent response times as a share of the latency objective
 
 	// The current number of connections by state, and the event counters.
@@ -51,7 +51,7 @@
 }
 
 // DecisionCounts returns the balancer's counters by name.
-func (s Status) DecisionCounts() map[string]float64 { return counters.Values(s.Decided) }
+func (s Status) DecisionCounts() map[string]float64 { return counters.Values(s.Decisions) }
 
 // errLoopEnded is returned when the event loop has ended.
 var errLoopEnded = errors.New("sidecar: event loop has ended")
@@ -80,7 +80,7 @@
 func (l *eventLoop) status() Status {
 	s := Status{
 		OpenRequests: len(l.requests.byID), Endpoints: l.endpoints.countByHealth(),
-		Decided: l.balancer.Counters(), Congestion: l.balancer.Congestion(l.clock.now), Gate: l.gate.Counters(),
+		Decisions: l.balancer.Counters(), Congestion: l.balancer.Congestion(l.clock.now), Gate: l.gate.Counters(),
 	}
 	if l.endpoints.updatedAt > 0 {
 		s.EndpointListAge = l.clock.now - l.endpoints.updatedAt
--- a/internal/sidecar/status_test.go
+++ b/internal/sidecar/status_test.go
@@ -37,7 +37,7 @@
 }
 
 func TestExporterRecordsEachRequestOnce(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
+	u := sidecartest.NewFakeServer(t, func(r sidecartest.ReceivedRequest) (string, bool) {
 		if r.Header.Get("Request-Id") == "breaks" {
 			return "", true
 		}
@@ -103,7 +103,7 @@
 	defer slog.SetDefault(old)
 	log := new(syncBuffer)
 	slog.SetDefault(slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug})))
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	call{class: "once", id: "follow-me"}.send(t, addr)
 	stop()
--- a/internal/sidecar/upstream/dial_test.go
+++ b/internal/sidecar/upstream/dial_test.go
@@ -35,7 +35,7 @@
 func TestHandshakesAreLimited(t *testing.T) {
 	// With a full backlog handshakes hang, as with a machine that is cut off from the network.
 	addrA, addrB := sidecartest.NewBlackHole(t), sidecartest.NewBlackHole(t)
-	p := NewPool(sidecartest.Patience, 30*time.Second, config.UpstreamLimits{Total: 20, PerServer: 10, Handshakes: 5, HandshakesPerServer: 3}, 1)
+	p := NewPool(sidecartest.WaitTimeout, 30*time.Second, config.UpstreamLimits{Total: 20, PerServer: 10, Handshakes: 5, HandshakesPerServer: 3}, 1)
 	defer p.Close()
 	ctx, cancel := context.WithCancel(t.Context())
 	var callers sync.WaitGroup
@@ -70,7 +70,7 @@
 
 // The dial window grows with each successful handshake, and is 1 after a failed one.
 func TestDialWindowGrows(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("")))
 	p := testPool(20)
 	defer p.Close()
 	to := NewServer(u.Addr)
@@ -93,9 +93,9 @@
 // Waiting callers get connections in the order of their arrival, both released and new ones. A caller
 // whose context has ended is skipped.
 func TestWaitersAreServedInOrder(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("")))
 	p, to := testPool(1), NewServer(u.Addr)
-	p.dialTimeout = sidecartest.Patience
+	p.dialTimeout = sidecartest.WaitTimeout
 	defer p.Close()
 	c, err := p.Acquire(t.Context(), to)
 	if err != nil {
@@ -134,7 +134,7 @@
 
 // A timeout that is caused by the pool's own limits does not count as a failure of the server.
 func TestLocalLimitsAreNotServerFailures(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("")))
 	p, to := testPoolWithTimeouts(20*time.Millisecond, 30*time.Second, 1), NewServer(u.Addr)
 	defer p.Close()
 	if _, err := p.Acquire(t.Context(), to); err != nil {
--- a/internal/sidecar/upstream/pool_test.go
+++ b/internal/sidecar/upstream/pool_test.go
@@ -18,7 +18,7 @@
 func TestIdleConnectionsToUnresponsiveServerAreClosed(t *testing.T) {
 	for name, answered := range map[string]bool{"unresponsive": false, "one slow request": true} {
 		t.Run(name, func(t *testing.T) {
-			u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
+			u := sidecartest.NewFakeServer(t, func(r sidecartest.ReceivedRequest) (string, bool) {
 				if r.Header.Get("Request-Id") == "x" {
 					return "", false
 				}
@@ -57,7 +57,7 @@
 // Idle connections in excess of the recent peak use are closed long before the server would close them,
 // except for the last one.
 func TestSweepClosesConnectionsAboveDemand(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("")))
 	p, to := testPoolWithTimeouts(time.Second, time.Minute, 8), NewServer(u.Addr)
 	defer p.Close()
 	conns := acquireConns(t, p, to, 5)
@@ -91,7 +91,7 @@
 func startWaitingAttempt(t *testing.T) (p *Pool, to *Server, ending <-chan policy.Ending) {
 	t.Helper()
 	p, to = testPool(4), NewServer(sidecartest.NewBlackHole(t))
-	p.dialTimeout = sidecartest.Patience
+	p.dialTimeout = sidecartest.WaitTimeout
 	t.Cleanup(p.Close)
 	ended := make(chan policy.Ending, 1)
 	go func() { e, _ := runOneAttempt(t.Context(), p, to); ended <- e }()
@@ -102,7 +102,7 @@
 // Attempts waiting for a connection fail at once when their server is removed.
 func TestAttemptsWaitingForRemovedServerFail(t *testing.T) {
 	p, to, ending := startWaitingAttempt(t)
-	p.Retire(to)
+	p.RemoveServer(to)
 	if got := sidecartest.Await(t, "the ending", ending); got != policy.NotSent {
 		t.Errorf("got ending %v, want not sent", got)
 	}
@@ -113,7 +113,7 @@
 
 // SetLimits applies to open connections, too.
 func TestSetLimits(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("")))
 	p, to := testPool(8), NewServer(u.Addr)
 	defer p.Close()
 	conns := acquireConns(t, p, to, 4)
@@ -131,7 +131,7 @@
 }
 
 func TestPoolReusesTheMostRecentConnection(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("")))
 	p, to := testPool(4), NewServer(u.Addr)
 	a, err := p.Acquire(context.Background(), to)
 	if err != nil {
@@ -155,7 +155,7 @@
 }
 
 func TestPoolDiscardsConnectionsClosedByServer(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("")))
 	p, to := testPool(4), NewServer(u.Addr)
 	c, err := p.Acquire(context.Background(), to)
 	if err != nil {
@@ -180,7 +180,7 @@
 }
 
 func TestPoolClosesBeforeTheServerDoes(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("")))
 	p, to := testPoolWithTimeouts(time.Second, 10*time.Second, 4), NewServer(u.Addr)
 	c, err := p.Acquire(context.Background(), to)
 	if err != nil {
@@ -204,7 +204,7 @@
 
 // At the limit on the total an idle connection is evicted, even if it is to another server.
 func TestPoolEvictsIdleConnectionAtTotalLimit(t *testing.T) {
-	a, b := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse(""))), sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
+	a, b := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse(""))), sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("")))
 	p, toA, toB := testPool(2), NewServer(a.Addr), NewServer(b.Addr)
 	first, err := p.Acquire(context.Background(), toA)
 	if err != nil {
@@ -237,7 +237,7 @@
 // A new server may use the address of a removed one while an attempt to the old one is in flight. It must
 // not get the old server's connections.
 func TestNewServerAtSameAddressGetsNoOldConnections(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("")))
 	p, old := testPool(4), NewServer(u.Addr)
 	idle, err := p.Acquire(t.Context(), old)
 	if err != nil {
@@ -248,7 +248,7 @@
 		t.Fatal(err)
 	}
 	p.Release(idle)
-	p.Retire(old)
+	p.RemoveServer(old)
 	sidecartest.Await(t, "the idle connection's close", u.Closed)
 	fresh, err := p.Acquire(t.Context(), NewServer(u.Addr))
 	if err != nil {
--- a/internal/sidecar/upstream/quarantine_test.go
+++ b/internal/sidecar/upstream/quarantine_test.go
@@ -24,7 +24,7 @@
 	for name, equal := range map[string]bool{"distinct responses": false, "equal responses": true} {
 		t.Run(name, func(t *testing.T) {
 			last := ""
-			u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
+			u := sidecartest.NewFakeServer(t, func(r sidecartest.ReceivedRequest) (string, bool) {
 				first := last
 				if last = sidecartest.OKResponse("done " + r.Header.Get("Request-Id")); equal {
 					last = sidecartest.OKResponse("done")
@@ -81,7 +81,9 @@
 func TestSurplusBytesAreNotTakenForNextResponse(t *testing.T) {
 	for name, surplus := range map[string]string{"in the same write": sidecartest.OKResponse("stale"), "later": ""} {
 		t.Run(name, func(t *testing.T) {
-			u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) { return sidecartest.OKResponse("good") + surplus, false })
+			u := sidecartest.NewFakeServer(t, func(r sidecartest.ReceivedRequest) (string, bool) {
+				return sidecartest.OKResponse("good") + surplus, false
+			})
 			p, to := testPool(4), NewServer(u.Addr)
 			for i := range 20 {
 				ending, a := runOneAttempt(t.Context(), p, to)
@@ -102,7 +104,7 @@
 // A second response may arrive some milliseconds after the first, so a connection is not reused before
 // its quarantine has ended, whether another connection is idle or not.
 func TestConnectionIsQuarantinedBeforeTheNextRequest(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	p, to := testPool(4), NewServer(u.Addr)
 	get := func() *Conn {
 		t.Helper()
--- a/internal/sidecar/upstream/response_test.go
+++ b/internal/sidecar/upstream/response_test.go
@@ -59,7 +59,7 @@
 		"endless header":          {text: "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxResponseHead), want: policy.Broken},
 	} {
 		t.Run(name, func(t *testing.T) {
-			u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { return c.text, c.end })
+			u := sidecartest.NewFakeServer(t, func(sidecartest.ReceivedRequest) (string, bool) { return c.text, c.end })
 			got, a := runOneAttempt(context.Background(), testPool(2), NewServer(u.Addr))
 			if got != c.want {
 				t.Errorf("got ending %v, want %v", got, c.want)
@@ -75,7 +75,7 @@
 }
 
 func TestUnresponsiveServerTimesOutAndItsConnectionIsClosed(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(""))
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
 	if got, _ := runOneAttempt(ctx, testPool(2), NewServer(u.Addr)); got != policy.TimedOut {
@@ -85,7 +85,7 @@
 }
 
 func TestCancelClosesTheConnection(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(""))
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		<-u.Requests
@@ -101,7 +101,7 @@
 // arrived.
 func TestOversizedResponseFailsBeforeItsEnd(t *testing.T) {
 	text := sidecartest.OKResponse(strings.Repeat("x", MaxResponseBody+2))
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(text[:len(text)-1])) // the last byte is never sent
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(text[:len(text)-1])) // the last byte is never sent
 	if got, _ := runOneAttempt(t.Context(), testPool(2), NewServer(u.Addr)); got != policy.Broken {
 		t.Errorf("got ending %v, want broken", got)
 	}
@@ -118,7 +118,7 @@
 
 // An attempt that is cancelled or times out while waiting for a connection writes nothing.
 func TestAttemptCancelledWhileWaitingWritesNothing(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("")))
 	p, to := testPool(1), NewServer(u.Addr)
 	held, err := p.Acquire(context.Background(), to)
 	if err != nil {
@@ -183,7 +183,7 @@
 		"unhealthy":     {"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", false, -1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			u := sidecartest.NewFakeServer(t, sidecartest.Always(c.text))
+			u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(c.text))
 			ups := NewTransport(testPool(1), gate.New(), "/stats", settings.LoadColumns{"busy_reqs", "pending"})
 			ok, load := ups.Probe(context.Background(), NewServer(u.Addr))
 			if ok != c.ok || load.InFlight != c.load {
@@ -197,7 +197,7 @@
 }
 
 func TestProbeOfUnresponsiveServerTimesOut(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(""))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(""))
 	ups := newTestTransport(testPoolWithTimeouts(500*time.Millisecond, time.Second, 1))
 	if ok, load := ups.Probe(context.Background(), NewServer(u.Addr)); ok || load.InFlight >= 0 {
 		t.Errorf("got %v, %v; want false and an unknown load", ok, load)
--- a/internal/sidecar/upstream/server_states.go
+++ b/internal/sidecar/upstream/server_states.go
@@ -65,9 +65,9 @@
 	server.draining = false
 }
 
-// Retire is like Drain, but permanent, for a server that was removed. A later server at the same address
+// RemoveServer is like Drain, but permanent, for a server that was removed. A later server at the same address
 // is another Server with connections of its own.
-func (p *Pool) Retire(server *Server) {
+func (p *Pool) RemoveServer(server *Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	server.removed = true
--- a/internal/sidecar/upstream/server_states_test.go
+++ b/internal/sidecar/upstream/server_states_test.go
@@ -13,7 +13,7 @@
 // attempts that have already chosen it. Requests in flight complete, idle connections are closed, and the
 // server is used again if the drain is cancelled.
 func TestDrainingServer(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("")))
 	p, to := testPool(4), NewServer(u.Addr)
 	defer p.Close()
 	conns := acquireConns(t, p, to, 3)
--- a/internal/sidecar/upstream/transport_test.go
+++ b/internal/sidecar/upstream/transport_test.go
@@ -13,7 +13,7 @@
 
 // A repeat is not sent if its deadline has passed or passes while it waits for a connection.
 func TestRepeatIsNotSentAfterItsDeadline(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	p, to := testPool(1), NewServer(u.Addr)
 	ups := newTestTransport(p)
 	inUse := acquireConns(t, p, to, 1)[0]
@@ -38,7 +38,7 @@
 
 // The deadline of a repeat is checked again after a connection has been acquired.
 func TestRepeatDeadlineIsCheckedBeforeWrite(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	p, to := testPool(1), NewServer(u.Addr)
 	ups := newTestTransport(p)
 	c := acquireConns(t, p, to, 1)[0]
@@ -54,7 +54,7 @@
 
 // A response without a length is completed by an orderly close of its connection, but not by a reset.
 func TestResetDoesNotCompleteAResponse(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
+	u := sidecartest.NewFakeServer(t, func(r sidecartest.ReceivedRequest) (string, bool) {
 		io.WriteString(r.Conn, "HTTP/1.1 200 OK\r\n\r\nhoney")
 		r.Conn.(*net.TCPConn).SetLinger(0) // makes Close send a reset
 		return "", true
@@ -66,7 +66,7 @@
 
 // The transport does not retry on its own, not even an idempotent request whose reused connection breaks.
 func TestTransportDoesNotRetry(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
+	u := sidecartest.NewFakeServer(t, func(r sidecartest.ReceivedRequest) (string, bool) {
 		if r.Header.Get("Request-Id") == "breaks" {
 			return "", true
 		}
--- a/internal/sidecar/upstream/write_test.go
+++ b/internal/sidecar/upstream/write_test.go
@@ -71,7 +71,7 @@
 		t.Fatalf("got %d bytes written, %v, %d unsent; want all written and some unsent", n, err, c.unsentBytes())
 	}
 	c.Close()
-	serverSide.SetReadDeadline(time.Now().Add(sidecartest.Patience))
+	serverSide.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	if n, err := io.Copy(io.Discard, serverSide); n >= body || err == nil {
 		t.Errorf("received %d bytes, error %v; want fewer than all bytes and a reset", n, err)
 	}
--- a/internal/sidecarcmd/command.go
+++ b/internal/sidecarcmd/command.go
@@ -111,7 +111,7 @@
 func (f logFlags) logger(w io.Writer, file config.Log) (*slog.Logger, error) {
 	var level slog.Level
 	if text := cmp.Or(f.level, file.Level, "info"); level.UnmarshalText([]byte(text)) != nil {
-		return nil, cli.WrongCall("log level is %q, want debug, info, warn or error", text)
+		return nil, cli.UsageError("log level is %q, want debug, info, warn or error", text)
 	}
 	options := &slog.HandlerOptions{Level: level}
 	switch format := cmp.Or(f.format, file.Format, "text"); format {
@@ -120,7 +120,7 @@
 	case "json":
 		return slog.New(slog.NewJSONHandler(w, options)), nil
 	default:
-		return nil, cli.WrongCall("log format is %q, want text or json", format)
+		return nil, cli.UsageError("log format is %q, want text or json", format)
 	}
 }
 
--- a/internal/sidecarcmd/command_test.go
+++ b/internal/sidecarcmd/command_test.go
@@ -23,19 +23,19 @@
 		status   int
 		mentions string
 	}{
-		{[]string{"version"}, cli.StatusDone, ""},
-		{[]string{"--help"}, cli.StatusDone, ""},
-		{[]string{"completion", "bash"}, cli.StatusDone, ""},
-		{[]string{"swerve"}, cli.StatusWrongCall, "swerve"},
-		{[]string{"serve", "--fast"}, cli.StatusWrongCall, "--fast"},
-		{[]string{"serve", "--log-level", "loud"}, cli.StatusWrongCall, "loud"},
-		{[]string{"serve", "--log-format", "xml"}, cli.StatusWrongCall, "xml"},
-		{[]string{"check", "a", "b"}, cli.StatusWrongCall, "at most 1"},
+		{[]string{"version"}, cli.StatusOK, ""},
+		{[]string{"--help"}, cli.StatusOK, ""},
+		{[]string{"completion", "bash"}, cli.StatusOK, ""},
+		{[]string{"swerve"}, cli.StatusUsageError, "swerve"},
+		{[]string{"serve", "--fast"}, cli.StatusUsageError, "--fast"},
+		{[]string{"serve", "--log-level", "loud"}, cli.StatusUsageError, "loud"},
+		{[]string{"serve", "--log-format", "xml"}, cli.StatusUsageError, "xml"},
+		{[]string{"check", "a", "b"}, cli.StatusUsageError, "at most 1"},
 		{[]string{"check", "/nonexistent/config.json"}, cli.StatusFailed, "/nonexistent/config.json"},
 		{[]string{"check"}, cli.StatusFailed, "ROUTER_CONFIG"},
 	} {
 		status, _, errs := call(nil, c.args...)
-		if status != c.status || !strings.Contains(errs, c.mentions) || (c.status != cli.StatusDone && strings.Count(errs, "\n") != 1) {
+		if status != c.status || !strings.Contains(errs, c.mentions) || (c.status != cli.StatusOK && strings.Count(errs, "\n") != 1) {
 			t.Errorf("%v: status %d, says %q; want %d and one line that names %q", c.args, status, errs, c.status, c.mentions)
 		}
 	}
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	status, out, errs := call(map[string]string{"ROUTER_DISCOVERY": "127.0.0.1:9"}, "check", path)
-	if status != cli.StatusDone || errs != "" {
+	if status != cli.StatusOK || errs != "" {
 		t.Fatalf("status %d, %s", status, errs)
 	}
 	for _, want := range []string{"127.0.0.1:9", "must never run twice", "124; 124 of one address", "bulkhead acme"} {
--- a/internal/simulation/emulator/server.go
+++ b/internal/simulation/emulator/server.go
@@ -43,7 +43,7 @@
 type LoadReport struct{ Queue, Busy, Rate float64 }
 
 // Server models a booking server. It has no clock: callers pass the time, which must not decrease, and
-// call Advance at the time that Next returns. It is not safe for concurrent use.
+// call Advance at the time that NextAdvance returns. It is not safe for concurrent use.
 type Server struct {
 	Index     int
 	Zone      int
@@ -347,8 +347,8 @@
 // Never is a time after the end of every run.
 const Never = time.Duration(math.MaxInt64)
 
-// Next returns the next time at which Advance must be called; Never if nothing is running.
-func (s *Server) Next() time.Duration {
+// NextAdvance returns the next time at which Advance must be called, or Never if nothing is running.
+func (s *Server) NextAdvance() time.Duration {
 	if len(s.ended) > 0 {
 		return s.advancedTo
 	}
--- a/internal/simulation/emulator/server_test.go
+++ b/internal/simulation/emulator/server_test.go
@@ -22,7 +22,7 @@
 
 // runToEnd advances a server until all requests have ended, and returns them with the times of their ends.
 func runToEnd(sv *Server) (ends []time.Duration, jobs []*Job) {
-	for at := sv.Next(); at != Never; at = sv.Next() {
+	for at := sv.NextAdvance(); at != Never; at = sv.NextAdvance() {
 		for _, j := range sv.Advance(at) {
 			ends, jobs = append(ends, at), append(jobs, j)
 		}
--- a/internal/simulation/emulator/sim.go
+++ b/internal/simulation/emulator/sim.go
@@ -218,7 +218,7 @@
 	for _, j := range sv.Advance(s.now) {
 		s.jobEnded(sv, j)
 	}
-	next := sv.Next()
+	next := sv.NextAdvance()
 	if next == Never || (s.nextAdvance[sv.Index] <= next && s.nextAdvance[sv.Index] > s.now) {
 		return // an advance is already scheduled early enough
 	}
--- a/internal/simulation/experiment/experiment.go
+++ b/internal/simulation/experiment/experiment.go
@@ -227,9 +227,9 @@
 	{"result", func(r *emulator.Record) float64 { return r.Result }},
 }
 
-// Play runs all scenarios with all seeds and variants, several at a time, and calls done after each run.
+// Run runs all scenarios with all seeds and variants, several at a time, and calls done after each run.
 // If ctx is done, the outcome contains the runs that were completed.
-func (p *Plan) Play(ctx context.Context, done func(completed, total int, r Run)) (*Outcome, error) {
+func (p *Plan) Run(ctx context.Context, done func(completed, total int, r Run)) (*Outcome, error) {
 	type slot struct {
 		run Run
 		ok  bool
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	calls := 0
-	o, err := p.Play(context.Background(), func(completed, total int, _ Run) {
+	o, err := p.Run(context.Background(), func(completed, total int, _ Run) {
 		calls++
 		if completed != calls || total != 18 {
 			t.Errorf("done reported %d of %d runs at its call %d", completed, total, calls)
@@ -53,7 +53,7 @@
 			t.Errorf("%v: want a mean inside its interval", d)
 		}
 	}
-	again, err := p.Play(context.Background(), nil)
+	again, err := p.Run(context.Background(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	o, err := p.Play(ctx, func(completed, _ int, _ Run) {
+	o, err := p.Run(ctx, func(completed, _ int, _ Run) {
 		if completed == 2 {
 			cancel()
 		}
--- a/internal/simulation/report/report.go
+++ b/internal/simulation/report/report.go
@@ -58,8 +58,8 @@
 // maxCharted bounds the number of runs with charts; further runs are only in the tables.
 const maxCharted = 40
 
-// OfRecord returns the page of one run.
-func OfRecord(r *emulator.Record, made time.Time) (*Page, error) {
+// PageFromRecord returns the page of one run.
+func PageFromRecord(r *emulator.Record, made time.Time) (*Page, error) {
 	d, err := chartRun(r.Scenario, r)
 	if err != nil {
 		return nil, err
@@ -67,8 +67,8 @@
 	return &Page{Title: r.Scenario, Made: made, Partial: r.Partial, Runs: []ScenarioRun{d}}, nil
 }
 
-// OfOutcome returns the page of an experiment.
-func OfOutcome(o *experiment.Outcome, made time.Time) (*Page, error) {
+// PageFromOutcome returns the page of an experiment.
+func PageFromOutcome(o *experiment.Outcome, made time.Time) (*Page, error) {
 	p := &Page{Title: o.Name, Made: made, Partial: o.Partial, Differences: o.Differences}
 	for i, run := range o.Runs {
 		d := ScenarioRun{Name: run.Variant, Record: run.Record}
--- a/internal/simulation/simadapter/instance.go
+++ b/internal/simulation/simadapter/instance.go
@@ -141,7 +141,7 @@
 	if err != nil {
 		return err
 	}
-	i.balancer.StreamBegun(policy.RequestID(job))
+	i.balancer.StreamStarted(policy.RequestID(job))
 	return nil
 }
 
--- a/internal/testing/diskgate/diskgate.go
+++ b/internal/testing/diskgate/diskgate.go
@@ -2,8 +2,8 @@
 // rename does not return until the test releases it. To the process it looks like a hung disk. Tests
 // can produce any order of events this way, without load and without a slow disk.
 //
-// The process itself installs a seccomp filter (Enter) whose user notifications report its disk
-// calls to the test. This needs no privilege. As with a hung disk, a thread in a held call handles
+// The process itself installs a seccomp filter (InstallFilter) whose user notifications report
+// its disk calls to the test. This needs no privilege. As with a hung disk, a thread in a held call handles
 // no signal but SIGKILL.
 package diskgate
 
@@ -69,7 +69,7 @@
 }
 
 // Serve starts to intercept the calls of the command, which must have been started after New. It
-// returns once the process has installed its filter by Enter.
+// returns once the process has called InstallFilter.
 func (g *Gate) Serve(command *exec.Cmd) error {
 	if err := command.ExtraFiles[len(command.ExtraFiles)-1].Close(); err != nil {
 		return fmt.Errorf("disk gate: %w", err)
--- a/internal/testing/diskgate/filter.go
+++ b/internal/testing/diskgate/filter.go
@@ -20,9 +20,9 @@
 // firstArgIsDescriptor has the calls whose first argument is the descriptor of the file.
 var firstArgIsDescriptor = map[int]bool{unix.SYS_FSYNC: true, unix.SYS_FDATASYNC: true, unix.SYS_PWRITE64: true, unix.SYS_FTRUNCATE: true}
 
-// Enter installs a filter that reports the disk calls of this process to the gate of the test that
+// InstallFilter installs a filter that reports the disk calls of this process to the gate of the test that
 // started it. Without a gate it does nothing.
-func Enter() error {
+func InstallFilter() error {
 	text := os.Getenv(socketEnvVariable)
 	if text == "" {
 		return nil
--- a/internal/testing/faultinjection/injector.go
+++ b/internal/testing/faultinjection/injector.go
@@ -183,7 +183,7 @@
 	case DiskFull:
 		return func() error { return process.setDiskFull(false) }, process.setDiskFull(true)
 	default: // Crash
-		if err := process.Crashed(); err != nil {
+		if err := process.CrashError(); err != nil {
 			return nil, fmt.Errorf("%s had failed before the injected crash: %w", f.Target, err)
 		}
 		process.Kill()
--- a/internal/testing/faultinjection/process.go
+++ b/internal/testing/faultinjection/process.go
@@ -207,9 +207,9 @@
 	return CheckEnd(p.waitErr, string(p.output.Bytes()[p.lastOutputStart:]))
 }
 
-// Crashed returns an error if the last started process ended neither in order nor by Kill. A process
-// that had failed before Kill was called has crashed.
-func (p *Process) Crashed() error {
+// CrashError returns an error if the last started process neither exited cleanly nor was ended by
+// Kill. A process that had failed before Kill was called counts as crashed.
+func (p *Process) CrashError() error {
 	p.mu.Lock()
 	killed, waitError := p.killed, p.waitErr
 	p.mu.Unlock()
--- a/internal/testing/faultinjection/process_test.go
+++ b/internal/testing/faultinjection/process_test.go
@@ -51,7 +51,7 @@
 				t.Fatalf("%s: the process has not ended", x.end)
 			}
 		}
-		for name, err := range map[string]error{"Terminate": p.Terminate(eventTimeout), "EndError": p.EndError(), "Crashed": p.Crashed()} {
+		for name, err := range map[string]error{"Terminate": p.Terminate(eventTimeout), "EndError": p.EndError(), "CrashError": p.CrashError()} {
 			if (err == nil) != x.inOrder || !x.inOrder && !strings.Contains(err.Error(), cutOffMark) {
 				t.Errorf("%s: %s: got the error %v, want an error with the cut-off line: %v", x.end, name, err, !x.inOrder)
 			}
@@ -99,8 +99,8 @@
 	if p.Running() || p.Signal(syscall.SIGCONT) == nil {
 		t.Error("a killed process counts as running")
 	}
-	if p.EndError() == nil || p.Crashed() != nil {
-		t.Errorf("after Kill: EndError is %v, Crashed is %v; want an EndError and no crash", p.EndError(), p.Crashed())
+	if p.EndError() == nil || p.CrashError() != nil {
+		t.Errorf("after Kill: EndError is %v, CrashError is %v; want an EndError and no CrashError", p.EndError(), p.CrashError())
 	}
 	if err := p.Start(); err != nil || p.Starts != 2 {
 		t.Errorf("second start: %v, %d starts", err, p.Starts)
--- a/internal/testing/integration/actor_test.go
+++ b/internal/testing/integration/actor_test.go
@@ -79,7 +79,7 @@
 		go a.write(ctx, handle.LeaseName(), handle.Fence())
 	}
 	for n := 0; ; n++ {
-		err := handle.Do(ctx, actTimeout, func(ctx context.Context) error {
+		err := handle.RunAct(ctx, actTimeout, func(ctx context.Context) error {
 			return a.report(ctx, "act", url.Values{"task": {handle.LeaseName()}, "by": {fmt.Sprintf("%s/%d", a.name, os.Getpid())}, "token": {fmt.Sprint(handle.Token())}})
 		})
 		if errors.Is(err, lease.ErrLapsed) || ctx.Err() != nil {
--- a/internal/testing/integration/rig_test.go
+++ b/internal/testing/integration/rig_test.go
@@ -137,8 +137,8 @@
 	t.TempDir() // registered first, so that it is removed last, after the processes have ended
 	t.Cleanup(func() {
 		for name, p := range r.Processes {
-			if p.Kill(); p.Crashed() != nil {
-				t.Errorf("%s failed by itself: %v", name, p.Crashed())
+			if p.Kill(); p.CrashError() != nil {
+				t.Errorf("%s failed by itself: %v", name, p.CrashError())
 			}
 		}
 		r.Network.Close()
--- a/internal/testing/localfleet/bookingserver.go
+++ b/internal/testing/localfleet/bookingserver.go
@@ -179,7 +179,7 @@
 		b.mu.Lock()
 		now := b.owner.now()
 		b.deliver(b.model.Advance(now))
-		next := b.model.Next()
+		next := b.model.NextAdvance()
 		b.mu.Unlock()
 		wait := time.Hour
 		if next != emulator.Never {
--- a/internal/testing/modelcheck/system/coverage.go
+++ b/internal/testing/modelcheck/system/coverage.go
@@ -18,12 +18,12 @@
 	Faults             int
 	TimedActs          int // acts protected only by the lease's remaining time
 	Advice             int // pieces of overload advice that were given
-	Policies           int // policies that were committed
+	CommittedPolicies  int
 	ServerStops        int // servers stopped by a drain
-	Lists              int // endpoint lists compared
+	ListComparisons    int // comparisons of a sidecar's endpoint list with the registry's
 	AcknowledgedWrites int
 	Requests           int
-	JointObservations  int // observations of a sidecar acting by two policies at once
+	JointObservations  int // observations of a sidecar that applies two policies at once
 	FencedWrites       int
 	Steps              map[string]int
 	Pairs              map[Pair]int
@@ -36,9 +36,9 @@
 	c.Faults += o.Faults
 	c.TimedActs += o.TimedActs
 	c.Advice += o.Advice
-	c.Policies += o.Policies
+	c.CommittedPolicies += o.CommittedPolicies
 	c.ServerStops += o.ServerStops
-	c.Lists += o.Lists
+	c.ListComparisons += o.ListComparisons
 	c.AcknowledgedWrites += o.AcknowledgedWrites
 	c.Requests += o.Requests
 	c.JointObservations += o.JointObservations
@@ -72,8 +72,8 @@
 func (w *world) coverage() Coverage {
 	c := w.checker
 	covered := Coverage{
-		Schedules: 1, Events: w.processed, TimedActs: c.timedActs, Advice: c.advice, Policies: c.policies, ServerStops: c.serverStops,
-		Lists: c.lists, Requests: c.requests, JointObservations: c.jointObservations, FencedWrites: c.fencedWrites, Steps: w.stepCounts, Pairs: w.pairs,
+		Schedules: 1, Events: w.processed, TimedActs: c.timedActs, Advice: c.advice, CommittedPolicies: c.policies, ServerStops: c.serverStops,
+		ListComparisons: c.lists, Requests: c.requests, JointObservations: c.jointObservations, FencedWrites: c.fencedWrites, Steps: w.stepCounts, Pairs: w.pairs,
 	}
 	for _, writes := range c.acknowledged {
 		covered.AcknowledgedWrites += len(writes)
--- a/internal/testing/modelcheck/system/system_test.go
+++ b/internal/testing/modelcheck/system/system_test.go
@@ -17,10 +17,10 @@
 		t.Fatal(found.Shrink().ReplayText())
 	}
 	t.Logf("%d schedules: %d events, %d faults, %d of %d pairs, %d acts, %d fenced writes, %d advice, %d lists, %d writes, %d commits, %d stops",
-		seen.Schedules, seen.Events, seen.Faults, len(seen.Pairs), seen.MaxPairs(), seen.TimedActs, seen.FencedWrites, seen.Advice, seen.Lists, seen.AcknowledgedWrites, seen.Policies, seen.ServerStops)
+		seen.Schedules, seen.Events, seen.Faults, len(seen.Pairs), seen.MaxPairs(), seen.TimedActs, seen.FencedWrites, seen.Advice, seen.ListComparisons, seen.AcknowledgedWrites, seen.CommittedPolicies, seen.ServerStops)
 	for what, n := range map[string]int{
-		"faults": seen.Faults / 2, "acts": seen.TimedActs / 100, "fenced writes": seen.FencedWrites / 20, "advice": seen.Advice / 30, "lists": seen.Lists / 5,
-		"writes": seen.AcknowledgedWrites / 10, "commits": seen.Policies, "stops": seen.ServerStops, "pairs of a fault and a step": schedules * len(seen.Pairs) / seen.MaxPairs() * 10 / 9,
+		"faults": seen.Faults / 2, "acts": seen.TimedActs / 100, "fenced writes": seen.FencedWrites / 20, "advice": seen.Advice / 30, "lists": seen.ListComparisons / 5,
+		"writes": seen.AcknowledgedWrites / 10, "commits": seen.CommittedPolicies, "stops": seen.ServerStops, "pairs of a fault and a step": schedules * len(seen.Pairs) / seen.MaxPairs() * 10 / 9,
 	} {
 		if n < schedules {
 			t.Errorf("%s: too few were checked, want at least %d per schedule", what, n/schedules)
--- a/policy/listpoll.go
+++ b/policy/listpoll.go
@@ -41,7 +41,7 @@
 type ListLoss struct {
 	Unresponsive     bool          // no data arrived any more: changes may have been missed for unresponsiveAfter
 	Reached          bool          // the service was reached: changes that it had to deliver count as notified
-	Moved            bool          // the service has a new address and has not been reached there yet
+	AddrsChanged     bool          // the service has a new address and has not been reached there yet
 	SinceLastMessage time.Duration // since the last list or keep-alive
 }
 
@@ -70,7 +70,7 @@
 	switch {
 	case loss.Unresponsive:
 		staleSince -= unresponsiveAfter
-	case loss.Moved:
+	case loss.AddrsChanged:
 		staleSince -= notificationDeadline - movedNotificationDeadline
 	case loss.Reached:
 		staleSince -= min(loss.SinceLastMessage, maxStagger+pollDuration)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -162,9 +162,9 @@
 	}
 }
 
-// StreamBegun records that a response is being streamed to the client. From then on the request is neither
+// StreamStarted records that a response is being streamed to the client. From then on the request is neither
 // retried nor answered.
-func (b *Balancer) StreamBegun(id RequestID) {
+func (b *Balancer) StreamStarted(id RequestID) {
 	if r := b.requests[id]; r != nil {
 		r.streaming = true
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -21,7 +21,7 @@
 	end(b, 0, 6, -1, Served)
 	end(b, 0, 77, 0, Served)
 	b.ClientGone(0, 77)
-	b.StreamBegun(77)
+	b.StreamStarted(77)
 	if len(h.sends) != 1 || b.SlotsFree(0) != 5 {
 		t.Fatalf("got %d sends and %d free slots, want 1 and 5", len(h.sends), b.SlotsFree(0))
 	}
@@ -48,7 +48,7 @@
 func TestStartedStreamIsNotAnsweredCancelledOrRetried(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
 	submit(b, 0, 1, idempotentClass)
-	b.StreamBegun(1)
+	b.StreamStarted(1)
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * ms {
 		b.Wake(now)
 	}
