--- a/cmd/controller/main_test.go
+++ b/cmd/controller/main_test.go
@@ -45,7 +45,7 @@
 }
 
 // Guards against SIGHUP, which reloads the configuration of the other programs, killing a controller without
-// a log line, so that nobody holds its tasks until their leases expire: without a handler the signal ends the
+// a log line, so that its tasks have no holder until their leases expire: without a handler the signal ends the
 // process. A controller reads its file only at the start; on SIGHUP it logs that and keeps running. SIGTERM
 // ends it within its shutdown timeout, in any combination with SIGHUP, and without a registry.
 func TestHangupIsIgnoredAndTermShutsDown(t *testing.T) {
--- a/cmd/fleetctl/main.go
+++ b/cmd/fleetctl/main.go
@@ -129,7 +129,7 @@
 	case len(args) == 0:
 		return cli.UsageError("%s needs a machine", c.Name())
 	case len(args) > 1:
-		return cli.UsageError("a command takes one machine at a time")
+		return cli.UsageError("a command takes exactly one machine, got %q", args)
 	}
 	return nil
 }
--- a/cmd/testbench/members.go
+++ b/cmd/testbench/members.go
@@ -75,11 +75,11 @@
 	case p.Members < 2 || p.Members > maxMembers:
 		return cli.UsageError("--members is %d, it must lie between 2 and %d", p.Members, maxMembers)
 	case !(p.PacketLoss >= 0 && p.PacketLoss < 1) || !(p.KillFraction >= 0 && p.KillFraction < 1):
-		return cli.UsageError("--loss and --kill must be at least 0 and below 1")
+		return cli.UsageError("--loss is %g and --kill is %g, both must be at least 0 and below 1", p.PacketLoss, p.KillFraction)
 	case p.Partitions < 1 || p.Partitions > maxPartitions || p.Partitions > p.Members/2:
 		return cli.UsageError("--parts is %d, it must lie between 1 and %d, and each part needs two members", p.Partitions, maxPartitions)
 	case p.ProbeInterval < 50*time.Millisecond || p.Delay < 0 || p.Baseline < 0 || p.PartitionDuration < 0:
-		return cli.UsageError("--probe must be at least 50ms, and no duration may be negative")
+		return cli.UsageError("--probe is %v, it must be at least 50ms; --delay %v, --quiet %v and --apart %v must not be negative", p.ProbeInterval, p.Delay, p.Baseline, p.PartitionDuration)
 	}
 	return nil
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -192,7 +192,7 @@
 		tb.Remove(tb.ExcessIdle())
 	}
 	if tb.Open() != 1 {
-		t.Errorf("got %d open connections at a new limit of 1", tb.Open())
+		t.Errorf("got %d open connections after the limit was lowered to 1, want 1", tb.Open())
 	}
 }
 
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -71,7 +71,7 @@
 	minLeaseTTL     = time.Second // long enough for several leader elections of the registry
 	maxLeaseTTL     = 10 * time.Minute
 
-	defaultProbeInterval = 5 * time.Second // a probe costs a server up to 0.2 ms of work, 1/25,000 of the interval
+	defaultProbeInterval = 5 * time.Second // a probe costs a server up to 0.2 ms of work
 	minProbeInterval     = 100 * time.Millisecond
 	maxProbeInterval     = time.Hour
 	defaultProbeTimeout  = time.Second
--- a/internal/drain/floor.go
+++ b/internal/drain/floor.go
@@ -27,7 +27,7 @@
 	Machine   string
 	Hosts     []string // the servers that would be drained
 	Zones     []ZoneReadiness
-	ResumesAt Step // the step at which a drain under way would be resumed; empty: a new drain
+	ResumesAt Step // the step at which a drain in progress would be resumed; empty: a new drain
 }
 
 // ZoneReadiness is the number of ready servers of a zone, and how many would remain after a drain.
--- a/internal/drain/workflow.go
+++ b/internal/drain/workflow.go
@@ -22,8 +22,8 @@
 
 // Fleet observes sidecars, servers and members of the fleet for the workflow, and stops servers.
 type Fleet interface {
-	// Notified reports whether all sidecars have the version seq of the endpoint list, which exists
-	// since the given time.
+	// Notified reports whether all sidecars have version seq of the endpoint list, which has
+	// existed since the given time.
 	Notified(ctx context.Context, seq uint64, since time.Time) (bool, error)
 	// Idle reports whether a server, which has been marked since the given time, has no work.
 	Idle(ctx context.Context, server registry.Registration, since time.Time) (bool, error)
--- a/internal/membership/gossip/cache.go
+++ b/internal/membership/gossip/cache.go
@@ -59,7 +59,7 @@
 	return cache, nil
 }
 
-// saveLoop saves the cache at each interval until ctx ends, and once more then. The first save is
+// saveLoop saves the cache at each interval until ctx ends, and a last time then. The first save is
 // immediate, so that this start's incarnation is stored even if the process crashes. A sync may hang
 // as long as the disk does, so others wait for this loop only with a timeout.
 func (n *Node) saveLoop(ctx context.Context) {
--- a/internal/membership/gossip/lifecycle.go
+++ b/internal/membership/gossip/lifecycle.go
@@ -22,8 +22,8 @@
 	// stopTimeout bounds how long a member takes to stop, even if its disk, its callbacks or its
 	// peers hang.
 	stopTimeout = 4 * time.Second
-	// lastSaveTimeout bounds the part of that time in which the member waits for the cache's last
-	// save.
+	// lastSaveTimeout bounds how much of stopTimeout the member may spend on the last save of the
+	// cache.
 	lastSaveTimeout = 3 * time.Second
 )
 
--- a/internal/membership/gossip/stop_test.go
+++ b/internal/membership/gossip/stop_test.go
@@ -134,7 +134,7 @@
 // by lastSaveTimeout at most: the cache is only a hint for the next start. The member still
 // announces that it leaves, and logs that the cache was not saved.
 func TestStopWithHangingSync(t *testing.T) {
-	for name, runTime := range map[string]time.Duration{"before the first save": 0, "at the last save": time.Second, "with a save under way": 3 * cacheInterval} {
+	for name, runTime := range map[string]time.Duration{"before the first save": 0, "at the last save": time.Second, "with a save in progress": 3 * cacheInterval} {
 		t.Run(name, func(t *testing.T) {
 			folder := t.TempDir()
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -10,7 +10,7 @@
 	return Info{Name: name, Incarnation: incarnation, Role: RoleController, MachineID: machine}
 }
 
-// Each event has its effect on a member's status, in whatever order they arrive: a member
+// Each event has its effect on a member's status, in any order of arrival: a member
 // that answers again is no longer unreachable, while an end that was announced or observed
 // is final.
 func TestViewStatusTransitions(t *testing.T) {
--- a/internal/registry/client/watch.go
+++ b/internal/registry/client/watch.go
@@ -144,7 +144,7 @@
 
 // handleUpdate delivers one update. Changes apply in order, and only to the list that they
 // follow; changes to the version that the watcher already has are delivered empty. A stale
-// list does not replace a later one, from whichever addresses that came, since changes that
+// list does not replace a later one, from any address, since changes that
 // were already delivered must not be undone. Versions can be compared across addresses because
 // no two groups of replicas share versions, and a later group has later versions.
 func (w *Watcher) handleUpdate(text []byte) error {
--- a/internal/registry/freshness_tracker_test.go
+++ b/internal/registry/freshness_tracker_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Reads are current while the latest confirmation is recent enough, in whichever order
-// confirmations arrive.
+// Reads are current while the latest confirmation is recent enough, in any order
+// of arrival of the confirmations.
 func TestFreshnessTracker(t *testing.T) {
 	const maxAge = 600 * time.Millisecond
 	start := time.Unix(1000, 0)
--- a/internal/registry/server/config.go
+++ b/internal/registry/server/config.go
@@ -69,7 +69,7 @@
 }
 
 const (
-	defaultWatches       = 1024 // several hundred sidecars, twice over while they are being replaced
+	defaultWatches       = 1024 // several hundred sidecars, with two processes each while they are being replaced
 	defaultCalls         = 16
 	defaultWaiting       = 512
 	defaultFloor         = 0.5
@@ -79,7 +79,7 @@
 	defaultElection      = 500 * time.Millisecond // a message over loopback takes less than a millisecond
 	defaultMinLeaseTTL   = 500 * time.Millisecond // an election may start that late
 	defaultMaxLeaseTTL   = 15 * time.Second       // a new group grants no lease for that long
-	defaultLeaseWrites   = 1000                   // several times the load of 500 leases that change holders in one second
+	defaultLeaseWrites   = 1000                   // per second; several times the writes of 500 leases that change holders at once
 	minElectionTimeout   = 50 * time.Millisecond
 	maxReplicas          = 7
 )
@@ -257,7 +257,7 @@
 	nextText, nextErr := json.Marshal(next)
 	freshText, freshErr := json.Marshal(fresh)
 	if nextErr != nil || freshErr != nil || !bytes.Equal(nextText, freshText) {
-		return nil, errors.New("only limits and sessions may change while a replica runs")
+		return nil, errors.New("a setting other than limits and sessions differs; only these two may change without a restart")
 	}
 	return &next, nil
 }
--- a/internal/registry/server/config_test.go
+++ b/internal/registry/server/config_test.go
@@ -41,7 +41,7 @@
 			return
 		}
 		if _, ok := c.findSelf(); !ok || c.electionTimeout() <= 0 || c.Limits.Calls < 1 {
-			t.Errorf("accepted: %+v", c)
+			t.Errorf("accepted a configuration without an entry for this replica, an election timeout above 0 or limits.calls of at least 1: %+v", c)
 		}
 	})
 }
--- a/internal/registry/server/http_watch.go
+++ b/internal/registry/server/http_watch.go
@@ -154,7 +154,7 @@
 			leaderVersion, err := r.leaderListVersion()
 			switch {
 			case err != nil:
-				return fmt.Errorf("version %d is later than this replica's, and the leader's version is unknown: %w", from, err)
+				return fmt.Errorf("version %d is later than this replica's version %d, and the leader's version is unknown: %w", from, seq, err)
 			case leaderVersion < from:
 				return nil
 			}
@@ -164,7 +164,7 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return fmt.Errorf("version %d has not reached this replica yet", from)
+			return fmt.Errorf("this replica has version %d, version %d has not arrived yet", seq, from)
 		}
 	}
 }
--- a/internal/registry/server/run.go
+++ b/internal/registry/server/run.go
@@ -167,7 +167,7 @@
 func (r *Replica) serve(stop context.Context, reload <-chan os.Signal, server *http.Server, ln net.Listener, path string) error {
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(netutil.LimitListener(ln, r.maxConnections)) }()
-	go r.followReloads(stop, reload, path) // not awaited: reading the file may block for ever
+	go r.followReloads(stop, reload, path) // not awaited: reading the file may block forever
 	select {
 	case err := <-served:
 		return fmt.Errorf("serve: %w", err)
--- a/internal/registry/server/shutdown_test.go
+++ b/internal/registry/server/shutdown_test.go
@@ -31,7 +31,7 @@
 
 // Guards against a shutdown that never finishes. Committed writes wait to be applied in a channel
 // between two goroutines of the Raft library. When Raft stops, the reader of the channel returns
-// without completing them, so their futures block for ever. Close waits for the leader's
+// without completing them, so their futures block forever. Close waits for the leader's
 // background work (expiry of claims and sessions, the barrier of a new leader), which waits for
 // such futures in raft.(*deferError).Error below Replica.apply.
 //
--- a/internal/rollout/active.go
+++ b/internal/rollout/active.go
@@ -1,6 +1,6 @@
 package rollout
 
-// ActivePolicy is the policy that a sidecar acts by. A sidecar's policy store keeps it as JSON.
+// ActivePolicy is the policy that a sidecar applies. A sidecar's policy store keeps it as JSON.
 type ActivePolicy struct {
 	Epoch        uint64    `json:"Epoch"` // of the policy in force; 0: the sidecar's own configuration
 	Document     *Document `json:"Doc"`   // the policy in force; nil if Epoch is 0
@@ -8,8 +8,8 @@
 	NextDocument *Document `json:"Next"`  // the policy of that change
 }
 
-// Effective returns the document to act by, or nil if the sidecar acts by its own
-// configuration only.
+// Effective returns the document to apply, or nil if the sidecar applies only its own
+// configuration.
 func (a ActivePolicy) Effective() *Document {
 	switch {
 	case a.JointChange == 0:
--- a/internal/rollout/document.go
+++ b/internal/rollout/document.go
@@ -146,7 +146,7 @@
 }
 
 // Stricter returns the policy that allows only what both policies allow, field by field. A
-// sidecar that acts by it admits no more than under either of them.
+// sidecar that applies it admits no more than under either of them.
 func Stricter(a, b *Document) *Document {
 	j := &Document{
 		FormatVersion:        formatVersion,
--- a/internal/rollout/follower.go
+++ b/internal/rollout/follower.go
@@ -8,12 +8,12 @@
 )
 
 // Follower is the sidecar's side of rollouts. From the views that the registry sends, it
-// decides by which policy the sidecar acts and which commands it sends. It is a state machine
+// decides which policy the sidecar applies and which commands it sends. It is a state machine
 // without I/O and without a clock, and is not safe for concurrent use.
 type Follower struct {
 	Self     Member
 	Process  Process                 // sent with OpJoin; may be empty
-	Supports func(d *Document) error // returns why the sidecar cannot act by a document, or nil
+	Supports func(d *Document) error // returns why the sidecar does not support a document, or nil
 
 	view            View
 	inRoster        bool // by the last view, unless the registry has rejected the sidecar since
@@ -25,9 +25,9 @@
 	fatal           error
 }
 
-// Fatal returns why this sidecar cannot act by the policy in force, or nil. After an error the
+// Fatal returns why this sidecar does not support the policy in force, or nil. After an error the
 // sidecar must leave the roster and exit. This can only happen to a sidecar that is starting:
-// one that already acts by a policy has acknowledged that it supports it.
+// one that already applies a policy has acknowledged that it supports it.
 func (f *Follower) Fatal() error { return f.fatal }
 
 // HandleView handles a view from the registry. A view that is older than the current one
@@ -43,7 +43,7 @@
 	f.checkInForce()
 }
 
-// checkInForce checks whether the sidecar can act by the policy in force.
+// checkInForce checks whether the sidecar supports the policy in force.
 func (f *Follower) checkInForce() {
 	f.fatal = nil
 	v := f.view
@@ -56,7 +56,7 @@
 	}
 }
 
-// Active returns the policy to act by, and whether the sidecar may act at all. Outside the
+// Active returns the policy to apply, and whether the sidecar may accept requests. Outside the
 // roster it may not, because changes do not wait for it.
 func (f *Follower) Active() (ActivePolicy, bool) {
 	if !f.inRoster {
@@ -76,7 +76,7 @@
 func (f *Follower) Version() uint64 { return f.view.Version }
 
 // LostMembership records that the registry has rejected this process, because it was evicted
-// or a later process has its name. The sidecar may no longer act.
+// or a later process has its name. The sidecar may no longer accept requests.
 func (f *Follower) LostMembership() { f.inRoster, f.ackedStage, f.ackedChange = false, "", 0 }
 
 // NextCommand returns the command to send to the registry now, if any. An acknowledged
@@ -106,7 +106,7 @@
 	return f.view.NextDocument != nil && f.refusedChange == f.view.ChangeNumber
 }
 
-// checkNext checks once whether the sidecar can act by the change.
+// checkNext checks once whether the sidecar supports the change.
 func (f *Follower) checkNext() {
 	number, next := f.view.ChangeNumber, f.view.NextDocument
 	if next == nil || f.supportedChange == number || f.refusedChange == number {
--- a/internal/rollout/follower_test.go
+++ b/internal/rollout/follower_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A sidecar that finds at StageJoint that it cannot act by the change refuses it with its next
+// A sidecar that finds at StageJoint that it does not support the change refuses it with its next
 // command, and acknowledges the change once it is in force.
 func TestFollowerRefuses(t *testing.T) {
 	f := &Follower{Self: Member{"n0", 1}, Supports: (*Document).Check}
@@ -40,7 +40,7 @@
 
 	f.HandleView(View{Version: 7, Stage: StageSettled, Epoch: 9, Document: document(4)})
 	if active, acting := f.Active(); acting {
-		t.Errorf("outside the roster: got %+v, want the sidecar not to act", active)
+		t.Errorf("outside the roster: got active policy %+v, want none", active)
 	}
 	if c, _ := f.NextCommand(); c.Op != OpJoin {
 		t.Errorf("outside the roster: got %+v, want %s", c, OpJoin)
--- a/internal/rollout/model/checker.go
+++ b/internal/rollout/model/checker.go
@@ -8,8 +8,8 @@
 	"barleywick/internal/rollout"
 )
 
-// Counts are the numbers of events that the checker has checked. Acting and Joint count sidecars
-// after each step.
+// Counts are totals of a walk. After each step, Acting grows by the number of sidecars that apply a
+// policy, and Joint by the number of those that apply the stricter of the old and the new one.
 type Counts struct {
 	Steps, Faults, Commits, Acting, Joint int
 	Refused                               int // commands of operators and leaders
@@ -38,7 +38,7 @@
 }
 
 // checkCommit checks, when a policy comes into force, that each running member of the
-// roster acts by the stricter of old and new.
+// roster applies the stricter of the old and the new one.
 func (w *World) checkCommit(status rollout.Status) error {
 	if status.Epoch == w.checker.epoch {
 		return nil
@@ -48,14 +48,14 @@
 	for _, m := range status.Roster {
 		i := slices.IndexFunc(w.sidecars, func(s *sidecar) bool { return s.up && s.self == m.Member })
 		if i >= 0 && (!w.sidecars[i].acting || w.sidecars[i].active.JointChange != status.Epoch) {
-			return fmt.Errorf("epoch %d is in force, but n%d, which is in the roster, does not act by the stricter of it and the old one", status.Epoch, i)
+			return fmt.Errorf("epoch %d is in force, but n%d, which is in the roster, does not apply the stricter of it and the old one", status.Epoch, i)
 		}
 	}
 	return nil
 }
 
-// checkCommonPolicy checks that there is one policy whose limits all acting sidecars keep. If
-// there is none, some act by the old policy and some by the new at the same time.
+// checkCommonPolicy checks that there is one policy whose limits are respected by all sidecars that
+// apply a policy. If there is none, some apply the old policy and some the new one at the same time.
 func (w *World) checkCommonPolicy() error {
 	sidecarsByEpoch := make(map[uint64]int) // by epoch: the number of sidecars that keep the limits of its policy
 	acting := 0
@@ -71,7 +71,7 @@
 			w.checker.Joint++
 		}
 		if s.limited && exceedsLimit(s.active.Document) {
-			return fmt.Errorf("n%d acts by epoch %d, whose policy it does not support", i, s.active.Epoch)
+			return fmt.Errorf("n%d applies epoch %d, whose policy it does not support", i, s.active.Epoch)
 		}
 	}
 	if acting == 0 {
@@ -82,7 +82,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("sidecars act by the old and the new policy at the same time: %s", w.describeActing())
+	return fmt.Errorf("sidecars apply the old and the new policy at the same time: %s", w.describeActing())
 }
 
 // exceedsLimit reports whether a limited sidecar does not support a document.
--- a/internal/rollout/model/message.go
+++ b/internal/rollout/model/message.go
@@ -26,7 +26,7 @@
 	err     error        // of an answer
 }
 
-// call makes a sidecar act by its current policy, and send its next command, a report or a
+// call makes a sidecar apply its current policy, and send its next command, a report or a
 // request for a view.
 func (w *World) call(i int) {
 	s := w.sidecars[i]
@@ -77,7 +77,7 @@
 }
 
 // deliverAnswer passes an answer to the sidecar, if it is still the same process. A sidecar
-// that cannot act by the policy in force ends.
+// that does not support the policy in force ends.
 func (w *World) deliverAnswer(m message) {
 	s := w.sidecars[m.process]
 	if !s.up || s.self != m.member {
--- a/internal/rollout/model/walk.go
+++ b/internal/rollout/model/walk.go
@@ -12,7 +12,7 @@
 const settleRounds = 30
 
 // Walk takes steps drawn from a seed. Then all faults end, and after settleRounds all
-// sidecars have to act by one policy, with no change in progress.
+// sidecars have to apply one policy, with no change in progress.
 func Walk(s Setup, seed uint64, steps int) (Counts, *modelcheck.Violation) {
 	walker := &modelcheck.Walker[*World]{World: New(s)}
 	violation := walker.Walk(rand.New(rand.NewPCG(seed, 6)), steps, s.Sidecars)
@@ -41,7 +41,8 @@
 	return nil
 }
 
-// runRound makes each sidecar call, each message arrive and each leader decide.
+// runRound starts the sidecars that are down, makes each sidecar call, delivers all messages and
+// lets each leader decide.
 func (s *settler) runRound() *modelcheck.Violation {
 	w := s.world
 	for i, sidecar := range w.sidecars {
@@ -69,7 +70,8 @@
 	return nil
 }
 
-// take takes a step that is not counted as a step of the walk.
+// take performs one step of the settling and checks the invariants. The step is listed in a
+// violation, but not added to Counts.Steps.
 func (s *settler) take(name string, effect func(w *World)) *modelcheck.Violation {
 	return s.walker.Take(Step{Format: name, Do: func(w *World) error {
 		effect(w)
@@ -85,8 +87,8 @@
 	}
 }
 
-// checkSettled checks that no change is in progress, and that all sidecars that can start act
-// by the policy in force.
+// checkSettled checks that no change is in progress, and that all sidecars that can start apply
+// the policy in force.
 func (w *World) checkSettled() error {
 	status := w.state.Status()
 	if status.Stage != rollout.StageSettled {
@@ -97,7 +99,7 @@
 			continue // it cannot start
 		}
 		if !s.acting || s.active.Epoch != status.Epoch || s.active.JointChange != 0 {
-			return fmt.Errorf("n%d acts by epoch %d (joint with %d, acting %v), want the settled epoch %d", i, s.active.Epoch, s.active.JointChange, s.acting, status.Epoch)
+			return fmt.Errorf("n%d: got epoch %d, joint change %d, applying a policy %v; want epoch %d, no joint change (0), true", i, s.active.Epoch, s.active.JointChange, s.acting, status.Epoch)
 		}
 	}
 	return nil
--- a/internal/rollout/model/world.go
+++ b/internal/rollout/model/world.go
@@ -15,7 +15,7 @@
 	slotLimit = 100
 )
 
-var errUnsupported = errors.New("tenants[0].slots is more than this process bears")
+var errUnsupported = errors.New("tenants[0].slots exceeds slotLimit, the maximum that this process supports")
 
 // sidecar is a sidecar, which has a process only while it is up.
 type sidecar struct {
--- a/internal/rollout/prepare.go
+++ b/internal/rollout/prepare.go
@@ -11,7 +11,7 @@
 	MaxWithinMS = 7 * 24 * 3600 * 1000
 )
 
-// propose starts a change. Before the first policy, each sidecar acts by its own configuration,
+// propose starts a change. Before the first policy, each sidecar applies its own configuration,
 // which then serves as the old policy.
 func (s *State) propose(c Command) error {
 	if err := checkProposal(c); err != nil {
--- a/internal/rollout/stage.go
+++ b/internal/rollout/stage.go
@@ -6,14 +6,14 @@
 type Stage string
 
 // The stages. An aborted change returns to StageSettled at once, from any stage before
-// StageCommitted: a sidecar that acts by the stricter of both policies admits no more than the
+// StageCommitted: a sidecar that applies the stricter of both policies admits no more than the
 // old one allows, so it may receive the abort late.
 const (
 	StageSettled   Stage = "settled"   // one policy, at all members of the roster
 	StagePreparing Stage = "preparing" // every member reports whether it supports the new policy
-	StageCanary    Stage = "canary"    // some members act by the stricter of both policies, and are compared with the others
-	StageJoint     Stage = "joint"     // every member acts by the stricter of both policies
-	StageCommitted Stage = "committed" // the new policy is in force, and every member acts by it
+	StageCanary    Stage = "canary"    // some members apply the stricter of both policies, and are compared with the others
+	StageJoint     Stage = "joint"     // every member applies the stricter of both policies
+	StageCommitted Stage = "committed" // the new policy is in force, and every member applies it
 )
 
 // changeStages are the stages of a change in order. A member that has acknowledged nothing
--- a/internal/rollout/view.go
+++ b/internal/rollout/view.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// View is the state of the policy for one member, which has to act by it.
+// View is the state of the policy for one member, which has to apply it.
 type View struct {
 	Version      uint64    `json:"version"`
-	Epoch        uint64    `json:"epoch"` // of the policy in force; 0: there is none, the member acts by its own configuration
+	Epoch        uint64    `json:"epoch"` // of the policy in force; 0: there is none, the member applies its own configuration
 	Stage        Stage     `json:"stage"` // for this member
 	Document     *Document `json:"document,omitempty"`
 	ChangeNumber uint64    `json:"number,omitempty"`
--- a/internal/sidecar/client_listener_test.go
+++ b/internal/sidecar/client_listener_test.go
@@ -274,7 +274,7 @@
 // A request in progress at the start of a graceful shutdown is answered, however long its timeout is: a
 // class may allow more time than any constant in this package.
 func TestGracefulShutdownWaitsForTheLongestRequest(t *testing.T) {
-	t.Parallel() // the test takes longer than the protocol's 3 s
+	t.Parallel() // the request is held for longer than 3 s, the usual time limit of a response
 	release := make(chan struct{})
 	u := sidecartest.NewFakeServer(t, func(sidecartest.ReceivedRequest) (string, bool) {
 		<-release
--- a/internal/sidecar/client_races_test.go
+++ b/internal/sidecar/client_races_test.go
@@ -126,7 +126,7 @@
 	peer, c := newConnPair(t)
 	peer.Write([]byte("more")) // bytes after a request are not a close
 	if serve(c) || len(u.Requests) != 1 {
-		t.Error("the request of a connected client was not forwarded")
+		t.Error("connected client: the request was aborted or not forwarded exactly once")
 	}
 }
 
--- a/internal/sidecar/clock.go
+++ b/internal/sidecar/clock.go
@@ -46,7 +46,7 @@
 	w.timer.Reset(after)
 }
 
-// fired reports whether the balancer is due to be woken. A timer that has fired early is armed again for
+// fired reports whether the balancer must be woken. A timer that has fired early is armed again for
 // the remaining time: the balancer would ignore an early call and not arm the timer again.
 func (w *wakeTimer) fired(now time.Duration) bool {
 	if w.due == 0 {
--- a/internal/sidecar/config/file.go
+++ b/internal/sidecar/config/file.go
@@ -81,13 +81,14 @@
 	Quota float64 `toml:"quota_per_s" json:"quota_per_s" unit:"requests a second" default:"0: unknown" doc:"the quota within its share, over all sidecars; slots follow from it"`
 }
 
-// capabilitiesTable holds what the sidecar may do: attempts, cancellation, probes.
+// capabilitiesTable holds the permissions of the sidecar (attempts, cancellation, probes) and its time
+// limits towards clients and servers.
 type capabilitiesTable struct {
 	MaxAttempts     int     `toml:"most_tries" json:"most_tries" default:"1" doc:"attempts for a request"`
 	MayCancel       bool    `toml:"may_cancel" json:"may_cancel" default:"false" doc:"attempts may be cancelled"`
 	Probes          bool    `toml:"probes" json:"probes" default:"false" doc:"servers may be probed"`
 	MaxRetryAfterMS float64 `toml:"max_retry_after_ms" json:"max_retry_after_ms" unit:"ms" default:"0" doc:"the longest Retry-After that clients heed"`
-	DialTimeoutMS   float64 `toml:"dial_timeout_ms" json:"dial_timeout_ms,omitempty" unit:"ms" default:"250" doc:"the connect timeout towards booking servers"`
+	DialTimeoutMS   float64 `toml:"dial_timeout_ms" json:"dial_timeout_ms,omitempty" unit:"ms" default:"250" doc:"connect timeout to booking servers; a handshake that takes longer never completes"`
 	UpstreamIdleMS  float64 `toml:"conn_idle_ms" json:"conn_idle_ms,omitempty" unit:"ms" default:"15000" doc:"servers close a connection that was idle for this long"`
 }
 
--- a/internal/sidecar/handover/protocol.go
+++ b/internal/sidecar/handover/protocol.go
@@ -13,7 +13,7 @@
 //
 // Messages may be delayed, as either process may be stopped for a while, and either may die at any
 // point. If the old process cannot send "yours", it continues to serve. A new process that is ready
-// waits for as long as the old one lives, because "yours" may be on its way. If the old process dies
+// waits for as long as the old one runs, because "yours" may be on its way. If the old process dies
 // without sending an error, the new one takes over.
 package handover
 
@@ -108,7 +108,7 @@
 		return m, err
 	}
 	if err := json.Unmarshal(line, &m); err != nil {
-		return m, fmt.Errorf("takeover: %w", err)
+		return m, fmt.Errorf("takeover: reading message %q: %w", kind, err)
 	}
 	if err := m.expect(kind); err != nil {
 		return m, fmt.Errorf("takeover: %w", err)
--- a/internal/sidecar/upstream/quarantine_test.go
+++ b/internal/sidecar/upstream/quarantine_test.go
@@ -64,10 +64,10 @@
 	defer p.Close()
 	c := &Conn{server: new(Server), idleSince: time.Now()}
 	if got := p.quarantineTime(c); got != MaxQuarantine {
-		t.Errorf("before duplicates are conclusive: got %v, want %v", got, MaxQuarantine)
+		t.Errorf("before duplicate responses can be detected: got %v, want %v", got, MaxQuarantine)
 	}
 	if makeDuplicatesConclusive(p); p.quarantineTime(c) != minQuarantine {
-		t.Errorf("once duplicates are conclusive: got %v, want %v", p.quarantineTime(c), minQuarantine)
+		t.Errorf("once duplicate responses can be detected: got %v, want %v", p.quarantineTime(c), minQuarantine)
 	}
 	if p.recordSurplus(c); p.quarantineTime(c) != MaxQuarantine {
 		t.Errorf("after a surplus response: got %v, want %v", p.quarantineTime(c), MaxQuarantine)
--- a/internal/simulation/emulator/scenario.go
+++ b/internal/simulation/emulator/scenario.go
@@ -117,7 +117,8 @@
 	CellSize   int      `toml:"cell"`     // servers in a cell
 }
 
-// Rules holds the parameters of the four rules.
+// Rules holds the limits that a policy has to respect: the times for responses, drains and polls of the
+// endpoint list, the overload of a server, the attempts for a request, and the longest Retry-After.
 type Rules struct {
 	AnswerSlack    Duration `toml:"answer_slack"`
 	DrainGrace     Duration `toml:"stop_within"`
@@ -128,7 +129,9 @@
 	RetryAfter     Duration `toml:"retry_after"` // the longest that clients honour
 }
 
-// Prices holds costs; each, multiplied by its share or rate, is subtracted from the result, except OverShare.
+// Prices holds costs. Each cost except OverShare, multiplied by its share or rate, is subtracted from the
+// weighted shares of served requests, which gives Record.Result. OverShare is a factor for the priority
+// weight of requests.
 type Prices struct {
 	CrossZone float64 `toml:"cross_zone"`
 	Waste     float64 `toml:"waste"`
--- a/internal/simulation/simwire/records.go
+++ b/internal/simulation/simwire/records.go
@@ -18,13 +18,13 @@
 // NextRecord returns the first record of a frame's body and the rest of the body.
 func NextRecord(body []byte) (Record, []byte, error) {
 	if len(body) < recordHeaderSize {
-		return Record{}, nil, fmt.Errorf("truncated record header: %d bytes left", len(body))
+		return Record{}, nil, fmt.Errorf("truncated record header: %d bytes left, want %d", len(body), recordHeaderSize)
 	}
 	size := binary.LittleEndian.Uint32(body[2:])
 	record := Record{Code: binary.LittleEndian.Uint16(body)}
 	body = body[recordHeaderSize:]
 	if uint64(size) > uint64(len(body)) {
-		return Record{}, nil, fmt.Errorf("record %d: size is %d bytes, %d are left", record.Code, size, len(body))
+		return Record{}, nil, fmt.Errorf("record with code %d: size is %d bytes, only %d are left", record.Code, size, len(body))
 	}
 	record.Fields = body[:size]
 	return record, body[size:], nil
@@ -46,7 +46,7 @@
 // err returns an error if the record was too short.
 func (f *fieldReader) err() error {
 	if f.short {
-		return fmt.Errorf("record %d: field at byte %d is truncated", f.code, recordHeaderSize+f.offset)
+		return fmt.Errorf("record with code %d: field at byte %d is truncated", f.code, recordHeaderSize+f.offset)
 	}
 	return nil
 }
--- a/internal/testing/chaostest/processes_test.go
+++ b/internal/testing/chaostest/processes_test.go
@@ -10,8 +10,8 @@
 )
 
 // A process that ends before SIGTERM, or after it with another status than 0, for instance as its watchdog
-// cuts its shutdown off, is a violation, and its log is kept. A process that ends in order is not.
-func TestProcessThatDoesNotEndInOrderIsAViolation(t *testing.T) {
+// cuts its shutdown off, is a violation, and its log is kept. A process that exits cleanly is not.
+func TestProcessThatDoesNotExitCleanlyIsAViolation(t *testing.T) {
 	const cutOff = "shutdown: cut off program=registry step=membership"
 	for name, x := range map[string]struct {
 		script string
--- a/internal/testing/faultinjection/process.go
+++ b/internal/testing/faultinjection/process.go
@@ -230,11 +230,11 @@
 	return ok && status.Signaled() && status.Signal() == signal
 }
 
-// cutOffMark is in the log of a process whose shutdown was cut off by its own watchdog (package shutdown).
+// cutOffMark is in the log of a process that was terminated by its own shutdown watchdog (package shutdown).
 const cutOffMark = "shutdown: cut off"
 
-// CheckEnd returns an error unless a process ended in order: with status 0, and without being cut off
-// by its own watchdog. waitError is the result of exec.Cmd.Wait, log the output of the process.
+// CheckEnd returns an error unless a process exited cleanly: with status 0, and without being
+// terminated by its own shutdown watchdog. waitError is the result of exec.Cmd.Wait, log the output of the process.
 func CheckEnd(waitError error, log string) error {
 	at := strings.Index(log, cutOffMark)
 	if at < 0 {
--- a/internal/testing/faultinjection/process_test.go
+++ b/internal/testing/faultinjection/process_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// A process whose watchdog has cut its shutdown off has not ended in order, whatever its exit status is.
-// This does not affect the next start: if that one ends in order, there is no error.
+// A process that was terminated by its shutdown watchdog has not exited cleanly, whatever its exit status
+// is. This does not affect the next start: if that process exits cleanly, there is no error.
 func TestCutOffShutdownIsAnError(t *testing.T) {
 	var end string
 	p := &Process{Name: "p", NewCommand: func() *exec.Cmd {
--- a/internal/testing/faultinjection/schedule_test.go
+++ b/internal/testing/faultinjection/schedule_test.go
@@ -24,12 +24,12 @@
 			}
 		}
 		if concurrent > 0 {
-			t.Errorf("%v starts while another replica has a fault, want one at a time", f)
+			t.Errorf("%v starts while another fault of a replica is active, want at most one at a time", f)
 		}
 	}
 	again, err := ParseSchedule(s.String())
 	if err != nil || !slices.Equal(again, s) {
-		t.Errorf("parsed again: got %v (%v)", again, err)
+		t.Errorf("parsed again: got %v, error %v, want %v", again, err, s)
 	}
 	for _, wrong := range []string{"1s cut k1", "1s melt k1 for 2s", "x cut k1 for 2s", "1s cut k1 for y"} {
 		if _, err := ParseSchedule(wrong); err == nil {
--- a/internal/testing/integration/load_test.go
+++ b/internal/testing/integration/load_test.go
@@ -67,7 +67,7 @@
 }
 
 // sendRequest sends one request as the protocol requires of clients: if a reused connection turns out
-// to be closed, the request is sent once more on a new one. onWritten is called when it has been written.
+// to be closed, the request is resent once on a new one. onWritten is called when it has been written.
 func sendRequest(c *http.Client, addr, id, class string, onWritten func()) string {
 	written := sync.OnceFunc(onWritten)
 	defer written()
--- a/internal/testing/integration/policy_test.go
+++ b/internal/testing/integration/policy_test.go
@@ -34,7 +34,7 @@
 	return controller.Serve(stop, c)
 }
 
-// countingServer is a fake booking server that stands for all of them. It counts the open requests of
+// countingServer is a fake booking server, the only one in its test. It counts the open requests of
 // each sidecar, which it reads from the Request-Id.
 type countingServer struct {
 	addr  string
--- a/internal/testing/loadgen/client.go
+++ b/internal/testing/loadgen/client.go
@@ -96,7 +96,7 @@
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
 // Do sends a request and waits for its response until ctx ends. If a reused connection turns out to be
-// closed, the request is sent once more on a new one, as the protocol requires. written is called, maybe
+// closed, the request is resent once on a new one, as the protocol requires. written is called, maybe
 // more than once, when the request may have been written completely; it may be nil.
 func (c *Client) Do(ctx context.Context, a Request, written func()) Response {
 	out, resend := c.attempt(ctx, a, written)
--- a/internal/testing/modelcheck/system/checker.go
+++ b/internal/testing/modelcheck/system/checker.go
@@ -172,8 +172,8 @@
 	c.checkActivePolicies(w)
 }
 
-// checkActivePolicies checks that at least one policy is common to all sidecars that act. A sidecar
-// acts by one policy or, in the joint stage, by both the old and the new one.
+// checkActivePolicies checks that at least one policy is common to all sidecars that apply any. A sidecar
+// applies one policy or, in the joint stage, by both the old and the new one.
 func (c *checker) checkActivePolicies(w *world) {
 	var common []uint64
 	first := true
--- a/internal/testing/modelcheck/system/finalcheck.go
+++ b/internal/testing/modelcheck/system/finalcheck.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// checkRolloutSettled checks that no rollout is in progress, and that every sidecar acts by the
+// checkRolloutSettled checks that no rollout is in progress, and that every sidecar applies the
 // policy in force and has the latest endpoint list.
 func (c *checker) checkRolloutSettled(w *world, state *registry.State) {
 	st := state.Rollout().Status()
@@ -66,7 +66,7 @@
 	for _, sc := range w.sidecars {
 		unsupported := st.Document != nil && st.Document.Tenants[0].Slots > firstSidecarMaxSlots && sc == w.sidecars[0]
 		if !unsupported && (!sc.acting || sc.active.Epoch != st.Epoch || sc.active.JointChange != 0) {
-			w.recordViolation("%s acts by epoch %d (joint with %d, acting %v), want the settled epoch %d", sc.name, sc.active.Epoch, sc.active.JointChange, sc.acting, st.Epoch)
+			w.recordViolation("%s: got epoch %d, joint change %d, applying a policy %v; want epoch %d, no joint change (0), true", sc.name, sc.active.Epoch, sc.active.JointChange, sc.acting, st.Epoch)
 		}
 		if sc.listVersion != state.Seq() {
 			w.recordViolation("%s: endpoint list: got version %d, want %d", sc.name, sc.listVersion, state.Seq())
--- a/internal/testing/modelcheck/system/sidecar.go
+++ b/internal/testing/modelcheck/system/sidecar.go
@@ -66,9 +66,9 @@
 // firstSidecarMaxSlots is the largest number of slots that the first sidecar supports.
 const firstSidecarMaxSlots = 100
 
-var errTooManySlots = errors.New("tenants[0].slots is more than this process supports")
+var errTooManySlots = errors.New("tenants[0].slots exceeds firstSidecarMaxSlots, the maximum that this process supports")
 
-// applyPolicy makes the follower's active policy the one that the sidecar acts by.
+// applyPolicy makes the follower's active policy the one that the sidecar applies.
 func (sc *sidecar) applyPolicy() {
 	active, acting := sc.follower.Active()
 	if !acting && sc.acting || acting && !sc.acting {
--- a/internal/testing/modelcheck/system/world.go
+++ b/internal/testing/modelcheck/system/world.go
@@ -87,7 +87,8 @@
 	return w
 }
 
-// startAll starts all processes. The registry's group is founded first: it lists the servers and grants leases.
+// startAll starts all processes. The registry group is initialized before the controllers and sidecars
+// start, because they need its server list and leases.
 func (w *world) startAll() {
 	for _, r := range w.raft.replicas {
 		r.start()
@@ -95,7 +96,7 @@
 	w.raft.elect()
 	for _, c := range w.foundingCommands() {
 		if res, ok := w.raft.commit(w.raft.replicas[w.raft.leader], c); !ok || res.Err != nil {
-			w.recordViolation("founding the registry group failed: %v", res.Err)
+			w.recordViolation("initializing the registry group failed: %v", res.Err)
 		}
 	}
 	w.raft.tick()
--- a/internal/testing/soaktest/faults.go
+++ b/internal/testing/soaktest/faults.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// beginFault starts one fault. Details come from a random stream of their own, so that they do not
-// change the faults that a seed gave before details were added.
+// beginFault starts one fault. details is a separate random stream: drawing from it does not change
+// which faults a seed produces.
 func (f *fleet) beginFault(ctx context.Context, kind faultKind, rng, details *rand.Rand, drained map[string]bool) {
 	s := f.sidecars[rng.IntN(len(f.sidecars))]
 	server := f.servers[rng.IntN(len(f.servers))]
--- a/internal/testing/soaktest/ledger.go
+++ b/internal/testing/soaktest/ledger.go
@@ -31,7 +31,7 @@
 	InvariantDrain Invariant = "drain"
 	// InvariantDeadlineHeader: the timeout sent to a server is not longer than the time the client has left.
 	InvariantDeadlineHeader Invariant = "deadline told"
-	// InvariantProcess: a process ends in order within killDelay of SIGTERM, and never by itself.
+	// InvariantProcess: a process exits cleanly within killDelay of SIGTERM, and never by itself.
 	InvariantProcess Invariant = "process"
 	// InvariantOwnChecks: a sidecar's own checks report no violation.
 	InvariantOwnChecks Invariant = "own checks"
--- a/internal/testing/soaktest/soaktest.go
+++ b/internal/testing/soaktest/soaktest.go
@@ -49,13 +49,13 @@
 func (o Options) Check() error {
 	switch {
 	case o.Sidecars < 1 || o.Sidecars > maxSidecars:
-		return fmt.Errorf("sidecars is %d, want 1 to %d", o.Sidecars, maxSidecars)
+		return fmt.Errorf("option sidecars is %d, want 1 to %d", o.Sidecars, maxSidecars)
 	case o.Clients < 1 || o.Clients > maxClients:
-		return fmt.Errorf("clients is %d, want 1 to %d", o.Clients, maxClients)
+		return fmt.Errorf("option clients is %d, want 1 to %d", o.Clients, maxClients)
 	case o.Servers < 2 || o.Servers > maxServers:
-		return fmt.Errorf("servers is %d, want 2 to %d", o.Servers, maxServers)
+		return fmt.Errorf("option servers is %d, want 2 to %d", o.Servers, maxServers)
 	case o.Duration < time.Second || o.Duration > maxDuration:
-		return fmt.Errorf("for is %v, want 1 s to %v", o.Duration, maxDuration)
+		return fmt.Errorf("option for is %v, want 1s to %v", o.Duration, maxDuration)
 	}
 	return nil
 }
--- a/policy/unresponsive_test.go
+++ b/policy/unresponsive_test.go
@@ -71,7 +71,7 @@
 	}
 	b.Wake(wait)
 	if len(h.probes) != 1 || h.probes[0]%2 != 0 {
-		t.Fatalf("got probes %v, want one of the suspected zone", h.probes)
+		t.Fatalf("got probes of servers %v, want one, of a server in the suspected zone (even number)", h.probes)
 	}
 	for id := RequestID(20); id < 40; id++ {
 		submit(b, wait, id, idempotentClass)
