--- a/internal/lease/model/walk.go
+++ b/internal/lease/model/walk.go
@@ -36,7 +36,7 @@
 }
 
 // settle advances time while each call arrives and each holder renews. All leases have to be
-// held after the time to live of the last holder and of each queued holder that is gone.
+// held after the time to live of the last holder and of each queued holder that has ended.
 func (s *settler) settle() *modelcheck.Violation {
 	w := s.world
 	limit := w.TTL * time.Duration(2+w.Holders)
--- a/internal/rollout/follower.go
+++ b/internal/rollout/follower.go
@@ -129,7 +129,7 @@
 
 // ReportsRequested returns the change for which the sidecar has to report its counts
 // periodically, if any.
-func (f *Follower) ReportsRequested() (changeNumber uint64, wanted bool) {
+func (f *Follower) ReportsRequested() (changeNumber uint64, requested bool) {
 	return f.view.ChangeNumber, f.inRoster && f.view.ReportCounts
 }
 
--- a/internal/sidecar/upstream/duplicates.go
+++ b/internal/sidecar/upstream/duplicates.go
@@ -50,8 +50,8 @@
 	return max(1, maphash.Bytes(d.seed, body))
 }
 
-// conclusive reports whether an equal response counts as a duplicate.
-func (d *duplicateDetector) conclusive() bool { return d.distinctRun >= distinctRunNeeded }
+// canDetect reports whether an equal response counts as a duplicate.
+func (d *duplicateDetector) canDetect() bool { return d.distinctRun >= distinctRunNeeded }
 
 // observe records a response and reports whether it is a duplicate on its connection.
 func (d *duplicateDetector) observe(hash uint64, recent *recentResponses) (duplicate bool) {
@@ -59,7 +59,7 @@
 		return false
 	}
 	if slices.Contains(recent.hashes[:], hash) {
-		return d.conclusive()
+		return d.canDetect()
 	}
 	recent.add(hash)
 	if d.occurrences[hash] > 0 {
--- a/internal/sidecar/upstream/quarantine.go
+++ b/internal/sidecar/upstream/quarantine.go
@@ -10,7 +10,7 @@
 // A server may send a second response to a request some milliseconds after the first, and it cannot be
 // distinguished from the response to the connection's next request. Therefore a connection is quarantined
 // after each response: data that arrives during the quarantine is a surplus response, and the connection
-// is closed. A duplicate that arrives later is found by duplicateDetector, once that is conclusive. Until
+// is closed. A duplicate that arrives later is found by duplicateDetector, once canDetect holds. Until
 // then, and after a surplus response from the same server, quarantines are longer. A long quarantine
 // costs handshakes, as a request that finds all connections quarantined needs a new one.
 
@@ -79,7 +79,7 @@
 
 // quarantineTime returns the length of a connection's quarantine.
 func (p *Pool) quarantineTime(c *Conn) time.Duration {
-	if p.duplicates.conclusive() && c.idleSince.Sub(c.server.surplusAt) >= longQuarantinePeriod {
+	if p.duplicates.canDetect() && c.idleSince.Sub(c.server.surplusAt) >= longQuarantinePeriod {
 		return minQuarantine
 	}
 	usedInTotal := float64(p.open) / float64(max(1, p.limits.Total))
--- a/internal/sidecar/upstream/quarantine_test.go
+++ b/internal/sidecar/upstream/quarantine_test.go
@@ -11,8 +11,8 @@
 	"barleywick/policy"
 )
 
-// makeDuplicatesConclusive records as many distinct responses as the pool needs to detect duplicates.
-func makeDuplicatesConclusive(p *Pool) {
+// makeDuplicatesDetectable records as many distinct responses as the pool needs to detect duplicates.
+func makeDuplicatesDetectable(p *Pool) {
 	for i := range distinctRunNeeded {
 		p.duplicates.observe(p.duplicates.hash([]byte(fmt.Sprint("other ", i))), new(recentResponses))
 	}
@@ -37,7 +37,7 @@
 			p, to := testPool(1), NewServer(u.Addr)
 			defer p.Close()
 			if !equal {
-				makeDuplicatesConclusive(p)
+				makeDuplicatesDetectable(p)
 			}
 			for i := range distinctRunNeeded + 4 {
 				r := &Request{ID: fmt.Sprint(i), Method: "POST", URL: sidecartest.MustURL("/"), Host: "x", Header: http.Header{"Request-Id": {fmt.Sprint(i)}}}
@@ -66,7 +66,7 @@
 	if got := p.quarantineTime(c); got != MaxQuarantine {
 		t.Errorf("before duplicate responses can be detected: got %v, want %v", got, MaxQuarantine)
 	}
-	if makeDuplicatesConclusive(p); p.quarantineTime(c) != minQuarantine {
+	if makeDuplicatesDetectable(p); p.quarantineTime(c) != minQuarantine {
 		t.Errorf("once duplicate responses can be detected: got %v, want %v", p.quarantineTime(c), minQuarantine)
 	}
 	if p.recordSurplus(c); p.quarantineTime(c) != MaxQuarantine {
--- a/internal/testing/chaostest/checks.go
+++ b/internal/testing/chaostest/checks.go
@@ -92,13 +92,13 @@
 // checkSettled checks the invariants that must hold within settleTimeout after the last fault and
 // after the operators have stopped.
 func (r *run) checkSettled(ctx context.Context) {
-	r.checkEventually(ctx, "all see all", r.checkViews)
+	r.checkEventually(ctx, "all processes see all others", r.checkViews)
 	r.checkEventually(ctx, "the last change of policy has settled", r.checkRolloutSettled)
-	r.checkEventually(ctx, "all act by one policy", r.checkActivePolicies)
+	r.checkEventually(ctx, "all sidecars apply one policy", r.checkActivePolicies)
 	r.checkEventually(ctx, "no drain hangs", r.checkDrainsDone)
-	r.checkEventually(ctx, "each task is somebody's", r.checkTasksHeld)
+	r.checkEventually(ctx, "each task has a holder", r.checkTasksHeld)
 	r.checkEventually(ctx, "nothing acknowledged is lost", r.checkNoWriteLost)
-	r.checkEventually(ctx, "copies of the registry are whole", r.checkBackups)
+	r.checkEventually(ctx, "the registry's backups are complete", r.checkBackups)
 }
 
 // checkEventually polls until a check succeeds, or records a violation.
--- a/internal/testing/modelcheck/system/world.go
+++ b/internal/testing/modelcheck/system/world.go
@@ -94,7 +94,7 @@
 		r.start()
 	}
 	w.raft.elect()
-	for _, c := range w.foundingCommands() {
+	for _, c := range w.initialCommands() {
 		if res, ok := w.raft.commit(w.raft.replicas[w.raft.leader], c); !ok || res.Err != nil {
 			w.recordViolation("initializing the registry group failed: %v", res.Err)
 		}
@@ -109,8 +109,8 @@
 	w.operator.start()
 }
 
-// foundingCommands returns the commands at the start of the registry's log.
-func (w *world) foundingCommands() []registry.Command {
+// initialCommands returns the commands at the start of the registry's log.
+func (w *world) initialCommands() []registry.Command {
 	commands := []registry.Command{
 		{Op: registry.OpFoundGroup, Group: "g", AtMS: startTime.UnixMilli()},
 		{Op: registry.OpOpenGrants, Lease: new(registry.LeaseCommand)},
