--- a/internal/sidecar/client_listener_test.go
+++ b/internal/sidecar/client_listener_test.go
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(sidecartest.Patience))
+	c.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	return c
 }
 
@@ -64,7 +64,7 @@
 // A client that keeps as many connections as it can get must not take the share of other clients, and
 // still gets responses on its own share.
 func TestAddressWithMostConnectionsDoesNotStarveOthers(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	addr, _, _ := startLimited(t, u, testLimits(12))
 	for i := range 30 {
 		if got := requestOn(dialFrom(t, "127.0.0.2", addr), fmt.Sprint("greedy", i)); got != 200 {
@@ -95,7 +95,10 @@
 // Retry-After, whether it has sent a request or not. Later connections are served again.
 func TestConnectionsOverTheLimitAreAnswered503(t *testing.T) {
 	release := make(chan struct{})
-	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-release; return sidecartest.OKResponse("ok"), false })
+	u := sidecartest.NewFakeServer(t, func(sidecartest.ReceivedRequest) (string, bool) {
+		<-release
+		return sidecartest.OKResponse("ok"), false
+	})
 	addr, _, _ := startLimited(t, u, testLimits(3))
 	var held []<-chan result
 	for i := range 3 {
@@ -131,7 +134,7 @@
 // the client sees the close depends on its kernel: with a closed window, the kernel may drop the reset.
 func TestClientThatReadsNoResponseIsDisconnected(t *testing.T) {
 	t.Parallel() // the test takes the whole write timeout
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	_, limited, _ := newClientSide(t, u, nil)
 	c := dialFrom(t, "127.0.0.1", limited.Addr().String())
 	c.(*net.TCPConn).SetReadBuffer(4 << 10)
@@ -147,7 +150,7 @@
 			}
 		}
 	}()
-	sidecartest.Eventually(t, "the checks arrive", func() bool { return sent.Load() >= int64(len(check)) && limited.openConns() == 1 })
+	sidecartest.Eventually(t, "the health checks arrive", func() bool { return sent.Load() >= int64(len(check)) && limited.openConns() == 1 })
 	// The socket buffers fill only as fast as the sidecar responds, so the wait restarts whenever bytes were
 	// sent: only a connection without progress must be closed.
 	lastSent, progressAt := int64(0), time.Now()
@@ -155,8 +158,8 @@
 		if now := sent.Load(); now != lastSent {
 			lastSent, progressAt = now, time.Now()
 		}
-		if time.Since(progressAt) > sidecartest.Patience {
-			t.Fatalf("the connection of a client that reads nothing is still open, after %d bytes of checks", lastSent)
+		if time.Since(progressAt) > sidecartest.WaitTimeout {
+			t.Fatalf("the connection of a client that reads nothing is still open, after %d bytes of health checks", lastSent)
 		}
 		if lastSent > 1000*int64(len(check)) {
 			t.Fatal("a million responses were sent to a client that reads nothing")
@@ -179,7 +182,7 @@
 
 // A surge of clients that misbehave in various ways leaks no descriptors, goroutines or connections.
 func TestConnectionSurgeLeaksNoResources(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	ln := sidecartest.ListenLoopback(t)
 	goroutines, fds := runtime.NumGoroutine(), openDescriptors(t)
 	c := testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
@@ -201,7 +204,7 @@
 					return
 				}
 				defer nc.Close()
-				nc.SetDeadline(time.Now().Add(sidecartest.Patience))
+				nc.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 				io.WriteString(nc, text)
 				switch j % 3 {
 				case 0: // closes at once
@@ -219,7 +222,7 @@
 		t.Errorf("after the surge: got %+v, want 200", got)
 	}
 	cancel()
-	if err := sidecartest.Await(t, "the end", ended); err != nil {
+	if err := sidecartest.Await(t, "the end of the sidecar", ended); err != nil {
 		t.Error(err)
 	}
 	for range len(u.Accepted) {
@@ -271,9 +274,12 @@
 // A request in progress at the start of a graceful shutdown is answered, however long its timeout is: a
 // class may allow more time than any constant in this package.
 func TestGracefulShutdownWaitsForTheLongestRequest(t *testing.T) {
-	t.Parallel() // the test takes longer than the protocol's 3 s
+	t.Parallel() // the request is held for longer than 3 s, the usual time limit of a response
 	release := make(chan struct{})
-	u := sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) { <-release; return sidecartest.OKResponse("ok"), false })
+	u := sidecartest.NewFakeServer(t, func(sidecartest.ReceivedRequest) (string, bool) {
+		<-release
+		return sidecartest.OKResponse("ok"), false
+	})
 	addr, stop, ended := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	held := call{class: "once", id: "held"}.sendInBackground(t, addr)
 	sidecartest.Await(t, "the request", u.Requests)
@@ -282,7 +288,7 @@
 	if got := sidecartest.Await(t, "the response", held); got.status != 200 {
 		t.Errorf("a request in progress: got %+v, want 200", got)
 	}
-	if err := sidecartest.Await(t, "the end", ended); err != nil {
+	if err := sidecartest.Await(t, "the end of the sidecar", ended); err != nil {
 		t.Error(err)
 	}
 }
@@ -296,7 +302,7 @@
 	defer l.Close()
 	dialFrom(t, "127.0.0.1", ln.Addr().String())
 	dialFrom(t, "127.0.0.1", ln.Addr().String()).Close()
-	sidecartest.Eventually(t, "both are closed", func() bool {
+	sidecartest.Eventually(t, "both connections are closed", func() bool {
 		return l.openConns() == 0 && func() bool { n, _ := l.counters(); return n.Accepted == 2 }()
 	})
 	if n, _ := l.counters(); n.HeaderTimeouts != 1 || n.ClosedByClient != 1 || n.Admitted != 2 {
@@ -318,13 +324,13 @@
 	}
 	for _, m := range regexp.MustCompile("`([A-Z][A-Za-z]+)`").FindAllSubmatch(page, -1) {
 		if _, ok := named[string(m[1])]; !ok {
-			t.Errorf("the page names %s, which does not exist", m[1])
+			t.Errorf("docs/CONNECTIONS.md names %s, which does not exist", m[1])
 		}
 		named[string(m[1])] = true
 	}
 	for name, ok := range named {
 		if !ok {
-			t.Errorf("the page does not name %s", name)
+			t.Errorf("docs/CONNECTIONS.md does not name %s", name)
 		}
 	}
 }
--- a/internal/sidecar/client_races_test.go
+++ b/internal/sidecar/client_races_test.go
@@ -24,7 +24,7 @@
 // A client disconnects while its attempt waits for an upstream connection. Even if attempts must not be
 // cancelled, an attempt that has not been sent must not be sent any more.
 func TestQueuedAttemptIsDroppedOnClientDisconnect(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	l := newTestLoop(t, registrytest.EndpointJSON("s-1", u.Addr, "up", 0))
 	config := l.config.Policy
 	config.MayCancel = false
@@ -53,7 +53,7 @@
 	l.post(clientDisconnected{r})
 	handled := make(chan struct{})
 	l.post(fleetPolicyReceived{done: handled})
-	sidecartest.Await(t, "the loop", handled)
+	sidecartest.Await(t, "the event loop", handled)
 	pool.Release(busyConn) // for the attempt, if it is still waiting
 	// The pool has a single connection, on which the attempt would be written before the next one.
 	next := &upstream.Attempt{Request: &upstream.Request{Method: "POST", URL: sidecartest.MustURL("/api"), Host: "x", Header: http.Header{"Request-Id": {"next"}}}, Server: to}
@@ -69,14 +69,14 @@
 // A chunked request without a Content-Length is served, on a new connection and on a reused one, whether it
 // arrives in one piece or byte by byte.
 func TestChunkedRequestIsServed(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", registrytest.EndpointJSON("s-1", u.Addr, "up", 0)))
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(sidecartest.Patience))
+	c.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	responses := bufio.NewReader(c)
 	for i, piece := range []int{1 << 10, 1, 7} {
 		fmt.Fprintf(c, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") // is read completely
@@ -97,10 +97,10 @@
 		}
 		body, _ := io.ReadAll(resp.Body)
 		if resp.StatusCode != 200 || string(body) != "ok" {
-			t.Errorf("request %d: got %d %q", i, resp.StatusCode, body)
+			t.Errorf("request %d: got status %d, body %q; want 200 and ok", i, resp.StatusCode, body)
 		}
 		if r := sidecartest.Await(t, "the request", u.Requests); r.Body != "honey pot" || r.ContentLength != 9 || len(r.TransferEncoding) > 0 {
-			t.Errorf("request %d: the server read %q, length %d, encoding %v", i, r.Body, r.ContentLength, r.TransferEncoding)
+			t.Errorf("request %d: the server read %q, length %d, encoding %v; want honey pot, 9, none", i, r.Body, r.ContentLength, r.TransferEncoding)
 		}
 	}
 }
@@ -108,7 +108,7 @@
 // A client may disconnect long before its request is read, if its connection waited for admission. The
 // request is not forwarded, although net/http has not detected the close yet.
 func TestRequestReadAfterClientDisconnectIsNotForwarded(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	serve := newHandlerTest(t, u)
 	for name, leave := range map[string]func(net.Conn){
 		"closed": func(peer net.Conn) { peer.Close() },
@@ -126,7 +126,7 @@
 	peer, c := newConnPair(t)
 	peer.Write([]byte("more")) // bytes after a request are not a close
 	if serve(c) || len(u.Requests) != 1 {
-		t.Error("the request of a connected client was not forwarded")
+		t.Error("connected client: the request was aborted or not forwarded exactly once")
 	}
 }
 
@@ -163,7 +163,7 @@
 	const pipelinedBytes = 3 * maxHeaderBytes // more than is read with the first request
 	startRequest := func(t *testing.T) (u *sidecartest.FakeServer, proceed chan struct{}, limited *limitedListener, shutdown *gracefulShutdown, c *net.TCPConn) {
 		proceed = make(chan struct{})
-		u = sidecartest.NewFakeServer(t, func(sidecartest.Received) (string, bool) {
+		u = sidecartest.NewFakeServer(t, func(sidecartest.ReceivedRequest) (string, bool) {
 			<-proceed
 			return sidecartest.OKResponse("ok"), false
 		})
@@ -173,7 +173,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { nc.Close() })
-		nc.SetDeadline(time.Now().Add(sidecartest.Patience))
+		nc.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 		io.WriteString(nc, requestHead("first")+"Content-Length: 0\r\n\r\n")
 		sidecartest.Await(t, "the first request", u.Requests)
 		if _, err := io.WriteString(nc, requestHead("second")+strings.Repeat("x", pipelinedBytes)); err != nil {
@@ -215,16 +215,16 @@
 // A request has been read in part when a successor takes over. It stays with this process and keeps its
 // slot: it is served, and not refused because the slot was released.
 func TestPartiallyReadRequestIsServedAfterHandover(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	l, limited, shutdown := newClientSide(t, u, nil)
 	c, err := net.Dial("tcp", limited.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(sidecartest.Patience))
+	c.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	io.WriteString(c, requestHead("half")+"Content-Length: 4\r\n\r\nho")
-	sidecartest.Eventually(t, "its header is read", func() bool {
+	sidecartest.Eventually(t, "the request's header is read", func() bool {
 		_, now := limited.counters()
 		return now.Open == 1 && now.HalfOpen == 0
 	})
@@ -240,7 +240,7 @@
 		t.Fatalf("got %+v, error %v; want 200 and Connection: close", resp, err)
 	}
 	io.Copy(io.Discard, resp.Body)
-	sidecartest.Await(t, "the close of its connection", limited.allEnded)
+	sidecartest.Await(t, "the close of the request's connection", limited.allEnded)
 	if reserved := l.releaseCapacity(); len(reserved) == 0 || reserved[0] != (policy.BulkheadCapacity{}) {
 		t.Errorf("got %v kept at the end, want none", reserved)
 	}
@@ -249,7 +249,7 @@
 // A request that is being read on an idle connection when a shutdown begins is answered, and the
 // connection is closed with the response.
 func TestRequestReadAsShutdownBeginsIsAnswered(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	var reads atomic.Int32
 	reading, proceed := make(chan struct{}), make(chan struct{})
 	_, limited, shutdown := newClientSide(t, u, func() {
@@ -263,7 +263,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(sidecartest.Patience))
+	c.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	responses := bufio.NewReader(c)
 	sendRequest := func(id string) { io.WriteString(c, requestHead(id)+"Content-Length: 0\r\n\r\n") }
 	readResponse := func() *http.Response {
@@ -279,9 +279,9 @@
 	if got := readResponse(); got.StatusCode != 200 || got.Close {
 		t.Fatalf("before the shutdown: got %d, close %v; want 200, false", got.StatusCode, got.Close)
 	}
-	sidecartest.Eventually(t, "it is idle", func() bool { _, now := limited.counters(); return now.Idle == 1 })
+	sidecartest.Eventually(t, "the connection is idle", func() bool { _, now := limited.counters(); return now.Idle == 1 })
 	sendRequest("second")
-	sidecartest.Await(t, "the middle of its read", reading)
+	sidecartest.Await(t, "the middle of the request's read", reading)
 	begun := make(chan struct{})
 	go func() {
 		shutdown.start()
@@ -309,7 +309,7 @@
 func TestNonIdempotentIsSentOnceIfResponseIsCutOff(t *testing.T) {
 	whole := sidecartest.OKResponse("ok")
 	var cutAt atomic.Int32
-	u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
+	u := sidecartest.NewFakeServer(t, func(r sidecartest.ReceivedRequest) (string, bool) {
 		io.WriteString(r.Conn, whole[:cutAt.Load()])
 		r.Conn.(*net.TCPConn).SetLinger(0) // its close is a reset
 		return "", int(cutAt.Load()) < len(whole)
--- a/internal/sidecar/clock.go
+++ b/internal/sidecar/clock.go
@@ -40,13 +40,13 @@
 
 func newWakeTimer() wakeTimer { return wakeTimer{timer: time.NewTimer(time.Hour)} }
 
-// arm sets the timer. While it is armed, the balancer arms it only for an earlier time.
+// arm sets the timer. While the timer is armed, the balancer calls arm only for an earlier time.
 func (w *wakeTimer) arm(now, after time.Duration) {
 	w.due = now + after
 	w.timer.Reset(after)
 }
 
-// fired reports whether the balancer is due to be woken. A timer that has fired early is armed again for
+// fired reports whether the balancer must be woken. A timer that has fired early is armed again for
 // the remaining time: the balancer would ignore an early call and not arm the timer again.
 func (w *wakeTimer) fired(now time.Duration) bool {
 	if w.due == 0 {
--- a/internal/sidecar/upstream/quarantine_test.go
+++ b/internal/sidecar/upstream/quarantine_test.go
@@ -11,8 +11,8 @@
 	"barleywick/policy"
 )
 
-// makeDuplicatesConclusive records as many distinct responses as the pool needs to detect duplicates.
-func makeDuplicatesConclusive(p *Pool) {
+// makeDuplicatesDetectable records as many distinct responses as the pool needs to detect duplicates.
+func makeDuplicatesDetectable(p *Pool) {
 	for i := range distinctRunNeeded {
 		p.duplicates.observe(p.duplicates.hash([]byte(fmt.Sprint("other ", i))), new(recentResponses))
 	}
@@ -24,7 +24,7 @@
 	for name, equal := range map[string]bool{"distinct responses": false, "equal responses": true} {
 		t.Run(name, func(t *testing.T) {
 			last := ""
-			u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) {
+			u := sidecartest.NewFakeServer(t, func(r sidecartest.ReceivedRequest) (string, bool) {
 				first := last
 				if last = sidecartest.OKResponse("done " + r.Header.Get("Request-Id")); equal {
 					last = sidecartest.OKResponse("done")
@@ -37,7 +37,7 @@
 			p, to := testPool(1), NewServer(u.Addr)
 			defer p.Close()
 			if !equal {
-				makeDuplicatesConclusive(p)
+				makeDuplicatesDetectable(p)
 			}
 			for i := range distinctRunNeeded + 4 {
 				r := &Request{ID: fmt.Sprint(i), Method: "POST", URL: sidecartest.MustURL("/"), Host: "x", Header: http.Header{"Request-Id": {fmt.Sprint(i)}}}
@@ -47,12 +47,12 @@
 					want = "done"
 				}
 				if ending != policy.Served || string(got.Body) != want {
-					t.Fatalf("request %d: got ending %v, response %+v", i, ending, got)
+					t.Fatalf("request %d: got ending %v, response %+v; want served with its own response", i, ending, got)
 				}
 				endAllQuarantines(p)
 			}
 			if n, _ := p.Counters(); (n.DuplicateResponses > 0) == equal {
-				t.Errorf("got %d duplicates dropped (all responses equal: %v)", n.DuplicateResponses, equal)
+				t.Errorf("got %d duplicates dropped with all responses equal: %v; want some only if responses differ", n.DuplicateResponses, equal)
 			}
 		})
 	}
@@ -64,10 +64,10 @@
 	defer p.Close()
 	c := &Conn{server: new(Server), idleSince: time.Now()}
 	if got := p.quarantineTime(c); got != MaxQuarantine {
-		t.Errorf("before duplicates are conclusive: got %v, want %v", got, MaxQuarantine)
+		t.Errorf("before duplicate responses can be detected: got %v, want %v", got, MaxQuarantine)
 	}
-	if makeDuplicatesConclusive(p); p.quarantineTime(c) != minQuarantine {
-		t.Errorf("once duplicates are conclusive: got %v, want %v", p.quarantineTime(c), minQuarantine)
+	if makeDuplicatesDetectable(p); p.quarantineTime(c) != minQuarantine {
+		t.Errorf("once duplicate responses can be detected: got %v, want %v", p.quarantineTime(c), minQuarantine)
 	}
 	if p.recordSurplus(c); p.quarantineTime(c) != MaxQuarantine {
 		t.Errorf("after a surplus response: got %v, want %v", p.quarantineTime(c), MaxQuarantine)
@@ -81,12 +81,14 @@
 func TestSurplusBytesAreNotTakenForNextResponse(t *testing.T) {
 	for name, surplus := range map[string]string{"in the same write": sidecartest.OKResponse("stale"), "later": ""} {
 		t.Run(name, func(t *testing.T) {
-			u := sidecartest.NewFakeServer(t, func(r sidecartest.Received) (string, bool) { return sidecartest.OKResponse("good") + surplus, false })
+			u := sidecartest.NewFakeServer(t, func(r sidecartest.ReceivedRequest) (string, bool) {
+				return sidecartest.OKResponse("good") + surplus, false
+			})
 			p, to := testPool(4), NewServer(u.Addr)
 			for i := range 20 {
 				ending, a := runOneAttempt(t.Context(), p, to)
 				if ending != policy.Served || string(a.Body) != "good" {
-					t.Fatalf("attempt %d: got ending %v, response %+v", i, ending, a)
+					t.Fatalf("attempt %d: got ending %v, response %+v; want served with body good", i, ending, a)
 				}
 				if r := sidecartest.Await(t, "the request", u.Requests); surplus == "" {
 					io.WriteString(r.Conn, sidecartest.OKResponse("stale"))
@@ -102,7 +104,7 @@
 // A second response may arrive some milliseconds after the first, so a connection is not reused before
 // its quarantine has ended, whether another connection is idle or not.
 func TestConnectionIsQuarantinedBeforeTheNextRequest(t *testing.T) {
-	u := sidecartest.NewFakeServer(t, sidecartest.Always(sidecartest.OKResponse("ok")))
+	u := sidecartest.NewFakeServer(t, sidecartest.AlwaysRespond(sidecartest.OKResponse("ok")))
 	p, to := testPool(4), NewServer(u.Addr)
 	get := func() *Conn {
 		t.Helper()
--- a/internal/sidecar/upstream/write_test.go
+++ b/internal/sidecar/upstream/write_test.go
@@ -71,7 +71,7 @@
 		t.Fatalf("got %d bytes written, %v, %d unsent; want all written and some unsent", n, err, c.unsentBytes())
 	}
 	c.Close()
-	serverSide.SetReadDeadline(time.Now().Add(sidecartest.Patience))
+	serverSide.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	if n, err := io.Copy(io.Discard, serverSide); n >= body || err == nil {
 		t.Errorf("received %d bytes, error %v; want fewer than all bytes and a reset", n, err)
 	}
@@ -85,7 +85,7 @@
 		sent, err := strconv.ParseFloat(r.outgoing(ctx).Header.Get("Request-Timeout"), 64)
 		cancel()
 		if most := left - min(timeoutMargin, left/4) + time.Millisecond; err != nil || sent <= 0 || sent > most.Seconds() {
-			t.Errorf("%v left: got Request-Timeout %v s, error %v", left, sent, err)
+			t.Errorf("%v left: got Request-Timeout %v s, error %v; want a positive one that is shorter by the margin", left, sent, err)
 		}
 	}
 }
--- a/internal/testing/integration/rig_test.go
+++ b/internal/testing/integration/rig_test.go
@@ -137,8 +137,8 @@
 	t.TempDir() // registered first, so that it is removed last, after the processes have ended
 	t.Cleanup(func() {
 		for name, p := range r.Processes {
-			if p.Kill(); p.Crashed() != nil {
-				t.Errorf("%s failed by itself: %v", name, p.Crashed())
+			if p.Kill(); p.CrashError() != nil {
+				t.Errorf("%s failed by itself: %v", name, p.CrashError())
 			}
 		}
 		r.Network.Close()
@@ -265,10 +265,10 @@
 	return holder
 }
 
-// holderPrefix begins a target that stands for the holder of a lease when the fault starts.
+// holderPrefix is the prefix of a target that means the process that holds a lease when the fault starts.
 const holderPrefix = "holder:"
 
-// holderTargets returns targets that stand for the current holders of the tasks, three for each task, so
+// holderTargets returns targets that mean the current holders of the tasks, three for each task, so
 // that more than half of the faults hit a holder.
 func (r *rig) holderTargets(tasks int) (targets []string) {
 	c := r.client()
--- a/internal/testing/modelcheck/system/world.go
+++ b/internal/testing/modelcheck/system/world.go
@@ -87,15 +87,16 @@
 	return w
 }
 
-// startAll starts all processes. The registry's group is founded first: it lists the servers and grants leases.
+// startAll starts all processes. The registry group is initialized before the controllers and sidecars
+// start, because they need its server list and leases.
 func (w *world) startAll() {
 	for _, r := range w.raft.replicas {
 		r.start()
 	}
 	w.raft.elect()
-	for _, c := range w.foundingCommands() {
+	for _, c := range w.initialCommands() {
 		if res, ok := w.raft.commit(w.raft.replicas[w.raft.leader], c); !ok || res.Err != nil {
-			w.recordViolation("founding the registry group failed: %v", res.Err)
+			w.recordViolation("initializing the registry group failed: %v", res.Err)
 		}
 	}
 	w.raft.tick()
@@ -108,8 +109,8 @@
 	w.operator.start()
 }
 
-// foundingCommands returns the commands at the start of the registry's log.
-func (w *world) foundingCommands() []registry.Command {
+// initialCommands returns the commands at the start of the registry's log.
+func (w *world) initialCommands() []registry.Command {
 	commands := []registry.Command{
 		{Op: registry.OpFoundGroup, Group: "g", AtMS: startTime.UnixMilli()},
 		{Op: registry.OpOpenGrants, Lease: new(registry.LeaseCommand)},
