--- a/cmd/controller/main_test.go
+++ b/cmd/controller/main_test.go
@@ -45,7 +45,7 @@
 }
 
 // Guards against SIGHUP, which reloads the configuration of the other programs, killing a controller without
-// a log line, so that nobody holds its tasks until their leases expire: without a handler the signal ends the
+// a log line, so that no controller holds its tasks until their leases expire: without a handler the signal ends the
 // process. A controller reads its file only at the start; on SIGHUP it logs that and keeps running. SIGTERM
 // ends it within its shutdown timeout, in any combination with SIGHUP, and without a registry.
 func TestHangupIsIgnoredAndTermShutsDown(t *testing.T) {
@@ -129,7 +129,7 @@
 			select {
 			case err := <-ended:
 				if strings.Contains(log.String(), "shutdown: cut off") {
-					t.Errorf("the shutdown timeout had to end the process: %v\n%s", err, log.String())
+					t.Errorf("the process was ended by its shutdown watchdog, want an orderly shutdown: %v\n%s", err, log.String())
 				}
 				if name == "serve" && err != nil { // an interrupted check may fail
 					t.Errorf("the process ended with %v, want status 0:\n%s", err, log.String())
--- a/cmd/fleetctl/main_test.go
+++ b/cmd/fleetctl/main_test.go
@@ -124,19 +124,19 @@
 		}
 	}
 	if status, out, errs := runFleetctl(t, config, "drain", "m-1", "--timeout", "500ms"); status != statusTimedOut || !strings.Contains(errs, "undone") {
-		t.Errorf("timeout: status %d, %q %q", status, out, errs) // the sidecars count as notified only after 6 s
+		t.Errorf("drain that times out: got status %d, output %q, errors %q; want status 4 and the drain undone", status, out, errs) // the sidecars count as notified only after 6 s
 	}
 	if status, out, errs := runFleetctl(t, config, "drain", "m-1"); status != statusDone || !strings.Contains(out, "m-1: done") {
-		t.Errorf("drain: status %d, %q %q", status, out, errs)
+		t.Errorf("drain: got status %d, output %q, errors %q; want status 0 and the drain done", status, out, errs)
 	}
 	if status, _, errs := runFleetctl(t, config, "drain", "m-2"); status != statusRefused || !strings.Contains(errs, "floor") {
-		t.Errorf("below the floor: status %d, %q", status, errs)
+		t.Errorf("drain below the floor: got status %d, errors %q; want status 3 and an error that names the floor", status, errs)
 	}
 	if status, out, _ := runFleetctl(t, config, "status", "m-1"); status != statusDone || !strings.Contains(out, "out of service") {
-		t.Errorf("status: %d, %q", status, out)
+		t.Errorf("status: got status %d, output %q; want status 0 and \"out of service\"", status, out)
 	}
 	if status, _, errs := runFleetctl(t, config, "undrain", "m-1"); status != statusDone {
-		t.Errorf("undrain: status %d, %q", status, errs)
+		t.Errorf("undrain: got status %d, errors %q; want status 0", status, errs)
 	}
 }
 
@@ -166,7 +166,7 @@
 		var out, errs bytes.Buffer
 		status := run(t.Context(), []string{"status"}, getenv, &out, &errs)
 		if status != statusFailed || !strings.Contains(errs.String(), "/nonexistent") {
-			t.Errorf("%s: status %d, output %q", variable, status, errs.String())
+			t.Errorf("%s: got status %d, output %q; want status 1 and an error that names the file /nonexistent", variable, status, errs.String())
 		}
 		if got := strings.Contains(errs.String(), "BARLEYCTL_CONFIG is deprecated, use FLEETCTL_CONFIG"); got != warned {
 			t.Errorf("%s: warned %v, want %v", variable, got, warned)
--- a/cmd/registry/main_test.go
+++ b/cmd/registry/main_test.go
@@ -36,6 +36,6 @@
 	}
 	var out bytes.Buffer
 	if status := cli.Report("registry", run([]string{"-help"}, &out), &out); status != cli.StatusDone || !strings.Contains(out.String(), "-config FILE") {
-		t.Errorf("-help: got status %d, %q", status, out.String())
+		t.Errorf("-help: got status %d, output %q; want status 0 and the usage", status, out.String())
 	}
 }
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -89,7 +89,7 @@
 	}
 	resp, err := http.Get("http://" + addr + "/health/ready")
 	if err != nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("ready: %v, error %v", resp, err)
+		t.Errorf("/health/ready: got response %v, error %v; want status 200", resp, err)
 	}
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
--- a/cmd/testbench/main_test.go
+++ b/cmd/testbench/main_test.go
@@ -23,14 +23,14 @@
 	saved, page := filepath.Join(folder, "day.json"), filepath.Join(folder, "day.html")
 	status, out, errs := runTestbench(t.Context(), "simulate", "zone", "--sidecars", "6", "--servers", "6", "--length", "5s", "--json", saved, "--html", page)
 	if status != cli.StatusDone || !strings.Contains(out, "rules kept") {
-		t.Fatalf("status %d, %s%s", status, out, errs)
+		t.Fatalf("simulate: got status %d, output %s%s; want status 0 and the rules kept", status, out, errs)
 	}
 	first, err := os.ReadFile(page)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if status, _, errs := runTestbench(t.Context(), "report", saved); status != cli.StatusDone {
-		t.Fatalf("status %d, %s", status, errs)
+		t.Fatalf("report: got status %d, errors %s; want status 0", status, errs)
 	}
 	second, err := os.ReadFile(page)
 	if err != nil {
@@ -57,11 +57,11 @@
 	page := filepath.Join(folder, "e.html")
 	status, out, errs := runTestbench(t.Context(), "experiment", path, "--html", page)
 	if status != cli.StatusDone || !strings.Contains(out, "too few pairs") {
-		t.Fatalf("status %d, %s%s", status, out, errs)
+		t.Fatalf("experiment: got status %d, output %s%s; want status 0 and a verdict of too few pairs", status, out, errs)
 	}
 	made, err := os.ReadFile(page)
 	if err != nil || strings.Contains(string(made), "<b>") || !strings.Contains(string(made), "a &lt;b&gt;") {
-		t.Errorf("a variant's name is not escaped or is missing: %v", err)
+		t.Errorf("the page has a variant's name unescaped or not at all (error %v), want it escaped", err)
 	}
 }
 
@@ -101,7 +101,7 @@
 		}
 	}
 	if status, out, _ := runTestbench(t.Context(), "simulate", "--list"); status != cli.StatusDone || !strings.Contains(out, "zone_lost") {
-		t.Errorf("--list: %d, %s", status, out)
+		t.Errorf("simulate --list: got status %d, output %s; want status 0 and the fault zone_lost", status, out)
 	}
 }
 
@@ -117,7 +117,7 @@
 	})
 	left, readErr := os.ReadDir(folder)
 	if err == nil || readErr != nil || len(left) != 0 {
-		t.Errorf("error %v, left %v (%v)", err, left, readErr)
+		t.Errorf("failed write: got error %v, files left %v (%v); want an error and no files", err, left, readErr)
 	}
 }
 
@@ -125,19 +125,19 @@
 	saveDir := filepath.Join(t.TempDir(), "found")
 	status, out, errs := runTestbench(t.Context(), "search", "--sidecars", "20", "--servers", "5", "--days", "6", "--keep", saveDir)
 	if status != cli.StatusDone || !strings.Contains(out, "6 runs: recovered after") {
-		t.Fatalf("status %d, %s%s", status, out, errs)
+		t.Fatalf("search: got status %d, output %s%s; want status 0 and a summary of 6 runs", status, out, errs)
 	}
 	found, _ := filepath.Glob(filepath.Join(saveDir, "hunt-*.toml"))
 	if n := strings.Count(out, "seed "); n != len(found) {
-		t.Errorf("printed %d unrecovered runs and saved %d: %s", n, len(found), out)
+		t.Errorf("printed %d unrecovered runs and saved %d, want equal numbers: %s", n, len(found), out)
 	}
 	for _, path := range found {
 		if status, out, errs := runTestbench(t.Context(), "simulate", path, "--seed", "1"); status != cli.StatusDone || !strings.Contains(out, "the fleet sent") {
-			t.Errorf("%s: status %d, %s%s", path, status, out, errs)
+			t.Errorf("simulate %s: got status %d, output %s%s; want status 0 and the number of attempts", path, status, out, errs)
 		}
 	}
 	if status, _, errs := runTestbench(t.Context(), "search", "--days", "0"); status != cli.StatusWrongCall || !strings.Contains(errs, "--days is 0") {
-		t.Errorf("status %d, %s", status, errs)
+		t.Errorf("search --days 0: got status %d, errors %s; want status 2 and an error that names --days", status, errs)
 	}
 }
 
@@ -145,14 +145,14 @@
 	for former, name := range map[string]string{"lab": "localfleet", "hunt": "search", "explore": "modelcheck", "torture": "chaos"} {
 		status, out, errs := runTestbench(t.Context(), former, "--help")
 		if status != cli.StatusDone || !strings.Contains(out, "testbench "+name) {
-			t.Errorf("%s --help: status %d, %q, %s", former, status, out, errs)
+			t.Errorf("%s --help: got status %d, output %q, errors %s; want status 0 and the help of the current name", former, status, out, errs)
 		}
 	}
 	if status, out, errs := runTestbench(t.Context(), "chaos", "--keepers", "0"); status != cli.StatusWrongCall || !strings.Contains(out, "use --controllers") {
-		t.Errorf("chaos --keepers: status %d, output %q %q", status, out, errs)
+		t.Errorf("chaos --keepers: got status %d, output %q, errors %q; want status 2 and a notice to use --controllers", status, out, errs)
 	}
 	status, _, errs := runTestbench(t.Context(), "hunt", "--days", "0")
 	if status != cli.StatusWrongCall || !strings.Contains(errs, "the command hunt is deprecated, use search\n") {
-		t.Errorf("hunt: status %d, output %q", status, errs)
+		t.Errorf("hunt: got status %d, errors %q; want status 2 and a notice to use search", status, errs)
 	}
 }
--- a/internal/metrics/exporter.go
+++ b/internal/metrics/exporter.go
@@ -67,7 +67,7 @@
 		Handler: mux, MaxHeaderBytes: maxHeaderBytes,
 		ReadTimeout: scrapeTimeout, WriteTimeout: scrapeTimeout, IdleTimeout: scrapeTimeout,
 	}
-	stop := context.AfterFunc(ctx, func() { _ = s.Close() }) // scrapes in progress are aborted
+	stop := context.AfterFunc(ctx, func() { _ = s.Close() }) // aborts scrapes in progress, whose responses are no longer of use
 	defer stop()
 	if err := s.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serve metrics: %w", err)
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -29,7 +29,7 @@
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	if err != nil || resp.StatusCode != http.StatusOK {
-		t.Fatalf("status %d, %v", resp.StatusCode, err)
+		t.Fatalf("scrape: got status %d, error %v; want status 200", resp.StatusCode, err)
 	}
 	return string(text)
 }
@@ -69,18 +69,18 @@
 		`barleywick_connection_events_total{side="servers",what="Reused"} 7`, `barleywick_state_read 1`, "go_goroutines", "process_resident_memory_bytes",
 	} {
 		if !strings.Contains(text, want) {
-			t.Errorf("no %s in\n%s", want, text)
+			t.Errorf("the scrape has no line %s:\n%s", want, text)
 		}
 	}
 	mu.Lock()
 	statusErr = errors.New("too busy")
 	mu.Unlock()
 	if text := scrape(t, ln.Addr().String()); !strings.Contains(text, "barleywick_state_read 0") || strings.Contains(text, "barleywick_requests_open") || !strings.Contains(text, "barleywick_requests_total{") {
-		t.Errorf("scrape while the status cannot be read:\n%s", text)
+		t.Errorf("scrape while the status cannot be read: want barleywick_state_read 0 and no metrics of the status, got\n%s", text)
 	}
 	cancel()
 	if err := <-ended; err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Serve ended with %v, want no error", err)
 	}
 }
 
@@ -130,6 +130,6 @@
 	}
 	cancel()
 	if err := <-ended; err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Serve ended with %v, want no error", err)
 	}
 }
--- a/internal/simulation/emulator/advicetask_test.go
+++ b/internal/simulation/emulator/advicetask_test.go
@@ -22,7 +22,7 @@
 		change(sc)
 		r := runScenario(t, sc, seed, NewBalancer)
 		if len(r.ViolationTexts) > 0 {
-			t.Errorf("seed %d: %v", seed, r.ViolationTexts)
+			t.Errorf("seed %d: got violations %v, want none", seed, r.ViolationTexts)
 		}
 		return r
 	}
--- a/internal/simulation/emulator/checker.go
+++ b/internal/simulation/emulator/checker.go
@@ -24,7 +24,8 @@
 	ViolationTexts []string
 	Violations     [5]int
 
-	// Numbers of observed events. A run without any proves nothing and counts as a violation.
+	// Numbers of observed events. A run without requests, answers or sends checks nothing, which counts as a
+	// violation.
 	Requests, Answers, Sends, Repeats, ColdSends int
 }
 
@@ -207,7 +208,7 @@
 	// notificationDeadline is the time after a server's start from which every sidecar counts as notified.
 	notificationDeadline = 6 * time.Second
 	// notifiedShare is the fraction of the work overloading a server that must come from sidecars that
-	// were notified of its start: the others cannot know that the server is in slow start.
+	// were notified of its start: the others have no information that the server is in slow start.
 	notifiedShare = 2.0 / 3
 )
 
--- a/internal/simulation/emulator/impact_test.go
+++ b/internal/simulation/emulator/impact_test.go
@@ -68,7 +68,7 @@
 		sc := presetScenario(t, "surge", 40, 12)
 		sc.IdealPolicy = idealPolicy
 		if r := runScenario(t, sc, 1, NewBalancer); len(r.ViolationTexts) > 0 || r.Goodput < 0.5 {
-			t.Errorf("%s: %s", idealPolicy, r.Line())
+			t.Errorf("ideal policy %s: want no violations and a goodput of at least 0.5, got %s", idealPolicy, r.Line())
 		}
 	}
 	sc := presetScenario(t, "surge", 40, 12)
--- a/internal/simulation/emulator/record.go
+++ b/internal/simulation/emulator/record.go
@@ -201,7 +201,7 @@
 	}
 }
 
-// AddUnserved adds a call that was not served, with the cause; after is the time from its first attempt to
+// AddUnserved adds a call that was not served, with the cause; elapsed is the time from its first attempt to
 // its end.
 func (r *Record) AddUnserved(c Call, refused bool, elapsed time.Duration, cause string) {
 	r.addLoss(cause, c.Weight)
--- a/internal/simulation/emulator/scenario_test.go
+++ b/internal/simulation/emulator/scenario_test.go
@@ -12,7 +12,7 @@
 func TestScenarioFileIsReadStrictly(t *testing.T) {
 	s, err := ReadScenario(strings.NewReader("name = \"mine\"\nlength = \"12s\"\nsidecars = 4\n[network]\nfar = \"20ms\"\n[[troubles]]\nname = \"slow\"\nat = \"1s\"\nfor = \"2s\"\npart = 0.5\nsize = 3\n"))
 	if err != nil || s.Name != "mine" || time.Duration(s.Network.FarDelay) != 20*time.Millisecond || s.Servers != DefaultScenario().Servers || len(s.Faults) != 1 {
-		t.Fatalf("got scenario %+v, error %v", s, err)
+		t.Fatalf("got scenario %+v, error %v; want the values of the file and the defaults", s, err)
 	}
 	for text, want := range map[string]string{
 		"sidecar = 4":                    "line 1: there is no field sidecar",
@@ -51,7 +51,7 @@
 		}
 		again, err := toml.Marshal(s)
 		if err != nil || !bytes.Equal(again, text) {
-			t.Errorf("%s: error %v, after the round trip:\n%s", name, err, again)
+			t.Errorf("%s: error %v; the text after the round trip differs:\n%s", name, err, again)
 		}
 	}
 }
--- a/internal/simulation/emulator/server_test.go
+++ b/internal/simulation/emulator/server_test.go
@@ -53,7 +53,7 @@
 		sv.Advance(0)
 		for range 3 {
 			if v := sv.Arrive(0, &Job{Work: 1}); v != Accepted {
-				t.Errorf("%s: verdict %v", name, v)
+				t.Errorf("%s: got verdict %v, want Accepted", name, v)
 			}
 		}
 		ends, _ := runToEnd(sv)
@@ -77,7 +77,7 @@
 	sv.Draining = true
 	sv.Advance(seconds(10))
 	if v := sv.Arrive(seconds(10), &Job{Work: 1}); v != Rejected {
-		t.Errorf("draining: verdict %v", v)
+		t.Errorf("draining server: got verdict %v, want Rejected", v)
 	}
 	for i, want := range []bool{true, true, true, false} {
 		if got := sv.Connect(0); got != want {
@@ -126,7 +126,7 @@
 			sv.Arrive(1, &Job{Work: c.work})
 		}
 		if sv.Overloaded != c.overloaded {
-			t.Errorf("%s: got overloaded %v", name, sv.Overloaded)
+			t.Errorf("%s: got overloaded %v, want the opposite", name, sv.Overloaded)
 		}
 	}
 	sv := newTestServer(nil)
--- a/internal/simulation/emulator/sim_test.go
+++ b/internal/simulation/emulator/sim_test.go
@@ -46,7 +46,7 @@
 			recordJSON := func(seed uint64) string {
 				r := runScenario(t, presetScenario(t, name, 30, 20), seed, NewBalancer)
 				if len(r.ViolationTexts) > 0 {
-					t.Errorf("seed %d: %v %v", seed, r.Violations, r.ViolationTexts)
+					t.Errorf("seed %d: got violations %v %v, want none", seed, r.Violations, r.ViolationTexts)
 				}
 				if r.Checked.Answers < 5000 || r.Goodput < 0.5 || r.Goodput > 1 || r.Result > r.Goodput+1e-9 {
 					t.Errorf("seed %d: got %+v, want at least 5000 answers, goodput from 0.5 to 1, and a result not above it", seed, r.Line())
--- a/internal/simulation/remoteadapter/adapter.go
+++ b/internal/simulation/remoteadapter/adapter.go
@@ -1,5 +1,5 @@
 // Package remoteadapter lets the emulator take its decisions from another program: a simadapter of this
-// or of an earlier build, over the simulator's wire protocol. Two builds can so be compared on the same
+// or of an earlier build, over the simulator's wire protocol. This allows two builds to be compared on the same
 // scenario runs in simulated time.
 package remoteadapter
 
@@ -86,7 +86,7 @@
 	return err
 }
 
-// Err returns the first error of the conversation with the adapter.
+// Err returns the first error of the communication with the adapter.
 func (a *Adapter) Err() error { return a.err }
 
 // NewDecider returns a Decider that forwards events to the adapter and executes its actions.
@@ -133,5 +133,5 @@
 	return reply, a.err == nil
 }
 
-// fail records an error, which ends the conversation.
+// fail records an error, after which nothing is sent to the adapter.
 func (a *Adapter) fail(err error) { a.err = fmt.Errorf("adapter: %w", err) }
--- a/internal/simulation/remoteadapter/adapter_test.go
+++ b/internal/simulation/remoteadapter/adapter_test.go
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	if len(r.ViolationTexts) > 0 || r.ServedRequests == 0 {
-		t.Errorf("%s", r.Line())
+		t.Errorf("want no violations and some requests served, got %s", r.Line())
 	}
 	text, err := json.Marshal(r)
 	if err != nil {
@@ -61,7 +61,7 @@
 	t.Cleanup(func() {
 		toAdapter.Close()
 		if err := <-served; err != nil {
-			t.Errorf("serve returned %v", err)
+			t.Errorf("serve returned %v, want no error", err)
 		}
 	})
 	return a
--- a/internal/simulation/simadapter/fixtures_test.go
+++ b/internal/simulation/simadapter/fixtures_test.go
@@ -8,7 +8,7 @@
 	"barleywick/internal/testing/fixture"
 )
 
-// recording reads one direction of a conversation that was recorded at commit 396a775.
+// recording reads the events or the replies of a scenario run that was recorded at commit 396a775.
 func recording(t *testing.T, name string) []byte {
 	t.Helper()
 	return fixture.ReadGzip(t, filepath.Join("testdata", name+".bin.gz"))
--- a/internal/simulation/simadapter/serve_test.go
+++ b/internal/simulation/simadapter/serve_test.go
@@ -204,7 +204,7 @@
 	}
 	rec, _, err := simwire.NextRecord(p.reply.Bytes()[12:])
 	if err != nil || rec.Code != simwire.ActionDie || !strings.Contains(string(rec.Fields), "index out of range") {
-		t.Fatalf("got record %+v, error %v", rec, err)
+		t.Fatalf("got record %+v, error %v; want a Die action with the text of the panic", rec, err)
 	}
 }
 
@@ -227,6 +227,6 @@
 	})
 	if got[0] != (policy.Endpoint{ID: 9, Zone: 1, Cell: 3, State: policy.Ready, Weight: 2.5, Started: time.Second}) ||
 		got[1].State != policy.Removed || got[2].State != policy.Draining || got[3].State != policy.Draining {
-		t.Fatalf("got endpoints %+v", got)
+		t.Fatalf("got endpoints %+v, want the first as it was sent, one removed and two draining", got)
 	}
 }
--- a/internal/simulation/simwire/fixtures_test.go
+++ b/internal/simulation/simwire/fixtures_test.go
@@ -271,7 +271,7 @@
 	}
 	for name := range frames {
 		if strings.HasPrefix(name, "action-") {
-			t.Errorf("%s is not checked", name)
+			t.Errorf("recorded frame %s is not checked", name)
 		}
 	}
 }
--- a/internal/simulation/simwire/simwire_test.go
+++ b/internal/simulation/simwire/simwire_test.go
@@ -30,7 +30,7 @@
 	r := NewReader(bytes.NewReader(frame))
 	b, err := r.ReadBatch()
 	if err != nil || b.Number != 12 || b.Records != 3 || b.Clock != 8412250*time.Microsecond {
-		t.Fatalf("got batch %+v, error %v", b, err)
+		t.Fatalf("got batch %+v, error %v; want batch 12 with 3 records at 8412.25 ms", b, err)
 	}
 	rec, rest, err := NextRecord(b.Body)
 	if err != nil {
@@ -48,7 +48,7 @@
 	rec, rest, _ = NextRecord(rest)
 	job, err := rec.Job()
 	if inst, _ := rec.Instance(); err != nil || job != 0x0e6f2b19 || inst != 5 || len(rest) != 0 {
-		t.Fatalf("got job %x of instance %d, error %v, %d bytes left", job, inst, err, len(rest))
+		t.Fatalf("got job %x of instance %d, error %v, %d bytes left; want job e6f2b19 of instance 5 and no bytes left", job, inst, err, len(rest))
 	}
 	if _, err := r.ReadBatch(); !errors.Is(err, io.EOF) {
 		t.Fatalf("got error %v at the end of the input, want EOF", err)
@@ -67,18 +67,18 @@
 		t.Fatalf("got page %d, %d entries, error %v; want 0 and 2", page, len(entries), err)
 	}
 	if e := entries[1]; e.Status != StatusReady || e.Rating != 1.5 || e.Boot != 6100*time.Millisecond {
-		t.Fatalf("got entry %+v", e)
+		t.Fatalf("got entry %+v, want a ready server with rating 1.5, started at 6.1 s", e)
 	}
 	rec, _, _ = NextRecord(unhex(t, "2404 1b000000 03000000 c4913a5d 00 0a124a07 931f 6400 0000000000803240 01 00"))
 	f, err := rec.Finished()
 	if err != nil || f.Ending != OutcomeServed || !f.Settled || f.Took != 18500*time.Microsecond || f.Upstream != entries[0].Upstream {
-		t.Fatalf("got outcome %+v, error %v", f, err)
+		t.Fatalf("got outcome %+v, error %v; want served and settled after 18.5 ms by the first entry's server", f, err)
 	}
 	rec, _, _ = NextRecord(unhex(t, `e803 25000000 03000000 0a9011f2 bc1f 6400 666666666666f63f
 		04 0000003f0000684100000c430000e040`))
 	up, end, report, err := rec.CheckResult()
 	if err != nil || up != entries[1].Upstream || end != OutcomeServed || report.Count != 4 || report.Values[3] != 7 {
-		t.Fatalf("got probe of %x with outcome %d, report %+v, error %v", up, end, report, err)
+		t.Fatalf("got probe of %x with outcome %d, report %+v, error %v; want the second entry's server, served, 4 values with 7 as the last", up, end, report, err)
 	}
 	if v, ok := report.Value(3); v != 7 || !ok {
 		t.Fatalf("got %v, %v in column 3, want 7, true", v, ok)
@@ -91,7 +91,7 @@
 	}
 	rec, _, _ = NextRecord(unhex(t, "1a04 0b000000 03000000 03 29000000 0700"))
 	if kind, version, page, err := rec.Fleet(); err != nil || kind != FleetCached || version != 41 || page != 7 {
-		t.Fatalf("got kind %d, version %d, page %d, error %v", kind, version, page, err)
+		t.Fatalf("got kind %d, version %d, page %d, error %v; want a cached list, version 41, page 7", kind, version, page, err)
 	}
 }
 
@@ -126,7 +126,7 @@
 	}
 	p.Begin(1)
 	if got := p.Bytes(); !bytes.Equal(got, unhex(t, "01000000 00000000 00000000")) {
-		t.Fatalf("got empty reply %x", got)
+		t.Fatalf("got empty reply %x, want a header with batch 1 and no records", got)
 	}
 }
 
@@ -156,7 +156,7 @@
 		"record longer than body": "e803 ff000000 03000000",
 	} {
 		if _, _, err := NextRecord(unhex(t, in)); err == nil {
-			t.Errorf("%s: got no error", name)
+			t.Errorf("%s: got no error, want one", name)
 		}
 	}
 	short := Record{Code: EventAsk, Fields: []byte{1, 0, 0, 0, 9}}
@@ -169,7 +169,7 @@
 	}
 	longer := Record{Code: EventWake, Fields: append(make([]byte, 12), "a field of a later version"...)}
 	if _, err := longer.Cookie(); err != nil {
-		t.Errorf("additional fields: got error %v", err)
+		t.Errorf("additional fields: got error %v, want none", err)
 	}
 }
 
--- a/internal/testing/chaostest/chaos.go
+++ b/internal/testing/chaostest/chaos.go
@@ -227,7 +227,7 @@
 		case ctx.Err() != nil:
 			return ctx.Err()
 		case time.Now().After(deadline):
-			return fmt.Errorf("not within %v", timeout)
+			return fmt.Errorf("the condition did not hold within %v", timeout)
 		}
 		time.Sleep(pollInterval)
 	}
--- a/internal/testing/chaostest/servers.go
+++ b/internal/testing/chaostest/servers.go
@@ -63,14 +63,14 @@
 		suspected:    make(map[string]time.Time),
 	}
 	s.http = &http.Server{Handler: s, ReadHeaderTimeout: headerTimeout}
-	s.background.Go(func() { _ = s.http.Serve(ln) }) // always returns an error, that the server was closed
+	s.background.Go(func() { _ = s.http.Serve(ln) }) // always returns an error: after close, that the server was closed
 	registered, unregister := context.WithCancel(context.Background())
 	s.unregister = unregister
 	r := registry.RegisterRequest{
 		Instance: registry.Instance{Host: s.host, Dial: ln.Addr().String(), Site: s.zone, Class: "m", Block: &i, Health: registry.HealthUp, Share: 1},
 		Session:  s.host + "-1", TTLMS: sessionTTL.Milliseconds(), Machine: s.machine,
 	}
-	s.background.Go(func() { _ = c.KeepRegistered(registered, r, nil) }) // always returns an error, that of the context
+	s.background.Go(func() { _ = c.KeepRegistered(registered, r, nil) }) // returns the error of the context after close
 	return s, nil
 }
 
--- a/internal/testing/faultinjection/process_test.go
+++ b/internal/testing/faultinjection/process_test.go
@@ -103,7 +103,7 @@
 		t.Errorf("after Kill: EndError is %v, Crashed is %v; want an EndError and no crash", p.EndError(), p.Crashed())
 	}
 	if err := p.Start(); err != nil || p.Starts != 2 {
-		t.Errorf("second start: %v, %d starts", err, p.Starts)
+		t.Errorf("second start: got error %v and %d starts, want no error and 2", err, p.Starts)
 	}
 	if err := p.Terminate(eventTimeout); err == nil { // the signal terminates sleep
 		t.Error("a process that was terminated by the signal: got no error")
--- a/internal/testing/faultinjection/schedule_test.go
+++ b/internal/testing/faultinjection/schedule_test.go
@@ -29,7 +29,7 @@
 	}
 	again, err := ParseSchedule(s.String())
 	if err != nil || !slices.Equal(again, s) {
-		t.Errorf("parsed again: got %v (%v)", again, err)
+		t.Errorf("parsed again: got %v (error %v), want the same schedule", again, err)
 	}
 	for _, wrong := range []string{"1s cut k1", "1s melt k1 for 2s", "x cut k1 for 2s", "1s cut k1 for y"} {
 		if _, err := ParseSchedule(wrong); err == nil {
--- a/internal/testing/integration/policy_test.go
+++ b/internal/testing/integration/policy_test.go
@@ -439,7 +439,7 @@
 	g.awaitEpoch(third)
 	g.awaitServing()
 	// A change does not wait for a sidecar that has shut down gracefully. It waits for a paused one until
-	// the lease of that has ended.
+	// its lease has ended.
 	if err := g.Processes["n1"].Terminate(eventTimeout); err != nil {
 		t.Errorf("n1 did not shut down gracefully: %v", err)
 	}
--- a/internal/testing/integration/rig_test.go
+++ b/internal/testing/integration/rig_test.go
@@ -265,10 +265,10 @@
 	return holder
 }
 
-// holderPrefix begins a target that stands for the holder of a lease when the fault starts.
+// holderPrefix begins a target that refers to the process that holds a lease when the fault starts.
 const holderPrefix = "holder:"
 
-// holderTargets returns targets that stand for the current holders of the tasks, three for each task, so
+// holderTargets returns targets that refer to the current holders of the tasks, three for each task, so
 // that more than half of the faults hit a holder.
 func (r *rig) holderTargets(tasks int) (targets []string) {
 	c := r.client()
--- a/internal/testing/loadgen/load_test.go
+++ b/internal/testing/loadgen/load_test.go
@@ -48,7 +48,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if q.Method != want.method || keyed != want.keyed || len(body) != want.body || h.Get("Request-Timeout") != "2.000" || h.Get("Tenant") != "acme" || h.Get("Affinity-Key") == "" || ids[h.Get("Request-Id")] {
-			t.Errorf("unexpected request: %s %v, %d bytes", q.Method, h, len(body))
+			t.Errorf("got an unexpected request: %s %v, %d bytes", q.Method, h, len(body))
 		}
 		ids[h.Get("Request-Id")] = true
 		classes[class]++
--- a/internal/testing/localfleet/localfleet_test.go
+++ b/internal/testing/localfleet/localfleet_test.go
@@ -154,12 +154,12 @@
 	o := options(t, "calm", time.Second)
 	o.Program = "/bin/false"
 	if _, err := Run(t.Context(), o); err == nil || !strings.Contains(err.Error(), "ended before it was ready") || strings.Contains(err.Error(), "\n") {
-		t.Errorf("%v", err)
+		t.Errorf("sidecar program that ends at once: got error %v, want one line with \"ended before it was ready\"", err)
 	}
 	checkNothingLeft(t)
 	o.Logs = filepath.Join(t.TempDir(), "none")
 	if _, err := Run(t.Context(), o); err == nil || !strings.Contains(err.Error(), "none") {
-		t.Errorf("%v", err)
+		t.Errorf("missing log folder: got error %v, want one that names the folder", err)
 	}
 	checkNothingLeft(t)
 	for want, change := range map[string]func(*emulator.Scenario){
@@ -174,7 +174,7 @@
 		o := options(t, "calm", time.Second)
 		change(o.Scenario)
 		if _, err := Run(t.Context(), o); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+			t.Errorf("want an error that contains %q, got %v", want, err)
 		}
 	}
 }
--- a/internal/testing/localfleet/malformed.go
+++ b/internal/testing/localfleet/malformed.go
@@ -19,7 +19,7 @@
 // close its connection.
 const malformedTimeout = 3 * time.Second
 
-// malformedRequests are sent in turn. The empty one stands for a connection without a request.
+// malformedRequests are sent in turn. For the empty one a connection is opened and nothing is sent.
 var malformedRequests = []string{
 	"",
 	"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03 noise \r\n\r\n",
--- a/internal/testing/loopback/loopback.go
+++ b/internal/testing/loopback/loopback.go
@@ -24,10 +24,10 @@
 	}
 })
 
-// FreeAddr returns an address on which nothing listens. Each call uses a loopback host of its own, so
-// no ephemeral port that the kernel assigns later to a connection or to another listener can conflict
-// with it, nor when a process is restarted on the address. FreeAddr listens for a moment and holds
-// ForkLock meanwhile: a process that was forked then would inherit the listener until its exec, and
+// FreeAddr returns an address on which nothing listens. Each call uses a loopback host of its own, so an
+// ephemeral port that the kernel later assigns to a connection or to another listener does not conflict
+// with the address, even while a process is being restarted on it. FreeAddr listens briefly and holds
+// ForkLock while it does: a process that was forked then would inherit the listener until its exec, and
 // keep the address in use after FreeAddr has closed it.
 func FreeAddr() (string, error) {
 	probeOSSupport()
