--- a/cmd/testbench/chaos.go
+++ b/cmd/testbench/chaos.go
@@ -29,9 +29,9 @@
 	c := &cobra.Command{
 		Use: "chaos", Short: "Inject faults into a whole fleet of real processes, and check every invariant", Args: cli.NoArgs,
 		Long: `chaos starts replicas of the registry, controllers with all their tasks, and sidecars under
-load, with a relay for every link between two processes, and injects faults for a time:
-process and network faults, up to three at once, while operators change policies, drain
-machines, hand tasks over and write records. Invariants are checked meanwhile and after
+load, with a relay for every link between two processes, and injects faults for the given
+time: process and network faults, up to three at once, while operators change policies, drain
+machines, hand tasks over and write records. Invariants are checked during the run and after
 the last fault (docs/TESTING.md). All processes that it starts end with it. By default
 the programs are those in testbench's folder.
 
--- a/cmd/testbench/load.go
+++ b/cmd/testbench/load.go
@@ -33,9 +33,9 @@
 	c := &cobra.Command{
 		Use: "load ADDRESS...", Short: "Put an open-loop load on sidecars", Args: cobra.MinimumNArgs(1),
 		Long: `load sends requests to sidecars when they are due, whether or not earlier ones have ended.
-Latencies count from when a request was due, so that a target that stalls is charged for all
-requests that became due meanwhile. A request that is due while too many are open is not
-sent and is counted as unsent.`,
+Latencies count from when a request was due, so that a stall of a target raises the latency
+of all requests that became due during it. A request that is due while too many are open is
+not sent and is counted as unsent.`,
 		Example: `  testbench load 127.0.0.1:7070 --rate 200 --length 30s --class hold-slot:keyed:3 --class confirm-visit:unsafe:2 --tenants a,b
   testbench load 127.0.0.1:7070 --class read:safe --arrivals recorded --recorded times.txt --json out.json`,
 	}
--- a/internal/simulation/emulator/node.go
+++ b/internal/simulation/emulator/node.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// restart kills a sidecar and starts it again after a while. Its open requests end without an answer, as
+// restart kills a sidecar and starts it again after the time down. Its open requests end without an answer, as
 // its client is killed with it.
 func (s *Sim) restart(n *node, down time.Duration) {
 	if !n.up {
--- a/internal/testing/faultinjection/link.go
+++ b/internal/testing/faultinjection/link.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// DropResponses drops the next count responses: the request is delivered, and the connection is reset
-// in place of the response's first chunk.
+// DropResponses drops the next count responses, whose requests are delivered. Over TCP the connection is
+// reset in place of the response's first chunk; over UDP the response's datagram is lost.
 func (l *Link) DropResponses(count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testing/faultinjection/process.go
+++ b/internal/testing/faultinjection/process.go
@@ -132,14 +132,14 @@
 	pid := p.cmd.Process.Pid
 	var limit unix.Rlimit
 	if err := unix.Prlimit(pid, unix.RLIMIT_FSIZE, nil, &limit); err != nil {
-		return fmt.Errorf("limit of %s: %w", p.Name, err)
+		return fmt.Errorf("read the file size limit of %s: %w", p.Name, err)
 	}
 	limit.Cur = limit.Max
 	if full {
 		limit.Cur = 1
 	}
 	if err := unix.Prlimit(pid, unix.RLIMIT_FSIZE, &limit, nil); err != nil {
-		return fmt.Errorf("limit of %s: %w", p.Name, err)
+		return fmt.Errorf("set the file size limit of %s: %w", p.Name, err)
 	}
 	return nil
 }
--- a/internal/testing/localfleet/faults.go
+++ b/internal/testing/localfleet/faults.go
@@ -166,7 +166,7 @@
 	}
 }
 
-// replace drains servers one after the other and starts a successor of the same kind for each.
+// replace drains servers in the steps of the fault and starts a successor of the same kind for each.
 func (l *localFleet) replace(ctx context.Context, t emulator.Fault) error {
 	picked := l.pickServers(t.Part)
 	began := time.Now()
--- a/internal/testing/modelcheck/system/controller.go
+++ b/internal/testing/modelcheck/system/controller.go
@@ -145,7 +145,8 @@
 	}
 }
 
-// remaining returns the true time until the lease ends by this process's clock.
+// remaining returns how much simulated time passes until the lease ends by this process's clock, which may
+// drift. It returns an hour if the lease was not granted.
 func (ctl *controller) remaining(session *lease.Session) time.Duration {
 	if session.Token() == 0 {
 		return time.Hour
--- a/internal/testing/modelcheck/system/raft.go
+++ b/internal/testing/modelcheck/system/raft.go
@@ -127,8 +127,8 @@
 	m.w.after(raftTick, m.tick)
 }
 
-// elect makes a replica the leader that has every committed entry and reaches a quorum. The previous
-// leader is elected only if no other replica qualifies.
+// elect draws the new leader from the replicas that have every committed entry and reach a quorum. The
+// previous leader is elected only if no other replica qualifies.
 func (m *raftModel) elect() {
 	var candidates []*replica
 	for _, r := range m.replicas {
--- a/internal/testing/soaktest/ledger.go
+++ b/internal/testing/soaktest/ledger.go
@@ -217,11 +217,11 @@
 	}
 }
 
-// reachableSince returns since when discovery, which has had a change since from, was reachable until
-// another time without interruption, for a process that was started at started. reached reports whether
-// the process could be notified of the change at all: not if discovery was down all the time since both
-// the change and the start. A process that starts while discovery is down does not have the list of the
-// process before it.
+// reachableSince returns the time from which discovery was reachable without interruption up to until. from is
+// when discovery received a change, started when the process started. reached reports whether the process
+// could be notified of the change at all: it could not if discovery was down all the time since both the
+// change and the start. A process that starts while discovery is down does not have the list of its
+// predecessor.
 func (l *ledger) reachableSince(from, started, until time.Time) (since time.Time, reached bool) {
 	since = from
 	if started.After(since) {
@@ -318,13 +318,13 @@
 		switch {
 		case i == 0:
 		case r.class == "once":
-			l.addViolationLocked(InvariantNoDuplicate, "%s was sent to servers %d times", r.id, len(ran))
+			l.addViolationLocked(InvariantNoDuplicate, "non-idempotent request %s was run or may have been run %d times, want at most once", r.id, len(ran))
 		case r.class == "keyed" && a.complete.Sub(ran[0].complete)-a.slowReadTime > repeatWindow+protocolSlack+l.allowedDelay(r.sidecar, ran[0].complete, a.complete):
 			l.addViolationLocked(InvariantNoDuplicate, "%s was repeated %v after its first attempt, outside its window", r.id, a.complete.Sub(ran[0].complete))
 		}
 	}
 	if len(r.attempts) > maxAttempts {
-		l.addViolationLocked(InvariantNoDuplicate, "%s was sent to servers %d times", r.id, len(r.attempts))
+		l.addViolationLocked(InvariantNoDuplicate, "%s was sent to servers %d times, which is more than the attempts that a request may have", r.id, len(r.attempts))
 	}
 }
 
