--- a/internal/simulation/emulator/fault.go
+++ b/internal/simulation/emulator/fault.go
@@ -159,7 +159,7 @@
 	}
 }
 
-// minNeighbourPeriod bounds how often the neighbour's load changes.
+// minNeighbourPeriod is the shortest interval between two changes of the neighbour's load.
 const minNeighbourPeriod = 100 * time.Millisecond
 
 // arrivalsOnly does nothing: the fault is implemented by Arrivals.
@@ -184,8 +184,8 @@
 	return func() { s.restartServers(killed) }
 }
 
-// SuccessorDelay is the time from the start of a server's drain until its successor runs, which the
-// successor needs to start.
+// SuccessorDelay is the time from the start of a server's drain until its successor runs, as the successor
+// takes some time to start.
 const SuccessorDelay = time.Second
 
 // StepTime returns the time after the start of a fault at which the nth of total servers is replaced: in
--- a/internal/simulation/emulator/sim.go
+++ b/internal/simulation/emulator/sim.go
@@ -37,8 +37,8 @@
 	failure error // the first error of a sidecar's start, which ends the run
 }
 
-// StartTime is the simulated time at which a run starts. It is not 0, as a time of 0 means long ago to the
-// decision module.
+// StartTime is the simulated time at which a run starts. It is not 0, as the decision module treats a time of 0
+// as long ago.
 const StartTime = time.Hour
 
 // Stream numbers of the random sources that are derived from a seed.
--- a/internal/simulation/remoteadapter/adapter.go
+++ b/internal/simulation/remoteadapter/adapter.go
@@ -1,6 +1,6 @@
 // Package remoteadapter lets the emulator take its decisions from another program: a simadapter of this
-// or of an earlier build, over the simulator's wire protocol. This allows two builds to be compared on the same
-// scenario runs in simulated time.
+// or of an earlier build, over the simulator's wire protocol. This allows two builds to be compared on the
+// same scenario runs in simulated time.
 package remoteadapter
 
 import (
--- a/internal/testing/chaostest/faults.go
+++ b/internal/testing/chaostest/faults.go
@@ -88,7 +88,8 @@
 // completed its requests in flight.
 const recoveryGrace = 3 * time.Second
 
-// lossAllowed reports whether a request may be lost, since its sidecar was paused or killed when it was sent.
+// lossAllowed reports whether a request may be lost: when it was sent, its sidecar was paused or killed, or had
+// resumed or restarted less than recoveryGrace before.
 func (r *run) lossAllowed(name string, sent time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testing/integration/policy_test.go
+++ b/internal/testing/integration/policy_test.go
@@ -34,8 +34,8 @@
 	return controller.Serve(stop, c)
 }
 
-// countingServer is a fake booking server that stands for all of them. It counts the open requests of
-// each sidecar, which it reads from the Request-Id.
+// countingServer is a fake booking server, the only one of a policyFleet. It counts the open requests of
+// each sidecar, whose name it reads from the Request-Id.
 type countingServer struct {
 	addr  string
 	slots chan struct{} // if set, limits how many requests run at once; the others wait
