--- a/internal/testing/localfleet/localfleet_test.go
+++ b/internal/testing/localfleet/localfleet_test.go
@@ -174,7 +174,7 @@
 		o := options(t, "calm", time.Second)
 		change(o.Scenario)
 		if _, err := Run(t.Context(), o); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("want an error that contains %q, got %v", want, err)
+			t.Errorf("want an error that contains \"%s\", got %v", want, err)
 		}
 	}
 }
