--- a/internal/testing/integration/policy_test.go
+++ b/internal/testing/integration/policy_test.go
@@ -34,8 +34,8 @@
 	return controller.Serve(stop, c)
 }
 
-// countingServer is a fake booking server, the only one in its test. It counts the open requests of
-// each sidecar, which it reads from the Request-Id.
+// countingServer is a fake booking server, the only one of a policyFleet. It counts the open requests of
+// each sidecar, whose name it reads from the Request-Id.
 type countingServer struct {
 	addr  string
 	slots chan struct{} // if set, limits how many requests run at once; the others wait
@@ -439,7 +439,7 @@
 	g.awaitEpoch(third)
 	g.awaitServing()
 	// A change does not wait for a sidecar that has shut down gracefully. It waits for a paused one until
-	// the lease of that has ended.
+	// its lease has ended.
 	if err := g.Processes["n1"].Terminate(eventTimeout); err != nil {
 		t.Errorf("n1 did not shut down gracefully: %v", err)
 	}
