--- a/cmd/fleetctl/main_test.go
+++ b/cmd/fleetctl/main_test.go
@@ -169,7 +169,7 @@
 			t.Errorf("%s: status %d, output %q", variable, status, errs.String())
 		}
 		if got := strings.Contains(errs.String(), "BARLEYCTL_CONFIG is deprecated, use FLEETCTL_CONFIG"); got != warned {
-			t.Errorf("%s: warned %v, want %v", variable, got, warned)
+			t.Errorf("%s: got deprecation warning %v, want %v", variable, got, warned)
 		}
 	}
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -303,7 +303,7 @@
 	return xxhash.Sum64String(strings.Join(keys, " "))
 }
 
-// Partition returns which part of the fleet this process can reach.
+// Partition returns how many members are present and how many are unreachable, and since when.
 func (v *View) Partition() PartitionState { return v.partition }
 
 // Get returns a member by its key.
--- a/internal/overload/message.go
+++ b/internal/overload/message.go
@@ -107,7 +107,7 @@
 	}
 	for i, t := range a.Tenants {
 		if !isFraction(t.AdmitFraction) || len(t.Tenant) > maxNameLength {
-			return fmt.Errorf("%w: parts[%d].part is %v, it must lie between 0 and 1", ErrInvalidMessage, i, t.AdmitFraction)
+			return fmt.Errorf("%w: parts[%d]: part is %v, it must lie between 0 and 1, and the tenant name must not be too long", ErrInvalidMessage, i, t.AdmitFraction)
 		}
 	}
 	return nil
--- a/internal/rollout/compatibility_test.go
+++ b/internal/rollout/compatibility_test.go
@@ -81,7 +81,7 @@
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(value); err != nil {
-		t.Fatalf("%v in %s", err, text)
+		t.Fatalf("got error %v decoding %s, want none", err, text)
 	}
 }
 
--- a/internal/rollout/prepare.go
+++ b/internal/rollout/prepare.go
@@ -40,7 +40,7 @@
 func checkProposal(c Command) error {
 	switch {
 	case c.Document == nil:
-		return errors.New("no document")
+		return errors.New("document is missing, a change needs a policy document")
 	case c.By == "" || len(c.By) > maxNameBytes || len(c.Reason) > maxReasonBytes:
 		return fmt.Errorf("a change needs the name of its proposer, and a reason of at most %d bytes", maxReasonBytes)
 	case c.WithinMS <= 0 || c.WithinMS > MaxWithinMS:
--- a/internal/simulation/emulator/server_test.go
+++ b/internal/simulation/emulator/server_test.go
@@ -81,7 +81,7 @@
 	}
 	for i, want := range []bool{true, true, true, false} {
 		if got := sv.Connect(0); got != want {
-			t.Errorf("connection %d: %v, want %v", i, got, want)
+			t.Errorf("connection %d: got accepted %v, want %v", i, got, want)
 		}
 	}
 	sv.Draining = false
--- a/internal/testing/integration/witness_test.go
+++ b/internal/testing/integration/witness_test.go
@@ -17,7 +17,8 @@
 	"barleywick/internal/testing/linearizability"
 )
 
-// witness records the acts and calls of the controllers. It does not check leases or tokens itself.
+// witness is an HTTP server to which the controllers report each action of a task and each call to the
+// registry, for verify to check later. It accepts every report, whatever the lease or the fencing token.
 type witness struct {
 	addr  string
 	began time.Time
--- a/internal/testing/soaktest/ledger.go
+++ b/internal/testing/soaktest/ledger.go
@@ -37,7 +37,7 @@
 	InvariantOwnChecks Invariant = "own checks"
 )
 
-// Tolerances of the checks, as the protocol and the terms of acceptance allow. Delays that the test itself
+// Tolerances of the checks, as the protocol and the acceptance criteria allow. Delays that the test itself
 // causes are measured, and allowed in addition (ledger.allowedDelay).
 const (
 	// pauseSlack is how long a process may be paused between reading its clock and writing.
@@ -294,7 +294,7 @@
 	case r.status == 0 && killed:
 		l.counts["requests of a killed sidecar"]++
 	case r.status == 0 && r.sidecar.descriptorsExhausted && r.freshConn && len(r.attempts) == 0:
-		l.counts["new connections shut unread in a crowd"]++ // as the terms of acceptance allow
+		l.counts["new connections shut unread in a crowd"]++ // as the acceptance criteria allow
 	case r.status == 0:
 		l.addViolationLocked(InvariantAnswered, "%s of class %s, %v, %d attempts: no response: %v", r.id, r.class, r.behaviour, len(r.attempts), r.err)
 	case r.respondedAt.Sub(r.complete) > r.timeout+responseSlack+l.allowedDelay(r.sidecar, r.complete, r.respondedAt):
--- a/internal/testing/soaktest/soaktest_test.go
+++ b/internal/testing/soaktest/soaktest_test.go
@@ -75,7 +75,7 @@
 // Guards against sidecars that send to a draining server after the drain grace. A server drains while
 // discovery is down, discovery is then reachable for 0.5 to 0.9 s and down again for ten seconds, and
 // sidecars send to the server until discovery is back. A watcher whose calls fail pauses for up to 1.5 s
-// between two calls, so it may miss a shorter period. By the terms of acceptance sidecars count as notified
+// between two calls, so it may miss a shorter period. By the acceptance criteria sidecars count as notified
 // of a change 6 s after discovery had it and was reachable, however short that period was. Seen with seed
 // 213: s-0 drains at 4.738 s, discovery is reachable from 5.297 to 6.143 s, and the sidecar calls at 5.26 and
 // 6.69 s. This is not fixed, since calls of a whole fleet at a shorter interval would keep an overloaded
--- a/policy/congestion.go
+++ b/policy/congestion.go
@@ -17,8 +17,9 @@
 	congestionTimeConstant = 2 * time.Second
 )
 
-// congestionEstimate is the average share of their objective that recent responses took, over all servers. A
-// balancer that contacts each server rarely sees few ejections, so it also needs this overall estimate.
+// congestionEstimate is a decaying average over recent attempts at all servers: the time that each took beyond
+// slowWorkFactor times its expected work, as a fraction of its latency objective; 1 for a rejected attempt. A
+// balancer that sends few requests to each server ejects few servers, so it also needs this overall estimate.
 type congestionEstimate struct {
 	shares    float64 // sum, which decays with time
 	responses float64 // number of responses, which decays likewise
--- a/policy/ejection_test.go
+++ b/policy/ejection_test.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// Neither failures without a queue nor heavy requests may cause an ejection.
+// Only results that indicate a long queue at the server cause its ejection: not errors or cancelled attempts,
+// and not responses that are slow because of the request's expected work.
 func TestOnlyQueuesCauseEjection(t *testing.T) {
 	for name, tt := range map[string]struct {
 		elapsed time.Duration
